--- /dev/null
+++ b/internal/capture/forms_test.go
@@ -0,0 +1,13 @@
+package capture
+
+import (
+	"testing"
+
+	"reachspread/internal/formtest"
+)
+
+// The lines of a capture have the same fields.
+func TestFileFormIsUnchanged(t *testing.T) {
+	formtest.Compare(t, "lines.txt", formtest.Document([2]string{"first line", formtest.Fields(Header{}, "json")},
+		[2]string{"request", formtest.Fields(Request{}, "json")}))
+}
--- /dev/null
+++ b/internal/management/forms_test.go
@@ -0,0 +1,19 @@
+package management
+
+import (
+	"strings"
+	"testing"
+
+	"reachspread/internal/formtest"
+)
+
+// The calls and figures of the management address have the same names, in the same order.
+func TestCallsAndFiguresAreUnchanged(t *testing.T) {
+	var calls, figures strings.Builder
+	for _, call := range Calls {
+		calls.WriteString(call.Name + "\n")
+	}
+	r := &scripted{phase: "serving", values: Values{Classes: []Class{{Name: "c"}}, Fleet: &Fleet{}, Duties: &Duties{}, Recovery: &Recovery{}}}
+	figures.WriteString(Answer("vars", r))
+	formtest.Compare(t, "forms.txt", formtest.Document([2]string{"calls", calls.String()}, [2]string{"figures", figures.String()}))
+}
--- /dev/null
+++ b/internal/program/forms_test.go
@@ -0,0 +1,15 @@
+package program
+
+import (
+	"testing"
+
+	"reachspread/internal/formtest"
+)
+
+// The file of ROUTER_CONFIG, the lines that commands print as JSON, the status of admission and the fleet's record have the same fields.
+func TestProgramFormsAreUnchanged(t *testing.T) {
+	formtest.Compare(t, "forms.txt", formtest.Document([2]string{"ROUTER_CONFIG", formtest.Fields(Config{}, "json")},
+		[2]string{"line of the calls view, recovery and duties", formtest.Fields(Line{}, "json")},
+		[2]string{"admission status", formtest.Fields(AdmissionStatus{}, "json")},
+		[2]string{"record of the fleet", formtest.Fields(Record{}, "json")}))
+}
--- /dev/null
+++ b/internal/quorum/forms_test.go
@@ -0,0 +1,15 @@
+package quorum
+
+import (
+	"testing"
+
+	"reachspread/internal/formtest"
+)
+
+// What voters send to each other, agree on and keep has the same fields: voters of two versions work together.
+func TestWireFormsAreUnchanged(t *testing.T) {
+	formtest.Compare(t, "forms.txt", formtest.Document([2]string{"message", formtest.Fields(message{}, "json")},
+		[2]string{"greeting", formtest.Fields(hello{}, "json")},
+		[2]string{"proposal", formtest.Fields(proposal{}, "json")},
+		[2]string{"state", formtest.Fields(state{}, "json")}))
+}
--- /dev/null
+++ b/internal/system/deciders/configuration/forms_test.go
@@ -0,0 +1,14 @@
+package configuration
+
+import (
+	"testing"
+
+	"reachspread/internal/formtest"
+)
+
+// The operators' configuration document, the patch and the list of changes have the same fields, with the same types.
+func TestDocumentFormIsUnchanged(t *testing.T) {
+	formtest.Compare(t, "document.txt", formtest.Document([2]string{"configuration", formtest.Fields(Configuration{}, "json")},
+		[2]string{"patch", formtest.Fields(change{}, "json")},
+		[2]string{"change of a list", formtest.Fields(ListChange{}, "json")}))
+}
--- /dev/null
+++ b/internal/transport/forms_test.go
@@ -0,0 +1,12 @@
+package transport
+
+import (
+	"testing"
+
+	"reachspread/internal/formtest"
+)
+
+// What goes with a connection that moves to another process has the same fields: the two may be of different versions.
+func TestMovedFormIsUnchanged(t *testing.T) {
+	formtest.Compare(t, "moved.txt", formtest.Fields(moved{}, "json"))
+}
