--- a/coord/peer/peer_test.go
+++ b/coord/peer/peer_test.go
@@ -31,12 +31,17 @@
 }
 
 func newGroup(t *testing.T, processes int) *group {
-	g := &group{t: t, folder: t.TempDir(), peers: make([]*Peer, processes), stops: make([]func(), processes)}
+	return newGroupOn(t, t.TempDir(), 0, processes, true)
+}
+
+// newGroupOn is newGroup on folders that may be there, and on a part of the loopback for itself.
+func newGroupOn(t *testing.T, folder string, network byte, processes int, first bool) *group {
+	g := &group{t: t, folder: folder, peers: make([]*Peer, processes), stops: make([]func(), processes)}
 	for i := range processes {
-		g.seeds = append(g.seeds, netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 67, 0, byte(i + 1)}), 7680))
+		g.seeds = append(g.seeds, netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 67, network, byte(i + 1)}), 7680))
 	}
 	for i := range processes {
-		g.start(i, true)
+		g.start(i, first)
 	}
 	t.Cleanup(func() {
 		for _, stop := range g.stops {
--- /dev/null
+++ b/coord/register/golden_test.go
@@ -0,0 +1,369 @@
+package register_test
+
+import (
+	"bytes"
+	"flag"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+	"google.golang.org/protobuf/proto"
+
+	"reachspread/coord/coordpb"
+	"reachspread/coord/register"
+	"reachspread/coord/storage"
+)
+
+// The folders below testdata/golden were written by the code of commit 5bfcc27:
+//
+//	go test ./coord/register -run TestGolden -write-golden
+//
+// They pin what a process of a register keeps on its disk, and what it decides: the same inputs have to write the same bytes. They are
+// never written again: a later version has to read them as they are.
+var writeGolden = flag.Bool("write-golden", false, "write testdata/golden in place of a comparison with it")
+
+const (
+	goldenPath   = "testdata/golden"
+	everyRecord  = "every-record"
+	goldenStep   = 10 * time.Millisecond
+	goldenTick   = 50 * time.Millisecond
+	goldenClient = "client"
+)
+
+// lines is a state of lines of text: an order is one more.
+type lines struct{ all []string }
+
+func (l *lines) Decide(order []byte) (change, reply []byte) { return order, []byte("added") }
+func (l *lines) Apply(change []byte)                        { l.all = append(l.all, string(change)) }
+func (l *lines) Snapshot() []byte                           { return []byte(strings.Join(l.all, "\n")) }
+func (l *lines) Restore(text []byte) error                  { l.all = strings.Split(string(text), "\n"); return nil }
+func (l *lines) Value() any                                 { return strings.Join(l.all, "\n") }
+
+// everyField is a state of which each field is set, as a process keeps it in a slot.
+func everyField() *coordpb.Durable {
+	members := []*coordpb.Member{{Identity: 11, Address: "a:1", Label: "zone 1"}, {Identity: 1 << 63, Address: "b:1"}, {Identity: 13, Address: "c:1"}}
+	view := func(epoch uint64, chain ...uint64) *coordpb.View {
+		return &coordpb.View{Epoch: epoch, Members: members, Chain: chain, MembersSince: 4,
+			Duties: []*coordpb.Duty{{Owner: 11, Since: 5, WaitMs: 250}, {Owner: 13, Since: 4, WaitMs: -1}}}
+	}
+	return &coordpb.Durable{Identity: 11, Founder: true, View: view(7, 11, 1<<63, 13),
+		Promised: &coordpb.Ballot{Round: 9, Proposer: 13}, AcceptedBallot: &coordpb.Ballot{Round: 8, Proposer: 11}, AcceptedView: view(8, 11, 13),
+		Position: &coordpb.Position{StateEpoch: 7, Sequence: 300, EntryEpoch: 6}, State: []byte("one\ntwo")}
+}
+
+// recordsOf are records of each kind, in the order in which a process may write them.
+func recordsOf(d *coordpb.Durable) []*coordpb.Record {
+	next := proto.Clone(d.AcceptedView).(*coordpb.View)
+	after := proto.Clone(next).(*coordpb.View)
+	after.Epoch++
+	return []*coordpb.Record{
+		{Body: &coordpb.Record_Entry{Entry: &coordpb.Entry{Epoch: 7, Sequence: 301, Change: []byte("three")}}},
+		{Body: &coordpb.Record_Learned{Learned: next}},
+		{Body: &coordpb.Record_Installed{Installed: &coordpb.Installed{Position: &coordpb.Position{StateEpoch: 7, Sequence: 400, EntryEpoch: 7}, State: []byte("four\nfive")}}},
+		{Body: &coordpb.Record_StateEpoch{StateEpoch: 8}},
+		{Body: &coordpb.Record_Entry{Entry: &coordpb.Entry{Epoch: 8, Sequence: 401, Change: []byte("six")}}},
+		{Body: &coordpb.Record_Promised{Promised: &coordpb.Promised{Ballot: &coordpb.Ballot{Round: 10, Proposer: 1 << 63}}}},
+		{Body: &coordpb.Record_Accepted{Accepted: &coordpb.AcceptedView{Ballot: &coordpb.Ballot{Round: 10, Proposer: 1 << 63}, View: after}}},
+	}
+}
+
+// A slot with each field and a log with each kind of record are read to what was written, and handed on as it was.
+func TestGoldenEveryRecord(t *testing.T) {
+	is := is.New(t)
+	saved := everyField()
+	write := func(path string) {
+		files, err := storage.NewFolder(path)
+		is.NoErr(err)
+		defer files.Close()
+		store, _, err := storage.Open(files)
+		is.NoErr(err)
+		text, err := proto.Marshal(saved)
+		is.NoErr(err)
+		is.NoErr(store.Save(text))
+		for _, r := range recordsOf(saved) {
+			text, err := proto.Marshal(r)
+			is.NoErr(err)
+			is.NoErr(store.Append(text))
+		}
+	}
+	if *writeGolden {
+		write(filepath.Join(goldenPath, everyRecord))
+		return
+	}
+	today := t.TempDir()
+	write(today)
+	compareFolders(t, filepath.Join(goldenPath, everyRecord), today)
+
+	state := &lines{}
+	_, kept := loadGolden(t, everyRecord, state)
+	records := recordsOf(saved)
+	want := proto.Clone(saved).(*coordpb.Durable)
+	want.View = records[1].GetLearned()
+	want.Promised = records[5].GetPromised().Ballot
+	want.AcceptedBallot, want.AcceptedView = records[6].GetAccepted().Ballot, records[6].GetAccepted().View
+	want.Position = &coordpb.Position{StateEpoch: 8, Sequence: 401, EntryEpoch: 8}
+	is.True(proto.Equal(kept, want))
+	is.Equal(state.Value(), "four\nfive\nsix")
+
+	core := register.NewCore(register.Config{Self: &coordpb.Member{Address: "a:1", Identity: kept.Identity}, Founder: kept.Founder, Eligible: true,
+		Tolerance: 1, Kept: kept, Unsynced: true}, state, 0)
+	is.True(proto.Equal(core.View(), want.View))
+	is.True(proto.Equal(core.Position(), want.Position))
+	durable, _ := core.Durable()
+	want.State = []byte("four\nfive\nsix")
+	is.True(proto.Equal(durable, want))
+}
+
+// loadGolden reads a copy of a golden folder into a machine.
+func loadGolden(t *testing.T, name string, machine *lines) (*storage.Store, *coordpb.Durable) {
+	t.Helper()
+	is := is.New(t)
+	path := t.TempDir()
+	is.NoErr(os.CopyFS(path, os.DirFS(filepath.Join(goldenPath, name))))
+	files, err := storage.NewFolder(path)
+	is.NoErr(err)
+	t.Cleanup(files.Close)
+	store, kept, err := register.Load(files, machine)
+	is.NoErr(err)
+	is.True(kept != nil)
+	return store, kept
+}
+
+// goldenProcess is a process of goldenGroup, nil core while it is down.
+type goldenProcess struct {
+	address string
+	path    string
+	files   *storage.Folder
+	store   *storage.Store
+	state   *lines
+	core    *register.Core
+}
+
+// goldenGroup is three processes with disks, whose messages take one step each and are never lost.
+type goldenGroup struct {
+	is        *is.I
+	now       time.Duration
+	processes []*goldenProcess
+	onTheWay  []register.Send
+	orders    uint64
+	replies   int
+	accepted  map[uint64]int // by epoch, messages that a view was accepted
+}
+
+var goldenAddresses = []string{"a:1", "b:1", "c:1"}
+
+func newGoldenGroup(is *is.I, folder string) *goldenGroup {
+	g := &goldenGroup{is: is, accepted: map[uint64]int{}}
+	for _, address := range goldenAddresses {
+		p := &goldenProcess{address: address, path: filepath.Join(folder, address[:1])}
+		g.processes = append(g.processes, p)
+		g.start(p)
+	}
+	return g
+}
+
+// start begins a life of a process on what its disk has.
+func (g *goldenGroup) start(p *goldenProcess) {
+	var err error
+	p.files, err = storage.NewFolder(p.path)
+	g.is.NoErr(err)
+	p.state = &lines{}
+	store, kept, err := register.Load(p.files, p.state)
+	g.is.NoErr(err)
+	p.store = store
+	number := uint64(p.address[0])
+	c := register.Config{Self: &coordpb.Member{Address: p.address, Identity: 1000 + number}, Seeds: goldenAddresses, Founder: kept == nil, Eligible: true,
+		Tolerance: 1, Seed: number}
+	if kept != nil {
+		c.Kept, c.Self.Identity, c.Founder, c.Unsynced = kept, kept.Identity, kept.Founder, true
+	}
+	p.core = register.NewCore(c, p.state, g.now)
+	p.core.Know(goldenAddresses)
+}
+
+// stop ends a process's life.
+func (p *goldenProcess) stop() {
+	p.files.Close()
+	p.core = nil
+}
+
+// run goes on until a time, or until done, which may be nil, says so.
+func (g *goldenGroup) run(until time.Duration, done func() bool) {
+	for g.now < until && (done == nil || !done()) {
+		g.now += goldenStep
+		sends := g.onTheWay
+		g.onTheWay = nil
+		for _, s := range sends {
+			g.deliver(s)
+		}
+		for _, p := range g.processes {
+			if p.core != nil && g.now%goldenTick == 0 {
+				g.carryOut(p.core.Tick(g.now))
+			}
+			g.write(p)
+		}
+	}
+}
+
+func (g *goldenGroup) deliver(s register.Send) {
+	if s.To == goldenClient {
+		if s.Message.GetReply() != nil {
+			g.replies++
+		}
+		return
+	}
+	for _, p := range g.processes {
+		if p.address == s.To && p.core != nil {
+			g.carryOut(p.core.Receive(g.now, proto.Clone(s.Message).(*coordpb.Message)))
+			g.write(p)
+		}
+	}
+}
+
+func (g *goldenGroup) carryOut(out register.Output) {
+	for _, s := range out.Sends {
+		if a := s.Message.GetAccepted(); a != nil {
+			g.accepted[a.Instance]++
+		}
+		g.onTheWay = append(g.onTheWay, s)
+	}
+}
+
+// write puts on the disk of a process all that is due.
+func (g *goldenGroup) write(p *goldenProcess) {
+	for p.core != nil {
+		batch, err := p.core.NextBatch(p.store, p.store.Broken())
+		g.is.NoErr(err)
+		if batch == nil {
+			return
+		}
+		g.is.NoErr(batch.Write(p.store))
+		g.carryOut(p.core.Written(batch.UpTo, g.now))
+	}
+}
+
+// order has the client send an order to the head, and runs for a moment.
+func (g *goldenGroup) order(text string) {
+	g.orders++
+	for _, p := range g.processes {
+		v := p.core
+		if v != nil && len(v.View().Chain) > 0 && v.View().Chain[0] == 1000+uint64(p.address[0]) {
+			m := &coordpb.Message{From: &coordpb.Member{Address: goldenClient, Identity: 1}, Body: &coordpb.Message_Submit{Submit: &coordpb.Submit{Id: g.orders, Order: []byte(text)}}}
+			g.onTheWay = append(g.onTheWay, register.Send{To: p.address, Message: m})
+			break
+		}
+	}
+	g.run(g.now+200*time.Millisecond, nil)
+}
+
+// save has all of the state of a process go to its disk, as when the log is long.
+func (g *goldenGroup) save(p *goldenProcess) {
+	batch, err := p.core.NextBatch(p.store, true)
+	g.is.NoErr(err)
+	g.is.NoErr(batch.Write(p.store))
+	g.carryOut(p.core.Written(batch.UpTo, g.now))
+}
+
+// playGolden writes the golden folders of a group: orders in a first view, others while a process is down, then that one comes back, and
+// all end between the vote on the view that takes it in and its decision.
+func playGolden(is *is.I, folder string) {
+	g := newGoldenGroup(is, folder)
+	g.run(3*time.Second, nil)
+	for _, text := range []string{"one", "two", "three"} {
+		g.order(text)
+	}
+	b, c := g.processes[1], g.processes[2]
+	c.stop()
+	g.run(g.now+3*time.Second, nil)
+	g.order("four")
+	g.save(b)
+	g.order("five")
+	g.start(c)
+	epoch := b.core.View().Epoch + 1
+	g.run(g.now+20*time.Second, func() bool { return g.accepted[epoch] > 0 })
+	is.True(g.accepted[epoch] > 0)
+	is.Equal(g.replies, 5)
+	for _, p := range g.processes {
+		p.stop()
+	}
+}
+
+// What the processes of a group kept is what today's code writes from the same inputs, byte by byte, and is read to the same content: a
+// promise and an accepted view for the epoch after the last one, all orders, the identities.
+func TestGoldenGroup(t *testing.T) {
+	is := is.New(t)
+	if *writeGolden {
+		playGolden(is, goldenPath)
+		return
+	}
+	today := t.TempDir()
+	playGolden(is, today)
+	const state = "one\ntwo\nthree\nfour\nfive"
+	for i, name := range []string{"a", "b", "c"} {
+		compareFolders(t, filepath.Join(goldenPath, name), filepath.Join(today, name))
+		machine := &lines{}
+		_, kept := loadGolden(t, name, machine)
+		is.Equal(kept.Identity, 1097+uint64(i))
+		is.True(kept.Founder)
+		is.Equal(kept.View.Epoch, uint64(2))
+		is.Equal(kept.View.MembersSince, uint64(1))
+		is.Equal(kept.View.Chain, []uint64{1097, 1098})
+		is.Equal(len(kept.View.Duties), 32)
+		is.True(proto.Equal(kept.View.Duties[2], &coordpb.Duty{Owner: 1097, Since: 2, WaitMs: -190}))
+		for k, m := range kept.View.Members {
+			is.True(proto.Equal(m, &coordpb.Member{Identity: 1097 + uint64(k), Address: goldenAddresses[k]}))
+		}
+		ballot := &coordpb.Ballot{Round: 3, Proposer: 1097}
+		is.True(proto.Equal(kept.Promised, ballot))
+		is.True(proto.Equal(kept.AcceptedBallot, ballot))
+		is.Equal(kept.AcceptedView.Epoch, uint64(3))
+		is.Equal(kept.AcceptedView.Chain, []uint64{1097, 1098, 1099})
+		is.True(proto.Equal(kept.Position, &coordpb.Position{StateEpoch: 2, Sequence: 5, EntryEpoch: 2}))
+		is.Equal(machine.Value(), state)
+	}
+}
+
+// Processes that begin on what others kept have the same state, agree on one more view, and take orders on top.
+func TestGoldenGroupGoesOn(t *testing.T) {
+	is := is.New(t)
+	folder := t.TempDir()
+	for _, name := range []string{"a", "b", "c"} {
+		is.NoErr(os.CopyFS(filepath.Join(folder, name), os.DirFS(filepath.Join(goldenPath, name))))
+	}
+	g := newGoldenGroup(is, folder)
+	g.run(5*time.Second, nil)
+	g.order("six")
+	is.Equal(g.replies, 1)
+	for _, p := range g.processes {
+		is.Equal(p.state.Value(), "one\ntwo\nthree\nfour\nfive\nsix")
+		is.Equal(p.core.View().Chain, []uint64{1097, 1098, 1099})
+		is.True(p.core.View().Epoch >= 3)
+	}
+}
+
+// compareFolders tells of files that differ.
+func compareFolders(t *testing.T, want, got string) {
+	t.Helper()
+	is := is.New(t)
+	names := func(path string) (all []string) {
+		entries, err := os.ReadDir(path)
+		is.NoErr(err)
+		for _, e := range entries {
+			all = append(all, e.Name())
+		}
+		return all
+	}
+	is.Equal(names(got), names(want))
+	for _, name := range names(want) {
+		wanted, err := os.ReadFile(filepath.Join(want, name))
+		is.NoErr(err)
+		text, err := os.ReadFile(filepath.Join(got, name))
+		is.NoErr(err)
+		if !bytes.Equal(text, wanted) {
+			t.Errorf("%s is\n%x\nand was\n%x", name, text, wanted)
+		}
+	}
+}
--- /dev/null
+++ b/coord/storage/golden_test.go
@@ -0,0 +1,186 @@
+package storage_test
+
+import (
+	"bytes"
+	"flag"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/matryer/is"
+
+	"reachspread/coord/storage"
+)
+
+// The folders below testdata/golden were written by the code of commit 5bfcc27:
+//
+//	go test ./coord/storage -run TestGoldenFolders -write-golden
+//
+// They pin the format on disk. They are never written again: a later version has to read them as they are.
+var writeGolden = flag.Bool("write-golden", false, "write testdata/golden in place of a comparison with it")
+
+const goldenPath = "testdata/golden"
+
+// goldenFolder is what a process did to its storage, and what the next one has to find.
+type goldenFolder struct {
+	name    string
+	write   func(is *is.I, s *storage.Store)
+	tail    []byte // bytes of a write that was torn, behind the log
+	tornIn  string // a file that is cut off
+	tornTo  int    // its length then
+	state   string
+	records []string
+}
+
+// longRecord has all byte values, several times.
+var longRecord = func() []byte {
+	text := make([]byte, 1000)
+	for i := range text {
+		text[i] = byte(i)
+	}
+	return text
+}()
+
+func goldenFolders() []goldenFolder {
+	save := func(is *is.I, s *storage.Store, state string, records ...string) {
+		is.NoErr(s.Save([]byte(state)))
+		for _, r := range records {
+			is.NoErr(s.Append([]byte(r)))
+		}
+	}
+	return []goldenFolder{
+		{name: "first-slot", write: func(is *is.I, s *storage.Store) { save(is, s, "state 1") }, state: "state 1"},
+		{name: "empty-state", write: func(is *is.I, s *storage.Store) { save(is, s, "", "one") }, state: "", records: []string{"one"}},
+		{name: "slot-and-log", write: func(is *is.I, s *storage.Store) {
+			is.NoErr(s.Save([]byte("state 1")))
+			is.NoErr(s.Append([]byte("one"), []byte(""), longRecord))
+			is.NoErr(s.Append([]byte("four")))
+		}, state: "state 1", records: []string{"one", "", string(longRecord), "four"}},
+		{name: "both-slots", write: func(is *is.I, s *storage.Store) {
+			save(is, s, "state 1", "of state 1: one", "of state 1: two", "of state 1: three")
+			save(is, s, "state 2", "of state 2: one")
+		}, state: "state 2", records: []string{"of state 2: one"}},
+		{name: "third-state", write: func(is *is.I, s *storage.Store) {
+			save(is, s, "state 1, which is the longest of the three", "a")
+			save(is, s, "state 2", "b", "c")
+			save(is, s, "state 3")
+		}, state: "state 3"},
+		{name: "torn-record", write: func(is *is.I, s *storage.Store) { save(is, s, "state 1", "one", "two", "three") },
+			tornIn: "log", tornTo: 24 + 3 + 24 + 3 + 24 + 2, state: "state 1", records: []string{"one", "two"}},
+		{name: "bytes-behind-the-log", write: func(is *is.I, s *storage.Store) { save(is, s, "state 1", "one") },
+			tail: []byte("RSL1 and then no record"), state: "state 1", records: []string{"one"}},
+		{name: "torn-slot", write: func(is *is.I, s *storage.Store) {
+			save(is, s, "state 1", "one", "two")
+			save(is, s, "state 2")
+		}, tornIn: "slot-b", tornTo: 27, state: "state 1", records: []string{"one", "two"}},
+	}
+}
+
+// fill does to a folder what a golden folder says.
+func (g goldenFolder) fill(t *testing.T, path string) {
+	t.Helper()
+	is := is.New(t)
+	files, err := storage.NewFolder(path)
+	is.NoErr(err)
+	defer files.Close()
+	store, _, err := storage.Open(files)
+	is.NoErr(err)
+	g.write(is, store)
+	if g.tornIn != "" {
+		is.NoErr(os.Truncate(filepath.Join(path, g.tornIn), int64(g.tornTo)))
+	}
+	if g.tail != nil {
+		log, err := os.OpenFile(filepath.Join(path, "log"), os.O_APPEND|os.O_WRONLY, 0o600)
+		is.NoErr(err)
+		_, err = log.Write(g.tail)
+		is.NoErr(err)
+		is.NoErr(log.Close())
+	}
+}
+
+// check opens a folder and compares what is found there.
+func (g goldenFolder) check(t *testing.T, path string) {
+	t.Helper()
+	is := is.New(t)
+	files, err := storage.NewFolder(path)
+	is.NoErr(err)
+	defer files.Close()
+	store, found, err := storage.Open(files)
+	is.NoErr(err)
+	is.True(found.State != nil)
+	is.Equal(string(found.State), g.state)
+	is.Equal(len(found.Records), len(g.records))
+	for i, r := range found.Records {
+		is.Equal(string(r), g.records[i])
+	}
+	is.True(!store.Broken())
+	is.True(store.Unsynced())
+	is.NoErr(store.Append([]byte("one more")))
+	_, found, err = storage.Open(files)
+	is.NoErr(err)
+	is.Equal(len(found.Records), len(g.records)+1)
+	is.Equal(string(found.Records[len(g.records)]), "one more")
+}
+
+// Folders of an earlier version are read to the content that was written, go on from there, and the same steps write the same bytes today.
+func TestGoldenFolders(t *testing.T) {
+	for _, g := range goldenFolders() {
+		t.Run(g.name, func(t *testing.T) {
+			golden := filepath.Join(goldenPath, g.name)
+			if *writeGolden {
+				g.fill(t, golden)
+				return
+			}
+			is := is.New(t)
+			today := t.TempDir()
+			g.fill(t, today)
+			compareFolders(t, golden, today)
+			path := t.TempDir()
+			is.NoErr(os.CopyFS(path, os.DirFS(golden)))
+			g.check(t, path)
+		})
+	}
+}
+
+// compareFolders tells of files that differ.
+func compareFolders(t *testing.T, want, got string) {
+	t.Helper()
+	is := is.New(t)
+	names := func(path string) (all []string) {
+		entries, err := os.ReadDir(path)
+		is.NoErr(err)
+		for _, e := range entries {
+			all = append(all, e.Name())
+		}
+		return all
+	}
+	is.Equal(names(got), names(want))
+	for _, name := range names(want) {
+		wanted, err := os.ReadFile(filepath.Join(want, name))
+		is.NoErr(err)
+		text, err := os.ReadFile(filepath.Join(got, name))
+		is.NoErr(err)
+		if !bytes.Equal(text, wanted) {
+			t.Errorf("%s is\n%x\nand was\n%x", name, text, wanted)
+		}
+	}
+}
+
+// A folder without files, and one that is not there, have no state; a first Save is due.
+func TestEmptyFolder(t *testing.T) {
+	for _, path := range []string{t.TempDir(), filepath.Join(t.TempDir(), "none", "yet")} {
+		is := is.New(t)
+		files, err := storage.NewFolder(path)
+		is.NoErr(err)
+		_, err = files.Read("slot-a")
+		is.True(os.IsNotExist(err) && err.(*fs.PathError).Path == filepath.Join(path, "slot-a"))
+		store, found, err := storage.Open(files)
+		is.NoErr(err)
+		is.True(found.State == nil)
+		is.Equal(len(found.Records), 0)
+		is.True(store.Broken())
+		is.True(!store.Unsynced())
+		files.Close()
+	}
+}
