--- /dev/null
+++ b/internal/peering/golden_test.go
@@ -0,0 +1,92 @@
+package peering
+
+import (
+	"context"
+	"encoding/binary"
+	"encoding/json"
+	"io"
+	"net"
+	"testing"
+	"time"
+
+	"reachspread/internal/duty"
+	"reachspread/internal/golden"
+	"reachspread/internal/peers"
+)
+
+// goldenPatience bounds a wait for bytes that are on their way.
+const goldenPatience = 10 * time.Second
+
+// Messages between routers that may vote, and a scribe's records among them, have the bytes that they had at commit 5bfcc27.
+func TestLinesKeepTheirBytes(t *testing.T) {
+	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	free, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	own := free.Addr().String()
+	free.Close()
+	d, err := NewDuties(DutiesConfig{Self: duty.Router{Name: "router-1", Boot: 1}, Times: duty.Usual, Duties: []duty.Duty{{Name: ScribeDuty}}, Voters: 1,
+		Routers: map[string]string{"router-1": own, "router-2": ln.Addr().String()}, Order: []string{"router-1", "router-2"}, Listen: own, Folder: t.TempDir()},
+		nil, make(peers.Lines, 100))
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, stop := context.WithCancel(context.Background())
+	defer stop()
+	if err := d.lines.listen(ctx, own); err != nil {
+		t.Fatal(err)
+	}
+	d.sendRecord("router-2", record{From: "router-1", Token: 1 << 40, Text: json.RawMessage(`{"a":[1,2]}`)})
+	d.sendRecord("router-2", record{From: "router-1", Token: 7})
+	d.lines.send("router-2", []byte(`{"v":1}`))
+	c, err := ln.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	c.SetDeadline(time.Now().Add(goldenPatience))
+	var records []golden.Record
+	for _, name := range []string{"record", "refusal", "message"} {
+		head := make([]byte, 5)
+		if _, err := io.ReadFull(c, head); err != nil {
+			t.Fatal(err)
+		}
+		body := make([]byte, binary.BigEndian.Uint32(head))
+		if _, err := io.ReadFull(c, body); err != nil {
+			t.Fatal(err)
+		}
+		records = append(records, golden.Record{Name: name, Data: append(head, body...)})
+	}
+	data := golden.Check(t, "lines", records)
+
+	type kept struct {
+		token uint64
+		text  string
+	}
+	came := make(chan kept, 1)
+	d.Keeps(func(token uint64, text []byte) uint64 {
+		came <- kept{token, string(text)}
+		return token
+	})
+	out, err := net.Dial("tcp4", own)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer out.Close()
+	if _, err := out.Write(data["record"]); err != nil {
+		t.Fatal(err)
+	}
+	select {
+	case got := <-came:
+		if want := (kept{1 << 40, `{"a":[1,2]}`}); got != want {
+			t.Errorf("the record is read as %+v, not %+v", got, want)
+		}
+	case <-time.After(goldenPatience):
+		t.Error("the record did not come")
+	}
+}
--- /dev/null
+++ b/internal/protocol/golden_test.go
@@ -0,0 +1,66 @@
+package protocol
+
+import (
+	"math"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"reachspread/balance"
+	"reachspread/internal/golden"
+)
+
+// Peer reports have the bytes that they had at commit 5bfcc27, and are read from them as they were.
+func TestPeerReportsKeepTheirBytes(t *testing.T) {
+	reports := []balance.PeerReport{{Tag: 0xabcdef, Tokens: 1}, {Tag: 1, Tokens: 4096}, {Tag: 2, Tokens: 1e9}, {Tag: 3, Slow: 1.0 / 8}, {Tag: 0xffffff, Slow: 16}, {Tag: 5, Slow: 1e6}}
+	withPrefix := []balance.PeerReport{{Tag: 0xabcdef, Tokens: 64, Prefix: 0xfedc}, {Tag: 1, Slow: 2}, {Tag: 2, Tokens: 8, Prefix: 1}}
+	var many []balance.PeerReport
+	for i := range MostPeerReports + 2 {
+		many = append(many, balance.PeerReport{Tag: uint32(i), Tokens: 2})
+	}
+	data := golden.Check(t, "peerreports", []golden.Record{
+		{Name: "tokens-and-slowness", Data: AppendPeerReports(nil, 0x7b, reports)},
+		{Name: "prefixes", Data: AppendPeerReports(nil, 0xff, withPrefix)},
+		{Name: "more-than-fit", Data: AppendPeerReports(nil, 0, many)},
+		{Name: "none", Data: AppendPeerReports(nil, 1, nil)},
+	})
+	reports[2].Tokens, reports[5].Slow = math.Exp2(127/8.0), math.Exp2(127/16.0)/8 // the largest that there is room for
+	for _, c := range []struct {
+		name string
+		zone uint8
+		want []balance.PeerReport
+	}{{"tokens-and-slowness", 0x7b, reports}, {"prefixes", 0xff, withPrefix}, {"more-than-fit", 0, many[:MostPeerReports]}, {"none", 1, nil}} {
+		zone, got, err := ParsePeerReports(data[c.name])
+		if err != nil || zone != c.zone || !reflect.DeepEqual(got, c.want) {
+			t.Errorf("%s is read as zone %d, %+v, not %d, %+v (%v)", c.name, zone, got, c.zone, c.want, err)
+		}
+	}
+}
+
+// The headers between routers, hosts and clients have the names and forms that they had at commit 5bfcc27.
+func TestHeadersKeepTheirForms(t *testing.T) {
+	left := Fleet{}.TimeLeft(1234567 * time.Microsecond)
+	none := Fleet{}.TimeLeft(-time.Second)
+	expects, ok := Fleet{}.Expects("host-1")
+	if !ok {
+		t.Error("no instance is expected")
+	}
+	golden.CheckText(t, "headers", strings.Join([]string{
+		HeaderRequestID, HeaderDeadline, HeaderSeal, HeaderNotExecuted, HeaderExpectedInstance, HeaderExpectVersion, HeaderInstanceID, HeaderServerLoad, HeaderTenant,
+		HeaderModel, HeaderTokenUsage, HeaderPromptPrefix, HeaderPriority, HeaderVersions, HeaderLastEventID, PathReport, Fleet{}.RequestID(), Fleet{}.ProbePath(),
+		left.Name + ": " + left.Value, none.Name + ": " + none.Value, expects.Name + ": " + expects.Value,
+	}, "\n")+"\n")
+}
+
+// What hosts say of their load is read as it was at commit 5bfcc27.
+func TestLoadIsReadAsBefore(t *testing.T) {
+	load, err := ParseServerLoad("3, 5,4")
+	if want := (balance.Load{Streams: 8, Busy: 0.75, Unread: -1}); err != nil || *load != want {
+		t.Errorf("the header is read as %+v, not %+v (%v)", load, want, err)
+	}
+	load, err = Fleet{}.ProbeLoad([]byte(`{"waiting":2,"running":7,"more":"fields"}`))
+	if want := (balance.Load{Streams: 9, Busy: -1, Unread: -1}); err != nil || *load != want {
+		t.Errorf("the report is read as %+v, not %+v (%v)", load, want, err)
+	}
+}
--- /dev/null
+++ b/internal/quorum/golden_test.go
@@ -0,0 +1,102 @@
+package quorum
+
+import (
+	"encoding/json"
+	"reflect"
+	"testing"
+
+	"go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	"reachspread/internal/duty"
+	"reachspread/internal/golden"
+)
+
+func goldenMessages() map[string]*message {
+	nodes := []Node{{ID: 1 << 50, Name: "router-1", Zone: "north"}, {ID: 2, Name: "router-2"}}
+	raft := &raftpb.Message{Type: raftpb.MsgApp.Enum(), To: proto.Uint64(2), From: proto.Uint64(1 << 50), Term: proto.Uint64(7), LogTerm: proto.Uint64(6), Index: proto.Uint64(300),
+		Entries: []*raftpb.Entry{{Type: raftpb.EntryNormal.Enum(), Term: proto.Uint64(7), Index: proto.Uint64(301), Data: []byte("text")}}, Commit: proto.Uint64(299)}
+	return map[string]*message{
+		"raft": {V: wireVersion, Group: 1 << 21, From: nodes[0], To: 2, Start: 3, Boot: 0xfedcba98, Raft: marshal(raft)},
+		"hello": {V: wireVersion, Group: 1 << 21, From: nodes[0], To: 2, Start: 3, Boot: 4, Hello: &hello{Stage: Voting, Term: 7, LastTerm: 6, LastIndex: 300, Token: 1 << 40, Nodes: nodes,
+			Voters: []uint64{1 << 50, 2}, Applied: 299, Leader: "router-1", Wants: true, Of: 2, OfBoot: 5, OfStart: 6, Older: "its log is shorter"}},
+		"least": {V: wireVersion, From: Node{Name: "r"}, Start: 1, Boot: 1, Hello: &hello{Stage: Asking}},
+	}
+}
+
+// Messages between voters have the bytes that they had at commit 5bfcc27, and are read from them.
+func TestMessagesKeepTheirBytes(t *testing.T) {
+	names := []string{"raft", "hello", "least"}
+	messages := goldenMessages()
+	var records []golden.Record
+	for _, name := range names {
+		records = append(records, golden.Record{Name: name, Data: messages[name].encode()})
+	}
+	data := golden.Check(t, "messages", records)
+	for _, name := range names {
+		if got, err := decode(data[name]); err != nil || !reflect.DeepEqual(got, messages[name]) {
+			t.Errorf("%s is read as %+v, not %+v (%v)", name, got, messages[name], err)
+		}
+		if from, err := FromOf(data[name]); err != nil || from != messages[name].From.Name {
+			t.Errorf("%s is from %q, not %q (%v)", name, from, messages[name].From.Name, err)
+		}
+	}
+	m, err := readRaft(messages["raft"].Raft)
+	if err != nil || m.GetTerm() != 7 || m.GetIndex() != 300 || len(m.GetEntries()) != 1 || string(m.GetEntries()[0].GetData()) != "text" {
+		t.Errorf("the engine's message is read as %v (%v)", m, err)
+	}
+}
+
+// What voters agree on and keep, and send each other as entries and snapshots, has the bytes that it had at commit 5bfcc27.
+func TestProposalsAndSnapshotsKeepTheirBytes(t *testing.T) {
+	with := duty.Duty{Name: "reports", Holders: 2, Zones: []string{"north", "south"}, ByZone: true}
+	p := proposal{N: 1 << 40, C: duty.Command{Kind: duty.Define, Duty: "reports@south", Who: duty.Router{Name: "router-1", Boot: 0xfedcba98, Zone: "south"}, Token: 9, Renewals: 10,
+		To: "router-2", With: &with}}
+	table, err := duty.NewTable([]duty.Duty{with, {Name: "scribe"}}, 1<<40)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for i, c := range []duty.Command{
+		{Kind: duty.Acquire, Duty: "scribe", Who: duty.Router{Name: "router-1", Boot: 1, Zone: "north"}},
+		{Kind: duty.Acquire, Duty: "scribe", Who: duty.Router{Name: "router-2", Boot: 2, Zone: "south"}},
+		{Kind: duty.Acquire, Duty: "reports@south", Who: duty.Router{Name: "router-2", Boot: 2, Zone: "south"}},
+		{Kind: duty.Acquire, Duty: "reports@south", Who: duty.Router{Name: "router-3", Boot: 3, Zone: "south"}},
+		{Kind: duty.Acquire, Duty: "reports@south", Who: duty.Router{Name: "router-4", Boot: 4, Zone: "south"}},
+		{Kind: duty.HandOver, Duty: "reports@south", Who: duty.Router{Name: "router-3", Boot: 3, Zone: "south"}, Token: 1<<40 + 3, To: "router-5"},
+		{Kind: duty.Wish, Duty: "scribe", Token: 1<<40 + 1, To: duty.Anybody},
+	} {
+		if a, _ := table.Apply(uint64(i+1), c); !a.OK && !a.Waits {
+			t.Errorf("command %d is refused: %s", i, a.Why)
+		}
+	}
+	snapshot := state{Nodes: []Node{{ID: 1 << 50, Name: "router-1", Zone: "north"}}, Table: table.State()}
+	meta := Meta{Version: 1, ID: 1 << 50, Name: "router-1", Group: 1 << 21, Start: 3, Nodes: snapshot.Nodes, Voters: []uint64{1 << 50}, Token: 1 << 40,
+		Seals: map[uint64]Seal{2: {Start: 1, Term: 2, Boot: 3, LastTerm: 4, LastIndex: 5}}}
+	var records []golden.Record
+	for _, x := range []struct {
+		name  string
+		value any
+	}{{"proposal", p}, {"snapshot", snapshot}, {"meta", meta}} {
+		text, err := json.Marshal(x.value)
+		if err != nil {
+			t.Fatal(err)
+		}
+		records = append(records, golden.Record{Name: x.name, Data: text})
+	}
+	data := golden.Check(t, "agreed", records)
+	for _, x := range []struct {
+		name       string
+		read, want any
+	}{{"proposal", &proposal{}, &p}, {"snapshot", &state{}, &snapshot}, {"meta", &Meta{}, &meta}} {
+		if err := json.Unmarshal(data[x.name], x.read); err != nil {
+			t.Fatal(err)
+		}
+		if again, err := json.Marshal(x.read); err != nil || string(again) != string(data[x.name]) {
+			t.Errorf("%s is read as %+v, not %+v (%v)", x.name, x.read, x.want, err)
+		}
+	}
+	var got proposal
+	if err := json.Unmarshal(data["proposal"], &got); err != nil || !reflect.DeepEqual(got, p) {
+		t.Errorf("the proposal is read as %+v, not %+v (%v)", got, p, err)
+	}
+}
--- /dev/null
+++ b/internal/system/roles/node/golden_test.go
@@ -0,0 +1,72 @@
+package node
+
+import (
+	"bytes"
+	"fmt"
+	"net"
+	"testing"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"reachspread/balance"
+	"reachspread/internal/golden"
+	"reachspread/internal/system/message"
+)
+
+// What routers tell each other of prompts and of hosts has the bytes that it had at commit 5bfcc27, and is read from them.
+func TestPromptDatagramsKeepTheirBytes(t *testing.T) {
+	receiver, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer receiver.Close()
+	receiver.SetReadDeadline(time.Now().Add(10 * time.Second)) // nothing is lost on the way
+	n := quiet()
+	if n.udp, err = net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}); err != nil {
+		t.Fatal(err)
+	}
+	defer n.udp.Close()
+	peer := receiver.LocalAddr().(*net.UDPAddr).AddrPort()
+	p := newPrompts(n)
+	p.viewed([]router{{address: peer}})
+	p.tell("chat", []balance.PeerReport{{Tag: 0xabcdef, Failed: true}, {Tag: 1, Slow: 2.75}})
+	fromTell := <-p.waiting
+	messages := []*message.SentPrompts{
+		{Service: "chat", Prompts: []*message.SentPrompt{{Host: 0xabcdef, Tokens: 70_000, Prefix: 0xfedc}, {Host: 1, Tokens: 1}}},
+		fromTell,
+		{Service: "s"},
+	}
+	names := []string{"prompts", "failure-and-slowness", "none"}
+	var records []golden.Record
+	for i, m := range messages {
+		p.send(m)
+		var buffer [2048]byte
+		size, err := receiver.Read(buffer[:])
+		if err != nil {
+			t.Fatal(err)
+		}
+		records = append(records, golden.Record{Name: names[i], Data: bytes.Clone(buffer[:size])})
+	}
+	data := golden.Check(t, "prompts", records)
+	if want := (&message.SentPrompts{Service: "chat", Prompts: []*message.SentPrompt{{Host: 0xabcdef, Failed: true}, {Host: 1, Slow: 275}}}); !proto.Equal(fromTell, want) {
+		t.Errorf("what is told of hosts is %v, not %v", fromTell, want)
+	}
+	for i, want := range messages {
+		got := &message.SentPrompts{}
+		if err := proto.Unmarshal(data[names[i]][1:], got); err != nil || !proto.Equal(got, want) {
+			t.Errorf("%s are read as %v, not %v (%v)", names[i], got, want, err)
+		}
+		if !p.receive(peer, data[names[i]]) {
+			t.Errorf("%s are not taken as a datagram of prompts", names[i])
+		}
+	}
+	if got := p.figures().Received; got != uint64(len(messages)) {
+		t.Errorf("%d datagrams were taken in, not %d", got, len(messages))
+	}
+}
+
+// The kinds of messages on the link between routers, and how a router's zone goes into the membership, are as at commit 5bfcc27.
+func TestKindsOnTheLinkStay(t *testing.T) {
+	golden.CheckText(t, "kinds", fmt.Sprintf("register %d\nrouter %d\nzone %s\nlong zone %s\n", registerKind, routerKind, zoneMark("north"), zoneMark("a-zone-with-a-very-long-name")))
+}
