--- /dev/null
+++ b/internal/capture/stored_test.go
@@ -0,0 +1,38 @@
+package capture
+
+import (
+	"encoding/json"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"reachspread/internal/golden"
+)
+
+// The file under testdata was written at commit 5bfcc27: WRITE_GOLDEN=1 go test -run Golden. Its lines are those of a Writer, whose
+// names are drawn anew for each file, so they are given here.
+
+// A capture is read as it was written, and its lines are written the same.
+func TestGoldenCapture(t *testing.T) {
+	wantHeader := Header{Capture: Version, From: time.Unix(1_800_000_000, 5e8).UTC()}
+	want := []Request{
+		{At: 5 * time.Millisecond, Class: "chat", Session: "0123456789abcdef", Prefix: "fedcba9876543210", Prompt: 900, Shared: 512, Left: 8 * time.Second},
+		{At: 7 * time.Millisecond, Class: "code", Session: "00c0ffee00c0ffee", Prompt: 1},
+	}
+	golden.Complete(t, want[0])
+	var made []byte
+	for _, v := range []any{wantHeader, want[0], want[1]} {
+		line, err := json.Marshal(v)
+		if err != nil {
+			t.Fatal(err)
+		}
+		made = append(append(made, line...), '\n')
+	}
+	golden.Same(t, "capture.ndjson", made)
+	header, got, err := Read(filepath.Join("testdata", "capture.ndjson"))
+	if diff := cmp.Diff(want, got); err != nil || !cmp.Equal(header, wantHeader) || diff != "" {
+		t.Errorf("%v, %v\n%s", header, err, diff)
+	}
+}
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,4 +1,5 @@
-// Package golden is test support: it compares what the code writes on a wire with what it wrote when the golden files were made.
+// Package golden is test support: it compares what the code writes on a wire, and in files that it keeps, with what it wrote when the
+// golden files were made. stored.go is for files, of which each form has one.
 //
 // The golden files were made by the code of commit 5bfcc27, by running the tests with WRITE_GOLDEN=1. They are not to be made again: a test
 // that fails by them has found a change of a wire format that routers of the release before can't read.
--- /dev/null
+++ b/internal/history/stored_test.go
@@ -0,0 +1,49 @@
+package history
+
+import (
+	"bytes"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+
+	"reachspread/internal/golden"
+)
+
+// The file under testdata was written by a Writer at commit 5bfcc27: WRITE_GOLDEN=1 go test -run Golden.
+
+// goldenEvents are the beginning of a play and one event of each kind with every field, and for each way in which a request ends one more.
+func goldenEvents() []Event {
+	all := []Event{{What: Begin, Play: &Play{Version: Version, World: "rig", Name: "upgrade", Seed: 1<<63 - 1, Routers: 3, Hosts: 2, Schedule: "fault \"kill\" {}\n",
+		Slack: 5e8, Memory: 192 << 20, Sockets: 512, Leave: 7e8, Views: 3e9, Settle: 4e9}}}
+	event := Event{T: 123456789, Who: "r0/2", ID: "x-1", Text: "words", PID: 4321, N: 3, Status: 503, How: Refused, Until: 9e9, Class: "chat", From: "r1", Conn: "c-7",
+		Bytes: 300, Memory: 1 << 20, Descriptors: 40, CPU: 5e6, Routers: []int{1, 2}, Hosts: []int{3}, Links: []string{"peers", "hosts"}, All: true, Inc: 4, Token: 77,
+		Begun: 8e9, Op: &Op{Kind: "cas", Key: "k", Value: "r1/2", Old: "r2/1", Did: true, Token: 76}}
+	for _, what := range []What{Start, Phase, Ready, Unready, Log, Term, Exit, Usage, Caught, Call, Return, Fault, Heal, Ask, First, Answer, Attempt, Done, Closed, Told,
+		Fell, Wide, View, Invoke, OK, Act, Note, Bound, End} {
+		event.What = what
+		all = append(all, event)
+	}
+	for _, how := range []How{Whole, Broken, Refused, Failed, Unreached, CutOff, None, Left} {
+		all = append(all, Event{T: 5, What: Answer, ID: "x-2", How: how})
+	}
+	return all
+}
+
+// A history is read as it was written, and written the same.
+func TestGoldenHistory(t *testing.T) {
+	want := goldenEvents()
+	golden.Complete(t, want[0].Play)
+	golden.Complete(t, want[1], "Event.Play")
+	var made bytes.Buffer
+	w := NewWriter(&made)
+	for i := range want {
+		if err := w.Write(&want[i]); err != nil {
+			t.Fatal(err)
+		}
+	}
+	golden.Same(t, "history.ndjson", made.Bytes())
+	got, err := Read(bytes.NewReader(golden.File(t, "history.ndjson", made.Bytes())))
+	if diff := cmp.Diff(want, got); err != nil || diff != "" {
+		t.Errorf("%v\n%s", err, diff)
+	}
+}
--- /dev/null
+++ b/internal/peering/stored_test.go
@@ -0,0 +1,126 @@
+package peering
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+	"go.etcd.io/bbolt"
+	"go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+	"google.golang.org/protobuf/testing/protocmp"
+
+	"reachspread/internal/duty"
+	"reachspread/internal/golden"
+	"reachspread/internal/quorum"
+)
+
+// The files under testdata were written by a store at commit 5bfcc27: WRITE_GOLDEN=1 go test -run Golden. voter.db is the file that it
+// left, voter.txt every value in it, bucket by bucket, as the pages of the file itself may lie in another order.
+
+// goldenStored is all that a store may have.
+func goldenStored(t *testing.T) *quorum.Stored {
+	t.Helper()
+	nodes := []quorum.Node{{ID: 9, Name: "r1", Zone: "east"}, {ID: 11, Name: "r2", Zone: "west"}}
+	table := duty.State{Token: 77, Duties: []duty.SlotsState{{
+		Duty:   duty.Duty{Name: "copier", Holders: 2, Zones: []string{"east"}, ByZone: true},
+		Grants: []duty.Grant{{Duty: "copier", Holder: duty.Router{Name: "r1", Boot: 5, Zone: "east"}, Token: 76, Renewals: 12, Wish: "r3", Why: duty.InTurn, Pushed: true}},
+		Line:   []duty.Router{{Name: "r4", Boot: 8, Zone: "west"}},
+		Kept:   []duty.Kept{{To: "r3", Token: 74}}}}}
+	content, err := json.Marshal(struct { // as package quorum has it
+		Nodes []quorum.Node
+		Table duty.State
+	}{nodes, table})
+	if err != nil {
+		t.Fatal(err)
+	}
+	command, err := json.Marshal(struct {
+		N uint64
+		C duty.Command
+	}{300, duty.Command{Kind: duty.Renew, Duty: "copier", Who: duty.Router{Name: "r1", Boot: 5, Zone: "east"}, Token: 76}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	confChange, err := proto.Marshal(&raftpb.ConfChangeV2{Changes: []*raftpb.ConfChangeSingle{{Type: raftpb.ConfChangeAddLearnerNode.Enum(), NodeId: number(11)}}, Context: []byte("r2")})
+	if err != nil {
+		t.Fatal(err)
+	}
+	had := &quorum.Stored{
+		Meta: quorum.Meta{Version: 1, ID: 9, Name: "r1", Group: 3, Start: 2, Nodes: nodes, Voters: []uint64{9, 11}, Token: 77,
+			Seals: map[uint64]quorum.Seal{11: {Start: 4, Term: 5, Boot: 6, LastTerm: 5, LastIndex: 300}}},
+		Hard: &raftpb.HardState{Term: number(5), Vote: number(11), Commit: number(302)},
+		Snapshot: &raftpb.Snapshot{Data: content, Metadata: &raftpb.SnapshotMetadata{Index: number(300), Term: number(4),
+			ConfState: &raftpb.ConfState{Voters: []uint64{9, 11}, Learners: []uint64{12}, VotersOutgoing: []uint64{9}, LearnersNext: []uint64{13}, AutoLeave: proto.Bool(true)}}},
+	}
+	for i, data := range [][]byte{command, confChange, nil} {
+		e := &raftpb.Entry{Index: number(301 + uint64(i)), Term: number(5), Data: data}
+		if i == 1 {
+			e.Type = raftpb.EntryConfChangeV2.Enum()
+		}
+		had.Entries = append(had.Entries, e)
+	}
+	return had
+}
+
+// values are all buckets of a store's file with all that is in them.
+func values(t *testing.T, path string) string {
+	t.Helper()
+	db, err := bbolt.Open(path, 0o644, &bbolt.Options{ReadOnly: true})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer db.Close()
+	var out strings.Builder
+	if err := db.View(func(tx *bbolt.Tx) error {
+		return tx.ForEach(func(name []byte, b *bbolt.Bucket) error {
+			fmt.Fprintf(&out, "bucket %q\n", name)
+			return b.ForEach(func(k, v []byte) error { fmt.Fprintf(&out, "%q %q\n", k, v); return nil })
+		})
+	}); err != nil {
+		t.Fatal(err)
+	}
+	return out.String()
+}
+
+// A voter's file is read as it was written, every value in it is written as it was, and it is whole after it was opened.
+func TestGoldenStore(t *testing.T) {
+	want := goldenStored(t)
+	golden.Complete(t, want.Meta)
+	folder := t.TempDir()
+	s, _, _, err := openStore(folder)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := s.keep(&quorum.Keep{Reset: true, Meta: &want.Meta, Hard: want.Hard, Snapshot: want.Snapshot, Entries: want.Entries}); err != nil {
+		t.Fatal(err)
+	}
+	s.close()
+	made, err := os.ReadFile(filepath.Join(folder, "voter.db"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	text := golden.File(t, "voter.db", made)
+	golden.Same(t, "voter.txt", []byte(values(t, filepath.Join(folder, "voter.db"))))
+	golden.Same(t, "voter.txt", []byte(values(t, filepath.Join("testdata", "voter.db"))))
+
+	kept := t.TempDir()
+	if err := os.WriteFile(filepath.Join(kept, "voter.db"), text, 0o644); err != nil {
+		t.Fatal(err)
+	}
+	s, had, aside, err := openStore(kept)
+	if err != nil || aside != nil {
+		t.Fatalf("set aside: %v, %v", aside, err)
+	}
+	s.close()
+	if diff := cmp.Diff(want, had, protocmp.Transform()); diff != "" {
+		t.Error(diff)
+	}
+	golden.Same(t, "voter.txt", []byte(values(t, filepath.Join(kept, "voter.db"))))
+	if _, err := os.Stat(filepath.Join(kept, "voter.lock")); err != nil {
+		t.Error(err)
+	}
+}
--- /dev/null
+++ b/internal/records/stored_test.go
@@ -0,0 +1,71 @@
+package records
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"reachspread/internal/golden"
+)
+
+// The file under testdata was written by a Writer at commit 5bfcc27: WRITE_GOLDEN=1 go test -run Golden.
+const goldenFile = "shadow-20261203T045000.000-000001.ndjson"
+
+// goldenRecords have between them every field.
+func goldenRecords() []*Record {
+	number := func(n int) *int { return &n }
+	span := func(ms float64) *float64 { return &ms }
+	side := Side{Outcome: "whole", Host: "host-1", Attempts: 2, Bytes: 4096, Chars: 1200, Digest: "00c0ffee00c0ffee", Finish: "stop", Tokens: number(300),
+		Kept: number(128), WaitMs: span(1.5), FirstMs: span(80.25), BetweenMs: span(12.5), WholeMs: span(3830.25), Text: "an answer"}
+	other := side
+	other.Outcome, other.Host, other.Text = "broken", "host-2", "another answer"
+	return []*Record{
+		{Version: Version, At: time.Unix(1_800_000_000, 5e8).UTC(), Pool: "next", Class: "chat", Tenant: "kaje80", ID: "x-1", Session: "0123456789abcdef",
+			Gap: true, Cause: "broken", BodySize: 900, Live: side, Copy: other,
+			Compared: &Compared{Text: "differs", Similarity: 0.75, Partial: true, Finish: true, Tokens: -3, Kept: 64}, Body: "{}"},
+		{Version: Version, At: time.Unix(1_800_000_001, 0).UTC(), Pool: "next", Class: "chat", ID: "x-2", Session: "0123456789abcdef", Cause: "live gone",
+			Live: Side{Outcome: "gone"}, Copy: Side{Outcome: "ended"}},
+	}
+}
+
+// A folder of records is read as it was written, and a Writer writes the same lines.
+func TestGoldenRecords(t *testing.T) {
+	want := goldenRecords()
+	golden.Complete(t, want[0])
+	folder := t.TempDir()
+	w := &Writer{Folder: folder, FileBytes: 1 << 20, Files: 2}
+	for _, r := range want {
+		if err := w.Append(r); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if err := w.Close(); err != nil {
+		t.Fatal(err)
+	}
+	files, err := Files(folder)
+	if err != nil || len(files) != 1 || len(filepath.Base(files[0])) != len(goldenFile) {
+		t.Fatalf("files %q, %v", files, err)
+	}
+	made, err := os.ReadFile(files[0])
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Same(t, goldenFile, made)
+	var got []*Record
+	var lines []byte
+	cut, err := Read("testdata", func(line []byte, r *Record) error {
+		got = append(got, r)
+		lines = append(append(lines, line...), '\n')
+		return nil
+	})
+	if diff := cmp.Diff(want, got); err != nil || cut != 0 || diff != "" {
+		t.Errorf("%d cut, %v\n%s", cut, err, diff)
+	}
+	if !bytes.Equal(lines, made) {
+		t.Errorf("lines %q", lines)
+	}
+}
--- /dev/null
+++ b/internal/system/roles/node/stored_test.go
@@ -0,0 +1,69 @@
+package node
+
+import (
+	"net/http"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+	"github.com/matryer/is"
+	"google.golang.org/protobuf/proto"
+	"google.golang.org/protobuf/testing/protocmp"
+
+	"reachspread/internal/golden"
+	"reachspread/internal/system/message"
+)
+
+// The file testdata/kept was written at commit 5bfcc27, by the encoding that keeper uses: WRITE_GOLDEN=1 go test -run Golden.
+
+// goldenKept is hosts in every state and the use of two tenants.
+func goldenKept() *message.Kept {
+	kept := &message.Kept{Usage: map[string]*message.UsageParts{"kaje80": {Units: []float64{0, 1.5, 300}}, "ann": {Units: []float64{12.25}}}}
+	for i, state := range []message.Instance_State{message.Instance_READY, message.Instance_LOST, message.Instance_DRAINING, message.Instance_GONE} {
+		kept.Instances = append(kept.Instances, &message.Instance{Id: "i-" + string(rune('0'+i)), Service: "chat", Address: "127.0.0.1:9000", Zone: "z1", Software: "vllm-1",
+			Slots: 24, State: state, Sequence: 1 << 40, ColdRemainingMs: 1500, Stage: "canary", Models: []*message.Model{{Name: "m", Version: 7}}})
+	}
+	return kept
+}
+
+// What a router of the fleet has kept is read as it was written, and written the same.
+func TestGoldenKept(t *testing.T) {
+	want := goldenKept()
+	made, err := proto.MarshalOptions{Deterministic: true}.Marshal(want)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Same(t, "kept", made)
+	got := &message.Kept{}
+	err = proto.Unmarshal(golden.File(t, "kept", made), got)
+	if diff := cmp.Diff(want, got, protocmp.Transform()); err != nil || diff != "" {
+		t.Errorf("%v\n%s", err, diff)
+	}
+}
+
+// A router that finds the file knows the hosts in it that are not gone and the tenants' use.
+func TestGoldenKeptIsTakenUp(t *testing.T) {
+	is := is.New(t)
+	f := newFleet(t, 1, 1)
+	is.Equal(f.order(http.MethodPut, first, 0, 0), 200)
+	folder := f.nodes[0].settings().DataDirectory
+	path := filepath.Join(folder, "kept")
+	f.crash(0)
+	text, err := os.ReadFile(filepath.Join("testdata", "kept"))
+	is.NoErr(err)
+	is.NoErr(os.WriteFile(path, text, 0o644))
+	f.start(0, filepath.Dir(folder), false)
+	n := f.nodes[0]
+	living, ok := ask(t.Context(), n.hub, n.hub.registry.Living)
+	is.True(ok)
+	ids := map[string]bool{}
+	for _, in := range living {
+		ids[in.Id] = true
+	}
+	is.Equal(ids, map[string]bool{"i-0": true, "i-1": true, "i-2": true})
+	n.quotas.mu.Lock()
+	defer n.quotas.mu.Unlock()
+	is.Equal(len(n.quotas.owning.kept), 2)
+	is.Equal(n.quotas.owning.kept["kaje80"].Sum(n.quotas.now()) > 300, true)
+}
