--- a/balance/balance.go
+++ b/balance/balance.go
@@ -6,9 +6,10 @@
 	"cmp"
 	"math"
 	"math/rand/v2"
+	"time"
+
 	"reachspread/internal/decayed"
 	"reachspread/internal/shares"
-	"time"
 )
 
 const (
--- a/cmd/reachspread/control.go
+++ b/cmd/reachspread/control.go
@@ -7,10 +7,11 @@
 	"errors"
 	"fmt"
 	"net/http"
-	"reachspread/internal/system/controlclient"
 	"time"
 
 	"github.com/spf13/cobra"
+
+	"reachspread/internal/system/controlclient"
 )
 
 const (
--- a/internal/formtest/formtest.go
+++ b/internal/formtest/formtest.go
@@ -73,13 +73,13 @@
 }
 
 // Document joins descriptions under headings.
-func Document(parts ...[2]string) string {
+func Document(sections ...[2]string) string {
 	var out strings.Builder
-	for i, part := range parts {
+	for i, section := range sections {
 		if i > 0 {
 			out.WriteByte('\n')
 		}
-		fmt.Fprintf(&out, "# %s\n%s", part[0], part[1])
+		fmt.Fprintf(&out, "# %s\n%s", section[0], section[1])
 	}
 	return out.String()
 }
--- a/internal/naming/naming_test.go
+++ b/internal/naming/naming_test.go
@@ -122,21 +122,34 @@
 func declarations(t *testing.T) map[declaration]bool {
 	t.Helper()
 	all := map[declaration]bool{}
+	for _, path := range goFiles(t) {
+		if strings.HasSuffix(path, "_test.go") || strings.HasSuffix(path, ".pb.go") {
+			continue
+		}
+		if err := collect(path, all); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return all
+}
+
+// goFiles are the Go files of the module, but for snapshots in the journal and test data.
+func goFiles(t *testing.T) []string {
+	t.Helper()
+	skipped := []string{"journal", "testdata", "bin", "target"}
+	var all []string
 	err := filepath.WalkDir(moduleRoot, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil {
 			return err
 		}
 		name := entry.Name()
-		if entry.IsDir() && path != moduleRoot {
-			if strings.HasPrefix(name, ".") || slices.Contains([]string{"journal", "testdata", "bin", "target"}, name) {
-				return filepath.SkipDir
-			}
+		if entry.IsDir() && path != moduleRoot && (strings.HasPrefix(name, ".") || slices.Contains(skipped, name)) {
+			return filepath.SkipDir
 		}
-		generated := strings.HasSuffix(name, ".pb.go")
-		if entry.IsDir() || !strings.HasSuffix(name, ".go") || strings.HasSuffix(name, "_test.go") || generated {
-			return nil
+		if !entry.IsDir() && strings.HasSuffix(name, ".go") {
+			all = append(all, path)
 		}
-		return collect(path, all)
+		return nil
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/system/soak/operator.go
+++ b/internal/system/soak/operator.go
@@ -7,10 +7,11 @@
 	"fmt"
 	"math/rand/v2"
 	"net/http"
-	"reachspread/internal/system/controlclient"
 	"strconv"
 	"sync"
 	"time"
+
+	"reachspread/internal/system/controlclient"
 )
 
 const (
