--- /dev/null
+++ b/cmd/drill/golden_test.go
@@ -0,0 +1,44 @@
+package main
+
+import (
+	"bytes"
+	"os"
+	"strings"
+	"testing"
+)
+
+// A session with each message of the simulator's protocol, in and out, is answered to the byte as it was when the golden file was written. The
+// file was taken from the landed program, and is never renewed.
+func TestSessionIsAnsweredTheSame(t *testing.T) {
+	in, err := os.ReadFile("testdata/session.in.jsonl")
+	if err != nil {
+		t.Fatal(err)
+	}
+	want, err := os.ReadFile("testdata/session.out.jsonl")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got bytes.Buffer
+	if err := serve(bytes.NewReader(in), &got); err != nil {
+		t.Fatal(err)
+	}
+	gotLines, wantLines := strings.Split(got.String(), "\n"), strings.Split(string(want), "\n")
+	if len(gotLines) != len(wantLines) {
+		t.Fatalf("%d lines, not %d", len(gotLines), len(wantLines))
+	}
+	for i := range wantLines {
+		if gotLines[i] != wantLines[i] {
+			t.Fatalf("line %d differs\ngot  %s\nwant %s", i+1, gotLines[i], wantLines[i])
+		}
+	}
+	for _, kind := range []string{"launch", "killed", "peersKnown", "arrival", "streaming", "verdict", "aborted", "timer", "health", "datagram"} {
+		if !bytes.Contains(in, []byte(`{"`+kind+`":{`)) {
+			t.Errorf("the session has no %s", kind)
+		}
+	}
+	for _, kind := range []string{"handOff", "decline", "respondError", "askLoad", "post", "defer", "streamChanges", "trace"} {
+		if !bytes.Contains(want, []byte(`{"`+kind+`":{`)) {
+			t.Errorf("no %s among the answers", kind)
+		}
+	}
+}
--- a/internal/system/localfleet/localfleet.go
+++ b/internal/system/localfleet/localfleet.go
@@ -68,8 +68,9 @@
 	Revocation     int
 	Grace          int
 
-	cmd   *exec.Cmd // nil while it is down
-	ended chan struct{}
+	executable []string
+	cmd        *exec.Cmd // nil while it is down
+	ended      chan struct{}
 }
 
 // settingsText is a router's settings file.
@@ -126,7 +127,7 @@
 	var all []string
 	for i := range o.Routers {
 		p := &process{Name: fmt.Sprint("router-", i+1), IP: fmt.Sprintf("%s.%d", o.Network, i+1), Zone: i % zones, Core: i < o.Disks, First: true,
-			Heartbeat: o.HeartbeatMs, Revocation: o.RevocationMs, Grace: cmp.Or(o.GraceS, usualGraceS)}
+			Heartbeat: o.HeartbeatMs, Revocation: o.RevocationMs, Grace: cmp.Or(o.GraceS, usualGraceS), executable: o.Executable}
 		p.Ports.Internal, p.Ports.Front, p.Ports.Ready, p.Ports.Control = internalPort, frontPort, readyPort, controlPort
 		if p.Core {
 			p.Data = filepath.Join(o.Folder, p.Name)
@@ -168,6 +169,9 @@
 
 func (p *process) address(port int) string { return net.JoinHostPort(p.IP, fmt.Sprint(port)) }
 
+// SetExecutable changes the program, with its arguments, that a router runs from its next start on.
+func (f *Fleet) SetExecutable(i int, executable []string) { f.all[i].executable = executable }
+
 // Start begins a life of a router.
 func (f *Fleet) Start(i int) error {
 	p := f.all[i]
@@ -180,7 +184,7 @@
 		return err
 	}
 	defer log.Close()
-	p.cmd = exec.Command(f.o.Executable[0], f.o.Executable[1:]...)
+	p.cmd = exec.Command(p.executable[0], p.executable[1:]...)
 	p.cmd.Env = append(os.Environ(), settings.PathVariable+"="+f.settingsPath(p))
 	if f.o.Environment != nil {
 		p.cmd.Env = append(p.cmd.Env, f.o.Environment(i)...)
--- a/internal/system/soak/conductor.go
+++ b/internal/system/soak/conductor.go
@@ -167,6 +167,7 @@
 }
 
 // hasStarted tells whether a life of a router came to serve. A signal that comes before the process takes any ends it as the system does.
+// The line is looked for as landed programs word it, too.
 func (c *conductor) hasStarted(i int, logged int64) bool {
 	text, err := os.ReadFile(c.play.fleet.Log(i))
 	return err != nil || strings.Contains(string(text[min(logged, int64(len(text))):]), " started ")
--- a/internal/system/soak/judge.go
+++ b/internal/system/soak/judge.go
@@ -58,6 +58,7 @@
 			continue
 		}
 		for line := range strings.Lines(string(text)) {
+			// A mixed fleet also runs landed programs: a line that is worded anew is looked for in both wordings.
 			for _, bad := range []string{"loop stalls", "view broken", "panic", "fatal error", "DATA RACE", "unwritable"} {
 				if strings.Contains(line, bad) {
 					p.find("LOG", p.fleet.Name(i)+": "+strings.TrimSpace(line))
--- /dev/null
+++ b/internal/system/soak/mixedfleet_test.go
@@ -0,0 +1,168 @@
+package soak
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"reachspread/internal/system/localfleet"
+	"reachspread/internal/system/pinplay"
+)
+
+// landedProgram names the environment variable that holds the path of a reachspread binary of an earlier landing.
+const landedProgram = "REACHSPREAD_LANDED_PROGRAM"
+
+const (
+	mixedFor       = 5 * time.Second // half of the routers run each program: longer than probes of calm routers need
+	pinFleetWithin = 2 * time.Minute
+)
+
+// programs are the two that take turns in a mixed fleet.
+type programs struct {
+	landed, present []string
+}
+
+// bothPrograms skips the test where the environment names no landed program.
+func bothPrograms(t *testing.T) programs {
+	t.Helper()
+	path := os.Getenv(landedProgram)
+	if path == "" {
+		t.Skipf("%s is not set: it must hold the path of a reachspread binary that was landed earlier; .ci/run builds one and sets it", landedProgram)
+	}
+	if _, err := os.Stat(path); err != nil {
+		t.Fatalf("%s: %v", landedProgram, err)
+	}
+	return programs{landed: []string{path, "router"}, present: []string{os.Args[0]}}
+}
+
+// checkProgram fails the test unless a router's process runs the program.
+func checkProgram(t *testing.T, f *localfleet.Fleet, router int, want []string) {
+	t.Helper()
+	running, err := os.Stat(fmt.Sprintf("/proc/%d/exe", f.Process(router)))
+	if err != nil {
+		t.Error(err)
+		return
+	}
+	wanted, err := os.Stat(want[0])
+	if err != nil {
+		t.Error(err)
+		return
+	}
+	if !os.SameFile(running, wanted) {
+		t.Errorf("%s does not run %s", f.Name(router), want[0])
+	}
+}
+
+// A fleet of landed routers is upgraded to the present program one router at a time, and rolled back, while clients use their connections and
+// the configuration changes in storms. Each half-way the two programs serve together. Nothing that was taken is lost, nothing runs twice, and a
+// calm router of either program goes by the newest configuration.
+func TestMixedFleet(t *testing.T) {
+	both := bothPrograms(t)
+	is := is.New(t)
+	report, err := runWith(t.Context(), Options{Network: "127.80.2", Executable: both.landed, Seed: 1, Routers: 6, Disks: 3, Hosts: 3, Clients: 24},
+		func(ctx context.Context, p *play) {
+			c := newConductor(p)
+			c.quota = 0
+			for i := range p.fleet.Len() {
+				checkProgram(t, p.fleet, i, both.landed)
+			}
+			for _, program := range [][]string{both.present, both.landed} {
+				for step, i := range []int{0, 3, 1, 4, 2, 5} { // a machine of the register, and one that is none, by turns
+					p.fleet.SetExecutable(i, program)
+					c.restart(ctx, c.rng, i)
+					checkProgram(t, p.fleet, i, program)
+					if step == 2 {
+						p.hosts.leave(ctx)
+						pause(ctx, mixedFor)
+					}
+				}
+				pause(ctx, mixedFor)
+			}
+		})
+	is.NoErr(err)
+	t.Logf("%+v", *report)
+	for _, f := range report.Findings {
+		t.Error(f)
+	}
+	is.Equal(report.Ends, 12)
+	is.True(report.Requests[Whole] > 500)
+	is.True(report.Orders > 5)
+	is.True(report.Probes > 0)
+}
+
+// Version pins hold while a fleet of landed routers is upgraded to the present program one router at a time, and rolled back: no answer is of
+// a version that was not the pinned one between the request and its answer, and no unsafe request runs twice.
+func TestPinsOnMixedFleet(t *testing.T) {
+	both := bothPrograms(t)
+	is := is.New(t)
+	ctx, cancel := context.WithTimeout(t.Context(), pinFleetWithin)
+	defer cancel()
+	f := localfleet.New(localfleet.Options{Folder: t.TempDir(), Network: "127.80.3", Routers: 4, Disks: 3, Executable: both.landed,
+		HeartbeatMs: heartbeatMs, RevocationMs: 2000, GraceS: graceS})
+	defer f.End()
+	is.NoErr(f.StartAll())
+	story := newPinStory(t, f)
+	is.NoErr(story.Configure(ctx))
+	is.NoErr(story.Register(ctx))
+	is.NoErr(f.UntilReady(ctx, 0, 1, 2, 3))
+	go story.Heartbeats(ctx, heartbeatMs*time.Millisecond)
+	story.Traffic()
+	is.NoErr(story.Change(ctx, 1))
+	for _, program := range [][]string{both.present, both.landed} {
+		for step, i := range []int{0, 3, 1, 2} {
+			upgrade(ctx, t, f, i, program)
+			is.NoErr(story.Change(ctx, int64(1+step%2)))
+		}
+	}
+	is.NoErr(story.Change(ctx, 0))
+	report := story.End()
+	t.Logf("%d requests, %d served, %d changes", report.Requests, report.Served, report.Changes)
+	for _, wrong := range report.Wrong {
+		t.Error(wrong)
+	}
+	is.True(report.Served > 500)
+	is.Equal(report.Changes, 10)
+}
+
+// newPinStory is a story with two hosts of each of two versions.
+func newPinStory(t *testing.T, f *localfleet.Fleet) *pinplay.Story {
+	t.Helper()
+	var fronts, controls []string
+	for i := range f.Len() {
+		fronts, controls = append(fronts, f.Front(i)), append(controls, f.Control(i))
+	}
+	var all []*pinplay.Host
+	for i, version := range []int64{1, 1, 2, 2} {
+		h, err := pinplay.NewHost(fmt.Sprint("i-", i), version)
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(h.Close)
+		all = append(all, h)
+	}
+	return pinplay.NewStory(fronts, controls, all)
+}
+
+// upgrade ends a router in order, and begins the other program in its place.
+func upgrade(ctx context.Context, t *testing.T, f *localfleet.Fleet, i int, program []string) {
+	t.Helper()
+	if err := f.Terminate(i); err != nil {
+		t.Fatal(err)
+	}
+	end, ok := f.AwaitEnd(ctx, i)
+	if !ok || end.Status != 0 {
+		t.Fatalf("%s ended with %d after SIGTERM, in time %v", f.Name(i), end.Status, ok)
+	}
+	f.SetExecutable(i, program)
+	if err := f.Start(i); err != nil {
+		t.Fatal(err)
+	}
+	if err := f.UntilReady(ctx, i); err != nil {
+		t.Fatal(err)
+	}
+	checkProgram(t, f, i, program)
+}
--- /dev/null
+++ b/internal/wire/golden_test.go
@@ -0,0 +1,146 @@
+package wire
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"os"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"reachspread/balance"
+)
+
+// golden compares a text with a file of testdata. The files were taken from the landed code, and are never renewed.
+func golden(t *testing.T, path, got string) {
+	t.Helper()
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got == string(want) {
+		return
+	}
+	gotLines, wantLines := strings.Split(got, "\n"), strings.Split(string(want), "\n")
+	for i := range max(len(gotLines), len(wantLines)) {
+		if i >= len(gotLines) || i >= len(wantLines) || gotLines[i] != wantLines[i] {
+			t.Fatalf("%s:%d differs\ngot  %s\nwant %s", path, i+1, strings.Join(gotLines[min(i, len(gotLines)):min(i+1, len(gotLines))], ""),
+				strings.Join(wantLines[min(i, len(wantLines)):min(i+1, len(wantLines))], ""))
+		}
+	}
+}
+
+// values lists what a value holds, without any name of a field or type: these may change, what the messages mean may not.
+func values(v reflect.Value) string {
+	switch v.Kind() {
+	case reflect.Interface, reflect.Pointer:
+		if v.IsNil() {
+			return "nil"
+		}
+		return values(v.Elem())
+	case reflect.Struct:
+		var all []string
+		for i := range v.NumField() {
+			all = append(all, values(v.Field(i)))
+		}
+		return "{" + strings.Join(all, " ") + "}"
+	case reflect.Slice:
+		var all []string
+		for i := range v.Len() {
+			all = append(all, values(v.Index(i)))
+		}
+		return "[" + strings.Join(all, " ") + "]"
+	case reflect.String:
+		return fmt.Sprintf("%q", v.String())
+	}
+	return fmt.Sprint(v.Interface())
+}
+
+// examples are one message of each kind that the simulator sends, and of each form that a field has.
+func examples(t *testing.T) []string {
+	t.Helper()
+	text, err := os.ReadFile("testdata/messages.in.jsonl")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return strings.Split(strings.TrimSpace(string(text)), "\n")
+}
+
+// Each message of the simulator, its settings included, means to the module what it meant when the golden file was written.
+func TestMessagesMeanTheSame(t *testing.T) {
+	var got strings.Builder
+	for _, line := range examples(t) {
+		batch, err := Decode([]byte(`{"simTimeNs":12,"msgs":[` + line + `]}`))
+		if err != nil {
+			t.Fatalf("%s: %v", line, err)
+		}
+		m := &batch.Msgs[0]
+		switch {
+		case m.Launch != nil:
+			config, err := m.Launch.Options.Config()
+			fmt.Fprintln(&got, "launch", batch.Now, m.Launch.I, m.Launch.Entropy, err, values(reflect.ValueOf(config)))
+		case m.Killed != nil:
+			fmt.Fprintln(&got, "killed", m.Killed.I)
+		default:
+			i, event, err := m.Event()
+			fmt.Fprintln(&got, i, err, values(reflect.ValueOf(&event)))
+		}
+	}
+	golden(t, "testdata/messages.meaning.txt", got.String())
+}
+
+// All fields of the examples are read under the names that the simulator gives them.
+func TestMessagesKeepTheirFields(t *testing.T) {
+	for _, line := range examples(t) {
+		batch, err := Decode([]byte(`{"simTimeNs":12,"msgs":[` + line + `]}`))
+		if err != nil {
+			t.Fatalf("%s: %v", line, err)
+		}
+		again, err := json.Marshal(batch.Msgs[0])
+		if err != nil {
+			t.Fatal(err)
+		}
+		var want, got map[string]any
+		if err := json.Unmarshal([]byte(line), &want); err != nil {
+			t.Fatal(err)
+		}
+		if err := json.Unmarshal(again, &got); err != nil {
+			t.Fatal(err)
+		}
+		for kind, fields := range want {
+			if !reflect.DeepEqual(got[kind], fields) {
+				t.Errorf("%s is read as %v, not as %v", kind, got[kind], fields)
+			}
+		}
+	}
+}
+
+// Each action is written as the simulator reads it, with each field set and with none.
+func TestActionsAreWrittenTheSame(t *testing.T) {
+	actions := []balance.Action{
+		balance.Send{ID: "q1", Replica: "10.0.0.1:80"}, balance.Send{},
+		balance.Refuse{ID: "q2", Away: 1500 * time.Millisecond}, balance.Refuse{ID: "q2"},
+		balance.Fail{ID: "q3"},
+		balance.Probe{Replica: "10.0.0.2:80"},
+		balance.Tell{To: []int{4, 5}, Zone: 75, Reports: []balance.PeerReport{{Tag: 0x123456, Tokens: 5000, Prefix: 77}, {Tag: 0x654321, Failed: true}, {Tag: 0x010203, Slow: 2.5}}},
+		balance.Tell{To: []int{6}, Zone: 1, Reports: []balance.PeerReport{{Tag: 0x123456, Tokens: 50}}},
+		balance.SetTimer{Token: 9, After: 20 * time.Millisecond},
+		balance.Subscribe{},
+		balance.Log{Text: "a line"},
+	}
+	var got bytes.Buffer
+	out := json.NewEncoder(&got)
+	for i, a := range actions {
+		for _, message := range Actions(i, a) {
+			if err := out.Encode(message); err != nil {
+				t.Fatal(err)
+			}
+		}
+	}
+	if err := out.Encode(Reply{Outbox: []any{Die(7, "a panic")}}); err != nil {
+		t.Fatal(err)
+	}
+	golden(t, "testdata/messages.out.jsonl", got.String())
+}
