--- /dev/null
+++ b/coord/register/repeat_test.go
@@ -0,0 +1,47 @@
+package register_test
+
+import (
+	"fmt"
+	"os"
+	"strings"
+	"sync"
+	"testing"
+
+	"github.com/matryer/is"
+
+	"reachspread/coord/simulation"
+)
+
+const (
+	playedPath  = "testdata/schedules.txt"
+	playedSeeds = 4 // of each kind of schedule
+)
+
+// The drawn schedules of a seed end as they did with the code of commit 5bfcc27, which wrote testdata/schedules.txt: nothing but the seed
+// decides what happens in them, and no decision has changed since.
+func TestSchedulesRepeat(t *testing.T) {
+	is := is.New(t)
+	results := make([]string, len(schedules)*playedSeeds)
+	var group sync.WaitGroup
+	for i, s := range schedules {
+		for n := range playedSeeds {
+			group.Go(func() {
+				seed := uint64(n + 1)
+				w := s.play(seed, simulation.None, nil)
+				results[i*playedSeeds+n] = fmt.Sprintf("%v, seed %d: %d orders and %d reads were answered, version %d was acknowledged, the last at %v, epoch %d; fault: %v\n",
+					s, seed, w.History.Orders, w.History.Reads, w.History.Acknowledged(), w.History.LastTaken, w.History.Newest(), w.Fault)
+			})
+		}
+	}
+	group.Wait()
+	got := strings.Join(results, "")
+	if *writeGolden {
+		is.NoErr(os.WriteFile(playedPath, []byte(got), 0o644))
+		return
+	}
+	want, err := os.ReadFile(playedPath)
+	is.NoErr(err)
+	if got != string(want) {
+		t.Errorf("they end with\n%sand ended with\n%s", got, want)
+	}
+}
--- /dev/null
+++ b/internal/system/deciders/configuration/stored_test.go
@@ -0,0 +1,56 @@
+package configuration
+
+import (
+	"testing"
+
+	"github.com/matryer/is"
+	"google.golang.org/protobuf/proto"
+
+	"reachspread/internal/golden"
+	"reachspread/internal/system/message"
+)
+
+// The file testdata/stored was written at commit 5bfcc27: WRITE_GOLDEN=1 go test -run TestGoldenStored. It is the state that a replica of
+// the register keeps and sends to others.
+
+// storedOrders are the orders behind it.
+func storedOrders() [][]byte {
+	order := func(kind message.Order_Kind, on int64, body string) []byte {
+		text, _ := proto.Marshal(&message.Order{Kind: kind, IfMatch: on, Body: []byte(body), AtMs: 1})
+		return text
+	}
+	return [][]byte{
+		order(message.Order_PUT, 0, `{"version":1,"routes":[{"name":"r","host":"h","pathPrefix":"/","kind":"safe","timeoutMs":1000,"service":"s"}],"services":[{"name":"s"}],`+
+			`"tenants":[{"name":"x","apiKeys":["k"],"ratePerS":2.50,"burst":3}],"unknown":{"n":[1e3]}}`),
+		pinOrder(message.Order_PIN_SET, 0, &message.Pin{Name: "a", Tenant: "x", Model: "m", Version: 2, By: "ann", Why: "a trial"}, 7),
+		pinOrder(message.Order_PIN_SET, 1, &message.Pin{Name: "b", Route: "r", Model: "m", Version: 3, By: "bob", Why: "frozen"}, 8),
+		order(message.Order_PATCH, 1, `{"version":5,"upsert":{"services":[{"name":"t"}]}}`),
+		pinOrder(message.Order_PIN_LIFT, 2, &message.Pin{Name: "a", By: "ann", Why: "done"}, 9),
+	}
+}
+
+// A state of an earlier version is read to the same configuration, pins, history and orders, and written the same.
+func TestGoldenStored(t *testing.T) {
+	is := is.New(t)
+	made := NewStore()
+	for _, text := range storedOrders() {
+		if r := decide(t, made, text); r.Status != 200 {
+			t.Fatal(r.Text)
+		}
+	}
+	golden.Same(t, "stored", made.Snapshot())
+	s := NewStore()
+	is.NoErr(s.Restore(golden.File(t, "stored", made.Snapshot())))
+	is.Equal(string(s.state.JSON()), `{"version":5,"routes":[{"name":"r","host":"h","pathPrefix":"/","kind":"safe","timeoutMs":1000,"service":"s"}],"services":[{"name":"s"},{"name":"t"}],`+
+		`"tenants":[{"name":"x","apiKeys":["k"],"ratePerS":2.50,"burst":3}],"unknown":{"n":[1e3]}}`)
+	a := &message.Pin{Name: "a", Tenant: "x", Model: "m", Version: 2, By: "ann", Why: "a trial", SetAtMs: 7, Revision: 1}
+	b := &message.Pin{Name: "b", Route: "r", Model: "m", Version: 3, By: "bob", Why: "frozen", SetAtMs: 8, Revision: 2}
+	is.True(proto.Equal(s.state.Pinned().Message(), &message.Pins{Revision: 3, Pins: []*message.Pin{b}}))
+	is.True(proto.Equal(&message.Stored{PinHistory: s.pinHistory}, &message.Stored{PinHistory: []*message.PinChange{
+		{Revision: 1, Pin: a, By: "ann", Why: "a trial", AtMs: 7}, {Revision: 2, Pin: b, By: "bob", Why: "frozen", AtMs: 8},
+		{Revision: 3, Lifted: true, Pin: a, By: "ann", Why: "done", AtMs: 9}}}))
+	for _, text := range storedOrders() {
+		is.Equal(decide(t, s, text).Status, int32(200)) // taken before
+	}
+	is.Equal(s.Snapshot(), made.Snapshot())
+}
