--- a/balance/balance.go
+++ b/balance/balance.go
@@ -8,8 +8,8 @@
 	"math/rand/v2"
 	"time"
 
+	"reachspread/internal/assignment"
 	"reachspread/internal/decayed"
-	"reachspread/internal/shares"
 )
 
 const (
@@ -29,7 +29,7 @@
 		replicas: map[string]*replica{}, tags: map[uint32]*replica{}, requests: map[string]*request{},
 		begun:   decayed.Sum{Span: workSpan * time.Second, Least: time.Second},
 		prompts: decayed.Counts{Most: mostCounted}, living: float64(cfg.Gateways),
-		fleet: shares.New(cfg.Gateways, cfg.Me, mark(cfg.Zone), settling)}
+		fleet: assignment.New(cfg.Gateways, cfg.Me, mark(cfg.Zone), settling)}
 	if cfg.AskForList {
 		b.askAt = 1 // with the first Step
 	}
--- a/balance/budget_test.go
+++ b/balance/budget_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"reachspread/internal/budget"
+	"reachspread/internal/retrybudget"
 )
 
 // A further attempt is free while none has arrived; after one that did it takes from the budget.
@@ -17,7 +17,7 @@
 	} {
 		t.Run(fmt.Sprint(tt.result), func(t *testing.T) {
 			cfg := testConfig()
-			cfg.Retries = budget.New(0, 0)
+			cfg.Retries = retrybudget.New(0, 0)
 			g := newGateway(t, cfg, members("a", "b")...)
 			q := g.request("safe")
 			if len(of[Send](g.step(q))) != 1 {
--- a/balance/choose.go
+++ b/balance/choose.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"reachspread/internal/suspicion"
+	"reachspread/internal/outlier"
 )
 
 const (
@@ -32,7 +32,7 @@
 			}
 		}
 	}
-	pool, near = suspicion.Trusted(pool, doubts, b.now), suspicion.Trusted(near, doubts, b.now)
+	pool, near = outlier.Trusted(pool, doubts, b.now), outlier.Trusted(near, doubts, b.now)
 	sharing := cmp.Or(len(near), len(pool))
 	shut := func(r *replica) bool { return !b.coldRoom(q, r, sharing) }
 	pool, near = slices.DeleteFunc(pool, shut), slices.DeleteFunc(near, shut)
--- a/balance/health.go
+++ b/balance/health.go
@@ -6,7 +6,7 @@
 	"math"
 	"time"
 
-	"reachspread/internal/suspicion"
+	"reachspread/internal/outlier"
 )
 
 const (
@@ -75,7 +75,7 @@
 	if b.cfg.Broadcast && !r.doubts.At(b.now) {
 		b.tell(nil, PeerReport{Tag: tag(r), Failed: true})
 	}
-	r.doubts.Failed(suspicion.Own, b.now)
+	r.doubts.Failed(outlier.Own, b.now)
 }
 
-func doubts(r *replica) *suspicion.Server { return &r.doubts }
+func doubts(r *replica) *outlier.Server { return &r.doubts }
--- a/balance/members.go
+++ b/balance/members.go
@@ -10,9 +10,9 @@
 	"sort"
 	"time"
 
+	"reachspread/internal/assignment"
 	"reachspread/internal/decayed"
 	"reachspread/internal/rendezvous"
-	"reachspread/internal/shares"
 )
 
 const (
@@ -83,7 +83,7 @@
 	all := slices.DeleteFunc(slices.Clone(b.order), func(r *replica) bool { return r.State != Serving })
 	n := max(shareOf, leastHeld*len(all)/max(b.fleet.Left(b.now), 1))
 	sharers := map[*replica][]int{}
-	for i, who := range shares.Deal(b.fleet, b.now, all, n, place) {
+	for i, who := range assignment.Deal(b.fleet, b.now, all, n, place) {
 		sharers[all[i]] = who
 	}
 	gone := func(i int) bool { return b.fleet.Gone(i, b.now) }
--- a/balance/state.go
+++ b/balance/state.go
@@ -6,9 +6,9 @@
 	"math/rand/v2"
 	"time"
 
+	"reachspread/internal/assignment"
 	"reachspread/internal/decayed"
-	"reachspread/internal/shares"
-	"reachspread/internal/suspicion"
+	"reachspread/internal/outlier"
 )
 
 // Balancer holds what one gateway knows. It is not safe for concurrent use.
@@ -36,13 +36,13 @@
 	warm           float64          // replicas that serve and are
 	counted        bool             // these, and nothing of it has changed since
 	workAt         time.Duration
-	meanWork       float64        // of a request
-	begun          decayed.Sum    // what cold ones did, as though warm, while no warm one was seen
-	prompts        decayed.Counts // of late, by prefix
-	sighted        bool           // reports tell unread tokens
-	most, least    float64        // worth of any class
-	fleet          *shares.Group  // the gateways, by what they say and by the view
-	living         float64        // of them, in budgets
+	meanWork       float64           // of a request
+	begun          decayed.Sum       // what cold ones did, as though warm, while no warm one was seen
+	prompts        decayed.Counts    // of late, by prefix
+	sighted        bool              // reports tell unread tokens
+	most, least    float64           // worth of any class
+	fleet          *assignment.Group // the gateways, by what they say and by the view
+	living         float64           // of them, in budgets
 }
 
 type class struct {
@@ -97,14 +97,14 @@
 	cap   float64
 	cutAt time.Duration // attempts sent earlier cut no more
 
-	slow    decayed.Opinion  // observed over expected time to the first token, fading to 1
-	toldAt  time.Duration    // when others' prompts were last reckoned off
-	sharers []int            // gateways that have it in their shares
-	hearers []int            // of these, those that are not gone by the view
-	mine    bool             // in the own one
-	told    float64          // tokens of others' prompts that they told of, not yet read
-	doubts  suspicion.Server // of this and other gateways
-	fails   int              // in a row
+	slow    decayed.Opinion // observed over expected time to the first token, fading to 1
+	toldAt  time.Duration   // when others' prompts were last reckoned off
+	sharers []int           // gateways that have it in their shares
+	hearers []int           // of these, those that are not gone by the view
+	mine    bool            // in the own one
+	told    float64         // tokens of others' prompts that they told of, not yet read
+	doubts  outlier.Server  // of this and other gateways
+	fails   int             // in a row
 	died    bool
 	ejected time.Duration // until then, 0 for not
 	penalty time.Duration
--- a/balance/types.go
+++ b/balance/types.go
@@ -28,9 +28,9 @@
 import (
 	"time"
 
-	"reachspread/internal/budget"
+	"reachspread/internal/assignment"
 	"reachspread/internal/rendezvous"
-	"reachspread/internal/shares"
+	"reachspread/internal/retrybudget"
 )
 
 // Effect tells what repeating a request of a class does.
@@ -80,21 +80,21 @@
 	Zone    string
 	Classes []Class
 
-	AskForList     bool           // discovery sends nothing unless asked
-	MayProbe       bool           // Probe is allowed
-	MaxAttempts    int            // for each request; 0 counts as 1
-	StartCapacity  float64        // a replica starts at this share of its capacity or more
-	ColdTime       time.Duration  // and is warm after this
-	OverloadFactor float64        // a cold replica sent more than this multiple of its capacity
-	OverloadWindow time.Duration  // for this long falls over
-	Tick           time.Duration  // the host calls Step at most this often
-	CrossZonePrice float64        // points lost when every request crosses zones once
-	MaxAway        time.Duration  // the longest that a refusal may tell a client to stay away, 0 for not at all
-	OneHome        bool           // a prefix is kept by one replica, alike for all gateways, as far as that has room
-	Retries        *budget.Bucket // of further attempts, nil for no bound
-	Gateways       int            // how many there are, this one included, where they may Tell; 0 where not
-	Me             int            // the own number among them, from 0
-	Broadcast      bool           // what this one tells reaches others that have no numbers, and theirs reaches this one
+	AskForList     bool                // discovery sends nothing unless asked
+	MayProbe       bool                // Probe is allowed
+	MaxAttempts    int                 // for each request; 0 counts as 1
+	StartCapacity  float64             // a replica starts at this share of its capacity or more
+	ColdTime       time.Duration       // and is warm after this
+	OverloadFactor float64             // a cold replica sent more than this multiple of its capacity
+	OverloadWindow time.Duration       // for this long falls over
+	Tick           time.Duration       // the host calls Step at most this often
+	CrossZonePrice float64             // points lost when every request crosses zones once
+	MaxAway        time.Duration       // the longest that a refusal may tell a client to stay away, 0 for not at all
+	OneHome        bool                // a prefix is kept by one replica, alike for all gateways, as far as that has room
+	Retries        *retrybudget.Bucket // of further attempts, nil for no bound
+	Gateways       int                 // how many there are, this one included, where they may Tell; 0 where not
+	Me             int                 // the own number among them, from 0
+	Broadcast      bool                // what this one tells reaches others that have no numbers, and theirs reaches this one
 }
 
 // State is what discovery says of a replica.
@@ -318,9 +318,9 @@
 func place(r *replica) (name uint64, zone uint8) { return r.name, mark(r.Zone) }
 
 // peers are those that live, by their marks.
-func peers(f Fleet) (all []shares.Peer) {
+func peers(f Fleet) (all []assignment.Peer) {
 	for _, p := range f.Living {
-		all = append(all, shares.Peer{Number: p.Number, Zone: mark(p.Zone)})
+		all = append(all, assignment.Peer{Number: p.Number, Zone: mark(p.Zone)})
 	}
 	return all
 }
--- a/cmd/reachlab/account.go
+++ b/cmd/reachlab/account.go
@@ -9,7 +9,7 @@
 
 	"github.com/spf13/cobra"
 
-	"reachspread/internal/account"
+	"reachspread/internal/testbed/scoreanalysis"
 )
 
 // accountCommand prints what played days of the fleet's bench lost.
@@ -26,13 +26,13 @@
 		if err != nil {
 			return err
 		}
-		var other *account.Account
+		var other *scoreanalysis.Account
 		if *beside != "" {
 			if other, err = readAccount(*journal, *beside); err != nil {
 				return err
 			}
 		}
-		account.Print(cmd.OutOrStdout(), this, other)
+		scoreanalysis.Print(cmd.OutOrStdout(), this, other)
 		return nil
 	}
 	return c
@@ -50,7 +50,7 @@
 				return err
 			}
 			defer file.Close()
-			r, err := account.ReadRequests(file)
+			r, err := scoreanalysis.ReadRequests(file)
 			if err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
@@ -60,7 +60,7 @@
 }
 
 // readAccount reads a file, or the journal entry of an id.
-func readAccount(journal, name string) (*account.Account, error) {
+func readAccount(journal, name string) (*scoreanalysis.Account, error) {
 	file, err := os.Open(name)
 	if errors.Is(err, fs.ErrNotExist) {
 		file, err = openEntry(journal, name)
@@ -69,7 +69,7 @@
 		return nil, err
 	}
 	defer file.Close()
-	a, err := account.Read(file)
+	a, err := scoreanalysis.Read(file)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
--- a/cmd/reachlab/capacity.go
+++ b/cmd/reachlab/capacity.go
@@ -6,7 +6,7 @@
 
 	"github.com/spf13/cobra"
 
-	"reachspread/internal/capacity"
+	"reachspread/internal/testbed/capacity"
 )
 
 func capacityCommand() *cobra.Command {
--- a/cmd/reachlab/fleetdemo.go
+++ b/cmd/reachlab/fleetdemo.go
@@ -7,8 +7,8 @@
 
 	"github.com/spf13/cobra"
 
-	"reachspread/internal/system/fleetdemo"
 	"reachspread/internal/system/roles"
+	"reachspread/internal/testbed/fleetdemo"
 )
 
 // asRouter is the hidden command by which the demo's processes are routers.
--- a/cmd/reachlab/forms_test.go
+++ b/cmd/reachlab/forms_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"reachspread/internal/formtest"
+	"reachspread/internal/testbed/formtest"
 )
 
 // Each command has the same path and flags, with the same types and defaults, hidden ones too.
--- a/cmd/reachlab/main.go
+++ b/cmd/reachlab/main.go
@@ -14,11 +14,11 @@
 	"github.com/schollz/progressbar/v3"
 	"github.com/spf13/cobra"
 
-	"reachspread/internal/demo"
-	"reachspread/internal/experiment"
-	"reachspread/internal/faults"
-	"reachspread/internal/lab"
-	"reachspread/internal/report"
+	"reachspread/internal/router/report"
+	"reachspread/internal/testbed/demo"
+	"reachspread/internal/testbed/experiment"
+	"reachspread/internal/testbed/faults"
+	"reachspread/internal/testbed/simulator"
 )
 
 func main() {
@@ -215,13 +215,13 @@
 		if err := x.CheckFor(faults.Lab); err != nil {
 			return err
 		}
-		w, err := lab.New(x.Virtual(variant, *seed))
+		w, err := simulator.New(x.Virtual(variant, *seed))
 		if err != nil {
 			return err
 		}
 		r, err := w.Run(0)
 		out := cmd.OutOrStdout()
-		if v, ok := err.(*lab.Violation); ok {
+		if v, ok := err.(*simulator.Violation); ok {
 			fmt.Fprint(out, v.Report())
 			return v
 		} else if err != nil {
--- a/cmd/reachlab/membership.go
+++ b/cmd/reachlab/membership.go
@@ -7,7 +7,7 @@
 
 	"github.com/spf13/cobra"
 
-	"reachspread/internal/scalerun"
+	"reachspread/internal/testbed/scaletest"
 )
 
 func membershipCommand() *cobra.Command {
@@ -16,7 +16,7 @@
 		Short: "Measure the membership protocol on real routers beside hollow members that carry no traffic",
 		Args:  cobra.NoArgs,
 	}
-	var p scalerun.Plan
+	var p scaletest.Plan
 	flags := c.Flags()
 	flags.IntVar(&p.Real, "real", 2, "router processes")
 	flags.IntVar(&p.Hollow, "hollow", 30, "members without traffic, all in this process")
@@ -36,14 +36,14 @@
 				return err
 			}
 		}
-		machine, err := scalerun.MachineMB()
+		machine, err := scaletest.MachineMB()
 		if err != nil {
 			return err
 		}
 		if err := p.Check(machine); err != nil {
 			return err
 		}
-		result, err := scalerun.Run(cmd.Context(), p)
+		result, err := scaletest.Run(cmd.Context(), p)
 		if err != nil {
 			return fmt.Errorf("run ended: %w", err)
 		}
--- a/cmd/reachlab/pairs.go
+++ b/cmd/reachlab/pairs.go
@@ -12,8 +12,8 @@
 
 	"github.com/spf13/cobra"
 
-	"reachspread/internal/account"
-	"reachspread/internal/pairs"
+	"reachspread/internal/testbed/pairedruns"
+	"reachspread/internal/testbed/scoreanalysis"
 )
 
 // pairsCommand plays a change against the code before it.
@@ -24,7 +24,7 @@
 		Args:  cobra.ExactArgs(2),
 	}
 	b := &benchPlayer{}
-	plan := &pairs.Plan{}
+	plan := &pairedruns.Plan{}
 	seeds := c.Flags().Int("seeds", 6, "`number` of seeds, from --first on")
 	first := c.Flags().Uint64("first", 1, "the first `seed`")
 	c.Flags().StringSliceVar(&plan.Sites, "site", nil, "site `files` of deployments")
@@ -77,7 +77,7 @@
 }
 
 // play is a pairs.Player.
-func (b *benchPlayer) play(ctx context.Context, p pairs.Play) (*account.Day, error) {
+func (b *benchPlayer) play(ctx context.Context, p pairedruns.Play) (*scoreanalysis.Day, error) {
 	folder := b.folders[p.Version]
 	name := func(path string) string { return strings.TrimSuffix(filepath.Base(path), ".toml") }
 	report := filepath.Join(b.reports, fmt.Sprintf("%s-%s-%s-%d.json", filepath.Base(folder), name(p.Site), name(p.Day), p.Seed))
@@ -100,13 +100,13 @@
 }
 
 // readReport reads the one day of a report.
-func readReport(path string) (*account.Day, error) {
+func readReport(path string) (*scoreanalysis.Day, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
 	defer file.Close()
-	a, err := account.Read(file)
+	a, err := scoreanalysis.Read(file)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
--- a/cmd/reachlab/rig.go
+++ b/cmd/reachlab/rig.go
@@ -11,12 +11,12 @@
 
 	"github.com/spf13/cobra"
 
-	"reachspread/internal/experiment"
-	"reachspread/internal/faults"
-	"reachspread/internal/history"
-	"reachspread/internal/judge"
-	"reachspread/internal/report"
-	"reachspread/internal/rig"
+	"reachspread/internal/router/report"
+	"reachspread/internal/testbed/chaos"
+	"reachspread/internal/testbed/checker"
+	"reachspread/internal/testbed/experiment"
+	"reachspread/internal/testbed/faults"
+	"reachspread/internal/testbed/history"
 )
 
 func rigCommand() *cobra.Command {
@@ -25,7 +25,7 @@
 		Short: "Play an experiment on processes of the router with its faults, and judge what happened",
 		Args:  cobra.ExactArgs(1),
 	}
-	var s rig.Series
+	var s chaos.Series
 	program := c.Flags().String("program", "", "the router's `binary`; by itself the reachspread beside this program")
 	c.Flags().Uint64Var(&s.Seed, "seed", 0, "draw a schedule from this seed, in place of the file's")
 	c.Flags().DurationVar(&s.Until, "until", 0, "play one after another, from the seed on, for so long")
@@ -67,7 +67,7 @@
 		}
 		failed := 0
 		out := cmd.OutOrStdout()
-		err = s.Run(cmd.Context(), func(p *rig.Played) {
+		err = s.Run(cmd.Context(), func(p *chaos.Played) {
 			if p.Err != nil || len(p.Result.Verdicts) > 0 {
 				failed++
 			}
@@ -110,7 +110,7 @@
 		Short: "Print how long routers took to come back, by phase and stage, over the histories of plays",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			var all rig.Returns
+			var all chaos.Returns
 			for _, path := range args {
 				f, err := os.Open(path)
 				if err != nil {
@@ -147,7 +147,7 @@
 		if err != nil {
 			return fmt.Errorf("%s: %w", args[0], err)
 		}
-		verdicts := judge.Judge(events)
+		verdicts := checker.Judge(events)
 		out := cmd.OutOrStdout()
 		for i := range verdicts {
 			fmt.Fprintln(out, verdicts[i].String())
@@ -160,14 +160,14 @@
 			}
 		}
 		if *page != "" {
-			if err := report.WriteFile(*page, func(w io.Writer) error { return rig.WritePage(w, events, verdicts) }); err != nil {
+			if err := report.WriteFile(*page, func(w io.Writer) error { return chaos.WritePage(w, events, verdicts) }); err != nil {
 				return err
 			}
 		}
 		if len(verdicts) > 0 {
 			return errors.New("the history breaks rules")
 		}
-		fmt.Fprintf(out, "%d events, nothing found by %d checkers\n", len(events), len(judge.Checkers))
+		fmt.Fprintf(out, "%d events, nothing found by %d checkers\n", len(events), len(checker.Checkers))
 		return nil
 	}
 	return c
--- a/cmd/reachlab/soak.go
+++ b/cmd/reachlab/soak.go
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"reachspread/internal/system/soak"
+	"reachspread/internal/testbed/soak"
 )
 
 const (
--- a/cmd/reachlab/sockets.go
+++ b/cmd/reachlab/sockets.go
@@ -10,10 +10,10 @@
 
 	"github.com/spf13/cobra"
 
-	"reachspread/internal/experiment"
-	"reachspread/internal/faults"
-	"reachspread/internal/lab"
-	"reachspread/internal/standin"
+	"reachspread/internal/testbed/experiment"
+	"reachspread/internal/testbed/fakes"
+	"reachspread/internal/testbed/faults"
+	"reachspread/internal/testbed/simulator"
 )
 
 func serveFleetCommand() *cobra.Command {
@@ -33,7 +33,7 @@
 			return err
 		}
 		spec := x.World(0, x.Seeds[0])
-		f, err := standin.NewFleet(&spec, standin.Anywhere)
+		f, err := fakes.NewFleet(&spec, fakes.Anywhere)
 		if err != nil {
 			return err
 		}
@@ -44,7 +44,7 @@
 			fmt.Fprintf(out, "%d %s %s\n", i, h.ID, h.Addr)
 		}
 		if *config != "" {
-			if err := writeNew(*config, f.RouterConfig(standin.Place{Name: "lab", Listen: *listen})); err != nil {
+			if err := writeNew(*config, f.RouterConfig(fakes.Place{Name: "lab", Listen: *listen})); err != nil {
 				return err
 			}
 			path, err := filepath.Abs(*config)
@@ -84,12 +84,12 @@
 				return err
 			}
 		}
-		plan, err := lab.Plan(spec)
+		plan, err := simulator.Plan(spec)
 		if err != nil {
 			return err
 		}
 		fmt.Fprintf(cmd.ErrOrStderr(), "%d requests in %v\n", len(plan), spec.Length)
-		clients := standin.NewClients(*router, &spec)
+		clients := fakes.NewClients(*router, &spec)
 		started := time.Now()
 		clients.Run(cmd.Context(), plan)
 		writeTallies(cmd.OutOrStdout(), clients.Tallies(), time.Since(started))
@@ -99,7 +99,7 @@
 }
 
 // writeTallies prints a row for each class. Times are from when a request was due.
-func writeTallies(w io.Writer, all []standin.Tally, took time.Duration) {
+func writeTallies(w io.Writer, all []fakes.Tally, took time.Duration) {
 	fmt.Fprintf(w, "%-16s %7s %7s %6s %8s %7s %7s %9s %9s %9s\n", "class", "asked", "good", "late", "refused", "failed", "broken", "p50 ms", "p99 ms", "p99.9 ms")
 	for _, t := range all {
 		at := func(q float64) float64 { return float64(t.First.ValueAtQuantile(q)) / 1000 }
--- a/cmd/reachlab/sockets_test.go
+++ b/cmd/reachlab/sockets_test.go
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
-	"reachspread/internal/capture"
-	"reachspread/internal/peers"
-	"reachspread/internal/program"
+	"reachspread/internal/router/capture"
+	"reachspread/internal/router/program"
+	"reachspread/internal/testbed/scripted"
 )
 
 const small = `seeds = 1
@@ -38,7 +38,7 @@
 `
 
 // run runs a command and returns what it prints.
-func run(t *testing.T, ctx context.Context, out *peers.Text, args ...string) error {
+func run(t *testing.T, ctx context.Context, out *scripted.Text, args ...string) error {
 	t.Helper()
 	c := command()
 	c.SetArgs(args)
@@ -66,7 +66,7 @@
 	ln.Close()
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	var fleet peers.Text
+	var fleet scripted.Text
 	served := make(chan error, 1)
 	go func() {
 		served <- run(t, ctx, &fleet, "serve-fleet", in("x.hcl"), "--config", in("router.json"), "--listen", addr)
@@ -81,14 +81,14 @@
 	if err := cfg.ReadSettings(in("settings.hcl")); err != nil {
 		t.Fatal(err)
 	}
-	lines := make(peers.Lines, 1000)
+	lines := make(scripted.Lines, 1000)
 	routerCtx, term := context.WithCancel(context.Background())
 	defer term()
 	exit := make(chan error, 1)
 	go func() { exit <- program.New(cfg, env, in("settings.hcl"), lines).Run(routerCtx, nil) }()
-	for !strings.HasPrefix(peers.Next(t, lines, "serving"), "phase name=serving") {
+	for !strings.HasPrefix(scripted.Next(t, lines, "serving"), "phase name=serving") {
 	}
-	var table peers.Text
+	var table scripted.Text
 	if err := run(t, ctx, &table, "load", in("x.hcl"), "--router", addr); err != nil {
 		t.Fatal(err)
 	}
@@ -97,20 +97,20 @@
 		t.Errorf("%d asked, %d good:\n%s", asked, good, table.String())
 	}
 	term()
-	if err := peers.Next(t, exit, "the router's end"); err != nil {
+	if err := scripted.Next(t, exit, "the router's end"); err != nil {
 		t.Fatal(err)
 	}
 	_, all, err := capture.Read(in("c.ndjson"))
 	if err != nil || len(all) < asked {
 		t.Fatalf("%d requests captured of %d, %v", len(all), asked, err)
 	}
-	var again peers.Text
+	var again scripted.Text
 	if err := run(t, ctx, &again, "run", in("again.hcl")); err != nil {
 		t.Fatal(err)
 	}
 	fleet.Wait(t, "host-2: kill ends")
 	stop()
-	if err := peers.Next(t, served, "the fleet's end"); err != nil {
+	if err := scripted.Next(t, served, "the fleet's end"); err != nil {
 		t.Error(err)
 	}
 }
@@ -154,7 +154,7 @@
 		{[]string{"serve-fleet", x, "--config", x}, "file exists"},
 	} {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
-		var out peers.Text
+		var out scripted.Text
 		if err := run(t, ctx, &out, tt.args...); err == nil || !strings.Contains(err.Error(), tt.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%v: got %v, want %q", tt.args, err, tt.want)
 		}
--- a/cmd/reachreport/main.go
+++ b/cmd/reachreport/main.go
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"reachspread/internal/report"
+	"reachspread/internal/router/report"
 )
 
 func main() {
--- a/cmd/reachspread/admission.go
+++ b/cmd/reachspread/admission.go
@@ -10,7 +10,7 @@
 
 	"github.com/spf13/cobra"
 
-	"reachspread/internal/program"
+	"reachspread/internal/router/program"
 )
 
 func admissionCommand() *cobra.Command {
--- a/cmd/reachspread/forms_test.go
+++ b/cmd/reachspread/forms_test.go
@@ -13,7 +13,7 @@
 	"strings"
 	"testing"
 
-	"reachspread/internal/formtest"
+	"reachspread/internal/testbed/formtest"
 )
 
 // Each command has the same path and flags, with the same types and defaults, hidden ones too.
--- a/cmd/reachspread/golden_test.go
+++ b/cmd/reachspread/golden_test.go
@@ -18,8 +18,8 @@
 
 	"github.com/matryer/is"
 
-	"reachspread/internal/system/localfleet"
-	"reachspread/internal/system/pinplay"
+	"reachspread/internal/testbed/localfleet"
+	"reachspread/internal/testbed/pintest"
 )
 
 // The data directories below testdata/fleet are those of three routers on 127.82.7.1 to 127.82.7.3, written and stopped by the program of
@@ -250,7 +250,7 @@
 // startHosts starts two hosts of model m, and waits until all routers know them.
 func (g *goldenFleet) startHosts() {
 	for i, version := range []int64{1, 2} {
-		h, err := pinplay.NewHost(fmt.Sprint("i-", i), version)
+		h, err := pintest.NewHost(fmt.Sprint("i-", i), version)
 		g.is.NoErr(err)
 		g.t.Cleanup(h.Close)
 		address := fmt.Sprintf("%s.%d:9000", goldenFleetNetwork, 11+i)
@@ -281,10 +281,10 @@
 	g.start(goldenRouters - 1)
 	g.untilWhole(goldenRouters)
 	g.startHosts()
-	s := pinplay.NewStory([]string{g.Front(0), g.Front(1), g.Front(2)}, nil, nil)
+	s := pintest.NewStory([]string{g.Front(0), g.Front(1), g.Front(2)}, nil, nil)
 	for n := range 12 {
 		router := n % goldenRouters
-		g.until("a request is served", func() bool { return s.Ask(router, pinplay.SafePath).Status == http.StatusOK })
+		g.until("a request is served", func() bool { return s.Ask(router, pintest.SafePath).Status == http.StatusOK })
 	}
 	kept := func() (usage bool) {
 		for i := range goldenRouters {
--- a/cmd/reachspread/main.go
+++ b/cmd/reachspread/main.go
@@ -12,7 +12,7 @@
 	"github.com/spf13/cobra"
 
 	"reachspread/internal/logging"
-	"reachspread/internal/program"
+	"reachspread/internal/router/program"
 )
 
 func main() {
--- a/cmd/reachspread/main_test.go
+++ b/cmd/reachspread/main_test.go
@@ -8,9 +8,9 @@
 	"github.com/spf13/cobra"
 
 	"reachspread/internal/admission"
-	"reachspread/internal/mirror"
-	"reachspread/internal/program"
-	"reachspread/internal/shadow"
+	"reachspread/internal/router/mirror"
+	"reachspread/internal/router/program"
+	"reachspread/internal/router/shadow"
 )
 
 func TestCommands(t *testing.T) {
--- a/cmd/reachspread/processes_test.go
+++ b/cmd/reachspread/processes_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"reachspread/internal/system/localfleet"
-	"reachspread/internal/system/pinplay"
+	"reachspread/internal/testbed/localfleet"
+	"reachspread/internal/testbed/pintest"
 )
 
 // asRouter has the test's own program be a router: a process of a fleet that tests start.
@@ -75,22 +75,22 @@
 }
 
 // story is clients on the processes, and hosts of two versions.
-func (f *processes) story(ctx context.Context) *pinplay.Story {
+func (f *processes) story(ctx context.Context) *pintest.Story {
 	f.t.Helper()
 	var fronts, controls []string
 	for i := range f.Len() {
 		fronts, controls = append(fronts, f.Front(i)), append(controls, f.Control(i))
 	}
-	var hosts []*pinplay.Host
+	var hosts []*pintest.Host
 	for i, version := range []int64{1, 1, 2, 2} {
-		h, err := pinplay.NewHost(fmt.Sprint("i-", i), version)
+		h, err := pintest.NewHost(fmt.Sprint("i-", i), version)
 		if err != nil {
 			f.t.Fatal(err)
 		}
 		f.t.Cleanup(h.Close)
 		hosts = append(hosts, h)
 	}
-	s := pinplay.NewStory(fronts, controls, hosts)
+	s := pintest.NewStory(fronts, controls, hosts)
 	for _, step := range []func(context.Context) error{s.Configure, s.Register} {
 		if err := step(ctx); err != nil {
 			f.t.Fatal(err)
--- a/cmd/reachspread/shadow.go
+++ b/cmd/reachspread/shadow.go
@@ -15,10 +15,10 @@
 
 	"github.com/spf13/cobra"
 
-	"reachspread/internal/mirror"
-	"reachspread/internal/program"
-	"reachspread/internal/settings"
-	"reachspread/internal/shadow"
+	"reachspread/internal/router/mirror"
+	"reachspread/internal/router/program"
+	"reachspread/internal/router/settings"
+	"reachspread/internal/router/shadow"
 	"reachspread/internal/transport"
 )
 
--- a/cmd/reachspread/snapshot.go
+++ b/cmd/reachspread/snapshot.go
@@ -12,7 +12,7 @@
 
 	"github.com/spf13/cobra"
 
-	"reachspread/internal/snapshot"
+	"reachspread/internal/router/snapshot"
 )
 
 func snapshotCommand() *cobra.Command {
--- a/coord/peer/peer.go
+++ b/coord/embed/embed.go
@@ -1,9 +1,9 @@
-// Package peer is one process of a replicated register, whole: the replica with its disk, a client, and the link to the other processes.
+// Package embed is one process of a replicated register, whole: the replica with its disk, a client, and the link to the other processes.
 // It is what a program embeds that wants a small state which survives its machines; the parts it is made of can be had one by one.
 //
 // The caller brings the state as a chain.Machine, and has to bring orders that the machine knows again, as one may come twice. What Submit
 // returned without an error for is on the disks of all processes in the chain; what Read returns was the newest state after the call began.
-package peer
+package embed
 
 import (
 	"context"
--- a/coord/peer/peer_test.go
+++ b/coord/embed/embed_test.go
@@ -1,4 +1,4 @@
-package peer
+package embed
 
 import (
 	"context"
--- a/coord/peer/example_test.go
+++ b/coord/embed/example_test.go
@@ -1,4 +1,4 @@
-package peer_test
+package embed_test
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"path/filepath"
 	"time"
 
-	"reachspread/coord/peer"
+	"reachspread/coord/embed"
 )
 
 // note is a state of one text. Writing the same text twice changes nothing, so an order may come again.
@@ -28,10 +28,10 @@
 	for i := range 3 {
 		seeds = append(seeds, netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 66, 0, byte(i + 1)}), 7680))
 	}
-	var peers []*peer.Peer
+	var peers []*embed.Peer
 	var stops []context.CancelFunc
 	for i, address := range seeds {
-		p, err := peer.New(peer.Options{Address: address, Seeds: seeds, Folder: filepath.Join(folder, fmt.Sprint(i)), First: true, Tolerance: 1, Machine: &note{}})
+		p, err := embed.New(embed.Options{Address: address, Seeds: seeds, Folder: filepath.Join(folder, fmt.Sprint(i)), First: true, Tolerance: 1, Machine: &note{}})
 		if err != nil {
 			fmt.Println(err)
 			return
--- a/coord/peer/golden_test.go
+++ b/coord/embed/golden_test.go
@@ -1,4 +1,4 @@
-package peer
+package embed
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 // The folders below testdata/golden are those of three processes on the addresses 127.67.9.1 to 127.67.9.3, stopped after a few orders by
 // the code of commit 5bfcc27:
 //
-//	go test ./coord/peer -run TestGolden -write-golden
+//	go test ./coord/embed -run TestGolden -write-golden
 //
 // They are never written again: a later version has to go on from them as they are.
 var writeGolden = flag.Bool("write-golden", false, "write testdata/golden in place of a start on it")
--- a/coord/members/explore_test.go
+++ b/coord/members/explore_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"reachspread/coord/members"
-	"reachspread/internal/explore"
+	"reachspread/internal/testbed/explorer"
 )
 
 var depth = flag.Int("depth", 4, "of the exploration")
@@ -30,7 +30,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(n + 1)}), 7946)
 }
 
-func (x *node) Start(now time.Duration) explore.Out[datagram] {
+func (x *node) Start(now time.Duration) explorer.Out[datagram] {
 	var seeds []netip.AddrPort
 	for i := range 3 {
 		seeds = append(seeds, addrOf(i))
@@ -40,7 +40,7 @@
 		Seed: uint64(x.n)}, now)
 	if err != nil {
 		x.broken = err
-		return explore.Out[datagram]{}
+		return explorer.Out[datagram]{}
 	}
 	if x.settled {
 		var all []members.Member
@@ -52,16 +52,16 @@
 	return x.step(now, members.Passed{})
 }
 
-func (x *node) Receive(now time.Duration, from int, m datagram) explore.Out[datagram] {
+func (x *node) Receive(now time.Duration, from int, m datagram) explorer.Out[datagram] {
 	return x.step(now, members.Received{From: addrOf(from), Data: []byte(m.Data)})
 }
 
-func (x *node) Wake(now time.Duration) explore.Out[datagram] { return x.step(now, members.Passed{}) }
+func (x *node) Wake(now time.Duration) explorer.Out[datagram] { return x.step(now, members.Passed{}) }
 
-func (x *node) step(now time.Duration, e members.Event) (o explore.Out[datagram]) {
+func (x *node) step(now time.Duration, e members.Event) (o explorer.Out[datagram]) {
 	for _, a := range x.d.Step(now, e) {
 		if s, ok := a.(members.Send); ok {
-			o.Send = append(o.Send, explore.Send[datagram]{To: int(s.To.Addr().As4()[3]) - 1, Msg: datagram{string(s.Data)}})
+			o.Send = append(o.Send, explorer.Send[datagram]{To: int(s.To.Addr().As4()[3]) - 1, Msg: datagram{string(s.Data)}})
 		}
 	}
 	if inc := x.d.Incarnation(); inc < x.most {
@@ -91,11 +91,11 @@
 // incarnation falls, and nobody is missing from their own view.
 func TestExplore(t *testing.T) {
 	for _, settled := range []bool{false, true} {
-		q := explore.Question[datagram]{Nodes: 3, Depth: *depth, States: 400_000, Budget: explore.Budget{Losses: 1, Crashes: 1, Pauses: 1}, Skew: 100 * time.Millisecond,
-			Make: func(n, life int, before explore.Node[datagram]) explore.Node[datagram] {
+		q := explorer.Question[datagram]{Nodes: 3, Depth: *depth, States: 400_000, Budget: explorer.Budget{Losses: 1, Crashes: 1, Pauses: 1}, Skew: 100 * time.Millisecond,
+			Make: func(n, life int, before explorer.Node[datagram]) explorer.Node[datagram] {
 				return &node{n: n, life: life, settled: settled && life == 0}
 			},
-			Holds: func(nodes []explore.Node[datagram], _ []time.Duration) error {
+			Holds: func(nodes []explorer.Node[datagram], _ []time.Duration) error {
 				for _, n := range nodes {
 					if x, ok := n.(*node); ok && x.broken != nil {
 						return x.broken
@@ -104,7 +104,7 @@
 				return nil
 			},
 			Show: func(m datagram) string { return fmt.Sprintf("kind %d, %d bytes", m.Data[0]&15, len(m.Data)) }}
-		a, err := explore.Explore(q)
+		a, err := explorer.Explore(q)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/shares/shares.go
+++ b/internal/assignment/assignment.go
@@ -1,8 +1,8 @@
-// Package shares deals things out among the members of a numbered group who live in the same zone, alike wherever it is worked out: each
+// Package assignment deals things out among the members of a numbered group who live in the same zone, alike wherever it is worked out: each
 // member has so many of its zone's things, by rendezvous of its number and the thing, so that all know who else has what. A member knows
 // others' zones by what it hears of them, and who lives by its own view, which may be late or wrong (package standing).
 // It is pure: its user says what time it is, and that must not go back.
-package shares
+package assignment
 
 import (
 	"cmp"
@@ -10,8 +10,8 @@
 	"slices"
 	"time"
 
+	"reachspread/internal/liveness"
 	"reachspread/internal/rendezvous"
-	"reachspread/internal/standing"
 )
 
 // unknown is the zone of a member that was not heard of yet.
@@ -21,7 +21,7 @@
 type Group struct {
 	me    int
 	zones []int
-	*standing.Group
+	*liveness.Group
 	next time.Duration // when shares may have changed
 
 	dealt [][]int // of the last Deal, with n; nil once things or zones are others
@@ -36,7 +36,7 @@
 
 // New returns a group of n of which one is me. A view counts after it has held for so long; until the first all members live.
 func New(n, me int, zone uint8, hold time.Duration) *Group {
-	g := &Group{me: me, zones: slices.Repeat([]int{unknown}, n), Group: standing.New(n, hold)}
+	g := &Group{me: me, zones: slices.Repeat([]int{unknown}, n), Group: liveness.New(n, hold)}
 	if me >= 0 && me < n {
 		g.zones[me] = int(zone)
 	}
--- a/internal/shares/shares_test.go
+++ b/internal/assignment/assignment_test.go
@@ -1,4 +1,4 @@
-package shares
+package assignment
 
 import (
 	"slices"
--- a/internal/standing/standing.go
+++ b/internal/liveness/liveness.go
@@ -1,7 +1,7 @@
-// Package standing keeps who of a numbered group lives by a view that may be late or wrong for a moment. What a view opens
+// Package liveness keeps who of a numbered group lives by a view that may be late or wrong for a moment. What a view opens
 // counts after it has held for a while, what it closes in bounds counts at once; in between a member is neither gone nor sure.
 // It is pure: its user says what time it is, and that must not go back.
-package standing
+package liveness
 
 import "time"
 
--- a/internal/standing/standing_test.go
+++ b/internal/liveness/liveness_test.go
@@ -1,4 +1,4 @@
-package standing
+package liveness
 
 import (
 	"testing"
--- a/internal/suspicion/suspicion.go
+++ b/internal/outlier/outlier.go
@@ -1,9 +1,9 @@
-// Package suspicion judges from what several callers saw of one server whether all of them had better avoid it for a while. It is pure: its
+// Package outlier judges from what several callers saw of one server whether all of them had better avoid it for a while. It is pure: its
 // user brings the sightings of failures, its own and those that others tell, and says what time it is, which must not go back.
 //
 // One witness is not enough, as its own path to the server may be at fault. What two saw within a short time counts, for a time that doubles
 // with each suspicion that follows soon after the one before. Then the server is taken back, and the next two failures end that again.
-package suspicion
+package outlier
 
 import (
 	"cmp"
--- a/internal/suspicion/suspicion_test.go
+++ b/internal/outlier/outlier_test.go
@@ -1,4 +1,4 @@
-package suspicion
+package outlier
 
 import (
 	"testing"
--- a/internal/budget/budget.go
+++ b/internal/retrybudget/retrybudget.go
@@ -1,5 +1,5 @@
-// Package budget bounds how often requests are repeated by how many there are: a retry budget. It is pure.
-package budget
+// Package retrybudget bounds how often requests are repeated by how many there are: a retry budget. It is pure.
+package retrybudget
 
 import (
 	"math"
--- a/internal/budget/budget_test.go
+++ b/internal/retrybudget/retrybudget_test.go
@@ -1,4 +1,4 @@
-package budget
+package retrybudget
 
 import (
 	"math/rand/v2"
--- a/internal/capture/forms_test.go
+++ b/internal/router/capture/forms_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"reachspread/internal/formtest"
+	"reachspread/internal/testbed/formtest"
 )
 
 // The lines of a capture have the same fields.
--- a/internal/duty/duty_test.go
+++ b/internal/router/lease/lease_test.go
@@ -1,4 +1,4 @@
-package duty
+package lease
 
 import (
 	"errors"
@@ -11,7 +11,7 @@
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 
-	"reachspread/internal/explore"
+	"reachspread/internal/testbed/explorer"
 )
 
 func a(n string) Router { return Router{Name: n, Boot: 1} }
@@ -198,7 +198,7 @@
 
 var exploring = Times{Lease: 2 * time.Second, Allowance: 12 * time.Millisecond}
 
-func (s *sequencer) Start(time.Duration) explore.Out[word] { return explore.Out[word]{} }
+func (s *sequencer) Start(time.Duration) explorer.Out[word] { return explorer.Out[word]{} }
 
 func (s *sequencer) apply(now time.Duration, c Command) (answer Answer) {
 	s.place++
@@ -216,7 +216,7 @@
 	return answer
 }
 
-func (s *sequencer) out(o explore.Out[word]) explore.Out[word] {
+func (s *sequencer) out(o explorer.Out[word]) explorer.Out[word] {
 	lease := exploring.Lease
 	if s.flaw == noWait {
 		lease /= 2
@@ -229,12 +229,12 @@
 	return o
 }
 
-func (s *sequencer) Receive(now time.Duration, from int, m word) explore.Out[word] {
+func (s *sequencer) Receive(now time.Duration, from int, m word) explorer.Out[word] {
 	answer := s.apply(now, Command{Kind: m.Kind, Duty: "d", Who: Router{Name: fmt.Sprint(from), Boot: 1}, Token: m.Grant.Token})
-	return s.out(explore.Out[word]{Send: []explore.Send[word]{{To: from, Msg: word{m.Kind, m.Nth, answer.OK, answer.Grant}}}})
+	return s.out(explorer.Out[word]{Send: []explorer.Send[word]{{To: from, Msg: word{m.Kind, m.Nth, answer.OK, answer.Grant}}}})
 }
 
-func (s *sequencer) Wake(now time.Duration) explore.Out[word] {
+func (s *sequencer) Wake(now time.Duration) explorer.Out[word] {
 	lease := exploring.Lease
 	if s.flaw == noWait {
 		lease /= 2
@@ -244,7 +244,7 @@
 			s.apply(now, Command{Kind: Expire, Duty: "d", Token: g.Token, Renewals: g.Renewals})
 		}
 	}
-	return s.out(explore.Out[word]{})
+	return s.out(explorer.Out[word]{})
 }
 
 func (s *sequencer) Write(h hash.Hash64) {
@@ -260,20 +260,20 @@
 	flaw flaw
 }
 
-func (c *client) request(now time.Duration, kind Kind, g Grant) explore.Out[word] {
+func (c *client) request(now time.Duration, kind Kind, g Grant) explorer.Out[word] {
 	c.nth++
 	c.sent[c.nth] = now
-	return explore.Out[word]{Send: []explore.Send[word]{{To: 0, Msg: word{Kind: kind, Nth: c.nth, Grant: g}}}, Wake: now + exploring.Lease}
+	return explorer.Out[word]{Send: []explorer.Send[word]{{To: 0, Msg: word{Kind: kind, Nth: c.nth, Grant: g}}}, Wake: now + exploring.Lease}
 }
 
-func (c *client) Start(now time.Duration) explore.Out[word] { return c.request(now, Acquire, Grant{}) }
-func (c *client) Wake(now time.Duration) explore.Out[word] {
+func (c *client) Start(now time.Duration) explorer.Out[word] { return c.request(now, Acquire, Grant{}) }
+func (c *client) Wake(now time.Duration) explorer.Out[word] {
 	if g, held := c.h.Grant(); held {
 		return c.request(now, Renew, g)
 	}
 	return c.request(now, Acquire, Grant{})
 }
-func (c *client) Receive(now time.Duration, _ int, m word) explore.Out[word] {
+func (c *client) Receive(now time.Duration, _ int, m word) explorer.Out[word] {
 	sent := c.sent[m.Nth]
 	if c.flaw == fromAnswer {
 		sent = now
@@ -285,7 +285,7 @@
 	case m.Kind == Renew:
 		c.h.Lost(g.Token)
 	}
-	return explore.Out[word]{Wake: now + exploring.Lease}
+	return explorer.Out[word]{Wake: now + exploring.Lease}
 }
 func (c *client) Write(h hash.Hash64) { fmt.Fprint(h, *c.h, c.nth, c.sent) }
 
@@ -302,15 +302,15 @@
 		if x.flaw == noAllowance {
 			times.Allowance = 0
 		}
-		q := explore.Question[word]{Nodes: 3, Depth: x.depth, Skew: 5 * time.Millisecond, Budget: explore.Budget{Losses: 1, Copies: 1, Pauses: 1}, States: 600_000,
-			Make: func(n, life int, _ explore.Node[word]) explore.Node[word] {
+		q := explorer.Question[word]{Nodes: 3, Depth: x.depth, Skew: 5 * time.Millisecond, Budget: explorer.Budget{Losses: 1, Copies: 1, Pauses: 1}, States: 600_000,
+			Make: func(n, life int, _ explorer.Node[word]) explorer.Node[word] {
 				if n == 0 {
 					table, _ := NewTable([]Duty{{Name: "d"}}, 0)
 					return &sequencer{t: table, since: map[uint64]time.Duration{}, flaw: x.flaw}
 				}
 				return &client{h: NewHolder(times), sent: map[int]time.Duration{}, flaw: x.flaw}
 			},
-			Holds: func(nodes []explore.Node[word], now []time.Duration) error {
+			Holds: func(nodes []explorer.Node[word], now []time.Duration) error {
 				acts := 0
 				for i, n := range nodes[1:] {
 					if c, ok := n.(*client); ok {
@@ -324,7 +324,7 @@
 				}
 				return nil
 			}}
-		answer, err := explore.Explore(q)
+		answer, err := explorer.Explore(q)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/duty/table.go
+++ b/internal/router/lease/table.go
@@ -1,4 +1,4 @@
-package duty
+package lease
 
 import (
 	"cmp"
--- a/internal/duty/types.go
+++ b/internal/router/lease/types.go
@@ -1,4 +1,4 @@
-// Package duty is work that only so many routers may do at a time: the table of grants that voters agree on, and the holder's
+// Package lease is work that only so many routers may do at a time: the table of grants that voters agree on, and the holder's
 // side of a lease. docs/design/duties.md has the why.
 //
 // This file is the interface; table.go has the table, holder.go the lease, agent.go a
@@ -10,7 +10,7 @@
 // as clocks' rates differ by no more than the allowance says, nobody begins work under a grant that has been given to
 // another. Whatever leaves the process under a duty carries its token, and whoever receives it refuses lower ones: that holds
 // whatever the clocks do.
-package duty
+package lease
 
 import (
 	"fmt"
--- a/internal/management/forms_test.go
+++ b/internal/router/management/forms_test.go
@@ -4,7 +4,7 @@
 	"strings"
 	"testing"
 
-	"reachspread/internal/formtest"
+	"reachspread/internal/testbed/formtest"
 )
 
 // The calls and figures of the management address have the same names, in the same order.
--- a/internal/management/management_test.go
+++ b/internal/router/management/management_test.go
@@ -118,7 +118,7 @@
 
 // The operators' page has the tables as they are made here.
 func TestPage(t *testing.T) {
-	page, err := os.ReadFile("../../docs/operators/service.md")
+	page, err := os.ReadFile("../../../docs/operators/service.md")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/mirror/answer.go
+++ b/internal/router/mirror/answer.go
@@ -12,9 +12,9 @@
 	"github.com/cespare/xxhash/v2"
 
 	"reachspread/internal/protocol"
-	"reachspread/internal/records"
+	"reachspread/internal/router/records"
+	"reachspread/internal/router/shadow"
 	"reachspread/internal/routing"
-	"reachspread/internal/shadow"
 )
 
 // capture keeps the beginning of an answer as it passes, and of the rest its length and hash. One goroutine feeds it;
--- a/internal/mirror/forms_test.go
+++ b/internal/router/mirror/forms_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"reachspread/internal/formtest"
+	"reachspread/internal/testbed/formtest"
 )
 
 // The status of the shadow pools has the same fields.
--- a/internal/mirror/mirror.go
+++ b/internal/router/mirror/mirror.go
@@ -18,9 +18,9 @@
 
 	"reachspread/balance"
 	"reachspread/internal/logging"
+	"reachspread/internal/router/settings"
+	"reachspread/internal/router/shadow"
 	"reachspread/internal/routing"
-	"reachspread/internal/settings"
-	"reachspread/internal/shadow"
 	"reachspread/internal/transport"
 )
 
--- a/internal/mirror/mirror_test.go
+++ b/internal/router/mirror/mirror_test.go
@@ -12,10 +12,10 @@
 	"github.com/valyala/fasthttp"
 
 	"reachspread/balance"
-	"reachspread/internal/peers"
+	"reachspread/internal/router/settings"
+	"reachspread/internal/router/shadow"
 	"reachspread/internal/routing"
-	"reachspread/internal/settings"
-	"reachspread/internal/shadow"
+	"reachspread/internal/testbed/scripted"
 	"reachspread/internal/transport"
 )
 
@@ -34,8 +34,8 @@
 	t.Helper()
 	m := New(Options{Balance: balance.Config{Zone: "a", MaxAttempts: 3, Tick: time.Millisecond,
 		Classes: []balance.Class{{Name: "chat", Aim: time.Second, Deadline: time.Second, Streamed: true}}},
-		Connect: time.Second, Idle: time.Minute, Log: make(peers.Lines, 100), Sample: sample})
-	host := peers.NewModel(t, peers.Manner{Silent: true})
+		Connect: time.Second, Idle: time.Minute, Log: make(scripted.Lines, 100), Sample: sample})
+	host := scripted.NewModel(t, scripted.Manner{Silent: true})
 	caps := shadow.Caps{PerSecond: 1000, Out: 4, PerHost: 4, Bytes: 1 << 20, Waiting: 4, Wait: time.Second, Longest: time.Minute}
 	one := settings.Shadow{Pools: []settings.Pool{{Choice: shadow.Choice{Pool: "next", Share: share},
 		Hosts: []settings.Host{{ID: "c0", Addr: host.Addr}}, Sockets: 10, Patience: time.Minute, Silent: time.Minute, AnswerBytes: 32 << 10,
@@ -43,7 +43,7 @@
 			Pressure: shadow.Pressure{Held: 8, Bodies: 0.5, Sockets: 0.7, Late: time.Hour, Refusals: 2, Hard: 2, Grace: time.Second, Calm: time.Second}},
 	}}}
 	t.Cleanup(func() {
-		ctx, stop := context.WithTimeout(context.Background(), peers.Patience)
+		ctx, stop := context.WithTimeout(context.Background(), scripted.Patience)
 		defer stop()
 		m.Close(ctx)
 		if ctx.Err() != nil {
@@ -69,7 +69,7 @@
 		if err := m.Apply(again); err != nil {
 			t.Fatal(err)
 		}
-		for end := time.Now().Add(peers.Patience); !m.pools[0].holds.Load(); time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(scripted.Patience); !m.pools[0].holds.Load(); time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatal("the pool that was made anew has no copier")
 			}
@@ -84,7 +84,7 @@
 			if err != nil {
 				t.Error(err)
 			}
-		case <-time.After(peers.Patience):
+		case <-time.After(scripted.Patience):
 			t.Fatal("the copier goes on without a pool")
 		}
 	}
@@ -93,7 +93,7 @@
 // The live path is looked at while there are pools, and costs nothing while there are none, whatever else the settings have.
 func TestSampledForPools(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := New(Options{Log: make(peers.Lines, 100), Sample: func() shadow.Sample {
+		m := New(Options{Log: make(scripted.Lines, 100), Sample: func() shadow.Sample {
 			t.Error("sampled for nobody")
 			return shadow.Sample{}
 		}})
@@ -119,7 +119,7 @@
 			for range 3 {
 				select {
 				case <-seen:
-				case <-time.After(peers.Patience):
+				case <-time.After(scripted.Patience):
 					t.Fatal("not sampled")
 				}
 			}
@@ -153,15 +153,15 @@
 		c.finish(whole)
 		return c.answer([]byte("key"))
 	}
-	long := strings.Repeat(peers.Event, 3)
-	kept, cut := take(1<<10, long), take(len(peers.Event), long)
+	long := strings.Repeat(scripted.Event, 3)
+	kept, cut := take(1<<10, long), take(len(scripted.Event), long)
 	if kept.Cut || kept.Text != "oqvhoqvhoqvh" || !cut.Cut || cut.Text != "oqvh" || cut.Bytes != int64(len(long)) {
 		t.Errorf("%+v\n%+v", kept, cut)
 	}
-	if again := take(len(peers.Event), peers.Event, peers.Event[:3], peers.Event[3:], peers.Event); again.Digest != cut.Digest {
+	if again := take(len(scripted.Event), scripted.Event, scripted.Event[:3], scripted.Event[3:], scripted.Event); again.Digest != cut.Digest {
 		t.Error("the digest depends on how the answer came")
 	}
-	if other := take(len(peers.Event), peers.Event+strings.ToUpper(peers.Event)+peers.Event); other.Digest == cut.Digest {
+	if other := take(len(scripted.Event), scripted.Event+strings.ToUpper(scripted.Event)+scripted.Event); other.Digest == cut.Digest {
 		t.Error("what was not kept is not in the digest")
 	}
 }
@@ -171,10 +171,10 @@
 	m := tapped(t, 1)
 	p := m.pools[0]
 	m.Leave()
-	peers.Next(t, p.done, "its end")
+	scripted.Next(t, p.done, "its end")
 	granted := make(chan bool, 1)
 	p.post(posted{event: shadow.Seat{Copy: 1, Host: "c0"}, granted: granted})
-	if peers.Next(t, granted, "an answer") || len(p.pending) > 0 {
+	if scripted.Next(t, granted, "an answer") || len(p.pending) > 0 {
 		t.Error("a seat was granted, or waits")
 	}
 	if c, _ := m.Choose("chat", "s", "q", nil); c != nil {
@@ -209,7 +209,7 @@
 	tap := tapped(b, share)
 	var header fasthttp.RequestHeader
 	message := new(transport.Message)
-	piece := []byte(peers.Event)
+	piece := []byte(scripted.Event)
 	b.ReportAllocs()
 	for b.Loop() {
 		w := offered(tap, &header, message)
--- a/internal/mirror/pool.go
+++ b/internal/router/mirror/pool.go
@@ -13,10 +13,10 @@
 
 	"reachspread/balance"
 	"reachspread/internal/protocol"
-	"reachspread/internal/records"
+	"reachspread/internal/router/records"
+	"reachspread/internal/router/settings"
+	"reachspread/internal/router/shadow"
 	"reachspread/internal/routing"
-	"reachspread/internal/settings"
-	"reachspread/internal/shadow"
 	"reachspread/internal/transport"
 )
 
--- a/internal/mirror/sink.go
+++ b/internal/router/mirror/sink.go
@@ -4,9 +4,9 @@
 	"sync/atomic"
 	"time"
 
-	"reachspread/internal/records"
+	"reachspread/internal/router/records"
+	"reachspread/internal/router/settings"
 	"reachspread/internal/routing"
-	"reachspread/internal/settings"
 )
 
 const (
--- a/internal/mirror/status.go
+++ b/internal/router/mirror/status.go
@@ -5,8 +5,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"reachspread/internal/settings"
-	"reachspread/internal/shadow"
+	"reachspread/internal/router/settings"
+	"reachspread/internal/router/shadow"
 )
 
 // Report is the state of all pools, as `shadow status` prints it.
--- a/internal/peering/duties.go
+++ b/internal/router/peering/duties.go
@@ -12,16 +12,16 @@
 
 	"reachspread/coord/members"
 	"reachspread/coord/pacing"
-	"reachspread/internal/duty"
-	"reachspread/internal/quorum"
+	"reachspread/internal/router/lease"
+	"reachspread/internal/router/quorum"
 	"reachspread/internal/routing"
 )
 
 // DutiesConfig is what the duties of a router are told at their start.
 type DutiesConfig struct {
-	Self    duty.Router
-	Times   duty.Times
-	Duties  []duty.Duty
+	Self    lease.Router
+	Times   lease.Times
+	Duties  []lease.Duty
 	Voters  int
 	Replace time.Duration
 	Routers map[string]string // that may vote, with their addresses
@@ -45,10 +45,10 @@
 	keeping sync.Mutex // of one record at a time
 
 	mu      sync.Mutex
-	agent   *duty.Agent
+	agent   *lease.Agent
 	works   map[string]*work
-	duties  atomic.Pointer[[]duty.Duty]            // that there are
-	wishing map[uint32]chan duty.Answer            // that wait for their answers
+	duties  atomic.Pointer[[]lease.Duty]           // that there are
+	wishing map[uint32]chan lease.Answer           // that wait for their answers
 	keeps   func(token uint64, text []byte) uint64 // takes another's record; it returns a higher token that it has
 	wake    chan struct{}
 	view    atomic.Pointer[members.View]
@@ -92,7 +92,7 @@
 type Row struct {
 	Duty    string
 	Holders int
-	Grants  []duty.Grant
+	Grants  []lease.Grant
 	Waiting int
 	Last    string // what changed last, and why
 }
@@ -108,12 +108,12 @@
 
 // NewDuties returns the duties of a router that does not run yet.
 func NewDuties(c DutiesConfig, send func(netip.AddrPort, []byte), log routing.Logger) (*Duties, error) {
-	d := &Duties{c: c, send: send, log: log, at: time.Now(), works: map[string]*work{}, wishing: map[uint32]chan duty.Answer{}, wake: make(chan struct{}, 1), in: make(chan any, mostEvents)}
+	d := &Duties{c: c, send: send, log: log, at: time.Now(), works: map[string]*work{}, wishing: map[uint32]chan lease.Answer{}, wake: make(chan struct{}, 1), in: make(chan any, mostEvents)}
 	err := d.Define(c.Duties)
 	if err != nil {
 		return nil, err
 	}
-	if d.agent, err = duty.NewAgent(duty.AgentConfig{Self: c.Self, Times: c.Times, Voters: c.Order, Seed: c.Seed}); err != nil {
+	if d.agent, err = lease.NewAgent(lease.AgentConfig{Self: c.Self, Times: c.Times, Voters: c.Order, Seed: c.Seed}); err != nil {
 		return nil, err
 	}
 	if c.Folder == "" || !slices.Contains(c.Order, c.Self.Name) {
@@ -134,8 +134,8 @@
 
 // Define has there be these duties from here on. The voters agree on those that are new once their leader is told of them, so a router
 // that wants one may be told until then that there is no such duty, and asks again.
-func (d *Duties) Define(duties []duty.Duty) error {
-	if _, err := duty.NewTable(duties, 0); err != nil {
+func (d *Duties) Define(duties []lease.Duty) error {
+	if _, err := lease.NewTable(duties, 0); err != nil {
 		return err
 	}
 	d.duties.Store(&duties)
@@ -212,16 +212,16 @@
 }
 
 // carry carries out what the agent wants. It is called with mu held.
-func (d *Duties) carry(all []duty.Action) {
+func (d *Duties) carry(all []lease.Action) {
 	for _, a := range all {
 		switch a := a.(type) {
-		case duty.Ask:
+		case lease.Ask:
 			d.ask(a.To, a.Request)
-		case duty.Began:
+		case lease.Began:
 			d.begin(&a)
-		case duty.Ended:
+		case lease.Ended:
 			d.end(a.Duty, a.Why)
-		case duty.Wished:
+		case lease.Wished:
 			d.log.Info("duty wished elsewhere", "duty", a.Duty, "to", a.To)
 			w := d.works[a.Duty]
 			if w == nil {
@@ -240,7 +240,7 @@
 }
 
 // begin starts a duty's work, or lets it go on for longer.
-func (d *Duties) begin(a *duty.Began) {
+func (d *Duties) begin(a *lease.Began) {
 	w := d.works[a.Duty]
 	if w == nil {
 		return
@@ -270,7 +270,7 @@
 		if d.works[a.Duty] != w || w.run != run || w.quit == nil {
 			return // it is over already
 		}
-		to, again := "", duty.Soon
+		to, again := "", lease.Soon
 		if w.wished {
 			to = w.to
 		}
@@ -298,7 +298,7 @@
 }
 
 // ask sends a request to a router that may vote, or has the own voter take it.
-func (d *Duties) ask(to string, q *duty.Request) {
+func (d *Duties) ask(to string, q *lease.Request) {
 	if to == d.c.Self.Name && d.votes.Load() {
 		d.leave(quorum.Asked{From: ownAgent, Request: q})
 		return
@@ -338,7 +338,7 @@
 
 // Take takes a datagram.
 func (d *Duties) Take(from netip.AddrPort, data []byte) {
-	q, r, err := duty.Read(data)
+	q, r, err := lease.Read(data)
 	switch {
 	case err != nil:
 	case q != nil:
@@ -362,7 +362,7 @@
 	return ""
 }
 
-func (d *Duties) heard(from string, r *duty.Reply) {
+func (d *Duties) heard(from string, r *lease.Reply) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if said := d.wishing[r.ID]; said != nil && r.Boot == d.c.Self.Boot && !r.NotLeader {
--- a/internal/peering/duties_test.go
+++ b/internal/router/peering/duties_test.go
@@ -18,8 +18,8 @@
 
 	"reachspread/coord/members"
 	"reachspread/internal/durable"
-	"reachspread/internal/duty"
-	"reachspread/internal/peers"
+	"reachspread/internal/router/lease"
+	"reachspread/internal/testbed/scripted"
 )
 
 var measure = flag.Bool("measure", false, "run the measurements")
@@ -29,7 +29,7 @@
 	t       *testing.T
 	routers []*spot
 	may     int
-	duties  []duty.Duty
+	duties  []lease.Duty
 	lease   time.Duration
 
 	mu    sync.Mutex
@@ -53,19 +53,19 @@
 	d      *Duties
 	stop   context.CancelFunc
 	conn   *net.UDPConn
-	lines  peers.Lines
+	lines  scripted.Lines
 }
 
 // sites counts those that there were. Each has a loopback address of its own: a port that a site has given back, to be taken when a router
 // starts, would else go to whoever asks for any port meanwhile, in this process or another.
 var sites atomic.Uint32
 
-func newSite(t *testing.T, routers, may int, lease time.Duration) *site {
+func newSite(t *testing.T, routers, may int, leaseTime time.Duration) *site {
 	t.Helper()
-	s := &site{t: t, may: may, lease: lease, duties: []duty.Duty{{Name: "work"}}}
+	s := &site{t: t, may: may, lease: leaseTime, duties: []lease.Duty{{Name: "work"}}}
 	ip := net.IPv4(127, 79, 0, byte(sites.Add(1)))
 	for i := range routers {
-		p := &spot{n: i, folder: filepath.Join(t.TempDir(), "disk"), lines: make(peers.Lines, 10_000)}
+		p := &spot{n: i, folder: filepath.Join(t.TempDir(), "disk"), lines: make(scripted.Lines, 10_000)}
 		ln, err := net.Listen("tcp4", net.JoinHostPort(ip.String(), "0"))
 		if err != nil {
 			t.Fatal(err)
@@ -106,7 +106,7 @@
 func (s *site) start(p *spot, wants bool) {
 	s.t.Helper()
 	p.boot++
-	c := DutiesConfig{Self: duty.Router{Name: fmt.Sprint("r", p.n), Boot: uint32(p.n)<<16 | p.boot, Zone: string(rune('a' + p.n%2))}, Times: duty.Usual, Duties: s.duties, Voters: 3,
+	c := DutiesConfig{Self: lease.Router{Name: fmt.Sprint("r", p.n), Boot: uint32(p.n)<<16 | p.boot, Zone: string(rune('a' + p.n%2))}, Times: lease.Usual, Duties: s.duties, Voters: 3,
 		Replace: 2 * time.Second, Routers: map[string]string{}, Seed: uint64(p.n) + 1}
 	c.Times.Lease = s.lease
 	for _, x := range s.routers[:s.may] {
@@ -167,7 +167,7 @@
 // wish has the duty go to a router.
 func (s *site) wish(at *spot, to int) {
 	s.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), peers.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), scripted.Patience)
 	defer cancel()
 	if err := at.d.Wish(ctx, "work", fmt.Sprint("r", to), 0); err != nil {
 		s.t.Error(err)
@@ -177,7 +177,7 @@
 // open waits until so many spans are, and returns them in the order of their tokens.
 func (s *site) open(n int, fits func([]span) bool) []span {
 	s.t.Helper()
-	for end := time.Now().Add(4 * peers.Patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(4 * scripted.Patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		s.mu.Lock()
 		all := slices.DeleteFunc(slices.Clone(s.spans), func(x span) bool { return !x.to.IsZero() })
 		s.mu.Unlock()
@@ -193,7 +193,7 @@
 func TestDutiesByToken(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 4, 3, 2*time.Second)
-	s.duties = []duty.Duty{{Name: "work", Holders: 2}}
+	s.duties = []lease.Duty{{Name: "work", Holders: 2}}
 	for _, p := range s.routers {
 		s.start(p, true)
 	}
@@ -202,7 +202,7 @@
 	for to == held[0].who || to == held[1].who {
 		to++
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), 4*peers.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), 4*scripted.Patience)
 	defer cancel()
 	if err := s.routers[0].d.Wish(ctx, "work", fmt.Sprint("r", to), held[1].token); err != nil {
 		t.Fatal(err)
@@ -223,7 +223,7 @@
 		return nil
 	})
 	for _, p := range s.routers {
-		if err := p.d.Define(append(slices.Clone(s.duties), duty.Duty{Name: "later"})); err != nil {
+		if err := p.d.Define(append(slices.Clone(s.duties), lease.Duty{Name: "later"})); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -235,7 +235,7 @@
 	case <-ctx.Done():
 		t.Error("the duty that came later is not begun")
 	}
-	if err := last.Define([]duty.Duty{{Name: "a b"}}); err == nil {
+	if err := last.Define([]lease.Duty{{Name: "a b"}}); err == nil {
 		t.Error("a duty whose name has a space was taken")
 	}
 }
@@ -251,7 +251,7 @@
 	p.d = nil
 	d.over.Wait()
 	if d.mayVote {
-		for end := time.Now().Add(peers.Patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+		for end := time.Now().Add(scripted.Patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 			if f, err := durable.Lock(p.folder, storeLock); err == nil { // its voter has ended
 				f.Close()
 				break
@@ -263,7 +263,7 @@
 // holder waits until one router alone holds the duty, other than one, and returns it with its span.
 func (s *site) holder(not int) (int, span) {
 	s.t.Helper()
-	for end := time.Now().Add(4 * peers.Patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(4 * scripted.Patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		s.mu.Lock()
 		n, at := 0, span{}
 		for _, x := range s.spans {
@@ -291,7 +291,7 @@
 // leader waits for a leader of the voters that most agree on.
 func (s *site) leader() int {
 	s.t.Helper()
-	for end := time.Now().Add(4 * peers.Patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(4 * scripted.Patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		said := map[string]int{}
 		for _, p := range s.routers[:s.may] {
 			if p.d == nil {
@@ -392,9 +392,9 @@
 		os.RemoveAll(p.folder)
 	}
 	s.tell()
-	for said := ""; !strings.HasPrefix(said, "duties stopped"); said = peers.Next(t, s.routers[2].lines, "that duties have stopped") {
+	for said := ""; !strings.HasPrefix(said, "duties stopped"); said = scripted.Next(t, s.routers[2].lines, "that duties have stopped") {
 	}
-	for end := time.Now().Add(peers.Patience); ; time.Sleep(20 * time.Millisecond) { // the dead may have named a leader a moment ago, which is a reason, too
+	for end := time.Now().Add(scripted.Patience); ; time.Sleep(20 * time.Millisecond) { // the dead may have named a leader a moment ago, which is a reason, too
 		err := ask(2)
 		if err != nil && strings.Contains(err.Error(), "may live") {
 			break
@@ -405,7 +405,7 @@
 	}
 	s.start(s.routers[0], false) // with another disk, which is seen
 	var err error
-	for end := time.Now().Add(peers.Patience); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(scripted.Patience); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		if err = ask(2, "r1"); err == nil {
 			break
 		}
@@ -414,7 +414,7 @@
 		t.Fatal(err)
 	}
 	s.start(s.routers[1], false)
-	for end := time.Now().Add(4 * peers.Patience); ; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(4 * scripted.Patience); ; time.Sleep(10 * time.Millisecond) {
 		if s.mu.Lock(); len(s.spans) > 1 && s.spans[len(s.spans)-1].token > before.token {
 			s.mu.Unlock()
 			break
@@ -438,7 +438,7 @@
 	s := newSite(t, 3, 3, 2*time.Second)
 	s.duties = nil
 	for i := range 16 {
-		s.duties = append(s.duties, duty.Duty{Name: fmt.Sprint("work-", i)})
+		s.duties = append(s.duties, lease.Duty{Name: fmt.Sprint("work-", i)})
 	}
 	for _, p := range s.routers {
 		s.start(p, false)
@@ -537,7 +537,7 @@
 // waiting waits until a router stands in line.
 func (s *site) waiting(n int) {
 	s.t.Helper()
-	for end := time.Now().Add(4 * peers.Patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(4 * scripted.Patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if own := s.routers[n].d.Own(); len(own) > 0 && own[0].Waits {
 			return
 		}
--- a/internal/peering/dutycalls.go
+++ b/internal/router/peering/dutycalls.go
@@ -7,8 +7,8 @@
 	"sync/atomic"
 	"time"
 
-	"reachspread/internal/duty"
-	"reachspread/internal/quorum"
+	"reachspread/internal/router/lease"
+	"reachspread/internal/router/quorum"
 )
 
 // Standing is what the own voter knows, nil where there is none.
@@ -116,11 +116,11 @@
 // Wish has the holder of a duty give it to another router, or to whoever waits: of several the one with that token, 0 for the first. It is asked of all that may vote until their leader has
 // agreed on it with the others, or ctx ends.
 func (d *Duties) Wish(ctx context.Context, name, to string, token uint64) error {
-	if len(name) > duty.MostName || len(to) > duty.MostName {
-		return fmt.Errorf("a duty's and a router's name have %d bytes at most", duty.MostName)
+	if len(name) > lease.MostName || len(to) > lease.MostName {
+		return fmt.Errorf("a duty's and a router's name have %d bytes at most", lease.MostName)
 	}
-	q := &duty.Request{ID: 1<<31 | wishes.Add(1), Command: duty.Command{Kind: duty.Wish, Duty: name, To: to, Token: token, Who: d.c.Self}}
-	said := make(chan duty.Answer, 1)
+	q := &lease.Request{ID: 1<<31 | wishes.Add(1), Command: lease.Command{Kind: lease.Wish, Duty: name, To: to, Token: token, Who: d.c.Self}}
+	said := make(chan lease.Answer, 1)
 	d.mu.Lock()
 	d.wishing[q.ID] = said
 	d.mu.Unlock()
--- a/internal/peering/dutyvoter.go
+++ b/internal/router/peering/dutyvoter.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"reachspread/internal/durable"
-	"reachspread/internal/duty"
-	"reachspread/internal/quorum"
+	"reachspread/internal/router/lease"
+	"reachspread/internal/router/quorum"
 )
 
 // openVoter opens the folder and makes the voter of what it has.
@@ -195,7 +195,7 @@
 // show publishes how things stand.
 func (d *Duties) show(last map[string]string) {
 	s := &Standing{Standing: d.voter.Standing(), Took: time.Now()}
-	d.voter.Table().Each(func(x *duty.Duty, grants []duty.Grant, line []duty.Router, _ []duty.Kept) {
+	d.voter.Table().Each(func(x *lease.Duty, grants []lease.Grant, line []lease.Router, _ []lease.Kept) {
 		if x.ByZone {
 			return
 		}
--- a/internal/peering/golden_test.go
+++ b/internal/router/peering/golden_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"reachspread/internal/duty"
 	"reachspread/internal/golden"
-	"reachspread/internal/peers"
+	"reachspread/internal/router/lease"
+	"reachspread/internal/testbed/scripted"
 )
 
 // goldenPatience bounds a wait for bytes that are on their way.
@@ -30,9 +30,9 @@
 	}
 	own := free.Addr().String()
 	free.Close()
-	d, err := NewDuties(DutiesConfig{Self: duty.Router{Name: "router-1", Boot: 1}, Times: duty.Usual, Duties: []duty.Duty{{Name: ScribeDuty}}, Voters: 1,
+	d, err := NewDuties(DutiesConfig{Self: lease.Router{Name: "router-1", Boot: 1}, Times: lease.Usual, Duties: []lease.Duty{{Name: ScribeDuty}}, Voters: 1,
 		Routers: map[string]string{"router-1": own, "router-2": ln.Addr().String()}, Order: []string{"router-1", "router-2"}, Listen: own, Folder: t.TempDir()},
-		nil, make(peers.Lines, 100))
+		nil, make(scripted.Lines, 100))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/peering/gossip.go
+++ b/internal/router/peering/gossip.go
@@ -13,9 +13,9 @@
 
 	"reachspread/balance"
 	"reachspread/coord/members"
-	"reachspread/internal/duty"
 	"reachspread/internal/protocol"
-	"reachspread/internal/recovery"
+	"reachspread/internal/router/lease"
+	"reachspread/internal/router/recovery"
 	"reachspread/internal/routing"
 )
 
@@ -113,7 +113,7 @@
 			g.members(netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), buf[:n])
 			continue
 		}
-		if g.duties != nil && duty.IsOurs(buf[:n]) {
+		if g.duties != nil && lease.IsOurs(buf[:n]) {
 			g.duties(netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), buf[:n])
 			continue
 		}
--- a/internal/peering/gossip_test.go
+++ b/internal/router/peering/gossip_test.go
@@ -11,9 +11,9 @@
 	"github.com/google/go-cmp/cmp"
 
 	"reachspread/balance"
-	"reachspread/internal/peering"
-	"reachspread/internal/peers"
 	"reachspread/internal/protocol"
+	"reachspread/internal/router/peering"
+	"reachspread/internal/testbed/scripted"
 )
 
 // Datagrams of strangers, cut ones and such of another version are dropped and counted; what comes after them is heard.
@@ -31,7 +31,7 @@
 	own := spare.LocalAddr().String()
 	spare.Close()
 	lines := make(chan string, 10)
-	g, err := peering.NewGossip(own, []string{own, peer.LocalAddr().String()}, false, peers.Lines(lines))
+	g, err := peering.NewGossip(own, []string{own, peer.LocalAddr().String()}, false, scripted.Lines(lines))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,10 +55,10 @@
 	send(peer, make([]byte, 300))
 	send(peer, nil)
 	send(peer, good)
-	if diff := cmp.Diff(balance.Heard{From: 1, Zone: 3, Reports: reports}, peers.Next(t, heard, "reports")); diff != "" {
+	if diff := cmp.Diff(balance.Heard{From: 1, Zone: 3, Reports: reports}, scripted.Next(t, heard, "reports")); diff != "" {
 		t.Error(diff)
 	}
-	if line := peers.Next(t, lines, "a line"); !strings.HasPrefix(line, "datagram dropped") || len(lines) > 0 {
+	if line := scripted.Next(t, lines, "a line"); !strings.HasPrefix(line, "datagram dropped") || len(lines) > 0 {
 		t.Errorf("got the line %q and %d more, want one for the first dropped", line, len(lines))
 	}
 	if unread, _ := g.Dropped(); unread != 5 {
@@ -90,7 +90,7 @@
 		t.Fatal(err)
 	}
 	defer peer.Close()
-	lines := make(peers.Lines, 10)
+	lines := make(scripted.Lines, 10)
 	free, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
@@ -114,7 +114,7 @@
 	}
 	free.Close()
 	to, _ := net.ResolveUDPAddr("udp4", own)
-	for end := time.Now().Add(peers.Patience); ; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(scripted.Patience); ; time.Sleep(5 * time.Millisecond) {
 		peer.WriteToUDP(protocol.AppendPeerReports(nil, 7, nil), to)
 		if len(heard) > 0 {
 			if got := <-heard; got.From != 1 || got.Zone != 7 {
--- a/internal/peering/lines.go
+++ b/internal/router/peering/lines.go
@@ -8,7 +8,7 @@
 	"sync/atomic"
 
 	"reachspread/coord/link"
-	"reachspread/internal/quorum"
+	"reachspread/internal/router/quorum"
 )
 
 // lineKind is the kind of all messages between routers that may vote.
--- a/internal/peering/store.go
+++ b/internal/router/peering/store.go
@@ -17,7 +17,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"reachspread/internal/durable"
-	"reachspread/internal/quorum"
+	"reachspread/internal/router/quorum"
 )
 
 // storeFile is a voter's file in its durable folder; what could not be read is set aside under a second name, one at a time.
--- a/internal/peering/store_test.go
+++ b/internal/router/peering/store_test.go
@@ -9,7 +9,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/testing/protocmp"
 
-	"reachspread/internal/quorum"
+	"reachspread/internal/router/quorum"
 )
 
 func number(n uint64) *uint64 { return &n }
--- a/internal/peering/stored_test.go
+++ b/internal/router/peering/stored_test.go
@@ -14,9 +14,9 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/testing/protocmp"
 
-	"reachspread/internal/duty"
 	"reachspread/internal/golden"
-	"reachspread/internal/quorum"
+	"reachspread/internal/router/lease"
+	"reachspread/internal/router/quorum"
 )
 
 // The files under testdata were written by a store at commit 5bfcc27: WRITE_GOLDEN=1 go test -run Golden. voter.db is the file that it
@@ -26,22 +26,22 @@
 func goldenStored(t *testing.T) *quorum.Stored {
 	t.Helper()
 	nodes := []quorum.Node{{ID: 9, Name: "r1", Zone: "east"}, {ID: 11, Name: "r2", Zone: "west"}}
-	table := duty.State{Token: 77, Duties: []duty.SlotsState{{
-		Duty:   duty.Duty{Name: "copier", Holders: 2, Zones: []string{"east"}, ByZone: true},
-		Grants: []duty.Grant{{Duty: "copier", Holder: duty.Router{Name: "r1", Boot: 5, Zone: "east"}, Token: 76, Renewals: 12, Wish: "r3", Why: duty.InTurn, Pushed: true}},
-		Line:   []duty.Router{{Name: "r4", Boot: 8, Zone: "west"}},
-		Kept:   []duty.Kept{{To: "r3", Token: 74}}}}}
+	table := lease.State{Token: 77, Duties: []lease.SlotsState{{
+		Duty:   lease.Duty{Name: "copier", Holders: 2, Zones: []string{"east"}, ByZone: true},
+		Grants: []lease.Grant{{Duty: "copier", Holder: lease.Router{Name: "r1", Boot: 5, Zone: "east"}, Token: 76, Renewals: 12, Wish: "r3", Why: lease.InTurn, Pushed: true}},
+		Line:   []lease.Router{{Name: "r4", Boot: 8, Zone: "west"}},
+		Kept:   []lease.Kept{{To: "r3", Token: 74}}}}}
 	content, err := json.Marshal(struct { // as package quorum has it
 		Nodes []quorum.Node
-		Table duty.State
+		Table lease.State
 	}{nodes, table})
 	if err != nil {
 		t.Fatal(err)
 	}
 	command, err := json.Marshal(struct {
 		N uint64
-		C duty.Command
-	}{300, duty.Command{Kind: duty.Renew, Duty: "copier", Who: duty.Router{Name: "r1", Boot: 5, Zone: "east"}, Token: 76}})
+		C lease.Command
+	}{300, lease.Command{Kind: lease.Renew, Duty: "copier", Who: lease.Router{Name: "r1", Boot: 5, Zone: "east"}, Token: 76}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/peering/view_test.go
+++ b/internal/router/peering/view_test.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"reachspread/coord/members"
-	"reachspread/internal/peering"
-	"reachspread/internal/peers"
+	"reachspread/internal/router/peering"
+	"reachspread/internal/testbed/scripted"
 )
 
 // Three drivers on sockets find each other; one that leaves is gone, one that ends without a word is lost, with a line.
@@ -29,12 +29,12 @@
 	type driver struct {
 		*peering.View
 		end     context.CancelFunc
-		lines   peers.Lines
+		lines   scripted.Lines
 		changes chan *members.Changed
 	}
 	var all []*driver
 	for i, a := range addrs {
-		x := &driver{lines: make(peers.Lines, 100), changes: make(chan *members.Changed, 100)}
+		x := &driver{lines: make(scripted.Lines, 100), changes: make(chan *members.Changed, 100)}
 		g, err := peering.NewGossip(a, addrs, false, x.lines)
 		if err != nil {
 			t.Fatal(err)
@@ -57,7 +57,7 @@
 	sees := func(x *driver, n int) {
 		t.Helper()
 		for len(x.Now().Members) != n {
-			peers.Next(t, x.changes, fmt.Sprintf("a view of %d", n))
+			scripted.Next(t, x.changes, fmt.Sprintf("a view of %d", n))
 		}
 	}
 	for _, x := range all {
@@ -69,7 +69,7 @@
 		sees(x, 2)
 	}
 	// The figures are published right after the view of the same step.
-	for until := time.Now().Add(peers.Patience); all[0].Figures().Alive != 2 && time.Now().Before(until); {
+	for until := time.Now().Add(scripted.Patience); all[0].Figures().Alive != 2 && time.Now().Before(until); {
 		runtime.Gosched()
 	}
 	if f := all[0].Figures(); f.Deaths != 0 || f.Alive != 2 {
@@ -77,7 +77,7 @@
 	}
 	all[1].end()
 	sees(all[0], 1)
-	if line := peers.Next(t, all[0].lines, "a line"); !strings.HasPrefix(line, "routers lost why=crashed count=1 names=r1") {
+	if line := scripted.Next(t, all[0].lines, "a line"); !strings.HasPrefix(line, "routers lost why=crashed count=1 names=r1") {
 		t.Errorf("got %q", line)
 	}
 }
--- a/internal/beside/beside.go
+++ b/internal/router/processgroup/processgroup.go
@@ -1,8 +1,8 @@
-// Package beside tells a process of the others of its kind that run on the same machine for the same router, and how
+// Package processgroup tells a process of the others of its kind that run on the same machine for the same router, and how
 // many descriptors they hold. Each process locks a byte of one file for as long as it lives. Nothing is ever written
 // there, so whatever a file of that name holds, of an earlier process or of another version, is of no matter; and a
 // process that ends in any way has lost its lock. It imports nothing of ours.
-package beside
+package processgroup
 
 import (
 	"errors"
--- a/internal/program/capture.go
+++ b/internal/router/program/capture.go
@@ -1,6 +1,6 @@
 package program
 
-import "reachspread/internal/capture"
+import "reachspread/internal/router/capture"
 
 // startCapture begins the file that the operators' settings name. It counts from the start: a reload changes nothing of
 // it. A file that can't be begun, as one is there from before a restart, keeps nobody from being served.
--- a/internal/program/config.go
+++ b/internal/router/program/config.go
@@ -13,7 +13,7 @@
 	"reachspread/balance"
 	"reachspread/internal/logging"
 	"reachspread/internal/protocol"
-	"reachspread/internal/settings"
+	"reachspread/internal/router/settings"
 	"reachspread/internal/wire"
 )
 
--- a/internal/program/duties.go
+++ b/internal/router/program/duties.go
@@ -8,17 +8,17 @@
 	"strings"
 	"time"
 
-	"reachspread/internal/duty"
-	"reachspread/internal/management"
-	"reachspread/internal/peering"
-	"reachspread/internal/settings"
+	"reachspread/internal/router/lease"
+	"reachspread/internal/router/management"
+	"reachspread/internal/router/peering"
+	"reachspread/internal/router/settings"
 )
 
 // dutyDrain is the leave to drain, by zone.
 const dutyDrain = "drain"
 
 // dutyConfig is what the block duties comes to. Every router makes the same of the same file.
-func (c *Config) dutyConfig(self duty.Router) peering.DutiesConfig {
+func (c *Config) dutyConfig(self lease.Router) peering.DutiesConfig {
 	s := c.set.Duties
 	d := peering.DutiesConfig{Self: self, Times: s.Times, Voters: s.Voters, Replace: s.Replace, Listen: s.Listen, Folder: s.Folder, Seed: c.seed, Routers: map[string]string{}}
 	for _, r := range s.Routers {
@@ -26,13 +26,13 @@
 		d.Routers[r.Name] = r.Address.String()
 	}
 	if s.Scribe {
-		d.Duties = append(d.Duties, duty.Duty{Name: peering.ScribeDuty})
+		d.Duties = append(d.Duties, lease.Duty{Name: peering.ScribeDuty})
 	}
 	if s.Drains > 0 {
-		d.Duties = append(d.Duties, duty.Duty{Name: dutyDrain, Holders: s.Drains, ByZone: true})
+		d.Duties = append(d.Duties, lease.Duty{Name: dutyDrain, Holders: s.Drains, ByZone: true})
 	}
 	for _, name := range c.set.Copiers() {
-		d.Duties = append(d.Duties, duty.Duty{Name: settings.CopierDuty(name)})
+		d.Duties = append(d.Duties, lease.Duty{Name: settings.CopierDuty(name)})
 	}
 	return d
 }
@@ -54,7 +54,7 @@
 }
 
 // prepareDuties opens what duties need, before the fleet view is there that they follow.
-func (p *Program) prepareDuties(member duty.Router, send *peering.Gossip) (err error) {
+func (p *Program) prepareDuties(member lease.Router, send *peering.Gossip) (err error) {
 	if p.cfg.set.Duties == nil {
 		return nil
 	}
@@ -106,9 +106,9 @@
 		}
 		return nil
 	}
-	all := slices.DeleteFunc(p.cfg.dutyConfig(duty.Router{}).Duties, func(d duty.Duty) bool { return strings.HasPrefix(d.Name, settings.CopierDuty("")) })
+	all := slices.DeleteFunc(p.cfg.dutyConfig(lease.Router{}).Duties, func(d lease.Duty) bool { return strings.HasPrefix(d.Name, settings.CopierDuty("")) })
 	for _, name := range c.set.Copiers() {
-		all = append(all, duty.Duty{Name: settings.CopierDuty(name)})
+		all = append(all, lease.Duty{Name: settings.CopierDuty(name)})
 	}
 	if err := p.duties.Define(all); err != nil {
 		return fmt.Errorf("%s: %w", p.file, err)
--- a/internal/program/exchange_test.go
+++ b/internal/router/program/exchange_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"reachspread/internal/peers"
+	"reachspread/internal/testbed/scripted"
 	"reachspread/internal/transport"
 )
 
@@ -40,7 +40,7 @@
 	ended      chan bool
 }
 
-func newPlatform(t *testing.T, hosts ...*peers.Model) *platformOf {
+func newPlatform(t *testing.T, hosts ...*scripted.Model) *platformOf {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -55,9 +55,9 @@
 	t.Cleanup(func() { f.Close() })
 	var entries []string
 	for i, h := range hosts {
-		entries = append(entries, peers.Entry(fmt.Sprint("s", i), h.Addr, "Ready"))
+		entries = append(entries, scripted.Entry(fmt.Sprint("s", i), h.Addr, "Ready"))
 	}
-	d := peers.NewDiscovery(t, peers.List(1, true, entries...))
+	d := scripted.NewDiscovery(t, scripted.List(1, true, entries...))
 	p.config = configFile(t, "127.0.0.1:1", d.Addr)("ROUTER_CONFIG")
 	return p
 }
@@ -102,7 +102,7 @@
 // yes waits until the process takes clients.
 func (o *one) yes() *one {
 	o.t.Helper()
-	for end := time.Now().Add(peers.Patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(scripted.Patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		c, err := net.Dial("tcp", o.management)
 		if err != nil {
 			continue
@@ -127,7 +127,7 @@
 
 func (o *one) exit(well bool) {
 	o.t.Helper()
-	peers.Next(o.t, o.ended, "the exit")
+	scripted.Next(o.t, o.ended, "the exit")
 	if o.cmd.ProcessState.Success() != well {
 		o.t.Errorf("the process ended with %v", o.cmd.ProcessState)
 	}
@@ -140,7 +140,7 @@
 	asked, wrong, end := 0, []string(nil), make(chan bool)
 	for i := range clients {
 		all.Go(func() {
-			client := &http.Client{Transport: &http.Transport{}, Timeout: peers.Patience}
+			client := &http.Client{Transport: &http.Transport{}, Timeout: scripted.Patience}
 			for n := 0; ; n++ {
 				select {
 				case <-end:
@@ -176,7 +176,7 @@
 // Processes take over from each other under load, two in a row, past one that dies before its yes and leftovers in
 // the folder that they share. No request is refused, closed on or answered twice, and each process ends well.
 func TestProcessIsReplaced(t *testing.T) {
-	hosts := []*peers.Model{peers.NewModel(t, peers.Manner{Events: 3, Gap: 5 * time.Millisecond}), peers.NewModel(t, peers.Manner{Events: 3, Gap: 5 * time.Millisecond})}
+	hosts := []*scripted.Model{scripted.NewModel(t, scripted.Manner{Events: 3, Gap: 5 * time.Millisecond}), scripted.NewModel(t, scripted.Manner{Events: 3, Gap: 5 * time.Millisecond})}
 	p := newPlatform(t, hosts...)
 	write(t, filepath.Join(p.folder, "reachspread.beside"), "cut off leftov")
 	first := p.start().yes()
@@ -209,7 +209,7 @@
 	p := newPlatform(t)
 	for fd, want := range map[string]string{"3": "ROUTER_ACCEPT_FD: descriptor 3 is no listening socket", "77": "ROUTER_ACCEPT_FD: descriptor 77 is no listening socket", "five": `ROUTER_ACCEPT_FD is "five"`} {
 		o := p.start("ROUTER_ACCEPT_FD=" + fd)
-		if line := peers.Next(t, o.log, "a line"); !strings.Contains(line, want) {
+		if line := scripted.Next(t, o.log, "a line"); !strings.Contains(line, want) {
 			t.Errorf("%s: got %q, want %q", fd, line, want)
 		}
 		o.exit(false)
@@ -233,13 +233,13 @@
 		close(stages[0])
 		stages = stages[1:]
 	}
-	host := peers.NewModel(t, peers.Manner{Events: 5, Stages: waits})
+	host := scripted.NewModel(t, scripted.Manner{Events: 5, Stages: waits})
 	p := newPlatform(t, host)
 	first := p.start().yes()
-	client := &http.Client{Transport: &http.Transport{}, Timeout: peers.Patience}
+	client := &http.Client{Transport: &http.Transport{}, Timeout: scripted.Patience}
 	open := func(id string) *http.Response {
 		t.Helper()
-		resp, err := client.Do(peers.Ask(t, p.addr, id, nil))
+		resp, err := client.Do(scripted.Ask(t, p.addr, id, nil))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -257,7 +257,7 @@
 	on()
 	second.leaves()
 	on()
-	want := peers.NewModel(t, peers.Manner{Events: 5})
+	want := scripted.NewModel(t, scripted.Manner{Events: 5})
 	whole := answerOf(t, p, want)
 	for i, resp := range streams {
 		text, err := io.ReadAll(resp.Body)
@@ -267,7 +267,7 @@
 		}
 	}
 	conns := host.Accepted()
-	host.Set(peers.Manner{Events: 5})
+	host.Set(scripted.Manner{Events: 5})
 	for i := range streams {
 		if resp := open(fmt.Sprint("next", i)); resp.StatusCode != 200 {
 			t.Errorf("the next request: %d", resp.StatusCode)
@@ -282,11 +282,11 @@
 	if _, _, _, twice := host.Counts(); twice != nil {
 		t.Errorf("%v had two attempts out", twice)
 	}
-	host.Set(peers.Manner{Events: 5, Hold: hold})
+	host.Set(scripted.Manner{Events: 5, Hold: hold})
 	last := open("last")
 	third.cmd.Process.Signal(syscall.SIGTERM)
 	third.until("phase name=finishing")
-	peers.Give(t, hold, true)
+	scripted.Give(t, hold, true)
 	if text, err := io.ReadAll(last.Body); err != nil || string(text) != whole {
 		t.Errorf("with nobody to go to: %q, %v", text, err)
 	}
@@ -294,10 +294,10 @@
 }
 
 // answerOf returns what a server's answer to the clients' usual prompt is.
-func answerOf(t *testing.T, p *platformOf, host *peers.Model) string {
+func answerOf(t *testing.T, p *platformOf, host *scripted.Model) string {
 	t.Helper()
-	r := peers.Ask(t, host.Addr, "as it is", nil)
-	_, text, err := peers.Do(t, r)
+	r := scripted.Ask(t, host.Addr, "as it is", nil)
+	_, text, err := scripted.Do(t, r)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -306,7 +306,7 @@
 
 func (o *one) until(words string) {
 	o.t.Helper()
-	for !strings.Contains(peers.Next(o.t, o.log, words), words) {
+	for !strings.Contains(scripted.Next(o.t, o.log, words), words) {
 	}
 }
 
@@ -380,14 +380,14 @@
 // With 256 descriptors and 32 MB, in a crowd of silent and asking connections and of callers that say nothing or read
 // nothing, the management address answers each call in time, and a replacement keeps both limits for the two together.
 func TestCrowdsAtSmallLimits(t *testing.T) {
-	host := peers.NewModel(t, peers.Manner{Events: 3})
+	host := scripted.NewModel(t, scripted.Manner{Events: 3})
 	p := newPlatform(t, host)
 	p.limit(32, 256)
 	first := p.start().yes()
 	from := func(int) string { return "127.0.0.1" }
-	mute := peers.NewFlood(p.addr, 200, peers.Mute, from, time.Minute)
+	mute := scripted.NewFlood(p.addr, 200, scripted.Mute, from, time.Minute)
 	defer mute.Stop()
-	asking := peers.NewFlood(p.addr, 20, peers.Asking, from, time.Minute)
+	asking := scripted.NewFlood(p.addr, 20, scripted.Asking, from, time.Minute)
 	defer asking.Stop()
 	for i := range 2 * transport.MostCallers {
 		c, err := net.Dial("tcp", first.management)
@@ -405,7 +405,7 @@
 			t.Fatal(err)
 		}
 		defer c.Close()
-		c.SetDeadline(begun.Add(peers.Patience))
+		c.SetDeadline(begun.Add(scripted.Patience))
 		io.WriteString(c, "vars\n")
 		text, err := io.ReadAll(c)
 		if took := time.Since(begun); err != nil || !strings.HasPrefix(string(text), "+OK\n") || !strings.HasSuffix(string(text), "\n.\n") || took > time.Second {
@@ -450,10 +450,10 @@
 // nothing with it that it was not given: streams end where they are, and a third process serves.
 func TestReplacementThatDies(t *testing.T) {
 	hold := make(chan bool)
-	host := peers.NewModel(t, peers.Manner{Events: 5, Hold: hold})
+	host := scripted.NewModel(t, scripted.Manner{Events: 5, Hold: hold})
 	p := newPlatform(t, host)
 	first := p.start().yes()
-	resp, err := http.DefaultClient.Do(peers.Ask(t, p.addr, "q", nil))
+	resp, err := http.DefaultClient.Do(scripted.Ask(t, p.addr, "q", nil))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -469,11 +469,11 @@
 	first.cmd.Process.Signal(syscall.SIGTERM)
 	first.until("phase name=finishing")
 	third := p.start().yes()
-	host.Set(peers.Manner{Events: 5})
-	if status, _, err := peers.Do(t, peers.Ask(t, p.addr, "next", nil)); status != 200 || err != nil {
+	host.Set(scripted.Manner{Events: 5})
+	if status, _, err := scripted.Do(t, scripted.Ask(t, p.addr, "next", nil)); status != 200 || err != nil {
 		t.Errorf("the third process: %d, %v", status, err)
 	}
-	peers.Give(t, hold, true)
+	scripted.Give(t, hold, true)
 	if text, err := io.ReadAll(resp.Body); err != nil || !strings.Contains(string(text), "[DONE]") {
 		t.Errorf("the stream that was out: %q, %v", text, err)
 	}
@@ -495,7 +495,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(peers.Patience))
+	c.SetDeadline(time.Now().Add(scripted.Patience))
 	io.WriteString(c, line+"\n")
 	text, err := io.ReadAll(c)
 	if err != nil {
--- a/internal/program/forms_test.go
+++ b/internal/router/program/forms_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"reachspread/internal/formtest"
+	"reachspread/internal/testbed/formtest"
 )
 
 // The file of ROUTER_CONFIG, the lines that commands print as JSON, the status of admission and the fleet's record have the same fields.
--- a/internal/program/measure_test.go
+++ b/internal/router/program/measure_test.go
@@ -22,7 +22,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"reachspread/internal/peers"
+	"reachspread/internal/testbed/scripted"
 )
 
 // The measurements run the program as a process of its own, on one core, against stand-ins in this one. They are not
@@ -70,7 +70,7 @@
 	return fmt.Sprintf("127.%d.%d.%d", 64+id>>16&0x3f, id>>8&0xff, id&0xff)
 }
 
-func startRouter(t *testing.T, binary string, live []*peers.Model, args ...string) *process {
+func startRouter(t *testing.T, binary string, live []*scripted.Model, args ...string) *process {
 	t.Helper()
 	ln, err := net.Listen("tcp", ownAddress()+":0")
 	if err != nil {
@@ -80,11 +80,11 @@
 	return startRouterAt(t, ln.Addr().String(), binary, live, args...)
 }
 
-func startRouterAt(t *testing.T, addr, binary string, live []*peers.Model, args ...string) *process {
+func startRouterAt(t *testing.T, addr, binary string, live []*scripted.Model, args ...string) *process {
 	t.Helper()
 	var entries []string
 	for i, h := range live {
-		entries = append(entries, peers.Entry(fmt.Sprint("s", i), h.Addr, "Ready"))
+		entries = append(entries, scripted.Entry(fmt.Sprint("s", i), h.Addr, "Ready"))
 	}
 	p := launchRouter(t, addr, binary, entries, args...)
 	p.until("serving")
@@ -94,7 +94,7 @@
 // launchRouter starts a router before a list, and waits for nothing.
 func launchRouter(t *testing.T, addr, binary string, entries []string, args ...string) *process {
 	t.Helper()
-	d := peers.NewDiscovery(t, peers.List(1, true, entries...))
+	d := scripted.NewDiscovery(t, scripted.List(1, true, entries...))
 	env := configFile(t, `"sockets":1024`, fmt.Sprintf(`"sockets":%d`, sockets),
 		`"connectTimeoutNs":50000000`, fmt.Sprintf(`"connectTimeoutNs":%d`, connectFor.Nanoseconds()))
 	management, err := net.Listen("tcp", "127.0.0.1:0")
@@ -125,7 +125,7 @@
 func (p *process) until(words string) {
 	p.t.Helper()
 	for {
-		line := peers.Next(p.t, p.log, words)
+		line := scripted.Next(p.t, p.log, words)
 		if line == "" {
 			p.t.Fatalf("the router ended before %q", words)
 		}
@@ -185,7 +185,7 @@
 		due := start.Add(time.Duration(at * float64(time.Second)))
 		time.Sleep(time.Until(due))
 		all.Go(func() {
-			r := peers.Ask(t, addr, fmt.Sprint(name, i), map[string]string{"X-Session-Key": fmt.Sprint(name, i/3)})
+			r := scripted.Ask(t, addr, fmt.Sprint(name, i), map[string]string{"X-Session-Key": fmt.Sprint(name, i/3)})
 			body := strings.Repeat("order ", 300) + fmt.Sprint(i)
 			r.Body, r.ContentLength = io.NopCloser(strings.NewReader(body)), int64(len(body))
 			resp, err := client.Do(r)
@@ -215,9 +215,9 @@
 	return first, failed
 }
 
-func models(t *testing.T, n int, m peers.Manner) (hosts []*peers.Model) {
+func models(t *testing.T, n int, m scripted.Manner) (hosts []*scripted.Model) {
 	for range n {
-		hosts = append(hosts, peers.NewModel(t, m))
+		hosts = append(hosts, scripted.NewModel(t, m))
 	}
 	return hosts
 }
@@ -228,8 +228,8 @@
 	if !*measure {
 		t.Skip("a measurement; see docs/measurements/")
 	}
-	manner := peers.Manner{First: 10 * time.Millisecond, Gap: 3 * time.Millisecond, Events: 20}
-	slow := peers.Manner{First: 200 * time.Millisecond, Gap: 60 * time.Millisecond, Events: 20}
+	manner := scripted.Manner{First: 10 * time.Millisecond, Gap: 3 * time.Millisecond, Events: 20}
+	slow := scripted.Manner{First: 200 * time.Millisecond, Gap: 60 * time.Millisecond, Events: 20}
 	live, candidates := models(t, 4, manner), models(t, 2, manner)
 	dir := t.TempDir()
 	records := filepath.Join(dir, "records")
@@ -264,7 +264,7 @@
 	p := startRouter(t, buildRouter(t), live, "--settings", path)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 200}}
 	load200(t, client, p.addr, "warm-up", 3, *rate)
-	turn := func(name, s string, manner peers.Manner) *hdrhistogram.Histogram {
+	turn := func(name, s string, manner scripted.Manner) *hdrhistogram.Histogram {
 		share(s)
 		for _, c := range candidates {
 			c.Set(manner)
@@ -304,7 +304,7 @@
 		return h
 	}
 	kinds := []string{"on", "killed and revived", "slow", "silent"}
-	manners := map[string]peers.Manner{"on": manner, "killed and revived": manner, "slow": slow, "silent": {Silent: true}}
+	manners := map[string]scripted.Manner{"on": manner, "killed and revived": manner, "slow": slow, "silent": {Silent: true}}
 	sums := map[string]*hdrhistogram.Histogram{}
 	sum := func(kind string, h *hdrhistogram.Histogram) {
 		if sums[kind] == nil {
@@ -355,7 +355,7 @@
 	if !*measure || *binaries == "" {
 		t.Skip("a measurement; see docs/measurements/")
 	}
-	live := models(t, *hostsNo, peers.Manner{First: 10 * time.Millisecond, Gap: 3 * time.Millisecond, Events: 20})
+	live := models(t, *hostsNo, scripted.Manner{First: 10 * time.Millisecond, Gap: 3 * time.Millisecond, Events: 20})
 	for range *rounds {
 		for _, binary := range strings.Split(*binaries, ",") {
 			p := startRouter(t, binary, live)
@@ -378,16 +378,16 @@
 var floods = []struct {
 	name    string
 	clients int
-	harm    peers.Harm
+	harm    scripted.Harm
 	from    func(i int) string
 }{
-	{"no flood", 0, peers.Mute, nil},
-	{"500 silent, one address", 500, peers.Mute, oneAddress},
-	{"500 asking, one address", 500, peers.Asking, oneAddress},
-	{"500 asking, 500 addresses", 500, peers.Asking, manyAddresses},
-	{"2000 silent, 2000 addresses", 2000, peers.Mute, manyAddresses},
-	{"50 connect and close", 50, peers.Flapping, manyAddresses},
-	{"200 trickling", 200, peers.Trickling, manyAddresses},
+	{"no flood", 0, scripted.Mute, nil},
+	{"500 silent, one address", 500, scripted.Mute, oneAddress},
+	{"500 asking, one address", 500, scripted.Asking, oneAddress},
+	{"500 asking, 500 addresses", 500, scripted.Asking, manyAddresses},
+	{"2000 silent, 2000 addresses", 2000, scripted.Mute, manyAddresses},
+	{"50 connect and close", 50, scripted.Flapping, manyAddresses},
+	{"200 trickling", 200, scripted.Trickling, manyAddresses},
 }
 
 func oneAddress(int) string      { return "127.0.0.2" }
@@ -411,7 +411,7 @@
 			if !strings.Contains(fl.name, *floodName) {
 				continue
 			}
-			live := models(t, 4, peers.Manner{First: 30 * time.Millisecond, Events: 2})
+			live := models(t, 4, scripted.Manner{First: 30 * time.Millisecond, Events: 2})
 			var args []string
 			if *admissionFile != "" {
 				args = []string{"--settings", *admissionFile}
@@ -480,7 +480,7 @@
 		t.Fatal(err)
 	}
 	f := floods[which]
-	flood := peers.NewFlood(words[0], f.clients, f.harm, f.from, time.Minute)
+	flood := scripted.NewFlood(words[0], f.clients, f.harm, f.from, time.Minute)
 	io.Copy(io.Discard, os.Stdin) // until the measurement ends it
 	flood.Stop()
 	fmt.Println("flood:", flood.Summary())
@@ -492,7 +492,7 @@
 	if !*measure {
 		t.Skip("a measurement; see docs/measurements/")
 	}
-	live := models(t, 4, peers.Manner{Events: 2})
+	live := models(t, 4, scripted.Manner{Events: 2})
 	p := startRouter(t, buildRouter(t), live, "--settings", *admissionFile)
 	ask := func(times int, more string, want int) time.Duration {
 		before, _ := p.used()
@@ -524,7 +524,7 @@
 
 // askFrom asks once from an address other than that of known clients, unless there is a word of theirs.
 func askFrom(addr, id, more string) (status int) {
-	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(oneAddress(0))}, Timeout: 3 * time.Second, Control: peers.PortLater}
+	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(oneAddress(0))}, Timeout: 3 * time.Second, Control: scripted.PortLater}
 	if more != "" {
 		dialer = net.Dialer{Timeout: 3 * time.Second}
 	}
@@ -534,7 +534,7 @@
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(5 * time.Second))
-	io.WriteString(c, peers.AskText(id, more))
+	io.WriteString(c, scripted.AskText(id, more))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		return 0
@@ -580,7 +580,7 @@
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(10 * time.Second))
-	if _, err := io.WriteString(c, peers.AskText(id, "X-Client: tool-1\r\n")); err != nil {
+	if _, err := io.WriteString(c, scripted.AskText(id, "X-Client: tool-1\r\n")); err != nil {
 		return 0, 0
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
--- a/internal/program/peers.go
+++ b/internal/router/program/peers.go
@@ -12,9 +12,9 @@
 
 	"reachspread/balance"
 	"reachspread/coord/members"
-	"reachspread/internal/duty"
-	"reachspread/internal/management"
-	"reachspread/internal/peering"
+	"reachspread/internal/router/lease"
+	"reachspread/internal/router/management"
+	"reachspread/internal/router/peering"
 	"reachspread/internal/routing"
 )
 
@@ -90,7 +90,7 @@
 		m := p.cfg.member()
 		m.Incarnation = p.kept.incarnation()
 		p.zone = m.Zone
-		if err := p.prepareDuties(duty.Router{Name: m.Name, Boot: m.Boot, Zone: m.Zone}, gossip); err != nil {
+		if err := p.prepareDuties(lease.Router{Name: m.Name, Boot: m.Boot, Zone: m.Zone}, gossip); err != nil {
 			return err
 		}
 		numbers := map[netip.AddrPort]int{}
--- a/internal/program/processlimits.go
+++ b/internal/router/program/processlimits.go
@@ -5,7 +5,7 @@
 	"runtime/debug"
 	"time"
 
-	"reachspread/internal/beside"
+	"reachspread/internal/router/processgroup"
 )
 
 // processLimits is what this process may take up by now, of what its router may.
@@ -34,7 +34,7 @@
 
 // processLimits divides the limits, with what the operators' settings need set aside first. Each client may need a second
 // connection to a server.
-func (c *Config) processLimits(o beside.Others) processLimits {
+func (c *Config) processLimits(o processgroup.Others) processLimits {
 	memory := int64(c.Limits.MemoryMB) << 20
 	beside := heapShare * float64(memory-programBytes)
 	r := processLimits{bodies: int(memory / 4), heap: int64(min(memoryShare*float64(memory), beside))}
@@ -56,16 +56,16 @@
 }
 
 // clients returns how many client connections fit a process that is alone.
-func (c *Config) clients() int { return c.processLimits(beside.Others{}).clients }
+func (c *Config) clients() int { return c.processLimits(processgroup.Others{}).clients }
 
 // join finds out whether another process of this router runs, as one does while it is being replaced.
-func (p *Program) join() (o beside.Others) {
+func (p *Program) join() (o processgroup.Others) {
 	folder := p.getenv("TMPDIR")
 	if p.cfg.acceptFD == 0 || folder == "" {
 		return o
 	}
 	var err error
-	if p.place, err = beside.Join(folder); err != nil {
+	if p.place, err = processgroup.Join(folder); err != nil {
 		p.log.Warn("limits not shared", "cause", err)
 		return o
 	}
@@ -73,7 +73,7 @@
 }
 
 // fit keeps to what other processes leave until this one is alone, or ctx ends.
-func (p *Program) fit(ctx context.Context, o beside.Others) {
+func (p *Program) fit(ctx context.Context, o processgroup.Others) {
 	ticker := time.NewTicker(besideEvery)
 	defer ticker.Stop()
 	for {
@@ -105,7 +105,7 @@
 
 // yield leaves half of the limits to the process that takes over.
 func (p *Program) yield() {
-	half := p.cfg.processLimits(beside.Others{Processes: 1, Unseen: true})
+	half := p.cfg.processLimits(processgroup.Others{Processes: 1, Unseen: true})
 	debug.SetMemoryLimit(half.heap)
 	p.servers.Limit(half.servers)
 }
--- a/internal/program/program.go
+++ b/internal/router/program/program.go
@@ -12,12 +12,12 @@
 	"time"
 
 	"reachspread/balance"
-	"reachspread/internal/beside"
-	"reachspread/internal/capture"
-	"reachspread/internal/mirror"
-	"reachspread/internal/peering"
 	"reachspread/internal/protocol"
-	"reachspread/internal/recovery"
+	"reachspread/internal/router/capture"
+	"reachspread/internal/router/mirror"
+	"reachspread/internal/router/peering"
+	"reachspread/internal/router/processgroup"
+	"reachspread/internal/router/recovery"
 	"reachspread/internal/routing"
 	"reachspread/internal/transport"
 )
@@ -52,7 +52,7 @@
 
 	management    *transport.Management         // the management address, nil without an address
 	inherited     bool                          // ln is also others'
-	place         *beside.Place                 // among the processes of this router, nil where there is but one
+	place         *processgroup.Place           // among the processes of this router, nil where there is but one
 	receiver      *transport.Receiver           // of another process's connections, nil without a folder to share
 	mover         *transport.Mover              // of this one's, nil while it stays
 	processLimits atomic.Pointer[processLimits] // that this process takes up
@@ -96,7 +96,7 @@
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	alone := p.cfg.processLimits(beside.Others{})
+	alone := p.cfg.processLimits(processgroup.Others{})
 	servers := transport.NewServers(transport.ServerLimits{Connect: p.cfg.connectFor(),
 		Keepalive:   time.Duration(p.cfg.Settings.Limits.KeepaliveNs),
 		Silent:      silentFor,
--- a/internal/program/program_test.go
+++ b/internal/router/program/program_test.go
@@ -15,9 +15,9 @@
 	"pgregory.net/rapid"
 
 	"reachspread/internal/admission"
-	"reachspread/internal/beside"
-	"reachspread/internal/peers"
 	"reachspread/internal/protocol"
+	"reachspread/internal/router/processgroup"
+	"reachspread/internal/testbed/scripted"
 )
 
 const platform = `{"az":"a","quantumNs":5000000,"services":[{"name":"chat","effect":"safe","streaming":true,` +
@@ -29,7 +29,7 @@
 func configFile(t testing.TB, pairs ...string) func(string) string {
 	t.Helper()
 	text := `{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",` +
-		`"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":` + peers.List(1, true) + `,"settings":` + platform + `}`
+		`"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":` + scripted.List(1, true) + `,"settings":` + platform + `}`
 	for i := 0; i < len(pairs); i += 2 {
 		if !strings.Contains(text, pairs[i]) {
 			t.Fatalf("the configuration has no %q", pairs[i])
@@ -100,8 +100,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if n := c.clients(); 2*n+otherSockets > c.Limits.Sockets || 4*c.processLimits(beside.Others{}).bodies > c.Limits.MemoryMB<<20 {
-		t.Errorf("%d clients with %d bytes do not fit %+v", n, c.processLimits(beside.Others{}).bodies, c.Limits)
+	if n := c.clients(); 2*n+otherSockets > c.Limits.Sockets || 4*c.processLimits(processgroup.Others{}).bodies > c.Limits.MemoryMB<<20 {
+		t.Errorf("%d clients with %d bytes do not fit %+v", n, c.processLimits(processgroup.Others{}).bodies, c.Limits)
 	}
 }
 
@@ -136,7 +136,7 @@
 			}
 			return // they do not fit, and it is said
 		}
-		ledger := c.shares(c.processLimits(beside.Others{}))
+		ledger := c.shares(c.processLimits(processgroup.Others{}))
 		if ledger.Shares() > ledger.Limit || ledger.Limit != c.Limits.Sockets {
 			t.Errorf("shares of %d under a limit of %d: %+v", ledger.Shares(), ledger.Limit, ledger)
 		}
@@ -153,9 +153,9 @@
 // was taken is finished, and the program ends by itself.
 func TestPhases(t *testing.T) {
 	more := make(chan bool)
-	s := peers.NewServer(t, peers.Held(more))
-	d := peers.NewDiscovery(t, peers.List(1, true))
-	lines := make(peers.Lines, 20)
+	s := scripted.NewServer(t, scripted.Held(more))
+	d := scripted.NewDiscovery(t, scripted.List(1, true))
+	lines := make(scripted.Lines, 20)
 	env := configFile(t, "127.0.0.1:1", d.Addr)
 	p := New(load(t, env), env, "", lines)
 	ctx, sigterm := context.WithCancel(context.Background())
@@ -164,12 +164,12 @@
 	go func() { exit <- p.Run(ctx, nil) }()
 	enter := func(phase Phase) {
 		t.Helper()
-		if got := peers.Next(t, lines, string(phase)); got != fmt.Sprintf("phase name=%s", phase) || p.Phase() != phase {
+		if got := scripted.Next(t, lines, string(phase)); got != fmt.Sprintf("phase name=%s", phase) || p.Phase() != phase {
 			t.Fatalf("got the line %q and phase %s, want %s", got, p.Phase(), phase)
 		}
 	}
 	enter(Listing)
-	d.Tell(t, peers.List(2, true, peers.Entry("s0", s.Addr, "Ready")))
+	d.Tell(t, scripted.List(2, true, scripted.Entry("s0", s.Addr, "Ready")))
 	enter(Serving)
 
 	addr := p.ln.Addr().String()
@@ -179,7 +179,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if status, _, _ := peers.Do(t, r); status != want {
+		if status, _, _ := scripted.Do(t, r); status != want {
 			t.Errorf("/-/ready answers %d, want %d", status, want)
 		}
 	}
@@ -191,7 +191,7 @@
 	}
 	ends := make(chan end, 2)
 	ask := func(id string) {
-		resp, err := http.DefaultClient.Do(peers.Ask(t, addr, id, nil))
+		resp, err := http.DefaultClient.Do(scripted.Ask(t, addr, id, nil))
 		if err != nil {
 			ends <- end{err: err}
 			return
@@ -201,19 +201,19 @@
 		ends <- end{resp.Close, string(body), err}
 	}
 	go ask("before")
-	peers.Next(t, s.Requests, "the first attempt")
+	scripted.Next(t, s.Requests, "the first attempt")
 	sigterm()
 	enter(Leaving)
 	ready(503)
 	go ask("after")
-	peers.Next(t, s.Requests, "an attempt while leaving")
+	scripted.Next(t, s.Requests, "an attempt while leaving")
 	enter(Finishing)
-	peers.Give(t, more, true)
-	peers.Give(t, more, true)
+	scripted.Give(t, more, true)
+	scripted.Give(t, more, true)
 	closes := 0
 	for range 2 {
-		e := peers.Next(t, ends, "an answer")
-		if e.err != nil || e.body != peers.Event+peers.Done {
+		e := scripted.Next(t, ends, "an answer")
+		if e.err != nil || e.body != scripted.Event+scripted.Done {
 			t.Errorf("got %q, %v; want it whole", e.body, e.err)
 		}
 		if e.close {
@@ -224,7 +224,7 @@
 		t.Error("no answer given while leaving ended its connection")
 	}
 	enter(Stopped)
-	if err := peers.Next(t, exit, "exit"); err != nil {
+	if err := scripted.Next(t, exit, "exit"); err != nil {
 		t.Error(err)
 	}
 }
@@ -233,17 +233,17 @@
 // the whole list there although its versions begin lower. A bad file changes nothing, and a stream goes on.
 func TestReload(t *testing.T) {
 	more := make(chan bool)
-	s := peers.NewServer(t, peers.Held(more))
-	fresh := peers.NewServer(t, peers.Answer(peers.Whole()))
-	d := peers.NewDiscovery(t, peers.List(41, true, peers.Entry("s0", s.Addr, "Ready")))
-	d2 := peers.NewDiscovery(t, peers.List(7, true, peers.Entry("s1", fresh.Addr, "Ready")))
+	s := scripted.NewServer(t, scripted.Held(more))
+	fresh := scripted.NewServer(t, scripted.Answer(scripted.Whole()))
+	d := scripted.NewDiscovery(t, scripted.List(41, true, scripted.Entry("s0", s.Addr, "Ready")))
+	d2 := scripted.NewDiscovery(t, scripted.List(7, true, scripted.Entry("s1", fresh.Addr, "Ready")))
 	file := configFile(t, "127.0.0.1:1", d.Addr)
 	path := file("ROUTER_CONFIG")
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	lines := make(peers.Lines, 20)
+	lines := make(scripted.Lines, 20)
 	env := func(name string) string {
 		if name == "ROUTER_DISCOVERY" {
 			return d.Addr
@@ -257,7 +257,7 @@
 	go func() { exit <- p.Run(ctx, sighup) }()
 	expect := func(want string) {
 		t.Helper()
-		if got := peers.Next(t, lines, want); !strings.HasPrefix(got, want) {
+		if got := scripted.Next(t, lines, want); !strings.HasPrefix(got, want) {
 			t.Fatalf("got the line %q, want %q", got, want)
 		}
 	}
@@ -265,10 +265,10 @@
 	expect("phase name=serving")
 	ends := make(chan string, 1)
 	go func() {
-		_, body, err := peers.Do(t, peers.Ask(t, p.ln.Addr().String(), "held", nil))
+		_, body, err := scripted.Do(t, scripted.Ask(t, p.ln.Addr().String(), "held", nil))
 		ends <- fmt.Sprint(body, err)
 	}()
-	peers.Next(t, s.Requests, "an attempt")
+	scripted.Next(t, s.Requests, "an attempt")
 
 	for _, bad := range []string{"{", strings.Replace(string(text), d.Addr, "nowhere", 1)} {
 		write(t, path, bad)
@@ -279,33 +279,37 @@
 	sighup <- syscall.SIGHUP
 	expect("reloaded discovery=" + d2.Addr)
 	for _, want := range []string{"/api/targets", "/api/targets?index=7&wait=5000"} {
-		if got := peers.Next(t, d2.Calls, want); got != want {
+		if got := scripted.Next(t, d2.Calls, want); got != want {
 			t.Errorf("the new discovery was asked for %s, want %s", got, want)
 		}
 	}
-	if status, body, err := peers.Do(t, peers.Ask(t, p.ln.Addr().String(), "q", nil)); status != 200 || err != nil {
+	if status, body, err := scripted.Do(t, scripted.Ask(t, p.ln.Addr().String(), "q", nil)); status != 200 || err != nil {
 		t.Errorf("after the reload: got %d %q, %v; want it served by the new list", status, body, err)
 	}
-	peers.Give(t, more, true)
-	if got := peers.Next(t, ends, "the held answer"); got != peers.Event+peers.Done+"<nil>" {
+	scripted.Give(t, more, true)
+	if got := scripted.Next(t, ends, "the held answer"); got != scripted.Event+scripted.Done+"<nil>" {
 		t.Errorf("the stream that was out ended with %q", got)
 	}
 	sigterm()
 	expect("phase name=leaving")
-	if err := peers.Next(t, exit, "exit"); err != nil {
+	if err := scripted.Next(t, exit, "exit"); err != nil {
 		t.Error(err)
 	}
 }
 
 // The page for on-call staff has the words of every line that the network code logs.
 func TestLogLinesAreDocumented(t *testing.T) {
-	page, err := os.ReadFile("../../docs/oncall.md")
+	page, err := os.ReadFile("../../../docs/oncall.md")
 	if err != nil {
 		t.Fatal(err)
 	}
-	files, err := filepath.Glob("../*/*.go")
-	if err != nil {
-		t.Fatal(err)
+	var files []string
+	for _, pattern := range []string{"../../*/*.go", "../../*/*/*.go", "../../*/*/*/*.go"} {
+		matches, err := filepath.Glob(pattern)
+		if err != nil {
+			t.Fatal(err)
+		}
+		files = append(files, matches...)
 	}
 	found := 0
 	for _, file := range files {
--- a/internal/program/recovery_test.go
+++ b/internal/router/program/recovery_test.go
@@ -12,8 +12,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"reachspread/internal/peers"
-	"reachspread/internal/snapshot"
+	"reachspread/internal/router/snapshot"
+	"reachspread/internal/testbed/scripted"
 )
 
 func recoverySettings(t *testing.T, folder string) string {
@@ -37,15 +37,15 @@
 func TestTwoOnOneFolder(t *testing.T) {
 	t.Parallel()
 	binary, folder := buildRouter(t), t.TempDir()
-	host := peers.NewModel(t, peers.Manner{Events: 1})
+	host := scripted.NewModel(t, scripted.Manner{Events: 1})
 	settings := recoverySettings(t, folder)
-	first := startRouter(t, binary, []*peers.Model{host}, "--settings", settings)
-	second := launchRouter(t, freeAddr(t), binary, []string{peers.Entry("s0", host.Addr, "Ready")}, "--settings", settings)
+	first := startRouter(t, binary, []*scripted.Model{host}, "--settings", settings)
+	second := launchRouter(t, freeAddr(t), binary, []string{scripted.Entry("s0", host.Addr, "Ready")}, "--settings", settings)
 	second.until(fmt.Sprintf("another process has it: number %d", first.cmd.Process.Pid))
 	if err := second.cmd.Wait(); err == nil || second.cmd.ProcessState.ExitCode() != 1 {
 		t.Errorf("the second ended with %v", second.cmd.ProcessState)
 	}
-	if status, _, _ := peers.Do(t, peers.Ask(t, first.addr, "q", nil)); status != 200 {
+	if status, _, _ := scripted.Do(t, scripted.Ask(t, first.addr, "q", nil)); status != 200 {
 		t.Errorf("the first answers %d", status)
 	}
 }
@@ -55,14 +55,14 @@
 	if !*measure {
 		t.Skip("a measurement; see docs/measurements/")
 	}
-	live := models(t, 4, peers.Manner{First: 10 * time.Millisecond, Gap: 3 * time.Millisecond, Events: 20})
+	live := models(t, 4, scripted.Manner{First: 10 * time.Millisecond, Gap: 3 * time.Millisecond, Events: 20})
 	var entries []string
 	for i := range 1000 {
 		state := "Terminating"
 		if i < len(live) {
 			state = "Ready"
 		}
-		entries = append(entries, peers.Entry(fmt.Sprint("s", i), live[i%len(live)].Addr, state))
+		entries = append(entries, scripted.Entry(fmt.Sprint("s", i), live[i%len(live)].Addr, state))
 	}
 	binary, folder := buildRouter(t), t.TempDir()
 	routers := map[string]*process{}
--- a/internal/program/reload_test.go
+++ b/internal/router/program/reload_test.go
@@ -11,7 +11,7 @@
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 
-	"reachspread/internal/peers"
+	"reachspread/internal/testbed/scripted"
 )
 
 // second is a class more for the configuration.
@@ -117,17 +117,17 @@
 // has the new settings, and a broken file changes nothing. Each signal is one count.
 func TestSettingsChangeUnderWay(t *testing.T) {
 	hold := make(chan bool)
-	host := peers.NewModel(t, peers.Manner{Events: 2, Hold: hold})
-	s := startServed(t, []string{peers.Entry("s0", host.Addr, "Ready")})
+	host := scripted.NewModel(t, scripted.Manner{Events: 2, Hold: hold})
+	s := startServed(t, []string{scripted.Entry("s0", host.Addr, "Ready")})
 	s.until("phase name=serving")
 	ends := make(chan string, 1)
 	go func() {
-		status, body, err := peers.Do(t, peers.Ask(t, s.addr(), "before", nil))
+		status, body, err := scripted.Do(t, scripted.Ask(t, s.addr(), "before", nil))
 		ends <- fmt.Sprintln(status, strings.Contains(body, "[DONE]"), err)
 	}()
-	peers.Next(t, host.Started, "an attempt")
+	scripted.Next(t, host.Started, "an attempt")
 	ask := func(id, class string) int {
-		status, _, _ := peers.Do(t, peers.Ask(t, s.addr(), id, map[string]string{"X-Service-Class": class}))
+		status, _, _ := scripted.Do(t, scripted.Ask(t, s.addr(), id, map[string]string{"X-Service-Class": class}))
 		return status
 	}
 	reload := func(want string, changes ...string) {
@@ -143,21 +143,21 @@
 		t.Errorf("a class that is not there yet: got %d", got)
 	}
 	reload("reloaded", `"services":[`, `"services":[`+second+`,`)
-	host.Set(peers.Manner{Events: 2})
+	host.Set(scripted.Manner{Events: 2})
 	if got := ask("new", "chat-v2"); got != 200 {
 		t.Errorf("a class that appeared: got %d", got)
 	}
-	host.Set(peers.Manner{Status: 500})
+	host.Set(scripted.Manner{Status: 500})
 	if got := ask("unsafe", "chat-v2"); got != 502 {
 		t.Errorf("an unsafe class: got %d, want a failure, as it may have run", got)
 	}
-	host.Set(peers.Manner{Events: 2})
+	host.Set(scripted.Manner{Events: 2})
 	reload("reloaded", `"name":"chat"`, `"name":"chat-v3"`)
 	if got := ask("old", "chat"); got != 503 {
 		t.Errorf("a class that vanished: got %d", got)
 	}
-	peers.Give(t, hold, true)
-	if got := peers.Next(t, ends, "the answer under way"); got != fmt.Sprintln(200, true, nil) {
+	scripted.Give(t, hold, true)
+	if got := scripted.Next(t, ends, "the answer under way"); got != fmt.Sprintln(200, true, nil) {
 		t.Errorf("under way: %s", got)
 	}
 	reload("reloaded")
--- a/internal/program/return.go
+++ b/internal/router/program/return.go
@@ -10,10 +10,10 @@
 	"time"
 
 	"reachspread/balance"
-	"reachspread/internal/management"
-	"reachspread/internal/peering"
-	"reachspread/internal/recovery"
-	"reachspread/internal/snapshot"
+	"reachspread/internal/router/management"
+	"reachspread/internal/router/peering"
+	"reachspread/internal/router/recovery"
+	"reachspread/internal/router/snapshot"
 )
 
 // comeback drives how this router comes back: one goroutine owns the decider.
--- a/internal/program/scribe.go
+++ b/internal/router/program/scribe.go
@@ -11,7 +11,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"reachspread/internal/durable"
-	"reachspread/internal/peering"
+	"reachspread/internal/router/peering"
 )
 
 // Record is what the scribe keeps of the fleet, for whoever comes back from a power loss.
--- a/internal/program/service.go
+++ b/internal/router/program/service.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"reachspread/internal/management"
+	"reachspread/internal/router/management"
 	"reachspread/internal/transport"
 )
 
--- a/internal/program/service_test.go
+++ b/internal/router/program/service_test.go
@@ -15,7 +15,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"reachspread/internal/peers"
+	"reachspread/internal/testbed/scripted"
 	"reachspread/internal/transport"
 )
 
@@ -25,19 +25,19 @@
 	t      *testing.T
 	path   string // of the configuration
 	text   string // in it
-	lines  peers.Lines
+	lines  scripted.Lines
 	reload chan os.Signal
 	term   context.CancelFunc
 	exit   chan error
-	d      *peers.Discovery
+	d      *scripted.Discovery
 }
 
 // startServed starts a program whose discovery lists the entries; the configuration is that of configFile, with the
 // changes given as old and new by turns.
 func startServed(t *testing.T, entries []string, changes ...string) *served {
 	t.Helper()
-	s := &served{t: t, lines: make(peers.Lines, 1000), reload: make(chan os.Signal, 10), exit: make(chan error, 1),
-		d: peers.NewDiscovery(t, peers.List(1, true, entries...))}
+	s := &served{t: t, lines: make(scripted.Lines, 1000), reload: make(chan os.Signal, 10), exit: make(chan error, 1),
+		d: scripted.NewDiscovery(t, scripted.List(1, true, entries...))}
 	file := configFile(t, "127.0.0.1:1", s.d.Addr)
 	s.path = file("ROUTER_CONFIG")
 	text, err := os.ReadFile(s.path)
@@ -53,7 +53,7 @@
 		term()
 		select {
 		case <-s.exit:
-		case <-time.After(peers.Patience):
+		case <-time.After(scripted.Patience):
 			t.Error("the program does not end")
 		}
 	})
@@ -77,7 +77,7 @@
 // until waits for a log line that begins so.
 func (s *served) until(begin string) {
 	s.t.Helper()
-	for !strings.HasPrefix(peers.Next(s.t, s.lines, begin), begin) {
+	for !strings.HasPrefix(scripted.Next(s.t, s.lines, begin), begin) {
 	}
 }
 
@@ -87,12 +87,12 @@
 // dial connects to the management address.
 func (s *served) dial(text string) net.Conn {
 	s.t.Helper()
-	c, err := net.DialTimeout("tcp", s.management.Addr().String(), peers.Patience)
+	c, err := net.DialTimeout("tcp", s.management.Addr().String(), scripted.Patience)
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	s.t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(peers.Patience))
+	c.SetDeadline(time.Now().Add(scripted.Patience))
 	io.WriteString(c, text)
 	return c
 }
@@ -107,7 +107,7 @@
 func (s *served) figures(want map[string]string) {
 	s.t.Helper()
 	var diff string
-	for end := time.Now().Add(peers.Patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(scripted.Patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		got := map[string]string{}
 		for line := range strings.Lines(s.call("vars")) {
 			name, value, _ := strings.Cut(strings.TrimSpace(line), " ")
@@ -125,7 +125,7 @@
 func (s *served) ready() int {
 	s.t.Helper()
 	r, _ := http.NewRequest("GET", "http://"+s.addr()+"/-/ready", nil)
-	status, _, _ := peers.Do(s.t, r)
+	status, _, _ := scripted.Do(s.t, r)
 	return status
 }
 
@@ -143,7 +143,7 @@
 		}
 	}
 	s.call("drain-on")
-	s.d.Tell(t, peers.List(2, true, peers.Entry("s0", "127.0.0.1:1", "Ready")))
+	s.d.Tell(t, scripted.List(2, true, scripted.Entry("s0", "127.0.0.1:1", "Ready")))
 	s.until("phase name=draining")
 	if got := s.call("drain-off"); got != "+OK serving\n" {
 		t.Errorf("drain-off: %q", got)
@@ -169,11 +169,11 @@
 // server ejected, a list that grows and shrinks.
 func TestFiguresAreTrue(t *testing.T) {
 	hold := make(chan bool)
-	well, bad := peers.NewModel(t, peers.Manner{Events: 2}), peers.NewModel(t, peers.Manner{Status: 500})
-	s := startServed(t, []string{peers.Entry("s0", well.Addr, "Ready")}, `"services":[`, `"services":[{"name":"un/safe","effect":"unsafe","streaming":true,"aimNs":8000000000,"hardLimitNs":8000000000},`)
+	well, bad := scripted.NewModel(t, scripted.Manner{Events: 2}), scripted.NewModel(t, scripted.Manner{Status: 500})
+	s := startServed(t, []string{scripted.Entry("s0", well.Addr, "Ready")}, `"services":[`, `"services":[{"name":"un/safe","effect":"unsafe","streaming":true,"aimNs":8000000000,"hardLimitNs":8000000000},`)
 	s.until("phase name=serving")
 	ask := func(id string, set map[string]string) int {
-		status, _, _ := peers.Do(t, peers.Ask(t, s.addr(), id, set))
+		status, _, _ := scripted.Do(t, scripted.Ask(t, s.addr(), id, set))
 		return status
 	}
 	for i := range 3 {
@@ -191,13 +191,13 @@
 		`faulted_total{priority="chat"}`: "1", "relayed_total": "3", "open_requests": "0", "registry_entries": "1", "out_of_rotation": "0"})
 
 	// One that breaks after its first event, and one whose client leaves.
-	well.Set(peers.Manner{Events: 4, Break: true})
-	if status, _, err := peers.Do(t, peers.Ask(t, s.addr(), "cut", nil)); status != 200 || err == nil {
+	well.Set(scripted.Manner{Events: 4, Break: true})
+	if status, _, err := scripted.Do(t, scripted.Ask(t, s.addr(), "cut", nil)); status != 200 || err == nil {
 		t.Errorf("a stream that breaks: got %d, %v", status, err)
 	}
-	well.Set(peers.Manner{Events: 2, Hold: hold})
+	well.Set(scripted.Manner{Events: 2, Hold: hold})
 	ctx, leave := context.WithCancel(context.Background())
-	resp, err := http.DefaultClient.Do(peers.Ask(t, s.addr(), "left", nil).WithContext(ctx))
+	resp, err := http.DefaultClient.Do(scripted.Ask(t, s.addr(), "left", nil).WithContext(ctx))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -207,7 +207,7 @@
 	s.figures(map[string]string{`fulfilled_total{priority="chat"}`: "3", `faulted_total{priority="chat"}`: "2", "open_requests": "0"})
 
 	// What may have run and must not run again fails; what may, is tried elsewhere. Two failures eject.
-	s.d.Tell(t, peers.List(2, true, peers.Entry("s1", bad.Addr, "Ready")))
+	s.d.Tell(t, scripted.List(2, true, scripted.Entry("s1", bad.Addr, "Ready")))
 	s.figures(map[string]string{"registry_entries": "1"})
 	for i := range 2 {
 		if got := ask(fmt.Sprint("bad", i), map[string]string{"X-Service-Class": "un/safe"}); got != 502 {
@@ -215,11 +215,11 @@
 		}
 	}
 	s.figures(map[string]string{`faulted_total{priority="un/safe"}`: "2", "relayed_total": "7", "out_of_rotation": "1"})
-	s.d.Tell(t, peers.List(3, false, peers.Entry("s2", well.Addr, "Ready"), peers.Entry("s3", well.Addr, "Terminating")))
+	s.d.Tell(t, scripted.List(3, false, scripted.Entry("s2", well.Addr, "Ready"), scripted.Entry("s3", well.Addr, "Terminating")))
 	s.figures(map[string]string{"registry_entries": "3", "out_of_rotation": "2"})
-	s.d.Tell(t, peers.List(4, false, peers.Entry("s3", well.Addr, "Gone"), peers.Entry("s1", bad.Addr, "Gone")))
+	s.d.Tell(t, scripted.List(4, false, scripted.Entry("s3", well.Addr, "Gone"), scripted.Entry("s1", bad.Addr, "Gone")))
 	s.figures(map[string]string{"registry_entries": "1", "out_of_rotation": "0"})
-	bad.Set(peers.Manner{Status: 500})
+	bad.Set(scripted.Manner{Status: 500})
 	if got := ask("refused", map[string]string{"X-Time-Left": "0m"}); got != 503 {
 		t.Errorf("no time left: got %d", got)
 	}
@@ -237,15 +237,15 @@
 // connections end, a long stream finishes; after the second word all is as before. Each word may come twice.
 func TestDrain(t *testing.T) {
 	hold := make(chan bool)
-	long := peers.NewModel(t, peers.Manner{Events: 2, Hold: hold})
-	s := startServed(t, []string{peers.Entry("s0", long.Addr, "Ready")})
+	long := scripted.NewModel(t, scripted.Manner{Events: 2, Hold: hold})
+	s := startServed(t, []string{scripted.Entry("s0", long.Addr, "Ready")})
 	s.until("phase name=serving")
 	streams := make(chan string, 1)
 	go func() {
-		_, body, err := peers.Do(t, peers.Ask(t, s.addr(), "long", nil))
+		_, body, err := scripted.Do(t, scripted.Ask(t, s.addr(), "long", nil))
 		streams <- fmt.Sprint(strings.Contains(body, "[DONE]"), err)
 	}()
-	peers.Next(t, long.Started, "the long stream")
+	scripted.Next(t, long.Started, "the long stream")
 	silent, err := net.Dial("tcp", s.addr())
 	if err != nil {
 		t.Fatal(err)
@@ -284,7 +284,7 @@
 	if resp := get(); resp.StatusCode != 503 || !resp.Close {
 		t.Errorf("a connection that was kept: %d, close %t", resp.StatusCode, resp.Close)
 	}
-	silent.SetReadDeadline(time.Now().Add(peers.Patience))
+	silent.SetReadDeadline(time.Now().Add(scripted.Patience))
 	if n, err := silent.Read(make([]byte, 1)); n != 0 || err != io.EOF {
 		t.Errorf("a silent connection: %d, %v", n, err)
 	}
@@ -294,8 +294,8 @@
 	if got := s.Phase(); got != Draining {
 		t.Errorf("after a reload: %s", got)
 	}
-	peers.Give(t, hold, true)
-	if got := peers.Next(t, streams, "the stream's end"); got != "true <nil>" {
+	scripted.Give(t, hold, true)
+	if got := scripted.Next(t, streams, "the stream's end"); got != "true <nil>" {
 		t.Errorf("the long stream ended %s", got)
 	}
 	for range 2 {
@@ -313,8 +313,8 @@
 
 // A request that came before its silent connection was looked at is served, not closed on, however late it is read.
 func TestNoCloseCrossesARequest(t *testing.T) {
-	host := peers.NewModel(t, peers.Manner{Events: 2})
-	s := startServed(t, []string{peers.Entry("s0", host.Addr, "Ready")})
+	host := scripted.NewModel(t, scripted.Manner{Events: 2})
+	s := startServed(t, []string{scripted.Entry("s0", host.Addr, "Ready")})
 	s.until("phase name=serving")
 	for i := range 30 {
 		c, err := net.Dial("tcp", s.addr())
--- a/internal/program/shadow.go
+++ b/internal/router/program/shadow.go
@@ -6,9 +6,9 @@
 	"os"
 	"time"
 
-	"reachspread/internal/mirror"
-	"reachspread/internal/settings"
-	"reachspread/internal/shadow"
+	"reachspread/internal/router/mirror"
+	"reachspread/internal/router/settings"
+	"reachspread/internal/router/shadow"
 	"reachspread/internal/transport"
 )
 
--- a/internal/program/shadow_test.go
+++ b/internal/router/program/shadow_test.go
@@ -19,11 +19,11 @@
 	"github.com/google/go-cmp/cmp"
 	"github.com/santhosh-tekuri/jsonschema/v6"
 
-	"reachspread/internal/mirror"
-	"reachspread/internal/peers"
-	"reachspread/internal/records"
-	"reachspread/internal/report"
-	"reachspread/internal/shadow"
+	"reachspread/internal/router/mirror"
+	"reachspread/internal/router/records"
+	"reachspread/internal/router/report"
+	"reachspread/internal/router/shadow"
+	"reachspread/internal/testbed/scripted"
 	"reachspread/internal/transport"
 )
 
@@ -31,8 +31,8 @@
 type shadowed struct {
 	t       *testing.T
 	p       *Program
-	live    *peers.Model
-	lines   peers.Lines
+	live    *scripted.Model
+	lines   scripted.Lines
 	dir     string // of the records, the socket and the settings
 	reload  chan os.Signal
 	sigterm func()
@@ -74,14 +74,14 @@
 // startShadow starts it; each pair of replaced words is replaced in the usual settings.
 func startShadow(t *testing.T, hosts string, replaced ...string) *shadowed {
 	t.Helper()
-	return startShadowed(t, peers.NewModel(t, peers.Manner{}), hosts, replaced...)
+	return startShadowed(t, scripted.NewModel(t, scripted.Manner{}), hosts, replaced...)
 }
 
-func startShadowed(t *testing.T, live *peers.Model, hosts string, replaced ...string) *shadowed {
+func startShadowed(t *testing.T, live *scripted.Model, hosts string, replaced ...string) *shadowed {
 	t.Helper()
-	d := peers.NewDiscovery(t, peers.List(1, true, peers.Entry("s0", live.Addr, "Ready")))
+	d := scripted.NewDiscovery(t, scripted.List(1, true, scripted.Entry("s0", live.Addr, "Ready")))
 	env := configFile(t, "127.0.0.1:1", d.Addr)
-	s := &shadowed{t: t, live: live, lines: make(peers.Lines, 1000), reload: make(chan os.Signal), exit: make(chan error, 1),
+	s := &shadowed{t: t, live: live, lines: make(scripted.Lines, 1000), reload: make(chan os.Signal), exit: make(chan error, 1),
 		dir: t.TempDir(), client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 50}}}
 	s.settings(hosts, replaced...)
 	cfg := load(t, env)
@@ -121,7 +121,7 @@
 // line waits for a log line that begins so.
 func (s *shadowed) line(want string) string {
 	s.t.Helper()
-	got := peers.Next(s.t, s.lines, want)
+	got := scripted.Next(s.t, s.lines, want)
 	if !strings.HasPrefix(got, want) {
 		s.t.Fatalf("got the line %q, want %q", got, want)
 	}
@@ -149,7 +149,7 @@
 func (s *shadowed) until(what string, ok func(mirror.Status) bool) mirror.Status {
 	s.t.Helper()
 	var r mirror.Report
-	for end := time.Now().Add(peers.Patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(scripted.Patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if r = s.status(); len(r.Pools) > 0 && ok(r.Pools[0]) {
 			return r.Pools[0]
 		}
@@ -160,7 +160,7 @@
 
 // ask sends one live request with a body of its own and returns the answer.
 func (s *shadowed) ask(id, body string, set map[string]string) (status int, answer string, end error) {
-	r := peers.Ask(s.t, s.addr, id, set)
+	r := scripted.Ask(s.t, s.addr, id, set)
 	r.Body, r.ContentLength = io.NopCloser(strings.NewReader(body)), int64(len(body))
 	resp, err := s.client.Do(r)
 	if err != nil {
@@ -175,7 +175,7 @@
 func (s *shadowed) served(id string) {
 	s.t.Helper()
 	status, text, err := s.ask(id, id, nil)
-	if want := peers.Words(id, peers.Manner{}); status != 200 || err != nil || strings.Count(text, `"content":"w`) != len(want) ||
+	if want := scripted.Words(id, scripted.Manner{}); status != 200 || err != nil || strings.Count(text, `"content":"w`) != len(want) ||
 		!strings.Contains(text, want[len(want)-1]) {
 		s.t.Fatalf("%s: got %d %q, %v; want it served by the live host", id, status, text, err)
 	}
@@ -213,15 +213,15 @@
 func (s *shadowed) stop() {
 	s.t.Helper()
 	s.sigterm()
-	if err := peers.Next(s.t, s.exit, "exit"); err != nil {
+	if err := scripted.Next(s.t, s.exit, "exit"); err != nil {
 		s.t.Fatal(err)
 	}
 }
 
 // A copy carries the bytes that came under an id of its own, and both answers are compared in text and time.
 func TestShadowCopiesAndCompares(t *testing.T) {
-	seen := make(chan peers.Request, 10)
-	candidate := peers.NewServer(t, peers.Answer(peers.Whole()))
+	seen := make(chan scripted.Request, 10)
+	candidate := scripted.NewServer(t, scripted.Answer(scripted.Whole()))
 	go func() {
 		for r := range candidate.Requests {
 			seen <- r
@@ -232,7 +232,7 @@
 	if status != 200 || err != nil {
 		t.Fatal(status, err)
 	}
-	r := peers.Next(t, seen, "a copy")
+	r := scripted.Next(t, seen, "a copy")
 	if r.Body != `{"stream": true}` || r.URI != "/v1/chat/completions?a=%20b" || !strings.HasPrefix(r.Header.Get("X-Correlation-Id"), "q1~next~") {
 		t.Errorf("the copy is %+v", r)
 	}
@@ -260,11 +260,11 @@
 }
 
 func TestShadowKeepsTextsWhereTold(t *testing.T) {
-	s := startShadow(t, host(peers.NewModel(t, peers.Manner{Accent: "x"}).Addr), "records {", "records {\n texts = true")
+	s := startShadow(t, host(scripted.NewModel(t, scripted.Manner{Accent: "x"}).Addr), "records {", "records {\n texts = true")
 	s.served("prompt")
 	s.until("it is recorded", func(st mirror.Status) bool { return st.Recorded == 1 })
 	r := s.records()["prompt"]
-	words := strings.Join(peers.Words("prompt", peers.Manner{}), "")
+	words := strings.Join(scripted.Words("prompt", scripted.Manner{}), "")
 	if r.Body != "prompt" || r.Live.Text != words || r.Copy.Text != words+"x" || r.Compared.Similarity != 0.9 {
 		t.Errorf("%+v %+v", r, r.Compared)
 	}
@@ -274,21 +274,21 @@
 func TestShadowCandidatesThatFail(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
-		manner peers.Manner
+		manner scripted.Manner
 		set    []string
 		cause  shadow.Cause // of the records
 		down   bool
 	}{
-		{"says nothing", peers.Manner{Silent: true}, []string{"share = 1", "share = 1\n patience = \"100ms\""}, shadow.Refused, true},
-		{"a twentieth of the pace", peers.Manner{Gap: 40 * time.Millisecond}, []string{"share = 1", "share = 1\n patience = \"150ms\"\n longest = \"200ms\""}, shadow.TooLong, true},
-		{"falls silent", peers.Manner{Gap: time.Minute}, []string{"share = 1", "share = 1\n silent = \"100ms\""}, shadow.Broken, true},
-		{"breaks halfway", peers.Manner{Break: true}, nil, shadow.Broken, true},
-		{"errors", peers.Manner{Status: 500}, nil, shadow.Refused, true},
-		{"finds the request at fault", peers.Manner{Status: 404}, nil, shadow.Unfit, false},
-		{"a report that can't be read", peers.Manner{Report: "{"}, nil, "", false},
+		{"says nothing", scripted.Manner{Silent: true}, []string{"share = 1", "share = 1\n patience = \"100ms\""}, shadow.Refused, true},
+		{"a twentieth of the pace", scripted.Manner{Gap: 40 * time.Millisecond}, []string{"share = 1", "share = 1\n patience = \"150ms\"\n longest = \"200ms\""}, shadow.TooLong, true},
+		{"falls silent", scripted.Manner{Gap: time.Minute}, []string{"share = 1", "share = 1\n silent = \"100ms\""}, shadow.Broken, true},
+		{"breaks halfway", scripted.Manner{Break: true}, nil, shadow.Broken, true},
+		{"errors", scripted.Manner{Status: 500}, nil, shadow.Refused, true},
+		{"finds the request at fault", scripted.Manner{Status: 404}, nil, shadow.Unfit, false},
+		{"a report that can't be read", scripted.Manner{Report: "{"}, nil, "", false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			candidate := peers.NewModel(t, tt.manner)
+			candidate := scripted.NewModel(t, tt.manner)
 			s := startShadow(t, host(candidate.Addr), tt.set...)
 			for i := range 3 {
 				s.served(fmt.Sprint("q", i))
@@ -332,7 +332,7 @@
 // Down from the start, revived, killed and revived under load: trials find out, on-call gets a line for each turn, and
 // no live request feels it.
 func TestShadowPoolKilledAndRevived(t *testing.T) {
-	candidate := peers.NewModel(t, peers.Manner{})
+	candidate := scripted.NewModel(t, scripted.Manner{})
 	candidate.Kill()
 	s := startShadow(t, host(candidate.Addr), "share = 1", "share = 1\n patience = \"500ms\"")
 	stop, n := make(chan bool), 0
@@ -373,23 +373,23 @@
 // leaves the last good list in force.
 func TestShadowDrainsAndLostDiscovery(t *testing.T) {
 	hold := make(chan bool)
-	c0, c1 := peers.NewModel(t, peers.Manner{Hold: hold}), peers.NewModel(t, peers.Manner{})
+	c0, c1 := scripted.NewModel(t, scripted.Manner{Hold: hold}), scripted.NewModel(t, scripted.Manner{})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := peers.ServeDiscovery(t, ln, peers.List(1, true, peers.Entry("c0", c0.Addr, "Ready")))
+	d := scripted.ServeDiscovery(t, ln, scripted.List(1, true, scripted.Entry("c0", c0.Addr, "Ready")))
 	s := startShadow(t, fmt.Sprintf("discovery = %q", d.Addr))
 	s.until("c0 is known", func(st mirror.Status) bool { return st.Hosts == 1 })
 	s.served("q0")
-	peers.Next(t, c0.Started, "a copy")
-	d.Tell(t, peers.List(2, false, peers.Entry("c0", c0.Addr, "Terminating"), peers.Entry("c1", c1.Addr, "Ready")))
+	scripted.Next(t, c0.Started, "a copy")
+	d.Tell(t, scripted.List(2, false, scripted.Entry("c0", c0.Addr, "Terminating"), scripted.Entry("c1", c1.Addr, "Ready")))
 	// Both are told at once, so one serves before and after: what is sent must tell them apart.
 	for i := 1; c1.Attempts(fmt.Sprintf("q%d~next~%d", i-1, i)) == 0 && i < 50; i++ {
 		s.served(fmt.Sprint("q", i))
 		s.until("it has its record", func(st mirror.Status) bool { return st.Recorded == uint64(i) })
 	}
-	peers.Give(t, hold, true)
+	scripted.Give(t, hold, true)
 	st := s.until("the copy that was out is compared", func(st mirror.Status) bool { return st.Out == 0 && st.Pairing == 0 })
 	if st.Compared != st.Started {
 		t.Errorf("%+v", st)
@@ -406,24 +406,24 @@
 // A live answer that fails, or a client that leaves, ends the copy at once: there is nothing to compare it with.
 func TestShadowWithoutALiveAnswer(t *testing.T) {
 	hold := make(chan bool)
-	for name, live := range map[string]peers.Manner{"breaks": {Break: true, Gap: 20 * time.Millisecond}, "client leaves": {Hold: hold}, "fails": {Status: 500, First: 50 * time.Millisecond}} {
+	for name, live := range map[string]scripted.Manner{"breaks": {Break: true, Gap: 20 * time.Millisecond}, "client leaves": {Hold: hold}, "fails": {Status: 500, First: 50 * time.Millisecond}} {
 		t.Run(name, func(t *testing.T) {
-			candidate := peers.NewModel(t, peers.Manner{Hold: hold})
-			s := startShadowed(t, peers.NewModel(t, live), host(candidate.Addr))
+			candidate := scripted.NewModel(t, scripted.Manner{Hold: hold})
+			s := startShadowed(t, scripted.NewModel(t, live), host(candidate.Addr))
 			ctx, leave := context.WithCancel(context.Background())
 			defer leave()
 			answered := make(chan bool)
 			go func() {
 				defer close(answered)
-				resp, err := s.client.Do(peers.Ask(t, s.addr, "q", nil).WithContext(ctx))
+				resp, err := s.client.Do(scripted.Ask(t, s.addr, "q", nil).WithContext(ctx))
 				if err == nil {
 					io.Copy(io.Discard, resp.Body)
 					resp.Body.Close()
 				}
 			}()
-			peers.Next(t, candidate.Started, "a copy")
+			scripted.Next(t, candidate.Started, "a copy")
 			if live.Hold != nil {
-				peers.Next(t, s.live.Started, "an attempt")
+				scripted.Next(t, s.live.Started, "an attempt")
 				leave()
 			}
 			<-answered
@@ -453,7 +453,7 @@
 	if err := cfg.ReadSettings(s.path()); err != nil {
 		t.Fatal(err)
 	}
-	if err := New(cfg, env, s.path(), make(peers.Lines, 10)).Run(context.Background(), nil); err == nil || !strings.Contains(err.Error(), "another router's") {
+	if err := New(cfg, env, s.path(), make(scripted.Lines, 10)).Run(context.Background(), nil); err == nil || !strings.Contains(err.Error(), "another router's") {
 		t.Errorf("a second router on the socket: %v", err)
 	}
 }
@@ -462,10 +462,10 @@
 // nothing, nor does one for which too few descriptors were set aside.
 func TestShadowReload(t *testing.T) {
 	hold := make(chan bool)
-	candidate := peers.NewModel(t, peers.Manner{Hold: hold})
+	candidate := scripted.NewModel(t, scripted.Manner{Hold: hold})
 	s := startShadow(t, host(candidate.Addr))
 	s.served("q0")
-	peers.Next(t, candidate.Started, "a copy")
+	scripted.Next(t, candidate.Started, "a copy")
 	for _, bad := range [][]string{{"share = 1", "share = 2"}, {"share = 1", "share = 1\n sockets = 500"}} {
 		s.settings(host(candidate.Addr), bad...)
 		s.reload <- syscall.SIGHUP
@@ -479,13 +479,13 @@
 	if st.Offered != 1 || st.Out != 1 {
 		t.Errorf("%+v", st)
 	}
-	peers.Give(t, hold, true)
+	scripted.Give(t, hold, true)
 	s.until("the copy went on", func(st mirror.Status) bool { return st.Compared == 1 })
 	s.settings(host(candidate.Addr))
 	s.reload <- syscall.SIGHUP
 	s.line("reloaded")
 	s.served("q2")
-	peers.Next(t, candidate.Started, "a copy")
+	scripted.Next(t, candidate.Started, "a copy")
 	s.settings(host(candidate.Addr), `"next"`, `"other"`)
 	s.reload <- syscall.SIGHUP
 	s.line("reloaded")
@@ -501,8 +501,8 @@
 // once it is.
 func TestShadowSigterm(t *testing.T) {
 	hold := make(chan bool)
-	candidate := peers.NewModel(t, peers.Manner{Silent: true})
-	s := startShadowed(t, peers.NewModel(t, peers.Manner{Hold: hold}), host(candidate.Addr))
+	candidate := scripted.NewModel(t, scripted.Manner{Silent: true})
+	s := startShadowed(t, scripted.NewModel(t, scripted.Manner{Hold: hold}), host(candidate.Addr))
 	answered := make(chan error, 1)
 	go func() {
 		status, text, err := s.ask("q", "q", nil)
@@ -511,10 +511,10 @@
 		}
 		answered <- err
 	}()
-	peers.Next(t, candidate.Started, "a copy")
-	peers.Next(t, s.live.Started, "an attempt")
+	scripted.Next(t, candidate.Started, "a copy")
+	scripted.Next(t, s.live.Started, "an attempt")
 	s.sigterm()
-	for end := time.Now().Add(peers.Patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(scripted.Patience); ; time.Sleep(time.Millisecond) {
 		if _, _, out, _ := candidate.Counts(); out == 0 {
 			break
 		}
@@ -525,8 +525,8 @@
 	if s.p.Phase() != Leaving {
 		t.Errorf("the copy was out until %s", s.p.Phase())
 	}
-	peers.Give(t, hold, true)
-	if err := peers.Next(t, answered, "the live answer"); err != nil {
+	scripted.Give(t, hold, true)
+	if err := scripted.Next(t, answered, "the live answer"); err != nil {
 		t.Error(err)
 	}
 	if r := s.records()["q"]; r.Cause != string(shadow.Closing) || r.Live.Outcome != "open" {
@@ -536,7 +536,7 @@
 
 // Bodies of 256 KiB under a cap of 1 MiB: four are held, the others dropped, and all live requests served.
 func TestShadowBodiesUnderTheirCap(t *testing.T) {
-	candidate := peers.NewModel(t, peers.Manner{Silent: true})
+	candidate := scripted.NewModel(t, scripted.Manner{Silent: true})
 	s := startShadow(t, host(candidate.Addr))
 	body := strings.Repeat("x", 256<<10)
 	for i := range 10 { // the copies stay out, so one after another holds as much as all at once
@@ -552,7 +552,7 @@
 
 // A folder that can't be written costs records and one line, then works again; the router serves on.
 func TestShadowRecordFolderFails(t *testing.T) {
-	s := startShadow(t, host(peers.NewModel(t, peers.Manner{}).Addr))
+	s := startShadow(t, host(scripted.NewModel(t, scripted.Manner{}).Addr))
 	folder := filepath.Join(s.dir, "records")
 	write(t, folder, "a file in its place")
 	for i := range 3 {
@@ -597,7 +597,7 @@
 		s.stop()
 		return answers
 	}
-	candidate := peers.NewModel(t, peers.Manner{})
+	candidate := scripted.NewModel(t, scripted.Manner{})
 	without := day(host(candidate.Addr), func(int) {}, "share = 1", "share = 0")
 	if n, _, _, _ := candidate.Counts(); n != 0 {
 		t.Fatalf("%d copies with a share of 0", n)
@@ -605,17 +605,17 @@
 	with := day(host(candidate.Addr), func(i int) {
 		switch i {
 		case 20:
-			peers.Next(t, candidate.Started, "a copy")
-			candidate.Set(peers.Manner{Silent: true})
+			scripted.Next(t, candidate.Started, "a copy")
+			candidate.Set(scripted.Manner{Silent: true})
 		case 40:
 			candidate.Kill()
 		case 60:
-			candidate.Set(peers.Manner{Gap: 5 * time.Millisecond})
+			candidate.Set(scripted.Manner{Gap: 5 * time.Millisecond})
 			candidate.Revive(t)
 		case 80:
 			candidate.Kill()
 		case 100:
-			candidate.Set(peers.Manner{})
+			candidate.Set(scripted.Manner{})
 			candidate.Revive(t)
 		}
 	}, "share = 1", "share = 1\n patience = \"100ms\"\n longest = \"300ms\"")
@@ -629,19 +629,19 @@
 
 // Pressure on the live path, here by requests that wait for a server, drops copies and lets them back.
 func TestShadowYieldsToPressure(t *testing.T) {
-	candidate := peers.NewModel(t, peers.Manner{Silent: true})
+	candidate := scripted.NewModel(t, scripted.Manner{Silent: true})
 	s := startShadow(t, host(candidate.Addr), "held = 1000", "held = 1\n grace = \"30ms\"")
 	s.served("q0")
-	peers.Next(t, candidate.Started, "a copy")
-	s.live.Set(peers.Manner{Status: 503})
+	scripted.Next(t, candidate.Started, "a copy")
+	s.live.Set(scripted.Manner{Status: 503})
 	for _, e := range []string{"Terminating", "Ready"} { // no server: requests are held
-		s.p.tell(mustList(t, peers.List(9, false, peers.Entry("s0", s.live.Addr, e))))
+		s.p.tell(mustList(t, scripted.List(9, false, scripted.Entry("s0", s.live.Addr, e))))
 		if e == "Ready" {
 			break
 		}
 		go s.ask("held", "held", nil)
 		s.until("it yields", func(st mirror.Status) bool { return st.Level == "hard" && st.Ended[shadow.Pressed] > 0 && st.Out == 0 })
-		s.live.Set(peers.Manner{})
+		s.live.Set(scripted.Manner{})
 	}
 	s.until("it is calm again", func(st mirror.Status) bool { return st.Level == "calm" })
 	s.served("q1")
--- a/internal/program/snapshot.go
+++ b/internal/router/program/snapshot.go
@@ -18,8 +18,8 @@
 	"reachspread/balance"
 	"reachspread/internal/durable"
 	"reachspread/internal/protocol"
-	"reachspread/internal/recovery"
-	"reachspread/internal/snapshot"
+	"reachspread/internal/router/recovery"
+	"reachspread/internal/router/snapshot"
 )
 
 const (
--- a/internal/quorum/explore_test.go
+++ b/internal/router/quorum/explore_test.go
@@ -13,8 +13,8 @@
 	"github.com/cespare/xxhash/v2"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"reachspread/internal/duty"
-	"reachspread/internal/explore"
+	"reachspread/internal/router/lease"
+	"reachspread/internal/testbed/explorer"
 )
 
 var measure = flag.Bool("measure", false, "run the measurements")
@@ -29,7 +29,7 @@
 )
 
 var (
-	exploreTimes = duty.Times{Lease: 2 * time.Second, Allowance: 10 * time.Millisecond, Margin: 100 * time.Millisecond}
+	exploreTimes = lease.Times{Lease: 2 * time.Second, Allowance: 10 * time.Millisecond, Margin: 100 * time.Millisecond}
 	errOverlap   = errors.New("two act under the duty")
 	errApplied   = errors.New("two voters apply different commands")
 )
@@ -51,19 +51,19 @@
 		nodes = append(nodes, Node{ID: uint64(i + 1), Name: fmt.Sprint(i)})
 	}
 	voters := []uint64{1, 2, 3}
-	table, _ := duty.NewTable([]duty.Duty{{Name: "d"}}, 0)
+	table, _ := lease.NewTable([]lease.Duty{{Name: "d"}}, 0)
 	data, _ := json.Marshal(state{nodes, table.State()})
 	return Stored{Meta: Meta{Version: 1, ID: uint64(n + 1), Name: fmt.Sprint(n), Group: 1, Start: 1, Nodes: nodes, Voters: voters},
 		Hard:     &raftpb.HardState{Term: &one, Commit: &one, Vote: new(uint64)},
 		Snapshot: &raftpb.Snapshot{Data: data, Metadata: &raftpb.SnapshotMetadata{Index: &one, Term: &one, ConfState: &raftpb.ConfState{Voters: voters}}}}
 }
 
-func newExplored(n, life int, disk Stored, lease time.Duration) *exploredVoter {
+func newExplored(n, life int, disk Stored, leaseTime time.Duration) *exploredVoter {
 	times := exploreTimes
-	times.Lease = lease
+	times.Lease = leaseTime
 	x := &exploredVoter{n: n, disk: disk, past: xxhash.New(), applied: map[uint64]string{}}
 	var err error
-	x.v, err = New(Config{Self: fmt.Sprint(n), Names: []string{"0", "1", "2"}, Voters: 3, Duties: []duty.Duty{{Name: "d"}}, Times: times, ReplaceAfter: time.Hour,
+	x.v, err = New(Config{Self: fmt.Sprint(n), Names: []string{"0", "1", "2"}, Voters: 3, Duties: []lease.Duty{{Name: "d"}}, Times: times, ReplaceAfter: time.Hour,
 		Boot: uint32(10*life + n + 1), Beat: time.Second, Trusted: true}, disk.Clone(), 0)
 	if err != nil {
 		panic(err)
@@ -75,15 +75,15 @@
 	return x
 }
 
-func (x *exploredVoter) step(now time.Duration, e Event) (o explore.Out[word]) {
+func (x *exploredVoter) step(now time.Duration, e Event) (o explorer.Out[word]) {
 	for _, a := range x.v.Step(now, e) {
 		switch a := a.(type) {
 		case Keep:
 			x.disk = *x.disk.Kept(&a)
 		case Send:
-			o.Send = append(o.Send, explore.Send[word]{To: int(a.To[0] - '0'), Msg: word{between, string(a.Data)}})
+			o.Send = append(o.Send, explorer.Send[word]{To: int(a.To[0] - '0'), Msg: word{between, string(a.Data)}})
 		case Answer:
-			o.Send = append(o.Send, explore.Send[word]{To: int(a.To[0] - '0'), Msg: word{toClient, string(a.Reply.Append())}})
+			o.Send = append(o.Send, explorer.Send[word]{To: int(a.To[0] - '0'), Msg: word{toClient, string(a.Reply.Append())}})
 		case Applied:
 			x.applied[a.Index] = fmt.Sprint(a.Command.Kind, a.Command.Who, a.Answer, a.Changes)
 		}
@@ -92,18 +92,18 @@
 	return o
 }
 
-func (x *exploredVoter) Start(now time.Duration) explore.Out[word] { return x.step(now, Passed{}) }
-func (x *exploredVoter) Wake(now time.Duration) explore.Out[word] {
+func (x *exploredVoter) Start(now time.Duration) explorer.Out[word] { return x.step(now, Passed{}) }
+func (x *exploredVoter) Wake(now time.Duration) explorer.Out[word] {
 	fmt.Fprint(x.past, "wake", now)
 	return x.step(now, Passed{})
 }
-func (x *exploredVoter) Receive(now time.Duration, from int, m word) explore.Out[word] {
+func (x *exploredVoter) Receive(now time.Duration, from int, m word) explorer.Out[word] {
 	fmt.Fprint(x.past, m.what, now, from)
 	io.WriteString(x.past, m.data)
 	if m.what == between {
 		return x.step(now, Received{Data: []byte(m.data)})
 	}
-	q, _, err := duty.Read([]byte(m.data))
+	q, _, err := lease.Read([]byte(m.data))
 	if err != nil || q == nil {
 		return x.step(now, Passed{})
 	}
@@ -114,36 +114,38 @@
 // exploredClient is an agent that wants the duty.
 type exploredClient struct {
 	n    int
-	a    *duty.Agent
+	a    *lease.Agent
 	past *xxhash.Digest
 }
 
 func newExploredClient(n, life int) *exploredClient {
-	a, err := duty.NewAgent(duty.AgentConfig{Self: duty.Router{Name: fmt.Sprint(n), Boot: uint32(10*life + n + 1)}, Times: exploreTimes, Voters: []string{"0"}})
+	a, err := lease.NewAgent(lease.AgentConfig{Self: lease.Router{Name: fmt.Sprint(n), Boot: uint32(10*life + n + 1)}, Times: exploreTimes, Voters: []string{"0"}})
 	if err != nil {
 		panic(err)
 	}
 	return &exploredClient{n, a, xxhash.New()}
 }
 
-func (c *exploredClient) out(all []duty.Action) (o explore.Out[word]) {
+func (c *exploredClient) out(all []lease.Action) (o explorer.Out[word]) {
 	for _, a := range all {
-		if ask, ok := a.(duty.Ask); ok {
-			o.Send = append(o.Send, explore.Send[word]{To: int(ask.To[0] - '0'), Msg: word{toVoter, string(ask.Request.Append())}})
+		if ask, ok := a.(lease.Ask); ok {
+			o.Send = append(o.Send, explorer.Send[word]{To: int(ask.To[0] - '0'), Msg: word{toVoter, string(ask.Request.Append())}})
 		}
 	}
 	o.Wake = c.a.Next()
 	return o
 }
-func (c *exploredClient) Start(now time.Duration) explore.Out[word] { return c.out(c.a.Want(now, "d")) }
-func (c *exploredClient) Wake(now time.Duration) explore.Out[word] {
+func (c *exploredClient) Start(now time.Duration) explorer.Out[word] {
+	return c.out(c.a.Want(now, "d"))
+}
+func (c *exploredClient) Wake(now time.Duration) explorer.Out[word] {
 	fmt.Fprint(c.past, "wake", now)
 	return c.out(c.a.Passed(now))
 }
-func (c *exploredClient) Receive(now time.Duration, from int, m word) explore.Out[word] {
+func (c *exploredClient) Receive(now time.Duration, from int, m word) explorer.Out[word] {
 	fmt.Fprint(c.past, now, from)
 	io.WriteString(c.past, m.data)
-	if _, r, err := duty.Read([]byte(m.data)); err == nil && r != nil {
+	if _, r, err := lease.Read([]byte(m.data)); err == nil && r != nil {
 		return c.out(c.a.Heard(now, fmt.Sprint(from), r))
 	}
 	return c.out(nil)
@@ -152,15 +154,15 @@
 
 // begun has three voters of which the first leads, and two clients of which the first holds the duty and the second waits, each as it is
 // then. If woken, the leader has waken once since, and what it told the second client is still under way.
-func begun(lease time.Duration, woken bool) (all []explore.Node[word], held []explore.Send[word]) {
-	nodes := []explore.Node[word]{newExplored(0, 0, founded(0), lease), newExplored(1, 0, founded(1), lease), newExplored(2, 0, founded(2), lease), newExploredClient(3, 0), newExploredClient(4, 0)}
+func begun(lease time.Duration, woken bool) (all []explorer.Node[word], held []explorer.Send[word]) {
+	nodes := []explorer.Node[word]{newExplored(0, 0, founded(0), lease), newExplored(1, 0, founded(1), lease), newExplored(2, 0, founded(2), lease), newExploredClient(3, 0), newExploredClient(4, 0)}
 	type flying struct {
 		from int
-		s    explore.Send[word]
+		s    explorer.Send[word]
 	}
 	var air []flying
 	second := false
-	take := func(n int, o explore.Out[word]) {
+	take := func(n int, o explorer.Out[word]) {
 		for _, s := range o.Send {
 			air = append(air, flying{n, s})
 		}
@@ -197,33 +199,33 @@
 
 // started makes an explorer start a node where begun has left it, with what it had sent.
 type started struct {
-	explore.Node[word]
-	sent []explore.Send[word]
+	explorer.Node[word]
+	sent []explorer.Send[word]
 }
 
-func (s started) Start(now time.Duration) explore.Out[word] {
+func (s started) Start(now time.Duration) explorer.Out[word] {
 	switch x := s.Node.(type) {
 	case *exploredVoter:
-		return explore.Out[word]{Wake: x.v.Next(), Send: s.sent}
+		return explorer.Out[word]{Wake: x.v.Next(), Send: s.sent}
 	case *exploredClient:
-		return explore.Out[word]{Wake: x.a.Next()}
+		return explorer.Out[word]{Wake: x.a.Next()}
 	}
-	return explore.Out[word]{}
+	return explorer.Out[word]{}
 }
 
-func inner(n explore.Node[word]) explore.Node[word] {
+func inner(n explorer.Node[word]) explorer.Node[word] {
 	if s, ok := n.(started); ok {
 		return s.Node
 	}
 	return n
 }
 
-func exploring(lease time.Duration, woken bool, depth int, budget explore.Budget) explore.Question[word] {
-	var fresh []explore.Node[word]
-	var held []explore.Send[word]
-	return explore.Question[word]{Nodes: 5, Depth: depth, Skew: time.Millisecond, Budget: budget, Order: true,
+func exploring(lease time.Duration, woken bool, depth int, budget explorer.Budget) explorer.Question[word] {
+	var fresh []explorer.Node[word]
+	var held []explorer.Send[word]
+	return explorer.Question[word]{Nodes: 5, Depth: depth, Skew: time.Millisecond, Budget: budget, Order: true,
 		Show: func(m word) string { return m.what },
-		Make: func(n, life int, last explore.Node[word]) explore.Node[word] {
+		Make: func(n, life int, last explorer.Node[word]) explorer.Node[word] {
 			switch {
 			case life == 0:
 				if n == 0 { // a new path begins
@@ -236,7 +238,7 @@
 			}
 			return newExploredClient(n, life)
 		},
-		Holds: func(nodes []explore.Node[word], now []time.Duration) error {
+		Holds: func(nodes []explorer.Node[word], now []time.Duration) error {
 			acts, all := 0, map[uint64]string{}
 			for i, n := range nodes {
 				switch x := inner(n).(type) {
@@ -267,18 +269,18 @@
 	if *measure {
 		depth, states = 6, 600_000
 	}
-	q := exploring(exploreTimes.Lease, false, depth, explore.Budget{Losses: 1, Copies: 1, Crashes: 1, Pauses: 1})
+	q := exploring(exploreTimes.Lease, false, depth, explorer.Budget{Losses: 1, Copies: 1, Crashes: 1, Pauses: 1})
 	q.States = states
-	answer, err := explore.Explore(q)
+	answer, err := explorer.Explore(q)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if t.Logf("%s", answer); answer.Broken != nil {
 		t.Error(answer)
 	}
-	q = exploring(500*time.Millisecond, true, 9, explore.Budget{})
+	q = exploring(500*time.Millisecond, true, 9, explorer.Budget{})
 	q.States = 60_000
-	if answer, err = explore.Explore(q); err != nil {
+	if answer, err = explorer.Explore(q); err != nil {
 		t.Fatal(err)
 	}
 	if t.Logf("a lease of a quarter: %s", answer); !errors.Is(answer.Broken, errOverlap) {
--- a/internal/quorum/forms_test.go
+++ b/internal/router/quorum/forms_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"reachspread/internal/formtest"
+	"reachspread/internal/testbed/formtest"
 )
 
 // What voters send to each other, agree on and keep has the same fields: voters of two versions work together.
--- a/internal/quorum/golden_test.go
+++ b/internal/router/quorum/golden_test.go
@@ -8,8 +8,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"reachspread/internal/duty"
 	"reachspread/internal/golden"
+	"reachspread/internal/router/lease"
 )
 
 func goldenMessages() map[string]*message {
@@ -49,21 +49,21 @@
 
 // What voters agree on and keep, and send each other as entries and snapshots, has the bytes that it had at commit 5bfcc27.
 func TestProposalsAndSnapshotsKeepTheirBytes(t *testing.T) {
-	with := duty.Duty{Name: "reports", Holders: 2, Zones: []string{"north", "south"}, ByZone: true}
-	p := proposal{N: 1 << 40, C: duty.Command{Kind: duty.Define, Duty: "reports@south", Who: duty.Router{Name: "router-1", Boot: 0xfedcba98, Zone: "south"}, Token: 9, Renewals: 10,
+	with := lease.Duty{Name: "reports", Holders: 2, Zones: []string{"north", "south"}, ByZone: true}
+	p := proposal{N: 1 << 40, C: lease.Command{Kind: lease.Define, Duty: "reports@south", Who: lease.Router{Name: "router-1", Boot: 0xfedcba98, Zone: "south"}, Token: 9, Renewals: 10,
 		To: "router-2", With: &with}}
-	table, err := duty.NewTable([]duty.Duty{with, {Name: "scribe"}}, 1<<40)
+	table, err := lease.NewTable([]lease.Duty{with, {Name: "scribe"}}, 1<<40)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i, c := range []duty.Command{
-		{Kind: duty.Acquire, Duty: "scribe", Who: duty.Router{Name: "router-1", Boot: 1, Zone: "north"}},
-		{Kind: duty.Acquire, Duty: "scribe", Who: duty.Router{Name: "router-2", Boot: 2, Zone: "south"}},
-		{Kind: duty.Acquire, Duty: "reports@south", Who: duty.Router{Name: "router-2", Boot: 2, Zone: "south"}},
-		{Kind: duty.Acquire, Duty: "reports@south", Who: duty.Router{Name: "router-3", Boot: 3, Zone: "south"}},
-		{Kind: duty.Acquire, Duty: "reports@south", Who: duty.Router{Name: "router-4", Boot: 4, Zone: "south"}},
-		{Kind: duty.HandOver, Duty: "reports@south", Who: duty.Router{Name: "router-3", Boot: 3, Zone: "south"}, Token: 1<<40 + 3, To: "router-5"},
-		{Kind: duty.Wish, Duty: "scribe", Token: 1<<40 + 1, To: duty.Anybody},
+	for i, c := range []lease.Command{
+		{Kind: lease.Acquire, Duty: "scribe", Who: lease.Router{Name: "router-1", Boot: 1, Zone: "north"}},
+		{Kind: lease.Acquire, Duty: "scribe", Who: lease.Router{Name: "router-2", Boot: 2, Zone: "south"}},
+		{Kind: lease.Acquire, Duty: "reports@south", Who: lease.Router{Name: "router-2", Boot: 2, Zone: "south"}},
+		{Kind: lease.Acquire, Duty: "reports@south", Who: lease.Router{Name: "router-3", Boot: 3, Zone: "south"}},
+		{Kind: lease.Acquire, Duty: "reports@south", Who: lease.Router{Name: "router-4", Boot: 4, Zone: "south"}},
+		{Kind: lease.HandOver, Duty: "reports@south", Who: lease.Router{Name: "router-3", Boot: 3, Zone: "south"}, Token: 1<<40 + 3, To: "router-5"},
+		{Kind: lease.Wish, Duty: "scribe", Token: 1<<40 + 1, To: lease.Anybody},
 	} {
 		if a, _ := table.Apply(uint64(i+1), c); !a.OK && !a.Waits {
 			t.Errorf("command %d is refused: %s", i, a.Why)
--- a/internal/quorum/join.go
+++ b/internal/router/quorum/join.go
@@ -8,7 +8,7 @@
 
 	"go.etcd.io/raft/v3/raftpb"
 
-	"reachspread/internal/duty"
+	"reachspread/internal/router/lease"
 )
 
 // hello is what this router says of its store.
@@ -221,7 +221,7 @@
 // found begins a group of this router and others whose stores are empty. Further ones join as they say hello. Tokens are above all that
 // were seen, and above all of any group before.
 func (v *Voter) found(group uint64, others []Node) {
-	floor := max(duty.Above(v.meta.Token), duty.Above(group<<duty.BlockBits))
+	floor := max(lease.Above(v.meta.Token), lease.Above(group<<lease.BlockBits))
 	v.renew(group)
 	v.out = v.out[:len(v.out)-1] // one write for both
 	nodes := append([]Node{{v.meta.ID, v.c.Self, v.c.Zone}}, others...)
@@ -229,7 +229,7 @@
 	for _, n := range nodes {
 		voters = append(voters, n.ID)
 	}
-	data, _ := json.Marshal(state{nodes, duty.State{Token: floor}}) // of plain fields
+	data, _ := json.Marshal(state{nodes, lease.State{Token: floor}}) // of plain fields
 	one := uint64(1)
 	s := &raftpb.Snapshot{Data: data, Metadata: &raftpb.SnapshotMetadata{Index: &one, Term: &one, ConfState: &raftpb.ConfState{Voters: voters}}}
 	v.hard = &raftpb.HardState{Term: &one, Commit: &one, Vote: new(uint64)}
--- a/internal/quorum/lease.go
+++ b/internal/router/quorum/lease.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"reachspread/internal/duty"
+	"reachspread/internal/router/lease"
 )
 
 const (
@@ -28,23 +28,23 @@
 
 // define has the table know the duties that it does not, or otherwise. The leader does.
 func (v *Voter) define() {
-	known := map[string]duty.Duty{}
-	v.table.Each(func(d *duty.Duty, _ []duty.Grant, _ []duty.Router, _ []duty.Kept) { known[d.Name] = *d })
+	known := map[string]lease.Duty{}
+	v.table.Each(func(d *lease.Duty, _ []lease.Grant, _ []lease.Router, _ []lease.Kept) { known[d.Name] = *d })
 	for _, d := range v.c.Duties {
 		d.Holders = max(d.Holders, 1)
 		if before, ok := known[d.Name]; !ok || !reflect.DeepEqual(before, d) {
-			v.propose(duty.Command{Kind: duty.Define, Duty: d.Name, With: &d})
+			v.propose(lease.Command{Kind: lease.Define, Duty: d.Name, With: &d})
 		}
 	}
 }
 
 // leased follows what a command did to leases. Each voter does; the leader's count.
-func (v *Voter) leased(c duty.Command, answer duty.Answer, changes []duty.Change) {
+func (v *Voter) leased(c lease.Command, answer lease.Answer, changes []lease.Change) {
 	for _, x := range changes {
 		if !x.Granted {
 			delete(v.since, x.Grant.Token)
 			delete(v.pushed, x.Grant.Token)
-			if x.Why == duty.HandedOver {
+			if x.Why == lease.HandedOver {
 				v.kept[x.Grant.Token] = v.now
 			}
 			continue
@@ -55,19 +55,19 @@
 			v.push(x.Grant)
 		}
 	}
-	if answer.OK && (c.Kind == duty.Renew || c.Kind == duty.Acquire) {
+	if answer.OK && (c.Kind == lease.Renew || c.Kind == lease.Acquire) {
 		v.since[answer.Grant.Token] = v.now
 		delete(v.pushed, answer.Grant.Token)
 	}
-	if answer.OK && c.Kind == duty.Wish && v.led {
+	if answer.OK && c.Kind == lease.Wish && v.led {
 		v.pushed[answer.Grant.Token] = push{v.now, v.now + tryAgain}
 		v.push(answer.Grant)
 	}
 }
 
 // push tells a holder of its grant.
-func (v *Voter) push(g duty.Grant) {
-	v.out = append(v.out, Answer{To: g.Holder.Name, Push: true, Reply: &duty.Reply{Boot: g.Holder.Boot, Leader: v.c.Self, Answer: duty.Answer{OK: true, Grant: g}}})
+func (v *Voter) push(g lease.Grant) {
+	v.out = append(v.out, Answer{To: g.Holder.Name, Push: true, Reply: &lease.Reply{Boot: g.Holder.Boot, Leader: v.c.Self, Answer: lease.Answer{OK: true, Grant: g}}})
 }
 
 // leases ends those that the leader has waited out, and tells those whose turn it is.
@@ -81,7 +81,7 @@
 		p, told := v.pushed[g.Token]
 		switch {
 		case v.now >= at+v.c.Times.Lease, g.Pushed && v.now >= at+pushWithin:
-			v.propose(duty.Command{Kind: duty.Expire, Duty: g.Duty, Token: g.Token, Renewals: g.Renewals})
+			v.propose(lease.Command{Kind: lease.Expire, Duty: g.Duty, Token: g.Token, Renewals: g.Renewals})
 			v.since[g.Token] = v.now - v.c.Times.Lease + tryAgain
 		case told && v.now >= p.at, g.Pushed && !told:
 			v.push(g)
@@ -97,7 +97,7 @@
 	}
 	v.lineAt = v.now + lineEvery
 	kept, left := map[uint64]time.Duration{}, mostForgets
-	v.table.Each(func(d *duty.Duty, _ []duty.Grant, line []duty.Router, all []duty.Kept) {
+	v.table.Each(func(d *lease.Duty, _ []lease.Grant, line []lease.Router, all []lease.Kept) {
 		for _, k := range all {
 			at, known := v.kept[k.Token]
 			if !known {
@@ -105,7 +105,7 @@
 			}
 			kept[k.Token] = at
 			if v.now >= at+v.c.Times.Lease {
-				v.propose(duty.Command{Kind: duty.Forget, Duty: d.Name, To: k.To})
+				v.propose(lease.Command{Kind: lease.Forget, Duty: d.Name, To: k.To})
 			}
 		}
 		if v.living == nil {
@@ -114,7 +114,7 @@
 		for _, who := range line {
 			if !v.living[who.Name] && left > 0 {
 				left--
-				v.propose(duty.Command{Kind: duty.Forget, Duty: d.Name, Who: who})
+				v.propose(lease.Command{Kind: lease.Forget, Duty: d.Name, Who: who})
 			}
 		}
 	})
--- a/internal/quorum/raft.go
+++ b/internal/router/quorum/raft.go
@@ -10,7 +10,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"reachspread/internal/duty"
+	"reachspread/internal/router/lease"
 )
 
 // quiet keeps the engine from writing; what it finds impossible ends the process all the same.
@@ -32,7 +32,7 @@
 // load fills the engine's storage with what was kept, and checks that it hangs together.
 func (v *Voter) load(s *Stored) error {
 	v.store = raft.NewMemoryStorage()
-	v.table, _ = duty.NewTable(nil, 0)
+	v.table, _ = lease.NewTable(nil, 0)
 	if s.Snapshot != nil && s.Snapshot.GetMetadata().GetIndex() > 0 {
 		if err := v.store.ApplySnapshot(s.Snapshot); err != nil {
 			return fmt.Errorf("the store's snapshot: %w", err)
@@ -72,7 +72,7 @@
 	if err := json.Unmarshal(s.GetData(), &c); err != nil {
 		return fmt.Errorf("the snapshot's content: %w", err)
 	}
-	v.table = duty.Restored(c.Table)
+	v.table = lease.Restored(c.Table)
 	v.applied, v.snapped = s.GetMetadata().GetIndex(), s.GetMetadata().GetIndex()
 	v.configured(s.GetMetadata().GetConfState(), c.Nodes)
 	v.tokenSeen(v.table.Token())
@@ -200,7 +200,7 @@
 		v.out = append(v.out, Applied{e.GetIndex(), p.C, answer, changes})
 		if w, ok := v.pending[p.N]; ok {
 			delete(v.pending, p.N)
-			v.out = append(v.out, Answer{To: w.from, Reply: &duty.Reply{ID: w.id, Boot: w.boot, Leader: v.c.Self, Answer: answer}})
+			v.out = append(v.out, Answer{To: w.from, Reply: &lease.Reply{ID: w.id, Boot: w.boot, Leader: v.c.Self, Answer: answer}})
 		}
 	case raftpb.EntryConfChangeV2:
 		cc := &raftpb.ConfChangeV2{}
@@ -254,7 +254,7 @@
 }
 
 // propose brings a command into the log. It tells whether that has begun.
-func (v *Voter) propose(c duty.Command) (n uint64, ok bool) {
+func (v *Voter) propose(c lease.Command) (n uint64, ok bool) {
 	v.nth++
 	n = v.nth<<32 | uint64(v.c.Boot)
 	data, _ := json.Marshal(proposal{n, c})
@@ -264,10 +264,10 @@
 // asked takes a request.
 func (v *Voter) asked(e Asked) {
 	q := e.Request
-	if q.Command.Kind == duty.Acquire && v.meta.Group == 0 {
+	if q.Command.Kind == lease.Acquire && v.meta.Group == 0 {
 		v.tokenSeen(q.Command.Token) // whoever founds begins above it
 	}
-	reply := &duty.Reply{ID: q.ID, Boot: q.Command.Who.Boot, Leader: v.Leader(), NotLeader: true}
+	reply := &lease.Reply{ID: q.ID, Boot: q.Command.Who.Boot, Leader: v.Leader(), NotLeader: true}
 	if v.leads() && len(v.pending) < mostPending {
 		if n, ok := v.propose(q.Command); ok {
 			v.pending[n] = waiting{e.From, q.ID, q.Command.Who.Boot}
--- a/internal/quorum/stored_test.go
+++ b/internal/router/quorum/stored_test.go
@@ -6,8 +6,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"reachspread/internal/duty"
 	"reachspread/internal/golden"
+	"reachspread/internal/router/lease"
 )
 
 // The files under testdata were written at commit 5bfcc27: WRITE_GOLDEN=1 go test -run Golden.
@@ -40,17 +40,17 @@
 
 // The content of a snapshot of the log is read and written as it was.
 func TestGoldenSnapshotContent(t *testing.T) {
-	pin(t, "snapshot.json", state{Nodes: goldenNodes, Table: duty.State{Token: 77, Duties: []duty.SlotsState{{
-		Duty:   duty.Duty{Name: "copier", Holders: 2, Zones: []string{"east"}, ByZone: true},
-		Grants: []duty.Grant{{Duty: "copier", Holder: duty.Router{Name: "r1", Boot: 5, Zone: "east"}, Token: 76, Renewals: 12, Wish: "r3", Why: duty.InTurn, Pushed: true}},
-		Line:   []duty.Router{{Name: "r4", Boot: 8, Zone: "west"}},
-		Kept:   []duty.Kept{{To: "r3", Token: 74}}}}}})
+	pin(t, "snapshot.json", state{Nodes: goldenNodes, Table: lease.State{Token: 77, Duties: []lease.SlotsState{{
+		Duty:   lease.Duty{Name: "copier", Holders: 2, Zones: []string{"east"}, ByZone: true},
+		Grants: []lease.Grant{{Duty: "copier", Holder: lease.Router{Name: "r1", Boot: 5, Zone: "east"}, Token: 76, Renewals: 12, Wish: "r3", Why: lease.InTurn, Pushed: true}},
+		Line:   []lease.Router{{Name: "r4", Boot: 8, Zone: "west"}},
+		Kept:   []lease.Kept{{To: "r3", Token: 74}}}}}})
 }
 
 // An entry of the log is read and written as it was.
 func TestGoldenProposal(t *testing.T) {
-	pin(t, "proposal.json", proposal{N: 300, C: duty.Command{Kind: duty.HandOver, Duty: "copier", Who: duty.Router{Name: "r1", Boot: 5, Zone: "east"},
-		Token: 76, Renewals: 12, To: "r2", With: &duty.Duty{Name: "copier", Holders: 2, Zones: []string{"east"}, ByZone: true}}})
+	pin(t, "proposal.json", proposal{N: 300, C: lease.Command{Kind: lease.HandOver, Duty: "copier", Who: lease.Router{Name: "r1", Boot: 5, Zone: "east"},
+		Token: 76, Renewals: 12, To: "r2", With: &lease.Duty{Name: "copier", Holders: 2, Zones: []string{"east"}, ByZone: true}}})
 }
 
 // Messages between voters are read and written as they were.
--- a/internal/quorum/types.go
+++ b/internal/router/quorum/types.go
@@ -20,7 +20,7 @@
 
 	"go.etcd.io/raft/v3/raftpb"
 
-	"reachspread/internal/duty"
+	"reachspread/internal/router/lease"
 )
 
 // Periods and bounds.
@@ -38,7 +38,7 @@
 	stoppedAfter = 5 * time.Second        // without a leader, the log says so
 	lineEvery    = time.Second            // between two looks at who waits and lives no more
 
-	MostNames     = duty.MostVoters
+	MostNames     = lease.MostVoters
 	MostMessage   = 4 << 20 // bytes
 	mostPending   = 4096    // requests that wait for agreement
 	snapshotEvery = 1000    // commands
@@ -51,8 +51,8 @@
 	Self, Zone   string
 	Names        []string // who may vote, the same at all; the first Voters found the group
 	Voters       int      // 1, 3, 5 or 7
-	Duties       []duty.Duty
-	Times        duty.Times
+	Duties       []lease.Duty
+	Times        lease.Times
 	ReplaceAfter time.Duration // a voter that the view has lost for this long makes room for another
 	Boot         uint32
 	Seed         uint64
@@ -108,14 +108,14 @@
 // Asked is a request of a router, which is called From in the answer to it.
 type Asked struct {
 	From    string
-	Request *duty.Request
+	Request *lease.Request
 }
 
 // View is who lives, as the fleet view has it.
 type View struct{ Living map[string]bool }
 
 // Define has there be these duties from here on, as New was told of others. Those that are no more stay in the table, asked for by nobody.
-type Define struct{ Duties []duty.Duty }
+type Define struct{ Duties []lease.Duty }
 
 // Rebuild asks for a new group. Gone are routers that an operator says will not come back with their disks.
 type Rebuild struct{ Gone []string }
@@ -150,15 +150,15 @@
 type Answer struct {
 	To    string
 	Push  bool
-	Reply *duty.Reply
+	Reply *lease.Reply
 }
 
 // Applied tells of one command that was agreed on, in order.
 type Applied struct {
 	Index   uint64
-	Command duty.Command
-	Answer  duty.Answer
-	Changes []duty.Change
+	Command lease.Command
+	Answer  lease.Answer
+	Changes []lease.Change
 }
 
 // Told is for the log of whoever is on call.
--- a/internal/quorum/voter.go
+++ b/internal/router/quorum/voter.go
@@ -10,7 +10,7 @@
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"reachspread/internal/duty"
+	"reachspread/internal/router/lease"
 )
 
 // Voter is a router that may vote. See the package.
@@ -25,7 +25,7 @@
 
 	node    *raft.RawNode // nil until it takes part
 	store   *raft.MemoryStorage
-	table   *duty.Table
+	table   *lease.Table
 	applied uint64
 	conf    *raftpb.ConfState
 	snapped uint64
@@ -85,7 +85,7 @@
 	if err := c.Times.Check(); err != nil {
 		return nil, err
 	}
-	if _, err := duty.NewTable(c.Duties, 0); err != nil {
+	if _, err := lease.NewTable(c.Duties, 0); err != nil {
 		return nil, err
 	}
 	if c.Beat == 0 {
@@ -125,7 +125,7 @@
 	v.meta = Meta{Version: 1, ID: v.rng.Uint64()>>1 | 1, Name: v.c.Self, Group: group, Start: 1, Token: token, Seals: seals}
 	v.node, v.store, v.hard, v.conf, v.applied, v.last = nil, raft.NewMemoryStorage(), nil, nil, 0, [2]uint64{}
 	v.okay, v.led = map[uint64]bool{}, false
-	v.table, _ = duty.NewTable(nil, 0)
+	v.table, _ = lease.NewTable(nil, 0)
 	v.out = append(v.out, Keep{Reset: true, Meta: v.metaNow()})
 }
 
@@ -342,4 +342,4 @@
 }
 
 // Table is what has been agreed on so far. It must be neither kept nor changed.
-func (v *Voter) Table() *duty.Table { return v.table }
+func (v *Voter) Table() *lease.Table { return v.table }
--- a/internal/quorum/wire.go
+++ b/internal/router/quorum/wire.go
@@ -7,7 +7,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"reachspread/internal/duty"
+	"reachspread/internal/router/lease"
 )
 
 const wireVersion = 1
@@ -73,13 +73,13 @@
 // proposal is a command on its way into the log.
 type proposal struct {
 	N uint64 // by which the leader finds who waits
-	C duty.Command
+	C lease.Command
 }
 
 // state is a snapshot's content.
 type state struct {
 	Nodes []Node
-	Table duty.State
+	Table lease.State
 }
 
 func marshal(m proto.Message) []byte {
--- a/internal/records/forms_test.go
+++ b/internal/router/records/forms_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"reachspread/internal/formtest"
+	"reachspread/internal/testbed/formtest"
 )
 
 // The lines of compared answers have the same fields.
--- a/internal/recovery/hosts.go
+++ b/internal/router/recovery/hosts.go
@@ -7,7 +7,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"reachspread/internal/snapshot"
+	"reachspread/internal/router/snapshot"
 )
 
 // While discovery is silent, what hosts of the last life's list still get requests is asked of routers that have a list of the same discovery: one datagram for
--- a/internal/recovery/recovery.go
+++ b/internal/router/recovery/recovery.go
@@ -8,7 +8,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"reachspread/internal/snapshot"
+	"reachspread/internal/router/snapshot"
 )
 
 // Decider is a router's return.
--- a/internal/recovery/recovery_test.go
+++ b/internal/router/recovery/recovery_test.go
@@ -13,7 +13,7 @@
 
 	"reachspread/balance"
 	"reachspread/internal/protocol"
-	"reachspread/internal/snapshot"
+	"reachspread/internal/router/snapshot"
 )
 
 const (
@@ -258,7 +258,7 @@
 
 // The operators' page has the tables as they are made here.
 func TestPage(t *testing.T) {
-	page, err := os.ReadFile("../../docs/operators/recovery.md")
+	page, err := os.ReadFile("../../../docs/operators/recovery.md")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/recovery/types.go
+++ b/internal/router/recovery/types.go
@@ -9,7 +9,7 @@
 import (
 	"time"
 
-	"reachspread/internal/snapshot"
+	"reachspread/internal/router/snapshot"
 )
 
 // Bounds.
--- a/internal/report/forms_test.go
+++ b/internal/router/report/forms_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"reachspread/internal/formtest"
+	"reachspread/internal/testbed/formtest"
 )
 
 // The report as JSON has the same fields.
--- a/internal/report/report.go
+++ b/internal/router/report/report.go
@@ -13,7 +13,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/santhosh-tekuri/jsonschema/v6"
 
-	"reachspread/internal/records"
+	"reachspread/internal/router/records"
 )
 
 // Report is what a folder of records says.
--- a/internal/report/report_test.go
+++ b/internal/router/report/report_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"reachspread/internal/records"
+	"reachspread/internal/router/records"
 )
 
 func num[T any](v T) *T { return &v }
@@ -132,7 +132,7 @@
 	if !strings.HasSuffix(page, "</html>\n") {
 		t.Error("the page is cut off")
 	}
-	// For whoever wants to look at it: REPORT_PAGE=FILE go test ./internal/report -run TestPage
+	// For whoever wants to look at it: REPORT_PAGE=FILE go test ./internal/router/report -run TestPage
 	if path := os.Getenv("REPORT_PAGE"); path != "" {
 		if err := os.WriteFile(path, b.Bytes(), 0o600); err != nil {
 			t.Fatal(err)
--- a/internal/settings/forms_test.go
+++ b/internal/router/settings/forms_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"reachspread/internal/formtest"
+	"reachspread/internal/testbed/formtest"
 )
 
 // The operators' settings file has the same blocks and fields, with the same types.
--- a/internal/settings/settings_test.go
+++ b/internal/router/settings/settings_test.go
@@ -11,7 +11,7 @@
 
 	"reachspread/internal/admission"
 	"reachspread/internal/logging"
-	"reachspread/internal/shadow"
+	"reachspread/internal/router/shadow"
 )
 
 const good = `log {
@@ -207,7 +207,7 @@
 
 // The file that stands under deploy is one that can be used.
 func TestDeployedFile(t *testing.T) {
-	if _, err := Read("../../deploy/settings.hcl"); err != nil {
+	if _, err := Read("../../../deploy/settings.hcl"); err != nil {
 		t.Error(err)
 	}
 }
@@ -216,7 +216,7 @@
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(good))
 	f.Add([]byte(goodAdmission))
-	text, err := os.ReadFile("../../deploy/settings.hcl")
+	text, err := os.ReadFile("../../../deploy/settings.hcl")
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/settings/shadow.go
+++ b/internal/router/settings/shadow.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"reachspread/internal/shadow"
+	"reachspread/internal/router/shadow"
 )
 
 // Shadow is the block of that name.
--- a/internal/system/controlapi/forms_test.go
+++ b/internal/system/controlapi/forms_test.go
@@ -6,8 +6,8 @@
 	"strings"
 	"testing"
 
-	"reachspread/internal/formtest"
 	"reachspread/internal/system/message"
+	"reachspread/internal/testbed/formtest"
 )
 
 // exchange is a call and the state in which it is made.
--- a/internal/system/dataplane/plane.go
+++ b/internal/system/dataplane/plane.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"reachspread/balance"
-	"reachspread/internal/budget"
+	"reachspread/internal/retrybudget"
 	"reachspread/internal/routing"
 	"reachspread/internal/system/deciders/configuration"
 	"reachspread/internal/system/deciders/instances"
@@ -79,7 +79,7 @@
 type service struct {
 	name    string
 	router  *routing.Router
-	retries *budget.Bucket
+	retries *retrybudget.Bucket
 	stop    context.CancelFunc
 	told    uint64          // the revision of the hosts that it was told of
 	wanted  []balance.Class // of the configuration in force
@@ -142,7 +142,7 @@
 		}
 		return nil
 	}
-	s = &service{name: name, wanted: classes, tuned: classes, retries: budget.New(p.o.Settings().Bounds.RetryBudgetRatio, p.slack())}
+	s = &service{name: name, wanted: classes, tuned: classes, retries: retrybudget.New(p.o.Settings().Bounds.RetryBudgetRatio, p.slack())}
 	b, err := balance.New(p.config(s, classes), p.o.Seed^rand.Uint64())
 	if err != nil {
 		return err
--- a/internal/system/deciders/configuration/forms_test.go
+++ b/internal/system/deciders/configuration/forms_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"reachspread/internal/formtest"
+	"reachspread/internal/testbed/formtest"
 )
 
 // The operators' configuration document, the patch and the list of changes have the same fields, with the same types.
--- a/internal/system/metrics/forms_test.go
+++ b/internal/system/metrics/forms_test.go
@@ -10,8 +10,8 @@
 	"github.com/prometheus/common/expfmt"
 	"github.com/prometheus/common/model"
 
-	"reachspread/internal/formtest"
 	"reachspread/internal/system/status"
+	"reachspread/internal/testbed/formtest"
 )
 
 // fill gives each field of a value something to tell: one item in lists and maps, a number for numbers, a word for texts.
--- a/internal/system/roles/node/pins_schedules_test.go
+++ b/internal/system/roles/node/pins_schedules_test.go
@@ -13,7 +13,7 @@
 	"reachspread/internal/system/deciders/configuration"
 	"reachspread/internal/system/deciders/pins"
 	"reachspread/internal/system/message"
-	"reachspread/internal/system/pinplay"
+	"reachspread/internal/testbed/pintest"
 )
 
 // pinSchedules is how many drawn schedules are played. Each takes 20 ms, and ten times that under the race detector.
@@ -77,7 +77,7 @@
 const drawnRouters = 8
 
 func newPinWorld(t *testing.T, routers int, seed uint64, plant pinPlant) *pinWorld {
-	document, err := configuration.Parse([]byte(pinplay.Configuration))
+	document, err := configuration.Parse([]byte(pintest.Configuration))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/system/roles/node/pins_test.go
+++ b/internal/system/roles/node/pins_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 
 	"reachspread/internal/system/controlapi"
-	"reachspread/internal/system/pinplay"
+	"reachspread/internal/testbed/pintest"
 )
 
 // pinBound is the bound on the age of what keys are honoured by, in ms, where pins are played: each change of theirs takes so long.
@@ -20,7 +20,7 @@
 // pinStory is a fleet of five routers, of which three keep the register, with hosts of two versions.
 type pinStory struct {
 	*testFleet
-	*pinplay.Story
+	*pintest.Story
 	ctx    context.Context
 	folder string
 }
@@ -33,9 +33,9 @@
 		fronts = append(fronts, fmt.Sprintf("%s:%d", n.ip, f.ports.front))
 		controls = append(controls, fmt.Sprintf("%s:%d", n.ip, f.ports.control))
 	}
-	var hosts []*pinplay.Host
+	var hosts []*pintest.Host
 	for i, version := range []int64{1, 1, 2, 2} {
-		h, err := pinplay.NewHost(fmt.Sprint("i-", i), version)
+		h, err := pintest.NewHost(fmt.Sprint("i-", i), version)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -44,11 +44,11 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 3*patience)
 	t.Cleanup(cancel)
-	s := &pinStory{f, pinplay.NewStory(fronts, controls, hosts), ctx, filepath.Dir(f.nodes[0].settings().DataDirectory)}
+	s := &pinStory{f, pintest.NewStory(fronts, controls, hosts), ctx, filepath.Dir(f.nodes[0].settings().DataDirectory)}
 	s.must(s.Configure(ctx))
 	s.registerAll()
 	for i := range s.nodes {
-		s.eventually("all serve", func() bool { return s.Ask(i, pinplay.SafePath).Status == http.StatusOK })
+		s.eventually("all serve", func() bool { return s.Ask(i, pintest.SafePath).Status == http.StatusOK })
 	}
 	return s
 }
@@ -117,7 +117,7 @@
 	s.registerAll()
 	for i := range s.nodes {
 		s.eventually("each serves", func() bool {
-			a := s.Ask(i, pinplay.SafePath)
+			a := s.Ask(i, pintest.SafePath)
 			if a.Status == http.StatusOK && a.Version != 2 {
 				t.Errorf("router %d answers with version %d", i, a.Version)
 			}
--- a/internal/system/settings/forms_test.go
+++ b/internal/system/settings/forms_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"reachspread/internal/formtest"
+	"reachspread/internal/testbed/formtest"
 )
 
 // The settings file of a router has the same fields, with the same types.
--- a/internal/system/status/forms_test.go
+++ b/internal/system/status/forms_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"reachspread/internal/formtest"
+	"reachspread/internal/testbed/formtest"
 )
 
 // A router's status has the same fields at the same path, with the same types.
--- a/internal/capacity/capacity_test.go
+++ b/internal/testbed/capacity/capacity_test.go
@@ -60,7 +60,7 @@
 
 // The page has the tables as they come out of the kept results.
 func TestPageAndResultsAgree(t *testing.T) {
-	results, err := os.Open("../../docs/measurements/capacity.csv")
+	results, err := os.Open("../../../docs/measurements/capacity.csv")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -73,7 +73,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	page, err := os.ReadFile("../../docs/CAPACITY.md")
+	page, err := os.ReadFile("../../../docs/CAPACITY.md")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/rig/rig.go
+++ b/internal/testbed/chaos/chaos.go
@@ -1,10 +1,10 @@
-// Package rig plays a fleet of the program's own processes on one machine: routers as in service, stand-in hosts, lists and
+// Package chaos plays a fleet of the program's own processes on one machine: routers as in service, stand-in hosts, lists and
 // clients, all on loopback, with relays in between that carry out a schedule of faults. What happened is a history, which
 // package judge judges. Nothing here decides anything that a checker would have to know.
 //
 // layout.go has the addresses, record.go the history, process.go a router's processes, player.go the faults, watch.go who
 // looks for processes that hang, page.go the picture, and series.go the plays one after another.
-package rig
+package chaos
 
 import (
 	"context"
@@ -17,13 +17,13 @@
 	"sync"
 	"time"
 
-	"reachspread/internal/experiment"
-	"reachspread/internal/faults"
-	"reachspread/internal/history"
-	"reachspread/internal/judge"
-	"reachspread/internal/lab"
-	"reachspread/internal/relay"
-	"reachspread/internal/standin"
+	"reachspread/internal/testbed/checker"
+	"reachspread/internal/testbed/experiment"
+	"reachspread/internal/testbed/fakes"
+	"reachspread/internal/testbed/faultproxy"
+	"reachspread/internal/testbed/faults"
+	"reachspread/internal/testbed/history"
+	"reachspread/internal/testbed/simulator"
 )
 
 // Options is what a play may be told.
@@ -43,9 +43,9 @@
 // Result is what came of a play.
 type Result struct {
 	Folder    string // with the history, the logs and whatever was caught
-	Verdicts  []judge.Verdict
+	Verdicts  []checker.Verdict
 	Events    []history.Event
-	Tallies   []standin.Tally
+	Tallies   []fakes.Tally
 	Lost      int // events beyond the bound
 	Took      time.Duration
 	Datagrams [16]uint64 // between routers, by the high half of their first byte
@@ -64,23 +64,23 @@
 // play is a play under way.
 type play struct {
 	o       *Options
-	spec    lab.Spec
+	spec    simulator.Spec
 	layout  *layout
 	rec     *recorder
 	folder  string
-	fleet   *standin.Fleet
-	mesh    *relay.Mesh
-	hosts   [][]*relay.Conns // by router and host
-	lists   []*relay.Conns   // by router
+	fleet   *fakes.Fleet
+	mesh    *faultproxy.Mesh
+	hosts   [][]*faultproxy.Conns // by router and host
+	lists   []*faultproxy.Conns   // by router
 	routers []*router
 	start   starter
 	player  *player
 	front   *front
 	stalls  *stalls
 
-	voterLines [][]*relay.Conns // by router and router, nil for itself
-	copyLines  []*relay.Conns   // by router
-	candidate  *standin.Host    // gets copies; nil without duties
+	voterLines [][]*faultproxy.Conns // by router and router, nil for itself
+	copyLines  []*faultproxy.Conns   // by router
+	candidate  *fakes.Host           // gets copies; nil without duties
 
 	settings string // the operators' file of the routers, as it is before each gets its own
 	views    bool   // routers keep a view of the fleet
@@ -125,7 +125,7 @@
 			os.RemoveAll(p.folder)
 		}
 	}()
-	plan, err := lab.Plan(p.spec)
+	plan, err := simulator.Plan(p.spec)
 	if err != nil {
 		p.rec.close()
 		return nil, err
@@ -143,7 +143,7 @@
 		return nil, err
 	}
 	r := &Result{Folder: p.folder, Events: p.rec.events(), Tallies: tallies, Lost: p.rec.lost(), Took: time.Since(begun), Datagrams: datagrams, Stalls: p.stalls.count()}
-	r.Verdicts = judge.Judge(r.Events)
+	r.Verdicts = checker.Judge(r.Events)
 	if len(r.Verdicts) > 0 {
 		keep = true
 		if err := p.writeFailure(r); err != nil {
@@ -208,7 +208,7 @@
 // historyFile is a history's name in its folder.
 const historyFile = "history.jsonl"
 
-func (p *play) run(ctx context.Context, plan []lab.Planned) (_ []standin.Tally, err error) {
+func (p *play) run(ctx context.Context, plan []simulator.Planned) (_ []fakes.Tally, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	if p.layout, err = newLayout(); err != nil {
@@ -268,10 +268,10 @@
 		beside.Go(func() { p.handOver(aside, every) })
 	}
 
-	clients := standin.NewClients("", &p.spec)
+	clients := fakes.NewClients("", &p.spec)
 	clients.Front, clients.Watch, clients.Grace, clients.Retries = p.front.pick, p.saw, p.o.Experiment.Rig.Slack+time.Second, p.o.Experiment.Rig.Retries
 	x := &p.o.Experiment.Rig
-	clients.Manner = standin.Manner{Pieces: x.Pieces, Silent: x.Silent, Leave: x.Leave}
+	clients.Manner = fakes.Manner{Pieces: x.Pieces, Silent: x.Silent, Leave: x.Leave}
 	p.player = newPlayer(p)
 	over := make(chan error, 1)
 	go func() { over <- p.player.run(ctx) }()
@@ -288,7 +288,7 @@
 }
 
 // saw puts what clients tell into the history. They know routers by their addresses.
-func (p *play) saw(s standin.Saw) {
+func (p *play) saw(s fakes.Saw) {
 	e := s.Event
 	if e.What == history.Ask {
 		e.Who, e.Until = p.layout.routerAt(e.Who), p.rec.at(s.Until)
@@ -297,16 +297,16 @@
 }
 
 func (p *play) openNetwork() (err error) {
-	p.fleet, err = standin.NewFleet(&p.spec, p.layout.host)
+	p.fleet, err = fakes.NewFleet(&p.spec, p.layout.host)
 	if err != nil {
 		return err
 	}
 	for n, h := range p.fleet.Hosts {
 		name := fmt.Sprint("h", n)
-		h.Watch(func(s standin.Seen) { p.hostSaw(name, s) })
+		h.Watch(func(s fakes.Seen) { p.hostSaw(name, s) })
 	}
 	if p.spec.Routers > 1 {
-		p.mesh, err = relay.NewMesh(addresses(p.spec.Routers, p.layout.peer), addresses(p.spec.Routers, p.layout.seen), p.o.Seed, mostDatagram, func(from, bytes int) {
+		p.mesh, err = faultproxy.NewMesh(addresses(p.spec.Routers, p.layout.peer), addresses(p.spec.Routers, p.layout.seen), p.o.Seed, mostDatagram, func(from, bytes int) {
 			p.rec.add(history.Event{What: history.Wide, Who: fmt.Sprint("r", from), Bytes: bytes})
 		})
 		if err != nil {
@@ -319,10 +319,10 @@
 		}
 	}
 	for i := range p.spec.Routers {
-		row := make([]*relay.Conns, len(p.fleet.Hosts))
+		row := make([]*faultproxy.Conns, len(p.fleet.Hosts))
 		p.hosts = append(p.hosts, row)
 		for n, h := range p.fleet.Hosts {
-			if row[n], err = relay.NewConns(p.layout.hostOf(i, n), h.Addr, p.o.Seed, uint64(i)<<20|uint64(n), closings{p.rec, i}); err != nil {
+			if row[n], err = faultproxy.NewConns(p.layout.hostOf(i, n), h.Addr, p.o.Seed, uint64(i)<<20|uint64(n), closings{p.rec, i}); err != nil {
 				return err
 			}
 		}
@@ -331,12 +331,12 @@
 			return err
 		}
 		who := fmt.Sprint("r", i)
-		list.Watch(func(told []standin.Entry) {
+		list.Watch(func(told []fakes.Entry) {
 			for _, e := range told {
 				p.rec.add(history.Event{What: history.Told, Who: who, From: p.hostName(e.ID), Text: e.State})
 			}
 		})
-		conns, err := relay.NewConns(p.layout.list(i), list.Addr, p.o.Seed, uint64(i)<<20|0xfffff, nil)
+		conns, err := faultproxy.NewConns(p.layout.list(i), list.Addr, p.o.Seed, uint64(i)<<20|0xfffff, nil)
 		if err != nil {
 			return err
 		}
@@ -350,19 +350,19 @@
 
 // hostName is a host's name in the history, by that of the list.
 func (p *play) hostName(id string) string {
-	if n := standin.Number(id); n >= 0 {
+	if n := fakes.Number(id); n >= 0 {
 		return fmt.Sprint("h", n)
 	}
 	return id
 }
 
-func (p *play) hostSaw(name string, s standin.Seen) {
+func (p *play) hostSaw(name string, s fakes.Seen) {
 	switch s.Kind {
-	case standin.Came:
+	case fakes.Came:
 		p.rec.add(history.Event{What: history.Attempt, ID: s.ID, Who: name, From: p.layout.routerAt(s.Conn), Conn: s.Conn})
-	case standin.Over:
+	case fakes.Over:
 		p.rec.add(history.Event{What: history.Done, ID: s.ID, Who: name})
-	case standin.Fell:
+	case fakes.Fell:
 		p.rec.add(history.Event{What: history.Fell, Who: name})
 	}
 }
@@ -405,7 +405,7 @@
 	var all sync.WaitGroup
 	var mu sync.Mutex
 	var failed error
-	set := func(c *relay.Conns, i int, far faults.End, cut bool) {
+	set := func(c *faultproxy.Conns, i int, far faults.End, cut bool) {
 		all.Go(func() {
 			near := faults.End{Kind: faults.AtRouter, N: i}
 			out, in := faults.ConditionOf(on, near, far), faults.ConditionOf(on, far, near)
@@ -423,7 +423,7 @@
 		}
 		set(p.lists[i], i, faults.End{Kind: faults.AtList}, listDown)
 	}
-	p.eachLine(func(c *relay.Conns, near int, far faults.End) { set(c, near, far, false) })
+	p.eachLine(func(c *faultproxy.Conns, near int, far faults.End) { set(c, near, far, false) })
 	all.Wait()
 	return failed
 }
--- a/internal/rig/rig_test.go
+++ b/internal/testbed/chaos/chaos_test.go
@@ -1,4 +1,4 @@
-package rig
+package chaos
 
 import (
 	"bufio"
@@ -25,9 +25,9 @@
 
 	"golang.org/x/sys/unix"
 
-	"reachspread/internal/experiment"
-	"reachspread/internal/faults"
-	"reachspread/internal/history"
+	"reachspread/internal/testbed/experiment"
+	"reachspread/internal/testbed/faults"
+	"reachspread/internal/testbed/history"
 )
 
 var (
--- a/internal/rig/duties.go
+++ b/internal/testbed/chaos/duties.go
@@ -1,4 +1,4 @@
-package rig
+package chaos
 
 import (
 	"context"
@@ -7,11 +7,11 @@
 	"sync"
 	"time"
 
-	"reachspread/internal/duty"
-	"reachspread/internal/faults"
-	"reachspread/internal/history"
-	"reachspread/internal/relay"
-	"reachspread/internal/standin"
+	"reachspread/internal/router/lease"
+	"reachspread/internal/testbed/fakes"
+	"reachspread/internal/testbed/faultproxy"
+	"reachspread/internal/testbed/faults"
+	"reachspread/internal/testbed/history"
 )
 
 // mayVote is how many routers may: the voters, and one more where there is one.
@@ -53,29 +53,29 @@
 // act is in the history.
 func (p *play) openDuties() (err error) {
 	for i := range p.mayVote() {
-		row := make([]*relay.Conns, p.mayVote())
+		row := make([]*faultproxy.Conns, p.mayVote())
 		p.voterLines = append(p.voterLines, row)
 		for j := range row {
 			if i == j {
 				continue
 			}
-			if row[j], err = relay.NewConns(p.layout.line(i, j), p.layout.voter(j), p.o.Seed, uint64(i)<<20|0xe0000|uint64(j), nil); err != nil {
+			if row[j], err = faultproxy.NewConns(p.layout.line(i, j), p.layout.voter(j), p.o.Seed, uint64(i)<<20|0xe0000|uint64(j), nil); err != nil {
 				return err
 			}
 		}
 	}
-	if p.candidate, err = standin.NewHost("c0", p.layout.candidate(), p.spec.Groups[0].Host, p.o.Seed); err != nil {
+	if p.candidate, err = fakes.NewHost("c0", p.layout.candidate(), p.spec.Groups[0].Host, p.o.Seed); err != nil {
 		return err
 	}
 	for i := range p.spec.Routers {
-		c, err := relay.NewConns(p.layout.copies(i), p.candidate.Addr, p.o.Seed, uint64(i)<<20|0xd0000, nil)
+		c, err := faultproxy.NewConns(p.layout.copies(i), p.candidate.Addr, p.o.Seed, uint64(i)<<20|0xd0000, nil)
 		if err != nil {
 			return err
 		}
 		p.copyLines = append(p.copyLines, c)
 	}
 	var mu sync.Mutex
-	var fence duty.Fence
+	var fence lease.Fence
 	p.candidate.Fence(func(name string, token uint64, conn string) (uint64, bool) {
 		mu.Lock()
 		defer mu.Unlock()
@@ -104,7 +104,7 @@
 }
 
 // eachLine calls do for each relay between voters and to the candidate, with its two ends.
-func (p *play) eachLine(do func(c *relay.Conns, near int, far faults.End)) {
+func (p *play) eachLine(do func(c *faultproxy.Conns, near int, far faults.End)) {
 	for i, row := range p.voterLines {
 		for j, c := range row {
 			if c != nil {
--- a/internal/rig/duty_test.go
+++ b/internal/testbed/chaos/duty_test.go
@@ -1,4 +1,4 @@
-package rig
+package chaos
 
 import (
 	"errors"
@@ -10,10 +10,10 @@
 	"testing"
 	"time"
 
-	"reachspread/internal/duty"
-	"reachspread/internal/experiment"
-	"reachspread/internal/history"
-	"reachspread/internal/quorum"
+	"reachspread/internal/router/lease"
+	"reachspread/internal/router/quorum"
+	"reachspread/internal/testbed/experiment"
+	"reachspread/internal/testbed/history"
 )
 
 // dutyCases are schedules for routers with duties, of which four may vote and three do. Whoever holds what is among those that are
@@ -209,7 +209,7 @@
 	between("r2", 5*time.Second, 5*time.Second+late)
 	// The voters' leader may be r2 that dies at 7 s, or r0 that is restarted at 8 s: whoever is elected after that waits a whole lease.
 	elected := 12 * quorum.Beat // eight of silence and four of spread
-	between("r4", 8*time.Second, 8*time.Second+elected+duty.Usual.Lease+duty.Usual.Allowance+late)
+	between("r4", 8*time.Second, 8*time.Second+elected+lease.Usual.Lease+lease.Usual.Allowance+late)
 	if !waited {
 		t.Error("r2 did not say that it waits")
 	}
--- a/internal/rig/layout.go
+++ b/internal/testbed/chaos/layout.go
@@ -1,4 +1,4 @@
-package rig
+package chaos
 
 import (
 	"fmt"
--- a/internal/rig/page.go
+++ b/internal/testbed/chaos/page.go
@@ -1,4 +1,4 @@
-package rig
+package chaos
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"slices"
 	"strings"
 
-	"reachspread/internal/history"
-	"reachspread/internal/judge"
+	"reachspread/internal/testbed/checker"
+	"reachspread/internal/testbed/history"
 )
 
 // The page's measures, in its own units.
@@ -49,7 +49,7 @@
 
 // WritePage draws lanes of processes with their phases, faults as bands, what clients got over time, and verdicts. The page
 // needs no network.
-func WritePage(w io.Writer, events []history.Event, verdicts []judge.Verdict) error {
+func WritePage(w io.Writer, events []history.Event, verdicts []checker.Verdict) error {
 	if len(events) == 0 || events[0].Play == nil {
 		return fmt.Errorf("the history has no beginning")
 	}
@@ -57,7 +57,7 @@
 	for i := range events {
 		p.end = max(p.end, events[i].T)
 	}
-	c := judge.NewCase(events)
+	c := checker.NewCase(events)
 	about := events[0].Play
 	bands := 0
 	for _, f := range c.Faults {
@@ -97,7 +97,7 @@
 	return p.err
 }
 
-func found(verdicts []judge.Verdict) string {
+func found(verdicts []checker.Verdict) string {
 	if len(verdicts) == 0 {
 		return "nothing found"
 	}
@@ -147,7 +147,7 @@
 	}
 	now := map[string]stretch{}
 	lane := func(who string) (int, bool) {
-		n := judge.Number(who)
+		n := checker.Number(who)
 		return y + n*laneHeight, n >= 0 && n < routers && who[0] == 'r'
 	}
 	close := func(who string, t int64) {
@@ -198,7 +198,7 @@
 }
 
 // faults draws a band for each, and the machine's standstills as grey lines over all.
-func (p *page) faults(c *judge.Case, y int) int {
+func (p *page) faults(c *checker.Case, y int) int {
 	for _, f := range c.Faults {
 		if f.N >= stallNumber {
 			p.put(`<line x1="%.1f" x2="%.1f" y1="20" y2="%d" stroke="#888" stroke-dasharray="2,2"><title>the machine stood still</title></line>`, p.x(f.From), p.x(f.From), y)
@@ -223,7 +223,7 @@
 }
 
 // answers draws what became of the requests that were asked in each stretch of time.
-func (p *page) answers(c *judge.Case, events []history.Event, y int) {
+func (p *page) answers(c *checker.Case, events []history.Event, y int) {
 	bars := make([]map[history.How]int, mostBars)
 	at := func(t int64) int { return min(int(float64(t)/float64(max(p.end, 1))*mostBars), mostBars-1) }
 	asked := map[string]int64{}
--- a/internal/rig/player.go
+++ b/internal/testbed/chaos/player.go
@@ -1,4 +1,4 @@
-package rig
+package chaos
 
 import (
 	"context"
@@ -16,11 +16,11 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"reachspread/internal/faults"
-	"reachspread/internal/history"
-	"reachspread/internal/lab"
-	"reachspread/internal/snapshot"
-	"reachspread/internal/standin"
+	"reachspread/internal/router/snapshot"
+	"reachspread/internal/testbed/fakes"
+	"reachspread/internal/testbed/faults"
+	"reachspread/internal/testbed/history"
+	"reachspread/internal/testbed/simulator"
 )
 
 // player carries a schedule out.
@@ -40,7 +40,7 @@
 
 // run plays all faults, each in its own time, and returns once all are over. The play's clock begins now.
 func (y *player) run(ctx context.Context) error {
-	y.p.fleet.Lists(func(l *standin.List) { l.Remember() })
+	y.p.fleet.Lists(func(l *fakes.List) { l.Remember() })
 	begun := time.Now()
 	from := y.p.rec.count()
 	over, cancel := context.WithDeadline(ctx, begun.Add(y.p.spec.Length)) // what a fault waits for may never happen
@@ -54,9 +54,9 @@
 				}
 				return
 			}
-			y.p.rec.add(lab.FaultEvent(history.Fault, n, s))
+			y.p.rec.add(simulator.FaultEvent(history.Fault, n, s))
 			err := y.play(ctx, s)
-			y.p.rec.add(lab.FaultEvent(history.Heal, n, s))
+			y.p.rec.add(simulator.FaultEvent(history.Heal, n, s))
 			if err != nil {
 				y.mu.Lock()
 				y.errs = errors.Join(y.errs, fmt.Errorf("fault %s (%s): %w", s.Kind, s.Whom(), err))
@@ -75,7 +75,7 @@
 	if w := s.When; w != nil {
 		left := max(w.Nth, 1)
 		if _, err := y.p.rec.awaitFrom(ctx, from, func(e *history.Event) bool {
-			if lab.Fits(w, e) {
+			if simulator.Fits(w, e) {
 				left--
 			}
 			return left == 0
@@ -108,12 +108,12 @@
 	}
 	switch s.Kind {
 	case faults.OldList:
-		y.p.fleet.Lists(func(l *standin.List) { l.Old(true) })
+		y.p.fleet.Lists(func(l *fakes.List) { l.Old(true) })
 		wait(ctx, s.Length)
-		y.p.fleet.Lists(func(l *standin.List) { l.Old(false) })
+		y.p.fleet.Lists(func(l *fakes.List) { l.Old(false) })
 		return nil
 	case faults.Renumber:
-		y.p.fleet.Lists(func(l *standin.List) { l.Renumber() })
+		y.p.fleet.Lists(func(l *fakes.List) { l.Renumber() })
 		wait(ctx, s.Length)
 		return nil
 	}
--- a/internal/rig/process.go
+++ b/internal/testbed/chaos/process.go
@@ -1,4 +1,4 @@
-package rig
+package chaos
 
 import (
 	"bufio"
@@ -19,8 +19,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"reachspread/internal/history"
-	"reachspread/internal/standin"
+	"reachspread/internal/testbed/fakes"
+	"reachspread/internal/testbed/history"
 )
 
 // starter starts processes from one thread that lives as long as it does. The kernel kills each of them when that thread
@@ -151,7 +151,7 @@
 	if x.Seeds > 0 {
 		peers = nil
 	}
-	text := p.fleet.RouterConfig(standin.Place{Name: r.name(), Listen: p.layout.client(r.n), Discovery: p.layout.list(r.n), Seed: p.o.Seed<<16 | uint64(r.n+1),
+	text := p.fleet.RouterConfig(fakes.Place{Name: r.name(), Listen: p.layout.client(r.n), Discovery: p.layout.list(r.n), Seed: p.o.Seed<<16 | uint64(r.n+1),
 		Zone: p.spec.Shape().Routers[r.n], Memory: x.MemoryMB, Sockets: x.Sockets, Cores: x.Cores,
 		Me: r.n, PeerListen: p.layout.peer(r.n).String(), Peers: peers})
 	return os.WriteFile(filepath.Join(r.folder, "config.json"), text, 0o644)
--- a/internal/rig/record.go
+++ b/internal/testbed/chaos/record.go
@@ -1,4 +1,4 @@
-package rig
+package chaos
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"reachspread/internal/history"
+	"reachspread/internal/testbed/history"
 )
 
 // recorder stamps events, writes them, and has others wait for them.
--- a/internal/rig/recovery_test.go
+++ b/internal/testbed/chaos/recovery_test.go
@@ -1,4 +1,4 @@
-package rig
+package chaos
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"reachspread/internal/experiment"
-	"reachspread/internal/history"
+	"reachspread/internal/testbed/experiment"
+	"reachspread/internal/testbed/history"
 )
 
 // returnCase is a schedule for routers with snapshots, and what must have been seen of it.
--- a/internal/rig/returns.go
+++ b/internal/testbed/chaos/returns.go
@@ -1,4 +1,4 @@
-package rig
+package chaos
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"reachspread/internal/history"
+	"reachspread/internal/testbed/history"
 )
 
 // Returns collects how long routers took to come back after they had died or were restarted, from the start of the process to each phase and stage.
--- a/internal/rig/returns_test.go
+++ b/internal/testbed/chaos/returns_test.go
@@ -1,11 +1,11 @@
-package rig
+package chaos
 
 import (
 	"strings"
 	"testing"
 	"time"
 
-	"reachspread/internal/history"
+	"reachspread/internal/testbed/history"
 )
 
 // Only processes that came back count, each step once, from the start of its own process.
