--- a/internal/rig/series.go
+++ b/internal/testbed/chaos/series.go
@@ -1,4 +1,4 @@
-package rig
+package chaos
 
 import (
 	"context"
@@ -9,12 +9,12 @@
 	"slices"
 	"time"
 
-	"reachspread/internal/experiment"
-	"reachspread/internal/faults"
-	"reachspread/internal/history"
-	"reachspread/internal/judge"
-	"reachspread/internal/report"
-	"reachspread/internal/standin"
+	"reachspread/internal/router/report"
+	"reachspread/internal/testbed/checker"
+	"reachspread/internal/testbed/experiment"
+	"reachspread/internal/testbed/fakes"
+	"reachspread/internal/testbed/faults"
+	"reachspread/internal/testbed/history"
 )
 
 // Series is plays one after another.
@@ -151,7 +151,7 @@
 	}
 }
 
-func hasVerdict(all []judge.Verdict, checker string) bool {
+func hasVerdict(all []checker.Verdict, checker string) bool {
 	for i := range all {
 		if all[i].Checker == checker {
 			return true
@@ -197,7 +197,7 @@
 	for i := range r.Events {
 		e := &r.Events[i]
 		switch {
-		case e.What == history.Note && e.Text == standin.CloseCrossed:
+		case e.What == history.Note && e.Text == fakes.CloseCrossed:
 			s.Crossed++
 		case e.What == history.Ask:
 			s.Asked++
--- a/internal/rig/view_test.go
+++ b/internal/testbed/chaos/view_test.go
@@ -1,11 +1,11 @@
-package rig
+package chaos
 
 import (
 	"fmt"
 	"strings"
 	"testing"
 
-	"reachspread/internal/history"
+	"reachspread/internal/testbed/history"
 )
 
 // hardCases are schedules for routers that keep a view of the fleet, each over by 8 s. The same cases at many sizes and seeds
--- a/internal/rig/watch.go
+++ b/internal/testbed/chaos/watch.go
@@ -1,4 +1,4 @@
-package rig
+package chaos
 
 import (
 	"bufio"
@@ -14,10 +14,10 @@
 	"syscall"
 	"time"
 
-	"reachspread/internal/history"
-	"reachspread/internal/judge"
-	"reachspread/internal/lab"
-	"reachspread/internal/program"
+	"reachspread/internal/router/program"
+	"reachspread/internal/testbed/checker"
+	"reachspread/internal/testbed/history"
+	"reachspread/internal/testbed/simulator"
 )
 
 // front is who spreads clients over routers: it asks each whether it is ready, and notices late that one has died.
@@ -86,7 +86,7 @@
 }
 
 // pick spreads requests over the routers that are ready, by their sessions' and own names.
-func (f *front) pick(p *lab.Planned) string {
+func (f *front) pick(p *simulator.Planned) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var up []int
@@ -382,7 +382,7 @@
 			inc, _ := strconv.ParseUint(l.Fields["incarnation"], 10, 32)
 			e.Inc = uint32(inc)
 		}
-		if n := judge.Number(name); n >= 0 {
+		if n := checker.Number(name); n >= 0 {
 			e.Routers = append(e.Routers, n)
 		}
 	}
--- a/internal/rig/work_test.go
+++ b/internal/testbed/chaos/work_test.go
@@ -1,9 +1,9 @@
-package rig
+package chaos
 
 import (
 	"testing"
 
-	"reachspread/internal/history"
+	"reachspread/internal/testbed/history"
 )
 
 // The view at work on real processes: two halves that disagree on who lives, and then a half that is killed, as hosts come back cold. The
--- a/internal/judge/answer.go
+++ b/internal/testbed/checker/answer.go
@@ -1,10 +1,10 @@
-package judge
+package checker
 
 import (
 	"fmt"
 	"time"
 
-	"reachspread/internal/history"
+	"reachspread/internal/testbed/history"
 )
 
 // answer finds requests with no final answer, with two, with a late one, or with a stream that broke while nothing that was
--- a/internal/judge/judge.go
+++ b/internal/testbed/checker/checker.go
@@ -1,10 +1,10 @@
-// Package judge holds checkers over histories. Each takes what happened, on the rig's processes or in the lab's virtual
+// Package checker holds checkers over histories. Each takes what happened, on the rig's processes or in the lab's virtual
 // time, and says what should not have; each stands in a file of its own and has a test with a planted violation that it
 // must find. The package is pure.
 //
 // A checker knows what a fault excuses, and no more than that: a router that was killed owes no answer to what it had
 // taken, one beside it does.
-package judge
+package checker
 
 import (
 	"fmt"
@@ -13,7 +13,7 @@
 	"strings"
 	"time"
 
-	"reachspread/internal/history"
+	"reachspread/internal/testbed/history"
 )
 
 // Verdict is one thing that should not have happened.
--- a/internal/judge/judge_test.go
+++ b/internal/testbed/checker/checker_test.go
@@ -1,11 +1,11 @@
-package judge
+package checker
 
 import (
 	"fmt"
 	"strings"
 	"testing"
 
-	"reachspread/internal/history"
+	"reachspread/internal/testbed/history"
 )
 
 const ms = 1_000_000
--- a/internal/judge/crash.go
+++ b/internal/testbed/checker/crash.go
@@ -1,11 +1,11 @@
-package judge
+package checker
 
 import (
 	"fmt"
 	"slices"
 	"strings"
 
-	"reachspread/internal/history"
+	"reachspread/internal/testbed/history"
 )
 
 // crash finds processes that ended by themselves, that did not start, and panics in logs. A second process that a fault
--- a/internal/judge/docs_test.go
+++ b/internal/testbed/checker/docs_test.go
@@ -1,4 +1,4 @@
-package judge
+package checker
 
 import (
 	"fmt"
@@ -6,12 +6,12 @@
 	"strings"
 	"testing"
 
-	"reachspread/internal/faults"
+	"reachspread/internal/testbed/faults"
 )
 
 // The operators' page has the tables of checkers and of faults as the program has them.
 func TestPage(t *testing.T) {
-	page, err := os.ReadFile("../../docs/operators/rig.md")
+	page, err := os.ReadFile("../../../docs/operators/rig.md")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/judge/drain.go
+++ b/internal/testbed/checker/drain.go
@@ -1,10 +1,10 @@
-package judge
+package checker
 
 import (
 	"fmt"
 	"time"
 
-	"reachspread/internal/history"
+	"reachspread/internal/testbed/history"
 )
 
 // drainSlack is how long after it was told a host may still be sent something new, with the platform's slack on sockets.
--- a/internal/judge/duties.go
+++ b/internal/testbed/checker/duties.go
@@ -1,11 +1,11 @@
-package judge
+package checker
 
 import (
 	"cmp"
 	"fmt"
 	"slices"
 
-	"reachspread/internal/history"
+	"reachspread/internal/testbed/history"
 )
 
 // duties finds acts that should not have been: accepted under a lower token than one before, of two routers under one token, or
--- a/internal/judge/duties_test.go
+++ b/internal/testbed/checker/duties_test.go
@@ -1,9 +1,9 @@
-package judge
+package checker
 
 import (
 	"testing"
 
-	"reachspread/internal/history"
+	"reachspread/internal/testbed/history"
 )
 
 func act(t int64, from string, token uint64, status int, begun int64) history.Event {
--- a/internal/judge/limits.go
+++ b/internal/testbed/checker/limits.go
@@ -1,11 +1,11 @@
-package judge
+package checker
 
 import (
 	"fmt"
 	"strings"
 	"time"
 
-	"reachspread/internal/history"
+	"reachspread/internal/testbed/history"
 )
 
 // limits finds processes over their memory or their descriptors, and datagrams over the platform's bound. Each process is
--- a/internal/judge/linear.go
+++ b/internal/testbed/checker/linear.go
@@ -1,4 +1,4 @@
-package judge
+package checker
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"reachspread/internal/history"
+	"reachspread/internal/testbed/history"
 )
 
 // linearWithin bounds the search, which may take exponential time.
--- a/internal/judge/returned.go
+++ b/internal/testbed/checker/returned.go
@@ -1,10 +1,10 @@
-package judge
+package checker
 
 import (
 	"fmt"
 	"time"
 
-	"reachspread/internal/history"
+	"reachspread/internal/testbed/history"
 )
 
 const (
--- a/internal/judge/views.go
+++ b/internal/testbed/checker/views.go
@@ -1,11 +1,11 @@
-package judge
+package checker
 
 import (
 	"fmt"
 	"slices"
 	"time"
 
-	"reachspread/internal/history"
+	"reachspread/internal/testbed/history"
 )
 
 const (
--- a/internal/demo/demo.go
+++ b/internal/testbed/demo/demo.go
@@ -16,13 +16,13 @@
 	"strings"
 	"time"
 
-	"reachspread/internal/experiment"
-	"reachspread/internal/fleet"
-	"reachspread/internal/lab"
 	"reachspread/internal/logging"
-	"reachspread/internal/program"
-	"reachspread/internal/report"
-	"reachspread/internal/standin"
+	"reachspread/internal/router/program"
+	"reachspread/internal/router/report"
+	"reachspread/internal/testbed/experiment"
+	"reachspread/internal/testbed/fakes"
+	"reachspread/internal/testbed/hostmodel"
+	"reachspread/internal/testbed/simulator"
 )
 
 //go:embed demo.hcl
@@ -54,7 +54,7 @@
 	}
 	spec := x.World(0, x.Seeds[0])
 	spec.Length = cmp.Or(o.Length, spec.Length)
-	plan, err := lab.Plan(spec)
+	plan, err := simulator.Plan(spec)
 	if err != nil {
 		return err
 	}
@@ -72,7 +72,7 @@
 	}
 	fmt.Fprintf(o.Out, "\n%d requests in %v\n", len(plan), spec.Length)
 
-	clients := standin.NewClients(s.addr, &spec)
+	clients := fakes.NewClients(s.addr, &spec)
 	done := make(chan bool)
 	go func() {
 		defer close(done)
@@ -96,14 +96,14 @@
 
 // stage is what a demo has started.
 type stage struct {
-	*standin.Fleet
+	*fakes.Fleet
 	addr   string
 	end    context.CancelFunc // of the router
 	ended  chan error
 	folder string
 }
 
-func start(ctx context.Context, spec *lab.Spec, log io.Writer) (s *stage, err error) {
+func start(ctx context.Context, spec *simulator.Spec, log io.Writer) (s *stage, err error) {
 	s = &stage{ended: make(chan error, 1), end: func() {}}
 	defer func() {
 		if err != nil {
@@ -114,7 +114,7 @@
 	if s.folder, err = os.MkdirTemp("", "reachlab-demo-"); err != nil {
 		return s, err
 	}
-	if s.Fleet, err = standin.NewFleet(spec, standin.Anywhere); err != nil {
+	if s.Fleet, err = fakes.NewFleet(spec, fakes.Anywhere); err != nil {
 		return s, err
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -124,7 +124,7 @@
 	s.addr = ln.Addr().String()
 	ln.Close() // the router listens there next
 	path := filepath.Join(s.folder, "config.json")
-	if err = os.WriteFile(path, s.RouterConfig(standin.Place{Name: "demo", Listen: s.addr}), 0o600); err != nil {
+	if err = os.WriteFile(path, s.RouterConfig(fakes.Place{Name: "demo", Listen: s.addr}), 0o600); err != nil {
 		return s, err
 	}
 	env := func(name string) string { return map[string]string{"ROUTER_CONFIG": path}[name] }
@@ -186,7 +186,7 @@
 // show tells of a demo as it goes.
 type show struct {
 	o       *Options
-	clients *standin.Clients
+	clients *fakes.Clients
 	s       *stage
 	lines   int // drawn last, to be drawn over
 	seconds []second
@@ -252,7 +252,7 @@
 	h := w.s.Hosts[0]
 	w.tell(h.ID + " drains")
 	w.s.Tell(h, "Terminating", 0)
-	h.Event(fleet.Drain{})
+	h.Event(hostmodel.Drain{})
 }
 
 func (w *show) kill() {
--- a/internal/demo/measure_test.go
+++ b/internal/testbed/demo/measure_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"reachspread/internal/experiment"
-	"reachspread/internal/lab"
-	"reachspread/internal/standin"
+	"reachspread/internal/testbed/experiment"
+	"reachspread/internal/testbed/fakes"
+	"reachspread/internal/testbed/simulator"
 )
 
 var (
@@ -26,8 +26,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	times := func(f float64) func(*lab.Spec) {
-		return func(s *lab.Spec) {
+	times := func(f float64) func(*simulator.Spec) {
+		return func(s *simulator.Spec) {
 			for i := range s.Classes {
 				s.Classes[i].Rate *= f
 			}
@@ -36,18 +36,18 @@
 	t.Logf("| fleet | requests | served in time, sockets | virtual | difference in points |")
 	for _, shape := range []struct {
 		name   string
-		change func(*lab.Spec)
+		change func(*simulator.Spec)
 	}{
 		{"3 hosts, light", times(1)},
 		{"3 hosts, 3 times the load", times(3)},
 		{"3 hosts, 8 times the load", times(8)},
-		{"8 hosts of 8 slots", func(s *lab.Spec) { times(3)(s); s.Groups[0].Count, s.Groups[0].Host.Slots = 8, 8 }},
-		{"3 hosts, long prompts", func(s *lab.Spec) {
+		{"8 hosts of 8 slots", func(s *simulator.Spec) { times(3)(s); s.Groups[0].Count, s.Groups[0].Host.Slots = 8, 8 }},
+		{"3 hosts, long prompts", func(s *simulator.Spec) {
 			for i := range s.Classes {
 				s.Classes[i].New.Median *= 6
 			}
 		}},
-		{"3 hosts, half as fast, little memory", func(s *lab.Spec) {
+		{"3 hosts, half as fast, little memory", func(s *simulator.Spec) {
 			times(2)(s)
 			h := &s.Groups[0].Host
 			h.Base, h.ReadPerS, h.Memory = 2*h.Base, h.ReadPerS/2, 35000
@@ -56,7 +56,7 @@
 		spec := x.World(0, 1)
 		spec.Length, spec.Routers, spec.Retries.Max = *played, 1, 0
 		shape.change(&spec)
-		plan, err := lab.Plan(spec)
+		plan, err := simulator.Plan(spec)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -64,7 +64,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		clients := standin.NewClients(s.addr, &spec)
+		clients := fakes.NewClients(s.addr, &spec)
 		clients.Run(t.Context(), plan)
 		good := 0
 		for _, tally := range clients.Tallies() {
@@ -73,7 +73,7 @@
 		if err := s.stop(); err != nil {
 			t.Error(err)
 		}
-		w, err := lab.New(spec)
+		w, err := simulator.New(spec)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/experiment/charts.go
+++ b/internal/testbed/experiment/charts.go
@@ -12,7 +12,7 @@
 	"gonum.org/v1/plot/vg"
 	"gonum.org/v1/plot/vg/draw"
 
-	"reachspread/internal/report"
+	"reachspread/internal/router/report"
 )
 
 // palette is Okabe and Ito's, which people see apart who see colours differently (Color Universal Design, 2008).
--- a/internal/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -13,7 +13,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"reachspread/internal/lab"
+	"reachspread/internal/testbed/simulator"
 )
 
 const good = `seeds = [3, 5, 8]
@@ -107,7 +107,7 @@
 
 // The file that stands under deploy can be played.
 func TestExample(t *testing.T) {
-	x, err := Read("../../deploy/lab/example.hcl")
+	x, err := Read("../../../deploy/lab/example.hcl")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -200,7 +200,7 @@
 // A difference that all seeds show is shown, one that they don't agree on is not, and a broken world counts in no pair.
 func TestCompare(t *testing.T) {
 	world := func(variant string, seed uint64, g float64) *Run {
-		return &Run{Variant: variant, Seed: seed, Result: &lab.Result{Worth: g, Asked: 1}}
+		return &Run{Variant: variant, Seed: seed, Result: &simulator.Result{Worth: g, Asked: 1}}
 	}
 	var runs []*Run
 	for seed := range uint64(12) {
--- a/internal/experiment/file.go
+++ b/internal/testbed/experiment/file.go
@@ -15,17 +15,17 @@
 	"github.com/zclconf/go-cty/cty"
 
 	"reachspread/balance"
-	"reachspread/internal/capture"
-	"reachspread/internal/faults"
-	"reachspread/internal/fleet"
-	"reachspread/internal/lab"
+	"reachspread/internal/router/capture"
+	"reachspread/internal/testbed/faults"
+	"reachspread/internal/testbed/hostmodel"
+	"reachspread/internal/testbed/simulator"
 )
 
 // Experiment is worlds that differ by seed and by variant.
 type Experiment struct {
 	Name     string
 	Seeds    []uint64
-	Spec     lab.Spec // of the first variant, but for the seed
+	Spec     simulator.Spec // of the first variant, but for the seed
 	Variants []Variant
 	Faults   []faults.Fault // by their blocks
 	Text     []byte         // as it was read
@@ -39,14 +39,14 @@
 // Variant is a change to the module's settings or to the routers.
 type Variant struct {
 	Name  string
-	apply func(*lab.Spec)
+	apply func(*simulator.Spec)
 }
 
 // Worlds returns how many worlds the experiment has.
 func (x *Experiment) Worlds() int { return len(x.Seeds) * len(x.Variants) }
 
 // World returns the spec of one world. It is the caller's own.
-func (x *Experiment) World(variant int, seed uint64) lab.Spec {
+func (x *Experiment) World(variant int, seed uint64) simulator.Spec {
 	s := x.Spec
 	s.Groups, s.Classes, s.Troubles = slices.Clone(s.Groups), slices.Clone(s.Classes), slices.Clone(s.Troubles)
 	s.Seed = seed
@@ -55,7 +55,7 @@
 }
 
 // Virtual is World with the schedule of faults, for virtual time.
-func (x *Experiment) Virtual(variant int, seed uint64) lab.Spec {
+func (x *Experiment) Virtual(variant int, seed uint64) simulator.Spec {
 	s := x.World(variant, seed)
 	s.Faults = x.Faults
 	return s
@@ -237,12 +237,12 @@
 
 func (d *decoder) file(x *Experiment, b *hclsyntax.Body) {
 	s := &x.Spec
-	*s = lab.Spec{Length: time.Minute, Tick: 5 * time.Millisecond, Routers: 1,
+	*s = simulator.Spec{Length: time.Minute, Tick: 5 * time.Millisecond, Routers: 1,
 		Balance: balance.Config{MaxAttempts: 4, StartCapacity: 1},
-		Net: lab.Network{Same: 300 * time.Microsecond, Cross: 2 * time.Millisecond, Jitter: 0.2, Connect: 50 * time.Millisecond,
+		Net: simulator.Network{Same: 300 * time.Microsecond, Cross: 2 * time.Millisecond, Jitter: 0.2, Connect: 50 * time.Millisecond,
 			Idle: 15 * time.Second, Silent: 4500 * time.Millisecond},
-		List: lab.List{Delay: 50 * time.Millisecond, Spread: 200 * time.Millisecond}, Front: lab.Front{Notice: 2 * time.Second},
-		Retries: lab.Retries{Max: 2, After: 200 * time.Millisecond, Heed: true}}
+		List: simulator.List{Delay: 50 * time.Millisecond, Spread: 200 * time.Millisecond}, Front: simulator.Front{Notice: 2 * time.Second},
+		Retries: simulator.Retries{Max: 2, After: 200 * time.Millisecond, Heed: true}}
 	names := map[string]bool{}
 	d.body(b, "an experiment", fields{
 		"seeds":    d.seeds(x),
@@ -291,7 +291,7 @@
 		},
 	}, "seeds")
 	if len(x.Variants) == 0 {
-		x.Variants = []Variant{{"base", func(*lab.Spec) {}}}
+		x.Variants = []Variant{{"base", func(*simulator.Spec) {}}}
 	}
 	if len(s.Classes) == 0 {
 		d.fault(b.SrcRange, "class", "is missing: an experiment needs one at least")
@@ -335,7 +335,7 @@
 	}
 }
 
-func (d *decoder) view(s *lab.Spec) func(*hclsyntax.Block) {
+func (d *decoder) view(s *simulator.Spec) func(*hclsyntax.Block) {
 	return func(b *hclsyntax.Block) {
 		v := &s.View
 		v.On = true
@@ -344,8 +344,8 @@
 }
 
 // variant reads a block and returns what it changes. The block is read again for each world.
-func (d *decoder) variant(b *hclsyntax.Block) func(*lab.Spec) {
-	read := func(d *decoder, s *lab.Spec) {
+func (d *decoder) variant(b *hclsyntax.Block) func(*simulator.Spec) {
+	read := func(d *decoder, s *simulator.Spec) {
 		f := d.module(&s.Balance)
 		f["routers"] = whole(&s.Routers, 1, 10000)
 		f["tick"] = span(&s.Tick, time.Microsecond)
@@ -358,12 +358,12 @@
 			s.Classes[i].Rate *= load
 		}
 	}
-	read(d, &lab.Spec{})
-	return func(s *lab.Spec) { read(&decoder{}, s) }
+	read(d, &simulator.Spec{})
+	return func(s *simulator.Spec) { read(&decoder{}, s) }
 }
 
-func (d *decoder) group(b *hclsyntax.Block) lab.Group {
-	g := lab.Group{Kind: d.label(b), Zone: "a", Host: fleet.Config{Slots: 64, Queue: 64, Memory: 200000, Chunk: 2048, Block: 16,
+func (d *decoder) group(b *hclsyntax.Block) simulator.Group {
+	g := simulator.Group{Kind: d.label(b), Zone: "a", Host: hostmodel.Config{Slots: 64, Queue: 64, Memory: 200000, Chunk: 2048, Block: 16,
 		Base: 12 * time.Millisecond, PerSeq: 200 * time.Microsecond, ContextPerK: 50 * time.Microsecond, PairsPerM: time.Millisecond,
 		ReadPerS: 20000, KeepsMade: true}}
 	h := &g.Host
@@ -384,9 +384,9 @@
 	return g
 }
 
-func (d *decoder) class(b *hclsyntax.Block) lab.Class {
-	c := lab.Class{Class: balance.Class{Name: d.label(b), Worth: 1, Streamed: true}, Turns: 1, MaxOut: 800, MaxContext: 32000,
-		New: lab.Length{Median: 300, Sigma: 0.8}, Out: lab.Length{Median: 120, Sigma: 0.7}, PrefixLen: lab.Length{Median: 1000, Sigma: 0.5}, Zipf: 1}
+func (d *decoder) class(b *hclsyntax.Block) simulator.Class {
+	c := simulator.Class{Class: balance.Class{Name: d.label(b), Worth: 1, Streamed: true}, Turns: 1, MaxOut: 800, MaxContext: 32000,
+		New: simulator.Length{Median: 300, Sigma: 0.8}, Out: simulator.Length{Median: 120, Sigma: 0.7}, PrefixLen: simulator.Length{Median: 1000, Sigma: 0.5}, Zipf: 1}
 	d.body(b.Body, "class", fields{
 		"aim": span(&c.Class.Aim, 0), "aim_per_1000": span(&c.Class.AimPer1000, 0), "token_aim": span(&c.Class.TokenAim, 0),
 		"deadline": span(&c.Class.Deadline, 1), "worth": num(&c.Class.Worth, 0, 1e6), "late_worth": num(&c.Class.LateWorth, 0, 1),
@@ -401,22 +401,22 @@
 	return c
 }
 
-func (d *decoder) trouble(b *hclsyntax.Block) lab.Trouble {
-	t := lab.Trouble{Kind: lab.TroubleKind(d.label(b))}
-	known := lab.Trouble{Kind: t.Kind, Part: 1, Size: 1, Length: 1, Zone: t.Zone}
-	if probe := (&lab.Spec{Length: 1, Tick: 1, Routers: 1, Classes: []lab.Class{{Class: balance.Class{Deadline: 1}, Turns: 1, MaxOut: 1, MaxContext: 1}},
-		Groups: []lab.Group{{Host: fleet.Config{Slots: 1, Memory: 1, Chunk: 1, Base: 1}}}, Troubles: []lab.Trouble{known}}); probe.Check() != nil {
+func (d *decoder) trouble(b *hclsyntax.Block) simulator.Trouble {
+	t := simulator.Trouble{Kind: simulator.TroubleKind(d.label(b))}
+	known := simulator.Trouble{Kind: t.Kind, Part: 1, Size: 1, Length: 1, Zone: t.Zone}
+	if probe := (&simulator.Spec{Length: 1, Tick: 1, Routers: 1, Classes: []simulator.Class{{Class: balance.Class{Deadline: 1}, Turns: 1, MaxOut: 1, MaxContext: 1}},
+		Groups: []simulator.Group{{Host: hostmodel.Config{Slots: 1, Memory: 1, Chunk: 1, Base: 1}}}, Troubles: []simulator.Trouble{known}}); probe.Check() != nil {
 		d.fault(b.TypeRange, "trouble", "%q is unknown", t.Kind)
 	}
 	needed := []string{"at", "length"}
 	switch t.Kind {
-	case lab.SlowHosts, lab.HeavyTail:
+	case simulator.SlowHosts, simulator.HeavyTail:
 		needed = append(needed, "part", "size")
-	case lab.Burst:
+	case simulator.Burst:
 		needed = append(needed, "size")
-	case lab.RouterCrash, lab.HostsDie, lab.Replace, lab.Release:
+	case simulator.RouterCrash, simulator.HostsDie, simulator.Replace, simulator.Release:
 		needed = append(needed, "part")
-	case lab.LostZone:
+	case simulator.LostZone:
 		needed = append(needed, "zone")
 	}
 	d.body(b.Body, "trouble", fields{"at": span(&t.At, 0), "length": span(&t.Length, 1), "part": num(&t.Part, 0, 1),
@@ -425,7 +425,7 @@
 }
 
 // Captured reads a capture as the plan of an experiment's clients. A class that the experiment does not have is a fault.
-func Captured(path string, spec *lab.Spec) ([]lab.Planned, error) {
+func Captured(path string, spec *simulator.Spec) ([]simulator.Planned, error) {
 	_, all, err := capture.Read(path)
 	if err != nil {
 		return nil, err
@@ -433,14 +433,14 @@
 	if len(all) == 0 {
 		return nil, fmt.Errorf("%s:1: holds no request", filepath.Base(path))
 	}
-	plan := make([]lab.Planned, 0, len(all))
+	plan := make([]simulator.Planned, 0, len(all))
 	for i, q := range all {
-		n := slices.IndexFunc(spec.Classes, func(c lab.Class) bool { return c.Class.Name == q.Class })
+		n := slices.IndexFunc(spec.Classes, func(c simulator.Class) bool { return c.Class.Name == q.Class })
 		if n < 0 {
 			return nil, fmt.Errorf("%s:%d: class %q is none of the experiment's", filepath.Base(path), i+2, q.Class)
 		}
 		c := &spec.Classes[n]
-		plan = append(plan, lab.Planned{At: q.At, ID: fmt.Sprint("c", i+1), Class: n, Session: q.Session, Prefix: q.Prefix, Shared: q.Shared,
+		plan = append(plan, simulator.Planned{At: q.At, ID: fmt.Sprint("c", i+1), Class: n, Session: q.Session, Prefix: q.Prefix, Shared: q.Shared,
 			Prompt: q.Prompt, Out: c.AnswerOf(i), MaxOut: c.MaxOut})
 	}
 	return plan, nil
--- a/internal/experiment/forms_test.go
+++ b/internal/testbed/experiment/forms_test.go
@@ -13,8 +13,8 @@
 	"strings"
 	"testing"
 
-	"reachspread/internal/faults"
-	"reachspread/internal/formtest"
+	"reachspread/internal/testbed/faults"
+	"reachspread/internal/testbed/formtest"
 )
 
 // blockHeaders are the blocks of an experiment's file, each with how it begins; %s is what stands in it.
@@ -125,7 +125,7 @@
 
 // Each experiment of the repository can be read.
 func TestExperimentsOfTheRepositoryAreRead(t *testing.T) {
-	paths, err := filepath.Glob("../../deploy/lab/*.hcl")
+	paths, err := filepath.Glob("../../../deploy/lab/*.hcl")
 	if err != nil || len(paths) == 0 {
 		t.Fatal(err, len(paths))
 	}
--- a/internal/experiment/measure_test.go
+++ b/internal/testbed/experiment/measure_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"reachspread/internal/lab"
+	"reachspread/internal/testbed/simulator"
 )
 
 var measure = flags.Bool("measure", false, "run the measurements")
@@ -18,7 +18,7 @@
 	if !*measure {
 		t.Skip("a measurement; see docs/measurements/")
 	}
-	text, err := os.ReadFile("../../deploy/lab/powerloss.hcl")
+	text, err := os.ReadFile("../../../deploy/lab/powerloss.hcl")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,7 +32,7 @@
 				t.Run(fmt.Sprintf("%d routers, peer reports %v, %s", routers, peers != "", x.Variants[v].Name), func(t *testing.T) {
 					t.Parallel()
 					for _, seed := range x.Seeds {
-						w, err := lab.New(x.Virtual(v, seed))
+						w, err := simulator.New(x.Virtual(v, seed))
 						if err != nil {
 							t.Fatal(err)
 						}
@@ -49,7 +49,7 @@
 }
 
 // afterReturn sums up so many seconds, from one on.
-func afterReturn(r *lab.Result, from, length int) string {
+func afterReturn(r *simulator.Result, from, length int) string {
 	var b strings.Builder
 	got, able := 0.0, 0.0
 	for c := range r.Classes {
--- a/internal/experiment/run.go
+++ b/internal/testbed/experiment/run.go
@@ -8,16 +8,16 @@
 	"slices"
 	"sync"
 
-	"reachspread/internal/faults"
-	"reachspread/internal/lab"
+	"reachspread/internal/testbed/faults"
+	"reachspread/internal/testbed/simulator"
 )
 
 // Run is one world that was played.
 type Run struct {
-	Variant string      `json:"variant"`
-	Seed    uint64      `json:"seed"`
-	Result  *lab.Result `json:"result"`
-	Broken  string      `json:"broken,omitempty"` // a rule: one line; the world ended there
+	Variant string            `json:"variant"`
+	Seed    uint64            `json:"seed"`
+	Result  *simulator.Result `json:"result"`
+	Broken  string            `json:"broken,omitempty"` // a rule: one line; the world ended there
 
 	Report string `json:"-"` // of a broken rule, with what came before
 	err    error
@@ -71,13 +71,13 @@
 	return runs, nil
 }
 
-func play(s lab.Spec) *Run {
-	w, err := lab.New(s)
+func play(s simulator.Spec) *Run {
+	w, err := simulator.New(s)
 	if err != nil {
 		return &Run{err: err}
 	}
 	r := &Run{}
-	var v *lab.Violation
+	var v *simulator.Violation
 	if r.Result, err = w.Run(0); errors.As(err, &v) {
 		r.Broken, r.Report = v.Error(), v.Report()
 	} else {
--- a/internal/experiment/schedule.go
+++ b/internal/testbed/experiment/schedule.go
@@ -8,8 +8,8 @@
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 	"github.com/zclconf/go-cty/cty"
 
-	"reachspread/internal/faults"
-	"reachspread/internal/lab"
+	"reachspread/internal/testbed/faults"
+	"reachspread/internal/testbed/simulator"
 )
 
 // Rig is how an experiment is played on processes.
@@ -157,8 +157,8 @@
 
 // onSockets has for each trouble of virtual time the fault that means the same. Those that clients make are played
 // everywhere.
-var onSockets = map[lab.TroubleKind]string{lab.SlowHosts: "slow", lab.RouterCrash: "kill", lab.HostsDie: "kill", lab.Replace: "drain",
-	lab.Release: "drain", lab.LostZone: "power", lab.ListLost: "cut"}
+var onSockets = map[simulator.TroubleKind]string{simulator.SlowHosts: "slow", simulator.RouterCrash: "kill", simulator.HostsDie: "kill", simulator.Replace: "drain",
+	simulator.Release: "drain", simulator.LostZone: "power", simulator.ListLost: "cut"}
 
 // CheckFor returns what of the schedule does not exist in a world, or is wrong with it, as one line with file, line and
 // field.
--- a/internal/experiment/schedule_test.go
+++ b/internal/testbed/experiment/schedule_test.go
@@ -8,10 +8,10 @@
 	"github.com/google/go-cmp/cmp"
 	"github.com/google/go-cmp/cmp/cmpopts"
 
-	"reachspread/internal/faults"
-	"reachspread/internal/history"
-	"reachspread/internal/judge"
-	"reachspread/internal/lab"
+	"reachspread/internal/testbed/checker"
+	"reachspread/internal/testbed/faults"
+	"reachspread/internal/testbed/history"
+	"reachspread/internal/testbed/simulator"
 )
 
 const fleetOf = `seeds = 3
@@ -102,7 +102,7 @@
 	for seed := range uint64(24) {
 		spec := x.World(0, seed)
 		spec.Routers = 9 // enough to tell each other
-		spec.Peers = lab.Peers{On: true, Most: 5 * time.Millisecond}
+		spec.Peers = simulator.Peers{On: true, Most: 5 * time.Millisecond}
 		spec.Faults = faults.Draw(faults.Bounds{Length: spec.Length, World: faults.Lab}, spec.Shape(), seed)
 		for i := range spec.Faults { // as virtual time has them
 			f := &spec.Faults[i]
@@ -126,14 +126,14 @@
 				}
 			}
 		}
-		w, err := lab.New(spec)
+		w, err := simulator.New(spec)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if _, err := w.Run(0); err != nil {
 			t.Fatalf("seed %d: %v\n%s", seed, err, faults.Text(spec.Faults))
 		}
-		for _, v := range judge.Judge(all) {
+		for _, v := range checker.Judge(all) {
 			t.Errorf("seed %d: %s\n%s", seed, v.String(), faults.Text(spec.Faults))
 		}
 		last := len(spec.Faults) - 1
--- a/internal/explore/explore.go
+++ b/internal/testbed/explorer/explorer.go
@@ -1,4 +1,4 @@
-// Package explore plays a small fleet of deciders in all orders: of messages, losses, second copies, crashes, starts,
+// Package explorer plays a small fleet of deciders in all orders: of messages, losses, second copies, crashes, starts,
 // standstills and timers, up to a depth, and prints a shortest path to a broken invariant. It is pure.
 //
 // A fleet is played anew for each path, from its beginning: a decider must be deterministic, and need not be copyable.
@@ -8,7 +8,7 @@
 // Each node has a clock of its own, which its timers move. The most by which two clocks that run may differ is part of the
 // question: a lease is only as safe as the bound that it counts on. The clock of a node that stands still or is down goes on
 // as well.
-package explore
+package explorer
 
 import (
 	"encoding/binary"
--- a/internal/explore/explore_test.go
+++ b/internal/testbed/explorer/explorer_test.go
@@ -1,4 +1,4 @@
-package explore
+package explorer
 
 import (
 	"errors"
--- a/internal/standin/clients.go
+++ b/internal/testbed/fakes/clients.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"bufio"
@@ -20,9 +20,9 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"reachspread/internal/history"
-	"reachspread/internal/lab"
 	"reachspread/internal/protocol"
+	"reachspread/internal/testbed/history"
+	"reachspread/internal/testbed/simulator"
 )
 
 // Tally is what came of the requests of one class so far. Times are from when a request was due, not from when it was
@@ -48,13 +48,13 @@
 
 // Clients ask what a plan says.
 type Clients struct {
-	Front   func(p *lab.Planned) string // the address of a router for a request, empty for none
-	Watch   func(Saw)                   // nil for nobody; must not wait
-	Grace   time.Duration               // beyond its deadline that a client still listens
+	Front   func(p *simulator.Planned) string // the address of a router for a request, empty for none
+	Watch   func(Saw)                         // nil for nobody; must not wait
+	Grace   time.Duration                     // beyond its deadline that a client still listens
 	Manner  Manner
 	Retries bool // who is refused comes again, as the plan's experiment says
 
-	spec    *lab.Spec
+	spec    *simulator.Spec
 	client  *http.Client
 	fresh   *http.Client // a new connection for each request
 	mu      sync.Mutex
@@ -62,8 +62,8 @@
 }
 
 // NewClients returns clients of the router at an address.
-func NewClients(addr string, spec *lab.Spec) *Clients {
-	c := &Clients{Front: func(*lab.Planned) string { return addr }, spec: spec,
+func NewClients(addr string, spec *simulator.Spec) *Clients {
+	c := &Clients{Front: func(*simulator.Planned) string { return addr }, spec: spec,
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true}},
 		fresh:  &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}}}
 	for _, class := range spec.Classes {
@@ -84,7 +84,7 @@
 }
 
 // Run asks each request of a plan at its time, in an open loop, and waits for all answers or until ctx ends.
-func (c *Clients) Run(ctx context.Context, plan []lab.Planned) {
+func (c *Clients) Run(ctx context.Context, plan []simulator.Planned) {
 	defer c.client.CloseIdleConnections()
 	var all sync.WaitGroup
 	defer all.Wait()
@@ -109,7 +109,7 @@
 	away        time.Duration // that the answer asked to wait
 }
 
-func (c *Clients) ask(ctx context.Context, p *lab.Planned, due time.Time) {
+func (c *Clients) ask(ctx context.Context, p *simulator.Planned, due time.Time) {
 	class := &c.spec.Classes[p.Class].Class
 	more := time.Duration(float64(p.Prompt) / 1000 * float64(class.AimPer1000))
 	until := due.Add(class.Deadline + 2*more)
@@ -210,7 +210,7 @@
 }
 
 // try asks once.
-func (c *Clients) try(ctx context.Context, p *lab.Planned, id string, again bool, due, until time.Time) (a answered) {
+func (c *Clients) try(ctx context.Context, p *simulator.Planned, id string, again bool, due, until time.Time) (a answered) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	gaveUp := time.AfterFunc(time.Until(until.Add(c.Grace)), func() { cancel(errGaveUp) })
--- a/internal/standin/standin_test.go
+++ b/internal/testbed/fakes/fakes_test.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"encoding/json"
@@ -11,19 +11,19 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"reachspread/internal/fleet"
-	"reachspread/internal/lab"
-	"reachspread/internal/peers"
 	"reachspread/internal/protocol"
+	"reachspread/internal/testbed/hostmodel"
+	"reachspread/internal/testbed/scripted"
+	"reachspread/internal/testbed/simulator"
 )
 
 const ms = time.Millisecond
 
-func config() fleet.Config {
-	return fleet.Config{Slots: 2, Queue: 1, Memory: 10000, Chunk: 1000, Block: 10, Base: 2 * ms, ReadPerS: 1e6, Conns: 20, KeepsMade: true}
+func config() hostmodel.Config {
+	return hostmodel.Config{Slots: 2, Queue: 1, Memory: 10000, Chunk: 1000, Block: 10, Base: 2 * ms, ReadPerS: 1e6, Conns: 20, KeepsMade: true}
 }
 
-func start(t *testing.T, c fleet.Config) *Host {
+func start(t *testing.T, c hostmodel.Config) *Host {
 	t.Helper()
 	h, err := NewHost("h1", "127.0.0.1:0", c, 1)
 	if err != nil {
@@ -35,7 +35,7 @@
 
 func ask(t *testing.T, h *Host, id string, out int) (*http.Response, error) {
 	t.Helper()
-	r := peers.Ask(t, h.Addr, id, nil)
+	r := scripted.Ask(t, h.Addr, id, nil)
 	body := fmt.Sprintf(`{"stream":true,"lab_out":%d,"lab_prompt":100,"lab_session":"s"}`, out)
 	r.Body, r.ContentLength = io.NopCloser(strings.NewReader(body)), int64(len(body))
 	return http.DefaultTransport.RoundTrip(r)
@@ -93,7 +93,7 @@
 	}
 	h.Kill()
 	for range 3 {
-		if err := peers.Next(t, failed, "the end of an attempt"); err == nil {
+		if err := scripted.Next(t, failed, "the end of an attempt"); err == nil {
 			t.Error("a killed host ended a stream well")
 		}
 	}
@@ -114,7 +114,7 @@
 
 func until(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(peers.Patience); !ok(); time.Sleep(ms) {
+	for end := time.Now().Add(scripted.Patience); !ok(); time.Sleep(ms) {
 		if time.Now().After(end) {
 			t.Fatalf("no %s", what)
 		}
@@ -172,10 +172,10 @@
 // Clients count every request of the plan in one way, with its time from when it was due.
 func TestClients(t *testing.T) {
 	h := start(t, config())
-	spec := &lab.Spec{Classes: []lab.Class{{}}}
+	spec := &simulator.Spec{Classes: []simulator.Class{{}}}
 	spec.Classes[0].Class.Name, spec.Classes[0].Class.Aim, spec.Classes[0].Class.Deadline = "chat", time.Minute, time.Minute
 	c := NewClients(h.Addr, spec)
-	plan := []lab.Planned{{ID: "a", Prompt: 10, Out: 3, MaxOut: 5}, {ID: "b", At: 5 * ms, Prompt: 10, Out: 3, MaxOut: 5},
+	plan := []simulator.Planned{{ID: "a", Prompt: 10, Out: 3, MaxOut: 5}, {ID: "b", At: 5 * ms, Prompt: 10, Out: 3, MaxOut: 5},
 		{ID: "c", At: 10 * ms, Prompt: 20000, Out: 3, MaxOut: 5}} // the last one is too long for the host
 	c.Run(t.Context(), plan)
 	got := c.Tallies()[0]
--- a/internal/standin/faults.go
+++ b/internal/testbed/fakes/faults.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"context"
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"reachspread/internal/faults"
-	"reachspread/internal/fleet"
+	"reachspread/internal/testbed/faults"
+	"reachspread/internal/testbed/hostmodel"
 )
 
 // cutEvery is how often connections are reset while they are to be.
@@ -59,13 +59,13 @@
 		if ends {
 			factor = 1
 		}
-		h.Event(fleet.Slow{Factor: factor})
+		h.Event(hostmodel.Slow{Factor: factor})
 	case faults.Refuse:
 		return h.refuse(!ends)
 	case faults.Drain:
 		if !ends {
 			f.Tell(h, "Terminating", 0)
-			h.Event(fleet.Drain{})
+			h.Event(hostmodel.Drain{})
 			return nil
 		}
 		if h.down > 0 {
--- a/internal/standin/faults_test.go
+++ b/internal/testbed/fakes/faults_test.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"context"
@@ -10,15 +10,15 @@
 	"testing"
 	"time"
 
-	"reachspread/internal/faults"
-	"reachspread/internal/lab"
-	"reachspread/internal/peers"
 	"reachspread/internal/protocol"
+	"reachspread/internal/testbed/faults"
+	"reachspread/internal/testbed/scripted"
+	"reachspread/internal/testbed/simulator"
 )
 
 // Each fault does what its name says, to the hosts named alone, and ends with its time.
 func TestFaults(t *testing.T) {
-	spec := &lab.Spec{Seed: 1, Groups: []lab.Group{{Count: 2, Kind: "k", Zone: "z", Host: config()}}}
+	spec := &simulator.Spec{Seed: 1, Groups: []simulator.Group{{Count: 2, Kind: "k", Zone: "z", Host: config()}}}
 	for _, tt := range []struct {
 		kind   faults.Kind
 		during string // what a client gets from host 0
@@ -62,7 +62,7 @@
 // outcome asks a host once, on a connection of its own.
 func outcome(t *testing.T, h *Host, id string) string {
 	t.Helper()
-	r := peers.Ask(t, h.Addr, id, nil)
+	r := scripted.Ask(t, h.Addr, id, nil)
 	r.Body, r.ContentLength = io.NopCloser(strings.NewReader(`{"lab_out":6,"lab_prompt":10}`)), 29
 	begun := time.Now()
 	resp, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(r)
--- a/internal/standin/fleet.go
+++ b/internal/testbed/fakes/fleet.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"cmp"
@@ -10,14 +10,14 @@
 	"sync"
 	"time"
 
-	"reachspread/internal/lab"
+	"reachspread/internal/testbed/simulator"
 )
 
 // Fleet is the hosts of an experiment and their lists, on loopback.
 type Fleet struct {
 	Hosts []*Host
 	List  *List
-	spec  *lab.Spec
+	spec  *simulator.Spec
 	zones map[*Host][2]string // with the kind
 
 	mu    sync.Mutex
@@ -35,7 +35,7 @@
 func Anywhere(int) string { return "127.0.0.1:0" }
 
 // NewFleet starts the hosts at the addresses given for their numbers, and a list of them.
-func NewFleet(spec *lab.Spec, addr func(host int) string) (f *Fleet, err error) {
+func NewFleet(spec *simulator.Spec, addr func(host int) string) (f *Fleet, err error) {
 	f = &Fleet{spec: spec, zones: map[*Host][2]string{}, told: map[string]Entry{}}
 	defer func() {
 		if err != nil {
--- a/internal/standin/host.go
+++ b/internal/testbed/fakes/host.go
@@ -1,7 +1,7 @@
-// Package standin puts the model of package fleet behind real sockets: hosts that speak the platform's protocol, the list
+// Package fakes puts the model of package fleet behind real sockets: hosts that speak the platform's protocol, the list
 // of them, and clients that ask as an experiment's plan says. All of it is on loopback addresses and for trying things
 // out; what a host does is the model's, here it is only carried to and fro.
-package standin
+package fakes
 
 import (
 	"bytes"
@@ -18,9 +18,9 @@
 	"sync"
 	"time"
 
-	"reachspread/internal/faults"
-	"reachspread/internal/fleet"
 	"reachspread/internal/protocol"
+	"reachspread/internal/testbed/faults"
+	"reachspread/internal/testbed/hostmodel"
 )
 
 const (
@@ -37,11 +37,11 @@
 	ID, Addr string
 
 	mu     sync.Mutex
-	model  *fleet.Host
+	model  *hostmodel.Host
 	start  time.Time
 	timer  *time.Timer
 	gen    int // of its process
-	asking map[string]chan fleet.Result
+	asking map[string]chan hostmodel.Result
 	server *http.Server
 	conns  map[net.Conn]bool // true for those that the model has
 	probes int
@@ -115,8 +115,8 @@
 }
 
 // NewHost starts a host at an address, which may end with port 0.
-func NewHost(id, addr string, c fleet.Config, seed uint64) (*Host, error) {
-	h := &Host{ID: id, Addr: addr, model: fleet.New(c, seed), start: time.Now(), asking: map[string]chan fleet.Result{}}
+func NewHost(id, addr string, c hostmodel.Config, seed uint64) (*Host, error) {
+	h := &Host{ID: id, Addr: addr, model: hostmodel.New(c, seed), start: time.Now(), asking: map[string]chan hostmodel.Result{}}
 	h.timer = time.AfterFunc(time.Hour, h.tick)
 	return h, h.listen()
 }
@@ -142,14 +142,14 @@
 }
 
 // do gives the model an event and hands on what comes of it. The lock is held.
-func (h *Host) do(e fleet.Event) []fleet.Result {
+func (h *Host) do(e hostmodel.Event) []hostmodel.Result {
 	now := time.Since(h.start)
 	results := h.model.Step(now, e)
 	for _, r := range results {
-		if r.Kind == fleet.Fell {
+		if r.Kind == hostmodel.Fell {
 			h.tell(Fell, "", "")
 		}
-		if to := h.asking[r.ID]; to != nil && r.Kind != fleet.Preempted {
+		if to := h.asking[r.ID]; to != nil && r.Kind != hostmodel.Preempted {
 			select {
 			case to <- r:
 			default: // its reader is too far behind: it sees the channel closed
@@ -167,7 +167,7 @@
 func (h *Host) tick() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.do(fleet.Passed{})
+	h.do(hostmodel.Passed{})
 }
 
 // connState tells the model of connections. One that its table has no room for is closed.
@@ -176,8 +176,8 @@
 	defer h.mu.Unlock()
 	switch s {
 	case http.StateNew:
-		for _, r := range h.do(fleet.Connect{}) {
-			if r.Kind == fleet.NoRoom {
+		for _, r := range h.do(hostmodel.Connect{}) {
+			if r.Kind == hostmodel.NoRoom {
 				c.Close()
 				return
 			}
@@ -186,20 +186,20 @@
 	case http.StateClosed, http.StateHijacked:
 		if h.conns[c] {
 			delete(h.conns, c)
-			h.do(fleet.Disconnect{})
+			h.do(hostmodel.Disconnect{})
 		}
 	}
 }
 
 // Event has something happen to the model: a drain, or that it is slow.
-func (h *Host) Event(e fleet.Event) {
+func (h *Host) Event(e hostmodel.Event) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.do(e)
 }
 
 // Stats returns the model's state.
-func (h *Host) Stats() fleet.Stats {
+func (h *Host) Stats() hostmodel.Stats {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.model.Stats(time.Since(h.start))
@@ -208,7 +208,7 @@
 // Kill ends the host's process: connections are reset, new ones refused.
 func (h *Host) Kill() {
 	h.mu.Lock()
-	h.do(fleet.Die{})
+	h.do(hostmodel.Die{})
 	h.gen++
 	for c := range h.conns {
 		if tcp, ok := c.(*net.TCPConn); ok {
@@ -225,7 +225,7 @@
 // Start starts it again at its address, cold.
 func (h *Host) Start() error {
 	h.mu.Lock()
-	h.do(fleet.Start{})
+	h.do(hostmodel.Start{})
 	h.mu.Unlock()
 	return h.listen()
 }
@@ -262,7 +262,7 @@
 		return
 	}
 	q := request(id, body)
-	results := make(chan fleet.Result, mostAhead)
+	results := make(chan hostmodel.Result, mostAhead)
 	h.mu.Lock()
 	if h.asking[id] != nil {
 		h.mu.Unlock()
@@ -271,7 +271,7 @@
 	}
 	h.asking[id] = results
 	h.tell(Came, id, r.RemoteAddr)
-	h.do(fleet.Arrive{Request: q})
+	h.do(hostmodel.Arrive{Request: q})
 	h.mu.Unlock()
 	defer func() {
 		h.mu.Lock()
@@ -279,17 +279,17 @@
 		h.tell(Over, id, r.RemoteAddr)
 		if h.asking[id] == results {
 			delete(h.asking, id)
-			h.do(fleet.Cancel{ID: id})
+			h.do(hostmodel.Cancel{ID: id})
 		}
 	}()
 	h.answer(w, r.Context(), &q, results)
 }
 
 // request reads what the model needs of a body, and takes a usual request for what it does not tell.
-func request(id string, body []byte) fleet.Request {
+func request(id string, body []byte) hostmodel.Request {
 	var a asked
 	json.Unmarshal(body, &a) // a body that is none tells nothing
-	q := fleet.Request{ID: id, Session: a.Session, Prefix: a.Prefix, Shared: a.Shared, Prompt: a.Prompt, Out: a.Out, MaxOut: usualMost}
+	q := hostmodel.Request{ID: id, Session: a.Session, Prefix: a.Prefix, Shared: a.Shared, Prompt: a.Prompt, Out: a.Out, MaxOut: usualMost}
 	if a.Prompt <= 0 {
 		q.Prompt = max(len(body)/4, 1)
 	}
@@ -306,7 +306,7 @@
 	return q
 }
 
-func (h *Host) answer(w http.ResponseWriter, ctx context.Context, q *fleet.Request, results <-chan fleet.Result) {
+func (h *Host) answer(w http.ResponseWriter, ctx context.Context, q *hostmodel.Request, results <-chan hostmodel.Result) {
 	flush := http.NewResponseController(w)
 	made, kept := 0, 0
 	var words strings.Builder
@@ -327,24 +327,24 @@
 		}
 	}
 	for {
-		var r fleet.Result
+		var r hostmodel.Result
 		var ok bool
 		select {
 		case r, ok = <-results:
 		case <-ctx.Done():
 			return
 		}
-		if !ok || r.Kind == fleet.Broken {
+		if !ok || r.Kind == hostmodel.Broken {
 			panic(http.ErrAbortHandler) // resets the connection
 		}
 		switch r.Kind {
-		case fleet.TurnedAway:
+		case hostmodel.TurnedAway:
 			h.forget(q.ID)
 			w.Header().Set(protocol.HeaderUnprocessed, "1")
 			w.Header().Set(protocol.HeaderLoad, h.report())
 			http.Error(w, "turned away", http.StatusServiceUnavailable)
 			return
-		case fleet.Token:
+		case hostmodel.Token:
 			if made++; made == 1 {
 				kept = r.Kept
 				w.Header().Set("Content-Type", "text/event-stream")
@@ -353,7 +353,7 @@
 			if made == 1 || made%eventOf == 0 {
 				event()
 			}
-		case fleet.Whole:
+		case hostmodel.Whole:
 			h.forget(q.ID)
 			event()
 			fmt.Fprintf(w, "data: {\"choices\":[{\"index\":0,\"delta\":{},\"finish_reason\":\"stop\"}]}\n\n"+
@@ -378,7 +378,7 @@
 	return report(&l)
 }
 
-func report(l *fleet.Load) string {
+func report(l *hostmodel.Load) string {
 	return fmt.Sprintf(`{"inflight":%d,"queue":%d,"util":%.3f,"x0":%.3f,"x1":%.3f}`, l.Running, l.Waiting, l.Util, l.Memory, l.Unread)
 }
 
@@ -388,8 +388,8 @@
 	h.probes++
 	id := "probe" + strconv.Itoa(h.probes)
 	status, text := http.StatusServiceUnavailable, ""
-	for _, x := range h.do(fleet.Probe{ID: id}) {
-		if x.Kind == fleet.Answered && x.ID == id {
+	for _, x := range h.do(hostmodel.Probe{ID: id}) {
+		if x.Kind == hostmodel.Answered && x.ID == id {
 			status, text = http.StatusOK, report(&x.Load)
 		}
 	}
--- a/internal/standin/list.go
+++ b/internal/testbed/fakes/list.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"cmp"
--- a/internal/relay/relay_test.go
+++ b/internal/testbed/faultproxy/faultproxy_test.go
@@ -1,4 +1,4 @@
-package relay
+package faultproxy
 
 import (
 	"bytes"
@@ -16,7 +16,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"reachspread/internal/faults"
+	"reachspread/internal/testbed/faults"
 )
 
 const (
--- a/internal/relay/tcp.go
+++ b/internal/testbed/faultproxy/tcp.go
@@ -1,4 +1,4 @@
-package relay
+package faultproxy
 
 import (
 	"errors"
@@ -8,7 +8,7 @@
 	"syscall"
 	"time"
 
-	"reachspread/internal/faults"
+	"reachspread/internal/testbed/faults"
 )
 
 const (
--- a/internal/relay/udp.go
+++ b/internal/testbed/faultproxy/udp.go
@@ -1,6 +1,6 @@
-// Package relay carries what passes between a fleet's processes on loopback: datagrams between routers and connections to
+// Package faultproxy carries what passes between a fleet's processes on loopback: datagrams between routers and connections to
 // hosts and lists, as package faults says that each link is at the moment. It decides nothing itself.
-package relay
+package faultproxy
 
 import (
 	"net"
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"time"
 
-	"reachspread/internal/faults"
+	"reachspread/internal/testbed/faults"
 )
 
 const (
--- a/internal/system/fleetdemo/fleetdemo.go
+++ b/internal/testbed/fleetdemo/fleetdemo.go
@@ -10,8 +10,8 @@
 	"os"
 	"time"
 
-	"reachspread/internal/system/localfleet"
-	"reachspread/internal/system/pinplay"
+	"reachspread/internal/testbed/localfleet"
+	"reachspread/internal/testbed/pintest"
 )
 
 // Options are what a demo may be told.
@@ -35,8 +35,8 @@
 type demo struct {
 	o      Options
 	fleet  *localfleet.Fleet
-	hosts  []*pinplay.Host
-	story  *pinplay.Story
+	hosts  []*pintest.Host
+	story  *pintest.Story
 	begun  time.Time
 	events []event
 }
@@ -79,13 +79,13 @@
 		fronts, controls, all = append(fronts, d.fleet.Front(i)), append(controls, d.fleet.Control(i)), append(all, i)
 	}
 	for i, version := range []int64{1, 1, 2, 2} {
-		h, err := pinplay.NewHost(fmt.Sprint("host-", i+1), version)
+		h, err := pintest.NewHost(fmt.Sprint("host-", i+1), version)
 		if err != nil {
 			return err
 		}
 		d.hosts = append(d.hosts, h)
 	}
-	d.story = pinplay.NewStory(fronts, controls, d.hosts)
+	d.story = pintest.NewStory(fronts, controls, d.hosts)
 	for _, step := range []func(context.Context) error{d.story.Configure, d.story.Register} {
 		if err := step(ctx); err != nil {
 			return err
@@ -168,7 +168,7 @@
 // tally counts requests by their ends.
 type tally struct{ served, refused, failed int }
 
-func (t *tally) add(a pinplay.Asked) {
+func (t *tally) add(a pintest.Asked) {
 	switch {
 	case a.Status == http.StatusOK && a.Whole:
 		t.served++
--- a/internal/system/fleetdemo/show.go
+++ b/internal/testbed/fleetdemo/show.go
@@ -12,8 +12,8 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
 
-	"reachspread/internal/report"
-	"reachspread/internal/system/pinplay"
+	"reachspread/internal/router/report"
+	"reachspread/internal/testbed/pintest"
 )
 
 const (
@@ -23,7 +23,7 @@
 )
 
 // show prints what came of the requests: a table by router, a chart by second, and whether every answer was as promised.
-func (d *demo) show(r pinplay.Report) error {
+func (d *demo) show(r pintest.Report) error {
 	asked := d.story.Requests()
 	d.printRouters(asked)
 	seconds := d.bySecond(asked)
@@ -42,7 +42,7 @@
 	return nil
 }
 
-func (d *demo) printRouters(asked []pinplay.Asked) {
+func (d *demo) printRouters(asked []pintest.Asked) {
 	tallies := make([]tally, d.fleet.Len())
 	for _, a := range asked {
 		tallies[a.Router].add(a)
@@ -56,7 +56,7 @@
 }
 
 // bySecond counts the requests of each second of the load.
-func (d *demo) bySecond(asked []pinplay.Asked) []tally {
+func (d *demo) bySecond(asked []pintest.Asked) []tally {
 	seconds := make([]tally, int(d.o.Length/time.Second)+1)
 	for _, a := range asked {
 		if second := int(a.Sent.Sub(d.begun) / time.Second); second >= 0 && second < len(seconds) {
--- a/internal/fleet/cold.go
+++ b/internal/testbed/hostmodel/cold.go
@@ -1,4 +1,4 @@
-package fleet
+package hostmodel
 
 import (
 	"math"
--- a/internal/fleet/types.go
+++ b/internal/testbed/hostmodel/types.go
@@ -1,4 +1,4 @@
-// Package fleet is a model of a host that runs a language model: which requests it takes, how long its steps are, which
+// Package hostmodel is a model of a host that runs a language model: which requests it takes, how long its steps are, which
 // prompts it keeps, when it turns work away, how it warms up and when it falls over. It serves two worlds, the lab's
 // virtual time and stand-in hosts on sockets.
 //
@@ -7,7 +7,7 @@
 // What comes back carries the time at which it happened, which may lie before the call, never after it. The same seed,
 // settings and events always give the same results. The owner owes one caller at a time and a clock that never goes back.
 // Its memory is bounded by slots, queue and kept tokens. It imports nothing of ours.
-package fleet
+package hostmodel
 
 import "time"
 
--- a/internal/dutylab/dutylab.go
+++ b/internal/testbed/leasesim/leasesim.go
@@ -1,7 +1,7 @@
-// Package dutylab plays duties in virtual time: voters of package quorum, agents of package duty, a receiver that they act upon, the
+// Package leasesim plays duties in virtual time: voters of package quorum, agents of package duty, a receiver that they act upon, the
 // network between them with the faults of package faults, disks that may be lost, swapped or older, and clocks whose rates differ. The
 // same Spec gives the same play. It is pure and single-threaded.
-package dutylab
+package leasesim
 
 import (
 	"container/heap"
@@ -9,11 +9,11 @@
 	"math/rand/v2"
 	"time"
 
-	"reachspread/internal/duty"
-	"reachspread/internal/faults"
-	"reachspread/internal/history"
-	"reachspread/internal/lab"
-	"reachspread/internal/quorum"
+	"reachspread/internal/router/lease"
+	"reachspread/internal/router/quorum"
+	"reachspread/internal/testbed/faults"
+	"reachspread/internal/testbed/history"
+	"reachspread/internal/testbed/simulator"
 )
 
 // Spec is a play.
@@ -23,9 +23,9 @@
 	Zones   int // 0 counts as 1
 	May     int // the first routers may vote; 0 counts as Voters
 	Voters  int
-	Duties  []duty.Duty
+	Duties  []lease.Duty
 	Wants   func(router int) []string // the duties that a router wants, nil for all
-	Times   duty.Times                // its zero value counts as duty.Usual
+	Times   lease.Times               // its zero value counts as duty.Usual
 	Length  time.Duration
 	Way     time.Duration // of a message; 0 counts as 500 us, each is up to a half longer
 	Sync    time.Duration // of a write to disk; what waits for it leaves so much later
@@ -56,7 +56,7 @@
 	seq     uint64
 	routers []*router
 	byName  map[string]*router
-	fence   duty.Fence
+	fence   lease.Fence
 	strikes []*faults.Strike
 	on      []*faults.Strike
 	link    *faults.Link
@@ -88,8 +88,8 @@
 	if s.Routers < 1 || s.Routers > 5000 {
 		return nil, fmt.Errorf("spec: Routers is %d; it must be from 1 to 5000", s.Routers)
 	}
-	if s.Times == (duty.Times{}) {
-		s.Times = duty.Usual
+	if s.Times == (lease.Times{}) {
+		s.Times = lease.Usual
 	}
 	s.May = max(s.May, s.Voters)
 	if s.May > s.Routers {
@@ -185,13 +185,13 @@
 		w.look()
 	case begins:
 		s := w.strikes[e.n]
-		w.emit(lab.FaultEvent(history.Fault, e.n, s))
+		w.emit(simulator.FaultEvent(history.Fault, e.n, s))
 		w.put(event{at: w.now + s.Length, do: ends, n: e.n})
 		w.strike(s, true)
 	case ends:
 		s := w.strikes[e.n]
 		w.strike(s, false)
-		w.emit(lab.FaultEvent(history.Heal, e.n, s))
+		w.emit(simulator.FaultEvent(history.Heal, e.n, s))
 	case freezes, thaws:
 		w.crawl(e)
 	}
@@ -244,9 +244,9 @@
 }
 
 // Ask has an operator's request go from a router to the voters.
-func (w *World) Ask(n int, c duty.Command) {
+func (w *World) Ask(n int, c lease.Command) {
 	for _, r := range w.routers[:w.s.May] {
-		w.send(w.routers[n], r, event{do: toVoter, data: (&duty.Request{ID: 1, Command: c}).Append()}, 0)
+		w.send(w.routers[n], r, event{do: toVoter, data: (&lease.Request{ID: 1, Command: c}).Append()}, 0)
 	}
 }
 
--- a/internal/dutylab/dutylab_test.go
+++ b/internal/testbed/leasesim/leasesim_test.go
@@ -1,4 +1,4 @@
-package dutylab_test
+package leasesim_test
 
 import (
 	"os"
@@ -9,28 +9,28 @@
 	"testing"
 	"time"
 
-	"reachspread/internal/duty"
-	"reachspread/internal/dutylab"
-	"reachspread/internal/faults"
-	"reachspread/internal/history"
-	"reachspread/internal/judge"
+	"reachspread/internal/router/lease"
+	"reachspread/internal/testbed/checker"
+	"reachspread/internal/testbed/faults"
+	"reachspread/internal/testbed/history"
+	"reachspread/internal/testbed/leasesim"
 )
 
-var duties = []duty.Duty{{Name: "scribe"}, {Name: "pool", Zones: []string{"b"}}, {Name: "drain", ByZone: true}}
+var duties = []lease.Duty{{Name: "scribe"}, {Name: "pool", Zones: []string{"b"}}, {Name: "drain", ByZone: true}}
 
 // played is what came of a play.
 type played struct {
-	w        *dutylab.World
+	w        *leasesim.World
 	events   []history.Event
-	verdicts []judge.Verdict
+	verdicts []checker.Verdict
 }
 
-func play(t *testing.T, s dutylab.Spec) played {
+func play(t *testing.T, s leasesim.Spec) played {
 	t.Helper()
 	p := played{}
 	p.events = append(p.events, history.Event{What: history.Begin, Play: &history.Play{Version: history.Version, World: "lab", Seed: s.Seed, Routers: s.Routers, Hosts: 1}})
 	s.History = func(e *history.Event) { p.events = append(p.events, *e) }
-	w, err := dutylab.New(s)
+	w, err := leasesim.New(s)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,17 +38,17 @@
 	if err := w.Run(s.Length); err != nil {
 		t.Errorf("seed %d: %v\n%s", s.Seed, err, faults.Text(s.Faults))
 	}
-	for _, k := range judge.Checkers {
+	for _, k := range checker.Checkers {
 		if k.Name == "duty" || k.Name == "linear" {
-			p.verdicts = append(p.verdicts, k.Check(judge.NewCase(p.events))...)
+			p.verdicts = append(p.verdicts, k.Check(checker.NewCase(p.events))...)
 		}
 	}
 	return p
 }
 
 // drawn is a play of faults drawn by the seed.
-func drawn(seed uint64) dutylab.Spec {
-	s := dutylab.Spec{Seed: seed, Routers: 5 + int(seed%3), Zones: 1 + int(seed%3), Voters: 3 + 2*int(seed%2), Duties: duties, Length: 50 * time.Second, Rates: duty.Rates, Replace: 6 * time.Second}
+func drawn(seed uint64) leasesim.Spec {
+	s := leasesim.Spec{Seed: seed, Routers: 5 + int(seed%3), Zones: 1 + int(seed%3), Voters: 3 + 2*int(seed%2), Duties: duties, Length: 50 * time.Second, Rates: lease.Rates, Replace: 6 * time.Second}
 	s.May = min(s.Voters+1, s.Routers)
 	s.Faults = faults.Draw(faults.Bounds{Length: 30 * time.Second, World: faults.View}, s.Shape(), seed)
 	older := false
@@ -68,7 +68,7 @@
 }
 
 // lost tells whether a schedule takes the disks of a majority.
-func lost(s *dutylab.Spec) bool {
+func lost(s *leasesim.Spec) bool {
 	gone := map[int]bool{}
 	for _, x := range faults.Resolve(s.Faults, s.Shape(), s.Seed) {
 		if x.Disk != "" && x.Disk != faults.DiskOwn {
@@ -143,18 +143,18 @@
 			faults.Fault{Kind: faults.Cut, At: at - 900*time.Millisecond, Length: 2 * time.Second, Routers: faults.Select{Numbers: []int{3, 4}}, Links: []string{faults.LinkPeers}})
 	}
 	slices.SortStableFunc(kills, func(a, b faults.Fault) int { return int(a.At - b.At) })
-	base := dutylab.Spec{Routers: 5, Voters: 3, Duties: duties[:1], Length: 110 * time.Second, Rates: duty.Rates, Every: 5 * time.Millisecond}
+	base := leasesim.Spec{Routers: 5, Voters: 3, Duties: duties[:1], Length: 110 * time.Second, Rates: lease.Rates, Every: 5 * time.Millisecond}
 	for _, x := range []struct {
 		name  string
-		plant func(s *dutylab.Spec)
+		plant func(s *leasesim.Spec)
 		found bool
 	}{
-		{"nothing, pauses", func(s *dutylab.Spec) { s.Faults = pauses }, false},
-		{"no fence", func(s *dutylab.Spec) { s.Faults, s.NoFence = pauses, true }, true},
-		{"nothing, kills", func(s *dutylab.Spec) { s.Faults = kills }, false},
-		{"no wait", func(s *dutylab.Spec) { s.Faults, s.NoWait = kills, true }, true},
-		{"rates", func(s *dutylab.Spec) { s.Faults, s.Rates = cuts, 0.3 }, true},
-		{"nothing, cuts", func(s *dutylab.Spec) { s.Faults = cuts }, false},
+		{"nothing, pauses", func(s *leasesim.Spec) { s.Faults = pauses }, false},
+		{"no fence", func(s *leasesim.Spec) { s.Faults, s.NoFence = pauses, true }, true},
+		{"nothing, kills", func(s *leasesim.Spec) { s.Faults = kills }, false},
+		{"no wait", func(s *leasesim.Spec) { s.Faults, s.NoWait = kills, true }, true},
+		{"rates", func(s *leasesim.Spec) { s.Faults, s.Rates = cuts, 0.3 }, true},
+		{"nothing, cuts", func(s *leasesim.Spec) { s.Faults = cuts }, false},
 	} {
 		verdicts := 0
 		for seed := uint64(1); seed <= 8 && verdicts == 0; seed++ {
--- a/internal/dutylab/measure_test.go
+++ b/internal/testbed/leasesim/measure_test.go
@@ -1,4 +1,4 @@
-package dutylab_test
+package leasesim_test
 
 import (
 	"flag"
@@ -7,16 +7,16 @@
 	"testing"
 	"time"
 
-	"reachspread/internal/duty"
-	"reachspread/internal/dutylab"
-	"reachspread/internal/faults"
+	"reachspread/internal/router/lease"
+	"reachspread/internal/testbed/faults"
+	"reachspread/internal/testbed/leasesim"
 )
 
 var measure = flag.Bool("measure", false, "run the measurements")
 
 // gaps are the times without a holder of a duty between two times, and how many changes of holder there were.
-func gaps(w *dutylab.World, name string, from, to time.Duration) (longest time.Duration, changes int) {
-	var spans []dutylab.Span
+func gaps(w *leasesim.World, name string, from, to time.Duration) (longest time.Duration, changes int) {
+	var spans []leasesim.Span
 	for _, s := range w.Spans {
 		if s.Duty == name {
 			if s.To == 0 {
@@ -25,7 +25,7 @@
 			spans = append(spans, s)
 		}
 	}
-	slices.SortFunc(spans, func(a, b dutylab.Span) int { return int(a.From - b.From) })
+	slices.SortFunc(spans, func(a, b leasesim.Span) int { return int(a.From - b.From) })
 	for i := 1; i < len(spans); i++ {
 		if at := spans[i].From; at > from && at <= to {
 			changes++
@@ -68,18 +68,18 @@
 	if *measure {
 		n = 240
 	}
-	base := dutylab.Spec{Routers: 9, Zones: 3, May: 5, Voters: 3, Duties: duties[:1], Rates: duty.Rates, Sync: 5 * time.Millisecond, Length: 30 * time.Second}
+	base := leasesim.Spec{Routers: 9, Zones: 3, May: 5, Voters: 3, Duties: duties[:1], Rates: lease.Rates, Sync: 5 * time.Millisecond, Length: 30 * time.Second}
 	var planned, killed, leader []time.Duration
 	for seed := range uint64(n) {
 		s := base
 		s.Seed = seed + 1
-		w, err := dutylab.New(s)
+		w, err := leasesim.New(s)
 		if err != nil {
 			t.Fatal(err)
 		}
 		w.Run(5*time.Second + time.Duration(seed)*37*time.Millisecond)
 		holder, from := w.Holder("scribe"), w.Now()
-		w.Ask(8, duty.Command{Kind: duty.Wish, Duty: "scribe", To: fmt.Sprint("r", (holder+1)%9)})
+		w.Ask(8, lease.Command{Kind: lease.Wish, Duty: "scribe", To: fmt.Sprint("r", (holder+1)%9)})
 		w.Run(w.Now() + 5*time.Second)
 		gap, changes := gaps(w, "scribe", from, w.Now())
 		if now := w.Holder("scribe"); changes != 1 || now != (holder+1)%9 {
@@ -88,11 +88,11 @@
 		planned = append(planned, gap)
 
 		for _, x := range []struct {
-			who  func(w *dutylab.World) int
+			who  func(w *leasesim.World) int
 			into *[]time.Duration
-		}{{func(w *dutylab.World) int { return w.Holder("scribe") }, &killed}, {func(w *dutylab.World) int { return w.Leader() }, &leader}} {
+		}{{func(w *leasesim.World) int { return w.Holder("scribe") }, &killed}, {func(w *leasesim.World) int { return w.Leader() }, &leader}} {
 			at := 5*time.Second + time.Duration(seed)*37*time.Millisecond
-			w, err := dutylab.New(s)
+			w, err := leasesim.New(s)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -103,7 +103,7 @@
 			}
 			f := s
 			f.Faults = []faults.Fault{{Kind: faults.Kill, At: at, Length: 10 * time.Second, Routers: faults.Select{Numbers: []int{who}}}}
-			if w, err = dutylab.New(f); err != nil {
+			if w, err = leasesim.New(f); err != nil {
 				t.Fatal(err)
 			}
 			w.Run(at + 9*time.Second)
@@ -117,7 +117,7 @@
 	for _, x := range []struct {
 		all  []time.Duration
 		most time.Duration
-	}{{planned, 100 * time.Millisecond}, {killed, duty.Usual.Lease + 500*time.Millisecond}, {leader, 0}} {
+	}{{planned, 100 * time.Millisecond}, {killed, lease.Usual.Lease + 500*time.Millisecond}, {leader, 0}} {
 		slices.Sort(x.all)
 		if p99 := x.all[len(x.all)*99/100]; p99 > x.most {
 			t.Errorf("p99 %v, more than %v", p99, x.most)
@@ -131,8 +131,8 @@
 	if *measure {
 		n = 300
 	}
-	all := []duty.Duty{{Name: "one"}, {Name: "many", Holders: duty.MostHolders}}
-	w, err := dutylab.New(dutylab.Spec{Seed: 1, Routers: n, Zones: 3, May: 5, Voters: 3, Duties: all, Rates: duty.Rates, Sync: 2 * time.Millisecond, Length: 80 * time.Second,
+	all := []lease.Duty{{Name: "one"}, {Name: "many", Holders: lease.MostHolders}}
+	w, err := leasesim.New(leasesim.Spec{Seed: 1, Routers: n, Zones: 3, May: 5, Voters: 3, Duties: all, Rates: lease.Rates, Sync: 2 * time.Millisecond, Length: 80 * time.Second,
 		Faults: []faults.Fault{{Kind: faults.Power, At: 40 * time.Second, Length: time.Second}}})
 	if err != nil {
 		t.Fatal(err)
@@ -155,12 +155,12 @@
 	}
 
 	// The same with nobody who waits: what a holder costs.
-	w, err = dutylab.New(dutylab.Spec{Seed: 1, Routers: n, Zones: 3, May: 5, Voters: 3, Duties: all[1:], Wants: func(i int) []string {
-		if i < n-duty.MostHolders || n < 100 {
+	w, err = leasesim.New(leasesim.Spec{Seed: 1, Routers: n, Zones: 3, May: 5, Voters: 3, Duties: all[1:], Wants: func(i int) []string {
+		if i < n-lease.MostHolders || n < 100 {
 			return nil
 		}
 		return []string{"many"}
-	}, Rates: duty.Rates, Length: 60 * time.Second})
+	}, Rates: lease.Rates, Length: 60 * time.Second})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -170,8 +170,8 @@
 	if n < 100 {
 		return
 	}
-	cost := float64(w.Requests-requests+w.Answers-answers) / 40 / duty.MostHolders
-	if t.Logf("%d holders: %.3f datagrams a second for each", duty.MostHolders, cost); cost > 2 {
+	cost := float64(w.Requests-requests+w.Answers-answers) / 40 / lease.MostHolders
+	if t.Logf("%d holders: %.3f datagrams a second for each", lease.MostHolders, cost); cost > 2 {
 		t.Errorf("%.3f datagrams a second for each holder", cost)
 	}
 }
--- a/internal/dutylab/network.go
+++ b/internal/testbed/leasesim/network.go
@@ -1,10 +1,10 @@
-package dutylab
+package leasesim
 
 import (
 	"time"
 
-	"reachspread/internal/faults"
-	"reachspread/internal/history"
+	"reachspread/internal/testbed/faults"
+	"reachspread/internal/testbed/history"
 )
 
 // land is an act at its receiver.
--- a/internal/dutylab/queue.go
+++ b/internal/testbed/leasesim/queue.go
@@ -1,4 +1,4 @@
-package dutylab
+package leasesim
 
 import "time"
 
--- a/internal/dutylab/router.go
+++ b/internal/testbed/leasesim/router.go
@@ -1,4 +1,4 @@
-package dutylab
+package leasesim
 
 import (
 	"encoding/json"
@@ -6,10 +6,10 @@
 	"slices"
 	"time"
 
-	"reachspread/internal/duty"
-	"reachspread/internal/faults"
-	"reachspread/internal/history"
-	"reachspread/internal/quorum"
+	"reachspread/internal/router/lease"
+	"reachspread/internal/router/quorum"
+	"reachspread/internal/testbed/faults"
+	"reachspread/internal/testbed/history"
 )
 
 // router is one place.
@@ -26,7 +26,7 @@
 	disk   *quorum.Stored
 	older  *quorum.Stored // as it was when this life began
 	voter  *quorum.Voter
-	agent  *duty.Agent
+	agent  *lease.Agent
 	held   map[string]uint64
 	inbox  []event
 	due    time.Duration
@@ -49,7 +49,7 @@
 	now := r.clock(w.now)
 	switch e.do {
 	case toVoter: // a router's request
-		if q, _, err := duty.Read(e.data); err == nil && q != nil && r.voter != nil {
+		if q, _, err := lease.Read(e.data); err == nil && q != nil && r.voter != nil {
 			w.voted(r, r.voter.Step(now, quorum.Asked{From: fmt.Sprint("r", e.from), Request: q}))
 		}
 	case toVoters:
@@ -57,7 +57,7 @@
 			w.voted(r, r.voter.Step(now, quorum.Received{Data: e.data}))
 		}
 	case toAgent:
-		if _, p, err := duty.Read(e.data); err == nil && p != nil {
+		if _, p, err := lease.Read(e.data); err == nil && p != nil {
 			w.told(r, p)
 			w.asked(r, r.agent.Heard(now, fmt.Sprint("r", e.from), p))
 		}
@@ -123,7 +123,7 @@
 		r.voter = v
 		out = v.Step(r.clock(w.now), quorum.Passed{})
 	}
-	agent, err := duty.NewAgent(duty.AgentConfig{Self: duty.Router{Name: r.name, Boot: boot, Zone: r.zone}, Times: w.s.Times, Voters: w.names(), Seed: w.s.Seed})
+	agent, err := lease.NewAgent(lease.AgentConfig{Self: lease.Router{Name: r.name, Boot: boot, Zone: r.zone}, Times: w.s.Times, Voters: w.names(), Seed: w.s.Seed})
 	if err != nil {
 		w.Broken = err
 		return
@@ -208,43 +208,43 @@
 }
 
 // asked carries out what an agent wants.
-func (w *World) asked(r *router, out []duty.Action) {
+func (w *World) asked(r *router, out []lease.Action) {
 	for _, a := range out {
 		if !r.lives {
 			return
 		}
 		switch a := a.(type) {
-		case duty.Ask:
+		case lease.Ask:
 			w.Requests++
 			w.tells(r, a.Request)
 			data := a.Request.Append()
 			w.send(r, w.byName[a.To], event{do: toVoter, data: data}, 0)
-		case duty.Began:
+		case lease.Began:
 			if r.held[a.Duty] != a.Token {
 				r.held[a.Duty] = a.Token
 				w.Spans = append(w.Spans, Span{Duty: a.Duty, Router: r.n, Token: a.Token, From: w.now})
 				w.put(event{at: w.now, do: acts, n: r.n, gen: r.gen, duty: a.Duty, token: a.Token})
 			}
-		case duty.Ended:
+		case lease.Ended:
 			delete(r.held, a.Duty)
 			for i := range w.Spans {
 				if s := &w.Spans[i]; s.Router == r.n && s.Duty == a.Duty && s.To == 0 {
 					s.To, s.Why = w.now, a.Why
 				}
 			}
-		case duty.Wished:
-			w.asked(r, r.agent.Drop(r.clock(w.now), a.Duty, a.To, duty.Soon))
+		case lease.Wished:
+			w.asked(r, r.agent.Drop(r.clock(w.now), a.Duty, a.To, lease.Soon))
 		}
 	}
 }
 
 // opKinds names requests in the history.
-var opKinds = map[duty.Kind]string{duty.Acquire: "acquire", duty.Renew: "renew", duty.Yield: "yield", duty.HandOver: "yield"}
+var opKinds = map[lease.Kind]string{lease.Acquire: "acquire", lease.Renew: "renew", lease.Yield: "yield", lease.HandOver: "yield"}
 
 func (r *router) life() string { return fmt.Sprintf("%s/%d", r.name, r.gen) }
 
 // tells puts a request for a duty of one holder into the history.
-func (w *World) tells(r *router, q *duty.Request) {
+func (w *World) tells(r *router, q *lease.Request) {
 	c := &q.Command
 	if kind, is := opKinds[c.Kind]; is && !w.several(c.Duty) {
 		w.emit(history.Event{What: history.Invoke, Who: r.life(), ID: fmt.Sprint(r.life(), " ", q.ID), Op: &history.Op{Kind: kind, Key: c.Duty, Value: r.life(), Token: c.Token}})
@@ -252,7 +252,7 @@
 }
 
 // told puts the end of one there, if it was one.
-func (w *World) told(r *router, p *duty.Reply) {
+func (w *World) told(r *router, p *lease.Reply) {
 	if p.ID != 0 && !p.NotLeader {
 		w.emit(history.Event{What: history.OK, Who: r.life(), ID: fmt.Sprint(r.life(), " ", p.ID), Op: &history.Op{Did: p.Answer.OK, Token: p.Answer.Grant.Token}})
 	}
@@ -263,7 +263,7 @@
 	for _, c := range a.Changes {
 		if c.Granted {
 			w.grantAt[c.Grant.Token] = w.now
-		} else if (c.Why == duty.Expired || c.Why == duty.Again) && !w.several(c.Grant.Duty) {
+		} else if (c.Why == lease.Expired || c.Why == lease.Again) && !w.several(c.Grant.Duty) {
 			id := fmt.Sprint("expire ", c.Grant.Token)
 			op := &history.Op{Kind: "expire", Key: c.Grant.Duty, Token: c.Grant.Token}
 			if w.s.History != nil {
@@ -276,7 +276,7 @@
 
 // several tells that a duty may have several holders.
 func (w *World) several(name string) bool {
-	return slices.ContainsFunc(w.s.Duties, func(d duty.Duty) bool { return d.Name == name && d.Holders > 1 })
+	return slices.ContainsFunc(w.s.Duties, func(d lease.Duty) bool { return d.Name == name && d.Holders > 1 })
 }
 
 // act looks at the lease, and acts a moment later: a standstill may come in between.
--- a/internal/dutylab/strikes.go
+++ b/internal/testbed/leasesim/strikes.go
@@ -1,11 +1,11 @@
-package dutylab
+package leasesim
 
 import (
 	"slices"
 	"time"
 
-	"reachspread/internal/faults"
-	"reachspread/internal/quorum"
+	"reachspread/internal/router/quorum"
+	"reachspread/internal/testbed/faults"
 )
 
 // strike has a fault begin or end.
--- a/internal/viewlab/drawn_test.go
+++ b/internal/testbed/membershipsim/drawn_test.go
@@ -1,10 +1,10 @@
-package viewlab
+package membershipsim
 
 import (
 	"testing"
 	"time"
 
-	"reachspread/internal/faults"
+	"reachspread/internal/testbed/faults"
 )
 
 // playDrawn plays a schedule that a seed draws, on a fleet that it draws too, and returns what is wrong.
--- a/internal/viewlab/measure_test.go
+++ b/internal/testbed/membershipsim/measure_test.go
@@ -1,4 +1,4 @@
-package viewlab
+package membershipsim
 
 import (
 	"flag"
@@ -8,7 +8,7 @@
 	"time"
 
 	"reachspread/coord/members"
-	"reachspread/internal/faults"
+	"reachspread/internal/testbed/faults"
 )
 
 // The measurements run when asked: docs/measurements/members.md has the commands and what came of them.
--- a/internal/viewlab/viewlab.go
+++ b/internal/testbed/membershipsim/membershipsim.go
@@ -1,7 +1,7 @@
-// Package viewlab plays the deciders of package members in virtual time: many routers, the network between them with the
+// Package membershipsim plays the deciders of package members in virtual time: many routers, the network between them with the
 // faults of package faults, and invariants that are looked at after each step. The same Spec gives the same play. It is
 // pure, single-threaded, and bounded by its routers and what is under way.
-package viewlab
+package membershipsim
 
 import (
 	"container/heap"
@@ -12,9 +12,9 @@
 	"time"
 
 	"reachspread/coord/members"
-	"reachspread/internal/faults"
-	"reachspread/internal/history"
-	"reachspread/internal/lab"
+	"reachspread/internal/testbed/faults"
+	"reachspread/internal/testbed/history"
+	"reachspread/internal/testbed/simulator"
 )
 
 // Spec is a play.
@@ -230,13 +230,13 @@
 		w.start(w.routers[e.n])
 	case begins:
 		s := w.strikes[e.n]
-		w.emit(lab.FaultEvent(history.Fault, e.n, s))
+		w.emit(simulator.FaultEvent(history.Fault, e.n, s))
 		w.put(event{at: w.now + s.Length, do: ends, n: e.n})
 		w.strike(s, true)
 	case ends:
 		s := w.strikes[e.n]
 		w.strike(s, false)
-		w.emit(lab.FaultEvent(history.Heal, e.n, s))
+		w.emit(simulator.FaultEvent(history.Heal, e.n, s))
 	case freezes, thaws:
 		w.crawl(e)
 	case stands:
--- a/internal/viewlab/viewlab_test.go
+++ b/internal/testbed/membershipsim/membershipsim_test.go
@@ -1,4 +1,4 @@
-package viewlab
+package membershipsim
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"time"
 
 	"reachspread/coord/members"
-	"reachspread/internal/faults"
+	"reachspread/internal/testbed/faults"
 )
 
 const (
--- a/internal/pairs/pairs.go
+++ b/internal/testbed/pairedruns/pairedruns.go
@@ -1,7 +1,7 @@
-// Package pairs plays days of the fleet's bench with two versions of the project, the same seeds with both, and says how much worth the one
+// Package pairedruns plays days of the fleet's bench with two versions of the project, the same seeds with both, and says how much worth the one
 // earns beside the other. It owns the order of the plays and the sums; how a day is played is its caller's. Differences are of worth, from 0
 // to 1 a day.
-package pairs
+package pairedruns
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"reachspread/internal/account"
+	"reachspread/internal/testbed/scoreanalysis"
 )
 
 // Version is one of the two versions that are compared.
@@ -35,7 +35,7 @@
 }
 
 // Player plays a day and returns what it lost.
-type Player func(ctx context.Context, p Play) (*account.Day, error)
+type Player func(ctx context.Context, p Play) (*scoreanalysis.Day, error)
 
 // Plan is what is to be played.
 type Plan struct {
@@ -59,12 +59,12 @@
 // Result is what the plays of a plan came to.
 type Result struct {
 	plan   *Plan
-	played map[Play]*account.Day
+	played map[Play]*scoreanalysis.Day
 }
 
 // Run plays everything. The first play that fails ends it.
 func (p *Plan) Run(ctx context.Context, play Player) (*Result, error) {
-	r := &Result{plan: p, played: map[Play]*account.Day{}}
+	r := &Result{plan: p, played: map[Play]*scoreanalysis.Day{}}
 	var mu sync.Mutex
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(max(p.AtOnce, 1))
@@ -110,15 +110,15 @@
 
 // Worth is the difference of worth, after less before, over the pairs of a site and a day; empty names stand for all.
 func (r *Result) Worth(site, day string) Difference {
-	return r.difference(site, day, func(d *account.Day) float64 { return d.Worth })
+	return r.difference(site, day, func(d *scoreanalysis.Day) float64 { return d.Worth })
 }
 
 // Lost is the same for what one cause took of the worth.
 func (r *Result) Lost(site, day, cause string) Difference {
-	return r.difference(site, day, func(d *account.Day) float64 { return d.Lost(cause) })
+	return r.difference(site, day, func(d *scoreanalysis.Day) float64 { return d.Lost(cause) })
 }
 
-func (r *Result) difference(site, day string, figure func(*account.Day) float64) Difference {
+func (r *Result) difference(site, day string, figure func(*scoreanalysis.Day) float64) Difference {
 	var each []float64
 	for _, p := range r.chosen(site, day) {
 		other := p
--- a/internal/pairs/pairs_test.go
+++ b/internal/testbed/pairedruns/pairedruns_test.go
@@ -1,4 +1,4 @@
-package pairs
+package pairedruns
 
 import (
 	"context"
@@ -9,12 +9,12 @@
 
 	"github.com/matryer/is"
 
-	"reachspread/internal/account"
+	"reachspread/internal/testbed/scoreanalysis"
 )
 
 // worths are the plays of two seeds: the later version earns 0.1 and 0.3 more on the day a, and as much on the day b.
-func worths(_ context.Context, p Play) (*account.Day, error) {
-	d := &account.Day{Worth: 0.5, Losses: []account.Loss{{Cause: "worst class", Worth: 0.5}}}
+func worths(_ context.Context, p Play) (*scoreanalysis.Day, error) {
+	d := &scoreanalysis.Day{Worth: 0.5, Losses: []scoreanalysis.Loss{{Cause: "worst class", Worth: 0.5}}}
 	if p.Version == After && p.Day == "a" {
 		d.Worth += 0.1
 		if p.Seed == 2 {
@@ -60,7 +60,7 @@
 	is := is.New(t)
 	plan := &Plan{Sites: []string{"x"}, Days: []string{"a"}, Seeds: []uint64{7}, AtOnce: 1}
 	failed := errors.New("no room")
-	_, err := plan.Run(context.Background(), func(context.Context, Play) (*account.Day, error) { return nil, failed })
+	_, err := plan.Run(context.Background(), func(context.Context, Play) (*scoreanalysis.Day, error) { return nil, failed })
 	is.True(errors.Is(err, failed))
 	is.True(strings.Contains(err.Error(), "seed 7"))
 }
--- a/internal/pairs/print.go
+++ b/internal/testbed/pairedruns/print.go
@@ -1,4 +1,4 @@
-package pairs
+package pairedruns
 
 import (
 	"cmp"
--- a/internal/system/pinplay/host.go
+++ b/internal/testbed/pintest/host.go
@@ -1,6 +1,6 @@
-// Package pinplay plays version pins on a fleet of routers, in one process or many: stand-in hosts that roll their weights and may lie, clients
+// Package pintest plays version pins on a fleet of routers, in one process or many: stand-in hosts that roll their weights and may lie, clients
 // on each router, and a judge of all answers. It reaches routers by their addresses alone.
-package pinplay
+package pintest
 
 import (
 	"encoding/json"
--- a/internal/system/pinplay/judge_test.go
+++ b/internal/testbed/pintest/judge_test.go
@@ -1,4 +1,4 @@
-package pinplay
+package pintest
 
 import (
 	"net/http"
--- a/internal/scalerun/hollow.go
+++ b/internal/testbed/scaletest/hollow.go
@@ -1,4 +1,4 @@
-package scalerun
+package scaletest
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"sync/atomic"
 
 	"reachspread/coord/members"
-	"reachspread/internal/peering"
+	"reachspread/internal/router/peering"
 )
 
 // network is what lies between hollow members and all others: it loses datagrams, and may be cut in two.
--- a/internal/scalerun/plan.go
+++ b/internal/testbed/scaletest/plan.go
@@ -1,7 +1,7 @@
-// Package scalerun measures the membership protocol on many members at once: real router processes beside hollow members, which run
+// Package scaletest measures the membership protocol on many members at once: real router processes beside hollow members, which run
 // the real protocol on real sockets, many in one process, and carry no traffic. It starts and ends everything that it needs on
 // loopback, and judges nothing: its caller reads what was measured.
-package scalerun
+package scaletest
 
 import (
 	"bufio"
--- a/internal/scalerun/process.go
+++ b/internal/testbed/scaletest/process.go
@@ -1,4 +1,4 @@
-package scalerun
+package scaletest
 
 import (
 	"bufio"
--- a/internal/account/print.go
+++ b/internal/testbed/scoreanalysis/print.go
@@ -1,4 +1,4 @@
-package account
+package scoreanalysis
 
 import (
 	"fmt"
--- a/internal/account/account_test.go
+++ b/internal/testbed/scoreanalysis/scoreanalysis_test.go
@@ -1,4 +1,4 @@
-package account
+package scoreanalysis
 
 import (
 	"bytes"
@@ -74,7 +74,7 @@
 
 // The entries of this repository's own journal can be read.
 func TestJournal(t *testing.T) {
-	files, err := filepath.Glob("../../journal/2026*.json")
+	files, err := filepath.Glob("../../../journal/2026*.json")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/peers/flood.go
+++ b/internal/testbed/scripted/flood.go
@@ -1,4 +1,4 @@
-package peers
+package scripted
 
 import (
 	"bufio"
--- a/internal/peers/peers.go
+++ b/internal/testbed/scripted/scripted.go
@@ -1,6 +1,6 @@
-// Package peers has the scripted servers, discovery and clients that the tests of the network code are told
+// Package scripted has the scripted servers, discovery and clients that the tests of the network code are told
 // against, all on the loopback.
-package peers
+package scripted
 
 import (
 	"bufio"
--- a/internal/lab/bound.go
+++ b/internal/testbed/simulator/bound.go
@@ -1,10 +1,10 @@
-package lab
+package simulator
 
 import (
 	"cmp"
 	"slices"
 
-	"reachspread/internal/fleet"
+	"reachspread/internal/testbed/hostmodel"
 )
 
 // What hosts could serve in time at a moment, whoever asked them: a bound from means, as of a fluid. Each host runs as many requests of a class at once as
@@ -30,7 +30,7 @@
 }
 
 // inTime returns how many requests of a class a host could serve in a second if it did nothing else.
-func inTime(h *fleet.Config, share float64, c *Class, x need) float64 {
+func inTime(h *hostmodel.Config, share float64, c *Class, x need) float64 {
 	out, pace := x.out/x.n, c.Class.TokenAim.Seconds()
 	if pace == 0 {
 		pace = c.Class.Deadline.Seconds() / out
@@ -57,7 +57,7 @@
 	}
 	type room struct{ left, share float64 }
 	var hosts []room
-	var of []*fleet.Config
+	var of []*hostmodel.Config
 	for _, h := range w.hosts {
 		if h.alive && !h.cut {
 			hosts, of = append(hosts, room{1, h.model.Stats(w.now).Capacity}), append(of, &w.s.Groups[h.group].Host)
--- a/internal/lab/client.go
+++ b/internal/testbed/simulator/client.go
@@ -1,4 +1,4 @@
-package lab
+package simulator
 
 import (
 	"math"
@@ -7,7 +7,7 @@
 	"time"
 
 	"reachspread/balance"
-	"reachspread/internal/history"
+	"reachspread/internal/testbed/history"
 )
 
 // load is one class's clients.
--- a/internal/lab/faults.go
+++ b/internal/testbed/simulator/faults.go
@@ -1,4 +1,4 @@
-package lab
+package simulator
 
 import (
 	"fmt"
@@ -6,10 +6,10 @@
 	"strconv"
 	"strings"
 
-	"reachspread/internal/faults"
-	"reachspread/internal/fleet"
-	"reachspread/internal/history"
-	"reachspread/internal/recovery"
+	"reachspread/internal/router/recovery"
+	"reachspread/internal/testbed/faults"
+	"reachspread/internal/testbed/history"
+	"reachspread/internal/testbed/hostmodel"
 )
 
 // schedule is the faults of a world.
@@ -140,7 +140,7 @@
 	for _, i := range s.Hosts {
 		h := w.hosts[i]
 		if s.Kind == faults.Slow {
-			w.hostDoes(h, fleet.Slow{Factor: s.Size})
+			w.hostDoes(h, hostmodel.Slow{Factor: s.Size})
 		} else if h.down++; h.down == 1 {
 			w.die(h)
 		}
@@ -169,7 +169,7 @@
 	for _, i := range s.Hosts {
 		h := w.hosts[i]
 		if s.Kind == faults.Slow {
-			w.hostDoes(h, fleet.Slow{Factor: 1})
+			w.hostDoes(h, hostmodel.Slow{Factor: 1})
 		} else if h.down--; h.down == 0 {
 			w.at(w.now, event{do: hostStarts, n: i, gen: h.gen})
 		}
--- a/internal/lab/hosts.go
+++ b/internal/testbed/simulator/hosts.go
@@ -1,4 +1,4 @@
-package lab
+package simulator
 
 import (
 	"maps"
@@ -7,8 +7,8 @@
 	"time"
 
 	"reachspread/balance"
-	"reachspread/internal/fleet"
-	"reachspread/internal/history"
+	"reachspread/internal/testbed/history"
+	"reachspread/internal/testbed/hostmodel"
 )
 
 // host is one machine, and the model of what runs on it.
@@ -19,7 +19,7 @@
 	kind  string
 	group int
 	born  time.Duration // on the routers' clock, 0 for long ago
-	model *fleet.Host
+	model *hostmodel.Host
 	gen   int           // of its process
 	due   time.Duration // of its next step, -1 for none
 	alive bool
@@ -52,20 +52,20 @@
 	g := &w.s.Groups[group]
 	n := len(w.hosts)
 	h := &host{n: n, id: "h" + strconv.Itoa(n), zone: g.Zone, kind: g.Kind, group: group, due: -1, alive: true,
-		model: fleet.New(g.Host, w.stream(forHost, uint64(n)).Uint64()), atIt: map[string]*attempt{}, asks: map[string]*probe{}}
+		model: hostmodel.New(g.Host, w.stream(forHost, uint64(n)).Uint64()), atIt: map[string]*attempt{}, asks: map[string]*probe{}}
 	w.hosts = append(w.hosts, h)
 	return h
 }
 
 // hostDoes has a host take in an event, or only the time, and carries on what comes of it. Full tells that a connection
 // found no room.
-func (w *World) hostDoes(h *host, e fleet.Event) (full bool) {
+func (w *World) hostDoes(h *host, e hostmodel.Event) (full bool) {
 	if e == nil {
-		e = fleet.Passed{}
+		e = hostmodel.Passed{}
 	}
 	for _, x := range h.model.Step(w.now, e) {
 		switch x.Kind {
-		case fleet.Token:
+		case hostmodel.Token:
 			a := h.atIt[x.ID]
 			if a == nil {
 				continue
@@ -77,14 +77,14 @@
 				a.first = true
 				w.tell(h, a, &tell{a: a, first: true})
 			}
-		case fleet.Whole:
+		case hostmodel.Whole:
 			if a := h.atIt[x.ID]; a != nil {
 				delete(h.atIt, x.ID)
 				w.res.Kept += uint64(x.Kept)
 				w.hostDone(h, a)
 				w.tell(h, a, &tell{a: a, result: balance.OK, kept: x.Kept, made: a.made, load: w.load(h)})
 			}
-		case fleet.TurnedAway:
+		case hostmodel.TurnedAway:
 			if p := h.asks[x.ID]; p != nil {
 				delete(h.asks, x.ID)
 				w.tellProbe(h, p, balance.Full, nil)
@@ -96,23 +96,23 @@
 				w.hostDone(h, a)
 				w.tell(h, a, &tell{a: a, result: balance.Full, load: w.load(h)})
 			}
-		case fleet.Broken:
+		case hostmodel.Broken:
 			if a := h.atIt[x.ID]; a != nil {
 				delete(h.atIt, x.ID)
 				w.res.Wasted += uint64(a.made)
 				w.hostDone(h, a)
 				w.tell(h, a, &tell{a: a, result: balance.Reset, made: a.made})
 			}
-		case fleet.Answered:
+		case hostmodel.Answered:
 			if p := h.asks[x.ID]; p != nil {
 				delete(h.asks, x.ID)
 				w.tellProbe(h, p, balance.OK, loadOf(&x.Load))
 			}
-		case fleet.NoRoom:
+		case hostmodel.NoRoom:
 			full = true
-		case fleet.Preempted:
+		case hostmodel.Preempted:
 			w.res.Preempted++
-		case fleet.Fell:
+		case hostmodel.Fell:
 			w.emit(history.Event{What: history.Fell, Who: h.id})
 			w.violated(ruleCold, h.id, h.n, "fell over")
 		}
@@ -131,7 +131,7 @@
 	w.at(w.now+w.way(h.zone, w.routers[p.router].zone), event{do: probeTells, n: p.router, gen: p.rgen, p: p})
 }
 
-func loadOf(l *fleet.Load) *balance.Load {
+func loadOf(l *hostmodel.Load) *balance.Load {
 	return &balance.Load{Streams: float64(l.Running + l.Waiting), Busy: l.Util, Unread: 1000 * l.Unread}
 }
 
@@ -182,7 +182,7 @@
 	}
 	if a.fresh {
 		a.fresh, a.conn.gen = false, h.gen
-		if w.hostDoes(h, fleet.Connect{}) {
+		if w.hostDoes(h, hostmodel.Connect{}) {
 			w.tell(h, a, &tell{a: a, result: balance.NoConnection, noConn: true})
 			return
 		}
@@ -193,13 +193,13 @@
 	if w.observed() {
 		w.emit(history.Event{What: history.Attempt, ID: a.t.id, Who: h.id, From: routerName(a.t.router.n), Conn: a.name()})
 	}
-	w.hostDoes(h, fleet.Arrive{Request: fleet.Request{ID: a.t.id, Session: f.session.name, Prefix: f.session.prefix, Prompt: f.prompt,
+	w.hostDoes(h, hostmodel.Arrive{Request: hostmodel.Request{ID: a.t.id, Session: f.session.name, Prefix: f.session.prefix, Prompt: f.prompt,
 		Shared: f.session.shared, Out: f.out, MaxOut: f.session.load.c.MaxOut, Untold: a.t.router.known[h.n].born != h.born}})
 }
 
 func (w *World) disconnect(c *conn) {
 	if h := w.hosts[c.host]; h.alive && h.gen == c.gen {
-		w.hostDoes(h, fleet.Disconnect{})
+		w.hostDoes(h, hostmodel.Disconnect{})
 	}
 }
 
@@ -245,10 +245,10 @@
 		delete(h.atIt, a.t.id)
 		w.hostDone(h, a)
 		w.res.Wasted += uint64(a.made)
-		w.hostDoes(h, fleet.Cancel{ID: a.t.id})
+		w.hostDoes(h, hostmodel.Cancel{ID: a.t.id})
 	}
 	if a.conn != nil && a.conn.gen == h.gen {
-		w.hostDoes(h, fleet.Disconnect{})
+		w.hostDoes(h, hostmodel.Disconnect{})
 	}
 }
 
@@ -277,7 +277,7 @@
 	}
 	id := "probe" + strconv.Itoa(p.router) + "." + strconv.Itoa(p.rgen) + "." + strconv.Itoa(p.n)
 	h.asks[id] = p
-	w.hostDoes(h, fleet.Probe{ID: id})
+	w.hostDoes(h, hostmodel.Probe{ID: id})
 }
 
 // die ends a host's process.
@@ -286,7 +286,7 @@
 		return
 	}
 	w.note("host dies", h.id, h.n)
-	w.hostDoes(h, fleet.Die{})
+	w.hostDoes(h, hostmodel.Die{})
 	h.alive, h.due = false, -1
 	h.gen++
 	clear(h.asks)
@@ -303,7 +303,7 @@
 	w.note("host starts", h.id, h.n)
 	h.alive, h.born, h.state = true, w.clock(), balance.Serving
 	h.gen++
-	w.hostDoes(h, fleet.Start{})
+	w.hostDoes(h, hostmodel.Start{})
 	w.changed(h)
 }
 
--- a/internal/lab/loss_test.go
+++ b/internal/testbed/simulator/loss_test.go
@@ -1,4 +1,4 @@
-package lab
+package simulator
 
 import (
 	"flag"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"reachspread/internal/faults"
+	"reachspread/internal/testbed/faults"
 )
 
 var (
@@ -68,7 +68,7 @@
 	return s
 }
 
-// Drawn power losses: no rule is broken. 10,000 of them: go test ./internal/lab -run Losses -losses 10000 (docs/measurements/recovery.md).
+// Drawn power losses: no rule is broken. 10,000 of them: go test ./internal/testbed/simulator -run Losses -losses 10000 (docs/measurements/recovery.md).
 func TestDrawnPowerLosses(t *testing.T) {
 	t.Parallel()
 	var next atomic.Int64
--- a/internal/lab/mass_test.go
+++ b/internal/testbed/simulator/mass_test.go
@@ -1,4 +1,4 @@
-package lab
+package simulator
 
 import (
 	"flag"
@@ -7,15 +7,15 @@
 	"time"
 
 	"reachspread/balance"
-	"reachspread/internal/fleet"
-	"reachspread/internal/history"
+	"reachspread/internal/testbed/history"
+	"reachspread/internal/testbed/hostmodel"
 )
 
 var massSeeds = flag.Uint64("mass", 0, "seeds of the worlds of 300 routers to play")
 
 // At 300 routers by 100 hosts, with a zone that dies and returns cold, seven in ten routers killed at once, or six in ten
 // hosts replaced: no rule is broken, which the checkers see to, and what grows with routers times hosts stays bounded for
-// each attempt. It takes too long for CI under the race detector: go test ./internal/lab -run ThreeHundred -mass 8.
+// each attempt. It takes too long for CI under the race detector: go test ./internal/testbed/simulator -run ThreeHundred -mass 8.
 func TestThreeHundredRouters(t *testing.T) {
 	if *massSeeds == 0 {
 		t.Skip("played with -mass")
@@ -71,7 +71,7 @@
 			}
 			var w *World
 			at, looked := map[string]*router{}, time.Duration(0)
-			room := func(h *host, x fleet.Stats) bool {
+			room := func(h *host, x hostmodel.Stats) bool {
 				return h.alive && h.state == balance.Serving && x.Waiting == 0 && x.Running < s.Groups[h.group].Host.Slots/4
 			}
 			s.History = func(e *history.Event) {
--- a/internal/lab/queue.go
+++ b/internal/testbed/simulator/queue.go
@@ -1,4 +1,4 @@
-package lab
+package simulator
 
 import "time"
 
--- a/internal/lab/router.go
+++ b/internal/testbed/simulator/router.go
@@ -1,11 +1,11 @@
-package lab
+package simulator
 
 import (
 	"time"
 
 	"reachspread/balance"
-	"reachspread/internal/history"
-	"reachspread/internal/recovery"
+	"reachspread/internal/router/recovery"
+	"reachspread/internal/testbed/history"
 )
 
 // router is one instance: a decision module, its open tries, its list and its connections.
--- a/internal/lab/lab_test.go
+++ b/internal/testbed/simulator/simulator_test.go
@@ -1,4 +1,4 @@
-package lab
+package simulator
 
 import (
 	"bytes"
@@ -14,17 +14,17 @@
 	"pgregory.net/rapid"
 
 	"reachspread/balance"
-	"reachspread/internal/fleet"
+	"reachspread/internal/testbed/hostmodel"
 )
 
 const ms = time.Millisecond
 
 // small is a fleet of 6 hosts in two zones with 2 routers, at some two thirds of what it can do.
 func small(seed uint64) Spec {
-	host := fleet.Config{Slots: 32, Queue: 32, Memory: 120000, Chunk: 2048, Block: 16, Base: 12 * ms, PerSeq: 200 * time.Microsecond,
+	host := hostmodel.Config{Slots: 32, Queue: 32, Memory: 120000, Chunk: 2048, Block: 16, Base: 12 * ms, PerSeq: 200 * time.Microsecond,
 		ContextPerK: 50 * time.Microsecond, PairsPerM: ms, ReadPerS: 20000, KeepsMade: true, Conns: 200, Handshake: ms, TableCost: 0.1,
 		ReportEvery: 100 * ms, ReportNoise: 0.05, Probe: 100 * time.Microsecond, ProbesMax: 20,
-		Cold: fleet.Cold{Share: 0.3, Time: 8 * time.Second, Factor: 2.5, Window: 3 * time.Second, PerToken: 50 * time.Microsecond, PerMade: 600 * time.Microsecond}}
+		Cold: hostmodel.Cold{Share: 0.3, Time: 8 * time.Second, Factor: 2.5, Window: 3 * time.Second, PerToken: 50 * time.Microsecond, PerMade: 600 * time.Microsecond}}
 	chat := func(name string, rate, worth float64, aim, deadline time.Duration) Class {
 		return Class{Class: balance.Class{Name: name, Aim: aim, AimPer1000: 40 * ms, TokenAim: 60 * ms, Deadline: deadline, Worth: worth, Streamed: true},
 			Rate: rate, Turns: 3, Think: 3 * time.Second, New: Length{200, 0.8}, Out: Length{80, 0.6}, MaxOut: 400, MaxContext: 16000,
--- a/internal/lab/slowstart_test.go
+++ b/internal/testbed/simulator/slowstart_test.go
@@ -1,4 +1,4 @@
-package lab
+package simulator
 
 import (
 	"errors"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"reachspread/internal/fleet"
+	"reachspread/internal/testbed/hostmodel"
 )
 
 var slowStartSeeds = flag.Uint64("slowstart", 1, "schedules to draw for each number of routers")
@@ -40,7 +40,7 @@
 }
 
 // meanWork is about the work of the mean request of a world, as a cold host counts it.
-func meanWork(s *Spec, c fleet.Cold) time.Duration {
+func meanWork(s *Spec, c hostmodel.Cold) time.Duration {
 	var sum, rate float64
 	for i := range s.Classes {
 		x := &s.Classes[i]
--- a/internal/lab/spec.go
+++ b/internal/testbed/simulator/spec.go
@@ -1,4 +1,4 @@
-// Package lab plays a whole fleet in virtual time: clients with sessions and retries, a front that spreads them, routers
+// Package simulator plays a whole fleet in virtual time: clients with sessions and retries, a front that spreads them, routers
 // around the real decision module, the list of hosts, the network, model hosts (package fleet) and troubles. Checkers of
 // the platform's rules run on every world. The same Spec gives the same results, to the byte, wherever it is played.
 //
@@ -6,16 +6,16 @@
 // hosts and their list, trouble.go what goes wrong, rules.go the checkers and result.go what comes of it. A World is
 // single-threaded, does no I/O and looks at no clock; different worlds share nothing and may be played side by side. Its
 // memory is bounded by what is open at once: finished requests are only counted.
-package lab
+package simulator
 
 import (
 	"fmt"
 	"time"
 
 	"reachspread/balance"
-	"reachspread/internal/faults"
-	"reachspread/internal/fleet"
-	"reachspread/internal/history"
+	"reachspread/internal/testbed/faults"
+	"reachspread/internal/testbed/history"
+	"reachspread/internal/testbed/hostmodel"
 )
 
 // Spec is one experiment's world.
@@ -58,7 +58,7 @@
 	Count int
 	Kind  string
 	Zone  string
-	Host  fleet.Config
+	Host  hostmodel.Config
 }
 
 // Class is a class of requests with its load.
--- a/internal/lab/trouble.go
+++ b/internal/testbed/simulator/trouble.go
@@ -1,12 +1,12 @@
-package lab
+package simulator
 
 import (
 	"time"
 
 	"reachspread/balance"
-	"reachspread/internal/faults"
-	"reachspread/internal/fleet"
-	"reachspread/internal/history"
+	"reachspread/internal/testbed/faults"
+	"reachspread/internal/testbed/history"
+	"reachspread/internal/testbed/hostmodel"
 )
 
 // some draws a part of so many, at least one unless the part is 0, in the order of their numbers.
@@ -44,7 +44,7 @@
 	case SlowHosts:
 		hit.at = w.some(len(w.hosts), t.Part, alive)
 		for _, i := range hit.at {
-			w.hostDoes(w.hosts[i], fleet.Slow{Factor: t.Size})
+			w.hostDoes(w.hosts[i], hostmodel.Slow{Factor: t.Size})
 		}
 	case Burst:
 		w.burst *= t.Size
@@ -71,7 +71,7 @@
 			old.gone = true
 			w.die(old)
 			h := w.addHost(old.group)
-			h.model.Step(w.now, fleet.Die{})
+			h.model.Step(w.now, hostmodel.Die{})
 			h.alive = false
 			w.at(w.now+t.Length, event{do: hostStarts, n: h.n, gen: h.gen})
 		}
@@ -132,7 +132,7 @@
 	switch t.Kind {
 	case SlowHosts:
 		for _, i := range hit.at {
-			w.hostDoes(w.hosts[i], fleet.Slow{Factor: 1})
+			w.hostDoes(w.hosts[i], hostmodel.Slow{Factor: 1})
 		}
 	case Burst:
 		w.burst /= t.Size
@@ -150,7 +150,7 @@
 			if h.alive {
 				w.die(h)
 				h.alive = true
-				w.hostDoes(h, fleet.Start{})
+				w.hostDoes(h, hostmodel.Start{})
 				h.born = w.clock()
 				w.changed(h)
 			}
@@ -239,7 +239,7 @@
 	for _, i := range x.drained {
 		if h := w.hosts[i]; h.alive && !h.gone {
 			h.state = balance.Draining
-			w.hostDoes(h, fleet.Drain{})
+			w.hostDoes(h, hostmodel.Drain{})
 			w.changed(h)
 		}
 	}
--- a/internal/lab/vast_test.go
+++ b/internal/testbed/simulator/vast_test.go
@@ -1,10 +1,10 @@
-package lab
+package simulator
 
 import (
 	"testing"
 	"time"
 
-	"reachspread/internal/faults"
+	"reachspread/internal/testbed/faults"
 )
 
 // vast is 80 routers before 60 hosts of three zones, each router under one request a second, with words between routers of
--- a/internal/system/soak/mixedfleet_test.go
+++ b/internal/testbed/soak/mixedfleet_test.go
@@ -9,8 +9,8 @@
 
 	"github.com/matryer/is"
 
-	"reachspread/internal/system/localfleet"
-	"reachspread/internal/system/pinplay"
+	"reachspread/internal/testbed/localfleet"
+	"reachspread/internal/testbed/pintest"
 )
 
 // landedProgram names the environment variable that holds the path of a reachspread binary of an earlier landing.
@@ -129,22 +129,22 @@
 }
 
 // newPinStory is a story with two hosts of each of two versions.
-func newPinStory(t *testing.T, f *localfleet.Fleet) *pinplay.Story {
+func newPinStory(t *testing.T, f *localfleet.Fleet) *pintest.Story {
 	t.Helper()
 	var fronts, controls []string
 	for i := range f.Len() {
 		fronts, controls = append(fronts, f.Front(i)), append(controls, f.Control(i))
 	}
-	var all []*pinplay.Host
+	var all []*pintest.Host
 	for i, version := range []int64{1, 1, 2, 2} {
-		h, err := pinplay.NewHost(fmt.Sprint("i-", i), version)
+		h, err := pintest.NewHost(fmt.Sprint("i-", i), version)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(h.Close)
 		all = append(all, h)
 	}
-	return pinplay.NewStory(fronts, controls, all)
+	return pintest.NewStory(fronts, controls, all)
 }
 
 // upgrade ends a router in order, and begins the other program in its place.
--- a/internal/system/soak/soak.go
+++ b/internal/testbed/soak/soak.go
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"reachspread/internal/system/localfleet"
+	"reachspread/internal/testbed/localfleet"
 )
 
 // Options are a play's.
--- a/internal/transport/client_test.go
+++ b/internal/transport/client_test.go
@@ -12,9 +12,9 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"reachspread/internal/peers"
 	"reachspread/internal/protocol"
 	"reachspread/internal/routing"
+	"reachspread/internal/testbed/scripted"
 )
 
 // dial connects to a router; the connection ends with the test.
@@ -25,18 +25,18 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(peers.Patience))
+	conn.SetDeadline(time.Now().Add(scripted.Patience))
 	return conn.(*net.TCPConn)
 }
 
 // Requests that are sent without waiting for answers are served one after the other, each whole.
 func TestPipelinedRequestsAreServedInOrder(t *testing.T) {
-	server := peers.NewServer(t, peers.Answer(peers.Whole()))
+	server := scripted.NewServer(t, scripted.Answer(scripted.Whole()))
 	conn := dial(t, newRouter(t, server).addr)
 	const requests = 5
 	var all strings.Builder
 	for i := range requests {
-		all.WriteString(peers.AskText(fmt.Sprint("id-", i), ""))
+		all.WriteString(scripted.AskText(fmt.Sprint("id-", i), ""))
 	}
 	io.WriteString(conn, all.String())
 	in := bufio.NewReader(conn)
@@ -46,10 +46,10 @@
 			t.Fatalf("request %d: %v", i, err)
 		}
 		body, err := io.ReadAll(response.Body)
-		if response.StatusCode != http.StatusOK || err != nil || string(body) != peers.Event+peers.Done {
+		if response.StatusCode != http.StatusOK || err != nil || string(body) != scripted.Event+scripted.Done {
 			t.Fatalf("request %d: got %d %q, %v; want its answer", i, response.StatusCode, body, err)
 		}
-		if id := peers.Next(t, server.Requests, "an attempt").Header.Get(protocol.HeaderID); id != fmt.Sprint("id-", i) {
+		if id := scripted.Next(t, server.Requests, "an attempt").Header.Get(protocol.HeaderID); id != fmt.Sprint("id-", i) {
 			t.Errorf("attempt %d is for %s", i, id)
 		}
 	}
@@ -65,26 +65,26 @@
 		"closed":                      {"", func(c *net.TCPConn) { c.Close() }},
 		"reset":                       {"", func(c *net.TCPConn) { c.SetLinger(0); c.Close() }},
 		"only its sending":            {"", func(c *net.TCPConn) { c.CloseWrite() }},
-		"closed behind another":       {peers.AskText("further", ""), func(c *net.TCPConn) { c.Close() }},
-		"reset behind another":        {peers.AskText("further", ""), func(c *net.TCPConn) { c.SetLinger(0); c.Close() }},
-		"its sending behind another":  {peers.AskText("further", ""), func(c *net.TCPConn) { c.CloseWrite() }},
-		"closed behind half a one":    {peers.AskText("further", "")[:50], func(c *net.TCPConn) { c.Close() }},
-		"closed behind many requests": {strings.Repeat(peers.AskText("further", ""), 50), func(c *net.TCPConn) { c.Close() }},
+		"closed behind another":       {scripted.AskText("further", ""), func(c *net.TCPConn) { c.Close() }},
+		"reset behind another":        {scripted.AskText("further", ""), func(c *net.TCPConn) { c.SetLinger(0); c.Close() }},
+		"its sending behind another":  {scripted.AskText("further", ""), func(c *net.TCPConn) { c.CloseWrite() }},
+		"closed behind half a one":    {scripted.AskText("further", "")[:50], func(c *net.TCPConn) { c.Close() }},
+		"closed behind many requests": {strings.Repeat(scripted.AskText("further", ""), 50), func(c *net.TCPConn) { c.Close() }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			gone := make(chan bool, 1)
-			server := peers.NewServer(t, func(c net.Conn) bool {
+			server := scripted.NewServer(t, func(c net.Conn) bool {
 				io.Copy(io.Discard, c)
 				gone <- true
 				return false
 			})
 			conn := dial(t, newRouter(t, server).addr)
-			patient := strings.Replace(peers.AskText("id", ""), "X-Time-Left: 8000m", "X-Time-Left: 600000m", 1)
+			patient := strings.Replace(scripted.AskText("id", ""), "X-Time-Left: 8000m", "X-Time-Left: 600000m", 1)
 			io.WriteString(conn, patient) // the attempt is not over by itself within the test
-			peers.Next(t, server.Requests, "an attempt")
+			scripted.Next(t, server.Requests, "an attempt")
 			io.WriteString(conn, tt.further)
 			tt.leave(conn)
-			peers.Next(t, gone, "the attempt's connection closed")
+			scripted.Next(t, gone, "the attempt's connection closed")
 			if n := len(server.Requests); n > 0 {
 				t.Errorf("%d more attempts", n)
 			}
@@ -96,76 +96,76 @@
 // servers do.
 func TestEveryRequestIsAccountedFor(t *testing.T) {
 	answer := func(text string) func(chan bool) func(net.Conn) bool {
-		return func(chan bool) func(net.Conn) bool { return peers.Answer(text) }
+		return func(chan bool) func(net.Conn) bool { return scripted.Answer(text) }
 	}
 	scripts := map[string]func(more chan bool) func(net.Conn) bool{
-		"served":  answer(peers.Whole()),
-		"refused": answer(peers.Full),
+		"served":  answer(scripted.Whole()),
+		"refused": answer(scripted.Full),
 		"unfit":   answer("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"),
-		"broken":  answer(peers.Head + peers.Chunk(peers.Event) + "z\r\n"),
-		"held":    func(more chan bool) func(net.Conn) bool { return peers.Held(more) },
+		"broken":  answer(scripted.Head + scripted.Chunk(scripted.Event) + "z\r\n"),
+		"held":    func(more chan bool) func(net.Conn) bool { return scripted.Held(more) },
 		"silent": func(chan bool) func(net.Conn) bool {
 			return func(c net.Conn) bool { io.Copy(io.Discard, c); return false }
 		},
 	}
 	for _, tt := range []struct {
 		name, script string
-		do           func(t *testing.T, r *router, s *peers.Server, more chan bool)
+		do           func(t *testing.T, r *router, s *scripted.Server, more chan bool)
 		want         routing.Counts
 	}{
-		{"served, three in one piece", "served", func(t *testing.T, r *router, s *peers.Server, more chan bool) {
+		{"served, three in one piece", "served", func(t *testing.T, r *router, s *scripted.Server, more chan bool) {
 			conn := dial(t, r.addr)
-			io.WriteString(conn, peers.AskText("1", "")+peers.AskText("2", "")+peers.AskText("3", "Connection: close\r\n"))
+			io.WriteString(conn, scripted.AskText("1", "")+scripted.AskText("2", "")+scripted.AskText("3", "Connection: close\r\n"))
 			io.Copy(io.Discard, conn)
 		}, routing.Counts{Taken: 3, Served: 3}},
-		{"refused", "refused", func(t *testing.T, r *router, s *peers.Server, more chan bool) {
-			peers.Do(t, peers.Ask(t, r.addr, "q", nil))
+		{"refused", "refused", func(t *testing.T, r *router, s *scripted.Server, more chan bool) {
+			scripted.Do(t, scripted.Ask(t, r.addr, "q", nil))
 		}, routing.Counts{Taken: 1, Refused: 1}},
-		{"at fault", "unfit", func(t *testing.T, r *router, s *peers.Server, more chan bool) {
-			peers.Do(t, peers.Ask(t, r.addr, "q", nil))
+		{"at fault", "unfit", func(t *testing.T, r *router, s *scripted.Server, more chan bool) {
+			scripted.Do(t, scripted.Ask(t, r.addr, "q", nil))
 		}, routing.Counts{Taken: 1, Failed: 1}},
-		{"a stream that breaks", "broken", func(t *testing.T, r *router, s *peers.Server, more chan bool) {
-			peers.Do(t, peers.Ask(t, r.addr, "q", nil))
+		{"a stream that breaks", "broken", func(t *testing.T, r *router, s *scripted.Server, more chan bool) {
+			scripted.Do(t, scripted.Ask(t, r.addr, "q", nil))
 		}, routing.Counts{Taken: 1, Failed: 1}},
-		{"out of time", "silent", func(t *testing.T, r *router, s *peers.Server, more chan bool) {
-			peers.Do(t, peers.Ask(t, r.addr, "q", map[string]string{"X-Time-Left": "100m"}))
+		{"out of time", "silent", func(t *testing.T, r *router, s *scripted.Server, more chan bool) {
+			scripted.Do(t, scripted.Ask(t, r.addr, "q", map[string]string{"X-Time-Left": "100m"}))
 		}, routing.Counts{Taken: 1, Refused: 1}},
-		{"left before the first attempt's answer", "silent", func(t *testing.T, r *router, s *peers.Server, more chan bool) {
+		{"left before the first attempt's answer", "silent", func(t *testing.T, r *router, s *scripted.Server, more chan bool) {
 			conn := dial(t, r.addr)
-			io.WriteString(conn, peers.AskText("1", ""))
-			peers.Next(t, s.Requests, "an attempt")
+			io.WriteString(conn, scripted.AskText("1", ""))
+			scripted.Next(t, s.Requests, "an attempt")
 			conn.Close()
 		}, routing.Counts{Taken: 1, Abandoned: 1}},
-		{"left in a stream, with more behind", "held", func(t *testing.T, r *router, s *peers.Server, more chan bool) {
+		{"left in a stream, with more behind", "held", func(t *testing.T, r *router, s *scripted.Server, more chan bool) {
 			conn := dial(t, r.addr)
-			io.WriteString(conn, peers.AskText("1", "")+peers.AskText("2", ""))
+			io.WriteString(conn, scripted.AskText("1", "")+scripted.AskText("2", ""))
 			if _, err := bufio.NewReader(conn).ReadString('\n'); err != nil {
 				t.Fatal(err)
 			}
 			conn.SetLinger(0)
 			conn.Close()
 		}, routing.Counts{Taken: 1, Abandoned: 1}},
-		{"an id in use", "held", func(t *testing.T, r *router, s *peers.Server, more chan bool) {
+		{"an id in use", "held", func(t *testing.T, r *router, s *scripted.Server, more chan bool) {
 			conn := dial(t, r.addr)
-			io.WriteString(conn, peers.AskText("same", "Connection: close\r\n"))
-			peers.Next(t, s.Requests, "an attempt")
-			peers.Do(t, peers.Ask(t, r.addr, "same", nil))
+			io.WriteString(conn, scripted.AskText("same", "Connection: close\r\n"))
+			scripted.Next(t, s.Requests, "an attempt")
+			scripted.Do(t, scripted.Ask(t, r.addr, "same", nil))
 			more <- true
 			io.Copy(io.Discard, conn)
 		}, routing.Counts{Taken: 2, Served: 1, Failed: 1}},
-		{"not whole", "served", func(t *testing.T, r *router, s *peers.Server, more chan bool) {
+		{"not whole", "served", func(t *testing.T, r *router, s *scripted.Server, more chan bool) {
 			conn := dial(t, r.addr)
-			io.WriteString(conn, strings.TrimSuffix(peers.AskText("1", ""), "}"))
+			io.WriteString(conn, strings.TrimSuffix(scripted.AskText("1", ""), "}"))
 			conn.CloseWrite()
 			io.Copy(io.Discard, conn)
 		}, routing.Counts{}}, // it was never a request
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			more := make(chan bool)
-			server := peers.NewServer(t, scripts[tt.script](more))
+			server := scripted.NewServer(t, scripts[tt.script](more))
 			r := newRouter(t, server)
 			tt.do(t, r, server, more)
-			peers.Until(t, "nothing is open", func() bool { return r.core.Figures().Open == 0 })
+			scripted.Until(t, "nothing is open", func() bool { return r.core.Figures().Open == 0 })
 			got := r.core.Figures().Classes["chat"]
 			if diff := cmp.Diff(tt.want, got); diff != "" || got.Open() != 0 {
 				t.Errorf("%d open %s", got.Open(), diff)
@@ -179,21 +179,21 @@
 	for name, apart := range map[string]bool{"in one piece": false, "the others behind the open one": true} {
 		t.Run(name, func(t *testing.T) {
 			more := make(chan bool)
-			server := peers.NewServer(t, peers.Held(more))
+			server := scripted.NewServer(t, scripted.Held(more))
 			r := newRouter(t, server)
 			conn := dial(t, r.addr)
-			first, others := peers.AskText("1", ""), peers.AskText("2", "")+peers.AskText("3", "")
+			first, others := scripted.AskText("1", ""), scripted.AskText("2", "")+scripted.AskText("3", "")
 			if !apart {
 				first, others = first+others, ""
 			}
 			io.WriteString(conn, first)
-			peers.Next(t, server.Requests, "an attempt")
+			scripted.Next(t, server.Requests, "an attempt")
 			io.WriteString(conn, others)
 			r.front.SetKeeps(false)
 			in := bufio.NewReader(conn)
 			for i := 1; i <= 3; i++ {
 				if i > 1 {
-					peers.Next(t, server.Requests, "an attempt")
+					scripted.Next(t, server.Requests, "an attempt")
 				}
 				more <- true
 				response, err := http.ReadResponse(in, nil)
@@ -201,7 +201,7 @@
 					t.Fatalf("request %d: %v", i, err)
 				}
 				body, err := io.ReadAll(response.Body)
-				if response.StatusCode != http.StatusOK || err != nil || string(body) != peers.Event+peers.Done {
+				if response.StatusCode != http.StatusOK || err != nil || string(body) != scripted.Event+scripted.Done {
 					t.Errorf("request %d: got %d %q, %v; want its answer", i, response.StatusCode, body, err)
 				}
 				if response.Close && i < 3 {
@@ -224,7 +224,7 @@
 	)
 	slow := func(c net.Conn) bool {
 		time.Sleep(kept)
-		io.WriteString(c, peers.Whole())
+		io.WriteString(c, scripted.Whole())
 		return true
 	}
 	for name, tt := range map[string]struct {
@@ -232,28 +232,28 @@
 		send   func(conn net.Conn)
 		before int // attempts before the one in question
 	}{
-		"written slowly": {peers.Answer(peers.Whole()), func(conn net.Conn) {
-			text := peers.AskText("1", "")
+		"written slowly": {scripted.Answer(scripted.Whole()), func(conn net.Conn) {
+			text := scripted.AskText("1", "")
 			io.WriteString(conn, text[:len(text)-1])
 			time.Sleep(kept)
 			io.WriteString(conn, text[len(text)-1:])
 		}, 0},
 		"in one piece with another": {slow, func(conn net.Conn) {
-			io.WriteString(conn, peers.AskText("1", "")+peers.AskText("2", ""))
+			io.WriteString(conn, scripted.AskText("1", "")+scripted.AskText("2", ""))
 		}, 1},
 		"behind another that is open": {slow, func(conn net.Conn) {
-			io.WriteString(conn, peers.AskText("1", ""))
-			io.WriteString(conn, peers.AskText("2", ""))
+			io.WriteString(conn, scripted.AskText("1", ""))
+			io.WriteString(conn, scripted.AskText("2", ""))
 		}, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			server := peers.NewServer(t, tt.script)
+			server := scripted.NewServer(t, tt.script)
 			conn := dial(t, newRouter(t, server).addr)
 			tt.send(conn)
 			for range tt.before {
-				peers.Next(t, server.Requests, "an attempt")
+				scripted.Next(t, server.Requests, "an attempt")
 			}
-			told := peers.Next(t, server.Requests, "an attempt").Header.Get(protocol.HeaderTimeLeft)
+			told := scripted.Next(t, server.Requests, "an attempt").Header.Get(protocol.HeaderTimeLeft)
 			left, err := protocol.ParseDuration(told)
 			if err != nil || left > asked-kept || left < asked/2 {
 				t.Errorf("told %s, %v; want at most %v", told, err, asked-kept)
--- a/internal/transport/forms_test.go
+++ b/internal/transport/forms_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"reachspread/internal/formtest"
+	"reachspread/internal/testbed/formtest"
 )
 
 // What goes with a connection that moves to another process has the same fields: the two may be of different versions.
--- a/internal/transport/front_test.go
+++ b/internal/transport/front_test.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"reachspread/internal/admission"
-	"reachspread/internal/peers"
 	"reachspread/internal/routing"
+	"reachspread/internal/testbed/scripted"
 )
 
 // serve starts a front with short times, without a core behind it, and returns its address.
@@ -38,7 +38,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(peers.Patience))
+	c.SetDeadline(time.Now().Add(scripted.Patience))
 	if _, err := io.WriteString(c, text); err != nil {
 		t.Fatal(err)
 	}
@@ -104,7 +104,7 @@
 	defer l.Close()
 	admitted, refused := 0, 0
 	for i := range 12 {
-		c := dial(t, ln.Addr().String(), peers.AskText(fmt.Sprint("q", i), ""))
+		c := dial(t, ln.Addr().String(), scripted.AskText(fmt.Sprint("q", i), ""))
 		fd, _, err := l.accept()
 		if err != nil {
 			t.Fatal(err)
--- a/internal/transport/management.go
+++ b/internal/transport/management.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"reachspread/internal/management"
+	"reachspread/internal/router/management"
 )
 
 const (
--- a/internal/transport/move_test.go
+++ b/internal/transport/move_test.go
@@ -12,8 +12,8 @@
 
 	"reachspread/balance"
 	"reachspread/internal/admission"
-	"reachspread/internal/peers"
 	"reachspread/internal/routing"
+	"reachspread/internal/testbed/scripted"
 	"reachspread/internal/transport"
 )
 
@@ -25,7 +25,7 @@
 	addr    string
 }
 
-func newHalf(t *testing.T, path string, silent time.Duration, lines peers.Lines) *half {
+func newHalf(t *testing.T, path string, silent time.Duration, lines scripted.Lines) *half {
 	t.Helper()
 	b, err := balance.New(balance.Config{Zone: "a", MaxAttempts: 3, Tick: time.Millisecond,
 		Classes: []balance.Class{{Name: "chat", Aim: 8 * time.Second, Deadline: 8 * time.Second, Streamed: true}}}, 1)
@@ -57,15 +57,15 @@
 	for name, path := range map[string]string{"moved": "taken", "nobody takes it": "gone"} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
-			lines := make(peers.Lines, 100)
+			lines := make(scripted.Lines, 100)
 			old, next := newHalf(t, filepath.Join(dir, "old"), silent, lines), newHalf(t, filepath.Join(dir, "taken"), silent, lines)
-			s := peers.NewServer(t, func(c net.Conn) bool {
-				io.WriteString(c, peers.Head+peers.Chunk(peers.Event))
+			s := scripted.NewServer(t, func(c net.Conn) bool {
+				io.WriteString(c, scripted.Head+scripted.Chunk(scripted.Event))
 				io.Copy(io.Discard, c)
 				return false
 			})
-			(&router{core: old.core}).tell(t, peers.List(1, true, peers.Entry("s0", s.Addr, "Ready")))
-			resp, err := http.DefaultClient.Do(peers.Ask(t, old.addr, "q", nil))
+			(&router{core: old.core}).tell(t, scripted.List(1, true, scripted.Entry("s0", s.Addr, "Ready")))
+			resp, err := http.DefaultClient.Do(scripted.Ask(t, old.addr, "q", nil))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -82,11 +82,11 @@
 			old.front.MoveTo(mover)
 			old.servers.Move(mover)
 			text, err := io.ReadAll(resp.Body)
-			if took := time.Since(begun); err == nil || string(text) != peers.Event || took > silent*3/2 {
+			if took := time.Since(begun); err == nil || string(text) != scripted.Event || took > silent*3/2 {
 				t.Errorf("%q, %v after %v; want it cut off after %v", text, err, took, silent)
 			}
 			for who, h := range map[string]*half{"taken": next, "gone": old} {
-				for end := time.Now().Add(peers.Patience); ; time.Sleep(5 * time.Millisecond) {
+				for end := time.Now().Add(scripted.Patience); ; time.Sleep(5 * time.Millisecond) {
 					f := h.core.Figures()
 					got := fmt.Sprint(f.Open, f.Classes["chat"].Failed)
 					if who == path && got == "0 1" || who != path && got == "0 0" {
--- a/internal/transport/pieces_test.go
+++ b/internal/transport/pieces_test.go
@@ -13,8 +13,8 @@
 
 	"pgregory.net/rapid"
 
-	"reachspread/internal/peers"
 	"reachspread/internal/protocol"
+	"reachspread/internal/testbed/scripted"
 	"reachspread/internal/transport"
 )
 
@@ -34,15 +34,15 @@
 func TestAnyPieces(t *testing.T) {
 	lists, answers, told := make(chan []int, 1), make(chan []int, 1), make(chan *protocol.List, 1)
 	defer close(lists)
-	s := peers.NewServer(t, func(c net.Conn) bool {
-		write(c, peers.Whole(), <-answers)
+	s := scripted.NewServer(t, func(c net.Conn) bool {
+		write(c, scripted.Whole(), <-answers)
 		return true
 	})
-	lines := make(peers.Lines, 1000)
+	lines := make(scripted.Lines, 1000)
 	r := newLoggingRouter(t, lines)
-	d := peers.NewServer(t, func(c net.Conn) bool {
+	d := scripted.NewServer(t, func(c net.Conn) bool {
 		cuts, more := <-lists
-		text := peers.List(1, true, peers.Entry("s0", s.Addr, "Ready"))
+		text := scripted.List(1, true, scripted.Entry("s0", s.Addr, "Ready"))
 		write(c, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text), cuts)
 		return more
 	})
@@ -56,28 +56,28 @@
 	pieces := rapid.SliceOfN(rapid.SampledFrom([]int{1, 1, 1, 2, 5, 17, 80}), 0, 60)
 	rapid.Check(t, func(rt *rapid.T) {
 		lists <- pieces.Draw(rt, "list")
-		if got := peers.Next(t, told, "a list"); len(got.Servers) != 1 || got.Servers[0].Addr != s.Addr {
+		if got := scripted.Next(t, told, "a list"); len(got.Servers) != 1 || got.Servers[0].Addr != s.Addr {
 			rt.Fatalf("got the list %+v", got)
 		}
-		peers.Next(t, d.Requests, "a call")
+		scripted.Next(t, d.Requests, "a call")
 		answers <- pieces.Draw(rt, "answer")
 		c, err := net.Dial("tcp", r.addr)
 		if err != nil {
 			rt.Fatal(err)
 		}
 		defer c.Close()
-		c.SetDeadline(time.Now().Add(peers.Patience))
+		c.SetDeadline(time.Now().Add(scripted.Patience))
 		asked++
 		id := fmt.Sprint("q", asked)
-		write(c, peers.AskText(id, ""), pieces.Draw(rt, "request"))
+		write(c, scripted.AskText(id, ""), pieces.Draw(rt, "request"))
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil {
 			rt.Fatal(err)
 		}
-		if body, err := io.ReadAll(resp.Body); err != nil || resp.StatusCode != 200 || string(body) != peers.Event+peers.Done {
+		if body, err := io.ReadAll(resp.Body); err != nil || resp.StatusCode != 200 || string(body) != scripted.Event+scripted.Done {
 			rt.Fatalf("got %d %q, %v", resp.StatusCode, body, err)
 		}
-		if got := peers.Next(t, s.Requests, "an attempt"); got.Header.Get("X-Correlation-Id") != id || !strings.HasSuffix(peers.AskText(id, ""), got.Body) {
+		if got := scripted.Next(t, s.Requests, "an attempt"); got.Header.Get("X-Correlation-Id") != id || !strings.HasSuffix(scripted.AskText(id, ""), got.Body) {
 			rt.Fatalf("the server got %+v", got)
 		}
 	})
@@ -88,18 +88,18 @@
 
 // A good server that writes its head slowly, a byte at a time, is not taken for one that has fallen silent.
 func TestSlowHeadIsNotSilence(t *testing.T) {
-	s := peers.NewServer(t, func(c net.Conn) bool {
-		for _, b := range []byte(peers.Head) {
+	s := scripted.NewServer(t, func(c net.Conn) bool {
+		for _, b := range []byte(scripted.Head) {
 			if _, err := c.Write([]byte{b}); err != nil {
 				return false
 			}
-			time.Sleep(1300 * time.Millisecond / time.Duration(len(peers.Head)))
+			time.Sleep(1300 * time.Millisecond / time.Duration(len(scripted.Head)))
 		}
-		io.WriteString(c, peers.Chunk(peers.Event)+peers.Chunk(peers.Done)+peers.End)
+		io.WriteString(c, scripted.Chunk(scripted.Event)+scripted.Chunk(scripted.Done)+scripted.End)
 		return true
 	})
 	r := newRouter(t, s)
-	if status, body, err := peers.Do(t, peers.Ask(t, r.addr, "q", nil)); status != 200 || err != nil || body != peers.Event+peers.Done {
+	if status, body, err := scripted.Do(t, scripted.Ask(t, r.addr, "q", nil)); status != 200 || err != nil || body != scripted.Event+scripted.Done {
 		t.Errorf("got %d %q, %v", status, body, err)
 	}
 }
--- a/internal/transport/pool_test.go
+++ b/internal/transport/pool_test.go
@@ -5,15 +5,15 @@
 	"testing"
 	"time"
 
-	"reachspread/internal/peers"
 	"reachspread/internal/routing"
+	"reachspread/internal/testbed/scripted"
 )
 
 // On the long day every server is replaced, some at the address of one that has gone. Neither id nor connection
 // of the old ones may stay, and a connection given back after its server moved must not lead to the old address.
 func TestNothingStaysOfRealServersThatWent(t *testing.T) {
-	a, b := peers.NewServer(t, nil), peers.NewServer(t, nil)
-	s := NewServers(ServerLimits{Connect: peers.Patience, Keepalive: time.Minute, Connections: 2}, make(peers.Lines, 10))
+	a, b := scripted.NewServer(t, nil), scripted.NewServer(t, nil)
+	s := NewServers(ServerLimits{Connect: scripted.Patience, Keepalive: time.Minute, Connections: 2}, make(scripted.Lines, 10))
 	old, moved := routing.Entry{ID: "s0", Addr: a.Addr}, routing.Entry{ID: "s0", Addr: b.Addr}
 	c, err := s.pool.take(t.Context(), old)
 	if err != nil {
--- a/internal/transport/stories_test.go
+++ b/internal/transport/stories_test.go
@@ -15,9 +15,9 @@
 
 	"reachspread/balance"
 	"reachspread/internal/admission"
-	"reachspread/internal/peers"
 	"reachspread/internal/protocol"
 	"reachspread/internal/routing"
+	"reachspread/internal/testbed/scripted"
 	"reachspread/internal/transport"
 )
 
@@ -28,12 +28,12 @@
 	front *transport.Front
 }
 
-func newRouter(t *testing.T, servers ...*peers.Server) *router {
+func newRouter(t *testing.T, servers ...*scripted.Server) *router {
 	t.Helper()
-	return newLoggingRouter(t, make(peers.Lines, 100), servers...)
+	return newLoggingRouter(t, make(scripted.Lines, 100), servers...)
 }
 
-func newLoggingRouter(t *testing.T, log routing.Logger, servers ...*peers.Server) *router {
+func newLoggingRouter(t *testing.T, log routing.Logger, servers ...*scripted.Server) *router {
 	t.Helper()
 	b, err := balance.New(balance.Config{Zone: "a", MaxAttempts: 3, MaxAway: time.Second, Tick: time.Millisecond,
 		Classes: []balance.Class{{Name: "chat", Aim: 8 * time.Second, Deadline: 8 * time.Second, Streamed: true}}}, 1)
@@ -55,9 +55,9 @@
 	go r.front.Serve(ln, false)
 	var entries []string
 	for i, s := range servers {
-		entries = append(entries, peers.Entry(fmt.Sprint("s", i), s.Addr, "Ready"))
+		entries = append(entries, scripted.Entry(fmt.Sprint("s", i), s.Addr, "Ready"))
 	}
-	r.tell(t, peers.List(1, true, entries...))
+	r.tell(t, scripted.List(1, true, entries...))
 	return r
 }
 
@@ -72,30 +72,30 @@
 
 func TestBytesPassUnchangedAndAsTheyCome(t *testing.T) {
 	more := make(chan bool)
-	s := peers.NewServer(t, peers.Held(more))
+	s := scripted.NewServer(t, scripted.Held(more))
 	r := newRouter(t, s)
 	for i := range 2 { // the second on the same connections
-		resp, err := http.DefaultClient.Do(peers.Ask(t, r.addr, fmt.Sprint("id-Ab", i), nil))
+		resp, err := http.DefaultClient.Do(scripted.Ask(t, r.addr, fmt.Sprint("id-Ab", i), nil))
 		if err != nil {
 			t.Fatal(err)
 		}
-		first := make([]byte, len(peers.Event))
-		if _, err := io.ReadFull(resp.Body, first); err != nil || string(first) != peers.Event {
+		first := make([]byte, len(scripted.Event))
+		if _, err := io.ReadFull(resp.Body, first); err != nil || string(first) != scripted.Event {
 			t.Fatalf("before the second event was made: got %q, %v", first, err)
 		}
 		more <- true
 		rest, err := io.ReadAll(resp.Body)
 		resp.Body.Close()
-		if diff := cmp.Diff(peers.Done, string(rest)); diff != "" || err != nil {
+		if diff := cmp.Diff(scripted.Done, string(rest)); diff != "" || err != nil {
 			t.Errorf("request %d: %v %s", i, err, diff)
 		}
-		got := peers.Next(t, s.Requests, "an attempt")
+		got := scripted.Next(t, s.Requests, "an attempt")
 		left, err := protocol.ParseDuration(got.Header.Get("X-Time-Left"))
 		if err != nil || left <= 0 || left > 8*time.Second {
 			t.Errorf("X-Time-Left is %q, %v", got.Header.Get("X-Time-Left"), err)
 		}
 		got.Header = http.Header{"X-Correlation-Id": got.Header["X-Correlation-Id"]}
-		want := peers.Request{Method: "POST", URI: "/v1/chat/completions?a=%20b", Body: `{"stream": true}`,
+		want := scripted.Request{Method: "POST", URI: "/v1/chat/completions?a=%20b", Body: `{"stream": true}`,
 			Header: http.Header{"X-Correlation-Id": {fmt.Sprint("id-Ab", i)}}}
 		if diff := cmp.Diff(want, got); diff != "" {
 			t.Error(diff)
@@ -108,7 +108,7 @@
 
 // Each way in which an attempt may end leads to one answer, and never to two attempts at once.
 func TestAttemptsThatFail(t *testing.T) {
-	torn := peers.Head + peers.Chunk(peers.Event)
+	torn := scripted.Head + scripted.Chunk(scripted.Event)
 	for _, tt := range []struct {
 		name   string
 		script func(net.Conn) bool // of both servers
@@ -116,33 +116,33 @@
 		sent   int
 		torn   bool
 	}{
-		{"reset before an answer", peers.Drop, 503, 2, false},
-		{"error", peers.Answer(peers.Error), 503, 2, false},
-		{"turned away", peers.Answer(peers.Full), 503, 2, false},
-		{"status without a body", peers.Answer("HTTP/1.1 204 No Content\r\n\r\n"), 503, 2, false},
-		{"noise", peers.Answer("\x01\x02noise\r\n\r\n"), 503, 2, false},
-		{"head without a status", peers.Answer(strings.Replace(peers.Whole(), "200 OK", "OK 200", 1)), 503, 2, false},
-		{"head that stops", peers.Answer("HTTP/1.1 200 OK\r\nX-Pa"), 503, 2, false},
-		{"head without end", peers.Answer("HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Pad: y\r\n", 1000)), 503, 2, false},
-		{"interim answers without end", peers.Answer(strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 1000)), 503, 2, false},
-		{"spoilt before its first event", peers.Answer(peers.Head + "z\r\nabcde\r\n" + peers.End), 503, 2, false},
-		{"spoilt in its first event", peers.Answer(peers.Head + "4\r\n" + peers.Event + "\r\n" + peers.End), 503, 2, false},
-		{"no event at all", peers.Answer(peers.Head + peers.End), 503, 2, false},
-		{"spoilt later", peers.Answer(torn + "z\r\nabcde\r\n" + peers.End), 200, 1, true},
-		{"a chunk that has the next one in it", peers.Answer(torn + "80\r\n" + peers.Event + "\r\n" + peers.Chunk(peers.Event)), 200, 1, true},
-		{"a chunk of gigabytes", peers.Answer(torn + "c0000000\r\n" + strings.Repeat("x", 1<<12)), 200, 1, true},
-		{"a stream without end", peers.Answer(torn + strings.Repeat(peers.Chunk(peers.Event), 2*transport.MaxBody/len(peers.Event))), 200, 1, true},
+		{"reset before an answer", scripted.Drop, 503, 2, false},
+		{"error", scripted.Answer(scripted.Error), 503, 2, false},
+		{"turned away", scripted.Answer(scripted.Full), 503, 2, false},
+		{"status without a body", scripted.Answer("HTTP/1.1 204 No Content\r\n\r\n"), 503, 2, false},
+		{"noise", scripted.Answer("\x01\x02noise\r\n\r\n"), 503, 2, false},
+		{"head without a status", scripted.Answer(strings.Replace(scripted.Whole(), "200 OK", "OK 200", 1)), 503, 2, false},
+		{"head that stops", scripted.Answer("HTTP/1.1 200 OK\r\nX-Pa"), 503, 2, false},
+		{"head without end", scripted.Answer("HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Pad: y\r\n", 1000)), 503, 2, false},
+		{"interim answers without end", scripted.Answer(strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 1000)), 503, 2, false},
+		{"spoilt before its first event", scripted.Answer(scripted.Head + "z\r\nabcde\r\n" + scripted.End), 503, 2, false},
+		{"spoilt in its first event", scripted.Answer(scripted.Head + "4\r\n" + scripted.Event + "\r\n" + scripted.End), 503, 2, false},
+		{"no event at all", scripted.Answer(scripted.Head + scripted.End), 503, 2, false},
+		{"spoilt later", scripted.Answer(torn + "z\r\nabcde\r\n" + scripted.End), 200, 1, true},
+		{"a chunk that has the next one in it", scripted.Answer(torn + "80\r\n" + scripted.Event + "\r\n" + scripted.Chunk(scripted.Event)), 200, 1, true},
+		{"a chunk of gigabytes", scripted.Answer(torn + "c0000000\r\n" + strings.Repeat("x", 1<<12)), 200, 1, true},
+		{"a stream without end", scripted.Answer(torn + strings.Repeat(scripted.Chunk(scripted.Event), 2*transport.MaxBody/len(scripted.Event))), 200, 1, true},
 		{"broken stream", func(c net.Conn) bool { io.WriteString(c, torn); return false }, 200, 1, true},
 		{"stream reset in a chunk", func(c net.Conn) bool { io.WriteString(c, torn+"20\r\nhalf"); return false }, 200, 1, true},
-		{"silent stream", peers.Answer(torn), 200, 1, true},
+		{"silent stream", scripted.Answer(torn), 200, 1, true},
 		{"no framing to tell the end", func(c net.Conn) bool {
-			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"+peers.Event)
+			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"+scripted.Event)
 			return false
 		}, 200, 1, true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			a, b := peers.NewServer(t, tt.script), peers.NewServer(t, tt.script)
-			status, _, err := peers.Do(t, peers.Ask(t, newRouter(t, a, b).addr, "q", nil))
+			a, b := scripted.NewServer(t, tt.script), scripted.NewServer(t, tt.script)
+			status, _, err := scripted.Do(t, scripted.Ask(t, newRouter(t, a, b).addr, "q", nil))
 			if status != tt.status || (err != nil) != tt.torn {
 				t.Errorf("got %d, %v; want %d, torn %v", status, err, tt.status, tt.torn)
 			}
@@ -157,12 +157,12 @@
 func TestMoreThanAnAnswer(t *testing.T) {
 	interim := "HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n"
 	for name, script := range map[string]func(net.Conn) bool{
-		"interim answers first":   peers.Answer(strings.Repeat(interim, 3) + peers.Whole()),
-		"a second answer at once": peers.Answer(peers.Whole() + peers.Error),
+		"interim answers first":   scripted.Answer(strings.Repeat(interim, 3) + scripted.Whole()),
+		"a second answer at once": scripted.Answer(scripted.Whole() + scripted.Error),
 	} {
-		r := newRouter(t, peers.NewServer(t, script))
+		r := newRouter(t, scripted.NewServer(t, script))
 		for i := range 3 {
-			if status, body, err := peers.Do(t, peers.Ask(t, r.addr, fmt.Sprint(i), nil)); status != 200 || err != nil || body != peers.Event+peers.Done {
+			if status, body, err := scripted.Do(t, scripted.Ask(t, r.addr, fmt.Sprint(i), nil)); status != 200 || err != nil || body != scripted.Event+scripted.Done {
 				t.Errorf("%s: request %d got %d %q, %v; want its own answer", name, i, status, body, err)
 			}
 		}
@@ -172,22 +172,22 @@
 // A connection that was refused or closed while idle proves that nothing ran: the request goes on elsewhere.
 func TestConnectionsThatAreGone(t *testing.T) {
 	closed := make(chan bool, 1)
-	s := peers.NewServer(t, func(c net.Conn) bool {
-		io.WriteString(c, peers.Whole())
+	s := scripted.NewServer(t, func(c net.Conn) bool {
+		io.WriteString(c, scripted.Whole())
 		c.Close()
 		closed <- true
 		return false
 	})
 	r := newRouter(t, s)
 	for i := range 2 { // ids are fresh, by the platform's word
-		if status, body, err := peers.Do(t, peers.Ask(t, r.addr, fmt.Sprint("q", i), nil)); status != 200 || err != nil {
+		if status, body, err := scripted.Do(t, scripted.Ask(t, r.addr, fmt.Sprint("q", i), nil)); status != 200 || err != nil {
 			t.Errorf("got %d %q, %v; want it served", status, body, err)
 		}
-		peers.Next(t, closed, "the server's close")
+		scripted.Next(t, closed, "the server's close")
 	}
-	down := peers.NewServer(t, nil)
+	down := scripted.NewServer(t, nil)
 	down.Stop()
-	if status, body, err := peers.Do(t, peers.Ask(t, newRouter(t, down, s).addr, "q", nil)); status != 200 || err != nil {
+	if status, body, err := scripted.Do(t, scripted.Ask(t, newRouter(t, down, s).addr, "q", nil)); status != 200 || err != nil {
 		t.Errorf("with one server down: got %d %q, %v; want it served", status, body, err)
 	}
 }
@@ -195,12 +195,12 @@
 // A refusal comes at once and tells when to come back; a deadline ends an attempt that got no answer.
 func TestDeadlineIsAnsweredInTime(t *testing.T) {
 	gone := make(chan bool, 1)
-	s := peers.NewServer(t, func(c net.Conn) bool {
+	s := scripted.NewServer(t, func(c net.Conn) bool {
 		io.Copy(io.Discard, c)
 		gone <- true
 		return false
 	})
-	resp, err := http.DefaultClient.Do(peers.Ask(t, newRouter(t, s).addr, "q", map[string]string{"X-Time-Left": "200m"}))
+	resp, err := http.DefaultClient.Do(scripted.Ask(t, newRouter(t, s).addr, "q", map[string]string{"X-Time-Left": "200m"}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -208,15 +208,15 @@
 	if resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("got %d, Retry-After %q; want a refusal with a time", resp.StatusCode, resp.Header.Get("Retry-After"))
 	}
-	peers.Next(t, gone, "the attempt's connection closed")
+	scripted.Next(t, gone, "the attempt's connection closed")
 }
 
 // A client that leaves frees the server at once, whether its answer has begun or not.
 func TestClientLeaves(t *testing.T) {
-	for name, begun := range map[string]string{"before an answer": "", "in a stream": peers.Head + peers.Chunk(peers.Event)} {
+	for name, begun := range map[string]string{"before an answer": "", "in a stream": scripted.Head + scripted.Chunk(scripted.Event)} {
 		t.Run(name, func(t *testing.T) {
 			gone := make(chan bool, 1)
-			s := peers.NewServer(t, func(c net.Conn) bool {
+			s := scripted.NewServer(t, func(c net.Conn) bool {
 				io.WriteString(c, begun)
 				io.Copy(io.Discard, c)
 				gone <- true
@@ -227,16 +227,16 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			peers.Ask(t, r.addr, "q", nil).Write(c)
-			peers.Next(t, s.Requests, "an attempt")
+			scripted.Ask(t, r.addr, "q", nil).Write(c)
+			scripted.Next(t, s.Requests, "an attempt")
 			c.Close()
-			peers.Next(t, gone, "the attempt's connection closed")
+			scripted.Next(t, gone, "the attempt's connection closed")
 		})
 	}
 }
 
 func TestWhatNeverReachesTheModule(t *testing.T) {
-	s := peers.NewServer(t, peers.Answer(peers.Whole()))
+	s := scripted.NewServer(t, scripted.Answer(scripted.Whole()))
 	r := newRouter(t, s)
 	long := strings.Repeat("x", transport.MaxBody+1)
 	head := "POST /v1/chat/completions HTTP/1.1\r\nHost: r\r\n"
@@ -248,7 +248,7 @@
 		{"no id", head + "Content-Length: 2\r\n\r\n{}", 400},
 		{"no HTTP", "hello\r\n\r\n", 400},
 		{"odd length", head + "Content-Length: x\r\n\r\n", 400},
-		{"two ways to tell the end", good + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n" + peers.End, 400},
+		{"two ways to tell the end", good + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n" + scripted.End, 400},
 		{"two ways, one of no effect", good + "Transfer-Encoding: identity\r\ncontent-length: 2\r\n\r\n{}", 400},
 		{"two lengths", good + "Content-Length: 2\r\nContent-Length: 2\r\n\r\n{}", 400},
 		{"signed length", good + "Content-Length: +2\r\n\r\n{}", 400},
@@ -257,7 +257,7 @@
 		{"head without end", good + strings.Repeat("X-More: y\r\n", 2000), 400},
 		{"bad chunk size", good + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", 400},
 		{"too long", head + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(long), long), 413},
-		{"too long in chunks", head + "Transfer-Encoding: chunked\r\n\r\n" + peers.Chunk(long) + peers.End, 413},
+		{"too long in chunks", head + "Transfer-Encoding: chunked\r\n\r\n" + scripted.Chunk(long) + scripted.End, 413},
 		{"unknown path", "GET /v1/models HTTP/1.1\r\nHost: r\r\n\r\n", 404},
 		{"path that only looks like ours once tidied", strings.Replace(head, "/v1/", "/v1//", 1) + "Content-Length: 2\r\n\r\n{}", 404},
 		{"wrong method", "GET /v1/chat/completions HTTP/1.1\r\nHost: r\r\n\r\n", 405},
@@ -270,7 +270,7 @@
 			t.Fatal(err)
 		}
 		go io.WriteString(c, tt.text)
-		c.SetReadDeadline(time.Now().Add(peers.Patience))
+		c.SetReadDeadline(time.Now().Add(scripted.Patience))
 		var got bytes.Buffer
 		buf := make([]byte, 4096)
 		for !strings.HasSuffix(got.String(), "\n") || !strings.Contains(got.String(), "\r\n\r\n") {
@@ -297,12 +297,12 @@
 
 // A client that closes before its request's last byte must not have the rest of it sent, however long that is.
 func TestHalfARequestIsNotPassedOn(t *testing.T) {
-	s := peers.NewServer(t, peers.Answer(peers.Whole()))
+	s := scripted.NewServer(t, scripted.Answer(scripted.Whole()))
 	r := newRouter(t, s)
 	for name, body := range map[string]string{
 		"a length, little sent": "Content-Length: 100000\r\n\r\n{",
 		"a length, much sent":   "Content-Length: 100000\r\n\r\n" + strings.Repeat(" ", 50000),
-		"chunks":                "Transfer-Encoding: chunked\r\n\r\n" + peers.Chunk(strings.Repeat(" ", 50000)),
+		"chunks":                "Transfer-Encoding: chunked\r\n\r\n" + scripted.Chunk(strings.Repeat(" ", 50000)),
 		"in a chunk":            "Transfer-Encoding: chunked\r\n\r\n100000\r\n" + strings.Repeat(" ", 50000),
 	} {
 		c, err := net.Dial("tcp", r.addr)
@@ -312,7 +312,7 @@
 		io.WriteString(c, "POST /v1/chat/completions HTTP/1.1\r\nHost: r\r\nX-Correlation-Id: q\r\nX-Service-Class: chat\r\n"+
 			"X-Time-Left: 900m\r\n"+body)
 		c.(*net.TCPConn).CloseWrite()
-		c.SetReadDeadline(time.Now().Add(peers.Patience))
+		c.SetReadDeadline(time.Now().Add(scripted.Patience))
 		got, err := io.ReadAll(c)
 		c.Close()
 		if err != nil || !strings.HasPrefix(string(got), "HTTP/1.1 400 ") || len(s.Requests) > 0 {
@@ -324,19 +324,19 @@
 // Ids are fresh by the platform's word. Who uses that of an open request gets an error; the first one is unharmed.
 func TestTwoRequestsOfOneID(t *testing.T) {
 	more := make(chan bool)
-	s := peers.NewServer(t, peers.Held(more))
+	s := scripted.NewServer(t, scripted.Held(more))
 	r := newRouter(t, s)
 	end := make(chan string, 1)
 	go func() {
-		status, body, err := peers.Do(t, peers.Ask(t, r.addr, "same", nil))
+		status, body, err := scripted.Do(t, scripted.Ask(t, r.addr, "same", nil))
 		end <- fmt.Sprint(status, body, err)
 	}()
-	peers.Next(t, s.Requests, "an attempt")
-	if status, body, err := peers.Do(t, peers.Ask(t, r.addr, "same", nil)); status != 409 || err != nil {
+	scripted.Next(t, s.Requests, "an attempt")
+	if status, body, err := scripted.Do(t, scripted.Ask(t, r.addr, "same", nil)); status != 409 || err != nil {
 		t.Errorf("the second: got %d %q, %v; want 409", status, body, err)
 	}
 	more <- true
-	if got := peers.Next(t, end, "an answer"); got != fmt.Sprint(200, peers.Event+peers.Done, nil) || len(s.Requests) > 0 {
+	if got := scripted.Next(t, end, "an answer"); got != fmt.Sprint(200, scripted.Event+scripted.Done, nil) || len(s.Requests) > 0 {
 		t.Errorf("the first: got %s and %d more attempts; want it whole", got, len(s.Requests))
 	}
 }
@@ -344,11 +344,11 @@
 // A request that a server finds at fault is answered so at once. Tried elsewhere and held against each, one
 // client's bad requests would have the whole fleet ejected.
 func TestUnfitRequestHarmsNoRealServer(t *testing.T) {
-	s := peers.NewServer(t, peers.Answer("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"))
-	lines := make(peers.Lines, 10)
+	s := scripted.NewServer(t, scripted.Answer("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"))
+	lines := make(scripted.Lines, 10)
 	r := newLoggingRouter(t, lines, s)
 	for i := range 4 {
-		if status, body, err := peers.Do(t, peers.Ask(t, r.addr, fmt.Sprint("q", i), nil)); status != 400 || err != nil {
+		if status, body, err := scripted.Do(t, scripted.Ask(t, r.addr, fmt.Sprint("q", i), nil)); status != 400 || err != nil {
 			t.Errorf("got %d %q, %v; want 400", status, body, err)
 		}
 		if n := len(s.Requests); n != i+1 || len(lines) > 0 {
@@ -360,26 +360,26 @@
 // A load report that can not be read costs its stream nothing, and on-call one line.
 func TestMalformedLoadReport(t *testing.T) {
 	odd := "data: [DONE]\n\n: X-Backend-Load: {\n\n"
-	s := peers.NewServer(t, peers.Answer(peers.Head+peers.Chunk(odd)+peers.End))
-	lines := make(peers.Lines, 10)
+	s := scripted.NewServer(t, scripted.Answer(scripted.Head+scripted.Chunk(odd)+scripted.End))
+	lines := make(scripted.Lines, 10)
 	r := newLoggingRouter(t, lines, s)
 	for i := range 2 { // ids are fresh, by the platform's word
-		if status, body, err := peers.Do(t, peers.Ask(t, r.addr, fmt.Sprint("q", i), nil)); status != 200 || body != odd || err != nil {
+		if status, body, err := scripted.Do(t, scripted.Ask(t, r.addr, fmt.Sprint("q", i), nil)); status != 200 || body != odd || err != nil {
 			t.Errorf("got %d %q, %v; want it unchanged", status, body, err)
 		}
 	}
-	if got := peers.Next(t, lines, "a log line"); !strings.HasPrefix(got, "load report unreadable server=s0 cause=") || len(lines) > 0 {
+	if got := scripted.Next(t, lines, "a log line"); !strings.HasPrefix(got, "load report unreadable server=s0 cause=") || len(lines) > 0 {
 		t.Errorf("got %q and %d more lines, want one on s0", got, len(lines))
 	}
 }
 
 // What drains or is gone gets nothing new from the moment that discovery told so.
 func TestDrainsAreKept(t *testing.T) {
-	a, b := peers.NewServer(t, peers.Answer(peers.Whole())), peers.NewServer(t, peers.Answer(peers.Whole()))
+	a, b := scripted.NewServer(t, scripted.Answer(scripted.Whole())), scripted.NewServer(t, scripted.Answer(scripted.Whole()))
 	r := newRouter(t, a, b)
-	r.tell(t, peers.List(2, false, peers.Entry("s0", a.Addr, "Terminating")))
+	r.tell(t, scripted.List(2, false, scripted.Entry("s0", a.Addr, "Terminating")))
 	for i := range 20 {
-		peers.Do(t, peers.Ask(t, r.addr, fmt.Sprint("q", i), map[string]string{"X-Session-Key": fmt.Sprint(i)}))
+		scripted.Do(t, scripted.Ask(t, r.addr, fmt.Sprint("q", i), map[string]string{"X-Session-Key": fmt.Sprint(i)}))
 	}
 	if len(a.Requests) != 0 || len(b.Requests) != 20 {
 		t.Errorf("%d sent to the one that drains, %d to the other; want 0 and 20", len(a.Requests), len(b.Requests))
@@ -388,30 +388,30 @@
 
 // The watch goes on from the version told, outlives a bad list and a lost connection, and logs each once.
 func TestWatch(t *testing.T) {
-	d := peers.NewDiscovery(t, peers.List(41, true, peers.Entry("s0", "127.0.0.1:1", "Ready")))
+	d := scripted.NewDiscovery(t, scripted.List(41, true, scripted.Entry("s0", "127.0.0.1:1", "Ready")))
 	lines, lists := make(chan string, 10), make(chan *protocol.List, 10)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	watch := transport.NewDiscovery(d.Addr, transport.Pushed, transport.WholeList, peers.Lines(lines), func(l *protocol.List) { lists <- l })
+	watch := transport.NewDiscovery(d.Addr, transport.Pushed, transport.WholeList, scripted.Lines(lines), func(l *protocol.List) { lists <- l })
 	go watch.Run(ctx)
 	expect := func(version int64, uris ...string) {
 		t.Helper()
-		if l := peers.Next(t, lists, "a list"); l.Version != version {
+		if l := scripted.Next(t, lists, "a list"); l.Version != version {
 			t.Errorf("got version %d, want %d", l.Version, version)
 		}
 		for _, uri := range uris {
-			if got := peers.Next(t, d.Calls, "a call"); got != uri {
+			if got := scripted.Next(t, d.Calls, "a call"); got != uri {
 				t.Errorf("got a call of %s, want %s", got, uri)
 			}
 		}
 	}
 	expect(41, "/api/targets", "/api/targets?index=41&wait=5000")
-	d.Tell(t, peers.List(42, false, peers.Entry("s0", "127.0.0.1:1", "Gone")))
+	d.Tell(t, scripted.List(42, false, scripted.Entry("s0", "127.0.0.1:1", "Gone")))
 	expect(42, "/api/targets?index=42&wait=5000")
 	d.Tell(t, `{"version":43,"servers":[{"id":"s0","state":"Odd"}]}`)
 	expect(41, "/api/targets", "/api/targets?index=41&wait=5000")
 	for _, want := range []string{"discovery lost cause=servers[0].state", "discovery back version=41"} {
-		if got := peers.Next(t, lines, "a log line"); !strings.HasPrefix(got, want) {
+		if got := scripted.Next(t, lines, "a log line"); !strings.HasPrefix(got, want) {
 			t.Errorf("got the line %q, want %q", got, want)
 		}
 	}
--- a/internal/transport/unsent_test.go
+++ b/internal/transport/unsent_test.go
@@ -11,8 +11,8 @@
 
 	"reachspread/balance"
 	"reachspread/internal/admission"
-	"reachspread/internal/peers"
 	"reachspread/internal/routing"
+	"reachspread/internal/testbed/scripted"
 )
 
 // pair returns both ends of a connection.
@@ -55,8 +55,8 @@
 		"reset":  func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			server := peers.NewServer(t, peers.Answer(peers.Whole()))
-			servers := NewServers(ServerLimits{Connect: time.Second, Keepalive: time.Minute, Connections: 1, Silent: time.Second}, make(peers.Lines, 1))
+			server := scripted.NewServer(t, scripted.Answer(scripted.Whole()))
+			servers := NewServers(ServerLimits{Connect: time.Second, Keepalive: time.Minute, Connections: 1, Silent: time.Second}, make(scripted.Lines, 1))
 			client, accepted := pair(t)
 			m := &Message{method: []byte("POST"), uri: []byte("/v1/chat/completions"), id: []byte("q"), client: &clientConn{Conn: accepted}}
 			leave(client)
@@ -86,7 +86,7 @@
 func TestFurtherRequestsStayUnread(t *testing.T) {
 	client, accepted := pair(t)
 	conn := &clientConn{Conn: accepted, listener: newListener(&FrontLimits{Admission: admission.Config{Places: 1, Step: 1}})}
-	first, second, third := peers.AskText("1", ""), peers.AskText("2", ""), peers.AskText("3", "")
+	first, second, third := scripted.AskText("1", ""), scripted.AskText("2", ""), scripted.AskText("3", "")
 	if _, err := client.Write([]byte(first + second + third)); err != nil {
 		t.Fatal(err)
 	}
@@ -114,7 +114,7 @@
 	}
 	left := make(chan bool, 1)
 	conn.watch(func() { left <- true })
-	peers.Until(t, "the watch has read a byte", func() bool { return conn.first.Load() })
+	scripted.Until(t, "the watch has read a byte", func() bool { return conn.first.Load() })
 	conn.unwatch()
 	if n := unread(); n != len(second+third)-1 || !conn.hasFurther() || conn.hasLeft() {
 		t.Errorf("%d bytes are unread, further %v, left %v", n, conn.hasFurther(), conn.hasLeft())
@@ -122,7 +122,7 @@
 	read(second)
 	conn.watch(func() { left <- true })
 	client.Close()
-	peers.Next(t, left, "the client's end is noticed")
+	scripted.Next(t, left, "the client's end is noticed")
 	if n := unread(); n != len(third)-1 || !conn.hasLeft() {
 		t.Errorf("%d bytes are unread, left %v", n, conn.hasLeft())
 	}
--- a/internal/wire/forms_test.go
+++ b/internal/wire/forms_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"reachspread/internal/formtest"
+	"reachspread/internal/testbed/formtest"
 )
 
 // The simulator's messages and settings have the same fields, with the same types.
