--- a/coord/members/writestate.go
+++ b/coord/members/writestate.go
@@ -9,7 +9,7 @@
 )
 
 // WriteState writes all on which the decider's future behaviour depends except the present time. A
-// model checker (internal/explore) compares states by it.
+// model checker (internal/testbed/explorer) compares states by it.
 func (d *Decider) WriteState(w io.Writer) {
 	random, _ := d.randSource.MarshalBinary()
 	fmt.Fprintf(w, "%x|", random)
