--- a/internal/testbed/leasesim/leasesim.go
+++ b/internal/testbed/leasesim/leasesim.go
@@ -4,13 +4,13 @@
 package leasesim
 
 import (
-	"container/heap"
 	"fmt"
 	"math/rand/v2"
 	"time"
 
 	"reachspread/internal/router/lease"
 	"reachspread/internal/router/quorum"
+	"reachspread/internal/testbed/eventqueue"
 	"reachspread/internal/testbed/faults"
 	"reachspread/internal/testbed/history"
 	"reachspread/internal/testbed/simulator"
@@ -52,8 +52,7 @@
 	s       Spec
 	now     time.Duration
 	rng     *rand.Rand
-	queue   queue
-	seq     uint64
+	events  eventqueue.Queue[event]
 	routers []*router
 	byName  map[string]*router
 	fence   lease.Fence
@@ -131,16 +130,18 @@
 }
 
 func (w *World) put(e event) {
-	w.seq++
-	e.seq, e.at = w.seq, max(e.at, w.now)
-	heap.Push(&w.queue, e)
+	e.at = max(e.at, w.now)
+	w.events.Add(e.at, e)
 }
 
 // Run plays until a time.
 func (w *World) Run(until time.Duration) error {
-	for len(w.queue) > 0 && w.queue[0].at <= until && w.Broken == nil {
-		e := heap.Pop(&w.queue).(event)
-		w.now = e.at
+	for w.Broken == nil {
+		e, at, ok := w.events.Next(until)
+		if !ok {
+			break
+		}
+		w.now = at
 		w.play(&e)
 	}
 	w.now = max(w.now, until)
--- a/internal/testbed/membershipsim/membershipsim.go
+++ b/internal/testbed/membershipsim/membershipsim.go
@@ -4,7 +4,6 @@
 package membershipsim
 
 import (
-	"container/heap"
 	"fmt"
 	"math/rand/v2"
 	"net/netip"
@@ -12,6 +11,7 @@
 	"time"
 
 	"reachspread/coord/members"
+	"reachspread/internal/testbed/eventqueue"
 	"reachspread/internal/testbed/faults"
 	"reachspread/internal/testbed/history"
 	"reachspread/internal/testbed/simulator"
@@ -67,8 +67,7 @@
 	s       Spec
 	now     time.Duration
 	rng     *rand.Rand
-	queue   queue
-	seq     uint64
+	events  eventqueue.Queue[event]
 	routers []*router
 	at      map[netip.AddrPort]*router
 	strikes []*faults.Strike
@@ -101,7 +100,6 @@
 
 type event struct {
 	at   time.Duration
-	seq  uint64
 	do   doing
 	n    int // a router's or a strike's number
 	gen  uint32
@@ -109,22 +107,6 @@
 	data []byte
 }
 
-type queue []event
-
-func (q queue) Len() int { return len(q) }
-func (q queue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
-}
-func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *queue) Push(x any)   { *q = append(*q, x.(event)) }
-func (q *queue) Pop() any {
-	old := *q
-	e := old[len(old)-1]
-	old[len(old)-1] = event{}
-	*q = old[:len(old)-1]
-	return e
-}
-
 // New makes a world. Its faults must exist in virtual time of views.
 func New(s Spec) (*World, error) {
 	if s.Routers < 1 || s.Routers > 60000 {
@@ -179,16 +161,18 @@
 }
 
 func (w *World) put(e event) {
-	w.seq++
-	e.seq, e.at = w.seq, max(e.at, w.now)
-	heap.Push(&w.queue, e)
+	e.at = max(e.at, w.now)
+	w.events.Add(e.at, e)
 }
 
 // Run plays until a time. An invariant that breaks ends it.
 func (w *World) Run(until time.Duration) error {
-	for len(w.queue) > 0 && w.queue[0].at <= until && w.broken == nil {
-		e := heap.Pop(&w.queue).(event)
-		w.now = e.at
+	for w.broken == nil {
+		e, at, ok := w.events.Next(until)
+		if !ok {
+			break
+		}
+		w.now = at
 		w.play(&e)
 	}
 	if w.broken == nil {
