--- a/cmd/reachspread/forms_test.go
+++ b/cmd/reachspread/forms_test.go
@@ -55,7 +55,7 @@
 	if !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") || strings.HasSuffix(path, ".pb.go") {
 		return false
 	}
-	return !strings.Contains(path, "/formtest/") && !strings.Contains(path, "internal/golden/") // packages for tests alone
+	return !strings.Contains(path, "/formtest/") && !strings.Contains(path, "/golden/") // packages for tests alone
 }
 
 // The programs read the same environment variables, and set the same ones for processes that they start.
--- a/coord/coordpb/golden_test.go
+++ b/coord/coordpb/golden_test.go
@@ -4,7 +4,7 @@
 	"testing"
 
 	"reachspread/coord/coordpb"
-	"reachspread/internal/golden"
+	"reachspread/internal/testbed/golden"
 )
 
 // Every message has the field numbers, types and bytes that it had at commit 5bfcc27.
--- a/coord/feed/golden_test.go
+++ b/coord/feed/golden_test.go
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"reachspread/coord/coordpb"
-	"reachspread/internal/golden"
+	"reachspread/internal/testbed/golden"
 )
 
 // What routers send each other of a topic has the bytes that it had at commit 5bfcc27: polls, answers with all, a part or nothing of it, with
--- a/coord/link/golden_test.go
+++ b/coord/link/golden_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"reachspread/internal/golden"
+	"reachspread/internal/testbed/golden"
 )
 
 // A connection carries the bytes that it did at commit 5bfcc27, without any greeting: frames one way, acknowledgements the other.
--- a/coord/members/golden_test.go
+++ b/coord/members/golden_test.go
@@ -13,7 +13,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"reachspread/internal/golden"
+	"reachspread/internal/testbed/golden"
 )
 
 // traced is deciders on one clock, with a trace of all that they send and notify. A datagram takes
--- a/coord/quota/golden_test.go
+++ b/coord/quota/golden_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"reachspread/internal/golden"
+	"reachspread/internal/testbed/golden"
 )
 
 // What owners put into messages has the figures that it had at commit 5bfcc27: the division of a bound, the counts of a window that one
--- a/internal/durable/stored_test.go
+++ b/internal/durable/stored_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"reachspread/internal/golden"
+	"reachspread/internal/testbed/golden"
 )
 
 // The files under testdata were written at commit 5bfcc27: WRITE_GOLDEN=1 go test -run Golden. A lock has the number of its process and
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"reachspread/balance"
-	"reachspread/internal/golden"
+	"reachspread/internal/testbed/golden"
 )
 
 // Peer reports have the bytes that they had at commit 5bfcc27, and are read from them as they were.
--- a/internal/router/capture/stored_test.go
+++ b/internal/router/capture/stored_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"reachspread/internal/golden"
+	"reachspread/internal/testbed/golden"
 )
 
 // The file under testdata was written at commit 5bfcc27: WRITE_GOLDEN=1 go test -run Golden. Its lines are those of a Writer, whose
--- a/internal/router/lease/golden_test.go
+++ b/internal/router/lease/golden_test.go
@@ -4,7 +4,7 @@
 	"reflect"
 	"testing"
 
-	"reachspread/internal/golden"
+	"reachspread/internal/testbed/golden"
 )
 
 // goldenRequests are requests of every kind that goes on the wire.
--- a/internal/router/peering/golden_test.go
+++ b/internal/router/peering/golden_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"reachspread/internal/golden"
 	"reachspread/internal/router/lease"
+	"reachspread/internal/testbed/golden"
 	"reachspread/internal/testbed/scripted"
 )
 
--- a/internal/router/peering/stored_test.go
+++ b/internal/router/peering/stored_test.go
@@ -14,9 +14,9 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/testing/protocmp"
 
-	"reachspread/internal/golden"
 	"reachspread/internal/router/lease"
 	"reachspread/internal/router/quorum"
+	"reachspread/internal/testbed/golden"
 )
 
 // The files under testdata were written by a store at commit 5bfcc27: WRITE_GOLDEN=1 go test -run Golden. voter.db is the file that it
--- a/internal/router/program/stored_test.go
+++ b/internal/router/program/stored_test.go
@@ -12,10 +12,10 @@
 	"github.com/google/go-cmp/cmp"
 
 	"reachspread/balance"
-	"reachspread/internal/golden"
 	"reachspread/internal/protocol"
 	"reachspread/internal/router/settings"
 	"reachspread/internal/router/snapshot"
+	"reachspread/internal/testbed/golden"
 	"reachspread/internal/testbed/scripted"
 )
 
--- a/internal/router/quorum/golden_test.go
+++ b/internal/router/quorum/golden_test.go
@@ -8,8 +8,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"reachspread/internal/golden"
 	"reachspread/internal/router/lease"
+	"reachspread/internal/testbed/golden"
 )
 
 func goldenMessages() map[string]*message {
--- a/internal/router/quorum/stored_test.go
+++ b/internal/router/quorum/stored_test.go
@@ -6,8 +6,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"reachspread/internal/golden"
 	"reachspread/internal/router/lease"
+	"reachspread/internal/testbed/golden"
 )
 
 // The files under testdata were written at commit 5bfcc27: WRITE_GOLDEN=1 go test -run Golden.
--- a/internal/router/recovery/golden_test.go
+++ b/internal/router/recovery/golden_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"reachspread/internal/golden"
+	"reachspread/internal/testbed/golden"
 )
 
 // Words, questions and replies have the bytes that they had at commit 5bfcc27, and are read from them.
--- a/internal/router/snapshot/stored_test.go
+++ b/internal/router/snapshot/stored_test.go
@@ -9,8 +9,8 @@
 	"github.com/google/go-cmp/cmp"
 
 	"reachspread/balance"
-	"reachspread/internal/golden"
 	"reachspread/internal/protocol"
+	"reachspread/internal/testbed/golden"
 )
 
 // The files under testdata were written by Encode at commit 5bfcc27: WRITE_GOLDEN=1 go test -run Golden.
--- a/internal/system/deciders/configuration/stored_test.go
+++ b/internal/system/deciders/configuration/stored_test.go
@@ -6,8 +6,8 @@
 	"github.com/matryer/is"
 	"google.golang.org/protobuf/proto"
 
-	"reachspread/internal/golden"
 	"reachspread/internal/system/message"
+	"reachspread/internal/testbed/golden"
 )
 
 // The file testdata/stored was written at commit 5bfcc27: WRITE_GOLDEN=1 go test -run TestGoldenStored. It is the state that a replica of
--- a/internal/system/message/golden_test.go
+++ b/internal/system/message/golden_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"reachspread/internal/golden"
 	"reachspread/internal/system/message"
+	"reachspread/internal/testbed/golden"
 )
 
 // Every message has the field numbers, types and bytes that it had at commit 5bfcc27.
--- a/internal/system/roles/node/golden_test.go
+++ b/internal/system/roles/node/golden_test.go
@@ -10,8 +10,8 @@
 	"google.golang.org/protobuf/proto"
 
 	"reachspread/balance"
-	"reachspread/internal/golden"
 	"reachspread/internal/system/message"
+	"reachspread/internal/testbed/golden"
 )
 
 // What routers tell each other of prompts and of hosts has the bytes that it had at commit 5bfcc27, and is read from them.
--- a/internal/system/roles/node/stored_test.go
+++ b/internal/system/roles/node/stored_test.go
@@ -11,8 +11,8 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/testing/protocmp"
 
-	"reachspread/internal/golden"
 	"reachspread/internal/system/message"
+	"reachspread/internal/testbed/golden"
 )
 
 // The file testdata/kept was written at commit 5bfcc27, by the encoding that stateFile uses: WRITE_GOLDEN=1 go test -run Golden.
--- a/internal/testbed/experiment/stored_test.go
+++ b/internal/testbed/experiment/stored_test.go
@@ -10,8 +10,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"reachspread/internal/golden"
 	"reachspread/internal/testbed/faults"
+	"reachspread/internal/testbed/golden"
 )
 
 // The folder testdata/kept was left by Keep at commit 5bfcc27 after the small experiment of this package's tests: WRITE_GOLDEN=1 go test
--- a/internal/testbed/faults/stored_test.go
+++ b/internal/testbed/faults/stored_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"reachspread/internal/golden"
+	"reachspread/internal/testbed/golden"
 )
 
 // The files under testdata were written by Text and Table at commit 5bfcc27: WRITE_GOLDEN=1 go test -run Golden. Package
--- a/internal/testbed/history/stored_test.go
+++ b/internal/testbed/history/stored_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"reachspread/internal/golden"
+	"reachspread/internal/testbed/golden"
 )
 
 // The file under testdata was written by a Writer at commit 5bfcc27: WRITE_GOLDEN=1 go test -run Golden.
--- a/internal/testbed/scoreanalysis/stored_test.go
+++ b/internal/testbed/scoreanalysis/stored_test.go
@@ -6,7 +6,7 @@
 	"path/filepath"
 	"testing"
 
-	"reachspread/internal/golden"
+	"reachspread/internal/testbed/golden"
 )
 
 // incident.json and run.json are entries of this repository's journal as the fleet's bench wrote them (44e275c5 and 981af365). What Print says
