--- a/coord/quota/outstanding.go
+++ b/coord/quota/outstanding.go
@@ -1,100 +1,104 @@
 package quota
 
-// Outstanding is what an owner has granted and not all of those who stand by have acknowledged. It numbers the words that tell them, and
-// bounds what the next owner can't know: while a key has no room, its owner grants nothing.
+// roundingFraction is the fraction of a sum of units that can be a rounding error.
+const roundingFraction = 1e-9
+
+// Outstanding is what an owner has granted and not all standbys have acknowledged. It numbers the
+// updates to standbys, and bounds for each key what the next owner may not know.
 type Outstanding struct {
-	standbys map[uint64]uint64  // by identity, the number of the first word that it has not acknowledged
-	words    []word             // that not all have acknowledged, the oldest first
-	untold   map[string]float64 // granted, by key, and in no word yet
-	units    map[string]float64 // granted, by key: untold and in words
-	next     uint64             // number of the next word
+	standbys     map[uint64]uint64  // by identity, the first sequence that it has not acknowledged
+	updates      []usageUpdate      // that not all have acknowledged, the oldest first
+	unpublished  map[string]float64 // granted units by key, in no update yet
+	units        map[string]float64 // granted units by key, unpublished and in updates
+	nextSequence uint64
 }
 
-// word is what standbys are told at once.
-type word struct {
-	number uint64
-	units  map[string]float64 // by key
+// usageUpdate is one update to standbys.
+type usageUpdate struct {
+	sequence uint64
+	units    map[string]float64 // by key
 }
 
-// StandBy sets who stands by. One who was not among them before acknowledges what it is told from now on.
-func (o *Outstanding) StandBy(identities []uint64) {
+// SetStandbys replaces the standbys. A new one has to acknowledge updates from now on only.
+func (o *Outstanding) SetStandbys(identities []uint64) {
 	before := o.standbys
 	o.standbys = map[uint64]uint64{}
 	for _, identity := range identities {
-		due, stoodBy := before[identity]
-		if !stoodBy {
-			due = o.next
+		due, wasStandby := before[identity]
+		if !wasStandby {
+			due = o.nextSequence
 		}
 		o.standbys[identity] = due
 	}
-	o.drop()
+	o.dropAcknowledged()
 }
 
-// Room tells whether units of a key may be granted: the first are, whatever their number, and more where all stay within the plan's Ahead.
-func (o *Outstanding) Room(key string, p Plan, units float64) bool {
-	ahead := o.units[key]
-	return ahead <= 0 || ahead+units <= p.Ahead
+// MayGrant reports whether units of a key may be granted: the first ones always, whatever their
+// number, further ones while all stay within Plan.MaxUnacknowledged.
+func (o *Outstanding) MayGrant(key string, p Plan, units float64) bool {
+	unacknowledged := o.units[key]
+	return unacknowledged <= 0 || unacknowledged+units <= p.MaxUnacknowledged
 }
 
-// Granted notes units that were granted, or that a process borrowed and has reported. It tells whether to tell the standbys at once.
-func (o *Outstanding) Granted(key string, p Plan, units float64) (tellNow bool) {
-	if o.untold == nil {
-		o.untold = map[string]float64{}
+// AddGranted adds units that were granted, or that a lessee borrowed and has reported. It reports
+// whether to publish the next update at once.
+func (o *Outstanding) AddGranted(key string, p Plan, units float64) (publishNow bool) {
+	if o.unpublished == nil {
+		o.unpublished = map[string]float64{}
 	}
 	if o.units == nil {
 		o.units = map[string]float64{}
 	}
-	o.untold[key] += units
+	o.unpublished[key] += units
 	o.units[key] += units
-	return o.untold[key] >= min(tellPart*p.Rate, p.Ahead*tellAhead)
+	return o.unpublished[key] >= min(publishRateFraction*p.Rate, p.MaxUnacknowledged*publishUnacknowledgedFraction)
 }
 
-// Tell is the next word to all standbys, with the units by key, which are not to be changed.
-func (o *Outstanding) Tell() (number uint64, units map[string]float64) {
-	number, units = o.next, o.untold
-	o.next++
-	o.untold = map[string]float64{}
-	if len(units) > 0 { // who acknowledges a later word needs not acknowledge an empty one
-		o.words = append(o.words, word{number, units})
+// NextUpdate returns the next update for all standbys: its sequence and units by key, which must
+// not be changed.
+func (o *Outstanding) NextUpdate() (sequence uint64, units map[string]float64) {
+	sequence, units = o.nextSequence, o.unpublished
+	o.nextSequence++
+	o.unpublished = map[string]float64{}
+	if len(units) > 0 { // an empty update needs no acknowledgement of its own
+		o.updates = append(o.updates, usageUpdate{sequence, units})
 	}
-	o.drop()
-	return number, units
+	o.dropAcknowledged()
+	return sequence, units
 }
 
-// Waits tells whether words or grants wait for a standby.
-func (o *Outstanding) Waits() bool { return len(o.words) > 0 || len(o.untold) > 0 }
+// HasPending reports whether grants are unpublished or not acknowledged by all.
+func (o *Outstanding) HasPending() bool { return len(o.updates) > 0 || len(o.unpublished) > 0 }
 
-// Acknowledged takes in that a standby knows of a word, and of those before it, or knows that it does not.
-func (o *Outstanding) Acknowledged(standby, number uint64) {
-	due, stands := o.standbys[standby]
-	if !stands || number < due || number >= o.next {
+// Acknowledge takes note that a standby knows of an update and of those before, or that it knows
+// which it lacks.
+func (o *Outstanding) Acknowledge(standby, sequence uint64) {
+	due, isStandby := o.standbys[standby]
+	if !isStandby || sequence < due || sequence >= o.nextSequence {
 		return
 	}
-	o.standbys[standby] = number + 1
-	o.drop()
+	o.standbys[standby] = sequence + 1
+	o.dropAcknowledged()
 }
 
-// drop forgets the words that all standbys have acknowledged.
-func (o *Outstanding) drop() {
-	due := o.next
-	for _, number := range o.standbys {
-		due = min(due, number)
+// dropAcknowledged removes the updates that all standbys have acknowledged.
+func (o *Outstanding) dropAcknowledged() {
+	due := o.nextSequence
+	for _, sequence := range o.standbys {
+		due = min(due, sequence)
 	}
-	for len(o.words) > 0 && o.words[0].number < due {
-		for key, units := range o.words[0].units {
-			o.forget(key, units)
+	for len(o.updates) > 0 && o.updates[0].sequence < due {
+		for key, units := range o.updates[0].units {
+			o.subtract(key, units)
 		}
-		o.words = o.words[1:]
+		o.updates = o.updates[1:]
 	}
 }
 
-// forget takes units of a word off; what is left of a rounding error is nothing.
-func (o *Outstanding) forget(key string, units float64) {
+// subtract takes acknowledged units off a key. A rest that is a rounding error counts as none.
+func (o *Outstanding) subtract(key string, units float64) {
 	o.units[key] -= units
-	if o.units[key] <= units*roundingPart {
+	if o.units[key] <= units*roundingFraction {
 		delete(o.units, key)
 	}
 }
-
-// roundingPart is the part of a sum of units that can be due to rounding.
-const roundingPart = 1e-9
--- a/internal/system/roles/node/quotaowner.go
+++ b/internal/system/roles/node/quotaowner.go
@@ -65,7 +65,7 @@
 func (o *quotaOwner) viewChanged(v *coordpb.View) {
 	now := o.quotas.now()
 	o.rememberView(now, v)
-	o.outstanding.StandBy(o.otherChainMembers(v))
+	o.outstanding.SetStandbys(o.otherChainMembers(v))
 	for i, duty := range v.Duties {
 		if !o.isSelf(v, duty.Owner) {
 			delete(o.shards, i)
@@ -140,11 +140,11 @@
 		if !seen.Add(owner) {
 			continue
 		}
-		usage, from := o.tracker.Known(now, owner)
+		usage, from := o.tracker.Usage(now, owner)
 		completeFrom = max(completeFrom, from)
 		for tenant, u := range usage {
 			if view.Shard(tenant) == i {
-				known[tenant] = u.Merged(now, known[tenant])
+				known[tenant] = u.Merge(now, known[tenant])
 			}
 		}
 	}
@@ -156,7 +156,7 @@
 func (o *quotaOwner) usageBeforeRestart(now time.Duration) map[string]*quota.Usage {
 	all := map[string]*quota.Usage{}
 	for tenant, usage := range o.saved {
-		all[tenant] = usage.Merged(now, nil)
+		all[tenant] = usage.Merge(now, nil)
 	}
 	state := o.quotas.node.plane.State()
 	if state == nil {
@@ -164,9 +164,9 @@
 	}
 	for _, t := range state.Typed.Tenants {
 		if all[t.Name] == nil {
-			all[t.Name] = &quota.Usage{Span: o.tracker.Window}
+			all[t.Name] = &quota.Usage{Window: o.tracker.Window}
 		}
-		all[t.Name].Add(now, o.quotas.plan(t).Unknown(unsavedFraction, maxUnsavedAge))
+		all[t.Name].Add(now, o.quotas.plan(t).UnknownUsage(unsavedFraction, maxUnsavedAge))
 	}
 	return all
 }
@@ -175,9 +175,9 @@
 func (o *quotaOwner) saveUsage(now time.Duration) map[string]*message.UsageParts {
 	clear(o.unsaved)
 	out := map[string]*message.UsageParts{}
-	for tenant, usage := range o.tracker.All(now) {
+	for tenant, usage := range o.tracker.TotalUsage(now) {
 		if usage.Sum(now) > 0 {
-			out[tenant] = &message.UsageParts{Units: usage.Parts(now)}
+			out[tenant] = &message.UsageParts{Units: usage.Buckets(now)}
 		}
 	}
 	return out
@@ -187,7 +187,7 @@
 func (o *quotaOwner) restoreUsage(now time.Duration, saved map[string]*message.UsageParts) {
 	o.saved = map[string]*quota.Usage{}
 	for tenant, parts := range saved {
-		o.saved[tenant] = quota.FromParts(o.tracker.Window, now, parts.Units)
+		o.saved[tenant] = quota.UsageFromBuckets(o.tracker.Window, now, parts.Units)
 	}
 }
 
@@ -221,14 +221,14 @@
 		return answer
 	}
 	plan := o.quotas.plan(tenant)
-	if !o.outstanding.Room(m.Tenant, plan, m.Need) {
+	if !o.outstanding.MayGrant(m.Tenant, plan, m.Need) {
 		return answer
 	}
-	grant := s.owner.Serve(now, m.Tenant, plan, quota.Ask{Need: m.Need, Borrowed: m.Borrowed})
+	grant := s.owner.Serve(now, m.Tenant, plan, quota.Request{Need: m.Need, Borrowed: m.Borrowed})
 	answer.Owner, answer.Epoch = true, v.Epoch
-	answer.Granted, answer.WaitUs = grant.Granted, grant.Wait.Microseconds()
+	answer.Granted, answer.WaitUs = grant.Granted, grant.RetryAfter.Microseconds()
 	if used := grant.Granted + m.Borrowed; used > 0 {
-		if o.outstanding.Granted(m.Tenant, plan, used) {
+		if o.outstanding.AddGranted(m.Tenant, plan, used) {
 			o.report(now)
 		}
 	}
@@ -241,7 +241,7 @@
 	if len(o.shards) == 0 {
 		return
 	}
-	if o.outstanding.Waits() || now-o.reportedAt >= maxUsageReportInterval {
+	if o.outstanding.HasPending() || now-o.reportedAt >= maxUsageReportInterval {
 		o.report(now)
 	}
 }
@@ -250,7 +250,7 @@
 // well, for when it gets a shard back.
 func (o *quotaOwner) report(now time.Duration) {
 	self := o.identity()
-	number, grants := o.outstanding.Tell()
+	number, grants := o.outstanding.NextUpdate()
 	m := &message.QuotaUsage{Owner: self, Number: number, Grants: grants, BlindUs: o.blindTime(now).Microseconds()}
 	o.reportedAt = now
 	o.recordUsage(m)
@@ -278,7 +278,7 @@
 // recordUsage records an owner's report.
 func (o *quotaOwner) recordUsage(m *message.QuotaUsage) {
 	blind := time.Duration(m.BlindUs) * time.Microsecond
-	o.tracker.Told(o.quotas.now(), m.Owner, m.Number, m.Grants, blind)
+	o.tracker.Update(o.quotas.now(), m.Owner, m.Number, m.Grants, blind)
 	for tenant, units := range m.Grants {
 		o.unsaved[tenant] += units
 	}
@@ -287,7 +287,7 @@
 // usageAcknowledged handles another member's acknowledgement of a report.
 func (o *quotaOwner) usageAcknowledged(m *message.QuotaHeard) {
 	if o.quotas.node.replica != nil && m.Owner == o.identity() {
-		o.outstanding.Acknowledged(m.Member, m.Number)
+		o.outstanding.Acknowledge(m.Member, m.Number)
 	}
 }
 
@@ -298,7 +298,7 @@
 func (o *quotaOwner) blindTime(now time.Duration) time.Duration {
 	left := time.Duration(0)
 	for _, s := range o.shards {
-		left = max(left, s.owner.Blind-now)
+		left = max(left, s.owner.LearningUntil-now)
 	}
 	return left
 }
--- a/internal/system/roles/node/quotas.go
+++ b/internal/system/roles/node/quotas.go
@@ -39,7 +39,7 @@
 	startedAt time.Time
 
 	mu      sync.Mutex
-	lessees map[string]*quota.Holder // by tenant
+	lessees map[string]*quota.Lessee // by tenant
 	pending map[uint64]*pendingAsk   // by nonce
 	nonce   uint64                   // of the last ask
 	owner   quotaOwner
@@ -58,7 +58,7 @@
 	q := &quotas{
 		node:      n,
 		startedAt: time.Now(),
-		lessees:   map[string]*quota.Holder{},
+		lessees:   map[string]*quota.Lessee{},
 		pending:   map[uint64]*pendingAsk{},
 		nonce:     rand.Uint64(),
 	}
@@ -134,13 +134,13 @@
 }
 
 // lessee is what this router has of a tenant's quota. The lock is held.
-func (q *quotas) lessee(t *configuration.Tenant) *quota.Holder {
+func (q *quotas) lessee(t *configuration.Tenant) *quota.Lessee {
 	l := q.lessees[t.Name]
 	if l == nil {
 		if len(q.lessees) >= maxLessees {
 			clear(q.lessees)
 		}
-		l = &quota.Holder{}
+		l = &quota.Lessee{}
 		q.lessees[t.Name] = l
 	}
 	l.Plan = q.plan(t)
@@ -163,7 +163,7 @@
 			return false, quotaRetryDelay
 		}
 		byRelay := attempt%2 == 1
-		nonce, answered := q.sendAsk(t.Name, l.Missing(now, units), byRelay)
+		nonce, answered := q.sendAsk(t.Name, l.Request(now, units), byRelay)
 		q.mu.Unlock()
 		answer := q.await(nonce, answered)
 		if answer.GetOwner() && answer.Granted == 0 {
@@ -177,7 +177,7 @@
 func (q *quotas) Put(t *configuration.Tenant, units float64, taken time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.lessee(t).Grant(clockOffset+taken.Sub(q.startedAt), units)
+	q.lessee(t).AddGrant(clockOffset+taken.Sub(q.startedAt), units)
 }
 
 // await waits for the answer to an ask, nil where none arrives in time. After the answer of a router
@@ -200,7 +200,7 @@
 }
 
 // sendAsk asks the owner for units, directly or through a relay. The lock is held.
-func (q *quotas) sendAsk(tenant string, ask quota.Ask, byRelay bool) (nonce uint64, answered chan *message.QuotaAnswer) {
+func (q *quotas) sendAsk(tenant string, ask quota.Request, byRelay bool) (nonce uint64, answered chan *message.QuotaAnswer) {
 	answered = make(chan *message.QuotaAnswer, 1)
 	m := q.newAsk(&pendingAsk{tenant: tenant, answered: answered, borrowed: ask.Borrowed}, ask.Need, ask.Borrowed)
 	if relay := q.node.hub.randomRelay(); byRelay && relay != "" {
@@ -294,8 +294,8 @@
 		return
 	}
 	if l := q.lessees[ask.tenant]; l != nil && answer.Owner {
-		l.Reported(ask.borrowed)
-		l.Grant(ask.sentAt, answer.Granted)
+		l.ReportedBorrowed(ask.borrowed)
+		l.AddGrant(ask.sentAt, answer.Granted)
 	}
 	ask.answered <- answer
 }
