--- a/cmd/reachspread/fleetstatus_test.go
+++ b/cmd/reachspread/fleetstatus_test.go
@@ -51,7 +51,7 @@
 				{Address: "10.0.0.3:7680", Identity: "cc", Member: true}},
 			Shards: []status.Shard{{Number: 0, Owner: "aa", Address: "10.0.0.1:7680", Token: 1}, {Number: 1, Owner: "aa", Address: "10.0.0.1:7680", Token: 1},
 				{Number: 2, Owner: "bb", Address: "10.0.0.2:7680", Token: 4}, {Number: 3, Owner: "aa", Address: "10.0.0.1:7680", Token: 1},
-				{Number: view.Shard("gold"), Owner: "bb", Address: "10.0.0.2:7680", Token: 3}}},
+				{Number: view.ShardOf("gold"), Owner: "bb", Address: "10.0.0.2:7680", Token: 3}}},
 		Services: []status.Service{{Name: "s", Hosts: []status.Host{{ID: "i-1", Address: "10.0.1.1:80", Zone: "z1", State: "ready", Slots: 8, Models: []status.Model{{Name: "m", Version: 3}}}}}},
 	}
 }
@@ -66,7 +66,7 @@
 		{"status", []string{"n0 " + at + " z0 1m30s yes 7 250ms 1"}},
 		{"members", []string{"sees 1 routers", "127.0.0.1:7680 z0 alive yes"}},
 		{"register", []string{"view 4", "at change 12", "10.0.0.1:7680 aa yes 1 head 250ms 12 0 yes in time no", "10.0.0.2:7680 bb yes 2 tail 250ms 11 1 no in trouble no", "10.0.0.3:7680 cc yes outside - 0 0 no - no"}},
-		{"shards", []string{"n0 at " + at + ": view 4", "10.0.0.1:7680 aa 1 0-1,3", "10.0.0.2:7680 bb 4 2", fmt.Sprint("10.0.0.2:7680 bb 3 ", view.Shard("gold"))}},
+		{"shards", []string{"n0 at " + at + ": view 4", "10.0.0.1:7680 aa 1 0-1,3", "10.0.0.2:7680 bb 4 2", fmt.Sprint("10.0.0.2:7680 bb 3 ", view.ShardOf("gold"))}},
 		{"configuration", []string{"7 yes 2 0 250ms yes 10.0.0.2:7680"}},
 		{"hosts", []string{"s i-1 10.0.1.1:80 z1 ready 8 0s m:3"}},
 	} {
@@ -110,6 +110,6 @@
 	is := is.New(t)
 	text, err := run("fleet", "shards", "--tenant", "gold", "--at", statusServer(t, sampleStatus()))
 	is.NoErr(err)
-	is.True(strings.HasSuffix(text, fmt.Sprint("10.0.0.2:7680 bb 3 ", view.Shard("gold"))))
+	is.True(strings.HasSuffix(text, fmt.Sprint("10.0.0.2:7680 bb 3 ", view.ShardOf("gold"))))
 	is.True(!strings.Contains(text, "aa"))
 }
--- a/cmd/reachspread/shards.go
+++ b/cmd/reachspread/shards.go
@@ -41,7 +41,7 @@
 	}
 	at := map[key]int{}
 	for _, shard := range all {
-		if tenant != "" && shard.Number != view.Shard(tenant) {
+		if tenant != "" && shard.Number != view.ShardOf(tenant) {
 			continue
 		}
 		k := key{shard.Owner, shard.Token}
--- a/coord/chain/catchup.go
+++ b/coord/chain/catchup.go
@@ -154,7 +154,7 @@
 	if !r.in(n.Epoch) || !r.synced || !n.Ahead && from != r.successor() {
 		return
 	}
-	if n.Ahead && !sameState(n.Position, r.position) && !view.Further(r.position, n.Position) {
+	if n.Ahead && !sameState(n.Position, r.position) && !view.IsAhead(r.position, n.Position) {
 		return // it has more than this process
 	}
 	if !n.Ahead {
@@ -291,7 +291,7 @@
 	if !whole {
 		return
 	}
-	if s.Ahead && !view.Further(of, r.position) {
+	if s.Ahead && !view.IsAhead(of, r.position) {
 		r.catch.askAt = r.now + followEvery
 		return
 	}
--- a/coord/register/core.go
+++ b/coord/register/core.go
@@ -78,8 +78,8 @@
 	if c.Unsynced {
 		o.written = FoundRecords
 	}
-	o.view = view.New(view.Config{Self: c.Self, Seeds: c.Seeds, Founder: c.Founder, Core: c.Eligible, Tolerance: c.Tolerance, Seed: c.Seed,
-		View: kept.View, Promised: kept.Promised, AcceptedBallot: kept.AcceptedBallot, AcceptedView: kept.AcceptedView}, now)
+	o.view = view.New(view.Config{Self: c.Self, Seeds: c.Seeds, Founder: c.Founder, Eligible: c.Eligible, Tolerance: c.Tolerance, Seed: c.Seed,
+		View: kept.View, Promised: kept.Promised, AcceptedNumber: kept.AcceptedBallot, AcceptedView: kept.AcceptedView}, now)
 	o.chain = chain.New(c.Self, m, kept.Position, now)
 	if c.Eligible {
 		o.chain.Follow()
@@ -105,7 +105,7 @@
 func (o *Core) ConfirmedAt() (time.Duration, bool) { return o.chain.ConfirmedAt() }
 
 // Know names the addresses of processes that may be members.
-func (o *Core) Know(addresses []string) { o.view.Know(addresses) }
+func (o *Core) Know(addresses []string) { o.view.SetKnownAddresses(addresses) }
 
 // SetHealthy tells whether what is written gets to the disk in time.
 func (o *Core) SetHealthy(healthy bool) { o.healthy = healthy }
@@ -115,15 +115,15 @@
 
 // MayEnd tells that the others can do without this process: enough of them have the state on their disks, and its seat went to another
 // where there is one for it.
-func (o *Core) MayEnd() bool {
+func (o *Core) CanShutDown() bool {
 	o.status()
-	return o.view.MayEnd()
+	return o.view.CanShutDown()
 }
 
 // Bears is how many members more may be lost at once, as this process knows it.
-func (o *Core) Bears() int {
+func (o *Core) ToleranceLeft() int {
 	o.status()
-	return o.view.Bears()
+	return o.view.ToleranceLeft()
 }
 
 // Unwritten takes the records that are to be written next. They count up to the number returned, which Written is to be told once they
@@ -137,7 +137,7 @@
 // Durable is all that is to be on the disk, with the number of records in it.
 func (o *Core) Durable() (*coordpb.Durable, uint64) {
 	d := &coordpb.Durable{Identity: o.c.Self.Identity, Founder: o.c.Founder, Position: o.chain.Position(), State: o.machine.Snapshot()}
-	o.view.Kept(d)
+	o.view.Persist(d)
 	o.records = nil
 	return d, o.written
 }
@@ -166,7 +166,7 @@
 
 // status has the view know how this process stands.
 func (o *Core) status() {
-	o.view.SetStatus(view.Status{Position: o.chain.Position(), Answered: o.chain.Answered(), Idle: o.chain.Idle(), Healthy: o.healthy, Stuck: o.chain.Stuck(), Leaving: o.leaving})
+	o.view.SetStatus(view.Status{Position: o.chain.Position(), Confirmations: o.chain.Answered(), Idle: o.chain.Idle(), Healthy: o.healthy, Stalled: o.chain.Stuck(), Draining: o.leaving})
 }
 
 // settle carries effects out, with those that follow from them.
@@ -195,12 +195,12 @@
 	for _, e := range effects {
 		switch e := e.(type) {
 		case view.Send:
-			o.send(e.To, e.Message, e.Informal, out)
+			o.send(e.To, e.Message, e.Immediate, out)
 		case view.Write:
 			o.write(e.Record)
 		case view.Sealed:
 			o.chain.Seal()
-		case view.Decided:
+		case view.ViewChanged:
 			out.View = e.View
 			o.takeChain(o.chain.Begin(now, e.View), out)
 		}
--- a/coord/register/inspect.go
+++ b/coord/register/inspect.go
@@ -41,11 +41,11 @@
 	in := Inspection{Status: s, Address: r.o.Self.Address, Peers: r.core.view.Peers(r.now())}
 	if s.ConfirmedAt >= 0 {
 		in.ConfirmedAge = r.now() - s.ConfirmedAt
-		in.Confirmed = in.ConfirmedAge < view.Lease
+		in.Confirmed = in.ConfirmedAge < view.LeaseDuration
 	}
 	in.Tolerance = r.o.Tolerance
-	if in.Short = s.ShortSince >= 0; in.Short {
-		in.ShortFor = r.now() - s.ShortSince
+	if in.Short = s.ToleranceShortSince >= 0; in.Short {
+		in.ShortFor = r.now() - s.ToleranceShortSince
 	}
 	for _, duty := range s.View.GetDuties() {
 		if duty.Owner == s.Identity {
--- a/coord/register/replica.go
+++ b/coord/register/replica.go
@@ -78,15 +78,15 @@
 
 // Status is how a replica stands.
 type Status struct {
-	Identity    uint64
-	View        *coordpb.View
-	Position    *coordpb.Position
-	Readable    bool
-	Healthy     bool
-	ConfirmedAt time.Duration // since the start; below 0 for never
-	Bears       int           // members more that may be lost at once, as this process knows it
-	ShortSince  time.Duration // since the start: from then on fewer than are to be tolerated; below 0 for not at present
-	MayEnd      bool          // of one that was told to leave: the others can do without it
+	Identity            uint64
+	View                *coordpb.View
+	Position            *coordpb.Position
+	Readable            bool
+	Healthy             bool
+	ConfirmedAt         time.Duration // since the start; below 0 for never
+	ToleranceLeft       int           // members more that may be lost at once, as this process knows it
+	ToleranceShortSince time.Duration // since the start: from then on fewer than are to be tolerated; below 0 for not at present
+	CanShutDown         bool          // of one that was told to leave: the others can do without it
 }
 
 // Load reads what a disk has of a register into a machine. Nil says that there is nothing.
@@ -163,7 +163,7 @@
 // Holds tells whether this process may act on the duties that the view gives it: a majority has confirmed the epoch of late.
 func (r *Replica) Holds() (v *coordpb.View, ok bool) {
 	s := r.status.Load()
-	return s.View, s.ConfirmedAt >= 0 && r.now()-s.ConfirmedAt < view.Lease
+	return s.View, s.ConfirmedAt >= 0 && r.now()-s.ConfirmedAt < view.LeaseDuration
 }
 
 // Run works until ctx ends.
@@ -200,7 +200,7 @@
 // judgeMembers works out what may be lost now, and whether this process may end.
 func (r *Replica) judgeMembers() {
 	before := r.shortSince
-	r.bears = r.core.Bears()
+	r.bears = r.core.ToleranceLeft()
 	short := r.bears < r.o.Tolerance && r.core.View().GetEpoch() > 0
 	switch {
 	case short && before < 0:
@@ -210,12 +210,12 @@
 		r.shortSince = -1
 		r.o.Log.Info("tolerance full", "short_for", (r.now() - before).Round(time.Millisecond).String())
 	}
-	r.mayEnd = r.core.leaving && r.core.MayEnd()
+	r.mayEnd = r.core.leaving && r.core.CanShutDown()
 }
 
 func (r *Replica) publish() {
 	s := &Status{Identity: r.o.Self.Identity, View: r.core.View(), Position: r.core.Position(), Readable: r.core.Readable(), Healthy: r.core.healthy, ConfirmedAt: -1,
-		Bears: r.bears, ShortSince: r.shortSince, MayEnd: r.mayEnd}
+		ToleranceLeft: r.bears, ToleranceShortSince: r.shortSince, CanShutDown: r.mayEnd}
 	if at, ok := r.core.ConfirmedAt(); ok {
 		s.ConfirmedAt = at
 	}
--- a/coord/simulation/history.go
+++ b/coord/simulation/history.go
@@ -78,16 +78,16 @@
 	switch body := m.Body.(type) {
 	case *coordpb.Message_Promise:
 		g := of(body.Promise.Instance)
-		if view.Less(body.Promise.Ballot, g.promised) {
+		if view.LessProposal(body.Promise.Ballot, g.promised) {
 			w.Fail("%s promises %v for view %d; it has promised %v", m.From.Address, body.Promise.Ballot, body.Promise.Instance, g.promised)
 		}
-		if view.Less(body.Promise.AcceptedBallot, g.accepted) {
+		if view.LessProposal(body.Promise.AcceptedBallot, g.accepted) {
 			w.Fail("%s promises for view %d and tells of %v; it has accepted %v", m.From.Address, body.Promise.Instance, body.Promise.AcceptedBallot, g.accepted)
 		}
 		g.promised = body.Promise.Ballot
 	case *coordpb.Message_Accepted:
 		g := of(body.Accepted.Instance)
-		if view.Less(body.Accepted.Ballot, g.promised) {
+		if view.LessProposal(body.Accepted.Ballot, g.promised) {
 			w.Fail("%s accepts %v for view %d; it has promised %v", m.From.Address, body.Accepted.Ballot, body.Accepted.Instance, g.promised)
 		}
 		g.promised, g.accepted = body.Accepted.Ballot, body.Accepted.Ballot
--- a/coord/simulation/process.go
+++ b/coord/simulation/process.go
@@ -202,7 +202,7 @@
 		return false
 	}
 	at, ok := p.Core.ConfirmedAt()
-	return p.world.Plant == LeaseIgnored || ok && p.clock()-at < view.Lease
+	return p.world.Plant == LeaseIgnored || ok && p.clock()-at < view.LeaseDuration
 }
 
 // check looks at what must hold at any moment: nobody else acts on the duties of this process.
@@ -326,7 +326,7 @@
 		then()
 		return
 	}
-	if w.Now >= until || w.Now >= from && p.frozen <= w.Now && p.Core.MayEnd() {
+	if w.Now >= until || w.Now >= from && p.frozen <= w.Now && p.Core.CanShutDown() {
 		p.Crash()
 		then()
 		return
--- /dev/null
+++ b/coord/view/heartbeat.go
@@ -0,0 +1,146 @@
+package view
+
+import (
+	"slices"
+	"time"
+
+	"reachspread/coord/coordpb"
+)
+
+// peer is another process that may be a member, as its heartbeats describe it.
+type peer struct {
+	member         *coordpb.Member
+	lastHeard      time.Duration // when the last heartbeat came
+	aliveSince     time.Duration // the beginning of the present period without a gap
+	firstHeard     time.Duration // when the first heartbeat of this incarnation came
+	unhealthySince time.Duration // when its storage began to fail, 0 while it works
+	position       *coordpb.Position
+	epoch          uint64
+	healthy        bool // its storage works
+	founder        bool // it may vote on the first view
+	draining       bool // it is about to shut down
+	eligible       bool // it may be a member
+	hearsSelf      bool // it has received heartbeats of this process of late
+}
+
+// sendHeartbeats sends heartbeats to all processes that may be members. Processes that can't be
+// members or acceptors send none.
+func (d *Decider) sendHeartbeats() {
+	d.nextHeartbeat = d.now + HeartbeatInterval
+	if !d.config.Eligible && !d.isAcceptor() {
+		return
+	}
+	for _, address := range d.heartbeatTargets() {
+		d.sendHeartbeat(address)
+	}
+}
+
+// sendHeartbeat sends a heartbeat. It brings the view to a peer that has an older one.
+func (d *Decider) sendHeartbeat(to string) {
+	h := &coordpb.Heartbeat{
+		Epoch:    d.view.Epoch,
+		Position: d.status.Position,
+		Healthy:  d.status.Healthy,
+		Founder:  d.config.Founder,
+		Sealed:   d.IsSealed(),
+		Leaving:  d.status.Draining,
+		Eligible: d.config.Eligible,
+	}
+	for _, p := range d.peers {
+		if d.alive(p) {
+			h.Heard = append(h.Heard, p.member.Identity)
+		}
+	}
+	if p := d.peers[to]; p != nil && p.epoch < d.view.Epoch {
+		h.View = d.view
+	}
+	m := &coordpb.Message{From: d.config.Self, Body: &coordpb.Message_Heartbeat{Heartbeat: h}}
+	d.emit(Send{To: to, Message: m, Immediate: true})
+}
+
+// heartbeatTargets are the addresses that heartbeats go to, sorted: members, standbys, known
+// addresses, and the seeds before a view is known.
+func (d *Decider) heartbeatTargets() []string {
+	var all []string
+	add := func(address string) {
+		if address != d.config.Self.Address && !slices.Contains(all, address) {
+			all = append(all, address)
+		}
+	}
+	for _, m := range d.view.Members {
+		add(m.Address)
+	}
+	for _, address := range d.knownAddresses {
+		add(address)
+	}
+	for address, p := range d.peers {
+		if d.now-p.lastHeard < replaceTimeout {
+			add(address)
+		}
+	}
+	if d.view.Epoch == 0 {
+		for _, address := range d.config.Seeds {
+			add(address)
+		}
+	}
+	slices.Sort(all)
+	return all
+}
+
+// handleHeartbeat takes in the state of a peer, and learns of a newer view or reports one.
+func (d *Decider) handleHeartbeat(from *coordpb.Member, h *coordpb.Heartbeat) {
+	p := d.peerAt(from)
+	if p == nil {
+		return
+	}
+	p.update(d.now, h, d.config.Self.Identity)
+	if h.View != nil {
+		d.learnView(h.View)
+	}
+	if h.Epoch < d.view.Epoch && d.view.Epoch > 0 {
+		d.send(from.Address, &coordpb.Message{Body: &coordpb.Message_Learn{Learn: &coordpb.Learn{View: d.view}}})
+	}
+}
+
+// peerAt returns the peer that a heartbeat is from, with a new entry where its address or its
+// incarnation is new. It returns nil where there are too many peers already.
+func (d *Decider) peerAt(from *coordpb.Member) *peer {
+	p := d.peers[from.Address]
+	if p == nil {
+		if len(d.peers) >= maxPeers {
+			return nil
+		}
+		p = &peer{}
+		d.peers[from.Address] = p
+	}
+	if p.member == nil || p.member.Identity != from.Identity {
+		*p = peer{member: from, firstHeard: d.now, aliveSince: d.now, lastHeard: d.now}
+		if d.config.Eligible || d.isAcceptor() {
+			d.sendHeartbeat(from.Address) // it does not know yet that this process hears it
+		}
+	}
+	return p
+}
+
+// update takes in a heartbeat that came now.
+func (p *peer) update(now time.Duration, h *coordpb.Heartbeat, self uint64) {
+	if now-p.lastHeard >= suspectTimeout {
+		p.aliveSince = now
+	}
+	p.lastHeard = now
+	p.epoch = h.Epoch
+	p.healthy = h.Healthy
+	p.founder = h.Founder
+	p.draining = h.Leaving
+	p.eligible = h.Eligible
+	switch {
+	case h.Healthy:
+		p.unhealthySince = 0
+	case p.unhealthySince == 0:
+		p.unhealthySince = now
+	}
+	p.hearsSelf = slices.Contains(h.Heard, self)
+	if p.position = h.Position; p.position == nil {
+		p.position = &coordpb.Position{}
+	}
+}
--- /dev/null
+++ b/coord/view/shards.go
@@ -0,0 +1,82 @@
+package view
+
+import (
+	"slices"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"reachspread/coord/coordpb"
+)
+
+const (
+	// Shards is the number of shards that the keys of singleton roles are split into.
+	Shards = 32
+	// LeaseDuration is how long a member may act on its shards after it began a confirmation of its
+	// epoch that a majority answered.
+	LeaseDuration = 600 * time.Millisecond
+	// leaseMargin allows for clocks that run at different speeds.
+	leaseMargin = 50 * time.Millisecond
+)
+
+// ShardOf returns the shard that a key belongs to.
+func ShardOf(key string) int { return int(xxhash.Sum64String(key) % Shards) }
+
+// Owner returns the member that owns the shard of a key in a view, with the assignment, whose
+// epoch is the fencing token. Both are nil if nobody does.
+func Owner(v *coordpb.View, key string) (*coordpb.Member, *coordpb.Duty) {
+	if len(v.GetDuties()) != Shards {
+		return nil, nil
+	}
+	duty := v.Duties[ShardOf(key)]
+	return MemberOf(v, duty.Owner), duty
+}
+
+// assignShards assigns the shards to the chain of a new view. An owner that is still in the
+// chain keeps its shards; the others go to the members with the fewest.
+func (d *Decider) assignShards(v *coordpb.View, promises map[string]*promiseFrom) []*coordpb.Duty {
+	before := d.view.GetDuties()
+	load := map[uint64]int{}
+	all := make([]*coordpb.Duty, Shards)
+	for shard, old := range before {
+		if slices.Contains(v.Chain, old.Owner) {
+			all[shard] = &coordpb.Duty{Owner: old.Owner, Since: old.Since, WaitMs: old.WaitMs}
+			load[old.Owner]++
+		}
+	}
+	for shard := range all {
+		if all[shard] != nil {
+			continue
+		}
+		owner := slices.MinFunc(v.Chain, func(a, b uint64) int { return load[a] - load[b] })
+		load[owner]++
+		all[shard] = &coordpb.Duty{Owner: owner, Since: v.Epoch}
+		if shard < len(before) {
+			all[shard].WaitMs = int32(d.remainingLease(before[shard], promises).Milliseconds())
+		}
+	}
+	return all
+}
+
+// remainingLease is for how long at most the owner of a shard, or an earlier one, may still act
+// on it; below 0, for so long nobody has. An owner that promised doesn't act any more, and
+// reports since when. For another one it follows from the confirmations of those that promised:
+// a confirmation that succeeded was answered by one of them at least.
+func (d *Decider) remainingLease(duty *coordpb.Duty, promises map[string]*promiseFrom) time.Duration {
+	before := time.Duration(duty.WaitMs)*time.Millisecond - (d.now - d.learnedAt)
+	left := -maxIdle
+	for _, p := range promises {
+		if p.from.Identity == duty.Owner {
+			return max(before, -time.Duration(p.IdleMs)*time.Millisecond, -maxIdle)
+		}
+		for _, a := range p.Answered {
+			if a.Identity == duty.Owner {
+				left = max(left, LeaseDuration+leaseMargin-time.Duration(a.AgeMs)*time.Millisecond)
+			}
+		}
+	}
+	return max(before, left)
+}
+
+// maxIdle bounds the idle time that is recorded for a shard.
+const maxIdle = 3 * time.Second
--- a/internal/system/roles/node/draining.go
+++ b/internal/system/roles/node/draining.go
@@ -106,10 +106,10 @@
 	}
 	poll := time.NewTicker(handOverPollInterval)
 	defer poll.Stop()
-	for !n.replica.Status().MayEnd {
+	for !n.replica.Status().CanShutDown {
 		select {
 		case <-ctx.Done():
-			n.log.Warn("register not handed over", "bears", n.replica.Status().Bears)
+			n.log.Warn("register not handed over", "bears", n.replica.Status().ToleranceLeft)
 			return
 		case <-poll.C:
 		}
--- a/internal/system/roles/node/node_test.go
+++ b/internal/system/roles/node/node_test.go
@@ -394,7 +394,10 @@
 		return all
 	}
 	full := func(at int) func() bool {
-		return func() bool { s := f.nodes[at].replica.Status(); return s.Bears == 1 && s.ShortSince < 0 }
+		return func() bool {
+			s := f.nodes[at].replica.Status()
+			return s.ToleranceLeft == 1 && s.ToleranceShortSince < 0
+		}
 	}
 	f.eventually("one machine may be lost", full(1))
 	is.Equal(len(members(1)), 3)
--- a/internal/system/roles/node/quotaowner.go
+++ b/internal/system/roles/node/quotaowner.go
@@ -143,7 +143,7 @@
 		usage, from := o.tracker.Usage(now, owner)
 		completeFrom = max(completeFrom, from)
 		for tenant, u := range usage {
-			if view.Shard(tenant) == i {
+			if view.ShardOf(tenant) == i {
 				known[tenant] = u.Merge(now, known[tenant])
 			}
 		}
@@ -215,7 +215,7 @@
 		return answer
 	}
 	v, owns := node.replica.Holds()
-	s := o.shards[view.Shard(m.Tenant)]
+	s := o.shards[view.ShardOf(m.Tenant)]
 	tenant := state.Typed.TenantNamed(m.Tenant)
 	if s == nil || !owns || tenant == nil || now < s.servesFrom {
 		return answer
--- a/internal/system/roles/node/registerstatus.go
+++ b/internal/system/roles/node/registerstatus.go
@@ -53,7 +53,7 @@
 		m := machineOf(s, p)
 		m.Sequence, m.Behind = p.Position.GetSequence(), newest-p.Position.GetSequence()
 		m.Complete = p.Position.GetStateEpoch() == s.Epoch
-		m.Healthy, m.Draining = p.Healthy, p.Leaving
+		m.Healthy, m.Draining = p.Healthy, p.Draining
 		if p.HeardAge != nil {
 			m.HeardAgeSeconds = secondsOf(*p.HeardAge)
 		}
@@ -66,7 +66,7 @@
 		Sequence:         in.Position.GetSequence(),
 		Healthy:          in.Healthy,
 		Shards:           in.Shards,
-		CurrentTolerance: in.Bears,
+		CurrentTolerance: in.ToleranceLeft,
 		TargetTolerance:  in.Tolerance,
 	}
 	if in.Confirmed {
