--- a/balance/members.go
+++ b/balance/members.go
@@ -79,14 +79,14 @@
 	if !b.fleet.Due(b.now) {
 		return
 	}
-	b.living = float64(b.fleet.Sure(b.now))
+	b.living = float64(b.fleet.ConfirmedAlive(b.now))
 	all := slices.DeleteFunc(slices.Clone(b.order), func(r *replica) bool { return r.State != Serving })
-	n := max(shareOf, leastHeld*len(all)/max(b.fleet.Left(b.now), 1))
+	n := max(shareOf, leastHeld*len(all)/max(b.fleet.NotDead(b.now), 1))
 	sharers := map[*replica][]int{}
 	for i, who := range assignment.Deal(b.fleet, b.now, all, n, place) {
 		sharers[all[i]] = who
 	}
-	gone := func(i int) bool { return b.fleet.Gone(i, b.now) }
+	gone := func(i int) bool { return b.fleet.Dead(i, b.now) }
 	b.share = nil
 	for _, r := range b.order {
 		had := len(r.hearers)
--- a/cmd/reachspread/fleet.go
+++ b/cmd/reachspread/fleet.go
@@ -169,7 +169,7 @@
 	yield := &cobra.Command{Use: "yield DUTY", Short: "Have the holder of a duty give it to whoever waits", Args: cobra.ExactArgs(1)}
 	yieldAt, yieldToken := managementFlag(yield), tokenFlag(yield)
 	yield.RunE = func(_ *cobra.Command, args []string) error {
-		return give(*yieldAt, args[0], lease.Anybody, *yieldToken)
+		return give(*yieldAt, args[0], lease.AnyRouter, *yieldToken)
 	}
 	rebuild := &cobra.Command{Use: "rebuild", Short: "Found duties anew where a majority of the voters' disks is gone", Args: cobra.NoArgs,
 		Long: "Founds duties anew, with this router for the first voter and tokens above all that any router that can be reached has seen.\n" +
--- a/cmd/reachspread/snapshot.go
+++ b/cmd/reachspread/snapshot.go
@@ -24,7 +24,7 @@
 		if err != nil {
 			return err
 		}
-		s, generation, wrong := snapshot.Youngest(files)
+		s, generation, wrong := snapshot.Newest(files)
 		if s == nil {
 			return errors.Join(fmt.Errorf("%s has no whole snapshot", args[0]), wrong[0], wrong[1])
 		}
@@ -33,11 +33,11 @@
 		}
 		w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 		defer w.Flush()
-		fmt.Fprintf(w, "router\t%s\ngeneration\t%d\nwritten\t%s, by a clock that nothing rests on\n", s.Router, generation, s.At.Format(time.RFC3339))
+		fmt.Fprintf(w, "router\t%s\ngeneration\t%d\nwritten\t%s, by a clock that nothing rests on\n", s.Router, generation, s.SavedAt.Format(time.RFC3339))
 		if s.List != nil {
-			fmt.Fprintf(w, "list\t%d hosts, version %d, from %s\n", len(s.List.Servers), s.List.Version, s.ListFrom)
+			fmt.Fprintf(w, "list\t%d hosts, version %d, from %s\n", len(s.List.Servers), s.List.Version, s.ListSource)
 		}
-		fmt.Fprintf(w, "view\t%d routers, own incarnation %d\nlargest token\t%d\ndrained\t%v\nunanswered\t%d\n", len(s.View), s.Incarnation, s.Token, s.Drained, unanswered(args[0]))
+		fmt.Fprintf(w, "view\t%d routers, own incarnation %d\nlargest token\t%d\ndrained\t%v\nunanswered\t%d\n", len(s.Routers), s.Incarnation, s.HighestToken, s.Drained, unanswered(args[0]))
 		if s.List != nil {
 			fmt.Fprintln(w, "\nhost\tzone\tkind\tstate\taddress")
 			for _, e := range s.List.Servers {
@@ -55,16 +55,16 @@
 		whole := false
 		for i, b := range files {
 			if b == nil {
-				fmt.Fprintf(cmd.OutOrStdout(), "%s: not there\n", snapshot.Names[i])
+				fmt.Fprintf(cmd.OutOrStdout(), "%s: not there\n", snapshot.GenerationFiles[i])
 				continue
 			}
 			_, generation, err := snapshot.Decode(b)
 			if err != nil {
-				fmt.Fprintf(cmd.OutOrStdout(), "%s: %v\n", snapshot.Names[i], err)
+				fmt.Fprintf(cmd.OutOrStdout(), "%s: %v\n", snapshot.GenerationFiles[i], err)
 				continue
 			}
 			whole = true
-			fmt.Fprintf(cmd.OutOrStdout(), "%s: whole, generation %d, %d bytes\n", snapshot.Names[i], generation, len(b))
+			fmt.Fprintf(cmd.OutOrStdout(), "%s: whole, generation %d, %d bytes\n", snapshot.GenerationFiles[i], generation, len(b))
 		}
 		if !whole {
 			return errors.New("none is whole")
@@ -77,7 +77,7 @@
 
 // unanswered is how many requests a folder's open ones are, 0 where their file is not there or not whole.
 func unanswered(folder string) int {
-	text, err := os.ReadFile(filepath.Join(folder, snapshot.OpenName))
+	text, err := os.ReadFile(filepath.Join(folder, snapshot.OpenRequestsFile))
 	if err != nil {
 		return 0
 	}
@@ -85,7 +85,7 @@
 	if err != nil {
 		return 0
 	}
-	return len(open.Open) + open.OpenMore
+	return len(open.OpenRequests) + open.OmittedRequests
 }
 
 // readSnapshots reads the two files of a folder, nil for one that is not there.
@@ -93,7 +93,7 @@
 	if _, err := os.Stat(folder); err != nil {
 		return files, err
 	}
-	for i, name := range snapshot.Names {
+	for i, name := range snapshot.GenerationFiles {
 		if files[i], err = os.ReadFile(filepath.Join(folder, name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 			return files, err
 		}
--- a/internal/assignment/assignment.go
+++ b/internal/assignment/assignment.go
@@ -21,7 +21,7 @@
 type Group struct {
 	me    int
 	zones []int
-	*liveness.Group
+	*liveness.Tracker
 	next time.Duration // when shares may have changed
 
 	dealt [][]int // of the last Deal, with n; nil once things or zones are others
@@ -36,7 +36,7 @@
 
 // New returns a group of n of which one is me. A view counts after it has held for so long; until the first all members live.
 func New(n, me int, zone uint8, hold time.Duration) *Group {
-	g := &Group{me: me, zones: slices.Repeat([]int{unknown}, n), Group: liveness.New(n, hold)}
+	g := &Group{me: me, zones: slices.Repeat([]int{unknown}, n), Tracker: liveness.New(n, hold)}
 	if me >= 0 && me < n {
 		g.zones[me] = int(zone)
 	}
@@ -75,7 +75,7 @@
 		numbers = append(numbers, p.Number)
 		g.Heard(p.Number, p.Zone)
 	}
-	g.Take(version, numbers, now)
+	g.Update(version, numbers, now)
 	g.next = 0
 }
 
--- a/internal/assignment/assignment_test.go
+++ b/internal/assignment/assignment_test.go
@@ -83,7 +83,7 @@
 	check := func(now time.Duration, want ...int) {
 		t.Helper()
 		for _, who := range Deal(g, now, things, 2, of) {
-			if who = slices.DeleteFunc(slices.Clone(who), func(m int) bool { return g.Gone(m, now) }); !slices.Equal(who, want) {
+			if who = slices.DeleteFunc(slices.Clone(who), func(m int) bool { return g.Dead(m, now) }); !slices.Equal(who, want) {
 				t.Errorf("at %v %v, want %v", now, who, want)
 			}
 		}
--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -34,7 +34,7 @@
 }
 
 // WriteWhole puts a file in its place such that whatever happens the old one or the new one is there.
-func WriteWhole(path string, text []byte) error {
+func WriteFileAtomic(path string, text []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".*.new")
 	if err != nil {
 		return err
@@ -53,40 +53,40 @@
 		os.Remove(f.Name())
 		return err
 	}
-	return SyncFolder(filepath.Dir(path))
+	return SyncDirectory(filepath.Dir(path))
 }
 
 // Scratch is a file that is written over again and again, by one process, and waits for no disk: whoever ends in between leaves one that is cut or of two writes, which
 // its reader has to tell by itself. Its zero value, with Path, is ready.
-type Scratch struct {
+type ScratchFile struct {
 	Path string
 	file *os.File
-	len  int
+	size int
 }
 
 // Write has the file be text.
-func (s *Scratch) Write(text []byte) (err error) {
+func (s *ScratchFile) Write(text []byte) (err error) {
 	if s.file == nil {
 		if s.file, err = os.OpenFile(s.Path, os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o644); err != nil {
 			return err
 		}
-		s.len = 0
+		s.size = 0
 	}
-	if _, err = s.file.WriteAt(text, 0); err == nil && len(text) < s.len {
+	if _, err = s.file.WriteAt(text, 0); err == nil && len(text) < s.size {
 		err = s.file.Truncate(int64(len(text)))
 	}
-	s.len = len(text)
+	s.size = len(text)
 	return err
 }
 
 // Remove has no file be there.
-func (s *Scratch) Remove() {
+func (s *ScratchFile) Remove() {
 	s.Close()
 	os.Remove(s.Path)
 }
 
 // Close leaves the file as it is.
-func (s *Scratch) Close() {
+func (s *ScratchFile) Close() {
 	if s.file != nil {
 		s.file.Close()
 		s.file = nil
@@ -94,7 +94,7 @@
 }
 
 // SyncFolder has the names in a folder be as they are now after a power loss.
-func SyncFolder(path string) error {
+func SyncDirectory(path string) error {
 	f, err := os.Open(path)
 	if err != nil {
 		return err
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -9,7 +9,7 @@
 
 // Whatever was written last is there, whole, whether shorter or longer than before; removed it is gone, and comes back with the next write.
 func TestScratch(t *testing.T) {
-	s := Scratch{Path: filepath.Join(t.TempDir(), "scratch")}
+	s := ScratchFile{Path: filepath.Join(t.TempDir(), "scratch")}
 	defer s.Close()
 	if err := os.WriteFile(s.Path, []byte("of a life before, and longer than what comes"), 0o644); err != nil {
 		t.Fatal(err)
--- a/internal/durable/stored_test.go
+++ b/internal/durable/stored_test.go
@@ -36,7 +36,7 @@
 // A scratch file that is there already is taken over, and has then what is written and no more.
 func TestGoldenScratch(t *testing.T) {
 	text := []byte("what a scratch file has is its writer's\n")
-	s := Scratch{Path: filepath.Join(t.TempDir(), "router.open")}
+	s := ScratchFile{Path: filepath.Join(t.TempDir(), "router.open")}
 	defer s.Close()
 	if err := os.WriteFile(s.Path, golden.File(t, "scratch", text), 0o644); err != nil {
 		t.Fatal(err)
@@ -60,7 +60,7 @@
 		t.Fatal(err)
 	}
 	for _, text := range []string{"first", "second, and longer"} {
-		if err := WriteWhole(filepath.Join(folder, "kept"), []byte(text)); err != nil {
+		if err := WriteFileAtomic(filepath.Join(folder, "kept"), []byte(text)); err != nil {
 			t.Fatal(err)
 		}
 		if got, err := os.ReadFile(filepath.Join(folder, "kept")); err != nil || string(got) != text {
--- a/internal/liveness/liveness.go
+++ b/internal/liveness/liveness.go
@@ -6,46 +6,46 @@
 import "time"
 
 // Group is the members by their numbers. Until the first view all are sure.
-type Group struct {
-	hold    time.Duration
-	version uint64
-	gone    []bool
-	since   []time.Duration // of the last change, 0 for never
+type Tracker struct {
+	stabilityDelay time.Duration
+	version        uint64
+	dead           []bool
+	changedAt      []time.Duration // of the last change, 0 for never
 }
 
 // New returns a group of n whose views count after they have held for so long.
-func New(n int, hold time.Duration) *Group {
-	return &Group{hold: hold, gone: make([]bool, n), since: make([]time.Duration, n)}
+func New(n int, hold time.Duration) *Tracker {
+	return &Tracker{stabilityDelay: hold, dead: make([]bool, n), changedAt: make([]time.Duration, n)}
 }
 
 // Take takes in a view and returns whether it changes anything. One that is not newer than the last is ignored, and so are
 // numbers that the group does not have.
-func (g *Group) Take(version uint64, living []int, now time.Duration) (changed bool) {
+func (g *Tracker) Update(version uint64, living []int, now time.Duration) (changed bool) {
 	if version <= g.version {
 		return false
 	}
 	g.version = version
-	lives := make([]bool, len(g.gone))
+	lives := make([]bool, len(g.dead))
 	for _, i := range living {
 		if i >= 0 && i < len(lives) {
 			lives[i] = true
 		}
 	}
 	for i := range lives {
-		if lives[i] == g.gone[i] {
-			g.gone[i], g.since[i], changed = !lives[i], max(now, 1), true
+		if lives[i] == g.dead[i] {
+			g.dead[i], g.changedAt[i], changed = !lives[i], max(now, 1), true
 		}
 	}
 	return changed
 }
 
 // Gone tells that a member has been gone for as long as a view has to hold.
-func (g *Group) Gone(i int, now time.Duration) bool { return g.gone[i] && g.held(i, now) }
+func (g *Tracker) Dead(i int, now time.Duration) bool { return g.dead[i] && g.stable(i, now) }
 
 // Sure is how many live and have for as long, or always.
-func (g *Group) Sure(now time.Duration) (n int) {
-	for i, gone := range g.gone {
-		if !gone && g.held(i, now) {
+func (g *Tracker) ConfirmedAlive(now time.Duration) (n int) {
+	for i, gone := range g.dead {
+		if !gone && g.stable(i, now) {
 			n++
 		}
 	}
@@ -53,9 +53,9 @@
 }
 
 // Left is how many are not gone.
-func (g *Group) Left(now time.Duration) (n int) {
-	for i := range g.gone {
-		if !g.Gone(i, now) {
+func (g *Tracker) NotDead(now time.Duration) (n int) {
+	for i := range g.dead {
+		if !g.Dead(i, now) {
 			n++
 		}
 	}
@@ -63,15 +63,15 @@
 }
 
 // Next is when Gone or Sure change by time alone, 0 for never.
-func (g *Group) Next(now time.Duration) (at time.Duration) {
-	for i := range g.gone {
-		if t := g.since[i] + g.hold; !g.held(i, now) && (at == 0 || t < at) {
+func (g *Tracker) Next(now time.Duration) (at time.Duration) {
+	for i := range g.dead {
+		if t := g.changedAt[i] + g.stabilityDelay; !g.stable(i, now) && (at == 0 || t < at) {
 			at = t
 		}
 	}
 	return at
 }
 
-func (g *Group) held(i int, now time.Duration) bool {
-	return g.since[i] == 0 || now >= g.since[i]+g.hold
+func (g *Tracker) stable(i int, now time.Duration) bool {
+	return g.changedAt[i] == 0 || now >= g.changedAt[i]+g.stabilityDelay
 }
--- a/internal/router/lease/golden_test.go
+++ b/internal/router/lease/golden_test.go
@@ -10,24 +10,24 @@
 // goldenRequests are requests of every kind that goes on the wire.
 func goldenRequests() []*Request {
 	var all []*Request
-	for kind := Acquire; kind <= Wish; kind++ {
-		all = append(all, &Request{ID: 300 + uint32(kind), Command: Command{Kind: kind, Duty: "reports@south", Who: Router{Name: "router-1", Boot: 0xfedcba98, Zone: "south"},
+	for kind := Acquire; kind <= RequestTransfer; kind++ {
+		all = append(all, &Request{ID: 300 + uint32(kind), Command: Command{Kind: kind, Role: "reports@south", Router: Router{Name: "router-1", Boot: 0xfedcba98, Zone: "south"},
 			Token: 1<<40 + uint64(kind), Renewals: 70_000, To: "router-2"}})
 	}
-	return append(all, &Request{ID: 1, Command: Command{Duty: "d", Who: Router{Name: "r", Boot: 1}}})
+	return append(all, &Request{ID: 1, Command: Command{Role: "d", Router: Router{Name: "r", Boot: 1}}})
 }
 
 // goldenReplies are replies with each flag, and a push.
 func goldenReplies() []*Reply {
-	grant := Grant{Duty: "reports@south", Token: 1<<40 + 7, Renewals: 70_000, Wish: Anybody, Why: HandedOver}
+	grant := Grant{Role: "reports@south", Token: 1<<40 + 7, Renewals: 70_000, TransferTo: AnyRouter, Reason: ReasonTransferred}
 	pushed := grant
-	pushed.Pushed = true
+	pushed.Unconfirmed = true
 	return []*Reply{
-		{ID: 300, Boot: 0xfedcba98, Leader: "router-3", Answer: Answer{OK: true, Grant: grant}},
-		{ID: 301, Boot: 2, Answer: Answer{Waits: true}},
+		{ID: 300, Boot: 0xfedcba98, Leader: "router-3", Result: Result{OK: true, Grant: grant}},
+		{ID: 301, Boot: 2, Result: Result{Queued: true}},
 		{ID: 302, Boot: 3, NotLeader: true, Leader: "router-1"},
-		{ID: 303, Boot: 4, Answer: Answer{Why: "another router has it"}},
-		{ID: 0, Boot: 5, Leader: "router-3", Answer: Answer{OK: true, Grant: pushed}},
+		{ID: 303, Boot: 4, Result: Result{Refusal: "another router has it"}},
+		{ID: 0, Boot: 5, Leader: "router-3", Result: Result{OK: true, Grant: pushed}},
 	}
 }
 
@@ -36,20 +36,20 @@
 	names := []string{"acquire", "renew", "yield", "hand-over", "expire", "forget", "wish", "least"}
 	var records []golden.Record
 	for i, q := range goldenRequests() {
-		records = append(records, golden.Record{Name: "request-" + names[i], Data: q.Append()})
+		records = append(records, golden.Record{Name: "request-" + names[i], Data: q.Encode()})
 	}
 	replies := []string{"granted", "waits", "not-leader", "refused", "push"}
 	for i, p := range goldenReplies() {
-		records = append(records, golden.Record{Name: "reply-" + replies[i], Data: p.Append()})
+		records = append(records, golden.Record{Name: "reply-" + replies[i], Data: p.Encode()})
 	}
 	data := golden.Check(t, "datagrams", records)
 	for i, want := range goldenRequests() {
-		if q, _, err := Read(data["request-"+names[i]]); err != nil || !reflect.DeepEqual(q, want) {
+		if q, _, err := Decode(data["request-"+names[i]]); err != nil || !reflect.DeepEqual(q, want) {
 			t.Errorf("request %s is read as %+v, not %+v (%v)", names[i], q, want, err)
 		}
 	}
 	for i, want := range goldenReplies() {
-		if _, p, err := Read(data["reply-"+replies[i]]); err != nil || !reflect.DeepEqual(p, want) {
+		if _, p, err := Decode(data["reply-"+replies[i]]); err != nil || !reflect.DeepEqual(p, want) {
 			t.Errorf("reply %s is read as %+v, not %+v (%v)", replies[i], p, want, err)
 		}
 	}
--- a/internal/router/lease/holder.go
+++ b/internal/router/lease/holder.go
@@ -3,72 +3,74 @@
 import "time"
 
 // Holder is one router's side of one grant. Its zero value holds nothing.
-type Holder struct {
-	times Times
-	grant Grant
-	from  time.Duration // before the request was sent that the voters answered last
-	held  bool
+type Lease struct {
+	timing    Timing
+	grant     Grant
+	validFrom time.Duration // before the request was sent that the voters answered last
+	valid     bool
 }
 
 // NewHolder returns a Holder that holds nothing yet.
-func NewHolder(t Times) *Holder { return &Holder{times: t} }
+func NewLease(t Timing) *Lease { return &Lease{timing: t} }
 
 // Granted takes the voters' word that a grant stands. Sent is when the request was sent that they answer, on the own clock: the
 // lease counts from there. An answer to an older request than the last one that counted shortens nothing, and one for an older
 // grant is passed over.
-func (h *Holder) Granted(sent time.Duration, g Grant) {
+func (h *Lease) Extend(sent time.Duration, g Grant) {
 	switch {
-	case h.held && g.Token < h.grant.Token:
+	case h.valid && g.Token < h.grant.Token:
 		return
-	case h.held && g.Token == h.grant.Token:
-		h.from = max(h.from, sent)
+	case h.valid && g.Token == h.grant.Token:
+		h.validFrom = max(h.validFrom, sent)
 		h.grant.Renewals = max(h.grant.Renewals, g.Renewals)
 		return
 	}
-	h.grant, h.from, h.held = g, sent, true
+	h.grant, h.validFrom, h.valid = g, sent, true
 }
 
 // Lost takes the voters' word that a grant is no more, or the holder's own that it gives it back.
-func (h *Holder) Lost(token uint64) {
-	if h.held && token >= h.grant.Token {
-		h.held = false
+func (h *Lease) Revoke(token uint64) {
+	if h.valid && token >= h.grant.Token {
+		h.valid = false
 	}
 }
 
 // ends is when the grant must not be acted on any more.
-func (h *Holder) ends() time.Duration { return h.from + h.times.Lease - h.times.Allowance }
+func (h *Lease) expiry() time.Duration {
+	return h.validFrom + h.timing.Duration - h.timing.ClockAllowance
+}
 
 // Begin is asked right before each act. It answers with the token that the act must carry and with how long the act may take, or with
 // no. A clock that is behind what the lease began with is in doubt, and a holder in doubt stops.
-func (h *Holder) Begin(now time.Duration) (token uint64, within time.Duration, ok bool) {
-	if !h.held || now < h.from || now >= h.ends()-h.times.Margin {
+func (h *Lease) Check(now time.Duration) (token uint64, within time.Duration, ok bool) {
+	if !h.valid || now < h.validFrom || now >= h.expiry()-h.timing.Margin {
 		return 0, 0, false
 	}
-	return h.grant.Token, h.ends() - now, true
+	return h.grant.Token, h.expiry() - now, true
 }
 
 // RenewAt is when the lease is to be renewed: just over half of it, so that a holder costs less than two messages a second with a lease of
 // 2 s, and what is left is enough for an election of the voters.
-func (h *Holder) RenewAt() (at time.Duration, ok bool) {
-	return h.from + h.times.Lease*51/100, h.held
+func (h *Lease) RenewAt() (at time.Duration, ok bool) {
+	return h.validFrom + h.timing.Duration*51/100, h.valid
 }
 
 // Grant returns what is held as far as the holder knows, over or not.
-func (h *Holder) Grant() (Grant, bool) { return h.grant, h.held }
+func (h *Lease) Grant() (Grant, bool) { return h.grant, h.valid }
 
 // Fence is what a receiver keeps for each duty: it lets a token pass that is not lower than any before.
-type Fence struct{ highest map[string]uint64 }
+type TokenGuard struct{ highest map[string]uint64 }
 
 // Highest is the largest token that was let pass for a duty, 0 for none.
-func (f *Fence) Highest(duty string) uint64 { return f.highest[duty] }
+func (f *TokenGuard) Highest(duty string) uint64 { return f.highest[duty] }
 
 // Pass tells whether what carries a token may be done. It is bounded by MostDuties names.
-func (f *Fence) Pass(duty string, token uint64) bool {
+func (f *TokenGuard) Accept(duty string, token uint64) bool {
 	if f.highest == nil {
 		f.highest = map[string]uint64{}
 	}
 	last, known := f.highest[duty]
-	if token < last || token == 0 || !known && len(f.highest) >= MostDuties {
+	if token < last || token == 0 || !known && len(f.highest) >= MaxRoles {
 		return false
 	}
 	f.highest[duty] = token
--- a/internal/router/lease/lease_test.go
+++ b/internal/router/lease/lease_test.go
@@ -27,7 +27,7 @@
 			if x.Granted {
 				word = "to"
 			}
-			line += fmt.Sprintf("; %s %s %d %s %d (%s)", x.Grant.Duty, word, x.Grant.Holder.Boot, x.Grant.Holder.Name, x.Grant.Token, x.Why)
+			line += fmt.Sprintf("; %s %s %d %s %d (%s)", x.Grant.Role, word, x.Grant.Holder.Boot, x.Grant.Holder.Name, x.Grant.Token, x.Reason)
 		}
 		lines = append(lines, line)
 	}
@@ -37,30 +37,30 @@
 // A duty goes from hand to hand: asked, waited for, yielded, handed to whom it was meant for past who waits, expired, asked again by a
 // later life.
 func TestTable(t *testing.T) {
-	table, err := NewTable([]Duty{{Name: "scribe"}, {Name: "drain", Holders: 2}}, 5)
+	table, err := NewTable([]Role{{Name: "scribe"}, {Name: "drain", MaxHolders: 2}}, 5)
 	if err != nil {
 		t.Fatal(err)
 	}
 	got := story(t, table,
-		Command{Kind: Acquire, Duty: "scribe", Who: a("r1")},
-		Command{Kind: Acquire, Duty: "scribe", Who: a("r2")}, // waits
-		Command{Kind: Acquire, Duty: "scribe", Who: a("r3")}, // waits
-		Command{Kind: Acquire, Duty: "scribe", Who: a("r1")}, // has not heard
-		Command{Kind: Renew, Duty: "scribe", Who: a("r1"), Token: 10},
-		Command{Kind: Expire, Duty: "scribe", Token: 10}, // renewed since
-		Command{Kind: Renew, Duty: "scribe", Who: a("r2"), Token: 10},
-		Command{Kind: HandOver, Duty: "scribe", Who: a("r1"), Token: 10, To: "r3"},
-		Command{Kind: Yield, Duty: "scribe", Who: a("r1"), Token: 10}, // came twice
-		Command{Kind: Expire, Duty: "scribe", Token: 80},
-		Command{Kind: Acquire, Duty: "scribe", Who: Router{Name: "r2", Boot: 2}}, // another life
-		Command{Kind: Renew, Duty: "scribe", Who: a("r2"), Token: 100},
-		Command{Kind: HandOver, Duty: "scribe", Who: Router{Name: "r2", Boot: 2}, Token: 110, To: "r9"}, // who is not there
-		Command{Kind: Acquire, Duty: "scribe", Who: a("r4")},
-		Command{Kind: Forget, Duty: "scribe", To: "r9"},
-		Command{Kind: Acquire, Duty: "drain", Who: a("r1")},
-		Command{Kind: Acquire, Duty: "drain", Who: a("r2")},
-		Command{Kind: Acquire, Duty: "drain", Who: a("r3")},
-		Command{Kind: Acquire, Duty: "nothing", Who: a("r3")},
+		Command{Kind: Acquire, Role: "scribe", Router: a("r1")},
+		Command{Kind: Acquire, Role: "scribe", Router: a("r2")}, // waits
+		Command{Kind: Acquire, Role: "scribe", Router: a("r3")}, // waits
+		Command{Kind: Acquire, Role: "scribe", Router: a("r1")}, // has not heard
+		Command{Kind: Renew, Role: "scribe", Router: a("r1"), Token: 10},
+		Command{Kind: Expire, Role: "scribe", Token: 10}, // renewed since
+		Command{Kind: Renew, Role: "scribe", Router: a("r2"), Token: 10},
+		Command{Kind: Transfer, Role: "scribe", Router: a("r1"), Token: 10, To: "r3"},
+		Command{Kind: Release, Role: "scribe", Router: a("r1"), Token: 10}, // came twice
+		Command{Kind: Expire, Role: "scribe", Token: 80},
+		Command{Kind: Acquire, Role: "scribe", Router: Router{Name: "r2", Boot: 2}}, // another life
+		Command{Kind: Renew, Role: "scribe", Router: a("r2"), Token: 100},
+		Command{Kind: Transfer, Role: "scribe", Router: Router{Name: "r2", Boot: 2}, Token: 110, To: "r9"}, // who is not there
+		Command{Kind: Acquire, Role: "scribe", Router: a("r4")},
+		Command{Kind: Dequeue, Role: "scribe", To: "r9"},
+		Command{Kind: Acquire, Role: "drain", Router: a("r1")},
+		Command{Kind: Acquire, Role: "drain", Router: a("r2")},
+		Command{Kind: Acquire, Role: "drain", Router: a("r3")},
+		Command{Kind: Acquire, Role: "nothing", Router: a("r3")},
 	)
 	want := []string{
 		"true; scribe to 1 r1 10 (asked)", "false", "false", "true", "true", "false", "false",
@@ -77,8 +77,8 @@
 	for place, x := range []struct {
 		token, of uint64
 	}{{170, 170}, {0, 160}, {999, 0}} {
-		answer, _ := table.Apply(uint64(1000+place), Command{Kind: Wish, Duty: "drain", Token: x.token, To: "r3"})
-		if answer.OK != (x.of > 0) || answer.Grant.Token != x.of || answer.OK && answer.Grant.Wish != "r3" {
+		answer, _ := table.Apply(uint64(1000+place), Command{Kind: RequestTransfer, Role: "drain", Token: x.token, To: "r3"})
+		if answer.OK != (x.of > 0) || answer.Grant.Token != x.of || answer.OK && answer.Grant.TransferTo != "r3" {
 			t.Errorf("a wish for token %d: %+v", x.token, answer)
 		}
 	}
@@ -87,16 +87,16 @@
 // Whatever is applied in whatever order: no duty has more holders than it allows, no router two grants of it, tokens only grow, and
 // two tables that apply the same are the same.
 func TestTableHolds(t *testing.T) {
-	duties := []Duty{{Name: "one"}, {Name: "two", Holders: 2}}
+	duties := []Role{{Name: "one"}, {Name: "two", MaxHolders: 2}}
 	rapid.Check(t, func(t *rapid.T) {
 		x, _ := NewTable(duties, 0)
 		y, _ := NewTable(duties, 0)
 		last, place := uint64(0), uint64(0)
 		for range rapid.IntRange(1, 60).Draw(t, "commands") {
 			place += uint64(rapid.IntRange(1, 3).Draw(t, "places"))
-			c := Command{Kind: Kind(rapid.IntRange(0, 6).Draw(t, "kind")), Duty: rapid.SampledFrom([]string{"one", "two", "none"}).Draw(t, "duty"),
-				Who:   Router{Name: rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "who"), Boot: uint32(rapid.IntRange(1, 2).Draw(t, "boot"))},
-				Token: last - uint64(rapid.IntRange(0, 2).Draw(t, "behind"))&min(last, 3), Renewals: uint64(rapid.IntRange(0, 2).Draw(t, "renewals")),
+			c := Command{Kind: CommandKind(rapid.IntRange(0, 6).Draw(t, "kind")), Role: rapid.SampledFrom([]string{"one", "two", "none"}).Draw(t, "duty"),
+				Router: Router{Name: rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "who"), Boot: uint32(rapid.IntRange(1, 2).Draw(t, "boot"))},
+				Token:  last - uint64(rapid.IntRange(0, 2).Draw(t, "behind"))&min(last, 3), Renewals: uint64(rapid.IntRange(0, 2).Draw(t, "renewals")),
 				To: rapid.SampledFrom([]string{"", "a", "d"}).Draw(t, "to")}
 			_, changes := x.Apply(place, c)
 			y.Apply(place, c)
@@ -110,9 +110,9 @@
 			}
 			count, who := map[string]int{}, map[string]bool{}
 			for _, g := range x.Grants() {
-				count[g.Duty]++
-				if key := g.Duty + g.Holder.Name; who[key] {
-					t.Fatalf("%s holds %s twice", g.Holder.Name, g.Duty)
+				count[g.Role]++
+				if key := g.Role + g.Holder.Name; who[key] {
+					t.Fatalf("%s holds %s twice", g.Holder.Name, g.Role)
 				} else {
 					who[key] = true
 				}
@@ -132,39 +132,39 @@
 
 // A holder counts from before it asked, is not led by old answers, and stops when in doubt; a fence lets nothing lower pass.
 func TestHolderAndFence(t *testing.T) {
-	h := NewHolder(Usual)
+	h := NewLease(DefaultTiming)
 	s := time.Second
 	begin := func(now time.Duration, token uint64, within time.Duration) {
 		t.Helper()
-		got, left, ok := h.Begin(now)
+		got, left, ok := h.Check(now)
 		if got != token || left != within || ok != (token > 0) {
 			t.Errorf("at %v: %d, %v, %v; want %d, %v", now, got, left, ok, token, within)
 		}
 	}
 	begin(5*s, 0, 0)
-	h.Granted(5*s, Grant{Token: 7})
+	h.Extend(5*s, Grant{Token: 7})
 	begin(5*s+50*time.Millisecond, 7, 1940*time.Millisecond)
 	begin(4*s, 0, 0) // its clock is behind where the lease began
 	begin(6*s+889*time.Millisecond, 7, 101*time.Millisecond)
 	begin(6*s+890*time.Millisecond, 0, 0) // the margin
-	h.Granted(6*s, Grant{Token: 7, Renewals: 1})
-	h.Granted(5*s, Grant{Token: 7}) // an old answer
-	h.Granted(9*s, Grant{Token: 3}) // of an old grant
+	h.Extend(6*s, Grant{Token: 7, Renewals: 1})
+	h.Extend(5*s, Grant{Token: 7}) // an old answer
+	h.Extend(9*s, Grant{Token: 3}) // of an old grant
 	begin(7*s, 7, 990*time.Millisecond)
-	h.Lost(6)
+	h.Revoke(6)
 	begin(7*s, 7, 990*time.Millisecond)
-	h.Lost(7)
+	h.Revoke(7)
 	begin(7*s, 0, 0)
-	h.Granted(8*s, Grant{Token: 9})
+	h.Extend(8*s, Grant{Token: 9})
 	begin(8*s, 9, 1990*time.Millisecond)
 
-	var f Fence
+	var f TokenGuard
 	for i, x := range []struct {
 		duty  string
 		token uint64
 		pass  bool
 	}{{"a", 7, true}, {"a", 7, true}, {"b", 3, true}, {"a", 9, true}, {"a", 8, false}, {"b", 0, false}, {"b", 4, true}} {
-		if got := f.Pass(x.duty, x.token); got != x.pass {
+		if got := f.Accept(x.duty, x.token); got != x.pass {
 			t.Errorf("%d: %+v: got %v", i, x, got)
 		}
 	}
@@ -172,7 +172,7 @@
 
 // word is what goes between the sequencer and a holder in the explorer.
 type word struct {
-	Kind  Kind
+	Kind  CommandKind
 	Nth   int // of the holder's requests
 	OK    bool
 	Grant Grant
@@ -196,11 +196,11 @@
 	flaw  flaw
 }
 
-var exploring = Times{Lease: 2 * time.Second, Allowance: 12 * time.Millisecond}
+var exploring = Timing{Duration: 2 * time.Second, ClockAllowance: 12 * time.Millisecond}
 
 func (s *sequencer) Start(time.Duration) explorer.Out[word] { return explorer.Out[word]{} }
 
-func (s *sequencer) apply(now time.Duration, c Command) (answer Answer) {
+func (s *sequencer) apply(now time.Duration, c Command) (answer Result) {
 	s.place++
 	answer, changes := s.t.Apply(s.place, c)
 	for _, x := range changes {
@@ -217,7 +217,7 @@
 }
 
 func (s *sequencer) out(o explorer.Out[word]) explorer.Out[word] {
-	lease := exploring.Lease
+	lease := exploring.Duration
 	if s.flaw == noWait {
 		lease /= 2
 	}
@@ -230,18 +230,18 @@
 }
 
 func (s *sequencer) Receive(now time.Duration, from int, m word) explorer.Out[word] {
-	answer := s.apply(now, Command{Kind: m.Kind, Duty: "d", Who: Router{Name: fmt.Sprint(from), Boot: 1}, Token: m.Grant.Token})
+	answer := s.apply(now, Command{Kind: m.Kind, Role: "d", Router: Router{Name: fmt.Sprint(from), Boot: 1}, Token: m.Grant.Token})
 	return s.out(explorer.Out[word]{Send: []explorer.Send[word]{{To: from, Msg: word{m.Kind, m.Nth, answer.OK, answer.Grant}}}})
 }
 
 func (s *sequencer) Wake(now time.Duration) explorer.Out[word] {
-	lease := exploring.Lease
+	lease := exploring.Duration
 	if s.flaw == noWait {
 		lease /= 2
 	}
 	for _, g := range s.t.Grants() {
 		if now >= s.since[g.Token]+lease {
-			s.apply(now, Command{Kind: Expire, Duty: "d", Token: g.Token, Renewals: g.Renewals})
+			s.apply(now, Command{Kind: Expire, Role: "d", Token: g.Token, Renewals: g.Renewals})
 		}
 	}
 	return s.out(explorer.Out[word]{})
@@ -254,16 +254,16 @@
 
 // client wants the duty, renews it a lease later, and asks again while it has not.
 type client struct {
-	h    *Holder
+	h    *Lease
 	nth  int
 	sent map[int]time.Duration
 	flaw flaw
 }
 
-func (c *client) request(now time.Duration, kind Kind, g Grant) explorer.Out[word] {
+func (c *client) request(now time.Duration, kind CommandKind, g Grant) explorer.Out[word] {
 	c.nth++
 	c.sent[c.nth] = now
-	return explorer.Out[word]{Send: []explorer.Send[word]{{To: 0, Msg: word{Kind: kind, Nth: c.nth, Grant: g}}}, Wake: now + exploring.Lease}
+	return explorer.Out[word]{Send: []explorer.Send[word]{{To: 0, Msg: word{Kind: kind, Nth: c.nth, Grant: g}}}, Wake: now + exploring.Duration}
 }
 
 func (c *client) Start(now time.Duration) explorer.Out[word] { return c.request(now, Acquire, Grant{}) }
@@ -281,11 +281,11 @@
 	g, _ := c.h.Grant()
 	switch {
 	case m.OK:
-		c.h.Granted(sent, m.Grant)
+		c.h.Extend(sent, m.Grant)
 	case m.Kind == Renew:
-		c.h.Lost(g.Token)
+		c.h.Revoke(g.Token)
 	}
-	return explorer.Out[word]{Wake: now + exploring.Lease}
+	return explorer.Out[word]{Wake: now + exploring.Duration}
 }
 func (c *client) Write(h hash.Hash64) { fmt.Fprint(h, *c.h, c.nth, c.sent) }
 
@@ -300,21 +300,21 @@
 	}{{none, 6}, {noWait, 7}, {fromAnswer, 7}, {noAllowance, 7}} {
 		times := exploring
 		if x.flaw == noAllowance {
-			times.Allowance = 0
+			times.ClockAllowance = 0
 		}
 		q := explorer.Question[word]{Nodes: 3, Depth: x.depth, Skew: 5 * time.Millisecond, Budget: explorer.Budget{Losses: 1, Copies: 1, Pauses: 1}, States: 600_000,
 			Make: func(n, life int, _ explorer.Node[word]) explorer.Node[word] {
 				if n == 0 {
-					table, _ := NewTable([]Duty{{Name: "d"}}, 0)
+					table, _ := NewTable([]Role{{Name: "d"}}, 0)
 					return &sequencer{t: table, since: map[uint64]time.Duration{}, flaw: x.flaw}
 				}
-				return &client{h: NewHolder(times), sent: map[int]time.Duration{}, flaw: x.flaw}
+				return &client{h: NewLease(times), sent: map[int]time.Duration{}, flaw: x.flaw}
 			},
 			Holds: func(nodes []explorer.Node[word], now []time.Duration) error {
 				acts := 0
 				for i, n := range nodes[1:] {
 					if c, ok := n.(*client); ok {
-						if _, _, may := c.h.Begin(now[i+1]); may {
+						if _, _, may := c.h.Check(now[i+1]); may {
 							acts++
 						}
 					}
--- a/internal/router/lease/stored_test.go
+++ b/internal/router/lease/stored_test.go
@@ -13,22 +13,22 @@
 
 // goldenState has every field of a State.
 func goldenState() State {
-	return State{Token: 77, Duties: []SlotsState{
+	return State{Token: 77, Roles: []RoleState{
 		{
-			Duty: Duty{Name: "copier", Holders: 2, Zones: []string{"east", "west"}, ByZone: true},
-			Grants: []Grant{{Duty: "copier", Holder: Router{Name: "r1", Boot: 5, Zone: "east"}, Token: 76, Renewals: 12, Wish: Anybody, Why: InTurn, Pushed: true},
-				{Duty: "copier", Holder: Router{Name: "r2", Boot: 6, Zone: "west"}, Token: 75, Renewals: 1, Wish: "r3", Why: Asked, Pushed: true}},
-			Line: []Router{{Name: "r4", Boot: 8, Zone: "west"}},
-			Kept: []Kept{{To: "r3", Token: 74}},
+			Role: Role{Name: "copier", MaxHolders: 2, PreferredZones: []string{"east", "west"}, ByZone: true},
+			Grants: []Grant{{Role: "copier", Holder: Router{Name: "r1", Boot: 5, Zone: "east"}, Token: 76, Renewals: 12, TransferTo: AnyRouter, Reason: ReasonQueued, Unconfirmed: true},
+				{Role: "copier", Holder: Router{Name: "r2", Boot: 6, Zone: "west"}, Token: 75, Renewals: 1, TransferTo: "r3", Reason: ReasonAvailable, Unconfirmed: true}},
+			Queue:        []Router{{Name: "r4", Boot: 8, Zone: "west"}},
+			Reservations: []Reservation{{For: "r3", Token: 74}},
 		},
-		{Duty: Duty{Name: "scribe", Holders: 1, Zones: []string{"east"}}},
+		{Role: Role{Name: "scribe", MaxHolders: 1, PreferredZones: []string{"east"}}},
 	}}
 }
 
 // A table's state is read as it was written, and a table that is made of it has the same state.
 func TestGoldenState(t *testing.T) {
 	want := goldenState()
-	golden.Complete(t, want, "Duty.ByZone", "SlotsState.Grants", "SlotsState.Line", "SlotsState.Kept")
+	golden.Complete(t, want, "Role.ByZone", "RoleState.Grants", "RoleState.Queue", "RoleState.Reservations")
 	made, err := json.Marshal(want)
 	if err != nil {
 		t.Fatal(err)
@@ -41,7 +41,7 @@
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff(want, Restored(got).State()); diff != "" {
+	if diff := cmp.Diff(want, RestoreTable(got).State()); diff != "" {
 		t.Error(diff)
 	}
 }
@@ -49,9 +49,9 @@
 // Commands of every kind, as they stand in the log, are read as they were written.
 func TestGoldenCommands(t *testing.T) {
 	var want []Command
-	for _, kind := range []Kind{Acquire, Renew, Yield, HandOver, Expire, Forget, Wish, Define, Raise} {
-		want = append(want, Command{Kind: kind, Duty: "copier@east", Who: Router{Name: "r1", Boot: 5, Zone: "east"}, Token: 76, Renewals: 12, To: "r2",
-			With: &Duty{Name: "copier", Holders: 2, Zones: []string{"east"}, ByZone: true}})
+	for _, kind := range []CommandKind{Acquire, Renew, Release, Transfer, Expire, Dequeue, RequestTransfer, DefineRole, RaiseToken} {
+		want = append(want, Command{Kind: kind, Role: "copier@east", Router: Router{Name: "r1", Boot: 5, Zone: "east"}, Token: 76, Renewals: 12, To: "r2",
+			Definition: &Role{Name: "copier", MaxHolders: 2, PreferredZones: []string{"east"}, ByZone: true}})
 	}
 	golden.Complete(t, want, "Command.Kind")
 	made, err := json.Marshal(want)
@@ -70,7 +70,7 @@
 
 // The reasons that stand in grants are words that stay.
 func TestGoldenReasons(t *testing.T) {
-	made, err := json.Marshal([]Why{Asked, InTurn, Yielded, HandedOver, Expired, Again, Dropped})
+	made, err := json.Marshal([]Reason{ReasonAvailable, ReasonQueued, ReasonReleased, ReasonTransferred, ReasonExpired, ReasonRestarted, ReasonFailed})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/router/lease/types.go
+++ b/internal/router/lease/types.go
@@ -19,26 +19,26 @@
 
 // Bounds of what comes from outside.
 const (
-	MostDuties  = 64   // with each zone of such as are held by zone
-	MostHolders = 64   // of one duty at a time
-	MostVoters  = 16   // routers that may vote
-	MostWaiting = 1024 // for one duty
-	MostName    = 48   // bytes of a duty's, a router's or a zone's name
+	MaxRoles     = 64   // with each zone of such as are held by zone
+	MaxHolders   = 64   // of one duty at a time
+	MaxVoters    = 16   // routers that may vote
+	MaxQueued    = 1024 // for one duty
+	MaxNameBytes = 48   // bytes of a duty's, a router's or a zone's name
 )
 
 // Anybody is a wish that a holder may give a grant to whoever waits.
-const Anybody = "*"
+const AnyRouter = "*"
 
 // Duty is one kind of work.
-type Duty struct {
-	Name    string
-	Holders int      // at a time; 0 counts as 1
-	Zones   []string // whose routers are preferred among those who wait, in this order
-	ByZone  bool     // each zone has its own holders: what is asked for is "name@zone"
+type Role struct {
+	Name           string
+	MaxHolders     int      `json:"Holders"` // at a time; 0 counts as 1
+	PreferredZones []string `json:"Zones"`   // whose routers are preferred among those who wait, in this order
+	ByZone         bool     // each zone has its own holders: what is asked for is "name@zone"
 }
 
 // Of returns what a router of a zone asks for.
-func (d *Duty) Of(zone string) string {
+func (d *Role) NameIn(zone string) string {
 	if d.ByZone {
 		return d.Name + "@" + zone
 	}
@@ -54,92 +54,92 @@
 
 // Grant is a duty in somebody's hands.
 type Grant struct {
-	Duty     string
-	Holder   Router
-	Token    uint64
-	Renewals uint64 // so far
-	Wish     string // a router that operators want it to go to, or Anybody
-	Why      Why    // it was granted
-	Pushed   bool   // it came by itself and is not renewed yet: its holder may not know of it
+	Role        string `json:"Duty"`
+	Holder      Router
+	Token       uint64
+	Renewals    uint64 // so far
+	TransferTo  string `json:"Wish"`   // a router that operators want it to go to, or Anybody
+	Reason      Reason `json:"Why"`    // it was granted
+	Unconfirmed bool   `json:"Pushed"` // it came by itself and is not renewed yet: its holder may not know of it
 }
 
 // Kind is what a command does.
-type Kind uint8
+type CommandKind uint8
 
 // The kinds.
 const (
-	Acquire  Kind = iota // for Who: a grant if a slot is free, otherwise a place in the line
-	Renew                // Who still holds Token
-	Yield                // Who gives Token back
-	HandOver             // Who gives Token back, and its slot is To's for as long as that one is expected
-	Expire               // Token has had no renewal beyond Renewals for a whole lease, by the leader's clock
-	Forget               // Who waits no more, or To's slot is kept no more
-	Wish                 // operators want Token's holder to give it to To
-	Define               // the duty With is known from here on, as it says
-	Raise                // tokens begin above Token
+	Acquire         CommandKind = iota // for Who: a grant if a slot is free, otherwise a place in the line
+	Renew                              // Who still holds Token
+	Release                            // Who gives Token back
+	Transfer                           // Who gives Token back, and its slot is To's for as long as that one is expected
+	Expire                             // Token has had no renewal beyond Renewals for a whole lease, by the leader's clock
+	Dequeue                            // Who waits no more, or To's slot is kept no more
+	RequestTransfer                    // operators want Token's holder to give it to To
+	DefineRole                         // the duty With is known from here on, as it says
+	RaiseToken                         // tokens begin above Token
 )
 
 // Command is one step of the agreed sequence.
 type Command struct {
-	Kind     Kind
-	Duty     string
-	Who      Router
-	Token    uint64
-	Renewals uint64
-	To       string
-	With     *Duty // of Define
+	Kind       CommandKind
+	Role       string `json:"Duty"`
+	Router     Router `json:"Who"`
+	Token      uint64
+	Renewals   uint64
+	To         string
+	Definition *Role `json:"With"` // of Define
 }
 
 // Why is the reason for a change.
-type Why string
+type Reason string
 
 // The reasons.
 const (
-	Asked      Why = "asked"       // a slot was free
-	InTurn     Why = "in turn"     // one became free, and this router had waited
-	Yielded    Why = "yielded"     // given back
-	HandedOver Why = "handed over" // given back for a router that was named
-	Expired    Why = "expired"     // not renewed
-	Again      Why = "again"       // the same router, another process
-	Dropped    Why = "dropped"     // given back because the work failed
+	ReasonAvailable   Reason = "asked"       // a slot was free
+	ReasonQueued      Reason = "in turn"     // one became free, and this router had waited
+	ReasonReleased    Reason = "yielded"     // given back
+	ReasonTransferred Reason = "handed over" // given back for a router that was named
+	ReasonExpired     Reason = "expired"     // not renewed
+	ReasonRestarted   Reason = "again"       // the same router, another process
+	ReasonFailed      Reason = "dropped"     // given back because the work failed
 )
 
 // Change is what became of a grant.
 type Change struct {
 	Grant   Grant
 	Granted bool // or taken back
-	Why     Why
+	Reason  Reason
 }
 
 // Answer is what a command's sender is told.
-type Answer struct {
-	OK    bool
-	Waits bool   // of Acquire, if not OK: the router stands in line
-	Grant Grant  // of Acquire and Renew, if OK
-	Why   string // if not
+type Result struct {
+	OK      bool
+	Queued  bool   // of Acquire, if not OK: the router stands in line
+	Grant   Grant  // of Acquire and Renew, if OK
+	Refusal string // if not
 }
 
 // Times are a lease's.
-type Times struct {
-	Lease     time.Duration // on the voters' side
-	Allowance time.Duration // for clocks whose rates differ, and rounding
-	Margin    time.Duration // before the end, in which no work is begun and what is under way ends
+type Timing struct {
+	Duration       time.Duration // on the voters' side
+	ClockAllowance time.Duration // for clocks whose rates differ, and rounding
+	Margin         time.Duration // before the end, in which no work is begun and what is under way ends
 }
 
 // Rates is the most by which the rates of two clocks may differ.
-const Rates = 0.001
+const MaxClockDrift = 0.001
 
 // Usual is a lease of 2 s. Rates makes 2 ms of it, and five times that is allowed for.
-var Usual = Times{Lease: 2 * time.Second, Allowance: 10 * time.Millisecond, Margin: 100 * time.Millisecond}
+var DefaultTiming = Timing{Duration: 2 * time.Second, ClockAllowance: 10 * time.Millisecond, Margin: 100 * time.Millisecond}
 
 // Check tells what is wrong with times.
-func (t *Times) Check() error {
+func (t *Timing) Validate() error {
 	switch {
-	case t.Lease < 500*time.Millisecond || t.Lease > time.Minute:
-		return fmt.Errorf("a lease of %v; it must be from 500ms to 1m", t.Lease)
-	case float64(t.Allowance) < 2*Rates*float64(t.Lease):
-		return fmt.Errorf("an allowance of %v is less than twice what clocks may differ by in a lease", t.Allowance)
-	case t.Margin <= 0 || t.Margin > t.Lease/4:
+	case t.Duration < 500*time.Millisecond || t.Duration > time.Minute:
+		return fmt.Errorf("a lease of %v; it must be from 500ms to 1m", t.Duration)
+	case float64(t.ClockAllowance) < 2*MaxClockDrift*float64(t.Duration):
+		return fmt.Errorf("an allowance of %v is less than twice what clocks may differ by in a lease", t.ClockAllowance)
+	case t.Margin <= 0 || t.Margin > t.Duration/4:
 		return fmt.Errorf("a margin of %v; it must be more than nothing and at most a quarter of the lease", t.Margin)
 	}
 	return nil
--- a/internal/router/lease/wire.go
+++ b/internal/router/lease/wire.go
@@ -12,25 +12,25 @@
 //	request:  kind, number, command kind, duty, who (name, boot, zone), token, renewals, to
 //	reply:    kind, number, boot, flags, leader, grant, why
 //	push:     kind, 0, boot, flags, leader, grant
-const version = 3
+const wireVersion = 3
 
 // MostDatagram is the platform's bound, in bytes.
 const MostDatagram = 256
 
-type datagram uint8
+type datagramKind uint8
 
 const (
-	request datagram = iota
+	request datagramKind = iota
 	reply
-	push
-	datagrams
+	notification
+	datagramKinds
 )
 
 const (
-	saysOK = 1 << iota
-	saysWaits
-	saysNotLeader
-	saysPushed
+	flagOK = 1 << iota
+	flagQueued
+	flagNotLeader
+	flagUnconfirmed
 )
 
 // Request is what a router asks the voters.
@@ -45,150 +45,152 @@
 	Boot      uint32 // of the process that asked
 	NotLeader bool   // who answers decides nothing; Leader does
 	Leader    string // as far as known
-	Answer    Answer // Grant without its holder
+	Result    Result // Grant without its holder
 }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 var (
-	errShort   = errors.New("the datagram is cut")
-	errSum     = errors.New("the datagram's sum is wrong")
-	errVersion = errors.New("the datagram is of another version")
-	errField   = errors.New("the datagram has a field out of bounds")
+	errTruncated = errors.New("the datagram is cut")
+	errChecksum  = errors.New("the datagram's sum is wrong")
+	errVersion   = errors.New("the datagram is of another version")
+	errField     = errors.New("the datagram has a field out of bounds")
 )
 
 // IsOurs tells whether a datagram is one of this package's, by its first byte.
-func IsOurs(b []byte) bool { return len(b) > 0 && b[0]>>4 == version }
+func IsDatagram(b []byte) bool { return len(b) > 0 && b[0]>>4 == wireVersion }
 
-func begin(d datagram) []byte { return append(make([]byte, 0, 96), version<<4|byte(d)) }
+func newDatagram(d datagramKind) []byte { return append(make([]byte, 0, 96), wireVersion<<4|byte(d)) }
 
-func seal(b []byte) []byte { return binary.BigEndian.AppendUint32(b, crc32.Checksum(b, castagnoli)) }
+func appendChecksum(b []byte) []byte {
+	return binary.BigEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
+}
 
 func appendName(b []byte, s string) []byte { return append(append(b, byte(len(s))), s...) }
 
 // Append returns the datagram of a request. Names longer than MostName are no request.
-func (r *Request) Append() []byte {
+func (r *Request) Encode() []byte {
 	c := &r.Command
-	b := binary.AppendUvarint(begin(request), uint64(r.ID))
-	b = appendName(append(b, byte(c.Kind)), c.Duty)
-	b = binary.AppendUvarint(appendName(b, c.Who.Name), uint64(c.Who.Boot))
-	b = binary.AppendUvarint(appendName(b, c.Who.Zone), c.Token)
-	return seal(appendName(binary.AppendUvarint(b, c.Renewals), c.To))
+	b := binary.AppendUvarint(newDatagram(request), uint64(r.ID))
+	b = appendName(append(b, byte(c.Kind)), c.Role)
+	b = binary.AppendUvarint(appendName(b, c.Router.Name), uint64(c.Router.Boot))
+	b = binary.AppendUvarint(appendName(b, c.Router.Zone), c.Token)
+	return appendChecksum(appendName(binary.AppendUvarint(b, c.Renewals), c.To))
 }
 
 // Append returns the datagram of a reply.
-func (r *Reply) Append() []byte {
+func (r *Reply) Encode() []byte {
 	d, flags := reply, byte(0)
 	if r.ID == 0 {
-		d = push
+		d = notification
 	}
 	for _, x := range []struct {
 		on   bool
 		flag byte
-	}{{r.Answer.OK, saysOK}, {r.Answer.Waits, saysWaits}, {r.NotLeader, saysNotLeader}, {r.Answer.Grant.Pushed, saysPushed}} {
+	}{{r.Result.OK, flagOK}, {r.Result.Queued, flagQueued}, {r.NotLeader, flagNotLeader}, {r.Result.Grant.Unconfirmed, flagUnconfirmed}} {
 		if x.on {
 			flags |= x.flag
 		}
 	}
-	g := &r.Answer.Grant
-	b := binary.AppendUvarint(binary.AppendUvarint(begin(d), uint64(r.ID)), uint64(r.Boot))
-	b = appendName(appendName(append(b, flags), r.Leader), g.Duty)
+	g := &r.Result.Grant
+	b := binary.AppendUvarint(binary.AppendUvarint(newDatagram(d), uint64(r.ID)), uint64(r.Boot))
+	b = appendName(appendName(append(b, flags), r.Leader), g.Role)
 	b = binary.AppendUvarint(binary.AppendUvarint(b, g.Token), g.Renewals)
-	b = appendName(appendName(b, g.Wish), string(g.Why))
-	return seal(appendName(b, r.Answer.Why[:min(len(r.Answer.Why), MostName)]))
+	b = appendName(appendName(b, g.TransferTo), string(g.Reason))
+	return appendChecksum(appendName(b, r.Result.Refusal[:min(len(r.Result.Refusal), MaxNameBytes)]))
 }
 
 // reader takes fields off a datagram; the first that is wrong sticks.
-type reader struct {
-	b   []byte
-	err error
+type decoder struct {
+	rest []byte
+	err  error
 }
 
-func (r *reader) number(most uint64) uint64 {
-	n, size := binary.Uvarint(r.b)
+func (r *decoder) uvarint(most uint64) uint64 {
+	n, size := binary.Uvarint(r.rest)
 	if size <= 0 || n > most {
-		r.err, r.b = errField, nil
+		r.err, r.rest = errField, nil
 		return 0
 	}
-	r.b = r.b[size:]
+	r.rest = r.rest[size:]
 	return n
 }
 
-func (r *reader) byte() byte {
-	if len(r.b) == 0 {
+func (r *decoder) byte() byte {
+	if len(r.rest) == 0 {
 		r.err = errField
 		return 0
 	}
-	x := r.b[0]
-	r.b = r.b[1:]
+	x := r.rest[0]
+	r.rest = r.rest[1:]
 	return x
 }
 
-func (r *reader) name() string {
+func (r *decoder) name() string {
 	n := int(r.byte())
-	if n > MostName || n > len(r.b) {
-		r.err, r.b = errField, nil
+	if n > MaxNameBytes || n > len(r.rest) {
+		r.err, r.rest = errField, nil
 		return ""
 	}
-	s := string(r.b[:n])
-	r.b = r.b[n:]
+	s := string(r.rest[:n])
+	r.rest = r.rest[n:]
 	return s
 }
 
-func open(b []byte) (datagram, *reader, error) {
+func openDatagram(b []byte) (datagramKind, *decoder, error) {
 	switch {
 	case len(b) < 2+4:
-		return 0, nil, errShort
+		return 0, nil, errTruncated
 	case len(b) > MostDatagram:
 		return 0, nil, errField
-	case !IsOurs(b) || datagram(b[0]&15) >= datagrams:
+	case !IsDatagram(b) || datagramKind(b[0]&15) >= datagramKinds:
 		return 0, nil, errVersion
 	}
 	body := b[:len(b)-4]
 	if crc32.Checksum(body, castagnoli) != binary.BigEndian.Uint32(b[len(body):]) {
-		return 0, nil, errSum
+		return 0, nil, errChecksum
 	}
-	return datagram(b[0] & 15), &reader{b: body[1:]}, nil
+	return datagramKind(b[0] & 15), &decoder{rest: body[1:]}, nil
 }
 
 const (
-	most32 = 1<<32 - 1
-	most64 = 1<<64 - 1
+	maxUint32 = 1<<32 - 1
+	maxUint64 = 1<<64 - 1
 )
 
 // Read reads a datagram whole or not at all: a request or a reply.
-func Read(b []byte) (*Request, *Reply, error) {
-	d, r, err := open(b)
+func Decode(b []byte) (*Request, *Reply, error) {
+	d, r, err := openDatagram(b)
 	if err != nil {
 		return nil, nil, err
 	}
 	if d == request {
-		q := &Request{ID: uint32(r.number(most32))}
+		q := &Request{ID: uint32(r.uvarint(maxUint32))}
 		c := &q.Command
-		c.Kind, c.Duty = Kind(r.byte()), r.name()
-		c.Who = Router{Name: r.name(), Boot: uint32(r.number(most32))}
-		c.Who.Zone = r.name()
-		c.Token, c.Renewals, c.To = r.number(most64), r.number(most64), r.name()
-		if c.Kind > Wish || q.ID == 0 { // what follows is the voters' own
+		c.Kind, c.Role = CommandKind(r.byte()), r.name()
+		c.Router = Router{Name: r.name(), Boot: uint32(r.uvarint(maxUint32))}
+		c.Router.Zone = r.name()
+		c.Token, c.Renewals, c.To = r.uvarint(maxUint64), r.uvarint(maxUint64), r.name()
+		if c.Kind > RequestTransfer || q.ID == 0 { // what follows is the voters' own
 			r.err = errField
 		}
 		return q, nil, r.end()
 	}
-	p := &Reply{ID: uint32(r.number(most32)), Boot: uint32(r.number(most32))}
+	p := &Reply{ID: uint32(r.uvarint(maxUint32)), Boot: uint32(r.uvarint(maxUint32))}
 	flags := r.byte()
-	p.Leader, p.NotLeader = r.name(), flags&saysNotLeader != 0
-	p.Answer = Answer{OK: flags&saysOK != 0, Waits: flags&saysWaits != 0, Grant: Grant{Pushed: flags&saysPushed != 0}}
-	g := &p.Answer.Grant
-	g.Duty, g.Token, g.Renewals, g.Wish, g.Why = r.name(), r.number(most64), r.number(most64), r.name(), Why(r.name())
-	p.Answer.Why = r.name()
-	if (p.ID == 0) != (d == push) {
+	p.Leader, p.NotLeader = r.name(), flags&flagNotLeader != 0
+	p.Result = Result{OK: flags&flagOK != 0, Queued: flags&flagQueued != 0, Grant: Grant{Unconfirmed: flags&flagUnconfirmed != 0}}
+	g := &p.Result.Grant
+	g.Role, g.Token, g.Renewals, g.TransferTo, g.Reason = r.name(), r.uvarint(maxUint64), r.uvarint(maxUint64), r.name(), Reason(r.name())
+	p.Result.Refusal = r.name()
+	if (p.ID == 0) != (d == notification) {
 		r.err = errField
 	}
 	return nil, p, r.end()
 }
 
-func (r *reader) end() error {
-	if r.err == nil && len(r.b) > 0 {
+func (r *decoder) end() error {
+	if r.err == nil && len(r.rest) > 0 {
 		r.err = errField
 	}
 	return r.err
--- a/internal/router/mirror/mirror.go
+++ b/internal/router/mirror/mirror.go
@@ -41,9 +41,9 @@
 // Duties say who may copy where only one router does. Its methods wait for nothing.
 type Duties interface {
 	// Act is asked right before each copy is sent; it returns the token that the copy carries.
-	Act(duty string) (token uint64, within time.Duration, ok bool)
+	Check(duty string) (token uint64, within time.Duration, ok bool)
 	// Refused tells that a host has seen a higher token.
-	Refused(duty string, highest uint64)
+	TokenRejected(duty string, highest uint64)
 }
 
 // Use names who says who may copy, before the first Apply.
--- a/internal/router/mirror/pool.go
+++ b/internal/router/mirror/pool.go
@@ -412,13 +412,13 @@
 		duty := s.pool.duty
 		s.pool.unheard.Add(1)
 		defer s.pool.unheard.Add(-1)
-		token, _, ok := s.pool.m.o.Duties.Act(duty)
+		token, _, ok := s.pool.m.o.Duties.Check(duty)
 		if !ok || !s.pool.holds.Load() { // it was somebody's turn while the copy waited
 			heard()
 			left()
 			return routing.Head{Result: balance.NotSent}
 		}
-		msg = msg.Under(duty, token, func(highest uint64) { s.pool.m.o.Duties.Refused(duty, highest) })
+		msg = msg.Under(duty, token, func(highest uint64) { s.pool.m.o.Duties.TokenRejected(duty, highest) })
 	}
 	head := s.Servers.Schedule(ctx, deadline, to, msg, written)
 	heard()
--- a/internal/router/peering/duties.go
+++ b/internal/router/peering/duties.go
@@ -18,17 +18,17 @@
 )
 
 // DutiesConfig is what the duties of a router are told at their start.
-type DutiesConfig struct {
-	Self    lease.Router
-	Times   lease.Times
-	Duties  []lease.Duty
-	Voters  int
-	Replace time.Duration
-	Routers map[string]string // that may vote, with their addresses
-	Order   []string          // of their names
-	Listen  string            // of this router, where it may vote
-	Folder  string            // its durable folder; empty for a router that only asks
-	Seed    uint64
+type RolesConfig struct {
+	Self               lease.Router
+	Timing             lease.Timing
+	Roles              []lease.Role
+	Voters             int
+	ReplaceTimeout     time.Duration
+	CandidateAddresses map[string]string // that may vote, with their addresses
+	Candidates         []string          // of their names
+	Listen             string            // of this router, where it may vote
+	Folder             string            // its durable folder; empty for a router that only asks
+	Seed               uint64
 }
 
 // Work is done under a duty. It is told to begin with a context that ends before the lease does, at the latest, and is over when it returns;
@@ -36,119 +36,119 @@
 type Work func(ctx context.Context, token uint64) error
 
 // Duties drive a router's agent, and its voter if it has one.
-type Duties struct {
-	c    DutiesConfig
-	send func(to netip.AddrPort, data []byte)
-	log  routing.Logger
-	at   time.Time // with the monotonic clock, the only one that is asked
-
-	keeping sync.Mutex // of one record at a time
-
-	mu      sync.Mutex
-	agent   *lease.Agent
-	works   map[string]*work
-	duties  atomic.Pointer[[]lease.Duty]           // that there are
-	wishing map[uint32]chan lease.Answer           // that wait for their answers
-	keeps   func(token uint64, text []byte) uint64 // takes another's record; it returns a higher token that it has
-	wake    chan struct{}
-	view    atomic.Pointer[members.View]
-	ctx     context.Context // of the works
-	over    sync.WaitGroup
-
-	mayVote  bool
-	votes    atomic.Bool   // its store is open, and has not failed
-	voter    *quorum.Voter // its goroutine's alone, as is the store
-	store    *store
-	pace     pacing.Meter // of the voter's loop
-	lines    *lines
-	in       chan any
-	standing atomic.Pointer[Standing]
-	begins   atomic.Uint64
-	ends     atomic.Uint64
-	refused  atomic.Uint64
+type Roles struct {
+	config    RolesConfig
+	send      func(to netip.AddrPort, data []byte)
+	log       routing.Logger
+	startedAt time.Time // with the monotonic clock, the only one that is asked
+
+	recordMu sync.Mutex // of one record at a time
+
+	mu             sync.Mutex
+	agent          *lease.Agent
+	works          map[string]*roleWork
+	defined        atomic.Pointer[[]lease.Role]           // that there are
+	awaitedResults map[uint32]chan lease.Result           // that wait for their answers
+	keepRecord     func(token uint64, text []byte) uint64 // takes another's record; it returns a higher token that it has
+	wake           chan struct{}
+	view           atomic.Pointer[members.View]
+	workContext    context.Context // of the works
+	running        sync.WaitGroup
+
+	isCandidate  bool
+	voterRunning atomic.Bool   // its store is open, and has not failed
+	voter        *quorum.Voter // its goroutine's alone, as is the store
+	store        *store
+	loopPace     pacing.Meter // of the voter's loop
+	voterLink    *voterLink
+	voterEvents  chan any
+	voterStatus  atomic.Pointer[VoterStatus]
+	begun        atomic.Uint64
+	ended        atomic.Uint64
+	rejected     atomic.Uint64
 }
 
 // work is one duty's.
-type work struct {
-	do     Work
-	quit   context.CancelFunc // nil while nothing runs
-	timer  *time.Timer
-	to     string // where operators want the duty to go
-	wished bool
-	why    string          // the last end's
-	run    int             // how often it has begun
-	pause  time.Duration   // after the last end
-	waits  []chan struct{} // closed once it is held
+type roleWork struct {
+	do                Work
+	cancel            context.CancelFunc // nil while nothing runs
+	timer             *time.Timer
+	transferTo        string // where operators want the duty to go
+	transferRequested bool
+	lastEndReason     string          // the last end's
+	runs              int             // how often it has begun
+	retryDelay        time.Duration   // after the last end
+	waiters           []chan struct{} // closed once it is held
 }
 
 // Standing is what is known of duties at a voter.
-type Standing struct {
-	quorum.Standing
-	Rows []Row
-	Took time.Time
+type VoterStatus struct {
+	quorum.Status
+	Roles   []RoleStatus
+	TakenAt time.Time
 }
 
 // Row is one duty.
-type Row struct {
-	Duty    string
-	Holders int
-	Grants  []lease.Grant
-	Waiting int
-	Last    string // what changed last, and why
+type RoleStatus struct {
+	Role       string
+	MaxHolders int
+	Grants     []lease.Grant
+	Queued     int
+	LastChange string // what changed last, and why
 }
 
 // Work that fails is tried again after a time that doubles.
 const (
-	workAgain = time.Second
-	workMost  = time.Minute
+	minWorkRetryDelay = time.Second
+	maxWorkRetryDelay = time.Minute
 )
 
 // mostEvents bounds what waits for the voter; further messages are lost.
-const mostEvents = 512
+const maxVoterEvents = 512
 
 // NewDuties returns the duties of a router that does not run yet.
-func NewDuties(c DutiesConfig, send func(netip.AddrPort, []byte), log routing.Logger) (*Duties, error) {
-	d := &Duties{c: c, send: send, log: log, at: time.Now(), works: map[string]*work{}, wishing: map[uint32]chan lease.Answer{}, wake: make(chan struct{}, 1), in: make(chan any, mostEvents)}
-	err := d.Define(c.Duties)
+func NewRoles(c RolesConfig, send func(netip.AddrPort, []byte), log routing.Logger) (*Roles, error) {
+	d := &Roles{config: c, send: send, log: log, startedAt: time.Now(), works: map[string]*roleWork{}, awaitedResults: map[uint32]chan lease.Result{}, wake: make(chan struct{}, 1), voterEvents: make(chan any, maxVoterEvents)}
+	err := d.Define(c.Roles)
 	if err != nil {
 		return nil, err
 	}
-	if d.agent, err = lease.NewAgent(lease.AgentConfig{Self: c.Self, Times: c.Times, Voters: c.Order, Seed: c.Seed}); err != nil {
+	if d.agent, err = lease.NewAgent(lease.AgentConfig{Self: c.Self, Timing: c.Timing, Voters: c.Candidates, Seed: c.Seed}); err != nil {
 		return nil, err
 	}
-	if c.Folder == "" || !slices.Contains(c.Order, c.Self.Name) {
+	if c.Folder == "" || !slices.Contains(c.Candidates, c.Self.Name) {
 		return d, nil
 	}
-	d.mayVote = true
-	others := maps.Clone(c.Routers)
+	d.isCandidate = true
+	others := maps.Clone(c.CandidateAddresses)
 	delete(others, c.Self.Name)
-	d.lines = newLines(others, func(data []byte) {
-		if data[0] == recordMark {
-			d.recorded(data[1:])
+	d.voterLink = newVoterLink(others, func(data []byte) {
+		if data[0] == recordPrefix {
+			d.handleRecord(data[1:])
 			return
 		}
-		d.leave(quorum.Received{Data: data})
+		d.post(quorum.MessageReceived{Data: data})
 	})
 	return d, nil
 }
 
 // Define has there be these duties from here on. The voters agree on those that are new once their leader is told of them, so a router
 // that wants one may be told until then that there is no such duty, and asks again.
-func (d *Duties) Define(duties []lease.Duty) error {
+func (d *Roles) Define(duties []lease.Role) error {
 	if _, err := lease.NewTable(duties, 0); err != nil {
 		return err
 	}
-	d.duties.Store(&duties)
+	d.defined.Store(&duties)
 	return nil
 }
 
 // now is the time of the machine's monotonic clock since the process began.
-func (d *Duties) now() time.Duration { return time.Since(d.at) }
+func (d *Roles) now() time.Duration { return time.Since(d.startedAt) }
 
 // leave leaves something for the voter, unless too much waits.
-func (d *Duties) leave(e any) bool {
+func (d *Roles) post(e any) bool {
 	select {
-	case d.in <- e:
+	case d.voterEvents <- e:
 		return true
 	default:
 		return false
@@ -156,29 +156,29 @@
 }
 
 // Do has a router want a duty, with the work that is done under it.
-func (d *Duties) Do(name string, do Work) {
+func (d *Roles) Acquire(name string, do Work) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.works[name] == nil {
-		d.works[name] = &work{do: do}
+		d.works[name] = &roleWork{do: do}
 	}
-	d.carry(d.agent.Want(d.now(), name))
+	d.carryOutAgent(d.agent.Acquire(d.now(), name))
 }
 
 // Wait wants a duty and waits until it is held, or ctx ends.
-func (d *Duties) Wait(ctx context.Context, name string) error {
+func (d *Roles) AcquireAndWait(ctx context.Context, name string) error {
 	held := make(chan struct{})
 	d.mu.Lock()
 	w := d.works[name]
 	if w == nil {
-		w = &work{do: func(ctx context.Context, _ uint64) error { <-ctx.Done(); return nil }}
+		w = &roleWork{do: func(ctx context.Context, _ uint64) error { <-ctx.Done(); return nil }}
 		d.works[name] = w
 	}
-	if w.quit != nil {
+	if w.cancel != nil {
 		close(held)
 	} else {
-		w.waits = append(w.waits, held)
-		d.carry(d.agent.Want(d.now(), name))
+		w.waiters = append(w.waiters, held)
+		d.carryOutAgent(d.agent.Acquire(d.now(), name))
 	}
 	d.mu.Unlock()
 	select {
@@ -190,46 +190,46 @@
 }
 
 // GiveUp gives a duty, or the place in its line, back.
-func (d *Duties) GiveUp(name string) {
+func (d *Roles) Release(name string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.drop(name, "", 0)
+	d.release(name, "", 0)
 }
 
 // drop ends a duty's work, and gives it back. It is called with mu held.
-func (d *Duties) drop(name, to string, again time.Duration) {
-	d.carry(d.agent.Drop(d.now(), name, to, again))
+func (d *Roles) release(name, to string, again time.Duration) {
+	d.carryOutAgent(d.agent.Release(d.now(), name, to, again))
 	if w := d.works[name]; w != nil && again == 0 {
 		delete(d.works, name)
 	}
 }
 
 // Act is asked right before each act under a duty: it returns the token that the act must carry, and how long it may take.
-func (d *Duties) Act(name string) (token uint64, within time.Duration, ok bool) {
+func (d *Roles) Check(name string) (token uint64, within time.Duration, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.agent.Begin(d.now(), name)
+	return d.agent.Check(d.now(), name)
 }
 
 // carry carries out what the agent wants. It is called with mu held.
-func (d *Duties) carry(all []lease.Action) {
+func (d *Roles) carryOutAgent(all []lease.Action) {
 	for _, a := range all {
 		switch a := a.(type) {
-		case lease.Ask:
-			d.ask(a.To, a.Request)
-		case lease.Began:
-			d.begin(&a)
+		case lease.SendRequest:
+			d.sendRequest(a.To, a.Request)
+		case lease.Granted:
+			d.startWork(&a)
 		case lease.Ended:
-			d.end(a.Duty, a.Why)
-		case lease.Wished:
-			d.log.Info("duty wished elsewhere", "duty", a.Duty, "to", a.To)
-			w := d.works[a.Duty]
+			d.stopWork(a.Role, a.Reason)
+		case lease.TransferRequested:
+			d.log.Info("duty wished elsewhere", "duty", a.Role, "to", a.To)
+			w := d.works[a.Role]
 			if w == nil {
 				continue
 			}
-			w.to, w.wished = a.To, true
-			if w.quit != nil {
-				w.quit() // the duty goes on once the work is over
+			w.transferTo, w.transferRequested = a.To, true
+			if w.cancel != nil {
+				w.cancel() // the duty goes on once the work is over
 			}
 		}
 	}
@@ -240,79 +240,79 @@
 }
 
 // begin starts a duty's work, or lets it go on for longer.
-func (d *Duties) begin(a *lease.Began) {
-	w := d.works[a.Duty]
+func (d *Roles) startWork(a *lease.Granted) {
+	w := d.works[a.Role]
 	if w == nil {
 		return
 	}
-	if !a.New && w.quit != nil {
+	if !a.New && w.cancel != nil {
 		w.timer.Reset(a.Until - d.now())
 		return
 	}
-	d.begins.Add(1)
-	d.log.Info("duty begun", "duty", a.Duty, "token", a.Token)
-	ctx, quit := context.WithCancel(d.ctx)
-	w.quit, w.wished = quit, false
-	w.run++
-	run := w.run
+	d.begun.Add(1)
+	d.log.Info("duty begun", "duty", a.Role, "token", a.Token)
+	ctx, quit := context.WithCancel(d.workContext)
+	w.cancel, w.transferRequested = quit, false
+	w.runs++
+	run := w.runs
 	w.timer = time.AfterFunc(a.Until-d.now(), quit)
-	for _, c := range w.waits {
+	for _, c := range w.waiters {
 		close(c)
 	}
-	w.waits = nil
-	d.over.Add(1)
+	w.waiters = nil
+	d.running.Add(1)
 	go func() {
-		defer d.over.Done()
+		defer d.running.Done()
 		err := w.do(ctx, a.Token)
 		quit()
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		if d.works[a.Duty] != w || w.run != run || w.quit == nil {
+		if d.works[a.Role] != w || w.runs != run || w.cancel == nil {
 			return // it is over already
 		}
-		to, again := "", lease.Soon
-		if w.wished {
-			to = w.to
+		to, again := "", lease.ReacquireDelay
+		if w.transferRequested {
+			to = w.transferTo
 		}
 		if err != nil { // others may do better; this router asks again later and later
-			again = min(max(2*w.pause, workAgain), workMost)
-			d.log.Warn("duty given up", "duty", a.Duty, "again", again, "cause", err)
+			again = min(max(2*w.retryDelay, minWorkRetryDelay), maxWorkRetryDelay)
+			d.log.Warn("duty given up", "duty", a.Role, "again", again, "cause", err)
 		}
-		w.pause = again
-		d.drop(a.Duty, to, again)
+		w.retryDelay = again
+		d.release(a.Role, to, again)
 	}()
 }
 
-func (d *Duties) end(name, why string) {
+func (d *Roles) stopWork(name, why string) {
 	w := d.works[name]
-	if w == nil || w.quit == nil {
+	if w == nil || w.cancel == nil {
 		return
 	}
-	d.ends.Add(1)
+	d.ended.Add(1)
 	w.timer.Stop()
-	w.quit()
-	w.quit, w.why = nil, why
+	w.cancel()
+	w.cancel, w.lastEndReason = nil, why
 	if why != "given back" {
 		d.log.Warn("duty lost", "duty", name, "cause", why)
 	}
 }
 
 // ask sends a request to a router that may vote, or has the own voter take it.
-func (d *Duties) ask(to string, q *lease.Request) {
-	if to == d.c.Self.Name && d.votes.Load() {
-		d.leave(quorum.Asked{From: ownAgent, Request: q})
+func (d *Roles) sendRequest(to string, q *lease.Request) {
+	if to == d.config.Self.Name && d.voterRunning.Load() {
+		d.post(quorum.RequestReceived{From: localAgent, Request: q})
 		return
 	}
-	if at, ok := d.address(to); ok {
-		d.send(at, q.Append())
+	if at, ok := d.addressOf(to); ok {
+		d.send(at, q.Encode())
 	}
 }
 
 // ownAgent is whom the own voter answers, other than addresses.
-const ownAgent = "self"
+const localAgent = "self"
 
 // address is where the view has a router.
-func (d *Duties) address(name string) (netip.AddrPort, bool) {
+func (d *Roles) addressOf(name string) (netip.AddrPort, bool) {
 	if v := d.view.Load(); v != nil {
 		for i := range v.Members {
 			if v.Members[i].Name == name {
@@ -324,34 +324,34 @@
 }
 
 // Viewed takes the fleet view. It waits for nobody.
-func (d *Duties) Viewed(v *members.View) {
+func (d *Roles) UpdateView(v *members.View) {
 	d.view.Store(v)
-	if !d.votes.Load() {
+	if !d.voterRunning.Load() {
 		return
 	}
 	living := map[string]bool{}
 	for i := range v.Members {
 		living[v.Members[i].Name] = true
 	}
-	d.leave(quorum.View{Living: living})
+	d.post(quorum.Membership{Alive: living})
 }
 
 // Take takes a datagram.
-func (d *Duties) Take(from netip.AddrPort, data []byte) {
-	q, r, err := lease.Read(data)
+func (d *Roles) HandleDatagram(from netip.AddrPort, data []byte) {
+	q, r, err := lease.Decode(data)
 	switch {
 	case err != nil:
 	case q != nil:
-		if d.votes.Load() {
-			d.leave(quorum.Asked{From: from.String(), Request: q})
+		if d.voterRunning.Load() {
+			d.post(quorum.RequestReceived{From: from.String(), Request: q})
 		}
 	default:
-		d.heard(d.named(from), r)
+		d.handleReply(d.nameAt(from), r)
 	}
 }
 
 // named is the name of the router at an address, as the view has it.
-func (d *Duties) named(at netip.AddrPort) string {
+func (d *Roles) nameAt(at netip.AddrPort) string {
 	if v := d.view.Load(); v != nil {
 		for i := range v.Members {
 			if v.Members[i].Addr == at {
@@ -362,23 +362,23 @@
 	return ""
 }
 
-func (d *Duties) heard(from string, r *lease.Reply) {
+func (d *Roles) handleReply(from string, r *lease.Reply) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if said := d.wishing[r.ID]; said != nil && r.Boot == d.c.Self.Boot && !r.NotLeader {
+	if said := d.awaitedResults[r.ID]; said != nil && r.Boot == d.config.Self.Boot && !r.NotLeader {
 		select {
-		case said <- r.Answer:
+		case said <- r.Result:
 		default:
 		}
 		return
 	}
-	d.carry(d.agent.Heard(d.now(), from, r))
+	d.carryOutAgent(d.agent.HandleReply(d.now(), from, r))
 }
 
 // Run works until ctx ends; then it gives back what it holds, as far as that is quickly done.
-func (d *Duties) Run(ctx context.Context) {
-	if d.mayVote {
-		go d.vote(ctx)
+func (d *Roles) Run(ctx context.Context) {
+	if d.isCandidate {
+		go d.runVoter(ctx)
 	}
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -391,7 +391,7 @@
 		}
 		d.mu.Lock()
 		if next := d.agent.Next(); next != 0 && d.now() >= next {
-			d.carry(d.agent.Passed(d.now()))
+			d.carryOutAgent(d.agent.Tick(d.now()))
 		}
 		next := d.agent.Next()
 		d.mu.Unlock()
@@ -402,20 +402,20 @@
 }
 
 // Begin is called before anything else but NewDuties: works run until ctx ends.
-func (d *Duties) Begin(ctx context.Context) { d.ctx = ctx }
+func (d *Roles) SetWorkContext(ctx context.Context) { d.workContext = ctx }
 
 // Leave gives back all that is held and ends its work, and waits for that until ctx ends.
-func (d *Duties) Leave(ctx context.Context) {
+func (d *Roles) ReleaseAll(ctx context.Context) {
 	d.mu.Lock()
-	for _, name := range d.agent.Wants() {
-		d.drop(name, "", 0)
+	for _, name := range d.agent.Roles() {
+		d.release(name, "", 0)
 	}
 	d.mu.Unlock()
 	done := make(chan struct{})
-	go func() { d.over.Wait(); close(done) }()
+	go func() { d.running.Wait(); close(done) }()
 	for {
 		d.mu.Lock()
-		left := len(d.agent.Wants())
+		left := len(d.agent.Roles())
 		d.mu.Unlock()
 		if left == 0 {
 			break
--- a/internal/router/peering/duties_test.go
+++ b/internal/router/peering/duties_test.go
@@ -29,7 +29,7 @@
 	t       *testing.T
 	routers []*spot
 	may     int
-	duties  []lease.Duty
+	duties  []lease.Role
 	lease   time.Duration
 
 	mu    sync.Mutex
@@ -50,7 +50,7 @@
 	listen string
 	folder string
 	boot   uint32
-	d      *Duties
+	d      *Roles
 	stop   context.CancelFunc
 	conn   *net.UDPConn
 	lines  scripted.Lines
@@ -62,7 +62,7 @@
 
 func newSite(t *testing.T, routers, may int, leaseTime time.Duration) *site {
 	t.Helper()
-	s := &site{t: t, may: may, lease: leaseTime, duties: []lease.Duty{{Name: "work"}}}
+	s := &site{t: t, may: may, lease: leaseTime, duties: []lease.Role{{Name: "work"}}}
 	ip := net.IPv4(127, 79, 0, byte(sites.Add(1)))
 	for i := range routers {
 		p := &spot{n: i, folder: filepath.Join(t.TempDir(), "disk"), lines: make(scripted.Lines, 10_000)}
@@ -98,7 +98,7 @@
 	}
 	for _, p := range s.routers {
 		if p.d != nil {
-			p.d.Viewed(v)
+			p.d.UpdateView(v)
 		}
 	}
 }
@@ -106,12 +106,12 @@
 func (s *site) start(p *spot, wants bool) {
 	s.t.Helper()
 	p.boot++
-	c := DutiesConfig{Self: lease.Router{Name: fmt.Sprint("r", p.n), Boot: uint32(p.n)<<16 | p.boot, Zone: string(rune('a' + p.n%2))}, Times: lease.Usual, Duties: s.duties, Voters: 3,
-		Replace: 2 * time.Second, Routers: map[string]string{}, Seed: uint64(p.n) + 1}
-	c.Times.Lease = s.lease
+	c := RolesConfig{Self: lease.Router{Name: fmt.Sprint("r", p.n), Boot: uint32(p.n)<<16 | p.boot, Zone: string(rune('a' + p.n%2))}, Timing: lease.DefaultTiming, Roles: s.duties, Voters: 3,
+		ReplaceTimeout: 2 * time.Second, CandidateAddresses: map[string]string{}, Seed: uint64(p.n) + 1}
+	c.Timing.Duration = s.lease
 	for _, x := range s.routers[:s.may] {
-		c.Order = append(c.Order, fmt.Sprint("r", x.n))
-		c.Routers[fmt.Sprint("r", x.n)] = x.listen
+		c.Candidates = append(c.Candidates, fmt.Sprint("r", x.n))
+		c.CandidateAddresses[fmt.Sprint("r", x.n)] = x.listen
 	}
 	if p.n < s.may {
 		c.Listen, c.Folder = p.listen, p.folder
@@ -121,7 +121,7 @@
 		s.t.Fatal(err)
 	}
 	conn := p.conn
-	if p.d, err = NewDuties(c, func(to netip.AddrPort, data []byte) {
+	if p.d, err = NewRoles(c, func(to netip.AddrPort, data []byte) {
 		s.sent.Add(1)
 		conn.WriteToUDPAddrPort(data, to)
 	}, p.lines); err != nil {
@@ -130,7 +130,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	p.stop = stop
 	d := p.d
-	d.Begin(ctx)
+	d.SetWorkContext(ctx)
 	go func() {
 		var buf [300]byte
 		for {
@@ -138,13 +138,13 @@
 			if err != nil {
 				return
 			}
-			d.Take(from, buf[:n])
+			d.HandleDatagram(from, buf[:n])
 		}
 	}()
 	s.tell()
 	go d.Run(ctx)
 	if wants {
-		d.Do("work", s.work(p))
+		d.Acquire("work", s.work(p))
 	}
 }
 
@@ -169,7 +169,7 @@
 	s.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), scripted.Patience)
 	defer cancel()
-	if err := at.d.Wish(ctx, "work", fmt.Sprint("r", to), 0); err != nil {
+	if err := at.d.RequestTransfer(ctx, "work", fmt.Sprint("r", to), 0); err != nil {
 		s.t.Error(err)
 	}
 }
@@ -193,7 +193,7 @@
 func TestDutiesByToken(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 4, 3, 2*time.Second)
-	s.duties = []lease.Duty{{Name: "work", Holders: 2}}
+	s.duties = []lease.Role{{Name: "work", MaxHolders: 2}}
 	for _, p := range s.routers {
 		s.start(p, true)
 	}
@@ -204,26 +204,26 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 4*scripted.Patience)
 	defer cancel()
-	if err := s.routers[0].d.Wish(ctx, "work", fmt.Sprint("r", to), held[1].token); err != nil {
+	if err := s.routers[0].d.RequestTransfer(ctx, "work", fmt.Sprint("r", to), held[1].token); err != nil {
 		t.Fatal(err)
 	}
 	s.open(2, func(now []span) bool { return now[0] == held[0] && now[1].who == to })
-	if err := s.routers[0].d.Wish(ctx, "work", fmt.Sprint("r", to), 1); err == nil || !strings.Contains(err.Error(), "nobody holds it") {
+	if err := s.routers[0].d.RequestTransfer(ctx, "work", fmt.Sprint("r", to), 1); err == nil || !strings.Contains(err.Error(), "nobody holds it") {
 		t.Errorf("a wish for a token that nobody has: %v", err)
 	}
 
 	last := s.routers[3].d
-	if err := last.Wish(ctx, "later", "r0", 0); err == nil || !strings.Contains(err.Error(), "no such duty") {
+	if err := last.RequestTransfer(ctx, "later", "r0", 0); err == nil || !strings.Contains(err.Error(), "no such duty") {
 		t.Errorf("a duty that is not there yet: %v", err)
 	}
 	begun := make(chan uint64, 8)
-	last.Do("later", func(ctx context.Context, token uint64) error {
+	last.Acquire("later", func(ctx context.Context, token uint64) error {
 		begun <- token
 		<-ctx.Done()
 		return nil
 	})
 	for _, p := range s.routers {
-		if err := p.d.Define(append(slices.Clone(s.duties), lease.Duty{Name: "later"})); err != nil {
+		if err := p.d.Define(append(slices.Clone(s.duties), lease.Role{Name: "later"})); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -235,7 +235,7 @@
 	case <-ctx.Done():
 		t.Error("the duty that came later is not begun")
 	}
-	if err := last.Define([]lease.Duty{{Name: "a b"}}); err == nil {
+	if err := last.Define([]lease.Role{{Name: "a b"}}); err == nil {
 		t.Error("a duty whose name has a space was taken")
 	}
 }
@@ -249,10 +249,10 @@
 	p.stop()
 	d := p.d
 	p.d = nil
-	d.over.Wait()
-	if d.mayVote {
+	d.running.Wait()
+	if d.isCandidate {
 		for end := time.Now().Add(scripted.Patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-			if f, err := durable.Lock(p.folder, storeLock); err == nil { // its voter has ended
+			if f, err := durable.Lock(p.folder, storeLockName); err == nil { // its voter has ended
 				f.Close()
 				break
 			}
@@ -278,10 +278,10 @@
 	}
 	for _, p := range s.routers {
 		if p.d != nil {
-			if st := p.d.Standing(); st != nil {
-				s.t.Logf("r%d: %+v", p.n, st.Rows)
+			if st := p.d.VoterStatus(); st != nil {
+				s.t.Logf("r%d: %+v", p.n, st.Roles)
 			}
-			s.t.Logf("r%d: %+v", p.n, p.d.Own())
+			s.t.Logf("r%d: %+v", p.n, p.d.LocalRoles())
 		}
 	}
 	s.t.Fatal("nobody holds the duty")
@@ -297,7 +297,7 @@
 			if p.d == nil {
 				continue
 			}
-			if st := p.d.Standing(); st != nil && st.Leader != "" {
+			if st := p.d.VoterStatus(); st != nil && st.Leader != "" {
 				said[st.Leader]++
 			}
 		}
@@ -438,7 +438,7 @@
 	s := newSite(t, 3, 3, 2*time.Second)
 	s.duties = nil
 	for i := range 16 {
-		s.duties = append(s.duties, lease.Duty{Name: fmt.Sprint("work-", i)})
+		s.duties = append(s.duties, lease.Role{Name: fmt.Sprint("work-", i)})
 	}
 	for _, p := range s.routers {
 		s.start(p, false)
@@ -454,25 +454,25 @@
 	for i := range n {
 		name := fmt.Sprint("work-", i%16) // one that was given back is not asked for at once
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
-		if err := d.Wait(ctx, name); err != nil {
+		if err := d.AcquireAndWait(ctx, name); err != nil {
 			t.Fatalf("change %d: %v", i, err)
 		}
 		cancel()
-		d.GiveUp(name)
+		d.Release(name)
 	}
 	took := time.Since(begun)
 	lead := s.routers[s.leader()]
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
-	info, err := os.Stat(filepath.Join(lead.folder, storeFile))
+	info, err := os.Stat(filepath.Join(lead.folder, storeFileName))
 	if err != nil {
 		t.Fatal(err)
 	}
-	st := lead.d.Standing()
+	st := lead.d.VoterStatus()
 	t.Logf("%d times taken and given back in %v: three voters in one process hold %d kB, the leader's file has %d kB, %d commands in its log, %d snapshots", n,
-		took.Round(time.Millisecond), m.HeapAlloc>>10, info.Size()>>10, st.Log, st.Figures.Snapshots)
-	if st.Log > 2500 || info.Size() > 4<<20 || m.HeapAlloc > 32<<20 {
+		took.Round(time.Millisecond), m.HeapAlloc>>10, info.Size()>>10, st.LogEntries, st.Counters.Snapshots)
+	if st.LogEntries > 2500 || info.Size() > 4<<20 || m.HeapAlloc > 32<<20 {
 		t.Error("more than is allowed")
 	}
 }
@@ -538,7 +538,7 @@
 func (s *site) waiting(n int) {
 	s.t.Helper()
 	for end := time.Now().Add(4 * scripted.Patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if own := s.routers[n].d.Own(); len(own) > 0 && own[0].Waits {
+		if own := s.routers[n].d.LocalRoles(); len(own) > 0 && own[0].Queued {
 			return
 		}
 	}
--- a/internal/router/peering/dutycalls.go
+++ b/internal/router/peering/dutycalls.go
@@ -12,27 +12,27 @@
 )
 
 // Standing is what the own voter knows, nil where there is none.
-func (d *Duties) Standing() *Standing { return d.standing.Load() }
+func (d *Roles) VoterStatus() *VoterStatus { return d.voterStatus.Load() }
 
 // Own is a duty that this router holds or wants.
-type Own struct {
-	Duty  string
-	Token uint64 // 0 while it is only wanted
-	Left  time.Duration
-	Waits bool   // in line, as the voters have said
-	Last  string // why it was lost last
+type LocalRole struct {
+	Role          string
+	Token         uint64 // 0 while it is only wanted
+	Remaining     time.Duration
+	Queued        bool   // in line, as the voters have said
+	LastEndReason string // why it was lost last
 }
 
 // Own are this router's duties, by name.
-func (d *Duties) Own() (all []Own) {
+func (d *Roles) LocalRoles() (all []LocalRole) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, name := range d.agent.Wants() {
-		o := Own{Duty: name}
-		o.Token, o.Left = d.agent.Held(d.now(), name)
-		o.Waits = d.agent.Waits(name)
+	for _, name := range d.agent.Roles() {
+		o := LocalRole{Role: name}
+		o.Token, o.Remaining = d.agent.Remaining(d.now(), name)
+		o.Queued = d.agent.Queued(name)
 		if w := d.works[name]; w != nil {
-			o.Last = w.why
+			o.LastEndReason = w.lastEndReason
 		}
 		all = append(all, o)
 	}
@@ -40,70 +40,70 @@
 }
 
 // Voters are the routers that may vote.
-func (d *Duties) Voters() []string { return d.c.Order }
+func (d *Roles) Candidates() []string { return d.config.Candidates }
 
 // Leader is the router that the agent asks first.
-func (d *Duties) Leader() string {
+func (d *Roles) Leader() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.agent.Leader()
 }
 
 // Seen is the largest token that this router has been told of.
-func (d *Duties) Seen() uint64 {
+func (d *Roles) HighestToken() uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.agent.Seen()
+	return d.agent.HighestToken()
 }
 
 // DutyFigures are counters.
-type DutyFigures struct {
-	Held, Wanted            int
-	Begun, Ended, Refused   uint64
-	Sent, Taken             uint64
-	Stopped                 bool
-	Commands, Elections     uint64
-	Term, Index, Log, Token uint64
+type RoleCounters struct {
+	Leased, Requested              int
+	Begun, Ended, Rejected         uint64
+	Sent, Received                 uint64
+	Leaderless                     bool
+	Commands, Elections            uint64
+	Term, Index, LogEntries, Token uint64
 }
 
 // Figures returns the counters.
-func (d *Duties) Figures() DutyFigures {
-	f := DutyFigures{Begun: d.begins.Load(), Ended: d.ends.Load(), Refused: d.refused.Load()}
-	for _, o := range d.Own() {
-		if f.Wanted++; o.Token != 0 {
-			f.Held++
+func (d *Roles) Counters() RoleCounters {
+	f := RoleCounters{Begun: d.begun.Load(), Ended: d.ended.Load(), Rejected: d.rejected.Load()}
+	for _, o := range d.LocalRoles() {
+		if f.Requested++; o.Token != 0 {
+			f.Leased++
 		}
 	}
 	d.mu.Lock()
-	f.Sent, f.Taken, f.Token = d.agent.Sent, d.agent.Taken, d.agent.Seen()
+	f.Sent, f.Received, f.Token = d.agent.RequestsSent, d.agent.RepliesReceived, d.agent.HighestToken()
 	d.mu.Unlock()
-	if s := d.standing.Load(); s != nil {
-		f.Stopped, f.Term, f.Index, f.Log, f.Token = s.Stopped, s.Term, s.Index, s.Log, max(f.Token, s.Token)
-		f.Commands, f.Elections = s.Figures.Commands, s.Figures.Elections
+	if s := d.voterStatus.Load(); s != nil {
+		f.Leaderless, f.Term, f.Index, f.LogEntries, f.Token = s.Leaderless, s.Term, s.Index, s.LogEntries, max(f.Token, s.HighestToken)
+		f.Commands, f.Elections = s.Counters.Commands, s.Counters.Elections
 	}
 	return f
 }
 
 // question has the voter take an event for the operators.
-func (d *Duties) question(ctx context.Context, e quorum.Event) (string, error) {
-	if !d.votes.Load() {
+func (d *Roles) askVoter(ctx context.Context, e quorum.Event) (string, error) {
+	if !d.voterRunning.Load() {
 		return "", ErrNoVoter
 	}
-	a := &asking{event: e, done: make(chan struct{})}
-	if !d.leave(a) {
+	a := &voterQuery{event: e, done: make(chan struct{})}
+	if !d.post(a) {
 		return "", errBusy
 	}
 	select {
 	case <-a.done:
-		return a.said, nil
+		return a.refusal, nil
 	case <-ctx.Done():
 		return "", ctx.Err()
 	}
 }
 
 // Rebuild founds duties anew.
-func (d *Duties) Rebuild(ctx context.Context, gone []string) error {
-	why, err := d.question(ctx, quorum.Rebuild{Gone: gone})
+func (d *Roles) Rebuild(ctx context.Context, gone []string) error {
+	why, err := d.askVoter(ctx, quorum.Rebuild{LostRouters: gone})
 	if err == nil && why != "" {
 		err = errors.New(why)
 	}
@@ -111,34 +111,34 @@
 }
 
 // wishes numbers the operators' requests.
-var wishes atomic.Uint32
+var transferRequests atomic.Uint32
 
 // Wish has the holder of a duty give it to another router, or to whoever waits: of several the one with that token, 0 for the first. It is asked of all that may vote until their leader has
 // agreed on it with the others, or ctx ends.
-func (d *Duties) Wish(ctx context.Context, name, to string, token uint64) error {
-	if len(name) > lease.MostName || len(to) > lease.MostName {
-		return fmt.Errorf("a duty's and a router's name have %d bytes at most", lease.MostName)
+func (d *Roles) RequestTransfer(ctx context.Context, name, to string, token uint64) error {
+	if len(name) > lease.MaxNameBytes || len(to) > lease.MaxNameBytes {
+		return fmt.Errorf("a duty's and a router's name have %d bytes at most", lease.MaxNameBytes)
 	}
-	q := &lease.Request{ID: 1<<31 | wishes.Add(1), Command: lease.Command{Kind: lease.Wish, Duty: name, To: to, Token: token, Who: d.c.Self}}
-	said := make(chan lease.Answer, 1)
+	q := &lease.Request{ID: 1<<31 | transferRequests.Add(1), Command: lease.Command{Kind: lease.RequestTransfer, Role: name, To: to, Token: token, Router: d.config.Self}}
+	said := make(chan lease.Result, 1)
 	d.mu.Lock()
-	d.wishing[q.ID] = said
+	d.awaitedResults[q.ID] = said
 	d.mu.Unlock()
 	defer func() {
 		d.mu.Lock()
-		delete(d.wishing, q.ID)
+		delete(d.awaitedResults, q.ID)
 		d.mu.Unlock()
 	}()
-	again := time.NewTicker(wishAgain)
+	again := time.NewTicker(transferRetryInterval)
 	defer again.Stop()
 	for {
-		for _, router := range d.c.Order {
-			d.ask(router, q)
+		for _, router := range d.config.Candidates {
+			d.sendRequest(router, q)
 		}
 		select {
 		case a := <-said:
 			if !a.OK {
-				return errors.New(a.Why)
+				return errors.New(a.Refusal)
 			}
 			return nil
 		case <-again.C:
@@ -149,4 +149,4 @@
 }
 
 // wishAgain is how long a wish waits for its answer before it is sent again.
-const wishAgain = 200 * time.Millisecond
+const transferRetryInterval = 200 * time.Millisecond
--- a/internal/router/peering/golden_test.go
+++ b/internal/router/peering/golden_test.go
@@ -30,20 +30,20 @@
 	}
 	own := free.Addr().String()
 	free.Close()
-	d, err := NewDuties(DutiesConfig{Self: lease.Router{Name: "router-1", Boot: 1}, Times: lease.Usual, Duties: []lease.Duty{{Name: ScribeDuty}}, Voters: 1,
-		Routers: map[string]string{"router-1": own, "router-2": ln.Addr().String()}, Order: []string{"router-1", "router-2"}, Listen: own, Folder: t.TempDir()},
+	d, err := NewRoles(RolesConfig{Self: lease.Router{Name: "router-1", Boot: 1}, Timing: lease.DefaultTiming, Roles: []lease.Role{{Name: ScribeRole}}, Voters: 1,
+		CandidateAddresses: map[string]string{"router-1": own, "router-2": ln.Addr().String()}, Candidates: []string{"router-1", "router-2"}, Listen: own, Folder: t.TempDir()},
 		nil, make(scripted.Lines, 100))
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	if err := d.lines.listen(ctx, own); err != nil {
+	if err := d.voterLink.listen(ctx, own); err != nil {
 		t.Fatal(err)
 	}
-	d.sendRecord("router-2", record{From: "router-1", Token: 1 << 40, Text: json.RawMessage(`{"a":[1,2]}`)})
-	d.sendRecord("router-2", record{From: "router-1", Token: 7})
-	d.lines.send("router-2", []byte(`{"v":1}`))
+	d.sendRecord("router-2", fleetRecord{From: "router-1", Token: 1 << 40, Text: json.RawMessage(`{"a":[1,2]}`)})
+	d.sendRecord("router-2", fleetRecord{From: "router-1", Token: 7})
+	d.voterLink.send("router-2", []byte(`{"v":1}`))
 	c, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -69,7 +69,7 @@
 		text  string
 	}
 	came := make(chan kept, 1)
-	d.Keeps(func(token uint64, text []byte) uint64 {
+	d.OnRecord(func(token uint64, text []byte) uint64 {
 		came <- kept{token, string(text)}
 		return token
 	})
--- a/internal/router/peering/gossip.go
+++ b/internal/router/peering/gossip.go
@@ -20,35 +20,35 @@
 )
 
 // mostDatagram is the platform's bound. One byte more is read, so that a longer datagram is not taken for a whole one.
-const mostDatagram = 256
+const maxDatagramBytes = 256
 
 // Gossip exchanges datagrams with the other routers. What to tell and to believe is not decided here.
 type Gossip struct {
-	listen *net.UDPAddr
-	conn   atomic.Pointer[net.UDPConn] // nil while the address is another's
-	peers  []netip.AddrPort
-	number map[netip.AddrPort]int
-	log    routing.Logger
-
-	members func(from netip.AddrPort, data []byte) // takes those of the fleet view; nil where it is off
-	duties  func(from netip.AddrPort, data []byte) // takes those of duties, likewise
-	words   func(from netip.AddrPort, data []byte) // takes those of routers that come back, likewise
-
-	unread atomic.Uint64 // datagrams dropped: cut, of another version, from a stranger
-	unsent atomic.Uint64
+	listen      *net.UDPAddr
+	conn        atomic.Pointer[net.UDPConn] // nil while the address is another's
+	peers       []netip.AddrPort
+	peerNumbers map[netip.AddrPort]int
+	log         routing.Logger
+
+	handleMembers  func(from netip.AddrPort, data []byte) // takes those of the fleet view; nil where it is off
+	handleRoles    func(from netip.AddrPort, data []byte) // takes those of duties, likewise
+	handleRecovery func(from netip.AddrPort, data []byte) // takes those of routers that come back, likewise
+
+	dropped atomic.Uint64 // datagrams dropped: cut, of another version, from a stranger
+	notSent atomic.Uint64
 }
 
 // NewGossip listens at an address for what the peers, in the order of their numbers, send. Where the address may still be
 // that of a process about to be replaced, one that is in use is no error: Run takes it over.
 func NewGossip(listen string, peers []string, takesOver bool, log routing.Logger) (*Gossip, error) {
-	g := &Gossip{number: map[netip.AddrPort]int{}, log: log}
+	g := &Gossip{peerNumbers: map[netip.AddrPort]int{}, log: log}
 	for i, p := range peers {
 		addr, err := netip.ParseAddrPort(p)
 		if err != nil {
 			return nil, err
 		}
 		g.peers = append(g.peers, addr)
-		g.number[addr] = i
+		g.peerNumbers[addr] = i
 	}
 	var err error
 	if g.listen, err = net.ResolveUDPAddr("udp4", listen); err != nil {
@@ -69,15 +69,15 @@
 }
 
 const (
-	takeOverEvery = 50 * time.Millisecond
-	takeOverIn    = 10 * time.Second // a process that is replaced has left by then
+	takeOverInterval = 50 * time.Millisecond
+	takeOverTimeout  = 10 * time.Second // a process that is replaced has left by then
 )
 
 // takeOver waits for the address, and tells if it takes too long.
 func (g *Gossip) takeOver(ctx context.Context) {
-	ticker := time.NewTicker(takeOverEvery)
+	ticker := time.NewTicker(takeOverInterval)
 	defer ticker.Stop()
-	late := time.Now().Add(takeOverIn)
+	late := time.Now().Add(takeOverTimeout)
 	for g.conn.Load() == nil {
 		select {
 		case <-ctx.Done():
@@ -99,7 +99,7 @@
 		return
 	}
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	var buf [mostDatagram + 1]byte
+	var buf [maxDatagramBytes + 1]byte
 	for {
 		n, from, err := conn.ReadFromUDPAddrPort(buf[:])
 		if errors.Is(err, net.ErrClosed) {
@@ -109,19 +109,19 @@
 			g.drop(from, err)
 			continue
 		}
-		if g.members != nil && members.IsDatagram(buf[:n]) {
-			g.members(netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), buf[:n])
+		if g.handleMembers != nil && members.IsDatagram(buf[:n]) {
+			g.handleMembers(netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), buf[:n])
 			continue
 		}
-		if g.duties != nil && lease.IsOurs(buf[:n]) {
-			g.duties(netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), buf[:n])
+		if g.handleRoles != nil && lease.IsDatagram(buf[:n]) {
+			g.handleRoles(netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), buf[:n])
 			continue
 		}
-		if g.words != nil && recovery.IsOurs(buf[:n]) {
-			g.words(netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), buf[:n])
+		if g.handleRecovery != nil && recovery.IsDatagram(buf[:n]) {
+			g.handleRecovery(netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), buf[:n])
 			continue
 		}
-		i, known := g.number[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
+		i, known := g.peerNumbers[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 		if !known {
 			g.drop(from, errStranger)
 			continue
@@ -139,50 +139,54 @@
 
 // drop counts a datagram that tells nothing, and logs the first: routers of different versions would send many.
 func (g *Gossip) drop(from netip.AddrPort, why error) {
-	if g.unread.Add(1) == 1 {
+	if g.dropped.Add(1) == 1 {
 		g.log.Warn("datagram dropped", "from", from, "cause", why)
 	}
 }
 
 // Tell sends reports to the routers of the numbers given. It waits for nobody: what can't be sent now is lost.
-func (g *Gossip) Tell(t balance.Tell) {
+func (g *Gossip) SendReports(t balance.Tell) {
 	conn := g.conn.Load()
 	if conn == nil {
-		g.unsent.Add(1)
+		g.notSent.Add(1)
 		return
 	}
-	var buffer [mostDatagram]byte
+	var buffer [maxDatagramBytes]byte
 	text := protocol.AppendPeerReports(buffer[:0], t.Zone, t.Reports)
 	for _, i := range t.To {
 		if i < 0 || i >= len(g.peers) {
 			continue
 		}
 		if _, err := conn.WriteToUDPAddrPort(text, g.peers[i]); err != nil {
-			g.unsent.Add(1)
+			g.notSent.Add(1)
 		}
 	}
 }
 
 // Members has datagrams of the fleet view be given to take, which must not keep them. It is called before Run.
-func (g *Gossip) Members(take func(from netip.AddrPort, data []byte)) { g.members = take }
+func (g *Gossip) OnMembersDatagram(take func(from netip.AddrPort, data []byte)) {
+	g.handleMembers = take
+}
 
 // Duties has datagrams of duties be given to take, likewise.
-func (g *Gossip) Duties(take func(from netip.AddrPort, data []byte)) { g.duties = take }
+func (g *Gossip) OnRolesDatagram(take func(from netip.AddrPort, data []byte)) { g.handleRoles = take }
 
 // Words has datagrams of routers that come back be given to take, likewise.
-func (g *Gossip) Words(take func(from netip.AddrPort, data []byte)) { g.words = take }
+func (g *Gossip) OnRecoveryDatagram(take func(from netip.AddrPort, data []byte)) {
+	g.handleRecovery = take
+}
 
 // Send sends a datagram to an address. What can't be sent now is lost.
 func (g *Gossip) Send(to netip.AddrPort, data []byte) {
 	conn := g.conn.Load()
 	if conn == nil {
-		g.unsent.Add(1)
+		g.notSent.Add(1)
 		return
 	}
 	if _, err := conn.WriteToUDPAddrPort(data, to); err != nil {
-		g.unsent.Add(1)
+		g.notSent.Add(1)
 	}
 }
 
 // Dropped returns how many datagrams could not be read, and how many could not be sent.
-func (g *Gossip) Dropped() (unread, unsent uint64) { return g.unread.Load(), g.unsent.Load() }
+func (g *Gossip) Dropped() (unread, unsent uint64) { return g.dropped.Load(), g.notSent.Load() }
--- a/internal/router/peering/gossip_test.go
+++ b/internal/router/peering/gossip_test.go
@@ -65,7 +65,7 @@
 		t.Errorf("%d dropped and counted, want 5", unread)
 	}
 
-	g.Tell(balance.Tell{To: []int{1, 9, -1}, Zone: 3, Reports: reports})
+	g.SendReports(balance.Tell{To: []int{1, 9, -1}, Zone: 3, Reports: reports})
 	buf := make([]byte, 300)
 	n, _, err := peer.ReadFromUDP(buf)
 	if err != nil || !cmp.Equal(buf[:n], good) {
@@ -108,7 +108,7 @@
 	defer stop()
 	heard := make(chan balance.Heard, 10)
 	go g.Run(ctx, func(h balance.Heard) { heard <- h })
-	g.Tell(balance.Tell{To: []int{1}})
+	g.SendReports(balance.Tell{To: []int{1}})
 	if _, unsent := g.Dropped(); unsent != 1 {
 		t.Errorf("%d words unsent while the address is another's, want 1", unsent)
 	}
--- a/internal/router/peering/store.go
+++ b/internal/router/peering/store.go
@@ -22,23 +22,23 @@
 
 // storeFile is a voter's file in its durable folder; what could not be read is set aside under a second name, one at a time.
 const (
-	storeFile  = "voter.db"
-	storeAside = "voter.db.unread"
-	storeLock  = "voter.lock"
-	storeFor   = time.Second // for a lock that the engine below takes itself
-	storeGrows = 64 << 10    // bytes at a time
+	storeFileName       = "voter.db"
+	unreadStoreFileName = "voter.db.unread"
+	storeLockName       = "voter.lock"
+	storeOpenTimeout    = time.Second // for a lock that the engine below takes itself
+	storeAllocBytes     = 64 << 10    // bytes at a time
 	// storeEntries is far more than a voter keeps between two snapshots: broken pages may lead in circles.
-	storeEntries = 20_000
+	maxStoredEntries = 20_000
 )
 
 var (
-	bucketMeta = []byte("meta")
-	bucketLog  = []byte("log")
-	keyMeta    = []byte("meta")
-	keyHard    = []byte("hard")
-	keySnap    = []byte("snapshot")
-	summing    = crc32.MakeTable(crc32.Castagnoli)
-	errSummed  = errors.New("a sum is wrong")
+	metaBucket   = []byte("meta")
+	logBucket    = []byte("log")
+	metaKey      = []byte("meta")
+	hardStateKey = []byte("hard")
+	snapshotKey  = []byte("snapshot")
+	castagnoli   = crc32.MakeTable(crc32.Castagnoli)
+	errChecksum  = errors.New("a sum is wrong")
 )
 
 // store is what a voter keeps. Each value has a sum behind it: the engine below guards its own pages, not what is in them.
@@ -50,11 +50,11 @@
 
 // openStore opens a folder's store, and returns what it has: nil for nothing. What can't be read is set aside, and aside says why. What
 // can is written anew: pages that were broken and not read would be met later, and the file is no longer than it must be.
-func openStore(folder string) (s *store, had *quorum.Stored, aside error, err error) {
+func openStore(folder string) (s *store, had *quorum.StoredState, aside error, err error) {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return nil, nil, nil, err
 	}
-	lock, err := durable.Lock(folder, storeLock)
+	lock, err := durable.Lock(folder, storeLockName)
 	if err != nil {
 		return nil, nil, nil, err
 	}
@@ -63,10 +63,10 @@
 			lock.Close()
 		}
 	}()
-	path := filepath.Join(folder, storeFile)
+	path := filepath.Join(folder, storeFileName)
 	if _, err := os.Stat(path); err == nil {
 		if had, aside = readStore(path); aside != nil {
-			if err := os.Rename(path, filepath.Join(folder, storeAside)); err != nil {
+			if err := os.Rename(path, filepath.Join(folder, unreadStoreFileName)); err != nil {
 				return nil, nil, nil, err
 			}
 		}
@@ -74,18 +74,18 @@
 	fresh := path + ".new"
 	os.Remove(fresh)
 	s = &store{path: path, lock: lock}
-	if s.db, err = bbolt.Open(fresh, 0o644, &bbolt.Options{Timeout: storeFor, FreelistType: bbolt.FreelistMapType}); err != nil {
+	if s.db, err = bbolt.Open(fresh, 0o644, &bbolt.Options{Timeout: storeOpenTimeout, FreelistType: bbolt.FreelistMapType}); err != nil {
 		return nil, nil, nil, err
 	}
-	s.db.AllocSize = storeGrows
+	s.db.AllocSize = storeAllocBytes
 	if had != nil {
-		err = s.keep(&quorum.Keep{Reset: true, Meta: &had.Meta, Hard: had.Hard, Snapshot: had.Snapshot, Entries: had.Entries})
+		err = s.persist(&quorum.Persist{Reset: true, Meta: &had.Meta, HardState: had.HardState, Snapshot: had.Snapshot, Entries: had.Entries})
 	}
 	if err == nil {
 		err = os.Rename(fresh, path)
 	}
 	if err == nil {
-		err = durable.SyncFolder(folder)
+		err = durable.SyncDirectory(folder)
 	}
 	if err != nil {
 		s.db.Close()
@@ -95,14 +95,14 @@
 }
 
 // readStore reads all that is in a file. A page that the file ends before is an error here, not the end of the process.
-func readStore(path string) (had *quorum.Stored, err error) {
+func readStore(path string) (had *quorum.StoredState, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if x := recover(); x != nil {
 			had, err = nil, fmt.Errorf("%s: %v", path, x) // what was opened stays so; the file is set aside
 		}
 	}()
-	db, err := bbolt.Open(path, 0o644, &bbolt.Options{Timeout: storeFor, ReadOnly: true})
+	db, err := bbolt.Open(path, 0o644, &bbolt.Options{Timeout: storeOpenTimeout, ReadOnly: true})
 	if err != nil {
 		return nil, err
 	}
@@ -121,13 +121,13 @@
 	return had, err
 }
 
-func readAll(tx *bbolt.Tx) (*quorum.Stored, error) {
-	meta, log := tx.Bucket(bucketMeta), tx.Bucket(bucketLog)
+func readAll(tx *bbolt.Tx) (*quorum.StoredState, error) {
+	meta, log := tx.Bucket(metaBucket), tx.Bucket(logBucket)
 	if meta == nil || log == nil {
 		return nil, nil
 	}
-	had := &quorum.Stored{}
-	text, err := unsum(meta.Get(keyMeta))
+	had := &quorum.StoredState{}
+	text, err := stripChecksum(meta.Get(metaKey))
 	if err != nil || text == nil {
 		return nil, err
 	}
@@ -138,30 +138,30 @@
 		return nil, fmt.Errorf("the store has version %d, not 1", had.Meta.Version)
 	}
 	message := func(key []byte, m proto.Message) (bool, error) {
-		text, err := unsum(meta.Get(key))
+		text, err := stripChecksum(meta.Get(key))
 		if err != nil || text == nil {
 			return false, err
 		}
 		return true, proto.Unmarshal(text, m)
 	}
 	hard, snap := &raftpb.HardState{}, &raftpb.Snapshot{}
-	if is, err := message(keyHard, hard); err != nil {
+	if is, err := message(hardStateKey, hard); err != nil {
 		return nil, err
 	} else if is {
-		had.Hard = hard
+		had.HardState = hard
 	}
-	if is, err := message(keySnap, snap); err != nil {
+	if is, err := message(snapshotKey, snap); err != nil {
 		return nil, err
 	} else if is {
 		had.Snapshot = snap
 	}
 	return had, log.ForEach(func(_, v []byte) error {
-		text, err := unsum(v)
+		text, err := stripChecksum(v)
 		if err != nil {
 			return err
 		}
-		if len(had.Entries) >= storeEntries {
-			return fmt.Errorf("the store has more than %d commands", storeEntries)
+		if len(had.Entries) >= maxStoredEntries {
+			return fmt.Errorf("the store has more than %d commands", maxStoredEntries)
 		}
 		e := &raftpb.Entry{}
 		had.Entries = append(had.Entries, e)
@@ -169,23 +169,25 @@
 	})
 }
 
-func sum(b []byte) []byte { return binary.BigEndian.AppendUint32(b, crc32.Checksum(b, summing)) }
+func appendChecksum(b []byte) []byte {
+	return binary.BigEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
+}
 
 // unsum returns a copy of what stands before the sum, nil for nothing.
-func unsum(b []byte) ([]byte, error) {
+func stripChecksum(b []byte) ([]byte, error) {
 	if b == nil {
 		return nil, nil
 	}
-	if len(b) < 4 || crc32.Checksum(b[:len(b)-4], summing) != binary.BigEndian.Uint32(b[len(b)-4:]) {
-		return nil, errSummed
+	if len(b) < 4 || crc32.Checksum(b[:len(b)-4], castagnoli) != binary.BigEndian.Uint32(b[len(b)-4:]) {
+		return nil, errChecksum
 	}
 	return append(make([]byte, 0, len(b)), b[:len(b)-4]...), nil
 }
 
-func place(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
+func indexKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
 // keep writes one Keep, and returns once it is on the disk.
-func (s *store) keep(k *quorum.Keep) (err error) {
+func (s *store) persist(k *quorum.Persist) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if x := recover(); x != nil {
@@ -194,24 +196,24 @@
 	}()
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		if k.Reset {
-			for _, b := range [][]byte{bucketMeta, bucketLog} {
+			for _, b := range [][]byte{metaBucket, logBucket} {
 				if err := tx.DeleteBucket(b); err != nil && !errors.Is(err, bbolterrors.ErrBucketNotFound) {
 					return err
 				}
 			}
 		}
-		meta, err := tx.CreateBucketIfNotExists(bucketMeta)
+		meta, err := tx.CreateBucketIfNotExists(metaBucket)
 		if err != nil {
 			return err
 		}
-		log, err := tx.CreateBucketIfNotExists(bucketLog)
+		log, err := tx.CreateBucketIfNotExists(logBucket)
 		if err != nil {
 			return err
 		}
 		if k.Meta != nil {
 			text, err := json.Marshal(k.Meta)
 			if err == nil {
-				err = meta.Put(keyMeta, sum(text))
+				err = meta.Put(metaKey, appendChecksum(text))
 			}
 			if err != nil {
 				return err
@@ -221,48 +223,48 @@
 			key []byte
 			m   proto.Message
 			is  bool
-		}{{keyHard, k.Hard, k.Hard != nil}, {keySnap, k.Snapshot, k.Snapshot != nil}} {
+		}{{hardStateKey, k.HardState, k.HardState != nil}, {snapshotKey, k.Snapshot, k.Snapshot != nil}} {
 			if !x.is {
 				continue
 			}
 			text, err := proto.Marshal(x.m)
 			if err == nil {
-				err = meta.Put(x.key, sum(text))
+				err = meta.Put(x.key, appendChecksum(text))
 			}
 			if err != nil {
 				return err
 			}
 		}
 		if k.Snapshot != nil && k.Compact == 0 {
-			if err := cutLog(log, 0, 1<<64-1); err != nil {
+			if err := deleteEntries(log, 0, 1<<64-1); err != nil {
 				return err
 			}
 		}
 		if len(k.Entries) > 0 {
-			if err := cutLog(log, k.Entries[0].GetIndex(), 1<<64-1); err != nil {
+			if err := deleteEntries(log, k.Entries[0].GetIndex(), 1<<64-1); err != nil {
 				return err
 			}
 		}
 		for _, e := range k.Entries {
 			text, err := proto.Marshal(e)
 			if err == nil {
-				err = log.Put(place(e.GetIndex()), sum(text))
+				err = log.Put(indexKey(e.GetIndex()), appendChecksum(text))
 			}
 			if err != nil {
 				return err
 			}
 		}
 		if k.Compact > 0 {
-			return cutLog(log, 0, k.Compact)
+			return deleteEntries(log, 0, k.Compact)
 		}
 		return nil
 	})
 }
 
 // cutLog takes away the entries from one to another, both included.
-func cutLog(log *bbolt.Bucket, from, to uint64) error {
+func deleteEntries(log *bbolt.Bucket, from, to uint64) error {
 	c := log.Cursor()
-	for key, _ := c.Seek(place(from)); key != nil && binary.BigEndian.Uint64(key) <= to; key, _ = c.Next() {
+	for key, _ := c.Seek(indexKey(from)); key != nil && binary.BigEndian.Uint64(key) <= to; key, _ = c.Next() {
 		if err := c.Delete(); err != nil {
 			return err
 		}
--- a/internal/router/peering/store_test.go
+++ b/internal/router/peering/store_test.go
@@ -22,21 +22,21 @@
 }
 
 // filled is a folder with a store of 300 commands, and what it has.
-func filled(t *testing.T) (folder string, had *quorum.Stored) {
+func filled(t *testing.T) (folder string, had *quorum.StoredState) {
 	t.Helper()
 	folder = t.TempDir()
 	s, had, aside, err := openStore(folder)
 	if err != nil || had != nil || aside != nil {
 		t.Fatalf("%v, %v, %v", had, aside, err)
 	}
-	meta := quorum.Meta{Version: 1, ID: 7, Name: "r1", Group: 3, Start: 2, Seals: map[uint64]quorum.Seal{9: {Start: 4}}}
-	for _, k := range []quorum.Keep{
+	meta := quorum.Meta{Version: 1, ID: 7, Name: "r1", Group: 3, Starts: 2, StoreRecords: map[uint64]quorum.StoreRecord{9: {Starts: 4}}}
+	for _, k := range []quorum.Persist{
 		{Reset: true, Meta: &meta},
-		{Entries: entries(2, 250), Hard: &raftpb.HardState{Term: number(3), Vote: number(9), Commit: number(200)}},
+		{Entries: entries(2, 250), HardState: &raftpb.HardState{Term: number(3), Vote: number(9), Commit: number(200)}},
 		{Entries: entries(240, 300)}, // another leader's
 		{Snapshot: &raftpb.Snapshot{Data: []byte("{}"), Metadata: &raftpb.SnapshotMetadata{Index: number(200), Term: number(3)}}, Compact: 150},
 	} {
-		if err := s.keep(&k); err != nil {
+		if err := s.persist(&k); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -57,7 +57,7 @@
 	if diff := cmp.Diff(entries(151, 300), had.Entries, protocmp.Transform()); diff != "" {
 		t.Error(diff)
 	}
-	if had.Meta.ID != 7 || had.Meta.Seals[9].Start != 4 || had.Hard.GetVote() != 9 || had.Snapshot.GetMetadata().GetIndex() != 200 {
+	if had.Meta.ID != 7 || had.Meta.StoreRecords[9].Starts != 4 || had.HardState.GetVote() != 9 || had.Snapshot.GetMetadata().GetIndex() != 200 {
 		t.Errorf("got %+v", had)
 	}
 }
@@ -66,7 +66,7 @@
 // never does it end the process.
 func TestStoreBroken(t *testing.T) {
 	folder, want := filled(t)
-	whole, err := os.ReadFile(filepath.Join(folder, storeFile))
+	whole, err := os.ReadFile(filepath.Join(folder, storeFileName))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -74,7 +74,7 @@
 	try := func(what string, at int, text []byte) {
 		t.Helper()
 		dir := t.TempDir()
-		if err := os.WriteFile(filepath.Join(dir, storeFile), text, 0o644); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, storeFileName), text, 0o644); err != nil {
 			t.Fatal(err)
 		}
 		s, had, aside, err := openStore(dir)
@@ -90,7 +90,7 @@
 				t.Errorf("%s at %d is read as something else: %s", what, at, diff)
 			}
 		}
-		if err := s.keep(&quorum.Keep{Reset: true, Meta: &quorum.Meta{Version: 1, ID: 8}}); err != nil {
+		if err := s.persist(&quorum.Persist{Reset: true, Meta: &quorum.Meta{Version: 1, ID: 8}}); err != nil {
 			t.Errorf("%s at %d: %v", what, at, err)
 		}
 	}
--- a/internal/router/peering/stored_test.go
+++ b/internal/router/peering/stored_test.go
@@ -23,14 +23,14 @@
 // left, voter.txt every value in it, bucket by bucket, as the pages of the file itself may lie in another order.
 
 // goldenStored is all that a store may have.
-func goldenStored(t *testing.T) *quorum.Stored {
+func goldenStored(t *testing.T) *quorum.StoredState {
 	t.Helper()
 	nodes := []quorum.Node{{ID: 9, Name: "r1", Zone: "east"}, {ID: 11, Name: "r2", Zone: "west"}}
-	table := lease.State{Token: 77, Duties: []lease.SlotsState{{
-		Duty:   lease.Duty{Name: "copier", Holders: 2, Zones: []string{"east"}, ByZone: true},
-		Grants: []lease.Grant{{Duty: "copier", Holder: lease.Router{Name: "r1", Boot: 5, Zone: "east"}, Token: 76, Renewals: 12, Wish: "r3", Why: lease.InTurn, Pushed: true}},
-		Line:   []lease.Router{{Name: "r4", Boot: 8, Zone: "west"}},
-		Kept:   []lease.Kept{{To: "r3", Token: 74}}}}}
+	table := lease.State{Token: 77, Roles: []lease.RoleState{{
+		Role:         lease.Role{Name: "copier", MaxHolders: 2, PreferredZones: []string{"east"}, ByZone: true},
+		Grants:       []lease.Grant{{Role: "copier", Holder: lease.Router{Name: "r1", Boot: 5, Zone: "east"}, Token: 76, Renewals: 12, TransferTo: "r3", Reason: lease.ReasonQueued, Unconfirmed: true}},
+		Queue:        []lease.Router{{Name: "r4", Boot: 8, Zone: "west"}},
+		Reservations: []lease.Reservation{{For: "r3", Token: 74}}}}}
 	content, err := json.Marshal(struct { // as package quorum has it
 		Nodes []quorum.Node
 		Table lease.State
@@ -41,7 +41,7 @@
 	command, err := json.Marshal(struct {
 		N uint64
 		C lease.Command
-	}{300, lease.Command{Kind: lease.Renew, Duty: "copier", Who: lease.Router{Name: "r1", Boot: 5, Zone: "east"}, Token: 76}})
+	}{300, lease.Command{Kind: lease.Renew, Role: "copier", Router: lease.Router{Name: "r1", Boot: 5, Zone: "east"}, Token: 76}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,10 +49,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	had := &quorum.Stored{
-		Meta: quorum.Meta{Version: 1, ID: 9, Name: "r1", Group: 3, Start: 2, Nodes: nodes, Voters: []uint64{9, 11}, Token: 77,
-			Seals: map[uint64]quorum.Seal{11: {Start: 4, Term: 5, Boot: 6, LastTerm: 5, LastIndex: 300}}},
-		Hard: &raftpb.HardState{Term: number(5), Vote: number(11), Commit: number(302)},
+	had := &quorum.StoredState{
+		Meta: quorum.Meta{Version: 1, ID: 9, Name: "r1", Group: 3, Starts: 2, Members: nodes, Voters: []uint64{9, 11}, HighestToken: 77,
+			StoreRecords: map[uint64]quorum.StoreRecord{11: {Starts: 4, Term: 5, Boot: 6, LastTerm: 5, LastIndex: 300}}},
+		HardState: &raftpb.HardState{Term: number(5), Vote: number(11), Commit: number(302)},
 		Snapshot: &raftpb.Snapshot{Data: content, Metadata: &raftpb.SnapshotMetadata{Index: number(300), Term: number(4),
 			ConfState: &raftpb.ConfState{Voters: []uint64{9, 11}, Learners: []uint64{12}, VotersOutgoing: []uint64{9}, LearnersNext: []uint64{13}, AutoLeave: proto.Bool(true)}}},
 	}
@@ -95,7 +95,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.keep(&quorum.Keep{Reset: true, Meta: &want.Meta, Hard: want.Hard, Snapshot: want.Snapshot, Entries: want.Entries}); err != nil {
+	if err := s.persist(&quorum.Persist{Reset: true, Meta: &want.Meta, HardState: want.HardState, Snapshot: want.Snapshot, Entries: want.Entries}); err != nil {
 		t.Fatal(err)
 	}
 	s.close()
--- a/internal/router/peering/view_test.go
+++ b/internal/router/peering/view_test.go
@@ -46,7 +46,7 @@
 		if x.View, err = peering.NewView(c, g.Send, func(v *members.View, ch *members.Changed) { x.changes <- ch }, x.lines); err != nil {
 			t.Fatal(err)
 		}
-		g.Members(x.Take)
+		g.OnMembersDatagram(x.HandleDatagram)
 		ctx, end := context.WithCancel(context.Background())
 		x.end = end
 		defer end()
--- a/internal/router/program/duties.go
+++ b/internal/router/program/duties.go
@@ -18,21 +18,21 @@
 const dutyDrain = "drain"
 
 // dutyConfig is what the block duties comes to. Every router makes the same of the same file.
-func (c *Config) dutyConfig(self lease.Router) peering.DutiesConfig {
+func (c *Config) dutyConfig(self lease.Router) peering.RolesConfig {
 	s := c.set.Duties
-	d := peering.DutiesConfig{Self: self, Times: s.Times, Voters: s.Voters, Replace: s.Replace, Listen: s.Listen, Folder: s.Folder, Seed: c.seed, Routers: map[string]string{}}
+	d := peering.RolesConfig{Self: self, Timing: s.Times, Voters: s.Voters, ReplaceTimeout: s.Replace, Listen: s.Listen, Folder: s.Folder, Seed: c.seed, CandidateAddresses: map[string]string{}}
 	for _, r := range s.Routers {
-		d.Order = append(d.Order, r.Name)
-		d.Routers[r.Name] = r.Address.String()
+		d.Candidates = append(d.Candidates, r.Name)
+		d.CandidateAddresses[r.Name] = r.Address.String()
 	}
 	if s.Scribe {
-		d.Duties = append(d.Duties, lease.Duty{Name: peering.ScribeDuty})
+		d.Roles = append(d.Roles, lease.Role{Name: peering.ScribeRole})
 	}
 	if s.Drains > 0 {
-		d.Duties = append(d.Duties, lease.Duty{Name: dutyDrain, Holders: s.Drains, ByZone: true})
+		d.Roles = append(d.Roles, lease.Role{Name: dutyDrain, MaxHolders: s.Drains, ByZone: true})
 	}
 	for _, name := range c.set.Copiers() {
-		d.Duties = append(d.Duties, lease.Duty{Name: settings.CopierDuty(name)})
+		d.Roles = append(d.Roles, lease.Role{Name: settings.CopierDuty(name)})
 	}
 	return d
 }
@@ -59,12 +59,12 @@
 		return nil
 	}
 	c := p.cfg.dutyConfig(member)
-	if p.duties, err = peering.NewDuties(c, send.Send, p.log); err != nil {
+	if p.duties, err = peering.NewRoles(c, send.Send, p.log); err != nil {
 		return fmt.Errorf("duties: %w", err)
 	}
-	p.duties.Keeps(p.takeCopy)
+	p.duties.OnRecord(p.takeCopy)
 	p.mirror.Use(p.duties)
-	send.Duties(p.duties.Take)
+	send.OnRolesDatagram(p.duties.HandleDatagram)
 	return nil
 }
 
@@ -73,11 +73,11 @@
 	if p.duties == nil {
 		return nil
 	}
-	p.duties.Begin(work)
-	p.duties.Viewed(p.view.Now())
+	p.duties.SetWorkContext(work)
+	p.duties.UpdateView(p.view.Now())
 	go p.duties.Run(work)
 	if p.cfg.set.Duties.Scribe {
-		p.duties.Do(peering.ScribeDuty, p.scribe)
+		p.duties.Acquire(peering.ScribeRole, p.scribe)
 	}
 	p.wantCopiers(p.cfg)
 	return nil
@@ -88,11 +88,11 @@
 	names := c.set.Copiers()
 	for _, name := range p.copiers {
 		if !slices.Contains(names, name) {
-			p.duties.GiveUp(settings.CopierDuty(name))
+			p.duties.Release(settings.CopierDuty(name))
 		}
 	}
 	for _, name := range names {
-		p.duties.Do(settings.CopierDuty(name), func(ctx context.Context, _ uint64) error { return p.mirror.Copies(ctx, name) })
+		p.duties.Acquire(settings.CopierDuty(name), func(ctx context.Context, _ uint64) error { return p.mirror.Copies(ctx, name) })
 	}
 	p.copiers = names
 }
@@ -106,9 +106,9 @@
 		}
 		return nil
 	}
-	all := slices.DeleteFunc(p.cfg.dutyConfig(lease.Router{}).Duties, func(d lease.Duty) bool { return strings.HasPrefix(d.Name, settings.CopierDuty("")) })
+	all := slices.DeleteFunc(p.cfg.dutyConfig(lease.Router{}).Roles, func(d lease.Role) bool { return strings.HasPrefix(d.Name, settings.CopierDuty("")) })
 	for _, name := range c.set.Copiers() {
-		all = append(all, lease.Duty{Name: settings.CopierDuty(name)})
+		all = append(all, lease.Role{Name: settings.CopierDuty(name)})
 	}
 	if err := p.duties.Define(all); err != nil {
 		return fmt.Errorf("%s: %w", p.file, err)
@@ -127,7 +127,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), giveBackWithin)
 		defer cancel()
-		p.duties.Leave(ctx)
+		p.duties.ReleaseAll(ctx)
 	}()
 }
 
@@ -152,12 +152,12 @@
 	p.noLeave = cancel
 	go func() {
 		asked := time.Now()
-		if p.duties.Wait(ctx, name) != nil {
+		if p.duties.AcquireAndWait(ctx, name) != nil {
 			return
 		}
 		if phase, err := p.happen(drainOn); err != nil {
 			p.log.Warn("leave came too late", "phase", phase)
-			p.duties.GiveUp(name)
+			p.duties.Release(name)
 			return
 		}
 		p.kept.drained.Store(true)
@@ -178,7 +178,7 @@
 	p.mu.Unlock()
 	if cancel != nil {
 		cancel()
-		p.duties.GiveUp(dutyDrain + "@" + p.zone)
+		p.duties.Release(dutyDrain + "@" + p.zone)
 	}
 }
 
@@ -188,29 +188,29 @@
 		return nil, false
 	}
 	d := p.duties
-	s := d.Standing()
+	s := d.VoterStatus()
 	if s == nil {
-		lines = append(lines, fmt.Sprintf("duties leader=%s stage=asks voters=%s token=%d", field(d.Leader()), names(d.Voters()), d.Seen()))
+		lines = append(lines, fmt.Sprintf("duties leader=%s stage=asks voters=%s token=%d", field(d.Leader()), names(d.Candidates()), d.HighestToken()))
 	} else {
-		lines = append(lines, fmt.Sprintf("duties leader=%s stage=%s stopped=%v group=%d term=%d index=%d token=%d voters=%s learners=%s", field(s.Leader), s.Stage, s.Stopped,
-			s.Group, s.Term, s.Index, max(s.Token, d.Seen()), names(s.Voters), names(s.Learners)))
-		for _, r := range s.Rows {
-			last := field(strings.ReplaceAll(r.Last, " ", "_"))
+		lines = append(lines, fmt.Sprintf("duties leader=%s stage=%s stopped=%v group=%d term=%d index=%d token=%d voters=%s learners=%s", field(s.Leader), s.Stage, s.Leaderless,
+			s.Group, s.Term, s.Index, max(s.HighestToken, d.HighestToken()), names(s.Voters), names(s.Learners)))
+		for _, r := range s.Roles {
+			last := field(strings.ReplaceAll(r.LastChange, " ", "_"))
 			if len(r.Grants) == 0 {
-				lines = append(lines, fmt.Sprintf("duty name=%s holders=%d holder=- waiting=%d last=%s", r.Duty, r.Holders, r.Waiting, last))
+				lines = append(lines, fmt.Sprintf("duty name=%s holders=%d holder=- waiting=%d last=%s", r.Role, r.MaxHolders, r.Queued, last))
 			}
 			for _, g := range r.Grants {
 				left := "-"
-				if t, ok := s.Left[g.Token]; ok {
-					left = fmt.Sprint(max(t-time.Since(s.Took), 0).Milliseconds())
+				if t, ok := s.RemainingLeases[g.Token]; ok {
+					left = fmt.Sprint(max(t-time.Since(s.TakenAt), 0).Milliseconds())
 				}
-				lines = append(lines, fmt.Sprintf("duty name=%s holders=%d holder=%s token=%d left_ms=%s renewals=%d why=%s wish=%s waiting=%d last=%s", r.Duty, r.Holders,
-					g.Holder.Name, g.Token, left, g.Renewals, field(strings.ReplaceAll(string(g.Why), " ", "_")), field(g.Wish), r.Waiting, last))
+				lines = append(lines, fmt.Sprintf("duty name=%s holders=%d holder=%s token=%d left_ms=%s renewals=%d why=%s wish=%s waiting=%d last=%s", r.Role, r.MaxHolders,
+					g.Holder.Name, g.Token, left, g.Renewals, field(strings.ReplaceAll(string(g.Reason), " ", "_")), field(g.TransferTo), r.Queued, last))
 			}
 		}
 	}
-	for _, o := range d.Own() {
-		lines = append(lines, fmt.Sprintf("own name=%s token=%d left_ms=%d waits=%v lost=%s", o.Duty, o.Token, o.Left.Milliseconds(), o.Waits, field(strings.ReplaceAll(o.Last, " ", "_"))))
+	for _, o := range d.LocalRoles() {
+		lines = append(lines, fmt.Sprintf("own name=%s token=%d left_ms=%d waits=%v lost=%s", o.Role, o.Token, o.Remaining.Milliseconds(), o.Queued, field(strings.ReplaceAll(o.LastEndReason, " ", "_"))))
 	}
 	return lines, true
 }
@@ -226,7 +226,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), rebuildWithin)
 	defer cancel()
-	return p.duties.Wish(ctx, name, to, token)
+	return p.duties.RequestTransfer(ctx, name, to, token)
 }
 
 // rebuildWithin is how long admission waits for voters.
@@ -247,7 +247,7 @@
 	if p.duties == nil {
 		return nil
 	}
-	f := p.duties.Figures()
-	return &management.Duties{Held: f.Held, Wanted: f.Wanted, Begun: f.Begun, Ended: f.Ended, Refused: f.Refused, Sent: f.Sent, Stopped: f.Stopped,
-		Commands: f.Commands, Elections: f.Elections, Log: f.Log, Token: f.Token}
+	f := p.duties.Counters()
+	return &management.Duties{Held: f.Leased, Wanted: f.Requested, Begun: f.Begun, Ended: f.Ended, Refused: f.Rejected, Sent: f.Sent, Stopped: f.Leaderless,
+		Commands: f.Commands, Elections: f.Elections, Log: f.LogEntries, Token: f.Token}
 }
--- a/internal/router/program/peers.go
+++ b/internal/router/program/peers.go
@@ -101,17 +101,17 @@
 		p.view, err = peering.NewView(m, gossip.Send, func(v *members.View, _ *members.Changed) {
 			p.router.Viewed(routing.Fleet{Version: v.Version, Living: len(v.Members), Peers: p.numbered(v, numbers)})
 			if p.duties != nil {
-				p.duties.Viewed(v)
+				p.duties.UpdateView(v)
 			}
 		}, p.log)
 		if err != nil {
 			return fmt.Errorf("fleet: %w", err)
 		}
-		gossip.Members(p.view.Take)
+		gossip.OnMembersDatagram(p.view.HandleDatagram)
 		go p.view.Run(work)
 	}
 	if p.cfg.balance.Gateways > 1 {
-		p.router.Tells(gossip.Tell)
+		p.router.Tells(gossip.SendReports)
 	}
 	go gossip.Run(hearing, p.router.Heard)
 	return nil
--- a/internal/router/program/program.go
+++ b/internal/router/program/program.go
@@ -44,7 +44,7 @@
 	gossip   *peering.Gossip   // the socket between routers, nil where there is none
 	balancer *balance.Balancer // the router's, once it runs
 	kept     keeper            // of what the next life is told
-	duties   *peering.Duties   // nil where they have no such block
+	duties   *peering.Roles    // nil where they have no such block
 	parts    []part            // that were started
 	router   *routing.Router
 	front    *transport.Front
--- a/internal/router/program/recovery_test.go
+++ b/internal/router/program/recovery_test.go
@@ -98,7 +98,7 @@
 		t.Logf("all, %-8s p50 %.2f ms, p99 %.2f ms, CPU %v under load, %v idle in %d s", name, float64(h.ValueAtQuantile(50))/1000, float64(h.ValueAtQuantile(99))/1000,
 			cpu[name], idle[name], *seconds)
 	}
-	for _, name := range append(snapshot.Names[:], snapshot.OpenName) {
+	for _, name := range append(snapshot.GenerationFiles[:], snapshot.OpenRequestsFile) {
 		if info, err := os.Stat(filepath.Join(folder, name)); err == nil {
 			t.Logf("%s: %d bytes", name, info.Size())
 		} else if !strings.HasSuffix(name, "open") {
--- a/internal/router/program/return.go
+++ b/internal/router/program/return.go
@@ -21,7 +21,7 @@
 	d     *recovery.Decider
 	start time.Time // with the monotonic clock
 	in    chan recovery.Event
-	ask   chan chan recovery.Standing
+	ask   chan chan recovery.Status
 
 	stage   atomic.Int32
 	shunned atomic.Uint64 // hosts of the last life's list
@@ -47,7 +47,7 @@
 		if x.g.Warm(now) {
 			x.parts.Store(nil)
 		} else {
-			parts := x.g.Parts()
+			parts := x.g.AdmittedFractions()
 			x.parts.Store(&parts)
 		}
 	}
@@ -61,15 +61,15 @@
 
 // prepareReturn makes the decider, with what the last life has left.
 func (p *Program) prepareReturn(before *snapshot.State, broken []string) (err error) {
-	c := &comeback{start: time.Now(), in: make(chan recovery.Event, mostWords), ask: make(chan chan recovery.Standing)}
+	c := &comeback{start: time.Now(), in: make(chan recovery.Event, mostWords), ask: make(chan chan recovery.Status)}
 	duties := p.cfg.set.Duties != nil
 	name, boot := p.cfg.Name, uint32(0)
 	if p.cfg.set.Fleet != nil {
 		m := p.cfg.member()
 		name, boot = m.Name, m.Boot
 	}
-	if c.d, err = recovery.New(recovery.Config{Self: name, Boot: boot, Before: before, Wrong: broken, Discovery: p.source(), Duties: duties,
-		WarmWithin: 2 * p.cfg.balance.ColdTime}, 0); err != nil {
+	if c.d, err = recovery.New(recovery.Config{Self: name, Boot: boot, Saved: before, Damaged: broken, Discovery: p.source(), HasRoles: duties,
+		WarmUpTimeout: 2 * p.cfg.balance.ColdTime}, 0); err != nil {
 		return fmt.Errorf("recovery: %w", err)
 	}
 	p.back = c
@@ -78,7 +78,7 @@
 
 // takeWord takes a datagram of another router that comes back, or answers. It waits for nobody.
 func (p *Program) takeWord(_ netip.AddrPort, data []byte) {
-	if e, err := recovery.Read(data); err == nil {
+	if e, err := recovery.Decode(data); err == nil {
 		p.back.post(e)
 	}
 }
@@ -126,25 +126,25 @@
 		case e := <-c.in:
 			step(e)
 		case to := <-c.ask:
-			to <- c.d.Standing(time.Since(c.start))
+			to <- c.d.Status(time.Since(c.start))
 			continue
 		case <-timer.C:
-			step(recovery.Passed{})
+			step(recovery.Tick{})
 		case <-looks.C:
 			if version, serving, changes := p.kept.spoken(told); changes != told {
 				told = changes
-				step(recovery.Spoke{Version: version, Serving: serving})
+				step(recovery.ListReceived{Version: version, Serving: serving})
 			}
 			if !back {
 				_, spoke := p.kept.listed()
-				step(recovery.Warm{Is: spoke && p.kept.share(&p.force.Load().balance) >= recovery.NearlyWarm})
+				step(recovery.HostsWarm{Warm: spoke && p.kept.share(&p.force.Load().balance) >= recovery.NearlyWarm})
 			}
 			if l := p.kept.learned.Load(); l != nil {
-				step(recovery.Measured{Measure: recovery.MeasureOf(l.mean)})
+				step(recovery.MeasureLearned{Measure: recovery.MeasureOf(l.mean)})
 			}
 			if p.duties != nil && !back {
-				s := p.duties.Standing()
-				step(recovery.Led{Is: s != nil && s.Leader != "" || p.duties.Seen() > 0})
+				s := p.duties.VoterStatus()
+				step(recovery.VotersLed{Led: s != nil && s.Leader != "" || p.duties.HighestToken() > 0})
 			}
 			if p.view != nil && p.view.Now().Version != viewed {
 				var lives []snapshot.Router
@@ -153,32 +153,32 @@
 				for i := range v.Members {
 					lives = append(lives, snapshot.Router{Name: v.Members[i].Name, Addr: v.Members[i].Addr.String()})
 				}
-				step(recovery.Lives{Routers: lives})
+				step(recovery.Membership{Routers: lives})
 			}
 		}
 		for _, a := range all {
 			switch a := a.(type) {
-			case recovery.Tell:
-				p.sendTo(a.To, a.Word.Append())
-			case recovery.UseList:
-				p.useOldList(a.Not)
-			case recovery.Shun:
-				p.shun(a.Not)
-			case recovery.Ask:
-				p.sendTo(a.To, a.Question.Append())
-			case recovery.Answer:
-				p.sendTo([]snapshot.Router{a.To}, a.Reply.Append())
-			case recovery.Recall:
-				p.log.Info("measure of others taken", "work", a.Measure.Work.Round(time.Millisecond), "mean_work", a.Measure.MeanWork.Round(time.Millisecond))
-				p.router.Recall(balance.Learned{Work: a.Measure.Work.Seconds(), MeanWork: a.Measure.MeanWork.Seconds()})
-			case recovery.Found:
-				p.log.Info("power lost", "whose", a.Loss, "heard", a.Heard, "asked", a.Of)
-			case recovery.Entered:
+			case recovery.Announce:
+				p.sendTo(a.To, a.Announcement.Encode())
+			case recovery.UseSavedList:
+				p.useOldList(a.Excluded)
+			case recovery.ExcludeHosts:
+				p.shun(a.Hosts)
+			case recovery.SendQuery:
+				p.sendTo(a.To, a.Query.Encode())
+			case recovery.SendReply:
+				p.sendTo([]snapshot.Router{a.To}, a.Reply.Encode())
+			case recovery.AdoptMeasure:
+				p.log.Info("measure of others taken", "work", a.Measure.HostWork.Round(time.Millisecond), "mean_work", a.Measure.RequestWork.Round(time.Millisecond))
+				p.router.Recall(balance.Learned{Work: a.Measure.HostWork.Seconds(), MeanWork: a.Measure.RequestWork.Seconds()})
+			case recovery.OutageClassified:
+				p.log.Info("power lost", "whose", a.Outage, "heard", a.Heard, "asked", a.Asked)
+			case recovery.StageEntered:
 				c.stage.Store(int32(a.Stage))
-				if back = a.Stage == recovery.Back; back {
+				if back = a.Stage == recovery.Recovered; back {
 					p.holdBack(false)
 				}
-				p.log.Info("comes back", "stage", a.Stage, "after", a.After.Round(time.Millisecond), "why", a.Why)
+				p.log.Info("comes back", "stage", a.Stage, "after", a.After.Round(time.Millisecond), "why", a.Reason)
 			}
 		}
 		if next := c.d.Next(); next != 0 {
@@ -235,7 +235,7 @@
 	if p.back == nil {
 		return nil, false
 	}
-	to := make(chan recovery.Standing, 1)
+	to := make(chan recovery.Status, 1)
 	select {
 	case p.back.ask <- to:
 	case <-time.After(rebuildWithin):
@@ -243,8 +243,8 @@
 	}
 	s := <-to
 	word := func(s string) string { return field(strings.ReplaceAll(s, " ", "_")) }
-	lines = append(lines, fmt.Sprintf("recovery stage=%s for_ms=%d up_ms=%d loss=%s heard=%d asked=%d waits=%s last_life=%v old_list=%v snapshots=%d", s.Stage, s.For.Milliseconds(),
-		s.Up.Milliseconds(), word(string(s.Loss)), s.Heard, s.Asked, word(s.Waits), s.Before, s.Old, p.kept.written.Load()))
+	lines = append(lines, fmt.Sprintf("recovery stage=%s for_ms=%d up_ms=%d loss=%s heard=%d asked=%d waits=%s last_life=%v old_list=%v snapshots=%d", s.Stage, s.StageFor.Milliseconds(),
+		s.Uptime.Milliseconds(), word(string(s.Outage)), s.Heard, s.Asked, word(s.AwaitedEvent), s.HasSaved, s.SavedListUsed, p.kept.written.Load()))
 	admits := "all"
 	if parts := p.gate.parts.Load(); parts != nil {
 		var all []string
@@ -255,7 +255,7 @@
 		admits = strings.Join(all, ",")
 	}
 	lines = append(lines, fmt.Sprintf("admission warm=%.2f turned=%d admits=%s shunned=%d", p.kept.share(&p.force.Load().balance), p.gate.turned.Load(), admits, p.back.shunned.Load()))
-	for _, w := range s.Wrong {
+	for _, w := range s.Damaged {
 		lines = append(lines, "thrown why="+word(w))
 	}
 	return lines, true
@@ -265,6 +265,6 @@
 func (p *Program) hearsWords(g *peering.Gossip) {
 	p.gossip = g
 	if p.back != nil {
-		g.Words(p.takeWord)
+		g.OnRecoveryDatagram(p.takeWord)
 	}
 }
--- a/internal/router/program/scribe.go
+++ b/internal/router/program/scribe.go
@@ -45,17 +45,17 @@
 	for n := 0; ; n++ {
 		r := p.record(token)
 		if key := fmt.Sprint(r.List, r.Settings, r.Digest, r.Token); key != last || n%recordAnyway == 0 {
-			if _, _, ok := p.duties.Act(peering.ScribeDuty); !ok {
+			if _, _, ok := p.duties.Check(peering.ScribeRole); !ok {
 				return nil
 			}
 			text, err := json.Marshal(r)
 			if err == nil {
-				err = durable.WriteWhole(filepath.Join(p.cfg.set.Duties.Folder, recordFile), text)
+				err = durable.WriteFileAtomic(filepath.Join(p.cfg.set.Duties.Folder, recordFile), text)
 			}
 			if err != nil {
 				return fmt.Errorf("the fleet's record: %w", err)
 			}
-			p.duties.Copy(token, text)
+			p.duties.SendRecord(token, text)
 			last = key
 		}
 		select {
@@ -70,7 +70,7 @@
 func (p *Program) record(token uint64) *Record {
 	v := p.view.Now()
 	r := &Record{Version: recordVersion, Token: token, Scribe: p.cfg.member().Name, At: time.Now().UTC().Truncate(time.Second), List: p.listVersion.Load(),
-		View: v.Version, Digest: fmt.Sprintf("%016x", v.Digest), Largest: p.duties.Seen()}
+		View: v.Version, Digest: fmt.Sprintf("%016x", v.Digest), Largest: p.duties.HighestToken()}
 	if text, err := os.ReadFile(p.file); err == nil {
 		r.Settings = fmt.Sprintf("%016x", xxhash.Sum64(text))
 	}
@@ -96,7 +96,7 @@
 	if token < p.copied {
 		return p.copied
 	}
-	if err := durable.WriteWhole(path, text); err != nil {
+	if err := durable.WriteFileAtomic(path, text); err != nil {
 		p.log.Warn("fleet's record not kept", "cause", err)
 		return 0
 	}
--- a/internal/router/program/snapshot.go
+++ b/internal/router/program/snapshot.go
@@ -44,13 +44,13 @@
 	ended      bool
 	written    atomic.Uint64
 	began      time.Time
-	failed     string         // the last failure that was told
-	usual      recovery.Usual // the deciding goroutine's
+	failed     string            // the last failure that was told
+	usual      recovery.Baseline // the deciding goroutine's
 	learned    atomic.Pointer[learned]
 	drained    atomic.Bool
-	open       durable.Scratch // requests that are
-	isOpen     bool            // the last look found some
-	old        *protocol.List  // of the last life, once it is used
+	open       durable.ScratchFile // requests that are
+	isOpen     bool                // the last look found some
+	old        *protocol.List      // of the last life, once it is used
 }
 
 // rememberFor is for how long the members of the last life's view are kept though they are in this one's no more: power may be lost again before all are back.
@@ -68,7 +68,7 @@
 		return
 	}
 	u := &p.kept.usual
-	u.Take(now, l, p.gate.g.Demand())
+	u.Update(now, l, p.gate.g.Demand())
 	if mean, ok := u.Learned(); ok {
 		p.kept.learned.Store(&learned{mean, maps.Clone(u.Demand())})
 	}
@@ -121,15 +121,15 @@
 		return fmt.Errorf("recovery: %w", err)
 	}
 	var files [2][]byte
-	for i, name := range snapshot.Names {
+	for i, name := range snapshot.GenerationFiles {
 		files[i], _ = os.ReadFile(filepath.Join(folder, name))
 	}
-	before, generation, wrong := snapshot.Youngest(files)
+	before, generation, wrong := snapshot.Newest(files)
 	var broken []string
 	for i, err := range wrong {
 		if err != nil {
-			p.log.Warn("snapshot broken", "file", snapshot.Names[i], "cause", err)
-			broken = append(broken, snapshot.Names[i]+": "+err.Error())
+			p.log.Warn("snapshot broken", "file", snapshot.GenerationFiles[i], "cause", err)
+			broken = append(broken, snapshot.GenerationFiles[i]+": "+err.Error())
 		}
 	}
 	if before != nil && before.Router != p.cfg.Name {
@@ -151,7 +151,7 @@
 			hosts = len(before.List.Servers)
 		}
 		settings := "same"
-		if before.Settings != p.digest() {
+		if before.SettingsDigest != p.digest() {
 			settings = "changed"
 		}
 		p.log.Info("snapshot read", "generation", generation, "hosts", hosts, "drained", before.Drained, "unanswered", p.unanswered(folder), "settings", settings)
@@ -172,33 +172,33 @@
 
 // unanswered is how many requests the last life had taken and not answered, as far as it has been kept. Nothing is sent again for them.
 func (p *Program) unanswered(folder string) int {
-	text, err := os.ReadFile(filepath.Join(folder, snapshot.OpenName))
+	text, err := os.ReadFile(filepath.Join(folder, snapshot.OpenRequestsFile))
 	if err != nil {
 		return 0
 	}
 	open, _, err := snapshot.Decode(text)
 	if err != nil {
-		p.log.Warn("snapshot broken", "file", snapshot.OpenName, "cause", err)
+		p.log.Warn("snapshot broken", "file", snapshot.OpenRequestsFile, "cause", err)
 		return 0
 	}
 	if open.Router != p.cfg.Name {
 		return 0
 	}
-	return len(open.Open) + open.OpenMore
+	return len(open.OpenRequests) + open.OmittedRequests
 }
 
 // keepOpen writes which requests are open, if there are any or were.
 func (p *Program) keepOpen(folder string) {
 	k := &p.kept
 	s := &snapshot.State{Router: p.cfg.Name}
-	ids, classes, more := p.router.Open(snapshot.MostOpen)
+	ids, classes, more := p.router.Open(snapshot.MaxOpenRequests)
 	for i, id := range ids {
-		s.Open = append(s.Open, snapshot.Open{ID: id, Class: classes[i]})
+		s.OpenRequests = append(s.OpenRequests, snapshot.OpenRequest{ID: id, Class: classes[i]})
 	}
-	if s.OpenMore = more; len(ids) == 0 && !k.isOpen {
+	if s.OmittedRequests = more; len(ids) == 0 && !k.isOpen {
 		return
 	}
-	k.open.Path = filepath.Join(folder, snapshot.OpenName)
+	k.open.Path = filepath.Join(folder, snapshot.OpenRequestsFile)
 	if k.isOpen = len(ids) > 0; !k.isOpen {
 		k.open.Remove()
 		return
@@ -333,10 +333,10 @@
 	if s == nil {
 		return last
 	}
-	s.At = time.Now().UTC().Truncate(time.Second)
+	s.SavedAt = time.Now().UTC().Truncate(time.Second)
 	text, err := snapshot.Encode(s, k.generation+1)
 	if err == nil {
-		err = durable.WriteWhole(filepath.Join(folder, snapshot.Names[(k.generation+1)%2]), text)
+		err = durable.WriteFileAtomic(filepath.Join(folder, snapshot.GenerationFiles[(k.generation+1)%2]), text)
 	}
 	if p.notKept(err); err != nil {
 		return last
@@ -369,7 +369,7 @@
 		view = v.Version ^ v.Digest
 	}
 	if p.duties != nil {
-		token = p.duties.Seen()
+		token = p.duties.HighestToken()
 	}
 	return fmt.Sprint(changes, view, token, k.drained.Load(), time.Since(k.began)/learnedEvery)
 }
@@ -385,7 +385,7 @@
 	k := &p.kept
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	s := &snapshot.State{Router: p.cfg.Name, ListFrom: p.source(), Drained: k.drained.Load(), Settings: p.digest()}
+	s := &snapshot.State{Router: p.cfg.Name, ListSource: p.source(), Drained: k.drained.Load(), SettingsDigest: p.digest()}
 	switch {
 	case k.list != nil:
 		s.List = &protocol.List{Version: k.told, Full: true}
@@ -394,7 +394,7 @@
 		}
 		slices.SortFunc(s.List.Servers, func(a, b protocol.ServiceEntry) int { return strings.Compare(a.ID, b.ID) })
 	case k.before != nil:
-		s.List, s.ListFrom = k.before.List, k.before.ListFrom
+		s.List, s.ListSource = k.before.List, k.before.ListSource
 	default:
 		return nil
 	}
@@ -402,21 +402,21 @@
 		v := p.view.Now()
 		for i := range v.Members {
 			m := &v.Members[i]
-			s.View = append(s.View, snapshot.Router{Name: m.Name, Addr: m.Addr.String(), Boot: m.Boot})
+			s.Routers = append(s.Routers, snapshot.Router{Name: m.Name, Addr: m.Addr.String(), Boot: m.Boot})
 			if m.Name == p.cfg.member().Name {
 				s.Incarnation, s.Boot, s.Zone = m.Incarnation, m.Boot, m.Zone
 			}
 		}
 	}
-	if k.before != nil && p.back != nil && (p.back.stage.Load() < int32(recovery.Back) || time.Since(k.began) < rememberFor) {
-		for _, r := range k.before.View { // who has not been heard yet may be as late as this one
-			if !slices.ContainsFunc(s.View, func(x snapshot.Router) bool { return x.Name == r.Name }) {
-				s.View = append(s.View, r)
+	if k.before != nil && p.back != nil && (p.back.stage.Load() < int32(recovery.Recovered) || time.Since(k.began) < rememberFor) {
+		for _, r := range k.before.Routers { // who has not been heard yet may be as late as this one
+			if !slices.ContainsFunc(s.Routers, func(x snapshot.Router) bool { return x.Name == r.Name }) {
+				s.Routers = append(s.Routers, r)
 			}
 		}
 	}
 	if k.before != nil {
-		s.Incarnation, s.Token = max(s.Incarnation, k.before.Incarnation), k.before.Token
+		s.Incarnation, s.HighestToken = max(s.Incarnation, k.before.Incarnation), k.before.HighestToken
 	}
 	if l := k.learned.Load(); l != nil {
 		s.Learned, s.Demand = &l.mean, l.demand
@@ -424,7 +424,7 @@
 		s.Learned, s.Demand = k.before.Learned, k.before.Demand
 	}
 	if p.duties != nil {
-		s.Token = max(s.Token, p.duties.Seen())
+		s.HighestToken = max(s.HighestToken, p.duties.HighestToken())
 	}
 	return s
 }
--- a/internal/router/program/stored_test.go
+++ b/internal/router/program/stored_test.go
@@ -25,16 +25,16 @@
 // goldenSnapshot is what the router of configFile has left in a generation.
 func goldenSnapshot(generation int) *snapshot.State {
 	return &snapshot.State{
-		Router: "n1", Zone: "east", Boot: 7, At: time.Unix(1_800_000_000, 0).UTC(),
+		Router: "n1", Zone: "east", Boot: 7, SavedAt: time.Unix(1_800_000_000, 0).UTC(),
 		List: &protocol.List{Version: 12, Full: true, Servers: []protocol.ServiceEntry{
 			{ID: "host-1", Addr: "127.0.0.1:9", Zone: "a", Kind: "gpu-a", Cell: 3, State: "Ready", StartedMs: 1.8e12},
 			{ID: fmt.Sprint("host-", generation), Addr: "127.0.0.1:10", Zone: "b", Kind: "gpu-b", Cell: 4, State: "Terminating", StartedMs: 1.7e12},
 		}},
-		ListFrom: "list.example",
+		ListSource: "list.example",
 		Learned: &balance.Learned{Work: 1.5, MeanWork: 0.02, Decode: map[string]float64{"chat": 2}, Kinds: map[string]balance.Pace{"gpu-a": {XX: 3, XY: 0.5}},
 			Replicas: []balance.Known{{Replica: "host-1", Born: 5 * time.Second, Cap: 24.5, Slow: 1.25}}},
-		Demand: map[string]float64{"chat": 3.5}, Incarnation: 4, Token: 1 << 60, Settings: "00c0ffee00c0ffee",
-		View: []snapshot.Router{{Name: "n1", Addr: "10.0.0.1:7946", Boot: 7}, {Name: "n2", Addr: "10.0.0.2:7946", Boot: 6}},
+		Demand: map[string]float64{"chat": 3.5}, Incarnation: 4, HighestToken: 1 << 60, SettingsDigest: "00c0ffee00c0ffee",
+		Routers: []snapshot.Router{{Name: "n1", Addr: "10.0.0.1:7946", Boot: 7}, {Name: "n2", Addr: "10.0.0.2:7946", Boot: 6}},
 	}
 }
 
@@ -48,7 +48,7 @@
 		}
 		return text
 	}
-	open := encoded(&snapshot.State{Router: "n1", Open: []snapshot.Open{{ID: "x-1", Class: "chat"}, {ID: "x-2", Class: "chat"}}, OpenMore: 5}, 0)
+	open := encoded(&snapshot.State{Router: "n1", OpenRequests: []snapshot.OpenRequest{{ID: "x-1", Class: "chat"}, {ID: "x-2", Class: "chat"}}, OmittedRequests: 5}, 0)
 	younger := encoded(goldenSnapshot(41), 41)
 	folder := t.TempDir()
 	for name, made := range map[string][]byte{"router.0.snap": encoded(goldenSnapshot(40), 40), "router.1.snap": younger, "router.open": open,
@@ -104,13 +104,13 @@
 		t.Errorf("%d requests count as unanswered", n)
 	}
 	want := goldenSnapshot(41)
-	want.List, want.At, want.Settings = got.List, got.At, got.Settings // anew
-	want.Boot, want.Zone, want.View = 0, "", got.View                  // there is no fleet view
-	want.Learned.Replicas = got.Learned.Replicas                       // of hosts that are listed, once the module was asked
+	want.List, want.SavedAt, want.SettingsDigest = got.List, got.SavedAt, got.SettingsDigest // anew
+	want.Boot, want.Zone, want.Routers = 0, "", got.Routers                                  // there is no fleet view
+	want.Learned.Replicas = got.Learned.Replicas                                             // of hosts that are listed, once the module was asked
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("the next generation has\n%s", diff)
 	}
-	if got.At.IsZero() || len(got.Settings) != 16 || len(got.List.Servers) != 1 {
+	if got.SavedAt.IsZero() || len(got.SettingsDigest) != 16 || len(got.List.Servers) != 1 {
 		t.Errorf("the next generation has %+v", got)
 	}
 	if _, err := os.Stat(filepath.Join(folder, "router.open")); err != nil {
--- a/internal/router/quorum/explore_test.go
+++ b/internal/router/quorum/explore_test.go
@@ -29,7 +29,7 @@
 )
 
 var (
-	exploreTimes = lease.Times{Lease: 2 * time.Second, Allowance: 10 * time.Millisecond, Margin: 100 * time.Millisecond}
+	exploreTimes = lease.Timing{Duration: 2 * time.Second, ClockAllowance: 10 * time.Millisecond, Margin: 100 * time.Millisecond}
 	errOverlap   = errors.New("two act under the duty")
 	errApplied   = errors.New("two voters apply different commands")
 )
@@ -38,39 +38,39 @@
 type exploredVoter struct {
 	n       int
 	v       *Voter
-	disk    Stored
+	disk    StoredState
 	past    *xxhash.Digest // all that it was told: two that were told the same are the same
 	applied map[uint64]string
 }
 
 // founded is a disk of a group of three.
-func founded(n int) Stored {
+func founded(n int) StoredState {
 	one := uint64(1)
 	var nodes []Node
 	for i := range 3 {
 		nodes = append(nodes, Node{ID: uint64(i + 1), Name: fmt.Sprint(i)})
 	}
 	voters := []uint64{1, 2, 3}
-	table, _ := lease.NewTable([]lease.Duty{{Name: "d"}}, 0)
-	data, _ := json.Marshal(state{nodes, table.State()})
-	return Stored{Meta: Meta{Version: 1, ID: uint64(n + 1), Name: fmt.Sprint(n), Group: 1, Start: 1, Nodes: nodes, Voters: voters},
-		Hard:     &raftpb.HardState{Term: &one, Commit: &one, Vote: new(uint64)},
-		Snapshot: &raftpb.Snapshot{Data: data, Metadata: &raftpb.SnapshotMetadata{Index: &one, Term: &one, ConfState: &raftpb.ConfState{Voters: voters}}}}
+	table, _ := lease.NewTable([]lease.Role{{Name: "d"}}, 0)
+	data, _ := json.Marshal(snapshotContent{nodes, table.State()})
+	return StoredState{Meta: Meta{Version: 1, ID: uint64(n + 1), Name: fmt.Sprint(n), Group: 1, Starts: 1, Members: nodes, Voters: voters},
+		HardState: &raftpb.HardState{Term: &one, Commit: &one, Vote: new(uint64)},
+		Snapshot:  &raftpb.Snapshot{Data: data, Metadata: &raftpb.SnapshotMetadata{Index: &one, Term: &one, ConfState: &raftpb.ConfState{Voters: voters}}}}
 }
 
-func newExplored(n, life int, disk Stored, leaseTime time.Duration) *exploredVoter {
+func newExplored(n, life int, disk StoredState, leaseTime time.Duration) *exploredVoter {
 	times := exploreTimes
-	times.Lease = leaseTime
+	times.Duration = leaseTime
 	x := &exploredVoter{n: n, disk: disk, past: xxhash.New(), applied: map[uint64]string{}}
 	var err error
-	x.v, err = New(Config{Self: fmt.Sprint(n), Names: []string{"0", "1", "2"}, Voters: 3, Duties: []lease.Duty{{Name: "d"}}, Times: times, ReplaceAfter: time.Hour,
-		Boot: uint32(10*life + n + 1), Beat: time.Second, Trusted: true}, disk.Clone(), 0)
+	x.v, err = New(Config{Self: fmt.Sprint(n), Candidates: []string{"0", "1", "2"}, Voters: 3, Roles: []lease.Role{{Name: "d"}}, Timing: times, ReplaceTimeout: time.Hour,
+		Boot: uint32(10*life + n + 1), TickInterval: time.Second, TrustStore: true}, disk.Clone(), 0)
 	if err != nil {
 		panic(err)
 	}
-	x.v.helloAt, x.v.planAt = 1<<62, 1<<62 // who takes part is not what is explored
+	x.v.nextHelloAt, x.v.nextReconfigureAt = 1<<62, 1<<62 // who takes part is not what is explored
 	for name := range 3 {
-		x.v.stores[fmt.Sprint(name)] = uint64(name + 1)
+		x.v.storeIDs[fmt.Sprint(name)] = uint64(name + 1)
 	}
 	return x
 }
@@ -78,36 +78,36 @@
 func (x *exploredVoter) step(now time.Duration, e Event) (o explorer.Out[word]) {
 	for _, a := range x.v.Step(now, e) {
 		switch a := a.(type) {
-		case Keep:
-			x.disk = *x.disk.Kept(&a)
+		case Persist:
+			x.disk = *x.disk.Apply(&a)
 		case Send:
 			o.Send = append(o.Send, explorer.Send[word]{To: int(a.To[0] - '0'), Msg: word{between, string(a.Data)}})
-		case Answer:
-			o.Send = append(o.Send, explorer.Send[word]{To: int(a.To[0] - '0'), Msg: word{toClient, string(a.Reply.Append())}})
+		case SendReply:
+			o.Send = append(o.Send, explorer.Send[word]{To: int(a.To[0] - '0'), Msg: word{toClient, string(a.Reply.Encode())}})
 		case Applied:
-			x.applied[a.Index] = fmt.Sprint(a.Command.Kind, a.Command.Who, a.Answer, a.Changes)
+			x.applied[a.Index] = fmt.Sprint(a.Command.Kind, a.Command.Router, a.Result, a.Changes)
 		}
 	}
 	o.Wake = x.v.Next()
 	return o
 }
 
-func (x *exploredVoter) Start(now time.Duration) explorer.Out[word] { return x.step(now, Passed{}) }
+func (x *exploredVoter) Start(now time.Duration) explorer.Out[word] { return x.step(now, Tick{}) }
 func (x *exploredVoter) Wake(now time.Duration) explorer.Out[word] {
 	fmt.Fprint(x.past, "wake", now)
-	return x.step(now, Passed{})
+	return x.step(now, Tick{})
 }
 func (x *exploredVoter) Receive(now time.Duration, from int, m word) explorer.Out[word] {
 	fmt.Fprint(x.past, m.what, now, from)
 	io.WriteString(x.past, m.data)
 	if m.what == between {
-		return x.step(now, Received{Data: []byte(m.data)})
+		return x.step(now, MessageReceived{Data: []byte(m.data)})
 	}
-	q, _, err := lease.Read([]byte(m.data))
+	q, _, err := lease.Decode([]byte(m.data))
 	if err != nil || q == nil {
-		return x.step(now, Passed{})
+		return x.step(now, Tick{})
 	}
-	return x.step(now, Asked{From: fmt.Sprint(from), Request: q})
+	return x.step(now, RequestReceived{From: fmt.Sprint(from), Request: q})
 }
 func (x *exploredVoter) Write(h hash.Hash64) { fmt.Fprint(h, x.past.Sum64()) }
 
@@ -119,7 +119,7 @@
 }
 
 func newExploredClient(n, life int) *exploredClient {
-	a, err := lease.NewAgent(lease.AgentConfig{Self: lease.Router{Name: fmt.Sprint(n), Boot: uint32(10*life + n + 1)}, Times: exploreTimes, Voters: []string{"0"}})
+	a, err := lease.NewAgent(lease.AgentConfig{Self: lease.Router{Name: fmt.Sprint(n), Boot: uint32(10*life + n + 1)}, Timing: exploreTimes, Voters: []string{"0"}})
 	if err != nil {
 		panic(err)
 	}
@@ -128,25 +128,25 @@
 
 func (c *exploredClient) out(all []lease.Action) (o explorer.Out[word]) {
 	for _, a := range all {
-		if ask, ok := a.(lease.Ask); ok {
-			o.Send = append(o.Send, explorer.Send[word]{To: int(ask.To[0] - '0'), Msg: word{toVoter, string(ask.Request.Append())}})
+		if ask, ok := a.(lease.SendRequest); ok {
+			o.Send = append(o.Send, explorer.Send[word]{To: int(ask.To[0] - '0'), Msg: word{toVoter, string(ask.Request.Encode())}})
 		}
 	}
 	o.Wake = c.a.Next()
 	return o
 }
 func (c *exploredClient) Start(now time.Duration) explorer.Out[word] {
-	return c.out(c.a.Want(now, "d"))
+	return c.out(c.a.Acquire(now, "d"))
 }
 func (c *exploredClient) Wake(now time.Duration) explorer.Out[word] {
 	fmt.Fprint(c.past, "wake", now)
-	return c.out(c.a.Passed(now))
+	return c.out(c.a.Tick(now))
 }
 func (c *exploredClient) Receive(now time.Duration, from int, m word) explorer.Out[word] {
 	fmt.Fprint(c.past, now, from)
 	io.WriteString(c.past, m.data)
-	if _, r, err := lease.Read([]byte(m.data)); err == nil && r != nil {
-		return c.out(c.a.Heard(now, fmt.Sprint(from), r))
+	if _, r, err := lease.Decode([]byte(m.data)); err == nil && r != nil {
+		return c.out(c.a.HandleReply(now, fmt.Sprint(from), r))
 	}
 	return c.out(nil)
 }
@@ -182,8 +182,8 @@
 		take(n, nodes[n].Start(0))
 	}
 	first := nodes[0].(*exploredVoter)
-	first.v.electAt = 0
-	take(0, first.step(0, Passed{}))
+	first.v.nextElectionAt = 0
+	take(0, first.step(0, Tick{}))
 	settle()
 	for n := 3; n < 5; n++ {
 		take(n, nodes[n].Start(0))
@@ -243,7 +243,7 @@
 			for i, n := range nodes {
 				switch x := inner(n).(type) {
 				case *exploredClient:
-					if _, _, may := x.a.Begin(now[i], "d"); may {
+					if _, _, may := x.a.Check(now[i], "d"); may {
 						acts++
 					}
 				case *exploredVoter:
@@ -269,7 +269,7 @@
 	if *measure {
 		depth, states = 6, 600_000
 	}
-	q := exploring(exploreTimes.Lease, false, depth, explorer.Budget{Losses: 1, Copies: 1, Crashes: 1, Pauses: 1})
+	q := exploring(exploreTimes.Duration, false, depth, explorer.Budget{Losses: 1, Copies: 1, Crashes: 1, Pauses: 1})
 	q.States = states
 	answer, err := explorer.Explore(q)
 	if err != nil {
--- a/internal/router/quorum/forms_test.go
+++ b/internal/router/quorum/forms_test.go
@@ -11,5 +11,5 @@
 	formtest.Compare(t, "forms.txt", formtest.Document([2]string{"message", formtest.Fields(message{}, "json")},
 		[2]string{"greeting", formtest.Fields(hello{}, "json")},
 		[2]string{"proposal", formtest.Fields(proposal{}, "json")},
-		[2]string{"state", formtest.Fields(state{}, "json")}))
+		[2]string{"state", formtest.Fields(snapshotContent{}, "json")}))
 }
--- a/internal/router/quorum/golden_test.go
+++ b/internal/router/quorum/golden_test.go
@@ -17,10 +17,10 @@
 	raft := &raftpb.Message{Type: raftpb.MsgApp.Enum(), To: proto.Uint64(2), From: proto.Uint64(1 << 50), Term: proto.Uint64(7), LogTerm: proto.Uint64(6), Index: proto.Uint64(300),
 		Entries: []*raftpb.Entry{{Type: raftpb.EntryNormal.Enum(), Term: proto.Uint64(7), Index: proto.Uint64(301), Data: []byte("text")}}, Commit: proto.Uint64(299)}
 	return map[string]*message{
-		"raft": {V: wireVersion, Group: 1 << 21, From: nodes[0], To: 2, Start: 3, Boot: 0xfedcba98, Raft: marshal(raft)},
-		"hello": {V: wireVersion, Group: 1 << 21, From: nodes[0], To: 2, Start: 3, Boot: 4, Hello: &hello{Stage: Voting, Term: 7, LastTerm: 6, LastIndex: 300, Token: 1 << 40, Nodes: nodes,
-			Voters: []uint64{1 << 50, 2}, Applied: 299, Leader: "router-1", Wants: true, Of: 2, OfBoot: 5, OfStart: 6, Older: "its log is shorter"}},
-		"least": {V: wireVersion, From: Node{Name: "r"}, Start: 1, Boot: 1, Hello: &hello{Stage: Asking}},
+		"raft": {V: wireVersion, Group: 1 << 21, From: nodes[0], To: 2, Starts: 3, Boot: 0xfedcba98, Raft: marshal(raft)},
+		"hello": {V: wireVersion, Group: 1 << 21, From: nodes[0], To: 2, Starts: 3, Boot: 4, Hello: &hello{Stage: Voting, Term: 7, LastTerm: 6, LastIndex: 300, HighestToken: 1 << 40, Members: nodes,
+			Voters: []uint64{1 << 50, 2}, Applied: 299, Leader: "router-1", WantsReply: true, ReplyToStore: 2, ReplyToBoot: 5, ReplyToStarts: 6, Stale: "its log is shorter"}},
+		"least": {V: wireVersion, From: Node{Name: "r"}, Starts: 1, Boot: 1, Hello: &hello{Stage: Verifying}},
 	}
 }
 
@@ -37,11 +37,11 @@
 		if got, err := decode(data[name]); err != nil || !reflect.DeepEqual(got, messages[name]) {
 			t.Errorf("%s is read as %+v, not %+v (%v)", name, got, messages[name], err)
 		}
-		if from, err := FromOf(data[name]); err != nil || from != messages[name].From.Name {
+		if from, err := SenderOf(data[name]); err != nil || from != messages[name].From.Name {
 			t.Errorf("%s is from %q, not %q (%v)", name, from, messages[name].From.Name, err)
 		}
 	}
-	m, err := readRaft(messages["raft"].Raft)
+	m, err := decodeRaft(messages["raft"].Raft)
 	if err != nil || m.GetTerm() != 7 || m.GetIndex() != 300 || len(m.GetEntries()) != 1 || string(m.GetEntries()[0].GetData()) != "text" {
 		t.Errorf("the engine's message is read as %v (%v)", m, err)
 	}
@@ -49,29 +49,29 @@
 
 // What voters agree on and keep, and send each other as entries and snapshots, has the bytes that it had at commit 5bfcc27.
 func TestProposalsAndSnapshotsKeepTheirBytes(t *testing.T) {
-	with := lease.Duty{Name: "reports", Holders: 2, Zones: []string{"north", "south"}, ByZone: true}
-	p := proposal{N: 1 << 40, C: lease.Command{Kind: lease.Define, Duty: "reports@south", Who: lease.Router{Name: "router-1", Boot: 0xfedcba98, Zone: "south"}, Token: 9, Renewals: 10,
-		To: "router-2", With: &with}}
-	table, err := lease.NewTable([]lease.Duty{with, {Name: "scribe"}}, 1<<40)
+	with := lease.Role{Name: "reports", MaxHolders: 2, PreferredZones: []string{"north", "south"}, ByZone: true}
+	p := proposal{Number: 1 << 40, Command: lease.Command{Kind: lease.DefineRole, Role: "reports@south", Router: lease.Router{Name: "router-1", Boot: 0xfedcba98, Zone: "south"}, Token: 9, Renewals: 10,
+		To: "router-2", Definition: &with}}
+	table, err := lease.NewTable([]lease.Role{with, {Name: "scribe"}}, 1<<40)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i, c := range []lease.Command{
-		{Kind: lease.Acquire, Duty: "scribe", Who: lease.Router{Name: "router-1", Boot: 1, Zone: "north"}},
-		{Kind: lease.Acquire, Duty: "scribe", Who: lease.Router{Name: "router-2", Boot: 2, Zone: "south"}},
-		{Kind: lease.Acquire, Duty: "reports@south", Who: lease.Router{Name: "router-2", Boot: 2, Zone: "south"}},
-		{Kind: lease.Acquire, Duty: "reports@south", Who: lease.Router{Name: "router-3", Boot: 3, Zone: "south"}},
-		{Kind: lease.Acquire, Duty: "reports@south", Who: lease.Router{Name: "router-4", Boot: 4, Zone: "south"}},
-		{Kind: lease.HandOver, Duty: "reports@south", Who: lease.Router{Name: "router-3", Boot: 3, Zone: "south"}, Token: 1<<40 + 3, To: "router-5"},
-		{Kind: lease.Wish, Duty: "scribe", Token: 1<<40 + 1, To: lease.Anybody},
+		{Kind: lease.Acquire, Role: "scribe", Router: lease.Router{Name: "router-1", Boot: 1, Zone: "north"}},
+		{Kind: lease.Acquire, Role: "scribe", Router: lease.Router{Name: "router-2", Boot: 2, Zone: "south"}},
+		{Kind: lease.Acquire, Role: "reports@south", Router: lease.Router{Name: "router-2", Boot: 2, Zone: "south"}},
+		{Kind: lease.Acquire, Role: "reports@south", Router: lease.Router{Name: "router-3", Boot: 3, Zone: "south"}},
+		{Kind: lease.Acquire, Role: "reports@south", Router: lease.Router{Name: "router-4", Boot: 4, Zone: "south"}},
+		{Kind: lease.Transfer, Role: "reports@south", Router: lease.Router{Name: "router-3", Boot: 3, Zone: "south"}, Token: 1<<40 + 3, To: "router-5"},
+		{Kind: lease.RequestTransfer, Role: "scribe", Token: 1<<40 + 1, To: lease.AnyRouter},
 	} {
-		if a, _ := table.Apply(uint64(i+1), c); !a.OK && !a.Waits {
-			t.Errorf("command %d is refused: %s", i, a.Why)
+		if a, _ := table.Apply(uint64(i+1), c); !a.OK && !a.Queued {
+			t.Errorf("command %d is refused: %s", i, a.Refusal)
 		}
 	}
-	snapshot := state{Nodes: []Node{{ID: 1 << 50, Name: "router-1", Zone: "north"}}, Table: table.State()}
-	meta := Meta{Version: 1, ID: 1 << 50, Name: "router-1", Group: 1 << 21, Start: 3, Nodes: snapshot.Nodes, Voters: []uint64{1 << 50}, Token: 1 << 40,
-		Seals: map[uint64]Seal{2: {Start: 1, Term: 2, Boot: 3, LastTerm: 4, LastIndex: 5}}}
+	snapshot := snapshotContent{Members: []Node{{ID: 1 << 50, Name: "router-1", Zone: "north"}}, Table: table.State()}
+	meta := Meta{Version: 1, ID: 1 << 50, Name: "router-1", Group: 1 << 21, Starts: 3, Members: snapshot.Members, Voters: []uint64{1 << 50}, HighestToken: 1 << 40,
+		StoreRecords: map[uint64]StoreRecord{2: {Starts: 1, Term: 2, Boot: 3, LastTerm: 4, LastIndex: 5}}}
 	var records []golden.Record
 	for _, x := range []struct {
 		name  string
@@ -87,7 +87,7 @@
 	for _, x := range []struct {
 		name       string
 		read, want any
-	}{{"proposal", &proposal{}, &p}, {"snapshot", &state{}, &snapshot}, {"meta", &Meta{}, &meta}} {
+	}{{"proposal", &proposal{}, &p}, {"snapshot", &snapshotContent{}, &snapshot}, {"meta", &Meta{}, &meta}} {
 		if err := json.Unmarshal(data[x.name], x.read); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/router/quorum/join.go
+++ b/internal/router/quorum/join.go
@@ -12,120 +12,120 @@
 )
 
 // hello is what this router says of its store.
-func (v *Voter) hello() *hello {
+func (v *Voter) newHello() *hello {
 	lead := ""
 	if v.stage() == Voting || v.stage() == Learning { // what is only heard is not passed on
 		lead = v.Leader()
 	}
-	h := &hello{Stage: v.stage(), LastTerm: v.last[0], LastIndex: v.last[1], Token: v.meta.Token, Nodes: v.meta.Nodes, Voters: v.meta.Voters, Applied: v.applied, Leader: lead}
-	if v.hard != nil {
-		h.Term = v.hard.GetTerm()
+	h := &hello{Stage: v.stage(), LastTerm: v.lastEntry[0], LastIndex: v.lastEntry[1], HighestToken: v.meta.HighestToken, Members: v.meta.Members, Voters: v.meta.Voters, Applied: v.applied, Leader: lead}
+	if v.hardState != nil {
+		h.Term = v.hardState.GetTerm()
 	}
-	if v.node != nil {
-		h.LastIndex, _ = v.store.LastIndex()
-		h.LastTerm, _ = v.store.Term(h.LastIndex)
+	if v.raft != nil {
+		h.LastIndex, _ = v.storage.LastIndex()
+		h.LastTerm, _ = v.storage.Term(h.LastIndex)
 	}
 	return h
 }
 
 // greet asks all that may vote what they know.
-func (v *Voter) greet(often bool) {
-	v.helloAt = v.now + helloSlow
+func (v *Voter) sendHellos(often bool) {
+	v.nextHelloAt = v.now + memberHelloInterval
 	if often {
-		v.helloAt = v.now + helloEvery
+		v.nextHelloAt = v.now + helloInterval
 	}
-	h := v.hello()
-	h.Wants = true
-	for _, name := range v.c.Names {
-		if name != v.c.Self {
+	h := v.newHello()
+	h.WantsReply = true
+	for _, name := range v.config.Candidates {
+		if name != v.config.Self {
 			v.send(name, &message{Hello: h})
 		}
 	}
 }
 
 // receive takes a message of another router that may vote.
-func (v *Voter) receive(m *message) {
-	older := v.sealed(m)
-	v.stores[m.From.Name] = m.From.ID
+func (v *Voter) handleMessage(m *message) {
+	older := v.checkStoreRecord(m)
+	v.storeIDs[m.From.Name] = m.From.ID
 	if m.Hello != nil {
-		v.heard[m.From.Name] = heard{v.now, m}
-		v.tokenSeen(m.Hello.Token)
+		v.hellos[m.From.Name] = receivedHello{v.now, m}
+		v.observeToken(m.Hello.HighestToken)
 	}
 	switch {
 	case m.Group > v.meta.Group && v.meta.Group == 0: // whoever founded it may count on this store
 		v.meta.Group = m.Group
-		v.out = append(v.out, Keep{Meta: v.metaNow()})
+		v.actions = append(v.actions, Persist{Meta: v.cloneMeta()})
 	case m.Group > v.meta.Group:
-		v.say(Rejoins, fmt.Sprintf("%s belongs to group %d, founded after the own one", m.From.Name, m.Group))
-		v.renew(m.Group)
+		v.notice(NoticeRejoining, fmt.Sprintf("%s belongs to group %d, founded after the own one", m.From.Name, m.Group))
+		v.newStore(m.Group)
 	}
 	if m.Hello != nil {
-		v.greeted(m, older)
+		v.handleHello(m, older)
 		return
 	}
-	if older != "" || v.node == nil || m.Group != v.meta.Group || m.To != v.meta.ID {
+	if older != "" || v.raft == nil || m.Group != v.meta.Group || m.To != v.meta.ID {
 		return
 	}
-	r, err := readRaft(m.Raft)
+	r, err := decodeRaft(m.Raft)
 	if err != nil || r.GetFrom() != m.From.ID || r.GetTo() != v.meta.ID {
 		return
 	}
-	v.acked(r)
-	term := v.node.BasicStatus().GetTerm()
+	v.recordProgress(r)
+	term := v.raft.BasicStatus().GetTerm()
 	switch r.GetType() {
 	case raftpb.MsgHup, raftpb.MsgBeat, raftpb.MsgProp, raftpb.MsgCheckQuorum, raftpb.MsgUnreachable, raftpb.MsgSnapStatus, raftpb.MsgForgetLeader, raftpb.MsgTransferLeader:
 		return // those are for the own engine alone
 	case raftpb.MsgApp, raftpb.MsgHeartbeat, raftpb.MsgSnap:
 		if r.GetTerm() >= term {
-			v.leaderHeard()
+			v.resetElectionTimer()
 		}
 	case raftpb.MsgVote:
 		if r.GetTerm() > term {
-			v.electAt = max(v.electAt, v.now+silence*v.c.Beat)
+			v.nextElectionAt = max(v.nextElectionAt, v.now+electionTimeoutTicks*v.config.TickInterval)
 		}
 	}
-	v.node.Step(r)
+	v.raft.Step(r)
 }
 
 // greeted takes a hello.
-func (v *Voter) greeted(m *message, older string) {
+func (v *Voter) handleHello(m *message, older string) {
 	h := m.Hello
-	if h.Wants {
-		answer := v.hello()
-		answer.Of, answer.OfBoot, answer.OfStart, answer.Older = m.From.ID, m.Boot, m.Start, older
+	if h.WantsReply {
+		answer := v.newHello()
+		answer.ReplyToStore, answer.ReplyToBoot, answer.ReplyToStarts, answer.Stale = m.From.ID, m.Boot, m.Starts, older
 		v.send(m.From.Name, &message{To: m.From.ID, Hello: answer})
 	}
-	if h.Of != v.meta.ID || h.OfBoot != v.c.Boot || h.OfStart != v.meta.Start || m.Group != v.meta.Group {
+	if h.ReplyToStore != v.meta.ID || h.ReplyToBoot != v.config.Boot || h.ReplyToStarts != v.meta.Starts || m.Group != v.meta.Group {
 		return
 	}
-	if h.Older != "" {
-		v.say(Rejoins, fmt.Sprintf("%s says: %s", m.From.Name, h.Older))
-		v.renew(v.meta.Group)
+	if h.Stale != "" {
+		v.notice(NoticeRejoining, fmt.Sprintf("%s says: %s", m.From.Name, h.Stale))
+		v.newStore(v.meta.Group)
 		return
 	}
-	v.okay[m.From.ID] = true
-	in := func(id uint64) bool { return slices.ContainsFunc(h.Nodes, func(n Node) bool { return n.ID == id }) }
-	if v.stage() != Joining && h.Leader != "" && h.Applied >= v.hello().LastIndex && h.Applied > v.applied && !in(v.meta.ID) {
-		v.say(Rejoins, m.From.Name+" says: the group has gone on without it")
-		v.renew(v.meta.Group)
+	v.confirmedBy[m.From.ID] = true
+	in := func(id uint64) bool { return slices.ContainsFunc(h.Members, func(n Node) bool { return n.ID == id }) }
+	if v.stage() != Joining && h.Leader != "" && h.Applied >= v.newHello().LastIndex && h.Applied > v.applied && !in(v.meta.ID) {
+		v.notice(NoticeRejoining, m.From.Name+" says: the group has gone on without it")
+		v.newStore(v.meta.Group)
 	}
 }
 
 // sealed compares what a store shows with what is known of it, and keeps what is new. It says why a store is an older copy.
-func (v *Voter) sealed(m *message) string {
+func (v *Voter) checkStoreRecord(m *message) string {
 	if m.Group != v.meta.Group {
 		return ""
 	}
-	s, known := v.meta.Seals[m.From.ID]
+	s, known := v.meta.StoreRecords[m.From.ID]
 	switch {
-	case !known && len(v.meta.Seals) >= 4*MostNames:
-		for id := range v.meta.Seals { // those of stores that are no members any more
-			if !slices.ContainsFunc(v.meta.Nodes, func(n Node) bool { return n.ID == id }) {
-				delete(v.meta.Seals, id)
+	case !known && len(v.meta.StoreRecords) >= 4*MaxCandidates:
+		for id := range v.meta.StoreRecords { // those of stores that are no members any more
+			if !slices.ContainsFunc(v.meta.Members, func(n Node) bool { return n.ID == id }) {
+				delete(v.meta.StoreRecords, id)
 			}
 		}
-	case m.Start < s.Start || m.Start == s.Start && m.Boot != s.Boot && known:
-		return fmt.Sprintf("it has begun %d times, not %d", s.Start, m.Start)
+	case m.Starts < s.Starts || m.Starts == s.Starts && m.Boot != s.Boot && known:
+		return fmt.Sprintf("it has begun %d times, not %d", s.Starts, m.Starts)
 	}
 	if h := m.Hello; h != nil && known && m.Boot != s.Boot {
 		if h.Term < s.Term {
@@ -135,82 +135,82 @@
 			return fmt.Sprintf("its log reached %d of term %d, not %d of term %d", s.LastIndex, s.LastTerm, h.LastIndex, h.LastTerm)
 		}
 	}
-	if m.Start != s.Start || m.Boot != s.Boot {
-		s.Start, s.Boot = m.Start, m.Boot
-		v.meta.Seals[m.From.ID] = s
-		v.out = append(v.out, Keep{Meta: v.metaNow()}) // before anybody is told that the store is whole
+	if m.Starts != s.Starts || m.Boot != s.Boot {
+		s.Starts, s.Boot = m.Starts, m.Boot
+		v.meta.StoreRecords[m.From.ID] = s
+		v.actions = append(v.actions, Persist{Meta: v.cloneMeta()}) // before anybody is told that the store is whole
 	}
 	return ""
 }
 
 // acked notes what a store has promised.
-func (v *Voter) acked(r *raftpb.Message) {
-	s := v.meta.Seals[r.GetFrom()]
+func (v *Voter) recordProgress(r *raftpb.Message) {
+	s := v.meta.StoreRecords[r.GetFrom()]
 	switch r.GetType() {
 	case raftpb.MsgPreVote, raftpb.MsgPreVoteResp: // of a term that may never be
 		return
 	case raftpb.MsgAppResp:
 		if !r.GetReject() {
-			if term, err := v.store.Term(r.GetIndex()); err == nil && (term > s.LastTerm || term == s.LastTerm && r.GetIndex() > s.LastIndex) {
+			if term, err := v.storage.Term(r.GetIndex()); err == nil && (term > s.LastTerm || term == s.LastTerm && r.GetIndex() > s.LastIndex) {
 				s.LastTerm, s.LastIndex = term, r.GetIndex()
 			}
 		}
 	}
 	s.Term = max(s.Term, r.GetTerm())
-	v.meta.Seals[r.GetFrom()] = s
+	v.meta.StoreRecords[r.GetFrom()] = s
 }
 
 // recent tells whether a router has said hello lately.
-func (v *Voter) recent(name string) (*message, bool) {
-	h, ok := v.heard[name]
-	return h.m, ok && v.now < h.at+heardWithin
+func (v *Voter) recentHello(name string) (*message, bool) {
+	h, ok := v.hellos[name]
+	return h.message, ok && v.now < h.at+helloTTL
 }
 
 // enter begins to take part, once that is right.
-func (v *Voter) enter() {
+func (v *Voter) join() {
 	switch {
 	case v.meta.Group == 0:
-		if v.c.Names[0] != v.c.Self || v.now < v.began+2*helloEvery {
+		if v.config.Candidates[0] != v.config.Self || v.now < v.startedAt+2*helloInterval {
 			return
 		}
 		var others []Node
-		for _, name := range v.c.Names[:v.c.Voters] {
-			if name == v.c.Self {
+		for _, name := range v.config.Candidates[:v.config.Voters] {
+			if name == v.config.Self {
 				continue
 			}
-			m, ok := v.recent(name)
+			m, ok := v.recentHello(name)
 			if !ok || m.Group != 0 {
 				return
 			}
 			others = append(others, m.From)
 		}
-		v.found(1+v.rng.Uint64N(firstGroups), others) // were all disks lost, no token is to come again
-	case v.meta.Start == 1:
-		v.run()
-	case v.c.Trusted:
-		v.run()
-	case v.last[1] == 0: // it had been asked for and got nothing yet
-		v.renew(v.meta.Group)
-		v.run()
+		v.foundGroup(1+v.rng.Uint64N(firstGroupRange), others) // were all disks lost, no token is to come again
+	case v.meta.Starts == 1:
+		v.startRaft()
+	case v.config.TrustStore:
+		v.startRaft()
+	case v.lastEntry[1] == 0: // it had been asked for and got nothing yet
+		v.newStore(v.meta.Group)
+		v.startRaft()
 	default:
 		others := 0
 		for _, id := range v.meta.Voters {
-			if id != v.meta.ID && v.okay[id] {
+			if id != v.meta.ID && v.confirmedBy[id] {
 				others++
 			}
 		}
-		if others < len(v.meta.Voters)/2 || v.now < v.began+askedFor && v.waitsFor() {
+		if others < len(v.meta.Voters)/2 || v.now < v.startedAt+storeCheckTimeout && v.awaitsConfirmation() {
 			return
 		}
-		v.run()
+		v.startRaft()
 	}
 }
 
 // waitsFor tells whether a living member has not said yet what it knows of the own store.
-func (v *Voter) waitsFor() bool {
-	for _, n := range v.meta.Nodes {
-		if n.ID != v.meta.ID && !v.okay[n.ID] && (v.living == nil || v.living[n.Name]) {
-			if m, ok := v.recent(n.Name); !ok || m.From.ID == n.ID {
+func (v *Voter) awaitsConfirmation() bool {
+	for _, n := range v.meta.Members {
+		if n.ID != v.meta.ID && !v.confirmedBy[n.ID] && (v.alive == nil || v.alive[n.Name]) {
+			if m, ok := v.recentHello(n.Name); !ok || m.From.ID == n.ID {
 				return true
 			}
 		}
@@ -220,41 +220,43 @@
 
 // found begins a group of this router and others whose stores are empty. Further ones join as they say hello. Tokens are above all that
 // were seen, and above all of any group before.
-func (v *Voter) found(group uint64, others []Node) {
-	floor := max(lease.Above(v.meta.Token), lease.Above(group<<lease.BlockBits))
-	v.renew(group)
-	v.out = v.out[:len(v.out)-1] // one write for both
-	nodes := append([]Node{{v.meta.ID, v.c.Self, v.c.Zone}}, others...)
+func (v *Voter) foundGroup(group uint64, others []Node) {
+	floor := max(lease.NextTokenBlock(v.meta.HighestToken), lease.NextTokenBlock(group<<lease.TokenBlockBits))
+	v.newStore(group)
+	v.actions = v.actions[:len(v.actions)-1] // one write for both
+	nodes := append([]Node{{v.meta.ID, v.config.Self, v.config.Zone}}, others...)
 	var voters []uint64
 	for _, n := range nodes {
 		voters = append(voters, n.ID)
 	}
-	data, _ := json.Marshal(state{nodes, lease.State{Token: floor}}) // of plain fields
+	data, _ := json.Marshal(snapshotContent{nodes, lease.State{Token: floor}}) // of plain fields
 	one := uint64(1)
 	s := &raftpb.Snapshot{Data: data, Metadata: &raftpb.SnapshotMetadata{Index: &one, Term: &one, ConfState: &raftpb.ConfState{Voters: voters}}}
-	v.hard = &raftpb.HardState{Term: &one, Commit: &one, Vote: new(uint64)}
-	v.store.ApplySnapshot(s)
-	v.store.SetHardState(v.hard)
+	v.hardState = &raftpb.HardState{Term: &one, Commit: &one, Vote: new(uint64)}
+	v.storage.ApplySnapshot(s)
+	v.storage.SetHardState(v.hardState)
 	v.restore(s)
-	v.last = [2]uint64{1, 1}
-	v.out = append(v.out, Keep{Reset: true, Meta: v.metaNow(), Hard: v.hard, Snapshot: s})
-	v.say(Founded, fmt.Sprintf("group %d, tokens above %d", group, floor))
-	v.run()
-	v.node.Campaign()
+	v.lastEntry = [2]uint64{1, 1}
+	v.actions = append(v.actions, Persist{Reset: true, Meta: v.cloneMeta(), HardState: v.hardState, Snapshot: s})
+	v.notice(NoticeGroupFounded, fmt.Sprintf("group %d, tokens above %d", group, floor))
+	v.startRaft()
+	v.raft.Campaign()
 }
 
 // rebuild founds a new group where a majority of the last one's disks is gone for good.
 func (v *Voter) rebuild(gone []string) {
-	refuse := func(format string, a ...any) { v.out = append(v.out, Rebuilt{fmt.Sprintf(format, a...)}) }
-	nodes, voters, group := v.meta.Nodes, v.meta.Voters, v.meta.Group
-	for _, name := range v.c.Names {
-		if m, ok := v.recent(name); ok {
+	refuse := func(format string, a ...any) {
+		v.actions = append(v.actions, RebuildFinished{fmt.Sprintf(format, a...)})
+	}
+	nodes, voters, group := v.meta.Members, v.meta.Voters, v.meta.Group
+	for _, name := range v.config.Candidates {
+		if m, ok := v.recentHello(name); ok {
 			if m.Hello.Leader != "" {
 				refuse("the duties have a leader, %s: nothing is to be rebuilt", m.Hello.Leader)
 				return
 			}
 			if len(nodes) == 0 || m.Group > group {
-				nodes, voters = m.Hello.Nodes, m.Hello.Voters
+				nodes, voters = m.Hello.Members, m.Hello.Voters
 			}
 			group = max(group, m.Group)
 		}
@@ -264,7 +266,7 @@
 		return
 	}
 	if len(voters) == 0 && group == 0 {
-		refuse("no router that can be reached has a record of duties: they are founded by themselves once %s live", strings.Join(v.c.Names[:v.c.Voters], ", "))
+		refuse("no router that can be reached has a record of duties: they are founded by themselves once %s live", strings.Join(v.config.Candidates[:v.config.Voters], ", "))
 		return
 	}
 	var may []string
@@ -272,8 +274,8 @@
 		if !slices.Contains(voters, n.ID) || slices.Contains(gone, n.Name) {
 			continue
 		}
-		m, ok := v.recent(n.Name)
-		if n.Name == v.c.Self && v.meta.ID == n.ID || ok && m.From.ID == n.ID || !ok && n.Name != v.c.Self {
+		m, ok := v.recentHello(n.Name)
+		if n.Name == v.config.Self && v.meta.ID == n.ID || ok && m.From.ID == n.ID || !ok && n.Name != v.config.Self {
 			may = append(may, n.Name)
 		}
 	}
@@ -281,6 +283,6 @@
 		refuse("a majority of the voters may live: %s; name with --gone those whose disks will never come back", strings.Join(may, ", "))
 		return
 	}
-	v.found(group+1, nil)
-	v.out = append(v.out, Rebuilt{})
+	v.foundGroup(group+1, nil)
+	v.actions = append(v.actions, RebuildFinished{})
 }
--- a/internal/router/quorum/stored_test.go
+++ b/internal/router/quorum/stored_test.go
@@ -34,32 +34,32 @@
 
 // A store's description is read and written as it was.
 func TestGoldenMeta(t *testing.T) {
-	pin(t, "meta.json", Meta{Version: 1, ID: 9, Name: "r1", Group: 3, Start: 2, Nodes: goldenNodes, Voters: []uint64{9, 11}, Token: 77,
-		Seals: map[uint64]Seal{11: {Start: 4, Term: 5, Boot: 6, LastTerm: 5, LastIndex: 300}}})
+	pin(t, "meta.json", Meta{Version: 1, ID: 9, Name: "r1", Group: 3, Starts: 2, Members: goldenNodes, Voters: []uint64{9, 11}, HighestToken: 77,
+		StoreRecords: map[uint64]StoreRecord{11: {Starts: 4, Term: 5, Boot: 6, LastTerm: 5, LastIndex: 300}}})
 }
 
 // The content of a snapshot of the log is read and written as it was.
 func TestGoldenSnapshotContent(t *testing.T) {
-	pin(t, "snapshot.json", state{Nodes: goldenNodes, Table: lease.State{Token: 77, Duties: []lease.SlotsState{{
-		Duty:   lease.Duty{Name: "copier", Holders: 2, Zones: []string{"east"}, ByZone: true},
-		Grants: []lease.Grant{{Duty: "copier", Holder: lease.Router{Name: "r1", Boot: 5, Zone: "east"}, Token: 76, Renewals: 12, Wish: "r3", Why: lease.InTurn, Pushed: true}},
-		Line:   []lease.Router{{Name: "r4", Boot: 8, Zone: "west"}},
-		Kept:   []lease.Kept{{To: "r3", Token: 74}}}}}})
+	pin(t, "snapshot.json", snapshotContent{Members: goldenNodes, Table: lease.State{Token: 77, Roles: []lease.RoleState{{
+		Role:         lease.Role{Name: "copier", MaxHolders: 2, PreferredZones: []string{"east"}, ByZone: true},
+		Grants:       []lease.Grant{{Role: "copier", Holder: lease.Router{Name: "r1", Boot: 5, Zone: "east"}, Token: 76, Renewals: 12, TransferTo: "r3", Reason: lease.ReasonQueued, Unconfirmed: true}},
+		Queue:        []lease.Router{{Name: "r4", Boot: 8, Zone: "west"}},
+		Reservations: []lease.Reservation{{For: "r3", Token: 74}}}}}})
 }
 
 // An entry of the log is read and written as it was.
 func TestGoldenProposal(t *testing.T) {
-	pin(t, "proposal.json", proposal{N: 300, C: lease.Command{Kind: lease.HandOver, Duty: "copier", Who: lease.Router{Name: "r1", Boot: 5, Zone: "east"},
-		Token: 76, Renewals: 12, To: "r2", With: &lease.Duty{Name: "copier", Holders: 2, Zones: []string{"east"}, ByZone: true}}})
+	pin(t, "proposal.json", proposal{Number: 300, Command: lease.Command{Kind: lease.Transfer, Role: "copier", Router: lease.Router{Name: "r1", Boot: 5, Zone: "east"},
+		Token: 76, Renewals: 12, To: "r2", Definition: &lease.Role{Name: "copier", MaxHolders: 2, PreferredZones: []string{"east"}, ByZone: true}}})
 }
 
 // Messages between voters are read and written as they were.
 func TestGoldenMessages(t *testing.T) {
 	var all []*message
-	for _, stage := range []Stage{Asking, Joining, Learning, Voting, Spare} {
-		all = append(all, &message{V: wireVersion, Group: 3, From: goldenNodes[0], To: 11, Start: 2, Boot: 5, Raft: []byte("engine"),
-			Hello: &hello{Stage: stage, Term: 5, LastTerm: 4, LastIndex: 300, Token: 77, Nodes: goldenNodes, Voters: []uint64{9, 11}, Applied: 299,
-				Leader: "r2", Wants: true, Of: 11, OfBoot: 6, OfStart: 4, Older: "an older copy"}})
+	for _, stage := range []Stage{Verifying, Joining, Learning, Voting, Standby} {
+		all = append(all, &message{V: wireVersion, Group: 3, From: goldenNodes[0], To: 11, Starts: 2, Boot: 5, Raft: []byte("engine"),
+			Hello: &hello{Stage: stage, Term: 5, LastTerm: 4, LastIndex: 300, HighestToken: 77, Members: goldenNodes, Voters: []uint64{9, 11}, Applied: 299,
+				Leader: "r2", WantsReply: true, ReplyToStore: 11, ReplyToBoot: 6, ReplyToStarts: 4, Stale: "an older copy"}})
 	}
 	pin(t, "messages.json", all)
 	text, err := json.Marshal(all[0])
--- a/internal/router/quorum/types.go
+++ b/internal/router/quorum/types.go
@@ -25,40 +25,40 @@
 
 // Periods and bounds.
 const (
-	Beat         = 50 * time.Millisecond  // between two of the leader's ticks; it sends heartbeats each second one
-	silence      = 8                      // beats without word of the leader, after which a voter stands for election
-	spread       = 4                      // beats over which the moments are spread at which voters do
-	helloEvery   = 200 * time.Millisecond // while a router is no member
-	helloSlow    = 2 * time.Second        // once it is one
-	askedFor     = 2 * time.Second        // the longest wait for living routers' word on the own store
-	heardWithin  = 3 * time.Second        // for how long a hello counts
-	planEvery    = 300 * time.Millisecond
-	pushEvery    = 50 * time.Millisecond
-	pushWithin   = 300 * time.Millisecond // a grant that came by itself is taken back if its holder does not renew it
-	stoppedAfter = 5 * time.Second        // without a leader, the log says so
-	lineEvery    = time.Second            // between two looks at who waits and lives no more
-
-	MostNames     = lease.MostVoters
-	MostMessage   = 4 << 20 // bytes
-	mostPending   = 4096    // requests that wait for agreement
-	snapshotEvery = 1000    // commands
-	keepBehind    = 200     // commands that stay in the log behind a snapshot
-	firstGroups   = 1 << 20 // of which the first one's number is drawn
+	TickInterval          = 50 * time.Millisecond  // between two of the leader's ticks; it sends heartbeats each second one
+	electionTimeoutTicks  = 8                      // beats without word of the leader, after which a voter stands for election
+	electionJitterTicks   = 4                      // beats over which the moments are spread at which voters do
+	helloInterval         = 200 * time.Millisecond // while a router is no member
+	memberHelloInterval   = 2 * time.Second        // once it is one
+	storeCheckTimeout     = 2 * time.Second        // the longest wait for living routers' word on the own store
+	helloTTL              = 3 * time.Second        // for how long a hello counts
+	reconfigureInterval   = 300 * time.Millisecond
+	notifyInterval        = 50 * time.Millisecond
+	confirmTimeout        = 300 * time.Millisecond // a grant that came by itself is taken back if its holder does not renew it
+	leaderlessNoticeDelay = 5 * time.Second        // without a leader, the log says so
+	queueCheckInterval    = time.Second            // between two looks at who waits and lives no more
+
+	MaxCandidates      = lease.MaxVoters
+	MaxMessageBytes    = 4 << 20 // bytes
+	maxPendingRequests = 4096    // requests that wait for agreement
+	entriesPerSnapshot = 1000    // commands
+	retainedEntries    = 200     // commands that stay in the log behind a snapshot
+	firstGroupRange    = 1 << 20 // of which the first one's number is drawn
 )
 
 // Config is what a Voter is told at its start.
 type Config struct {
-	Self, Zone   string
-	Names        []string // who may vote, the same at all; the first Voters found the group
-	Voters       int      // 1, 3, 5 or 7
-	Duties       []lease.Duty
-	Times        lease.Times
-	ReplaceAfter time.Duration // a voter that the view has lost for this long makes room for another
-	Boot         uint32
-	Seed         uint64
-	Beat         time.Duration // between two of the leader's ticks; 0 counts as Beat. The other periods of elections follow it
-	NoWait       bool          // planted, for checkers: a new leader does not wait a whole lease
-	Trusted      bool          // for explorers, whose depth is short: the store is believed without asking
+	Self, Zone     string
+	Candidates     []string // who may vote, the same at all; the first Voters found the group
+	Voters         int      // 1, 3, 5 or 7
+	Roles          []lease.Role
+	Timing         lease.Timing
+	ReplaceTimeout time.Duration // a voter that the view has lost for this long makes room for another
+	Boot           uint32
+	Seed           uint64
+	TickInterval   time.Duration // between two of the leader's ticks; 0 counts as Beat. The other periods of elections follow it
+	SkipLeaseWait  bool          // planted, for checkers: a new leader does not wait a whole lease
+	TrustStore     bool          // for explorers, whose depth is short: the store is believed without asking
 }
 
 // Node is a member of the group.
@@ -69,75 +69,76 @@
 }
 
 // Seal is what a router knows of another's store: one that shows less is an older copy.
-type Seal struct {
-	Start, Term         uint64
+type StoreRecord struct {
+	Starts              uint64 `json:"Start"`
+	Term                uint64
 	Boot                uint32
 	LastTerm, LastIndex uint64
 }
 
 // Meta is the part of what is kept that is no log.
 type Meta struct {
-	Version int
-	ID      uint64 // drawn as the store is made
-	Name    string // whose it is
-	Group   uint64 // 0 for none yet
-	Start   uint64 // how often a process has begun with it
-	Nodes   []Node // of the group, as far as applied
-	Voters  []uint64
-	Token   uint64 // the largest that was seen
-	Seals   map[uint64]Seal
+	Version      int
+	ID           uint64 // drawn as the store is made
+	Name         string // whose it is
+	Group        uint64 // 0 for none yet
+	Starts       uint64 `json:"Start"` // how often a process has begun with it
+	Members      []Node `json:"Nodes"` // of the group, as far as applied
+	Voters       []uint64
+	HighestToken uint64                 `json:"Token"` // the largest that was seen
+	StoreRecords map[uint64]StoreRecord `json:"Seals"`
 }
 
 // Stored is what a folder has.
-type Stored struct {
-	Meta     Meta
-	Hard     *raftpb.HardState
-	Snapshot *raftpb.Snapshot
-	Entries  []*raftpb.Entry
+type StoredState struct {
+	Meta      Meta
+	HardState *raftpb.HardState
+	Snapshot  *raftpb.Snapshot
+	Entries   []*raftpb.Entry
 }
 
 // Event is one of the following.
 type Event interface{ event() }
 
 // Passed says that time has.
-type Passed struct{}
+type Tick struct{}
 
 // Received is a message from another router that may vote.
-type Received struct{ Data []byte }
+type MessageReceived struct{ Data []byte }
 
 // Asked is a request of a router, which is called From in the answer to it.
-type Asked struct {
+type RequestReceived struct {
 	From    string
 	Request *lease.Request
 }
 
 // View is who lives, as the fleet view has it.
-type View struct{ Living map[string]bool }
+type Membership struct{ Alive map[string]bool }
 
 // Define has there be these duties from here on, as New was told of others. Those that are no more stay in the table, asked for by nobody.
-type Define struct{ Duties []lease.Duty }
+type DefineRoles struct{ Roles []lease.Role }
 
 // Rebuild asks for a new group. Gone are routers that an operator says will not come back with their disks.
-type Rebuild struct{ Gone []string }
+type Rebuild struct{ LostRouters []string }
 
-func (Passed) event()   {}
-func (Received) event() {}
-func (Asked) event()    {}
-func (View) event()     {}
-func (Define) event()   {}
-func (Rebuild) event()  {}
+func (Tick) event()            {}
+func (MessageReceived) event() {}
+func (RequestReceived) event() {}
+func (Membership) event()      {}
+func (DefineRoles) event()     {}
+func (Rebuild) event()         {}
 
 // Action is one of the following.
 type Action interface{ action() }
 
 // Keep is to be on the disk before anything that comes after it is done.
-type Keep struct {
-	Reset    bool // all before is thrown away
-	Meta     *Meta
-	Hard     *raftpb.HardState
-	Snapshot *raftpb.Snapshot // replaces the log up to its index
-	Entries  []*raftpb.Entry  // replace those with their numbers and above
-	Compact  uint64           // entries up to here may be thrown away
+type Persist struct {
+	Reset     bool // all before is thrown away
+	Meta      *Meta
+	HardState *raftpb.HardState
+	Snapshot  *raftpb.Snapshot // replaces the log up to its index
+	Entries   []*raftpb.Entry  // replace those with their numbers and above
+	Compact   uint64           // entries up to here may be thrown away
 }
 
 // Send is to go to another router that may vote; it may be lost.
@@ -147,45 +148,45 @@
 }
 
 // Answer is to go to a router: to From of a request, or to one by its name, if Push.
-type Answer struct {
-	To    string
-	Push  bool
-	Reply *lease.Reply
+type SendReply struct {
+	To           string
+	Notification bool
+	Reply        *lease.Reply
 }
 
 // Applied tells of one command that was agreed on, in order.
 type Applied struct {
 	Index   uint64
 	Command lease.Command
-	Answer  lease.Answer
+	Result  lease.Result
 	Changes []lease.Change
 }
 
 // Told is for the log of whoever is on call.
-type Told struct {
-	What  Telling
+type Notice struct {
+	Kind  NoticeKind
 	Cause string
 }
 
 // Rebuilt answers Rebuild.
-type Rebuilt struct{ Refused string }
+type RebuildFinished struct{ Refusal string }
 
-func (Keep) action()    {}
-func (Send) action()    {}
-func (Answer) action()  {}
-func (Applied) action() {}
-func (Told) action()    {}
-func (Rebuilt) action() {}
+func (Persist) action()         {}
+func (Send) action()            {}
+func (SendReply) action()       {}
+func (Applied) action()         {}
+func (Notice) action()          {}
+func (RebuildFinished) action() {}
 
 // Telling is what the log is told.
-type Telling string
+type NoticeKind string
 
 // The lines.
 const (
-	Stopped Telling = "duties stopped"
-	GoesOn  Telling = "duties go on"
-	Rejoins Telling = "voter starts anew"
-	Founded Telling = "duties founded"
+	NoticeNoLeader      NoticeKind = "duties stopped"
+	NoticeLeaderElected NoticeKind = "duties go on"
+	NoticeRejoining     NoticeKind = "voter starts anew"
+	NoticeGroupFounded  NoticeKind = "duties founded"
 )
 
 // Stage is how far a router is.
@@ -193,24 +194,24 @@
 
 // The stages.
 const (
-	Asking   Stage = "asking"   // others, what they know of its store
-	Joining  Stage = "joining"  // its store is new, and the group has not taken it up
-	Learning Stage = "learning" // it hears all and does not vote
-	Voting   Stage = "voting"
-	Spare    Stage = "spare" // the group has enough voters
+	Verifying Stage = "asking"   // others, what they know of its store
+	Joining   Stage = "joining"  // its store is new, and the group has not taken it up
+	Learning  Stage = "learning" // it hears all and does not vote
+	Voting    Stage = "voting"
+	Standby   Stage = "spare" // the group has enough voters
 )
 
 // Kept returns what a store has once a Keep is carried out, nil being an empty one. It is for owners whose disk is memory.
-func (s *Stored) Kept(k *Keep) *Stored {
-	out := &Stored{}
+func (s *StoredState) Apply(k *Persist) *StoredState {
+	out := &StoredState{}
 	if s != nil && !k.Reset {
 		*out = *s
 	}
 	if k.Meta != nil {
 		out.Meta = *k.Meta
 	}
-	if k.Hard != nil {
-		out.Hard = k.Hard
+	if k.HardState != nil {
+		out.HardState = k.HardState
 	}
 	entries := slices.Clone(out.Entries)
 	if k.Snapshot != nil {
@@ -232,12 +233,12 @@
 }
 
 // Clone returns a copy that shares nothing that is changed later.
-func (s *Stored) Clone() *Stored {
+func (s *StoredState) Clone() *StoredState {
 	if s == nil {
 		return nil
 	}
 	c := *s
-	c.Meta.Nodes, c.Meta.Voters, c.Meta.Seals = slices.Clone(s.Meta.Nodes), slices.Clone(s.Meta.Voters), maps.Clone(s.Meta.Seals)
+	c.Meta.Members, c.Meta.Voters, c.Meta.StoreRecords = slices.Clone(s.Meta.Members), slices.Clone(s.Meta.Voters), maps.Clone(s.Meta.StoreRecords)
 	c.Entries = slices.Clone(s.Entries)
 	return &c
 }
--- a/internal/router/quorum/wire.go
+++ b/internal/router/quorum/wire.go
@@ -14,14 +14,14 @@
 
 // message is what goes between routers that may vote. A hello has no Raft.
 type message struct {
-	V     int    `json:"v"`
-	Group uint64 `json:"g"`
-	From  Node   `json:"f"`
-	To    uint64 `json:"t,omitempty"` // a store
-	Start uint64 `json:"s"`
-	Boot  uint32 `json:"b"`
-	Raft  []byte `json:"r,omitempty"`
-	Hello *hello `json:"h,omitempty"`
+	V      int    `json:"v"`
+	Group  uint64 `json:"g"`
+	From   Node   `json:"f"`
+	To     uint64 `json:"t,omitempty"` // a store
+	Starts uint64 `json:"s"`
+	Boot   uint32 `json:"b"`
+	Raft   []byte `json:"r,omitempty"`
+	Hello  *hello `json:"h,omitempty"`
 }
 
 // hello is what a router says of its store, and of the one that it answers.
@@ -29,16 +29,16 @@
 	Stage               Stage
 	Term                uint64
 	LastTerm, LastIndex uint64
-	Token               uint64
-	Nodes               []Node   `json:",omitempty"`
+	HighestToken        uint64   `json:"Token"`
+	Members             []Node   `json:"Nodes,omitempty"`
 	Voters              []uint64 `json:",omitempty"`
 	Applied             uint64
 	Leader              string `json:",omitempty"`
-	Wants               bool   `json:",omitempty"` // an answer
-	Of                  uint64 `json:",omitempty"` // the store that it answers
-	OfBoot              uint32 `json:",omitempty"` // and the process, and its start of the store: an answer to an earlier one says nothing
-	OfStart             uint64 `json:",omitempty"`
-	Older               string `json:",omitempty"` // why that store is an older copy; empty for none
+	WantsReply          bool   `json:"Wants,omitempty"`  // an answer
+	ReplyToStore        uint64 `json:"Of,omitempty"`     // the store that it answers
+	ReplyToBoot         uint32 `json:"OfBoot,omitempty"` // and the process, and its start of the store: an answer to an earlier one says nothing
+	ReplyToStarts       uint64 `json:"OfStart,omitempty"`
+	Stale               string `json:"Older,omitempty"` // why that store is an older copy; empty for none
 }
 
 func (m *message) encode() []byte {
@@ -48,8 +48,8 @@
 }
 
 func decode(b []byte) (*message, error) {
-	if len(b) > MostMessage {
-		return nil, fmt.Errorf("%d bytes; there may be %d", len(b), MostMessage)
+	if len(b) > MaxMessageBytes {
+		return nil, fmt.Errorf("%d bytes; there may be %d", len(b), MaxMessageBytes)
 	}
 	m := &message{}
 	if err := json.Unmarshal(b, m); err != nil {
@@ -62,7 +62,7 @@
 }
 
 // FromOf is the name of who sent a message, as it says itself.
-func FromOf(b []byte) (string, error) {
+func SenderOf(b []byte) (string, error) {
 	m, err := decode(b)
 	if err != nil {
 		return "", err
@@ -72,14 +72,14 @@
 
 // proposal is a command on its way into the log.
 type proposal struct {
-	N uint64 // by which the leader finds who waits
-	C lease.Command
+	Number  uint64        `json:"N"` // by which the leader finds who waits
+	Command lease.Command `json:"C"`
 }
 
 // state is a snapshot's content.
-type state struct {
-	Nodes []Node
-	Table lease.State
+type snapshotContent struct {
+	Members []Node `json:"Nodes"`
+	Table   lease.State
 }
 
 func marshal(m proto.Message) []byte {
@@ -87,7 +87,7 @@
 	return b
 }
 
-func readRaft(b []byte) (*raftpb.Message, error) {
+func decodeRaft(b []byte) (*raftpb.Message, error) {
 	m := &raftpb.Message{}
 	return m, proto.Unmarshal(b, m)
 }
