--- a/internal/router/recovery/gate.go
+++ b/internal/router/recovery/gate.go
@@ -16,60 +16,60 @@
 //
 // Classes of the highest worth are never turned away here: which of them can be served in time is the module's to say.
 type Gate struct {
-	cfg     balance.Config
-	rng     *rand.Rand
-	hosts   map[string]balance.Member
-	version int64
-	classes []*demand // the highest worth first
-	byName  map[string]*demand
-	at      time.Duration // of the last fading
-	share   float64       // of warm capacity that the list's hosts have by now
-	dealtAt time.Duration
-	part    float64                  // of that share which is given out
-	open    map[string]time.Duration // requests of the highest worth: when each is late
-	well    float64                  // of them, decayed: in time,
-	late    float64                  // and not
-	judgeAt time.Duration
-	Turned  uint64 // requests
+	config          balance.Config
+	rng             *rand.Rand
+	hosts           map[string]balance.Member
+	version         int64
+	classes         []*demand // the highest worth first
+	byName          map[string]*demand
+	decayedAt       time.Duration // of the last fading
+	warmFraction    float64       // of warm capacity that the list's hosts have by now
+	allocatedAt     time.Duration
+	grantedFraction float64                  // of that share which is given out
+	pending         map[string]time.Duration // requests of the highest worth: when each is late
+	inTime          float64                  // of them, decayed: in time,
+	late            float64                  // and not
+	judgeAt         time.Duration
+	Rejected        uint64 // requests
 }
 
 // demand is what is asked for of a class.
 type demand struct {
-	class  balance.Class
-	work   float64 // decayed sum, in tokens to be read
-	part   float64 // that is admitted
-	credit float64 // of one request
-	most   float64 // share of its whole time that a request has had left
+	class           balance.Class
+	work            float64 // decayed sum, in tokens to be read
+	admitted        float64 // that is admitted
+	credit          float64 // of one request
+	maxLeftFraction float64 // share of its whole time that a request has had left
 }
 
 // NearlyWarm is the share of the hosts' warm capacity from which on nothing is turned away.
 const NearlyWarm = 0.95
 
 const (
-	demandFor = 5 * time.Second // over which what is asked for is averaged
-	dealEvery = 50 * time.Millisecond
-	eachReads = 500.0 // tokens' worth of work that a request is beside its prompt's
+	demandWindow          = 5 * time.Second // over which what is asked for is averaged
+	allocateInterval      = 50 * time.Millisecond
+	requestOverheadTokens = 500.0 // tokens' worth of work that a request is beside its prompt's
 	// firstPart is how much of the present share of a usual day's work is given out before anything has been seen: caches are lost with the power, each
 	// prompt is read whole, and the module's budgets of cold hosts leave it room to be wrong.
-	firstPart = 0.3
+	initialFraction = 0.3
 	// mildly is how far below NearlyWarm the share may be until nothing but what is seen counts: a release makes few hosts cold at a time, and the highest worth may
 	// be late for other reasons.
-	mildly     = 0.2
-	leastPart  = 0.05
-	growBy     = 0.05 // of it, each judgeEvery in which the highest worth is served in time
-	cutBy      = 0.7  // what is left of it where over missMost of that is late
-	missMost   = 0.1
-	fewest     = 2.0 // requests that say anything
-	judgeEvery = 250 * time.Millisecond
-	judgedFor  = time.Second // over which they are counted
-	mostFades  = 0.9999
-	mostOpen   = 4096
+	observedOnlyMargin = 0.2
+	minFraction        = 0.05
+	growStep           = 0.05 // of it, each judgeEvery in which the highest worth is served in time
+	shrinkFactor       = 0.7  // what is left of it where over missMost of that is late
+	maxLateFraction    = 0.1
+	minJudged          = 2.0 // requests that say anything
+	judgeInterval      = 250 * time.Millisecond
+	judgeWindow        = time.Second // over which they are counted
+	maxLeftDecay       = 0.9999
+	maxPending         = 4096
 )
 
 // NewGate returns a Gate for one router. Usual has the work of each class on a usual day, as Usual.Demand has it from another life; it may be nil.
 func NewGate(cfg balance.Config, usual map[string]float64, seed uint64) *Gate {
-	g := &Gate{rng: rand.New(rand.NewPCG(seed, 7)), hosts: map[string]balance.Member{}, byName: map[string]*demand{}, share: 1, part: firstPart, open: map[string]time.Duration{}}
-	g.tune(cfg)
+	g := &Gate{rng: rand.New(rand.NewPCG(seed, 7)), hosts: map[string]balance.Member{}, byName: map[string]*demand{}, warmFraction: 1, grantedFraction: initialFraction, pending: map[string]time.Duration{}}
+	g.retune(cfg)
 	for name, work := range usual {
 		if d := g.byName[name]; d != nil && work > 0 && !math.IsInf(work, 1) {
 			d.work = work
@@ -88,19 +88,19 @@
 }
 
 // tune takes up settings. Classes that stay keep what is known of them.
-func (g *Gate) tune(cfg balance.Config) {
-	g.cfg = cfg
+func (g *Gate) retune(cfg balance.Config) {
+	g.config = cfg
 	old := g.byName
 	g.classes, g.byName = nil, map[string]*demand{}
 	for _, c := range cfg.Classes {
-		d := &demand{class: c, part: 1, credit: g.rng.Float64()}
+		d := &demand{class: c, admitted: 1, credit: g.rng.Float64()}
 		if was := old[c.Name]; was != nil {
-			d.work, d.part, d.credit = was.work, was.part, was.credit
+			d.work, d.admitted, d.credit = was.work, was.admitted, was.credit
 		}
 		g.classes, g.byName[c.Name] = append(g.classes, d), d
 	}
 	slices.SortStableFunc(g.classes, func(a, b *demand) int { return cmp.Compare(b.class.Worth, a.class.Worth) })
-	g.dealtAt = 0
+	g.allocatedAt = 0
 }
 
 // Step takes events, and returns those that the module is to see, with the answers to the others.
@@ -109,20 +109,20 @@
 	for _, e := range events {
 		switch e := e.(type) {
 		case balance.Members:
-			g.members(e)
+			g.updateHosts(e)
 		case balance.Retune:
-			g.tune(e.Config)
+			g.retune(e.Config)
 		case balance.FirstToken:
-			g.judged(now, e.ID)
+			g.recordOutcome(now, e.ID)
 		case balance.Outcome:
 			if e.Final {
-				g.judged(now, e.ID)
+				g.recordOutcome(now, e.ID)
 			}
 		case balance.Aborted: // its client's doing
-			delete(g.open, e.ID)
+			delete(g.pending, e.ID)
 		case balance.Arrival:
-			if !g.admits(now, &e) {
-				out = append(out, balance.Refuse{ID: e.ID, Away: g.away()})
+			if !g.admit(now, &e) {
+				out = append(out, balance.Refuse{ID: e.ID, Away: g.retryAfter()})
 				continue
 			}
 		}
@@ -132,11 +132,11 @@
 }
 
 // members keeps who is listed and when each started.
-func (g *Gate) members(e balance.Members) {
+func (g *Gate) updateHosts(e balance.Members) {
 	if e.Failed || e.Version < g.version {
 		return
 	}
-	if g.version, g.dealtAt = e.Version, 0; e.Whole {
+	if g.version, g.allocatedAt = e.Version, 0; e.Whole {
 		clear(g.hosts)
 	}
 	for _, m := range e.Members {
@@ -147,26 +147,26 @@
 }
 
 // admits tells whether a request may go on to the module.
-func (g *Gate) admits(now time.Duration, a *balance.Arrival) bool {
+func (g *Gate) admit(now time.Duration, a *balance.Arrival) bool {
 	d := g.byName[a.Class]
 	if d == nil {
 		return true // the module's to answer
 	}
-	g.deal(now)
-	if g.share < NearlyWarm && d.old(a) {
-		g.Turned++
+	g.allocate(now)
+	if g.warmFraction < NearlyWarm && d.isStaleRetry(a) {
+		g.Rejected++
 		return false
 	}
-	d.work += a.Prompt + eachReads
-	if d.class.Worth == g.classes[0].class.Worth && g.share < NearlyWarm && len(g.open) < mostOpen {
-		g.open[a.ID] = now + d.class.Aim + time.Duration(a.Prompt/1000*float64(d.class.AimPer1000))
+	d.work += a.Prompt + requestOverheadTokens
+	if d.class.Worth == g.classes[0].class.Worth && g.warmFraction < NearlyWarm && len(g.pending) < maxPending {
+		g.pending[a.ID] = now + d.class.Aim + time.Duration(a.Prompt/1000*float64(d.class.AimPer1000))
 	}
-	if d.part >= 1 {
+	if d.admitted >= 1 {
 		return true
 	}
-	d.credit += d.part
+	d.credit += d.admitted
 	if d.credit < 1 {
-		g.Turned++
+		g.Rejected++
 		return false
 	}
 	d.credit--
@@ -175,7 +175,7 @@
 
 // old tells that a request is one of a client that has asked before, and that its aim has passed meanwhile: whatever it gets now is worth nothing, and takes the
 // place of one that has just come. A client's first try has the most time left that any of its class has shown; one that has less has what is left of its deadline.
-func (d *demand) old(a *balance.Arrival) bool {
+func (d *demand) isStaleRetry(a *balance.Arrival) bool {
 	more := time.Duration(a.Prompt / 1000 * float64(d.class.AimPer1000))
 	whole := d.class.Deadline + 2*more
 	if whole <= 0 || d.class.LateWorth > 0 {
@@ -185,17 +185,17 @@
 	if share > 1.05 { // not as the settings say
 		return false
 	}
-	if d.most = max(d.most*mostFades, share); share > 0.97*d.most {
+	if d.maxLeftFraction = max(d.maxLeftFraction*maxLeftDecay, share); share > 0.97*d.maxLeftFraction {
 		return false
 	}
 	return whole-a.Left > d.class.Aim+more
 }
 
 // judged takes in that the answer of a request has begun, or that it is over.
-func (g *Gate) judged(now time.Duration, id string) {
-	if at, is := g.open[id]; is {
-		if delete(g.open, id); now <= at {
-			g.well++
+func (g *Gate) recordOutcome(now time.Duration, id string) {
+	if at, is := g.pending[id]; is {
+		if delete(g.pending, id); now <= at {
+			g.inTime++
 		} else {
 			g.late++
 		}
@@ -203,37 +203,37 @@
 }
 
 // judge grows or cuts what is given out, by how the highest worth is served.
-func (g *Gate) judge(now time.Duration) {
-	if now < g.judgeAt+judgeEvery {
+func (g *Gate) adjust(now time.Duration) {
+	if now < g.judgeAt+judgeInterval {
 		return
 	}
-	for id, at := range g.open {
+	for id, at := range g.pending {
 		if now > at {
-			delete(g.open, id)
+			delete(g.pending, id)
 			g.late++
 		}
 	}
-	switch all := g.well + g.late; {
-	case all < fewest:
-	case g.late > missMost*all:
-		g.part = max(g.part*cutBy, leastPart)
+	switch all := g.inTime + g.late; {
+	case all < minJudged:
+	case g.late > maxLateFraction*all:
+		g.grantedFraction = max(g.grantedFraction*shrinkFactor, minFraction)
 	default:
-		g.part = min(g.part+growBy, 1)
+		g.grantedFraction = min(g.grantedFraction+growStep, 1)
 	}
-	left := math.Exp(-min(now-g.judgeAt, time.Minute).Seconds() / judgedFor.Seconds())
-	g.well, g.late, g.judgeAt = g.well*left, g.late*left, now
+	left := math.Exp(-min(now-g.judgeAt, time.Minute).Seconds() / judgeWindow.Seconds())
+	g.inTime, g.late, g.judgeAt = g.inTime*left, g.late*left, now
 }
 
 // away is how long a class that waits for warmer hosts stays away: spread, lest all come back together.
-func (g *Gate) away() time.Duration {
-	return time.Duration((0.5 + 0.5*g.rng.Float64()) * float64(g.cfg.MaxAway))
+func (g *Gate) retryAfter() time.Duration {
+	return time.Duration((0.5 + 0.5*g.rng.Float64()) * float64(g.config.MaxAway))
 }
 
 // Parts is what is admitted by now of each class.
-func (g *Gate) Parts() map[string]float64 {
+func (g *Gate) AdmittedFractions() map[string]float64 {
 	all := map[string]float64{}
 	for _, d := range g.classes {
-		all[d.class.Name] = d.part
+		all[d.class.Name] = d.admitted
 	}
 	return all
 }
@@ -247,41 +247,41 @@
 }
 
 // Share is what the listed hosts can do by now, of what they do when warm.
-func (g *Gate) Share(now time.Duration) float64 {
+func (g *Gate) WarmFraction(now time.Duration) float64 {
 	if len(g.hosts) == 0 {
 		return 1
 	}
 	sum := 0.0
 	for _, m := range g.hosts {
-		sum += Warmth(&g.cfg, m.Born, now)
+		sum += Warmth(&g.config, m.Born, now)
 	}
 	return sum / float64(len(g.hosts))
 }
 
 // Warm tells whether the hosts are, so that nothing is turned away.
-func (g *Gate) Warm(now time.Duration) bool { return g.Share(now) >= NearlyWarm }
+func (g *Gate) Warm(now time.Duration) bool { return g.WarmFraction(now) >= NearlyWarm }
 
 // deal divides the present capacity by classes, the highest worth first, now and then.
-func (g *Gate) deal(now time.Duration) {
-	if g.dealtAt != 0 && now < g.dealtAt+dealEvery {
+func (g *Gate) allocate(now time.Duration) {
+	if g.allocatedAt != 0 && now < g.allocatedAt+allocateInterval {
 		return
 	}
-	g.judge(now)
-	left := math.Exp(-max(now-g.at, 0).Seconds() / demandFor.Seconds())
-	g.at, g.dealtAt, g.share = now, now, g.Share(now)
+	g.adjust(now)
+	left := math.Exp(-max(now-g.decayedAt, 0).Seconds() / demandWindow.Seconds())
+	g.decayedAt, g.allocatedAt, g.warmFraction = now, now, g.WarmFraction(now)
 	all := 0.0
 	for _, d := range g.classes {
 		d.work *= left
 		all += d.work
 	}
-	part := max(g.part, 1-(NearlyWarm-g.share)/mildly)
-	room := g.share * part * all
-	if g.share >= NearlyWarm || all == 0 {
-		room, g.part = math.Inf(1), firstPart
+	part := max(g.grantedFraction, 1-(NearlyWarm-g.warmFraction)/observedOnlyMargin)
+	room := g.warmFraction * part * all
+	if g.warmFraction >= NearlyWarm || all == 0 {
+		room, g.grantedFraction = math.Inf(1), initialFraction
 	}
 	for i, d := range g.classes {
-		if d.part = 1; i > 0 && d.class.Worth < g.classes[0].class.Worth && d.work > 0 {
-			d.part = min(max(room/d.work, 0), 1)
+		if d.admitted = 1; i > 0 && d.class.Worth < g.classes[0].class.Worth && d.work > 0 {
+			d.admitted = min(max(room/d.work, 0), 1)
 		}
 		room = max(room-d.work, 0)
 	}
--- a/internal/router/recovery/gate_test.go
+++ b/internal/router/recovery/gate_test.go
@@ -77,7 +77,7 @@
 	if on, of := asks(g, began+8*s, s, well); on["chat"] != of["chat"] {
 		t.Errorf("warm again: %v of %v", on, of)
 	}
-	if g.Turned == 0 {
+	if g.Rejected == 0 {
 		t.Error("nothing is counted")
 	}
 
@@ -119,7 +119,7 @@
 	}
 	m.Members[5].State = balance.Draining
 	g.Step(100*s, []balance.Event{m})
-	if x := g.Share(100 * s); x < (3+2*0.3)/5-1e-9 || x > (3+2*0.3)/5+1e-9 {
+	if x := g.WarmFraction(100 * s); x < (3+2*0.3)/5-1e-9 || x > (3+2*0.3)/5+1e-9 {
 		t.Errorf("share %v", x)
 	}
 }
@@ -187,8 +187,8 @@
 				}
 				delete(arrivals, r.ID)
 			}
-			if len(g.open) > mostOpen {
-				t.Fatalf("%d open", len(g.open))
+			if len(g.pending) > maxPending {
+				t.Fatalf("%d open", len(g.pending))
 			}
 		}
 	})
@@ -196,13 +196,13 @@
 
 // What is learned is averaged, goes on from another life, and drops classes that are gone.
 func TestUsual(t *testing.T) {
-	var u Usual
+	var u Baseline
 	if _, ok := u.Learned(); ok {
 		t.Error("something is there at the start")
 	}
-	u.Take(0, balance.Learned{}, nil)
+	u.Update(0, balance.Learned{}, nil)
 	for i := range 30 {
-		u.Take(time.Duration(i)*s, balance.Learned{Work: float64(1 + i%2), MeanWork: 1, Decode: map[string]float64{"a": 2}, Kinds: map[string]balance.Pace{"k": {XX: 1, XY: 1}},
+		u.Update(time.Duration(i)*s, balance.Learned{Work: float64(1 + i%2), MeanWork: 1, Decode: map[string]float64{"a": 2}, Kinds: map[string]balance.Pace{"k": {XX: 1, XY: 1}},
 			Replicas: []balance.Known{{Replica: "h", Born: s, Cap: float64(i), Slow: 1}}}, map[string]float64{"a": float64(2 * (i % 2)), "b": 1})
 	}
 	l, _ := u.Learned()
@@ -212,9 +212,9 @@
 	if len(l.Kinds) != 1 || len(l.Replicas) != 1 || l.Replicas[0].Cap != 29 || l.Decode["a"] != 2 {
 		t.Errorf("of kinds, hosts and classes the last word counts: %+v", l)
 	}
-	var next Usual
+	var next Baseline
 	next.Restore(l, u.Demand())
-	next.Take(0, balance.Learned{Work: 100, MeanWork: 1}, map[string]float64{"a": 1})
+	next.Update(0, balance.Learned{Work: 100, MeanWork: 1}, map[string]float64{"a": 1})
 	if x, _ := next.Learned(); x.Work > 6 || len(next.Demand()) != 1 {
 		t.Errorf("%+v, %v", x, next.Demand())
 	}
--- a/internal/router/recovery/items.go
+++ b/internal/router/recovery/items.go
@@ -3,13 +3,13 @@
 import "strings"
 
 // Item is a row of the table of what is kept.
-type Item struct {
+type SavedItem struct {
 	Name, Trusted, Verified, Asked, Otherwise string
 	Used                                      string // by the program as it stands
 }
 
 // Items has what a router keeps, and what of it counts in its next life.
-var Items = []Item{
+var SavedItems = []SavedItem{
 	{"list", "naming hosts until discovery speaks; each counts as just started", "discovery, under whatever version", "peers, for the version of theirs", "a younger one at a peer under the same discovery, which does not say what hosts it has: 8 s more are waited; nobody answers: it is used", "yes"},
 	{"hosts that drain or are gone", "for as long as the list", "discovery", "peers with a list of the same discovery that is not older, while discovery is silent", "one that says so is believed: they get nothing; nobody answers: as the list has it", "yes"},
 	{"own incarnation", "as a lower bound", "the fleet view, which refutes what is higher", "the fleet view", "one above it is taken", "yes"},
@@ -28,7 +28,7 @@
 func Table() string {
 	var b strings.Builder
 	b.WriteString("| item | trusted for | verified by | who is asked | if answers differ, or nobody answers | used |\n| --- | --- | --- | --- | --- | --- |\n")
-	for _, x := range Items {
+	for _, x := range SavedItems {
 		b.WriteString("| " + strings.Join([]string{x.Name, x.Trusted, x.Verified, x.Asked, x.Otherwise, x.Used}, " | ") + " |\n")
 	}
 	b.WriteString("\n| stage | ends when | bound | when that passes |\n| --- | --- | --- | --- |\n")
--- a/internal/router/recovery/recovery.go
+++ b/internal/router/recovery/recovery.go
@@ -13,66 +13,66 @@
 
 // Decider is a router's return.
 type Decider struct {
-	c      Config
-	began  time.Duration
-	now    time.Duration
-	stage  Stage
-	since  time.Duration // of the stage
-	askAt  time.Duration
-	asked  []snapshot.Router // of the last view, others alone
-	lives  []snapshot.Router
-	heard  map[string]heard
-	loss   Loss
-	listed int64
-	spoke  bool
-	led    bool
-	used   bool // the list of the last life
-	out    []Action
+	config        Config
+	startedAt     time.Duration
+	now           time.Duration
+	stage         Stage
+	stageSince    time.Duration // of the stage
+	nextQueryAt   time.Duration
+	savedPeers    []snapshot.Router // of the last view, others alone
+	alive         []snapshot.Router
+	announcements map[string]receivedAnnouncement
+	outage        Outage
+	listVersion   int64
+	listReceived  bool
+	votersLed     bool
+	savedListUsed bool // the list of the last life
+	actions       []Action
 
-	serving  map[uint32]bool   // hosts by discovery's list, by tag
-	byTag    map[uint32]string // hosts of the last life's list that got requests
-	chunks   []chunk           // of these, as they are asked about
-	hostsAt  time.Duration     // when to ask next
-	shunned  map[string]bool
-	measure  Measure // own, of this life or the last one
-	recalled bool    // another's was taken
-	warm     bool
+	serving         map[uint32]bool   // hosts by discovery's list, by tag
+	byTag           map[uint32]string // hosts of the last life's list that got requests
+	chunks          []tagChunk        // of these, as they are asked about
+	nextHostQueryAt time.Duration     // when to ask next
+	excluded        map[string]bool
+	measure         Measure // own, of this life or the last one
+	adopted         bool    // another's was taken
+	warm            bool
 }
 
 // chunk is some hosts that are asked about in one question.
-type chunk struct {
-	tags []uint32
-	told bool // by somebody, since it was asked about
+type tagChunk struct {
+	tags     []uint32
+	answered bool // by somebody, since it was asked about
 }
 
-type heard struct {
-	word Word
-	at   time.Duration
+type receivedAnnouncement struct {
+	announcement Announcement
+	at           time.Duration
 }
 
 // New returns a Decider that starts now. The first actions are those of the first Step.
 func New(c Config, now time.Duration) (*Decider, error) {
-	if c.Self == "" || len(c.Self) > MostName {
-		return nil, fmt.Errorf("router %q: a name has 1 to %d bytes", c.Self, MostName)
+	if c.Self == "" || len(c.Self) > MaxNameBytes {
+		return nil, fmt.Errorf("router %q: a name has 1 to %d bytes", c.Self, MaxNameBytes)
 	}
 	for _, x := range []struct {
 		of *time.Duration
 		to time.Duration
-	}{{&c.AskWithin, time.Second}, {&c.ListWithin, 2 * time.Second}, {&c.DoubtFor, 8 * time.Second}, {&c.WarmWithin, 20 * time.Second}} {
+	}{{&c.QueryTimeout, time.Second}, {&c.ListTimeout, 2 * time.Second}, {&c.StaleListDelay, 8 * time.Second}, {&c.WarmUpTimeout, 20 * time.Second}} {
 		*x.of = cmp.Or(*x.of, x.to)
 	}
-	d := &Decider{c: c, began: now, now: now, since: now, askAt: now, heard: map[string]heard{}}
-	if c.Before != nil {
-		for _, r := range c.Before.View {
-			if r.Name != c.Self && len(d.asked) < MostAsked {
-				d.asked = append(d.asked, r)
+	d := &Decider{config: c, startedAt: now, now: now, stageSince: now, nextQueryAt: now, announcements: map[string]receivedAnnouncement{}}
+	if c.Saved != nil {
+		for _, r := range c.Saved.Routers {
+			if r.Name != c.Self && len(d.savedPeers) < MaxPeers {
+				d.savedPeers = append(d.savedPeers, r)
 			}
 		}
-		if l := c.Before.Learned; l != nil {
+		if l := c.Saved.Learned; l != nil {
 			d.measure = MeasureOf(*l)
 		}
 	}
-	d.hosts()
+	d.prepareHostQueries()
 	return d, nil
 }
 
@@ -80,57 +80,57 @@
 func Source(address string) uint64 { return xxhash.Sum64String(address) }
 
 // word is what this router tells of itself.
-func (d *Decider) word(asks bool) Word {
-	return Word{Asks: asks, From: d.c.Self, Boot: d.c.Boot, Up: d.now - d.began, Version: d.listed, Source: Source(d.c.Discovery), Stage: d.stage, Measure: d.measure}
+func (d *Decider) announcement(asks bool) Announcement {
+	return Announcement{WantsReply: asks, From: d.config.Self, Boot: d.config.Boot, Uptime: d.now - d.startedAt, ListVersion: d.listVersion, ListSource: Source(d.config.Discovery), Stage: d.stage, Measure: d.measure}
 }
 
 // Step takes one event, and returns what is to be done.
 func (d *Decider) Step(now time.Duration, e Event) []Action {
 	d.now = max(now, d.now)
 	switch e := e.(type) {
-	case Heard:
-		d.hear(e.Word)
-	case Lives:
-		d.lives = e.Routers
-	case Spoke:
-		d.spoke, d.listed = true, e.Version
+	case AnnouncementReceived:
+		d.handleAnnouncement(e.Announcement)
+	case Membership:
+		d.alive = e.Routers
+	case ListReceived:
+		d.listReceived, d.listVersion = true, e.Version
 		d.serving = map[uint32]bool{}
-		for _, id := range e.Serving[:min(len(e.Serving), MostHosts)] {
+		for _, id := range e.Serving[:min(len(e.Serving), MaxHosts)] {
 			d.serving[Tag(id)] = true
 		}
-	case Asked:
-		d.reply(e.Question)
-	case Replied:
-		d.replied(e.Reply)
-	case Measured:
+	case QueryReceived:
+		d.answerQuery(e.Query)
+	case ReplyReceived:
+		d.handleReply(e.Reply)
+	case MeasureLearned:
 		d.measure = e.Measure
-	case Warm:
-		d.warm = e.Is
-	case Led:
-		d.led = e.Is
+	case HostsWarm:
+		d.warm = e.Warm
+	case VotersLed:
+		d.votersLed = e.Led
 	}
-	d.goOn()
-	out := d.out
-	d.out = nil
+	d.advance()
+	out := d.actions
+	d.actions = nil
 	return out
 }
 
 // hear takes a word, and answers one that asks.
-func (d *Decider) hear(w Word) {
-	if w.From == d.c.Self {
+func (d *Decider) handleAnnouncement(w Announcement) {
+	if w.From == d.config.Self {
 		return
 	}
-	if _, known := d.heard[w.From]; known || len(d.heard) < 2*MostAsked {
-		d.heard[w.From] = heard{w, d.now}
+	if _, known := d.announcements[w.From]; known || len(d.announcements) < 2*MaxPeers {
+		d.announcements[w.From] = receivedAnnouncement{w, d.now}
 	}
-	if w.Asks {
-		d.out = append(d.out, Tell{[]snapshot.Router{d.find(w.From)}, d.word(false)})
+	if w.WantsReply {
+		d.actions = append(d.actions, Announce{[]snapshot.Router{d.locate(w.From)}, d.announcement(false)})
 	}
 }
 
 // find is where a router is: as the view has it, or else as the last life had.
-func (d *Decider) find(name string) snapshot.Router {
-	for _, all := range [][]snapshot.Router{d.lives, d.asked} {
+func (d *Decider) locate(name string) snapshot.Router {
+	for _, all := range [][]snapshot.Router{d.alive, d.savedPeers} {
 		for _, r := range all {
 			if r.Name == name {
 				return r
@@ -141,66 +141,66 @@
 }
 
 // goOn does what is due, stage after stage.
-func (d *Decider) goOn() {
+func (d *Decider) advance() {
 	for {
 		before := d.stage
 		switch d.stage {
-		case Asking:
-			d.asking()
+		case Querying:
+			d.stepQuerying()
 		case Listing:
-			d.listing()
+			d.stepListing()
 		case Admitting:
 			switch {
 			case d.warm:
-				d.enter(Duties, "the hosts are warm")
-			case d.now >= d.since+d.c.WarmWithin:
-				d.enter(Duties, fmt.Sprintf("the hosts were not warm after %v", d.c.WarmWithin))
+				d.enter(AwaitingVoters, "the hosts are warm")
+			case d.now >= d.stageSince+d.config.WarmUpTimeout:
+				d.enter(AwaitingVoters, fmt.Sprintf("the hosts were not warm after %v", d.config.WarmUpTimeout))
 			}
-		case Duties:
-			if d.led || !d.c.Duties {
-				d.enter(Back, "the voters have a leader")
+		case AwaitingVoters:
+			if d.votersLed || !d.config.HasRoles {
+				d.enter(Recovered, "the voters have a leader")
 			}
 		}
 		if d.stage == before {
 			break
 		}
 	}
-	d.found()
-	d.askHosts()
-	d.recall()
+	d.classifyOutage()
+	d.queryHosts()
+	d.adoptMeasure()
 }
 
 func (d *Decider) enter(s Stage, why string) {
-	d.stage, d.since = s, d.now
-	d.out = append(d.out, Entered{s, d.now - d.began, why})
+	d.stage, d.stageSince = s, d.now
+	d.actions = append(d.actions, StageEntered{s, d.now - d.startedAt, why})
 }
 
 // asking asks the last view until half of it has answered, or the bound passes.
-func (d *Decider) asking() {
-	n := d.answers()
+func (d *Decider) stepQuerying() {
+	n := d.repliesReceived()
 	switch {
-	case len(d.asked) == 0:
+	case len(d.savedPeers) == 0:
 		d.enter(Listing, "there is nobody to ask")
-	case 2*n >= len(d.asked)+1 || n == len(d.asked):
-		d.enter(Listing, fmt.Sprintf("%d of %d have answered", n, len(d.asked)))
-	case d.now >= d.since+d.c.AskWithin:
-		d.enter(Listing, fmt.Sprintf("only %d of %d have answered", n, len(d.asked)))
-	case d.now >= d.askAt:
-		d.askAt = d.now + askEvery
+	case 2*n >= len(d.savedPeers)+1 || n == len(d.savedPeers):
+		d.enter(Listing, fmt.Sprintf("%d of %d have answered", n, len(d.savedPeers)))
+	case d.now >= d.stageSince+d.config.QueryTimeout:
+		d.enter(Listing, fmt.Sprintf("only %d of %d have answered", n, len(d.savedPeers)))
+	case d.now >= d.nextQueryAt:
+		d.nextQueryAt = d.now + queryInterval
 		var to []snapshot.Router
-		for _, r := range d.asked {
-			if _, has := d.heard[r.Name]; !has {
+		for _, r := range d.savedPeers {
+			if _, has := d.announcements[r.Name]; !has {
 				to = append(to, r)
 			}
 		}
-		d.out = append(d.out, Tell{to, d.word(true)})
+		d.actions = append(d.actions, Announce{to, d.announcement(true)})
 	}
 }
 
 // answers counts those of the last view that were heard.
-func (d *Decider) answers() (n int) {
-	for _, r := range d.asked {
-		if _, has := d.heard[r.Name]; has {
+func (d *Decider) repliesReceived() (n int) {
+	for _, r := range d.savedPeers {
+		if _, has := d.announcements[r.Name]; has {
 			n++
 		}
 	}
@@ -208,15 +208,15 @@
 }
 
 // found says whose loss it was, once all have answered or the bound for it has passed. Later words change nothing.
-func (d *Decider) found() {
-	n := d.answers()
-	if d.loss != "" || n < len(d.asked) && d.now < d.began+d.c.AskWithin {
+func (d *Decider) classifyOutage() {
+	n := d.repliesReceived()
+	if d.outage != "" || n < len(d.savedPeers) && d.now < d.startedAt+d.config.QueryTimeout {
 		return
 	}
 	old, just := 0, 0
-	for _, r := range d.asked {
-		if h, has := d.heard[r.Name]; has {
-			if r.Boot != 0 && h.word.Boot == r.Boot { // the process that it was
+	for _, r := range d.savedPeers {
+		if h, has := d.announcements[r.Name]; has {
+			if r.Boot != 0 && h.announcement.Boot == r.Boot { // the process that it was
 				old++
 			} else {
 				just++
@@ -224,51 +224,51 @@
 		}
 	}
 	switch {
-	case d.c.Before == nil:
-		d.loss = First
-	case 2*n < len(d.asked) || len(d.asked) == 0:
-		d.loss = Unknown
+	case d.config.Saved == nil:
+		d.outage = FirstStart
+	case 2*n < len(d.savedPeers) || len(d.savedPeers) == 0:
+		d.outage = UnknownOutage
 	case old == 0:
-		d.loss = All
+		d.outage = AllRouters
 	case just == 0:
-		d.loss = Own
+		d.outage = ThisRouter
 	default:
-		d.loss = Some
+		d.outage = SomeRouters
 	}
-	d.out = append(d.out, Found{d.loss, n, len(d.asked)})
+	d.actions = append(d.actions, OutageClassified{d.outage, n, len(d.savedPeers)})
 }
 
 // younger tells whether a router that was heard has a younger list of the same discovery than the last life had.
-func (d *Decider) younger() bool {
-	for _, h := range d.heard {
-		if h.word.Source == Source(d.c.Discovery) && h.word.Version > d.c.Before.List.Version {
+func (d *Decider) peerHasNewerList() bool {
+	for _, h := range d.announcements {
+		if h.announcement.ListSource == Source(d.config.Discovery) && h.announcement.ListVersion > d.config.Saved.List.Version {
 			return true
 		}
 	}
 	return false
 }
 
-func (d *Decider) listing() {
+func (d *Decider) stepListing() {
 	switch {
-	case d.spoke:
-		d.enter(Admitting, fmt.Sprintf("discovery has spoken, of version %d", d.listed))
-	case d.has() && d.now >= d.listBy():
-		d.used = true
-		d.out = append(d.out, UseList{d.shuns()})
-		d.enter(Admitting, fmt.Sprintf("discovery has said nothing for %v", d.listBy()-d.began))
+	case d.listReceived:
+		d.enter(Admitting, fmt.Sprintf("discovery has spoken, of version %d", d.listVersion))
+	case d.hasSavedList() && d.now >= d.savedListDeadline():
+		d.savedListUsed = true
+		d.actions = append(d.actions, UseSavedList{d.excludedHosts()})
+		d.enter(Admitting, fmt.Sprintf("discovery has said nothing for %v", d.savedListDeadline()-d.startedAt))
 	}
 }
 
 // has tells whether the last life left a list of the discovery that is asked now.
-func (d *Decider) has() bool {
-	return d.c.Before != nil && d.c.Before.List != nil && d.c.Before.ListFrom == d.c.Discovery
+func (d *Decider) hasSavedList() bool {
+	return d.config.Saved != nil && d.config.Saved.List != nil && d.config.Saved.ListSource == d.config.Discovery
 }
 
 // listBy is when that list is used if discovery says nothing. A peer's younger one makes it doubtful until the peer has said which hosts it has.
-func (d *Decider) listBy() time.Duration {
-	at := d.began + d.c.ListWithin
-	if d.younger() && slices.ContainsFunc(d.chunks, func(c chunk) bool { return !c.told }) {
-		at += d.c.DoubtFor
+func (d *Decider) savedListDeadline() time.Duration {
+	at := d.startedAt + d.config.ListTimeout
+	if d.peerHasNewerList() && slices.ContainsFunc(d.chunks, func(c tagChunk) bool { return !c.answered }) {
+		at += d.config.StaleListDelay
 	}
 	return at
 }
@@ -276,28 +276,28 @@
 // Next is when Step is to be called at the latest, 0 for never.
 func (d *Decider) Next() time.Duration {
 	switch d.stage {
-	case Asking:
-		return min(d.askAt, d.since+d.c.AskWithin)
+	case Querying:
+		return min(d.nextQueryAt, d.stageSince+d.config.QueryTimeout)
 	case Listing:
-		if d.has() {
-			return soonest(d.nextFound(), soonest(d.listBy(), d.nextHosts()))
+		if d.hasSavedList() {
+			return earliest(d.nextClassification(), earliest(d.savedListDeadline(), d.nextHostQuery()))
 		}
 	case Admitting:
-		return soonest(d.nextFound(), soonest(d.since+d.c.WarmWithin, d.nextHosts()))
+		return earliest(d.nextClassification(), earliest(d.stageSince+d.config.WarmUpTimeout, d.nextHostQuery()))
 	}
-	return soonest(d.nextFound(), d.nextHosts())
+	return earliest(d.nextClassification(), d.nextHostQuery())
 }
 
 // nextFound is when it is said whose loss it was, at the latest; 0 once it is.
-func (d *Decider) nextFound() time.Duration {
-	if d.loss != "" {
+func (d *Decider) nextClassification() time.Duration {
+	if d.outage != "" {
 		return 0
 	}
-	return d.began + d.c.AskWithin
+	return d.startedAt + d.config.QueryTimeout
 }
 
 // soonest is the earlier of two times, of which 0 is never.
-func soonest(a, b time.Duration) time.Duration {
+func earliest(a, b time.Duration) time.Duration {
 	if a == 0 || b != 0 && b < a {
 		return b
 	}
@@ -305,21 +305,21 @@
 }
 
 // Standing is what a Decider shows of itself.
-type Standing struct {
-	Stage  Stage
-	For    time.Duration // in the stage
-	Up     time.Duration
-	Loss   Loss
-	Heard  int
-	Asked  int
-	Old    bool // the list of the last life was used
-	Wrong  []string
-	Waits  string
-	Before bool
+type Status struct {
+	Stage         Stage
+	StageFor      time.Duration // in the stage
+	Uptime        time.Duration
+	Outage        Outage
+	Heard         int
+	Asked         int
+	SavedListUsed bool // the list of the last life was used
+	Damaged       []string
+	AwaitedEvent  string
+	HasSaved      bool
 }
 
 // Standing returns how things are at a time.
-func (d *Decider) Standing(now time.Duration) Standing {
-	return Standing{Stage: d.stage, For: now - d.since, Up: now - d.began, Loss: d.loss, Heard: d.answers(), Asked: len(d.asked), Old: d.used,
-		Wrong: slices.Clone(d.c.Wrong), Waits: Stages[d.stage].Ends, Before: d.c.Before != nil}
+func (d *Decider) Status(now time.Duration) Status {
+	return Status{Stage: d.stage, StageFor: now - d.stageSince, Uptime: now - d.startedAt, Outage: d.outage, Heard: d.repliesReceived(), Asked: len(d.savedPeers), SavedListUsed: d.savedListUsed,
+		Damaged: slices.Clone(d.config.Damaged), AwaitedEvent: Stages[d.stage].Ends, HasSaved: d.config.Saved != nil}
 }
--- a/internal/router/recovery/recovery_test.go
+++ b/internal/router/recovery/recovery_test.go
@@ -22,9 +22,9 @@
 )
 
 func kept(routers int, version int64) *snapshot.State {
-	b := &snapshot.State{Router: "r0", ListFrom: "d:1", List: &protocol.List{Version: version}}
+	b := &snapshot.State{Router: "r0", ListSource: "d:1", List: &protocol.List{Version: version}}
 	for i := range routers {
-		b.View = append(b.View, snapshot.Router{Name: fmt.Sprint("r", i), Addr: fmt.Sprintf("10.0.0.%d:1", i+1), Boot: uint32(100 + i)})
+		b.Routers = append(b.Routers, snapshot.Router{Name: fmt.Sprint("r", i), Addr: fmt.Sprintf("10.0.0.%d:1", i+1), Boot: uint32(100 + i)})
 	}
 	return b
 }
@@ -33,22 +33,22 @@
 func told(all []Action) (lines []string) {
 	for _, a := range all {
 		switch a := a.(type) {
-		case Tell:
-			lines = append(lines, fmt.Sprintf("tell %d, asks %v", len(a.To), a.Word.Asks))
-		case UseList:
-			lines = append(lines, strings.TrimSpace("use list "+strings.Join(a.Not, " ")))
-		case Ask:
-			lines = append(lines, fmt.Sprintf("ask %s of %d", a.To[0].Name, len(a.Question.Tags)))
-		case Answer:
-			lines = append(lines, fmt.Sprintf("answer %s: %d of %d get nothing", a.To.Name, len(a.Reply.Not), a.Reply.Of))
-		case Shun:
-			lines = append(lines, "shun "+strings.Join(a.Not, " "))
-		case Recall:
-			lines = append(lines, fmt.Sprintf("recall %v", a.Measure.Work))
-		case Entered:
+		case Announce:
+			lines = append(lines, fmt.Sprintf("tell %d, asks %v", len(a.To), a.Announcement.WantsReply))
+		case UseSavedList:
+			lines = append(lines, strings.TrimSpace("use list "+strings.Join(a.Excluded, " ")))
+		case SendQuery:
+			lines = append(lines, fmt.Sprintf("ask %s of %d", a.To[0].Name, len(a.Query.Tags)))
+		case SendReply:
+			lines = append(lines, fmt.Sprintf("answer %s: %d of %d get nothing", a.To.Name, len(a.Reply.Excluded), a.Reply.TagCount))
+		case ExcludeHosts:
+			lines = append(lines, "shun "+strings.Join(a.Hosts, " "))
+		case AdoptMeasure:
+			lines = append(lines, fmt.Sprintf("recall %v", a.Measure.HostWork))
+		case StageEntered:
 			lines = append(lines, "enter "+a.Stage.String())
-		case Found:
-			lines = append(lines, fmt.Sprintf("found %s, %d of %d", a.Loss, a.Heard, a.Of))
+		case OutageClassified:
+			lines = append(lines, fmt.Sprintf("found %s, %d of %d", a.Outage, a.Heard, a.Asked))
 		}
 	}
 	return lines
@@ -59,12 +59,12 @@
 	e Event
 }
 
-func from(n int, up time.Duration, version int64) Heard {
+func from(n int, up time.Duration, version int64) AnnouncementReceived {
 	boot := uint32(100 + n)
 	if up < 30*s {
 		boot = 7 // another process than before
 	}
-	return Heard{Word{From: fmt.Sprint("r", n), Boot: boot, Up: up, Version: version, Source: Source("d:1")}}
+	return AnnouncementReceived{Announcement{From: fmt.Sprint("r", n), Boot: boot, Uptime: up, ListVersion: version, ListSource: Source("d:1")}}
 }
 
 // Each kind of loss, by who answers and how long they have been up; the list by who speaks first.
@@ -74,20 +74,20 @@
 		events []at
 		want   []string
 	}{
-		"first": {Config{Self: "r0", Discovery: "d:1"}, []at{{0, Passed{}}, {s, Spoke{Version: 3}}, {s, Warm{true}}}, []string{"enter listing", "found first start, 0 of 0", "enter admitting", "enter duties", "enter back"}},
-		"itself": {Config{Self: "r0", Discovery: "d:1", Before: kept(4, 5)}, []at{{0, Passed{}}, {10 * ms, from(1, 90*s, 6)}, {20 * ms, from(2, 80*s, 6)}, {30 * ms, Spoke{Version: 6}}, {40 * ms, Warm{true}}, {s, Passed{}}},
+		"first": {Config{Self: "r0", Discovery: "d:1"}, []at{{0, Tick{}}, {s, ListReceived{Version: 3}}, {s, HostsWarm{true}}}, []string{"enter listing", "found first start, 0 of 0", "enter admitting", "enter duties", "enter back"}},
+		"itself": {Config{Self: "r0", Discovery: "d:1", Saved: kept(4, 5)}, []at{{0, Tick{}}, {10 * ms, from(1, 90*s, 6)}, {20 * ms, from(2, 80*s, 6)}, {30 * ms, ListReceived{Version: 6}}, {40 * ms, HostsWarm{true}}, {s, Tick{}}},
 			[]string{"tell 3, asks true", "enter listing", "enter admitting", "enter duties", "enter back", "found this router, 2 of 3"}},
-		"some": {Config{Self: "r0", Discovery: "d:1", Before: kept(4, 5)}, []at{{0, Passed{}}, {10 * ms, from(1, 90*s, 6)}, {15 * ms, from(2, 90*s, 0)}, {20 * ms, from(3, s, 0)}},
+		"some": {Config{Self: "r0", Discovery: "d:1", Saved: kept(4, 5)}, []at{{0, Tick{}}, {10 * ms, from(1, 90*s, 6)}, {15 * ms, from(2, 90*s, 0)}, {20 * ms, from(3, s, 0)}},
 			[]string{"tell 3, asks true", "enter listing", "found some routers, 3 of 3"}},
-		"all, discovery too": {Config{Self: "r0", Discovery: "d:1", Before: kept(4, 5)}, []at{{0, Passed{}}, {10 * ms, from(1, s, 0)}, {20 * ms, from(2, 2*s, 0)}, {s, Passed{}}, {1999 * ms, Passed{}}, {2 * s, Passed{}}, {22 * s, Passed{}}},
+		"all, discovery too": {Config{Self: "r0", Discovery: "d:1", Saved: kept(4, 5)}, []at{{0, Tick{}}, {10 * ms, from(1, s, 0)}, {20 * ms, from(2, 2*s, 0)}, {s, Tick{}}, {1999 * ms, Tick{}}, {2 * s, Tick{}}, {22 * s, Tick{}}},
 			[]string{"tell 3, asks true", "enter listing", "found all routers, 2 of 3", "use list", "enter admitting", "enter duties", "enter back"}},
-		"nobody answers": {Config{Self: "r0", Discovery: "d:1", Before: kept(4, 5)}, []at{{0, Passed{}}, {300 * ms, Passed{}}, {s, Passed{}}, {2 * s, Passed{}}, {3 * s, Warm{true}}},
+		"nobody answers": {Config{Self: "r0", Discovery: "d:1", Saved: kept(4, 5)}, []at{{0, Tick{}}, {300 * ms, Tick{}}, {s, Tick{}}, {2 * s, Tick{}}, {3 * s, HostsWarm{true}}},
 			[]string{"tell 3, asks true", "tell 3, asks true", "enter listing", "found unknown, 0 of 3", "use list", "enter admitting", "enter duties", "enter back"}},
-		"a peer has a younger list": {Config{Self: "r0", Discovery: "d:1", Before: kept(3, 5), Duties: true}, []at{{0, Passed{}}, {10 * ms, from(1, 90*s, 6)}, {20 * ms, from(2, 90*s, 5)}, {9 * s, Passed{}}, {10 * s, Passed{}}, {10 * s, Warm{true}}, {11 * s, Led{true}}},
+		"a peer has a younger list": {Config{Self: "r0", Discovery: "d:1", Saved: kept(3, 5), HasRoles: true}, []at{{0, Tick{}}, {10 * ms, from(1, 90*s, 6)}, {20 * ms, from(2, 90*s, 5)}, {9 * s, Tick{}}, {10 * s, Tick{}}, {10 * s, HostsWarm{true}}, {11 * s, VotersLed{true}}},
 			[]string{"tell 2, asks true", "enter listing", "found this router, 2 of 2", "use list", "enter admitting", "enter duties", "enter back"}},
-		"discovery was changed": {Config{Self: "r0", Discovery: "d:2", Before: kept(1, 5)}, []at{{0, Passed{}}, {60 * s, Passed{}}, {61 * s, Spoke{Version: 1}}, {62 * s, Warm{true}}},
+		"discovery was changed": {Config{Self: "r0", Discovery: "d:2", Saved: kept(1, 5)}, []at{{0, Tick{}}, {60 * s, Tick{}}, {61 * s, ListReceived{Version: 1}}, {62 * s, HostsWarm{true}}},
 			[]string{"enter listing", "found unknown, 0 of 0", "enter admitting", "enter duties", "enter back"}},
-		"one that is back is asked": {Config{Self: "r0", Discovery: "d:1"}, []at{{0, Passed{}}, {s, Heard{Word{From: "r9", Asks: true}}}}, []string{"enter listing", "found first start, 0 of 0", "tell 1, asks false"}},
+		"one that is back is asked": {Config{Self: "r0", Discovery: "d:1"}, []at{{0, Tick{}}, {s, AnnouncementReceived{Announcement{From: "r9", WantsReply: true}}}}, []string{"enter listing", "found first start, 0 of 0", "tell 1, asks false"}},
 	} {
 		d, err := New(x.c, 0)
 		if err != nil {
@@ -107,27 +107,27 @@
 // the past.
 func TestHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d, _ := New(Config{Self: "r0", Discovery: "d:1", Before: kept(rapid.IntRange(0, 5).Draw(t, "view"), 5), Duties: rapid.Bool().Draw(t, "duties")}, 0)
-		now, last, uses, spoke := time.Duration(0), Asking, 0, false
+		d, _ := New(Config{Self: "r0", Discovery: "d:1", Saved: kept(rapid.IntRange(0, 5).Draw(t, "view"), 5), HasRoles: rapid.Bool().Draw(t, "duties")}, 0)
+		now, last, uses, spoke := time.Duration(0), Querying, 0, false
 		for range rapid.IntRange(1, 30).Draw(t, "events") {
 			now += time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * ms
-			var e Event = Passed{}
+			var e Event = Tick{}
 			switch rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0:
 				e = from(rapid.IntRange(0, 5).Draw(t, "who"), time.Duration(rapid.IntRange(0, 60).Draw(t, "up"))*s, int64(rapid.IntRange(0, 8).Draw(t, "version")))
 			case 1:
-				e, spoke = Spoke{Version: int64(rapid.IntRange(0, 8).Draw(t, "version"))}, true
+				e, spoke = ListReceived{Version: int64(rapid.IntRange(0, 8).Draw(t, "version"))}, true
 			case 2:
-				e = Led{rapid.Bool().Draw(t, "led")}
+				e = VotersLed{rapid.Bool().Draw(t, "led")}
 			}
 			for _, a := range d.Step(now, e) {
 				switch a := a.(type) {
-				case Entered:
+				case StageEntered:
 					if a.Stage <= last {
 						t.Fatalf("%v after %v", a.Stage, last)
 					}
 					last = a.Stage
-				case UseList:
+				case UseSavedList:
 					if uses++; uses > 1 || spoke {
 						t.Fatal("the old list is used again, or after discovery has spoken")
 					}
@@ -141,33 +141,33 @@
 }
 
 func TestWord(t *testing.T) {
-	name := strings.Repeat("n", MostName)
-	word := Word{Asks: true, From: name, Boot: 1<<32 - 1, Up: 99 * s, Version: 1 << 50, Source: 1<<64 - 1, Stage: Back, Measure: Measure{40 * s, 300 * ms}}
-	question := Question{From: name}
-	for i := range uint32(MostTags) {
+	name := strings.Repeat("n", MaxNameBytes)
+	word := Announcement{WantsReply: true, From: name, Boot: 1<<32 - 1, Uptime: 99 * s, ListVersion: 1 << 50, ListSource: 1<<64 - 1, Stage: Recovered, Measure: Measure{40 * s, 300 * ms}}
+	question := HostQuery{From: name}
+	for i := range uint32(MaxTags) {
 		question.Tags = append(question.Tags, 1<<32-1-i)
 	}
-	reply := Reply{From: name, Version: 1 << 50, Source: 1<<64 - 1, First: 7, Of: MostTags, Not: question.Tags}
+	reply := HostReply{From: name, ListVersion: 1 << 50, ListSource: 1<<64 - 1, FirstTag: 7, TagCount: MaxTags, Excluded: question.Tags}
 	for _, x := range []struct {
 		b    []byte
 		want Event
-	}{{word.Append(), Heard{word}}, {question.Append(), Asked{question}}, {reply.Append(), Replied{reply}}} {
+	}{{word.Encode(), AnnouncementReceived{word}}, {question.Encode(), QueryReceived{question}}, {reply.Encode(), ReplyReceived{reply}}} {
 		b := x.b
-		if len(b) > MostDatagram {
+		if len(b) > MaxDatagramBytes {
 			t.Errorf("%T: %d bytes", x.want, len(b))
 		}
-		if got, err := Read(b); err != nil || !cmp.Equal(got, x.want) {
+		if got, err := Decode(b); err != nil || !cmp.Equal(got, x.want) {
 			t.Errorf("got %+v, %v", got, err)
 		}
 		for at := range b {
 			for bit := range 8 {
 				x := append([]byte(nil), b...)
 				x[at] ^= 1 << bit
-				if _, err := Read(x); err == nil {
+				if _, err := Decode(x); err == nil {
 					t.Errorf("bit %d of byte %d flipped is read", bit, at)
 				}
 			}
-			if _, err := Read(b[:at]); err == nil {
+			if _, err := Decode(b[:at]); err == nil {
 				t.Errorf("cut at %d is read", at)
 			}
 		}
@@ -189,29 +189,29 @@
 // While discovery is silent, a router that has a list is asked which hosts of the old one get requests: before the list is used, whose doubt ends with the
 // answer, and after. Replies by an older list, of another discovery, to nothing asked, or late ones change nothing.
 func TestHosts(t *testing.T) {
-	not := func(version int64, from string, chunk []string, ids ...string) Replied {
-		r := Reply{From: "r1", Version: version, Source: Source(from), Of: len(chunk)}
+	not := func(version int64, from string, chunk []string, ids ...string) ReplyReceived {
+		r := HostReply{From: "r1", ListVersion: version, ListSource: Source(from), TagCount: len(chunk)}
 		tags := []uint32{}
 		for _, id := range chunk {
 			tags = append(tags, Tag(id))
 		}
-		r.First = slices.Min(tags)
+		r.FirstTag = slices.Min(tags)
 		for _, id := range ids {
-			r.Not = append(r.Not, Tag(id))
+			r.Excluded = append(r.Excluded, Tag(id))
 		}
-		return Replied{r}
+		return ReplyReceived{r}
 	}
 	ready := []string{"h0", "h1", "h2"}
-	d, err := New(Config{Self: "r0", Discovery: "d:1", Before: lists(kept(3, 5), 4)}, 0)
+	d, err := New(Config{Self: "r0", Discovery: "d:1", Saved: lists(kept(3, 5), 4)}, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var got []string
 	for _, x := range []at{
-		{0, Passed{}}, {10 * ms, from(1, 90*s, 6)}, {s, Passed{}}, {1020 * ms, not(4, "d:1", ready, "h0")}, {1030 * ms, not(6, "d:2", ready, "h0")},
-		{1040 * ms, not(6, "d:1", ready[:2], "h0")}, {1050 * ms, not(6, "d:1", ready, "h1", "h3", "hx")}, {1999 * ms, Passed{}}, {2 * s, Passed{}},
-		{3 * s, Warm{true}}, {4 * s, Passed{}}, {4100 * ms, not(7, "d:1", ready, "h1", "h2")}, {5 * s, Spoke{Version: 8, Serving: []string{"h0"}}},
-		{6 * s, not(9, "d:1", ready, "h0")}, {7 * s, Asked{Question{"r2", []uint32{Tag("h0"), Tag("h1")}}}}, {8 * s, Asked{Question{"r2", nil}}}, {60 * s, Passed{}},
+		{0, Tick{}}, {10 * ms, from(1, 90*s, 6)}, {s, Tick{}}, {1020 * ms, not(4, "d:1", ready, "h0")}, {1030 * ms, not(6, "d:2", ready, "h0")},
+		{1040 * ms, not(6, "d:1", ready[:2], "h0")}, {1050 * ms, not(6, "d:1", ready, "h1", "h3", "hx")}, {1999 * ms, Tick{}}, {2 * s, Tick{}},
+		{3 * s, HostsWarm{true}}, {4 * s, Tick{}}, {4100 * ms, not(7, "d:1", ready, "h1", "h2")}, {5 * s, ListReceived{Version: 8, Serving: []string{"h0"}}},
+		{6 * s, not(9, "d:1", ready, "h0")}, {7 * s, QueryReceived{HostQuery{"r2", []uint32{Tag("h0"), Tag("h1")}}}}, {8 * s, QueryReceived{HostQuery{"r2", nil}}}, {60 * s, Tick{}},
 	} {
 		got = append(got, told(d.Step(x.t, x.e))...)
 	}
@@ -224,14 +224,14 @@
 
 // Without an own measure the middle one of others' is taken, once; with one none is.
 func TestMeasures(t *testing.T) {
-	says := func(n int, work time.Duration) Heard {
-		w := from(n, 90*s, 0).Word
+	says := func(n int, work time.Duration) AnnouncementReceived {
+		w := from(n, 90*s, 0).Announcement
 		w.Measure = Measure{work, s}
-		return Heard{w}
+		return AnnouncementReceived{w}
 	}
-	d, _ := New(Config{Self: "r0", Discovery: "d:1", Before: kept(5, 5)}, 0)
+	d, _ := New(Config{Self: "r0", Discovery: "d:1", Saved: kept(5, 5)}, 0)
 	var got []string
-	for i, x := range []Event{Passed{}, says(1, 0), says(2, 7*s), says(3, 9*s)} {
+	for i, x := range []Event{Tick{}, says(1, 0), says(2, 7*s), says(3, 9*s)} {
 		got = append(got, told(d.Step(time.Duration(i)*ms, x))...)
 	}
 	if !slices.Contains(got, "recall 7s") || slices.Contains(got, "recall 9s") {
@@ -239,19 +239,19 @@
 	}
 	before := kept(5, 5)
 	before.Learned = &balance.Learned{Work: 1, MeanWork: 1}
-	for _, c := range []Config{{Self: "r0", Before: before}, {Self: "r0"}} {
+	for _, c := range []Config{{Self: "r0", Saved: before}, {Self: "r0"}} {
 		d, _ := New(c, 0)
-		if c.Before == nil {
-			d.Step(0, Measured{Measure{s, s}})
+		if c.Saved == nil {
+			d.Step(0, MeasureLearned{Measure{s, s}})
 		}
 		if got := told(d.Step(0, says(1, 7*s))); slices.Contains(got, "recall 7s") {
 			t.Error(got)
 		}
 	}
-	d, _ = New(Config{Self: "r0", Before: before}, 0) // and tells its own from the start on
-	for _, a := range d.Step(0, Passed{}) {
-		if tell, is := a.(Tell); is && tell.Word.Measure != (Measure{s, s}) {
-			t.Errorf("it tells %+v", tell.Word.Measure)
+	d, _ = New(Config{Self: "r0", Saved: before}, 0) // and tells its own from the start on
+	for _, a := range d.Step(0, Tick{}) {
+		if tell, is := a.(Announce); is && tell.Announcement.Measure != (Measure{s, s}) {
+			t.Errorf("it tells %+v", tell.Announcement.Measure)
 		}
 	}
 }
@@ -269,25 +269,25 @@
 
 // Whatever comes as a datagram is read whole or refused, and what is read is written the same.
 func FuzzRead(f *testing.F) {
-	word, question, reply := Word{From: "r1", Boot: 3, Version: 7, Measure: Measure{s, ms}}, Question{"r1", []uint32{1, 2}}, Reply{From: "r2", Version: 9, First: 1, Of: 2, Not: []uint32{2}}
-	for _, b := range [][]byte{word.Append(), question.Append(), reply.Append(), nil, {version << 4}} {
+	word, question, reply := Announcement{From: "r1", Boot: 3, ListVersion: 7, Measure: Measure{s, ms}}, HostQuery{"r1", []uint32{1, 2}}, HostReply{From: "r2", ListVersion: 9, FirstTag: 1, TagCount: 2, Excluded: []uint32{2}}
+	for _, b := range [][]byte{word.Encode(), question.Encode(), reply.Encode(), nil, {wireVersion << 4}} {
 		f.Add(b)
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
-		e, err := Read(b)
+		e, err := Decode(b)
 		if err != nil {
 			return
 		}
 		var again []byte
 		switch e := e.(type) {
-		case Heard:
-			again = e.Word.Append()
-		case Asked:
-			again = e.Question.Append()
-		case Replied:
-			again = e.Reply.Append()
+		case AnnouncementReceived:
+			again = e.Announcement.Encode()
+		case QueryReceived:
+			again = e.Query.Encode()
+		case ReplyReceived:
+			again = e.Reply.Encode()
 		}
-		if got, err := Read(again); err != nil || !cmp.Equal(got, e) {
+		if got, err := Decode(again); err != nil || !cmp.Equal(got, e) {
 			t.Fatalf("%+v becomes %+v, %v", e, got, err)
 		}
 	})
--- a/internal/router/recovery/types.go
+++ b/internal/router/recovery/types.go
@@ -14,167 +14,167 @@
 
 // Bounds.
 const (
-	MostDatagram = 256 // bytes
-	MostAsked    = 512 // routers
-	MostName     = 32  // bytes
-	MostHosts    = 4096
-	MostTags     = 40 // in a datagram
-	askEvery     = 250 * time.Millisecond
-	askOn        = 2 * time.Second // about hosts, once the list of the last life is in use
-	mostAskers   = 3               // routers that are asked about hosts at a time
+	MaxDatagramBytes       = 256 // bytes
+	MaxPeers               = 512 // routers
+	MaxNameBytes           = 32  // bytes
+	MaxHosts               = 4096
+	MaxTags                = 40 // in a datagram
+	queryInterval          = 250 * time.Millisecond
+	savedListQueryInterval = 2 * time.Second // about hosts, once the list of the last life is in use
+	maxQueriedPeers        = 3               // routers that are asked about hosts at a time
 )
 
 // Config is what a Decider is told at its start.
 type Config struct {
-	Self       string
-	Boot       uint32
-	Before     *snapshot.State // of the last life, nil for none
-	Wrong      []string        // what is wrong with what was kept
-	Discovery  string          // address
-	AskWithin  time.Duration   // for others' word; 0 counts as 1 s
-	ListWithin time.Duration   // for discovery's; 0 counts as 2 s
-	DoubtFor   time.Duration   // more, while a peer has a younger list and has not said which hosts it has; 0 counts as 8 s
-	WarmWithin time.Duration   // for hosts to be warm; 0 counts as 20 s
-	Duties     bool            // there are some to wait for
+	Self           string
+	Boot           uint32
+	Saved          *snapshot.State // of the last life, nil for none
+	Damaged        []string        // what is wrong with what was kept
+	Discovery      string          // address
+	QueryTimeout   time.Duration   // for others' word; 0 counts as 1 s
+	ListTimeout    time.Duration   // for discovery's; 0 counts as 2 s
+	StaleListDelay time.Duration   // more, while a peer has a younger list and has not said which hosts it has; 0 counts as 8 s
+	WarmUpTimeout  time.Duration   // for hosts to be warm; 0 counts as 20 s
+	HasRoles       bool            // there are some to wait for
 }
 
 // Word is what routers tell each other of themselves.
-type Word struct {
-	Asks    bool
-	From    string
-	Boot    uint32
-	Up      time.Duration
-	Version int64  // of the list in force, 0 for none
-	Source  uint64 // hash of the address that it came from
-	Stage   Stage
-	Measure Measure // zero for none
+type Announcement struct {
+	WantsReply  bool
+	From        string
+	Boot        uint32
+	Uptime      time.Duration
+	ListVersion int64  // of the list in force, 0 for none
+	ListSource  uint64 // hash of the address that it came from
+	Stage       Stage
+	Measure     Measure // zero for none
 }
 
 // Measure is what a warm host does for one router, as package balance has it.
-type Measure struct{ Work, MeanWork time.Duration }
+type Measure struct{ HostWork, RequestWork time.Duration }
 
 // Question asks which of some hosts get requests.
-type Question struct {
+type HostQuery struct {
 	From string
 	Tags []uint32 // of hosts
 }
 
 // Reply says of the hosts of a question which of them get nothing: they drain, or are not listed.
-type Reply struct {
-	From    string
-	Version int64 // of the list that it is by
-	Source  uint64
-	First   uint32 // of the question, whose tags it answers
-	Of      int
-	Not     []uint32
+type HostReply struct {
+	From        string
+	ListVersion int64 // of the list that it is by
+	ListSource  uint64
+	FirstTag    uint32 // of the question, whose tags it answers
+	TagCount    int
+	Excluded    []uint32
 }
 
 // Event is one of the following.
 type Event interface{ event() }
 
 // Passed says that time has.
-type Passed struct{}
+type Tick struct{}
 
 // Heard is a word of another router.
-type Heard struct{ Word Word }
+type AnnouncementReceived struct{ Announcement Announcement }
 
 // Lives are the routers that the fleet view has, by name with their addresses.
-type Lives struct{ Routers []snapshot.Router }
+type Membership struct{ Routers []snapshot.Router }
 
 // Asked is a question of another router.
-type Asked struct{ Question Question }
+type QueryReceived struct{ Query HostQuery }
 
 // Replied is what another router says of hosts.
-type Replied struct{ Reply Reply }
+type ReplyReceived struct{ Reply HostReply }
 
 // Spoke says that discovery has. Serving are the hosts that get requests by its list.
-type Spoke struct {
+type ListReceived struct {
 	Version int64
 	Serving []string
 }
 
 // Measured says what a warm host does for this router, by what the module has learned.
-type Measured struct{ Measure Measure }
+type MeasureLearned struct{ Measure Measure }
 
 // Warm says whether the listed hosts are.
-type Warm struct{ Is bool }
+type HostsWarm struct{ Warm bool }
 
 // Led says whether the voters of duties have a leader.
-type Led struct{ Is bool }
-
-func (Passed) event()   {}
-func (Heard) event()    {}
-func (Lives) event()    {}
-func (Spoke) event()    {}
-func (Led) event()      {}
-func (Asked) event()    {}
-func (Replied) event()  {}
-func (Measured) event() {}
-func (Warm) event()     {}
+type VotersLed struct{ Led bool }
+
+func (Tick) event()                 {}
+func (AnnouncementReceived) event() {}
+func (Membership) event()           {}
+func (ListReceived) event()         {}
+func (VotersLed) event()            {}
+func (QueryReceived) event()        {}
+func (ReplyReceived) event()        {}
+func (MeasureLearned) event()       {}
+func (HostsWarm) event()            {}
 
 // Action is one of the following.
 type Action interface{ action() }
 
 // Tell sends a word to routers, by their addresses where the name is not known to live.
-type Tell struct {
-	To   []snapshot.Router
-	Word Word
+type Announce struct {
+	To           []snapshot.Router
+	Announcement Announcement
 }
 
 // Ask sends a question to routers, as Tell does.
-type Ask struct {
-	To       []snapshot.Router
-	Question Question
+type SendQuery struct {
+	To    []snapshot.Router
+	Query HostQuery
 }
 
 // Answer sends a reply.
-type Answer struct {
+type SendReply struct {
 	To    snapshot.Router
-	Reply Reply
+	Reply HostReply
 }
 
 // UseList says that the list of the last life is to be served from, but for hosts that get nothing by another's.
-type UseList struct{ Not []string }
+type UseSavedList struct{ Excluded []string }
 
 // Shun says that further ones of it get nothing.
-type Shun struct{ Not []string }
+type ExcludeHosts struct{ Hosts []string }
 
 // Recall gives the module the measure of others, as this router has none.
-type Recall struct{ Measure Measure }
+type AdoptMeasure struct{ Measure Measure }
 
 // Entered says that a stage has begun.
-type Entered struct {
-	Stage Stage
-	After time.Duration // since the start
-	Why   string        // what ended the one before
+type StageEntered struct {
+	Stage  Stage
+	After  time.Duration // since the start
+	Reason string        // what ended the one before
 }
 
 // Found says whose loss it was.
-type Found struct {
-	Loss  Loss
-	Heard int // routers
-	Of    int
+type OutageClassified struct {
+	Outage Outage
+	Heard  int // routers
+	Asked  int
 }
 
-func (Tell) action()    {}
-func (UseList) action() {}
-func (Ask) action()     {}
-func (Answer) action()  {}
-func (Shun) action()    {}
-func (Recall) action()  {}
-func (Entered) action() {}
-func (Found) action()   {}
+func (Announce) action()         {}
+func (UseSavedList) action()     {}
+func (SendQuery) action()        {}
+func (SendReply) action()        {}
+func (ExcludeHosts) action()     {}
+func (AdoptMeasure) action()     {}
+func (StageEntered) action()     {}
+func (OutageClassified) action() {}
 
 // Stage is how far the return is.
 type Stage uint8
 
 // The stages, in their order.
 const (
-	Asking    Stage = iota // others, what they know
-	Listing                // discovery, or the list of the last life
-	Admitting              // hosts are cold: classes are admitted as far as they go
-	Duties                 // the voters, for a leader
-	Back                   // nothing more is waited for; copies and captures begin
+	Querying       Stage = iota // others, what they know
+	Listing                     // discovery, or the list of the last life
+	Admitting                   // hosts are cold: classes are admitted as far as they go
+	AwaitingVoters              // the voters, for a leader
+	Recovered                   // nothing more is waited for; copies and captures begin
 )
 
 // Stages has each stage's name, what ends it, the bound, and what happens when that passes.
@@ -189,13 +189,13 @@
 func (s Stage) String() string { return Stages[s].Name }
 
 // Loss is whose power was lost.
-type Loss string
+type Outage string
 
 // The losses.
 const (
-	First   Loss = "first start"  // nothing is known of a life before
-	Own     Loss = "this router"  // all others that are heard have been up for long
-	Some    Loss = "some routers" // some of them
-	All     Loss = "all routers"  // none of them, and most are heard
-	Unknown Loss = "unknown"      // fewer than half of the last view are heard
+	FirstStart    Outage = "first start"  // nothing is known of a life before
+	ThisRouter    Outage = "this router"  // all others that are heard have been up for long
+	SomeRouters   Outage = "some routers" // some of them
+	AllRouters    Outage = "all routers"  // none of them, and most are heard
+	UnknownOutage Outage = "unknown"      // fewer than half of the last view are heard
 )
--- a/internal/router/recovery/usual.go
+++ b/internal/router/recovery/usual.go
@@ -9,7 +9,7 @@
 
 // Usual averages what a module has learned, for the next life: of a fleet of many routers each sees a few requests a second, and what it has counted over the
 // last seconds is off by half. Its zero value is ready.
-type Usual struct {
+type Baseline struct {
 	mean   balance.Learned
 	demand map[string]float64
 	at     time.Duration
@@ -27,18 +27,18 @@
 	return time.Duration(x * float64(time.Second))
 }
 
-const usualFor = 60.0 // seconds over which it is averaged
+const baselineWindow = 60.0 // seconds over which it is averaged
 
 // Restore goes on from another life's mean.
-func (u *Usual) Restore(l balance.Learned, demand map[string]float64) {
+func (u *Baseline) Restore(l balance.Learned, demand map[string]float64) {
 	if l.Work > 0 && l.MeanWork > 0 {
-		u.mean, u.demand, u.weight = l, maps.Clone(demand), usualFor/2
+		u.mean, u.demand, u.weight = l, maps.Clone(demand), baselineWindow/2
 	}
 }
 
 // Take takes in what a module has learned by now, and what a Gate has seen asked for. Its owner calls it while hosts are warm: what is asked for in a return is
 // no usual day's.
-func (u *Usual) Take(now time.Duration, l balance.Learned, demand map[string]float64) {
+func (u *Baseline) Update(now time.Duration, l balance.Learned, demand map[string]float64) {
 	if l.Work <= 0 || l.MeanWork <= 0 {
 		return
 	}
@@ -47,7 +47,7 @@
 		passed = 1
 	}
 	u.at = now
-	u.weight = min(u.weight+passed, usualFor)
+	u.weight = min(u.weight+passed, baselineWindow)
 	part := passed / u.weight
 	u.mean.Work += (l.Work - u.mean.Work) * part
 	u.mean.MeanWork += (l.MeanWork - u.mean.MeanWork) * part
@@ -62,7 +62,7 @@
 }
 
 // Learned returns the mean, false before anything was taken in.
-func (u *Usual) Learned() (balance.Learned, bool) { return u.mean, u.weight > 0 }
+func (u *Baseline) Learned() (balance.Learned, bool) { return u.mean, u.weight > 0 }
 
 // Demand returns the mean work asked for, by class.
-func (u *Usual) Demand() map[string]float64 { return u.demand }
+func (u *Baseline) Demand() map[string]float64 { return u.demand }
--- a/internal/router/settings/fleet.go
+++ b/internal/router/settings/fleet.go
@@ -22,7 +22,7 @@
 	Listen  string // of this router's voter; empty for a router that only asks
 	Folder  string // its durable folder, likewise
 	Voters  int    // 1, 3, 5 or 7
-	Times   lease.Times
+	Times   lease.Timing
 	Replace time.Duration // until a voter that is gone makes room for another
 	Drains  int           // routers of a zone that may drain at a time; 0: nobody asks
 	Scribe  bool          // one router keeps the fleet's record
@@ -45,15 +45,15 @@
 
 // duties reads the block.
 func (c *checker) duties(b *dutiesBlock) *Duties {
-	s := &Duties{Listen: b.Listen, Folder: b.Folder, Voters: c.count(b.Body, "voters", b.Voters, 3, 7), Times: lease.Usual, Scribe: b.Scribe,
+	s := &Duties{Listen: b.Listen, Folder: b.Folder, Voters: c.count(b.Body, "voters", b.Voters, 3, 7), Times: lease.DefaultTiming, Scribe: b.Scribe,
 		Replace: c.duration(b.Body, "replace_after", b.Replace, 10*time.Second)}
-	s.Times.Lease = c.duration(b.Body, "lease", b.Lease, lease.Usual.Lease)
-	s.Times.Allowance = max(s.Times.Allowance, s.Times.Lease/200)
-	s.Times.Margin = min(s.Times.Margin, s.Times.Lease/10)
+	s.Times.Duration = c.duration(b.Body, "lease", b.Lease, lease.DefaultTiming.Duration)
+	s.Times.ClockAllowance = max(s.Times.ClockAllowance, s.Times.Duration/200)
+	s.Times.Margin = min(s.Times.Margin, s.Times.Duration/10)
 	if b.Drains != nil && *b.Drains != 0 {
-		s.Drains = c.count(b.Body, "drains", b.Drains, 1, lease.MostHolders)
+		s.Drains = c.count(b.Body, "drains", b.Drains, 1, lease.MaxHolders)
 	}
-	if err := s.Times.Check(); err != nil {
+	if err := s.Times.Validate(); err != nil {
 		c.fault(b.Body, "lease", "is no good: %v", err)
 	}
 	names := map[string]bool{}
@@ -68,8 +68,8 @@
 	switch {
 	case s.Voters%2 == 0:
 		c.fault(b.Body, "voters", "is %d; it must be 1, 3, 5 or 7", s.Voters)
-	case len(s.Routers) < s.Voters || len(s.Routers) > lease.MostVoters:
-		c.fault(b.Body, "router", "is there %d times; there must be from voters, %d, to %d", len(s.Routers), s.Voters, lease.MostVoters)
+	case len(s.Routers) < s.Voters || len(s.Routers) > lease.MaxVoters:
+		c.fault(b.Body, "router", "is there %d times; there must be from voters, %d, to %d", len(s.Routers), s.Voters, lease.MaxVoters)
 	case (b.Listen == "") != (b.Folder == ""):
 		c.fault(b.Body, "folder", "and listen belong together: a router that may vote needs both")
 	case b.Listen != "":
--- a/internal/router/snapshot/snapshot_test.go
+++ b/internal/router/snapshot/snapshot_test.go
@@ -14,8 +14,8 @@
 
 // sample is the state of a router before some hosts.
 func sample(hosts int) *State {
-	s := &State{Router: "r1", Zone: "east", Boot: 7, At: time.Unix(1_800_000_000, 0).UTC(), ListFrom: "10.0.0.9:8500", Incarnation: 4, Token: 1 << 60, Settings: "abc", Drained: true, Learned: &balance.Learned{Work: 1.5, MeanWork: 0.02, Decode: map[string]float64{"chat": 2}},
-		List: &protocol.List{Version: 12, Full: true}, View: []Router{{"r1", "10.0.0.1:7946", 5}, {"r2", "10.0.0.2:7946", 6}}, Open: []Open{{"x-1", "field-fill"}}}
+	s := &State{Router: "r1", Zone: "east", Boot: 7, SavedAt: time.Unix(1_800_000_000, 0).UTC(), ListSource: "10.0.0.9:8500", Incarnation: 4, HighestToken: 1 << 60, SettingsDigest: "abc", Drained: true, Learned: &balance.Learned{Work: 1.5, MeanWork: 0.02, Decode: map[string]float64{"chat": 2}},
+		List: &protocol.List{Version: 12, Full: true}, Routers: []Router{{"r1", "10.0.0.1:7946", 5}, {"r2", "10.0.0.2:7946", 6}}, OpenRequests: []OpenRequest{{"x-1", "field-fill"}}}
 	for i := range hosts {
 		id := fmt.Sprint("host-", i)
 		s.List.Servers = append(s.List.Servers, protocol.ServiceEntry{ID: id, Addr: "10.1.0.1:9000", Zone: "east", State: "Ready", StartedMs: 1.8e12})
@@ -36,12 +36,12 @@
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
-	if b, err = Encode(sample(1000), 1); err != nil || len(b) > MostBytes/2 {
+	if b, err = Encode(sample(1000), 1); err != nil || len(b) > MaxBytes/2 {
 		t.Errorf("1,000 hosts take %d bytes: %v", len(b), err)
 	}
 	t.Logf("1,000 hosts take %d bytes", len(b))
 	big := sample(6000)
-	if b, err = Encode(big, 1); err != nil || len(b) > MostBytes {
+	if b, err = Encode(big, 1); err != nil || len(b) > MaxBytes {
 		t.Errorf("6,000 hosts take %d bytes: %v", len(b), err)
 	}
 	if got, _, err := Decode(b); err != nil || len(got.List.Servers) != 6000 {
@@ -61,9 +61,9 @@
 	}
 	try := func(what string, at int, text []byte) {
 		t.Helper()
-		s, g, wrong := Youngest([2][]byte{older, text})
-		var broken *Broken
-		if !errors.As(wrong[1], &broken) || broken.At < 0 || broken.At > len(b) {
+		s, g, wrong := Newest([2][]byte{older, text})
+		var broken *CorruptError
+		if !errors.As(wrong[1], &broken) || broken.Offset < 0 || broken.Offset > len(b) {
 			t.Fatalf("%s at %d: %v", what, at, wrong[1])
 		}
 		if g != 4 || len(s.List.Servers) != 1 {
@@ -79,10 +79,10 @@
 		}
 	}
 	try("one more", len(b), append(append([]byte(nil), b...), 0))
-	if s, g, _ := Youngest([2][]byte{older, b}); g != 5 || len(s.List.Servers) != 2 {
+	if s, g, _ := Newest([2][]byte{older, b}); g != 5 || len(s.List.Servers) != 2 {
 		t.Errorf("generation %d of two whole ones", g)
 	}
-	if s, _, wrong := Youngest([2][]byte{}); s != nil || wrong != [2]error{} {
+	if s, _, wrong := Newest([2][]byte{}); s != nil || wrong != [2]error{} {
 		t.Error("something of nothing")
 	}
 }
@@ -91,7 +91,7 @@
 func FuzzDecode(f *testing.F) {
 	b, _ := Encode(sample(2), 5)
 	f.Add(b)
-	f.Add([]byte(mark))
+	f.Add([]byte(magic))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if s, g, err := Decode(b); err == nil {
 			if _, err := Encode(s, g); err != nil {
--- a/internal/router/snapshot/stored_test.go
+++ b/internal/router/snapshot/stored_test.go
@@ -18,27 +18,27 @@
 // goldenState has every field of a State.
 func goldenState(generation uint32) *State {
 	return &State{
-		Router: "r1", Zone: "east", Boot: 7 + generation, At: time.Unix(1_800_000_000, 0).UTC(),
+		Router: "r1", Zone: "east", Boot: 7 + generation, SavedAt: time.Unix(1_800_000_000, 0).UTC(),
 		List: &protocol.List{Version: 12, Full: true, Servers: []protocol.ServiceEntry{
 			{ID: "host-1", Addr: "10.1.0.1:9000", Zone: "east", Kind: "gpu-a", Cell: 3, State: "Ready", StartedMs: 1.8e12},
 			{ID: "host-2", Addr: "10.1.0.2:9000", Zone: "west", Kind: "gpu-b", Cell: 4, State: "Terminating", StartedMs: 1.7e12},
 		}},
-		ListFrom: "10.0.0.9:8500",
+		ListSource: "10.0.0.9:8500",
 		Learned: &balance.Learned{Work: 1.5, MeanWork: 0.02, Decode: map[string]float64{"chat": 2, "code": 7.25},
 			Kinds:    map[string]balance.Pace{"gpu-a": {XX: 3, XY: 0.5}},
 			Replicas: []balance.Known{{Replica: "host-1", Born: 5 * time.Second, Cap: 24.5, Slow: 1.25}}},
 		Demand:      map[string]float64{"chat": 3.5, "code": 0.25},
-		Incarnation: 4, Token: 1 << 60, Settings: "00c0ffee00c0ffee",
-		View:    []Router{{Name: "r1", Addr: "10.0.0.1:7946", Boot: 5}, {Name: "r2", Addr: "10.0.0.2:7946", Boot: 6}},
-		Drained: true,
-		Open:    []Open{{ID: "x-1", Class: "chat"}, {ID: "x-2", Class: "code"}}, OpenMore: 9,
+		Incarnation: 4, HighestToken: 1 << 60, SettingsDigest: "00c0ffee00c0ffee",
+		Routers:      []Router{{Name: "r1", Addr: "10.0.0.1:7946", Boot: 5}, {Name: "r2", Addr: "10.0.0.2:7946", Boot: 6}},
+		Drained:      true,
+		OpenRequests: []OpenRequest{{ID: "x-1", Class: "chat"}, {ID: "x-2", Class: "code"}}, OmittedRequests: 9,
 	}
 }
 
 // Both generations are read as they were written, and written as they were.
 func TestGoldenFiles(t *testing.T) {
 	var files [2][]byte
-	for i, name := range Names {
+	for i, name := range GenerationFiles {
 		generation := uint64(8 + i)
 		want := goldenState(uint32(i))
 		golden.Complete(t, want)
@@ -53,7 +53,7 @@
 			t.Errorf("%s: generation %d, %v\n%s", name, g, err, diff)
 		}
 	}
-	got, generation, wrong := Youngest(files)
+	got, generation, wrong := Newest(files)
 	if diff := cmp.Diff(goldenState(1), got); generation != 9 || wrong != [2]error{} || diff != "" {
 		t.Errorf("generation %d is the youngest, %v\n%s", generation, wrong, diff)
 	}
@@ -61,13 +61,13 @@
 
 // The file of open requests is a state with nothing else, of no generation.
 func TestGoldenOpenRequests(t *testing.T) {
-	want := &State{Router: "r1", Open: []Open{{ID: "x-1", Class: "chat"}, {ID: "x-2", Class: "code"}}, OpenMore: 9}
+	want := &State{Router: "r1", OpenRequests: []OpenRequest{{ID: "x-1", Class: "chat"}, {ID: "x-2", Class: "code"}}, OmittedRequests: 9}
 	made, err := Encode(want, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Same(t, OpenName, made)
-	got, generation, err := Decode(golden.File(t, OpenName, made))
+	golden.Same(t, OpenRequestsFile, made)
+	got, generation, err := Decode(golden.File(t, OpenRequestsFile, made))
 	if diff := cmp.Diff(want, got); err != nil || generation != 0 || diff != "" {
 		t.Errorf("generation %d, %v\n%s", generation, err, diff)
 	}
--- a/internal/system/roles/node/membership.go
+++ b/internal/system/roles/node/membership.go
@@ -79,7 +79,7 @@
 		from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
 		data := buffer[:count]
 		if !n.peerReports.receive(from, data) && members.IsDatagram(data) {
-			n.members.Take(from, data)
+			n.members.HandleDatagram(from, data)
 		}
 	}
 }
--- a/internal/system/roles/node/statefile.go
+++ b/internal/system/roles/node/statefile.go
@@ -97,7 +97,7 @@
 		return
 	}
 	if err == nil {
-		err = durable.WriteWhole(f.path, data)
+		err = durable.WriteFileAtomic(f.path, data)
 	}
 	if err != nil && !s.failed {
 		f.node.log.Warn("state not saved", "cause", err)
--- a/internal/testbed/chaos/duties.go
+++ b/internal/testbed/chaos/duties.go
@@ -75,11 +75,11 @@
 		p.copyLines = append(p.copyLines, c)
 	}
 	var mu sync.Mutex
-	var fence lease.Fence
+	var fence lease.TokenGuard
 	p.candidate.Fence(func(name string, token uint64, conn string) (uint64, bool) {
 		mu.Lock()
 		defer mu.Unlock()
-		pass := fence.Pass(name, token)
+		pass := fence.Accept(name, token)
 		status := 200
 		if !pass {
 			status = 409
--- a/internal/testbed/chaos/duty_test.go
+++ b/internal/testbed/chaos/duty_test.go
@@ -208,8 +208,8 @@
 	between("r1", 3*time.Second, 3*time.Second+late)
 	between("r2", 5*time.Second, 5*time.Second+late)
 	// The voters' leader may be r2 that dies at 7 s, or r0 that is restarted at 8 s: whoever is elected after that waits a whole lease.
-	elected := 12 * quorum.Beat // eight of silence and four of spread
-	between("r4", 8*time.Second, 8*time.Second+elected+lease.Usual.Lease+lease.Usual.Allowance+late)
+	elected := 12 * quorum.TickInterval // eight of silence and four of spread
+	between("r4", 8*time.Second, 8*time.Second+elected+lease.DefaultTiming.Duration+lease.DefaultTiming.ClockAllowance+late)
 	if !waited {
 		t.Error("r2 did not say that it waits")
 	}
--- a/internal/testbed/chaos/player.go
+++ b/internal/testbed/chaos/player.go
@@ -443,7 +443,7 @@
 			return os.Truncate(path, int64(s.Keep*float64(info.Size())))
 		})
 	case faults.DiskNewer, faults.DiskFlip, faults.DiskAhead:
-		for _, name := range snapshot.Names {
+		for _, name := range snapshot.GenerationFiles {
 			path := filepath.Join(r.disk(), name)
 			text, err := os.ReadFile(path)
 			if errors.Is(err, fs.ErrNotExist) {
@@ -478,7 +478,7 @@
 	if err != nil {
 		return nil, err
 	}
-	state.At = state.At.Add(time.Hour)
+	state.SavedAt = state.SavedAt.Add(time.Hour)
 	for i := range state.List.Servers {
 		state.List.Servers[i].StartedMs += float64(time.Hour.Milliseconds())
 	}
--- a/internal/testbed/leasesim/leasesim_test.go
+++ b/internal/testbed/leasesim/leasesim_test.go
@@ -16,7 +16,7 @@
 	"reachspread/internal/testbed/leasesim"
 )
 
-var duties = []lease.Duty{{Name: "scribe"}, {Name: "pool", Zones: []string{"b"}}, {Name: "drain", ByZone: true}}
+var duties = []lease.Role{{Name: "scribe"}, {Name: "pool", PreferredZones: []string{"b"}}, {Name: "drain", ByZone: true}}
 
 // played is what came of a play.
 type played struct {
@@ -48,9 +48,9 @@
 
 // drawn is a play of faults drawn by the seed.
 func drawn(seed uint64) leasesim.Spec {
-	s := leasesim.Spec{Seed: seed, Routers: 5 + int(seed%3), Zones: 1 + int(seed%3), Voters: 3 + 2*int(seed%2), Duties: duties, Length: 50 * time.Second, Rates: lease.Rates, Replace: 6 * time.Second}
-	s.May = min(s.Voters+1, s.Routers)
-	s.Faults = faults.Draw(faults.Bounds{Length: 30 * time.Second, World: faults.View}, s.Shape(), seed)
+	s := leasesim.Spec{Seed: seed, Routers: 5 + int(seed%3), Zones: 1 + int(seed%3), Voters: 3 + 2*int(seed%2), Roles: duties, Length: 50 * time.Second, ClockDrift: lease.MaxClockDrift, ReplaceTimeout: 6 * time.Second}
+	s.Candidates = min(s.Voters+1, s.Routers)
+	s.Faults = faults.Draw(faults.Bounds{Length: 30 * time.Second, World: faults.View}, s.FaultTargets(), seed)
 	older := false
 	for i := range s.Faults {
 		f := &s.Faults[i]
@@ -70,10 +70,10 @@
 // lost tells whether a schedule takes the disks of a majority.
 func lost(s *leasesim.Spec) bool {
 	gone := map[int]bool{}
-	for _, x := range faults.Resolve(s.Faults, s.Shape(), s.Seed) {
+	for _, x := range faults.Resolve(s.Faults, s.FaultTargets(), s.Seed) {
 		if x.Disk != "" && x.Disk != faults.DiskOwn {
 			for _, n := range x.Routers {
-				gone[n] = n < s.May
+				gone[n] = n < s.Candidates
 			}
 		}
 	}
@@ -122,8 +122,8 @@
 				return
 			}
 			for _, d := range []string{"scribe", "pool"} {
-				if p.w.Holder(d) < 0 {
-					t.Errorf("seed %d: nobody holds %s in the end\n%s%s", seed, d, faults.Text(s.Faults), strings.Join(p.w.Told, "\n"))
+				if p.w.LeaseHolder(d) < 0 {
+					t.Errorf("seed %d: nobody holds %s in the end\n%s%s", seed, d, faults.Text(s.Faults), strings.Join(p.w.Notices, "\n"))
 				}
 			}
 		}()
@@ -143,17 +143,17 @@
 			faults.Fault{Kind: faults.Cut, At: at - 900*time.Millisecond, Length: 2 * time.Second, Routers: faults.Select{Numbers: []int{3, 4}}, Links: []string{faults.LinkPeers}})
 	}
 	slices.SortStableFunc(kills, func(a, b faults.Fault) int { return int(a.At - b.At) })
-	base := leasesim.Spec{Routers: 5, Voters: 3, Duties: duties[:1], Length: 110 * time.Second, Rates: lease.Rates, Every: 5 * time.Millisecond}
+	base := leasesim.Spec{Routers: 5, Voters: 3, Roles: duties[:1], Length: 110 * time.Second, ClockDrift: lease.MaxClockDrift, ActInterval: 5 * time.Millisecond}
 	for _, x := range []struct {
 		name  string
 		plant func(s *leasesim.Spec)
 		found bool
 	}{
 		{"nothing, pauses", func(s *leasesim.Spec) { s.Faults = pauses }, false},
-		{"no fence", func(s *leasesim.Spec) { s.Faults, s.NoFence = pauses, true }, true},
+		{"no fence", func(s *leasesim.Spec) { s.Faults, s.SkipTokenCheck = pauses, true }, true},
 		{"nothing, kills", func(s *leasesim.Spec) { s.Faults = kills }, false},
-		{"no wait", func(s *leasesim.Spec) { s.Faults, s.NoWait = kills, true }, true},
-		{"rates", func(s *leasesim.Spec) { s.Faults, s.Rates = cuts, 0.3 }, true},
+		{"no wait", func(s *leasesim.Spec) { s.Faults, s.SkipLeaseWait = kills, true }, true},
+		{"rates", func(s *leasesim.Spec) { s.Faults, s.ClockDrift = cuts, 0.3 }, true},
 		{"nothing, cuts", func(s *leasesim.Spec) { s.Faults = cuts }, false},
 	} {
 		verdicts := 0
--- a/internal/testbed/leasesim/measure_test.go
+++ b/internal/testbed/leasesim/measure_test.go
@@ -18,7 +18,7 @@
 func gaps(w *leasesim.World, name string, from, to time.Duration) (longest time.Duration, changes int) {
 	var spans []leasesim.Span
 	for _, s := range w.Spans {
-		if s.Duty == name {
+		if s.Role == name {
 			if s.To == 0 {
 				s.To = w.Now()
 			}
@@ -68,7 +68,7 @@
 	if *measure {
 		n = 240
 	}
-	base := leasesim.Spec{Routers: 9, Zones: 3, May: 5, Voters: 3, Duties: duties[:1], Rates: lease.Rates, Sync: 5 * time.Millisecond, Length: 30 * time.Second}
+	base := leasesim.Spec{Routers: 9, Zones: 3, Candidates: 5, Voters: 3, Roles: duties[:1], ClockDrift: lease.MaxClockDrift, SyncDelay: 5 * time.Millisecond, Length: 30 * time.Second}
 	var planned, killed, leader []time.Duration
 	for seed := range uint64(n) {
 		s := base
@@ -78,11 +78,11 @@
 			t.Fatal(err)
 		}
 		w.Run(5*time.Second + time.Duration(seed)*37*time.Millisecond)
-		holder, from := w.Holder("scribe"), w.Now()
-		w.Ask(8, lease.Command{Kind: lease.Wish, Duty: "scribe", To: fmt.Sprint("r", (holder+1)%9)})
+		holder, from := w.LeaseHolder("scribe"), w.Now()
+		w.SendCommand(8, lease.Command{Kind: lease.RequestTransfer, Role: "scribe", To: fmt.Sprint("r", (holder+1)%9)})
 		w.Run(w.Now() + 5*time.Second)
 		gap, changes := gaps(w, "scribe", from, w.Now())
-		if now := w.Holder("scribe"); changes != 1 || now != (holder+1)%9 {
+		if now := w.LeaseHolder("scribe"); changes != 1 || now != (holder+1)%9 {
 			t.Errorf("seed %d: handed over %d times, from %d to %d", seed, changes, holder, now)
 		}
 		planned = append(planned, gap)
@@ -90,7 +90,7 @@
 		for _, x := range []struct {
 			who  func(w *leasesim.World) int
 			into *[]time.Duration
-		}{{func(w *leasesim.World) int { return w.Holder("scribe") }, &killed}, {func(w *leasesim.World) int { return w.Leader() }, &leader}} {
+		}{{func(w *leasesim.World) int { return w.LeaseHolder("scribe") }, &killed}, {func(w *leasesim.World) int { return w.Leader() }, &leader}} {
 			at := 5*time.Second + time.Duration(seed)*37*time.Millisecond
 			w, err := leasesim.New(s)
 			if err != nil {
@@ -98,7 +98,7 @@
 			}
 			w.Run(at)
 			who := x.who(w)
-			if other := w.Leader(); x.into == &killed && who == other || x.into == &leader && who == w.Holder("scribe") {
+			if other := w.Leader(); x.into == &killed && who == other || x.into == &leader && who == w.LeaseHolder("scribe") {
 				continue // one fault at a time
 			}
 			f := s
@@ -117,7 +117,7 @@
 	for _, x := range []struct {
 		all  []time.Duration
 		most time.Duration
-	}{{planned, 100 * time.Millisecond}, {killed, lease.Usual.Lease + 500*time.Millisecond}, {leader, 0}} {
+	}{{planned, 100 * time.Millisecond}, {killed, lease.DefaultTiming.Duration + 500*time.Millisecond}, {leader, 0}} {
 		slices.Sort(x.all)
 		if p99 := x.all[len(x.all)*99/100]; p99 > x.most {
 			t.Errorf("p99 %v, more than %v", p99, x.most)
@@ -131,8 +131,8 @@
 	if *measure {
 		n = 300
 	}
-	all := []lease.Duty{{Name: "one"}, {Name: "many", Holders: lease.MostHolders}}
-	w, err := leasesim.New(leasesim.Spec{Seed: 1, Routers: n, Zones: 3, May: 5, Voters: 3, Duties: all, Rates: lease.Rates, Sync: 2 * time.Millisecond, Length: 80 * time.Second,
+	all := []lease.Role{{Name: "one"}, {Name: "many", MaxHolders: lease.MaxHolders}}
+	w, err := leasesim.New(leasesim.Spec{Seed: 1, Routers: n, Zones: 3, Candidates: 5, Voters: 3, Roles: all, ClockDrift: lease.MaxClockDrift, SyncDelay: 2 * time.Millisecond, Length: 80 * time.Second,
 		Faults: []faults.Fault{{Kind: faults.Power, At: 40 * time.Second, Length: time.Second}}})
 	if err != nil {
 		t.Fatal(err)
@@ -140,7 +140,7 @@
 	first := time.Duration(0)
 	for w.Now() < 10*time.Second && first == 0 {
 		w.Run(w.Now() + 10*time.Millisecond)
-		if w.Holder("one") >= 0 {
+		if w.LeaseHolder("one") >= 0 {
 			first = w.Now()
 		}
 	}
@@ -150,17 +150,17 @@
 	all2 := float64(w.Requests-requests+w.Answers-answers) / 20
 	t.Logf("%d clients ask for two duties at once: held after %v; then %.1f datagrams a second of all", n, first, all2)
 	w.Run(80 * time.Second)
-	if w.Holder("one") < 0 {
-		t.Errorf("nobody holds it after the power came back: %v", w.Told)
+	if w.LeaseHolder("one") < 0 {
+		t.Errorf("nobody holds it after the power came back: %v", w.Notices)
 	}
 
 	// The same with nobody who waits: what a holder costs.
-	w, err = leasesim.New(leasesim.Spec{Seed: 1, Routers: n, Zones: 3, May: 5, Voters: 3, Duties: all[1:], Wants: func(i int) []string {
-		if i < n-lease.MostHolders || n < 100 {
+	w, err = leasesim.New(leasesim.Spec{Seed: 1, Routers: n, Zones: 3, Candidates: 5, Voters: 3, Roles: all[1:], RolesOf: func(i int) []string {
+		if i < n-lease.MaxHolders || n < 100 {
 			return nil
 		}
 		return []string{"many"}
-	}, Rates: lease.Rates, Length: 60 * time.Second})
+	}, ClockDrift: lease.MaxClockDrift, Length: 60 * time.Second})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -170,8 +170,8 @@
 	if n < 100 {
 		return
 	}
-	cost := float64(w.Requests-requests+w.Answers-answers) / 40 / lease.MostHolders
-	if t.Logf("%d holders: %.3f datagrams a second for each", lease.MostHolders, cost); cost > 2 {
+	cost := float64(w.Requests-requests+w.Answers-answers) / 40 / lease.MaxHolders
+	if t.Logf("%d holders: %.3f datagrams a second for each", lease.MaxHolders, cost); cost > 2 {
 		t.Errorf("%.3f datagrams a second for each holder", cost)
 	}
 }
--- a/internal/testbed/leasesim/network.go
+++ b/internal/testbed/leasesim/network.go
@@ -8,22 +8,22 @@
 )
 
 // land is an act at its receiver.
-func (w *World) land(e *event) {
+func (w *World) handleAct(e *event) {
 	w.Acts++
 	status := 200
-	if pass := w.fence.Pass(e.duty, e.token); !pass && !w.s.NoFence {
+	if pass := w.guard.Accept(e.role, e.token); !pass && !w.spec.SkipTokenCheck {
 		status = 409
 		w.Refused++
-		if r := w.routers[e.from]; r.lives && r.still == 0 {
-			w.asked(r, r.agent.Refused(r.clock(w.now), e.duty, w.fence.Highest(e.duty)))
-			w.wake(r)
+		if r := w.routers[e.from]; r.alive && r.frozenCount == 0 {
+			w.carryOutAgent(r, r.agent.TokenRejected(r.clock(w.now), e.role, w.guard.Highest(e.role)))
+			w.scheduleWakeUp(r)
 		}
 	}
-	w.emit(history.Event{What: history.Act, Who: "h0", From: w.routers[e.from].name, Text: e.duty, Token: e.token, Status: status, Begun: e.checked.Nanoseconds()})
+	w.emit(history.Event{What: history.Act, Who: "h0", From: w.routers[e.from].name, Text: e.role, Token: e.token, Status: status, Begun: e.checkedAt.Nanoseconds()})
 }
 
-func (w *World) way() time.Duration {
-	return w.s.Way + time.Duration(w.rng.Int64N(int64(w.s.Way/2+1)))
+func (w *World) latency() time.Duration {
+	return w.spec.Latency + time.Duration(w.rng.Int64N(int64(w.spec.Latency/2+1)))
 }
 
 // send has a message go to another router, later by what it waits for.
@@ -31,15 +31,15 @@
 	if to == nil {
 		return
 	}
-	e.n, e.from = to.n, r.n
-	way := w.way() + later
-	if to == r || len(w.on) == 0 {
+	e.router, e.from = to.number, r.number
+	way := w.latency() + later
+	if to == r || len(w.linkFaults) == 0 {
 		e.at = w.now + way
-		w.put(e)
+		w.schedule(e)
 		return
 	}
-	w.link.Condition = faults.ConditionOf(w.on, faults.End{N: r.n}, faults.End{N: to.n})
-	if e.do == toVoters { // a connection's content comes whole or not at all
+	w.link.Condition = faults.ConditionOf(w.linkFaults, faults.End{N: r.number}, faults.End{N: to.number})
+	if e.kind == toVoters { // a connection's content comes whole or not at all
 		w.link.Clip, w.link.Flip = 0, 0
 	}
 	w.copies = w.link.Pass(len(e.data), w.copies[:0])
@@ -52,6 +52,6 @@
 			}
 		}
 		x.at = w.now + way + c.After
-		w.put(x)
+		w.schedule(x)
 	}
 }
--- a/internal/testbed/leasesim/strikes.go
+++ b/internal/testbed/leasesim/strikes.go
@@ -9,12 +9,12 @@
 )
 
 // strike has a fault begin or end.
-func (w *World) strike(s *faults.Strike, on bool) {
+func (w *World) applyFault(s *faults.Strike, on bool) {
 	if faults.Of(s.Kind).OfLinks() {
 		if on {
-			w.on = append(w.on, s)
+			w.linkFaults = append(w.linkFaults, s)
 		} else {
-			w.on = slices.DeleteFunc(w.on, func(x *faults.Strike) bool { return x == s })
+			w.linkFaults = slices.DeleteFunc(w.linkFaults, func(x *faults.Strike) bool { return x == s })
 		}
 		return
 	}
@@ -24,21 +24,21 @@
 		case faults.Kill, faults.Power, faults.Restart:
 			if on {
 				w.kill(r, s.Kind == faults.Restart)
-			} else if r.down--; r.down == 0 {
-				w.disk(r, s)
-				w.start(r)
+			} else if r.downCount--; r.downCount == 0 {
+				w.applyDiskFault(r, s)
+				w.startProcess(r)
 			}
 		case faults.Replace:
-			if on && r.lives && r.still == 0 && r.down == 0 {
+			if on && r.alive && r.frozenCount == 0 && r.downCount == 0 {
 				w.kill(r, true)
-				r.down--
-				w.start(r)
+				r.downCount--
+				w.startProcess(r)
 			}
 		case faults.Pause:
 			w.freeze(r, on)
 		case faults.Crawl:
 			if on {
-				w.put(event{at: w.now, do: freezes, n: n, gen: uint32(slices.Index(w.strikes, s))})
+				w.schedule(event{at: w.now, kind: freezeRouter, router: n, generation: uint32(slices.Index(w.faults, s))})
 			}
 		}
 	}
@@ -46,65 +46,65 @@
 
 // kill ends a process: by itself, giving back what it holds, or in the middle of what it does.
 func (w *World) kill(r *router, asked bool) {
-	r.down++
+	r.downCount++
 	switch {
-	case !r.lives:
-	case asked && r.still == 0:
-		for _, d := range r.agent.Wants() {
-			w.asked(r, r.agent.Drop(r.clock(w.now), d, "", 0))
+	case !r.alive:
+	case asked && r.frozenCount == 0:
+		for _, d := range r.agent.Roles() {
+			w.carryOutAgent(r, r.agent.Release(r.clock(w.now), d, "", 0))
 		}
-	case r.voter != nil && r.still == 0:
-		r.stops = w.rng.IntN(6)
-		w.voted(r, r.voter.Step(r.clock(w.now), quorum.Passed{}))
+	case r.voter != nil && r.frozenCount == 0:
+		r.actionsUntilCrash = w.rng.IntN(6)
+		w.carryOutVoter(r, r.voter.Step(r.clock(w.now), quorum.Tick{}))
 	}
-	w.stop(r)
+	w.stopProcess(r)
 }
 
 // disk does to a folder what a fault says.
-func (w *World) disk(r *router, s *faults.Strike) {
+func (w *World) applyDiskFault(r *router, s *faults.Strike) {
 	switch s.Disk {
 	case faults.DiskEmpty, faults.DiskCut:
 		r.disk = nil // what is cut is not read
 	case faults.DiskOther:
-		r.disk = w.routers[(r.n+1)%w.s.May].disk.Clone()
+		r.disk = w.routers[(r.number+1)%w.spec.Candidates].disk.Clone()
 	case faults.DiskOlder:
-		r.disk = r.older.Clone()
+		r.disk = r.diskAtStart.Clone()
 	}
 }
 
 func (w *World) freeze(r *router, on bool) {
 	if on {
-		r.still++
+		r.frozenCount++
 		return
 	}
-	if r.still--; r.still > 0 || !r.lives {
+	if r.frozenCount--; r.frozenCount > 0 || !r.alive {
 		return
 	}
-	inbox, gen := r.inbox, r.gen
+	inbox, gen := r.inbox, r.generation
 	r.inbox = nil
 	for i := range inbox {
-		if r.lives && r.gen == gen {
-			w.take(r, &inbox[i])
+		if r.alive && r.generation == gen {
+			w.deliver(r, &inbox[i])
 		}
 	}
-	if r.lives && r.gen == gen {
-		w.take(r, &event{do: wakes})
+	if r.alive && r.generation == gen {
+		w.deliver(r, &event{kind: wakeUp})
 	}
 }
 
 // burst is the length of one standstill of a router that crawls with the time until the next one.
-const burst = 200 * time.Millisecond
+const crawlPeriod = 200 * time.Millisecond
 
-func (w *World) crawl(e *event) {
-	s, r := w.strikes[e.gen], w.routers[e.n]
-	if e.do == freezes {
+func (w *World) stepCrawl(e *event) {
+	s, r := w.faults[e.generation], w.routers[e.router]
+	if e.kind == freezeRouter {
 		if w.now >= s.At+s.Length {
 			return
 		}
 		w.freeze(r, true)
-		w.put(event{at: w.now + time.Duration(s.Share*float64(burst)), do: thaws, n: e.n, gen: e.gen})
+		w.schedule(event{at: w.now + time.Duration(s.Share*float64(crawlPeriod)), kind: thawRouter, router: e.router, generation: e.generation})
 		return
 	}
 	w.freeze(r, false)
-	w.put(event{at: w.now + time.Duration((1-s.Share)*float64(burst)), do: freezes, n: e.n, gen: e.gen})
+	w.schedule(event{at: w.now + time.Duration((1-s.Share)*float64(crawlPeriod)), kind: freezeRouter, router: e.router, generation: e.generation})
 }
--- a/internal/testbed/scaletest/hollow.go
+++ b/internal/testbed/scaletest/hollow.go
@@ -107,7 +107,7 @@
 		}
 		from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
 		if err == nil && (h.hollows[from] || h.net.passes(from, h.addr)) {
-			view.Take(from, buffer[:n])
+			view.HandleDatagram(from, buffer[:n])
 		}
 	}
 }
--- a/internal/testbed/simulator/faults.go
+++ b/internal/testbed/simulator/faults.go
@@ -159,7 +159,7 @@
 	for _, i := range s.Routers {
 		if r := w.routers[i]; r.down > 0 {
 			if s.Disk == faults.DiskEmpty {
-				r.usual = recovery.Usual{}
+				r.usual = recovery.Baseline{}
 			}
 			if r.down--; r.down == 0 && !r.alive {
 				w.at(w.now, event{do: routerStarts, n: i})
--- a/internal/testbed/simulator/router.go
+++ b/internal/testbed/simulator/router.go
@@ -14,9 +14,9 @@
 	n     int
 	zone  string
 	d     Decider
-	gate  *recovery.Gate // nil for none
-	usual recovery.Usual // as on its disk
-	part  float64        // of what the router that gets most gets
+	gate  *recovery.Gate    // nil for none
+	usual recovery.Baseline // as on its disk
+	part  float64           // of what the router that gets most gets
 	alive bool
 	gen   int // of its process
 	inbox []balance.Event
@@ -109,7 +109,7 @@
 	if r.gate != nil {
 		demand = r.gate.Demand()
 	}
-	r.usual.Take(r.w.now, d.Learned(), demand)
+	r.usual.Update(r.w.now, d.Learned(), demand)
 }
 
 // take gives the module an event; it sees it with the next tick.
