--- a/coord/feed/example_test.go
+++ b/coord/feed/example_test.go
@@ -19,32 +19,33 @@
 func (n *names) Merge(d *coordpb.Delta)                      { n.all = append(n.all, string(d.Payload)) }
 func (n *names) add(name string)                             { n.all = append(n.all, name) }
 
-// A process subscribes to a topic of another one, and is sent its changes as they come. The owner of each carries messages between them.
+// A process subscribes to a topic of another one and is sent its changes as they come. The owner of
+// each node delivers the messages between them.
 func Example() {
 	nodes, topics := map[string]*feed.Node{}, map[string]*names{}
-	for i, address := range []string{"home", "subscriber"} {
+	for i, address := range []string{"source", "subscriber"} {
 		topics[address] = &names{}
 		nodes[address] = feed.New(address, uint64(i+1), 0)
 		nodes[address].Add("names", topics[address])
 	}
 	now := time.Duration(0)
-	var carry func(all []feed.Send)
-	carry = func(all []feed.Send) {
+	var deliver func(all []feed.Send)
+	deliver = func(all []feed.Send) {
 		for _, s := range all {
 			if s.Poll != nil {
-				carry(nodes[s.To].TakePoll(now, s.Poll))
+				deliver(nodes[s.To].HandlePoll(now, s.Poll))
 			}
 			if s.Update != nil {
-				carry(nodes[s.To].TakeUpdate(now, s.Update))
+				deliver(nodes[s.To].HandleUpdate(now, s.Update))
 			}
 		}
 	}
-	carry(nodes["subscriber"].Subscribe(now, []feed.Subscription{{Topic: "names", Candidates: []string{"home"}}}))
-	carry(nodes["subscriber"].Tick(now))
+	deliver(nodes["subscriber"].Subscribe(now, []feed.Subscription{{Topic: "names", Candidates: []string{"source"}}}))
+	deliver(nodes["subscriber"].Tick(now))
 	for _, name := range []string{"ada", "grace"} {
 		now += time.Millisecond
-		topics["home"].add(name)
-		carry(nodes["home"].Changed(now, "names"))
+		topics["source"].add(name)
+		deliver(nodes["source"].Publish(now, "names"))
 	}
 	fmt.Println(topics["subscriber"].all)
 	// Output: [ada grace]
--- a/coord/feed/feed_test.go
+++ b/coord/feed/feed_test.go
@@ -20,7 +20,7 @@
 	confirmed time.Duration // below 0 for never
 	merges    int
 	shared    bool
-	padding   int // bytes behind the number
+	padding   int // bytes after the number
 }
 
 func (n *number) Revision() uint64 { return n.value }
@@ -44,27 +44,27 @@
 	}
 }
 
-// world is routers with one topic, on a network with cuts.
+// world is processes with one topic, on a network with broken links.
 type world struct {
-	now   time.Duration
-	nodes map[string]*router
-	names []string
-	cut   map[string]bool // from>to
-	queue []delivery
-	sent  int
-	bytes int // of payloads
+	now    time.Duration
+	nodes  map[string]*router
+	names  []string
+	broken map[string]bool // from>to
+	queue  []delivery
+	sent   int
+	bytes  int // of payloads
 }
 
 type router struct {
 	*Node
-	topic *number
-	up    bool
+	topic   *number
+	running bool
 }
 
 type delivery struct {
-	at   time.Duration
-	from string
-	send Send
+	arrivesAt time.Duration
+	from      string
+	send      Send
 }
 
 const (
@@ -74,21 +74,21 @@
 )
 
 func newWorld(names ...string) *world {
-	w := &world{nodes: map[string]*router{}, cut: map[string]bool{}, names: names}
+	w := &world{nodes: map[string]*router{}, broken: map[string]bool{}, names: names}
 	for i, name := range names {
 		w.start(name, uint64(i+1))
 	}
 	return w
 }
 
-// start begins a life of a router.
+// start starts a process.
 func (w *world) start(name string, life uint64) {
-	r := &router{Node: New(name, life, w.now), topic: &number{confirmed: -1}, up: true}
+	r := &router{Node: New(name, life, w.now), topic: &number{confirmed: -1}, running: true}
 	r.Add(topic, r.topic)
 	w.nodes[name] = r
 }
 
-func (w *world) post(from string, all []Send) {
+func (w *world) send(from string, all []Send) {
 	for _, s := range all {
 		w.sent++
 		for _, delta := range s.Update.GetDeltas() {
@@ -98,15 +98,15 @@
 	}
 }
 
-// run goes on for a time; the source, if there is one, confirms its number all along.
+// run lets time pass; the source, if it runs, confirms its number all along.
 func (w *world) run(d time.Duration, source string) {
 	for until := w.now + d; w.now < until; w.now += step {
-		if r := w.nodes[source]; r != nil && r.up {
+		if r := w.nodes[source]; r != nil && r.running {
 			r.topic.confirmed = w.now
 		}
 		for _, name := range w.names {
-			if r := w.nodes[name]; r.up {
-				w.post(name, r.Tick(w.now))
+			if r := w.nodes[name]; r.running {
+				w.send(name, r.Tick(w.now))
 			}
 		}
 		w.deliver()
@@ -114,31 +114,31 @@
 }
 
 func (w *world) deliver() {
-	for len(w.queue) > 0 && w.queue[0].at <= w.now+step {
+	for len(w.queue) > 0 && w.queue[0].arrivesAt <= w.now+step {
 		d := w.queue[0]
 		w.queue = w.queue[1:]
 		to := w.nodes[d.send.To]
-		if to == nil || !to.up || w.cut[d.from+">"+d.send.To] {
+		if to == nil || !to.running || w.broken[d.from+">"+d.send.To] {
 			continue
 		}
 		if d.send.Poll != nil {
-			w.post(d.send.To, to.TakePoll(w.now, d.send.Poll))
+			w.send(d.send.To, to.HandlePoll(w.now, d.send.Poll))
 		} else {
-			w.post(d.send.To, to.TakeUpdate(w.now, d.send.Update))
+			w.send(d.send.To, to.HandleUpdate(w.now, d.send.Update))
 		}
-		slices.SortStableFunc(w.queue, func(a, b delivery) int { return cmp.Compare(a.at, b.at) })
+		slices.SortStableFunc(w.queue, func(a, b delivery) int { return cmp.Compare(a.arrivesAt, b.arrivesAt) })
 	}
 }
 
-func (w *world) set(name string, value uint64) {
+func (w *world) setValue(name string, value uint64) {
 	r := w.nodes[name]
 	r.topic.value = value
-	w.post(name, r.Changed(w.now, topic))
+	w.send(name, r.Publish(w.now, topic))
 	w.deliver()
 }
 
 func (w *world) subscribe(name string, candidates ...string) {
-	w.post(name, w.nodes[name].Subscribe(w.now, []Subscription{{Topic: topic, Candidates: candidates, Confirmed: true}}))
+	w.send(name, w.nodes[name].Subscribe(w.now, []Subscription{{Topic: topic, Candidates: candidates, RequireConfirmed: true}}))
 }
 
 func (w *world) age(name string) time.Duration {
@@ -149,28 +149,29 @@
 	return w.now - at
 }
 
-// A change reaches a subscriber's subscriber at once, not with the next poll; what was confirmed gets there with its age.
-func TestChain(t *testing.T) {
+// A change reaches a subscriber's subscriber at once, not with the next poll; a confirmation
+// arrives with its age.
+func TestChangePassesThroughChainAtOnce(t *testing.T) {
 	is := is.New(t)
 	w := newWorld("tail", "home", "leaf")
 	w.subscribe("home", "tail")
 	w.subscribe("leaf", "home")
 	w.run(2*time.Second, "tail")
-	w.set("tail", 5)
-	w.post("home", w.nodes["home"].Changed(w.now, topic))
+	w.setValue("tail", 5)
+	w.send("home", w.nodes["home"].Publish(w.now, topic))
 	w.run(3*step, "tail")
-	w.post("home", w.nodes["home"].Changed(w.now, topic))
+	w.send("home", w.nodes["home"].Publish(w.now, topic))
 	w.run(3*step, "tail")
 	is.Equal(w.nodes["leaf"].topic.value, uint64(5))
 	w.run(2*time.Second, "tail")
-	is.True(w.age("leaf") < 2*PollEvery+10*step)
+	is.True(w.age("leaf") < 2*PollInterval+10*step)
 	is.True(w.age("leaf") > 0) // never younger than it is
 	is.Equal(w.nodes["home"].Source(topic, ""), "tail")
 	is.Equal(w.nodes["tail"].Subscribers(topic), []string{"home"})
 }
 
-// What is not confirmed any more by its source is had from the next candidate, and from the first one again once that is back.
-func TestTurn(t *testing.T) {
+// A source that stops is replaced by the next candidate, and used again once it is back.
+func TestStoppedSourceIsReplacedUntilItReturns(t *testing.T) {
 	is := is.New(t)
 	w := newWorld("tail", "home", "second", "leaf")
 	w.subscribe("home", "tail")
@@ -178,37 +179,37 @@
 	w.subscribe("leaf", "home", "second")
 	w.run(2*time.Second, "tail")
 	is.Equal(w.nodes["leaf"].Source(topic, ""), "home")
-	w.nodes["home"].up = false
+	w.nodes["home"].running = false
 	w.run(1600*time.Millisecond, "tail")
 	is.Equal(w.nodes["leaf"].Source(topic, ""), "second")
-	is.True(w.age("leaf") < staleAfter)
-	w.nodes["home"].up = true
+	is.True(w.age("leaf") < staleTimeout)
+	w.nodes["home"].running = true
 	w.run(4*time.Second, "tail")
 	is.Equal(w.nodes["leaf"].Source(topic, ""), "home")
 }
 
-// A home that answers, but is cut off from what it is the home of, is left as well.
-func TestTurnFromStale(t *testing.T) {
+// A source that answers, but is isolated from its own source, is replaced as well.
+func TestIsolatedSourceIsReplaced(t *testing.T) {
 	is := is.New(t)
 	w := newWorld("tail", "home", "second", "leaf")
 	w.subscribe("home", "tail")
 	w.subscribe("second", "tail")
 	w.subscribe("leaf", "home", "second")
 	w.run(2*time.Second, "tail")
-	w.cut["tail>home"], w.cut["home>tail"] = true, true
+	w.broken["tail>home"], w.broken["home>tail"] = true, true
 	w.run(2500*time.Millisecond, "tail")
 	is.Equal(w.nodes["leaf"].Source(topic, ""), "second")
-	is.True(w.age("leaf") < staleAfter+PollEvery)
+	is.True(w.age("leaf") < staleTimeout+PollInterval)
 	is.True(w.age("home") > 2*time.Second)
 }
 
-// A source that begins a new life counts from the beginning; its subscribers get all of what it has.
-func TestNewLife(t *testing.T) {
+// A restarted source counts revisions anew; its subscribers get all that it has, once.
+func TestRestartedSourceIsReadFromStart(t *testing.T) {
 	is := is.New(t)
 	w := newWorld("source", "leaf")
 	w.subscribe("leaf", "source")
 	w.run(time.Second, "source")
-	w.set("source", 7)
+	w.setValue("source", 7)
 	w.run(time.Second, "source")
 	is.Equal(w.nodes["leaf"].topic.value, uint64(7))
 	w.start("source", 99)
@@ -221,32 +222,32 @@
 	is.Equal(w.nodes["leaf"].topic.merges, merges) // nothing new, nothing sent
 }
 
-// A delta that builds on what never came is passed over; the next poll brings all of it.
-func TestGap(t *testing.T) {
+// A delta that builds on a lost one is ignored; the next poll brings both.
+func TestLostDeltaIsRecoveredByPoll(t *testing.T) {
 	is := is.New(t)
 	w := newWorld("source", "leaf")
 	w.subscribe("leaf", "source")
 	w.run(time.Second, "source")
 	payload := binary.BigEndian.AppendUint64(nil, 9)
-	w.nodes["leaf"].TakeUpdate(w.now, &coordpb.Update{From: "source", Deltas: []*coordpb.Delta{{Topic: topic, Life: 1, Since: 5, Revision: 9, Payload: payload, AgeUs: -1}}})
+	w.nodes["leaf"].HandleUpdate(w.now, &coordpb.Update{From: "source", Deltas: []*coordpb.Delta{{Topic: topic, Life: 1, Since: 5, Revision: 9, Payload: payload, AgeUs: -1}}})
 	is.Equal(w.nodes["leaf"].topic.value, uint64(0))
-	w.nodes["leaf"].TakeUpdate(w.now, &coordpb.Update{From: "source", Deltas: []*coordpb.Delta{{Topic: "unknown", Life: 1, Payload: payload}}})
+	w.nodes["leaf"].HandleUpdate(w.now, &coordpb.Update{From: "source", Deltas: []*coordpb.Delta{{Topic: "unknown", Life: 1, Payload: payload}}})
 	w.nodes["source"].topic.value = 9
 	w.run(time.Second, "source")
 	is.Equal(w.nodes["leaf"].topic.value, uint64(9))
 }
 
-// An answer to a poll that this router never sent, or long ago, confirms nothing.
-func TestForeignAnswer(t *testing.T) {
+// An answer to a poll that was never sent, or long ago, confirms nothing.
+func TestUnsolicitedAnswerConfirmsNothing(t *testing.T) {
 	is := is.New(t)
 	w := newWorld("source", "leaf")
-	w.nodes["leaf"].TakeUpdate(time.Second, &coordpb.Update{From: "source", Nonce: 12345, Deltas: []*coordpb.Delta{{Topic: topic, Life: 1, AgeUs: 0}}})
+	w.nodes["leaf"].HandleUpdate(time.Second, &coordpb.Update{From: "source", Nonce: 12345, Deltas: []*coordpb.Delta{{Topic: topic, Life: 1, AgeUs: 0}}})
 	_, ok := w.nodes["leaf"].topic.Confirmed()
 	is.True(!ok)
 }
 
-// While nothing is fresh, it is asked for more often; later at the usual pace.
-func TestHurry(t *testing.T) {
+// An unconfirmed topic is polled faster, and at the usual interval once it is confirmed.
+func TestUnconfirmedTopicIsPolledFaster(t *testing.T) {
 	is := is.New(t)
 	w := newWorld("source", "leaf")
 	w.subscribe("leaf", "source")
@@ -261,32 +262,41 @@
 	is.True(calm <= 8)
 }
 
-// Whatever is drawn of cuts, ends and new lives among 12 routers in three zones: once it is over, all have the number within 3 s, nobody's
-// went back, and nobody held it to be confirmed at a time when the tail had a greater one.
-func TestDrawn(t *testing.T) {
+// newThreeZones returns 12 processes in three zones. The first of each zone subscribes to the first of
+// all, the others to that of their zone with two more candidates.
+func newThreeZones() *world {
+	var names []string
+	for i := range 12 {
+		names = append(names, fmt.Sprintf("r%02d", i))
+	}
+	w := newWorld(names...)
+	for i, name := range names[1:] {
+		zone := (i + 1) % 3
+		switch first := names[zone]; {
+		case zone == i+1 || first == name:
+			w.subscribe(name, names[0])
+		default:
+			w.subscribe(name, first, names[zone+3], names[0])
+		}
+	}
+	return w
+}
+
+// Whatever is drawn of broken links and stopped processes among 12 in three zones: 3 s after the
+// last fault all have the number, no number went back, and none was confirmed as the newest at a
+// time when the first process had a greater one.
+func TestRandomFaultsConverge(t *testing.T) {
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 0))
-		var names []string
-		for i := range 12 {
-			names = append(names, fmt.Sprintf("r%02d", i))
-		}
-		w := newWorld(names...)
-		for i, name := range names[1:] {
-			zone := (i + 1) % 3
-			switch first := names[zone]; {
-			case zone == i+1 || first == name:
-				w.subscribe(name, names[0])
-			default:
-				w.subscribe(name, first, names[zone+3], names[0])
-			}
-		}
+		w := newThreeZones()
+		names := w.names
 		value, history := uint64(0), []time.Duration{0}
 		last := map[string]uint64{}
 		look := func() {
 			for _, name := range names {
 				r := w.nodes[name]
 				if r.topic.value < last[name] {
-					t.Fatalf("seed %d: the number of %s went back", seed, name)
+					t.Fatalf("seed %d: the number of %s decreased", seed, name)
 				}
 				last[name] = r.topic.value
 				at, ok := r.topic.Confirmed()
@@ -299,17 +309,17 @@
 			if rng.IntN(5) == 0 {
 				value++
 				history = append(history, w.now)
-				w.set(names[0], value)
+				w.setValue(names[0], value)
 			}
 			a, b := names[rng.IntN(12)], names[rng.IntN(12)]
 			switch rng.IntN(8) {
 			case 0:
-				w.cut[a+">"+b] = true
+				w.broken[a+">"+b] = true
 			case 1:
-				clear(w.cut)
+				clear(w.broken)
 			case 2:
 				if a != names[0] {
-					w.nodes[a].up = !w.nodes[a].up
+					w.nodes[a].running = !w.nodes[a].running
 				}
 			}
 			for range 10 {
@@ -317,24 +327,24 @@
 				look()
 			}
 		}
-		clear(w.cut)
+		clear(w.broken)
 		for _, r := range w.nodes {
-			r.up = true
+			r.running = true
 		}
 		w.run(3*time.Second, names[0])
 		for _, name := range names {
 			if got := w.nodes[name].topic.value; got != value {
 				t.Errorf("seed %d: %s has %d of %d", seed, name, got, value)
 			}
-			if age := w.age(name); age > 2*staleAfter {
+			if age := w.age(name); age > 2*staleTimeout {
 				t.Errorf("seed %d: what %s has was confirmed %v ago", seed, name, age)
 			}
 		}
 	}
 }
 
-// Where revisions mean the same everywhere, a new source, or a new life of one, is not asked for what is here already.
-func TestShared(t *testing.T) {
+// With shared revisions a new source is not asked for what the subscriber has already.
+func TestSharedRevisionsAreNotSentAgain(t *testing.T) {
 	is := is.New(t)
 	w := newWorld("source", "second", "leaf")
 	for _, r := range w.nodes {
@@ -343,49 +353,51 @@
 	w.subscribe("second", "source")
 	w.subscribe("leaf", "source", "second")
 	w.run(time.Second, "source")
-	w.cut["source>leaf"] = true
+	w.broken["source>leaf"] = true
 	w.run(2*time.Second, "source")
 	is.Equal(w.nodes["leaf"].Source(topic, ""), "second")
-	is.True(w.age("leaf") < 2*staleAfter)
+	is.True(w.age("leaf") < 2*staleTimeout)
 	is.Equal(w.bytes, 0)
 	w.nodes["second"].topic.value = 8
 	w.run(time.Second, "source")
 	is.Equal(w.nodes["leaf"].topic.value, uint64(8))
 }
 
-// A long payload is sent once while it may be on its way, however often it is asked for, and again once it should have come.
-func TestLongPayload(t *testing.T) {
+// A long payload is sent once while it may be in flight, however often it is polled for, and again
+// once it should have arrived.
+func TestLongPayloadIsSentOnceWhileInFlight(t *testing.T) {
 	is := is.New(t)
 	w := newWorld("source", "leaf")
 	source := w.nodes["source"].topic
 	source.padding = 100_000
 	w.subscribe("leaf", "source")
 	w.run(time.Second, "source")
-	w.cut["source>leaf"] = true
+	w.broken["source>leaf"] = true
 	source.value = 5
 	w.bytes = 0
-	w.run(resendAfter, "source")
+	w.run(resendDelay, "source")
 	is.True(w.bytes > source.padding)
 	is.True(w.bytes < 2*source.padding)
-	delete(w.cut, "source>leaf")
+	delete(w.broken, "source>leaf")
 	w.run(time.Second, "source")
 	is.Equal(w.nodes["leaf"].topic.value, uint64(5))
-	is.True(w.age("leaf") < staleAfter)
+	is.True(w.age("leaf") < staleTimeout)
 }
 
-// A router that lacks a confirmation asks for it in a hurry, but not once more for each word on a topic that needs none.
-func TestNoPollForPlainTopics(t *testing.T) {
+// A process that lacks a confirmation polls at each update of that topic, but not at those of a
+// topic that needs none.
+func TestNoExtraPollForPlainTopics(t *testing.T) {
 	is := is.New(t)
 	n := New("a", 1, 0)
 	n.Add("confirmed", &number{confirmed: -1, shared: true})
 	n.Add("plain", &number{confirmed: -1})
-	n.Subscribe(0, []Subscription{{Topic: "confirmed", Candidates: []string{"b"}, Confirmed: true}, {Topic: "plain", Candidates: []string{"b"}}})
+	n.Subscribe(0, []Subscription{{Topic: "confirmed", Candidates: []string{"b"}, RequireConfirmed: true}, {Topic: "plain", Candidates: []string{"b"}}})
 	polls := func(topic string) (count int) {
 		from := n.now
 		for i := range 100 {
 			value := uint64(i + 1)
 			u := &coordpb.Update{From: "b", Deltas: []*coordpb.Delta{{Topic: topic, Life: 9, Revision: value, Payload: binary.BigEndian.AppendUint64(nil, value), AgeUs: -1}}}
-			for _, s := range n.TakeUpdate(from+time.Duration(i)*time.Millisecond, u) {
+			for _, s := range n.HandleUpdate(from+time.Duration(i)*time.Millisecond, u) {
 				if s.Poll != nil {
 					count++
 				}
--- a/coord/feed/golden_test.go
+++ b/coord/feed/golden_test.go
@@ -11,8 +11,8 @@
 	"reachspread/internal/testbed/golden"
 )
 
-// What routers send each other of a topic has the bytes that it had at commit 5bfcc27: polls, answers with all, a part or nothing of it, with
-// and without a confirmation, changes, and a long payload on its way.
+// Polls and updates have the bytes that they had at commit 5bfcc27: answers with all, some or none
+// of the content, with and without a confirmation, changes, and a long payload in flight.
 func TestExchangeKeepsItsBytes(t *testing.T) {
 	now := time.Minute
 	source, reader := New("10.0.0.1:1", 1<<40, now), New("10.0.0.2:1", 7, now)
@@ -25,50 +25,39 @@
 	var records []golden.Record
 	sent := func(name string, all []Send) Send {
 		t.Helper()
-		if len(all) != 1 || (all[0].Poll == nil) == (all[0].Update == nil) {
-			t.Fatalf("%s: %d messages are sent, not one", name, len(all))
-		}
-		var m proto.Message = all[0].Update
-		if all[0].Poll != nil {
-			m = all[0].Poll
-		}
-		text, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
-		if err != nil {
-			t.Fatal(err)
-		}
-		records = append(records, golden.Record{Name: fmt.Sprintf("%s-to-%s", name, all[0].To), Data: text})
+		records = append(records, recordOf(t, name, all))
 		return all[0]
 	}
 	taken := func(u *coordpb.Update) {
 		t.Helper()
 		now += 10 * time.Millisecond
-		if more := reader.TakeUpdate(now, u); len(more) > 0 {
+		if more := reader.HandleUpdate(now, u); len(more) > 0 {
 			t.Errorf("an update is answered with %d messages", len(more))
 		}
 	}
 
 	poll := sent("first-poll", reader.Subscribe(now, []Subscription{{Topic: "own", Candidates: []string{"10.0.0.1:1"}}}))
 	now += 10 * time.Millisecond
-	taken(sent("first-answer", source.TakePoll(now, poll.Poll)).Update)
-	now += PollEvery
+	taken(sent("first-answer", source.HandlePoll(now, poll.Poll)).Update)
+	now += PollInterval
 	poll = sent("poll-for-changes", reader.Tick(now))
-	taken(sent("no-change", source.TakePoll(now, poll.Poll)).Update)
+	taken(sent("no-change", source.HandlePoll(now, poll.Poll)).Update)
 	own.value = 6
-	taken(sent("change", source.Changed(now, "own")).Update)
-	own.value, own.padding = 7, longPayload
-	long := sent("long-change", source.Changed(now, "own")).Update
-	now += PollEvery
+	taken(sent("change", source.Publish(now, "own")).Update)
+	own.value, own.padding = 7, longPayloadLen
+	long := sent("long-change", source.Publish(now, "own")).Update
+	now += PollInterval
 	poll = sent("poll-before-it-came", reader.Tick(now))
-	taken(sent("on-its-way", source.TakePoll(now, poll.Poll)).Update)
+	taken(sent("on-its-way", source.HandlePoll(now, poll.Poll)).Update)
 	taken(long)
 	if got := reader.Topic("own").(*number).value; got != 7 {
 		t.Errorf("the reader has %d, not 7", got)
 	}
 
-	poll = sent("poll-of-shared", reader.Subscribe(now, []Subscription{{Topic: "shared", Group: "g", Candidates: []string{"10.0.0.1:1"}, Confirmed: true}}))
-	taken(sent("shared-answer", source.TakePoll(now, poll.Poll)).Update)
+	poll = sent("poll-of-shared", reader.Subscribe(now, []Subscription{{Topic: "shared", Group: "g", Candidates: []string{"10.0.0.1:1"}, RequireConfirmed: true}}))
+	taken(sent("shared-answer", source.HandlePoll(now, poll.Poll)).Update)
 	shared.confirmed = now
-	taken(sent("refreshed", source.Refreshed(now, "shared")).Update)
+	taken(sent("refreshed", source.PublishConfirmation(now, "shared")).Update)
 	if readersShared.value != 300 || readersShared.confirmed < 0 {
 		t.Errorf("the reader has %d, confirmed at %v", readersShared.value, readersShared.confirmed)
 	}
@@ -77,3 +66,20 @@
 		t.Errorf("%d names for %d messages", len(data), len(records))
 	}
 }
+
+// recordOf returns the encoding of the one message that is sent.
+func recordOf(t *testing.T, name string, all []Send) golden.Record {
+	t.Helper()
+	if len(all) != 1 || (all[0].Poll == nil) == (all[0].Update == nil) {
+		t.Fatalf("%s: %d messages are sent, not one", name, len(all))
+	}
+	var m proto.Message = all[0].Update
+	if all[0].Poll != nil {
+		m = all[0].Poll
+	}
+	text, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return golden.Record{Name: fmt.Sprintf("%s-to-%s", name, all[0].To), Data: text}
+}
--- a/internal/system/roles/node/configuration.go
+++ b/internal/system/roles/node/configuration.go
@@ -36,7 +36,7 @@
 		h.node.log.Warn("configuration not in force", "version", state.Version(), "cause", err)
 	}
 	h.node.pins.observe(state.Pinned().Revision, time.Now())
-	h.sendAll(h.feed.Changed(h.now(), configurationTopic))
+	h.sendAll(h.feed.Publish(h.now(), configurationTopic))
 	h.resubscribe()
 	for _, s := range state.Typed.Services {
 		h.updateEndpoints(s.Name)
--- a/internal/system/roles/node/confirmation.go
+++ b/internal/system/roles/node/confirmation.go
@@ -47,7 +47,7 @@
 	confirmed := at >= 0 && h.now()-at < confirmationTTL
 	if confirmed && !h.wasConfirmed {
 		h.node.plane.Refreshed()
-		h.sendAll(h.feed.Refreshed(h.now(), configurationTopic))
+		h.sendAll(h.feed.PublishConfirmation(h.now(), configurationTopic))
 	}
 	h.wasConfirmed = confirmed
 	h.logUnconfirmed()
--- a/internal/system/roles/node/fleet.go
+++ b/internal/system/roles/node/fleet.go
@@ -177,7 +177,7 @@
 		candidates = append(first, slices.DeleteFunc(candidates, isFirst)...)
 	}
 	return []feed.Subscription{
-		{Topic: configurationTopic, Candidates: candidates, Confirmed: true},
+		{Topic: configurationTopic, Candidates: candidates, RequireConfirmed: true},
 		{Topic: registerViewTopic, Candidates: candidates},
 	}
 }
--- a/internal/system/roles/node/hosts.go
+++ b/internal/system/roles/node/hosts.go
@@ -90,7 +90,7 @@
 	for service := range mapset.Elements(h.unpublished) {
 		h.addHostsTopic(service)
 		h.updateEndpoints(service)
-		h.sendAll(h.feed.Changed(h.now(), hostsTopicPrefix+service))
+		h.sendAll(h.feed.Publish(h.now(), hostsTopicPrefix+service))
 	}
 	h.unpublished.Clear()
 }
--- a/internal/system/roles/node/hub.go
+++ b/internal/system/roles/node/hub.go
@@ -159,9 +159,9 @@
 	switch body := m.Body.(type) {
 	case *message.Envelope_Poll:
 		h.addRequestedTopics(body.Poll)
-		h.sendAll(h.feed.TakePoll(h.now(), body.Poll))
+		h.sendAll(h.feed.HandlePoll(h.now(), body.Poll))
 	case *message.Envelope_Update:
-		h.sendAll(h.feed.TakeUpdate(h.now(), body.Update))
+		h.sendAll(h.feed.HandleUpdate(h.now(), body.Update))
 		h.refreshConfirmation()
 	case *message.Envelope_Handoff:
 		h.receiveHandoff(body.Handoff)
--- a/internal/system/roles/node/pins_schedules_test.go
+++ b/internal/system/roles/node/pins_schedules_test.go
@@ -101,7 +101,7 @@
 	r := w.routers[i]
 	r.feed = feed.New(routerName(i), w.rng.Uint64(), w.now)
 	r.config = &configurationFeed{confirmedAt: -1, clock: func() time.Duration { return w.now }, onError: func(err error) { w.fault = err }}
-	r.config.onChange = func(*configuration.State) { w.post(i, r.feed.Changed(w.now, configurationTopic)) }
+	r.config.onChange = func(*configuration.State) { w.post(i, r.feed.Publish(w.now, configurationTopic)) }
 	r.feed.Add(configurationTopic, r.config)
 	r.young, r.frozen, r.waiting = false, 0, nil
 	candidates := []string{routerName(0)}
@@ -109,7 +109,7 @@
 		candidates = []string{routerName(1 + i%2), routerName(2 - i%2), routerName(0)}
 	}
 	if i > 0 {
-		w.post(i, r.feed.Subscribe(w.now, []feed.Subscription{{Topic: configurationTopic, Candidates: candidates, Confirmed: true}}))
+		w.post(i, r.feed.Subscribe(w.now, []feed.Subscription{{Topic: configurationTopic, Candidates: candidates, RequireConfirmed: true}}))
 	}
 }
 
@@ -148,9 +148,9 @@
 		r := w.routers[m.to]
 		r.do(func() {
 			if m.send.Poll != nil {
-				w.post(m.to, r.feed.TakePoll(w.now, m.send.Poll))
+				w.post(m.to, r.feed.HandlePoll(w.now, m.send.Poll))
 			} else {
-				w.post(m.to, r.feed.TakeUpdate(w.now, m.send.Update))
+				w.post(m.to, r.feed.HandleUpdate(w.now, m.send.Update))
 			}
 		})
 	}
--- a/internal/system/roles/node/subscriptions.go
+++ b/internal/system/roles/node/subscriptions.go
@@ -43,7 +43,7 @@
 func (h *hub) registerViewChanged(v *coordpb.View) {
 	h.node.client.Viewed(v)
 	h.node.client.Know(h.registerAddresses())
-	h.sendAll(h.feed.Changed(h.now(), registerViewTopic))
+	h.sendAll(h.feed.Publish(h.now(), registerViewTopic))
 	h.resubscribe()
 }
 
