--- a/coord/chain/catchup_test.go
+++ b/coord/chain/catchup_test.go
@@ -11,12 +11,12 @@
 	"reachspread/coord/coordpb"
 )
 
-// word is one that makes a state of some words larger than a part.
-func word(letter string) string { return strings.Repeat(letter, partBytes) }
+// chunkOf is a word of the size of a chunk.
+func chunkOf(letter string) string { return strings.Repeat(letter, chunkBytes) }
 
-// exchange carries messages between two replicas, and back, until none is left; lose tells which to drop. It returns how many were
-// snapshots' parts and how many brought entries.
-func exchange(t *testing.T, a, b *Replica, from *Replica, effects []Effect, lose func(*coordpb.Message) bool) (parts, entries int) {
+// exchange carries messages between two replicas until none is left; lose reports which to drop. It
+// returns how many chunks of snapshots and how many messages with entries were delivered.
+func exchange(t *testing.T, a, b *Replica, from *Replica, effects []Effect, lose func(*coordpb.Message) bool) (chunks, entries int) {
 	t.Helper()
 	type sent struct {
 		from *Replica
@@ -41,7 +41,7 @@
 			continue
 		}
 		if s.m.GetSnapshot() != nil {
-			parts++
+			chunks++
 		}
 		if s.m.GetEntries() != nil {
 			entries++
@@ -53,137 +53,140 @@
 		got, _ := to.Receive(to.now, s.m)
 		take(to, got)
 	}
-	return parts, entries
+	return chunks, entries
 }
 
-// outsider is member 2, which has the words given and takes no part in epoch 2: the chain is members 0 and 1.
-func outsider(words ...string) (*Replica, *list) {
+// newLearner is member 2 with some words, a learner in epoch 2: the chain is members 0 and 1.
+func newLearner(words ...string) (*Replica, *list) {
 	r, l := replica(2, words...)
-	r.Follow()
-	r.Begin(time.Millisecond, chainOf(2, 0, 1))
+	r.FollowAsLearner()
+	r.BeginEpoch(time.Millisecond, chainOf(2, 0, 1))
 	return r, l
 }
 
-// tailOf is member 1, the tail of epoch 2, with the words given.
-func tailOf(t *testing.T, words ...string) (*Replica, *list) {
+// newTail is member 1 with some words, the tail of epoch 2.
+func newTail(t *testing.T, words ...string) (*Replica, *list) {
 	t.Helper()
 	r, l := replica(1, words...)
-	r.Begin(time.Millisecond, chainOf(2, 0, 1))
-	take(t, r, from(0, sync(2, uint64(len(words)), 1)))
+	r.BeginEpoch(time.Millisecond, chainOf(2, 0, 1))
+	receive(t, r, from(0, sync(2, uint64(len(words)), 1)))
 	if !r.Readable() {
 		t.Fatal("the tail has not begun its epoch")
 	}
 	return r, l
 }
 
-// grow has the tail take changes of the epoch.
-func grow(t *testing.T, tail *Replica, words ...string) {
+// appendChanges gives the tail changes of the epoch.
+func appendChanges(t *testing.T, tail *Replica, words ...string) {
 	t.Helper()
 	for _, w := range words {
-		take(t, tail, from(0, appendOf(2, tail.position.Sequence+1, tail.position.EntryEpoch, w)))
+		receive(t, tail, from(0, appendOf(2, tail.position.Sequence+1, tail.position.EntryEpoch, w)))
 	}
 }
 
-// A process that takes no part in the chain gets the state ahead: by the changes that it lacks where these are known, else in parts.
-func TestFollows(t *testing.T) {
-	big := []string{word("a"), word("b"), word("c")}
+// A learner gets the state: by the changes that it lacks where these are cached, else by a snapshot in
+// chunks.
+func TestLearnerCatchesUp(t *testing.T) {
+	big := []string{chunkOf("a"), chunkOf("b"), chunkOf("c")}
 	for name, c := range map[string]struct {
 		has, tail, later []string
-		parts            int
+		chunks           int
 	}{
 		"it has all":                      {[]string{"a"}, []string{"a"}, nil, 0},
 		"it lacks two changes":            {[]string{"a"}, []string{"a"}, []string{"b", "c"}, 0},
 		"it is empty":                     {nil, []string{"a"}, []string{"b"}, 1},
 		"it is empty, the state is large": {nil, big, []string{"d"}, 4},
-		"it lacks a large change":         {[]string{"a"}, []string{"a"}, []string{strings.Repeat("x", mostEntriesBytes+1), "y"}, 0},
+		"it lacks a large change":         {[]string{"a"}, []string{"a"}, []string{strings.Repeat("x", maxEntriesBytes+1), "y"}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			tail, all := tailOf(t, c.tail...)
-			grow(t, tail, c.later...)
-			follower, has := outsider(c.has...)
-			parts, _ := exchange(t, follower, tail, follower, follower.Tick(time.Second), nil)
+			tail, all := newTail(t, c.tail...)
+			appendChanges(t, tail, c.later...)
+			learner, has := newLearner(c.has...)
+			chunks, _ := exchange(t, learner, tail, learner, learner.Tick(time.Second), nil)
 			is.True(slices.Equal(has.words, all.words))
-			is.Equal(parts, c.parts)
-			is.Equal(follower.Position().String(), tail.Position().String())
-			is.True(follower.catch.begun == nil)
+			is.Equal(chunks, c.chunks)
+			is.Equal(learner.Position().String(), tail.Position().String())
+			is.True(learner.catchUp.incoming == nil)
 		})
 	}
 }
 
-// A snapshot goes on with the part that is missing, also in a later epoch, from another member, and after changes that came meanwhile.
-func TestPartsGoOn(t *testing.T) {
+// A snapshot goes on with the chunk that is missing, also after changes that came meanwhile.
+func TestSnapshotResumesAtMissingChunk(t *testing.T) {
 	is := is.New(t)
-	big := []string{word("a"), word("b"), word("c"), word("d")}
-	tail, all := tailOf(t, big...)
-	follower, has := outsider()
+	big := []string{chunkOf("a"), chunkOf("b"), chunkOf("c"), chunkOf("d")}
+	tail, all := newTail(t, big...)
+	learner, has := newLearner()
 	seen := 0
-	exchange(t, follower, tail, follower, follower.Tick(time.Second), func(m *coordpb.Message) bool {
+	exchange(t, learner, tail, learner, learner.Tick(time.Second), func(m *coordpb.Message) bool {
 		if m.GetSnapshot() != nil {
 			seen++
 		}
 		return seen > 2
 	})
-	is.Equal(len(follower.catch.begun.text), 2*partBytes)
-	grow(t, tail, "e")
-	parts, entries := exchange(t, follower, tail, follower, follower.Tick(2*time.Second), nil)
-	is.Equal(parts, 3) // of five
+	is.Equal(len(learner.catchUp.incoming.text), 2*chunkBytes)
+	appendChanges(t, tail, "e")
+	chunks, entries := exchange(t, learner, tail, learner, learner.Tick(2*time.Second), nil)
+	is.Equal(chunks, 3) // of five
 	is.Equal(entries, 1)
 	is.True(slices.Equal(has.words, all.words))
 }
 
-// In the chain the state of the member before is taken in parts as well; the member before is told that somebody behind goes on.
-func TestChainGetsParts(t *testing.T) {
+// In the chain a member gets the state of its predecessor in chunks as well, which counts as progress
+// there.
+func TestChainMemberCatchesUpByChunks(t *testing.T) {
 	is := is.New(t)
-	before, all := tailOf(t, word("a"), word("b"))
+	before, all := newTail(t, chunkOf("a"), chunkOf("b"))
 	next := chainOf(3, 1, 2)
 	after, has := replica(2)
-	effects := before.Begin(time.Second, next)
-	after.Begin(time.Second, next)
-	progress := before.catch.progress
-	parts, _ := exchange(t, before, after, before, effects, nil)
-	is.Equal(parts, 3)
+	effects := before.BeginEpoch(time.Second, next)
+	after.BeginEpoch(time.Second, next)
+	progress := before.catchUp.progress
+	chunks, _ := exchange(t, before, after, before, effects, nil)
+	is.Equal(chunks, 3)
 	is.True(slices.Equal(has.words, all.words))
 	is.True(after.Readable())
-	is.True(before.downSynced)
-	is.True(before.catch.progress > progress)
+	is.True(before.successorsSynced)
+	is.True(before.catchUp.progress > progress)
 }
 
-// A large state may take long: the chain is stuck only where nothing goes on.
-func TestStuckWithoutProgress(t *testing.T) {
+// A large state may take long: the chain is stalled only without progress.
+func TestStalledOnlyWithoutProgress(t *testing.T) {
 	is := is.New(t)
 	head, _ := replica(0, "a")
-	head.Begin(0, chainOf(2, 0, 1, 2))
-	at := stuckAfter
+	head.BeginEpoch(0, chainOf(2, 0, 1, 2))
+	at := stallTimeout
 	for i := range 10 {
 		head.Receive(at-time.Millisecond, from(1, &coordpb.Message{Body: &coordpb.Message_Syncing{Syncing: &coordpb.Syncing{Epoch: 2, Progress: uint64(i + 1)}}}))
 		head.Tick(at)
-		is.True(!head.Stuck())
-		at += stuckAfter - 2*time.Millisecond
+		is.True(!head.Stalled())
+		at += stallTimeout - 2*time.Millisecond
 	}
 	head.Receive(at, from(1, &coordpb.Message{Body: &coordpb.Message_Syncing{Syncing: &coordpb.Syncing{Epoch: 2, Progress: 10}}}))
-	head.Tick(at + stuckAfter)
-	is.True(head.Stuck())
+	head.Tick(at + stallTimeout)
+	is.True(head.Stalled())
 }
 
-// What has more than the chain keeps it: a change that was on its way when its epoch ended may still be taken.
-func TestNothingOlderIsTaken(t *testing.T) {
+// A learner that is ahead of the chain keeps its state: a change that was in flight when its epoch ended
+// may still be committed.
+func TestLearnerAheadKeepsItsState(t *testing.T) {
 	is := is.New(t)
-	tail, _ := tailOf(t, "a")
-	follower, has := outsider("a", "b", "c")
-	follower.position.StateEpoch = 2
-	parts, entries := exchange(t, follower, tail, follower, follower.Tick(time.Second), nil)
-	is.Equal(parts+entries, 0)
+	tail, _ := newTail(t, "a")
+	learner, has := newLearner("a", "b", "c")
+	learner.position.StateEpoch = 2
+	chunks, entries := exchange(t, learner, tail, learner, learner.Tick(time.Second), nil)
+	is.Equal(chunks+entries, 0)
 	is.Equal(has.words, []string{"a", "b", "c"})
 }
 
-// A snapshot with a wrong sum is not taken, and asked for anew.
-func TestWrongSum(t *testing.T) {
+// A snapshot with a wrong checksum is dropped, and requested again.
+func TestSnapshotWithWrongChecksumIsFetchedAgain(t *testing.T) {
 	is := is.New(t)
-	tail, all := tailOf(t, word("a"))
-	follower, has := outsider()
+	tail, all := newTail(t, chunkOf("a"))
+	learner, has := newLearner()
 	spoilt := false
-	exchange(t, follower, tail, follower, follower.Tick(time.Second), func(m *coordpb.Message) bool {
+	exchange(t, learner, tail, learner, learner.Tick(time.Second), func(m *coordpb.Message) bool {
 		if s := m.GetSnapshot(); s != nil && !spoilt {
 			spoilt = true
 			s.State = append([]byte("x"), s.State[1:]...)
@@ -191,30 +194,30 @@
 		return false
 	})
 	is.Equal(len(has.words), 0)
-	exchange(t, follower, tail, follower, follower.Tick(3*time.Second), nil)
+	exchange(t, learner, tail, learner, learner.Tick(3*time.Second), nil)
 	is.True(slices.Equal(has.words, all.words))
 }
 
-// Who is sealed, or is of another epoch, neither asks nor takes anything.
-func TestSealedDoesNotFollow(t *testing.T) {
+// A sealed learner neither requests nor takes anything.
+func TestSealedLearnerTakesNothing(t *testing.T) {
 	is := is.New(t)
-	follower, has := outsider()
-	follower.Seal()
-	is.Equal(len(follower.Tick(time.Second)), 0)
-	take(t, follower, from(1, &coordpb.Message{Body: &coordpb.Message_Entries{Entries: &coordpb.Entries{Epoch: 2, Position: &coordpb.Position{Sequence: 1, EntryEpoch: 1}, Ahead: true,
+	learner, has := newLearner()
+	learner.Seal()
+	is.Equal(len(learner.Tick(time.Second)), 0)
+	receive(t, learner, from(1, &coordpb.Message{Body: &coordpb.Message_Entries{Entries: &coordpb.Entries{Epoch: 2, Position: &coordpb.Position{Sequence: 1, EntryEpoch: 1}, Ahead: true,
 		Entries: []*coordpb.Entry{{Epoch: 1, Sequence: 1, Change: []byte("a")}}}}}))
 	is.Equal(len(has.words), 0)
 }
 
-// What is kept for others is bounded in number and in bytes.
+// The cached changes are bounded in number and in bytes.
 func TestRecentChangesAreBounded(t *testing.T) {
 	is := is.New(t)
 	var small, large recentChanges
-	for i := range uint64(3 * mostRecent) {
-		small.add(change{&coordpb.Entry{Sequence: i, Change: []byte("x")}, 1})
-		large.add(change{&coordpb.Entry{Sequence: i, Change: make([]byte, mostRecentBytes/4)}, 1})
+	for i := range uint64(3 * maxRecentChanges) {
+		small.add(recentChange{&coordpb.Entry{Sequence: i, Change: []byte("x")}, 1})
+		large.add(recentChange{&coordpb.Entry{Sequence: i, Change: make([]byte, maxRecentBytes/4)}, 1})
 	}
-	is.Equal(len(small.all), mostRecent)
-	is.True(large.bytes <= mostRecentBytes)
+	is.Equal(len(small.all), maxRecentChanges)
+	is.True(large.bytes <= maxRecentBytes)
 	is.Equal(len(large.all), 4)
 }
--- a/coord/chain/chain_test.go
+++ b/coord/chain/chain_test.go
@@ -12,7 +12,7 @@
 	"reachspread/coord/coordpb"
 )
 
-// list is a machine that holds words; an order "!x" is refused, one that is there already is nothing new.
+// list is a machine with words; a command "!x" is rejected, one that is there already changes nothing.
 type list struct{ words []string }
 
 func (l *list) Decide(order []byte) (change, reply []byte) {
@@ -51,7 +51,7 @@
 	return v
 }
 
-// replica is that of member i with so many words, which its machine has.
+// replica is that of member i, whose machine has some words.
 func replica(i int, words ...string) (*Replica, *list) {
 	l := &list{words: words}
 	return New(member(i), l, &coordpb.Position{StateEpoch: 1, Sequence: uint64(len(words)), EntryEpoch: 1}, 0), l
@@ -62,8 +62,8 @@
 	return m
 }
 
-// told is what a step does, in words.
-func told(effects []Effect) (all []string) {
+// describe returns the effects of a step as text.
+func describe(effects []Effect) (all []string) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case Write:
@@ -106,8 +106,8 @@
 	return &coordpb.Message{Body: &coordpb.Message_Confirmed{Confirmed: &coordpb.Confirmed{Epoch: epoch, Nonce: nonce}}}
 }
 
-// take gives a replica messages and returns what the last one led to.
-func take(t *testing.T, r *Replica, all ...*coordpb.Message) []string {
+// receive gives a replica messages and returns the effects of the last one.
+func receive(t *testing.T, r *Replica, all ...*coordpb.Message) []string {
 	t.Helper()
 	var got []string
 	for _, m := range all {
@@ -115,175 +115,176 @@
 		if !ok {
 			t.Fatalf("%T is not known", m.Body)
 		}
-		got = told(effects)
+		got = describe(effects)
 	}
 	return got
 }
 
-// The beginning of an epoch: the head has the state; each other takes it from the member before, and says so once all behind it have it.
-func TestBegin(t *testing.T) {
+// At the beginning of an epoch the head has the state. Each other member takes it from its predecessor,
+// and reports that it is synced once all behind it are.
+func TestEpochBeginsWithSync(t *testing.T) {
 	is := is.New(t)
 	head, _ := replica(0, "a")
-	is.Equal(told(head.Begin(0, chainOf(2, 0, 1, 2))), []string{"write", "sync to m1"})
-	is.Equal(take(t, head, submit(1, "b")), nil) // not before all have the state
-	is.Equal(take(t, head, from(1, synced(2))), []string{"committed 1 a", "write", "append to m1"})
+	is.Equal(describe(head.BeginEpoch(0, chainOf(2, 0, 1, 2))), []string{"write", "sync to m1"})
+	is.Equal(receive(t, head, submit(1, "b")), nil) // not before all are synced
+	is.Equal(receive(t, head, from(1, synced(2))), []string{"committed 1 a", "write", "append to m1"})
 
 	middle, _ := replica(1, "a")
-	middle.Begin(0, chainOf(2, 0, 1, 2))
-	is.Equal(take(t, middle, from(0, sync(2, 1, 1))), []string{"write", "sync to m2"})
-	is.Equal(take(t, middle, from(2, synced(2))), []string{"committed 1 a", "synced to m0"})
-	is.Equal(take(t, middle, from(0, sync(2, 1, 1))), []string{"synced to m0"}) // it was lost
+	middle.BeginEpoch(0, chainOf(2, 0, 1, 2))
+	is.Equal(receive(t, middle, from(0, sync(2, 1, 1))), []string{"write", "sync to m2"})
+	is.Equal(receive(t, middle, from(2, synced(2))), []string{"committed 1 a", "synced to m0"})
+	is.Equal(receive(t, middle, from(0, sync(2, 1, 1))), []string{"synced to m0"}) // the first one was lost
 
 	tail, machine := replica(2, "x", "y")
-	tail.Begin(0, chainOf(2, 0, 1, 2))
-	is.Equal(take(t, tail, from(1, sync(2, 1, 1))), []string{"need to m1"}) // another state
+	tail.BeginEpoch(0, chainOf(2, 0, 1, 2))
+	is.Equal(receive(t, tail, from(1, sync(2, 1, 1))), []string{"need to m1"}) // another state
 	snapshot := &coordpb.Message{Body: &coordpb.Message_Snapshot{Snapshot: &coordpb.Snapshot{Epoch: 2, Position: &coordpb.Position{StateEpoch: 2, Sequence: 1, EntryEpoch: 1}, State: []byte("a")}}}
-	is.Equal(take(t, tail, from(1, snapshot)), []string{"write", "committed 1 a", "synced to m1"})
+	is.Equal(receive(t, tail, from(1, snapshot)), []string{"write", "committed 1 a", "synced to m1"})
 	is.Equal(machine.words, []string{"a"})
 	is.True(tail.Readable())
 }
 
-// A Sync that comes before its view counts.
-func TestEarlySync(t *testing.T) {
+// A Sync that comes before its view is handled once the view comes.
+func TestSyncBeforeItsViewCounts(t *testing.T) {
 	is := is.New(t)
 	r, _ := replica(1, "a")
-	is.Equal(take(t, r, from(0, sync(2, 1, 1))), nil)
-	is.Equal(told(r.Begin(0, chainOf(2, 0, 1))), []string{"write", "committed 1 a", "synced to m0"})
+	is.Equal(receive(t, r, from(0, sync(2, 1, 1))), nil)
+	is.Equal(describe(r.BeginEpoch(0, chainOf(2, 0, 1))), []string{"write", "committed 1 a", "synced to m0"})
 }
 
-// active is a replica in the middle of its work.
+// active is member i in a synced chain.
 func active(t *testing.T, i int) *Replica {
 	t.Helper()
 	r, _ := replica(i, "a")
-	r.Begin(0, chainOf(2, 0, 1, 2))
+	r.BeginEpoch(0, chainOf(2, 0, 1, 2))
 	switch i {
 	case 0:
-		take(t, r, from(1, synced(2)))
+		receive(t, r, from(1, synced(2)))
 	case 1:
-		take(t, r, from(0, sync(2, 1, 1)), from(2, synced(2)))
+		receive(t, r, from(0, sync(2, 1, 1)), from(2, synced(2)))
 	case 2:
-		take(t, r, from(1, sync(2, 1, 1)))
+		receive(t, r, from(1, sync(2, 1, 1)))
 	}
 	return r
 }
 
-// What each place in the chain does with what comes.
-func TestPlaces(t *testing.T) {
+// What the head, a middle member and the tail do with messages.
+func TestHeadMiddleAndTailHandleMessages(t *testing.T) {
 	for name, c := range map[string]struct {
 		at   int
 		in   []*coordpb.Message
 		want []string
 	}{
-		"head takes an order":                     {0, []*coordpb.Message{submit(1, "b")}, []string{"write", "append to m1"}},
-		"head takes one at a time":                {0, []*coordpb.Message{submit(1, "b"), submit(2, "c")}, nil},
-		"head goes on with the next":              {0, []*coordpb.Message{submit(1, "b"), submit(2, "c"), from(2, commit(2, 2))}, []string{"committed 2 a,b", "write", "append to m1"}},
-		"head has the order already":              {0, []*coordpb.Message{submit(1, "b"), submit(1, "b")}, nil},
-		"head refuses once it is sure":            {0, []*coordpb.Message{submit(1, "!b")}, []string{"confirm to m1", "confirm to m2"}},
-		"head refuses":                            {0, []*coordpb.Message{submit(1, "!b"), from(1, confirmed(2, 1))}, []string{"reply refused to client"}},
-		"head has taken it":                       {0, []*coordpb.Message{submit(1, "a"), from(2, confirmed(2, 1))}, []string{"reply taken before to client"}},
-		"an old confirmation":                     {0, []*coordpb.Message{submit(1, "!b"), from(1, confirmed(2, 9))}, nil},
-		"a confirmation of another epoch":         {0, []*coordpb.Message{submit(1, "!b"), from(1, confirmed(1, 1))}, nil},
-		"middle is no head":                       {1, []*coordpb.Message{submit(1, "b")}, []string{"redirect to client"}},
-		"middle passes on":                        {1, []*coordpb.Message{from(0, appendOf(2, 2, 1, "b"))}, []string{"write", "append to m2"}},
-		"middle passes on again what was lost":    {1, []*coordpb.Message{from(0, appendOf(2, 2, 1, "b")), from(0, appendOf(2, 2, 1, "b"))}, []string{"append to m2"}},
-		"middle has missed one":                   {1, []*coordpb.Message{from(0, appendOf(2, 3, 2, "c"))}, []string{"need to m0"}},
-		"middle heeds only the one before":        {1, []*coordpb.Message{from(2, appendOf(2, 2, 1, "b"))}, nil},
-		"middle heeds only its epoch":             {1, []*coordpb.Message{from(0, appendOf(1, 2, 1, "b"))}, nil},
-		"middle learns of a commit":               {1, []*coordpb.Message{from(0, appendOf(2, 2, 1, "b")), from(2, commit(2, 2))}, []string{"committed 2 a,b"}},
-		"a commit of what is not there":           {1, []*coordpb.Message{from(2, commit(2, 2))}, nil},
-		"a commit of one that is not the tail":    {1, []*coordpb.Message{from(0, appendOf(2, 2, 1, "b")), from(0, commit(2, 2))}, nil},
-		"tail commits and answers":                {2, []*coordpb.Message{from(1, appendOf(2, 2, 1, "b"))}, []string{"write", "reply taken to client", "commit to m0", "commit to m1", "commit to m2"}},
-		"tail reads once it is sure":              {2, []*coordpb.Message{{From: member(1), Body: &coordpb.Message_Read{Read: &coordpb.Read{Id: 1}}}}, []string{"confirm to m0", "confirm to m1"}},
-		"tail reads":                              {2, []*coordpb.Message{{From: member(1), Body: &coordpb.Message_Read{Read: &coordpb.Read{Id: 1}}}, from(0, confirmed(2, 1))}, []string{"reply a to m1"}},
-		"middle does not read":                    {1, []*coordpb.Message{{From: member(0), Body: &coordpb.Message_Read{Read: &coordpb.Read{Id: 1}}}}, []string{"redirect to m0"}},
-		"a member confirms its epoch":             {1, []*coordpb.Message{from(0, &coordpb.Message{Body: &coordpb.Message_Confirm{Confirm: &coordpb.Confirm{Epoch: 2, Nonce: 5}}})}, []string{"confirmed to m0"}},
-		"a member does not confirm another epoch": {1, []*coordpb.Message{from(0, &coordpb.Message{Body: &coordpb.Message_Confirm{Confirm: &coordpb.Confirm{Epoch: 1, Nonce: 5}}})}, nil},
+		"head takes a command":                         {0, []*coordpb.Message{submit(1, "b")}, []string{"write", "append to m1"}},
+		"head takes one at a time":                     {0, []*coordpb.Message{submit(1, "b"), submit(2, "c")}, nil},
+		"head goes on with the next":                   {0, []*coordpb.Message{submit(1, "b"), submit(2, "c"), from(2, commit(2, 2))}, []string{"committed 2 a,b", "write", "append to m1"}},
+		"head has the command already":                 {0, []*coordpb.Message{submit(1, "b"), submit(1, "b")}, nil},
+		"head rejects once it is sure":                 {0, []*coordpb.Message{submit(1, "!b")}, []string{"confirm to m1", "confirm to m2"}},
+		"head rejects":                                 {0, []*coordpb.Message{submit(1, "!b"), from(1, confirmed(2, 1))}, []string{"reply refused to client"}},
+		"head has committed it before":                 {0, []*coordpb.Message{submit(1, "a"), from(2, confirmed(2, 1))}, []string{"reply taken before to client"}},
+		"an old confirmation":                          {0, []*coordpb.Message{submit(1, "!b"), from(1, confirmed(2, 9))}, nil},
+		"a confirmation of another epoch":              {0, []*coordpb.Message{submit(1, "!b"), from(1, confirmed(1, 1))}, nil},
+		"middle is no head":                            {1, []*coordpb.Message{submit(1, "b")}, []string{"redirect to client"}},
+		"middle forwards":                              {1, []*coordpb.Message{from(0, appendOf(2, 2, 1, "b"))}, []string{"write", "append to m2"}},
+		"middle forwards again what was lost":          {1, []*coordpb.Message{from(0, appendOf(2, 2, 1, "b")), from(0, appendOf(2, 2, 1, "b"))}, []string{"append to m2"}},
+		"middle has missed one":                        {1, []*coordpb.Message{from(0, appendOf(2, 3, 2, "c"))}, []string{"need to m0"}},
+		"middle takes changes of its predecessor only": {1, []*coordpb.Message{from(2, appendOf(2, 2, 1, "b"))}, nil},
+		"middle takes changes of its epoch only":       {1, []*coordpb.Message{from(0, appendOf(1, 2, 1, "b"))}, nil},
+		"middle learns of a commit":                    {1, []*coordpb.Message{from(0, appendOf(2, 2, 1, "b")), from(2, commit(2, 2))}, []string{"committed 2 a,b"}},
+		"a commit of what is not there":                {1, []*coordpb.Message{from(2, commit(2, 2))}, nil},
+		"a commit of one that is not the tail":         {1, []*coordpb.Message{from(0, appendOf(2, 2, 1, "b")), from(0, commit(2, 2))}, nil},
+		"tail commits and answers":                     {2, []*coordpb.Message{from(1, appendOf(2, 2, 1, "b"))}, []string{"write", "reply taken to client", "commit to m0", "commit to m1", "commit to m2"}},
+		"tail reads once it is sure":                   {2, []*coordpb.Message{{From: member(1), Body: &coordpb.Message_Read{Read: &coordpb.Read{Id: 1}}}}, []string{"confirm to m0", "confirm to m1"}},
+		"tail reads":                                   {2, []*coordpb.Message{{From: member(1), Body: &coordpb.Message_Read{Read: &coordpb.Read{Id: 1}}}, from(0, confirmed(2, 1))}, []string{"reply a to m1"}},
+		"middle does not read":                         {1, []*coordpb.Message{{From: member(0), Body: &coordpb.Message_Read{Read: &coordpb.Read{Id: 1}}}}, []string{"redirect to m0"}},
+		"a member confirms its epoch":                  {1, []*coordpb.Message{from(0, &coordpb.Message{Body: &coordpb.Message_Confirm{Confirm: &coordpb.Confirm{Epoch: 2, Nonce: 5}}})}, []string{"confirmed to m0"}},
+		"a member does not confirm another epoch":      {1, []*coordpb.Message{from(0, &coordpb.Message{Body: &coordpb.Message_Confirm{Confirm: &coordpb.Confirm{Epoch: 1, Nonce: 5}}})}, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := take(t, active(t, c.at), c.in...); !slices.Equal(got, c.want) {
+			if got := receive(t, active(t, c.at), c.in...); !slices.Equal(got, c.want) {
 				t.Errorf("got %q, want %q", got, c.want)
 			}
 		})
 	}
 }
 
-// Who has promised to leave an epoch does nothing in it any more.
-func TestSealed(t *testing.T) {
+// A member that has promised to leave an epoch does nothing in it any more.
+func TestSealedMemberDoesNothingInEpoch(t *testing.T) {
 	is := is.New(t)
 	for i := range 3 {
 		r := active(t, i)
 		r.Seal()
-		is.Equal(take(t, r, submit(1, "b")), []string{"redirect to client"})
-		is.Equal(take(t, r, from(max(i-1, 0), appendOf(2, 2, 1, "b"))), nil)
-		is.Equal(take(t, r, from(1, &coordpb.Message{Body: &coordpb.Message_Confirm{Confirm: &coordpb.Confirm{Epoch: 2, Nonce: 5}}})), nil)
+		is.Equal(receive(t, r, submit(1, "b")), []string{"redirect to client"})
+		is.Equal(receive(t, r, from(max(i-1, 0), appendOf(2, 2, 1, "b"))), nil)
+		is.Equal(receive(t, r, from(1, &coordpb.Message{Body: &coordpb.Message_Confirm{Confirm: &coordpb.Confirm{Epoch: 2, Nonce: 5}}})), nil)
 		is.True(!r.Readable())
 		_, ok := r.ConfirmedAt()
 		is.True(!ok)
 	}
 }
 
-// A process that comes back takes no part in the epoch that it left, and calls for another.
-func TestResume(t *testing.T) {
+// A process that restarts takes no further part in its epoch, and calls for another.
+func TestRestartedMemberCallsForAnotherEpoch(t *testing.T) {
 	is := is.New(t)
 	r, _ := replica(1, "a")
 	r.Resume(chainOf(2, 0, 1, 2), false)
-	is.Equal(take(t, r, from(0, sync(2, 1, 1))), nil)
-	is.True(r.Stuck())
-	is.Equal(len(r.Answered()), 3) // it may have confirmed its epoch to anybody right before
+	is.Equal(receive(t, r, from(0, sync(2, 1, 1))), nil)
+	is.True(r.Stalled())
+	is.Equal(len(r.Confirmations()), 3) // it may have confirmed its epoch to anybody right before
 	is.True(r.Idle() > 0)
-	r.Begin(0, chainOf(3, 0, 1, 2))
-	is.True(!r.Stuck())
+	r.BeginEpoch(0, chainOf(3, 0, 1, 2))
+	is.True(!r.Stalled())
 	is.Equal(r.Idle(), time.Duration(0))
 	outside, _ := replica(1, "a")
 	outside.Resume(chainOf(2, 0, 2), false)
-	is.True(!outside.Stuck())
+	is.True(!outside.Stalled())
 }
 
-// What is not answered is sent again, and a chain that does not get on calls for another view.
-func TestAgain(t *testing.T) {
+// Messages that aren't answered are sent again, and a chain without progress calls for another view.
+func TestUnansweredMessagesAreResent(t *testing.T) {
 	is := is.New(t)
 	r := active(t, 0)
-	take(t, r, submit(1, "b"))
-	is.True(!slices.Contains(told(r.Tick(ResendEvery/2)), "append to m1"))
-	is.True(slices.Contains(told(r.Tick(2*ResendEvery)), "append to m1"))
-	is.True(!r.Stuck())
-	r.Tick(2 * stuckAfter)
-	is.True(r.Stuck())
-	take(t, r, from(2, commit(2, 2)))
-	is.True(!r.Stuck())
+	receive(t, r, submit(1, "b"))
+	is.True(!slices.Contains(describe(r.Tick(ResendInterval/2)), "append to m1"))
+	is.True(slices.Contains(describe(r.Tick(2*ResendInterval)), "append to m1"))
+	is.True(!r.Stalled())
+	r.Tick(2 * stallTimeout)
+	is.True(r.Stalled())
+	receive(t, r, from(2, commit(2, 2)))
+	is.True(!r.Stalled())
 	begun, _ := replica(0, "a")
-	begun.Begin(0, chainOf(2, 0, 1))
-	is.True(slices.Contains(told(begun.Tick(2*ResendEvery)), "sync to m1"))
-	begun.Tick(2 * stuckAfter)
-	is.True(begun.Stuck())
+	begun.BeginEpoch(0, chainOf(2, 0, 1))
+	is.True(slices.Contains(describe(begun.Tick(2*ResendInterval)), "sync to m1"))
+	begun.Tick(2 * stallTimeout)
+	is.True(begun.Stalled())
 }
 
-// Orders and reads that wait for an epoch that is over are sent elsewhere.
-func TestDismissed(t *testing.T) {
+// Clients whose commands wait for an epoch that is over are redirected.
+func TestWaitingClientsAreRedirectedAtNewEpoch(t *testing.T) {
 	is := is.New(t)
 	r := active(t, 0)
-	take(t, r, submit(1, "b"), submit(2, "c"), submit(3, "!d"))
+	receive(t, r, submit(1, "b"), submit(2, "c"), submit(3, "!d"))
 	r.Seal()
-	is.Equal(told(r.Begin(0, chainOf(3, 1, 2))), []string{"redirect to client", "redirect to client"})
+	is.Equal(describe(r.BeginEpoch(0, chainOf(3, 1, 2))), []string{"redirect to client", "redirect to client"})
 }
 
-// More orders than there is room for are not taken.
-func TestBounded(t *testing.T) {
+// Commands beyond the bound of the queue are redirected.
+func TestCommandQueueIsBounded(t *testing.T) {
 	is := is.New(t)
 	r := active(t, 0)
-	for i := range uint64(MostOrders + 1) {
-		take(t, r, submit(i, fmt.Sprint("w", i)))
+	for i := range uint64(MaxQueuedCommands + 1) {
+		receive(t, r, submit(i, fmt.Sprint("w", i)))
 	}
-	is.Equal(take(t, r, submit(9999, "one more")), []string{"redirect to client"})
+	is.Equal(receive(t, r, submit(9999, "one more")), []string{"redirect to client"})
 }
 
-// The only member of a chain does all of it.
-func TestAlone(t *testing.T) {
+// The only member of a chain is head and tail.
+func TestChainOfOne(t *testing.T) {
 	is := is.New(t)
 	v := &coordpb.View{Epoch: 1, Members: []*coordpb.Member{member(0)}, Chain: []uint64{100}}
 	r, _ := replica(0)
-	is.Equal(told(r.Begin(0, v)), []string{"committed 0 "})
-	is.Equal(take(t, r, submit(1, "a")), []string{"write", "reply taken to client", "commit to m0"})
-	is.Equal(take(t, r, from(0, commit(1, 1))), []string{"committed 1 a"})
-	is.Equal(take(t, r, submit(2, "!x")), []string{"reply refused to client"})
+	is.Equal(describe(r.BeginEpoch(0, v)), []string{"committed 0 "})
+	is.Equal(receive(t, r, submit(1, "a")), []string{"write", "reply taken to client", "commit to m0"})
+	is.Equal(receive(t, r, from(0, commit(1, 1))), []string{"committed 1 a"})
+	is.Equal(receive(t, r, submit(2, "!x")), []string{"reply refused to client"})
 }
--- a/coord/chain/confirm.go
+++ b/coord/chain/confirm.go
@@ -8,109 +8,129 @@
 )
 
 const (
-	// ConfirmEvery is the time between two confirmations at the tail.
-	ConfirmEvery = 200 * time.Millisecond
-	confirmFor   = 400 * time.Millisecond // then it is asked again
-	mostWaiting  = 1024
+	// ConfirmInterval is the time between two confirmations of the epoch, while nothing waits for one.
+	ConfirmInterval = 200 * time.Millisecond
+	// confirmTimeout is after how long a confirmation that a majority hasn't answered is begun again.
+	confirmTimeout = 400 * time.Millisecond
+	// maxDeferredReplies bounds the replies that wait for a confirmation. Further reads are
+	// redirected.
+	maxDeferredReplies = 1024
 )
 
-// confirming asks the members whether the epoch is still the last one: once a majority says so, no later view had been decided when it
-// was asked.
-type confirming struct {
-	nonce   uint64
-	asked   time.Duration // when, of the round under way
-	under   bool          // a round is under way
-	answers map[string]bool
-	at      time.Duration // when the last round that succeeded began; below 0 for never
+// confirmation is the state of asking the members whether the epoch is still the last one. If a
+// majority says so, no later view had been chosen when they were asked.
+type confirmation struct {
+	nonce       uint64
+	startedAt   time.Duration // of the latest round
+	active      bool          // a round is in progress
+	answers     map[string]bool
+	confirmedAt time.Duration // when the last successful round began, below 0 for never
 }
 
-// ConfirmedAt is the time, on the owner's clock, at which the epoch was the last one for certain; ok is false if it never was.
+// deferredReply is a reply that waits for a confirmation of the epoch that began after its request
+// came.
+type deferredReply struct {
+	arrivedAt time.Duration
+	origin    *coordpb.Origin
+	reply     []byte
+	read      bool   // the reply is the state at the time of the confirmation
+	known     uint64 // of a read: the sequence of the state that the client has, 0 for none
+}
+
+// ConfirmedAt is the time at which the epoch was certainly the last one, on the owner's clock;
+// ok is false if it isn't known.
 func (r *Replica) ConfirmedAt() (at time.Duration, ok bool) {
-	return r.confirm.at, r.confirm.at >= 0 && !r.sealed
+	return r.confirmation.confirmedAt, r.confirmation.confirmedAt >= 0 && !r.sealed
 }
 
-// startConfirm begins a round, unless one is under way.
+// startConfirm begins a round of confirmations, unless one is in progress.
 func (r *Replica) startConfirm() {
-	if r.confirm.under || r.sealed || r.index() < 0 {
+	if r.confirmation.active || r.sealed || r.index() < 0 {
 		return
 	}
-	c := &r.confirm
+	c := &r.confirmation
 	c.nonce++
-	c.asked, c.under, c.answers = r.now, true, map[string]bool{}
+	c.startedAt, c.active, c.answers = r.now, true, map[string]bool{}
 	for _, m := range r.view.Members {
 		if m.Identity == r.self.Identity {
 			c.answers[m.Address] = true
-			r.answered[m.Address] = r.now
+			r.confirmedTo[m.Address] = r.now
 			continue
 		}
 		ask := &coordpb.Message{From: r.self, Body: &coordpb.Message_Confirm{Confirm: &coordpb.Confirm{Epoch: r.view.Epoch, Nonce: c.nonce}}}
-		r.do(Send{To: m.Address, Message: ask, Informal: true})
+		r.emit(Send{To: m.Address, Message: ask, Immediate: true})
 	}
-	r.judgeConfirm()
+	r.completeConfirm()
 }
 
-// dueConfirm keeps the tail's confirmation young, and asks again where answers are missing.
-func (r *Replica) dueConfirm() {
-	c := &r.confirm
-	if c.under && r.now >= c.asked+confirmFor {
-		c.under = false
+// runConfirmTimers begins a round where one is due or replies wait for it, and gives up one
+// that takes too long.
+func (r *Replica) runConfirmTimers() {
+	c := &r.confirmation
+	if c.active && r.now >= c.startedAt+confirmTimeout {
+		c.active = false
 	}
-	if len(r.waiting) > 0 || !r.sealed && r.synced && r.index() >= 0 && (c.at < 0 || r.now >= c.at+ConfirmEvery) {
+	if len(r.deferred) > 0 || !r.sealed && r.synced && r.index() >= 0 && (c.confirmedAt < 0 || r.now >= c.confirmedAt+ConfirmInterval) {
 		r.startConfirm()
 	}
 }
 
-func (r *Replica) takeConfirm(from string, c *coordpb.Confirm) {
+// handleConfirm confirms that the epoch of the sender is the last one known here, unless this
+// process has sealed it.
+func (r *Replica) handleConfirm(from string, c *coordpb.Confirm) {
 	if c.Epoch != r.view.Epoch || r.sealed || view.MemberOf(r.view, r.self.Identity) == nil {
 		return
 	}
-	r.answered[from] = r.now
+	r.confirmedTo[from] = r.now
 	answer := &coordpb.Message{From: r.self, Body: &coordpb.Message_Confirmed{Confirmed: &coordpb.Confirmed{Epoch: c.Epoch, Nonce: c.Nonce}}}
-	r.do(Send{To: from, Message: answer, Informal: true})
+	r.emit(Send{To: from, Message: answer, Immediate: true})
 }
 
-func (r *Replica) takeConfirmed(from string, c *coordpb.Confirmed) {
-	if c.Epoch != r.view.Epoch || r.sealed || !r.confirm.under || c.Nonce != r.confirm.nonce {
+// handleConfirmed counts a confirmation of the round in progress.
+func (r *Replica) handleConfirmed(from string, c *coordpb.Confirmed) {
+	if c.Epoch != r.view.Epoch || r.sealed || !r.confirmation.active || c.Nonce != r.confirmation.nonce {
 		return
 	}
-	r.confirm.answers[from] = true
-	r.judgeConfirm()
+	r.confirmation.answers[from] = true
+	r.completeConfirm()
 }
 
-// Answered is how long ago this process last confirmed its epoch, and to whom.
-func (r *Replica) Answered() (all []*coordpb.Answered) {
+// Confirmations are the members that this process has confirmed the epoch to, with the ages of
+// the last confirmations.
+func (r *Replica) Confirmations() (all []*coordpb.Answered) {
 	for _, m := range r.view.Members {
-		if at, ok := r.answered[m.Address]; ok {
+		if at, ok := r.confirmedTo[m.Address]; ok {
 			all = append(all, &coordpb.Answered{Identity: m.Identity, AgeMs: uint64((r.now - at).Milliseconds())})
 		}
 	}
 	return all
 }
 
-// judgeConfirm ends a round that a majority has answered, and gives the replies that waited for it.
-func (r *Replica) judgeConfirm() {
-	c := &r.confirm
+// completeConfirm ends a round that a majority has answered, and sends the replies that waited
+// for it.
+func (r *Replica) completeConfirm() {
+	c := &r.confirmation
 	if len(c.answers) < view.Majority(len(r.view.Members)) {
 		return
 	}
-	c.under, c.at = false, c.asked
-	left := r.waiting[:0]
-	for _, w := range r.waiting {
-		if w.since > c.at {
+	c.active, c.confirmedAt = false, c.startedAt
+	left := r.deferred[:0]
+	for _, w := range r.deferred {
+		if w.arrivedAt > c.confirmedAt {
 			left = append(left, w)
 			continue
 		}
-		r.answer(w)
+		r.sendDeferred(w)
 	}
-	clear(r.waiting[len(left):])
-	r.waiting = left
-	if len(r.waiting) > 0 {
+	clear(r.deferred[len(left):])
+	r.deferred = left
+	if len(r.deferred) > 0 {
 		r.startConfirm()
 	}
 }
 
-// answer gives a reply that is certain by now.
-func (r *Replica) answer(w waiting) {
+// sendDeferred sends a reply that is certain by now.
+func (r *Replica) sendDeferred(w deferredReply) {
 	reply := &coordpb.Reply{Id: w.origin.Id, Reply: w.reply, Position: r.position}
 	if w.read {
 		if !r.Readable() {
@@ -124,12 +144,12 @@
 	r.send(w.origin.Address, &coordpb.Message{Body: &coordpb.Message_Reply{Reply: reply}})
 }
 
-// takeRead has a read wait for a confirmation that begins after it.
-func (r *Replica) takeRead(from string, read *coordpb.Read) {
-	if !r.Readable() || len(r.waiting) >= mostWaiting {
+// handleRead defers a read until a round of confirmations that begins after it.
+func (r *Replica) handleRead(from string, read *coordpb.Read) {
+	if !r.Readable() || len(r.deferred) >= maxDeferredReplies {
 		r.redirect(from, read.Id)
 		return
 	}
-	r.waiting = append(r.waiting, waiting{since: r.now, origin: &coordpb.Origin{Address: from, Id: read.Id}, read: true, known: read.Known})
+	r.deferred = append(r.deferred, deferredReply{arrivedAt: r.now, origin: &coordpb.Origin{Address: from, Id: read.Id}, read: true, known: read.Known})
 	r.startConfirm()
 }
--- /dev/null
+++ b/coord/chain/epoch.go
@@ -0,0 +1,129 @@
+package chain
+
+import (
+	"time"
+
+	"reachspread/coord/coordpb"
+)
+
+// Seal ends this process's part in the present epoch.
+func (r *Replica) Seal() { r.sealed = true }
+
+// Resume takes up the view that this process knew before it restarted. It takes no further part
+// in that epoch: more may be on its disk than it told its neighbours, so the chain has to begin
+// another. It may have confirmed the epoch to any member right before it ended, so it counts as
+// having done so.
+func (r *Replica) Resume(v *coordpb.View, sealed bool) {
+	r.view, r.sealed, r.resumed, r.epochBeganAt = v, sealed, true, r.now
+	for _, m := range v.Members {
+		r.confirmedTo[m.Address] = r.now
+	}
+}
+
+// BeginEpoch takes up a view that was chosen.
+func (r *Replica) BeginEpoch(now time.Duration, v *coordpb.View) []Effect {
+	r.startStep(now)
+	r.view, r.epochBeganAt = v, r.now
+	r.sealed, r.resumed, r.synced, r.successorsSynced = false, false, false, false
+	r.inFlight = nil
+	r.catchUp.nextRequest, r.catchUp.successorProgress, r.catchUp.progressAt = 0, 0, 0
+	r.confirmation, r.confirmedTo = confirmation{nonce: r.confirmation.nonce, confirmedAt: -1}, map[string]time.Duration{}
+	r.redirectWaiting()
+	if r.isHead() {
+		r.completeSync()
+	} else if early := r.earlySync; early.GetEpoch() == v.Epoch {
+		r.earlySync = nil
+		r.handleSync(r.earlySyncFrom, early)
+	}
+	return r.effects
+}
+
+// redirectWaiting redirects the clients that wait for an epoch that is over. A head that stays
+// head keeps its queue.
+func (r *Replica) redirectWaiting() {
+	for _, w := range r.deferred {
+		r.redirect(w.origin.Address, w.origin.Id)
+	}
+	r.deferred = nil
+	if r.isHead() {
+		return
+	}
+	for _, o := range r.queue {
+		r.redirect(o.origin.Address, o.origin.Id)
+	}
+	r.queue = nil
+}
+
+// completeSync records that this replica has the state that the epoch begins with, and
+// synchronizes its successor.
+func (r *Replica) completeSync() {
+	r.synced = true
+	r.recordProgress()
+	if r.position.StateEpoch != r.view.Epoch {
+		r.setStateEpoch(r.view.Epoch)
+	}
+	if r.isTail() {
+		r.completeChainSync()
+		return
+	}
+	r.sendSync()
+}
+
+// sendSync tells the successor which state the epoch begins with.
+func (r *Replica) sendSync() {
+	r.resendAt = r.now + ResendInterval
+	r.send(r.successor(), &coordpb.Message{Body: &coordpb.Message_Sync{Sync: &coordpb.Sync{Epoch: r.view.Epoch, Position: r.position}}})
+}
+
+// completeChainSync records that all members behind have the state as well, and reports it to
+// the predecessor. The head begins to execute commands.
+func (r *Replica) completeChainSync() {
+	if r.successorsSynced {
+		return
+	}
+	r.successorsSynced = true
+	r.commit(r.position.Sequence)
+	if !r.isHead() {
+		r.send(r.predecessor(), &coordpb.Message{Body: &coordpb.Message_Synced{Synced: &coordpb.Synced{Epoch: r.view.Epoch}}})
+		return
+	}
+	r.executeQueue()
+}
+
+// handleSync compares this replica's state with that of its predecessor. A Sync of an epoch
+// whose view isn't known yet is kept until that comes.
+func (r *Replica) handleSync(from string, s *coordpb.Sync) {
+	if s.Epoch > r.view.Epoch {
+		r.earlySync, r.earlySyncFrom = s, from
+	}
+	if !r.isActiveIn(s.Epoch) || from != r.predecessor() || s.Position == nil {
+		return
+	}
+	switch {
+	case r.synced && r.successorsSynced:
+		r.send(from, &coordpb.Message{Body: &coordpb.Message_Synced{Synced: &coordpb.Synced{Epoch: r.view.Epoch}}})
+	case r.synced:
+		r.send(from, &coordpb.Message{Body: &coordpb.Message_Syncing{Syncing: &coordpb.Syncing{Epoch: r.view.Epoch, Progress: r.catchUp.progress}}})
+	case sameState(s.Position, r.position):
+		r.completeSync()
+	case r.now >= r.catchUp.nextRequest:
+		r.requestState(from, false)
+	}
+}
+
+// handleSyncing records that the successor has the state, and that members behind it are
+// getting it.
+func (r *Replica) handleSyncing(from string, s *coordpb.Syncing) {
+	if !r.isActiveIn(s.Epoch) || from != r.successor() || s.Progress == r.catchUp.successorProgress {
+		return
+	}
+	r.catchUp.successorProgress = s.Progress
+	r.recordProgress()
+}
+
+// recordProgress records that this replica or one behind it is getting the state, so that the
+// chain doesn't count as stalled.
+func (r *Replica) recordProgress() {
+	r.catchUp.progress++
+	r.catchUp.progressAt = r.now
+}
--- /dev/null
+++ b/coord/chain/recent.go
@@ -0,0 +1,46 @@
+package chain
+
+import (
+	"reachspread/coord/coordpb"
+)
+
+// recentChange is a change, and the epoch of the one before it.
+type recentChange struct {
+	entry    *coordpb.Entry
+	previous uint64
+}
+
+// recentChanges are the last changes that led to the present state, the oldest first.
+type recentChanges struct {
+	all   []recentChange
+	bytes int
+}
+
+func (c *recentChanges) add(x recentChange) {
+	c.all = append(c.all, x)
+	c.bytes += len(x.entry.Change)
+	for len(c.all) > maxRecentChanges || c.bytes > maxRecentBytes && len(c.all) > 1 {
+		c.bytes -= len(c.all[0].entry.Change)
+		c.all[0] = recentChange{}
+		c.all = c.all[1:]
+	}
+}
+
+// after returns the changes behind a position; ok is false if they don't lead from there.
+func (c *recentChanges) after(p, present *coordpb.Position) (all []recentChange, ok bool) {
+	if sameState(p, present) {
+		return nil, true
+	}
+	for i, x := range c.all {
+		if x.entry.Sequence == p.GetSequence()+1 && x.previous == p.GetEntryEpoch() {
+			return c.all[i:], true
+		}
+	}
+	return nil, false
+}
+
+// sameState reports whether two positions are of the same state: the pair of sequence and epoch
+// of the last change identifies it.
+func sameState(a, b *coordpb.Position) bool {
+	return a.GetSequence() == b.GetSequence() && a.GetEntryEpoch() == b.GetEntryEpoch()
+}
--- /dev/null
+++ b/coord/chain/replicate.go
@@ -0,0 +1,133 @@
+package chain
+
+import (
+	"reachspread/coord/coordpb"
+	"reachspread/coord/view"
+)
+
+// command is a submitted command that waits at the head.
+type command struct {
+	origin *coordpb.Origin
+	text   []byte
+}
+
+// handleSubmit queues a command at the head. A command of a client that is queued or in flight
+// already is ignored.
+func (r *Replica) handleSubmit(from string, s *coordpb.Submit) {
+	if r.sealed || !r.isHead() || len(r.queue) >= MaxQueuedCommands {
+		r.redirect(from, s.Id)
+		return
+	}
+	for _, o := range r.queue {
+		if o.origin.Address == from && o.origin.Id == s.Id {
+			return
+		}
+	}
+	if p := r.inFlight; p != nil && p.Sequence > r.committed && p.Origin.GetAddress() == from && p.Origin.GetId() == s.Id {
+		return
+	}
+	r.queue = append(r.queue, command{&coordpb.Origin{Address: from, Id: s.Id}, s.Order})
+	r.executeQueue()
+}
+
+// redirect tells a client that this process can't answer, with the last view that it knows.
+func (r *Replica) redirect(to string, id uint64) {
+	m := &coordpb.Redirect{Id: id}
+	if r.view.Epoch > 0 {
+		m.View = r.view
+	}
+	r.send(to, &coordpb.Message{Body: &coordpb.Message_Redirect{Redirect: m}})
+}
+
+// executeQueue executes queued commands, each once the change of the one before is committed.
+// The reply to a command without a change is deferred until the epoch is confirmed.
+func (r *Replica) executeQueue() {
+	for len(r.queue) > 0 && r.canExecute() {
+		o := r.queue[0]
+		r.queue = r.queue[1:]
+		change, reply := r.machine.Decide(o.text)
+		if change == nil {
+			r.deferred = append(r.deferred, deferredReply{arrivedAt: r.now, origin: o.origin, reply: reply})
+			r.startConfirm()
+			continue
+		}
+		r.replicate(&coordpb.Append{Epoch: r.view.Epoch, Sequence: r.position.Sequence + 1, PreviousEpoch: r.position.EntryEpoch,
+			Change: change, Origin: o.origin, Reply: reply})
+	}
+}
+
+// canExecute reports whether this process is the head of a synced chain with no change in flight.
+func (r *Replica) canExecute() bool {
+	if !r.isHead() || r.sealed || !r.successorsSynced {
+		return false
+	}
+	return r.inFlight == nil || r.inFlight.Sequence <= r.committed
+}
+
+// handleAppend takes in a change from the predecessor. One that came before is forwarded again,
+// as it may have been lost further on.
+func (r *Replica) handleAppend(from string, a *coordpb.Append) {
+	if !r.isActiveIn(a.Epoch) || !r.synced || from != r.predecessor() {
+		return
+	}
+	switch {
+	case a.Sequence == r.position.Sequence+1 && a.PreviousEpoch == r.position.EntryEpoch:
+		r.replicate(a)
+	case a.Sequence == r.position.Sequence && r.inFlight != nil && r.inFlight.Sequence == a.Sequence:
+		r.forward(r.inFlight)
+	case a.Sequence > r.position.Sequence:
+		r.requestState(from, false)
+	}
+}
+
+// replicate applies a change here and forwards it.
+func (r *Replica) replicate(a *coordpb.Append) {
+	r.apply(&coordpb.Entry{Epoch: a.Epoch, Sequence: a.Sequence, Change: a.Change})
+	r.inFlight, r.inFlightSince = a, r.now
+	r.forward(a)
+}
+
+// forward sends a change to the successor. At the tail the change is committed: its client gets
+// the reply, and all members of the chain are notified.
+func (r *Replica) forward(a *coordpb.Append) {
+	r.resendAt = r.now + ResendInterval
+	if !r.isTail() {
+		r.send(r.successor(), &coordpb.Message{Body: &coordpb.Message_Append{Append: a}})
+		return
+	}
+	if a.Origin != nil {
+		reply := &coordpb.Reply{Id: a.Origin.Id, Reply: a.Reply, Position: r.position}
+		r.send(a.Origin.Address, &coordpb.Message{Body: &coordpb.Message_Reply{Reply: reply}})
+	}
+	for _, identity := range r.view.Chain {
+		if m := view.MemberOf(r.view, identity); m != nil {
+			commit := &coordpb.Commit{Epoch: r.view.Epoch, Sequence: a.Sequence}
+			r.send(m.Address, &coordpb.Message{Body: &coordpb.Message_Commit{Commit: commit}})
+		}
+	}
+}
+
+// handleCommit takes in that all members of the chain have a change.
+func (r *Replica) handleCommit(from string, c *coordpb.Commit) {
+	if !r.isActiveIn(c.Epoch) || !r.synced || from != Tail(r.view) || c.Sequence <= r.committed || c.Sequence > r.position.Sequence {
+		return
+	}
+	r.commit(c.Sequence)
+	r.executeQueue()
+}
+
+// commit records that all members of the chain have the changes up to a sequence.
+func (r *Replica) commit(sequence uint64) {
+	r.committed = sequence
+	if sequence == r.position.Sequence {
+		r.emit(Committed{r.position, r.machine.Value()})
+	}
+}
+
+// apply applies a change to the machine and writes it to the log.
+func (r *Replica) apply(e *coordpb.Entry) {
+	r.machine.Apply(e.Change)
+	r.catchUp.recent.add(recentChange{e, r.position.EntryEpoch})
+	r.position = &coordpb.Position{StateEpoch: r.position.StateEpoch, Sequence: e.Sequence, EntryEpoch: e.Epoch}
+	r.emit(Write{&coordpb.Record{Body: &coordpb.Record_Entry{Entry: e}}})
+}
--- /dev/null
+++ b/coord/chain/snapshot.go
@@ -0,0 +1,105 @@
+package chain
+
+import (
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"reachspread/coord/coordpb"
+	"reachspread/coord/view"
+)
+
+// outgoingSnapshot is a snapshot that others fetch in chunks.
+type outgoingSnapshot struct {
+	position *coordpb.Position
+	text     []byte
+	sum      uint64
+	usedAt   time.Duration
+}
+
+// chunkAt describes the chunk at an offset.
+func (o *outgoingSnapshot) chunkAt(offset int) *coordpb.Part {
+	return &coordpb.Part{Position: o.position, Size: uint64(len(o.text)), Sum: o.sum, Offset: uint64(offset)}
+}
+
+// has reports whether a chunk belongs to this snapshot.
+func (o *outgoingSnapshot) has(p *coordpb.Part) bool {
+	return o != nil && p != nil && p.Sum == o.sum && p.Size == uint64(len(o.text)) && sameState(p.Position, o.position) && p.Offset <= p.Size
+}
+
+// incomingSnapshot is a snapshot of which some chunks have come.
+type incomingSnapshot struct {
+	of   *coordpb.Part // its first chunk
+	text []byte
+}
+
+// outgoingSnapshotFor returns the snapshot to send a chunk of: the last one, as long as the
+// receiver has begun with it or the changes since are cached.
+func (r *Replica) outgoingSnapshotFor(have *coordpb.Part) *outgoingSnapshot {
+	o := r.catchUp.outgoing
+	if o != nil {
+		if _, ok := r.catchUp.recent.after(o.position, r.position); !ok && !o.has(have) {
+			o = nil
+		}
+	}
+	if o == nil {
+		text := r.machine.Snapshot()
+		o = &outgoingSnapshot{position: r.position, text: text, sum: xxhash.Sum64(text)}
+		r.catchUp.outgoing = o
+	}
+	o.usedAt = r.now
+	return o
+}
+
+// handleSnapshot takes in a chunk, and replaces the state once the snapshot is complete.
+func (r *Replica) handleSnapshot(from string, s *coordpb.Snapshot) {
+	if s.Position == nil || !r.acceptsStateFrom(from, s.Epoch, s.Ahead) || !s.Ahead && r.synced {
+		return
+	}
+	r.catchUp.unansweredRequests = 0
+	of := s.Position
+	if s.Part != nil {
+		of = s.Part.Position
+	}
+	text, complete := r.addChunk(from, s)
+	if !complete {
+		return
+	}
+	if s.Ahead && !view.IsAhead(of, r.position) {
+		r.catchUp.nextRequest = r.now + learnerPollInterval
+		return
+	}
+	if r.machine.Restore(text) != nil {
+		return
+	}
+	r.catchUp.recent = recentChanges{}
+	r.position = &coordpb.Position{StateEpoch: of.GetStateEpoch(), Sequence: of.GetSequence(), EntryEpoch: of.GetEntryEpoch()}
+	r.emit(Write{&coordpb.Record{Body: &coordpb.Record_Installed{Installed: &coordpb.Installed{Position: r.position, State: text}}}})
+	r.continueCatchUp(from, s.Position, s.Ahead)
+}
+
+// addChunk adds a chunk to those that came before; complete is true once all are there with the
+// right checksum.
+func (r *Replica) addChunk(from string, s *coordpb.Snapshot) (text []byte, complete bool) {
+	if s.Part == nil {
+		return s.State, true
+	}
+	c := &r.catchUp
+	if b := c.incoming; b == nil || b.of.Sum != s.Part.Sum || b.of.Size != s.Part.Size || !sameState(b.of.Position, s.Part.Position) {
+		if s.Part.Offset > 0 || s.Part.Size > maxSnapshotBytes {
+			return nil, false
+		}
+		c.incoming = &incomingSnapshot{of: s.Part}
+	}
+	b := c.incoming
+	if s.Part.Offset != uint64(len(b.text)) {
+		return nil, false // a duplicate
+	}
+	b.text = append(b.text, s.State...)
+	if uint64(len(b.text)) < b.of.Size {
+		r.requestState(from, s.Ahead)
+		return nil, false
+	}
+	c.incoming = nil
+	return b.text, xxhash.Sum64(b.text) == b.of.Sum
+}
--- a/coord/register/core.go
+++ b/coord/register/core.go
@@ -82,7 +82,7 @@
 		View: kept.View, Promised: kept.Promised, AcceptedNumber: kept.AcceptedBallot, AcceptedView: kept.AcceptedView}, now)
 	o.chain = chain.New(c.Self, m, kept.Position, now)
 	if c.Eligible {
-		o.chain.Follow()
+		o.chain.FollowAsLearner()
 	}
 	if kept.View != nil {
 		// A process that comes back takes no part in the epoch that it left: what it promised or missed meanwhile is unknown. Its
@@ -166,7 +166,7 @@
 
 // status has the view know how this process stands.
 func (o *Core) status() {
-	o.view.SetStatus(view.Status{Position: o.chain.Position(), Confirmations: o.chain.Answered(), Idle: o.chain.Idle(), Healthy: o.healthy, Stalled: o.chain.Stuck(), Draining: o.leaving})
+	o.view.SetStatus(view.Status{Position: o.chain.Position(), Confirmations: o.chain.Confirmations(), Idle: o.chain.Idle(), Healthy: o.healthy, Stalled: o.chain.Stalled(), Draining: o.leaving})
 }
 
 // settle carries effects out, with those that follow from them.
@@ -202,7 +202,7 @@
 			o.chain.Seal()
 		case view.ViewChanged:
 			out.View = e.View
-			o.takeChain(o.chain.Begin(now, e.View), out)
+			o.takeChain(o.chain.BeginEpoch(now, e.View), out)
 		}
 	}
 }
@@ -211,7 +211,7 @@
 	for _, e := range effects {
 		switch e := e.(type) {
 		case chain.Send:
-			o.send(e.To, e.Message, e.Informal, out)
+			o.send(e.To, e.Message, e.Immediate, out)
 		case chain.Write:
 			o.write(e.Record)
 		case chain.Committed:
