--- a/internal/system/roles/node/node.go
+++ b/internal/system/roles/node/node.go
@@ -168,10 +168,10 @@
 
 // reload applies what a running process can of settings that were read again.
 func (n *Node) reload(ctx context.Context, read *settings.Settings) {
-	next, taken, later := n.settings().After(read)
+	next, applied, deferred := n.settings().Reload(read)
 	n.activeSettings.Store(next)
 	n.members.SetSeeds(ctx, next.Seeds())
 	n.plane.Tune()
 	n.hub.post(n.hub.resubscribe)
-	n.log.Info("settings reloaded", "applied", strings.Join(taken, ","), "from_next_start", strings.Join(later, ","))
+	n.log.Info("settings reloaded", "applied", strings.Join(applied, ","), "from_next_start", strings.Join(deferred, ","))
 }
--- a/internal/system/settings/reload.go
+++ b/internal/system/settings/reload.go
@@ -5,17 +5,19 @@
 	"slices"
 )
 
-// takenUp are the fields that a running process takes up when its settings are read again. The others count from its next start: addresses
-// and files are in use, and what all machines of the register have to have alike is not changed by one of them.
-var takenUp = []string{"SeedNodes", "Bounds", "Contracts"}
+// reloadable are the fields that a running process applies when its settings are read again. The
+// others count from its next start: addresses and files are in use, and one machine of the register
+// must not change what all of them have to have alike.
+var reloadable = []string{"SeedNodes", "Bounds", "Contracts"}
 
-// keptBounds are the bounds that count from the next start all the same: windows that are being counted, and the grace that the platform
-// gave at the start.
-var keptBounds = []string{"QuotaWindowS"}
+// startOnlyBounds are the bounds that count from the next start all the same: usage is being counted
+// in windows of that length.
+var startOnlyBounds = []string{"QuotaWindowS"}
 
-// After is what a process has in force that had settings and has read others since: and, by their names in the file, the fields that it
-// took up and those that count from its next start.
-func (s *Settings) After(read *Settings) (inForce *Settings, taken, later []string) {
+// Reload returns the settings in force once a process that had s has read others. Applied and
+// deferred name the changed fields, as the file has them: those in force now, and those that count
+// from the next start.
+func (s *Settings) Reload(read *Settings) (inForce *Settings, applied, deferred []string) {
 	next := *s
 	from, to := reflect.ValueOf(read).Elem(), reflect.ValueOf(&next).Elem()
 	for i := range to.NumField() {
@@ -26,20 +28,20 @@
 		name := field.Tag.Get("toml")
 		switch {
 		case field.Name == "Bounds":
-			t, l := next.Bounds.after(read.Bounds)
-			taken, later = append(taken, t...), append(later, l...)
-		case slices.Contains(takenUp, field.Name):
+			now, later := next.Bounds.reload(read.Bounds)
+			applied, deferred = append(applied, now...), append(deferred, later...)
+		case slices.Contains(reloadable, field.Name):
 			to.Field(i).Set(from.Field(i))
-			taken = append(taken, name)
+			applied = append(applied, name)
 		default:
-			later = append(later, name)
+			deferred = append(deferred, name)
 		}
 	}
-	return &next, taken, later
+	return &next, applied, deferred
 }
 
-// after takes up the bounds of others, but those that count from the next start.
-func (b *Bounds) after(read Bounds) (taken, later []string) {
+// reload applies the bounds that were read, but for those that count from the next start.
+func (b *Bounds) reload(read Bounds) (applied, deferred []string) {
 	from, to := reflect.ValueOf(read), reflect.ValueOf(b).Elem()
 	for i := range to.NumField() {
 		field := to.Type().Field(i)
@@ -47,12 +49,12 @@
 			continue
 		}
 		name := "bounds." + field.Tag.Get("toml")
-		if slices.Contains(keptBounds, field.Name) {
-			later = append(later, name)
+		if slices.Contains(startOnlyBounds, field.Name) {
+			deferred = append(deferred, name)
 			continue
 		}
 		to.Field(i).Set(from.Field(i))
-		taken = append(taken, name)
+		applied = append(applied, name)
 	}
-	return taken, later
+	return applied, deferred
 }
--- a/internal/system/settings/settings.go
+++ b/internal/system/settings/settings.go
@@ -1,5 +1,3 @@
-// Package settings reads the settings file of a process of the router fleet: TOML, whose path is in the environment. Fields that it
-// does not know are left alone; a value that can't be used is one line that names the field.
 package settings
 
 import (
@@ -25,90 +23,117 @@
 	ServesControl = "control_plane"
 )
 
-// Settings is what a process is told at its start.
+// Settings is what a process is told at its start. A process that does not use a field ignores it.
 type Settings struct {
-	NodeName            string            `toml:"nodeName" validate:"required,max=64"`
-	Role                string            `toml:"role"`
-	MachineClass        string            `toml:"machineClass"`
-	Serves              []string          `toml:"serves" validate:"dive,required"`
-	IPAddress           string            `toml:"ipAddress" validate:"required,ipv4"`
-	Zone                string            `toml:"zone" validate:"required,max=64"`
-	Region              string            `toml:"region"`
-	InternalPortRange   []int             `toml:"internalPortRange" validate:"len=2,dive,min=1,max=65535"`
-	SeedNodes           []string          `toml:"seedNodes" validate:"max=64,dive,hostname_port"`
-	FirstStart          bool              `toml:"firstStart"`
-	CountsForQuorum     bool              `toml:"countsForQuorum"`
-	DataDirectory       string            `toml:"dataDirectory"`
-	HeartbeatIntervalMs int               `toml:"heartbeatIntervalMs" validate:"min=0,max=3600000"`
-	Contracts           []string          `toml:"contracts"`
-	Zones               map[string]string `toml:"zones"`
-	ListenAddresses     ListenAddresses   `toml:"listenAddresses"`
-	Limits              Limits            `toml:"limits"`
-	FaultTolerance      FaultTolerance    `toml:"faultTolerance"`
-	Bounds              Bounds            `toml:"bounds"`
+	// NodeName names the process for people, in the log and the status.
+	NodeName     string `toml:"nodeName" validate:"required,max=64"`
+	Role         string `toml:"role"`
+	MachineClass string `toml:"machineClass"`
+	// Serves is whom the role serves: ServesClients, ServesControl or both.
+	Serves []string `toml:"serves" validate:"dive,required"`
+	// IPAddress is the machine's, under which other routers and hosts reach it.
+	IPAddress string `toml:"ipAddress" validate:"required,ipv4"`
+	Zone      string `toml:"zone" validate:"required,max=64"`
+	Region    string `toml:"region"`
+	// InternalPortRange is the first and the last port for other routers; the first is used.
+	InternalPortRange []int `toml:"internalPortRange" validate:"len=2,dive,min=1,max=65535"`
+	// SeedNodes are routers to ask for the fleet, by their control plane's addresses. The port for
+	// other routers is InternalPort, as it is everywhere.
+	SeedNodes []string `toml:"seedNodes" validate:"max=64,dive,hostname_port"`
+	// FirstStart says that the fleet is founded with this start: the register may begin empty.
+	FirstStart bool `toml:"firstStart"`
+	// CountsForQuorum says that the machine may be a member of the register.
+	CountsForQuorum bool `toml:"countsForQuorum"`
+	// DataDirectory is a folder on a disk that outlives the process; empty for none.
+	DataDirectory string `toml:"dataDirectory"`
+	// HeartbeatIntervalMs is the time between two heartbeats of a host, in ms; 0 for a second.
+	HeartbeatIntervalMs int      `toml:"heartbeatIntervalMs" validate:"min=0,max=3600000"`
+	Contracts           []string `toml:"contracts"`
+	// Zones are all zones that may have routers or hosts, each with its region.
+	Zones           map[string]string `toml:"zones"`
+	ListenAddresses ListenAddresses   `toml:"listenAddresses"`
+	Limits          Limits            `toml:"limits"`
+	FaultTolerance  FaultTolerance    `toml:"faultTolerance"`
+	Bounds          Bounds            `toml:"bounds"`
 }
 
 // ListenAddresses are the addresses of what a role serves, each empty where it does not.
 type ListenAddresses struct {
-	Frontend     string `toml:"frontend" validate:"omitempty,hostname_port"`
-	Readiness    string `toml:"readiness" validate:"omitempty,hostname_port"`
-	ControlPlane string `toml:"controlPlane" validate:"omitempty,hostname_port"`
+	Frontend     string `toml:"frontend" validate:"omitempty,hostname_port"`     // for clients
+	Readiness    string `toml:"readiness" validate:"omitempty,hostname_port"`    // with status and metrics
+	ControlPlane string `toml:"controlPlane" validate:"omitempty,hostname_port"` // for hosts and operators
 }
 
 // Limits is what the process may use.
 type Limits struct {
-	CPUShare        float64 `toml:"cpuShare" validate:"gt=0,lte=1024"`
-	CPUCores        int     `toml:"cpuCores" validate:"min=0,max=1024"`
-	MemoryMb        int     `toml:"memoryMb" validate:"min=32"`
-	FileDescriptors int     `toml:"fileDescriptors" validate:"min=256"`
-	LinkMbps        float64 `toml:"linkMbps" validate:"gte=0"`
-	DiskMb          int     `toml:"diskMb" validate:"min=0"`
+	CPUShare        float64 `toml:"cpuShare" validate:"gt=0,lte=1024"`  // of a core
+	CPUCores        int     `toml:"cpuCores" validate:"min=0,max=1024"` // threads at a time; 0 for 1
+	MemoryMb        int     `toml:"memoryMb" validate:"min=32"`         // MiB
+	FileDescriptors int     `toml:"fileDescriptors" validate:"min=256"` // files and sockets
+	LinkMbps        float64 `toml:"linkMbps" validate:"gte=0"`          // 10^6 bits a second; 0 for unknown
+	DiskMb          int     `toml:"diskMb" validate:"min=0"`            // MiB; 0 for unknown
 }
 
-// FaultTolerance is what may be lost at once.
+// FaultTolerance is how many of each may be lost at once.
 type FaultTolerance struct {
 	Machines int `toml:"machines" validate:"min=0,max=64"`
 	Zones    int `toml:"zones" validate:"min=0,max=64"`
 	Regions  int `toml:"regions" validate:"min=0,max=64"`
 }
 
-// Bounds are the figures of the rules in force. Times are in the unit that their names end in.
+// Bounds are the objectives of the service. Times are in the unit that their names end in, and 0 is
+// no bound. docs/design/system.md says what meets each; those without a comment are met without being
+// read.
 type Bounds struct {
-	SeedLagS             float64 `toml:"seedLagS" validate:"gte=0"`
-	ReuseAfterS          float64 `toml:"reuseAfterS" validate:"gte=0"`
-	ContactMs            float64 `toml:"contactMs" validate:"gte=0"`
-	AcknowledgeMs        float64 `toml:"acknowledgeMs" validate:"gte=0"`
-	CatchUpS             float64 `toml:"catchUpS" validate:"gte=0"`
-	DrainMs              float64 `toml:"drainMs" validate:"gte=0"`
-	GraceS               float64 `toml:"graceS" validate:"gte=0"`
-	LossSlackMs          float64 `toml:"lossSlackMs" validate:"gte=0"`
+	SeedLagS      float64 `toml:"seedLagS" validate:"gte=0"`
+	ReuseAfterS   float64 `toml:"reuseAfterS" validate:"gte=0"`
+	ContactMs     float64 `toml:"contactMs" validate:"gte=0"`
+	AcknowledgeMs float64 `toml:"acknowledgeMs" validate:"gte=0"`
+	CatchUpS      float64 `toml:"catchUpS" validate:"gte=0"`
+	DrainMs       float64 `toml:"drainMs" validate:"gte=0"`
+	// GraceS is the time from SIGTERM until the platform kills the process.
+	GraceS      float64 `toml:"graceS" validate:"gte=0"`
+	LossSlackMs float64 `toml:"lossSlackMs" validate:"gte=0"`
+	// ConfigurationApplyMs is the time within which a committed configuration is in force on every
+	// router. One whose configuration was not confirmed for so long rejects nothing by it.
 	ConfigurationApplyMs float64 `toml:"configurationApplyMs" validate:"gte=0"`
 	RollbackSlackMs      float64 `toml:"rollbackSlackMs" validate:"gte=0"`
 	MaxStretchMs         float64 `toml:"maxStretchMs" validate:"gte=0"`
-	RevocationClosed     bool    `toml:"revocationClosed"`
-	RevocationMs         float64 `toml:"revocationMs" validate:"gte=0"`
-	RetryBudgetRatio     float64 `toml:"retryBudgetRatio" validate:"gte=0"`
-	RetryWindowS         float64 `toml:"retryWindowS" validate:"gte=0"`
-	RetryBudgetSlack     float64 `toml:"retryBudgetSlack" validate:"gte=0"`
-	QuotaWindowS         float64 `toml:"quotaWindowS" validate:"gte=0"`
-	QuotaOvershoot       float64 `toml:"quotaOvershoot" validate:"gte=0"`
-	QuotaSlack           float64 `toml:"quotaSlack" validate:"gte=0"`
-	RecoveryS            float64 `toml:"recoveryS" validate:"gte=0"`
+	// RevocationClosed says that a router stops honouring API keys and version pins when its
+	// configuration was not confirmed for RevocationMs. That makes a revoked key invalid everywhere,
+	// at the price that an isolated router rejects all requests with keys.
+	RevocationClosed bool    `toml:"revocationClosed"`
+	RevocationMs     float64 `toml:"revocationMs" validate:"gte=0"`
+	// RetryBudgetRatio is how many retries a first attempt allows; RetryBudgetSlack is how many the
+	// whole fleet may make beyond that.
+	RetryBudgetRatio float64 `toml:"retryBudgetRatio" validate:"gte=0"`
+	RetryWindowS     float64 `toml:"retryWindowS" validate:"gte=0"`
+	RetryBudgetSlack float64 `toml:"retryBudgetSlack" validate:"gte=0"`
+	// QuotaWindowS is the window in which tenants' usage is bounded. QuotaOvershoot is the fraction of
+	// the limit by which usage may exceed it, and QuotaSlack tokens that may be used beyond that.
+	QuotaWindowS   float64 `toml:"quotaWindowS" validate:"gte=0"`
+	QuotaOvershoot float64 `toml:"quotaOvershoot" validate:"gte=0"`
+	QuotaSlack     float64 `toml:"quotaSlack" validate:"gte=0"`
+	RecoveryS      float64 `toml:"recoveryS" validate:"gte=0"`
 }
 
 // FieldError is a field that can't be used.
 type FieldError struct {
-	Field string // as it is written in the file
-	Why   string
+	Field  string // as it is written in the file
+	Reason string // what is wrong with it, and what it must be
 }
 
 // Error implements error, in one line.
-func (e *FieldError) Error() string { return "settings: " + e.Field + ": " + e.Why }
+func (e *FieldError) Error() string { return "settings: " + e.Field + ": " + e.Reason }
 
 // ErrNoPath says that the environment names no settings file.
 var ErrNoPath = errors.New("settings: " + PathVariable + " is not set; it must hold the path of the settings file")
 
-// Load reads the file that the environment names.
+// defaultCPUCores is that of a file that has none.
+const defaultCPUCores = 1
+
+// Load reads and validates the file that the environment names. The error is ErrNoPath, of reading
+// the file, or a *FieldError.
 func Load(getenv func(string) string) (*Settings, error) {
 	path := getenv(PathVariable)
 	if path == "" {
@@ -121,19 +146,19 @@
 	return Parse(text)
 }
 
-// Parse reads settings and checks them.
+// Parse decodes and validates settings. The error is a *FieldError.
 func Parse(text []byte) (*Settings, error) {
 	s := &Settings{}
 	if err := toml.Unmarshal(text, s); err != nil {
 		return nil, parseError(err)
 	}
 	if s.Limits.CPUCores == 0 {
-		s.Limits.CPUCores = 1
+		s.Limits.CPUCores = defaultCPUCores
 	}
 	return s, s.check()
 }
 
-// parseError names the place that could not be read.
+// parseError names the line, the column and the field that could not be decoded.
 func parseError(err error) error {
 	var decode *toml.DecodeError
 	if errors.As(err, &decode) {
@@ -160,7 +185,7 @@
 
 func (s *Settings) check() error {
 	if err := validate.Struct(s); err != nil {
-		return invalid(err)
+		return validationError(err)
 	}
 	if s.InternalPortRange[0] > s.InternalPortRange[1] {
 		return &FieldError{"internalPortRange", fmt.Sprintf("begins at %d, behind its end %d", s.InternalPortRange[0], s.InternalPortRange[1])}
@@ -179,8 +204,8 @@
 	return nil
 }
 
-// invalid names the first field at fault.
-func invalid(err error) error {
+// validationError names the first field that breaks a rule.
+func validationError(err error) error {
 	var fields validator.ValidationErrors
 	if !errors.As(err, &fields) || len(fields) == 0 {
 		return &FieldError{"the file", err.Error()}
@@ -194,19 +219,19 @@
 	return &FieldError{field, fmt.Sprintf("is %v; it must satisfy %s", first.Value(), rule)}
 }
 
-// ServesRole tells whether the role serves callers of a kind.
+// ServesRole reports whether the role serves callers of a kind.
 func (s *Settings) ServesRole(kind string) bool { return slices.Contains(s.Serves, kind) }
 
-// HasDisk tells whether the process may keep state on a disk.
+// HasDisk reports whether the process may store state on a disk.
 func (s *Settings) HasDisk() bool { return s.DataDirectory != "" }
 
 // IP is the machine's address.
 func (s *Settings) IP() netip.Addr { return netip.MustParseAddr(s.IPAddress) }
 
-// InternalPort is the port for what routers say to each other. It is the same on every machine of a day.
+// InternalPort is the port for other routers, the same on every machine of a fleet.
 func (s *Settings) InternalPort() uint16 { return uint16(s.InternalPortRange[0]) }
 
-// Internal is where a router at an address is reached by others.
+// Internal is where the router of a machine is reached by others.
 func (s *Settings) Internal(ip netip.Addr) netip.AddrPort {
 	return netip.AddrPortFrom(ip, s.InternalPort())
 }
@@ -223,15 +248,16 @@
 // HeartbeatInterval is the time between two heartbeats of a host.
 func (s *Settings) HeartbeatInterval() time.Duration {
 	if s.HeartbeatIntervalMs == 0 {
-		return usualHeartbeat
+		return defaultHeartbeatInterval
 	}
 	return time.Duration(s.HeartbeatIntervalMs) * time.Millisecond
 }
 
-const usualHeartbeat = time.Second
+// defaultHeartbeatInterval is that of a file that has none.
+const defaultHeartbeatInterval = time.Second
 
-// Milliseconds turns a bound in ms into a duration.
+// Milliseconds is a bound in ms as a duration.
 func Milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// Seconds turns a bound in s into a duration.
+// Seconds is a bound in s as a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/system/settings/settings_test.go
+++ b/internal/system/settings/settings_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 )
 
-const good = `
+const validFile = `
 nodeName = "frontend-a-1"
 role = "router"
 machineClass = "frontend"
@@ -53,9 +53,9 @@
 `
 
 // The file is read, and what is not known is left alone.
-func TestParse(t *testing.T) {
+func TestParseIgnoresUnknownFields(t *testing.T) {
 	is := is.New(t)
-	s, err := Parse([]byte(good))
+	s, err := Parse([]byte(validFile))
 	is.NoErr(err)
 	is.Equal(s.Internal(s.IP()).String(), "10.1.0.14:7680")
 	is.Equal(len(s.Seeds()), 2)
@@ -66,7 +66,7 @@
 }
 
 // A value that can't be used is one line that names its field.
-func TestRefused(t *testing.T) {
+func TestInvalidValueNamesTheField(t *testing.T) {
 	for name, c := range map[string]struct{ old, new, field string }{
 		"no name":             {`nodeName = "frontend-a-1"`, ``, "nodeName"},
 		"no address":          {`ipAddress = "10.1.0.14"`, ``, "ipAddress"},
@@ -86,8 +86,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			text := strings.Replace(good, c.old, c.new, 1)
-			is.True(text != good)
+			text := strings.Replace(validFile, c.old, c.new, 1)
+			is.True(text != validFile)
 			_, err := Parse([]byte(text))
 			var field *FieldError
 			is.True(errors.As(err, &field))
@@ -99,7 +99,7 @@
 }
 
 // The environment names the file.
-func TestLoad(t *testing.T) {
+func TestLoadReadsTheFileOfTheEnvironment(t *testing.T) {
 	is := is.New(t)
 	_, err := Load(func(string) string { return "" })
 	is.True(errors.Is(err, ErrNoPath))
@@ -107,21 +107,21 @@
 	env := func(name string) string { return map[string]string{PathVariable: path}[name] }
 	_, err = Load(env)
 	is.True(errors.Is(err, os.ErrNotExist))
-	is.NoErr(os.WriteFile(path, []byte(good), 0o644))
+	is.NoErr(os.WriteFile(path, []byte(validFile), 0o644))
 	s, err := Load(env)
 	is.NoErr(err)
 	is.Equal(s.NodeName, "frontend-a-1")
 }
 
 // Of settings that are read again a running process takes up what it can, and names the rest.
-func TestAfter(t *testing.T) {
+func TestReloadAppliesWhatARunningProcessCan(t *testing.T) {
 	is := is.New(t)
-	before, err := Parse([]byte(good))
+	before, err := Parse([]byte(validFile))
 	is.NoErr(err)
-	same, taken, later := before.After(before)
+	same, taken, later := before.Reload(before)
 	is.Equal(same, before)
 	is.Equal(len(taken)+len(later), 0)
-	text := good
+	text := validFile
 	for old, new := range map[string]string{`"10.2.0.32:8665"`: `"10.9.0.32:8665"`, `drainMs = 2000`: `drainMs = 2500`, `quotaWindowS = 8`: `quotaWindowS = 9`,
 		`zone = "a"`: `zone = "b"`, `memoryMb = 284`: `memoryMb = 300`} {
 		changed := strings.Replace(text, old, new, 1)
@@ -130,7 +130,7 @@
 	}
 	read, err := Parse([]byte(text))
 	is.NoErr(err)
-	next, taken, later := before.After(read)
+	next, taken, later := before.Reload(read)
 	is.Equal(taken, []string{"seedNodes", "bounds.drainMs"})
 	is.Equal(later, []string{"zone", "limits", "bounds.quotaWindowS"})
 	is.Equal(next.Seeds()[1].String(), "10.9.0.32:7680")
@@ -142,7 +142,7 @@
 
 // Whatever the file holds, it is read or refused in one line.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validFile))
 	f.Add([]byte("seedNodes = [\"a:1\"]\ninternalPortRange=[1,2]"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		s, err := Parse(text)
