--- a/internal/system/roles/node/peerreports_test.go
+++ b/internal/system/roles/node/peerreports_test.go
@@ -101,11 +101,14 @@
 	is.Equal(len(p.queue), maxQueuedPeerReports)
 }
 
+// knowsPeer reports whether a router of two has the other among those that it reports to.
+func knowsPeer(n *running) bool { return len(n.peerReports.peers.Load().addresses) == 1 }
+
 // Failures and slowness of hosts are told within a bound of their own, whatever the prompts have used up.
 func TestHostReportsHaveTheirOwnRate(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 2, 1)
-	f.eventually("both know of each other", func() bool { return len(f.nodes[0].peerReports.peers.Load().addresses) == 1 })
+	f.eventually("both know of each other", func() bool { return knowsPeer(f.nodes[0]) && knowsPeer(f.nodes[1]) })
 	first := f.nodes[0].peerReports
 	told := 0
 	for range 2 * hostDatagramBurst {
