--- a/internal/system/roles/node/node_test.go
+++ b/internal/system/roles/node/node_test.go
@@ -12,7 +12,7 @@
 	"path/filepath"
 	"slices"
 	"strings"
-	"sync"
+	"sync/atomic"
 	"testing"
 	"time"
 
@@ -51,10 +51,25 @@
 	reloads chan *settings.Settings
 }
 
-var (
-	nextNet   byte
-	nextNetMu sync.Mutex
-)
+// nextNet is the net to try next, the third byte of the addresses of a fleet.
+var nextNet atomic.Uint32
+
+// reserveNet returns a net that no other fleet has, of this process or of others that play these tests
+// at the same time. It holds the net by a socket on an address that no router has.
+func reserveNet(t *testing.T) byte {
+	t.Helper()
+	const nets, reservation = 256, 250
+	for range nets {
+		number := byte(nextNet.Add(1))
+		held, err := net.Listen("tcp4", fmt.Sprintf("127.77.%d.%d:7680", number, reservation))
+		if err == nil {
+			t.Cleanup(func() { held.Close() })
+			return number
+		}
+	}
+	t.Fatal("all nets of the loopback are taken")
+	return 0
+}
 
 func newFleet(t *testing.T, routers, disks int) *testFleet {
 	t.Helper()
@@ -74,10 +89,7 @@
 
 func startFleetOf(t *testing.T, f *testFleet, routers int) *testFleet {
 	t.Helper()
-	nextNetMu.Lock()
-	nextNet++
-	f.t, f.net = t, nextNet
-	nextNetMu.Unlock()
+	f.t, f.net = t, reserveNet(t)
 	f.ports.internal, f.ports.front, f.ports.ready, f.ports.control = 7680, 8662, 8663, 8665
 	for i := range routers {
 		f.nodes = append(f.nodes, &running{ip: fmt.Sprintf("127.77.%d.%d", f.net, i+1)})
--- a/internal/system/roles/node/peerreports_test.go
+++ b/internal/system/roles/node/peerreports_test.go
@@ -33,10 +33,13 @@
 	is.Equal(first.peerReports.figures(), status.PromptReports{Sent: 2})
 }
 
+// knowsPeer reports whether a router of two has the other among those that it reports to.
+func knowsPeer(n *running) bool { return len(n.peerReports.peers.Load().addresses) == 1 }
+
 // A datagram that is lost is missed, and nothing waits for it.
 func TestLostPeerReportIsNotRetried(t *testing.T) {
 	f := newFleet(t, 2, 1)
-	f.eventually("both know of each other", func() bool { return len(f.nodes[0].peerReports.peers.Load().addresses) == 1 })
+	f.eventually("both know of each other", func() bool { return knowsPeer(f.nodes[0]) && knowsPeer(f.nodes[1]) })
 	lost := make(chan struct{}, 1)
 	failpoint.Set(&failpoint.Failures{
 		Lose: func(to string) bool {
@@ -101,9 +104,6 @@
 	is.Equal(len(p.queue), maxQueuedPeerReports)
 }
 
-// knowsPeer reports whether a router of two has the other among those that it reports to.
-func knowsPeer(n *running) bool { return len(n.peerReports.peers.Load().addresses) == 1 }
-
 // Failures and slowness of hosts are told within a bound of their own, whatever the prompts have used up.
 func TestHostReportsHaveTheirOwnRate(t *testing.T) {
 	is := is.New(t)
