--- a/internal/router/processgroup/processgroup.go
+++ b/internal/router/processgroup/processgroup.go
@@ -13,26 +13,26 @@
 )
 
 const (
-	name = "reachspread.beside"
+	fileName = "reachspread.beside"
 	// most bounds the processes that find each other; a replacement needs two, and one more while the last one leaves.
-	most = 8
+	maxProcesses = 8
 )
 
 // Place is this process's place among those of one router.
-type Place struct {
+type Slot struct {
 	file *os.File
 	at   int64
 }
 
 // Join takes a place in a folder that the processes of one router share.
-func Join(folder string) (*Place, error) {
-	f, err := os.OpenFile(filepath.Join(folder, name), os.O_RDWR|os.O_CREATE, 0o600)
+func Join(folder string) (*Slot, error) {
+	f, err := os.OpenFile(filepath.Join(folder, fileName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	for at := range int64(most) {
-		if err = syscall.FcntlFlock(f.Fd(), syscall.F_SETLK, lock(at)); err == nil {
-			return &Place{f, at}, nil
+	for at := range int64(maxProcesses) {
+		if err = syscall.FcntlFlock(f.Fd(), syscall.F_SETLK, byteLock(at)); err == nil {
+			return &Slot{f, at}, nil
 		}
 		if !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EACCES) {
 			break
@@ -42,31 +42,31 @@
 	return nil, fmt.Errorf("%s: no place: %w", f.Name(), err)
 }
 
-func lock(at int64) *syscall.Flock_t {
+func byteLock(at int64) *syscall.Flock_t {
 	return &syscall.Flock_t{Type: syscall.F_WRLCK, Whence: 0, Start: at, Len: 1}
 }
 
 // Others is what is known of the other processes.
-type Others struct {
+type Siblings struct {
 	Processes   int
 	Descriptors int  // that they hold together
-	Unseen      bool // some could not be counted
+	Uncounted   bool // some could not be counted
 }
 
 // Others looks for the other processes.
-func (p *Place) Others() (o Others) {
-	for at := range int64(most) {
-		l := lock(at)
+func (p *Slot) Siblings() (o Siblings) {
+	for at := range int64(maxProcesses) {
+		l := byteLock(at)
 		if at == p.at || syscall.FcntlFlock(p.file.Fd(), syscall.F_GETLK, l) != nil || l.Type == syscall.F_UNLCK {
 			continue
 		}
 		o.Processes++
 		open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", l.Pid))
 		o.Descriptors += len(open)
-		o.Unseen = o.Unseen || err != nil
+		o.Uncounted = o.Uncounted || err != nil
 	}
 	return o
 }
 
 // Leave gives up the place.
-func (p *Place) Leave() { p.file.Close() }
+func (p *Slot) Leave() { p.file.Close() }
--- a/internal/router/program/admission.go
+++ b/internal/router/program/admission.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	usualStep = 8 // connections beyond the places that are read and refused, without settings
+	defaultStep = 8 // connections beyond the places that are read and refused, without settings
 	// doorEvery is how often admission hears of the time and of what others lend it.
-	admissionEvery = 25 * time.Millisecond
+	admissionInterval = 25 * time.Millisecond
 	// reloadLook is how often it is looked whether that has become of use.
-	reloadLook = time.Second
+	reloadCheckInterval = time.Second
 	// shortAgain is the least time between two lines of a lack of descriptors: one for each episode, whoever makes it.
-	shortAgain = time.Minute
-	topTen     = 10
+	shortageLogInterval = time.Minute
+	maxHoldings         = 10
 	// listenerSockets are the listener's two descriptors and the one held back.
-	listenerSockets = 3
+	listenerDescriptors = 3
 	// DoorTopic is the path of admission's state on the status socket.
 	AdmissionTopic = "/door"
 )
 
 // frontLimits is what clients may take up.
 func (p *Program) frontLimits(r processLimits) transport.FrontLimits {
-	l := transport.FrontLimits{Bodies: r.bodies, Seed: p.cfg.seed, Admission: p.cfg.admission(r.clients), Short: p.short()}
+	l := transport.FrontLimits{Bodies: r.bodies, Seed: p.cfg.seed, Admission: p.cfg.admission(r.clients), Short: p.onShortage()}
 	if p.cfg.set != nil && p.cfg.set.Admission != nil {
 		l.Identity = p.cfg.set.Admission.Identity
 	}
@@ -38,7 +38,7 @@
 // admission returns admission's settings: those of the operators, or as many places as fit and nothing more.
 func (c *Config) admission(clients int) admission.Config {
 	if c.set == nil || c.set.Admission == nil {
-		return admission.Config{Places: clients, Step: usualStep, Away: min(c.balance.MaxAway, time.Second)}
+		return admission.Config{Places: clients, Step: defaultStep, Away: min(c.balance.MaxAway, time.Second)}
 	}
 	d := c.set.Admission.Config
 	d.Places = clients
@@ -47,21 +47,21 @@
 }
 
 // admission returns admission's settings by what is in force.
-func (p *Program) admission(clients int) admission.Config { return p.force.Load().admission(clients) }
+func (p *Program) admission(clients int) admission.Config { return p.inForce.Load().admission(clients) }
 
 // short returns what the listener calls when the process has no descriptor left.
-func (p *Program) short() func() {
+func (p *Program) onShortage() func() {
 	var mu sync.Mutex
 	var last time.Time
 	return func() {
 		mu.Lock()
 		defer mu.Unlock()
-		if time.Since(last) < shortAgain {
+		if time.Since(last) < shortageLogInterval {
 			return
 		}
 		last = time.Now()
 		fields := []any{}
-		ledger := p.ledger()
+		ledger := p.descriptorTable()
 		for _, line := range ledger.Lines {
 			fields = append(fields, line.Owner, line.Used)
 		}
@@ -71,8 +71,8 @@
 
 // tendAdmission lets admission know of the time and of what copies lend it, until ctx ends. Without a block "door" and without pools there is nothing
 // of either; then it looks once a second whether a reload has brought any.
-func (p *Program) tendAdmission(ctx context.Context) {
-	timer := time.NewTimer(admissionEvery)
+func (p *Program) runAdmission(ctx context.Context) {
+	timer := time.NewTimer(admissionInterval)
 	defer timer.Stop()
 	for {
 		select {
@@ -80,12 +80,12 @@
 			return
 		case <-timer.C:
 		}
-		if set := p.force.Load().set; (set == nil || set.Admission == nil) && p.cfg.copies() == 0 {
-			timer.Reset(reloadLook)
+		if set := p.inForce.Load().set; (set == nil || set.Admission == nil) && p.cfg.copies() == 0 {
+			timer.Reset(reloadCheckInterval)
 			continue
 		}
 		p.front.Lend(admission.Lendable(p.cfg.copies(), p.mirror.Sockets()))
-		timer.Reset(admissionEvery)
+		timer.Reset(admissionInterval)
 	}
 }
 
@@ -101,24 +101,24 @@
 }
 
 // shares is the ledger as the configuration divides it, before anybody has a descriptor.
-func (c *Config) shares(r processLimits) admission.Ledger {
+func (c *Config) descriptorShares(r processLimits) admission.Ledger {
 	clients, reserve, step := r.clients, c.admission(r.clients).Reserve, c.admission(r.clients).Step
 	return admission.Ledger{Limit: c.Limits.Sockets, Lines: []admission.Line{
-		{Owner: admission.Listeners, Share: listenerSockets},
+		{Owner: admission.Listeners, Share: listenerDescriptors},
 		{Owner: admission.KnownOnes, Share: reserve},
 		{Owner: admission.Unknown, Share: clients - reserve},
 		{Owner: admission.StepOnes, Share: step},
 		{Owner: admission.Servers, Share: r.servers},
 		{Owner: admission.Discovery, Share: 1},
 		{Owner: admission.Copies, Share: c.copies()},
-		{Owner: admission.StatusOnes, Share: c.aside() - c.copies()}, // with the files of the records
+		{Owner: admission.StatusOnes, Share: c.descriptorsForSettings() - c.copies()}, // with the files of the records
 		{Owner: admission.Operators, Share: transport.ManagementSockets},
-		{Owner: admission.Float, Share: otherSockets - listenerSockets - transport.ManagementSockets - 1 - step},
+		{Owner: admission.Float, Share: reservedDescriptors - listenerDescriptors - transport.ManagementSockets - 1 - step},
 	}}
 }
 
 // ledger is who may have and who has the descriptors of the process.
-func (p *Program) ledger() admission.Ledger {
+func (p *Program) descriptorTable() admission.Ledger {
 	counts, _ := p.front.AdmissionStatus(0)
 	used := map[admission.Owner]int{admission.Listeners: 3, admission.Discovery: 1, admission.KnownOnes: counts.Known, admission.Unknown: counts.Unknown,
 		admission.StepOnes: counts.Step, admission.Servers: p.servers.Open(),
@@ -129,7 +129,7 @@
 	if p.status != nil {
 		used[admission.StatusOnes] = 1
 	}
-	l := p.cfg.shares(*p.processLimits.Load())
+	l := p.cfg.descriptorShares(*p.processLimits.Load())
 	for i := range l.Lines {
 		l.Lines[i].Used = used[l.Lines[i].Owner]
 	}
@@ -162,10 +162,10 @@
 }
 
 func (p *Program) admissionStatus() (any, error) {
-	c, top := p.front.AdmissionStatus(topTen)
+	c, top := p.front.AdmissionStatus(maxHoldings)
 	s := AdmissionStatus{Level: c.Level.String(), Places: c.Places, Reserve: c.Reserve, Lent: c.Lent, Known: c.Known, Unknown: c.Unknown,
 		Lobby: c.Lobby, Step: c.Step, Open: c.Open, Admitted: c.Admitted, Promoted: c.Promoted, Served: c.Served,
-		Refused: map[string]uint64{}, Turned: map[string]uint64{}, Shut: map[string]uint64{}, Shorts: c.Shorts, Holdings: top, Ledger: p.ledger()}
+		Refused: map[string]uint64{}, Turned: map[string]uint64{}, Shut: map[string]uint64{}, Shorts: c.Shorts, Holdings: top, Ledger: p.descriptorTable()}
 	byCause(s.Refused, c.Refused[:])
 	byCause(s.Turned, c.Turned[:])
 	byCause(s.Shut, c.Shut[:])
--- a/internal/router/program/config.go
+++ b/internal/router/program/config.go
@@ -50,8 +50,8 @@
 }
 
 const (
-	otherSockets = 64 // descriptors for discovery, the listener, probes and the run-time
-	fewestClient = 16
+	reservedDescriptors  = 64 // descriptors for discovery, the listener, probes and the run-time
+	minClientConnections = 16
 )
 
 // Load reads the file that ROUTER_CONFIG names; the other variables of the platform go before what it says. An
@@ -103,8 +103,8 @@
 		return fmt.Errorf("limits.cores is %v; it must be more than 0", l.Cores)
 	case l.MemoryMB < 32:
 		return fmt.Errorf("limits.memory_mb is %d; it must be 32 or more", l.MemoryMB)
-	case c.clients() < fewestClient:
-		return fmt.Errorf("limits.sockets is %d; it must be %d or more", l.Sockets, l.Sockets+2*(fewestClient-c.clients()))
+	case c.clients() < minClientConnections:
+		return fmt.Errorf("limits.sockets is %d; it must be %d or more", l.Sockets, l.Sockets+2*(minClientConnections-c.clients()))
 	}
 	if err := c.Known.Check(); err != nil {
 		return fmt.Errorf("known.%w", err)
@@ -147,7 +147,7 @@
 }
 
 // aside returns how many descriptors are set aside for what the operators' settings turn on.
-func (c *Config) aside() int {
+func (c *Config) descriptorsForSettings() int {
 	if c.set == nil {
 		return 0
 	}
@@ -155,7 +155,7 @@
 }
 
 // memoryPart is the part of the memory limit that the operators' settings may use for copies and their answers.
-const memoryPart = 8
+const settingsMemoryDivisor = 8
 
 // ReadSettings reads the operators' settings file, which must fit the limits.
 func (c *Config) ReadSettings(path string) error {
@@ -163,21 +163,23 @@
 	if err != nil {
 		return err
 	}
-	if most := c.Limits.Sockets - otherSockets - 2*fewestClient; set.Descriptors() > most {
+	if most := c.Limits.Sockets - reservedDescriptors - 2*minClientConnections; set.Descriptors() > most {
 		return fmt.Errorf("%s: shadow and status may use %d descriptors; limits.sockets leaves %d for them", path, set.Descriptors(), most)
 	}
-	if most := int64(c.Limits.MemoryMB) << 20 / memoryPart; set.Memory() > most {
+	if most := int64(c.Limits.MemoryMB) << 20 / settingsMemoryDivisor; set.Memory() > most {
 		return fmt.Errorf("%s: shadow may hold %d bytes of bodies and answers; an eighth of limits.memory_mb is %d", path, set.Memory(), most)
 	}
 	c.set = set
 	if err := c.checkFleet(path); err != nil {
 		return err
 	}
-	return c.checkDuties(path)
+	return c.checkRoles(path)
 }
 
 // connectFor is the time for a connection to a server to come up.
-func (c *Config) connectFor() time.Duration { return time.Duration(c.Settings.Limits.ConnectTimeoutNs) }
+func (c *Config) connectTimeout() time.Duration {
+	return time.Duration(c.Settings.Limits.ConnectTimeoutNs)
+}
 
 // LogFormat returns how log lines are written.
 func (c *Config) LogFormat() logging.Format {
--- a/internal/router/program/moves.go
+++ b/internal/router/program/handover.go
@@ -8,28 +8,28 @@
 
 // movesName is the socket, in the folder that the processes of a router share, on which the one that takes over is given
 // the connections of the one that leaves.
-const movesName = "reachspread.moves"
+const moveSocketName = "reachspread.moves"
 
-func (p *Program) movesPath() string { return filepath.Join(p.getenv("TMPDIR"), movesName) }
+func (p *Program) moveSocketPath() string { return filepath.Join(p.getenv("TMPDIR"), moveSocketName) }
 
 // startMoves opens the way for connections of a process that will leave. Without one they end where they are.
-func (p *Program) startMoves() {
-	if p.place == nil {
+func (p *Program) startReceiver() {
+	if p.processGroup == nil {
 		return
 	}
 	var err error
-	if p.receiver, err = transport.NewReceiver(p.movesPath(), p.front, p.servers, p.log); err != nil {
+	if p.receiver, err = transport.NewReceiver(p.moveSocketPath(), p.front, p.servers, p.log); err != nil {
 		p.log.Warn("connections stay", "cause", err)
 	}
 }
 
 // giveAway has all connections move to the process that takes over, if there is one.
-func (p *Program) giveAway() {
+func (p *Program) moveConnections() {
 	if p.receiver == nil {
 		return
 	}
 	p.receiver.Stop() // or else this process might find itself there
-	mover, err := transport.DialMover(p.movesPath())
+	mover, err := transport.DialMover(p.moveSocketPath())
 	if err != nil {
 		return // nobody takes over: this is an end, not a replacement
 	}
@@ -42,7 +42,7 @@
 }
 
 // endMoves waits for what was taken from another process.
-func (p *Program) endMoves() {
+func (p *Program) finishMoves() {
 	if p.receiver != nil {
 		p.receiver.Wait()
 	}
@@ -52,7 +52,7 @@
 }
 
 // carried returns how many streams of another process this one carries.
-func (p *Program) carried() int {
+func (p *Program) carriedStreams() int {
 	if p.receiver == nil {
 		return 0
 	}
--- a/internal/router/program/service.go
+++ b/internal/router/program/management.go
@@ -30,23 +30,23 @@
 // Takes implements management.Router.
 func (p *Program) Takes() (bool, string) {
 	phase := p.Phase()
-	return phases[phase].ready, string(phase)
+	return policies[phase].ready, string(phase)
 }
 
 // Drain implements management.Router.
 func (p *Program) Drain(on bool) (string, error) {
-	what := drainOff
+	what := drainLifted
 	switch {
-	case on && p.asksLeave():
-		return p.leaveToDrain()
+	case on && p.needsDrainLease():
+		return p.drainWithLease()
 	case on:
-		what = drainOn
-	case p.asksLeave():
-		defer p.endLeave()
+		what = drainRequested
+	case p.needsDrainLease():
+		defer p.releaseDrainLease()
 	}
-	phase, err := p.happen(what)
+	phase, err := p.advance(what)
 	if err == nil {
-		p.kept.drained.Store(on)
+		p.snapshots.drained.Store(on)
 	}
 	return string(phase), err
 }
@@ -55,7 +55,7 @@
 func (p *Program) Values() management.Values {
 	f := p.router.Figures()
 	v := management.Values{Relayed: f.Relayed, Open: f.Open, Entries: f.Entries, Avoided: f.Avoided,
-		Accepted: p.accepted.Load(), Invalid: p.invalid.Load(), Fleet: p.fleetValues(), Duties: p.dutyValues(), Recovery: p.recoveryValues()}
+		Accepted: p.acceptedReloads.Load(), Invalid: p.refusedReloads.Load(), Fleet: p.fleetValues(), Duties: p.roleValues(), Recovery: p.recoveryValues()}
 	for name, c := range f.Classes {
 		v.Classes = append(v.Classes, management.Class{Name: name, Taken: c.Taken, Fulfilled: c.Served, Throttled: c.Refused,
 			Faulted: c.Failed, Abandoned: c.Abandoned, Moved: c.Moved})
--- a/internal/router/program/peers.go
+++ b/internal/router/program/membership.go
@@ -83,14 +83,14 @@
 	if err != nil {
 		return fmt.Errorf("peer_listen: %w", err)
 	}
-	p.hearsWords(gossip)
+	p.receiveRecoveryMessages(gossip)
 	hearing, release := context.WithCancel(work)
-	p.release = release
+	p.releaseAddress = release
 	if fleet {
 		m := p.cfg.member()
-		m.Incarnation = p.kept.incarnation()
+		m.Incarnation = p.snapshots.incarnation()
 		p.zone = m.Zone
-		if err := p.prepareDuties(lease.Router{Name: m.Name, Boot: m.Boot, Zone: m.Zone}, gossip); err != nil {
+		if err := p.prepareRoles(lease.Router{Name: m.Name, Boot: m.Boot, Zone: m.Zone}, gossip); err != nil {
 			return err
 		}
 		numbers := map[netip.AddrPort]int{}
@@ -100,8 +100,8 @@
 		}
 		p.view, err = peering.NewView(m, gossip.Send, func(v *members.View, _ *members.Changed) {
 			p.router.Viewed(routing.Fleet{Version: v.Version, Living: len(v.Members), Peers: p.numbered(v, numbers)})
-			if p.duties != nil {
-				p.duties.UpdateView(v)
+			if p.roles != nil {
+				p.roles.UpdateView(v)
 			}
 		}, p.log)
 		if err != nil {
@@ -135,17 +135,17 @@
 }
 
 // leaveWithin bounds the wait until the others are told that this router leaves.
-const leaveWithin = 100 * time.Millisecond
+const announceLeaveTimeout = 100 * time.Millisecond
 
 // leavePeers tells the others that this router leaves, unless another process takes over, which waits for the address.
-func (p *Program) leavePeers() {
+func (p *Program) announceLeave() {
 	if p.view != nil {
-		ctx, cancel := context.WithTimeout(context.Background(), leaveWithin)
+		ctx, cancel := context.WithTimeout(context.Background(), announceLeaveTimeout)
 		p.view.Leave(ctx, p.mover != nil)
 		cancel()
 	}
-	if p.inherited && p.release != nil {
-		p.release()
+	if p.inherited && p.releaseAddress != nil {
+		p.releaseAddress()
 	}
 }
 
--- a/internal/router/program/phases_test.go
+++ b/internal/router/program/phases_test.go
@@ -12,10 +12,10 @@
 func TestPhaseTables(t *testing.T) {
 	got := map[string][]Phase{}
 	for _, p := range []Phase{Starting, Listing, Withheld, Serving, Draining, Leaving, Finishing, Stopped} {
-		d := phases[p]
-		for word, is := range map[string]bool{"ready": d.ready, "accepts an own": d.accepts >= fromOwn,
-			"accepts an inherited": d.accepts == fromEvery, "keeps": d.keeps, "sends off": d.sendOff > 0,
-			"SIGTERM": transitions[p][sigterm] == Leaving, "drains twice": transitions[transitions[p][drainOn]][drainOn] == transitions[p][drainOn] && transitions[p][drainOn] != ""} {
+		d := policies[p]
+		for word, is := range map[string]bool{"ready": d.ready, "accepts an own": d.acceptFrom >= acceptOwn,
+			"accepts an inherited": d.acceptFrom == acceptAny, "keeps": d.keepAlive, "sends off": d.closeIdleAfter > 0,
+			"SIGTERM": transitions[p][terminated] == Leaving, "drains twice": transitions[transitions[p][drainRequested]][drainRequested] == transitions[p][drainRequested] && transitions[p][drainRequested] != ""} {
 			if is {
 				got[word] = append(got[word], p)
 			}
@@ -39,20 +39,20 @@
 func TestTransitions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		phase, drained, known, ended := Listing, false, false, false
-		for _, what := range rapid.SliceOf(rapid.SampledFrom([]happening{listed, drainOn, drainOff, sigterm, passed, emptied})).Draw(t, "happenings") {
-			if what == listed && known {
+		for _, what := range rapid.SliceOf(rapid.SampledFrom([]phaseEvent{serversListed, drainRequested, drainLifted, terminated, graceElapsed, requestsDone})).Draw(t, "happenings") {
+			if what == serversListed && known {
 				continue // is told once
 			}
 			next, ok := transitions[phase][what]
 			if ok {
 				phase = next
 			}
-			known = known || what == listed
-			if !ended && (what == drainOn || what == drainOff) {
-				drained = what == drainOn
+			known = known || what == serversListed
+			if !ended && (what == drainRequested || what == drainLifted) {
+				drained = what == drainRequested
 			}
-			ended = ended || what == sigterm
-			if ready := phases[phase].ready; ready != (known && !drained && !ended) {
+			ended = ended || what == terminated
+			if ready := policies[phase].ready; ready != (known && !drained && !ended) {
 				t.Fatalf("%s: ready is %t with an entry %t, drained %t, ended %t", phase, ready, known, drained, ended)
 			}
 		}
--- a/internal/router/program/processlimits.go
+++ b/internal/router/program/processlimits.go
@@ -17,38 +17,38 @@
 
 const (
 	// memoryShare of the limit is for the heap; stacks and socket buffers need some, too.
-	memoryShare = 0.6
+	heapFraction = 0.6
 	// besideShare is the same for each of two processes.
-	besideShare = 0.35
+	siblingHeapFraction = 0.35
 	// programBytes of the program itself are resident, once for two processes. Heaps get most of what small limits leave beside;
 	// with less, collecting takes so much of a core that connections are closed late.
-	programBytes = 13 << 20
-	heapShare    = 0.97
+	programBytes       = 13 << 20
+	usableHeapFraction = 0.97
 	// besideSockets are the descriptors of a process beside another that are neither clients' nor servers'.
-	besideSockets = 32
+	siblingDescriptors = 32
 	// newcomer are those that a process which may be replaced leaves for the one to come.
-	newcomer = besideSockets + 2*fewestClient
+	successorDescriptors = siblingDescriptors + 2*minClientConnections
 	// besideEvery is how often a process looks how much another one still has.
-	besideEvery = 50 * time.Millisecond
+	siblingCheckInterval = 50 * time.Millisecond
 )
 
 // processLimits divides the limits, with what the operators' settings need set aside first. Each client may need a second
 // connection to a server.
-func (c *Config) processLimits(o processgroup.Others) processLimits {
+func (c *Config) processLimits(o processgroup.Siblings) processLimits {
 	memory := int64(c.Limits.MemoryMB) << 20
-	beside := heapShare * float64(memory-programBytes)
-	r := processLimits{bodies: int(memory / 4), heap: int64(min(memoryShare*float64(memory), beside))}
-	free := c.Limits.Sockets - c.aside() - otherSockets
+	beside := usableHeapFraction * float64(memory-programBytes)
+	r := processLimits{bodies: int(memory / 4), heap: int64(min(heapFraction*float64(memory), beside))}
+	free := c.Limits.Sockets - c.descriptorsForSettings() - reservedDescriptors
 	switch {
 	case o.Processes > 0:
-		r.bodies, r.heap = r.bodies/2, int64(min(besideShare*float64(memory), beside/2))
+		r.bodies, r.heap = r.bodies/2, int64(min(siblingHeapFraction*float64(memory), beside/2))
 		taken := o.Descriptors
-		if o.Unseen {
+		if o.Uncounted {
 			taken = max(taken, c.Limits.Sockets/2)
 		}
-		free = max(c.Limits.Sockets-c.aside()-besideSockets-taken, 2)
+		free = max(c.Limits.Sockets-c.descriptorsForSettings()-siblingDescriptors-taken, 2)
 	case c.acceptFD > 0:
-		free -= newcomer + o.Descriptors
+		free -= successorDescriptors + o.Descriptors
 	}
 	r.clients = free / 2
 	r.servers = free - r.clients
@@ -56,30 +56,30 @@
 }
 
 // clients returns how many client connections fit a process that is alone.
-func (c *Config) clients() int { return c.processLimits(processgroup.Others{}).clients }
+func (c *Config) clients() int { return c.processLimits(processgroup.Siblings{}).clients }
 
 // join finds out whether another process of this router runs, as one does while it is being replaced.
-func (p *Program) join() (o processgroup.Others) {
+func (p *Program) joinProcessGroup() (o processgroup.Siblings) {
 	folder := p.getenv("TMPDIR")
 	if p.cfg.acceptFD == 0 || folder == "" {
 		return o
 	}
 	var err error
-	if p.place, err = processgroup.Join(folder); err != nil {
+	if p.processGroup, err = processgroup.Join(folder); err != nil {
 		p.log.Warn("limits not shared", "cause", err)
 		return o
 	}
-	return p.place.Others()
+	return p.processGroup.Siblings()
 }
 
 // fit keeps to what other processes leave until this one is alone, or ctx ends.
-func (p *Program) fit(ctx context.Context, o processgroup.Others) {
-	ticker := time.NewTicker(besideEvery)
+func (p *Program) adjustLimits(ctx context.Context, o processgroup.Siblings) {
+	ticker := time.NewTicker(siblingCheckInterval)
 	defer ticker.Stop()
 	for {
-		moved := p.carried()
+		moved := p.carriedStreams()
 		o.Descriptors += 2 * moved
-		p.take(p.cfg.processLimits(o))
+		p.applyLimits(p.cfg.processLimits(o))
 		if o.Processes == 0 && moved == 0 {
 			return
 		}
@@ -87,13 +87,13 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			o = p.place.Others()
+			o = p.processGroup.Siblings()
 		}
 	}
 }
 
 // take has every part keep to the limits.
-func (p *Program) take(r processLimits) {
+func (p *Program) applyLimits(r processLimits) {
 	if old := p.processLimits.Swap(&r); old != nil && *old == r {
 		return
 	}
@@ -104,8 +104,8 @@
 }
 
 // yield leaves half of the limits to the process that takes over.
-func (p *Program) yield() {
-	half := p.cfg.processLimits(processgroup.Others{Processes: 1, Unseen: true})
+func (p *Program) yieldLimits() {
+	half := p.cfg.processLimits(processgroup.Siblings{Processes: 1, Uncounted: true})
 	debug.SetMemoryLimit(half.heap)
 	p.servers.Limit(half.servers)
 }
--- a/internal/router/program/program.go
+++ b/internal/router/program/program.go
@@ -23,92 +23,127 @@
 )
 
 const (
-	probeAnswer = 60 * time.Millisecond // beyond the time to connect
+	probeAnswerTimeout = 60 * time.Millisecond // beyond the time to connect
 	// silentFor is how long a stream may be silent. From 5 s on its client is taken to be kept waiting for nothing.
-	silentFor = 4500 * time.Millisecond
+	streamIdleTimeout = 4500 * time.Millisecond
 )
 
 // Program is one router from start to exit.
 type Program struct {
-	cfg      *Config
-	getenv   func(string) string
-	file     string // the operators' settings, empty for none
-	log      routing.Logger
-	servers  *transport.Servers
-	mirror   *mirror.Mirror    // nil without a file
-	status   *transport.Status // nil where the settings name no folder
-	capture  *capture.Writer   // nil where they name no file
-	view     *peering.View     // of the fleet, nil where they have no such block
-	gate     *guard            // before the module
-	back     *comeback         // how this router does, nil where nothing is kept
-	gossip   *peering.Gossip   // the socket between routers, nil where there is none
-	balancer *balance.Balancer // the router's, once it runs
-	kept     keeper            // of what the next life is told
-	duties   *peering.Roles    // nil where they have no such block
-	parts    []part            // that were started
-	router   *routing.Router
-	front    *transport.Front
-	ln       net.Listener
+	cfg       *Config
+	getenv    func(string) string
+	file      string // the operators' settings, empty for none
+	log       routing.Logger
+	servers   *transport.Servers
+	mirror    *mirror.Mirror    // nil without a file
+	status    *transport.Status // nil where the settings name no folder
+	capture   *capture.Writer   // nil where they name no file
+	view      *peering.View     // of the fleet, nil where they have no such block
+	gate      *recoveryGate     // before the module
+	recovery  *recoveryDriver   // how this router does, nil where nothing is kept
+	gossip    *peering.Gossip   // the socket between routers, nil where there is none
+	balancer  *balance.Balancer // the router's, once it runs
+	snapshots snapshotKeeper    // of what the next life is told
+	roles     *peering.Roles    // nil where they have no such block
+	started   []component       // that were started
+	router    *routing.Router
+	front     *transport.Front
+	ln        net.Listener
 
-	management    *transport.Management         // the management address, nil without an address
-	inherited     bool                          // ln is also others'
-	place         *processgroup.Place           // among the processes of this router, nil where there is but one
-	receiver      *transport.Receiver           // of another process's connections, nil without a folder to share
-	mover         *transport.Mover              // of this one's, nil while it stays
-	processLimits atomic.Pointer[processLimits] // that this process takes up
-	force         atomic.Pointer[Config]        // the last good file
-	served        chan error                    // how accepting ended
-	said          chan Phase                    // phases whose lines are due
-	listVersion   atomic.Int64                  // of the list that was told last
-	zone          string                        // this router's, as the fleet view has it
-	copied        uint64                        // the token of another's record that is kept; Duties asks for one at a time
-	accepted      atomic.Uint64                 // files taken at SIGHUP
-	invalid       atomic.Uint64                 // files refused
+	management      *transport.Management         // the management address, nil without an address
+	inherited       bool                          // ln is also others'
+	processGroup    *processgroup.Slot            // among the processes of this router, nil where there is but one
+	receiver        *transport.Receiver           // of another process's connections, nil without a folder to share
+	mover           *transport.Mover              // of this one's, nil while it stays
+	processLimits   atomic.Pointer[processLimits] // that this process takes up
+	inForce         atomic.Pointer[Config]        // the last good file
+	serveResult     chan error                    // how accepting ended
+	enteredPhases   chan Phase                    // phases whose lines are due
+	listVersion     atomic.Int64                  // of the list that was told last
+	zone            string                        // this router's, as the fleet view has it
+	copiedToken     uint64                        // the token of another's record that is kept; Duties asks for one at a time
+	acceptedReloads atomic.Uint64                 // files taken at SIGHUP
+	refusedReloads  atomic.Uint64                 // files refused
 
-	mu        sync.Mutex
-	phase     Phase
-	accepting bool     // has begun
-	left      func()   // ends what the phase does as time passes
-	copiers   []string // pools to which one router copies, which this one wants
-	noLeave   func()   // ends the wait for leave to drain, nil where none is asked for
-	release   func()   // gives the routers' address up, nil where there is none
-	once      sync.Once
+	mu              sync.Mutex
+	phase           Phase
+	accepting       bool     // has begun
+	leavePhase      func()   // ends what the phase does as time passes
+	copiers         []string // pools to which one router copies, which this one wants
+	cancelDrainWait func()   // ends the wait for leave to drain, nil where none is asked for
+	releaseAddress  func()   // gives the routers' address up, nil where there is none
+	firstList       sync.Once
 }
 
 // New returns a program that has done nothing yet with its configuration, which Load and ReadSettings gave; file
 // names the operators' settings, and is empty where there are none.
 func New(cfg *Config, getenv func(string) string, file string, log routing.Logger) *Program {
 	p := &Program{cfg: cfg, getenv: getenv, file: file, log: log, phase: Starting,
-		served: make(chan error, 1), said: make(chan Phase, mostSaid), left: func() {}}
-	p.force.Store(cfg)
+		serveResult: make(chan error, 1), enteredPhases: make(chan Phase, maxQueuedPhases), leavePhase: func() {}}
+	p.inForce.Store(cfg)
 	return p
 }
 
-// Run serves until ctx ends, then leaves in order. Whenever something comes from reload, it takes up the
-// configuration anew, in any phase.
+// Run serves until ctx ends, then shuts down in order. Whenever a signal comes from reload, it reads
+// the configuration anew, in any phase. It returns nil after an orderly shutdown.
 func (p *Program) Run(ctx context.Context, reload <-chan os.Signal) error {
 	runtime.GOMAXPROCS(max(int(math.Ceil(p.cfg.Limits.Cores)), 1))
-	others := p.join()
-	if p.place != nil {
-		defer p.place.Leave()
+	siblings := p.joinProcessGroup()
+	if p.processGroup != nil {
+		defer p.processGroup.Leave()
 	}
-	b, err := balance.New(p.cfg.balance, p.cfg.seed)
+	if err := p.build(siblings); err != nil {
+		return err
+	}
+	if err := p.listen(ctx); err != nil {
+		return err
+	}
+
+	// The core and discovery work on until the last request is answered.
+	work, stop := context.WithCancel(context.Background())
+	defer stop()
+	written := make(chan struct{})
+	go p.logPhases(written)
+	defer func() {
+		p.mu.Lock()
+		p.phase = Stopped // no event leads on from here, whatever ended the program
+		p.mu.Unlock()
+		close(p.enteredPhases)
+		<-written
+	}()
+	defer p.stopComponents(false)
+	if err := p.startComponents(work); err != nil {
+		return err
+	}
+	p.serve(work, siblings, reload)
+
+	select {
+	case <-ctx.Done():
+	case err := <-p.serveResult:
+		return fmt.Errorf("listen: %w", err)
+	}
+	return p.shutdown()
+}
+
+// build makes the core, the connections to servers, the shadow pools and the front, within the
+// limits that the other processes of this router leave.
+func (p *Program) build(siblings processgroup.Siblings) error {
+	balancer, err := balance.New(p.cfg.balance, p.cfg.seed)
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	alone := p.cfg.processLimits(processgroup.Others{})
-	servers := transport.NewServers(transport.ServerLimits{Connect: p.cfg.connectFor(),
+	alone := p.cfg.processLimits(processgroup.Siblings{})
+	p.servers = transport.NewServers(transport.ServerLimits{Connect: p.cfg.connectTimeout(),
 		Keepalive:   time.Duration(p.cfg.Settings.Limits.KeepaliveNs),
-		Silent:      silentFor,
+		Silent:      streamIdleTimeout,
 		Connections: alone.servers}, p.log)
-	p.servers = servers
-	p.balancer = b
-	p.router = routing.New(b, servers, p.log, p.cfg.connectFor()+probeAnswer)
-	p.gate = &guard{g: recovery.NewGate(p.cfg.balance, nil, p.cfg.seed)}
+	p.balancer = balancer
+	p.router = routing.New(balancer, p.servers, p.log, p.cfg.connectTimeout()+probeAnswerTimeout)
+	p.gate = &recoveryGate{gate: recovery.NewGate(p.cfg.balance, nil, p.cfg.seed)}
 	p.router.Guard(p.gate)
 	var tap transport.Tap
 	if p.file != "" {
-		if err := p.startMirror(servers); err != nil {
+		if err := p.startMirror(p.servers); err != nil {
 			return err
 		}
 		tap = p.mirror
@@ -119,59 +154,42 @@
 			return err
 		}
 	}
-	p.take(p.cfg.processLimits(others))
+	p.applyLimits(p.cfg.processLimits(siblings))
 	if p.cfg.Limits.MemoryMB <= smallMemory {
 		releasePages()
 	}
-	if err := p.listen(ctx); err != nil {
-		return err
-	}
+	return nil
+}
 
-	// The core and discovery work on until the last request is answered.
-	work, stop := context.WithCancel(context.Background())
-	defer stop()
-	written := make(chan struct{})
-	go p.say(written)
-	defer func() {
-		p.mu.Lock()
-		p.phase = Stopped // nothing more happens, whatever ended it
-		p.mu.Unlock()
-		close(p.said)
-		<-written
-	}()
-	defer p.stop(false)
-	if err := p.start(work); err != nil {
-		return err
-	}
+// serve starts the goroutines that serve; work ends them.
+func (p *Program) serve(work context.Context, siblings processgroup.Siblings, reload <-chan os.Signal) {
 	go p.router.Run(work)
 	if p.mirror != nil {
-		go p.tendAdmission(work)
+		go p.runAdmission(work)
 	}
-	if others.Processes > 0 {
-		go p.fit(work, others)
+	if siblings.Processes > 0 {
+		go p.adjustLimits(work, siblings)
 	}
-	p.happen(opened)
-	p.stayDrained()
-	p.tell(&p.cfg.Known)
-	go p.watch(work, reload)
+	p.advance(listenerOpened)
+	p.restoreDrain()
+	p.applyServerList(&p.cfg.Known)
+	go p.watchDiscovery(work, reload)
+}
 
-	select {
-	case <-ctx.Done():
-	case err := <-p.served:
-		return fmt.Errorf("listen: %w", err)
-	}
-	p.leave()
-	p.happen(sigterm)
+// shutdown goes through the phases from SIGTERM to the last answer.
+func (p *Program) shutdown() error {
+	p.prepareShutdown()
+	p.advance(terminated)
 	if p.inherited {
-		p.yield()
+		p.yieldLimits()
 	}
-	time.Sleep(leaveFor)
-	p.happen(passed)
+	time.Sleep(shutdownGrace)
+	p.advance(graceElapsed)
 	if err := p.front.Shutdown(); err != nil {
 		return fmt.Errorf("shutdown: %w", err)
 	}
-	p.stop(true)
-	p.happen(emptied)
+	p.stopComponents(true)
+	p.advance(requestsDone)
 	return nil
 }
 
@@ -193,7 +211,7 @@
 
 // watch follows discovery until ctx ends. A reload moves it to the address that the file names by then; all else
 // goes on as it was. The old watch has ended before the new one begins, so no older list can come last.
-func (p *Program) watch(ctx context.Context, reload <-chan os.Signal) {
+func (p *Program) watchDiscovery(ctx context.Context, reload <-chan os.Signal) {
 	pace, since := transport.Pushed, int64(transport.WholeList)
 	if p.cfg.balance.AskForList {
 		o := p.cfg.Settings
@@ -207,9 +225,9 @@
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
-			transport.NewDiscovery(addr, pace, since, p.log, p.tell).Run(watching)
+			transport.NewDiscovery(addr, pace, since, p.log, p.applyServerList).Run(watching)
 		}()
-		addr, moved = p.newAddress(ctx, reload)
+		addr, moved = p.awaitDiscoveryChange(ctx, reload)
 		move()
 		<-ended
 		since = transport.WholeList // another discovery counts versions of its own
@@ -218,24 +236,24 @@
 
 // newAddress waits until a reload names another address of discovery; moved is false if ctx ended first. The
 // environment still has the address of the start, so the file is compared with what it said before.
-func (p *Program) newAddress(ctx context.Context, reload <-chan os.Signal) (addr string, moved bool) {
+func (p *Program) awaitDiscoveryChange(ctx context.Context, reload <-chan os.Signal) (addr string, moved bool) {
 	for {
 		select {
 		case <-ctx.Done():
 			return "", false
 		case <-reload:
 		}
-		cfg, err := Reload(p.getenv, p.force.Load())
+		cfg, err := Reload(p.getenv, p.inForce.Load())
 		if err != nil {
-			p.refuse(err)
+			p.refuseReload(err)
 			continue
 		}
 		if err := p.reloadSettings(cfg); err != nil {
-			p.refuse(err)
+			p.refuseReload(err)
 			continue
 		}
-		p.retune(cfg)
-		p.accepted.Add(1)
+		p.applySettings(cfg)
+		p.acceptedReloads.Add(1)
 		p.log.Info("reloaded", "discovery", cfg.discovery)
 		if cfg.discovery != p.cfg.discovery {
 			p.cfg.discovery = cfg.discovery
@@ -245,21 +263,21 @@
 }
 
 // refuse counts and tells that a file was refused.
-func (p *Program) refuse(cause error) {
-	p.invalid.Add(1)
+func (p *Program) refuseReload(cause error) {
+	p.refusedReloads.Add(1)
 	p.log.Warn("reload refused", "cause", cause)
 }
 
 // tell hands a list of listed servers to the core.
-func (p *Program) tell(l *protocol.List) {
-	p.kept.telling.Lock()
-	defer p.kept.telling.Unlock()
+func (p *Program) applyServerList(l *protocol.List) {
+	p.snapshots.applying.Lock()
+	defer p.snapshots.applying.Unlock()
 	p.router.Told(l.Members(), l.Addrs())
 	p.listVersion.Store(l.Version)
 	if l != &p.cfg.Known || len(l.Servers) > 0 { // a configuration that names nobody has said nothing
-		p.kept.take(l)
+		p.snapshots.mergeList(l)
 	}
 	if len(l.Servers) > 0 {
-		p.once.Do(func() { p.happen(listed) })
+		p.firstList.Do(func() { p.advance(serversListed) })
 	}
 }
--- a/internal/router/program/program_test.go
+++ b/internal/router/program/program_test.go
@@ -100,8 +100,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if n := c.clients(); 2*n+otherSockets > c.Limits.Sockets || 4*c.processLimits(processgroup.Others{}).bodies > c.Limits.MemoryMB<<20 {
-		t.Errorf("%d clients with %d bytes do not fit %+v", n, c.processLimits(processgroup.Others{}).bodies, c.Limits)
+	if n := c.clients(); 2*n+reservedDescriptors > c.Limits.Sockets || 4*c.processLimits(processgroup.Siblings{}).bodies > c.Limits.MemoryMB<<20 {
+		t.Errorf("%d clients with %d bytes do not fit %+v", n, c.processLimits(processgroup.Siblings{}).bodies, c.Limits)
 	}
 }
 
@@ -115,7 +115,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.Limits.Sockets = rapid.IntRange(otherSockets+2*fewestClient, 70000).Draw(t, "sockets")
+		c.Limits.Sockets = rapid.IntRange(reservedDescriptors+2*minClientConnections, 70000).Draw(t, "sockets")
 		text := ""
 		if rapid.Bool().Draw(t, "door") {
 			text += fmt.Sprintf("door {\n reserve = %v\n step = %d\n}\n", rapid.Float64Range(0, 0.9).Draw(t, "reserve"), rapid.IntRange(1, 20).Draw(t, "step"))
@@ -136,7 +136,7 @@
 			}
 			return // they do not fit, and it is said
 		}
-		ledger := c.shares(c.processLimits(processgroup.Others{}))
+		ledger := c.descriptorShares(c.processLimits(processgroup.Siblings{}))
 		if ledger.Shares() > ledger.Limit || ledger.Limit != c.Limits.Sockets {
 			t.Errorf("shares of %d under a limit of %d: %+v", ledger.Shares(), ledger.Limit, ledger)
 		}
--- a/internal/router/program/reload.go
+++ b/internal/router/program/reload.go
@@ -25,7 +25,7 @@
 	if err := errors.Join(json.Unmarshal(force.text, &was), json.Unmarshal(c.text, &is)); err != nil {
 		return nil, err // Load has read both before
 	}
-	if err := whole("", was, is); err != nil {
+	if err := checkComplete("", was, is); err != nil {
 		return nil, err
 	}
 	limits := c.Settings.Limits
@@ -42,9 +42,9 @@
 
 // whole tells the first key that was in force and that is not in a file, or holds something else there. Of a list, what
 // all its parts had, each must have.
-func whole(path string, was, is any) error {
+func checkComplete(path string, was, is any) error {
 	if fmt.Sprintf("%T", was) != fmt.Sprintf("%T", is) && was != nil {
-		return fmt.Errorf("%s is %s; it was %s", path, kind(is), kind(was))
+		return fmt.Errorf("%s is %s; it was %s", path, kindOf(is), kindOf(was))
 	}
 	switch was := was.(type) {
 	case map[string]any:
@@ -58,7 +58,7 @@
 			if !ok {
 				return fmt.Errorf("%s is missing", at)
 			}
-			if err := whole(at, was[key], value); err != nil {
+			if err := checkComplete(at, was[key], value); err != nil {
 				return err
 			}
 		}
@@ -67,7 +67,7 @@
 			return nil
 		}
 		for i, part := range is.([]any) {
-			if err := whole(fmt.Sprintf("%s[%d]", path, i), common(was), part); err != nil {
+			if err := checkComplete(fmt.Sprintf("%s[%d]", path, i), commonKeys(was), part); err != nil {
 				return err
 			}
 		}
@@ -76,7 +76,7 @@
 }
 
 // common is what all parts of a list have: the keys of objects, with what the first one has there, or else the first.
-func common(parts []any) any {
+func commonKeys(parts []any) any {
 	first, ok := parts[0].(map[string]any)
 	if !ok {
 		return parts[0]
@@ -90,7 +90,7 @@
 }
 
 // kind names what a value is.
-func kind(v any) string {
+func kindOf(v any) string {
 	switch v.(type) {
 	case nil:
 		return "null"
@@ -107,10 +107,10 @@
 }
 
 // retune puts the settings of a good file in force, in one event to the core.
-func (p *Program) retune(c *Config) {
-	p.force.Store(c)
+func (p *Program) applySettings(c *Config) {
+	p.inForce.Store(c)
 	p.router.Retune(c.balance)
-	p.servers.Retime(c.connectFor(), time.Duration(c.Settings.Limits.KeepaliveNs))
+	p.servers.Retime(c.connectTimeout(), time.Duration(c.Settings.Limits.KeepaliveNs))
 	p.front.Retune(p.admission(p.processLimits.Load().clients))
 	if p.mirror != nil {
 		p.mirror.Retune(c.balance)
--- a/internal/router/program/duties.go
+++ b/internal/router/program/roles.go
@@ -15,10 +15,10 @@
 )
 
 // dutyDrain is the leave to drain, by zone.
-const dutyDrain = "drain"
+const drainRole = "drain"
 
 // dutyConfig is what the block duties comes to. Every router makes the same of the same file.
-func (c *Config) dutyConfig(self lease.Router) peering.RolesConfig {
+func (c *Config) rolesConfig(self lease.Router) peering.RolesConfig {
 	s := c.set.Duties
 	d := peering.RolesConfig{Self: self, Timing: s.Times, Voters: s.Voters, ReplaceTimeout: s.Replace, Listen: s.Listen, Folder: s.Folder, Seed: c.seed, CandidateAddresses: map[string]string{}}
 	for _, r := range s.Routers {
@@ -29,7 +29,7 @@
 		d.Roles = append(d.Roles, lease.Role{Name: peering.ScribeRole})
 	}
 	if s.Drains > 0 {
-		d.Roles = append(d.Roles, lease.Role{Name: dutyDrain, MaxHolders: s.Drains, ByZone: true})
+		d.Roles = append(d.Roles, lease.Role{Name: drainRole, MaxHolders: s.Drains, ByZone: true})
 	}
 	for _, name := range c.set.Copiers() {
 		d.Roles = append(d.Roles, lease.Role{Name: settings.CopierDuty(name)})
@@ -38,7 +38,7 @@
 }
 
 // checkDuties looks at what the settings alone can't tell.
-func (c *Config) checkDuties(path string) error {
+func (c *Config) checkRoles(path string) error {
 	s := c.set.Duties
 	if s == nil {
 		return nil
@@ -54,140 +54,140 @@
 }
 
 // prepareDuties opens what duties need, before the fleet view is there that they follow.
-func (p *Program) prepareDuties(member lease.Router, send *peering.Gossip) (err error) {
+func (p *Program) prepareRoles(member lease.Router, send *peering.Gossip) (err error) {
 	if p.cfg.set.Duties == nil {
 		return nil
 	}
-	c := p.cfg.dutyConfig(member)
-	if p.duties, err = peering.NewRoles(c, send.Send, p.log); err != nil {
+	c := p.cfg.rolesConfig(member)
+	if p.roles, err = peering.NewRoles(c, send.Send, p.log); err != nil {
 		return fmt.Errorf("duties: %w", err)
 	}
-	p.duties.OnRecord(p.takeCopy)
-	p.mirror.Use(p.duties)
-	send.OnRolesDatagram(p.duties.HandleDatagram)
+	p.roles.OnRecord(p.storeCopy)
+	p.mirror.Use(p.roles)
+	send.OnRolesDatagram(p.roles.HandleDatagram)
 	return nil
 }
 
 // startDuties takes up the duties that this router wants.
-func (p *Program) startDuties(work context.Context) error {
-	if p.duties == nil {
+func (p *Program) startRoles(work context.Context) error {
+	if p.roles == nil {
 		return nil
 	}
-	p.duties.SetWorkContext(work)
-	p.duties.UpdateView(p.view.Now())
-	go p.duties.Run(work)
+	p.roles.SetWorkContext(work)
+	p.roles.UpdateView(p.view.Now())
+	go p.roles.Run(work)
 	if p.cfg.set.Duties.Scribe {
-		p.duties.Acquire(peering.ScribeRole, p.scribe)
+		p.roles.Acquire(peering.ScribeRole, p.scribe)
 	}
-	p.wantCopiers(p.cfg)
+	p.requestCopierRoles(p.cfg)
 	return nil
 }
 
 // wantCopiers has this router want the copying to the pools of one copier that settings have, and to no others.
-func (p *Program) wantCopiers(c *Config) {
+func (p *Program) requestCopierRoles(c *Config) {
 	names := c.set.Copiers()
 	for _, name := range p.copiers {
 		if !slices.Contains(names, name) {
-			p.duties.Release(settings.CopierDuty(name))
+			p.roles.Release(settings.CopierDuty(name))
 		}
 	}
 	for _, name := range names {
-		p.duties.Acquire(settings.CopierDuty(name), func(ctx context.Context, _ uint64) error { return p.mirror.Copies(ctx, name) })
+		p.roles.Acquire(settings.CopierDuty(name), func(ctx context.Context, _ uint64) error { return p.mirror.Copies(ctx, name) })
 	}
 	p.copiers = names
 }
 
 // reloadCopiers has there be the duties of the pools that a reload brings, before they are in force. What else the block duties has counts
 // from the start.
-func (p *Program) reloadCopiers(c *Config) error {
-	if p.duties == nil {
+func (p *Program) defineCopierRoles(c *Config) error {
+	if p.roles == nil {
 		if names := c.set.Copiers(); len(names) > 0 {
 			return fmt.Errorf("%s: shadow pool %q has one copier; the block duties that it needs counts from the next start", p.file, names[0])
 		}
 		return nil
 	}
-	all := slices.DeleteFunc(p.cfg.dutyConfig(lease.Router{}).Roles, func(d lease.Role) bool { return strings.HasPrefix(d.Name, settings.CopierDuty("")) })
+	all := slices.DeleteFunc(p.cfg.rolesConfig(lease.Router{}).Roles, func(d lease.Role) bool { return strings.HasPrefix(d.Name, settings.CopierDuty("")) })
 	for _, name := range c.set.Copiers() {
 		all = append(all, lease.Role{Name: settings.CopierDuty(name)})
 	}
-	if err := p.duties.Define(all); err != nil {
+	if err := p.roles.Define(all); err != nil {
 		return fmt.Errorf("%s: %w", p.file, err)
 	}
 	return nil
 }
 
 // giveBackWithin bounds for how long the others are told that duties are free. Nothing waits for it.
-const giveBackWithin = 500 * time.Millisecond
+const returnLeasesTimeout = 500 * time.Millisecond
 
 // leaveDuties gives back what this router holds. A planned end is not held up by it.
-func (p *Program) leaveDuties() {
-	if p.duties == nil {
+func (p *Program) returnLeases() {
+	if p.roles == nil {
 		return
 	}
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), giveBackWithin)
+		ctx, cancel := context.WithTimeout(context.Background(), returnLeasesTimeout)
 		defer cancel()
-		p.duties.ReleaseAll(ctx)
+		p.roles.ReleaseAll(ctx)
 	}()
 }
 
 // asksLeave tells whether a router needs leave to drain.
-func (p *Program) asksLeave() bool { return p.duties != nil && p.cfg.set.Duties.Drains > 0 }
+func (p *Program) needsDrainLease() bool { return p.roles != nil && p.cfg.set.Duties.Drains > 0 }
 
 // leaveToDrain drains once this router has leave, and answers at once: with the phase, or that it waits.
-func (p *Program) leaveToDrain() (string, error) {
-	name := dutyDrain + "@" + p.zone
+func (p *Program) drainWithLease() (string, error) {
+	name := drainRole + "@" + p.zone
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if transitions[p.phase][drainOn] == "" {
-		return string(p.phase), fmt.Errorf("%s is not possible while the router is %s", drainOn, p.phase)
+	if transitions[p.phase][drainRequested] == "" {
+		return string(p.phase), fmt.Errorf("%s is not possible while the router is %s", drainRequested, p.phase)
 	}
-	if p.noLeave != nil { // it waits already, or has it
+	if p.cancelDrainWait != nil { // it waits already, or has it
 		if p.phase == Draining || p.phase == Withheld {
 			return string(p.phase), nil
 		}
-		return waits(p.phase, name), nil
+		return waitingText(p.phase, name), nil
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	p.noLeave = cancel
+	p.cancelDrainWait = cancel
 	go func() {
 		asked := time.Now()
-		if p.duties.AcquireAndWait(ctx, name) != nil {
+		if p.roles.AcquireAndWait(ctx, name) != nil {
 			return
 		}
-		if phase, err := p.happen(drainOn); err != nil {
+		if phase, err := p.advance(drainRequested); err != nil {
 			p.log.Warn("leave came too late", "phase", phase)
-			p.duties.Release(name)
+			p.roles.Release(name)
 			return
 		}
-		p.kept.drained.Store(true)
+		p.snapshots.drained.Store(true)
 		p.log.Info("drains with leave", "duty", name, "waited", time.Since(asked).Round(time.Millisecond))
 	}()
-	return waits(p.phase, name), nil
+	return waitingText(p.phase, name), nil
 }
 
-func waits(phase Phase, name string) string {
+func waitingText(phase Phase, name string) string {
 	return string(phase) + ", waits for leave to drain: " + name
 }
 
 // endLeave gives the leave to drain back, or waits for it no more.
-func (p *Program) endLeave() {
+func (p *Program) releaseDrainLease() {
 	p.mu.Lock()
-	cancel := p.noLeave
-	p.noLeave = nil
+	cancel := p.cancelDrainWait
+	p.cancelDrainWait = nil
 	p.mu.Unlock()
 	if cancel != nil {
 		cancel()
-		p.duties.Release(dutyDrain + "@" + p.zone)
+		p.roles.Release(drainRole + "@" + p.zone)
 	}
 }
 
 // Duties implements management.Router.
 func (p *Program) Duties() (lines []string, on bool) {
-	if p.duties == nil {
+	if p.roles == nil {
 		return nil, false
 	}
-	d := p.duties
+	d := p.roles
 	s := d.VoterStatus()
 	if s == nil {
 		lines = append(lines, fmt.Sprintf("duties leader=%s stage=asks voters=%s token=%d", field(d.Leader()), names(d.Candidates()), d.HighestToken()))
@@ -221,33 +221,33 @@
 
 // GiveDuty implements management.Router.
 func (p *Program) GiveDuty(name, to string, token uint64) error {
-	if p.duties == nil {
+	if p.roles == nil {
 		return errNoDuties
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), rebuildWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), votersTimeout)
 	defer cancel()
-	return p.duties.RequestTransfer(ctx, name, to, token)
+	return p.roles.RequestTransfer(ctx, name, to, token)
 }
 
 // rebuildWithin is how long admission waits for voters.
-const rebuildWithin = 800 * time.Millisecond
+const votersTimeout = 800 * time.Millisecond
 
 // RebuildDuties implements management.Router.
 func (p *Program) RebuildDuties(gone []string) error {
-	if p.duties == nil {
+	if p.roles == nil {
 		return errNoDuties
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), rebuildWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), votersTimeout)
 	defer cancel()
-	return p.duties.Rebuild(ctx, gone)
+	return p.roles.Rebuild(ctx, gone)
 }
 
 // dutyValues are the figures of duties, nil where there are none.
-func (p *Program) dutyValues() *management.Duties {
-	if p.duties == nil {
+func (p *Program) roleValues() *management.Duties {
+	if p.roles == nil {
 		return nil
 	}
-	f := p.duties.Counters()
+	f := p.roles.Counters()
 	return &management.Duties{Held: f.Leased, Wanted: f.Requested, Begun: f.Begun, Ended: f.Ended, Refused: f.Rejected, Sent: f.Sent, Stopped: f.Leaderless,
 		Commands: f.Commands, Elections: f.Elections, Log: f.LogEntries, Token: f.Token}
 }
--- a/internal/router/program/scribe.go
+++ b/internal/router/program/scribe.go
@@ -29,23 +29,23 @@
 }
 
 const (
-	recordVersion = 1
-	recordFile    = "fleet-record.json"
-	copyFile      = "fleet-record.copy.json" // another router's
-	recordEvery   = time.Second              // between two looks; what has not changed is written each tenth time
-	recordAnyway  = 10
-	mostRecord    = 1 << 20 // bytes
+	recordVersion       = 1
+	recordFile          = "fleet-record.json"
+	recordCopyFile      = "fleet-record.copy.json" // another router's
+	recordInterval      = time.Second              // between two looks; what has not changed is written each tenth time
+	recordRewriteRounds = 10
+	maxRecordBytes      = 1 << 20 // bytes
 )
 
 // scribe keeps the fleet's record while it has the duty, with a copy at one more router that may vote.
 func (p *Program) scribe(ctx context.Context, token uint64) error {
-	ticker := time.NewTicker(recordEvery)
+	ticker := time.NewTicker(recordInterval)
 	defer ticker.Stop()
 	var last string
 	for n := 0; ; n++ {
 		r := p.record(token)
-		if key := fmt.Sprint(r.List, r.Settings, r.Digest, r.Token); key != last || n%recordAnyway == 0 {
-			if _, _, ok := p.duties.Check(peering.ScribeRole); !ok {
+		if key := fmt.Sprint(r.List, r.Settings, r.Digest, r.Token); key != last || n%recordRewriteRounds == 0 {
+			if _, _, ok := p.roles.Check(peering.ScribeRole); !ok {
 				return nil
 			}
 			text, err := json.Marshal(r)
@@ -55,7 +55,7 @@
 			if err != nil {
 				return fmt.Errorf("the fleet's record: %w", err)
 			}
-			p.duties.SendRecord(token, text)
+			p.roles.SendRecord(token, text)
 			last = key
 		}
 		select {
@@ -70,7 +70,7 @@
 func (p *Program) record(token uint64) *Record {
 	v := p.view.Now()
 	r := &Record{Version: recordVersion, Token: token, Scribe: p.cfg.member().Name, At: time.Now().UTC().Truncate(time.Second), List: p.listVersion.Load(),
-		View: v.Version, Digest: fmt.Sprintf("%016x", v.Digest), Largest: p.duties.HighestToken()}
+		View: v.Version, Digest: fmt.Sprintf("%016x", v.Digest), Largest: p.roles.HighestToken()}
 	if text, err := os.ReadFile(p.file); err == nil {
 		r.Settings = fmt.Sprintf("%016x", xxhash.Sum64(text))
 	}
@@ -81,25 +81,25 @@
 }
 
 // takeCopy keeps another router's record, unless it is of an older token than the one at hand. It returns that one.
-func (p *Program) takeCopy(token uint64, text []byte) (highest uint64) {
+func (p *Program) storeCopy(token uint64, text []byte) (highest uint64) {
 	var r Record
-	if len(text) > mostRecord || json.Unmarshal(text, &r) != nil || r.Version != recordVersion {
+	if len(text) > maxRecordBytes || json.Unmarshal(text, &r) != nil || r.Version != recordVersion {
 		return 0
 	}
-	path := filepath.Join(p.cfg.set.Duties.Folder, copyFile)
-	if p.copied == 0 {
+	path := filepath.Join(p.cfg.set.Duties.Folder, recordCopyFile)
+	if p.copiedToken == 0 {
 		var old Record
 		if had, err := os.ReadFile(path); err == nil && json.Unmarshal(had, &old) == nil {
-			p.copied = old.Token
+			p.copiedToken = old.Token
 		}
 	}
-	if token < p.copied {
-		return p.copied
+	if token < p.copiedToken {
+		return p.copiedToken
 	}
 	if err := durable.WriteFileAtomic(path, text); err != nil {
 		p.log.Warn("fleet's record not kept", "cause", err)
 		return 0
 	}
-	p.copied = token
+	p.copiedToken = token
 	return 0
 }
--- a/internal/router/program/shadow.go
+++ b/internal/router/program/shadow.go
@@ -13,12 +13,12 @@
 )
 
 // closeFor is how long the end of the program may wait for the last records.
-const closeFor = 200 * time.Millisecond
+const mirrorCloseTimeout = 200 * time.Millisecond
 
 // startMirror turns on what the operators' settings say.
 func (p *Program) startMirror(servers *transport.Servers) error {
 	var refused uint64
-	p.mirror = mirror.New(mirror.Options{Balance: p.cfg.balance, Seed: p.cfg.seed, Connect: p.cfg.connectFor(),
+	p.mirror = mirror.New(mirror.Options{Balance: p.cfg.balance, Seed: p.cfg.seed, Connect: p.cfg.connectTimeout(),
 		Idle: time.Duration(p.cfg.Settings.Limits.KeepaliveNs), Log: p.log,
 		Sample: func() shadow.Sample {
 			core, front := p.router.Load(), p.front.Load()
@@ -48,7 +48,7 @@
 	if p.mirror == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), closeFor)
+	ctx, cancel := context.WithTimeout(context.Background(), mirrorCloseTimeout)
 	defer cancel()
 	p.mirror.Close(ctx)
 	if p.status != nil {
@@ -65,20 +65,20 @@
 	if err := cfg.ReadSettings(p.file); err != nil {
 		return err
 	}
-	if got, most := cfg.aside(), p.cfg.aside(); got > most {
+	if got, most := cfg.descriptorsForSettings(), p.cfg.descriptorsForSettings(); got > most {
 		return fmt.Errorf("%s: shadow and status may use %d descriptors; %d were set aside at the start", p.file, got, most)
 	}
 	if err := p.reloadAdmission(cfg); err != nil {
 		return err
 	}
-	if err := p.reloadCopiers(cfg); err != nil {
+	if err := p.defineCopierRoles(cfg); err != nil {
 		return err
 	}
 	if err := p.mirror.Apply(cfg.set.Shadow); err != nil {
 		return err
 	}
-	if p.duties != nil {
-		p.wantCopiers(cfg)
+	if p.roles != nil {
+		p.requestCopierRoles(cfg)
 	}
 	return nil
 }
--- a/internal/router/program/shadow_test.go
+++ b/internal/router/program/shadow_test.go
@@ -635,7 +635,7 @@
 	scripted.Next(t, candidate.Started, "a copy")
 	s.live.Set(scripted.Manner{Status: 503})
 	for _, e := range []string{"Terminating", "Ready"} { // no server: requests are held
-		s.p.tell(mustList(t, scripted.List(9, false, scripted.Entry("s0", s.live.Addr, e))))
+		s.p.applyServerList(mustList(t, scripted.List(9, false, scripted.Entry("s0", s.live.Addr, e))))
 		if e == "Ready" {
 			break
 		}
--- a/internal/router/program/snapshot.go
+++ b/internal/router/program/snapshot.go
@@ -23,38 +23,38 @@
 )
 
 const (
-	keepEvery = time.Second // between two writes at the least; what has not changed is not written
-	keepLock  = "router.lock"
+	snapshotInterval = time.Second // between two writes at the least; what has not changed is not written
+	lockFile         = "router.lock"
 	// learnedEvery is how often what the module has learned is written although nothing else has changed.
-	learnedEvery = 10 * time.Second
+	learnedInterval = 10 * time.Second
 )
 
 // keeper keeps what the next life of this router is told.
-type keeper struct {
-	telling sync.Mutex // held while the core is told of hosts: the old list must not come after discovery's. Taken before mu
-	mu      sync.Mutex
-	list    map[string]protocol.ServiceEntry // as merged so far; nil until discovery speaks
-	told    int64
-	changes uint64 // of the list
-	on      bool   // something is kept
+type snapshotKeeper struct {
+	applying    sync.Mutex // held while the core is told of hosts: the old list must not come after discovery's. Taken before mu
+	mu          sync.Mutex
+	list        map[string]protocol.ServiceEntry // as merged so far; nil until discovery speaks
+	listVersion int64
+	changes     uint64 // of the list
+	enabled     bool   // something is kept
 
-	before     *snapshot.State // of the last life, nil for none
-	generation uint64
-	lock       *os.File
-	ended      bool
-	written    atomic.Uint64
-	began      time.Time
-	failed     string            // the last failure that was told
-	usual      recovery.Baseline // the deciding goroutine's
-	learned    atomic.Pointer[learned]
-	drained    atomic.Bool
-	open       durable.ScratchFile // requests that are
-	isOpen     bool                // the last look found some
-	old        *protocol.List      // of the last life, once it is used
+	previous     *snapshot.State // of the last life, nil for none
+	generation   uint64
+	lock         *os.File
+	closed       bool
+	written      atomic.Uint64
+	startedAt    time.Time
+	lastFailure  string            // the last failure that was told
+	usual        recovery.Baseline // the deciding goroutine's
+	learned      atomic.Pointer[learned]
+	drained      atomic.Bool
+	openRequests durable.ScratchFile // requests that are
+	hadOpen      bool                // the last look found some
+	previousList *protocol.List      // of the last life, once it is used
 }
 
 // rememberFor is for how long the members of the last life's view are kept though they are in this one's no more: power may be lost again before all are back.
-const rememberFor = 30 * time.Second
+const previousViewTTL = 30 * time.Second
 
 // learned is what the module knew of a usual day when it was asked last.
 type learned struct {
@@ -63,22 +63,22 @@
 }
 
 // learns keeps what the module has learned, while hosts are warm.
-func (p *Program) learns(now time.Duration, l balance.Learned) {
-	if !p.gate.g.Warm(now) {
+func (p *Program) recordLearned(now time.Duration, l balance.Learned) {
+	if !p.gate.gate.Warm(now) {
 		return
 	}
-	u := &p.kept.usual
-	u.Update(now, l, p.gate.g.Demand())
+	u := &p.snapshots.usual
+	u.Update(now, l, p.gate.gate.Demand())
 	if mean, ok := u.Learned(); ok {
-		p.kept.learned.Store(&learned{mean, maps.Clone(u.Demand())})
+		p.snapshots.learned.Store(&learned{mean, maps.Clone(u.Demand())})
 	}
 }
 
 // take merges a list.
-func (k *keeper) take(l *protocol.List) {
+func (k *snapshotKeeper) mergeList(l *protocol.List) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if !k.on {
+	if !k.enabled {
 		return
 	}
 	if k.list == nil {
@@ -92,18 +92,18 @@
 			delete(k.list, e.ID)
 		}
 	}
-	k.told = l.Version
+	k.listVersion = l.Version
 	if l.Full || len(l.Servers) > 0 {
 		k.changes++
 	}
 }
 
 // incarnation is the least that this life may have in the fleet view, 0 for any.
-func (k *keeper) incarnation() uint32 {
-	if k.before == nil || k.before.Incarnation == 0 {
+func (k *snapshotKeeper) incarnation() uint32 {
+	if k.previous == nil || k.previous.Incarnation == 0 {
 		return 0
 	}
-	return k.before.Incarnation + 1
+	return k.previous.Incarnation + 1
 }
 
 // startSnapshot reads what the last life has left. What this one knows is kept once all parts are there.
@@ -111,13 +111,13 @@
 	if p.cfg.set == nil || p.cfg.set.Recovery == nil {
 		return nil
 	}
-	k, folder := &p.kept, p.cfg.set.Recovery.Folder
+	k, folder := &p.snapshots, p.cfg.set.Recovery.Folder
 	k.mu.Lock()
-	k.on, k.began = true, time.Now()
+	k.enabled, k.startedAt = true, time.Now()
 	k.mu.Unlock()
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		p.log.Warn("snapshot not kept", "cause", err)
-	} else if k.lock, err = durable.Lock(folder, keepLock); errors.Is(err, durable.ErrLocked) && !p.inherited {
+	} else if k.lock, err = durable.Lock(folder, lockFile); errors.Is(err, durable.ErrLocked) && !p.inherited {
 		return fmt.Errorf("recovery: %w", err)
 	}
 	var files [2][]byte
@@ -136,42 +136,44 @@
 		p.log.Warn("snapshot of another router", "router", before.Router)
 		before = nil
 	}
-	k.before, k.generation = before, generation
+	k.previous, k.generation = before, generation
 	var demand map[string]float64
 	if before != nil && before.Learned != nil {
 		demand = before.Demand
 		k.usual.Restore(*before.Learned, demand)
 		p.balancer.Recall(*before.Learned)
 	}
-	p.gate.g = recovery.NewGate(p.cfg.balance, demand, p.cfg.seed)
-	p.router.Keeps(p.learns)
+	p.gate.gate = recovery.NewGate(p.cfg.balance, demand, p.cfg.seed)
+	p.router.Keeps(p.recordLearned)
 	if before != nil {
 		hosts := 0
 		if before.List != nil {
 			hosts = len(before.List.Servers)
 		}
 		settings := "same"
-		if before.SettingsDigest != p.digest() {
+		if before.SettingsDigest != p.settingsDigest() {
 			settings = "changed"
 		}
-		p.log.Info("snapshot read", "generation", generation, "hosts", hosts, "drained", before.Drained, "unanswered", p.unanswered(folder), "settings", settings)
+		p.log.Info("snapshot read", "generation", generation, "hosts", hosts, "drained", before.Drained, "unanswered", p.countUnanswered(folder), "settings", settings)
 	}
-	return p.prepareReturn(before, broken)
+	return p.prepareRecovery(before, broken)
 }
 
 // source names whose list it is.
-func (p *Program) source() string {
+func (p *Program) listSource() string {
 	if name := p.cfg.set.Recovery.Discovery; name != "" {
 		return name
 	}
-	return p.force.Load().discovery
+	return p.inForce.Load().discovery
 }
 
 // digest stands for the settings in force.
-func (p *Program) digest() string { return fmt.Sprintf("%016x", xxhash.Sum64(p.force.Load().text)) }
+func (p *Program) settingsDigest() string {
+	return fmt.Sprintf("%016x", xxhash.Sum64(p.inForce.Load().text))
+}
 
 // unanswered is how many requests the last life had taken and not answered, as far as it has been kept. Nothing is sent again for them.
-func (p *Program) unanswered(folder string) int {
+func (p *Program) countUnanswered(folder string) int {
 	text, err := os.ReadFile(filepath.Join(folder, snapshot.OpenRequestsFile))
 	if err != nil {
 		return 0
@@ -188,35 +190,35 @@
 }
 
 // keepOpen writes which requests are open, if there are any or were.
-func (p *Program) keepOpen(folder string) {
-	k := &p.kept
+func (p *Program) writeOpenRequests(folder string) {
+	k := &p.snapshots
 	s := &snapshot.State{Router: p.cfg.Name}
 	ids, classes, more := p.router.Open(snapshot.MaxOpenRequests)
 	for i, id := range ids {
 		s.OpenRequests = append(s.OpenRequests, snapshot.OpenRequest{ID: id, Class: classes[i]})
 	}
-	if s.OmittedRequests = more; len(ids) == 0 && !k.isOpen {
+	if s.OmittedRequests = more; len(ids) == 0 && !k.hadOpen {
 		return
 	}
-	k.open.Path = filepath.Join(folder, snapshot.OpenRequestsFile)
-	if k.isOpen = len(ids) > 0; !k.isOpen {
-		k.open.Remove()
+	k.openRequests.Path = filepath.Join(folder, snapshot.OpenRequestsFile)
+	if k.hadOpen = len(ids) > 0; !k.hadOpen {
+		k.openRequests.Remove()
 		return
 	}
 	if text, err := snapshot.Encode(s, 0); err == nil {
-		p.notKept(k.open.Write(text)) // for people alone: not worth a wait for the disk each second
+		p.reportWrite(k.openRequests.Write(text)) // for people alone: not worth a wait for the disk each second
 	}
 }
 
 // useOldList has the hosts of the last life served from, but for those that get nothing by another router's word. Whether they have started since nobody knows,
 // so they count as just started; whatever discovery says then, whichever its version, takes the list's place.
-func (p *Program) useOldList(not []string) {
-	p.kept.telling.Lock()
-	defer p.kept.telling.Unlock()
-	if _, spoke := p.kept.listed(); spoke {
+func (p *Program) usePreviousList(not []string) {
+	p.snapshots.applying.Lock()
+	defer p.snapshots.applying.Unlock()
+	if _, spoke := p.snapshots.hasList(); spoke {
 		return
 	}
-	old := p.kept.before.List
+	old := p.snapshots.previous.List
 	l := &protocol.List{Full: true}
 	now := float64(time.Now().UnixMilli())
 	for _, e := range old.Servers {
@@ -224,23 +226,23 @@
 			l.Servers = append(l.Servers, e)
 		}
 	}
-	p.kept.mu.Lock()
-	p.kept.old = l
-	p.kept.mu.Unlock()
-	p.back.shunned.Add(uint64(len(not)))
+	p.snapshots.mu.Lock()
+	p.snapshots.previousList = l
+	p.snapshots.mu.Unlock()
+	p.recovery.excludedHosts.Add(uint64(len(not)))
 	p.log.Warn("list of the last life used", "hosts", len(l.Servers), "version", old.Version, "shunned", len(not))
 	p.router.Told(l.Members(), l.Addrs())
 	if len(l.Servers) > 0 {
-		p.once.Do(func() { p.happen(listed) })
+		p.firstList.Do(func() { p.advance(serversListed) })
 	}
 }
 
 // shun has hosts of the last life's list get nothing more, while that is in use.
-func (p *Program) shun(not []string) {
-	p.kept.telling.Lock()
-	defer p.kept.telling.Unlock()
-	old := p.kept.old
-	if _, spoke := p.kept.listed(); old == nil || spoke {
+func (p *Program) excludeHosts(not []string) {
+	p.snapshots.applying.Lock()
+	defer p.snapshots.applying.Unlock()
+	old := p.snapshots.previousList
+	if _, spoke := p.snapshots.hasList(); old == nil || spoke {
 		return
 	}
 	l := &protocol.List{}
@@ -250,16 +252,16 @@
 			l.Servers = append(l.Servers, e)
 		}
 	}
-	p.back.shunned.Add(uint64(len(l.Servers)))
-	p.log.Warn("hosts of the last life's list shunned", "hosts", strings.Join(not[:min(len(not), mostNamed)], ","), "count", len(not))
+	p.recovery.excludedHosts.Add(uint64(len(l.Servers)))
+	p.log.Warn("hosts of the last life's list shunned", "hosts", strings.Join(not[:min(len(not), maxNamedHosts)], ","), "count", len(not))
 	p.router.Told(l.Members(), l.Addrs())
 }
 
 // mostNamed bounds the hosts that a line names.
-const mostNamed = 8
+const maxNamedHosts = 8
 
 // share is what the listed hosts can do by now, of what they do when warm.
-func (k *keeper) share(c *balance.Config) float64 {
+func (k *snapshotKeeper) warmFraction(c *balance.Config) float64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now, sum, n := time.Duration(time.Now().UnixNano()), 0.0, 0
@@ -272,9 +274,9 @@
 	for _, e := range k.list {
 		add(&e)
 	}
-	if k.list == nil && k.old != nil {
-		for i := range k.old.Servers {
-			add(&k.old.Servers[i])
+	if k.list == nil && k.previousList != nil {
+		for i := range k.previousList.Servers {
+			add(&k.previousList.Servers[i])
 		}
 	}
 	if n == 0 {
@@ -284,15 +286,15 @@
 }
 
 // keep writes what has changed, once a second at most, until ctx ends.
-func (p *Program) keep(ctx context.Context, folder string) {
-	ticker := time.NewTicker(keepEvery)
+func (p *Program) writeSnapshots(ctx context.Context, folder string) {
+	ticker := time.NewTicker(snapshotInterval)
 	defer ticker.Stop()
-	defer p.kept.open.Close()
+	defer p.snapshots.openRequests.Close()
 	last := ""
 	for {
-		if p.kept.locked(folder) {
-			last = p.keepOnce(folder, last)
-			p.keepOpen(folder)
+		if p.snapshots.lockFolder(folder) {
+			last = p.writeSnapshot(folder, last)
+			p.writeOpenRequests(folder)
 		}
 		select {
 		case <-ctx.Done():
@@ -303,29 +305,29 @@
 }
 
 // locked takes the folder, unless a process that is replaced still has it.
-func (k *keeper) locked(folder string) bool {
+func (k *snapshotKeeper) lockFolder(folder string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.lock == nil && !k.ended {
-		k.lock, _ = durable.Lock(folder, keepLock)
+	if k.lock == nil && !k.closed {
+		k.lock, _ = durable.Lock(folder, lockFile)
 	}
 	return k.lock != nil
 }
 
 // stayDrained has a router that was drained in its last life begin so.
-func (p *Program) stayDrained() {
-	if b := p.kept.before; b != nil && b.Drained {
-		if _, err := p.happen(drainOn); err == nil {
-			p.kept.drained.Store(true)
+func (p *Program) restoreDrain() {
+	if b := p.snapshots.previous; b != nil && b.Drained {
+		if _, err := p.advance(drainRequested); err == nil {
+			p.snapshots.drained.Store(true)
 		}
 	}
 }
 
 // keepOnce writes the present state, unless it is as before: what it depends on is compared first, as putting it together costs some
 // milliseconds at 1,000 hosts.
-func (p *Program) keepOnce(folder, last string) string {
-	k := &p.kept
-	key := p.keptOf()
+func (p *Program) writeSnapshot(folder, last string) string {
+	k := &p.snapshots
+	key := p.snapshotKey()
 	if key == last {
 		return last
 	}
@@ -338,7 +340,7 @@
 	if err == nil {
 		err = durable.WriteFileAtomic(filepath.Join(folder, snapshot.GenerationFiles[(k.generation+1)%2]), text)
 	}
-	if p.notKept(err); err != nil {
+	if p.reportWrite(err); err != nil {
 		return last
 	}
 	k.generation++
@@ -347,19 +349,19 @@
 }
 
 // notKept says once that something could not be written, nil for something that was.
-func (p *Program) notKept(err error) {
+func (p *Program) reportWrite(err error) {
 	switch {
 	case err == nil:
-		p.kept.failed = ""
-	case reason(err) != p.kept.failed:
-		p.kept.failed = reason(err)
+		p.snapshots.lastFailure = ""
+	case errorKind(err) != p.snapshots.lastFailure:
+		p.snapshots.lastFailure = errorKind(err)
 		p.log.Warn("snapshot not kept", "cause", err)
 	}
 }
 
 // keptOf tells states apart that are to be kept.
-func (p *Program) keptOf() string {
-	k := &p.kept
+func (p *Program) snapshotKey() string {
+	k := &p.snapshots
 	k.mu.Lock()
 	changes := k.changes
 	k.mu.Unlock()
@@ -368,33 +370,33 @@
 		v := p.view.Now()
 		view = v.Version ^ v.Digest
 	}
-	if p.duties != nil {
-		token = p.duties.HighestToken()
+	if p.roles != nil {
+		token = p.roles.HighestToken()
 	}
-	return fmt.Sprint(changes, view, token, k.drained.Load(), time.Since(k.began)/learnedEvery)
+	return fmt.Sprint(changes, view, token, k.drained.Load(), time.Since(k.startedAt)/learnedInterval)
 }
 
 // reason is an error without the names that change each time.
-func reason(err error) string {
+func errorKind(err error) string {
 	text := err.Error()
 	return text[strings.LastIndex(text, ":")+1:]
 }
 
 // snapshot is what this router knows by now, nil while that is less than what the last life knew.
 func (p *Program) snapshot() *snapshot.State {
-	k := &p.kept
+	k := &p.snapshots
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	s := &snapshot.State{Router: p.cfg.Name, ListSource: p.source(), Drained: k.drained.Load(), SettingsDigest: p.digest()}
+	s := &snapshot.State{Router: p.cfg.Name, ListSource: p.listSource(), Drained: k.drained.Load(), SettingsDigest: p.settingsDigest()}
 	switch {
 	case k.list != nil:
-		s.List = &protocol.List{Version: k.told, Full: true}
+		s.List = &protocol.List{Version: k.listVersion, Full: true}
 		for _, e := range k.list {
 			s.List.Servers = append(s.List.Servers, e)
 		}
 		slices.SortFunc(s.List.Servers, func(a, b protocol.ServiceEntry) int { return strings.Compare(a.ID, b.ID) })
-	case k.before != nil:
-		s.List, s.ListSource = k.before.List, k.before.ListSource
+	case k.previous != nil:
+		s.List, s.ListSource = k.previous.List, k.previous.ListSource
 	default:
 		return nil
 	}
@@ -408,34 +410,34 @@
 			}
 		}
 	}
-	if k.before != nil && p.back != nil && (p.back.stage.Load() < int32(recovery.Recovered) || time.Since(k.began) < rememberFor) {
-		for _, r := range k.before.Routers { // who has not been heard yet may be as late as this one
+	if k.previous != nil && p.recovery != nil && (p.recovery.stage.Load() < int32(recovery.Recovered) || time.Since(k.startedAt) < previousViewTTL) {
+		for _, r := range k.previous.Routers { // who has not been heard yet may be as late as this one
 			if !slices.ContainsFunc(s.Routers, func(x snapshot.Router) bool { return x.Name == r.Name }) {
 				s.Routers = append(s.Routers, r)
 			}
 		}
 	}
-	if k.before != nil {
-		s.Incarnation, s.HighestToken = max(s.Incarnation, k.before.Incarnation), k.before.HighestToken
+	if k.previous != nil {
+		s.Incarnation, s.HighestToken = max(s.Incarnation, k.previous.Incarnation), k.previous.HighestToken
 	}
 	if l := k.learned.Load(); l != nil {
 		s.Learned, s.Demand = &l.mean, l.demand
-	} else if k.before != nil {
-		s.Learned, s.Demand = k.before.Learned, k.before.Demand
+	} else if k.previous != nil {
+		s.Learned, s.Demand = k.previous.Learned, k.previous.Demand
 	}
-	if p.duties != nil {
-		s.HighestToken = max(s.HighestToken, p.duties.HighestToken())
+	if p.roles != nil {
+		s.HighestToken = max(s.HighestToken, p.roles.HighestToken())
 	}
 	return s
 }
 
 // stopSnapshot gives the folder to whoever comes next.
 func (p *Program) stopSnapshot() {
-	p.kept.mu.Lock()
-	defer p.kept.mu.Unlock()
-	p.kept.ended = true
-	if p.kept.lock != nil {
-		p.kept.lock.Close()
-		p.kept.lock = nil
+	p.snapshots.mu.Lock()
+	defer p.snapshots.mu.Unlock()
+	p.snapshots.closed = true
+	if p.snapshots.lock != nil {
+		p.snapshots.lock.Close()
+		p.snapshots.lock = nil
 	}
 }
--- a/internal/router/program/stored_test.go
+++ b/internal/router/program/stored_test.go
@@ -97,10 +97,10 @@
 	if err := <-ended; err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(goldenSnapshot(41), p.kept.before); diff != "" {
+	if diff := cmp.Diff(goldenSnapshot(41), p.snapshots.previous); diff != "" {
 		t.Errorf("what was there is read as\n%s", diff)
 	}
-	if n := p.unanswered(goldenFolder(t)); n != 7 {
+	if n := p.countUnanswered(goldenFolder(t)); n != 7 {
 		t.Errorf("%d requests count as unanswered", n)
 	}
 	want := goldenSnapshot(41)
@@ -140,13 +140,13 @@
 	newProgram := func() *Program {
 		return New(&Config{set: &settings.Settings{Duties: &settings.Duties{Folder: folder}}}, func(string) string { return "" }, "", make(scripted.Lines, 10))
 	}
-	if highest := newProgram().takeCopy(77, text); highest != 0 {
+	if highest := newProgram().storeCopy(77, text); highest != 0 {
 		t.Errorf("a record of token %d is at hand", highest)
 	}
 	if kept, err := os.ReadFile(filepath.Join(folder, "fleet-record.copy.json")); err != nil || string(kept) != string(text) {
 		t.Errorf("%q, %v", kept, err)
 	}
-	if highest := newProgram().takeCopy(76, text); highest != 77 { // another process: what it knows is in the file
+	if highest := newProgram().storeCopy(76, text); highest != 77 { // another process: what it knows is in the file
 		t.Errorf("an older record is answered with %d", highest)
 	}
 }
