--- a/cmd/reachspread/failures_test.go
+++ b/cmd/reachspread/failures_test.go
@@ -76,12 +76,12 @@
 			read()
 		}
 	}()
-	failpoint.Set(&failpoint.Failures{
-		Lose: func(to string) bool {
+	failpoint.Set(&failpoint.Faults{
+		DropMessage: func(to string) bool {
 			host, _, err := net.SplitHostPort(to)
 			return err == nil && slices.Contains(now.Load().lose, host)
 		},
-		Write: func() error {
+		BeforeWrite: func() error {
 			for now.Load().stall {
 				time.Sleep(readFailures)
 			}
--- a/coord/failpoint/failpoint.go
+++ b/coord/failpoint/failpoint.go
@@ -6,28 +6,28 @@
 import "sync/atomic"
 
 // Failures are what fails in this process. Both functions are called by many goroutines at once.
-type Failures struct {
+type Faults struct {
 	// Lose tells whether a message to an address is lost.
-	Lose func(to string) bool
+	DropMessage func(to string) bool
 	// Write is called before each write to the disk and each sync. It may block, and its error is that of the write.
-	Write func() error
+	BeforeWrite func() error
 }
 
-var set atomic.Pointer[Failures]
+var active atomic.Pointer[Faults]
 
 // Set has failures begin, in place of those before; nil ends them. Both functions of what is set must be there.
-func Set(f *Failures) { set.Store(f) }
+func Set(f *Faults) { active.Store(f) }
 
 // Lost tells whether a message to an address is to be lost.
-func Lost(to string) bool {
-	f := set.Load()
-	return f != nil && f.Lose(to)
+func DropMessage(to string) bool {
+	f := active.Load()
+	return f != nil && f.DropMessage(to)
 }
 
 // Write is to be called before a write to the disk, or a sync; where it returns an error, that is what became of it.
-func Write() error {
-	if f := set.Load(); f != nil {
-		return f.Write()
+func BeforeWrite() error {
+	if f := active.Load(); f != nil {
+		return f.BeforeWrite()
 	}
 	return nil
 }
--- a/coord/feed/feed_test.go
+++ b/coord/feed/feed_test.go
@@ -262,8 +262,8 @@
 	is.True(calm <= 8)
 }
 
-// newThreeZones returns 12 processes in three zones. The first of each zone subscribes to the first of
-// all, the others to that of their zone with two more candidates.
+// newThreeZones returns 12 processes in three zones. The first of each zone subscribes to the first
+// of all, the others to that of their zone with two more candidates.
 func newThreeZones() *world {
 	var names []string
 	for i := range 12 {
--- a/coord/link/golden_test.go
+++ b/coord/link/golden_test.go
@@ -20,7 +20,7 @@
 	messages := []received{{7, "a message"}, {255, ""}, {0, "\x00\xff"}}
 	length := 0
 	for _, m := range messages {
-		length += frameHead + len(m.data)
+		length += frameHeaderLen + len(m.data)
 		sender.Send(ln.Addr().String(), m.kind, []byte(m.data))
 	}
 	c, err := ln.Accept()
--- a/coord/link/link.go
+++ b/coord/link/link.go
@@ -23,21 +23,21 @@
 )
 
 const (
-	dialFor      = 200 * time.Millisecond // a machine that comes up meanwhile is not noticed by the try under way
-	writeFor     = 2 * time.Second
-	dialAgain    = 50 * time.Millisecond // between two tries
-	unacked      = 1500 * time.Millisecond
-	idleFor      = 20 * time.Second // then a connection is closed
-	queued       = 256              // messages that wait for one address; further ones are lost
-	lineBytes    = 4 << 20          // in these; one message alone may be longer
-	linkBytes    = 24 << 20         // in messages that wait for all addresses
-	mostAddress  = 4096
-	mostAccepted = 1024
-	buffer       = 16 << 10
-	frameHead    = 4 + 1
+	dialTimeout     = 200 * time.Millisecond // a machine that comes up meanwhile is not noticed by the try under way
+	writeTimeout    = 2 * time.Second
+	retryInterval   = 50 * time.Millisecond // between two tries
+	tcpUserTimeout  = 1500 * time.Millisecond
+	idleTimeout     = 20 * time.Second // then a connection is closed
+	maxQueuedFrames = 256              // messages that wait for one address; further ones are lost
+	maxQueuedBytes  = 4 << 20          // in these; one message alone may be longer
+	maxTotalBytes   = 24 << 20         // in messages that wait for all addresses
+	maxAddresses    = 4096
+	maxAccepted     = 1024
+	bufferSize      = 16 << 10
+	frameHeaderLen  = 4 + 1
 
 	// MostMessage bounds a message, in bytes.
-	MostMessage = 24 << 20
+	MaxMessageLen = 24 << 20
 )
 
 // Kind tells messages of different protocols on one link apart.
@@ -47,7 +47,7 @@
 type Handler func(kind Kind, data []byte)
 
 // Figures are counters since the start.
-type Figures struct {
+type Stats struct {
 	Sent, SentBytes         uint64
 	Received, ReceivedBytes uint64
 	Lost                    uint64 // found no room, or no connection
@@ -58,30 +58,30 @@
 
 // Link is one process's.
 type Link struct {
-	listen netip.AddrPort
-	handle Handler
-	ctx    context.Context
+	listen  netip.AddrPort
+	handler Handler
+	ctx     context.Context
 
 	mu      sync.Mutex
-	lines   map[string]*line
+	queues  map[string]*sendQueue
 	inbound mapset.Set[net.Conn]
 
 	closing sync.WaitGroup
 
-	waiting                                        atomic.Int64 // bytes in frames that were left and not written yet
+	queuedBytes                                    atomic.Int64 // bytes in frames that were left and not written yet
 	sent, sentBytes, received, receivedBytes, lost atomic.Uint64
 	connected, unreachable, broken                 atomic.Uint64
 }
 
 // line is the way to one address.
-type line struct {
-	queue   chan []byte  // frames
-	waiting atomic.Int64 // bytes in them, and in the one that is being written
+type sendQueue struct {
+	frames      chan []byte  // frames
+	queuedBytes atomic.Int64 // bytes in them, and in the one that is being written
 }
 
 // New returns a link that will listen at an address.
 func New(listen netip.AddrPort, handle Handler) *Link {
-	return &Link{listen: listen, handle: handle, lines: map[string]*line{}, inbound: mapset.NewThreadUnsafeSet[net.Conn]()}
+	return &Link{listen: listen, handler: handle, queues: map[string]*sendQueue{}, inbound: mapset.NewThreadUnsafeSet[net.Conn]()}
 }
 
 // Start listens and carries messages until ctx ends.
@@ -112,8 +112,8 @@
 func (l *Link) Wait() { l.closing.Wait() }
 
 // Figures returns the counters.
-func (l *Link) Figures() Figures {
-	return Figures{Sent: l.sent.Load(), SentBytes: l.sentBytes.Load(), Received: l.received.Load(), ReceivedBytes: l.receivedBytes.Load(), Lost: l.lost.Load(),
+func (l *Link) Stats() Stats {
+	return Stats{Sent: l.sent.Load(), SentBytes: l.sentBytes.Load(), Received: l.received.Load(), ReceivedBytes: l.receivedBytes.Load(), Lost: l.lost.Load(),
 		Connected: l.connected.Load(), Unreachable: l.unreachable.Load(), Broken: l.broken.Load()}
 }
 
@@ -124,11 +124,11 @@
 			return
 		}
 		if err != nil {
-			pause(l.ctx, dialAgain)
+			sleep(l.ctx, retryInterval)
 			continue
 		}
 		l.mu.Lock()
-		full := l.inbound.Cardinality() >= mostAccepted || l.ctx.Err() != nil
+		full := l.inbound.Cardinality() >= maxAccepted || l.ctx.Err() != nil
 		if !full {
 			l.inbound.Add(c)
 		}
@@ -141,7 +141,7 @@
 	}
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
@@ -156,14 +156,14 @@
 		l.inbound.Remove(c)
 		l.mu.Unlock()
 	}()
-	in := bufio.NewReaderSize(&acknowledging{Conn: c}, buffer)
-	var head [frameHead]byte
+	in := bufio.NewReaderSize(&ackingConn{Conn: c}, bufferSize)
+	var head [frameHeaderLen]byte
 	for {
 		if _, err := io.ReadFull(in, head[:]); err != nil {
 			return
 		}
 		n := binary.BigEndian.Uint32(head[:])
-		if n > MostMessage {
+		if n > MaxMessageLen {
 			return
 		}
 		data, err := io.ReadAll(io.LimitReader(in, int64(n))) // grows as it comes: a length alone takes no memory
@@ -171,65 +171,65 @@
 			return
 		}
 		l.received.Add(1)
-		l.receivedBytes.Add(uint64(frameHead + len(data)))
-		l.handle(Kind(head[4]), data)
+		l.receivedBytes.Add(uint64(frameHeaderLen + len(data)))
+		l.handler(Kind(head[4]), data)
 	}
 }
 
 // Send leaves a message for an address. It waits for nobody.
 func (l *Link) Send(to string, kind Kind, data []byte) {
-	if len(data) > MostMessage || failpoint.Lost(to) {
+	if len(data) > MaxMessageLen || failpoint.DropMessage(to) {
 		l.lost.Add(1)
 		return
 	}
-	frame := make([]byte, 0, frameHead+len(data))
+	frame := make([]byte, 0, frameHeaderLen+len(data))
 	frame = binary.BigEndian.AppendUint32(frame, uint32(len(data)))
 	frame = append(append(frame, byte(kind)), data...)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	ln := l.lines[to]
+	ln := l.queues[to]
 	if ln == nil {
-		if len(l.lines) >= mostAddress || l.ctx == nil || l.ctx.Err() != nil {
+		if len(l.queues) >= maxAddresses || l.ctx == nil || l.ctx.Err() != nil {
 			l.lost.Add(1)
 			return
 		}
-		ln = &line{queue: make(chan []byte, queued)}
-		l.lines[to] = ln
+		ln = &sendQueue{frames: make(chan []byte, maxQueuedFrames)}
+		l.queues[to] = ln
 		go l.write(to, ln)
 	}
 	size := int64(len(frame))
-	if waiting := ln.waiting.Load(); waiting > 0 && waiting+size > lineBytes || l.waiting.Load()+size > linkBytes+lineBytes {
+	if waiting := ln.queuedBytes.Load(); waiting > 0 && waiting+size > maxQueuedBytes || l.queuedBytes.Load()+size > maxTotalBytes+maxQueuedBytes {
 		l.lost.Add(1)
 		return
 	}
 	select {
-	case ln.queue <- frame:
-		ln.waiting.Add(size)
-		l.waiting.Add(size)
+	case ln.frames <- frame:
+		ln.queuedBytes.Add(size)
+		l.queuedBytes.Add(size)
 	default:
 		l.lost.Add(1)
 	}
 }
 
 // done notes that a frame does not wait any more.
-func (l *Link) done(ln *line, frame []byte) {
-	ln.waiting.Add(-int64(len(frame)))
-	l.waiting.Add(-int64(len(frame)))
+func (l *Link) release(ln *sendQueue, frame []byte) {
+	ln.queuedBytes.Add(-int64(len(frame)))
+	l.queuedBytes.Add(-int64(len(frame)))
 }
 
 // write sends what is left for one address, over one connection at a time, until nothing came for long.
-func (l *Link) write(to string, ln *line) {
+func (l *Link) write(to string, ln *sendQueue) {
 	var c *outbound
 	var out *bufio.Writer
 	var again time.Time
-	patience := undelivered
+	patience := minDeliveryTimeout
 	drop := func() {
 		c.Close()
-		patience = c.nextPatience()
+		patience = c.nextDeliveryTimeout()
 		c = nil
 		l.broken.Add(1)
 	}
-	idle := time.NewTimer(idleFor)
+	idle := time.NewTimer(idleTimeout)
 	defer idle.Stop()
 	defer func() {
 		if c != nil {
@@ -238,67 +238,67 @@
 	}()
 	for {
 		var frame []byte
-		idle.Reset(idleFor)
+		idle.Reset(idleTimeout)
 		select {
 		case <-l.ctx.Done():
 			return
-		case frame = <-ln.queue:
+		case frame = <-ln.frames:
 		case <-idle.C:
-			if l.retire(to, ln) {
+			if l.removeIfEmpty(to, ln) {
 				return
 			}
 			continue
 		}
-		if c != nil && !c.delivers(time.Now()) {
+		if c != nil && !c.isDelivering(time.Now()) {
 			drop()
 		}
 		if c == nil {
 			if time.Now().Before(again) {
-				l.done(ln, frame)
+				l.release(ln, frame)
 				l.lost.Add(1)
 				continue
 			}
 			if c = l.dial(to, patience); c == nil {
-				again = time.Now().Add(dialAgain)
-				l.done(ln, frame)
+				again = time.Now().Add(retryInterval)
+				l.release(ln, frame)
 				l.lost.Add(1)
 				continue
 			}
-			out = bufio.NewWriterSize(c, buffer)
+			out = bufio.NewWriterSize(c, bufferSize)
 		}
 		if err := l.flush(c, out, ln, frame); err != nil {
 			drop()
-			again = time.Now().Add(dialAgain)
+			again = time.Now().Add(retryInterval)
 		}
 	}
 }
 
 // retire forgets a line that nothing waits on.
-func (l *Link) retire(to string, ln *line) bool {
+func (l *Link) removeIfEmpty(to string, ln *sendQueue) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(ln.queue) > 0 {
+	if len(ln.frames) > 0 {
 		return false
 	}
-	delete(l.lines, to)
+	delete(l.queues, to)
 	return true
 }
 
 // flush writes a frame and those that wait behind it.
-func (l *Link) flush(c *outbound, out *bufio.Writer, ln *line, frame []byte) error {
+func (l *Link) flush(c *outbound, out *bufio.Writer, ln *sendQueue, frame []byte) error {
 	now := time.Now()
-	c.SetWriteDeadline(now.Add(writeFor))
-	c.wrote(now)
+	c.SetWriteDeadline(now.Add(writeTimeout))
+	c.recordWrite(now)
 	for {
 		_, err := out.Write(frame)
-		l.done(ln, frame)
+		l.release(ln, frame)
 		if err != nil {
 			return err
 		}
 		l.sent.Add(1)
 		l.sentBytes.Add(uint64(len(frame)))
 		select {
-		case frame = <-ln.queue:
+		case frame = <-ln.frames:
 			continue
 		default:
 		}
@@ -308,21 +308,21 @@
 
 // dial connects to an address, nil where it does not answer soon.
 func (l *Link) dial(to string, patience time.Duration) *outbound {
-	dialer := net.Dialer{Timeout: dialFor, KeepAlive: -1}
+	dialer := net.Dialer{Timeout: dialTimeout, KeepAlive: -1}
 	c, err := dialer.DialContext(l.ctx, "tcp4", to)
 	if err != nil {
 		l.unreachable.Add(1)
 		return nil
 	}
 	l.connected.Add(1)
-	giveUp(c)
-	o := &outbound{Conn: c, patience: patience}
-	go o.listen()
+	setUserTimeout(c)
+	o := &outbound{Conn: c, deliveryTimeout: patience}
+	go o.readAcks()
 	return o
 }
 
 // giveUp has the system end a connection whose other side acknowledges nothing.
-func giveUp(c net.Conn) {
+func setUserTimeout(c net.Conn) {
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
 		return
@@ -332,6 +332,6 @@
 		return
 	}
 	raw.Control(func(fd uintptr) {
-		unix.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacked.Milliseconds()))
+		unix.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
 	})
 }
--- a/coord/link/link_test.go
+++ b/coord/link/link_test.go
@@ -66,8 +66,8 @@
 	for i := range 100 {
 		is.Equal(next(t, came), received{1, fmt.Sprint(i)})
 	}
-	is.True(a.Figures().Sent == 101)
-	is.True(a.Figures().SentBytes > 1<<20)
+	is.True(a.Stats().Sent == 101)
+	is.True(a.Stats().SentBytes > 1<<20)
 }
 
 // A process that comes back at an address gets what is sent from then on; what could not be sent is counted.
@@ -91,7 +91,7 @@
 			is.True(started)
 			arrived = true
 		case <-again.C:
-			if !started && a.Figures().Lost > 0 { // nobody has listened so far
+			if !started && a.Stats().Lost > 0 { // nobody has listened so far
 				is.NoErr(b.Start(ctx))
 				started = true
 			}
@@ -122,8 +122,8 @@
 func TestTooLong(t *testing.T) {
 	is := is.New(t)
 	a, _, _ := started(t)
-	a.Send("127.0.0.1:1", 1, make([]byte, MostMessage+1))
-	is.Equal(a.Figures().Lost, uint64(1))
+	a.Send("127.0.0.1:1", 1, make([]byte, MaxMessageLen+1))
+	is.Equal(a.Stats().Lost, uint64(1))
 }
 
 // swallower listens in front of an address and passes bytes on, but for the first connection: its bytes are taken, acknowledged by the system,
@@ -238,13 +238,13 @@
 		a.Send(by, 1, long[:size])
 		is.Equal(len(next(t, came).data), size)
 	}
-	idle := time.NewTimer(undelivered + acknowledgeEvery)
+	idle := time.NewTimer(minDeliveryTimeout + ackInterval)
 	defer idle.Stop()
 	<-idle.C
 	a.Send(by, 1, []byte("after a pause"))
 	is.Equal(next(t, came).data, "after a pause")
-	is.Equal(a.Figures().Connected, uint64(1))
-	is.Equal(a.Figures().Broken, uint64(0))
+	is.Equal(a.Stats().Connected, uint64(1))
+	is.Equal(a.Stats().Broken, uint64(0))
 }
 
 // A receiver that never says what arrives, as one of an older version, gets the messages all the same, over connections that are replaced more
@@ -263,17 +263,17 @@
 				return
 			}
 			go func() {
-				frame := make([]byte, frameHead+1)
+				frame := make([]byte, frameHeaderLen+1)
 				for {
 					if _, err := io.ReadFull(c, frame); err != nil {
 						return
 					}
-					came <- frame[frameHead]
+					came <- frame[frameHeaderLen]
 				}
 			}()
 		}
 	}()
-	for number := byte(0); a.Figures().Connected < 3; number++ {
+	for number := byte(0); a.Stats().Connected < 3; number++ {
 		a.Send(ln.Addr().String(), 1, []byte{number})
 		select {
 		case got := <-came:
@@ -283,7 +283,7 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	is.Equal(a.Figures().Lost, uint64(0))
-	is.Equal((&outbound{patience: undelivered}).nextPatience(), 2*undelivered)
-	is.Equal((&outbound{patience: mostUndelivered}).nextPatience(), mostUndelivered)
+	is.Equal(a.Stats().Lost, uint64(0))
+	is.Equal((&outbound{deliveryTimeout: minDeliveryTimeout}).nextDeliveryTimeout(), 2*minDeliveryTimeout)
+	is.Equal((&outbound{deliveryTimeout: maxDeliveryTimeout}).nextDeliveryTimeout(), maxDeliveryTimeout)
 }
--- a/coord/pacing/pacing_test.go
+++ b/coord/pacing/pacing_test.go
@@ -11,12 +11,12 @@
 func TestStalledSteps(t *testing.T) {
 	is := is.New(t)
 	m := &Meter{}
-	is.Equal(m.Stepped(10*time.Millisecond, 20*time.Millisecond, true), uint64(0))
-	is.Equal(m.Stepped(15*time.Millisecond, 15*time.Millisecond, false), uint64(0)) // a message came
-	is.Equal(m.Stepped(20*time.Millisecond, 20*time.Millisecond, true), uint64(1))
-	is.Equal(m.Stepped(20*time.Millisecond, 10*time.Millisecond, true), uint64(0))
-	is.Equal(m.Stepped(1019*time.Millisecond, 0, true), uint64(0))
-	is.Equal(m.Stepped(1020*time.Millisecond, 0, true), uint64(3))
-	m.Counted()
-	is.Equal(m.Figures(), Figures{Steps: 7, Stalled: 4})
+	is.Equal(m.RecordStep(10*time.Millisecond, 20*time.Millisecond, true), uint64(0))
+	is.Equal(m.RecordStep(15*time.Millisecond, 15*time.Millisecond, false), uint64(0)) // a message came
+	is.Equal(m.RecordStep(20*time.Millisecond, 20*time.Millisecond, true), uint64(1))
+	is.Equal(m.RecordStep(20*time.Millisecond, 10*time.Millisecond, true), uint64(0))
+	is.Equal(m.RecordStep(1019*time.Millisecond, 0, true), uint64(0))
+	is.Equal(m.RecordStep(1020*time.Millisecond, 0, true), uint64(3))
+	m.RecordTick()
+	is.Equal(m.Stats(), Stats{Steps: 7, Stalled: 4})
 }
--- a/coord/register/batch.go
+++ b/coord/register/batch.go
@@ -21,7 +21,7 @@
 // as it is after a write has failed. It is nil where nothing is due. After an error the next batch has to be whole.
 func (o *Core) NextBatch(store *storage.Store, whole bool) (*Batch, error) {
 	switch {
-	case whole || store.Full():
+	case whole || store.LogFull():
 		return o.wholeBatch()
 	case store.Unsynced():
 		return &Batch{UpTo: FoundRecords, secure: true}, nil
@@ -54,7 +54,7 @@
 func (b *Batch) Write(store *storage.Store) error {
 	switch {
 	case b.secure:
-		return store.Secure()
+		return store.SyncRecovered()
 	case b.state != nil:
 		return store.Save(b.state)
 	}
--- a/coord/register/golden_test.go
+++ b/coord/register/golden_test.go
@@ -235,7 +235,7 @@
 // write puts on the disk of a process all that is due.
 func (g *goldenGroup) write(p *goldenProcess) {
 	for p.core != nil {
-		batch, err := p.core.NextBatch(p.store, p.store.Broken())
+		batch, err := p.core.NextBatch(p.store, p.store.SaveRequired())
 		g.is.NoErr(err)
 		if batch == nil {
 			return
--- a/coord/register/replica.go
+++ b/coord/register/replica.go
@@ -117,7 +117,7 @@
 		writes: make(chan *Batch, 1), wrote: make(chan written, 1)}
 	o.Unsynced = store != nil && store.Unsynced()
 	r.core, r.shortSince = NewCore(o.Config, o.Machine, 0), -1
-	r.unsaved = store != nil && store.Broken()
+	r.unsaved = store != nil && store.SaveRequired()
 	r.publish()
 	return r
 }
@@ -190,12 +190,12 @@
 		}
 		r.write()
 		r.publish()
-		r.pace.Counted()
+		r.pace.RecordTick()
 	}
 }
 
 // Pace returns the counters of the loop. It waits for nothing.
-func (r *Replica) Pace() pacing.Figures { return r.pace.Figures() }
+func (r *Replica) Pace() pacing.Stats { return r.pace.Stats() }
 
 // judgeMembers works out what may be lost now, and whether this process may end.
 func (r *Replica) judgeMembers() {
@@ -288,7 +288,7 @@
 		r.slowAt = r.now()
 	}
 	if w.err != nil {
-		if !r.failed && !errors.Is(w.err, storage.ErrBroken) {
+		if !r.failed && !errors.Is(w.err, storage.ErrSaveRequired) {
 			r.o.Log.Warn("disk failed", "cause", w.err)
 		}
 		r.failed, r.unsaved, r.retryAt = true, true, r.now()+retryDisk
--- a/coord/simulation/process.go
+++ b/coord/simulation/process.go
@@ -74,7 +74,7 @@
 		w.Fail("%s: %v", p.Address, err)
 		return
 	}
-	p.store, p.whole = store, store.Broken()
+	p.store, p.whole = store, store.SaveRequired()
 	if kept != nil {
 		c.Kept, c.Founder, c.Self.Identity, c.Unsynced = kept, kept.Founder, kept.Identity, true
 	} else if w.Plant == KeepsIdentity && p.self != nil {
@@ -252,7 +252,7 @@
 func (p *Process) crash(steps int) {
 	if p.writing != nil && p.up {
 		p.disk.steps = steps
-		if err := p.writing.Write(p.store); err != nil && !errors.Is(err, errStopped) && !errors.Is(err, errFull) && !errors.Is(err, storage.ErrBroken) {
+		if err := p.writing.Write(p.store); err != nil && !errors.Is(err, errStopped) && !errors.Is(err, errFull) && !errors.Is(err, storage.ErrSaveRequired) {
 			p.world.Fail("%s: %v", p.Address, err)
 		}
 	}
--- a/coord/storage/folder.go
+++ b/coord/storage/folder.go
@@ -26,7 +26,7 @@
 
 // WriteAt implements Files.
 func (f *Folder) WriteAt(name string, data []byte, offset int64) error {
-	if err := failpoint.Write(); err != nil {
+	if err := failpoint.BeforeWrite(); err != nil {
 		return err
 	}
 	file, err := f.file(name)
@@ -39,7 +39,7 @@
 
 // Sync implements Files.
 func (f *Folder) Sync(name string) error {
-	if err := failpoint.Write(); err != nil {
+	if err := failpoint.BeforeWrite(); err != nil {
 		return err
 	}
 	file, err := f.file(name)
--- a/coord/storage/golden_test.go
+++ b/coord/storage/golden_test.go
@@ -114,7 +114,7 @@
 	for i, r := range found.Records {
 		is.Equal(string(r), g.records[i])
 	}
-	is.True(!store.Broken())
+	is.True(!store.SaveRequired())
 	is.True(store.Unsynced())
 	is.NoErr(store.Append([]byte("one more")))
 	_, found, err = storage.Open(files)
@@ -179,7 +179,7 @@
 		is.NoErr(err)
 		is.True(found.State == nil)
 		is.Equal(len(found.Records), 0)
-		is.True(store.Broken())
+		is.True(store.SaveRequired())
 		is.True(!store.Unsynced())
 		files.Close()
 	}
--- a/coord/storage/storage_test.go
+++ b/coord/storage/storage_test.go
@@ -106,9 +106,9 @@
 
 // owner keeps a list of numbers in a store: all in the slot, single ones in the log.
 type owner struct {
-	store *Store
-	list  []byte
-	kept  int // numbers that were told to be kept
+	store        *Store
+	list         []byte
+	acknowledged int // numbers that were told to be kept
 }
 
 func open(d *disk) (*owner, error) {
@@ -127,13 +127,13 @@
 func (o *owner) add(n byte, save bool) error {
 	o.list = append(o.list, n)
 	var err error
-	if save || o.store.Broken() {
+	if save || o.store.SaveRequired() {
 		err = o.store.Save(o.list)
 	} else {
 		err = o.store.Append([]byte{n})
 	}
 	if err == nil {
-		o.kept = len(o.list)
+		o.acknowledged = len(o.list)
 	}
 	return err
 }
@@ -146,7 +146,7 @@
 			break
 		}
 	}
-	return from.kept
+	return from.acknowledged
 }
 
 // check tells what is wrong with a list of which so many numbers were told to be kept.
@@ -182,7 +182,7 @@
 			if err := check(o.list, kept); err != nil {
 				t.Fatalf("cut at step %d: %v", first, err)
 			}
-			o.kept = kept
+			o.acknowledged = kept
 			kept = play(d, o, numbers)
 			o, err = open(d.afterCut(rng))
 			is.NoErr(err)
@@ -233,8 +233,8 @@
 			is.NoErr(err)
 			kept := 0
 			d.steps = 0
-			if d.cutAt = later; o.store.Secure() == nil {
-				o.kept = len(o.list)
+			if d.cutAt = later; o.store.SyncRecovered() == nil {
+				o.acknowledged = len(o.list)
 				kept = play(d, o, numbers)
 			}
 			o, err = open(d.afterCut(rng))
@@ -252,8 +252,8 @@
 	s, found, err := Open(newDisk())
 	is.NoErr(err)
 	is.True(found.State == nil)
-	is.True(s.Broken())
-	is.True(errors.Is(s.Append([]byte("x")), ErrBroken))
+	is.True(s.SaveRequired())
+	is.True(errors.Is(s.Append([]byte("x")), ErrSaveRequired))
 	is.NoErr(s.Save([]byte("state")))
 	is.NoErr(s.Append([]byte("x")))
 }
--- a/internal/router/peering/dutyvoter.go
+++ b/internal/router/peering/dutyvoter.go
@@ -107,7 +107,7 @@
 		if err := d.carryOutVoter(d.voter.Step(now, e), ask, last); err != nil {
 			return err
 		}
-		if stalled := d.loopPace.Stepped(now, d.voter.Next(), byTimer); stalled > 0 {
+		if stalled := d.loopPace.RecordStep(now, d.voter.Next(), byTimer); stalled > 0 {
 			d.log.Warn("loop stalls", "loop", "voter", "steps", stalled)
 		}
 		if now := time.Now(); ask != nil || now.Sub(shown) >= statusInterval {
--- a/internal/router/peering/view.go
+++ b/internal/router/peering/view.go
@@ -100,7 +100,7 @@
 			now, byTimer = v.step(members.Tick{}), true
 		}
 		next := v.decider.Next()
-		if stalled := v.loopPace.Stepped(now, next, byTimer); stalled > 0 {
+		if stalled := v.loopPace.RecordStep(now, next, byTimer); stalled > 0 {
 			v.log.Warn("loop stalls", "loop", "members", "steps", stalled)
 		}
 		timer.Reset(max(next-time.Since(v.start), 0))
@@ -108,7 +108,7 @@
 }
 
 // Pace returns the counters of the loop. It waits for nothing.
-func (v *View) Pace() pacing.Figures { return v.loopPace.Figures() }
+func (v *View) Pace() pacing.Stats { return v.loopPace.Stats() }
 
 // Leave tells the others that this router ends, unless another process of it takes over. It waits until they are told, or
 // ctx has ended.
--- a/internal/system/roles/node/hub.go
+++ b/internal/system/roles/node/hub.go
@@ -135,7 +135,7 @@
 			h.publishHosts()
 		}
 		h.confirmedAt.Store(int64(h.configuration.confirmedAt))
-		h.pace.Counted()
+		h.pace.RecordTick()
 	}
 }
 
--- a/internal/system/roles/node/measure_test.go
+++ b/internal/system/roles/node/measure_test.go
@@ -42,7 +42,7 @@
 	syscall.Getrusage(syscall.RUSAGE_SELF, &r)
 	u.processor = time.Duration(r.Utime.Nano() + r.Stime.Nano())
 	for _, n := range f.nodes {
-		u.bytes += n.link.Figures().SentBytes
+		u.bytes += n.link.Stats().SentBytes
 	}
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/internal/system/roles/node/membership.go
+++ b/internal/system/roles/node/membership.go
@@ -59,7 +59,7 @@
 
 // sendDatagram sends one to another router. It may be lost.
 func (n *Node) sendDatagram(to netip.AddrPort, data []byte) {
-	if !failpoint.Lost(to.String()) {
+	if !failpoint.DropMessage(to.String()) {
 		n.udp.WriteToUDPAddrPort(data, to)
 	}
 }
--- a/internal/system/roles/node/node_test.go
+++ b/internal/system/roles/node/node_test.go
@@ -586,7 +586,7 @@
 		at, ok := query(t.Context(), n.hub, func() router { return n.hub.owner("s", "z0") })
 		return ok && at.address == n.self.address
 	})
-	before := f.nodes[home].link.Figures().Sent
+	before := f.nodes[home].link.Stats().Sent
 	hub := f.nodes[home].hub
 	_, ok := query(t.Context(), hub, func() bool { // all of them before anything else, however slow the machine is
 		for i := range many {
@@ -601,7 +601,7 @@
 			return ok && known == many
 		})
 	}
-	sent := f.nodes[home].link.Figures().Sent - before
+	sent := f.nodes[home].link.Stats().Sent - before
 	t.Logf("%d messages for %d hosts", sent, many)
 	is.True(sent < many)
 }
@@ -626,13 +626,13 @@
 		state := f.nodes[last].plane.State()
 		return state != nil && state.Version() == 3
 	})
-	before := f.nodes[last].link.Figures().ReceivedBytes
+	before := f.nodes[last].link.Stats().ReceivedBytes
 	for range 5 {
 		code, got := f.call(last, http.MethodGet, "/configuration", "", nil)
 		is.Equal(code, 200)
 		is.Equal(len(got), text.Len())
 	}
-	received := f.nodes[last].link.Figures().ReceivedBytes - before
+	received := f.nodes[last].link.Stats().ReceivedBytes - before
 	t.Logf("%d bytes came for five reads of %d", received, text.Len())
 	is.True(received < uint64(text.Len()))
 	is.Equal(f.order(http.MethodPatch, `{"version":4,"upsert":{"services":[{"name":"t"}]}}`, 3, 1), 200)
--- a/internal/system/roles/node/peerreports.go
+++ b/internal/system/roles/node/peerreports.go
@@ -147,7 +147,7 @@
 		return
 	}
 	for _, to := range p.peers.Load().addresses {
-		if !failpoint.Lost(to.String()) {
+		if !failpoint.DropMessage(to.String()) {
 			p.node.udp.WriteToUDPAddrPort(data, to)
 			p.sent.Add(1)
 		}
--- a/internal/system/roles/node/peerreports_test.go
+++ b/internal/system/roles/node/peerreports_test.go
@@ -41,15 +41,15 @@
 	f := newFleet(t, 2, 1)
 	f.eventually("both know of each other", func() bool { return knowsPeer(f.nodes[0]) && knowsPeer(f.nodes[1]) })
 	lost := make(chan struct{}, 1)
-	failpoint.Set(&failpoint.Failures{
-		Lose: func(to string) bool {
+	failpoint.Set(&failpoint.Faults{
+		DropMessage: func(to string) bool {
 			select {
 			case lost <- struct{}{}:
 			default:
 			}
 			return to == f.nodes[1].self.internal()
 		},
-		Write: func() error { return nil },
+		BeforeWrite: func() error { return nil },
 	})
 	defer failpoint.Set(nil)
 	f.nodes[0].peerReports.report("chat", []balance.PeerReport{{Tag: 7, Tokens: 900}})
--- a/internal/system/roles/node/status.go
+++ b/internal/system/roles/node/status.go
@@ -67,7 +67,7 @@
 		Process:       processStatus(),
 		Loops:         n.loopStatus(),
 		Requests:      n.requestStatus(),
-		Link:          status.Link(n.link.Figures()),
+		Link:          status.Link(n.link.Stats()),
 		PromptReports: n.peerReports.figures(),
 		Members:       memberStatus(n.members.Now()),
 		Pins:          n.pinStatus(),
@@ -108,10 +108,10 @@
 
 // loopStatus is the counters of the loops that pace themselves.
 func (n *Node) loopStatus() []status.Loop {
-	loop := func(name string, f pacing.Figures) status.Loop {
+	loop := func(name string, f pacing.Stats) status.Loop {
 		return status.Loop{Name: name, Steps: f.Steps, Stalled: f.Stalled}
 	}
-	all := []status.Loop{loop("members", n.members.Pace()), loop("hub", n.hub.pace.Figures())}
+	all := []status.Loop{loop("members", n.members.Pace()), loop("hub", n.hub.pace.Stats())}
 	if n.replica != nil {
 		all = append(all, loop("register", n.replica.Pace()))
 	}
