--- a/internal/router/lease/lease_test.go
+++ b/internal/router/lease/lease_test.go
@@ -23,20 +23,20 @@
 		answer, changes := table.Apply(uint64(10*(i+1)), c)
 		line := fmt.Sprintf("%v", answer.OK)
 		for _, x := range changes {
-			word := "lost by"
+			verb := "lost by"
 			if x.Granted {
-				word = "to"
+				verb = "to"
 			}
-			line += fmt.Sprintf("; %s %s %d %s %d (%s)", x.Grant.Role, word, x.Grant.Holder.Boot, x.Grant.Holder.Name, x.Grant.Token, x.Reason)
+			line += fmt.Sprintf("; %s %s %d %s %d (%s)", x.Grant.Role, verb, x.Grant.Holder.Boot, x.Grant.Holder.Name, x.Grant.Token, x.Reason)
 		}
 		lines = append(lines, line)
 	}
 	return lines
 }
 
-// A duty goes from hand to hand: asked, waited for, yielded, handed to whom it was meant for past who waits, expired, asked again by a
-// later life.
-func TestTable(t *testing.T) {
+// A role passes from router to router: acquired, queued for, released, transferred to the router
+// that was named past those that are queued, expired, and acquired anew by a later process.
+func TestRolePassesBetweenRouters(t *testing.T) {
 	table, err := NewTable([]Role{{Name: "scribe"}, {Name: "drain", MaxHolders: 2}}, 5)
 	if err != nil {
 		t.Fatal(err)
@@ -73,33 +73,33 @@
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
-	// A wish is for the holder with its token, or else for the first.
-	for place, x := range []struct {
+	// A requested transfer is for the holder with its token, or else for the first.
+	for i, x := range []struct {
 		token, of uint64
 	}{{170, 170}, {0, 160}, {999, 0}} {
-		answer, _ := table.Apply(uint64(1000+place), Command{Kind: RequestTransfer, Role: "drain", Token: x.token, To: "r3"})
+		answer, _ := table.Apply(uint64(1000+i), Command{Kind: RequestTransfer, Role: "drain", Token: x.token, To: "r3"})
 		if answer.OK != (x.of > 0) || answer.Grant.Token != x.of || answer.OK && answer.Grant.TransferTo != "r3" {
-			t.Errorf("a wish for token %d: %+v", x.token, answer)
+			t.Errorf("a transfer of token %d: %+v", x.token, answer)
 		}
 	}
 }
 
-// Whatever is applied in whatever order: no duty has more holders than it allows, no router two grants of it, tokens only grow, and
-// two tables that apply the same are the same.
-func TestTableHolds(t *testing.T) {
-	duties := []Role{{Name: "one"}, {Name: "two", MaxHolders: 2}}
+// Whatever is applied in whatever order: no role has more holders than it allows, no router two
+// grants of it, tokens only grow, and two tables that apply the same commands are the same.
+func TestTableStaysConsistentUnderAnyCommands(t *testing.T) {
+	roles := []Role{{Name: "one"}, {Name: "two", MaxHolders: 2}}
 	rapid.Check(t, func(t *rapid.T) {
-		x, _ := NewTable(duties, 0)
-		y, _ := NewTable(duties, 0)
-		last, place := uint64(0), uint64(0)
+		x, _ := NewTable(roles, 0)
+		y, _ := NewTable(roles, 0)
+		last, index := uint64(0), uint64(0)
 		for range rapid.IntRange(1, 60).Draw(t, "commands") {
-			place += uint64(rapid.IntRange(1, 3).Draw(t, "places"))
-			c := Command{Kind: CommandKind(rapid.IntRange(0, 6).Draw(t, "kind")), Role: rapid.SampledFrom([]string{"one", "two", "none"}).Draw(t, "duty"),
-				Router: Router{Name: rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "who"), Boot: uint32(rapid.IntRange(1, 2).Draw(t, "boot"))},
+			index += uint64(rapid.IntRange(1, 3).Draw(t, "indexes"))
+			c := Command{Kind: CommandKind(rapid.IntRange(0, 6).Draw(t, "kind")), Role: rapid.SampledFrom([]string{"one", "two", "none"}).Draw(t, "role"),
+				Router: Router{Name: rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "router"), Boot: uint32(rapid.IntRange(1, 2).Draw(t, "boot"))},
 				Token:  last - uint64(rapid.IntRange(0, 2).Draw(t, "behind"))&min(last, 3), Renewals: uint64(rapid.IntRange(0, 2).Draw(t, "renewals")),
 				To: rapid.SampledFrom([]string{"", "a", "d"}).Draw(t, "to")}
-			_, changes := x.Apply(place, c)
-			y.Apply(place, c)
+			_, changes := x.Apply(index, c)
+			y.Apply(index, c)
 			for _, ch := range changes {
 				if ch.Granted {
 					if ch.Grant.Token <= last {
@@ -108,13 +108,13 @@
 					last = ch.Grant.Token
 				}
 			}
-			count, who := map[string]int{}, map[string]bool{}
+			count, granted := map[string]int{}, map[string]bool{}
 			for _, g := range x.Grants() {
 				count[g.Role]++
-				if key := g.Role + g.Holder.Name; who[key] {
+				if key := g.Role + g.Holder.Name; granted[key] {
 					t.Fatalf("%s holds %s twice", g.Holder.Name, g.Role)
 				} else {
-					who[key] = true
+					granted[key] = true
 				}
 			}
 			if count["one"] > 1 || count["two"] > 2 {
@@ -130,48 +130,52 @@
 	})
 }
 
-// A holder counts from before it asked, is not led by old answers, and stops when in doubt; a fence lets nothing lower pass.
-func TestHolderAndFence(t *testing.T) {
-	h := NewLease(DefaultTiming)
+// A lease counts from before the request, is not extended by old replies, and ends where the clock
+// is behind its beginning.
+func TestLeaseCountsFromBeforeTheRequest(t *testing.T) {
+	l := NewLease(DefaultTiming)
 	s := time.Second
-	begin := func(now time.Duration, token uint64, within time.Duration) {
+	check := func(now time.Duration, token uint64, within time.Duration) {
 		t.Helper()
-		got, left, ok := h.Check(now)
+		got, left, ok := l.Check(now)
 		if got != token || left != within || ok != (token > 0) {
 			t.Errorf("at %v: %d, %v, %v; want %d, %v", now, got, left, ok, token, within)
 		}
 	}
-	begin(5*s, 0, 0)
-	h.Extend(5*s, Grant{Token: 7})
-	begin(5*s+50*time.Millisecond, 7, 1940*time.Millisecond)
-	begin(4*s, 0, 0) // its clock is behind where the lease began
-	begin(6*s+889*time.Millisecond, 7, 101*time.Millisecond)
-	begin(6*s+890*time.Millisecond, 0, 0) // the margin
-	h.Extend(6*s, Grant{Token: 7, Renewals: 1})
-	h.Extend(5*s, Grant{Token: 7}) // an old answer
-	h.Extend(9*s, Grant{Token: 3}) // of an old grant
-	begin(7*s, 7, 990*time.Millisecond)
-	h.Revoke(6)
-	begin(7*s, 7, 990*time.Millisecond)
-	h.Revoke(7)
-	begin(7*s, 0, 0)
-	h.Extend(8*s, Grant{Token: 9})
-	begin(8*s, 9, 1990*time.Millisecond)
+	check(5*s, 0, 0)
+	l.Extend(5*s, Grant{Token: 7})
+	check(5*s+50*time.Millisecond, 7, 1940*time.Millisecond)
+	check(4*s, 0, 0) // its clock is behind where the lease began
+	check(6*s+889*time.Millisecond, 7, 101*time.Millisecond)
+	check(6*s+890*time.Millisecond, 0, 0) // the margin
+	l.Extend(6*s, Grant{Token: 7, Renewals: 1})
+	l.Extend(5*s, Grant{Token: 7}) // an old reply
+	l.Extend(9*s, Grant{Token: 3}) // of an old grant
+	check(7*s, 7, 990*time.Millisecond)
+	l.Revoke(6)
+	check(7*s, 7, 990*time.Millisecond)
+	l.Revoke(7)
+	check(7*s, 0, 0)
+	l.Extend(8*s, Grant{Token: 9})
+	check(8*s, 9, 1990*time.Millisecond)
+}
 
-	var f TokenGuard
+// A receiver accepts no token of a role that is lower than one before.
+func TestTokenGuardRejectsLowerTokens(t *testing.T) {
+	var guard TokenGuard
 	for i, x := range []struct {
-		duty  string
-		token uint64
-		pass  bool
+		role   string
+		token  uint64
+		accept bool
 	}{{"a", 7, true}, {"a", 7, true}, {"b", 3, true}, {"a", 9, true}, {"a", 8, false}, {"b", 0, false}, {"b", 4, true}} {
-		if got := f.Accept(x.duty, x.token); got != x.pass {
+		if got := guard.Accept(x.role, x.token); got != x.accept {
 			t.Errorf("%d: %+v: got %v", i, x, got)
 		}
 	}
 }
 
-// word is what goes between the sequencer and a holder in the explorer.
-type word struct {
+// message goes between the sequencer and a client in the explorer.
+type message struct {
 	Kind  CommandKind
 	Nth   int // of the holder's requests
 	OK    bool
@@ -183,138 +187,140 @@
 
 const (
 	none        flaw = iota
-	noWait           // the sequencer gives a duty on before a lease has passed
-	fromAnswer       // the holder counts from the answer
+	noWait           // the sequencer grants a role anew before a lease has passed
+	fromReply        // the holder counts from the reply
 	noAllowance      // clocks are taken to be the same
 )
 
 // sequencer applies commands in the order in which they come, and expires grants by its own clock.
 type sequencer struct {
-	t     *Table
-	place uint64
-	since map[uint64]time.Duration // by token, the last renewal
-	flaw  flaw
+	t         *Table
+	index     uint64
+	renewedAt map[uint64]time.Duration // by token
+	flaw      flaw
 }
 
 var exploring = Timing{Duration: 2 * time.Second, ClockAllowance: 12 * time.Millisecond}
 
-func (s *sequencer) Start(time.Duration) explorer.Out[word] { return explorer.Out[word]{} }
+func (s *sequencer) Start(time.Duration) explorer.Out[message] { return explorer.Out[message]{} }
 
 func (s *sequencer) apply(now time.Duration, c Command) (answer Result) {
-	s.place++
-	answer, changes := s.t.Apply(s.place, c)
+	s.index++
+	answer, changes := s.t.Apply(s.index, c)
 	for _, x := range changes {
 		if x.Granted {
-			s.since[x.Grant.Token] = now
+			s.renewedAt[x.Grant.Token] = now
 		} else {
-			delete(s.since, x.Grant.Token)
+			delete(s.renewedAt, x.Grant.Token)
 		}
 	}
 	if c.Kind == Renew && answer.OK {
-		s.since[c.Token] = now
+		s.renewedAt[c.Token] = now
 	}
 	return answer
 }
 
-func (s *sequencer) out(o explorer.Out[word]) explorer.Out[word] {
+func (s *sequencer) out(o explorer.Out[message]) explorer.Out[message] {
 	lease := exploring.Duration
 	if s.flaw == noWait {
 		lease /= 2
 	}
 	for _, g := range s.t.Grants() {
-		if due := s.since[g.Token] + lease; o.Wake == 0 || due < o.Wake {
+		if due := s.renewedAt[g.Token] + lease; o.Wake == 0 || due < o.Wake {
 			o.Wake = due
 		}
 	}
 	return o
 }
 
-func (s *sequencer) Receive(now time.Duration, from int, m word) explorer.Out[word] {
+func (s *sequencer) Receive(now time.Duration, from int, m message) explorer.Out[message] {
 	answer := s.apply(now, Command{Kind: m.Kind, Role: "d", Router: Router{Name: fmt.Sprint(from), Boot: 1}, Token: m.Grant.Token})
-	return s.out(explorer.Out[word]{Send: []explorer.Send[word]{{To: from, Msg: word{m.Kind, m.Nth, answer.OK, answer.Grant}}}})
+	return s.out(explorer.Out[message]{Send: []explorer.Send[message]{{To: from, Msg: message{m.Kind, m.Nth, answer.OK, answer.Grant}}}})
 }
 
-func (s *sequencer) Wake(now time.Duration) explorer.Out[word] {
+func (s *sequencer) Wake(now time.Duration) explorer.Out[message] {
 	lease := exploring.Duration
 	if s.flaw == noWait {
 		lease /= 2
 	}
 	for _, g := range s.t.Grants() {
-		if now >= s.since[g.Token]+lease {
+		if now >= s.renewedAt[g.Token]+lease {
 			s.apply(now, Command{Kind: Expire, Role: "d", Token: g.Token, Renewals: g.Renewals})
 		}
 	}
-	return s.out(explorer.Out[word]{})
+	return s.out(explorer.Out[message]{})
 }
 
 func (s *sequencer) Write(h hash.Hash64) {
 	s.t.WriteState(h)
-	fmt.Fprint(h, s.place, s.since)
+	fmt.Fprint(h, s.index, s.renewedAt)
 }
 
-// client wants the duty, renews it a lease later, and asks again while it has not.
+// client acquires the role, renews it a lease later, and asks again while it does not have it.
 type client struct {
-	h    *Lease
-	nth  int
-	sent map[int]time.Duration
-	flaw flaw
+	lease *Lease
+	nth   int
+	sent  map[int]time.Duration
+	flaw  flaw
 }
 
-func (c *client) request(now time.Duration, kind CommandKind, g Grant) explorer.Out[word] {
+func (c *client) request(now time.Duration, kind CommandKind, g Grant) explorer.Out[message] {
 	c.nth++
 	c.sent[c.nth] = now
-	return explorer.Out[word]{Send: []explorer.Send[word]{{To: 0, Msg: word{Kind: kind, Nth: c.nth, Grant: g}}}, Wake: now + exploring.Duration}
+	return explorer.Out[message]{Send: []explorer.Send[message]{{To: 0, Msg: message{Kind: kind, Nth: c.nth, Grant: g}}}, Wake: now + exploring.Duration}
 }
 
-func (c *client) Start(now time.Duration) explorer.Out[word] { return c.request(now, Acquire, Grant{}) }
-func (c *client) Wake(now time.Duration) explorer.Out[word] {
-	if g, held := c.h.Grant(); held {
+func (c *client) Start(now time.Duration) explorer.Out[message] {
+	return c.request(now, Acquire, Grant{})
+}
+func (c *client) Wake(now time.Duration) explorer.Out[message] {
+	if g, granted := c.lease.Grant(); granted {
 		return c.request(now, Renew, g)
 	}
 	return c.request(now, Acquire, Grant{})
 }
-func (c *client) Receive(now time.Duration, _ int, m word) explorer.Out[word] {
+func (c *client) Receive(now time.Duration, _ int, m message) explorer.Out[message] {
 	sent := c.sent[m.Nth]
-	if c.flaw == fromAnswer {
+	if c.flaw == fromReply {
 		sent = now
 	}
-	g, _ := c.h.Grant()
+	g, _ := c.lease.Grant()
 	switch {
 	case m.OK:
-		c.h.Extend(sent, m.Grant)
+		c.lease.Extend(sent, m.Grant)
 	case m.Kind == Renew:
-		c.h.Revoke(g.Token)
+		c.lease.Revoke(g.Token)
 	}
-	return explorer.Out[word]{Wake: now + exploring.Duration}
+	return explorer.Out[message]{Wake: now + exploring.Duration}
 }
-func (c *client) Write(h hash.Hash64) { fmt.Fprint(h, *c.h, c.nth, c.sent) }
+func (c *client) Write(h hash.Hash64) { fmt.Fprint(h, *c.lease, c.nth, c.sent) }
 
-var errTwo = errors.New("two act under the duty")
+var errTwo = errors.New("two act under the role")
 
-// All orders of a sequencer and two holders whose clocks differ by 5 ms at most, with a lost message, a copy and a standstill: no two
-// may act at one moment. Each flaw is found.
-func TestExploreLeases(t *testing.T) {
+// All orders of a sequencer and two holders whose clocks differ by 5 ms at most, with a lost
+// message, a duplicate and a pause: no two may act at one moment. Each flaw is found.
+func TestNoTwoActUnderOneRoleInAnyOrder(t *testing.T) {
 	for _, x := range []struct {
 		flaw  flaw
 		depth int
-	}{{none, 6}, {noWait, 7}, {fromAnswer, 7}, {noAllowance, 7}} {
-		times := exploring
+	}{{none, 6}, {noWait, 7}, {fromReply, 7}, {noAllowance, 7}} {
+		timing := exploring
 		if x.flaw == noAllowance {
-			times.ClockAllowance = 0
+			timing.ClockAllowance = 0
 		}
-		q := explorer.Question[word]{Nodes: 3, Depth: x.depth, Skew: 5 * time.Millisecond, Budget: explorer.Budget{Losses: 1, Copies: 1, Pauses: 1}, States: 600_000,
-			Make: func(n, life int, _ explorer.Node[word]) explorer.Node[word] {
+		q := explorer.Question[message]{Nodes: 3, Depth: x.depth, Skew: 5 * time.Millisecond, Budget: explorer.Budget{Losses: 1, Copies: 1, Pauses: 1}, States: 600_000,
+			Make: func(n, process int, _ explorer.Node[message]) explorer.Node[message] {
 				if n == 0 {
 					table, _ := NewTable([]Role{{Name: "d"}}, 0)
-					return &sequencer{t: table, since: map[uint64]time.Duration{}, flaw: x.flaw}
+					return &sequencer{t: table, renewedAt: map[uint64]time.Duration{}, flaw: x.flaw}
 				}
-				return &client{h: NewLease(times), sent: map[int]time.Duration{}, flaw: x.flaw}
+				return &client{lease: NewLease(timing), sent: map[int]time.Duration{}, flaw: x.flaw}
 			},
-			Holds: func(nodes []explorer.Node[word], now []time.Duration) error {
+			Holds: func(nodes []explorer.Node[message], now []time.Duration) error {
 				acts := 0
 				for i, n := range nodes[1:] {
 					if c, ok := n.(*client); ok {
-						if _, _, may := c.h.Check(now[i+1]); may {
+						if _, _, may := c.lease.Check(now[i+1]); may {
 							acts++
 						}
 					}
--- a/internal/router/lease/stored_test.go
+++ b/internal/router/lease/stored_test.go
@@ -26,7 +26,7 @@
 }
 
 // A table's state is read as it was written, and a table that is made of it has the same state.
-func TestGoldenState(t *testing.T) {
+func TestGoldenTableState(t *testing.T) {
 	want := goldenState()
 	golden.Complete(t, want, "Role.ByZone", "RoleState.Grants", "RoleState.Queue", "RoleState.Reservations")
 	made, err := json.Marshal(want)
@@ -68,7 +68,7 @@
 	}
 }
 
-// The reasons that stand in grants are words that stay.
+// The reasons that stand in grants stay as they are.
 func TestGoldenReasons(t *testing.T) {
 	made, err := json.Marshal([]Reason{ReasonAvailable, ReasonQueued, ReasonReleased, ReasonTransferred, ReasonExpired, ReasonRestarted, ReasonFailed})
 	if err != nil {
--- a/internal/router/lease/table.go
+++ b/internal/router/lease/table.go
@@ -9,19 +9,34 @@
 	"strings"
 )
 
-// Table is the grants that voters agree on. It must be made with the same duties at each.
+// Table is the grants that voters agree on. Voters that apply the same commands in the same order
+// to tables of the same roles have the same grants.
 type Table struct {
-	roles map[string]*roleSlots
-	token uint64 // the largest so far
+	roles map[string]*roleSlots // MaxRoles at most
+	token uint64                // the largest so far
 }
 
-// State is all of a Table, as it is kept and sent.
+// roleSlots is one role with who has it and who waits.
+type roleSlots struct {
+	Role
+	grants       []Grant
+	queue        []Router
+	reservations []Reservation
+}
+
+// Reservation is a slot that was given back for a router which has not taken it up yet.
+type Reservation struct {
+	For   string `json:"To"` // a router's name
+	Token uint64 // of the grant that was given back
+}
+
+// State is the content of a Table, as it is stored in snapshots and sent to other voters.
 type State struct {
 	Token uint64
 	Roles []RoleState `json:"Duties"`
 }
 
-// SlotsState is one duty of it.
+// RoleState is one role of a State.
 type RoleState struct {
 	Role         Role          `json:"Duty"`
 	Grants       []Grant       `json:",omitempty"`
@@ -29,295 +44,117 @@
 	Reservations []Reservation `json:"Kept,omitempty"`
 }
 
-// slots is one duty.
-type roleSlots struct {
-	Role
-	grants       []Grant
-	queue        []Router
-	reservations []Reservation // handed over, and not taken up yet
-}
-
-// Kept is a slot that waits for a router that was named.
-type Reservation struct {
-	For   string `json:"To"`
-	Token uint64 // of the grant that was given back
-}
-
-// NewTable returns a table of duties. Tokens begin above floor.
-func NewTable(duties []Role, floor uint64) (*Table, error) {
-	if len(duties) > MaxRoles {
-		return nil, fmt.Errorf("there are %d duties; there may be %d", len(duties), MaxRoles)
+// NewTable returns a table of roles without grants. Tokens begin above floor.
+func NewTable(roles []Role, floor uint64) (*Table, error) {
+	if len(roles) > MaxRoles {
+		return nil, fmt.Errorf("there are %d duties; there may be %d", len(roles), MaxRoles)
 	}
 	t := &Table{roles: map[string]*roleSlots{}, token: floor}
-	for _, d := range duties {
-		if t.roles[d.Name] != nil {
-			return nil, fmt.Errorf("duty %q is there twice", d.Name)
+	for _, r := range roles {
+		if t.roles[r.Name] != nil {
+			return nil, fmt.Errorf("duty %q is there twice", r.Name)
 		}
-		if err := t.define(d); err != nil {
+		if err := t.define(r); err != nil {
 			return nil, err
 		}
 	}
 	return t, nil
 }
 
-// Check tells what is wrong with a duty.
-func (d *Role) Validate() error {
-	switch {
-	case d.Name == "" || len(d.Name) > MaxNameBytes || strings.ContainsAny(d.Name, "@ \t\n"):
-		return fmt.Errorf("duty %q: a name has 1 to %d bytes, and neither spaces nor @", d.Name, MaxNameBytes)
-	case d.MaxHolders < 0 || d.MaxHolders > MaxHolders:
-		return fmt.Errorf("duty %q: %d holders; there may be %d", d.Name, d.MaxHolders, MaxHolders)
-	case len(d.PreferredZones) > MaxHolders:
-		return fmt.Errorf("duty %q: %d zones; there may be %d", d.Name, len(d.PreferredZones), MaxHolders)
-	}
-	return nil
-}
-
-func (t *Table) define(d Role) error {
-	if err := d.Validate(); err != nil {
-		return err
-	}
-	d.MaxHolders = max(d.MaxHolders, 1)
-	if s := t.roles[d.Name]; s != nil {
-		s.Role = d
-		for name, s := range t.roles { // its zones as well
-			if before, _, ok := strings.Cut(name, "@"); ok && before == d.Name {
-				s.MaxHolders, s.PreferredZones = d.MaxHolders, d.PreferredZones
-			}
-		}
-		return nil
-	}
-	if len(t.roles) >= MaxRoles {
-		return fmt.Errorf("duty %q: there are %d duties already", d.Name, MaxRoles)
-	}
-	t.roles[d.Name] = &roleSlots{Role: d}
-	return nil
-}
-
-// of returns a duty's slots, those of a zone made as they are asked for first. It is nil for a duty that there is not.
-func (t *Table) slotsOf(name string) *roleSlots {
-	if s := t.roles[name]; s != nil && !s.ByZone {
-		return s
-	}
-	before, zone, ok := strings.Cut(name, "@")
-	if d := t.roles[before]; ok && d != nil && d.ByZone && len(t.roles) < MaxRoles && len(zone) <= MaxNameBytes {
-		s := &roleSlots{Role: Role{Name: name, MaxHolders: d.MaxHolders, PreferredZones: d.PreferredZones}}
-		t.roles[name] = s
-		return s
+// RestoreTable returns the table of a state.
+func RestoreTable(s State) *Table {
+	t := &Table{roles: map[string]*roleSlots{}, token: s.Token}
+	for _, r := range s.Roles {
+		t.roles[r.Role.Name] = &roleSlots{r.Role, slices.Clone(r.Grants), slices.Clone(r.Queue), slices.Clone(r.Reservations)}
 	}
-	return nil
+	return t
 }
 
-// State returns all of the table.
+// State returns the content of the table.
 func (t *Table) State() State {
 	s := State{Token: t.token}
-	for _, name := range slices.Sorted(maps.Keys(t.roles)) {
-		d := t.roles[name]
-		s.Roles = append(s.Roles, RoleState{d.Role, slices.Clone(d.grants), slices.Clone(d.queue), slices.Clone(d.reservations)})
+	for _, name := range t.roleNames() {
+		r := t.roles[name]
+		s.Roles = append(s.Roles, RoleState{r.Role, slices.Clone(r.grants), slices.Clone(r.queue), slices.Clone(r.reservations)})
 	}
 	return s
 }
 
-// Restored returns the table of a state.
-func RestoreTable(s State) *Table {
-	t := &Table{roles: map[string]*roleSlots{}, token: s.Token}
-	for _, d := range s.Roles {
-		t.roles[d.Role.Name] = &roleSlots{d.Role, slices.Clone(d.Grants), slices.Clone(d.Queue), slices.Clone(d.Reservations)}
-	}
-	return t
-}
-
-// Apply applies a command at its place in the sequence; place must grow. A command that says what is no more so, as it came twice
-// or late, changes nothing.
-func (t *Table) Apply(place uint64, c Command) (Result, []Change) {
-	switch c.Kind {
-	case DefineRole:
-		if c.Definition == nil {
-			return Result{Refusal: "there is no duty with it"}, nil
-		}
-		if err := t.define(*c.Definition); err != nil {
-			return Result{Refusal: err.Error()}, nil
-		}
-		return Result{OK: true}, nil
-	case RaiseToken:
-		t.token = max(t.token, c.Token)
-		return Result{OK: true}, nil
+// define adds a role, or changes the one of that name and its zones.
+func (t *Table) define(r Role) error {
+	if err := r.Validate(); err != nil {
+		return err
 	}
-	s := t.slotsOf(c.Role)
-	if s == nil {
-		return Result{Refusal: "there is no such duty"}, nil
+	r.MaxHolders = max(r.MaxHolders, 1)
+	if existing := t.roles[r.Name]; existing != nil {
+		existing.Role = r
+		t.redefineZones(&r)
+		return nil
 	}
-	switch c.Kind {
-	case Acquire:
-		return t.acquire(s, place, c.Token, c.Router)
-	case Renew:
-		if i := s.findGrant(c.Token, c.Router); i >= 0 {
-			s.grants[i].Renewals++
-			s.grants[i].Unconfirmed = false
-			return Result{OK: true, Grant: s.grants[i]}, nil
-		}
-		return Result{Refusal: "the grant is no more"}, nil
-	case Release, Transfer:
-		i := s.findGrant(c.Token, c.Router)
-		if i < 0 {
-			return Result{Refusal: "the grant is no more"}, nil
-		}
-		why := ReasonReleased
-		if c.Kind == Transfer && c.To != "" && c.To != AnyRouter && c.To != c.Router.Name {
-			why = ReasonTransferred
-			s.reservations = append(s.reservations, Reservation{c.To, c.Token})
-		}
-		return t.release(s, place, i, why)
-	case Expire:
-		i := slices.IndexFunc(s.grants, func(g Grant) bool { return g.Token == c.Token })
-		if i < 0 || s.grants[i].Renewals > c.Renewals {
-			return Result{Refusal: "it was renewed, or is no more"}, nil
-		}
-		return t.release(s, place, i, ReasonExpired)
-	case RequestTransfer:
-		i := slices.IndexFunc(s.grants, func(g Grant) bool { return g.Token == c.Token || c.Token == 0 })
-		if i < 0 {
-			return Result{Refusal: "nobody holds it"}, nil
-		}
-		s.grants[i].TransferTo = c.To
-		return Result{OK: true, Grant: s.grants[i]}, nil
-	case Dequeue:
-		s.queue = slices.DeleteFunc(s.queue, func(r Router) bool { return r == c.Router })
-		s.reservations = slices.DeleteFunc(s.reservations, func(k Reservation) bool { return c.To != "" && k.For == c.To })
-		return Result{OK: true}, t.fillFreeSlots(s, place)
+	if len(t.roles) >= MaxRoles {
+		return fmt.Errorf("duty %q: there are %d duties already", r.Name, MaxRoles)
 	}
-	return Result{Refusal: "there is no such command"}, nil
-}
-
-func (s *roleSlots) findGrant(token uint64, who Router) int {
-	return slices.IndexFunc(s.grants, func(g Grant) bool { return g.Token == token && g.Holder == who })
+	t.roles[r.Name] = &roleSlots{Role: r}
+	return nil
 }
 
-func (t *Table) acquire(s *roleSlots, place, seen uint64, who Router) (Result, []Change) {
-	if who.Name == "" || len(who.Name) > MaxNameBytes {
-		return Result{Refusal: "the router has no name, or too long a one"}, nil
-	}
-	if seen > t.token && seen < maxSeenToken { // these voters do not know of it: they have lost what others remember
-		t.token = NextTokenBlock(seen)
-	}
-	for i, g := range s.grants {
-		if g.Holder == who { // it asks again, as it has not heard, and will count its lease from this request
-			s.grants[i].Renewals++
-			s.grants[i].Unconfirmed = false
-			return Result{OK: true, Grant: s.grants[i]}, nil
-		}
-		if g.Holder.Name == who.Name { // its last life held it; nothing of that goes on
-			lost := Change{g, false, ReasonRestarted}
-			s.grants = slices.Delete(s.grants, i, i+1)
-			g := t.grant(s, place, who, ReasonRestarted)
-			return Result{OK: true, Grant: g}, []Change{lost, {g, true, ReasonRestarted}}
-		}
-	}
-	s.queue = slices.DeleteFunc(s.queue, func(r Router) bool { return r.Name == who.Name && r != who })
-	if !slices.Contains(s.queue, who) {
-		if len(s.queue) >= MaxQueued {
-			return Result{Refusal: "too many wait"}, nil
+// redefineZones has the zones of a role that is changed follow it.
+func (t *Table) redefineZones(r *Role) {
+	for name, s := range t.roles {
+		if role, _, ok := strings.Cut(name, "@"); ok && role == r.Name {
+			s.MaxHolders, s.PreferredZones = r.MaxHolders, r.PreferredZones
 		}
-		s.queue = append(s.queue, who)
 	}
-	changes := t.fillFreeSlots(s, place)
-	for i := range changes {
-		if c := &changes[i]; c.Granted && c.Grant.Holder == who {
-			if c.Reason == ReasonQueued {
-				c.Reason = ReasonAvailable
-			}
-			c.Grant.Reason, c.Grant.Unconfirmed = c.Reason, false // this is the answer to who asked
-			s.grants[s.findGrant(c.Grant.Token, who)] = c.Grant
-			return Result{OK: true, Grant: c.Grant}, changes
-		}
-	}
-	return Result{Queued: true, Refusal: "it is held; the router waits in line"}, changes
 }
 
-// Blocks of tokens: a group of voters that follows another which has lost what it knew begins a new one, as nobody can tell how
-// far the last one was used.
-const (
-	TokenBlockBits = 40
-	maxSeenToken   = 1 << 62 // that a router may claim to have seen
-)
-
-// Above returns the beginning of the block of tokens behind the one that a token is of.
-func NextTokenBlock(token uint64) uint64 { return (token>>TokenBlockBits + 1) << TokenBlockBits }
-
-// grant gives a slot away.
-func (t *Table) grant(s *roleSlots, place uint64, who Router, why Reason) Grant {
-	t.token = max(t.token+1, place)
-	g := Grant{Role: s.Name, Holder: who, Token: t.token, Reason: why, Unconfirmed: why != ReasonRestarted}
-	s.grants = append(s.grants, g)
-	return g
-}
-
-// free takes a grant back and gives the slot to who waits.
-func (t *Table) release(s *roleSlots, place uint64, i int, why Reason) (Result, []Change) {
-	lost := Change{s.grants[i], false, why}
-	s.grants = slices.Delete(s.grants, i, i+1)
-	return Result{OK: true}, append([]Change{lost}, t.fillFreeSlots(s, place)...)
-}
-
-// fill gives free slots to those in line: one that is kept only to whom it is kept for, others to the preferred zones first.
-func (t *Table) fillFreeSlots(s *roleSlots, place uint64) (changes []Change) {
-	for len(s.grants) < s.MaxHolders {
-		at, why := -1, ReasonQueued
-		for i, who := range s.queue {
-			if slices.ContainsFunc(s.reservations, func(k Reservation) bool { return k.For == who.Name }) {
-				at, why = i, ReasonTransferred
-				break
-			}
-			if len(s.grants)+len(s.reservations) < s.MaxHolders && (at < 0 || s.zoneRank(who) < s.zoneRank(s.queue[at])) {
-				at = i
-			}
-		}
-		if at < 0 {
-			break
-		}
-		who := s.queue[at]
-		if why == ReasonTransferred {
-			k := slices.IndexFunc(s.reservations, func(k Reservation) bool { return k.For == who.Name })
-			s.reservations = slices.Delete(s.reservations, k, k+1)
-		}
-		s.queue = slices.Delete(s.queue, at, at+1)
-		changes = append(changes, Change{t.grant(s, place, who, why), true, why})
+// slotsOf returns the slots of a role, nil for a role that does not exist. Those of a zone are made
+// when they are first asked for.
+func (t *Table) slotsOf(name string) *roleSlots {
+	if s := t.roles[name]; s != nil && !s.ByZone {
+		return s
 	}
-	return changes
-}
-
-// rank orders who waits: by preferred zone; the line decides among equals.
-func (s *roleSlots) zoneRank(who Router) int {
-	if i := slices.Index(s.PreferredZones, who.Zone); i >= 0 {
-		return i
+	role, zone, ok := strings.Cut(name, "@")
+	if !ok {
+		return nil
+	}
+	r := t.roles[role]
+	if r == nil || !r.ByZone || len(t.roles) >= MaxRoles || len(zone) > MaxNameBytes {
+		return nil
 	}
-	return len(s.PreferredZones)
+	s := &roleSlots{Role: Role{Name: name, MaxHolders: r.MaxHolders, PreferredZones: r.PreferredZones}}
+	t.roles[name] = s
+	return s
 }
 
-// Grants returns all grants, by duty and token.
+// roleNames are the names of all roles, sorted.
+func (t *Table) roleNames() []string { return slices.Sorted(maps.Keys(t.roles)) }
+
+// Grants returns all grants, by role and token.
 func (t *Table) Grants() (all []Grant) {
-	for _, name := range slices.Sorted(maps.Keys(t.roles)) {
+	for _, name := range t.roleNames() {
 		all = append(all, t.roles[name].grants...)
 	}
 	slices.SortStableFunc(all, func(a, b Grant) int { return cmp.Or(cmp.Compare(a.Role, b.Role), cmp.Compare(a.Token, b.Token)) })
 	return all
 }
 
-// Each calls do for each duty with its grants, who waits and what is kept, by name. Nothing of it may be changed or kept.
-func (t *Table) ForEach(do func(d *Role, grants []Grant, line []Router, kept []Reservation)) {
-	for _, name := range slices.Sorted(maps.Keys(t.roles)) {
+// ForEach calls do for each role, by name, with its grants, who is queued, and what is reserved.
+// The slices are the table's own: do must neither change nor keep them.
+func (t *Table) ForEach(do func(r *Role, grants []Grant, queue []Router, reservations []Reservation)) {
+	for _, name := range t.roleNames() {
 		s := t.roles[name]
 		do(&s.Role, s.grants, s.queue, s.reservations)
 	}
 }
 
-// Token is the largest so far.
+// Token returns the largest token so far.
 func (t *Table) Token() uint64 { return t.token }
 
-// WriteState writes all of the table: two that write the same are the same.
+// WriteState writes all that the table's behaviour depends on: two tables that write the same are
+// the same. Explorers hash it.
 func (t *Table) WriteState(w io.Writer) {
 	fmt.Fprint(w, t.token)
-	for _, name := range slices.Sorted(maps.Keys(t.roles)) {
+	for _, name := range t.roleNames() {
 		s := t.roles[name]
 		fmt.Fprint(w, "|", name, s.grants, s.queue, s.reservations)
 	}
--- a/internal/router/peering/dutycalls.go
+++ b/internal/router/peering/dutycalls.go
@@ -138,7 +138,7 @@
 		select {
 		case a := <-said:
 			if !a.OK {
-				return errors.New(a.Refusal)
+				return a.Refusal
 			}
 			return nil
 		case <-again.C:
