--- a/balance/balance.go
+++ b/balance/balance.go
@@ -1,6 +1,7 @@
 package balance
 
-// This file takes events and gives actions; types.go says what is decided, and by what exceptions.
+// The entry points: New builds a Balancer, Step handles events and returns actions. types.go
+// describes the algorithm and lists its exceptions.
 
 import (
 	"cmp"
@@ -13,119 +14,155 @@
 )
 
 const (
-	mostCounted  = 1000                   // prompts, before their numbers are halved
-	lookAgain    = 100 * time.Millisecond // at what is held: a cold or ejected replica may have room by then
-	manyGateways = 8                      // from which on they tell each other
-	settling     = 2 * time.Second        // a view holds so long before shares and budgets follow it
-	noAim        = time.Second            // what a class without an aim counts as among the aims
+	// maxCountedPrompts is the number of prompts after which the counts by prefix are halved.
+	maxCountedPrompts = 1000
+	// queueCheckInterval is the longest time until queued requests are tried again: a replica that
+	// is warming up or ejected may have capacity by then.
+	queueCheckInterval = 100 * time.Millisecond
+	// minReportingRouters is the number of routers from which on they send each other reports.
+	// Fewer hear enough of each replica by themselves.
+	minReportingRouters = 8
+	// viewHoldTime is how long a liveness view must hold before assignments and budgets follow it.
+	viewStabilityTime = 2 * time.Second
+	// defaultLatencyTarget stands in for a class that has none where targets are compared.
+	defaultLatencyTarget = time.Second
 )
 
-// New returns a Balancer for one gateway, or an error that names the setting at fault.
+// New returns a Balancer for one router, or an error that names the setting at fault.
+// The same configuration, seed and events always give the same actions.
 func New(cfg Config, seed uint64) (*Balancer, error) {
-	if cfg.Gateways < manyGateways {
-		cfg.Gateways = 0 // few hear enough of each replica by themselves
+	if cfg.Routers < minReportingRouters {
+		cfg.Routers = 0
 	}
-	b := &Balancer{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0)), kinds: map[string]*fit{},
-		replicas: map[string]*replica{}, tags: map[uint32]*replica{}, requests: map[string]*request{},
-		begun:   decayed.Sum{Span: workSpan * time.Second, Least: time.Second},
-		prompts: decayed.Counts{Most: mostCounted}, living: float64(cfg.Gateways),
-		fleet: assignment.New(cfg.Gateways, cfg.Me, mark(cfg.Zone), settling)}
-	if cfg.AskForList {
-		b.askAt = 1 // with the first Step
+	b := &Balancer{
+		cfg:           cfg,
+		rng:           rand.New(rand.NewPCG(seed, 0)),
+		prefillByKind: map[string]*prefillModel{},
+		replicas:      map[string]*replica{},
+		byTag:         map[uint32]*replica{},
+		requests:      map[string]*request{},
+		bootstrapWork: decayed.Sum{Span: workWindow * time.Second, Least: time.Second},
+		prefixCounts:  decayed.Counts{Most: maxCountedPrompts},
+		liveRouters:   float64(cfg.Routers),
+		routers:       assignment.New(cfg.Routers, cfg.Self, zoneTag(cfg.Zone), viewStabilityTime),
 	}
-	return b, b.tune(cfg)
+	if cfg.MustSubscribe {
+		b.subscribeAt = 1 // with the first Step
+	}
+	return b, b.applyConfig(cfg)
 }
 
-// tune takes up settings, but for what a gateway is to others. Requests under way keep their classes.
-func (b *Balancer) tune(cfg Config) error {
-	if err := cfg.check(); err != nil {
+// applyConfig puts a configuration in force, except for the fields that identify this router to
+// others. Requests under way keep their classes.
+func (b *Balancer) applyConfig(cfg Config) error {
+	if err := cfg.validate(); err != nil {
 		return err
 	}
 	classes := map[string]*class{}
-	b.most, b.least, b.brief = math.Inf(-1), math.Inf(1), math.Inf(1)
+	b.maxValue = math.Inf(-1)
+	b.minValue = math.Inf(1)
+	b.shortestTarget = math.Inf(1)
 	for _, c := range cfg.Classes {
-		old := cmp.Or(b.classes[c.Name], &class{decode: 1})
-		classes[c.Name] = &class{Class: c, decode: old.decode, seen: old.seen}
-		b.most, b.least = max(b.most, c.Worth), min(b.least, c.Worth)
-		b.brief = min(b.brief, max(cmp.Or(c.Aim, noAim), time.Millisecond).Seconds())
+		old := cmp.Or(b.classes[c.Name], &class{decodeTime: 1})
+		classes[c.Name] = &class{Class: c, decodeTime: old.decodeTime, decodeSamples: old.decodeSamples}
+		b.maxValue = max(b.maxValue, c.Value)
+		b.minValue = min(b.minValue, c.Value)
+		target := max(cmp.Or(c.LatencyTarget, defaultLatencyTarget), time.Millisecond)
+		b.shortestTarget = min(b.shortestTarget, target.Seconds())
 	}
-	cfg.Zone, cfg.Gateways, cfg.Me, cfg.AskForList = b.cfg.Zone, b.cfg.Gateways, b.cfg.Me, b.cfg.AskForList
+	cfg.Zone = b.cfg.Zone
+	cfg.Routers = b.cfg.Routers
+	cfg.Self = b.cfg.Self
+	cfg.MustSubscribe = b.cfg.MustSubscribe
 	cfg.MaxAttempts = max(cfg.MaxAttempts, 1)
-	b.cfg, b.classes = cfg, classes
+	b.cfg = cfg
+	b.classes = classes
 	return nil
 }
 
-// Step takes in what has happened, then dispatches once.
+// Step handles the events in order, then dispatches queued requests once. The time now is the
+// caller's clock and never goes back. The caller carries out the actions in order.
 func (b *Balancer) Step(now time.Duration, events []Event) []Action {
-	b.now, b.out = now, nil
+	b.now = now
+	b.actions = nil
 	for _, ev := range events {
-		b.take(ev)
+		b.handle(ev)
 	}
-	b.deal()
-	b.countWarm()
-	if len(b.held) > 0 {
+	b.updateAssignment()
+	b.countWarmReplicas()
+	if len(b.queue) > 0 {
 		b.dispatch()
 	}
-	b.upkeep()
-	return b.out
+	b.resubscribe()
+	b.setTimer()
+	return b.actions
 }
 
-func (b *Balancer) do(a Action) { b.out = append(b.out, a) }
+// emit adds an action to those that the current Step returns.
+func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
-// take sorts events; what it doesn't know of is ignored.
-func (b *Balancer) take(ev Event) {
+// handle passes an event to its handler. Events of unknown requests, attempts and replicas are
+// ignored, as they may be late or repeated.
+func (b *Balancer) handle(ev Event) {
 	switch ev := ev.(type) {
 	case Members:
-		b.takeMembers(ev)
-	case Retune:
-		b.tune(ev.Config)
+		b.handleMembers(ev)
+	case ConfigChange:
+		b.applyConfig(ev.Config)
 	case Arrival:
-		b.takeArrival(ev)
+		b.handleArrival(ev)
 	case FirstToken:
-		if a := b.find(ev.ID, ev.Attempt); a != nil && !a.over && a.began == 0 {
-			b.takeFirst(a)
+		if a := b.findAttempt(ev.ID, ev.Attempt); a != nil && !a.ended && a.firstTokenAt == 0 {
+			b.handleFirstToken(a)
 		}
 	case Outcome:
-		if a := b.find(ev.ID, ev.Attempt); a != nil && !a.over {
-			b.takeOutcome(a, ev)
+		if a := b.findAttempt(ev.ID, ev.Attempt); a != nil && !a.ended {
+			b.handleOutcome(a, ev)
 		}
 	case Aborted:
 		if q := b.requests[ev.ID]; q != nil {
-			b.close(q)
+			b.closeRequest(q)
 		}
-	case Heard:
-		b.takeHeard(ev)
-	case Fleet:
-		b.fleet.Viewed(ev.Version, peers(ev), b.now)
-	case Probed:
+	case ReportsReceived:
+		b.handlePeerReports(ev)
+	case LivenessView:
+		b.routers.Viewed(ev.Version, assignmentPeers(ev), b.now)
+	case ProbeResult:
 		if r := b.replicas[ev.Replica]; r != nil {
-			b.takeProbed(r, ev)
+			b.handleProbeResult(r, ev)
 		}
-	case Wake:
-		if ev.Token == b.token {
-			b.wakeAt = 0
+	case TimerExpired:
+		if ev.Token == b.timerToken {
+			b.timerAt = 0
 		}
 	}
 }
 
-// upkeep asks discovery again and sets the one timer.
-func (b *Balancer) upkeep() {
+// resubscribe asks discovery for its changes once that is due.
+func (b *Balancer) resubscribe() {
+	if b.subscribeAt > 0 && b.now >= b.subscribeAt {
+		b.subscribeAt = 0
+		b.emit(Subscribe{})
+	}
+}
+
+// setTimer sets the one timer to the earliest time at which something is due, unless an earlier one
+// is already set.
+func (b *Balancer) setTimer() {
 	next := time.Duration(math.MaxInt64)
-	if b.askAt > 0 && b.now >= b.askAt {
-		b.askAt = 0
-		b.do(Subscribe{})
-	} else if b.askAt > 0 {
-		next = b.askAt
+	if b.subscribeAt > 0 {
+		next = b.subscribeAt
 	}
-	for _, q := range b.held {
-		next = min(next, b.spent(q), max(q.again, b.now+lookAgain))
-		if b.asking(q) {
-			next = min(next, q.askedTo)
+	for _, q := range b.queue {
+		next = min(next, b.expiresAt(q), max(q.rescheduleAt, b.now+queueCheckInterval))
+		if b.awaitsProbes(q) {
+			next = min(next, q.probesUntil)
 		}
 	}
-	next = max(next, b.now+max(b.cfg.Tick, time.Millisecond))
-	if next < math.MaxInt64 && (b.wakeAt == 0 || next < b.wakeAt) {
-		b.token, b.wakeAt = b.token+1, next
-		b.do(SetTimer{Token: b.token, After: next - b.now})
+	next = max(next, b.now+max(b.cfg.StepInterval, time.Millisecond))
+	if next < math.MaxInt64 && (b.timerAt == 0 || next < b.timerAt) {
+		b.timerToken++
+		b.timerAt = next
+		b.emit(SetTimer{Token: b.timerToken, Delay: next - b.now})
 	}
 }
--- a/balance/choose.go
+++ b/balance/choose.go
@@ -1,6 +1,6 @@
 package balance
 
-// The choice of a replica: the better of two sampled ones with room.
+// The choice of a replica for a request: the cheaper of two sampled replicas with capacity.
 
 import (
 	"cmp"
@@ -12,121 +12,142 @@
 )
 
 const (
-	spread   = 1.5                   // times the homes a prefix would need if all were alike and evenly in use
-	unseen   = 10.0                  // prompts of other prefixes are taken as seen at the start
-	stale    = time.Second           // a report older than this tells nothing
-	askWait  = 25 * time.Millisecond // for probes, before a prompt leaves
-	inPart   = 0.25                  // of the shortest aim: prompts that are read sooner are not all told
-	tryAgain = time.Second           // at the soonest, against its estimate, an idle replica
+	// affinitySpread is how many times more affinity hosts a prefix has than it would need if all
+	// replicas were alike and evenly used.
+	affinitySpread = 1.5
+	// priorPrompts is the number of prompts of other prefixes that are taken as seen at the start.
+	priorPrompts = 10.0
+	// reportTTL is the age from which on a load report says nothing any more.
+	reportTTL = time.Second
+	// probeTimeout is how long a request waits for the answers to load probes.
+	probeTimeout = 25 * time.Millisecond
+	// exploreInterval is the shortest time between two prompts that are sent to an idle replica
+	// although its estimate speaks against it.
+	exploreInterval = time.Second
 )
 
-// choose returns the better of two sampled replicas with room, or nil if none has any.
-func (b *Balancer) choose(q *request) *replica {
-	local := !(b.cfg.OneHome && q.Prefix != "") && !b.sighted || b.crossTime(q) > q.Shared*slowRead
-	pool, near := b.pool[:0], b.near[:0]
-	for _, r := range b.share {
-		if b.room(r) && b.mayUse(q, r) {
-			pool = append(pool, r)
-			if local && r.Zone == b.cfg.Zone {
-				near = append(near, r)
-			}
+// chooseReplica returns the cheaper of two sampled replicas with capacity, or nil if none has any.
+// Samples of the router's own zone take part besides those of all zones where crossing zones costs
+// more than a second prefill of the prefix, or where no report says what other routers have sent.
+func (b *Balancer) chooseReplica(q *request) *replica {
+	preferZone := b.preferZone(q)
+	candidates, zoneCandidates := b.candidates[:0], b.zoneCandidates[:0]
+	for _, r := range b.assigned {
+		if !b.hasCapacity(r) || !b.mayAttempt(q, r) {
+			continue
+		}
+		candidates = append(candidates, r)
+		if preferZone && r.Zone == b.cfg.Zone {
+			zoneCandidates = append(zoneCandidates, r)
 		}
 	}
-	pool, near = outlier.Trusted(pool, doubts, b.now), outlier.Trusted(near, doubts, b.now)
-	sharing := cmp.Or(len(near), len(pool))
-	shut := func(r *replica) bool { return !b.coldRoom(q, r, sharing) }
-	pool, near = slices.DeleteFunc(pool, shut), slices.DeleteFunc(near, shut)
-	sample := append(b.homes(q, near), b.homes(q, pool)...)
-	b.pool, b.near = pool, near
-	if len(sample) == 0 {
-		sample = b.strangers(q)
+	candidates = outlier.Trusted(candidates, outlierState, b.now)
+	zoneCandidates = outlier.Trusted(zoneCandidates, outlierState, b.now)
+	sharing := cmp.Or(len(zoneCandidates), len(candidates))
+	notAdmitted := func(r *replica) bool { return !b.slowStartAdmits(q, r, sharing) }
+	candidates = slices.DeleteFunc(candidates, notAdmitted)
+	zoneCandidates = slices.DeleteFunc(zoneCandidates, notAdmitted)
+	samples := append(b.affinitySamples(q, zoneCandidates), b.affinitySamples(q, candidates)...)
+	b.candidates, b.zoneCandidates = candidates, zoneCandidates
+	if len(samples) == 0 {
+		samples = b.unassignedSamples(q)
+	}
+	b.probeSamples(q, samples)
+	return b.cheapest(q, samples)
+}
+
+// preferZone reports whether replicas of the router's own zone are sampled separately for q.
+func (b *Balancer) preferZone(q *request) bool {
+	if b.crossZoneCost(q) > q.PrefixTokens*defaultPrefillTime {
+		return true
 	}
-	return b.better(q, b.ask(q, sample))
+	keepsOneHost := b.cfg.SingleAffinityHost && q.Prefix != ""
+	return !keepsOneHost && !b.prefillReported
 }
 
-// homes returns samples of pool, alike for all gateways. The homes of a prefix are the first in its
-// rendezvous order, as many as its share of the prompts asks for, so it is kept in few places yet overruns
-// none. A session has two of these, or two of all. Where a prefix has one home all are sampled: mostly two.
-func (b *Balancer) homes(q *request, pool []*replica) []*replica {
+// affinitySamples returns samples of pool, the same on all routers. The affinity hosts of a prefix
+// are the first in its rendezvous order, as many as its fraction of all prompts asks for: so it is
+// cached on few replicas and overloads none. A session gets two of them, a request without a prefix
+// two of all. Where Config.SingleAffinityHost is set all hosts of a prefix are samples, mostly two.
+func (b *Balancer) affinitySamples(q *request, pool []*replica) []*replica {
 	if q.Prefix == "" {
-		return ranked(q.keys[1], pool, 2)
+		return firstRanked(q.sessionHash, pool, 2)
 	}
-	part := b.prompts.Share(q.prefix, unseen)
-	homes := ranked(q.keys[0], pool, max(int(math.Ceil(spread*part*float64(len(pool)))), 2))
-	if b.cfg.OneHome && len(homes) > 0 {
-		q.home = homes[0]
-		return homes
+	fraction := b.prefixCounts.Share(q.prefixKey, priorPrompts)
+	count := int(math.Ceil(affinitySpread * fraction * float64(len(pool))))
+	hosts := firstRanked(q.prefixHash, pool, max(count, 2))
+	if b.cfg.SingleAffinityHost && len(hosts) > 0 {
+		q.affinityHost = hosts[0]
+		return hosts
 	}
-	return ranked(q.keys[1], homes, 2)
+	return firstRanked(q.sessionHash, hosts, 2)
 }
 
-// strangers returns two replicas with room beyond the own share.
-func (b *Balancer) strangers(q *request) (sample []*replica) {
-	for _, r := range b.order {
-		if !r.mine && b.room(r) && b.mayUse(q, r) && b.coldRoom(q, r, 0) {
-			sample = append(sample, r)
+// unassignedSamples returns two replicas with capacity that are not assigned to this router.
+func (b *Balancer) unassignedSamples(q *request) []*replica {
+	var pool []*replica
+	for _, r := range b.sorted {
+		if !r.assigned && b.hasCapacity(r) && b.mayAttempt(q, r) && b.slowStartAdmits(q, r, 0) {
+			pool = append(pool, r)
 		}
 	}
-	return ranked(q.keys[1], sample, 2)
+	return firstRanked(q.sessionHash, pool, 2)
 }
 
-// better returns the one of a sample with the lowest estimate, or nil.
-func (b *Balancer) better(q *request, sample []*replica) *replica {
-	if len(sample) == 0 {
+// cheapest returns the replica with the lowest estimated cost for q, or nil for no samples.
+func (b *Balancer) cheapest(q *request, samples []*replica) *replica {
+	if len(samples) == 0 {
 		return nil
 	}
-	return slices.MinFunc(sample, func(r, o *replica) int {
-		return cmp.Compare(b.estimate(q, r), b.estimate(q, o))
+	return slices.MinFunc(samples, func(r, other *replica) int {
+		return cmp.Compare(b.estimatedCost(q, r), b.estimatedCost(q, other))
 	})
 }
 
-// ask probes the replicas of a sample whose last report is old: of many gateways each hears of a replica too
-// seldom to compare two. The prompt waits for the answers, but not for long.
-func (b *Balancer) ask(q *request, sample []*replica) []*replica {
-	for _, r := range sample {
-		if b.cfg.MayProbe && b.fleet.Alone() && !r.probing && b.now >= r.heard+stale {
+// probeSamples probes the sampled replicas whose last load report is old. A router that is one of
+// many hears of a replica too rarely to compare two. The request waits for the answers, but no
+// longer than probeTimeout.
+func (b *Balancer) probeSamples(q *request, samples []*replica) {
+	for _, r := range samples {
+		if b.cfg.MayProbe && b.routers.Alone() && !r.probing && b.now >= r.reportedAt+reportTTL {
 			r.probing = true
-			b.do(Probe{r.Replica})
+			b.emit(Probe{r.Replica})
 		}
-		if r.probing && q.askedTo == 0 {
-			q.askedTo = b.now + askWait
+		if r.probing && q.probesUntil == 0 {
+			q.probesUntil = b.now + probeTimeout
 		}
 	}
-	q.asked = sample
-	return sample
+	q.samples = samples
 }
 
-// asking tells that q waits for the answers of its samples.
-func (b *Balancer) asking(q *request) bool {
-	return b.now < q.askedTo && slices.ContainsFunc(q.asked, func(r *replica) bool { return r.probing })
+// awaitsProbes reports whether q still waits for the load of its samples.
+func (b *Balancer) awaitsProbes(q *request) bool {
+	return b.now < q.probesUntil && slices.ContainsFunc(q.samples, func(r *replica) bool { return r.probing })
 }
 
+// send starts an attempt of q on r and reports the prompt to the routers that share r.
 func (b *Balancer) send(q *request, r *replica) {
-	a := &attempt{req: q, rep: r, sent: b.now, ran: true}
-	a.unread = b.unreadOn(q, r)
-	a.ahead = b.backlog(r) + a.unread
-	a.expected = b.firstToken(q, r)
+	a := &attempt{request: q, replica: r, sentAt: b.now, mayHaveExecuted: true}
+	a.prefillTokens = b.prefillTokensOn(q, r)
+	a.tokensAhead = b.tokensQueuedOn(r) + a.prefillTokens
+	a.expectedFirstToken = b.timeToFirstToken(q, r)
 	q.attempts = append(q.attempts, a)
-	if r.streams == 0 { // the next try against an estimate comes the later the more gateways may make one
-		b.tryAt = b.now + max(tryAgain, longEject*time.Duration(b.living)/time.Duration(max(b.warm, 1)))
+	if r.inFlight == 0 {
+		b.delayExploration()
 	}
-	q.out++
-	r.streams++
-	r.waiting = append(r.waiting, a)
+	q.inFlight++
+	r.inFlight++
+	r.prefilling = append(r.prefilling, a)
 	r.credit -= b.workOn(q, r)
-	r.kept.Put(q.prefix, b.now, q.Shared)
-	r.kept.Put(q.Session, b.now, q.Prompt)
-	b.do(Send{ID: q.ID, Replica: r.Replica})
-	told := a.unread
-	if least := inPart * b.brief / r.read.slope(); told < least && !r.cold && !b.cfg.Broadcast {
-		if told < least*b.rng.Float64() {
-			return
-		}
-		told = least // now and then, for all the small ones: the sum stays right
-	}
-	to := r.hearers
-	if r.cold {
-		to = r.sharers // a view may be wrong, and a budget that is spent unheard is spent twice
-	}
-	b.tell(to, PeerReport{Tag: tag(r), Tokens: told, Prefix: q.prefixTag()})
+	r.prefixCache.Put(q.prefixKey, b.now, q.PrefixTokens)
+	r.prefixCache.Put(q.Session, b.now, q.PromptTokens)
+	b.emit(Send{ID: q.ID, Replica: r.Replica})
+	b.reportPrompt(a)
+}
+
+// delayExploration sets the earliest time at which an idle replica is tried against its estimate:
+// the later, the more routers may do so.
+func (b *Balancer) delayExploration() {
+	perReplica := maxEjectionTime * time.Duration(b.liveRouters) / time.Duration(max(b.warmReplicas, 1))
+	b.exploreAt = b.now + max(exploreInterval, perReplica)
 }
--- a/balance/learned.go
+++ b/balance/learned.go
@@ -8,112 +8,152 @@
 	"reachspread/internal/decayed"
 )
 
-// Learned is what a gateway has learned of its fleet that may outlive it: without it, one that starts before hosts that are all cold has no
-// measure of what a warm one does, and sends them nothing until they are warm by their age.
+// Learned is what a router has learned of its replicas, so that another process can go on with it. A
+// router that starts before replicas which are all in slow start has no measure of what a warm one
+// can do, and without this sends them nothing until they are warm by their age. Its JSON form is
+// stored.
 type Learned struct {
-	Work, MeanWork float64            // seconds: what a warm replica did of late, and a request's mean
-	Decode         map[string]float64 // by class, mean seconds from the first token to the end
-	Kinds          map[string]Pace    // by kind of machine
-	Replicas       []Known            // mostKnown at most
+	CompletedWork float64                `json:"Work"` // by a warm replica, decayed, in seconds
+	MeanWork      float64                // of a request, in seconds
+	DecodeTimes   map[string]float64     `json:"Decode"` // by class, seconds from the first token to the end
+	PrefillByKind map[string]PrefillLine `json:"Kinds"`  // by kind of machine
+	Replicas      []LearnedReplica       // maxRestoredReplicas at most
 }
 
-// Pace is a decayed line of the seconds to a first token by the tokens before it.
-type Pace struct{ XX, XY float64 }
+// PrefillLine is a decayed least-squares line of the seconds to a first token by the tokens to
+// prefill: the sums of squares and of products.
+type PrefillLine struct{ XX, XY float64 }
 
-// Known is what a gateway has learned of one replica. It holds for as long as that has not started anew.
-type Known struct {
-	Replica string
-	Born    time.Duration // as listed
-	Cap     float64       // streams
-	Slow    float64       // observed over expected time to the first token
+// LearnedReplica is what a router has learned of one replica. It is of use until that starts again.
+type LearnedReplica struct {
+	Replica          string
+	StartedAt        time.Duration `json:"Born"` // as listed
+	ConcurrencyLimit float64       `json:"Cap"`
+	LatencyRatio     float64       `json:"Slow"` // observed over expected time to the first token
 }
 
+// Bounds of what is believed of a stored state.
 const (
-	mostKnown = 4096
-	mostCap   = 1000 // streams, of what is believed
+	maxRestoredReplicas = 4096
+	maxRestoredLimit    = 1000 // of concurrent requests
+	maxRestoredSeconds  = 1000 // of any time
 )
 
-// Learned returns what has been learned by now. It decides nothing.
+// Learned returns what has been learned by now.
 func (b *Balancer) Learned() Learned {
-	l := Learned{Work: b.done, MeanWork: b.meanWork, Decode: map[string]float64{}, Kinds: map[string]Pace{}}
-	for kind, f := range b.kinds {
-		if f.XX > 0 {
-			l.Kinds[kind] = Pace(f.Line)
+	learned := Learned{
+		CompletedWork: b.completedWork,
+		MeanWork:      b.meanWork,
+		DecodeTimes:   map[string]float64{},
+		PrefillByKind: map[string]PrefillLine{},
+	}
+	for kind, model := range b.prefillByKind {
+		if model.XX > 0 {
+			learned.PrefillByKind[kind] = PrefillLine(model.Line)
 		}
 	}
-	for _, r := range b.order {
-		if r.State == Serving && r.ejected == 0 && r.Born > 0 && b.warmth(r) == 1 && len(l.Replicas) < mostKnown {
-			l.Replicas = append(l.Replicas, Known{r.Replica, r.Born, r.cap, b.slowness(r)})
+	for _, r := range b.sorted {
+		healthy := r.State == Serving && r.ejectedUntil == 0
+		if !healthy || r.StartedAt <= 0 || b.capacityFraction(r) != 1 || len(learned.Replicas) >= maxRestoredReplicas {
+			continue
 		}
+		learned.Replicas = append(learned.Replicas, LearnedReplica{
+			Replica:          r.Replica,
+			StartedAt:        r.StartedAt,
+			ConcurrencyLimit: r.limit,
+			LatencyRatio:     b.latencyRatioOf(r),
+		})
 	}
-	for name, c := range b.classes {
-		if c.seen > 0 {
-			l.Decode[name] = c.decode
+	for name, class := range b.classes {
+		if class.decodeSamples > 0 {
+			learned.DecodeTimes[name] = class.decodeTime
 		}
 	}
-	return l
+	return learned
 }
 
-// mostLearned bounds what is believed, in seconds.
-const mostLearned = 1000
-
-// Recall takes up what another process of this gateway had learned, or what another gateway has, as far as nothing better is known yet.
-func (b *Balancer) Recall(l Learned) {
-	sound := func(x float64) bool { return x > 0 && x <= mostLearned && !math.IsNaN(x) }
-	if sound(l.Work) && sound(l.MeanWork) && b.done == 0 {
-		b.done, b.meanWork = l.Work, l.MeanWork
+// Restore restores what an earlier process of this router has learned, or another router, as far as
+// nothing better is known yet. What is out of bounds is ignored. Of replicas that are not listed yet
+// it is kept for RestoreReplicas.
+func (b *Balancer) Restore(learned Learned) {
+	if inBounds(learned.CompletedWork) && inBounds(learned.MeanWork) && b.completedWork == 0 {
+		b.completedWork = learned.CompletedWork
+		b.meanWork = learned.MeanWork
 	}
-	for kind, p := range l.Kinds {
-		f := cmp.Or(b.kinds[kind], &fit{})
-		if b.kinds[kind] = f; f.XX == 0 && p.XX > 0 && !math.IsInf(p.XX, 1) && math.Abs(p.XY) <= mostLearned*p.XX {
-			f.Line = decayed.Line(p)
-		}
+	for kind, line := range learned.PrefillByKind {
+		b.restorePrefill(kind, line)
 	}
-	for _, k := range l.Replicas[:min(len(l.Replicas), mostKnown)] {
-		if b.known == nil {
-			b.known = map[string]Known{}
+	for _, known := range learned.Replicas[:min(len(learned.Replicas), maxRestoredReplicas)] {
+		if b.restored == nil {
+			b.restored = map[string]LearnedReplica{}
 		}
-		b.known[k.Replica] = k
+		b.restored[known.Replica] = known
 	}
-	for name, decode := range l.Decode {
-		if c := b.classes[name]; c != nil && sound(decode) {
-			c.decode, c.seen = decode, 1
+	for name, decode := range learned.DecodeTimes {
+		if class := b.classes[name]; class != nil && inBounds(decode) {
+			class.decodeTime = decode
+			class.decodeSamples = 1
 		}
 	}
 }
 
-// Recollect gives replicas that are listed by now what Recall knew of them, if they have not started since. The host calls it after a Step.
-func (b *Balancer) Recollect() {
-	if len(b.known) == 0 {
+// restorePrefill restores the prefill model of a kind of machine unless something was observed.
+func (b *Balancer) restorePrefill(kind string, line PrefillLine) {
+	model := cmp.Or(b.prefillByKind[kind], &prefillModel{})
+	b.prefillByKind[kind] = model
+	sound := line.XX > 0 && !math.IsInf(line.XX, 1) && math.Abs(line.XY) <= maxRestoredSeconds*line.XX
+	if model.XX == 0 && sound {
+		model.Line = decayed.Line(line)
+	}
+}
+
+// inBounds reports whether a number of seconds may be believed.
+func inBounds(seconds float64) bool {
+	return seconds > 0 && seconds <= maxRestoredSeconds && !math.IsNaN(seconds)
+}
+
+// RestoreReplicas restores what Restore was given of replicas that are listed by now, if they have not
+// started since. The caller calls it after a Step.
+func (b *Balancer) RestoreReplicas() {
+	if len(b.restored) == 0 {
 		return
 	}
-	for _, r := range b.order {
-		k, is := b.known[r.Replica]
-		if delete(b.known, r.Replica); !is || k.Born != r.Born || k.Born <= 0 || b.warmth(r) < 1 || r.kept.Len() > 0 {
+	for _, r := range b.sorted {
+		known, ok := b.restored[r.Replica]
+		delete(b.restored, r.Replica)
+		restarted := known.StartedAt != r.StartedAt || known.StartedAt <= 0
+		if !ok || restarted || b.capacityFraction(r) < 1 || r.prefixCache.Len() > 0 {
 			continue
 		}
-		if k.Cap >= 1 && k.Cap <= mostCap {
-			r.cap = k.Cap
+		if known.ConcurrencyLimit >= 1 && known.ConcurrencyLimit <= maxRestoredLimit {
+			r.limit = known.ConcurrencyLimit
 		}
-		if k.Slow >= 0.2 && k.Slow <= 20 {
-			r.slow.See(b.now, k.Slow, 1)
+		if known.LatencyRatio >= minLatencyRatio && known.LatencyRatio <= maxLatencyRatio {
+			r.latencyRatio.See(b.now, known.LatencyRatio, 1)
 		}
 	}
 }
 
-// fit is the seconds of reading by tokens.
-type fit struct{ decayed.Line }
+// prefillModel estimates the seconds of prefill by the number of tokens.
+type prefillModel struct{ decayed.Line }
 
-// slope returns the seconds to read a token.
-func (f *fit) slope() float64 { return f.Slope(slowRead) }
+// perToken returns the seconds of prefill for a token.
+func (m *prefillModel) perToken() float64 { return m.Slope(defaultPrefillTime) }
 
-// at returns the seconds to a first token behind so many unread tokens.
-func (f *fit) at(tokens float64) float64 { return slowFirst + tokens*f.slope() }
+// firstTokenAfter returns the seconds to a first token with so many tokens to prefill.
+func (m *prefillModel) firstTokenAfter(tokens float64) float64 {
+	return baseFirstToken + tokens*m.perToken()
+}
 
-// took takes in how long an answer took from its first token to its end.
-func (c *class) took(d time.Duration) {
-	if decode := min(d.Seconds(), 5*c.decode); decode > 0 {
-		c.seen++
-		c.decode += (decode - c.decode) * max(learn/4, 1/c.seen)
+// recordDecode takes up how long an answer took from its first token to its end. A single long one
+// counts as five times the mean at most.
+func (c *class) recordDecode(took time.Duration) {
+	const maxRatio = 5
+	seconds := min(took.Seconds(), maxRatio*c.decodeTime)
+	if seconds <= 0 {
+		return
 	}
+	c.decodeSamples++
+	weight := max(learningRate/4, 1/c.decodeSamples)
+	c.decodeTime += (seconds - c.decodeTime) * weight
 }
--- /dev/null
+++ b/balance/membership.go
@@ -0,0 +1,108 @@
+package balance
+
+// The list of replicas, as discovery reports it.
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"sort"
+	"time"
+
+	"reachspread/internal/decayed"
+	"reachspread/internal/rendezvous"
+)
+
+const (
+	// initialLimit is the concurrency limit of a warm replica of which nothing is known yet.
+	initialLimit = 8.0
+	// maxCachedPrefixes bounds the prefixes and sessions that are remembered for a replica.
+	maxCachedPrefixes = 4096
+	// prefixCacheTTL is the time after which an unused prefix or session may be dropped.
+	prefixCacheTTL = time.Minute
+	// latencyRatioHalfLife is the time after which half of what a replica's first tokens were off
+	// is forgotten.
+	latencyRatioHalfLife = 5 * time.Second
+	// subscribeRetryInterval is the mean time between two calls to a discovery that failed.
+	subscribeRetryInterval = time.Second
+)
+
+// handleMembers applies an update of the list. One that is older than the last is ignored; after a
+// failure discovery is asked again.
+func (b *Balancer) handleMembers(ev Members) {
+	if len(b.sorted) == 0 {
+		b.sendReports(b.routers.Others()) // an empty message: it says in which zone this router is
+	}
+	if ev.Failed {
+		jitter := time.Duration(b.rng.Float64() * float64(subscribeRetryInterval))
+		b.subscribeAt = b.now + subscribeRetryInterval/2 + jitter
+		return
+	}
+	if ev.Version < b.membersVersion {
+		return
+	}
+	b.membersVersion = ev.Version
+	b.warmCountValid = false
+	b.routers.Changed()
+	if ev.Complete {
+		for _, r := range b.sorted {
+			r.State = Removed
+		}
+	}
+	for _, m := range ev.Members {
+		b.handleMember(m)
+	}
+	b.removeReplicas()
+	b.indexTags()
+}
+
+// handleMember adds a replica or updates it. One that has just started begins slow start.
+func (b *Balancer) handleMember(m Member) {
+	r := b.replicas[m.Replica]
+	if r == nil {
+		r = b.addReplica(m.Replica)
+	}
+	b.prefillByKind[m.Kind] = cmp.Or(b.prefillByKind[m.Kind], &prefillModel{})
+	started := m.StartedAt > r.StartedAt && b.now-m.StartedAt < b.cfg.SlowStartWindow
+	r.Member = m
+	r.prefill = b.prefillByKind[m.Kind]
+	if started {
+		b.beginSlowStart(r, m.StartedAt)
+		r.failures = 0
+		r.crashed = false
+		r.ejectedUntil = 0
+	}
+}
+
+// addReplica adds a replica of which nothing is known but its name.
+func (b *Balancer) addReplica(name string) *replica {
+	r := &replica{
+		hash:         rendezvous.Hash(name),
+		limit:        initialLimit,
+		latencyRatio: decayed.Opinion{Half: latencyRatioHalfLife},
+		prefixCache:  decayed.Memory{Most: maxCachedPrefixes, Forget: prefixCacheTTL},
+	}
+	b.replicas[name] = r
+	i := sort.Search(len(b.sorted), func(i int) bool { return b.sorted[i].Replica > name })
+	b.sorted = slices.Insert(b.sorted, i, r)
+	return r
+}
+
+// removeReplicas forgets the replicas that are gone and have nothing in flight.
+func (b *Balancer) removeReplicas() {
+	maps.DeleteFunc(b.replicas, func(_ string, r *replica) bool {
+		return r.State == Removed && r.inFlight == 0
+	})
+	b.sorted = slices.DeleteFunc(b.sorted, func(r *replica) bool {
+		return b.replicas[r.Replica] == nil
+	})
+}
+
+// indexTags finds replicas by the tags that peer reports name them by. Of two with the same tag the
+// first by name has it.
+func (b *Balancer) indexTags() {
+	clear(b.byTag)
+	for _, r := range slices.Backward(b.sorted) {
+		b.byTag[replicaTag(r)] = r
+	}
+}
--- a/balance/state.go
+++ b/balance/state.go
@@ -11,106 +11,135 @@
 	"reachspread/internal/outlier"
 )
 
-// Balancer holds what one gateway knows. It is not safe for concurrent use.
+// Balancer holds what one router knows. It is not safe for concurrent use.
 type Balancer struct {
-	cfg            Config
-	rng            *rand.Rand
-	now            time.Duration
-	out            []Action
-	classes        map[string]*class
-	kinds          map[string]*fit // seconds to the first token by tokens ahead, alike for machines of one kind
+	cfg     Config
+	rng     *rand.Rand
+	now     time.Duration // of the current Step
+	actions []Action      // that the current Step returns
+
+	// Classes, by name, and the extremes over them.
+	classes            map[string]*class
+	maxValue, minValue float64
+	shortestTarget     float64 // seconds
+
+	// Requests. The bound is what the caller admits: each gets a final answer by its deadline.
+	requests map[string]*request
+	queue    []*request // not in flight, to be sent
+
+	// Replicas, by name, by the tag of peer reports, and sorted by name: no result may depend on
+	// the order of a map.
 	replicas       map[string]*replica
-	pool, near     []*replica // of choose, kept for their room
-	order          []*replica // by name: no result may depend on map order
-	tags           map[uint32]*replica
-	share          []*replica    // of these, the own ones
-	behind, brief  float64       // how far they are; the shortest aim, in seconds
-	tryAt          time.Duration // when one may be tried against its estimate
-	requests       map[string]*request
-	held           []*request
-	version, token int64            // of the list, and of the last timer
-	known          map[string]Known // of another life, of replicas that are not listed yet
-	askAt, wakeAt  time.Duration    // when to ask discovery again, and the timer that is out; 0 for none
-	done           float64          // decayed sum of the work that a warm replica did, in seconds
-	asked          float64          // likewise of the work asked for, each attempt anew
-	warm           float64          // replicas that serve and are
-	counted        bool             // these, and nothing of it has changed since
-	workAt         time.Duration
-	meanWork       float64           // of a request
-	begun          decayed.Sum       // what cold ones did, as though warm, while no warm one was seen
-	prompts        decayed.Counts    // of late, by prefix
-	sighted        bool              // reports tell unread tokens
-	most, least    float64           // worth of any class
-	fleet          *assignment.Group // the gateways, by what they say and by the view
-	living         float64           // of them, in budgets
+	byTag          map[uint32]*replica
+	sorted         []*replica
+	membersVersion int64                     // of the last update from discovery
+	prefillByKind  map[string]*prefillModel  // shared by the replicas of one kind of machine
+	restored       map[string]LearnedReplica // of an earlier process, for replicas that are not listed yet
+
+	// The assignment of replicas to this router.
+	routers      *assignment.Group // all routers, by their reports and the liveness view
+	liveRouters  float64           // of them, as budgets count
+	assigned     []*replica        // to this router
+	backlogRatio float64           // how far these are behind, from 0 to 1; see updateBacklogRatio
+	exploreAt    time.Duration     // when an idle one may be tried against its estimate
+
+	// Scratch space of chooseReplica, which schedule reads.
+	candidates, zoneCandidates []*replica
+
+	// LatencyRatio start.
+	completedWork  float64 // decayed sum of the work that one warm replica completed, in seconds
+	offeredWork    float64 // decayed sum of the work of all attempts that were asked for, in seconds
+	workDecayedAt  time.Duration
+	meanWork       float64     // of a request, in seconds
+	bootstrapWork  decayed.Sum // of replicas in slow start, as though warm, while no warm one was seen
+	warmReplicas   float64     // that serve at full capacity
+	warmCountValid bool        // warmReplicas is up to date
+
+	prefixCounts    decayed.Counts // of prompts, by prefix
+	prefillReported bool           // load reports say how many tokens wait for prefill
+
+	// Times at which something is due, 0 for none.
+	subscribeAt time.Duration // discovery is asked again
+	timerAt     time.Duration // the timer that is set, and its token
+	timerToken  int64
 }
 
+// class is a class of requests with what was learned of it.
 type class struct {
 	Class
-	decode float64 // mean seconds from first token to end
-	seen   float64 // answers in it
+	decodeTime    float64 // mean seconds from the first token to the end of an answer
+	decodeSamples float64 // answers that were observed
 }
 
+// request is a request that is queued or has attempts in flight.
 type request struct {
 	Arrival
-	class    *class
-	since    time.Duration // arrival here
-	aim      time.Duration // how long it may take
-	deadline time.Duration
-	keys     [2]uint64  // hashes of the names by which it is sent to the same few replicas: prefix, session
-	prefix   string     // by which its prefix is known to be kept, empty for none
-	dice     float64    // drawn at arrival, between 0 and 1: the chance of a cold replica must be higher
-	asked    []*replica // samples, whose probes it waits for
-	askedTo  time.Duration
-	again    time.Duration // not weighed before
-	attempts []*attempt
-	home     *replica
-	out      int  // attempts without outcome
-	closed   bool // nothing is owed any more
+	class         *class
+	arrivedAt     time.Duration
+	latencyTarget time.Duration // from arrivedAt on
+	deadline      time.Duration // when its client gives up
+	prefixHash    uint64        // selects the affinity hosts of its prefix
+	sessionHash   uint64        // selects the replicas of its session, or of itself if it has none
+	prefixKey     string        // of its prefix in prefix caches and counts, empty for none
+	draw          float64       // random, from 0 to 1: compared with the chance of slow start
+	affinityHost  *replica      // of its prefix, where Config.SingleAffinityHost is set
+	samples       []*replica    // that were sampled last
+	probesUntil   time.Duration // when it waits no longer for load probes, 0 for no probe yet
+	rescheduleAt  time.Duration // when it is scheduled again at the earliest
+	attempts      []*attempt    // at most one for each replica
+	inFlight      int           // attempts without an outcome
+	closed        bool          // nothing is owed to its client any more
 }
 
+// attempt is one sending of a request to a replica.
 type attempt struct {
-	req      *request
-	rep      *replica
-	sent     time.Duration
-	began    time.Duration // first token seen, 0 for not yet
-	unread   float64       // tokens that it was expected to read
-	ahead    float64       // unread tokens in front of its first token, its own included
-	expected float64       // seconds to the first token
-	over     bool
-	ran      bool // may have run
-	arrived  bool // at the replica, which may have turned it away
+	request            *request
+	replica            *replica
+	sentAt             time.Duration
+	firstTokenAt       time.Duration // 0 for not yet
+	prefillTokens      float64       // that the replica was expected to prefill for it
+	tokensAhead        float64       // to prefill until its first token, its own included
+	expectedFirstToken float64       // seconds
+	ended              bool          // its outcome is known
+	delivered          bool          // it reached the replica, which may have rejected it
+	mayHaveExecuted    bool          // a retry may be a duplicate; see retry.go
 }
 
+// replica is a listed replica, or one that is gone and has requests in flight.
 type replica struct {
 	Member
-	read    *fit           // of its kind
-	kept    decayed.Memory // tokens, by prefix and by session
-	name    uint64         // hash of its name
-	lost    time.Duration  // what was last used until then is no longer kept
-	streams int            // own
-	waiting []*attempt     // own, without first token
-	others  float64        // streams of other gateways, by its last report
-	probing bool
-	heard   time.Duration // last report
-
-	cap   float64
-	cutAt time.Duration // attempts sent earlier cut no more
-
-	slow    decayed.Opinion // observed over expected time to the first token, fading to 1
-	toldAt  time.Duration   // when others' prompts were last reckoned off
-	sharers []int           // gateways that have it in their shares
-	hearers []int           // of these, those that are not gone by the view
-	mine    bool            // in the own one
-	told    float64         // tokens of others' prompts that they told of, not yet read
-	doubts  outlier.Server  // of this and other gateways
-	fails   int             // in a row
-	died    bool
-	ejected time.Duration // until then, 0 for not
-	penalty time.Duration
-
-	cold     bool
-	born     time.Duration // start as this gateway knows or presumes it
-	credit   float64       // seconds of work that may be sent it while cold
-	creditAt time.Duration
+	hash        uint64         // of its name
+	prefill     *prefillModel  // of its kind
+	prefixCache decayed.Memory // tokens that it is taken to have cached, by prefix and by session
+	cacheLostAt time.Duration  // entries that were last used until then are lost
+
+	// Load.
+	inFlight     int           // attempts of this router
+	prefilling   []*attempt    // of these, those without a first token, the oldest first
+	peerStreams  float64       // requests of other routers, as last reported
+	peerTokens   float64       // tokens of other routers' prompts, reported and not prefilled yet
+	peerTokensAt time.Duration // when these were last decayed
+	probing      bool          // a load probe is out
+	reportedAt   time.Duration // its last load report
+
+	// Trust.
+	limit          float64 // of concurrent requests of this router
+	limitReducedAt time.Duration
+	latencyRatio   decayed.Opinion // observed over expected time to the first token
+	outlier        outlier.Server  // failures that this and other routers saw
+	failures       int             // in a row
+	crashed        bool            // connections were refused more than once in a row
+	ejectedUntil   time.Duration   // 0 for not ejected
+	ejectionTime   time.Duration   // of the last ejection
+
+	// Assignment.
+	assignees     []int // routers that it is assigned to
+	liveAssignees []int // of these, those that are not gone by the liveness view
+	assigned      bool  // to this router
+
+	// LatencyRatio start.
+	warmingUp bool
+	startedAt time.Duration // as this router knows or presumes it
+	credit    float64       // seconds of work that may be sent to it, at most 0
+	creditAt  time.Duration // when credit was last updated
 }
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -61,18 +61,18 @@
 	case "Terminating":
 		return balance.Draining, true
 	case "Gone":
-		return balance.Gone, true
+		return balance.Removed, true
 	}
-	return balance.Gone, false
+	return balance.Removed, false
 }
 
 // Members turns a checked list into the module's event. The module's clock counts from the start of Unix time.
 func (l *List) Members() balance.Members {
-	ev := balance.Members{Version: l.Version, Whole: l.Full}
+	ev := balance.Members{Version: l.Version, Complete: l.Full}
 	for _, e := range l.Servers {
 		state, _ := stateOf(e.State)
 		ev.Members = append(ev.Members, balance.Member{Replica: e.ID, Zone: e.Zone, Cell: e.Cell, Kind: e.Kind,
-			State: state, Born: time.Duration(e.StartedMs * float64(time.Millisecond))})
+			State: state, StartedAt: time.Duration(e.StartedMs * float64(time.Millisecond))})
 	}
 	return ev
 }
--- a/internal/protocol/fleet.go
+++ b/internal/protocol/fleet.go
@@ -99,9 +99,9 @@
 		}
 		n[i] = float64(v)
 	}
-	load := &balance.Load{Streams: n[0] + n[1], Busy: -1, Unread: -1}
+	load := &balance.Load{InFlight: n[0] + n[1], Utilization: -1, PrefillTokens: -1}
 	if n[2] > 0 {
-		load.Busy = n[0] / n[2]
+		load.Utilization = n[0] / n[2]
 	}
 	return load, nil
 }
@@ -121,7 +121,7 @@
 	if report.Waiting == nil || report.Running == nil {
 		return nil, errors.New("report: waiting or running is missing")
 	}
-	return &balance.Load{Streams: *report.Running + *report.Waiting, Busy: -1, Unread: -1}, nil
+	return &balance.Load{InFlight: *report.Running + *report.Waiting, Utilization: -1, PrefillTokens: -1}, nil
 }
 
 // KeepAlive implements Dialect: the timeout in Keep-Alive, in whole seconds.
--- a/internal/protocol/load.go
+++ b/internal/protocol/load.go
@@ -33,9 +33,9 @@
 		scale float64
 		names []string
 	}{
-		{&load.Streams, 1, []string{"busy_reqs", "inflight"}},
-		{&load.Busy, 1, []string{"cpu_share", "util"}},
-		{&load.Unread, 1000, []string{"x1"}}, // reported in thousands
+		{&load.InFlight, 1, []string{"busy_reqs", "inflight"}},
+		{&load.Utilization, 1, []string{"cpu_share", "util"}},
+		{&load.PrefillTokens, 1000, []string{"x1"}}, // reported in thousands
 	} {
 		v, err := get(field.scale, field.names...)
 		if err != nil {
--- a/internal/protocol/peerreport.go
+++ b/internal/protocol/peerreport.go
@@ -38,18 +38,18 @@
 func AppendPeerReports(b []byte, zone uint8, reports []balance.PeerReport) []byte {
 	reports = reports[:min(len(reports), MostPeerReports)]
 	version := peerReportVersion
-	if slices.ContainsFunc(reports, func(n balance.PeerReport) bool { return n.Prefix > 0 }) {
+	if slices.ContainsFunc(reports, func(n balance.PeerReport) bool { return n.PrefixTag > 0 }) {
 		version = withPrefixes
 	}
 	b = append(b, byte(version<<4|len(reports)), zone)
 	for _, n := range reports {
-		says := step(n.Tokens, tokenSteps)
-		if n.Slow > 0 {
-			says = saysSlow | step(n.Slow/slowLeast, slowSteps)
+		says := step(n.PrefillTokens, tokenSteps)
+		if n.LatencyRatio > 0 {
+			says = saysSlow | step(n.LatencyRatio/slowLeast, slowSteps)
 		}
-		b = append(b, byte(n.Tag>>16), byte(n.Tag>>8), byte(n.Tag), says)
+		b = append(b, byte(n.ReplicaTag>>16), byte(n.ReplicaTag>>8), byte(n.ReplicaTag), says)
 		if version == withPrefixes {
-			b = append(b, byte(n.Prefix>>8), byte(n.Prefix))
+			b = append(b, byte(n.PrefixTag>>8), byte(n.PrefixTag))
 		}
 	}
 	return b
@@ -73,14 +73,14 @@
 		return 0, nil, fmt.Errorf("peer reports: %d bytes for %d words, not %d", len(b), n, want)
 	}
 	for i := peerReportHead; i < len(b); i += item {
-		word := balance.PeerReport{Tag: uint32(b[i])<<16 | uint32(b[i+1])<<8 | uint32(b[i+2])}
+		word := balance.PeerReport{ReplicaTag: uint32(b[i])<<16 | uint32(b[i+1])<<8 | uint32(b[i+2])}
 		if says := b[i+3]; says&saysSlow != 0 {
-			word.Slow = slowLeast * math.Exp2(float64(says&mostStep)/slowSteps)
+			word.LatencyRatio = slowLeast * math.Exp2(float64(says&mostStep)/slowSteps)
 		} else {
-			word.Tokens = math.Exp2(float64(says) / tokenSteps)
+			word.PrefillTokens = math.Exp2(float64(says) / tokenSteps)
 		}
 		if item > peerReportSize {
-			word.Prefix = uint16(b[i+4])<<8 | uint16(b[i+5])
+			word.PrefixTag = uint16(b[i+4])<<8 | uint16(b[i+5])
 		}
 		reports = append(reports, word)
 	}
--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -44,7 +44,7 @@
 		return a, fmt.Errorf("%s is missing", HeaderClass)
 	}
 	var err error
-	if a.Left, err = ParseDuration(get(HeaderTimeLeft)); err != nil {
+	if a.TimeLeft, err = ParseDuration(get(HeaderTimeLeft)); err != nil {
 		return a, fmt.Errorf("%s: %w", HeaderTimeLeft, err)
 	}
 	if hint := get(HeaderHint); hint != "" {
@@ -52,9 +52,9 @@
 		if err != nil || !(us >= 0 && us < 1e12) {
 			return a, fmt.Errorf("%s: %q is not a number of microseconds", HeaderHint, hint)
 		}
-		a.Hint = time.Duration(us * float64(time.Microsecond))
+		a.WorkEstimate = time.Duration(us * float64(time.Microsecond))
 	}
-	a.Prompt = float64(bodyLen / charsPerToken)
+	a.PromptTokens = float64(bodyLen / charsPerToken)
 	if facts := get(HeaderFacts); facts != "" {
 		if err := parseFacts(facts, &a); err != nil {
 			return a, fmt.Errorf("%s: %w", HeaderFacts, err)
@@ -102,9 +102,9 @@
 		case "prefix":
 			a.Prefix = value
 		case "prompt_len":
-			err = length(&a.Prompt)
+			err = length(&a.PromptTokens)
 		case "prefix_len":
-			err = length(&a.Shared)
+			err = length(&a.PrefixTokens)
 		}
 		if err != nil {
 			return err
--- a/internal/router/capture/writer.go
+++ b/internal/router/capture/writer.go
@@ -123,9 +123,9 @@
 			if session == "" {
 				session = x.a.ID
 			}
-			prompt := max(int(x.a.Prompt), 1)
+			prompt := max(int(x.a.PromptTokens), 1)
 			if fits, err = put(Request{At: last, Class: x.a.Class, Session: name(names, session), Prefix: name(names, x.a.Prefix), Prompt: prompt,
-				Shared: min(int(x.a.Shared), prompt), Left: x.a.Left}); fits && err == nil {
+				Shared: min(int(x.a.PrefixTokens), prompt), Left: x.a.TimeLeft}); fits && err == nil {
 				w.written.Add(1)
 			}
 		}
--- a/internal/router/mirror/pool.go
+++ b/internal/router/mirror/pool.go
@@ -119,9 +119,9 @@
 	c.Classes = slices.Clone(c.Classes)
 	for i := range c.Classes {
 		class := &c.Classes[i]
-		class.Aim, class.Deadline, class.AimPer1000, class.AimStretch, class.TokenAim = patience, patience, 0, 0, 0
+		class.LatencyTarget, class.Deadline, class.LatencyTargetPer1000Tokens, class.LatencyTargetWorkFactor, class.TokenLatencyTarget = patience, patience, 0, 0, 0
 	}
-	c.MayProbe, c.MaxAway, c.Gateways = false, 0, 0
+	c.MayProbe, c.MaxRetryAfter, c.Routers = false, 0, 0
 	return c
 }
 
@@ -281,7 +281,7 @@
 	arrival := c.taken.Arrival
 	// An id of its own: a copy is never taken for an attempt of the real request, nor for another copy of it.
 	arrival.ID += "~" + p.name + "~" + strconv.FormatUint(c.id, 10)
-	arrival.Left = p.force.Patience
+	arrival.TimeLeft = p.force.Patience
 	go func() {
 		how := p.carry(c, arrival)
 		c.cancel()
--- a/internal/router/peering/gossip.go
+++ b/internal/router/peering/gossip.go
@@ -92,7 +92,7 @@
 }
 
 // Run gives all that can be read to hear, until ctx ends.
-func (g *Gossip) Run(ctx context.Context, hear func(balance.Heard)) {
+func (g *Gossip) Run(ctx context.Context, hear func(balance.ReportsReceived)) {
 	g.takeOver(ctx)
 	conn := g.conn.Load()
 	if conn == nil {
@@ -131,7 +131,7 @@
 			g.drop(from, err)
 			continue
 		}
-		hear(balance.Heard{From: i, Zone: zone, Reports: reports})
+		hear(balance.ReportsReceived{From: i, Zone: zone, Reports: reports})
 	}
 }
 
@@ -145,7 +145,7 @@
 }
 
 // Tell sends reports to the routers of the numbers given. It waits for nobody: what can't be sent now is lost.
-func (g *Gossip) SendReports(t balance.Tell) {
+func (g *Gossip) SendReports(t balance.SendReports) {
 	conn := g.conn.Load()
 	if conn == nil {
 		g.notSent.Add(1)
--- a/internal/router/program/admission.go
+++ b/internal/router/program/admission.go
@@ -38,7 +38,7 @@
 // admission returns admission's settings: those of the operators, or as many places as fit and nothing more.
 func (c *Config) admission(clients int) admission.Config {
 	if c.set == nil || c.set.Admission == nil {
-		return admission.Config{Places: clients, Step: defaultStep, Away: min(c.balance.MaxAway, time.Second)}
+		return admission.Config{Places: clients, Step: defaultStep, Away: min(c.balance.MaxRetryAfter, time.Second)}
 	}
 	d := c.set.Admission.Config
 	d.Places = clients
--- a/internal/router/program/membership.go
+++ b/internal/router/program/membership.go
@@ -24,10 +24,10 @@
 	if f == nil {
 		return nil
 	}
-	if c.balance.Gateways < 1 && (len(f.Seeds) == 0 || !f.Address.IsValid()) {
+	if c.balance.Routers < 1 && (len(f.Seeds) == 0 || !f.Address.IsValid()) {
 		return fmt.Errorf("%s: fleet needs seeds and address: the configuration names no peers", path)
 	}
-	if c.balance.Gateways < 1 && f.Listen == "" {
+	if c.balance.Routers < 1 && f.Listen == "" {
 		return fmt.Errorf("%s: fleet needs listen: the configuration has no peer_listen", path)
 	}
 	if _, err := members.New(c.member(), 0); err != nil {
@@ -46,9 +46,9 @@
 	if m.Name == "" {
 		m.Name = c.Name
 	}
-	if c.balance.Gateways >= 1 {
+	if c.balance.Routers >= 1 {
 		if !m.Addr.IsValid() {
-			m.Addr, _ = netip.ParseAddrPort(c.Peers[c.balance.Me])
+			m.Addr, _ = netip.ParseAddrPort(c.Peers[c.balance.Self])
 		}
 		if m.SeedsOnly = len(m.Seeds) == 0; m.SeedsOnly {
 			for _, p := range c.Peers {
@@ -72,7 +72,7 @@
 // startPeers opens the socket for what goes between routers, if anything does.
 func (p *Program) startPeers(work context.Context) error {
 	fleet := p.cfg.set != nil && p.cfg.set.Fleet != nil
-	if p.cfg.balance.Gateways <= 1 && !fleet {
+	if p.cfg.balance.Routers <= 1 && !fleet {
 		return nil
 	}
 	listen := p.cfg.PeerListen
@@ -110,7 +110,7 @@
 		gossip.OnMembersDatagram(p.view.HandleDatagram)
 		go p.view.Run(work)
 	}
-	if p.cfg.balance.Gateways > 1 {
+	if p.cfg.balance.Routers > 1 {
 		p.router.Tells(gossip.SendReports)
 	}
 	go gossip.Run(hearing, p.router.Heard)
@@ -124,7 +124,7 @@
 	for i := range v.Members {
 		m := &v.Members[i]
 		if n, ok := numbers[m.Addr]; ok {
-			self = self || n == p.cfg.balance.Me
+			self = self || n == p.cfg.balance.Self
 			peers = append(peers, balance.Peer{Number: n, Zone: m.Zone})
 		}
 	}
--- a/internal/router/program/program.go
+++ b/internal/router/program/program.go
@@ -213,7 +213,7 @@
 // goes on as it was. The old watch has ended before the new one begins, so no older list can come last.
 func (p *Program) watchDiscovery(ctx context.Context, reload <-chan os.Signal) {
 	pace, since := transport.Pushed, int64(transport.WholeList)
-	if p.cfg.balance.AskForList {
+	if p.cfg.balance.MustSubscribe {
 		o := p.cfg.Settings
 		pace = transport.Asked(o.NInstances, time.Duration(o.Rules.MustAskInNs))
 		if len(p.cfg.Known.Servers) > 0 {
--- a/internal/router/program/recovery.go
+++ b/internal/router/program/recovery.go
@@ -69,7 +69,7 @@
 		name, boot = m.Name, m.Boot
 	}
 	if c.decider, err = recovery.New(recovery.Config{Self: name, Boot: boot, Saved: before, Damaged: broken, Discovery: p.listSource(), HasRoles: duties,
-		WarmUpTimeout: 2 * p.cfg.balance.ColdTime}, 0); err != nil {
+		WarmUpTimeout: 2 * p.cfg.balance.SlowStartWindow}, 0); err != nil {
 		return fmt.Errorf("recovery: %w", err)
 	}
 	p.recovery = c
@@ -196,7 +196,7 @@
 		p.sendTo([]snapshot.Router{a.To}, a.Reply.Encode())
 	case recovery.AdoptMeasure:
 		p.log.Info("measure of others taken", "work", a.Measure.HostWork.Round(time.Millisecond), "mean_work", a.Measure.RequestWork.Round(time.Millisecond))
-		p.router.Recall(balance.Learned{Work: a.Measure.HostWork.Seconds(), MeanWork: a.Measure.RequestWork.Seconds()})
+		p.router.Recall(balance.Learned{CompletedWork: a.Measure.HostWork.Seconds(), MeanWork: a.Measure.RequestWork.Seconds()})
 	case recovery.OutageClassified:
 		p.log.Info("power lost", "whose", a.Outage, "heard", a.Heard, "asked", a.Asked)
 	case recovery.StageEntered:
--- a/internal/router/program/snapshot.go
+++ b/internal/router/program/snapshot.go
@@ -141,7 +141,7 @@
 	if before != nil && before.Learned != nil {
 		demand = before.Demand
 		k.usual.Restore(*before.Learned, demand)
-		p.balancer.Recall(*before.Learned)
+		p.balancer.Restore(*before.Learned)
 	}
 	p.gate.gate = recovery.NewGate(p.cfg.balance, demand, p.cfg.seed)
 	p.router.Keeps(p.recordLearned)
--- a/internal/router/recovery/gate.go
+++ b/internal/router/recovery/gate.go
@@ -99,7 +99,7 @@
 		}
 		g.classes, g.byName[c.Name] = append(g.classes, d), d
 	}
-	slices.SortStableFunc(g.classes, func(a, b *demand) int { return cmp.Compare(b.class.Worth, a.class.Worth) })
+	slices.SortStableFunc(g.classes, func(a, b *demand) int { return cmp.Compare(b.class.Value, a.class.Value) })
 	g.allocatedAt = 0
 }
 
@@ -110,7 +110,7 @@
 		switch e := e.(type) {
 		case balance.Members:
 			g.updateHosts(e)
-		case balance.Retune:
+		case balance.ConfigChange:
 			g.retune(e.Config)
 		case balance.FirstToken:
 			g.recordOutcome(now, e.ID)
@@ -122,7 +122,7 @@
 			delete(g.pending, e.ID)
 		case balance.Arrival:
 			if !g.admit(now, &e) {
-				out = append(out, balance.Refuse{ID: e.ID, Away: g.retryAfter()})
+				out = append(out, balance.Reject{ID: e.ID, RetryAfter: g.retryAfter()})
 				continue
 			}
 		}
@@ -136,7 +136,7 @@
 	if e.Failed || e.Version < g.version {
 		return
 	}
-	if g.version, g.allocatedAt = e.Version, 0; e.Whole {
+	if g.version, g.allocatedAt = e.Version, 0; e.Complete {
 		clear(g.hosts)
 	}
 	for _, m := range e.Members {
@@ -157,9 +157,9 @@
 		g.Rejected++
 		return false
 	}
-	d.work += a.Prompt + requestOverheadTokens
-	if d.class.Worth == g.classes[0].class.Worth && g.warmFraction < NearlyWarm && len(g.pending) < maxPending {
-		g.pending[a.ID] = now + d.class.Aim + time.Duration(a.Prompt/1000*float64(d.class.AimPer1000))
+	d.work += a.PromptTokens + requestOverheadTokens
+	if d.class.Value == g.classes[0].class.Value && g.warmFraction < NearlyWarm && len(g.pending) < maxPending {
+		g.pending[a.ID] = now + d.class.LatencyTarget + time.Duration(a.PromptTokens/1000*float64(d.class.LatencyTargetPer1000Tokens))
 	}
 	if d.admitted >= 1 {
 		return true
@@ -176,19 +176,19 @@
 // old tells that a request is one of a client that has asked before, and that its aim has passed meanwhile: whatever it gets now is worth nothing, and takes the
 // place of one that has just come. A client's first try has the most time left that any of its class has shown; one that has less has what is left of its deadline.
 func (d *demand) isStaleRetry(a *balance.Arrival) bool {
-	more := time.Duration(a.Prompt / 1000 * float64(d.class.AimPer1000))
+	more := time.Duration(a.PromptTokens / 1000 * float64(d.class.LatencyTargetPer1000Tokens))
 	whole := d.class.Deadline + 2*more
-	if whole <= 0 || d.class.LateWorth > 0 {
+	if whole <= 0 || d.class.LateValueFraction > 0 {
 		return false
 	}
-	share := float64(a.Left) / float64(whole)
+	share := float64(a.TimeLeft) / float64(whole)
 	if share > 1.05 { // not as the settings say
 		return false
 	}
 	if d.maxLeftFraction = max(d.maxLeftFraction*maxLeftDecay, share); share > 0.97*d.maxLeftFraction {
 		return false
 	}
-	return whole-a.Left > d.class.Aim+more
+	return whole-a.TimeLeft > d.class.LatencyTarget+more
 }
 
 // judged takes in that the answer of a request has begun, or that it is over.
@@ -226,7 +226,7 @@
 
 // away is how long a class that waits for warmer hosts stays away: spread, lest all come back together.
 func (g *Gate) retryAfter() time.Duration {
-	return time.Duration((0.5 + 0.5*g.rng.Float64()) * float64(g.config.MaxAway))
+	return time.Duration((0.5 + 0.5*g.rng.Float64()) * float64(g.config.MaxRetryAfter))
 }
 
 // Parts is what is admitted by now of each class.
@@ -240,8 +240,8 @@
 
 // Warmth is what a host that started at born can do by now, of what it does when warm; 0 for long ago.
 func Warmth(cfg *balance.Config, born, now time.Duration) float64 {
-	if age := now - born; born > 0 && age < cfg.ColdTime {
-		return cfg.StartCapacity + (1-cfg.StartCapacity)*float64(max(age, 0))/float64(cfg.ColdTime)
+	if age := now - born; born > 0 && age < cfg.SlowStartWindow {
+		return cfg.SlowStartMinCapacity + (1-cfg.SlowStartMinCapacity)*float64(max(age, 0))/float64(cfg.SlowStartWindow)
 	}
 	return 1
 }
@@ -253,7 +253,7 @@
 	}
 	sum := 0.0
 	for _, m := range g.hosts {
-		sum += Warmth(&g.config, m.Born, now)
+		sum += Warmth(&g.config, m.StartedAt, now)
 	}
 	return sum / float64(len(g.hosts))
 }
@@ -280,7 +280,7 @@
 		room, g.grantedFraction = math.Inf(1), initialFraction
 	}
 	for i, d := range g.classes {
-		if d.admitted = 1; i > 0 && d.class.Worth < g.classes[0].class.Worth && d.work > 0 {
+		if d.admitted = 1; i > 0 && d.class.Value < g.classes[0].class.Value && d.work > 0 {
 			d.admitted = min(max(room/d.work, 0), 1)
 		}
 		room = max(room-d.work, 0)
--- a/internal/router/recovery/usual.go
+++ b/internal/router/recovery/usual.go
@@ -17,7 +17,9 @@
 }
 
 // MeasureOf is the part of what a module has learned that routers tell each other.
-func MeasureOf(l balance.Learned) Measure { return Measure{seconds(l.Work), seconds(l.MeanWork)} }
+func MeasureOf(l balance.Learned) Measure {
+	return Measure{seconds(l.CompletedWork), seconds(l.MeanWork)}
+}
 
 // seconds is a time that the module counts in seconds.
 func seconds(x float64) time.Duration {
@@ -31,7 +33,7 @@
 
 // Restore goes on from another life's mean.
 func (u *Baseline) Restore(l balance.Learned, demand map[string]float64) {
-	if l.Work > 0 && l.MeanWork > 0 {
+	if l.CompletedWork > 0 && l.MeanWork > 0 {
 		u.mean, u.demand, u.weight = l, maps.Clone(demand), baselineWindow/2
 	}
 }
@@ -39,7 +41,7 @@
 // Take takes in what a module has learned by now, and what a Gate has seen asked for. Its owner calls it while hosts are warm: what is asked for in a return is
 // no usual day's.
 func (u *Baseline) Update(now time.Duration, l balance.Learned, demand map[string]float64) {
-	if l.Work <= 0 || l.MeanWork <= 0 {
+	if l.CompletedWork <= 0 || l.MeanWork <= 0 {
 		return
 	}
 	passed := min(max((now-u.at).Seconds(), 0), 10)
@@ -49,9 +51,9 @@
 	u.at = now
 	u.weight = min(u.weight+passed, baselineWindow)
 	part := passed / u.weight
-	u.mean.Work += (l.Work - u.mean.Work) * part
+	u.mean.CompletedWork += (l.CompletedWork - u.mean.CompletedWork) * part
 	u.mean.MeanWork += (l.MeanWork - u.mean.MeanWork) * part
-	u.mean.Decode, u.mean.Kinds, u.mean.Replicas = l.Decode, l.Kinds, l.Replicas // averages already
+	u.mean.DecodeTimes, u.mean.PrefillByKind, u.mean.Replicas = l.DecodeTimes, l.PrefillByKind, l.Replicas // averages already
 	if u.demand == nil {
 		u.demand = map[string]float64{}
 	}
--- a/internal/routing/admit.go
+++ b/internal/routing/admit.go
@@ -19,7 +19,7 @@
 	r.requests[f.id] = f
 	r.mu.Unlock()
 	f.class.take() // before anything can end it
-	f.arrival.Left = time.Until(f.deadline)
+	f.arrival.TimeLeft = time.Until(f.deadline)
 	r.post(f.arrival)
 	return nil
 }
--- a/internal/routing/book.go
+++ b/internal/routing/book.go
@@ -23,6 +23,6 @@
 
 // bookStream tells the module how an attempt ended whose answer had begun. That closes the request either way.
 func (r *Router) bookStream(s *attempt, h Head, kept float64) {
-	r.post(balance.Outcome{ID: s.request.id, Attempt: s.number, Result: h.Result, Load: h.Load, Kept: kept, Final: true})
+	r.post(balance.Outcome{ID: s.request.id, Attempt: s.number, Result: h.Result, Load: h.Load, CachedTokens: kept, Final: true})
 	r.release(s.request)
 }
--- a/internal/routing/entries.go
+++ b/internal/routing/entries.go
@@ -17,9 +17,9 @@
 	r.mu.Lock()
 	r.told++
 	ev.Version = r.told
-	if ev.Whole {
+	if ev.Complete {
 		for id, e := range r.entries {
-			e.state = balance.Gone
+			e.state = balance.Removed
 			r.entries[id] = e
 		}
 	}
@@ -30,7 +30,7 @@
 		r.entries[m.Replica] = entry{Entry{m.Replica, addrs[m.Replica]}, m.State}
 	}
 	for id, e := range r.entries {
-		if e.state == balance.Gone {
+		if e.state == balance.Removed {
 			moved = append(moved, id)
 			delete(r.entries, id)
 		}
@@ -46,7 +46,7 @@
 // Retune puts other settings in force, for requests taken in from now on.
 func (r *Router) Retune(c balance.Config) {
 	r.figures.list(c.Classes)
-	r.post(balance.Retune{Config: c})
+	r.post(balance.ConfigChange{Config: c})
 }
 
 // ready returns a server that may be sent to. It is asked again right before a send: the module decides
--- a/internal/routing/route.go
+++ b/internal/routing/route.go
@@ -11,16 +11,16 @@
 	switch a := action.(type) {
 	case balance.Send:
 		r.send(r.request(a.ID), a)
-	case balance.Refuse:
+	case balance.Reject:
 		r.refused.Add(1)
 		f := r.request(a.ID)
-		f.answer(Answer{Verdict: Refused, Wait: a.Away, Ran: f.ran.Load()})
+		f.answer(Answer{Verdict: Refused, Wait: a.RetryAfter, Ran: f.ran.Load()})
 	case balance.Fail:
 		f := r.request(a.ID)
 		f.answer(Answer{Verdict: Failed, Final: f.word.Load()})
 	case balance.Probe:
 		r.probe(a.Replica)
-	case balance.Tell:
+	case balance.SendReports:
 		r.tell(a)
 	case balance.Log:
 		r.tellDecision(a.Text)
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -87,8 +87,8 @@
 	log      Logger
 	clock    clock
 	probeFor time.Duration
-	tell     func(balance.Tell) // to other routers; must not block
-	refused  atomic.Uint64      // requests refused so far
+	tell     func(balance.SendReports) // to other routers; must not block
+	refused  atomic.Uint64             // requests refused so far
 	figures  figures
 
 	mu       sync.Mutex
@@ -107,13 +107,13 @@
 // New returns a Router that stands still until Run. A probe is given up after probeFor.
 func New(b *balance.Balancer, n Network, log Logger, probeFor time.Duration) *Router {
 	r := &Router{balancer: b, network: n, log: log, clock: startClock(), probeFor: probeFor,
-		tell: func(balance.Tell) {}, entries: map[string]entry{}, requests: map[string]*Request{}, wake: make(chan struct{}, 1)}
+		tell: func(balance.SendReports) {}, entries: map[string]entry{}, requests: map[string]*Request{}, wake: make(chan struct{}, 1)}
 	r.figures.list(b.Classes())
 	return r
 }
 
 // Tells has the words of the module to other routers carried by tell. It is called before Run.
-func (r *Router) Tells(tell func(balance.Tell)) { r.tell = tell }
+func (r *Router) Tells(tell func(balance.SendReports)) { r.tell = tell }
 
 // Keeps has take be told what the module has learned, once a second while it decides, by the goroutine that does; it must not
 // block. It is called before Run.
@@ -132,7 +132,7 @@
 
 // Heard leaves what another router told for the next decision. By itself it calls for none, and in a large fleet each
 // router hears far more than it decides.
-func (r *Router) Heard(ev balance.Heard) {
+func (r *Router) Heard(ev balance.ReportsReceived) {
 	r.mu.Lock()
 	r.heard = append(r.heard, ev)
 	full := len(r.heard) >= mostUnheard
@@ -161,14 +161,14 @@
 		if fleet != nil {
 			r.figures.fleet.Store(fleet)
 			if fleet.Peers != nil {
-				events = append(events, balance.Fleet{Version: fleet.Version, Living: fleet.Peers})
+				events = append(events, balance.LivenessView{Version: fleet.Version, Live: fleet.Peers})
 			}
 		}
 		if wakeAt > 0 && now >= wakeAt {
-			events, wakeAt = append(events, balance.Wake{Token: token}), 0
+			events, wakeAt = append(events, balance.TimerExpired{Token: token}), 0
 		}
 		if l := r.recall.Swap(nil); l != nil {
-			r.balancer.Recall(*l)
+			r.balancer.Restore(*l)
 		}
 		if r.gate != nil {
 			var answers []balance.Action
@@ -180,14 +180,14 @@
 		for _, action := range r.balancer.Step(now, events) {
 			if set, ok := action.(balance.SetTimer); ok {
 				// The module heeds only the last timer that it set.
-				token, wakeAt = set.Token, now+set.After
+				token, wakeAt = set.Token, now+set.Delay
 				continue
 			}
 			r.route(action)
 		}
-		r.figures.avoided.Store(int64(r.balancer.Avoided()))
+		r.figures.avoided.Store(int64(r.balancer.OutOfRotation()))
 		if r.keeps != nil {
-			r.balancer.Recollect()
+			r.balancer.RestoreReplicas()
 		}
 		if r.keeps != nil && now >= keptAt+keepEvery {
 			r.keeps(now, r.balancer.Learned())
--- a/internal/routing/send.go
+++ b/internal/routing/send.go
@@ -47,14 +47,14 @@
 func (r *Router) probe(id string) {
 	to, ok := r.ready(id)
 	if !ok {
-		r.post(balance.Probed{Replica: id, Result: balance.NotSent})
+		r.post(balance.ProbeResult{Replica: id, Result: balance.NotSent})
 		return
 	}
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), r.probeFor)
 		defer cancel()
 		result, load := r.network.Probe(ctx, to)
-		r.post(balance.Probed{Replica: id, Result: result, Load: load})
+		r.post(balance.ProbeResult{Replica: id, Result: result, Load: load})
 	}()
 }
 
--- a/internal/routing/takein.go
+++ b/internal/routing/takein.go
@@ -11,7 +11,7 @@
 // caller owes one call of Done, unless there is an error.
 func (r *Router) TakeIn(a balance.Arrival, began time.Time, m Message) (*Request, error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	f := &Request{id: a.ID, arrival: a, class: r.figures.of(a.Class), message: m, deadline: began.Add(a.Left), ctx: ctx, cancel: cancel, final: make(chan Answer, 1)}
+	f := &Request{id: a.ID, arrival: a, class: r.figures.of(a.Class), message: m, deadline: began.Add(a.TimeLeft), ctx: ctx, cancel: cancel, final: make(chan Answer, 1)}
 	f.holds.Store(1)
 	if err := r.admit(f); err != nil {
 		cancel()
--- a/internal/system/dataplane/classes.go
+++ b/internal/system/dataplane/classes.go
@@ -48,8 +48,8 @@
 
 // classOf is what the decisions know of a route. All of it is in the name of the class.
 func classOf(r *configuration.Route) balance.Class {
-	c := balance.Class{Name: r.ClassName(), Effect: balance.Unsafe, Aim: r.Target(), Deadline: r.Timeout(), TokenAim: r.Gap(),
-		Worth: 1, LateWorth: lateWorth, Streamed: r.Kind == configuration.Streaming, Runs: max(r.MaxAttempts, 1)}
+	c := balance.Class{Name: r.ClassName(), Effect: balance.Unsafe, LatencyTarget: r.Target(), Deadline: r.Timeout(), TokenLatencyTarget: r.Gap(),
+		Value: 1, LateValueFraction: lateWorth, Streamed: r.Kind == configuration.Streaming, MaxExecutions: max(r.MaxAttempts, 1)}
 	if r.Idempotent() {
 		c.Effect = balance.Safe
 	}
--- a/internal/system/dataplane/intake.go
+++ b/internal/system/dataplane/intake.go
@@ -152,7 +152,7 @@
 	}
 	forward := request.forward(ctx, a)
 	forward.Version, forward.Admit = hold.version(), hold.admit(units)
-	request.arrival.Needs = hold.needs
+	request.arrival.RequiredFeature = hold.needs
 	return &transport.Plan{
 		Router:   s.router,
 		Arrival:  request.arrival,
@@ -187,13 +187,13 @@
 	if get(protocol.HeaderRequestID) == "" {
 		return nil, errNoID
 	}
-	r := &request{route: route, model: get(protocol.HeaderModel), arrival: balance.Arrival{Class: route.ClassName(), Left: route.Timeout()}}
+	r := &request{route: route, model: get(protocol.HeaderModel), arrival: balance.Arrival{Class: route.ClassName(), TimeLeft: route.Timeout()}}
 	left, told, err := protocol.ParseDeadline(get(protocol.HeaderDeadline))
 	if err != nil {
 		return nil, err
 	}
 	if told {
-		r.arrival.Left = min(left, route.Timeout())
+		r.arrival.TimeLeft = min(left, route.Timeout())
 	}
 	if r.usage, r.counted, err = protocol.ParseUsage(get(protocol.HeaderTokenUsage)); err != nil {
 		return nil, err
@@ -202,17 +202,17 @@
 	if err != nil {
 		return nil, err
 	}
-	r.arrival.Prompt = float64(bodyLen / charsPerToken)
+	r.arrival.PromptTokens = float64(bodyLen / charsPerToken)
 	if r.counted {
-		r.arrival.Prompt = r.usage.Prompt
+		r.arrival.PromptTokens = r.usage.Prompt
 	}
 	if n := len(parts); n > 0 {
 		r.arrival.Session = parts[n-1].ID
 		for _, part := range parts[:n-1] {
-			r.arrival.Prefix, r.arrival.Shared = part.ID, r.arrival.Shared+part.Tokens
+			r.arrival.Prefix, r.arrival.PrefixTokens = part.ID, r.arrival.PrefixTokens+part.Tokens
 		}
 	}
-	r.arrival.Shared = min(r.arrival.Shared, r.arrival.Prompt)
+	r.arrival.PrefixTokens = min(r.arrival.PrefixTokens, r.arrival.PromptTokens)
 	return r, nil
 }
 
@@ -355,7 +355,7 @@
 	}
 	tries := 1
 	return func(message *transport.Message, first *transport.Final, after string) (*transport.Plan, bool) {
-		left := r.arrival.Left - time.Since(began)
+		left := r.arrival.TimeLeft - time.Since(began)
 		version, needs, can := hold.resumed(first)
 		if !can || tries >= max(r.route.MaxAttempts, 1) || left <= 0 || !s.retries.Take() {
 			return nil, false
@@ -365,7 +365,7 @@
 		}
 		next := r.arrival
 		next.ID += strings.Repeat(resumeSuffix, tries)
-		next.Left, next.Again, next.Needs = r.arrival.Left, true, needs
+		next.TimeLeft, next.Resumed, next.RequiredFeature = r.arrival.TimeLeft, true, needs
 		tries++
 		return &transport.Plan{Router: s.router, Arrival: next, Message: message.After(after, version, units.admit)}, true
 	}
--- a/internal/system/dataplane/plane.go
+++ b/internal/system/dataplane/plane.go
@@ -149,7 +149,7 @@
 	}
 	s.router = routing.New(b, p.o.Servers, p.o.Log, probeFor)
 	if p.o.Tell != nil {
-		s.router.Tells(func(t balance.Tell) { p.o.Tell(name, t.Reports) })
+		s.router.Tells(func(t balance.SendReports) { p.o.Tell(name, t.Reports) })
 	}
 	ctx, stop := context.WithCancel(p.ctx)
 	s.stop = stop
@@ -191,8 +191,8 @@
 
 // config is what the decisions of a service are told.
 func (p *Plane) config(s *service, classes []balance.Class) balance.Config {
-	return balance.Config{Zone: p.o.Settings().Zone, Classes: classes, MaxAttempts: mostAttempts, StartCapacity: 0.5, ColdTime: time.Second,
-		OverloadFactor: 4, OverloadWindow: time.Second, Tick: tick, CrossZonePrice: crossZonePrice, MaxAway: mostAway, OneHome: true, Broadcast: p.o.Tell != nil, Retries: s.retries}
+	return balance.Config{Zone: p.o.Settings().Zone, Classes: classes, MaxAttempts: mostAttempts, SlowStartMinCapacity: 0.5, SlowStartWindow: time.Second,
+		OverloadFactor: 4, OverloadWindow: time.Second, StepInterval: tick, CrossZonePenalty: crossZonePrice, MaxRetryAfter: mostAway, SingleAffinityHost: true, Broadcast: p.o.Tell != nil, RetryBudget: s.retries}
 }
 
 // crossZonePrice is what crossing zones counts in the decisions, in parts of what there is to earn.
@@ -207,7 +207,7 @@
 		return
 	}
 	s.told = revision
-	ev := balance.Members{Whole: true}
+	ev := balance.Members{Complete: true}
 	counts := s.models.recount()
 	addrs := map[string]string{}
 	serving := 0
@@ -216,15 +216,15 @@
 		m := balance.Member{Replica: r.Id, Zone: r.Zone, Kind: name}
 		switch r.State {
 		case message.Instance_READY:
-			m.State, m.Has = balance.Serving, counts.add(r.Models)
+			m.State, m.Features = balance.Serving, counts.add(r.Models)
 			serving++
 		case message.Instance_DRAINING:
 			m.State = balance.Draining
 		default:
-			m.State = balance.Gone
+			m.State = balance.Removed
 		}
 		if left := r.ColdUntil - now; left > 0 {
-			m.Born = clock + left - time.Second
+			m.StartedAt = clock + left - time.Second
 		}
 		ev.Members = append(ev.Members, m)
 		addrs[r.Id] = r.Address
@@ -237,7 +237,7 @@
 }
 
 // Heard takes in what another router tells of the prompts that it sent to hosts of a service.
-func (p *Plane) Heard(name string, heard balance.Heard) {
+func (p *Plane) Heard(name string, heard balance.ReportsReceived) {
 	if s := (*p.pools.Load())[name]; s != nil {
 		s.router.Heard(heard)
 	}
--- a/internal/system/roles/node/peerreports.go
+++ b/internal/system/roles/node/peerreports.go
@@ -104,11 +104,11 @@
 func (p *peerReporter) encode(r balance.PeerReport) *message.SentPrompt {
 	switch {
 	case r.Failed && p.mayReportHost():
-		return &message.SentPrompt{Host: r.Tag, Failed: true}
-	case r.Slow > 0 && p.mayReportHost():
-		return &message.SentPrompt{Host: r.Tag, Slow: uint32(slownessScale * r.Slow)}
-	case p.sample(r.Tokens):
-		return &message.SentPrompt{Host: r.Tag, Tokens: uint32(r.Tokens), Prefix: uint32(r.Prefix)}
+		return &message.SentPrompt{Host: r.ReplicaTag, Failed: true}
+	case r.LatencyRatio > 0 && p.mayReportHost():
+		return &message.SentPrompt{Host: r.ReplicaTag, Slow: uint32(slownessScale * r.LatencyRatio)}
+	case p.sample(r.PrefillTokens):
+		return &message.SentPrompt{Host: r.ReplicaTag, Tokens: uint32(r.PrefillTokens), Prefix: uint32(r.PrefixTag)}
 	}
 	return nil
 }
@@ -166,14 +166,14 @@
 		return true
 	}
 	p.received.Add(1)
-	heard := balance.Heard{From: witnessID(from), Reports: make([]balance.PeerReport, 0, len(m.Prompts))}
+	heard := balance.ReportsReceived{From: witnessID(from), Reports: make([]balance.PeerReport, 0, len(m.Prompts))}
 	for _, prompt := range m.Prompts {
 		heard.Reports = append(heard.Reports, balance.PeerReport{
-			Tag:    prompt.Host,
-			Tokens: float64(prompt.Tokens),
-			Prefix: uint16(prompt.Prefix),
-			Failed: prompt.Failed,
-			Slow:   float64(prompt.Slow) / slownessScale,
+			ReplicaTag:    prompt.Host,
+			PrefillTokens: float64(prompt.Tokens),
+			PrefixTag:     uint16(prompt.Prefix),
+			Failed:        prompt.Failed,
+			LatencyRatio:  float64(prompt.Slow) / slownessScale,
 		})
 	}
 	p.node.plane.Heard(m.Service, heard)
