--- a/internal/testbed/experiment/file.go
+++ b/internal/testbed/experiment/file.go
@@ -238,7 +238,7 @@
 func (d *decoder) file(x *Experiment, b *hclsyntax.Body) {
 	s := &x.Spec
 	*s = simulator.Spec{Length: time.Minute, Tick: 5 * time.Millisecond, Routers: 1,
-		Balance: balance.Config{MaxAttempts: 4, StartCapacity: 1},
+		Balance: balance.Config{MaxAttempts: 4, SlowStartMinCapacity: 1},
 		Net: simulator.Network{Same: 300 * time.Microsecond, Cross: 2 * time.Millisecond, Jitter: 0.2, Connect: 50 * time.Millisecond,
 			Idle: 15 * time.Second, Silent: 4500 * time.Millisecond},
 		List: simulator.List{Delay: 50 * time.Millisecond, Spread: 200 * time.Millisecond}, Front: simulator.Front{Notice: 2 * time.Second},
@@ -326,12 +326,12 @@
 	return fields{
 		"may_probe":        flag(&c.MayProbe),
 		"max_attempts":     whole(&c.MaxAttempts, 1, 100),
-		"start_capacity":   num(&c.StartCapacity, 0, 1),
-		"cold_time":        span(&c.ColdTime, 0),
+		"start_capacity":   num(&c.SlowStartMinCapacity, 0, 1),
+		"cold_time":        span(&c.SlowStartWindow, 0),
 		"overload_factor":  num(&c.OverloadFactor, 0, 1000),
 		"overload_window":  span(&c.OverloadWindow, 0),
-		"cross_zone_price": num(&c.CrossZonePrice, 0, 1),
-		"max_away":         span(&c.MaxAway, 0),
+		"cross_zone_price": num(&c.CrossZonePenalty, 0, 1),
+		"max_away":         span(&c.MaxRetryAfter, 0),
 	}
 }
 
@@ -385,11 +385,11 @@
 }
 
 func (d *decoder) class(b *hclsyntax.Block) simulator.Class {
-	c := simulator.Class{Class: balance.Class{Name: d.label(b), Worth: 1, Streamed: true}, Turns: 1, MaxOut: 800, MaxContext: 32000,
+	c := simulator.Class{Class: balance.Class{Name: d.label(b), Value: 1, Streamed: true}, Turns: 1, MaxOut: 800, MaxContext: 32000,
 		New: simulator.Length{Median: 300, Sigma: 0.8}, Out: simulator.Length{Median: 120, Sigma: 0.7}, PrefixLen: simulator.Length{Median: 1000, Sigma: 0.5}, Zipf: 1}
 	d.body(b.Body, "class", fields{
-		"aim": span(&c.Class.Aim, 0), "aim_per_1000": span(&c.Class.AimPer1000, 0), "token_aim": span(&c.Class.TokenAim, 0),
-		"deadline": span(&c.Class.Deadline, 1), "worth": num(&c.Class.Worth, 0, 1e6), "late_worth": num(&c.Class.LateWorth, 0, 1),
+		"aim": span(&c.Class.LatencyTarget, 0), "aim_per_1000": span(&c.Class.LatencyTargetPer1000Tokens, 0), "token_aim": span(&c.Class.TokenLatencyTarget, 0),
+		"deadline": span(&c.Class.Deadline, 1), "worth": num(&c.Class.Value, 0, 1e6), "late_worth": num(&c.Class.LateValueFraction, 0, 1),
 		"rate": num(&c.Rate, 0, 1e6), "turns": num(&c.Turns, 1, 1000), "think": span(&c.Think, 0),
 		"new_median": num(&c.New.Median, 1, 1e6), "new_sigma": num(&c.New.Sigma, 0, 5),
 		"out_median": num(&c.Out.Median, 1, 1e6), "out_sigma": num(&c.Out.Sigma, 0, 5),
--- a/internal/testbed/experiment/scale.go
+++ b/internal/testbed/experiment/scale.go
@@ -39,7 +39,7 @@
 	base := rates(len(x.Spec.Classes), func(i int) float64 { return x.Spec.Classes[i].Rate })
 	best := 0
 	for i := range x.Spec.Classes {
-		if x.Spec.Classes[i].Class.Worth > x.Spec.Classes[best].Class.Worth {
+		if x.Spec.Classes[i].Class.Value > x.Spec.Classes[best].Class.Value {
 			best = i
 		}
 	}
--- a/internal/testbed/fakes/clients.go
+++ b/internal/testbed/fakes/clients.go
@@ -111,7 +111,7 @@
 
 func (c *Clients) ask(ctx context.Context, p *simulator.Planned, due time.Time) {
 	class := &c.spec.Classes[p.Class].Class
-	more := time.Duration(float64(p.Prompt) / 1000 * float64(class.AimPer1000))
+	more := time.Duration(float64(p.Prompt) / 1000 * float64(class.LatencyTargetPer1000Tokens))
 	until := due.Add(class.Deadline + 2*more)
 	var a answered
 	for n := 1; ; n++ {
@@ -144,7 +144,7 @@
 		if a.tokens > 1 {
 			pace = (a.last - a.first) / time.Duration(a.tokens-1)
 		}
-		if a.first <= class.Aim+more && (class.TokenAim == 0 || pace <= class.TokenAim) {
+		if a.first <= class.LatencyTarget+more && (class.TokenLatencyTarget == 0 || pace <= class.TokenLatencyTarget) {
 			t.Good++
 		} else {
 			t.Late++
--- a/internal/testbed/fakes/fakes_test.go
+++ b/internal/testbed/fakes/fakes_test.go
@@ -173,7 +173,7 @@
 func TestClients(t *testing.T) {
 	h := start(t, config())
 	spec := &simulator.Spec{Classes: []simulator.Class{{}}}
-	spec.Classes[0].Class.Name, spec.Classes[0].Class.Aim, spec.Classes[0].Class.Deadline = "chat", time.Minute, time.Minute
+	spec.Classes[0].Class.Name, spec.Classes[0].Class.LatencyTarget, spec.Classes[0].Class.Deadline = "chat", time.Minute, time.Minute
 	c := NewClients(h.Addr, spec)
 	plan := []simulator.Planned{{ID: "a", Prompt: 10, Out: 3, MaxOut: 5}, {ID: "b", At: 5 * ms, Prompt: 10, Out: 3, MaxOut: 5},
 		{ID: "c", At: 10 * ms, Prompt: 20000, Out: 3, MaxOut: 5}} // the last one is too long for the host
--- a/internal/testbed/fakes/fleet.go
+++ b/internal/testbed/fakes/fleet.go
@@ -152,10 +152,10 @@
 	var aims []float64
 	var paces []int64
 	for _, c := range f.spec.Classes {
-		services = append(services, map[string]any{"name": c.Class.Name, "effect": "safe", "group": "all", "streaming": true, "gain": c.Class.Worth,
-			"lateWorth": c.Class.LateWorth, "aimNs": c.Class.Aim.Nanoseconds(), "hardLimitNs": c.Class.Deadline.Nanoseconds()})
-		aims = append(aims, float64(c.Class.AimPer1000.Microseconds()))
-		paces = append(paces, c.Class.TokenAim.Nanoseconds())
+		services = append(services, map[string]any{"name": c.Class.Name, "effect": "safe", "group": "all", "streaming": true, "gain": c.Class.Value,
+			"lateWorth": c.Class.LateValueFraction, "aimNs": c.Class.LatencyTarget.Nanoseconds(), "hardLimitNs": c.Class.Deadline.Nanoseconds()})
+		aims = append(aims, float64(c.Class.LatencyTargetPer1000Tokens.Microseconds()))
+		paces = append(paces, c.Class.TokenLatencyTarget.Nanoseconds())
 	}
 	if at.Zone == "" && len(f.spec.Groups) > 0 {
 		at.Zone = f.spec.Groups[0].Zone
@@ -165,9 +165,9 @@
 		"clients": map[string]any{"marksRetry": true}, "me": at.Me, "nInstances": max(len(at.Peers), 1),
 		"extra": map[string]any{"aimUsPer1000PromptTokens": aims, "tokenAimNs": paces, "reportX1": "thousands of prompt tokens waiting to be read"},
 		"limits": map[string]any{"maxAttempts": b.MaxAttempts, "connectTimeoutNs": f.spec.Net.Connect.Nanoseconds(), "peers": len(at.Peers) > 0,
-			"keepaliveNs": f.spec.Net.Idle.Nanoseconds(), "maxRetryAfterNs": b.MaxAway.Nanoseconds(), "mayProbe": b.MayProbe, "retryAfter": true},
+			"keepaliveNs": f.spec.Net.Idle.Nanoseconds(), "maxRetryAfterNs": b.MaxRetryAfter.Nanoseconds(), "mayProbe": b.MayProbe, "retryAfter": true},
 		"reporting": map[string]any{"columns": []string{"inflight", "util", "x1"}, "how": "answers"},
-		"rules": map[string]any{"coldNs": b.ColdTime.Nanoseconds(), "startCapacity": b.StartCapacity, "overloadFactor": b.OverloadFactor,
+		"rules": map[string]any{"coldNs": b.SlowStartWindow.Nanoseconds(), "startCapacity": b.SlowStartMinCapacity, "overloadFactor": b.OverloadFactor,
 			"tipAfterNs": b.OverloadWindow.Nanoseconds(), "stopSendingWithinNs": int64(500 * time.Millisecond)}}
 	config := map[string]any{
 		"name": at.Name, "listen": at.Listen, "discovery": cmp.Or(at.Discovery, f.List.Addr), "seed": strconv.FormatUint(max(at.Seed, 1), 16),
--- a/internal/testbed/simulator/bound.go
+++ b/internal/testbed/simulator/bound.go
@@ -31,7 +31,7 @@
 
 // inTime returns how many requests of a class a host could serve in a second if it did nothing else.
 func inTime(h *hostmodel.Config, share float64, c *Class, x need) float64 {
-	out, pace := x.out/x.n, c.Class.TokenAim.Seconds()
+	out, pace := x.out/x.n, c.Class.TokenLatencyTarget.Seconds()
 	if pace == 0 {
 		pace = c.Class.Deadline.Seconds() / out
 	}
@@ -68,7 +68,7 @@
 		classes[i] = i
 	}
 	slices.SortStableFunc(classes, func(a, b int) int {
-		return cmp.Compare(w.s.Classes[b].Class.Worth, w.s.Classes[a].Class.Worth)
+		return cmp.Compare(w.s.Classes[b].Class.Value, w.s.Classes[a].Class.Value)
 	})
 	rate := func(h, c int) float64 {
 		if w.need[c].n == 0 {
@@ -96,7 +96,7 @@
 				left -= part * r
 			}
 		}
-		worth[c] = (w.need[c].n - left) * w.s.Classes[c].Class.Worth
+		worth[c] = (w.need[c].n - left) * w.s.Classes[c].Class.Value
 	}
 	clear(w.need)
 	return worth
--- a/internal/testbed/simulator/client.go
+++ b/internal/testbed/simulator/client.go
@@ -93,7 +93,7 @@
 // underway begins the sessions that are in the midst of it when the world begins, each at some turn after its first, as
 // many as there are on average: otherwise the load would take minutes to come up.
 func (l *load) underway() {
-	gap := float64(l.c.Think+l.c.Class.Aim)/float64(time.Second) + l.c.Out.mean()*l.c.Class.TokenAim.Seconds()
+	gap := float64(l.c.Think+l.c.Class.LatencyTarget)/float64(time.Second) + l.c.Out.mean()*l.c.Class.TokenLatencyTarget.Seconds()
 	for n := l.c.Rate / l.c.Turns * (l.c.Turns - 1) * gap; n > 0 && (n >= 1 || l.rng.Float64() < n); n-- {
 		s := l.session()
 		for before := true; before; before = s.rng.Float64() >= 1/l.c.Turns && s.context < l.c.MaxContext/2 {
@@ -130,7 +130,7 @@
 	}
 	out := min(c.Out.draw(s.rng), c.MaxOut)
 	last := s.rng.Float64() < 1/c.Turns
-	think := time.Duration(s.rng.ExpFloat64()*float64(c.Think)) + c.Class.Aim + time.Duration(out)*c.Class.TokenAim
+	think := time.Duration(s.rng.ExpFloat64()*float64(c.Think)) + c.Class.LatencyTarget + time.Duration(out)*c.Class.TokenLatencyTarget
 	if s.context+more+out > c.MaxContext && s.context > s.shared {
 		return // the conversation is too long to go on
 	}
@@ -224,7 +224,7 @@
 // patience is the whole time that a request's client waits.
 func (f *request) patience() time.Duration {
 	c := &f.session.load.c.Class
-	return c.Deadline + 2*time.Duration(float64(f.prompt)/1000*float64(c.AimPer1000))
+	return c.Deadline + 2*time.Duration(float64(f.prompt)/1000*float64(c.LatencyTargetPer1000Tokens))
 }
 
 // try sends a request to a router, if the front knows of any.
@@ -258,8 +258,8 @@
 	r.open = append(r.open, t)
 	r.tries[t.id] = t
 	w.emit(history.Event{What: history.Ask, ID: t.id, Who: routerName(r.n), Class: c.Class.Name, Until: t.until.Nanoseconds()})
-	r.take(balance.Arrival{ID: t.id, Class: c.Class.Name, Session: f.session.name, Prefix: f.session.prefix, Left: t.until - w.now,
-		Prompt: float64(f.prompt), Shared: float64(f.session.shared)})
+	r.take(balance.Arrival{ID: t.id, Class: c.Class.Name, Session: f.session.name, Prefix: f.session.prefix, TimeLeft: t.until - w.now,
+		PromptTokens: float64(f.prompt), PrefixTokens: float64(f.session.shared)})
 	w.at(t.until, event{do: tryOverdue, p: t})
 	w.at(t.until+answerSlack+w.s.Tick, event{do: tryOverdue, p: t, n: 1})
 }
--- a/internal/testbed/simulator/hosts.go
+++ b/internal/testbed/simulator/hosts.go
@@ -132,7 +132,7 @@
 }
 
 func loadOf(l *hostmodel.Load) *balance.Load {
-	return &balance.Load{Streams: float64(l.Running + l.Waiting), Busy: l.Util, Unread: 1000 * l.Unread}
+	return &balance.Load{InFlight: float64(l.Running + l.Waiting), Utilization: l.Util, PrefillTokens: 1000 * l.Unread}
 }
 
 func (w *World) load(h *host) *balance.Load {
@@ -308,12 +308,12 @@
 }
 
 func (w *World) member(h *host, state balance.State) balance.Member {
-	return balance.Member{Replica: h.id, Zone: h.zone, Kind: h.kind, State: state, Born: h.born}
+	return balance.Member{Replica: h.id, Zone: h.zone, Kind: h.kind, State: state, StartedAt: h.born}
 }
 
 // whole is the list as discovery has it.
 func (w *World) whole() *listUpdate {
-	x := &listUpdate{members: balance.Members{Version: w.list.version, Whole: true}}
+	x := &listUpdate{members: balance.Members{Version: w.list.version, Complete: true}}
 	for _, h := range w.hosts {
 		if !h.gone {
 			x.members.Members = append(x.members.Members, w.member(h, h.state))
@@ -358,7 +358,7 @@
 	for len(r.known) < len(w.hosts) {
 		r.known = append(r.known, knowledge{})
 	}
-	if x.members.Whole { // who is not in it is gone
+	if x.members.Complete { // who is not in it is gone
 		in := map[int]bool{}
 		for _, h := range x.hosts {
 			in[h] = true
@@ -373,7 +373,7 @@
 		h := x.hosts[i]
 		r.byID[m.Replica] = h
 		if m.State == balance.Serving {
-			r.known[h] = knowledge{born: m.Born}
+			r.known[h] = knowledge{born: m.StartedAt}
 			w.emit(history.Event{What: history.Told, Who: routerName(r.n), From: m.Replica, Text: "Ready"})
 		} else {
 			r.leaves(h)
--- a/internal/testbed/simulator/loss_test.go
+++ b/internal/testbed/simulator/loss_test.go
@@ -110,7 +110,7 @@
 				s.Classes[i].Rate, s.Classes[i].New, s.Classes[i].Prefixes = 100, Length{300, 0.5}, 0
 			}
 			if s.Routers = 20; planted {
-				s.Balance.ColdTime = ms
+				s.Balance.SlowStartWindow = ms
 			}
 			w, err := New(s)
 			if err != nil {
--- a/internal/testbed/simulator/result.go
+++ b/internal/testbed/simulator/result.go
@@ -109,24 +109,24 @@
 	c := &f.session.load.c.Class
 	r := &w.res.Classes[f.session.load.n]
 	s := w.second()
-	w.res.Asked += c.Worth
+	w.res.Asked += c.Value
 	worth := 0.0
 	switch how {
 	case served:
 		first := began - f.began
 		r.First.RecordValue(max(first.Microseconds(), 1))
-		more := time.Duration(float64(f.prompt) / 1000 * float64(c.AimPer1000))
+		more := time.Duration(float64(f.prompt) / 1000 * float64(c.LatencyTargetPer1000Tokens))
 		pace := time.Duration(0)
 		if made > 1 {
 			pace = (ended - began) / time.Duration(made-1)
 		}
 		switch {
-		case first <= c.Aim+more && (c.TokenAim == 0 || pace <= c.TokenAim):
+		case first <= c.LatencyTarget+more && (c.TokenLatencyTarget == 0 || pace <= c.TokenLatencyTarget):
 			r.Good++
-			worth = c.Worth
-		case first <= c.Deadline+2*more && (c.TokenAim == 0 || pace <= 2*c.TokenAim):
+			worth = c.Value
+		case first <= c.Deadline+2*more && (c.TokenLatencyTarget == 0 || pace <= 2*c.TokenLatencyTarget):
 			r.Late++
-			worth = c.Worth * c.LateWorth
+			worth = c.Value * c.LateValueFraction
 		default:
 			r.Slow++
 		}
@@ -141,9 +141,9 @@
 	}
 	r.Worth += worth
 	begun := &w.res.Seconds[f.began/time.Second].Begun[f.session.load.n]
-	begun.Of, begun.Got = begun.Of+c.Worth, begun.Got+worth
+	begun.Of, begun.Got = begun.Of+c.Value, begun.Got+worth
 	w.res.Worth += worth
-	if worth == c.Worth && how == served {
+	if worth == c.Value && how == served {
 		s.Good++
 	} else {
 		s.Other++
--- a/internal/testbed/simulator/router.go
+++ b/internal/testbed/simulator/router.go
@@ -60,15 +60,15 @@
 	c := w.s.Balance
 	c.Zone = r.zone
 	if w.s.Peers.On {
-		c.Gateways, c.Me = w.s.Routers, r.n
+		c.Routers, c.Self = w.s.Routers, r.n
 	}
 	d, err := w.s.New(c, w.stream(forRouter, uint64(n)<<16|uint64(r.gen)).Uint64())
 	if err != nil {
 		return err
 	}
 	if mean, ok := r.usual.Learned(); ok {
-		if now, ok := d.(interface{ Recall(balance.Learned) }); ok {
-			now.Recall(mean)
+		if restorer, ok := d.(interface{ Restore(balance.Learned) }); ok {
+			restorer.Restore(mean)
 		}
 	}
 	if w.s.Gate {
@@ -87,7 +87,7 @@
 		return nil
 	}
 	r.changed = w.now
-	disk := balance.Members{Version: w.list.version, Whole: true}
+	disk := balance.Members{Version: w.list.version, Complete: true}
 	for h, k := range r.known {
 		if _, listed := r.byID[w.hosts[h].id]; listed && !k.leaving {
 			disk.Members = append(disk.Members, w.member(w.hosts[h], balance.Serving))
@@ -132,8 +132,8 @@
 		batch, turned = r.gate.Step(w.clock(), batch)
 	}
 	actions := append(turned, r.d.Step(w.clock(), batch)...)
-	if d, ok := r.d.(interface{ Recollect() }); ok && w.s.Learned {
-		d.Recollect()
+	if d, ok := r.d.(interface{ RestoreReplicas() }); ok && w.s.Learned {
+		d.RestoreReplicas()
 	}
 	for _, action := range actions {
 		if w.broken != nil {
@@ -142,16 +142,16 @@
 		switch a := action.(type) {
 		case balance.Send:
 			r.send(a)
-		case balance.Refuse:
-			w.answer(r, a.ID, a.Away, refused)
+		case balance.Reject:
+			w.answer(r, a.ID, a.RetryAfter, refused)
 		case balance.Fail:
 			w.answer(r, a.ID, 0, failed)
-		case balance.Tell:
+		case balance.SendReports:
 			r.tell(a)
 		case balance.Probe:
 			r.probe(a.Replica)
 		case balance.SetTimer:
-			w.at(w.now+a.After, event{do: routerWakes, n: r.n, gen: r.gen, p: a.Token})
+			w.at(w.now+a.Delay, event{do: routerWakes, n: r.n, gen: r.gen, p: a.Token})
 		}
 	}
 }
@@ -268,7 +268,7 @@
 		w.emit(history.Event{What: history.Closed, Who: routerName(r.n), Conn: a.name()})
 	}
 	w.note("outcome", t.id, int(word.result))
-	o := balance.Outcome{ID: t.id, Attempt: a.n, Result: word.result, Final: word.result == balance.OK || t.answered, Kept: float64(word.kept), Load: word.load}
+	o := balance.Outcome{ID: t.id, Attempt: a.n, Result: word.result, Final: word.result == balance.OK || t.answered, CachedTokens: float64(word.kept), Load: word.load}
 	r.take(o)
 	if word.result == balance.OK && a.conn != nil {
 		r.keep(a.conn)
@@ -329,9 +329,9 @@
 }
 
 // tell sends reports to other routers, each copy on its own: late, or not at all.
-func (r *router) tell(a balance.Tell) {
+func (r *router) tell(a balance.SendReports) {
 	w := r.w
-	heard := balance.Heard{From: r.n, Zone: a.Zone, Reports: a.Reports}
+	heard := balance.ReportsReceived{From: r.n, Zone: a.Zone, Reports: a.Reports}
 	for _, to := range a.To {
 		if w.net.Float64() >= w.s.Peers.Lost {
 			late := w.s.Peers.Least + time.Duration(w.net.Float64()*float64(w.s.Peers.Most-w.s.Peers.Least))
--- a/internal/testbed/simulator/simulator_test.go
+++ b/internal/testbed/simulator/simulator_test.go
@@ -26,15 +26,15 @@
 		ReportEvery: 100 * ms, ReportNoise: 0.05, Probe: 100 * time.Microsecond, ProbesMax: 20,
 		Cold: hostmodel.Cold{Share: 0.3, Time: 8 * time.Second, Factor: 2.5, Window: 3 * time.Second, PerToken: 50 * time.Microsecond, PerMade: 600 * time.Microsecond}}
 	chat := func(name string, rate, worth float64, aim, deadline time.Duration) Class {
-		return Class{Class: balance.Class{Name: name, Aim: aim, AimPer1000: 40 * ms, TokenAim: 60 * ms, Deadline: deadline, Worth: worth, Streamed: true},
+		return Class{Class: balance.Class{Name: name, LatencyTarget: aim, LatencyTargetPer1000Tokens: 40 * ms, TokenLatencyTarget: 60 * ms, Deadline: deadline, Value: worth, Streamed: true},
 			Rate: rate, Turns: 3, Think: 3 * time.Second, New: Length{200, 0.8}, Out: Length{80, 0.6}, MaxOut: 400, MaxContext: 16000,
 			Prefixes: 20, Zipf: 1, PrefixLen: Length{800, 0.5}}
 	}
 	return Spec{Seed: seed, Length: 20 * time.Second, Tick: 5 * ms, Routers: 2,
 		Groups:  []Group{{Count: 3, Kind: "new", Zone: "a", Host: host}, {Count: 3, Kind: "new", Zone: "b", Host: host}},
 		Classes: []Class{chat("chat", 12, 1, 1200*ms, 6*time.Second), chat("fill", 12, 3, 500*ms, 2*time.Second)},
-		Balance: balance.Config{MayProbe: true, MaxAttempts: 4, StartCapacity: 0.3, ColdTime: 8 * time.Second, OverloadFactor: 2.5,
-			OverloadWindow: 3 * time.Second, CrossZonePrice: 0.02, MaxAway: time.Second},
+		Balance: balance.Config{MayProbe: true, MaxAttempts: 4, SlowStartMinCapacity: 0.3, SlowStartWindow: 8 * time.Second, OverloadFactor: 2.5,
+			OverloadWindow: 3 * time.Second, CrossZonePenalty: 0.02, MaxRetryAfter: time.Second},
 		Net:     Network{Same: 300 * time.Microsecond, Cross: 2 * ms, Jitter: 0.2, Connect: 50 * ms, Idle: 15 * time.Second},
 		List:    List{Delay: 50 * ms, Spread: 200 * ms},
 		Front:   Front{Notice: 2 * time.Second},
@@ -174,7 +174,7 @@
 func (refuser) Step(_ time.Duration, events []balance.Event) (out []balance.Action) {
 	for _, e := range events {
 		if a, ok := e.(balance.Arrival); ok {
-			out = append(out, balance.Refuse{ID: a.ID})
+			out = append(out, balance.Reject{ID: a.ID})
 		}
 	}
 	return out
@@ -239,7 +239,7 @@
 	}{
 		{ruleOneAnswer, func(events []balance.Event) (out []balance.Action) {
 			for _, a := range arrivals(events) {
-				out = append(out, balance.Refuse{ID: a}, balance.Refuse{ID: a})
+				out = append(out, balance.Reject{ID: a}, balance.Reject{ID: a})
 			}
 			return out
 		}},
@@ -252,7 +252,7 @@
 		}},
 		{ruleAnswered, func(events []balance.Event) (out []balance.Action) {
 			for _, a := range arrivals(events) {
-				out = append(out, balance.Refuse{ID: a}, balance.Send{ID: a, Replica: "h1"})
+				out = append(out, balance.Reject{ID: a}, balance.Send{ID: a, Replica: "h1"})
 			}
 			return out
 		}},
--- a/internal/testbed/simulator/trouble.go
+++ b/internal/testbed/simulator/trouble.go
@@ -66,7 +66,7 @@
 		hit.at = w.some(len(w.hosts), t.Part, alive)
 		for _, i := range hit.at {
 			old := w.hosts[i]
-			old.state = balance.Gone
+			old.state = balance.Removed
 			w.changed(old)
 			old.gone = true
 			w.die(old)
--- a/internal/testbed/simulator/vast_test.go
+++ b/internal/testbed/simulator/vast_test.go
@@ -64,7 +64,7 @@
 			{Kind: faults.Kill, At: 4 * time.Second, Length: time.Second, Hosts: faults.Select{All: true}}}
 		r, _ := run(t, s)
 		good := uint64(0)
-		for _, x := range r.Seconds[6 : 5+int(s.Balance.ColdTime/time.Second)] {
+		for _, x := range r.Seconds[6 : 5+int(s.Balance.SlowStartWindow/time.Second)] {
 			good += x.Good
 		}
 		if t.Logf("seed %d: %d served while all hosts are cold", seed, good); good < 20 {
--- a/internal/testbed/simulator/view.go
+++ b/internal/testbed/simulator/view.go
@@ -34,7 +34,7 @@
 		if !slices.Equal(living, r.sees) {
 			r.sees = living
 			r.viewed++
-			r.take(balance.Fleet{Version: r.viewed, Living: living})
+			r.take(balance.LivenessView{Version: r.viewed, Live: living})
 		}
 	}
 	if w.now < w.s.Length || w.open > 0 {
--- a/internal/testbed/simulator/world.go
+++ b/internal/testbed/simulator/world.go
@@ -88,7 +88,7 @@
 	w := &World{s: s, burst: 1}
 	w.net, w.chance = w.stream(forNet, 0), w.stream(forChance, 0)
 	w.res.Classes = make([]ClassResult, len(s.Classes))
-	s.Balance.Tick = s.Tick
+	s.Balance.StepInterval = s.Tick
 	s.Balance.Classes = nil
 	for i, c := range s.Classes {
 		s.Balance.Classes = append(s.Balance.Classes, c.Class)
@@ -206,11 +206,11 @@
 	case routerHears:
 		if r := w.routers[e.n]; r.alive {
 			w.res.Heard++
-			r.take(e.p.(balance.Heard))
+			r.take(e.p.(balance.ReportsReceived))
 		}
 	case routerWakes:
 		if r := w.routers[e.n]; r.alive && r.gen == e.gen {
-			r.take(balance.Wake{Token: e.p.(int64)})
+			r.take(balance.TimerExpired{Token: e.p.(int64)})
 		}
 	case listReaches:
 		if r := w.routers[e.n]; r.alive && r.gen == e.gen {
@@ -238,7 +238,7 @@
 	case probeTells:
 		p := e.p.(*probe)
 		if r := w.routers[e.n]; r.alive && r.gen == e.gen {
-			r.take(balance.Probed{Replica: w.hosts[p.host].id, Result: p.result, Load: p.load})
+			r.take(balance.ProbeResult{Replica: w.hosts[p.host].id, Result: p.result, Load: p.load})
 		}
 	case hostSteps:
 		if h := w.hosts[e.n]; h.gen == e.gen && h.due == e.at {
--- a/internal/transport/move_test.go
+++ b/internal/transport/move_test.go
@@ -27,8 +27,8 @@
 
 func newHalf(t *testing.T, path string, silent time.Duration, lines scripted.Lines) *half {
 	t.Helper()
-	b, err := balance.New(balance.Config{Zone: "a", MaxAttempts: 3, Tick: time.Millisecond,
-		Classes: []balance.Class{{Name: "chat", Aim: 8 * time.Second, Deadline: 8 * time.Second, Streamed: true}}}, 1)
+	b, err := balance.New(balance.Config{Zone: "a", MaxAttempts: 3, StepInterval: time.Millisecond,
+		Classes: []balance.Class{{Name: "chat", LatencyTarget: 8 * time.Second, Deadline: 8 * time.Second, Streamed: true}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/transport/stories_test.go
+++ b/internal/transport/stories_test.go
@@ -35,8 +35,8 @@
 
 func newLoggingRouter(t *testing.T, log routing.Logger, servers ...*scripted.Server) *router {
 	t.Helper()
-	b, err := balance.New(balance.Config{Zone: "a", MaxAttempts: 3, MaxAway: time.Second, Tick: time.Millisecond,
-		Classes: []balance.Class{{Name: "chat", Aim: 8 * time.Second, Deadline: 8 * time.Second, Streamed: true}}}, 1)
+	b, err := balance.New(balance.Config{Zone: "a", MaxAttempts: 3, MaxRetryAfter: time.Second, StepInterval: time.Millisecond,
+		Classes: []balance.Class{{Name: "chat", LatencyTarget: 8 * time.Second, Deadline: 8 * time.Second, Streamed: true}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -121,12 +121,12 @@
 func TestActionsAreWrittenTheSame(t *testing.T) {
 	actions := []balance.Action{
 		balance.Send{ID: "q1", Replica: "10.0.0.1:80"}, balance.Send{},
-		balance.Refuse{ID: "q2", Away: 1500 * time.Millisecond}, balance.Refuse{ID: "q2"},
+		balance.Reject{ID: "q2", RetryAfter: 1500 * time.Millisecond}, balance.Reject{ID: "q2"},
 		balance.Fail{ID: "q3"},
 		balance.Probe{Replica: "10.0.0.2:80"},
-		balance.Tell{To: []int{4, 5}, Zone: 75, Reports: []balance.PeerReport{{Tag: 0x123456, Tokens: 5000, Prefix: 77}, {Tag: 0x654321, Failed: true}, {Tag: 0x010203, Slow: 2.5}}},
-		balance.Tell{To: []int{6}, Zone: 1, Reports: []balance.PeerReport{{Tag: 0x123456, Tokens: 50}}},
-		balance.SetTimer{Token: 9, After: 20 * time.Millisecond},
+		balance.SendReports{To: []int{4, 5}, Zone: 75, Reports: []balance.PeerReport{{ReplicaTag: 0x123456, PrefillTokens: 5000, PrefixTag: 77}, {ReplicaTag: 0x654321, Failed: true}, {ReplicaTag: 0x010203, LatencyRatio: 2.5}}},
+		balance.SendReports{To: []int{6}, Zone: 1, Reports: []balance.PeerReport{{ReplicaTag: 0x123456, PrefillTokens: 50}}},
+		balance.SetTimer{Token: 9, Delay: 20 * time.Millisecond},
 		balance.Subscribe{},
 		balance.Log{Text: "a line"},
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -170,19 +170,19 @@
 // Config turns start-up options into settings.
 func (o *Options) Config() (balance.Config, error) {
 	c := balance.Config{
-		Zone:           o.Zone,
-		AskForList:     o.Discovery == "ask",
-		MayProbe:       o.Limits.MayProbe,
-		MaxAttempts:    o.Limits.MaxAttempts,
-		StartCapacity:  o.Rules.StartCapacity,
-		ColdTime:       time.Duration(o.Rules.ColdNs),
-		OverloadFactor: o.Rules.OverloadFactor,
-		OverloadWindow: time.Duration(o.Rules.TipAfterNs),
-		Tick:           time.Duration(o.QuantumNs),
-		CrossZonePrice: o.Deductions.CrossZone,
+		Zone:                 o.Zone,
+		MustSubscribe:        o.Discovery == "ask",
+		MayProbe:             o.Limits.MayProbe,
+		MaxAttempts:          o.Limits.MaxAttempts,
+		SlowStartMinCapacity: o.Rules.StartCapacity,
+		SlowStartWindow:      time.Duration(o.Rules.ColdNs),
+		OverloadFactor:       o.Rules.OverloadFactor,
+		OverloadWindow:       time.Duration(o.Rules.TipAfterNs),
+		StepInterval:         time.Duration(o.QuantumNs),
+		CrossZonePenalty:     o.Deductions.CrossZone,
 	}
 	if o.Limits.RetryAfter {
-		c.MaxAway = time.Duration(o.Limits.MaxRetryAfterNs)
+		c.MaxRetryAfter = time.Duration(o.Limits.MaxRetryAfterNs)
 	}
 	if o.Limits.Peers {
 		if o.NInstances < 1 {
@@ -191,7 +191,7 @@
 		if o.Me < 0 || o.Me >= o.NInstances {
 			return c, fmt.Errorf("me is %d; it must be from 0 to %d, below nInstances", o.Me, o.NInstances-1)
 		}
-		c.Gateways, c.Me = o.NInstances, o.Me
+		c.Routers, c.Self = o.NInstances, o.Me
 	}
 	for i, s := range o.Services {
 		effect, ok := effects[s.Effect]
@@ -203,15 +203,15 @@
 			return c, fmt.Errorf("services[%d].group is %q; it must be all, zone or cell", i, s.Group)
 		}
 		class := balance.Class{
-			Name: s.Name, Effect: effect, Scope: scope, Window: time.Duration(s.WindowNs),
-			Aim: time.Duration(s.AimNs), AimStretch: s.AimStretch, Deadline: time.Duration(s.HardLimitNs),
-			Worth: s.Gain, LateWorth: s.LateWorth, Streamed: s.Streaming,
+			Name: s.Name, Effect: effect, DedupScope: scope, DedupWindow: time.Duration(s.WindowNs),
+			LatencyTarget: time.Duration(s.AimNs), LatencyTargetWorkFactor: s.AimStretch, Deadline: time.Duration(s.HardLimitNs),
+			Value: s.Gain, LateValueFraction: s.LateWorth, Streamed: s.Streaming,
 		}
 		if i < len(o.Extra.AimUsPer1000) {
-			class.AimPer1000 = time.Duration(o.Extra.AimUsPer1000[i] * 1000)
+			class.LatencyTargetPer1000Tokens = time.Duration(o.Extra.AimUsPer1000[i] * 1000)
 		}
 		if i < len(o.Extra.TokenAimNs) {
-			class.TokenAim = time.Duration(o.Extra.TokenAimNs[i])
+			class.TokenLatencyTarget = time.Duration(o.Extra.TokenAimNs[i])
 		}
 		c.Classes = append(c.Classes, class)
 	}
@@ -227,7 +227,7 @@
 		"T": balance.TimedOut, "C": balance.NoConnection, "R": balance.Reset, "X": balance.Cancelled,
 		"N": balance.NotSent}
 	states = map[string]balance.State{"SERVING": balance.Serving, "DRAINING": balance.Draining,
-		"DELETED": balance.Gone}
+		"DELETED": balance.Removed}
 )
 
 // Event turns a message other than launch and killed into its instance and event; the event is nil for
@@ -240,8 +240,8 @@
 	case m.Arrival != nil:
 		a := m.Arrival
 		return a.I, balance.Arrival{ID: a.Txn, Class: a.Service, Session: a.Object,
-			Prefix: a.Template, Left: time.Duration(a.PatienceLeftNs), Hint: time.Duration(a.WorkHintNs),
-			Prompt: a.NPrompt, Shared: a.PrefixTokens}, nil
+			Prefix: a.Template, TimeLeft: time.Duration(a.PatienceLeftNs), WorkEstimate: time.Duration(a.WorkHintNs),
+			PromptTokens: a.NPrompt, PrefixTokens: a.PrefixTokens}, nil
 	case m.Streaming != nil:
 		s := m.Streaming
 		return s.I, balance.FirstToken{ID: s.Txn, Attempt: s.Try}, nil
@@ -252,17 +252,17 @@
 			return v.I, nil, fmt.Errorf("verdict.how is %q; it must be one of S E F T C R X N", v.How)
 		}
 		return v.I, balance.Outcome{ID: v.Txn, Attempt: v.Try, Result: how, Final: v.Last,
-			Kept: v.Note, Load: load(v.Pressure)}, nil
+			CachedTokens: v.Note, Load: load(v.Pressure)}, nil
 	case m.Aborted != nil:
 		return m.Aborted.I, balance.Aborted{ID: m.Aborted.Txn}, nil
 	case m.Timer != nil:
-		return m.Timer.I, balance.Wake{Token: m.Timer.Ctx}, nil
+		return m.Timer.I, balance.TimerExpired{Token: m.Timer.Ctx}, nil
 	case m.Health != nil:
 		how, ok := results[m.Health.How]
 		if !ok {
 			return m.Health.I, nil, fmt.Errorf("health.how is %q; it must be one of S E F T C R X N", m.Health.How)
 		}
-		return m.Health.I, balance.Probed{Replica: m.Health.Replica, Result: how,
+		return m.Health.I, balance.ProbeResult{Replica: m.Health.Replica, Result: how,
 			Load: load(m.Health.Pressure)}, nil
 	case m.Datagram != nil:
 		return m.Datagram.I, m.Datagram.event(), nil
@@ -280,7 +280,7 @@
 	if err != nil {
 		return nil
 	}
-	return balance.Heard{From: d.From, Zone: zone, Reports: reports}
+	return balance.ReportsReceived{From: d.From, Zone: zone, Reports: reports}
 }
 
 func (p *PeersKnown) event() (balance.Event, error) {
@@ -288,7 +288,7 @@
 	switch p.Mode {
 	case "diff":
 	case "snapshot", "disk":
-		ev.Whole = true
+		ev.Complete = true
 	case "error":
 		ev.Failed = true
 	default:
@@ -301,7 +301,7 @@
 				i, e.State)
 		}
 		ev.Members = append(ev.Members, balance.Member{Replica: e.Replica, Zone: e.Hall, Cell: e.Pack,
-			Kind: e.Machine, State: state, Born: time.Duration(e.BornNs)})
+			Kind: e.Machine, State: state, StartedAt: time.Duration(e.BornNs)})
 	}
 	return ev, nil
 }
@@ -317,8 +317,8 @@
 		}
 		return -1
 	}
-	return &balance.Load{Streams: get("busy_reqs", 1), Busy: get("cpu_share", 1),
-		Unread: get("x1", 1000)}
+	return &balance.Load{InFlight: get("busy_reqs", 1), Utilization: get("cpu_share", 1),
+		PrefillTokens: get("x1", 1000)}
 }
 
 // Reply is one line of output.
@@ -374,7 +374,7 @@
 
 // Actions turns an action of instance i into messages: one, or one for each instance told.
 func Actions(i int, a balance.Action) []any {
-	t, ok := a.(balance.Tell)
+	t, ok := a.(balance.SendReports)
 	if !ok {
 		return []any{action(i, a)}
 	}
@@ -390,14 +390,14 @@
 	switch a := a.(type) {
 	case balance.Send:
 		return named{"handOff": handOff{i, a.ID, a.Replica}}
-	case balance.Refuse:
-		return named{"decline": decline{i, a.ID, int64(a.Away)}}
+	case balance.Reject:
+		return named{"decline": decline{i, a.ID, int64(a.RetryAfter)}}
 	case balance.Fail:
 		return named{"respondError": respondError{i, a.ID}}
 	case balance.Probe:
 		return named{"askLoad": askLoad{i, a.Replica}}
 	case balance.SetTimer:
-		return named{"defer": deferred{i, a.Token, int64(a.After)}}
+		return named{"defer": deferred{i, a.Token, int64(a.Delay)}}
 	case balance.Subscribe:
 		return named{"streamChanges": streamChanges{i, true}}
 	case balance.Log:
