--- a/coord/failpoint/failpoint_test.go
+++ b/coord/failpoint/failpoint_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// Nothing fails before Set, what is set does, and nothing does after nil.
-func TestSet(t *testing.T) {
+// Nothing fails before Set, the faults that are set do, and nothing does after Set(nil).
+func TestSetInjectsAndEndsFaults(t *testing.T) {
 	is := is.New(t)
 	full := errors.New("full")
 	is.True(!DropMessage("a"))
--- a/coord/link/delivery.go
+++ b/coord/link/delivery.go
@@ -9,71 +9,79 @@
 )
 
 const (
-	// acknowledgeEvery is the most often that a receiver says on a connection that bytes arrive.
+	// ackInterval is the shortest time between two acknowledgements on a connection.
 	ackInterval = 400 * time.Millisecond
-	// undelivered is how long after a write nothing may be heard of what arrives. Each write may succeed meanwhile: what is written goes into
-	// buffers, and after a way back that was cut the system may wait as long again as the cut lasted before it sends any of it.
+	// minDeliveryTimeout is how long after a write no acknowledgement may come. Writes may succeed
+	// meanwhile: they go into buffers, and after a network partition the system may wait as long
+	// again as the partition lasted before it sends any of them.
 	minDeliveryTimeout = 1500 * time.Millisecond
-	// mostUndelivered bounds it where nothing was heard on the connections before either: a receiver of a version that says nothing, or one
-	// that stands still, is not connected to over and over.
+	// maxDeliveryTimeout bounds it where the connections before had no acknowledgement either: a
+	// receiver of a version that sends none, or one that is stalled, is not reconnected to at once.
 	maxDeliveryTimeout = 24 * time.Second
 )
 
-// acknowledgement is what a receiver says; what it is does not matter.
+// ack is what a receiver sends; its content does not matter.
 var ack = []byte{1}
 
-// acknowledging reads from a connection and says there that bytes arrive: within acknowledgeEvery of the first of them, and as often while
-// more come, in the middle of a long message too.
+// ackingConn is an inbound connection that sends acknowledgements: within ackInterval of the first
+// byte that arrives, and at that interval while more come, in the middle of a long message too.
 type ackingConn struct {
 	net.Conn
-	ackDue  bool // bytes came since the last acknowledgement
+	ackDue  bool // bytes arrived since the last acknowledgement
 	ackedAt time.Time
 }
 
-// Read implements io.Reader. It ends where the connection has been silent for long.
+// Read implements io.Reader. It fails where the connection was idle for too long.
 func (a *ackingConn) Read(p []byte) (n int, err error) {
 	for {
-		until := time.Now().Add(2 * idleTimeout)
+		deadline := time.Now().Add(2 * idleTimeout)
 		if a.ackDue {
-			until = a.ackedAt.Add(ackInterval)
+			deadline = a.ackedAt.Add(ackInterval)
 		}
-		a.SetReadDeadline(until)
+		a.SetReadDeadline(deadline)
 		n, err = a.Conn.Read(p)
 		a.ackDue = a.ackDue || n > 0
-		now := time.Now()
-		if a.ackDue && now.Sub(a.ackedAt) >= ackInterval {
-			a.ackDue, a.ackedAt = false, now
-			a.SetWriteDeadline(now.Add(ackInterval))
-			if _, failed := a.Write(ack); failed != nil {
-				return n, failed
-			}
-			if n == 0 && os.IsTimeout(err) {
-				continue
-			}
+		acked, ackErr := a.sendAck(time.Now())
+		if ackErr != nil {
+			return n, ackErr
+		}
+		if acked && n == 0 && os.IsTimeout(err) {
+			continue // the read ended for the acknowledgement only
 		}
 		return n, err
 	}
 }
 
+// sendAck sends an acknowledgement if one is due and reports whether it was.
+func (a *ackingConn) sendAck(now time.Time) (sent bool, err error) {
+	if !a.ackDue || now.Sub(a.ackedAt) < ackInterval {
+		return false, nil
+	}
+	a.ackDue, a.ackedAt = false, now
+	a.SetWriteDeadline(now.Add(ackInterval))
+	_, err = a.Write(ack)
+	return true, err
+}
+
 // outbound is a connection that messages are written to.
 type outbound struct {
 	net.Conn
-	deliveryTimeout time.Duration // how long nothing may be heard of what arrives
+	deliveryTimeout time.Duration
 
-	unackedSince atomic.Int64 // of the first write that nothing was heard after, in Unix nanoseconds; 0 for none
-	wasAcked     atomic.Bool  // the receiver has said something
+	unackedSince atomic.Int64 // first write without an acknowledgement since, in Unix nanoseconds; 0 for none
+	wasAcked     atomic.Bool
 }
 
-// wrote notes that bytes were written.
+// recordWrite takes note that bytes are written.
 func (o *outbound) recordWrite(now time.Time) { o.unackedSince.CompareAndSwap(0, now.UnixNano()) }
 
-// delivers tells whether what was written arrives, as far as is known.
+// isDelivering reports whether what was written arrives, as far as is known.
 func (o *outbound) isDelivering(now time.Time) bool {
 	since := o.unackedSince.Load()
 	return since == 0 || now.Sub(time.Unix(0, since)) < o.deliveryTimeout
 }
 
-// listen takes what the receiver says until the connection ends, and closes it then.
+// readAcks reads acknowledgements until the connection ends, and closes it then.
 func (o *outbound) readAcks() {
 	defer o.Close()
 	var buf [64]byte
@@ -89,7 +97,7 @@
 	}
 }
 
-// nextPatience is that of the connection after this one.
+// nextDeliveryTimeout is that of the connection after this one: doubled while none is acknowledged.
 func (o *outbound) nextDeliveryTimeout() time.Duration {
 	if o.wasAcked.Load() {
 		return minDeliveryTimeout
--- a/coord/link/golden_test.go
+++ b/coord/link/golden_test.go
@@ -9,7 +9,8 @@
 	"reachspread/internal/testbed/golden"
 )
 
-// A connection carries the bytes that it did at commit 5bfcc27, without any greeting: frames one way, acknowledgements the other.
+// A connection carries the bytes that it did at commit 5bfcc27, without a handshake: frames one
+// way, acknowledgements the other.
 func TestFramesKeepTheirBytes(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
--- a/coord/link/link.go
+++ b/coord/link/link.go
@@ -1,125 +1,112 @@
-// Package link carries messages between processes: frames over TCP, one connection to each address that something is sent to. Nothing is
-// sent twice; what can't be sent soon is lost, as on any network. Messages of one sender to one address that arrive over one connection do so
-// in their order. A receiver says that bytes arrive, and no more: a connection through which nothing does is replaced (delivery.go).
 package link
 
 import (
-	"bufio"
 	"context"
-	"encoding/binary"
 	"errors"
-	"io"
 	"net"
 	"net/netip"
 	"sync"
 	"sync/atomic"
-	"syscall"
 	"time"
 
 	mapset "github.com/deckarep/golang-set/v2"
-	"golang.org/x/sys/unix"
-
-	"reachspread/coord/failpoint"
 )
 
 const (
-	dialTimeout     = 200 * time.Millisecond // a machine that comes up meanwhile is not noticed by the try under way
-	writeTimeout    = 2 * time.Second
-	retryInterval   = 50 * time.Millisecond // between two tries
-	tcpUserTimeout  = 1500 * time.Millisecond
-	idleTimeout     = 20 * time.Second // then a connection is closed
-	maxQueuedFrames = 256              // messages that wait for one address; further ones are lost
-	maxQueuedBytes  = 4 << 20          // in these; one message alone may be longer
-	maxTotalBytes   = 24 << 20         // in messages that wait for all addresses
-	maxAddresses    = 4096
-	maxAccepted     = 1024
-	bufferSize      = 16 << 10
-	frameHeaderLen  = 4 + 1
-
-	// MostMessage bounds a message, in bytes.
+	// MaxMessageLen bounds a message, in bytes.
 	MaxMessageLen = 24 << 20
+
+	frameHeaderLen = 4 + 1 // length and kind
+
+	idleTimeout = 20 * time.Second // an outbound connection without a message is closed then
+	maxAccepted = 1024             // inbound connections
+	bufferSize  = 16 << 10
 )
 
 // Kind tells messages of different protocols on one link apart.
 type Kind uint8
 
-// Handler is given each message that comes. It must not keep data, and other messages of the same sender wait for it.
+// Handler receives each message. It must not retain data, and blocks further messages of its
+// sender.
 type Handler func(kind Kind, data []byte)
 
-// Figures are counters since the start.
+// Stats are counters since the start.
 type Stats struct {
 	Sent, SentBytes         uint64
 	Received, ReceivedBytes uint64
-	Lost                    uint64 // found no room, or no connection
-	Connected               uint64 // connections that were opened to others
-	Unreachable             uint64 // tries to open one in vain
-	Broken                  uint64 // that ended while something was sent, or that nothing went through
+	Lost                    uint64 // messages for which a queue was full, or no connection could be opened
+	Connected               uint64 // outbound connections that were opened
+	Unreachable             uint64 // attempts to open one that failed
+	Broken                  uint64 // outbound connections that failed, or delivered nothing
 }
 
-// Link is one process's.
+// Link is the sender and receiver of one process.
 type Link struct {
 	listen  netip.AddrPort
 	handler Handler
-	ctx     context.Context
+	ctx     context.Context // nil before Start
 
 	mu      sync.Mutex
-	queues  map[string]*sendQueue
+	queues  map[string]*sendQueue // by address
 	inbound mapset.Set[net.Conn]
 
 	closing sync.WaitGroup
 
-	queuedBytes                                    atomic.Int64 // bytes in frames that were left and not written yet
+	queuedBytes                                    atomic.Int64 // in frames of all queues
 	sent, sentBytes, received, receivedBytes, lost atomic.Uint64
 	connected, unreachable, broken                 atomic.Uint64
 }
 
-// line is the way to one address.
-type sendQueue struct {
-	frames      chan []byte  // frames
-	queuedBytes atomic.Int64 // bytes in them, and in the one that is being written
+// New returns a link that Start has listen at an address.
+func New(listen netip.AddrPort, handler Handler) *Link {
+	return &Link{listen: listen, handler: handler, queues: map[string]*sendQueue{}, inbound: mapset.NewThreadUnsafeSet[net.Conn]()}
 }
 
-// New returns a link that will listen at an address.
-func New(listen netip.AddrPort, handle Handler) *Link {
-	return &Link{listen: listen, handler: handle, queues: map[string]*sendQueue{}, inbound: mapset.NewThreadUnsafeSet[net.Conn]()}
-}
-
-// Start listens and carries messages until ctx ends.
+// Start listens, and carries messages until ctx ends. What is sent before is lost.
 func (l *Link) Start(ctx context.Context) error {
-	listener := net.ListenConfig{KeepAlive: -1}
-	ln, err := listener.Listen(ctx, "tcp4", l.listen.String())
+	config := net.ListenConfig{KeepAlive: -1}
+	listener, err := config.Listen(ctx, "tcp4", l.listen.String())
 	if err != nil {
 		return err
 	}
 	l.mu.Lock()
-	l.ctx = ctx // what was sent before is lost
+	l.ctx = ctx
 	l.mu.Unlock()
 	l.closing.Add(1)
 	context.AfterFunc(ctx, func() {
 		defer l.closing.Done()
-		ln.Close()
+		listener.Close()
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		for c := range mapset.Elements(l.inbound) {
 			c.Close()
 		}
 	})
-	go l.accept(ln)
+	go l.accept(listener)
 	return nil
 }
 
-// Wait returns once the link has let go of its address, after its context has ended.
+// Wait returns once the listener is closed, after the context of Start has ended.
 func (l *Link) Wait() { l.closing.Wait() }
 
-// Figures returns the counters.
+// Stats returns the counters.
 func (l *Link) Stats() Stats {
-	return Stats{Sent: l.sent.Load(), SentBytes: l.sentBytes.Load(), Received: l.received.Load(), ReceivedBytes: l.receivedBytes.Load(), Lost: l.lost.Load(),
-		Connected: l.connected.Load(), Unreachable: l.unreachable.Load(), Broken: l.broken.Load()}
+	return Stats{
+		Sent:          l.sent.Load(),
+		SentBytes:     l.sentBytes.Load(),
+		Received:      l.received.Load(),
+		ReceivedBytes: l.receivedBytes.Load(),
+		Lost:          l.lost.Load(),
+		Connected:     l.connected.Load(),
+		Unreachable:   l.unreachable.Load(),
+		Broken:        l.broken.Load(),
+	}
 }
 
-func (l *Link) accept(ln net.Listener) {
+// accept serves inbound connections until the listener is closed.
+func (l *Link) accept(listener net.Listener) {
 	for {
-		c, err := ln.Accept()
+		c, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) || l.ctx.Err() != nil {
 			return
 		}
@@ -127,211 +114,29 @@
 			sleep(l.ctx, retryInterval)
 			continue
 		}
-		l.mu.Lock()
-		full := l.inbound.Cardinality() >= maxAccepted || l.ctx.Err() != nil
-		if !full {
-			l.inbound.Add(c)
-		}
-		l.mu.Unlock()
-		if full {
-			c.Close()
-			continue
-		}
-		go l.read(c)
-	}
-}
-
-func sleep(ctx context.Context, d time.Duration) {
-	select {
-	case <-ctx.Done():
-	case <-time.After(d):
-	}
-}
-
-// read takes messages until the connection ends or has been silent for long.
-func (l *Link) read(c net.Conn) {
-	defer func() {
-		c.Close()
-		l.mu.Lock()
-		l.inbound.Remove(c)
-		l.mu.Unlock()
-	}()
-	in := bufio.NewReaderSize(&ackingConn{Conn: c}, bufferSize)
-	var head [frameHeaderLen]byte
-	for {
-		if _, err := io.ReadFull(in, head[:]); err != nil {
-			return
-		}
-		n := binary.BigEndian.Uint32(head[:])
-		if n > MaxMessageLen {
-			return
-		}
-		data, err := io.ReadAll(io.LimitReader(in, int64(n))) // grows as it comes: a length alone takes no memory
-		if err != nil || len(data) != int(n) {
-			return
-		}
-		l.received.Add(1)
-		l.receivedBytes.Add(uint64(frameHeaderLen + len(data)))
-		l.handler(Kind(head[4]), data)
-	}
-}
-
-// Send leaves a message for an address. It waits for nobody.
-func (l *Link) Send(to string, kind Kind, data []byte) {
-	if len(data) > MaxMessageLen || failpoint.DropMessage(to) {
-		l.lost.Add(1)
-		return
-	}
-	frame := make([]byte, 0, frameHeaderLen+len(data))
-	frame = binary.BigEndian.AppendUint32(frame, uint32(len(data)))
-	frame = append(append(frame, byte(kind)), data...)
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	ln := l.queues[to]
-	if ln == nil {
-		if len(l.queues) >= maxAddresses || l.ctx == nil || l.ctx.Err() != nil {
-			l.lost.Add(1)
-			return
-		}
-		ln = &sendQueue{frames: make(chan []byte, maxQueuedFrames)}
-		l.queues[to] = ln
-		go l.write(to, ln)
-	}
-	size := int64(len(frame))
-	if waiting := ln.queuedBytes.Load(); waiting > 0 && waiting+size > maxQueuedBytes || l.queuedBytes.Load()+size > maxTotalBytes+maxQueuedBytes {
-		l.lost.Add(1)
-		return
-	}
-	select {
-	case ln.frames <- frame:
-		ln.queuedBytes.Add(size)
-		l.queuedBytes.Add(size)
-	default:
-		l.lost.Add(1)
-	}
-}
-
-// done notes that a frame does not wait any more.
-func (l *Link) release(ln *sendQueue, frame []byte) {
-	ln.queuedBytes.Add(-int64(len(frame)))
-	l.queuedBytes.Add(-int64(len(frame)))
-}
-
-// write sends what is left for one address, over one connection at a time, until nothing came for long.
-func (l *Link) write(to string, ln *sendQueue) {
-	var c *outbound
-	var out *bufio.Writer
-	var again time.Time
-	patience := minDeliveryTimeout
-	drop := func() {
-		c.Close()
-		patience = c.nextDeliveryTimeout()
-		c = nil
-		l.broken.Add(1)
-	}
-	idle := time.NewTimer(idleTimeout)
-	defer idle.Stop()
-	defer func() {
-		if c != nil {
+		if !l.addInbound(c) {
 			c.Close()
-		}
-	}()
-	for {
-		var frame []byte
-		idle.Reset(idleTimeout)
-		select {
-		case <-l.ctx.Done():
-			return
-		case frame = <-ln.frames:
-		case <-idle.C:
-			if l.removeIfEmpty(to, ln) {
-				return
-			}
 			continue
 		}
-		if c != nil && !c.isDelivering(time.Now()) {
-			drop()
-		}
-		if c == nil {
-			if time.Now().Before(again) {
-				l.release(ln, frame)
-				l.lost.Add(1)
-				continue
-			}
-			if c = l.dial(to, patience); c == nil {
-				again = time.Now().Add(retryInterval)
-				l.release(ln, frame)
-				l.lost.Add(1)
-				continue
-			}
-			out = bufio.NewWriterSize(c, bufferSize)
-		}
-		if err := l.flush(c, out, ln, frame); err != nil {
-			drop()
-			again = time.Now().Add(retryInterval)
-		}
+		go l.receive(c)
 	}
 }
 
-// retire forgets a line that nothing waits on.
-func (l *Link) removeIfEmpty(to string, ln *sendQueue) bool {
+// addInbound registers an inbound connection and reports whether there may be one more.
+func (l *Link) addInbound(c net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(ln.frames) > 0 {
+	if l.inbound.Cardinality() >= maxAccepted || l.ctx.Err() != nil {
 		return false
 	}
-	delete(l.queues, to)
+	l.inbound.Add(c)
 	return true
 }
 
-// flush writes a frame and those that wait behind it.
-func (l *Link) flush(c *outbound, out *bufio.Writer, ln *sendQueue, frame []byte) error {
-	now := time.Now()
-	c.SetWriteDeadline(now.Add(writeTimeout))
-	c.recordWrite(now)
-	for {
-		_, err := out.Write(frame)
-		l.release(ln, frame)
-		if err != nil {
-			return err
-		}
-		l.sent.Add(1)
-		l.sentBytes.Add(uint64(len(frame)))
-		select {
-		case frame = <-ln.frames:
-			continue
-		default:
-		}
-		return out.Flush()
-	}
-}
-
-// dial connects to an address, nil where it does not answer soon.
-func (l *Link) dial(to string, patience time.Duration) *outbound {
-	dialer := net.Dialer{Timeout: dialTimeout, KeepAlive: -1}
-	c, err := dialer.DialContext(l.ctx, "tcp4", to)
-	if err != nil {
-		l.unreachable.Add(1)
-		return nil
-	}
-	l.connected.Add(1)
-	setUserTimeout(c)
-	o := &outbound{Conn: c, deliveryTimeout: patience}
-	go o.readAcks()
-	return o
-}
-
-// giveUp has the system end a connection whose other side acknowledges nothing.
-func setUserTimeout(c net.Conn) {
-	tcp, ok := c.(*net.TCPConn)
-	if !ok {
-		return
-	}
-	raw, err := tcp.SyscallConn()
-	if err != nil {
-		return
+// sleep waits for a time, or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
+	select {
+	case <-ctx.Done():
+	case <-time.After(d):
 	}
-	raw.Control(func(fd uintptr) {
-		unix.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
-	})
 }
--- a/coord/link/link_test.go
+++ b/coord/link/link_test.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// Messages come with their kinds, in their order, whatever their size.
-func TestOrder(t *testing.T) {
+// Messages arrive with their kinds, in order, whatever their size.
+func TestMessagesArriveInOrder(t *testing.T) {
 	is := is.New(t)
 	a, _, _ := started(t)
 	_, to, came := started(t)
@@ -70,8 +70,9 @@
 	is.True(a.Stats().SentBytes > 1<<20)
 }
 
-// A process that comes back at an address gets what is sent from then on; what could not be sent is counted.
-func TestReturn(t *testing.T) {
+// A process that starts later at an address gets what is sent from then on; what could not be sent
+// is counted.
+func TestReceiverThatStartsLater(t *testing.T) {
 	is := is.New(t)
 	a, _, _ := started(t)
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -99,8 +100,8 @@
 	}
 }
 
-// Bytes that are no frames end their connection and nothing else; a length alone takes no memory.
-func TestGarbage(t *testing.T) {
+// Bytes that are no frame end their connection and nothing else; a length alone takes no memory.
+func TestMalformedFramesEndTheirConnection(t *testing.T) {
 	is := is.New(t)
 	a, _, _ := started(t)
 	_, to, came := started(t)
@@ -113,21 +114,21 @@
 		c.Read(make([]byte, 1)) // until it is closed
 		c.Close()
 	}
-	a.Send(to, 1, []byte("whole"))
-	is.Equal(next(t, came), received{1, "whole"})
+	a.Send(to, 1, []byte("complete"))
+	is.Equal(next(t, came), received{1, "complete"})
 	is.Equal(len(came), 0)
 }
 
-// A message beyond the bound is not sent.
-func TestTooLong(t *testing.T) {
+// A message above the bound is lost, and counted.
+func TestTooLongMessageIsLost(t *testing.T) {
 	is := is.New(t)
 	a, _, _ := started(t)
 	a.Send("127.0.0.1:1", 1, make([]byte, MaxMessageLen+1))
 	is.Equal(a.Stats().Lost, uint64(1))
 }
 
-// swallower listens in front of an address and passes bytes on, but for the first connection: its bytes are taken, acknowledged by the system,
-// and go no further.
+// swallower is a proxy that forwards all connections but the first: its bytes are acknowledged by
+// the system, and go no further.
 func swallower(t *testing.T, to string) string {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -145,14 +146,14 @@
 				go io.Copy(io.Discard, c)
 				continue
 			}
-			go passOn(c, to)
+			go forward(c, to)
 		}
 	}()
 	return ln.Addr().String()
 }
 
-// passOn passes bytes on both ways until one side ends.
-func passOn(c net.Conn, to string) {
+// forward forwards bytes both ways until one side ends.
+func forward(c net.Conn, to string) {
 	defer c.Close()
 	next, err := net.Dial("tcp4", to)
 	if err != nil {
@@ -166,14 +167,14 @@
 	io.Copy(next, c)
 }
 
-// CONFIG on a long day with hundreds of changes: a machine of the register that had been cut off one way could be heard for 5.2 s after the cut
-// had healed, and heard nothing, so it served on by an old configuration. The connections of others to it had outlived the cut: what was written
-// to them went into buffers and no further, until a write did not fit any more. Nothing in the link asked whether messages arrive; the system's
-// own timeout for bytes without an acknowledgement did not end them. Prints of each connection in a play of such a cut showed it: those to the machine
-// were opened before the cut and ended by the timeout of a write, 5.6 and 5.9 s after it had healed, and it heard within 0.1 s of the next ones.
+// On a long day with hundreds of configurations a machine of the register that had been isolated
+// one way received nothing for 5.2 s after the partition had healed, though it could send, so it
+// served by an old configuration. The connections to it had outlived the partition: what was
+// written to them went into buffers and no further, until a write did not fit any more. The
+// system's user time-out for bytes without an acknowledgement did not end them.
 //
-// A connection through which nothing arrives is replaced soon, though each write to it succeeds. What was left in it is lost, what comes later
-// arrives.
+// A connection through which nothing arrives is replaced soon, though each write to it succeeds.
+// What was queued in it is lost, what is sent later arrives.
 func TestConnectionThatDeliversNothing(t *testing.T) {
 	is := is.New(t)
 	a, _, _ := started(t)
@@ -193,7 +194,7 @@
 	t.Fatal("nothing came")
 }
 
-// slowly listens in front of an address and passes bytes on at a pace.
+// slowly is a proxy that forwards bytes at a rate.
 func slowly(t *testing.T, to string, bytesAStep int, step time.Duration) string {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -208,13 +209,13 @@
 				return
 			}
 			c.(*net.TCPConn).SetReadBuffer(bytesAStep)
-			go passOn(&pacedConn{c, bytesAStep, step}, to)
+			go forward(&pacedConn{c, bytesAStep, step}, to)
 		}
 	}()
 	return ln.Addr().String()
 }
 
-// pacedConn is read so many bytes a step.
+// pacedConn reads a few bytes a step.
 type pacedConn struct {
 	net.Conn
 	bytes int
@@ -226,9 +227,9 @@
 	return p.Conn.Read(b[:min(len(b), p.bytes)])
 }
 
-// A message that takes longer than nothing may be heard of a connection arrives over it: what has come of it is told on the way. A connection
-// that is silent for as long is kept as well.
-func TestLongMessageOverASlowWay(t *testing.T) {
+// A message that takes longer than the delivery time-out arrives over one connection, as it is
+// acknowledged on the way. An idle connection is kept for as long, too.
+func TestLongMessageOverSlowLink(t *testing.T) {
 	is := is.New(t)
 	a, _, _ := started(t)
 	_, to, came := started(t)
@@ -241,15 +242,15 @@
 	idle := time.NewTimer(minDeliveryTimeout + ackInterval)
 	defer idle.Stop()
 	<-idle.C
-	a.Send(by, 1, []byte("after a pause"))
-	is.Equal(next(t, came).data, "after a pause")
+	a.Send(by, 1, []byte("after an idle time"))
+	is.Equal(next(t, came).data, "after an idle time")
 	is.Equal(a.Stats().Connected, uint64(1))
 	is.Equal(a.Stats().Broken, uint64(0))
 }
 
-// A receiver that never says what arrives, as one of an older version, gets the messages all the same, over connections that are replaced more
-// and more seldom.
-func TestSilentReceiver(t *testing.T) {
+// A receiver that never acknowledges, as one of an older version, gets the messages all the same,
+// over connections that are replaced less and less often.
+func TestReceiverWithoutAcks(t *testing.T) {
 	is := is.New(t)
 	a, _, _ := started(t)
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
--- a/coord/pacing/pacing_test.go
+++ b/coord/pacing/pacing_test.go
@@ -7,8 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// Only steps by the timer without a later time to follow count as stalled, and they are reported once a second at most, none left out.
-func TestStalledSteps(t *testing.T) {
+// Only steps by the timer without a later next step count as stalled; all are reported, once a
+// second at most.
+func TestStalledStepsAreReported(t *testing.T) {
 	is := is.New(t)
 	m := &Meter{}
 	is.Equal(m.RecordStep(10*time.Millisecond, 20*time.Millisecond, true), uint64(0))
--- a/coord/storage/example_test.go
+++ b/coord/storage/example_test.go
@@ -7,7 +7,8 @@
 	"reachspread/coord/storage"
 )
 
-// A state is saved whole now and then, and the changes since are appended. What Open finds is what was told of last.
+// A complete state is saved from time to time, and the changes since are appended. Open recovers
+// what was acknowledged last.
 func Example() {
 	path, _ := os.MkdirTemp("", "storage")
 	defer os.RemoveAll(path)
@@ -17,7 +18,7 @@
 	fmt.Println(store.Append([]byte("plus 5"), []byte("minus 2")))
 	files.Close()
 
-	files, _ = storage.NewFolder(path) // in the next life
+	files, _ = storage.NewFolder(path) // in the next process
 	defer files.Close()
 	_, found, err := storage.Open(files)
 	fmt.Println(string(found.State), len(found.Records), string(found.Records[1]), err)
--- a/coord/storage/folder.go
+++ b/coord/storage/folder.go
@@ -7,13 +7,14 @@
 	"reachspread/coord/failpoint"
 )
 
-// Folder is Files in a folder of the operating system. Open files stay open.
+// Folder implements Files in a folder of the operating system. Files that were written stay open
+// until Close.
 type Folder struct {
 	path string
 	open map[string]*os.File
 }
 
-// NewFolder returns the folder at a path, which is made if there is none.
+// NewFolder returns the folder at a path and creates it if there is none.
 func NewFolder(path string) (*Folder, error) {
 	if err := os.MkdirAll(path, 0o755); err != nil {
 		return nil, err
--- /dev/null
+++ b/coord/storage/format.go
@@ -0,0 +1,78 @@
+package storage
+
+import (
+	"encoding/binary"
+	"hash/crc32"
+)
+
+const (
+	slotMagic       = 0x52535331 // "RSS1"
+	recordMagic     = 0x52534c31 // "RSL1"
+	slotHeaderLen   = 4 + 8 + 8 + checksumLen
+	recordHeaderLen = 4 + 8 + 4 + 4 + checksumLen
+	checksumLen     = 4
+)
+
+var crcTable = crc32.MakeTable(crc32.Castagnoli)
+
+// appendSlot appends a slot: magic, generation, length, checksum and state.
+func appendSlot(to []byte, generation uint64, state []byte) []byte {
+	begin := len(to)
+	to = binary.BigEndian.AppendUint32(to, slotMagic)
+	to = binary.BigEndian.AppendUint64(to, generation)
+	to = binary.BigEndian.AppendUint64(to, uint64(len(state)))
+	to = binary.BigEndian.AppendUint32(to, checksum(to[begin:], state))
+	return append(to, state...)
+}
+
+// parseSlot returns the content of a slot; ok is false unless it is complete.
+func parseSlot(text []byte) (generation uint64, state []byte, ok bool) {
+	if len(text) < slotHeaderLen || binary.BigEndian.Uint32(text) != slotMagic {
+		return 0, nil, false
+	}
+	generation = binary.BigEndian.Uint64(text[4:])
+	length := binary.BigEndian.Uint64(text[12:])
+	if length > uint64(len(text)-slotHeaderLen) {
+		return 0, nil, false
+	}
+	state = text[slotHeaderLen : slotHeaderLen+int(length)]
+	header := text[:slotHeaderLen-checksumLen]
+	stored := binary.BigEndian.Uint32(text[slotHeaderLen-checksumLen:])
+	return generation, state, generation > 0 && checksum(header, state) == stored
+}
+
+// appendRecord appends a record: magic, generation, index, length, checksum and content.
+func appendRecord(to []byte, generation uint64, index uint32, record []byte) []byte {
+	begin := len(to)
+	to = binary.BigEndian.AppendUint32(to, recordMagic)
+	to = binary.BigEndian.AppendUint64(to, generation)
+	to = binary.BigEndian.AppendUint32(to, index)
+	to = binary.BigEndian.AppendUint32(to, uint32(len(record)))
+	to = binary.BigEndian.AppendUint32(to, checksum(to[begin:], record))
+	return append(to, record...)
+}
+
+// parseRecord returns the record at the start of text and its size with header; ok is false unless
+// it is complete, of the generation, and the one with the index.
+func parseRecord(text []byte, generation uint64, index uint32) (record []byte, size int, ok bool) {
+	if len(text) < recordHeaderLen || binary.BigEndian.Uint32(text) != recordMagic {
+		return nil, 0, false
+	}
+	if binary.BigEndian.Uint64(text[4:]) != generation || binary.BigEndian.Uint32(text[12:]) != index {
+		return nil, 0, false
+	}
+	length := binary.BigEndian.Uint32(text[16:])
+	if uint64(length) > uint64(len(text)-recordHeaderLen) {
+		return nil, 0, false
+	}
+	size = recordHeaderLen + int(length)
+	record = text[recordHeaderLen:size]
+	header := text[:recordHeaderLen-checksumLen]
+	stored := binary.BigEndian.Uint32(text[recordHeaderLen-checksumLen:])
+	return record, size, checksum(header, record) == stored
+}
+
+// checksum is the CRC-32C of a header, without its checksum field, and what follows it.
+func checksum(header, content []byte) uint32 {
+	return crc32.Update(crc32.Checksum(header, crcTable), crcTable, content)
+}
--- a/coord/storage/golden_test.go
+++ b/coord/storage/golden_test.go
@@ -17,17 +17,18 @@
 //
 //	go test ./coord/storage -run TestGoldenFolders -write-golden
 //
-// They pin the format on disk. They are never written again: a later version has to read them as they are.
+// They pin the format on disk. They are never written again: a later version has to read them as
+// they are.
 var writeGolden = flag.Bool("write-golden", false, "write testdata/golden in place of a comparison with it")
 
 const goldenPath = "testdata/golden"
 
-// goldenFolder is what a process did to its storage, and what the next one has to find.
+// goldenFolder is what a process did to its storage, and what the next one has to recover.
 type goldenFolder struct {
 	name    string
 	write   func(is *is.I, s *storage.Store)
 	tail    []byte // bytes of a write that was torn, behind the log
-	tornIn  string // a file that is cut off
+	tornIn  string // a file that is truncated
 	tornTo  int    // its length then
 	state   string
 	records []string
@@ -99,7 +100,7 @@
 	}
 }
 
-// check opens a folder and compares what is found there.
+// check opens a folder and compares what is recovered.
 func (g goldenFolder) check(t *testing.T, path string) {
 	t.Helper()
 	is := is.New(t)
@@ -123,7 +124,8 @@
 	is.Equal(string(found.Records[len(g.records)]), "one more")
 }
 
-// Folders of an earlier version are read to the content that was written, go on from there, and the same steps write the same bytes today.
+// Folders of an earlier version are read to the content that was written, go on from there, and the
+// same steps write the same bytes today.
 func TestGoldenFolders(t *testing.T) {
 	for _, g := range goldenFolders() {
 		t.Run(g.name, func(t *testing.T) {
--- a/coord/storage/storage_test.go
+++ b/coord/storage/storage_test.go
@@ -10,13 +10,13 @@
 	"github.com/matryer/is"
 )
 
-// disk is Files whose power can be cut: what was written and not synced is then kept, lost or torn, write by write.
+// disk is Files that can lose power: each write that was not synced is then there, lost or torn.
 type disk struct {
 	synced  map[string][]byte
 	written map[string][]write // since the last sync
 	steps   int                // writes and syncs so far
-	cutAt   int                // the step before which the power is cut; 0 for never
-	failAt  int                // the step that fails, without a cut; 0 for none
+	powerLossAt   int                // the step before which power is lost; 0 for never
+	failAt  int                // the step that fails, with power; 0 for none
 }
 
 type write struct {
@@ -25,7 +25,7 @@
 }
 
 var (
-	errCut  = errors.New("the power is cut")
+	errPowerLost  = errors.New("power is lost")
 	errFull = errors.New("the disk is full")
 )
 
@@ -34,8 +34,8 @@
 func (d *disk) step() error {
 	d.steps++
 	switch {
-	case d.cutAt > 0 && d.steps >= d.cutAt:
-		return errCut
+	case d.powerLossAt > 0 && d.steps >= d.powerLossAt:
+		return errPowerLost
 	case d.failAt == d.steps:
 		return errFull
 	}
@@ -64,7 +64,7 @@
 
 func (d *disk) WriteAt(name string, data []byte, offset int64) error {
 	err := d.step()
-	if err == nil || errors.Is(err, errCut) { // at a cut the write may have been under way
+	if err == nil || errors.Is(err, errPowerLost) { // the write may have been under way
 		d.written[name] = append(d.written[name], write{append([]byte(nil), data...), offset})
 	}
 	return err
@@ -81,8 +81,9 @@
 
 func (d *disk) SyncFolder() error { return d.step() }
 
-// afterCut is what is left of a disk: each write that was not synced is there, lost, or torn at any byte.
-func (d *disk) afterCut(rng *rand.Rand) *disk {
+// afterPowerLoss is what is left of a disk: each write that was not synced is there, lost, or torn
+// at any byte.
+func (d *disk) afterPowerLoss(rng *rand.Rand) *disk {
 	left := newDisk()
 	for name, text := range d.synced {
 		left.synced[name] = append([]byte(nil), text...)
@@ -104,11 +105,11 @@
 	return left
 }
 
-// owner keeps a list of numbers in a store: all in the slot, single ones in the log.
+// owner persists a list of numbers: all in the slot, single ones in the log.
 type owner struct {
 	store        *Store
 	list         []byte
-	acknowledged int // numbers that were told to be kept
+	acknowledged int // numbers whose write was acknowledged
 }
 
 func open(d *disk) (*owner, error) {
@@ -123,7 +124,7 @@
 	return o, nil
 }
 
-// add keeps one more number, by the log or, every now and then and after an error, by a slot.
+// add persists one more number by the log or, from time to time and after an error, by a slot.
 func (o *owner) add(n byte, save bool) error {
 	o.list = append(o.list, n)
 	var err error
@@ -138,21 +139,21 @@
 	return err
 }
 
-// play adds numbers until the power is cut, and returns how many were told to be kept.
+// play adds numbers until power is lost, and returns how many were acknowledged.
 func play(d *disk, from *owner, numbers int) (kept int) {
 	for n := len(from.list); n < numbers; n++ {
 		err := from.add(byte(n), n%4 == 0)
-		if errors.Is(err, errCut) {
+		if errors.Is(err, errPowerLost) {
 			break
 		}
 	}
 	return from.acknowledged
 }
 
-// check tells what is wrong with a list of which so many numbers were told to be kept.
+// check returns what is wrong with a recovered list of which so many numbers were acknowledged.
 func check(list []byte, kept int) error {
 	if len(list) < kept {
-		return fmt.Errorf("%d numbers are there; %d were told to be kept", len(list), kept)
+		return fmt.Errorf("%d numbers are there; %d were acknowledged", len(list), kept)
 	}
 	for i, n := range list {
 		if int(n) != i {
@@ -162,92 +163,94 @@
 	return nil
 }
 
-// The power is cut before every step in turn, a second time after the first return, and each write that was not synced is there, lost
-// or torn: what was told to be kept is there, and nothing that was never written.
-func TestPowerLoss(t *testing.T) {
+// Power is lost before every step in turn, and a second time after the first recovery: what was
+// acknowledged is recovered, and nothing that was never written.
+func TestAcknowledgedSurvivesPowerLoss(t *testing.T) {
 	is := is.New(t)
 	const numbers = 14
 	for first := 1; first < 40; first++ {
 		for second := 1; second < 20; second++ {
 			rng := rand.New(rand.NewPCG(uint64(first), uint64(second)))
 			d := newDisk()
-			d.cutAt = first
+			d.powerLossAt = first
 			o, err := open(d)
 			is.NoErr(err)
 			kept := play(d, o, numbers)
-			d = d.afterCut(rng)
-			d.cutAt = second
+			d = d.afterPowerLoss(rng)
+			d.powerLossAt = second
 			o, err = open(d)
 			is.NoErr(err)
 			if err := check(o.list, kept); err != nil {
-				t.Fatalf("cut at step %d: %v", first, err)
+				t.Fatalf("power lost at step %d: %v", first, err)
 			}
 			o.acknowledged = kept
 			kept = play(d, o, numbers)
-			o, err = open(d.afterCut(rng))
+			o, err = open(d.afterPowerLoss(rng))
 			is.NoErr(err)
 			if err := check(o.list, kept); err != nil {
-				t.Fatalf("cut at step %d, then %d: %v", first, second, err)
+				t.Fatalf("power lost at step %d, then %d: %v", first, second, err)
 			}
 		}
 	}
 }
 
-// One step fails, as on a full disk, and the power is cut some steps later: whatever the failed write left behind, nothing that was
-// told to be kept since is lost.
-func TestFailedWrite(t *testing.T) {
+// One step fails, as on a full disk, and power is lost some steps later: nothing that was
+// acknowledged since is lost, whatever the failed write left.
+func TestAcknowledgedSurvivesFailedWrite(t *testing.T) {
 	is := is.New(t)
 	const numbers = 14
 	for failed := 3; failed < 36; failed++ {
 		for later := 1; later < 12; later++ {
 			rng := rand.New(rand.NewPCG(uint64(failed), uint64(later)))
 			d := newDisk()
-			d.failAt, d.cutAt = failed, failed+later
+			d.failAt, d.powerLossAt = failed, failed+later
 			o, err := open(d)
 			is.NoErr(err)
 			kept := play(d, o, numbers)
-			o, err = open(d.afterCut(rng))
+			o, err = open(d.afterPowerLoss(rng))
 			is.NoErr(err)
 			if err := check(o.list, kept); err != nil {
-				t.Fatalf("step %d failed, cut %d steps later: %v", failed, later, err)
+				t.Fatalf("step %d failed, power lost %d steps later: %v", failed, later, err)
 			}
 		}
 	}
 }
 
-// A process is killed before every step in turn, which leaves what it wrote unsynced; the next one reads that and acts on it once the store
-// says that it is secure. The power is cut some steps later: whatever was read is there then, as is what was kept since.
-func TestKillThenPowerLoss(t *testing.T) {
+// A process is killed before every step in turn, which leaves its writes unsynced. The next one
+// recovers them and acts on them once SyncRecovered has succeeded, and power is lost some steps
+// later: what was recovered is there again, as is what was acknowledged since.
+func TestRecoveredSurvivesPowerLoss(t *testing.T) {
 	is := is.New(t)
 	const numbers = 14
 	for killed := 3; killed < 36; killed++ {
 		for later := range 16 {
 			rng := rand.New(rand.NewPCG(uint64(killed), uint64(later)))
 			d := newDisk()
-			d.cutAt = killed
+			d.powerLossAt = killed
 			o, err := open(d)
 			is.NoErr(err)
 			play(d, o, numbers)
-			d.cutAt = 0
+			d.powerLossAt = 0
 			o, err = open(d)
 			is.NoErr(err)
 			kept := 0
 			d.steps = 0
-			if d.cutAt = later; o.store.SyncRecovered() == nil {
+			if d.powerLossAt = later; o.store.SyncRecovered() == nil {
 				o.acknowledged = len(o.list)
 				kept = play(d, o, numbers)
 			}
-			o, err = open(d.afterCut(rng))
+			o, err = open(d.afterPowerLoss(rng))
 			is.NoErr(err)
 			if err := check(o.list, kept); err != nil {
-				t.Fatalf("killed at step %d, cut %d steps later: %v", killed, later, err)
+				t.Fatalf("killed at step %d, power lost %d steps later: %v", killed, later, err)
 			}
 		}
 	}
 }
 
-// Without a slot nothing can be appended: records that follow no state could not be told from leftovers.
-func TestFirstSave(t *testing.T) {
+// Without a slot nothing can be appended: records of no state could not be told from those of a
+// former one.
+func TestAppendRequiresFirstSave(t *testing.T) {
 	is := is.New(t)
 	s, found, err := Open(newDisk())
 	is.NoErr(err)
@@ -258,7 +261,7 @@
 	is.NoErr(s.Append([]byte("x")))
 }
 
-// Bytes that are not of the format are passed over, whatever they are.
+// Open ignores bytes that are not of the format.
 func FuzzOpen(f *testing.F) {
 	whole := appendSlot(nil, 3, []byte("state"))
 	f.Add(whole, appendRecord(nil, 3, 0, []byte("record")))
@@ -273,8 +276,8 @@
 	})
 }
 
-// A folder of the operating system keeps what it was given.
-func TestFolder(t *testing.T) {
+// A folder of the operating system persists what was written.
+func TestFolderPersists(t *testing.T) {
 	is := is.New(t)
 	path := t.TempDir()
 	files, err := NewFolder(path)
@@ -292,3 +295,15 @@
 	is.Equal(len(found.Records), 2)
 	is.Equal(string(found.Records[1]), "two")
 }
+
+// A record above the bound is rejected with a typed error, and the store goes on.
+func TestTooLargeRecordIsRejected(t *testing.T) {
+	is := is.New(t)
+	s, _, err := Open(newDisk())
+	is.NoErr(err)
+	is.NoErr(s.Save([]byte("state")))
+	var tooLarge *RecordTooLargeError
+	is.True(errors.As(s.Append(make([]byte, MaxRecordSize+1)), &tooLarge))
+	is.Equal(tooLarge.Size, MaxRecordSize+1)
+	is.NoErr(s.Append([]byte("x")))
+}
