--- a/cmd/reachspread/admission.go
+++ b/cmd/reachspread/admission.go
@@ -28,7 +28,7 @@
 }
 
 func printAdmission(w io.Writer, s *program.AdmissionStatus) {
-	fmt.Fprintf(w, "door: %s, %d places, %d of them for known clients, %d lent\n", s.Level, s.Places, s.Reserve, s.Lent)
+	fmt.Fprintf(w, "door: %s, %d places, %d of them for known clients, %d lent\n", s.Level, s.Slots, s.Reserve, s.Lent)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	defer t.Flush()
 	fmt.Fprintf(t, "  connections\tknown %d, unknown %d (in the lobby %d), on the step %d\n", s.Known, s.Unknown, s.Lobby, s.Step)
@@ -42,10 +42,10 @@
 		}
 	}
 	fmt.Fprintf(t, "  episodes without a descriptor\t%d\n", s.Shorts)
-	for _, l := range s.Ledger.Lines {
+	for _, l := range s.Descriptors.Lines {
 		fmt.Fprintf(t, "  descriptors: %s\t%d of %d\n", l.Owner, l.Used, l.Share)
 	}
-	fmt.Fprintf(t, "  descriptors: all\t%d counted, %d open, limit %d\n", s.Ledger.Used(), s.Ledger.Open, s.Ledger.Limit)
+	fmt.Fprintf(t, "  descriptors: all\t%d counted, %d open, limit %d\n", s.Descriptors.Used(), s.Descriptors.Open, s.Descriptors.Limit)
 	for _, h := range s.Holdings {
 		known := ""
 		if h.Known {
--- a/internal/router/processgroup/processgroup.go
+++ b/internal/router/processgroup/processgroup.go
@@ -14,11 +14,11 @@
 
 const (
 	fileName = "reachspread.beside"
-	// most bounds the processes that find each other; a replacement needs two, and one more while the last one leaves.
+	// maxProcesses bounds the processes that find each other; a replacement needs two, and one more while the last one leaves.
 	maxProcesses = 8
 )
 
-// Place is this process's place among those of one router.
+// Slot is this process's place among those of one router.
 type Slot struct {
 	file *os.File
 	at   int64
@@ -46,14 +46,14 @@
 	return &syscall.Flock_t{Type: syscall.F_WRLCK, Whence: 0, Start: at, Len: 1}
 }
 
-// Others is what is known of the other processes.
+// Siblings is what is known of the other processes.
 type Siblings struct {
 	Processes   int
 	Descriptors int  // that they hold together
 	Uncounted   bool // some could not be counted
 }
 
-// Others looks for the other processes.
+// Siblings looks for the other processes.
 func (p *Slot) Siblings() (o Siblings) {
 	for at := range int64(maxProcesses) {
 		l := byteLock(at)
--- a/internal/router/program/admission.go
+++ b/internal/router/program/admission.go
@@ -13,16 +13,18 @@
 
 const (
 	defaultStep = 8 // connections beyond the places that are read and refused, without settings
-	// doorEvery is how often admission hears of the time and of what others lend it.
+	// admissionInterval is between two updates of admission on the time and on descriptors lent to
+	// it.
 	admissionInterval = 25 * time.Millisecond
-	// reloadLook is how often it is looked whether that has become of use.
+	// reloadCheckInterval is between two checks whether a reload has brought a use for that.
 	reloadCheckInterval = time.Second
-	// shortAgain is the least time between two lines of a lack of descriptors: one for each episode, whoever makes it.
+	// shortageLogInterval is the least time between two lines of a lack of descriptors: one for
+	// each episode, whoever makes it.
 	shortageLogInterval = time.Minute
 	maxHoldings         = 10
-	// listenerSockets are the listener's two descriptors and the one held back.
+	// listenerDescriptors are the listener's two descriptors and the one held back.
 	listenerDescriptors = 3
-	// DoorTopic is the path of admission's state on the status socket.
+	// AdmissionTopic is the path of admission's state on the status socket.
 	AdmissionTopic = "/door"
 )
 
@@ -35,7 +37,8 @@
 	return l
 }
 
-// admission returns admission's settings: those of the operators, or as many places as fit and nothing more.
+// admission returns admission's settings: those of the operators, or as many places as fit and
+// nothing more.
 func (c *Config) admission(clients int) admission.Config {
 	if c.set == nil || c.set.Admission == nil {
 		return admission.Config{Places: clients, Step: defaultStep, Away: min(c.balance.MaxRetryAfter, time.Second)}
@@ -49,7 +52,7 @@
 // admission returns admission's settings by what is in force.
 func (p *Program) admission(clients int) admission.Config { return p.inForce.Load().admission(clients) }
 
-// short returns what the listener calls when the process has no descriptor left.
+// onShortage returns what the listener calls when the process has no descriptor left.
 func (p *Program) onShortage() func() {
 	var mu sync.Mutex
 	var last time.Time
@@ -61,16 +64,17 @@
 		}
 		last = time.Now()
 		fields := []any{}
-		ledger := p.descriptorTable()
-		for _, line := range ledger.Lines {
+		table := p.descriptorTable()
+		for _, line := range table.Lines {
 			fields = append(fields, line.Owner, line.Used)
 		}
 		p.log.Warn("descriptors exhausted", fields...)
 	}
 }
 
-// tendAdmission lets admission know of the time and of what copies lend it, until ctx ends. Without a block "door" and without pools there is nothing
-// of either; then it looks once a second whether a reload has brought any.
+// runAdmission lets admission know of the time and of what copies lend it, until ctx ends. Without
+// a block "door" and without pools there is nothing of either; then it looks once a second whether
+// a reload has brought any.
 func (p *Program) runAdmission(ctx context.Context) {
 	timer := time.NewTimer(admissionInterval)
 	defer timer.Stop()
@@ -100,7 +104,8 @@
 	return n
 }
 
-// shares is the ledger as the configuration divides it, before anybody has a descriptor.
+// descriptorShares is the descriptor table as the configuration divides it, before anybody holds a
+// descriptor.
 func (c *Config) descriptorShares(r processLimits) admission.Ledger {
 	clients, reserve, step := r.clients, c.admission(r.clients).Reserve, c.admission(r.clients).Step
 	return admission.Ledger{Limit: c.Limits.Sockets, Lines: []admission.Line{
@@ -117,7 +122,7 @@
 	}}
 }
 
-// ledger is who may have and who has the descriptors of the process.
+// descriptorTable is who may hold and who holds the descriptors of the process.
 func (p *Program) descriptorTable() admission.Ledger {
 	counts, _ := p.front.AdmissionStatus(0)
 	used := map[admission.Owner]int{admission.Listeners: 3, admission.Discovery: 1, admission.KnownOnes: counts.Known, admission.Unknown: counts.Unknown,
@@ -141,31 +146,31 @@
 
 // AdmissionStatus is the state of admission, as `admission` prints it.
 type AdmissionStatus struct {
-	Level    string              `json:"level"`
-	Places   int                 `json:"places"`
-	Reserve  int                 `json:"reserve"`
-	Lent     int                 `json:"lent"`
-	Known    int                 `json:"known"`
-	Unknown  int                 `json:"unknown"`
-	Lobby    int                 `json:"lobby"`
-	Step     int                 `json:"step"`
-	Open     int                 `json:"open_requests"`
-	Admitted uint64              `json:"admitted"`
-	Promoted uint64              `json:"promoted"`
-	Served   uint64              `json:"served"`
-	Refused  map[string]uint64   `json:"refused"` // requests that were answered
-	Turned   map[string]uint64   `json:"turned"`  // connections closed before a byte was read
-	Shut     map[string]uint64   `json:"shut"`    // silent connections
-	Shorts   uint64              `json:"shorts"`
-	Holdings []admission.Holding `json:"holdings"`
-	Ledger   admission.Ledger    `json:"ledger"`
+	Level       string              `json:"level"`
+	Slots       int                 `json:"places"`
+	Reserve     int                 `json:"reserve"`
+	Lent        int                 `json:"lent"`
+	Known       int                 `json:"known"`
+	Unknown     int                 `json:"unknown"`
+	Lobby       int                 `json:"lobby"`
+	Step        int                 `json:"step"`
+	Open        int                 `json:"open_requests"`
+	Admitted    uint64              `json:"admitted"`
+	Promoted    uint64              `json:"promoted"`
+	Served      uint64              `json:"served"`
+	Refused     map[string]uint64   `json:"refused"` // requests that were answered
+	Turned      map[string]uint64   `json:"turned"`  // connections closed before a byte was read
+	Shut        map[string]uint64   `json:"shut"`    // silent connections
+	Shorts      uint64              `json:"shorts"`
+	Holdings    []admission.Holding `json:"holdings"`
+	Descriptors admission.Ledger    `json:"ledger"`
 }
 
 func (p *Program) admissionStatus() (any, error) {
 	c, top := p.front.AdmissionStatus(maxHoldings)
-	s := AdmissionStatus{Level: c.Level.String(), Places: c.Places, Reserve: c.Reserve, Lent: c.Lent, Known: c.Known, Unknown: c.Unknown,
+	s := AdmissionStatus{Level: c.Level.String(), Slots: c.Places, Reserve: c.Reserve, Lent: c.Lent, Known: c.Known, Unknown: c.Unknown,
 		Lobby: c.Lobby, Step: c.Step, Open: c.Open, Admitted: c.Admitted, Promoted: c.Promoted, Served: c.Served,
-		Refused: map[string]uint64{}, Turned: map[string]uint64{}, Shut: map[string]uint64{}, Shorts: c.Shorts, Holdings: top, Ledger: p.descriptorTable()}
+		Refused: map[string]uint64{}, Turned: map[string]uint64{}, Shut: map[string]uint64{}, Shorts: c.Shorts, Holdings: top, Descriptors: p.descriptorTable()}
 	byCause(s.Refused, c.Refused[:])
 	byCause(s.Turned, c.Turned[:])
 	byCause(s.Shut, c.Shut[:])
--- a/internal/router/program/admission_test.go
+++ b/internal/router/program/admission_test.go
@@ -28,8 +28,8 @@
 	hosts             []*scripted.Model
 }
 
-// startWithAdmission starts a router process with admission control: 256 descriptors by the configuration, and limit by the system. Without
-// hosts it gets two that answer at once.
+// startWithAdmission starts a router process with admission control: 256 descriptors by the
+// configuration, and limit by the system. Without hosts it gets two that answer at once.
 func startWithAdmission(t *testing.T, limit int, settings string, hosts ...*scripted.Model) *house {
 	t.Helper()
 	h := &house{dir: t.TempDir(), hosts: hosts}
@@ -123,7 +123,8 @@
 }
 `
 
-// askOften asks as a known client, each time on a new connection, and returns how often it was served.
+// askOften asks as a known client, each time on a new connection, and returns how often it was
+// served.
 func askOften(p *process, name string, times int) (served int) {
 	p.t.Helper()
 	for i := range times {
@@ -138,8 +139,8 @@
 	return served
 }
 
-// Known clients get in through floods that take all places; who is refused has an answer, and afterwards no descriptor
-// is lost.
+// Known clients get in through floods that take all places; who is refused has an answer, and
+// afterwards no descriptor is lost.
 func TestKnownClientsGetThroughFloods(t *testing.T) {
 	h := startWithAdmission(t, 256, admissionBlock)
 	if n := askOften(h.process, "before", 5); n != 5 {
@@ -165,18 +166,19 @@
 			t.Errorf("%s: %d of 40 served; the flood: %s", f.name, served, flood.Summary())
 		}
 	}
-	s := h.wait("end of the floods", func(s *AdmissionStatus) bool { return s.Known+s.Unknown+s.Step == 0 && s.Ledger.Float() == 0 })
-	// What the ledger counts is what the process has; probes, the poller and the standard streams stand in the float.
-	if s.Ledger.Used() > s.Ledger.Open || s.Ledger.Open-s.Ledger.Used() > 20 {
-		t.Errorf("the ledger has %d of %d open descriptors: %+v", s.Ledger.Used(), s.Ledger.Open, s.Ledger)
+	s := h.wait("end of the floods", func(s *AdmissionStatus) bool { return s.Known+s.Unknown+s.Step == 0 && s.Descriptors.Float() == 0 })
+	// What the ledger counts is what the process has; probes, the poller and the standard streams
+	// stand in the float.
+	if s.Descriptors.Used() > s.Descriptors.Open || s.Descriptors.Open-s.Descriptors.Used() > 20 {
+		t.Errorf("the ledger has %d of %d open descriptors: %+v", s.Descriptors.Used(), s.Descriptors.Open, s.Descriptors)
 	}
-	if s.Ledger.Shares() > s.Ledger.Limit || s.Promoted == 0 {
+	if s.Descriptors.Shares() > s.Descriptors.Limit || s.Promoted == 0 {
 		t.Errorf("%+v", s)
 	}
 }
 
-// Where every place has an open request, the next one is read and refused at once, whatever else was sent with it, and
-// who is known gets in still.
+// Where every place has an open request, the next one is read and refused at once, whatever else
+// was sent with it, and who is known gets in still.
 func TestFullHouseAnswers(t *testing.T) {
 	houseSockets = 130 // few places, so that all is done before a stream has been silent for too long
 	defer func() { houseSockets = 256 }()
@@ -184,13 +186,14 @@
 		hold := make(chan bool)
 		h := startWithAdmission(t, 256, strings.Replace(settings, "}", " patience {\n critical = \"2s\"\n }\n address {\n connections = 0\n open = 0\n per_second = 0\n }\n net {\n connections = 0\n open = 0\n per_second = 0\n }\n}", 1),
 			scripted.NewModel(t, scripted.Manner{Hold: hold, Events: 2}))
-		places := h.status().Places - h.status().Reserve
+		places := h.status().Slots - h.status().Reserve
 		for i := range places {
 			h.dial(scripted.AskText(fmt.Sprint("q", i), ""))
 		}
 		h.wait("full house", func(s *AdmissionStatus) bool { return s.Open == places })
 		for i := range 10 {
-			// Three requests in one go have one answer: what follows on a connection that ends was not taken.
+			// Three requests in one go have one answer: what follows on a connection that ends was
+			// not taken.
 			text := scripted.AskText(fmt.Sprint("x", i), "") + scripted.AskText(fmt.Sprint("y", i), "") + scripted.AskText(fmt.Sprint("z", i), "")
 			got := read(t, h.dial(text))
 			if strings.Count(got, "HTTP/1.1 ") != 1 || !strings.HasPrefix(got, "HTTP/1.1 503 ") || settings != "" && !strings.Contains(got, "Retry-After: ") {
@@ -215,8 +218,8 @@
 	}
 }
 
-// Bounds lowered by SIGHUP below what is in use: silent connections go, open requests are finished, and nothing is let
-// in before there is room.
+// Bounds lowered by SIGHUP below what is in use: silent connections go, open requests are finished,
+// and nothing is let in before there is room.
 func TestLoweredByReload(t *testing.T) {
 	hold := make(chan bool)
 	h := startWithAdmission(t, 256, admissionBlock, scripted.NewModel(t, scripted.Manner{Hold: hold, Events: 2}))
@@ -248,8 +251,8 @@
 	}
 }
 
-// A restart in the middle of a flood: what is open is finished, the program ends well, and the next one serves known
-// clients though the flood is there before it.
+// A restart in the middle of a flood: what is open is finished, the program ends well, and the next
+// one serves known clients though the flood is there before it.
 func TestRestartInAFlood(t *testing.T) {
 	hold := make(chan bool)
 	h := startWithAdmission(t, 256, admissionBlock, scripted.NewModel(t, scripted.Manner{Events: 2, Hold: hold}))
@@ -272,7 +275,8 @@
 	}
 }
 
-// Who sends a body a byte at a time, and who reads nothing, has a bound of its own; known clients have those of the front.
+// Who sends a body a byte at a time, and who reads nothing, has a bound of its own; known clients
+// have those of the front.
 func TestSlowClients(t *testing.T) {
 	h := startWithAdmission(t, 256, strings.Replace(admissionBlock, "}", ` sending {
   calm = "300ms"
@@ -305,8 +309,8 @@
 	}
 }
 
-// With no descriptor left at all, the one held back refuses clients in turn, on-call gets one line with the owners,
-// and service comes back by itself.
+// With no descriptor left at all, the one held back refuses clients in turn, on-call gets one line
+// with the owners, and service comes back by itself.
 func TestDescriptorsExhausted(t *testing.T) {
 	h := startWithAdmission(t, 40, "")
 	p := h.process
--- a/internal/router/program/capture.go
+++ b/internal/router/program/capture.go
@@ -2,8 +2,9 @@
 
 import "reachspread/internal/router/capture"
 
-// startCapture begins the file that the operators' settings name. It counts from the start: a reload changes nothing of
-// it. A file that can't be begun, as one is there from before a restart, keeps nobody from being served.
+// startCapture begins the file that the operators' settings name. It counts from the start: a
+// reload changes nothing of it. A file that can't be begun, as one is there from before a restart,
+// keeps nobody from being served.
 func (p *Program) startCapture() {
 	if p.cfg.set == nil || p.cfg.set.Capture.File == "" {
 		return
--- a/internal/router/program/config.go
+++ b/internal/router/program/config.go
@@ -17,7 +17,8 @@
 	"reachspread/internal/wire"
 )
 
-// Config is what the platform tells a router.
+// Config is the configuration that the platform gives a router, in the file that ROUTER_CONFIG
+// names.
 type Config struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -54,8 +55,8 @@
 	minClientConnections = 16
 )
 
-// Load reads the file that ROUTER_CONFIG names; the other variables of the platform go before what it says. An
-// error is one line that names the field at fault.
+// Load reads the file that ROUTER_CONFIG names; the other variables of the platform go before what
+// it says. An error is one line that names the field at fault.
 func Load(getenv func(string) string) (*Config, error) {
 	path := getenv("ROUTER_CONFIG")
 	if path == "" {
@@ -127,7 +128,8 @@
 	return nil
 }
 
-// checkPeers looks at the addresses of the other routers, where the settings allow datagrams at all.
+// checkPeers looks at the addresses of the other routers, where the settings allow datagrams at
+// all.
 func (c *Config) checkPeers() error {
 	if c.balance.Routers == 0 {
 		return nil
@@ -146,7 +148,8 @@
 	return nil
 }
 
-// aside returns how many descriptors are set aside for what the operators' settings turn on.
+// descriptorsForSettings returns how many descriptors are set aside for what the operators'
+// settings turn on.
 func (c *Config) descriptorsForSettings() int {
 	if c.set == nil {
 		return 0
@@ -154,7 +157,8 @@
 	return c.set.Descriptors()
 }
 
-// memoryPart is the part of the memory limit that the operators' settings may use for copies and their answers.
+// settingsMemoryDivisor divides the memory limit: so much of it the operators' settings may use for
+// copies and their answers.
 const settingsMemoryDivisor = 8
 
 // ReadSettings reads the operators' settings file, which must fit the limits.
@@ -176,7 +180,7 @@
 	return c.checkRoles(path)
 }
 
-// connectFor is the time for a connection to a server to come up.
+// connectTimeout is the time for a connection to a server to come up.
 func (c *Config) connectTimeout() time.Duration {
 	return time.Duration(c.Settings.Limits.ConnectTimeoutNs)
 }
--- a/internal/router/program/exchange_test.go
+++ b/internal/router/program/exchange_test.go
@@ -20,8 +20,8 @@
 	"reachspread/internal/transport"
 )
 
-// platformOf is what starts and ends processes of one router: it holds the clients' listener, and the folder and the
-// configuration that they share.
+// platformOf is what starts and ends processes of one router: it holds the clients' listener, and
+// the folder and the configuration that they share.
 type platformOf struct {
 	t      *testing.T
 	binary string
@@ -133,7 +133,8 @@
 	}
 }
 
-// crowd are clients that ask all the time on connections that they keep, until stopped; what went wrong is returned.
+// crowd are clients that ask all the time on connections that they keep, until stopped; what went
+// wrong is returned.
 func crowd(addr string, clients int) (stop func() (asked int, wrong []string)) {
 	var mu sync.Mutex
 	var all sync.WaitGroup
@@ -173,8 +174,9 @@
 	}
 }
 
-// Processes take over from each other under load, two in a row, past one that dies before its yes and leftovers in
-// the folder that they share. No request is refused, closed on or answered twice, and each process ends well.
+// Processes take over from each other under load, two in a row, past one that dies before its yes
+// and leftovers in the folder that they share. No request is refused, closed on or answered twice,
+// and each process ends well.
 func TestProcessIsReplaced(t *testing.T) {
 	hosts := []*scripted.Model{scripted.NewModel(t, scripted.Manner{Events: 3, Gap: 5 * time.Millisecond}), scripted.NewModel(t, scripted.Manner{Events: 3, Gap: 5 * time.Millisecond})}
 	p := newPlatform(t, hosts...)
@@ -216,13 +218,13 @@
 	}
 }
 
-// Streams under way, of any class and half read, move to the process that takes over, past a second replacement, and
-// the process that left has ended long before they have. The client's next request goes to the new one without a new
-// connection; whatever has no one to go to ends where it is.
+// Streams under way, of any class and half read, move to the process that takes over, past a second
+// replacement, and the process that left has ended long before they have. The client's next request
+// goes to the new one without a new connection; whatever has no one to go to ends where it is.
 func TestStreamsMove(t *testing.T) {
 	hold := make(chan bool)
-	// A server says something at each stage: one that is silent for longer than 4.5 s is given up, and on a busy machine all of
-	// this takes longer.
+	// A server says something at each stage: one that is silent for longer than 4.5 s is given up,
+	// and on a busy machine all of this takes longer.
 	var stages []chan bool
 	var waits []<-chan bool
 	for range 4 {
@@ -325,9 +327,10 @@
 	p.binary = script
 }
 
-// uses returns the descriptors and the kilobytes of memory that processes have together; pages that they share count
-// once. The processes stand still while their descriptors are counted: one after the other, a connection that moves from
-// the first to the second between the two counts would be in both (242 were counted so where 227 were open).
+// uses returns the descriptors and the kilobytes of memory that processes have together; pages that
+// they share count once. The processes stand still while their descriptors are counted: one after
+// the other, a connection that moves from the first to the second between the two counts would be
+// in both (242 were counted so where 227 were open).
 func uses(t *testing.T, all ...*one) (descriptors, kilobytes int) {
 	t.Helper()
 	for _, o := range all {
@@ -377,8 +380,9 @@
 	return true
 }
 
-// With 256 descriptors and 32 MB, in a crowd of silent and asking connections and of callers that say nothing or read
-// nothing, the management address answers each call in time, and a replacement keeps both limits for the two together.
+// With 256 descriptors and 32 MB, in a crowd of silent and asking connections and of callers that
+// say nothing or read nothing, the management address answers each call in time, and a replacement
+// keeps both limits for the two together.
 func TestCrowdsAtSmallLimits(t *testing.T) {
 	host := scripted.NewModel(t, scripted.Manner{Events: 3})
 	p := newPlatform(t, host)
@@ -446,8 +450,9 @@
 	second.leaves()
 }
 
-// A replacement during a drain serves though the old process sends clients away. One that is killed after its yes takes
-// nothing with it that it was not given: streams end where they are, and a third process serves.
+// A replacement during a drain serves though the old process sends clients away. One that is killed
+// after its yes takes nothing with it that it was not given: streams end where they are, and a
+// third process serves.
 func TestReplacementThatDies(t *testing.T) {
 	hold := make(chan bool)
 	host := scripted.NewModel(t, scripted.Manner{Events: 5, Hold: hold})
--- a/internal/router/program/handover.go
+++ b/internal/router/program/handover.go
@@ -6,13 +6,14 @@
 	"reachspread/internal/transport"
 )
 
-// movesName is the socket, in the folder that the processes of a router share, on which the one that takes over is given
-// the connections of the one that leaves.
+// moveSocketName is the socket, in the folder that the processes of a router share, on which the
+// one that takes over is given the connections of the one that leaves.
 const moveSocketName = "reachspread.moves"
 
 func (p *Program) moveSocketPath() string { return filepath.Join(p.getenv("TMPDIR"), moveSocketName) }
 
-// startMoves opens the way for connections of a process that will leave. Without one they end where they are.
+// startReceiver opens the socket for connections of a process that will leave. Without it they end
+// where they are.
 func (p *Program) startReceiver() {
 	if p.processGroup == nil {
 		return
@@ -23,7 +24,7 @@
 	}
 }
 
-// giveAway has all connections move to the process that takes over, if there is one.
+// moveConnections moves all connections to the process that takes over, if there is one.
 func (p *Program) moveConnections() {
 	if p.receiver == nil {
 		return
@@ -41,7 +42,7 @@
 	p.receiver.Leave()
 }
 
-// endMoves waits for what was taken from another process.
+// finishMoves waits for connections that came from another process.
 func (p *Program) finishMoves() {
 	if p.receiver != nil {
 		p.receiver.Wait()
@@ -51,7 +52,7 @@
 	}
 }
 
-// carried returns how many streams of another process this one carries.
+// carriedStreams returns how many streams of another process this one carries.
 func (p *Program) carriedStreams() int {
 	if p.receiver == nil {
 		return 0
--- a/internal/router/program/management_test.go
+++ b/internal/router/program/management_test.go
@@ -32,8 +32,8 @@
 	d      *scripted.Discovery
 }
 
-// startServed starts a program whose discovery lists the entries; the configuration is that of configFile, with the
-// changes given as old and new by turns.
+// startServed starts a program whose discovery lists the entries; the configuration is that of
+// configFile, with the changes given as old and new by turns.
 func startServed(t *testing.T, entries []string, changes ...string) *served {
 	t.Helper()
 	s := &served{t: t, lines: make(scripted.Lines, 1000), reload: make(chan os.Signal, 10), exit: make(chan error, 1),
@@ -129,7 +129,8 @@
 	return status
 }
 
-// Admission answers while callers that say nothing, half a line, or read nothing hold every place that it has.
+// Admission answers while callers that say nothing, half a line, or read nothing hold every place
+// that it has.
 func TestManagementUnderSilentCallers(t *testing.T) {
 	s := startServed(t, nil)
 	s.until("phase name=listing")
@@ -165,8 +166,8 @@
 	}
 }
 
-// Every figure against what clients and servers saw: served, refused, failed, cut off, client gone, attempts, a
-// server ejected, a list that grows and shrinks.
+// Every figure against what clients and servers saw: served, refused, failed, cut off, client gone,
+// attempts, a server ejected, a list that grows and shrinks.
 func TestFiguresAreTrue(t *testing.T) {
 	hold := make(chan bool)
 	well, bad := scripted.NewModel(t, scripted.Manner{Events: 2}), scripted.NewModel(t, scripted.Manner{Status: 500})
@@ -206,7 +207,8 @@
 	resp.Body.Close()
 	s.figures(map[string]string{`fulfilled_total{priority="chat"}`: "3", `faulted_total{priority="chat"}`: "2", "open_requests": "0"})
 
-	// What may have run and must not run again fails; what may, is tried elsewhere. Two failures eject.
+	// What may have run and must not run again fails; what may, is tried elsewhere. Two failures
+	// eject.
 	s.d.Tell(t, scripted.List(2, true, scripted.Entry("s1", bad.Addr, "Ready")))
 	s.figures(map[string]string{"registry_entries": "1"})
 	for i := range 2 {
@@ -233,8 +235,9 @@
 	s.figures(map[string]string{"cfg_accepted_total": "1", "cfg_invalid_total": "1"})
 }
 
-// After the word to drain readiness says no at once, who connects or keeps a connection is served and sent away, silent
-// connections end, a long stream finishes; after the second word all is as before. Each word may come twice.
+// After the word to drain readiness says no at once, who connects or keeps a connection is served
+// and sent away, silent connections end, a long stream finishes; after the second word all is as
+// before. Each word may come twice.
 func TestDrain(t *testing.T) {
 	hold := make(chan bool)
 	long := scripted.NewModel(t, scripted.Manner{Events: 2, Hold: hold})
@@ -311,7 +314,8 @@
 	}
 }
 
-// A request that came before its silent connection was looked at is served, not closed on, however late it is read.
+// A request that came before its silent connection was looked at is served, not closed on, however
+// late it is read.
 func TestNoCloseCrossesARequest(t *testing.T) {
 	host := scripted.NewModel(t, scripted.Manner{Events: 2})
 	s := startServed(t, []string{scripted.Entry("s0", host.Addr, "Ready")})
@@ -325,7 +329,8 @@
 		go func() { defer close(done); s.front.Empty(0) }()
 		fmt.Fprintf(c, "POST /v1/chat/completions HTTP/1.1\r\nHost: r\r\nX-Correlation-Id: q%d\r\nX-Service-Class: chat\r\nX-Time-Left: 8000m\r\nContent-Length: 2\r\n\r\n{}", i)
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
-		// A close that was under way when the request was written is the client's to see, and nothing was sent for it.
+		// A close that was under way when the request was written is the client's to see, and
+		// nothing was sent for it.
 		if err == nil && resp.StatusCode != 200 || err != nil && host.Attempts(fmt.Sprint("q", i)) > 0 {
 			t.Errorf("q%d: %v, %v", i, resp, err)
 		}
--- a/internal/router/program/measure_test.go
+++ b/internal/router/program/measure_test.go
@@ -25,8 +25,8 @@
 	"reachspread/internal/testbed/scripted"
 )
 
-// The measurements run the program as a process of its own, on one core, against stand-ins in this one. They are not
-// for CI: docs/measurements/ has the commands and what came of them.
+// The measurements run the program as a process of its own, on one core, against stand-ins in this
+// one. They are not for CI: docs/measurements/ has the commands and what came of them.
 var (
 	measure  = flag.Bool("measure", false, "run the measurements")
 	seconds  = flag.Int("seconds", 10, "of each turn of a measurement")
@@ -49,9 +49,10 @@
 // sockets is the limit of descriptors of the next router.
 var sockets = 1024
 
-// connectFor is what a router process may take to connect to a stand-in host. The hosts listen all the time and a
-// prompt goes to each of them once at most, so the bound is far above what a loaded machine takes for a connection on
-// loopback: with 50 ms, a prompt before a single host was refused now and then for the machine's load alone.
+// connectFor is what a router process may take to connect to a stand-in host. The hosts listen all
+// the time and a prompt goes to each of them once at most, so the bound is far above what a loaded
+// machine takes for a connection on loopback: with 50 ms, a prompt before a single host was refused
+// now and then for the machine's load alone.
 const connectFor = 10 * time.Second
 
 func buildRouter(t *testing.T) string {
@@ -63,8 +64,8 @@
 	return path
 }
 
-// ownAddress is a loopback address that no other test process listens on: a port that is closed for a restart can't be
-// taken by one of them.
+// ownAddress is a loopback address that no other test process listens on: a port that is closed for
+// a restart can't be taken by one of them.
 func ownAddress() string {
 	id := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 64+id>>16&0x3f, id>>8&0xff, id&0xff)
@@ -172,8 +173,8 @@
 	return strings.Join(found, ", ")
 }
 
-// load200 sends requests in an open loop, at times drawn beforehand, and returns when the first event of each came after
-// its time, in microseconds. What is not answered by 200 is counted.
+// load200 sends requests in an open loop, at times drawn beforehand, and returns when the first
+// event of each came after its time, in microseconds. What is not answered by 200 is counted.
 func load200(t *testing.T, client *http.Client, addr, name string, forSeconds int, perSecond float64) (first *hdrhistogram.Histogram, failed int) {
 	t.Helper()
 	first = hdrhistogram.New(1, 60e6, 3)
@@ -222,8 +223,9 @@
 	return hosts
 }
 
-// TestMeasureShadow measures what shadow pools cost live clients: first-event times with the share at 0 and with half
-// of all conversations copied to a pool that is well, killed and revived, slow, or silent, by turns in one process.
+// TestMeasureShadow measures what shadow pools cost live clients: first-event times with the share
+// at 0 and with half of all conversations copied to a pool that is well, killed and revived, slow,
+// or silent, by turns in one process.
 func TestMeasureShadow(t *testing.T) {
 	if !*measure {
 		t.Skip("a measurement; see docs/measurements/")
@@ -350,7 +352,8 @@
 	}
 }
 
-// TestMeasureBinaries compares programs that run without settings, by turns: CPU time a request and the most memory.
+// TestMeasureBinaries compares programs that run without settings, by turns: CPU time a request and
+// the most memory.
 func TestMeasureBinaries(t *testing.T) {
 	if !*measure || *binaries == "" {
 		t.Skip("a measurement; see docs/measurements/")
@@ -393,8 +396,9 @@
 func oneAddress(int) string      { return "127.0.0.2" }
 func manyAddresses(i int) string { return fmt.Sprintf("127.1.%d.%d", i/250, 1+i%250) }
 
-// TestMeasureAdmission measures what floods do to known clients: 40 new connections a second with one request each, at 256
-// descriptors, before a host that answers in 30 ms. -settings names a settings file, and -binaries other programs.
+// TestMeasureAdmission measures what floods do to known clients: 40 new connections a second with
+// one request each, at 256 descriptors, before a host that answers in 30 ms. -settings names a
+// settings file, and -binaries other programs.
 func TestMeasureAdmission(t *testing.T) {
 	if !*measure {
 		t.Skip("a measurement; see docs/measurements/")
@@ -425,7 +429,8 @@
 				time.Sleep(500 * time.Millisecond)
 			}
 			before, _ := p.used()
-			// The flood takes from the machine, too: what it does to those who ask a host without the router.
+			// The flood takes from the machine, too: what it does to those who ask a host without
+			// the router.
 			var direct *hdrhistogram.Histogram
 			var beside sync.WaitGroup
 			beside.Go(func() { direct, _, _ = known(t, live[0].Addr, *seconds, 40) })
@@ -443,8 +448,8 @@
 	}
 }
 
-// floodProcess plays one of the floods in a process of its own: in this one it would hold up the known clients by
-// itself. Stop returns what came back.
+// floodProcess plays one of the floods in a process of its own: in this one it would hold up the
+// known clients by itself. Stop returns what came back.
 func floodProcess(t *testing.T, addr string, which int) (stop func() string) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], "-test.run", "^TestFloodProcess$", "-test.v")
@@ -486,8 +491,8 @@
 	fmt.Println("flood:", flood.Summary())
 }
 
-// TestMeasureRefusal measures what a refusal costs beside a served request, each on a connection of its own: CPU time of
-// the router, before hosts that answer at once with two events.
+// TestMeasureRefusal measures what a refusal costs beside a served request, each on a connection of
+// its own: CPU time of the router, before hosts that answer at once with two events.
 func TestMeasureRefusal(t *testing.T) {
 	if !*measure {
 		t.Skip("a measurement; see docs/measurements/")
@@ -522,7 +527,8 @@
 	}
 }
 
-// askFrom asks once from an address other than that of known clients, unless there is a word of theirs.
+// askFrom asks once from an address other than that of known clients, unless there is a word of
+// theirs.
 func askFrom(addr, id, more string) (status int) {
 	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(oneAddress(0))}, Timeout: 3 * time.Second, Control: scripted.PortLater}
 	if more != "" {
--- a/internal/router/program/membership.go
+++ b/internal/router/program/membership.go
@@ -18,7 +18,8 @@
 	"reachspread/internal/routing"
 )
 
-// checkFleet looks at the block fleet of the operators' settings, which may need what only the configuration says.
+// checkFleet looks at the block fleet of the operators' settings, which may need what only the
+// configuration says.
 func (c *Config) checkFleet(path string) error {
 	f := c.set.Fleet
 	if f == nil {
@@ -117,8 +118,8 @@
 	return nil
 }
 
-// numbered returns the living routers of a view by their numbers in the configuration, or nil where it does not have this one:
-// then the module counts all as living, as it does without a view.
+// numbered returns the living routers of a view by their numbers in the configuration, or nil where
+// it does not have this one: then the module counts all as living, as it does without a view.
 func (p *Program) numbered(v *members.View, numbers map[netip.AddrPort]int) (peers []balance.Peer) {
 	self := false
 	for i := range v.Members {
@@ -134,10 +135,11 @@
 	return peers
 }
 
-// leaveWithin bounds the wait until the others are told that this router leaves.
+// announceLeaveTimeout bounds the wait until other routers were notified that this one leaves.
 const announceLeaveTimeout = 100 * time.Millisecond
 
-// leavePeers tells the others that this router leaves, unless another process takes over, which waits for the address.
+// announceLeave notifies other routers that this one leaves. Where another process takes over,
+// which waits for the address, it says so.
 func (p *Program) announceLeave() {
 	if p.view != nil {
 		ctx, cancel := context.WithTimeout(context.Background(), announceLeaveTimeout)
@@ -195,12 +197,12 @@
 		return nil, fmt.Errorf("the router says %q", lines[0])
 	}
 	for _, line := range lines[1 : len(lines)-1] {
-		words := strings.Fields(line)
-		if len(words) == 0 {
+		tokens := strings.Fields(line)
+		if len(tokens) == 0 {
 			continue
 		}
-		l := Line{words[0], map[string]string{}}
-		for _, w := range words[1:] {
+		l := Line{tokens[0], map[string]string{}}
+		for _, w := range tokens[1:] {
 			name, value, _ := strings.Cut(w, "=")
 			l.Fields[name] = value
 		}
--- a/internal/router/program/memory.go
+++ b/internal/router/program/memory.go
@@ -16,8 +16,9 @@
 // mapping is a range of the process's addresses.
 type mapping struct{ from, to uintptr }
 
-// releasePages gives back the pages of the program's file that were needed at its start: code and tables of libraries that this process
-// uses once or never. What is needed again comes back from the file. A process that can't do so goes on with them.
+// releasePages gives back the pages of the program's file that were needed at its start: code and
+// tables of libraries that this process uses once or never. What is needed again comes back from
+// the file. A process that can't do so goes on with them.
 func releasePages() {
 	self, err := os.Executable()
 	if err != nil {
@@ -33,7 +34,8 @@
 	}
 }
 
-// unchangedMappings are those of a file that can't be written and have no page that differs from the file, by the text of smaps (proc(5)).
+// unchangedMappings are those of a file that can't be written and have no page that differs from
+// the file, by the text of smaps (proc(5)).
 func unchangedMappings(smaps io.Reader, file string) (all []mapping) {
 	var m mapping
 	lines := bufio.NewScanner(smaps)
@@ -53,7 +55,8 @@
 	return all
 }
 
-// readOnlyMapping reads the first line of a mapping; it is empty where the mapping isn't of the file or can be written.
+// readOnlyMapping reads the first line of a mapping; it is empty where the mapping isn't of the
+// file or can be written.
 func readOnlyMapping(fields []string, file string) (m mapping) {
 	if len(fields) < 6 || fields[5] != file || strings.Contains(fields[1], "w") {
 		return mapping{}
--- /dev/null
+++ b/internal/router/program/openrequests.go
@@ -0,0 +1,47 @@
+package program
+
+import (
+	"os"
+	"path/filepath"
+
+	"reachspread/internal/router/snapshot"
+)
+
+// countUnanswered is how many requests the previous incarnation had accepted and not answered, as
+// far as that was persisted. Nothing is sent again for them.
+func (p *Program) countUnanswered(folder string) int {
+	text, err := os.ReadFile(filepath.Join(folder, snapshot.OpenRequestsFile))
+	if err != nil {
+		return 0
+	}
+	open, _, err := snapshot.Decode(text)
+	if err != nil {
+		p.log.Warn("snapshot broken", "file", snapshot.OpenRequestsFile, "cause", err)
+		return 0
+	}
+	if open.Router != p.cfg.Name {
+		return 0
+	}
+	return len(open.OpenRequests) + open.OmittedRequests
+}
+
+// writeOpenRequests writes which requests are open, if there are any or were.
+func (p *Program) writeOpenRequests(folder string) {
+	k := &p.snapshots
+	s := &snapshot.State{Router: p.cfg.Name}
+	ids, classes, more := p.router.Open(snapshot.MaxOpenRequests)
+	for i, id := range ids {
+		s.OpenRequests = append(s.OpenRequests, snapshot.OpenRequest{ID: id, Class: classes[i]})
+	}
+	if s.OmittedRequests = more; len(ids) == 0 && !k.hadOpen {
+		return
+	}
+	k.openRequests.Path = filepath.Join(folder, snapshot.OpenRequestsFile)
+	if k.hadOpen = len(ids) > 0; !k.hadOpen {
+		k.openRequests.Remove()
+		return
+	}
+	if text, err := snapshot.Encode(s, 0); err == nil {
+		p.reportWrite(k.openRequests.Write(text)) // for people alone: not worth a wait for the disk each second
+	}
+}
--- a/internal/router/program/phases.go
+++ b/internal/router/program/phases.go
@@ -10,61 +10,62 @@
 
 // The phases.
 const (
-	Starting  Phase = "starting"  // resources are set up, nothing is answered
-	Listing   Phase = "listing"   // not ready: no server is listed
-	Withheld  Phase = "withheld"  // the same, and clients are to be sent away once there is one
-	Serving   Phase = "serving"   // ready
-	Draining  Phase = "draining"  // clients are sent away, until they are taken again
-	Leaving   Phase = "leaving"   // SIGTERM came: each answer ends its connection
-	Finishing Phase = "finishing" // accepting no more, answering what was taken
-	Stopped   Phase = "stopped"
+	Starting    Phase = "starting"  // resources are set up, nothing is answered
+	Listing     Phase = "listing"   // not ready: no server is listed
+	Withheld    Phase = "withheld"  // the same, and clients are to be sent away once there is one
+	Serving     Phase = "serving"   // ready
+	Draining    Phase = "draining"  // clients are sent away, until they are taken again
+	Terminating Phase = "leaving"   // SIGTERM came: each answer ends its connection
+	Finishing   Phase = "finishing" // accepting no more, answering what was taken
+	Stopped     Phase = "stopped"
 )
 
-// accepting says from which listener a phase accepts connections.
+// acceptSource is the listener from which a phase accepts connections.
 type acceptSource int
 
 const (
-	acceptNone acceptSource = iota
-	acceptOwn               // one that this process opened; nobody else would answer there
-	acceptAny               // an inherited one, too: others have it, and take what this process can't
+	acceptNone      acceptSource = iota
+	acceptExclusive              // one that this process alone has: nobody else would answer there
+	acceptShared                 // also an inherited one: the other process takes what this one can't
 )
 
-// duties is what a phase says of the clients' side. Nothing else decides on any of it.
+// phasePolicy is how a phase treats clients. Nothing else decides on any of it.
 type phasePolicy struct {
-	ready                  bool          // /-/ready and the call check say yes
+	ready                  bool          // /-/ready and the management call check answer yes
 	acceptFrom             acceptSource  // new connections
 	keepAlive              bool          // a connection outlives its answer
-	closeIdleAfter         time.Duration // into the phase, silent connections are closed from here on; 0 for never
+	closeIdleAfter         time.Duration // into the phase, from when on idle connections are closed; 0 for never
 	closeIdleAfterHandover time.Duration // the same where another process takes clients meanwhile
-	endAfterAnswer         bool          // from then on no connection outlives its answer, also one that could not tell its client
+	endAfterAnswer         bool          // from then on no connection outlives its answer, also where the client could not be notified
 }
 
-// soon is for phases that close silent connections from their beginning on.
+// immediately is for phases that close silent connections from their beginning on.
 const immediately = time.Nanosecond
 
 var policies = map[Phase]phasePolicy{
-	Starting:  {keepAlive: true},
-	Listing:   {keepAlive: true, acceptFrom: acceptOwn},
-	Withheld:  {acceptFrom: acceptOwn},
-	Serving:   {keepAlive: true, acceptFrom: acceptAny, ready: true},
-	Draining:  {acceptFrom: acceptAny, closeIdleAfter: closeIdleDelay, closeIdleAfterHandover: closeIdleDelay, endAfterAnswer: true},
-	Leaving:   {acceptFrom: acceptOwn, closeIdleAfter: closeIdleDelay, closeIdleAfterHandover: immediately},
-	Finishing: {closeIdleAfter: immediately, closeIdleAfterHandover: immediately, endAfterAnswer: true},
-	Stopped:   {},
+	Starting:    {keepAlive: true},
+	Listing:     {keepAlive: true, acceptFrom: acceptExclusive},
+	Withheld:    {acceptFrom: acceptExclusive},
+	Serving:     {keepAlive: true, acceptFrom: acceptShared, ready: true},
+	Draining:    {acceptFrom: acceptShared, closeIdleAfter: closeIdleDelay, closeIdleAfterHandover: closeIdleDelay, endAfterAnswer: true},
+	Terminating: {acceptFrom: acceptExclusive, closeIdleAfter: closeIdleDelay, closeIdleAfterHandover: immediately},
+	Finishing:   {closeIdleAfter: immediately, closeIdleAfterHandover: immediately, endAfterAnswer: true},
+	Stopped:     {},
 }
 
 const (
-	// leaveFor is how long clients may come after SIGTERM.
+	// shutdownGrace is how long new clients are accepted after SIGTERM.
 	shutdownGrace = 700 * time.Millisecond
-	// sendOff leaves those who are sent away the time to go by themselves, with an answer that ends their connection. A
-	// close that we begin may cross a request.
+	// closeIdleDelay gives clients the time to go by themselves, with an answer that ends their
+	// connection. A close from this side may cross a request.
 	closeIdleDelay = 500 * time.Millisecond
-	// quietFor is how long a connection must have been silent to be closed then, and lookEvery how often that is seen to.
+	// minIdleTime is how long a connection must have been silent to be closed then, and lookEvery
+	// how often that is seen to.
 	minIdleTime       = 150 * time.Millisecond
 	idleCheckInterval = 100 * time.Millisecond
 )
 
-// happening is what leads from one phase to another.
+// phaseEvent leads from one phase to another. Its text is part of error messages.
 type phaseEvent string
 
 const (
@@ -77,18 +78,19 @@
 	requestsDone   phaseEvent = "emptied"
 )
 
-// transitions has all that may happen; what a phase does not have is refused there.
+// transitions has the events that each phase allows, and the phase that each leads to.
 var transitions = map[Phase]map[phaseEvent]Phase{
-	Starting:  {listenerOpened: Listing},
-	Listing:   {serversListed: Serving, drainRequested: Withheld, drainLifted: Listing, terminated: Leaving},
-	Withheld:  {serversListed: Draining, drainRequested: Withheld, drainLifted: Listing, terminated: Leaving},
-	Serving:   {drainRequested: Draining, drainLifted: Serving, terminated: Leaving},
-	Draining:  {drainRequested: Draining, drainLifted: Serving, terminated: Leaving},
-	Leaving:   {graceElapsed: Finishing},
-	Finishing: {requestsDone: Stopped},
+	Starting:    {listenerOpened: Listing},
+	Listing:     {serversListed: Serving, drainRequested: Withheld, drainLifted: Listing, terminated: Terminating},
+	Withheld:    {serversListed: Draining, drainRequested: Withheld, drainLifted: Listing, terminated: Terminating},
+	Serving:     {drainRequested: Draining, drainLifted: Serving, terminated: Terminating},
+	Draining:    {drainRequested: Draining, drainLifted: Serving, terminated: Terminating},
+	Terminating: {graceElapsed: Finishing},
+	Finishing:   {requestsDone: Stopped},
 }
 
-// happen enters the phase that something leads to, if it leads anywhere. It waits for no client and no log line.
+// advance enters the phase that an event leads to. An event that the present phase does not allow
+// is an error and changes nothing. It waits for no client and no log line.
 func (p *Program) advance(what phaseEvent) (Phase, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -102,13 +104,13 @@
 	return next, nil
 }
 
-// enter does what a phase says, before anybody is told of it. The lock is held.
+// enterPhase applies the policy of a phase before the phase is logged. The caller holds the lock.
 func (p *Program) enterPhase(next Phase) {
 	p.phase = next
 	d := policies[next]
 	p.front.SetReady(d.ready)
 	p.front.SetKeeps(d.keepAlive)
-	if d.acceptFrom == acceptAny || d.acceptFrom == acceptOwn && !p.inherited {
+	if d.acceptFrom == acceptShared || d.acceptFrom == acceptExclusive && !p.inherited {
 		if !p.accepting {
 			p.accepting = true
 			go func() { p.serveResult <- p.front.Serve(p.ln, p.inherited) }()
@@ -116,7 +118,7 @@
 	} else if p.accepting {
 		p.front.StopAccepting()
 	}
-	if p.mirror != nil && next == Leaving {
+	if p.mirror != nil && next == Terminating {
 		p.mirror.Leave()
 	}
 	p.leavePhase()
@@ -126,19 +128,19 @@
 		after = d.closeIdleAfterHandover
 	}
 	if after > 0 {
-		gone := make(chan struct{})
-		p.leavePhase = func() { close(gone) }
+		leftPhase := make(chan struct{})
+		p.leavePhase = func() { close(leftPhase) }
 		quiet := minIdleTime
 		if p.mover != nil { // nothing is closed that could cross a request
 			quiet = 0
 		}
-		go p.closeIdleConnections(after, quiet, d.endAfterAnswer, gone)
+		go p.closeIdleConnections(after, quiet, d.endAfterAnswer, leftPhase)
 	}
 	p.enteredPhases <- next
 }
 
-// empty closes silent connections, after a while, until the phase is left.
-func (p *Program) closeIdleConnections(after, quiet time.Duration, parts bool, left <-chan struct{}) {
+// closeIdleConnections closes idle connections, after a delay, until the phase is left.
+func (p *Program) closeIdleConnections(after, quiet time.Duration, endAfterAnswer bool, left <-chan struct{}) {
 	timer := time.NewTimer(after)
 	defer timer.Stop()
 	for {
@@ -151,7 +153,7 @@
 		select {
 		case <-left: // and another phase says otherwise
 		default:
-			if parts {
+			if endAfterAnswer {
 				p.front.Part()
 			}
 			p.front.Empty(quiet)
@@ -161,10 +163,10 @@
 	}
 }
 
-// mostSaid bounds the lines of phases that wait to be written; beyond, whoever asks for one more waits.
+// maxQueuedPhases bounds the phases whose log lines wait to be written; beyond it the caller waits.
 const maxQueuedPhases = 64
 
-// say writes the lines of phases, in their order.
+// logPhases writes a log line for each phase, in their order, until no more come.
 func (p *Program) logPhases(done chan<- struct{}) {
 	defer close(done)
 	for phase := range p.enteredPhases {
--- a/internal/router/program/phases_test.go
+++ b/internal/router/program/phases_test.go
@@ -7,15 +7,15 @@
 	"pgregory.net/rapid"
 )
 
-// What the operators rely on, read off the tables: who is ready, who accepts, and that SIGTERM leads out of every phase
-// in which there is anything to leave.
+// What the operators rely on, read off the tables: who is ready, who accepts, and that SIGTERM
+// leads out of every phase in which there is anything to leave.
 func TestPhaseTables(t *testing.T) {
 	got := map[string][]Phase{}
-	for _, p := range []Phase{Starting, Listing, Withheld, Serving, Draining, Leaving, Finishing, Stopped} {
+	for _, p := range []Phase{Starting, Listing, Withheld, Serving, Draining, Terminating, Finishing, Stopped} {
 		d := policies[p]
-		for word, is := range map[string]bool{"ready": d.ready, "accepts an own": d.acceptFrom >= acceptOwn,
-			"accepts an inherited": d.acceptFrom == acceptAny, "keeps": d.keepAlive, "sends off": d.closeIdleAfter > 0,
-			"SIGTERM": transitions[p][terminated] == Leaving, "drains twice": transitions[transitions[p][drainRequested]][drainRequested] == transitions[p][drainRequested] && transitions[p][drainRequested] != ""} {
+		for word, is := range map[string]bool{"ready": d.ready, "accepts an own": d.acceptFrom >= acceptExclusive,
+			"accepts an inherited": d.acceptFrom == acceptShared, "keeps": d.keepAlive, "sends off": d.closeIdleAfter > 0,
+			"SIGTERM": transitions[p][terminated] == Terminating, "drains twice": transitions[transitions[p][drainRequested]][drainRequested] == transitions[p][drainRequested] && transitions[p][drainRequested] != ""} {
 			if is {
 				got[word] = append(got[word], p)
 			}
@@ -23,10 +23,10 @@
 	}
 	want := map[string][]Phase{
 		"ready":                {Serving},
-		"accepts an own":       {Listing, Withheld, Serving, Draining, Leaving},
+		"accepts an own":       {Listing, Withheld, Serving, Draining, Terminating},
 		"accepts an inherited": {Serving, Draining},
 		"keeps":                {Starting, Listing, Serving},
-		"sends off":            {Draining, Leaving, Finishing},
+		"sends off":            {Draining, Terminating, Finishing},
 		"SIGTERM":              {Listing, Withheld, Serving, Draining},
 		"drains twice":         {Listing, Withheld, Serving, Draining},
 	}
@@ -35,7 +35,8 @@
 	}
 }
 
-// Whatever happens in whatever order: the router is ready just when an entry is known, the last word was not to drain, and no SIGTERM came.
+// Whatever happens in whatever order: the router is ready just when an entry is known, the last
+// word was not to drain, and no SIGTERM came.
 func TestTransitions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		phase, drained, known, ended := Listing, false, false, false
--- a/internal/router/program/processlimits.go
+++ b/internal/router/program/processlimits.go
@@ -8,7 +8,7 @@
 	"reachspread/internal/router/processgroup"
 )
 
-// processLimits is what this process may take up by now, of what its router may.
+// processLimits is what this process may use now, of the limits of its router.
 type processLimits struct {
 	clients, servers int   // connections
 	bodies           int   // bytes
@@ -16,32 +16,35 @@
 }
 
 const (
-	// memoryShare of the limit is for the heap; stacks and socket buffers need some, too.
+	// heapFraction of the memory limit is for the heap; stacks and socket buffers need the rest.
 	heapFraction = 0.6
-	// besideShare is the same for each of two processes.
+	// siblingHeapFraction is the same for each of two processes.
 	siblingHeapFraction = 0.35
-	// programBytes of the program itself are resident, once for two processes. Heaps get most of what small limits leave beside;
-	// with less, collecting takes so much of a core that connections are closed late.
+	// programBytes of the program itself are resident, once for two processes. Heaps get most of
+	// what small limits leave; with less, garbage collection takes so much of a core that
+	// connections are closed late.
 	programBytes       = 13 << 20
 	usableHeapFraction = 0.97
-	// besideSockets are the descriptors of a process beside another that are neither clients' nor servers'.
+	// siblingDescriptors are those of a process with a sibling that are neither clients' nor
+	// servers'.
 	siblingDescriptors = 32
-	// newcomer are those that a process which may be replaced leaves for the one to come.
+	// successorDescriptors are those that a process which may be replaced leaves for the one to
+	// come.
 	successorDescriptors = siblingDescriptors + 2*minClientConnections
-	// besideEvery is how often a process looks how much another one still has.
+	// siblingCheckInterval is between two checks of how much a sibling still holds.
 	siblingCheckInterval = 50 * time.Millisecond
 )
 
-// processLimits divides the limits, with what the operators' settings need set aside first. Each client may need a second
-// connection to a server.
+// processLimits divides the limits, with what the operators' settings need set aside first. Each
+// client may need a second connection to a server.
 func (c *Config) processLimits(o processgroup.Siblings) processLimits {
 	memory := int64(c.Limits.MemoryMB) << 20
-	beside := usableHeapFraction * float64(memory-programBytes)
-	r := processLimits{bodies: int(memory / 4), heap: int64(min(heapFraction*float64(memory), beside))}
+	usable := usableHeapFraction * float64(memory-programBytes)
+	r := processLimits{bodies: int(memory / 4), heap: int64(min(heapFraction*float64(memory), usable))}
 	free := c.Limits.Sockets - c.descriptorsForSettings() - reservedDescriptors
 	switch {
 	case o.Processes > 0:
-		r.bodies, r.heap = r.bodies/2, int64(min(siblingHeapFraction*float64(memory), beside/2))
+		r.bodies, r.heap = r.bodies/2, int64(min(siblingHeapFraction*float64(memory), usable/2))
 		taken := o.Descriptors
 		if o.Uncounted {
 			taken = max(taken, c.Limits.Sockets/2)
@@ -58,7 +61,8 @@
 // clients returns how many client connections fit a process that is alone.
 func (c *Config) clients() int { return c.processLimits(processgroup.Siblings{}).clients }
 
-// join finds out whether another process of this router runs, as one does while it is being replaced.
+// joinProcessGroup finds out whether another process of this router runs, as one does while it is
+// being replaced.
 func (p *Program) joinProcessGroup() (o processgroup.Siblings) {
 	folder := p.getenv("TMPDIR")
 	if p.cfg.acceptFD == 0 || folder == "" {
@@ -72,7 +76,7 @@
 	return p.processGroup.Siblings()
 }
 
-// fit keeps to what other processes leave until this one is alone, or ctx ends.
+// adjustLimits keeps to what siblings leave until this process is alone, or ctx ends.
 func (p *Program) adjustLimits(ctx context.Context, o processgroup.Siblings) {
 	ticker := time.NewTicker(siblingCheckInterval)
 	defer ticker.Stop()
@@ -92,7 +96,7 @@
 	}
 }
 
-// take has every part keep to the limits.
+// applyLimits puts the limits in force in every component.
 func (p *Program) applyLimits(r processLimits) {
 	if old := p.processLimits.Swap(&r); old != nil && *old == r {
 		return
@@ -103,7 +107,7 @@
 	p.front.Retune(p.admission(r.clients))
 }
 
-// yield leaves half of the limits to the process that takes over.
+// yieldLimits leaves half of the limits to the process that takes over.
 func (p *Program) yieldLimits() {
 	half := p.cfg.processLimits(processgroup.Siblings{Processes: 1, Uncounted: true})
 	debug.SetMemoryLimit(half.heap)
--- a/internal/router/program/program.go
+++ b/internal/router/program/program.go
@@ -23,8 +23,9 @@
 )
 
 const (
-	probeAnswerTimeout = 60 * time.Millisecond // beyond the time to connect
-	// silentFor is how long a stream may be silent. From 5 s on its client is taken to be kept waiting for nothing.
+	probeAnswerTimeout = 60 * time.Millisecond // for a health check, beyond the time to connect
+	// streamIdleTimeout is how long a stream may be silent. From 5 s on its client is taken to be
+	// kept waiting for nothing.
 	streamIdleTimeout = 4500 * time.Millisecond
 )
 
@@ -39,44 +40,44 @@
 	status    *transport.Status // nil where the settings name no folder
 	capture   *capture.Writer   // nil where they name no file
 	view      *peering.View     // of the fleet, nil where they have no such block
-	gate      *recoveryGate     // before the module
-	recovery  *recoveryDriver   // how this router does, nil where nothing is kept
+	gate      *recoveryGate     // admits requests before the decisions see them
+	recovery  *recoveryDriver   // how this router comes back, nil where nothing is persisted
 	gossip    *peering.Gossip   // the socket between routers, nil where there is none
 	balancer  *balance.Balancer // the router's, once it runs
-	snapshots snapshotKeeper    // of what the next life is told
-	roles     *peering.Roles    // nil where they have no such block
-	started   []component       // that were started
+	snapshots snapshotWriter    // what the next incarnation reads
+	roles     *peering.Roles    // nil where the settings have no such block
+	started   []component       // the started components
 	router    *routing.Router
 	front     *transport.Front
 	ln        net.Listener
 
 	management      *transport.Management         // the management address, nil without an address
-	inherited       bool                          // ln is also others'
+	inherited       bool                          // another process has ln as well
 	processGroup    *processgroup.Slot            // among the processes of this router, nil where there is but one
 	receiver        *transport.Receiver           // of another process's connections, nil without a folder to share
 	mover           *transport.Mover              // of this one's, nil while it stays
 	processLimits   atomic.Pointer[processLimits] // that this process takes up
-	inForce         atomic.Pointer[Config]        // the last good file
-	serveResult     chan error                    // how accepting ended
-	enteredPhases   chan Phase                    // phases whose lines are due
-	listVersion     atomic.Int64                  // of the list that was told last
+	inForce         atomic.Pointer[Config]        // the configuration of the last good file
+	serveResult     chan error                    // the error with which accepting ended
+	enteredPhases   chan Phase                    // phases whose log lines are due
+	listVersion     atomic.Int64                  // of the list that was applied last
 	zone            string                        // this router's, as the fleet view has it
 	copiedToken     uint64                        // the token of another's record that is kept; Duties asks for one at a time
-	acceptedReloads atomic.Uint64                 // files taken at SIGHUP
+	acceptedReloads atomic.Uint64                 // files that SIGHUP put in force
 	refusedReloads  atomic.Uint64                 // files refused
 
 	mu              sync.Mutex
 	phase           Phase
 	accepting       bool     // has begun
-	leavePhase      func()   // ends what the phase does as time passes
+	leavePhase      func()   // ends the timers of the phase
 	copiers         []string // pools to which one router copies, which this one wants
 	cancelDrainWait func()   // ends the wait for leave to drain, nil where none is asked for
 	releaseAddress  func()   // gives the routers' address up, nil where there is none
 	firstList       sync.Once
 }
 
-// New returns a program that has done nothing yet with its configuration, which Load and ReadSettings gave; file
-// names the operators' settings, and is empty where there are none.
+// New returns a program that has done nothing yet with its configuration, which Load and
+// ReadSettings gave; file names the operators' settings, and is empty where there are none.
 func New(cfg *Config, getenv func(string) string, file string, log routing.Logger) *Program {
 	p := &Program{cfg: cfg, getenv: getenv, file: file, log: log, phase: Starting,
 		serveResult: make(chan error, 1), enteredPhases: make(chan Phase, maxQueuedPhases), leavePhase: func() {}}
@@ -84,8 +85,8 @@
 	return p
 }
 
-// Run serves until ctx ends, then shuts down in order. Whenever a signal comes from reload, it reads
-// the configuration anew, in any phase. It returns nil after an orderly shutdown.
+// Run serves until ctx ends, then shuts down in order. Whenever a signal comes from reload, it
+// reads the configuration anew, in any phase. It returns nil after an orderly shutdown.
 func (p *Program) Run(ctx context.Context, reload <-chan os.Signal) error {
 	runtime.GOMAXPROCS(max(int(math.Ceil(p.cfg.Limits.Cores)), 1))
 	siblings := p.joinProcessGroup()
@@ -209,8 +210,9 @@
 	return nil
 }
 
-// watch follows discovery until ctx ends. A reload moves it to the address that the file names by then; all else
-// goes on as it was. The old watch has ended before the new one begins, so no older list can come last.
+// watchDiscovery follows discovery until ctx ends. A reload moves it to the address that the file
+// names by then; all else goes on as it was. The old watch has ended before the new one begins, so
+// no older list can come last.
 func (p *Program) watchDiscovery(ctx context.Context, reload <-chan os.Signal) {
 	pace, since := transport.Pushed, int64(transport.WholeList)
 	if p.cfg.balance.MustSubscribe {
@@ -234,8 +236,9 @@
 	}
 }
 
-// newAddress waits until a reload names another address of discovery; moved is false if ctx ended first. The
-// environment still has the address of the start, so the file is compared with what it said before.
+// awaitDiscoveryChange waits until a reload names another address of discovery; moved is false if
+// ctx ended first. The environment still has the address of the start, so the file is compared with
+// what it said before.
 func (p *Program) awaitDiscoveryChange(ctx context.Context, reload <-chan os.Signal) (addr string, moved bool) {
 	for {
 		select {
@@ -262,19 +265,19 @@
 	}
 }
 
-// refuse counts and tells that a file was refused.
+// refuseReload counts and logs that a file was refused.
 func (p *Program) refuseReload(cause error) {
 	p.refusedReloads.Add(1)
 	p.log.Warn("reload refused", "cause", cause)
 }
 
-// tell hands a list of listed servers to the core.
+// applyServerList hands a list of discovery to the core.
 func (p *Program) applyServerList(l *protocol.List) {
 	p.snapshots.applying.Lock()
 	defer p.snapshots.applying.Unlock()
 	p.router.Told(l.Members(), l.Addrs())
 	p.listVersion.Store(l.Version)
-	if l != &p.cfg.Known || len(l.Servers) > 0 { // a configuration that names nobody has said nothing
+	if l != &p.cfg.Known || len(l.Servers) > 0 { // a configuration without servers says nothing about them
 		p.snapshots.mergeList(l)
 	}
 	if len(l.Servers) > 0 {
--- a/internal/router/program/program_test.go
+++ b/internal/router/program/program_test.go
@@ -24,8 +24,8 @@
 	`"aimNs":8000000000,"hardLimitNs":8000000000}],"limits":{"maxAttempts":3,"connectTimeoutNs":50000000,` +
 	`"keepaliveNs":15000000000}}`
 
-// configFile writes a good configuration with some texts replaced, each by the one after it, and returns the
-// environment that names it.
+// configFile writes a good configuration with some texts replaced, each by the one after it, and
+// returns the environment that names it.
 func configFile(t testing.TB, pairs ...string) func(string) string {
 	t.Helper()
 	text := `{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",` +
@@ -105,8 +105,8 @@
 	}
 }
 
-// However the limits and the settings divide the descriptors, the shares of all owners fit the limit, and none is
-// without any that needs one.
+// However the limits and the settings divide the descriptors, the shares of all owners fit the
+// limit, and none is without any that needs one.
 func TestSharesFitTheLimit(t *testing.T) {
 	env := configFile(t, "n1", "n1")
 	path := filepath.Join(t.TempDir(), "settings.hcl")
@@ -149,8 +149,8 @@
 	})
 }
 
-// From start to exit: ready once a server is listed; after SIGTERM each answer ends its connection, what
-// was taken is finished, and the program ends by itself.
+// From start to exit: ready once a server is listed; after SIGTERM each answer ends its connection,
+// what was taken is finished, and the program ends by itself.
 func TestPhases(t *testing.T) {
 	more := make(chan bool)
 	s := scripted.NewServer(t, scripted.Held(more))
@@ -203,7 +203,7 @@
 	go ask("before")
 	scripted.Next(t, s.Requests, "the first attempt")
 	sigterm()
-	enter(Leaving)
+	enter(Terminating)
 	ready(503)
 	go ask("after")
 	scripted.Next(t, s.Requests, "an attempt while leaving")
@@ -229,8 +229,9 @@
 	}
 }
 
-// A reload moves the watch to the discovery that the file names by then, whatever the environment says, and takes
-// the whole list there although its versions begin lower. A bad file changes nothing, and a stream goes on.
+// A reload moves the watch to the discovery that the file names by then, whatever the environment
+// says, and takes the whole list there although its versions begin lower. A bad file changes
+// nothing, and a stream goes on.
 func TestReload(t *testing.T) {
 	more := make(chan bool)
 	s := scripted.NewServer(t, scripted.Held(more))
--- a/internal/router/program/recovery.go
+++ b/internal/router/program/recovery.go
@@ -16,7 +16,7 @@
 	"reachspread/internal/router/snapshot"
 )
 
-// comeback drives how this router comes back: one goroutine owns the decider.
+// recoveryDriver drives how this router comes back: one goroutine owns the decider.
 type recoveryDriver struct {
 	decider     *recovery.Decider
 	start       time.Time // with the monotonic clock
@@ -24,18 +24,18 @@
 	statusCalls chan chan recovery.Status
 
 	stage         atomic.Int32
-	excludedHosts atomic.Uint64 // hosts of the last life's list
+	excludedHosts atomic.Uint64 // hosts of the previous incarnation's list
 }
 
-// guard has a gate stand before the module, and tells others how it stands.
+// recoveryGate admits requests before the decisions see them, and publishes what it admits.
 type recoveryGate struct {
 	gate              *recovery.Gate
 	rejected          atomic.Uint64
-	admittedFractions atomic.Pointer[map[string]float64] // by class, of what is admitted; nil while all is
+	admittedFractions atomic.Pointer[map[string]float64] // admitted, by class; nil while all is
 	reportedAt        time.Duration
 }
 
-// partsEvery is how old what is told of the parts may be.
+// fractionsInterval is how old the published fractions may be.
 const fractionsInterval = 200 * time.Millisecond
 
 // Step implements routing.Gate.
@@ -47,19 +47,19 @@
 		if x.gate.Warm(now) {
 			x.admittedFractions.Store(nil)
 		} else {
-			parts := x.gate.AdmittedFractions()
-			x.admittedFractions.Store(&parts)
+			fractions := x.gate.AdmittedFractions()
+			x.admittedFractions.Store(&fractions)
 		}
 	}
 	return pass, answers
 }
 
 const (
-	maxQueuedMessages = 64                     // that wait; further ones are lost
-	pollInterval      = 200 * time.Millisecond // between two looks at what the rest of the program knows
+	maxQueuedMessages = 64                     // beyond these, datagrams are dropped
+	pollInterval      = 200 * time.Millisecond // between two polls of what the rest of the program knows
 )
 
-// prepareReturn makes the decider, with what the last life has left.
+// prepareRecovery makes the decider from what the previous incarnation persisted.
 func (p *Program) prepareRecovery(before *snapshot.State, broken []string) (err error) {
 	c := &recoveryDriver{start: time.Now(), events: make(chan recovery.Event, maxQueuedMessages), statusCalls: make(chan chan recovery.Status)}
 	duties := p.cfg.set.Duties != nil
@@ -76,7 +76,8 @@
 	return nil
 }
 
-// takeWord takes a datagram of another router that comes back, or answers. It waits for nobody.
+// receiveRecoveryMessage takes a datagram of another router that comes back, or answers. It waits
+// for nobody.
 func (p *Program) receiveRecoveryMessage(_ netip.AddrPort, data []byte) {
 	if e, err := recovery.Decode(data); err == nil {
 		p.recovery.post(e)
@@ -90,19 +91,21 @@
 	}
 }
 
-// startReturn begins to come back, and to keep what this life knows, once the socket is there over which others are asked; without one nobody is.
+// startRecovery starts the recovery and the writing of snapshots, once the socket is open over
+// which other routers are queried; without one nobody is.
 func (p *Program) startRecovery(work context.Context) error {
 	if p.recovery == nil {
 		return nil
 	}
-	p.pauseCopies(true)
+	p.suspendCopies(true)
 	go p.writeSnapshots(work, p.cfg.set.Recovery.Folder)
 	go p.runRecovery(work, p.recovery)
 	return nil
 }
 
-// holdBack has copies to candidate pools and captures wait, or go on: what is not live service comes last.
-func (p *Program) pauseCopies(on bool) {
+// suspendCopies suspends copies to candidate pools and captures, or resumes them: what is not live
+// service comes last.
+func (p *Program) suspendCopies(on bool) {
 	if p.mirror != nil {
 		p.mirror.Hold(on)
 	}
@@ -111,8 +114,8 @@
 	}
 }
 
-// runRecovery owns the decider of the recovery until ctx ends: it feeds it with what the rest of the
-// program knows and carries out what it decides.
+// runRecovery owns the decider of the recovery until ctx ends: it feeds it with what the rest of
+// the program knows and carries out what it decides.
 func (p *Program) runRecovery(ctx context.Context, c *recoveryDriver) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -144,14 +147,15 @@
 	}
 }
 
-// recoveryInputs is how much of what the rest of the program knows the decider was told already.
+// recoveryInputs is how much of what the rest of the program knows the decider has got already.
 type recoveryInputs struct {
 	listChanges uint64 // the count of changes of the server list
 	viewVersion uint64 // of the fleet view
 	recovered   bool   // the last stage was entered
 }
 
-// pollRecoveryInputs steps the decider with what the rest of the program has learnt since the last poll.
+// pollRecoveryInputs steps the decider with what the rest of the program has learnt since the last
+// poll.
 func (p *Program) pollRecoveryInputs(seen *recoveryInputs, step func(recovery.Event)) {
 	if version, serving, changes := p.snapshots.changedList(seen.listChanges); changes != seen.listChanges {
 		seen.listChanges = changes
@@ -202,7 +206,7 @@
 	case recovery.StageEntered:
 		c.stage.Store(int32(a.Stage))
 		if seen.recovered = a.Stage == recovery.Recovered; seen.recovered {
-			p.pauseCopies(false)
+			p.suspendCopies(false)
 		}
 		p.log.Info("comes back", "stage", a.Stage, "after", a.After.Round(time.Millisecond), "why", a.Reason)
 	}
@@ -220,15 +224,16 @@
 	}
 }
 
-// listed tells whether discovery has spoken, and how often its list has changed.
-func (k *snapshotKeeper) hasList() (changes uint64, spoke bool) {
+// hasList reports whether discovery has sent a list, and how often the list has changed.
+func (k *snapshotWriter) hasList() (changes uint64, spoke bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.changes, k.list != nil
 }
 
-// spoken returns discovery's list if it has changed since a count of changes: its version, the hosts that serve, and the count by now.
-func (k *snapshotKeeper) changedList(since uint64) (version int64, serving []string, changes uint64) {
+// changedList returns discovery's list if it has changed since a count of changes: its version, the
+// hosts that serve, and the count by now.
+func (k *snapshotWriter) changedList(since uint64) (version int64, serving []string, changes uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.list == nil || k.changes == since {
@@ -242,7 +247,7 @@
 	return k.listVersion, serving, k.changes
 }
 
-// recoveryValues are the figures of the return, nil where there is none.
+// recoveryValues are the figures of the recovery, nil where there is none.
 func (p *Program) recoveryValues() *management.Recovery {
 	if p.recovery == nil {
 		return nil
@@ -263,26 +268,26 @@
 		return []string{"recovery stage=unknown"}, true
 	}
 	s := <-to
-	word := func(s string) string { return field(strings.ReplaceAll(s, " ", "_")) }
+	underscored := func(s string) string { return field(strings.ReplaceAll(s, " ", "_")) }
 	lines = append(lines, fmt.Sprintf("recovery stage=%s for_ms=%d up_ms=%d loss=%s heard=%d asked=%d waits=%s last_life=%v old_list=%v snapshots=%d", s.Stage, s.StageFor.Milliseconds(),
-		s.Uptime.Milliseconds(), word(string(s.Outage)), s.Heard, s.Asked, word(s.AwaitedEvent), s.HasSaved, s.SavedListUsed, p.snapshots.written.Load()))
+		s.Uptime.Milliseconds(), underscored(string(s.Outage)), s.Heard, s.Asked, underscored(s.AwaitedEvent), s.HasSaved, s.SavedListUsed, p.snapshots.written.Load()))
 	admits := "all"
-	if parts := p.gate.admittedFractions.Load(); parts != nil {
+	if fractions := p.gate.admittedFractions.Load(); fractions != nil {
 		var all []string
-		for class, part := range *parts {
-			all = append(all, fmt.Sprintf("%s:%.2f", word(class), part))
+		for class, fraction := range *fractions {
+			all = append(all, fmt.Sprintf("%s:%.2f", underscored(class), fraction))
 		}
 		slices.Sort(all)
 		admits = strings.Join(all, ",")
 	}
 	lines = append(lines, fmt.Sprintf("admission warm=%.2f turned=%d admits=%s shunned=%d", p.snapshots.warmFraction(&p.inForce.Load().balance), p.gate.rejected.Load(), admits, p.recovery.excludedHosts.Load()))
 	for _, w := range s.Damaged {
-		lines = append(lines, "thrown why="+word(w))
+		lines = append(lines, "thrown why="+underscored(w))
 	}
 	return lines, true
 }
 
-// hearsWords has the datagrams of routers that come back be taken.
+// receiveRecoveryMessages registers the handler for datagrams of routers that come back.
 func (p *Program) receiveRecoveryMessages(g *peering.Gossip) {
 	p.gossip = g
 	if p.recovery != nil {
--- a/internal/router/program/recovery_test.go
+++ b/internal/router/program/recovery_test.go
@@ -33,7 +33,8 @@
 	return ln.Addr().String()
 }
 
-// A second router on one folder ends with a line that names the first, which serves on and has the folder still.
+// A second router on one folder ends with a line that names the first, which serves on and has the
+// folder still.
 func TestTwoOnOneFolder(t *testing.T) {
 	t.Parallel()
 	binary, folder := buildRouter(t), t.TempDir()
@@ -50,7 +51,8 @@
 	}
 }
 
-// TestMeasureSnapshots measures what snapshots cost: two routers before the same hosts and a list of 1,000, one of which keeps what it knows, by turns.
+// TestMeasureSnapshots measures what snapshots cost: two routers before the same hosts and a list
+// of 1,000, one of which keeps what it knows, by turns.
 func TestMeasureSnapshots(t *testing.T) {
 	if !*measure {
 		t.Skip("a measurement; see docs/measurements/")
--- a/internal/router/program/reload.go
+++ b/internal/router/program/reload.go
@@ -9,8 +9,9 @@
 	"time"
 )
 
-// Reload reads the file anew. It may name another discovery than the environment, which is as it was at the start. The
-// file must be whole by the measure of the one in force: nothing is taken of one that lacks a key.
+// Reload reads the file anew. It may name another discovery than the environment, which is as it
+// was at the start. The file must have every key of the one in force: nothing is taken of one that
+// lacks a key.
 func Reload(getenv func(string) string, force *Config) (*Config, error) {
 	c, err := Load(func(name string) string {
 		if name == "ROUTER_DISCOVERY" {
@@ -40,8 +41,8 @@
 	return c, nil
 }
 
-// whole tells the first key that was in force and that is not in a file, or holds something else there. Of a list, what
-// all its parts had, each must have.
+// checkComplete returns an error for the first key that was in force and that a file lacks, or has
+// with a value of another kind. Each element of a list must have what all elements had.
 func checkComplete(path string, was, is any) error {
 	if fmt.Sprintf("%T", was) != fmt.Sprintf("%T", is) && was != nil {
 		return fmt.Errorf("%s is %s; it was %s", path, kindOf(is), kindOf(was))
@@ -75,21 +76,22 @@
 	return nil
 }
 
-// common is what all parts of a list have: the keys of objects, with what the first one has there, or else the first.
-func commonKeys(parts []any) any {
-	first, ok := parts[0].(map[string]any)
+// commonKeys is what all elements of a list have: the keys of objects, with what the first one has
+// there, or else the first.
+func commonKeys(values []any) any {
+	first, ok := values[0].(map[string]any)
 	if !ok {
-		return parts[0]
+		return values[0]
 	}
 	keys := maps.Clone(first)
-	for _, part := range parts[1:] {
-		other, _ := part.(map[string]any)
+	for _, value := range values[1:] {
+		other, _ := value.(map[string]any)
 		maps.DeleteFunc(keys, func(key string, _ any) bool { _, has := other[key]; return !has })
 	}
 	return keys
 }
 
-// kind names what a value is.
+// kindOf names what a value is.
 func kindOf(v any) string {
 	switch v.(type) {
 	case nil:
@@ -106,7 +108,7 @@
 	return "a number"
 }
 
-// retune puts the settings of a good file in force, in one event to the core.
+// applySettings puts the settings of a good file in force, in one event to the core.
 func (p *Program) applySettings(c *Config) {
 	p.inForce.Store(c)
 	p.router.Retune(c.balance)
--- a/internal/router/program/reload_test.go
+++ b/internal/router/program/reload_test.go
@@ -17,7 +17,8 @@
 // second is a class more for the configuration.
 const second = `{"name":"chat-v2","effect":"unsafe","streaming":true,"aimNs":8000000000,"hardLimitNs":8000000000}`
 
-// A file that is broken in any of these ways is refused in one line that names the field and the cause.
+// A file that is broken in any of these ways is refused in one line that names the field and the
+// cause.
 func TestBrokenReloads(t *testing.T) {
 	env := configFile(t, `"effect":"safe"`, `"effect":"safe"`)
 	path := env("ROUTER_CONFIG")
@@ -113,8 +114,9 @@
 	return key
 }
 
-// Under way, a request keeps its class with all that it allows, also while the class changes or vanishes; the next one
-// has the new settings, and a broken file changes nothing. Each signal is one count.
+// Under way, a request keeps its class with all that it allows, also while the class changes or
+// vanishes; the next one has the new settings, and a broken file changes nothing. Each signal is
+// one count.
 func TestSettingsChangeUnderWay(t *testing.T) {
 	hold := make(chan bool)
 	host := scripted.NewModel(t, scripted.Manner{Events: 2, Hold: hold})
--- a/internal/router/program/roles.go
+++ b/internal/router/program/roles.go
@@ -14,10 +14,11 @@
 	"reachspread/internal/router/settings"
 )
 
-// dutyDrain is the leave to drain, by zone.
+// drainRole is the role whose lease a router needs to drain, one by zone.
 const drainRole = "drain"
 
-// dutyConfig is what the block duties comes to. Every router makes the same of the same file.
+// rolesConfig is the configuration that the block duties describes. Every router derives the same
+// from the same file.
 func (c *Config) rolesConfig(self lease.Router) peering.RolesConfig {
 	s := c.set.Duties
 	d := peering.RolesConfig{Self: self, Timing: s.Times, Voters: s.Voters, ReplaceTimeout: s.Replace, Listen: s.Listen, Folder: s.Folder, Seed: c.seed, CandidateAddresses: map[string]string{}}
@@ -37,7 +38,7 @@
 	return d
 }
 
-// checkDuties looks at what the settings alone can't tell.
+// checkRoles checks what needs both the settings and the configuration.
 func (c *Config) checkRoles(path string) error {
 	s := c.set.Duties
 	if s == nil {
@@ -53,7 +54,7 @@
 	return nil
 }
 
-// prepareDuties opens what duties need, before the fleet view is there that they follow.
+// prepareRoles opens what roles need, before the fleet view that they follow is there.
 func (p *Program) prepareRoles(member lease.Router, send *peering.Gossip) (err error) {
 	if p.cfg.set.Duties == nil {
 		return nil
@@ -68,7 +69,7 @@
 	return nil
 }
 
-// startDuties takes up the duties that this router wants.
+// startRoles requests the roles that this router is to take.
 func (p *Program) startRoles(work context.Context) error {
 	if p.roles == nil {
 		return nil
@@ -83,7 +84,8 @@
 	return nil
 }
 
-// wantCopiers has this router want the copying to the pools of one copier that settings have, and to no others.
+// requestCopierRoles requests the copier roles of the pools that settings have, and gives up those
+// of other pools.
 func (p *Program) requestCopierRoles(c *Config) {
 	names := c.set.Copiers()
 	for _, name := range p.copiers {
@@ -97,8 +99,8 @@
 	p.copiers = names
 }
 
-// reloadCopiers has there be the duties of the pools that a reload brings, before they are in force. What else the block duties has counts
-// from the start.
+// defineCopierRoles defines the copier roles of the pools that a reload brings, before they are in
+// force. All else in the block duties counts from the next start.
 func (p *Program) defineCopierRoles(c *Config) error {
 	if p.roles == nil {
 		if names := c.set.Copiers(); len(names) > 0 {
@@ -116,10 +118,11 @@
 	return nil
 }
 
-// giveBackWithin bounds for how long the others are told that duties are free. Nothing waits for it.
+// returnLeasesTimeout bounds how long other routers are notified of returned leases. Nothing waits
+// for it.
 const returnLeasesTimeout = 500 * time.Millisecond
 
-// leaveDuties gives back what this router holds. A planned end is not held up by it.
+// returnLeases returns the leases that this router holds. A planned end does not wait for it.
 func (p *Program) returnLeases() {
 	if p.roles == nil {
 		return
@@ -131,10 +134,11 @@
 	}()
 }
 
-// asksLeave tells whether a router needs leave to drain.
+// needsDrainLease reports whether a router needs a lease to drain.
 func (p *Program) needsDrainLease() bool { return p.roles != nil && p.cfg.set.Duties.Drains > 0 }
 
-// leaveToDrain drains once this router has leave, and answers at once: with the phase, or that it waits.
+// drainWithLease drains once this router has leave, and answers at once: with the phase, or that it
+// waits.
 func (p *Program) drainWithLease() (string, error) {
 	name := drainRole + "@" + p.zone
 	p.mu.Lock()
@@ -170,7 +174,7 @@
 	return string(phase) + ", waits for leave to drain: " + name
 }
 
-// endLeave gives the leave to drain back, or waits for it no more.
+// releaseDrainLease returns the lease to drain, or stops waiting for it.
 func (p *Program) releaseDrainLease() {
 	p.mu.Lock()
 	cancel := p.cancelDrainWait
@@ -229,20 +233,20 @@
 	return p.roles.RequestTransfer(ctx, name, to, token)
 }
 
-// rebuildWithin is how long admission waits for voters.
+// votersTimeout is how long the management address waits for voters.
 const votersTimeout = 800 * time.Millisecond
 
 // RebuildDuties implements management.Router.
-func (p *Program) RebuildDuties(gone []string) error {
+func (p *Program) RebuildDuties(lost []string) error {
 	if p.roles == nil {
 		return errNoDuties
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), votersTimeout)
 	defer cancel()
-	return p.roles.Rebuild(ctx, gone)
+	return p.roles.Rebuild(ctx, lost)
 }
 
-// dutyValues are the figures of duties, nil where there are none.
+// roleValues are the figures of duties, nil where there are none.
 func (p *Program) roleValues() *management.Duties {
 	if p.roles == nil {
 		return nil
--- a/internal/router/program/scribe.go
+++ b/internal/router/program/scribe.go
@@ -37,7 +37,8 @@
 	maxRecordBytes      = 1 << 20 // bytes
 )
 
-// scribe keeps the fleet's record while it has the duty, with a copy at one more router that may vote.
+// scribe writes the fleet's record while it holds the lease of the role, with a replica at one more
+// router that may vote.
 func (p *Program) scribe(ctx context.Context, token uint64) error {
 	ticker := time.NewTicker(recordInterval)
 	defer ticker.Stop()
@@ -80,7 +81,8 @@
 	return r
 }
 
-// takeCopy keeps another router's record, unless it is of an older token than the one at hand. It returns that one.
+// storeCopy keeps another router's record, unless it is of an older token than the one at hand. It
+// returns that one.
 func (p *Program) storeCopy(token uint64, text []byte) (highest uint64) {
 	var r Record
 	if len(text) > maxRecordBytes || json.Unmarshal(text, &r) != nil || r.Version != recordVersion {
--- a/internal/router/program/shadow.go
+++ b/internal/router/program/shadow.go
@@ -12,7 +12,7 @@
 	"reachspread/internal/transport"
 )
 
-// closeFor is how long the end of the program may wait for the last records.
+// mirrorCloseTimeout is how long the end of the program may wait for the last records.
 const mirrorCloseTimeout = 200 * time.Millisecond
 
 // startMirror turns on what the operators' settings say.
@@ -56,8 +56,8 @@
 	}
 }
 
-// reloadSettings reads the operators' settings anew and puts the pools in force. The log's format, the status folder
-// and the descriptors set aside count from the start.
+// reloadSettings reads the operators' settings anew and puts the pools in force. The log's format,
+// the status folder and the descriptors set aside count from the start.
 func (p *Program) reloadSettings(cfg *Config) error {
 	if p.file == "" {
 		return nil
--- a/internal/router/program/shadow_test.go
+++ b/internal/router/program/shadow_test.go
@@ -41,7 +41,8 @@
 	client  *http.Client
 }
 
-// usual is a pool that gets all there is, under pressure thresholds that no busy test machine reaches.
+// usual is a pool that gets all there is, under pressure thresholds that no busy test machine
+// reaches.
 const usual = `
 status { folder = "DIR" }
 shadow {
@@ -218,7 +219,8 @@
 	}
 }
 
-// A copy carries the bytes that came under an id of its own, and both answers are compared in text and time.
+// A copy carries the bytes that came under an id of its own, and both answers are compared in text
+// and time.
 func TestShadowCopiesAndCompares(t *testing.T) {
 	seen := make(chan scripted.Request, 10)
 	candidate := scripted.NewServer(t, scripted.Answer(scripted.Whole()))
@@ -270,7 +272,8 @@
 	}
 }
 
-// Whatever the candidates do, each live request has its answer, and each copy its record with the cause.
+// Whatever the candidates do, each live request has its answer, and each copy its record with the
+// cause.
 func TestShadowCandidatesThatFail(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
@@ -329,8 +332,8 @@
 	}
 }
 
-// Down from the start, revived, killed and revived under load: trials find out, on-call gets a line for each turn, and
-// no live request feels it.
+// Down from the start, revived, killed and revived under load: trials find out, on-call gets a line
+// for each turn, and no live request feels it.
 func TestShadowPoolKilledAndRevived(t *testing.T) {
 	candidate := scripted.NewModel(t, scripted.Manner{})
 	candidate.Kill()
@@ -369,8 +372,8 @@
 	}
 }
 
-// A host that drains gets nothing new and finishes what it has; with none left copies are dropped. A lost discovery
-// leaves the last good list in force.
+// A host that drains gets nothing new and finishes what it has; with none left copies are dropped.
+// A lost discovery leaves the last good list in force.
 func TestShadowDrainsAndLostDiscovery(t *testing.T) {
 	hold := make(chan bool)
 	c0, c1 := scripted.NewModel(t, scripted.Manner{Hold: hold}), scripted.NewModel(t, scripted.Manner{})
@@ -403,7 +406,8 @@
 	s.until("the last list serves", func(next mirror.Status) bool { return next.Compared == st.Compared+1 })
 }
 
-// A live answer that fails, or a client that leaves, ends the copy at once: there is nothing to compare it with.
+// A live answer that fails, or a client that leaves, ends the copy at once: there is nothing to
+// compare it with.
 func TestShadowWithoutALiveAnswer(t *testing.T) {
 	hold := make(chan bool)
 	for name, live := range map[string]scripted.Manner{"breaks": {Break: true, Gap: 20 * time.Millisecond}, "client leaves": {Hold: hold}, "fails": {Status: 500, First: 50 * time.Millisecond}} {
@@ -458,8 +462,8 @@
 	}
 }
 
-// A reload takes up another share with copies out, which go on; a pool that is gone ends its own; a bad file changes
-// nothing, nor does one for which too few descriptors were set aside.
+// A reload takes up another share with copies out, which go on; a pool that is gone ends its own; a
+// bad file changes nothing, nor does one for which too few descriptors were set aside.
 func TestShadowReload(t *testing.T) {
 	hold := make(chan bool)
 	candidate := scripted.NewModel(t, scripted.Manner{Hold: hold})
@@ -497,8 +501,8 @@
 	}
 }
 
-// SIGTERM ends copies at once and delays nothing: the live stream that is out is finished, and so is the program
-// once it is.
+// SIGTERM ends copies at once and delays nothing: the live stream that is out is finished, and so
+// is the program once it is.
 func TestShadowSigterm(t *testing.T) {
 	hold := make(chan bool)
 	candidate := scripted.NewModel(t, scripted.Manner{Silent: true})
@@ -522,7 +526,7 @@
 			t.Fatal("the copy is still out")
 		}
 	}
-	if s.p.Phase() != Leaving {
+	if s.p.Phase() != Terminating {
 		t.Errorf("the copy was out until %s", s.p.Phase())
 	}
 	scripted.Give(t, hold, true)
@@ -534,7 +538,8 @@
 	}
 }
 
-// Bodies of 256 KiB under a cap of 1 MiB: four are held, the others dropped, and all live requests served.
+// Bodies of 256 KiB under a cap of 1 MiB: four are held, the others dropped, and all live requests
+// served.
 func TestShadowBodiesUnderTheirCap(t *testing.T) {
 	candidate := scripted.NewModel(t, scripted.Manner{Silent: true})
 	s := startShadow(t, host(candidate.Addr))
@@ -550,7 +555,8 @@
 	}
 }
 
-// A folder that can't be written costs records and one line, then works again; the router serves on.
+// A folder that can't be written costs records and one line, then works again; the router serves
+// on.
 func TestShadowRecordFolderFails(t *testing.T) {
 	s := startShadow(t, host(scripted.NewModel(t, scripted.Manner{}).Addr))
 	folder := filepath.Join(s.dir, "records")
@@ -568,8 +574,9 @@
 	}
 }
 
-// A day with the pool killed, slow, silent and revived by turns: each live request has one final answer, of the same
-// bytes as on the same day without the pool, and no request ever has two attempts out.
+// A day with the pool killed, slow, silent and revived by turns: each live request has one final
+// answer, of the same bytes as on the same day without the pool, and no request ever has two
+// attempts out.
 func TestShadowScriptedDay(t *testing.T) {
 	day := func(hosts string, between func(i int), settings ...string) []string {
 		s := startShadow(t, hosts, settings...)
@@ -627,7 +634,8 @@
 	}
 }
 
-// Pressure on the live path, here by requests that wait for a server, drops copies and lets them back.
+// Pressure on the live path, here by requests that wait for a server, drops copies and lets them
+// back.
 func TestShadowYieldsToPressure(t *testing.T) {
 	candidate := scripted.NewModel(t, scripted.Manner{Silent: true})
 	s := startShadow(t, host(candidate.Addr), "held = 1000", "held = 1\n grace = \"30ms\"")
--- a/internal/router/program/snapshot.go
+++ b/internal/router/program/snapshot.go
@@ -23,46 +23,48 @@
 )
 
 const (
-	snapshotInterval = time.Second // between two writes at the least; what has not changed is not written
+	snapshotInterval = time.Second // the least time between two writes; what has not changed is not written
 	lockFile         = "router.lock"
-	// learnedEvery is how often what the module has learned is written although nothing else has changed.
+	// learnedInterval is between two writes of what the decisions have learned although nothing
+	// else has changed.
 	learnedInterval = 10 * time.Second
 )
 
-// keeper keeps what the next life of this router is told.
-type snapshotKeeper struct {
-	applying    sync.Mutex // held while the core is told of hosts: the old list must not come after discovery's. Taken before mu
+// snapshotWriter persists what the next incarnation of this router reads.
+type snapshotWriter struct {
+	applying    sync.Mutex // locked while hosts are handed to the core: the previous list must not come after discovery's. Locked before mu
 	mu          sync.Mutex
-	list        map[string]protocol.ServiceEntry // as merged so far; nil until discovery speaks
+	list        map[string]protocol.ServiceEntry // as merged so far; nil until discovery has sent one
 	listVersion int64
 	changes     uint64 // of the list
-	enabled     bool   // something is kept
+	enabled     bool   // snapshots are configured
 
-	previous     *snapshot.State // of the last life, nil for none
+	previous     *snapshot.State // of the previous incarnation, nil for none
 	generation   uint64
 	lock         *os.File
 	closed       bool
 	written      atomic.Uint64
 	startedAt    time.Time
-	lastFailure  string            // the last failure that was told
-	usual        recovery.Baseline // the deciding goroutine's
+	lastFailure  string            // the kind of the last failure that was logged
+	usual        recovery.Baseline // owned by the goroutine that decides
 	learned      atomic.Pointer[learned]
 	drained      atomic.Bool
-	openRequests durable.ScratchFile // requests that are
-	hadOpen      bool                // the last look found some
-	previousList *protocol.List      // of the last life, once it is used
+	openRequests durable.ScratchFile // the file of open requests
+	hadOpen      bool                // the last write found some
+	previousList *protocol.List      // of the previous incarnation, once it is used
 }
 
-// rememberFor is for how long the members of the last life's view are kept though they are in this one's no more: power may be lost again before all are back.
+// previousViewTTL is how long members of the previous incarnation's view stay in the snapshot
+// although they are not in the present view: power may be lost again before all are back.
 const previousViewTTL = 30 * time.Second
 
-// learned is what the module knew of a usual day when it was asked last.
+// learned is what the decisions knew of an ordinary day when they were asked last.
 type learned struct {
 	mean   balance.Learned
 	demand map[string]float64
 }
 
-// learns keeps what the module has learned, while hosts are warm.
+// recordLearned records what the decisions have learned, while hosts are warm.
 func (p *Program) recordLearned(now time.Duration, l balance.Learned) {
 	if !p.gate.gate.Warm(now) {
 		return
@@ -74,8 +76,8 @@
 	}
 }
 
-// take merges a list.
-func (k *snapshotKeeper) mergeList(l *protocol.List) {
+// mergeList merges a list.
+func (k *snapshotWriter) mergeList(l *protocol.List) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if !k.enabled {
@@ -98,15 +100,16 @@
 	}
 }
 
-// incarnation is the least that this life may have in the fleet view, 0 for any.
-func (k *snapshotKeeper) incarnation() uint32 {
+// incarnation is the least that this process may have in the fleet view, 0 for any.
+func (k *snapshotWriter) incarnation() uint32 {
 	if k.previous == nil || k.previous.Incarnation == 0 {
 		return 0
 	}
 	return k.previous.Incarnation + 1
 }
 
-// startSnapshot reads what the last life has left. What this one knows is kept once all parts are there.
+// startSnapshot reads what the previous incarnation persisted. Writing begins once all components
+// run.
 func (p *Program) startSnapshot(context.Context) error {
 	if p.cfg.set == nil || p.cfg.set.Recovery == nil {
 		return nil
@@ -159,7 +162,7 @@
 	return p.prepareRecovery(before, broken)
 }
 
-// source names whose list it is.
+// listSource names whose list it is.
 func (p *Program) listSource() string {
 	if name := p.cfg.set.Recovery.Discovery; name != "" {
 		return name
@@ -167,125 +170,12 @@
 	return p.inForce.Load().discovery
 }
 
-// digest stands for the settings in force.
+// settingsDigest identifies the settings in force.
 func (p *Program) settingsDigest() string {
 	return fmt.Sprintf("%016x", xxhash.Sum64(p.inForce.Load().text))
 }
 
-// unanswered is how many requests the last life had taken and not answered, as far as it has been kept. Nothing is sent again for them.
-func (p *Program) countUnanswered(folder string) int {
-	text, err := os.ReadFile(filepath.Join(folder, snapshot.OpenRequestsFile))
-	if err != nil {
-		return 0
-	}
-	open, _, err := snapshot.Decode(text)
-	if err != nil {
-		p.log.Warn("snapshot broken", "file", snapshot.OpenRequestsFile, "cause", err)
-		return 0
-	}
-	if open.Router != p.cfg.Name {
-		return 0
-	}
-	return len(open.OpenRequests) + open.OmittedRequests
-}
-
-// keepOpen writes which requests are open, if there are any or were.
-func (p *Program) writeOpenRequests(folder string) {
-	k := &p.snapshots
-	s := &snapshot.State{Router: p.cfg.Name}
-	ids, classes, more := p.router.Open(snapshot.MaxOpenRequests)
-	for i, id := range ids {
-		s.OpenRequests = append(s.OpenRequests, snapshot.OpenRequest{ID: id, Class: classes[i]})
-	}
-	if s.OmittedRequests = more; len(ids) == 0 && !k.hadOpen {
-		return
-	}
-	k.openRequests.Path = filepath.Join(folder, snapshot.OpenRequestsFile)
-	if k.hadOpen = len(ids) > 0; !k.hadOpen {
-		k.openRequests.Remove()
-		return
-	}
-	if text, err := snapshot.Encode(s, 0); err == nil {
-		p.reportWrite(k.openRequests.Write(text)) // for people alone: not worth a wait for the disk each second
-	}
-}
-
-// useOldList has the hosts of the last life served from, but for those that get nothing by another router's word. Whether they have started since nobody knows,
-// so they count as just started; whatever discovery says then, whichever its version, takes the list's place.
-func (p *Program) usePreviousList(not []string) {
-	p.snapshots.applying.Lock()
-	defer p.snapshots.applying.Unlock()
-	if _, spoke := p.snapshots.hasList(); spoke {
-		return
-	}
-	old := p.snapshots.previous.List
-	l := &protocol.List{Full: true}
-	now := float64(time.Now().UnixMilli())
-	for _, e := range old.Servers {
-		if e.StartedMs = now; !slices.Contains(not, e.ID) {
-			l.Servers = append(l.Servers, e)
-		}
-	}
-	p.snapshots.mu.Lock()
-	p.snapshots.previousList = l
-	p.snapshots.mu.Unlock()
-	p.recovery.excludedHosts.Add(uint64(len(not)))
-	p.log.Warn("list of the last life used", "hosts", len(l.Servers), "version", old.Version, "shunned", len(not))
-	p.router.Told(l.Members(), l.Addrs())
-	if len(l.Servers) > 0 {
-		p.firstList.Do(func() { p.advance(serversListed) })
-	}
-}
-
-// shun has hosts of the last life's list get nothing more, while that is in use.
-func (p *Program) excludeHosts(not []string) {
-	p.snapshots.applying.Lock()
-	defer p.snapshots.applying.Unlock()
-	old := p.snapshots.previousList
-	if _, spoke := p.snapshots.hasList(); old == nil || spoke {
-		return
-	}
-	l := &protocol.List{}
-	for _, e := range old.Servers {
-		if slices.Contains(not, e.ID) {
-			e.State = "Terminating"
-			l.Servers = append(l.Servers, e)
-		}
-	}
-	p.recovery.excludedHosts.Add(uint64(len(l.Servers)))
-	p.log.Warn("hosts of the last life's list shunned", "hosts", strings.Join(not[:min(len(not), maxNamedHosts)], ","), "count", len(not))
-	p.router.Told(l.Members(), l.Addrs())
-}
-
-// mostNamed bounds the hosts that a line names.
-const maxNamedHosts = 8
-
-// share is what the listed hosts can do by now, of what they do when warm.
-func (k *snapshotKeeper) warmFraction(c *balance.Config) float64 {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	now, sum, n := time.Duration(time.Now().UnixNano()), 0.0, 0
-	add := func(e *protocol.ServiceEntry) {
-		if e.State == "Ready" {
-			sum += recovery.Warmth(c, time.Duration(e.StartedMs*float64(time.Millisecond)), now)
-			n++
-		}
-	}
-	for _, e := range k.list {
-		add(&e)
-	}
-	if k.list == nil && k.previousList != nil {
-		for i := range k.previousList.Servers {
-			add(&k.previousList.Servers[i])
-		}
-	}
-	if n == 0 {
-		return 1
-	}
-	return sum / float64(n)
-}
-
-// keep writes what has changed, once a second at most, until ctx ends.
+// writeSnapshots writes what has changed, once a second at most, until ctx ends.
 func (p *Program) writeSnapshots(ctx context.Context, folder string) {
 	ticker := time.NewTicker(snapshotInterval)
 	defer ticker.Stop()
@@ -304,8 +194,9 @@
 	}
 }
 
-// locked takes the folder, unless a process that is replaced still has it.
-func (k *snapshotKeeper) lockFolder(folder string) bool {
+// lockFolder locks the folder, unless a process that is being replaced still has it, and reports
+// whether this process has the lock.
+func (k *snapshotWriter) lockFolder(folder string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.lock == nil && !k.closed {
@@ -314,17 +205,8 @@
 	return k.lock != nil
 }
 
-// stayDrained has a router that was drained in its last life begin so.
-func (p *Program) restoreDrain() {
-	if b := p.snapshots.previous; b != nil && b.Drained {
-		if _, err := p.advance(drainRequested); err == nil {
-			p.snapshots.drained.Store(true)
-		}
-	}
-}
-
-// keepOnce writes the present state, unless it is as before: what it depends on is compared first, as putting it together costs some
-// milliseconds at 1,000 hosts.
+// writeSnapshot writes the present state, unless it is as before: what it depends on is compared
+// first, as putting it together costs some milliseconds at 1,000 hosts.
 func (p *Program) writeSnapshot(folder, last string) string {
 	k := &p.snapshots
 	key := p.snapshotKey()
@@ -348,7 +230,7 @@
 	return key
 }
 
-// notKept says once that something could not be written, nil for something that was.
+// reportWrite logs once that something could not be written; nil is for a write that succeeded.
 func (p *Program) reportWrite(err error) {
 	switch {
 	case err == nil:
@@ -359,7 +241,7 @@
 	}
 }
 
-// keptOf tells states apart that are to be kept.
+// snapshotKey changes whenever the state that is to be persisted does.
 func (p *Program) snapshotKey() string {
 	k := &p.snapshots
 	k.mu.Lock()
@@ -376,13 +258,14 @@
 	return fmt.Sprint(changes, view, token, k.drained.Load(), time.Since(k.startedAt)/learnedInterval)
 }
 
-// reason is an error without the names that change each time.
+// errorKind is an error's text without the names that change each time.
 func errorKind(err error) string {
 	text := err.Error()
 	return text[strings.LastIndex(text, ":")+1:]
 }
 
-// snapshot is what this router knows by now, nil while that is less than what the last life knew.
+// snapshot is what this router knows now, nil while that is less than what the previous incarnation
+// knew.
 func (p *Program) snapshot() *snapshot.State {
 	k := &p.snapshots
 	k.mu.Lock()
@@ -431,7 +314,7 @@
 	return s
 }
 
-// stopSnapshot gives the folder to whoever comes next.
+// stopSnapshot unlocks the folder for the next process.
 func (p *Program) stopSnapshot() {
 	p.snapshots.mu.Lock()
 	defer p.snapshots.mu.Unlock()
--- a/internal/router/program/stored_test.go
+++ b/internal/router/program/stored_test.go
@@ -19,8 +19,9 @@
 	"reachspread/internal/testbed/scripted"
 )
 
-// The files under testdata were written by the code of commit 5bfcc27: WRITE_GOLDEN=1 go test -run Golden. The folder kept is one of a
-// router that was killed: two generations, the requests that were open, its lock, and a file in the making.
+// The files under testdata were written by the code of commit 5bfcc27: WRITE_GOLDEN=1 go test -run
+// Golden. The folder kept is one of a router that was killed: two generations, the requests that
+// were open, its lock, and a file in the making.
 
 // goldenSnapshot is what the router of configFile has left in a generation.
 func goldenSnapshot(generation int) *snapshot.State {
@@ -62,8 +63,8 @@
 	return folder
 }
 
-// A router takes up what the folder of a life before has, and keeps the next generation beside the younger one, with all that it has
-// learned nothing newer of.
+// A router takes up what the folder of a life before has, and keeps the next generation beside the
+// younger one, with all that it has learned nothing newer of.
 func TestGoldenFolder(t *testing.T) {
 	folder := goldenFolder(t)
 	d := scripted.NewDiscovery(t, scripted.List(1, true, scripted.Entry("s0", "127.0.0.1:9", "Ready")))
@@ -118,7 +119,8 @@
 	}
 }
 
-// The scribe's record is read as it was written, written the same, and a copy of it is kept unless it is older than the one at hand.
+// The scribe's record is read as it was written, written the same, and a copy of it is kept unless
+// it is older than the one at hand.
 func TestGoldenFleetRecord(t *testing.T) {
 	want := Record{Version: 1, Token: 77, Scribe: "r1", At: time.Unix(1_800_000_000, 0).UTC(), List: 12, Settings: "00c0ffee00c0ffee", View: 9, Digest: "0123456789abcdef",
 		Routers: []string{"r1", "r2"}, Largest: 78}
