--- a/cmd/reachspread/configuration.go
+++ b/cmd/reachspread/configuration.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	configurationPath = "/configuration"
-	mostNames         = 5 // items of a list that a table names
+	configurationPath = "/configuration" // of the control plane
+	maxListedNames    = 5                // items of a list that a table names
 	standardInput     = "-"
 )
 
@@ -33,7 +33,7 @@
 
 func configurationGetCommand() *cobra.Command {
 	c := &cobra.Command{Use: "get", Short: "Print the newest configuration, whole", Args: cobra.NoArgs}
-	to := controlFlag(c)
+	to := newControlClient(c)
 	c.RunE = func(cmd *cobra.Command, _ []string) error {
 		text, err := to.call(cmd.Context(), http.MethodGet, configurationPath, "", nil)
 		if err != nil {
@@ -47,8 +47,8 @@
 	return c
 }
 
-// inForce is the newest configuration.
-func (t *control) inForce(cmd *cobra.Command) (*configuration.Document, error) {
+// configurationInForce is the newest configuration.
+func (t *controlClient) configurationInForce(cmd *cobra.Command) (*configuration.Document, error) {
 	text, err := t.call(cmd.Context(), http.MethodGet, configurationPath, "", nil)
 	if err != nil {
 		return nil, err
@@ -56,13 +56,14 @@
 	return configuration.Parse(text)
 }
 
-// configurationOrderCommand brings an order of a file. It is checked here first, with the code that the register checks it with.
+// configurationOrderCommand submits the order in a file. It is checked here first, by the code that
+// the register checks it with.
 func configurationOrderCommand(use, short, method string) *cobra.Command {
 	c := &cobra.Command{Use: use, Short: short + "; FILE may be - for standard input", Args: cobra.ExactArgs(1)}
-	to := controlFlag(c)
+	to := newControlClient(c)
 	base := c.Flags().Int64("if-match", -1, "the `version` that it builds on, 0 for the first; by itself the newest")
 	c.RunE = func(cmd *cobra.Command, args []string) error {
-		text, err := readOrder(cmd, args[0])
+		text, err := readFileOrInput(cmd, args[0])
 		if err != nil {
 			return err
 		}
@@ -70,7 +71,7 @@
 			return err
 		}
 		if *base < 0 {
-			d, err := to.inForce(cmd)
+			d, err := to.configurationInForce(cmd)
 			if err != nil {
 				return fmt.Errorf("--if-match is not set, and the newest version is not known: %w", err)
 			}
@@ -92,15 +93,15 @@
 	return c
 }
 
-// readOrder reads a file, or standard input.
-func readOrder(cmd *cobra.Command, file string) ([]byte, error) {
+// readFileOrInput reads a file, or standard input for -.
+func readFileOrInput(cmd *cobra.Command, file string) ([]byte, error) {
 	if file == standardInput {
 		return io.ReadAll(cmd.InOrStdin())
 	}
 	return os.ReadFile(file)
 }
 
-// checkOrder finds what the control API would refuse, whatever is in force.
+// checkOrder finds what the control plane would reject, whatever is in force.
 func checkOrder(method string, text []byte) error {
 	if method == http.MethodPatch {
 		_, err := configuration.ParsePatch(text)
@@ -112,11 +113,11 @@
 
 func configurationDiffCommand() *cobra.Command {
 	c := &cobra.Command{Use: "diff FILE", Short: "Print what a whole configuration would change of the newest one; FILE may be - for standard input", Args: cobra.ExactArgs(1)}
-	to := controlFlag(c)
+	to := newControlClient(c)
 	asPatch := c.Flags().Bool("patch", false, "print the patch that makes the one of the other, for fleet configuration patch")
 	asJSON := c.Flags().Bool("json", false, "print a line of JSON")
 	c.RunE = func(cmd *cobra.Command, args []string) error {
-		text, err := readOrder(cmd, args[0])
+		text, err := readFileOrInput(cmd, args[0])
 		if err != nil {
 			return err
 		}
@@ -124,7 +125,7 @@
 		if err != nil {
 			return err
 		}
-		before, err := to.inForce(cmd)
+		before, err := to.configurationInForce(cmd)
 		if err != nil {
 			return err
 		}
@@ -148,7 +149,7 @@
 
 func printChanges(w io.Writer, before, after int64, changes []configuration.ListChange) {
 	fmt.Fprintf(w, "version %d to version %d\n", before, after)
-	table(w, "list|item|change", func(row func(...any)) {
+	writeTable(w, "list|item|change", func(row func(...any)) {
 		for _, c := range changes {
 			for _, group := range []struct {
 				change string
@@ -162,39 +163,38 @@
 	})
 }
 
-func printHistory(w io.Writer, answers []told) {
-	eachStatus(answers, func(a told, s *status.Router) {
+func printHistory(w io.Writer, answers []routerAnswer) {
+	forEachStatus(answers, func(a routerAnswer, s *status.Router) {
 		fmt.Fprintf(w, "%s at %s\n", s.Name, a.At)
-		table(w, "version|came in force|changes", func(row func(...any)) {
+		writeTable(w, "version|came in force|changes", func(row func(...any)) {
 			for _, r := range s.Configuration.History {
 				since := r.ActiveSeconds
-				row(r.Version, seconds(&since)+" ago", changesText(r.Changes))
+				row(r.Version, durationText(&since)+" ago", changesText(r.Changes))
 			}
 		})
 	})
 }
 
-// changesText is what changed, in a line; a dash where the configuration before is not known.
+// changesText is what changed, in a line; a dash where the configuration before it is not known.
 func changesText(all []configuration.ListChange) string {
 	if len(all) == 0 {
-		return noneMark
+		return noneText
 	}
-	var parts []string
+	var lists []string
 	for _, c := range all {
-		part := c.List + ":"
-		part += namesText(" +", c.Added) + namesText(" ~", c.Changed) + namesText(" -", c.Removed)
-		parts = append(parts, part)
+		lists = append(lists, c.List+":"+namesText(" +", c.Added)+namesText(" ~", c.Changed)+namesText(" -", c.Removed))
 	}
-	return strings.Join(parts, "; ")
+	return strings.Join(lists, "; ")
 }
 
-// namesText is names behind a mark, the first few of them.
-func namesText(mark string, names []string) string {
+// namesText is the first few of some names behind a prefix; empty for none.
+func namesText(prefix string, names []string) string {
 	if len(names) == 0 {
 		return ""
 	}
-	if len(names) > mostNames {
-		return fmt.Sprintf("%s%s and %d more", mark, strings.Join(names[:mostNames], ","), len(names)-mostNames)
+	if len(names) > maxListedNames {
+		listed := strings.Join(names[:maxListedNames], ",")
+		return fmt.Sprintf("%s%s and %d more", prefix, listed, len(names)-maxListedNames)
 	}
-	return mark + strings.Join(names, ",")
+	return prefix + strings.Join(names, ",")
 }
--- a/cmd/reachspread/configuration_test.go
+++ b/cmd/reachspread/configuration_test.go
@@ -44,7 +44,7 @@
 }
 
 // An order builds on the newest version, and goes again as it was until it has a clear answer.
-func TestConfigurationOrders(t *testing.T) {
+func TestConfigurationOrderIsAcknowledged(t *testing.T) {
 	is := is.New(t)
 	at, orders := configurationServer(t, answers(503, ""), answers(200, `{"version":9}`))
 	text, err := run("fleet", "configuration", "put", file(t, `{"version":9,"services":[{"name":"s"}]}`), "--control", at)
@@ -58,7 +58,7 @@
 }
 
 // What the control API would refuse is refused before it is called, in one line; what it refuses is told.
-func TestConfigurationRefusals(t *testing.T) {
+func TestRejectedConfigurationNamesTheReason(t *testing.T) {
 	is := is.New(t)
 	at, orders := configurationServer(t, answers(412, `{"version":5,"text":"version 5 is in force, not 4"}`))
 	for _, text := range []string{`{"version":9,"routes":[{"name":"r","host":"h","pathPrefix":"/","kind":"safe","timeoutMs":0,"service":"s"}],"services":[{"name":"s"}]}`, `{"version":`} {
@@ -71,7 +71,7 @@
 }
 
 // What a file would change is told by the names of items, or as the patch that does it.
-func TestConfigurationDiff(t *testing.T) {
+func TestConfigurationDiffPrintsChanges(t *testing.T) {
 	is := is.New(t)
 	at, _ := configurationServer(t)
 	next := file(t, strings.Replace(strings.Replace(inForceConfiguration, `"version":5`, `"version":6`, 1), `,{"name":"t"}`, `,{"name":"u"}`, 1))
@@ -88,10 +88,10 @@
 	is.True(strings.HasPrefix(text, `{ "version": 5,`))
 }
 
-func TestHistoryTable(t *testing.T) {
+func TestHistoryNamesChangesOfEachVersion(t *testing.T) {
 	is := is.New(t)
 	var out strings.Builder
-	printHistory(&out, []told{{At: "a:1", Status: &status.Router{Name: "n0", Configuration: status.Configuration{History: []status.Revision{
+	printHistory(&out, []routerAnswer{{At: "a:1", Status: &status.Router{Name: "n0", Configuration: status.Configuration{History: []status.Revision{
 		{Version: 7, ActiveSeconds: 2, Changes: []configuration.ListChange{{List: "routes", Added: []string{"a", "b", "c", "d", "e", "f"}, Removed: []string{"z"}}}},
 		{Version: 5, ActiveSeconds: 60},
 	}}}}})
--- a/cmd/reachspread/control.go
+++ b/cmd/reachspread/control.go
@@ -15,77 +15,82 @@
 )
 
 const (
-	controlCallFor  = 12 * time.Second       // one call, which may wait until a change is in force everywhere
-	controlAgain    = 200 * time.Millisecond // between calls without a clear answer
-	controlPatience = time.Minute            // for a clear answer
+	// controlCallTimeout bounds one call, which may wait until a change is in force everywhere.
+	controlCallTimeout = 12 * time.Second
+	// controlRetryInterval is the time between two calls whose outcome is unknown.
+	controlRetryInterval = 200 * time.Millisecond
+	// controlTimeout bounds the time until an outcome is known.
+	controlTimeout = time.Minute
 )
 
-// control is the control API, at any of some routers.
-type control struct {
+// controlClient calls the control plane at any of several routers.
+type controlClient struct {
 	addresses []string
-	next      int // address that is called next
+	next      int // the number of the next call; its router follows from that
 }
 
-// controlFlag is the flag that says which routers are called.
-func controlFlag(c *cobra.Command) *control {
-	to := &control{}
+// newControlClient adds the flag that says which routers are called.
+func newControlClient(c *cobra.Command) *controlClient {
+	to := &controlClient{}
 	c.Flags().StringSliceVar(&to.addresses, "control", nil, "the control plane's `address` of a router; several are tried in turn")
 	return to
 }
 
-// errUnclear says that a call had no clear answer: it is to be made again, as it was.
-var errUnclear = errors.New("no clear answer")
+// errOutcomeUnknown says that a call may or may not have had an effect. It is safe to make the same
+// call again: the register recognizes an order that it has accepted.
+var errOutcomeUnknown = errors.New("no clear answer")
 
-// call makes a call until it has a clear answer, at one router after the other.
-func (t *control) call(ctx context.Context, method, path, ifMatch string, body any) (text []byte, err error) {
+// call makes a call until its outcome is known, at one router after the other.
+func (t *controlClient) call(ctx context.Context, method, path, ifMatch string, body any) (text []byte, err error) {
 	if len(t.addresses) == 0 {
 		return nil, errors.New("--control must name the control plane's address of a router, as its settings file has it under listenAddresses")
 	}
-	ctx, cancel := context.WithTimeout(ctx, controlPatience)
+	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
 	for {
-		text, err = t.once(ctx, method, path, ifMatch, body)
-		if !errors.Is(err, errUnclear) {
+		text, err = t.callOnce(ctx, method, path, ifMatch, body)
+		if !errors.Is(err, errOutcomeUnknown) {
 			return text, err
 		}
 		t.next++
 		select {
 		case <-ctx.Done():
 			return nil, err
-		case <-time.After(controlAgain):
+		case <-time.After(controlRetryInterval):
 		}
 	}
 }
 
-// once makes a call at the router whose turn it is.
-func (t *control) once(ctx context.Context, method, path, ifMatch string, body any) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, controlCallFor)
+// callOnce makes a call at the router whose turn it is.
+func (t *controlClient) callOnce(ctx context.Context, method, path, ifMatch string, body any) ([]byte, error) {
+	ctx, cancel := context.WithTimeout(ctx, controlCallTimeout)
 	defer cancel()
 	address := t.addresses[t.next%len(t.addresses)]
 	text, err := json.Marshal(body)
 	if err != nil {
 		return nil, err
 	}
-	answer, err := controlclient.Do(ctx, controlclient.Call{Address: address, Method: method, Path: path, IfMatch: ifMatch, Body: text})
+	call := controlclient.Call{Address: address, Method: method, Path: path, IfMatch: ifMatch, Body: text}
+	answer, err := controlclient.Do(ctx, call)
 	switch {
 	case err != nil:
-		return nil, fmt.Errorf("%w from %s: %w", errUnclear, address, err)
+		return nil, fmt.Errorf("%w from %s: %w", errOutcomeUnknown, address, err)
 	case answer.Code == http.StatusOK:
 		return answer.Text, nil
 	case answer.Code == http.StatusAccepted, answer.Code/100 == 5:
-		return nil, fmt.Errorf("%w from %s: %s", errUnclear, address, answer.Status)
+		return nil, fmt.Errorf("%w from %s: %s", errOutcomeUnknown, address, answer.Status)
 	}
-	return nil, refusal(answer.Status, answer.Text)
+	return nil, rejection(answer.Status, answer.Text)
 }
 
-// refusal is the error of a call that was refused.
-func refusal(status string, text []byte) error {
-	var problem struct {
+// rejection is the error of a call that was rejected.
+func rejection(status string, text []byte) error {
+	var body struct {
 		Error string `json:"error"` // of the call itself
 		Text  string `json:"text"`  // of the order
 	}
-	if json.Unmarshal(text, &problem) == nil && problem.Error+problem.Text != "" {
-		return errors.New(cmp.Or(problem.Error, problem.Text))
+	if json.Unmarshal(text, &body) == nil && body.Error+body.Text != "" {
+		return errors.New(cmp.Or(body.Error, body.Text))
 	}
 	return fmt.Errorf("the router answers %s", status)
 }
--- a/cmd/reachspread/fleet.go
+++ b/cmd/reachspread/fleet.go
@@ -23,8 +23,8 @@
 
 func fleetCommand() *cobra.Command {
 	c := &cobra.Command{Use: "fleet", Short: "Ask about the fleet of routers"}
-	c.AddCommand(shows("view", "Ask a running router who of the fleet lives, as it sees it", printView), fleetDutiesCommand(),
-		shows("recovery", "Ask a running router how it came back: the stage, what it waits for, what was thrown away", printRecovery))
+	c.AddCommand(managementCommand("view", "Ask a running router who of the fleet lives, as it sees it", printView), fleetDutiesCommand(),
+		managementCommand("recovery", "Ask a running router how it came back: the stage, what it waits for, what was thrown away", printRecovery))
 	c.AddCommand(fleetStatusCommands()...)
 	c.AddCommand(pinCommand())
 	return c
@@ -44,7 +44,7 @@
 	return c.Flags().String("management", "", "the management `address` of the router; by itself ROUTER_MANAGEMENT, or what ROUTER_CONFIG says")
 }
 
-func managementOf(flag string) (string, error) {
+func managementAddress(flag string) (string, error) {
 	if flag != "" {
 		return flag, nil
 	}
@@ -59,18 +59,18 @@
 }
 
 // shows is a command that prints the answer to a call of its name, once or over and over.
-func shows(call, short string, print func(io.Writer, []program.Line)) *cobra.Command {
+func managementCommand(call, short string, print func(io.Writer, []program.Line)) *cobra.Command {
 	c := &cobra.Command{Use: call, Short: short, Args: cobra.NoArgs}
 	management := managementFlag(c)
 	asJSON := c.Flags().Bool("json", false, "print a line of JSON")
 	watch := c.Flags().Duration("watch", 0, "ask again and again, with this `time` in between, until Ctrl-C")
 	c.RunE = func(cmd *cobra.Command, _ []string) error {
-		addr, err := managementOf(*management)
+		addr, err := managementAddress(*management)
 		if err != nil {
 			return err
 		}
 		for {
-			text, err := ask(addr, call)
+			text, err := callManagement(addr, call)
 			var lines []program.Line
 			if err == nil {
 				lines, err = program.ParseLines(text, call)
@@ -103,7 +103,7 @@
 const managementTimeout = 2 * time.Second
 
 // ask makes a call and returns the whole answer.
-func ask(addr, call string) (string, error) {
+func callManagement(addr, call string) (string, error) {
 	c, err := net.DialTimeout("tcp", addr, managementTimeout)
 	if err != nil {
 		return "", err
@@ -118,8 +118,8 @@
 }
 
 // do makes a call that is answered with a line.
-func do(addr, call string) error {
-	text, err := ask(addr, call)
+func commandManagement(addr, call string) error {
+	text, err := callManagement(addr, call)
 	if why, refused := strings.CutPrefix(strings.TrimSpace(text), "-ERR "); err == nil && refused {
 		err = errors.New(why)
 	}
@@ -162,14 +162,14 @@
 }
 
 func fleetDutiesCommand() *cobra.Command {
-	c := shows("duties", "Ask a running router who holds what only so many may do at a time", printDuties)
+	c := managementCommand("duties", "Ask a running router who holds what only so many may do at a time", printDuties)
 	over := &cobra.Command{Use: "hand-over DUTY ROUTER", Short: "Have the holder of a duty give it to another router, once its work has ended", Args: cobra.ExactArgs(2)}
 	management, token := managementFlag(over), tokenFlag(over)
-	over.RunE = func(_ *cobra.Command, args []string) error { return give(*management, args[0], args[1], *token) }
+	over.RunE = func(_ *cobra.Command, args []string) error { return giveDuty(*management, args[0], args[1], *token) }
 	yield := &cobra.Command{Use: "yield DUTY", Short: "Have the holder of a duty give it to whoever waits", Args: cobra.ExactArgs(1)}
 	yieldAt, yieldToken := managementFlag(yield), tokenFlag(yield)
 	yield.RunE = func(_ *cobra.Command, args []string) error {
-		return give(*yieldAt, args[0], lease.AnyRouter, *yieldToken)
+		return giveDuty(*yieldAt, args[0], lease.AnyRouter, *yieldToken)
 	}
 	rebuild := &cobra.Command{Use: "rebuild", Short: "Found duties anew where a majority of the voters' disks is gone", Args: cobra.NoArgs,
 		Long: "Founds duties anew, with this router for the first voter and tokens above all that any router that can be reached has seen.\n" +
@@ -180,7 +180,7 @@
 	gone := rebuild.Flags().StringSlice("gone", nil, "the `routers` whose disks will not come back")
 	yes := rebuild.Flags().Bool("yes", false, "do not ask")
 	rebuild.RunE = func(cmd *cobra.Command, _ []string) error {
-		addr, err := managementOf(*rebuildAt)
+		addr, err := managementAddress(*rebuildAt)
 		if err != nil {
 			return err
 		}
@@ -191,7 +191,7 @@
 				return errors.New("nothing was done")
 			}
 		}
-		return do(addr, strings.TrimSpace("duties-rebuild "+strings.Join(*gone, " ")))
+		return commandManagement(addr, strings.TrimSpace("duties-rebuild "+strings.Join(*gone, " ")))
 	}
 	c.AddCommand(over, yield, rebuild)
 	return c
@@ -202,8 +202,8 @@
 	return c.Flags().Uint64("token", 0, "that of the holder who is to give it, where a duty has several; 0 for the first")
 }
 
-func give(management, name, to string, token uint64) error {
-	addr, err := managementOf(management)
+func giveDuty(management, name, to string, token uint64) error {
+	addr, err := managementAddress(management)
 	if err != nil {
 		return err
 	}
@@ -211,7 +211,7 @@
 	if token != 0 {
 		call += " " + strconv.FormatUint(token, 10)
 	}
-	return do(addr, call)
+	return commandManagement(addr, call)
 }
 
 func printDuties(w io.Writer, lines []program.Line) {
--- a/cmd/reachspread/fleetstatus.go
+++ b/cmd/reachspread/fleetstatus.go
@@ -2,39 +2,17 @@
 
 import (
 	"cmp"
-	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
-	"net"
-	"net/http"
-	"slices"
-	"strings"
-	"sync"
-	"text/tabwriter"
 	"time"
 
-	mapset "github.com/deckarep/golang-set/v2"
 	"github.com/spf13/cobra"
 
 	"reachspread/internal/system/status"
 )
 
-const (
-	statusFor   = 3 * time.Second // a router has to answer
-	mostAtOnce  = 32              // routers that are asked at once
-	noneMark    = "-"
-	outsideMark = "outside"
-)
-
-// told is one router's answer.
-type told struct {
-	At     string         `json:"at"` // its readiness address
-	Error  string         `json:"error,omitempty"`
-	Status *status.Router `json:"status,omitempty"`
-}
-
 // fleetStatusCommands ask routers of the fleet at their readiness addresses.
 func fleetStatusCommands() []*cobra.Command {
 	return []*cobra.Command{
@@ -47,8 +25,8 @@
 	}
 }
 
-// routerStatusCommand is a command that prints what routers answer, once or over and over.
-func routerStatusCommand(use, short string, print func(io.Writer, []told)) *cobra.Command {
+// routerStatusCommand is a command that prints the status of routers, once or repeatedly.
+func routerStatusCommand(use, short string, print func(io.Writer, []routerAnswer)) *cobra.Command {
 	c := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs}
 	at := c.Flags().StringSlice("at", nil, "the readiness `address` of a router; may be given several times")
 	all := c.Flags().Bool("all", false, "ask all routers that the first one sees, too; they have the readiness port in common")
@@ -59,7 +37,7 @@
 			return errors.New("--at must name the readiness address of a router, as its settings file has it under listenAddresses")
 		}
 		for {
-			answers, err := askStatus(cmd.Context(), *at, *all)
+			answers, err := fetchStatuses(cmd.Context(), *at, *all)
 			if err != nil {
 				return err
 			}
@@ -81,134 +59,18 @@
 	return c
 }
 
-// failures is what went wrong with the routers that were asked, nil for nothing.
-func failures(answers []told) error {
-	var all []error
-	for _, a := range answers {
-		if a.Error != "" {
-			all = append(all, fmt.Errorf("%s: %s", a.At, a.Error))
-		}
-	}
-	return errors.Join(all...)
-}
-
-// askStatus asks routers, and with all of them set those that they see, in the order of their addresses.
-func askStatus(ctx context.Context, at []string, all bool) ([]told, error) {
-	answers := askEach(ctx, at)
-	if !all {
-		return answers, nil
-	}
-	known := mapset.NewThreadUnsafeSet(at...)
-	var more []string
-	for _, a := range answers {
-		others, err := othersOf(a)
-		if err != nil {
-			return nil, err
-		}
-		for _, address := range others {
-			if known.Add(address) {
-				more = append(more, address)
-			}
-		}
-	}
-	answers = append(answers, askEach(ctx, more)...)
-	slices.SortFunc(answers, func(a, b told) int { return cmp.Compare(a.At, b.At) })
-	return answers, nil
-}
-
-// othersOf are the readiness addresses of the routers that one sees.
-func othersOf(a told) (all []string, err error) {
-	if a.Status == nil {
-		return nil, nil
-	}
-	_, port, err := net.SplitHostPort(a.At)
-	if err != nil {
-		return nil, fmt.Errorf("--at %s: %w", a.At, err)
-	}
-	for _, m := range a.Status.Members {
-		host, _, err := net.SplitHostPort(m.Address)
-		if err != nil {
-			continue // of a router that we do not understand
-		}
-		all = append(all, net.JoinHostPort(host, port))
-	}
-	return all, nil
-}
-
-// askEach asks routers, some at once; the answers are in the order of the addresses.
-func askEach(ctx context.Context, at []string) []told {
-	answers := make([]told, len(at))
-	places := make(chan struct{}, mostAtOnce)
-	var group sync.WaitGroup
-	for i, address := range at {
-		places <- struct{}{}
-		group.Go(func() {
-			defer func() { <-places }()
-			answers[i] = askOne(ctx, address)
-		})
-	}
-	group.Wait()
-	return answers
-}
-
-func askOne(ctx context.Context, at string) told {
-	ctx, cancel := context.WithTimeout(ctx, statusFor)
-	defer cancel()
-	fail := func(err error) told { return told{At: at, Error: err.Error()} }
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+at+status.Path, nil)
-	if err != nil {
-		return fail(err)
-	}
-	answer, err := http.DefaultClient.Do(request)
-	if err != nil {
-		return fail(err)
-	}
-	defer answer.Body.Close()
-	if answer.StatusCode != http.StatusOK {
-		return fail(fmt.Errorf("the router answers %s", answer.Status))
-	}
-	s, err := status.Read(answer.Body)
-	if err != nil {
-		return fail(err)
-	}
-	return told{At: at, Status: s}
-}
-
-// table writes rows under a heading, in columns.
-func table(w io.Writer, heading string, rows func(row func(columns ...any))) {
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	defer t.Flush()
-	fmt.Fprintln(t, strings.ReplaceAll(heading, "|", "\t"))
-	rows(func(columns ...any) {
-		for i, c := range columns {
-			if i > 0 {
-				fmt.Fprint(t, "\t")
-			}
-			fmt.Fprint(t, c)
-		}
-		fmt.Fprintln(t)
-	})
-}
-
-// eachStatus calls a function for each router that answered.
-func eachStatus(answers []told, do func(a told, s *status.Router)) {
-	for _, a := range answers {
-		if a.Status != nil {
-			do(a, a.Status)
-		}
-	}
-}
-
-func printStatus(w io.Writer, answers []told) {
-	table(w, "router|at|zone|up|ready|configuration|confirmed|members|requests|rejected|cpu|stalled", func(row func(...any)) {
+func printStatus(w io.Writer, answers []routerAnswer) {
+	const heading = "router|at|zone|up|ready|configuration|confirmed|members|requests|rejected|cpu|stalled"
+	writeTable(w, heading, func(row func(...any)) {
 		for _, a := range answers {
 			s := a.Status
 			if s == nil {
-				row(noneMark, a.At, noneMark, noneMark, a.Error)
+				row(noneText, a.At, noneText, noneText, a.Error)
 				continue
 			}
-			row(s.Name, a.At, s.Zone, seconds(&s.UptimeSeconds), readyText(s), s.Configuration.Version, seconds(s.Configuration.ConfirmedAgeSeconds), len(s.Members),
-				s.Requests.Received, s.Requests.Rejected, seconds(s.Process.CPUSeconds), stalledSteps(s.Loops))
+			row(s.Name, a.At, s.Zone, durationText(&s.UptimeSeconds), readyText(s), s.Configuration.Version,
+				durationText(s.Configuration.ConfirmedAgeSeconds), len(s.Members), s.Requests.Received, s.Requests.Rejected,
+				durationText(s.Process.CPUSeconds), stalledSteps(s.Loops))
 		}
 	})
 }
@@ -233,116 +95,43 @@
 	return "no"
 }
 
-func printMembers(w io.Writer, answers []told) {
-	eachStatus(answers, func(a told, s *status.Router) {
+func printMembers(w io.Writer, answers []routerAnswer) {
+	forEachStatus(answers, func(a routerAnswer, s *status.Router) {
 		fmt.Fprintf(w, "%s at %s sees %d routers\n", s.Name, a.At, len(s.Members))
-		table(w, "address|zone|state|core", func(row func(...any)) {
+		writeTable(w, "address|zone|state|core", func(row func(...any)) {
 			for _, m := range s.Members {
-				row(m.Address, m.Zone, m.State, yes(m.Eligible))
+				row(m.Address, m.Zone, m.State, yesOrNo(m.Eligible))
 			}
 		})
 	})
 }
 
-func printRegister(w io.Writer, answers []told) {
-	eachStatus(answers, func(a told, s *status.Router) {
-		fmt.Fprintf(w, "%s at %s: view %d\n", s.Name, a.At, s.Register.Epoch)
-		if r := s.Register.Replica; r != nil {
-			fmt.Fprintf(w, "  replica %s at change %d, disk in time: %s, epoch confirmed: %s, shards of the duties: %d\n", r.Identity, r.Sequence, yes(r.Healthy), seconds(r.ConfirmedAgeSeconds), r.Shards)
-			fmt.Fprintf(w, "  may lose %d of %d machines%s\n", r.CurrentTolerance, r.TargetTolerance, shortText(r))
-		}
-		table(w, "address|identity|votes|chain|heard|change|behind|complete|disk|leaving", func(row func(...any)) {
-			for _, m := range s.Register.Machines {
-				row(m.Address, m.Identity, yes(m.Member), chainText(m, s.Register.Machines), seconds(m.HeardAgeSeconds), m.Sequence, m.Behind, yes(m.Complete), diskText(m), yes(m.Draining))
-			}
-		})
-	})
-}
-
-// shortText tells for how long fewer machines may be lost than are to be.
-func shortText(r *status.Replica) string {
-	if r.ShortSeconds == nil {
-		return ""
-	}
-	return ", fewer than are to be borne for " + seconds(r.ShortSeconds)
-}
-
-// chainText is a machine's place in the chain.
-func chainText(m status.Machine, all []status.Machine) string {
-	last := 0
-	for _, other := range all {
-		last = max(last, other.ChainPosition)
-	}
-	switch m.ChainPosition {
-	case 0:
-		return outsideMark
-	case 1:
-		return "1 head"
-	case last:
-		return fmt.Sprint(m.ChainPosition, " tail")
-	}
-	return fmt.Sprint(m.ChainPosition)
-}
-
-// diskText is how a machine says that its disk does; nothing where it was not heard of.
-func diskText(m status.Machine) string {
-	if m.HeardAgeSeconds == nil {
-		return noneMark
-	}
-	if m.Healthy {
-		return "in time"
-	}
-	return "in trouble"
-}
-
-func printConfiguration(w io.Writer, answers []told) {
+func printConfiguration(w io.Writer, answers []routerAnswer) {
 	newest := int64(0)
-	eachStatus(answers, func(_ told, s *status.Router) { newest = max(newest, s.Configuration.Version) })
-	table(w, "router|at|version|newest|routes|tenants|confirmed|keys honoured|from", func(row func(...any)) {
+	forEachStatus(answers, func(_ routerAnswer, s *status.Router) { newest = max(newest, s.Configuration.Version) })
+	const heading = "router|at|version|newest|routes|tenants|confirmed|keys honoured|from"
+	writeTable(w, heading, func(row func(...any)) {
 		for _, a := range answers {
 			if a.Status == nil {
-				row(noneMark, a.At, noneMark, a.Error)
+				row(noneText, a.At, noneText, a.Error)
 				continue
 			}
 			c := a.Status.Configuration
-			row(a.Status.Name, a.At, c.Version, yes(c.Version == newest), c.Routes, c.Tenants, seconds(c.ConfirmedAgeSeconds), yes(c.HonoursKeys), cmp.Or(c.Source, "the register"))
+			row(a.Status.Name, a.At, c.Version, yesOrNo(c.Version == newest), c.Routes, c.Tenants,
+				durationText(c.ConfirmedAgeSeconds), yesOrNo(c.HonoursKeys), cmp.Or(c.Source, "the register"))
 		}
 	})
 }
 
-func printHosts(w io.Writer, answers []told) {
-	eachStatus(answers, func(a told, s *status.Router) {
+func printHosts(w io.Writer, answers []routerAnswer) {
+	forEachStatus(answers, func(a routerAnswer, s *status.Router) {
 		fmt.Fprintf(w, "%s at %s\n", s.Name, a.At)
-		table(w, "service|host|address|zone|state|slots|cold|models", func(row func(...any)) {
+		writeTable(w, "service|host|address|zone|state|slots|cold|models", func(row func(...any)) {
 			for _, service := range s.Services {
 				for _, h := range service.Hosts {
-					cold := h.SlowStartSeconds
-					row(service.Name, h.ID, h.Address, h.Zone, h.State, h.Slots, seconds(&cold), modelsText(h.Models))
+					row(service.Name, h.ID, h.Address, h.Zone, h.State, h.Slots, durationText(&h.SlowStartSeconds), modelsText(h.Models))
 				}
 			}
 		})
 	})
 }
-
-func modelsText(all []status.Model) string {
-	var words []string
-	for _, m := range all {
-		words = append(words, fmt.Sprintf("%s:%d", m.Name, m.Version))
-	}
-	return cmp.Or(strings.Join(words, ","), noneMark)
-}
-
-func yes(b bool) string {
-	if b {
-		return "yes"
-	}
-	return "no"
-}
-
-// seconds is a time for people, a dash for none.
-func seconds(s *float64) string {
-	if s == nil {
-		return noneMark
-	}
-	return (time.Duration(*s * float64(time.Second))).Round(10 * time.Millisecond).String()
-}
--- a/cmd/reachspread/fleetstatus_test.go
+++ b/cmd/reachspread/fleetstatus_test.go
@@ -57,7 +57,7 @@
 }
 
 // Each command prints its part of what a router tells, for people.
-func TestFleetStatus(t *testing.T) {
+func TestFleetCommandsPrintAndEncodeStatus(t *testing.T) {
 	at := statusServer(t, sampleStatus())
 	for _, c := range []struct {
 		command string
@@ -81,7 +81,7 @@
 			}
 			text, err = run("fleet", c.command, "--at", at, "--json")
 			is.NoErr(err)
-			var answers []told
+			var answers []routerAnswer
 			is.NoErr(json.Unmarshal([]byte(text), &answers))
 			is.Equal(answers[0].Status.Configuration.Version, int64(7))
 		})
@@ -89,7 +89,7 @@
 }
 
 // With --all, the routers that the first one sees are asked as well, at the same port; what does not answer is named, and the command fails.
-func TestFleetStatusOfAll(t *testing.T) {
+func TestAllAsksTheRoutersThatTheFirstSees(t *testing.T) {
 	is := is.New(t)
 	s := sampleStatus()
 	at := statusServer(t, s)
@@ -106,7 +106,7 @@
 }
 
 // Of one tenant only its shard is printed.
-func TestShardOfTenant(t *testing.T) {
+func TestShardsOfOneTenant(t *testing.T) {
 	is := is.New(t)
 	text, err := run("fleet", "shards", "--tenant", "gold", "--at", statusServer(t, sampleStatus()))
 	is.NoErr(err)
--- a/cmd/reachspread/forms_test.go
+++ b/cmd/reachspread/forms_test.go
@@ -25,7 +25,7 @@
 
 // What a command prints of several routers has the same fields.
 func TestStatusAnswersAreUnchanged(t *testing.T) {
-	formtest.Compare(t, "status-answers.txt", formtest.Fields([]told{}, "json"))
+	formtest.Compare(t, "status-answers.txt", formtest.Fields([]routerAnswer{}, "json"))
 }
 
 // environmentVariable is what a string that names one looks like; with = behind it for one that is set for another process.
--- a/cmd/reachspread/pin.go
+++ b/cmd/reachspread/pin.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"cmp"
 	"context"
 	"encoding/json"
 	"fmt"
@@ -18,6 +19,10 @@
 	"reachspread/internal/system/status"
 )
 
+// pinsPath is where the control plane has the version pins.
+const pinsPath = "/pins"
+
+// pinCommand has the commands on version pins.
 func pinCommand() *cobra.Command {
 	c := &cobra.Command{Use: "pin", Short: "Have requests served by a version of a model that you choose, on every router"}
 	watch := routerStatusCommand("watch", "Ask routers of the fleet what became of the requests in the pins' scopes", printPinFigures)
@@ -25,17 +30,17 @@
 	return c
 }
 
-// revision is the revision of the pins to build on: the one given, or the one in force.
-func (t *control) revision(ctx context.Context, given int64) (string, error) {
+// pinRevision is the revision of the pins to build on: the given one, or else the one in force.
+func (t *controlClient) pinRevision(ctx context.Context, given int64) (string, error) {
 	if given >= 0 {
 		return fmt.Sprint(given), nil
 	}
-	list, err := t.list(ctx)
+	list, err := t.listPins(ctx)
 	return fmt.Sprint(list.Revision), err
 }
 
-func (t *control) list(ctx context.Context) (list controlapi.PinList, err error) {
-	text, err := t.call(ctx, http.MethodGet, "/pins", "", nil)
+func (t *controlClient) listPins(ctx context.Context) (list controlapi.PinList, err error) {
+	text, err := t.call(ctx, http.MethodGet, pinsPath, "", nil)
 	if err != nil {
 		return list, err
 	}
@@ -44,26 +49,26 @@
 
 // pinFlags are those of commands that change pins.
 type pinFlags struct {
-	*control
+	*controlClient
 	order    controlapi.PinOrder
 	revision int64
 }
 
 func newPinFlags(c *cobra.Command) *pinFlags {
-	f := &pinFlags{control: controlFlag(c)}
+	f := &pinFlags{controlClient: newControlClient(c)}
 	c.Flags().StringVar(&f.order.By, "by", os.Getenv("USER"), "who orders it, for the history")
 	c.Flags().StringVar(&f.order.Why, "why", "", "the reason, for the history")
 	c.Flags().Int64Var(&f.revision, "revision", -1, "the `revision` of the pins that the change builds on; by itself the one in force")
 	return f
 }
 
-// send brings an order, and prints the outcome once it is in force on every router.
+// send submits an order, and prints the outcome once it is in force on every router.
 func (f *pinFlags) send(cmd *cobra.Command, method, name string) error {
-	base, err := f.control.revision(cmd.Context(), f.revision)
+	base, err := f.controlClient.pinRevision(cmd.Context(), f.revision)
 	if err != nil {
 		return err
 	}
-	text, err := f.call(cmd.Context(), method, "/pins/"+name, base, f.order)
+	text, err := f.call(cmd.Context(), method, pinsPath+"/"+name, base, f.order)
 	if err != nil {
 		return err
 	}
@@ -95,10 +100,10 @@
 
 func pinListCommand() *cobra.Command {
 	c := &cobra.Command{Use: "list", Short: "List the pins in force, with the hosts that have their versions", Args: cobra.NoArgs}
-	to := controlFlag(c)
+	to := newControlClient(c)
 	asJSON := c.Flags().Bool("json", false, "print a line of JSON")
 	c.RunE = func(cmd *cobra.Command, _ []string) error {
-		list, err := to.list(cmd.Context())
+		list, err := to.listPins(cmd.Context())
 		if err != nil {
 			return err
 		}
@@ -113,10 +118,10 @@
 
 func pinHistoryCommand() *cobra.Command {
 	c := &cobra.Command{Use: "history", Short: "List the pins that were set and lifted, by whom and why, the oldest first", Args: cobra.NoArgs}
-	to := controlFlag(c)
+	to := newControlClient(c)
 	asJSON := c.Flags().Bool("json", false, "print a line of JSON")
 	c.RunE = func(cmd *cobra.Command, _ []string) error {
-		text, err := to.call(cmd.Context(), http.MethodGet, "/pins/history", "", nil)
+		text, err := to.call(cmd.Context(), http.MethodGet, pinsPath+"/history", "", nil)
 		if err != nil {
 			return err
 		}
@@ -135,18 +140,18 @@
 
 func printPins(w io.Writer, list controlapi.PinList) {
 	fmt.Fprintf(w, "revision %d, %d pins\n", list.Revision, len(list.Pins))
-	table(w, "name|tenant|route|model|version|hosts|set|by|why", func(row func(...any)) {
+	writeTable(w, "name|tenant|route|model|version|hosts|set|by|why", func(row func(...any)) {
 		for _, p := range list.Pins {
 			row(p.Name, orAll(p.Tenant), orAll(p.Route), p.Model, p.Version, hostsText(p.Hosts), p.SetAt.Format(time.RFC3339), p.By, p.Why)
 		}
 	})
 }
 
-// hostsText says whether a pin's requests can be served, and why not.
+// hostsText says by how many hosts a pin's requests can be served, or why by none.
 func hostsText(h *controlapi.PinHosts) string {
 	switch {
 	case h == nil:
-		return noneMark
+		return noneText
 	case h.Ready > 0 && h.OtherVersions > 0:
 		return fmt.Sprintf("%d, %d with others", h.Ready, h.OtherVersions)
 	case h.Ready > 0:
@@ -165,7 +170,7 @@
 }
 
 func printPinHistory(w io.Writer, history controlapi.PinHistory) {
-	table(w, "revision|at|change|name|tenant|route|model|version|by|why", func(row func(...any)) {
+	writeTable(w, "revision|at|change|name|tenant|route|model|version|by|why", func(row func(...any)) {
 		for _, c := range history.Changes {
 			change := "set"
 			if c.Lifted {
@@ -176,25 +181,22 @@
 	})
 }
 
-// printPinFigures prints what became of the requests in the pins' scopes, by router.
-func printPinFigures(w io.Writer, answers []told) {
-	table(w, "pin|version|router|revision|in force for|hosts|requests|answered|wrong|refused|failed", func(row func(...any)) {
-		eachStatus(answers, func(_ told, s *status.Router) {
+// printPinFigures prints the outcomes of the requests in the pins' scopes, by router.
+func printPinFigures(w io.Writer, answers []routerAnswer) {
+	writeTable(w, "pin|version|router|revision|in force for|hosts|requests|answered|wrong|refused|failed", func(row func(...any)) {
+		forEachStatus(answers, func(_ routerAnswer, s *status.Router) {
 			for _, p := range s.Pins.Pins {
-				row(p.Name, p.Version, s.Name, s.Pins.Revision, seconds(&p.ActiveSeconds), p.Hosts, p.Requests, answeredText(p.Answered), p.WrongVersion, p.Rejected, p.Failed)
+				row(p.Name, p.Version, s.Name, s.Pins.Revision, durationText(&p.ActiveSeconds), p.Hosts, p.Requests, answeredText(p.Answered), p.WrongVersion, p.Rejected, p.Failed)
 			}
 		})
 	})
 }
 
-// answeredText is whole answers by version.
+// answeredText is the complete answers by their versions.
 func answeredText(answered map[int64]uint64) string {
-	var words []string
+	var counts []string
 	for _, version := range slices.Sorted(maps.Keys(answered)) {
-		words = append(words, fmt.Sprintf("%d: %d", version, answered[version]))
-	}
-	if len(words) == 0 {
-		return noneMark
+		counts = append(counts, fmt.Sprintf("%d: %d", version, answered[version]))
 	}
-	return strings.Join(words, ", ")
+	return cmp.Or(strings.Join(counts, ", "), noneText)
 }
--- a/cmd/reachspread/pin_test.go
+++ b/cmd/reachspread/pin_test.go
@@ -49,7 +49,7 @@
 const inForce = `{"revision":5,"inForce":true}`
 
 // An order builds on the revision in force, and is sent again as it was until it is in force everywhere.
-func TestPinSet(t *testing.T) {
+func TestPinSetReturnsOnceInForce(t *testing.T) {
 	is := is.New(t)
 	at, orders := controlServer(t, answers(503, ""), answers(202, `{"revision":5}`), answers(200, inForce))
 	text, err := run("fleet", "pin", "set", "p", "--control", at, "--tenant", "x", "--model", "m", "--version", "3", "--by", "ann", "--why", "a trial")
@@ -62,7 +62,7 @@
 }
 
 // A pin is lifted on the revision that is given; what is refused is told, and not sent again.
-func TestPinLift(t *testing.T) {
+func TestRejectedPinLiftIsNotRetried(t *testing.T) {
 	is := is.New(t)
 	at, orders := controlServer(t, answers(412, `{"error":"revision 4 of the pins is in force, not 2"}`))
 	_, err := run("fleet", "pin", "lift", "p", "--control", at, "--revision", "2", "--by", "ann", "--why", "done")
@@ -71,7 +71,7 @@
 }
 
 // A router that is not there is passed over.
-func TestPinOtherRouter(t *testing.T) {
+func TestPinOrderGoesToTheNextRouter(t *testing.T) {
 	is := is.New(t)
 	at, orders := controlServer(t, answers(200, inForce))
 	_, err := run("fleet", "pin", "lift", "p", "--control", "127.0.0.1:1,"+at, "--revision", "4", "--by", "ann", "--why", "done")
@@ -82,7 +82,7 @@
 }
 
 // The pins in force, why their requests are refused, and what became of pins before.
-func TestPinLists(t *testing.T) {
+func TestPinsAndHistoryArePrinted(t *testing.T) {
 	is := is.New(t)
 	at, _ := controlServer(t)
 	text, err := run("fleet", "pin", "list", "--control", at)
@@ -98,7 +98,7 @@
 }
 
 // What became of the requests in a pin's scope, by router.
-func TestPinWatch(t *testing.T) {
+func TestPinWatchCountsOutcomes(t *testing.T) {
 	is := is.New(t)
 	s := sampleStatus()
 	s.Pins = status.Pins{Revision: 5, Pins: []status.Pin{{Name: "p", Version: 3, Hosts: 2, ActiveSeconds: 4, Requests: 12, Answered: map[int64]uint64{3: 10}, Rejected: 2}}}
--- a/cmd/reachspread/shards.go
+++ b/cmd/reachspread/shards.go
@@ -12,20 +12,20 @@
 	"reachspread/internal/system/status"
 )
 
-// shardsCommand asks who owns the duties of the fleet's control plane: all shards, or that of one tenant.
+// shardsCommand asks which machines own the shards of tenants: all, or that of one tenant.
 func shardsCommand() *cobra.Command {
 	var tenant string
-	c := routerStatusCommand("shards", "Ask a router of the fleet which machine counts which tenants' limits", func(w io.Writer, answers []told) {
+	c := routerStatusCommand("shards", "Ask a router of the fleet which machine counts which tenants' limits", func(w io.Writer, answers []routerAnswer) {
 		printShards(w, answers, tenant)
 	})
 	c.Flags().StringVar(&tenant, "tenant", "", "print only the shard of this tenant's `name`")
 	return c
 }
 
-func printShards(w io.Writer, answers []told, tenant string) {
-	eachStatus(answers, func(a told, s *status.Router) {
+func printShards(w io.Writer, answers []routerAnswer, tenant string) {
+	forEachStatus(answers, func(a routerAnswer, s *status.Router) {
 		fmt.Fprintf(w, "%s at %s: view %d\n", s.Name, a.At, s.Register.Epoch)
-		table(w, "owner|identity|token|shards", func(row func(...any)) {
+		writeTable(w, "owner|identity|token|shards", func(row func(...any)) {
 			for _, group := range groupShards(s.Register.Shards, tenant) {
 				row(group[0].Address, group[0].Owner, group[0].Token, shardNumbers(group))
 			}
@@ -33,7 +33,8 @@
 	})
 }
 
-// groupShards are the shards by owner and token, each group where its first shard is; with a tenant its shard alone.
+// groupShards groups shards by owner and token, in the order of their first shards. With a tenant
+// only its shard is left.
 func groupShards(all []status.Shard, tenant string) (groups [][]status.Shard) {
 	type key struct {
 		owner string
@@ -55,20 +56,20 @@
 	return groups
 }
 
-// shardNumbers are the numbers of shards in rising order, runs of them as first-last.
+// shardNumbers are the numbers of shards in rising order; those in a row are first-last.
 func shardNumbers(shards []status.Shard) string {
-	var parts []string
+	var runs []string
 	for i := 0; i < len(shards); {
 		j := i
 		for j+1 < len(shards) && shards[j+1].Number == shards[j].Number+1 {
 			j++
 		}
-		part := strconv.Itoa(shards[i].Number)
+		run := strconv.Itoa(shards[i].Number)
 		if j > i {
-			part += "-" + strconv.Itoa(shards[j].Number)
+			run += "-" + strconv.Itoa(shards[j].Number)
 		}
-		parts = append(parts, part)
+		runs = append(runs, run)
 		i = j + 1
 	}
-	return strings.Join(parts, ",")
+	return strings.Join(runs, ",")
 }
--- a/internal/system/settings/settings.go
+++ b/internal/system/settings/settings.go
@@ -85,7 +85,7 @@
 // no bound. docs/design/system.md says what meets each; those without a comment are met without being
 // read.
 type Bounds struct {
-	SeedLagS      float64 `toml:"seedLagS" validate:"gte=0"`
+	SeedDelayS      float64 `toml:"seedLagS" validate:"gte=0"`
 	ReuseAfterS   float64 `toml:"reuseAfterS" validate:"gte=0"`
 	ContactMs     float64 `toml:"contactMs" validate:"gte=0"`
 	AcknowledgeMs float64 `toml:"acknowledgeMs" validate:"gte=0"`
