--- a/cmd/reachspread/snapshot.go
+++ b/cmd/reachspread/snapshot.go
@@ -52,7 +52,7 @@
 		if err != nil {
 			return err
 		}
-		whole := false
+		found := false
 		for i, b := range files {
 			if b == nil {
 				fmt.Fprintf(cmd.OutOrStdout(), "%s: not there\n", snapshot.GenerationFiles[i])
@@ -63,10 +63,10 @@
 				fmt.Fprintf(cmd.OutOrStdout(), "%s: %v\n", snapshot.GenerationFiles[i], err)
 				continue
 			}
-			whole = true
+			found = true
 			fmt.Fprintf(cmd.OutOrStdout(), "%s: whole, generation %d, %d bytes\n", snapshot.GenerationFiles[i], generation, len(b))
 		}
-		if !whole {
+		if !found {
 			return errors.New("none is whole")
 		}
 		return nil
