--- a/cmd/reachspread/fleetduties.go
+++ b/cmd/reachspread/fleetduties.go
@@ -65,11 +65,11 @@
 	"it joins the new group; while it is cut off, it must not be in a majority with others of the old one: two could act until a\n" +
 	"receiver refuses the older token. It is refused while a majority may live."
 
-// rebuildWord is what the operator has to type.
-const rebuildWord = "rebuild"
+// rebuildConfirmation is what the operator has to type.
+const rebuildConfirmation = "rebuild"
 
 func rebuildCommand() *cobra.Command {
-	c := &cobra.Command{Use: rebuildWord, Short: "Found duties anew where a majority of the voters' disks is gone", Long: rebuildText, Args: cobra.NoArgs}
+	c := &cobra.Command{Use: rebuildConfirmation, Short: "Found duties anew where a majority of the voters' disks is gone", Long: rebuildText, Args: cobra.NoArgs}
 	management := managementFlag(c)
 	removed := c.Flags().StringSlice("gone", nil, "the `routers` whose disks will not come back")
 	confirmed := c.Flags().Bool("yes", false, "do not ask")
@@ -86,11 +86,11 @@
 	return c
 }
 
-// confirmRebuild asks the operator, and reports whether the answer is rebuildWord.
+// confirmRebuild asks the operator, and reports whether the answer is rebuildConfirmation.
 func confirmRebuild(cmd *cobra.Command) bool {
 	fmt.Fprint(cmd.OutOrStdout(), rebuildText, "\nSay rebuild to go on: ")
 	line, _ := bufio.NewReader(cmd.InOrStdin()).ReadString('\n')
-	return strings.TrimSpace(line) == rebuildWord
+	return strings.TrimSpace(line) == rebuildConfirmation
 }
 
 func printDuties(w io.Writer, lines []program.Line) {
--- a/cmd/reachspread/management.go
+++ b/cmd/reachspread/management.go
@@ -127,5 +127,5 @@
 	return nil
 }
 
-// spaced is a word of an answer with the spaces that it stands for.
-func spaced(word string) string { return strings.ReplaceAll(word, "_", " ") }
+// spaced is a field of an answer with the spaces that its underscores stand for.
+func spaced(field string) string { return strings.ReplaceAll(field, "_", " ") }
--- a/internal/system/controlclient/controlclient.go
+++ b/internal/system/controlclient/controlclient.go
@@ -1,5 +1,3 @@
-// Package controlclient makes one call of the control plane's HTTP API, as hosts and operators do. It decides nothing: whether and where a
-// call without a clear answer is made again is its caller's.
 package controlclient
 
 import (
@@ -18,20 +16,21 @@
 	Body    []byte
 }
 
-// Answer is what came of it.
+// Answer is what a router answered, with whatever status.
 type Answer struct {
 	Code   int
 	Status string // code and text
-	Text   []byte // mostBytes at most
+	Text   []byte // maxAnswerBytes at most
 }
 
-// mostBytes bounds what is read of an answer.
-const mostBytes = 64 << 20
+// maxAnswerBytes bounds what is read of an answer. The rest is dropped.
+const maxAnswerBytes = 64 << 20
 
-// client keeps no connection: the next call may go to another life of the same address.
+// client keeps no connection: the next call may go to another incarnation at the same address.
 var client = http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
-// Do makes the call once, until ctx ends. An error says that there was no whole answer.
+// Do makes the call once, until ctx ends. An error says that there was no complete answer: the call
+// may have had its effect.
 func Do(ctx context.Context, c Call) (*Answer, error) {
 	request, err := http.NewRequestWithContext(ctx, c.Method, "http://"+c.Address+c.Path, bytes.NewReader(c.Body))
 	if err != nil {
@@ -45,7 +44,7 @@
 		return nil, err
 	}
 	defer answer.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(answer.Body, mostBytes))
+	text, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswerBytes))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/system/controlclient/controlclient_test.go
+++ b/internal/system/controlclient/controlclient_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 )
 
-func TestDo(t *testing.T) {
+func TestDoSendsTheCallOnce(t *testing.T) {
 	is := is.New(t)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
@@ -27,7 +27,7 @@
 }
 
 // An answer that breaks off is none.
-func TestBrokenAnswer(t *testing.T) {
+func TestInterruptedAnswerIsAnError(t *testing.T) {
 	is := is.New(t)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Length", "10")
--- a/internal/system/metrics/metrics.go
+++ b/internal/system/metrics/metrics.go
@@ -1,10 +1,8 @@
-// Package metrics writes a router's status as figures in the text format that Prometheus and its likes scrape. It has no I/O but the
-// writer, and costs nothing until somebody scrapes. The figures' names, units and meanings are in their help texts; docs/operators/control.md
-// lists them.
 package metrics
 
 import (
 	"io"
+	"slices"
 	"strconv"
 
 	dto "github.com/prometheus/client_model/go"
@@ -14,22 +12,22 @@
 	"reachspread/internal/system/status"
 )
 
-// Path is where a router tells its figures, on its readiness address.
+// Path is where a router serves its figures, on its readiness address.
 const Path = "/metrics"
 
-// ContentType is that of the text.
+// ContentType is the content type of the text.
 const ContentType = "text/plain; version=0.0.4; charset=utf-8"
 
-// prefix is in front of all names.
+// prefix begins all names.
 const prefix = "reachspread_"
 
-// label is a name and its value.
+// label is a label of a sample.
 type label struct{ name, value string }
 
-// families are figures by their names, in order.
+// families collects the figures of a scrape, in the order in which they are written.
 type families struct{ all []*dto.MetricFamily }
 
-// family is one figure, with a sample for each set of labels.
+// family is a figure with a sample for each set of labels.
 type family struct {
 	out  *dto.MetricFamily
 	kind dto.MetricType
@@ -63,14 +61,14 @@
 	f.out.Metric = append(f.out.Metric, m)
 }
 
-// age adds a time in seconds, where there is one.
+// age adds a time in seconds unless that is unknown.
 func (f *family) age(seconds *float64, labels ...label) {
 	if seconds != nil {
 		f.sample(*seconds, labels...)
 	}
 }
 
-// Write writes the figures of a router.
+// Write writes the figures of a router. A figure without a sample is left out. The error is that of w.
 func Write(w io.Writer, s *status.Router) error {
 	f := &families{}
 	f.router(s)
@@ -95,8 +93,8 @@
 
 func (f *families) router(s *status.Router) {
 	f.gauge("up_seconds", "Time since the process began.").sample(s.UptimeSeconds)
-	f.gauge("ready", "1 while clients may be sent here.").sample(truth(s.Ready))
-	f.gauge("leaving", "1 while the process ends in order.").sample(truth(s.Draining))
+	f.gauge("ready", "1 while clients may be sent here.").sample(oneIf(s.Ready))
+	f.gauge("leaving", "1 while the process ends in order.").sample(oneIf(s.Draining))
 	if s.DrainPhase != "" {
 		f.gauge("leaving_phase", "1 for the phase of its end that the process is in.").sample(1, label{"phase", s.DrainPhase})
 	}
@@ -155,7 +153,7 @@
 func (f *families) configuration(c *status.Configuration) {
 	f.gauge("configuration_version", "Version of the configuration in force; 0 for none.").sample(float64(c.Version))
 	f.gauge("configuration_confirmed_age_seconds", "Time since it was the newest for certain: the lag of distribution.").age(c.ConfirmedAgeSeconds)
-	f.gauge("configuration_fresh", "1 while it is young enough to honour keys by it.").sample(truth(c.HonoursKeys))
+	f.gauge("configuration_fresh", "1 while it is young enough to honour keys by it.").sample(oneIf(c.HonoursKeys))
 	f.gauge("configuration_routes", "Routes of it.").sample(float64(c.Routes))
 	f.gauge("configuration_tenants", "Tenants of it.").sample(float64(c.Tenants))
 }
@@ -170,7 +168,7 @@
 		}
 		if m.HeardAgeSeconds != nil {
 			behind.sample(float64(m.Behind), label{"machine", m.Address})
-			complete.sample(truth(m.Complete), label{"machine", m.Address})
+			complete.sample(oneIf(m.Complete), label{"machine", m.Address})
 		}
 	}
 	f.gauge("register_chain", "Machines of the chain.").sample(float64(chain))
@@ -180,7 +178,7 @@
 	f.gauge("register_bears", "Machines of the register more that may be lost at once, as this one knows it.").sample(float64(r.Replica.CurrentTolerance))
 	f.gauge("register_tolerance_short_seconds", "Time for which fewer machines may be lost than are to be borne; absent where all is well.").age(r.Replica.ShortSeconds)
 	f.gauge("register_sequence", "The last change that this machine has.").sample(float64(r.Replica.Sequence))
-	f.gauge("storage_healthy", "1 while what this machine writes gets to its disk in time.").sample(truth(r.Replica.Healthy))
+	f.gauge("storage_healthy", "1 while what this machine writes gets to its disk in time.").sample(oneIf(r.Replica.Healthy))
 	f.gauge("register_confirmed_age_seconds", "Time since a majority confirmed the epoch.").age(r.Replica.ConfirmedAgeSeconds)
 	f.gauge("quota_shards", "Shards of the tenants' limits that this machine owns.").sample(float64(r.Replica.Shards))
 }
@@ -212,24 +210,25 @@
 	requests := f.counter("pin_requests_total", "Requests in the scope of a pin since it came in force here, by their ends.")
 	hosts := f.gauge("pin_hosts", "Hosts that are ready and have the pin's version.")
 	for _, pin := range p.Pins {
-		of := []label{{"pin", pin.Name}, {"version", strconv.FormatInt(pin.Version, 10)}}
+		labels := []label{{"pin", pin.Name}, {"version", strconv.FormatInt(pin.Version, 10)}}
 		answered := uint64(0)
 		for _, count := range pin.Answered {
 			answered += count
 		}
-		for _, end := range []struct {
-			outcome string
-			count   uint64
-		}{{"answered", answered}, {"wrong", pin.WrongVersion}, {"refused", pin.Rejected}, {"failed", pin.Failed}} {
-			requests.sample(float64(end.count), append(of[:len(of):len(of)], label{"outcome", end.outcome})...)
+		outcome := func(name string, count uint64) {
+			requests.sample(float64(count), append(slices.Clone(labels), label{"outcome", name})...)
 		}
-		hosts.sample(float64(pin.Hosts), of...)
+		outcome("answered", answered)
+		outcome("wrong", pin.WrongVersion)
+		outcome("refused", pin.Rejected)
+		outcome("failed", pin.Failed)
+		hosts.sample(float64(pin.Hosts), labels...)
 	}
 }
 
-// truth is 1 for yes.
-func truth(yes bool) float64 {
-	if yes {
+// oneIf is 1 for true and 0 for false.
+func oneIf(condition bool) float64 {
+	if condition {
 		return 1
 	}
 	return 0
--- a/internal/system/metrics/metrics_test.go
+++ b/internal/system/metrics/metrics_test.go
@@ -30,7 +30,7 @@
 }
 
 // What is written can be read by the format's own parser, and has the status' figures.
-func TestWrite(t *testing.T) {
+func TestFiguresAreParsedByThePrometheusParser(t *testing.T) {
 	is := is.New(t)
 	var text bytes.Buffer
 	is.NoErr(Write(&text, sample()))
@@ -62,7 +62,7 @@
 }
 
 // A router that keeps no part of the register, and knows nothing yet, has figures as well.
-func TestWriteOfNothing(t *testing.T) {
+func TestEmptyStatusHasFigures(t *testing.T) {
 	is := is.New(t)
 	var text bytes.Buffer
 	is.NoErr(Write(&text, &status.Router{}))
--- a/internal/system/roles/node/pins.go
+++ b/internal/system/roles/node/pins.go
@@ -73,8 +73,8 @@
 // InForce implements controlapi.Pins.
 func (p *pinTracker) InForce(ctx context.Context, revision int64, committed time.Time) (ok bool) {
 	p.observe(revision, committed)
-	fence := settings.Milliseconds(p.node.settings().Bounds.RevocationMs)
-	at := p.committedBy(revision, committed).Add(fence)
+	bound := settings.Milliseconds(p.node.settings().Bounds.RevocationMs)
+	at := p.committedBy(revision, committed).Add(bound)
 	timer := time.NewTimer(time.Until(at))
 	defer timer.Stop()
 	select {
--- a/internal/system/roles/node/replica.go
+++ b/internal/system/roles/node/replica.go
@@ -38,10 +38,10 @@
 	if err != nil {
 		return fmt.Errorf("dataDirectory: %w", err)
 	}
-	if kept := config.Kept; kept != nil {
-		n.client.Viewed(kept.View)
-		self.Identity, config.Founder = kept.Identity, kept.Founder
-		n.hub.registerView.view = kept.View
+	if stored := config.Kept; stored != nil {
+		n.client.Viewed(stored.View)
+		self.Identity, config.Founder = stored.Identity, stored.Founder
+		n.hub.registerView.view = stored.View
 	}
 	n.replica = register.NewReplica(register.Options{
 		Config:  config,
@@ -84,7 +84,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	disk, kept, err := register.Load(folder, store)
-	config.Kept = kept
+	disk, stored, err := register.Load(folder, store)
+	config.Kept = stored
 	return disk, folder, err
 }
--- a/internal/system/roles/roles.go
+++ b/internal/system/roles/roles.go
@@ -1,11 +1,10 @@
-// Package roles runs a router of the fleet as the process that it is in: settings from the file that the environment names, until a
-// signal ends it. The programs that can be a router share it.
 package roles
 
 import (
 	"context"
 	"os"
 	"os/signal"
+	"sync"
 	"syscall"
 	"time"
 
@@ -14,33 +13,37 @@
 	"reachspread/internal/system/settings"
 )
 
-// Of one event at most so many lines are written in a period.
+// The log has at most maxLinesPerEvent lines of an event within logPeriod.
 const (
-	mostLines   = 10
-	linesPeriod = 10 * time.Second
+	maxLinesPerEvent = 10
+	logPeriod        = 10 * time.Second
 )
 
-// Run serves as a router until SIGTERM, or until ctx ends. SIGHUP has the settings read anew.
+// Run serves as a router until SIGTERM or an interrupt, or until ctx ends, and then drains. At SIGHUP
+// the settings are read again. The error is that of the settings or of the router's Run.
 func Run(ctx context.Context) error {
-	// Before all else: a signal that finds nobody ends the process at once, SIGHUP as well.
+	// Before all else: a SIGHUP that nobody handles ends the process.
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
+	var background sync.WaitGroup
+	defer background.Wait() // after stop
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	s, err := settings.Load(os.Getenv)
 	if err != nil {
 		return err
 	}
-	log := logging.Limit(logging.New(os.Stderr, logging.Text), mostLines, linesPeriod, time.Now)
+	log := logging.Limit(logging.New(os.Stderr, logging.Text), maxLinesPerEvent, logPeriod, time.Now)
 	reload := make(chan *settings.Settings)
-	go readAgain(ctx, hup, reload, log)
+	background.Go(func() { reloadOnSignal(ctx, hup, reload, log) })
 	node.ApplyLimits(s.Limits)
 	return node.New(s, log).Run(ctx, reload)
 }
 
-// readAgain reads the settings file at each signal until ctx ends. A file that can't be used changes nothing.
-func readAgain(ctx context.Context, signals <-chan os.Signal, read chan<- *settings.Settings, log logging.Lines) {
+// reloadOnSignal reads the settings file at each signal until ctx ends. A file that can't be used
+// changes nothing.
+func reloadOnSignal(ctx context.Context, signals <-chan os.Signal, read chan<- *settings.Settings, log logging.Lines) {
 	for {
 		select {
 		case <-ctx.Done():
