--- a/internal/system/dataplane/classes.go
+++ b/internal/system/dataplane/classes.go
@@ -48,7 +48,7 @@
 
 // classOf is what the decisions know of a route. All of it is in the name of the class.
 func classOf(r *configuration.Route) balance.Class {
-	c := balance.Class{Name: r.ClassName(), Effect: balance.Unsafe, LatencyTarget: r.Target(), Deadline: r.Timeout(), TokenLatencyTarget: r.Gap(),
+	c := balance.Class{Name: r.ClassName(), Effect: balance.Unsafe, LatencyTarget: r.LatencyTarget(), Deadline: r.Timeout(), TokenLatencyTarget: r.GapTarget(),
 		Value: 1, LateValueFraction: lateWorth, Streamed: r.Kind == configuration.Streaming, MaxExecutions: max(r.MaxAttempts, 1)}
 	if r.Idempotent() {
 		c.Effect = balance.Safe
--- a/internal/system/dataplane/intake.go
+++ b/internal/system/dataplane/intake.go
@@ -145,7 +145,7 @@
 		return nil, &transport.Rejection{Code: http.StatusServiceUnavailable, Line: "no host of the service is known", Wait: comeBack(), Keep: true}
 	}
 	request.arrival.ID = strconv.FormatUint(p.next.Add(1), 36)
-	hold := p.pins.hold(p.state.Load().Pinned(), a, request, s)
+	hold := p.pins.hold(p.state.Load().Pins(), a, request, s)
 	if no := hold.begin(); no != nil {
 		units.refund()
 		return nil, no
@@ -302,7 +302,7 @@
 func rank(a *admitted) int {
 	rank := a.route.Priority
 	if a.tenant != nil && a.tenant.Priority != nil {
-		rank += *a.tenant.Priority * (a.state.Typed.LeastUrgent() + 1)
+		rank += *a.tenant.Priority * (a.state.Typed.LowestPriority() + 1)
 	}
 	return min(max(rank, 0), mostRank)
 }
@@ -329,7 +329,7 @@
 
 // silence is how long a stream of a route may say nothing: a client gives it up then as well.
 func silence(r *configuration.Route) time.Duration {
-	return max(silentFor, 4*r.Target(), 8*r.Gap())
+	return max(silentFor, 4*r.LatencyTarget(), 8*r.GapTarget())
 }
 
 // pick draws one of a route's services by their weights.
--- a/internal/system/dataplane/pinned.go
+++ b/internal/system/dataplane/pinned.go
@@ -73,7 +73,7 @@
 	if h.admitted.tenant != nil {
 		tenant = h.admitted.tenant.Name
 	}
-	return in.Of(tenant, h.admitted.route.Name, h.model)
+	return in.Match(tenant, h.admitted.route.Name, h.model)
 }
 
 // wanted is the version that the request is held to.
@@ -135,7 +135,7 @@
 
 // holds tells whether the request is planned by the pins in force. Where it is not, it has to be planned anew.
 func (h *pinHold) holds() bool {
-	if !pins.Same(h.pinIn(h.pinned.plane.state.Load().Pinned()), h.pin) {
+	if !pins.Equivalent(h.pinIn(h.pinned.plane.state.Load().Pins()), h.pin) {
 		h.outdated.Store(true)
 	}
 	return !h.outdated.Load()
@@ -146,7 +146,7 @@
 func (h *pinHold) resumed(first *transport.Final) (version int64, needs string, can bool) {
 	pin := h.pin
 	if pin == nil {
-		pin = h.pinIn(h.pinned.plane.state.Load().Pinned())
+		pin = h.pinIn(h.pinned.plane.state.Load().Pins())
 	}
 	if pin == nil {
 		return 0, "", true
@@ -188,7 +188,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for name := range p.counts {
-		if in.Named(name) == nil {
+		if in.ByName(name) == nil {
 			delete(p.counts, name)
 		}
 	}
--- a/internal/system/dataplane/pinned_test.go
+++ b/internal/system/dataplane/pinned_test.go
@@ -47,13 +47,13 @@
 	}
 	registry.Merge(0, all)
 	f.revision += 1000 // of another registry
-	f.plane.Hosts("s", registry.Revision()+f.revision, registry.Of("s"), 0)
+	f.plane.Hosts("s", registry.Revision()+f.revision, registry.Records("s"), 0)
 }
 
 // pin puts pins in force, in place of those before.
 func (f *fleet) pin(t *testing.T, all ...*message.Pin) {
 	t.Helper()
-	set := &pins.Set{Revision: f.plane.State().Pinned().Revision}
+	set := &pins.Set{Revision: f.plane.State().Pins().Revision}
 	for _, p := range all {
 		p.By, p.Why = "ann", "trial"
 		next, err := set.Add(p)
--- a/internal/system/dataplane/plane.go
+++ b/internal/system/dataplane/plane.go
@@ -125,7 +125,7 @@
 	p.pools.Store(&all)
 	p.state.Store(state)
 	p.changes.notify()
-	p.pins.changed(state.Pinned())
+	p.pins.changed(state.Pins())
 	return nil
 }
 
@@ -223,7 +223,7 @@
 		default:
 			m.State = balance.Removed
 		}
-		if left := r.ColdUntil - now; left > 0 {
+		if left := r.SlowStartUntil - now; left > 0 {
 			m.StartedAt = clock + left - time.Second
 		}
 		ev.Members = append(ev.Members, m)
--- a/internal/system/dataplane/plane_test.go
+++ b/internal/system/dataplane/plane_test.go
@@ -240,7 +240,7 @@
 		all = append(all, &message.Instance{Id: h.id, Service: "s", Address: h.addr, Zone: "a"})
 	}
 	registry.Merge(0, all)
-	f.plane.Hosts("s", registry.Revision(), registry.Of("s"), 0)
+	f.plane.Hosts("s", registry.Revision(), registry.Records("s"), 0)
 }
 
 // got is an answer as a client got it; err tells that it was cut.
@@ -549,7 +549,7 @@
 	f := newFleet(t, "", one, two)
 	registry := instances.New(time.Second)
 	registry.Merge(0, []*message.Instance{{Id: "i-1", Service: "s", Address: one.addr, State: message.Instance_DRAINING}, {Id: "i-2", Service: "s", Address: two.addr}})
-	f.plane.Hosts("s", 1000, registry.Of("s"), 0)
+	f.plane.Hosts("s", 1000, registry.Records("s"), 0)
 	for i := range 8 {
 		is.Equal(f.call(t, "/safe/", "x", fmt.Sprint("Request-Id: q", i)).StatusCode, 200)
 	}
--- a/internal/system/deciders/configuration/changes.go
+++ b/internal/system/deciders/configuration/changes.go
@@ -41,7 +41,7 @@
 		c.Added = namesOf(after)
 		return c
 	case !after.list:
-		if !sameText(before.value, after.value) {
+		if !equalText(before.value, after.value) {
 			c.Changed = []string{after.name}
 		}
 		return c
@@ -55,7 +55,7 @@
 		switch {
 		case !ok:
 			c.Added = append(c.Added, it.name)
-		case !sameText(had.raw, it.raw):
+		case !equalText(had.raw, it.raw):
 			c.Changed = append(c.Changed, it.name)
 		}
 		delete(old, it.name)
--- a/internal/system/deciders/configuration/compile.go
+++ b/internal/system/deciders/configuration/compile.go
@@ -45,7 +45,7 @@
 	Public           bool    `json:"public"`
 	SessionAffinity  bool    `json:"sessionAffinity"`
 	StreamResumption bool    `json:"streamResumption"`
-	GapAimMs         float64 `json:"gap_aim_ms" validate:"gte=0"`
+	GapTargetMs      float64 `json:"gap_aim_ms" validate:"gte=0"`
 
 	class string
 }
@@ -64,7 +64,7 @@
 	if r.Kind == Streaming && r.StreamResumption {
 		kind += "+resumed"
 	}
-	r.class = fmt.Sprintf("%s timeout=%g target=%g gap=%g attempts=%d", kind, r.TimeoutMs, r.TargetLatencyMs, r.GapAimMs, r.MaxAttempts)
+	r.class = fmt.Sprintf("%s timeout=%g target=%g gap=%g attempts=%d", kind, r.TimeoutMs, r.TargetLatencyMs, r.GapTargetMs, r.MaxAttempts)
 	return r, nil
 }
 
@@ -72,10 +72,10 @@
 func (r *Route) Timeout() time.Duration { return milliseconds(r.TimeoutMs) }
 
 // Target is the time within which an answer earns its full worth.
-func (r *Route) Target() time.Duration { return milliseconds(r.TargetLatencyMs) }
+func (r *Route) LatencyTarget() time.Duration { return milliseconds(r.TargetLatencyMs) }
 
 // Gap is the longest pause between events at which an answer is in time.
-func (r *Route) Gap() time.Duration { return milliseconds(r.GapAimMs) }
+func (r *Route) GapTarget() time.Duration { return milliseconds(r.GapTargetMs) }
 
 // Idempotent tells whether a request of the route may run more than once.
 func (r *Route) Idempotent() bool {
@@ -137,23 +137,23 @@
 	Limits   Limits     `json:"limits"`
 	Tenants  []*Tenant  `json:"tenants" validate:"dive"`
 
-	keyed    bool                 // requests need keys
-	least    int                  // the rank of the least urgent route
-	hosts    map[string]*prefixes // in lower case
-	services map[string]*Service
-	keys     map[string]*Tenant
-	tenants  map[string]*Tenant
+	keyed          bool                 // requests need keys
+	lowestPriority int                  // the rank of the least urgent route
+	hosts          map[string]*prefixes // in lower case
+	services       map[string]*Service
+	keys           map[string]*Tenant
+	tenants        map[string]*Tenant
 }
 
 // InvalidError says why a configuration that could be read is refused.
 type InvalidError struct {
-	Item  string // the kind and the name of the item at fault, such as route "a"
-	Field string
-	Why   string
+	Item   string // the kind and the name of the item at fault, such as route "a"
+	Field  string
+	Reason string
 }
 
 // Error implements error.
-func (e *InvalidError) Error() string { return e.Item + ": " + e.Field + ": " + e.Why }
+func (e *InvalidError) Error() string { return e.Item + ": " + e.Field + ": " + e.Reason }
 
 // decoders give the typed forms of items, by the names of their lists. What is an item's name is in the errors.
 var decoders = map[string]func(name string, raw json.RawMessage) (any, error){
@@ -166,16 +166,16 @@
 func decode[T any](name string, raw json.RawMessage) (any, error) {
 	v := new(T)
 	if err := json.Unmarshal(raw, v); err != nil {
-		return nil, wrongKind(name, err)
+		return nil, typeError(name, err)
 	}
 	if err := validate.Struct(v); err != nil {
-		return nil, invalid(name, err)
+		return nil, validationError(name, err)
 	}
 	return v, nil
 }
 
 // wrongKind names the field whose value is of another kind than belongs there.
-func wrongKind(what string, err error) error {
+func typeError(what string, err error) error {
 	var wrong *json.UnmarshalTypeError
 	if errors.As(err, &wrong) {
 		return &SyntaxError{what + ": " + wrong.Field, "is a " + wrong.Value + " where another kind of value belongs"}
@@ -205,7 +205,7 @@
 		services: map[string]*Service{}, keys: map[string]*Tenant{}, tenants: map[string]*Tenant{}}
 	if limits := d.find("limits"); limits != nil && !limits.list {
 		if err := json.Unmarshal(limits.value, &c.Limits); err != nil {
-			return nil, wrongKind("limits", err)
+			return nil, typeError("limits", err)
 		}
 	}
 	for _, s := range c.Services {
@@ -234,7 +234,7 @@
 }
 
 // invalid names the first field of an item that is at fault.
-func invalid(item string, err error) error {
+func validationError(item string, err error) error {
 	var fields validator.ValidationErrors
 	if !errors.As(err, &fields) || len(fields) == 0 {
 		return &InvalidError{item, "a field", err.Error()}
@@ -251,7 +251,7 @@
 	c.hosts = map[string]*prefixes{}
 	added, removed := c.Routes, []*Route(nil)
 	if before != nil && slices.Equal(c.Services, before.Services) {
-		added, removed = lacking(c.Routes, before.Routes), lacking(before.Routes, c.Routes)
+		added, removed = notIn(c.Routes, before.Routes), notIn(before.Routes, c.Routes)
 		c.hosts = maps.Clone(before.hosts)
 	}
 	touched := mapset.NewThreadUnsafeSet[string]()
@@ -274,13 +274,13 @@
 		}
 	}
 	for _, r := range c.Routes {
-		c.least = max(c.least, r.Priority)
+		c.lowestPriority = max(c.lowestPriority, r.Priority)
 	}
 	return nil
 }
 
 // lacking are the routes that are not among others.
-func lacking(routes, others []*Route) (all []*Route) {
+func notIn(routes, others []*Route) (all []*Route) {
 	if slices.Equal(routes, others) {
 		return nil
 	}
@@ -328,7 +328,7 @@
 func (c *Configuration) Keyed() bool { return c.keyed }
 
 // LeastUrgent is the priority of the least urgent route.
-func (c *Configuration) LeastUrgent() int { return c.least }
+func (c *Configuration) LowestPriority() int { return c.lowestPriority }
 
 // Tenant returns who holds a key, nil for nobody.
 func (c *Configuration) Tenant(key string) *Tenant { return c.keys[key] }
--- a/internal/system/deciders/configuration/configuration_test.go
+++ b/internal/system/deciders/configuration/configuration_test.go
@@ -224,13 +224,13 @@
 // What is remembered is bounded.
 func TestDigestsBounded(t *testing.T) {
 	s := NewStore()
-	for i := range MostDigests + 100 {
-		var d [digestBytes]byte
+	for i := range MaxDigests + 100 {
+		var d [digestLen]byte
 		copy(d[:], fmt.Sprint(i))
 		s.remember(d)
 	}
-	if len(s.order) != MostDigests || len(s.digests) != MostDigests {
-		t.Errorf("%d and %d digests", len(s.order), len(s.digests))
+	if len(s.digestOrder) != MaxDigests || len(s.digests) != MaxDigests {
+		t.Errorf("%d and %d digests", len(s.digestOrder), len(s.digests))
 	}
 }
 
--- a/internal/system/deciders/configuration/difference.go
+++ b/internal/system/deciders/configuration/difference.go
@@ -7,7 +7,7 @@
 )
 
 // change is a patch as text.
-type change struct {
+type patchText struct {
 	Version int64                      `json:"version"`
 	Upsert  map[string]json.RawMessage `json:"upsert,omitempty"`
 	Remove  map[string][]string        `json:"remove,omitempty"`
@@ -15,7 +15,7 @@
 
 // Difference is the patch that makes one document of another; ok is false where none does, as fields went or items changed places.
 func Difference(before, after *Document) (text []byte, ok bool) {
-	out := change{Version: after.Version, Upsert: map[string]json.RawMessage{}, Remove: map[string][]string{}}
+	out := patchText{Version: after.Version, Upsert: map[string]json.RawMessage{}, Remove: map[string][]string{}}
 	for _, f := range before.fields {
 		if g := after.find(f.name); g == nil || g.list != f.list {
 			return nil, false
@@ -40,7 +40,7 @@
 }
 
 // add adds what makes one field of another.
-func (c *change) add(before, after *field) {
+func (c *patchText) add(before, after *field) {
 	if !after.list {
 		if before == nil || !bytes.Equal(before.value, after.value) {
 			c.Upsert[after.name] = after.value
@@ -55,7 +55,7 @@
 	}
 	var changed []json.RawMessage
 	for _, it := range after.items {
-		if had, ok := old[it.name]; !ok || !sameText(had.raw, it.raw) {
+		if had, ok := old[it.name]; !ok || !equalText(had.raw, it.raw) {
 			changed = append(changed, it.raw)
 		}
 		delete(old, it.name)
@@ -82,14 +82,14 @@
 }
 
 // sameText tells whether two texts are the same. Documents that were made of each other share most of theirs.
-func sameText(a, b json.RawMessage) bool {
+func equalText(a, b json.RawMessage) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0] || bytes.Equal(a, b))
 }
 
 // equal tells whether two documents say the same in the same order.
 func (d *Document) equal(o *Document) bool {
 	return d.Version == o.Version && slices.EqualFunc(d.fields, o.fields, func(f, g field) bool {
-		return f.name == g.name && f.list == g.list && sameText(f.value, g.value) &&
-			slices.EqualFunc(f.items, g.items, func(a, b item) bool { return sameText(a.raw, b.raw) })
+		return f.name == g.name && f.list == g.list && equalText(f.value, g.value) &&
+			slices.EqualFunc(f.items, g.items, func(a, b item) bool { return equalText(a.raw, b.raw) })
 	})
 }
--- a/internal/system/deciders/configuration/document.go
+++ b/internal/system/deciders/configuration/document.go
@@ -40,12 +40,12 @@
 
 // SyntaxError says that a configuration could not be read.
 type SyntaxError struct {
-	Field string // at fault
-	Why   string
+	Field  string // at fault
+	Reason string
 }
 
 // Error implements error.
-func (e *SyntaxError) Error() string { return e.Field + ": " + e.Why }
+func (e *SyntaxError) Error() string { return e.Field + ": " + e.Reason }
 
 // Parse reads a whole configuration.
 func Parse(text []byte) (*Document, error) { return ParseAfter(nil, text) }
@@ -211,15 +211,15 @@
 
 // headBytes is more than the version takes, and perField more than a field does beside its name and value.
 const (
-	headBytes = 64
-	perField  = 8
+	documentOverhead = 64
+	fieldOverhead    = 8
 )
 
 // size is at least the length of the document in bytes.
 func (d *Document) size() int {
-	n := headBytes
+	n := documentOverhead
 	for _, f := range d.fields {
-		n += len(f.name) + len(f.value) + perField
+		n += len(f.name) + len(f.value) + fieldOverhead
 		for _, it := range f.items {
 			n += len(it.raw) + 1
 		}
--- a/internal/system/deciders/configuration/pinned.go
+++ b/internal/system/deciders/configuration/pinned.go
@@ -18,7 +18,7 @@
 }
 
 // Pinned is the pins in force beside a state, none for none.
-func (s *State) Pinned() *pins.Set {
+func (s *State) Pins() *pins.Set {
 	if s == nil || s.pins == nil {
 		return &pins.Set{}
 	}
@@ -34,9 +34,9 @@
 
 // decidePin decides on an order that changes pins.
 func (s *Store) decidePin(order *message.Order) (change, reply []byte) {
-	in := s.state.Pinned()
+	in := s.state.Pins()
 	if order.IfMatch != in.Revision {
-		return nil, s.pinReply(refusal(order.IfMatch, in.Revision), fmt.Sprintf("revision %d of the pins is in force, not %d", in.Revision, order.IfMatch))
+		return nil, s.pinReply(rejectionStatus(order.IfMatch, in.Revision), fmt.Sprintf("revision %d of the pins is in force, not %d", in.Revision, order.IfMatch))
 	}
 	next, _, err := s.nextPins(order)
 	if err != nil {
@@ -51,7 +51,7 @@
 }
 
 func (s *Store) pinReply(status int, text string) []byte {
-	return marshalReply(&message.OrderReply{Status: int32(status), Text: text, Version: s.state.Pinned().Revision})
+	return marshalReply(&message.OrderReply{Status: int32(status), Text: text, Version: s.state.Pins().Revision})
 }
 
 // pinStatus is the status of an order that is refused.
@@ -71,9 +71,9 @@
 func (s *Store) nextPins(order *message.Order) (*pins.Set, *message.PinChange, error) {
 	pin := &message.Pin{}
 	if err := proto.Unmarshal(order.Body, pin); err != nil {
-		return nil, nil, &pins.FieldError{Field: "body", Why: err.Error()}
+		return nil, nil, &pins.FieldError{Field: "body", Reason: err.Error()}
 	}
-	in := s.state.Pinned()
+	in := s.state.Pins()
 	changed := &message.PinChange{By: pin.By, Why: pin.Why, AtMs: order.AtMs}
 	if order.Kind == message.Order_PIN_LIFT {
 		if err := pins.CheckLift(pin); err != nil {
@@ -83,7 +83,7 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		changed.Lifted, changed.Pin, changed.Revision = true, in.Named(pin.Name), next.Revision
+		changed.Lifted, changed.Pin, changed.Revision = true, in.ByName(pin.Name), next.Revision
 		return next, changed, nil
 	}
 	if err := s.checkScope(pin); err != nil {
@@ -94,7 +94,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	changed.Pin, changed.Revision = next.Named(pin.Name), next.Revision
+	changed.Pin, changed.Revision = next.ByName(pin.Name), next.Revision
 	return next, changed, nil
 }
 
@@ -102,10 +102,10 @@
 // stops to honour.
 func (s *Store) checkScope(pin *message.Pin) error {
 	if s.state == nil || !s.state.Typed.Keyed() {
-		return &pins.FieldError{Field: "tenant", Why: "the configuration has no tenants; only requests with keys can be pinned"}
+		return &pins.FieldError{Field: "tenant", Reason: "the configuration has no tenants; only requests with keys can be pinned"}
 	}
 	if pin.Tenant != "" && s.state.Typed.TenantNamed(pin.Tenant) == nil {
-		return &pins.FieldError{Field: "tenant", Why: fmt.Sprintf("%q is not in the configuration", pin.Tenant)}
+		return &pins.FieldError{Field: "tenant", Reason: fmt.Sprintf("%q is not in the configuration", pin.Tenant)}
 	}
 	if pin.Route == "" {
 		return nil
@@ -113,9 +113,9 @@
 	route := s.state.Typed.RouteNamed(pin.Route)
 	switch {
 	case route == nil:
-		return &pins.FieldError{Field: "route", Why: fmt.Sprintf("%q is not in the configuration", pin.Route)}
+		return &pins.FieldError{Field: "route", Reason: fmt.Sprintf("%q is not in the configuration", pin.Route)}
 	case route.Public:
-		return &pins.FieldError{Field: "route", Why: fmt.Sprintf("%q is public; only requests with keys can be pinned", pin.Route)}
+		return &pins.FieldError{Field: "route", Reason: fmt.Sprintf("%q is public; only requests with keys can be pinned", pin.Route)}
 	}
 	return nil
 }
@@ -128,7 +128,7 @@
 	}
 	s.state = s.state.WithPins(next)
 	s.pinHistory = append(s.pinHistory, changed)
-	if over := len(s.pinHistory) - pins.MostChanges; over > 0 {
+	if over := len(s.pinHistory) - pins.MaxChanges; over > 0 {
 		s.pinHistory = slices.Delete(s.pinHistory, 0, over)
 	}
 	return true
--- a/internal/system/deciders/configuration/pinned_test.go
+++ b/internal/system/deciders/configuration/pinned_test.go
@@ -60,7 +60,7 @@
 			is.Equal(decide(t, s, pinOrder(message.Order_PIN_SET, 0, &message.Pin{Name: "a", Tenant: "x", Model: "m", Version: 2}, 7)).Status, int32(200))
 			got := decide(t, s, pinOrder(c.kind, c.on, c.pin, 8))
 			is.Equal(got.Status, c.status)
-			is.Equal(got.Version, s.state.Pinned().Revision)
+			is.Equal(got.Version, s.state.Pins().Revision)
 			is.Equal(got.Text == "", c.status == 200) // who is refused is told why
 		})
 	}
@@ -76,7 +76,7 @@
 	is.Equal(again.Status, int32(200))
 	is.Equal(again.Version, int64(1))
 	is.Equal(len(s.pinHistory), 1)
-	is.Equal(s.state.Pinned().Named("a").SetAtMs, int64(7))
+	is.Equal(s.state.Pins().ByName("a").SetAtMs, int64(7))
 }
 
 // A configuration that is put whole leaves the pins as they are; so does one that lacks their tenant.
@@ -87,7 +87,7 @@
 	text, _ := proto.Marshal(&message.Order{Kind: message.Order_PUT, IfMatch: 1, Body: []byte(`{"version":2,"routes":[],"services":[]}`)})
 	is.Equal(decide(t, s, text).Status, int32(200))
 	is.Equal(s.state.Version(), int64(2))
-	is.Equal(s.state.Pinned().Named("a").Version, int64(2))
+	is.Equal(s.state.Pins().ByName("a").Version, int64(2))
 }
 
 // Pins and their history are in what is kept and replicated, and the next process goes on with them.
@@ -99,8 +99,8 @@
 	is.Equal(decide(t, s, pinOrder(message.Order_PIN_SET, 2, &message.Pin{Name: "b", Route: "r", Model: "m", Version: 4}, 9)).Status, int32(200))
 	next := NewStore()
 	is.NoErr(next.Restore(s.Snapshot()))
-	is.Equal(next.state.Pinned().Revision, int64(3))
-	is.Equal(next.state.Pinned().Named("b").Version, int64(4))
+	is.Equal(next.state.Pins().Revision, int64(3))
+	is.Equal(next.state.Pins().ByName("b").Version, int64(4))
 	is.Equal(len(next.pinHistory), 3)
 	is.True(next.pinHistory[1].Lifted)
 	is.Equal(next.pinHistory[1].Pin.Version, int64(2)) // what it was
@@ -112,11 +112,11 @@
 func TestPinHistory(t *testing.T) {
 	is := is.New(t)
 	s := pinnableStore(t)
-	for i := range pins.MostChanges + 10 {
+	for i := range pins.MaxChanges + 10 {
 		is.Equal(decide(t, s, pinOrder(message.Order_PIN_SET, int64(i), &message.Pin{Name: "a", Tenant: "x", Model: "m", Version: int64(i + 1)}, 7)).Status, int32(200))
 	}
-	is.Equal(len(s.pinHistory), pins.MostChanges)
-	is.Equal(s.pinHistory[len(s.pinHistory)-1].Revision, int64(pins.MostChanges+10))
+	is.Equal(len(s.pinHistory), pins.MaxChanges)
+	is.Equal(s.pinHistory[len(s.pinHistory)-1].Revision, int64(pins.MaxChanges+10))
 }
 
 // Without tenants nothing can be pinned: a router that is cut off could not be held to it.
@@ -153,7 +153,7 @@
 			if err := next.Restore(s.Snapshot()); err != nil {
 				t.Fatal(err)
 			}
-			if got, kept := s.state.Pinned().Revision, next.state.Pinned().Revision; got != int64(i+1) || kept != got {
+			if got, kept := s.state.Pins().Revision, next.state.Pins().Revision; got != int64(i+1) || kept != got {
 				t.Fatalf("revision %d, kept as %d, after %d orders", got, kept, i+1)
 			}
 		}
--- a/internal/system/deciders/configuration/prefixes.go
+++ b/internal/system/deciders/configuration/prefixes.go
@@ -8,37 +8,37 @@
 
 // prefixes are the routes of one host by their path prefixes. A nil one has none.
 type prefixes struct {
-	whole map[string]*Route // those that end with a slash, as all should
-	other []*Route          // the rest
+	slashed   map[string]*Route // those that end with a slash, as all should
+	unslashed []*Route          // the rest
 }
 
 // add adds a route, and returns the one that has the same prefix already, nil for none.
 func (p *prefixes) add(r *Route) *Route {
 	if !strings.HasSuffix(r.PathPrefix, "/") {
-		for _, o := range p.other {
+		for _, o := range p.unslashed {
 			if o.PathPrefix == r.PathPrefix {
 				return o
 			}
 		}
-		p.other = append(p.other, r)
+		p.unslashed = append(p.unslashed, r)
 		return nil
 	}
-	if o := p.whole[r.PathPrefix]; o != nil {
+	if o := p.slashed[r.PathPrefix]; o != nil {
 		return o
 	}
-	if p.whole == nil {
-		p.whole = map[string]*Route{}
+	if p.slashed == nil {
+		p.slashed = map[string]*Route{}
 	}
-	p.whole[r.PathPrefix] = r
+	p.slashed[r.PathPrefix] = r
 	return nil
 }
 
 // remove removes a route that was added.
 func (p *prefixes) remove(r *Route) {
-	if p.whole[r.PathPrefix] == r {
-		delete(p.whole, r.PathPrefix)
+	if p.slashed[r.PathPrefix] == r {
+		delete(p.slashed, r.PathPrefix)
 	}
-	p.other = slices.DeleteFunc(p.other, func(o *Route) bool { return o == r })
+	p.unslashed = slices.DeleteFunc(p.unslashed, func(o *Route) bool { return o == r })
 }
 
 // clone returns a copy that may be changed.
@@ -46,7 +46,7 @@
 	if p == nil {
 		return &prefixes{}
 	}
-	return &prefixes{whole: maps.Clone(p.whole), other: slices.Clone(p.other)}
+	return &prefixes{slashed: maps.Clone(p.slashed), unslashed: slices.Clone(p.unslashed)}
 }
 
 // longest returns the route with the longest prefix of a path, nil for none. It costs a look for each slash of the path, however many
@@ -59,10 +59,10 @@
 	for end := len(path); end > 0 && best == nil; {
 		end = strings.LastIndexByte(path[:end], '/')
 		if end >= 0 {
-			best = p.whole[path[:end+1]]
+			best = p.slashed[path[:end+1]]
 		}
 	}
-	for _, r := range p.other {
+	for _, r := range p.unslashed {
 		if strings.HasPrefix(path, r.PathPrefix) && (best == nil || len(r.PathPrefix) > len(best.PathPrefix)) {
 			best = r
 		}
--- a/internal/system/deciders/configuration/replicated_test.go
+++ b/internal/system/deciders/configuration/replicated_test.go
@@ -291,13 +291,13 @@
 	is.NoErr(restored.Restore(s.Snapshot()))
 	is.Equal(decide(t, restored, orderOn(0, 1, "first")).Status, int32(http.StatusOK))
 	is.Equal(decide(t, restored, orderOn(0, 1, "rival")).Status, int32(http.StatusPreconditionFailed))
-	for v := int64(700); v < configuration.MostDigests; v++ {
+	for v := int64(700); v < configuration.MaxDigests; v++ {
 		decide(t, restored, orderOn(v, v+1, "later"))
 	}
-	is.Equal(decide(t, restored, orderOn(0, 1, "first")).Status, int32(http.StatusOK))                                                      // the last one that is remembered
-	is.Equal(decide(t, restored, orderOn(configuration.MostDigests, configuration.MostDigests+1, "one more")).Status, int32(http.StatusOK)) // and now it is not
-	is.Equal(decide(t, restored, orderOn(0, 1, "first")).Status, int32(http.StatusPreconditionFailed))                                      // as for any old version
-	is.Equal(decide(t, restored, orderOn(1, 2, "later")).Status, int32(http.StatusOK))                                                      // the next one still is
+	is.Equal(decide(t, restored, orderOn(0, 1, "first")).Status, int32(http.StatusOK))                                                    // the last one that is remembered
+	is.Equal(decide(t, restored, orderOn(configuration.MaxDigests, configuration.MaxDigests+1, "one more")).Status, int32(http.StatusOK)) // and now it is not
+	is.Equal(decide(t, restored, orderOn(0, 1, "first")).Status, int32(http.StatusPreconditionFailed))                                    // as for any old version
+	is.Equal(decide(t, restored, orderOn(1, 2, "later")).Status, int32(http.StatusOK))                                                    // the next one still is
 	is.True(json.Valid(restored.Value().(*configuration.State).JSON()))
 }
 
--- a/internal/system/deciders/configuration/store.go
+++ b/internal/system/deciders/configuration/store.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	digestBytes = 16
+	digestLen = 16
 	// MostDigests is how many orders are remembered, so that each is acknowledged again whenever it comes again.
-	MostDigests = 8192
+	MaxDigests = 8192
 )
 
 // State is a configuration in force, in all its forms, and the version pins beside it. It never changes.
@@ -50,20 +50,20 @@
 // Store is the state that the register replicates: the configuration, the version pins with their history, and which orders were taken. It
 // implements chain.Machine.
 type Store struct {
-	state      *State // nil before the first configuration
-	digests    map[[digestBytes]byte]bool
-	order      [][digestBytes]byte  // the digests, the oldest first
-	pinHistory []*message.PinChange // of late, the oldest first
+	state       *State // nil before the first configuration
+	digests     map[[digestLen]byte]bool
+	digestOrder [][digestLen]byte    // the digests, the oldest first
+	pinHistory  []*message.PinChange // of late, the oldest first
 }
 
 // NewStore returns a store without a configuration.
-func NewStore() *Store { return &Store{digests: map[[digestBytes]byte]bool{}} }
+func NewStore() *Store { return &Store{digests: map[[digestLen]byte]bool{}} }
 
 // Value implements chain.Machine: a *State, nil for none.
 func (s *Store) Value() any { return s.state }
 
 // digest names an order: the same bytes on top of the same version are the same order.
-func digest(o *message.Order) (d [digestBytes]byte) {
+func digest(o *message.Order) (d [digestLen]byte) {
 	h := sha256.New()
 	fmt.Fprintf(h, "%d %d ", o.Kind, o.IfMatch)
 	h.Write(o.Body)
@@ -89,7 +89,7 @@
 	}
 	if order.IfMatch != s.state.Version() {
 		text := fmt.Sprintf("version %d is in force, not %d", s.state.Version(), order.IfMatch)
-		return nil, s.reply(refusal(order.IfMatch, s.state.Version()), text)
+		return nil, s.reply(rejectionStatus(order.IfMatch, s.state.Version()), text)
 	}
 	next, err := s.next(order)
 	if err != nil {
@@ -105,7 +105,7 @@
 // refusal is the status of an order that does not build on what is in force. Versions only rise, so one that builds on an older version
 // never can be taken. One that builds on a version to come may be, perhaps as a copy of it that is still on its way: it is not refused for
 // good, and its sender may send it again.
-func refusal(base, inForce int64) int {
+func rejectionStatus(base, inForce int64) int {
 	if base > inForce {
 		return http.StatusServiceUnavailable
 	}
@@ -122,7 +122,7 @@
 }
 
 // ErrNothing says that there is no configuration to be changed.
-var ErrNothing = errors.New("no configuration is in force yet")
+var ErrNoConfiguration = errors.New("no configuration is in force yet")
 
 // next is the state after an order, or why it is refused.
 func (s *Store) next(order *message.Order) (*State, error) {
@@ -149,7 +149,7 @@
 			return nil, err
 		}
 		if state == nil {
-			return nil, ErrNothing
+			return nil, ErrNoConfiguration
 		}
 		document, err = state.Document.Apply(patch)
 	default:
@@ -181,12 +181,12 @@
 // Apply implements chain.Machine.
 func (s *Store) Apply(text []byte) {
 	change := &message.Change{}
-	if proto.Unmarshal(text, change) != nil || len(change.Digest) != digestBytes {
+	if proto.Unmarshal(text, change) != nil || len(change.Digest) != digestLen {
 		return
 	}
 	if isPinOrder(change.Order) {
 		if s.applyPin(change.Order) {
-			s.remember([digestBytes]byte(change.Digest))
+			s.remember([digestLen]byte(change.Digest))
 		}
 		return
 	}
@@ -195,17 +195,17 @@
 		return // the head has seen that it can be; a fault of this kind is the same on all
 	}
 	s.state = next
-	s.remember([digestBytes]byte(change.Digest))
+	s.remember([digestLen]byte(change.Digest))
 }
 
-func (s *Store) remember(d [digestBytes]byte) {
+func (s *Store) remember(d [digestLen]byte) {
 	if s.digests[d] {
 		return
 	}
 	s.digests[d] = true
-	if s.order = append(s.order, d); len(s.order) > MostDigests {
-		delete(s.digests, s.order[0])
-		s.order = s.order[1:]
+	if s.digestOrder = append(s.digestOrder, d); len(s.digestOrder) > MaxDigests {
+		delete(s.digests, s.digestOrder[0])
+		s.digestOrder = s.digestOrder[1:]
 	}
 }
 
@@ -215,10 +215,10 @@
 	if s.state != nil {
 		out.Document = s.state.JSON()
 	}
-	if set := s.state.Pinned(); set.Revision > 0 {
+	if set := s.state.Pins(); set.Revision > 0 {
 		out.Pins = set.Message()
 	}
-	for _, d := range s.order {
+	for _, d := range s.digestOrder {
 		out.Digests = append(out.Digests, d[:]...)
 	}
 	text, _ := proto.Marshal(out)
@@ -245,8 +245,8 @@
 		}
 	}
 	next.pinHistory = stored.PinHistory
-	for chunk := range bytesChunks(stored.Digests, digestBytes) {
-		next.remember([digestBytes]byte(chunk))
+	for chunk := range bytesChunks(stored.Digests, digestLen) {
+		next.remember([digestLen]byte(chunk))
 	}
 	*s = *next
 	return nil
--- a/internal/system/deciders/configuration/stored_test.go
+++ b/internal/system/deciders/configuration/stored_test.go
@@ -45,7 +45,7 @@
 		`"tenants":[{"name":"x","apiKeys":["k"],"ratePerS":2.50,"burst":3}],"unknown":{"n":[1e3]}}`)
 	a := &message.Pin{Name: "a", Tenant: "x", Model: "m", Version: 2, By: "ann", Why: "trial", SetAtMs: 7, Revision: 1}
 	b := &message.Pin{Name: "b", Route: "r", Model: "other", Version: 3, By: "ann", Why: "trial", SetAtMs: 8, Revision: 2}
-	is.True(proto.Equal(s.state.Pinned().Message(), &message.Pins{Revision: 3, Pins: []*message.Pin{b}}))
+	is.True(proto.Equal(s.state.Pins().Message(), &message.Pins{Revision: 3, Pins: []*message.Pin{b}}))
 	is.True(proto.Equal(&message.Stored{PinHistory: s.pinHistory}, &message.Stored{PinHistory: []*message.PinChange{
 		{Revision: 1, Pin: a, By: "ann", Why: "trial", AtMs: 7}, {Revision: 2, Pin: b, By: "ann", Why: "trial", AtMs: 8},
 		{Revision: 3, Lifted: true, Pin: a, By: "ann", Why: "trial", AtMs: 9}}}))
--- a/internal/system/deciders/instances/instances.go
+++ b/internal/system/deciders/instances/instances.go
@@ -17,40 +17,40 @@
 
 const (
 	// MostInstances bounds the hosts that are known, with those that are gone.
-	MostInstances = 20_000
+	MaxInstances = 20_000
 	// keepGone is how long a host that is gone is remembered, so that no late word brings it back.
-	keepGone = 10 * time.Minute
+	removedTTL = 10 * time.Minute
 	// lostBeats is the number of heartbeats that may be missing before a host counts as lost.
-	lostBeats = 3.5
-	sweepFrom = 256 // records, below which nothing is forgotten
+	missedHeartbeats = 3.5
+	minSweepSize     = 256 // records, below which nothing is forgotten
 	// sweepEvery is the time between two looks for what may be forgotten.
-	sweepEvery = 10 * time.Second
+	sweepInterval = 10 * time.Second
 )
 
 // Record is one host as this router knows it. It is not to be changed.
 type Record struct {
 	*message.Instance
-	ColdUntil time.Duration // on this router's clock; 0 for warm
-	revision  uint64
-	heard     time.Duration // its last call, as far as this router has been told
-	since     time.Duration // in this state
+	SlowStartUntil time.Duration // on this router's clock; 0 for warm
+	revision       uint64
+	lastHeartbeat  time.Duration // its last call, as far as this router has been told
+	stateSince     time.Duration // in this state
 }
 
 // Registry is one router's knowledge.
 type Registry struct {
-	now       time.Duration
-	interval  time.Duration // between two heartbeats
-	revision  uint64
-	records   map[string]*Record
-	byService map[string]map[string]*Record
-	last      map[string]uint64    // the revision of each service
-	ordered   map[string][]*Record // the hosts of a service by their ids, where they were asked for since they last changed
-	sweepAt   time.Duration
+	now              time.Duration
+	interval         time.Duration // between two heartbeats
+	revision         uint64
+	records          map[string]*Record
+	byService        map[string]map[string]*Record
+	serviceRevisions map[string]uint64    // the revision of each service
+	sorted           map[string][]*Record // the hosts of a service by their ids, where they were asked for since they last changed
+	nextSweepAt      time.Duration
 }
 
 // New returns a registry that knows nobody. Revisions begin at 1.
 func New(interval time.Duration) *Registry {
-	return &Registry{interval: interval, revision: 1, records: map[string]*Record{}, byService: map[string]map[string]*Record{}, last: map[string]uint64{}, ordered: map[string][]*Record{}}
+	return &Registry{interval: interval, revision: 1, records: map[string]*Record{}, byService: map[string]map[string]*Record{}, serviceRevisions: map[string]uint64{}, sorted: map[string][]*Record{}}
 }
 
 // Revision grows with each change.
@@ -63,13 +63,13 @@
 func (r *Registry) Services() []string { return slices.Sorted(maps.Keys(r.byService)) }
 
 // Of returns the hosts of a service by their ids, those that are gone among them. The result is not to be changed.
-func (r *Registry) Of(service string) []*Record {
-	if all, ok := r.ordered[service]; ok {
+func (r *Registry) Records(service string) []*Record {
+	if all, ok := r.sorted[service]; ok {
 		return all
 	}
 	all := slices.Collect(maps.Values(r.byService[service]))
 	slices.SortFunc(all, func(a, b *Record) int { return cmp.Compare(a.Id, b.Id) })
-	r.ordered[service] = all
+	r.sorted[service] = all
 	return all
 }
 
@@ -77,7 +77,7 @@
 func (r *Registry) Len() int { return len(r.records) }
 
 // later tells whether a word on a host goes before another.
-func later(a, b *message.Instance) bool {
+func supersedes(a, b *message.Instance) bool {
 	rank := func(i *message.Instance) int { return max(int(i.State)-int(message.Instance_LOST), 0) }
 	return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a.Sequence, b.Sequence), cmp.Compare(a.State, b.State)) > 0
 }
@@ -90,25 +90,25 @@
 			continue
 		}
 		old := r.records[in.Id]
-		if old != nil && !later(in, old.Instance) || old == nil && len(r.records) >= MostInstances {
+		if old != nil && !supersedes(in, old.Instance) || old == nil && len(r.records) >= MaxInstances {
 			continue
 		}
-		changed = append(changed, r.put(in))
+		changed = append(changed, r.store(in))
 	}
 	return changed
 }
 
 // put takes up a word.
-func (r *Registry) put(in *message.Instance) *Record {
+func (r *Registry) store(in *message.Instance) *Record {
 	r.revision++
-	rec := &Record{Instance: in, revision: r.revision, heard: r.now, since: r.now}
+	rec := &Record{Instance: in, revision: r.revision, lastHeartbeat: r.now, stateSince: r.now}
 	if in.ColdRemainingMs > 0 {
-		rec.ColdUntil = r.now + time.Duration(in.ColdRemainingMs)*time.Millisecond
+		rec.SlowStartUntil = r.now + time.Duration(in.ColdRemainingMs)*time.Millisecond
 	}
 	if old := r.records[in.Id]; old != nil {
-		rec.heard = max(rec.heard, old.heard)
+		rec.lastHeartbeat = max(rec.lastHeartbeat, old.lastHeartbeat)
 		delete(r.byService[old.Service], in.Id)
-		delete(r.ordered, old.Service)
+		delete(r.sorted, old.Service)
 	}
 	r.records[in.Id] = rec
 	service := r.byService[in.Service]
@@ -117,52 +117,52 @@
 		r.byService[in.Service] = service
 	}
 	service[in.Id] = rec
-	r.last[in.Service] = r.revision
-	delete(r.ordered, in.Service)
-	r.forget()
+	r.serviceRevisions[in.Service] = r.revision
+	delete(r.sorted, in.Service)
+	r.sweepRemoved()
 	return rec
 }
 
 // forget drops hosts that have been gone for long.
-func (r *Registry) forget() {
-	if len(r.records) < sweepFrom || r.now < r.sweepAt {
+func (r *Registry) sweepRemoved() {
+	if len(r.records) < minSweepSize || r.now < r.nextSweepAt {
 		return
 	}
-	r.sweepAt = r.now + sweepEvery
+	r.nextSweepAt = r.now + sweepInterval
 	for id, rec := range r.records {
-		if rec.State == message.Instance_GONE && r.now-rec.since >= keepGone {
+		if rec.State == message.Instance_GONE && r.now-rec.stateSince >= removedTTL {
 			delete(r.records, id)
 			delete(r.byService[rec.Service], id)
-			delete(r.ordered, rec.Service)
+			delete(r.sorted, rec.Service)
 		}
 	}
 }
 
 // Beat takes in a call of a host itself. It returns the record where the call changed anything that others have to know, else nil.
-func (r *Registry) Beat(now time.Duration, in *message.Instance) *Record {
+func (r *Registry) Heartbeat(now time.Duration, in *message.Instance) *Record {
 	r.now = max(r.now, now)
 	old := r.records[in.Id]
 	if old == nil {
-		if len(r.records) >= MostInstances {
+		if len(r.records) >= MaxInstances {
 			return nil
 		}
-		return r.put(in)
+		return r.store(in)
 	}
 	if old.State == message.Instance_GONE || in.Sequence < old.Sequence {
 		return nil
 	}
-	old.heard = r.now
-	if old.State == message.Instance_DRAINING && in.State == message.Instance_READY || same(old.Instance, in) {
+	old.lastHeartbeat = r.now
+	if old.State == message.Instance_DRAINING && in.State == message.Instance_READY || equalContent(old.Instance, in) {
 		return nil
 	}
-	if !later(in, old.Instance) {
+	if !supersedes(in, old.Instance) {
 		return nil
 	}
-	return r.put(in)
+	return r.store(in)
 }
 
 // same tells whether two words on a host say the same, but for their sequence and the time that it is cold.
-func same(a, b *message.Instance) bool {
+func equalContent(a, b *message.Instance) bool {
 	return a.State == b.State && a.Service == b.Service && a.Address == b.Address && a.Zone == b.Zone && a.Slots == b.Slots &&
 		a.Software == b.Software && a.Stage == b.Stage &&
 		slices.EqualFunc(a.Models, b.Models, func(x, y *message.Model) bool { return proto.Equal(x, y) })
@@ -177,25 +177,25 @@
 	}
 	gone := proto.Clone(old.Instance).(*message.Instance)
 	gone.State = message.Instance_GONE
-	return r.put(gone)
+	return r.store(gone)
 }
 
 // Adopt begins to count anew how long nothing was heard of the hosts that a router is now responsible for.
-func (r *Registry) Adopt(now time.Duration, mine func(*Record) bool) {
+func (r *Registry) TakeOwnership(now time.Duration, mine func(*Record) bool) {
 	r.now = max(r.now, now)
 	for _, rec := range r.records {
 		if mine(rec) {
-			rec.heard = r.now
+			rec.lastHeartbeat = r.now
 		}
 	}
 }
 
 // Lose finds the hosts, of those that a router is responsible for, of which nothing was heard for too long.
-func (r *Registry) Lose(now time.Duration, mine func(*Record) bool) (changed []*Record) {
+func (r *Registry) DetectLost(now time.Duration, mine func(*Record) bool) (changed []*Record) {
 	r.now = max(r.now, now)
-	silent := time.Duration(lostBeats * float64(r.interval))
+	silent := time.Duration(missedHeartbeats * float64(r.interval))
 	for _, rec := range r.records {
-		if r.now-rec.heard < silent || !mine(rec) {
+		if r.now-rec.lastHeartbeat < silent || !mine(rec) {
 			continue
 		}
 		next := message.Instance_LOST
@@ -207,15 +207,15 @@
 		}
 		lost := proto.Clone(rec.Instance).(*message.Instance)
 		lost.State = next
-		changed = append(changed, r.put(lost))
+		changed = append(changed, r.store(lost))
 	}
 	return changed
 }
 
 // Living are the words on all hosts that are not gone.
-func (r *Registry) Living() (all []*message.Instance) {
+func (r *Registry) Active() (all []*message.Instance) {
 	for _, service := range r.Services() {
-		for _, rec := range r.Of(service) {
+		for _, rec := range r.Records(service) {
 			if rec.State != message.Instance_GONE {
 				all = append(all, rec.Instance)
 			}
@@ -225,15 +225,15 @@
 }
 
 // Since are the words on a service's hosts that changed after a revision.
-func (r *Registry) Since(service string, after uint64) (all []*message.Instance) {
-	for _, rec := range r.Of(service) {
+func (r *Registry) ChangedSince(service string, after uint64) (all []*message.Instance) {
+	for _, rec := range r.Records(service) {
 		if rec.revision <= after {
 			continue
 		}
 		in := rec.Instance
 		if in.ColdRemainingMs > 0 {
 			in = proto.Clone(in).(*message.Instance)
-			in.ColdRemainingMs = uint32(max(rec.ColdUntil-r.now, 0) / time.Millisecond)
+			in.ColdRemainingMs = uint32(max(rec.SlowStartUntil-r.now, 0) / time.Millisecond)
 		}
 		all = append(all, in)
 	}
@@ -241,4 +241,4 @@
 }
 
 // ServiceRevision grows with each change of a service's hosts.
-func (r *Registry) ServiceRevision(service string) uint64 { return r.last[service] }
+func (r *Registry) ServiceRevision(service string) uint64 { return r.serviceRevisions[service] }
--- a/internal/system/deciders/instances/instances_test.go
+++ b/internal/system/deciders/instances/instances_test.go
@@ -71,7 +71,7 @@
 		for _, w := range shuffled {
 			other.Merge(0, []*message.Instance{w})
 		}
-		if diff := cmp.Diff(one.Since("s", 0), other.Since("s", 0), protocmp.Transform()); diff != "" {
+		if diff := cmp.Diff(one.ChangedSince("s", 0), other.ChangedSince("s", 0), protocmp.Transform()); diff != "" {
 			t.Fatalf("seed %d: %s", seed, diff)
 		}
 	}
@@ -81,19 +81,19 @@
 func TestBeat(t *testing.T) {
 	is := is.New(t)
 	r := New(time.Second)
-	is.True(r.Beat(0, word("i", ready, 1)) != nil)
-	is.Equal(r.Beat(time.Second, word("i", ready, 2)), nil)
+	is.True(r.Heartbeat(0, word("i", ready, 1)) != nil)
+	is.Equal(r.Heartbeat(time.Second, word("i", ready, 2)), nil)
 	moved := word("i", ready, 3)
 	moved.Address = "10.0.0.2:80"
-	is.True(r.Beat(time.Second, moved) != nil)
-	is.Equal(r.Beat(time.Second, word("i", ready, 1)), nil) // late
+	is.True(r.Heartbeat(time.Second, moved) != nil)
+	is.Equal(r.Heartbeat(time.Second, word("i", ready, 1)), nil) // late
 	is.Equal(r.Get("i").Address, "10.0.0.2:80")
-	is.True(r.Beat(time.Second, word("i", draining, 4)) != nil)
-	is.Equal(r.Beat(time.Second, word("i", ready, 5)), nil)
+	is.True(r.Heartbeat(time.Second, word("i", draining, 4)) != nil)
+	is.Equal(r.Heartbeat(time.Second, word("i", ready, 5)), nil)
 	is.Equal(r.Get("i").State, draining)
 	is.True(r.Remove(time.Second, "i") != nil)
 	is.Equal(r.Remove(time.Second, "i"), nil)
-	is.Equal(r.Beat(time.Second, word("i", ready, 6)), nil)
+	is.Equal(r.Heartbeat(time.Second, word("i", ready, 6)), nil)
 	is.Equal(r.Get("i").State, gone)
 	is.Equal(r.Remove(0, "nobody"), nil)
 }
@@ -103,17 +103,17 @@
 	is := is.New(t)
 	all := func(*Record) bool { return true }
 	r := New(time.Second)
-	r.Beat(0, word("i", ready, 1))
-	r.Beat(0, word("d", draining, 1))
-	r.Beat(2*time.Second, word("i", ready, 2)) // changes nothing, but it lives
-	is.Equal(len(r.Lose(3*time.Second, all)), 0)
-	is.Equal(len(r.Lose(4*time.Second, all)), 1)
+	r.Heartbeat(0, word("i", ready, 1))
+	r.Heartbeat(0, word("d", draining, 1))
+	r.Heartbeat(2*time.Second, word("i", ready, 2)) // changes nothing, but it lives
+	is.Equal(len(r.DetectLost(3*time.Second, all)), 0)
+	is.Equal(len(r.DetectLost(4*time.Second, all)), 1)
 	is.Equal(r.Get("d").State, gone)
-	is.Equal(len(r.Lose(6*time.Second, func(*Record) bool { return false })), 0) // not its home
-	is.Equal(len(r.Lose(6*time.Second, all)), 1)
+	is.Equal(len(r.DetectLost(6*time.Second, func(*Record) bool { return false })), 0) // not its home
+	is.Equal(len(r.DetectLost(6*time.Second, all)), 1)
 	is.Equal(r.Get("i").State, lost)
-	is.Equal(len(r.Lose(9*time.Second, all)), 0)
-	is.True(r.Beat(10*time.Second, word("i", ready, 3)) != nil)
+	is.Equal(len(r.DetectLost(9*time.Second, all)), 0)
+	is.True(r.Heartbeat(10*time.Second, word("i", ready, 3)) != nil)
 	is.Equal(r.Get("i").State, ready)
 }
 
@@ -123,9 +123,9 @@
 	all := func(*Record) bool { return true }
 	r := New(time.Second)
 	r.Merge(0, []*message.Instance{word("i", ready, 1)})
-	r.Adopt(10*time.Second, all)
-	is.Equal(len(r.Lose(13*time.Second, all)), 0)
-	is.Equal(len(r.Lose(14*time.Second, all)), 1)
+	r.TakeOwnership(10*time.Second, all)
+	is.Equal(len(r.DetectLost(13*time.Second, all)), 0)
+	is.Equal(len(r.DetectLost(14*time.Second, all)), 1)
 }
 
 // What changed after a revision, with the time that a host is still cold.
@@ -136,10 +136,10 @@
 	cold.ColdRemainingMs = 1000
 	r.Merge(0, []*message.Instance{cold})
 	before := r.ServiceRevision("s")
-	is.Equal(len(r.Since("s", before)), 0)
+	is.Equal(len(r.ChangedSince("s", before)), 0)
 	r.Merge(400*time.Millisecond, []*message.Instance{word("w", ready, 1)})
-	is.Equal(len(r.Since("s", before)), 1)
-	all := r.Since("s", 0)
+	is.Equal(len(r.ChangedSince("s", before)), 1)
+	all := r.ChangedSince("s", 0)
 	is.Equal(len(all), 2)
 	is.Equal(all[0].ColdRemainingMs, uint32(600))
 	is.Equal(cold.ColdRemainingMs, uint32(1000)) // the word itself stays
@@ -151,19 +151,19 @@
 func TestBounded(t *testing.T) {
 	is := is.New(t)
 	r := New(time.Second)
-	for i := range 2 * sweepFrom {
+	for i := range 2 * minSweepSize {
 		r.Merge(0, []*message.Instance{word(fmt.Sprint(i), gone, 1)})
 	}
-	is.Equal(len(r.records), 2*sweepFrom)
-	r.Merge(keepGone+time.Second, []*message.Instance{word("new", ready, 1)})
+	is.Equal(len(r.records), 2*minSweepSize)
+	r.Merge(removedTTL+time.Second, []*message.Instance{word("new", ready, 1)})
 	is.Equal(len(r.records), 1)
 	is.Equal(len(r.byService["s"]), 1)
 	full := New(time.Second)
-	for i := range MostInstances {
+	for i := range MaxInstances {
 		full.records[fmt.Sprint(i)] = &Record{Instance: word(fmt.Sprint(i), ready, 1)}
 	}
 	is.Equal(len(full.Merge(0, []*message.Instance{word("one more", ready, 1)})), 0)
-	is.Equal(full.Beat(0, word("one more", ready, 1)), nil)
+	is.Equal(full.Heartbeat(0, word("one more", ready, 1)), nil)
 }
 
 // A service may change under an id.
@@ -174,8 +174,8 @@
 	next := proto.Clone(word("i", ready, 2)).(*message.Instance)
 	next.Service = "t"
 	r.Merge(0, []*message.Instance{next})
-	is.Equal(len(r.Of("s")), 0)
-	is.Equal(len(r.Of("t")), 1)
+	is.Equal(len(r.Records("s")), 0)
+	is.Equal(len(r.Records("t")), 1)
 }
 
 // The hosts of a service are in the order of their ids after each change, also where they were asked for before it.
@@ -183,7 +183,7 @@
 	is := is.New(t)
 	r := New(time.Second)
 	ids := func(service string) (all []string) {
-		for _, rec := range r.Of(service) {
+		for _, rec := range r.Records(service) {
 			all = append(all, rec.Id)
 		}
 		return all
@@ -201,6 +201,6 @@
 	is.Equal(ids("s"), []string{"a", "c"})
 	is.Equal(ids("t"), []string{"b"})
 	r.Remove(0, "a")
-	is.Equal(r.Of("s")[0].State, message.Instance_GONE)
+	is.Equal(r.Records("s")[0].State, message.Instance_GONE)
 	is.Equal(r.Len(), 3)
 }
--- a/internal/system/deciders/pins/pins.go
+++ b/internal/system/deciders/pins/pins.go
@@ -15,21 +15,21 @@
 
 const (
 	// MostPins bounds the pins in force.
-	MostPins = 256
+	MaxPins = 256
 	// MostChanges bounds the changes that are remembered.
-	MostChanges = 1024
+	MaxChanges = 1024
 	// mostText bounds the texts of a pin, in bytes.
-	mostText = 256
+	maxTextLen = 256
 )
 
 // names are those that a pin may have.
-var names = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
+var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
 
 // FieldError says which field of a pin can't be used, and why.
-type FieldError struct{ Field, Why string }
+type FieldError struct{ Field, Reason string }
 
 // Error implements error.
-func (e *FieldError) Error() string { return "pin: " + e.Field + ": " + e.Why }
+func (e *FieldError) Error() string { return "pin: " + e.Field + ": " + e.Reason }
 
 // OverlapError says that a request could be in the scope of two pins.
 type OverlapError struct{ New, Other string }
@@ -60,7 +60,7 @@
 func (s *Set) Message() *message.Pins { return &message.Pins{Revision: s.Revision, Pins: s.Pins} }
 
 // Of is the pin of a request, nil for none. An empty model is that of a request which names none.
-func (s *Set) Of(tenant, route, model string) *message.Pin {
+func (s *Set) Match(tenant, route, model string) *message.Pin {
 	if s == nil {
 		return nil
 	}
@@ -77,7 +77,7 @@
 }
 
 // Named is the pin of a name, nil for none.
-func (s *Set) Named(name string) *message.Pin {
+func (s *Set) ByName(name string) *message.Pin {
 	at, found := s.find(name)
 	if !found {
 		return nil
@@ -92,7 +92,7 @@
 // Check tells what is wrong with a pin that is to be set, whatever is in force.
 func Check(p *message.Pin) error {
 	switch {
-	case !names.MatchString(p.Name):
+	case !namePattern.MatchString(p.Name):
 		return &FieldError{"name", fmt.Sprintf("%q is not one of 1 to 64 letters, digits, dots, dashes and underscores that begins with a letter or digit", p.Name)}
 	case p.Tenant == "" && p.Route == "":
 		return &FieldError{"tenant", "either a tenant or a route must be named"}
@@ -106,7 +106,7 @@
 
 // CheckLift tells what is wrong with an order to lift a pin.
 func CheckLift(p *message.Pin) error {
-	if !names.MatchString(p.Name) {
+	if !namePattern.MatchString(p.Name) {
 		return &FieldError{"name", fmt.Sprintf("%q is no pin's", p.Name)}
 	}
 	return checkTexts(p)
@@ -120,8 +120,8 @@
 		}
 	}
 	for _, field := range []struct{ name, text string }{{"by", p.By}, {"why", p.Why}, {"tenant", p.Tenant}, {"route", p.Route}, {"model", p.Model}} {
-		if len(field.text) > mostText {
-			return &FieldError{field.name, fmt.Sprintf("it is longer than %d bytes", mostText)}
+		if len(field.text) > maxTextLen {
+			return &FieldError{field.name, fmt.Sprintf("it is longer than %d bytes", maxTextLen)}
 		}
 	}
 	return nil
@@ -145,8 +145,8 @@
 		next.Pins[at] = p
 		return next, nil
 	}
-	if len(next.Pins) >= MostPins {
-		return nil, &FieldError{"name", fmt.Sprintf("%d pins are in force, and no more can be", MostPins)}
+	if len(next.Pins) >= MaxPins {
+		return nil, &FieldError{"name", fmt.Sprintf("%d pins are in force, and no more can be", MaxPins)}
 	}
 	next.Pins = slices.Insert(next.Pins, at, p)
 	return next, nil
@@ -168,7 +168,7 @@
 }
 
 // Same tells whether two pins, of which each may be nil, have a request served alike.
-func Same(a, b *message.Pin) bool {
+func Equivalent(a, b *message.Pin) bool {
 	if a == nil || b == nil {
 		return a == b
 	}
--- a/internal/system/deciders/pins/pins_test.go
+++ b/internal/system/deciders/pins/pins_test.go
@@ -33,7 +33,7 @@
 		{"a version below none", func(p *message.Pin) { p.Version = -3 }, "version"},
 		{"nobody", func(p *message.Pin) { p.By = " " }, "by"},
 		{"no reason", func(p *message.Pin) { p.Why = "" }, "why"},
-		{"a novel", func(p *message.Pin) { p.Why = strings.Repeat("a", mostText+1) }, "why"},
+		{"a novel", func(p *message.Pin) { p.Why = strings.Repeat("a", maxTextLen+1) }, "why"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -68,9 +68,9 @@
 		{"x", "r", "m", "all-of-x"}, {"x", "q", "m", "all-of-x"}, {"x", "q", "n", "all-on-q"}, {"y", "r", "m", "y-on-r"},
 		{"y", "q", "m", ""}, {"z", "r", "m", ""}, {"", "q", "n", "all-on-q"}, {"x", "r", "", ""},
 	} {
-		is.Equal(s.Of(c.tenant, c.route, c.model).GetName(), c.pin)
+		is.Equal(s.Match(c.tenant, c.route, c.model).GetName(), c.pin)
 	}
-	is.Equal((*Set)(nil).Of("x", "r", "m"), nil)
+	is.Equal((*Set)(nil).Match("x", "r", "m"), nil)
 }
 
 // Two pins whose scopes meet are refused; the refusal names both.
@@ -104,9 +104,9 @@
 	is.NoErr(err)
 	two, err := one.Add(pin("a", "x", "", 2)) // in its place
 	is.NoErr(err)
-	is.Equal(one.Named("a").Version, int64(1))
-	is.Equal(two.Named("a").Version, int64(2))
-	is.Equal(two.Named("a").Revision, int64(2))
+	is.Equal(one.ByName("a").Version, int64(1))
+	is.Equal(two.ByName("a").Version, int64(2))
+	is.Equal(two.ByName("a").Revision, int64(2))
 	is.Equal(len(two.Pins), 1)
 	three, err := two.Remove("a")
 	is.NoErr(err)
@@ -115,7 +115,7 @@
 	_, err = three.Remove("a")
 	var unknown *UnknownError
 	is.True(errors.As(err, &unknown))
-	is.Equal(FromMessage(two.Message()).Named("a").Version, int64(2))
+	is.Equal(FromMessage(two.Message()).ByName("a").Version, int64(2))
 	is.Equal(FromMessage(nil).Revision, int64(0))
 }
 
@@ -123,7 +123,7 @@
 func TestMostPins(t *testing.T) {
 	is := is.New(t)
 	s := &Set{}
-	for i := range MostPins {
+	for i := range MaxPins {
 		next, err := s.Add(pin(fmt.Sprint("p", i), fmt.Sprint("x", i), "", 1))
 		is.NoErr(err)
 		s = next
@@ -138,8 +138,8 @@
 // Pins are the same where they have requests served alike.
 func TestSame(t *testing.T) {
 	is := is.New(t)
-	is.True(Same(nil, nil))
-	is.True(!Same(nil, pin("a", "x", "", 1)))
-	is.True(Same(pin("b", "y", "", 1), pin("a", "x", "", 1)))
-	is.True(!Same(pin("a", "x", "", 2), pin("a", "x", "", 1)))
+	is.True(Equivalent(nil, nil))
+	is.True(!Equivalent(nil, pin("a", "x", "", 1)))
+	is.True(Equivalent(pin("b", "y", "", 1), pin("a", "x", "", 1)))
+	is.True(!Equivalent(pin("a", "x", "", 2), pin("a", "x", "", 1)))
 }
--- a/internal/system/deciders/sampling/allowance_test.go
+++ b/internal/system/deciders/sampling/allowance_test.go
@@ -10,7 +10,7 @@
 // Of messages that are asked for all the time as many are sent as the rate allows, and those that were saved up.
 func TestAllowance(t *testing.T) {
 	is := is.New(t)
-	a := NewAllowance(100, 300)
+	a := NewTokenBucket(100, 300)
 	sent := 0
 	for now := time.Duration(0); now <= 10*time.Second; now += time.Millisecond {
 		if a.Take(now, 71) {
--- a/internal/system/deciders/sampling/sampling_test.go
+++ b/internal/system/deciders/sampling/sampling_test.go
@@ -47,7 +47,7 @@
 				sent += tokens
 				prompts++
 				sizes = append(sizes, tokens)
-				if s.Pick(now, tokens, c.recipients, drawn.Float64()) {
+				if s.Sample(now, tokens, c.recipients, drawn.Float64()) {
 					told += tokens
 					messages += c.recipients
 					of = append(of, tokens)
@@ -71,7 +71,7 @@
 	is := is.New(t)
 	s := New(100)
 	for i := range 50 {
-		is.True(s.Pick(time.Duration(i)*time.Second, 1000, 11, 0.999))
+		is.True(s.Sample(time.Duration(i)*time.Second, 1000, 11, 0.999))
 	}
 }
 
@@ -79,8 +79,8 @@
 func TestNothing(t *testing.T) {
 	is := is.New(t)
 	s := New(100)
-	is.True(!s.Pick(0, 1000, 0, 0))
-	is.True(!s.Pick(0, 0, 11, 0))
+	is.True(!s.Sample(0, 1000, 0, 0))
+	is.True(!s.Sample(0, 0, 11, 0))
 }
 
 // BenchmarkPick is what a prompt costs a router of the planned size, before anything is sent.
@@ -91,6 +91,6 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		now += 95 * time.Millisecond
-		s.Pick(now, 1500*math.Exp(drawn.NormFloat64()), 329, drawn.Float64())
+		s.Sample(now, 1500*math.Exp(drawn.NormFloat64()), 329, drawn.Float64())
 	}
 }
--- a/internal/system/roles/node/configuration.go
+++ b/internal/system/roles/node/configuration.go
@@ -35,7 +35,7 @@
 	if err := h.node.plane.Configure(state); err != nil {
 		h.node.log.Warn("configuration not in force", "version", state.Version(), "cause", err)
 	}
-	h.node.pins.observe(state.Pinned().Revision, time.Now())
+	h.node.pins.observe(state.Pins().Revision, time.Now())
 	h.sendAll(h.feed.Publish(h.now(), configurationTopic))
 	h.resubscribe()
 	for _, s := range state.Typed.Services {
--- a/internal/system/roles/node/configurationfeed.go
+++ b/internal/system/roles/node/configurationfeed.go
@@ -100,7 +100,7 @@
 
 // pins are the version pins of the state, nil where there never were any.
 func (c *configurationFeed) pins() *message.Pins {
-	set := c.state.Pinned()
+	set := c.state.Pins()
 	if set.Revision == 0 {
 		return nil
 	}
--- a/internal/system/roles/node/decode_test.go
+++ b/internal/system/roles/node/decode_test.go
@@ -56,7 +56,7 @@
 			(<-n.hub.calls)()
 		}
 		for _, name := range n.hub.registry.Services() {
-			for _, r := range n.hub.registry.Of(name) {
+			for _, r := range n.hub.registry.Records(name) {
 				if _, err := proto.Marshal(r.Instance); err != nil {
 					t.Error(err)
 				}
--- a/internal/system/roles/node/feeds.go
+++ b/internal/system/roles/node/feeds.go
@@ -76,7 +76,7 @@
 
 // Delta implements feed.Topic.
 func (f *hostsFeed) Delta(after uint64) (payload []byte, since uint64) {
-	payload, _ = proto.Marshal(&message.Instances{Instances: f.registry.Since(f.service, after)})
+	payload, _ = proto.Marshal(&message.Instances{Instances: f.registry.ChangedSince(f.service, after)})
 	return payload, after
 }
 
--- a/internal/system/roles/node/handoff.go
+++ b/internal/system/roles/node/handoff.go
@@ -108,7 +108,7 @@
 	var changed []*instances.Record
 	for _, in := range m.Instances {
 		if in.State == message.Instance_READY {
-			if record := h.registry.Beat(h.now(), in); record != nil {
+			if record := h.registry.Heartbeat(h.now(), in); record != nil {
 				changed = append(changed, record)
 			}
 			continue
--- a/internal/system/roles/node/hosts.go
+++ b/internal/system/roles/node/hosts.go
@@ -12,7 +12,7 @@
 // heartbeat handles a host's own call. Done is called once the call may be acknowledged, with the
 // address for the host's next heartbeats.
 func (h *hub) heartbeat(in *message.Instance, done func(next string)) {
-	changed := h.registry.Beat(h.now(), in)
+	changed := h.registry.Heartbeat(h.now(), in)
 	if changed != nil {
 		h.hostsChanged([]*instances.Record{changed})
 	}
@@ -97,5 +97,5 @@
 
 // updateEndpoints hands the hosts of a service to the data plane.
 func (h *hub) updateEndpoints(service string) {
-	h.node.plane.Hosts(service, h.registry.ServiceRevision(service), h.registry.Of(service), h.now())
+	h.node.plane.Hosts(service, h.registry.ServiceRevision(service), h.registry.Records(service), h.now())
 }
--- a/internal/system/roles/node/hub.go
+++ b/internal/system/roles/node/hub.go
@@ -150,7 +150,7 @@
 	h.resendHints()
 	if h.now() >= h.nextExpiryAt {
 		h.nextExpiryAt = h.now() + expiryInterval
-		h.hostsChanged(h.registry.Lose(h.now(), h.ownsRecord))
+		h.hostsChanged(h.registry.DetectLost(h.now(), h.ownsRecord))
 	}
 }
 
--- a/internal/system/roles/node/node_test.go
+++ b/internal/system/roles/node/node_test.go
@@ -597,7 +597,7 @@
 	is.True(ok)
 	for i := range f.nodes {
 		f.eventually(fmt.Sprint("router ", i, " knows all hosts"), func() bool {
-			known, ok := query(t.Context(), f.nodes[i].hub, func() int { return len(f.nodes[i].hub.registry.Of("s")) })
+			known, ok := query(t.Context(), f.nodes[i].hub, func() int { return len(f.nodes[i].hub.registry.Records("s")) })
 			return ok && known == many
 		})
 	}
--- a/internal/system/roles/node/ownership.go
+++ b/internal/system/roles/node/ownership.go
@@ -30,7 +30,7 @@
 			}
 		}
 	}
-	h.registry.Adopt(h.now(), func(r *instances.Record) bool {
+	h.registry.TakeOwnership(h.now(), func(r *instances.Record) bool {
 		key := ownerKey{r.Service, zoneLabel(r.Zone)}
 		return h.owned.ContainsOne(key) && !before.ContainsOne(key)
 	})
--- a/internal/system/roles/node/peerreports.go
+++ b/internal/system/roles/node/peerreports.go
@@ -49,7 +49,7 @@
 
 	mu            sync.Mutex
 	sampler       *sampling.Sampler
-	hostAllowance *sampling.Allowance
+	hostAllowance *sampling.TokenBucket
 }
 
 // peerSet is the other routers that live. It is not changed once it is stored.
@@ -64,7 +64,7 @@
 		startedAt:     time.Now(),
 		queue:         make(chan *message.SentPrompts, maxQueuedPeerReports),
 		sampler:       sampling.New(promptDatagramRate),
-		hostAllowance: sampling.NewAllowance(hostDatagramRate, hostDatagramBurst),
+		hostAllowance: sampling.NewTokenBucket(hostDatagramRate, hostDatagramBurst),
 	}
 	p.membershipChanged(nil)
 	return p
@@ -118,7 +118,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	peers := len(p.peers.Load().addresses)
-	return p.sampler.Pick(time.Since(p.startedAt), tokens, peers, rand.Float64())
+	return p.sampler.Sample(time.Since(p.startedAt), tokens, peers, rand.Float64())
 }
 
 // mayReportHost reports whether the rate allows one more report on a host.
--- a/internal/system/roles/node/pins_schedules_test.go
+++ b/internal/system/roles/node/pins_schedules_test.go
@@ -193,7 +193,7 @@
 
 // judge looks at a request that a router serves: it goes by all changes that were acknowledged when it arrived.
 func (w *pinWorld) check(r *drawnRouter, arrived time.Duration) {
-	revision := r.config.state.Pinned().Revision
+	revision := r.config.state.Pins().Revision
 	for i, c := range w.changes {
 		if int64(i+1) > revision && c.acked <= arrived {
 			w.fault = fmt.Errorf("%v: router %d serves by revision %d a request of %v; %d was acknowledged at %v", w.now, r.number, revision, arrived, i+1, c.acked)
--- a/internal/system/roles/node/statefile.go
+++ b/internal/system/roles/node/statefile.go
@@ -110,7 +110,7 @@
 // marshal encodes the state. The same state gives the same bytes.
 func (f *stateFile) marshal(ctx context.Context) ([]byte, error) {
 	hub := f.node.hub
-	living, ok := query(ctx, hub, hub.registry.Living)
+	living, ok := query(ctx, hub, hub.registry.Active)
 	if !ok {
 		return nil, ctx.Err()
 	}
--- a/internal/system/roles/node/status.go
+++ b/internal/system/roles/node/status.go
@@ -142,7 +142,7 @@
 	}
 	figures := h.node.plane.Figures()
 	for _, name := range h.services() {
-		service := serviceStatus(name, h.registry.Of(name), h.now())
+		service := serviceStatus(name, h.registry.Records(name), h.now())
 		f := figures[name]
 		service.Open, service.Retries, service.Ejected = f.Open, f.Retries, f.Avoided
 		s.services = append(s.services, service)
@@ -176,7 +176,7 @@
 
 // pinStatus is the pins in force, with the outcomes of the requests in their scopes.
 func (n *Node) pinStatus() status.Pins {
-	in := n.plane.State().Pinned()
+	in := n.plane.State().Pins()
 	out := status.Pins{Revision: in.Revision, Pins: []status.Pin{}}
 	figures := n.plane.Pins()
 	for _, p := range in.Pins {
@@ -231,7 +231,7 @@
 		Zone:             r.Zone,
 		State:            strings.ToLower(r.State.String()),
 		Slots:            r.Slots,
-		SlowStartSeconds: max(r.ColdUntil-now, 0).Seconds(),
+		SlowStartSeconds: max(r.SlowStartUntil-now, 0).Seconds(),
 	}
 	for _, m := range r.Models {
 		host.Models = append(host.Models, status.Model{Name: m.Name, Version: m.Version})
--- a/internal/system/roles/node/stored_test.go
+++ b/internal/system/roles/node/stored_test.go
@@ -55,7 +55,7 @@
 	is.NoErr(os.WriteFile(path, text, 0o644))
 	f.start(0, filepath.Dir(folder), false)
 	n := f.nodes[0]
-	living, ok := query(t.Context(), n.hub, n.hub.registry.Living)
+	living, ok := query(t.Context(), n.hub, n.hub.registry.Active)
 	is.True(ok)
 	ids := map[string]bool{}
 	for _, in := range living {
