--- a/coord/embed/embed.go
+++ b/coord/embed/embed.go
@@ -63,15 +63,15 @@
 		seeds = append(seeds, seed.String())
 	}
 	p.client = register.NewClient(self, p.send)
-	p.client.Viewed(kept.GetView())
-	p.client.Know(seeds)
+	p.client.LearnView(kept.GetView())
+	p.client.SetKnownAddresses(seeds)
 	if o.Log == nil {
 		o.Log = silent{}
 	}
-	config := register.Config{Self: self, Seeds: seeds, Founder: o.First, Eligible: true, Tolerance: o.Tolerance, Seed: rand.Uint64(), Kept: kept}
+	config := register.Config{Self: self, Seeds: seeds, Founder: o.First, Eligible: true, Tolerance: o.Tolerance, Seed: rand.Uint64(), Persisted: kept}
 	p.replica = register.NewReplica(register.Options{Config: config, Machine: o.Machine, Files: files, Send: p.send, Log: o.Log,
-		Commit: func(chain.Committed) {}, Viewed: p.client.Viewed}, disk)
-	p.replica.Know(seeds)
+		Committed: func(chain.Committed) {}, ViewChanged: p.client.LearnView}, disk)
+	p.replica.SetKnownAddresses(seeds)
 	return p, nil
 }
 
@@ -105,7 +105,7 @@
 
 // Holds tells whether this process may act on duties that the view gives it. Storage that others share should refuse an epoch below one
 // that it has seen: the epoch is the fencing token.
-func (p *Peer) Holds() (view *coordpb.View, ok bool) { return p.replica.Holds() }
+func (p *Peer) Lease() (view *coordpb.View, ok bool) { return p.replica.Lease() }
 
 func (p *Peer) receive(kind link.Kind, data []byte) {
 	m := &coordpb.Message{}
--- a/coord/register/batch.go
+++ b/coord/register/batch.go
@@ -8,29 +8,31 @@
 	"reachspread/coord/storage"
 )
 
-// Batch is what a process hands to its disk at once.
+// Batch is one write to the disk.
 type Batch struct {
-	UpTo uint64 // the number that Core.Written is told once it is there
+	// RecordCount is the count that Core.RecordsWritten gets once the batch is written.
+	RecordCount uint64
 
-	records [][]byte
-	state   []byte // of all, in place of records
-	secure  bool   // nothing but a sync of what was found
+	records  [][]byte
+	state    []byte // the complete state, in place of records
+	syncOnly bool   // only what was found is synced
 }
 
-// NextBatch is what is to be written next: the records since the last one, or all of the state where the log is long or whole is asked for,
-// as it is after a write has failed. It is nil where nothing is due. After an error the next batch has to be whole.
-func (o *Core) NextBatch(store *storage.Store, whole bool) (*Batch, error) {
+// NextBatch returns what is to be written next, nil for nothing: the records since the last
+// batch, or the complete state if the log is long or full is true, as it has to be after a
+// write or NextBatch has failed.
+func (o *Core) NextBatch(store *storage.Store, full bool) (*Batch, error) {
 	switch {
-	case whole || store.LogFull():
-		return o.wholeBatch()
+	case full || store.LogFull():
+		return o.fullBatch()
 	case store.Unsynced():
-		return &Batch{UpTo: FoundRecords, secure: true}, nil
+		return &Batch{RecordCount: RecoveredRecords, syncOnly: true}, nil
 	}
-	records, upTo := o.Unwritten()
+	records, count := o.PendingRecords()
 	if len(records) == 0 {
 		return nil, nil
 	}
-	b := &Batch{UpTo: upTo}
+	b := &Batch{RecordCount: count}
 	for _, record := range records {
 		text, err := proto.Marshal(record)
 		if err != nil {
@@ -41,19 +43,20 @@
 	return b, nil
 }
 
-func (o *Core) wholeBatch() (*Batch, error) {
-	state, upTo := o.Durable()
+// fullBatch is a batch with the complete state.
+func (o *Core) fullBatch() (*Batch, error) {
+	state, count := o.Durable()
 	text, err := proto.Marshal(state)
 	if err != nil {
 		return nil, fmt.Errorf("register: the state can not be written: %w", err)
 	}
-	return &Batch{UpTo: upTo, state: text}, nil
+	return &Batch{RecordCount: count, state: text}, nil
 }
 
-// Write carries a batch out. It blocks as long as the disk does.
+// Write writes the batch, and returns once it is durable.
 func (b *Batch) Write(store *storage.Store) error {
 	switch {
-	case b.secure:
+	case b.syncOnly:
 		return store.SyncRecovered()
 	case b.state != nil:
 		return store.Save(b.state)
--- a/coord/register/fuzz_test.go
+++ b/coord/register/fuzz_test.go
@@ -43,8 +43,8 @@
 			now += 100 * time.Millisecond
 			core.Receive(now, m)
 			core.Tick(now)
-			_, upTo := core.Unwritten()
-			core.Written(upTo, now)
+			_, upTo := core.PendingRecords()
+			core.RecordsWritten(upTo, now)
 			core.Durable()
 		}
 	})
--- a/coord/register/golden_test.go
+++ b/coord/register/golden_test.go
@@ -109,7 +109,7 @@
 	is.Equal(state.Value(), "four\nfive\nsix")
 
 	core := register.NewCore(register.Config{Self: &coordpb.Member{Address: "a:1", Identity: kept.Identity}, Founder: kept.Founder, Eligible: true,
-		Tolerance: 1, Kept: kept, Unsynced: true}, state, 0)
+		Tolerance: 1, Persisted: kept, Unsynced: true}, state, 0)
 	is.True(proto.Equal(core.View(), want.View))
 	is.True(proto.Equal(core.Position(), want.Position))
 	durable, _ := core.Durable()
@@ -178,10 +178,10 @@
 	c := register.Config{Self: &coordpb.Member{Address: p.address, Identity: 1000 + number}, Seeds: goldenAddresses, Founder: kept == nil, Eligible: true,
 		Tolerance: 1, Seed: number}
 	if kept != nil {
-		c.Kept, c.Self.Identity, c.Founder, c.Unsynced = kept, kept.Identity, kept.Founder, true
+		c.Persisted, c.Self.Identity, c.Founder, c.Unsynced = kept, kept.Identity, kept.Founder, true
 	}
 	p.core = register.NewCore(c, p.state, g.now)
-	p.core.Know(goldenAddresses)
+	p.core.SetKnownAddresses(goldenAddresses)
 }
 
 // stop ends a process's life.
@@ -241,7 +241,7 @@
 			return
 		}
 		g.is.NoErr(batch.Write(p.store))
-		g.carryOut(p.core.Written(batch.UpTo, g.now))
+		g.carryOut(p.core.RecordsWritten(batch.RecordCount, g.now))
 	}
 }
 
@@ -264,7 +264,7 @@
 	batch, err := p.core.NextBatch(p.store, true)
 	g.is.NoErr(err)
 	g.is.NoErr(batch.Write(p.store))
-	g.carryOut(p.core.Written(batch.UpTo, g.now))
+	g.carryOut(p.core.RecordsWritten(batch.RecordCount, g.now))
 }
 
 // playGolden writes the golden folders of a group: orders in a first view, others while a process is down, then that one comes back, and
--- a/coord/register/register_test.go
+++ b/coord/register/register_test.go
@@ -9,15 +9,15 @@
 	"reachspread/coord/simulation"
 )
 
-// newWorld is a register of three machines that tells what happens, for a look at one schedule.
+// newWorld is a register of three machines, with a trace in the log of the test.
 func newWorld(t *testing.T, seed uint64) *simulation.World {
 	w := simulation.New(simulation.Options{Seed: seed, Machines: 3, Tolerance: 1, Application: simulation.Counter{}, Trace: t.Logf})
 	w.StartAll()
 	return w
 }
 
-// A calm start of three machines has one view, and nothing but orders happens then.
-func TestCalm(t *testing.T) {
+// Three machines that start undisturbed agree on one view and keep it.
+func TestUndisturbedRegisterKeepsItsView(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, 1)
 	w.NewClient(false).Loop(100 * time.Millisecond)
@@ -28,8 +28,9 @@
 	is.True(w.History.Reads > 50)
 }
 
-// A machine that is gone for a while leaves the chain, and is back in it once it returns; neither makes more than one view.
-func TestCrashAndReturn(t *testing.T) {
+// A machine that crashes leaves the chain, and joins it again after its restart; neither takes more than
+// one view, or two with the end of its epoch.
+func TestCrashedMemberRejoinsChain(t *testing.T) {
 	for victim := range 3 {
 		is := is.New(t)
 		w := newWorld(t, uint64(victim))
--- a/coord/simulation/faults.go
+++ b/coord/simulation/faults.go
@@ -166,7 +166,7 @@
 // tellAll has all processes know of the machines that there are.
 func (d *Drawer) tellAll() {
 	for _, p := range d.w.Living() {
-		p.Core.Know(d.w.Addresses())
+		p.Core.SetKnownAddresses(d.w.Addresses())
 	}
 }
 
--- a/coord/simulation/process.go
+++ b/coord/simulation/process.go
@@ -76,14 +76,14 @@
 	}
 	p.store, p.whole = store, store.SaveRequired()
 	if kept != nil {
-		c.Kept, c.Founder, c.Self.Identity, c.Unsynced = kept, kept.Founder, kept.Identity, true
+		c.Persisted, c.Founder, c.Self.Identity, c.Unsynced = kept, kept.Founder, kept.Identity, true
 	} else if w.Plant == KeepsIdentity && p.self != nil {
 		c.Self.Identity, c.Founder = p.self.Identity, true
 	}
 	p.self = c.Self
 	w.Trace("%v %s begins life %d, kept %v", w.Now, p.Address, p.life, kept != nil)
 	p.Core = register.NewCore(c, p.machine, 0)
-	p.Core.Know(w.Addresses())
+	p.Core.SetKnownAddresses(w.Addresses())
 	p.flush()
 	p.tick(p.life)
 }
@@ -128,7 +128,7 @@
 	w, life := p.world, p.life
 	p.writing = b
 	if w.Plant == EarlyWrite {
-		p.carryOut(p.Core.Written(b.UpTo, p.clock()))
+		p.carryOut(p.Core.RecordsWritten(b.RecordCount, p.clock()))
 	}
 	took := w.Sync/2 + time.Duration(w.rng.Int64N(int64(w.Sync))) + min(p.slow, max(p.slowEnd-w.Now, 0))
 	w.After(took, func() {
@@ -150,7 +150,7 @@
 		return
 	}
 	p.writing, p.whole = nil, false
-	p.do(func() { p.carryOut(p.Core.Written(b.UpTo, p.clock())) })
+	p.do(func() { p.carryOut(p.Core.RecordsWritten(b.RecordCount, p.clock())) })
 }
 
 func (p *Process) carryOut(out register.Output) {
@@ -315,7 +315,7 @@
 		then()
 		return
 	}
-	p.Core.Leave()
+	p.Core.Drain()
 	p.end(p.life, p.world.Now+max(serveFor, leastStay), p.world.Now+mostStay, then)
 }
 
--- a/coord/view/tolerance.go
+++ b/coord/view/tolerance.go
@@ -6,10 +6,10 @@
 	"reachspread/coord/coordpb"
 )
 
-// ToleranceLeft is how many more members may be lost at once without a loss of the state and with a
+// CurrentTolerance is how many more members may be lost at once without a loss of the state and with a
 // majority left, as this process knows it; Config.Tolerance at most. It is 0 for a process that is
 // no member.
-func (d *Decider) ToleranceLeft() int {
+func (d *Decider) CurrentTolerance() int {
 	if MemberOf(d.view, d.config.Self.Identity) == nil {
 		return 0
 	}
--- a/coord/view/view_test.go
+++ b/coord/view/view_test.go
@@ -323,7 +323,7 @@
 }
 
 // As many members may be lost as leave a majority and a complete replica.
-func TestToleranceLeft(t *testing.T) {
+func TestCurrentTolerance(t *testing.T) {
 	for name, c := range map[string]struct {
 		heartbeats []*coordpb.Message
 		want       int
@@ -339,7 +339,7 @@
 			d := decider(viewOf(3, 3))
 			d.SetStatus(Status{Position: position(3, 0), Healthy: true})
 			receiveHeartbeats(d, 4*time.Second, c.heartbeats...)
-			is.Equal(d.ToleranceLeft(), c.want)
+			is.Equal(d.CurrentTolerance(), c.want)
 		})
 	}
 }
--- a/internal/system/roles/node/draining.go
+++ b/internal/system/roles/node/draining.go
@@ -77,7 +77,7 @@
 func (n *Node) announceDraining(ctx context.Context) {
 	n.front.SetKeeps(false)
 	if n.replica != nil {
-		n.replica.Leave()
+		n.replica.Drain()
 	}
 	ctx, cancel := context.WithTimeout(ctx, lameDuckDuration)
 	defer cancel()
@@ -109,7 +109,7 @@
 	for !n.replica.Status().CanShutDown {
 		select {
 		case <-ctx.Done():
-			n.log.Warn("register not handed over", "bears", n.replica.Status().ToleranceLeft)
+			n.log.Warn("register not handed over", "current_tolerance", n.replica.Status().CurrentTolerance)
 			return
 		case <-poll.C:
 		}
--- a/internal/system/roles/node/node.go
+++ b/internal/system/roles/node/node.go
@@ -128,7 +128,7 @@
 	if err := n.openMembership(); err != nil {
 		return err
 	}
-	n.client.Know(n.hub.registerAddresses())
+	n.client.SetKnownAddresses(n.hub.registerAddresses())
 	if err := n.link.Start(work); err != nil {
 		return fmt.Errorf("internalPortRange: %w", err)
 	}
--- a/internal/system/roles/node/node_test.go
+++ b/internal/system/roles/node/node_test.go
@@ -408,7 +408,7 @@
 	full := func(at int) func() bool {
 		return func() bool {
 			s := f.nodes[at].replica.Status()
-			return s.ToleranceLeft == 1 && s.ToleranceShortSince < 0
+			return s.CurrentTolerance == 1 && s.ToleranceShortSince < 0
 		}
 	}
 	f.eventually("one machine may be lost", full(1))
--- a/internal/system/roles/node/quotaowner.go
+++ b/internal/system/roles/node/quotaowner.go
@@ -214,7 +214,7 @@
 	if node.replica == nil || state == nil {
 		return answer
 	}
-	v, owns := node.replica.Holds()
+	v, owns := node.replica.Lease()
 	s := o.shards[view.ShardOf(m.Tenant)]
 	tenant := state.Typed.TenantNamed(m.Tenant)
 	if s == nil || !owns || tenant == nil || now < s.servesFrom {
--- a/internal/system/roles/node/registerstatus.go
+++ b/internal/system/roles/node/registerstatus.go
@@ -66,14 +66,14 @@
 		Sequence:         in.Position.GetSequence(),
 		Healthy:          in.Healthy,
 		Shards:           in.Shards,
-		CurrentTolerance: in.ToleranceLeft,
+		CurrentTolerance: in.CurrentTolerance,
 		TargetTolerance:  in.Tolerance,
 	}
 	if in.Confirmed {
 		s.ConfirmedAgeSeconds = secondsOf(in.ConfirmedAge)
 	}
-	if in.Short {
-		s.ShortSeconds = secondsOf(in.ShortFor)
+	if in.ToleranceShort {
+		s.ShortSeconds = secondsOf(in.ToleranceShortFor)
 	}
 	return s
 }
--- a/internal/system/roles/node/replica.go
+++ b/internal/system/roles/node/replica.go
@@ -38,19 +38,19 @@
 	if err != nil {
 		return fmt.Errorf("dataDirectory: %w", err)
 	}
-	if stored := config.Kept; stored != nil {
-		n.client.Viewed(stored.View)
+	if stored := config.Persisted; stored != nil {
+		n.client.LearnView(stored.View)
 		self.Identity, config.Founder = stored.Identity, stored.Founder
 		n.hub.registerView.view = stored.View
 	}
 	n.replica = register.NewReplica(register.Options{
-		Config:  config,
-		Machine: store,
-		Files:   files,
-		Send:    n.sendToRegister,
-		Log:     n.log,
-		Commit:  func(c chain.Committed) { n.hub.post(func() { n.hub.committed(c) }) },
-		Viewed: func(v *coordpb.View) {
+		Config:    config,
+		Machine:   store,
+		Files:     files,
+		Send:      n.sendToRegister,
+		Log:       n.log,
+		Committed: func(c chain.Committed) { n.hub.post(func() { n.hub.committed(c) }) },
+		ViewChanged: func(v *coordpb.View) {
 			n.quotas.viewChanged(v)
 			n.hub.post(func() { n.hub.registerView.install(v) })
 		},
@@ -73,7 +73,7 @@
 	return config
 }
 
-// loadRegister reads the register from the disk into the store and config.Kept. Without a disk all
+// loadRegister reads the register from the disk into the store and config.Persisted. Without a disk all
 // that it returns is nil.
 func (n *Node) loadRegister(config *register.Config, store *configuration.Store) (*storage.Store, storage.Files, error) {
 	s := n.settings()
@@ -85,6 +85,6 @@
 		return nil, nil, err
 	}
 	disk, stored, err := register.Load(folder, store)
-	config.Kept = stored
+	config.Persisted = stored
 	return disk, folder, err
 }
--- a/internal/system/roles/node/subscriptions.go
+++ b/internal/system/roles/node/subscriptions.go
@@ -32,17 +32,17 @@
 	h.relays.Store(&relays)
 	h.node.plane.SetRouters(len(h.members.routers))
 	h.node.peerReports.membershipChanged(h.members.routers)
-	h.node.client.Know(h.registerAddresses())
+	h.node.client.SetKnownAddresses(h.registerAddresses())
 	if h.node.replica != nil {
-		h.node.replica.Know(h.members.registerCandidates())
+		h.node.replica.SetKnownAddresses(h.members.registerCandidates())
 	}
 	h.resubscribe()
 }
 
 // registerViewChanged handles a new view of the register, and publishes it to subscribers.
 func (h *hub) registerViewChanged(v *coordpb.View) {
-	h.node.client.Viewed(v)
-	h.node.client.Know(h.registerAddresses())
+	h.node.client.LearnView(v)
+	h.node.client.SetKnownAddresses(h.registerAddresses())
 	h.sendAll(h.feed.Publish(h.now(), registerViewTopic))
 	h.resubscribe()
 }
