--- a/coord/embed/docs_test.go
+++ b/coord/embed/docs_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-// mostLines bounds the example that the library's page shows.
-const mostLines = 60
+// maxExampleLines bounds the example in docs/library.md.
+const maxExampleLines = 60
 
-// The page of the library shows the example as it is tested, and it stays short.
-func TestPage(t *testing.T) {
+// docs/library.md shows the example as it is tested, and it stays short.
+func TestLibraryPageShowsExample(t *testing.T) {
 	page, err := os.ReadFile("../../docs/library.md")
 	if err != nil {
 		t.Fatal(err)
@@ -23,7 +23,7 @@
 	if !strings.Contains(string(page), "```go\n// note is"+shown+"```") {
 		t.Error("docs/library.md does not show the example as it is")
 	}
-	if lines := strings.Count(shown, "\n"); lines >= mostLines {
-		t.Errorf("the example has %d lines; fewer than %d are wanted", lines, mostLines)
+	if lines := strings.Count(shown, "\n"); lines >= maxExampleLines {
+		t.Errorf("the example has %d lines; it may have fewer than %d", lines, maxExampleLines)
 	}
 }
--- a/coord/embed/embed.go
+++ b/coord/embed/embed.go
@@ -1,8 +1,3 @@
-// Package embed is one process of a replicated register, whole: the replica with its disk, a client, and the link to the other processes.
-// It is what a program embeds that wants a small state which survives its machines; the parts it is made of can be had one by one.
-//
-// The caller brings the state as a chain.Machine, and has to bring orders that the machine knows again, as one may come twice. What Submit
-// returned without an error for is on the disks of all processes in the chain; what Read returns was the newest state after the call began.
 package embed
 
 import (
@@ -20,109 +15,144 @@
 	"reachspread/coord/storage"
 )
 
-// messageKind tells the register's messages on the link.
+// messageKind is the kind of the register's messages on the link.
 const messageKind link.Kind = 1
 
-// Options are what a Peer is made with.
+// Options are what a Process is made with.
 type Options struct {
-	Address   netip.AddrPort   // of this process, where it listens; it stays the same over its lives
-	Seeds     []netip.AddrPort // of the processes that begin the register; the same list in all of them
-	Folder    string           // for this process alone; what is in it must come back with the process
-	First     bool             // the register is begun now: true only if it never was there before
-	Tolerance int              // processes that may be lost at once; there have to be twice as many and one more
-	Machine   chain.Machine    // the state; it is this process's own, and used by one goroutine
-	Log       register.Logger  // nil for none
+	// Address is where this process listens. It has to stay the same over restarts.
+	Address netip.AddrPort
+	// Seeds are the processes that agree on the first members. The list has to be the same in all
+	// processes on the first start.
+	Seeds []netip.AddrPort
+	// Folder is for this process alone, and has to be there again after a restart.
+	Folder string
+	// FirstStart reports whether the register is founded now. It must be false once a register was
+	// founded, or a second one may be. It is ignored if the folder has a state.
+	FirstStart bool
+	// Tolerance is how many processes may be lost at once. That takes 2*Tolerance+1 of them.
+	Tolerance int
+	// Machine is the state of this process. It is used by one goroutine.
+	Machine chain.Machine
+	// Log gets lines for on-call staff, nil for none.
+	Log register.Logger
 }
 
-// Peer is one process. New makes one, and Run has it work.
-type Peer struct {
+// Process is one process of a register. Its methods are safe for concurrent use.
+type Process struct {
 	self    string
 	link    *link.Link
 	client  *register.Client
 	replica *register.Replica
 }
 
-// New reads what the folder has.
-func New(o Options) (*Peer, error) {
+// New restores the state of a process from its folder. An error says that the folder can't be read.
+func New(o Options) (*Process, error) {
 	files, err := storage.NewFolder(o.Folder)
 	if err != nil {
-		return nil, fmt.Errorf("peer: %w", err)
+		return nil, fmt.Errorf("embed: Options.Folder: %w", err)
 	}
-	disk, kept, err := register.Load(files, o.Machine)
+	store, persisted, err := register.Load(files, o.Machine)
 	if err != nil {
-		return nil, fmt.Errorf("peer: %w", err)
+		return nil, fmt.Errorf("embed: Options.Folder %s: %w", o.Folder, err)
 	}
-	p := &Peer{self: o.Address.String()}
+	if o.Log == nil {
+		o.Log = discardLogger{}
+	}
+	p := &Process{self: o.Address.String()}
 	p.link = link.New(o.Address, p.receive)
-	self := &coordpb.Member{Address: p.self, Identity: rand.Uint64()}
-	if kept != nil {
-		self.Identity, o.First = kept.Identity, kept.Founder
+	config := o.registerConfig(persisted)
+	p.client = register.NewClient(config.Self, p.send)
+	p.client.LearnView(persisted.GetView())
+	p.client.SetKnownAddresses(config.Seeds)
+	p.replica = register.NewReplica(register.Options{
+		Config:      config,
+		Machine:     o.Machine,
+		Files:       files,
+		Send:        p.send,
+		Committed:   func(chain.Committed) {},
+		ViewChanged: p.client.LearnView,
+		Log:         o.Log,
+	}, store)
+	p.replica.SetKnownAddresses(config.Seeds)
+	return p, nil
+}
+
+// registerConfig is the configuration of the replica, given what its folder has. A process without
+// a state draws a new identity.
+func (o Options) registerConfig(persisted *coordpb.Durable) register.Config {
+	c := register.Config{
+		Self:      &coordpb.Member{Address: o.Address.String(), Identity: rand.Uint64()},
+		Founder:   o.FirstStart,
+		Eligible:  true,
+		Tolerance: o.Tolerance,
+		Seed:      rand.Uint64(),
+		Persisted: persisted,
 	}
-	var seeds []string
-	for _, seed := range o.Seeds {
-		seeds = append(seeds, seed.String())
+	if persisted != nil {
+		c.Self.Identity, c.Founder = persisted.Identity, persisted.Founder
 	}
-	p.client = register.NewClient(self, p.send)
-	p.client.LearnView(kept.GetView())
-	p.client.SetKnownAddresses(seeds)
-	if o.Log == nil {
-		o.Log = silent{}
+	for _, seed := range o.Seeds {
+		c.Seeds = append(c.Seeds, seed.String())
 	}
-	config := register.Config{Self: self, Seeds: seeds, Founder: o.First, Eligible: true, Tolerance: o.Tolerance, Seed: rand.Uint64(), Persisted: kept}
-	p.replica = register.NewReplica(register.Options{Config: config, Machine: o.Machine, Files: files, Send: p.send, Log: o.Log,
-		Committed: func(chain.Committed) {}, ViewChanged: p.client.LearnView}, disk)
-	p.replica.SetKnownAddresses(seeds)
-	return p, nil
+	return c
 }
 
-// Run works until ctx ends. The address is free again when it returns.
-func (p *Peer) Run(ctx context.Context) error {
+// Run runs the process until ctx ends. The address is free again when it returns. An error says
+// that the address can't be listened on.
+func (p *Process) Run(ctx context.Context) error {
 	work, stop := context.WithCancel(ctx)
 	defer stop()
 	if err := p.link.Start(work); err != nil {
-		return fmt.Errorf("peer: %w", err)
+		return fmt.Errorf("embed: Options.Address: %w", err)
 	}
 	p.replica.Run(work)
 	p.link.Wait()
 	return nil
 }
 
-// Submit brings an order to the register and returns the machine's reply once all of the chain have it. It tries until ctx ends; then the
-// order may have been taken, or may be later.
-func (p *Peer) Submit(ctx context.Context, order []byte) (reply []byte, err error) {
-	answer, err := p.client.Submit(ctx, order)
+// Submit executes a command and returns the reply of the machine once the change is committed.
+// It retries until ctx ends; then the error is register.ErrNoAnswer, and the command may have
+// been committed or may be later.
+func (p *Process) Submit(ctx context.Context, command []byte) (reply []byte, err error) {
+	answer, err := p.client.Submit(ctx, command)
 	return answer.GetReply(), err
 }
 
-// Read returns a snapshot of the state.
-func (p *Peer) Read(ctx context.Context) (snapshot []byte, err error) {
+// Read returns a snapshot of the newest committed state. The error is register.ErrNoAnswer if
+// ctx ended first.
+func (p *Process) Read(ctx context.Context) (snapshot []byte, err error) {
 	answer, err := p.client.Read(ctx)
 	return answer.GetReply(), err
 }
 
-// Status is how the replica stands.
-func (p *Peer) Status() register.Status { return p.replica.Status() }
+// Status is the state of the replica.
+func (p *Process) Status() register.Status { return p.replica.Status() }
 
-// Holds tells whether this process may act on duties that the view gives it. Storage that others share should refuse an epoch below one
-// that it has seen: the epoch is the fencing token.
-func (p *Peer) Lease() (view *coordpb.View, ok bool) { return p.replica.Lease() }
+// Lease reports whether this process may act on the shards that the view assigns to it. Storage
+// that others share should reject a fencing token, the epoch of the assignment, below one that
+// it has seen.
+func (p *Process) Lease() (view *coordpb.View, ok bool) { return p.replica.Lease() }
 
-func (p *Peer) receive(kind link.Kind, data []byte) {
+// receive handles a message of the link. What can't be parsed is dropped.
+func (p *Process) receive(kind link.Kind, data []byte) {
 	m := &coordpb.Message{}
 	if kind == messageKind && proto.Unmarshal(data, m) == nil && m.From != nil {
-		p.take(m)
+		p.dispatch(m)
 	}
 }
 
-func (p *Peer) take(m *coordpb.Message) {
+// dispatch passes a message to the client or the replica.
+func (p *Process) dispatch(m *coordpb.Message) {
 	if !p.client.Receive(m) {
 		p.replica.Receive(m)
 	}
 }
 
-func (p *Peer) send(to string, m *coordpb.Message) {
+// send sends a message, which may be for this process itself.
+func (p *Process) send(to string, m *coordpb.Message) {
 	if to == p.self {
-		p.take(proto.Clone(m).(*coordpb.Message))
+		p.dispatch(proto.Clone(m).(*coordpb.Message))
 		return
 	}
 	if data, err := proto.Marshal(m); err == nil {
@@ -130,8 +160,9 @@
 	}
 }
 
-// silent drops log lines.
-type silent struct{}
+// discardLogger drops log lines.
+type discardLogger struct{}
+
+func (discardLogger) Info(string, ...any) {}
 
-func (silent) Info(string, ...any) {}
-func (silent) Warn(string, ...any) {}
+func (discardLogger) Warn(string, ...any) {}
--- a/coord/embed/embed_test.go
+++ b/coord/embed/embed_test.go
@@ -12,36 +12,36 @@
 
 const patience = 30 * time.Second
 
-// text is a state of one text.
+// text is a state of one text, which commands replace.
 type text struct{ now string }
 
-func (x *text) Decide(order []byte) (change, reply []byte) { return order, nil }
-func (x *text) Apply(change []byte)                        { x.now = string(change) }
-func (x *text) Snapshot() []byte                           { return []byte(x.now) }
-func (x *text) Restore(snapshot []byte) error              { x.now = string(snapshot); return nil }
-func (x *text) Value() any                                 { return x.now }
+func (x *text) Decide(command []byte) (change, reply []byte) { return command, nil }
+func (x *text) Apply(change []byte)                          { x.now = string(change) }
+func (x *text) Snapshot() []byte                             { return []byte(x.now) }
+func (x *text) Restore(snapshot []byte) error                { x.now = string(snapshot); return nil }
+func (x *text) Value() any                                   { return x.now }
 
 // group is processes of one register on the loopback.
 type group struct {
-	t      *testing.T
-	folder string
-	seeds  []netip.AddrPort
-	peers  []*Peer
-	stops  []func()
+	t         *testing.T
+	folder    string
+	seeds     []netip.AddrPort
+	processes []*Process
+	stops     []func()
 }
 
-func newGroup(t *testing.T, processes int) *group {
-	return newGroupOn(t, t.TempDir(), 0, processes, true)
+func newGroup(t *testing.T, size int) *group {
+	return newGroupOn(t, t.TempDir(), 0, size, true)
 }
 
-// newGroupOn is newGroup on folders that may be there, and on a part of the loopback for itself.
-func newGroupOn(t *testing.T, folder string, network byte, processes int, first bool) *group {
-	g := &group{t: t, folder: folder, peers: make([]*Peer, processes), stops: make([]func(), processes)}
-	for i := range processes {
+// newGroupOn is newGroup on folders that may have a state, and on a loopback network of its own.
+func newGroupOn(t *testing.T, folder string, network byte, size int, firstStart bool) *group {
+	g := &group{t: t, folder: folder, processes: make([]*Process, size), stops: make([]func(), size)}
+	for i := range size {
 		g.seeds = append(g.seeds, netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 67, network, byte(i + 1)}), 7680))
 	}
-	for i := range processes {
-		g.start(i, first)
+	for i := range size {
+		g.start(i, firstStart)
 	}
 	t.Cleanup(func() {
 		for _, stop := range g.stops {
@@ -51,16 +51,16 @@
 	return g
 }
 
-func (g *group) start(i int, first bool) {
+func (g *group) start(i int, firstStart bool) {
 	g.t.Helper()
-	p, err := New(Options{Address: g.seeds[i], Seeds: g.seeds, Folder: filepath.Join(g.folder, g.seeds[i].Addr().String()), First: first, Tolerance: 1, Machine: &text{}})
+	p, err := New(Options{Address: g.seeds[i], Seeds: g.seeds, Folder: filepath.Join(g.folder, g.seeds[i].Addr().String()), FirstStart: firstStart, Tolerance: 1, Machine: &text{}})
 	if err != nil {
 		g.t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- p.Run(ctx) }()
-	g.peers[i] = p
+	g.processes[i] = p
 	g.stops[i] = func() {
 		cancel()
 		if err, ok := <-ended; ok && err != nil {
@@ -70,47 +70,47 @@
 	}
 }
 
-// All processes end at once and come back: what was written is there, with the identities of before.
-func TestReturn(t *testing.T) {
+// All processes stop at once and start again: the state is there, and the identities are those of before.
+func TestStateAndIdentitySurviveRestart(t *testing.T) {
 	is := is.New(t)
 	g := newGroup(t, 3)
 	ctx, cancel := context.WithTimeout(t.Context(), patience)
 	defer cancel()
-	_, err := g.peers[2].Submit(ctx, []byte("kept"))
+	_, err := g.processes[2].Submit(ctx, []byte("kept"))
 	is.NoErr(err)
 	var before []uint64
-	for i, p := range g.peers {
+	for i, p := range g.processes {
 		before = append(before, p.Status().Identity)
 		g.stops[i]()
 	}
-	for i := range g.peers {
+	for i := range g.processes {
 		g.start(i, false)
 	}
-	snapshot, err := g.peers[0].Read(ctx)
+	snapshot, err := g.processes[0].Read(ctx)
 	is.NoErr(err)
 	is.Equal(string(snapshot), "kept")
-	for i, p := range g.peers {
+	for i, p := range g.processes {
 		is.Equal(p.Status().Identity, before[i])
 	}
 }
 
-// Without a majority nobody acknowledges or answers anything.
-func TestNoMajority(t *testing.T) {
+// Without a majority nothing is acknowledged or read.
+func TestNothingIsAcknowledgedWithoutMajority(t *testing.T) {
 	is := is.New(t)
 	g := newGroup(t, 3)
 	ctx, cancel := context.WithTimeout(t.Context(), patience)
 	defer cancel()
-	_, err := g.peers[0].Submit(ctx, []byte("one"))
+	_, err := g.processes[0].Submit(ctx, []byte("one"))
 	is.NoErr(err)
 	g.stops[1]()
 	g.stops[2]()
 	short, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
-	_, err = g.peers[0].Submit(short, []byte("two"))
+	_, err = g.processes[0].Submit(short, []byte("two"))
 	is.True(err != nil)
-	_, err = g.peers[0].Read(short)
+	_, err = g.processes[0].Read(short)
 	is.True(err != nil)
 	g.start(1, false)
-	_, err = g.peers[0].Submit(ctx, []byte("three"))
+	_, err = g.processes[0].Submit(ctx, []byte("three"))
 	is.NoErr(err)
 }
--- a/coord/embed/example_test.go
+++ b/coord/embed/example_test.go
@@ -11,16 +11,17 @@
 	"reachspread/coord/embed"
 )
 
-// note is a state of one text. Writing the same text twice changes nothing, so an order may come again.
+// note is a state of one text. Writing the same text twice changes nothing, so commands are idempotent.
 type note struct{ text string }
 
-func (n *note) Decide(order []byte) (change, reply []byte) { return order, []byte("written") }
-func (n *note) Apply(change []byte)                        { n.text = string(change) }
-func (n *note) Snapshot() []byte                           { return []byte(n.text) }
-func (n *note) Restore(snapshot []byte) error              { n.text = string(snapshot); return nil }
-func (n *note) Value() any                                 { return n.text }
+func (n *note) Decide(command []byte) (change, reply []byte) { return command, []byte("written") }
+func (n *note) Apply(change []byte)                          { n.text = string(change) }
+func (n *note) Snapshot() []byte                             { return []byte(n.text) }
+func (n *note) Restore(snapshot []byte) error                { n.text = string(snapshot); return nil }
+func (n *note) Value() any                                   { return n.text }
 
-// Three processes share a register: what one writes, another reads, also after a third one is gone. Each would be a program of its own.
+// Three processes share a register: what one writes another reads, also once the third one is down. Each
+// would be a program of its own.
 func Example() {
 	folder, _ := os.MkdirTemp("", "register")
 	defer os.RemoveAll(folder)
@@ -28,10 +29,10 @@
 	for i := range 3 {
 		seeds = append(seeds, netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 66, 0, byte(i + 1)}), 7680))
 	}
-	var peers []*embed.Peer
+	var processes []*embed.Process
 	var stops []context.CancelFunc
 	for i, address := range seeds {
-		p, err := embed.New(embed.Options{Address: address, Seeds: seeds, Folder: filepath.Join(folder, fmt.Sprint(i)), First: true, Tolerance: 1, Machine: &note{}})
+		p, err := embed.New(embed.Options{Address: address, Seeds: seeds, Folder: filepath.Join(folder, fmt.Sprint(i)), FirstStart: true, Tolerance: 1, Machine: &note{}})
 		if err != nil {
 			fmt.Println(err)
 			return
@@ -39,19 +40,19 @@
 		ctx, stop := context.WithCancel(context.Background())
 		defer stop()
 		go p.Run(ctx)
-		peers, stops = append(peers, p), append(stops, stop)
+		processes, stops = append(processes, p), append(stops, stop)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	reply, err := peers[0].Submit(ctx, []byte("a first note"))
+	reply, err := processes[0].Submit(ctx, []byte("a first note"))
 	fmt.Println(string(reply), err)
-	text, err := peers[1].Read(ctx)
+	text, err := processes[1].Read(ctx)
 	fmt.Println(string(text), err)
 
-	stops[2]() // the others go on without it
-	reply, err = peers[1].Submit(ctx, []byte("a second note"))
+	stops[2]() // the others continue without it
+	reply, err = processes[1].Submit(ctx, []byte("a second note"))
 	fmt.Println(string(reply), err)
-	text, err = peers[0].Read(ctx)
+	text, err = processes[0].Read(ctx)
 	fmt.Println(string(text), err)
 	// Output:
 	// written <nil>
--- a/coord/embed/golden_test.go
+++ b/coord/embed/golden_test.go
@@ -13,7 +13,7 @@
 // The folders below testdata/golden are those of three processes on the addresses 127.67.9.1 to 127.67.9.3, stopped after a few orders by
 // the code of commit 5bfcc27:
 //
-//	go test ./coord/embed -run TestGolden -write-golden
+//	go test ./coord/embed -run TestGoldenFoldersOfThreeProcesses -write-golden
 //
 // They are never written again: a later version has to go on from them as they are.
 var writeGolden = flag.Bool("write-golden", false, "write testdata/golden in place of a start on it")
@@ -26,8 +26,8 @@
 // goldenIdentities are those of the processes that wrote the folders.
 var goldenIdentities = []uint64{13286635060248893229, 14552921678484771279, 2856205162335355595}
 
-// Processes that begin on what others kept have their identities and their state, and take orders on top.
-func TestGolden(t *testing.T) {
+// Processes that start on golden folders have their identities and state, and commit further commands.
+func TestGoldenFoldersOfThreeProcesses(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithTimeout(t.Context(), patience)
 	defer cancel()
@@ -39,31 +39,31 @@
 	}
 	g := newGroupOn(t, folder, goldenNetwork, len(goldenIdentities), *writeGolden)
 	if *writeGolden {
-		for _, order := range []string{"one", "two", "the last one"} {
-			_, err := g.peers[0].Submit(ctx, []byte(order))
+		for _, command := range []string{"one", "two", "the last one"} {
+			_, err := g.processes[0].Submit(ctx, []byte(command))
 			is.NoErr(err)
 		}
 		t.Log(identities(g))
 		return
 	}
 	is.Equal(identities(g), goldenIdentities)
-	snapshot, err := g.peers[1].Read(ctx)
+	snapshot, err := g.processes[1].Read(ctx)
 	is.NoErr(err)
 	is.Equal(string(snapshot), "the last one")
-	_, err = g.peers[2].Submit(ctx, []byte("one more"))
+	_, err = g.processes[2].Submit(ctx, []byte("one more"))
 	is.NoErr(err)
-	snapshot, err = g.peers[0].Read(ctx)
+	snapshot, err = g.processes[0].Read(ctx)
 	is.NoErr(err)
 	is.Equal(string(snapshot), "one more")
-	view := g.peers[0].Status().View
-	is.True(view.Epoch > 1) // it goes on after the one that was kept
+	view := g.processes[0].Status().View
+	is.True(view.Epoch > 1) // it comes after the persisted one
 	for _, m := range view.Members {
 		is.True(slices.Contains(goldenIdentities, m.Identity))
 	}
 }
 
 func identities(g *group) (all []uint64) {
-	for _, p := range g.peers {
+	for _, p := range g.processes {
 		all = append(all, p.Status().Identity)
 	}
 	return all
