--- a/internal/router/quorum/explore_test.go
+++ b/internal/router/quorum/explore_test.go
@@ -19,8 +19,8 @@
 
 var measure = flag.Bool("measure", false, "run the measurements")
 
-// word is what goes between voters and clients in the explorer.
-type word struct{ what, data string }
+// packet goes between voters and clients in the explorer.
+type packet struct{ kind, data string }
 
 const (
 	toVoter  = "voter"
@@ -29,12 +29,12 @@
 )
 
 var (
-	exploreTimes = lease.Timing{Duration: 2 * time.Second, ClockAllowance: 10 * time.Millisecond, Margin: 100 * time.Millisecond}
-	errOverlap   = errors.New("two act under the duty")
-	errApplied   = errors.New("two voters apply different commands")
+	exploreTiming = lease.Timing{Duration: 2 * time.Second, ClockAllowance: 10 * time.Millisecond, Margin: 100 * time.Millisecond}
+	errOverlap    = errors.New("two act under the role")
+	errApplied    = errors.New("two voters apply different commands")
 )
 
-// exploredVoter is a voter that is believed, with its disk.
+// exploredVoter is a voter whose store is trusted, with its disk.
 type exploredVoter struct {
 	n       int
 	v       *Voter
@@ -58,13 +58,13 @@
 		Snapshot:  &raftpb.Snapshot{Data: data, Metadata: &raftpb.SnapshotMetadata{Index: &one, Term: &one, ConfState: &raftpb.ConfState{Voters: voters}}}}
 }
 
-func newExplored(n, life int, disk StoredState, leaseTime time.Duration) *exploredVoter {
-	times := exploreTimes
-	times.Duration = leaseTime
+func newExplored(n, process int, disk StoredState, leaseTime time.Duration) *exploredVoter {
+	timing := exploreTiming
+	timing.Duration = leaseTime
 	x := &exploredVoter{n: n, disk: disk, past: xxhash.New(), applied: map[uint64]string{}}
 	var err error
-	x.v, err = New(Config{Self: fmt.Sprint(n), Candidates: []string{"0", "1", "2"}, Voters: 3, Roles: []lease.Role{{Name: "d"}}, Timing: times, ReplaceTimeout: time.Hour,
-		Boot: uint32(10*life + n + 1), TickInterval: time.Second, TrustStore: true}, disk.Clone(), 0)
+	x.v, err = New(Config{Self: fmt.Sprint(n), Candidates: []string{"0", "1", "2"}, Voters: 3, Roles: []lease.Role{{Name: "d"}}, Timing: timing, ReplaceTimeout: time.Hour,
+		Boot: uint32(10*process + n + 1), TickInterval: time.Second, TrustStore: true}, disk.Clone(), 0)
 	if err != nil {
 		panic(err)
 	}
@@ -75,15 +75,15 @@
 	return x
 }
 
-func (x *exploredVoter) step(now time.Duration, e Event) (o explorer.Out[word]) {
+func (x *exploredVoter) step(now time.Duration, e Event) (o explorer.Out[packet]) {
 	for _, a := range x.v.Step(now, e) {
 		switch a := a.(type) {
 		case Persist:
 			x.disk = *x.disk.Apply(&a)
 		case Send:
-			o.Send = append(o.Send, explorer.Send[word]{To: int(a.To[0] - '0'), Msg: word{between, string(a.Data)}})
+			o.Send = append(o.Send, explorer.Send[packet]{To: int(a.To[0] - '0'), Msg: packet{between, string(a.Data)}})
 		case SendReply:
-			o.Send = append(o.Send, explorer.Send[word]{To: int(a.To[0] - '0'), Msg: word{toClient, string(a.Reply.Encode())}})
+			o.Send = append(o.Send, explorer.Send[packet]{To: int(a.To[0] - '0'), Msg: packet{toClient, string(a.Reply.Encode())}})
 		case Applied:
 			x.applied[a.Index] = fmt.Sprint(a.Command.Kind, a.Command.Router, a.Result, a.Changes)
 		}
@@ -92,15 +92,15 @@
 	return o
 }
 
-func (x *exploredVoter) Start(now time.Duration) explorer.Out[word] { return x.step(now, Tick{}) }
-func (x *exploredVoter) Wake(now time.Duration) explorer.Out[word] {
+func (x *exploredVoter) Start(now time.Duration) explorer.Out[packet] { return x.step(now, Tick{}) }
+func (x *exploredVoter) Wake(now time.Duration) explorer.Out[packet] {
 	fmt.Fprint(x.past, "wake", now)
 	return x.step(now, Tick{})
 }
-func (x *exploredVoter) Receive(now time.Duration, from int, m word) explorer.Out[word] {
-	fmt.Fprint(x.past, m.what, now, from)
+func (x *exploredVoter) Receive(now time.Duration, from int, m packet) explorer.Out[packet] {
+	fmt.Fprint(x.past, m.kind, now, from)
 	io.WriteString(x.past, m.data)
-	if m.what == between {
+	if m.kind == between {
 		return x.step(now, MessageReceived{Data: []byte(m.data)})
 	}
 	q, _, err := lease.Decode([]byte(m.data))
@@ -111,38 +111,38 @@
 }
 func (x *exploredVoter) Write(h hash.Hash64) { fmt.Fprint(h, x.past.Sum64()) }
 
-// exploredClient is an agent that wants the duty.
+// exploredClient is an agent that wants the role.
 type exploredClient struct {
 	n    int
 	a    *lease.Agent
 	past *xxhash.Digest
 }
 
-func newExploredClient(n, life int) *exploredClient {
-	a, err := lease.NewAgent(lease.AgentConfig{Self: lease.Router{Name: fmt.Sprint(n), Boot: uint32(10*life + n + 1)}, Timing: exploreTimes, Voters: []string{"0"}})
+func newExploredClient(n, process int) *exploredClient {
+	a, err := lease.NewAgent(lease.AgentConfig{Self: lease.Router{Name: fmt.Sprint(n), Boot: uint32(10*process + n + 1)}, Timing: exploreTiming, Voters: []string{"0"}})
 	if err != nil {
 		panic(err)
 	}
 	return &exploredClient{n, a, xxhash.New()}
 }
 
-func (c *exploredClient) out(all []lease.Action) (o explorer.Out[word]) {
+func (c *exploredClient) out(all []lease.Action) (o explorer.Out[packet]) {
 	for _, a := range all {
 		if ask, ok := a.(lease.SendRequest); ok {
-			o.Send = append(o.Send, explorer.Send[word]{To: int(ask.To[0] - '0'), Msg: word{toVoter, string(ask.Request.Encode())}})
+			o.Send = append(o.Send, explorer.Send[packet]{To: int(ask.To[0] - '0'), Msg: packet{toVoter, string(ask.Request.Encode())}})
 		}
 	}
 	o.Wake = c.a.Next()
 	return o
 }
-func (c *exploredClient) Start(now time.Duration) explorer.Out[word] {
+func (c *exploredClient) Start(now time.Duration) explorer.Out[packet] {
 	return c.out(c.a.Acquire(now, "d"))
 }
-func (c *exploredClient) Wake(now time.Duration) explorer.Out[word] {
+func (c *exploredClient) Wake(now time.Duration) explorer.Out[packet] {
 	fmt.Fprint(c.past, "wake", now)
 	return c.out(c.a.Tick(now))
 }
-func (c *exploredClient) Receive(now time.Duration, from int, m word) explorer.Out[word] {
+func (c *exploredClient) Receive(now time.Duration, from int, m packet) explorer.Out[packet] {
 	fmt.Fprint(c.past, now, from)
 	io.WriteString(c.past, m.data)
 	if _, r, err := lease.Decode([]byte(m.data)); err == nil && r != nil {
@@ -152,27 +152,28 @@
 }
 func (c *exploredClient) Write(h hash.Hash64) { fmt.Fprint(h, c.past.Sum64()) }
 
-// begun has three voters of which the first leads, and two clients of which the first holds the duty and the second waits, each as it is
-// then. If woken, the leader has waken once since, and what it told the second client is still under way.
-func begun(lease time.Duration, woken bool) (all []explorer.Node[word], held []explorer.Send[word]) {
-	nodes := []explorer.Node[word]{newExplored(0, 0, founded(0), lease), newExplored(1, 0, founded(1), lease), newExplored(2, 0, founded(2), lease), newExploredClient(3, 0), newExploredClient(4, 0)}
+// begun has three voters of which the first leads, and two clients of which the first has the role
+// and the second is queued, each as it is then. If woken, the leader has woken once since, and what
+// it sent to the second client is still in flight.
+func begun(lease time.Duration, woken bool) (all []explorer.Node[packet], inFlight []explorer.Send[packet]) {
+	nodes := []explorer.Node[packet]{newExplored(0, 0, founded(0), lease), newExplored(1, 0, founded(1), lease), newExplored(2, 0, founded(2), lease), newExploredClient(3, 0), newExploredClient(4, 0)}
 	type flying struct {
 		from int
-		s    explorer.Send[word]
+		s    explorer.Send[packet]
 	}
 	var air []flying
 	second := false
-	take := func(n int, o explorer.Out[word]) {
+	take := func(n int, o explorer.Out[packet]) {
 		for _, s := range o.Send {
 			air = append(air, flying{n, s})
 		}
 	}
-	settle := func() {
+	deliver := func() {
 		for len(air) > 0 {
 			m := air[0]
 			air = air[1:]
 			if second && m.s.To == 4 {
-				held = append(held, m.s)
+				inFlight = append(inFlight, m.s)
 				continue
 			}
 			take(m.s.To, nodes[m.s.To].Receive(0, m.from, m.s.Msg))
@@ -184,61 +185,61 @@
 	first := nodes[0].(*exploredVoter)
 	first.v.nextElectionAt = 0
 	take(0, first.step(0, Tick{}))
-	settle()
+	deliver()
 	for n := 3; n < 5; n++ {
 		take(n, nodes[n].Start(0))
-		settle()
+		deliver()
 	}
 	if woken {
 		second = true
 		take(0, first.Wake(first.v.Next()))
-		settle()
+		deliver()
 	}
-	return nodes, held
+	return nodes, inFlight
 }
 
 // started makes an explorer start a node where begun has left it, with what it had sent.
 type started struct {
-	explorer.Node[word]
-	sent []explorer.Send[word]
+	explorer.Node[packet]
+	sent []explorer.Send[packet]
 }
 
-func (s started) Start(now time.Duration) explorer.Out[word] {
+func (s started) Start(now time.Duration) explorer.Out[packet] {
 	switch x := s.Node.(type) {
 	case *exploredVoter:
-		return explorer.Out[word]{Wake: x.v.Next(), Send: s.sent}
+		return explorer.Out[packet]{Wake: x.v.Next(), Send: s.sent}
 	case *exploredClient:
-		return explorer.Out[word]{Wake: x.a.Next()}
+		return explorer.Out[packet]{Wake: x.a.Next()}
 	}
-	return explorer.Out[word]{}
+	return explorer.Out[packet]{}
 }
 
-func inner(n explorer.Node[word]) explorer.Node[word] {
+func inner(n explorer.Node[packet]) explorer.Node[packet] {
 	if s, ok := n.(started); ok {
 		return s.Node
 	}
 	return n
 }
 
-func exploring(lease time.Duration, woken bool, depth int, budget explorer.Budget) explorer.Question[word] {
-	var fresh []explorer.Node[word]
-	var held []explorer.Send[word]
-	return explorer.Question[word]{Nodes: 5, Depth: depth, Skew: time.Millisecond, Budget: budget, Order: true,
-		Show: func(m word) string { return m.what },
-		Make: func(n, life int, last explorer.Node[word]) explorer.Node[word] {
+func exploring(lease time.Duration, woken bool, depth int, budget explorer.Budget) explorer.Question[packet] {
+	var fresh []explorer.Node[packet]
+	var inFlight []explorer.Send[packet]
+	return explorer.Question[packet]{Nodes: 5, Depth: depth, Skew: time.Millisecond, Budget: budget, Order: true,
+		Show: func(m packet) string { return m.kind },
+		Make: func(n, process int, last explorer.Node[packet]) explorer.Node[packet] {
 			switch {
-			case life == 0:
+			case process == 0:
 				if n == 0 { // a new path begins
-					fresh, held = begun(lease, woken)
-					return started{fresh[n], held}
+					fresh, inFlight = begun(lease, woken)
+					return started{fresh[n], inFlight}
 				}
 				return started{fresh[n], nil}
 			case n < 3:
-				return newExplored(n, life, *inner(last).(*exploredVoter).disk.Clone(), lease)
+				return newExplored(n, process, *inner(last).(*exploredVoter).disk.Clone(), lease)
 			}
-			return newExploredClient(n, life)
+			return newExploredClient(n, process)
 		},
-		Holds: func(nodes []explorer.Node[word], now []time.Duration) error {
+		Holds: func(nodes []explorer.Node[packet], now []time.Duration) error {
 			acts, all := 0, map[uint64]string{}
 			for i, n := range nodes {
 				switch x := inner(n).(type) {
@@ -262,14 +263,15 @@
 		}}
 }
 
-// All orders of three voters and two clients, from the moment at which one of them holds the duty and the other waits, with a lost
-// message, a copy, a crash and a standstill. Voters that count a shorter lease than holders do are found.
-func TestExploreVoters(t *testing.T) {
+// All orders of three voters and two clients, from the moment at which one of them has the role and
+// the other is queued, with a lost message, a duplicate, a crash and a pause. Voters that count a
+// shorter lease than holders do are found.
+func TestNoTwoActInAnyOrderOfThreeVoters(t *testing.T) {
 	depth, states := 4, 20_000
 	if *measure {
 		depth, states = 6, 600_000
 	}
-	q := exploring(exploreTimes.Duration, false, depth, explorer.Budget{Losses: 1, Copies: 1, Crashes: 1, Pauses: 1})
+	q := exploring(exploreTiming.Duration, false, depth, explorer.Budget{Losses: 1, Copies: 1, Crashes: 1, Pauses: 1})
 	q.States = states
 	answer, err := explorer.Explore(q)
 	if err != nil {
--- a/internal/router/quorum/golden_test.go
+++ b/internal/router/quorum/golden_test.go
@@ -47,7 +47,8 @@
 	}
 }
 
-// What voters agree on and keep, and send each other as entries and snapshots, has the bytes that it had at commit 5bfcc27.
+// What voters agree on and keep, and send each other as entries and snapshots, has the bytes that
+// it had at commit 5bfcc27.
 func TestProposalsAndSnapshotsKeepTheirBytes(t *testing.T) {
 	with := lease.Role{Name: "reports", MaxHolders: 2, PreferredZones: []string{"north", "south"}, ByZone: true}
 	p := proposal{Number: 1 << 40, Command: lease.Command{Kind: lease.DefineRole, Role: "reports@south", Router: lease.Router{Name: "router-1", Boot: 0xfedcba98, Zone: "south"}, Token: 9, Renewals: 10,
--- a/internal/router/quorum/wire.go
+++ b/internal/router/quorum/message.go
@@ -10,35 +10,39 @@
 	"reachspread/internal/router/lease"
 )
 
+// wireVersion is that of messages between candidates.
 const wireVersion = 1
 
-// message is what goes between routers that may vote. A hello has no Raft.
+// message goes between candidates: a hello or a message of the engine.
 type message struct {
 	V      int    `json:"v"`
 	Group  uint64 `json:"g"`
 	From   Node   `json:"f"`
 	To     uint64 `json:"t,omitempty"` // a store
-	Starts uint64 `json:"s"`
-	Boot   uint32 `json:"b"`
+	Starts uint64 `json:"s"`           // of the sender's store
+	Boot   uint32 `json:"b"`           // of the sender's process
 	Raft   []byte `json:"r,omitempty"`
 	Hello  *hello `json:"h,omitempty"`
 }
 
-// hello is what a router says of its store, and of the one that it answers.
+// hello describes a candidate's store and, in a reply, says what it knows of the store that the
+// reply is to.
 type hello struct {
 	Stage               Stage
 	Term                uint64
-	LastTerm, LastIndex uint64
+	LastTerm, LastIndex uint64   // of its log
 	HighestToken        uint64   `json:"Token"`
 	Members             []Node   `json:"Nodes,omitempty"`
 	Voters              []uint64 `json:",omitempty"`
 	Applied             uint64
 	Leader              string `json:",omitempty"`
-	WantsReply          bool   `json:"Wants,omitempty"`  // an answer
-	ReplyToStore        uint64 `json:"Of,omitempty"`     // the store that it answers
-	ReplyToBoot         uint32 `json:"OfBoot,omitempty"` // and the process, and its start of the store: an answer to an earlier one says nothing
-	ReplyToStarts       uint64 `json:"OfStart,omitempty"`
-	Stale               string `json:"Older,omitempty"` // why that store is an older copy; empty for none
+	WantsReply          bool   `json:"Wants,omitempty"`
+	// The store, the process and the start of the store that a reply is to: one to an earlier
+	// process says nothing.
+	ReplyToStore  uint64 `json:"Of,omitempty"`
+	ReplyToBoot   uint32 `json:"OfBoot,omitempty"`
+	ReplyToStarts uint64 `json:"OfStart,omitempty"`
+	Stale         string `json:"Older,omitempty"` // why that store is an older copy; empty if it isn't
 }
 
 func (m *message) encode() []byte {
@@ -61,7 +65,7 @@
 	return m, nil
 }
 
-// FromOf is the name of who sent a message, as it says itself.
+// SenderOf returns the name of the candidate that sent a message, as it says itself.
 func SenderOf(b []byte) (string, error) {
 	m, err := decode(b)
 	if err != nil {
@@ -70,13 +74,13 @@
 	return m.From.Name, nil
 }
 
-// proposal is a command on its way into the log.
+// proposal is the content of a log entry.
 type proposal struct {
-	Number  uint64        `json:"N"` // by which the leader finds who waits
+	Number  uint64        `json:"N"` // by which the leader finds the pending request
 	Command lease.Command `json:"C"`
 }
 
-// state is a snapshot's content.
+// snapshotContent is the content of a snapshot of the log.
 type snapshotContent struct {
 	Members []Node `json:"Nodes"`
 	Table   lease.State
--- a/internal/router/quorum/voter.go
+++ b/internal/router/quorum/voter.go
@@ -1,8 +1,6 @@
 package quorum
 
 import (
-	"fmt"
-	"maps"
 	"math/rand/v2"
 	"slices"
 	"time"
@@ -13,51 +11,69 @@
 	"reachspread/internal/router/lease"
 )
 
-// Voter is a router that may vote. See the package.
+// Voter is a candidate: a router that may vote.
 type Voter struct {
 	config    Config
 	rng       *rand.Rand
 	now       time.Duration
-	actions   []Action
+	actions   []Action // of the present Step
+	startedAt time.Duration
+
+	// What is stored.
 	meta      Meta
-	hardState *raftpb.HardState // as last kept; for seals
-	lastEntry [2]uint64         // the log's last term and index, as found
+	metaDirty bool // meta is to be persisted with the next write
+	hardState *raftpb.HardState
+	lastEntry entryID // of the log, as found at the start
 
-	raft          *raft.RawNode // nil until it takes part
+	// The engine, and what it has committed.
+	raft          *raft.RawNode // nil until this candidate takes part
 	storage       *raft.MemoryStorage
-	table         *lease.Table
-	applied       uint64
 	confState     *raftpb.ConfState
+	table         *lease.Table
+	applied       uint64 // index
 	snapshotIndex uint64
-	metaDirty     bool // meta is to be kept with the next write
 
-	alive       map[string]bool // nil until the view has spoken
-	lostSince   map[string]time.Duration
-	hellos      map[string]receivedHello
-	confirmedBy map[uint64]bool   // stores that found the own one whole
-	storeIDs    map[string]uint64 // by name, as shown last
-
-	startedAt, nextHelloAt, nextReconfigureAt, nextTickAt, nextQueueCheckAt time.Duration
-	leaderSeenAt, nextElectionAt                                            time.Duration
-	leaderlessSince                                                         time.Duration // since when there has been none
-	leaderless                                                              bool
-	wasLeader                                                               bool
-
-	proposals     uint64
-	pending       map[uint64]pendingRequest
-	renewedAt     map[uint64]time.Duration // by token, of the last renewal
+	// What is known of the others.
+	alive       map[string]bool          // nil until the first Membership
+	lostSince   map[string]time.Duration // candidates that are not alive
+	hellos      map[string]receivedHello // by candidate, the last one
+	confirmedBy map[uint64]bool          // stores that found nothing newer of the own store
+	storeIDs    map[string]uint64        // by candidate, as shown last
+
+	// Timers.
+	nextHelloAt       time.Duration
+	nextReconfigureAt time.Duration
+	nextTickAt        time.Duration
+	nextQueueCheckAt  time.Duration
+	leaderSeenAt      time.Duration
+	nextElectionAt    time.Duration
+
+	// Leadership.
+	leaderlessSince time.Duration
+	leaderless      bool // operators have been told
+	wasLeader       bool
+
+	// The leader's, and cleared when leadership changes; renewedAt is also kept by followers.
+	proposals     uint64                    // made so far
+	pending       map[uint64]pendingRequest // by proposal
+	renewedAt     map[uint64]time.Duration  // by token
 	notifications map[uint64]grantNotification
-	reservedAt    map[uint64]time.Duration
+	reservedAt    map[uint64]time.Duration // by token of the grant that was given back
 
 	counters Counters
 }
 
+// entryID is the term and the index of a log entry.
+type entryID struct{ term, index uint64 }
+
+// pendingRequest is a request whose command is not committed yet.
 type pendingRequest struct {
 	router string
 	id     uint32
 	boot   uint32
 }
 
+// grantNotification is a grant whose holder is told of it until it renews.
 type grantNotification struct{ since, nextAt time.Duration }
 
 type receivedHello struct {
@@ -65,83 +81,74 @@
 	message *message
 }
 
-// Figures are counters of a Voter.
-type Counters struct {
-	Commands, Elections, Snapshots, Rejected uint64
-}
-
-// New returns a Voter that starts now, with what its folder has: nil for an empty one. The first actions are those of the first Step.
+// New returns a Voter that starts now with what its disk has, nil for an empty one. Its first
+// actions are those of the first Step.
 func New(c Config, s *StoredState, now time.Duration) (*Voter, error) {
-	switch {
-	case len(c.Candidates) == 0 || len(c.Candidates) > MaxCandidates:
-		return nil, fmt.Errorf("%d routers may vote; there must be from 1 to %d", len(c.Candidates), MaxCandidates)
-	case !slices.Contains([]int{1, 3, 5, 7}, c.Voters):
-		return nil, fmt.Errorf("%d voters; there must be 1, 3, 5 or 7", c.Voters)
-	case c.Voters > len(c.Candidates):
-		return nil, fmt.Errorf("%d voters of %d routers that may vote", c.Voters, len(c.Candidates))
-	case !slices.Contains(c.Candidates, c.Self):
-		return nil, fmt.Errorf("%s is not among those that may vote", c.Self)
-	}
-	if err := c.Timing.Validate(); err != nil {
-		return nil, err
-	}
-	if _, err := lease.NewTable(c.Roles, 0); err != nil {
+	if err := c.validate(); err != nil {
 		return nil, err
 	}
-	if c.TickInterval == 0 {
-		c.TickInterval = TickInterval
+	v := &Voter{
+		config: c, rng: rand.New(rand.NewPCG(c.Seed, uint64(c.Boot))),
+		now: now, startedAt: now, leaderlessSince: now,
+		hellos: map[string]receivedHello{}, lostSince: map[string]time.Duration{},
+		confirmedBy: map[uint64]bool{}, storeIDs: map[string]uint64{},
 	}
-	v := &Voter{config: c, now: now, startedAt: now, leaderlessSince: now, rng: rand.New(rand.NewPCG(c.Seed, uint64(c.Boot))), hellos: map[string]receivedHello{},
-		lostSince: map[string]time.Duration{}, confirmedBy: map[uint64]bool{}, storeIDs: map[string]uint64{}}
-	switch {
-	case s == nil:
+	v.openStore(s)
+	return v, nil
+}
+
+// openStore takes over what the disk has, or begins a new store where that can't be used.
+func (v *Voter) openStore(s *StoredState) {
+	if s == nil {
 		v.newStore(0)
-	case s.Meta.Name != c.Self:
+		return
+	}
+	if s.Meta.Name != v.config.Self {
 		v.notice(NoticeRejoining, "the folder is "+s.Meta.Name+"'s")
 		v.newStore(0)
-	default:
-		v.meta = s.Meta
-		v.meta.Starts++
-		if v.meta.StoreRecords == nil {
-			v.meta.StoreRecords = map[uint64]StoreRecord{}
-		}
-		v.hardState = s.HardState
-		if err := v.load(s); err != nil {
-			v.notice(NoticeRejoining, err.Error())
-			v.newStore(0)
-			break
-		}
-		v.actions = append(v.actions, Persist{Meta: v.cloneMeta()})
+		return
 	}
-	return v, nil
+	v.meta = s.Meta
+	v.meta.Starts++
+	if v.meta.StoreRecords == nil {
+		v.meta.StoreRecords = map[uint64]StoreRecord{}
+	}
+	v.hardState = s.HardState
+	if err := v.load(s); err != nil {
+		v.notice(NoticeRejoining, err.Error())
+		v.newStore(0)
+		return
+	}
+	v.actions = append(v.actions, Persist{Meta: v.cloneMeta()})
 }
 
-// renew begins a store that nobody has seen, of a group or of none yet.
+// newStore begins a store that nobody has seen, of a group or, with 0, of none yet.
 func (v *Voter) newStore(group uint64) {
-	token, seals := v.meta.HighestToken, v.meta.StoreRecords
-	if seals == nil {
-		seals = map[uint64]StoreRecord{}
+	token, records := v.meta.HighestToken, v.meta.StoreRecords
+	if records == nil {
+		records = map[uint64]StoreRecord{}
 	}
-	v.meta = Meta{Version: 1, ID: v.rng.Uint64()>>1 | 1, Name: v.config.Self, Group: group, Starts: 1, HighestToken: token, StoreRecords: seals}
-	v.raft, v.storage, v.hardState, v.confState, v.applied, v.lastEntry = nil, raft.NewMemoryStorage(), nil, nil, 0, [2]uint64{}
+	v.meta = Meta{Version: storeFormat, ID: v.rng.Uint64()>>1 | 1, Name: v.config.Self, Group: group, Starts: firstStart, HighestToken: token, StoreRecords: records}
+	v.raft, v.storage, v.hardState, v.confState = nil, raft.NewMemoryStorage(), nil, nil
+	v.applied, v.lastEntry = 0, entryID{}
 	v.confirmedBy, v.wasLeader = map[uint64]bool{}, false
-	v.table, _ = lease.NewTable(nil, 0)
+	v.table, _ = lease.NewTable(nil, 0) // without roles it can't fail
 	v.actions = append(v.actions, Persist{Reset: true, Meta: v.cloneMeta()})
 }
 
-// metaNow returns a copy that may be kept.
+// cloneMeta returns a copy of meta that may be persisted.
 func (v *Voter) cloneMeta() *Meta {
-	m := v.meta
-	m.Members, m.Voters, m.StoreRecords = slices.Clone(m.Members), slices.Clone(m.Voters), maps.Clone(m.StoreRecords)
+	m := v.meta.clone()
 	v.metaDirty = false
 	return &m
 }
 
-func (v *Voter) notice(what NoticeKind, cause string) {
-	v.actions = append(v.actions, Notice{what, cause})
+func (v *Voter) notice(kind NoticeKind, cause string) {
+	v.actions = append(v.actions, Notice{kind, cause})
 }
 
-// Step takes one event at a time that never goes back, and returns what is to be done, in order.
+// Step takes in one event at a time, and returns what is to be done, in order. Now must not go
+// back.
 func (v *Voter) Step(now time.Duration, e Event) []Action {
 	v.now = max(now, v.now)
 	switch e := e.(type) {
@@ -170,37 +177,51 @@
 	return out
 }
 
-// due does what the time calls for.
+// Next returns when Step is to be called at the latest.
+func (v *Voter) Next() time.Duration {
+	next := v.nextHelloAt
+	if v.raft == nil {
+		return next
+	}
+	if v.isLeader() {
+		return min(next, v.nextTickAt)
+	}
+	return min(next, v.nextElectionAt)
+}
+
+// runTimers does what the time calls for.
 func (v *Voter) runTimers() {
 	if v.now >= v.nextHelloAt {
 		v.sendHellos(v.raft == nil || v.stage() == Joining || v.Leader() == "")
 	}
-	if v.raft == nil {
+	switch {
+	case v.raft == nil:
 		v.join()
-	} else {
-		v.runMemberTimers()
+	case v.isLeader():
+		v.runLeaderTimers()
+	default:
+		v.runFollowerTimers()
 	}
 	v.reportLeadership()
 }
 
-// timers are those of a member.
-func (v *Voter) runMemberTimers() {
-	if v.isLeader() {
-		if v.now >= v.nextTickAt {
-			for n := 0; v.now >= v.nextTickAt && n < 4; n++ { // after a standstill not all of them
-				v.raft.Tick()
-				v.nextTickAt += v.config.TickInterval
-			}
-			v.nextTickAt = max(v.nextTickAt, v.now+v.config.TickInterval/2)
-		}
-		v.processReady()
-		if v.isLeader() {
-			v.expireLeases()
-			v.reconfigure()
+func (v *Voter) runLeaderTimers() {
+	if v.now >= v.nextTickAt {
+		for n := 0; v.now >= v.nextTickAt && n < maxTicksAtOnce; n++ {
+			v.raft.Tick()
+			v.nextTickAt += v.config.TickInterval
 		}
-		return
+		v.nextTickAt = max(v.nextTickAt, v.now+v.config.TickInterval/2)
+	}
+	v.processReady()
+	if v.isLeader() {
+		v.expireLeases()
+		v.reconfigure()
 	}
-	if v.now >= v.leaderSeenAt+electionTimeoutTicks*v.config.TickInterval && v.raft.BasicStatus().Lead != raft.None {
+}
+
+func (v *Voter) runFollowerTimers() {
+	if v.now >= v.leaderSeenAt+v.config.electionTimeout() && v.raft.BasicStatus().Lead != raft.None {
 		v.raft.ForgetLeader() // so that it may vote for another
 	}
 	if v.now >= v.nextElectionAt {
@@ -208,140 +229,16 @@
 			v.counters.Elections++
 			v.raft.Campaign()
 		}
-		v.nextElectionAt = v.now + electionTimeoutTicks*v.config.TickInterval/2 + v.jitter(electionJitterTicks*v.config.TickInterval)
+		v.nextElectionAt = v.now + v.config.electionTimeout()/2 + v.electionJitter()
 	}
 }
 
-func (v *Voter) jitter(d time.Duration) time.Duration { return time.Duration(v.rng.Int64N(int64(d))) }
-
-// leaderHeard puts the next election off.
+// resetElectionTimer puts the next election off, as the leader was heard.
 func (v *Voter) resetElectionTimer() {
 	v.leaderSeenAt = v.now
-	v.nextElectionAt = v.now + electionTimeoutTicks*v.config.TickInterval + v.jitter(electionJitterTicks*v.config.TickInterval)
-}
-
-func (v *Voter) isLeader() bool {
-	return v.raft != nil && v.raft.BasicStatus().RaftState == raft.StateLeader
-}
-
-// tellLeader has the log know if duties stop and go on.
-func (v *Voter) reportLeadership() {
-	if v.Leader() != "" {
-		v.leaderlessSince = v.now
-		if v.leaderless {
-			v.leaderless = false
-			v.notice(NoticeLeaderElected, "led by "+v.Leader())
-		}
-		return
-	}
-	if !v.leaderless && v.now >= v.leaderlessSince+leaderlessNoticeDelay {
-		v.leaderless = true
-		cause := "no majority of the voters can be reached"
-		if gone := v.votersWithLostStore(); len(gone) > 0 {
-			cause = fmt.Sprintf("the disks of %v are gone", gone)
-			if 2*len(gone) > len(v.meta.Voters) {
-				cause += ", a majority: see fleet duties rebuild"
-			}
-		}
-		v.notice(NoticeNoLeader, cause)
-	}
+	v.nextElectionAt = v.now + v.config.electionTimeout() + v.electionJitter()
 }
 
-// gone has the members that voted and have shown another store since.
-func (v *Voter) votersWithLostStore() (names []string) {
-	for _, n := range v.meta.Members {
-		if h, ok := v.hellos[n.Name]; ok && slices.Contains(v.meta.Voters, n.ID) && h.message.From.ID != n.ID {
-			names = append(names, n.Name)
-		}
-	}
-	return names
+func (v *Voter) electionJitter() time.Duration {
+	return time.Duration(v.rng.Int64N(int64(electionJitterTicks * v.config.TickInterval)))
 }
-
-// Next is when Step is to be called at the latest.
-func (v *Voter) Next() time.Duration {
-	next := v.nextHelloAt
-	if v.raft == nil {
-		return next
-	}
-	if v.isLeader() {
-		return min(next, v.nextTickAt)
-	}
-	return min(next, v.nextElectionAt)
-}
-
-// Leader is the name of who leads, empty for nobody known.
-func (v *Voter) Leader() string {
-	if v.stage() == Joining || v.stage() == Verifying { // what others say
-		for _, name := range v.config.Candidates {
-			if m, ok := v.recentHello(name); ok && m.Hello.Leader != "" && m.Group == v.meta.Group {
-				return m.Hello.Leader
-			}
-		}
-		return ""
-	}
-	lead := v.raft.BasicStatus().Lead
-	for _, n := range v.meta.Members {
-		if n.ID == lead {
-			return n.Name
-		}
-	}
-	return ""
-}
-
-func (v *Voter) stage() Stage {
-	switch {
-	case v.raft == nil && v.meta.Group != 0 && v.meta.Starts > 1:
-		return Verifying
-	case v.raft == nil || v.confState == nil:
-		return Joining
-	case slices.Contains(v.confState.Voters, v.meta.ID):
-		return Voting
-	case slices.Contains(v.confState.Learners, v.meta.ID):
-		return Learning
-	}
-	return Joining
-}
-
-// Standing is what a Voter shows of itself.
-type Status struct {
-	Stage           Stage
-	Leader          string
-	Term, Index     uint64
-	Group           uint64
-	Leaderless      bool
-	Voters          []string // names
-	Learners        []string
-	HighestToken    uint64
-	RemainingLeases map[uint64]time.Duration // by token, on the leader: until the lease is over
-	Counters        Counters
-	LogEntries      uint64 // entries kept
-}
-
-// Standing returns how things are now.
-func (v *Voter) Status() Status {
-	s := Status{Stage: v.stage(), Leader: v.Leader(), Group: v.meta.Group, Leaderless: v.leaderless, HighestToken: v.meta.HighestToken, Index: v.applied, Counters: v.counters}
-	for _, n := range v.meta.Members {
-		switch {
-		case slices.Contains(v.meta.Voters, n.ID):
-			s.Voters = append(s.Voters, n.Name)
-		default:
-			s.Learners = append(s.Learners, n.Name)
-		}
-	}
-	if v.raft != nil {
-		s.Term = v.raft.BasicStatus().GetTerm()
-		first, _ := v.storage.FirstIndex()
-		last, _ := v.storage.LastIndex()
-		s.LogEntries = last + 1 - first
-	}
-	if v.isLeader() {
-		s.RemainingLeases = map[uint64]time.Duration{}
-		for token, at := range v.renewedAt {
-			s.RemainingLeases[token] = max(at+v.config.Timing.Duration-v.now, 0)
-		}
-	}
-	return s
-}
-
-// Table is what has been agreed on so far. It must be neither kept nor changed.
-func (v *Voter) Table() *lease.Table { return v.table }
