--- a/cmd/reachspread/shadow.go
+++ b/cmd/reachspread/shadow.go
@@ -22,8 +22,8 @@
 	"reachspread/internal/transport"
 )
 
-// reporter is the program that makes reports. It is one of its own, found beside this one: what draws charts would
-// take memory from the router.
+// reporter is the program that makes reports. It is one of its own, found beside this one: what
+// draws charts would take memory from the router.
 const reporter = "reachreport"
 
 func shadowCommand() *cobra.Command {
@@ -138,7 +138,7 @@
 		for _, class := range slices.Sorted(maps.Keys(p.Times)) {
 			x := p.Times[class]
 			row(class+", first event, ms p50/p90/p99", spreads(x.LiveFirst, x.CopyFirst))
-			row(class+", whole answer, ms p50/p90/p99", spreads(x.LiveWhole, x.CopyWhole))
+			row(class+", whole answer, ms p50/p90/p99", spreads(x.LiveTotal, x.CopyTotal))
 		}
 		t.Flush()
 	}
--- a/internal/router/capture/writer.go
+++ b/internal/router/capture/writer.go
@@ -29,14 +29,14 @@
 
 // Writer writes a capture. What it costs a request is one send that never waits.
 type Writer struct {
-	file  *os.File
-	most  int64 // bytes
-	log   Log
-	start time.Time
-	taken chan item
-	done  chan struct{}
-	ended atomic.Bool
-	held  atomic.Bool
+	file      *os.File
+	most      int64 // bytes
+	log       Log
+	start     time.Time
+	taken     chan item
+	done      chan struct{}
+	ended     atomic.Bool
+	suspended atomic.Bool
 
 	written, passed atomic.Uint64 // requests
 }
@@ -59,7 +59,7 @@
 
 // Take leaves a request to be written. One that finds no room is passed over and counted.
 func (w *Writer) Take(a balance.Arrival, came time.Time) {
-	if w.ended.Load() || w.held.Load() {
+	if w.ended.Load() || w.suspended.Load() {
 		return
 	}
 	select {
@@ -69,10 +69,11 @@
 	}
 }
 
-// Hold has nothing be taken, or taken again.
-func (w *Writer) Hold(on bool) { w.held.Store(on) }
+// Suspend has nothing be taken, or taken again.
+func (w *Writer) Suspend(on bool) { w.suspended.Store(on) }
 
-// Counts returns how many requests were written, and how many passed over for want of room in the queue.
+// Counts returns how many requests were written, and how many passed over for want of room in the
+// queue.
 func (w *Writer) Counts() (written, passed uint64) { return w.written.Load(), w.passed.Load() }
 
 // Close writes what was taken, and ends the file.
--- a/internal/router/management/management.go
+++ b/internal/router/management/management.go
@@ -1,6 +1,7 @@
-// Package management is the operators' management API without its socket: the calls that it knows, the figures that it tells, and
-// the answer to one line. Its two tables are the only place where calls and figures are named; the output and the
-// operators' page are made from them. It is pure, and imports nothing of ours.
+// Package management is the operators' management API without its socket: the calls that it knows,
+// the figures that it tells, and the answer to one line. Its two tables are the only place where
+// calls and figures are named; the output and the operators' page are made from them. It is pure,
+// and imports nothing of ours.
 package management
 
 import (
@@ -14,26 +15,28 @@
 // MostLine is the longest line that is a call.
 const MostLine = 256
 
-// Router is what the management API asks and tells. No method may wait for anything: a caller has a second, however busy the
-// router is.
+// Router is what the management API asks and tells. No method may wait for anything: a caller has a
+// second, however busy the router is.
 type Router interface {
 	// Takes tells whether this process takes clients, and names the phase that it is in.
 	Takes() (takes bool, phase string)
 	Values() Values
-	// View is the fleet's routers as this one sees them, a line each; on is false where it keeps no view.
+	// View is the fleet's routers as this one sees them, a line each; on is false where it keeps no
+	// view.
 	View() (lines []string, on bool)
 	// Drain sends clients away, or takes them again. It names the phase that this led to.
 	Drain(on bool) (phase string, err error)
-	// Recovery is how this process comes back, a line and one for each thing of its last life that was thrown away; on is false where
-	// nothing is kept.
+	// Recovery is how this process comes back, a line and one for each thing of its last life that
+	// was thrown away; on is false where nothing is kept.
 	Recovery() (lines []string, on bool)
 	// Duties are what only so many routers may do, a line each; on is false where there are none.
 	Duties() (lines []string, on bool)
-	// GiveDuty has the holder of a duty give it to a router, or to whoever waits. Of several holders the one with that token, 0 for the
-	// first.
+	// GiveDuty has the holder of a duty give it to a router, or to whoever waits. Of several
+	// holders the one with that token, 0 for the first.
 	GiveDuty(name, to string, token uint64) error
-	// RebuildDuties founds duties anew, where routers that are named will not come back with their disks.
-	RebuildDuties(gone []string) error
+	// RebuildDuties founds duties anew, where routers that are named will not come back with their
+	// disks.
+	RebuildDuties(lost []string) error
 }
 
 // Values is what the figures tell.
@@ -51,14 +54,14 @@
 
 // Recovery is the figures of how a router comes back.
 type Recovery struct {
-	Stage                      int     // from 0 on
-	Share                      float64 // of the listed hosts' warm capacity
-	Turned, Snapshots, Shunned uint64
+	Stage                              int     // from 0 on
+	Share                              float64 // of the listed hosts' warm capacity
+	Rejected, Snapshots, ExcludedHosts uint64
 }
 
 // Duties is the figures of duties.
 type Duties struct {
-	Held, Wanted                int
+	Leases, Requested           int
 	Begun, Ended, Refused, Sent uint64
 	Stopped                     bool
 	Commands, Elections, Log    uint64
@@ -85,7 +88,7 @@
 type Call struct {
 	Name, Meaning string
 	answer        func(Router) string
-	words         func(Router, []string) string // of a call that has words behind its name
+	withArguments func(Router, []string) string // of a call that has words behind its name
 }
 
 // Calls has every call.
@@ -95,17 +98,18 @@
 	{"drain-on", "sends clients away: not ready, answers end their connections, silent ones are closed", drain(true), nil},
 	{"drain-off", "takes clients again", drain(false), nil},
 	{"view", "the fleet's routers as this one sees them, a line each, and a line `.` at the end; `-ERR` where no block `fleet` is set", view, nil},
-	{"recovery", "how this process came back: its stage, since when, what it waits for, whose loss it was, what of its last life was thrown away; a line `.` at the end", comesBack, nil},
+	{"recovery", "how this process came back: its stage, since when, what it waits for, whose loss it was, what of its last life was thrown away; a line `.` at the end", recoveryStatus, nil},
 	{"duties", "what only so many routers may do at a time: how the voters are, each duty with its holder, and this router's own; a line `.` at the end", duties, nil},
 	{"duty-give DUTY ROUTER [TOKEN]", "has the holder of a duty give it to a router, `*` for whoever waits; of several holders the one with that token, or else the first; `+OK` once the voters have agreed on it", nil, giveDuty},
 	{"duties-rebuild [ROUTER...]", "founds duties anew where a majority of the voters' disks is gone; the routers that are named will not come back with theirs. `-ERR` while a majority may live", nil, rebuildDuties},
 }
 
-// Figure is one thing that is told under a name; one that counts by class has a line for each class.
+// Figure is one thing that is told under a name; one that counts by class has a line for each
+// class.
 type Figure struct {
 	Name, Meaning string
 	class         func(*Class) uint64
-	whole         func(*Values) int64
+	value         func(*Values) int64
 	fleet         func(*Fleet) uint64    // told only while the router keeps a view of the fleet
 	duties        func(*Duties) uint64   // told only where it has duties
 	recovery      func(*Recovery) uint64 // told only where it keeps something for its next life
@@ -124,12 +128,12 @@
 	{Name: "taken_total", Meaning: "requests read whole: those of the three figures above and of the two below, and those still open", class: func(c *Class) uint64 { return c.Taken }},
 	{Name: "abandoned_total", Meaning: "requests whose clients left before the end of their answers", class: func(c *Class) uint64 { return c.Abandoned }},
 	{Name: "moved_total", Meaning: "requests with whose streams another process of this router goes on", class: func(c *Class) uint64 { return c.Moved }},
-	{Name: "relayed_total", Meaning: "attempts written whole to model hosts", whole: func(v *Values) int64 { return int64(v.Relayed) }},
-	{Name: "open_requests", Meaning: "requests taken and not ended by now", whole: func(v *Values) int64 { return v.Open }},
-	{Name: "registry_entries", Meaning: "model hosts in the list by now", whole: func(v *Values) int64 { return v.Entries }},
-	{Name: "out_of_rotation", Meaning: "of these, the ones that get nothing new: they drain, or failed of late", whole: func(v *Values) int64 { return v.Avoided }},
-	{Name: "cfg_accepted_total", Meaning: "configuration files taken at SIGHUP", whole: func(v *Values) int64 { return int64(v.Accepted) }},
-	{Name: "cfg_invalid_total", Meaning: "configuration files turned down at SIGHUP", whole: func(v *Values) int64 { return int64(v.Invalid) }},
+	{Name: "relayed_total", Meaning: "attempts written whole to model hosts", value: func(v *Values) int64 { return int64(v.Relayed) }},
+	{Name: "open_requests", Meaning: "requests taken and not ended by now", value: func(v *Values) int64 { return v.Open }},
+	{Name: "registry_entries", Meaning: "model hosts in the list by now", value: func(v *Values) int64 { return v.Entries }},
+	{Name: "out_of_rotation", Meaning: "of these, the ones that get nothing new: they drain, or failed of late", value: func(v *Values) int64 { return v.Avoided }},
+	{Name: "cfg_accepted_total", Meaning: "configuration files taken at SIGHUP", value: func(v *Values) int64 { return int64(v.Accepted) }},
+	{Name: "cfg_invalid_total", Meaning: "configuration files turned down at SIGHUP", value: func(v *Values) int64 { return int64(v.Invalid) }},
 	{Name: "fleet_members", Meaning: "routers alive in this one's view, itself among them", fleet: func(f *Fleet) uint64 { return uint64(f.Members) }},
 	{Name: "fleet_suspected", Meaning: "of these, the ones that missed a probe and may still answer", fleet: func(f *Fleet) uint64 { return uint64(f.Suspected) }},
 	{Name: "fleet_dead", Meaning: "routers that are held to be dead, and greeted from time to time", fleet: func(f *Fleet) uint64 { return uint64(f.Dead) }},
@@ -141,8 +145,8 @@
 	{Name: "fleet_sent_total", Meaning: "datagrams sent for the view", fleet: func(f *Fleet) uint64 { return f.Sent }},
 	{Name: "fleet_sent_bytes_total", Meaning: "bytes in them", fleet: func(f *Fleet) uint64 { return f.SentBytes }},
 	{Name: "fleet_dropped_total", Meaning: "datagrams for the view that were broken or from a stranger", fleet: func(f *Fleet) uint64 { return f.Dropped }},
-	{Name: "duties_held", Meaning: "duties that this router holds", duties: func(d *Duties) uint64 { return uint64(d.Held) }},
-	{Name: "duties_wanted", Meaning: "duties that it holds or waits for", duties: func(d *Duties) uint64 { return uint64(d.Wanted) }},
+	{Name: "duties_held", Meaning: "duties that this router holds", duties: func(d *Duties) uint64 { return uint64(d.Leases) }},
+	{Name: "duties_wanted", Meaning: "duties that it holds or waits for", duties: func(d *Duties) uint64 { return uint64(d.Requested) }},
 	{Name: "duties_begun_total", Meaning: "times that it took up a duty", duties: func(d *Duties) uint64 { return d.Begun }},
 	{Name: "duties_ended_total", Meaning: "times that it stopped one", duties: func(d *Duties) uint64 { return d.Ended }},
 	{Name: "duties_refused_total", Meaning: "acts of its that were refused for a higher token", duties: func(d *Duties) uint64 { return d.Refused }},
@@ -154,28 +158,28 @@
 	{Name: "duties_token", Meaning: "the largest token that it knows of", duties: func(d *Duties) uint64 { return d.Token }},
 	{Name: "recovery_stage", Meaning: "how far this process has come back: 0 asking, 1 listing, 2 admitting, 3 duties, 4 back", recovery: func(r *Recovery) uint64 { return uint64(r.Stage) }},
 	{Name: "recovery_warm_percent", Meaning: "what the listed hosts can do by their starts, of what they do when warm", recovery: func(r *Recovery) uint64 { return uint64(100 * r.Share) }},
-	{Name: "recovery_turned_total", Meaning: "requests refused, as cold hosts are left to classes of more worth or to fresh ones; they are among the refused", recovery: func(r *Recovery) uint64 { return r.Turned }},
-	{Name: "recovery_shunned", Meaning: "hosts of the last life's list that get nothing by another router's word", recovery: func(r *Recovery) uint64 { return r.Shunned }},
+	{Name: "recovery_turned_total", Meaning: "requests refused, as cold hosts are left to classes of more worth or to fresh ones; they are among the refused", recovery: func(r *Recovery) uint64 { return r.Rejected }},
+	{Name: "recovery_shunned", Meaning: "hosts of the last life's list that get nothing by another router's word", recovery: func(r *Recovery) uint64 { return r.ExcludedHosts }},
 	{Name: "recovery_snapshots_total", Meaning: "snapshots written", recovery: func(r *Recovery) uint64 { return r.Snapshots }},
 }
 
 // Answer returns the answer to a line, which comes without its end.
 func Answer(line string, r Router) string {
-	word := strings.TrimSpace(line)
-	words := strings.Fields(word)
+	command := strings.TrimSpace(line)
+	arguments := strings.Fields(command)
 	i := slices.IndexFunc(Calls, func(c Call) bool {
 		name, _, more := strings.Cut(c.Name, " ")
-		return c.Name == word || more && len(words) > 0 && words[0] == name
+		return c.Name == command || more && len(arguments) > 0 && arguments[0] == name
 	})
 	switch {
-	case i >= 0 && Calls[i].words != nil:
-		return Calls[i].words(r, words[1:])
+	case i >= 0 && Calls[i].withArguments != nil:
+		return Calls[i].withArguments(r, arguments[1:])
 	case i >= 0:
 		return Calls[i].answer(r)
-	case word == "":
+	case command == "":
 		return Refusal("the line is empty; say " + names())
 	}
-	return Refusal(fmt.Sprintf("%q is no call; say %s", word, names()))
+	return Refusal(fmt.Sprintf("%q is no call; say %s", command, names()))
 }
 
 // Refusal is the answer to what is no call.
@@ -232,8 +236,8 @@
 			}
 			continue
 		}
-		if f.whole != nil {
-			text = fmt.Appendf(text, "%s%s %d\n", prefix, f.Name, f.whole(&v))
+		if f.value != nil {
+			text = fmt.Appendf(text, "%s%s %d\n", prefix, f.Name, f.value(&v))
 			continue
 		}
 		for i := range v.Classes {
@@ -260,7 +264,7 @@
 	return "+OK\n" + strings.Join(append(lines, ".\n"), "\n")
 }
 
-func comesBack(r Router) string {
+func recoveryStatus(r Router) string {
 	lines, on := r.Recovery()
 	if !on {
 		return Refusal("this router keeps nothing of its last life; the settings have no block recovery")
--- a/internal/router/mirror/answer.go
+++ b/internal/router/mirror/answer.go
@@ -17,12 +17,12 @@
 	"reachspread/internal/routing"
 )
 
-// capture keeps the beginning of an answer as it passes, and of the rest its length and hash. One goroutine feeds it;
-// it is read only after that has handed it on.
+// capture keeps the beginning of an answer as it passes, and of the rest its length and hash. One
+// goroutine feeds it; it is read only after that has handed it on.
 type capture struct {
 	most    int
 	since   time.Time
-	kept    []byte
+	prefix  []byte
 	size    int64
 	rest    *xxhash.Digest // of what came beyond kept
 	first   time.Time
@@ -44,8 +44,8 @@
 	if bytes.Contains(p, content) {
 		c.last = now
 	}
-	n := min(len(p), c.most-len(c.kept))
-	c.kept = append(c.kept, p[:n]...)
+	n := min(len(p), c.most-len(c.prefix))
+	c.prefix = append(c.prefix, p[:n]...)
 	if n == len(p) {
 		return
 	}
@@ -58,14 +58,14 @@
 // finish notes how the answer ended.
 func (c *capture) finish(outcome string) { c.outcome, c.end = outcome, time.Now() }
 
-// whole is the outcome of an answer that came to its end.
-const whole = "whole"
+// complete is the outcome of an answer that came to its end.
+const complete = "whole"
 
 // answer reads what was captured; key is that of the digest.
 func (c *capture) answer(key []byte) shadow.Answer {
-	read := protocol.ReadAnswer(c.kept)
-	a := shadow.Answer{Text: read.Text, Cut: c.rest != nil, Bytes: c.size, Finish: read.Finish, Tokens: read.Tokens,
-		Kept: read.Kept, First: -1, Between: -1, Whole: -1, Wait: -1, Host: c.from.Server, Schedules: c.from.Before}
+	read := protocol.ReadAnswer(c.prefix)
+	a := shadow.Answer{Text: read.Text, Truncated: c.rest != nil, Bytes: c.size, Finish: read.Finish, Tokens: read.Tokens,
+		CachedTokens: read.Kept, First: -1, Between: -1, Total: -1, Wait: -1, Host: c.from.Server, Schedules: c.from.Before}
 	if c.size > 0 {
 		a.First = c.first.Sub(c.since)
 		a.Schedules++
@@ -74,13 +74,13 @@
 		if c.rest == nil {
 			io.WriteString(digest, a.Text)
 		} else {
-			digest.Write(c.kept)
+			digest.Write(c.prefix)
 			digest.Write(c.rest.Sum(nil))
 		}
 		a.Digest = hex.EncodeToString(digest.Sum(nil)[:16])
 	}
-	if c.outcome == whole {
-		a.Whole = c.end.Sub(c.since)
+	if c.outcome == complete {
+		a.Total = c.end.Sub(c.since)
 		if a.Tokens > 1 {
 			a.Between = c.last.Sub(c.first) / time.Duration(a.Tokens-1)
 		}
@@ -91,8 +91,8 @@
 // side is an answer in a record.
 func side(a shadow.Answer, outcome string, texts bool) records.Side {
 	s := records.Side{Outcome: outcome, Host: a.Host, Attempts: a.Schedules, Bytes: a.Bytes, Chars: len(a.Text),
-		Digest: a.Digest, Finish: a.Finish, Tokens: known(a.Tokens), Kept: known(a.Kept), WaitMs: millis(a.Wait), FirstMs: millis(a.First),
-		BetweenMs: millis(a.Between), WholeMs: millis(a.Whole)}
+		Digest: a.Digest, Finish: a.Finish, Tokens: known(a.Tokens), CachedTokens: known(a.CachedTokens), WaitMs: millis(a.Wait), FirstMs: millis(a.First),
+		BetweenMs: millis(a.Between), TotalMs: millis(a.Total)}
 	if texts {
 		s.Text = a.Text
 	}
@@ -114,12 +114,12 @@
 	return &ms
 }
 
-// live is a live request that is copied, and its answer. It implements transport.Watcher. Once no copy wants its
-// answer any more, it costs the client's path one look.
+// live is a live request that is copied, and its answer. It implements transport.Watcher. Once no
+// copy wants its answer any more, it costs the client's path one look.
 type live struct {
-	copies []liveCopy // never the copies themselves: the request's bytes must go with them
-	wanted atomic.Int32
-	answer capture
+	copies        []liveCopy // never the copies themselves: the request's bytes must go with them
+	copiesWaiting atomic.Int32
+	answer        capture
 }
 
 type liveCopy struct {
@@ -132,7 +132,7 @@
 
 // Feed implements transport.Watcher.
 func (l *live) Feed(p []byte) {
-	if l.wanted.Load() > 0 {
+	if l.copiesWaiting.Load() > 0 {
 		l.answer.feed(p)
 	}
 }
@@ -141,7 +141,7 @@
 func (l *live) Ended(err error) {
 	switch err {
 	case io.EOF:
-		l.end(whole)
+		l.end(complete)
 	case nil:
 		l.end("left")
 	default:
@@ -172,6 +172,6 @@
 func (l *live) end(outcome string) {
 	l.answer.finish(outcome)
 	for _, c := range l.copies {
-		c.pool.post(posted{event: shadow.LiveEnded{Copy: c.id, Whole: outcome == whole}})
+		c.pool.post(posted{event: shadow.LiveEnded{Copy: c.id, Complete: outcome == complete}})
 	}
 }
--- a/internal/router/mirror/mirror.go
+++ b/internal/router/mirror/mirror.go
@@ -1,9 +1,11 @@
-// Package mirror carries out what package shadow decides: it takes copies of live requests from the front, sends them
-// to candidate pools through a core and a decision module of their own, watches both answers, and hands the compared
-// ones to the files of package records. It owns the goroutines and the clock; sockets are package transport's.
+// Package mirror carries out what package shadow decides: it takes copies of live requests from the
+// front, sends them to candidate pools through a core and a decision module of their own, watches
+// both answers, and hands the compared ones to the files of package records. It owns the goroutines
+// and the clock; sockets are package transport's.
 //
-// It promises that nothing here ever waits on the live path's account: what the live path calls either finishes in a
-// bounded number of steps under a lock that nobody holds for longer, or is passed over and counted.
+// It promises that nothing here ever waits on the live path's account: what the live path calls
+// either finishes in a bounded number of steps under a lock that nobody holds for longer, or is
+// passed over and counted.
 package mirror
 
 import (
@@ -49,9 +51,10 @@
 // Use names who says who may copy, before the first Apply.
 func (m *Mirror) Use(d Duties) { m.o.Duties = d }
 
-// Copies has this router copy to a pool of one copier until ctx ends, settings come without the pool, or the mirror leaves. Whoever copied before may have used
-// up the copies of the last second, so it begins after one, and anew where other settings have made another pool of the name; and it ends
-// once its own have reached their host, or after lastCopies.
+// Copies has this router copy to a pool of one copier until ctx ends, settings come without the
+// pool, or the mirror leaves. Whoever copied before may have used up the copies of the last second,
+// so it begins after one, and anew where other settings have made another pool of the name; and it
+// ends once its own have reached their host, or after lastCopies.
 func (m *Mirror) Copies(ctx context.Context, name string) error {
 	for last := (*pool)(nil); ; {
 		m.mu.Lock()
@@ -66,9 +69,9 @@
 		}
 		p := m.pools[i]
 		last = p
-		pause := time.Second
+		interval := time.Second
 		if rate := p.set.Decider.Caps.PerSecond; rate < 1 {
-			pause = time.Duration(float64(time.Second) / rate)
+			interval = time.Duration(float64(time.Second) / rate)
 		}
 		m.mu.Unlock()
 		select {
@@ -76,9 +79,9 @@
 			return nil
 		case <-p.done:
 			continue
-		case <-time.After(pause):
+		case <-time.After(interval):
 		}
-		p.holds.Store(true)
+		p.hasLease.Store(true)
 		select {
 		case <-ctx.Done():
 			p.lastCopies()
@@ -90,23 +93,23 @@
 
 // lastCopies ends copying.
 func (p *pool) lastCopies() {
-	p.holds.Store(false)
+	p.hasLease.Store(false)
 	for end := time.Now().Add(lastCopies); p.unheard.Load() > 0 && time.Now().Before(end); {
 		time.Sleep(lastCopies / 50)
 	}
 }
 
-// lastCopies is for how long a copier waits for copies that are on their way before it gives its duty back: the margin of a lease in which
-// nothing new is begun.
+// lastCopies is for how long a copier waits for copies that are on their way before it gives its
+// duty back: the margin of a lease in which nothing new is begun.
 const lastCopies = 100 * time.Millisecond
 
 // Mirror has the pools in force. It implements transport.Tap.
 type Mirror struct {
-	o     Options
-	key   [32]byte // of the digests
-	copy  atomic.Uint64
-	force atomic.Pointer[choosing]
-	held  atomic.Bool // nothing is copied by now
+	o         Options
+	key       [32]byte // of the digests
+	copy      atomic.Uint64
+	force     atomic.Pointer[choosing]
+	suspended atomic.Bool // nothing is copied by now
 
 	mu     sync.Mutex // guards what follows, and is never taken on the live path
 	pools  []*pool
@@ -118,7 +121,8 @@
 	closed []*pool        // that were taken out and may still end
 }
 
-// choosing is what the live path sees: who gets copies. It implements transport.Copier and never changes.
+// choosing is what the live path sees: who gets copies. It implements transport.Copier and never
+// changes.
 type choosing struct {
 	m        *Mirror
 	selector *shadow.Selector
@@ -137,8 +141,8 @@
 	return m
 }
 
-// Apply puts settings in force. Pools that stay keep what they have out; those that are gone, or whose way of
-// sending has changed, end theirs at once.
+// Apply puts settings in force. Pools that stay keep what they have out; those that are gone, or
+// whose way of sending has changed, end theirs at once.
 func (m *Mirror) Apply(s settings.Shadow) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -201,7 +205,8 @@
 	return nil
 }
 
-// Retune has the pools take up other settings of the live router. A pool that has what it was made of stays as it is.
+// Retune has the pools take up other settings of the live router. A pool that has what it was made
+// of stays as it is.
 func (m *Mirror) Retune(c balance.Config) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -211,8 +216,8 @@
 	}
 }
 
-// Hold has nothing new be copied, or copies go on.
-func (m *Mirror) Hold(on bool) { m.held.Store(on) }
+// Suspend has nothing new be copied, or copies go on.
+func (m *Mirror) Suspend(on bool) { m.suspended.Store(on) }
 
 // TenantHeader implements transport.Tap.
 func (m *Mirror) TenantHeader() string { return m.force.Load().tenant }
@@ -220,7 +225,7 @@
 // Choose implements transport.Tap.
 func (m *Mirror) Choose(class, session, id string, tenant []byte) (transport.Copier, uint64) {
 	c := m.force.Load()
-	if c.idle || m.held.Load() {
+	if c.idle || m.suspended.Load() {
 		return nil, 0
 	}
 	pools := c.selector.Choose(class, tenant, shadow.Session(session, id))
@@ -240,13 +245,13 @@
 	}
 	l := &live{answer: capture{most: most, since: r.Came}}
 	for i, p := range c.pools {
-		if !shadow.Pools(pools).Has(i) || p.one.Load() && !p.holds.Load() {
+		if !shadow.Pools(pools).Has(i) || p.one.Load() && !p.hasLease.Load() {
 			continue
 		}
 		cp := &copied{id: c.m.copy.Add(1), live: l, taken: r, session: shadow.Session(r.Arrival.Session, r.Arrival.ID)}
 		if p.offer(cp) {
 			l.copies = append(l.copies, liveCopy{p, cp.id})
-			l.wanted.Add(1)
+			l.copiesWaiting.Add(1)
 		}
 	}
 	if len(l.copies) == 0 {
@@ -255,7 +260,8 @@
 	return l
 }
 
-// sample looks at the live path again and again until ctx ends, while there are pools. That it is late itself is a sign, too.
+// sample looks at the live path again and again until ctx ends, while there are pools. That it is
+// late itself is a sign, too.
 func (m *Mirror) sample(ctx context.Context) {
 	defer m.idle.Done()
 	ticker := time.NewTicker(sampleEvery)
--- a/internal/router/mirror/mirror_test.go
+++ b/internal/router/mirror/mirror_test.go
@@ -38,9 +38,9 @@
 	host := scripted.NewModel(t, scripted.Manner{Silent: true})
 	caps := shadow.Caps{PerSecond: 1000, Out: 4, PerHost: 4, Bytes: 1 << 20, Waiting: 4, Wait: time.Second, Longest: time.Minute}
 	one := settings.Shadow{Pools: []settings.Pool{{Choice: shadow.Choice{Pool: "next", Share: share},
-		Hosts: []settings.Host{{ID: "c0", Addr: host.Addr}}, Sockets: 10, Patience: time.Minute, Silent: time.Minute, AnswerBytes: 32 << 10,
+		Hosts: []settings.Host{{ID: "c0", Addr: host.Addr}}, Sockets: 10, Patience: time.Minute, StreamIdleTimeout: time.Minute, AnswerBytes: 32 << 10,
 		Decider: shadow.Config{Caps: caps, Health: shadow.Health{Failures: 5, First: time.Second, Most: time.Minute},
-			Pressure: shadow.Pressure{Held: 8, Bodies: 0.5, Sockets: 0.7, Late: time.Hour, Refusals: 2, Hard: 2, Grace: time.Second, Calm: time.Second}},
+			Pressure: shadow.Pressure{Queued: 8, Bodies: 0.5, Sockets: 0.7, Late: time.Hour, Refusals: 2, Hard: 2, Grace: time.Second, Calm: time.Second}},
 	}}}
 	t.Cleanup(func() {
 		ctx, stop := context.WithTimeout(context.Background(), scripted.Patience)
@@ -53,7 +53,8 @@
 	return m, one
 }
 
-// A copier ends with its pool: where settings come without it, and where the mirror leaves. One whose pool is made anew goes on with that.
+// A copier ends with its pool: where settings come without it, and where the mirror leaves. One
+// whose pool is made anew goes on with that.
 func TestCopierEndsWithItsPool(t *testing.T) {
 	for _, leaves := range []bool{false, true} {
 		m, one := untapped(t, 1, func() shadow.Sample { return shadow.Sample{} })
@@ -65,11 +66,11 @@
 		go func() { over <- m.Copies(context.Background(), "next") }()
 		again := one
 		again.Pools = slices.Clone(one.Pools)
-		again.Pools[0].Silent++
+		again.Pools[0].StreamIdleTimeout++
 		if err := m.Apply(again); err != nil {
 			t.Fatal(err)
 		}
-		for end := time.Now().Add(scripted.Patience); !m.pools[0].holds.Load(); time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(scripted.Patience); !m.pools[0].hasLease.Load(); time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatal("the pool that was made anew has no copier")
 			}
@@ -90,7 +91,8 @@
 	}
 }
 
-// The live path is looked at while there are pools, and costs nothing while there are none, whatever else the settings have.
+// The live path is looked at while there are pools, and costs nothing while there are none,
+// whatever else the settings have.
 func TestSampledForPools(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := New(Options{Log: make(scripted.Lines, 100), Sample: func() shadow.Sample {
@@ -129,7 +131,8 @@
 
 var arrival = balance.Arrival{ID: "9b1f03aa5c7e2d41", Class: "chat", Session: "7f3a9c21e0b4d655"}
 
-// A request that is not copied costs the live path no allocation, whether nothing is chosen or nothing of it.
+// A request that is not copied costs the live path no allocation, whether nothing is chosen or
+// nothing of it.
 func TestWhatIsNotCopiedAllocatesNothing(t *testing.T) {
 	for _, share := range []float64{0, 1e-9} {
 		var tap transport.Tap = tapped(t, share)
@@ -150,12 +153,12 @@
 		for _, p := range pieces {
 			c.feed([]byte(p))
 		}
-		c.finish(whole)
+		c.finish(complete)
 		return c.answer([]byte("key"))
 	}
 	long := strings.Repeat(scripted.Event, 3)
 	kept, cut := take(1<<10, long), take(len(scripted.Event), long)
-	if kept.Cut || kept.Text != "oqvhoqvhoqvh" || !cut.Cut || cut.Text != "oqvh" || cut.Bytes != int64(len(long)) {
+	if kept.Truncated || kept.Text != "oqvhoqvhoqvh" || !cut.Truncated || cut.Text != "oqvh" || cut.Bytes != int64(len(long)) {
 		t.Errorf("%+v\n%+v", kept, cut)
 	}
 	if again := take(len(scripted.Event), scripted.Event, scripted.Event[:3], scripted.Event[3:], scripted.Event); again.Digest != cut.Digest {
@@ -173,7 +176,7 @@
 	m.Leave()
 	scripted.Next(t, p.done, "its end")
 	granted := make(chan bool, 1)
-	p.post(posted{event: shadow.Seat{Copy: 1, Host: "c0"}, granted: granted})
+	p.post(posted{event: shadow.AttemptRequest{Copy: 1, Host: "c0"}, granted: granted})
 	if scripted.Next(t, granted, "an answer") || len(p.pending) > 0 {
 		t.Error("a seat was granted, or waits")
 	}
@@ -201,8 +204,8 @@
 func BenchmarkTapNothingChosen(b *testing.B) { benchmarkTap(b, 0) }
 func BenchmarkTapNotCopied(b *testing.B)     { benchmarkTap(b, 1e-9) }
 
-// BenchmarkTapCopied is the whole of what a copied request costs its client's path: the offer, the watch of an answer
-// of 20 pieces, and its end. The pool is full most of the time, as a cap is for.
+// BenchmarkTapCopied is the whole of what a copied request costs its client's path: the offer, the
+// watch of an answer of 20 pieces, and its end. The pool is full most of the time, as a cap is for.
 func BenchmarkTapCopied(b *testing.B) { benchmarkTap(b, 1) }
 
 func benchmarkTap(b *testing.B, share float64) {
--- a/internal/router/mirror/pool.go
+++ b/internal/router/mirror/pool.go
@@ -26,23 +26,24 @@
 	askFor     = time.Second            // for the pool's goroutine to answer a question
 )
 
-// pool is one candidate pool: a decider that one goroutine owns, and a core of its own to send with.
+// pool is one candidate pool: a decider that one goroutine owns, and a core of its own to send
+// with.
 type pool struct {
-	name    string
-	duty    string // of a pool with one copier
-	m       *Mirror
-	set     settings.Pool // the Mirror's lock guards it
-	start   time.Time
-	log     routing.Logger
-	router  *routing.Router
-	servers *transport.Servers
-	stop    context.CancelFunc
-	done    chan struct{} // closed when its goroutine has ended
-	answers atomic.Int64  // bytes to be kept of each
-	busy    atomic.Uint64 // offers passed over
-	one     atomic.Bool   // only the router that has the duty copies
-	holds   atomic.Bool   // and this one does
-	unheard atomic.Int64  // copies of one copier that may not have reached their host yet
+	name     string
+	duty     string // of a pool with one copier
+	m        *Mirror
+	set      settings.Pool // the Mirror's lock guards it
+	start    time.Time
+	log      routing.Logger
+	router   *routing.Router
+	servers  *transport.Servers
+	stop     context.CancelFunc
+	done     chan struct{} // closed when its goroutine has ended
+	answers  atomic.Int64  // bytes to be kept of each
+	busy     atomic.Uint64 // offers passed over
+	one      atomic.Bool   // only the router that has the duty copies
+	hasLease atomic.Bool   // and this one does
+	unheard  atomic.Int64  // copies of one copier that may not have reached their host yet
 
 	mu      sync.Mutex
 	pending []posted
@@ -101,20 +102,20 @@
 		return nil, err
 	}
 	p.servers = transport.NewServers(transport.ServerLimits{Connect: m.o.Connect, Keepalive: m.o.Idle,
-		Silent: set.Silent, Connections: set.Sockets}, p.log)
+		Silent: set.StreamIdleTimeout, Connections: set.Sockets}, p.log)
 	p.router = routing.New(b, seated{p.servers, p}, p.log, probeFor)
 	ctx, stop := context.WithCancel(context.Background())
 	p.stop = stop
 	go p.router.Run(ctx)
 	if set.Discovery != "" {
-		go transport.NewDiscovery(set.Discovery, transport.Pushed, transport.WholeList, p.log, p.tell).Run(ctx)
+		go transport.NewDiscovery(set.Discovery, transport.Pushed, transport.WholeList, p.log, p.applyList).Run(ctx)
 	}
 	go p.run()
 	return p, nil
 }
 
-// copyConfig is the live module's with the patience of copies: nobody waits for them, so a late answer is as good
-// as any, and a slow candidate must be seen, not refused.
+// copyConfig is the live module's with the patience of copies: nobody waits for them, so a late
+// answer is as good as any, and a slow candidate must be seen, not refused.
 func copyConfig(c balance.Config, patience time.Duration) balance.Config {
 	c.Classes = slices.Clone(c.Classes)
 	for i := range c.Classes {
@@ -128,7 +129,7 @@
 // keeps tells whether other settings can be taken up without ending what is out.
 func (p *pool) keeps(set settings.Pool) bool {
 	return set.Discovery == p.set.Discovery && set.Sockets == p.set.Sockets && set.Patience == p.set.Patience &&
-		set.Silent == p.set.Silent
+		set.StreamIdleTimeout == p.set.StreamIdleTimeout
 }
 
 // apply has the goroutine take up settings. Only Mirror.Apply calls it.
@@ -219,13 +220,13 @@
 
 func (p *pool) step(batch []posted) {
 	var events []shadow.Event
-	var seats []chan<- bool
+	var grants []chan<- bool
 	for _, x := range batch {
 		switch {
 		case x.apply != nil:
 			p.force, p.sink, p.texts = x.apply.set, x.apply.sink, x.apply.texts
 			events = append(events, shadow.Retune{Config: x.apply.set.Decider})
-			if p.tellHosts(x.apply.set) {
+			if p.applyHosts(x.apply.set) {
 				events = append(events, shadow.Hosts{Serving: p.router.Serving()})
 			}
 			continue
@@ -235,7 +236,7 @@
 		case x.copied != nil:
 			p.copies[x.copied.id] = x.copied
 		case x.granted != nil:
-			seats = append(seats, x.granted)
+			grants = append(grants, x.granted)
 		}
 		if _, ok := x.event.(shadow.Close); ok {
 			p.closing = true
@@ -250,9 +251,9 @@
 			p.forget(a.Copy)
 		case shadow.End:
 			p.copies[a.Copy].cancel()
-		case shadow.Seated: // in the order of the Seats
-			seats[0] <- a.OK
-			seats = seats[1:]
+		case shadow.AttemptGranted: // in the order of the Seats
+			grants[0] <- a.OK
+			grants = grants[1:]
 		case shadow.Record:
 			p.record(p.copies[a.Copy], a)
 			p.forget(a.Copy)
@@ -269,7 +270,7 @@
 }
 
 func (p *pool) forget(id uint64) {
-	p.copies[id].live.wanted.Add(-1)
+	p.copies[id].live.copiesWaiting.Add(-1)
 	delete(p.copies, id)
 }
 
@@ -279,7 +280,8 @@
 	c.gap = gap
 	c.answer = capture{most: p.answerBytes(), since: time.Now()}
 	arrival := c.taken.Arrival
-	// An id of its own: a copy is never taken for an attempt of the real request, nor for another copy of it.
+	// An id of its own: a copy is never taken for an attempt of the real request, nor for another
+	// copy of it.
 	arrival.ID += "~" + p.name + "~" + strconv.FormatUint(c.id, 10)
 	arrival.TimeLeft = p.force.Patience
 	go func() {
@@ -289,7 +291,8 @@
 	}()
 }
 
-// carry takes a copy through the pool's core, as a front does with a request, and reads its answer to the end.
+// carry takes a copy through the pool's core, as a front does with a request, and reads its answer
+// to the end.
 func (p *pool) carry(c *copied, arrival balance.Arrival) (how shadow.Cause) {
 	request, err := p.router.TakeIn(arrival, time.Now(), copyMessage{c.taken.Message.WithID(arrival.ID), c})
 	if err != nil {
@@ -317,7 +320,7 @@
 		}
 		switch {
 		case err == io.EOF:
-			c.answer.finish(whole)
+			c.answer.finish(complete)
 			return ""
 		case err != nil:
 			c.answer.finish(string(shadow.Broken))
@@ -339,27 +342,27 @@
 	if !a.Live { // still on its way, and another's to write
 		r.Live = records.Side{Outcome: "open"}
 	} else {
-		real := c.live.answer.answer(p.m.key[:])
-		r.Live = side(real, c.live.answer.outcome, texts)
+		answered := c.live.answer.answer(p.m.key[:])
+		r.Live = side(answered, c.live.answer.outcome, texts)
 		if a.Cause == "" {
-			cmp := shadow.Compare(real, answer)
+			cmp := shadow.Compare(answered, answer)
 			r.Compared = &records.Compared{Text: string(cmp.Text), Similarity: cmp.Similarity, Partial: cmp.Partial,
-				Finish: cmp.Finish, Tokens: cmp.Tokens, Kept: cmp.Kept}
-			p.times.add(taken.Arrival.Class, real, answer)
+				Finish: cmp.Finish, Tokens: cmp.Tokens, Kept: cmp.CachedTokens}
+			p.times.add(taken.Arrival.Class, answered, answer)
 		}
 	}
 	p.sink.put(r)
 }
 
-// tell takes a list of discovery.
-func (p *pool) tell(l *protocol.List) {
+// applyList takes a list of discovery.
+func (p *pool) applyList(l *protocol.List) {
 	p.router.Told(l.Members(), l.Addrs())
 	p.post(posted{event: shadow.Hosts{Serving: p.router.Serving()}})
 }
 
-// tellHosts tells the core the hosts of the settings. One that they name for the first time is taken for cold: its
-// start is not known, and too slow a beginning costs copies alone.
-func (p *pool) tellHosts(set settings.Pool) bool {
+// applyHosts tells the core the hosts of the settings. One that they name for the first time is
+// taken for cold: its start is not known, and too slow a beginning costs copies alone.
+func (p *pool) applyHosts(set settings.Pool) bool {
 	if set.Discovery != "" {
 		return false
 	}
@@ -396,12 +399,12 @@
 func (s seated) Schedule(ctx context.Context, deadline time.Time, to routing.Entry, m routing.Message, written func()) routing.Head {
 	cm := m.(copyMessage)
 	granted := make(chan bool, 1)
-	s.pool.post(posted{granted: granted, event: shadow.Seat{Copy: cm.copied.id, Host: to.ID}})
+	s.pool.post(posted{granted: granted, event: shadow.AttemptRequest{Copy: cm.copied.id, Host: to.ID}})
 	if !<-granted {
 		return routing.Head{Result: balance.Full}
 	}
-	heard := func() { s.pool.post(posted{event: shadow.Heard{Copy: cm.copied.id}}) }
-	left := func() { s.pool.post(posted{event: shadow.Left{Host: to.ID}}) }
+	heard := func() { s.pool.post(posted{event: shadow.AttemptReached{Copy: cm.copied.id}}) }
+	left := func() { s.pool.post(posted{event: shadow.AttemptEnded{Host: to.ID}}) }
 	if !s.pool.router.Ready(to.ID) { // asking took a moment, in which it may have begun to drain
 		heard()
 		left()
@@ -413,7 +416,7 @@
 		s.pool.unheard.Add(1)
 		defer s.pool.unheard.Add(-1)
 		token, _, ok := s.pool.m.o.Duties.Check(duty)
-		if !ok || !s.pool.holds.Load() { // it was somebody's turn while the copy waited
+		if !ok || !s.pool.hasLease.Load() { // it was somebody's turn while the copy waited
 			heard()
 			left()
 			return routing.Head{Result: balance.NotSent}
--- a/internal/router/mirror/status.go
+++ b/internal/router/mirror/status.go
@@ -67,8 +67,8 @@
 	Count     int64  `json:"count"`
 	LiveFirst Spread `json:"live_first_ms"`
 	CopyFirst Spread `json:"copy_first_ms"`
-	LiveWhole Spread `json:"live_whole_ms"`
-	CopyWhole Spread `json:"copy_whole_ms"`
+	LiveTotal Spread `json:"live_whole_ms"`
+	CopyTotal Spread `json:"copy_whole_ms"`
 }
 
 // Spread is three places of a distribution.
@@ -146,7 +146,7 @@
 		}
 		t.classes[class] = h
 	}
-	for i, d := range []time.Duration{live.First, copied.First, live.Whole, copied.Whole} {
+	for i, d := range []time.Duration{live.First, copied.First, live.Total, copied.Total} {
 		h[i].RecordValue(min(max(d.Milliseconds(), 1), longestTime)) // within its range, it can't fail
 	}
 }
--- a/internal/router/program/recovery.go
+++ b/internal/router/program/recovery.go
@@ -107,10 +107,10 @@
 // service comes last.
 func (p *Program) suspendCopies(on bool) {
 	if p.mirror != nil {
-		p.mirror.Hold(on)
+		p.mirror.Suspend(on)
 	}
 	if p.capture != nil {
-		p.capture.Hold(on)
+		p.capture.Suspend(on)
 	}
 }
 
@@ -252,8 +252,8 @@
 	if p.recovery == nil {
 		return nil
 	}
-	return &management.Recovery{Stage: int(p.recovery.stage.Load()), Share: p.snapshots.warmFraction(&p.inForce.Load().balance), Turned: p.gate.rejected.Load(),
-		Snapshots: p.snapshots.written.Load(), Shunned: p.recovery.excludedHosts.Load()}
+	return &management.Recovery{Stage: int(p.recovery.stage.Load()), Share: p.snapshots.warmFraction(&p.inForce.Load().balance), Rejected: p.gate.rejected.Load(),
+		Snapshots: p.snapshots.written.Load(), ExcludedHosts: p.recovery.excludedHosts.Load()}
 }
 
 // Recovery implements management.Router.
--- a/internal/router/program/roles.go
+++ b/internal/router/program/roles.go
@@ -252,6 +252,6 @@
 		return nil
 	}
 	f := p.roles.Counters()
-	return &management.Duties{Held: f.Leased, Wanted: f.Requested, Begun: f.Begun, Ended: f.Ended, Refused: f.Rejected, Sent: f.Sent, Stopped: f.Leaderless,
+	return &management.Duties{Leases: f.Leased, Requested: f.Requested, Begun: f.Begun, Ended: f.Ended, Refused: f.Rejected, Sent: f.Sent, Stopped: f.Leaderless,
 		Commands: f.Commands, Elections: f.Elections, Log: f.LogEntries, Token: f.Token}
 }
--- a/internal/router/program/shadow.go
+++ b/internal/router/program/shadow.go
@@ -22,7 +22,7 @@
 		Idle: time.Duration(p.cfg.Settings.Limits.KeepaliveNs), Log: p.log,
 		Sample: func() shadow.Sample {
 			core, front := p.router.Load(), p.front.Load()
-			s := shadow.Sample{Held: core.Held, Late: core.Late, Bodies: front.Bodies,
+			s := shadow.Sample{Queued: core.Held, Late: core.Late, Bodies: front.Bodies,
 				Sockets: max(front.Connections, servers.Load()), Refusals: int(core.Refused - refused)}
 			refused = core.Refused
 			return s
--- a/internal/router/program/shadow_test.go
+++ b/internal/router/program/shadow_test.go
@@ -246,13 +246,13 @@
 		t.Errorf("the live host had %d attempts", n)
 	}
 	got := s.records()["q1"]
-	if got == nil || got.Compared == nil || got.Live.FirstMs == nil || got.Live.WaitMs == nil || *got.Live.WaitMs > *got.Live.FirstMs || got.Copy.WholeMs == nil || got.Live.Digest == got.Copy.Digest {
+	if got == nil || got.Compared == nil || got.Live.FirstMs == nil || got.Live.WaitMs == nil || *got.Live.WaitMs > *got.Live.FirstMs || got.Copy.TotalMs == nil || got.Live.Digest == got.Copy.Digest {
 		t.Fatalf("%+v", got)
 	}
 	if diff := cmp.Diff(&records.Compared{Text: "differs", Similarity: 0, Finish: false}, got.Compared); diff != "" {
 		t.Error(diff)
 	}
-	if got.Tenant != "partner" || got.Live.Host != "s0" || got.Copy.Host != "c0" || *got.Live.Tokens != 10 || got.Copy.Tokens != nil || *got.Live.Kept != 3 {
+	if got.Tenant != "partner" || got.Live.Host != "s0" || got.Copy.Host != "c0" || *got.Live.Tokens != 10 || got.Copy.Tokens != nil || *got.Live.CachedTokens != 3 {
 		t.Errorf("%+v", got)
 	}
 	text, err := json.Marshal(got)
--- a/internal/router/records/records.go
+++ b/internal/router/records/records.go
@@ -1,9 +1,10 @@
-// Package records keeps the records of compared answers: one JSON object a line, in files of bounded size and number
-// in one folder. It holds the form of a record with its schema, the writer that the router uses off the live path,
-// and the reader of the reports. It imports nothing of ours.
+// Package records keeps the records of compared answers: one JSON object a line, in files of
+// bounded size and number in one folder. It holds the form of a record with its schema, the writer
+// that the router uses off the live path, and the reader of the reports. It imports nothing of
+// ours.
 //
-// A file is named shadow-TIME-NUMBER.ndjson; by name, the oldest comes first. A file whose last line was cut off (a
-// crash, a full disk) is read up to there, and never written to again.
+// A file is named shadow-TIME-NUMBER.ndjson; by name, the oldest comes first. A file whose last
+// line was cut off (a crash, a full disk) is read up to there, and never written to again.
 package records
 
 import (
@@ -48,20 +49,20 @@
 
 // Side is one of the two answers. What is not known is left out.
 type Side struct {
-	Outcome   string   `json:"outcome"` // whole, or why not
-	Host      string   `json:"host,omitempty"`
-	Attempts  int      `json:"schedulings"`      // the name that kept files have
-	Bytes     int64    `json:"bytes"`            // of the stream
-	Chars     int      `json:"chars"`            // bytes of its text, as far as kept
-	Digest    string   `json:"digest,omitempty"` // keyed anew at each start, so that it can't be looked up
-	Finish    string   `json:"finish,omitempty"`
-	Tokens    *int     `json:"tokens,omitempty"`
-	Kept      *int     `json:"kept_tokens,omitempty"`
-	WaitMs    *float64 `json:"wait_ms,omitempty"`    // from take-in until the attempt that answered was sent
-	FirstMs   *float64 `json:"first_ms,omitempty"`   // from take-in to the first event
-	BetweenMs *float64 `json:"between_ms,omitempty"` // mean time between tokens
-	WholeMs   *float64 `json:"whole_ms,omitempty"`
-	Text      string   `json:"text,omitempty"` // only where the settings keep texts
+	Outcome      string   `json:"outcome"` // whole, or why not
+	Host         string   `json:"host,omitempty"`
+	Attempts     int      `json:"schedulings"`      // the name that kept files have
+	Bytes        int64    `json:"bytes"`            // of the stream
+	Chars        int      `json:"chars"`            // bytes of its text, as far as kept
+	Digest       string   `json:"digest,omitempty"` // keyed anew at each start, so that it can't be looked up
+	Finish       string   `json:"finish,omitempty"`
+	Tokens       *int     `json:"tokens,omitempty"`
+	CachedTokens *int     `json:"kept_tokens,omitempty"`
+	WaitMs       *float64 `json:"wait_ms,omitempty"`    // from take-in until the attempt that answered was sent
+	FirstMs      *float64 `json:"first_ms,omitempty"`   // from take-in to the first event
+	BetweenMs    *float64 `json:"between_ms,omitempty"` // mean time between tokens
+	TotalMs      *float64 `json:"whole_ms,omitempty"`
+	Text         string   `json:"text,omitempty"` // only where the settings keep texts
 }
 
 // Compared is how the copy's answer compares with the live one.
@@ -74,8 +75,8 @@
 	Kept       int     `json:"more_kept_tokens"`
 }
 
-// Writer appends records. Only one goroutine uses it. After an error the next Append begins a new file, so that a
-// line cut off stays the last of its file.
+// Writer appends records. Only one goroutine uses it. After an error the next Append begins a new
+// file, so that a line cut off stays the last of its file.
 type Writer struct {
 	Folder    string
 	FileBytes int64 // a file is closed when it has so many
@@ -161,24 +162,24 @@
 	return files, err
 }
 
-// Read gives each record of a folder, the oldest first, with the line as it stands. A last line that was cut off is
-// counted and passed over; any other that can't be read ends it with an error that names file and line. So does an
-// error of each.
-func Read(folder string, each func(line []byte, r *Record) error) (cut int, err error) {
+// Read gives each record of a folder, the oldest first, with the line as it stands. A last line
+// that was cut off is counted and passed over; any other that can't be read ends it with an error
+// that names file and line. So does an error of each.
+func Read(folder string, each func(line []byte, r *Record) error) (truncated int, err error) {
 	files, err := Files(folder)
 	if err != nil {
 		return 0, err
 	}
 	for _, file := range files {
 		n, err := readFile(file, each)
-		if cut += n; err != nil {
-			return cut, err
+		if truncated += n; err != nil {
+			return truncated, err
 		}
 	}
-	return cut, nil
+	return truncated, nil
 }
 
-func readFile(path string, each func([]byte, *Record) error) (cut int, err error) {
+func readFile(path string, each func([]byte, *Record) error) (truncated int, err error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return 0, err
@@ -189,9 +190,9 @@
 		line, err := in.ReadBytes('\n')
 		if err == io.EOF {
 			if len(line) > 0 {
-				cut = 1
+				truncated = 1
 			}
-			return cut, nil
+			return truncated, nil
 		}
 		if err != nil {
 			return 0, fmt.Errorf("%s:%d: %w", path, number, err)
--- a/internal/router/records/stored_test.go
+++ b/internal/router/records/stored_test.go
@@ -12,7 +12,8 @@
 	"reachspread/internal/testbed/golden"
 )
 
-// The file under testdata was written by a Writer at commit 5bfcc27: WRITE_GOLDEN=1 go test -run Golden.
+// The file under testdata was written by a Writer at commit 5bfcc27: WRITE_GOLDEN=1 go test -run
+// Golden.
 const goldenFile = "shadow-20261203T045000.000-000001.ndjson"
 
 // goldenRecords have between them every field.
@@ -20,7 +21,7 @@
 	number := func(n int) *int { return &n }
 	span := func(ms float64) *float64 { return &ms }
 	side := Side{Outcome: "whole", Host: "host-1", Attempts: 2, Bytes: 4096, Chars: 1200, Digest: "00c0ffee00c0ffee", Finish: "stop", Tokens: number(300),
-		Kept: number(128), WaitMs: span(1.5), FirstMs: span(80.25), BetweenMs: span(12.5), WholeMs: span(3830.25), Text: "an answer"}
+		CachedTokens: number(128), WaitMs: span(1.5), FirstMs: span(80.25), BetweenMs: span(12.5), TotalMs: span(3830.25), Text: "an answer"}
 	other := side
 	other.Outcome, other.Host, other.Text = "broken", "host-2", "another answer"
 	return []*Record{
--- a/internal/router/report/charts.go
+++ b/internal/router/report/charts.go
@@ -22,14 +22,15 @@
 	similarityBins          = 20
 )
 
-// charts draws a pool's charts as SVG: both sides' first event and whole answer, and how alike the texts are.
+// charts draws a pool's charts as SVG: both sides' first event and whole answer, and how alike the
+// texts are.
 func (p *Pool) charts() ([]string, error) {
 	all := p.groups[[2]string{"", ""}]
 	if all == nil {
 		return nil, nil // nothing was compared
 	}
 	var charts []string
-	for _, name := range []string{First, Whole} {
+	for _, name := range []string{First, Total} {
 		c, err := cumulative(name, all.live[name], all.copied[name])
 		if err != nil {
 			return nil, err
--- a/internal/router/report/report.go
+++ b/internal/router/report/report.go
@@ -1,6 +1,7 @@
-// Package report sums up the records of shadow pools: what was compared, what was not and why, how the texts differ,
-// and how long both sides took, as HDR histograms by pool, class and host. It reads package records and writes
-// tables; charts.go draws. It is for the program reachreport: the router does without it.
+// Package report sums up the records of shadow pools: what was compared, what was not and why, how
+// the texts differ, and how long both sides took, as HDR histograms by pool, class and host. It
+// reads package records and writes tables; charts.go draws. It is for the program reachreport: the
+// router does without it.
 package report
 
 import (
@@ -18,31 +19,31 @@
 
 // Report is what a folder of records says.
 type Report struct {
-	Folder string    `json:"folder"`
-	From   time.Time `json:"from"`
-	To     time.Time `json:"to"`
-	Cut    int       `json:"cut_lines"` // last lines that were cut off and passed over
-	Pools  []*Pool   `json:"pools"`
+	Folder         string    `json:"folder"`
+	From           time.Time `json:"from"`
+	To             time.Time `json:"to"`
+	TruncatedLines int       `json:"cut_lines"` // last lines that were cut off and passed over
+	Pools          []*Pool   `json:"pools"`
 }
 
 // Pool is one pool's part.
 type Pool struct {
-	Name       string         `json:"pool"`
-	Records    int            `json:"records"`
-	Compared   int            `json:"compared"`
-	Gaps       int            `json:"compared_with_gap"` // of conversations that had lost an earlier turn
-	Causes     map[string]int `json:"not_comparable"`
-	Texts      map[string]int `json:"texts"`
-	SameFinish int            `json:"same_finish"`
-	Partial    int            `json:"similarity_of_a_part"`
-	Similarity Spread         `json:"similarity"` // from 0 to 1
-	Tokens     Spread         `json:"more_tokens"`
-	Kept       Spread         `json:"more_kept_tokens"`
-	Groups     []*Group       `json:"groups"`
-
-	similar      []float64
-	tokens, kept []float64
-	groups       map[[2]string]*Group
+	Name         string         `json:"pool"`
+	Records      int            `json:"records"`
+	Compared     int            `json:"compared"`
+	Gaps         int            `json:"compared_with_gap"` // of conversations that had lost an earlier turn
+	Causes       map[string]int `json:"not_comparable"`
+	Texts        map[string]int `json:"texts"`
+	SameFinish   int            `json:"same_finish"`
+	Partial      int            `json:"similarity_of_a_part"`
+	Similarity   Spread         `json:"similarity"` // from 0 to 1
+	Tokens       Spread         `json:"more_tokens"`
+	CachedTokens Spread         `json:"more_kept_tokens"`
+	Groups       []*Group       `json:"groups"`
+
+	similar              []float64
+	tokens, cachedTokens []float64
+	groups               map[[2]string]*Group
 }
 
 // Group is the times of comparable answers of one class at one host; empty names stand for all.
@@ -55,7 +56,8 @@
 	live, copied map[string]*hdrhistogram.Histogram
 }
 
-// Pair is one time on both sides, in milliseconds, and the copies' median as a multiple of the live one.
+// Pair is one time on both sides, in milliseconds, and the copies' median as a multiple of the live
+// one.
 type Pair struct {
 	Live  Spread  `json:"live_ms"`
 	Copy  Spread  `json:"copy_ms"`
@@ -72,15 +74,16 @@
 	P99   float64 `json:"p99"`
 }
 
-// The times, in the order in which they are shown. The host's own first event leaves out the wait for a host.
+// The times, in the order in which they are shown. The host's own first event leaves out the wait
+// for a host.
 const (
 	First   = "first event"
 	Host    = "first event, host's own"
 	Between = "between tokens"
-	Whole   = "whole answer"
+	Total   = "whole answer"
 )
 
-var times = []string{First, Host, Between, Whole}
+var times = []string{First, Host, Between, Total}
 
 // longest is the most that a histogram holds, in microseconds: an hour.
 const longest = 3600 * 1e6
@@ -93,7 +96,7 @@
 	}
 	r := &Report{Folder: folder, Pools: []*Pool{}}
 	pools := map[string]*Pool{}
-	r.Cut, err = records.Read(folder, func(line []byte, rec *records.Record) error {
+	r.TruncatedLines, err = records.Read(folder, func(line []byte, rec *records.Record) error {
 		doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(line))
 		if err != nil {
 			return err
@@ -166,8 +169,8 @@
 	if r.Live.Tokens != nil && r.Copy.Tokens != nil {
 		p.tokens = append(p.tokens, float64(r.Compared.Tokens))
 	}
-	if r.Live.Kept != nil && r.Copy.Kept != nil && !r.Gap {
-		p.kept = append(p.kept, float64(r.Compared.Kept))
+	if r.Live.CachedTokens != nil && r.Copy.CachedTokens != nil && !r.Gap {
+		p.cachedTokens = append(p.cachedTokens, float64(r.Compared.Kept))
 	}
 	for _, of := range [][2]string{{"", ""}, {r.Class, ""}, {"", r.Copy.Host}, {r.Class, r.Copy.Host}} {
 		g := p.groups[of]
@@ -190,7 +193,7 @@
 }
 
 func record(to map[string]*hdrhistogram.Histogram, s *records.Side) {
-	note := func(name string, ms *float64, less *float64) {
+	add := func(name string, ms *float64, less *float64) {
 		if ms == nil {
 			return
 		}
@@ -200,14 +203,14 @@
 		}
 		to[name].RecordValue(int64(min(max(v*1000, 1), longest))) // within its range, it can't fail
 	}
-	note(First, s.FirstMs, nil)
-	note(Host, s.FirstMs, s.WaitMs)
-	note(Between, s.BetweenMs, nil)
-	note(Whole, s.WholeMs, nil)
+	add(First, s.FirstMs, nil)
+	add(Host, s.FirstMs, s.WaitMs)
+	add(Between, s.BetweenMs, nil)
+	add(Total, s.TotalMs, nil)
 }
 
 func (p *Pool) finish() {
-	p.Similarity, p.Tokens, p.Kept = spread(p.similar), spread(p.tokens), spread(p.kept)
+	p.Similarity, p.Tokens, p.CachedTokens = spread(p.similar), spread(p.tokens), spread(p.cachedTokens)
 	for _, of := range slices.SortedFunc(maps.Keys(p.groups), func(a, b [2]string) int { return slices.Compare(a[:], b[:]) }) {
 		g := p.groups[of]
 		g.Times = map[string]Pair{}
--- a/internal/router/report/report_test.go
+++ b/internal/router/report/report_test.go
@@ -18,8 +18,8 @@
 
 func num[T any](v T) *T { return &v }
 
-// fill writes a folder of 100 records: 90 compared, 10 broken. Live answers take i ms, copies twice that at a host of
-// two that is found by turns.
+// fill writes a folder of 100 records: 90 compared, 10 broken. Live answers take i ms, copies twice
+// that at a host of two that is found by turns.
 func fill(t testing.TB) string {
 	t.Helper()
 	folder := t.TempDir()
@@ -28,8 +28,8 @@
 		ms := float64(i)
 		r := &records.Record{Version: records.Version, At: time.Unix(int64(i), 0).UTC(), Pool: "next", Class: "chat", ID: fmt.Sprint("q", i),
 			Session: "0123456789abcdef", Gap: i == 1,
-			Live: records.Side{Outcome: "whole", Host: "s0", FirstMs: num(ms), WaitMs: num(ms / 2), WholeMs: num(3 * ms), Tokens: num(10), Kept: num(4)},
-			Copy: records.Side{Outcome: "whole", Host: fmt.Sprint("c", i%2), FirstMs: num(2 * ms), WaitMs: num(0.0), WholeMs: num(6 * ms), Tokens: num(12), Kept: num(1)}}
+			Live: records.Side{Outcome: "whole", Host: "s0", FirstMs: num(ms), WaitMs: num(ms / 2), TotalMs: num(3 * ms), Tokens: num(10), CachedTokens: num(4)},
+			Copy: records.Side{Outcome: "whole", Host: fmt.Sprint("c", i%2), FirstMs: num(2 * ms), WaitMs: num(0.0), TotalMs: num(6 * ms), Tokens: num(12), CachedTokens: num(1)}}
 		if i%10 == 0 {
 			r.Cause, r.Copy = "broken", records.Side{Outcome: "broken"}
 		} else {
@@ -53,8 +53,8 @@
 	if p.Records != 100 || p.Compared != 90 || p.Causes["broken"] != 10 || p.Texts["differs"] != 90 || p.SameFinish != 45 || p.Gaps != 1 {
 		t.Errorf("%+v", p)
 	}
-	if p.Tokens != (Spread{90, 2, 2, 2, 2, 2}) || p.Kept.Mean != -3 || p.Kept.Count != 89 {
-		t.Errorf("tokens %+v, kept %+v", p.Tokens, p.Kept)
+	if p.Tokens != (Spread{90, 2, 2, 2, 2, 2}) || p.CachedTokens.Mean != -3 || p.CachedTokens.Count != 89 {
+		t.Errorf("tokens %+v, kept %+v", p.Tokens, p.CachedTokens)
 	}
 	if len(p.Groups) != 6 { // all, each host, the class, the class at each host
 		t.Fatalf("%d groups", len(p.Groups))
@@ -132,7 +132,8 @@
 	if !strings.HasSuffix(page, "</html>\n") {
 		t.Error("the page is cut off")
 	}
-	// For whoever wants to look at it: REPORT_PAGE=FILE go test ./internal/router/report -run TestPage
+	// For whoever wants to look at it: REPORT_PAGE=FILE go test ./internal/router/report -run
+	// TestPage
 	if path := os.Getenv("REPORT_PAGE"); path != "" {
 		if err := os.WriteFile(path, b.Bytes(), 0o600); err != nil {
 			t.Fatal(err)
@@ -140,7 +141,8 @@
 	}
 }
 
-// A line that is JSON but no record is told with file and line; an empty folder is a report of nothing.
+// A line that is JSON but no record is told with file and line; an empty folder is a report of
+// nothing.
 func TestOddFolders(t *testing.T) {
 	folder := t.TempDir()
 	r, err := Read(folder)
--- a/internal/router/report/tables.go
+++ b/internal/router/report/tables.go
@@ -16,7 +16,8 @@
 // Formats are the names of the ways in which Write writes.
 var Formats = []string{"terminal", "markdown", "csv", "json"}
 
-// Write writes the report. As CSV it is one long table, a line for each figure; as JSON the Report itself.
+// Write writes the report. As CSV it is one long table, a line for each figure; as JSON the Report
+// itself.
 func (r *Report) Write(w io.Writer, format string) error {
 	switch format {
 	case "terminal", "markdown":
@@ -45,12 +46,12 @@
 	if len(r.Pools) == 0 {
 		return fmt.Sprintf("%s: no records", r.Folder)
 	}
-	cut := ""
-	if r.Cut > 0 {
-		cut = fmt.Sprintf("; %d last lines were cut off and passed over", r.Cut)
+	truncated := ""
+	if r.TruncatedLines > 0 {
+		truncated = fmt.Sprintf("; %d last lines were cut off and passed over", r.TruncatedLines)
 	}
 	const form = "2006-01-02 15:04:05"
-	return fmt.Sprintf("%s: records from %s to %s UTC%s", r.Folder, r.From.UTC().Format(form), r.To.UTC().Format(form), cut)
+	return fmt.Sprintf("%s: records from %s to %s UTC%s", r.Folder, r.From.UTC().Format(form), r.To.UTC().Format(form), truncated)
 }
 
 // tables returns, for each pool, what was compared, how texts differ, and the times.
@@ -103,7 +104,7 @@
 	}
 	spread("similarity, 0 to 1", p.Similarity, 3)
 	spread("tokens, more than live", p.Tokens, 1)
-	spread("kept tokens, more than live", p.Kept, 1)
+	spread("kept tokens, more than live", p.CachedTokens, 1)
 	return t
 }
 
@@ -119,7 +120,7 @@
 			if pair.Ratio > 0 {
 				ratio = fmt.Sprintf("%.2f", pair.Ratio)
 			}
-			t.AppendRow(table.Row{orAll(g.Class), orAll(g.Host), g.Count, name, places(pair.Live), places(pair.Copy), ratio})
+			t.AppendRow(table.Row{orAll(g.Class), orAll(g.Host), g.Count, name, percentiles(pair.Live), percentiles(pair.Copy), ratio})
 		}
 	}
 	return t
@@ -132,7 +133,7 @@
 	return name
 }
 
-func places(s Spread) string {
+func percentiles(s Spread) string {
 	if s.Count == 0 {
 		return "-"
 	}
@@ -158,15 +159,15 @@
 		}
 		spread := func(class, host, figure, side string, s Spread) {
 			for _, x := range []struct {
-				place string
-				v     float64
+				percentile string
+				v          float64
 			}{{"count", float64(s.Count)}, {"mean", s.Mean}, {"p10", s.P10}, {"p50", s.P50}, {"p90", s.P90}, {"p99", s.P99}} {
-				t.AppendRow(table.Row{p.Name, class, host, figure, side, x.place, x.v})
+				t.AppendRow(table.Row{p.Name, class, host, figure, side, x.percentile, x.v})
 			}
 		}
 		spread("", "", "similarity", "", p.Similarity)
 		spread("", "", "more tokens", "", p.Tokens)
-		spread("", "", "more kept tokens", "", p.Kept)
+		spread("", "", "more kept tokens", "", p.CachedTokens)
 		for _, g := range p.Groups {
 			for _, name := range times {
 				spread(g.Class, g.Host, name+", ms", "live", g.Times[name].Live)
@@ -177,7 +178,8 @@
 	return t
 }
 
-// WriteHTML writes one page with the tables and charts. All of it is in the page, so it opens without a network.
+// WriteHTML writes one page with the tables and charts. All of it is in the page, so it opens
+// without a network.
 func (r *Report) WriteHTML(w io.Writer) error {
 	fmt.Fprintf(w, "<!doctype html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>Shadow pools</title>\n<style>%s</style></head><body>\n", style)
 	fmt.Fprintf(w, "<h1>Shadow pools</h1>\n<p>%s</p>\n", html.EscapeString(r.heading()))
--- a/internal/router/settings/admission.go
+++ b/internal/router/settings/admission.go
@@ -110,7 +110,7 @@
 	if b == nil {
 		return usual
 	}
-	whole := func(field string, n *int, usual int) int {
+	count := func(field string, n *int, usual int) int {
 		if n == nil {
 			return usual
 		}
@@ -119,7 +119,7 @@
 		}
 		return *n
 	}
-	bound := admission.Cap{Conns: whole("connections", b.Conns, usual.Conns), Open: whole("open", b.Open, usual.Open),
+	bound := admission.Cap{Conns: count("connections", b.Conns, usual.Conns), Open: count("open", b.Open, usual.Open),
 		PerSecond: c.number(b.Body, "per_second", b.PerSecond, usual.PerSecond, 0, 1e6)}
 	if bound.Conns > 0 && bound.Open > bound.Conns && b.Open != nil {
 		c.fault(b.Body, "open", "is %d; one connection carries one request, and connections is %d", bound.Open, bound.Conns)
--- a/internal/router/settings/blocks.go
+++ b/internal/router/settings/blocks.go
@@ -132,7 +132,7 @@
 
 type pressureBlock struct {
 	Body     hcl.Body `hcl:",body"`
-	Held     *float64 `hcl:"held,optional"`
+	Queued   *float64 `hcl:"held,optional"`
 	Bodies   *float64 `hcl:"bodies,optional"`
 	Sockets  *float64 `hcl:"sockets,optional"`
 	Late     string   `hcl:"late,optional"`
@@ -143,29 +143,29 @@
 }
 
 type poolBlock struct {
-	Body        hcl.Body    `hcl:",body"`
-	Name        string      `hcl:"name,label"`
-	Range       hcl.Range   `hcl:",def_range"`
-	Share       float64     `hcl:"share"`
-	Classes     []string    `hcl:"classes,optional"`
-	Tenants     []string    `hcl:"tenants,optional"`
-	Discovery   string      `hcl:"discovery,optional"`
-	Hosts       []hostBlock `hcl:"host,block"`
-	PerSecond   *float64    `hcl:"copies_per_second,optional"`
-	Out         *int        `hcl:"copies_out,optional"`
-	PerHost     *int        `hcl:"copies_per_host,optional"`
-	Waiting     *int        `hcl:"copies_waiting,optional"`
-	Bytes       string      `hcl:"body_bytes,optional"`
-	Sockets     *int        `hcl:"sockets,optional"`
-	Wait        string      `hcl:"wait,optional"`
-	Patience    string      `hcl:"patience,optional"`
-	Silent      string      `hcl:"silent,optional"`
-	Longest     string      `hcl:"longest,optional"`
-	AnswerBytes string      `hcl:"answer_bytes,optional"`
-	Failures    *int        `hcl:"failures,optional"`
-	RetryFirst  string      `hcl:"retry_first,optional"`
-	RetryMost   string      `hcl:"retry_most,optional"`
-	OneCopier   bool        `hcl:"one_copier,optional"`
+	Body              hcl.Body    `hcl:",body"`
+	Name              string      `hcl:"name,label"`
+	Range             hcl.Range   `hcl:",def_range"`
+	Share             float64     `hcl:"share"`
+	Classes           []string    `hcl:"classes,optional"`
+	Tenants           []string    `hcl:"tenants,optional"`
+	Discovery         string      `hcl:"discovery,optional"`
+	Hosts             []hostBlock `hcl:"host,block"`
+	PerSecond         *float64    `hcl:"copies_per_second,optional"`
+	Out               *int        `hcl:"copies_out,optional"`
+	PerHost           *int        `hcl:"copies_per_host,optional"`
+	Waiting           *int        `hcl:"copies_waiting,optional"`
+	Bytes             string      `hcl:"body_bytes,optional"`
+	Sockets           *int        `hcl:"sockets,optional"`
+	Wait              string      `hcl:"wait,optional"`
+	Patience          string      `hcl:"patience,optional"`
+	StreamIdleTimeout string      `hcl:"silent,optional"`
+	Longest           string      `hcl:"longest,optional"`
+	AnswerBytes       string      `hcl:"answer_bytes,optional"`
+	Failures          *int        `hcl:"failures,optional"`
+	RetryFirst        string      `hcl:"retry_first,optional"`
+	RetryMost         string      `hcl:"retry_most,optional"`
+	OneCopier         bool        `hcl:"one_copier,optional"`
 }
 
 type hostBlock struct {
--- a/internal/router/settings/checker.go
+++ b/internal/router/settings/checker.go
@@ -47,24 +47,24 @@
 	}
 }
 
-func (c *checker) duration(body hcl.Body, field, word string, usual time.Duration) time.Duration {
-	if word == "" {
+func (c *checker) duration(body hcl.Body, field, text string, usual time.Duration) time.Duration {
+	if text == "" {
 		return usual
 	}
-	d, err := time.ParseDuration(word)
+	d, err := time.ParseDuration(text)
 	if err != nil || d <= 0 || d > 24*time.Hour {
-		c.fault(body, field, "is %q; it must be a time over 0 and up to 24h, such as 250ms or 2s", word)
+		c.fault(body, field, "is %q; it must be a time over 0 and up to 24h, such as 250ms or 2s", text)
 	}
 	return d
 }
 
-func (c *checker) size(body hcl.Body, field, word string, usual, least int64) int64 {
-	if word == "" {
+func (c *checker) size(body hcl.Body, field, text string, usual, least int64) int64 {
+	if text == "" {
 		return usual
 	}
-	n, err := humanize.ParseBytes(word)
+	n, err := humanize.ParseBytes(text)
 	if err != nil || n > 1<<40 || int64(n) < least {
-		c.fault(body, field, "is %q; it must be a size such as 64KiB or 1MiB, and %s at least", word, humanize.IBytes(uint64(least)))
+		c.fault(body, field, "is %q; it must be a size such as 64KiB or 1MiB, and %s at least", text, humanize.IBytes(uint64(least)))
 		return usual
 	}
 	return int64(n)
@@ -90,10 +90,10 @@
 	return *n
 }
 
-func (c *checker) addr(body hcl.Body, field, word string) netip.AddrPort {
-	a, err := netip.ParseAddrPort(word)
+func (c *checker) addr(body hcl.Body, field, text string) netip.AddrPort {
+	a, err := netip.ParseAddrPort(text)
 	if err != nil || !a.Addr().Is4() || a.Port() == 0 {
-		c.fault(body, field, "has %q; it must be an IPv4 address with a port", word)
+		c.fault(body, field, "has %q; it must be an IPv4 address with a port", text)
 	}
 	return a
 }
--- a/internal/router/settings/settings_test.go
+++ b/internal/router/settings/settings_test.go
@@ -51,7 +51,7 @@
 	}
 	p := s.Shadow.Pools[0]
 	if s.LogFormat != logging.JSON || s.StatusDir != "run" || p.Choice.Share != 0.25 || p.Decider.Caps.Bytes != 2<<20 ||
-		p.Patience != 10*time.Second || p.Decider.Pressure.Late != 5*time.Millisecond || p.Decider.Pressure.Held != 8 ||
+		p.Patience != 10*time.Second || p.Decider.Pressure.Late != 5*time.Millisecond || p.Decider.Pressure.Queued != 8 ||
 		p.Hosts[0] != (Host{ID: "c0", Addr: "127.0.0.1:9000"}) || s.Shadow.Records.Files != 3 {
 		t.Errorf("%+v", s)
 	}
--- a/internal/router/settings/shadow.go
+++ b/internal/router/settings/shadow.go
@@ -27,15 +27,15 @@
 
 // Pool is one candidate pool.
 type Pool struct {
-	Choice      shadow.Choice
-	Decider     shadow.Config
-	Hosts       []Host // in place of Discovery
-	Discovery   string
-	Sockets     int           // connections to its hosts
-	Patience    time.Duration // for the first event of a copy's answer
-	Silent      time.Duration // for its stream
-	AnswerBytes int           // kept of each of the two answers
-	OneCopier   bool          // only the router that has the duty copies
+	Choice            shadow.Choice
+	Decider           shadow.Config
+	Hosts             []Host // in place of Discovery
+	Discovery         string
+	Sockets           int           // connections to its hosts
+	Patience          time.Duration // for the first event of a copy's answer
+	StreamIdleTimeout time.Duration // for its stream
+	AnswerBytes       int           // kept of each of the two answers
+	OneCopier         bool          // only the router that has the duty copies
 }
 
 // Duty is the name of the duty to copy to the pool.
@@ -95,7 +95,7 @@
 		b = new(pressureBlock)
 	}
 	return shadow.Pressure{
-		Held:     c.number(b.Body, "held", b.Held, 8, 1, 1e6),
+		Queued:   c.number(b.Body, "held", b.Queued, 8, 1, 1e6),
 		Bodies:   c.number(b.Body, "bodies", b.Bodies, 0.5, 0.01, 1),
 		Sockets:  c.number(b.Body, "sockets", b.Sockets, 0.7, 0.01, 1),
 		Late:     c.duration(b.Body, "late", b.Late, 10*time.Millisecond),
@@ -110,12 +110,12 @@
 
 func (c *checker) pool(b *poolBlock, tenants string) Pool {
 	p := Pool{
-		Choice:    shadow.Choice{Pool: b.Name, Share: b.Share, Classes: b.Classes, Tenants: b.Tenants},
-		Discovery: b.Discovery,
-		OneCopier: b.OneCopier,
-		Sockets:   c.count(b.Body, "sockets", b.Sockets, 16, 10_000),
-		Patience:  c.duration(b.Body, "patience", b.Patience, 15*time.Second),
-		Silent:    c.duration(b.Body, "silent", b.Silent, 15*time.Second),
+		Choice:            shadow.Choice{Pool: b.Name, Share: b.Share, Classes: b.Classes, Tenants: b.Tenants},
+		Discovery:         b.Discovery,
+		OneCopier:         b.OneCopier,
+		Sockets:           c.count(b.Body, "sockets", b.Sockets, 16, 10_000),
+		Patience:          c.duration(b.Body, "patience", b.Patience, 15*time.Second),
+		StreamIdleTimeout: c.duration(b.Body, "silent", b.StreamIdleTimeout, 15*time.Second),
 		// An answer of the platform's longest body must not push out the caps of everything else.
 		AnswerBytes: int(c.size(b.Body, "answer_bytes", b.AnswerBytes, 32<<10, 1<<10)),
 		Decider: shadow.Config{
--- a/internal/router/shadow/decider.go
+++ b/internal/router/shadow/decider.go
@@ -8,16 +8,18 @@
 )
 
 const (
-	// staleAfter is how old a sample may be before the live path is taken to be in trouble that nobody could report;
-	// it may be twice Pressure.Late where that is more.
+	// staleAfter is how old a sample may be before the live path is taken to be in trouble that
+	// nobody could report; it may be twice Pressure.Late where that is more.
 	staleAfter = 500 * time.Millisecond
-	// mostGaps bounds the conversations known to have a gap; the oldest is forgotten first.
-	mostGaps = 1024
-	// pairingFor bounds the copies that have ended and wait for their live answer, as a multiple of those out.
+	// maxGaps bounds the conversations known to have a gap; the oldest is forgotten first.
+	maxGaps = 1024
+	// pairingFor bounds the copies that have ended and wait for their live answer, as a multiple of
+	// those out.
 	pairingFor = 2
-	// mostCalm bounds the doubling of Pressure.Calm, as a multiple.
-	mostCalm = 16
-	// steady is how long the pool must have been up, as a multiple of Health.Most, for its trials to begin anew.
+	// maxCalm bounds the doubling of Pressure.Calm, as a multiple.
+	maxCalm = 16
+	// steady is how long the pool must have been up, as a multiple of Health.Most, for its trials
+	// to begin anew.
 	steady = 1
 )
 
@@ -32,17 +34,17 @@
 
 // copying is one copy. It is forgotten with its Drop or Record.
 type copying struct {
-	id      uint64
-	session uint64
-	bytes   int64
-	state   state
-	since   time.Duration // offered, then started
-	cause   Cause         // why it is not comparable, so far
-	ending  bool          // End was given
-	capped  bool          // a host was denied to it for PerHost
-	held    Cause         // what kept it waiting last
-	live    bool          // the live answer has ended
-	whole   bool          // and was whole
+	id           uint64
+	session      uint64
+	bytes        int64
+	state        state
+	since        time.Duration // offered, then started
+	cause        Cause         // why it is not comparable, so far
+	ending       bool          // End was given
+	capped       bool          // a host was denied to it for PerHost
+	waitCause    Cause         // what kept it waiting last
+	live         bool          // the live answer has ended
+	liveComplete bool          // and was whole
 }
 
 // Decider decides for one pool.
@@ -52,19 +54,19 @@
 	now time.Duration
 	act []Action
 
-	copies  map[uint64]*copying
-	queue   []*copying // that wait, in their order
-	outs    []*copying // that are out, in the order of their start
-	pairs   []*copying // that have ended and wait for their live answer
-	bytes   int64
-	seats   map[string]int
-	turns   []turn // as many as may be in a window; one that was taken under a higher cap stays for its time
-	gaps    map[uint64]bool
-	gapRing []uint64
-	gapNext int
-	closed  bool
-	hosts   int
-	count   Counts
+	copies       map[uint64]*copying
+	queue        []*copying // that wait, in their order
+	outs         []*copying // that are out, in the order of their start
+	pairs        []*copying // that have ended and wait for their live answer
+	bytes        int64
+	hostAttempts map[string]int
+	turns        []turn // as many as may be in a window; one that was taken under a higher cap stays for its time
+	gaps         map[uint64]bool
+	gapRing      []uint64
+	gapNext      int
+	closed       bool
+	hosts        int
+	count        Counts
 
 	level     Level
 	sampled   time.Duration // the last one, 0 for none
@@ -82,28 +84,30 @@
 	trial    *copying
 }
 
-// New returns a Decider for a pool without hosts. It starts nothing before its first Sample and Hosts.
+// New returns a Decider for a pool without hosts. It starts nothing before its first Sample and
+// Hosts.
 func New(c Config, seed uint64) *Decider {
-	return &Decider{c: c, rng: rand.New(rand.NewPCG(seed, 0)), copies: map[uint64]*copying{}, seats: map[string]int{},
+	return &Decider{c: c, rng: rand.New(rand.NewPCG(seed, 0)), copies: map[uint64]*copying{}, hostAttempts: map[string]int{},
 		gaps: map[uint64]bool{}, calmFor: c.Pressure.Calm, backoff: c.Health.First,
 		count: Counts{Dropped: map[Cause]uint64{}, Ended: map[Cause]uint64{}, Incomparable: map[Cause]uint64{},
 			Pressed: map[string]uint64{}}}
 }
 
-// Step takes in what has happened by now and returns what is to be done. An empty one lets time pass.
+// Step takes in what has happened by now and returns what is to be done. An empty one lets time
+// pass.
 func (d *Decider) Step(now time.Duration, events []Event) []Action {
 	d.now, d.act = max(now, d.now), nil
 	for _, event := range events {
 		switch e := event.(type) {
 		case Offer:
 			d.offer(e)
-		case Seat:
-			d.seat(e)
-		case Heard:
+		case AttemptRequest:
+			d.grantAttempt(e)
+		case AttemptReached:
 			d.heard(e.Copy)
-		case Left:
-			if d.seats[e.Host]--; d.seats[e.Host] <= 0 {
-				delete(d.seats, e.Host)
+		case AttemptEnded:
+			if d.hostAttempts[e.Host]--; d.hostAttempts[e.Host] <= 0 {
+				delete(d.hostAttempts, e.Host)
 			}
 		case Ended:
 			d.ended(e)
@@ -120,7 +124,7 @@
 			d.closed = true
 		}
 	}
-	d.settle()
+	d.reconcile()
 	return d.act
 }
 
@@ -149,7 +153,8 @@
 
 func (d *Decider) do(a Action) { d.act = append(d.act, a) }
 
-// offer takes a copy into the queue, or drops it at once. A name that is in use is the host's mistake and passed over.
+// offer takes a copy into the queue, or drops it at once. A name that is in use is the host's
+// mistake and passed over.
 func (d *Decider) offer(e Offer) {
 	if d.copies[e.Copy] != nil {
 		return
@@ -184,33 +189,33 @@
 	if d.gaps[c.session] {
 		return
 	}
-	if len(d.gapRing) < mostGaps {
+	if len(d.gapRing) < maxGaps {
 		d.gapRing = append(d.gapRing, c.session)
 	} else {
 		delete(d.gaps, d.gapRing[d.gapNext])
 		d.gapRing[d.gapNext] = c.session
-		d.gapNext = (d.gapNext + 1) % mostGaps
+		d.gapNext = (d.gapNext + 1) % maxGaps
 	}
 	d.gaps[c.session] = true
 }
 
-// seat grants an attempt unless the host has as many as it may, or the copy is to end.
-func (d *Decider) seat(e Seat) {
+// grantAttempt grants an attempt unless the host has as many as it may, or the copy is to end.
+func (d *Decider) grantAttempt(e AttemptRequest) {
 	c := d.copies[e.Copy]
 	ok := c != nil && c.state == out && !c.ending
 	switch {
 	case ok && d.level != Calm:
 		ok = false
 		d.end(c, Pressed)
-	case ok && d.seats[e.Host] >= d.c.Caps.PerHost:
+	case ok && d.hostAttempts[e.Host] >= d.c.Caps.PerHost:
 		ok, c.capped = false, true
 		d.count.HostFull++
 	case ok && !d.send(c.id):
 		ok, c.capped = false, true
 	case ok:
-		d.seats[e.Host]++
+		d.hostAttempts[e.Host]++
 	}
-	d.do(Seated{e.Copy, e.Host, ok})
+	d.do(AttemptGranted{e.Copy, e.Host, ok})
 }
 
 func (d *Decider) ended(e Ended) {
@@ -233,21 +238,21 @@
 	d.pairs = append(d.pairs, c)
 }
 
-// liveEnded pairs the answers up. Without a whole live answer there is nothing to compare with, so a copy that waits
-// is dropped and one that is out ends.
+// liveEnded pairs the answers up. Without a whole live answer there is nothing to compare with, so
+// a copy that waits is dropped and one that is out ends.
 func (d *Decider) liveEnded(e LiveEnded) {
 	c := d.copies[e.Copy]
 	if c == nil || c.live {
 		return
 	}
-	c.live, c.whole = true, e.Whole
+	c.live, c.liveComplete = true, e.Complete
 	switch {
 	case c.state == pairing:
 		d.pairs = without(d.pairs, c)
 		d.record(c)
-	case !e.Whole && c.state == waiting:
+	case !e.Complete && c.state == waiting:
 		d.unqueue(c, NoLive)
-	case !e.Whole:
+	case !e.Complete:
 		d.end(c, NoLive)
 	}
 }
@@ -256,7 +261,7 @@
 	if c.cause == "" && !c.live {
 		c.cause = Closing
 	}
-	if c.cause == "" && !c.whole {
+	if c.cause == "" && !c.liveComplete {
 		c.cause = NoLive
 	}
 	delete(d.copies, c.id)
@@ -288,8 +293,8 @@
 	d.drop(c, cause)
 }
 
-// judge takes the end of a copy as word on the pool's health. What we ended ourselves says nothing, but that an
-// answer took too long does; nor does a request that is itself at fault.
+// judge takes the end of a copy as word on the pool's health. What we ended ourselves says nothing,
+// but that an answer took too long does; nor does a request that is itself at fault.
 func (d *Decider) judge(c *copying, how Cause) {
 	trial := c == d.trial
 	if trial {
@@ -326,7 +331,8 @@
 	}
 }
 
-// postpone sets the time of the next trial, up to a fifth later so that routers do not try together.
+// postpone sets the time of the next trial, up to a fifth later so that routers do not try
+// together.
 func (d *Decider) postpone() {
 	d.retry = d.now + d.backoff + time.Duration(d.rng.Float64()*float64(d.backoff)/5)
 }
@@ -341,7 +347,7 @@
 		name      string
 		value, at float64
 	}{
-		{"held", float64(e.Held), p.Held},
+		{"held", float64(e.Queued), p.Queued},
 		{"bodies", e.Bodies, p.Bodies},
 		{"sockets", e.Sockets, p.Sockets},
 		{"late", float64(e.Late), float64(p.Late)},
@@ -372,16 +378,16 @@
 func (d *Decider) press(signal string) {
 	d.count.Pressed[signal]++
 	if d.calmAgain > 0 && d.now-d.calmAgain < d.calmFor {
-		d.calmFor = min(2*d.calmFor, mostCalm*d.c.Pressure.Calm)
+		d.calmFor = min(2*d.calmFor, maxCalm*d.c.Pressure.Calm)
 	} else {
 		d.calmFor = d.c.Pressure.Calm
 	}
 	d.level, d.hotSince, d.lastHot = Tense, d.now, d.now
 }
 
-// settle brings all copies in line with the time and the level: waiting ones go first, then none starts, then
-// running ones end.
-func (d *Decider) settle() {
+// reconcile brings all copies in line with the time and the level: waiting ones go first, then none
+// starts, then running ones end.
+func (d *Decider) reconcile() {
 	switch {
 	case d.now-d.sampled > d.stale() && d.level == Calm && (d.sampled > 0 || len(d.copies) > 0):
 		d.press("no sample")
@@ -425,10 +431,10 @@
 	case d.down && (d.trial != nil || d.now < d.retry):
 		return PoolDown
 	case d.now-c.since > d.c.Caps.Wait:
-		if c.held == "" {
+		if c.waitCause == "" {
 			return Pressed // nothing but the lack of a sample kept it
 		}
-		return c.held
+		return c.waitCause
 	}
 	return ""
 }
@@ -450,18 +456,19 @@
 	case d.down && (d.trial != nil || d.now < d.retry):
 		return false
 	case len(d.outs) >= d.c.Caps.Out || len(d.pairs) >= pairingFor*d.c.Caps.Out:
-		c.held = OverOut
+		c.waitCause = OverOut
 		return false
 	}
-	if !d.spare() {
-		c.held = OverRate
+	if !d.hasTurn() {
+		c.waitCause = OverRate
 		return false
 	}
 	return true
 }
 
-// turn is a copy's right to one attempt. It may reach its host at any time from when it is sent to when the host is heard, so the
-// window begins with the latter: a host sees no more in any second of its own, however long copies are on their way.
+// turn is a copy's right to one attempt. It may reach its host at any time from when it is sent to
+// when the host is heard, so the window begins with the latter: a host sees no more in any second
+// of its own, however long copies are on their way.
 type turn struct {
 	copy uint64
 	sent bool
@@ -469,8 +476,8 @@
 	at   time.Duration // of over
 }
 
-// spare tells whether one more turn may be taken.
-func (d *Decider) spare() bool {
+// hasTurn tells whether one more turn may be taken.
+func (d *Decider) hasTurn() bool {
 	n, window := d.rate()
 	d.turns = slices.DeleteFunc(d.turns, func(t turn) bool { return t.over && d.now-t.at >= window })
 	return len(d.turns) < n
@@ -484,14 +491,15 @@
 			return t.sent
 		}
 	}
-	if !d.spare() {
+	if !d.hasTurn() {
 		return false
 	}
 	d.turns = append(d.turns, turn{copy: id, sent: true})
 	return true
 }
 
-// mayReach tells whether one more attempt may reach a host now. A turn that was taken under a higher cap may have to wait.
+// mayReach tells whether one more attempt may reach a host now. A turn that was taken under a
+// higher cap may have to wait.
 func (d *Decider) mayReach() bool {
 	n, window := d.rate()
 	reached := 0
--- a/internal/router/shadow/decider_test.go
+++ b/internal/router/shadow/decider_test.go
@@ -27,7 +27,7 @@
 func config() Config {
 	return Config{
 		Caps:     Caps{PerSecond: 1000, Out: 4, PerHost: 2, Bytes: 1000, Waiting: 3, Wait: time.Second, Longest: 10 * time.Second},
-		Pressure: Pressure{Held: 8, Bodies: 0.5, Sockets: 0.7, Late: 10 * ms, Refusals: 2, Hard: 2, Grace: 500 * ms, Calm: 2 * time.Second},
+		Pressure: Pressure{Queued: 8, Bodies: 0.5, Sockets: 0.7, Late: 10 * ms, Refusals: 2, Hard: 2, Grace: 500 * ms, Calm: 2 * time.Second},
 		Health:   Health{Failures: 3, First: time.Second, Most: 8 * time.Second},
 	}
 }
@@ -61,12 +61,13 @@
 		{2 * ms, []Event{Ended{1, ""}}, nil},
 		{3 * ms, []Event{LiveEnded{1, true}}, []Action{Record{1, "", true}}},
 		{4 * ms, []Event{LiveEnded{2, true}, Ended{2, Broken}}, []Action{Record{2, Broken, true}}},
-		// Nothing is left to compare with: the copy is given up at once, and what it came to is beside the point.
+		// Nothing is left to compare with: the copy is given up at once, and what it came to is
+		// beside the point.
 		{5 * ms, []Event{LiveEnded{3, false}}, []Action{End{3, NoLive}}},
 		{6 * ms, []Event{Ended{3, ""}}, []Action{Record{3, NoLive, true}}},
 		{7 * ms, []Event{Ended{4, ""}, LiveEnded{4, false}}, []Action{Record{4, NoLive, true}}},
 		// The host's mistakes change nothing.
-		{8 * ms, []Event{Ended{4, ""}, LiveEnded{9, true}, Left{"h"}}, nil},
+		{8 * ms, []Event{Ended{4, ""}, LiveEnded{9, true}, AttemptEnded{"h"}}, nil},
 	})
 }
 
@@ -76,8 +77,8 @@
 	d := play(t, c, []moment{
 		{ms, ready(Offer{1, 1, 30}, Offer{2, 2, 30}, Offer{3, 3, 50}), []Action{Start{1, false}, Drop{3, OverBytes}}},
 		{2 * ms, []Event{Offer{4, 4, 10}, Offer{5, 5, 10}}, []Action{Drop{5, OverQueue}}},
-		{3 * ms, []Event{Seat{1, "a"}, Ended{1, ""}, LiveEnded{1, true}},
-			[]Action{Seated{1, "a", true}, Record{1, "", true}, Start{2, false}}},
+		{3 * ms, []Event{AttemptRequest{1, "a"}, Ended{1, ""}, LiveEnded{1, true}},
+			[]Action{AttemptGranted{1, "a", true}, Record{1, "", true}, Start{2, false}}},
 		{500 * ms, []Event{Sample{}}, nil},
 		{1000 * ms, []Event{Sample{}}, nil},
 		{1003 * ms, nil, []Action{Drop{4, OverOut}}},
@@ -90,18 +91,19 @@
 	}
 }
 
-// Only so many reach hosts in any second, however long they are on their way; a further try is one more, and under one a second counts as well.
+// Only so many reach hosts in any second, however long they are on their way; a further try is one
+// more, and under one a second counts as well.
 func TestRate(t *testing.T) {
 	c := config()
 	c.Caps.PerSecond, c.Caps.Out, c.Caps.Wait = 2, 100, 5*time.Second
 	play(t, c, []moment{
-		{700 * ms, ready(Offer{1, 1, 1}, Seat{1, "a"}), []Action{Start{1, false}, Seated{1, "a", true}}},
-		{900 * ms, []Event{Heard{1}}, nil},
-		{950 * ms, []Event{Offer{2, 2, 1}, Offer{3, 3, 1}, Seat{2, "a"}}, []Action{Start{2, false}, Seated{2, "a", true}}},
-		{960 * ms, []Event{Heard{2}, Left{"a"}, Seat{2, "a"}}, []Action{Seated{2, "a", false}}}, // a further try has no turn
+		{700 * ms, ready(Offer{1, 1, 1}, AttemptRequest{1, "a"}), []Action{Start{1, false}, AttemptGranted{1, "a", true}}},
+		{900 * ms, []Event{AttemptReached{1}}, nil},
+		{950 * ms, []Event{Offer{2, 2, 1}, Offer{3, 3, 1}, AttemptRequest{2, "a"}}, []Action{Start{2, false}, AttemptGranted{2, "a", true}}},
+		{960 * ms, []Event{AttemptReached{2}, AttemptEnded{"a"}, AttemptRequest{2, "a"}}, []Action{AttemptGranted{2, "a", false}}}, // a further try has no turn
 		{1400 * ms, []Event{Sample{}}, nil},
 		{1899 * ms, []Event{Sample{}}, nil},
-		{1900 * ms, []Event{Seat{2, "a"}}, []Action{Seated{2, "a", true}}},
+		{1900 * ms, []Event{AttemptRequest{2, "a"}}, []Action{AttemptGranted{2, "a", true}}},
 		{2000 * ms, []Event{Sample{}, Offer{4, 4, 1}}, []Action{Start{3, false}}},
 		{2400 * ms, []Event{Sample{}}, nil}, // neither of the two is heard yet
 		{2500 * ms, []Event{Ended{2, ""}}, nil},
@@ -110,14 +112,14 @@
 	})
 	c.Caps.PerSecond = 0.5
 	play(t, c, []moment{
-		{ms, ready(Offer{1, 1, 1}, Offer{2, 2, 1}, Seat{1, "a"}, Heard{1}), []Action{Start{1, false}, Seated{1, "a", true}}},
+		{ms, ready(Offer{1, 1, 1}, Offer{2, 2, 1}, AttemptRequest{1, "a"}, AttemptReached{1}), []Action{Start{1, false}, AttemptGranted{1, "a", true}}},
 		{2000 * ms, []Event{Sample{}}, nil},
 		{2001 * ms, nil, []Action{Start{2, false}}},
 	})
 }
 
-// A copy that started under a higher rate has its turn, and still waits for it where the rate was lowered meanwhile (rapid found it: 2 copies
-// might reach a host in a second that allowed one).
+// A copy that started under a higher rate has its turn, and still waits for it where the rate was
+// lowered meanwhile (rapid found it: 2 copies might reach a host in a second that allowed one).
 func TestLoweredRateHoldsTurnsBack(t *testing.T) {
 	c := config()
 	c.Caps.PerSecond = 2
@@ -126,19 +128,19 @@
 	play(t, c, []moment{
 		{ms, ready(Offer{1, 7, 10}, Offer{2, 7, 10}), []Action{Start{1, false}, Start{2, false}}},
 		{2 * ms, []Event{Retune{lower}}, nil},
-		{3 * ms, []Event{Seat{1, "h"}}, []Action{Seated{1, "h", true}}},
-		{4 * ms, []Event{Heard{1}, Left{"h"}}, nil},
-		{5 * ms, []Event{Seat{2, "h"}}, []Action{Seated{2, "h", false}}},
-		{4*ms + time.Second, []Event{Seat{2, "h"}}, []Action{Seated{2, "h", true}}},
+		{3 * ms, []Event{AttemptRequest{1, "h"}}, []Action{AttemptGranted{1, "h", true}}},
+		{4 * ms, []Event{AttemptReached{1}, AttemptEnded{"h"}}, nil},
+		{5 * ms, []Event{AttemptRequest{2, "h"}}, []Action{AttemptGranted{2, "h", false}}},
+		{4*ms + time.Second, []Event{AttemptRequest{2, "h"}}, []Action{AttemptGranted{2, "h", true}}},
 	})
 }
 
 func TestSeatsAtOneHost(t *testing.T) {
 	d := play(t, config(), []moment{
 		{ms, ready(Offer{1, 1, 1}, Offer{2, 2, 1}, Offer{3, 3, 1}), []Action{Start{1, false}, Start{2, false}, Start{3, false}}},
-		{2 * ms, []Event{Seat{1, "a"}, Seat{2, "a"}, Seat{3, "a"}, Seat{3, "b"}},
-			[]Action{Seated{1, "a", true}, Seated{2, "a", true}, Seated{3, "a", false}, Seated{3, "b", true}}},
-		{3 * ms, []Event{Left{"a"}, Seat{3, "a"}, Seat{9, "b"}}, []Action{Seated{3, "a", true}, Seated{9, "b", false}}},
+		{2 * ms, []Event{AttemptRequest{1, "a"}, AttemptRequest{2, "a"}, AttemptRequest{3, "a"}, AttemptRequest{3, "b"}},
+			[]Action{AttemptGranted{1, "a", true}, AttemptGranted{2, "a", true}, AttemptGranted{3, "a", false}, AttemptGranted{3, "b", true}}},
+		{3 * ms, []Event{AttemptEnded{"a"}, AttemptRequest{3, "a"}, AttemptRequest{9, "b"}}, []Action{AttemptGranted{3, "a", true}, AttemptGranted{9, "b", false}}},
 		// A copy that found no room because of our own cap says nothing about the pool.
 		{4 * ms, []Event{Ended{3, Refused}, LiveEnded{3, true}}, []Action{Record{3, Refused, true}}},
 	})
@@ -147,12 +149,12 @@
 	}
 }
 
-// Waiting copies go first, then none starts, then those that run end; calm returns only after a while without any
-// signal above half its bound, and later if it was too soon.
+// Waiting copies go first, then none starts, then those that run end; calm returns only after a
+// while without any signal above half its bound, and later if it was too soon.
 func TestPressure(t *testing.T) {
 	c := config()
 	c.Caps.Out = 1
-	hot, warm, cool := Sample{Held: 8}, Sample{Held: 5}, Sample{Held: 4}
+	hot, warm, cool := Sample{Queued: 8}, Sample{Queued: 5}, Sample{Queued: 4}
 	d := play(t, c, []moment{
 		{ms, ready(Offer{1, 1, 1}, Offer{2, 2, 1}), []Action{Start{1, false}}},
 		{100 * ms, []Event{hot}, []Action{Drop{2, Pressed}}},
@@ -183,7 +185,7 @@
 	}
 	// While copies run, their further attempts are denied, and they with them.
 	d.Step(6800*ms, []Event{Offer{6, 6, 1}})
-	if got := d.Step(6900*ms, []Event{hot, Seat{6, "a"}}); !cmp.Equal(got, []Action{End{6, Pressed}, Seated{6, "a", false}}) {
+	if got := d.Step(6900*ms, []Event{hot, AttemptRequest{6, "a"}}); !cmp.Equal(got, []Action{End{6, Pressed}, AttemptGranted{6, "a", false}}) {
 		t.Error(got)
 	}
 }
@@ -269,7 +271,8 @@
 	if diff := cmp.Diff([]Action{End{1, TooLong}}, got); diff != "" {
 		t.Error(diff)
 	}
-	// With the end of the program nobody waits for anything: records without a live answer close at once.
+	// With the end of the program nobody waits for anything: records without a live answer close at
+	// once.
 	got = d.Step(10*time.Second+2*ms, []Event{Offer{5, 5, 1}, Close{}, Offer{6, 6, 1}})
 	if diff := cmp.Diff([]Action{Drop{6, Closing}, Drop{5, Closing}, End{3, Closing}, Record{2, Closing, false}}, got); diff != "" {
 		t.Error(diff)
@@ -280,7 +283,8 @@
 	}
 }
 
-// world plays the host of a Decider at random and checks its promises. What it expects is counted by itself.
+// world plays the host of a Decider at random and checks its promises. What it expects is counted
+// by itself.
 type world struct {
 	t        *rapid.T
 	d, twin  *Decider
@@ -316,7 +320,8 @@
 	}
 }
 
-// send checks that a host that gets each sending as late as it may, and this one at once, does not get too many in a second.
+// send checks that a host that gets each sending as late as it may, and this one at once, does not
+// get too many in a second.
 func (w *world) send(id uint64) {
 	recent := 0
 	for _, s := range w.sent {
@@ -333,17 +338,17 @@
 func (w *world) step(events ...Event) {
 	for _, e := range events {
 		switch e := e.(type) {
-		case Heard:
+		case AttemptReached:
 			w.hear(e.Copy)
 		case Sample:
 			w.sampleAt = w.now
 			p := w.c.Pressure
-			if float64(e.Held) >= p.Held || e.Bodies >= p.Bodies || e.Sockets >= p.Sockets || e.Late >= p.Late || float64(e.Refusals) >= p.Refusals {
+			if float64(e.Queued) >= p.Queued || e.Bodies >= p.Bodies || e.Sockets >= p.Sockets || e.Late >= p.Late || float64(e.Refusals) >= p.Refusals {
 				w.hotAt = w.now
 			}
 		case Close:
 			w.over = true
-		case Left:
+		case AttemptEnded:
 			w.seats[e.Host]--
 		case Ended:
 			w.hear(e.Copy)
@@ -380,7 +385,7 @@
 				w.t.Fatalf("%d: live answer ended: %v", a.Copy, a.Live)
 			}
 			w.closeOne(a.Copy)
-		case Seated:
+		case AttemptGranted:
 			if a.OK {
 				w.send(a.Copy)
 				if w.seats[a.Host]++; w.seats[a.Host] > w.c.Caps.PerHost {
@@ -401,7 +406,7 @@
 		c.Recorded != c.Compared+sum(c.Incomparable) || c.Waiting > w.c.Caps.Waiting+1 {
 		w.t.Fatalf("%d bytes of %d copies, but %+v", held, len(w.bytes), c)
 	}
-	if len(w.d.gaps) > mostGaps || len(w.d.turns) > 1000 {
+	if len(w.d.gaps) > maxGaps || len(w.d.turns) > 1000 {
 		w.t.Fatal("the state grows")
 	}
 }
@@ -468,7 +473,7 @@
 			},
 			"sample": func(t *rapid.T) {
 				w.now += ms
-				w.step(Sample{Held: rapid.IntRange(0, 20).Draw(t, "held"), Bodies: rapid.Float64Range(0, 0.7).Draw(t, "bodies"),
+				w.step(Sample{Queued: rapid.IntRange(0, 20).Draw(t, "held"), Bodies: rapid.Float64Range(0, 0.7).Draw(t, "bodies"),
 					Late: time.Duration(rapid.IntRange(0, 12).Draw(t, "late")) * ms})
 			},
 			"hosts": func(t *rapid.T) { w.step(Hosts{rapid.IntRange(0, 2).Draw(t, "hosts")}) },
@@ -498,19 +503,19 @@
 				if len(w.out) == 0 {
 					t.Skip()
 				}
-				w.step(Seat{pick(w.out), rapid.SampledFrom(hosts).Draw(t, "host")})
+				w.step(AttemptRequest{pick(w.out), rapid.SampledFrom(hosts).Draw(t, "host")})
 			},
 			"heard": func(t *rapid.T) {
 				if len(w.out) == 0 {
 					t.Skip()
 				}
-				w.step(Heard{pick(w.out)})
+				w.step(AttemptReached{pick(w.out)})
 			},
 			"left": func(t *rapid.T) {
 				if len(granted()) == 0 {
 					t.Skip()
 				}
-				w.step(Left{rapid.SampledFrom(granted()).Draw(t, "host")})
+				w.step(AttemptEnded{rapid.SampledFrom(granted()).Draw(t, "host")})
 			},
 			"ended": func(t *rapid.T) {
 				if len(w.out) == 0 {
@@ -537,7 +542,8 @@
 				w.step(Close{})
 			},
 		})
-		// In the end everything closes: the copies, once the host has ended them, in one Record each.
+		// In the end everything closes: the copies, once the host has ended them, in one Record
+		// each.
 		w.step(Close{})
 		for len(w.out) > 0 {
 			w.step(Ended{w.out[0], Broken})
@@ -548,8 +554,8 @@
 	})
 }
 
-// A conversation is chosen whole or not at all, a larger share keeps what a smaller one chose, and it is about the
-// share that was asked for.
+// A conversation is chosen whole or not at all, a larger share keeps what a smaller one chose, and
+// it is about the share that was asked for.
 func TestShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		small := rapid.Float64Range(0, 1).Draw(t, "small")
@@ -590,7 +596,7 @@
 		live, copied Answer
 		want         Comparison
 	}{
-		{"equal", Answer{Text: "Order 7, done.", Finish: "stop", Tokens: 9, Kept: 5}, Answer{Text: "Order 7, done.", Finish: "stop", Tokens: 8, Kept: -1},
+		{"equal", Answer{Text: "Order 7, done.", Finish: "stop", Tokens: 9, CachedTokens: 5}, Answer{Text: "Order 7, done.", Finish: "stop", Tokens: 8, CachedTokens: -1},
 			Comparison{Text: Equal, Similarity: 1, Finish: true, Tokens: -1}},
 		{"space and case", Answer{Text: "Order 7, Done."}, Answer{Text: " order 7,\ndone.", Finish: "length"}, Comparison{Text: Spacing, Similarity: 1}},
 		{"one word of four", Answer{Text: "a b c d"}, Answer{Text: "a b x d"}, Comparison{Text: Differs, Similarity: 0.75, Finish: true}},
@@ -599,10 +605,10 @@
 		{"one is empty", Answer{Text: ""}, Answer{Text: "c d"}, Comparison{Text: Differs, Finish: true}},
 		{"no spaces", Answer{Text: "港口订单已经完成请核对客户记录然后继续下一步"}, Answer{Text: "港口订单已经完成请核对客户记录然后继续下一页"},
 			Comparison{Text: Differs, Similarity: 1 - 1.0/6, Finish: true}},
-		{"cut, the same", Answer{Text: "a", Cut: true, Bytes: 9, Digest: "d"}, Answer{Text: "a", Cut: true, Bytes: 9, Digest: "d"},
+		{"cut, the same", Answer{Text: "a", Truncated: true, Bytes: 9, Digest: "d"}, Answer{Text: "a", Truncated: true, Bytes: 9, Digest: "d"},
 			Comparison{Text: Equal, Similarity: 1, Finish: true}},
-		{"cut, not the same", Answer{Text: "a b", Cut: true, Bytes: 9, Digest: "d"}, Answer{Text: "a c", Bytes: 9, Digest: "e"},
-			Comparison{Text: Unkept, Similarity: 0.5, Partial: true, Finish: true}},
+		{"cut, not the same", Answer{Text: "a b", Truncated: true, Bytes: 9, Digest: "d"}, Answer{Text: "a c", Bytes: 9, Digest: "e"},
+			Comparison{Text: NotRetained, Similarity: 0.5, Partial: true, Finish: true}},
 	} {
 		got := Compare(tt.live, tt.copied)
 		if diff := cmp.Diff(tt.want, got); diff != "" {
--- a/internal/router/shadow/types.go
+++ b/internal/router/shadow/types.go
@@ -1,12 +1,14 @@
-// Package shadow decides for one candidate pool which live requests are copied to it, when a copy goes out, which are
-// dropped and why, when the pool is taken for down and tried again, and how the two answers pair up and compare.
+// Package shadow decides for one candidate pool which live requests are copied to it, when a copy
+// goes out, which are dropped and why, when the pool is taken for down and tried again, and how the
+// two answers pair up and compare.
 //
-// This file is the interface; decider.go holds the decisions, selector.go the choice of requests and compare.go the
-// comparison of two answers. A Decider is a state machine without I/O, clock or goroutine: its host calls Step with
-// the time and what has happened, and carries out the actions in order. The host owes it one caller at a time, a
-// clock that never goes back, and for each copy started one Ended, one LiveEnded and a Left for each Seat granted.
-// It may expect that the same seed, settings and events give the same actions, that no cap is ever passed, that
-// nothing starts under pressure, and that each copy started ends in exactly one Record and any other in one Drop.
+// This file is the interface; decider.go holds the decisions, selector.go the choice of requests
+// and compare.go the comparison of two answers. A Decider is a state machine without I/O, clock or
+// goroutine: its host calls Step with the time and what has happened, and carries out the actions
+// in order. The host owes it one caller at a time, a clock that never goes back, and for each copy
+// started one Ended, one LiveEnded and a Left for each Seat granted. It may expect that the same
+// seed, settings and events give the same actions, that no cap is ever passed, that nothing starts
+// under pressure, and that each copy started ends in exactly one Record and any other in one Drop.
 // It imports only xxhash and an edit distance.
 package shadow
 
@@ -26,10 +28,10 @@
 // Answers returns how many answers may be kept at once, of both sides.
 func (c Caps) Answers() int { return c.Waiting + 2*(1+pairingFor)*c.Out }
 
-// Pressure says when the live path is taken to be short of something. A signal counts from High on and is over at
-// half of it; at Hard times High, running copies end as well.
+// Pressure says when the live path is taken to be short of something. A signal counts from High on
+// and is over at half of it; at Hard times High, running copies end as well.
 type Pressure struct {
-	Held     float64       // requests that wait for a server
+	Queued   float64       // requests that wait for a server
 	Bodies   float64       // share of the room for request bodies
 	Sockets  float64       // share of the descriptors of either side
 	Late     time.Duration // of the deciding goroutine
@@ -80,24 +82,26 @@
 // Event is something that happened: one of the types below.
 type Event interface{ isEvent() }
 
-// Offer is a live request that the selector chose. Copies are named by numbers that never come again.
+// Offer is a live request that the selector chose. Copies are named by numbers that never come
+// again.
 type Offer struct {
 	Copy    uint64
 	Session uint64 // hash of what names the conversation
 	Bytes   int    // of its body
 }
 
-// Seat asks whether an attempt of a copy may go to a host.
-type Seat struct {
+// AttemptRequest asks whether an attempt of a copy may go to a host.
+type AttemptRequest struct {
 	Copy uint64
 	Host string
 }
 
-// Heard says that a host has answered an attempt that was granted, or that it is over: it reached the host by now, if ever.
-type Heard struct{ Copy uint64 }
+// AttemptReached says that a host has answered an attempt that was granted, or that it is over: it
+// reached the host by now, if ever.
+type AttemptReached struct{ Copy uint64 }
 
-// Left says that an attempt that was granted is over.
-type Left struct{ Host string }
+// AttemptEnded says that an attempt that was granted is over.
+type AttemptEnded struct{ Host string }
 
 // Ended says that a copy's attempt is over. How is empty for a whole answer.
 type Ended struct {
@@ -105,15 +109,16 @@
 	How  Cause
 }
 
-// LiveEnded says that the live request of a copy has had its final answer. Whole says that it was served to its end.
+// LiveEnded says that the live request of a copy has had its final answer. Whole says that it was
+// served to its end.
 type LiveEnded struct {
-	Copy  uint64
-	Whole bool
+	Copy     uint64
+	Complete bool
 }
 
 // Sample is the state of the live path. Without a fresh one no copy starts.
 type Sample struct {
-	Held     int
+	Queued   int
 	Bodies   float64 // share
 	Sockets  float64 // share
 	Late     time.Duration
@@ -129,16 +134,16 @@
 // Close ends all copies; none starts any more.
 type Close struct{}
 
-func (Offer) isEvent()     {}
-func (Seat) isEvent()      {}
-func (Heard) isEvent()     {}
-func (Left) isEvent()      {}
-func (Ended) isEvent()     {}
-func (LiveEnded) isEvent() {}
-func (Sample) isEvent()    {}
-func (Hosts) isEvent()     {}
-func (Retune) isEvent()    {}
-func (Close) isEvent()     {}
+func (Offer) isEvent()          {}
+func (AttemptRequest) isEvent() {}
+func (AttemptReached) isEvent() {}
+func (AttemptEnded) isEvent()   {}
+func (Ended) isEvent()          {}
+func (LiveEnded) isEvent()      {}
+func (Sample) isEvent()         {}
+func (Hosts) isEvent()          {}
+func (Retune) isEvent()         {}
+func (Close) isEvent()          {}
 
 // Action is something for the host to do: one of the types below.
 type Action interface{ isAction() }
@@ -161,14 +166,15 @@
 	Cause Cause
 }
 
-// Seated answers a Seat. Without OK the attempt counts as turned away unseen.
-type Seated struct {
+// AttemptGranted answers a Seat. Without OK the attempt counts as turned away unseen.
+type AttemptGranted struct {
 	Copy uint64
 	Host string
 	OK   bool
 }
 
-// Record closes a copy that was started. Cause is empty where both answers are whole and can be compared.
+// Record closes a copy that was started. Cause is empty where both answers are whole and can be
+// compared.
 type Record struct {
 	Copy  uint64
 	Cause Cause
@@ -184,13 +190,13 @@
 // Back says that a trial copy succeeded.
 type Back struct{}
 
-func (Start) isAction()  {}
-func (Drop) isAction()   {}
-func (End) isAction()    {}
-func (Seated) isAction() {}
-func (Record) isAction() {}
-func (Down) isAction()   {}
-func (Back) isAction()   {}
+func (Start) isAction()          {}
+func (Drop) isAction()           {}
+func (End) isAction()            {}
+func (AttemptGranted) isAction() {}
+func (Record) isAction()         {}
+func (Down) isAction()           {}
+func (Back) isAction()           {}
 
 // Level is how much the live path leaves to copies.
 type Level int
