--- a/balance/home_test.go
+++ b/balance/affinity_test.go
@@ -10,11 +10,12 @@
 	"reachspread/internal/rendezvous"
 )
 
-// What its home keeps is not read a second time elsewhere for a little less waiting.
-func TestReadingAgainIsDear(t *testing.T) {
+// What the affinity host of a prefix has cached is not computed a second time elsewhere for a
+// little less waiting.
+func TestRecomputedPrefixIsExpensive(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
-		ahead  float64 // tokens in front of the home
+		ahead  float64 // tokens in front of the affinity host
 		shared float64
 		leaves bool
 	}{
@@ -23,29 +24,30 @@
 		{"a short wait for a short prefix", 2000, 100, true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			g := newGateway(t, broadcasting(), members("a", "b")...)
-			home, other := g.b.replicas["a"], g.b.replicas["b"]
-			q := &request{Arrival: g.request("safe"), class: g.b.classes["safe"], latencyTarget: sec, prefixKey: "p", affinityHost: home}
+			g := newTestRouter(t, broadcasting(), members("a", "b")...)
+			host, other := g.b.replicas["a"], g.b.replicas["b"]
+			q := &request{Arrival: g.request("safe"), class: g.b.classes["safe"], latencyTarget: sec, prefixKey: "p", affinityHost: host}
 			q.Prefix, q.PrefixTokens = "p", tt.shared
-			g.step(ReportsReceived{From: 3, Reports: []PeerReport{{ReplicaTag: replicaTag(home), PrefillTokens: tt.ahead}}})
-			if best := g.b.cheapest(q, []*replica{home, other}); (best == other) != tt.leaves {
-				t.Errorf("%s is better, at %.3f s and %.3f s", best.Replica, g.b.estimatedCost(q, home), g.b.estimatedCost(q, other))
+			g.step(ReportsReceived{From: 3, Reports: []PeerReport{{ReplicaTag: replicaTag(host), PrefillTokens: tt.ahead}}})
+			if best := g.b.cheapest(q, []*replica{host, other}); (best == other) != tt.leaves {
+				t.Errorf("%s is better, at %.3f s and %.3f s", best.Replica, g.b.estimatedCost(q, host), g.b.estimatedCost(q, other))
 			}
 		})
 	}
 }
 
-// A prefix has two homes while it is one of many, and more as its share of all prompts grows, by the own ones and by those that others tell of.
-func TestHomesByShare(t *testing.T) {
+// A prefix has two affinity hosts while it is one of many, and more as its fraction of all
+// prompts grows, by this router's prompts and by those that others report.
+func TestAffinityHostsByPrefixFraction(t *testing.T) {
 	const hosts = 20
 	for _, tt := range []struct {
-		name            string
-		own, told, rest int // prompts: own ones of the prefix, those of it that others told, and others
-		least, most     int
+		name                string
+		own, reported, rest int // prompts: own ones of the prefix, those of it that others reported, and others
+		least, most         int
 	}{
 		{"one of many", 1, 0, 400, 2, 2},
 		{"a tenth, of the own", 40, 0, 360, 3, 4},
-		{"a tenth, that others told", 0, 40, 360, 3, 4},
+		{"a tenth, that others reported", 0, 40, 360, 3, 4},
 		{"a quarter of all", 50, 50, 300, 7, 9},
 		{"nearly all", 0, 400, 4, hosts, hosts},
 	} {
@@ -55,7 +57,7 @@
 			for i := range hosts {
 				names = append(names, fmt.Sprintf("host%02d", i))
 			}
-			g := newGateway(t, broadcasting(), members(names...)...)
+			g := newTestRouter(t, broadcasting(), members(names...)...)
 			q := &request{Arrival: g.request("safe"), class: g.b.classes["safe"], prefixHash: rendezvous.Hash("hot")}
 			q.Prefix = "hot"
 			q.prefixKey = prefixKey(q.prefixTag())
@@ -65,14 +67,14 @@
 			for range tt.own {
 				g.b.prefixCounts.Add(q.prefixKey)
 			}
-			for range tt.told {
+			for range tt.reported {
 				g.step(ReportsReceived{From: 3, Reports: []PeerReport{{ReplicaTag: replicaTag(g.b.sorted[0]), PrefillTokens: 100, PrefixTag: q.prefixTag()}}})
 			}
-			homes := g.b.affinitySamples(q, slices.Clone(g.b.sorted))
-			is.True(len(homes) >= tt.least)
-			is.True(len(homes) <= tt.most)
-			is.Equal(homes[0], q.affinityHost)
-			is.Equal(homes[0], firstRanked(q.prefixHash, slices.Clone(g.b.sorted), 1)[0]) // the same home, however many there are
+			hosts := g.b.affinitySamples(q, slices.Clone(g.b.sorted))
+			is.True(len(hosts) >= tt.least)
+			is.True(len(hosts) <= tt.most)
+			is.Equal(hosts[0], q.affinityHost)
+			is.Equal(hosts[0], firstRanked(q.prefixHash, slices.Clone(g.b.sorted), 1)[0]) // the same affinity host, however many there are
 		})
 	}
 }
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -29,44 +29,44 @@
 	}
 }
 
-// gateway drives one Balancer and keeps what it did.
-type gateway struct {
+// testRouter drives one Balancer and records what it did.
+type testRouter struct {
 	t   *testing.T
 	b   *Balancer
 	now time.Duration
 	ids int
 }
 
-func newGateway(t *testing.T, cfg Config, replicas ...Member) *gateway {
+func newTestRouter(t *testing.T, cfg Config, replicas ...Member) *testRouter {
 	t.Helper()
 	b, err := New(cfg, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &gateway{t: t, b: b, now: 100 * sec}
+	g := &testRouter{t: t, b: b, now: 100 * sec}
 	g.step(Members{Version: 1, Complete: true, Members: replicas})
 	return g
 }
 
-func (g *gateway) step(events ...Event) []Action { return g.b.Step(g.now, events) }
+func (g *testRouter) step(events ...Event) []Action { return g.b.Step(g.now, events) }
 
-func (g *gateway) after(d time.Duration, events ...Event) []Action {
+func (g *testRouter) after(d time.Duration, events ...Event) []Action {
 	g.now += d
 	return g.step(events...)
 }
 
 // request is an arrival of a class with 1,000 prompt tokens.
-func (g *gateway) request(class string) Arrival {
+func (g *testRouter) request(class string) Arrival {
 	g.ids++
 	return Arrival{ID: fmt.Sprint("q", g.ids), Class: class, TimeLeft: 2 * sec, PromptTokens: 1000, WorkEstimate: 100 * ms}
 }
 
 // serve has a request sent, begun after a while and answered, and returns its replica.
-func (g *gateway) serve(q Arrival, first time.Duration, kept float64) string {
+func (g *testRouter) serve(q Arrival, first time.Duration, cached float64) string {
 	g.t.Helper()
 	replica := sentTo(g.t, g.step(q))
 	g.after(first, FirstToken{ID: q.ID})
-	g.step(Outcome{ID: q.ID, Result: OK, Final: true, CachedTokens: kept})
+	g.step(Outcome{ID: q.ID, Result: OK, Final: true, CachedTokens: cached})
 	return replica
 }
 
@@ -132,7 +132,7 @@
 }
 
 func TestUnknownEventsAreIgnored(t *testing.T) {
-	g := newGateway(t, testConfig(), members("a")...)
+	g := newTestRouter(t, testConfig(), members("a")...)
 	for _, ev := range []Event{
 		FirstToken{ID: "x"}, Outcome{ID: "x", Attempt: 3}, Aborted{ID: "x"}, TimerExpired{Token: 99},
 		ProbeResult{Replica: "x", Result: TimedOut}, Members{Version: 0, Complete: true},
@@ -146,16 +146,16 @@
 	}
 }
 
-func TestUnknownClassIsRefused(t *testing.T) {
-	g := newGateway(t, testConfig(), members("a")...)
+func TestUnknownClassIsRejected(t *testing.T) {
+	g := newTestRouter(t, testConfig(), members("a")...)
 	if out := g.step(g.request("nobody's")); len(of[Reject](out)) != 1 {
-		t.Errorf("want a refusal, got %v", out)
+		t.Errorf("want a rejection, got %v", out)
 	}
 }
 
-// Nothing waits while a replica has room, and what waits leaves by response ratio.
-func TestReleaseOrder(t *testing.T) {
-	g := newGateway(t, testConfig(), members("a")...)
+// Nothing waits while a replica has capacity, and what waits leaves by response ratio.
+func TestDispatchOrder(t *testing.T) {
+	g := newTestRouter(t, testConfig(), members("a")...)
 	r := g.b.replicas["a"]
 	r.limit = 1
 	first := g.request("safe")
@@ -163,7 +163,7 @@
 	long, short := g.request("safe"), g.request("safe")
 	long.PromptTokens, short.PromptTokens = 9000, 100
 	if out := g.step(long); len(of[Send](out)) != 0 {
-		t.Fatalf("sent beyond the cap: %v", out)
+		t.Fatalf("sent beyond the limit: %v", out)
 	}
 	g.after(20*ms, short)
 	r.limit = 2
@@ -173,7 +173,7 @@
 	// The same two, but the long one has waited far longer.
 	patient := testConfig()
 	patient.Classes[0].LatencyTarget = 10 * sec
-	late := newGateway(t, patient, members("a")...)
+	late := newTestRouter(t, patient, members("a")...)
 	late.b.replicas["a"].limit = 1
 	late.step(late.request("safe"))
 	late.step(long)
@@ -184,8 +184,8 @@
 	}
 }
 
-func TestCapRisesIsCutAndHasAFloor(t *testing.T) {
-	g := newGateway(t, testConfig(), members("a", "b")...)
+func TestLimitRisesIsReducedAndHasAFloor(t *testing.T) {
+	g := newTestRouter(t, testConfig(), members("a", "b")...)
 	r := g.b.replicas["a"]
 	g.b.replicas["b"].State = Draining
 	r.limit = 2
@@ -193,11 +193,11 @@
 	g.step(q1, q2)
 	g.after(100*ms, FirstToken{ID: q1.ID})
 	if r.limit != 3 {
-		t.Errorf("a clean answer at a used cap: want 3, got %v", r.limit)
+		t.Errorf("a clean answer at a used limit: want 3, got %v", r.limit)
 	}
 	g.step(Outcome{ID: q1.ID, Result: OK, Final: true}, Outcome{ID: q2.ID, Result: Full})
 	if r.limit >= 3 {
-		t.Errorf("a full replica must cut the cap, got %v", r.limit)
+		t.Errorf("a full replica must cut the limit, got %v", r.limit)
 	}
 	for i := 0; i < 20; i++ {
 		q := g.request("safe")
@@ -209,9 +209,9 @@
 	}
 }
 
-// A client's time spent before this try says nothing about the replica (incident i58049e).
-func TestLaterTryDoesNotCutTheCap(t *testing.T) {
-	g := newGateway(t, testConfig(), members("a")...)
+// A client's time spent before this attempt says nothing about the replica (incident i58049e).
+func TestLaterAttemptDoesNotReduceTheLimit(t *testing.T) {
+	g := newTestRouter(t, testConfig(), members("a")...)
 	first := g.request("safe")
 	g.step(first)
 	g.step(FirstToken{ID: first.ID}, Outcome{ID: first.ID, Result: OK, Final: true})
@@ -223,23 +223,23 @@
 		sentAt: g.now - 100*ms}
 	g.b.adjustLimit(a)
 	if got := g.b.replicas["a"].limit; got < before {
-		t.Errorf("cap cut from %v to %v", before, got)
+		t.Errorf("limit cut from %v to %v", before, got)
 	}
 }
 
-// A slowdown of the whole fleet is no reason to collapse every cap.
-func TestLatenessAloneKeepsSomeCap(t *testing.T) {
-	g := newGateway(t, testConfig(), members("a", "b", "c")...)
+// A slowdown of the whole fleet is no reason to reduce every limit to its minimum.
+func TestLatenessAloneKeepsTheLimitAboveItsFloor(t *testing.T) {
+	g := newTestRouter(t, testConfig(), members("a", "b", "c")...)
 	for i := 0; i < 50; i++ {
 		replica := g.serve(g.request("safe"), 1100*ms, 0)
 		if c := g.b.replicas[replica].limit; c < lateLimitFloor {
-			t.Fatalf("cap of %s collapsed to %v", replica, c)
+			t.Fatalf("limit of %s collapsed to %v", replica, c)
 		}
 	}
 }
 
-func TestBetterOfTwoHomes(t *testing.T) {
-	g := newGateway(t, testConfig(), members("a", "b", "c", "d", "e", "f")...)
+func TestCheaperOfTwoAffinityHosts(t *testing.T) {
+	g := newTestRouter(t, testConfig(), members("a", "b", "c", "d", "e", "f")...)
 	used := map[string]int{}
 	for i := 0; i < 60; i++ {
 		q := g.request("safe")
@@ -251,21 +251,22 @@
 	if len(used) > 2 {
 		t.Errorf("a prefix asked for in turn was read on %d replicas; want 2 at most: %v", len(used), used)
 	}
-	other := newGateway(t, testConfig(), members("a", "b", "c", "d", "e", "f")...)
+	other := newTestRouter(t, testConfig(), members("a", "b", "c", "d", "e", "f")...)
 	q := other.request("safe")
 	q.Prefix, q.PrefixTokens = "p0", 900
 	if r := sentTo(t, other.step(q)); used[r] == 0 {
-		t.Errorf("another gateway chose %s; homes are %v", r, used)
+		t.Errorf("another router chose %s; affinity hosts are %v", r, used)
 	}
 }
 
-// Two homes are too few for a prefix that a large fleet is asked for by many gateways, none of which sees the
-// load that the others put there (incident iaaacad): homes grow with the share of the prompts.
-func TestHomesGrowWithTheShareOfPrompts(t *testing.T) {
+// Two affinity hosts are too few for a prefix that a large fleet is asked for through many
+// routers, none of which sees the load that the others put there (incident iaaacad): their
+// number grows with the fraction of the prompts.
+func TestAffinityHostsGrowWithThePrefixFraction(t *testing.T) {
 	names := numbered("r", 60)
 	used := map[string]map[string]bool{"hot": {}, "rare": {}}
-	for n := 0; n < 40; n++ { // gateways, which see 50 prompts each
-		g := newGateway(t, testConfig(), members(names...)...)
+	for n := 0; n < 40; n++ { // routers, which see 50 prompts each
+		g := newTestRouter(t, testConfig(), members(names...)...)
 		for i := 0; i < 50; i++ {
 			q := g.request("safe")
 			q.Session, q.Prefix, q.PrefixTokens = fmt.Sprint("s", n, "-", i), "hot", 900
@@ -286,9 +287,9 @@
 	}
 }
 
-// A hot prefix must not drown its homes.
-func TestHotPrefixGetsFurtherHomes(t *testing.T) {
-	g := newGateway(t, testConfig(), members("a", "b", "c", "d", "e", "f")...)
+// A hot prefix must not overload its affinity hosts.
+func TestHotPrefixGetsFurtherAffinityHosts(t *testing.T) {
+	g := newTestRouter(t, testConfig(), members("a", "b", "c", "d", "e", "f")...)
 	used := map[string]int{}
 	for i := 0; i < 40; i++ {
 		q := g.request("safe")
@@ -303,12 +304,12 @@
 	}
 }
 
-func TestOwnZoneFirstAndOverflow(t *testing.T) {
+func TestLocalZoneFirstAndOverflow(t *testing.T) {
 	cfg := testConfig()
 	cfg.CrossZonePenalty = 0.1
 	near, far := members("a")[0], members("b")[0]
 	far.Zone = "there"
-	g := newGateway(t, cfg, near, far)
+	g := newTestRouter(t, cfg, near, far)
 	for i := 0; i < 3; i++ {
 		if r := sentTo(t, g.after(ms, g.request("safe"))); r != "a" {
 			t.Fatalf("prompt %d left the zone for %s", i, r)
@@ -326,34 +327,34 @@
 
 func TestDrainGraceIsNotUsed(t *testing.T) {
 	for _, state := range []State{Draining, Removed} {
-		g := newGateway(t, testConfig(), members("a")...)
+		g := newTestRouter(t, testConfig(), members("a")...)
 		gone := members("a")[0]
 		gone.State = state
 		if out := g.step(Members{Version: 2, Members: []Member{gone}}, g.request("safe")); len(of[Send](out)) != 0 {
 			t.Errorf("state %d: sent in the same step: %v", state, out)
 		}
 	}
-	g := newGateway(t, testConfig(), members("a", "b")...)
+	g := newTestRouter(t, testConfig(), members("a", "b")...)
 	g.step(Members{Version: 2, Complete: true, Members: members("b")})
 	if r := sentTo(t, g.step(g.request("safe"))); r != "b" {
 		t.Errorf("sent to %s, which the new list lacks", r)
 	}
 }
 
-// Whatever happens, a request taken gets its answer before its client gives up.
-func TestHeldRequestIsAnsweredInTime(t *testing.T) {
-	full := func(g *gateway) { g.b.replicas["a"].limit = 0 }
+// Whatever happens, a request gets its answer before its client gives up.
+func TestQueuedRequestIsAnsweredInTime(t *testing.T) {
+	full := func(g *testRouter) { g.b.replicas["a"].limit = 0 }
 	tests := []struct {
 		name    string
 		members []Member
-		prepare func(*gateway)
+		prepare func(*testRouter)
 	}{
-		{"no replica known", nil, func(*gateway) {}},
+		{"no replica known", nil, func(*testRouter) {}},
 		{"all full", members("a"), full},
-		{"all ejected", members("a"), func(g *gateway) { g.b.replicas["a"].ejectedUntil = g.now + 100*sec }},
+		{"all ejected", members("a"), func(g *testRouter) { g.b.replicas["a"].ejectedUntil = g.now + 100*sec }},
 	}
 	for _, tt := range tests {
-		g := newGateway(t, testConfig(), tt.members...)
+		g := newTestRouter(t, testConfig(), tt.members...)
 		tt.prepare(g)
 		q := g.request("safe")
 		out := g.step(q)
@@ -366,12 +367,12 @@
 			out = g.after(timers[len(timers)-1].Delay, TimerExpired{Token: timers[len(timers)-1].Token})
 		}
 		if n := len(of[Reject](out)); n != 1 || g.now >= end {
-			t.Errorf("%s: want one refusal before the client gives up, got %d at %v of %v", tt.name, n, g.now, end)
+			t.Errorf("%s: want one rejection before the client gives up, got %d at %v of %v", tt.name, n, g.now, end)
 		}
 	}
 }
 
-func TestFurtherAttempts(t *testing.T) {
+func TestRetries(t *testing.T) {
 	type want int
 	const (
 		resend want = iota
@@ -402,7 +403,7 @@
 		for i := range list {
 			list[i].Cell = i / 2 // a and b discard each other's duplicates, c and d theirs
 		}
-		g := newGateway(t, testConfig(), list...)
+		g := newTestRouter(t, testConfig(), list...)
 		q := g.request(tt.class)
 		first := sentTo(t, g.step(q))
 		out := g.after(tt.wait, Outcome{ID: q.ID, Result: tt.result})
@@ -426,10 +427,10 @@
 	}
 }
 
-func TestKeyedWindow(t *testing.T) {
+func TestDedupWindow(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[1].DedupWindow = 100 * ms
-	g := newGateway(t, cfg, members("a", "b")...)
+	g := newTestRouter(t, cfg, members("a", "b")...)
 	q := g.request("keyed")
 	sentTo(t, g.step(q))
 	if out := g.after(200*ms, Outcome{ID: q.ID, Result: Error}); len(of[Fail](out)) != 1 {
@@ -453,7 +454,7 @@
 		}},
 	}
 	for _, tt := range tests {
-		g := newGateway(t, testConfig(), members("a", "b")...)
+		g := newTestRouter(t, testConfig(), members("a", "b")...)
 		q := g.request("safe")
 		g.step(q)
 		out := g.after(ms, tt.events(q.ID)...)
@@ -467,7 +468,7 @@
 }
 
 func TestMaxAttempts(t *testing.T) {
-	g := newGateway(t, testConfig(), members("a", "b", "c", "d", "e")...)
+	g := newTestRouter(t, testConfig(), members("a", "b", "c", "d", "e")...)
 	q := g.request("safe")
 	out := g.step(q)
 	sends := len(of[Send](out))
@@ -484,7 +485,7 @@
 }
 
 func TestEjectionAndTrial(t *testing.T) {
-	g := newGateway(t, testConfig(), members("a", "b")...)
+	g := newTestRouter(t, testConfig(), members("a", "b")...)
 	a := g.b.replicas["a"]
 	q := g.request("safe")
 	g.b.replicas["b"].State = Draining
@@ -507,15 +508,16 @@
 	}
 	g.after(100*ms, FirstToken{ID: trial.ID}, FirstToken{ID: second.ID})
 	if a.ejectedUntil != 0 || !a.warmingUp {
-		t.Errorf("after the trial: ejected %v, cold %v; a replica that died comes back cold", a.ejectedUntil, a.warmingUp)
+		t.Errorf("after the trial: ejected %v, in slow start %v; a replica that died comes back in slow start", a.ejectedUntil, a.warmingUp)
 	}
 }
 
-// A failure that need not be the process's ejects from the second in a row on, and is no sign of a new process: on a
-// day with stray resets, a whole fleet that was fine got only what a cold one may have.
-func TestSingleFailuresNeitherEjectNorMakeCold(t *testing.T) {
+// A failure that need not be the process's ejects from the second in a row on, and is no sign of
+// a new process: on a day with stray resets, a whole healthy fleet got only what a replica in
+// slow start may have.
+func TestSingleFailuresNeitherEjectNorBeginSlowStart(t *testing.T) {
 	for _, how := range []Result{TimedOut, Error, Reset} {
-		g := newGateway(t, testConfig(), members("a")...)
+		g := newTestRouter(t, testConfig(), members("a")...)
 		r := g.b.replicas["a"]
 		for n, want := range []bool{false, true} {
 			q := g.request("safe")
@@ -527,14 +529,14 @@
 		}
 		g.now = r.ejectedUntil
 		if g.serve(g.request("safe"), 10*ms, 0); r.ejectedUntil > 0 || r.warmingUp {
-			t.Errorf("back after result %d: ejected %v, cold %v; want neither", how, r.ejectedUntil, r.warmingUp)
+			t.Errorf("back after result %d: ejected %v, in slow start %v; want neither", how, r.ejectedUntil, r.warmingUp)
 		}
 	}
 }
 
 // A replica that accepts and never answers looks idle.
 func TestOverdueAnswersCount(t *testing.T) {
-	g := newGateway(t, testConfig(), members("a", "b")...)
+	g := newTestRouter(t, testConfig(), members("a", "b")...)
 	q := g.request("safe")
 	silent := sentTo(t, g.step(q))
 	g.now += sec
@@ -545,11 +547,12 @@
 	}
 }
 
-// coldGateways returns gateways that have sent a warm replica 5 requests a second each, and a cold second one.
-func coldGateways(t *testing.T, n int) []*gateway {
-	var list []*gateway
+// routersWithSlowStart returns routers that have sent a warm replica 5 requests a second each,
+// and know of a second one in slow start.
+func routersWithSlowStart(t *testing.T, n int) []*testRouter {
+	var list []*testRouter
 	for i := 0; i < n; i++ {
-		g := newGateway(t, testConfig(), members("warm")...)
+		g := newTestRouter(t, testConfig(), members("warm")...)
 		g.ids = 1000 * i
 		for k := 0; k < 50; k++ {
 			q := g.request("safe")
@@ -565,20 +568,20 @@
 	return list
 }
 
-// All gateways together must stay under factor x present capacity x window, in any window.
-func TestColdBudgetOverAnyWindow(t *testing.T) {
+// All routers together must stay below factor x present capacity x window, in any window.
+func TestSlowStartBudgetOverAnyWindow(t *testing.T) {
 	cfg := testConfig()
 	type sent struct {
 		at   time.Duration
 		work float64
 	}
 	var all []sent
-	gateways := coldGateways(t, 4)
-	born := gateways[0].now
-	// Each gateway sends 0.5 s of work a second to a warm replica, so one carries 2 s at least from all of them.
+	routers := routersWithSlowStart(t, 4)
+	startedAt := routers[0].now
+	// Each router sends 0.5 s of work a second to a warm replica, so one carries 2 s at least from all of them.
 	capacity := 2.0
-	for _, g := range gateways {
-		for g.now < born+cfg.SlowStartWindow {
+	for _, g := range routers {
+		for g.now < startedAt+cfg.SlowStartWindow {
 			q := g.request("safe")
 			if g.ids%7 == 0 {
 				q.WorkEstimate = 600 * ms // a heavy prompt
@@ -590,10 +593,10 @@
 		}
 	}
 	if len(all) == 0 {
-		t.Fatal("nothing was sent to the cold replica at all")
+		t.Fatal("nothing was sent to the replica in slow start at all")
 	}
-	for at := born; at < born+cfg.SlowStartWindow; at += 50 * ms {
-		share := cfg.SlowStartMinCapacity + (1-cfg.SlowStartMinCapacity)*float64(at-born)/float64(cfg.SlowStartWindow)
+	for at := startedAt; at < startedAt+cfg.SlowStartWindow; at += 50 * ms {
+		share := cfg.SlowStartMinCapacity + (1-cfg.SlowStartMinCapacity)*float64(at-startedAt)/float64(cfg.SlowStartWindow)
 		sum := 0.0
 		for _, s := range all {
 			if s.at > at-cfg.OverloadWindow && s.at <= at {
@@ -601,32 +604,33 @@
 			}
 		}
 		if limit := cfg.OverloadFactor * share * capacity * cfg.OverloadWindow.Seconds(); sum > limit {
-			t.Fatalf("%v after the start: %.2f s of work in a window, at most %.2f", at-born, sum, limit)
+			t.Fatalf("%v after the start: %.2f s of work in a window, at most %.2f", at-startedAt, sum, limit)
 		}
 	}
 }
 
-// Many gateways share a budget of which each one's part is far below one prompt: the cold replica must get some
-// of the load, but not from all gateways at once, nor more because attempts fail elsewhere.
-func TestColdBudgetOfManyGateways(t *testing.T) {
-	const gateways, warm, rate = 200, 50, 1.0 // prompts a second from each
+// Many routers share a budget of which each one's fraction is far below one request: the replica
+// in slow start must get some of the load, but not from all routers at once, nor more because
+// attempts fail elsewhere.
+func TestSlowStartBudgetOfManyRouters(t *testing.T) {
+	const routers, warm, rate = 200, 50, 1.0 // prompts a second from each
 	for _, storm := range []bool{false, true} {
 		names := numbered("warm", warm)
-		var all []*gateway
-		for i := 0; i < gateways; i++ {
+		var all []*testRouter
+		for i := 0; i < routers; i++ {
 			cfg := testConfig()
 			b, _ := New(cfg, uint64(i))
-			g := &gateway{t: t, b: b, now: 100*sec + time.Duration(i)*sec/gateways, ids: 1000 * i}
+			g := &testRouter{t: t, b: b, now: 100*sec + time.Duration(i)*sec/routers, ids: 1000 * i}
 			g.step(Members{Version: 1, Complete: true, Members: members(names...)})
 			all = append(all, g)
 		}
-		born := 110 * sec
+		startedAt := 110 * sec
 		var sends []time.Duration
 		for n := 0; n < 20; n++ {
 			for _, g := range all {
 				if n == 10 {
 					list := members("cold")
-					list[0].StartedAt = born
+					list[0].StartedAt = startedAt
 					g.step(Members{Version: 2, Members: list})
 				}
 				q := g.request("safe")
@@ -649,36 +653,36 @@
 			}
 		}
 		if len(sends) < 3 {
-			t.Errorf("storm %v: only %d prompts for the cold replica in 10 s", storm, len(sends))
+			t.Errorf("storm %v: only %d prompts for the replica in slow start in 10 s", storm, len(sends))
 		}
 		cfg := testConfig()
-		capacity := 2 * gateways * rate / warm // prompts a second, as warm replicas are half used
-		for at := born; at < born+10*sec; at += 100 * ms {
+		capacity := 2 * routers * rate / warm // prompts a second, as warm replicas are half used
+		for at := startedAt; at < startedAt+10*sec; at += 100 * ms {
 			count := 0
 			for _, s := range sends {
 				if s > at-cfg.OverloadWindow && s <= at {
 					count++
 				}
 			}
-			share := cfg.SlowStartMinCapacity + (1-cfg.SlowStartMinCapacity)*float64(at-born)/float64(cfg.SlowStartWindow)
+			share := cfg.SlowStartMinCapacity + (1-cfg.SlowStartMinCapacity)*float64(at-startedAt)/float64(cfg.SlowStartWindow)
 			if limit := cfg.OverloadFactor * share * capacity * cfg.OverloadWindow.Seconds(); float64(count) > limit {
-				t.Fatalf("storm %v, %v after the start: %d prompts in a window, at most %.1f", storm, at-born, count, limit)
+				t.Fatalf("storm %v, %v after the start: %d prompts in a window, at most %.1f", storm, at-startedAt, count, limit)
 			}
 		}
 	}
 }
 
-func TestHeavyFirstPromptWaitsForTheColdBudget(t *testing.T) {
-	g := coldGateways(t, 1)[0]
+func TestLargeFirstRequestWaitsForTheSlowStartBudget(t *testing.T) {
+	g := routersWithSlowStart(t, 1)[0]
 	q := g.request("safe")
 	q.WorkEstimate = 5 * sec
 	if out := g.step(q); len(of[Send](out)) != 0 {
-		t.Errorf("a prompt over the whole budget was sent to a cold replica: %v", out)
+		t.Errorf("a prompt over the whole budget was sent to a replica in slow start: %v", out)
 	}
 }
 
-func TestSpentPromptIsRefused(t *testing.T) {
-	g := newGateway(t, testConfig(), members("a")...)
+func TestExpiredRequestIsRejected(t *testing.T) {
+	g := newTestRouter(t, testConfig(), members("a")...)
 	for i := 0; i < 7; i++ {
 		q := g.request("safe")
 		q.PromptTokens = 9000
@@ -687,11 +691,11 @@
 	q := g.request("safe")
 	q.TimeLeft = 2 * sec
 	if out := g.step(q); len(of[Reject](out)) != 1 {
-		t.Errorf("behind 63,000 unread tokens the aim of 1 s is out of reach: want a refusal, got %v", out)
+		t.Errorf("behind 63,000 tokens to prefill the latency target of 1 s is out of reach: want a rejection, got %v", out)
 	}
 	q = g.request("unsafe")
 	if out := g.step(q); len(of[Reject](out)) != 1 {
-		t.Errorf("nothing of an unsafe request has run yet: want a refusal, got %v", out)
+		t.Errorf("nothing of an unsafe request has run yet: want a rejection, got %v", out)
 	}
 }
 
@@ -719,13 +723,14 @@
 	}
 }
 
-// Of many gateways each hears of a replica too seldom to compare two (incident iaaacad): the samples are asked,
-// never the whole fleet, and the prompt leaves for the one that reports less, or after a while in any case.
-func TestSamplesAreAskedWhereReportsAreOld(t *testing.T) {
+// Each of many routers hears of a replica too rarely to compare two (incident iaaacad): the
+// samples are probed, never the whole fleet, and the request leaves for the one that reports
+// less, or after a while in any case.
+func TestSamplesAreProbedWhereReportsAreOld(t *testing.T) {
 	cfg := testConfig()
 	cfg.MayProbe = true
 	for _, answered := range []bool{true, false} {
-		g := newGateway(t, cfg, members("a", "b", "c", "d", "e")...)
+		g := newTestRouter(t, cfg, members("a", "b", "c", "d", "e")...)
 		q := g.request("safe")
 		q.Prefix = "p"
 		out := g.step(q)
@@ -761,7 +766,7 @@
 // The order must be by name however the list comes, as results depend on it.
 func TestMembersInAnyOrder(t *testing.T) {
 	for _, names := range [][]string{{"a", "b", "c", "d"}, {"d", "b", "a", "c"}} {
-		g := newGateway(t, testConfig(), members(names...)...)
+		g := newTestRouter(t, testConfig(), members(names...)...)
 		var got []string
 		for _, r := range g.b.sorted {
 			got = append(got, r.Replica)
@@ -773,7 +778,7 @@
 }
 
 func TestRestartLosesTheCache(t *testing.T) {
-	g := newGateway(t, testConfig(), members("a")...)
+	g := newTestRouter(t, testConfig(), members("a")...)
 	q := g.request("safe")
 	q.Prefix, q.PrefixTokens = "p", 900
 	g.step(q)
@@ -782,13 +787,14 @@
 	g.after(2*ms, Members{Version: 2, Members: []Member{again}})
 	r := g.b.replicas["a"]
 	if n := g.b.prefillTokensOn(&request{Arrival: q}, r); n != 1000 || !r.warmingUp || r.limit != slowStartLimit {
-		t.Errorf("after a restart: %v unread, cold %v, cap %v", n, r.warmingUp, r.limit)
+		t.Errorf("after a restart: %v tokens to prefill, in slow start %v, limit %v", n, r.warmingUp, r.limit)
 	}
 }
 
-// Tokens of other gateways that are seen late must not pass for a slow start of every answer (incident i752ce5).
-func TestUnseenTokensDoNotRaiseTheStart(t *testing.T) {
-	g := newGateway(t, testConfig(), members("a")...)
+// Tokens of other routers that are reported late must not pass for a slow base time of every
+// answer (incident i752ce5).
+func TestUnreportedTokensDoNotRaiseTheBaseTime(t *testing.T) {
+	g := newTestRouter(t, testConfig(), members("a")...)
 	r := g.b.replicas["a"]
 	for i := 0; i < 200; i++ {
 		q := g.request("safe")
@@ -804,20 +810,20 @@
 	}
 }
 
-// In an overload the patient and cheap must not fill the queues (incident icafd05), nor take the places that get
-// free while others are refused (i813dbf).
-func TestLowWorthYields(t *testing.T) {
+// In an overload patient requests of low value must not fill the queues (incident icafd05), nor
+// take the capacity that becomes free while others are rejected (i813dbf).
+func TestLowValueYields(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[0].Value = 5
 	cfg.Classes = append(cfg.Classes, Class{Name: "patient", Value: 1, LatencyTarget: 10 * sec, Deadline: 40 * sec, Streamed: true})
 	for _, tt := range []struct {
-		worth  float64
+		value  float64
 		ahead  int // prompts of 2,000 tokens
 		length float64
 		sends  int
 	}{{1, 7, 1000, 0}, {5, 7, 1000, 1}, {1, 2, 1000, 0}, {1, 1, 100, 1}} {
-		cfg.Classes[4].Value = tt.worth
-		g := newGateway(t, cfg, members("a")...)
+		cfg.Classes[4].Value = tt.value
+		g := newTestRouter(t, cfg, members("a")...)
 		for i := 0; i < tt.ahead; i++ {
 			q := g.request("safe")
 			q.PromptTokens = 2000
@@ -828,44 +834,45 @@
 		q := g.request("patient")
 		q.PromptTokens = tt.length
 		if got := len(of[Send](g.step(q))); got != tt.sends {
-			t.Errorf("worth %v against 5, %v tokens behind %d prompts: want %d sends, got %d",
-				tt.worth, tt.length, tt.ahead, tt.sends, got)
+			t.Errorf("value %v against 5, %v tokens behind %d prompts: want %d sends, got %d",
+				tt.value, tt.length, tt.ahead, tt.sends, got)
 		}
 	}
 }
 
-// A first token expected late in its aim leaves no room for error or for the pace after it.
-func TestRefusesBeforeTheAimIsUsedUp(t *testing.T) {
+// A first token expected late in its latency target leaves nothing for error or for the decoding
+// after it.
+func TestRejectsBeforeTheLatencyTargetIsUsedUp(t *testing.T) {
 	for tokens, refusals := range map[float64]int{3000: 0, 8000: 1} {
-		g := newGateway(t, testConfig(), members("a")...)
+		g := newTestRouter(t, testConfig(), members("a")...)
 		q := g.request("safe")
 		q.PromptTokens = tokens - 1000
 		g.step(q)
 		if got := len(of[Reject](g.step(g.request("safe")))); got != refusals {
-			t.Errorf("%v unread tokens before an aim of 1 s: want %d refusals, got %d", tokens, refusals, got)
+			t.Errorf("%v tokens to prefill before a latency target of 1 s: want %d rejections, got %d", tokens, refusals, got)
 		}
 	}
 }
 
-// The class that others yield to keeps its place while it can still be served (incident i813dbf).
-func TestFirstClassIsHeldNotRefused(t *testing.T) {
+// The class that others yield to stays queued while it can still be served (incident i813dbf).
+func TestHighestClassIsQueuedNotRejected(t *testing.T) {
 	for _, tt := range []struct {
-		worth    float64 // of the class asked for; another has 3
+		value    float64 // of the class asked for; another has 3
 		refusals int
 	}{{5, 0}, {3, 1}, {1, 1}} {
 		cfg := testConfig()
 		for i := range cfg.Classes {
 			cfg.Classes[i].Value = 3
 		}
-		cfg.Classes[0].Value = tt.worth
-		g := newGateway(t, cfg, members("a")...)
+		cfg.Classes[0].Value = tt.value
+		g := newTestRouter(t, cfg, members("a")...)
 		heavy := g.request("unsafe")
 		heavy.PromptTokens = 8000
 		sentTo(t, g.step(heavy))
 		q := g.request("safe")
 		actions := g.step(q)
 		if got := len(of[Reject](actions)); got != tt.refusals || len(of[Send](actions)) > 0 {
-			t.Errorf("worth %v against 3: want %d refusals and no send, got %v", tt.worth, tt.refusals, actions)
+			t.Errorf("value %v against 3: want %d rejections and no send, got %v", tt.value, tt.refusals, actions)
 		}
 		if tt.refusals > 0 {
 			continue
@@ -883,7 +890,7 @@
 	for i := 0; i < 600; i++ {
 		names = append(names, fmt.Sprintf("r%03d", i*7%600))
 	}
-	g := newGateway(t, testConfig(), members(names[:300]...)...)
+	g := newTestRouter(t, testConfig(), members(names[:300]...)...)
 	used := map[string]bool{}
 	spread := func(version int64, list []string, want int) {
 		g.after(3*sec, Members{Version: version, Complete: true, Members: members(list...)}) // what was held is refused
@@ -909,9 +916,9 @@
 	spread(5, names[:1], 1)
 }
 
-// What has been answered must not stay reachable behind the held queue.
+// What has been answered must not stay reachable behind the queue.
 func TestAnsweredRequestsAreReleased(t *testing.T) {
-	g := newGateway(t, testConfig(), members("a")...)
+	g := newTestRouter(t, testConfig(), members("a")...)
 	for i := 0; i < 5; i++ {
 		g.b.handle(g.request("safe"))
 	}
@@ -923,9 +930,10 @@
 	}
 }
 
-// A cold replica keeps no prefix, so a prompt costs more there than its hint says (a zone's return at size).
-func TestColdWorkCountsThePrefix(t *testing.T) {
-	g := coldGateways(t, 1)[0]
+// A replica in slow start has cached no prefix, so a request costs more there than its work
+// estimate says (a zone's return at size).
+func TestSlowStartWorkCountsThePrefix(t *testing.T) {
+	g := routersWithSlowStart(t, 1)[0]
 	q := g.request("safe")
 	q.Prefix, q.PromptTokens, q.PrefixTokens = "p", 6000, 5500
 	r := &request{Arrival: q, class: g.b.classes["safe"], prefixKey: "p"}
@@ -938,13 +946,14 @@
 	}
 }
 
-// A far replica never heard of must not pass for idle beside a near one that was asked (hunted day hef4d9d).
-func TestFarSamplesAreAskedToo(t *testing.T) {
+// A replica of another zone without a report must not pass for idle beside a near one that was
+// probed (hunted day hef4d9d).
+func TestSamplesOfOtherZonesAreProbedToo(t *testing.T) {
 	cfg := testConfig()
 	cfg.MayProbe, cfg.CrossZonePenalty = true, 0.1
 	list := members("a", "b", "c", "d")
 	list[2].Zone, list[3].Zone = "there", "there"
-	g := newGateway(t, cfg, list...)
+	g := newTestRouter(t, cfg, list...)
 	asked := map[string]bool{}
 	for i := 0; i < 8; i++ {
 		for _, p := range of[Probe](g.step(g.request("safe"))) {
@@ -956,8 +965,8 @@
 	}
 }
 
-// Clients that retry at once find the queues that turned them down, and come once more.
-func TestRefusalTellsWhenToComeBack(t *testing.T) {
+// Clients that retry at once find the queues that rejected them, and come once more.
+func TestRejectionSaysWhenToComeBack(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
 		most  time.Duration
@@ -965,14 +974,14 @@
 		after time.Duration // until the only replica has drained and the request is given up
 		want  time.Duration
 	}{
-		{"aim passed", 2 * sec, "safe", 3 * sec, 50 * ms},
+		{"latency target passed", 2 * sec, "safe", 3 * sec, 50 * ms},
 		{"the site's most", 20 * ms, "safe", 3 * sec, 20 * ms},
 		{"clients take no advice", 0, "safe", 3 * sec, 0},
 		{"unknown class", 2 * sec, "odd", 0, 2 * sec},
 	} {
 		cfg := testConfig()
 		cfg.MaxRetryAfter = tt.most
-		g := newGateway(t, cfg)
+		g := newTestRouter(t, cfg)
 		q := g.request(tt.class)
 		actions := g.step(q)
 		if tt.after > 0 {
@@ -986,18 +995,18 @@
 
 	cfg := testConfig()
 	cfg.MaxRetryAfter = 2 * sec
-	g := newGateway(t, cfg)
+	g := newTestRouter(t, cfg)
 	q := &request{arrivedAt: g.now, latencyTarget: sec}
 	g.step()
 	if got := g.b.retryAfter(q); got != 200*ms {
-		t.Errorf("with 1 s left to the aim: got %v, want a fifth of it", got)
+		t.Errorf("with 1 s left to the latency target: got %v, want a fifth of it", got)
 	}
 }
 
-// A prompt whose two samples are busy must not be refused while others of the fleet stand idle.
-func TestBusySampleIsNoReasonToRefuse(t *testing.T) {
+// A request whose two samples are busy must not be rejected while other replicas are idle.
+func TestBusySampleIsNoReasonToReject(t *testing.T) {
 	names := numbered("r", 8)
-	g := newGateway(t, testConfig(), members(names...)...)
+	g := newTestRouter(t, testConfig(), members(names...)...)
 	q := g.request("safe")
 	q.Prefix, q.Session = "p", "s"
 	for _, r := range g.b.affinitySamples(&request{Arrival: q, prefixHash: rendezvous.Hash("p"), sessionHash: rendezvous.Hash("s")}, g.b.sorted) {
@@ -1009,9 +1018,10 @@
 	}
 }
 
-// On a long day every replica is replaced, again and again: those that are gone are forgotten.
-func TestGoneReplicasAreForgotten(t *testing.T) {
-	g := newGateway(t, testConfig(), members("a")...)
+// On a long day every replica is replaced, again and again: those that were removed are
+// forgotten.
+func TestRemovedReplicasAreForgotten(t *testing.T) {
+	g := newTestRouter(t, testConfig(), members("a")...)
 	q := g.request("safe")
 	g.step(q)
 	gone := members("a")[0]
@@ -1027,16 +1037,17 @@
 	}
 }
 
-// Where each replica always has something to do, a prompt that yields for ever is never served, on quiet days too.
-func TestHeldPromptsYieldLessWithTime(t *testing.T) {
+// Where each replica always has something to do, a request that yields for ever is never served,
+// on quiet days too.
+func TestQueuedRequestsYieldLessWithTime(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[0].Value = 5
-	g := newGateway(t, cfg, members("a")...)
+	g := newTestRouter(t, cfg, members("a")...)
 	q := &request{class: g.b.classes["keyed"], latencyTarget: 10 * sec}
-	for held, want := range map[time.Duration]bool{0: true, 9 * sec: false} {
-		q.arrivedAt = g.now - held
+	for queued, want := range map[time.Duration]bool{0: true, 9 * sec: false} {
+		q.arrivedAt = g.now - queued
 		if got := g.b.yieldsToHigherValue(q, 0.55); got != want {
-			t.Errorf("held for %v, a wait of 0.55 s against an aim of 1 s: yields %v", held, got)
+			t.Errorf("queued for %v, a wait of 0.55 s against a latency target of 1 s: yields %v", queued, got)
 		}
 	}
 }
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -69,7 +69,8 @@
 	}
 }
 
-// memoryOf is what the state of one router takes once each of its share's hosts is known to keep as much as is remembered.
+// memoryOf is the memory of one router's state once each of its assigned replicas has as many
+// cached prefixes as are remembered.
 func memoryOf(hosts int) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
--- a/balance/broadcast_test.go
+++ b/balance/broadcast_test.go
@@ -6,17 +6,18 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// broadcasting is the configuration of a gateway that has no number, and whose reports all others hear; prefixes have one home, as in the
-// router fleet.
+// broadcasting is the configuration of a router that has no number and whose reports reach all
+// others; prefixes have a single affinity host, as in the router fleet.
 func broadcasting() Config {
 	cfg := testConfig()
 	cfg.Broadcast, cfg.SingleAffinityHost = true, true
 	return cfg
 }
 
-// Each prompt is told as it is, however small, to all that there are: whoever carries the reports thins them out.
+// Each prompt is reported as it is, however small, to all routers: the caller that carries the
+// reports samples them.
 func TestBroadcastOfEachPrompt(t *testing.T) {
-	g := newGateway(t, broadcasting(), members("a")...)
+	g := newTestRouter(t, broadcasting(), members("a")...)
 	for _, tokens := range []float64{20, 500, 4000} {
 		q := g.request("safe")
 		q.PromptTokens = tokens
@@ -27,17 +28,18 @@
 	}
 }
 
-// The list of replicas is no reason to tell anybody anything.
+// A list of replicas is no reason to report anything.
 func TestBroadcastOfNothing(t *testing.T) {
-	g := newGateway(t, broadcasting())
+	g := newTestRouter(t, broadcasting())
 	list := members("a")
 	if tells := of[SendReports](g.step(Members{Version: 1, Members: list})); len(tells) != 0 {
-		t.Errorf("told %v", tells)
+		t.Errorf("reported %v", tells)
 	}
 }
 
-// What others have sent to a replica is in front of the next prompt there, until it has had the time to be read.
-func TestHeardPromptsMoveTheNextOne(t *testing.T) {
+// What other routers have sent to a replica is in front of the next request there, until there
+// was time to prefill it.
+func TestReportedPromptsMoveTheNextOne(t *testing.T) {
 	for _, tt := range []struct {
 		name        string
 		broadcast   bool
@@ -54,7 +56,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			cfg := broadcasting()
 			cfg.Broadcast = tt.broadcast
-			g := newGateway(t, cfg, members("a", "b")...)
+			g := newTestRouter(t, cfg, members("a", "b")...)
 			first, second := g.b.replicas["a"], g.b.replicas["b"]
 			q := &request{Arrival: g.request("safe"), class: g.b.classes["safe"], latencyTarget: sec, prefixKey: "p"}
 			q.PrefixTokens = 500
@@ -72,9 +74,9 @@
 	}
 }
 
-// A replica to which another gateway has sent a prompt keeps the beginning of it from then on.
-func TestHeardPrefixIsKept(t *testing.T) {
-	g := newGateway(t, broadcasting(), members("a")...)
+// A replica to which another router has sent a prompt has its prefix cached from then on.
+func TestReportedPrefixIsCached(t *testing.T) {
+	g := newTestRouter(t, broadcasting(), members("a")...)
 	a := g.b.replicas["a"]
 	q := &request{Arrival: g.request("safe"), class: g.b.classes["safe"], prefixHash: 0xabcd << 48}
 	q.Prefix, q.PrefixTokens, q.PromptTokens = "p", 800, 1000
@@ -82,15 +84,16 @@
 	before := g.b.prefillTokensOn(q, a)
 	g.step(ReportsReceived{Reports: []PeerReport{{ReplicaTag: replicaTag(a), PrefillTokens: 10, PrefixTag: q.prefixTag()}}})
 	if after := g.b.prefillTokensOn(q, a); before != 1000 || after != 200 {
-		t.Errorf("%v unread tokens before, %v after", before, after)
+		t.Errorf("%v tokens to prefill before, %v after", before, after)
 	}
 }
 
-// Gateways without numbers do not know how many there are: each has a credit of its own for a cold replica, from which others take nothing.
-func TestHeardPromptsSpendNoCredit(t *testing.T) {
+// Routers without numbers do not know how many they are: each has a credit of its own for a
+// replica in slow start, and others' reports take nothing from it.
+func TestReportedPromptsSpendNoCredit(t *testing.T) {
 	list := members("a", "cold")
 	list[1].StartedAt = 99 * sec
-	g := newGateway(t, broadcasting(), list...)
+	g := newTestRouter(t, broadcasting(), list...)
 	cold := g.b.replicas["cold"]
 	g.b.meanWork = 1
 	g.b.spendCredit(cold, 0.5)
--- a/balance/tune_test.go
+++ b/balance/configchange_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// A request under way keeps the effect of its class, whatever the class becomes; fewer attempts count for it, too, and
-// end in an answer, never in another attempt.
-func TestRetune(t *testing.T) {
+// A request under way keeps the effect of its class, whatever the class becomes; fewer attempts
+// count for it, too, and end in an answer, never in another attempt.
+func TestConfigChange(t *testing.T) {
 	cfg := Config{MaxAttempts: 3, Classes: []Class{{Name: "c", LatencyTarget: time.Minute, Deadline: time.Minute, Streamed: true}}}
 	strict := Config{MaxAttempts: 3, Classes: []Class{{Name: "c", Effect: Unsafe, LatencyTarget: time.Minute, Deadline: time.Minute, Streamed: true}}}
 	fewer := cfg
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -7,8 +7,8 @@
 	"reachspread/balance"
 )
 
-// A gateway takes two requests. The first is served; the second times out at its client's deadline, while the
-// replica drains, so the gateway answers itself.
+// A router takes two requests. The first is served; the second times out at its client's
+// deadline while the replica is draining, so the router answers itself.
 func Example() {
 	b, err := balance.New(balance.Config{
 		Zone: "east",
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -18,11 +18,12 @@
 	return all
 }
 
-// Who is gone by the view is told nothing more once the view has held; a view that is wrong for a second changes nothing, and one that is
-// back, or was never heard of, is told again at once.
-func TestWhoLivesIsTold(t *testing.T) {
+// A router that is dead by the view gets no reports once the view has held. A view that is wrong
+// for a second changes nothing, and a router that is back, or was never heard of, gets reports
+// again at once.
+func TestLivenessViewSelectsWhoGetsReports(t *testing.T) {
 	g := talking(t, members("a")...)
-	told := func(want ...int) {
+	reported := func(want ...int) {
 		t.Helper()
 		q := long(g.request("safe"))
 		var to []int
@@ -35,23 +36,24 @@
 			t.Error(diff)
 		}
 	}
-	told(1, 2)
+	reported(1, 2)
 	g.step(LivenessView{Version: 5, Live: living(0, 1)})
-	told(1, 2)
+	reported(1, 2)
 	g.after(sec, LivenessView{Version: 6, Live: living(0, 1, 2)})
 	g.after(2 * viewStabilityTime)
-	told(1, 2)
+	reported(1, 2)
 	g.step(LivenessView{Version: 7, Live: living(0, 1)})
 	g.after(viewStabilityTime)
-	told(1)
+	reported(1)
 	g.step(LivenessView{Version: 6, Live: living(0, 1, 2)}) // old
-	told(1)
+	reported(1)
 	g.step(LivenessView{Version: 8, Live: living(0, 1, 2, 3, 99, -1)})
-	told(1, 2, 3)
+	reported(1, 2, 3)
 }
 
-// A cold replica's budget is for the gateways that live: fewer count at once, more after the view has held.
-func TestColdBudgetFollowsTheView(t *testing.T) {
+// The slow-start budget counts the routers that live: fewer count at once, more after the view
+// has held.
+func TestSlowStartBudgetFollowsTheView(t *testing.T) {
 	g := talking(t, append(members("warm"), Member{Replica: "cold", Zone: "here", Kind: "k", StartedAt: 99 * sec})...)
 	g.serve(g.request("safe"), 50*ms, 0)
 	cold := g.b.replicas["cold"]
@@ -59,7 +61,7 @@
 		t.Helper()
 		part, of := g.b.spendCredit(cold, 0), g.b.cfg.OverloadFactor/2*g.b.capacityFraction(cold)*g.b.completedWork
 		if got := part / of; of == 0 || got < want-0.01 || got > want+0.01 {
-			t.Errorf("the budget is for %.2f gateways, want %v", got, want)
+			t.Errorf("the budget is for %.2f routers, want %v", got, want)
 		}
 	}
 	ratio(minReportingRouters)
@@ -71,13 +73,13 @@
 	ratio(6)
 }
 
-// Many gateways each have most replicas idle. While those of the share are behind, an idle one is tried against its estimate only once in a
-// while; while they are not, at once.
-func TestIdleIsTriedAsFarAsOthersAreNotBehind(t *testing.T) {
+// To each of many routers most replicas are idle. While the assigned ones have a backlog, an
+// idle one is tried against its estimate only once in a while; while they have none, at once.
+func TestIdleReplicaIsTriedAsFarAsOthersHaveNoBacklog(t *testing.T) {
 	for _, behind := range []bool{false, true} {
 		g := talking(t, members("a", "b", "c")...)
 		for _, r := range g.b.sorted {
-			r.prefill.Add(1000, 0.5) // so that 1,000 tokens are half of the aim
+			r.prefill.Add(1000, 0.5) // so that 1,000 tokens are half of the latency target
 		}
 		var reports []PeerReport
 		for _, r := range g.b.sorted {
@@ -101,8 +103,9 @@
 	}
 }
 
-// What a gateway reported that is gone is of prompts that are gone, too: what all told of is less by its part, once the view has held.
-func TestNewsOfTheGoneIsDropped(t *testing.T) {
+// The prompts that a dead router reported are over, too: what all reported is lowered in
+// proportion once the view has held.
+func TestReportsOfRemovedRoutersAreDropped(t *testing.T) {
 	for _, gone := range []bool{false, true} {
 		g := talking(t, members("a")...)
 		a := g.b.replicas["a"]
@@ -121,24 +124,25 @@
 	}
 }
 
-// Few gateways before many replicas have shares so large that nearly all replicas are in some: what is in none is used for need alone.
-func TestSharesCoverTheReplicas(t *testing.T) {
-	const gateways, hosts = 10, 80
+// Few routers before many replicas have so many assigned that nearly each replica is assigned to
+// some; one that is assigned to none is used for need alone.
+func TestAssignmentsCoverTheReplicas(t *testing.T) {
+	const routers, hosts = 10, 80
 	cfg := testConfig()
-	cfg.Routers = gateways
-	g := newGateway(t, cfg, members(numbered("r", hosts)...)...)
-	for from := 1; from < gateways; from++ {
+	cfg.Routers = routers
+	g := newTestRouter(t, cfg, members(numbered("r", hosts)...)...)
+	for from := 1; from < routers; from++ {
 		g.step(ReportsReceived{From: from, Zone: zoneTag("here")})
 	}
-	held := 0
+	queued := 0
 	for _, r := range g.b.sorted {
 		if len(r.liveAssignees) > 0 {
-			held++
+			queued++
 		}
 	}
-	want := minAssignees * hosts / gateways
-	if len(g.b.assigned) != want || held < hosts*9/10 {
-		t.Errorf("a share of %d, want %d; %d of %d replicas are in some", len(g.b.assigned), want, held, hosts)
+	want := minAssignees * hosts / routers
+	if len(g.b.assigned) != want || queued < hosts*9/10 {
+		t.Errorf("a share of %d, want %d; %d of %d replicas are in some", len(g.b.assigned), want, queued, hosts)
 	}
 	share := g.b.assigned // a view of half of them moves none of it, until it has held
 	g.step(LivenessView{Version: 1, Live: living(0, 1, 2, 3, 4)})
@@ -150,23 +154,24 @@
 	}
 }
 
-// Whatever views say of up to half of the others, and though two halves hear nothing of each other: together gateways send a cold replica no
-// more than the settings allow, in any window, but for a prompt of each half on its way. Four parts that hear nothing of each other and still
-// count all are beyond that, and are found.
-func TestNoViewOpensAColdReplica(t *testing.T) {
+// Whatever views say of up to half of the others, and though the two sides of a network
+// partition hear nothing of each other: together routers send a replica in slow start no more
+// than the configuration allows, in any window, except for one request of each side in flight.
+// Four sides that hear nothing of each other and still count all are beyond that, and are found.
+func TestNoViewOverloadsAReplicaInSlowStart(t *testing.T) {
 	const (
-		gateways = 12
-		span     = 5 * sec
-		mean     = 0.02 // seconds of work
-		usual    = 0.6  // seconds of work that a warm replica did for each gateway in workSpan
+		routers = 12
+		span    = 5 * sec
+		mean    = 0.02 // seconds of work
+		usual   = 0.6  // seconds of work that a warm replica did for each router in workSpan
 	)
 	sends := func(tick time.Duration, parts int, view func(i int) []Peer, seed uint64) (worst float64) {
 		cfg := testConfig()
-		cfg.Routers, cfg.SlowStartWindow, cfg.OverloadWindow = gateways, 60*sec, 3*sec
+		cfg.Routers, cfg.SlowStartWindow, cfg.OverloadWindow = routers, 60*sec, 3*sec
 		now := 100 * sec
 		cold := Member{Replica: "cold", Zone: "here", Kind: "k", StartedAt: now}
 		var all []*Balancer
-		for i := range gateways {
+		for i := range routers {
 			cfg.Self = i
 			b, err := New(cfg, seed+uint64(i))
 			if err != nil {
@@ -174,7 +179,7 @@
 			}
 			b.Restore(Learned{CompletedWork: usual, MeanWork: mean})
 			b.Step(now, []Event{Members{Version: 1, Complete: true, Members: []Member{cold}}})
-			for j := range gateways {
+			for j := range routers {
 				b.Step(now, []Event{ReportsReceived{From: j, Zone: zoneTag("here")}})
 			}
 			all = append(all, b)
@@ -186,7 +191,7 @@
 		var sent []sending
 		rng := rand.New(rand.NewPCG(seed, 1))
 		for n := 0; now < 100*sec+span; now += tick {
-			for _, i := range rng.Perm(gateways) {
+			for _, i := range rng.Perm(routers) {
 				b := all[i]
 				n++
 				q := Arrival{ID: fmt.Sprint("q", n), Class: "safe", TimeLeft: 4 * sec, PromptTokens: 100,
@@ -217,16 +222,16 @@
 				sum += sent[j].work
 			}
 			warmth := cfg.SlowStartMinCapacity + (1-cfg.SlowStartMinCapacity)*float64(sent[i].at-100*sec)/float64(cfg.SlowStartWindow)
-			allowed := cfg.OverloadFactor * warmth * usual * gateways / workWindow * cfg.OverloadWindow.Seconds()
+			allowed := cfg.OverloadFactor * warmth * usual * routers / workWindow * cfg.OverloadWindow.Seconds()
 			worst = max(worst, sum/(allowed+2*mean))
 		}
 		return worst
 	}
 	for n := range uint64(16) {
-		missing, parts := int(n/2)%(gateways/2+1), 1+int(n%2)
+		missing, parts := int(n/2)%(routers/2+1), 1+int(n%2)
 		view := func(i int) (all []Peer) { // the same each time
 			rng := rand.New(rand.NewPCG(n, uint64(i)))
-			for k, j := range rng.Perm(gateways) {
+			for k, j := range rng.Perm(routers) {
 				if k >= missing || j == i {
 					all = append(all, living(j)...)
 				}
@@ -240,40 +245,41 @@
 		worst := sends(tick, parts, view, n)
 		t.Logf("%d missing, %d parts: %.2f", missing, parts, worst)
 		if worst > 1 {
-			t.Errorf("%d of %d missing in each view, %d parts: %.2f times what the settings allow", missing, gateways, parts, worst)
+			t.Errorf("%d of %d missing in each view, %d parts: %.2f times what the settings allow", missing, routers, parts, worst)
 		}
 	}
 	found := 0.0
 	for n := range uint64(4) {
 		rng := rand.New(rand.NewPCG(n, 2))
-		found = max(found, sends(10*ms, 4, func(int) []Peer { return living(rng.Perm(gateways)...) }, n))
+		found = max(found, sends(10*ms, 4, func(int) []Peer { return living(rng.Perm(routers)...) }, n))
 	}
 	if found <= 1 {
 		t.Errorf("four parts that hear nothing of each other sent %.2f times what the settings allow, and were not found", found)
 	}
 }
 
-// No work was ever seen, and there is nothing but a cold replica that is asked for all the time by gateways whose clocks have nothing in common:
-// it gets work, ever more as it answers, and in no window more requests than the settings allow a replica that can do as much, with the
-// platform's slack for chance.
-func TestBeginningsPushNobodyOver(t *testing.T) {
+// No work was ever seen, and there is nothing but a replica in slow start that is asked for all
+// the time by routers whose clocks have nothing in common: it gets work, ever more as it
+// answers, and in no window more requests than the configuration allows a replica that can do as
+// much, with the platform's slack for chance.
+func TestBootstrapOverloadsNoReplica(t *testing.T) {
 	const (
-		gateways = 12
-		mean     = 0.02 // seconds of work
-		tick     = 10 * ms
-		length   = 20 * sec
+		routers = 12
+		mean    = 0.02 // seconds of work
+		tick    = 10 * ms
+		length  = 20 * sec
 	)
 	for n := range uint64(24) {
 		able := []float64{1, 3, 10, 40}[n%4] // requests that it does in a second, once warm
 		rng := rand.New(rand.NewPCG(n, 3))
 		cfg := testConfig()
-		cfg.Routers, cfg.SlowStartMinCapacity, cfg.SlowStartWindow, cfg.OverloadFactor, cfg.OverloadWindow = gateways, 0.3, 40*sec, 2.5, 3*sec
+		cfg.Routers, cfg.SlowStartMinCapacity, cfg.SlowStartWindow, cfg.OverloadFactor, cfg.OverloadWindow = routers, 0.3, 40*sec, 2.5, 3*sec
 		type asker struct {
 			*Balancer
 			clock time.Duration // ahead of the test's
 		}
 		var all []asker
-		for i := range gateways {
+		for i := range routers {
 			cfg.Self = i
 			b, err := New(cfg, n<<8+uint64(i))
 			if err != nil {
@@ -281,7 +287,7 @@
 			}
 			clock := 100*sec + time.Duration(rng.Int64N(int64(100*sec)))
 			b.Step(clock, []Event{Members{Version: 1, Complete: true, Members: []Member{{Replica: "cold", Zone: "here", Kind: "k", StartedAt: clock}}}})
-			for j := range gateways {
+			for j := range routers {
 				b.Step(clock, []Event{ReportsReceived{From: j, Zone: zoneTag("here")}})
 			}
 			all = append(all, asker{b, clock})
@@ -310,7 +316,7 @@
 					queue = queue[1:]
 				}
 			}
-			for _, i := range rng.Perm(gateways) {
+			for _, i := range rng.Perm(routers) {
 				b := all[i]
 				asked++
 				q := Arrival{ID: fmt.Sprint("q", asked), Class: "safe", TimeLeft: 4 * sec, PromptTokens: 100, WorkEstimate: time.Duration(mean * 1e9)}
--- a/balance/fuzz_test.go
+++ b/balance/fuzz_test.go
@@ -177,7 +177,7 @@
 // Many requests on many replicas give the same actions twice: nothing depends on map order.
 func TestSameEventsSameActions(t *testing.T) {
 	run := func() []Action {
-		g := newGateway(t, testConfig(), members("a", "b", "c", "d", "e", "f", "g", "h")...)
+		g := newTestRouter(t, testConfig(), members("a", "b", "c", "d", "e", "f", "g", "h")...)
 		var all []Action
 		for i := 0; i < 400; i++ {
 			q := g.request("safe")
--- a/balance/crowding_test.go
+++ b/balance/interference_test.go
@@ -2,23 +2,24 @@
 
 import "testing"
 
-// What streams beside a prompt cost is weighed against what it would have to read, and against a crossing: each row has the streams of
-// this gateway on two replicas, of which the first keeps so many tokens of the prompt, and says which of the two is better.
-func TestStreamsBesideAgainstReadingAndCrossing(t *testing.T) {
+// The cost of streams beside a request is compared with what it would have to prefill and with
+// crossing zones: each row has the streams of this router on two replicas, of which the first
+// has so many tokens of the prompt cached, and says which of the two is cheaper.
+func TestStreamsAgainstPrefillAndCrossing(t *testing.T) {
 	for _, tt := range []struct {
 		name        string
 		streams     [2]int // own, with their first token
-		kept        float64
+		cached      float64
 		far         bool // the second replica is in another zone
 		others      float64
-		oneHome     bool
+		singleHost  bool
 		wantsSecond bool
 	}{
-		{name: "a kept prefix beside few streams", streams: [2]int{1, 0}, kept: 1000},
-		{name: "a kept prefix beside many", streams: [2]int{6, 0}, kept: 1000, wantsSecond: true},
-		{name: "as many on both", streams: [2]int{6, 6}, kept: 1000},
-		{name: "those of other gateways count as well", streams: [2]int{0, 0}, kept: 1000, others: 6, wantsSecond: true},
-		{name: "where a prefix has one home", streams: [2]int{6, 0}, kept: 1000, oneHome: true},
+		{name: "a kept prefix beside few streams", streams: [2]int{1, 0}, cached: 1000},
+		{name: "a kept prefix beside many", streams: [2]int{6, 0}, cached: 1000, wantsSecond: true},
+		{name: "as many on both", streams: [2]int{6, 6}, cached: 1000},
+		{name: "those of other routers count as well", streams: [2]int{0, 0}, cached: 1000, others: 6, wantsSecond: true},
+		{name: "where a prefix has one affinity host", streams: [2]int{6, 0}, cached: 1000, singleHost: true},
 		{name: "nothing kept, one stream more near by", streams: [2]int{1, 0}, far: true},
 		{name: "nothing kept, several more near by", streams: [2]int{4, 0}, far: true, wantsSecond: true},
 	} {
@@ -28,14 +29,14 @@
 				list[1].Zone = "there"
 			}
 			cfg := testConfig()
-			cfg.SingleAffinityHost = tt.oneHome
-			g := newGateway(t, cfg, list...)
+			cfg.SingleAffinityHost = tt.singleHost
+			g := newTestRouter(t, cfg, list...)
 			q := &request{Arrival: g.request("safe"), class: g.b.classes["safe"], latencyTarget: sec, prefixKey: "p"}
-			q.Prefix, q.PrefixTokens = "p", tt.kept
+			q.Prefix, q.PrefixTokens = "p", tt.cached
 			first, second := g.b.replicas["a"], g.b.replicas["b"]
 			first.inFlight, second.inFlight, first.peerStreams = tt.streams[0], tt.streams[1], tt.others
 			g.after(ms)
-			first.prefixCache.Put(q.prefixKey, g.b.now, tt.kept)
+			first.prefixCache.Put(q.prefixKey, g.b.now, tt.cached)
 			best := g.b.cheapest(q, []*replica{first, second})
 			if (best == second) != tt.wantsSecond {
 				t.Errorf("%s is better, at %.3f s and %.3f s", best.Replica, g.b.estimatedCost(q, first), g.b.estimatedCost(q, second))
@@ -44,19 +45,20 @@
 	}
 }
 
-// What reports say of others' unread tokens is some hundred milliseconds old, and all gateways hear the same: it moves no prompt, or all of
-// them would go to one replica at once. The number of streams does.
-func TestReportsOfUnreadTokensMoveNoPrompt(t *testing.T) {
+// What reports say of others' prefill tokens is some hundred milliseconds old, and all routers
+// hear the same: it moves no request, or all of them would go to one replica at once. The number
+// of streams does.
+func TestReportsOfPrefillTokensMoveNoRequest(t *testing.T) {
 	for _, tt := range []struct {
 		name        string
 		load        Load
 		wantsSecond bool
 	}{
-		{"unread tokens", Load{InFlight: -1, Utilization: -1, PrefillTokens: 50_000}, false},
+		{"tokens to prefill", Load{InFlight: -1, Utilization: -1, PrefillTokens: 50_000}, false},
 		{"streams", Load{InFlight: 12, Utilization: -1, PrefillTokens: -1}, true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			g := newGateway(t, testConfig(), members("a", "b")...)
+			g := newTestRouter(t, testConfig(), members("a", "b")...)
 			q := &request{Arrival: g.request("safe"), class: g.b.classes["safe"], latencyTarget: sec, prefixKey: "p"}
 			q.PrefixTokens = 500
 			first, second := g.b.replicas["a"], g.b.replicas["b"]
--- a/balance/slow_test.go
+++ b/balance/latencyratio_test.go
@@ -8,28 +8,29 @@
 	"github.com/matryer/is"
 )
 
-// A first token that took longer than expected by a part of the shortest aim is told to all gateways of a fleet.
-func TestSlownessIsTold(t *testing.T) {
+// A first token that took longer than expected by a fraction of the shortest latency target is
+// reported to all routers of a fleet.
+func TestLatencyRatioIsReported(t *testing.T) {
 	for _, tt := range []struct {
-		took int // of 50 ms, in ms
-		told bool
+		took     int // of 50 ms, in ms
+		reported bool
 	}{{60, false}, {110, false}, {400, true}} {
 		t.Run(fmt.Sprint(tt.took, " ms"), func(t *testing.T) {
 			is := is.New(t)
-			g := newGateway(t, broadcasting(), members("a")...)
+			g := newTestRouter(t, broadcasting(), members("a")...)
 			g.b.shortestTarget = 0.4
 			g.step()
 			g.b.recordFirstToken(g.b.replicas["a"], float64(tt.took)/1000, 0.05)
-			is.Equal(len(of[SendReports](g.b.actions)) == 1, tt.told)
+			is.Equal(len(of[SendReports](g.b.actions)) == 1, tt.reported)
 		})
 	}
 }
 
-// A class without an aim makes no trifle a surprise: it counts as one of a second.
-func TestShortestAim(t *testing.T) {
+// A class without a latency target makes no trifle a surprise: it counts as one of a second.
+func TestShortestLatencyTarget(t *testing.T) {
 	for _, tt := range []struct {
-		aims []time.Duration
-		want float64
+		targets []time.Duration
+		want    float64
 	}{
 		{[]time.Duration{400 * ms, 800 * ms}, 0.4},
 		{[]time.Duration{0, 800 * ms}, 0.8},
@@ -39,9 +40,9 @@
 		is := is.New(t)
 		cfg := broadcasting()
 		cfg.Classes = nil
-		for i, aim := range tt.aims {
-			cfg.Classes = append(cfg.Classes, Class{Name: fmt.Sprint(i), LatencyTarget: aim, Deadline: sec})
+		for i, target := range tt.targets {
+			cfg.Classes = append(cfg.Classes, Class{Name: fmt.Sprint(i), LatencyTarget: target, Deadline: sec})
 		}
-		is.Equal(newGateway(t, cfg).b.shortestTarget, tt.want)
+		is.Equal(newTestRouter(t, cfg).b.shortestTarget, tt.want)
 	}
 }
--- a/balance/learned_test.go
+++ b/balance/learned_test.go
@@ -7,14 +7,15 @@
 	"time"
 )
 
-// What was learned of replicas holds in another life for those that have not started since, and for no others; what was learned of kinds and of a warm
-// replica's work holds until something is seen.
+// What was learned of replicas holds in another process for those that have not started since,
+// and for no others; what was learned of kinds and of a warm replica's work holds until
+// something is observed.
 func TestLearned(t *testing.T) {
 	cfg := Config{Zone: "a", SlowStartMinCapacity: 0.3, SlowStartWindow: 8 * time.Second, Classes: []Class{{Name: "c", LatencyTarget: time.Second, Deadline: 4 * time.Second, Value: 1, Streamed: true}}}
 	now := time.Hour
-	list := func(born ...time.Duration) Members {
+	list := func(startedAt ...time.Duration) Members {
 		m := Members{Version: 1, Complete: true}
-		for i, b := range born {
+		for i, b := range startedAt {
 			m.Members = append(m.Members, Member{Replica: fmt.Sprint("r", i), Zone: "a", Kind: "k", StartedAt: b})
 		}
 		return m
@@ -46,11 +47,11 @@
 	next, _ := New(cfg, 2)
 	next.Restore(l)
 	next.RestoreReplicas()
-	next.Step(now, []Event{list(time.Minute, now-time.Minute, 0, now-time.Second)}) // r1 has started since, of r2 nobody knows, r3 is cold
+	next.Step(now, []Event{list(time.Minute, now-time.Minute, 0, now-time.Second)}) // r1 has started since, of r2 nobody knows, r3 is in slow start
 	next.RestoreReplicas()
 	for i, want := range []float64{23, initialLimit, initialLimit, slowStartLimit} {
 		if got := next.sorted[i].limit; got != want {
-			t.Errorf("r%d has cap %v, not %v", i, got, want)
+			t.Errorf("r%d has limit %v, not %v", i, got, want)
 		}
 	}
 	if s := next.latencyRatioOf(next.sorted[0]); s < 2.5 || next.latencyRatioOf(next.sorted[1]) != 1 {
@@ -69,6 +70,6 @@
 	odd.Restore(Learned{CompletedWork: math.NaN(), MeanWork: 1, Replicas: []LearnedReplica{{"r0", time.Minute, math.Inf(1), -1}}})
 	odd.Step(now, []Event{list(time.Minute)})
 	if odd.RestoreReplicas(); odd.sorted[0].limit != initialLimit || odd.latencyRatioOf(odd.sorted[0]) != 1 || odd.completedWork != 0 {
-		t.Errorf("cap %v, slow %v, work %v", odd.sorted[0].limit, odd.latencyRatioOf(odd.sorted[0]), odd.completedWork)
+		t.Errorf("limit %v, slow %v, work %v", odd.sorted[0].limit, odd.latencyRatioOf(odd.sorted[0]), odd.completedWork)
 	}
 }
--- a/balance/doubts_test.go
+++ b/balance/outlier_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// failure is what another gateway tells of a replica that it saw fail.
+// failure is another router's report that it saw a replica fail.
 func failure(r *replica, witness int) ReportsReceived {
 	return ReportsReceived{From: witness, Reports: []PeerReport{{ReplicaTag: replicaTag(r), Failed: true}}}
 }
 
-// A replica that two gateways saw fail gets nothing for a moment, one that a single gateway did goes on. Where more than a third are doubted,
-// some go on.
-func TestDoubtedByTwo(t *testing.T) {
+// A replica that two routers saw fail gets nothing for a moment, one that a single router saw
+// fail goes on. Where more than a third are suspected, some go on.
+func TestOutlierNeedsTwoWitnesses(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
 		seen    map[string][]int // replica to witnesses
@@ -27,7 +27,7 @@
 		{name: "two of four", seen: map[string][]int{"a": {1, 2}, "b": {1, 2}}, avoided: "a"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			g := newGateway(t, broadcasting(), members("a", "b", "c", "d")...)
+			g := newTestRouter(t, broadcasting(), members("a", "b", "c", "d")...)
 			for name, witnesses := range tt.seen {
 				for _, w := range witnesses {
 					g.step(failure(g.b.replicas[name], w))
@@ -51,10 +51,10 @@
 	}
 }
 
-// A failure is told to all, once; while a replica is doubted already it is no news.
-func TestFailuresAreTold(t *testing.T) {
-	g := newGateway(t, broadcasting(), members("a")...)
-	told := func(out []Action) (n int) {
+// A failure is reported to all, once; while a replica is suspected already it is nothing new.
+func TestFailuresAreReported(t *testing.T) {
+	g := newTestRouter(t, broadcasting(), members("a")...)
+	reported := func(out []Action) (n int) {
 		for _, tell := range of[SendReports](out) {
 			for _, r := range tell.Reports {
 				if r.Failed {
@@ -69,25 +69,25 @@
 		g.step(q)
 		return g.step(Outcome{ID: q.ID, Result: Reset})
 	}
-	if n := told(fail()); n != 1 {
-		t.Errorf("a failure was told %d times", n)
+	if n := reported(fail()); n != 1 {
+		t.Errorf("a failure was reported %d times", n)
 	}
 	g.step(failure(g.b.replicas["a"], 7))
 	if !g.b.replicas["a"].outlier.At(g.b.now) {
-		t.Fatal("with the word of another one it is not doubted")
+		t.Fatal("with the word of another one it is not suspected")
 	}
-	if n := told(fail()); n != 0 {
-		t.Errorf("a failure of one that is doubted was told %d times", n)
+	if n := reported(fail()); n != 0 {
+		t.Errorf("a failure of one that is suspected was reported %d times", n)
 	}
 }
 
-// A gateway that is alone doubts nobody: its own failures are what ejection is for.
-func TestAloneNobodyIsDoubted(t *testing.T) {
-	g := newGateway(t, testConfig(), members("a", "b")...)
+// A router that is alone suspects no replica: ejection is for its own failures.
+func TestAloneNobodyIsAnOutlier(t *testing.T) {
+	g := newTestRouter(t, testConfig(), members("a", "b")...)
 	for range 5 {
 		g.b.recordFailure(g.b.replicas["a"], Reset)
 	}
 	if g.b.replicas["a"].outlier.At(g.b.now) {
-		t.Error("doubted by its own word alone")
+		t.Error("suspected by its own word alone")
 	}
 }
--- a/balance/peerreport_test.go
+++ b/balance/peerreport_test.go
@@ -11,26 +11,28 @@
 	"reachspread/internal/rendezvous"
 )
 
-// talking is the configuration of the first of many gateways; two others of its zone have been heard of.
-func talking(t *testing.T, replicas ...Member) *gateway {
+// talking is the configuration of the first of many routers; two others of its zone have been
+// heard of.
+func talking(t *testing.T, replicas ...Member) *testRouter {
 	t.Helper()
 	cfg := testConfig()
 	cfg.Routers, cfg.MayProbe = minReportingRouters, true
-	g := newGateway(t, cfg, replicas...)
+	g := newTestRouter(t, cfg, replicas...)
 	for from := 1; from < 3; from++ {
 		g.step(ReportsReceived{From: from, Zone: zoneTag("here")})
 	}
 	return g
 }
 
-// long makes a prompt so long that it is told for itself.
+// long makes a prompt so long that it is always reported.
 func long(q Arrival) Arrival {
 	q.PromptTokens = 4000
 	return q
 }
 
-// Of prompts that are soon read some are told, each for as much as is worth a word: the sum is right. A cold replica's budget needs all.
-func TestSmallPromptsAreToldInPart(t *testing.T) {
+// Of prompts with little prefill some are reported, each for as much as the smallest that always
+// are: the sum is right. The budget of a replica in slow start needs all.
+func TestSmallPromptsAreReportedBySample(t *testing.T) {
 	g := talking(t, members("a")...)
 	words, sum := 0, 0.0
 	const sent, tokens = 400, 500
@@ -42,7 +44,7 @@
 		}
 		g.after(ms, Outcome{ID: q.ID, Result: NotSent, Final: true}) // which teaches nothing
 	}
-	word := smallPromptFraction * 1 / defaultPrefillTime // of an aim of a second
+	word := smallPromptFraction * 1 / defaultPrefillTime // of a latency target of a second
 	if want := sent * tokens / word; float64(words) < 0.7*want || float64(words) > 1.3*want || sum != float64(words)*word {
 		t.Errorf("%d words of %.0f tokens in all, want some %.0f of %.0f each", words, sum, want, word)
 	}
@@ -51,12 +53,13 @@
 	cold.step(Members{Version: 9, Members: []Member{{Replica: "a", Zone: "here", Kind: "k", State: Draining}}})
 	q := cold.request("safe")
 	if tells := of[SendReports](cold.step(q)); len(tells) != 1 || tells[0].Reports[0].PrefillTokens != q.PromptTokens {
-		t.Errorf("told of a cold replica: %v", tells)
+		t.Errorf("reported of a replica in slow start: %v", tells)
 	}
 }
 
-// Many gateways each see few of a replica's prompts: what one sends, those that share the replica are told.
-func TestPromptSentIsTold(t *testing.T) {
+// Each of many routers sees few of a replica's requests: what one sends is reported to those
+// that share the replica.
+func TestSentPromptIsReported(t *testing.T) {
 	g := talking(t, members("a")...)
 	out := g.step(long(g.request("safe")))
 	want := []SendReports{{To: []int{1, 2}, Zone: zoneTag("here"), Reports: []PeerReport{{ReplicaTag: replicaTag(g.b.replicas["a"]), PrefillTokens: 4000}}}}
@@ -64,31 +67,33 @@
 		t.Error(diff)
 	}
 	if n := len(of[Probe](out)); n != 0 {
-		t.Errorf("%d probes; where gateways tell each other, none is worth its price", n)
+		t.Errorf("%d probes; where routers tell each other, none is value its price", n)
 	}
 }
 
-// Who has not been heard of, or is of another zone, is told nothing of a prompt; the greeting goes to everybody.
-func TestOnlyGatewaysOfTheZoneAreTold(t *testing.T) {
+// A router that has not been heard of, or is of another zone, gets no report of a prompt; the
+// empty first message goes to all.
+func TestOnlyRoutersOfTheZoneGetReports(t *testing.T) {
 	cfg := testConfig()
 	cfg.Routers, cfg.Self = minReportingRouters, 1
 	b, err := New(cfg, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &gateway{t: t, b: b, now: 100 * sec}
+	g := &testRouter{t: t, b: b, now: 100 * sec}
 	greeting := []SendReports{{To: []int{0, 2, 3, 4, 5, 6, 7}, Zone: zoneTag("here")}}
 	if diff := cmp.Diff(greeting, of[SendReports](g.step(Members{Version: 1, Complete: true, Members: append(members("a"), Member{Replica: "far", Zone: "there", Kind: "k"})}))); diff != "" {
 		t.Error(diff)
 	}
 	g.step(ReportsReceived{From: 0, Zone: zoneTag("there")}, ReportsReceived{From: 3, Zone: zoneTag("here")}, ReportsReceived{From: 9}, ReportsReceived{From: -1})
 	if tells := of[SendReports](g.step(long(g.request("safe")))); len(tells) != 1 || !cmp.Equal(tells[0].To, []int{3}) {
-		t.Errorf("want the prompt told to gateway 3 alone, got %v", tells)
+		t.Errorf("want the prompt reported to router 3 alone, got %v", tells)
 	}
 }
 
-// A replica that others have just filled must not look idle, and looks idle again once it has read what they sent.
-func TestHeardPromptsCount(t *testing.T) {
+// A replica that others have just filled must not look idle, and looks idle again once it has
+// prefilled what they sent.
+func TestReportedPromptsCount(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		after int // s since the others sent
@@ -99,7 +104,7 @@
 		g.after(50*ms, FirstToken{ID: "q1"})
 		g.step(Outcome{ID: "q1", Result: OK, Final: true})
 		q := g.request("safe")
-		q.ID, q.Session = "q1", "" // the same homes in the same order
+		q.ID, q.Session = "q1", "" // the same affinity hosts in the same order
 		g.step(ReportsReceived{From: 1, Zone: zoneTag("here"), Reports: []PeerReport{{ReplicaTag: replicaTag(g.b.replicas[best]), PrefillTokens: 20000}}})
 		for range test.after {
 			g.after(sec)
@@ -110,13 +115,13 @@
 	}
 }
 
-// A slow replica is known to all from the first that met it, until that is old.
-func TestSlownessIsToldAndBelieved(t *testing.T) {
+// A slow replica is known to all from the first router that met it, until that report is old.
+func TestLatencyRatioIsReportedAndBelieved(t *testing.T) {
 	g := talking(t, members("a")...)
 	g.step(g.request("safe"))
 	tells := of[SendReports](g.after(900*ms, FirstToken{ID: "q1"}))
 	if len(tells) != 1 || tells[0].Reports[0].LatencyRatio < reportRatio {
-		t.Fatalf("want the slow first token told, got %v", tells)
+		t.Fatalf("want the slow first token reported, got %v", tells)
 	}
 
 	h := talking(t, members("a", "b")...)
@@ -133,8 +138,8 @@
 	}
 }
 
-// What was seen here a moment ago stands, however many say otherwise.
-func TestHearsayNeverOutweighsOwnEvidence(t *testing.T) {
+// What was observed here a moment ago stands, however many report otherwise.
+func TestReportsNeverOutweighLocalObservations(t *testing.T) {
 	g := talking(t, members("a")...)
 	a := g.b.replicas["a"]
 	g.serve(g.request("safe"), 60*ms, 0)
@@ -147,28 +152,29 @@
 	}
 }
 
-// Words on a replica that no list has named do nothing, and none makes it one to send to.
+// Reports on a replica that is not listed do nothing, and none makes it one to send to.
 func TestUnlistedReplicaIsNeverSentTo(t *testing.T) {
 	g := talking(t, members("a")...)
 	g.step(ReportsReceived{From: 1, Reports: []PeerReport{{ReplicaTag: replicaTag(&replica{hash: rendezvous.Hash("elsewhere")}), PrefillTokens: 1}}})
 	if len(g.b.replicas) != 1 || g.b.replicas["a"].peerTokens != 0 {
-		t.Errorf("%d replicas, %v tokens told of for the one listed; want 1 and none", len(g.b.replicas), g.b.replicas["a"].peerTokens)
+		t.Errorf("%d replicas, %v tokens reported of for the one listed; want 1 and none", len(g.b.replicas), g.b.replicas["a"].peerTokens)
 	}
 }
 
-// Shares are alike wherever they are worked out, so that who sends to a replica tells just those that do, too.
-func TestSharesAgree(t *testing.T) {
-	const gateways, hosts = 30, 40
+// Assignments are the same wherever they are worked out, so that a router that sends to a
+// replica reports to just those that do, too.
+func TestAssignmentsAgree(t *testing.T) {
+	const routers, hosts = 30, 40
 	var list []Member
 	for i, name := range numbered("r", hosts) {
 		list = append(list, Member{Replica: name, Zone: fmt.Sprint("z", i%2), Kind: "k"})
 	}
-	all := make([]*gateway, gateways)
+	all := make([]*testRouter, routers)
 	for me := range all {
 		cfg := testConfig()
-		cfg.Routers, cfg.Self, cfg.Zone = gateways, me, fmt.Sprint("z", me%2)
-		all[me] = newGateway(t, cfg, list...)
-		for from := range gateways {
+		cfg.Routers, cfg.Self, cfg.Zone = routers, me, fmt.Sprint("z", me%2)
+		all[me] = newTestRouter(t, cfg, list...)
+		for from := range routers {
 			all[me].step(ReportsReceived{From: from, Zone: zoneTag(fmt.Sprint("z", from%2))})
 		}
 	}
@@ -176,26 +182,27 @@
 		mine := 0
 		for _, r := range g.b.sorted {
 			if diff := cmp.Diff(all[0].b.replicas[r.Replica].liveAssignees, r.liveAssignees); diff != "" {
-				t.Fatalf("gateways 0 and %d differ on who has %s: %s", me, r.Replica, diff)
+				t.Fatalf("routers 0 and %d differ on who has %s: %s", me, r.Replica, diff)
 			}
 			if slices.Contains(r.liveAssignees, me) != r.assigned {
-				t.Errorf("gateway %d: %s is mine: %v, for others %v", me, r.Replica, r.assigned, r.liveAssignees)
+				t.Errorf("router %d: %s is mine: %v, for others %v", me, r.Replica, r.assigned, r.liveAssignees)
 			}
 			if r.assigned {
 				mine++
 				if r.Zone != g.b.cfg.Zone {
-					t.Errorf("gateway %d has %s of another zone in its share", me, r.Replica)
+					t.Errorf("router %d has %s of another zone in its share", me, r.Replica)
 				}
 			}
 		}
 		if mine != minAssignedReplicas {
-			t.Errorf("gateway %d has a share of %d, want %d", me, mine, minAssignedReplicas)
+			t.Errorf("router %d has a share of %d, want %d", me, mine, minAssignedReplicas)
 		}
 	}
 }
 
-// Gateways that hear of each other spend one budget of a cold replica: what others sent it leaves that much less.
-func TestColdBudgetIsSharedByNews(t *testing.T) {
+// Routers that report to each other spend one budget of a replica in slow start: what others
+// sent it leaves that much less.
+func TestSlowStartBudgetIsSharedByReports(t *testing.T) {
 	sent := func(others bool) (n int) {
 		g := talking(t, append(members("warm"), Member{Replica: "cold", Zone: "here", Kind: "k", StartedAt: 99 * sec})...)
 		cold := g.b.replicas["cold"]
@@ -216,16 +223,17 @@
 	}
 	alone, shared := sent(false), sent(true)
 	if alone == 0 || shared > alone/2 {
-		t.Errorf("room for %d prompts on the cold replica alone, %d where others fill it; want some, and far fewer", alone, shared)
+		t.Errorf("room for %d prompts on the replica in slow start alone, %d where others fill it; want some, and far fewer", alone, shared)
 	}
 }
 
-// A replica beyond the own share is a connection more, and others' prompts there are not told of: none is used while the
-// share will do, and one is where the share has no room.
-func TestBeyondTheShareOnlyForNeed(t *testing.T) {
+// A replica that is not assigned is a connection more, and others' prompts there are not
+// reported here: none is used while the assigned ones will do, and one is where these have no
+// capacity.
+func TestUnassignedReplicasOnlyForNeed(t *testing.T) {
 	cfg := testConfig()
 	cfg.Routers = minReportingRouters
-	g := newGateway(t, cfg, members(numbered("r", 3*minAssignedReplicas)...)...)
+	g := newTestRouter(t, cfg, members(numbered("r", 3*minAssignedReplicas)...)...)
 	mine := func() bool { return g.b.replicas[sentTo(t, g.step(g.request("safe")))].assigned }
 	for range 2 * minAssignedReplicas {
 		if !mine() {
@@ -242,10 +250,10 @@
 	}
 }
 
-// Words that come late, repeated, out of order, or on replicas that drain or that nobody listed lose nothing but
-// knowledge: each request is sent at once to a listed replica while one has room, nothing else is ever sent to, and once
-// the words have stopped all is as it was.
-func TestWordsInAnyOrder(t *testing.T) {
+// Reports that come late, repeated, out of order, or on replicas that are draining or not listed
+// lose nothing but knowledge: each request is sent at once to a listed replica while one has
+// capacity, nothing else is ever sent to, and once the reports have stopped all is as it was.
+func TestReportsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		g := talking(t, append(members("a", "b", "c"), Member{Replica: "leaving", Zone: "here", Kind: "k", State: Draining})...)
 		tags := []uint32{0, 1, replicaTag(&replica{hash: rendezvous.Hash("elsewhere")})}
@@ -292,20 +300,21 @@
 	})
 }
 
-// A prefix that another gateway has sent somewhere is known to be kept there, for as long as the replica has not started anew; one prompt of
-// it is read sooner there, another's is not, and neither is more of a prompt than the prefix.
-func TestToldPrefixIsKept(t *testing.T) {
+// A prefix that another router has sent to a replica is known to be cached there for as long as
+// the replica has not restarted; a prompt of it needs less prefill there, another's does not,
+// and neither more of a prompt than the prefix.
+func TestReportedPrefixIsCachedForOthers(t *testing.T) {
 	g := talking(t, members("a", "b")...)
 	q := long(g.request("safe"))
 	q.Prefix, q.PrefixTokens = "long beginning", 3000
-	told := of[SendReports](g.step(q))
-	if len(told) != 1 || told[0].Reports[0].PrefixTag == 0 {
-		t.Fatalf("told %v", told)
+	reported := of[SendReports](g.step(q))
+	if len(reported) != 1 || reported[0].Reports[0].PrefixTag == 0 {
+		t.Fatalf("reported %v", reported)
 	}
 	other := talking(t, members("a", "b")...)
-	other.step(ReportsReceived{From: 1, Zone: zoneTag("here"), Reports: told[0].Reports})
+	other.step(ReportsReceived{From: 1, Zone: zoneTag("here"), Reports: reported[0].Reports})
 	other.after(10 * sec) // it has been read
-	tagged := other.b.byTag[told[0].Reports[0].ReplicaTag]
+	tagged := other.b.byTag[reported[0].Reports[0].ReplicaTag]
 	reads := func(prefix string, r *replica) float64 {
 		a := q
 		a.Prefix = prefix
--- a/balance/budget_test.go
+++ b/balance/retrybudget_test.go
@@ -7,8 +7,8 @@
 	"reachspread/internal/retrybudget"
 )
 
-// A further attempt is free while none has arrived; after one that did it takes from the budget.
-func TestBudgetOfAttemptsThatArrived(t *testing.T) {
+// A retry is free while no attempt was delivered; after one that was it takes from the budget.
+func TestRetryBudgetCountsDeliveredAttempts(t *testing.T) {
 	for _, tt := range []struct {
 		result Result
 		again  bool
@@ -18,7 +18,7 @@
 		t.Run(fmt.Sprint(tt.result), func(t *testing.T) {
 			cfg := testConfig()
 			cfg.RetryBudget = retrybudget.New(0, 0)
-			g := newGateway(t, cfg, members("a", "b")...)
+			g := newTestRouter(t, cfg, members("a", "b")...)
 			q := g.request("safe")
 			if len(of[Send](g.step(q))) != 1 {
 				t.Fatal("not sent")
--- a/internal/testbed/simulator/slowstart_test.go
+++ b/internal/testbed/simulator/slowstart_test.go
@@ -72,7 +72,7 @@
 
 // The sum over all routers that were told of a start stays within what the settings allow, in every window: with one router or
 // hundreds, with more routers than calls in the budget, whoever hears of whom. That a share too large is found is shown where
-// hosts are no bound, by balance's TestNoViewOpensAColdReplica.
+// hosts are no bound, by balance's TestNoViewOverloadsAReplicaInSlowStart.
 func TestSlowStartOverDrawnSchedules(t *testing.T) {
 	for _, routers := range []int{1, 3, 30, 300} {
 		t.Run(fmt.Sprint(routers), func(t *testing.T) {
