--- a/internal/system/deciders/instances/instances.go
+++ b/internal/system/deciders/instances/instances.go
@@ -1,7 +1,9 @@
-// Package instances keeps which hosts exist and how they stand, as the hosts themselves and other routers tell. It is pure.
+// Package instances is the registry of model hosts: which exist and in which state each is, by
+// their own heartbeats and by what other routers report. It is pure.
 //
-// What is known of a host only moves forward: its states are ordered (gone after draining after ready or lost), and of two that are not
-// comparable so the one of its later call goes first. So records may be merged in any order, twice, and from any router.
+// Records are merged by a total order, so routers that have exchanged the same records, in any
+// order and however often, agree. Removed supersedes draining, which supersedes ready and lost; of
+// two records in the same of these groups the later heartbeat does.
 package instances
 
 import (
@@ -16,53 +18,65 @@
 )
 
 const (
-	// MostInstances bounds the hosts that are known, with those that are gone.
+	// MaxInstances bounds the hosts that are known, removed ones included.
 	MaxInstances = 20_000
-	// keepGone is how long a host that is gone is remembered, so that no late word brings it back.
+	// removedTTL is how long a removed host is remembered, so that no late record brings it back.
 	removedTTL = 10 * time.Minute
-	// lostBeats is the number of heartbeats that may be missing before a host counts as lost.
+	// missedHeartbeats is how many heartbeats may be missing before a host is lost.
 	missedHeartbeats = 3.5
-	minSweepSize     = 256 // records, below which nothing is forgotten
-	// sweepEvery is the time between two looks for what may be forgotten.
+	// minSweepSize is the number of records below which none is forgotten.
+	minSweepSize = 256
+	// sweepInterval is the time between two sweeps of removed hosts.
 	sweepInterval = 10 * time.Second
 )
 
-// Record is one host as this router knows it. It is not to be changed.
+// Record is a host as this router knows it. It must not be changed.
 type Record struct {
 	*message.Instance
-	SlowStartUntil time.Duration // on this router's clock; 0 for warm
+	SlowStartUntil time.Duration // on this router's clock; 0 for a host that is warm
 	revision       uint64
-	lastHeartbeat  time.Duration // its last call, as far as this router has been told
-	stateSince     time.Duration // in this state
+	lastHeartbeat  time.Duration // as far as this router knows
+	stateSince     time.Duration
 }
 
-// Registry is one router's knowledge.
+// Registry is the hosts that one router knows.
 type Registry struct {
 	now              time.Duration
-	interval         time.Duration // between two heartbeats
+	interval         time.Duration // between two heartbeats of a host
 	revision         uint64
-	records          map[string]*Record
-	byService        map[string]map[string]*Record
-	serviceRevisions map[string]uint64    // the revision of each service
-	sorted           map[string][]*Record // the hosts of a service by their ids, where they were asked for since they last changed
+	records          map[string]*Record            // by id
+	byService        map[string]map[string]*Record // by id
+	serviceRevisions map[string]uint64
+	sorted           map[string][]*Record // by service; a cache that a change of the service clears
 	nextSweepAt      time.Duration
 }
 
-// New returns a registry that knows nobody. Revisions begin at 1.
+// New returns an empty registry at revision 1, for hosts that send a heartbeat at an interval.
 func New(interval time.Duration) *Registry {
-	return &Registry{interval: interval, revision: 1, records: map[string]*Record{}, byService: map[string]map[string]*Record{}, serviceRevisions: map[string]uint64{}, sorted: map[string][]*Record{}}
+	return &Registry{
+		interval:         interval,
+		revision:         1,
+		records:          map[string]*Record{},
+		byService:        map[string]map[string]*Record{},
+		serviceRevisions: map[string]uint64{},
+		sorted:           map[string][]*Record{},
+	}
 }
 
 // Revision grows with each change.
 func (r *Registry) Revision() uint64 { return r.revision }
 
-// Get returns what is known of a host, nil for nothing.
+// ServiceRevision grows with each change of a service's hosts; 0 for none.
+func (r *Registry) ServiceRevision(service string) uint64 { return r.serviceRevisions[service] }
+
+// Get returns the record of a host, nil for none.
 func (r *Registry) Get(id string) *Record { return r.records[id] }
 
-// Services are the names of all services that have or had hosts, in order.
+// Services returns the names of all services that have or had hosts, sorted.
 func (r *Registry) Services() []string { return slices.Sorted(maps.Keys(r.byService)) }
 
-// Of returns the hosts of a service by their ids, those that are gone among them. The result is not to be changed.
+// Records returns the hosts of a service sorted by id, removed ones included. The slice must not be
+// changed.
 func (r *Registry) Records(service string) []*Record {
 	if all, ok := r.sorted[service]; ok {
 		return all
@@ -73,16 +87,39 @@
 	return all
 }
 
-// Len is how many hosts are known, those that are gone among them.
+// Len returns how many hosts are known, removed ones included.
 func (r *Registry) Len() int { return len(r.records) }
 
-// later tells whether a word on a host goes before another.
-func supersedes(a, b *message.Instance) bool {
-	rank := func(i *message.Instance) int { return max(int(i.State)-int(message.Instance_LOST), 0) }
-	return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a.Sequence, b.Sequence), cmp.Compare(a.State, b.State)) > 0
+// Active returns all hosts that are not removed.
+func (r *Registry) Active() (all []*message.Instance) {
+	for _, service := range r.Services() {
+		for _, rec := range r.Records(service) {
+			if rec.State != message.Instance_GONE {
+				all = append(all, rec.Instance)
+			}
+		}
+	}
+	return all
 }
 
-// Merge takes in words from another router and returns those that were new here.
+// ChangedSince returns the hosts of a service that changed after a revision, with the rest of their
+// slow start.
+func (r *Registry) ChangedSince(service string, after uint64) (all []*message.Instance) {
+	for _, rec := range r.Records(service) {
+		if rec.revision <= after {
+			continue
+		}
+		in := rec.Instance
+		if in.ColdRemainingMs > 0 {
+			in = proto.Clone(in).(*message.Instance)
+			in.ColdRemainingMs = uint32(max(rec.SlowStartUntil-r.now, 0) / time.Millisecond)
+		}
+		all = append(all, in)
+	}
+	return all
+}
+
+// Merge applies records of another router and returns those that were new here.
 func (r *Registry) Merge(now time.Duration, all []*message.Instance) (changed []*Record) {
 	r.now = max(r.now, now)
 	for _, in := range all {
@@ -98,47 +135,8 @@
 	return changed
 }
 
-// put takes up a word.
-func (r *Registry) store(in *message.Instance) *Record {
-	r.revision++
-	rec := &Record{Instance: in, revision: r.revision, lastHeartbeat: r.now, stateSince: r.now}
-	if in.ColdRemainingMs > 0 {
-		rec.SlowStartUntil = r.now + time.Duration(in.ColdRemainingMs)*time.Millisecond
-	}
-	if old := r.records[in.Id]; old != nil {
-		rec.lastHeartbeat = max(rec.lastHeartbeat, old.lastHeartbeat)
-		delete(r.byService[old.Service], in.Id)
-		delete(r.sorted, old.Service)
-	}
-	r.records[in.Id] = rec
-	service := r.byService[in.Service]
-	if service == nil {
-		service = map[string]*Record{}
-		r.byService[in.Service] = service
-	}
-	service[in.Id] = rec
-	r.serviceRevisions[in.Service] = r.revision
-	delete(r.sorted, in.Service)
-	r.sweepRemoved()
-	return rec
-}
-
-// forget drops hosts that have been gone for long.
-func (r *Registry) sweepRemoved() {
-	if len(r.records) < minSweepSize || r.now < r.nextSweepAt {
-		return
-	}
-	r.nextSweepAt = r.now + sweepInterval
-	for id, rec := range r.records {
-		if rec.State == message.Instance_GONE && r.now-rec.stateSince >= removedTTL {
-			delete(r.records, id)
-			delete(r.byService[rec.Service], id)
-			delete(r.sorted, rec.Service)
-		}
-	}
-}
-
-// Beat takes in a call of a host itself. It returns the record where the call changed anything that others have to know, else nil.
+// Heartbeat applies a heartbeat of a host. It returns the record if the host is new, or if the
+// heartbeat changed what other routers have to know; nil otherwise.
 func (r *Registry) Heartbeat(now time.Duration, in *message.Instance) *Record {
 	r.now = max(r.now, now)
 	old := r.records[in.Id]
@@ -152,50 +150,44 @@
 		return nil
 	}
 	old.lastHeartbeat = r.now
-	if old.State == message.Instance_DRAINING && in.State == message.Instance_READY || equalContent(old.Instance, in) {
-		return nil
-	}
-	if !supersedes(in, old.Instance) {
+	undrains := old.State == message.Instance_DRAINING && in.State == message.Instance_READY
+	if undrains || equalContent(old.Instance, in) || !supersedes(in, old.Instance) {
 		return nil
 	}
 	return r.store(in)
 }
 
-// same tells whether two words on a host say the same, but for their sequence and the time that it is cold.
-func equalContent(a, b *message.Instance) bool {
-	return a.State == b.State && a.Service == b.Service && a.Address == b.Address && a.Zone == b.Zone && a.Slots == b.Slots &&
-		a.Software == b.Software && a.Stage == b.Stage &&
-		slices.EqualFunc(a.Models, b.Models, func(x, y *message.Model) bool { return proto.Equal(x, y) })
-}
-
-// Remove takes in that a host says it ends.
+// Remove records that a host says it ends. It returns nil if the host is unknown or removed
+// already.
 func (r *Registry) Remove(now time.Duration, id string) *Record {
 	r.now = max(r.now, now)
 	old := r.records[id]
 	if old == nil || old.State == message.Instance_GONE {
 		return nil
 	}
-	gone := proto.Clone(old.Instance).(*message.Instance)
-	gone.State = message.Instance_GONE
-	return r.store(gone)
+	removed := proto.Clone(old.Instance).(*message.Instance)
+	removed.State = message.Instance_GONE
+	return r.store(removed)
 }
 
-// Adopt begins to count anew how long nothing was heard of the hosts that a router is now responsible for.
-func (r *Registry) TakeOwnership(now time.Duration, mine func(*Record) bool) {
+// TakeOwnership restarts the heartbeat time-outs of the hosts that this router has become
+// responsible for: their heartbeats went to another one before.
+func (r *Registry) TakeOwnership(now time.Duration, isOwned func(*Record) bool) {
 	r.now = max(r.now, now)
 	for _, rec := range r.records {
-		if mine(rec) {
+		if isOwned(rec) {
 			rec.lastHeartbeat = r.now
 		}
 	}
 }
 
-// Lose finds the hosts, of those that a router is responsible for, of which nothing was heard for too long.
-func (r *Registry) DetectLost(now time.Duration, mine func(*Record) bool) (changed []*Record) {
+// DetectLost finds the hosts, of those that this router is responsible for, whose heartbeats are
+// missing. They become lost, those that drained removed.
+func (r *Registry) DetectLost(now time.Duration, isOwned func(*Record) bool) (changed []*Record) {
 	r.now = max(r.now, now)
-	silent := time.Duration(missedHeartbeats * float64(r.interval))
+	timeout := time.Duration(missedHeartbeats * float64(r.interval))
 	for _, rec := range r.records {
-		if r.now-rec.lastHeartbeat < silent || !mine(rec) {
+		if r.now-rec.lastHeartbeat < timeout || !isOwned(rec) {
 			continue
 		}
 		next := message.Instance_LOST
@@ -212,33 +204,56 @@
 	return changed
 }
 
-// Living are the words on all hosts that are not gone.
-func (r *Registry) Active() (all []*message.Instance) {
-	for _, service := range r.Services() {
-		for _, rec := range r.Records(service) {
-			if rec.State != message.Instance_GONE {
-				all = append(all, rec.Instance)
-			}
-		}
+// supersedes reports whether a record of a host replaces another one.
+func supersedes(a, b *message.Instance) bool {
+	rank := func(i *message.Instance) int { return max(int(i.State)-int(message.Instance_LOST), 0) }
+	return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a.Sequence, b.Sequence), cmp.Compare(a.State, b.State)) > 0
+}
+
+// equalContent reports whether two records of a host are equal but for their sequence and slow
+// start.
+func equalContent(a, b *message.Instance) bool {
+	return a.State == b.State && a.Service == b.Service && a.Address == b.Address && a.Zone == b.Zone && a.Slots == b.Slots &&
+		a.Software == b.Software && a.Stage == b.Stage &&
+		slices.EqualFunc(a.Models, b.Models, func(x, y *message.Model) bool { return proto.Equal(x, y) })
+}
+
+// store replaces the record of a host.
+func (r *Registry) store(in *message.Instance) *Record {
+	r.revision++
+	rec := &Record{Instance: in, revision: r.revision, lastHeartbeat: r.now, stateSince: r.now}
+	if in.ColdRemainingMs > 0 {
+		rec.SlowStartUntil = r.now + time.Duration(in.ColdRemainingMs)*time.Millisecond
 	}
-	return all
+	if old := r.records[in.Id]; old != nil {
+		rec.lastHeartbeat = max(rec.lastHeartbeat, old.lastHeartbeat)
+		delete(r.byService[old.Service], in.Id)
+		delete(r.sorted, old.Service)
+	}
+	r.records[in.Id] = rec
+	service := r.byService[in.Service]
+	if service == nil {
+		service = map[string]*Record{}
+		r.byService[in.Service] = service
+	}
+	service[in.Id] = rec
+	r.serviceRevisions[in.Service] = r.revision
+	delete(r.sorted, in.Service)
+	r.sweepRemoved()
+	return rec
 }
 
-// Since are the words on a service's hosts that changed after a revision.
-func (r *Registry) ChangedSince(service string, after uint64) (all []*message.Instance) {
-	for _, rec := range r.Records(service) {
-		if rec.revision <= after {
-			continue
-		}
-		in := rec.Instance
-		if in.ColdRemainingMs > 0 {
-			in = proto.Clone(in).(*message.Instance)
-			in.ColdRemainingMs = uint32(max(rec.SlowStartUntil-r.now, 0) / time.Millisecond)
+// sweepRemoved forgets hosts that were removed longer than removedTTL ago.
+func (r *Registry) sweepRemoved() {
+	if len(r.records) < minSweepSize || r.now < r.nextSweepAt {
+		return
+	}
+	r.nextSweepAt = r.now + sweepInterval
+	for id, rec := range r.records {
+		if rec.State == message.Instance_GONE && r.now-rec.stateSince >= removedTTL {
+			delete(r.records, id)
+			delete(r.byService[rec.Service], id)
+			delete(r.sorted, rec.Service)
 		}
-		all = append(all, in)
 	}
-	return all
 }
-
-// ServiceRevision grows with each change of a service's hosts.
-func (r *Registry) ServiceRevision(service string) uint64 { return r.serviceRevisions[service] }
--- a/internal/system/deciders/pins/pins_test.go
+++ b/internal/system/deciders/pins/pins_test.go
@@ -15,8 +15,8 @@
 	return &message.Pin{Name: name, Tenant: tenant, Route: route, Model: "m", Version: version, By: "ann", Why: "trial"}
 }
 
-// What a pin must have.
-func TestCheck(t *testing.T) {
+// Check names the first field of a pin that is invalid.
+func TestCheckNamesInvalidField(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(p *message.Pin)
@@ -49,8 +49,8 @@
 	}
 }
 
-// A request has the pin whose scope it is in.
-func TestOf(t *testing.T) {
+// A request matches the pin whose scope it is in.
+func TestMatchByScope(t *testing.T) {
 	is := is.New(t)
 	s := &Set{}
 	for _, p := range []*message.Pin{pin("all-of-x", "x", "", 1), pin("y-on-r", "y", "r", 2), pin("all-on-q", "", "q", 3)} {
@@ -73,8 +73,8 @@
 	is.Equal((*Set)(nil).Match("x", "r", "m"), nil)
 }
 
-// Two pins whose scopes meet are refused; the refusal names both.
-func TestOverlap(t *testing.T) {
+// A pin whose scope overlaps with another one's is rejected; the error names both.
+func TestOverlapIsRejected(t *testing.T) {
 	for _, c := range []struct {
 		tenant, route string
 		meets         bool
@@ -97,12 +97,12 @@
 	}
 }
 
-// A set never changes: what is made of it is another one.
-func TestAddAndRemove(t *testing.T) {
+// Add and Remove return another set and leave theirs unchanged.
+func TestAddAndRemoveLeaveSetUnchanged(t *testing.T) {
 	is := is.New(t)
 	one, err := (&Set{}).Add(pin("a", "x", "", 1))
 	is.NoErr(err)
-	two, err := one.Add(pin("a", "x", "", 2)) // in its place
+	two, err := one.Add(pin("a", "x", "", 2)) // replaces the first
 	is.NoErr(err)
 	is.Equal(one.ByName("a").Version, int64(1))
 	is.Equal(two.ByName("a").Version, int64(2))
@@ -119,8 +119,8 @@
 	is.Equal(FromMessage(nil).Revision, int64(0))
 }
 
-// There is a bound on the pins in force.
-func TestMostPins(t *testing.T) {
+// The pins in force are bounded; one may still be replaced.
+func TestPinsAreBounded(t *testing.T) {
 	is := is.New(t)
 	s := &Set{}
 	for i := range MaxPins {
@@ -131,12 +131,12 @@
 	_, err := s.Add(pin("more", "y", "", 1))
 	var wrong *FieldError
 	is.True(errors.As(err, &wrong))
-	_, err = s.Add(pin("p3", "x3", "", 2)) // in place of one
+	_, err = s.Add(pin("p3", "x3", "", 2)) // replaces one
 	is.NoErr(err)
 }
 
-// Pins are the same where they have requests served alike.
-func TestSame(t *testing.T) {
+// Pins are equivalent where they serve requests by the same version.
+func TestEquivalent(t *testing.T) {
 	is := is.New(t)
 	is.True(Equivalent(nil, nil))
 	is.True(!Equivalent(nil, pin("a", "x", "", 1)))
--- /dev/null
+++ b/internal/system/deciders/pins/validate.go
@@ -0,0 +1,54 @@
+package pins
+
+import (
+	"fmt"
+	"regexp"
+	"strings"
+
+	"reachspread/internal/system/message"
+)
+
+// maxTextLen bounds each text of a pin, in bytes.
+const maxTextLen = 256
+
+var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
+
+// Check validates a pin that is to be set, by itself. It returns a *FieldError.
+func Check(p *message.Pin) error {
+	switch {
+	case !namePattern.MatchString(p.Name):
+		return &FieldError{"name", fmt.Sprintf("%q is not one of 1 to 64 letters, digits, dots, dashes and underscores that begins with a letter or digit", p.Name)}
+	case p.Tenant == "" && p.Route == "":
+		return &FieldError{"tenant", "either a tenant or a route must be named"}
+	case p.Model == "":
+		return &FieldError{"model", "it is missing"}
+	case p.Version <= 0:
+		return &FieldError{"version", fmt.Sprintf("%d is not a version; they are whole numbers from 1 on", p.Version)}
+	}
+	return checkTexts(p)
+}
+
+// CheckLift validates the request to lift a pin. It returns a *FieldError.
+func CheckLift(p *message.Pin) error {
+	if !namePattern.MatchString(p.Name) {
+		return &FieldError{"name", fmt.Sprintf("%q is no pin's", p.Name)}
+	}
+	return checkTexts(p)
+}
+
+// checkTexts validates the length of all texts, and that who asks and why is given, for the history.
+func checkTexts(p *message.Pin) error {
+	required := []struct{ name, text string }{{"by", p.By}, {"why", p.Why}}
+	for _, field := range required {
+		if strings.TrimSpace(field.text) == "" {
+			return &FieldError{field.name, "it is missing"}
+		}
+	}
+	optional := []struct{ name, text string }{{"tenant", p.Tenant}, {"route", p.Route}, {"model", p.Model}}
+	for _, field := range append(required, optional...) {
+		if len(field.text) > maxTextLen {
+			return &FieldError{field.name, fmt.Sprintf("it is longer than %d bytes", maxTextLen)}
+		}
+	}
+	return nil
+}
--- a/internal/system/deciders/sampling/sampling.go
+++ b/internal/system/deciders/sampling/sampling.go
@@ -1,5 +1,6 @@
-// Package sampling picks which of the prompts that a router sends to hosts it tells other routers of, so that the cost stays bounded
-// however many routers there are. It is pure: its user says what time it is.
+// Package sampling selects which prompts a router reports to the other routers, so that the
+// messages per second stay bounded however many routers there are. It is pure: the caller passes
+// the time.
 package sampling
 
 import (
@@ -10,13 +11,14 @@
 )
 
 const (
-	// mostRecent is how many prompts the sizes of the next ones are guessed by.
+	// maxRecent is over how many prompts the threshold is computed. More of them follow a change of
+	// the sizes later.
 	maxRecent = 128
-	// leastSpan is the least time that these are taken to have come in.
+	// minSpan is the shortest time in which these are taken to have been sent.
 	minSpan = time.Second
 )
 
-// Sampler picks for one router.
+// Sampler selects the prompts of one router.
 type Sampler struct {
 	perSecond float64  // messages to single recipients, on average
 	recent    []prompt // the oldest first
@@ -25,16 +27,18 @@
 // prompt is one that was sent.
 type prompt struct {
 	at     time.Duration
-	tokens float64 // that it has to read
+	tokens float64 // to prefill
 }
 
-// New returns a Sampler that has at most so many messages a second sent on average, one to each recipient of a prompt that is told.
+// New returns a Sampler for a rate of messages per second, on average, one to each recipient of a
+// prompt that is reported.
 func New(perSecond float64) *Sampler { return &Sampler{perSecond: perSecond} }
 
-// Pick takes in that a prompt with so many tokens to read is sent, and tells whether the recipients are to be told of it. The largest are, as
-// many as the messages allow: a prompt waits long behind few that are large, and hardly behind many that are small. Dice, drawn from 0 to
-// below 1, decides among those of the size from which on prompts are told. The time must not go back.
-func (s *Sampler) Sample(now time.Duration, tokens float64, recipients int, dice float64) bool {
+// Sample records that a prompt with so many tokens to prefill is sent, and reports whether to
+// report it to the recipients. The largest prompts are selected, as many as the rate allows: a
+// prompt waits long behind a few large ones, and hardly behind many small ones. Random, drawn from
+// [0, 1), decides among prompts of exactly the threshold. Now must not go back.
+func (s *Sampler) Sample(now time.Duration, tokens float64, recipients int, random float64) bool {
 	if recipients <= 0 || tokens <= 0 {
 		return false
 	}
@@ -42,20 +46,20 @@
 		s.recent = slices.Delete(s.recent, 0, 1)
 	}
 	s.recent = append(s.recent, prompt{now, tokens})
-	least, chance := s.threshold(now, recipients)
-	return tokens > least || tokens == least && dice < chance
+	threshold, chance := s.threshold(now, recipients)
+	return tokens > threshold || tokens == threshold && random < chance
 }
 
-// least is how many tokens a prompt has from which on prompts are told, and the chance with which one of just so many is: of the recent ones
-// as many are then as the messages allow.
+// threshold returns from how many tokens on prompts are selected, and with which chance one of
+// exactly as many is, so that of the recent prompts as many are selected as the rate allows.
 func (s *Sampler) threshold(now time.Duration, recipients int) (tokens, chance float64) {
 	span := max(now-s.recent[0].at, minSpan)
-	may := s.perSecond * span.Seconds() / float64(recipients) // of the recent ones
-	if may >= float64(len(s.recent)) {
+	allowed := s.perSecond * span.Seconds() / float64(recipients) // of the recent prompts
+	if allowed >= float64(len(s.recent)) {
 		return 0, 1
 	}
 	largestFirst := slices.SortedFunc(slices.Values(s.recent), func(a, b prompt) int { return cmp.Compare(b.tokens, a.tokens) })
-	tokens = largestFirst[max(int(math.Ceil(may))-1, 0)].tokens
+	tokens = largestFirst[max(int(math.Ceil(allowed))-1, 0)].tokens
 	larger, equal := 0.0, 0.0
 	for _, p := range largestFirst {
 		switch {
@@ -65,5 +69,5 @@
 			equal++
 		}
 	}
-	return tokens, (may - larger) / equal
+	return tokens, (allowed - larger) / equal
 }
--- a/internal/system/deciders/sampling/sampling_test.go
+++ b/internal/system/deciders/sampling/sampling_test.go
@@ -10,20 +10,20 @@
 	"github.com/matryer/is"
 )
 
-// However many routers there are and whatever the sizes of prompts, so many messages are sent as the budget allows, and of the prompts that
-// are not told hardly any is larger than one that is.
-func TestBudget(t *testing.T) {
+// However many routers there are and whatever the sizes of prompts, as many messages are sent as
+// the rate allows, and hardly any prompt that is not selected is larger than one that is.
+func TestLargestPromptsWithinRate(t *testing.T) {
 	const (
 		perSecond = 100.0
 		length    = 2_000 * time.Second
 	)
 	lognormal := func(r *rand.Rand) float64 { return 1500 * math.Exp(r.NormFloat64()) }
 	for _, c := range []struct {
-		name       string
-		recipients int
-		every      time.Duration // between prompts
-		tokens     func(*rand.Rand) float64
-		leastTold  float64 // part of the tokens
+		name        string
+		recipients  int
+		every       time.Duration // between prompts
+		tokens      func(*rand.Rand) float64
+		minSelected float64 // fraction of the tokens
 	}{
 		{"a small fleet", 11, 80 * time.Millisecond, lognormal, 0.9},
 		{"ninety routers", 89, 160 * time.Millisecond, lognormal, 0.4},
@@ -40,15 +40,15 @@
 			is := is.New(t)
 			drawn := rand.New(rand.NewPCG(1, 2))
 			s := New(perSecond)
-			sent, told, messages, prompts := 0.0, 0.0, 0, 0
-			var sizes, of []float64 // of all, and of those that are told
+			sent, selected, messages, prompts := 0.0, 0.0, 0, 0
+			var sizes, of []float64 // of all, and of those that are selected
 			for now := time.Duration(0); now < length; now += c.every {
 				tokens := c.tokens(drawn)
 				sent += tokens
 				prompts++
 				sizes = append(sizes, tokens)
 				if s.Sample(now, tokens, c.recipients, drawn.Float64()) {
-					told += tokens
+					selected += tokens
 					messages += c.recipients
 					of = append(of, tokens)
 				}
@@ -56,18 +56,18 @@
 			rate := float64(messages) / length.Seconds()
 			is.True(rate <= perSecond*1.1)                                          // the average of the last seconds is not that of all
 			is.True(rate >= perSecond*0.8 || messages >= prompts*c.recipients*9/10) // and is made use of
-			is.True(told >= c.leastTold*sent)                                       // the largest are told first
+			is.True(selected >= c.minSelected*sent)                                     // the largest are selected first
 			slices.Sort(sizes)
 			slices.Sort(of)
-			cut := sizes[len(sizes)-len(of)]   // from which on all would be told if one knew all sizes before
-			is.True(of[len(of)/10] >= cut*0.8) // nine in ten of those that are told are among these, or nearly
-			t.Logf("%.0f messages a second, %.2f of the tokens told", rate, told/sent)
+			threshold := sizes[len(sizes)-len(of)]   // from which on all would be selected if all sizes were known before
+			is.True(of[len(of)/10] >= threshold*0.8) // nine in ten of those that are selected are among these, or nearly
+			t.Logf("%.0f messages a second, %.2f of the tokens selected", rate, selected/sent)
 		})
 	}
 }
 
-// A router that sends little tells of each prompt as it is.
-func TestAllAreTold(t *testing.T) {
+// A router that sends few prompts reports each of them.
+func TestFewPromptsAreAllSelected(t *testing.T) {
 	is := is.New(t)
 	s := New(100)
 	for i := range 50 {
@@ -75,8 +75,8 @@
 	}
 }
 
-// Nobody is told of nothing, and nothing is told to nobody.
-func TestNothing(t *testing.T) {
+// A prompt without tokens or without recipients is not selected.
+func TestEmptyPromptOrNoRecipients(t *testing.T) {
 	is := is.New(t)
 	s := New(100)
 	is.True(!s.Sample(0, 1000, 0, 0))
--- a/internal/system/deciders/sampling/allowance_test.go
+++ b/internal/system/deciders/sampling/tokenbucket_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// Of messages that are asked for all the time as many are sent as the rate allows, and those that were saved up.
-func TestAllowance(t *testing.T) {
+// Under constant demand as many messages are allowed as the rate and the burst.
+func TestTokenBucketAllowsRateAndBurst(t *testing.T) {
 	is := is.New(t)
 	a := NewTokenBucket(100, 300)
 	sent := 0
@@ -20,6 +20,6 @@
 	is.True(sent <= 1300)
 	is.True(sent > 1300-2*71)
 	is.True(!a.Take(10*time.Second, 71))
-	is.True(a.Take(20*time.Second, 300)) // no more than the most is saved up
+	is.True(a.Take(20*time.Second, 300)) // no more than the burst is saved up
 	is.True(!a.Take(20*time.Second, 1))
 }
