--- a/cmd/reachspread/check.go
+++ b/cmd/reachspread/check.go
@@ -12,8 +12,8 @@
 	systemsettings "reachspread/internal/system/settings"
 )
 
-// checkCommand checks files and starts nothing: those of the router in service, the settings of the fleet's router, or a configuration that
-// is to be put.
+// checkCommand checks files and starts nothing: those of the router in service, the settings of the
+// fleet's router, or a configuration that is to be put.
 func checkCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "check",
--- a/cmd/reachspread/configuration.go
+++ b/cmd/reachspread/configuration.go
@@ -22,7 +22,8 @@
 	standardInput     = "-"
 )
 
-// configurationCommand shows which configuration is in force where; its subcommands read and change it.
+// configurationCommand shows which configuration is in force where; its subcommands read and change
+// it.
 func configurationCommand() *cobra.Command {
 	c := routerStatusCommand("configuration", "Ask routers of the fleet which configuration is in force, and how old their knowledge of it is", printConfiguration)
 	history := routerStatusCommand("history", "Ask a router of the fleet which configurations were in force on it of late, and what each changed", printHistory)
--- a/cmd/reachspread/configuration_test.go
+++ b/cmd/reachspread/configuration_test.go
@@ -57,7 +57,8 @@
 	is.Equal((*orders)[2], order{"PATCH", "/configuration", "6", `{"version":7,"remove":{"services":["t"]}}`})
 }
 
-// What the control API would refuse is refused before it is called, in one line; what it refuses is told.
+// What the control plane would reject is rejected before it is called, in one line; its own
+// rejections are printed.
 func TestRejectedConfigurationNamesTheReason(t *testing.T) {
 	is := is.New(t)
 	at, orders := configurationServer(t, answers(412, `{"version":5,"text":"version 5 is in force, not 4"}`))
@@ -70,7 +71,7 @@
 	is.True(err != nil && strings.Contains(err.Error(), "version 5 is in force"))
 }
 
-// What a file would change is told by the names of items, or as the patch that does it.
+// What a file would change is printed by the names of items, or as the patch that does it.
 func TestConfigurationDiffPrintsChanges(t *testing.T) {
 	is := is.New(t)
 	at, _ := configurationServer(t)
--- a/cmd/reachspread/control_processes_test.go
+++ b/cmd/reachspread/control_processes_test.go
@@ -39,7 +39,8 @@
 	operator      int
 }
 
-// configurationModel is what operators of one register may see, whose state is the version in force.
+// configurationModel is what operators of one register may see, whose state is the version in
+// force.
 var configurationModel = porcupine.Model{
 	Init: func() any { return 0 },
 	Step: func(state, input, _ any) (bool, any) {
@@ -78,8 +79,8 @@
 	return h.acked
 }
 
-// linearizable tells whether there is an order of all calls that one register would have. A write without an answer was taken where its
-// version was seen by anybody, and else is left out.
+// linearizable tells whether there is an order of all calls that one register would have. A write
+// without an answer was taken where its version was seen by anybody, and else is left out.
 func (h *configurationHistory) linearizable() porcupine.CheckResult {
 	seen := map[int]bool{}
 	for _, c := range h.calls {
@@ -184,7 +185,8 @@
 	return resp.StatusCode, text
 }
 
-// untilWhole waits until a process that may act for the register says that so many machines of the chain are healthy and complete.
+// untilWhole waits until a process that may act for the register says that so many machines of the
+// chain are healthy and complete.
 func (f *processes) untilWhole(machines int) {
 	f.t.Helper()
 	tick := time.NewTicker(50 * time.Millisecond)
@@ -227,7 +229,8 @@
 	return &s.Register
 }
 
-// wholeChain is how many healthy machines the chain has by one that a majority has confirmed of late, 0 by any other one.
+// wholeChain is how many healthy machines the chain has by one that a majority has confirmed of
+// late, 0 by any other one.
 func (f *processes) wholeChain(i int) (healthy int) {
 	r := f.register(i)
 	if r == nil || r.Replica == nil || r.Replica.ConfirmedAgeSeconds == nil {
@@ -241,9 +244,10 @@
 	return healthy
 }
 
-// A control plane of real processes, of which one at a time is killed, stands still, loses its disk, is cut off one way or both, or has a
-// disk that stalls or is full, and at last all end at once: operators that read and write meanwhile see one register, and at the end it
-// has what was acknowledged last.
+// A control plane of real processes, of which one at a time is killed, stands still, loses its
+// disk, is cut off one way or both, or has a disk that stalls or is full, and at last all end at
+// once: operators that read and write meanwhile see one register, and at the end it has what was
+// acknowledged last.
 func TestControlPlaneOnProcesses(t *testing.T) {
 	f := startProcesses(t, 5, 3)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/cmd/reachspread/fetchstatus.go
+++ b/cmd/reachspread/fetchstatus.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// fetchStatuses asks routers, and with all set the routers that those see as well. The answers are in
-// the order of the addresses then.
+// fetchStatuses asks routers, and with all set the routers that those see as well. The answers are
+// in the order of the addresses then.
 func fetchStatuses(ctx context.Context, at []string, all bool) ([]routerAnswer, error) {
 	answers := fetchEach(ctx, at)
 	if !all {
--- a/cmd/reachspread/fleet.go
+++ b/cmd/reachspread/fleet.go
@@ -12,7 +12,8 @@
 )
 
 // fleetCommand has the commands on fleets: view, duties and recovery ask a router in service at its
-// management address, the others a router of the fleet at its readiness address or its control plane.
+// management address, the others a router of the fleet at its readiness address or its control
+// plane.
 func fleetCommand() *cobra.Command {
 	c := &cobra.Command{Use: "fleet", Short: "Ask about the fleet of routers"}
 	c.AddCommand(managementCommand("view", "Ask a running router who of the fleet lives, as it sees it", printView), fleetDutiesCommand(),
--- a/cmd/reachspread/fleetregister.go
+++ b/cmd/reachspread/fleetregister.go
@@ -57,7 +57,8 @@
 	return fmt.Sprint(m.ChainPosition)
 }
 
-// diskText is the state of a machine's disk as the machine reports it; a dash where it was not heard of.
+// diskText is the state of a machine's disk as the machine reports it; a dash where it was not
+// heard of.
 func diskText(m status.Machine) string {
 	if m.HeardAgeSeconds == nil {
 		return noneText
--- a/cmd/reachspread/fleetstatus_test.go
+++ b/cmd/reachspread/fleetstatus_test.go
@@ -88,7 +88,8 @@
 	}
 }
 
-// With --all, the routers that the first one sees are asked as well, at the same port; what does not answer is named, and the command fails.
+// With --all, the routers that the first one sees are asked as well, at the same port; what does
+// not answer is named, and the command fails.
 func TestAllAsksTheRoutersThatTheFirstSees(t *testing.T) {
 	is := is.New(t)
 	s := sampleStatus()
--- a/cmd/reachspread/management.go
+++ b/cmd/reachspread/management.go
@@ -54,8 +54,9 @@
 	return cfg.Management, nil
 }
 
-// managementCommand is a command that prints the answer to the call of its name, once or repeatedly.
-// Repeatedly, an error is printed and the next answer awaited: the router may come back.
+// managementCommand is a command that prints the answer to the call of its name, once or
+// repeatedly. Repeatedly, an error is printed and the next answer awaited: the router may come
+// back.
 func managementCommand(call, short string, print func(io.Writer, []program.Line)) *cobra.Command {
 	c := &cobra.Command{Use: call, Short: short, Args: cobra.NoArgs}
 	management := managementFlag(c)
--- a/cmd/reachspread/pin_test.go
+++ b/cmd/reachspread/pin_test.go
@@ -17,7 +17,8 @@
 // order is a call that the stand-in for the control API got.
 type order struct{ method, path, ifMatch, body string }
 
-// controlServer answers calls that change pins with the answers given, one after the other, and the list of pins at any time.
+// controlServer answers calls that change pins with the answers given, one after the other, and the
+// list of pins at any time.
 func controlServer(t *testing.T, answers ...func(w http.ResponseWriter)) (at string, orders *[]order) {
 	t.Helper()
 	orders = &[]order{}
@@ -48,7 +49,8 @@
 
 const inForce = `{"revision":5,"inForce":true}`
 
-// An order builds on the revision in force, and is sent again as it was until it is in force everywhere.
+// An order builds on the revision in force, and is sent again as it was until it is in force
+// everywhere.
 func TestPinSetReturnsOnceInForce(t *testing.T) {
 	is := is.New(t)
 	at, orders := controlServer(t, answers(503, ""), answers(202, `{"revision":5}`), answers(200, inForce))
@@ -61,7 +63,8 @@
 	}
 }
 
-// A pin is lifted on the revision that is given; what is refused is told, and not sent again.
+// A pin is lifted on the revision that is given; a rejection is printed, and the order is not sent
+// again.
 func TestRejectedPinLiftIsNotRetried(t *testing.T) {
 	is := is.New(t)
 	at, orders := controlServer(t, answers(412, `{"error":"revision 4 of the pins is in force, not 2"}`))
@@ -81,7 +84,7 @@
 	is.True(err != nil && strings.Contains(err.Error(), "--control must name"))
 }
 
-// The pins in force, why their requests are refused, and what became of pins before.
+// The pins in force, why their requests are rejected, and the changes before them are printed.
 func TestPinsAndHistoryArePrinted(t *testing.T) {
 	is := is.New(t)
 	at, _ := controlServer(t)
@@ -97,7 +100,7 @@
 	is.True(strings.HasPrefix(text, `{"revision":4,`))
 }
 
-// What became of the requests in a pin's scope, by router.
+// The outcomes of the requests in a pin's scope are printed by router.
 func TestPinWatchCountsOutcomes(t *testing.T) {
 	is := is.New(t)
 	s := sampleStatus()
--- a/internal/system/controlapi/configuration.go
+++ b/internal/system/controlapi/configuration.go
@@ -23,8 +23,8 @@
 	Text    string `json:"text,omitempty"`
 }
 
-// readConfiguration handles GET /configuration: it answers with the newest one. Where this router has
-// that, the register only has to confirm it: a large one would take longer to transfer than the
+// readConfiguration handles GET /configuration: it answers with the newest one. Where this router
+// has that, the register only has to confirm it: a large one would take longer to transfer than the
 // caller waits.
 func (a *api) readConfiguration(w http.ResponseWriter, r *http.Request) {
 	sequence, document := a.knownConfiguration()
--- a/internal/system/controlapi/forms_test.go
+++ b/internal/system/controlapi/forms_test.go
@@ -22,7 +22,8 @@
 // longBody is the length from which on a body is not written out.
 const longBody = 1000
 
-// play makes a call and writes it with its answer. The wording of an error is left out where this package chose it.
+// play makes a call and writes it with its answer. The wording of an error is left out where this
+// package chose it.
 func (e exchange) play(out *strings.Builder) {
 	f := &fakeRouter{reply: e.reply, stored: e.stored, unacknowledged: e.unacknowledged, neverInForce: e.neverInForce, unfenced: e.notFenced}
 	ifMatch := []string{}
--- a/internal/system/controlapi/handler.go
+++ b/internal/system/controlapi/handler.go
@@ -19,17 +19,18 @@
 
 // Hosts handles the calls of hosts.
 type Hosts interface {
-	// Heartbeat takes over a host's registration; next is the address for its later ones. Ok is false
-	// where the call can't be acknowledged before ctx ends.
+	// Heartbeat takes over a host's registration; next is the address for its later ones. Ok is
+	// false where the call can't be acknowledged before ctx ends.
 	Heartbeat(ctx context.Context, in *message.Instance) (next string, ok bool)
-	// Remove records that a host ends. Ok is false where that can't be acknowledged before ctx ends.
+	// Remove records that a host ends. Ok is false where that can't be acknowledged before ctx
+	// ends.
 	Remove(ctx context.Context, id string) (ok bool)
 }
 
 // Register decides on orders and gives the state.
 type Register interface {
-	// Submit has the register decide on an order. After an error the outcome is unknown, and the order
-	// may be submitted again.
+	// Submit has the register decide on an order. After an error the outcome is unknown, and the
+	// order may be submitted again.
 	Submit(ctx context.Context, order []byte) (*coordpb.Reply, error)
 	// ReadAfter returns the state. Where known is the sequence of the newest one, the reply says
 	// Unchanged and has no state.
--- a/internal/system/controlapi/handler_test.go
+++ b/internal/system/controlapi/handler_test.go
@@ -21,13 +21,13 @@
 func (discardLog) Info(string, ...any) {}
 func (discardLog) Warn(string, ...any) {}
 
-// fleet stands in for what the API calls.
+// fakeRouter stands in for what the API calls.
 type fakeRouter struct {
 	heartbeats     []*message.Instance
 	removed        []string
 	unacknowledged bool // nothing can be acknowledged
 
-	unfenced     bool  // a router that is cut off goes on
+	unfenced     bool  // an isolated router goes on honouring keys
 	neverInForce bool  // nothing is in force in time
 	waitedFor    int64 // the revision whose being in force was waited for last
 	orders       []*message.Order
@@ -94,7 +94,8 @@
 
 const heartbeatBody = `{"service":"s","address":"10.0.0.9:80","zone":"a","version":"v1","slots":64,"state":"ready","coldRemainingMs":12.5,"stage":"both","models":[{"name":"m","version":3}],"sequence":4,"later":1}`
 
-// A host's call is taken with all that it tells, and answered with the address for the next one.
+// A host's call is passed on with all of its fields, and answered with the address for the next
+// one.
 func TestHeartbeatIsRegistered(t *testing.T) {
 	is := is.New(t)
 	f := &fakeRouter{}
@@ -116,7 +117,7 @@
 	is.Equal(f.call(http.MethodDelete, "/instances/i-1", "").Code, 503)
 }
 
-// A call that can't be used is refused with a line that names the field, and changes nothing.
+// A call that can't be used is rejected with a line that names the field, and changes nothing.
 func TestInvalidHeartbeatNamesTheField(t *testing.T) {
 	for name, c := range map[string]struct{ body, says string }{
 		"cut":              {heartbeatBody[:50], "registration"},
@@ -153,7 +154,7 @@
 	is.Equal(f.call(http.MethodPut, "/configuration", `{"version":11}`, "7").Code, 503)
 }
 
-// What can never be taken is refused here, without asking the register.
+// An order that can never be accepted is rejected here, without asking the register.
 func TestInvalidOrderIsRejectedWithoutTheRegister(t *testing.T) {
 	is := is.New(t)
 	f := &fakeRouter{reply: &message.OrderReply{Status: 200}}
@@ -168,7 +169,7 @@
 	is.Equal(len(f.orders), 0)
 }
 
-// The configuration is read whole, or not at all.
+// The configuration is read completely, or not at all.
 func TestConfigurationIsReadFromTheRegister(t *testing.T) {
 	is := is.New(t)
 	f := &fakeRouter{}
@@ -181,7 +182,7 @@
 	is.Equal(w.Body.String(), `{"version":7}`)
 }
 
-// Whatever a host sends, it is taken or refused.
+// Whatever a host sends, it is accepted or rejected.
 func FuzzHeartbeat(f *testing.F) {
 	f.Add([]byte(heartbeatBody))
 	f.Add([]byte(`{"service":"s","address":"a","state":"ready","sequence":1e300,"slots":-1}`))
@@ -193,8 +194,8 @@
 	})
 }
 
-// A router that has the newest configuration answers with its own, once the register has said that it is the newest; otherwise with what the
-// register sends.
+// A router that has the newest configuration answers with its own, once the register has confirmed
+// that it is the newest; otherwise with what the register sends.
 func TestKnownConfigurationIsConfirmedBeforeItIsServed(t *testing.T) {
 	is := is.New(t)
 	f := &fakeRouter{stored: &message.Stored{Document: []byte(`{"version":7}`)}, sequence: 3}
--- a/internal/system/controlapi/instances.go
+++ b/internal/system/controlapi/instances.go
@@ -14,8 +14,8 @@
 // maxInstanceBytes bounds the body of a host's call.
 const maxInstanceBytes = 64 << 10
 
-// registration is the body of a host's call. Numbers may have a fraction, which is dropped; one below
-// 0 counts as 0.
+// registration is the body of a host's call. Numbers may have a fraction, which is dropped; one
+// below 0 counts as 0.
 type registration struct {
 	Service              string            `json:"service"`
 	Address              string            `json:"address"`
--- a/internal/system/controlapi/pins.go
+++ b/internal/system/controlapi/pins.go
@@ -17,22 +17,22 @@
 const (
 	// maxPinBytes bounds the body of an order that changes a pin.
 	maxPinBytes = 16 << 10
-	// pinWaitTimeout is how long a call waits until a change of the pins is in force everywhere. Then
-	// it is answered with 202, and the same order may be sent again after pinRetryAfter.
+	// pinWaitTimeout is how long a call waits until a change of the pins is in force everywhere.
+	// Then it is answered with 202, and the same order may be sent again after pinRetryAfter.
 	pinWaitTimeout = 8 * time.Second
 	pinRetryAfter  = "0.1" // seconds
 )
 
 // Pins reports when changes of the version pins are in force.
 type Pins interface {
-	// Fenced reports whether an isolated router stops honouring keys. Otherwise a change can't be in
-	// force everywhere.
+	// Fenced reports whether an isolated router stops honouring keys. Otherwise a change can't be
+	// in force everywhere.
 	Fenced() bool
-	// InForce waits until no router serves by pins from before a revision, which was committed before a
-	// time; ok is false where ctx ended first.
+	// InForce waits until no router serves by pins from before a revision, which was committed
+	// before a time; ok is false where ctx ended first.
 	InForce(ctx context.Context, revision int64, committed time.Time) (ok bool)
-	// Ready counts the hosts that are ready, by what this router knows: those with a version of a model,
-	// and those with other versions of it only.
+	// Ready counts the hosts that are ready, by what this router knows: those with a version of a
+	// model, and those with other versions of it only.
 	Ready(model string, version int64) (with, without int)
 }
 
@@ -49,8 +49,8 @@
 // PinOutcome is the answer to a call that sets or lifts a pin.
 type PinOutcome struct {
 	Revision int64 `json:"revision"` // of the pins, with the order in it
-	// InForce says that every router serves by the order. Without it the order was accepted and is to
-	// be sent again.
+	// InForce says that every router serves by the order. Without it the order was accepted and is
+	// to be sent again.
 	InForce bool   `json:"inForce"`
 	Text    string `json:"text,omitempty"`
 }
--- a/internal/system/controlapi/pins_test.go
+++ b/internal/system/controlapi/pins_test.go
@@ -37,7 +37,8 @@
 	is.Equal(f.orders[1].Kind, message.Order_PIN_LIFT)
 }
 
-// What is taken and not in force yet is no acknowledgement: the caller is to send the order again.
+// An order that is accepted and not in force yet is not acknowledged: the caller is to send it
+// again.
 func TestPinNotYetInForceIsAccepted(t *testing.T) {
 	is := is.New(t)
 	f := &fakeRouter{reply: &message.OrderReply{Status: 200, Version: 5}, neverInForce: true}
@@ -47,7 +48,7 @@
 	is.Equal(w.Body.String(), `{"revision":5,"inForce":false}`)
 }
 
-// What the register refuses is passed on, with the reason; nothing is waited for.
+// A rejection of the register is passed on with the reason; nothing is waited for.
 func TestRejectedPinKeepsTheReason(t *testing.T) {
 	for _, status := range []int32{400, 404, 409, 412} {
 		is := is.New(t)
@@ -65,7 +66,8 @@
 	}
 }
 
-// Calls that can't be used are refused with a line that names the field, before the register is asked.
+// Calls that can't be used are rejected with a line that names the field, before the register is
+// asked.
 func TestInvalidPinIsRejectedWithoutTheRegister(t *testing.T) {
 	for name, c := range map[string]struct{ method, path, body, ifMatch, says string }{
 		"no JSON":            {http.MethodPut, "/pins/p", `{"tenant":`, "0", "not a pin"},
@@ -88,7 +90,7 @@
 	}
 }
 
-// Where a router that is cut off would go on, pins are refused.
+// Where an isolated router would go on honouring keys, pins are rejected.
 func TestPinsNeedTheRevocationFence(t *testing.T) {
 	is := is.New(t)
 	f := &fakeRouter{reply: &message.OrderReply{Status: 200}, unfenced: true}
--- a/internal/system/controlapi/register.go
+++ b/internal/system/controlapi/register.go
@@ -46,8 +46,8 @@
 	return reply, true
 }
 
-// readStored reads the register's complete state. Where that fails, the call is answered here and ok
-// is false.
+// readStored reads the register's complete state. Where that fails, the call is answered here and
+// ok is false.
 func (a *api) readStored(w http.ResponseWriter, r *http.Request) (stored *message.Stored, ok bool) {
 	const none = 0
 	reply, ok := a.readRegister(w, r, none)
--- a/internal/system/metrics/forms_test.go
+++ b/internal/system/metrics/forms_test.go
@@ -14,7 +14,8 @@
 	"reachspread/internal/testbed/formtest"
 )
 
-// fill gives each field of a value something to tell: one item in lists and maps, a number for numbers, a word for texts.
+// fill gives each field of a value something to tell: one item in lists and maps, a number for
+// numbers, a word for texts.
 func fill(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Pointer:
--- a/internal/system/metrics/metrics.go
+++ b/internal/system/metrics/metrics.go
@@ -68,7 +68,8 @@
 	}
 }
 
-// Write writes the figures of a router. A figure without a sample is left out. The error is that of w.
+// Write writes the figures of a router. A figure without a sample is left out. The error is that of
+// w.
 func Write(w io.Writer, s *status.Router) error {
 	f := &families{}
 	f.router(s)
--- a/internal/system/metrics/metrics_test.go
+++ b/internal/system/metrics/metrics_test.go
@@ -70,7 +70,8 @@
 	is.True(!strings.Contains(text.String(), "storage_healthy"))
 }
 
-// BenchmarkWrite is what a scrape costs a router that sees 330 others and 810 hosts, and counts 300 kinds and tenants.
+// BenchmarkWrite is what a scrape costs a router that sees 330 others and 810 hosts, and counts 300
+// kinds and tenants.
 func BenchmarkWrite(b *testing.B) {
 	s := sample()
 	for i := range 300 {
--- a/internal/system/roles/node/configurationfeed.go
+++ b/internal/system/roles/node/configurationfeed.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// maxPastDocuments is how many documents before the present one are retained, so that a subscriber
-	// that has one of them gets only what changed since. They share most items.
+	// maxPastDocuments is how many documents before the present one are retained, so that a
+	// subscriber that has one of them gets only what changed since. They share most items.
 	maxPastDocuments = 16
 	// maxDocumentBytes bounds a document of another router.
 	maxDocumentBytes = 64 << 20
 )
 
-// configurationFeed is the topic of the configuration. Its revisions are the sequence numbers of the
-// register, the same at all routers. It implements feed.Topic and belongs to the hub.
+// configurationFeed is the topic of the configuration. Its revisions are the sequence numbers of
+// the register, the same at all routers. It implements feed.Topic and belongs to the hub.
 type configurationFeed struct {
 	sequence    uint64
 	state       *configuration.State // nil for none
--- a/internal/system/roles/node/confirmation.go
+++ b/internal/system/roles/node/confirmation.go
@@ -9,16 +9,16 @@
 // The configuration is confirmed at a time if no newer one had been committed by then. The tail of
 // the register knows that of its own; others learn it with updates of the configuration's topic.
 
-// confirmationTTL is how long the configuration counts as confirmed here. When it is confirmed again
-// after that, those that waited for it are notified.
+// confirmationTTL is how long the configuration counts as confirmed here. When it is confirmed
+// again after that, those that waited for it are notified.
 const confirmationTTL = time.Second
 
 // majorityContactTTL is how old a confirmation may be for its router to count as one that reaches a
 // majority of the register, and so those that do.
 const majorityContactTTL = 1600 * time.Millisecond
 
-// confirmedWithin reports whether the configuration was confirmed within a time. It may be called by
-// any goroutine.
+// confirmedWithin reports whether the configuration was confirmed within a time. It may be called
+// by any goroutine.
 func (h *hub) confirmedWithin(age time.Duration) bool {
 	at := time.Duration(h.confirmedAt.Load())
 	return at >= 0 && h.now()-at < age
--- a/internal/system/roles/node/decode_test.go
+++ b/internal/system/roles/node/decode_test.go
@@ -24,7 +24,7 @@
 	return ctx
 }
 
-// quiet is a router that listens nowhere.
+// idleNode is a router that listens nowhere.
 func idleNode() *Node {
 	n := New(&settings.Settings{IPAddress: "127.0.0.1", Zone: "z", InternalPortRange: []int{1, 1}, Bounds: settings.Bounds{QuotaWindowS: 8}}, discardLog{})
 	n.link = link.New(n.self.address, n.receiveLink)
@@ -35,7 +35,8 @@
 	return n
 }
 
-// Whatever another router sends, nothing ends the process, and what it tells of hosts and configurations can be told on.
+// Whatever another router sends, the process goes on, and the records of hosts and the
+// configuration can be encoded for others.
 func FuzzReceive(f *testing.F) {
 	host := &message.Instance{Id: "i", Service: "s", Address: "a", State: message.Instance_DRAINING}
 	hosts, _ := proto.Marshal(&message.Instances{Instances: []*message.Instance{host}})
@@ -65,7 +66,8 @@
 	})
 }
 
-// Bytes that are no message of the register are passed over, and those that are reach nobody where there is no replica.
+// Bytes that are no message of the register are dropped, and so are messages where there is no
+// replica.
 func TestInvalidRegisterMessagesAreDropped(t *testing.T) {
 	n := idleNode()
 	whole, _ := proto.Marshal(&coordpb.Message{From: &coordpb.Member{Identity: 1}, Body: &coordpb.Message_Reply{Reply: &coordpb.Reply{Id: 7}}})
--- a/internal/system/roles/node/doc.go
+++ b/internal/system/roles/node/doc.go
@@ -5,7 +5,7 @@
 //
 //   - The hub, a goroutine of its own, owns what this router knows of the fleet: the routers that
 //     live, the hosts of each service, the configuration, and from which router each of them is
-//     obtained. Anything else posts calls to it (hub.post, query) and never waits for it to be free.
+//     obtained. All others post calls to it (hub.post, query) and never wait for it to be free.
 //   - The data plane (package dataplane) owns the requests in flight. The hub hands it the
 //     configuration and the endpoints of each service.
 //   - The replica (package register) owns this router's copy of the replicated register, where the
@@ -27,8 +27,8 @@
 // # Start and end
 //
 // Run opens the disk and the sockets, starts the loops, then the listeners. A test may end a router
-// as a crash does (Node.crash). When its context ends, the router drains: it reports not ready while
-// clients may still arrive, finishes the requests in flight, and waits until the other members of
-// the register can do without it, all within the grace that the platform gives (draining.go). All
-// loops have ended when Run returns, but for a write to a disk that hangs.
+// as a crash does (Node.crash). When its context ends, the router drains: it reports not ready
+// while clients may still arrive, finishes the requests in flight, and waits until the other
+// members of the register can do without it, all within the grace that the platform gives
+// (draining.go). All loops have ended when Run returns, but for a write to a disk that hangs.
 package node
--- a/internal/system/roles/node/draining.go
+++ b/internal/system/roles/node/draining.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// lameDuckDuration is how long clients may still arrive after the router has begun to drain: the
-	// platform has to notice that it is not ready.
+	// lameDuckDuration is how long clients may still arrive after the router has begun to drain:
+	// the platform has to notice that it is not ready.
 	lameDuckDuration = 1200 * time.Millisecond
 	// graceMargin is what is left of the platform's grace when draining is given up.
 	graceMargin = 300 * time.Millisecond
--- a/internal/system/roles/node/fleet.go
+++ b/internal/system/roles/node/fleet.go
@@ -30,8 +30,8 @@
 	return 1
 }
 
-// fleet is the routers that live, by their addresses; this one is among them. It is not changed once
-// it is made.
+// fleet is the routers that live, by their addresses; this one is among them. It is not changed
+// once it is made.
 type fleet struct {
 	self    router
 	routers []router
@@ -49,8 +49,8 @@
 	return f
 }
 
-// withRegisterMembers is the fleet with the members of the register, for a router that does not know
-// many others yet.
+// withRegisterMembers is the fleet with the members of the register, for a router that does not
+// know many others yet.
 func (f *fleet) withRegisterMembers(v *coordpb.View) *fleet {
 	all := &fleet{self: f.self, routers: slices.Clone(f.routers)}
 	for _, m := range v.GetMembers() {
@@ -112,8 +112,9 @@
 	return all
 }
 
-// relays are the other routers that may not be members of the register: those of this router's zone,
-// or all where it has none. They forward requests to an owner that this router does not reach.
+// relays are the other routers that may not be members of the register: those of this router's
+// zone, or all where it has none. They forward requests to an owner that this router does not
+// reach.
 func (f *fleet) relays() []string {
 	var inZone, all []string
 	for _, r := range f.routers {
@@ -166,8 +167,8 @@
 }
 
 // registerSubscriptions are those to the configuration and the register's view: routers that may be
-// members of the register, and the owner of the configuration in each zone, ask the register; others
-// ask that owner first.
+// members of the register, and the owner of the configuration in each zone, ask the register;
+// others ask that owner first.
 func (f *fleet) registerSubscriptions(register []string) []feed.Subscription {
 	candidates := slices.Clone(register)
 	owners := f.owners(configurationTopic, f.self.zone)
--- a/internal/system/roles/node/golden_test.go
+++ b/internal/system/roles/node/golden_test.go
@@ -14,7 +14,8 @@
 	"reachspread/internal/testbed/golden"
 )
 
-// What routers tell each other of prompts and of hosts has the bytes that it had at commit 5bfcc27, and is read from them.
+// Peer reports have the bytes that they had at commit 5bfcc27,
+// and is read from them.
 func TestPromptDatagramsKeepTheirBytes(t *testing.T) {
 	receiver, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -66,7 +67,8 @@
 	}
 }
 
-// The kinds of messages on the link between routers, and how a router's zone goes into the membership, are as at commit 5bfcc27.
+// The kinds of messages on the link between routers, and how a router's zone goes into the
+// membership, are as at commit 5bfcc27.
 func TestKindsOnTheLinkStay(t *testing.T) {
 	golden.CheckText(t, "kinds", fmt.Sprintf("register %d\nrouter %d\nzone %s\nlong zone %s\n", registerMessages, routerMessages, zoneLabel("north"), zoneLabel("a-zone-with-a-very-long-name")))
 }
--- a/internal/system/roles/node/handoff.go
+++ b/internal/system/roles/node/handoff.go
@@ -15,7 +15,8 @@
 	handoffRetryInterval = 250 * time.Millisecond
 	// handoffTimeout is when a handoff that a caller waits for is given up.
 	handoffTimeout = 30 * time.Second
-	// heartbeatHandoffTimeout is the same where nobody waits: the host's next heartbeat brings another.
+	// heartbeatHandoffTimeout is the same where nobody waits: the host's next heartbeat brings
+	// another.
 	heartbeatHandoffTimeout = 4 * handoffRetryInterval
 	// maxHints bounds the handoffs that wait for an acknowledgement. Further ones are not begun.
 	maxHints = 4096
@@ -31,8 +32,8 @@
 }
 
 // replicate hands a record that must not be lost to other routers. It calls done once one of them
-// has it, and that one or this one reaches a majority of the register. A router that has never known
-// of another is enough by itself.
+// has it, and that one or this one reaches a majority of the register. A router that has never
+// known of another is enough by itself.
 func (h *hub) replicate(in *message.Instance, done func()) {
 	if h.standsAlone() {
 		done()
@@ -132,7 +133,8 @@
 	}
 }
 
-// handoffPending reports whether a handoff of a host that somebody waits for is not acknowledged yet.
+// handoffPending reports whether a handoff of a host that somebody waits for is not acknowledged
+// yet.
 func (h *hub) handoffPending(id string) bool {
 	for _, hint := range h.hints {
 		if hint.onAcknowledged == nil {
--- a/internal/system/roles/node/hosts.go
+++ b/internal/system/roles/node/hosts.go
@@ -58,10 +58,10 @@
 	h.replicate(known.Instance, done)
 }
 
-// minPublishInterval, with publishIntervalPerHost for each known host, is the least time between two
-// publications of changed records to the data plane and to other routers. Hundreds of hosts may send
-// heartbeats at once, and each publication costs some microseconds for each known host. A record
-// passes three routers at most: 0.36 s at 810 hosts, 1 s at 3,000.
+// minPublishInterval, with publishIntervalPerHost for each known host, is the least time between
+// two publications of changed records to the data plane and to other routers. Hundreds of hosts may
+// send heartbeats at once, and each publication costs some microseconds for each known host. A
+// record passes three routers at most: 0.36 s at 810 hosts, 1 s at 3,000.
 const (
 	minPublishInterval     = 40 * time.Millisecond
 	publishIntervalPerHost = 100 * time.Microsecond
--- a/internal/system/roles/node/http.go
+++ b/internal/system/roles/node/http.go
@@ -64,8 +64,8 @@
 	return config.Listen(ctx, "tcp4", address)
 }
 
-// listenHTTP serves a handler on an address until ctx ends. What goes wrong on a caller's connection
-// is not logged.
+// listenHTTP serves a handler on an address until ctx ends. What goes wrong on a caller's
+// connection is not logged.
 func (n *Node) listenHTTP(ctx context.Context, address string, handler http.Handler, failed chan<- error) error {
 	ln, err := listen(ctx, address)
 	if err != nil {
@@ -142,7 +142,7 @@
 // hostCalls posts the calls of hosts to the hub. It implements controlapi.Hosts.
 type hostCalls struct{ node *Node }
 
-// Beat implements controlapi.Hosts.
+// Heartbeat implements controlapi.Hosts.
 func (h hostCalls) Heartbeat(ctx context.Context, in *message.Instance) (next string, ok bool) {
 	acknowledged := make(chan string, 1)
 	hub := h.node.hub
--- a/internal/system/roles/node/hub.go
+++ b/internal/system/roles/node/hub.go
@@ -22,9 +22,9 @@
 	maxQueuedCalls = 1024
 )
 
-// hub owns what this router knows of the fleet: its routers, the hosts, the configuration, and where
-// each of them is obtained. The goroutine of run alone touches its fields, but for the atomic ones;
-// others post calls.
+// hub owns what this router knows of the fleet: its routers, the hosts, the configuration, and
+// where each of them is obtained. The goroutine of run alone touches its fields, but for the atomic
+// ones; others post calls.
 type hub struct {
 	node      *Node
 	startedAt time.Time // of the hub's clock, which shows 0 then
@@ -92,7 +92,8 @@
 // now is the hub's clock.
 func (h *hub) now() time.Duration { return time.Since(h.startedAt) }
 
-// post queues a call for the hub's goroutine. It does not block: with too many queued, it is dropped.
+// post queues a call for the hub's goroutine. It does not block: with too many queued, it is
+// dropped.
 func (h *hub) post(call func()) {
 	select {
 	case h.calls <- call:
--- a/internal/system/roles/node/many_measure_test.go
+++ b/internal/system/roles/node/many_measure_test.go
@@ -13,8 +13,9 @@
 	manyHosts   = flag.Int("many-hosts", 1500, "those hosts")
 )
 
-// TestMeasureManyHosts has many hosts tell of themselves at once, to all routers of a fleet in one process, until all know all. What it
-// costs is the processor time of the test (go test -run MeasureManyHosts -measure).
+// TestMeasureManyHosts has many hosts send heartbeats at once, to all routers of a fleet in one
+// process, until all know all. What it costs is the processor time of the test (go test -run
+// MeasureManyHosts -measure).
 func TestMeasureManyHosts(t *testing.T) {
 	if !*measure {
 		t.Skip("a measurement; see docs/measurements/")
--- a/internal/system/roles/node/measure_test.go
+++ b/internal/system/roles/node/measure_test.go
@@ -50,7 +50,8 @@
 	return u
 }
 
-// What a fleet uses to form, to take up a large configuration and to follow its changes. Played with -measure.
+// What a fleet uses to form, to take up a large configuration and to follow its changes. Played
+// with -measure.
 func TestMeasureConfiguration(t *testing.T) {
 	if !*measure {
 		t.Skip("a measurement: -measure")
--- a/internal/system/roles/node/node_test.go
+++ b/internal/system/roles/node/node_test.go
@@ -1,18 +1,13 @@
 package node
 
 import (
-	"bufio"
 	"bytes"
-	"context"
-	"encoding/json"
 	"fmt"
-	"io"
 	"net"
 	"net/http"
 	"path/filepath"
 	"slices"
 	"strings"
-	"sync/atomic"
 	"testing"
 	"time"
 
@@ -22,243 +17,9 @@
 	"reachspread/internal/system/settings"
 )
 
-// patience bounds what a story waits for; it is never waited for where all is well.
-const testTimeout = 30 * time.Second
-
-// lines drops log lines.
-type discardLog struct{}
-
-func (discardLog) Info(string, ...any) {}
-func (discardLog) Warn(string, ...any) {}
-
-// testFleet is routers on addresses of the loopback, of which the first ones have disks.
-type testFleet struct {
-	t               *testing.T
-	net             byte // the third byte of all addresses
-	ports           struct{ internal, front, ready, control int }
-	disks           int
-	disklessMembers int     // of those without a disk, so many count
-	revocationMs    float64 // on the age of what keys are honoured by, in ms
-	nodes           []*running
-}
-
-// running is one of them.
-type running struct {
-	*Node
-	ip      string
-	ended   chan error
-	cancel  context.CancelFunc
-	reloads chan *settings.Settings
-}
-
-// nextNet is the net to try next, the third byte of the addresses of a fleet.
-var nextNet atomic.Uint32
-
-// reserveNet returns a net that no other fleet has, of this process or of others that play these tests
-// at the same time. It holds the net by a socket on an address that no router has.
-func reserveNet(t *testing.T) byte {
-	t.Helper()
-	const nets, reservation = 256, 250
-	for range nets {
-		number := byte(nextNet.Add(1))
-		held, err := net.Listen("tcp4", fmt.Sprintf("127.77.%d.%d:7680", number, reservation))
-		if err == nil {
-			t.Cleanup(func() { held.Close() })
-			return number
-		}
-	}
-	t.Fatal("all nets of the loopback are taken")
-	return 0
-}
-
-func newFleet(t *testing.T, routers, disks int) *testFleet {
-	t.Helper()
-	return startFleet(t, routers, disks, 0)
-}
-
-func startFleet(t *testing.T, routers, disks, bare int) *testFleet {
-	t.Helper()
-	return startFleetOf(t, &testFleet{disks: disks, disklessMembers: bare, revocationMs: 5000}, routers)
-}
-
-// startBounded starts a fleet whose routers honour keys by what is no older than a bound, in ms.
-func startWithRevocation(t *testing.T, routers, disks int, bound float64) *testFleet {
-	t.Helper()
-	return startFleetOf(t, &testFleet{disks: disks, revocationMs: bound}, routers)
-}
-
-func startFleetOf(t *testing.T, f *testFleet, routers int) *testFleet {
-	t.Helper()
-	f.t, f.net = t, reserveNet(t)
-	f.ports.internal, f.ports.front, f.ports.ready, f.ports.control = 7680, 8662, 8663, 8665
-	for i := range routers {
-		f.nodes = append(f.nodes, &running{ip: fmt.Sprintf("127.77.%d.%d", f.net, i+1)})
-	}
-	folder := t.TempDir()
-	for i := range f.nodes {
-		f.start(i, folder, true)
-	}
-	t.Cleanup(func() {
-		for _, n := range f.nodes {
-			n.crash()
-			<-n.ended
-		}
-	})
-	return f
-}
-
-// applyMs is how soon a change is to be in force on all routers, in ms.
-const applyMs = 2000
-
-// start begins a life of a router.
-func (f *testFleet) start(i int, folder string, first bool) {
-	n := f.nodes[i]
-	s := &settings.Settings{NodeName: fmt.Sprint("n", i), Serves: []string{settings.ServesClients, settings.ServesControl}, IPAddress: n.ip,
-		Zone: fmt.Sprint("z", i%3), InternalPortRange: []int{f.ports.internal, f.ports.internal}, FirstStart: first, HeartbeatIntervalMs: 60_000,
-		Zones: map[string]string{"z0": "r", "z1": "r", "z2": "r"}, Limits: settings.Limits{CPUCores: 1, MemoryMb: 64, FileDescriptors: 2000},
-		FaultTolerance: settings.FaultTolerance{Machines: 1}, Bounds: settings.Bounds{GraceS: 3, ConfigurationApplyMs: applyMs, RevocationClosed: true, RevocationMs: f.revocationMs, RetryBudgetRatio: 1, RetryBudgetSlack: 64, QuotaWindowS: 8, QuotaOvershoot: 0.1}}
-	for j := range min(3, len(f.nodes)) {
-		s.SeedNodes = append(s.SeedNodes, fmt.Sprintf("%s:%d", f.nodes[j].ip, f.ports.control))
-	}
-	if i < f.disks {
-		s.DataDirectory = filepath.Join(folder, s.NodeName)
-	}
-	s.CountsForQuorum = i < f.disks+f.disklessMembers
-	s.ListenAddresses = settings.ListenAddresses{Frontend: fmt.Sprintf("%s:%d", n.ip, f.ports.front),
-		Readiness: fmt.Sprintf("%s:%d", n.ip, f.ports.ready), ControlPlane: fmt.Sprintf("%s:%d", n.ip, f.ports.control)}
-	ctx, cancel := context.WithCancel(context.Background())
-	n.Node, n.cancel, n.ended = New(s, discardLog{}), cancel, make(chan error, 1)
-	n.reloads = make(chan *settings.Settings)
-	node, reloads := n.Node, n.reloads
-	go func() { n.ended <- node.Run(ctx, reloads) }()
-	select {
-	case <-node.started:
-	case err := <-n.ended:
-		n.ended <- err // for whoever waits for its end
-		f.t.Fatal(err)
-	}
-}
-
-// crash ends a router at once.
-func (f *testFleet) crash(i int) {
-	f.nodes[i].crash()
-	err := <-f.nodes[i].ended
-	f.nodes[i].ended <- err // for whoever waits for its end
-}
-
-func (f *testFleet) control(i int) string {
-	return fmt.Sprintf("http://%s:%d", f.nodes[i].ip, f.ports.control)
-}
-
-// call calls the control plane of a router.
-func (f *testFleet) call(i int, method, path, body string, header map[string]string) (int, string) {
-	f.t.Helper()
-	return f.callFor(2*time.Second, i, method, path, body, header)
-}
-
-// callFor calls the control plane of a router, which has a time to answer.
-func (f *testFleet) callFor(timeout time.Duration, i int, method, path, body string, header map[string]string) (int, string) {
-	f.t.Helper()
-	r, err := http.NewRequest(method, f.control(i)+path, strings.NewReader(body))
-	if err != nil {
-		f.t.Fatal(err)
-	}
-	for name, value := range header {
-		r.Header.Set(name, value)
-	}
-	client := http.Client{Timeout: timeout, Transport: &http.Transport{DisableKeepAlives: true}}
-	resp, err := client.Do(r)
-	if err != nil {
-		return 0, err.Error()
-	}
-	defer resp.Body.Close()
-	text, _ := io.ReadAll(resp.Body)
-	return resp.StatusCode, string(text)
-}
-
-// order brings an order to routers by turns until it is answered for certain, as operators do.
-func (f *testFleet) order(method, body string, on int64, routers ...int) int {
-	f.t.Helper()
-	until := time.Now().Add(testTimeout)
-	for try := 0; time.Now().Before(until); try++ {
-		status, _ := f.call(routers[try%len(routers)], method, "/configuration", body, map[string]string{"If-Match": fmt.Sprint(on)})
-		if status != 0 && status/100 != 5 {
-			return status
-		}
-	}
-	f.t.Fatal("no answer to an order")
-	return 0
-}
-
-// eventually waits until something holds.
-func (f *testFleet) eventually(what string, holds func() bool) {
-	f.t.Helper()
-	tick := time.NewTicker(10 * time.Millisecond)
-	defer tick.Stop()
-	for until := time.Now().Add(testTimeout); time.Now().Before(until); <-tick.C {
-		if holds() {
-			return
-		}
-	}
-	f.t.Fatalf("not within %v: %s", testTimeout, what)
-}
-
-func (f *testFleet) ready(i int) bool {
-	resp, err := http.Get(fmt.Sprintf("http://%s:%d/readiness", f.nodes[i].ip, f.ports.ready))
-	if err != nil {
-		return false
-	}
-	resp.Body.Close()
-	return resp.StatusCode == http.StatusOK
-}
-
-// request sends a client's request through a router.
-func (f *testFleet) request(i int, path, id, key string) (status int, body string) {
-	c, err := net.DialTimeout("tcp", fmt.Sprintf("%s:%d", f.nodes[i].ip, f.ports.front), time.Second)
-	if err != nil {
-		return 0, err.Error()
-	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(5 * time.Second))
-	fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: h.example\r\nRequest-Id: %s\r\nAuthorization: Bearer %s\r\nContent-Length: 1\r\n\r\nx", path, id, key)
-	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
-	if err != nil {
-		return 0, err.Error()
-	}
-	text, err := io.ReadAll(resp.Body)
-	if err != nil {
-		return 0, err.Error()
-	}
-	return resp.StatusCode, string(text)
-}
-
-// host answers each request with its own name.
-func (f *testFleet) host(name string) string {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		f.t.Fatal(err)
-	}
-	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		io.Copy(io.Discard, r.Body)
-		w.Header().Set("Response-Seal", "seal")
-		w.Header().Set("Request-Id", r.Header.Get("Request-Id"))
-		w.Write([]byte(name))
-	})}
-	go server.Serve(ln)
-	f.t.Cleanup(func() { server.Close() })
-	return ln.Addr().String()
-}
-
-func (f *testFleet) heartbeat(router int, id, service, address, state string, sequence int) (int, string) {
-	body, _ := json.Marshal(map[string]any{"service": service, "address": address, "zone": "z0", "state": state, "sequence": sequence})
-	return f.call(router, http.MethodPut, "/instances/"+id, string(body), nil)
-}
-
-const firstConfiguration = `{"version":1,"routes":[{"name":"r","host":"h.example","pathPrefix":"/","kind":"safe","timeoutMs":3000,"targetLatencyMs":500,"service":"s","maxAttempts":2}],` +
-	`"services":[{"name":"s"},{"name":"t"}],"tenants":[{"name":"x","apiKeys":["k"],"ratePerS":1000,"burst":1000}]}`
-
-// The whole path: routers find each other by seeds, one order at any of them is in force on all, hosts that call one are known to all, a drain
-// is heeded everywhere, a key that is taken away is refused, and all of it goes on when a machine of the register is lost and comes back.
+// The complete path: routers find each other by seeds, an order at any of them is in force on all,
+// hosts that register at one are known to all, a drain is heeded everywhere, a revoked key is
+// rejected, and all of it goes on when a member of the register is lost and comes back.
 func TestFleetSurvivesLossOfAMember(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 5, 3)
@@ -305,13 +66,15 @@
 		status, text := f.call(1, http.MethodGet, "/configuration", "", nil)
 		return status == 200 && strings.Contains(text, `"version":5`)
 	})
-	is.Equal(f.order(http.MethodPut, firstConfiguration, 0, 1), 200) // it was taken once, and is never refused
+	is.Equal(f.order(http.MethodPut, firstConfiguration, 0, 1), 200) // it was accepted once, and is never rejected
 	is.Equal(f.order(http.MethodPut, strings.Replace(firstConfiguration, `"version":1`, `"version":9`, 1), 1, 3), 412)
 }
 
-// A router that reaches no majority of the register acknowledges to no host that it leaves, whether or not it still takes the others to live:
-// what it acknowledged would bind them, and they would not learn of it. Nor does it read or take a configuration. A majority of one is
-// not enough, and one that begins anew does not acknowledge the end of a host that it does not know.
+// A router that reaches no majority of the register acknowledges to no host that it drains or ends,
+// whether or not its membership still has the others: the acknowledgement would bind them, and they
+// would not learn of it. Nor does it answer with a configuration or accept one. A majority of one
+// is not enough, and a router that has just started does not acknowledge the end of a host that it
+// does not know.
 func TestIsolatedRouterAcknowledgesNothing(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 4, 3)
@@ -341,7 +104,7 @@
 		status, _ = f.call(0, http.MethodPut, "/configuration", strings.Replace(firstConfiguration, `"version":1`, `"version":2`, 1), map[string]string{"If-Match": "1"})
 		is.Equal(status, http.StatusServiceUnavailable)
 		status, _ = f.call(0, http.MethodPut, "/configuration", strings.Replace(firstConfiguration, `"version":1`, `"version":2`, 1), map[string]string{"If-Match": "0"})
-		is.Equal(status, http.StatusServiceUnavailable) // not refused either
+		is.Equal(status, http.StatusServiceUnavailable) // not rejected either
 		f.eventually("the others count as gone", func() bool { return f.sees(0) == 2 })
 	}
 	f.start(1, filepath.Dir(f.nodes[0].settings().DataDirectory), false)
@@ -352,12 +115,15 @@
 	})
 }
 
-// CONFIG on a long day with hundreds of changes: a router that had been cut off for 17 s refused requests with 401 and 404 as an older version
-// says, for up to 5 s after the cut had healed. It got no news meanwhile (package link tells why), but the refusals were its own: a key was
-// refused as long as the configuration had been confirmed within revocationMs, and a route whatever its age.
+// CONFIG on a long day with hundreds of changes: a router that had been isolated for 17 s rejected
+// requests with 401 and 404 by an older version, for up to 5 s after the partition had healed. It
+// got no updates meanwhile (see package link), but the rejections were its own: a key was rejected
+// as long as the configuration had been confirmed within revocationMs, and a route whatever its
+// age.
 //
-// A router that can't be sure that its configuration is the newest refuses nothing for good by it: it answers 503. What the configuration allows
-// is served on, and once it is confirmed again what it does not allow is refused.
+// A router whose configuration is not confirmed rejects nothing finally by it: it answers 503. What
+// the configuration allows is still served, and once it is confirmed again what it does not allow
+// is rejected.
 func TestUnconfirmedConfigurationRejectsNothing(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 4, 3)
@@ -386,8 +152,8 @@
 	})
 }
 
-// Machines of the register that are told to end give their seats to those that stand by before they do, two in a row, and a loss right after
-// each leaves a majority: orders go on, and what was acknowledged is there.
+// Members of the register that drain are replaced by standbys before they end, two in a row, and a
+// loss right after each leaves a majority: orders go on, and what was acknowledged is there.
 func TestDrainingMemberHandsOverItsReplica(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 6, 6)
@@ -431,25 +197,8 @@
 	is.True(strings.Contains(text, fmt.Sprintf(`"version":%d`, version)))
 }
 
-// knows tells whether a router knows a host.
-func (f *testFleet) knows(i int, id string) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
-	defer cancel()
-	h := f.nodes[i].hub
-	known, _ := query(ctx, h, func() bool { return h.registry.Get(id) != nil })
-	return known
-}
-
-// sees is how many routers one sees live, itself among them.
-func (f *testFleet) sees(i int) int {
-	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
-	defer cancel()
-	h := f.nodes[i].hub
-	n, _ := query(ctx, h, func() int { return len(h.members.routers) })
-	return n
-}
-
-// After all have ended at once, the register's machines have the configuration and the hosts, and all serve again.
+// After all have crashed at once, the members of the register have the configuration and the hosts,
+// and all serve again.
 func TestFleetServesAfterAllCrash(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 4, 3)
@@ -481,7 +230,7 @@
 	}
 }
 
-// A router that is told to end answers what it took, and tells the platform that it is not ready.
+// A router that drains answers the requests in flight, and is not ready.
 func TestDrainingRouterFinishesRequests(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 1, 1)
@@ -516,7 +265,8 @@
 	is.NoErr(err)
 }
 
-// Settings that are read anew are taken up by the running process: a router whose seeds were all wrong finds the others by new ones.
+// Settings that are read again are applied by the running process: a router whose seeds were all
+// wrong finds the others by new ones.
 func TestReloadAppliesSeedsAndBounds(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 3, 3)
@@ -533,7 +283,7 @@
 	is.Equal(f.order(http.MethodPut, strings.Replace(firstConfiguration, `"version":1`, `"version":2`, 1), 1, 2), 200)
 }
 
-// Bytes that are no message of routers change nothing.
+// Bytes that are no message of routers are dropped.
 func TestInvalidMessagesAreDropped(t *testing.T) {
 	n := New(&settings.Settings{IPAddress: "127.0.0.1", InternalPortRange: []int{1, 1}, Bounds: settings.Bounds{QuotaWindowS: 8}}, discardLog{})
 	n.quotas = newQuotas(n)
@@ -545,8 +295,8 @@
 	}
 }
 
-// Where no machine has a disk, those that count keep the register in memory. One that begins anew is another member, and what was acknowledged
-// outlives it.
+// Where no machine has a disk, the members have the register in memory. One that starts again is
+// another member, and what was acknowledged outlives it.
 func TestRegisterInMemoryOutlivesEachMember(t *testing.T) {
 	is := is.New(t)
 	f := startFleet(t, 4, 0, 3)
@@ -566,7 +316,8 @@
 	is.True(strings.Contains(text, `"s"`))
 }
 
-// Hundreds of hosts that tell of themselves at once are known to all routers, by some messages and not by one for each host and router.
+// Hundreds of hosts that send heartbeats at once are known to all routers by some messages, not by
+// one for each host and router.
 func TestSimultaneousHeartbeatsAreBatched(t *testing.T) {
 	is := is.New(t)
 	const many = 300
@@ -581,7 +332,7 @@
 		}
 		return true
 	})
-	// At the home of the service in their zone, as hosts do after their first call.
+	// At the owner of the service in their zone, as hosts do after their first call.
 	home := slices.IndexFunc(f.nodes, func(n *running) bool {
 		at, ok := query(t.Context(), n.hub, func() router { return n.hub.owner("s", "z0") })
 		return ok && at.address == n.self.address
@@ -606,7 +357,7 @@
 	is.True(sent < many)
 }
 
-// A large configuration is read at any router, and is not sent there once more for it.
+// A large configuration is read at any router, and is not transferred there again for it.
 func TestLargeConfigurationIsServedFromMemory(t *testing.T) {
 	is := is.New(t)
 	const routes = 2000
--- a/internal/system/roles/node/peerreports.go
+++ b/internal/system/roles/node/peerreports.go
@@ -19,14 +19,15 @@
 )
 
 const (
-	// peerReportDatagram is the first byte of a datagram with peer reports; a SentPrompts follows it.
-	// Datagrams of the membership begin otherwise.
+	// peerReportDatagram is the first byte of a datagram with peer reports; a SentPrompts follows
+	// it. Datagrams of the membership begin otherwise.
 	peerReportDatagram = 0x30
 	// promptDatagramRate is how many datagrams a second a router sends on average to report its
 	// prompts. At some 50 bytes each with headers that is 4.3 kB a second, whatever the number of
 	// routers.
 	promptDatagramRate = 85
-	// hostDatagramRate is the same for failures and slowness of hosts, with hostDatagramBurst at once.
+	// hostDatagramRate is the same for failures and slowness of hosts, with hostDatagramBurst at
+	// once.
 	hostDatagramRate  = 85
 	hostDatagramBurst = 5 * hostDatagramRate
 	// slownessScale is the unit of a host's slowness on the wire: hundredths.
--- a/internal/system/roles/node/peerreports_test.go
+++ b/internal/system/roles/node/peerreports_test.go
@@ -13,7 +13,7 @@
 	"reachspread/internal/system/status"
 )
 
-// What a router tells of its prompts reaches each other router that lives, and none but those.
+// A router's peer reports reach each other router that lives, and no others.
 func TestPeerReportsReachAllRouters(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 3, 1)
@@ -36,7 +36,7 @@
 // knowsPeer reports whether a router of two has the other among those that it reports to.
 func knowsPeer(n *running) bool { return len(n.peerReports.peers.Load().addresses) == 1 }
 
-// A datagram that is lost is missed, and nothing waits for it.
+// A datagram that is lost is not sent again, and nothing waits for it.
 func TestLostPeerReportIsNotRetried(t *testing.T) {
 	f := newFleet(t, 2, 1)
 	f.eventually("both know of each other", func() bool { return knowsPeer(f.nodes[0]) && knowsPeer(f.nodes[1]) })
@@ -59,7 +59,7 @@
 	f.eventually("the next one comes", func() bool { return f.nodes[1].peerReports.figures().Received >= 1 })
 }
 
-// Only datagrams of prompts are taken, only from routers that live, and only such as can be read.
+// Only datagrams of peer reports are received, only from routers that live, and only valid ones.
 func TestPeerReportsFromStrangersAreDropped(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	peer, stranger := netip.MustParseAddrPort("127.77.9.9:7680"), netip.MustParseAddrPort("127.77.9.8:7680")
@@ -91,7 +91,7 @@
 	}
 }
 
-// Whoever tells of a prompt waits for nobody: what finds no room is dropped, and counted.
+// Reporting does not block: what the queue has no capacity for is dropped, and counted.
 func TestPeerReportsBeyondTheQueueAreDropped(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 1, 1)
@@ -104,7 +104,8 @@
 	is.Equal(len(p.queue), maxQueuedPeerReports)
 }
 
-// Failures and slowness of hosts are told within a bound of their own, whatever the prompts have used up.
+// Failures and slowness of hosts are reported at a rate of their own, whatever the prompts have
+// used up.
 func TestHostReportsHaveTheirOwnRate(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 2, 1)
--- a/internal/system/roles/node/pins.go
+++ b/internal/system/roles/node/pins.go
@@ -8,8 +8,8 @@
 	"reachspread/internal/system/settings"
 )
 
-// pinTracker reports to the control API when changes of the version pins are in force everywhere. It
-// implements controlapi.Pins.
+// pinTracker reports to the control API when changes of the version pins are in force everywhere.
+// It implements controlapi.Pins.
 //
 // A router honours keys only while its configuration, and so its pins, was confirmed within
 // bounds.revocationMs by its own steady clock (Node.honoursKeys). Once that time has passed since a
--- a/internal/system/roles/node/pins_explore_test.go
+++ b/internal/system/roles/node/pins_explore_test.go
@@ -9,12 +9,14 @@
 	"reachspread/coord/faultplan"
 )
 
-// pinFaults is how many faults an explored schedule of pins has at most. With 2 there are some ten thousand schedules.
+// pinFaults is how many faults an explored schedule of pins has at most. With 2 there are some ten
+// thousand schedules.
 var pinFaults = flag.Int("pin-faults", 1, "faults of an explored schedule of pins")
 
-// The explorer plays four routers in virtual time: the tail, the homes of two zones and one that is none. A pin is set, and changed a while
-// later. It places faults in all ways: each kind at each message that arrives around the first change, and a second one at each message
-// after that until the changes are over.
+// The explorer plays four routers in virtual time: the tail, the homes of two zones and one that is
+// none. A pin is set, and changed a while later. It places faults in all ways: each kind at each
+// message that arrives around the first change, and a second one at each message after that until
+// the changes are over.
 const (
 	exploredRouters = 4
 	exploredSeed    = 1
@@ -25,7 +27,7 @@
 	pointsFor       = time.Second
 )
 
-// pinFault is a kind of fault, at a message that arrives.
+// pinFaultKind is a kind of fault, at a message that arrives.
 type pinFaultKind int
 
 const (
@@ -33,7 +35,7 @@
 	cutLink                     // from the sender to the receiver, for longer than the bound
 	cutReceiver                 // from all others, for longer than the bound
 	cutFromSources              // the receiver hears nobody, and is heard
-	freezeShort                 // the receiver stands still for less than the bound
+	freezeShort                 // the receiver stalls for less than the bound
 	freezeLong                  // and for longer
 	suspend                     // and for longer, and what comes meanwhile is lost
 	newLife                     // of the receiver
@@ -50,7 +52,7 @@
 	longStop  = drawnBound + time.Second
 )
 
-// pinExploration is one schedule.
+// exploredSchedule is one schedule.
 type exploredSchedule struct {
 	*pinWorld
 	plan   faultplan.Plan[pinFaultKind]
@@ -79,7 +81,8 @@
 	return e.points, e.pinWorld
 }
 
-// place has the faults of the plan strike. The first one does near the first change, others at any time behind it.
+// place has the faults of the plan strike. The first one does near the first change, others at any
+// time behind it.
 func (e *exploredSchedule) place(m drawnMessage) (lost bool) {
 	if e.now < pointsFrom || e.now > pointsFrom+pointsFor {
 		return false
@@ -127,7 +130,8 @@
 	return false
 }
 
-// freeze has a router stand still. The tail's own part is the register's, which has an explorer of its own.
+// freeze has a router stand still. The tail's own part is the register's, which has an explorer of
+// its own.
 func (e *exploredSchedule) freeze(router int, span time.Duration) {
 	if router > 0 {
 		e.routers[router].frozen = e.now + span
@@ -158,7 +162,8 @@
 	return found, answered.Load()
 }
 
-// Wherever a fault strikes around a change of the pins, each request that arrives after a change was acknowledged is served by it, or refused.
+// Wherever a fault strikes around a change of the pins, each request that arrives after a change
+// was acknowledged is served by it, or rejected.
 func TestPinsHoldInExploredSchedules(t *testing.T) {
 	found, served := exploreAllPins(t, *pinFaults, noPlant)
 	if found.Broken != nil {
--- a/internal/system/roles/node/pins_schedules_test.go
+++ b/internal/system/roles/node/pins_schedules_test.go
@@ -16,7 +16,8 @@
 	"reachspread/internal/testbed/pintest"
 )
 
-// pinSchedules is how many drawn schedules are played. Each takes 20 ms, and ten times that under the race detector.
+// pinSchedules is how many drawn schedules are played. Each takes 20 ms, and ten times that under
+// the race detector.
 var pinSchedules = flag.Int("pin-schedules", 100, "drawn schedules of pins that are played")
 
 const (
@@ -32,10 +33,11 @@
 	noPlant        pinPlant = iota
 	ackedTooEarly           // a change is acknowledged as soon as the router that took it has it
 	staleAfterThaw          // a router that stood still goes by what it found young before
-	neverRunsOut            // a router that is cut off goes on
+	neverRunsOut            // an isolated router goes on honouring keys
 )
 
-// pinWorld is routers that bring each other the configuration, with pins that change, in virtual time. The first is the register's tail.
+// pinWorld is routers that bring each other the configuration, with pins that change, in virtual
+// time. The first is the register's tail.
 type pinWorld struct {
 	rng     *rand.Rand
 	now     time.Duration
@@ -96,7 +98,8 @@
 
 func routerName(i int) string { return fmt.Sprintf("r%d", i) }
 
-// begin begins a life of a router: the first two are the homes of their zones, and ask the tail.
+// startIncarnation begins an incarnation of a router: the first two are the owners in their zones,
+// and ask the tail.
 func (w *pinWorld) startIncarnation(i int) {
 	r := w.routers[i]
 	r.feed = feed.New(routerName(i), w.rng.Uint64(), w.now)
@@ -191,7 +194,8 @@
 	})
 }
 
-// judge looks at a request that a router serves: it goes by all changes that were acknowledged when it arrived.
+// check looks at a request that a router serves: it goes by all changes that were acknowledged when
+// it arrived.
 func (w *pinWorld) check(r *drawnRouter, arrived time.Duration) {
 	revision := r.config.state.Pins().Revision
 	for i, c := range w.changes {
@@ -201,7 +205,7 @@
 	}
 }
 
-// trouble draws a cut, a standstill or a new life.
+// drawFault draws a partition, a stall or a restart.
 func (w *pinWorld) drawFault() {
 	a, b := w.rng.IntN(len(w.routers)), w.rng.IntN(len(w.routers))
 	switch w.rng.IntN(7) {
@@ -252,8 +256,8 @@
 	w.now += drawnTick
 }
 
-// Whatever is drawn of cuts, standstills and new lives of routers, each request that arrives after a change of the pins was acknowledged is
-// served by it, or refused.
+// Whatever is drawn of partitions, stalls and restarts of routers, each request that arrives after
+// a change of the pins was acknowledged is served by it, or rejected.
 func TestPinsHoldInDrawnSchedules(t *testing.T) {
 	served, refused := 0, 0
 	for seed := range uint64(*pinSchedules) {
--- a/internal/system/roles/node/pins_test.go
+++ b/internal/system/roles/node/pins_test.go
@@ -14,10 +14,12 @@
 	"reachspread/internal/testbed/pintest"
 )
 
-// pinBound is the bound on the age of what keys are honoured by, in ms, where pins are played: each change of theirs takes so long.
+// pinRevocationMs is the bound on the age of what keys are honoured by, in ms, where pins are played: each
+// change of theirs takes so long.
 const pinRevocationMs = 2000
 
-// pinStory is a fleet of five routers, of which three keep the register, with hosts of two versions.
+// pinStory is a fleet of five routers, of which three keep the register, with hosts of two
+// versions.
 type pinStory struct {
 	*testFleet
 	*pintest.Story
@@ -73,8 +75,9 @@
 // restart has a router that ended come back.
 func (s *pinStory) restart(i int) { s.start(i, s.folder, false) }
 
-// On live traffic, each request after a pin was set, moved or lifted is answered by the chosen version, whichever router gets it: while hosts
-// roll their weights, tell what is not so, and routers with and without a disk end and come back.
+// On live traffic, each request after a pin was set, moved or lifted is answered by the chosen
+// version, whichever router gets it: while hosts roll their weights, tell what is not so, and
+// routers with and without a disk end and come back.
 func TestPinsOnLiveTraffic(t *testing.T) {
 	s := newPinStory(t)
 	s.Traffic()
@@ -103,7 +106,8 @@
 	}
 }
 
-// After all routers have ended at once, the pins are in force as they were, and their history is there.
+// After all routers have ended at once, the pins are in force as they were, and their history is
+// there.
 func TestPinsSurviveRestartOfAll(t *testing.T) {
 	is := is.New(t)
 	s := newPinStory(t)
--- a/internal/system/roles/node/quotaowner.go
+++ b/internal/system/roles/node/quotaowner.go
@@ -20,17 +20,17 @@
 )
 
 const (
-	// unsavedFraction is the fraction of a second's units of a tenant after which its usage is saved
-	// at once.
+	// unsavedFraction is the fraction of a second's units of a tenant after which its usage is
+	// saved at once.
 	unsavedFraction = 0.5
 	// maxUnsavedAge bounds the time until a save that is due is on the disk.
 	maxUnsavedAge = 350 * time.Millisecond
 )
 
 // quotaOwner is what this router owns of the tenants' limits: the shards that the register's view
-// assigns to it as a member. It reports each grant to the other members, so that one of them can take
-// over a shard, and grants little that not all of the chain have acknowledged. The lock of its quotas
-// guards it.
+// assigns to it as a member. It reports each grant to the other members, so that one of them can
+// take over a shard, and grants little that not all of the chain have acknowledged. The lock of its
+// quotas guards it.
 type quotaOwner struct {
 	quotas *quotas
 
--- a/internal/system/roles/node/quotas.go
+++ b/internal/system/roles/node/quotas.go
@@ -180,8 +180,8 @@
 	q.lessee(t).AddGrant(clockOffset+taken.Sub(q.startedAt), units)
 }
 
-// await waits for the answer to an ask, nil where none arrives in time. After the answer of a router
-// that is not the owner it waits a moment, as a new view may be on its way.
+// await waits for the answer to an ask, nil where none arrives in time. After the answer of a
+// router that is not the owner it waits a moment, as a new view may be on its way.
 func (q *quotas) await(nonce uint64, answered <-chan *message.QuotaAnswer) *message.QuotaAnswer {
 	timer := time.NewTimer(quotaAnswerTimeout)
 	defer timer.Stop()
@@ -251,8 +251,8 @@
 	}
 }
 
-// receive handles a message of another router; ok is false where it is not about quotas. It does not
-// block.
+// receive handles a message of another router; ok is false where it is not about quotas. It does
+// not block.
 func (q *quotas) receive(m *message.Envelope) (ok bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/system/roles/node/status_test.go
+++ b/internal/system/roles/node/status_test.go
@@ -42,7 +42,8 @@
 	return string(text)
 }
 
-// Each router tells how it stands: the routers it sees, the register's chain with who is behind, the configuration in force, and the hosts.
+// Each router's status has the routers it sees, the register's chain with who is behind, the
+// configuration in force, and the hosts.
 func TestStatusDescribesTheFleet(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 4, 3)
@@ -92,13 +93,14 @@
 		return s != nil && chainLength(s) == 2 && s.Register.Epoch > 1
 	})
 	for _, m := range f.status(0).Register.Machines {
-		is.True(m.Member) // until another machine takes its place
+		is.True(m.Member) // until another machine replaces it
 		is.Equal(m.ChainPosition == 0, m.Address == f.nodes[1].self.internal())
 	}
 }
 
-// A router whose hub stands still goes on after those that asked it meanwhile have given up: the hub comes to what they asked later, when
-// nobody waits for it, and what is kept on the disk is not taken for empty.
+// A router whose hub is blocked goes on after those that queried it meanwhile have given up: the
+// hub executes their queries later, when nobody waits, and the state on the disk is not overwritten
+// by an empty one.
 func TestAbandonedQueryDoesNotDisturbTheHub(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 1, 1)
@@ -148,7 +150,7 @@
 	return n
 }
 
-// What is told can be read by programs: the names of its fields are those of the operators' page.
+// The status can be read by programs: the names of its fields are those of the operators' page.
 func TestStatusHasDocumentedFields(t *testing.T) {
 	is := is.New(t)
 	text, err := json.Marshal(&status.Router{Name: "n", Services: []status.Service{{Name: "s", Hosts: []status.Host{{ID: "i"}}}}})
--- a/internal/system/roles/node/stored_test.go
+++ b/internal/system/roles/node/stored_test.go
@@ -15,7 +15,8 @@
 	"reachspread/internal/testbed/golden"
 )
 
-// The file testdata/kept was written at commit 5bfcc27, by the encoding that stateFile uses: WRITE_GOLDEN=1 go test -run Golden.
+// The file testdata/kept was written at commit 5bfcc27, by the encoding that stateFile uses:
+// WRITE_GOLDEN=1 go test -run Golden.
 
 // goldenKept is hosts in every state and the use of two tenants.
 func goldenKept() *message.Kept {
@@ -27,7 +28,7 @@
 	return kept
 }
 
-// What a router of the fleet has kept is read as it was written, and written the same.
+// A router's state file is read as it was written, and written the same.
 func TestGoldenKept(t *testing.T) {
 	want := goldenKept()
 	made, err := proto.MarshalOptions{Deterministic: true}.Marshal(want)
@@ -42,7 +43,7 @@
 	}
 }
 
-// A router that finds the file knows the hosts in it that are not gone and the tenants' use.
+// A router that finds the file knows the hosts in it that have not ended, and the tenants' usage.
 func TestGoldenKeptIsTakenUp(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 1, 1)
--- a/internal/system/roles/roles.go
+++ b/internal/system/roles/roles.go
@@ -19,8 +19,8 @@
 	logPeriod        = 10 * time.Second
 )
 
-// Run serves as a router until SIGTERM or an interrupt, or until ctx ends, and then drains. At SIGHUP
-// the settings are read again. The error is that of the settings or of the router's Run.
+// Run serves as a router until SIGTERM or an interrupt, or until ctx ends, and then drains. At
+// SIGHUP the settings are read again. The error is that of the settings or of the router's Run.
 func Run(ctx context.Context) error {
 	// Before all else: a SIGHUP that nobody handles ends the process.
 	hup := make(chan os.Signal, 1)
--- a/internal/system/settings/reload.go
+++ b/internal/system/settings/reload.go
@@ -10,8 +10,8 @@
 // must not change what all of them have to have alike.
 var reloadable = []string{"SeedNodes", "Bounds", "Contracts"}
 
-// startOnlyBounds are the bounds that count from the next start all the same: usage is being counted
-// in windows of that length.
+// startOnlyBounds are the bounds that count from the next start all the same: usage is being
+// counted in windows of that length.
 var startOnlyBounds = []string{"QuotaWindowS"}
 
 // Reload returns the settings in force once a process that had s has read others. Applied and
--- a/internal/system/settings/settings.go
+++ b/internal/system/settings/settings.go
@@ -82,10 +82,10 @@
 }
 
 // Bounds are the objectives of the service. Times are in the unit that their names end in, and 0 is
-// no bound. docs/design/system.md says what meets each; those without a comment are met without being
-// read.
+// no bound. docs/design/system.md says what meets each; those without a comment are met without
+// being read.
 type Bounds struct {
-	SeedDelayS      float64 `toml:"seedLagS" validate:"gte=0"`
+	SeedDelayS    float64 `toml:"seedLagS" validate:"gte=0"`
 	ReuseAfterS   float64 `toml:"reuseAfterS" validate:"gte=0"`
 	ContactMs     float64 `toml:"contactMs" validate:"gte=0"`
 	AcknowledgeMs float64 `toml:"acknowledgeMs" validate:"gte=0"`
@@ -100,8 +100,8 @@
 	RollbackSlackMs      float64 `toml:"rollbackSlackMs" validate:"gte=0"`
 	MaxStretchMs         float64 `toml:"maxStretchMs" validate:"gte=0"`
 	// RevocationClosed says that a router stops honouring API keys and version pins when its
-	// configuration was not confirmed for RevocationMs. That makes a revoked key invalid everywhere,
-	// at the price that an isolated router rejects all requests with keys.
+	// configuration was not confirmed for RevocationMs. That makes a revoked key invalid
+	// everywhere, at the price that an isolated router rejects all requests with keys.
 	RevocationClosed bool    `toml:"revocationClosed"`
 	RevocationMs     float64 `toml:"revocationMs" validate:"gte=0"`
 	// RetryBudgetRatio is how many retries a first attempt allows; RetryBudgetSlack is how many the
@@ -109,8 +109,9 @@
 	RetryBudgetRatio float64 `toml:"retryBudgetRatio" validate:"gte=0"`
 	RetryWindowS     float64 `toml:"retryWindowS" validate:"gte=0"`
 	RetryBudgetSlack float64 `toml:"retryBudgetSlack" validate:"gte=0"`
-	// QuotaWindowS is the window in which tenants' usage is bounded. QuotaOvershoot is the fraction of
-	// the limit by which usage may exceed it, and QuotaSlack tokens that may be used beyond that.
+	// QuotaWindowS is the window in which tenants' usage is bounded. QuotaOvershoot is the fraction
+	// of the limit by which usage may exceed it, and QuotaSlack tokens that may be used beyond
+	// that.
 	QuotaWindowS   float64 `toml:"quotaWindowS" validate:"gte=0"`
 	QuotaOvershoot float64 `toml:"quotaOvershoot" validate:"gte=0"`
 	QuotaSlack     float64 `toml:"quotaSlack" validate:"gte=0"`
--- a/internal/system/settings/settings_test.go
+++ b/internal/system/settings/settings_test.go
@@ -52,7 +52,7 @@
 x = 1
 `
 
-// The file is read, and what is not known is left alone.
+// The file is read, and unknown fields are ignored.
 func TestParseIgnoresUnknownFields(t *testing.T) {
 	is := is.New(t)
 	s, err := Parse([]byte(validFile))
@@ -113,7 +113,7 @@
 	is.Equal(s.NodeName, "frontend-a-1")
 }
 
-// Of settings that are read again a running process takes up what it can, and names the rest.
+// Of settings that are read again a running process applies what it can, and names the rest.
 func TestReloadAppliesWhatARunningProcessCan(t *testing.T) {
 	is := is.New(t)
 	before, err := Parse([]byte(validFile))
@@ -140,7 +140,7 @@
 	is.Equal(before.Bounds.DrainMs, 2000.0)
 }
 
-// Whatever the file holds, it is read or refused in one line.
+// Whatever the file has, it is read or rejected in one line.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(validFile))
 	f.Add([]byte("seedNodes = [\"a:1\"]\ninternalPortRange=[1,2]"))
--- a/internal/system/status/status.go
+++ b/internal/system/status/status.go
@@ -51,8 +51,8 @@
 	Pins     []Pin `json:"pins"`
 }
 
-// Pin is a version pin, with the outcomes of the requests in its scope since it came into force on this
-// router, or since the router's start.
+// Pin is a version pin, with the outcomes of the requests in its scope since it came into force on
+// this router, or since the router's start.
 type Pin struct {
 	Name          string           `json:"name"`
 	Tenant        string           `json:"tenant"` // empty for all
@@ -84,8 +84,8 @@
 	Count   uint64 `json:"count"`
 }
 
-// PromptReports counts the datagrams by which routers report to each other the prompts that they sent
-// to hosts.
+// PromptReports counts the datagrams by which routers report to each other the prompts that they
+// sent to hosts.
 type PromptReports struct {
 	Sent     uint64 `json:"sent"`
 	Received uint64 `json:"received"`
