--- a/coord/register/explore_test.go
+++ b/coord/register/explore_test.go
@@ -63,16 +63,16 @@
 }
 
 // explore plays a plan, and returns how many points there were at which one more fault may be placed. The first one strikes within a time.
-func explore(d draw, plan faultplan.Plan[strike], p simulation.Plant, firstIn time.Duration, trace func(string, ...any)) (points int, w *simulation.World) {
-	w = simulation.New(simulation.Options{Seed: d.seed, Sync: d.sync, Machines: 3, Tolerance: 1, Application: simulation.Counter{}, Plant: p, Trace: trace})
+func explore(d draw, plan faultplan.Plan[strike], p simulation.Bug, firstIn time.Duration, trace func(string, ...any)) (points int, w *simulation.World) {
+	w = simulation.New(simulation.Options{Seed: d.seed, Sync: d.sync, Machines: 3, Tolerance: 1, Application: simulation.Counter{}, Bug: p, Trace: trace})
 	w.StartAll()
 	w.NewClient(true).Loop(40 * time.Millisecond)
 	w.Run(exploreFrom)
 	e := &exploration{w: w, plan: plan, last: exploreFrom + firstIn - nextFaultIn}
-	w.Strike = e.strike
+	w.InjectAt = e.strike
 	w.Run(e.last + nextFaultIn)
 	w.Run(e.last + nextFaultIn) // a fault may have struck meanwhile
-	w.Strike = nil
+	w.InjectAt = nil
 	w.Run(e.last + nextFaultIn + exploreCalm)
 	e.checkEnd()
 	return e.points, w
@@ -84,8 +84,8 @@
 	if e.wiped > 1 {
 		return
 	}
-	if w := e.w; w.Fault == nil && w.Now-w.History.LastTaken > exploreCalm/2 {
-		w.Fail("no order was acknowledged since %v", w.History.LastTaken)
+	if w := e.w; w.Violation == nil && w.Now-w.History.LastAcknowledged > exploreCalm/2 {
+		w.Fail("no order was acknowledged since %v", w.History.LastAcknowledged)
 	}
 	e.w.CheckEnd()
 	e.w.CheckHistory()
@@ -121,7 +121,7 @@
 		}
 		return true
 	case holdLink:
-		cut := e.w.CutOff([]string{sender.Address}, []string{receiver.Address}, true)
+		cut := e.w.Partition([]string{sender.Address}, []string{receiver.Address}, true)
 		e.w.After(stall, cut.Heal)
 		return at.To != nil
 	case freezeReceiver:
@@ -150,16 +150,16 @@
 }
 
 // search is of all plans with so many faults. The first fault strikes within a time.
-func search(d draw, p simulation.Plant, faults int, firstIn time.Duration) faultplan.Search[strike] {
+func search(d draw, p simulation.Bug, faults int, firstIn time.Duration) faultplan.Search[strike] {
 	return faultplan.Search[strike]{Kinds: strikes, Faults: faults, Play: func(plan faultplan.Plan[strike]) faultplan.Played {
 		points, w := explore(d, plan, p, firstIn, nil)
-		return faultplan.Played{Points: points, Broken: w.Fault}
+		return faultplan.Played{Points: points, Broken: w.Violation}
 	}}
 }
 
 // Wherever a fault strikes, whatever is promised holds, and orders go on afterwards.
 func TestExplore(t *testing.T) {
-	found := search(draw{seed: 1}, simulation.None, *deviations, someOrders).Run()
+	found := search(draw{seed: 1}, simulation.NoBug, *deviations, someOrders).Run()
 	if found.Broken != nil {
 		t.Errorf("%v: %v", found.Plan, found.Broken)
 		return
@@ -172,7 +172,7 @@
 func TestExplorePlanted(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		plant simulation.Plant
+		plant simulation.Bug
 		begin faultplan.Plan[strike]
 	}{
 		{"acknowledged before the tail", simulation.EarlyReply, nil},
--- a/coord/register/schedules_test.go
+++ b/coord/register/schedules_test.go
@@ -48,9 +48,9 @@
 	{machines: 3, tolerance: 1, overlap: true}, {machines: 6, tolerance: 2, overlap: true}}
 
 // play plays one drawn schedule.
-func (s schedule) play(seed uint64, plant simulation.Plant, trace func(string, ...any)) *simulation.World {
+func (s schedule) play(seed uint64, plant simulation.Bug, trace func(string, ...any)) *simulation.World {
 	w := simulation.New(simulation.Options{Seed: seed, Machines: s.machines, Tolerance: s.tolerance, Application: simulation.Counter{},
-		Plant: plant, Sync: s.sync, Trace: trace})
+		Bug: plant, Sync: s.sync, Trace: trace})
 	w.StartAll()
 	kinds := s.kinds
 	if kinds == nil {
@@ -59,19 +59,19 @@
 	if *only != "" {
 		kinds = []simulation.Kind{simulation.Kind(*only)}
 	}
-	d := w.Draw(kinds, faultsFor, s.overlap)
+	d := w.InjectFaults(kinds, faultsFor, s.overlap)
 	startClients(w, seed)
 	w.Run(faultsFor)
-	for w.Fault == nil && w.Now < d.Ends() {
-		w.Run(d.Ends())
+	for w.Violation == nil && w.Now < d.EndsAt() {
+		w.Run(d.EndsAt())
 	}
 	calm := calmAfter
 	if s.overlap {
 		calm = recoverIn + ackedWithin
 	}
 	w.Run(w.Now + calm)
-	if w.Fault == nil && w.Now-w.History.LastTaken > ackedWithin {
-		w.Fail("no order was acknowledged since %v", w.History.LastTaken)
+	if w.Violation == nil && w.Now-w.History.LastAcknowledged > ackedWithin {
+		w.Fail("no order was acknowledged since %v", w.History.LastAcknowledged)
 	}
 	w.CheckEnd()
 	w.CheckHistory()
@@ -103,13 +103,13 @@
 				if *show {
 					trace = t.Logf
 				}
-				w := s.play(seed, simulation.None, trace)
-				if w.Fault != nil {
-					t.Errorf("seed %d: %v", seed, w.Fault)
+				w := s.play(seed, simulation.NoBug, trace)
+				if w.Violation != nil {
+					t.Errorf("seed %d: %v", seed, w.Violation)
 				}
-				orders.Add(int64(w.History.Orders))
+				orders.Add(int64(w.History.Commands))
 				reads.Add(int64(w.History.Reads))
-				views.Add(int64(w.History.Newest()))
+				views.Add(int64(w.History.NewestEpoch()))
 			})
 			t.Logf("%d schedules: %d orders acknowledged, %d reads, %d views", *drawn, orders.Load(), reads.Load(), views.Load())
 			is.True(int(orders.Load()) > *drawn*100)
@@ -125,17 +125,17 @@
 // Each planted fault is found by the checks within some schedules, where need be of the kinds that concern it.
 func TestPlantedFaults(t *testing.T) {
 	three := schedules[0]
-	power := schedule{machines: 3, tolerance: 1, sync: plantedSync, kinds: []simulation.Kind{simulation.HerdKillOff, simulation.HerdKillTaken, simulation.PowerOffAll}}
+	power := schedule{machines: 3, tolerance: 1, sync: plantedSync, kinds: []simulation.Kind{simulation.HerdKillOff, simulation.HerdKillAcknowledged, simulation.PowerOffAll}}
 	for name, c := range map[string]struct {
-		plant simulation.Plant
+		plant simulation.Bug
 		schedule
 	}{
 		"acknowledged before the tail":       {simulation.EarlyReply, three},
 		"written before the disk has it":     {simulation.EarlyWrite, power},
-		"votes again after its disk is gone": {simulation.KeepsIdentity, three},
+		"votes again after its disk is gone": {simulation.KeptIdentity, three},
 		"stale read":                         {simulation.UnconfirmedReads, three},
-		"lease ignored":                      {simulation.LeaseIgnored, three},
-		"refused without asking the members": {simulation.StaleRefusals, three},
+		"lease ignored":                      {simulation.IgnoredLease, three},
+		"refused without asking the members": {simulation.StaleRejections, three},
 	} {
 		t.Run(name, func(t *testing.T) {
 			found := atomic.Int64{}
@@ -143,9 +143,9 @@
 				if found.Load() > 0 {
 					return
 				}
-				if w := c.play(seed, c.plant, nil); w.Fault != nil {
+				if w := c.play(seed, c.plant, nil); w.Violation != nil {
 					found.Add(1)
-					t.Logf("seed %d: %v", seed, w.Fault)
+					t.Logf("seed %d: %v", seed, w.Violation)
 				}
 			})
 			if found.Load() == 0 {
--- a/coord/simulation/application.go
+++ b/coord/simulation/application.go
@@ -16,7 +16,7 @@
 	// Version is that of a machine's state, 0 for none.
 	Version(m chain.Machine) int
 	// Order is the text of an order that makes one version of another.
-	Order(o Order) []byte
+	Encode(o Command) []byte
 	// NameOf is the name of the order that a change was made of.
 	NameOf(change []byte) string
 	// Outcome reads the reply to an order.
@@ -24,9 +24,9 @@
 }
 
 // Order makes a version of the one that it names.
-type Order struct {
+type Command struct {
 	Name string // no other order has it
-	On   int
+	Base int
 	Next int
 }
 
@@ -35,9 +35,9 @@
 
 // The verdicts.
 const (
-	Unclear Verdict = iota // it may have been taken, or may be later
-	Taken
-	Refused // it was not taken, and never will be
+	Unknown Verdict = iota // it may have been taken, or may be later
+	Accepted
+	Rejected // it was not taken, and never will be
 )
 
 // Outcome is what a reply tells of an order.
@@ -47,42 +47,44 @@
 }
 
 // mark names a state by all the changes that led to it.
-type mark uint64
+type stateID uint64
 
 // state is what the world knows of a state that a process had.
-type state struct {
+type stateRecord struct {
 	version int
-	maker   string // the order that made it
-	before  mark
+	command string // the order that made it
+	parent  stateID
 }
 
 // tracked is a machine that names its states, and tells the world of them.
-type tracked struct {
+type trackedMachine struct {
 	chain.Machine
 	world *World
-	at    mark
+	at    stateID
 }
 
-func newTracked(w *World) *tracked { return &tracked{Machine: w.Application.New(), world: w} }
+func newTrackedMachine(w *World) *trackedMachine {
+	return &trackedMachine{Machine: w.Application.New(), world: w}
+}
 
 // Apply implements chain.Machine.
-func (t *tracked) Apply(change []byte) {
+func (t *trackedMachine) Apply(change []byte) {
 	t.Machine.Apply(change)
 	before := t.at
-	t.at = mark(xxhash.Sum64(append(binary.BigEndian.AppendUint64(nil, uint64(before)), change...)))
-	t.world.History.states[t.at] = state{t.version(), t.world.Application.NameOf(change), before}
+	t.at = stateID(xxhash.Sum64(append(binary.BigEndian.AppendUint64(nil, uint64(before)), change...)))
+	t.world.History.states[t.at] = stateRecord{t.version(), t.world.Application.NameOf(change), before}
 }
 
 // Value implements chain.Machine.
-func (t *tracked) Value() any { return t.at }
+func (t *trackedMachine) Value() any { return t.at }
 
 // Snapshot implements chain.Machine.
-func (t *tracked) Snapshot() []byte {
+func (t *trackedMachine) Snapshot() []byte {
 	return append(binary.BigEndian.AppendUint64(nil, uint64(t.at)), t.Machine.Snapshot()...)
 }
 
 // Restore implements chain.Machine.
-func (t *tracked) Restore(text []byte) error {
+func (t *trackedMachine) Restore(text []byte) error {
 	at, rest, err := splitSnapshot(text)
 	if err != nil {
 		return err
@@ -94,11 +96,11 @@
 	return nil
 }
 
-func splitSnapshot(text []byte) (at mark, rest []byte, err error) {
+func splitSnapshot(text []byte) (at stateID, rest []byte, err error) {
 	if len(text) < 8 {
 		return 0, nil, fmt.Errorf("simulation: a snapshot of %d bytes", len(text))
 	}
-	return mark(binary.BigEndian.Uint64(text)), text[8:], nil
+	return stateID(binary.BigEndian.Uint64(text)), text[8:], nil
 }
 
-func (t *tracked) version() int { return t.world.Application.Version(t.Machine) }
+func (t *trackedMachine) version() int { return t.world.Application.Version(t.Machine) }
--- a/coord/simulation/counter.go
+++ b/coord/simulation/counter.go
@@ -13,7 +13,7 @@
 type Counter struct{}
 
 // remembered is how many orders a counter tells of, to be quick.
-const remembered = 64
+const maxRemembered = 64
 
 // New implements Application.
 func (Counter) New() chain.Machine { return newCounter() }
@@ -22,11 +22,11 @@
 func (Counter) Version(m chain.Machine) int { return m.(*counter).version }
 
 // Order implements Application. A name has no space.
-func (Counter) Order(o Order) []byte { return fmt.Appendf(nil, "%d %d %s", o.On, o.Next, o.Name) }
+func (Counter) Encode(o Command) []byte { return fmt.Appendf(nil, "%d %d %s", o.Base, o.Next, o.Name) }
 
 // NameOf implements Application.
 func (Counter) NameOf(change []byte) string {
-	o, _ := parseOrder(change)
+	o, _ := parseCommand(change)
 	return o.Name
 }
 
@@ -35,25 +35,25 @@
 	verdict, version, _ := strings.Cut(string(reply), " ")
 	number, err := strconv.Atoi(version)
 	switch verdict {
-	case takenReply:
-		return Outcome{Taken, number}, err
-	case refusedReply:
-		return Outcome{Refused, number}, err
+	case acceptedReply:
+		return Outcome{Accepted, number}, err
+	case rejectedReply:
+		return Outcome{Rejected, number}, err
 	}
-	return Outcome{Unclear, number}, err
+	return Outcome{Unknown, number}, err
 }
 
 const (
-	takenReply   = "taken"
-	refusedReply = "refused"
-	laterReply   = "later" // the version that it builds on is not there yet, and may come
+	acceptedReply   = "taken"
+	rejectedReply   = "refused"
+	retryLaterReply = "later" // the version that it builds on is not there yet, and may come
 )
 
-func parseOrder(text []byte) (o Order, err error) {
+func parseCommand(text []byte) (o Command, err error) {
 	on, rest, _ := strings.Cut(string(text), " ")
 	next, name, _ := strings.Cut(rest, " ")
 	o.Name = name
-	if o.On, err = strconv.Atoi(on); err != nil {
+	if o.Base, err = strconv.Atoi(on); err != nil {
 		return o, err
 	}
 	o.Next, err = strconv.Atoi(next)
@@ -62,40 +62,40 @@
 
 // counter is the machine.
 type counter struct {
-	version int
-	taken   map[string]bool // the last orders
-	names   []string        // of these, the oldest first
+	version  int
+	accepted map[string]bool // the last orders
+	names    []string        // of these, the oldest first
 }
 
-func newCounter() *counter { return &counter{taken: map[string]bool{}} }
+func newCounter() *counter { return &counter{accepted: map[string]bool{}} }
 
 // Decide implements chain.Machine.
 func (c *counter) Decide(text []byte) (change, reply []byte) {
-	o, err := parseOrder(text)
+	o, err := parseCommand(text)
 	switch {
-	case c.taken[o.Name]:
-		return nil, fmt.Appendf(nil, "%s %d", takenReply, c.version)
-	case err == nil && o.On == c.version:
-		return text, fmt.Appendf(nil, "%s %d", takenReply, o.Next)
+	case c.accepted[o.Name]:
+		return nil, fmt.Appendf(nil, "%s %d", acceptedReply, c.version)
+	case err == nil && o.Base == c.version:
+		return text, fmt.Appendf(nil, "%s %d", acceptedReply, o.Next)
 	}
-	verdict := refusedReply
-	if err == nil && o.On > c.version {
-		verdict = laterReply
+	verdict := rejectedReply
+	if err == nil && o.Base > c.version {
+		verdict = retryLaterReply
 	}
 	return nil, fmt.Appendf(nil, "%s %d", verdict, c.version)
 }
 
 // Apply implements chain.Machine.
 func (c *counter) Apply(change []byte) {
-	o, _ := parseOrder(change)
+	o, _ := parseCommand(change)
 	c.version = o.Next
 	c.remember(o.Name)
 }
 
 func (c *counter) remember(name string) {
-	c.taken[name] = true
-	if c.names = append(c.names, name); len(c.names) > remembered {
-		delete(c.taken, c.names[0])
+	c.accepted[name] = true
+	if c.names = append(c.names, name); len(c.names) > maxRemembered {
+		delete(c.accepted, c.names[0])
 		c.names = c.names[1:]
 	}
 }
--- a/coord/simulation/disk.go
+++ b/coord/simulation/disk.go
@@ -13,10 +13,10 @@
 )
 
 // errStopped ends what a process does with its disk once the process has ended.
-var errStopped = errors.New("simulation: the process has ended")
+var errProcessEnded = errors.New("simulation: the process has ended")
 
 // errFull is what a disk without room answers to a write.
-var errFull = errors.New("simulation: no space left on device")
+var errDiskFull = errors.New("simulation: no space left on device")
 
 // disk is the folder of one machine: storage.Files of which each write stays uncertain until it is synced.
 type disk struct {
@@ -27,13 +27,13 @@
 
 // file has what a process reads there, and what is there after a loss of power.
 type file struct {
-	seen     []byte
-	synced   []byte
-	unsynced []unsyncedWrite
+	content []byte
+	synced  []byte
+	pending []pendingWrite
 }
 
 // unsyncedWrite may be present, missing or torn after a loss of power.
-type unsyncedWrite struct {
+type pendingWrite struct {
 	offset int64
 	data   []byte
 }
@@ -43,7 +43,7 @@
 // step counts one operation; it fails where the process has ended before it.
 func (d *disk) step() error {
 	if d.steps == 0 {
-		return errStopped
+		return errProcessEnded
 	}
 	if d.steps > 0 {
 		d.steps--
@@ -57,7 +57,7 @@
 	if f == nil {
 		return nil, fs.ErrNotExist
 	}
-	return slices.Clone(f.seen), nil
+	return slices.Clone(f.content), nil
 }
 
 // WriteAt implements storage.Files.
@@ -66,7 +66,7 @@
 		return err
 	}
 	if d.full {
-		return errFull
+		return errDiskFull
 	}
 	f := d.files[name]
 	if f == nil {
@@ -74,8 +74,8 @@
 		d.files[name] = f
 	}
 	data = slices.Clone(data)
-	f.seen = writeAt(f.seen, data, offset)
-	f.unsynced = append(f.unsynced, unsyncedWrite{offset, data})
+	f.content = writeAt(f.content, data, offset)
+	f.pending = append(f.pending, pendingWrite{offset, data})
 	return nil
 }
 
@@ -98,7 +98,7 @@
 		f = &file{}
 		d.files[name] = f
 	}
-	f.synced, f.unsynced = slices.Clone(f.seen), nil
+	f.synced, f.pending = slices.Clone(f.content), nil
 	return nil
 }
 
@@ -110,7 +110,7 @@
 	none := rng.IntN(4) == 0 // some losses of power wipe out every one of them
 	for _, f := range d.files {
 		text := slices.Clone(f.synced)
-		for _, write := range f.unsynced {
+		for _, write := range f.pending {
 			switch kept := rng.IntN(3); {
 			case none || kept == 0:
 			case kept == 1:
@@ -119,12 +119,12 @@
 				text = writeAt(text, write.data[:rng.IntN(len(write.data)+1)], write.offset)
 			}
 		}
-		f.seen, f.synced, f.unsynced = text, slices.Clone(text), nil
+		f.content, f.synced, f.pending = text, slices.Clone(text), nil
 	}
 }
 
 // operations is how many steps of a batch are looked at: a batch of records takes two.
-const operations = 3
+const maxBatchSteps = 3
 
 // load reads what a disk has of a register into a machine; nil says that there is nothing.
 func (d *disk) load(m chain.Machine) (*storage.Store, *coordpb.Durable, error) {
--- a/coord/simulation/world.go
+++ b/coord/simulation/world.go
@@ -22,17 +22,17 @@
 const seedMachines = 3
 
 // Plant is a fault in the program itself, which the checks are to find.
-type Plant int
+type Bug int
 
 // The planted faults.
 const (
-	None             Plant = iota
-	EarlyWrite             // what is written counts as on the disk at once
-	KeepsIdentity          // a process whose disk is gone goes by its old identity, and votes again
-	UnconfirmedReads       // the tail answers without asking the members
-	EarlyReply             // the head acknowledges an order that the tail does not have yet
-	LeaseIgnored           // duties go on without a confirmation
-	StaleRefusals          // an order is refused without asking the members
+	NoBug            Bug = iota
+	EarlyWrite           // what is written counts as on the disk at once
+	KeptIdentity         // a process whose disk is gone goes by its old identity, and votes again
+	UnconfirmedReads     // the tail answers without asking the members
+	EarlyReply           // the head acknowledges an order that the tail does not have yet
+	IgnoredLease         // duties go on without a confirmation
+	StaleRejections      // an order is refused without asking the members
 )
 
 // Options are what a World is made with.
@@ -41,7 +41,7 @@
 	Machines    int
 	Tolerance   int // machines that may be lost at once
 	Application Application
-	Plant       Plant
+	Bug         Bug
 	Bandwidth   int           // bytes a second that a machine sends, 0 for no bound
 	Sync        time.Duration // that a disk takes for a write on average, 0 for a drawn one
 	Trace       func(format string, args ...any)
@@ -50,24 +50,24 @@
 // World is several processes on a network and disks in virtual time.
 type World struct {
 	Options
-	Now     time.Duration
-	Nodes   []*Process
-	History History
-	Fault   error // the first thing that did not hold
+	Now       time.Duration
+	Processes []*Process
+	History   History
+	Violation error // the first thing that did not hold
 
 	// Strike is told of each point at which a fault may change what follows, where set; true loses the message or stops the write there.
-	Strike func(Point) bool
-
-	rng     *rand.Rand
-	events  queue
-	order   int
-	byAddr  map[string]*Process
-	links   map[[2]string]time.Duration // when the last message from one to another comes
-	free    map[string]time.Duration    // until then a machine's link is busy with what was sent before
-	cut     map[[2]string]int           // how many cuts lie between two
-	clients map[string]*Client
-	epochs  map[[2]string]int // counts resets of the connection between two
-	taken   []func()          // wait for the next acknowledgement
+	InjectAt func(Point) bool
+
+	rng            *rand.Rand
+	events         queue
+	scheduled      int
+	byAddress      map[string]*Process
+	lastArrival    map[[2]string]time.Duration // when the last message from one to another comes
+	linkFreeAt     map[string]time.Duration    // until then a machine's link is busy with what was sent before
+	partitioned    map[[2]string]int           // how many cuts lie between two
+	clients        map[string]*Client
+	connections    map[[2]string]int // counts resets of the connection between two
+	onAcknowledged []func()          // wait for the next acknowledgement
 }
 
 // Point is a moment at which a fault may change what follows: a message of the protocol is about to arrive, or a write is about to be on
@@ -94,8 +94,8 @@
 
 // New returns a world whose machines are not up yet. The first three are the seeds.
 func New(o Options) *World {
-	w := &World{Options: o, rng: rand.New(rand.NewPCG(o.Seed, 0)), byAddr: map[string]*Process{}, links: map[[2]string]time.Duration{},
-		free: map[string]time.Duration{}, cut: map[[2]string]int{}, clients: map[string]*Client{}, epochs: map[[2]string]int{}}
+	w := &World{Options: o, rng: rand.New(rand.NewPCG(o.Seed, 0)), byAddress: map[string]*Process{}, lastArrival: map[[2]string]time.Duration{},
+		linkFreeAt: map[string]time.Duration{}, partitioned: map[[2]string]int{}, clients: map[string]*Client{}, connections: map[[2]string]int{}}
 	w.History.init()
 	if w.Trace == nil {
 		w.Trace = func(string, ...any) {}
@@ -106,47 +106,47 @@
 	}
 	var seeds []string
 	for i := range min(seedMachines, o.Machines) {
-		seeds = append(seeds, machineName(i))
+		seeds = append(seeds, processAddress(i))
 	}
 	for i := range o.Machines {
-		w.Add(machineName(i), seeds, true)
+		w.AddProcess(processAddress(i), seeds, true)
 	}
 	return w
 }
 
-func machineName(i int) string { return fmt.Sprintf("m%d", i) }
+func processAddress(i int) string { return fmt.Sprintf("m%d", i) }
 
 // Add has another machine be there, which is not up yet. First says that this is the first start of the whole system.
-func (w *World) Add(address string, seeds []string, first bool) *Process {
-	p := &Process{world: w, Address: address, seeds: seeds, first: first, disk: newDisk()}
-	w.Nodes = append(w.Nodes, p)
-	w.byAddr[address] = p
+func (w *World) AddProcess(address string, seeds []string, first bool) *Process {
+	p := &Process{world: w, Address: address, seeds: seeds, founder: first, disk: newDisk()}
+	w.Processes = append(w.Processes, p)
+	w.byAddress[address] = p
 	return p
 }
 
 // Remove takes a machine out for good.
-func (w *World) Remove(p *Process) {
+func (w *World) RemoveProcess(p *Process) {
 	p.Crash()
-	w.Nodes = slices.DeleteFunc(w.Nodes, func(q *Process) bool { return q == p })
-	delete(w.byAddr, p.Address)
+	w.Processes = slices.DeleteFunc(w.Processes, func(q *Process) bool { return q == p })
+	delete(w.byAddress, p.Address)
 }
 
 // StartAll starts all machines within 0.3 s of one another.
 func (w *World) StartAll() {
-	for _, p := range w.Nodes {
+	for _, p := range w.Processes {
 		w.After(time.Duration(w.rng.IntN(300))*time.Millisecond, p.Start)
 	}
 }
 
 // After has something happen after a time.
 func (w *World) After(d time.Duration, do func()) {
-	w.order++
-	heap.Push(&w.events, event{w.Now + d, w.order, do})
+	w.scheduled++
+	heap.Push(&w.events, event{w.Now + d, w.scheduled, do})
 }
 
 // Run goes on until a time, or until something does not hold.
 func (w *World) Run(until time.Duration) {
-	for w.Fault == nil && len(w.events) > 0 && w.events[0].at <= until {
+	for w.Violation == nil && len(w.events) > 0 && w.events[0].at <= until {
 		e := heap.Pop(&w.events).(event)
 		w.Now = max(w.Now, e.at)
 		e.do()
@@ -156,67 +156,67 @@
 
 // Fail notes what did not hold. The first such thing ends the play.
 func (w *World) Fail(format string, args ...any) {
-	if w.Fault == nil {
-		w.Fault = fmt.Errorf("%v: %s", w.Now, fmt.Sprintf(format, args...))
+	if w.Violation == nil {
+		w.Violation = fmt.Errorf("%v: %s", w.Now, fmt.Sprintf(format, args...))
 	}
 }
 
 // Addresses are those of all machines.
 func (w *World) Addresses() (all []string) {
-	for _, p := range w.Nodes {
+	for _, p := range w.Processes {
 		all = append(all, p.Address)
 	}
 	return all
 }
 
 // Living are the machines whose processes are up.
-func (w *World) Living() []*Process {
-	return slices.DeleteFunc(slices.Clone(w.Nodes), func(p *Process) bool { return !p.up })
+func (w *World) Running() []*Process {
+	return slices.DeleteFunc(slices.Clone(w.Processes), func(p *Process) bool { return !p.up })
 }
 
 // send brings a message to a machine or a client, unless the way is cut. Messages of one pair come in order.
 func (w *World) send(from, to string, m *coordpb.Message) {
-	w.History.voted(w, m)
+	w.History.checkAcceptor(w, m)
 	w.wipeAfterPromise(from, m)
 	pair := [2]string{from, to}
-	if w.cut[pair] > 0 {
+	if w.partitioned[pair] > 0 {
 		return
 	}
-	at, sent := w.arrival(pair, m)
+	at, sent := w.arrivalTime(pair, m)
 	if !sent {
 		return
 	}
 	m = proto.Clone(m).(*coordpb.Message)
-	connection := w.epochs[pair]
+	connection := w.connections[pair]
 	w.After(at-w.Now, func() {
-		if w.cut[pair] == 0 && w.epochs[pair] == connection {
+		if w.partitioned[pair] == 0 && w.connections[pair] == connection {
 			w.deliver(from, to, m)
 		}
 	})
 }
 
 // mostQueued is how many bytes wait for a machine's link; what is sent beyond them is lost, as package link has it.
-const mostQueued = 4 << 20
+const maxQueuedBytes = 4 << 20
 
 // arrival is when a message that is sent now arrives; ok is false where it finds no room.
-func (w *World) arrival(pair [2]string, m *coordpb.Message) (at time.Duration, ok bool) {
+func (w *World) arrivalTime(pair [2]string, m *coordpb.Message) (at time.Duration, ok bool) {
 	leaves := w.Now
-	if w.Bandwidth > 0 && w.byAddr[pair[0]] != nil {
-		busy := max(w.free[pair[0]], w.Now)
-		if busy-w.Now > bytesTake(mostQueued, w.Bandwidth) {
+	if w.Bandwidth > 0 && w.byAddress[pair[0]] != nil {
+		busy := max(w.linkFreeAt[pair[0]], w.Now)
+		if busy-w.Now > transmissionTime(maxQueuedBytes, w.Bandwidth) {
 			return 0, false
 		}
-		leaves = busy + bytesTake(proto.Size(m), w.Bandwidth)
-		w.free[pair[0]] = leaves
+		leaves = busy + transmissionTime(proto.Size(m), w.Bandwidth)
+		w.linkFreeAt[pair[0]] = leaves
 	}
 	at = leaves + 200*time.Microsecond + time.Duration(w.rng.ExpFloat64()*float64(400*time.Microsecond))
-	at = max(at, w.links[pair])
-	w.links[pair] = at
+	at = max(at, w.lastArrival[pair])
+	w.lastArrival[pair] = at
 	return at, true
 }
 
 // bytesTake is how long so many bytes take at a number of bytes a second.
-func bytesTake(bytes, bandwidth int) time.Duration {
+func transmissionTime(bytes, bandwidth int) time.Duration {
 	return time.Duration(float64(bytes) / float64(bandwidth) * float64(time.Second))
 }
 
@@ -226,26 +226,26 @@
 		c.receive(m)
 		return
 	}
-	p := w.byAddr[to]
+	p := w.byAddress[to]
 	if p == nil {
 		return
 	}
-	if w.Strike != nil && isFormal(m) && w.Strike(Point{w.byAddr[from], p}) {
+	if w.InjectAt != nil && isProtocolStep(m) && w.InjectAt(Point{w.byAddress[from], p}) {
 		return
 	}
-	p.do(func() { p.receive(m) })
+	p.whenRunning(func() { p.receive(m) })
 }
 
 // wipeAfterPromise has a machine lose its disk in the middle of an agreement, where that matters, if that was drawn.
 func (w *World) wipeAfterPromise(from string, m *coordpb.Message) {
-	p := w.byAddr[from]
+	p := w.byAddress[from]
 	if p == nil || m.GetPromise() == nil {
 		return
 	}
-	if !p.armed && (w.Plant != KeepsIdentity || w.rng.IntN(10) > 0) {
+	if !p.wipeOnPromise && (w.Bug != KeptIdentity || w.rng.IntN(10) > 0) {
 		return
 	}
-	p.armed = false
+	p.wipeOnPromise = false
 	w.After(time.Millisecond, func() {
 		w.Trace("%v wipe %s right after a promise", w.Now, p.Address)
 		p.Crash()
@@ -255,7 +255,7 @@
 }
 
 // isFormal tells whether a message is a step of the agreement on a view or of the chain, and is not sent again and again.
-func isFormal(m *coordpb.Message) bool {
+func isProtocolStep(m *coordpb.Message) bool {
 	switch m.Body.(type) {
 	case *coordpb.Message_Heartbeat, *coordpb.Message_Confirm, *coordpb.Message_Confirmed, *coordpb.Message_Submit, *coordpb.Message_Read:
 		return false
@@ -264,14 +264,14 @@
 }
 
 // Cut is a way between two groups of machines that is interrupted.
-type Cut struct {
+type Partition struct {
 	world *World
 	pairs [][2]string
 }
 
 // CutOff interrupts the ways from some machines to others, and back unless one way only. Cuts add up.
-func (w *World) CutOff(some, others []string, oneWay bool) *Cut {
-	c := &Cut{world: w}
+func (w *World) Partition(some, others []string, oneWay bool) *Partition {
+	c := &Partition{world: w}
 	for _, a := range some {
 		for _, b := range others {
 			if a == b || slices.Contains(some, b) && slices.Contains(others, a) {
@@ -284,23 +284,23 @@
 		}
 	}
 	for _, pair := range c.pairs {
-		w.cut[pair]++
+		w.partitioned[pair]++
 	}
 	return c
 }
 
 // Heal ends a cut.
-func (c *Cut) Heal() {
+func (c *Partition) Heal() {
 	for _, pair := range c.pairs {
-		c.world.cut[pair]--
+		c.world.partitioned[pair]--
 	}
 	c.pairs = nil
 }
 
 // Reset loses what is on its way between a machine and all others.
-func (w *World) Reset(address string) {
+func (w *World) ResetConnections(address string) {
 	for _, other := range w.Addresses() {
-		w.epochs[[2]string{address, other}]++
-		w.epochs[[2]string{other, address}]++
+		w.connections[[2]string{address, other}]++
+		w.connections[[2]string{other, address}]++
 	}
 }
--- a/coord/storage/storage_test.go
+++ b/coord/storage/storage_test.go
@@ -12,11 +12,11 @@
 
 // disk is Files that can lose power: each write that was not synced is then there, lost or torn.
 type disk struct {
-	synced  map[string][]byte
-	written map[string][]write // since the last sync
-	steps   int                // writes and syncs so far
-	powerLossAt   int                // the step before which power is lost; 0 for never
-	failAt  int                // the step that fails, with power; 0 for none
+	synced      map[string][]byte
+	written     map[string][]write // since the last sync
+	steps       int                // writes and syncs so far
+	powerLossAt int                // the step before which power is lost; 0 for never
+	failAt      int                // the step that fails, with power; 0 for none
 }
 
 type write struct {
@@ -25,8 +25,8 @@
 }
 
 var (
-	errPowerLost  = errors.New("power is lost")
-	errFull = errors.New("the disk is full")
+	errPowerLost = errors.New("power is lost")
+	errFull      = errors.New("the disk is full")
 )
 
 func newDisk() *disk { return &disk{synced: map[string][]byte{}, written: map[string][]write{}} }
--- a/internal/system/deciders/configuration/replicated_test.go
+++ b/internal/system/deciders/configuration/replicated_test.go
@@ -40,9 +40,9 @@
 }
 
 // Order implements simulation.Application: a PATCH where the version is odd and there is something to change.
-func (r replicated) Order(o simulation.Order) []byte {
-	order := &message.Order{Kind: message.Order_PUT, IfMatch: int64(o.On), Body: r.document(o)}
-	if o.On > 0 && o.Next%2 == 1 {
+func (r replicated) Encode(o simulation.Command) []byte {
+	order := &message.Order{Kind: message.Order_PUT, IfMatch: int64(o.Base), Body: r.document(o)}
+	if o.Base > 0 && o.Next%2 == 1 {
 		order.Kind = message.Order_PATCH
 		order.Body = patchOf(o)
 	}
@@ -56,7 +56,7 @@
 )
 
 // patchOf is a change of the route that names its order.
-func patchOf(o simulation.Order) []byte {
+func patchOf(o simulation.Command) []byte {
 	return fmt.Appendf(nil, `{"version":%d,"upsert":{"routes":[%s]}}`, o.Next, routeOf(o.Name))
 }
 
@@ -67,7 +67,7 @@
 }
 
 // document is a whole configuration, made by an order.
-func (r replicated) document(o simulation.Order) []byte {
+func (r replicated) document(o simulation.Command) []byte {
 	routes := []string{routeOf(o.Name)}
 	for i := range r.routes {
 		routes = append(routes, fmt.Sprintf(`{"name":"r%d","host":"h%d.example","pathPrefix":"/p%d/","kind":"safe","timeoutMs":1000,"service":%q,"maxAttempts":2}`, i, i, i, serviceName))
@@ -98,9 +98,9 @@
 	o := simulation.Outcome{Version: int(out.Version)}
 	switch {
 	case out.Status == http.StatusOK:
-		o.Verdict = simulation.Taken
+		o.Verdict = simulation.Accepted
 	case out.Status == http.StatusPreconditionFailed:
-		o.Verdict = simulation.Refused
+		o.Verdict = simulation.Rejected
 	case out.Status < http.StatusInternalServerError:
 		return o, fmt.Errorf("a proper order is answered %d: %s", out.Status, out.Text)
 	}
@@ -118,7 +118,7 @@
 func playStore(seed uint64, machines, tolerance, routes, bandwidth int, overlap bool, trace func(string, ...any)) *simulation.World {
 	w := simulation.New(simulation.Options{Seed: seed, Machines: machines, Tolerance: tolerance, Application: replicated{routes}, Bandwidth: bandwidth, Trace: trace})
 	w.StartAll()
-	d := w.Draw(simulation.Kinds(), storeFaultsFor, overlap)
+	d := w.InjectFaults(simulation.Kinds(), storeFaultsFor, overlap)
 	for i := range 2 {
 		c := w.NewClient(seed%2 == 0)
 		if seed%2 == 1 && i == 0 {
@@ -131,12 +131,12 @@
 		}
 	}
 	w.Run(storeFaultsFor)
-	for w.Fault == nil && w.Now < d.Ends() {
-		w.Run(d.Ends())
+	for w.Violation == nil && w.Now < d.EndsAt() {
+		w.Run(d.EndsAt())
 	}
 	w.Run(w.Now + storeRecovery)
-	if w.Fault == nil && w.Now-w.History.LastTaken > storeRecovery/2 {
-		w.Fail("no order was acknowledged since %v", w.History.LastTaken)
+	if w.Violation == nil && w.Now-w.History.LastAcknowledged > storeRecovery/2 {
+		w.Fail("no order was acknowledged since %v", w.History.LastAcknowledged)
 	}
 	w.CheckEnd()
 	w.CheckHistory()
@@ -166,10 +166,10 @@
 			}
 			faultplan.Parallel(c.schedules, func(i int) {
 				w := playStore(uint64(i+1), c.machines, c.tolerance, c.routes, c.bandwidth, c.overlap, trace)
-				if w.Fault != nil {
-					t.Errorf("seed %d: %v", i+1, w.Fault)
+				if w.Violation != nil {
+					t.Errorf("seed %d: %v", i+1, w.Violation)
 				}
-				orders.Add(int64(w.History.Orders))
+				orders.Add(int64(w.History.Commands))
 				reads.Add(int64(w.History.Reads))
 			})
 			t.Logf("%d schedules: %d orders acknowledged, %d reads", c.schedules, orders.Load(), reads.Load())
@@ -209,28 +209,28 @@
 			w.StartAll()
 			w.NewClient(true).Loop(20 * time.Millisecond)
 			w.Run(3 * time.Second)
-			back := w.Nodes[0]
+			back := w.Processes[0]
 			back.Crash()
 			w.Run(3*time.Second + away)
-			for w.Fault == nil && w.History.Orders < changes && w.Now < 5*time.Minute {
+			for w.Violation == nil && w.History.Commands < changes && w.Now < 5*time.Minute {
 				w.Run(w.Now + time.Second)
 			}
-			is.True(w.History.Orders >= changes)
+			is.True(w.History.Commands >= changes)
 			if c.name == "its disk is gone" {
 				back.Wipe()
 			}
 			began := w.Now
 			back.Start()
 			c.faults(w, back)
-			for w.Fault == nil && w.Now < began+2*c.within && !inChain(w.Nodes[1], back) {
+			for w.Violation == nil && w.Now < began+2*c.within && !inChain(w.Processes[1], back) {
 				w.Run(w.Now + 20*time.Millisecond)
 			}
-			is.NoErr(w.Fault)
+			is.NoErr(w.Violation)
 			t.Logf("in the chain after %v", w.Now-began)
-			is.True(inChain(w.Nodes[1], back))
+			is.True(inChain(w.Processes[1], back))
 			is.True(w.Now-began <= c.within)
 			w.CheckEnd()
-			is.NoErr(w.Fault)
+			is.NoErr(w.Violation)
 		})
 	}
 }
@@ -257,7 +257,7 @@
 // orderOn is an order of one operator on a version.
 func orderOn(on, next int64, name string) []byte {
 	text, _ := proto.Marshal(&message.Order{Kind: message.Order_PUT, IfMatch: on,
-		Body: replicated{1}.document(simulation.Order{Name: name, On: int(on), Next: int(next)})})
+		Body: replicated{1}.document(simulation.Command{Name: name, Base: int(on), Next: int(next)})})
 	return text
 }
 
