--- a/cmd/reachlab/sockets_test.go
+++ b/cmd/reachlab/sockets_test.go
@@ -38,7 +38,7 @@
 `
 
 // run runs a command and returns what it prints.
-func run(t *testing.T, ctx context.Context, out *scripted.Text, args ...string) error {
+func run(ctx context.Context, t *testing.T, out *scripted.Text, args ...string) error {
 	t.Helper()
 	c := command()
 	c.SetArgs(args)
@@ -69,7 +69,7 @@
 	var fleet scripted.Text
 	served := make(chan error, 1)
 	go func() {
-		served <- run(t, ctx, &fleet, "serve-fleet", in("x.hcl"), "--config", in("router.json"), "--listen", addr)
+		served <- run(ctx, t, &fleet, "serve-fleet", in("x.hcl"), "--config", in("router.json"), "--listen", addr)
 	}()
 	fleet.Wait(t, "to route to them")
 
@@ -89,7 +89,7 @@
 	for !strings.HasPrefix(scripted.Next(t, lines, "serving"), "phase name=serving") {
 	}
 	var table scripted.Text
-	if err := run(t, ctx, &table, "load", in("x.hcl"), "--router", addr); err != nil {
+	if err := run(ctx, t, &table, "load", in("x.hcl"), "--router", addr); err != nil {
 		t.Fatal(err)
 	}
 	asked, good := tally(t, table.String())
@@ -105,7 +105,7 @@
 		t.Fatalf("%d requests captured of %d, %v", len(all), asked, err)
 	}
 	var again scripted.Text
-	if err := run(t, ctx, &again, "run", in("again.hcl")); err != nil {
+	if err := run(ctx, t, &again, "run", in("again.hcl")); err != nil {
 		t.Fatal(err)
 	}
 	fleet.Wait(t, "host-2: kill ends")
@@ -155,7 +155,7 @@
 	} {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		var out scripted.Text
-		if err := run(t, ctx, &out, tt.args...); err == nil || !strings.Contains(err.Error(), tt.want) || strings.Contains(err.Error(), "\n") {
+		if err := run(ctx, t, &out, tt.args...); err == nil || !strings.Contains(err.Error(), tt.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%v: got %v, want %q", tt.args, err, tt.want)
 		}
 		cancel()
--- a/cmd/reachspread/fleetstatus.go
+++ b/cmd/reachspread/fleetstatus.go
@@ -26,7 +26,7 @@
 }
 
 // routerStatusCommand is a command that prints the status of routers, once or repeatedly.
-func routerStatusCommand(use, short string, print func(io.Writer, []routerAnswer)) *cobra.Command {
+func routerStatusCommand(use, short string, render func(io.Writer, []routerAnswer)) *cobra.Command {
 	c := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs}
 	at := c.Flags().StringSlice("at", nil, "the readiness `address` of a router; may be given several times")
 	all := c.Flags().Bool("all", false, "ask all routers that the first one sees, too; they have the readiness port in common")
@@ -44,7 +44,7 @@
 			if *asJSON {
 				err = json.NewEncoder(cmd.OutOrStdout()).Encode(answers)
 			} else {
-				print(cmd.OutOrStdout(), answers)
+				render(cmd.OutOrStdout(), answers)
 			}
 			if *watch == 0 {
 				return cmp.Or(err, failures(answers))
--- a/internal/router/report/report_test.go
+++ b/internal/router/report/report_test.go
@@ -124,8 +124,8 @@
 	}
 	for _, part := range strings.Split(page, "<figure>")[1:] {
 		drawing, _, _ := strings.Cut(part, "</figure>")
-		var any struct{}
-		if err := xml.Unmarshal([]byte(drawing), &any); err != nil {
+		var parsed struct{}
+		if err := xml.Unmarshal([]byte(drawing), &parsed); err != nil {
 			t.Error(err)
 		}
 	}
--- a/internal/testbed/chaos/page.go
+++ b/internal/testbed/chaos/page.go
@@ -150,7 +150,7 @@
 		n := checker.Number(who)
 		return y + n*laneHeight, n >= 0 && n < routers && who[0] == 'r'
 	}
-	close := func(who string, t int64) {
+	endStretch := func(who string, t int64) {
 		s, ok := now[who]
 		at, lies := lane(who)
 		if !ok || !lies {
@@ -175,10 +175,10 @@
 		case history.Start:
 			now[e.Who] = stretch{e.T, "starting"}
 		case history.Phase:
-			close(e.Who, e.T)
+			endStretch(e.Who, e.T)
 			now[e.Who] = stretch{e.T, e.Text}
 		case history.Exit:
-			close(e.Who, e.T)
+			endStretch(e.Who, e.T)
 			delete(now, e.Who)
 		case history.Caught:
 			if at, ok := lane(e.Who); ok {
@@ -192,7 +192,7 @@
 	}
 	slices.Sort(left)
 	for _, who := range left {
-		close(who, p.end)
+		endStretch(who, p.end)
 	}
 	return y + routers*laneHeight
 }
--- a/internal/testbed/fakes/host.go
+++ b/internal/testbed/fakes/host.go
@@ -282,7 +282,7 @@
 			h.do(hostmodel.Cancel{ID: id})
 		}
 	}()
-	h.answer(w, r.Context(), &q, results)
+	h.answer(r.Context(), w, &q, results)
 }
 
 // request reads what the model needs of a body, and takes a usual request for what it does not tell.
@@ -306,7 +306,7 @@
 	return q
 }
 
-func (h *Host) answer(w http.ResponseWriter, ctx context.Context, q *hostmodel.Request, results <-chan hostmodel.Result) {
+func (h *Host) answer(ctx context.Context, w http.ResponseWriter, q *hostmodel.Request, results <-chan hostmodel.Result) {
 	flush := http.NewResponseController(w)
 	made, kept := 0, 0
 	var words strings.Builder
--- a/internal/testbed/scaletest/run.go
+++ b/internal/testbed/scaletest/run.go
@@ -229,7 +229,7 @@
 // measure measures traffic, with churn, for the plan's length.
 func (f *fleet) measure(ctx context.Context, result *Result) error {
 	type counts struct{ datagrams, bytes float64 }
-	look := func() (hollow, real counts, used usage, err error) {
+	look := func() (hollow, routers counts, used usage, err error) {
 		for _, h := range f.hollows {
 			n, bytes := h.traffic()
 			hollow.datagrams, hollow.bytes = hollow.datagrams+float64(n), hollow.bytes+float64(bytes)
@@ -237,16 +237,16 @@
 		for _, x := range f.real {
 			figures, err := x.figures()
 			if err != nil {
-				return hollow, real, used, err
+				return hollow, routers, used, err
 			}
-			real.datagrams, real.bytes = real.datagrams+figures["fleet_sent_total"], real.bytes+figures["fleet_sent_bytes_total"]
+			routers.datagrams, routers.bytes = routers.datagrams+figures["fleet_sent_total"], routers.bytes+figures["fleet_sent_bytes_total"]
 			u, err := x.usage()
 			if err != nil {
-				return hollow, real, used, err
+				return hollow, routers, used, err
 			}
 			used.cpu, used.memoryMB = used.cpu+u.cpu, used.memoryMB+u.memoryMB
 		}
-		return hollow, real, used, nil
+		return hollow, routers, used, nil
 	}
 	began := time.Now()
 	hollow0, real0, used0, err := look()
