--- a/cmd/reachspread/management.go
+++ b/cmd/reachspread/management.go
@@ -57,7 +57,7 @@
 // managementCommand is a command that prints the answer to the call of its name, once or
 // repeatedly. Repeatedly, an error is printed and the next answer awaited: the router may come
 // back.
-func managementCommand(call, short string, print func(io.Writer, []program.Line)) *cobra.Command {
+func managementCommand(call, short string, render func(io.Writer, []program.Line)) *cobra.Command {
 	c := &cobra.Command{Use: call, Short: short, Args: cobra.NoArgs}
 	management := managementFlag(c)
 	asJSON := c.Flags().Bool("json", false, "print a line of JSON")
@@ -68,7 +68,7 @@
 			return err
 		}
 		for {
-			err := printManagementAnswer(cmd.OutOrStdout(), address, call, *asJSON, print)
+			err := printManagementAnswer(cmd.OutOrStdout(), address, call, *asJSON, render)
 			if *watch == 0 {
 				return err
 			}
@@ -85,7 +85,7 @@
 	return c
 }
 
-func printManagementAnswer(w io.Writer, address, call string, asJSON bool, print func(io.Writer, []program.Line)) error {
+func printManagementAnswer(w io.Writer, address, call string, asJSON bool, render func(io.Writer, []program.Line)) error {
 	text, err := callManagement(address, call)
 	if err != nil {
 		return err
@@ -97,7 +97,7 @@
 	if asJSON {
 		return json.NewEncoder(w).Encode(lines)
 	}
-	print(w, lines)
+	render(w, lines)
 	return nil
 }
 
