--- a/internal/router/mirror/answer.go
+++ b/internal/router/mirror/answer.go
@@ -65,11 +65,11 @@
 func (c *capture) answer(key []byte) shadow.Answer {
 	read := protocol.ReadAnswer(c.prefix)
 	a := shadow.Answer{Text: read.Text, Truncated: c.rest != nil, Bytes: c.size, Finish: read.Finish, Tokens: read.Tokens,
-		CachedTokens: read.Kept, First: -1, Between: -1, Total: -1, Wait: -1, Host: c.from.Server, Schedules: c.from.Before}
+		CachedTokens: read.Kept, First: -1, Between: -1, Total: -1, Wait: -1, Host: c.from.Server, Schedules: c.from.FailedAttempts}
 	if c.size > 0 {
 		a.First = c.first.Sub(c.since)
 		a.Schedules++
-		a.Wait = max(c.from.Sent.Sub(c.since), 0)
+		a.Wait = max(c.from.SentAt.Sub(c.since), 0)
 		digest := hmac.New(sha256.New, key)
 		if c.rest == nil {
 			io.WriteString(digest, a.Text)
@@ -161,9 +161,9 @@
 // unserved says why a request that was answered got no stream.
 func unserved(v routing.Verdict) shadow.Cause {
 	switch v {
-	case routing.Refused:
+	case routing.Rejected:
 		return shadow.Refused
-	case routing.Unfit:
+	case routing.Invalid:
 		return shadow.Unfit
 	}
 	return shadow.Failed
--- a/internal/router/mirror/mirror.go
+++ b/internal/router/mirror/mirror.go
@@ -212,7 +212,7 @@
 	defer m.mu.Unlock()
 	m.o.Balance = c
 	for _, p := range m.pools {
-		p.router.Retune(copyConfig(c, p.set.Patience))
+		p.router.Reconfigure(copyConfig(c, p.set.Patience))
 	}
 }
 
--- a/internal/router/mirror/pool.go
+++ b/internal/router/mirror/pool.go
@@ -227,7 +227,7 @@
 			p.force, p.sink, p.texts = x.apply.set, x.apply.sink, x.apply.texts
 			events = append(events, shadow.Retune{Config: x.apply.set.Decider})
 			if p.applyHosts(x.apply.set) {
-				events = append(events, shadow.Hosts{Serving: p.router.Serving()})
+				events = append(events, shadow.Hosts{Serving: p.router.ServingCount()})
 			}
 			continue
 		case x.ask != nil:
@@ -294,13 +294,13 @@
 // carry takes a copy through the pool's core, as a front does with a request, and reads its answer
 // to the end.
 func (p *pool) carry(c *copied, arrival balance.Arrival) (how shadow.Cause) {
-	request, err := p.router.TakeIn(arrival, time.Now(), copyMessage{c.taken.Message.WithID(arrival.ID), c})
+	request, err := p.router.Accept(arrival, time.Now(), copyMessage{c.taken.Message.WithID(arrival.ID), c})
 	if err != nil {
 		c.answer.finish(string(shadow.Failed))
 		return shadow.Failed
 	}
 	defer p.router.Done(request)
-	defer context.AfterFunc(c.ctx, func() { p.router.Leave(request) })()
+	defer context.AfterFunc(c.ctx, func() { p.router.Abandon(request) })()
 	answer, ok := request.Wait()
 	if !ok {
 		c.answer.finish("left")
@@ -356,8 +356,8 @@
 
 // applyList takes a list of discovery.
 func (p *pool) applyList(l *protocol.List) {
-	p.router.Told(l.Members(), l.Addrs())
-	p.post(posted{event: shadow.Hosts{Serving: p.router.Serving()}})
+	p.router.ApplyUpdate(l.Members(), l.Addrs())
+	p.post(posted{event: shadow.Hosts{Serving: p.router.ServingCount()}})
 }
 
 // applyHosts tells the core the hosts of the settings. One that they name for the first time is
@@ -379,7 +379,7 @@
 		l.Servers = append(l.Servers, e)
 	}
 	p.hosts = hosts
-	p.router.Told(l.Members(), l.Addrs())
+	p.router.ApplyUpdate(l.Members(), l.Addrs())
 	return true
 }
 
@@ -396,19 +396,19 @@
 }
 
 // Schedule implements routing.Network.
-func (s seated) Schedule(ctx context.Context, deadline time.Time, to routing.Entry, m routing.Message, written func()) routing.Head {
+func (s seated) Send(ctx context.Context, deadline time.Time, to routing.Server, m routing.Message, written func()) routing.AttemptResult {
 	cm := m.(copyMessage)
 	granted := make(chan bool, 1)
 	s.pool.post(posted{granted: granted, event: shadow.AttemptRequest{Copy: cm.copied.id, Host: to.ID}})
 	if !<-granted {
-		return routing.Head{Result: balance.Full}
+		return routing.AttemptResult{Result: balance.Full}
 	}
 	heard := func() { s.pool.post(posted{event: shadow.AttemptReached{Copy: cm.copied.id}}) }
 	left := func() { s.pool.post(posted{event: shadow.AttemptEnded{Host: to.ID}}) }
-	if !s.pool.router.Ready(to.ID) { // asking took a moment, in which it may have begun to drain
+	if !s.pool.router.IsServing(to.ID) { // asking took a moment, in which it may have begun to drain
 		heard()
 		left()
-		return routing.Head{Result: balance.NotSent}
+		return routing.AttemptResult{Result: balance.NotSent}
 	}
 	msg := cm.Message
 	if s.pool.one.Load() {
@@ -419,11 +419,11 @@
 		if !ok || !s.pool.hasLease.Load() { // it was somebody's turn while the copy waited
 			heard()
 			left()
-			return routing.Head{Result: balance.NotSent}
+			return routing.AttemptResult{Result: balance.NotSent}
 		}
 		msg = msg.Under(duty, token, func(highest uint64) { s.pool.m.o.Duties.TokenRejected(duty, highest) })
 	}
-	head := s.Servers.Schedule(ctx, deadline, to, msg, written)
+	head := s.Servers.Send(ctx, deadline, to, msg, written)
 	heard()
 	if head.Body == nil {
 		left()
--- a/internal/router/program/management.go
+++ b/internal/router/program/management.go
@@ -53,12 +53,12 @@
 
 // Values implements management.Router.
 func (p *Program) Values() management.Values {
-	f := p.router.Figures()
-	v := management.Values{Relayed: f.Relayed, Open: f.Open, Entries: f.Entries, Avoided: f.Avoided,
+	f := p.router.Metrics()
+	v := management.Values{Relayed: f.AttemptsSent, Open: f.Open, Entries: f.ServersListed, Avoided: f.OutOfRotation,
 		Accepted: p.acceptedReloads.Load(), Invalid: p.refusedReloads.Load(), Fleet: p.fleetValues(), Duties: p.roleValues(), Recovery: p.recoveryValues()}
 	for name, c := range f.Classes {
-		v.Classes = append(v.Classes, management.Class{Name: name, Taken: c.Taken, Fulfilled: c.Served, Throttled: c.Refused,
-			Faulted: c.Failed, Abandoned: c.Abandoned, Moved: c.Moved})
+		v.Classes = append(v.Classes, management.Class{Name: name, Taken: c.Accepted, Fulfilled: c.Served, Throttled: c.Rejected,
+			Faulted: c.Failed, Abandoned: c.Abandoned, Moved: c.HandedOver})
 	}
 	return v
 }
--- a/internal/router/program/membership.go
+++ b/internal/router/program/membership.go
@@ -100,7 +100,7 @@
 			numbers[a] = i
 		}
 		p.view, err = peering.NewView(m, gossip.Send, func(v *members.View, _ *members.Changed) {
-			p.router.Viewed(routing.Fleet{Version: v.Version, Living: len(v.Members), Peers: p.numbered(v, numbers)})
+			p.router.SetFleetView(routing.FleetView{Version: v.Version, Live: len(v.Members), Peers: p.numbered(v, numbers)})
 			if p.roles != nil {
 				p.roles.UpdateView(v)
 			}
@@ -112,9 +112,9 @@
 		go p.view.Run(work)
 	}
 	if p.cfg.balance.Routers > 1 {
-		p.router.Tells(gossip.SendReports)
+		p.router.SendReportsBy(gossip.SendReports)
 	}
-	go gossip.Run(hearing, p.router.Heard)
+	go gossip.Run(hearing, p.router.ReceiveReports)
 	return nil
 }
 
@@ -180,7 +180,7 @@
 		return nil
 	}
 	f := p.view.Figures()
-	return &management.Fleet{Members: f.Alive, Suspected: f.Suspected, Dead: f.Dead, View: p.router.Figures().Fleet.Version, Deaths: f.Deaths,
+	return &management.Fleet{Members: f.Alive, Suspected: f.Suspected, Dead: f.Dead, View: p.router.Metrics().Fleet.Version, Deaths: f.Deaths,
 		Suspicions: f.Suspicions, Refuted: f.Refutations, Stood: f.Stalls, Sent: f.Sent, SentBytes: f.SentBytes, Dropped: f.Dropped}
 }
 
--- a/internal/router/program/openrequests.go
+++ b/internal/router/program/openrequests.go
@@ -29,7 +29,7 @@
 func (p *Program) writeOpenRequests(folder string) {
 	k := &p.snapshots
 	s := &snapshot.State{Router: p.cfg.Name}
-	ids, classes, more := p.router.Open(snapshot.MaxOpenRequests)
+	ids, classes, more := p.router.OpenRequests(snapshot.MaxOpenRequests)
 	for i, id := range ids {
 		s.OpenRequests = append(s.OpenRequests, snapshot.OpenRequest{ID: id, Class: classes[i]})
 	}
--- a/internal/router/program/previous.go
+++ b/internal/router/program/previous.go
@@ -32,7 +32,7 @@
 	p.snapshots.mu.Unlock()
 	p.recovery.excludedHosts.Add(uint64(len(not)))
 	p.log.Warn("list of the last life used", "hosts", len(l.Servers), "version", old.Version, "shunned", len(not))
-	p.router.Told(l.Members(), l.Addrs())
+	p.router.ApplyUpdate(l.Members(), l.Addrs())
 	if len(l.Servers) > 0 {
 		p.firstList.Do(func() { p.advance(serversListed) })
 	}
@@ -55,7 +55,7 @@
 	}
 	p.recovery.excludedHosts.Add(uint64(len(l.Servers)))
 	p.log.Warn("hosts of the last life's list shunned", "hosts", strings.Join(not[:min(len(not), maxNamedHosts)], ","), "count", len(not))
-	p.router.Told(l.Members(), l.Addrs())
+	p.router.ApplyUpdate(l.Members(), l.Addrs())
 }
 
 // maxNamedHosts bounds the hosts that a line names.
--- a/internal/router/program/program.go
+++ b/internal/router/program/program.go
@@ -141,7 +141,7 @@
 	p.balancer = balancer
 	p.router = routing.New(balancer, p.servers, p.log, p.cfg.connectTimeout()+probeAnswerTimeout)
 	p.gate = &recoveryGate{gate: recovery.NewGate(p.cfg.balance, nil, p.cfg.seed)}
-	p.router.Guard(p.gate)
+	p.router.SetGate(p.gate)
 	var tap transport.Tap
 	if p.file != "" {
 		if err := p.startMirror(p.servers); err != nil {
@@ -275,7 +275,7 @@
 func (p *Program) applyServerList(l *protocol.List) {
 	p.snapshots.applying.Lock()
 	defer p.snapshots.applying.Unlock()
-	p.router.Told(l.Members(), l.Addrs())
+	p.router.ApplyUpdate(l.Members(), l.Addrs())
 	p.listVersion.Store(l.Version)
 	if l != &p.cfg.Known || len(l.Servers) > 0 { // a configuration without servers says nothing about them
 		p.snapshots.mergeList(l)
--- a/internal/router/program/recovery.go
+++ b/internal/router/program/recovery.go
@@ -200,7 +200,7 @@
 		p.sendTo([]snapshot.Router{a.To}, a.Reply.Encode())
 	case recovery.AdoptMeasure:
 		p.log.Info("measure of others taken", "work", a.Measure.HostWork.Round(time.Millisecond), "mean_work", a.Measure.RequestWork.Round(time.Millisecond))
-		p.router.Recall(balance.Learned{CompletedWork: a.Measure.HostWork.Seconds(), MeanWork: a.Measure.RequestWork.Seconds()})
+		p.router.Restore(balance.Learned{CompletedWork: a.Measure.HostWork.Seconds(), MeanWork: a.Measure.RequestWork.Seconds()})
 	case recovery.OutageClassified:
 		p.log.Info("power lost", "whose", a.Outage, "heard", a.Heard, "asked", a.Asked)
 	case recovery.StageEntered:
--- a/internal/router/program/reload.go
+++ b/internal/router/program/reload.go
@@ -111,7 +111,7 @@
 // applySettings puts the settings of a good file in force, in one event to the core.
 func (p *Program) applySettings(c *Config) {
 	p.inForce.Store(c)
-	p.router.Retune(c.balance)
+	p.router.Reconfigure(c.balance)
 	p.servers.Retime(c.connectTimeout(), time.Duration(c.Settings.Limits.KeepaliveNs))
 	p.front.Retune(p.admission(p.processLimits.Load().clients))
 	if p.mirror != nil {
--- a/internal/router/program/shadow.go
+++ b/internal/router/program/shadow.go
@@ -22,9 +22,9 @@
 		Idle: time.Duration(p.cfg.Settings.Limits.KeepaliveNs), Log: p.log,
 		Sample: func() shadow.Sample {
 			core, front := p.router.Load(), p.front.Load()
-			s := shadow.Sample{Queued: core.Held, Late: core.Late, Bodies: front.Bodies,
-				Sockets: max(front.Connections, servers.Load()), Refusals: int(core.Refused - refused)}
-			refused = core.Refused
+			s := shadow.Sample{Queued: core.Queued, Late: core.MaxEventDelay, Bodies: front.Bodies,
+				Sockets: max(front.Connections, servers.Load()), Refusals: int(core.Rejected - refused)}
+			refused = core.Rejected
 			return s
 		}})
 	if dir := p.cfg.set.StatusDir; dir != "" {
--- a/internal/router/program/snapshot.go
+++ b/internal/router/program/snapshot.go
@@ -147,7 +147,7 @@
 		p.balancer.Restore(*before.Learned)
 	}
 	p.gate.gate = recovery.NewGate(p.cfg.balance, demand, p.cfg.seed)
-	p.router.Keeps(p.recordLearned)
+	p.router.OnLearned(p.recordLearned)
 	if before != nil {
 		hosts := 0
 		if before.List != nil {
--- a/internal/routing/route.go
+++ b/internal/routing/actions.go
@@ -6,38 +6,38 @@
 	"reachspread/balance"
 )
 
-// route carries out one action of the module. It runs on the deciding goroutine and never waits.
-func (r *Router) route(action balance.Action) {
+// carryOut carries out one action of the decisions. It runs on their goroutine and never waits.
+func (r *Router) carryOut(action balance.Action) {
 	switch a := action.(type) {
 	case balance.Send:
 		r.send(r.request(a.ID), a)
 	case balance.Reject:
-		r.refused.Add(1)
-		f := r.request(a.ID)
-		f.answer(Answer{Verdict: Refused, Wait: a.RetryAfter, Ran: f.ran.Load()})
+		r.rejected.Add(1)
+		request := r.request(a.ID)
+		request.answer(Answer{Verdict: Rejected, RetryAfter: a.RetryAfter, MayHaveExecuted: request.mayHaveExecuted.Load()})
 	case balance.Fail:
-		f := r.request(a.ID)
-		f.answer(Answer{Verdict: Failed, Final: f.word.Load()})
+		request := r.request(a.ID)
+		request.answer(Answer{Verdict: Failed, ServerAnswer: request.serverAnswer.Load()})
 	case balance.Probe:
 		r.probe(a.Replica)
 	case balance.SendReports:
-		r.tell(a)
+		r.sendReports(a)
 	case balance.Log:
-		r.tellDecision(a.Text)
+		r.logDecision(a.Text)
 	case balance.Subscribe:
 		// Discovery is watched from the start to the end, so there is nothing to ask for.
 	}
 }
 
-// request returns a request that the module names. It is there: see release.
+// request returns a request that the decisions name. It is there: see release.
 func (r *Router) request(id string) *Request {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.requests[id]
 }
 
-// tellDecision logs the module's own words, of the form "event: replica".
-func (r *Router) tellDecision(text string) {
+// logDecision logs a line of the decisions, of the form "event: replica".
+func (r *Router) logDecision(text string) {
 	event, replica, _ := strings.Cut(text, ": ")
 	if event == "back" {
 		r.log.Info(event, "server", replica)
--- a/internal/routing/request.go
+++ b/internal/routing/request.go
@@ -13,28 +13,28 @@
 
 // The final answers.
 const (
-	Served Verdict = iota
-	Refused
-	Failed
-	Unfit  // the request itself is at fault, by a server's word
-	Nobody // was left to be answered
-	Moved  // to another process, which goes on with the stream
+	Served     Verdict = iota
+	Rejected           // sending the request again does no harm
+	Failed             // says nothing of whether the request has executed
+	Invalid            // the request itself is at fault, as a server found
+	Abandoned          // by its client
+	HandedOver         // another process goes on with the stream
 )
 
 // Answer is the final answer to a request.
 type Answer struct {
-	Verdict Verdict
-	Wait    time.Duration // Refused: when to come back, 0 for no advice
-	Stream  *Stream       // Served: the events as they come
-	Final   any           // Failed, Unfit: the last answer of a server's own, nil for none
-	Ran     bool          // Refused: a server may have run it before, which did no harm
+	Verdict         Verdict
+	RetryAfter      time.Duration // Rejected: when to come back, 0 for no advice
+	MayHaveExecuted bool          // Rejected: a server may have executed it before, which did no harm
+	Stream          *Stream       // Served: the events as they come
+	ServerAnswer    any           // Failed, Invalid: the last answer of a server's own, nil for none
 }
 
-// Request is one client request on its way through the router.
+// Request is a client request that is under way.
 type Request struct {
-	id       string // the module's name for it
+	id       string // in the decisions
 	arrival  balance.Arrival
-	class    *class // counts its end
+	class    *classCounters // counts its end
 	message  Message
 	deadline time.Time
 
@@ -42,36 +42,37 @@
 	cancel   context.CancelFunc
 	answered atomic.Bool
 	final    chan Answer
-	ran      atomic.Bool  // an attempt may have run
-	word     atomic.Value // the last answer of a server's own, nothing for none
-	tries    int          // attempts so far; the deciding goroutine's
-	holds    atomic.Int32 // of the client and of each attempt that is out
+
+	attempts        int          // so far; for the goroutine of Router.Run alone
+	references      atomic.Int32 // of the client and of each attempt in flight; see Router.release
+	mayHaveExecuted atomic.Bool
+	serverAnswer    atomic.Value // the last answer of a server's own, nothing for none
 }
 
-// answer gives the request its final answer and reports whether it was the first. This is the only place that does, and
-// the one that counts it, but for a stream, whose end tells whether the request was served.
-func (f *Request) answer(a Answer) bool {
-	if !f.answered.CompareAndSwap(false, true) {
+// answer gives the request its final answer and reports whether it was the first. This is the only
+// place that does. It also counts how the request ended, except for a stream, whose end says that.
+func (r *Request) answer(a Answer) bool {
+	if !r.answered.CompareAndSwap(false, true) {
 		return false
 	}
 	if a.Stream == nil {
-		f.class.end(a.Verdict)
+		r.class.countEnded(a.Verdict)
 	}
-	f.final <- a
+	r.final <- a
 	return true
 }
 
 // Wait returns the final answer; ok is false if the client has gone and nobody is to be answered.
-func (f *Request) Wait() (a Answer, ok bool) {
+func (r *Request) Wait() (a Answer, ok bool) {
 	select {
-	case a = <-f.final:
+	case a = <-r.final:
 		return a, true
-	case <-f.ctx.Done():
+	case <-r.ctx.Done():
 	}
-	// The answer may have come at the same time: a stream must be ended by someone.
-	if f.answered.CompareAndSwap(false, true) {
-		f.class.end(Nobody)
+	// The answer may have come at the same time: somebody must end a stream.
+	if r.answered.CompareAndSwap(false, true) {
+		r.class.countEnded(Abandoned)
 		return a, false
 	}
-	return <-f.final, true
+	return <-r.final, true
 }
--- a/internal/system/dataplane/intake.go
+++ b/internal/system/dataplane/intake.go
@@ -162,7 +162,7 @@
 		Ended: func(end routing.Answer) {
 			units.ended(end)
 			hold.ended(end)
-			if again := end.Verdict == routing.Refused && !end.Ran && hold.outdated.Load(); !again { // it is planned anew
+			if again := end.Verdict == routing.Rejected && !end.MayHaveExecuted && hold.outdated.Load(); !again { // it is planned anew
 				p.ends.add(keyOf(a), outcomeOf(end))
 			}
 		},
@@ -254,7 +254,7 @@
 
 // ended gives the units back where nothing has run.
 func (a *allowance) ended(end routing.Answer) {
-	if end.Verdict == routing.Refused && !end.Ran {
+	if end.Verdict == routing.Rejected && !end.MayHaveExecuted {
 		a.refund()
 	}
 }
@@ -378,13 +378,13 @@
 
 // Unserved implements transport.Intake.
 func (p *Plane) Unserved(ctx *fasthttp.RequestCtx, a routing.Answer) {
-	final, _ := a.Final.(*transport.Final)
+	final, _ := a.ServerAnswer.(*transport.Final)
 	switch {
-	case a.Verdict == routing.Refused && !a.Ran:
-		transport.Refuse(ctx, transport.Rejection{Code: http.StatusServiceUnavailable, Line: "refused; it has not run", Wait: a.Wait, Keep: true})
+	case a.Verdict == routing.Rejected && !a.MayHaveExecuted:
+		transport.Refuse(ctx, transport.Rejection{Code: http.StatusServiceUnavailable, Line: "refused; it has not run", Wait: a.RetryAfter, Keep: true})
 	case final != nil:
 		transport.WriteFinal(ctx, final)
-	case a.Verdict == routing.Unfit:
+	case a.Verdict == routing.Invalid:
 		transport.Refuse(ctx, transport.Rejection{Code: http.StatusBadRequest, Line: "no host can use this request", Keep: true})
 	default:
 		transport.Refuse(ctx, transport.Rejection{Code: http.StatusBadGateway, Line: "failed", Keep: true})
--- a/internal/system/dataplane/outcomes.go
+++ b/internal/system/dataplane/outcomes.go
@@ -117,9 +117,9 @@
 	switch {
 	case end.Verdict == routing.Served && end.Stream != nil:
 		return OutcomeServed
-	case end.Verdict == routing.Refused:
+	case end.Verdict == routing.Rejected:
 		return OutcomeRefused
-	case end.Verdict == routing.Served, end.Verdict == routing.Nobody, end.Verdict == routing.Moved:
+	case end.Verdict == routing.Served, end.Verdict == routing.Abandoned, end.Verdict == routing.HandedOver:
 		return OutcomeAbandoned
 	}
 	return OutcomeFailed
--- a/internal/system/dataplane/outcomes_test.go
+++ b/internal/system/dataplane/outcomes_test.go
@@ -43,10 +43,10 @@
 	}{
 		{routing.Answer{Verdict: routing.Served, Stream: stream}, OutcomeServed},
 		{routing.Answer{}, OutcomeAbandoned}, // its client left before an answer
-		{routing.Answer{Verdict: routing.Refused}, OutcomeRefused},
+		{routing.Answer{Verdict: routing.Rejected}, OutcomeRefused},
 		{routing.Answer{Verdict: routing.Failed}, OutcomeFailed},
-		{routing.Answer{Verdict: routing.Unfit}, OutcomeFailed},
-		{routing.Answer{Verdict: routing.Nobody}, OutcomeAbandoned},
+		{routing.Answer{Verdict: routing.Invalid}, OutcomeFailed},
+		{routing.Answer{Verdict: routing.Abandoned}, OutcomeAbandoned},
 	} {
 		if got := outcomeOf(c.end); got != c.want {
 			t.Errorf("%+v: %v, want %v", c.end, got, c.want)
--- a/internal/system/dataplane/pinned.go
+++ b/internal/system/dataplane/pinned.go
@@ -168,11 +168,11 @@
 	left := end.Verdict == routing.Served && end.Stream == nil
 	switch {
 	case c == nil || left: // nobody was to be answered
-	case end.Verdict == routing.Refused && h.outdated.Load():
+	case end.Verdict == routing.Rejected && h.outdated.Load():
 		c.Requests-- // it is planned anew
-	case end.Verdict == routing.Refused:
+	case end.Verdict == routing.Rejected:
 		c.Refused++
-	case end.Verdict != routing.Served || !end.Stream.Whole():
+	case end.Verdict != routing.Served || !end.Stream.Complete():
 		c.Failed++
 	default:
 		version := transport.FinalOf(end.Stream).Version()
--- a/internal/system/dataplane/plane.go
+++ b/internal/system/dataplane/plane.go
@@ -138,7 +138,7 @@
 		s.wanted = classes
 		if !slices.Equal(both, s.tuned) {
 			s.tuned = both
-			s.router.Retune(p.config(s, both))
+			s.router.Reconfigure(p.config(s, both))
 		}
 		return nil
 	}
@@ -149,7 +149,7 @@
 	}
 	s.router = routing.New(b, p.o.Servers, p.o.Log, probeFor)
 	if p.o.Tell != nil {
-		s.router.Tells(func(t balance.SendReports) { p.o.Tell(name, t.Reports) })
+		s.router.SendReportsBy(func(t balance.SendReports) { p.o.Tell(name, t.Reports) })
 	}
 	ctx, stop := context.WithCancel(p.ctx)
 	s.stop = stop
@@ -229,7 +229,7 @@
 		ev.Members = append(ev.Members, m)
 		addrs[r.Id] = r.Address
 	}
-	s.router.Told(ev, addrs)
+	s.router.ApplyUpdate(ev, addrs)
 	s.models.take(counts)
 	s.serving.Store(int64(serving))
 	p.changes.notify()
@@ -239,7 +239,7 @@
 // Heard takes in what another router tells of the prompts that it sent to hosts of a service.
 func (p *Plane) Heard(name string, heard balance.ReportsReceived) {
 	if s := (*p.pools.Load())[name]; s != nil {
-		s.router.Heard(heard)
+		s.router.ReceiveReports(heard)
 	}
 }
 
@@ -267,8 +267,8 @@
 func (p *Plane) Figures() map[string]ServiceFigures {
 	all := map[string]ServiceFigures{}
 	for name, s := range *p.pools.Load() {
-		f := s.router.Figures()
-		all[name] = ServiceFigures{Open: f.Open, Retries: s.retries.Left(), Avoided: f.Avoided}
+		f := s.router.Metrics()
+		all[name] = ServiceFigures{Open: f.Open, Retries: s.retries.Left(), Avoided: f.OutOfRotation}
 	}
 	return all
 }
--- a/internal/transport/body.go
+++ b/internal/transport/body.go
@@ -67,7 +67,7 @@
 func (b *body) next(p []byte) (int, error) {
 	if b.interrupted() {
 		if b.move() {
-			return 0, routing.ErrMoved
+			return 0, routing.ErrHandedOver
 		}
 	}
 	quietTo := time.Now().Add(b.servers.silent)
--- a/internal/transport/client_test.go
+++ b/internal/transport/client_test.go
@@ -117,25 +117,25 @@
 			conn := dial(t, r.addr)
 			io.WriteString(conn, scripted.AskText("1", "")+scripted.AskText("2", "")+scripted.AskText("3", "Connection: close\r\n"))
 			io.Copy(io.Discard, conn)
-		}, routing.Counts{Taken: 3, Served: 3}},
+		}, routing.Counts{Accepted: 3, Served: 3}},
 		{"refused", "refused", func(t *testing.T, r *router, s *scripted.Server, more chan bool) {
 			scripted.Do(t, scripted.Ask(t, r.addr, "q", nil))
-		}, routing.Counts{Taken: 1, Refused: 1}},
+		}, routing.Counts{Accepted: 1, Rejected: 1}},
 		{"at fault", "unfit", func(t *testing.T, r *router, s *scripted.Server, more chan bool) {
 			scripted.Do(t, scripted.Ask(t, r.addr, "q", nil))
-		}, routing.Counts{Taken: 1, Failed: 1}},
+		}, routing.Counts{Accepted: 1, Failed: 1}},
 		{"a stream that breaks", "broken", func(t *testing.T, r *router, s *scripted.Server, more chan bool) {
 			scripted.Do(t, scripted.Ask(t, r.addr, "q", nil))
-		}, routing.Counts{Taken: 1, Failed: 1}},
+		}, routing.Counts{Accepted: 1, Failed: 1}},
 		{"out of time", "silent", func(t *testing.T, r *router, s *scripted.Server, more chan bool) {
 			scripted.Do(t, scripted.Ask(t, r.addr, "q", map[string]string{"X-Time-Left": "100m"}))
-		}, routing.Counts{Taken: 1, Refused: 1}},
+		}, routing.Counts{Accepted: 1, Rejected: 1}},
 		{"left before the first attempt's answer", "silent", func(t *testing.T, r *router, s *scripted.Server, more chan bool) {
 			conn := dial(t, r.addr)
 			io.WriteString(conn, scripted.AskText("1", ""))
 			scripted.Next(t, s.Requests, "an attempt")
 			conn.Close()
-		}, routing.Counts{Taken: 1, Abandoned: 1}},
+		}, routing.Counts{Accepted: 1, Abandoned: 1}},
 		{"left in a stream, with more behind", "held", func(t *testing.T, r *router, s *scripted.Server, more chan bool) {
 			conn := dial(t, r.addr)
 			io.WriteString(conn, scripted.AskText("1", "")+scripted.AskText("2", ""))
@@ -144,7 +144,7 @@
 			}
 			conn.SetLinger(0)
 			conn.Close()
-		}, routing.Counts{Taken: 1, Abandoned: 1}},
+		}, routing.Counts{Accepted: 1, Abandoned: 1}},
 		{"an id in use", "held", func(t *testing.T, r *router, s *scripted.Server, more chan bool) {
 			conn := dial(t, r.addr)
 			io.WriteString(conn, scripted.AskText("same", "Connection: close\r\n"))
@@ -152,7 +152,7 @@
 			scripted.Do(t, scripted.Ask(t, r.addr, "same", nil))
 			more <- true
 			io.Copy(io.Discard, conn)
-		}, routing.Counts{Taken: 2, Served: 1, Failed: 1}},
+		}, routing.Counts{Accepted: 2, Served: 1, Failed: 1}},
 		{"not whole", "served", func(t *testing.T, r *router, s *scripted.Server, more chan bool) {
 			conn := dial(t, r.addr)
 			io.WriteString(conn, strings.TrimSuffix(scripted.AskText("1", ""), "}"))
@@ -165,8 +165,8 @@
 			server := scripted.NewServer(t, scripts[tt.script](more))
 			r := newRouter(t, server)
 			tt.do(t, r, server, more)
-			scripted.Until(t, "nothing is open", func() bool { return r.core.Figures().Open == 0 })
-			got := r.core.Figures().Classes["chat"]
+			scripted.Until(t, "nothing is open", func() bool { return r.core.Metrics().Open == 0 })
+			got := r.core.Metrics().Classes["chat"]
 			if diff := cmp.Diff(tt.want, got); diff != "" || got.Open() != 0 {
 				t.Errorf("%d open %s", got.Open(), diff)
 			}
--- a/internal/transport/errand.go
+++ b/internal/transport/errand.go
@@ -27,7 +27,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.left = true; !e.ended {
-		e.plan.Router.Leave(e.request)
+		e.plan.Router.Abandon(e.request)
 	}
 }
 
@@ -47,7 +47,7 @@
 
 // outdated tells that a request was refused unsent because it has to be planned anew.
 func (e *errand) outdated(a routing.Answer) bool {
-	return a.Verdict == routing.Refused && !a.Ran && e.plan.Outdated != nil && e.plan.Outdated()
+	return a.Verdict == routing.Rejected && !a.MayHaveExecuted && e.plan.Outdated != nil && e.plan.Outdated()
 }
 
 // resume has the answer go on behind an event, by a request of its own; nil where it can't.
@@ -74,7 +74,7 @@
 	if !ok {
 		return nil
 	}
-	request, err := next.Router.TakeIn(next.Arrival, e.began, next.Message)
+	request, err := next.Router.Accept(next.Arrival, e.began, next.Message)
 	if err != nil {
 		return nil
 	}
--- a/internal/transport/exchange.go
+++ b/internal/transport/exchange.go
@@ -75,7 +75,7 @@
 
 // exchange writes a request and reads the head of its answer. Without one it tells the result, which depends on
 // whether the last byte had been written.
-func (s *Servers) exchange(ctx context.Context, to routing.Entry, o outgoing) (*exchange, balance.Result) {
+func (s *Servers) exchange(ctx context.Context, to routing.Server, o outgoing) (*exchange, balance.Result) {
 	o.dialect = s.dialect
 	c, err := s.pool.take(ctx, to)
 	if err != nil {
@@ -159,7 +159,7 @@
 }
 
 // errSpoilt says that an answer can't be read although its connection stands.
-var errSpoilt = fmt.Errorf("%w: the answer can not be read", routing.ErrSpoilt)
+var errSpoilt = fmt.Errorf("%w: the answer can not be read", routing.ErrMalformedAnswer)
 
 // failed tells why the answer broke off: by the end of ctx, with the connection, or else because it was spoilt,
 // which the process that made it has outlived.
--- a/internal/transport/forward.go
+++ b/internal/transport/forward.go
@@ -49,7 +49,7 @@
 }
 
 // errVersion says that an answer, or its rest, is not of the version that alone counts.
-var errVersion = fmt.Errorf("%w: the answer is of another version", routing.ErrUnwanted)
+var errVersion = fmt.Errorf("%w: the answer is of another version", routing.ErrUnacceptable)
 
 // turnedAway tells that a server has not run a request as it has another version than the one that counts.
 func (f *Forward) turnedAway(status int) bool {
@@ -158,13 +158,13 @@
 var errPartial = errors.New("the answer ended early")
 
 // forwarded returns the body of an answer of the fleet's dialect, once its first event, or all of it, is there.
-func (s *Servers) forwarded(ctx, headCtx context.Context, x *exchange, msg *Message) routing.Head {
+func (s *Servers) forwarded(ctx, headCtx context.Context, x *exchange, msg *Message) routing.AttemptResult {
 	var body routing.Body
 	err := msg.forward.checkVersion(x.header(protocol.HeaderVersions))
 	if err != nil {
 		load := s.readLoad(x)
 		x.close()
-		return routing.Head{Result: balance.Cancelled, Load: load}
+		return routing.AttemptResult{Result: balance.Cancelled, Load: load}
 	}
 	if msg.forward.Events {
 		b := &events{exchange: x, ctx: headCtx, final: msg.forward.answer(x.resp), silent: msg.forward.Silent, version: msg.forward.checkVersion}
@@ -184,15 +184,15 @@
 		if b, ok := body.(*events); ok {
 			b.ctx = ctx
 		}
-		return routing.Head{Result: balance.OK, Body: body}
+		return routing.AttemptResult{Result: balance.OK, Body: body}
 	}
 	result := x.failed(headCtx, balance.TimedOut)
-	if errors.Is(err, routing.ErrUnwanted) {
+	if errors.Is(err, routing.ErrUnacceptable) {
 		result = balance.Cancelled
 	}
 	load := s.readLoad(x)
 	x.close()
-	return routing.Head{Result: result, Load: load}
+	return routing.AttemptResult{Result: result, Load: load}
 }
 
 // Version is the version of which the answer says it is, 0 where it says none.
--- a/internal/transport/front.go
+++ b/internal/transport/front.go
@@ -215,9 +215,9 @@
 	}
 	plan.Message.client = conn
 	conn.open = true
-	request, err := plan.Router.TakeIn(plan.Arrival, conn.beganAt, plan.Message)
+	request, err := plan.Router.Accept(plan.Arrival, conn.beganAt, plan.Message)
 	if err != nil {
-		plan.end(routing.Answer{Verdict: routing.Refused})
+		plan.end(routing.Answer{Verdict: routing.Rejected})
 		f.lose(ctx, Rejection{Code: fasthttp.StatusConflict, Line: err.Error()})
 		return false, false
 	}
--- a/internal/transport/intake.go
+++ b/internal/transport/intake.go
@@ -114,12 +114,12 @@
 // Unserved implements Intake.
 func (c *completions) Unserved(ctx *fasthttp.RequestCtx, a routing.Answer) {
 	switch a.Verdict {
-	case routing.Refused:
-		if a.Wait > 0 {
-			ctx.Response.Header.Set("Retry-After", protocol.FormatRetryAfter(a.Wait))
+	case routing.Rejected:
+		if a.RetryAfter > 0 {
+			ctx.Response.Header.Set("Retry-After", protocol.FormatRetryAfter(a.RetryAfter))
 		}
 		answerLine(ctx, fasthttp.StatusServiceUnavailable, "refused; trying again is harmless")
-	case routing.Unfit:
+	case routing.Invalid:
 		reject(ctx, fasthttp.StatusBadRequest, "no server can use this request")
 	default:
 		answerLine(ctx, fasthttp.StatusBadGateway, "failed")
@@ -130,9 +130,9 @@
 func (c *completions) Count(ctx *fasthttp.RequestCtx, no Rejection) {
 	v := routing.Failed
 	if no.Code == fasthttp.StatusTooManyRequests || no.Code == fasthttp.StatusServiceUnavailable {
-		v = routing.Refused
+		v = routing.Rejected
 	}
-	c.router.Refused(string(ctx.Request.Header.Peek(protocol.HeaderClass)), v)
+	c.router.CountUnadmitted(string(ctx.Request.Header.Peek(protocol.HeaderClass)), v)
 }
 
 // MaxBody implements Intake.
--- a/internal/transport/move.go
+++ b/internal/transport/move.go
@@ -33,7 +33,7 @@
 type moved struct {
 	Version int             `json:"version"`
 	Stream  bool            `json:"stream"`
-	Server  *routing.Entry  `json:"server,omitempty"` // of a stream, or of an idle connection, which has no client
+	Server  *routing.Server `json:"server,omitempty"` // of a stream, or of an idle connection, which has no client
 	Keep    bool            `json:"keep,omitempty"`   // the connection to it outlives the stream
 	Idle    time.Duration   `json:"idle,omitempty"`   // or, of a stream, how long its server has said nothing
 	Class   string          `json:"class,omitempty"`
@@ -271,7 +271,7 @@
 
 // carry relays the rest of a stream, and then serves its client.
 func (r *Receiver) carry(m moved, client, host net.Conn) {
-	ended := r.front.router.Carry(m.Class)
+	ended := r.front.router.CountTakenOver(m.Class)
 	watch := &clientConn{Conn: client, listener: r.front.listener}
 	watch.watch(func() { host.Close() })
 	verdict, next := r.relay(&m, watch, host)
@@ -304,7 +304,7 @@
 			m.Line, m.Long = notes.Rest()
 			m.Idle = time.Since(last)
 			if len(client.ahead) == 0 && !client.left.Load() && mover.move(*m, client.Conn, host) == nil {
-				return routing.Nobody, false
+				return routing.Abandoned, false
 			}
 			stays = true
 			client.watch(client.gone)
@@ -319,7 +319,7 @@
 		}
 		if n == 0 && err != nil {
 			if client.left.Load() {
-				return routing.Nobody, false
+				return routing.Abandoned, false
 			}
 			return routing.Failed, false
 		}
@@ -341,7 +341,7 @@
 			continue
 		}
 		if _, err := client.Write(out); err != nil {
-			return routing.Nobody, false
+			return routing.Abandoned, false
 		}
 	}
 	return routing.Served, true
--- a/internal/transport/move_test.go
+++ b/internal/transport/move_test.go
@@ -87,7 +87,7 @@
 			}
 			for who, h := range map[string]*half{"taken": next, "gone": old} {
 				for end := time.Now().Add(scripted.Patience); ; time.Sleep(5 * time.Millisecond) {
-					f := h.core.Figures()
+					f := h.core.Metrics()
 					got := fmt.Sprint(f.Open, f.Classes["chat"].Failed)
 					if who == path && got == "0 1" || who != path && got == "0 0" {
 						break
--- a/internal/transport/pieces_test.go
+++ b/internal/transport/pieces_test.go
@@ -49,7 +49,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go transport.NewDiscovery(d.Addr, transport.Pushed, transport.WholeList, lines, func(l *protocol.List) {
-		r.core.Told(l.Members(), l.Addrs())
+		r.core.ApplyUpdate(l.Members(), l.Addrs())
 		told <- l
 	}).Run(ctx)
 	asked := 0
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -30,7 +30,7 @@
 	limit      int           // connections in all
 
 	mu     sync.Mutex
-	idle   map[routing.Entry][]*conn // by server and address, the oldest first; none is empty
+	idle   map[routing.Server][]*conn // by server and address, the oldest first; none is empty
 	open   int
 	closed bool
 	swept  time.Time
@@ -40,7 +40,7 @@
 type conn struct {
 	net.Conn
 	err     error // the last one of the socket: without one, an answer that fails was spoilt
-	to      routing.Entry
+	to      routing.Server
 	in      *bufio.Reader
 	since   time.Time       // in the pool
 	idleFor time.Duration   // that its server keeps it, with a margin; 0 for as long as the pool does
@@ -49,7 +49,7 @@
 }
 
 // take returns an idle connection to a server, or a new one.
-func (p *pool) take(ctx context.Context, to routing.Entry) (*conn, error) {
+func (p *pool) take(ctx context.Context, to routing.Server) (*conn, error) {
 	p.mu.Lock()
 	idle := p.idleFor
 	p.mu.Unlock()
@@ -81,7 +81,7 @@
 
 // pop returns the most recently used idle connection. Without one it returns nil and reserves room for a new one,
 // if need be in place of the longest idle connection to any server.
-func (p *pool) pop(to routing.Entry) (*conn, error) {
+func (p *pool) pop(to routing.Server) (*conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.sweep()
@@ -123,7 +123,7 @@
 }
 
 // keep has a server's idle connections be these. On a long day each id is one of thousands: none leaves a trace.
-func (p *pool) keep(to routing.Entry, l []*conn) {
+func (p *pool) keep(to routing.Server, l []*conn) {
 	if p.idle[to] = l; len(l) == 0 {
 		delete(p.idle, to)
 	}
@@ -171,7 +171,7 @@
 }
 
 // adopt takes a connection of another process that has been idle for so long, if there is room.
-func (p *pool) adopt(nc net.Conn, to routing.Entry, idle time.Duration) bool {
+func (p *pool) adopt(nc net.Conn, to routing.Server, idle time.Duration) bool {
 	p.mu.Lock()
 	if p.closed || p.open >= p.limit {
 		p.mu.Unlock()
--- a/internal/transport/pool_test.go
+++ b/internal/transport/pool_test.go
@@ -14,19 +14,19 @@
 func TestNothingStaysOfRealServersThatWent(t *testing.T) {
 	a, b := scripted.NewServer(t, nil), scripted.NewServer(t, nil)
 	s := NewServers(ServerLimits{Connect: scripted.Patience, Keepalive: time.Minute, Connections: 2}, make(scripted.Lines, 10))
-	old, moved := routing.Entry{ID: "s0", Addr: a.Addr}, routing.Entry{ID: "s0", Addr: b.Addr}
+	old, moved := routing.Server{ID: "s0", Addr: a.Addr}, routing.Server{ID: "s0", Addr: b.Addr}
 	c, err := s.pool.take(t.Context(), old)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.judgeLoad("s0", errors.New("odd"))
-	s.Forget("s0")
+	s.CloseIdle("s0")
 	s.pool.put(c)
 	if c, err = s.pool.take(t.Context(), moved); err != nil || c.RemoteAddr().String() != b.Addr {
 		t.Fatalf("got a connection to %v, %v; want one to %s", c.RemoteAddr(), err, b.Addr)
 	}
 	s.pool.put(c)
-	s.Forget("s0")
+	s.CloseIdle("s0")
 	if len(s.pool.idle) > 0 || s.pool.open != 0 || len(s.unclear) > 0 {
 		t.Errorf("%d lists, %d connections, %d ids stay", len(s.pool.idle), s.pool.open, len(s.unclear))
 	}
--- a/internal/transport/servers.go
+++ b/internal/transport/servers.go
@@ -76,7 +76,7 @@
 		l.Dialect = protocol.Completions{}
 	}
 	return &Servers{log: log, dialect: l.Dialect, unclear: map[string]bool{}, live: map[*conn]bool{}, silent: l.Silent,
-		pool: &pool{connectFor: l.Connect, idleFor: idlePart(l.Keepalive), limit: l.Connections, idle: map[routing.Entry][]*conn{}}}
+		pool: &pool{connectFor: l.Connect, idleFor: idlePart(l.Keepalive), limit: l.Connections, idle: map[routing.Server][]*conn{}}}
 }
 
 // Load returns the share of the connections that are in use.
@@ -106,13 +106,13 @@
 func (s *Servers) KeepIdle(may bool) { s.pool.keepIdle(may) }
 
 // Forget closes the idle connections to a server.
-func (s *Servers) Forget(id string) {
+func (s *Servers) CloseIdle(id string) {
 	s.judgeLoad(id, nil)
 	s.pool.forget(id)
 }
 
 // Schedule implements routing.Network. Nothing is ever sent a second time here: that is the module's decision.
-func (s *Servers) Schedule(ctx context.Context, deadline time.Time, to routing.Entry, m routing.Message, written func()) routing.Head {
+func (s *Servers) Send(ctx context.Context, deadline time.Time, to routing.Server, m routing.Message, written func()) routing.AttemptResult {
 	msg := m.(*Message)
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
@@ -124,7 +124,7 @@
 	x, result := s.exchange(headCtx, to, outgoing{request: req, deadline: deadline, client: msg.client, written: written,
 		id: string(msg.id), fixedHost: msg.forward != nil})
 	if x == nil {
-		return routing.Head{Result: result, Left: result == balance.NotSent && msg.client.hasLeft()}
+		return routing.AttemptResult{Result: result, ClientGone: result == balance.NotSent && msg.client.hasLeft()}
 	}
 	judged := s.dialect.Judge(x.resp.StatusCode(), x.header)
 	switch {
@@ -137,7 +137,7 @@
 }
 
 // head writes the head of a request to a server, but for the time left.
-func (m *Message) head(to *fasthttp.RequestHeader, d protocol.Dialect, server routing.Entry) {
+func (m *Message) head(to *fasthttp.RequestHeader, d protocol.Dialect, server routing.Server) {
 	to.SetMethodBytes(m.method)
 	to.SetRequestURIBytes(m.uri)
 	to.SetNoDefaultContentType(true)
@@ -168,25 +168,25 @@
 }
 
 // streamed returns the body of a stream of completions, once its first event is there.
-func (s *Servers) streamed(ctx, headCtx context.Context, x *exchange, msg *Message) routing.Head {
+func (s *Servers) streamed(ctx, headCtx context.Context, x *exchange, msg *Message) routing.AttemptResult {
 	b := &body{exchange: x, ctx: headCtx, text: x.resp.BodyStream(), message: msg}
 	b.follow()
 	err := b.open()
 	if err == nil && x.commit(ctx) {
 		b.ctx = ctx
 		b.mayMove()
-		return routing.Head{Result: balance.OK, Body: b}
+		return routing.AttemptResult{Result: balance.OK, Body: b}
 	}
 	result := x.failed(headCtx, balance.TimedOut)
 	load := s.readLoad(x)
 	x.close()
-	return routing.Head{Result: result, Load: load}
+	return routing.AttemptResult{Result: result, Load: load}
 }
 
 // turnedDown reads an answer that gives the client nothing of its own accord. Where it is the server's final word it is kept, for
 // the client in the end.
-func (s *Servers) turnedDown(x *exchange, msg *Message, judged protocol.Judgement) routing.Head {
-	head := routing.Head{Result: judged.Result, Unfit: judged.Unfit}
+func (s *Servers) turnedDown(x *exchange, msg *Message, judged protocol.Judgement) routing.AttemptResult {
+	head := routing.AttemptResult{Result: judged.Result, RequestInvalid: judged.Unfit}
 	if msg.forward.turnedAway(x.resp.StatusCode()) {
 		head.Result = balance.NotSent // it is as well as before for others
 	}
@@ -200,7 +200,7 @@
 	if judged.Final && msg.forward != nil && err == nil {
 		final := msg.forward.answer(x.resp)
 		final.Body = bytes.Clone(text)
-		head.Final = final
+		head.ServerAnswer = final
 	}
 	head.Load = s.readLoad(x)
 	x.close()
@@ -208,7 +208,7 @@
 }
 
 // Probe implements routing.Network.
-func (s *Servers) Probe(ctx context.Context, to routing.Entry) (balance.Result, *balance.Load) {
+func (s *Servers) Probe(ctx context.Context, to routing.Server) (balance.Result, *balance.Load) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	req.Header.SetRequestURI(s.dialect.ProbePath())
--- a/internal/transport/stories_test.go
+++ b/internal/transport/stories_test.go
@@ -67,7 +67,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.core.Told(l.Members(), l.Addrs())
+	r.core.ApplyUpdate(l.Members(), l.Addrs())
 }
 
 func TestBytesPassUnchangedAndAsTheyCome(t *testing.T) {
--- a/internal/transport/unsent_test.go
+++ b/internal/transport/unsent_test.go
@@ -61,8 +61,8 @@
 			m := &Message{method: []byte("POST"), uri: []byte("/v1/chat/completions"), id: []byte("q"), client: &clientConn{Conn: accepted}}
 			leave(client)
 			awaitPeek(t, m.client)
-			head := servers.Schedule(context.Background(), time.Now().Add(time.Second), routing.Entry{ID: "s", Addr: server.Addr}, m, func() { t.Error("written") })
-			if head.Result != balance.NotSent || !head.Left {
+			head := servers.Send(context.Background(), time.Now().Add(time.Second), routing.Server{ID: "s", Addr: server.Addr}, m, func() { t.Error("written") })
+			if head.Result != balance.NotSent || !head.ClientGone {
 				t.Errorf("got %+v, want nothing sent as the client has left", head)
 			}
 			if len(server.Requests) > 0 || servers.Open() != 1 || servers.Load() != 0 {
@@ -76,7 +76,7 @@
 func TestNothingIsSentOnceTheTimeIsOver(t *testing.T) {
 	o := outgoing{request: fasthttp.AcquireRequest(), deadline: time.Now().Add(-time.Millisecond)}
 	_, accepted := pair(t)
-	if err := o.write(context.Background(), &conn{Conn: accepted, to: routing.Entry{Addr: "s:1"}}); err != errUnsent {
+	if err := o.write(context.Background(), &conn{Conn: accepted, to: routing.Server{Addr: "s:1"}}); err != errUnsent {
 		t.Errorf("got %v, want it unsent", err)
 	}
 }
