--- a/internal/router/recovery/gate_test.go
+++ b/internal/router/recovery/gate_test.go
@@ -26,9 +26,10 @@
 	return m
 }
 
-// asks plays arrivals of both classes, 20 a second of each, for a while; answers says how a "fill" is answered. It returns who went on.
-func asks(g *Gate, from, length time.Duration, answer func(now time.Duration, id string) []balance.Event) (on, of map[string]int) {
-	on, of = map[string]int{}, map[string]int{}
+// arrivals plays arrivals of both classes, 20 a second of each, for a while; answer says how a
+// "fill" is answered. It returns how many of each class passed, and came.
+func arrivals(g *Gate, from, length time.Duration, answer func(now time.Duration, id string) []balance.Event) (passed, came map[string]int) {
+	passed, came = map[string]int{}, map[string]int{}
 	n := 0
 	for now := from; now < from+length; now += 50 * ms {
 		var events []balance.Event
@@ -36,7 +37,7 @@
 			n++
 			id := fmt.Sprint(c.class.Name, from, n)
 			events = append(events, balance.Arrival{ID: id, Class: c.class.Name, PromptTokens: 1000, TimeLeft: c.class.Deadline})
-			of[c.class.Name]++
+			came[c.class.Name]++
 			if answer != nil && c.class.Name == "fill" {
 				events = append(events, answer(now, id)...)
 			}
@@ -44,28 +45,28 @@
 		pass, _ := g.Step(now, events)
 		for _, e := range pass {
 			if a, ok := e.(balance.Arrival); ok {
-				on[a.Class]++
+				passed[a.Class]++
 			}
 		}
 	}
-	return on, of
+	return passed, came
 }
 
-// Warm hosts: nothing is turned away. Cold ones: nothing of the highest worth, and of the next as much as it leaves of what hosts can do; more with
-// time, all once they are warm.
-func TestGate(t *testing.T) {
+// Warm hosts: nothing is rejected. Hosts that are warming up: nothing of the highest value, and of
+// the next as much as it leaves of what hosts can do; more with time, all once they are warm.
+func TestGateAdmitsByValueWhileHostsWarmUp(t *testing.T) {
 	const start = 1000 * s
 	well := func(_ time.Duration, id string) []balance.Event { return []balance.Event{balance.FirstToken{ID: id}} }
 	g := NewGate(twoClasses(), nil, 1)
 	g.Step(start, []balance.Event{listed(6, 0)})
-	if on, of := asks(g, start, 5*s, well); on["fill"] != of["fill"] || on["chat"] != of["chat"] {
+	if on, of := arrivals(g, start, 5*s, well); on["fill"] != of["fill"] || on["chat"] != of["chat"] {
 		t.Errorf("warm: %v of %v", on, of)
 	}
 	began := start + 10*s
 	g.Step(began, []balance.Event{listed(6, began)})
 	var parts []float64
 	for i := range 4 {
-		on, of := asks(g, began+time.Duration(i)*2*s, 2*s, well)
+		on, of := arrivals(g, began+time.Duration(i)*2*s, 2*s, well)
 		if on["fill"] != of["fill"] {
 			t.Errorf("cold: %v of %v", on, of)
 		}
@@ -74,19 +75,20 @@
 	if parts[0] > 0.1 || parts[3] < 0.5 {
 		t.Errorf("chat: %.2f", parts)
 	}
-	if on, of := asks(g, began+8*s, s, well); on["chat"] != of["chat"] {
+	if on, of := arrivals(g, began+8*s, s, well); on["chat"] != of["chat"] {
 		t.Errorf("warm again: %v of %v", on, of)
 	}
 	if g.Rejected == 0 {
 		t.Error("nothing is counted")
 	}
 
-	// A release makes a tenth of the hosts cold: nearly all goes on, though the highest worth is late.
+	// A release makes a tenth of the hosts cold: nearly all goes on, though the highest worth is
+	// late.
 	g = NewGate(twoClasses(), nil, 1)
 	release := listed(10, 0)
 	release.Members[3].StartedAt = began
 	g.Step(began, []balance.Event{release})
-	if on, of := asks(g, began, 4*s, nil); float64(on["chat"]) < 0.8*float64(of["chat"]) {
+	if on, of := arrivals(g, began, 4*s, nil); float64(on["chat"]) < 0.8*float64(of["chat"]) {
 		t.Errorf("a tenth is cold: %v of %v", on, of)
 	}
 
@@ -96,7 +98,7 @@
 		c.Classes[0].LatencyTargetPer1000Tokens = 0
 		g := NewGate(c, map[string]float64{"fill": 1000, "chat": 50000}, 1)
 		g.Step(began, []balance.Event{listed(6, began)})
-		on, of := asks(g, began+4*s, 3*s, answer)
+		on, of := arrivals(g, began+4*s, 3*s, answer)
 		return float64(on["chat"]) / float64(of["chat"])
 	}
 	if a, b := share(well), share(nil); a < 2*b || a == 0 {
@@ -104,13 +106,13 @@
 	}
 }
 
-// Classes of one worth are alike, and half the hosts warm is a share like another.
-func TestGateAlike(t *testing.T) {
+// Classes of one value are alike, and half the hosts warm is a fraction like another.
+func TestClassesOfOneValueAreAlike(t *testing.T) {
 	c := twoClasses()
 	c.Classes[1].Value = 5
 	g := NewGate(c, nil, 1)
 	g.Step(s, []balance.Event{listed(6, s)})
-	if on, of := asks(g, s, 4*s, nil); on["chat"] != of["chat"] || on["fill"] != of["fill"] {
+	if on, of := arrivals(g, s, 4*s, nil); on["chat"] != of["chat"] || on["fill"] != of["fill"] {
 		t.Errorf("one worth: %v of %v", on, of)
 	}
 	m := listed(6, 100*s)
@@ -124,8 +126,9 @@
 	}
 }
 
-// A client that asks again after its aim has passed takes nobody's place; one whose time has an unknown beginning is taken for a first.
-func TestGateOldTries(t *testing.T) {
+// An attempt whose latency target has passed takes nobody's place; one whose time has an unknown
+// beginning is taken for a first.
+func TestStaleRetriesAreRejected(t *testing.T) {
 	g := NewGate(twoClasses(), nil, 1)
 	g.Step(s, []balance.Event{listed(6, s)})
 	for _, x := range []struct {
@@ -147,9 +150,9 @@
 	}
 }
 
-// Whatever comes: an arrival goes on or is refused, each once; what is not an arrival goes on; nothing of the highest worth is refused that is not
-// old; what is kept is bounded.
-func TestGateHolds(t *testing.T) {
+// Whatever comes: an arrival passes or is rejected, each once; what is no arrival passes; nothing
+// of the highest value is rejected that is not stale; what is pending is bounded.
+func TestGatePassesOrRejectsEachArrivalOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := twoClasses()
 		g := NewGate(c, map[string]float64{"fill": rapid.Float64Range(0, 1e6).Draw(t, "usual"), "gone": 3}, rapid.Uint64().Draw(t, "seed"))
@@ -194,8 +197,8 @@
 	})
 }
 
-// What is learned is averaged, goes on from another life, and drops classes that are gone.
-func TestUsual(t *testing.T) {
+// What is learned is averaged, goes on from another process, and drops classes that are gone.
+func TestBaselineAveragesAndDropsClasses(t *testing.T) {
 	var u Baseline
 	if _, ok := u.Learned(); ok {
 		t.Error("something is there at the start")
--- a/internal/router/recovery/golden_test.go
+++ b/internal/router/recovery/golden_test.go
@@ -8,20 +8,21 @@
 	"reachspread/internal/testbed/golden"
 )
 
-// Words, questions and replies have the bytes that they had at commit 5bfcc27, and are read from them.
+// Announcements, queries and replies have the bytes that they had at commit 5bfcc27, and are read
+// from them.
 func TestDatagramsKeepTheirBytes(t *testing.T) {
-	word := Announcement{From: "router-1", Boot: 0xfedcba98, Uptime: 90 * time.Minute, ListVersion: 1 << 40, ListSource: 0x0123456789abcdef, Stage: Admitting,
+	announcement := Announcement{From: "router-1", Boot: 0xfedcba98, Uptime: 90 * time.Minute, ListVersion: 1 << 40, ListSource: 0x0123456789abcdef, Stage: Admitting,
 		Measure: Measure{HostWork: 17 * time.Millisecond, RequestWork: 2500 * time.Microsecond}}
-	asks := Announcement{WantsReply: true, From: "r", Boot: 1}
-	question := HostQuery{From: "router-2", Tags: []uint32{1, 0xabcdef, 0xfedcba98}}
+	request := Announcement{WantsReply: true, From: "r", Boot: 1}
+	query := HostQuery{From: "router-2", Tags: []uint32{1, 0xabcdef, 0xfedcba98}}
 	reply := HostReply{From: "router-3", ListVersion: 300, ListSource: 0x0123456789abcdef, FirstTag: 0xabcdef, TagCount: 3, Excluded: []uint32{1, 0xfedcba98}}
 	data := golden.Check(t, "datagrams", []golden.Record{
-		{Name: "word", Data: word.Encode()},
-		{Name: "word-that-asks", Data: asks.Encode()},
-		{Name: "question", Data: question.Encode()},
+		{Name: "word", Data: announcement.Encode()},
+		{Name: "word-that-asks", Data: request.Encode()},
+		{Name: "question", Data: query.Encode()},
 		{Name: "reply", Data: reply.Encode()},
 	})
-	for name, want := range map[string]Event{"word": AnnouncementReceived{word}, "word-that-asks": AnnouncementReceived{asks}, "question": QueryReceived{question}, "reply": ReplyReceived{reply}} {
+	for name, want := range map[string]Event{"word": AnnouncementReceived{announcement}, "word-that-asks": AnnouncementReceived{request}, "question": QueryReceived{query}, "reply": ReplyReceived{reply}} {
 		if got, err := Decode(data[name]); err != nil || !reflect.DeepEqual(got, want) {
 			t.Errorf("%s is read as %+v, not %+v (%v)", name, got, want, err)
 		}
