--- a/internal/testbed/chaos/chaos.go
+++ b/internal/testbed/chaos/chaos.go
@@ -162,14 +162,14 @@
 	if p.spec.Routers > mostRouters {
 		return fmt.Errorf("routers is %d; the rig has addresses for %d", p.spec.Routers, mostRouters)
 	}
-	shape := p.spec.Shape()
+	topology := p.spec.Topology()
 	if v := x.Rig.Voters; v > 0 && (!x.Rig.View || v%2 == 0 || v > p.spec.Routers || x.Rig.Seeds > 0) {
 		return fmt.Errorf("voters is %d; it needs view = true without seeds, must be odd, and not more than the routers, %d", v, p.spec.Routers)
 	}
 	if err := x.CheckFor(faults.Rig); err != nil && !p.o.Drawn {
 		return err
 	}
-	if err := faults.Check(p.o.Faults, shape, faults.Rig, p.spec.Length); err != nil {
+	if err := faults.Check(p.o.Faults, topology, faults.Rig, p.spec.Length); err != nil {
 		return err
 	}
 	for _, f := range p.o.Faults {
@@ -183,7 +183,7 @@
 	if _, err := os.Stat(p.o.Program); err != nil {
 		return fmt.Errorf("the router's program: %w", err)
 	}
-	return enoughDescriptors(p.spec.Routers, len(shape.Hosts))
+	return enoughDescriptors(p.spec.Routers, len(topology.Hosts))
 }
 
 // open makes the folder and begins the history.
@@ -200,7 +200,7 @@
 	}
 	x := &p.o.Experiment.Rig
 	p.rec.add(history.Event{What: history.Begin, Play: &history.Play{Version: history.Version, World: "rig", Name: p.o.Experiment.Name, Seed: p.o.Seed,
-		Routers: p.spec.Routers, Hosts: len(p.spec.Shape().Hosts), Schedule: faults.Text(p.o.Faults), Slack: x.Slack.Nanoseconds(),
+		Routers: p.spec.Routers, Hosts: len(p.spec.Topology().Hosts), Schedule: faults.Text(p.o.Faults), Slack: x.Slack.Nanoseconds(),
 		Memory: int64(x.MemoryMB) << 20, Sockets: x.Sockets, Leave: leaveWithin.Nanoseconds(), Settle: x.Settle.Nanoseconds(), Views: p.viewsWithin().Nanoseconds()}})
 	return nil
 }
@@ -398,7 +398,7 @@
 }
 
 // network has all links be as the faults of the moment have them.
-func (p *play) network(on []*faults.Strike, listDown bool) error {
+func (p *play) network(on []*faults.Injection, listDown bool) error {
 	if p.mesh != nil {
 		p.mesh.Set(on)
 	}
@@ -409,7 +409,7 @@
 		all.Go(func() {
 			near := faults.End{Kind: faults.AtRouter, N: i}
 			out, in := faults.ConditionOf(on, near, far), faults.ConditionOf(on, far, near)
-			out.Cut = out.Cut || cut
+			out.Blackholed = out.Blackholed || cut
 			if err := c.Set(out, in); err != nil {
 				mu.Lock()
 				failed = errors.Join(failed, err)
--- a/internal/testbed/chaos/player.go
+++ b/internal/testbed/chaos/player.go
@@ -25,17 +25,17 @@
 
 // player carries a schedule out.
 type player struct {
-	p       *play
-	strikes []*faults.Strike
+	p          *play
+	injections []*faults.Injection
 
 	mu   sync.Mutex
-	on   []*faults.Strike // of links, by now
-	list int              // faults that have the list down
+	on   []*faults.Injection // of links, by now
+	list int                 // faults that have the list down
 	errs error
 }
 
 func newPlayer(p *play) *player {
-	return &player{p: p, strikes: faults.Resolve(p.o.Faults, p.spec.Shape(), p.o.Seed)}
+	return &player{p: p, injections: faults.Resolve(p.o.Faults, p.spec.Topology(), p.o.Seed)}
 }
 
 // run plays all faults, each in its own time, and returns once all are over. The play's clock begins now.
@@ -46,7 +46,7 @@
 	over, cancel := context.WithDeadline(ctx, begun.Add(y.p.spec.Length)) // what a fault waits for may never happen
 	defer cancel()
 	var all sync.WaitGroup
-	for n, s := range y.strikes {
+	for n, s := range y.injections {
 		all.Go(func() {
 			if !y.due(over, s, begun, from) {
 				if ctx.Err() == nil {
@@ -70,7 +70,7 @@
 }
 
 // due waits for a fault's time or event, and tells whether it came.
-func (y *player) due(ctx context.Context, s *faults.Strike, begun time.Time, from int) bool {
+func (y *player) due(ctx context.Context, s *faults.Injection, begun time.Time, from int) bool {
 	at := begun.Add(s.At)
 	if w := s.When; w != nil {
 		left := max(w.Nth, 1)
@@ -100,7 +100,7 @@
 }
 
 // play has a fault begin, last and end. One that ctx ends ends as well: what it had stand still goes on.
-func (y *player) play(ctx context.Context, s *faults.Strike) error {
+func (y *player) play(ctx context.Context, s *faults.Injection) error {
 	if faults.Of(s.Kind).OfLinks() {
 		err := y.links(s, true, 0)
 		wait(ctx, s.Length)
@@ -129,7 +129,7 @@
 			}
 		})
 	}
-	if s.StrikesList() {
+	if s.HitsList() {
 		if err := y.links(s, true, 1); err != nil {
 			return err
 		}
@@ -141,66 +141,66 @@
 		each(func() error { return y.host(ctx, s, n) })
 	}
 	all.Wait()
-	if s.StrikesList() {
+	if s.HitsList() {
 		errs = errors.Join(errs, y.links(s, false, 1))
 	}
 	return errs
 }
 
 // links has a fault of links begin or end; list counts it among those that have the list down.
-func (y *player) links(s *faults.Strike, on bool, list int) error {
+func (y *player) links(s *faults.Injection, on bool, list int) error {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	if on {
 		y.on = append(y.on, s)
 		y.list += list
 	} else {
-		y.on = slices.DeleteFunc(y.on, func(x *faults.Strike) bool { return x == s })
+		y.on = slices.DeleteFunc(y.on, func(x *faults.Injection) bool { return x == s })
 		y.list -= list
 	}
 	return y.p.network(y.on, y.list > 0)
 }
 
 // host plays a fault of a host. One whose process is gone refuses connections, behind its relays, too.
-func (y *player) host(ctx context.Context, s *faults.Strike, n int) error {
+func (y *player) host(ctx context.Context, s *faults.Injection, n int) error {
 	refuse := func(on bool) (errs error) {
 		for _, row := range y.p.hosts {
 			errs = errors.Join(errs, row[n].Refuse(on))
 		}
 		return errs
 	}
-	gone := s.Kind == faults.Kill || s.Kind == faults.Power || s.Kind == faults.Rename || s.Kind == faults.Refuse
-	strike := func(ends bool) error {
+	down := s.Kind == faults.Kill || s.Kind == faults.Power || s.Kind == faults.Rename || s.Kind == faults.Refuse
+	inject := func(ends bool) error {
 		y.mu.Lock()
 		defer y.mu.Unlock()
-		if gone && !ends {
+		if down && !ends {
 			if err := refuse(true); err != nil {
 				return err
 			}
 		}
-		if err := y.p.fleet.Strike(n, s.Fault, ends); err != nil {
+		if err := y.p.fleet.Inject(n, s.Fault, ends); err != nil {
 			return err
 		}
-		if gone && ends && y.p.fleet.Hosts[n].Listens() {
+		if down && ends && y.p.fleet.Hosts[n].Listens() {
 			return refuse(false)
 		}
 		return nil
 	}
-	if err := strike(false); err != nil {
+	if err := inject(false); err != nil {
 		return err
 	}
 	wait(ctx, s.Length)
-	return strike(true)
+	return inject(true)
 }
 
 // router plays a fault of a router.
-func (y *player) router(ctx context.Context, s *faults.Strike, r *router) error {
+func (y *player) router(ctx context.Context, s *faults.Injection, r *router) error {
 	switch s.Kind {
 	case faults.Kill, faults.Power:
 		r.kill()
 		wait(ctx, s.Length)
 		return r.revive(func() error { return y.disk(s, r) })
-	case faults.Pause:
+	case faults.Freeze:
 		r.still(true)
 		wait(ctx, s.Length)
 		r.still(false)
@@ -272,7 +272,7 @@
 // burst is the length of one standstill with the time until the next one.
 const burst = 200 * time.Millisecond
 
-func (y *player) crawl(ctx context.Context, s *faults.Strike, r *router) {
+func (y *player) crawl(ctx context.Context, s *faults.Injection, r *router) {
 	for end := time.Now().Add(s.Length); time.Now().Before(end) && ctx.Err() == nil; {
 		r.still(true)
 		wait(ctx, time.Duration(s.Share*float64(burst)))
@@ -282,7 +282,7 @@
 }
 
 // restart is a planned one: SIGTERM, and a start once the old process is gone.
-func (y *player) restart(ctx context.Context, s *faults.Strike, r *router) error {
+func (y *player) restart(ctx context.Context, s *faults.Injection, r *router) error {
 	x := r.newest()
 	if x == nil {
 		wait(ctx, s.Length)
@@ -322,7 +322,7 @@
 const takesWithin = 6 * time.Second
 
 // replace starts a second process and ends the first once the second takes clients.
-func (y *player) replace(ctx context.Context, s *faults.Strike, r *router) error {
+func (y *player) replace(ctx context.Context, s *faults.Injection, r *router) error {
 	old := r.newest()
 	if old == nil {
 		wait(ctx, s.Length)
@@ -379,7 +379,7 @@
 }
 
 // noWrite has the durable folder be a file.
-func (y *player) noWrite(ctx context.Context, s *faults.Strike, r *router) error {
+func (y *player) noWrite(ctx context.Context, s *faults.Injection, r *router) error {
 	away := r.disk() + ".away"
 	r.mu.Lock()
 	err := os.Rename(r.disk(), away)
@@ -404,7 +404,7 @@
 }
 
 // disk does to a router's durable folder what a fault says, while none of its processes lives.
-func (y *player) disk(s *faults.Strike, r *router) error {
+func (y *player) disk(s *faults.Injection, r *router) error {
 	switch info, err := os.Stat(r.disk()); {
 	case err != nil:
 		return err
@@ -428,7 +428,7 @@
 			return err
 		}
 		return copyFolder(r.older(), r.disk())
-	case faults.DiskCut:
+	case faults.DiskTruncated:
 		return filepath.WalkDir(r.disk(), func(path string, e fs.DirEntry, err error) error {
 			if err != nil || e.IsDir() {
 				return err
--- a/internal/testbed/chaos/series.go
+++ b/internal/testbed/chaos/series.go
@@ -103,7 +103,7 @@
 			kinds = append(kinds, m.Kind)
 		}
 	}
-	all := faults.Draw(faults.Bounds{Length: s.Experiment.Spec.Length, Faults: s.Faults, Kinds: kinds, World: faults.Rig}, s.Experiment.Shape(), seed)
+	all := faults.Draw(faults.Bounds{Length: s.Experiment.Spec.Length, Faults: s.Faults, Kinds: kinds, World: faults.Rig}, s.Experiment.Topology(), seed)
 	if s.Beside {
 		all = append(slices.Clone(s.Experiment.Faults), all...)
 	}
--- a/internal/testbed/experiment/schedule.go
+++ b/internal/testbed/experiment/schedule.go
@@ -88,7 +88,7 @@
 			if !(part > 0 && part <= 1) {
 				return "must be a share above 0 and up to 1, a list of numbers from 0, \"all\" or a zone"
 			}
-			s.Part = part
+			s.Fraction = part
 			return ""
 		}
 		if word, ok := text(v); ok && word != "" {
@@ -152,8 +152,8 @@
 	}
 }
 
-// Shape is the fleet as schedules see it.
-func (x *Experiment) Shape() *faults.Shape { return x.Spec.Shape() }
+// Topology is the fleet as schedules see it.
+func (x *Experiment) Topology() *faults.Topology { return x.Spec.Topology() }
 
 // onSockets has for each trouble of virtual time the fault that means the same. Those that clients make are played
 // everywhere.
@@ -170,5 +170,5 @@
 			}
 		}
 	}
-	return faults.Check(x.Faults, x.Shape(), world, x.Spec.Length)
+	return faults.Check(x.Faults, x.Topology(), world, x.Spec.Length)
 }
--- a/internal/testbed/experiment/schedule_test.go
+++ b/internal/testbed/experiment/schedule_test.go
@@ -42,7 +42,7 @@
 		t.Fatal(err)
 	}
 	for seed := range uint64(300) {
-		drawn := faults.Draw(faults.Bounds{Length: 10 * time.Second, Faults: 12, World: faults.Rig}, x.Shape(), seed)
+		drawn := faults.Draw(faults.Bounds{Length: 10 * time.Second, Faults: 12, World: faults.Rig}, x.Topology(), seed)
 		drawn[0].When = &faults.When{What: "phase", Who: "r1", Text: "serving", Nth: 2}
 		y, err := Parse([]byte(fleetOf+faults.Text(drawn)), "y.hcl")
 		if err != nil {
@@ -103,13 +103,13 @@
 		spec := x.World(0, seed)
 		spec.Routers = 9 // enough to tell each other
 		spec.Peers = simulator.Peers{On: true, Most: 5 * time.Millisecond}
-		spec.Faults = faults.Draw(faults.Bounds{Length: spec.Length, World: faults.Lab}, spec.Shape(), seed)
+		spec.Faults = faults.Draw(faults.Bounds{Length: spec.Length, World: faults.Lab}, spec.Topology(), seed)
 		for i := range spec.Faults { // as virtual time has them
 			f := &spec.Faults[i]
 			f.Disk, f.File, f.Keep = "", "", 0
 			if len(f.Links) > 0 && f.Links[0] != faults.LinkPeers || len(f.Links) > 1 {
 				f.Links, f.Routers, f.Direction = []string{faults.LinkHosts}, faults.Select{All: true}, ""
-				f.Kind, f.Share, f.Delay, f.Jitter = faults.Cut, 0, 0, 0
+				f.Kind, f.Share, f.Delay, f.Jitter = faults.Blackhole, 0, 0, 0
 			}
 			kinds[f.Kind]++
 		}
--- a/internal/testbed/fakes/faults.go
+++ b/internal/testbed/fakes/faults.go
@@ -18,11 +18,11 @@
 func (f *Fleet) Play(ctx context.Context, all []faults.Fault, tell func(string)) error {
 	type turn struct {
 		at     time.Duration
-		strike *faults.Strike
+		strike *faults.Injection
 		ends   bool
 	}
 	var turns []turn
-	for _, s := range faults.Resolve(all, f.spec.Shape(), f.spec.Seed) {
+	for _, s := range faults.Resolve(all, f.spec.Topology(), f.spec.Seed) {
 		turns = append(turns, turn{s.At, s, false}, turn{s.At + s.Length, s, true})
 	}
 	slices.SortStableFunc(turns, func(a, b turn) int { return int(a.at - b.at) })
@@ -38,7 +38,7 @@
 			word = "ends"
 		}
 		for _, n := range t.strike.Hosts {
-			if err := f.Strike(n, t.strike.Fault, t.ends); err != nil {
+			if err := f.Inject(n, t.strike.Fault, t.ends); err != nil {
 				return fmt.Errorf("host-%d: %s: %w", n+1, t.strike.Kind, err)
 			}
 			tell(fmt.Sprintf("%v host-%d: %s %s", t.at, n+1, t.strike.Kind, word))
@@ -47,9 +47,9 @@
 	return nil
 }
 
-// Strike begins or ends a fault at a host. Faults may lie over one another: a host that two have killed starts as the last
+// Inject begins or ends a fault at a host. Faults may lie over one another: a host that two have killed starts as the last
 // of them ends.
-func (f *Fleet) Strike(n int, x *faults.Fault, ends bool) error {
+func (f *Fleet) Inject(n int, x *faults.Fault, ends bool) error {
 	h := f.Hosts[n]
 	switch x.Kind {
 	case faults.Stall, faults.Garbage, faults.Reset:
--- a/internal/testbed/faultproxy/faultproxy_test.go
+++ b/internal/testbed/faultproxy/faultproxy_test.go
@@ -84,14 +84,14 @@
 // bridge; what is flipped differs in one bit; a long one is told of.
 func TestMesh(t *testing.T) {
 	r := newRouters(t, 3)
-	shape := &faults.Shape{Routers: []string{"", "", ""}}
+	shape := &faults.Topology{Routers: []string{"", "", ""}}
 	set := func(all ...faults.Fault) { r.mesh.Set(faults.Resolve(all, shape, 1)) }
 	r.send(0, 1, "one")
 	r.send(1, 0, "two")
 	if a, b := r.hear(1, 0), r.hear(0, 1); a != "one" || b != "two" {
 		t.Errorf("got %q and %q", a, b)
 	}
-	set(faults.Fault{Kind: faults.Cut, Routers: faults.Select{Numbers: []int{0}}, Direction: faults.Out})
+	set(faults.Fault{Kind: faults.Blackhole, Routers: faults.Select{Numbers: []int{0}}, Direction: faults.Out})
 	r.send(0, 1, "lost")
 	r.send(1, 0, "comes")
 	if got := r.hear(0, 1); got != "comes" {
@@ -249,7 +249,7 @@
 		if err := p.echo(c, "before", patience); err != nil {
 			t.Fatal(err)
 		}
-		p.set(faults.Condition{Cut: true})
+		p.set(faults.Condition{Blackholed: true})
 		if err := p.echo(c, "x", 50*ms); !errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("round %d: what is open: %v", round, err)
 		}
@@ -293,7 +293,7 @@
 	}
 	refuse(true)
 	refused("first")
-	p.set(faults.Condition{Cut: true})
+	p.set(faults.Condition{Blackholed: true})
 	refused("in a cut")
 	refuse(false)
 	if _, err := net.DialTimeout("tcp4", p.relay.Addr(), 60*ms); !timedOut(err) {
--- a/internal/testbed/faultproxy/tcp.go
+++ b/internal/testbed/faultproxy/tcp.go
@@ -104,7 +104,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.out.Condition, r.in.Condition = out, in
-	cut := out.Cut || in.Cut
+	cut := out.Blackholed || in.Blackholed
 	if cut == r.cut || r.closed {
 		return nil
 	}
@@ -262,7 +262,7 @@
 		if n > 0 {
 			p := piece{text: append([]byte(nil), buf[:n]...)}
 			r.mu.Lock()
-			late := link.Piece()
+			late := link.ChunkDelay()
 			r.mu.Unlock()
 			if late > 0 || !last.IsZero() {
 				if p.due = time.Now().Add(late); p.due.Before(last) {
--- a/internal/testbed/faultproxy/udp.go
+++ b/internal/testbed/faultproxy/udp.go
@@ -74,7 +74,7 @@
 }
 
 // Set has each direction of each link be as the faults of the moment have it.
-func (m *Mesh) Set(on []*faults.Strike) {
+func (m *Mesh) Set(on []*faults.Injection) {
 	for i, row := range m.links {
 		for j, l := range row {
 			c := faults.ConditionOf(on, faults.End{N: i}, faults.End{N: j})
--- a/internal/testbed/faults/check.go
+++ b/internal/testbed/faults/check.go
@@ -17,25 +17,25 @@
 
 // Check returns what is wrong with a schedule for a fleet of a shape, in a world, of a length. It is one line that names
 // place and field.
-func Check(all []Fault, shape *Shape, world World, length time.Duration) error {
+func Check(all []Fault, topology *Topology, world World, length time.Duration) error {
 	if len(all) > Most {
 		return all[Most].wrong("fault", "is one more than the %d that a schedule may have", Most)
 	}
 	for i := range all {
-		if err := all[i].check(shape, world, length); err != nil {
+		if err := all[i].check(topology, world, length); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (f *Fault) check(shape *Shape, world World, length time.Duration) error {
+func (f *Fault) check(topology *Topology, world World, length time.Duration) error {
 	m := Of(f.Kind)
 	switch {
 	case m == nil:
 		return f.wrong("fault", "%q is unknown", f.Kind)
 	case !m.In(world):
-		return f.wrong("fault", "%q does not exist %s", f.Kind, world.words())
+		return f.wrong("fault", "%q does not exist %s", f.Kind, world.list())
 	case f.When == nil && (f.At < 0 || f.At >= length):
 		return f.wrong("at", "is %v; the play is over after %v", f.At, length)
 	case f.When == nil && f.At+f.Length > length:
@@ -54,21 +54,21 @@
 		return f.wrong("size", "must be more than 0")
 	}
 	if f.Kind == Power {
-		if f.Zone != "" && !slices.Contains(shape.Routers, f.Zone) && !slices.Contains(shape.Hosts, f.Zone) {
+		if f.Zone != "" && !slices.Contains(topology.Routers, f.Zone) && !slices.Contains(topology.Hosts, f.Zone) {
 			return f.wrong("zone", "%q has neither router nor host", f.Zone)
 		}
 		return nil
 	}
 	if f.Kind == Partition {
-		return f.checkGroups(shape)
+		return f.checkGroups(topology)
 	}
 	for _, x := range []struct {
 		field string
 		sel   *Select
 		of    []string
 		takes bool
-	}{{"routers", &f.Routers, shape.Routers, m.strikes&(routers|links) != 0}, {"peers", &f.Peers, shape.Routers, m.strikes&links != 0},
-		{"hosts", &f.Hosts, shape.Hosts, m.strikes&(hosts|links) != 0}} {
+	}{{"routers", &f.Routers, topology.Routers, m.targets&(routers|links) != 0}, {"peers", &f.Peers, topology.Routers, m.targets&links != 0},
+		{"hosts", &f.Hosts, topology.Hosts, m.targets&(hosts|links) != 0}} {
 		if x.sel.Nobody() {
 			continue
 		}
@@ -79,12 +79,12 @@
 			return f.wrong(x.field, "%s", why)
 		}
 	}
-	if m.strikes == 0 { // the list itself
+	if m.targets == 0 { // the list itself
 		return nil
 	}
-	if f.Routers.Nobody() && (m.strikes&hosts == 0 || f.Hosts.Nobody()) {
+	if f.Routers.Nobody() && (m.targets&hosts == 0 || f.Hosts.Nobody()) {
 		field := "routers"
-		if m.strikes == hosts {
+		if m.targets == hosts {
 			field = "hosts"
 		}
 		return f.wrong(field, "names no one: a fault needs whom it strikes")
@@ -103,15 +103,15 @@
 	return nil
 }
 
-func (f *Fault) checkGroups(shape *Shape) error {
+func (f *Fault) checkGroups(topology *Topology) error {
 	if f.Zones == (len(f.Groups) > 0) {
 		return f.wrong("groups", "must be \"zones\" or lists of routers by number")
 	}
 	in := map[int]bool{}
 	for _, group := range append(slices.Clone(f.Groups), f.Bridge) {
 		for _, n := range group {
-			if n < 0 || n >= len(shape.Routers) {
-				return f.wrong("groups", "has router %d; there are %d, from 0", n, len(shape.Routers))
+			if n < 0 || n >= len(topology.Routers) {
+				return f.wrong("groups", "has router %d; there are %d, from 0", n, len(topology.Routers))
 			}
 		}
 	}
@@ -140,13 +140,13 @@
 		return "names no one: there are none"
 	case s.Zone != "" && !slices.Contains(of, s.Zone):
 		return fmt.Sprintf("is %q; nobody stands there", s.Zone)
-	case s.Part < 0 || s.Part > 1:
-		return fmt.Sprintf("is %v; a share must be from 0 to 1", s.Part)
+	case s.Fraction < 0 || s.Fraction > 1:
+		return fmt.Sprintf("is %v; a share must be from 0 to 1", s.Fraction)
 	}
 	return ""
 }
 
-func (w World) words() string {
+func (w World) list() string {
 	switch w {
 	case Rig:
 		return "on the rig"
--- a/internal/testbed/faults/draw.go
+++ b/internal/testbed/faults/draw.go
@@ -15,7 +15,7 @@
 }
 
 // Draw draws a schedule. It passes Check for the shape.
-func Draw(b Bounds, shape *Shape, seed uint64) []Fault {
+func Draw(b Bounds, topology *Topology, seed uint64) []Fault {
 	rng := rand.New(rand.NewPCG(seed, 0xd4a3))
 	kinds := b.Kinds
 	if len(kinds) == 0 {
@@ -31,8 +31,8 @@
 	}
 	var all []Fault
 	for n := 1 + rng.IntN(most); len(all) < n; {
-		f := drawOne(kinds[rng.IntN(len(kinds))], shape, rng, b.Length)
-		if f.check(shape, b.World, b.Length) == nil {
+		f := drawOne(kinds[rng.IntN(len(kinds))], topology, rng, b.Length)
+		if f.check(topology, b.World, b.Length) == nil {
 			all = append(all, f)
 		}
 	}
@@ -43,7 +43,7 @@
 // steps is what drawn times are whole numbers of: a schedule is to be read.
 const step = 100 * time.Millisecond
 
-func drawOne(k Kind, shape *Shape, rng *rand.Rand, length time.Duration) Fault {
+func drawOne(k Kind, topology *Topology, rng *rand.Rand, length time.Duration) Fault {
 	between := func(least, most time.Duration) time.Duration {
 		if most <= least {
 			return least
@@ -65,31 +65,31 @@
 		case "size":
 			f.Size = float64(2 + rng.IntN(6))
 		case "zone":
-			if rng.IntN(2) == 0 && len(shape.Routers) > 0 {
-				f.Zone = shape.Routers[rng.IntN(len(shape.Routers))]
+			if rng.IntN(2) == 0 && len(topology.Routers) > 0 {
+				f.Zone = topology.Routers[rng.IntN(len(topology.Routers))]
 			}
 		case "disk":
-			if f.Disk = []Disk{DiskOwn, DiskOwn, DiskEmpty, DiskOther, DiskCut}[rng.IntN(5)]; f.Disk == DiskCut {
+			if f.Disk = []Disk{DiskUnchanged, DiskUnchanged, DiskEmpty, DiskOther, DiskTruncated}[rng.IntN(5)]; f.Disk == DiskTruncated {
 				f.Keep = tenths(0, 9)
 			}
 		case "groups":
-			if f.Zones = rng.IntN(2) == 0 && zones(shape.Routers) > 1; !f.Zones {
-				order := rng.Perm(len(shape.Routers))
+			if f.Zones = rng.IntN(2) == 0 && zones(topology.Routers) > 1; !f.Zones {
+				order := rng.Perm(len(topology.Routers))
 				at := 1 + rng.IntN(max(len(order)-1, 1))
 				f.Groups = [][]int{order[:at], order[at:]}
 				slices.Sort(f.Groups[0])
 				slices.Sort(f.Groups[1])
 			}
 		case "bridge":
-			if rng.IntN(3) == 0 && len(shape.Routers) > 2 {
-				f.Bridge = []int{rng.IntN(len(shape.Routers))}
+			if rng.IntN(3) == 0 && len(topology.Routers) > 2 {
+				f.Bridge = []int{rng.IntN(len(topology.Routers))}
 			}
 		}
 	}
 	some := func(of []string) (s Select) {
 		switch rng.IntN(4) {
 		case 0:
-			s.Part = tenths(2, 7)
+			s.Fraction = tenths(2, 7)
 		case 1:
 			if len(of) > 0 && of[0] != "" {
 				s.Zone = of[rng.IntN(len(of))]
@@ -104,17 +104,17 @@
 		return s
 	}
 	switch {
-	case k == Power || k == Partition || m.strikes == 0:
+	case k == Power || k == Partition || m.targets == 0:
 	case m.OfLinks():
-		f.Routers = some(shape.Routers)
+		f.Routers = some(topology.Routers)
 		f.Links = [][]string{nil, {LinkHosts}, {LinkPeers, LinkHosts}, {LinkList}, {LinkPeers, LinkHosts, LinkList}}[rng.IntN(5)]
-		if k == Cut {
+		if k == Blackhole {
 			f.Direction = []Direction{Both, Both, Out, In}[rng.IntN(4)]
 		}
-	case m.strikes == routers|hosts && rng.IntN(2) == 0, m.strikes == hosts:
-		f.Hosts, f.Disk, f.Keep = some(shape.Hosts), "", 0
+	case m.targets == routers|hosts && rng.IntN(2) == 0, m.targets == hosts:
+		f.Hosts, f.Disk, f.Keep = some(topology.Hosts), "", 0
 	default:
-		f.Routers = some(shape.Routers)
+		f.Routers = some(topology.Routers)
 	}
 	return f
 }
--- a/internal/testbed/faults/faults_test.go
+++ b/internal/testbed/faults/faults_test.go
@@ -12,7 +12,7 @@
 
 const ms = time.Millisecond
 
-var shape = &Shape{Routers: []string{"a", "b", "a", "b", "a"}, Hosts: []string{"a", "a", "b"}}
+var shape = &Topology{Routers: []string{"a", "b", "a", "b", "a"}, Hosts: []string{"a", "a", "b"}}
 
 // What a schedule may not say, with the field that is at fault.
 func TestCheck(t *testing.T) {
@@ -27,12 +27,12 @@
 		`hosts names no one`:                         {Kind: Slow, Size: 2},
 		`routers has 5; there are 5, from 0`:         {Kind: Kill, Routers: Select{Numbers: []int{0, 5}}},
 		`hosts is "c"; nobody stands there`:          {Kind: Kill, Hosts: Select{Zone: "c"}},
-		`links has "walls"`:                          {Kind: Cut, Routers: Select{All: true}, Links: []string{"walls"}},
-		`direction is "up"`:                          {Kind: Cut, Routers: Select{All: true}, Direction: "up"},
+		`links has "walls"`:                          {Kind: Blackhole, Routers: Select{All: true}, Links: []string{"walls"}},
+		`direction is "up"`:                          {Kind: Blackhole, Routers: Select{All: true}, Direction: "up"},
 		`groups has router 1 twice`:                  {Kind: Partition, Groups: [][]int{{0, 1}, {1, 2}}},
 		`groups has router 9; there are 5, from 0`:   {Kind: Partition, Groups: [][]int{{0, 1}, {2}}, Bridge: []int{9}},
 		`groups must be "zones" or lists of routers`: {Kind: Partition},
-		`peers has -1`:                               {Kind: Cut, Routers: Select{All: true}, Peers: Select{Numbers: []int{-1}}},
+		`peers has -1`:                               {Kind: Blackhole, Routers: Select{All: true}, Peers: Select{Numbers: []int{-1}}},
 		`disk is "wet"`:                              {Kind: Kill, Routers: Select{All: true}, Disk: "wet"},
 	} {
 		world := Rig
@@ -57,13 +57,13 @@
 		hit  [][2]End
 		miss [][2]End
 	}{
-		"a router's links to others": {Fault{Kind: Cut, Routers: Select{Numbers: []int{1}}},
+		"a router's links to others": {Fault{Kind: Blackhole, Routers: Select{Numbers: []int{1}}},
 			[][2]End{{r(1), r(0)}, {r(4), r(1)}}, [][2]End{{r(0), r(2)}, {r(1), h(0)}, {r(1), list}}},
-		"out alone": {Fault{Kind: Cut, Routers: Select{Numbers: []int{1}}, Direction: Out},
+		"out alone": {Fault{Kind: Blackhole, Routers: Select{Numbers: []int{1}}, Direction: Out},
 			[][2]End{{r(1), r(0)}}, [][2]End{{r(0), r(1)}}},
-		"in alone, from one": {Fault{Kind: Cut, Routers: Select{Numbers: []int{1}}, Direction: In, Peers: Select{Numbers: []int{2}}},
+		"in alone, from one": {Fault{Kind: Blackhole, Routers: Select{Numbers: []int{1}}, Direction: In, Peers: Select{Numbers: []int{2}}},
 			[][2]End{{r(2), r(1)}}, [][2]End{{r(1), r(2)}, {r(0), r(1)}}},
-		"hosts of a zone": {Fault{Kind: Cut, Routers: Select{All: true}, Links: []string{LinkHosts}, Hosts: Select{Zone: "b"}},
+		"hosts of a zone": {Fault{Kind: Blackhole, Routers: Select{All: true}, Links: []string{LinkHosts}, Hosts: Select{Zone: "b"}},
 			[][2]End{{r(0), h(2)}, {h(2), r(4)}}, [][2]End{{r(0), h(0)}, {r(0), r(1)}, {r(0), list}}},
 		"the list": {Fault{Kind: Delay, Delay: 1, Routers: Select{Zone: "a"}, Links: []string{LinkList}},
 			[][2]End{{r(0), list}, {list, r(4)}}, [][2]End{{r(1), list}, {r(0), r(1)}}},
@@ -130,7 +130,7 @@
 	within("flipped", flipped, len(all)*4/10, len(all))
 	within("late", late, len(all)*51/100, len(all))
 	cut := NewLink(7, 3)
-	cut.Cut = true
+	cut.Blackholed = true
 	if got := cut.Pass(100, nil); got != nil {
 		t.Errorf("through a cut: %v", got)
 	}
@@ -139,17 +139,17 @@
 // Whatever is drawn passes the check of its world, is over in time, and is the same from the same seed.
 func TestDraw(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		shape := &Shape{}
+		topology := &Topology{}
 		for range rapid.IntRange(1, 9).Draw(t, "routers") {
-			shape.Routers = append(shape.Routers, rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "zone"))
+			topology.Routers = append(topology.Routers, rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "zone"))
 		}
 		for range rapid.IntRange(0, 5).Draw(t, "hosts") {
-			shape.Hosts = append(shape.Hosts, rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"))
+			topology.Hosts = append(topology.Hosts, rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"))
 		}
 		b := Bounds{Length: 10 * time.Second, World: rapid.SampledFrom([]World{Rig, Lab}).Draw(t, "world")}
 		seed := rapid.Uint64().Draw(t, "seed")
-		all := Draw(b, shape, seed)
-		if err := Check(all, shape, b.World, b.Length); err != nil {
+		all := Draw(b, topology, seed)
+		if err := Check(all, topology, b.World, b.Length); err != nil {
 			t.Fatal(err)
 		}
 		for _, f := range all {
@@ -157,12 +157,12 @@
 				t.Fatalf("%s ends after %v", f.Kind, f.At+f.Length)
 			}
 		}
-		if diff := cmp.Diff(all, Draw(b, shape, seed)); diff != "" {
+		if diff := cmp.Diff(all, Draw(b, topology, seed)); diff != "" {
 			t.Fatal(diff)
 		}
-		for _, s := range Resolve(all, shape, seed) {
+		for _, s := range Resolve(all, topology, seed) {
 			for _, n := range s.Routers {
-				if n < 0 || n >= len(shape.Routers) {
+				if n < 0 || n >= len(topology.Routers) {
 					t.Fatalf("%s strikes router %d", s.Kind, n)
 				}
 			}
@@ -174,18 +174,18 @@
 func TestShrink(t *testing.T) {
 	var all []Fault
 	for i := range 20 {
-		all = append(all, Fault{Kind: Pause, At: time.Duration(i) * time.Second, Length: 4 * time.Second, Routers: Select{Part: 0.5}})
+		all = append(all, Fault{Kind: Freeze, At: time.Duration(i) * time.Second, Length: 4 * time.Second, Routers: Select{Fraction: 0.5}})
 	}
 	all[3].Kind, all[3].Routers = Kill, Select{Numbers: []int{2}}
-	all[17].Kind = Cut
+	all[17].Kind = Blackhole
 	asked := 0
 	fails := func(x Trial) bool {
 		asked++
 		kill := slices.ContainsFunc(x.Faults, func(f Fault) bool { return f.Kind == Kill && f.Length >= time.Second })
-		return kill && slices.ContainsFunc(x.Faults, func(f Fault) bool { return f.Kind == Cut })
+		return kill && slices.ContainsFunc(x.Faults, func(f Fault) bool { return f.Kind == Blackhole })
 	}
 	got := Shrink(Trial{Routers: 9, Faults: all}, 200, fails)
-	if len(got.Faults) != 2 || got.Faults[0].Kind != Kill || got.Faults[1].Kind != Cut || got.Routers != 3 || got.Faults[0].Length != time.Second ||
+	if len(got.Faults) != 2 || got.Faults[0].Kind != Kill || got.Faults[1].Kind != Blackhole || got.Routers != 3 || got.Faults[0].Length != time.Second ||
 		got.Faults[1].Length > 250*ms || asked > 200 {
 		t.Errorf("%d asked, %d routers, %s", asked, got.Routers, Text(got.Faults))
 	}
--- a/internal/testbed/faults/strike.go
+++ b/internal/testbed/faults/injection.go
@@ -5,29 +5,29 @@
 	"slices"
 )
 
-// Strike is a fault with those whom it strikes, as drawn.
-type Strike struct {
+// Injection is a fault with those whom it strikes, as drawn.
+type Injection struct {
 	*Fault
 	Routers, Hosts []int // by number, ascending
 	peers          []int
 	all            bool // the list, too: Power of everything
-	shape          *Shape
+	topology       *Topology
 }
 
 // Resolve draws whom each fault of a schedule strikes. The same seed and shape give the same.
-func Resolve(all []Fault, shape *Shape, seed uint64) []*Strike {
-	var out []*Strike
+func Resolve(all []Fault, topology *Topology, seed uint64) []*Injection {
+	var out []*Injection
 	for i := range all {
 		f := &all[i]
 		rng := rand.New(rand.NewPCG(seed, 0xfa017<<16|uint64(i)))
-		s := &Strike{Fault: f, shape: shape}
+		s := &Injection{Fault: f, topology: topology}
 		if f.Kind == Power {
 			zone := Select{Zone: f.Zone, All: f.Zone == ""}
 			s.all = f.Zone == ""
-			s.Routers, s.Hosts = zone.draw(shape.Routers, rng), zone.draw(shape.Hosts, rng)
+			s.Routers, s.Hosts = zone.draw(topology.Routers, rng), zone.draw(topology.Hosts, rng)
 		} else {
-			s.Routers, s.Hosts = f.Routers.draw(shape.Routers, rng), f.Hosts.draw(shape.Hosts, rng)
-			s.peers = f.Peers.draw(shape.Routers, rng)
+			s.Routers, s.Hosts = f.Routers.draw(topology.Routers, rng), f.Hosts.draw(topology.Hosts, rng)
+			s.peers = f.Peers.draw(topology.Routers, rng)
 		}
 		out = append(out, s)
 	}
@@ -43,8 +43,8 @@
 		drawn = slices.Clone(s.Numbers)
 		slices.Sort(drawn)
 		return slices.Compact(drawn)
-	case s.Part > 0 && !s.All:
-		n := min(max(int(s.Part*float64(len(zones))+0.5), 1), len(zones))
+	case s.Fraction > 0 && !s.All:
+		n := min(max(int(s.Fraction*float64(len(zones))+0.5), 1), len(zones))
 		drawn = rng.Perm(len(zones))[:n]
 		slices.Sort(drawn)
 		return drawn
@@ -58,19 +58,19 @@
 }
 
 // Hits tells whether the fault strikes what goes from one end to another.
-func (s *Strike) Hits(from, to End) bool {
+func (s *Injection) Hits(from, to End) bool {
 	m := Of(s.Kind)
 	switch {
 	case !m.OfLinks():
 		return false
 	case s.Kind == Partition:
-		return s.parts(from, to)
+		return s.separates(from, to)
 	}
 	return s.Direction != In && s.hitsOut(from, to) || s.Direction != Out && s.hitsOut(to, from)
 }
 
 // hitsOut tells whether one end is among the routers of the fault, and the other is what their links lead to.
-func (s *Strike) hitsOut(from, to End) bool {
+func (s *Injection) hitsOut(from, to End) bool {
 	if from.Kind != AtRouter || !slices.Contains(s.Routers, from.N) {
 		return false
 	}
@@ -83,39 +83,39 @@
 	return s.hasLinks(LinkList)
 }
 
-func (s *Strike) hasLinks(what string) bool {
+func (s *Injection) hasLinks(what string) bool {
 	if len(s.Links) == 0 {
 		return what == LinkPeers
 	}
 	return slices.Contains(s.Links, what)
 }
 
-func (s *Strike) parts(a, b End) bool {
+func (s *Injection) separates(a, b End) bool {
 	if a.Kind == AtList || b.Kind == AtList || (a.Kind == AtHost || b.Kind == AtHost) && !(s.Zones && s.hasLinks(LinkHosts)) {
 		return false
 	}
 	return !s.bridges(a) && !s.bridges(b) && s.group(a) != s.group(b)
 }
 
-func (s *Strike) bridges(e End) bool { return e.Kind == AtRouter && slices.Contains(s.Bridge, e.N) }
+func (s *Injection) bridges(e End) bool { return e.Kind == AtRouter && slices.Contains(s.Bridge, e.N) }
 
 // group names the side that an end is on. Routers that no group has are together.
-func (s *Strike) group(e End) string {
+func (s *Injection) group(e End) string {
 	if s.Zones {
 		if e.Kind == AtHost {
-			return s.shape.Hosts[e.N]
+			return s.topology.Hosts[e.N]
 		}
-		return s.shape.Routers[e.N]
+		return s.topology.Routers[e.N]
 	}
 	return string(rune('0' + slices.IndexFunc(s.Groups, func(g []int) bool { return slices.Contains(g, e.N) })))
 }
 
-// StrikesList tells whether the list is down meanwhile.
-func (s *Strike) StrikesList() bool { return s.all }
+// HitsList tells whether the list is down meanwhile.
+func (s *Injection) HitsList() bool { return s.all }
 
 // Touches tells whether the fault strikes a router itself or one of its links: whatever a checker then holds against it may
 // come from there.
-func (s *Strike) Touches(router int) bool {
+func (s *Injection) Touches(router int) bool {
 	if slices.Contains(s.Routers, router) {
 		return true
 	}
--- a/internal/testbed/faults/kinds.go
+++ b/internal/testbed/faults/kinds.go
@@ -14,12 +14,12 @@
 	Reorder   Kind = "reorder"
 	Clip      Kind = "clip"
 	Flip      Kind = "flip"
-	Cut       Kind = "cut"
+	Blackhole Kind = "cut"
 	Partition Kind = "partition"
 
 	Kill     Kind = "kill"
 	Power    Kind = "power"
-	Pause    Kind = "pause"
+	Freeze   Kind = "pause"
 	Crawl    Kind = "crawl"
 	Restart  Kind = "restart"
 	Replace  Kind = "replace"
@@ -41,11 +41,11 @@
 	Renumber Kind = "renumber"
 )
 
-// strikes is what a kind is about.
-type strikes uint8
+// targetSet is what a kind is about.
+type targetSet uint8
 
 const (
-	links strikes = 1 << iota
+	links targetSet = 1 << iota
 	routers
 	hosts
 )
@@ -54,7 +54,7 @@
 type Meaning struct {
 	Kind    Kind
 	Means   string // while it lasts, and as it ends
-	strikes strikes
+	targets targetSet
 	needs   []string // fields
 	takes   []string // further ones
 	worlds  World
@@ -68,12 +68,12 @@
 	{Reorder, "a share of datagrams comes later by up to delay, past those behind them", links, []string{"share", "delay"}, nil, Rig | Lab | View | Explore},
 	{Clip, "a share of datagrams is cut short", links, []string{"share"}, nil, Rig | View},
 	{Flip, "a share of datagrams has one bit flipped", links, []string{"share"}, nil, Rig | View},
-	{Cut, "nothing passes; connections that were open are reset as it ends, new ones never come up", links, nil, nil, Rig | Lab | View | Explore},
+	{Blackhole, "nothing passes; connections that were open are reset as it ends, new ones never come up", links, nil, nil, Rig | Lab | View | Explore},
 	{Partition, "routers of different groups do not reach each other; bridges reach all", links, nil, []string{"groups", "bridge"}, Rig | Lab | View | Explore},
 
 	{Kill, "the process dies at once, and starts again as it ends", routers | hosts, nil, []string{"disk", "file", "keep"}, Rig | Hosts | Lab | View | Explore},
 	{Power, "routers, hosts and list of a zone, or of all, die at once and start again as it ends", 0, nil, []string{"zone", "disk", "file", "keep"}, Rig | View},
-	{Pause, "the process stands still", routers, nil, nil, Rig | View | Explore},
+	{Freeze, "the process stands still", routers, nil, nil, Rig | View | Explore},
 	{Crawl, "the process stands still for a share of the time, in bursts", routers, []string{"share"}, nil, Rig | View},
 	{Restart, "SIGTERM; the process starts again as it ends, once the old one is gone", routers, nil, nil, Rig | View},
 	{Replace, "a second process starts beside; once it takes clients the first gets SIGTERM", routers, nil, nil, Rig | View},
@@ -109,7 +109,7 @@
 func (m *Meaning) In(w World) bool { return m.worlds&w != 0 }
 
 // OfLinks tells whether the kind strikes links.
-func (m *Meaning) OfLinks() bool { return m.strikes&links != 0 }
+func (m *Meaning) OfLinks() bool { return m.targets&links != 0 }
 
 // Needed returns the fields that a block of the kind must have.
 func (m *Meaning) Needed() []string { return m.needs }
@@ -118,13 +118,13 @@
 func (m *Meaning) Fields() []string {
 	all := append([]string{"at", "length"}, m.needs...)
 	all = append(all, m.takes...)
-	if m.strikes&links != 0 {
+	if m.targets&links != 0 {
 		all = append(all, "routers", "links", "peers", "hosts", "direction")
 	}
-	if m.strikes&routers != 0 {
+	if m.targets&routers != 0 {
 		all = append(all, "routers")
 	}
-	if m.strikes&hosts != 0 {
+	if m.targets&hosts != 0 {
 		all = append(all, "hosts")
 	}
 	return all
--- a/internal/testbed/faults/link.go
+++ b/internal/testbed/faults/link.go
@@ -10,14 +10,14 @@
 	Loss, Duplicate, Reorder, Clip, Flip float64
 	Delay, Jitter                        time.Duration
 	DuplicateBy, ReorderBy               time.Duration
-	Cut                                  bool
+	Blackholed                           bool
 }
 
 // usualBy is how much later a second copy comes at most where the schedule does not say.
 const usualBy = 10 * time.Millisecond
 
 // ConditionOf joins the faults that are on by now, as they strike what goes from one end to another.
-func ConditionOf(on []*Strike, from, to End) (c Condition) {
+func ConditionOf(on []*Injection, from, to End) (c Condition) {
 	join := func(a *float64, b float64) { *a = 1 - (1-*a)*(1-b) }
 	for _, s := range on {
 		if !s.Hits(from, to) {
@@ -39,8 +39,8 @@
 			join(&c.Clip, s.Share)
 		case Flip:
 			join(&c.Flip, s.Share)
-		case Cut, Partition:
-			c.Cut = true
+		case Blackhole, Partition:
+			c.Blackholed = true
 		}
 	}
 	return c
@@ -66,7 +66,7 @@
 
 // Pass returns what arrives of a datagram of some bytes: nothing, one copy or two.
 func (l *Link) Pass(bytes int, to []Copy) []Copy {
-	if l.Cut || l.Loss > 0 && l.rng.Float64() < l.Loss {
+	if l.Blackholed || l.Loss > 0 && l.rng.Float64() < l.Loss {
 		return to
 	}
 	to = append(to, l.copy(bytes))
@@ -95,8 +95,8 @@
 // retransmission is what TCP takes at least to send a lost piece again (RFC 6298 says 1 s; Linux has 200 ms).
 const retransmission = 200 * time.Millisecond
 
-// Piece returns how much later a piece of a connection comes. A cut is not its matter: the piece waits for the cut's end.
-func (l *Link) Piece() time.Duration {
+// ChunkDelay returns how much later a piece of a connection comes. A cut is not its matter: the piece waits for the cut's end.
+func (l *Link) ChunkDelay() time.Duration {
 	d := l.Delay + l.upTo(l.Jitter)
 	for n := 0; n < 5 && l.Loss > 0 && l.rng.Float64() < l.Loss; n++ {
 		d += retransmission << n
--- a/internal/testbed/faults/text.go
+++ b/internal/testbed/faults/text.go
@@ -75,33 +75,33 @@
 	case s.Zone != "":
 		return strconv.Quote(s.Zone)
 	}
-	return strconv.FormatFloat(s.Part, 'g', -1, 64)
+	return strconv.FormatFloat(s.Fraction, 'g', -1, 64)
 }
 
 func numbers(ns []int) string {
-	var words []string
+	var texts []string
 	for _, n := range ns {
-		words = append(words, strconv.Itoa(n))
+		texts = append(texts, strconv.Itoa(n))
 	}
-	return "[" + strings.Join(words, ", ") + "]"
+	return "[" + strings.Join(texts, ", ") + "]"
 }
 
 // Whom names those whom a strike hits, for a line.
-func (s *Strike) Whom() string {
-	var words []string
+func (s *Injection) Whom() string {
+	var texts []string
 	for _, n := range s.Routers {
-		words = append(words, "r"+strconv.Itoa(n))
+		texts = append(texts, "r"+strconv.Itoa(n))
 	}
 	for _, n := range s.Hosts {
-		words = append(words, "h"+strconv.Itoa(n))
+		texts = append(texts, "h"+strconv.Itoa(n))
 	}
 	if s.Kind == Partition {
 		if s.Zones {
 			return "zones"
 		}
 		for _, g := range s.Groups {
-			words = append(words, numbers(g))
+			texts = append(texts, numbers(g))
 		}
 	}
-	return strings.Join(words, " ")
+	return strings.Join(texts, " ")
 }
--- a/internal/testbed/faults/types.go
+++ b/internal/testbed/faults/types.go
@@ -63,14 +63,16 @@
 
 // Select is a number of routers or of hosts. Its zero value is nobody.
 type Select struct {
-	All     bool
-	Numbers []int   // from 0
-	Zone    string  // all of a zone
-	Part    float64 // of all, drawn by the schedule's seed
+	All      bool
+	Numbers  []int   // from 0
+	Zone     string  // all of a zone
+	Fraction float64 // of all, drawn by the schedule's seed
 }
 
 // Nobody tells whether it names no one.
-func (s *Select) Nobody() bool { return !s.All && len(s.Numbers) == 0 && s.Zone == "" && s.Part == 0 }
+func (s *Select) Nobody() bool {
+	return !s.All && len(s.Numbers) == 0 && s.Zone == "" && s.Fraction == 0
+}
 
 // The kinds of links that a router has.
 const (
@@ -94,21 +96,21 @@
 
 // The disks.
 const (
-	DiskOwn   Disk = "own"
-	DiskEmpty Disk = "empty"
-	DiskOther Disk = "other" // that of the router with the next number
-	DiskCut   Disk = "cut"   // its own, with File cut short
-	DiskOlder Disk = "older" // its own, as it was when the process began that dies now
-	DiskNewer Disk = "newer" // its own, with snapshots that a program of a later format wrote
-	DiskFlip  Disk = "flip"  // its own, with a bit of each snapshot flipped
-	DiskAhead Disk = "ahead" // its own, with snapshots of a clock that was an hour ahead
+	DiskUnchanged Disk = "own"
+	DiskEmpty     Disk = "empty"
+	DiskOther     Disk = "other" // that of the router with the next number
+	DiskTruncated Disk = "cut"   // its own, with File cut short
+	DiskOlder     Disk = "older" // its own, as it was when the process began that dies now
+	DiskNewer     Disk = "newer" // its own, with snapshots that a program of a later format wrote
+	DiskFlip      Disk = "flip"  // its own, with a bit of each snapshot flipped
+	DiskAhead     Disk = "ahead" // its own, with snapshots of a clock that was an hour ahead
 )
 
 // Disks has all of them.
-var Disks = []Disk{DiskOwn, DiskEmpty, DiskOther, DiskCut, DiskOlder, DiskNewer, DiskFlip, DiskAhead}
+var Disks = []Disk{DiskUnchanged, DiskEmpty, DiskOther, DiskTruncated, DiskOlder, DiskNewer, DiskFlip, DiskAhead}
 
-// Shape is a fleet, as far as a schedule needs to know it: the zone of each router and of each host.
-type Shape struct{ Routers, Hosts []string }
+// Topology is a fleet, as far as a schedule needs to know it: the zone of each router and of each host.
+type Topology struct{ Routers, Hosts []string }
 
 // EndKind is what stands at one end of a link.
 type EndKind uint8
--- a/internal/testbed/leasesim/strikes.go
+++ b/internal/testbed/leasesim/injections.go
@@ -9,12 +9,12 @@
 )
 
 // strike has a fault begin or end.
-func (w *World) applyFault(s *faults.Strike, on bool) {
+func (w *World) applyFault(s *faults.Injection, on bool) {
 	if faults.Of(s.Kind).OfLinks() {
 		if on {
 			w.linkFaults = append(w.linkFaults, s)
 		} else {
-			w.linkFaults = slices.DeleteFunc(w.linkFaults, func(x *faults.Strike) bool { return x == s })
+			w.linkFaults = slices.DeleteFunc(w.linkFaults, func(x *faults.Injection) bool { return x == s })
 		}
 		return
 	}
@@ -34,7 +34,7 @@
 				r.downCount--
 				w.startProcess(r)
 			}
-		case faults.Pause:
+		case faults.Freeze:
 			w.freeze(r, on)
 		case faults.Crawl:
 			if on {
@@ -61,9 +61,9 @@
 }
 
 // disk does to a folder what a fault says.
-func (w *World) applyDiskFault(r *router, s *faults.Strike) {
+func (w *World) applyDiskFault(r *router, s *faults.Injection) {
 	switch s.Disk {
-	case faults.DiskEmpty, faults.DiskCut:
+	case faults.DiskEmpty, faults.DiskTruncated:
 		r.disk = nil // what is cut is not read
 	case faults.DiskOther:
 		r.disk = w.routers[(r.number+1)%w.spec.Candidates].disk.Clone()
--- a/internal/testbed/leasesim/leasesim.go
+++ b/internal/testbed/leasesim/leasesim.go
@@ -39,12 +39,12 @@
 }
 
 // Shape is the fleet as schedules see it. Its one host is the receiver.
-func (s *Spec) FaultTargets() *faults.Shape {
-	shape := &faults.Shape{Hosts: []string{""}}
+func (s *Spec) Topology() *faults.Topology {
+	topology := &faults.Topology{Hosts: []string{""}}
 	for i := range s.Routers {
-		shape.Routers = append(shape.Routers, string(rune('a'+i%max(s.Zones, 1))))
+		topology.Routers = append(topology.Routers, string(rune('a'+i%max(s.Zones, 1))))
 	}
-	return shape
+	return topology
 }
 
 // World is a play at one moment.
@@ -56,8 +56,8 @@
 	routers    []*router
 	byName     map[string]*router
 	guard      lease.TokenGuard
-	faults     []*faults.Strike
-	linkFaults []*faults.Strike
+	faults     []*faults.Injection
+	linkFaults []*faults.Injection
 	link       *faults.Link
 	copies     []faults.Copy
 	grantedAt  map[uint64]time.Duration // by token, its application
@@ -102,18 +102,18 @@
 			*d.of = d.to
 		}
 	}
-	if err := faults.Check(s.Faults, s.FaultTargets(), faults.View, s.Length); err != nil {
+	if err := faults.Check(s.Faults, s.Topology(), faults.View, s.Length); err != nil {
 		return nil, err
 	}
 	w := &World{spec: s, rng: rand.New(rand.NewPCG(s.Seed, 0xd071)), byName: map[string]*router{}, link: faults.NewLink(s.Seed, 7), applied: map[uint64]string{}, grantedAt: map[uint64]time.Duration{}}
-	shape := s.FaultTargets()
+	topology := s.Topology()
 	for i := range s.Routers {
-		r := &router{number: i, name: fmt.Sprint("r", i), zone: shape.Routers[i], clockRate: 1 + s.ClockDrift*(w.rng.Float64()-0.5), actionsUntilCrash: -1}
+		r := &router{number: i, name: fmt.Sprint("r", i), zone: topology.Routers[i], clockRate: 1 + s.ClockDrift*(w.rng.Float64()-0.5), actionsUntilCrash: -1}
 		w.routers = append(w.routers, r)
 		w.byName[r.name] = r
 		w.schedule(event{at: time.Duration(w.rng.Int64N(int64(50 * time.Millisecond))), kind: startRouter, router: i})
 	}
-	w.faults = faults.Resolve(s.Faults, shape, s.Seed)
+	w.faults = faults.Resolve(s.Faults, topology, s.Seed)
 	for i, x := range w.faults {
 		w.schedule(event{at: x.At, kind: beginFault, router: i})
 	}
--- a/internal/testbed/leasesim/leasesim_test.go
+++ b/internal/testbed/leasesim/leasesim_test.go
@@ -50,12 +50,12 @@
 func drawn(seed uint64) leasesim.Spec {
 	s := leasesim.Spec{Seed: seed, Routers: 5 + int(seed%3), Zones: 1 + int(seed%3), Voters: 3 + 2*int(seed%2), Roles: duties, Length: 50 * time.Second, ClockDrift: lease.MaxClockDrift, ReplaceTimeout: 6 * time.Second}
 	s.Candidates = min(s.Voters+1, s.Routers)
-	s.Faults = faults.Draw(faults.Bounds{Length: 30 * time.Second, World: faults.View}, s.FaultTargets(), seed)
+	s.Faults = faults.Draw(faults.Bounds{Length: 30 * time.Second, World: faults.View}, s.Topology(), seed)
 	older := false
 	for i := range s.Faults {
 		f := &s.Faults[i]
 		f.At += 3 * time.Second
-		if f.Disk == faults.DiskCut && f.Kind == faults.Kill && !older && len(f.Routers.Numbers) == 1 { // one alone: who else knew may have to be there
+		if f.Disk == faults.DiskTruncated && f.Kind == faults.Kill && !older && len(f.Routers.Numbers) == 1 { // one alone: who else knew may have to be there
 			f.Disk, f.Keep, older = faults.DiskOlder, 0, true
 		}
 	}
@@ -64,14 +64,14 @@
 
 // lasting tells whether a schedule leaves every router its own disk.
 func lasting(all []faults.Fault) bool {
-	return !slices.ContainsFunc(all, func(f faults.Fault) bool { return f.Disk != "" && f.Disk != faults.DiskOwn })
+	return !slices.ContainsFunc(all, func(f faults.Fault) bool { return f.Disk != "" && f.Disk != faults.DiskUnchanged })
 }
 
 // lost tells whether a schedule takes the disks of a majority.
 func lost(s *leasesim.Spec) bool {
 	gone := map[int]bool{}
-	for _, x := range faults.Resolve(s.Faults, s.FaultTargets(), s.Seed) {
-		if x.Disk != "" && x.Disk != faults.DiskOwn {
+	for _, x := range faults.Resolve(s.Faults, s.Topology(), s.Seed) {
+		if x.Disk != "" && x.Disk != faults.DiskUnchanged {
 			for _, n := range x.Routers {
 				gone[n] = n < s.Candidates
 			}
@@ -136,11 +136,11 @@
 func TestPlanted(t *testing.T) {
 	var pauses, kills, cuts []faults.Fault
 	for i := range 20 {
-		cuts = append(cuts, faults.Fault{Kind: faults.Cut, At: time.Duration(4+5*i) * time.Second, Length: 4 * time.Second, Routers: faults.Select{Numbers: []int{i % 5}}})
+		cuts = append(cuts, faults.Fault{Kind: faults.Blackhole, At: time.Duration(4+5*i) * time.Second, Length: 4 * time.Second, Routers: faults.Select{Numbers: []int{i % 5}}})
 		at := time.Duration(4+5*i) * time.Second
-		pauses = append(pauses, faults.Fault{Kind: faults.Pause, At: at, Length: 3 * time.Second, Routers: faults.Select{Numbers: []int{i % 5}}})
+		pauses = append(pauses, faults.Fault{Kind: faults.Freeze, At: at, Length: 3 * time.Second, Routers: faults.Select{Numbers: []int{i % 5}}})
 		kills = append(kills, faults.Fault{Kind: faults.Kill, At: at, Length: time.Second, Routers: faults.Select{Numbers: []int{i % 3}}},
-			faults.Fault{Kind: faults.Cut, At: at - 900*time.Millisecond, Length: 2 * time.Second, Routers: faults.Select{Numbers: []int{3, 4}}, Links: []string{faults.LinkPeers}})
+			faults.Fault{Kind: faults.Blackhole, At: at - 900*time.Millisecond, Length: 2 * time.Second, Routers: faults.Select{Numbers: []int{3, 4}}, Links: []string{faults.LinkPeers}})
 	}
 	slices.SortStableFunc(kills, func(a, b faults.Fault) int { return int(a.At - b.At) })
 	base := leasesim.Spec{Routers: 5, Voters: 3, Roles: duties[:1], Length: 110 * time.Second, ClockDrift: lease.MaxClockDrift, ActInterval: 5 * time.Millisecond}
--- a/internal/testbed/membershipsim/drawn_test.go
+++ b/internal/testbed/membershipsim/drawn_test.go
@@ -14,7 +14,7 @@
 		s.Seeds = 3 + s.Routers/4
 	}
 	b := faults.Bounds{Length: 30 * sec, Faults: 5, World: faults.View}
-	for _, f := range faults.Draw(b, s.Shape(), seed) {
+	for _, f := range faults.Draw(b, s.Topology(), seed) {
 		f.Links, f.At = nil, f.At+5*sec
 		s.Faults = append(s.Faults, f)
 	}
--- a/internal/testbed/membershipsim/membershipsim.go
+++ b/internal/testbed/membershipsim/membershipsim.go
@@ -36,13 +36,13 @@
 	Changed func(router int, now time.Duration, c *members.Changed) // nil for nobody
 }
 
-// Shape is the fleet as schedules see it.
-func (s *Spec) Shape() *faults.Shape {
-	shape := &faults.Shape{}
+// Topology is the fleet as schedules see it.
+func (s *Spec) Topology() *faults.Topology {
+	topology := &faults.Topology{}
 	for i := range s.Routers {
-		shape.Routers = append(shape.Routers, string(rune('a'+i%max(s.Zones, 1))))
+		topology.Routers = append(topology.Routers, string(rune('a'+i%max(s.Zones, 1))))
 	}
-	return shape
+	return topology
 }
 
 // router is one place, with a decider while its process lives.
@@ -64,19 +64,19 @@
 
 // World is a play at one moment.
 type World struct {
-	s       Spec
-	now     time.Duration
-	rng     *rand.Rand
-	events  eventqueue.Queue[event]
-	routers []*router
-	at      map[netip.AddrPort]*router
-	strikes []*faults.Strike
-	on      []*faults.Strike
-	link    *faults.Link
-	copies  []faults.Copy
-	broken  error
-	kept    *members.Roster // what all begin with, where they do
-	seeds   []netip.AddrPort
+	s          Spec
+	now        time.Duration
+	rng        *rand.Rand
+	events     eventqueue.Queue[event]
+	routers    []*router
+	at         map[netip.AddrPort]*router
+	injections []*faults.Injection
+	on         []*faults.Injection
+	link       *faults.Link
+	copies     []faults.Copy
+	broken     error
+	kept       *members.Roster // what all begin with, where they do
+	seeds      []netip.AddrPort
 
 	Datagrams, Bytes uint64 // sent
 	Deaths           int    // told by any router of any other
@@ -112,7 +112,7 @@
 	if s.Routers < 1 || s.Routers > 60000 {
 		return nil, fmt.Errorf("spec: Routers is %d; it must be from 1 to 60000", s.Routers)
 	}
-	if err := faults.Check(s.Faults, s.Shape(), faults.View, s.Length); err != nil {
+	if err := faults.Check(s.Faults, s.Topology(), faults.View, s.Length); err != nil {
 		return nil, err
 	}
 	for _, f := range s.Faults {
@@ -124,9 +124,9 @@
 		s.Same, s.Cross, s.Jitter = 300*time.Microsecond, 2*time.Millisecond, 0.2
 	}
 	w := &World{s: s, rng: rand.New(rand.NewPCG(s.Seed, 0x71e3)), at: map[netip.AddrPort]*router{}, link: faults.NewLink(s.Seed, 0)}
-	shape := s.Shape()
+	topology := s.Topology()
 	for i := range s.Routers {
-		r := &router{n: i, zone: shape.Routers[i], addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(i >> 8), byte(i), 1}), 7946)}
+		r := &router{n: i, zone: topology.Routers[i], addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(i >> 8), byte(i), 1}), 7946)}
 		w.routers = append(w.routers, r)
 		w.at[r.addr] = r
 	}
@@ -146,8 +146,8 @@
 		w.put(event{at: at, do: starts, n: i})
 		w.pauseLater(i)
 	}
-	w.strikes = faults.Resolve(s.Faults, shape, s.Seed)
-	for i, x := range w.strikes {
+	w.injections = faults.Resolve(s.Faults, topology, s.Seed)
+	for i, x := range w.injections {
 		w.put(event{at: x.At, do: begins, n: i})
 	}
 	return w, nil
@@ -213,13 +213,13 @@
 	case starts:
 		w.start(w.routers[e.n])
 	case begins:
-		s := w.strikes[e.n]
+		s := w.injections[e.n]
 		w.emit(simulator.FaultEvent(history.Fault, e.n, s))
 		w.put(event{at: w.now + s.Length, do: ends, n: e.n})
-		w.strike(s, true)
+		w.inject(s, true)
 	case ends:
-		s := w.strikes[e.n]
-		w.strike(s, false)
+		s := w.injections[e.n]
+		w.inject(s, false)
 		w.emit(simulator.FaultEvent(history.Heal, e.n, s))
 	case freezes, thaws:
 		w.crawl(e)
@@ -325,11 +325,11 @@
 	if r.d == nil || r.still > 0 || w.now < r.born+wellFor {
 		return false
 	}
-	for _, s := range w.strikes {
-		if parts := s.Kind == faults.Partition || s.Kind == faults.Cut && s.Touches(r.n); parts && w.now >= s.At && w.now < s.At+s.Length+wellFor {
+	for _, s := range w.injections {
+		if parts := s.Kind == faults.Partition || s.Kind == faults.Blackhole && s.Touches(r.n); parts && w.now >= s.At && w.now < s.At+s.Length+wellFor {
 			return false
 		}
-		if still := s.Kind == faults.Pause && slices.Contains(s.Routers, r.n); still && w.now >= s.At && w.now < s.At+s.Length+wellFor && s.Length > mostPause {
+		if still := s.Kind == faults.Freeze && slices.Contains(s.Routers, r.n); still && w.now >= s.At && w.now < s.At+s.Length+wellFor && s.Length > mostPause {
 			return false
 		}
 	}
@@ -394,13 +394,13 @@
 // FirstMiss is when the first ping found a router dead, since it died last; 0 for not yet.
 func (w *World) FirstMiss(n int) time.Duration { return w.routers[n].missed }
 
-// strike has a fault begin or end.
-func (w *World) strike(s *faults.Strike, on bool) {
+// inject has a fault begin or end.
+func (w *World) inject(s *faults.Injection, on bool) {
 	if faults.Of(s.Kind).OfLinks() {
 		if on {
 			w.on = append(w.on, s)
 		} else {
-			w.on = slices.DeleteFunc(w.on, func(x *faults.Strike) bool { return x == s })
+			w.on = slices.DeleteFunc(w.on, func(x *faults.Injection) bool { return x == s })
 		}
 		return
 	}
@@ -425,11 +425,11 @@
 				w.stop(r)
 				w.start(r)
 			}
-		case faults.Pause:
+		case faults.Freeze:
 			w.freeze(r, on)
 		case faults.Crawl:
 			if on {
-				w.put(event{at: w.now, do: freezes, n: n, gen: uint32(slices.Index(w.strikes, s))})
+				w.put(event{at: w.now, do: freezes, n: n, gen: uint32(slices.Index(w.injections, s))})
 			}
 		}
 	}
@@ -459,7 +459,7 @@
 const burst = 200 * time.Millisecond
 
 func (w *World) crawl(e *event) {
-	s, r := w.strikes[e.gen], w.routers[e.n]
+	s, r := w.injections[e.gen], w.routers[e.n]
 	if e.do == freezes {
 		if w.now >= s.At+s.Length {
 			return
--- a/internal/testbed/membershipsim/membershipsim_test.go
+++ b/internal/testbed/membershipsim/membershipsim_test.go
@@ -70,7 +70,7 @@
 	steps := restarts(4*sec, sec, 1, 2, 4, 5, 7, 8, 10, 11, 13, 14, 16, 17, 19, 20)
 	var killed []faults.Fault
 	for i := range 5 {
-		killed = append(killed, faults.Fault{Kind: faults.Kill, At: 5 * sec, Length: time.Duration(2+i) * sec, Routers: faults.Select{Part: 0.14}})
+		killed = append(killed, faults.Fault{Kind: faults.Kill, At: 5 * sec, Length: time.Duration(2+i) * sec, Routers: faults.Select{Fraction: 0.14}})
 	}
 	all := func(k faults.Kind, share float64, length time.Duration) faults.Fault {
 		return faults.Fault{Kind: k, At: 5 * sec, Length: length, Share: share, Routers: everyone}
@@ -86,24 +86,24 @@
 		faults  []faults.Fault
 		changes int // that any router may tell of at most; 0 for no bound
 	}{
-		"restarts while a zone is cut off": {24, append(steps, faults.Fault{Kind: faults.Cut, At: 3 * sec, Length: 12 * sec, Routers: faults.Select{Zone: "a"}, Peers: faults.Select{Zone: "b"}},
-			faults.Fault{Kind: faults.Cut, At: 3 * sec, Length: 12 * sec, Routers: faults.Select{Zone: "a"}, Peers: faults.Select{Zone: "c"}}), 0},
+		"restarts while a zone is cut off": {24, append(steps, faults.Fault{Kind: faults.Blackhole, At: 3 * sec, Length: 12 * sec, Routers: faults.Select{Zone: "a"}, Peers: faults.Select{Zone: "b"}},
+			faults.Fault{Kind: faults.Blackhole, At: 3 * sec, Length: 12 * sec, Routers: faults.Select{Zone: "a"}, Peers: faults.Select{Zone: "c"}}), 0},
 		"seven in ten killed, back after 2 to 6 s": {60, killed, 0},
-		"stands still for less":                    {9, []faults.Fault{{Kind: faults.Pause, At: 5 * sec, Length: 1200 * ms, Routers: numbers(3)}}, 1},
-		"stands still for more":                    {9, []faults.Fault{{Kind: faults.Pause, At: 5 * sec, Length: 20 * sec, Routers: numbers(3)}}, 9},
-		"all stand still":                          {9, []faults.Fault{all(faults.Pause, 0, 5*sec)}, 1},
+		"stands still for less":                    {9, []faults.Fault{{Kind: faults.Freeze, At: 5 * sec, Length: 1200 * ms, Routers: numbers(3)}}, 1},
+		"stands still for more":                    {9, []faults.Fault{{Kind: faults.Freeze, At: 5 * sec, Length: 20 * sec, Routers: numbers(3)}}, 9},
+		"all stand still":                          {9, []faults.Fault{all(faults.Freeze, 0, 5*sec)}, 1},
 		"all crawl":                                {9, []faults.Fault{all(faults.Crawl, 0.6, 20*sec)}, 1},
 		"all answers take 1.2 s":                   {9, []faults.Fault{slow}, 1},
 		"loss, late, twice, minutes old":           {30, []faults.Fault{all(faults.Loss, 0.2, 20*sec), late, old, all(faults.Duplicate, 0.2, 20*sec)}, 1},
 		"flipped bits and cuts":                    {9, []faults.Fault{all(faults.Flip, 0.2, 20*sec), all(faults.Clip, 0.1, 20*sec)}, 1},
-		"one way between two":                      {9, []faults.Fault{{Kind: faults.Cut, At: 5 * sec, Length: time.Minute, Routers: numbers(0), Peers: numbers(1), Direction: faults.Out}}, 1},
+		"one way between two":                      {9, []faults.Fault{{Kind: faults.Blackhole, At: 5 * sec, Length: time.Minute, Routers: numbers(0), Peers: numbers(1), Direction: faults.Out}}, 1},
 		"halves with a bridge":                     {9, []faults.Fault{{Kind: faults.Partition, At: 5 * sec, Length: time.Minute, Groups: [][]int{{0, 1, 2, 3}, {4, 5, 6, 7}}, Bridge: []int{8}}}, 2},
-		"one deaf":                                 {9, []faults.Fault{{Kind: faults.Cut, At: 5 * sec, Length: 30 * sec, Routers: numbers(2), Direction: faults.In}}, 0},
-		"one mute":                                 {9, []faults.Fault{{Kind: faults.Cut, At: 5 * sec, Length: 30 * sec, Routers: numbers(2), Direction: faults.Out}}, 0},
+		"one deaf":                                 {9, []faults.Fault{{Kind: faults.Blackhole, At: 5 * sec, Length: 30 * sec, Routers: numbers(2), Direction: faults.In}}, 0},
+		"one mute":                                 {9, []faults.Fault{{Kind: faults.Blackhole, At: 5 * sec, Length: 30 * sec, Routers: numbers(2), Direction: faults.Out}}, 0},
 		"all killed at once":                       {30, []faults.Fault{all(faults.Kill, 0, 2*sec)}, 0},
 		"two, one killed":                          {2, []faults.Fault{{Kind: faults.Kill, At: 5 * sec, Length: 10 * sec, Routers: numbers(1)}}, 3},
 		"two, apart":                               {2, []faults.Fault{{Kind: faults.Partition, At: 5 * sec, Length: 20 * sec, Groups: [][]int{{0}, {1}}}}, 3},
-		"replaced, and stood still then":           {9, []faults.Fault{{Kind: faults.Replace, At: 5 * sec, Routers: numbers(1, 2)}, {Kind: faults.Pause, At: 5*sec + 10*ms, Length: 900 * ms, Routers: numbers(1)}}, 0},
+		"replaced, and stood still then":           {9, []faults.Fault{{Kind: faults.Replace, At: 5 * sec, Routers: numbers(1, 2)}, {Kind: faults.Freeze, At: 5*sec + 10*ms, Length: 900 * ms, Routers: numbers(1)}}, 0},
 		"a zone apart and back, over and over": {30, []faults.Fault{{Kind: faults.Partition, At: 5 * sec, Length: 10 * sec, Zones: true}, {Kind: faults.Partition, At: 17 * sec, Length: 10 * sec, Zones: true},
 			{Kind: faults.Partition, At: 29 * sec, Length: 10 * sec, Zones: true}}, 0},
 	} {
--- a/internal/testbed/simulator/faults.go
+++ b/internal/testbed/simulator/faults.go
@@ -14,24 +14,24 @@
 
 // schedule is the faults of a world.
 type schedule struct {
-	strikes []*faults.Strike
-	on      []*faults.Strike // by now, those of links
-	waiting []int            // for what happens
-	counts  []int            // how often that has happened
-	link    *faults.Link     // what becomes of routers' words; each pair has the condition of its moment
-	copies  []faults.Copy
+	injections []*faults.Injection
+	on         []*faults.Injection // by now, those of links
+	waiting    []int               // for what happens
+	counts     []int               // how often that has happened
+	link       *faults.Link        // what becomes of routers' words; each pair has the condition of its moment
+	copies     []faults.Copy
 }
 
-// Shape is the fleet as schedules see it.
-func (s *Spec) Shape() *faults.Shape {
-	shape := &faults.Shape{}
+// Topology is the fleet as schedules see it.
+func (s *Spec) Topology() *faults.Topology {
+	topology := &faults.Topology{}
 	var zones []string
 	for _, g := range s.Groups {
 		if !slices.Contains(zones, g.Zone) {
 			zones = append(zones, g.Zone)
 		}
 		for range g.Count {
-			shape.Hosts = append(shape.Hosts, g.Zone)
+			topology.Hosts = append(topology.Hosts, g.Zone)
 		}
 	}
 	for i := range s.Routers {
@@ -39,24 +39,24 @@
 		if len(zones) > 0 {
 			zone = zones[i%len(zones)]
 		}
-		shape.Routers = append(shape.Routers, zone)
+		topology.Routers = append(topology.Routers, zone)
 	}
-	return shape
+	return topology
 }
 
 // checkFaults returns what of a schedule virtual time can't play. A host is cut off from all routers or from none, and so is
 // the list: a world has one list, and hosts whose answers all routers hear.
 func (s *Spec) checkFaults() error {
-	if err := faults.Check(s.Faults, s.Shape(), faults.Lab, s.Length); err != nil {
+	if err := faults.Check(s.Faults, s.Topology(), faults.Lab, s.Length); err != nil {
 		return err
 	}
 	for i := range s.Faults {
 		f := &s.Faults[i]
 		far := slices.Contains(f.Links, faults.LinkHosts) || slices.Contains(f.Links, faults.LinkList)
-		if faults.Of(f.Kind).OfLinks() && far && (f.Kind != faults.Cut || !f.Routers.All || f.Direction != "" && f.Direction != faults.Both) {
+		if faults.Of(f.Kind).OfLinks() && far && (f.Kind != faults.Blackhole || !f.Routers.All || f.Direction != "" && f.Direction != faults.Both) {
 			return fmt.Errorf("%s: links to hosts or to the list do not exist for single routers in virtual time, only on sockets; a cut of routers = \"all\" does", f.Source)
 		}
-		if f.Disk != "" && f.Disk != faults.DiskOwn && f.Disk != faults.DiskEmpty {
+		if f.Disk != "" && f.Disk != faults.DiskUnchanged && f.Disk != faults.DiskEmpty {
 			return fmt.Errorf("%s: disk %q does not exist in virtual time, only on sockets", f.Source, f.Disk)
 		}
 	}
@@ -65,10 +65,10 @@
 
 // schedules puts a world's faults in.
 func (w *World) schedules() {
-	w.faults.strikes = faults.Resolve(w.s.Faults, w.s.Shape(), w.s.Seed)
-	w.faults.counts = make([]int, len(w.faults.strikes))
+	w.faults.injections = faults.Resolve(w.s.Faults, w.s.Topology(), w.s.Seed)
+	w.faults.counts = make([]int, len(w.faults.injections))
 	w.faults.link = faults.NewLink(w.s.Seed, 0)
-	for i, s := range w.faults.strikes {
+	for i, s := range w.faults.injections {
 		if s.When != nil {
 			w.faults.waiting = append(w.faults.waiting, i)
 			continue
@@ -87,7 +87,7 @@
 		w.s.History(&e)
 	}
 	w.faults.waiting = slices.DeleteFunc(w.faults.waiting, func(i int) bool {
-		s := w.faults.strikes[i]
+		s := w.faults.injections[i]
 		if !Fits(s.When, &e) {
 			return false
 		}
@@ -110,7 +110,7 @@
 func routerName(n int) string { return "r" + strconv.Itoa(n) }
 
 // FaultEvent is what a history has of a strike.
-func FaultEvent(what history.What, n int, s *faults.Strike) history.Event {
+func FaultEvent(what history.What, n int, s *faults.Injection) history.Event {
 	e := history.Event{What: what, N: n, Text: string(s.Kind), ID: s.Whom(), Routers: s.Routers, Hosts: s.Hosts}
 	if faults.Of(s.Kind).OfLinks() {
 		if e.Links = s.Links; len(e.Links) == 0 {
@@ -122,7 +122,7 @@
 }
 
 func (w *World) faultBegins(n int) {
-	s := w.faults.strikes[n]
+	s := w.faults.injections[n]
 	w.note("fault begins: "+string(s.Kind), "", n)
 	w.emit(FaultEvent(history.Fault, n, s))
 	w.at(w.now+s.Length, event{do: faultEnds, n: n})
@@ -148,11 +148,11 @@
 }
 
 func (w *World) faultEnds(n int) {
-	s := w.faults.strikes[n]
+	s := w.faults.injections[n]
 	w.note("fault ends: "+string(s.Kind), "", n)
 	w.emit(FaultEvent(history.Heal, n, s))
 	if faults.Of(s.Kind).OfLinks() {
-		w.faults.on = slices.DeleteFunc(w.faults.on, func(x *faults.Strike) bool { return x == s })
+		w.faults.on = slices.DeleteFunc(w.faults.on, func(x *faults.Injection) bool { return x == s })
 		w.cutOff(s, false)
 		return
 	}
@@ -177,7 +177,7 @@
 }
 
 // cutOff cuts hosts and the list off, or has them back. What hosts had under way is reset then; they run on.
-func (w *World) cutOff(s *faults.Strike, on bool) {
+func (w *World) cutOff(s *faults.Injection, on bool) {
 	if slices.Contains(s.Links, faults.LinkList) {
 		if on {
 			w.list.down++
--- a/internal/testbed/simulator/loss_test.go
+++ b/internal/testbed/simulator/loss_test.go
@@ -33,7 +33,7 @@
 	tenths := func(least, most int) time.Duration { return time.Duration(least+rng.IntN(most-least+1)) * 100 * ms }
 	some := func() faults.Select {
 		if rng.IntN(3) == 0 {
-			return faults.Select{Part: 0.1 + 0.9*rng.Float64()}
+			return faults.Select{Fraction: 0.1 + 0.9*rng.Float64()}
 		}
 		return faults.Select{All: true}
 	}
@@ -52,7 +52,7 @@
 			}
 		}
 		if rng.IntN(3) == 0 {
-			s.Faults = append(s.Faults, faults.Fault{Kind: faults.Cut, At: at + tenths(0, 10), Length: tenths(2, 60), Routers: faults.Select{All: true}, Links: []string{faults.LinkList}})
+			s.Faults = append(s.Faults, faults.Fault{Kind: faults.Blackhole, At: at + tenths(0, 10), Length: tenths(2, 60), Routers: faults.Select{All: true}, Links: []string{faults.LinkList}})
 		}
 		at += tenths(8, 45)
 		if at > 13*time.Second {
