--- a/cmd/reachspread/configuration.go
+++ b/cmd/reachspread/configuration.go
@@ -27,8 +27,13 @@
 func configurationCommand() *cobra.Command {
 	c := routerStatusCommand("configuration", "Ask routers of the fleet which configuration is in force, and how old their knowledge of it is", printConfiguration)
 	history := routerStatusCommand("history", "Ask a router of the fleet which configurations were in force on it of late, and what each changed", printHistory)
-	c.AddCommand(configurationGetCommand(), configurationOrderCommand("put FILE", "Put a whole configuration in force", http.MethodPut),
-		configurationOrderCommand("patch FILE", "Change named items of the configuration in force", http.MethodPatch), configurationDiffCommand(), history)
+	c.AddCommand(
+		configurationGetCommand(),
+		configurationOrderCommand("put FILE", "Put a whole configuration in force", http.MethodPut),
+		configurationOrderCommand("patch FILE", "Change named items of the configuration in force", http.MethodPatch),
+		configurationDiffCommand(),
+		history,
+	)
 	return c
 }
 
@@ -62,7 +67,7 @@
 func configurationOrderCommand(use, short, method string) *cobra.Command {
 	c := &cobra.Command{Use: use, Short: short + "; FILE may be - for standard input", Args: cobra.ExactArgs(1)}
 	to := newControlClient(c)
-	base := c.Flags().Int64("if-match", -1, "the `version` that it builds on, 0 for the first; by itself the newest")
+	base := c.Flags().Int64("if-match", -1, "the `version` that it builds on, 0 for the first; by default the newest")
 	c.RunE = func(cmd *cobra.Command, args []string) error {
 		text, err := readFileOrInput(cmd, args[0])
 		if err != nil {
@@ -113,7 +118,11 @@
 }
 
 func configurationDiffCommand() *cobra.Command {
-	c := &cobra.Command{Use: "diff FILE", Short: "Print what a whole configuration would change of the newest one; FILE may be - for standard input", Args: cobra.ExactArgs(1)}
+	c := &cobra.Command{
+		Use:   "diff FILE",
+		Short: "Print what a whole configuration would change of the newest one; FILE may be - for standard input",
+		Args:  cobra.ExactArgs(1),
+	}
 	to := newControlClient(c)
 	asPatch := c.Flags().Bool("patch", false, "print the patch that makes the one of the other, for fleet configuration patch")
 	asJSON := c.Flags().Bool("json", false, "print a line of JSON")
--- a/cmd/reachspread/fleet.go
+++ b/cmd/reachspread/fleet.go
@@ -16,8 +16,12 @@
 // plane.
 func fleetCommand() *cobra.Command {
 	c := &cobra.Command{Use: "fleet", Short: "Ask about the fleet of routers"}
-	c.AddCommand(managementCommand("view", "Ask a running router who of the fleet lives, as it sees it", printView), fleetDutiesCommand(),
-		managementCommand("recovery", "Ask a running router how it came back: the stage, what it waits for, what was thrown away", printRecovery))
+	c.AddCommand(
+		managementCommand("view", "Ask a running router who of the fleet lives, as it sees it", printView),
+		fleetDutiesCommand(),
+		managementCommand("recovery", "Ask a running router how it came back: the stage, what it waits for, what was thrown away",
+			printRecovery),
+	)
 	c.AddCommand(fleetStatusCommands()...)
 	c.AddCommand(pinCommand())
 	return c
--- a/cmd/reachspread/fleetduties.go
+++ b/cmd/reachspread/fleetduties.go
@@ -24,7 +24,11 @@
 }
 
 func handOverCommand() *cobra.Command {
-	c := &cobra.Command{Use: "hand-over DUTY ROUTER", Short: "Have the holder of a duty give it to another router, once its work has ended", Args: cobra.ExactArgs(2)}
+	c := &cobra.Command{
+		Use:   "hand-over DUTY ROUTER",
+		Short: "Have the holder of a duty give it to another router, once its work has ended",
+		Args:  cobra.ExactArgs(2),
+	}
 	management, token := managementFlag(c), tokenFlag(c)
 	c.RunE = func(_ *cobra.Command, args []string) error {
 		return giveDuty(*management, args[0], args[1], *token)
@@ -69,7 +73,12 @@
 const rebuildConfirmation = "rebuild"
 
 func rebuildCommand() *cobra.Command {
-	c := &cobra.Command{Use: rebuildConfirmation, Short: "Found duties anew where a majority of the voters' disks is gone", Long: rebuildText, Args: cobra.NoArgs}
+	c := &cobra.Command{
+		Use:   rebuildConfirmation,
+		Short: "Found duties anew where a majority of the voters' disks is gone",
+		Long:  rebuildText,
+		Args:  cobra.NoArgs,
+	}
 	management := managementFlag(c)
 	removed := c.Flags().StringSlice("gone", nil, "the `routers` whose disks will not come back")
 	confirmed := c.Flags().Bool("yes", false, "do not ask")
--- a/cmd/reachspread/management.go
+++ b/cmd/reachspread/management.go
@@ -36,7 +36,7 @@
 		}
 		return pflag.NormalizedName(name)
 	})
-	return c.Flags().String("management", "", "the management `address` of the router; by itself ROUTER_MANAGEMENT, or what ROUTER_CONFIG says")
+	return c.Flags().String("management", "", "the management `address` of the router; by default ROUTER_MANAGEMENT, or what ROUTER_CONFIG says")
 }
 
 // managementAddress is the address of the flag, or else of the router's configuration.
--- a/cmd/reachspread/pin.go
+++ b/cmd/reachspread/pin.go
@@ -58,7 +58,7 @@
 	f := &pinFlags{controlClient: newControlClient(c)}
 	c.Flags().StringVar(&f.order.By, "by", os.Getenv("USER"), "who orders it, for the history")
 	c.Flags().StringVar(&f.order.Why, "why", "", "the reason, for the history")
-	c.Flags().Int64Var(&f.revision, "revision", -1, "the `revision` of the pins that the change builds on; by itself the one in force")
+	c.Flags().Int64Var(&f.revision, "revision", -1, "the `revision` of the pins that the change builds on; by default the one in force")
 	return f
 }
 
@@ -81,10 +81,14 @@
 }
 
 func pinSetCommand() *cobra.Command {
-	c := &cobra.Command{Use: "set NAME", Short: "Set a pin, or put it in place of the one of its name; returns once it is in force on every router", Args: cobra.ExactArgs(1)}
+	c := &cobra.Command{
+		Use:   "set NAME",
+		Short: "Set a pin, or put it in place of the one of its name; returns once it is in force on every router",
+		Args:  cobra.ExactArgs(1),
+	}
 	f := newPinFlags(c)
-	c.Flags().StringVar(&f.order.Tenant, "tenant", "", "whose requests; by itself those of all")
-	c.Flags().StringVar(&f.order.Route, "route", "", "the name of the route whose requests; by itself those of all")
+	c.Flags().StringVar(&f.order.Tenant, "tenant", "", "whose requests; by default those of all")
+	c.Flags().StringVar(&f.order.Route, "route", "", "the name of the route whose requests; by default those of all")
 	c.Flags().StringVar(&f.order.Model, "model", "", "the model that they name")
 	c.Flags().Int64Var(&f.order.Version, "version", 0, "the version that is to answer them")
 	c.RunE = func(cmd *cobra.Command, args []string) error { return f.send(cmd, http.MethodPut, args[0]) }
@@ -92,7 +96,11 @@
 }
 
 func pinLiftCommand() *cobra.Command {
-	c := &cobra.Command{Use: "lift NAME", Short: "Lift a pin; returns once no router holds to it any more", Args: cobra.ExactArgs(1)}
+	c := &cobra.Command{
+		Use:   "lift NAME",
+		Short: "Lift a pin; returns once no router holds to it any more",
+		Args:  cobra.ExactArgs(1),
+	}
 	f := newPinFlags(c)
 	c.RunE = func(cmd *cobra.Command, args []string) error { return f.send(cmd, http.MethodDelete, args[0]) }
 	return c
@@ -117,7 +125,11 @@
 }
 
 func pinHistoryCommand() *cobra.Command {
-	c := &cobra.Command{Use: "history", Short: "List the pins that were set and lifted, by whom and why, the oldest first", Args: cobra.NoArgs}
+	c := &cobra.Command{
+		Use:   "history",
+		Short: "List the pins that were set and lifted, by whom and why, the oldest first",
+		Args:  cobra.NoArgs,
+	}
 	to := newControlClient(c)
 	asJSON := c.Flags().Bool("json", false, "print a line of JSON")
 	c.RunE = func(cmd *cobra.Command, _ []string) error {
@@ -142,7 +154,8 @@
 	fmt.Fprintf(w, "revision %d, %d pins\n", list.Revision, len(list.Pins))
 	writeTable(w, "name|tenant|route|model|version|hosts|set|by|why", func(row func(...any)) {
 		for _, p := range list.Pins {
-			row(p.Name, orAll(p.Tenant), orAll(p.Route), p.Model, p.Version, hostsText(p.Hosts), p.SetAt.Format(time.RFC3339), p.By, p.Why)
+			row(p.Name, orAll(p.Tenant), orAll(p.Route), p.Model, p.Version, hostsText(p.Hosts),
+				p.SetAt.Format(time.RFC3339), p.By, p.Why)
 		}
 	})
 }
@@ -176,17 +189,20 @@
 			if c.Lifted {
 				change = "lifted"
 			}
-			row(c.Revision, c.At.Format(time.RFC3339), change, c.Pin.Name, orAll(c.Pin.Tenant), orAll(c.Pin.Route), c.Pin.Model, c.Pin.Version, c.By, c.Why)
+			row(c.Revision, c.At.Format(time.RFC3339), change, c.Pin.Name, orAll(c.Pin.Tenant), orAll(c.Pin.Route),
+				c.Pin.Model, c.Pin.Version, c.By, c.Why)
 		}
 	})
 }
 
 // printPinFigures prints the outcomes of the requests in the pins' scopes, by router.
 func printPinFigures(w io.Writer, answers []routerAnswer) {
-	writeTable(w, "pin|version|router|revision|in force for|hosts|requests|answered|wrong|refused|failed", func(row func(...any)) {
+	const heading = "pin|version|router|revision|in force for|hosts|requests|answered|wrong|refused|failed"
+	writeTable(w, heading, func(row func(...any)) {
 		forEachStatus(answers, func(_ routerAnswer, s *status.Router) {
 			for _, p := range s.Pins.Pins {
-				row(p.Name, p.Version, s.Name, s.Pins.Revision, durationText(&p.ActiveSeconds), p.Hosts, p.Requests, answeredText(p.Answered), p.WrongVersion, p.Rejected, p.Failed)
+				row(p.Name, p.Version, s.Name, s.Pins.Revision, durationText(&p.ActiveSeconds), p.Hosts,
+					p.Requests, answeredText(p.Answered), p.WrongVersion, p.Rejected, p.Failed)
 			}
 		})
 	})
--- /dev/null
+++ b/internal/system/metrics/families.go
@@ -0,0 +1,64 @@
+package metrics
+
+import (
+	dto "github.com/prometheus/client_model/go"
+	"google.golang.org/protobuf/proto"
+)
+
+// label is a label of a sample.
+type label struct{ name, value string }
+
+// families collects the figures of a scrape, in the order in which they are written.
+type families struct{ all []*dto.MetricFamily }
+
+// family is a figure with a sample for each set of labels.
+type family struct {
+	out  *dto.MetricFamily
+	kind dto.MetricType
+}
+
+func (f *families) add(name, help string, kind dto.MetricType) *family {
+	out := &dto.MetricFamily{Name: proto.String(prefix + name), Help: proto.String(help), Type: kind.Enum()}
+	f.all = append(f.all, out)
+	return &family{out, kind}
+}
+
+// counter is a figure that only grows while the process lives; its name ends with _total.
+func (f *families) counter(name, help string) *family {
+	return f.add(name, help, dto.MetricType_COUNTER)
+}
+
+// gauge is a figure that goes up and down.
+func (f *families) gauge(name, help string) *family { return f.add(name, help, dto.MetricType_GAUGE) }
+
+// sample adds a value.
+func (f *family) sample(value float64, labels ...label) {
+	m := &dto.Metric{}
+	for _, l := range labels {
+		m.Label = append(m.Label, &dto.LabelPair{Name: proto.String(l.name), Value: proto.String(l.value)})
+	}
+	if f.kind == dto.MetricType_COUNTER {
+		m.Counter = &dto.Counter{Value: &value}
+	} else {
+		m.Gauge = &dto.Gauge{Value: &value}
+	}
+	f.out.Metric = append(f.out.Metric, m)
+}
+
+// age adds a time in seconds unless that is unknown.
+func (f *family) age(seconds *float64, labels ...label) {
+	if seconds != nil {
+		f.sample(*seconds, labels...)
+	}
+}
+
+// oneIf is 1 for true and 0 for false.
+func oneIf(condition bool) float64 {
+	if condition {
+		return 1
+	}
+	return 0
+}
+
+// prefix begins all names.
+const prefix = "reachspread_"
--- a/internal/system/metrics/metrics.go
+++ b/internal/system/metrics/metrics.go
@@ -5,9 +5,7 @@
 	"slices"
 	"strconv"
 
-	dto "github.com/prometheus/client_model/go"
 	"github.com/prometheus/common/expfmt"
-	"google.golang.org/protobuf/proto"
 
 	"reachspread/internal/system/status"
 )
@@ -18,56 +16,6 @@
 // ContentType is the content type of the text.
 const ContentType = "text/plain; version=0.0.4; charset=utf-8"
 
-// prefix begins all names.
-const prefix = "reachspread_"
-
-// label is a label of a sample.
-type label struct{ name, value string }
-
-// families collects the figures of a scrape, in the order in which they are written.
-type families struct{ all []*dto.MetricFamily }
-
-// family is a figure with a sample for each set of labels.
-type family struct {
-	out  *dto.MetricFamily
-	kind dto.MetricType
-}
-
-func (f *families) add(name, help string, kind dto.MetricType) *family {
-	out := &dto.MetricFamily{Name: proto.String(prefix + name), Help: proto.String(help), Type: kind.Enum()}
-	f.all = append(f.all, out)
-	return &family{out, kind}
-}
-
-// counter is a figure that only grows while the process lives; its name ends with _total.
-func (f *families) counter(name, help string) *family {
-	return f.add(name, help, dto.MetricType_COUNTER)
-}
-
-// gauge is a figure that goes up and down.
-func (f *families) gauge(name, help string) *family { return f.add(name, help, dto.MetricType_GAUGE) }
-
-// sample adds a value.
-func (f *family) sample(value float64, labels ...label) {
-	m := &dto.Metric{}
-	for _, l := range labels {
-		m.Label = append(m.Label, &dto.LabelPair{Name: proto.String(l.name), Value: proto.String(l.value)})
-	}
-	if f.kind == dto.MetricType_COUNTER {
-		m.Counter = &dto.Counter{Value: &value}
-	} else {
-		m.Gauge = &dto.Gauge{Value: &value}
-	}
-	f.out.Metric = append(f.out.Metric, m)
-}
-
-// age adds a time in seconds unless that is unknown.
-func (f *family) age(seconds *float64, labels ...label) {
-	if seconds != nil {
-		f.sample(*seconds, labels...)
-	}
-}
-
 // Write writes the figures of a router. A figure without a sample is left out. The error is that of
 // w.
 func Write(w io.Writer, s *status.Router) error {
@@ -95,13 +43,13 @@
 func (f *families) router(s *status.Router) {
 	f.gauge("up_seconds", "Time since the process began.").sample(s.UptimeSeconds)
 	f.gauge("ready", "1 while clients may be sent here.").sample(oneIf(s.Ready))
-	f.gauge("leaving", "1 while the process ends in order.").sample(oneIf(s.Draining))
+	f.gauge("leaving", "1 while the router drains.").sample(oneIf(s.Draining))
 	if s.DrainPhase != "" {
-		f.gauge("leaving_phase", "1 for the phase of its end that the process is in.").sample(1, label{"phase", s.DrainPhase})
+		f.gauge("leaving_phase", "1 for the phase of draining that the router has reached.").sample(1, label{"phase", s.DrainPhase})
 	}
 	f.counter("process_cpu_seconds_total", "Processor time of the process.").age(s.Process.CPUSeconds)
-	steps := f.counter("loop_steps_total", "Steps of a loop that drives a part of the process.")
-	stalled := f.counter("loop_stalled_total", "Steps by a timer that was due again at once: such a loop uses all the processor it gets.")
+	steps := f.counter("loop_steps_total", "Steps of a loop of the process.")
+	stalled := f.counter("loop_stalled_total", "Steps by a timer that was due again at once: a busy loop.")
 	for _, l := range s.Loops {
 		steps.sample(float64(l.Steps), label{"loop", l.Name})
 		stalled.sample(float64(l.Stalled), label{"loop", l.Name})
@@ -109,18 +57,18 @@
 }
 
 func (f *families) requests(r *status.Requests) {
-	f.counter("requests_taken_total", "Heads of requests that came.").sample(float64(r.Received))
-	ended := f.counter("requests_total", "Requests by the kind of their route, their tenant, and how they ended.")
+	f.counter("requests_taken_total", "Requests whose heads were received.").sample(float64(r.Received))
+	ended := f.counter("requests_total", "Requests by the kind of their route, their tenant and their outcome.")
 	for _, e := range r.Ended {
 		ended.sample(float64(e.Count), label{"kind", e.Kind}, label{"tenant", e.Tenant}, label{"outcome", e.Outcome})
 	}
 }
 
 func (f *families) services(all []status.Service) {
-	open := f.gauge("requests_open", "Requests that were taken and have not ended.")
-	retries := f.gauge("retry_budget", "Further attempts that the budget allows now.")
-	avoided := f.gauge("hosts_avoided", "Hosts that get no requests for their failures.")
-	hosts := f.gauge("hosts", "Hosts by the state that they tell.")
+	open := f.gauge("requests_open", "Requests in flight or queued.")
+	retries := f.gauge("retry_budget", "Retries that the budget allows now.")
+	avoided := f.gauge("hosts_avoided", "Hosts that are ejected for their failures.")
+	hosts := f.gauge("hosts", "Hosts by the state that they report.")
 	for _, s := range all {
 		service := label{"service", s.Name}
 		open.sample(float64(s.Open), service)
@@ -145,7 +93,7 @@
 		}
 		states[m.State]++
 	}
-	members := f.gauge("members", "Routers of the fleet by their state, as this one sees them.")
+	members := f.gauge("members", "Routers of the fleet by their state in this one's membership.")
 	for _, state := range order {
 		members.sample(float64(states[state]), label{"state", state})
 	}
@@ -153,16 +101,16 @@
 
 func (f *families) configuration(c *status.Configuration) {
 	f.gauge("configuration_version", "Version of the configuration in force; 0 for none.").sample(float64(c.Version))
-	f.gauge("configuration_confirmed_age_seconds", "Time since it was the newest for certain: the lag of distribution.").age(c.ConfirmedAgeSeconds)
-	f.gauge("configuration_fresh", "1 while it is young enough to honour keys by it.").sample(oneIf(c.HonoursKeys))
+	f.gauge("configuration_confirmed_age_seconds", "Time since it was confirmed to be the newest.").age(c.ConfirmedAgeSeconds)
+	f.gauge("configuration_fresh", "1 while it was confirmed recently enough to honour API keys.").sample(oneIf(c.HonoursKeys))
 	f.gauge("configuration_routes", "Routes of it.").sample(float64(c.Routes))
 	f.gauge("configuration_tenants", "Tenants of it.").sample(float64(c.Tenants))
 }
 
 func (f *families) register(r *status.Register) {
 	f.gauge("register_epoch", "Epoch of the register's view; 0 for none yet.").sample(float64(r.Epoch))
-	chain, behind := 0, f.gauge("register_behind", "Changes that a machine of the register lacks of what this one knows.")
-	complete := f.gauge("register_complete", "1 where a machine of the register has all that was acknowledged before the present view.")
+	chain, behind := 0, f.gauge("register_behind", "Changes known here that a machine of the register lacks.")
+	complete := f.gauge("register_complete", "1 where a machine has all that was acknowledged before the view.")
 	for _, m := range r.Machines {
 		if m.ChainPosition > 0 {
 			chain++
@@ -176,22 +124,22 @@
 	if r.Replica == nil {
 		return
 	}
-	f.gauge("register_bears", "Machines of the register more that may be lost at once, as this one knows it.").sample(float64(r.Replica.CurrentTolerance))
-	f.gauge("register_tolerance_short_seconds", "Time for which fewer machines may be lost than are to be borne; absent where all is well.").age(r.Replica.ShortSeconds)
+	f.gauge("register_bears", "Members of the register that may be lost at once.").sample(float64(r.Replica.CurrentTolerance))
+	f.gauge("register_tolerance_short_seconds", "Time for which the tolerance has been too low; absent where it is not.").age(r.Replica.ShortSeconds)
 	f.gauge("register_sequence", "The last change that this machine has.").sample(float64(r.Replica.Sequence))
-	f.gauge("storage_healthy", "1 while what this machine writes gets to its disk in time.").sample(oneIf(r.Replica.Healthy))
+	f.gauge("storage_healthy", "1 while the disk of this machine takes writes in time.").sample(oneIf(r.Replica.Healthy))
 	f.gauge("register_confirmed_age_seconds", "Time since a majority confirmed the epoch.").age(r.Replica.ConfirmedAgeSeconds)
 	f.gauge("quota_shards", "Shards of the tenants' limits that this machine owns.").sample(float64(r.Replica.Shards))
 }
 
 func (f *families) link(l *status.Link) {
-	messages := f.counter("link_messages_total", "Messages between routers, but for the membership's datagrams.")
+	messages := f.counter("link_messages_total", "Messages between routers over TCP.")
 	bytes := f.counter("link_bytes_total", "Bytes of them.")
 	out, in := label{"direction", "sent"}, label{"direction", "received"}
 	messages.sample(float64(l.Sent), out)
 	messages.sample(float64(l.Received), in)
 	messages.sample(float64(l.Lost), label{"direction", "lost"})
-	connections := f.counter("link_connections_total", "Connections to other routers by what became of them: opened, broken, or not to be had.")
+	connections := f.counter("link_connections_total", "Connections to other routers by outcome: opened, broken or unreachable.")
 	connections.sample(float64(l.Connected), label{"outcome", "opened"})
 	connections.sample(float64(l.Broken), label{"outcome", "broken"})
 	connections.sample(float64(l.Unreachable), label{"outcome", "unreachable"})
@@ -200,7 +148,7 @@
 }
 
 func (f *families) promptReports(p *status.PromptReports) {
-	reports := f.counter("prompt_reports_total", "Datagrams by which routers tell each other of prompts that they sent to hosts.")
+	reports := f.counter("prompt_reports_total", "Datagrams with peer reports on prompts and hosts.")
 	reports.sample(float64(p.Sent), label{"direction", "sent"})
 	reports.sample(float64(p.Received), label{"direction", "received"})
 	reports.sample(float64(p.Dropped), label{"direction", "dropped"})
@@ -208,7 +156,7 @@
 
 func (f *families) pins(p *status.Pins) {
 	f.gauge("pins_revision", "Revision of the version pins in force; 0 for none ever.").sample(float64(p.Revision))
-	requests := f.counter("pin_requests_total", "Requests in the scope of a pin since it came in force here, by their ends.")
+	requests := f.counter("pin_requests_total", "Requests in the scope of a pin since it came into force here, by outcome.")
 	hosts := f.gauge("pin_hosts", "Hosts that are ready and have the pin's version.")
 	for _, pin := range p.Pins {
 		labels := []label{{"pin", pin.Name}, {"version", strconv.FormatInt(pin.Version, 10)}}
@@ -226,11 +174,3 @@
 		hosts.sample(float64(pin.Hosts), labels...)
 	}
 }
-
-// oneIf is 1 for true and 0 for false.
-func oneIf(condition bool) float64 {
-	if condition {
-		return 1
-	}
-	return 0
-}
--- a/internal/system/roles/node/registerstatus.go
+++ b/internal/system/roles/node/registerstatus.go
@@ -34,7 +34,12 @@
 func shardStatus(v *coordpb.View) (all []status.Shard) {
 	for i, duty := range v.GetDuties() {
 		owner := view.MemberOf(v, duty.Owner)
-		all = append(all, status.Shard{Number: i, Owner: identityText(duty.Owner), Address: owner.GetAddress(), Token: duty.Since})
+		all = append(all, status.Shard{
+			Number:  i,
+			Owner:   identityText(duty.Owner),
+			Address: owner.GetAddress(),
+			Token:   duty.Since,
+		})
 	}
 	return all
 }
--- a/internal/system/settings/settings.go
+++ b/internal/system/settings/settings.go
@@ -189,7 +189,8 @@
 		return validationError(err)
 	}
 	if s.InternalPortRange[0] > s.InternalPortRange[1] {
-		return &FieldError{"internalPortRange", fmt.Sprintf("begins at %d, behind its end %d", s.InternalPortRange[0], s.InternalPortRange[1])}
+		reason := fmt.Sprintf("begins at %d, behind its end %d", s.InternalPortRange[0], s.InternalPortRange[1])
+		return &FieldError{"internalPortRange", reason}
 	}
 	if s.ServesRole(ServesClients) && s.ListenAddresses.Frontend == "" {
 		return &FieldError{"listenAddresses.frontend", "is empty, and the role serves " + ServesClients}
