--- a/internal/durable/durable_test.go
+++ b/internal/durable/files_test.go
@@ -7,11 +7,12 @@
 	"testing"
 )
 
-// Whatever was written last is there, whole, whether shorter or longer than before; removed it is gone, and comes back with the next write.
-func TestScratch(t *testing.T) {
+// The last write is the content, whether shorter or longer than before; a removed file is gone, and
+// comes back with the next write.
+func TestScratchFileHasTheLastWrite(t *testing.T) {
 	s := ScratchFile{Path: filepath.Join(t.TempDir(), "scratch")}
 	defer s.Close()
-	if err := os.WriteFile(s.Path, []byte("of a life before, and longer than what comes"), 0o644); err != nil {
+	if err := os.WriteFile(s.Path, []byte("of an earlier process, and longer than what comes"), 0o644); err != nil {
 		t.Fatal(err)
 	}
 	for _, text := range []string{"long enough", "short", "", "longer than anything before"} {
@@ -24,7 +25,7 @@
 	}
 	s.Remove()
 	if _, err := os.Stat(s.Path); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("it is there still: %v", err)
+		t.Errorf("it still exists: %v", err)
 	}
 	if err := s.Write([]byte("again")); err != nil {
 		t.Fatal(err)
@@ -34,8 +35,9 @@
 	}
 }
 
-// A folder that one process has another does not get, by whichever file descriptor, until it is given back.
-func TestLock(t *testing.T) {
+// A directory that is locked can't be locked again, by whichever file descriptor, until it is
+// released.
+func TestLockedDirectoryIsRefusedUntilReleased(t *testing.T) {
 	folder := t.TempDir()
 	f, err := Lock(folder, "lock")
 	if err != nil {
@@ -46,7 +48,7 @@
 	}
 	f.Close()
 	if f, err = Lock(folder, "lock"); err != nil {
-		t.Errorf("given back: %v", err)
+		t.Errorf("released: %v", err)
 	} else {
 		f.Close()
 	}
--- a/internal/durable/stored_test.go
+++ b/internal/durable/stored_test.go
@@ -10,10 +10,12 @@
 	"reachspread/internal/testbed/golden"
 )
 
-// The files under testdata were written at commit 5bfcc27: WRITE_GOLDEN=1 go test -run Golden. A lock has the number of its process and
-// nothing else, a scratch file and one that is written whole have their text and nothing else.
+// The files under testdata were written at commit 5bfcc27: WRITE_GOLDEN=1 go test -run Golden. A
+// lock has the number of its process and nothing else, a scratch file and one that is written whole
+// have their text and nothing else.
 
-// A lock that a process has left behind is taken over, whatever it says, and says then whose it is; whoever is refused is told.
+// A lock that a process has left behind is taken over, whatever it says, and says then whose it is;
+// whoever is refused is told.
 func TestGoldenLock(t *testing.T) {
 	folder := t.TempDir()
 	path := filepath.Join(folder, "router.lock")
@@ -51,8 +53,9 @@
 	}
 }
 
-// A file that is written whole has its text under its name, and nothing else is left in the folder. What a process that was killed left
-// under the name of a file in the making stays there and harms nobody.
+// A file that is written whole has its text under its name, and nothing else is left in the folder.
+// What a process that was killed left under the name of a file in the making stays there and harms
+// nobody.
 func TestGoldenWriteWhole(t *testing.T) {
 	folder := t.TempDir()
 	left := golden.File(t, "kept.2085132717.new", []byte("cut in the mid"))
--- a/internal/router/snapshot/snapshot_test.go
+++ b/internal/router/snapshot/snapshot_test.go
@@ -23,7 +23,9 @@
 	return s
 }
 
-func TestRound(t *testing.T) {
+// A state is decoded as it was encoded; a list that is too long by itself is an error, and is never
+// cut.
+func TestStatesAreDecodedAsEncoded(t *testing.T) {
 	want := sample(3)
 	b, err := Encode(want, 9)
 	if err != nil {
@@ -45,49 +47,50 @@
 		t.Errorf("6,000 hosts take %d bytes: %v", len(b), err)
 	}
 	if got, _, err := Decode(b); err != nil || len(got.List.Servers) != 6000 {
-		t.Errorf("the list went: %v", err)
+		t.Errorf("the list was lost: %v", err)
 	}
 	if _, err := Encode(sample(20_000), 1); err == nil {
 		t.Error("a list that is too long was taken")
 	}
 }
 
-// Every byte cut, every bit flipped: never whole, the older generation is used, and the byte is said.
-func TestEveryByte(t *testing.T) {
+// A file that is cut at any byte or has any bit flipped is rejected with the byte, and the older
+// generation is used.
+func TestDamageAtAnyByteFallsBackToTheOlderGeneration(t *testing.T) {
 	older, _ := Encode(sample(1), 4)
 	b, err := Encode(sample(2), 5)
 	if err != nil {
 		t.Fatal(err)
 	}
-	try := func(what string, at int, text []byte) {
+	check := func(what string, at int, text []byte) {
 		t.Helper()
-		s, g, wrong := Newest([2][]byte{older, text})
-		var broken *CorruptError
-		if !errors.As(wrong[1], &broken) || broken.Offset < 0 || broken.Offset > len(b) {
-			t.Fatalf("%s at %d: %v", what, at, wrong[1])
+		s, g, errs := Newest([2][]byte{older, text})
+		var corrupt *CorruptError
+		if !errors.As(errs[1], &corrupt) || corrupt.Offset < 0 || corrupt.Offset > len(b) {
+			t.Fatalf("%s at %d: %v", what, at, errs[1])
 		}
 		if g != 4 || len(s.List.Servers) != 1 {
 			t.Fatalf("%s at %d: generation %d is used", what, at, g)
 		}
 	}
 	for at := range b {
-		try("cut", at, b[:at:at])
+		check("cut", at, b[:at:at])
 		for bit := range 8 {
 			text := append([]byte(nil), b...)
 			text[at] ^= 1 << bit
-			try("flip", at, text)
+			check("flip", at, text)
 		}
 	}
-	try("one more", len(b), append(append([]byte(nil), b...), 0))
+	check("one more", len(b), append(append([]byte(nil), b...), 0))
 	if s, g, _ := Newest([2][]byte{older, b}); g != 5 || len(s.List.Servers) != 2 {
-		t.Errorf("generation %d of two whole ones", g)
+		t.Errorf("generation %d of two complete ones", g)
 	}
-	if s, _, wrong := Newest([2][]byte{}); s != nil || wrong != [2]error{} {
-		t.Error("something of nothing")
+	if s, _, errs := Newest([2][]byte{}); s != nil || errs != [2]error{} {
+		t.Error("a state of no files")
 	}
 }
 
-// Whatever the bytes: no crash, and what is read is what would be written.
+// Whatever the bytes: no crash, and what is decoded can be encoded.
 func FuzzDecode(f *testing.F) {
 	b, _ := Encode(sample(2), 5)
 	f.Add(b)
@@ -95,7 +98,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if s, g, err := Decode(b); err == nil {
 			if _, err := Encode(s, g); err != nil {
-				t.Errorf("read, and not to be written: %v", err)
+				t.Errorf("decoded, and can't be encoded: %v", err)
 			}
 		}
 	})
--- a/internal/router/snapshot/stored_test.go
+++ b/internal/router/snapshot/stored_test.go
@@ -13,7 +13,8 @@
 	"reachspread/internal/testbed/golden"
 )
 
-// The files under testdata were written by Encode at commit 5bfcc27: WRITE_GOLDEN=1 go test -run Golden.
+// The files under testdata were written by Encode at commit 5bfcc27: WRITE_GOLDEN=1 go test -run
+// Golden.
 
 // goldenState has every field of a State.
 func goldenState(generation uint32) *State {
