--- a/internal/system/deciders/configuration/changes.go
+++ b/internal/system/deciders/configuration/changes.go
@@ -1,9 +1,11 @@
 package configuration
 
-import "slices"
+import (
+	"slices"
+)
 
-// ListChange is what is different in one list of two documents, by the names of its items. A field that is no list has its own name as the
-// only item.
+// ListChange is the difference of one list in two documents, by the names of its items. A field
+// that is no list has its own name as the only item.
 type ListChange struct {
 	List    string   `json:"list"`
 	Added   []string `json:"added,omitempty"`
@@ -11,8 +13,8 @@
 	Removed []string `json:"removed,omitempty"`
 }
 
-// Changes is what makes one document of another, in the order of the later one's fields; before may be nil. Items that changed places only
-// are not told of.
+// Changes returns the difference of two documents, in the order of the fields of the later one.
+// Before may be nil. Reordered items count as unchanged.
 func Changes(before, after *Document) (all []ListChange) {
 	if before == nil {
 		before = &Document{}
@@ -33,7 +35,7 @@
 
 func (c *ListChange) empty() bool { return len(c.Added)+len(c.Changed)+len(c.Removed) == 0 }
 
-// listChange is what makes one field of another; before may be nil.
+// listChange returns the difference of one field; before is nil for a new one.
 func listChange(before, after *field) ListChange {
 	c := ListChange{List: after.name}
 	switch {
--- a/internal/system/deciders/configuration/changes_test.go
+++ b/internal/system/deciders/configuration/changes_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// What changed is told by the names of items.
-func TestChanges(t *testing.T) {
+// Changes names the items that were added, changed or removed.
+func TestChangesNameItems(t *testing.T) {
 	parse := func(text string) *Document {
 		t.Helper()
 		text = strings.ReplaceAll(text, `"path":`, `"host":"h","kind":"safe","timeoutMs":1,"service":"s","pathPrefix":`)
--- a/internal/system/deciders/configuration/configuration_test.go
+++ b/internal/system/deciders/configuration/configuration_test.go
@@ -16,7 +16,7 @@
 	"reachspread/internal/system/message"
 )
 
-// small is a configuration with a field of each list that nobody here knows of.
+// small is a configuration with unknown fields in each list.
 const small = `{"version":7,"routes":[{"name":"a","host":"h.example","pathPrefix":"/a/","kind":"safe","timeoutMs":500,"targetLatencyMs":100,"service":"s","future":[1,2]},` +
 	`{"name":"b","host":"h.example","pathPrefix":"/a/b/","kind":"streaming","timeoutMs":3000,"trafficSplit":[{"service":"s","weight":90},{"service":"t","weight":10}],"streamResumption":true}],` +
 	`"services":[{"name":"s","healthCheckPath":"/health","connectionLimit":650},{"name":"t","healthCheckPath":"/health"}],` +
@@ -31,7 +31,7 @@
 	return d
 }
 
-// same tells whether two JSON texts say the same.
+// same returns the difference of two JSON texts.
 func same(t *testing.T, a, b []byte) string {
 	t.Helper()
 	var x, y any
@@ -44,8 +44,8 @@
 	return cmp.Diff(x, y)
 }
 
-// What is read back is what was sent, with fields that nobody knows.
-func TestRoundTrip(t *testing.T) {
+// What is read back is what was sent, unknown fields included.
+func TestDocumentRoundTrip(t *testing.T) {
 	d := parse(t, small)
 	if diff := same(t, []byte(small), d.JSON()); diff != "" {
 		t.Error(diff)
@@ -56,8 +56,8 @@
 	}
 }
 
-// Each fault that a configuration is refused for is told with the item or field, in one line.
-func TestRefused(t *testing.T) {
+// Each fault that a configuration is rejected for is reported with the item or field, in one line.
+func TestRejectionNamesItemAndField(t *testing.T) {
 	change := func(old, new string) string { return strings.Replace(small, old, new, 1) }
 	for name, c := range map[string]struct{ text, says string }{
 		"cut short":           {small[:100], "whole JSON"},
@@ -86,8 +86,9 @@
 	}
 }
 
-// The route is the one with the longest prefix of those of the host; hosts are compared without regard to case.
-func TestRoute(t *testing.T) {
+// A request's route has the longest prefix among those of its host; hosts are compared without
+// case.
+func TestRouteHasLongestPrefix(t *testing.T) {
 	is := is.New(t)
 	c, err := Compile(parse(t, small))
 	is.NoErr(err)
@@ -111,8 +112,8 @@
 	is.True(c.Routes[1].Idempotent())
 }
 
-// Requests need keys once the configuration has tenants, also an empty list of them.
-func TestKeyed(t *testing.T) {
+// Requests need keys once the configuration has a list of tenants, even an empty one.
+func TestTenantsRequireKeys(t *testing.T) {
 	is := is.New(t)
 	for text, keyed := range map[string]bool{`{"version":1}`: false, `{"version":1,"tenants":[]}`: true} {
 		c, err := Compile(parse(t, text))
@@ -121,8 +122,8 @@
 	}
 }
 
-// A change replaces, adds and removes items by name, and leaves all else as it was.
-func TestPatch(t *testing.T) {
+// A patch replaces, adds and removes items by name, and leaves all others unchanged.
+func TestPatchChangesItemsByName(t *testing.T) {
 	is := is.New(t)
 	before := parse(t, small)
 	text := before.JSON()
@@ -142,8 +143,8 @@
 	is.Equal(len(c.Tenants), 1)
 }
 
-// A change that can't be read is refused.
-func TestPatchRefused(t *testing.T) {
+// A patch that can't be parsed is rejected.
+func TestMalformedPatchIsRejected(t *testing.T) {
 	for name, text := range map[string]string{
 		"no version":        `{"upsert":{}}`,
 		"a foreign member":  `{"version":1,"routes":[]}`,
@@ -163,13 +164,13 @@
 	}
 }
 
-// order makes an order's text.
+// order returns an encoded order.
 func order(kind message.Order_Kind, on int64, body string) []byte {
 	text, _ := proto.Marshal(&message.Order{Kind: kind, IfMatch: on, Body: []byte(body)})
 	return text
 }
 
-// decide has a store work out an order, and make its change.
+// decide runs an order through Decide and Apply.
 func decide(t *testing.T, s *Store, text []byte) *message.OrderReply {
 	t.Helper()
 	change, reply := s.Decide(text)
@@ -183,8 +184,9 @@
 	return out
 }
 
-// Orders are taken on the version in force alone, acknowledged again whenever they come again, and one of two on one version wins.
-func TestOrders(t *testing.T) {
+// An order is applied only for the version in force and acknowledged whenever it is sent again; of
+// two orders for one version one wins.
+func TestOrderOnlyForVersionInForce(t *testing.T) {
 	is := is.New(t)
 	s := NewStore()
 	first := order(message.Order_PUT, 0, small)
@@ -205,8 +207,8 @@
 	is.Equal(s.state.Version(), int64(9))
 }
 
-// An order is known after hundreds of others, and after a snapshot was restored.
-func TestOrderRemembered(t *testing.T) {
+// An order is remembered after hundreds of others, and after a snapshot was restored.
+func TestOrderIsRememberedAcrossSnapshot(t *testing.T) {
 	is := is.New(t)
 	s := NewStore()
 	first := order(message.Order_PUT, 0, small)
@@ -221,8 +223,8 @@
 	is.Equal(string(again.Snapshot()), string(s.Snapshot()))
 }
 
-// What is remembered is bounded.
-func TestDigestsBounded(t *testing.T) {
+// The digests of orders are bounded.
+func TestDigestsAreBounded(t *testing.T) {
 	s := NewStore()
 	for i := range MaxDigests + 100 {
 		var d [digestLen]byte
@@ -234,8 +236,8 @@
 	}
 }
 
-// A snapshot that can't be read changes nothing.
-func TestBadSnapshot(t *testing.T) {
+// A snapshot that can't be decoded leaves the store unchanged.
+func TestMalformedSnapshotChangesNothing(t *testing.T) {
 	is := is.New(t)
 	s := NewStore()
 	decide(t, s, order(message.Order_PUT, 0, small))
@@ -245,8 +247,8 @@
 	is.Equal(s.state.Version(), int64(7))
 }
 
-// Errors tell what they are by their types.
-func TestErrorTypes(t *testing.T) {
+// Parse returns a *SyntaxError, Next and Compile an *InvalidError.
+func TestErrorsAreTyped(t *testing.T) {
 	is := is.New(t)
 	var syntax *SyntaxError
 	var invalid *InvalidError
@@ -258,7 +260,7 @@
 	is.True(errors.As(err, &invalid))
 }
 
-// Whatever comes as a configuration or a change is refused or can be written and read again; nothing ends the process.
+// Whatever is sent as a configuration or patch is rejected, or its JSON can be parsed again.
 func FuzzOrders(f *testing.F) {
 	f.Add([]byte(small), []byte(`{"version":9,"upsert":{"routes":[{"name":"a"}]},"remove":{"routes":["b"]}}`))
 	f.Add([]byte(`{"version":1,"routes":null}`), []byte(`{"version":2,"upsert":{"routes":[]}}`))
@@ -280,8 +282,8 @@
 	})
 }
 
-// What differs between two documents is a change that makes one of the other, or there is none.
-func TestDifference(t *testing.T) {
+// Difference returns a patch that turns one document into the other, or none.
+func TestDifferenceIsAPatch(t *testing.T) {
 	change := func(old, new string) string { return strings.Replace(small, old, new, 1) }
 	for name, c := range map[string]struct {
 		before, after string
@@ -322,8 +324,8 @@
 	}
 }
 
-// Items that are in the document before as well are read once, and a document read after another is the same as one read alone.
-func TestParseAfter(t *testing.T) {
+// ParseAfter reuses equal items of the earlier document, and its result equals that of Parse.
+func TestParseAfterReusesEqualItems(t *testing.T) {
 	is := is.New(t)
 	before := parse(t, small)
 	text := strings.Replace(small, `"weight":90`, `"weight":80`, 1)
@@ -334,8 +336,8 @@
 	is.True(after.find("routes").items[1].typed != before.find("routes").items[1].typed)
 }
 
-// Routes are found the same way by the index as by looking at all of them.
-func TestLongestPrefix(t *testing.T) {
+// The index finds the same routes as a search over all of them.
+func TestPrefixIndexEqualsLinearSearch(t *testing.T) {
 	var p prefixes
 	prefixes := []string{"/", "/a/", "/a/b/", "/a/b/c/d/", "/a", "/ab", "x", ""}
 	for _, prefix := range prefixes {
@@ -406,8 +408,8 @@
 	})
 }
 
-// A configuration that takes over what has not changed is the same as one made alone: each place has the route of the last change.
-func TestCompileAfter(t *testing.T) {
+// A configuration derived from another one equals one that was compiled alone.
+func TestCompileAfterEqualsCompile(t *testing.T) {
 	state, err := Next(nil, &message.Order{Kind: message.Order_PUT, Body: []byte(small)})
 	if err != nil {
 		t.Fatal(err)
--- /dev/null
+++ b/internal/system/deciders/configuration/decode.go
@@ -0,0 +1,78 @@
+package configuration
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"reflect"
+	"strings"
+
+	"github.com/go-playground/validator/v10"
+)
+
+// decoders return the typed forms of items by the names of their lists. Name is the item's, for
+// errors.
+var decoders = map[string]func(name string, raw json.RawMessage) (any, error){
+	"routes":   decodeRoute,
+	"services": decode[Service],
+	"tenants":  decode[Tenant],
+}
+
+// decodeRoute decodes a route and sets its class.
+func decodeRoute(name string, raw json.RawMessage) (any, error) {
+	v, err := decode[Route](name, raw)
+	if err != nil {
+		return nil, err
+	}
+	r := v.(*Route)
+	kind := string(r.Kind)
+	if r.Kind == Streaming && r.StreamResumption {
+		kind += "+resumed"
+	}
+	r.class = fmt.Sprintf("%s timeout=%g target=%g gap=%g attempts=%d", kind, r.TimeoutMs, r.TargetLatencyMs, r.GapTargetMs, r.MaxAttempts)
+	return r, nil
+}
+
+// decode decodes one item and validates it by itself.
+func decode[T any](name string, raw json.RawMessage) (any, error) {
+	v := new(T)
+	if err := json.Unmarshal(raw, v); err != nil {
+		return nil, typeError(name, err)
+	}
+	if err := validate.Struct(v); err != nil {
+		return nil, validationError(name, err)
+	}
+	return v, nil
+}
+
+// typeError names the field whose value has the wrong JSON type.
+func typeError(what string, err error) error {
+	var wrong *json.UnmarshalTypeError
+	if errors.As(err, &wrong) {
+		return &SyntaxError{what + ": " + wrong.Field, "is a " + wrong.Value + " where another kind of value belongs"}
+	}
+	return &SyntaxError{what, err.Error()}
+}
+
+var validate = newValidator()
+
+func newValidator() *validator.Validate {
+	v := validator.New(validator.WithRequiredStructEnabled())
+	v.RegisterTagNameFunc(func(f reflect.StructField) string {
+		name, _, _ := strings.Cut(f.Tag.Get("json"), ",")
+		return name
+	})
+	return v
+}
+
+// validationError names the first field of an item that breaks a rule.
+func validationError(item string, err error) error {
+	var fields validator.ValidationErrors
+	if !errors.As(err, &fields) || len(fields) == 0 {
+		return &InvalidError{item, "a field", err.Error()}
+	}
+	first := fields[0]
+	_, path, _ := strings.Cut(first.Namespace(), ".")
+	rule := strings.TrimSuffix(first.Tag()+" "+first.Param(), " ")
+	return &InvalidError{item, path, fmt.Sprintf("is %v; it must satisfy %s", first.Value(), rule)}
+}
--- a/internal/system/deciders/configuration/difference.go
+++ b/internal/system/deciders/configuration/difference.go
@@ -6,14 +6,15 @@
 	"slices"
 )
 
-// change is a patch as text.
+// patchText is the JSON form of a patch.
 type patchText struct {
 	Version int64                      `json:"version"`
 	Upsert  map[string]json.RawMessage `json:"upsert,omitempty"`
 	Remove  map[string][]string        `json:"remove,omitempty"`
 }
 
-// Difference is the patch that makes one document of another; ok is false where none does, as fields went or items changed places.
+// Difference returns the patch that turns one document into another; ok is false where no patch
+// does, as fields were removed or items reordered.
 func Difference(before, after *Document) (text []byte, ok bool) {
 	out := patchText{Version: after.Version, Upsert: map[string]json.RawMessage{}, Remove: map[string][]string{}}
 	for _, f := range before.fields {
@@ -26,7 +27,7 @@
 	}
 	var buffer bytes.Buffer
 	encoder := json.NewEncoder(&buffer)
-	encoder.SetEscapeHTML(false) // items go as they were written
+	encoder.SetEscapeHTML(false) // items are sent as they were written
 	if err := encoder.Encode(out); err != nil {
 		return nil, false
 	}
@@ -39,7 +40,7 @@
 	return text, err == nil && made.equal(after)
 }
 
-// add adds what makes one field of another.
+// add adds the difference of one field. Before is nil for a new one.
 func (c *patchText) add(before, after *field) {
 	if !after.list {
 		if before == nil || !bytes.Equal(before.value, after.value) {
@@ -69,7 +70,7 @@
 	slices.Sort(c.Remove[after.name])
 }
 
-// joinItems writes a list.
+// joinItems returns a JSON array of items.
 func joinItems(items []json.RawMessage) json.RawMessage {
 	out := []byte{'['}
 	for i, it := range items {
@@ -80,16 +81,3 @@
 	}
 	return append(out, ']')
 }
-
-// sameText tells whether two texts are the same. Documents that were made of each other share most of theirs.
-func equalText(a, b json.RawMessage) bool {
-	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0] || bytes.Equal(a, b))
-}
-
-// equal tells whether two documents say the same in the same order.
-func (d *Document) equal(o *Document) bool {
-	return d.Version == o.Version && slices.EqualFunc(d.fields, o.fields, func(f, g field) bool {
-		return f.name == g.name && f.list == g.list && equalText(f.value, g.value) &&
-			slices.EqualFunc(f.items, g.items, func(a, b item) bool { return equalText(a.raw, b.raw) })
-	})
-}
--- a/internal/system/deciders/configuration/patch.go
+++ b/internal/system/deciders/configuration/patch.go
@@ -8,20 +8,20 @@
 	mapset "github.com/deckarep/golang-set/v2"
 )
 
-// Patch is a change of named items.
+// Patch changes items of a document by name.
 type Patch struct {
 	Version int64
 	upsert  []field
 	remove  []removal
 }
 
-// removal names items of a list that are to go.
+// removal names items of a list to remove.
 type removal struct {
 	list  string
 	names []string
 }
 
-// ParsePatch reads a change.
+// ParsePatch parses a patch. It returns a *SyntaxError, or an *InvalidError for an invalid item.
 func ParsePatch(text []byte) (*Patch, error) {
 	members, err := readObject(text, "the change")
 	if err != nil {
@@ -86,17 +86,18 @@
 	return all, nil
 }
 
-// Apply returns the document after a change. The document itself stays as it is.
+// Apply returns the document with a patch applied, and leaves its receiver unchanged. Removing what
+// does not exist has no effect.
 func (d *Document) Apply(p *Patch) (*Document, error) {
 	next := d.clone()
 	next.Version = p.Version
 	for _, r := range p.remove {
 		f := next.find(r.list)
 		if f == nil || !f.list {
-			continue // what is not there is gone already
+			continue
 		}
-		gone := mapset.NewThreadUnsafeSet(r.names...)
-		f.items = slices.DeleteFunc(f.items, func(it item) bool { return gone.ContainsOne(it.name) })
+		removed := mapset.NewThreadUnsafeSet(r.names...)
+		f.items = slices.DeleteFunc(f.items, func(it item) bool { return removed.ContainsOne(it.name) })
 	}
 	for _, u := range p.upsert {
 		f := next.find(u.name)
@@ -114,7 +115,7 @@
 	return next, nil
 }
 
-// upsert replaces items by name and appends those that are new.
+// upsert replaces items by name and appends new ones.
 func upsert(items, changed []item) []item {
 	fresh := make(map[string]item, len(changed))
 	for _, it := range changed {
--- a/internal/system/deciders/configuration/pinned.go
+++ b/internal/system/deciders/configuration/pinorders.go
@@ -12,27 +12,12 @@
 	"reachspread/internal/system/message"
 )
 
-// isPinOrder tells whether an order changes pins, and not the configuration.
+// isPinOrder reports whether an order changes pins and not the configuration.
 func isPinOrder(o *message.Order) bool {
 	return o.Kind == message.Order_PIN_SET || o.Kind == message.Order_PIN_LIFT
 }
 
-// Pinned is the pins in force beside a state, none for none.
-func (s *State) Pins() *pins.Set {
-	if s == nil || s.pins == nil {
-		return &pins.Set{}
-	}
-	return s.pins
-}
-
-// WithPins is the state with other pins.
-func (s *State) WithPins(set *pins.Set) *State {
-	next := *s
-	next.pins = set
-	return &next
-}
-
-// decidePin decides on an order that changes pins.
+// decidePin is Decide for an order that changes pins.
 func (s *Store) decidePin(order *message.Order) (change, reply []byte) {
 	in := s.state.Pins()
 	if order.IfMatch != in.Revision {
@@ -54,7 +39,7 @@
 	return marshalReply(&message.OrderReply{Status: int32(status), Text: text, Version: s.state.Pins().Revision})
 }
 
-// pinStatus is the status of an order that is refused.
+// pinStatus is the HTTP status for an order that is rejected.
 func pinStatus(err error) int {
 	var overlap *pins.OverlapError
 	var unknown *pins.UnknownError
@@ -67,7 +52,7 @@
 	return http.StatusBadRequest
 }
 
-// nextPins are the pins after an order, and what it changed.
+// nextPins returns the pins after an order, and the change for the history.
 func (s *Store) nextPins(order *message.Order) (*pins.Set, *message.PinChange, error) {
 	pin := &message.Pin{}
 	if err := proto.Unmarshal(order.Body, pin); err != nil {
@@ -98,8 +83,8 @@
 	return next, changed, nil
 }
 
-// checkScope tells whether the requests of a pin's scope can be held to it everywhere: they carry keys, which a router that is cut off
-// stops to honour.
+// checkScope validates that a pin's requests can be bound to it at all routers: they need API keys,
+// which an isolated router stops accepting.
 func (s *Store) checkScope(pin *message.Pin) error {
 	if s.state == nil || !s.state.Typed.Keyed() {
 		return &pins.FieldError{Field: "tenant", Reason: "the configuration has no tenants; only requests with keys can be pinned"}
@@ -120,11 +105,11 @@
 	return nil
 }
 
-// applyPin carries out a change of the pins that was decided on.
+// applyPin is Apply for an order that changes pins. It reports whether it did.
 func (s *Store) applyPin(order *message.Order) (ok bool) {
 	next, changed, err := s.nextPins(order)
 	if err != nil {
-		return false // the head has seen that it can be; a fault of this kind is the same on all
+		return false // Decide has checked it; whatever fails here fails on all members alike
 	}
 	s.state = s.state.WithPins(next)
 	s.pinHistory = append(s.pinHistory, changed)
--- a/internal/system/deciders/configuration/pinned_test.go
+++ b/internal/system/deciders/configuration/pinorders_test.go
@@ -34,8 +34,8 @@
 	return s
 }
 
-// Which orders are taken.
-func TestPinOrders(t *testing.T) {
+// Which orders for pins are applied, and with which status others are rejected.
+func TestPinOrdersAreValidated(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		kind   message.Order_Kind
@@ -66,8 +66,8 @@
 	}
 }
 
-// A pin that was taken is acknowledged again, also when it comes at another time, and is set once.
-func TestPinTakenAgain(t *testing.T) {
+// A pin order that is sent again, even with another time, is acknowledged and applied once.
+func TestPinOrderSentAgainIsAcknowledged(t *testing.T) {
 	is := is.New(t)
 	s := pinnableStore(t)
 	pin := &message.Pin{Name: "a", Tenant: "x", Model: "m", Version: 2}
@@ -79,8 +79,8 @@
 	is.Equal(s.state.Pins().ByName("a").SetAtMs, int64(7))
 }
 
-// A configuration that is put whole leaves the pins as they are; so does one that lacks their tenant.
-func TestPinsStay(t *testing.T) {
+// A new configuration leaves the pins in force, even one that lacks their tenant.
+func TestConfigurationKeepsPins(t *testing.T) {
 	is := is.New(t)
 	s := pinnableStore(t)
 	is.Equal(decide(t, s, pinOrder(message.Order_PIN_SET, 0, &message.Pin{Name: "a", Tenant: "x", Model: "m", Version: 2}, 7)).Status, int32(200))
@@ -90,8 +90,8 @@
 	is.Equal(s.state.Pins().ByName("a").Version, int64(2))
 }
 
-// Pins and their history are in what is kept and replicated, and the next process goes on with them.
-func TestPinsAreKept(t *testing.T) {
+// Pins and their history are in the snapshot, and the restored store continues from them.
+func TestSnapshotHasPinsAndHistory(t *testing.T) {
 	is := is.New(t)
 	s := pinnableStore(t)
 	is.Equal(decide(t, s, pinOrder(message.Order_PIN_SET, 0, &message.Pin{Name: "a", Tenant: "x", Model: "m", Version: 2}, 7)).Status, int32(200))
@@ -108,8 +108,8 @@
 	is.Equal(decide(t, next, pinOrder(message.Order_PIN_LIFT, 1, &message.Pin{Name: "a"}, 10)).Status, int32(200)) // taken before
 }
 
-// The history is bounded.
-func TestPinHistory(t *testing.T) {
+// The history of the pins is bounded.
+func TestPinHistoryIsBounded(t *testing.T) {
 	is := is.New(t)
 	s := pinnableStore(t)
 	for i := range pins.MaxChanges + 10 {
@@ -119,8 +119,8 @@
 	is.Equal(s.pinHistory[len(s.pinHistory)-1].Revision, int64(pins.MaxChanges+10))
 }
 
-// Without tenants nothing can be pinned: a router that is cut off could not be held to it.
-func TestPinsNeedKeys(t *testing.T) {
+// Without tenants no pin can be set: an isolated router could not be bound to it.
+func TestPinsRequireTenants(t *testing.T) {
 	is := is.New(t)
 	s := NewStore()
 	is.Equal(decide(t, s, pinOrder(message.Order_PIN_SET, 0, &message.Pin{Name: "a", Route: "r", Model: "m", Version: 2}, 7)).Status, int32(400))
@@ -129,7 +129,8 @@
 	is.Equal(decide(t, s, pinOrder(message.Order_PIN_SET, 0, &message.Pin{Name: "a", Route: "r", Model: "m", Version: 2}, 7)).Status, int32(400))
 }
 
-// Whatever an order's body is, what the head decides on can be applied, raises the revision by one, and is there after a restart.
+// Whatever the body of an order is, a change that Decide returns can be applied, raises the
+// revision by one, and is in the snapshot.
 func FuzzPinOrders(f *testing.F) {
 	seed, _ := proto.Marshal(&message.Pin{Name: "a", Tenant: "x", Model: "m", Version: 2, By: "ann", Why: "trial"})
 	f.Add(seed, seed)
--- a/internal/system/deciders/configuration/prefixes.go
+++ b/internal/system/deciders/configuration/prefixes.go
@@ -6,13 +6,13 @@
 	"strings"
 )
 
-// prefixes are the routes of one host by their path prefixes. A nil one has none.
+// prefixes indexes the routes of one host by their path prefixes. nil is an index without routes.
 type prefixes struct {
-	slashed   map[string]*Route // those that end with a slash, as all should
-	unslashed []*Route          // the rest
+	slashed   map[string]*Route // whose prefixes end with a slash, as they should
+	unslashed []*Route          // all others
 }
 
-// add adds a route, and returns the one that has the same prefix already, nil for none.
+// add adds a route, unless another one has the same prefix: then it returns that one.
 func (p *prefixes) add(r *Route) *Route {
 	if !strings.HasSuffix(r.PathPrefix, "/") {
 		for _, o := range p.unslashed {
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// remove removes a route that was added.
+// remove removes a route.
 func (p *prefixes) remove(r *Route) {
 	if p.slashed[r.PathPrefix] == r {
 		delete(p.slashed, r.PathPrefix)
@@ -49,8 +49,8 @@
 	return &prefixes{slashed: maps.Clone(p.slashed), unslashed: slices.Clone(p.unslashed)}
 }
 
-// longest returns the route with the longest prefix of a path, nil for none. It costs a look for each slash of the path, however many
-// routes there are.
+// longest returns the route with the longest prefix of a path, nil for none. It takes one lookup
+// for each slash of the path, however many routes there are.
 func (p *prefixes) longest(path string) *Route {
 	if p == nil {
 		return nil
--- a/internal/system/deciders/configuration/replicated_test.go
+++ b/internal/system/deciders/configuration/replicated_test.go
@@ -25,7 +25,7 @@
 	showReplicated      = flag.Bool("replicated-show", false, "tell what happens")
 )
 
-// replicated is the store of the control plane as a simulation plays it. Each order is a whole configuration, or a change of items.
+// replicated runs the store in a simulation. Each order is a complete configuration or a patch.
 type replicated struct {
 	routes int // that each configuration has beside the one that names its order
 }
@@ -39,7 +39,8 @@
 	return int(state.Version())
 }
 
-// Order implements simulation.Application: a PATCH where the version is odd and there is something to change.
+// Encode implements simulation.Application: a PATCH where the version is odd and there is something
+// to change.
 func (r replicated) Encode(o simulation.Command) []byte {
 	order := &message.Order{Kind: message.Order_PUT, IfMatch: int64(o.Base), Body: r.document(o)}
 	if o.Base > 0 && o.Next%2 == 1 {
@@ -55,18 +56,18 @@
 	nameMark    = "|"
 )
 
-// patchOf is a change of the route that names its order.
+// patchOf is a patch of the route that names its order.
 func patchOf(o simulation.Command) []byte {
 	return fmt.Appendf(nil, `{"version":%d,"upsert":{"routes":[%s]}}`, o.Next, routeOf(o.Name))
 }
 
-// routeOf is the route that carries an order's name.
+// routeOf is the route that carries the name of an order.
 func routeOf(name string) string {
 	return fmt.Sprintf(`{"name":"maker","host":"maker.example","pathPrefix":"/%s%s%s/","kind":"safe","timeoutMs":1000,"service":%q,"maxAttempts":1}`,
 		nameMark, name, nameMark, serviceName)
 }
 
-// document is a whole configuration, made by an order.
+// document is a complete configuration with the name of an order.
 func (r replicated) document(o simulation.Command) []byte {
 	routes := []string{routeOf(o.Name)}
 	for i := range r.routes {
@@ -89,7 +90,7 @@
 	return parts[1]
 }
 
-// Outcome implements simulation.Application, as the control API tells it to an operator.
+// Outcome implements simulation.Application, as the control API answers an operator.
 func (replicated) Outcome(reply []byte) (simulation.Outcome, error) {
 	out := &message.OrderReply{}
 	if err := proto.Unmarshal(reply, out); err != nil {
@@ -114,7 +115,7 @@
 	largeCalls     = time.Second // each read of 170 kB takes 0.14 s of the tail's link
 )
 
-// playStore plays the store under drawn faults, on links of a bandwidth.
+// playStore runs the store under random faults, on links of a bandwidth.
 func playStore(seed uint64, machines, tolerance, routes, bandwidth int, overlap bool, trace func(string, ...any)) *simulation.World {
 	w := simulation.New(simulation.Options{Seed: seed, Machines: machines, Tolerance: tolerance, Application: replicated{routes}, Bandwidth: bandwidth, Trace: trace})
 	w.StartAll()
@@ -143,9 +144,9 @@
 	return w
 }
 
-// The store of the control plane under whatever is drawn of the kinds of faults that the operators' bench has: whole configurations and
-// changes of items, small ones and some of 170 kB over links of 10 Mbit/s.
-func TestReplicatedStore(t *testing.T) {
+// The store under random faults of the kinds that the operators' bench has: complete configurations
+// and patches, small ones and some of 170 kB over links of 10 Mbit/s.
+func TestReplicatedStoreUnderFaults(t *testing.T) {
 	for _, c := range []struct {
 		name                         string
 		machines, tolerance          int
@@ -178,9 +179,10 @@
 	}
 }
 
-// A member that was away during hundreds of changes to a large configuration is back in the chain within the time that the operators give
-// it, over a link of 10 Mbit/s, with a disk that is 30 times slower than usual, and though it is killed in the middle of the snapshot.
-func TestCatchesUp(t *testing.T) {
+// A member that missed hundreds of changes to a large configuration is back in the chain within the
+// time that the operators give it, over a link of 10 Mbit/s, with a slow disk, killed during the
+// snapshot, or without its disk.
+func TestMemberCatchesUpInTime(t *testing.T) {
 	const (
 		routes  = 1200 // 170 kB
 		changes = 300
@@ -235,7 +237,8 @@
 	}
 }
 
-// inChain tells whether a process is in the chain of the last view, by what another one knows, and has completed it.
+// inChain reports whether a process is in the chain of the latest view that another one knows, with
+// its complete state.
 func inChain(other, p *simulation.Process) bool {
 	v := other.Core.View()
 	if !p.Up() || p.Core.View().Epoch != v.Epoch {
@@ -254,14 +257,14 @@
 	return false
 }
 
-// orderOn is an order of one operator on a version.
+// orderOn is an order of one operator for a version.
 func orderOn(on, next int64, name string) []byte {
 	text, _ := proto.Marshal(&message.Order{Kind: message.Order_PUT, IfMatch: on,
 		Body: replicated{1}.document(simulation.Command{Name: name, Base: int(on), Next: int(next)})})
 	return text
 }
 
-// decide has a store decide on an order, and make the change.
+// decide runs an order through Decide and Apply.
 func decide(t *testing.T, s *configuration.Store, order []byte) *message.OrderReply {
 	t.Helper()
 	change, reply := s.Decide(order)
@@ -275,13 +278,15 @@
 	return out
 }
 
-// An order that was taken is acknowledged again after hundreds of later ones, after a snapshot, and up to the bound on what is remembered; two
-// operators who send the same bytes are both told that they were taken; of two different changes on one version one is refused.
-func TestSentAgain(t *testing.T) {
+// An applied order is acknowledged again after hundreds of later ones, after a snapshot, and up to
+// the bound on what is remembered. Two operators who send the same bytes are both acknowledged; of
+// two different orders for one version one is rejected.
+func TestOrderSentAgainIsAcknowledged(t *testing.T) {
 	is := is.New(t)
 	s := configuration.NewStore()
 	is.Equal(decide(t, s, orderOn(0, 1, "first")).Status, int32(http.StatusOK))
-	is.Equal(decide(t, s, orderOn(0, 1, "first")).Status, int32(http.StatusOK)) // the other operator
+	// The other operator.
+	is.Equal(decide(t, s, orderOn(0, 1, "first")).Status, int32(http.StatusOK))
 	is.Equal(decide(t, s, orderOn(0, 1, "rival")).Status, int32(http.StatusPreconditionFailed))
 	for v := int64(1); v < 700; v++ {
 		is.Equal(decide(t, s, orderOn(v, v+1, "later")).Status, int32(http.StatusOK))
@@ -294,15 +299,20 @@
 	for v := int64(700); v < configuration.MaxDigests; v++ {
 		decide(t, restored, orderOn(v, v+1, "later"))
 	}
-	is.Equal(decide(t, restored, orderOn(0, 1, "first")).Status, int32(http.StatusOK))                                                    // the last one that is remembered
-	is.Equal(decide(t, restored, orderOn(configuration.MaxDigests, configuration.MaxDigests+1, "one more")).Status, int32(http.StatusOK)) // and now it is not
-	is.Equal(decide(t, restored, orderOn(0, 1, "first")).Status, int32(http.StatusPreconditionFailed))                                    // as for any old version
-	is.Equal(decide(t, restored, orderOn(1, 2, "later")).Status, int32(http.StatusOK))                                                    // the next one still is
+	// The last one that is remembered.
+	is.Equal(decide(t, restored, orderOn(0, 1, "first")).Status, int32(http.StatusOK))
+	// And now it is not.
+	is.Equal(decide(t, restored, orderOn(configuration.MaxDigests, configuration.MaxDigests+1, "one more")).Status, int32(http.StatusOK))
+	// As for any old version.
+	is.Equal(decide(t, restored, orderOn(0, 1, "first")).Status, int32(http.StatusPreconditionFailed))
+	// The next one still is.
+	is.Equal(decide(t, restored, orderOn(1, 2, "later")).Status, int32(http.StatusOK))
 	is.True(json.Valid(restored.Value().(*configuration.State).JSON()))
 }
 
-// An order on a version to come is neither taken nor refused for good: a copy of it may still be taken.
-func TestBuildsAhead(t *testing.T) {
+// An order for a later version is neither applied nor rejected for good: a retry may still be
+// applied.
+func TestOrderForLaterVersionMayBeRetried(t *testing.T) {
 	is := is.New(t)
 	s := configuration.NewStore()
 	decide(t, s, orderOn(0, 3, "first"))
--- a/internal/system/deciders/configuration/store.go
+++ b/internal/system/deciders/configuration/store.go
@@ -3,10 +3,8 @@
 import (
 	"bytes"
 	"crypto/sha256"
-	"errors"
 	"fmt"
 	"net/http"
-	"sync"
 
 	"google.golang.org/protobuf/proto"
 
@@ -16,53 +14,27 @@
 
 const (
 	digestLen = 16
-	// MostDigests is how many orders are remembered, so that each is acknowledged again whenever it comes again.
+	// MaxDigests is how many applied orders are remembered, to acknowledge each again when it is
+	// sent again.
 	MaxDigests = 8192
 )
 
-// State is a configuration in force, in all its forms, and the version pins beside it. It never changes.
-type State struct {
-	Document *Document
-	Typed    *Configuration
-	text     func() []byte
-	pins     *pins.Set // nil for none
-}
-
-// JSON is the configuration as text. It is written when it is first asked for, and is not to be changed.
-func (s *State) JSON() []byte { return s.text() }
-
-// Version is the version of a state, 0 for none.
-func (s *State) Version() int64 {
-	if s == nil {
-		return 0
-	}
-	return s.Document.Version
-}
-
-// document is that of a state, nil for none.
-func (s *State) document() *Document {
-	if s == nil {
-		return nil
-	}
-	return s.Document
-}
-
-// Store is the state that the register replicates: the configuration, the version pins with their history, and which orders were taken. It
-// implements chain.Machine.
+// Store is the replicated state: configuration, version pins with their history, and digests of
+// applied orders. It implements chain.Machine.
 type Store struct {
 	state       *State // nil before the first configuration
 	digests     map[[digestLen]byte]bool
-	digestOrder [][digestLen]byte    // the digests, the oldest first
-	pinHistory  []*message.PinChange // of late, the oldest first
+	digestOrder [][digestLen]byte    // the oldest first
+	pinHistory  []*message.PinChange // the last pins.MaxChanges, the oldest first
 }
 
 // NewStore returns a store without a configuration.
 func NewStore() *Store { return &Store{digests: map[[digestLen]byte]bool{}} }
 
-// Value implements chain.Machine: a *State, nil for none.
+// Value implements chain.Machine: it returns a *State, nil for none.
 func (s *Store) Value() any { return s.state }
 
-// digest names an order: the same bytes on top of the same version are the same order.
+// digest identifies an order: the same bytes for the same version are the same order.
 func digest(o *message.Order) (d [digestLen]byte) {
 	h := sha256.New()
 	fmt.Fprintf(h, "%d %d ", o.Kind, o.IfMatch)
@@ -71,7 +43,8 @@
 	return d
 }
 
-// Decide implements chain.Machine: orders and changes are those of package message.
+// Decide implements chain.Machine for orders and changes of package message. It runs at the head
+// only; an order that is rejected has no change.
 func (s *Store) Decide(text []byte) (change, reply []byte) {
 	order := &message.Order{}
 	if err := proto.Unmarshal(text, order); err != nil {
@@ -102,9 +75,9 @@
 	return change, marshalReply(&message.OrderReply{Status: http.StatusOK, Version: next.Version()})
 }
 
-// refusal is the status of an order that does not build on what is in force. Versions only rise, so one that builds on an older version
-// never can be taken. One that builds on a version to come may be, perhaps as a copy of it that is still on its way: it is not refused for
-// good, and its sender may send it again.
+// rejectionStatus is the HTTP status for an order that is not for the version in force. Versions
+// only grow, so one for an older version can never be applied. One for a later version may be,
+// perhaps by a retry that is still in flight, so its sender may try again.
 func rejectionStatus(base, inForce int64) int {
 	if base > inForce {
 		return http.StatusServiceUnavailable
@@ -121,10 +94,7 @@
 	return out
 }
 
-// ErrNothing says that there is no configuration to be changed.
-var ErrNoConfiguration = errors.New("no configuration is in force yet")
-
-// next is the state after an order, or why it is refused.
+// next returns the state after an order, or why it is rejected.
 func (s *Store) next(order *message.Order) (*State, error) {
 	next, err := Next(s.state, order)
 	if err != nil {
@@ -136,49 +106,7 @@
 	return next, nil
 }
 
-// Next is the state that an order makes of another, which is nil where there is none; or why it can't be.
-func Next(state *State, order *message.Order) (*State, error) {
-	var document *Document
-	var err error
-	switch order.Kind {
-	case message.Order_PUT:
-		document, err = ParseAfter(state.document(), order.Body)
-	case message.Order_PATCH:
-		var patch *Patch
-		if patch, err = ParsePatch(order.Body); err != nil {
-			return nil, err
-		}
-		if state == nil {
-			return nil, ErrNoConfiguration
-		}
-		document, err = state.Document.Apply(patch)
-	default:
-		return nil, &SyntaxError{"kind", fmt.Sprintf("%d is not known", order.Kind)}
-	}
-	if err != nil {
-		return nil, err
-	}
-	return newState(state, document)
-}
-
-// NewState compiles a document.
-func NewState(d *Document) (*State, error) { return newState(nil, d) }
-
-// newState compiles a document that comes after a state, nil for none.
-func newState(before *State, d *Document) (*State, error) {
-	var typed *Configuration
-	var pinned *pins.Set
-	if before != nil {
-		typed, pinned = before.Typed, before.pins
-	}
-	typed, err := compileAfter(typed, d)
-	if err != nil {
-		return nil, err
-	}
-	return &State{Document: d, Typed: typed, text: sync.OnceValue(d.JSON), pins: pinned}, nil
-}
-
-// Apply implements chain.Machine.
+// Apply implements chain.Machine. It runs on all members in the same order.
 func (s *Store) Apply(text []byte) {
 	change := &message.Change{}
 	if proto.Unmarshal(text, change) != nil || len(change.Digest) != digestLen {
@@ -192,12 +120,13 @@
 	}
 	next, err := Next(s.state, change.Order)
 	if err != nil {
-		return // the head has seen that it can be; a fault of this kind is the same on all
+		return // Decide has checked it; whatever fails here fails on all members alike
 	}
 	s.state = next
 	s.remember([digestLen]byte(change.Digest))
 }
 
+// remember adds a digest and forgets the oldest beyond MaxDigests.
 func (s *Store) remember(d [digestLen]byte) {
 	if s.digests[d] {
 		return
@@ -209,7 +138,7 @@
 	}
 }
 
-// Snapshot implements chain.Machine.
+// Snapshot implements chain.Machine: it returns an encoded message.Stored.
 func (s *Store) Snapshot() []byte {
 	out := &message.Stored{PinHistory: s.pinHistory}
 	if s.state != nil {
@@ -225,7 +154,7 @@
 	return text
 }
 
-// Restore implements chain.Machine.
+// Restore implements chain.Machine. After an error the store is unchanged.
 func (s *Store) Restore(text []byte) error {
 	stored := &message.Stored{}
 	if err := proto.Unmarshal(text, stored); err != nil {
@@ -252,7 +181,7 @@
 	return nil
 }
 
-// bytesChunks gives the whole pieces of a length, one after the other.
+// bytesChunks iterates over the complete chunks of a length.
 func bytesChunks(text []byte, length int) func(yield func([]byte) bool) {
 	return func(yield func([]byte) bool) {
 		for len(text) >= length {
--- a/internal/system/deciders/configuration/stored_test.go
+++ b/internal/system/deciders/configuration/stored_test.go
@@ -10,10 +10,11 @@
 	"reachspread/internal/testbed/golden"
 )
 
-// The file testdata/stored was written at commit 5bfcc27: WRITE_GOLDEN=1 go test -run TestGoldenStored. It is the state that a replica of
-// the register keeps and sends to others.
+// The file testdata/stored was written at commit 5bfcc27: WRITE_GOLDEN=1 go test -run
+// TestStoredStateOfEarlierVersion. It is the state that a replica of the register persists and
+// sends to others.
 
-// storedOrders are the orders behind it.
+// storedOrders are the orders that lead to it.
 func storedOrders() [][]byte {
 	order := func(kind message.Order_Kind, on int64, body string) []byte {
 		text, _ := proto.Marshal(&message.Order{Kind: kind, IfMatch: on, Body: []byte(body), AtMs: 1})
@@ -29,8 +30,9 @@
 	}
 }
 
-// A state of an earlier version is read to the same configuration, pins, history and orders, and written the same.
-func TestGoldenStored(t *testing.T) {
+// A state of an earlier version is restored to the same configuration, pins, history and orders,
+// and encoded to the same bytes.
+func TestStoredStateOfEarlierVersion(t *testing.T) {
 	is := is.New(t)
 	made := NewStore()
 	for _, text := range storedOrders() {
