--- a/coord/faultplan/faultplan.go
+++ b/coord/faultplan/faultplan.go
@@ -1,6 +1,3 @@
-// Package faultplan plays a simulation with faults placed in all ways: each kind of fault at each point where one may strike, and up to a
-// number of faults in one play. It keeps no state of the simulation: a plan is played from the beginning, so a play must be deterministic.
-// The tests of this module's state machines use it, and programs that embed them may.
 package faultplan
 
 import (
@@ -10,94 +7,99 @@
 	"sync/atomic"
 )
 
-// Fault is a fault of a kind at the point of a number; points are counted from 1 within a play.
+// Fault is a fault of a kind at a point. Points are counted from 1 within a run.
 type Fault[K ~int] struct {
-	At   int
-	Kind K
+	Point int
+	Kind  K
 }
 
-// String is for people.
-func (f Fault[K]) String() string { return fmt.Sprintf("%v at point %d", f.Kind, f.At) }
+// String describes the fault for people.
+func (f Fault[K]) String() string { return fmt.Sprintf("%v at point %d", f.Kind, f.Point) }
 
-// Search is what is to be played.
-type Search[K ~int] struct {
-	Kinds  K                    // of fault, from 0 up to below this
-	Faults int                  // in one play, at most
-	Play   func(Plan[K]) Played // called by several goroutines at once
-}
-
-// Plan has the faults of one play, in the order of their points.
+// Plan is the faults of one run, by their points.
 type Plan[K ~int] []Fault[K]
 
-// Played is what a play came to.
-type Played struct {
-	Points int   // at which one more fault might have struck
-	Broken error // what did not hold, nil for nothing
+// Explorer says what is to be explored.
+type Explorer[K ~int] struct {
+	// Kinds is the number of kinds of faults, which are 0 to Kinds-1.
+	Kinds K
+	// MaxFaults bounds the faults in one run. The number of runs grows with the number of points to
+	// that power.
+	MaxFaults int
+	// Simulate runs the simulation from its start with the faults of a plan. It is called by several
+	// goroutines at once.
+	Simulate func(Plan[K]) Outcome
+}
+
+// Outcome is the outcome of a run.
+type Outcome struct {
+	Points    int   // at which one more fault could have been injected
+	Violation error // a property that didn't hold, nil for none
 }
 
-// Result is what a search found.
+// Result is the outcome of an exploration.
 type Result[K ~int] struct {
-	Plays  int64
-	Plan   Plan[K] // the one with which something did not hold
-	Broken error   // nil where all holds
+	Runs      int64
+	Plan      Plan[K] // the one with the violation
+	Violation error   // nil if all properties held in all runs
 }
 
-// Run plays the plan of no faults, and all with more. It ends at the first that breaks something.
-func (s Search[K]) Run() Result[K] { return s.RunFrom(nil) }
+// Explore runs the plan without faults, and all others. It ends at the first violation.
+func (s Explorer[K]) Explore() Result[K] { return s.ExploreFrom(nil) }
 
-// RunFrom plays a plan, and all that begin with it.
-func (s Search[K]) RunFrom(begin Plan[K]) Result[K] {
-	r := &run[K]{Search: s}
-	next := r.play(begin)
-	Parallel(len(next), func(i int) { r.playAll(next[i]) })
-	if found := r.found.Load(); found != nil {
-		return Result[K]{Plays: r.plays.Load(), Plan: found.plan, Broken: found.err}
+// ExploreFrom runs a plan, and all that begin with it. It ends at the first violation.
+func (s Explorer[K]) ExploreFrom(begin Plan[K]) Result[K] {
+	r := &exploration[K]{Explorer: s}
+	next := r.simulate(begin)
+	ForEachParallel(len(next), func(i int) { r.explore(next[i]) })
+	if found := r.violation.Load(); found != nil {
+		return Result[K]{Runs: r.runs.Load(), Plan: found.plan, Violation: found.err}
 	}
-	return Result[K]{Plays: r.plays.Load()}
+	return Result[K]{Runs: r.runs.Load()}
 }
 
-// run is a search that is under way.
-type run[K ~int] struct {
-	Search[K]
-	plays atomic.Int64
-	found atomic.Pointer[broken[K]]
+// exploration is an exploration in progress.
+type exploration[K ~int] struct {
+	Explorer[K]
+	runs      atomic.Int64
+	violation atomic.Pointer[violation[K]] // the first one, nil for none yet
 }
 
-// broken is a plan with which something did not hold.
-type broken[K ~int] struct {
+// violation is a plan with which a property didn't hold.
+type violation[K ~int] struct {
 	plan Plan[K]
 	err  error
 }
 
-// playAll plays a plan, and all that begin with it.
-func (r *run[K]) playAll(plan Plan[K]) {
-	for _, next := range r.play(plan) {
-		r.playAll(next)
+// explore runs a plan, and all that begin with it.
+func (r *exploration[K]) explore(plan Plan[K]) {
+	for _, next := range r.simulate(plan) {
+		r.explore(next)
 	}
 }
 
-// play plays a plan, and returns those with one more fault.
-func (r *run[K]) play(plan Plan[K]) []Plan[K] {
-	if r.found.Load() != nil {
+// simulate runs a plan, and returns those with one more fault.
+func (r *exploration[K]) simulate(plan Plan[K]) []Plan[K] {
+	if r.violation.Load() != nil {
 		return nil
 	}
-	r.plays.Add(1)
-	played := r.Play(plan)
-	if played.Broken != nil {
-		r.found.CompareAndSwap(nil, &broken[K]{plan, played.Broken})
+	r.runs.Add(1)
+	played := r.Simulate(plan)
+	if played.Violation != nil {
+		r.violation.CompareAndSwap(nil, &violation[K]{plan, played.Violation})
 		return nil
 	}
-	if len(plan) >= r.Faults {
+	if len(plan) >= r.MaxFaults {
 		return nil
 	}
 	return plan.extended(played.Points, r.Kinds)
 }
 
-// extended are all plans with one fault more, at a later point than those before.
+// extended returns all plans with one more fault, at a later point than the others.
 func (p Plan[K]) extended(points int, kinds K) (all []Plan[K]) {
 	first := 1
 	if len(p) > 0 {
-		first = p[len(p)-1].At + 1
+		first = p[len(p)-1].Point + 1
 	}
 	for at := first; at <= points; at++ {
 		for kind := range kinds {
@@ -107,8 +109,8 @@
 	return all
 }
 
-// Parallel calls a function for each number below n, on all cores.
-func Parallel(n int, do func(i int)) {
+// ForEachParallel calls a function for each number below n, on all processors.
+func ForEachParallel(n int, do func(i int)) {
 	var group sync.WaitGroup
 	next := atomic.Int64{}
 	for range runtime.GOMAXPROCS(0) {
--- a/coord/faultplan/faultplan_test.go
+++ b/coord/faultplan/faultplan_test.go
@@ -20,8 +20,8 @@
 
 func (k kind) String() string { return [...]string{"lose", "crash"}[k] }
 
-// Every plan is played once: each kind at each point, and a further fault only at later points.
-func TestAllPlansOnce(t *testing.T) {
+// Each plan runs once: each kind at each point, and a further fault only at later points.
+func TestEachPlanRunsOnce(t *testing.T) {
 	const points = 5
 	for _, c := range []struct {
 		faults int
@@ -35,65 +35,65 @@
 			is := is.New(t)
 			var mu sync.Mutex
 			seen := map[string]int{}
-			found := Search[kind]{Kinds: kinds, Faults: c.faults, Play: func(p Plan[kind]) Played {
+			found := Explorer[kind]{Kinds: kinds, MaxFaults: c.faults, Simulate: func(p Plan[kind]) Outcome {
 				mu.Lock()
 				defer mu.Unlock()
 				seen[fmt.Sprint(p)]++
-				return Played{Points: points}
-			}}.Run()
-			is.NoErr(found.Broken)
-			is.Equal(found.Plays, c.plays)
+				return Outcome{Points: points}
+			}}.Explore()
+			is.NoErr(found.Violation)
+			is.Equal(found.Runs, c.plays)
 			is.Equal(len(seen), int(c.plays))
 		})
 	}
 }
 
-// What breaks is returned with its plan, and ends the search.
-func TestFound(t *testing.T) {
+// A violation is returned with its plan, and ends the exploration.
+func TestViolationEndsExploration(t *testing.T) {
 	is := is.New(t)
 	wrong := errors.New("two owners")
-	found := Search[kind]{Kinds: kinds, Faults: 2, Play: func(p Plan[kind]) Played {
+	found := Explorer[kind]{Kinds: kinds, MaxFaults: 2, Simulate: func(p Plan[kind]) Outcome {
 		if len(p) == 2 && p[0].Kind == crash && p[1].Kind == crash {
-			return Played{Broken: wrong}
+			return Outcome{Violation: wrong}
 		}
-		return Played{Points: 3}
-	}}.Run()
-	is.Equal(found.Broken, wrong)
+		return Outcome{Points: 3}
+	}}.Explore()
+	is.Equal(found.Violation, wrong)
 	is.Equal(len(found.Plan), 2)
 	is.Equal(found.Plan[0].Kind, crash)
-	is.Equal(found.Plan[0].String(), fmt.Sprintf("crash at point %d", found.Plan[0].At))
+	is.Equal(found.Plan[0].String(), fmt.Sprintf("crash at point %d", found.Plan[0].Point))
 }
 
-// A search may begin behind faults that are given.
-func TestRunFrom(t *testing.T) {
+// An exploration may begin behind given faults.
+func TestExploreFromExtendsAPlan(t *testing.T) {
 	is := is.New(t)
 	var mu sync.Mutex
 	var played []Plan[kind]
-	begin := Plan[kind]{{At: 2, Kind: crash}}
-	Search[kind]{Kinds: kinds, Faults: 2, Play: func(p Plan[kind]) Played {
+	begin := Plan[kind]{{Point: 2, Kind: crash}}
+	Explorer[kind]{Kinds: kinds, MaxFaults: 2, Simulate: func(p Plan[kind]) Outcome {
 		mu.Lock()
 		defer mu.Unlock()
 		played = append(played, p)
-		return Played{Points: 4}
-	}}.RunFrom(begin)
+		return Outcome{Points: 4}
+	}}.ExploreFrom(begin)
 	is.Equal(len(played), 1+2*2) // itself, and two kinds at points 3 and 4
 	for _, p := range played {
 		is.Equal(p[0], begin[0])
 	}
 }
 
-// A play that has no point left for a further fault is extended by none.
-func TestNoPoints(t *testing.T) {
+// A run without a point for a further fault is not extended.
+func TestRunWithoutPointsIsNotExtended(t *testing.T) {
 	is := is.New(t)
-	is.Equal(Search[kind]{Kinds: kinds, Faults: 3, Play: func(Plan[kind]) Played { return Played{} }}.Run().Plays, int64(1))
+	is.Equal(Explorer[kind]{Kinds: kinds, MaxFaults: 3, Simulate: func(Plan[kind]) Outcome { return Outcome{} }}.Explore().Runs, int64(1))
 }
 
-// Parallel calls the function once for each number.
-func TestParallel(t *testing.T) {
+// ForEachParallel calls the function once for each number.
+func TestForEachParallelCallsOnceForEach(t *testing.T) {
 	is := is.New(t)
 	var mu sync.Mutex
 	seen := map[int]int{}
-	Parallel(100, func(i int) {
+	ForEachParallel(100, func(i int) {
 		mu.Lock()
 		defer mu.Unlock()
 		seen[i]++
--- a/coord/register/explore_test.go
+++ b/coord/register/explore_test.go
@@ -11,104 +11,105 @@
 	"reachspread/coord/simulation"
 )
 
-// deviations is how many faults an explored schedule has at most.
-var deviations = flag.Int("deviations", 1, "faults of an explored schedule")
+// maxFaults bounds the faults of an explored run.
+var maxFaults = flag.Int("deviations", 1, "faults of an explored run")
 
-// The explorer plays a register of three machines in virtual time, with a client, and places faults in it in all ways: each kind at each
-// point where a message of the protocol arrives or a write gets to the disk. After one fault the next one comes at any later point within
-// the time of a failover. All else keeps to the drawn order of one seed.
+// The explorer runs a register of three machines in virtual time, with a client, and injects each kind of
+// fault at each point where a message of the protocol arrives or a write is durable. After one fault the
+// next one comes at any later point within the time of a failover. All else follows from one seed.
 const (
-	exploreFrom = 3 * time.Second        // the first view stands
-	someOrders  = 200 * time.Millisecond // in which the first fault strikes after that
-	moreOrders  = 400 * time.Millisecond
-	nextFaultIn = 2 * time.Second // after the fault before: a failover, with orders after it
-	exploreCalm = 4 * time.Second // after the last one, until orders are acknowledged again
-	stall       = 1300 * time.Millisecond
-	backAfter   = 300 * time.Millisecond // a crashed process comes back
-	plantedSync = 250 * time.Millisecond // of a disk, where faults are planted: what is under way is lost more often
-	mostDraws   = 6                      // in which a planted fault has to be found
+	exploreStart        = 3 * time.Second        // the first view is chosen by then
+	firstFaultIn        = 200 * time.Millisecond // within which the first fault is injected after that
+	firstFaultInWithBug = 400 * time.Millisecond
+	nextFaultWithin     = 2 * time.Second // after the fault before: a failover, and commands after it
+	recoveryTime        = 4 * time.Second // after the last one, until commands are acknowledged again
+	stallTime           = 1300 * time.Millisecond
+	restartDelay        = 300 * time.Millisecond // of a crashed process
+	syncWithBug         = 250 * time.Millisecond // mean duration of a write: longer, so that crashes lose more of what is in progress
+	maxSeeds            = 6                      // within which a bug has to be found
 )
 
-// strike is a kind of fault at a point.
-type strike int
+// faultKind is a kind of fault at a point.
+type faultKind int
 
 const (
-	loseMessage strike = iota // or, of a write, a disk that stalls
-	holdLink                  // all from the sender to the receiver is lost for a while
+	loseMessage   faultKind = iota // or, at a write, the disk stalls
+	partitionLink                  // messages from the sender to the receiver are lost for a while
 	crashReceiver
 	wipeReceiver
 	freezeReceiver
 	crashSender
 	wipeSender
-	strikes
+	faultKinds
 )
 
-func (s strike) String() string {
-	return [...]string{"lose", "hold", "crash receiver", "wipe receiver", "freeze receiver", "crash sender", "wipe sender"}[s]
+func (s faultKind) String() string {
+	return [...]string{"lose", "partition", "crash receiver", "wipe receiver", "freeze receiver", "crash sender", "wipe sender"}[s]
 }
 
-// draw is what all schedules of a search have in common.
-type draw struct {
-	seed uint64        // of all chance
-	sync time.Duration // that a disk takes for a write on average, 0 for a drawn one
+// runOptions are common to all runs of an exploration.
+type runOptions struct {
+	seed uint64        // of the world
+	sync time.Duration // mean duration of a write, 0 for a drawn one
 }
 
-// exploration is one schedule.
+// exploration is one run.
 type exploration struct {
-	w      *simulation.World
-	plan   faultplan.Plan[strike]
-	points int           // so far
-	last   time.Duration // of the last fault that struck
-	wiped  int
+	world     *simulation.World
+	plan      faultplan.Plan[faultKind]
+	points    int           // so far
+	lastFault time.Duration // when the last fault was injected
+	wiped     int
 }
 
-// explore plays a plan, and returns how many points there were at which one more fault may be placed. The first one strikes within a time.
-func explore(d draw, plan faultplan.Plan[strike], p simulation.Bug, firstIn time.Duration, trace func(string, ...any)) (points int, w *simulation.World) {
+// explore runs a plan, and returns the number of points at which one more fault could have been injected.
+// The first one is injected within a time.
+func explore(d runOptions, plan faultplan.Plan[faultKind], p simulation.Bug, firstIn time.Duration, trace func(string, ...any)) (points int, w *simulation.World) {
 	w = simulation.New(simulation.Options{Seed: d.seed, Sync: d.sync, Machines: 3, Tolerance: 1, Application: simulation.Counter{}, Bug: p, Trace: trace})
 	w.StartAll()
 	w.NewClient(true).Loop(40 * time.Millisecond)
-	w.Run(exploreFrom)
-	e := &exploration{w: w, plan: plan, last: exploreFrom + firstIn - nextFaultIn}
-	w.InjectAt = e.strike
-	w.Run(e.last + nextFaultIn)
-	w.Run(e.last + nextFaultIn) // a fault may have struck meanwhile
+	w.Run(exploreStart)
+	e := &exploration{world: w, plan: plan, lastFault: exploreStart + firstIn - nextFaultWithin}
+	w.InjectAt = e.injectAt
+	w.Run(e.lastFault + nextFaultWithin)
+	w.Run(e.lastFault + nextFaultWithin) // a fault may have been injected meanwhile
 	w.InjectAt = nil
-	w.Run(e.last + nextFaultIn + exploreCalm)
+	w.Run(e.lastFault + nextFaultWithin + recoveryTime)
 	e.checkEnd()
 	return e.points, w
 }
 
-// checkEnd looks at what must hold at the end. Two machines that lost their disks within a moment are more than is tolerated, so orders
-// need not go on.
+// checkEnd checks what holds at the end. Two lost disks within a moment are more than is tolerated, so then
+// commands need not be acknowledged.
 func (e *exploration) checkEnd() {
 	if e.wiped > 1 {
 		return
 	}
-	if w := e.w; w.Violation == nil && w.Now-w.History.LastAcknowledged > exploreCalm/2 {
-		w.Fail("no order was acknowledged since %v", w.History.LastAcknowledged)
+	if w := e.world; w.Violation == nil && w.Now-w.History.LastAcknowledged > recoveryTime/2 {
+		w.Fail("no command was acknowledged since %v", w.History.LastAcknowledged)
 	}
-	e.w.CheckEnd()
-	e.w.CheckHistory()
+	e.world.CheckEnd()
+	e.world.CheckHistory()
 }
 
-// strike is called at each point, and has the plan's faults strike.
-func (e *exploration) strike(at simulation.Point) (lost bool) {
-	if e.w.Now > e.last+nextFaultIn {
+// injectAt is called at each point, and injects the faults of the plan.
+func (e *exploration) injectAt(at simulation.Point) (lost bool) {
+	if e.world.Now > e.lastFault+nextFaultWithin {
 		return false
 	}
 	e.points++
 	for _, f := range e.plan {
-		if f.At == e.points {
-			e.last = e.w.Now
-			e.w.Trace("%v %v at point %d", e.w.Now, f.Kind, f.At)
-			return e.apply(f.Kind, at)
+		if f.Point == e.points {
+			e.lastFault = e.world.Now
+			e.world.Trace("%v %v at point %d", e.world.Now, f.Kind, f.Point)
+			return e.inject(f.Kind, at)
 		}
 	}
 	return false
 }
 
-// apply has a fault of a kind strike at a point. Of a write, sender and receiver are the one whose disk it is.
-func (e *exploration) apply(kind strike, at simulation.Point) (lost bool) {
+// inject injects a fault at a point. At a write, sender and receiver are the process whose disk it is.
+func (e *exploration) inject(kind faultKind, at simulation.Point) (lost bool) {
 	sender, receiver := at.From, at.To
 	if receiver == nil {
 		receiver = sender
@@ -120,72 +121,73 @@
 			return false
 		}
 		return true
-	case holdLink:
-		cut := e.w.Partition([]string{sender.Address}, []string{receiver.Address}, true)
-		e.w.After(stall, cut.Heal)
+	case partitionLink:
+		partition := e.world.Partition([]string{sender.Address}, []string{receiver.Address}, true)
+		e.world.After(stallTime, partition.Heal)
 		return at.To != nil
 	case freezeReceiver:
-		receiver.Freeze(stall)
+		receiver.Freeze(stallTime)
 	case crashReceiver, wipeReceiver:
-		e.end(receiver, kind == wipeReceiver)
+		e.losePower(receiver, kind == wipeReceiver)
 		return true
 	case crashSender, wipeSender:
-		e.end(sender, kind == wipeSender)
+		e.losePower(sender, kind == wipeSender)
 	}
 	return false
 }
 
-// end has a machine lose power and all that it was writing, with its disk or not, and its next process begin in a moment.
-func (e *exploration) end(p *simulation.Process, wipe bool) {
+// losePower has a machine lose power and all that it was writing, and its disk with wipe, and starts it
+// again in a moment.
+func (e *exploration) losePower(p *simulation.Process, wipe bool) {
 	p.LoseUnwritten()
 	if wipe {
 		p.Wipe()
 		e.wiped++
 	}
-	e.w.After(backAfter, p.Start)
+	e.world.After(restartDelay, p.Start)
 }
 
 func (e *exploration) stallDisk(p *simulation.Process) {
-	p.SlowDisk(stall, stall)
+	p.SlowDisk(stallTime, stallTime)
 }
 
-// search is of all plans with so many faults. The first fault strikes within a time.
-func search(d draw, p simulation.Bug, faults int, firstIn time.Duration) faultplan.Search[strike] {
-	return faultplan.Search[strike]{Kinds: strikes, Faults: faults, Play: func(plan faultplan.Plan[strike]) faultplan.Played {
+// explorer explores all plans with some number of faults. The first one is injected within a time.
+func explorer(d runOptions, p simulation.Bug, faults int, firstIn time.Duration) faultplan.Explorer[faultKind] {
+	return faultplan.Explorer[faultKind]{Kinds: faultKinds, MaxFaults: faults, Simulate: func(plan faultplan.Plan[faultKind]) faultplan.Outcome {
 		points, w := explore(d, plan, p, firstIn, nil)
-		return faultplan.Played{Points: points, Broken: w.Violation}
+		return faultplan.Outcome{Points: points, Violation: w.Violation}
 	}}
 }
 
-// Wherever a fault strikes, whatever is promised holds, and orders go on afterwards.
-func TestExplore(t *testing.T) {
-	found := search(draw{seed: 1}, simulation.NoBug, *deviations, someOrders).Run()
-	if found.Broken != nil {
-		t.Errorf("%v: %v", found.Plan, found.Broken)
+// Wherever a fault is injected, what a register promises holds, and commands are acknowledged afterwards.
+func TestPromisesHoldWithFaultsAtAnyPoint(t *testing.T) {
+	found := explorer(runOptions{seed: 1}, simulation.NoBug, *maxFaults, firstFaultIn).Explore()
+	if found.Violation != nil {
+		t.Errorf("%v: %v", found.Plan, found.Violation)
 		return
 	}
-	t.Logf("%d schedules with at most %d faults", found.Plays, *deviations)
+	t.Logf("%d runs with at most %d faults", found.Runs, *maxFaults)
 }
 
-// The explorer finds faults that are planted. It begins behind a first fault, so that this takes some hundreds of schedules and not
-// thousands; whether an identity that forgets a promise is seen to break it depends on the order of identities, so some draws are tried.
-func TestExplorePlanted(t *testing.T) {
+// The explorer finds bugs. It begins behind a first fault, so that this takes some hundreds of runs and not
+// thousands. Whether a bug shows depends on the seed, so some seeds are tried.
+func TestExplorerFindsBugs(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		plant simulation.Bug
-		begin faultplan.Plan[strike]
+		bug   simulation.Bug
+		begin faultplan.Plan[faultKind]
 	}{
 		{"acknowledged before the tail", simulation.EarlyReply, nil},
-		{"written before the disk has it", simulation.EarlyWrite, faultplan.Plan[strike]{{At: 1, Kind: freezeReceiver}}},
+		{"written before the disk has it", simulation.EarlyWrite, faultplan.Plan[faultKind]{{Point: 1, Kind: freezeReceiver}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			var found faultplan.Result[strike]
-			for seed := uint64(1); seed <= mostDraws && found.Broken == nil; seed++ {
-				found = search(draw{seed, plantedSync}, c.plant, len(c.begin)+1, moreOrders).RunFrom(c.begin)
-				t.Logf("draw %d: %d schedules; %v: %v", seed, found.Plays, found.Plan, found.Broken)
+			var found faultplan.Result[faultKind]
+			for seed := uint64(1); seed <= maxSeeds && found.Violation == nil; seed++ {
+				found = explorer(runOptions{seed, syncWithBug}, c.bug, len(c.begin)+1, firstFaultInWithBug).ExploreFrom(c.begin)
+				t.Logf("seed %d: %d runs; %v: %v", seed, found.Runs, found.Plan, found.Violation)
 			}
-			is.True(found.Broken != nil)
+			is.True(found.Violation != nil)
 		})
 	}
 }
--- a/coord/register/repeat_test.go
+++ b/coord/register/repeat_test.go
@@ -27,7 +27,7 @@
 		for n := range playedSeeds {
 			group.Go(func() {
 				seed := uint64(n + 1)
-				w := s.play(seed, simulation.NoBug, nil)
+				w := s.run(seed, simulation.NoBug, nil)
 				results[i*playedSeeds+n] = fmt.Sprintf("%v, seed %d: %d orders and %d reads were answered, version %d was acknowledged, the last at %v, epoch %d; fault: %v\n",
 					s, seed, w.History.Commands, w.History.Reads, w.History.Acknowledged(), w.History.LastAcknowledged, w.History.NewestEpoch(), w.Violation)
 			})
--- a/coord/simulation/client.go
+++ b/coord/simulation/client.go
@@ -9,12 +9,15 @@
 )
 
 const (
-	// givesUpAfter is how long a client asks for an answer.
-	callTimeout   = 5 * time.Second
+	// callTimeout is after how long a client gives up a call.
+	callTimeout = 5 * time.Second
+	// retryInterval is after how long it sends a message again that wasn't answered.
 	retryInterval = 300 * time.Millisecond
+	// redirectDelay is how long it waits after a redirect.
+	redirectDelay = 20 * time.Millisecond
 )
 
-// Client sends orders and reads, to machines that it knows.
+// Client submits commands and reads.
 type Client struct {
 	world       *World
 	number      int
@@ -23,27 +26,27 @@
 	lastID      uint64
 	calls       map[uint64]*call
 	stopped     bool
-	sequential  bool // it calls again once it was answered or has given up
-	lastVersion int  // the version that it knows of
-	buildsAhead bool // it builds on versions that it does not know to be in force
+	sequential  bool // it has one call in progress at a time
+	lastVersion int  // that its last command makes
+	buildsAhead bool // commands build on versions that aren't known to be in force
 }
 
-// call is one order or read.
+// call is one submission or read.
 type call struct {
 	id         uint64
+	client     int      // its number
 	command    *Command // nil for a read
 	startedAt  time.Duration
 	minVersion int // the version that was acknowledged by then
 	sentAt     time.Duration
 	done       bool
-	client     int           // its number
-	endedAt    time.Duration // where over
-	verdict    Verdict       // of an order
-	version    int           // that was read, or is in force where an order was refused
-	next       func()        // what its client does next, nil for nothing
+	endedAt    time.Duration // if done
+	verdict    Verdict       // of a command
+	version    int           // that was read, or is in force where a command was rejected
+	next       func()        // what the client does once the call is done or given up, nil for nothing
 }
 
-// answered notes the first answer.
+// complete records the first answer.
 func (x *call) complete(now time.Duration, v Verdict, version int) {
 	if !x.done {
 		x.done, x.endedAt, x.verdict, x.version = true, now, v, version
@@ -51,7 +54,7 @@
 	x.proceed()
 }
 
-// end has the client go on.
+// proceed has the client go on.
 func (x *call) proceed() {
 	if then := x.next; then != nil {
 		x.next = nil
@@ -59,36 +62,37 @@
 	}
 }
 
-// NewClient returns a client. One that waits for each answer has a history that can be checked as a whole.
+// NewClient returns a client. The history of sequential clients can be checked for
+// linearizability.
 func (w *World) NewClient(waits bool) *Client {
 	c := &Client{world: w, address: fmt.Sprintf("c%d", len(w.clients)), number: len(w.clients), calls: map[uint64]*call{}, sequential: waits}
 	w.clients[c.address] = c
 	return c
 }
 
-// BuildAhead has the client send orders also on top of what it has no answer for yet.
+// BuildAhead has the client submit commands that build on versions it has no answer for yet.
 func (c *Client) BuildAhead() { c.buildsAhead = true }
 
-// Loop has the client call again and again, with pauses.
-func (c *Client) Loop(pause time.Duration) {
+// Loop has the client call again and again, with random pauses.
+func (c *Client) Loop(meanInterval time.Duration) {
 	if c.stopped || c.world.Violation != nil {
 		return
 	}
 	x := c.startCall(c.nextCommand())
 	if !c.sequential {
-		c.scheduleNext(pause)
+		c.scheduleNext(meanInterval)
 		return
 	}
-	x.next = func() { c.scheduleNext(pause) }
+	x.next = func() { c.scheduleNext(meanInterval) }
 	c.world.After(callTimeout, x.proceed)
 }
 
-// again has a client call again after a pause.
-func (c *Client) scheduleNext(pause time.Duration) {
-	c.world.After(time.Duration(c.world.rng.ExpFloat64()*float64(pause))+time.Millisecond, func() { c.Loop(pause) })
+// scheduleNext schedules the next call.
+func (c *Client) scheduleNext(meanInterval time.Duration) {
+	c.world.After(time.Duration(c.world.rng.ExpFloat64()*float64(meanInterval))+time.Millisecond, func() { c.Loop(meanInterval) })
 }
 
-// drawOrder draws what to call next: an order two times in three, else a read.
+// nextCommand draws the next call: a command, two times in three, or nil for a read.
 func (c *Client) nextCommand() *Command {
 	w := c.world
 	if w.rng.IntN(3) == 0 {
@@ -106,7 +110,7 @@
 	return o
 }
 
-// call sends an order, or a read for none.
+// startCall submits a command, or reads for nil.
 func (c *Client) startCall(o *Command) *call {
 	c.lastID++
 	x := &call{id: c.lastID, command: o, startedAt: c.world.Now, minVersion: c.world.History.acknowledged, client: c.number}
@@ -116,6 +120,8 @@
 	return x
 }
 
+// attempt sends the message of a call, and again after retryInterval until it is answered or
+// given up.
 func (c *Client) attempt(x *call) {
 	w := c.world
 	if x.done || c.stopped || w.Now-x.startedAt > callTimeout {
@@ -131,7 +137,7 @@
 	})
 }
 
-// target is whom to ask: the end of the chain, or one time in three any machine, cut off or not.
+// target is whom to ask: the end of the chain, or one time in three any machine.
 func (c *Client) target(x *call) string {
 	w := c.world
 	to := chain.Head(c.view)
@@ -144,6 +150,7 @@
 	return to
 }
 
+// message is the message of a call.
 func (c *Client) message(x *call) *coordpb.Message {
 	m := &coordpb.Message{From: &coordpb.Member{Address: c.address}}
 	if x.command != nil {
@@ -154,6 +161,7 @@
 	return m
 }
 
+// receive handles an answer.
 func (c *Client) receive(m *coordpb.Message) {
 	switch body := m.Body.(type) {
 	case *coordpb.Message_Redirect:
@@ -161,7 +169,7 @@
 			c.view = v
 		}
 		if x := c.calls[body.Redirect.Id]; x != nil {
-			c.world.After(20*time.Millisecond, func() { c.attempt(x) })
+			c.world.After(redirectDelay, func() { c.attempt(x) })
 		}
 	case *coordpb.Message_Reply:
 		if x := c.calls[body.Reply.Id]; x != nil {
--- a/coord/simulation/counter.go
+++ b/coord/simulation/counter.go
@@ -8,11 +8,11 @@
 	"reachspread/coord/chain"
 )
 
-// Counter is an Application of a version alone. What it tells and keeps is text in fields with a space between, as most of the time of a
-// play would go into a richer form.
+// Counter is an Application with a version alone. Its commands and snapshots are text in fields
+// separated by spaces, as most of the time of a run would go into a richer encoding.
 type Counter struct{}
 
-// remembered is how many orders a counter tells of, to be quick.
+// maxRemembered is how many accepted commands a counter recognizes.
 const maxRemembered = 64
 
 // New implements Application.
@@ -21,7 +21,7 @@
 // Version implements Application.
 func (Counter) Version(m chain.Machine) int { return m.(*counter).version }
 
-// Order implements Application. A name has no space.
+// Encode implements Application. A name has no space.
 func (Counter) Encode(o Command) []byte { return fmt.Appendf(nil, "%d %d %s", o.Base, o.Next, o.Name) }
 
 // NameOf implements Application.
@@ -43,12 +43,14 @@
 	return Outcome{Unknown, number}, err
 }
 
+// The verdicts in replies.
 const (
 	acceptedReply   = "taken"
 	rejectedReply   = "refused"
-	retryLaterReply = "later" // the version that it builds on is not there yet, and may come
+	retryLaterReply = "later" // the base version isn't there yet, and may come
 )
 
+// parseCommand parses the text of a command.
 func parseCommand(text []byte) (o Command, err error) {
 	on, rest, _ := strings.Cut(string(text), " ")
 	next, name, _ := strings.Cut(rest, " ")
@@ -60,13 +62,14 @@
 	return o, err
 }
 
-// counter is the machine.
+// counter is the machine of Counter.
 type counter struct {
 	version  int
-	accepted map[string]bool // the last orders
+	accepted map[string]bool // the last commands, at most maxRemembered
 	names    []string        // of these, the oldest first
 }
 
+// newCounter returns a counter in its initial state.
 func newCounter() *counter { return &counter{accepted: map[string]bool{}} }
 
 // Decide implements chain.Machine.
@@ -92,6 +95,7 @@
 	c.remember(o.Name)
 }
 
+// remember records an accepted command, in place of the oldest one.
 func (c *counter) remember(name string) {
 	c.accepted[name] = true
 	if c.names = append(c.names, name); len(c.names) > maxRemembered {
--- a/coord/simulation/disk.go
+++ b/coord/simulation/disk.go
@@ -12,41 +12,41 @@
 	"reachspread/coord/storage"
 )
 
-// errStopped ends what a process does with its disk once the process has ended.
+// errProcessEnded is the error of a step of the disk after the process has ended.
 var errProcessEnded = errors.New("simulation: the process has ended")
 
-// errFull is what a disk without room answers to a write.
+// errDiskFull is the error of a write to a full disk.
 var errDiskFull = errors.New("simulation: no space left on device")
 
-// disk is the folder of one machine: storage.Files of which each write stays uncertain until it is synced.
+// disk is the folder of one machine: storage.Files of which each write may be lost until it is synced.
 type disk struct {
-	files map[string]*file
-	steps int  // that may still be carried out, below 0 for any number
-	full  bool // it takes no more bytes
+	files     map[string]*file
+	stepsLeft int  // that still succeed, below 0 for all
+	full      bool // writes fail
 }
 
-// file has what a process reads there, and what is there after a loss of power.
+// file has what a process reads, and what remains after a power failure.
 type file struct {
 	content []byte
 	synced  []byte
-	pending []pendingWrite
+	pending []pendingWrite // since the last sync
 }
 
-// unsyncedWrite may be present, missing or torn after a loss of power.
+// pendingWrite is complete, missing or torn after a power failure.
 type pendingWrite struct {
 	offset int64
 	data   []byte
 }
 
-func newDisk() *disk { return &disk{files: map[string]*file{}, steps: -1} }
+func newDisk() *disk { return &disk{files: map[string]*file{}, stepsLeft: -1} }
 
-// step counts one operation; it fails where the process has ended before it.
+// step counts an operation. It fails if the process has ended before it.
 func (d *disk) step() error {
-	if d.steps == 0 {
+	if d.stepsLeft == 0 {
 		return errProcessEnded
 	}
-	if d.steps > 0 {
-		d.steps--
+	if d.stepsLeft > 0 {
+		d.stepsLeft--
 	}
 	return nil
 }
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// writeAt is a text with data put at an offset.
+// writeAt is a text with data written at an offset.
 func writeAt(text, data []byte, offset int64) []byte {
 	if end := int(offset) + len(data); end > len(text) {
 		text = append(text, make([]byte, end-len(text))...)
@@ -102,18 +102,19 @@
 	return nil
 }
 
-// SyncFolder implements storage.Files. A new file survives through its own sync, so there is nothing to be done.
+// SyncFolder implements storage.Files. A new file survives through its own sync, so nothing is
+// left to do.
 func (d *disk) SyncFolder() error { return d.step() }
 
-// losePower leaves each write that was not synced present, missing or torn.
+// losePower leaves each pending write complete, missing or torn.
 func (d *disk) losePower(rng *rand.Rand) {
 	none := rng.IntN(4) == 0 // some losses of power wipe out every one of them
 	for _, f := range d.files {
 		text := slices.Clone(f.synced)
 		for _, write := range f.pending {
-			switch kept := rng.IntN(3); {
-			case none || kept == 0:
-			case kept == 1:
+			switch fate := rng.IntN(3); {
+			case none || fate == 0:
+			case fate == 1:
 				text = writeAt(text, write.data, write.offset)
 			default:
 				text = writeAt(text, write.data[:rng.IntN(len(write.data)+1)], write.offset)
@@ -123,11 +124,11 @@
 	}
 }
 
-// operations is how many steps of a batch are looked at: a batch of records takes two.
+// maxBatchSteps is how many steps of an interrupted batch are considered: a batch of records takes two.
 const maxBatchSteps = 3
 
-// load reads what a disk has of a register into a machine; nil says that there is nothing.
+// load restores a register from the disk into a machine. The state is nil if there is none.
 func (d *disk) load(m chain.Machine) (*storage.Store, *coordpb.Durable, error) {
-	d.steps = -1
+	d.stepsLeft = -1
 	return register.Load(d, m)
 }
--- a/coord/simulation/drawer.go
+++ b/coord/simulation/injector.go
@@ -5,37 +5,40 @@
 )
 
 const (
-	// catchUp is how long a machine counts as lost after its return.
+	// catchUpTime is how long a machine counts as lost after its return.
 	catchUpTime = 4 * time.Second
-	// contact is how long after the last disruption the core counts as stable, and acknowledge bounds an acknowledgement from then on.
+	// stabilityTime is how long after the last disruption the register counts as stable, and
+	// acknowledgeTimeout how long an acknowledgement may take from then on.
 	stabilityTime      = 3 * time.Second
 	acknowledgeTimeout = 4 * time.Second
-	// fewTries is how many orders may be refused or wait before that says anything.
+	// minUnanswered is how many commands have to be unanswered for a violation of liveness: fewer
+	// may all have been rejected.
 	minUnanswered = 5
-	// faultEvery is the mean time between two faults.
+	// meanFaultInterval is the mean time between two faults.
 	meanFaultInterval = 2500 * time.Millisecond
-	// startFor is how long a world is left alone at its beginning.
+	// startupTime is how long a world runs before the first fault.
 	startupTime = 5 * time.Second
 )
 
-// Drawer draws faults and has them strike.
+// FaultInjector draws faults and injects them. It keeps count of the machines and disks that are lost,
+// so that no more are at once than the world tolerates.
 type FaultInjector struct {
 	world         *World
 	kinds         []Kind
-	overlap       bool // faults may be more than are tolerated, but for lost disks
-	until         time.Duration
-	lostUntil     map[*Process]time.Duration // counted as lost until then
-	diskLostUntil map[*Process]time.Duration // lost disks that still count
-	draining      map[*Process]bool          // told to end for good
-	replacements  int
-	quotaUntil    time.Duration // processors are quotas until then
-	counts        map[Kind]int
-	quietSince    time.Duration // since the last disruption began or ended
-	endsAt        time.Duration // the last one that is under way
-}
-
-// Draw has faults of some kinds strike from the start of orders until a time: no more at once than the world tolerates, or with overlap
-// any number, as long as no more disks are lost.
+	overlap       bool          // more machines may be lost than are tolerated, though not their disks
+	until         time.Duration // no fault begins later
+	lostUntil     map[*Process]time.Duration
+	diskLostUntil map[*Process]time.Duration
+	draining      map[*Process]bool // to be shut down for good
+	replacements  int               // machines that were added, at most maxReplacements
+	quotaUntil    time.Duration     // the end of processor quotas
+	counts        map[Kind]int      // faults that were injected
+	quietSince    time.Duration     // the last beginning or end of a disruption
+	endsAt        time.Duration     // of the last fault in progress
+}
+
+// InjectFaults injects faults of some kinds until a time: no more at once than the world
+// tolerates, or with overlap any number, as long as no more disks are lost.
 func (w *World) InjectFaults(kinds []Kind, until time.Duration, overlap bool) *FaultInjector {
 	d := &FaultInjector{world: w, kinds: kinds, overlap: overlap, until: until, lostUntil: map[*Process]time.Duration{}, diskLostUntil: map[*Process]time.Duration{},
 		draining: map[*Process]bool{}, counts: map[Kind]int{}}
@@ -44,13 +47,13 @@
 	return d
 }
 
-// Struck is how often each kind struck.
+// Counts is how often each kind was injected.
 func (d *FaultInjector) Counts() map[Kind]int { return d.counts }
 
-// Ends is when the last fault that has begun is over.
+// EndsAt is when the last fault that has begun is over.
 func (d *FaultInjector) EndsAt() time.Duration { return d.endsAt }
 
-// next draws one fault, and the time of the next one.
+// injectNext injects a drawn fault, and schedules the next one.
 func (d *FaultInjector) injectNext() {
 	w := d.world
 	if w.Now >= d.until || w.Violation != nil {
@@ -63,13 +66,13 @@
 	}
 }
 
-// disturbed notes that a disruption begins or ends now.
+// recordDisruption records that a disruption begins or ends now.
 func (d *FaultInjector) recordDisruption() {
 	d.quietSince = d.world.Now
 	d.endsAt = max(d.endsAt, d.world.Now)
 }
 
-// later ends a disruption.
+// endAfter schedules the end of a disruption.
 func (d *FaultInjector) endAfter(in time.Duration, do func()) {
 	d.endsAt = max(d.endsAt, d.world.Now+in)
 	d.world.After(in, func() {
@@ -78,17 +81,17 @@
 	})
 }
 
-// watch looks again and again whether orders are taken while the core is stable.
+// checkLiveness checks each second that commands are acknowledged while the register is stable.
 func (d *FaultInjector) checkLiveness() {
 	w := d.world
 	stable := !d.overlap && d.countLost(nil) <= w.Tolerance && w.Now >= d.quietSince+stabilityTime+acknowledgeTimeout && w.Now >= startupTime+stabilityTime+acknowledgeTimeout
 	if stable && w.History.startedBetween(w.History.LastAcknowledged, w.Now-time.Second) >= minUnanswered && w.Now-w.History.LastAcknowledged > acknowledgeTimeout {
-		w.Fail("no order was acknowledged since %v; nothing has changed since %v", w.History.LastAcknowledged, d.quietSince)
+		w.Fail("no command was acknowledged since %v; nothing has changed since %v", w.History.LastAcknowledged, d.quietSince)
 	}
 	w.After(time.Second, d.checkLiveness)
 }
 
-// pick is a machine by lot, of those that stay.
+// pickProcess draws a machine, of those that stay.
 func (d *FaultInjector) pickProcess() *Process {
 	for {
 		p := d.world.Processes[d.world.rng.IntN(len(d.world.Processes))]
@@ -98,7 +101,8 @@
 	}
 }
 
-// oldest is the machine whose disk has lasted longest: of those that stay, the first that was added and not wiped.
+// oldestDisk is the machine whose disk has lasted longest: of those that stay, the first that
+// was added and not wiped.
 func (d *FaultInjector) oldestDisk() *Process {
 	for _, p := range d.world.Processes {
 		if !d.draining[p] && d.diskLostUntil[p] == 0 {
@@ -108,7 +112,8 @@
 	return d.pickProcess()
 }
 
-// span is how long a fault lasts: some seconds, 5 to 25 in one of four, a minute in one of twenty.
+// drawDuration draws how long a fault lasts: some seconds, 5 to 25 s one time in four, a minute
+// one time in twenty.
 func (d *FaultInjector) drawDuration() time.Duration {
 	switch draw := d.world.rng.IntN(20); {
 	case draw == 0:
@@ -119,12 +124,14 @@
 	return d.drawShortDuration()
 }
 
+// drawShortDuration draws a duration of up to some seconds.
 func (d *FaultInjector) drawShortDuration() time.Duration {
 	return time.Duration(200+d.world.rng.IntN(4000)) * time.Millisecond
 }
 
-// lose counts a machine as lost for a time, and until it had its time to catch up after that; it tells whether that may be.
-func (d *FaultInjector) markLost(p *Process, span time.Duration) bool {
+// countAsLost counts a machine as lost for a while, and until it had time to catch up after
+// that. It reports whether that is allowed.
+func (d *FaultInjector) countAsLost(p *Process, span time.Duration) bool {
 	if !d.overlap && d.countLost(p) >= d.world.Tolerance || d.lostUntil[p] > d.world.Now || d.draining[p] {
 		return false
 	}
@@ -133,7 +140,7 @@
 	return true
 }
 
-// countLost is how many machines count as lost, one left out.
+// countLost is the number of machines that count as lost, without one.
 func (d *FaultInjector) countLost(but *Process) (n int) {
 	for p, until := range d.lostUntil {
 		if p != but && until > d.world.Now {
@@ -143,9 +150,10 @@
 	return n
 }
 
+// anyLost reports whether a machine counts as lost or is draining.
 func (d *FaultInjector) anyLost() bool { return d.countLost(nil) > 0 || len(d.drainingForGood()) > 0 }
 
-// pending are the machines that are told to end for good, and have not yet.
+// drainingForGood are the machines that are to be removed and still run.
 func (d *FaultInjector) drainingForGood() (all []*Process) {
 	for p := range d.draining {
 		if p.up {
@@ -155,15 +163,16 @@
 	return all
 }
 
-// loseAll counts all machines as lost for a time, so that nothing else is lost meanwhile.
-func (d *FaultInjector) markAllLost(span time.Duration) {
+// countAllAsLost counts all machines as lost for a while, so that no other fault is injected
+// meanwhile.
+func (d *FaultInjector) countAllAsLost(span time.Duration) {
 	for _, p := range d.world.Processes {
 		d.lostUntil[p] = max(d.lostUntil[p], d.world.Now+span+catchUpTime)
 	}
 	d.endsAt = max(d.endsAt, d.world.Now+span)
 }
 
-// mayLoseDisk tells whether one more disk may be lost now.
+// diskLossAllowed reports whether one more disk may be lost now.
 func (d *FaultInjector) diskLossAllowed() bool {
 	n := 0
 	for _, until := range d.diskLostUntil {
@@ -174,10 +183,15 @@
 	return n < d.world.Tolerance
 }
 
-// loseDisk counts a disk as lost until all had their time to catch up.
-func (d *FaultInjector) markDiskLost(p *Process) {
+// countDiskAsLost counts a disk as lost until all machines had time to catch up.
+func (d *FaultInjector) countDiskAsLost(p *Process) {
 	d.diskLostUntil[p] = max(d.endsAt, d.lostUntil[p]) + catchUpTime
 }
 
-// afterTaken has something happen at the next acknowledgement.
+// onNextAcknowledgement calls a function at the next acknowledgement.
 func (w *World) onNextAcknowledgement(do func()) { w.onAcknowledged = append(w.onAcknowledged, do) }
+
+// trace writes a line on a fault.
+func (d *FaultInjector) trace(kind string, p *Process, span time.Duration) {
+	d.world.Trace("%v %s %s for %v", d.world.Now, kind, p.Address, span)
+}
--- a/internal/system/deciders/configuration/replicated_test.go
+++ b/internal/system/deciders/configuration/replicated_test.go
@@ -165,7 +165,7 @@
 			if *showReplicated {
 				trace = t.Logf
 			}
-			faultplan.Parallel(c.schedules, func(i int) {
+			faultplan.ForEachParallel(c.schedules, func(i int) {
 				w := playStore(uint64(i+1), c.machines, c.tolerance, c.routes, c.bandwidth, c.overlap, trace)
 				if w.Violation != nil {
 					t.Errorf("seed %d: %v", i+1, w.Violation)
--- a/internal/system/deciders/sampling/sampling_test.go
+++ b/internal/system/deciders/sampling/sampling_test.go
@@ -56,7 +56,7 @@
 			rate := float64(messages) / length.Seconds()
 			is.True(rate <= perSecond*1.1)                                          // the average of the last seconds is not that of all
 			is.True(rate >= perSecond*0.8 || messages >= prompts*c.recipients*9/10) // and is made use of
-			is.True(selected >= c.minSelected*sent)                                     // the largest are selected first
+			is.True(selected >= c.minSelected*sent)                                 // the largest are selected first
 			slices.Sort(sizes)
 			slices.Sort(of)
 			threshold := sizes[len(sizes)-len(of)]   // from which on all would be selected if all sizes were known before
--- a/internal/system/roles/node/pins_explore_test.go
+++ b/internal/system/roles/node/pins_explore_test.go
@@ -89,7 +89,7 @@
 	}
 	e.points++
 	for _, f := range e.plan {
-		if f.At == e.points {
+		if f.Point == e.points {
 			lost = e.apply(f.Kind, m) || lost
 		}
 	}
@@ -154,11 +154,11 @@
 // exploreAllPins plays all plans with so many faults, until one finds something that does not hold.
 func exploreAllPins(t *testing.T, faults int, plant pinPlant) (found faultplan.Result[pinFaultKind], served int64) {
 	var answered atomic.Int64
-	found = faultplan.Search[pinFaultKind]{Kinds: pinFaultKinds, Faults: faults, Play: func(plan faultplan.Plan[pinFaultKind]) faultplan.Played {
+	found = faultplan.Explorer[pinFaultKind]{Kinds: pinFaultKinds, MaxFaults: faults, Simulate: func(plan faultplan.Plan[pinFaultKind]) faultplan.Outcome {
 		points, w := explorePins(t, plan, plant)
 		answered.Add(int64(w.served))
-		return faultplan.Played{Points: points, Broken: w.fault}
-	}}.Run()
+		return faultplan.Outcome{Points: points, Violation: w.fault}
+	}}.Explore()
 	return found, answered.Load()
 }
 
@@ -166,11 +166,11 @@
 // was acknowledged is served by it, or rejected.
 func TestPinsHoldInExploredSchedules(t *testing.T) {
 	found, served := exploreAllPins(t, *pinFaults, noPlant)
-	if found.Broken != nil {
-		t.Fatalf("%v: %v", found.Plan, found.Broken)
+	if found.Violation != nil {
+		t.Fatalf("%v: %v", found.Plan, found.Violation)
 	}
-	t.Logf("%d schedules with at most %d faults, %d requests served", found.Plays, *pinFaults, served)
-	if found.Plays < 100 || served/found.Plays < 1000 {
+	t.Logf("%d schedules with at most %d faults, %d requests served", found.Runs, *pinFaults, served)
+	if found.Runs < 100 || served/found.Runs < 1000 {
 		t.Error("too little is played to tell")
 	}
 }
@@ -180,10 +180,10 @@
 	for name, plant := range map[string]pinPlant{"acknowledged too early": ackedTooEarly, "stale after a thaw": staleAfterThaw, "never runs out": neverRunsOut} {
 		t.Run(name, func(t *testing.T) {
 			found, _ := exploreAllPins(t, 1, plant)
-			if found.Broken == nil {
+			if found.Violation == nil {
 				t.Fatal("not found")
 			}
-			t.Logf("%d schedules; %v: %v", found.Plays, found.Plan, found.Broken)
+			t.Logf("%d schedules; %v: %v", found.Runs, found.Plan, found.Violation)
 		})
 	}
 }
