--- a/internal/system/dataplane/callers_test.go
+++ b/internal/system/dataplane/callers_test.go
@@ -397,7 +397,7 @@
 // Hosts break off, answer twice, answer early, say nothing, and forget connections, with bytes cut anywhere; clients send several requests
 // at once and leave. Each answer belongs to its request, what may run once does, a promise is kept, no short answer looks complete, and
 // nothing is sent for long after a client has gone.
-func TestCallers(t *testing.T) {
+func TestFaultyHostsAndClients(t *testing.T) {
 	var served atomic.Int64
 	for seed := range uint64(*callerPlays) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -421,7 +421,7 @@
 }
 
 // The judge finds what must not be.
-func TestCallersAreJudged(t *testing.T) {
+func TestCheckerFindsWrongAnswers(t *testing.T) {
 	now := time.Now()
 	fine := func() (*ledger, *caseOf) {
 		l := newLedger()
--- a/internal/system/dataplane/classes.go
+++ b/internal/system/dataplane/classes.go
@@ -11,11 +11,12 @@
 )
 
 const (
-	lateWorth = 0.3 // of an answer behind its aim, as nobody tells it
-	silentFor = 2 * time.Second
+	lateValueFraction    = 0.3 // of an answer after its latency target, as no setting says it
+	minStreamIdleTimeout = 2 * time.Second
 )
 
-// classesOf are the classes of each service, by their names: one for all routes to it that ask the same, however many there are.
+// classesOf returns the classes of each service, sorted by name: one for all routes to it with the same
+// demands, however many there are.
 func classesOf(c *configuration.Configuration) map[string][]balance.Class {
 	found := map[string]map[string]balance.Class{}
 	for _, r := range c.Routes {
@@ -37,19 +38,29 @@
 	return all
 }
 
+// byName compares classes by name.
 func byName(a, b balance.Class) int { return cmp.Compare(a.Name, b.Name) }
 
-// union are the classes of two lists, by their names.
-func union(a, b []balance.Class) []balance.Class {
+// unionOfClasses returns the classes of two lists, sorted by name.
+func unionOfClasses(a, b []balance.Class) []balance.Class {
 	both := slices.Concat(a, b)
 	slices.SortFunc(both, byName)
 	return slices.CompactFunc(both, func(x, y balance.Class) bool { return x.Name == y.Name })
 }
 
-// classOf is what the decisions know of a route. All of it is in the name of the class.
+// classOf returns what the decisions know of a route. All of it is in the name of the class.
 func classOf(r *configuration.Route) balance.Class {
-	c := balance.Class{Name: r.ClassName(), Effect: balance.Unsafe, LatencyTarget: r.LatencyTarget(), Deadline: r.Timeout(), TokenLatencyTarget: r.GapTarget(),
-		Value: 1, LateValueFraction: lateWorth, Streamed: r.Kind == configuration.Streaming, MaxExecutions: max(r.MaxAttempts, 1)}
+	c := balance.Class{
+		Name:               r.ClassName(),
+		Effect:             balance.Unsafe,
+		LatencyTarget:      r.LatencyTarget(),
+		TokenLatencyTarget: r.GapTarget(),
+		Deadline:           r.Timeout(),
+		Value:              1,
+		LateValueFraction:  lateValueFraction,
+		Streamed:           r.Kind == configuration.Streaming,
+		MaxExecutions:      max(r.MaxAttempts, 1),
+	}
 	if r.Idempotent() {
 		c.Effect = balance.Safe
 	}
--- a/internal/system/dataplane/models.go
+++ b/internal/system/dataplane/models.go
@@ -13,27 +13,28 @@
 	version int64
 }
 
-// String is its name for the decisions; see balance.Arrival.Needs.
+// String returns its name for the decisions; see balance.Arrival.RequiredFeature.
 func (m modelVersion) String() string { return m.model + ":" + strconv.FormatInt(m.version, 10) }
 
-// models is which versions of models the ready hosts of a service have, by their registrations.
+// models counts the versions of models that the ready hosts of a service have, by their registrations.
 type models struct {
-	hosts atomic.Pointer[map[modelVersion]int] // replaced, never changed
-	names map[modelVersion]string              // one text for all hosts; the caller of recount's
+	hostCounts atomic.Pointer[map[modelVersion]int] // replaced, never changed
+	names      map[modelVersion]string              // one text for all hosts; the caller of recount's
 }
 
-// ready is how many hosts are ready that have a version.
+// ready returns how many ready hosts have a version.
 func (m *models) ready(v modelVersion) int {
-	hosts := m.hosts.Load()
+	hosts := m.hostCounts.Load()
 	if hosts == nil {
 		return 0
 	}
 	return (*hosts)[v]
 }
 
-// others is how many hosts are ready that have a model in other versions than one. A host with several counts for each.
-func (m *models) others(v modelVersion) (n int) {
-	hosts := m.hosts.Load()
+// otherVersions returns how many ready hosts have a model in other versions than one. A host with
+// several counts for each.
+func (m *models) otherVersions(v modelVersion) (n int) {
+	hosts := m.hostCounts.Load()
 	if hosts == nil {
 		return 0
 	}
@@ -53,17 +54,17 @@
 
 // recount begins a count. There is one at a time.
 func (m *models) recount() *modelCount {
-	if m.names == nil || len(m.names) > mostModels {
+	if m.names == nil || len(m.names) > maxModelNames {
 		m.names = map[modelVersion]string{}
 	}
 	return &modelCount{of: m, hosts: map[modelVersion]int{}}
 }
 
-// mostModels bounds the names that are kept of versions that may have gone.
-const mostModels = 4096
+// maxModelNames bounds the names that are cached, of versions that may have been removed.
+const maxModelNames = 4096
 
-// add counts a host with its models, and gives their names for the decisions.
-func (c *modelCount) add(all []*message.Model) (has []string) {
+// add counts a host with its models, and returns their names for the decisions.
+func (c *modelCount) add(all []*message.Model) (features []string) {
 	for _, m := range all {
 		v := modelVersion{m.Name, m.Version}
 		c.hosts[v]++
@@ -72,10 +73,10 @@
 			name = v.String()
 			c.of.names[v] = name
 		}
-		has = append(has, name)
+		features = append(features, name)
 	}
-	return has
+	return features
 }
 
-// take puts a count in force.
-func (m *models) take(c *modelCount) { m.hosts.Store(&c.hosts) }
+// publish puts a count in force.
+func (m *models) publish(c *modelCount) { m.hostCounts.Store(&c.hosts) }
--- a/internal/system/dataplane/outcomes.go
+++ b/internal/system/dataplane/outcomes.go
@@ -13,14 +13,14 @@
 	"reachspread/internal/transport"
 )
 
-// Outcome is how a request ended, as the figures have it.
+// Outcome is how a request ended, for the metrics.
 type Outcome int
 
 // The outcomes.
 const (
-	OutcomeServed    Outcome = iota // a host's answer was passed on, whatever its status
-	OutcomeRefused                  // it has not run, and may come again
-	OutcomeFailed                   // it may have run, or no host can use it
+	OutcomeServed    Outcome = iota // a host's answer was forwarded, whatever its status
+	OutcomeRejected                 // it has not executed and may come again
+	OutcomeFailed                   // it may have executed, or no host can use it
 	OutcomeAbandoned                // its client left
 	OutcomeOverQuota                // its tenant had no units left
 	OutcomeNoKey                    // it had no key that is known
@@ -34,9 +34,9 @@
 }
 
 const (
-	// mostCounted bounds the tenants and kinds that are counted by their names; further ones are counted together.
-	mostCounted = 1024
-	otherTenant = "(other)"
+	// maxCountedKeys bounds the tenants and kinds that are counted by their names; further ones are counted together.
+	maxCountedKeys = 1024
+	otherTenant    = "(other)"
 )
 
 // RequestCount is how many requests of a kind and a tenant ended so, since the start.
@@ -50,14 +50,14 @@
 // requestKey names the requests that are counted together.
 type requestKey struct{ kind, tenant string }
 
-// ends counts requests by their ends. The zero value is ready.
-type ends struct {
+// outcomeCounts counts requests by their outcomes. The zero value is ready.
+type outcomeCounts struct {
 	mu  sync.RWMutex
 	all map[requestKey]*[outcomes]atomic.Uint64
 }
 
 // add counts one request.
-func (e *ends) add(key requestKey, o Outcome) {
+func (e *outcomeCounts) add(key requestKey, o Outcome) {
 	e.mu.RLock()
 	counts := e.all[key]
 	e.mu.RUnlock()
@@ -67,11 +67,11 @@
 	counts[o].Add(1)
 }
 
-// list has a key be counted by itself, while there is room.
-func (e *ends) list(key requestKey) *[outcomes]atomic.Uint64 {
+// list has a key counted by itself, unless there are too many.
+func (e *outcomeCounts) list(key requestKey) *[outcomes]atomic.Uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.all[key] == nil && len(e.all) >= mostCounted {
+	if e.all[key] == nil && len(e.all) >= maxCountedKeys {
 		key = requestKey{tenant: otherTenant}
 	}
 	if e.all == nil {
@@ -83,8 +83,8 @@
 	return e.all[key]
 }
 
-// counts are those that are not 0, in the order of kinds, tenants and outcomes.
-func (e *ends) counts() (all []RequestCount) {
+// counts returns those that are not 0, sorted by kind, tenant and outcome.
+func (e *outcomeCounts) counts() (all []RequestCount) {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
 	for key, counts := range e.all {
@@ -100,8 +100,8 @@
 	return all
 }
 
-// keyOf names the requests that one is counted with; a is nil for one whose route is not known.
-func keyOf(a *admitted) (key requestKey) {
+// keyOf returns the key that a request is counted by. The match is nil if its route is not known.
+func keyOf(a *routeMatch) (key requestKey) {
 	if a == nil {
 		return key
 	}
@@ -112,26 +112,26 @@
 	return key
 }
 
-// outcomeOf is how a request ended that got as far as the decisions.
+// outcomeOf returns the outcome of a request that got as far as the decisions.
 func outcomeOf(end routing.Answer) Outcome {
 	switch {
 	case end.Verdict == routing.Served && end.Stream != nil:
 		return OutcomeServed
 	case end.Verdict == routing.Rejected:
-		return OutcomeRefused
+		return OutcomeRejected
 	case end.Verdict == routing.Served, end.Verdict == routing.Abandoned, end.Verdict == routing.HandedOver:
 		return OutcomeAbandoned
 	}
 	return OutcomeFailed
 }
 
-// outcomeOfCode is how a request ended that was answered before.
+// outcomeOfCode returns the outcome of a request that was answered before that.
 func outcomeOfCode(code int) Outcome {
 	switch code {
 	case http.StatusTooManyRequests:
 		return OutcomeOverQuota
 	case http.StatusServiceUnavailable, http.StatusRequestTimeout:
-		return OutcomeRefused
+		return OutcomeRejected
 	case http.StatusUnauthorized:
 		return OutcomeNoKey
 	case http.StatusNotFound:
@@ -143,9 +143,9 @@
 // Count implements transport.Intake.
 func (p *Plane) Count(ctx *fasthttp.RequestCtx, no transport.Rejection) {
 	p.counts.Rejected.Add(1)
-	a, _ := ctx.UserValue(admittedKey).(*admitted)
-	p.ends.add(keyOf(a), outcomeOfCode(no.Code))
+	a, _ := ctx.UserValue(routeMatchKey).(*routeMatch)
+	p.outcomeCounts.add(keyOf(a), outcomeOfCode(no.Code))
 }
 
-// Outcomes are the requests since the start, by their ends.
-func (p *Plane) Outcomes() []RequestCount { return p.ends.counts() }
+// Outcomes returns the requests since the start, by their outcomes.
+func (p *Plane) Outcomes() []RequestCount { return p.outcomeCounts.counts() }
--- a/internal/system/dataplane/outcomes_test.go
+++ b/internal/system/dataplane/outcomes_test.go
@@ -12,13 +12,13 @@
 )
 
 // Requests are counted by kind, tenant and end, by many at once; beyond a bound of names they are counted together.
-func TestEnds(t *testing.T) {
+func TestOutcomesAreCountedByKindAndTenant(t *testing.T) {
 	is := is.New(t)
-	var e ends
+	var e outcomeCounts
 	var group sync.WaitGroup
 	for range 8 {
 		group.Go(func() {
-			for i := range mostCounted + 100 {
+			for i := range maxCountedKeys + 100 {
 				e.add(requestKey{"safe", fmt.Sprint("t", i)}, OutcomeServed)
 			}
 		})
@@ -29,13 +29,13 @@
 	for _, c := range e.counts() {
 		total += c.Count
 	}
-	is.Equal(total, uint64(8*(mostCounted+100)+1))
-	is.True(len(e.all) <= mostCounted+1)
+	is.Equal(total, uint64(8*(maxCountedKeys+100)+1))
+	is.True(len(e.all) <= maxCountedKeys+1)
 	first := e.counts()[0]
 	is.Equal(first, RequestCount{Tenant: otherTenant, Outcome: OutcomeServed, Count: 8 * 100})
 }
 
-func TestOutcomes(t *testing.T) {
+func TestOutcomeOfEachAnswer(t *testing.T) {
 	stream := &routing.Stream{}
 	for _, c := range []struct {
 		end  routing.Answer
@@ -43,7 +43,7 @@
 	}{
 		{routing.Answer{Verdict: routing.Served, Stream: stream}, OutcomeServed},
 		{routing.Answer{}, OutcomeAbandoned}, // its client left before an answer
-		{routing.Answer{Verdict: routing.Rejected}, OutcomeRefused},
+		{routing.Answer{Verdict: routing.Rejected}, OutcomeRejected},
 		{routing.Answer{Verdict: routing.Failed}, OutcomeFailed},
 		{routing.Answer{Verdict: routing.Invalid}, OutcomeFailed},
 		{routing.Answer{Verdict: routing.Abandoned}, OutcomeAbandoned},
@@ -52,7 +52,7 @@
 			t.Errorf("%+v: %v, want %v", c.end, got, c.want)
 		}
 	}
-	for code, want := range map[int]Outcome{http.StatusTooManyRequests: OutcomeOverQuota, http.StatusServiceUnavailable: OutcomeRefused,
+	for code, want := range map[int]Outcome{http.StatusTooManyRequests: OutcomeOverQuota, http.StatusServiceUnavailable: OutcomeRejected,
 		http.StatusUnauthorized: OutcomeNoKey, http.StatusNotFound: OutcomeNoRoute, http.StatusBadRequest: OutcomeMalformed, http.StatusRequestEntityTooLarge: OutcomeMalformed} {
 		if got := outcomeOfCode(code); got != want {
 			t.Errorf("%d: %v, want %v", code, got, want)
--- a/internal/system/dataplane/prompts_test.go
+++ b/internal/system/dataplane/peerreports_test.go
@@ -20,7 +20,7 @@
 	t.Helper()
 	all := make(chan told, 100)
 	f := newFleet(t, "none")
-	f.plane.o.Tell = func(service string, reports []balance.PeerReport) { all <- told{service, reports} }
+	f.plane.o.ReportPrompts = func(service string, reports []balance.PeerReport) { all <- told{service, reports} }
 	f.configure(t, fmt.Sprintf(routes, ""))
 	f.hosts(hosts...)
 	return f, all
@@ -39,7 +39,7 @@
 func events(r seen) string { return stream(r, event(1, "x"), "") }
 
 // Others are told of each prompt: its service, its host, the tokens that are to be read there, and a mark of its prefix.
-func TestPromptIsTold(t *testing.T) {
+func TestPromptIsReported(t *testing.T) {
 	is := is.New(t)
 	f, all := talkingFleet(t, newHost(t, "i-1", events))
 	first, second := f.prompt(t, all, 1), f.prompt(t, all, 2)
@@ -51,28 +51,28 @@
 }
 
 // A host that others have sent long prompts to gets none of those that another one can begin sooner.
-func TestHeardPromptsAreAvoided(t *testing.T) {
+func TestReportedPromptsMoveTheNextOne(t *testing.T) {
 	is := is.New(t)
 	a, b := newHost(t, "i-1", events), newHost(t, "i-2", events)
 	f, all := talkingFleet(t, a, b)
 	home := f.prompt(t, all, 1).reports[0].ReplicaTag
 	is.Equal(f.prompt(t, all, 2).reports[0].ReplicaTag, home)
-	f.plane.Heard("s", balance.ReportsReceived{Reports: []balance.PeerReport{{ReplicaTag: home, PrefillTokens: 1e6}}})
+	f.plane.ReceiveReports("s", balance.ReportsReceived{Reports: []balance.PeerReport{{ReplicaTag: home, PrefillTokens: 1e6}}})
 	is.True(f.prompt(t, all, 3).reports[0].ReplicaTag != home)
 }
 
 // What is heard of a service that is not known, or of a host that is not, changes nothing.
-func TestHeardOfStrangers(t *testing.T) {
+func TestReportsOnUnknownServices(t *testing.T) {
 	is := is.New(t)
 	f, all := talkingFleet(t, newHost(t, "i-1", events))
 	home := f.prompt(t, all, 1).reports[0].ReplicaTag
-	f.plane.Heard("unknown", balance.ReportsReceived{Reports: []balance.PeerReport{{ReplicaTag: home, PrefillTokens: 1e6}}})
-	f.plane.Heard("s", balance.ReportsReceived{Reports: []balance.PeerReport{{ReplicaTag: home + 1, PrefillTokens: 1e6}}})
+	f.plane.ReceiveReports("unknown", balance.ReportsReceived{Reports: []balance.PeerReport{{ReplicaTag: home, PrefillTokens: 1e6}}})
+	f.plane.ReceiveReports("s", balance.ReportsReceived{Reports: []balance.PeerReport{{ReplicaTag: home + 1, PrefillTokens: 1e6}}})
 	is.Equal(f.prompt(t, all, 2).reports[0].ReplicaTag, home)
 }
 
 // A plane that has nobody to tell serves as well.
-func TestNobodyToTell(t *testing.T) {
+func TestNoReportsWithoutAReporter(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, "", newHost(t, "i-1", events))
 	is.Equal(f.call(t, "/stream/", "", "Token-Usage: 500,10").StatusCode, 200)
--- a/internal/system/dataplane/pinned_test.go
+++ b/internal/system/dataplane/pins_test.go
@@ -47,7 +47,7 @@
 	}
 	registry.Merge(0, all)
 	f.revision += 1000 // of another registry
-	f.plane.Hosts("s", registry.Revision()+f.revision, registry.Records("s"), 0)
+	f.plane.SetHosts("s", registry.Revision()+f.revision, registry.Records("s"), 0)
 }
 
 // pin puts pins in force, in place of those before.
@@ -75,7 +75,7 @@
 }
 
 // Requests in a pin's scope are answered by hosts of its version, and are told of it; others by any.
-func TestPinned(t *testing.T) {
+func TestPinnedRequestGoesToItsVersion(t *testing.T) {
 	is := is.New(t)
 	one, two := newVersioned(t, "i-1", 1, 1), newVersioned(t, "i-2", 2, 2)
 	f := newFleet(t, keyed)
@@ -99,11 +99,11 @@
 	figures := f.plane.Pins()["p"]
 	is.Equal(figures.Requests, uint64(20))
 	is.Equal(figures.Answered[2], uint64(20))
-	is.Equal(figures.Wrong, uint64(0))
+	is.Equal(figures.WrongVersion, uint64(0))
 }
 
 // From the moment on that a pin is set, moved or lifted, requests go by it.
-func TestPinChanges(t *testing.T) {
+func TestChangedPinPlansQueuedRequestsAgain(t *testing.T) {
 	is := is.New(t)
 	one, two := newVersioned(t, "i-1", 1, 1), newVersioned(t, "i-2", 2, 2)
 	f := newFleet(t, keyed)
@@ -139,7 +139,7 @@
 }
 
 // Where no host has the version, requests are refused at once, with a time to return and a reason; others are served.
-func TestNoHostOfVersion(t *testing.T) {
+func TestRejectedWithoutAHostOfTheVersion(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, keyed)
 	f.register(newVersioned(t, "i-1", 1, 1))
@@ -152,12 +152,12 @@
 	with, without := f.plane.Ready("m", 2)
 	is.Equal(with, 0)
 	is.Equal(without, 1)
-	is.Equal(f.plane.Pins()["p"].Refused, uint64(1))
+	is.Equal(f.plane.Pins()["p"].Rejected, uint64(1))
 	is.Equal(f.quotas.put > 0, true) // what was refused takes nothing of the tenant's quota
 }
 
 // A host that registers a version which it does not have has not run the request, and another one serves it.
-func TestLyingHost(t *testing.T) {
+func TestAnotherHostServesWhereARegistrationIsWrong(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, keyed)
 	liar, honest := newVersioned(t, "i-1", 1, 2), newVersioned(t, "i-2", 2, 2)
@@ -173,7 +173,7 @@
 
 // Hosts that turn pinned requests away, answer them with another version, or roll in their streams are not in trouble: traffic out of scope has
 // them as before.
-func TestPinsHarmNobody(t *testing.T) {
+func TestPinsLeaveOtherRequestsAlone(t *testing.T) {
 	head := func(r seen, versions string, events ...string) string {
 		return strings.Replace(stream(r, events...), "Content-Type:", versions+"Content-Type:", 1)
 	}
@@ -230,14 +230,14 @@
 			f.register(wrong)
 			a := f.call(t, "/unsafe/", "", keyOne, modelM, "Request-Id: b")
 			is.Equal(a.StatusCode, 502) // it has run, and may run once
-			is.Equal(f.plane.Pins()["p"].Wrong, uint64(0))
+			is.Equal(f.plane.Pins()["p"].WrongVersion, uint64(0))
 		})
 	}
 }
 
 // A host that rolls its weights in the middle of a stream: the client gets events of the chosen version alone, to the end from another host
 // where the route allows it, and else a visible end.
-func TestRolledInStream(t *testing.T) {
+func TestHostRolledDuringAStream(t *testing.T) {
 	rolled := func(id int) string { return fmt.Sprintf("versions: 3\nid: %d\ndata: new\n\n", id) }
 	head := func(r seen, events ...string) string {
 		return strings.Replace(stream(r, events...), "Content-Type:", "Versions: 2\r\nContent-Type:", 1)
@@ -284,7 +284,7 @@
 
 // A stream that began under no pin, and breaks after one was set, goes on with the version of its first part, or ends visibly where that is
 // not known.
-func TestResumedAcrossPin(t *testing.T) {
+func TestStreamResumesAcrossAPinChange(t *testing.T) {
 	for _, c := range []struct {
 		name, versions string
 		whole          bool
@@ -322,7 +322,7 @@
 
 // Requests that are held when a pin changes are decided anew, and run once: one that waits for a busy host of the old version goes to the new
 // one at once, and one for whose version the last host goes is refused at once.
-func TestHeldAcrossPin(t *testing.T) {
+func TestQueuedRequestAcrossAPinChange(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(t *testing.T, f *fleet, busy, free versioned)
@@ -352,7 +352,7 @@
 			}
 			eventually(t, "some are held", func() bool {
 				sent := len(busy.requests())
-				return f.plane.Figures()["s"].Open == many && sent > 0 && sent < many
+				return f.plane.Metrics()["s"].Open == many && sent > 0 && sent < many
 			})
 			c.change(t, f, busy, free)
 			var came []got
@@ -394,7 +394,7 @@
 	fmt.Fprintf(c, "POST /unsafe/ HTTP/1.1\r\nHost: h.example\r\n%s\r\n%s\r\nRequest-Id: q\r\nContent-Length: 0\r\n\r\n", keyOne, modelM)
 	<-came
 	c.Close()
-	eventually(t, "it has ended", func() bool { return f.plane.Figures()["s"].Open == 0 })
+	eventually(t, "it has ended", func() bool { return f.plane.Metrics()["s"].Open == 0 })
 	figures := f.plane.Pins()["p"]
 	is.Equal(figures.Requests, uint64(1))
 	is.Equal(len(figures.Answered), 0)
@@ -415,7 +415,7 @@
 }
 
 // A configuration that is put beside pins does not touch them, and neither does it have held requests planned anew.
-func TestPinBesideConfiguration(t *testing.T) {
+func TestPinWithAConfigurationChange(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, keyed)
 	f.register(newVersioned(t, "i-1", 1, 1), newVersioned(t, "i-2", 2, 2))
--- a/internal/system/dataplane/plane.go
+++ b/internal/system/dataplane/plane.go
@@ -1,5 +1,8 @@
-// Package dataplane is the data plane of the router fleet: it takes clients' requests by the configuration in force and has them
-// served by the hosts of their services. Every decision on which prompt goes where and when is package balance's, one for each service.
+// Package dataplane is the data plane of the router fleet: it admits clients' requests by the
+// configuration in force and has them served by the hosts of their services. A request is admitted by
+// its head (intake.go), planned with its body (plan.go): charged to its tenant's quota (quota.go), held
+// to a version pin (pins.go), and forwarded (forward.go). Which request goes where and when is decided
+// by package balance, once for each service.
 package dataplane
 
 import (
@@ -16,27 +19,37 @@
 	"reachspread/internal/retrybudget"
 	"reachspread/internal/routing"
 	"reachspread/internal/system/deciders/configuration"
-	"reachspread/internal/system/deciders/instances"
-	"reachspread/internal/system/message"
 	"reachspread/internal/system/settings"
 	"reachspread/internal/transport"
 )
 
 const (
-	mostAttempts = 4 // of one try, those that were turned away among them
-	tick         = time.Millisecond
-	probeFor     = time.Second
-	mostAway     = 2 * time.Second
-	// slackPart is the part of the retry budget's slack that all routers together may hold, as the view of how many there are is late.
-	slackPart = 0.7
+	maxAttempts   = 4 // of a request, those that were rejected among them
+	stepInterval  = time.Millisecond
+	probeTimeout  = time.Second
+	maxRetryAfter = 2 * time.Second
+
+	// The decisions take a host to have half of its capacity at its start and all of it a second
+	// later, and to fail where it gets four times its capacity for a second.
+	slowStartMinCapacity = 0.5
+	slowStartWindow      = time.Second
+	overloadFactor       = 4
+	overloadWindow       = time.Second
+	// crossZonePenalty is what crossing zones counts in the decisions, as a fraction of the value of
+	// all requests.
+	crossZonePenalty = 0.01
+
+	// retrySlackFraction is the fraction of the retry budget's slack that all routers together may
+	// save up, as the view of how many live is late.
+	retrySlackFraction = 0.7
 )
 
-// Quotas says whether a tenant may have so many units now. It is called for each request of a tenant with a limit, and waits
-// for a moment at most.
+// Quotas says whether a tenant may have so many units now. It is called for each request of a tenant
+// with a limit, and blocks for a moment at most.
 type Quotas interface {
-	// Take takes units of a tenant's quota; where there are too few, it says when to ask again.
+	// Take takes units of a tenant's quota. If there are too few, wait is when to ask again.
 	Take(t *configuration.Tenant, units float64) (ok bool, wait time.Duration)
-	// Put gives back units that were taken at a time for a request that did not run.
+	// Put gives back units that were taken at a time for a request that did not execute.
 	Put(t *configuration.Tenant, units float64, taken time.Time)
 }
 
@@ -45,68 +58,71 @@
 	Settings func() *settings.Settings // in force; not to be changed
 	Servers  *transport.Servers
 	Quotas   Quotas
-	// Fresh tells whether what is known of the configuration is young enough to honour keys by it.
+	// Fresh reports whether what is known of the configuration is fresh enough to honour keys by it.
 	Fresh func() bool
-	// Newest tells whether it was the newest for certain so short a time ago that a refusal by it is right.
+	// Newest reports whether it was the newest for certain so short a time ago that it may deny a
+	// request.
 	Newest func() bool
-	// Tell tells other routers of prompts that were sent to hosts of a service; nil for nobody. It must not block.
-	Tell  func(service string, reports []balance.PeerReport)
-	Log   routing.Logger
-	Seed  uint64
-	Began time.Time // when the router did
+	// ReportPrompts reports prompts that were sent to hosts of a service to other routers; nil for
+	// none. It must not block.
+	ReportPrompts func(service string, reports []balance.PeerReport)
+	Log           routing.Logger
+	Seed          uint64
+	StartedAt     time.Time // the router
 }
 
-// Plane is one router's. It implements transport.Intake.
+// Plane is the data plane of one router. It implements transport.Intake.
 type Plane struct {
-	o     Options
-	ctx   context.Context
-	state atomic.Pointer[configuration.State] // nil before the first configuration
-	hash  maphash.Seed
-	next  atomic.Uint64 // of names for the decisions
+	o      Options
+	ctx    context.Context
+	state  atomic.Pointer[configuration.State] // nil before the first configuration
+	hash   maphash.Seed
+	nextID atomic.Uint64 // the last request ID in the decisions
 
 	mu       sync.Mutex
 	services map[string]*service
 	routers  int // that live, this one among them
 
-	pools   atomic.Pointer[map[string]*service] // replaced, never changed
-	counts  Counts
-	ends    ends
-	changes changes
-	pins    *pinned
+	serviceMap    atomic.Pointer[map[string]*service] // replaced, never changed
+	counts        Counts
+	outcomeCounts outcomeCounts
+	changes       changes
+	pins          *pinTracker
 }
 
-// service is one service's decisions.
+// service is a service with its decisions.
 type service struct {
-	name    string
-	router  *routing.Router
-	retries *retrybudget.Bucket
-	stop    context.CancelFunc
-	told    uint64          // the revision of the hosts that it was told of
-	wanted  []balance.Class // of the configuration in force
-	tuned   []balance.Class // that the decisions were given
-	serving atomic.Int64
-	models  models // that its hosts have
+	name            string
+	router          *routing.Router
+	retries         *retrybudget.Bucket
+	stop            context.CancelFunc
+	hostsRevision   uint64          // the last that SetHosts was given
+	classes         []balance.Class // of the configuration in force
+	decisionClasses []balance.Class // that the decisions have
+	servingHosts    atomic.Int64
+	models          models // of its hosts
 }
 
-// Counts are requests by their ends, for the figures.
+// Counts are the heads of requests, and the requests that were rejected before a host was looked for.
 type Counts struct {
-	Taken, Rejected atomic.Uint64
+	Accepted, Rejected atomic.Uint64
 }
 
-// Requests are how many heads of requests were taken since the start, and how many were rejected before a host was looked for.
-func (p *Plane) Requests() (taken, rejected uint64) {
-	return p.counts.Taken.Load(), p.counts.Rejected.Load()
+// Requests returns how many heads of requests came since the start, and how many requests were rejected
+// before a host was looked for.
+func (p *Plane) Requests() (accepted, rejected uint64) {
+	return p.counts.Accepted.Load(), p.counts.Rejected.Load()
 }
 
 // New returns a plane that serves nothing before the first configuration. Its decisions run until ctx ends.
 func New(ctx context.Context, o Options) *Plane {
 	p := &Plane{o: o, ctx: ctx, hash: maphash.MakeSeed(), services: map[string]*service{}, routers: 1}
-	p.pools.Store(&map[string]*service{})
-	p.pins = newPinned(p)
+	p.serviceMap.Store(&map[string]*service{})
+	p.pins = newPinTracker(p)
 	return p
 }
 
-// State is the configuration in force, nil for none.
+// State returns the configuration in force, nil for none.
 func (p *Plane) State() *configuration.State { return p.state.Load() }
 
 // Configure puts a configuration in force.
@@ -114,7 +130,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for name, classes := range classesOf(state.Typed) {
-		if err := p.tune(name, classes); err != nil {
+		if err := p.configureService(name, classes); err != nil {
 			return fmt.Errorf("service %s: %w", name, err)
 		}
 	}
@@ -122,34 +138,35 @@
 	for name, s := range p.services {
 		all[name] = s
 	}
-	p.pools.Store(&all)
+	p.serviceMap.Store(&all)
 	p.state.Store(state)
 	p.changes.notify()
-	p.pins.changed(state.Pins())
+	p.pins.pinsChanged(state.Pins())
 	return nil
 }
 
-// tune makes the decisions of a service, or gives them other classes where these have changed. Those of the configuration before stay, for
-// requests whose head came under it. The lock is held.
-func (p *Plane) tune(name string, classes []balance.Class) error {
+// configureService makes the decisions of a service, or gives them other classes if these have
+// changed. Those of the configuration before stay, for requests whose head came under it. The caller
+// has the lock.
+func (p *Plane) configureService(name string, classes []balance.Class) error {
 	s := p.services[name]
 	if s != nil {
-		both := union(classes, s.wanted)
-		s.wanted = classes
-		if !slices.Equal(both, s.tuned) {
-			s.tuned = both
+		both := unionOfClasses(classes, s.classes)
+		s.classes = classes
+		if !slices.Equal(both, s.decisionClasses) {
+			s.decisionClasses = both
 			s.router.Reconfigure(p.config(s, both))
 		}
 		return nil
 	}
-	s = &service{name: name, wanted: classes, tuned: classes, retries: retrybudget.New(p.o.Settings().Bounds.RetryBudgetRatio, p.slack())}
+	s = &service{name: name, classes: classes, decisionClasses: classes, retries: retrybudget.New(p.o.Settings().Bounds.RetryBudgetRatio, p.retrySlack())}
 	b, err := balance.New(p.config(s, classes), p.o.Seed^rand.Uint64())
 	if err != nil {
 		return err
 	}
-	s.router = routing.New(b, p.o.Servers, p.o.Log, probeFor)
-	if p.o.Tell != nil {
-		s.router.SendReportsBy(func(t balance.SendReports) { p.o.Tell(name, t.Reports) })
+	s.router = routing.New(b, p.o.Servers, p.o.Log, probeTimeout)
+	if p.o.ReportPrompts != nil {
+		s.router.SendReportsBy(func(t balance.SendReports) { p.o.ReportPrompts(name, t.Reports) })
 	}
 	ctx, stop := context.WithCancel(p.ctx)
 	s.stop = stop
@@ -158,117 +175,82 @@
 	return nil
 }
 
-// slack is how many repeats one router may save up.
-func (p *Plane) slack() float64 {
-	return slackPart * p.o.Settings().Bounds.RetryBudgetSlack / float64(max(p.routers, 1))
+// retrySlack returns how many retries one router may save up.
+func (p *Plane) retrySlack() float64 {
+	return retrySlackFraction * p.o.Settings().Bounds.RetryBudgetSlack / float64(max(p.routers, 1))
 }
 
-// Tune takes up what settings that were read anew say of budgets.
-func (p *Plane) Tune() {
+// ReloadBudgets applies the retry budget of settings that were read again.
+func (p *Plane) ReloadBudgets() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, s := range p.services {
-		s.retries.Set(p.o.Settings().Bounds.RetryBudgetRatio, p.slack())
+		s.retries.Set(p.o.Settings().Bounds.RetryBudgetRatio, p.retrySlack())
 	}
 }
 
-// SetRouters tells how many routers live, this one among them.
+// SetRouters sets how many routers live, this one among them.
 func (p *Plane) SetRouters(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.routers = max(n, 1)
 	for _, s := range p.services {
-		s.retries.Set(p.o.Settings().Bounds.RetryBudgetRatio, p.slack())
+		s.retries.Set(p.o.Settings().Bounds.RetryBudgetRatio, p.retrySlack())
 	}
 }
 
-// Routers is how many routers live, as was told last.
+// Routers returns how many routers live, as was set last.
 func (p *Plane) Routers() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.routers
 }
 
-// config is what the decisions of a service are told.
+// config returns the configuration of a service's decisions.
 func (p *Plane) config(s *service, classes []balance.Class) balance.Config {
-	return balance.Config{Zone: p.o.Settings().Zone, Classes: classes, MaxAttempts: mostAttempts, SlowStartMinCapacity: 0.5, SlowStartWindow: time.Second,
-		OverloadFactor: 4, OverloadWindow: time.Second, StepInterval: tick, CrossZonePenalty: crossZonePrice, MaxRetryAfter: mostAway, SingleAffinityHost: true, Broadcast: p.o.Tell != nil, RetryBudget: s.retries}
-}
-
-// crossZonePrice is what crossing zones counts in the decisions, in parts of what there is to earn.
-const crossZonePrice = 0.01
-
-// Hosts tells the decisions which hosts a service has.
-func (p *Plane) Hosts(name string, revision uint64, all []*instances.Record, now time.Duration) {
-	p.mu.Lock()
-	s := p.services[name]
-	p.mu.Unlock()
-	if s == nil || s.told == revision {
-		return
-	}
-	s.told = revision
-	ev := balance.Members{Complete: true}
-	counts := s.models.recount()
-	addrs := map[string]string{}
-	serving := 0
-	clock := time.Duration(time.Now().UnixNano())
-	for _, r := range all {
-		m := balance.Member{Replica: r.Id, Zone: r.Zone, Kind: name}
-		switch r.State {
-		case message.Instance_READY:
-			m.State, m.Features = balance.Serving, counts.add(r.Models)
-			serving++
-		case message.Instance_DRAINING:
-			m.State = balance.Draining
-		default:
-			m.State = balance.Removed
-		}
-		if left := r.SlowStartUntil - now; left > 0 {
-			m.StartedAt = clock + left - time.Second
-		}
-		ev.Members = append(ev.Members, m)
-		addrs[r.Id] = r.Address
-	}
-	s.router.ApplyUpdate(ev, addrs)
-	s.models.take(counts)
-	s.serving.Store(int64(serving))
-	p.changes.notify()
-	p.pins.lost(s)
-}
-
-// Heard takes in what another router tells of the prompts that it sent to hosts of a service.
-func (p *Plane) Heard(name string, heard balance.ReportsReceived) {
-	if s := (*p.pools.Load())[name]; s != nil {
-		s.router.ReceiveReports(heard)
+	return balance.Config{
+		Zone:                 p.o.Settings().Zone,
+		Classes:              classes,
+		MaxAttempts:          maxAttempts,
+		RetryBudget:          s.retries,
+		SlowStartMinCapacity: slowStartMinCapacity,
+		SlowStartWindow:      slowStartWindow,
+		OverloadFactor:       overloadFactor,
+		OverloadWindow:       overloadWindow,
+		StepInterval:         stepInterval,
+		CrossZonePenalty:     crossZonePenalty,
+		MaxRetryAfter:        maxRetryAfter,
+		SingleAffinityHost:   true,
+		Broadcast:            p.o.ReportPrompts != nil,
 	}
 }
 
-// Serving tells whether there is a configuration, and a host for at least one service of it.
+// Serving reports whether there is a configuration, and a host for at least one service of it.
 func (p *Plane) Serving() bool {
 	if p.state.Load() == nil {
 		return false
 	}
-	for _, s := range *p.pools.Load() {
-		if s.serving.Load() > 0 {
+	for _, s := range *p.serviceMap.Load() {
+		if s.servingHosts.Load() > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// ServiceFigures are those of one service.
-type ServiceFigures struct {
-	Open    int64   // requests that were taken and have not ended
-	Retries float64 // further attempts that the budget allows now
-	Avoided int64   // hosts out of rotation for their failures
+// ServiceMetrics are the metrics of one service.
+type ServiceMetrics struct {
+	Open          int64   // requests that were accepted and have not ended
+	Retries       float64 // that the budget allows now
+	OutOfRotation int64   // hosts out of rotation for their failures
 }
 
-// Figures are those of all services, by name.
-func (p *Plane) Figures() map[string]ServiceFigures {
-	all := map[string]ServiceFigures{}
-	for name, s := range *p.pools.Load() {
+// Metrics returns the metrics of all services, by name.
+func (p *Plane) Metrics() map[string]ServiceMetrics {
+	all := map[string]ServiceMetrics{}
+	for name, s := range *p.serviceMap.Load() {
 		f := s.router.Metrics()
-		all[name] = ServiceFigures{Open: f.Open, Retries: s.retries.Left(), Avoided: f.OutOfRotation}
+		all[name] = ServiceMetrics{Open: f.Open, Retries: s.retries.Left(), OutOfRotation: f.OutOfRotation}
 	}
 	return all
 }
--- a/internal/system/dataplane/plane_test.go
+++ b/internal/system/dataplane/plane_test.go
@@ -205,7 +205,7 @@
 	s := &settings.Settings{Zone: "a", Bounds: settings.Bounds{RetryBudgetRatio: 5, RetryBudgetSlack: 100}}
 	servers := transport.NewServers(transport.ServerLimits{Connect: time.Second, Keepalive: time.Minute, Silent: time.Second, Connections: 50,
 		Dialect: protocol.Fleet{}}, lines{})
-	f.plane = New(ctx, Options{Settings: func() *settings.Settings { return s }, Servers: servers, Quotas: f.quotas, Fresh: func() bool { return f.fresh.Load() }, Newest: func() bool { return f.newest.Load() }, Log: &f.log, Began: began})
+	f.plane = New(ctx, Options{Settings: func() *settings.Settings { return s }, Servers: servers, Quotas: f.quotas, Fresh: func() bool { return f.fresh.Load() }, Newest: func() bool { return f.newest.Load() }, Log: &f.log, StartedAt: began})
 	f.front = transport.NewIntakeFront(f.plane, transport.FrontLimits{Bodies: 1 << 20, Admission: admission.Config{Places: 100, Step: 8}})
 	f.front.SetKeeps(true)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -240,7 +240,7 @@
 		all = append(all, &message.Instance{Id: h.id, Service: "s", Address: h.addr, Zone: "a"})
 	}
 	registry.Merge(0, all)
-	f.plane.Hosts("s", registry.Revision(), registry.Records("s"), 0)
+	f.plane.SetHosts("s", registry.Revision(), registry.Records("s"), 0)
 }
 
 // got is an answer as a client got it; err tells that it was cut.
@@ -284,7 +284,7 @@
 
 // A request reaches a host with method, path, query, body and headers as they came, but for what the router sets; the answer comes back as it
 // was, whatever its status.
-func TestPassedOn(t *testing.T) {
+func TestRequestIsForwarded(t *testing.T) {
 	is := is.New(t)
 	h := newHost(t, "i-1", func(r seen) string { return answer(r, 202, "X-Own: 1\r\nContent-Type: a/b\r\n", "hello "+r.text) })
 	f := newFleet(t, keyed, h)
@@ -311,7 +311,7 @@
 }
 
 // A chunked body reaches the host whole.
-func TestChunked(t *testing.T) {
+func TestChunkedBodyIsForwarded(t *testing.T) {
 	is := is.New(t)
 	h := newHost(t, "i-1", func(r seen) string { return answer(r, 200, "", r.text) })
 	f := newFleet(t, "", h)
@@ -328,7 +328,7 @@
 }
 
 // What the router answers by itself, each only where the configuration says so.
-func TestOwnAnswers(t *testing.T) {
+func TestAnswersOfTheRouter(t *testing.T) {
 	h := newHost(t, "i-1", func(r seen) string { return answer(r, 200, "", "ok") })
 	f := newFleet(t, keyed, h)
 	for name, c := range map[string]struct {
@@ -357,7 +357,7 @@
 }
 
 // Without a configuration nobody is told 401, 403 or 404; with an old one no key is honoured, and public routes go on.
-func TestKnowsTooLittle(t *testing.T) {
+func TestRejectedWhileTooLittleIsKnown(t *testing.T) {
 	is := is.New(t)
 	h := newHost(t, "i-1", func(r seen) string { return answer(r, 200, "", "ok") })
 	f := newFleet(t, "none", h)
@@ -385,7 +385,7 @@
 }
 
 // A tenant beyond its quota is told when to come back, and its connection stays. What did not run is given back.
-func TestQuota(t *testing.T) {
+func TestQuotaRejectsAndRefunds(t *testing.T) {
 	is := is.New(t)
 	h := newHost(t, "i-1", func(r seen) string {
 		if r.n == 0 {
@@ -428,7 +428,7 @@
 }
 
 // An unsafe request that may have run gets an answer that promises nothing, once; one that did not run is sent on.
-func TestUnsafeOnce(t *testing.T) {
+func TestUnsafeRequestExecutesOnce(t *testing.T) {
 	is := is.New(t)
 	for _, script := range []string{hangUp, "HTTP/1.1 200 OK\r\nResponse-Seal: s\r\nContent-Length: 10\r\n\r\nhalf" + hangUp, "nonsense\r\n\r\n" + hangUp} {
 		one := newHost(t, "i-1", func(seen) string { return script })
@@ -449,7 +449,7 @@
 }
 
 // A surplus answer to an earlier request that comes where the next one is due belongs to nobody.
-func TestSurplusAnswer(t *testing.T) {
+func TestSurplusBytesAfterAnAnswer(t *testing.T) {
 	is := is.New(t)
 	var before seen
 	h := newHost(t, "i-1", func(r seen) string {
@@ -483,7 +483,7 @@
 }
 
 // A stream that may be resumed goes on at another host behind the last whole event, within the same answer and with its head.
-func TestResumed(t *testing.T) {
+func TestBrokenStreamResumes(t *testing.T) {
 	is := is.New(t)
 	script := func(r seen) string {
 		switch r.Header.Get("Last-Event-Id") {
@@ -513,7 +513,7 @@
 }
 
 // A stream is resumed no more often than its route has attempts, and then ends visibly.
-func TestResumedTooOften(t *testing.T) {
+func TestStreamResumesWithinItsAttempts(t *testing.T) {
 	is := is.New(t)
 	script := func(r seen) string {
 		var last int
@@ -549,7 +549,7 @@
 	f := newFleet(t, "", one, two)
 	registry := instances.New(time.Second)
 	registry.Merge(0, []*message.Instance{{Id: "i-1", Service: "s", Address: one.addr, State: message.Instance_DRAINING}, {Id: "i-2", Service: "s", Address: two.addr}})
-	f.plane.Hosts("s", 1000, registry.Records("s"), 0)
+	f.plane.SetHosts("s", 1000, registry.Records("s"), 0)
 	for i := range 8 {
 		is.Equal(f.call(t, "/safe/", "x", fmt.Sprint("Request-Id: q", i)).StatusCode, 200)
 	}
@@ -557,21 +557,21 @@
 }
 
 // A route whose traffic is split goes to its services by their weights.
-func TestSplit(t *testing.T) {
+func TestRouteIsSplitByWeight(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, "none")
 	f.configure(t, `{"version":1,"routes":[{"name":"r","host":"h","pathPrefix":"/","timeoutMs":5,"trafficSplit":[{"service":"s","weight":90},{"service":"t","weight":10},{"service":"u","weight":0}]}],`+
 		`"services":[{"name":"s"},{"name":"t"},{"name":"u"}]}`)
 	counts := map[string]int{}
 	for range 1000 {
-		counts[f.plane.pick(f.plane.State().Typed.Routes[0]).name]++
+		counts[f.plane.pickService(f.plane.State().Typed.Routes[0]).name]++
 	}
 	is.True(counts["s"] > 800 && counts["t"] > 50)
 	is.Equal(counts["u"], 0)
 }
 
 // Requests that came before others on a connection are answered first, and one that is idle stays.
-func TestKeptConnection(t *testing.T) {
+func TestConnectionIsReused(t *testing.T) {
 	is := is.New(t)
 	h := newHost(t, "i-1", func(r seen) string { return answer(r, 200, "", r.RequestURI) })
 	f := newFleet(t, "", h)
@@ -596,7 +596,7 @@
 
 // What comes while a router starts waits for what is needed to serve it: a configuration, its being the newest, a host. Nothing waits where
 // the router has been there for long, and nothing waits for what does not come.
-func TestStarting(t *testing.T) {
+func TestRequestsWaitForAStartingRouter(t *testing.T) {
 	is := is.New(t)
 	h := newHost(t, "i-1", func(r seen) string { return answer(r, 200, "", "whole") })
 	f := fleetSince(t, time.Now(), "none")
--- /dev/null
+++ b/internal/system/dataplane/request.go
@@ -0,0 +1,62 @@
+package dataplane
+
+import (
+	"errors"
+
+	"github.com/valyala/fasthttp"
+
+	"reachspread/balance"
+	"reachspread/internal/protocol"
+	"reachspread/internal/system/deciders/configuration"
+)
+
+// charsPerToken is the assumed length of a token where a request does not say how many it has.
+const charsPerToken = 4
+
+// request is what a request's headers say of it.
+type request struct {
+	route   *configuration.Route
+	arrival balance.Arrival
+	usage   protocol.Usage
+	counted bool   // usage is what the request says
+	model   string // that it names, empty for none
+}
+
+// errNoID says that a request has no ID.
+var errNoID = errors.New(protocol.HeaderRequestID + " is missing")
+
+// readRequest reads what the decisions need.
+func readRequest(h *fasthttp.RequestHeader, route *configuration.Route, bodyLen int) (*request, error) {
+	get := func(name string) string { return string(h.Peek(name)) }
+	if get(protocol.HeaderRequestID) == "" {
+		return nil, errNoID
+	}
+	r := &request{route: route, model: get(protocol.HeaderModel), arrival: balance.Arrival{Class: route.ClassName(), TimeLeft: route.Timeout()}}
+	timeLeft, given, err := protocol.ParseDeadline(get(protocol.HeaderDeadline))
+	if err != nil {
+		return nil, err
+	}
+	if given {
+		r.arrival.TimeLeft = min(timeLeft, route.Timeout())
+	}
+	if r.usage, r.counted, err = protocol.ParseUsage(get(protocol.HeaderTokenUsage)); err != nil {
+		return nil, err
+	}
+	segments, err := protocol.ParsePrompt(get(protocol.HeaderPromptPrefix))
+	if err != nil {
+		return nil, err
+	}
+	r.arrival.PromptTokens = float64(bodyLen / charsPerToken)
+	if r.counted {
+		r.arrival.PromptTokens = r.usage.Prompt
+	}
+	if n := len(segments); n > 0 {
+		r.arrival.Session = segments[n-1].ID
+		for _, segment := range segments[:n-1] {
+			r.arrival.Prefix = segment.ID
+			r.arrival.PrefixTokens += segment.Tokens
+		}
+	}
+	r.arrival.PrefixTokens = min(r.arrival.PrefixTokens, r.arrival.PromptTokens)
+	return r, nil
+}
--- a/internal/system/roles/node/dataplane.go
+++ b/internal/system/roles/node/dataplane.go
@@ -44,15 +44,15 @@
 		Dialect:     protocol.Fleet{},
 	}, n.log)
 	n.plane = dataplane.New(ctx, dataplane.Options{
-		Settings: n.settings,
-		Servers:  n.servers,
-		Quotas:   n.quotas,
-		Fresh:    n.honoursKeys,
-		Newest:   n.configurationIsNewest,
-		Tell:     n.peerReports.report,
-		Log:      n.log,
-		Seed:     rand.Uint64(),
-		Began:    time.Now(),
+		Settings:      n.settings,
+		Servers:       n.servers,
+		Quotas:        n.quotas,
+		Fresh:         n.honoursKeys,
+		Newest:        n.configurationIsNewest,
+		ReportPrompts: n.peerReports.report,
+		Log:           n.log,
+		Seed:          rand.Uint64(),
+		StartedAt:     time.Now(),
 	})
 	n.front = transport.NewIntakeFront(n.plane, transport.FrontLimits{
 		Bodies:    int(bodyFraction * float64(s.Limits.MemoryMb) * (1 << 20)),
--- a/internal/system/roles/node/hosts.go
+++ b/internal/system/roles/node/hosts.go
@@ -97,5 +97,5 @@
 
 // updateEndpoints hands the hosts of a service to the data plane.
 func (h *hub) updateEndpoints(service string) {
-	h.node.plane.Hosts(service, h.registry.ServiceRevision(service), h.registry.Records(service), h.now())
+	h.node.plane.SetHosts(service, h.registry.ServiceRevision(service), h.registry.Records(service), h.now())
 }
--- a/internal/system/roles/node/node.go
+++ b/internal/system/roles/node/node.go
@@ -171,7 +171,7 @@
 	next, applied, deferred := n.settings().Reload(read)
 	n.activeSettings.Store(next)
 	n.members.SetSeeds(ctx, next.Seeds())
-	n.plane.Tune()
+	n.plane.ReloadBudgets()
 	n.hub.post(n.hub.resubscribe)
 	n.log.Info("settings reloaded", "applied", strings.Join(applied, ","), "from_next_start", strings.Join(deferred, ","))
 }
--- a/internal/system/roles/node/peerreports.go
+++ b/internal/system/roles/node/peerreports.go
@@ -177,7 +177,7 @@
 			LatencyRatio:  float64(prompt.Slow) / slownessScale,
 		})
 	}
-	p.node.plane.Heard(m.Service, heard)
+	p.node.plane.ReceiveReports(m.Service, heard)
 	return true
 }
 
--- a/internal/system/roles/node/status.go
+++ b/internal/system/roles/node/status.go
@@ -140,11 +140,11 @@
 		configuration: h.configurationStatus(),
 		register:      viewStatus(h.registerView.view),
 	}
-	figures := h.node.plane.Figures()
+	figures := h.node.plane.Metrics()
 	for _, name := range h.services() {
 		service := serviceStatus(name, h.registry.Records(name), h.now())
 		f := figures[name]
-		service.Open, service.Retries, service.Ejected = f.Open, f.Retries, f.Avoided
+		service.Open, service.Retries, service.Ejected = f.Open, f.Retries, f.OutOfRotation
 		s.services = append(s.services, service)
 	}
 	return s
@@ -190,8 +190,8 @@
 			ActiveSeconds: time.Since(f.Since).Seconds(),
 			Requests:      f.Requests,
 			Answered:      f.Answered,
-			WrongVersion:  f.Wrong,
-			Rejected:      f.Refused,
+			WrongVersion:  f.WrongVersion,
+			Rejected:      f.Rejected,
 			Failed:        f.Failed,
 		}
 		pin.Hosts, pin.OtherVersions = n.plane.Ready(p.Model, p.Version)
--- a/internal/transport/forward.go
+++ b/internal/transport/forward.go
@@ -24,7 +24,7 @@
 	Events  bool             // the answer is a stream of events
 	FirstIn time.Duration    // the answer must have begun by then, of a stream its first event; 0 for no bound but the deadline
 	Silent  time.Duration    // a stream that says nothing for so long is taken for dead; 0 for the usual
-	// Admit allows an attempt right before it is sent, nil for all; see routing.Admitted.
+	// Admit allows an attempt right before it is sent, nil for all; see routing.Readmitter.
 	Admit func(again bool) (ok bool, wait time.Duration)
 	After string // of a resumed stream, the id of the last event that the client has; empty for none
 	// Version is the only one whose answers count, 0 for all: the server is told of it, and must say that it has it.
@@ -106,7 +106,7 @@
 	return &c
 }
 
-// Admit implements routing.Admitted.
+// Admit implements routing.Readmitter.
 func (m *Message) Admit(again bool) (ok bool, wait time.Duration) {
 	if m.forward == nil || m.forward.Admit == nil {
 		return true, 0
