--- a/coord/feed/node.go
+++ b/coord/feed/node.go
@@ -66,7 +66,7 @@
 
 func (n *Node) startStep(now time.Duration) { n.now, n.sends = max(now, n.now), nil }
 
-// runDue switches from stale sources, polls, and removes subscribers that have gone.
+// runDue switches from stale sources, polls, and removes subscribers that poll no more.
 func (n *Node) runDue() {
 	for _, s := range n.subscriptions {
 		n.switchSource(s)
--- a/coord/members/config.go
+++ b/coord/members/config.go
@@ -34,11 +34,11 @@
 	// Seeds are addresses that are asked for the membership; the local address is skipped. More
 	// seeds bridge larger partitions, at one datagram a second in total. The slice must not change.
 	Seeds []netip.AddrPort
-	// Closed rejects datagrams from addresses that are neither members nor Seeds.
+	// SeedsOnly rejects datagrams from addresses that are neither members nor Seeds.
 	SeedsOnly bool
-	// Seed seeds all random draws.
+	// RandomSeed seeds all random draws.
 	RandomSeed uint64
-	// Members bounds the membership list, dead members included; 0 for MaxMembers. A lower bound
+	// MaxMembers bounds the membership list, dead members included; 0 for MaxMembers. A lower bound
 	// saves memory and leaves members out once it is reached.
 	MaxMembers int
 }
--- a/coord/members/decider.go
+++ b/coord/members/decider.go
@@ -18,6 +18,7 @@
 	stats      Stats
 
 	// The membership list; table.go.
+
 	entries    []*entry          // sorted by id
 	byAddr     map[uint64]*entry // by addrKey
 	liveCount  int
@@ -27,11 +28,13 @@
 	sweepIndex int
 
 	// Local health; health.go.
+
 	lastReceivedAt    time.Duration // from any member
 	expectedStepAt    time.Duration // when the owner is due to call
 	noAccusationUntil time.Duration // after a stall nobody is accused
 
 	// Failure detection; probe.go, relay.go and suspicion.go.
+
 	prober        proberState
 	recentRTT     time.Duration // the longest round trip, decaying
 	relays        [maxRelays]relayedProbe
@@ -40,6 +43,7 @@
 	zoneScannedAt map[string]time.Duration
 
 	// Dissemination; gossip.go, records.go and sync.go.
+
 	pendingUpdates      []pendingUpdate
 	nextFlushAt         time.Duration // 0 for nothing pending
 	recordRequests      map[memberID]recordRequest
@@ -49,6 +53,7 @@
 	incarnationRaisedAt time.Duration
 
 	// Joining and reconnecting; join.go and reconnect.go.
+
 	nextJoinAt        time.Duration
 	joinDeadline      time.Duration
 	joiningPeers      []netip.AddrPort // that join at the same time
@@ -60,6 +65,7 @@
 	shuttingDown      bool
 
 	// What users are notified of; view.go.
+
 	unpublished        map[memberID]*entry
 	deathsDelayedUntil time.Duration // 0 for no death that waits
 	viewVersion        uint64
@@ -196,7 +202,7 @@
 	d.actions = append(d.actions, Send{to, b})
 }
 
-// Figures returns the counters.
+// Stats returns the counters.
 func (d *Decider) Stats() Stats {
 	f := d.stats
 	f.Alive, f.Suspected, f.Dead = d.liveCount, len(d.suspicions), d.deadCount
--- a/coord/members/doc.go
+++ b/coord/members/doc.go
@@ -19,7 +19,7 @@
 // (anti-entropy).
 //
 // Joining. A process that starts asks its seeds what they know of its name, and takes an
-// incarnation above that before it says anything of itself. Of several processes that claim one
+// incarnation above that before it announces itself. Of several processes that claim one
 // name the first has it; the others are rejected until it is dead.
 //
 // Local health. A member that was not scheduled in time, or whose probes fail often, doubts itself
--- a/coord/members/event.go
+++ b/coord/members/event.go
@@ -11,14 +11,14 @@
 	Data []byte
 }
 
-// Passed is an event without content: only time has passed.
+// Tick is an event without content: only time has passed.
 type Tick struct{}
 
 // Leave announces that this process ends. With Replaced another process takes over the same name,
 // and nothing is announced: the successor appears as a restart.
 type Leave struct{ Replaced bool }
 
-// Seeds replaces Config.Seeds. The slice must not change afterwards.
+// SetSeeds replaces Config.Seeds. The slice must not change afterwards.
 type SetSeeds struct{ Addrs []netip.AddrPort }
 
 func (Received) isEvent() {}
@@ -41,14 +41,15 @@
 	Changes         []Change
 }
 
-// Refused reports, once for each name and address, that a process claims the name of a live member.
+// NameConflict reports, once for each name and address, that a process claims the name of a live
+// member.
 type NameConflict struct {
 	Name string
 	Addr netip.AddrPort // of the claimant
 }
 
-// Taken reports, once, that a live member at another address has the local name: the local process
-// stays Joining, in no view, until that member is dead.
+// LocalNameTaken reports, once, that a live member at another address has the local name: the local
+// process stays Joining, in no view, until that member is dead.
 type LocalNameTaken struct{ By netip.AddrPort }
 
 func (Send) isAction()           {}
--- a/coord/members/gossip.go
+++ b/coord/members/gossip.go
@@ -152,7 +152,7 @@
 }
 
 // applyAlive applies an update that a member is alive. Where the sender does not know of its death,
-// its leave or its new process, the sender or the member is told.
+// its leave or its new process, the sender or the member is notified.
 func (d *Decider) applyAlive(e *entry, u update, from netip.AddrPort) {
 	sameProcess := u.bootLow == uint16(e.Boot)
 	switch {
@@ -169,7 +169,7 @@
 		d.send(from, appendUpdate(newDatagram(updatesMsg), deadUpdate(e)))
 		d.dispute(e)
 	case e.State == Left && sameProcess:
-		// Anti-entropy exchanges live members only, so nothing else would tell the sender.
+		// Anti-entropy exchanges live members only, so nothing else would notify the sender.
 		d.send(from, appendUpdate(newDatagram(updatesMsg), update{id: e.id, state: Left, incarnation: e.Incarnation}))
 	}
 }
--- a/coord/members/join.go
+++ b/coord/members/join.go
@@ -106,7 +106,7 @@
 	return m.Addr != e.Addr && (e == d.self || e.State == Alive)
 }
 
-// rejectClaim tells a process that its name is taken, and reports that to the owner once.
+// rejectClaim notifies a process that its name is taken, and reports that to the owner once.
 func (d *Decider) rejectClaim(m *Member) {
 	d.send(m.Addr, appendText(newDatagram(nameTakenMsg), m.Name))
 	key := m.Name + " " + m.Addr.String()
--- a/coord/members/member.go
+++ b/coord/members/member.go
@@ -19,11 +19,11 @@
 
 // States has the name and meaning of every state, in the order of their numbers.
 var States = []struct{ Name, Meaning string }{
-	{"joining", "asks the others who it was before it says anything"},
-	{"alive", "answers probes, or those who probe it say so"},
-	{"suspected", "missed a probe and is given the time to answer others; counts as living"},
-	{"dead", "two witnesses heard nothing of it; it is greeted from time to time"},
-	{"left", "said that it leaves"},
+	{"joining", "asks other members for its earlier incarnation"},
+	{"alive", "answers probes, or is reported to"},
+	{"suspected", "failed a probe and may still refute that; counts as live"},
+	{"dead", "two witnesses confirmed the suspicion; it is pinged from time to time"},
+	{"left", "announced that it leaves"},
 }
 
 // String is the name of the state.
@@ -49,7 +49,7 @@
 	Members []Member
 }
 
-// Why is the reason for a change.
+// Reason is the cause of a change.
 type Reason string
 
 // The reasons. Their texts stand in logs.
--- a/coord/members/probe.go
+++ b/coord/members/probe.go
@@ -295,7 +295,7 @@
 		return
 	}
 	if old := d.byAddr[addrKey(from)]; old != nil && old != d.self && old.Name != m.Name && old.State == Alive {
-		d.accuse(old) // while it lives, nobody else can answer at its address
+		d.accuse(old) // while it is alive, no other member can answer at its address
 	}
 	d.applyRecord(m, from)
 }
--- a/coord/members/reconnect.go
+++ b/coord/members/reconnect.go
@@ -35,7 +35,7 @@
 }
 
 // dispute takes note of a member that is dead here and alive to another member: the ping that it is
-// sent tells it that it is dead here, and it refutes that if it is alive.
+// sent has the update that it is dead here, which it refutes if it is alive.
 func (d *Decider) dispute(e *entry) {
 	if len(d.disputed) >= maxRecordRequests || slices.Contains(d.disputed, e.id) {
 		return
--- a/coord/members/schedule.go
+++ b/coord/members/schedule.go
@@ -29,10 +29,13 @@
 	probeTask         = task{(*Decider).nextProbeEvent, (*Decider).runProbes}
 	suspicionTask     = task{(*Decider).nextSuspicionEvent, (*Decider).runSuspicions}
 	reconnectTask     = task{func(d *Decider) time.Duration { return d.nextReconnectAt }, (*Decider).reconnect}
-	recordRequestTask = task{func(d *Decider) time.Duration { return zeroAsNever(d.nextRecordRequestAt) }, (*Decider).sendRecordRequests}
-	disputeTask       = task{func(d *Decider) time.Duration { return zeroAsNever(d.nextDisputeAt) }, (*Decider).pingDisputed}
-	flushTask         = task{func(d *Decider) time.Duration { return zeroAsNever(d.nextFlushAt) }, (*Decider).flushUpdates}
-	publishTask       = task{func(d *Decider) time.Duration { return zeroAsNever(d.deathsDelayedUntil) }, func(*Decider) {}}
+	recordRequestTask = task{
+		func(d *Decider) time.Duration { return zeroAsNever(d.nextRecordRequestAt) },
+		(*Decider).sendRecordRequests,
+	}
+	disputeTask = task{func(d *Decider) time.Duration { return zeroAsNever(d.nextDisputeAt) }, (*Decider).pingDisputed}
+	flushTask   = task{func(d *Decider) time.Duration { return zeroAsNever(d.nextFlushAt) }, (*Decider).flushUpdates}
+	publishTask = task{func(d *Decider) time.Duration { return zeroAsNever(d.deathsDelayedUntil) }, func(*Decider) {}}
 )
 
 // zeroAsNever is a time that is 0 for none.
--- a/coord/members/table.go
+++ b/coord/members/table.go
@@ -66,7 +66,7 @@
 	return *e.history
 }
 
-// toMember returns the member as users and other members are told of it.
+// toMember returns the member as it is published to users and sent to other members.
 func (e *entry) toMember() *Member {
 	return &Member{
 		Name:        e.Name,
--- a/coord/members/timing.go
+++ b/coord/members/timing.go
@@ -84,7 +84,7 @@
 	digestSpreadDelay = 400 * time.Millisecond
 	// syncInterval is the shortest time between two sync requests that this member begins.
 	syncInterval = 250 * time.Millisecond
-	// syncCatchUpDelay replaces syncInterval while whole ranges of members are unknown.
+	// syncCatchUpDelay replaces syncInterval while many members are unknown.
 	syncCatchUpDelay = gossipBatchDelay
 	// recordRequestTTL is after how long a record that did not come may be requested again.
 	recordRequestTTL = 300 * time.Millisecond
--- a/coord/members/wire.go
+++ b/coord/members/wire.go
@@ -9,8 +9,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// wireVersion is the high half of a datagram's first byte, by which datagrams of other protocols on
-// the same socket are told apart.
+// wireVersion is the high half of a datagram's first byte, which distinguishes it from datagrams of
+// other protocols on the same socket.
 const wireVersion = 2
 
 // messageType is the low half of a datagram's first byte.
@@ -84,7 +84,7 @@
 	errOutOfRange = errors.New("the datagram has a field out of range")
 )
 
-// IsOurs reports by its first byte whether a datagram is one of this package's.
+// IsDatagram reports by its first byte whether a datagram is one of this package's.
 func IsDatagram(b []byte) bool { return len(b) > 0 && b[0]>>4 == wireVersion }
 
 // newDatagram begins a datagram with its header.
--- a/coord/quota/lessee.go
+++ b/coord/quota/lessee.go
@@ -15,7 +15,7 @@
 	used           Usage
 	borrowingSince time.Duration
 	borrowLimit    float64 // units used in the window when borrowing began; 0 before the first time
-	borrowed       float64 // units that no owner was told of
+	borrowed       float64 // units that were reported to no owner
 }
 
 // grant is units that can be used until they expire.
@@ -82,7 +82,7 @@
 	return Request{Need: max(units-l.Available(now), 0), Borrowed: l.borrowed}
 }
 
-// ReportedBorrowed takes note that an owner was told of borrowed units.
+// ReportedBorrowed takes note that borrowed units were reported to an owner.
 func (l *Lessee) ReportedBorrowed(units float64) { l.borrowed = max(l.borrowed-units, 0) }
 
 // AddGrant adds units that were granted to a request made at a time.
--- a/internal/system/deciders/configuration/compile.go
+++ b/internal/system/deciders/configuration/compile.go
@@ -98,7 +98,7 @@
 			return err
 		}
 		if other := at(r).add(r); other != nil {
-			return &InvalidError{fmt.Sprintf("route %q", r.Name), "pathPrefix", fmt.Sprintf("route %q has the same host and prefix", other.Name)}
+			return invalidRoute(r, "pathPrefix", fmt.Sprintf("route %q has the same host and prefix", other.Name))
 		}
 	}
 	for _, r := range c.Routes {
@@ -129,22 +129,28 @@
 	total := 0.0
 	for _, s := range r.Shares() {
 		if c.services[s.Service] == nil {
-			return &InvalidError{fmt.Sprintf("route %q", r.Name), "service", fmt.Sprintf("%q is not among the services", s.Service)}
+			return invalidRoute(r, "service", fmt.Sprintf("%q is not among the services", s.Service))
 		}
 		total += s.Weight
 	}
 	if total <= 0 {
-		return &InvalidError{fmt.Sprintf("route %q", r.Name), "trafficSplit", "the weights add up to 0"}
+		return invalidRoute(r, "trafficSplit", "the weights add up to 0")
 	}
 	return nil
 }
 
+func invalidRoute(r *Route, field, reason string) error {
+	return &InvalidError{fmt.Sprintf("route %q", r.Name), field, reason}
+}
+
+// addTenants indexes the tenants by name and key. A key has one tenant.
 func (c *Configuration) addTenants() error {
 	for _, t := range c.Tenants {
 		c.tenants[t.Name] = t
 		for _, key := range t.APIKeys {
 			if other := c.keys[key]; other != nil && other != t {
-				return &InvalidError{fmt.Sprintf("tenant %q", t.Name), "apiKeys", fmt.Sprintf("tenant %q has one of the keys as well", other.Name)}
+				reason := fmt.Sprintf("tenant %q has one of the keys as well", other.Name)
+				return &InvalidError{fmt.Sprintf("tenant %q", t.Name), "apiKeys", reason}
 			}
 			c.keys[key] = t
 		}
--- a/internal/system/deciders/configuration/configuration_test.go
+++ b/internal/system/deciders/configuration/configuration_test.go
@@ -382,7 +382,7 @@
 	return state
 }
 
-// One route of many changes, in a patch and in a whole configuration.
+// BenchmarkChange changes one route of many, by a patch and by a complete configuration.
 func BenchmarkChange(b *testing.B) {
 	before := manyRoutes(b)
 	patch := []byte(`{"version":2,"upsert":{"routes":[{"name":"r7","host":"h7.example","pathPrefix":"/p7/","timeoutMs":600,"service":"t"}]}}`)
--- a/internal/system/deciders/configuration/decode.go
+++ b/internal/system/deciders/configuration/decode.go
@@ -29,7 +29,8 @@
 	if r.Kind == Streaming && r.StreamResumption {
 		kind += "+resumed"
 	}
-	r.class = fmt.Sprintf("%s timeout=%g target=%g gap=%g attempts=%d", kind, r.TimeoutMs, r.TargetLatencyMs, r.GapTargetMs, r.MaxAttempts)
+	r.class = fmt.Sprintf("%s timeout=%g target=%g gap=%g attempts=%d",
+		kind, r.TimeoutMs, r.TargetLatencyMs, r.GapTargetMs, r.MaxAttempts)
 	return r, nil
 }
 
--- a/internal/system/deciders/configuration/pinorders.go
+++ b/internal/system/deciders/configuration/pinorders.go
@@ -21,7 +21,8 @@
 func (s *Store) decidePin(order *message.Order) (change, reply []byte) {
 	in := s.state.Pins()
 	if order.IfMatch != in.Revision {
-		return nil, s.pinReply(rejectionStatus(order.IfMatch, in.Revision), fmt.Sprintf("revision %d of the pins is in force, not %d", in.Revision, order.IfMatch))
+		text := fmt.Sprintf("revision %d of the pins is in force, not %d", in.Revision, order.IfMatch)
+		return nil, s.pinReply(rejectionStatus(order.IfMatch, in.Revision), text)
 	}
 	next, _, err := s.nextPins(order)
 	if err != nil {
--- a/internal/system/deciders/configuration/pinorders_test.go
+++ b/internal/system/deciders/configuration/pinorders_test.go
@@ -61,7 +61,7 @@
 			got := decide(t, s, pinOrder(c.kind, c.on, c.pin, 8))
 			is.Equal(got.Status, c.status)
 			is.Equal(got.Version, s.state.Pins().Revision)
-			is.Equal(got.Text == "", c.status == 200) // who is refused is told why
+			is.Equal(got.Text == "", c.status == 200) // a rejection has a reason
 		})
 	}
 }
--- a/internal/system/deciders/configuration/store.go
+++ b/internal/system/deciders/configuration/store.go
@@ -101,7 +101,8 @@
 		return nil, err
 	}
 	if next.Version() <= s.state.Version() {
-		return nil, &InvalidError{"the configuration", versionField, fmt.Sprintf("%d is not above %d, which is in force", next.Version(), s.state.Version())}
+		reason := fmt.Sprintf("%d is not above %d, which is in force", next.Version(), s.state.Version())
+		return nil, &InvalidError{"the configuration", versionField, reason}
 	}
 	return next, nil
 }
--- a/internal/system/deciders/pins/pins.go
+++ b/internal/system/deciders/pins/pins.go
@@ -31,8 +31,8 @@
 // Message returns the set as a message.
 func (s *Set) Message() *message.Pins { return &message.Pins{Revision: s.Revision, Pins: s.Pins} }
 
-// Match returns the pin of a request, nil for none. Scopes don't overlap, so there is at most one. An
-// empty model is that of a request which names none. Match of a nil set returns nil.
+// Match returns the pin of a request, nil for none. Scopes don't overlap, so there is at most one.
+// An empty model is that of a request which names none. Match of a nil set returns nil.
 func (s *Set) Match(tenant, route, model string) *message.Pin {
 	if s == nil {
 		return nil
@@ -63,8 +63,8 @@
 	return slices.BinarySearchFunc(s.Pins, name, func(p *message.Pin, name string) int { return strings.Compare(p.Name, name) })
 }
 
-// Add returns a set with one more pin, or with a pin in place of the one of its name. The pin gets the
-// new revision. It returns a *FieldError or an *OverlapError.
+// Add returns a set with one more pin, or with a pin in place of the one of its name. The pin gets
+// the new revision. It returns a *FieldError or an *OverlapError.
 func (s *Set) Add(p *message.Pin) (*Set, error) {
 	if err := Check(p); err != nil {
 		return nil, err
@@ -104,7 +104,8 @@
 	return &Set{Revision: s.Revision + 1, Pins: slices.Delete(slices.Clone(s.Pins), i, i+1)}, nil
 }
 
-// Equivalent reports whether two pins, each of which may be nil, serve a request by the same version.
+// Equivalent reports whether two pins, each of which may be nil, serve a request by the same
+// version.
 func Equivalent(a, b *message.Pin) bool {
 	if a == nil || b == nil {
 		return a == b
--- a/internal/system/deciders/pins/validate.go
+++ b/internal/system/deciders/pins/validate.go
@@ -17,7 +17,8 @@
 func Check(p *message.Pin) error {
 	switch {
 	case !namePattern.MatchString(p.Name):
-		return &FieldError{"name", fmt.Sprintf("%q is not one of 1 to 64 letters, digits, dots, dashes and underscores that begins with a letter or digit", p.Name)}
+		return &FieldError{"name", fmt.Sprintf("%q is not one of 1 to 64 letters, digits, dots, dashes and underscores "+
+			"that begins with a letter or digit", p.Name)}
 	case p.Tenant == "" && p.Route == "":
 		return &FieldError{"tenant", "either a tenant or a route must be named"}
 	case p.Model == "":
@@ -36,7 +37,8 @@
 	return checkTexts(p)
 }
 
-// checkTexts validates the length of all texts, and that who asks and why is given, for the history.
+// checkTexts validates the length of all texts, and that who asks and why is given, for the
+// history.
 func checkTexts(p *message.Pin) error {
 	required := []struct{ name, text string }{{"by", p.By}, {"why", p.Why}}
 	for _, field := range required {
