--- a/internal/system/controlapi/instances.go
+++ b/internal/system/controlapi/instances.go
@@ -24,8 +24,8 @@
 	Slots                float64           `json:"slots"`
 	State                string            `json:"state"` // ready or draining
 	SlowStartRemainingMs float64           `json:"coldRemainingMs"`
-	Sequence             float64           `json:"sequence"` // grows with each call of a host's incarnation
-	Stage                string            `json:"stage"`    // of prefill and decode, where they are separate
+	Sequence             float64           `json:"sequence"` // orders the calls of a host
+	Stage                string            `json:"stage"`    // of serving, passed on as it is
 	Models               []registeredModel `json:"models"`
 }
 
--- a/internal/system/roles/node/draining.go
+++ b/internal/system/roles/node/draining.go
@@ -85,7 +85,7 @@
 }
 
 // finishRequests waits until the requests in flight are answered, or ctx ends. Then those that are
-// left are interrupted by the end of the process.
+// left, and the goroutine that waits for them, end with the process.
 func (n *Node) finishRequests(ctx context.Context) error {
 	n.front.Part()
 	done := make(chan error, 1)
--- a/internal/system/settings/settings.go
+++ b/internal/system/settings/settings.go
@@ -70,8 +70,8 @@
 	CPUCores        int     `toml:"cpuCores" validate:"min=0,max=1024"` // threads at a time; 0 for 1
 	MemoryMb        int     `toml:"memoryMb" validate:"min=32"`         // MiB
 	FileDescriptors int     `toml:"fileDescriptors" validate:"min=256"` // files and sockets
-	LinkMbps        float64 `toml:"linkMbps" validate:"gte=0"`          // 10^6 bits a second; 0 for unknown
-	DiskMb          int     `toml:"diskMb" validate:"min=0"`            // MiB; 0 for unknown
+	LinkMbps        float64 `toml:"linkMbps" validate:"gte=0"`          // 10^6 bits a second
+	DiskMb          int     `toml:"diskMb" validate:"min=0"`            // MiB
 }
 
 // FaultTolerance is how many of each may be lost at once.
