--- a/coord/chain/catchup.go
+++ b/coord/chain/catchup.go
@@ -78,13 +78,14 @@
 	return at
 }
 
-// requestState asks a member for what the state lacks.
+// requestState asks a member for what the state lacks; ahead says that a learner asks.
 func (r *Replica) requestState(from string, ahead bool) {
 	c := &r.catchUp
 	c.nextRequest = r.now + requestTimeout
 	n := &coordpb.Need{Epoch: r.view.Epoch, Position: r.position, Ahead: ahead}
 	if c.incoming != nil {
-		n.Have = &coordpb.Part{Position: c.incoming.of.Position, Size: c.incoming.of.Size, Sum: c.incoming.of.Sum, Offset: uint64(len(c.incoming.text))}
+		of := c.incoming.of
+		n.Have = &coordpb.Part{Position: of.Position, Size: of.Size, Sum: of.Sum, Offset: uint64(len(c.incoming.text))}
 	}
 	r.send(from, &coordpb.Message{Body: &coordpb.Message_Need{Need: n}})
 }
@@ -110,8 +111,8 @@
 		offset = int(n.Have.Offset)
 	}
 	text := o.text[offset:min(len(o.text), offset+chunkBytes)]
-	r.send(from, &coordpb.Message{Body: &coordpb.Message_Snapshot{Snapshot: &coordpb.Snapshot{Epoch: n.Epoch, Position: r.position,
-		State: text, Part: o.chunkAt(offset), Ahead: n.Ahead}}})
+	chunk := &coordpb.Snapshot{Epoch: n.Epoch, Position: r.position, State: text, Part: o.chunkAt(offset), Ahead: n.Ahead}
+	r.send(from, &coordpb.Message{Body: &coordpb.Message_Snapshot{Snapshot: chunk}})
 }
 
 // sendEntries sends changes, as many as fit into one message.
--- a/coord/chain/catchup_test.go
+++ b/coord/chain/catchup_test.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// A learner gets the state: by the changes that it lacks where these are cached, else by a snapshot in
-// chunks.
+// A learner gets the state: by the changes that it lacks where these are cached, else by a
+// snapshot in chunks.
 func TestLearnerCatchesUp(t *testing.T) {
 	big := []string{chunkOf("a"), chunkOf("b"), chunkOf("c")}
 	for name, c := range map[string]struct {
@@ -133,8 +133,8 @@
 	is.True(slices.Equal(has.words, all.words))
 }
 
-// In the chain a member gets the state of its predecessor in chunks as well, which counts as progress
-// there.
+// In the chain a member gets the state of its predecessor in chunks as well, which counts as
+// progress there.
 func TestChainMemberCatchesUpByChunks(t *testing.T) {
 	is := is.New(t)
 	before, all := newTail(t, chunkOf("a"), chunkOf("b"))
@@ -168,8 +168,8 @@
 	is.True(head.Stalled())
 }
 
-// A learner that is ahead of the chain keeps its state: a change that was in flight when its epoch ended
-// may still be committed.
+// A learner that is ahead of the chain keeps its state: a change that was in flight when its
+// epoch ended may still be committed.
 func TestLearnerAheadKeepsItsState(t *testing.T) {
 	is := is.New(t)
 	tail, _ := newTail(t, "a")
--- a/coord/chain/chain.go
+++ b/coord/chain/chain.go
@@ -25,9 +25,9 @@
 	MaxQueuedCommands = 256
 )
 
-// Machine is the replicated state machine. It has to be deterministic: the same changes lead to the
-// same state on all replicas. Its methods are called by the caller of the replica's methods, one at a
-// time.
+// Machine is the replicated state machine. It has to be deterministic: the same changes lead to
+// the same state on all replicas. Its methods are called by the caller of the replica's methods,
+// one at a time.
 type Machine interface {
 	// Decide executes a command on the present state without changing it: it returns the change
 	// that it would make, nil for none, and the reply to the client. A client may submit a command
@@ -58,8 +58,8 @@
 // Write appends a record to the log on disk. Messages and commits that come after it depend on it.
 type Write struct{ Record *coordpb.Record }
 
-// Committed reports that the state is on the disks of all members of the chain, so it may be shown to
-// others.
+// Committed reports that the state is on the disks of all members of the chain, so it may be
+// shown to others.
 type Committed struct {
 	Position *coordpb.Position
 	Value    any // Machine.Value
--- a/coord/chain/chain_test.go
+++ b/coord/chain/chain_test.go
@@ -12,7 +12,8 @@
 	"reachspread/coord/coordpb"
 )
 
-// list is a machine with words; a command "!x" is rejected, one that is there already changes nothing.
+// list is a machine with words; a command "!x" is rejected, one that is there already changes
+// nothing.
 type list struct{ words []string }
 
 func (l *list) Decide(order []byte) (change, reply []byte) {
@@ -120,8 +121,8 @@
 	return got
 }
 
-// At the beginning of an epoch the head has the state. Each other member takes it from its predecessor,
-// and reports that it is synced once all behind it are.
+// At the beginning of an epoch the head has the state. Each other member takes it from its
+// predecessor, and reports that it is synced once all behind it are.
 func TestEpochBeginsWithSync(t *testing.T) {
 	is := is.New(t)
 	head, _ := replica(0, "a")
@@ -240,7 +241,8 @@
 	is.True(!outside.Stalled())
 }
 
-// Messages that aren't answered are sent again, and a chain without progress calls for another view.
+// Messages that aren't answered are sent again, and a chain without progress calls for another
+// view.
 func TestUnansweredMessagesAreResent(t *testing.T) {
 	is := is.New(t)
 	r := active(t, 0)
--- a/coord/chain/epoch.go
+++ b/coord/chain/epoch.go
@@ -27,7 +27,8 @@
 	r.sealed, r.resumed, r.synced, r.successorsSynced = false, false, false, false
 	r.inFlight = nil
 	r.catchUp.nextRequest, r.catchUp.successorProgress, r.catchUp.progressAt = 0, 0, 0
-	r.confirmation, r.confirmedTo = confirmation{nonce: r.confirmation.nonce, confirmedAt: -1}, map[string]time.Duration{}
+	r.confirmation = confirmation{nonce: r.confirmation.nonce, confirmedAt: -1}
+	r.confirmedTo = map[string]time.Duration{}
 	r.redirectWaiting()
 	if r.isHead() {
 		r.completeSync()
@@ -48,8 +49,8 @@
 	if r.isHead() {
 		return
 	}
-	for _, o := range r.queue {
-		r.redirect(o.origin.Address, o.origin.Id)
+	for _, c := range r.queue {
+		r.redirect(c.origin.Address, c.origin.Id)
 	}
 	r.queue = nil
 }
@@ -72,7 +73,8 @@
 // sendSync tells the successor which state the epoch begins with.
 func (r *Replica) sendSync() {
 	r.resendAt = r.now + ResendInterval
-	r.send(r.successor(), &coordpb.Message{Body: &coordpb.Message_Sync{Sync: &coordpb.Sync{Epoch: r.view.Epoch, Position: r.position}}})
+	sync := &coordpb.Sync{Epoch: r.view.Epoch, Position: r.position}
+	r.send(r.successor(), &coordpb.Message{Body: &coordpb.Message_Sync{Sync: sync}})
 }
 
 // completeChainSync records that all members behind have the state as well, and reports it to
@@ -103,7 +105,8 @@
 	case r.synced && r.successorsSynced:
 		r.send(from, &coordpb.Message{Body: &coordpb.Message_Synced{Synced: &coordpb.Synced{Epoch: r.view.Epoch}}})
 	case r.synced:
-		r.send(from, &coordpb.Message{Body: &coordpb.Message_Syncing{Syncing: &coordpb.Syncing{Epoch: r.view.Epoch, Progress: r.catchUp.progress}}})
+		syncing := &coordpb.Syncing{Epoch: r.view.Epoch, Progress: r.catchUp.progress}
+		r.send(from, &coordpb.Message{Body: &coordpb.Message_Syncing{Syncing: syncing}})
 	case sameState(s.Position, r.position):
 		r.completeSync()
 	case r.now >= r.catchUp.nextRequest:
--- a/coord/chain/replicate.go
+++ b/coord/chain/replicate.go
@@ -18,18 +18,24 @@
 		r.redirect(from, s.Id)
 		return
 	}
-	for _, o := range r.queue {
-		if o.origin.Address == from && o.origin.Id == s.Id {
-			return
-		}
-	}
-	if p := r.inFlight; p != nil && p.Sequence > r.committed && p.Origin.GetAddress() == from && p.Origin.GetId() == s.Id {
+	if r.isPending(from, s.Id) {
 		return
 	}
 	r.queue = append(r.queue, command{&coordpb.Origin{Address: from, Id: s.Id}, s.Order})
 	r.executeQueue()
 }
 
+// isPending reports whether a command of a client is queued or in flight.
+func (r *Replica) isPending(from string, id uint64) bool {
+	for _, c := range r.queue {
+		if c.origin.Address == from && c.origin.Id == id {
+			return true
+		}
+	}
+	a := r.inFlight
+	return a != nil && a.Sequence > r.committed && a.Origin.GetAddress() == from && a.Origin.GetId() == id
+}
+
 // redirect tells a client that this process can't answer, with the last view that it knows.
 func (r *Replica) redirect(to string, id uint64) {
 	m := &coordpb.Redirect{Id: id}
@@ -43,16 +49,22 @@
 // The reply to a command without a change is deferred until the epoch is confirmed.
 func (r *Replica) executeQueue() {
 	for len(r.queue) > 0 && r.canExecute() {
-		o := r.queue[0]
+		next := r.queue[0]
 		r.queue = r.queue[1:]
-		change, reply := r.machine.Decide(o.text)
+		change, reply := r.machine.Decide(next.text)
 		if change == nil {
-			r.deferred = append(r.deferred, deferredReply{arrivedAt: r.now, origin: o.origin, reply: reply})
+			r.deferred = append(r.deferred, deferredReply{arrivedAt: r.now, origin: next.origin, reply: reply})
 			r.startConfirm()
 			continue
 		}
-		r.replicate(&coordpb.Append{Epoch: r.view.Epoch, Sequence: r.position.Sequence + 1, PreviousEpoch: r.position.EntryEpoch,
-			Change: change, Origin: o.origin, Reply: reply})
+		r.replicate(&coordpb.Append{
+			Epoch:         r.view.Epoch,
+			Sequence:      r.position.Sequence + 1,
+			PreviousEpoch: r.position.EntryEpoch,
+			Change:        change,
+			Origin:        next.origin,
+			Reply:         reply,
+		})
 	}
 }
 
--- a/coord/chain/snapshot.go
+++ b/coord/chain/snapshot.go
@@ -24,7 +24,10 @@
 
 // has reports whether a chunk belongs to this snapshot.
 func (o *outgoingSnapshot) has(p *coordpb.Part) bool {
-	return o != nil && p != nil && p.Sum == o.sum && p.Size == uint64(len(o.text)) && sameState(p.Position, o.position) && p.Offset <= p.Size
+	if o == nil || p == nil {
+		return false
+	}
+	return p.Sum == o.sum && p.Size == uint64(len(o.text)) && sameState(p.Position, o.position) && p.Offset <= p.Size
 }
 
 // incomingSnapshot is a snapshot of which some chunks have come.
@@ -33,6 +36,11 @@
 	text []byte
 }
 
+// has reports whether a chunk belongs to this snapshot.
+func (i *incomingSnapshot) has(p *coordpb.Part) bool {
+	return i != nil && i.of.Sum == p.Sum && i.of.Size == p.Size && sameState(i.of.Position, p.Position)
+}
+
 // outgoingSnapshotFor returns the snapshot to send a chunk of: the last one, as long as the
 // receiver has begun with it or the changes since are cached.
 func (r *Replica) outgoingSnapshotFor(have *coordpb.Part) *outgoingSnapshot {
@@ -85,7 +93,7 @@
 		return s.State, true
 	}
 	c := &r.catchUp
-	if b := c.incoming; b == nil || b.of.Sum != s.Part.Sum || b.of.Size != s.Part.Size || !sameState(b.of.Position, s.Part.Position) {
+	if !c.incoming.has(s.Part) {
 		if s.Part.Offset > 0 || s.Part.Size > maxSnapshotBytes {
 			return nil, false
 		}
--- a/coord/embed/embed_test.go
+++ b/coord/embed/embed_test.go
@@ -70,7 +70,8 @@
 	}
 }
 
-// All processes stop at once and start again: the state is there, and the identities are those of before.
+// All processes stop at once and start again: the state is there, and the identities are those
+// of before.
 func TestStateAndIdentitySurviveRestart(t *testing.T) {
 	is := is.New(t)
 	g := newGroup(t, 3)
--- a/coord/embed/example_test.go
+++ b/coord/embed/example_test.go
@@ -11,7 +11,8 @@
 	"reachspread/coord/embed"
 )
 
-// note is a state of one text. Writing the same text twice changes nothing, so commands are idempotent.
+// note is a state of one text. Writing the same text twice changes nothing, so commands are
+// idempotent.
 type note struct{ text string }
 
 func (n *note) Decide(command []byte) (change, reply []byte) { return command, []byte("written") }
@@ -20,8 +21,8 @@
 func (n *note) Restore(snapshot []byte) error                { n.text = string(snapshot); return nil }
 func (n *note) Value() any                                   { return n.text }
 
-// Three processes share a register: what one writes another reads, also once the third one is down. Each
-// would be a program of its own.
+// Three processes share a register: what one writes another reads, also once the third one is
+// down. Each would be a program of its own.
 func Example() {
 	folder, _ := os.MkdirTemp("", "register")
 	defer os.RemoveAll(folder)
--- a/coord/embed/golden_test.go
+++ b/coord/embed/golden_test.go
@@ -10,8 +10,8 @@
 	"github.com/matryer/is"
 )
 
-// The folders below testdata/golden are those of three processes on the addresses 127.67.9.1 to 127.67.9.3, stopped after a few orders by
-// the code of commit 5bfcc27:
+// The folders below testdata/golden are those of three processes on the addresses 127.67.9.1 to
+// 127.67.9.3, stopped after a few commands by the code of commit 5bfcc27:
 //
 //	go test ./coord/embed -run TestGoldenFoldersOfThreeProcesses -write-golden
 //
@@ -26,7 +26,8 @@
 // goldenIdentities are those of the processes that wrote the folders.
 var goldenIdentities = []uint64{13286635060248893229, 14552921678484771279, 2856205162335355595}
 
-// Processes that start on golden folders have their identities and state, and commit further commands.
+// Processes that start on golden folders have their identities and state, and commit further
+// commands.
 func TestGoldenFoldersOfThreeProcesses(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithTimeout(t.Context(), patience)
--- a/coord/register/batch.go
+++ b/coord/register/batch.go
@@ -21,14 +21,14 @@
 // NextBatch returns what is to be written next, nil for nothing: the records since the last
 // batch, or the complete state if the log is long or full is true, as it has to be after a
 // write or NextBatch has failed.
-func (o *Core) NextBatch(store *storage.Store, full bool) (*Batch, error) {
+func (c *Core) NextBatch(store *storage.Store, full bool) (*Batch, error) {
 	switch {
 	case full || store.LogFull():
-		return o.fullBatch()
+		return c.fullBatch()
 	case store.Unsynced():
 		return &Batch{RecordCount: RecoveredRecords, syncOnly: true}, nil
 	}
-	records, count := o.PendingRecords()
+	records, count := c.PendingRecords()
 	if len(records) == 0 {
 		return nil, nil
 	}
@@ -44,8 +44,8 @@
 }
 
 // fullBatch is a batch with the complete state.
-func (o *Core) fullBatch() (*Batch, error) {
-	state, count := o.Durable()
+func (c *Core) fullBatch() (*Batch, error) {
+	state, count := c.Durable()
 	text, err := proto.Marshal(state)
 	if err != nil {
 		return nil, fmt.Errorf("register: the state can not be written: %w", err)
--- a/coord/register/client.go
+++ b/coord/register/client.go
@@ -24,7 +24,8 @@
 // committed, or may be later; the caller may submit it again.
 var ErrNoAnswer = errors.New("register: no answer in time")
 
-// Client submits commands to a register and reads it, from any process. It is safe for concurrent use.
+// Client submits commands to a register and reads it, from any process. It is safe for
+// concurrent use.
 type Client struct {
 	self *coordpb.Member
 	send func(to string, m *coordpb.Message)
--- a/coord/register/core.go
+++ b/coord/register/core.go
@@ -32,12 +32,13 @@
 	Unsynced bool
 }
 
-// RecoveredRecords is the count that Core.RecordsWritten gets once what a process found on its disk is
-// durable (Config.Unsynced). Nothing that rests on it is sent before.
+// RecoveredRecords is the count that Core.RecordsWritten gets once what a process found on its
+// disk is durable (Config.Unsynced). Nothing that rests on it is sent before.
 const RecoveredRecords = 1
 
-// Core is one process's part in a register: its parts in the agreement on views and in the chain, and
-// the order of their effects with respect to the disk. It isn't safe for concurrent use.
+// Core is one process's part in a register: its parts in the agreement on views and in the
+// chain, and the order of their effects with respect to the disk. It isn't safe for concurrent
+// use.
 type Core struct {
 	config  Config
 	view    *view.Decider
@@ -59,7 +60,8 @@
 	Message *coordpb.Message
 }
 
-// Output is the outcome of a step. Messages may be sent, and commits and the view published, at once.
+// Output is the outcome of a step. Messages may be sent, and commits and the view published, at
+// once.
 type Output struct {
 	Sends   []Send
 	Commits []chain.Committed
@@ -68,113 +70,113 @@
 
 // NewCore returns the Core of a process that starts now. The machine has the state that belongs to
 // Config.Persisted.
-func NewCore(c Config, m chain.Machine, now time.Duration) *Core {
-	persisted := c.Persisted
+func NewCore(config Config, m chain.Machine, now time.Duration) *Core {
+	persisted := config.Persisted
 	if persisted == nil {
 		persisted = &coordpb.Durable{}
 	}
-	o := &Core{config: c, machine: m, healthy: true}
-	if c.Unsynced {
-		o.recordCount = RecoveredRecords
+	c := &Core{config: config, machine: m, healthy: true}
+	if config.Unsynced {
+		c.recordCount = RecoveredRecords
 	}
-	o.view = view.New(view.Config{
-		Self:           c.Self,
-		Seeds:          c.Seeds,
-		Founder:        c.Founder,
-		Eligible:       c.Eligible,
-		Tolerance:      c.Tolerance,
-		Seed:           c.Seed,
+	c.view = view.New(view.Config{
+		Self:           config.Self,
+		Seeds:          config.Seeds,
+		Founder:        config.Founder,
+		Eligible:       config.Eligible,
+		Tolerance:      config.Tolerance,
+		Seed:           config.Seed,
 		View:           persisted.View,
 		Promised:       persisted.Promised,
 		AcceptedNumber: persisted.AcceptedBallot,
 		AcceptedView:   persisted.AcceptedView,
 	}, now)
-	o.chain = chain.New(c.Self, m, persisted.Position, now)
-	if c.Eligible {
-		o.chain.FollowAsLearner()
+	c.chain = chain.New(config.Self, m, persisted.Position, now)
+	if config.Eligible {
+		c.chain.FollowAsLearner()
 	}
 	if persisted.View != nil {
 		// What this process told others before it restarted is unknown, so it takes no further part
 		// in the epoch.
-		o.chain.Resume(persisted.View, persisted.Promised != nil)
+		c.chain.Resume(persisted.View, persisted.Promised != nil)
 	}
-	return o
+	return c
 }
 
 // View is the last view that this process has learned. It must not be changed.
-func (o *Core) View() *coordpb.View { return o.view.View() }
+func (c *Core) View() *coordpb.View { return c.view.View() }
 
 // Position is that of the state here, committed or not.
-func (o *Core) Position() *coordpb.Position { return o.chain.Position() }
+func (c *Core) Position() *coordpb.Position { return c.chain.Position() }
 
 // Readable reports whether this process is the tail and has the state of the chain.
-func (o *Core) Readable() bool { return o.chain.Readable() }
+func (c *Core) Readable() bool { return c.chain.Readable() }
 
 // ConfirmedAt is when the epoch was certainly the last one; ok is false if that isn't known.
-func (o *Core) ConfirmedAt() (time.Duration, bool) { return o.chain.ConfirmedAt() }
+func (c *Core) ConfirmedAt() (time.Duration, bool) { return c.chain.ConfirmedAt() }
 
 // SetKnownAddresses sets the addresses of processes that may be members.
-func (o *Core) SetKnownAddresses(addresses []string) { o.view.SetKnownAddresses(addresses) }
+func (c *Core) SetKnownAddresses(addresses []string) { c.view.SetKnownAddresses(addresses) }
 
 // SetHealthy reports whether writes get to the disk in time.
-func (o *Core) SetHealthy(healthy bool) { o.healthy = healthy }
+func (c *Core) SetHealthy(healthy bool) { c.healthy = healthy }
 
 // Drain reports to the others that the process is about to shut down.
-func (o *Core) Drain() { o.draining = true }
+func (c *Core) Drain() { c.draining = true }
 
 // CanShutDown reports whether the others can do without this process: enough of them have the
 // state on their disks, and its seat was given to a standby where there is one.
-func (o *Core) CanShutDown() bool {
-	o.updateStatus()
-	return o.view.CanShutDown()
+func (c *Core) CanShutDown() bool {
+	c.updateStatus()
+	return c.view.CanShutDown()
 }
 
 // CurrentTolerance is how many more members may be lost at once, as this process knows it.
-func (o *Core) CurrentTolerance() int {
-	o.updateStatus()
-	return o.view.CurrentTolerance()
+func (c *Core) CurrentTolerance() int {
+	c.updateStatus()
+	return c.view.CurrentTolerance()
 }
 
 // PendingRecords returns the records that were made since the last call, to be written in their
 // order, and the count that RecordsWritten gets once they are durable.
-func (o *Core) PendingRecords() ([]*coordpb.Record, uint64) {
-	records := o.records
-	o.records = nil
-	return records, o.recordCount
+func (c *Core) PendingRecords() ([]*coordpb.Record, uint64) {
+	records := c.records
+	c.records = nil
+	return records, c.recordCount
 }
 
 // Durable returns the complete state to write to disk, with the count of the records in it.
 // Pending records are part of it.
-func (o *Core) Durable() (*coordpb.Durable, uint64) {
-	d := &coordpb.Durable{Identity: o.config.Self.Identity, Founder: o.config.Founder, Position: o.chain.Position(), State: o.machine.Snapshot()}
-	o.view.Persist(d)
-	o.records = nil
-	return d, o.recordCount
+func (c *Core) Durable() (*coordpb.Durable, uint64) {
+	d := &coordpb.Durable{Identity: c.config.Self.Identity, Founder: c.config.Founder, Position: c.chain.Position(), State: c.machine.Snapshot()}
+	c.view.Persist(d)
+	c.records = nil
+	return d, c.recordCount
 }
 
 // RecordsWritten reports that so many records are durable.
-func (o *Core) RecordsWritten(records uint64, now time.Duration) Output {
-	o.durableCount = max(o.durableCount, records)
-	return o.applyEffects(now, nil, nil)
+func (c *Core) RecordsWritten(records uint64, now time.Duration) Output {
+	c.durableCount = max(c.durableCount, records)
+	return c.applyEffects(now, nil, nil)
 }
 
 // Tick runs the timers that are due.
-func (o *Core) Tick(now time.Duration) Output {
-	o.updateStatus()
-	return o.applyEffects(now, o.view.Tick(now), o.chain.Tick(now))
+func (c *Core) Tick(now time.Duration) Output {
+	c.updateStatus()
+	return c.applyEffects(now, c.view.Tick(now), c.chain.Tick(now))
 }
 
 // Receive handles a message.
-func (o *Core) Receive(now time.Duration, m *coordpb.Message) Output {
-	o.updateStatus()
-	if effects, ok := o.view.Receive(now, m); ok {
-		return o.applyEffects(now, effects, nil)
+func (c *Core) Receive(now time.Duration, m *coordpb.Message) Output {
+	c.updateStatus()
+	if effects, ok := c.view.Receive(now, m); ok {
+		return c.applyEffects(now, effects, nil)
 	}
-	effects, _ := o.chain.Receive(now, m)
-	return o.applyEffects(now, nil, effects)
+	effects, _ := c.chain.Receive(now, m)
+	return c.applyEffects(now, nil, effects)
 }
 
 // updateStatus has the Decider know the present state of the chain and the disk.
-func (o *Core) updateStatus() {
-	o.view.SetStatus(view.Status{Position: o.chain.Position(), Confirmations: o.chain.Confirmations(), Idle: o.chain.Idle(), Healthy: o.healthy, Stalled: o.chain.Stalled(), Draining: o.draining})
+func (c *Core) updateStatus() {
+	c.view.SetStatus(view.Status{Position: c.chain.Position(), Confirmations: c.chain.Confirmations(), Idle: c.chain.Idle(), Healthy: c.healthy, Stalled: c.chain.Stalled(), Draining: c.draining})
 }
--- a/coord/register/effects.go
+++ b/coord/register/effects.go
@@ -20,93 +20,93 @@
 
 // applyEffects applies the effects of a step, and those of the messages that the process sends
 // to itself, until none is left.
-func (o *Core) applyEffects(now time.Duration, fromView []view.Effect, fromChain []chain.Effect) Output {
+func (c *Core) applyEffects(now time.Duration, fromView []view.Effect, fromChain []chain.Effect) Output {
 	var out Output
 	for {
-		o.applyViewEffects(now, fromView, &out)
-		o.applyChainEffects(fromChain, &out)
-		o.releaseDurable(&out)
+		c.applyViewEffects(now, fromView, &out)
+		c.applyChainEffects(fromChain, &out)
+		c.releaseDurable(&out)
 		fromView, fromChain = nil, nil
-		if len(o.loopback) == 0 {
+		if len(c.loopback) == 0 {
 			return out
 		}
-		m := o.loopback[0]
-		o.loopback = o.loopback[1:]
-		o.updateStatus()
-		if effects, ok := o.view.Receive(now, m); ok {
+		m := c.loopback[0]
+		c.loopback = c.loopback[1:]
+		c.updateStatus()
+		if effects, ok := c.view.Receive(now, m); ok {
 			fromView = effects
 		} else {
-			fromChain, _ = o.chain.Receive(now, m)
+			fromChain, _ = c.chain.Receive(now, m)
 		}
 	}
 }
 
 // applyViewEffects applies effects of the agreement on views. The chain begins the epoch of a
 // new view at once.
-func (o *Core) applyViewEffects(now time.Duration, effects []view.Effect, out *Output) {
+func (c *Core) applyViewEffects(now time.Duration, effects []view.Effect, out *Output) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case view.Send:
-			o.send(e.To, e.Message, e.Immediate, out)
+			c.send(e.To, e.Message, e.Immediate, out)
 		case view.Write:
-			o.write(e.Record)
+			c.write(e.Record)
 		case view.Sealed:
-			o.chain.Seal()
+			c.chain.Seal()
 		case view.ViewChanged:
 			out.View = e.View
-			o.applyChainEffects(o.chain.BeginEpoch(now, e.View), out)
+			c.applyChainEffects(c.chain.BeginEpoch(now, e.View), out)
 		}
 	}
 }
 
 // applyChainEffects applies effects of the chain.
-func (o *Core) applyChainEffects(effects []chain.Effect, out *Output) {
+func (c *Core) applyChainEffects(effects []chain.Effect, out *Output) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case chain.Send:
-			o.send(e.To, e.Message, e.Immediate, out)
+			c.send(e.To, e.Message, e.Immediate, out)
 		case chain.Write:
-			o.write(e.Record)
+			c.write(e.Record)
 		case chain.Committed:
-			o.deferred = append(o.deferred, deferredEffect{afterRecords: o.recordCount, committed: &e})
+			c.deferred = append(c.deferred, deferredEffect{afterRecords: c.recordCount, committed: &e})
 		}
 	}
 }
 
 // write appends a record to those that are pending.
-func (o *Core) write(r *coordpb.Record) {
-	o.records = append(o.records, r)
-	o.recordCount++
+func (c *Core) write(r *coordpb.Record) {
+	c.records = append(c.records, r)
+	c.recordCount++
 }
 
 // send sends an immediate message at once, and defers others until the records before it are
 // durable.
-func (o *Core) send(to string, m *coordpb.Message, informal bool, out *Output) {
-	if informal && to != o.config.Self.Address {
+func (c *Core) send(to string, m *coordpb.Message, immediate bool, out *Output) {
+	if immediate && to != c.config.Self.Address {
 		out.Sends = append(out.Sends, Send{to, m})
 		return
 	}
-	o.deferred = append(o.deferred, deferredEffect{afterRecords: o.recordCount, send: &Send{to, m}})
+	c.deferred = append(c.deferred, deferredEffect{afterRecords: c.recordCount, send: &Send{to, m}})
 }
 
 // releaseDurable releases the deferred effects whose records are durable by now, in order.
-func (o *Core) releaseDurable(out *Output) {
+func (c *Core) releaseDurable(out *Output) {
 	n := 0
-	for _, q := range o.deferred {
-		if q.afterRecords > o.durableCount {
+	for _, q := range c.deferred {
+		if q.afterRecords > c.durableCount {
 			break
 		}
 		n++
 		switch {
 		case q.committed != nil:
 			out.Commits = append(out.Commits, *q.committed)
-		case q.send.To == o.config.Self.Address && !forClient(q.send.Message):
-			o.loopback = append(o.loopback, proto.Clone(q.send.Message).(*coordpb.Message))
+		case q.send.To == c.config.Self.Address && !forClient(q.send.Message):
+			c.loopback = append(c.loopback, proto.Clone(q.send.Message).(*coordpb.Message))
 		default:
 			out.Sends = append(out.Sends, *q.send)
 		}
 	}
-	o.deferred = slices.Delete(o.deferred, 0, n)
+	c.deferred = slices.Delete(c.deferred, 0, n)
 }
 
 // forClient reports whether a message is for a client, which may be in this process.
--- a/coord/register/explore_test.go
+++ b/coord/register/explore_test.go
@@ -14,9 +14,10 @@
 // maxFaults bounds the faults of an explored run.
 var maxFaults = flag.Int("deviations", 1, "faults of an explored run")
 
-// The explorer runs a register of three machines in virtual time, with a client, and injects each kind of
-// fault at each point where a message of the protocol arrives or a write is durable. After one fault the
-// next one comes at any later point within the time of a failover. All else follows from one seed.
+// The explorer runs a register of three machines in virtual time, with a client, and injects
+// each kind of fault at each point where a message of the protocol arrives or a write is
+// durable. After one fault the next one comes at any later point within the time of a failover.
+// All else follows from one seed.
 const (
 	exploreStart        = 3 * time.Second        // the first view is chosen by then
 	firstFaultIn        = 200 * time.Millisecond // within which the first fault is injected after that
@@ -25,7 +26,7 @@
 	recoveryTime        = 4 * time.Second // after the last one, until commands are acknowledged again
 	stallTime           = 1300 * time.Millisecond
 	restartDelay        = 300 * time.Millisecond // of a crashed process
-	syncWithBug         = 250 * time.Millisecond // mean duration of a write: longer, so that crashes lose more of what is in progress
+	syncWithBug         = 250 * time.Millisecond // a slow disk, so that crashes lose more
 	maxSeeds            = 6                      // within which a bug has to be found
 )
 
@@ -62,8 +63,8 @@
 	wiped     int
 }
 
-// explore runs a plan, and returns the number of points at which one more fault could have been injected.
-// The first one is injected within a time.
+// explore runs a plan, and returns the number of points at which one more fault could have been
+// injected. The first one is injected within a time.
 func explore(d runOptions, plan faultplan.Plan[faultKind], p simulation.Bug, firstIn time.Duration, trace func(string, ...any)) (points int, w *simulation.World) {
 	w = simulation.New(simulation.Options{Seed: d.seed, Sync: d.sync, Machines: 3, Tolerance: 1, Application: simulation.Counter{}, Bug: p, Trace: trace})
 	w.StartAll()
@@ -79,8 +80,8 @@
 	return e.points, w
 }
 
-// checkEnd checks what holds at the end. Two lost disks within a moment are more than is tolerated, so then
-// commands need not be acknowledged.
+// checkEnd checks what holds at the end. Two lost disks within a moment are more than is
+// tolerated, so then commands need not be acknowledged.
 func (e *exploration) checkEnd() {
 	if e.wiped > 1 {
 		return
@@ -108,7 +109,8 @@
 	return false
 }
 
-// inject injects a fault at a point. At a write, sender and receiver are the process whose disk it is.
+// inject injects a fault at a point. At a write, sender and receiver are the process whose disk
+// it is.
 func (e *exploration) inject(kind faultKind, at simulation.Point) (lost bool) {
 	sender, receiver := at.From, at.To
 	if receiver == nil {
@@ -136,8 +138,8 @@
 	return false
 }
 
-// losePower has a machine lose power and all that it was writing, and its disk with wipe, and starts it
-// again in a moment.
+// losePower has a machine lose power and all that it was writing, and its disk with wipe, and
+// starts it again in a moment.
 func (e *exploration) losePower(p *simulation.Process, wipe bool) {
 	p.LoseUnwritten()
 	if wipe {
@@ -159,7 +161,8 @@
 	}}
 }
 
-// Wherever a fault is injected, what a register promises holds, and commands are acknowledged afterwards.
+// Wherever a fault is injected, what a register promises holds, and commands are acknowledged
+// afterwards.
 func TestPromisesHoldWithFaultsAtAnyPoint(t *testing.T) {
 	found := explorer(runOptions{seed: 1}, simulation.NoBug, *maxFaults, firstFaultIn).Explore()
 	if found.Violation != nil {
@@ -169,8 +172,8 @@
 	t.Logf("%d runs with at most %d faults", found.Runs, *maxFaults)
 }
 
-// The explorer finds bugs. It begins behind a first fault, so that this takes some hundreds of runs and not
-// thousands. Whether a bug shows depends on the seed, so some seeds are tried.
+// The explorer finds bugs. It begins behind a first fault, so that this takes some hundreds of
+// runs and not thousands. Whether a bug shows depends on the seed, so some seeds are tried.
 func TestExplorerFindsBugs(t *testing.T) {
 	for _, c := range []struct {
 		name  string
--- a/coord/register/fuzz_test.go
+++ b/coord/register/fuzz_test.go
@@ -11,7 +11,7 @@
 	"reachspread/coord/simulation"
 )
 
-// Whatever comes from others as messages of the register, in whatever state a replica is, nothing ends the process.
+// No message, in whatever state a replica is, makes the process panic.
 func FuzzCoreReceives(f *testing.F) {
 	self := &coordpb.Member{Identity: 1, Address: "a"}
 	other := &coordpb.Member{Identity: 2, Address: "b"}
--- a/coord/register/golden_test.go
+++ b/coord/register/golden_test.go
@@ -21,8 +21,9 @@
 //
 //	go test ./coord/register -run TestGolden -write-golden
 //
-// They pin what a process of a register keeps on its disk, and what it decides: the same inputs have to write the same bytes. They are
-// never written again: a later version has to read them as they are.
+// They pin what a process of a register writes to its disk, and what it decides: the same inputs
+// have to write the same bytes. They are never written again: a later version has to read them
+// as they are.
 var writeGolden = flag.Bool("write-golden", false, "write testdata/golden in place of a comparison with it")
 
 const (
@@ -33,16 +34,16 @@
 	goldenClient = "client"
 )
 
-// lines is a state of lines of text: an order is one more.
+// lines is a state of lines of text. A command adds one.
 type lines struct{ all []string }
 
-func (l *lines) Decide(order []byte) (change, reply []byte) { return order, []byte("added") }
-func (l *lines) Apply(change []byte)                        { l.all = append(l.all, string(change)) }
-func (l *lines) Snapshot() []byte                           { return []byte(strings.Join(l.all, "\n")) }
-func (l *lines) Restore(text []byte) error                  { l.all = strings.Split(string(text), "\n"); return nil }
-func (l *lines) Value() any                                 { return strings.Join(l.all, "\n") }
+func (l *lines) Decide(command []byte) (change, reply []byte) { return command, []byte("added") }
+func (l *lines) Apply(change []byte)                          { l.all = append(l.all, string(change)) }
+func (l *lines) Snapshot() []byte                             { return []byte(strings.Join(l.all, "\n")) }
+func (l *lines) Restore(text []byte) error                    { l.all = strings.Split(string(text), "\n"); return nil }
+func (l *lines) Value() any                                   { return strings.Join(l.all, "\n") }
 
-// everyField is a state of which each field is set, as a process keeps it in a slot.
+// everyField is the saved state of a process with each field set.
 func everyField() *coordpb.Durable {
 	members := []*coordpb.Member{{Identity: 11, Address: "a:1", Label: "zone 1"}, {Identity: 1 << 63, Address: "b:1"}, {Identity: 13, Address: "c:1"}}
 	view := func(epoch uint64, chain ...uint64) *coordpb.View {
@@ -70,7 +71,7 @@
 	}
 }
 
-// A slot with each field and a log with each kind of record are read to what was written, and handed on as it was.
+// A slot with each field and a log with each kind of record are read to what was written.
 func TestGoldenEveryRecord(t *testing.T) {
 	is := is.New(t)
 	saved := everyField()
@@ -132,7 +133,7 @@
 	return store, kept
 }
 
-// goldenProcess is a process of goldenGroup, nil core while it is down.
+// goldenProcess is a process of goldenGroup. Its core is nil while it is down.
 type goldenProcess struct {
 	address string
 	path    string
@@ -144,13 +145,13 @@
 
 // goldenGroup is three processes with disks, whose messages take one step each and are never lost.
 type goldenGroup struct {
-	is        *is.I
-	now       time.Duration
-	processes []*goldenProcess
-	onTheWay  []register.Send
-	orders    uint64
-	replies   int
-	accepted  map[uint64]int // by epoch, messages that a view was accepted
+	is          *is.I
+	now         time.Duration
+	processes   []*goldenProcess
+	onTheWay    []register.Send
+	submissions uint64
+	replies     int
+	accepted    map[uint64]int // by epoch, messages that a view was accepted
 }
 
 var goldenAddresses = []string{"a:1", "b:1", "c:1"}
@@ -165,7 +166,7 @@
 	return g
 }
 
-// start begins a life of a process on what its disk has.
+// start starts a process with what its disk has.
 func (g *goldenGroup) start(p *goldenProcess) {
 	var err error
 	p.files, err = storage.NewFolder(p.path)
@@ -184,13 +185,13 @@
 	p.core.SetKnownAddresses(goldenAddresses)
 }
 
-// stop ends a process's life.
+// stop ends a process.
 func (p *goldenProcess) stop() {
 	p.files.Close()
 	p.core = nil
 }
 
-// run goes on until a time, or until done, which may be nil, says so.
+// run advances the time, until done, which may be nil, returns true.
 func (g *goldenGroup) run(until time.Duration, done func() bool) {
 	for g.now < until && (done == nil || !done()) {
 		g.now += goldenStep
@@ -232,7 +233,7 @@
 	}
 }
 
-// write puts on the disk of a process all that is due.
+// write writes all that is due to the disk of a process.
 func (g *goldenGroup) write(p *goldenProcess) {
 	for p.core != nil {
 		batch, err := p.core.NextBatch(p.store, p.store.SaveRequired())
@@ -245,13 +246,13 @@
 	}
 }
 
-// order has the client send an order to the head, and runs for a moment.
-func (g *goldenGroup) order(text string) {
-	g.orders++
+// submit submits a command to the head, and runs for a moment.
+func (g *goldenGroup) submit(text string) {
+	g.submissions++
 	for _, p := range g.processes {
 		v := p.core
 		if v != nil && len(v.View().Chain) > 0 && v.View().Chain[0] == 1000+uint64(p.address[0]) {
-			m := &coordpb.Message{From: &coordpb.Member{Address: goldenClient, Identity: 1}, Body: &coordpb.Message_Submit{Submit: &coordpb.Submit{Id: g.orders, Order: []byte(text)}}}
+			m := &coordpb.Message{From: &coordpb.Member{Address: goldenClient, Identity: 1}, Body: &coordpb.Message_Submit{Submit: &coordpb.Submit{Id: g.submissions, Order: []byte(text)}}}
 			g.onTheWay = append(g.onTheWay, register.Send{To: p.address, Message: m})
 			break
 		}
@@ -259,7 +260,7 @@
 	g.run(g.now+200*time.Millisecond, nil)
 }
 
-// save has all of the state of a process go to its disk, as when the log is long.
+// save writes the complete state of a process to its disk, as when the log is long.
 func (g *goldenGroup) save(p *goldenProcess) {
 	batch, err := p.core.NextBatch(p.store, true)
 	g.is.NoErr(err)
@@ -267,20 +268,21 @@
 	g.carryOut(p.core.RecordsWritten(batch.RecordCount, g.now))
 }
 
-// playGolden writes the golden folders of a group: orders in a first view, others while a process is down, then that one comes back, and
-// all end between the vote on the view that takes it in and its decision.
+// playGolden writes the folders of a group: commands in a first view, others while a process is
+// down, then that one is started again, and all stop between the vote on the view that has it in
+// its chain and the choice of that view.
 func playGolden(is *is.I, folder string) {
 	g := newGoldenGroup(is, folder)
 	g.run(3*time.Second, nil)
 	for _, text := range []string{"one", "two", "three"} {
-		g.order(text)
+		g.submit(text)
 	}
 	b, c := g.processes[1], g.processes[2]
 	c.stop()
 	g.run(g.now+3*time.Second, nil)
-	g.order("four")
+	g.submit("four")
 	g.save(b)
-	g.order("five")
+	g.submit("five")
 	g.start(c)
 	epoch := b.core.View().Epoch + 1
 	g.run(g.now+20*time.Second, func() bool { return g.accepted[epoch] > 0 })
@@ -291,8 +293,9 @@
 	}
 }
 
-// What the processes of a group kept is what today's code writes from the same inputs, byte by byte, and is read to the same content: a
-// promise and an accepted view for the epoch after the last one, all orders, the identities.
+// The same inputs write the same bytes today as they did in the golden folders, and these are
+// read to the same content: a promise and an accepted view for the next epoch, all commands, the
+// identities.
 func TestGoldenGroup(t *testing.T) {
 	is := is.New(t)
 	if *writeGolden {
@@ -326,7 +329,8 @@
 	}
 }
 
-// Processes that begin on what others kept have the same state, agree on one more view, and take orders on top.
+// Processes that start on golden folders have their state, agree on one more view, and commit
+// further commands.
 func TestGoldenGroupGoesOn(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
@@ -335,7 +339,7 @@
 	}
 	g := newGoldenGroup(is, folder)
 	g.run(5*time.Second, nil)
-	g.order("six")
+	g.submit("six")
 	is.Equal(g.replies, 1)
 	for _, p := range g.processes {
 		is.Equal(p.state.Value(), "one\ntwo\nthree\nfour\nfive\nsix")
@@ -344,7 +348,7 @@
 	}
 }
 
-// compareFolders tells of files that differ.
+// compareFolders reports files that differ.
 func compareFolders(t *testing.T, want, got string) {
 	t.Helper()
 	is := is.New(t)
--- a/coord/register/register_test.go
+++ b/coord/register/register_test.go
@@ -28,8 +28,8 @@
 	is.True(w.History.Reads > 50)
 }
 
-// A machine that crashes leaves the chain, and joins it again after its restart; neither takes more than
-// one view, or two with the end of its epoch.
+// A machine that crashes leaves the chain, and joins it again after its restart; neither takes
+// more than one view, or two with the end of its epoch.
 func TestCrashedMemberRejoinsChain(t *testing.T) {
 	for victim := range 3 {
 		is := is.New(t)
--- a/coord/register/repeat_test.go
+++ b/coord/register/repeat_test.go
@@ -17,8 +17,9 @@
 	playedSeeds = 4 // of each kind of schedule
 )
 
-// The drawn schedules of a seed end as they did with the code of commit 5bfcc27, which wrote testdata/schedules.txt: nothing but the seed
-// decides what happens in them, and no decision has changed since.
+// Drawn schedules end as they did with the code of commit 5bfcc27, which wrote
+// testdata/schedules.txt: nothing but the seed decides what happens in them, and no decision has
+// changed since.
 func TestSchedulesRepeat(t *testing.T) {
 	is := is.New(t)
 	results := make([]string, len(schedules)*playedSeeds)
--- a/coord/register/replica.go
+++ b/coord/register/replica.go
@@ -28,8 +28,8 @@
 	Warn(event string, fields ...any)
 }
 
-// Options are what a Replica is made with. The functions are called by the goroutine of Run and must
-// not block.
+// Options are what a Replica is made with. The functions are called by the goroutine of Run and
+// must not block.
 type Options struct {
 	Config
 	Machine chain.Machine
@@ -44,8 +44,8 @@
 	Log         Logger
 }
 
-// Replica drives a Core: one goroutine, that of Run, owns it, and another one writes to its disk. Its
-// exported methods are safe for concurrent use.
+// Replica drives a Core: one goroutine, that of Run, owns it, and another one writes to its
+// disk. Its exported methods are safe for concurrent use.
 type Replica struct {
 	options   Options
 	core      *Core
@@ -63,7 +63,7 @@
 	lastSlowWrite  time.Duration // or failed one, 0 for none
 	nextWrite      time.Duration // the earliest time of a retry
 	writeFailed    bool          // the last one
-	needsFullWrite bool          // records are missing on the disk, so the complete state has to be written
+	needsFullWrite bool          // the log lacks records, so the complete state has to be written
 
 	currentTolerance    int
 	toleranceShortSince time.Duration // below 0 while it isn't
--- a/coord/register/schedules_test.go
+++ b/coord/register/schedules_test.go
@@ -78,8 +78,9 @@
 	return w
 }
 
-// startClients starts clients. In every other schedule they are sequential, so that the complete history can
-// be checked; in the others one of them builds on versions that it doesn't know to be in force.
+// startClients starts clients. In every other schedule they are sequential, so that the complete
+// history can be checked; in the others one of them builds on versions that it doesn't know to
+// be in force.
 func startClients(w *simulation.World, seed uint64) {
 	for i := range 3 {
 		c := w.NewClient(seed%2 == 0)
@@ -90,10 +91,11 @@
 	}
 }
 
-// Whatever is drawn of the kinds of faults of the operators' bench: acknowledged commands are durable, reads
-// are never stale, no command is rejected after it was accepted or accepted after it was rejected, no epoch
-// has two views and no shard two owners, and commands are acknowledged again once all faults are over.
-// Within the tolerance they are acknowledged whenever nothing has changed for a while.
+// Whatever is drawn of the kinds of faults of the operators' bench: acknowledged commands are
+// durable, reads are never stale, no command is rejected after it was accepted or accepted after
+// it was rejected, no epoch has two views and no shard two owners, and commands are acknowledged
+// again once all faults are over. Within the tolerance they are acknowledged whenever nothing
+// has changed for a while.
 func TestPromisesHoldUnderDrawnFaults(t *testing.T) {
 	for _, s := range schedules {
 		t.Run(s.String(), func(t *testing.T) {
@@ -123,8 +125,8 @@
 	faultplan.ForEachParallel(n, func(i int) { play(*firstSeed + uint64(i)) })
 }
 
-// Each bug is found by the checks within some schedules, where need be with the kinds of faults that concern
-// it.
+// Each bug is found by the checks within some schedules, where need be with the kinds of faults
+// that concern it.
 func TestSchedulesFindBugs(t *testing.T) {
 	three := schedules[0]
 	power := schedule{machines: 3, tolerance: 1, sync: syncWithBug, kinds: []simulation.Kind{simulation.HerdKillOff, simulation.HerdKillAcknowledged, simulation.PowerOffAll}}
--- a/coord/simulation/application.go
+++ b/coord/simulation/application.go
@@ -4,8 +4,8 @@
 	"reachspread/coord/chain"
 )
 
-// Application is the replicated state machine of a run: one with versions, each of which builds on the
-// one before.
+// Application is the replicated state machine of a run: one with versions, each of which builds
+// on the one before.
 type Application interface {
 	// New returns a machine in its initial state.
 	New() chain.Machine
--- a/coord/simulation/checker.go
+++ b/coord/simulation/checker.go
@@ -11,8 +11,9 @@
 // checkTimeout bounds the time that a check of a history takes.
 const checkTimeout = 20 * time.Second
 
-// registerModel is a register as porcupine checks it: a command that builds on the version in force
-// makes its next version, any other one is rejected with the version in force, and a read returns that.
+// registerModel is a register as porcupine checks it: a command that builds on the version in
+// force makes its next version, any other one is rejected with the version in force, and a read
+// returns that.
 var registerModel = porcupine.Model{
 	Init: func() any { return 0 },
 	Step: func(state, input, output any) (bool, any) {
--- a/coord/simulation/crash.go
+++ b/coord/simulation/crash.go
@@ -64,8 +64,8 @@
 	})
 }
 
-// minDrainTime is the least time from Drain to the end of a process, in which clients see that it isn't
-// ready any more. After maxDrainTime it is killed.
+// minDrainTime is the least time from Drain to the end of a process, in which clients see that
+// it isn't ready any more. After maxDrainTime it is killed.
 const (
 	minDrainTime = 1200 * time.Millisecond
 	maxDrainTime = 7700 * time.Millisecond
--- a/coord/simulation/disk.go
+++ b/coord/simulation/disk.go
@@ -18,7 +18,8 @@
 // errDiskFull is the error of a write to a full disk.
 var errDiskFull = errors.New("simulation: no space left on device")
 
-// disk is the folder of one machine: storage.Files of which each write may be lost until it is synced.
+// disk is the folder of one machine: storage.Files of which each write may be lost until it is
+// synced.
 type disk struct {
 	files     map[string]*file
 	stepsLeft int  // that still succeed, below 0 for all
@@ -124,7 +125,8 @@
 	}
 }
 
-// maxBatchSteps is how many steps of an interrupted batch are considered: a batch of records takes two.
+// maxBatchSteps is how many steps of an interrupted batch are considered: a batch of records
+// takes two.
 const maxBatchSteps = 3
 
 // load restores a register from the disk into a machine. The state is nil if there is none.
--- a/coord/simulation/events.go
+++ b/coord/simulation/events.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// event is something that happens at a time. Events at the same time happen in the order in which they
-// were scheduled.
+// event is something that happens at a time. Events at the same time happen in the order in
+// which they were scheduled.
 type event struct {
 	at    time.Duration
 	order int
--- a/coord/simulation/history.go
+++ b/coord/simulation/history.go
@@ -8,7 +8,8 @@
 	"reachspread/coord/view"
 )
 
-// History is what clients and processes saw. Its methods check each observation against those before.
+// History is what clients and processes saw. Its methods check each observation against those
+// before.
 type History struct {
 	Commands, Reads  int           // that were answered
 	LastAcknowledged time.Duration // when a command was last acknowledged
--- a/coord/simulation/injector.go
+++ b/coord/simulation/injector.go
@@ -20,8 +20,8 @@
 	startupTime = 5 * time.Second
 )
 
-// FaultInjector draws faults and injects them. It keeps count of the machines and disks that are lost,
-// so that no more are at once than the world tolerates.
+// FaultInjector draws faults and injects them. It keeps count of the machines and disks that are
+// lost, so that no more are at once than the world tolerates.
 type FaultInjector struct {
 	world         *World
 	kinds         []Kind
@@ -40,8 +40,16 @@
 // InjectFaults injects faults of some kinds until a time: no more at once than the world
 // tolerates, or with overlap any number, as long as no more disks are lost.
 func (w *World) InjectFaults(kinds []Kind, until time.Duration, overlap bool) *FaultInjector {
-	d := &FaultInjector{world: w, kinds: kinds, overlap: overlap, until: until, lostUntil: map[*Process]time.Duration{}, diskLostUntil: map[*Process]time.Duration{},
-		draining: map[*Process]bool{}, counts: map[Kind]int{}}
+	d := &FaultInjector{
+		world:         w,
+		kinds:         kinds,
+		overlap:       overlap,
+		until:         until,
+		lostUntil:     map[*Process]time.Duration{},
+		diskLostUntil: map[*Process]time.Duration{},
+		draining:      map[*Process]bool{},
+		counts:        map[Kind]int{},
+	}
 	w.After(startupTime, d.injectNext)
 	w.After(startupTime, d.checkLiveness)
 	return d
@@ -84,13 +92,24 @@
 // checkLiveness checks each second that commands are acknowledged while the register is stable.
 func (d *FaultInjector) checkLiveness() {
 	w := d.world
-	stable := !d.overlap && d.countLost(nil) <= w.Tolerance && w.Now >= d.quietSince+stabilityTime+acknowledgeTimeout && w.Now >= startupTime+stabilityTime+acknowledgeTimeout
-	if stable && w.History.startedBetween(w.History.LastAcknowledged, w.Now-time.Second) >= minUnanswered && w.Now-w.History.LastAcknowledged > acknowledgeTimeout {
+	unanswered := w.History.startedBetween(w.History.LastAcknowledged, w.Now-time.Second)
+	overdue := unanswered >= minUnanswered && w.Now-w.History.LastAcknowledged > acknowledgeTimeout
+	if overdue && d.isStable() {
 		w.Fail("no command was acknowledged since %v; nothing has changed since %v", w.History.LastAcknowledged, d.quietSince)
 	}
 	w.After(time.Second, d.checkLiveness)
 }
 
+// isStable reports whether the tolerance hasn't been exceeded, and nothing was disrupted for so long
+// that commands have to be acknowledged.
+func (d *FaultInjector) isStable() bool {
+	w := d.world
+	if d.overlap || d.countLost(nil) > w.Tolerance {
+		return false
+	}
+	return w.Now >= max(d.quietSince, startupTime)+stabilityTime+acknowledgeTimeout
+}
+
 // pickProcess draws a machine, of those that stay.
 func (d *FaultInjector) pickProcess() *Process {
 	for {
--- a/coord/simulation/network.go
+++ b/coord/simulation/network.go
@@ -9,8 +9,8 @@
 	"reachspread/coord/coordpb"
 )
 
-// maxQueuedBytes is how many bytes may wait for a machine's link. Messages beyond that are lost, as in
-// package link.
+// maxQueuedBytes is how many bytes may wait for a machine's link. Messages beyond that are lost,
+// as in package link.
 const maxQueuedBytes = 4 << 20
 
 // send sends a message to a machine or a client. Messages from one address to another arrive in
--- a/coord/storage/golden_test.go
+++ b/coord/storage/golden_test.go
@@ -145,7 +145,7 @@
 	}
 }
 
-// compareFolders tells of files that differ.
+// compareFolders reports files that differ.
 func compareFolders(t *testing.T, want, got string) {
 	t.Helper()
 	is := is.New(t)
--- a/coord/view/example_test.go
+++ b/coord/view/example_test.go
@@ -7,8 +7,8 @@
 	"reachspread/coord/view"
 )
 
-// Keys are sharded over the chain of a view. The epoch since which a member owns a shard is its fencing
-// token: storage that has seen a greater one rejects it.
+// Keys are sharded over the chain of a view. The epoch since which a member owns a shard is its
+// fencing token: storage that has seen a greater one rejects it.
 func Example() {
 	v := &coordpb.View{Epoch: 7, Chain: []uint64{11, 22}, Members: []*coordpb.Member{{Identity: 11, Address: "a:1"}, {Identity: 22, Address: "b:1"}}}
 	for shard := range view.Shards {
--- a/coord/view/membership.go
+++ b/coord/view/membership.go
@@ -53,9 +53,9 @@
 	return d.view.Members
 }
 
-// membersReplacing returns the present members, with standbys in place of those that can be replaced
-// and, up to the target, added to them. With threshold peerDraining draining members are replaced
-// as well, with peerDead only those that are lost. The source of the state stays.
+// membersReplacing returns the present members, with standbys in place of those that can be
+// replaced and, up to the target, added to them. With threshold peerDraining draining members
+// are replaced as well, with peerDead only those that are lost. The source of the state stays.
 func (d *Decider) membersReplacing(source *coordpb.Member, threshold peerState) []*coordpb.Member {
 	members := slices.Clone(d.view.Members)
 	available := d.standbys()
@@ -75,9 +75,10 @@
 	return members
 }
 
-// replacementFor returns the index of the standby that replaces a member, -1 for none. A lost member
-// is replaced by a process at the same address at once, by any other one only when isReplaceable.
-// A draining member, which still works, is replaced only by a standby that has caught up.
+// replacementFor returns the index of the standby that replaces a member, -1 for none. A lost
+// member is replaced by a process at the same address at once, by any other one only when
+// isReplaceable. A draining member, which still works, is replaced only by a standby that has
+// caught up.
 func (d *Decider) replacementFor(m *coordpb.Member, standbys []*coordpb.Member, threshold peerState) int {
 	if d.isLost(m) {
 		if at := slices.IndexFunc(standbys, func(s *coordpb.Member) bool { return s.Address == m.Address }); at >= 0 {
--- a/coord/view/peerstate.go
+++ b/coord/view/peerstate.go
@@ -47,9 +47,9 @@
 	return peerHealthy
 }
 
-// stateOfIdentity is the state of a process, which may be this one. A process that was never heard of
-// counts as healthy until there was time to hear of it, unless another incarnation runs at its
-// address.
+// stateOfIdentity is the state of a process, which may be this one. A process that was never
+// heard of counts as healthy until there was time to hear of it, unless another incarnation runs
+// at its address.
 func (d *Decider) stateOfIdentity(identity uint64) peerState {
 	if identity == d.config.Self.Identity {
 		return d.localState()
@@ -75,8 +75,8 @@
 	return nil
 }
 
-// maxReplicationLag is how many changes a process may lack and still be taken into the chain without
-// being counted as lagging. So many come in one message.
+// maxReplicationLag is how many changes a process may lack and still be taken into the chain
+// without being counted as lagging. So many come in one message.
 const maxReplicationLag = 64
 
 // lagRank is 0 for a state that lags behind the newest one by maxReplicationLag changes at
--- a/coord/view/proposer.go
+++ b/coord/view/proposer.go
@@ -120,16 +120,21 @@
 	return rank
 }
 
-// majorityAlive reports whether a majority of the voters is alive.
+// majorityAlive reports whether a majority of the voters is alive. On the first view only founders
+// vote.
 func (d *Decider) majorityAlive() bool {
-	living := 0
+	alive := 0
 	for _, address := range d.voters() {
+		if address == d.config.Self.Address {
+			alive++
+			continue
+		}
 		p := d.peers[address]
-		if address == d.config.Self.Address || p != nil && d.alive(p) && (d.view.Epoch > 0 || p.founder) {
-			living++
+		if p != nil && d.alive(p) && (d.view.Epoch > 0 || p.founder) {
+			alive++
 		}
 	}
-	return living >= Majority(len(d.voters()))
+	return alive >= Majority(len(d.voters()))
 }
 
 // propose begins the first phase with a new proposal number.
@@ -157,16 +162,16 @@
 }
 
 // broadcast sends a message to all voters, this process included. Each gets its own.
-func (d *Decider) broadcast(make func() *coordpb.Message) {
+func (d *Decider) broadcast(newMessage func() *coordpb.Message) {
 	for _, address := range d.voters() {
-		d.send(address, make())
+		d.send(address, newMessage())
 	}
 }
 
 // handlePromise counts a promise for the proposal in progress.
 func (d *Decider) handlePromise(from *coordpb.Member, m *coordpb.Promise) {
 	p := d.proposal
-	if p == nil || m.Instance != p.instance || !proto.Equal(m.Ballot, p.number) || p.value != nil || !d.isVoter(from) {
+	if p == nil || p.value != nil || m.Instance != p.instance || !proto.Equal(m.Ballot, p.number) || !d.isVoter(from) {
 		return
 	}
 	if m.Position == nil {
@@ -215,7 +220,7 @@
 		d.abandonProposal()
 		return
 	}
-	p.phaseStartedAt = d.now // the second half
+	p.phaseStartedAt = d.now
 	d.broadcast(func() *coordpb.Message {
 		return &coordpb.Message{Body: &coordpb.Message_Accept{Accept: &coordpb.Accept{Instance: p.instance, Ballot: p.number, View: p.value}}}
 	})
@@ -232,9 +237,9 @@
 	if len(p.accepted) < Majority(len(d.voters())) {
 		return
 	}
-	before := d.heartbeatTargets()
+	targets := d.heartbeatTargets() // of the view before, some of which may be members no more
 	d.learnView(p.value)
-	for _, address := range before {
+	for _, address := range targets {
 		d.send(address, &coordpb.Message{Body: &coordpb.Message_Learn{Learn: &coordpb.Learn{View: d.view}}})
 	}
 }
--- a/coord/view/tolerance.go
+++ b/coord/view/tolerance.go
@@ -6,9 +6,9 @@
 	"reachspread/coord/coordpb"
 )
 
-// CurrentTolerance is how many more members may be lost at once without a loss of the state and with a
-// majority left, as this process knows it; Config.Tolerance at most. It is 0 for a process that is
-// no member.
+// CurrentTolerance is how many more members may be lost at once without a loss of the state and
+// with a majority left, as this process knows it; Config.Tolerance at most. It is 0 for a
+// process that is no member.
 func (d *Decider) CurrentTolerance() int {
 	if MemberOf(d.view, d.config.Self.Identity) == nil {
 		return 0
--- a/coord/view/view_test.go
+++ b/coord/view/view_test.go
@@ -261,8 +261,8 @@
 	}
 }
 
-// The seat of a draining member goes to a standby that has caught up, while the member still votes and
-// as long as enough others have completed the epoch.
+// The seat of a draining member goes to a standby that has caught up, while the member still
+// votes and as long as enough others have completed the epoch.
 func TestDrainingMemberHandsOverSeat(t *testing.T) {
 	lagging := heartbeat(3, 0)
 	lagging.GetHeartbeat().Position = &coordpb.Position{}
@@ -344,8 +344,8 @@
 	}
 }
 
-// A member that seems healthy and didn't promise in time is tried again less and less often, as each
-// attempt is another view.
+// A member that seems healthy and didn't promise in time is tried again less and less often, as
+// each attempt is another view.
 func TestJoinIsRetriedLessOften(t *testing.T) {
 	is := is.New(t)
 	two := viewOf(3, 3)
