--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -59,7 +59,7 @@
 	if x.Name != "day" || x.Worlds() != 6 || base.Seed != 5 || base.Routers != 2 || base.Balance.MaxAttempts != 4 ||
 		single.Seed != 8 || single.Routers != 1 || single.Balance.MaxAttempts != 1 || single.Balance.SlowStartWindow != 8*time.Second ||
 		base.Classes[0].Rate != 20 || single.Classes[0].Rate != 30 || x.World(1, 3).Classes[0].Rate != 30 ||
-		base.Groups[0].Host.Slots != 64 || base.Groups[0].Host.Cold.Share != 0.3 || base.Troubles[0].Size != 3 {
+		base.Groups[0].Host.Slots != 64 || base.Groups[0].Host.Cold.Share != 0.3 || base.Disruptions[0].Size != 3 {
 		t.Errorf("%+v\n%+v", base, single)
 	}
 	if x, err := Parse([]byte(strings.Replace(good, "[3, 5, 8]", "4", 1)), "day.hcl"); err != nil || !cmp.Equal(x.Seeds, []uint64{1, 2, 3, 4}) {
@@ -200,7 +200,7 @@
 // A difference that all seeds show is shown, one that they don't agree on is not, and a broken world counts in no pair.
 func TestCompare(t *testing.T) {
 	world := func(variant string, seed uint64, g float64) *Run {
-		return &Run{Variant: variant, Seed: seed, Result: &simulator.Result{Worth: g, Asked: 1}}
+		return &Run{Variant: variant, Seed: seed, Result: &simulator.Result{Value: g, Asked: 1}}
 	}
 	var runs []*Run
 	for seed := range uint64(12) {
--- a/internal/testbed/experiment/file.go
+++ b/internal/testbed/experiment/file.go
@@ -48,7 +48,7 @@
 // World returns the spec of one world. It is the caller's own.
 func (x *Experiment) World(variant int, seed uint64) simulator.Spec {
 	s := x.Spec
-	s.Groups, s.Classes, s.Troubles = slices.Clone(s.Groups), slices.Clone(s.Classes), slices.Clone(s.Troubles)
+	s.Groups, s.Classes, s.Disruptions = slices.Clone(s.Groups), slices.Clone(s.Classes), slices.Clone(s.Disruptions)
 	s.Seed = seed
 	x.Variants[variant].apply(&s)
 	return s
@@ -240,7 +240,7 @@
 	*s = simulator.Spec{Length: time.Minute, Tick: 5 * time.Millisecond, Routers: 1,
 		Balance: balance.Config{MaxAttempts: 4, SlowStartMinCapacity: 1},
 		Net: simulator.Network{Same: 300 * time.Microsecond, Cross: 2 * time.Millisecond, Jitter: 0.2, Connect: 50 * time.Millisecond,
-			Idle: 15 * time.Second, Silent: 4500 * time.Millisecond},
+			Idle: 15 * time.Second, StreamIdleTimeout: 4500 * time.Millisecond},
 		List: simulator.List{Delay: 50 * time.Millisecond, Spread: 200 * time.Millisecond}, Front: simulator.Front{Notice: 2 * time.Second},
 		Retries: simulator.Retries{Max: 2, After: 200 * time.Millisecond, Heed: true}}
 	names := map[string]bool{}
@@ -260,7 +260,7 @@
 		"class":  func(b *hclsyntax.Block) { s.Classes = append(s.Classes, d.class(b)) },
 		"network": func(b *hclsyntax.Block) {
 			d.body(b.Body, "network", fields{"same": span(&s.Net.Same, 0), "cross": span(&s.Net.Cross, 0), "jitter": num(&s.Net.Jitter, 0, 10),
-				"connect": span(&s.Net.Connect, 1), "idle": span(&s.Net.Idle, 1), "silent": span(&s.Net.Silent, 0)}, nil)
+				"connect": span(&s.Net.Connect, 1), "idle": span(&s.Net.Idle, 1), "silent": span(&s.Net.StreamIdleTimeout, 0)}, nil)
 		},
 		"list": func(b *hclsyntax.Block) {
 			d.body(b.Body, "list", fields{"delay": span(&s.List.Delay, 0), "spread": span(&s.List.Spread, 0)}, nil)
@@ -278,7 +278,7 @@
 		},
 		"view": d.view(s),
 		"trouble": func(b *hclsyntax.Block) {
-			s.Troubles = append(s.Troubles, d.trouble(b))
+			s.Disruptions = append(s.Disruptions, d.trouble(b))
 			x.troubles = append(x.troubles, fmt.Sprintf("%s:%d", b.TypeRange.Filename, b.TypeRange.Start.Line))
 		},
 		"variant": func(b *hclsyntax.Block) {
@@ -401,11 +401,11 @@
 	return c
 }
 
-func (d *decoder) trouble(b *hclsyntax.Block) simulator.Trouble {
-	t := simulator.Trouble{Kind: simulator.TroubleKind(d.label(b))}
-	known := simulator.Trouble{Kind: t.Kind, Part: 1, Size: 1, Length: 1, Zone: t.Zone}
+func (d *decoder) trouble(b *hclsyntax.Block) simulator.Disruption {
+	t := simulator.Disruption{Kind: simulator.DisruptionKind(d.label(b))}
+	known := simulator.Disruption{Kind: t.Kind, Fraction: 1, Size: 1, Length: 1, Zone: t.Zone}
 	if probe := (&simulator.Spec{Length: 1, Tick: 1, Routers: 1, Classes: []simulator.Class{{Class: balance.Class{Deadline: 1}, Turns: 1, MaxOut: 1, MaxContext: 1}},
-		Groups: []simulator.Group{{Host: hostmodel.Config{Slots: 1, Memory: 1, Chunk: 1, Base: 1}}}, Troubles: []simulator.Trouble{known}}); probe.Check() != nil {
+		Groups: []simulator.Group{{Host: hostmodel.Config{Slots: 1, Memory: 1, Chunk: 1, Base: 1}}}, Disruptions: []simulator.Disruption{known}}); probe.Check() != nil {
 		d.fault(b.TypeRange, "trouble", "%q is unknown", t.Kind)
 	}
 	needed := []string{"at", "length"}
@@ -419,7 +419,7 @@
 	case simulator.LostZone:
 		needed = append(needed, "zone")
 	}
-	d.body(b.Body, "trouble", fields{"at": span(&t.At, 0), "length": span(&t.Length, 1), "part": num(&t.Part, 0, 1),
+	d.body(b.Body, "trouble", fields{"at": span(&t.At, 0), "length": span(&t.Length, 1), "part": num(&t.Fraction, 0, 1),
 		"size": num(&t.Size, 0.01, 1000), "zone": word(&t.Zone)}, nil, needed...)
 	return t
 }
--- a/internal/testbed/experiment/keep.go
+++ b/internal/testbed/experiment/keep.go
@@ -64,7 +64,7 @@
 		}
 		s.Asked += asked
 		s.AttemptsPerRequest += float64(r.Result.Attempts)
-		s.KeptPerRequest += float64(r.Result.Kept)
+		s.KeptPerRequest += float64(r.Result.CachedTokens)
 		s.Wasted += float64(r.Result.Wasted) / float64(max(r.Result.Tokens, 1))
 	}
 	for i := range rows {
--- a/internal/testbed/experiment/schedule.go
+++ b/internal/testbed/experiment/schedule.go
@@ -157,14 +157,14 @@
 
 // onSockets has for each trouble of virtual time the fault that means the same. Those that clients make are played
 // everywhere.
-var onSockets = map[simulator.TroubleKind]string{simulator.SlowHosts: "slow", simulator.RouterCrash: "kill", simulator.HostsDie: "kill", simulator.Replace: "drain",
+var onSockets = map[simulator.DisruptionKind]string{simulator.SlowHosts: "slow", simulator.RouterCrash: "kill", simulator.HostsDie: "kill", simulator.Replace: "drain",
 	simulator.Release: "drain", simulator.LostZone: "power", simulator.ListLost: "cut"}
 
 // CheckFor returns what of the schedule does not exist in a world, or is wrong with it, as one line with file, line and
 // field.
 func (x *Experiment) CheckFor(world faults.World) error {
 	if world != faults.Lab {
-		for i, t := range x.Spec.Troubles {
+		for i, t := range x.Spec.Disruptions {
 			if same, ok := onSockets[t.Kind]; ok {
 				return fmt.Errorf("%s: trouble %q is of virtual time alone; fault %q is for sockets", x.troubles[i], t.Kind, same)
 			}
--- a/internal/testbed/simulator/bound.go
+++ b/internal/testbed/simulator/bound.go
@@ -51,16 +51,16 @@
 
 // able returns, by class, the most worth that hosts could have given of what was asked for since the last call, and begins to count anew.
 func (w *World) able() []float64 {
-	worth := make([]float64, len(w.s.Classes))
+	value := make([]float64, len(w.s.Classes))
 	if len(w.need) == 0 {
-		return worth
+		return value
 	}
-	type room struct{ left, share float64 }
-	var hosts []room
+	type hostCapacity struct{ left, share float64 }
+	var hosts []hostCapacity
 	var of []*hostmodel.Config
 	for _, h := range w.hosts {
-		if h.alive && !h.cut {
-			hosts, of = append(hosts, room{1, h.model.Stats(w.now).Capacity}), append(of, &w.s.Groups[h.group].Host)
+		if h.alive && !h.isolated {
+			hosts, of = append(hosts, hostCapacity{1, h.model.Stats(w.now).Capacity}), append(of, &w.s.Groups[h.group].Host)
 		}
 	}
 	classes := make([]int, len(w.s.Classes))
@@ -91,13 +91,13 @@
 		left := w.need[c].n
 		for _, h := range order {
 			if r := rate(h, c); r > 0 && left > 0 {
-				part := min(hosts[h].left, left/r)
-				hosts[h].left -= part
-				left -= part * r
+				fraction := min(hosts[h].left, left/r)
+				hosts[h].left -= fraction
+				left -= fraction * r
 			}
 		}
-		worth[c] = (w.need[c].n - left) * w.s.Classes[c].Class.Value
+		value[c] = (w.need[c].n - left) * w.s.Classes[c].Class.Value
 	}
 	clear(w.need)
-	return worth
+	return value
 }
--- a/internal/testbed/simulator/bound_test.go
+++ b/internal/testbed/simulator/bound_test.go
@@ -13,7 +13,7 @@
 			s.Classes[i].Rate *= rate
 		}
 		if cold {
-			s.Troubles = []Trouble{{Kind: HostsDie, At: 4 * time.Second, Part: 1, Length: 3 * time.Second}}
+			s.Disruptions = []Disruption{{Kind: HostsDie, At: 4 * time.Second, Fraction: 1, Length: 3 * time.Second}}
 		}
 		r, _ := run(t, s)
 		for i, x := range r.Seconds[:20] {
--- a/internal/testbed/simulator/client.go
+++ b/internal/testbed/simulator/client.go
@@ -23,9 +23,9 @@
 
 // tail is a time of long prompts.
 type tail struct {
-	trouble int
-	part    float64
-	size    float64
+	disruption int
+	fraction   float64
+	size       float64
 }
 
 func newLoad(w *World, n int) *load {
@@ -69,7 +69,7 @@
 
 func (l *load) begin() {
 	if w := l.w; w.now < w.s.Length {
-		w.at(l.gap(), event{do: sessionBegins, n: l.n})
+		w.at(l.gap(), event{kind: sessionBegins, n: l.n})
 		w.turn(l.session())
 	}
 }
@@ -99,7 +99,7 @@
 		for before := true; before; before = s.rng.Float64() >= 1/l.c.Turns && s.context < l.c.MaxContext/2 {
 			s.context += l.c.New.draw(s.rng) + min(l.c.Out.draw(s.rng), l.c.MaxOut)
 		}
-		l.w.at(time.Duration(s.rng.Float64()*gap*float64(time.Second)), event{do: turnComes, p: s})
+		l.w.at(time.Duration(s.rng.Float64()*gap*float64(time.Second)), event{kind: turnComes, p: s})
 	}
 }
 
@@ -107,13 +107,13 @@
 
 // request is a client's request over all its tries.
 type request struct {
-	session *session
-	n       int
-	began   time.Duration
-	prompt  int
-	out     int
-	tries   int
-	rng     *rand.Rand
+	session      *session
+	n            int
+	began        time.Duration
+	prompt       int
+	out          int
+	attemptsMade int
+	rng          *rand.Rand
 }
 
 // turn begins a session's next request and draws when the one after it comes.
@@ -124,7 +124,7 @@
 	c := s.load.c
 	more := c.New.draw(s.rng)
 	for _, t := range w.tail {
-		if s.rng.Float64() < t.part {
+		if s.rng.Float64() < t.fraction {
 			more = int(float64(more) * t.size)
 		}
 	}
@@ -136,10 +136,10 @@
 	}
 	more = min(more, max(c.MaxContext-s.context-out, 1))
 	w.requests++
-	f := &request{session: s, n: w.requests, began: w.now, prompt: s.context + more, out: out, rng: w.stream(forTry, uint64(w.requests))}
+	f := &request{session: s, n: w.requests, began: w.now, prompt: s.context + more, out: out, rng: w.stream(forClientAttempt, uint64(w.requests))}
 	s.context = f.prompt + out
 	if !last {
-		w.at(w.now+think, event{do: turnComes, p: s})
+		w.at(w.now+think, event{kind: turnComes, p: s})
 	}
 	w.asks(f)
 }
@@ -156,7 +156,7 @@
 	w.needs(f)
 	w.res.Classes[s.load.n].Asked++
 	w.second().Asked++
-	w.try(f)
+	w.sendToRouter(f)
 }
 
 // captured has a request that once was taken in come again, and the one after it in its time.
@@ -166,11 +166,11 @@
 		return
 	}
 	if n+1 < len(w.s.Captured) {
-		w.at(w.s.Captured[n+1].At, event{do: capturedComes, n: n + 1})
+		w.at(w.s.Captured[n+1].At, event{kind: capturedComes, n: n + 1})
 	}
 	w.requests++
 	w.asks(&request{session: &session{load: w.classes[p.Class], name: p.Session, prefix: p.Prefix, shared: p.Shared}, n: w.requests, began: w.now,
-		prompt: p.Prompt, out: p.Out, rng: w.stream(forTry, uint64(w.requests))})
+		prompt: p.Prompt, out: p.Out, rng: w.stream(forClientAttempt, uint64(w.requests))})
 }
 
 // Planned is a request that a client will make, whatever comes of those before it.
@@ -195,11 +195,11 @@
 		if w.now = e.at; w.now >= s.Length {
 			break
 		}
-		switch e.do {
+		switch e.kind {
 		case sessionBegins, turnComes, capturedComes:
 			w.play(&e)
-		case troubleBegins, troubleEnds:
-			if k := w.s.Troubles[max(e.n, 0)].Kind; k == Burst || k == HeavyTail { // those that clients make
+		case disruptionBegins, disruptionEnds:
+			if k := w.s.Disruptions[max(e.n, 0)].Kind; k == Burst || k == HeavyTail { // those that clients make
 				w.play(&e)
 			}
 		}
@@ -207,8 +207,8 @@
 	return w.plan, nil
 }
 
-// try is one of a request's tries, at one router.
-type try struct {
+// clientAttempt is one of a request's tries, at one router.
+type clientAttempt struct {
 	f        *request
 	id       string
 	router   *router
@@ -227,9 +227,9 @@
 	return c.Deadline + 2*time.Duration(float64(f.prompt)/1000*float64(c.LatencyTargetPer1000Tokens))
 }
 
-// try sends a request to a router, if the front knows of any.
-func (w *World) try(f *request) {
-	f.tries++
+// sendToRouter sends a request to a router, if the front knows of any.
+func (w *World) sendToRouter(f *request) {
+	f.attemptsMade++
 	left := f.began + f.patience() - w.now
 	if share := f.session.load.c.Patience; share > 0 {
 		left = min(left, time.Duration(share*float64(f.patience())))
@@ -239,33 +239,33 @@
 		return
 	}
 	r := w.routers[w.front[f.rng.IntN(len(w.front))]]
-	for r.part < 1 && f.rng.Float64() >= r.part {
+	for r.weight < 1 && f.rng.Float64() >= r.weight {
 		r = w.routers[w.front[f.rng.IntN(len(w.front))]]
 	}
-	t := &try{f: f, id: strconv.Itoa(f.n) + "." + strconv.Itoa(f.tries), router: r, gen: r.gen, sent: w.now, until: w.now + left}
-	w.at(w.now, event{do: tryReaches, p: t})
+	t := &clientAttempt{f: f, id: strconv.Itoa(f.n) + "." + strconv.Itoa(f.attemptsMade), router: r, gen: r.gen, sent: w.now, until: w.now + left}
+	w.at(w.now, event{kind: clientAttemptReaches, p: t})
 }
 
-func (w *World) reach(t *try) {
+func (w *World) reach(t *clientAttempt) {
 	r := t.router
 	if !r.alive || r.gen != t.gen {
-		w.again(t.f, 0, routerGone)
+		w.again(t.f, 0, routerDied)
 		return
 	}
 	f := t.f
 	c := f.session.load.c
 	t.index = len(r.open)
 	r.open = append(r.open, t)
-	r.tries[t.id] = t
+	r.clientAttempts[t.id] = t
 	w.emit(history.Event{What: history.Ask, ID: t.id, Who: routerName(r.n), Class: c.Class.Name, Until: t.until.Nanoseconds()})
 	r.take(balance.Arrival{ID: t.id, Class: c.Class.Name, Session: f.session.name, Prefix: f.session.prefix, TimeLeft: t.until - w.now,
 		PromptTokens: float64(f.prompt), PrefixTokens: float64(f.session.shared)})
-	w.at(t.until, event{do: tryOverdue, p: t})
-	w.at(t.until+answerSlack+w.s.Tick, event{do: tryOverdue, p: t, n: 1})
+	w.at(t.until, event{kind: clientAttemptOverdue, p: t})
+	w.at(t.until+answerSlack+w.s.Tick, event{kind: clientAttemptOverdue, p: t, n: 1})
 }
 
-// overdue ends a try whose client has waited for long enough.
-func (w *World) overdue(t *try, last bool) {
+// overdue ends an attempt whose client has waited for long enough.
+func (w *World) overdue(t *clientAttempt, last bool) {
 	r := t.router
 	if t.answered || r.gen != t.gen {
 		return
@@ -283,7 +283,7 @@
 
 // answer takes a final answer. What a client is not served it may ask for again.
 func (w *World) answer(r *router, id string, away time.Duration, how ending) {
-	t := r.tries[id]
+	t := r.clientAttempts[id]
 	if t == nil || t.answered {
 		w.violated(ruleOneAnswer, id, r.n, string(how)+" a second time, or of nobody")
 		return
@@ -292,14 +292,14 @@
 		w.violated(ruleOneAttempt, id, r.n, string(how)+" while an attempt is out")
 		return
 	}
-	w.note(string(how), id, r.n)
+	w.trace(string(how), id, r.n)
 	w.answered(t, how)
-	r.closeTry(t)
+	r.closeClientAttempt(t)
 	w.again(t.f, away, how)
 }
 
-// answered tells the history how a try came out.
-func (w *World) answered(t *try, how ending) {
+// answered tells the history how an attempt came out.
+func (w *World) answered(t *clientAttempt, how ending) {
 	w.emit(history.Event{What: history.Answer, ID: t.id, How: hows[how]})
 }
 
@@ -311,10 +311,10 @@
 	if w.s.Retries.Heed {
 		wait = max(wait, away)
 	}
-	if f.tries > w.s.Retries.Max || w.now+wait >= f.began+f.patience() {
+	if f.attemptsMade > w.s.Retries.Max || w.now+wait >= f.began+f.patience() {
 		w.over(f, how, 0, 0, 0)
 		return
 	}
 	w.res.Retries++
-	w.at(w.now+wait, event{do: retryComes, p: f})
+	w.at(w.now+wait, event{kind: retryComes, p: f})
 }
--- a/internal/testbed/simulator/queue.go
+++ b/internal/testbed/simulator/events.go
@@ -4,41 +4,41 @@
 
 // event is something due in a world. Two at one time come in the order in which they were put in.
 type event struct {
-	at  time.Duration
-	seq uint64
-	do  doing
-	n   int // a router's, a host's, a class's or a trouble's number, or another small figure
-	gen int // of what n names: an event for one that has been started anew since is void
-	p   any // what it is about
+	at   time.Duration
+	seq  uint64
+	kind eventKind
+	n    int // a router's, a host's, a class's or a disruption's number, or another small figure
+	gen  int // of what n names: an event for one that has been started anew since is void
+	p    any // what it is about
 }
 
-// doing is what is done with an event.
-type doing uint8
+// eventKind is what is done with an event.
+type eventKind uint8
 
 const (
-	sessionBegins doing = iota
+	sessionBegins eventKind = iota
 	turnComes
-	tryReaches // its router
-	tryOverdue
+	clientAttemptReaches // its router
+	clientAttemptOverdue
 	retryComes
 	capturedComes
-	streamsSilent
+	streamsIdle
 	routerSteps
 	routerWakes
 	routerHears
 	listReaches
 	routerStarts
-	attemptReaches // its host
-	attemptTells   // its router
-	cancelReaches  // its host
+	attemptReaches     // its host
+	hostMessageReaches // its router
+	cancelReaches      // its host
 	connGivenUp
 	connClosed
 	probeReaches
-	probeTells
+	probeResultReaches
 	hostSteps
 	hostStarts
-	troubleBegins
-	troubleEnds
+	disruptionBegins
+	disruptionEnds
 	releaseGoesOn
 	faultBegins
 	faultEnds
--- a/internal/testbed/simulator/faults.go
+++ b/internal/testbed/simulator/faults.go
@@ -73,7 +73,7 @@
 			w.faults.waiting = append(w.faults.waiting, i)
 			continue
 		}
-		w.at(s.At, event{do: faultBegins, n: i})
+		w.at(s.At, event{kind: faultBegins, n: i})
 	}
 }
 
@@ -94,7 +94,7 @@
 		if w.faults.counts[i]++; w.faults.counts[i] < s.When.Nth {
 			return false
 		}
-		w.at(w.now+s.At, event{do: faultBegins, n: i})
+		w.at(w.now+s.At, event{kind: faultBegins, n: i})
 		return true
 	})
 }
@@ -123,18 +123,18 @@
 
 func (w *World) faultBegins(n int) {
 	s := w.faults.injections[n]
-	w.note("fault begins: "+string(s.Kind), "", n)
+	w.trace("fault begins: "+string(s.Kind), "", n)
 	w.emit(FaultEvent(history.Fault, n, s))
-	w.at(w.now+s.Length, event{do: faultEnds, n: n})
+	w.at(w.now+s.Length, event{kind: faultEnds, n: n})
 	if faults.Of(s.Kind).OfLinks() {
 		w.faults.on = append(w.faults.on, s)
-		w.cutOff(s, true)
+		w.isolate(s, true)
 		return
 	}
 	for _, i := range s.Routers {
 		if w.routers[i].down++; w.routers[i].down == 1 && w.routers[i].alive {
 			w.crash(i)
-			w.at(w.now+w.s.Front.Notice, event{do: troubleEnds, n: ^i}) // the front notices
+			w.at(w.now+w.s.Front.Notice, event{kind: disruptionEnds, n: ^i}) // the front notices
 		}
 	}
 	for _, i := range s.Hosts {
@@ -149,11 +149,11 @@
 
 func (w *World) faultEnds(n int) {
 	s := w.faults.injections[n]
-	w.note("fault ends: "+string(s.Kind), "", n)
+	w.trace("fault ends: "+string(s.Kind), "", n)
 	w.emit(FaultEvent(history.Heal, n, s))
 	if faults.Of(s.Kind).OfLinks() {
 		w.faults.on = slices.DeleteFunc(w.faults.on, func(x *faults.Injection) bool { return x == s })
-		w.cutOff(s, false)
+		w.isolate(s, false)
 		return
 	}
 	for _, i := range s.Routers {
@@ -162,7 +162,7 @@
 				r.usual = recovery.Baseline{}
 			}
 			if r.down--; r.down == 0 && !r.alive {
-				w.at(w.now, event{do: routerStarts, n: i})
+				w.at(w.now, event{kind: routerStarts, n: i})
 			}
 		}
 	}
@@ -171,13 +171,13 @@
 		if s.Kind == faults.Slow {
 			w.hostDoes(h, hostmodel.Slow{Factor: 1})
 		} else if h.down--; h.down == 0 {
-			w.at(w.now, event{do: hostStarts, n: i, gen: h.gen})
+			w.at(w.now, event{kind: hostStarts, n: i, gen: h.gen})
 		}
 	}
 }
 
-// cutOff cuts hosts and the list off, or has them back. What hosts had under way is reset then; they run on.
-func (w *World) cutOff(s *faults.Injection, on bool) {
+// isolate cuts hosts and the list off, or has them back. What hosts had under way is reset then; they run on.
+func (w *World) isolate(s *faults.Injection, on bool) {
 	if slices.Contains(s.Links, faults.LinkList) {
 		if on {
 			w.list.down++
@@ -189,13 +189,13 @@
 		return
 	}
 	for i, h := range w.hosts {
-		if h.gone || len(s.Hosts) > 0 && !slices.Contains(s.Hosts, i) {
+		if h.removed || len(s.Hosts) > 0 && !slices.Contains(s.Hosts, i) {
 			continue
 		}
 		if on {
-			w.hostCut(h)
+			w.isolateHost(h)
 		} else {
-			w.hostBack(h)
+			w.reconnectHost(h)
 		}
 	}
 }
--- a/internal/testbed/simulator/hosts.go
+++ b/internal/testbed/simulator/hosts.go
@@ -13,32 +13,32 @@
 
 // host is one machine, and the model of what runs on it.
 type host struct {
-	n     int
-	id    string
-	zone  string
-	kind  string
-	group int
-	born  time.Duration // on the routers' clock, 0 for long ago
-	model *hostmodel.Host
-	gen   int           // of its process
-	due   time.Duration // of its next step, -1 for none
-	alive bool
-	gone  bool // for good
-	cut   bool // from the network
-	cuts  int  // times that it was
-	down  int  // faults that have killed it
-	state balance.State
+	n          int
+	id         string
+	zone       string
+	kind       string
+	group      int
+	born       time.Duration // on the routers' clock, 0 for long ago
+	model      *hostmodel.Host
+	gen        int           // of its process
+	due        time.Duration // of its next step, -1 for none
+	alive      bool
+	removed    bool // for good
+	isolated   bool // from the network
+	isolations int  // times that it was
+	down       int  // faults that have killed it
+	state      balance.State
 
 	atIt map[string]*attempt
 	asks map[string]*probe
 
-	unheard []*attempt // while it was cut off
+	undelivered []*attempt // while it was cut off
 }
 
 // list is discovery: what it knows, and how it tells.
 type list struct {
 	version int64
-	down    int // troubles that hold it up
+	down    int // disruptions that hold it up
 	missed  bool
 }
 
@@ -75,38 +75,38 @@
 			w.res.Tokens++
 			if !a.first {
 				a.first = true
-				w.tell(h, a, &tell{a: a, first: true})
+				w.sendHostMessage(h, a, &hostMessage{a: a, first: true})
 			}
 		case hostmodel.Whole:
 			if a := h.atIt[x.ID]; a != nil {
 				delete(h.atIt, x.ID)
-				w.res.Kept += uint64(x.Kept)
+				w.res.CachedTokens += uint64(x.Kept)
 				w.hostDone(h, a)
-				w.tell(h, a, &tell{a: a, result: balance.OK, kept: x.Kept, made: a.made, load: w.load(h)})
+				w.sendHostMessage(h, a, &hostMessage{a: a, result: balance.OK, cachedTokens: x.Kept, made: a.made, load: w.load(h)})
 			}
 		case hostmodel.TurnedAway:
 			if p := h.asks[x.ID]; p != nil {
 				delete(h.asks, x.ID)
-				w.tellProbe(h, p, balance.Full, nil)
+				w.sendProbeResult(h, p, balance.Full, nil)
 				continue
 			}
 			if a := h.atIt[x.ID]; a != nil {
 				delete(h.atIt, x.ID)
 				w.res.TurnedAway++
 				w.hostDone(h, a)
-				w.tell(h, a, &tell{a: a, result: balance.Full, load: w.load(h)})
+				w.sendHostMessage(h, a, &hostMessage{a: a, result: balance.Full, load: w.load(h)})
 			}
 		case hostmodel.Broken:
 			if a := h.atIt[x.ID]; a != nil {
 				delete(h.atIt, x.ID)
 				w.res.Wasted += uint64(a.made)
 				w.hostDone(h, a)
-				w.tell(h, a, &tell{a: a, result: balance.Reset, made: a.made})
+				w.sendHostMessage(h, a, &hostMessage{a: a, result: balance.Reset, made: a.made})
 			}
 		case hostmodel.Answered:
 			if p := h.asks[x.ID]; p != nil {
 				delete(h.asks, x.ID)
-				w.tellProbe(h, p, balance.OK, loadOf(&x.Load))
+				w.sendProbeResult(h, p, balance.OK, loadOf(&x.Load))
 			}
 		case hostmodel.NoRoom:
 			full = true
@@ -114,21 +114,21 @@
 			w.res.Preempted++
 		case hostmodel.Fell:
 			w.emit(history.Event{What: history.Fell, Who: h.id})
-			w.violated(ruleCold, h.id, h.n, "fell over")
+			w.violated(ruleSlowStart, h.id, h.n, "fell over")
 		}
 	}
 	at, ok := h.model.Next()
 	if ok && at != h.due {
 		h.due = at
-		w.at(at, event{do: hostSteps, n: h.n, gen: h.gen})
+		w.at(at, event{kind: hostSteps, n: h.n, gen: h.gen})
 	}
 	return full
 }
 
-// tellProbe sends the result of a probe to its router.
-func (w *World) tellProbe(h *host, p *probe, how balance.Result, load *balance.Load) {
+// sendProbeResult sends the result of a probe to its router.
+func (w *World) sendProbeResult(h *host, p *probe, how balance.Result, load *balance.Load) {
 	p.result, p.load = how, load
-	w.at(w.now+w.way(h.zone, w.routers[p.router].zone), event{do: probeTells, n: p.router, gen: p.rgen, p: p})
+	w.at(w.now+w.way(h.zone, w.routers[p.router].zone), event{kind: probeResultReaches, n: p.router, gen: p.rgen, p: p})
 }
 
 func loadOf(l *hostmodel.Load) *balance.Load {
@@ -140,32 +140,32 @@
 	return loadOf(&l)
 }
 
-// tell is a host's word on an attempt: its first token, or its outcome.
-type tell struct {
-	a      *attempt
-	first  bool
-	result balance.Result
-	noConn bool // the connection never came up
-	kept   int
-	made   int
-	load   *balance.Load
+// hostMessage is a host's word on an attempt: its first token, or its outcome.
+type hostMessage struct {
+	a            *attempt
+	first        bool
+	result       balance.Result
+	noConn       bool // the connection never came up
+	cachedTokens int
+	made         int
+	load         *balance.Load
 }
 
-// tell sends a word to the attempt's router; the words of one attempt don't overtake one another.
-func (w *World) tell(h *host, a *attempt, word *tell) {
-	if h.cut { // it is not heard, until the network is back and resets what was under way
-		h.unheard = append(h.unheard, a)
+// hostMessage sends a word to the attempt's router; the words of one attempt don't overtake one another.
+func (w *World) sendHostMessage(h *host, a *attempt, message *hostMessage) {
+	if h.isolated { // it is not heard, until the network is back and resets what was under way
+		h.undelivered = append(h.undelivered, a)
 		return
 	}
 	r := a.t.router
-	a.told = max(w.now+w.way(h.zone, r.zone), a.told)
-	w.at(a.told, event{do: attemptTells, n: r.n, gen: a.t.gen, p: word})
+	a.deliveredAt = max(w.now+w.way(h.zone, r.zone), a.deliveredAt)
+	w.at(a.deliveredAt, event{kind: hostMessageReaches, n: r.n, gen: a.t.gen, p: message})
 }
 
 // attemptReaches has an attempt arrive at its host.
 func (w *World) attemptReaches(a *attempt) {
 	h := w.hosts[a.host]
-	if a.over || a.t.out != a || h.cut {
+	if a.over || a.t.out != a || h.isolated {
 		return // given up on the way, or never heard of again
 	}
 	if !h.alive {
@@ -173,17 +173,17 @@
 		if a.fresh {
 			result = balance.NoConnection
 		}
-		w.tell(h, a, &tell{a: a, result: result, noConn: true})
+		w.sendHostMessage(h, a, &hostMessage{a: a, result: result, noConn: true})
 		return
 	}
 	if !a.fresh && a.conn.gen != h.gen {
-		w.tell(h, a, &tell{a: a, result: balance.Reset, noConn: true})
+		w.sendHostMessage(h, a, &hostMessage{a: a, result: balance.Reset, noConn: true})
 		return
 	}
 	if a.fresh {
 		a.fresh, a.conn.gen = false, h.gen
 		if w.hostDoes(h, hostmodel.Connect{}) {
-			w.tell(h, a, &tell{a: a, result: balance.NoConnection, noConn: true})
+			w.sendHostMessage(h, a, &hostMessage{a: a, result: balance.NoConnection, noConn: true})
 			return
 		}
 	}
@@ -206,23 +206,23 @@
 // givenUp ends an attempt whose connection did not come up in time.
 func (w *World) givenUp(a *attempt) {
 	if a.fresh && !a.over && a.t.out == a {
-		w.at(w.now, event{do: attemptTells, n: a.t.router.n, gen: a.t.gen, p: &tell{a: a, result: balance.NoConnection, noConn: true}})
+		w.at(w.now, event{kind: hostMessageReaches, n: a.t.router.n, gen: a.t.gen, p: &hostMessage{a: a, result: balance.NoConnection, noConn: true}})
 	}
 }
 
-// endSilent has routers end the streams of a host that was cut off and is not heard of since. What the host made meanwhile
+// endIdleStreams has routers end the streams of a host that was cut off and is not heard of since. What the host made meanwhile
 // nobody gets.
-func (w *World) endSilent(h *host, cut int) {
-	if !h.cut || h.cuts != cut {
+func (w *World) endIdleStreams(h *host, isolation int) {
+	if !h.isolated || h.isolations != isolation {
 		return
 	}
-	all := slices.Clone(h.unheard) // the host may be done with these
+	all := slices.Clone(h.undelivered) // the host may be done with these
 	for _, id := range slices.Sorted(maps.Keys(h.atIt)) {
 		all = append(all, h.atIt[id])
 	}
 	for _, a := range all {
 		if r := a.t.router; a.begun > 0 && !a.over && a.t.out == a && r.alive && r.gen == a.t.gen {
-			r.hear(&tell{a: a, result: balance.TimedOut, made: a.made})
+			r.receiveHostMessage(&hostMessage{a: a, result: balance.TimedOut, made: a.made})
 		}
 	}
 }
@@ -233,12 +233,12 @@
 	if w.observed() {
 		w.emit(history.Event{What: history.Closed, Who: routerName(a.t.router.n), Conn: a.name()})
 	}
-	w.at(w.now+w.way(a.t.router.zone, w.hosts[a.host].zone), event{do: cancelReaches, p: a})
+	w.at(w.now+w.way(a.t.router.zone, w.hosts[a.host].zone), event{kind: cancelReaches, p: a})
 }
 
 func (w *World) cancelled(a *attempt) {
 	h := w.hosts[a.host]
-	if !h.alive || h.cut {
+	if !h.alive || h.isolated {
 		return
 	}
 	if h.atIt[a.t.id] == a && a.hgen == h.gen {
@@ -270,9 +270,9 @@
 
 func (w *World) probeReaches(p *probe) {
 	h := w.hosts[p.host]
-	if !h.alive || h.cut {
+	if !h.alive || h.isolated {
 		p.result = balance.NoConnection
-		w.at(w.now+w.s.Net.Connect, event{do: probeTells, n: p.router, gen: p.rgen, p: p})
+		w.at(w.now+w.s.Net.Connect, event{kind: probeResultReaches, n: p.router, gen: p.rgen, p: p})
 		return
 	}
 	id := "probe" + strconv.Itoa(p.router) + "." + strconv.Itoa(p.rgen) + "." + strconv.Itoa(p.n)
@@ -285,7 +285,7 @@
 	if !h.alive {
 		return
 	}
-	w.note("host dies", h.id, h.n)
+	w.trace("host dies", h.id, h.n)
 	w.hostDoes(h, hostmodel.Die{})
 	h.alive, h.due = false, -1
 	h.gen++
@@ -297,10 +297,10 @@
 
 // startHost starts a host's process again, cold.
 func (w *World) startHost(h *host, gen int) {
-	if h.alive || h.gone || h.gen != gen {
+	if h.alive || h.removed || h.gen != gen {
 		return
 	}
-	w.note("host starts", h.id, h.n)
+	w.trace("host starts", h.id, h.n)
 	h.alive, h.born, h.state = true, w.clock(), balance.Serving
 	h.gen++
 	w.hostDoes(h, hostmodel.Start{})
@@ -311,11 +311,11 @@
 	return balance.Member{Replica: h.id, Zone: h.zone, Kind: h.kind, State: state, StartedAt: h.born}
 }
 
-// whole is the list as discovery has it.
-func (w *World) whole() *listUpdate {
+// fullList is the list as discovery has it.
+func (w *World) fullList() *listUpdate {
 	x := &listUpdate{members: balance.Members{Version: w.list.version, Complete: true}}
 	for _, h := range w.hosts {
-		if !h.gone {
+		if !h.removed {
 			x.members.Members = append(x.members.Members, w.member(h, h.state))
 			x.hosts = append(x.hosts, h.n)
 		}
@@ -336,10 +336,10 @@
 	}
 }
 
-// tellWhole sends a router the whole list.
-func (w *World) tellWhole(r *router) {
+// sendFullList sends a router the whole list.
+func (w *World) sendFullList(r *router) {
 	if w.list.down == 0 {
-		w.send(r, w.whole())
+		w.send(r, w.fullList())
 	}
 }
 
@@ -348,11 +348,11 @@
 		return
 	}
 	r.heard = max(w.now+w.s.List.Delay+time.Duration(w.net.Float64()*float64(w.s.List.Spread)), r.heard)
-	w.at(r.heard, event{do: listReaches, n: r.n, gen: r.gen, p: x})
+	w.at(r.heard, event{kind: listReaches, n: r.n, gen: r.gen, p: x})
 }
 
-// told takes a list, for the checkers and the module.
-func (r *router) told(x *listUpdate) {
+// applyList takes a list, for the checkers and the module.
+func (r *router) applyList(x *listUpdate) {
 	w := r.w
 	w.res.Lines += uint64(len(x.members.Members))
 	for len(r.known) < len(w.hosts) {
@@ -365,7 +365,7 @@
 		}
 		for h := range r.known {
 			if !in[h] {
-				r.leaves(h)
+				r.recordDraining(h)
 			}
 		}
 	}
@@ -376,15 +376,15 @@
 			r.known[h] = knowledge{born: m.StartedAt}
 			w.emit(history.Event{What: history.Told, Who: routerName(r.n), From: m.Replica, Text: "Ready"})
 		} else {
-			r.leaves(h)
+			r.recordDraining(h)
 		}
 	}
 	r.take(x.members)
 }
 
-func (r *router) leaves(h int) {
-	if !r.known[h].leaving {
-		r.known[h] = knowledge{leaving: true, since: r.w.now}
+func (r *router) recordDraining(h int) {
+	if !r.known[h].draining {
+		r.known[h] = knowledge{draining: true, since: r.w.now}
 		r.w.emit(history.Event{What: history.Told, Who: routerName(r.n), From: r.w.hosts[h].id, Text: "Terminating"})
 	}
 }
--- a/internal/testbed/simulator/loss_test.go
+++ b/internal/testbed/simulator/loss_test.go
@@ -60,10 +60,10 @@
 		}
 	}
 	if rng.IntN(3) == 0 {
-		s.Troubles = append(s.Troubles, Trouble{Kind: SlowHosts, At: tenths(20, 150), Length: tenths(10, 60), Part: 0.3, Size: 3})
+		s.Disruptions = append(s.Disruptions, Disruption{Kind: SlowHosts, At: tenths(20, 150), Length: tenths(10, 60), Fraction: 0.3, Size: 3})
 	}
 	if rng.IntN(4) == 0 {
-		s.Troubles = append(s.Troubles, Trouble{Kind: Replace, At: tenths(20, 150), Length: tenths(5, 30), Part: 0.4})
+		s.Disruptions = append(s.Disruptions, Disruption{Kind: Replace, At: tenths(20, 150), Length: tenths(5, 30), Fraction: 0.4})
 	}
 	return s
 }
@@ -118,7 +118,7 @@
 			}
 			switch _, err := w.Run(50e6); {
 			case err == nil:
-			case strings.Contains(err.Error(), ruleCold):
+			case strings.Contains(err.Error(), ruleSlowStart):
 				n++
 			default:
 				t.Error(err)
--- a/internal/testbed/simulator/mass_test.go
+++ b/internal/testbed/simulator/mass_test.go
@@ -20,16 +20,16 @@
 	if *massSeeds == 0 {
 		t.Skip("played with -mass")
 	}
-	for _, trouble := range []Trouble{
-		{Kind: HostsDie, At: 4 * time.Second, Length: 2 * time.Second, Part: 0.33},
-		{Kind: RouterCrash, At: 4 * time.Second, Length: 2 * time.Second, Part: 0.7},
-		{Kind: Replace, At: 4 * time.Second, Length: 5 * time.Second, Part: 0.6},
+	for _, trouble := range []Disruption{
+		{Kind: HostsDie, At: 4 * time.Second, Length: 2 * time.Second, Fraction: 0.33},
+		{Kind: RouterCrash, At: 4 * time.Second, Length: 2 * time.Second, Fraction: 0.7},
+		{Kind: Replace, At: 4 * time.Second, Length: 5 * time.Second, Fraction: 0.6},
 	} {
 		t.Run(string(trouble.Kind), func(t *testing.T) {
 			t.Parallel()
 			for seed := range *massSeeds {
 				s := mass(seed)
-				s.Troubles = []Trouble{trouble}
+				s.Disruptions = []Disruption{trouble}
 				r, _ := run(t, s)
 				t.Logf("seed %d: G %.3f, %d attempts, %.2f handshakes and %.1f words heard for each, %d probes, %.0f list lines for each first try", seed, r.G(),
 					r.Attempts, float64(r.Handshakes)/float64(r.Attempts), float64(r.Heard)/float64(r.Attempts), r.Probes,
@@ -56,8 +56,8 @@
 		t.Skip("a measurement; see docs/measurements/")
 	}
 	t.Log("| trouble | G | asked | refused | of them beside a warm host with room in the zone | beside a cold one alone | late | work sent to cold hosts, of what they can do | prompts that wait at hosts, while a third of the hosts have none | handshakes an attempt |")
-	for _, trouble := range []Trouble{{}, {Kind: HostsDie, At: 4 * time.Second, Length: 2 * time.Second, Part: 0.33},
-		{Kind: Replace, At: 4 * time.Second, Length: 5 * time.Second, Part: 0.6}} {
+	for _, trouble := range []Disruption{{}, {Kind: HostsDie, At: 4 * time.Second, Length: 2 * time.Second, Fraction: 0.33},
+		{Kind: Replace, At: 4 * time.Second, Length: 5 * time.Second, Fraction: 0.6}} {
 		var g, asked, refusals, warm, cold, late, did, could, waits, beside, handshakes, attempts float64
 		const seeds = 3
 		for seed := range uint64(seeds) {
@@ -65,9 +65,9 @@
 			for i := range s.Classes {
 				s.Classes[i].New = Length{800, 0.8} // what the fleet can do while its hosts are warm
 			}
-			s.Troubles = nil
+			s.Disruptions = nil
 			if trouble.Kind != "" {
-				s.Troubles = []Trouble{trouble}
+				s.Disruptions = []Disruption{trouble}
 			}
 			var w *World
 			at, looked := map[string]*router{}, time.Duration(0)
--- a/internal/testbed/simulator/result.go
+++ b/internal/testbed/simulator/result.go
@@ -6,7 +6,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// ending is how a request, or a try, came out.
+// ending is how a request, or an attempt, came out.
 type ending string
 
 const (
@@ -14,34 +14,37 @@
 	refused    ending = "refused"
 	failed     ending = "failed"
 	brokenOff  ending = "broken off"
-	routerGone ending = "router gone"
+	routerDied ending = "router gone"
 	noRouter   ending = "no router"
 )
 
 // Result is what came of a world.
 type Result struct {
-	Classes  []ClassResult
-	Seconds  []Second
-	Troubles []TroubleResult
+	Classes     []ClassResult
+	Seconds     []Second
+	Disruptions []DisruptionResult `json:"Troubles"`
 
 	Events, Steps             uint64 // of the world, of routers' modules
 	Attempts, Retries, Probes uint64
-	Heard                     uint64 // words of other routers that came
+	Heard                     uint64 // reports of other routers that came
 	Lines                     uint64 // of lists that came to routers
 	Crossed, Handshakes       uint64
 	TurnedAway, Preempted     uint64
-	Tokens, Wasted, Kept      uint64 // made; of them, for nobody; prompt tokens found kept
+	Tokens                    uint64 // that hosts made
+	Wasted                    uint64 // of them, for nobody
+	CachedTokens              uint64 `json:"Kept"` // prompt tokens found in the prefix cache
 	MostOpen, MostQueued      int
-	Worth, Asked              float64
+	Value                     float64 `json:"Worth"` // of requests answered in time
+	Asked                     float64 // the value of all requests
 }
 
-// ClassResult is one class's part. Counts are of requests, over all their tries.
+// ClassResult is one class's part. Counts are of requests, over all their attempts.
 type ClassResult struct {
 	Name                             string
-	Asked, Good, Late, Slow          uint64 // Slow are served too late, or at too slow a pace, for any worth
-	Refused, Failed, BrokenOff, Lost uint64 // Lost to a router that died, or to none at all
-	Worth                            float64
-	First                            *hdrhistogram.Histogram `json:"-"` // microseconds from the first try to the first token
+	Asked, Good, Late, Slow          uint64                  // Slow are served too late, or at too slow a pace, for any value
+	Refused, Failed, BrokenOff, Lost uint64                  // Lost to a router that died, or to none at all
+	Value                            float64                 `json:"Worth"`
+	First                            *hdrhistogram.Histogram `json:"-"` // microseconds from the first attempt to the first token
 }
 
 // Second is one second of a world.
@@ -51,16 +54,16 @@
 	Alive              int
 	Capacity           float64 // of all hosts, in warm ones
 
-	Begun []Share   // worth by class: of what was asked for in this second, whenever it was answered
+	Begun []Share   // value by class: of what was asked for in this second, whenever it was answered
 	Able  []float64 // of that, the most that hosts could have given in time: bound.go
 }
 
-// Share is a part of something: of a worth, or of a number.
+// Share is a part of something: of a value, or of a number.
 type Share struct{ Of, Got float64 }
 
-// TroubleResult is a trouble that came, and how many it hit.
-type TroubleResult struct {
-	Kind TroubleKind
+// DisruptionResult is a disruption that came, and how many it hit.
+type DisruptionResult struct {
+	Kind DisruptionKind
 	At   time.Duration
 	Hit  int
 }
@@ -99,7 +102,7 @@
 		w.res.Seconds[n].Able = w.able()
 	}
 	if w.now < w.s.Length || w.open > 0 {
-		w.at(w.now+time.Second, event{do: sampled})
+		w.at(w.now+time.Second, event{kind: sampled})
 	}
 }
 
@@ -110,7 +113,7 @@
 	r := &w.res.Classes[f.session.load.n]
 	s := w.second()
 	w.res.Asked += c.Value
-	worth := 0.0
+	value := 0.0
 	switch how {
 	case served:
 		first := began - f.began
@@ -123,10 +126,10 @@
 		switch {
 		case first <= c.LatencyTarget+more && (c.TokenLatencyTarget == 0 || pace <= c.TokenLatencyTarget):
 			r.Good++
-			worth = c.Value
+			value = c.Value
 		case first <= c.Deadline+2*more && (c.TokenLatencyTarget == 0 || pace <= 2*c.TokenLatencyTarget):
 			r.Late++
-			worth = c.Value * c.LateValueFraction
+			value = c.Value * c.LateValueFraction
 		default:
 			r.Slow++
 		}
@@ -139,11 +142,11 @@
 	default:
 		r.Lost++
 	}
-	r.Worth += worth
+	r.Value += value
 	begun := &w.res.Seconds[f.began/time.Second].Begun[f.session.load.n]
-	begun.Of, begun.Got = begun.Of+c.Value, begun.Got+worth
-	w.res.Worth += worth
-	if worth == c.Value && how == served {
+	begun.Of, begun.Got = begun.Of+c.Value, begun.Got+value
+	w.res.Value += value
+	if value == c.Value && how == served {
 		s.Good++
 	} else {
 		s.Other++
@@ -155,7 +158,7 @@
 	if r.Asked == 0 {
 		return 0
 	}
-	return r.Worth / r.Asked
+	return r.Value / r.Asked
 }
 
 // end does what is left to do when nothing more is played.
--- a/internal/testbed/simulator/router.go
+++ b/internal/testbed/simulator/router.go
@@ -10,20 +10,20 @@
 
 // router is one instance: a decision module, its open tries, its list and its connections.
 type router struct {
-	w     *World
-	n     int
-	zone  string
-	d     Decider
-	gate  *recovery.Gate    // nil for none
-	usual recovery.Baseline // as on its disk
-	part  float64           // of what the router that gets most gets
-	alive bool
-	gen   int // of its process
-	inbox []balance.Event
-	due   bool
+	w      *World
+	n      int
+	zone   string
+	d      Decider
+	gate   *recovery.Gate    // nil for none
+	usual  recovery.Baseline // as on its disk
+	weight float64           // of what the router that gets most gets
+	alive  bool
+	gen    int // of its process
+	inbox  []balance.Event
+	due    bool
 
-	tries map[string]*try
-	open  []*try
+	clientAttempts map[string]*clientAttempt
+	open           []*clientAttempt
 
 	byID   map[string]int // hosts that its list has named
 	known  []knowledge    // of hosts, by number
@@ -39,9 +39,9 @@
 
 // knowledge is what a router was told of a host.
 type knowledge struct {
-	leaving bool
-	since   time.Duration // that it has been leaving
-	born    time.Duration // its last start
+	draining bool
+	since    time.Duration // that it has been leaving
+	born     time.Duration // its last start
 }
 
 // pool is a router's idle connections to one host, the last used at the end.
@@ -79,22 +79,22 @@
 	w.emit(history.Event{What: history.Ready, Who: routerName(n)})
 	r.gen++
 	r.d, r.alive, r.inbox, r.due = d, true, nil, false
-	r.tries, r.open, r.pools = map[string]*try{}, nil, nil
+	r.clientAttempts, r.open, r.pools = map[string]*clientAttempt{}, nil, nil
 	r.sees, r.viewed = nil, 0
 	if !again {
 		r.byID = map[string]int{}
-		r.told(w.whole())
+		r.applyList(w.fullList())
 		return nil
 	}
 	r.changed = w.now
 	disk := balance.Members{Version: w.list.version, Complete: true}
 	for h, k := range r.known {
-		if _, listed := r.byID[w.hosts[h].id]; listed && !k.leaving {
+		if _, listed := r.byID[w.hosts[h].id]; listed && !k.draining {
 			disk.Members = append(disk.Members, w.member(w.hosts[h], balance.Serving))
 		}
 	}
 	r.take(disk)
-	w.tellWhole(r)
+	w.sendFullList(r)
 	w.front = append(w.front, n)
 	return nil
 }
@@ -118,7 +118,7 @@
 	if !r.due {
 		r.due = true
 		tick := r.w.s.Tick
-		r.w.at((r.w.now+tick-1)/tick*tick, event{do: routerSteps, n: r.n, gen: r.gen})
+		r.w.at((r.w.now+tick-1)/tick*tick, event{kind: routerSteps, n: r.n, gen: r.gen})
 	}
 }
 
@@ -147,36 +147,36 @@
 		case balance.Fail:
 			w.answer(r, a.ID, 0, failed)
 		case balance.SendReports:
-			r.tell(a)
+			r.sendReports(a)
 		case balance.Probe:
 			r.probe(a.Replica)
 		case balance.SetTimer:
-			w.at(w.now+a.Delay, event{do: routerWakes, n: r.n, gen: r.gen, p: a.Token})
+			w.at(w.now+a.Delay, event{kind: routerWakes, n: r.n, gen: r.gen, p: a.Token})
 		}
 	}
 }
 
-// attempt is one scheduling of a try.
+// attempt is one scheduling of an attempt.
 type attempt struct {
-	t     *try
-	n     int
-	host  int
-	hgen  int // of the host's process that has it
-	conn  *conn
-	fresh bool // its connection is not up yet
-	at    time.Duration
-	first bool
-	made  int
-	begun time.Duration // its first token, at the host
-	last  time.Duration
-	told  time.Duration // when the last word of it reaches the router
-	over  bool
+	t           *clientAttempt
+	n           int
+	host        int
+	hgen        int // of the host's process that has it
+	conn        *conn
+	fresh       bool // its connection is not up yet
+	at          time.Duration
+	first       bool
+	made        int
+	begun       time.Duration // its first token, at the host
+	last        time.Duration
+	deliveredAt time.Duration // when the last word of it reaches the router
+	over        bool
 }
 
 func (r *router) send(a balance.Send) {
 	w := r.w
-	t := r.tries[a.ID]
-	w.note("send to "+a.Replica, a.ID, r.n)
+	t := r.clientAttempts[a.ID]
+	w.trace("send to "+a.Replica, a.ID, r.n)
 	if !w.checkSend(r, t, a.ID, a.Replica) {
 		return
 	}
@@ -193,10 +193,10 @@
 		x.conn, x.fresh = &conn{host: h, owner: r.gen}, true
 		w.res.Handshakes++
 		way *= 3 // there, back and there again
-		w.at(w.now+w.s.Net.Connect, event{do: connGivenUp, p: x})
+		w.at(w.now+w.s.Net.Connect, event{kind: connGivenUp, p: x})
 	}
 	x.conn.used++
-	w.at(w.now+way, event{do: attemptReaches, p: x})
+	w.at(w.now+way, event{kind: attemptReaches, p: x})
 }
 
 // idle takes the connection to a host that was used last, if there is one.
@@ -208,7 +208,7 @@
 	for len(p.idle) > 0 {
 		c := p.idle[len(p.idle)-1]
 		p.idle = p.idle[:len(p.idle)-1]
-		if x := r.w.hosts[h]; c.gen == x.gen || x.cut {
+		if x := r.w.hosts[h]; c.gen == x.gen || x.isolated {
 			return c
 		} // its host's process has ended, and with it the connection
 	}
@@ -221,7 +221,7 @@
 		r.pools = append(r.pools, pool{})
 	}
 	r.pools[c.host].idle = append(r.pools[c.host].idle, c)
-	r.w.at(r.w.now+r.w.s.Net.Idle, event{do: connClosed, n: r.n, gen: c.used, p: c})
+	r.w.at(r.w.now+r.w.s.Net.Idle, event{kind: connClosed, n: r.n, gen: c.used, p: c})
 }
 
 // idleOver closes a connection that was not used since it was put back.
@@ -239,20 +239,20 @@
 	}
 }
 
-// hear takes a host's word on an attempt.
-func (r *router) hear(word *tell) {
+// receiveHostMessage takes a host's word on an attempt.
+func (r *router) receiveHostMessage(message *hostMessage) {
 	w := r.w
-	a := word.a
+	a := message.a
 	t := a.t
 	if a.over {
 		return
 	}
-	if word.first {
+	if message.first {
 		if t.out != a {
 			return // given up before
 		}
 		if !t.answered {
-			w.note("first token", t.id, r.n)
+			w.trace("first token", t.id, r.n)
 			w.emit(history.Event{What: history.First, ID: t.id})
 			t.answered = true
 			r.take(balance.FirstToken{ID: t.id, Attempt: a.n})
@@ -267,30 +267,30 @@
 	if w.observed() {
 		w.emit(history.Event{What: history.Closed, Who: routerName(r.n), Conn: a.name()})
 	}
-	w.note("outcome", t.id, int(word.result))
-	o := balance.Outcome{ID: t.id, Attempt: a.n, Result: word.result, Final: word.result == balance.OK || t.answered, CachedTokens: float64(word.kept), Load: word.load}
+	w.trace("outcome", t.id, int(message.result))
+	o := balance.Outcome{ID: t.id, Attempt: a.n, Result: message.result, Final: message.result == balance.OK || t.answered, CachedTokens: float64(message.cachedTokens), Load: message.load}
 	r.take(o)
-	if word.result == balance.OK && a.conn != nil {
+	if message.result == balance.OK && a.conn != nil {
 		r.keep(a.conn)
-	} else if word.result == balance.Full && a.conn != nil && !word.noConn {
+	} else if message.result == balance.Full && a.conn != nil && !message.noConn {
 		r.keep(a.conn)
 	}
 	if !t.answered {
 		return
 	}
-	r.closeTry(t)
+	r.closeClientAttempt(t)
 	how := served
-	if word.result != balance.OK {
+	if message.result != balance.OK {
 		how = brokenOff
 	}
 	w.answered(t, how)
-	w.over(t.f, how, a.begun, w.now, word.made)
+	w.over(t.f, how, a.begun, w.now, message.made)
 }
 
-// closeTry forgets a try that has its final answer.
-func (r *router) closeTry(t *try) {
+// closeClientAttempt forgets an attempt that has its final answer.
+func (r *router) closeClientAttempt(t *clientAttempt) {
 	t.answered = true
-	delete(r.tries, t.id)
+	delete(r.clientAttempts, t.id)
 	last := r.open[len(r.open)-1]
 	r.open[t.index], last.index = last, t.index
 	r.open[len(r.open)-1] = nil
@@ -303,7 +303,7 @@
 	if !r.alive {
 		return
 	}
-	w.note("router dies", "", n)
+	w.trace("router dies", "", n)
 	w.emit(history.Event{What: history.Exit, Who: routerName(n), Status: -1, Text: "killed"})
 	r.alive, r.changed = false, w.now
 	for h := range r.pools {
@@ -323,19 +323,19 @@
 				continue
 			}
 		}
-		w.again(t.f, 0, routerGone)
+		w.again(t.f, 0, routerDied)
 	}
-	r.open, r.tries, r.pools = nil, nil, nil
+	r.open, r.clientAttempts, r.pools = nil, nil, nil
 }
 
-// tell sends reports to other routers, each copy on its own: late, or not at all.
-func (r *router) tell(a balance.SendReports) {
+// sendReports sends reports to other routers, each copy on its own: late, or not at all.
+func (r *router) sendReports(a balance.SendReports) {
 	w := r.w
 	heard := balance.ReportsReceived{From: r.n, Zone: a.Zone, Reports: a.Reports}
 	for _, to := range a.To {
 		if w.net.Float64() >= w.s.Peers.Lost {
 			late := w.s.Peers.Least + time.Duration(w.net.Float64()*float64(w.s.Peers.Most-w.s.Peers.Least))
-			w.carry(r.n, to, event{at: w.now + late, do: routerHears, n: to, p: heard})
+			w.carry(r.n, to, event{at: w.now + late, kind: routerHears, n: to, p: heard})
 		}
 	}
 }
@@ -350,5 +350,5 @@
 	r.probes++
 	r.w.res.Probes++
 	p := &probe{router: r.n, rgen: r.gen, host: h, n: r.probes}
-	r.w.at(r.w.now+r.w.way(r.zone, r.w.hosts[h].zone), event{do: probeReaches, p: p})
+	r.w.at(r.w.now+r.w.way(r.zone, r.w.hosts[h].zone), event{kind: probeReaches, p: p})
 }
--- a/internal/testbed/simulator/rules.go
+++ b/internal/testbed/simulator/rules.go
@@ -36,8 +36,8 @@
 		return
 	}
 	v := &Violation{Seed: w.s.Seed, At: w.now, Rule: rule, Text: strings.TrimSpace(fmt.Sprintf("%s %d %s", id, n, text))}
-	for i := max(w.noted-lastNotes, 0); i < w.noted; i++ {
-		x := w.notes[i%lastNotes]
+	for i := max(w.traced-maxTrace, 0); i < w.traced; i++ {
+		x := w.traceRing[i%maxTrace]
 		v.Last = append(v.Last, fmt.Sprintf("%12v %s %s %d", x.at, x.what, x.id, x.n))
 	}
 	w.broken = v
@@ -51,11 +51,11 @@
 	ruleAnswered   = "nothing is sent for a request that was answered"
 	ruleDrain      = "nothing new to a draining or gone host after 500 ms"
 	ruleListed     = "only hosts that the list has named"
-	ruleCold       = "no cold host is pushed over"
+	ruleSlowStart  = "no cold host is pushed over"
 )
 
 // checkSend checks what a router is about to send.
-func (w *World) checkSend(r *router, t *try, id, to string) bool {
+func (w *World) checkSend(r *router, t *clientAttempt, id, to string) bool {
 	h, listed := r.byID[to]
 	switch {
 	case t == nil || t.answered:
@@ -64,7 +64,7 @@
 		w.violated(ruleOneAttempt, id, r.n, "to "+to)
 	case !listed:
 		w.violated(ruleListed, id, r.n, "to "+to)
-	case r.known[h].leaving && w.now > r.known[h].since+drainSlack:
+	case r.known[h].draining && w.now > r.known[h].since+drainSlack:
 		w.violated(ruleDrain, id, r.n, fmt.Sprintf("to %s, %v after the news", to, w.now-r.known[h].since))
 	default:
 		return true
--- a/internal/testbed/simulator/simulator_test.go
+++ b/internal/testbed/simulator/simulator_test.go
@@ -25,8 +25,8 @@
 		ContextPerK: 50 * time.Microsecond, PairsPerM: ms, ReadPerS: 20000, KeepsMade: true, Conns: 200, Handshake: ms, TableCost: 0.1,
 		ReportEvery: 100 * ms, ReportNoise: 0.05, Probe: 100 * time.Microsecond, ProbesMax: 20,
 		Cold: hostmodel.Cold{Share: 0.3, Time: 8 * time.Second, Factor: 2.5, Window: 3 * time.Second, PerToken: 50 * time.Microsecond, PerMade: 600 * time.Microsecond}}
-	chat := func(name string, rate, worth float64, aim, deadline time.Duration) Class {
-		return Class{Class: balance.Class{Name: name, LatencyTarget: aim, LatencyTargetPer1000Tokens: 40 * ms, TokenLatencyTarget: 60 * ms, Deadline: deadline, Value: worth, Streamed: true},
+	chat := func(name string, rate, value float64, aim, deadline time.Duration) Class {
+		return Class{Class: balance.Class{Name: name, LatencyTarget: aim, LatencyTargetPer1000Tokens: 40 * ms, TokenLatencyTarget: 60 * ms, Deadline: deadline, Value: value, Streamed: true},
 			Rate: rate, Turns: 3, Think: 3 * time.Second, New: Length{200, 0.8}, Out: Length{80, 0.6}, MaxOut: 400, MaxContext: 16000,
 			Prefixes: 20, Zipf: 1, PrefixLen: Length{800, 0.5}}
 	}
@@ -80,7 +80,7 @@
 	for _, s := range r.Seconds {
 		seconds += s.Good + s.Other
 	}
-	if seconds != asked || r.G() < 0.9 || r.Kept == 0 || r.Attempts < asked || r.MostOpen == 0 {
+	if seconds != asked || r.G() < 0.9 || r.CachedTokens == 0 || r.Attempts < asked || r.MostOpen == 0 {
 		t.Errorf("G %.3f, %d asked, %d in seconds, %+v", r.G(), asked, seconds, r)
 	}
 }
@@ -88,8 +88,8 @@
 // The same spec and seed give the same bytes, one after another and side by side, and another seed gives others.
 func TestDeterminism(t *testing.T) {
 	s := small(7)
-	s.Troubles = []Trouble{{Kind: SlowHosts, At: 3 * time.Second, Length: 5 * time.Second, Part: 0.3, Size: 4},
-		{Kind: RouterCrash, At: 6 * time.Second, Length: 3 * time.Second, Part: 0.5}, {Kind: HostsDie, At: 9 * time.Second, Length: time.Second, Part: 0.2}}
+	s.Disruptions = []Disruption{{Kind: SlowHosts, At: 3 * time.Second, Length: 5 * time.Second, Fraction: 0.3, Size: 4},
+		{Kind: RouterCrash, At: 6 * time.Second, Length: 3 * time.Second, Fraction: 0.5}, {Kind: HostsDie, At: 9 * time.Second, Length: time.Second, Fraction: 0.2}}
 	_, want := run(t, s)
 	var texts [4]string
 	var all sync.WaitGroup
@@ -127,7 +127,7 @@
 // A plan is the load of a world, request by request.
 func TestPlan(t *testing.T) {
 	s := small(3)
-	s.Troubles = []Trouble{{Kind: Burst, At: 5 * time.Second, Length: 5 * time.Second, Size: 3}, {Kind: HostsDie, At: 5 * time.Second, Part: 1, Length: time.Second}}
+	s.Disruptions = []Disruption{{Kind: Burst, At: 5 * time.Second, Length: 5 * time.Second, Size: 3}, {Kind: HostsDie, At: 5 * time.Second, Fraction: 1, Length: time.Second}}
 	plan, err := Plan(s)
 	if err != nil {
 		t.Fatal(err)
@@ -156,7 +156,7 @@
 	h, r := w.hosts[0], w.routers[0]
 	f := &request{session: &session{load: w.classes[0], name: "s"}, prompt: 10, out: 5}
 	send := func(id string) *attempt {
-		a := &attempt{t: &try{f: f, id: id, router: r, gen: r.gen}, fresh: true, conn: &conn{}}
+		a := &attempt{t: &clientAttempt{f: f, id: id, router: r, gen: r.gen}, fresh: true, conn: &conn{}}
 		a.t.out = a
 		w.attemptReaches(a)
 		return a
@@ -184,22 +184,22 @@
 func TestTroubles(t *testing.T) {
 	quiet, _ := run(t, small(5))
 	for _, tt := range []struct {
-		t    Trouble
+		t    Disruption
 		seen func(r *Result) bool
 	}{
-		{Trouble{Kind: SlowHosts, Part: 0.5, Size: 8}, func(r *Result) bool { return r.G() < quiet.G() }},
-		{Trouble{Kind: Burst, Size: 3}, func(r *Result) bool { return r.Asked > 1.3*quiet.Asked }},
-		{Trouble{Kind: HeavyTail, Part: 0.2, Size: 20}, func(r *Result) bool { return r.Classes[0].First.Max() > quiet.Classes[0].First.Max() }},
-		{Trouble{Kind: RouterCrash, Part: 0.5}, func(r *Result) bool { return r.Retries > quiet.Retries }},
-		{Trouble{Kind: HostsDie, Part: 0.5}, func(r *Result) bool { return r.Classes[0].BrokenOff+r.Classes[1].BrokenOff > 0 && leastAlive(r) == 3 }},
-		{Trouble{Kind: Replace, Part: 0.3}, func(r *Result) bool { return leastAlive(r) == 4 }},
-		{Trouble{Kind: Release, Part: 0.2}, func(r *Result) bool { return leastAlive(r) >= 4 }},
-		{Trouble{Kind: LostZone, Zone: "b"}, func(r *Result) bool { return r.G() < quiet.G() }},
-		{Trouble{Kind: ListLost}, func(r *Result) bool { return r.G() == quiet.G() }},
+		{Disruption{Kind: SlowHosts, Fraction: 0.5, Size: 8}, func(r *Result) bool { return r.G() < quiet.G() }},
+		{Disruption{Kind: Burst, Size: 3}, func(r *Result) bool { return r.Asked > 1.3*quiet.Asked }},
+		{Disruption{Kind: HeavyTail, Fraction: 0.2, Size: 20}, func(r *Result) bool { return r.Classes[0].First.Max() > quiet.Classes[0].First.Max() }},
+		{Disruption{Kind: RouterCrash, Fraction: 0.5}, func(r *Result) bool { return r.Retries > quiet.Retries }},
+		{Disruption{Kind: HostsDie, Fraction: 0.5}, func(r *Result) bool { return r.Classes[0].BrokenOff+r.Classes[1].BrokenOff > 0 && leastAlive(r) == 3 }},
+		{Disruption{Kind: Replace, Fraction: 0.3}, func(r *Result) bool { return leastAlive(r) == 4 }},
+		{Disruption{Kind: Release, Fraction: 0.2}, func(r *Result) bool { return leastAlive(r) >= 4 }},
+		{Disruption{Kind: LostZone, Zone: "b"}, func(r *Result) bool { return r.G() < quiet.G() }},
+		{Disruption{Kind: ListLost}, func(r *Result) bool { return r.G() == quiet.G() }},
 	} {
 		s := small(5)
 		tt.t.At, tt.t.Length = 4*time.Second, 6*time.Second
-		s.Troubles = []Trouble{tt.t}
+		s.Disruptions = []Disruption{tt.t}
 		r, text := run(t, s)
 		if !tt.seen(r) {
 			t.Errorf("%s left no mark; G %.3f, %.3f without\n%s", tt.t.Kind, r.G(), quiet.G(), text)
@@ -224,7 +224,7 @@
 		t.Errorf("no hosts: G %v with %d attempts", r.G(), r.Attempts)
 	}
 	s = small(2)
-	s.Troubles = []Trouble{{Kind: HostsDie, Part: 1, Length: time.Second}}
+	s.Disruptions = []Disruption{{Kind: HostsDie, Fraction: 1, Length: time.Second}}
 	r, _ = run(t, s)
 	if r.G() == 0 || leastAlive(r) > 6 {
 		t.Errorf("all cold: G %v", r.G())
@@ -268,7 +268,7 @@
 			}
 			return out
 		}},
-		{ruleCold, func(events []balance.Event) (out []balance.Action) {
+		{ruleSlowStart, func(events []balance.Event) (out []balance.Action) {
 			for _, a := range arrivals(events) {
 				out = append(out, balance.Send{ID: a, Replica: "h5"})
 			}
@@ -277,9 +277,9 @@
 	} {
 		s := small(4)
 		s.New = func(balance.Config, uint64) (Decider, error) { return scripted(tt.d), nil }
-		s.Troubles = []Trouble{{Kind: Replace, Part: 0.9, At: 100 * ms, Length: 500 * ms}}
-		if tt.rule == ruleCold {
-			s.Troubles = []Trouble{{Kind: HostsDie, Part: 1, At: 100 * ms, Length: 500 * ms}}
+		s.Disruptions = []Disruption{{Kind: Replace, Fraction: 0.9, At: 100 * ms, Length: 500 * ms}}
+		if tt.rule == ruleSlowStart {
+			s.Disruptions = []Disruption{{Kind: HostsDie, Fraction: 1, At: 100 * ms, Length: 500 * ms}}
 			s.Classes[0].Rate, s.Groups[1].Host.Queue = 300, 2000
 		}
 		w, err := New(s)
@@ -341,11 +341,11 @@
 			s.Groups[i].Host.Memory = rapid.IntRange(18000, 120000).Draw(t, "memory")
 		}
 		for range rapid.IntRange(0, 3).Draw(t, "troubles") {
-			x := Trouble{Kind: rapid.SampledFrom([]TroubleKind{SlowHosts, Burst, HeavyTail, RouterCrash, HostsDie, Replace, Release, LostZone, ListLost}).Draw(t, "kind"),
-				At:   time.Duration(rapid.IntRange(0, 5000).Draw(t, "at")) * ms,
-				Part: rapid.Float64Range(0.05, 1).Draw(t, "part"), Size: rapid.Float64Range(1, 8).Draw(t, "size"), Zone: "a",
+			x := Disruption{Kind: rapid.SampledFrom([]DisruptionKind{SlowHosts, Burst, HeavyTail, RouterCrash, HostsDie, Replace, Release, LostZone, ListLost}).Draw(t, "kind"),
+				At:       time.Duration(rapid.IntRange(0, 5000).Draw(t, "at")) * ms,
+				Fraction: rapid.Float64Range(0.05, 1).Draw(t, "part"), Size: rapid.Float64Range(1, 8).Draw(t, "size"), Zone: "a",
 				Length: time.Duration(rapid.IntRange(100, 4000).Draw(t, "length")) * ms}
-			s.Troubles = append(s.Troubles, x)
+			s.Disruptions = append(s.Disruptions, x)
 		}
 		w, err := New(s)
 		if err != nil {
@@ -378,12 +378,12 @@
 		"Classes[0].Class.Deadline is 0s":       func(s *Spec) { s.Classes[0].Class.Deadline = 0 },
 		"Groups[0].Count is -1":                 func(s *Spec) { s.Groups[0].Count = -1 },
 		"Groups[1].Host needs Slots":            func(s *Spec) { s.Groups[1].Host.Slots = 0 },
-		"Troubles[0] (slow).Part is 1.5":        func(s *Spec) { s.Troubles = []Trouble{{Kind: SlowHosts, Part: 1.5}} },
-		"Troubles[0] (slow).Size is 0":          func(s *Spec) { s.Troubles = []Trouble{{Kind: SlowHosts, Part: 0.5}} },
-		"Troubles[0] (slow).At and Length":      func(s *Spec) { s.Troubles = []Trouble{{Kind: SlowHosts, At: -1}} },
-		`Troubles[0] (lost_zone).Zone is "c"`:   func(s *Spec) { s.Troubles = []Trouble{{Kind: LostZone, Zone: "c"}} },
-		"Troubles[0] (release).Part and Length": func(s *Spec) { s.Troubles = []Trouble{{Kind: Release}} },
-		"Troubles[0] (flood).Kind is unknown":   func(s *Spec) { s.Troubles = []Trouble{{Kind: "flood"}} },
+		"Troubles[0] (slow).Part is 1.5":        func(s *Spec) { s.Disruptions = []Disruption{{Kind: SlowHosts, Fraction: 1.5}} },
+		"Troubles[0] (slow).Size is 0":          func(s *Spec) { s.Disruptions = []Disruption{{Kind: SlowHosts, Fraction: 0.5}} },
+		"Troubles[0] (slow).At and Length":      func(s *Spec) { s.Disruptions = []Disruption{{Kind: SlowHosts, At: -1}} },
+		`Troubles[0] (lost_zone).Zone is "c"`:   func(s *Spec) { s.Disruptions = []Disruption{{Kind: LostZone, Zone: "c"}} },
+		"Troubles[0] (release).Part and Length": func(s *Spec) { s.Disruptions = []Disruption{{Kind: Release}} },
+		"Troubles[0] (flood).Kind is unknown":   func(s *Spec) { s.Disruptions = []Disruption{{Kind: "flood"}} },
 	} {
 		s := small(1)
 		change(&s)
@@ -419,9 +419,9 @@
 func TestSilentStreamsEnd(t *testing.T) {
 	ended := func(silent time.Duration) (during, broken uint64) {
 		s := small(2)
-		s.Net.Silent = silent
+		s.Net.StreamIdleTimeout = silent
 		s.Retries.Max = 0
-		s.Troubles = []Trouble{{Kind: LostZone, At: 5 * time.Second, Length: 9 * time.Second, Zone: "a"}}
+		s.Disruptions = []Disruption{{Kind: LostZone, At: 5 * time.Second, Length: 9 * time.Second, Zone: "a"}}
 		r, _ := run(t, s)
 		for _, second := range r.Seconds[9:11] {
 			during += second.Other
--- a/internal/testbed/simulator/slowstart_test.go
+++ b/internal/testbed/simulator/slowstart_test.go
@@ -26,12 +26,12 @@
 	s.Front.Uneven = rng.Float64()
 	s.List.Spread = time.Duration(rng.Int64N(int64(3 * time.Second)))
 	s.Peers.Lost = []float64{0, 0.2, 0.6, 1}[rng.IntN(4)]
-	s.Troubles = []Trouble{{Kind: HostsDie, At: 4 * time.Second, Length: 2 * time.Second, Part: 0.2 + 0.5*rng.Float64()}}
+	s.Disruptions = []Disruption{{Kind: HostsDie, At: 4 * time.Second, Length: 2 * time.Second, Fraction: 0.2 + 0.5*rng.Float64()}}
 	if rng.IntN(2) == 0 {
-		s.Troubles[0] = Trouble{Kind: Replace, At: 4 * time.Second, Length: 3 * time.Second, Part: 0.2 + 0.5*rng.Float64()}
+		s.Disruptions[0] = Disruption{Kind: Replace, At: 4 * time.Second, Length: 3 * time.Second, Fraction: 0.2 + 0.5*rng.Float64()}
 	}
 	if rng.IntN(2) == 0 {
-		s.Troubles = append(s.Troubles, Trouble{Kind: RouterCrash, At: 5 * time.Second, Length: 2 * time.Second, Part: 0.7 * rng.Float64()})
+		s.Disruptions = append(s.Disruptions, Disruption{Kind: RouterCrash, At: 5 * time.Second, Length: 2 * time.Second, Fraction: 0.7 * rng.Float64()})
 	}
 	for i := range s.Groups {
 		s.Groups[i].Host.Cold.Mean = meanWork(&s, s.Groups[i].Host.Cold)
@@ -60,7 +60,7 @@
 	}
 	_, err = w.Run(50e6)
 	var broken *Violation
-	if err != nil && (!errors.As(err, &broken) || broken.Rule != ruleCold) {
+	if err != nil && (!errors.As(err, &broken) || broken.Rule != ruleSlowStart) {
 		t.Fatal(err)
 	}
 	worst := 0.0
--- a/internal/testbed/simulator/spec.go
+++ b/internal/testbed/simulator/spec.go
@@ -1,9 +1,9 @@
 // Package simulator plays a whole fleet in virtual time: clients with sessions and retries, a front that spreads them, routers
-// around the real decision module, the list of hosts, the network, model hosts (package fleet) and troubles. Checkers of
+// around the real decision module, the list of hosts, the network, model hosts (package fleet) and disruptions. Checkers of
 // the platform's rules run on every world. The same Spec gives the same results, to the byte, wherever it is played.
 //
 // This file is what an experiment is made of; world.go has the clock, client.go the load, router.go the routers, hosts.go
-// hosts and their list, trouble.go what goes wrong, rules.go the checkers and result.go what comes of it. A World is
+// hosts and their list, disruption.go what goes wrong, rules.go the checkers and result.go what comes of it. A World is
 // single-threaded, does no I/O and looks at no clock; different worlds share nothing and may be played side by side. Its
 // memory is bounded by what is open at once: finished requests are only counted.
 package simulator
@@ -31,15 +31,15 @@
 	Classes []Class
 	Balance balance.Config // but for Zone, Classes and Tick, which the world fills in
 
-	Net      Network
-	List     List
-	Front    Front
-	Retries  Retries
-	Peers    Peers
-	View     View
-	Troubles []Trouble
-	Faults   []faults.Fault // as far as virtual time has them
-	Captured []Planned      // in the order of their times; in place of drawn load, if there is any
+	Net         Network
+	List        List
+	Front       Front
+	Retries     Retries
+	Peers       Peers
+	View        View
+	Disruptions []Disruption
+	Faults      []faults.Fault // as far as virtual time has them
+	Captured    []Planned      // in the order of their times; in place of drawn load, if there is any
 
 	// History is told of what happens, as package judge reads it; nil for nobody. The event is not kept.
 	History func(*history.Event)
@@ -75,7 +75,7 @@
 	Prefixes   int // beginnings that sessions share; 0 for none
 	Zipf       float64
 	PrefixLen  Length
-	Patience   float64 // share of the deadline that a try waits; 0 counts as 1
+	Patience   float64 // share of the deadline that an attempt waits; 0 counts as 1
 }
 
 // Length is a log-normal distribution of lengths in tokens.
@@ -86,11 +86,11 @@
 
 // Network is how long messages take, one way.
 type Network struct {
-	Same, Cross time.Duration // within a zone, and between two
-	Jitter      float64       // each takes up to this share longer
-	Connect     time.Duration // after which a connection that does not come up is given up
-	Idle        time.Duration // after which a host closes one
-	Silent      time.Duration // after which a router ends a stream that says nothing; 0 for never
+	Same, Cross       time.Duration // within a zone, and between two
+	Jitter            float64       // each takes up to this share longer
+	Connect           time.Duration // after which a connection that does not come up is given up
+	Idle              time.Duration // after which a host closes one
+	StreamIdleTimeout time.Duration // after which a router ends a stream that says nothing; 0 for never
 }
 
 // List is how updates on hosts travel to routers.
@@ -124,30 +124,30 @@
 	mostOff    = 2.0
 )
 
-// TroubleKind names what goes wrong.
-type TroubleKind string
+// DisruptionKind names what goes wrong.
+type DisruptionKind string
 
 // The kinds.
 const (
-	SlowHosts   TroubleKind = "slow"           // Part of the hosts work Size times slower
-	Burst       TroubleKind = "burst"          // Size times as many sessions begin
-	HeavyTail   TroubleKind = "heavy_tail"     // a Part of new prompts is Size times as long
-	RouterCrash TroubleKind = "balancer_crash" // Part of the routers die, and come back after Length
-	HostsDie    TroubleKind = "hosts_die"      // Part of the hosts die, and come back cold after Length
-	Replace     TroubleKind = "replace"        // Part of the hosts go for good, and cold ones of other names come
-	Release     TroubleKind = "release"        // all hosts are drained and started anew, a Part at a time, within Length
-	LostZone    TroubleKind = "lost_zone"      // the hosts of Zone are cut off
-	ListLost    TroubleKind = "list_lost"      // no updates on hosts
+	SlowHosts   DisruptionKind = "slow"           // Fraction of the hosts work Size times slower
+	Burst       DisruptionKind = "burst"          // Size times as many sessions begin
+	HeavyTail   DisruptionKind = "heavy_tail"     // a Fraction of new prompts is Size times as long
+	RouterCrash DisruptionKind = "balancer_crash" // Fraction of the routers die, and come back after Length
+	HostsDie    DisruptionKind = "hosts_die"      // Fraction of the hosts die, and come back cold after Length
+	Replace     DisruptionKind = "replace"        // Fraction of the hosts go for good, and cold ones of other names come
+	Release     DisruptionKind = "release"        // all hosts are drained and started anew, a Fraction at a time, within Length
+	LostZone    DisruptionKind = "lost_zone"      // the hosts of Zone are cut off
+	ListLost    DisruptionKind = "list_lost"      // no updates on hosts
 )
 
-// Trouble is something that goes wrong for a while.
-type Trouble struct {
-	Kind   TroubleKind
-	At     time.Duration
-	Length time.Duration
-	Part   float64
-	Size   float64
-	Zone   string
+// Disruption is something that goes wrong for a while.
+type Disruption struct {
+	Kind     DisruptionKind
+	At       time.Duration
+	Length   time.Duration
+	Fraction float64
+	Size     float64
+	Zone     string
 }
 
 // Check returns what is wrong with a Spec, with the field's name.
@@ -199,13 +199,13 @@
 			return fmt.Errorf("spec: Captured[%d] needs a Prompt and an Out of 1 or more, and must not come before the last", i)
 		}
 	}
-	for i, t := range s.Troubles {
+	for i, t := range s.Disruptions {
 		field := func(name string) string { return fmt.Sprintf("spec: Troubles[%d] (%s).%s", i, t.Kind, name) }
 		switch {
 		case t.At < 0 || t.Length < 0:
 			return fmt.Errorf("%s and Length must not be negative", field("At"))
-		case t.Part < 0 || t.Part > 1:
-			return fmt.Errorf("%s is %v; it must be from 0 to 1", field("Part"), t.Part)
+		case t.Fraction < 0 || t.Fraction > 1:
+			return fmt.Errorf("%s is %v; it must be from 0 to 1", field("Part"), t.Fraction)
 		}
 		switch t.Kind {
 		case SlowHosts, Burst, HeavyTail:
@@ -218,7 +218,7 @@
 			}
 		case RouterCrash, HostsDie, Replace, ListLost:
 		case Release:
-			if t.Part <= 0 || t.Length <= 0 {
+			if t.Fraction <= 0 || t.Length <= 0 {
 				return fmt.Errorf("%s and Length must be more than 0", field("Part"))
 			}
 		default:
--- a/internal/testbed/simulator/vast_test.go
+++ b/internal/testbed/simulator/vast_test.go
@@ -35,15 +35,15 @@
 // Six in ten hosts are replaced by cold ones, or a zone dies and comes back cold: no cold host is pushed over by all
 // routers together, whatever the seed, although there is more to do than the fleet can. The checkers end a world in which a rule is broken.
 func TestNoColdHostIsPushedOverByEightyRouters(t *testing.T) {
-	for _, trouble := range []Trouble{
-		{Kind: Replace, At: 4 * time.Second, Length: 5 * time.Second, Part: 0.6},
-		{Kind: HostsDie, At: 4 * time.Second, Length: 2 * time.Second, Part: 0.33},
+	for _, trouble := range []Disruption{
+		{Kind: Replace, At: 4 * time.Second, Length: 5 * time.Second, Fraction: 0.6},
+		{Kind: HostsDie, At: 4 * time.Second, Length: 2 * time.Second, Fraction: 0.33},
 	} {
 		t.Run(string(trouble.Kind), func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(4) {
 				s := vast(seed)
-				s.Troubles = []Trouble{trouble}
+				s.Disruptions = []Disruption{trouble}
 				r, _ := run(t, s)
 				if r.Heard == 0 || r.Probes != 0 {
 					t.Errorf("seed %d: %d words heard and %d probes; want some and none", seed, r.Heard, r.Probes)
@@ -80,13 +80,13 @@
 	for _, tt := range []struct {
 		name    string
 		conns   int
-		trouble Trouble
+		trouble Disruption
 		least   float64 // G
 	}{
-		{"a silent zone", 200, Trouble{Kind: LostZone, At: 4 * time.Second, Length: 4 * time.Second, Zone: "a"}, 0.8},
-		{"few connections", 9, Trouble{Kind: SlowHosts, At: 4 * time.Second, Length: time.Second, Part: 0.01, Size: 1.1}, 0.8},
-		{"slow hosts", 200, Trouble{Kind: SlowHosts, At: 4 * time.Second, Length: 8 * time.Second, Part: 0.1, Size: 6}, 0.8},
-		{"a release of routers", 200, Trouble{Kind: RouterCrash, At: 4 * time.Second, Length: 2 * time.Second, Part: 0.7}, 0.8},
+		{"a silent zone", 200, Disruption{Kind: LostZone, At: 4 * time.Second, Length: 4 * time.Second, Zone: "a"}, 0.8},
+		{"few connections", 9, Disruption{Kind: SlowHosts, At: 4 * time.Second, Length: time.Second, Fraction: 0.01, Size: 1.1}, 0.8},
+		{"slow hosts", 200, Disruption{Kind: SlowHosts, At: 4 * time.Second, Length: 8 * time.Second, Fraction: 0.1, Size: 6}, 0.8},
+		{"a release of routers", 200, Disruption{Kind: RouterCrash, At: 4 * time.Second, Length: 2 * time.Second, Fraction: 0.7}, 0.8},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
@@ -97,7 +97,7 @@
 			for i := range s.Groups {
 				s.Groups[i].Host.Conns = tt.conns
 			}
-			s.Troubles = []Trouble{tt.trouble}
+			s.Disruptions = []Disruption{tt.trouble}
 			r, _ := run(t, s)
 			t.Logf("G %.3f, handshakes %d for %d attempts, %.1f list lines for each first try", r.G(), r.Handshakes, r.Attempts, float64(r.Lines)/float64(firstTries(r)))
 			if g := r.G(); g < tt.least {
@@ -118,7 +118,7 @@
 		}
 		s.Length = 26 * time.Second
 		s.Retries = Retries{Max: 3, Heed: true, After: 20 * ms}
-		s.Troubles = []Trouble{{Kind: HostsDie, At: 12 * time.Second, Length: 2 * time.Second, Part: 1}}
+		s.Disruptions = []Disruption{{Kind: HostsDie, At: 12 * time.Second, Length: 2 * time.Second, Fraction: 1}}
 		r, _ := run(t, s)
 		sum := func(from, to int) (good, asked float64) {
 			for _, second := range r.Seconds[from:to] {
--- a/internal/testbed/simulator/view.go
+++ b/internal/testbed/simulator/view.go
@@ -38,7 +38,7 @@
 		}
 	}
 	if w.now < w.s.Length || w.open > 0 {
-		w.at(w.now+viewEvery, event{do: viewsChange})
+		w.at(w.now+viewEvery, event{kind: viewsChange})
 	}
 }
 
--- a/internal/testbed/simulator/view_test.go
+++ b/internal/testbed/simulator/view_test.go
@@ -23,9 +23,9 @@
 			for seed := range *viewSeeds {
 				s := vast(seed)
 				s.View, s.Length = view, 11*time.Second
-				s.Troubles = []Trouble{
-					{Kind: HostsDie, At: 4 * time.Second, Length: 2 * time.Second, Part: 0.33},
-					{Kind: RouterCrash, At: 5 * time.Second, Length: 3 * time.Second, Part: 0.7},
+				s.Disruptions = []Disruption{
+					{Kind: HostsDie, At: 4 * time.Second, Length: 2 * time.Second, Fraction: 0.33},
+					{Kind: RouterCrash, At: 5 * time.Second, Length: 3 * time.Second, Fraction: 0.7},
 				}
 				w, err := New(s)
 				if err != nil {
--- a/internal/testbed/simulator/world.go
+++ b/internal/testbed/simulator/world.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	lastNotes = 64 // kept for whoever reads of a broken rule
+	maxTrace = 64 // kept for whoever reads of a broken rule
 	// epoch is a world's first moment on the routers' clock: 0 would be "long ago" to them.
 	epoch = time.Hour
 )
@@ -21,7 +21,7 @@
 	queue    queue
 	now      time.Duration // since the beginning
 	net      *rand.Rand    // delays on the network
-	chance   *rand.Rand    // troubles and the front
+	chance   *rand.Rand    // disruptions and the front
 	classes  []*load
 	zones    []string
 	hosts    []*host
@@ -40,23 +40,23 @@
 	planning bool // requests are only written down
 	plan     []Planned
 
-	res    Result
-	notes  [lastNotes]note
-	noted  int
-	broken *Violation
+	res       Result
+	traceRing [maxTrace]traceEntry
+	traced    int
+	broken    *Violation
 }
 
-// note is something that happened, for a report of a broken rule.
-type note struct {
+// traceEntry is something that happened, for a report of a broken rule.
+type traceEntry struct {
 	at   time.Duration
 	what string
 	id   string
 	n    int
 }
 
-func (w *World) note(what, id string, n int) {
-	w.notes[w.noted%lastNotes] = note{w.now, what, id, n}
-	w.noted++
+func (w *World) trace(what, id string, n int) {
+	w.traceRing[w.traced%maxTrace] = traceEntry{w.now, what, id, n}
+	w.traced++
 }
 
 // stream returns a source of random numbers of its own for one purpose, so that what one draws moves nothing of another.
@@ -72,9 +72,9 @@
 	forSession
 	forHost
 	forRouter
-	forTry
+	forClientAttempt
 	forGate
-	forPart
+	forWeight
 )
 
 // New makes a world.
@@ -107,8 +107,8 @@
 		if len(w.zones) > 0 {
 			zone = w.zones[i%len(w.zones)]
 		}
-		off := min(max(w.stream(forPart, uint64(i)).NormFloat64(), -mostOff), mostOff)
-		w.routers = append(w.routers, &router{w: w, n: i, zone: zone, part: math.Exp(s.Front.Uneven * (off - mostOff))})
+		off := min(max(w.stream(forWeight, uint64(i)).NormFloat64(), -mostOff), mostOff)
+		w.routers = append(w.routers, &router{w: w, n: i, zone: zone, weight: math.Exp(s.Front.Uneven * (off - mostOff))})
 		if err := w.startRouter(i); err != nil {
 			return nil, err
 		}
@@ -117,19 +117,19 @@
 	for i, c := range s.Classes {
 		if c.Rate > 0 && len(s.Captured) == 0 {
 			w.classes[i].underway()
-			w.at(w.classes[i].gap(), event{do: sessionBegins, n: i})
+			w.at(w.classes[i].gap(), event{kind: sessionBegins, n: i})
 		}
 	}
 	if len(s.Captured) > 0 {
-		w.at(s.Captured[0].At, event{do: capturedComes})
+		w.at(s.Captured[0].At, event{kind: capturedComes})
 	}
-	for i, t := range s.Troubles {
-		w.at(t.At, event{do: troubleBegins, n: i})
+	for i, t := range s.Disruptions {
+		w.at(t.At, event{kind: disruptionBegins, n: i})
 	}
 	w.schedules()
-	w.at(time.Second, event{do: sampled})
+	w.at(time.Second, event{kind: sampled})
 	if s.View.On {
-		w.at(0, event{do: viewsChange})
+		w.at(0, event{kind: viewsChange})
 	}
 	return w, nil
 }
@@ -184,21 +184,21 @@
 }
 
 func (w *World) play(e *event) {
-	switch e.do {
+	switch e.kind {
 	case sessionBegins:
 		w.classes[e.n].begin()
 	case turnComes:
 		w.turn(e.p.(*session))
-	case streamsSilent:
-		w.endSilent(w.hosts[e.n], e.gen)
+	case streamsIdle:
+		w.endIdleStreams(w.hosts[e.n], e.gen)
 	case capturedComes:
 		w.captured(e.n)
 	case retryComes:
-		w.try(e.p.(*request))
-	case tryReaches:
-		w.reach(e.p.(*try))
-	case tryOverdue:
-		w.overdue(e.p.(*try), e.n == 1)
+		w.sendToRouter(e.p.(*request))
+	case clientAttemptReaches:
+		w.reach(e.p.(*clientAttempt))
+	case clientAttemptOverdue:
+		w.overdue(e.p.(*clientAttempt), e.n == 1)
 	case routerSteps:
 		if r := w.routers[e.n]; r.alive && r.gen == e.gen {
 			r.step()
@@ -214,7 +214,7 @@
 		}
 	case listReaches:
 		if r := w.routers[e.n]; r.alive && r.gen == e.gen {
-			r.told(e.p.(*listUpdate))
+			r.applyList(e.p.(*listUpdate))
 		}
 	case routerStarts:
 		if err := w.startRouter(e.n); err != nil {
@@ -222,10 +222,10 @@
 		}
 	case attemptReaches:
 		w.attemptReaches(e.p.(*attempt))
-	case attemptTells:
-		t := e.p.(*tell)
+	case hostMessageReaches:
+		t := e.p.(*hostMessage)
 		if r := w.routers[e.n]; r.alive && r.gen == e.gen {
-			r.hear(t)
+			r.receiveHostMessage(t)
 		}
 	case cancelReaches:
 		w.cancelled(e.p.(*attempt))
@@ -235,7 +235,7 @@
 		w.routers[e.n].idleOver(e.p.(*conn), e.gen)
 	case probeReaches:
 		w.probeReaches(e.p.(*probe))
-	case probeTells:
+	case probeResultReaches:
 		p := e.p.(*probe)
 		if r := w.routers[e.n]; r.alive && r.gen == e.gen {
 			r.take(balance.ProbeResult{Replica: w.hosts[p.host].id, Result: p.result, Load: p.load})
@@ -247,9 +247,9 @@
 		}
 	case hostStarts:
 		w.startHost(w.hosts[e.n], e.gen)
-	case troubleBegins:
+	case disruptionBegins:
 		w.begins(e.n)
-	case troubleEnds:
+	case disruptionEnds:
 		w.ends(e.n)
 	case faultBegins:
 		w.faultBegins(e.n)
