--- a/coord/register/recovery.go
+++ b/coord/register/recovery.go
@@ -10,10 +10,32 @@
 	"reachspread/coord/storage"
 )
 
-// Load restores what is on disk into a machine. The returned state is nil if there is none;
-// then the store needs a first Save, which the replica does. An error means that a record
-// passed its checksum and can't be parsed, so another version wrote it: the folder must not be
-// used.
+// SavedState is the Record of an UnreadableError about the saved state rather than the log.
+const SavedState = -1
+
+// UnreadableError reports that what is on disk passed its checksum and can't be read: it was written
+// by another program or version. The folder must not be used, as this process may have promised
+// something in what can't be read.
+type UnreadableError struct {
+	Record int // the index in the log, or SavedState
+	Err    error
+}
+
+// Error names what can't be read, and how to go on.
+func (e *UnreadableError) Error() string {
+	what := "the saved state"
+	if e.Record != SavedState {
+		what = fmt.Sprintf("record %d of the log", e.Record)
+	}
+	return fmt.Sprintf("register: %s can't be read (start the version that wrote it): %v", what, e.Err)
+}
+
+// Unwrap returns the cause.
+func (e *UnreadableError) Unwrap() error { return e.Err }
+
+// Load restores what is on disk into a machine. The returned state is nil if there is none; then the
+// store needs a first Save, which the replica does. The error is an *UnreadableError, or that of
+// reading a file.
 func Load(files storage.Files, m chain.Machine) (*storage.Store, *coordpb.Durable, error) {
 	store, found, err := storage.Open(files)
 	if err != nil || found.State == nil {
@@ -21,32 +43,33 @@
 	}
 	d := &coordpb.Durable{}
 	if err := proto.Unmarshal(found.State, d); err != nil {
-		return nil, nil, fmt.Errorf("register: the saved state can not be read: %w", err)
+		return nil, nil, &UnreadableError{SavedState, err}
 	}
 	var records []*coordpb.Record
 	for i, text := range found.Records {
 		r := &coordpb.Record{}
 		if err := proto.Unmarshal(text, r); err != nil {
-			return nil, nil, fmt.Errorf("register: record %d can not be read: %w", i, err)
+			return nil, nil, &UnreadableError{i, err}
 		}
 		records = append(records, r)
 	}
 	return store, d, Replay(d, records, m)
 }
 
-// Replay applies records that were written after a state to that state and to the machine.
+// Replay applies records that were written after a state to that state and to the machine. The error
+// is an *UnreadableError about a snapshot that the machine rejects.
 func Replay(d *coordpb.Durable, records []*coordpb.Record, m chain.Machine) error {
 	if len(d.State) > 0 {
 		if err := m.Restore(d.State); err != nil {
-			return err
+			return &UnreadableError{SavedState, err}
 		}
 	}
 	if d.Position == nil {
 		d.Position = &coordpb.Position{}
 	}
-	for _, r := range records {
+	for i, r := range records {
 		if err := replayRecord(d, r, m); err != nil {
-			return err
+			return &UnreadableError{i, err}
 		}
 	}
 	return nil
--- /dev/null
+++ b/coord/register/recovery_test.go
@@ -0,0 +1,69 @@
+package register_test
+
+import (
+	"errors"
+	"testing"
+
+	"github.com/matryer/is"
+	"google.golang.org/protobuf/proto"
+
+	"reachspread/coord/coordpb"
+	"reachspread/coord/register"
+	"reachspread/coord/storage"
+)
+
+var errRejected = errors.New("rejected")
+
+// pickyLines rejects the snapshot "bad".
+type pickyLines struct{ lines }
+
+func (l *pickyLines) Restore(text []byte) error {
+	if string(text) == "bad" {
+		return errRejected
+	}
+	return l.lines.Restore(text)
+}
+
+// What can't be read on a disk is named by an error of its own type.
+func TestUnreadableStateIsNamed(t *testing.T) {
+	marshal := func(m proto.Message) []byte {
+		text, err := proto.Marshal(m)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return text
+	}
+	garbage := []byte{0xff}
+	good := marshal(&coordpb.Durable{Identity: 1, State: []byte("one")})
+	installed := &coordpb.Installed{Position: &coordpb.Position{Sequence: 1}, State: []byte("bad")}
+	epoch := marshal(&coordpb.Record{Body: &coordpb.Record_StateEpoch{StateEpoch: 2}})
+	for name, c := range map[string]struct {
+		state   []byte
+		records [][]byte
+		want    int
+		cause   error // nil for any
+	}{
+		"a saved state that is no message":    {garbage, nil, register.SavedState, nil},
+		"a saved state that is rejected":      {marshal(&coordpb.Durable{State: []byte("bad")}), nil, register.SavedState, errRejected},
+		"a record that is no message":         {good, [][]byte{epoch, garbage}, 1, nil},
+		"a record whose snapshot is rejected": {good, [][]byte{epoch, epoch, marshal(&coordpb.Record{Body: &coordpb.Record_Installed{Installed: installed}})}, 2, errRejected},
+	} {
+		t.Run(name, func(t *testing.T) {
+			is := is.New(t)
+			files, err := storage.NewFolder(t.TempDir())
+			is.NoErr(err)
+			defer files.Close()
+			store, _, err := storage.Open(files)
+			is.NoErr(err)
+			is.NoErr(store.Save(c.state))
+			if len(c.records) > 0 {
+				is.NoErr(store.Append(c.records...))
+			}
+			_, _, err = register.Load(files, &pickyLines{})
+			var unreadable *register.UnreadableError
+			is.True(errors.As(err, &unreadable))
+			is.Equal(unreadable.Record, c.want)
+			is.True(c.cause == nil || errors.Is(err, c.cause))
+		})
+	}
+}
