--- a/internal/router/mirror/mirror.go
+++ b/internal/router/mirror/mirror.go
@@ -236,14 +236,14 @@
 }
 
 // Copy implements transport.Copier.
-func (c *choosing) Copy(pools uint64, r transport.Taken) transport.Watcher {
+func (c *choosing) Copy(pools uint64, r transport.AcceptedRequest) transport.AnswerObserver {
 	most := 0
 	for i, p := range c.pools {
 		if shadow.Pools(pools).Has(i) {
 			most = max(most, p.answerBytes())
 		}
 	}
-	l := &live{answer: capture{most: most, since: r.Came}}
+	l := &live{answer: capture{most: most, since: r.ArrivedAt}}
 	for i, p := range c.pools {
 		if !shadow.Pools(pools).Has(i) || p.one.Load() && !p.hasLease.Load() {
 			continue
--- a/internal/router/mirror/mirror_test.go
+++ b/internal/router/mirror/mirror_test.go
@@ -189,7 +189,7 @@
 }
 
 // offered is what the front does for a request that may be copied.
-func offered(tap transport.Tap, header *fasthttp.RequestHeader, m *transport.Message) transport.Watcher {
+func offered(tap transport.Tap, header *fasthttp.RequestHeader, m *transport.Message) transport.AnswerObserver {
 	var tenant []byte
 	if name := tap.TenantHeader(); name != "" {
 		tenant = header.Peek(name)
@@ -198,7 +198,7 @@
 	if copier == nil {
 		return nil
 	}
-	return copier.Copy(pools, transport.Taken{Arrival: arrival, Tenant: string(tenant), Came: time.Now(), Message: m})
+	return copier.Copy(pools, transport.AcceptedRequest{Arrival: arrival, Tenant: string(tenant), ArrivedAt: time.Now(), Message: m})
 }
 
 func BenchmarkTapNothingChosen(b *testing.B) { benchmarkTap(b, 0) }
--- a/internal/router/mirror/pool.go
+++ b/internal/router/mirror/pool.go
@@ -84,7 +84,7 @@
 	id      uint64
 	session uint64
 	live    *live
-	taken   transport.Taken
+	taken   transport.AcceptedRequest
 
 	ctx    context.Context // from its start on; ends when it is given up
 	cancel context.CancelFunc
@@ -101,14 +101,14 @@
 	if err != nil {
 		return nil, err
 	}
-	p.servers = transport.NewServers(transport.ServerLimits{Connect: m.o.Connect, Keepalive: m.o.Idle,
-		Silent: set.StreamIdleTimeout, Connections: set.Sockets}, p.log)
+	p.servers = transport.NewServers(transport.ServerLimits{ConnectTimeout: m.o.Connect, Keepalive: m.o.Idle,
+		StreamIdleTimeout: set.StreamIdleTimeout, Connections: set.Sockets}, p.log)
 	p.router = routing.New(b, seated{p.servers, p}, p.log, probeFor)
 	ctx, stop := context.WithCancel(context.Background())
 	p.stop = stop
 	go p.router.Run(ctx)
 	if set.Discovery != "" {
-		go transport.NewDiscovery(set.Discovery, transport.Pushed, transport.WholeList, p.log, p.applyList).Run(ctx)
+		go transport.NewDiscovery(set.Discovery, transport.Pushed, transport.FullList, p.log, p.applyList).Run(ctx)
 	}
 	go p.run()
 	return p, nil
@@ -333,7 +333,7 @@
 func (p *pool) record(c *copied, a shadow.Record) {
 	taken, texts := c.taken, p.texts
 	answer := c.answer.answer(p.m.key[:])
-	r := &records.Record{Version: records.Version, At: taken.Came.UTC(), Pool: p.name, Class: taken.Arrival.Class,
+	r := &records.Record{Version: records.Version, At: taken.ArrivedAt.UTC(), Pool: p.name, Class: taken.Arrival.Class,
 		Tenant: taken.Tenant, ID: taken.Arrival.ID, Session: fmt.Sprintf("%016x", c.session), Gap: c.gap, Cause: string(a.Cause),
 		BodySize: len(taken.Message.Body()), Copy: side(answer, c.answer.outcome, texts)}
 	if texts {
@@ -421,7 +421,7 @@
 			left()
 			return routing.AttemptResult{Result: balance.NotSent}
 		}
-		msg = msg.Under(duty, token, func(highest uint64) { s.pool.m.o.Duties.TokenRejected(duty, highest) })
+		msg = msg.WithFencingToken(duty, token, func(highest uint64) { s.pool.m.o.Duties.TokenRejected(duty, highest) })
 	}
 	head := s.Servers.Send(ctx, deadline, to, msg, written)
 	heard()
--- a/internal/router/program/admission.go
+++ b/internal/router/program/admission.go
@@ -30,7 +30,7 @@
 
 // frontLimits is what clients may take up.
 func (p *Program) frontLimits(r processLimits) transport.FrontLimits {
-	l := transport.FrontLimits{Bodies: r.bodies, Seed: p.cfg.seed, Admission: p.cfg.admission(r.clients), Short: p.onShortage()}
+	l := transport.FrontLimits{BodyBytes: r.bodies, Seed: p.cfg.seed, Admission: p.cfg.admission(r.clients), OnDescriptorShortage: p.onShortage()}
 	if p.cfg.set != nil && p.cfg.set.Admission != nil {
 		l.Identity = p.cfg.set.Admission.Identity
 	}
--- a/internal/router/program/exchange_test.go
+++ b/internal/router/program/exchange_test.go
@@ -393,7 +393,7 @@
 	defer mute.Stop()
 	asking := scripted.NewFlood(p.addr, 20, scripted.Asking, from, time.Minute)
 	defer asking.Stop()
-	for i := range 2 * transport.MostCallers {
+	for i := range 2 * transport.MaxCallers {
 		c, err := net.Dial("tcp", first.management)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/router/program/handover.go
+++ b/internal/router/program/handover.go
@@ -39,7 +39,7 @@
 	p.mu.Unlock()
 	p.front.MoveTo(mover)
 	p.servers.Move(mover)
-	p.receiver.Leave()
+	p.receiver.MoveOn()
 }
 
 // finishMoves waits for connections that came from another process.
@@ -57,5 +57,5 @@
 	if p.receiver == nil {
 		return 0
 	}
-	return p.receiver.Carried()
+	return p.receiver.ActiveStreams()
 }
--- a/internal/router/program/management_test.go
+++ b/internal/router/program/management_test.go
@@ -150,7 +150,7 @@
 		t.Errorf("drain-off: %q", got)
 	}
 	s.until("phase name=serving")
-	for i := range 3 * transport.MostCallers {
+	for i := range 3 * transport.MaxCallers {
 		s.dial([]string{"", "che", "vars\nvars\n"}[i%3])
 	}
 	for line, want := range map[string]string{"check": "+OK\n", "vars": "+OK\nedge_router_fulfilled_total{priority=\"chat\"} 0\n",
@@ -326,7 +326,7 @@
 			t.Fatal(err)
 		}
 		done := make(chan bool)
-		go func() { defer close(done); s.front.Empty(0) }()
+		go func() { defer close(done); s.front.CloseIdle(0) }()
 		fmt.Fprintf(c, "POST /v1/chat/completions HTTP/1.1\r\nHost: r\r\nX-Correlation-Id: q%d\r\nX-Service-Class: chat\r\nX-Time-Left: 8000m\r\nContent-Length: 2\r\n\r\n{}", i)
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		// A close that was under way when the request was written is the client's to see, and
--- a/internal/router/program/phases.go
+++ b/internal/router/program/phases.go
@@ -109,7 +109,7 @@
 	p.phase = next
 	d := policies[next]
 	p.front.SetReady(d.ready)
-	p.front.SetKeeps(d.keepAlive)
+	p.front.SetKeepAlive(d.keepAlive)
 	if d.acceptFrom == acceptShared || d.acceptFrom == acceptExclusive && !p.inherited {
 		if !p.accepting {
 			p.accepting = true
@@ -154,9 +154,9 @@
 		case <-left: // and another phase says otherwise
 		default:
 			if endAfterAnswer {
-				p.front.Part()
+				p.front.CloseAfterAnswers()
 			}
-			p.front.Empty(quiet)
+			p.front.CloseIdle(quiet)
 		}
 		p.mu.Unlock()
 		timer.Reset(idleCheckInterval)
--- a/internal/router/program/processlimits.go
+++ b/internal/router/program/processlimits.go
@@ -102,14 +102,14 @@
 		return
 	}
 	debug.SetMemoryLimit(r.heap)
-	p.front.SetBodies(r.bodies)
-	p.servers.Limit(r.servers)
-	p.front.Retune(p.admission(r.clients))
+	p.front.SetBodyBytes(r.bodies)
+	p.servers.SetLimit(r.servers)
+	p.front.SetAdmission(p.admission(r.clients))
 }
 
 // yieldLimits leaves half of the limits to the process that takes over.
 func (p *Program) yieldLimits() {
 	half := p.cfg.processLimits(processgroup.Siblings{Processes: 1, Uncounted: true})
 	debug.SetMemoryLimit(half.heap)
-	p.servers.Limit(half.servers)
+	p.servers.SetLimit(half.servers)
 }
--- a/internal/router/program/program.go
+++ b/internal/router/program/program.go
@@ -134,10 +134,10 @@
 		return fmt.Errorf("settings: %w", err)
 	}
 	alone := p.cfg.processLimits(processgroup.Siblings{})
-	p.servers = transport.NewServers(transport.ServerLimits{Connect: p.cfg.connectTimeout(),
-		Keepalive:   time.Duration(p.cfg.Settings.Limits.KeepaliveNs),
-		Silent:      streamIdleTimeout,
-		Connections: alone.servers}, p.log)
+	p.servers = transport.NewServers(transport.ServerLimits{ConnectTimeout: p.cfg.connectTimeout(),
+		Keepalive:         time.Duration(p.cfg.Settings.Limits.KeepaliveNs),
+		StreamIdleTimeout: streamIdleTimeout,
+		Connections:       alone.servers}, p.log)
 	p.balancer = balancer
 	p.router = routing.New(balancer, p.servers, p.log, p.cfg.connectTimeout()+probeAnswerTimeout)
 	p.gate = &recoveryGate{gate: recovery.NewGate(p.cfg.balance, nil, p.cfg.seed)}
@@ -214,7 +214,7 @@
 // names by then; all else goes on as it was. The old watch has ended before the new one begins, so
 // no older list can come last.
 func (p *Program) watchDiscovery(ctx context.Context, reload <-chan os.Signal) {
-	pace, since := transport.Pushed, int64(transport.WholeList)
+	pace, since := transport.Pushed, int64(transport.FullList)
 	if p.cfg.balance.MustSubscribe {
 		o := p.cfg.Settings
 		pace = transport.Asked(o.NInstances, time.Duration(o.Rules.MustAskInNs))
@@ -232,7 +232,7 @@
 		addr, moved = p.awaitDiscoveryChange(ctx, reload)
 		move()
 		<-ended
-		since = transport.WholeList // another discovery counts versions of its own
+		since = transport.FullList // another discovery counts versions of its own
 	}
 }
 
--- a/internal/router/program/reload.go
+++ b/internal/router/program/reload.go
@@ -112,8 +112,8 @@
 func (p *Program) applySettings(c *Config) {
 	p.inForce.Store(c)
 	p.router.Reconfigure(c.balance)
-	p.servers.Retime(c.connectTimeout(), time.Duration(c.Settings.Limits.KeepaliveNs))
-	p.front.Retune(p.admission(p.processLimits.Load().clients))
+	p.servers.SetTimeouts(c.connectTimeout(), time.Duration(c.Settings.Limits.KeepaliveNs))
+	p.front.SetAdmission(p.admission(p.processLimits.Load().clients))
 	if p.mirror != nil {
 		p.mirror.Retune(c.balance)
 	}
--- a/internal/system/dataplane/forward.go
+++ b/internal/system/dataplane/forward.go
@@ -16,7 +16,7 @@
 
 // forward returns how the request is forwarded: without its key, under its tenant's name.
 func (r *request) forward(ctx *fasthttp.RequestCtx, a *routeMatch) *transport.Forward {
-	f := &transport.Forward{Events: r.route.Kind == configuration.Streaming, Silent: streamIdleTimeout(r.route)}
+	f := &transport.Forward{Events: r.route.Kind == configuration.Streaming, IdleTimeout: streamIdleTimeout(r.route)}
 	named := connectionNames(ctx.Request.Header.Peek("Connection"))
 	for name, value := range ctx.Request.Header.All() {
 		n := string(name)
--- a/internal/system/dataplane/intake.go
+++ b/internal/system/dataplane/intake.go
@@ -60,7 +60,7 @@
 func (p *Plane) admit(ctx *fasthttp.RequestCtx) (*routeMatch, *transport.Rejection) {
 	state := p.state.Load()
 	if state == nil {
-		return nil, &transport.Rejection{Code: http.StatusServiceUnavailable, Line: "no configuration is known yet", Wait: startupRetryAfter()}
+		return nil, &transport.Rejection{Code: http.StatusServiceUnavailable, Text: "no configuration is known yet", RetryAfter: startupRetryAfter()}
 	}
 	a := &routeMatch{state: state, route: state.Typed.Route(hostOf(ctx), pathOf(ctx))}
 	if a.route == nil {
@@ -68,7 +68,7 @@
 	}
 	if state.Typed.Keyed() && !a.route.Public {
 		if !p.o.Fresh() {
-			return nil, &transport.Rejection{Code: http.StatusServiceUnavailable, Line: "keys can not be checked now", Wait: startupRetryAfter()}
+			return nil, &transport.Rejection{Code: http.StatusServiceUnavailable, Text: "keys can not be checked now", RetryAfter: startupRetryAfter()}
 		}
 		key := protocol.BearerKey(string(ctx.Request.Header.Peek(fasthttp.HeaderAuthorization)))
 		if a.tenant = state.Typed.Tenant(key); a.tenant == nil {
@@ -82,9 +82,9 @@
 // newest denies nothing for good: a route or a key may have been added since.
 func (p *Plane) deny(code int, line string) *transport.Rejection {
 	if !p.o.Newest() {
-		return &transport.Rejection{Code: http.StatusServiceUnavailable, Line: "the configuration may not be the newest", Wait: startupRetryAfter()}
+		return &transport.Rejection{Code: http.StatusServiceUnavailable, Text: "the configuration may not be the newest", RetryAfter: startupRetryAfter()}
 	}
-	return &transport.Rejection{Code: code, Line: line}
+	return &transport.Rejection{Code: code, Text: line}
 }
 
 // routeMatchOf returns what admit found for a request when its head came, or finds now, as soon as the
@@ -133,13 +133,13 @@
 	final, _ := a.ServerAnswer.(*transport.Final)
 	switch {
 	case a.Verdict == routing.Rejected && !a.MayHaveExecuted:
-		transport.Refuse(ctx, transport.Rejection{Code: http.StatusServiceUnavailable, Line: "refused; it has not run", Wait: a.RetryAfter, Keep: true})
+		transport.WriteRejection(ctx, transport.Rejection{Code: http.StatusServiceUnavailable, Text: "refused; it has not run", RetryAfter: a.RetryAfter, KeepAlive: true})
 	case final != nil:
 		transport.WriteFinal(ctx, final)
 	case a.Verdict == routing.Invalid:
-		transport.Refuse(ctx, transport.Rejection{Code: http.StatusBadRequest, Line: "no host can use this request", Keep: true})
+		transport.WriteRejection(ctx, transport.Rejection{Code: http.StatusBadRequest, Text: "no host can use this request", KeepAlive: true})
 	default:
-		transport.Refuse(ctx, transport.Rejection{Code: http.StatusBadGateway, Line: "failed", Keep: true})
+		transport.WriteRejection(ctx, transport.Rejection{Code: http.StatusBadGateway, Text: "failed", KeepAlive: true})
 	}
 }
 
@@ -153,5 +153,5 @@
 
 // LongHead implements transport.Intake.
 func (p *Plane) LongHead() transport.Rejection {
-	return transport.Rejection{Code: http.StatusRequestHeaderFieldsTooLarge, Line: "the head is too long"}
+	return transport.Rejection{Code: http.StatusRequestHeaderFieldsTooLarge, Text: "the head is too long"}
 }
--- a/internal/system/dataplane/pins.go
+++ b/internal/system/dataplane/pins.go
@@ -102,7 +102,7 @@
 		return nil
 	}
 	line := fmt.Sprintf("no host has version %d of model %s, to which pin %s holds this request", h.pin.Version, h.pin.Model, h.pin.Name)
-	return &transport.Rejection{Code: http.StatusServiceUnavailable, Line: line, Wait: startupRetryAfter(), Keep: true}
+	return &transport.Rejection{Code: http.StatusServiceUnavailable, Text: line, RetryAfter: startupRetryAfter(), KeepAlive: true}
 }
 
 // begin counts a request, and tracks it unless it is rejected.
--- a/internal/system/dataplane/plan.go
+++ b/internal/system/dataplane/plan.go
@@ -25,15 +25,15 @@
 	}
 	request, err := readRequest(&ctx.Request.Header, match.route, len(body))
 	if err != nil {
-		return nil, &transport.Rejection{Code: http.StatusBadRequest, Line: err.Error()}
+		return nil, &transport.Rejection{Code: http.StatusBadRequest, Text: err.Error()}
 	}
 	charge := p.quotaChargeFor(match.tenant, request)
 	if ok, wait := charge.take(); !ok {
-		return nil, &transport.Rejection{Code: http.StatusTooManyRequests, Line: "over the tenant's quota", Wait: wait, Keep: true}
+		return nil, &transport.Rejection{Code: http.StatusTooManyRequests, Text: "over the tenant's quota", RetryAfter: wait, KeepAlive: true}
 	}
 	s := p.pickService(match.route)
 	if s == nil || !p.awaitStartup(ctx, func() bool { return s.servingHosts.Load() > 0 }) {
-		return nil, &transport.Rejection{Code: http.StatusServiceUnavailable, Line: "no host of the service is known", Wait: startupRetryAfter(), Keep: true}
+		return nil, &transport.Rejection{Code: http.StatusServiceUnavailable, Text: "no host of the service is known", RetryAfter: startupRetryAfter(), KeepAlive: true}
 	}
 	request.arrival.ID = strconv.FormatUint(p.nextID.Add(1), 36)
 	pinned := p.pins.request(p.state.Load().Pins(), match, request, s)
@@ -99,6 +99,6 @@
 		next.Resumed = true
 		next.RequiredFeature = requiredFeature
 		attempts++
-		return &transport.Plan{Router: s.router, Arrival: next, Message: message.After(after, version, charge.admit)}, true
+		return &transport.Plan{Router: s.router, Arrival: next, Message: message.ResumeAfter(after, version, charge.admit)}, true
 	}
 }
--- a/internal/system/dataplane/plane_test.go
+++ b/internal/system/dataplane/plane_test.go
@@ -203,11 +203,11 @@
 	f.fresh.Store(true)
 	f.newest.Store(true)
 	s := &settings.Settings{Zone: "a", Bounds: settings.Bounds{RetryBudgetRatio: 5, RetryBudgetSlack: 100}}
-	servers := transport.NewServers(transport.ServerLimits{Connect: time.Second, Keepalive: time.Minute, Silent: time.Second, Connections: 50,
+	servers := transport.NewServers(transport.ServerLimits{ConnectTimeout: time.Second, Keepalive: time.Minute, StreamIdleTimeout: time.Second, Connections: 50,
 		Dialect: protocol.Fleet{}}, lines{})
 	f.plane = New(ctx, Options{Settings: func() *settings.Settings { return s }, Servers: servers, Quotas: f.quotas, Fresh: func() bool { return f.fresh.Load() }, Newest: func() bool { return f.newest.Load() }, Log: &f.log, StartedAt: began})
-	f.front = transport.NewIntakeFront(f.plane, transport.FrontLimits{Bodies: 1 << 20, Admission: admission.Config{Places: 100, Step: 8}})
-	f.front.SetKeeps(true)
+	f.front = transport.NewIntakeFront(f.plane, transport.FrontLimits{BodyBytes: 1 << 20, Admission: admission.Config{Places: 100, Step: 8}})
+	f.front.SetKeepAlive(true)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/system/roles/node/dataplane.go
+++ b/internal/system/roles/node/dataplane.go
@@ -37,11 +37,11 @@
 	s := n.settings()
 	free := max(s.Limits.FileDescriptors-reservedDescriptors, s.Limits.FileDescriptors/2)
 	n.servers = transport.NewServers(transport.ServerLimits{
-		Connect:     hostConnectTimeout,
-		Keepalive:   hostKeepaliveTimeout,
-		Silent:      hostIdleTimeout,
-		Connections: free / 2,
-		Dialect:     protocol.Fleet{},
+		ConnectTimeout:    hostConnectTimeout,
+		Keepalive:         hostKeepaliveTimeout,
+		StreamIdleTimeout: hostIdleTimeout,
+		Connections:       free / 2,
+		Dialect:           protocol.Fleet{},
 	}, n.log)
 	n.plane = dataplane.New(ctx, dataplane.Options{
 		Settings:      n.settings,
@@ -55,13 +55,13 @@
 		StartedAt:     time.Now(),
 	})
 	n.front = transport.NewIntakeFront(n.plane, transport.FrontLimits{
-		Bodies:    int(bodyFraction * float64(s.Limits.MemoryMb) * (1 << 20)),
-		Head:      maxHeaderBytes,
+		BodyBytes: int(bodyFraction * float64(s.Limits.MemoryMb) * (1 << 20)),
+		MaxHead:   maxHeaderBytes,
 		Patience:  n.clientTimeout,
 		Seed:      rand.Uint64(),
 		Admission: admission.Config{Places: free / 2, Step: maxRejectedConnections, Away: sendAwayTime},
 	})
-	n.front.SetKeeps(true)
+	n.front.SetKeepAlive(true)
 }
 
 // The least time-outs of clients; the configuration may set longer ones.
--- a/internal/system/roles/node/draining.go
+++ b/internal/system/roles/node/draining.go
@@ -75,7 +75,7 @@
 
 // announceDraining tells clients, the register and the other routers that this one drains.
 func (n *Node) announceDraining(ctx context.Context) {
-	n.front.SetKeeps(false)
+	n.front.SetKeepAlive(false)
 	if n.replica != nil {
 		n.replica.Drain()
 	}
@@ -87,7 +87,7 @@
 // finishRequests waits until the requests in flight are answered, or ctx ends. Then those that are
 // left, and the goroutine that waits for them, end with the process.
 func (n *Node) finishRequests(ctx context.Context) error {
-	n.front.Part()
+	n.front.CloseAfterAnswers()
 	done := make(chan error, 1)
 	go func() { done <- n.front.Shutdown() }()
 	select {
--- a/internal/system/roles/node/http.go
+++ b/internal/system/roles/node/http.go
@@ -123,7 +123,7 @@
 // Ready reports whether clients may be sent here: the router is not draining, has a configuration
 // and hosts, and the configuration is confirmed recently enough for keys if it has any.
 func (n *Node) Ready() bool {
-	if n.front.Leaving() || !n.plane.Serving() {
+	if n.front.Draining() || !n.plane.Serving() {
 		return false
 	}
 	return n.honoursKeys() || !n.plane.State().Typed.Keyed()
--- a/internal/system/roles/node/status.go
+++ b/internal/system/roles/node/status.go
@@ -62,7 +62,7 @@
 		Zone:          in.Zone,
 		Eligible:      n.self.eligible,
 		Ready:         n.Ready(),
-		Draining:      n.front.Leaving(),
+		Draining:      n.front.Draining(),
 		DrainPhase:    n.draining.name(),
 		Process:       processStatus(),
 		Loops:         n.loopStatus(),
--- a/internal/transport/body.go
+++ b/internal/transport/body.go
@@ -12,99 +12,101 @@
 )
 
 const (
-	// mostOpening bounds a stream's first event, and mostStream, the platform's word for any body, all of a stream: a chunk said
-	// to hold gigabytes would go on for ever.
-	mostOpening = 64 << 10
-	mostStream  = MaxBody
+	// maxFirstEvent bounds a stream's first event, in bytes, and maxStream all of it, by the platform's
+	// bound for any body: a chunk that is said to have gigabytes would go on for ever.
+	maxFirstEvent = 64 << 10
+	maxStream     = MaxBody
 )
 
-// body is a stream on its way from a server. It implements routing.Body.
+// body is a stream of completions from a server. It implements routing.Body.
 type body struct {
 	*exchange
-	ctx   context.Context
-	text  io.Reader
-	first []byte // read by open, due to the next Read
-	end   error  // that open came to
-	size  int    // read so far
-	notes protocol.Notes
+	ctx        context.Context
+	text       io.Reader
+	firstEvent []byte // read by open, for the next Read
+	endErr     error  // of open, for the Read after that
+	size       int    // bytes read so far
+	events     protocol.Notes
 
-	message *Message
-	quietTo time.Time // of the next read, where it goes on after a stop
+	message      *Message
+	readDeadline time.Time // of the next read after a stopped move, 0 for the usual
 }
 
-// open waits for the first whole event. Up to there, another server may still serve the request.
+// open waits for the first complete event. Until then another server may still serve the request.
 func (b *body) open() error {
 	buf := make([]byte, readBuffer)
-	for len(b.first) < mostOpening {
-		n, err := b.next(buf)
-		b.first = append(b.first, buf[:n]...)
-		if protocol.HasEvent(b.first) {
-			b.end = err
+	for len(b.firstEvent) < maxFirstEvent {
+		n, err := b.readNext(buf)
+		b.firstEvent = append(b.firstEvent, buf[:n]...)
+		if protocol.HasEvent(b.firstEvent) {
+			b.endErr = err
 			return nil
 		}
 		if err != nil {
 			return err
 		}
 	}
-	return errSpoilt
+	return errMalformedAnswer
 }
 
-// Read passes on what has come. A broken, silent or spoilt stream gives an error other than io.EOF.
+// Read returns what has come. A stream that breaks, times out or is malformed gives an error other than
+// io.EOF.
 func (b *body) Read(p []byte) (int, error) {
-	if len(b.first) > 0 {
-		n := copy(p, b.first)
-		b.first = b.first[n:]
+	if len(b.firstEvent) > 0 {
+		n := copy(p, b.firstEvent)
+		b.firstEvent = b.firstEvent[n:]
 		return n, nil
 	}
-	if b.end != nil {
-		return 0, b.end
+	if b.endErr != nil {
+		return 0, b.endErr
 	}
-	return b.next(p)
+	return b.readNext(p)
 }
 
-// next reads from the connection. What is no stream of events is not passed on: a chunk of the wrong size has the
-// next one's framing among its text.
-func (b *body) next(p []byte) (int, error) {
-	if b.interrupted() {
+// readNext reads from the connection. What is no stream of events is not forwarded: a chunk of a wrong
+// size has the framing of the next one in its text.
+func (b *body) readNext(p []byte) (int, error) {
+	if b.stoppedForMove() {
 		if b.move() {
 			return 0, routing.ErrHandedOver
 		}
 	}
-	quietTo := time.Now().Add(b.servers.silent)
-	if !b.quietTo.IsZero() { // what went before a stop counts
-		quietTo, b.quietTo = b.quietTo, time.Time{}
+	deadline := time.Now().Add(b.servers.streamIdleTimeout)
+	if !b.readDeadline.IsZero() { // the time before a stop counts
+		deadline, b.readDeadline = b.readDeadline, time.Time{}
 	}
-	b.conn.SetReadDeadline(quietTo)
+	b.conn.SetReadDeadline(deadline)
 	if err := b.ctx.Err(); err != nil { // after the line above, lest it undo the end of ctx
 		return 0, err
 	}
 	n, err := b.text.Read(p)
-	if b.interrupted() {
+	if b.stoppedForMove() {
 		err = nil // the next call sees to it
 	}
 	if err == io.EOF && b.resp.Header.ContentLength() < -1 {
-		// Neither length nor chunks: an end of the connection does not tell that the stream was whole.
+		// Neither length nor chunks: an end of the connection does not say that the stream was complete.
 		err = io.ErrUnexpectedEOF
 	}
-	if b.size += n; !b.notes.Feed(p[:n]) || b.size > mostStream {
-		return 0, errSpoilt
+	b.size += n
+	if !b.events.Feed(p[:n]) || b.size > maxStream {
+		return 0, errMalformedAnswer
 	}
-	b.whole = err == io.EOF
+	b.complete = err == io.EOF
 	if err != nil && err != io.EOF && b.conn.err == nil {
-		err = fmt.Errorf("%w: %w", errSpoilt, err)
+		err = fmt.Errorf("%w: %w", errMalformedAnswer, err)
 	}
 	return n, err
 }
 
 // End implements routing.Body.
 func (b *body) End() (float64, *balance.Load) {
-	load := b.notes.Load
+	load := b.events.Load
 	if load == nil {
 		load = b.servers.readLoad(b.exchange)
 	}
-	if load != nil || b.notes.Err != nil {
-		b.servers.judgeLoad(b.conn.to.ID, b.notes.Err)
+	if load != nil || b.events.Err != nil {
+		b.servers.recordLoadReport(b.conn.to.ID, b.events.Err)
 	}
 	b.close()
-	return b.notes.Kept, load
+	return b.events.Kept, load
 }
--- /dev/null
+++ b/internal/transport/bytebudget.go
@@ -0,0 +1,21 @@
+package transport
+
+import "sync/atomic"
+
+// byteBudget bounds the bytes of the bodies of all requests that are under way.
+type byteBudget struct{ used, limit atomic.Int64 }
+
+// reserve reserves bytes, if so many are left.
+func (b *byteBudget) reserve(bytes int) bool {
+	if b.used.Add(int64(bytes)) > b.limit.Load() {
+		b.used.Add(-int64(bytes))
+		return false
+	}
+	return true
+}
+
+// release returns reserved bytes.
+func (b *byteBudget) release(bytes int) { b.used.Add(-int64(bytes)) }
+
+// usedFraction returns the fraction of the bytes that is reserved.
+func (b *byteBudget) usedFraction() float64 { return float64(b.used.Load()) / float64(b.limit.Load()) }
--- /dev/null
+++ b/internal/transport/clientconn.go
@@ -0,0 +1,371 @@
+package transport
+
+import (
+	"io"
+	"net"
+	"sync/atomic"
+	"syscall"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"reachspread/internal/admission"
+	"reachspread/internal/protocol"
+)
+
+const (
+	// lingerTimeout and lingerBytes bound what is read of a request that was rejected before its end,
+	// overloadLingerTimeout the time where connections are scarce.
+	lingerTimeout         = time.Second
+	strictLingerTimeout   = 500 * time.Millisecond // where the client may have been accepted late
+	overloadLingerTimeout = 100 * time.Millisecond
+	lingerBytes           = 4 << 20
+)
+
+// clientWriteTimeout is how long a client may take to read what one write sent, where admission has no
+// bound of its own.
+const clientWriteTimeout = 10 * time.Second
+
+// clientConn is a client's connection. Of pipelined requests it reads only the first: what was read of
+// others would be lost with a connection that has to end. While a request is open the HTTP server does
+// not read, so a watch notices whether the client leaves.
+type clientConn struct {
+	net.Conn
+	listener      *listener
+	admissionID   int32  // its ID at admission
+	readAhead     []byte // read elsewhere, for the next calls of Read
+	remaining     int    // bytes of the request that is being read which have not come; 0 for unknown
+	everRead      bool   // anything was read
+	requestBegun  bool   // anything of the next request was read
+	requestUnread bool   // more of a rejected request may come
+	requestOpen   bool   // a request was read to its end and is not answered
+	closed        bool
+	hurried       bool // admission has shortened its read deadline; the listener's lock guards it
+
+	readAt  time.Time // when Read last returned bytes
+	beganAt time.Time // when the first byte of the present request came
+
+	// Of the watch, for its user alone:
+	onGone      func()
+	watchDone   chan struct{} // closed when the watch ends, nil without one
+	hasGone     atomic.Bool   // the client ended the connection
+	nextBegun   atomic.Bool   // the watch has read the first byte of the next request
+	nextBegunAt time.Time     // when
+}
+
+// Read is called by the HTTP server between requests and for what is left of one, never while one is open.
+func (c *clientConn) Read(p []byte) (n int, err error) {
+	c.requestAnswered()
+	switch {
+	case c.requestBegun:
+		if c.remaining > 0 {
+			p = p[:min(len(p), c.remaining)]
+		}
+		n, err = c.readBuffered(p)
+		c.remaining = max(c.remaining-n, 0)
+		c.readAt = time.Now()
+		return n, err
+	case len(c.readAhead) == 0 && c.everRead && c.listener.closingAfterAnswers.Load():
+		n, err = c.lastRead(p, io.EOF)
+	default:
+		n, err = c.readFirst(p)
+		if timeout, ok := err.(net.Error); ok && timeout.Timeout() {
+			n, err = c.lastRead(p, err)
+		}
+	}
+	if n > 0 {
+		c.readAt = time.Now()
+		c.beginRequest(n)
+	}
+	return n, err
+}
+
+// SetReadDeadline is called by the HTTP server before it reads. A Patience replaces the deadline of the
+// server.
+func (c *clientConn) SetReadDeadline(t time.Time) error {
+	if c.listener.patience != nil && !t.IsZero() {
+		t = time.Now().Add(c.listener.patience(c.requestBegun && !c.requestOpen))
+	}
+	return c.Conn.SetReadDeadline(t)
+}
+
+// requestRead says that a request was read to its end. If its bytes came along with those of the one
+// before, no Read has said that it began.
+func (c *clientConn) requestRead() {
+	c.requestAnswered()
+	if !c.requestBegun {
+		c.beginRequest(0)
+	}
+}
+
+// beginRequest says that a request has begun with so many bytes.
+func (c *clientConn) beginRequest(bytes int) {
+	c.everRead, c.requestBegun, c.beganAt = true, true, c.readAt
+	if c.nextBegun.Swap(false) {
+		c.beganAt = c.nextBegunAt
+	}
+	c.remaining = max(c.remaining-bytes, 0)
+	// It is not idle any more; later bytes gain a slow sender no time.
+	c.listener.notifyAdmission(admission.Event{Kind: admission.Began, Conn: c.admissionID})
+	c.restoreDeadline()
+}
+
+// readBuffered returns what was read elsewhere, or else reads from the connection.
+func (c *clientConn) readBuffered(p []byte) (n int, err error) {
+	if len(c.readAhead) == 0 {
+		return c.Conn.Read(p)
+	}
+	n = copy(p, c.readAhead)
+	c.readAhead = c.readAhead[n:]
+	return n, nil
+}
+
+// readFirst reads the beginning of a request, and nothing of the next one if the head says how long it
+// is.
+func (c *clientConn) readFirst(p []byte) (n int, err error) {
+	if len(c.readAhead) > 1 { // read as the connection was accepted, whatever it is
+		n = c.firstRequestBytes(c.readAhead[:min(len(c.readAhead), len(p))])
+		return c.readBuffered(p[:n])
+	}
+	raw, err := c.Conn.(syscall.Conn).SyscallConn()
+	if err != nil {
+		return 0, err
+	}
+	kept := copy(p, c.readAhead) // the byte that the watch has read
+	c.readAhead = nil
+	var failed error
+	err = raw.Read(func(fd uintptr) bool {
+		n, _, failed = syscall.Recvfrom(int(fd), p[kept:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		if failed == syscall.EAGAIN || failed == syscall.EINTR {
+			n, failed = 0, nil
+			return kept > 0 // what is there is returned; otherwise it is waited for
+		}
+		if failed == nil && n > 0 {
+			n, failed = syscall.Read(int(fd), p[kept:c.firstRequestBytes(p[:kept+n])])
+		}
+		if failed == nil && n == 0 && kept == 0 {
+			failed = io.EOF
+		}
+		return true
+	})
+	if err == nil {
+		err = failed
+	}
+	if kept+max(n, 0) > 0 { // an error comes again with the next call
+		return kept + max(n, 0), nil
+	}
+	return 0, err
+}
+
+// firstRequestBytes returns how many of some bytes belong to the request that begins with them, and sets
+// how many of it remain.
+func (c *clientConn) firstRequestBytes(p []byte) int {
+	c.remaining = 0
+	if seen, whole := protocol.Look(p, ""); whole && seen.Length > 0 {
+		c.remaining = seen.Length
+		return min(len(p), seen.Length)
+	}
+	return len(p)
+}
+
+// requestAnswered says that the open request, if there is one, has its final answer. Only the goroutine
+// that serves the connection calls it.
+func (c *clientConn) requestAnswered() {
+	if !c.requestOpen {
+		return
+	}
+	c.requestOpen, c.requestBegun = false, false
+	c.listener.notifyAdmission(admission.Event{Kind: admission.Done, Conn: c.admissionID})
+}
+
+// lastRead is for an idle connection whose time is over. If another process takes over, the connection
+// goes there, with what is on its way. Otherwise a request that has come but was not read, as the router
+// was short of processor time, is read now. Without one the close follows at once, so that hardly any
+// request can cross it.
+func (c *clientConn) lastRead(p []byte, over error) (n int, err error) {
+	if m := c.listener.mover.Load(); m != nil && m.move(movedConn{}, c.Conn) == nil {
+		c.Conn.Close()
+		return 0, over
+	}
+	raw, err := c.Conn.(syscall.Conn).SyscallConn()
+	if err != nil {
+		return 0, over
+	}
+	raw.Control(func(fd uintptr) { n, err = syscall.Read(int(fd), p) })
+	c.remaining = 0
+	if n > 0 {
+		c.Conn.SetReadDeadline(time.Now().Add(requestReadTimeout))
+		return n, nil
+	}
+	c.Conn.Close()
+	return 0, over
+}
+
+// restoreDeadline gives a request that came as its connection's deadline was shortened the time that any
+// has.
+func (c *clientConn) restoreDeadline() {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	if c.hurried {
+		c.hurried = false
+		c.Conn.SetReadDeadline(time.Now().Add(requestReadTimeout))
+	}
+}
+
+// Write gives up on a client that reads no more: its stream would occupy a server's connection for ever.
+func (c *clientConn) Write(p []byte) (int, error) {
+	c.Conn.SetWriteDeadline(time.Now().Add(c.listener.writeTimeout()))
+	return c.Conn.Write(p)
+}
+
+// watch calls onGone if the client ends the connection, or only its sending, before unwatch is called.
+// Nothing else may read meanwhile.
+func (c *clientConn) watch(onGone func()) {
+	c.Conn.SetReadDeadline(time.Time{})
+	done := make(chan struct{})
+	c.onGone, c.watchDone = onGone, done
+	go func() {
+		defer close(done)
+		if c.awaitClose() {
+			c.hasGone.Store(true)
+			onGone()
+		}
+	}()
+}
+
+// awaitClose returns true when the client leaves, and false at the end of the watch. It reads the first
+// byte of a further request, and nothing more of it: behind unread bytes the system still reports that
+// the client has ended the connection.
+func (c *clientConn) awaitClose() (left bool) {
+	var one [1]byte
+	n, err := c.Conn.Read(one[:])
+	if n > 0 {
+		c.readAhead = append(c.readAhead, one[0])
+		c.nextBegunAt = time.Now()
+		c.nextBegun.Store(true)
+		return c.awaitHangUp()
+	}
+	timeout, ok := err.(net.Error)
+	return !ok || !timeout.Timeout()
+}
+
+// awaitHangUp waits until the client has ended the connection, and returns true, or until the watch ends.
+func (c *clientConn) awaitHangUp() bool {
+	raw, err := c.Conn.(syscall.Conn).SyscallConn()
+	if err != nil {
+		return false
+	}
+	over := false
+	err = raw.Read(func(fd uintptr) bool { // is called whenever something comes
+		over = hungUp(fd)
+		return over
+	})
+	return err == nil && over
+}
+
+// hungUp reports whether the other side has ended a connection, or only its sending, whatever is unread
+// of it.
+func hungUp(fd uintptr) bool {
+	const ended = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR
+	look := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
+	n, err := unix.Poll(look, 0)
+	return err == nil && n > 0 && look[0].Revents&ended != 0
+}
+
+// hasFurther reports whether anything of a further request has come while one is open.
+func (c *clientConn) hasFurther() bool {
+	if c.nextBegun.Load() {
+		return true
+	}
+	n, err := c.peek()
+	return n > 0 && err == nil
+}
+
+// peek returns whether anything is unread, and leaves it so. At the end of the connection it returns 0 and
+// no error.
+func (c *clientConn) peek() (n int, err error) {
+	raw, err := c.Conn.(syscall.Conn).SyscallConn()
+	if err != nil {
+		return 0, net.ErrClosed
+	}
+	var b [1]byte
+	closed := raw.Control(func(fd uintptr) {
+		n, _, err = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	})
+	if closed != nil {
+		return 0, net.ErrClosed
+	}
+	return n, err
+}
+
+// clientGone reports whether the client has gone. It asks the system, as the watch may be late where the
+// router is short of processor time.
+func (c *clientConn) clientGone() bool {
+	if c == nil { // no client waits for the answer
+		return false
+	}
+	if c.hasGone.Load() {
+		return true
+	}
+	n, err := c.peek()
+	switch err {
+	case nil:
+		return n == 0 || c.hungUp()
+	case net.ErrClosed, syscall.ECONNRESET, syscall.EPIPE:
+		return true
+	}
+	return false
+}
+
+// hungUp reports whether the client has ended the connection behind what is unread.
+func (c *clientConn) hungUp() (ended bool) {
+	raw, err := c.Conn.(syscall.Conn).SyscallConn()
+	if err != nil {
+		return true
+	}
+	raw.Control(func(fd uintptr) { ended = hungUp(fd) })
+	return ended
+}
+
+// unwatch ends the watch, if there is one.
+func (c *clientConn) unwatch() {
+	if c.watchDone == nil {
+		return
+	}
+	c.Conn.SetReadDeadline(time.Unix(1, 0))
+	<-c.watchDone
+	c.watchDone = nil
+	c.Conn.SetReadDeadline(time.Time{})
+}
+
+// Close reads on for a moment after a request that was rejected before its end: closed with bytes unread,
+// the connection would be reset and the client might lose the answer.
+func (c *clientConn) Close() error {
+	if c.closed {
+		return net.ErrClosed
+	}
+	c.closed = true
+	l := c.listener
+	if tcp, ok := c.Conn.(*net.TCPConn); ok && c.requestUnread && tcp.CloseWrite() == nil {
+		linger := lingerTimeout
+		switch {
+		case l.level() > admission.Calm:
+			linger = overloadLingerTimeout
+		case l.strict:
+			linger = strictLingerTimeout
+		}
+		c.Conn.SetReadDeadline(time.Now().Add(linger))
+		io.CopyN(io.Discard, c.Conn, lingerBytes)
+	}
+	err := c.Conn.Close()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.alive--
+	actions := l.admission.Step(l.now(), admission.Event{Kind: admission.Closed, Conn: c.admissionID})
+	l.conns[c.admissionID] = nil
+	for _, a := range actions {
+		l.carryOut(a)
+	}
+	l.aliveDropped.Signal()
+	return err
+}
--- a/internal/transport/client_test.go
+++ b/internal/transport/clientconn_test.go
@@ -189,7 +189,7 @@
 			io.WriteString(conn, first)
 			scripted.Next(t, server.Requests, "an attempt")
 			io.WriteString(conn, others)
-			r.front.SetKeeps(false)
+			r.front.SetKeepAlive(false)
 			in := bufio.NewReader(conn)
 			for i := 1; i <= 3; i++ {
 				if i > 1 {
--- a/internal/transport/pace_test.go
+++ b/internal/transport/discovery_test.go
@@ -23,8 +23,8 @@
 		var due queue
 		for range routers {
 			c := call{}
-			if pace.Start > 0 {
-				c.at = rand.N(pace.Start)
+			if pace.StartSpread > 0 {
+				c.at = rand.N(pace.StartSpread)
 			}
 			heap.Push(&due, c)
 		}
@@ -51,7 +51,7 @@
 
 // An agent that was silent and answers again is heard within what the platform leaves a router that was told, less what a decision takes: a call that began
 // before is given up, another is made after the longest wait.
-func TestAPushedListIsHeardInTime(t *testing.T) {
+func TestPushedListIsAppliedInTime(t *testing.T) {
 	const grace, decided = 500 * time.Millisecond, 100 * time.Millisecond
 	p := transport.Pushed
 	longest := time.Duration(0)
@@ -65,7 +65,7 @@
 
 // However many routers share a discovery, each has made its next call and can have heard of it 6 s after discovery could be reached
 // again, and their calls are spread.
-func TestAFailedCallIsMadeAgainInTime(t *testing.T) {
+func TestFailedCallIsRetriedInTime(t *testing.T) {
 	const told, answer = 6 * time.Second, time.Second
 	for _, routers := range []int{1, 3, 30, 300, 3000} {
 		pace := transport.Asked(routers, 10*time.Second)
@@ -79,7 +79,7 @@
 		}
 		longestSilence := time.Duration(0)
 		for range 1000 {
-			longestSilence = max(longestSilence, pace.AfterSilence())
+			longestSilence = max(longestSilence, pace.WaitAfterTimeout())
 		}
 		const noticed, missed, grace = time.Second, 2 * time.Second, 500 * time.Millisecond // after the call's own wait
 		if noticed+longestSilence > missed+grace {
@@ -92,7 +92,7 @@
 }
 
 // An agent that takes connections and says nothing is asked again, each time anew, until it answers.
-func TestASilentAgent(t *testing.T) {
+func TestAgentThatTimesOut(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -115,7 +115,7 @@
 	lines, lists := make(chan string, 10), make(chan *protocol.List, 10)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	go transport.NewDiscovery(ln.Addr().String(), transport.Pushed, transport.WholeList, scripted.Lines(lines), func(l *protocol.List) { lists <- l }).Run(ctx)
+	go transport.NewDiscovery(ln.Addr().String(), transport.Pushed, transport.FullList, scripted.Lines(lines), func(l *protocol.List) { lists <- l }).Run(ctx)
 	if l := scripted.Next(t, lists, "a list"); l.Version != 7 {
 		t.Errorf("version %d", l.Version)
 	}
--- a/internal/transport/events.go
+++ b/internal/transport/events.go
@@ -12,29 +12,29 @@
 	"reachspread/internal/routing"
 )
 
-// mostEvent bounds one event of a stream.
-const mostEvent = 1 << 20
+// maxEvent bounds one event of a stream, in bytes.
+const maxEvent = 1 << 20
 
-// eventID is the id of an event; ids of a stream rise.
+// eventID is the ID of an event. Those of a stream rise.
 type eventID struct {
 	value uint64
 	known bool
 }
 
-// Set reads an id. An empty text is no id.
+// Set parses an ID. An empty text is no ID.
 func (e *eventID) Set(text string) error {
 	if text == "" {
 		return nil
 	}
 	v, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		return fmt.Errorf("%w: event id %q is not a number", errSpoilt, text)
+		return fmt.Errorf("%w: event id %q is not a number", errMalformedAnswer, text)
 	}
 	*e = eventID{v, true}
 	return nil
 }
 
-// String is the id as it was, empty for none.
+// String returns the ID as it was, empty for none.
 func (e eventID) String() string {
 	if !e.known {
 		return ""
@@ -42,28 +42,28 @@
 	return strconv.FormatUint(e.value, 10)
 }
 
-// events is a stream of events on its way from a server. Only whole events are passed on, so that another server can go on with a
-// stream that breaks. It implements routing.Body.
+// events is a stream of events from a server. Only complete events are forwarded, so that another server
+// can go on with a stream that breaks. It implements routing.Body.
 type events struct {
 	*exchange
-	ctx    context.Context
-	final  *Final
-	silent time.Duration
-	held   []byte  // read, and not passed on
-	ready  int     // bytes of whole events at the start of held
-	last   eventID // of the events passed on or ready
-	// version judges a version that an event says it is of.
-	version func(said string) error
-	over    error // what reading came to
+	ctx         context.Context
+	final       *Final
+	idleTimeout time.Duration
+	buffered    []byte  // read, and not forwarded
+	ready       int     // bytes of complete events at its start
+	last        eventID // of the events that were forwarded or are ready
+	// version checks the version that an event is of.
+	version func(version string) error
+	endErr  error // of the last read
 }
 
-// open waits for the first whole event. Up to there, another server may still serve the request.
+// open waits for the first complete event. Until then another server may still serve the request.
 func (b *events) open() error {
-	for b.ready == 0 && b.over == nil {
+	for b.ready == 0 && b.endErr == nil {
 		b.fill()
 	}
-	if b.ready == 0 && b.over != io.EOF {
-		return b.over
+	if b.ready == 0 && b.endErr != io.EOF {
+		return b.endErr
 	}
 	return nil
 }
@@ -71,51 +71,53 @@
 // Final implements headed.
 func (b *events) Final() *Final { return b.final }
 
-// LastEvent is the id of the last event that was passed on, empty for none.
+// LastEvent returns the ID of the last event that was forwarded, empty for none.
 func (b *events) LastEvent() string { return b.last.String() }
 
-// Read passes on whole events. A broken, silent or spoilt stream gives an error other than io.EOF.
+// Read returns complete events. A stream that breaks, times out or is malformed gives an error other than
+// io.EOF.
 func (b *events) Read(p []byte) (int, error) {
 	for b.ready == 0 {
-		if b.over != nil {
-			return 0, b.over
+		if b.endErr != nil {
+			return 0, b.endErr
 		}
 		b.fill()
 	}
-	n := copy(p, b.held[:b.ready])
-	b.held, b.ready = b.held[n:], b.ready-n
+	n := copy(p, b.buffered[:b.ready])
+	b.buffered, b.ready = b.buffered[n:], b.ready-n
 	return n, nil
 }
 
-// fill reads what comes next and finds the whole events in it.
+// fill reads what comes next and finds the complete events in it.
 func (b *events) fill() {
-	b.conn.SetReadDeadline(time.Now().Add(b.silent))
+	b.conn.SetReadDeadline(time.Now().Add(b.idleTimeout))
 	if err := b.ctx.Err(); err != nil { // after the line above, lest it undo the end of ctx
-		b.over = err
+		b.endErr = err
 		return
 	}
 	stream := b.resp.BodyStream()
 	if stream == nil {
-		b.over = errSpoilt
+		b.endErr = errMalformedAnswer
 		return
 	}
-	var piece [readBuffer]byte
-	n, err := stream.Read(piece[:])
-	b.held = append(b.held, piece[:n]...)
-	if bad := b.find(); bad != nil {
-		b.over = bad
+	var chunk [readBuffer]byte
+	n, err := stream.Read(chunk[:])
+	b.buffered = append(b.buffered, chunk[:n]...)
+	if bad := b.scan(); bad != nil {
+		b.endErr = bad
 		return
 	}
 	if err == nil {
 		return
 	}
-	b.over = err
-	if err == io.EOF && (b.resp.Header.ContentLength() < -1 || b.ready < len(b.held)) {
-		// An end of the connection does not tell that the stream was whole, and an event cut in two tells that it was not.
-		b.over = io.ErrUnexpectedEOF
+	b.endErr = err
+	if err == io.EOF && (b.resp.Header.ContentLength() < -1 || b.ready < len(b.buffered)) {
+		// An end of the connection does not say that the stream was complete, and half an event says that it
+		// was not.
+		b.endErr = io.ErrUnexpectedEOF
 		return
 	}
-	b.whole = err == io.EOF
+	b.complete = err == io.EOF
 }
 
 var (
@@ -126,29 +128,30 @@
 	versionsField = []byte("versions:")
 )
 
-// find moves ready behind the last whole event that is held.
-func (b *events) find() error {
+// scan moves ready behind the last complete event that is buffered.
+func (b *events) scan() error {
 	for {
-		rest := b.held[b.ready:]
+		rest := b.buffered[b.ready:]
 		end, size := bytes.Index(rest, eventEnd), len(eventEnd)
 		if other := bytes.Index(rest, eventEnd2); other >= 0 && (end < 0 || other < end) {
 			end, size = other, len(eventEnd2)
 		}
 		if end < 0 {
-			if len(rest) > mostEvent {
-				return fmt.Errorf("%w: an event of more than %d bytes", errSpoilt, mostEvent)
+			if len(rest) > maxEvent {
+				return fmt.Errorf("%w: an event of more than %d bytes", errMalformedAnswer, maxEvent)
 			}
 			return nil
 		}
-		if err := b.check(rest[:end]); err != nil {
+		if err := b.checkEvent(rest[:end]); err != nil {
 			return err
 		}
 		b.ready += end + size
 	}
 }
 
-// check looks at a whole event: its id must be above that of the one before, and its version one that counts.
-func (b *events) check(event []byte) error {
+// checkEvent checks a complete event: its ID must be above that of the one before, and its version one
+// that counts.
+func (b *events) checkEvent(event []byte) error {
 	if err := b.checkVersion(event); err != nil {
 		return err
 	}
@@ -162,18 +165,18 @@
 			return err
 		}
 		if id.known && b.last.known && id.value <= b.last.value {
-			return fmt.Errorf("%w: event %d after event %d", errSpoilt, id.value, b.last.value)
+			return fmt.Errorf("%w: event %d after event %d", errMalformedAnswer, id.value, b.last.value)
 		}
 		b.last = id
 	}
 	return nil
 }
 
-// checkVersion looks at the version that an event says it is of, if it says any.
+// checkVersion checks the version that an event is of, if it has any.
 func (b *events) checkVersion(event []byte) error {
 	for line := range bytes.Lines(event) {
-		if said, ok := bytes.CutPrefix(line, versionsField); ok {
-			return b.version(string(said))
+		if version, ok := bytes.CutPrefix(line, versionsField); ok {
+			return b.version(string(version))
 		}
 	}
 	return nil
--- a/internal/transport/exchange.go
+++ b/internal/transport/exchange.go
@@ -17,40 +17,42 @@
 )
 
 const (
-	// mostRefusal bounds the body of an answer that is no stream.
-	mostRefusal = 64 << 10
-	// headIn is how long a head that has begun may be silent. A server writes it at once, in whatever pieces.
-	headIn = time.Second
-	// mostInterim bounds the 1xx answers, and those to other requests, before the answer itself.
-	mostInterim = 100
+	// maxErrorBody bounds the body of an answer that is not forwarded as it comes, in bytes.
+	maxErrorBody = 64 << 10
+	// headTimeout is how long each read of a head that has begun may take. A server writes a head at
+	// once, however it is split on its way.
+	headTimeout = time.Second
+	// maxInterimAnswers bounds the 1xx answers, and those to other requests, before the answer itself.
+	maxInterimAnswers = 100
 )
 
 // exchange is one request on a connection, and its answer from the head on.
 type exchange struct {
-	servers *Servers
-	conn    *conn
-	resp    *fasthttp.Response
-	stop    func() bool // ends the watch on the context
-	whole   bool        // the answer was read to its end
+	servers  *Servers
+	conn     *conn
+	resp     *fasthttp.Response
+	stop     func() bool // ends the effect of the context
+	complete bool        // the answer was read to its end
 }
 
 // outgoing is a request on its way to a server.
 type outgoing struct {
-	request  *fasthttp.Request
-	deadline time.Time   // of which the server is told, none if zero
-	client   *clientConn // who waits for the answer, nil for nobody in particular
-	written  func()      // is called once the last byte is
+	request   *fasthttp.Request
+	deadline  time.Time   // that the server is given, none if zero
+	client    *clientConn // that waits for the answer, nil for none in particular
+	onWritten func()      // is called after the last byte
 
 	dialect   protocol.Dialect
-	id        string // answers to requests of other ids are passed over; empty for none
+	id        string // answers to requests of other IDs are skipped; empty for none
 	fixedHost bool   // the Host header is the client's
 }
 
-// errUnsent says that nothing of a request was written.
+// errUnsent says that nothing of a request was written, so that it may be retried as if there had been
+// no attempt.
 var errUnsent = errors.New("nobody waits for the answer any more")
 
-// write writes a request, unless nobody waits for its answer any more. That is looked at, and what is left of the
-// deadline worked out, at the last moment: the connection may have taken a while to come up.
+// write writes a request, unless nobody waits for its answer any more. That is checked, and the time left
+// worked out, at the last moment: the connection may have taken a while to come up.
 func (o *outgoing) write(ctx context.Context, c *conn) error {
 	if !o.fixedHost {
 		o.request.Header.SetHost(c.to.Addr)
@@ -63,7 +65,7 @@
 		f := o.dialect.TimeLeft(left)
 		o.request.Header.Set(f.Name, f.Value)
 	}
-	if ctx.Err() != nil || o.client.hasLeft() {
+	if ctx.Err() != nil || o.client.clientGone() {
 		return errUnsent
 	}
 	out := bufio.NewWriterSize(c, readBuffer)
@@ -73,8 +75,9 @@
 	return out.Flush()
 }
 
-// exchange writes a request and reads the head of its answer. Without one it tells the result, which depends on
-// whether the last byte had been written.
+// exchange writes a request and reads the head of its answer. Without one it returns the result. Until
+// the last byte was written no server can have executed the request, so the result is one that allows
+// any retry; after it the request may have executed.
 func (s *Servers) exchange(ctx context.Context, to routing.Server, o outgoing) (*exchange, balance.Result) {
 	o.dialect = s.dialect
 	c, err := s.pool.take(ctx, to)
@@ -88,15 +91,15 @@
 	x.stop = context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
 	if err := o.write(ctx, c); err != nil {
 		unsent := errors.Is(err, errUnsent)
-		x.whole = unsent // the connection is as it was
+		x.complete = unsent // the connection can be used again
 		x.close()
 		if unsent {
 			return nil, balance.NotSent
 		}
 		return nil, ended(ctx, balance.NotSent, balance.NoConnection)
 	}
-	o.written()
-	if err := x.readOwn(ctx, o.id); err != nil {
+	o.onWritten()
+	if err := x.readAnswer(ctx, o.id); err != nil {
 		result := x.failed(ctx, balance.TimedOut)
 		x.close()
 		return nil, result
@@ -104,13 +107,13 @@
 	return x, balance.OK
 }
 
-// header reads a header of the answer.
+// header returns a header of the answer.
 func (x *exchange) header(name string) string { return string(x.resp.Header.Peek(name)) }
 
-// readOwn reads the head of the answer to the request with the id, and passes over surplus answers to earlier requests that come
-// before it.
-func (x *exchange) readOwn(ctx context.Context, id string) error {
-	for range mostInterim {
+// readAnswer reads the head of the answer to the request with the ID, and skips surplus answers to
+// earlier requests before it.
+func (x *exchange) readAnswer(ctx context.Context, id string) error {
+	for range maxInterimAnswers {
 		if err := x.readHead(ctx); err != nil {
 			return err
 		}
@@ -118,19 +121,20 @@
 			return nil
 		}
 		if body := x.resp.BodyStream(); body != nil {
-			if _, err := io.CopyN(io.Discard, body, mostRefusal); err != io.EOF {
-				return errSpoilt
+			if _, err := io.CopyN(io.Discard, body, maxErrorBody); err != io.EOF {
+				return errMalformedAnswer
 			}
 		}
 		x.resp.Reset()
 	}
-	return errSpoilt
+	return errMalformedAnswer
 }
 
-// readHead reads the head of the answer, after any 1xx. It waits for the first byte of each as long as ctx lasts,
-// but not for the rest: a head that stops half-way would take all the time that another server might use.
+// readHead reads the head of the answer, after any 1xx. It waits for the first byte of each as long as
+// ctx lasts, but not for the rest: a head that stops half-way would take all the time that another
+// server might use.
 func (x *exchange) readHead(ctx context.Context) error {
-	for range mostInterim {
+	for range maxInterimAnswers {
 		if _, err := x.conn.in.Peek(1); err != nil {
 			return err
 		}
@@ -152,17 +156,17 @@
 			x.resp.StreamBody = true
 			return x.resp.ReadBody(x.conn.in, 0)
 		case code == fasthttp.StatusSwitchingProtocols:
-			return errSpoilt
+			return errMalformedAnswer
 		}
 	}
-	return errSpoilt
+	return errMalformedAnswer
 }
 
-// errSpoilt says that an answer can't be read although its connection stands.
-var errSpoilt = fmt.Errorf("%w: the answer can not be read", routing.ErrMalformedAnswer)
+// errMalformedAnswer says that an answer can't be read although its connection is well.
+var errMalformedAnswer = fmt.Errorf("%w: the answer can not be read", routing.ErrMalformedAnswer)
 
-// failed tells why the answer broke off: by the end of ctx, with the connection, or else because it was spoilt,
-// which the process that made it has outlived.
+// failed returns the result of an answer that broke off: by the end of ctx, with the connection, or else
+// because it was malformed, which its server outlives.
 func (x *exchange) failed(ctx context.Context, over balance.Result) balance.Result {
 	broke := balance.Error
 	if x.conn.err != nil && !errors.Is(x.conn.err, os.ErrDeadlineExceeded) {
@@ -171,8 +175,8 @@
 	return ended(ctx, over, broke)
 }
 
-// commit lets go of the deadline: the answer has begun, so only the end of ctx may end it. It fails if the
-// deadline was first.
+// commit takes off the deadline: the answer has begun, so only the end of ctx may end it. It returns
+// false if the deadline was first.
 func (x *exchange) commit(ctx context.Context) bool {
 	if !x.stop() {
 		return false
@@ -181,25 +185,25 @@
 	return true
 }
 
-// rest reads the body of an answer that is no stream.
-func (x *exchange) rest() ([]byte, error) {
+// readBody reads the body of an answer that is no stream.
+func (x *exchange) readBody() ([]byte, error) {
 	if x.resp.BodyStream() == nil { // a status that has no body, such as 204
 		return nil, nil
 	}
-	text, err := io.ReadAll(io.LimitReader(x.resp.BodyStream(), mostRefusal))
-	if err == nil && len(text) == mostRefusal {
-		return nil, fmt.Errorf("more than %d bytes", mostRefusal)
+	text, err := io.ReadAll(io.LimitReader(x.resp.BodyStream(), maxErrorBody))
+	if err == nil && len(text) == maxErrorBody {
+		return nil, fmt.Errorf("more than %d bytes", maxErrorBody)
 	}
 	return text, err
 }
 
-// close gives the connection back if the answer was read to its end, and closes it otherwise.
+// close returns the connection to the pool if the answer was read to its end, and closes it otherwise.
 func (x *exchange) close() {
-	reuse := x.stop() && x.whole && !x.resp.ConnectionClose()
+	reuse := x.stop() && x.complete && !x.resp.ConnectionClose()
 	if keep := x.servers.dialect.KeepAlive(x.header); keep > 0 {
-		x.conn.idleFor = idlePart(keep)
+		x.conn.idleTimeout = safeIdleTime(keep)
 	}
-	x.servers.unfollow(x.conn)
+	x.servers.endTracking(x.conn)
 	fasthttp.ReleaseResponse(x.resp)
 	if reuse {
 		x.servers.pool.put(x.conn)
@@ -208,8 +212,9 @@
 	}
 }
 
-// ended tells why an exchange broke off: because its client left, because its time was over, or else because the
-// connection broke. What the last two mean depends on whether the request was sent.
+// ended returns the result of an exchange that broke off: because its client left, because its time was
+// over, or else because the connection broke. What the last two mean depends on whether the request was
+// sent.
 func ended(ctx context.Context, over, broke balance.Result) balance.Result {
 	switch ctx.Err() {
 	case context.Canceled:
--- a/internal/transport/forward.go
+++ b/internal/transport/forward.go
@@ -17,17 +17,18 @@
 	"reachspread/internal/routing"
 )
 
-// Forward says how a request of the fleet's dialect is passed on: with the headers of its client, to be answered as the server
-// answers.
+// Forward says how a request of the fleet's dialect is forwarded: with the headers of its client, to be
+// answered as the server answers.
 type Forward struct {
-	Header  []protocol.Field // as they are passed along, Host among them
-	Events  bool             // the answer is a stream of events
-	FirstIn time.Duration    // the answer must have begun by then, of a stream its first event; 0 for no bound but the deadline
-	Silent  time.Duration    // a stream that says nothing for so long is taken for dead; 0 for the usual
+	Header            []protocol.Field // as they are forwarded, Host among them
+	Events            bool             // the answer is a stream of events
+	FirstEventTimeout time.Duration    // until the answer, or a stream's first event; 0 for the deadline alone
+	IdleTimeout       time.Duration    // of a stream, 0 for that of Servers
 	// Admit allows an attempt right before it is sent, nil for all; see routing.Readmitter.
-	Admit func(again bool) (ok bool, wait time.Duration)
-	After string // of a resumed stream, the id of the last event that the client has; empty for none
-	// Version is the only one whose answers count, 0 for all: the server is told of it, and must say that it has it.
+	Admit       func(again bool) (ok bool, wait time.Duration)
+	LastEventID string // of a resumed stream, what the client has; empty for none
+	// Version is the only one whose answers count, 0 for all: the server is asked for it, and must
+	// confirm that it has it.
 	Version int64
 }
 
@@ -40,42 +41,43 @@
 		}
 		to.Add(h.Name, h.Value)
 	}
-	if f.After != "" {
-		to.Set(protocol.HeaderLastEventID, f.After)
+	if f.LastEventID != "" {
+		to.Set(protocol.HeaderLastEventID, f.LastEventID)
 	}
 	if f.Version > 0 {
 		to.Set(protocol.HeaderExpectVersion, strconv.FormatInt(f.Version, 10))
 	}
 }
 
-// errVersion says that an answer, or its rest, is not of the version that alone counts.
+// errVersion says that an answer, or its rest, is not of the only version that counts.
 var errVersion = fmt.Errorf("%w: the answer is of another version", routing.ErrUnacceptable)
 
-// turnedAway tells that a server has not run a request as it has another version than the one that counts.
-func (f *Forward) turnedAway(status int) bool {
+// rejectedForVersion reports whether a server has not executed a request as it has another version. Any
+// request may be retried after that.
+func (f *Forward) rejectedForVersion(status int) bool {
 	return f != nil && f.Version > 0 && status == fasthttp.StatusMisdirectedRequest
 }
 
-// checkVersion tells whether an answer that says it is of a version counts.
-func (f *Forward) checkVersion(said string) error {
+// checkVersion returns errVersion unless an answer of a version counts.
+func (f *Forward) checkVersion(version string) error {
 	if f.Version == 0 {
 		return nil
 	}
-	if v, err := strconv.ParseInt(strings.TrimSpace(said), 10, 64); err != nil || v != f.Version {
+	if v, err := strconv.ParseInt(strings.TrimSpace(version), 10, 64); err != nil || v != f.Version {
 		return errVersion
 	}
 	return nil
 }
 
-// Final is a server's own answer, to be passed on unchanged.
+// Final is a server's own answer, to be forwarded unchanged.
 type Final struct {
 	Status int
 	Header []protocol.Field
-	Body   []byte // whole; nil for a body that is read from elsewhere
+	Body   []byte // complete; nil for a body that is read from elsewhere
 	Length int    // of a body that is read, as the server announced it; -1 for chunks
 }
 
-// answer copies the head of an answer, but for what concerns one connection.
+// answer copies the head of an answer, except for what concerns one connection.
 func (f *Forward) answer(resp *fasthttp.Response) *Final {
 	final := &Final{Status: resp.StatusCode(), Length: resp.Header.ContentLength()}
 	for name, value := range resp.Header.All() {
@@ -86,7 +88,7 @@
 	return final
 }
 
-// NewForwarded returns the message of a request that is passed on with its client's headers.
+// NewForwarded returns the message of a request that is forwarded with its client's headers.
 func NewForwarded(ctx *fasthttp.RequestCtx, body []byte, f *Forward) *Message {
 	header := &ctx.Request.Header
 	return &Message{
@@ -98,23 +100,23 @@
 	}
 }
 
-// After returns a copy that goes on with a stream behind an event, with an answer of a version alone, 0 for any. Admit takes the place of the
-// one before.
-func (m *Message) After(event string, version int64, admit func(again bool) (ok bool, wait time.Duration)) *Message {
+// ResumeAfter returns a copy that goes on with a stream after an event, with an answer of a version
+// alone, 0 for any. Admit replaces the one before.
+func (m *Message) ResumeAfter(event string, version int64, admit func(retry bool) (ok bool, wait time.Duration)) *Message {
 	c, f := *m, *m.forward
-	f.After, f.Version, f.Admit, c.forward = event, version, admit, &f
+	f.LastEventID, f.Version, f.Admit, c.forward = event, version, admit, &f
 	return &c
 }
 
 // Admit implements routing.Readmitter.
-func (m *Message) Admit(again bool) (ok bool, wait time.Duration) {
+func (m *Message) Admit(retry bool) (ok bool, wait time.Duration) {
 	if m.forward == nil || m.forward.Admit == nil {
 		return true, 0
 	}
-	return m.forward.Admit(again)
+	return m.forward.Admit(retry)
 }
 
-// FinalOf is the head of an answer that is on its way.
+// FinalOf returns the head of an answer that has begun.
 func FinalOf(s *routing.Stream) *Final {
 	if h, ok := s.Body().(headed); ok {
 		return h.Final()
@@ -138,27 +140,28 @@
 	}
 }
 
-// Refuse writes an answer of the router's own.
-func Refuse(ctx *fasthttp.RequestCtx, no Rejection) {
-	if no.Wait > 0 {
-		ctx.Response.Header.Set("Retry-After", protocol.FormatRetryAfter(no.Wait))
+// WriteRejection writes a rejection as an answer.
+func WriteRejection(ctx *fasthttp.RequestCtx, no Rejection) {
+	if no.RetryAfter > 0 {
+		ctx.Response.Header.Set("Retry-After", protocol.FormatRetryAfter(no.RetryAfter))
 	}
-	if !no.Keep {
-		reject(ctx, no.Code, no.Line)
+	if !no.KeepAlive {
+		reject(ctx, no.Code, no.Text)
 		return
 	}
-	answerLine(ctx, no.Code, no.Line)
+	answerLine(ctx, no.Code, no.Text)
 }
 
-// mostBuffered bounds the answers that are read whole before any of them goes to the client, so that one which breaks off may
-// still be had from another server.
-const mostBuffered = 64 << 10
+// maxBufferedAnswer bounds the answers, in bytes, that are read to their end before any of them goes to
+// the client, so that another server may still serve a request whose answer breaks off.
+const maxBufferedAnswer = 64 << 10
 
 // errPartial says that an answer ended before its announced length.
 var errPartial = errors.New("the answer ended early")
 
-// forwarded returns the body of an answer of the fleet's dialect, once its first event, or all of it, is there.
-func (s *Servers) forwarded(ctx, headCtx context.Context, x *exchange, msg *Message) routing.AttemptResult {
+// forwardAnswer returns the body of an answer of the fleet's dialect after its first event, or all of
+// it, has come.
+func (s *Servers) forwardAnswer(ctx, headCtx context.Context, x *exchange, msg *Message) routing.AttemptResult {
 	var body routing.Body
 	err := msg.forward.checkVersion(x.header(protocol.HeaderVersions))
 	if err != nil {
@@ -167,16 +170,16 @@
 		return routing.AttemptResult{Result: balance.Cancelled, Load: load}
 	}
 	if msg.forward.Events {
-		b := &events{exchange: x, ctx: headCtx, final: msg.forward.answer(x.resp), silent: msg.forward.Silent, version: msg.forward.checkVersion}
-		if b.silent == 0 {
-			b.silent = s.silent
+		b := &events{exchange: x, ctx: headCtx, final: msg.forward.answer(x.resp), idleTimeout: msg.forward.IdleTimeout, version: msg.forward.checkVersion}
+		if b.idleTimeout == 0 {
+			b.idleTimeout = s.streamIdleTimeout
 		}
-		if err = b.last.Set(msg.forward.After); err == nil {
+		if err = b.last.Set(msg.forward.LastEventID); err == nil {
 			err = b.open()
 		}
 		body = b
 	} else {
-		b := &plain{exchange: x, final: msg.forward.answer(x.resp)}
+		b := &bufferedAnswer{exchange: x, final: msg.forward.answer(x.resp)}
 		err = b.open()
 		body = b
 	}
@@ -195,7 +198,7 @@
 	return routing.AttemptResult{Result: result, Load: load}
 }
 
-// Version is the version of which the answer says it is, 0 where it says none.
+// Version returns the version that the answer is of, 0 if it has none.
 func (f *Final) Version() int64 {
 	for _, h := range f.Header {
 		if strings.EqualFold(h.Name, protocol.HeaderVersions) {
@@ -206,60 +209,60 @@
 	return 0
 }
 
-// headed is a body that has an own head.
+// headed is a body with a head of its own.
 type headed interface{ Final() *Final }
 
-// plain is an answer that is no stream.
-type plain struct {
+// bufferedAnswer is an answer that is no stream.
+type bufferedAnswer struct {
 	*exchange
-	final *Final
-	begun []byte // read by open, due to the next reads
-	over  error  // what open came to after them, nil for more to be read
+	final    *Final
+	buffered []byte // read by open, for the next reads
+	endErr   error  // after these, nil for more to be read
 }
 
-// open reads the answer, whole where it is not too long.
-func (b *plain) open() error {
+// open reads the answer, to its end if it is not too long.
+func (b *bufferedAnswer) open() error {
 	if b.resp.BodyStream() == nil {
-		b.final.Body, b.whole, b.over = []byte{}, true, io.EOF
+		b.final.Body, b.complete, b.endErr = []byte{}, true, io.EOF
 		return nil
 	}
-	text, err := io.ReadAll(io.LimitReader(b.resp.BodyStream(), mostBuffered))
+	text, err := io.ReadAll(io.LimitReader(b.resp.BodyStream(), maxBufferedAnswer))
 	switch {
 	case err != nil:
 		return err
-	case len(text) == mostBuffered:
-		b.begun = text
+	case len(text) == maxBufferedAnswer:
+		b.buffered = text
 		return nil
 	case b.final.Length >= 0 && len(text) != b.final.Length:
 		return fmt.Errorf("%w: %d of %d bytes", errPartial, len(text), b.final.Length)
 	case b.final.Length < -1:
 		return fmt.Errorf("%w: neither length nor chunks", errPartial)
 	}
-	b.begun, b.whole, b.over = text, true, io.EOF
+	b.buffered, b.complete, b.endErr = text, true, io.EOF
 	b.final.Length = len(text)
 	return nil
 }
 
 // Final implements headed.
-func (b *plain) Final() *Final { return b.final }
+func (b *bufferedAnswer) Final() *Final { return b.final }
 
 // Read implements routing.Body.
-func (b *plain) Read(p []byte) (int, error) {
-	if len(b.begun) > 0 {
-		n := copy(p, b.begun)
-		b.begun = b.begun[n:]
+func (b *bufferedAnswer) Read(p []byte) (int, error) {
+	if len(b.buffered) > 0 {
+		n := copy(p, b.buffered)
+		b.buffered = b.buffered[n:]
 		return n, nil
 	}
-	if b.over != nil {
-		return 0, b.over
+	if b.endErr != nil {
+		return 0, b.endErr
 	}
 	n, err := b.resp.BodyStream().Read(p)
-	b.whole = err == io.EOF
+	b.complete = err == io.EOF
 	return n, err
 }
 
 // End implements routing.Body.
-func (b *plain) End() (float64, *balance.Load) {
+func (b *bufferedAnswer) End() (float64, *balance.Load) {
 	load := b.servers.readLoad(b.exchange)
 	b.close()
 	return 0, load
--- a/internal/transport/front.go
+++ b/internal/transport/front.go
@@ -21,75 +21,75 @@
 const (
 	// MaxBody is the longest body that the platform allows.
 	MaxBody = 256 << 10
-	// A client is owed a word or a close 3 s after it connects, whatever it holds back.
-	slowClient = 2 * time.Second         // to send one request, the first one from connecting on
-	slowSilent = 1500 * time.Millisecond // the same where it is accepted up to deferFor after it connected
-	idleClient = 2200 * time.Millisecond // between requests; the platform lets a router close after 2 s
-	firstGrow  = 8 << 10                 // of a body's buffer, which then doubles
-	usualHead  = 8 << 10                 // bytes of a request's head
+	// A client gets an answer or a close within 3 s of connecting, whatever it holds back.
+	requestReadTimeout       = 2 * time.Second         // for one request, the first one from connecting on
+	strictRequestReadTimeout = 1500 * time.Millisecond // the same where it is accepted up to deferAcceptTime after it connected
+	clientIdleTimeout        = 2200 * time.Millisecond // between requests; the platform lets a router close after 2 s
+	minBodyBuffer            = 8 << 10                 // bytes of a body's buffer, which then doubles
+	defaultMaxHead           = 8 << 10                 // bytes
 )
 
-// Front listens for clients and hands their requests to the core.
+// Front is the front end: it listens for clients and has their requests routed.
 type Front struct {
 	intake   Intake
-	router   *routing.Router // of the router in service, whose streams may come from another process; nil otherwise
+	router   *routing.Router // of the router in service, which may take over streams of another process; nil otherwise
 	server   *fasthttp.Server
 	limits   FrontLimits
 	listener *listener
-	tap      Tap     // nil for none
-	capture  Capture // nil for none
-	memory   budget  // of all bodies that are held
+	tap      Tap        // nil for none
+	capture  Capture    // nil for none
+	memory   byteBudget // of all bodies of requests that are under way
 	ready    atomic.Bool
 }
 
-// FrontLimits bounds what clients may take up.
+// FrontLimits bounds what clients may use.
 type FrontLimits struct {
-	Bodies    int              // bytes, of all requests together
-	Admission admission.Config // who gets in
-	Seed      uint64           // of admission
-	Identity  string           // the header that names a client, empty for none
-	Head      int              // bytes of a request's head, 0 for the usual
-	Patience  Patience         // with clients; nil for the usual
-	Short     func()           // told that the process had no descriptor left; nil for nobody
+	BodyBytes            int              // of the bodies of all requests together
+	Admission            admission.Config // which connections and requests are admitted
+	Seed                 uint64           // of admission's random draws
+	Identity             string           // the header that names a client, empty for none
+	MaxHead              int              // bytes, 0 for the usual
+	Patience             Patience         // with clients; nil for that of the server
+	OnDescriptorShortage func()           // called when the process had no descriptor left; nil for nothing
 }
 
-// Patience is how long a client may be silent, before a request has begun or within one.
+// Patience returns how long a client may send nothing, before a request has begun or within one.
 type Patience func(begun bool) time.Duration
 
-// NewFront returns a front that keeps to the limits.
-// A tap may be nil.
+// NewFront returns the front end of the router in service. A tap may be nil.
 func NewFront(r *routing.Router, limits FrontLimits, tap Tap) *Front {
 	f := newFront(limits)
 	f.intake, f.router, f.tap = &completions{front: f, router: r}, r, tap
 	return f
 }
 
-// NewIntakeFront returns a front whose requests an intake of the caller's judges.
+// NewIntakeFront returns a front end whose requests go through an intake of the caller's.
 func NewIntakeFront(in Intake, limits FrontLimits) *Front {
 	f := newFront(limits)
 	f.intake = in
 	return f
 }
 
+// newFront returns a front end without an intake.
 func newFront(limits FrontLimits) *Front {
 	f := &Front{limits: limits}
-	f.SetBodies(limits.Bodies)
-	if limits.Short == nil {
-		limits.Short = func() {}
+	f.SetBodyBytes(limits.BodyBytes)
+	if limits.OnDescriptorShortage == nil {
+		limits.OnDescriptorShortage = func() {}
 	}
 	f.listener = newListener(&limits)
-	slow := slowClient
+	slow := requestReadTimeout
 	if f.listener.strict {
-		slow = slowSilent
+		slow = strictRequestReadTimeout
 	}
 	f.server = &fasthttp.Server{
 		Handler:                      f.handle,
-		ErrorHandler:                 f.refuse,
-		Concurrency:                  f.listener.most + 1, // never reached: the listener waits before
-		StreamRequestBody:            true,                // a body is read here, so that what it takes up is bounded
+		ErrorHandler:                 f.rejectUnread,
+		Concurrency:                  f.listener.maxAlive + 1, // never reached: the listener waits before
+		StreamRequestBody:            true,                    // a body is read here, so that what it takes up is bounded
 		MaxRequestBodySize:           MaxBody,
-		ReadBufferSize:               cmp.Or(limits.Head, usualHead),
-		IdleTimeout:                  idleClient,
+		ReadBufferSize:               cmp.Or(limits.MaxHead, defaultMaxHead),
+		IdleTimeout:                  clientIdleTimeout,
 		ReadTimeout:                  slow,
 		NoDefaultServerHeader:        true,
 		NoDefaultDate:                true,
@@ -101,7 +101,7 @@
 	return f
 }
 
-// Serve answers the clients that connect to ln until Shutdown. A shared one is also others'.
+// Serve answers the clients that connect to ln until Shutdown. Other processes have a shared one, too.
 func (f *Front) Serve(ln net.Listener, shared bool) error {
 	if err := f.listener.listen(ln, shared); err != nil || f.listener.socket == nil {
 		return err
@@ -109,147 +109,153 @@
 	return f.server.Serve(f.listener)
 }
 
-// Capture is told of each request that is taken in, and never waits.
+// Capture takes each request that is accepted, and never blocks.
 type Capture interface {
 	Take(a balance.Arrival, came time.Time)
 }
 
-// SetCapture has requests be captured from now on. It is called before Serve.
+// SetCapture has requests captured. It is called before Serve.
 func (f *Front) SetCapture(c Capture) { f.capture = c }
 
-// SetReady says what /-/ready is to answer.
+// SetReady sets what /-/ready answers.
 func (f *Front) SetReady(ready bool) { f.ready.Store(ready) }
 
-// SetBodies bounds the bytes of the bodies of all requests together.
-func (f *Front) SetBodies(most int) { f.memory.most.Store(int64(most)) }
+// SetBodyBytes bounds the bytes of the bodies of all requests together.
+func (f *Front) SetBodyBytes(most int) { f.memory.limit.Store(int64(most)) }
 
-// SetKeeps says whether a connection outlives its answer. An answer that begins from then on tells so to its client.
-func (f *Front) SetKeeps(keeps bool) {
-	f.listener.leaving.Store(!keeps)
-	f.listener.parting.Store(false)
+// SetKeepAlive says whether a connection outlives its answer. Answers that begin from then on say so to
+// their clients.
+func (f *Front) SetKeepAlive(keeps bool) {
+	f.listener.draining.Store(!keeps)
+	f.listener.closingAfterAnswers.Store(false)
 }
 
-// Leaving tells that connections end with their answers.
-func (f *Front) Leaving() bool { return f.listener.leaving.Load() }
+// Draining reports whether connections end with their answers.
+func (f *Front) Draining() bool { return f.listener.draining.Load() }
 
-// Part ends connections with their answers, also where the answer had begun before it could tell so. That may cross the
-// client's next request.
-func (f *Front) Part() { f.listener.parting.Store(true) }
+// CloseAfterAnswers ends connections with their answers, also with answers that could not say so. The
+// close may cross the client's next request.
+func (f *Front) CloseAfterAnswers() { f.listener.closingAfterAnswers.Store(true) }
 
-// Empty closes the connections that have been silent for so long. One whose next request has come by then is served.
-func (f *Front) Empty(silent time.Duration) {
-	f.listener.tell(admission.Event{Kind: admission.Empty, Silent: silent})
+// CloseIdle closes the connections that have been idle for so long. One whose next request has come by
+// then is served.
+func (f *Front) CloseIdle(silent time.Duration) {
+	f.listener.notifyAdmission(admission.Event{Kind: admission.Empty, Silent: silent})
 }
 
-// StopAccepting ends Serve. Connections stay, and so does an inherited listener for whoever else has it.
+// StopAccepting ends Serve. Connections stay, and so does an inherited listener for the other processes
+// that have it.
 func (f *Front) StopAccepting() { f.listener.Close() }
 
-// Shutdown waits for what was taken to be answered. No silent connection is closed here without a last look at it: that
-// the HTTP server does not take.
+// Shutdown waits until all accepted requests are answered. Each idle connection is read once more before
+// it is closed, which the HTTP server does not do.
 func (f *Front) Shutdown() error {
 	f.StopAccepting()
-	f.listener.emptied(func() { f.Empty(0) })
+	f.listener.closeUntilEmpty(func() { f.CloseIdle(0) })
 	return f.server.Shutdown()
 }
 
+// handle serves one request of the HTTP server.
 func (f *Front) handle(ctx *fasthttp.RequestCtx) {
-	defer f.leave(ctx)
+	defer f.closeIfDraining(ctx)
 	if !f.intake.Local(ctx) {
-		f.complete(ctx)
+		f.serve(ctx)
 	}
 }
 
-// leave ends a connection with its answer while clients are sent away, unless further requests on it have come already: those are
-// answered first.
-func (f *Front) leave(ctx *fasthttp.RequestCtx) {
+// closeIfDraining ends a connection with its answer while the router is draining, unless further requests
+// on it have come already: those are answered first.
+func (f *Front) closeIfDraining(ctx *fasthttp.RequestCtx) {
 	conn, ok := ctx.Conn().(*clientConn)
-	if f.listener.leaving.Load() && !(ok && conn.hasFurther()) {
+	if f.listener.draining.Load() && !(ok && conn.hasFurther()) {
 		ctx.SetConnectionClose()
 	}
 }
 
-// complete takes one request through the core.
-func (f *Front) complete(ctx *fasthttp.RequestCtx) {
+// serve reads a request, has it routed and answers it.
+func (f *Front) serve(ctx *fasthttp.RequestCtx) {
 	header := &ctx.Request.Header
 	if err := protocol.CheckFraming(header.RawHeaders()); err != nil {
-		f.lose(ctx, Rejection{Code: fasthttp.StatusBadRequest, Line: err.Error()})
+		f.rejectAndCount(ctx, Rejection{Code: fasthttp.StatusBadRequest, Text: err.Error()})
 		return
 	}
 	if no := f.intake.Head(ctx); no != nil {
-		f.lose(ctx, *no)
+		f.rejectAndCount(ctx, *no)
 		return
 	}
 	body, err := f.readBody(ctx)
-	needed := false // the body, once the answer has begun
+	needed := false // the body, after the answer has begun
 	defer func() {
 		if !needed {
-			f.memory.give(cap(body))
+			f.memory.release(cap(body))
 		}
 	}()
 	if err != nil {
-		f.refuse(ctx, err)
+		f.rejectUnread(ctx, err)
 		return
 	}
-	// Up to here its connection counts as silent: who sends half a request must not keep others out.
+	// Until here its connection counts as idle: half a request must not keep others out.
 	conn := ctx.Conn().(*clientConn)
-	conn.taken()
+	conn.requestRead()
 	came := time.Now()
-	if !f.ask(ctx, conn) {
+	if !f.admit(ctx, conn) {
 		return
 	}
 	for {
-		var again bool
-		if needed, again = f.carry(ctx, conn, body, came); !again {
+		var planAgain bool
+		needed, planAgain = f.serveOnce(ctx, conn, body, came)
+		if !planAgain {
 			return
 		}
 	}
 }
 
-// carry takes one request that was read through the core. Needed tells that its body is, once the answer has begun; again, that the request
-// has to be planned anew, as nothing of it was sent.
-func (f *Front) carry(ctx *fasthttp.RequestCtx, conn *clientConn, body []byte, came time.Time) (needed, again bool) {
+// serveOnce plans a request that was read, has it routed and answers it. Needed says that its body is
+// needed after the answer has begun; planAgain, that the request has to be planned again, as nothing of
+// it was sent.
+func (f *Front) serveOnce(ctx *fasthttp.RequestCtx, conn *clientConn, body []byte, came time.Time) (needed, planAgain bool) {
 	plan, no := f.intake.Plan(ctx, body, conn.beganAt)
 	if no != nil {
-		f.lose(ctx, *no)
+		f.rejectAndCount(ctx, *no)
 		return false, false
 	}
 	plan.Message.client = conn
-	conn.open = true
+	conn.requestOpen = true
 	request, err := plan.Router.Accept(plan.Arrival, conn.beganAt, plan.Message)
 	if err != nil {
 		plan.end(routing.Answer{Verdict: routing.Rejected})
-		f.lose(ctx, Rejection{Code: fasthttp.StatusConflict, Line: err.Error()})
+		f.rejectAndCount(ctx, Rejection{Code: fasthttp.StatusConflict, Text: err.Error()})
 		return false, false
 	}
 	if f.capture != nil {
 		f.capture.Take(plan.Arrival, came)
 	}
-	var watcher Watcher
+	var observer AnswerObserver
 	if f.tap != nil {
-		watcher = f.offer(&ctx.Request.Header, &plan.Arrival, came, plan.Message)
+		observer = f.offerCopy(&ctx.Request.Header, &plan.Arrival, came, plan.Message)
 	}
-	e := &errand{front: f, plan: plan, conn: conn, request: request, began: conn.beganAt}
-	conn.watch(e.leave)
+	e := &clientRequest{front: f, plan: plan, conn: conn, request: request, began: conn.beganAt}
+	conn.watch(e.abandon)
 	answer, ok := request.Wait()
 	if ok && e.outdated(answer) {
 		e.end(answer)
 		return false, true
 	}
 	if plan.Resume != nil {
-		needed, e.body = true, cap(body)
+		needed, e.bodyBytes = true, cap(body)
 	}
 	if ok && answer.Verdict == routing.Served {
 		f.intake.Served(ctx, answer.Stream)
-		var stream io.ReadCloser = &relayed{Stream: answer.Stream, errand: e}
-		if watcher != nil {
-			stream = &watchedStream{Stream: answer.Stream, watcher: watcher, end: func() { e.end(answer) }}
+		var stream io.ReadCloser = &resumingStream{Stream: answer.Stream, request: e}
+		if observer != nil {
+			stream = &observedStream{Stream: answer.Stream, observer: observer, end: func() { e.end(answer) }}
 		}
 		ctx.Response.SetBodyStream(stream, bodyLength(answer.Stream))
 		return needed, false
 	}
 	e.end(answer)
-	if watcher != nil {
-		watcher.Refused(ok, answer.Verdict)
+	if observer != nil {
+		observer.Refused(ok, answer.Verdict)
 	}
 	if !ok {
 		ctx.SetConnectionClose() // nobody reads it
@@ -259,7 +265,7 @@
 	return needed, false
 }
 
-// bodyLength is the length of an answer that is to be announced, -1 where it is not known.
+// bodyLength returns the length of an answer for its head, -1 if it is not known.
 func bodyLength(s *routing.Stream) int {
 	if h, ok := s.Body().(headed); ok {
 		if final := h.Final(); final.Length >= 0 {
@@ -269,51 +275,52 @@
 	return -1
 }
 
-// ask has admission decide on a request that was read, and answers it if it is refused.
-func (f *Front) ask(ctx *fasthttp.RequestCtx, conn *clientConn) bool {
+// admit has admission decide on a request that was read, and rejects it if it is not admitted.
+func (f *Front) admit(ctx *fasthttp.RequestCtx, conn *clientConn) bool {
 	identity := ""
 	if f.limits.Identity != "" {
 		identity = string(ctx.Request.Header.Peek(f.limits.Identity))
 	}
-	answer := f.listener.tell(admission.Event{Kind: admission.Asked, Conn: conn.name, Identity: identity})
+	answer := f.listener.notifyAdmission(admission.Event{Kind: admission.Asked, Conn: conn.admissionID, Identity: identity})
 	if answer.Kind == admission.Serve {
 		if answer.Last {
 			ctx.SetConnectionClose()
 		}
 		return true
 	}
-	no := Rejection{Code: answer.Code, Line: refusalLine(answer), Wait: answer.Away}
+	no := Rejection{Code: answer.Code, Text: rejectionText(answer), RetryAfter: answer.Away}
 	if no.Code == 0 { // its connection was shut while the request came: nobody reads this
 		no.Code = fasthttp.StatusServiceUnavailable
 	}
-	f.lose(ctx, no)
+	f.rejectAndCount(ctx, no)
 	return false
 }
 
-// errCrowded says that the bodies of other requests take all the room that there is.
-var errCrowded = errors.New("no room for the body")
+// errBodyMemory says that the bodies of other requests use all memory for bodies.
+var errBodyMemory = errors.New("no room for the body")
 
-// readBody reads a request's body. Its buffer grows with what comes, not with what was announced, and counts in
-// f.memory, whatever the error. A client that closes half-way ends fasthttp's stream like a whole body.
+// readBody reads a request's body. Its buffer grows with what comes, not with what was announced, and is
+// reserved in f.memory, whatever the error. A client that closes half-way ends fasthttp's stream like a
+// complete body, so the length is compared.
 func (f *Front) readBody(ctx *fasthttp.RequestCtx) ([]byte, error) {
 	length := ctx.Request.Header.ContentLength() // negative where it was not announced
-	most := f.intake.MaxBody()
-	if length > most {
+	limit := f.intake.MaxBody()
+	if length > limit {
 		return nil, fasthttp.ErrBodyTooLarge
 	}
 	var body []byte
 	for stream := ctx.RequestBodyStream(); stream != nil; {
 		if len(body) == cap(body) {
-			more := max(cap(body), firstGrow)
-			if !f.memory.take(more) {
-				return body, errCrowded
+			more := max(cap(body), minBodyBuffer)
+			if !f.memory.reserve(more) {
+				return body, errBodyMemory
 			}
 			body = append(make([]byte, 0, cap(body)+more), body...)
 		}
 		n, err := stream.Read(body[len(body):cap(body)])
 		body = body[:len(body)+n]
 		switch {
-		case len(body) > most:
+		case len(body) > limit:
 			return body, fasthttp.ErrBodyTooLarge
 		case err == io.EOF && length >= 0 && len(body) < length:
 			return body, io.ErrUnexpectedEOF
@@ -326,52 +333,53 @@
 	return body, nil
 }
 
+// answerLine answers with one line of text.
 func answerLine(ctx *fasthttp.RequestCtx, code int, line string) {
 	ctx.SetStatusCode(code)
 	ctx.SetContentType("text/plain; charset=utf-8")
 	ctx.SetBodyString(line + "\n")
 }
 
-// reject answers a request whose client is at fault, and ends the connection: what follows on it can't be trusted,
-// and one that repeats itself must connect again.
+// reject answers a request whose client is at fault, and ends the connection: what follows on it can't be
+// trusted, and a client that retries must connect again.
 func reject(ctx *fasthttp.RequestCtx, code int, line string) {
 	answerLine(ctx, code, line)
 	ctx.SetConnectionClose()
 	if c, ok := ctx.Conn().(*clientConn); ok {
-		c.unread = true
-		c.open = false
+		c.requestUnread = true
+		c.requestOpen = false
 	}
 }
 
-// refuse answers a request that could not be read.
-func (f *Front) refuse(ctx *fasthttp.RequestCtx, err error) {
+// rejectUnread answers a request that could not be read.
+func (f *Front) rejectUnread(ctx *fasthttp.RequestCtx, err error) {
 	c, ok := ctx.Conn().(*clientConn)
-	if ok && !c.used {
-		// Nothing was asked. An answer that crosses the first request would be taken for that request's.
+	if ok && !c.everRead {
+		// There was no request. An answer that crosses the first one would be taken for its answer.
 		c.Conn.Close()
 		return
 	}
 	var small *fasthttp.ErrSmallBuffer
 	var timeout net.Error
-	no := Rejection{Code: fasthttp.StatusBadRequest, Line: "malformed request"}
+	no := Rejection{Code: fasthttp.StatusBadRequest, Text: "malformed request"}
 	switch {
 	case errors.Is(err, fasthttp.ErrBodyTooLarge):
-		no = Rejection{Code: fasthttp.StatusRequestEntityTooLarge, Line: fmt.Sprintf("the body is longer than %d bytes", f.intake.MaxBody())}
+		no = Rejection{Code: fasthttp.StatusRequestEntityTooLarge, Text: fmt.Sprintf("the body is longer than %d bytes", f.intake.MaxBody())}
 	case errors.As(err, &small):
 		no = f.intake.LongHead()
-	case errors.Is(err, errCrowded):
-		no = Rejection{Code: fasthttp.StatusServiceUnavailable, Line: err.Error()}
+	case errors.Is(err, errBodyMemory):
+		no = Rejection{Code: fasthttp.StatusServiceUnavailable, Text: err.Error()}
 	case errors.As(err, &timeout) && timeout.Timeout():
-		no = Rejection{Code: fasthttp.StatusRequestTimeout, Line: "the request took too long to arrive"}
+		no = Rejection{Code: fasthttp.StatusRequestTimeout, Text: "the request took too long to arrive"}
 	}
-	f.lose(ctx, no)
+	f.rejectAndCount(ctx, no)
 }
 
-// lose rejects a request that is no request, and counts it in place of one.
-func (f *Front) lose(ctx *fasthttp.RequestCtx, no Rejection) {
+// rejectAndCount rejects a request that the router never gets, and counts it.
+func (f *Front) rejectAndCount(ctx *fasthttp.RequestCtx, no Rejection) {
 	f.intake.Count(ctx, no)
-	if c, ok := ctx.Conn().(*clientConn); ok && no.Keep {
-		c.open = true // it is answered with the next read
+	if c, ok := ctx.Conn().(*clientConn); ok && no.KeepAlive {
+		c.requestOpen = true // it is answered with the next read
 	}
-	Refuse(ctx, no)
+	WriteRejection(ctx, no)
 }
--- a/internal/transport/front_test.go
+++ b/internal/transport/front_test.go
@@ -47,9 +47,9 @@
 
 // Whatever a client holds back, it gets an error or a close in time. Clients open connections ahead of need, too:
 // one that is closed unused must not carry an answer to nothing.
-func TestClientsThatHoldBack(t *testing.T) {
+func TestSlowClientsAreClosedInTime(t *testing.T) {
 	post := "POST /v1/chat/completions HTTP/1.1\r\nHost: r\r\n"
-	addr := serve(t, FrontLimits{Admission: admission.Config{Places: 10, Step: 4}, Bodies: 100 << 10})
+	addr := serve(t, FrontLimits{Admission: admission.Config{Places: 10, Step: 4}, BodyBytes: 100 << 10})
 	for text, want := range map[string]string{
 		"":                                    "",
 		post:                                  "HTTP/1.1 408 ",
@@ -62,7 +62,7 @@
 			t.Errorf("after %.90q: got %q, %v; want %q and the end", text, got, err, want)
 		}
 	}
-	for _, whole := range []time.Duration{slowClient + lingerFor, deferFor + slowSilent + lingerLess} {
+	for _, whole := range []time.Duration{requestReadTimeout + lingerTimeout, deferAcceptTime + strictRequestReadTimeout + strictLingerTimeout} {
 		if whole > 3*time.Second {
 			t.Errorf("%v to send and to linger; the platform grants 3 s from connecting to the end", whole)
 		}
@@ -70,7 +70,7 @@
 }
 
 // Clients that connect and say nothing take up no place that another needs: the oldest of them goes.
-func TestSilentClientsMakeRoom(t *testing.T) {
+func TestIdleClientsAreReplaced(t *testing.T) {
 	addr := serve(t, FrontLimits{Admission: admission.Config{Places: 3, Step: 1}})
 	var silent []net.Conn
 	for range 3 {
@@ -91,7 +91,7 @@
 
 // An IPv6 client that comes from a new address each time, of one net: on loopback there is one such address, so the
 // listener is told others. What it sends in small pieces is read and answered as what it sends at once.
-func TestNewAddressEachTime(t *testing.T) {
+func TestClientWithNewAddressesOfOneNet(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -111,7 +111,7 @@
 		}
 		from := netip.MustParseAddr("2001:db8::1").As16()
 		from[7], from[15] = byte(i/4), byte(i) // three networks of one /48
-		if cc := l.opened(fd, netip.AddrFrom16(from)); cc != nil {
+		if cc := l.admitOpened(fd, netip.AddrFrom16(from)); cc != nil {
 			admitted++
 			defer cc.Close()
 			head := make([]byte, 4)
@@ -131,7 +131,7 @@
 }
 
 // A request whose body is still on its way is refused at once, and the rest of it does not take back the answer.
-func TestRefusedHalfway(t *testing.T) {
+func TestRejectionOfAHalfSentRequestArrives(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -148,7 +148,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if cc := l.opened(fd, from); (cc != nil) != (i == 0) {
+		if cc := l.admitOpened(fd, from); (cc != nil) != (i == 0) {
 			t.Fatalf("client %d: let in: %v", i, cc != nil)
 		} else if cc != nil {
 			defer cc.Close()
--- a/internal/transport/move.go
+++ b/internal/transport/handover.go
@@ -18,62 +18,63 @@
 )
 
 const (
-	movedVersion = 1
-	mostMoved    = 32 << 10
-	movedSockets = 2
-	// answerMove is how long the process that takes over may take to answer one message. One that still has it by then
-	// is alive, and has the connection.
-	answerMove = time.Second
-	accepted   = 'y'
-	declined   = 'n'
+	handoverVersion    = 1
+	maxHandoverMessage = 32 << 10
+	handoverSockets    = 2
+	// handoverTimeout is how long the process that takes over may take to answer one message. If it has
+	// the message after that, it is alive and has the connection.
+	handoverTimeout = time.Second
+	accepted        = 'y'
+	declined        = 'n'
 )
 
-// moved is what goes with a connection to the process that takes over: of a stream, what of it is half read; of an idle
-// connection to a server, how long it is that; nothing of a client's silent one.
-type moved struct {
+// movedConn is the message that goes with a connection to the process that takes over: for a stream, what
+// of it is half read; for an idle connection to a server, how long it is idle; nothing for a client's idle
+// connection.
+type movedConn struct {
 	Version int             `json:"version"`
 	Stream  bool            `json:"stream"`
 	Server  *routing.Server `json:"server,omitempty"` // of a stream, or of an idle connection, which has no client
 	Keep    bool            `json:"keep,omitempty"`   // the connection to it outlives the stream
-	Idle    time.Duration   `json:"idle,omitempty"`   // or, of a stream, how long its server has said nothing
+	Idle    time.Duration   `json:"idle,omitempty"`   // or, of a stream, how long its server has sent nothing
 	Class   string          `json:"class,omitempty"`
 	Chunks  protocol.Chunks `json:"chunks"`
-	Line    []byte          `json:"line,omitempty"` // of the event at hand
+	Line    []byte          `json:"line,omitempty"` // of the event that is being read
 	Long    bool            `json:"long,omitempty"`
 	Size    int             `json:"size"` // of the stream so far
 }
 
-// Mover gives connections to the process that takes over.
+// Mover hands connections to the process that takes over.
 type Mover struct {
 	mu sync.Mutex
 	c  *net.UnixConn
 }
 
-// DialMover connects to the process that takes over. Without one, a file left over is refused.
+// DialMover connects to the process that takes over. It fails if nobody listens at the path.
 func DialMover(path string) (*Mover, error) {
-	c, err := net.DialTimeout("unixpacket", path, answerMove)
+	c, err := net.DialTimeout("unixpacket", path, handoverTimeout)
 	if err != nil {
 		return nil, err
 	}
 	return &Mover{c: c.(*net.UnixConn)}, nil
 }
 
-// Close ends it.
+// Close closes the connection to that process.
 func (m *Mover) Close() { m.c.Close() }
 
 var errDeclined = errors.New("the other process has no room for it")
 
-// move gives a connection away, with the one to a server if it has a stream. Without an error it is the other
-// process's: the caller's own copy must be closed, unread and unwritten.
-func (m *Mover) move(what moved, conns ...net.Conn) error {
-	what.Version = movedVersion
+// move hands a connection over, with the one to a server if it has a stream. Without an error the other
+// process has it: the caller must close its own copy, without reading or writing.
+func (m *Mover) move(what movedConn, conns ...net.Conn) error {
+	what.Version = handoverVersion
 	text, err := json.Marshal(what)
 	if err != nil {
 		return err
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.c.SetDeadline(time.Now().Add(answerMove))
+	m.c.SetDeadline(time.Now().Add(handoverTimeout))
 	if err := withDescriptors(conns, nil, func(fds []int) error {
 		_, _, err := m.c.WriteMsgUnix(text, syscall.UnixRights(fds...), nil)
 		return err
@@ -83,7 +84,7 @@
 	var answer [1]byte
 	switch n, err := m.c.Read(answer[:]); {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		m.c.Close() // what it says next would be taken for another answer
+		m.c.Close() // a late answer would be taken for that to the next message
 		return nil
 	case err != nil:
 		return err
@@ -112,19 +113,19 @@
 	return err
 }
 
-// Receiver takes connections from a process that leaves.
+// Receiver takes over connections from a process that ends.
 type Receiver struct {
 	front   *Front
 	servers *Servers
 	ln      *net.UnixListener
 	log     routing.Logger
 
-	carried atomic.Int64 // streams that are carried on here
-	mu      sync.Mutex
-	hosts   map[net.Conn]bool // of these
+	activeStreams atomic.Int64 // streams that were taken over and go on
+	mu            sync.Mutex
+	hosts         map[net.Conn]bool // the connections to their servers
 }
 
-// NewReceiver listens at a path, in place of whoever did before.
+// NewReceiver listens at a path, in place of any process that did before.
 func NewReceiver(path string, front *Front, servers *Servers, log routing.Logger) (*Receiver, error) {
 	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, err
@@ -133,32 +134,32 @@
 	if err != nil {
 		return nil, err
 	}
-	ln.SetUnlinkOnClose(false) // the path may be the next one's by then
+	ln.SetUnlinkOnClose(false) // the path may be the next process's by then
 	if err := os.Chmod(path, 0o600); err != nil {
 		ln.Close()
 		return nil, err
 	}
-	servers.follows = true
+	servers.tracksStreams = true
 	r := &Receiver{front: front, servers: servers, ln: ln, log: log, hosts: map[net.Conn]bool{}}
 	go r.serve()
 	return r, nil
 }
 
-// Carried returns how many streams of other processes are carried on.
-func (r *Receiver) Carried() int { return int(r.carried.Load()) }
+// ActiveStreams returns how many streams that were taken over go on.
+func (r *Receiver) ActiveStreams() int { return int(r.activeStreams.Load()) }
 
-// Stop takes no more. What is carried goes on.
+// Stop takes over no more connections. Streams go on.
 func (r *Receiver) Stop() { r.ln.Close() }
 
-// Wait returns once nothing is carried any more.
+// Wait returns after the last stream has ended.
 func (r *Receiver) Wait() {
-	for r.Carried() > 0 {
-		time.Sleep(emptyEvery)
+	for r.ActiveStreams() > 0 {
+		time.Sleep(drainCheckInterval)
 	}
 }
 
-// Leave has what is carried move on, too.
-func (r *Receiver) Leave() {
+// MoveOn has the streams move to the next process, too.
+func (r *Receiver) MoveOn() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for host := range r.hosts {
@@ -166,6 +167,7 @@
 	}
 }
 
+// serve accepts processes until Stop.
 func (r *Receiver) serve() {
 	for {
 		c, err := r.ln.AcceptUnix()
@@ -173,24 +175,24 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(shortNap)
+			time.Sleep(descriptorRetryDelay)
 			continue
 		}
 		go r.receive(c)
 	}
 }
 
-// receive takes messages from one process, one after another.
+// receive takes the messages of one process, one after the other.
 func (r *Receiver) receive(c *net.UnixConn) {
 	defer c.Close()
-	text, rights := make([]byte, mostMoved), make([]byte, syscall.CmsgSpace(4*movedSockets))
+	text, rights := make([]byte, maxHandoverMessage), make([]byte, syscall.CmsgSpace(4*handoverSockets))
 	for {
 		n, nr, _, _, err := c.ReadMsgUnix(text, rights)
 		if err != nil || n == 0 {
 			return
 		}
 		answer := byte(accepted)
-		if err := r.take(text[:n], rights[:nr]); err != nil {
+		if err := r.receiveOne(text[:n], rights[:nr]); err != nil {
 			answer = declined
 			r.log.Warn("connection declined", "cause", err)
 		}
@@ -200,8 +202,8 @@
 	}
 }
 
-// take takes one connection.
-func (r *Receiver) take(text, rights []byte) (err error) {
+// receiveOne takes over one connection.
+func (r *Receiver) receiveOne(text, rights []byte) (err error) {
 	conns, err := connsOf(rights)
 	defer func() {
 		if err != nil {
@@ -213,22 +215,22 @@
 	if err != nil {
 		return err
 	}
-	var m moved
+	var m movedConn
 	if err := json.Unmarshal(text, &m); err != nil {
 		return err
 	}
 	switch {
-	case m.Version != movedVersion:
-		return fmt.Errorf("version %d; this process knows %d", m.Version, movedVersion)
+	case m.Version != handoverVersion:
+		return fmt.Errorf("version %d; this process knows %d", m.Version, handoverVersion)
 	case m.Stream && len(conns) == 2 && m.Server != nil:
-		if 2*r.Carried() >= r.front.listener.places() {
+		if 2*r.ActiveStreams() >= r.front.listener.capacity() {
 			return errDeclined
 		}
-		r.carried.Add(1)
+		r.activeStreams.Add(1)
 		r.mu.Lock()
 		r.hosts[conns[1]] = true
 		r.mu.Unlock()
-		go r.carry(m, conns[0], conns[1])
+		go r.continueStream(m, conns[0], conns[1])
 		return nil
 	case m.Server != nil && len(conns) == 1:
 		if !r.servers.pool.adopt(conns[0], *m.Server, m.Idle) {
@@ -269,8 +271,8 @@
 	return conns, nil
 }
 
-// carry relays the rest of a stream, and then serves its client.
-func (r *Receiver) carry(m moved, client, host net.Conn) {
+// continueStream forwards the rest of a stream, and then serves its client.
+func (r *Receiver) continueStream(m movedConn, client, host net.Conn) {
 	ended := r.front.router.CountTakenOver(m.Class)
 	watch := &clientConn{Conn: client, listener: r.front.listener}
 	watch.watch(func() { host.Close() })
@@ -283,33 +285,33 @@
 		host.Close()
 	}
 	ended(verdict)
-	r.carried.Add(-1)
+	r.activeStreams.Add(-1)
 	if next {
-		if r.front.adopt(client, watch.ahead) == nil {
+		if r.front.adopt(client, watch.readAhead) == nil {
 			return
 		}
 	}
 	client.Close()
 }
 
-// relay passes on the rest of a stream; next tells whether the client may ask for more.
-func (r *Receiver) relay(m *moved, client *clientConn, host net.Conn) (end routing.Verdict, next bool) {
+// relay forwards the rest of a stream; next reports whether the client may send further requests.
+func (r *Receiver) relay(m *movedConn, client *clientConn, host net.Conn) (end routing.Verdict, next bool) {
 	notes := protocol.NotesFrom(m.Line, m.Long)
 	raw := make([]byte, readBuffer)
 	out := make([]byte, 0, readBuffer+64)
-	last := time.Now().Add(-m.Idle) // a move gives a server no more time to be silent
+	last := time.Now().Add(-m.Idle) // a move gives a server no more time
 	for stays := false; m.Chunks.At != protocol.AtWhole; {
 		if mover := r.front.listener.mover.Load(); mover != nil && !stays {
 			client.unwatch()
 			m.Line, m.Long = notes.Rest()
 			m.Idle = time.Since(last)
-			if len(client.ahead) == 0 && !client.left.Load() && mover.move(*m, client.Conn, host) == nil {
+			if len(client.readAhead) == 0 && !client.hasGone.Load() && mover.move(*m, client.Conn, host) == nil {
 				return routing.Abandoned, false
 			}
 			stays = true
-			client.watch(client.gone)
+			client.watch(client.onGone)
 		}
-		host.SetReadDeadline(last.Add(r.servers.silent))
+		host.SetReadDeadline(last.Add(r.servers.streamIdleTimeout))
 		n, err := host.Read(raw)
 		if n > 0 {
 			last = time.Now()
@@ -318,20 +320,20 @@
 			continue // it is to move
 		}
 		if n == 0 && err != nil {
-			if client.left.Load() {
+			if client.hasGone.Load() {
 				return routing.Abandoned, false
 			}
 			return routing.Failed, false
 		}
 		out = out[:0]
-		spoilt := false
-		used, bad := m.Chunks.Feed(raw[:n], func(piece []byte) {
-			m.Size += len(piece)
-			spoilt = spoilt || !notes.Feed(piece) || m.Size > mostStream
-			out = fmt.Appendf(out, "%x\r\n", len(piece))
-			out = append(append(out, piece...), "\r\n"...)
+		malformed := false
+		used, bad := m.Chunks.Feed(raw[:n], func(chunk []byte) {
+			m.Size += len(chunk)
+			malformed = malformed || !notes.Feed(chunk) || m.Size > maxStream
+			out = fmt.Appendf(out, "%x\r\n", len(chunk))
+			out = append(append(out, chunk...), "\r\n"...)
 		})
-		if bad != nil || spoilt || used < n {
+		if bad != nil || malformed || used < n {
 			return routing.Failed, false
 		}
 		if m.Chunks.At == protocol.AtWhole {
@@ -347,7 +349,8 @@
 	return routing.Served, true
 }
 
-// adopt serves a client on a connection that another process had. What was read of its next request goes first.
+// adopt serves a client on a connection of another process. What was read of its next request comes
+// first.
 func (f *Front) adopt(c net.Conn, ahead []byte) error {
 	conn := f.listener.adopt(c, ahead)
 	if conn == nil {
@@ -357,19 +360,19 @@
 	return nil
 }
 
-// adopt admits a connection that was never in the line.
+// adopt admits a connection that was not accepted here.
 func (l *listener) adopt(nc net.Conn, ahead []byte) (c *clientConn) {
 	from, _ := netip.ParseAddrPort(nc.RemoteAddr().String())
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.alive >= l.most {
+	if l.alive >= l.maxAlive {
 		return nil
 	}
 	for _, a := range l.admission.Step(l.now(), admission.Event{Kind: admission.Opened, Addr: from.Addr().Unmap()}) {
 		switch a.Kind {
 		case admission.Admit:
 			c = l.admit(a.Conn, nc)
-			c.ahead = ahead
+			c.readAhead = ahead
 		case admission.Shut, admission.Hurry:
 			l.carryOut(a)
 		}
@@ -377,12 +380,12 @@
 	return c
 }
 
-// places returns how many client connections may be served.
-func (l *listener) places() int {
+// capacity returns how many client connections may be served.
+func (l *listener) capacity() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.admission.Counts().Places
 }
 
-// MoveTo has silent connections, and from the next read on all streams, go to another process.
+// MoveTo has idle connections, and from the next read on all streams, move to another process.
 func (f *Front) MoveTo(m *Mover) { f.listener.mover.Store(m) }
--- a/internal/transport/move_test.go
+++ b/internal/transport/handover_test.go
@@ -32,9 +32,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &half{servers: transport.NewServers(transport.ServerLimits{Connect: time.Second, Keepalive: time.Minute, Connections: 10, Silent: silent}, lines)}
+	h := &half{servers: transport.NewServers(transport.ServerLimits{ConnectTimeout: time.Second, Keepalive: time.Minute, Connections: 10, StreamIdleTimeout: silent}, lines)}
 	h.core = routing.New(b, h.servers, lines, time.Second)
-	h.front = transport.NewFront(h.core, transport.FrontLimits{Admission: admission.Config{Places: 100, Step: 8}, Bodies: 1 << 20}, nil)
+	h.front = transport.NewFront(h.core, transport.FrontLimits{Admission: admission.Config{Places: 100, Step: 8}, BodyBytes: 1 << 20}, nil)
 	r, err := transport.NewReceiver(path, h.front, h.servers, lines)
 	if err != nil {
 		t.Fatal(err)
@@ -52,7 +52,7 @@
 }
 
 // A server that has fallen silent gets no more time by a move, nor by one that fails: its client is told in time.
-func TestMoveAndSilence(t *testing.T) {
+func TestMovedStreamKeepsItsTimeout(t *testing.T) {
 	const silent = time.Second
 	for name, path := range map[string]string{"moved": "taken", "nobody takes it": "gone"} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/transport/forms_test.go
+++ b/internal/transport/handoverform_test.go
@@ -7,6 +7,6 @@
 )
 
 // What goes with a connection that moves to another process has the same fields: the two may be of different versions.
-func TestMovedFormIsUnchanged(t *testing.T) {
-	formtest.Compare(t, "moved.txt", formtest.Fields(moved{}, "json"))
+func TestHandoverMessageIsUnchanged(t *testing.T) {
+	formtest.Compare(t, "moved.txt", formtest.Fields(movedConn{}, "json"))
 }
--- a/internal/transport/inherit.go
+++ b/internal/transport/inherit.go
@@ -7,8 +7,8 @@
 	"syscall"
 )
 
-// Inherit returns the listener that this process has as a descriptor from whoever started it. Closing it leaves the
-// socket to all others who have it, with those who stand in line.
+// Inherit returns the listener that this process has as a descriptor from its parent. Closing it leaves
+// the socket, with its backlog, to the other processes that have it.
 func Inherit(fd int) (net.Listener, error) {
 	// Asked before the descriptor is taken: a wrong one may be anything's, the run-time's own poller among them.
 	listens, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN)
--- a/internal/transport/intake.go
+++ b/internal/transport/intake.go
@@ -10,20 +10,21 @@
 	"reachspread/internal/routing"
 )
 
-// Intake is what one deployment makes of its clients' requests. The front reads requests and writes answers; which router takes
-// a request, under which name, and how an answer reads is the intake's. Its methods are called by many goroutines.
+// Intake is what one deployment makes of its clients' requests. The front end reads requests and writes
+// answers; the intake says which router gets a request, under which ID, and how an answer reads. Its
+// methods are called by many goroutines.
 type Intake interface {
 	// Local answers a request that is for the router itself, and reports whether it did.
 	Local(ctx *fasthttp.RequestCtx) bool
-	// Head judges a request by its head, before its body is read. Nil lets it pass.
+	// Head checks a request by its head, before its body is read. Nil admits it.
 	Head(ctx *fasthttp.RequestCtx) *Rejection
-	// Plan says where a request that was read whole goes. Its first byte came at the time given.
+	// Plan says where a request goes whose body was read. Its first byte came at the time given.
 	Plan(ctx *fasthttp.RequestCtx, body []byte, began time.Time) (*Plan, *Rejection)
 	// Served writes the head of an answer whose body follows.
 	Served(ctx *fasthttp.RequestCtx, s *routing.Stream)
 	// Unserved writes the answer to a request that no server has served.
 	Unserved(ctx *fasthttp.RequestCtx, a routing.Answer)
-	// Count is told of a request that is answered before it got to a router.
+	// Count counts a request that is answered before it got to a router.
 	Count(ctx *fasthttp.RequestCtx, no Rejection)
 	// MaxBody bounds a request's body, in bytes.
 	MaxBody() int
@@ -36,28 +37,29 @@
 	Router  *routing.Router
 	Arrival balance.Arrival
 	Message *Message
-	// Resume says how an answer that broke off behind an event goes on, nil where that is not allowed; ok is false where it can't. First is
-	// the head of the answer so far.
+	// Resume says how an answer that broke off after an event goes on, nil if that is not allowed; ok is
+	// false if it can't. First is the head of the answer so far.
 	Resume func(m *Message, first *Final, after string) (next *Plan, ok bool)
-	// Outdated tells that a request which was refused before it ran has to be planned anew; it may be nil.
+	// Outdated reports whether a request that was rejected before it executed has to be planned again;
+	// it may be nil.
 	Outdated func() bool
 	// Ended is called once with the request's end; it may be nil.
 	Ended func(routing.Answer)
 }
 
-// end tells that the request has ended.
+// end calls Ended.
 func (p *Plan) end(a routing.Answer) {
 	if p.Ended != nil {
 		p.Ended(a)
 	}
 }
 
-// Rejection is an answer of the router's own to a request that it does not take.
+// Rejection is an answer of the router's own to a request that it does not accept.
 type Rejection struct {
-	Code int
-	Line string        // one line for the client
-	Wait time.Duration // when to come back, 0 for no advice
-	Keep bool          // the connection stays: the request was read whole
+	Code       int
+	Text       string        // one line for the client
+	RetryAfter time.Duration // when to come back, 0 for no advice
+	KeepAlive  bool          // the connection stays, as the request was read to its end
 }
 
 // completions is the intake of the router in service.
@@ -94,7 +96,7 @@
 	header := &ctx.Request.Header
 	arrival, err := protocol.ParseArrival(func(name string) string { return string(header.Peek(name)) }, len(body))
 	if err != nil {
-		return nil, &Rejection{Code: fasthttp.StatusBadRequest, Line: err.Error()}
+		return nil, &Rejection{Code: fasthttp.StatusBadRequest, Text: err.Error()}
 	}
 	return &Plan{Router: c.router, Arrival: arrival, Message: &Message{
 		method:      append([]byte(nil), header.Method()...),
@@ -140,5 +142,5 @@
 
 // LongHead implements Intake.
 func (c *completions) LongHead() Rejection {
-	return Rejection{Code: fasthttp.StatusBadRequest, Line: "the head is too long"}
+	return Rejection{Code: fasthttp.StatusBadRequest, Text: "the head is too long"}
 }
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -19,64 +19,66 @@
 )
 
 const (
-	// ending is how many connections that were shut may still be on their way out of the HTTP server; then nothing is
-	// accepted until some are. Its workers end slower than new connections come, and it refuses beyond its own bound.
-	ending = 32
-	// A flood is taken in turns: after so many connections that came to nothing the listener rests, so that the
-	// poller gets to those that are served. While more stand in line than are taken, its turns grow up to mostTurn:
-	// who is served next stands in that line, too.
-	turnOf   = 64
-	mostTurn = 256
-	restFor  = 200 * time.Microsecond
-	holdFor  = time.Millisecond     // where nobody can make room yet
-	shortNap = 2 * time.Millisecond // for a request to come that is refused without a descriptor of its own
-	deferFor = time.Second          // that the system waits for a client's first word, where admission looks at it
+	// maxClosingConns is how many connections that were shut may not have left the HTTP server yet; with
+	// more, nothing is accepted. Its workers end slower than new connections come, and it rejects beyond
+	// its own bound.
+	maxClosingConns = 32
+	// A flood is accepted in bursts: after so many connections that were rejected the listener rests, so
+	// that the poller gets to those that are served. While the backlog grows, its bursts grow up to
+	// maxAcceptBurst: the clients that are served next are in that backlog, too.
+	minAcceptBurst       = 64
+	maxAcceptBurst       = 256
+	acceptRest           = 200 * time.Microsecond
+	acceptRetryDelay     = time.Millisecond     // where no connection can be closed for another yet
+	descriptorRetryDelay = 2 * time.Millisecond // for another descriptor, or a request that is rejected for want of one
+	deferAcceptTime      = time.Second          // that the system waits for a client's first bytes, where admission reads them
 )
 
 // listener carries out what package admission decides on client connections.
 type listener struct {
 	net.Listener
-	socket *os.File // the listener's, as a listener itself lets nobody at its descriptor
-	raw    syscall.RawConn
-	start  time.Time
-	strict bool   // levels bound slow clients, and what a client has said is looked at before it is let in
-	shared bool   // others have the socket; whoever starts one may make it block, for all
-	header string // that names a client, empty for none
-	log    func() // the process had no descriptor left
-	waits  Patience
+	socket   *os.File // the listener's, as a listener gives no access to its descriptor
+	raw      syscall.RawConn
+	start    time.Time
+	strict   bool   // slow clients are bounded by level, and first bytes are read before a client is admitted
+	shared   bool   // other processes have the socket; one that starts may make it block, for all
+	header   string // with a client's identity, empty for none
+	log      func() // called when the process had no descriptor left
+	patience Patience
 
-	leaving atomic.Bool           // answers tell that their connections end
-	mover   atomic.Pointer[Mover] // to a process that takes over, nil without one
-	parting atomic.Bool           // connections end with their answers, also those whose answers could not tell
+	draining            atomic.Bool           // answers say that their connections end
+	mover               atomic.Pointer[Mover] // to a process that takes over, nil for none
+	closingAfterAnswers atomic.Bool           // connections end with their answers, also those whose answers could not say so
 
-	mu        sync.Mutex
-	admission *admission.Controller
-	conns     []*clientConn // by their names at admission
-	ended     bool          // nothing is accepted any more
-	alive     int           // given to the HTTP server and not closed by it
-	most      int           // of alive
-	room      *sync.Cond    // alive went down
+	mu           sync.Mutex
+	admission    *admission.Controller
+	conns        []*clientConn // by their IDs at admission
+	ended        bool          // nothing is accepted any more
+	alive        int           // connections that the HTTP server has
+	maxAlive     int           // of alive
+	aliveDropped *sync.Cond    // alive was lowered
 
 	// Accept's alone:
-	idle  int           // connections that came to nothing since the last rest
-	turn  int           // as many make a rest due
-	spare *os.File      // held back for when there is no other descriptor
-	ahead [8 << 10]byte // what a client has said by the time that it is accepted
-	text  []byte        // of a refusal
+	rejectedInBurst    int           // connections that were rejected since the last rest
+	burst              int           // the number after which a rest is due
+	reservedDescriptor *os.File      // for when there is no other descriptor
+	readAhead          [8 << 10]byte // of a client, before it is admitted
+	text               []byte        // of a rejection
 }
 
+// newListener returns a listener that does not listen yet.
 func newListener(limits *FrontLimits) *listener {
 	c := limits.Admission
-	l := &listener{start: time.Now(), admission: admission.New(c, limits.Seed), most: c.Places + c.Step + ending, log: limits.Short,
-		strict: c.Patience != [3]time.Duration{}, header: limits.Identity, turn: turnOf, waits: limits.Patience}
-	l.room = sync.NewCond(&l.mu)
+	l := &listener{start: time.Now(), admission: admission.New(c, limits.Seed), maxAlive: c.Places + c.Step + maxClosingConns, log: limits.OnDescriptorShortage,
+		strict: c.Patience != [3]time.Duration{}, header: limits.Identity, burst: minAcceptBurst, patience: limits.Patience}
+	l.aliveDropped = sync.NewCond(&l.mu)
 	return l
 }
 
-// now is admission's clock. It begins at a second, as 0 is never.
+// now is admission's clock. It begins at a second, as 0 means never.
 func (l *listener) now() time.Duration { return time.Second + time.Since(l.start) }
 
-// listen has l listen on ln, which must be a socket of the system's.
+// listen has l listen on ln, which must be a TCP socket.
 func (l *listener) listen(ln net.Listener, shared bool) (err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -95,9 +97,9 @@
 	if err != nil || !l.strict {
 		return err
 	}
-	// The system keeps a silent client to itself for a second; whoever speaks is accepted when its word is there.
+	// The system accepts a silent client after a second only, others when their first bytes have come.
 	failed := l.raw.Control(func(fd uintptr) {
-		err = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_DEFER_ACCEPT, int(deferFor/time.Second))
+		err = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_DEFER_ACCEPT, int(deferAcceptTime/time.Second))
 	})
 	return errors.Join(failed, err)
 }
@@ -112,32 +114,32 @@
 	}
 	l.ended = true
 	err := l.Listener.Close()
-	if l.shared { // made to block in the wrong moment, it would block the close, too, until one more client comes
+	if l.shared { // made to block by another process, it would block the close, too, until one more client comes
 		go l.socket.Close()
 		return err
 	}
 	return errors.Join(err, l.socket.Close())
 }
 
-// emptyEvery is how often the last connections are looked at.
-const emptyEvery = 20 * time.Millisecond
+// drainCheckInterval is how often the last connections are closed if they are idle.
+const drainCheckInterval = 20 * time.Millisecond
 
-// emptied calls empty until no connection is left.
-func (l *listener) emptied(empty func()) {
+// closeUntilEmpty calls closeIdle until no connection is left.
+func (l *listener) closeUntilEmpty(closeIdle func()) {
 	for {
-		empty()
+		closeIdle()
 		l.mu.Lock()
 		left := l.alive
 		l.mu.Unlock()
 		if left == 0 {
 			return
 		}
-		time.Sleep(emptyEvery)
+		time.Sleep(drainCheckInterval)
 	}
 }
 
-// accept returns the descriptor of the next connection. Those that are turned away never come any further: making a
-// net.Conn of one costs as much as all else that is done for it.
+// accept returns the descriptor of the next connection. A net.Conn is made only of those that are
+// admitted: making one costs as much as all else that is done for a connection.
 func (l *listener) accept() (fd int, from netip.Addr, err error) {
 	var failed error
 	err = l.raw.Read(func(socket uintptr) bool {
@@ -156,8 +158,8 @@
 		case *syscall.SockaddrInet6:
 			from = netip.AddrFrom16(a.Addr)
 		}
-		if failed == syscall.EAGAIN { // nobody stands in line
-			l.idle, l.turn = 0, turnOf
+		if failed == syscall.EAGAIN { // the backlog is empty
+			l.rejectedInBurst, l.burst = 0, minAcceptBurst
 			return false
 		}
 		return true
@@ -171,46 +173,48 @@
 	return fd, from, err
 }
 
-// made makes a connection of a descriptor, which it takes.
-func made(fd int) (net.Conn, error) {
+// connOf makes a connection of a descriptor, which it takes over.
+func connOf(fd int) (net.Conn, error) {
 	f := os.NewFile(uintptr(fd), "client")
 	defer f.Close()
 	c, err := net.FileConn(f) // has a second descriptor until f is closed
-	if short(err) {
-		sayShort(fd)
+	if isDescriptorShortage(err) {
+		rejectForShortage(fd)
 	}
 	return c, err
 }
 
-// short tells that an error is the lack of a descriptor.
-func short(err error) bool { return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) }
+// isDescriptorShortage reports whether an error is the lack of a descriptor.
+func isDescriptorShortage(err error) bool {
+	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
+}
 
-// sayShort refuses a client on its descriptor as it is. What it asked so far must be read, or the close would take
-// back the answer.
-func sayShort(fd int) {
+// rejectForShortage rejects a client on its bare descriptor. What it has sent must be read, or the close
+// would take back the answer.
+func rejectForShortage(fd int) {
 	syscall.Read(fd, make([]byte, 4096))
-	syscall.Write(fd, []byte(refusedShort))
+	syscall.Write(fd, []byte(shortageAnswer))
 }
 
-// Accept returns the next connection that is let in. Those that are not are closed here.
+// Accept returns the next connection that is admitted. Others are rejected here.
 func (l *listener) Accept() (net.Conn, error) {
 	for {
-		if l.spare == nil {
-			l.spare, _ = os.Open(os.DevNull) // without one there is nothing to be done now
+		if l.reservedDescriptor == nil {
+			l.reservedDescriptor, _ = os.Open(os.DevNull) // without one there is nothing to do now
 		}
-		if l.idle >= l.turn {
-			l.idle = 0
-			l.turn = min(2*l.turn, mostTurn)
-			time.Sleep(restFor)
+		if l.rejectedInBurst >= l.burst {
+			l.rejectedInBurst = 0
+			l.burst = min(2*l.burst, maxAcceptBurst)
+			time.Sleep(acceptRest)
 		}
 		fd, from, err := l.accept()
 		switch {
 		case err == nil:
-			if c := l.opened(fd, from); c != nil {
+			if c := l.admitOpened(fd, from); c != nil {
 				return c, nil
 			}
-		case short(err):
-			l.refuseShort()
+		case isDescriptorShortage(err):
+			l.rejectNextForShortage()
 		case errors.Is(err, syscall.ECONNABORTED): // by its client, before it was accepted
 		default:
 			return nil, err
@@ -218,18 +222,18 @@
 	}
 }
 
-// look reads what a client has said by now, if admission wants to know. It returns admission's event and how many bytes
-// are in l.ahead.
-func (l *listener) look(fd int, from netip.Addr) (e admission.Event, got int) {
+// readEarly reads what a client has sent by now, if admission is strict. It returns admission's event and
+// how many bytes are in l.readAhead.
+func (l *listener) readEarly(fd int, from netip.Addr) (e admission.Event, got int) {
 	e = admission.Event{Kind: admission.Opened, Addr: from}
 	if !l.strict {
 		return e, 0
 	}
-	got, err := syscall.Read(fd, l.ahead[:])
+	got, err := syscall.Read(fd, l.readAhead[:])
 	switch {
 	case got > 0:
 		var seen protocol.Glance
-		seen, e.Said = protocol.Look(l.ahead[:got], l.header)
+		seen, e.Said = protocol.Look(l.readAhead[:got], l.header)
 		e.Identity, e.Whole = seen.Named, e.Said && seen.Length >= 0 && got >= seen.Length
 	case err != syscall.EAGAIN && err != syscall.EINTR:
 		e.Left = true
@@ -237,47 +241,48 @@
 	return e, max(got, 0)
 }
 
-// opened asks admission, and waits while too many connections are still on their way out.
-func (l *listener) opened(fd int, from netip.Addr) (c *clientConn) {
-	e, got := l.look(fd, from)
+// admitOpened has admission decide on a connection, nil for one that is not admitted. It waits while too
+// many connections have not left the HTTP server.
+func (l *listener) admitOpened(fd int, from netip.Addr) (c *clientConn) {
+	e, got := l.readEarly(fd, from)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 again:
-	for l.alive >= l.most {
-		l.room.Wait()
+	for l.alive >= l.maxAlive {
+		l.aliveDropped.Wait()
 	}
 	for _, a := range l.admission.Step(l.now(), e) {
 		switch a.Kind {
 		case admission.Admit:
-			nc, err := made(fd)
-			if err != nil { // it is gone already, or there is no descriptor for the moment that this takes two
+			nc, err := connOf(fd)
+			if err != nil { // it is closed already, or there is no second descriptor
 				l.admission.Step(l.now(), admission.Event{Kind: admission.Closed, Conn: a.Conn})
-				if short(err) {
+				if isDescriptorShortage(err) {
 					l.admission.Step(l.now(), admission.Event{Kind: admission.Short})
-					l.idle = mostTurn // a rest, and then whoever is next
-					go l.log()        // asks for the counts, which the lock guards
+					l.rejectedInBurst = maxAcceptBurst // rest before the next one
+					go l.log()                         // asks for the counts, which the lock guards
 				}
 				return nil
 			}
 			c = l.admit(a.Conn, nc)
-			c.ahead = bytes.Clone(l.ahead[:got])
+			c.readAhead = bytes.Clone(l.readAhead[:got])
 		case admission.Turn:
-			l.idle++
-			if !e.Left { // no request was read whole, so nothing is owed
+			l.rejectedInBurst++
+			if !e.Left { // no request was read to its end, so no answer is owed
 				syscall.SetsockoptLinger(fd, syscall.SOL_SOCKET, syscall.SO_LINGER, &syscall.Linger{Onoff: 1})
 			}
 			syscall.Close(fd)
 		case admission.Refuse:
-			l.idle++
-			l.refuse(fd, e.Whole && got < len(l.ahead), a)
+			l.rejectedInBurst++
+			l.reject(fd, e.Whole && got < len(l.readAhead), a)
 		case admission.Hold:
 			l.mu.Unlock()
-			time.Sleep(holdFor)
+			time.Sleep(acceptRetryDelay)
 			l.mu.Lock()
 			goto again
 		default:
 			if a.Kind == admission.Shut {
-				l.idle++
+				l.rejectedInBurst++
 			}
 			l.carryOut(a)
 		}
@@ -285,9 +290,9 @@
 	return c
 }
 
-// admit gives a connection its name. The lock is held.
+// admit adds a connection under its ID at admission. The caller has the lock.
 func (l *listener) admit(name int32, nc net.Conn) *clientConn {
-	c := &clientConn{Conn: nc, listener: l, name: name}
+	c := &clientConn{Conn: nc, listener: l, admissionID: name}
 	for int(name) >= len(l.conns) {
 		l.conns = append(l.conns, nil)
 	}
@@ -296,19 +301,20 @@
 	return c
 }
 
-// refuse answers a request that was read as its connection was accepted, whole or not. The lock is held.
-func (l *listener) refuse(fd int, whole bool, a admission.Action) {
-	l.text = protocol.AppendRefusal(l.text[:0], a.Code, a.Away, refusalLine(a))
+// reject answers a request that was read, complete or not, before its connection was admitted. The caller
+// has the lock.
+func (l *listener) reject(fd int, whole bool, a admission.Action) {
+	l.text = protocol.AppendRefusal(l.text[:0], a.Code, a.Away, rejectionText(a))
 	// All of it goes out, in one packet with the end, or the client is gone.
 	syscall.SendmsgN(fd, l.text, nil, nil, syscall.MSG_MORE|syscall.MSG_DONTWAIT|syscall.MSG_NOSIGNAL)
-	if whole || l.alive >= l.most {
+	if whole || l.alive >= l.maxAlive {
 		syscall.Close(fd)
 		return
 	}
 	// More of it is on its way; a close with bytes unread would take back the answer.
 	syscall.Shutdown(fd, syscall.SHUT_WR)
 	l.alive++
-	time.AfterFunc(lingerShort, func() {
+	time.AfterFunc(overloadLingerTimeout, func() {
 		rest := make([]byte, 8<<10)
 		for n, got := 1, 0; n > 0 && got < lingerBytes; got += n {
 			n, _ = syscall.Read(fd, rest)
@@ -317,12 +323,12 @@
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		l.alive--
-		l.room.Signal()
+		l.aliveDropped.Signal()
 	})
 }
 
-// refusalLine is the text of a refusal.
-func refusalLine(a admission.Action) string {
+// rejectionText returns the text of a rejection.
+func rejectionText(a admission.Action) string {
 	switch {
 	case a.Code == http.StatusTooManyRequests && a.Cause == admission.OverRate:
 		return "too many new connections of this client; trying again is harmless"
@@ -344,7 +350,7 @@
 }
 
 // tell has admission know of something that concerns one connection, or none.
-func (l *listener) tell(e admission.Event) (answer admission.Action) {
+func (l *listener) notifyAdmission(e admission.Event) (answer admission.Action) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, a := range l.admission.Step(l.now(), e) {
@@ -357,28 +363,29 @@
 	return answer
 }
 
-// refuseShort spends the descriptor held back to tell one client that there is no other, and takes a new one.
-func (l *listener) refuseShort() {
-	l.tell(admission.Event{Kind: admission.Short})
+// rejectNextForShortage uses the reserved descriptor to tell one client that there is no other, and
+// reserves a new one.
+func (l *listener) rejectNextForShortage() {
+	l.notifyAdmission(admission.Event{Kind: admission.Short})
 	l.log()
-	if l.spare == nil {
-		time.Sleep(shortNap)
+	if l.reservedDescriptor == nil {
+		time.Sleep(descriptorRetryDelay)
 		return
 	}
-	l.spare.Close()
-	l.spare = nil
+	l.reservedDescriptor.Close()
+	l.reservedDescriptor = nil
 	fd, _, err := l.accept()
 	if err != nil {
-		time.Sleep(shortNap)
+		time.Sleep(descriptorRetryDelay)
 		return
 	}
-	time.Sleep(shortNap) // for its request to come
-	sayShort(fd)
+	time.Sleep(descriptorRetryDelay) // for its request to come
+	rejectForShortage(fd)
 	syscall.Close(fd)
 }
 
-// refusedShort is the answer of a process without descriptors.
-const refusedShort = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+// shortageAnswer is the answer of a process without descriptors.
+const shortageAnswer = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
 // level returns admission's level.
 func (l *listener) level() admission.Level {
@@ -387,18 +394,18 @@
 	return l.admission.Level()
 }
 
-// reading returns how long a client may take for what one write sent.
-func (l *listener) reading() time.Duration {
+// writeTimeout returns how long a client may take to read what one write sent.
+func (l *listener) writeTimeout() time.Duration {
 	if !l.strict {
-		return stuckFor
+		return clientWriteTimeout
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return cmp.Or(l.admission.Reading(), stuckFor)
+	return cmp.Or(l.admission.Reading(), clientWriteTimeout)
 }
 
-// use returns the share of the places that is taken.
-func (l *listener) use() float64 {
+// usedFraction returns the fraction of the connections that is used.
+func (l *listener) usedFraction() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.admission.Use()
--- a/internal/transport/management.go
+++ b/internal/transport/management.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// MostCallers bounds the callers of the operators' management address that are connected at one time. One more takes the place of
-	// the one that has been there for longest, so that callers that say nothing keep nobody out.
-	MostCallers = 16
-	// ManagementSockets are the descriptors that admission may use: callers, the listener, and one held back for when the
-	// process has no other.
-	ManagementSockets = MostCallers + 2
-	// callerFor is how long a caller may take for all of its call.
-	callerFor = 10 * time.Second
+	// MaxCallers bounds the callers of the management address that are connected at one time. One more
+	// replaces the one that was connected first, so that silent callers keep nobody out.
+	MaxCallers = 16
+	// ManagementSockets are the descriptors that a Management may use: callers, the listener, and one in
+	// reserve for when the process has no other.
+	ManagementSockets = MaxCallers + 2
+	// callTimeout is how long a caller may take for all of its call.
+	callTimeout = 10 * time.Second
 )
 
 // Management is the operators' management address: a connection carries one line and gets one answer.
@@ -29,9 +29,9 @@
 	ln     net.Listener
 	answer func(line string) string
 
-	mu      sync.Mutex
-	callers []net.Conn // the longest connected first
-	spare   *os.File
+	mu                 sync.Mutex
+	callers            []net.Conn // the longest connected first
+	reservedDescriptor *os.File
 }
 
 // NewManagement listens at an address for operators.
@@ -42,7 +42,7 @@
 		return nil, err
 	}
 	m := &Management{ln: ln, answer: answer}
-	m.spare, _ = os.Open(os.DevNull)
+	m.reservedDescriptor, _ = os.Open(os.DevNull)
 	return m, nil
 }
 
@@ -58,40 +58,42 @@
 		c, err := m.ln.Accept()
 		switch {
 		case err == nil:
-			m.enter(c)
+			m.addCaller(c)
 			go m.call(c)
 		case errors.Is(err, net.ErrClosed):
 			return
-		case short(err):
-			m.yield()
+		case isDescriptorShortage(err):
+			m.releaseReserved()
 		}
 	}
 }
 
-// yield spends the descriptor held back, so that the next caller has one, or waits for another's.
-func (m *Management) yield() {
+// releaseReserved releases the descriptor in reserve, so that the next caller has one, or waits for
+// another's.
+func (m *Management) releaseReserved() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.spare == nil {
-		time.Sleep(shortNap)
+	if m.reservedDescriptor == nil {
+		time.Sleep(descriptorRetryDelay)
 		return
 	}
-	m.spare.Close()
-	m.spare = nil
+	m.reservedDescriptor.Close()
+	m.reservedDescriptor = nil
 }
 
-// enter counts a caller in. If there are too many, the longest connected one ends.
-func (m *Management) enter(c net.Conn) {
+// addCaller adds a caller. If there are too many, the one that was connected first ends.
+func (m *Management) addCaller(c net.Conn) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.callers = append(m.callers, c); len(m.callers) > MostCallers {
+	m.callers = append(m.callers, c)
+	if len(m.callers) > MaxCallers {
 		m.callers[0].Close()
 		m.callers = m.callers[1:]
 	}
 }
 
-// leave counts a caller out.
-func (m *Management) leave(c net.Conn) {
+// removeCaller removes a caller.
+func (m *Management) removeCaller(c net.Conn) {
 	c.Close()
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -101,15 +103,15 @@
 			break
 		}
 	}
-	if m.spare == nil {
-		m.spare, _ = os.Open(os.DevNull)
+	if m.reservedDescriptor == nil {
+		m.reservedDescriptor, _ = os.Open(os.DevNull)
 	}
 }
 
 // call reads one line and answers it.
 func (m *Management) call(c net.Conn) {
-	defer m.leave(c)
-	c.SetDeadline(time.Now().Add(callerFor))
+	defer m.removeCaller(c)
+	c.SetDeadline(time.Now().Add(callTimeout))
 	in := bufio.NewReaderSize(c, management.MostLine)
 	line, err := in.ReadSlice('\n')
 	var text string
@@ -128,7 +130,7 @@
 	}
 	// Closed with bytes unread, the connection would be reset and the caller might lose the answer.
 	if c.(*net.TCPConn).CloseWrite() == nil {
-		c.SetReadDeadline(time.Now().Add(lingerFor))
-		io.CopyN(io.Discard, in, mostRefusal)
+		c.SetReadDeadline(time.Now().Add(lingerTimeout))
+		io.CopyN(io.Discard, in, maxErrorBody)
 	}
 }
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -1,5 +1,7 @@
-// Package transport holds all that touches sockets: the front for clients, the connections to servers and the
-// watch on discovery. The HTTP on them is fasthttp's.
+// Package transport has all that touches sockets: the front end for clients (front.go, listener.go,
+// clientconn.go), the connections to servers (servers.go, pool.go, exchange.go), the watch on discovery,
+// and the handover of connections to a process that takes over (handover.go). The HTTP on them is
+// fasthttp's.
 package transport
 
 import (
@@ -16,18 +18,18 @@
 )
 
 const (
-	sweepEvery = time.Second
-	readBuffer = 4096
+	sweepInterval = time.Second
+	readBuffer    = 4096
 )
 
-// errNoSocket says that all sockets for servers are in use.
+// errNoSocket says that all connections to servers are in use. Nothing was sent.
 var errNoSocket = errors.New("no socket left for servers")
 
 // pool keeps connections to servers, for each the most recently used first, and bounds their number.
 type pool struct {
-	connectFor time.Duration
-	idleFor    time.Duration // safely under the time after which the other side closes
-	limit      int           // connections in all
+	connectTimeout time.Duration
+	idleTimeout    time.Duration // safely under the time after which the other side closes
+	limit          int           // connections in all
 
 	mu     sync.Mutex
 	idle   map[routing.Server][]*conn // by server and address, the oldest first; none is empty
@@ -39,19 +41,19 @@
 // conn is a connection to a server. Its user has it alone.
 type conn struct {
 	net.Conn
-	err     error // the last one of the socket: without one, an answer that fails was spoilt
-	to      routing.Server
-	in      *bufio.Reader
-	since   time.Time       // in the pool
-	idleFor time.Duration   // that its server keeps it, with a margin; 0 for as long as the pool does
-	track   *track          // of the stream that it carries, nil where that can't move
-	head    context.Context // of the head that is being read, nil for none
+	err         error // the last of the socket; without one, an answer that fails was malformed
+	to          routing.Server
+	in          *bufio.Reader
+	idleSince   time.Time       // in the pool
+	idleTimeout time.Duration   // for which its server keeps it, with a margin; 0 for that of the pool
+	track       *streamTracker  // of the stream that it carries, nil if that can't move
+	head        context.Context // of the head that is being read, nil for none
 }
 
 // take returns an idle connection to a server, or a new one.
 func (p *pool) take(ctx context.Context, to routing.Server) (*conn, error) {
 	p.mu.Lock()
-	idle := p.idleFor
+	idle := p.idleTimeout
 	p.mu.Unlock()
 	for {
 		c, err := p.pop(to)
@@ -61,13 +63,13 @@
 		if c == nil {
 			break
 		}
-		if time.Since(c.since) < c.idleLimit(idle) && c.quiet() {
+		if time.Since(c.idleSince) < c.idleLimit(idle) && c.isQuiet() {
 			return c, nil
 		}
 		p.discard(c) // closed by the other side while idle: nothing was sent on it
 	}
 	p.mu.Lock()
-	dialer := net.Dialer{Timeout: p.connectFor, KeepAlive: -1}
+	dialer := net.Dialer{Timeout: p.connectTimeout, KeepAlive: -1}
 	p.mu.Unlock()
 	nc, err := dialer.DialContext(ctx, "tcp", to.Addr)
 	if err != nil {
@@ -79,14 +81,14 @@
 	return c, nil
 }
 
-// pop returns the most recently used idle connection. Without one it returns nil and reserves room for a new one,
+// pop returns the most recently used idle connection. Without one it returns nil and counts a new one,
 // if need be in place of the longest idle connection to any server.
 func (p *pool) pop(to routing.Server) (*conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.sweep()
 	if l := p.idle[to]; len(l) > 0 {
-		p.keep(to, l[:len(l)-1])
+		p.setIdle(to, l[:len(l)-1])
 		return l[len(l)-1], nil
 	}
 	if p.open >= p.limit && !p.evict() {
@@ -100,7 +102,7 @@
 func (p *pool) evict() bool {
 	var oldest *conn
 	for _, l := range p.idle {
-		if oldest == nil || l[0].since.Before(oldest.since) {
+		if oldest == nil || l[0].idleSince.Before(oldest.idleSince) {
 			oldest = l[0]
 		}
 	}
@@ -108,13 +110,14 @@
 		return false
 	}
 	oldest.Close()
-	p.keep(oldest.to, p.idle[oldest.to][1:])
+	p.setIdle(oldest.to, p.idle[oldest.to][1:])
 	p.open--
 	return true
 }
 
-// bound sets how many connections there may be. Idle ones beyond it are closed; those in use end with their users.
-func (p *pool) bound(limit int) {
+// setLimit sets how many connections there may be. Idle ones beyond it are closed; those in use end with
+// their users.
+func (p *pool) setLimit(limit int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.limit = limit
@@ -122,24 +125,27 @@
 	}
 }
 
-// keep has a server's idle connections be these. On a long day each id is one of thousands: none leaves a trace.
-func (p *pool) keep(to routing.Server, l []*conn) {
-	if p.idle[to] = l; len(l) == 0 {
+// setIdle sets a server's idle connections. Without any its entry is deleted: over a long day there are
+// thousands of servers.
+func (p *pool) setIdle(to routing.Server, l []*conn) {
+	if len(l) == 0 {
 		delete(p.idle, to)
+		return
 	}
+	p.idle[to] = l
 }
 
-// sweep closes what has been idle for too long: written to any later, it might meet the other side's close.
+// sweep closes what has been idle for too long: a later write might cross the other side's close.
 func (p *pool) sweep() {
 	now := time.Now()
-	if now.Sub(p.swept) < sweepEvery {
+	if now.Sub(p.swept) < sweepInterval {
 		return
 	}
 	p.swept = now
 	for to, l := range p.idle {
 		fresh := l[:0]
 		for _, c := range l {
-			if now.Sub(c.since) >= c.idleLimit(p.idleFor) {
+			if now.Sub(c.idleSince) >= c.idleLimit(p.idleTimeout) {
 				c.Close()
 				p.open--
 				continue
@@ -147,20 +153,20 @@
 			fresh = append(fresh, c)
 		}
 		clear(l[len(fresh):])
-		p.keep(to, fresh)
+		p.setIdle(to, fresh)
 	}
 }
 
-// idleLimit is how long the connection may be idle.
+// idleLimit returns how long the connection may be idle.
 func (c *conn) idleLimit(usual time.Duration) time.Duration {
-	if c.idleFor > 0 {
-		return min(c.idleFor, usual)
+	if c.idleTimeout > 0 {
+		return min(c.idleTimeout, usual)
 	}
 	return usual
 }
 
-// empty takes all idle connections out.
-func (p *pool) empty() (all []*conn) {
+// takeIdle takes all idle connections out.
+func (p *pool) takeIdle() (all []*conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, l := range p.idle {
@@ -170,7 +176,8 @@
 	return all
 }
 
-// adopt takes a connection of another process that has been idle for so long, if there is room.
+// adopt takes over a connection of another process that has been idle for so long, unless there are too
+// many.
 func (p *pool) adopt(nc net.Conn, to routing.Server, idle time.Duration) bool {
 	p.mu.Lock()
 	if p.closed || p.open >= p.limit {
@@ -185,7 +192,7 @@
 	return true
 }
 
-// put gives a connection back that is ready for the next request.
+// put returns a connection that is ready for the next request.
 func (p *pool) put(c *conn) { p.putSince(c, time.Now()) }
 
 func (p *pool) putSince(c *conn, since time.Time) {
@@ -200,7 +207,7 @@
 		p.open--
 		return
 	}
-	c.since = since
+	c.idleSince = since
 	p.idle[c.to] = append(p.idle[c.to], c)
 	p.sweep()
 }
@@ -211,7 +218,7 @@
 	p.count(-1)
 }
 
-// count notes n more connections and returns how many there are.
+// count counts n more connections and returns how many there are.
 func (p *pool) count(n int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -219,8 +226,8 @@
 	return p.open
 }
 
-// forget closes the idle connections to a server.
-func (p *pool) forget(id string) {
+// closeIdle closes the idle connections to a server.
+func (p *pool) closeIdle(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for to, l := range p.idle {
@@ -235,7 +242,7 @@
 	}
 }
 
-// load returns the share of the connections that are in use.
+// load returns the fraction of the connections that is in use.
 func (p *pool) load() float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -246,12 +253,13 @@
 	return float64(used) / float64(p.limit)
 }
 
-// keepIdle says whether connections may stay without a use. Where they may not, the idle ones are closed, and each other
+// keepIdle says whether idle connections may stay open. If not, the idle ones are closed, and each other
 // one as soon as it would become idle.
 func (p *pool) keepIdle(may bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closed = !may; may {
+	p.closed = !may
+	if may {
 		return
 	}
 	for to, l := range p.idle {
@@ -263,9 +271,10 @@
 	}
 }
 
+// Read implements net.Conn. Each read of a head has a timeout of its own.
 func (c *conn) Read(p []byte) (int, error) {
 	if c.head != nil {
-		c.SetReadDeadline(time.Now().Add(headIn))
+		c.SetReadDeadline(time.Now().Add(headTimeout))
 		if c.head.Err() != nil { // after the line above, lest it undo the end of the context
 			return 0, os.ErrDeadlineExceeded
 		}
@@ -280,8 +289,8 @@
 	return n, err
 }
 
-// quiet tells that the other side has neither closed an idle connection nor sent anything on it.
-func (c *conn) quiet() bool {
+// isQuiet reports whether the other side has neither closed an idle connection nor sent anything on it.
+func (c *conn) isQuiet() bool {
 	raw, err := c.Conn.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return false
--- a/internal/transport/servers.go
+++ b/internal/transport/servers.go
@@ -15,27 +15,29 @@
 	"reachspread/internal/routing"
 )
 
-// Message is a client's request as it came. It implements routing.Message.
+// Message is a client's request as it came. It is a routing.Message.
 type Message struct {
 	method, uri, contentType, id, body []byte
 
 	class  string
-	client *clientConn // whose answer may move to another process; nil where it may not
+	client *clientConn // whose answer may move to another process; nil if it may not
 
-	duty    string // under which it is sent, with the token; empty for none
-	refused func(highest uint64)
+	fencingToken  string // a role and its token, under which it is sent; empty for none
+	tokenRejected func(highest uint64)
 
-	forward *Forward // how it is passed on; nil in the completions dialect, where a few headers are all there is
+	forward *Forward // how it is forwarded; nil in the completions dialect, which has a few headers only
 }
 
-// Under returns a copy that carries the token of a duty. Refused is told where a server has seen a higher one.
-func (m *Message) Under(duty string, token uint64, refused func(highest uint64)) *Message {
+// WithFencingToken returns a copy that carries the fencing token of a role. Rejected is called if a
+// server has seen a higher one.
+func (m *Message) WithFencingToken(role string, token uint64, rejected func(highest uint64)) *Message {
 	c := *m
-	c.duty, c.refused = duty+" "+strconv.FormatUint(token, 10), refused
+	c.fencingToken = role + " " + strconv.FormatUint(token, 10)
+	c.tokenRejected = rejected
 	return &c
 }
 
-// WithID returns a copy that shares all bytes with m but goes by another id.
+// WithID returns a copy that shares all bytes with m but has another ID.
 func (m *Message) WithID(id string) *Message {
 	c := *m
 	c.id, c.client = []byte(id), nil
@@ -45,29 +47,29 @@
 // Body returns the body as it came, to be read only.
 func (m *Message) Body() []byte { return m.body }
 
-// Servers sends to servers. It implements routing.Network.
+// Servers sends requests to servers. It implements routing.Network.
 type Servers struct {
 	pool    *pool
 	dialect protocol.Dialect
 	log     routing.Logger
 
-	silent time.Duration
+	streamIdleTimeout time.Duration
 
-	mu      sync.Mutex
-	unclear map[string]bool // servers whose last load report could not be read
+	mu              sync.Mutex
+	unreadableLoads map[string]bool // servers whose last load report could not be read; mu guards it
 
-	follows bool // streams may move to another process
-	moving  atomic.Bool
-	live    map[*conn]bool // whose streams may; mu guards it
+	tracksStreams bool // streams may move to another process
+	moving        atomic.Bool
+	movable       map[*conn]bool // whose streams may; mu guards it
 }
 
 // ServerLimits bounds the connections to servers.
 type ServerLimits struct {
-	Connect     time.Duration // for a connection to come up
-	Keepalive   time.Duration // after which a server closes an idle one
-	Silent      time.Duration // for a stream, before it is taken for dead
-	Connections int
-	Dialect     protocol.Dialect // nil for Completions
+	ConnectTimeout    time.Duration // to a server
+	Keepalive         time.Duration // after which a server closes an idle connection
+	StreamIdleTimeout time.Duration // for a stream, after which it counts as broken
+	Connections       int
+	Dialect           protocol.Dialect // nil for Completions
 }
 
 // NewServers returns a Servers without connections.
@@ -75,11 +77,11 @@
 	if l.Dialect == nil {
 		l.Dialect = protocol.Completions{}
 	}
-	return &Servers{log: log, dialect: l.Dialect, unclear: map[string]bool{}, live: map[*conn]bool{}, silent: l.Silent,
-		pool: &pool{connectFor: l.Connect, idleFor: idlePart(l.Keepalive), limit: l.Connections, idle: map[routing.Server][]*conn{}}}
+	return &Servers{log: log, dialect: l.Dialect, unreadableLoads: map[string]bool{}, movable: map[*conn]bool{}, streamIdleTimeout: l.StreamIdleTimeout,
+		pool: &pool{connectTimeout: l.ConnectTimeout, idleTimeout: safeIdleTime(l.Keepalive), limit: l.Connections, idle: map[routing.Server][]*conn{}}}
 }
 
-// Load returns the share of the connections that are in use.
+// Load returns the fraction of the connections that is in use.
 func (s *Servers) Load() float64 { return s.pool.load() }
 
 // Open returns the connections that are open, idle ones among them.
@@ -88,30 +90,31 @@
 // Close closes the idle connections. Those in use close with their users.
 func (s *Servers) Close() { s.pool.keepIdle(false) }
 
-// Retime sets the time for a connection to come up, and that after which a server closes an idle one.
-func (s *Servers) Retime(connect, keepalive time.Duration) {
+// SetTimeouts sets the timeout of a connection attempt, and the time after which a server closes an idle
+// connection.
+func (s *Servers) SetTimeouts(connect, keepalive time.Duration) {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
-	s.pool.connectFor, s.pool.idleFor = connect, idlePart(keepalive)
+	s.pool.connectTimeout, s.pool.idleTimeout = connect, safeIdleTime(keepalive)
 }
 
-// idlePart is how long a connection is kept that a server closes after a time.
-func idlePart(keepalive time.Duration) time.Duration { return keepalive * 3 / 4 }
+// safeIdleTime returns how long a connection is kept that a server closes after keepalive.
+func safeIdleTime(keepalive time.Duration) time.Duration { return keepalive * 3 / 4 }
 
-// Limit bounds the connections from now on.
-func (s *Servers) Limit(connections int) { s.pool.bound(connections) }
+// SetLimit bounds the connections from now on.
+func (s *Servers) SetLimit(connections int) { s.pool.setLimit(connections) }
 
-// KeepIdle says whether connections may stay open without a use; if not, the idle ones give their descriptors back at
-// once.
+// KeepIdle says whether idle connections may stay open. If not, their descriptors are free at once.
 func (s *Servers) KeepIdle(may bool) { s.pool.keepIdle(may) }
 
-// Forget closes the idle connections to a server.
+// CloseIdle implements routing.Network.
 func (s *Servers) CloseIdle(id string) {
-	s.judgeLoad(id, nil)
-	s.pool.forget(id)
+	s.recordLoadReport(id, nil)
+	s.pool.closeIdle(id)
 }
 
-// Schedule implements routing.Network. Nothing is ever sent a second time here: that is the module's decision.
+// Send implements routing.Network. Nothing is ever sent a second time here: retries are decided by
+// package balance.
 func (s *Servers) Send(ctx context.Context, deadline time.Time, to routing.Server, m routing.Message, written func()) routing.AttemptResult {
 	msg := m.(*Message)
 	req := fasthttp.AcquireRequest()
@@ -119,24 +122,24 @@
 	msg.head(&req.Header, s.dialect, to)
 	req.SetBodyRaw(msg.body)
 
-	headCtx, cancel := context.WithDeadline(ctx, msg.headBy(deadline))
+	headCtx, cancel := context.WithDeadline(ctx, msg.headDeadline(deadline))
 	defer cancel()
-	x, result := s.exchange(headCtx, to, outgoing{request: req, deadline: deadline, client: msg.client, written: written,
+	x, result := s.exchange(headCtx, to, outgoing{request: req, deadline: deadline, client: msg.client, onWritten: written,
 		id: string(msg.id), fixedHost: msg.forward != nil})
 	if x == nil {
-		return routing.AttemptResult{Result: result, ClientGone: result == balance.NotSent && msg.client.hasLeft()}
+		return routing.AttemptResult{Result: result, ClientGone: result == balance.NotSent && msg.client.clientGone()}
 	}
 	judged := s.dialect.Judge(x.resp.StatusCode(), x.header)
 	switch {
 	case judged.Result == balance.OK && msg.forward != nil:
-		return s.forwarded(ctx, headCtx, x, msg)
+		return s.forwardAnswer(ctx, headCtx, x, msg)
 	case judged.Result == balance.OK:
-		return s.streamed(ctx, headCtx, x, msg)
+		return s.streamAnswer(ctx, headCtx, x, msg)
 	}
-	return s.turnedDown(x, msg, judged)
+	return s.unserved(x, msg, judged)
 }
 
-// head writes the head of a request to a server, but for the time left.
+// head writes the head of a request to a server, except for the time left.
 func (m *Message) head(to *fasthttp.RequestHeader, d protocol.Dialect, server routing.Server) {
 	to.SetMethodBytes(m.method)
 	to.SetRequestURIBytes(m.uri)
@@ -151,30 +154,30 @@
 	if f, ok := d.Expects(server.ID); ok {
 		to.Set(f.Name, f.Value)
 	}
-	if m.duty != "" {
-		to.Set(protocol.HeaderDuty, m.duty)
+	if m.fencingToken != "" {
+		to.Set(protocol.HeaderDuty, m.fencingToken)
 	}
 }
 
-// headBy is when an answer must have begun.
-func (m *Message) headBy(deadline time.Time) time.Time {
-	if m.forward == nil || m.forward.FirstIn == 0 {
+// headDeadline returns when an answer must have begun.
+func (m *Message) headDeadline(deadline time.Time) time.Time {
+	if m.forward == nil || m.forward.FirstEventTimeout == 0 {
 		return deadline
 	}
-	if first := time.Now().Add(m.forward.FirstIn); first.Before(deadline) {
+	if first := time.Now().Add(m.forward.FirstEventTimeout); first.Before(deadline) {
 		return first
 	}
 	return deadline
 }
 
-// streamed returns the body of a stream of completions, once its first event is there.
-func (s *Servers) streamed(ctx, headCtx context.Context, x *exchange, msg *Message) routing.AttemptResult {
+// streamAnswer returns the body of a stream of completions after its first event has come.
+func (s *Servers) streamAnswer(ctx, headCtx context.Context, x *exchange, msg *Message) routing.AttemptResult {
 	b := &body{exchange: x, ctx: headCtx, text: x.resp.BodyStream(), message: msg}
-	b.follow()
+	b.beginTracking()
 	err := b.open()
 	if err == nil && x.commit(ctx) {
 		b.ctx = ctx
-		b.mayMove()
+		b.allowMove()
 		return routing.AttemptResult{Result: balance.OK, Body: b}
 	}
 	result := x.failed(headCtx, balance.TimedOut)
@@ -183,20 +186,20 @@
 	return routing.AttemptResult{Result: result, Load: load}
 }
 
-// turnedDown reads an answer that gives the client nothing of its own accord. Where it is the server's final word it is kept, for
-// the client in the end.
-func (s *Servers) turnedDown(x *exchange, msg *Message, judged protocol.Judgement) routing.AttemptResult {
+// unserved reads an answer that does not serve the request. If the dialect says so it is kept, for the
+// client in the end.
+func (s *Servers) unserved(x *exchange, msg *Message, judged protocol.Judgement) routing.AttemptResult {
 	head := routing.AttemptResult{Result: judged.Result, RequestInvalid: judged.Unfit}
-	if msg.forward.turnedAway(x.resp.StatusCode()) {
-		head.Result = balance.NotSent // it is as well as before for others
+	if msg.forward.rejectedForVersion(x.resp.StatusCode()) {
+		head.Result = balance.NotSent // the server is as well as before for others
 	}
-	if msg.duty != "" && x.resp.StatusCode() == fasthttp.StatusConflict {
+	if msg.fencingToken != "" && x.resp.StatusCode() == fasthttp.StatusConflict {
 		if highest, err := strconv.ParseUint(x.header(protocol.HeaderDuty), 10, 64); err == nil {
-			msg.refused(highest)
+			msg.tokenRejected(highest)
 		}
 	}
-	text, err := x.rest()
-	x.whole = err == nil
+	text, err := x.readBody()
+	x.complete = err == nil
 	if judged.Final && msg.forward != nil && err == nil {
 		final := msg.forward.answer(x.resp)
 		final.Body = bytes.Clone(text)
@@ -212,20 +215,20 @@
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	req.Header.SetRequestURI(s.dialect.ProbePath())
-	x, result := s.exchange(ctx, to, outgoing{request: req, written: func() {}})
+	x, result := s.exchange(ctx, to, outgoing{request: req, onWritten: func() {}})
 	if x == nil {
 		return result, nil
 	}
 	defer x.close()
-	text, err := x.rest()
+	text, err := x.readBody()
 	if err != nil {
 		return x.failed(ctx, balance.TimedOut), nil
 	}
-	x.whole = true
+	x.complete = true
 	load := func() *balance.Load {
 		l, err := s.dialect.ProbeLoad(text)
 		if l != nil || err != nil {
-			s.judgeLoad(to.ID, err)
+			s.recordLoadReport(to.ID, err)
 		}
 		return l
 	}
@@ -238,24 +241,25 @@
 	return balance.Error, nil
 }
 
-// readLoad reads the load report in an answer's head. One that can not be read is logged once until a good one comes.
+// readLoad reads the load report in an answer's head, nil for none.
 func (s *Servers) readLoad(x *exchange) *balance.Load {
 	load, err := s.dialect.Load(x.header)
 	if load != nil || err != nil {
-		s.judgeLoad(x.conn.to.ID, err)
+		s.recordLoadReport(x.conn.to.ID, err)
 	}
 	return load
 }
 
-func (s *Servers) judgeLoad(id string, err error) {
+// recordLoadReport logs the first of a server's load reports in a row that can't be read.
+func (s *Servers) recordLoadReport(id string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err == nil {
-		delete(s.unclear, id)
+		delete(s.unreadableLoads, id)
 		return
 	}
-	if !s.unclear[id] {
+	if !s.unreadableLoads[id] {
 		s.log.Warn("load report unreadable", "server", id, "cause", err)
 	}
-	s.unclear[id] = true
+	s.unreadableLoads[id] = true
 }
--- a/internal/transport/stories_test.go
+++ b/internal/transport/servers_test.go
@@ -40,10 +40,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	network := transport.NewServers(transport.ServerLimits{Connect: time.Second, Keepalive: time.Minute,
-		Connections: 10, Silent: 300 * time.Millisecond}, log)
+	network := transport.NewServers(transport.ServerLimits{ConnectTimeout: time.Second, Keepalive: time.Minute,
+		Connections: 10, StreamIdleTimeout: 300 * time.Millisecond}, log)
 	r := &router{core: routing.New(b, network, log, time.Second)}
-	r.front = transport.NewFront(r.core, transport.FrontLimits{Admission: admission.Config{Places: 100, Step: 8}, Bodies: 1 << 20}, nil)
+	r.front = transport.NewFront(r.core, transport.FrontLimits{Admission: admission.Config{Places: 100, Step: 8}, BodyBytes: 1 << 20}, nil)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -70,7 +70,7 @@
 	r.core.ApplyUpdate(l.Members(), l.Addrs())
 }
 
-func TestBytesPassUnchangedAndAsTheyCome(t *testing.T) {
+func TestBytesAreForwardedUnchangedAsTheyCome(t *testing.T) {
 	more := make(chan bool)
 	s := scripted.NewServer(t, scripted.Held(more))
 	r := newRouter(t, s)
@@ -107,7 +107,7 @@
 }
 
 // Each way in which an attempt may end leads to one answer, and never to two attempts at once.
-func TestAttemptsThatFail(t *testing.T) {
+func TestFailedAttempts(t *testing.T) {
 	torn := scripted.Head + scripted.Chunk(scripted.Event)
 	for _, tt := range []struct {
 		name   string
@@ -154,7 +154,7 @@
 }
 
 // What a server sends beyond its answer harms nobody: not this client, and not the next one on the connection.
-func TestMoreThanAnAnswer(t *testing.T) {
+func TestSurplusBytesAfterAnAnswer(t *testing.T) {
 	interim := "HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n"
 	for name, script := range map[string]func(net.Conn) bool{
 		"interim answers first":   scripted.Answer(strings.Repeat(interim, 3) + scripted.Whole()),
@@ -170,7 +170,7 @@
 }
 
 // A connection that was refused or closed while idle proves that nothing ran: the request goes on elsewhere.
-func TestConnectionsThatAreGone(t *testing.T) {
+func TestRetryAfterARefusedOrClosedConnection(t *testing.T) {
 	closed := make(chan bool, 1)
 	s := scripted.NewServer(t, func(c net.Conn) bool {
 		io.WriteString(c, scripted.Whole())
@@ -235,7 +235,7 @@
 	}
 }
 
-func TestWhatNeverReachesTheModule(t *testing.T) {
+func TestRequestsRejectedBeforeTheDecisions(t *testing.T) {
 	s := scripted.NewServer(t, scripted.Answer(scripted.Whole()))
 	r := newRouter(t, s)
 	long := strings.Repeat("x", transport.MaxBody+1)
@@ -296,7 +296,7 @@
 }
 
 // A client that closes before its request's last byte must not have the rest of it sent, however long that is.
-func TestHalfARequestIsNotPassedOn(t *testing.T) {
+func TestIncompleteRequestIsNotForwarded(t *testing.T) {
 	s := scripted.NewServer(t, scripted.Answer(scripted.Whole()))
 	r := newRouter(t, s)
 	for name, body := range map[string]string{
@@ -343,7 +343,7 @@
 
 // A request that a server finds at fault is answered so at once. Tried elsewhere and held against each, one
 // client's bad requests would have the whole fleet ejected.
-func TestUnfitRequestHarmsNoRealServer(t *testing.T) {
+func TestInvalidRequestEjectsNoServer(t *testing.T) {
 	s := scripted.NewServer(t, scripted.Answer("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"))
 	lines := make(scripted.Lines, 10)
 	r := newLoggingRouter(t, lines, s)
@@ -374,7 +374,7 @@
 }
 
 // What drains or is gone gets nothing new from the moment that discovery told so.
-func TestDrainsAreKept(t *testing.T) {
+func TestDrainingServersGetNothingNew(t *testing.T) {
 	a, b := scripted.NewServer(t, scripted.Answer(scripted.Whole())), scripted.NewServer(t, scripted.Answer(scripted.Whole()))
 	r := newRouter(t, a, b)
 	r.tell(t, scripted.List(2, false, scripted.Entry("s0", a.Addr, "Terminating")))
@@ -387,12 +387,12 @@
 }
 
 // The watch goes on from the version told, outlives a bad list and a lost connection, and logs each once.
-func TestWatch(t *testing.T) {
+func TestDiscoveryWatch(t *testing.T) {
 	d := scripted.NewDiscovery(t, scripted.List(41, true, scripted.Entry("s0", "127.0.0.1:1", "Ready")))
 	lines, lists := make(chan string, 10), make(chan *protocol.List, 10)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	watch := transport.NewDiscovery(d.Addr, transport.Pushed, transport.WholeList, scripted.Lines(lines), func(l *protocol.List) { lists <- l })
+	watch := transport.NewDiscovery(d.Addr, transport.Pushed, transport.FullList, scripted.Lines(lines), func(l *protocol.List) { lists <- l })
 	go watch.Run(ctx)
 	expect := func(version int64, uris ...string) {
 		t.Helper()
--- a/internal/transport/pieces_test.go
+++ b/internal/transport/splitbytes_test.go
@@ -31,7 +31,7 @@
 }
 
 // Whatever pieces a good exchange comes in, from the client, the server and discovery, the same bytes come out.
-func TestAnyPieces(t *testing.T) {
+func TestBytesSplitAnywhere(t *testing.T) {
 	lists, answers, told := make(chan []int, 1), make(chan []int, 1), make(chan *protocol.List, 1)
 	defer close(lists)
 	s := scripted.NewServer(t, func(c net.Conn) bool {
@@ -48,7 +48,7 @@
 	})
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	go transport.NewDiscovery(d.Addr, transport.Pushed, transport.WholeList, lines, func(l *protocol.List) {
+	go transport.NewDiscovery(d.Addr, transport.Pushed, transport.FullList, lines, func(l *protocol.List) {
 		r.core.ApplyUpdate(l.Members(), l.Addrs())
 		told <- l
 	}).Run(ctx)
@@ -87,7 +87,7 @@
 }
 
 // A good server that writes its head slowly, a byte at a time, is not taken for one that has fallen silent.
-func TestSlowHeadIsNotSilence(t *testing.T) {
+func TestSlowHeadIsNoTimeout(t *testing.T) {
 	s := scripted.NewServer(t, func(c net.Conn) bool {
 		for _, b := range []byte(scripted.Head) {
 			if _, err := c.Write([]byte{b}); err != nil {
--- a/internal/transport/status.go
+++ b/internal/transport/status.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	statusFor  = 2 * time.Second // for each side to be done with one question
-	statusMost = 4 << 20
+	statusTimeout   = 2 * time.Second // for each side of one question
+	maxStatusAnswer = 4 << 20
 )
 
 // Status answers questions about the running router on a Unix socket, which only its own user may open.
@@ -26,11 +26,11 @@
 	ln     net.Listener
 }
 
-// NewStatus listens on the socket name.sock in a folder that must exist. Each topic is asked for as a path and
-// answered as JSON. A socket left over by a process that is gone is replaced; one that answers is an error.
+// NewStatus listens on the socket name.sock in a folder that must exist. Each topic is asked for as a
+// path and answered as JSON. A socket that a dead process left is replaced; one that answers is an error.
 func NewStatus(folder, name string, clients int, topics map[string]func() (any, error)) (*Status, error) {
 	s := &Status{path: filepath.Join(folder, name+".sock")}
-	if c, err := net.DialTimeout("unix", s.path, statusFor); err == nil {
+	if c, err := net.DialTimeout("unix", s.path, statusTimeout); err == nil {
 		c.Close()
 		return nil, fmt.Errorf("%s is another router's", s.path)
 	}
@@ -46,7 +46,7 @@
 		return nil, err
 	}
 	s.server = &fasthttp.Server{
-		Concurrency: clients, IdleTimeout: statusFor, ReadTimeout: statusFor, WriteTimeout: statusFor,
+		Concurrency: clients, IdleTimeout: statusTimeout, ReadTimeout: statusTimeout, WriteTimeout: statusTimeout,
 		DisableKeepalive: true, NoDefaultServerHeader: true, Logger: log.New(io.Discard, "", 0),
 		Handler: func(ctx *fasthttp.RequestCtx) {
 			topic, ok := topics[string(ctx.Path())]
@@ -78,10 +78,10 @@
 // AskStatus asks the router on a socket about a topic.
 func AskStatus(socket, topic string) ([]byte, error) {
 	client := fasthttp.Client{
-		Dial:        func(string) (net.Conn, error) { return net.DialTimeout("unix", socket, statusFor) },
-		ReadTimeout: statusFor, WriteTimeout: statusFor, MaxResponseBodySize: statusMost,
+		Dial:        func(string) (net.Conn, error) { return net.DialTimeout("unix", socket, statusTimeout) },
+		ReadTimeout: statusTimeout, WriteTimeout: statusTimeout, MaxResponseBodySize: maxStatusAnswer,
 	}
-	code, text, err := client.GetTimeout(nil, "http://status"+topic, statusFor)
+	code, text, err := client.GetTimeout(nil, "http://status"+topic, statusTimeout)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", socket, err)
 	}
--- /dev/null
+++ b/internal/transport/streamtracker.go
@@ -0,0 +1,149 @@
+package transport
+
+import (
+	"errors"
+	"io"
+	"os"
+	"sync/atomic"
+	"time"
+
+	"reachspread/internal/protocol"
+)
+
+// streamTracker follows the chunks of a stream as they come from a server, so that another process can go
+// on with it at any byte. It sits below the reader of the stream, and stops it between two reads.
+type streamTracker struct {
+	chunks     protocol.Chunks
+	unmovable  bool         // its chunks are malformed: it stays here
+	begun      bool         // its answer has begun, so it is its client's alone
+	moving     *atomic.Bool // of all streams
+	stopped    bool         // all that came was forwarded, and nothing more is read
+	lastReadAt time.Time    // anything
+}
+
+// errStopped ends a read that gives way to the move.
+var errStopped = errors.New("stopped")
+
+// read reads for the reader of the stream.
+func (t *streamTracker) read(c *conn, p []byte) (int, error) {
+	movable := t.begun && !t.unmovable && t.chunks.At != protocol.AtWhole
+	if t.stopped || movable && t.moving.Load() {
+		t.stopped = true
+		return 0, errStopped
+	}
+	n, err := c.Conn.Read(p)
+	if n > 0 {
+		t.lastReadAt = time.Now()
+	}
+	t.feed(p[:n])
+	if n == 0 && movable && t.moving.Load() && errors.Is(err, os.ErrDeadlineExceeded) {
+		t.stopped = true
+		return 0, errStopped
+	}
+	if err != nil {
+		c.err = err
+	}
+	return n, err
+}
+
+// feed follows bytes that came.
+func (t *streamTracker) feed(p []byte) {
+	if used, err := t.chunks.Feed(p, func([]byte) {}); err != nil || used < len(p) {
+		t.unmovable = true
+	}
+}
+
+// beginTracking tracks a stream whose head was just read, if it may move.
+func (b *body) beginTracking() {
+	if !b.servers.tracksStreams || b.message.client == nil || b.resp.Header.ContentLength() != -1 {
+		return
+	}
+	t := &streamTracker{moving: &b.servers.moving, lastReadAt: time.Now()}
+	ahead, _ := b.conn.in.Peek(b.conn.in.Buffered())
+	t.feed(ahead)
+	b.conn.track = t
+}
+
+// allowMove allows a stream whose answer has begun to move.
+func (b *body) allowMove() {
+	if b.conn.track == nil {
+		return
+	}
+	b.conn.track.begun = true
+	b.servers.mu.Lock()
+	defer b.servers.mu.Unlock()
+	b.servers.movable[b.conn] = true
+}
+
+// endTracking ends the tracking with the stream.
+func (s *Servers) endTracking(c *conn) {
+	if c.track == nil {
+		return
+	}
+	c.track = nil
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.movable, c)
+}
+
+// Move has all streams move to another process, as far as the front end lets them, and the idle
+// connections with them: each new one would cost a server work, and the first request on it time.
+func (s *Servers) Move(m *Mover) {
+	s.moving.Store(true)
+	for _, c := range s.pool.takeIdle() {
+		m.move(movedConn{Server: &c.to, Idle: time.Since(c.idleSince)}, c.Conn) // one that is declined is closed all the same
+		s.pool.discard(c)
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for c := range s.movable {
+		c.SetReadDeadline(time.Unix(1, 0))
+	}
+}
+
+// stoppedForMove reports whether reading was stopped for a move.
+func (b *body) stoppedForMove() bool { return b.conn.track != nil && b.conn.track.stopped }
+
+// move hands the stream to the process that takes over. If that can't be, it goes on here, from where it
+// was stopped.
+func (b *body) move() bool {
+	t, client := b.conn.track, b.message.client
+	mover := client.listener.mover.Load()
+	if mover != nil {
+		client.unwatch()
+		m := movedConn{Stream: true, Class: b.message.class, Chunks: t.chunks, Size: b.size, Server: &b.conn.to, Keep: !b.resp.ConnectionClose(),
+			Idle: time.Since(t.lastReadAt)}
+		m.Line, m.Long = b.events.Rest()
+		if len(client.readAhead) == 0 && !client.hasGone.Load() && mover.move(m, client.Conn, b.conn.Conn) == nil {
+			return true
+		}
+		client.watch(client.onGone)
+	}
+	b.readDeadline = t.lastReadAt.Add(b.servers.streamIdleTimeout)
+	b.servers.endTracking(b.conn)
+	b.text = &unchunked{from: b.conn, chunks: t.chunks}
+	return false
+}
+
+// unchunked reads the rest of a chunked body without its framing.
+type unchunked struct {
+	from   io.Reader
+	chunks protocol.Chunks
+}
+
+func (u *unchunked) Read(p []byte) (n int, err error) {
+	if u.chunks.At == protocol.AtWhole {
+		return 0, io.EOF
+	}
+	got, err := u.from.Read(p)
+	used, bad := u.chunks.Feed(p[:got], func(piece []byte) { n += copy(p[n:], piece) })
+	switch {
+	case bad != nil:
+		return n, bad
+	case used < got:
+		return n, errMalformedAnswer
+	case err == io.EOF && u.chunks.At != protocol.AtWhole:
+		return n, io.ErrUnexpectedEOF
+	}
+	return n, err
+}
--- a/internal/transport/tap.go
+++ b/internal/transport/tap.go
@@ -11,43 +11,46 @@
 	"reachspread/internal/routing"
 )
 
-// Tap may ask for a copy of each request that is taken in, and never waits. What it costs a request that is not
-// copied is one call of TenantHeader and one of Choose, which take no lock and allocate nothing.
+// Tap may ask for a copy of each request that is accepted, and never blocks. A request that is not copied
+// costs one call of TenantHeader and one of Choose, which take no lock and allocate nothing.
 type Tap interface {
 	// TenantHeader names the header that holds a request's tenant, empty for none.
 	TenantHeader() string
-	// Choose returns who wants a copy of a request, and in the name of which pools. Nil means nobody.
+	// Choose returns what takes a copy of a request, and for which pools. Nil means none.
 	Choose(class, session, id string, tenant []byte) (Copier, uint64)
 }
 
 // Copier takes copies.
 type Copier interface {
-	// Copy takes a request, whose bytes it shares from now on, and returns who watches its answer; nil means nobody.
-	Copy(pools uint64, r Taken) Watcher
+	// Copy takes a request, whose bytes it shares from now on, and returns what observes its answer; nil
+	// for nothing.
+	Copy(pools uint64, r AcceptedRequest) AnswerObserver
 }
 
-// Taken is a request that was taken in.
-type Taken struct {
-	Arrival balance.Arrival
-	Tenant  string
-	Came    time.Time // its last byte
-	Message *Message
+// AcceptedRequest is a request that was accepted.
+type AcceptedRequest struct {
+	Arrival   balance.Arrival
+	Tenant    string
+	ArrivedAt time.Time // its last byte
+	Message   *Message
 }
 
-// Watcher sees the answer to one request as it passes to the client. It is used by one goroutine and never waits.
-type Watcher interface {
-	// Begun says where the answer comes from.
+// AnswerObserver observes the answer to one request on its way to the client. It is used by one goroutine
+// and never blocks.
+type AnswerObserver interface {
+	// Begun is called with the source of an answer that has begun.
 	Begun(from routing.Source)
-	// Feed is given each piece before it goes to the client, and must not keep it.
+	// Feed is called with each chunk before it goes to the client, and must not keep it.
 	Feed(p []byte)
-	// Ended closes a begun answer: io.EOF says that it was whole, nil that its client left, all else that it broke.
+	// Ended ends an answer that had begun: io.EOF says that it was complete, nil that its client left,
+	// another error that it broke.
 	Ended(err error)
-	// Refused closes a request that got no answer: ok is false if its client had left.
+	// Refused ends a request that got no answer: ok is false if its client had left.
 	Refused(ok bool, v routing.Verdict)
 }
 
-// offer lets the tap have a copy.
-func (f *Front) offer(header *fasthttp.RequestHeader, a *balance.Arrival, came time.Time, m *Message) Watcher {
+// offerCopy lets the tap have a copy.
+func (f *Front) offerCopy(header *fasthttp.RequestHeader, a *balance.Arrival, came time.Time, m *Message) AnswerObserver {
 	var tenant []byte
 	if name := f.tap.TenantHeader(); name != "" {
 		tenant = header.Peek(name)
@@ -56,26 +59,27 @@
 	if copier == nil {
 		return nil
 	}
-	return copier.Copy(pools, Taken{Arrival: *a, Tenant: string(tenant), Came: came, Message: m})
+	return copier.Copy(pools, AcceptedRequest{Arrival: *a, Tenant: string(tenant), ArrivedAt: came, Message: m})
 }
 
-// watchedStream is a stream that ends its request and shows itself to a watcher.
-type watchedStream struct {
+// observedStream is a stream that ends its request and has an observer.
+type observedStream struct {
 	*routing.Stream
-	watcher Watcher
-	end     func()
-	begun   bool
-	err     error // the one that ended it
+	observer AnswerObserver
+	end      func()
+	begun    bool
+	err      error // the one that ended it
 }
 
-func (w *watchedStream) Read(p []byte) (int, error) {
+// Read implements io.Reader.
+func (w *observedStream) Read(p []byte) (int, error) {
 	n, err := w.Stream.Read(p)
 	if !w.begun {
 		w.begun = true
-		w.watcher.Begun(w.Stream.Source())
+		w.observer.Begun(w.Stream.Source())
 	}
 	if n > 0 {
-		w.watcher.Feed(p[:n])
+		w.observer.Feed(p[:n])
 	}
 	if err != nil {
 		w.err = err
@@ -83,14 +87,15 @@
 	return n, err
 }
 
-func (w *watchedStream) Close() error {
+// Close implements io.Closer.
+func (w *observedStream) Close() error {
 	err := w.Stream.Close()
 	w.end()
-	w.watcher.Ended(w.err)
+	w.observer.Ended(w.err)
 	return err
 }
 
-// AdmissionStatus returns what admission has done, its state, and who holds the most.
+// AdmissionStatus returns what admission has done, its state, and the clients with the most connections.
 func (f *Front) AdmissionStatus(most int) (admission.Counts, []admission.Holding) {
 	f.listener.mu.Lock()
 	defer f.listener.mu.Unlock()
@@ -104,20 +109,22 @@
 	return f.listener.alive
 }
 
-// Lend tells admission that time has passed, and how many places others lend it by now.
-func (f *Front) Lend(lent int) { f.listener.tell(admission.Event{Kind: admission.Lent, N: lent}) }
+// Lend tells admission that time has passed, and how many connections it may have from others' capacity.
+func (f *Front) Lend(lent int) {
+	f.listener.notifyAdmission(admission.Event{Kind: admission.Lent, N: lent})
+}
 
-// Retune gives admission other settings.
-func (f *Front) Retune(c admission.Config) {
-	f.listener.tell(admission.Event{Kind: admission.Retune, Config: &c})
+// SetAdmission gives admission another configuration.
+func (f *Front) SetAdmission(c admission.Config) {
+	f.listener.notifyAdmission(admission.Event{Kind: admission.Retune, Config: &c})
 }
 
-// FrontLoad is how full the front is, in shares of its limits.
+// FrontLoad is how full the front end is, in fractions of its limits.
 type FrontLoad struct{ Bodies, Connections float64 }
 
-// Load returns how full the front is.
+// Load returns how full the front end is.
 func (f *Front) Load() FrontLoad {
-	return FrontLoad{Bodies: f.memory.share(), Connections: f.listener.use()}
+	return FrontLoad{Bodies: f.memory.usedFraction(), Connections: f.listener.usedFraction()}
 }
 
-var _ io.ReadCloser = (*watchedStream)(nil)
+var _ io.ReadCloser = (*observedStream)(nil)
--- a/internal/transport/unsent_test.go
+++ b/internal/transport/unsent_test.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := raw.Read(func(uintptr) bool { return c.hasLeft() }); err != nil {
+	if err := raw.Read(func(uintptr) bool { return c.clientGone() }); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -56,7 +56,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := scripted.NewServer(t, scripted.Answer(scripted.Whole()))
-			servers := NewServers(ServerLimits{Connect: time.Second, Keepalive: time.Minute, Connections: 1, Silent: time.Second}, make(scripted.Lines, 1))
+			servers := NewServers(ServerLimits{ConnectTimeout: time.Second, Keepalive: time.Minute, Connections: 1, StreamIdleTimeout: time.Second}, make(scripted.Lines, 1))
 			client, accepted := pair(t)
 			m := &Message{method: []byte("POST"), uri: []byte("/v1/chat/completions"), id: []byte("q"), client: &clientConn{Conn: accepted}}
 			leave(client)
@@ -97,7 +97,7 @@
 		if err != nil || string(buffer[:n]) != want {
 			t.Fatalf("read %q, %v; want %q", buffer[:n], err, want)
 		}
-		conn.open = true
+		conn.requestOpen = true
 	}
 	unread := func() int {
 		raw, err := accepted.SyscallConn()
@@ -114,17 +114,17 @@
 	}
 	left := make(chan bool, 1)
 	conn.watch(func() { left <- true })
-	scripted.Until(t, "the watch has read a byte", func() bool { return conn.first.Load() })
+	scripted.Until(t, "the watch has read a byte", func() bool { return conn.nextBegun.Load() })
 	conn.unwatch()
-	if n := unread(); n != len(second+third)-1 || !conn.hasFurther() || conn.hasLeft() {
-		t.Errorf("%d bytes are unread, further %v, left %v", n, conn.hasFurther(), conn.hasLeft())
+	if n := unread(); n != len(second+third)-1 || !conn.hasFurther() || conn.clientGone() {
+		t.Errorf("%d bytes are unread, further %v, left %v", n, conn.hasFurther(), conn.clientGone())
 	}
 	read(second)
 	conn.watch(func() { left <- true })
 	client.Close()
 	scripted.Next(t, left, "the client's end is noticed")
-	if n := unread(); n != len(third)-1 || !conn.hasLeft() {
-		t.Errorf("%d bytes are unread, left %v", n, conn.hasLeft())
+	if n := unread(); n != len(third)-1 || !conn.clientGone() {
+		t.Errorf("%d bytes are unread, left %v", n, conn.clientGone())
 	}
 	conn.unwatch()
 }
