--- a/coord/chain/chain_test.go
+++ b/coord/chain/chain_test.go
@@ -16,14 +16,14 @@
 // nothing.
 type list struct{ words []string }
 
-func (l *list) Decide(order []byte) (change, reply []byte) {
-	switch word := string(order); {
+func (l *list) Decide(command []byte) (change, reply []byte) {
+	switch word := string(command); {
 	case strings.HasPrefix(word, "!"):
 		return nil, []byte("refused")
 	case slices.Contains(l.words, word):
 		return nil, []byte("taken before")
 	}
-	return order, []byte("taken")
+	return command, []byte("taken")
 }
 func (l *list) Apply(change []byte) { l.words = append(l.words, string(change)) }
 func (l *list) Snapshot() []byte    { return []byte(strings.Join(l.words, ",")) }
@@ -90,8 +90,8 @@
 	return &coordpb.Message{Body: &coordpb.Message_Sync{Sync: &coordpb.Sync{Epoch: epoch, Position: &coordpb.Position{Sequence: sequence, EntryEpoch: entry}}}}
 }
 
-func submit(id uint64, order string) *coordpb.Message {
-	return &coordpb.Message{From: &coordpb.Member{Address: "client"}, Body: &coordpb.Message_Submit{Submit: &coordpb.Submit{Id: id, Order: []byte(order)}}}
+func submit(id uint64, command string) *coordpb.Message {
+	return &coordpb.Message{From: &coordpb.Member{Address: "client"}, Body: &coordpb.Message_Submit{Submit: &coordpb.Submit{Id: id, Order: []byte(command)}}}
 }
 
 func appendOf(epoch, sequence, previous uint64, change string) *coordpb.Message {
--- a/coord/register/golden_test.go
+++ b/coord/register/golden_test.go
@@ -99,18 +99,18 @@
 	compareFolders(t, filepath.Join(goldenPath, everyRecord), today)
 
 	state := &lines{}
-	_, kept := loadGolden(t, everyRecord, state)
+	_, persisted := loadGolden(t, everyRecord, state)
 	records := recordsOf(saved)
 	want := proto.Clone(saved).(*coordpb.Durable)
 	want.View = records[1].GetLearned()
 	want.Promised = records[5].GetPromised().Ballot
 	want.AcceptedBallot, want.AcceptedView = records[6].GetAccepted().Ballot, records[6].GetAccepted().View
 	want.Position = &coordpb.Position{StateEpoch: 8, Sequence: 401, EntryEpoch: 8}
-	is.True(proto.Equal(kept, want))
+	is.True(proto.Equal(persisted, want))
 	is.Equal(state.Value(), "four\nfive\nsix")
 
-	core := register.NewCore(register.Config{Self: &coordpb.Member{Address: "a:1", Identity: kept.Identity}, Founder: kept.Founder, Eligible: true,
-		Tolerance: 1, Persisted: kept, Unsynced: true}, state, 0)
+	core := register.NewCore(register.Config{Self: &coordpb.Member{Address: "a:1", Identity: persisted.Identity}, Founder: persisted.Founder, Eligible: true,
+		Tolerance: 1, Persisted: persisted, Unsynced: true}, state, 0)
 	is.True(proto.Equal(core.View(), want.View))
 	is.True(proto.Equal(core.Position(), want.Position))
 	durable, _ := core.Durable()
@@ -127,10 +127,10 @@
 	files, err := storage.NewFolder(path)
 	is.NoErr(err)
 	t.Cleanup(files.Close)
-	store, kept, err := register.Load(files, machine)
+	store, persisted, err := register.Load(files, machine)
 	is.NoErr(err)
-	is.True(kept != nil)
-	return store, kept
+	is.True(persisted != nil)
+	return store, persisted
 }
 
 // goldenProcess is a process of goldenGroup. Its core is nil while it is down.
@@ -172,14 +172,14 @@
 	p.files, err = storage.NewFolder(p.path)
 	g.is.NoErr(err)
 	p.state = &lines{}
-	store, kept, err := register.Load(p.files, p.state)
+	store, persisted, err := register.Load(p.files, p.state)
 	g.is.NoErr(err)
 	p.store = store
 	number := uint64(p.address[0])
-	c := register.Config{Self: &coordpb.Member{Address: p.address, Identity: 1000 + number}, Seeds: goldenAddresses, Founder: kept == nil, Eligible: true,
+	c := register.Config{Self: &coordpb.Member{Address: p.address, Identity: 1000 + number}, Seeds: goldenAddresses, Founder: persisted == nil, Eligible: true,
 		Tolerance: 1, Seed: number}
-	if kept != nil {
-		c.Persisted, c.Self.Identity, c.Founder, c.Unsynced = kept, kept.Identity, kept.Founder, true
+	if persisted != nil {
+		c.Persisted, c.Self.Identity, c.Founder, c.Unsynced = persisted, persisted.Identity, persisted.Founder, true
 	}
 	p.core = register.NewCore(c, p.state, g.now)
 	p.core.SetKnownAddresses(goldenAddresses)
@@ -308,23 +308,23 @@
 	for i, name := range []string{"a", "b", "c"} {
 		compareFolders(t, filepath.Join(goldenPath, name), filepath.Join(today, name))
 		machine := &lines{}
-		_, kept := loadGolden(t, name, machine)
-		is.Equal(kept.Identity, 1097+uint64(i))
-		is.True(kept.Founder)
-		is.Equal(kept.View.Epoch, uint64(2))
-		is.Equal(kept.View.MembersSince, uint64(1))
-		is.Equal(kept.View.Chain, []uint64{1097, 1098})
-		is.Equal(len(kept.View.Duties), 32)
-		is.True(proto.Equal(kept.View.Duties[2], &coordpb.Duty{Owner: 1097, Since: 2, WaitMs: -190}))
-		for k, m := range kept.View.Members {
+		_, persisted := loadGolden(t, name, machine)
+		is.Equal(persisted.Identity, 1097+uint64(i))
+		is.True(persisted.Founder)
+		is.Equal(persisted.View.Epoch, uint64(2))
+		is.Equal(persisted.View.MembersSince, uint64(1))
+		is.Equal(persisted.View.Chain, []uint64{1097, 1098})
+		is.Equal(len(persisted.View.Duties), 32)
+		is.True(proto.Equal(persisted.View.Duties[2], &coordpb.Duty{Owner: 1097, Since: 2, WaitMs: -190}))
+		for k, m := range persisted.View.Members {
 			is.True(proto.Equal(m, &coordpb.Member{Identity: 1097 + uint64(k), Address: goldenAddresses[k]}))
 		}
 		ballot := &coordpb.Ballot{Round: 3, Proposer: 1097}
-		is.True(proto.Equal(kept.Promised, ballot))
-		is.True(proto.Equal(kept.AcceptedBallot, ballot))
-		is.Equal(kept.AcceptedView.Epoch, uint64(3))
-		is.Equal(kept.AcceptedView.Chain, []uint64{1097, 1098, 1099})
-		is.True(proto.Equal(kept.Position, &coordpb.Position{StateEpoch: 2, Sequence: 5, EntryEpoch: 2}))
+		is.True(proto.Equal(persisted.Promised, ballot))
+		is.True(proto.Equal(persisted.AcceptedBallot, ballot))
+		is.Equal(persisted.AcceptedView.Epoch, uint64(3))
+		is.Equal(persisted.AcceptedView.Chain, []uint64{1097, 1098, 1099})
+		is.True(proto.Equal(persisted.Position, &coordpb.Position{StateEpoch: 2, Sequence: 5, EntryEpoch: 2}))
 		is.Equal(machine.Value(), state)
 	}
 }
--- a/coord/view/membership.go
+++ b/coord/view/membership.go
@@ -44,8 +44,8 @@
 // nextMembers returns the members of the next view: the present ones, with those that are dead,
 // unhealthy or draining replaced as far as enough of the others have completed the epoch.
 func (d *Decider) nextMembers(source *coordpb.Member, hasCompleted func(identity uint64) bool) []*coordpb.Member {
-	for _, least := range []peerState{peerDraining, peerDead} {
-		members := d.membersReplacing(source, least)
+	for _, threshold := range []peerState{peerDraining, peerDead} {
+		members := d.membersReplacing(source, threshold)
 		if d.isComplete(members, hasCompleted) {
 			return members
 		}
--- a/coord/view/trigger.go
+++ b/coord/view/trigger.go
@@ -1,8 +1,6 @@
 package view
 
-import (
-	"slices"
-)
+import "slices"
 
 // viewChangeNeeded reports whether another view is needed: the epoch is sealed or stalled, or
 // the desired chain or members differ from the present ones and a majority can vote on them.
@@ -13,11 +11,15 @@
 	if d.IsSealed() && d.now >= d.sealedAt+sealedTimeout || d.status.Stalled {
 		return true
 	}
+	if !d.majorityCanVote() {
+		return false
+	}
 	chain := d.desiredChain(d.joinAllowed())
-	if len(chain) >= MinChainLength(len(d.view.Members), d.config.Tolerance) && d.majorityCanVote() && !sameIdentities(chain, d.view.Chain) {
+	longEnough := len(chain) >= MinChainLength(len(d.view.Members), d.config.Tolerance)
+	if longEnough && !sameIdentities(chain, d.view.Chain) {
 		return true
 	}
-	return d.majorityCanVote() && !sameMembers(d.nextMembers(nil, d.hasCompletedEpoch), d.view.Members)
+	return !sameMembers(d.nextMembers(nil, d.hasCompletedEpoch), d.view.Members)
 }
 
 // foundingAllowed reports whether the first view may be proposed: enough processes are up and
@@ -34,11 +36,15 @@
 			seeds++
 		}
 	}
-	enough := len(all) >= TargetMembers(d.config.Tolerance) && seeds >= Majority(len(d.config.Seeds))
-	if enough && (d.now >= last+foundingDelay || len(all) >= TargetMembers(d.config.Tolerance) && seeds == len(d.config.Seeds)) {
+	if seeds < Majority(len(d.config.Seeds)) {
+		return false
+	}
+	enough := len(all) >= TargetMembers(d.config.Tolerance)
+	allSeeds := seeds == len(d.config.Seeds)
+	if enough && (allSeeds || d.now >= last+foundingDelay) {
 		return true
 	}
-	return d.now >= d.startedAt+foundingTimeout && seeds >= Majority(len(d.config.Seeds))
+	return d.now >= d.startedAt+foundingTimeout
 }
 
 // majorityCanVote reports whether a majority of the members is alive with working storage.
