--- a/internal/router/peering/golden_test.go
+++ b/internal/router/peering/golden_test.go
@@ -17,7 +17,8 @@
 // goldenPatience bounds a wait for bytes that are on their way.
 const goldenPatience = 10 * time.Second
 
-// Messages between routers that may vote, and a scribe's records among them, have the bytes that they had at commit 5bfcc27.
+// Messages between routers that may vote, and a scribe's records among them, have the bytes that
+// they had at commit 5bfcc27.
 func TestLinesKeepTheirBytes(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
--- a/internal/router/peering/gossip.go
+++ b/internal/router/peering/gossip.go
@@ -1,5 +1,3 @@
-// Package peering drives what goes between routers: the socket for datagrams, the module's reports on replicas, and the fleet view of
-// package members. It decides nothing.
 package peering
 
 import (
@@ -19,10 +17,12 @@
 	"reachspread/internal/routing"
 )
 
-// mostDatagram is the platform's bound. One byte more is read, so that a longer datagram is not taken for a whole one.
+// maxDatagramBytes is the platform's bound. One byte more is read, so that a longer datagram is not
+// taken for a complete one.
 const maxDatagramBytes = 256
 
-// Gossip exchanges datagrams with the other routers. What to tell and to believe is not decided here.
+// Gossip exchanges datagrams with the other routers. What to send and what to believe is not
+// decided here.
 type Gossip struct {
 	listen      *net.UDPAddr
 	conn        atomic.Pointer[net.UDPConn] // nil while the address is another's
@@ -30,16 +30,19 @@
 	peerNumbers map[netip.AddrPort]int
 	log         routing.Logger
 
-	handleMembers  func(from netip.AddrPort, data []byte) // takes those of the fleet view; nil where it is off
-	handleRoles    func(from netip.AddrPort, data []byte) // takes those of duties, likewise
-	handleRecovery func(from netip.AddrPort, data []byte) // takes those of routers that come back, likewise
+	// The owners of datagrams of other kinds than peer reports, nil where there is none. They must
+	// neither wait nor keep the datagram.
+	handleMembers  func(from netip.AddrPort, data []byte)
+	handleRoles    func(from netip.AddrPort, data []byte)
+	handleRecovery func(from netip.AddrPort, data []byte)
 
-	dropped atomic.Uint64 // datagrams dropped: cut, of another version, from a stranger
+	dropped atomic.Uint64 // datagrams that were cut, of another version, or from a stranger
 	notSent atomic.Uint64
 }
 
-// NewGossip listens at an address for what the peers, in the order of their numbers, send. Where the address may still be
-// that of a process about to be replaced, one that is in use is no error: Run takes it over.
+// NewGossip listens at an address for datagrams of the peers, which are in the order of their
+// numbers. TakesOver says that a process which is being replaced may still have the address: that
+// is no error, and Run takes the address over.
 func NewGossip(listen string, peers []string, takesOver bool, log routing.Logger) (*Gossip, error) {
 	g := &Gossip{peerNumbers: map[netip.AddrPort]int{}, log: log}
 	for i, p := range peers {
@@ -70,10 +73,10 @@
 
 const (
 	takeOverInterval = 50 * time.Millisecond
-	takeOverTimeout  = 10 * time.Second // a process that is replaced has left by then
+	takeOverTimeout  = 10 * time.Second // a process that is replaced has ended by then
 )
 
-// takeOver waits for the address, and tells if it takes too long.
+// takeOver waits for the address, and logs once if that takes too long.
 func (g *Gossip) takeOver(ctx context.Context) {
 	ticker := time.NewTicker(takeOverInterval)
 	defer ticker.Stop()
@@ -91,17 +94,17 @@
 	}
 }
 
-// Run gives all that can be read to hear, until ctx ends.
-func (g *Gossip) Run(ctx context.Context, hear func(balance.ReportsReceived)) {
+// Run receives datagrams until ctx ends, and gives peer reports to received.
+func (g *Gossip) Run(ctx context.Context, received func(balance.ReportsReceived)) {
 	g.takeOver(ctx)
 	conn := g.conn.Load()
 	if conn == nil {
 		return
 	}
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	var buf [maxDatagramBytes + 1]byte
+	var buffer [maxDatagramBytes + 1]byte
 	for {
-		n, from, err := conn.ReadFromUDPAddrPort(buf[:])
+		n, from, err := conn.ReadFromUDPAddrPort(buffer[:])
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -109,71 +112,87 @@
 			g.drop(from, err)
 			continue
 		}
-		if g.handleMembers != nil && members.IsDatagram(buf[:n]) {
-			g.handleMembers(netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), buf[:n])
+		sender := netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
+		if handle := g.ownerOf(buffer[:n]); handle != nil {
+			handle(sender, buffer[:n])
 			continue
 		}
-		if g.handleRoles != nil && lease.IsDatagram(buf[:n]) {
-			g.handleRoles(netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), buf[:n])
-			continue
-		}
-		if g.handleRecovery != nil && recovery.IsDatagram(buf[:n]) {
-			g.handleRecovery(netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), buf[:n])
-			continue
-		}
-		i, known := g.peerNumbers[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
-		if !known {
-			g.drop(from, errStranger)
-			continue
-		}
-		zone, reports, err := protocol.ParsePeerReports(buf[:n])
+		reports, err := g.parseReports(sender, buffer[:n])
 		if err != nil {
 			g.drop(from, err)
 			continue
 		}
-		hear(balance.ReportsReceived{From: i, Zone: zone, Reports: reports})
+		received(reports)
 	}
 }
 
+// ownerOf returns who handles a datagram by its first byte, nil for peer reports and for what has
+// no owner here.
+func (g *Gossip) ownerOf(data []byte) func(from netip.AddrPort, data []byte) {
+	switch {
+	case members.IsDatagram(data):
+		return g.handleMembers
+	case lease.IsDatagram(data):
+		return g.handleRoles
+	case recovery.IsDatagram(data):
+		return g.handleRecovery
+	}
+	return nil
+}
+
 var errStranger = errors.New("not the address of a peer")
 
-// drop counts a datagram that tells nothing, and logs the first: routers of different versions would send many.
-func (g *Gossip) drop(from netip.AddrPort, why error) {
+func (g *Gossip) parseReports(from netip.AddrPort, data []byte) (balance.ReportsReceived, error) {
+	number, known := g.peerNumbers[from]
+	if !known {
+		return balance.ReportsReceived{}, errStranger
+	}
+	zone, reports, err := protocol.ParsePeerReports(data)
+	return balance.ReportsReceived{From: number, Zone: zone, Reports: reports}, err
+}
+
+// drop counts a datagram that can't be used, and logs the first: routers of other versions would
+// send many.
+func (g *Gossip) drop(from netip.AddrPort, cause error) {
 	if g.dropped.Add(1) == 1 {
-		g.log.Warn("datagram dropped", "from", from, "cause", why)
+		g.log.Warn("datagram dropped", "from", from, "cause", cause)
 	}
 }
 
-// Tell sends reports to the routers of the numbers given. It waits for nobody: what can't be sent now is lost.
-func (g *Gossip) SendReports(t balance.SendReports) {
+// SendReports sends reports to peers by their numbers. It never waits: what can't be sent now is
+// lost.
+func (g *Gossip) SendReports(r balance.SendReports) {
 	conn := g.conn.Load()
 	if conn == nil {
 		g.notSent.Add(1)
 		return
 	}
 	var buffer [maxDatagramBytes]byte
-	text := protocol.AppendPeerReports(buffer[:0], t.Zone, t.Reports)
-	for _, i := range t.To {
+	data := protocol.AppendPeerReports(buffer[:0], r.Zone, r.Reports)
+	for _, i := range r.To {
 		if i < 0 || i >= len(g.peers) {
 			continue
 		}
-		if _, err := conn.WriteToUDPAddrPort(text, g.peers[i]); err != nil {
+		if _, err := conn.WriteToUDPAddrPort(data, g.peers[i]); err != nil {
 			g.notSent.Add(1)
 		}
 	}
 }
 
-// Members has datagrams of the fleet view be given to take, which must not keep them. It is called before Run.
-func (g *Gossip) OnMembersDatagram(take func(from netip.AddrPort, data []byte)) {
-	g.handleMembers = take
+// OnMembersDatagram has handle be called with datagrams of the membership; it must neither wait nor
+// keep them. It is to be called before Run.
+func (g *Gossip) OnMembersDatagram(handle func(from netip.AddrPort, data []byte)) {
+	g.handleMembers = handle
 }
 
-// Duties has datagrams of duties be given to take, likewise.
-func (g *Gossip) OnRolesDatagram(take func(from netip.AddrPort, data []byte)) { g.handleRoles = take }
+// OnRolesDatagram has handle be called with datagrams of roles, as OnMembersDatagram.
+func (g *Gossip) OnRolesDatagram(handle func(from netip.AddrPort, data []byte)) {
+	g.handleRoles = handle
+}
 
-// Words has datagrams of routers that come back be given to take, likewise.
-func (g *Gossip) OnRecoveryDatagram(take func(from netip.AddrPort, data []byte)) {
-	g.handleRecovery = take
+// OnRecoveryDatagram has handle be called with datagrams of recovery, as OnMembersDatagram.
+func (g *Gossip) OnRecoveryDatagram(handle func(from netip.AddrPort, data []byte)) {
+	g.handleRecovery = handle
 }
 
 // Send sends a datagram to an address. What can't be sent now is lost.
@@ -188,5 +207,5 @@
 	}
 }
 
-// Dropped returns how many datagrams could not be read, and how many could not be sent.
-func (g *Gossip) Dropped() (unread, unsent uint64) { return g.dropped.Load(), g.notSent.Load() }
+// Dropped returns how many datagrams could not be used, and how many could not be sent.
+func (g *Gossip) Dropped() (unusable, notSent uint64) { return g.dropped.Load(), g.notSent.Load() }
--- a/internal/router/peering/gossip_test.go
+++ b/internal/router/peering/gossip_test.go
@@ -16,7 +16,8 @@
 	"reachspread/internal/testbed/scripted"
 )
 
-// Datagrams of strangers, cut ones and such of another version are dropped and counted; what comes after them is heard.
+// Datagrams of strangers, cut ones and such of another version are dropped and counted; what comes
+// after them is heard.
 func TestGossip(t *testing.T) {
 	socket := func() *net.UDPConn {
 		t.Helper()
@@ -82,8 +83,8 @@
 	return a
 }
 
-// A process that takes over starts while the address is still another's, tells nothing until then, and hears once it is
-// free; without the right to take over an address in use is an error.
+// A process that takes over starts while the address is still another's, tells nothing until then,
+// and hears once it is free; without the right to take over an address in use is an error.
 func TestGossipTakesOver(t *testing.T) {
 	peer, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
--- a/internal/router/peering/duties_test.go
+++ b/internal/router/peering/roles_test.go
@@ -24,7 +24,8 @@
 
 var measure = flag.Bool("measure", false, "run the measurements")
 
-// site is routers with duties on real sockets and disks, in one process; a view that a test says stands in for members.
+// site is routers with duties on real sockets and disks, in one process; a view that a test says
+// stands in for members.
 type site struct {
 	t       *testing.T
 	routers []*spot
@@ -56,8 +57,9 @@
 	lines  scripted.Lines
 }
 
-// sites counts those that there were. Each has a loopback address of its own: a port that a site has given back, to be taken when a router
-// starts, would else go to whoever asks for any port meanwhile, in this process or another.
+// sites counts those that there were. Each has a loopback address of its own: a port that a site
+// has given back, to be taken when a router starts, would else go to whoever asks for any port
+// meanwhile, in this process or another.
 var sites atomic.Uint32
 
 func newSite(t *testing.T, routers, may int, leaseTime time.Duration) *site {
@@ -189,7 +191,8 @@
 	return nil
 }
 
-// Of two holders the one whose token is named gives the duty away, the other goes on. Duties that come later are agreed on while all run.
+// Of two holders the one whose token is named gives the duty away, the other goes on. Duties that
+// come later are agreed on while all run.
 func TestDutiesByToken(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 4, 3, 2*time.Second)
@@ -329,8 +332,8 @@
 	}
 }
 
-// A duty on sockets and disks: handed over to whom it is wished for, taken over from a holder that dies, kept by one whose voters' leader
-// dies, and the record lives through the end of all.
+// A duty on sockets and disks: handed over to whom it is wished for, taken over from a holder that
+// dies, kept by one whose voters' leader dies, and the record lives through the end of all.
 func TestDutiesOnSockets(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 5, 4, 2*time.Second)
@@ -370,7 +373,8 @@
 	s.ordered()
 }
 
-// With a majority of the disks gone duties stop, a line says so, and they are founded anew only where no majority may live.
+// With a majority of the disks gone duties stop, a line says so, and they are founded anew only
+// where no majority may live.
 func TestDutiesRebuild(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 4, 3, 500*time.Millisecond)
@@ -477,7 +481,8 @@
 	}
 }
 
-// The times without a holder on sockets and disks, 200 of each: handed over as planned, and the holder killed.
+// The times without a holder on sockets and disks, 200 of each: handed over as planned, and the
+// holder killed.
 func TestDutiesTimes(t *testing.T) {
 	if !*measure {
 		t.Skip("a measurement")
--- a/internal/router/peering/store.go
+++ b/internal/router/peering/store.go
@@ -1,11 +1,8 @@
 package peering
 
 import (
-	"encoding/binary"
-	"encoding/json"
 	"errors"
 	"fmt"
-	"hash/crc32"
 	"os"
 	"path/filepath"
 	"runtime/debug"
@@ -20,41 +17,49 @@
 	"reachspread/internal/router/quorum"
 )
 
-// storeFile is a voter's file in its durable folder; what could not be read is set aside under a second name, one at a time.
+// The files of a voter's directory.
 const (
 	storeFileName       = "voter.db"
-	unreadStoreFileName = "voter.db.unread"
+	unreadStoreFileName = "voter.db.unread" // the last one that could not be read
 	storeLockName       = "voter.lock"
-	storeOpenTimeout    = time.Second // for a lock that the engine below takes itself
-	storeAllocBytes     = 64 << 10    // bytes at a time
-	// storeEntries is far more than a voter keeps between two snapshots: broken pages may lead in circles.
+	freshStoreSuffix    = ".new"
+)
+
+const (
+	storeOpenTimeout = time.Second // for the lock that the engine takes itself
+	storeAllocBytes  = 64 << 10    // by which the file grows
+	// maxStoredEntries is far more than a voter keeps between two snapshots: broken pages may lead
+	// in circles.
 	maxStoredEntries = 20_000
+	storeFormat      = 1 // of quorum.Meta
 )
 
+// The buckets of a store, and the keys of metaBucket; logBucket has entries by their index.
 var (
 	metaBucket   = []byte("meta")
 	logBucket    = []byte("log")
 	metaKey      = []byte("meta")
 	hardStateKey = []byte("hard")
 	snapshotKey  = []byte("snapshot")
-	castagnoli   = crc32.MakeTable(crc32.Castagnoli)
-	errChecksum  = errors.New("a sum is wrong")
 )
 
-// store is what a voter keeps. Each value has a sum behind it: the engine below guards its own pages, not what is in them.
+// store is a voter's quorum.StoredState on disk, in a bbolt file. Each value has a checksum: the
+// engine guards its own pages, not what is in them.
 type store struct {
 	db   *bbolt.DB
 	path string
 	lock *os.File
 }
 
-// openStore opens a folder's store, and returns what it has: nil for nothing. What can't be read is set aside, and aside says why. What
-// can is written anew: pages that were broken and not read would be met later, and the file is no longer than it must be.
-func openStore(folder string) (s *store, had *quorum.StoredState, aside error, err error) {
-	if err := os.MkdirAll(folder, 0o755); err != nil {
+// openStore opens a directory's store and returns what it has, nil for nothing. A file that can't
+// be read is set aside, and unread says why. One that can is written anew: pages that are broken
+// and were not read would be met later, and the file is no longer than it must be. Another
+// process's store is an error that wraps durable.ErrLocked.
+func openStore(directory string) (s *store, stored *quorum.StoredState, unread error, err error) {
+	if err := os.MkdirAll(directory, 0o755); err != nil {
 		return nil, nil, nil, err
 	}
-	lock, err := durable.Lock(folder, storeLockName)
+	lock, err := durable.Lock(directory, storeLockName)
 	if err != nil {
 		return nil, nil, nil, err
 	}
@@ -63,43 +68,135 @@
 			lock.Close()
 		}
 	}()
-	path := filepath.Join(folder, storeFileName)
+	path := filepath.Join(directory, storeFileName)
 	if _, err := os.Stat(path); err == nil {
-		if had, aside = readStore(path); aside != nil {
-			if err := os.Rename(path, filepath.Join(folder, unreadStoreFileName)); err != nil {
+		if stored, unread = readStore(path); unread != nil {
+			if err := os.Rename(path, filepath.Join(directory, unreadStoreFileName)); err != nil {
 				return nil, nil, nil, err
 			}
 		}
 	}
-	fresh := path + ".new"
-	os.Remove(fresh)
 	s = &store{path: path, lock: lock}
-	if s.db, err = bbolt.Open(fresh, 0o644, &bbolt.Options{Timeout: storeOpenTimeout, FreelistType: bbolt.FreelistMapType}); err != nil {
+	if err := s.create(stored); err != nil {
 		return nil, nil, nil, err
 	}
+	return s, stored, unread, nil
+}
+
+// create writes a new file beside the old one, and puts it in its place.
+func (s *store) create(stored *quorum.StoredState) (err error) {
+	fresh := s.path + freshStoreSuffix
+	os.Remove(fresh)
+	if s.db, err = bbolt.Open(fresh, 0o644, &bbolt.Options{Timeout: storeOpenTimeout, FreelistType: bbolt.FreelistMapType}); err != nil {
+		return err
+	}
 	s.db.AllocSize = storeAllocBytes
-	if had != nil {
-		err = s.persist(&quorum.Persist{Reset: true, Meta: &had.Meta, HardState: had.HardState, Snapshot: had.Snapshot, Entries: had.Entries})
+	if stored != nil {
+		err = s.persist(&quorum.Persist{Reset: true, Meta: &stored.Meta, HardState: stored.HardState, Snapshot: stored.Snapshot, Entries: stored.Entries})
 	}
 	if err == nil {
-		err = os.Rename(fresh, path)
+		err = os.Rename(fresh, s.path)
 	}
 	if err == nil {
-		err = durable.SyncDirectory(folder)
+		err = durable.SyncDirectory(filepath.Dir(s.path))
 	}
 	if err != nil {
 		s.db.Close()
-		return nil, nil, nil, err
 	}
-	return s, had, aside, nil
+	return err
+}
+
+func (s *store) close() {
+	s.db.Close()
+	s.lock.Close()
 }
 
-// readStore reads all that is in a file. A page that the file ends before is an error here, not the end of the process.
-func readStore(path string) (had *quorum.StoredState, err error) {
+// persist carries out a quorum.Persist in one transaction, and returns once it is on the disk. The
+// engine maps its file: a page beyond its end is a fault, which must not end the process.
+func (s *store) persist(p *quorum.Persist) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if x := recover(); x != nil {
-			had, err = nil, fmt.Errorf("%s: %v", path, x) // what was opened stays so; the file is set aside
+			err = fmt.Errorf("%s: %v", s.path, x)
+		}
+	}()
+	return s.db.Update(func(tx *bbolt.Tx) error {
+		if p.Reset {
+			if err := deleteBuckets(tx); err != nil {
+				return err
+			}
+		}
+		meta, err := tx.CreateBucketIfNotExists(metaBucket)
+		if err != nil {
+			return err
+		}
+		log, err := tx.CreateBucketIfNotExists(logBucket)
+		if err != nil {
+			return err
+		}
+		if err := putMeta(meta, p); err != nil {
+			return err
+		}
+		return putLog(log, p)
+	})
+}
+
+func deleteBuckets(tx *bbolt.Tx) error {
+	for _, b := range [][]byte{metaBucket, logBucket} {
+		if err := tx.DeleteBucket(b); err != nil && !errors.Is(err, bbolterrors.ErrBucketNotFound) {
+			return err
+		}
+	}
+	return nil
+}
+
+// putMeta writes what is no log.
+func putMeta(meta *bbolt.Bucket, p *quorum.Persist) error {
+	if p.Meta != nil {
+		if err := putJSON(meta, metaKey, p.Meta); err != nil {
+			return err
+		}
+	}
+	if p.HardState != nil {
+		if err := putMessage(meta, hardStateKey, p.HardState); err != nil {
+			return err
+		}
+	}
+	if p.Snapshot != nil {
+		return putMessage(meta, snapshotKey, p.Snapshot)
+	}
+	return nil
+}
+
+// putLog writes the log's entries and deletes those that are replaced or compacted.
+func putLog(log *bbolt.Bucket, p *quorum.Persist) error {
+	if p.Snapshot != nil && p.Compact == 0 { // it replaces the log
+		if err := deleteEntries(log, 0, maxIndex); err != nil {
+			return err
+		}
+	}
+	if len(p.Entries) > 0 {
+		if err := deleteEntries(log, p.Entries[0].GetIndex(), maxIndex); err != nil {
+			return err
+		}
+	}
+	for _, e := range p.Entries {
+		if err := putMessage(log, indexKey(e.GetIndex()), e); err != nil {
+			return err
+		}
+	}
+	if p.Compact > 0 {
+		return deleteEntries(log, 0, p.Compact)
+	}
+	return nil
+}
+
+// readStore reads all that a file has, nil for an empty store.
+func readStore(path string) (stored *quorum.StoredState, err error) {
+	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
+	defer func() {
+		if x := recover(); x != nil {
+			stored, err = nil, fmt.Errorf("%s: %v", path, x) // the file stays open, and is set aside
 		}
 	}()
 	db, err := bbolt.Open(path, 0o644, &bbolt.Options{Timeout: storeOpenTimeout, ReadOnly: true})
@@ -115,164 +212,52 @@
 		if info.Size() < tx.Size() {
 			return fmt.Errorf("%s has %d bytes, and says %d", path, info.Size(), tx.Size())
 		}
-		had, err = readAll(tx)
+		stored, err = readBuckets(tx)
 		return err
 	})
-	return had, err
+	return stored, err
 }
 
-func readAll(tx *bbolt.Tx) (*quorum.StoredState, error) {
+func readBuckets(tx *bbolt.Tx) (*quorum.StoredState, error) {
 	meta, log := tx.Bucket(metaBucket), tx.Bucket(logBucket)
 	if meta == nil || log == nil {
 		return nil, nil
 	}
-	had := &quorum.StoredState{}
-	text, err := stripChecksum(meta.Get(metaKey))
-	if err != nil || text == nil {
+	stored := &quorum.StoredState{}
+	exists, err := getMeta(meta, &stored.Meta)
+	if err != nil || !exists {
 		return nil, err
 	}
-	if err := json.Unmarshal(text, &had.Meta); err != nil {
-		return nil, fmt.Errorf("the store's description: %w", err)
-	}
-	if had.Meta.Version != 1 {
-		return nil, fmt.Errorf("the store has version %d, not 1", had.Meta.Version)
-	}
-	message := func(key []byte, m proto.Message) (bool, error) {
-		text, err := stripChecksum(meta.Get(key))
-		if err != nil || text == nil {
-			return false, err
-		}
-		return true, proto.Unmarshal(text, m)
+	if stored.Meta.Version != storeFormat {
+		return nil, fmt.Errorf("the store has version %d, not %d", stored.Meta.Version, storeFormat)
 	}
-	hard, snap := &raftpb.HardState{}, &raftpb.Snapshot{}
-	if is, err := message(hardStateKey, hard); err != nil {
+	hardState, snapshot := &raftpb.HardState{}, &raftpb.Snapshot{}
+	if exists, err = getMessage(meta, hardStateKey, hardState); err != nil {
 		return nil, err
-	} else if is {
-		had.HardState = hard
+	} else if exists {
+		stored.HardState = hardState
 	}
-	if is, err := message(snapshotKey, snap); err != nil {
+	if exists, err = getMessage(meta, snapshotKey, snapshot); err != nil {
 		return nil, err
-	} else if is {
-		had.Snapshot = snap
+	} else if exists {
+		stored.Snapshot = snapshot
 	}
-	return had, log.ForEach(func(_, v []byte) error {
-		text, err := stripChecksum(v)
+	stored.Entries, err = readEntries(log)
+	return stored, err
+}
+
+func readEntries(log *bbolt.Bucket) (entries []*raftpb.Entry, err error) {
+	err = log.ForEach(func(_, value []byte) error {
+		text, err := stripChecksum(value)
 		if err != nil {
 			return err
 		}
-		if len(had.Entries) >= maxStoredEntries {
+		if len(entries) >= maxStoredEntries {
 			return fmt.Errorf("the store has more than %d commands", maxStoredEntries)
 		}
 		e := &raftpb.Entry{}
-		had.Entries = append(had.Entries, e)
+		entries = append(entries, e)
 		return proto.Unmarshal(text, e)
 	})
-}
-
-func appendChecksum(b []byte) []byte {
-	return binary.BigEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
-}
-
-// unsum returns a copy of what stands before the sum, nil for nothing.
-func stripChecksum(b []byte) ([]byte, error) {
-	if b == nil {
-		return nil, nil
-	}
-	if len(b) < 4 || crc32.Checksum(b[:len(b)-4], castagnoli) != binary.BigEndian.Uint32(b[len(b)-4:]) {
-		return nil, errChecksum
-	}
-	return append(make([]byte, 0, len(b)), b[:len(b)-4]...), nil
-}
-
-func indexKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
-
-// keep writes one Keep, and returns once it is on the disk.
-func (s *store) persist(k *quorum.Persist) (err error) {
-	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
-	defer func() {
-		if x := recover(); x != nil {
-			err = fmt.Errorf("%s: %v", s.path, x)
-		}
-	}()
-	return s.db.Update(func(tx *bbolt.Tx) error {
-		if k.Reset {
-			for _, b := range [][]byte{metaBucket, logBucket} {
-				if err := tx.DeleteBucket(b); err != nil && !errors.Is(err, bbolterrors.ErrBucketNotFound) {
-					return err
-				}
-			}
-		}
-		meta, err := tx.CreateBucketIfNotExists(metaBucket)
-		if err != nil {
-			return err
-		}
-		log, err := tx.CreateBucketIfNotExists(logBucket)
-		if err != nil {
-			return err
-		}
-		if k.Meta != nil {
-			text, err := json.Marshal(k.Meta)
-			if err == nil {
-				err = meta.Put(metaKey, appendChecksum(text))
-			}
-			if err != nil {
-				return err
-			}
-		}
-		for _, x := range []struct {
-			key []byte
-			m   proto.Message
-			is  bool
-		}{{hardStateKey, k.HardState, k.HardState != nil}, {snapshotKey, k.Snapshot, k.Snapshot != nil}} {
-			if !x.is {
-				continue
-			}
-			text, err := proto.Marshal(x.m)
-			if err == nil {
-				err = meta.Put(x.key, appendChecksum(text))
-			}
-			if err != nil {
-				return err
-			}
-		}
-		if k.Snapshot != nil && k.Compact == 0 {
-			if err := deleteEntries(log, 0, 1<<64-1); err != nil {
-				return err
-			}
-		}
-		if len(k.Entries) > 0 {
-			if err := deleteEntries(log, k.Entries[0].GetIndex(), 1<<64-1); err != nil {
-				return err
-			}
-		}
-		for _, e := range k.Entries {
-			text, err := proto.Marshal(e)
-			if err == nil {
-				err = log.Put(indexKey(e.GetIndex()), appendChecksum(text))
-			}
-			if err != nil {
-				return err
-			}
-		}
-		if k.Compact > 0 {
-			return deleteEntries(log, 0, k.Compact)
-		}
-		return nil
-	})
-}
-
-// cutLog takes away the entries from one to another, both included.
-func deleteEntries(log *bbolt.Bucket, from, to uint64) error {
-	c := log.Cursor()
-	for key, _ := c.Seek(indexKey(from)); key != nil && binary.BigEndian.Uint64(key) <= to; key, _ = c.Next() {
-		if err := c.Delete(); err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
-func (s *store) close() {
-	s.db.Close()
-	s.lock.Close()
+	return entries, err
 }
--- a/internal/router/peering/store_test.go
+++ b/internal/router/peering/store_test.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// A store that is cut at any place, or has a bit flipped, is read as it was or set aside; never is it read as something else, and
-// never does it end the process.
+// A store that is cut at any place, or has a bit flipped, is read as it was or set aside; never is
+// it read as something else, and never does it end the process.
 func TestStoreBroken(t *testing.T) {
 	folder, want := filled(t)
 	whole, err := os.ReadFile(filepath.Join(folder, storeFileName))
--- a/internal/router/peering/stored_test.go
+++ b/internal/router/peering/stored_test.go
@@ -19,8 +19,9 @@
 	"reachspread/internal/testbed/golden"
 )
 
-// The files under testdata were written by a store at commit 5bfcc27: WRITE_GOLDEN=1 go test -run Golden. voter.db is the file that it
-// left, voter.txt every value in it, bucket by bucket, as the pages of the file itself may lie in another order.
+// The files under testdata were written by a store at commit 5bfcc27: WRITE_GOLDEN=1 go test -run
+// Golden. voter.db is the file that it left, voter.txt every value in it, bucket by bucket, as the
+// pages of the file itself may lie in another order.
 
 // goldenStored is all that a store may have.
 func goldenStored(t *testing.T) *quorum.StoredState {
@@ -86,7 +87,8 @@
 	return out.String()
 }
 
-// A voter's file is read as it was written, every value in it is written as it was, and it is whole after it was opened.
+// A voter's file is read as it was written, every value in it is written as it was, and it is whole
+// after it was opened.
 func TestGoldenStore(t *testing.T) {
 	want := goldenStored(t)
 	golden.Complete(t, want.Meta)
--- /dev/null
+++ b/internal/router/peering/view_driver.go
@@ -0,0 +1,213 @@
+package peering
+
+import (
+	"context"
+	"net/netip"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"reachspread/coord/members"
+	"reachspread/coord/pacing"
+	"reachspread/internal/routing"
+)
+
+const (
+	// maxQueuedDatagrams bounds the datagrams that wait for the decider; further ones are lost, as
+	// on any network.
+	maxQueuedDatagrams = 512
+	// maxLoggedNames bounds the members that a log line names.
+	maxLoggedNames = 8
+)
+
+// ViewDriver drives the membership: the goroutine of Run owns the decider, and everybody may read
+// the view.
+type ViewDriver struct {
+	decider       *members.Decider
+	send          func(to netip.AddrPort, data []byte)
+	changed       func(*members.View, *members.Changed) // called by Run's goroutine; must not wait
+	log           routing.Logger
+	start         time.Time // of the decider's time, by the monotonic clock
+	datagrams     chan datagram
+	leaveRequests chan leaveRequest
+	seeds         chan []netip.AddrPort
+	buffers       sync.Pool
+
+	view     atomic.Pointer[members.View]
+	stats    atomic.Pointer[members.Stats]
+	dropped  atomic.Uint64 // datagrams for which the queue had no capacity
+	loopPace pacing.Meter
+
+	incarnation     uint32 // the local member's so far
+	invariantBroken bool   // it was logged that an invariant does not hold
+}
+
+// datagram is one of the queue, in a buffer of the pool.
+type datagram struct {
+	from netip.AddrPort
+	n    int
+	data *[members.MaxDatagramLen]byte
+}
+
+// leaveRequest asks Run's goroutine to leave the membership; done is closed once others are
+// notified.
+type leaveRequest struct {
+	replaced bool
+	done     chan bool
+}
+
+// NewViewDriver returns the driver of a router that starts now. Changed is called with each change,
+// in order.
+func NewViewDriver(c members.Config, send func(netip.AddrPort, []byte), changed func(*members.View, *members.Changed), log routing.Logger) (*ViewDriver, error) {
+	d, err := members.New(c, 0)
+	if err != nil {
+		return nil, err
+	}
+	v := &ViewDriver{decider: d, send: send, changed: changed, log: log, start: time.Now(),
+		datagrams: make(chan datagram, maxQueuedDatagrams), leaveRequests: make(chan leaveRequest), seeds: make(chan []netip.AddrPort),
+		buffers: sync.Pool{New: func() any { return new([members.MaxDatagramLen]byte) }}}
+	v.publish()
+	return v, nil
+}
+
+// HandleDatagram queues a copy of a datagram. It never waits.
+func (v *ViewDriver) HandleDatagram(from netip.AddrPort, data []byte) {
+	if len(data) > members.MaxDatagramLen {
+		v.dropped.Add(1)
+		return
+	}
+	buffer := v.buffers.Get().(*[members.MaxDatagramLen]byte)
+	select {
+	case v.datagrams <- datagram{from, copy(buffer[:], data), buffer}:
+	default:
+		v.dropped.Add(1)
+		v.buffers.Put(buffer)
+	}
+}
+
+// Run steps the decider until ctx ends.
+func (v *ViewDriver) Run(ctx context.Context) {
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	for {
+		now, byTimer := time.Duration(0), false
+		select {
+		case <-ctx.Done():
+			return
+		case x := <-v.datagrams:
+			now = v.step(members.Received{From: x.from, Data: x.data[:x.n]})
+			v.buffers.Put(x.data)
+		case l := <-v.leaveRequests:
+			now = v.step(members.Leave{Replaced: l.replaced})
+			close(l.done)
+		case all := <-v.seeds:
+			now = v.step(members.SetSeeds{Addrs: all})
+		case <-timer.C:
+			now, byTimer = v.step(members.Tick{}), true
+		}
+		next := v.decider.Next()
+		if stalled := v.loopPace.RecordStep(now, next, byTimer); stalled > 0 {
+			v.log.Warn("loop stalls", "loop", "members", "steps", stalled)
+		}
+		timer.Reset(max(next-time.Since(v.start), 0))
+	}
+}
+
+// Pace returns the counters of the loop. It never waits.
+func (v *ViewDriver) Pace() pacing.Stats { return v.loopPace.Stats() }
+
+// Leave notifies the other members that this router ends; replaced says that another process of it
+// takes over. It returns once the notifications are sent, or ctx has ended.
+func (v *ViewDriver) Leave(ctx context.Context, replaced bool) {
+	l := leaveRequest{replaced, make(chan bool)}
+	select {
+	case v.leaveRequests <- l:
+		<-l.done
+	case <-ctx.Done():
+	}
+}
+
+// SetSeeds replaces the addresses that are asked for the membership.
+func (v *ViewDriver) SetSeeds(ctx context.Context, all []netip.AddrPort) {
+	select {
+	case v.seeds <- all:
+	case <-ctx.Done():
+	}
+}
+
+// Now returns the present view. It never waits, and the caller must not change the view.
+func (v *ViewDriver) Now() *members.View { return v.view.Load() }
+
+// Stats returns the counters as of the last step. It never waits.
+func (v *ViewDriver) Stats() members.Stats { return *v.stats.Load() }
+
+// publish has everybody see the present view and counters.
+func (v *ViewDriver) publish() {
+	v.view.Store(v.decider.View())
+	v.publishStats()
+}
+
+func (v *ViewDriver) publishStats() {
+	s := v.decider.Stats()
+	v.stats.Store(&s)
+}
+
+// step steps the decider with an event now, carries out its actions, and returns that time.
+func (v *ViewDriver) step(e members.Event) time.Duration {
+	at := time.Since(v.start)
+	for _, a := range v.decider.Step(at, e) {
+		switch a := a.(type) {
+		case members.Send:
+			v.send(a.To, a.Data)
+		case members.Changed:
+			now := v.decider.View()
+			v.view.Store(now)
+			v.changed(now, &a)
+			v.logChange(&a)
+		case members.NameConflict:
+			v.log.Warn("name refused", "name", a.Name, "claimed_by", a.Addr)
+		case members.LocalNameTaken:
+			v.log.Warn("name taken", "told_by", a.By)
+		}
+	}
+	v.publishStats()
+	v.checkInvariants()
+	return at
+}
+
+// checkInvariants logs once that something does not hold which always must of the local member: a
+// bug of this program.
+func (v *ViewDriver) checkInvariants() {
+	incarnation, state := v.decider.Incarnation(), v.decider.State()
+	broken := incarnation < v.incarnation || state == members.Dead || state == members.Suspected
+	if broken && !v.invariantBroken {
+		v.invariantBroken = true
+		v.log.Warn("view broken", "incarnation", incarnation, "before", v.incarnation, "state", state)
+	}
+	v.incarnation = max(v.incarnation, incarnation)
+}
+
+// logChange logs members that were lost, by reason, and members that are back. Who joins, restarts
+// or leaves as intended is not logged.
+func (v *ViewDriver) logChange(c *members.Changed) {
+	byReason := map[members.Reason][]string{}
+	for _, x := range c.Changes {
+		byReason[x.Reason] = append(byReason[x.Reason], x.Member.Name)
+	}
+	for _, reason := range []members.Reason{members.ReasonCrashed, members.ReasonZoneLost} {
+		if names := byReason[reason]; len(names) > 0 {
+			v.log.Warn("routers lost", "why", reason, "count", len(names), "names", joinNames(names), "view", c.Version)
+		}
+	}
+	if names := byReason[members.ReasonReturned]; len(names) > 0 {
+		v.log.Info("routers back", "count", len(names), "names", joinNames(names), "view", c.Version)
+	}
+}
+
+func joinNames(names []string) string {
+	if len(names) > maxLoggedNames {
+		return strings.Join(names[:maxLoggedNames], ",") + ",..."
+	}
+	return strings.Join(names, ",")
+}
--- a/internal/router/peering/view_test.go
+++ b/internal/router/peering/view_driver_test.go
@@ -15,7 +15,8 @@
 	"reachspread/internal/testbed/scripted"
 )
 
-// Three drivers on sockets find each other; one that leaves is gone, one that ends without a word is lost, with a line.
+// Three drivers on sockets find each other; one that leaves is gone, one that ends without a word
+// is lost, with a line.
 func TestViewOnSockets(t *testing.T) {
 	var addrs []string
 	for range 3 {
@@ -27,7 +28,7 @@
 		c.Close()
 	}
 	type driver struct {
-		*peering.View
+		*peering.ViewDriver
 		end     context.CancelFunc
 		lines   scripted.Lines
 		changes chan *members.Changed
@@ -43,7 +44,7 @@
 		for _, s := range addrs {
 			c.Seeds = append(c.Seeds, netip.MustParseAddrPort(s))
 		}
-		if x.View, err = peering.NewView(c, g.Send, func(v *members.View, ch *members.Changed) { x.changes <- ch }, x.lines); err != nil {
+		if x.ViewDriver, err = peering.NewViewDriver(c, g.Send, func(v *members.View, ch *members.Changed) { x.changes <- ch }, x.lines); err != nil {
 			t.Fatal(err)
 		}
 		g.OnMembersDatagram(x.HandleDatagram)
@@ -69,10 +70,10 @@
 		sees(x, 2)
 	}
 	// The figures are published right after the view of the same step.
-	for until := time.Now().Add(scripted.Patience); all[0].Figures().Alive != 2 && time.Now().Before(until); {
+	for until := time.Now().Add(scripted.Patience); all[0].Stats().Alive != 2 && time.Now().Before(until); {
 		runtime.Gosched()
 	}
-	if f := all[0].Figures(); f.Deaths != 0 || f.Alive != 2 {
+	if f := all[0].Stats(); f.Deaths != 0 || f.Alive != 2 {
 		t.Errorf("after a leaving: %+v", f)
 	}
 	all[1].end()
--- a/internal/router/peering/lines.go
+++ b/internal/router/peering/voter_link.go
@@ -11,22 +11,21 @@
 	"reachspread/internal/router/quorum"
 )
 
-// lineKind is the kind of all messages between routers that may vote.
+// voterMessage is the kind of all frames between candidates.
 const voterMessage link.Kind = 1
 
-// lines carry messages between routers that may vote.
+// voterLink carries messages between candidates over TCP.
 type voterLink struct {
 	link      atomic.Pointer[link.Link] // nil until it listens
-	addresses map[string]string         // addresses of the others, by their names
+	addresses map[string]string         // of the other candidates, by name
 	receive   func(data []byte)
 }
 
-func newVoterLink(to map[string]string, hear func([]byte)) *voterLink {
-	return &voterLink{addresses: to, receive: hear}
+func newVoterLink(addresses map[string]string, receive func([]byte)) *voterLink {
+	return &voterLink{addresses: addresses, receive: receive}
 }
 
-// listening tells whether the lines are open.
-func (l *voterLink) listening() bool { return l.link.Load() != nil }
+func (l *voterLink) isListening() bool { return l.link.Load() != nil }
 
 // listen opens the address, and carries messages until ctx ends.
 func (l *voterLink) listen(ctx context.Context, address string) error {
@@ -42,14 +41,14 @@
 	return nil
 }
 
-// take takes in a message of another voter.
+// handleFrame takes in a message of another candidate.
 func (l *voterLink) handleFrame(kind link.Kind, data []byte) {
 	if kind == voterMessage && len(data) > 0 && len(data) <= quorum.MaxMessageBytes {
 		l.receive(bytes.Clone(data))
 	}
 }
 
-// send leaves a message for another router. It waits for nobody.
+// send sends a message to another candidate. It never waits: what can't be queued is lost.
 func (l *voterLink) send(to string, data []byte) {
 	carrier := l.link.Load()
 	if address, known := l.addresses[to]; known && carrier != nil {
--- a/internal/router/program/membership.go
+++ b/internal/router/program/membership.go
@@ -99,7 +99,7 @@
 			a, _ := netip.ParseAddrPort(peer) // checked with the configuration
 			numbers[a] = i
 		}
-		p.view, err = peering.NewView(m, gossip.Send, func(v *members.View, _ *members.Changed) {
+		p.view, err = peering.NewViewDriver(m, gossip.Send, func(v *members.View, _ *members.Changed) {
 			p.router.SetFleetView(routing.FleetView{Version: v.Version, Live: len(v.Members), Peers: p.numbered(v, numbers)})
 			if p.roles != nil {
 				p.roles.UpdateView(v)
@@ -179,7 +179,7 @@
 	if p.view == nil {
 		return nil
 	}
-	f := p.view.Figures()
+	f := p.view.Stats()
 	return &management.Fleet{Members: f.Alive, Suspected: f.Suspected, Dead: f.Dead, View: p.router.Metrics().Fleet.Version, Deaths: f.Deaths,
 		Suspicions: f.Suspicions, Refuted: f.Refutations, Stood: f.Stalls, Sent: f.Sent, SentBytes: f.SentBytes, Dropped: f.Dropped}
 }
--- a/internal/router/program/program.go
+++ b/internal/router/program/program.go
@@ -36,17 +36,17 @@
 	file      string // the operators' settings, empty for none
 	log       routing.Logger
 	servers   *transport.Servers
-	mirror    *mirror.Mirror    // nil without a file
-	status    *transport.Status // nil where the settings name no folder
-	capture   *capture.Writer   // nil where they name no file
-	view      *peering.View     // of the fleet, nil where they have no such block
-	gate      *recoveryGate     // admits requests before the decisions see them
-	recovery  *recoveryDriver   // how this router comes back, nil where nothing is persisted
-	gossip    *peering.Gossip   // the socket between routers, nil where there is none
-	balancer  *balance.Balancer // the router's, once it runs
-	snapshots snapshotWriter    // what the next incarnation reads
-	roles     *peering.Roles    // nil where the settings have no such block
-	started   []component       // the started components
+	mirror    *mirror.Mirror      // nil without a file
+	status    *transport.Status   // nil where the settings name no folder
+	capture   *capture.Writer     // nil where they name no file
+	view      *peering.ViewDriver // of the fleet, nil where they have no such block
+	gate      *recoveryGate       // admits requests before the decisions see them
+	recovery  *recoveryDriver     // how this router comes back, nil where nothing is persisted
+	gossip    *peering.Gossip     // the socket between routers, nil where there is none
+	balancer  *balance.Balancer   // the router's, once it runs
+	snapshots snapshotWriter      // what the next incarnation reads
+	roles     *peering.Roles      // nil where the settings have no such block
+	started   []component         // the started components
 	router    *routing.Router
 	front     *transport.Front
 	ln        net.Listener
--- a/internal/system/roles/node/membership.go
+++ b/internal/system/roles/node/membership.go
@@ -34,7 +34,7 @@
 	changed := func(v *members.View, _ *members.Changed) {
 		n.hub.post(func() { n.hub.membershipChanged(v) })
 	}
-	n.members, err = peering.NewView(n.membershipConfig(), n.sendDatagram, changed, n.log)
+	n.members, err = peering.NewViewDriver(n.membershipConfig(), n.sendDatagram, changed, n.log)
 	n.self.zone = zoneLabel(n.settings().Zone)
 	n.hub.resetMembership()
 	return err
--- a/internal/system/roles/node/node.go
+++ b/internal/system/roles/node/node.go
@@ -36,7 +36,7 @@
 
 	link        *link.Link
 	udp         *net.UDPConn
-	members     *peering.View
+	members     *peering.ViewDriver
 	client      *register.Client
 	replica     *register.Replica // nil for a router that may not be a member of the register
 	plane       *dataplane.Plane
--- a/internal/testbed/scaletest/hollow.go
+++ b/internal/testbed/scaletest/hollow.go
@@ -46,7 +46,7 @@
 
 	mu    sync.Mutex
 	lives uint32
-	view  *peering.View // nil while it is down
+	view  *peering.ViewDriver // nil while it is down
 	conn  *net.UDPConn
 	stop  context.CancelFunc
 	done  sync.WaitGroup
@@ -86,7 +86,7 @@
 			conn.WriteToUDPAddrPort(data, to) // one that can't be sent is lost, as on any network
 		}
 	}
-	view, err := peering.NewView(config, send, func(*members.View, *members.Changed) {}, quiet{})
+	view, err := peering.NewViewDriver(config, send, func(*members.View, *members.Changed) {}, quiet{})
 	if err != nil {
 		return fmt.Errorf("%s: %w", h.name, err)
 	}
@@ -98,7 +98,7 @@
 }
 
 // receive reads until the socket is closed.
-func (h *hollow) receive(conn *net.UDPConn, view *peering.View) {
+func (h *hollow) receive(conn *net.UDPConn, view *peering.ViewDriver) {
 	var buffer [members.MaxDatagramLen + 1]byte
 	for {
 		n, from, err := conn.ReadFromUDPAddrPort(buffer[:])
@@ -125,7 +125,7 @@
 	h.view, h.conn = nil, nil
 	h.mu.Unlock()
 	h.done.Wait()
-	f := view.Figures()
+	f := view.Stats()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.sent, h.bytes = h.sent+f.Sent, h.bytes+f.SentBytes
@@ -147,7 +147,7 @@
 	defer h.mu.Unlock()
 	datagrams, bytes = h.sent, h.bytes
 	if h.view != nil {
-		f := h.view.Figures()
+		f := h.view.Stats()
 		datagrams, bytes = datagrams+f.Sent, bytes+f.SentBytes
 	}
 	return datagrams, bytes
