--- a/coord/simulation/crashfaults.go
+++ b/coord/simulation/crashfaults.go
@@ -79,13 +79,13 @@
 
 // losePowerAfterAck has a machine lose power, and its disk with wipe, some time after the next
 // acknowledgement.
-func (d *FaultInjector) losePowerAfterAck(in time.Duration, wipe bool) bool {
+func (d *FaultInjector) losePowerAfterAck(delay time.Duration, wipe bool) bool {
 	p, span := d.chainEnd(), d.drawDuration()
-	if wipe && !d.diskLossAllowed() || !d.countAsLost(p, span+in) {
+	if wipe && !d.diskLossAllowed() || !d.countAsLost(p, span+delay) {
 		return false
 	}
 	d.world.onNextAcknowledgement(func() {
-		d.world.After(in, func() {
+		d.world.After(delay, func() {
 			d.trace("power lost after an acknowledgement, wipe "+fmt.Sprint(wipe), p, span)
 			p.LosePower()
 			if wipe {
@@ -128,27 +128,27 @@
 )
 
 // crashAll crashes all processes at once.
-func (d *FaultInjector) crashAll(of crashMode, down time.Duration) bool {
+func (d *FaultInjector) crashAll(mode crashMode, down time.Duration) bool {
 	if !d.overlap && d.anyLost() {
 		return false
 	}
-	d.crashEach(of, down)
+	d.crashEach(mode, down)
 	return true
 }
 
 // crashEach crashes all processes, and starts them later.
-func (d *FaultInjector) crashEach(of crashMode, down time.Duration) {
+func (d *FaultInjector) crashEach(mode crashMode, down time.Duration) {
 	d.world.Trace("%v all crash", d.world.Now)
 	d.countAllAsLost(down + time.Second)
 	for _, p := range slices.Clone(d.world.Processes) {
-		d.crashOne(p, of)
+		d.crashOne(p, mode)
 		d.endAfter(down+d.restartDelay(), p.Start)
 	}
 }
 
 // crashOne crashes a process.
-func (d *FaultInjector) crashOne(p *Process, of crashMode) {
-	if of == powerLoss {
+func (d *FaultInjector) crashOne(p *Process, mode crashMode) {
+	if mode == powerLoss {
 		p.LosePower()
 	} else {
 		p.Crash()
@@ -157,15 +157,15 @@
 
 // crashAllAfterAck crashes all processes some time after an acknowledgement, and wipes some of
 // their disks.
-func (d *FaultInjector) crashAllAfterAck(of crashMode, wiped int) bool {
+func (d *FaultInjector) crashAllAfterAck(mode crashMode, wiped int) bool {
 	if d.anyLost() || wiped > 0 && !d.diskLossAllowed() {
 		return false
 	}
-	in := []time.Duration{0, d.drawShortDelay(), d.drawDelay()}[d.world.rng.IntN(3)]
+	delay := []time.Duration{0, d.drawShortDelay(), d.drawDelay()}[d.world.rng.IntN(3)]
 	d.countAllAsLost(5 * time.Second)
 	d.world.onNextAcknowledgement(func() {
-		d.world.After(in, func() {
-			d.crashEach(of, 0)
+		d.world.After(delay, func() {
+			d.crashEach(mode, 0)
 			for _, p := range d.sample(min(wiped, len(d.world.Processes))) {
 				d.world.Trace("%v %s loses its disk", d.world.Now, p.Address)
 				d.countDiskAsLost(p)
--- a/coord/simulation/injector.go
+++ b/coord/simulation/injector.go
@@ -81,9 +81,9 @@
 }
 
 // endAfter schedules the end of a disruption.
-func (d *FaultInjector) endAfter(in time.Duration, do func()) {
-	d.endsAt = max(d.endsAt, d.world.Now+in)
-	d.world.After(in, func() {
+func (d *FaultInjector) endAfter(delay time.Duration, do func()) {
+	d.endsAt = max(d.endsAt, d.world.Now+delay)
+	d.world.After(delay, func() {
 		do()
 		d.recordDisruption()
 	})
--- a/coord/simulation/process.go
+++ b/coord/simulation/process.go
@@ -65,12 +65,15 @@
 	if p.up || w.byAddress[p.Address] != p {
 		return
 	}
-	p.incarnation++
-	p.up, p.writing, p.nextWrite, p.frozenUntil, p.postponed, p.ownedSince, p.startedAt = true, nil, 0, 0, nil, map[int]time.Duration{}, w.Now
-	p.drift = float64(w.rng.IntN(2*maxClockDrift)-maxClockDrift) / 1e6
-	p.machine = newTrackedMachine(w)
-	c := register.Config{Self: &coordpb.Member{Address: p.Address, Identity: w.rng.Uint64()}, Seeds: p.seeds, Eligible: true, Tolerance: w.Tolerance,
-		Seed: w.rng.Uint64(), Founder: p.founder}
+	p.beginIncarnation()
+	config := register.Config{
+		Self:      &coordpb.Member{Address: p.Address, Identity: w.rng.Uint64()},
+		Seeds:     p.seeds,
+		Founder:   p.founder,
+		Eligible:  true,
+		Tolerance: w.Tolerance,
+		Seed:      w.rng.Uint64(),
+	}
 	p.founder = false
 	store, persisted, err := p.disk.load(p.machine)
 	if err != nil {
@@ -78,19 +81,36 @@
 		return
 	}
 	p.store, p.needsFullWrite = store, store.SaveRequired()
-	if persisted != nil {
-		c.Persisted, c.Founder, c.Self.Identity, c.Unsynced = persisted, persisted.Founder, persisted.Identity, true
-	} else if w.Bug == ReusedIdentity && p.self != nil {
-		c.Self.Identity, c.Founder = p.self.Identity, true
-	}
-	p.self = c.Self
+	switch {
+	case persisted != nil:
+		config.Persisted, config.Unsynced = persisted, true
+		config.Founder, config.Self.Identity = persisted.Founder, persisted.Identity
+	case w.Bug == ReusedIdentity && p.self != nil:
+		config.Founder, config.Self.Identity = true, p.self.Identity
+	}
+	p.self = config.Self
 	w.Trace("%v %s starts incarnation %d, persisted %v", w.Now, p.Address, p.incarnation, persisted != nil)
-	p.Core = register.NewCore(c, p.machine, 0)
+	p.Core = register.NewCore(config, p.machine, 0)
 	p.Core.SetKnownAddresses(w.Addresses())
 	p.startWrite()
 	p.tick(p.incarnation)
 }
 
+// beginIncarnation resets what doesn't survive a restart, and draws the drift of the clock.
+func (p *Process) beginIncarnation() {
+	w := p.world
+	p.incarnation++
+	p.up = true
+	p.startedAt = w.Now
+	p.frozenUntil = 0
+	p.postponed = nil
+	p.writing = nil
+	p.nextWrite = 0
+	p.ownedSince = map[int]time.Duration{}
+	p.drift = float64(w.rng.IntN(2*maxClockDrift)-maxClockDrift) / 1e6
+	p.machine = newTrackedMachine(w)
+}
+
 // whenRunning has a process do something, once it isn't frozen. A process that is down doesn't.
 func (p *Process) whenRunning(f func()) {
 	if !p.up {
