--- a/internal/transport/servers_test.go
+++ b/internal/transport/servers_test.go
@@ -72,7 +72,7 @@
 
 func TestBytesAreForwardedUnchangedAsTheyCome(t *testing.T) {
 	more := make(chan bool)
-	s := scripted.NewServer(t, scripted.Held(more))
+	s := scripted.NewServer(t, scripted.GatedAnswer(more))
 	r := newRouter(t, s)
 	for i := range 2 { // the second on the same connections
 		resp, err := http.DefaultClient.Do(scripted.Ask(t, r.addr, fmt.Sprint("id-Ab", i), nil))
@@ -121,7 +121,7 @@
 		{"turned away", scripted.Answer(scripted.Full), 503, 2, false},
 		{"status without a body", scripted.Answer("HTTP/1.1 204 No Content\r\n\r\n"), 503, 2, false},
 		{"noise", scripted.Answer("\x01\x02noise\r\n\r\n"), 503, 2, false},
-		{"head without a status", scripted.Answer(strings.Replace(scripted.Whole(), "200 OK", "OK 200", 1)), 503, 2, false},
+		{"head without a status", scripted.Answer(strings.Replace(scripted.CompleteAnswer(), "200 OK", "OK 200", 1)), 503, 2, false},
 		{"head that stops", scripted.Answer("HTTP/1.1 200 OK\r\nX-Pa"), 503, 2, false},
 		{"head without end", scripted.Answer("HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Pad: y\r\n", 1000)), 503, 2, false},
 		{"interim answers without end", scripted.Answer(strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 1000)), 503, 2, false},
@@ -157,8 +157,8 @@
 func TestSurplusBytesAfterAnAnswer(t *testing.T) {
 	interim := "HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n"
 	for name, script := range map[string]func(net.Conn) bool{
-		"interim answers first":   scripted.Answer(strings.Repeat(interim, 3) + scripted.Whole()),
-		"a second answer at once": scripted.Answer(scripted.Whole() + scripted.Error),
+		"interim answers first":   scripted.Answer(strings.Repeat(interim, 3) + scripted.CompleteAnswer()),
+		"a second answer at once": scripted.Answer(scripted.CompleteAnswer() + scripted.Error),
 	} {
 		r := newRouter(t, scripted.NewServer(t, script))
 		for i := range 3 {
@@ -173,7 +173,7 @@
 func TestRetryAfterARefusedOrClosedConnection(t *testing.T) {
 	closed := make(chan bool, 1)
 	s := scripted.NewServer(t, func(c net.Conn) bool {
-		io.WriteString(c, scripted.Whole())
+		io.WriteString(c, scripted.CompleteAnswer())
 		c.Close()
 		closed <- true
 		return false
@@ -236,7 +236,7 @@
 }
 
 func TestRequestsRejectedBeforeTheDecisions(t *testing.T) {
-	s := scripted.NewServer(t, scripted.Answer(scripted.Whole()))
+	s := scripted.NewServer(t, scripted.Answer(scripted.CompleteAnswer()))
 	r := newRouter(t, s)
 	long := strings.Repeat("x", transport.MaxBody+1)
 	head := "POST /v1/chat/completions HTTP/1.1\r\nHost: r\r\n"
@@ -297,7 +297,7 @@
 
 // A client that closes before its request's last byte must not have the rest of it sent, however long that is.
 func TestIncompleteRequestIsNotForwarded(t *testing.T) {
-	s := scripted.NewServer(t, scripted.Answer(scripted.Whole()))
+	s := scripted.NewServer(t, scripted.Answer(scripted.CompleteAnswer()))
 	r := newRouter(t, s)
 	for name, body := range map[string]string{
 		"a length, little sent": "Content-Length: 100000\r\n\r\n{",
@@ -324,7 +324,7 @@
 // Ids are fresh by the platform's word. Who uses that of an open request gets an error; the first one is unharmed.
 func TestTwoRequestsOfOneID(t *testing.T) {
 	more := make(chan bool)
-	s := scripted.NewServer(t, scripted.Held(more))
+	s := scripted.NewServer(t, scripted.GatedAnswer(more))
 	r := newRouter(t, s)
 	end := make(chan string, 1)
 	go func() {
@@ -375,7 +375,7 @@
 
 // What drains or is gone gets nothing new from the moment that discovery told so.
 func TestDrainingServersGetNothingNew(t *testing.T) {
-	a, b := scripted.NewServer(t, scripted.Answer(scripted.Whole())), scripted.NewServer(t, scripted.Answer(scripted.Whole()))
+	a, b := scripted.NewServer(t, scripted.Answer(scripted.CompleteAnswer())), scripted.NewServer(t, scripted.Answer(scripted.CompleteAnswer()))
 	r := newRouter(t, a, b)
 	r.tell(t, scripted.List(2, false, scripted.Entry("s0", a.Addr, "Terminating")))
 	for i := range 20 {
@@ -406,9 +406,9 @@
 		}
 	}
 	expect(41, "/api/targets", "/api/targets?index=41&wait=5000")
-	d.Tell(t, scripted.List(42, false, scripted.Entry("s0", "127.0.0.1:1", "Gone")))
+	d.Send(t, scripted.List(42, false, scripted.Entry("s0", "127.0.0.1:1", "Gone")))
 	expect(42, "/api/targets?index=42&wait=5000")
-	d.Tell(t, `{"version":43,"servers":[{"id":"s0","state":"Odd"}]}`)
+	d.Send(t, `{"version":43,"servers":[{"id":"s0","state":"Odd"}]}`)
 	expect(41, "/api/targets", "/api/targets?index=41&wait=5000")
 	for _, want := range []string{"discovery lost cause=servers[0].state", "discovery back version=41"} {
 		if got := scripted.Next(t, lines, "a log line"); !strings.HasPrefix(got, want) {
--- a/internal/transport/splitbytes_test.go
+++ b/internal/transport/splitbytes_test.go
@@ -35,7 +35,7 @@
 	lists, answers, told := make(chan []int, 1), make(chan []int, 1), make(chan *protocol.List, 1)
 	defer close(lists)
 	s := scripted.NewServer(t, func(c net.Conn) bool {
-		write(c, scripted.Whole(), <-answers)
+		write(c, scripted.CompleteAnswer(), <-answers)
 		return true
 	})
 	lines := make(scripted.Lines, 1000)
--- a/internal/transport/unsent_test.go
+++ b/internal/transport/unsent_test.go
@@ -55,7 +55,7 @@
 		"reset":  func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			server := scripted.NewServer(t, scripted.Answer(scripted.Whole()))
+			server := scripted.NewServer(t, scripted.Answer(scripted.CompleteAnswer()))
 			servers := NewServers(ServerLimits{ConnectTimeout: time.Second, Keepalive: time.Minute, Connections: 1, StreamIdleTimeout: time.Second}, make(scripted.Lines, 1))
 			client, accepted := pair(t)
 			m := &Message{method: []byte("POST"), uri: []byte("/v1/chat/completions"), id: []byte("q"), client: &clientConn{Conn: accepted}}
