--- a/cmd/reachspread/admission.go
+++ b/cmd/reachspread/admission.go
@@ -42,8 +42,8 @@
 		}
 	}
 	fmt.Fprintf(t, "  episodes without a descriptor\t%d\n", s.Shorts)
-	for _, l := range s.Descriptors.Lines {
-		fmt.Fprintf(t, "  descriptors: %s\t%d of %d\n", l.Owner, l.Used, l.Share)
+	for _, l := range s.Descriptors.Owners {
+		fmt.Fprintf(t, "  descriptors: %s\t%d of %d\n", l.Owner, l.Used, l.Limit)
 	}
 	fmt.Fprintf(t, "  descriptors: all\t%d counted, %d open, limit %d\n", s.Descriptors.Used(), s.Descriptors.Open, s.Descriptors.Limit)
 	for _, h := range s.Holdings {
--- a/cmd/reachspread/main_test.go
+++ b/cmd/reachspread/main_test.go
@@ -68,8 +68,8 @@
 	var out bytes.Buffer
 	printAdmission(&out, &program.AdmissionStatus{Level: "critical", Slots: 96, Reserve: 24, Lent: 3, Known: 5, Unknown: 60, Lobby: 2, Step: 1, Open: 40,
 		Admitted: 7, Promoted: 6, Served: 8, Refused: map[string]uint64{"full house": 9}, Turned: map[string]uint64{"rate": 10, "left at once": 12},
-		Shut: map[string]uint64{"too slow": 11}, Shorts: 2, Holdings: []admission.Holding{{Name: "10.0.0.0/8", Conns: 4, Open: 3}, {Name: "tool-1", Conns: 2, Known: true}},
-		Descriptors: admission.Ledger{Limit: 256, Open: 99, Lines: []admission.Line{{Owner: admission.Copies, Share: 20, Used: 17}, {Owner: admission.Unknown, Used: 60, Share: 72}}}})
+		Shut: map[string]uint64{"too slow": 11}, Shorts: 2, Holdings: []admission.ClientUsage{{Name: "10.0.0.0/8", Conns: 4, Open: 3}, {Name: "tool-1", Conns: 2, Known: true}},
+		Descriptors: admission.DescriptorTable{Limit: 256, Open: 99, Owners: []admission.OwnerUse{{Owner: admission.Mirror, Limit: 20, Used: 17}, {Owner: admission.UnknownClients, Used: 60, Limit: 72}}}})
 	got := strings.Join(strings.Fields(out.String()), " ")
 	for _, want := range []string{"door: critical, 96 places, 24 of them for known clients, 3 lent", "known 5, unknown 60 (in the lobby 2), on the step 1",
 		"open requests 40", "admitted 7, 6 promoted", "requests refused: full house 9", "turned away: left at once 12", "turned away: rate 10", "shut: too slow 11",
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -8,229 +8,237 @@
 )
 
 const (
-	// vouchFor is how long an address from which a known client came counts as one of known clients.
-	vouchFor = 10 * time.Minute
-	// shortFor is how long a lack of descriptors keeps the level at Critical, and makes one episode of several.
-	shortFor = time.Second
-	// young is how long a connection has to say something before it may have to make room: what it asked may have
-	// come already, and only the host is behind.
-	young = 5 * time.Millisecond
+	// trustTime is how long an address of a known client counts as one of known clients.
+	trustTime = 10 * time.Minute
+	// shortageTime is how long a lack of descriptors keeps the level at Critical, and further ones are not
+	// counted.
+	shortageTime = time.Second
+	// minEvictionAge is how long a connection must be idle before it may be evicted: its request may have
+	// come already, and only the caller is late.
+	minEvictionAge = 5 * time.Millisecond
 )
 
-// place is where a connection is.
-type place int
+// connState is the state of a connection.
+type connState int
 
 const (
-	free  place = iota
-	lobby       // of an unknown client, no request read yet
-	guest       // of an unknown client
-	known       // of a known one
-	step        // beyond the places: to be read and refused, unless its identity lets it in
+	unusedConn      connState = iota
+	awaitingRequest           // of an unknown client, no request read yet
+	unknownClient             // of an unknown client
+	knownClient               // of a known one
+	overflow                  // beyond MaxConnections: its request is rejected unless its identity is known
 )
 
-// conn is one connection. The names of connections are their places in Controller.conns.
+// conn is one connection. Its ID is its index in Controller.conns.
 type conn struct {
-	id        int32
-	place     place
-	busy      bool // its request is open
-	sending   bool // its request has begun and was not read whole
-	ready     bool // its request is there and was not asked yet: nobody shuts it
-	refused   bool // its request was: it only waits to be closed
-	shut      bool // Shut or Hurry was given
-	sentAway  bool // Hurry was given as the router sends clients away
-	since     time.Duration
-	addr, net *holder
-	owner     *holder // the address, or the identity of a known client
-	code      int     // on the step: what it is to be told
-	cause     Cause
-	silence   links[conn] // in owner.silent, or in Controller.steps
-	waiting   links[conn] // in one of Controller.waits
+	id           int32
+	state        connState
+	requestOpen  bool // its request is open
+	requestBegun bool // and was not read to its end
+	requestReady bool // its request was complete as it opened, and is not handled yet: it is not evicted
+	rejected     bool // its request was: it only waits for Closed
+	evicted      bool // it only waits for Closed
+	drainExpired bool // it was expired as the router is draining
+	since        time.Duration
+	addr, net    *client
+	owner        *client // the address, or the identity of a known client
+	rejectCode   int     // of the overflow: the status of its rejection
+	cause        Cause
+	idleLinks    links[conn] // in owner.idle, or in Controller.idleOverflow
+	timeoutLinks links[conn] // in one of Controller.timeouts
 }
 
-// Controller decides for one listener.
+// Controller decides for one listener. It is not safe for concurrent use.
 type Controller struct {
-	c     Config
-	rng   *rand.Rand
-	now   time.Duration
-	act   []Action
-	conns []*conn
-	spare []int32 // names that are free
-
-	table      table
-	identities map[string]*holder
-	ranked     [2]ranks      // unknown and known holders with silent connections
-	steps      list[conn]    // silent ones on the step
-	waits      [2]list[conn] // those without an open request that are not known, by sending, the oldest first
-
-	known, unknown, lobbies, step, open int
-	lent                                int
-	level                               Level
-	short                               time.Duration
-	count                               Counts
+	config  Config
+	rng     *rand.Rand
+	now     time.Duration
+	actions []Action
+	conns   []*conn
+	freeIDs []int32 // IDs of connections that are closed
+
+	table        clientTable
+	identities   map[string]*client
+	ranked       [2]ranking    // unknown and known clients with idle connections
+	idleOverflow list[conn]    // the longest idle first
+	timeouts     [2]list[conn] // of unknown clients without an open request, by whether one has begun, the oldest first
+
+	known, unknown, awaitingRequests, overflows, open int
+	lent                                              int
+	level                                             Level
+	shortageUntil                                     time.Duration
+	counts                                            Counts
 }
 
 // New returns a Controller without connections.
 func New(c Config, seed uint64) *Controller {
-	d := &Controller{rng: rand.New(rand.NewPCG(seed, 1)), table: newTable(), identities: map[string]*holder{},
-		steps: list[conn]{of: silence}, waits: [2]list[conn]{{of: waiting}, {of: waiting}}}
-	d.tune(c)
+	d := &Controller{rng: rand.New(rand.NewPCG(seed, 1)), table: newTable(), identities: map[string]*client{},
+		idleOverflow: list[conn]{of: connIdleLinks}, timeouts: [2]list[conn]{{of: connTimeoutLinks}, {of: connTimeoutLinks}}}
+	d.applyConfig(c)
 	return d
 }
 
-func (d *Controller) tune(c Config) {
-	d.c, d.table.most = c, max(c.Addresses, 1)
-	d.c.Lengths = c.Lengths.orUsual()
-	for name := range c.Identities {
+// applyConfig puts a configuration in force. Identities that are not known any more stay while they have
+// connections.
+func (d *Controller) applyConfig(c Config) {
+	d.config, d.table.maxUnused = c, max(c.RememberedAddresses, 1)
+	d.config.Prefixes = c.Prefixes.withDefaults()
+	for name := range c.KnownIdentities {
 		if d.identities[name] == nil {
-			d.identities[name] = &holder{name: name, known: true, silent: list[conn]{of: silence}}
+			d.identities[name] = &client{name: name, known: true, idle: list[conn]{of: connIdleLinks}}
 		}
 	}
 	for name, h := range d.identities {
-		if !c.Identities[name] && h.conns == 0 {
+		if !c.KnownIdentities[name] && h.conns == 0 {
 			delete(d.identities, name)
 		}
 	}
 }
 
-// Step takes in one event and returns what is to be done.
+// Step handles one event and returns the actions, in a slice that the next call reuses.
 func (d *Controller) Step(now time.Duration, e Event) []Action {
-	d.now, d.act = max(now, d.now), d.act[:0]
+	d.now, d.actions = max(now, d.now), d.actions[:0]
 	switch e.Kind {
 	case Opened:
-		d.opened(&e)
-	case Began:
-		if c := d.conn(e.Conn); c != nil && !c.busy && !c.refused && !c.shut && !c.ready {
-			d.loud(c)
-			c.since, c.sending, c.sentAway = d.now, true, false
-			d.quiet(c)
+		d.handleOpened(&e)
+	case RequestBegan:
+		if c := d.conn(e.Conn); c != nil && !c.requestOpen && !c.rejected && !c.evicted && !c.requestReady {
+			d.markActive(c)
+			c.since, c.requestBegun, c.drainExpired = d.now, true, false
+			d.markIdle(c)
 		}
-	case Asked:
+	case RequestRead:
 		if c := d.conn(e.Conn); c != nil {
-			d.asked(c, e.Identity)
+			d.handleRequest(c, e.Identity)
 		}
-	case Done:
+	case RequestDone:
 		if c := d.conn(e.Conn); c != nil {
-			d.done(c)
+			d.handleDone(c)
 		}
 	case Closed:
 		if c := d.conn(e.Conn); c != nil {
-			d.closed(c)
+			d.handleClosed(c)
 		}
-	case Lent:
-		d.lent = max(e.N, 0)
-	case Short:
-		if d.now >= d.short {
-			d.count.Shorts++
+	case CapacityLent:
+		d.lent = max(e.Lent, 0)
+	case DescriptorShortage:
+		if d.now >= d.shortageUntil {
+			d.counts.DescriptorShortages++
 		}
-		d.short = d.now + shortFor
-	case Retune:
-		d.tune(*e.Config)
-		d.shrink()
-	case Empty:
-		d.empty(e.Silent)
-	}
-	d.judge()
-	d.hurry()
-	return d.act
+		d.shortageUntil = d.now + shortageTime
+	case ConfigChanged:
+		d.applyConfig(*e.Config)
+		d.evictExcess()
+	case CloseIdle:
+		d.expireAll(e.IdleTime)
+	}
+	d.updateLevel()
+	d.expireIdle()
+	return d.actions
 }
 
+// conn returns a connection by its ID, nil if it is not open.
 func (d *Controller) conn(id int32) *conn {
-	if id < 0 || int(id) >= len(d.conns) || d.conns[id].place == free {
+	if id < 0 || int(id) >= len(d.conns) || d.conns[id].state == unusedConn {
 		return nil
 	}
 	return d.conns[id]
 }
 
-func (d *Controller) do(a Action) { d.act = append(d.act, a) }
+// emit adds an action to those of the current Step.
+func (d *Controller) emit(a Action) { d.actions = append(d.actions, a) }
 
-// admit gives a connection its name and place.
-func (d *Controller) admit(e *Event, a, n *holder, at place, owner *holder) *conn {
+// admit adds a connection in a state.
+func (d *Controller) admit(e *Event, a, n *client, state connState, owner *client) *conn {
 	var c *conn
-	if k := len(d.spare); k > 0 {
-		c = d.conns[d.spare[k-1]]
-		d.spare = d.spare[:k-1]
+	if k := len(d.freeIDs); k > 0 {
+		c = d.conns[d.freeIDs[k-1]]
+		d.freeIDs = d.freeIDs[:k-1]
 	} else {
 		c = &conn{id: int32(len(d.conns))}
 		d.conns = append(d.conns, c)
 	}
-	*c = conn{id: c.id, place: at, since: d.now, addr: a, net: n, owner: owner, sending: e.Said, ready: e.Whole}
+	*c = conn{id: c.id, state: state, since: d.now, addr: a, net: n, owner: owner, requestBegun: e.HeadComplete, requestReady: e.RequestComplete}
 	a.conns++
 	n.conns++
 	if owner != a {
 		owner.conns++
 	}
-	if at == known {
+	if state == knownClient {
 		a.known = true
 	}
-	d.enter(c, 1)
-	if !c.ready {
-		d.quiet(c)
+	d.countState(c, 1)
+	if !c.requestReady {
+		d.markIdle(c)
 	}
-	d.count.Admitted++
-	d.do(Action{Kind: Admit, Conn: c.id})
+	d.counts.Admitted++
+	d.emit(Action{Kind: Admit, Conn: c.id})
 	return c
 }
 
-// enter counts a connection in or out of its place.
-func (d *Controller) enter(c *conn, by int) {
-	switch c.place {
-	case lobby:
-		d.lobbies += by
+// countState counts a connection in its state: 1 more or, with -1, fewer.
+func (d *Controller) countState(c *conn, by int) {
+	switch c.state {
+	case awaitingRequest:
+		d.awaitingRequests += by
 		d.unknown += by
-	case guest:
+	case unknownClient:
 		d.unknown += by
-	case known:
+	case knownClient:
 		d.known += by
-	case step:
-		d.step += by
+	case overflow:
+		d.overflows += by
 	}
 }
 
-// quiet puts a connection among the silent ones, at the end; loud takes it out.
-func (d *Controller) quiet(c *conn) {
-	if c.place == step {
-		d.steps.push(c)
+// markIdle adds a connection to the idle ones, at the end.
+func (d *Controller) markIdle(c *conn) {
+	if c.state == overflow {
+		d.idleOverflow.push(c)
 	} else {
-		h, r := c.owner, &d.ranked[rank(c)]
-		r.remove(h, h.silent.n)
-		h.silent.push(c)
-		r.add(h, h.silent.n)
+		h, r := c.owner, &d.ranked[rankingIndex(c)]
+		r.remove(h, h.idle.n)
+		h.idle.push(c)
+		r.add(h, h.idle.n)
 	}
-	if c.place != known { // known clients keep their idle connections as long as the front lets them
-		d.waits[index(c.sending)].push(c)
+	if c.state != knownClient { // admission does not time out known clients
+		d.timeouts[index(c.requestBegun)].push(c)
 	}
 }
 
-func (d *Controller) loud(c *conn) {
-	if c.place == step {
-		d.steps.remove(c)
+// markActive removes a connection from the idle ones.
+func (d *Controller) markActive(c *conn) {
+	if c.state == overflow {
+		d.idleOverflow.remove(c)
 	} else {
-		h, r := c.owner, &d.ranked[rank(c)]
-		r.remove(h, h.silent.n)
-		h.silent.remove(c)
-		r.add(h, h.silent.n)
+		h, r := c.owner, &d.ranked[rankingIndex(c)]
+		r.remove(h, h.idle.n)
+		h.idle.remove(c)
+		r.add(h, h.idle.n)
 	}
-	d.waits[index(c.sending)].remove(c)
+	d.timeouts[index(c.requestBegun)].remove(c)
 }
 
-func rank(c *conn) int {
-	return index(c.place == known)
+// rankingIndex returns the index of a connection's ranking.
+func rankingIndex(c *conn) int {
+	return index(c.state == knownClient)
 }
 
-// oldEnough tells that whom makeRoom would shut has had the time to say something.
-func (d *Controller) oldEnough(among int) bool {
-	c := d.next(among)
-	return c != nil && d.now-c.since >= young
+// mayEvict reports whether the connection that evictOne would evict was idle for long enough.
+func (d *Controller) mayEvict(among int) bool {
+	c := d.evictionCandidate(among)
+	return c != nil && d.now-c.since >= minEvictionAge
 }
 
-// next returns who is to make room, nil if nobody is silent.
-func (d *Controller) next(among int) *conn {
-	if !d.c.Fair && among == 0 {
+// evictionCandidate returns the connection to be evicted next, of the unknown (0) or the known clients (1);
+// nil if none is idle.
+func (d *Controller) evictionCandidate(among int) *conn {
+	if !d.config.EvictFromLargest && among == 0 {
 		var oldest *conn
-		for _, l := range d.waits {
+		for _, l := range d.timeouts {
 			c := l.head
-			for c != nil && c.place == step { // there are few of those
-				c = c.waiting.next
+			for c != nil && c.state == overflow { // these are few
+				c = c.timeoutLinks.next
 			}
 			if oldest == nil || c != nil && c.since < oldest.since {
 				oldest = c
@@ -239,58 +247,60 @@
 		return oldest
 	}
 	if h := d.ranked[among].top(); h != nil {
-		return h.silent.head
+		return h.idle.head
 	}
 	return nil
 }
 
-// makeRoom shuts a silent connection of the unknown (0) or the known (1): where it is to be fair, the oldest of whoever
-// has the most.
-func (d *Controller) makeRoom(among int) bool {
-	c := d.next(among)
+// evictOne evicts an idle connection of the unknown (0) or the known clients (1), and reports whether there
+// was one.
+func (d *Controller) evictOne(among int) bool {
+	c := d.evictionCandidate(among)
 	if c == nil {
 		return false
 	}
-	d.shut(c, MadeRoom)
+	d.evict(c, Evicted)
 	return true
 }
 
-// shut gives up a silent connection. Its place is free at once: the host closes it before anything else.
-func (d *Controller) shut(c *conn, cause Cause) {
-	d.count.Shut[cause]++
-	d.do(Action{Kind: Shut, Conn: c.id, Cause: cause})
-	d.leave(c)
-	c.shut = true
+// evict closes an idle connection. It does not count any more: the caller closes it before anything else.
+func (d *Controller) evict(c *conn, cause Cause) {
+	d.counts.Closed[cause]++
+	d.emit(Action{Kind: Evict, Conn: c.id, Cause: cause})
+	d.uncount(c)
+	c.evicted = true
 }
 
-// leave takes a connection out of all counts; its name stays in use until Closed.
-func (d *Controller) leave(c *conn) {
-	if c.place == free || c.shut {
+// uncount removes a connection from all counts; its ID stays in use until Closed.
+func (d *Controller) uncount(c *conn) {
+	if c.state == unusedConn || c.evicted {
 		return
 	}
-	if c.busy {
-		d.openBy(c, -1)
-	} else if !c.refused {
-		d.loud(c)
+	if c.requestOpen {
+		d.countOpen(c, -1)
+	} else if !c.rejected {
+		d.markActive(c)
 	}
-	d.enter(c, -1)
+	d.countState(c, -1)
 	c.addr.conns--
 	c.net.conns--
 	if c.owner != c.addr {
 		c.owner.conns--
 	}
-	d.table.put(c.addr)
-	d.table.put(c.net)
+	d.table.release(c.addr)
+	d.table.release(c.net)
 }
 
-func (d *Controller) closed(c *conn) {
-	d.leave(c)
-	c.place = free
+// handleClosed frees the ID of a connection.
+func (d *Controller) handleClosed(c *conn) {
+	d.uncount(c)
+	c.state = unusedConn
 	c.addr, c.net, c.owner = nil, nil, nil
-	d.spare = append(d.spare, c.id)
+	d.freeIDs = append(d.freeIDs, c.id)
 }
 
-func (d *Controller) openBy(c *conn, by int) {
+// countOpen counts one more open request of a connection or, with -1, one fewer.
+func (d *Controller) countOpen(c *conn, by int) {
 	d.open += by
 	c.addr.open += by
 	c.net.open += by
@@ -299,113 +309,116 @@
 	}
 }
 
-// asked serves or refuses a request whose head was read. A known identity lets its connection in.
-func (d *Controller) asked(c *conn, identity string) {
-	if c.busy || c.refused || c.shut {
+// handleRequest serves or rejects a request that was read. A known identity makes its connection one of a
+// known client.
+func (d *Controller) handleRequest(c *conn, identity string) {
+	if c.requestOpen || c.rejected || c.evicted {
 		return
 	}
-	d.loud(c)
-	c.sending, c.ready = false, false
+	d.markActive(c)
+	c.requestBegun, c.requestReady = false, false
 	if h := d.identity(identity); h != nil {
 		if code, cause := d.promote(c, h); code != 0 {
-			d.refuse(c, code, cause)
+			d.rejectConn(c, code, cause)
 			return
 		}
 	}
 	switch {
-	case c.place == step:
-		d.refuse(c, c.code, c.cause)
+	case c.state == overflow:
+		d.rejectConn(c, c.rejectCode, c.cause)
 		return
-	case c.place != known && (over(c.addr.open, d.c.Address.Open) || over(c.net.open, d.c.Net.Open)):
-		d.refuse(c, 429, OverOpen)
+	case c.state != knownClient && (atLimit(c.addr.open, d.config.PerAddress.OpenRequests) || atLimit(c.net.open, d.config.PerNetwork.OpenRequests)):
+		d.rejectConn(c, 429, TooManyOpenRequests)
 		return
-	case c.place == known && c.owner == c.addr && over(c.addr.open, d.c.Known.Open),
-		c.place == known && c.owner != c.addr && over(c.owner.open, d.c.Identity.Open):
-		d.refuse(c, 429, OverOpen)
+	case c.state == knownClient && c.owner == c.addr && atLimit(c.addr.open, d.config.PerKnownAddress.OpenRequests),
+		c.state == knownClient && c.owner != c.addr && atLimit(c.owner.open, d.config.PerIdentity.OpenRequests):
+		d.rejectConn(c, 429, TooManyOpenRequests)
 		return
-	case c.place == lobby:
-		d.move(c, guest, c.addr)
+	case c.state == awaitingRequest:
+		d.changeState(c, unknownClient, c.addr)
 	}
-	c.busy = true
-	d.openBy(c, 1)
-	d.count.Served++
-	d.do(Action{Kind: Serve, Conn: c.id, Last: d.c.Last && d.level == Critical && c.place != known})
+	c.requestOpen = true
+	d.countOpen(c, 1)
+	d.counts.Served++
+	d.emit(Action{Kind: Serve, Conn: c.id, CloseAfterAnswer: d.config.CloseAfterAnswer && d.level == Critical && c.state != knownClient})
 }
 
-// promote makes a connection one of a known client. It returns the code of a refusal, 0 for none.
-func (d *Controller) promote(c *conn, h *holder) (code int, cause Cause) {
+// promote makes a connection one of a known client. It returns the code of a rejection, 0 for none.
+func (d *Controller) promote(c *conn, h *client) (code int, cause Cause) {
 	if c.owner == h {
 		return 0, NoCause
 	}
-	if code, cause = d.fits(h, c.place == step); code != 0 {
+	if code, cause = d.identityFits(h, c.state == overflow); code != 0 {
 		return code, cause
 	}
 	if c.owner != c.addr {
 		c.owner.conns--
 	}
 	h.conns++
-	if c.place != known {
-		d.count.Promoted++
+	if c.state != knownClient {
+		d.counts.Promoted++
 	}
-	d.move(c, known, h)
-	d.vouch(c.addr)
+	d.changeState(c, knownClient, h)
+	d.trustAddress(c.addr)
 	return 0, NoCause
 }
 
-// move changes the place and the owner of a connection that is in no list.
-func (d *Controller) move(c *conn, to place, owner *holder) {
-	d.enter(c, -1)
-	c.place, c.owner = to, owner
-	d.enter(c, 1)
+// changeState changes the state and the owner of a connection that is in no list.
+func (d *Controller) changeState(c *conn, to connState, owner *client) {
+	d.countState(c, -1)
+	c.state, c.owner = to, owner
+	d.countState(c, 1)
 }
 
-// refuse answers a request. The time told is spread, so that the refused don't come back at once.
-func (d *Controller) refuse(c *conn, code int, cause Cause) {
-	c.refused = true
-	d.refusal(c.id, code, cause)
+// rejectConn rejects a connection's request.
+func (d *Controller) rejectConn(c *conn, code int, cause Cause) {
+	c.rejected = true
+	d.emitRejection(c.id, code, cause)
 }
 
-func (d *Controller) refusal(conn int32, code int, cause Cause) {
-	d.count.Refused[cause]++
-	d.do(Action{Kind: Refuse, Conn: conn, Code: code, Cause: cause, Away: d.c.Away + time.Duration(d.rng.Float64()*float64(d.c.Away))})
+// emitRejection rejects a request. Its advice is spread, so that rejected clients don't come back at once.
+func (d *Controller) emitRejection(conn int32, code int, cause Cause) {
+	d.counts.Rejected[cause]++
+	d.emit(Action{Kind: Reject, Conn: conn, Code: code, Cause: cause, RetryAfter: d.config.MinRetryAfter + time.Duration(d.rng.Float64()*float64(d.config.MinRetryAfter))})
 }
 
-// done makes a connection silent again.
-func (d *Controller) done(c *conn) {
-	if !c.busy || c.shut {
+// handleDone makes a connection idle again.
+func (d *Controller) handleDone(c *conn) {
+	if !c.requestOpen || c.evicted {
 		return
 	}
-	c.busy, c.since = false, d.now
-	d.openBy(c, -1)
-	d.quiet(c)
+	c.requestOpen, c.since = false, d.now
+	d.countOpen(c, -1)
+	d.markIdle(c)
 }
 
-// shrink makes the silent leave until the bounds hold again.
-func (d *Controller) shrink() {
-	for d.total() > d.c.Places+d.lent || d.unknown > d.c.Places-d.c.Reserve {
-		if !d.makeRoom(0) && (d.unknown > d.c.Places-d.c.Reserve || !d.makeRoom(1)) {
+// evictExcess evicts idle connections until the limits hold again.
+func (d *Controller) evictExcess() {
+	for d.total() > d.config.MaxConnections+d.lent || d.unknown > d.config.MaxConnections-d.config.ReservedForKnown {
+		if !d.evictOne(0) && (d.unknown > d.config.MaxConnections-d.config.ReservedForKnown || !d.evictOne(1)) {
 			return
 		}
 	}
 }
 
-// empty hurries all who have been silent for so long, known or not. One whose request has begun has its own time.
-func (d *Controller) empty(silent time.Duration) {
+// expireAll expires all connections that are idle for so long, of known clients as well. One whose request
+// has begun has its own timeout.
+func (d *Controller) expireAll(idleTime time.Duration) {
 	for _, c := range d.conns {
-		if c.place != free && !c.busy && !c.sending && !c.ready && !c.refused && !c.shut && d.now-c.since >= silent {
-			if !c.sentAway {
-				c.sentAway = true
-				d.count.Shut[SentAway]++
+		if c.state != unusedConn && !c.requestOpen && !c.requestBegun && !c.requestReady && !c.rejected && !c.evicted && d.now-c.since >= idleTime {
+			if !c.drainExpired {
+				c.drainExpired = true
+				d.counts.Closed[RouterDraining]++
 			}
-			d.do(Action{Kind: Hurry, Conn: c.id, Cause: SentAway})
+			d.emit(Action{Kind: Expire, Conn: c.id, Cause: RouterDraining})
 		}
 	}
 }
 
-// judge finds the level. Each ends lower than it begins, so that it does not flap.
-func (d *Controller) judge() {
-	use := float64(d.total()+d.step) / float64(max(d.c.Places, 1))
-	if d.now < d.short {
+// updateLevel updates the level. Each ends lower than it begins, so that it does not flap.
+func (d *Controller) updateLevel() {
+	use := float64(d.total()+d.overflows) / float64(max(d.config.MaxConnections, 1))
+	if d.now < d.shortageUntil {
 		use = 1
 	}
 	for d.level < Critical && use >= levels[d.level+1].from {
@@ -416,50 +429,52 @@
 	}
 }
 
-// hurry finds the connections of unknown clients that were silent, or at sending a request, for too long.
-func (d *Controller) hurry() {
-	for i, most := range [2]time.Duration{d.c.Patience[d.level], d.c.Sending[d.level]} {
-		l := &d.waits[i]
-		for c := l.head; most > 0 && c != nil && d.now-c.since >= most; c = l.head {
+// expireIdle expires the connections of unknown clients that were idle, or sending a request, for too long.
+func (d *Controller) expireIdle() {
+	for i, timeout := range [2]time.Duration{d.config.IdleTimeout[d.level], d.config.RequestTimeout[d.level]} {
+		l := &d.timeouts[i]
+		for c := l.head; timeout > 0 && c != nil && d.now-c.since >= timeout; c = l.head {
 			l.remove(c)
-			d.count.Shut[TooSlow]++
-			d.do(Action{Kind: Hurry, Conn: c.id, Cause: TooSlow})
+			d.counts.Closed[TimedOut]++
+			d.emit(Action{Kind: Expire, Conn: c.id, Cause: TimedOut})
 		}
 	}
 }
 
 // Counts returns the counters and the state.
 func (d *Controller) Counts() Counts {
-	c := d.count
-	c.Level, c.Places, c.Reserve, c.Lent = d.level, d.c.Places, d.c.Reserve, d.lent
-	c.Known, c.Unknown, c.Lobby, c.Step, c.Open, c.Addresses = d.known, d.unknown, d.lobbies, d.step, d.open, len(d.table.holders)
+	c := d.counts
+	c.Level, c.MaxConnections, c.ReservedForKnown, c.Lent = d.level, d.config.MaxConnections, d.config.ReservedForKnown, d.lent
+	c.Known, c.Unknown, c.AwaitingRequest, c.Overflow, c.Open, c.Addresses = d.known, d.unknown, d.awaitingRequests, d.overflows, d.open, len(d.table.clients)
 	return c
 }
 
-// Reading returns how long a client may take for what one write sent, 0 for no bound of admission's.
-func (d *Controller) Reading() time.Duration { return d.c.Reading[d.level] }
+// WriteTimeout returns how long a client may take to read what one write sent, 0 for no bound.
+func (d *Controller) WriteTimeout() time.Duration { return d.config.WriteTimeout[d.level] }
 
 // Level returns the level.
 func (d *Controller) Level() Level { return d.level }
 
-// Use returns the share of the places that is taken; lent ones count beyond 1.
-func (d *Controller) Use() float64 { return float64(d.total()) / float64(max(d.c.Places, 1)) }
+// UsedFraction returns the fraction of MaxConnections that is in use; with lent ones it may be above 1.
+func (d *Controller) UsedFraction() float64 {
+	return float64(d.total()) / float64(max(d.config.MaxConnections, 1))
+}
 
-// Holdings returns the addresses and identities that hold the most connections. It looks at all of them.
-func (d *Controller) Holdings(most int) []Holding {
-	var all []Holding
-	for key, h := range d.table.holders {
-		if own, _ := d.c.Lengths.keys(key.Addr()); own == key && h.conns > 0 {
-			all = append(all, Holding{Name: key.String(), Conns: h.conns, Open: h.open, Known: h.known})
+// LargestClients returns the addresses and identities with the most connections. It looks at all of them.
+func (d *Controller) LargestClients(limit int) []ClientUsage {
+	var all []ClientUsage
+	for key, h := range d.table.clients {
+		if own, _ := d.config.Prefixes.keys(key.Addr()); own == key && h.conns > 0 {
+			all = append(all, ClientUsage{Name: key.String(), Conns: h.conns, Open: h.open, Known: h.known})
 		}
 	}
 	for name, h := range d.identities {
 		if h.conns > 0 {
-			all = append(all, Holding{Name: name, Conns: h.conns, Open: h.open, Known: true})
+			all = append(all, ClientUsage{Name: name, Conns: h.conns, Open: h.open, Known: true})
 		}
 	}
-	slices.SortFunc(all, func(a, b Holding) int {
+	slices.SortFunc(all, func(a, b ClientUsage) int {
 		return cmp.Or(cmp.Compare(b.Conns, a.Conns), cmp.Compare(a.Name, b.Name))
 	})
-	return all[:min(len(all), most)]
+	return all[:min(len(all), limit)]
 }
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -14,8 +14,8 @@
 func addr(s string) netip.Addr { return netip.MustParseAddr(s) }
 
 func config() Config {
-	return Config{Places: 4, Reserve: 1, Step: 2, Addresses: 8, Away: time.Second, Identities: map[string]bool{"tool": true, "mad": true},
-		Identity: Cap{Conns: 2}, Patience: [3]time.Duration{time.Second, 200 * ms, 100 * ms}, Last: true, Fair: true}
+	return Config{MaxConnections: 4, ReservedForKnown: 1, MaxOverflow: 2, RememberedAddresses: 8, MinRetryAfter: time.Second, KnownIdentities: map[string]bool{"tool": true, "mad": true},
+		PerIdentity: ClientLimit{Connections: 2}, IdleTimeout: [3]time.Duration{time.Second, 200 * ms, 100 * ms}, CloseAfterAnswer: true, EvictFromLargest: true}
 }
 
 // world plays the host and checks the promises; it counts by itself.
@@ -50,13 +50,13 @@
 	}
 	for _, a := range w.d.Step(w.now, e) {
 		switch a.Kind {
-		case Shut:
+		case Evict:
 			if w.busy[a.Conn] || w.ready[a.Conn] || w.place[a.Conn] == "" {
 				w.t.Fatalf("%d was shut, busy: %v, ready: %v", a.Conn, w.busy[a.Conn], w.ready[a.Conn])
 			}
 			delete(w.place, a.Conn)
 			w.gone[a.Conn] = true
-		case Hurry:
+		case Expire:
 			if w.busy[a.Conn] || w.ready[a.Conn] || w.place[a.Conn] == "known" {
 				w.t.Fatalf("%d, %s, was hurried", a.Conn, w.place[a.Conn])
 			}
@@ -64,7 +64,7 @@
 			answer, answered = a, answered+1
 		}
 	}
-	if (e.Kind == Asked || e.Kind == Opened) && answer.Kind == Refuse && answer.Code == 503 && e.Identity != "" && lobbies > 0 {
+	if (e.Kind == RequestRead || e.Kind == Opened) && answer.Kind == Reject && answer.Code == 503 && e.Identity != "" && lobbies > 0 {
 		w.t.Fatal("a known client was refused for capacity while somebody stood in the lobby")
 	}
 	return answer, answered
@@ -72,34 +72,34 @@
 
 func (w *world) check() {
 	unknown, known, step := w.count("lobby")+w.count("guest"), w.count("known"), w.count("step")
-	if unknown > w.c.Places-w.c.Reserve || unknown+known > w.c.Places || step > w.c.Step {
+	if unknown > w.c.MaxConnections-w.c.ReservedForKnown || unknown+known > w.c.MaxConnections || step > w.c.MaxOverflow {
 		w.t.Fatalf("%d unknown, %d known, %d on the step", unknown, known, step)
 	}
 	c := w.d.Counts()
-	if c.Unknown != unknown || c.Known != known || c.Step != step || c.Open != len(w.busy) || c.Lobby != w.count("lobby") {
+	if c.Unknown != unknown || c.Known != known || c.Overflow != step || c.Open != len(w.busy) || c.AwaitingRequest != w.count("lobby") {
 		w.t.Fatalf("%+v, want %d, %d, %d, %d", c, unknown, known, step, len(w.busy))
 	}
-	if most := 2*w.c.Addresses + 2*(len(w.place)+len(w.gone)+len(w.refused)); c.Addresses > most+2 {
+	if most := 2*w.c.RememberedAddresses + 2*(len(w.place)+len(w.gone)+len(w.refused)); c.Addresses > most+2 {
 		w.t.Fatalf("%d addresses remembered, %d would do", c.Addresses, most)
 	}
-	if len(w.d.conns) > w.c.Places+w.c.Step+len(w.gone)+30 {
+	if len(w.d.conns) > w.c.MaxConnections+w.c.MaxOverflow+len(w.gone)+30 {
 		w.t.Fatalf("%d names for %d connections", len(w.d.conns), len(w.place))
 	}
 }
 
-func TestPromises(t *testing.T) {
+func TestLimitsHoldForAnyEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := config()
-		c.Places = rapid.IntRange(2, 8).Draw(t, "places")
-		c.Fair = rapid.Bool().Draw(t, "fair")
-		if !c.Fair {
-			c.Patience = [3]time.Duration{}
+		c.MaxConnections = rapid.IntRange(2, 8).Draw(t, "places")
+		c.EvictFromLargest = rapid.Bool().Draw(t, "fair")
+		if !c.EvictFromLargest {
+			c.IdleTimeout = [3]time.Duration{}
 		}
-		c.Reserve = rapid.IntRange(0, c.Places-1).Draw(t, "reserve")
+		c.ReservedForKnown = rapid.IntRange(0, c.MaxConnections-1).Draw(t, "reserve")
 		if rapid.Bool().Draw(t, "ranges") {
-			c.Ranges = []netip.Prefix{netip.MustParsePrefix("10.9.0.0/16")}
+			c.KnownRanges = []netip.Prefix{netip.MustParsePrefix("10.9.0.0/16")}
 		}
-		c.Address.Conns = rapid.IntRange(0, 3).Draw(t, "perAddress")
+		c.PerAddress.Connections = rapid.IntRange(0, 3).Draw(t, "perAddress")
 		w := &world{t: t, d: New(c, 1), c: c, now: time.Second, place: map[int32]string{}, busy: map[int32]bool{}, refused: map[int32]bool{}, gone: map[int32]bool{}, ready: map[int32]bool{}}
 		some := func(ok func(int32) bool) (int32, bool) {
 			var ids []int32
@@ -120,32 +120,32 @@
 				w.now += rapid.SampledFrom([]time.Duration{0, ms, 6 * ms, 300 * ms}).Draw(t, "after")
 				a := addr(rapid.SampledFrom(from).Draw(t, "from"))
 				before := w.count("step")
-				e := Event{Kind: Opened, Addr: a, Said: rapid.Bool().Draw(t, "said")}
-				if e.Said {
+				e := Event{Kind: Opened, Addr: a, HeadComplete: rapid.Bool().Draw(t, "said")}
+				if e.HeadComplete {
 					e.Identity = rapid.SampledFrom([]string{"", "tool", "mad"}).Draw(t, "who")
-					e.Whole = rapid.Bool().Draw(t, "whole")
+					e.RequestComplete = rapid.Bool().Draw(t, "whole")
 				} else {
-					e.Left = rapid.Bool().Draw(t, "left")
+					e.ClientGone = rapid.Bool().Draw(t, "left")
 				}
 				got, n := w.step(e)
 				if n != 1 {
 					t.Fatalf("%d answers to a connection", n)
 				}
-				if got.Kind == Refuse && (!e.Said || got.Conn != Nobody) || got.Kind == Turn && e.Said || got.Kind == Admit && e.Left && c.Fair && w.d.full() {
+				if got.Kind == Reject && (!e.HeadComplete || got.Conn != NoConnection) || got.Kind == Drop && e.HeadComplete || got.Kind == Admit && e.ClientGone && c.EvictFromLargest && w.d.isFull() {
 					t.Fatalf("%+v to %+v", got, e)
 				}
 				if got.Kind != Admit {
 					return
 				}
-				if e.Whole {
+				if e.RequestComplete {
 					w.ready[got.Conn] = true
 				}
 				switch {
 				case e.Identity != "":
 					w.place[got.Conn] = "known"
-				case w.d.Counts().Step > before || w.d.conns[got.Conn].place == step:
+				case w.d.Counts().Overflow > before || w.d.conns[got.Conn].state == overflow:
 					w.place[got.Conn] = "step"
-				case len(c.Ranges) > 0 && c.Ranges[0].Contains(a.Unmap()):
+				case len(c.KnownRanges) > 0 && c.KnownRanges[0].Contains(a.Unmap()):
 					w.place[got.Conn] = "known"
 				default:
 					w.place[got.Conn] = "lobby"
@@ -158,7 +158,7 @@
 					got, _ := w.step(Event{Kind: Opened, Addr: netip.AddrFrom4([4]byte{172, 16, byte(i), byte(w.now)})})
 					if got.Kind == Admit {
 						w.place[got.Conn] = "lobby"
-						if w.d.conns[got.Conn].place == step {
+						if w.d.conns[got.Conn].state == overflow {
 							w.place[got.Conn] = "step"
 						}
 						w.step(Event{Kind: Closed, Conn: got.Conn})
@@ -172,7 +172,7 @@
 			},
 			"began": func(t *rapid.T) {
 				if id, ok := some(func(id int32) bool { return !w.busy[id] && !w.refused[id] }); ok {
-					w.step(Event{Kind: Began, Conn: id})
+					w.step(Event{Kind: RequestBegan, Conn: id})
 				}
 			},
 			"ask": func(t *rapid.T) {
@@ -181,18 +181,18 @@
 					t.Skip()
 				}
 				who := rapid.SampledFrom([]string{"", "", "tool", "mad", "stranger"}).Draw(t, "who")
-				e := Event{Kind: Asked, Conn: id, Identity: who}
+				e := Event{Kind: RequestRead, Conn: id, Identity: who}
 				if who == "stranger" {
 					e.Identity = ""
 				}
 				got, n := w.step(e)
 				delete(w.ready, id)
-				if n != 1 || got.Kind != Serve && got.Kind != Refuse {
+				if n != 1 || got.Kind != Serve && got.Kind != Reject {
 					t.Fatalf("%d answers to a request: %+v", n, got)
 				}
-				if got.Kind == Refuse {
+				if got.Kind == Reject {
 					w.refused[id] = true
-					if got.Code != 429 && got.Code != 503 || got.Away < c.Away || got.Away > 2*c.Away {
+					if got.Code != 429 && got.Code != 503 || got.RetryAfter < c.MinRetryAfter || got.RetryAfter > 2*c.MinRetryAfter {
 						t.Fatalf("%+v", got)
 					}
 					return
@@ -209,7 +209,7 @@
 			},
 			"done": func(t *rapid.T) {
 				if id, ok := some(func(id int32) bool { return w.busy[id] }); ok {
-					w.step(Event{Kind: Done, Conn: id})
+					w.step(Event{Kind: RequestDone, Conn: id})
 					delete(w.busy, id)
 				}
 			},
@@ -234,7 +234,7 @@
 
 // A flood of silent connections from one address makes room for others, and a known client walks through it into the
 // reserve, even when all places of the unknown are busy.
-func TestKnownClientsGetIn(t *testing.T) {
+func TestKnownClientsAreAdmittedInAFlood(t *testing.T) {
 	d := New(config(), 1)
 	now := time.Second
 	do := func(e Event) Action {
@@ -242,7 +242,7 @@
 		now += 6 * ms
 		var answer Action
 		for _, a := range d.Step(now, e) {
-			if a.Kind != Shut && a.Kind != Hurry {
+			if a.Kind != Evict && a.Kind != Expire {
 				answer = a
 			}
 		}
@@ -250,36 +250,36 @@
 	}
 	for range 3 { // the unknown's places, all busy
 		c := do(Event{Kind: Opened, Addr: addr("10.0.0.1")})
-		if got := do(Event{Kind: Asked, Conn: c.Conn}); got.Kind != Serve {
+		if got := do(Event{Kind: RequestRead, Conn: c.Conn}); got.Kind != Serve {
 			t.Fatalf("%+v", got)
 		}
 	}
 	stranger := do(Event{Kind: Opened, Addr: addr("10.0.0.3")})
-	if got := do(Event{Kind: Asked, Conn: stranger.Conn}); got.Kind != Refuse || got.Code != 503 {
+	if got := do(Event{Kind: RequestRead, Conn: stranger.Conn}); got.Kind != Reject || got.Code != 503 {
 		t.Errorf("a stranger on the step: %+v", got)
 	}
 	do(Event{Kind: Closed, Conn: stranger.Conn})
 	tool := do(Event{Kind: Opened, Addr: addr("10.0.0.2")})
-	if got := do(Event{Kind: Asked, Conn: tool.Conn, Identity: "tool"}); got.Kind != Serve || got.Last {
+	if got := do(Event{Kind: RequestRead, Conn: tool.Conn, Identity: "tool"}); got.Kind != Serve || got.CloseAfterAnswer {
 		t.Errorf("a known client on the step: %+v", got)
 	}
-	if c := d.Counts(); c.Known != 1 || c.Promoted != 1 || c.Step != 0 || c.Level != Critical {
+	if c := d.Counts(); c.Known != 1 || c.Promoted != 1 || c.Overflow != 0 || c.Level != Critical {
 		t.Errorf("%+v", c)
 	}
 	// The reserve is full: the next known one is refused, as nobody stands in the lobby.
 	tool = do(Event{Kind: Opened, Addr: addr("10.0.0.2")})
-	if got := do(Event{Kind: Asked, Conn: tool.Conn, Identity: "tool"}); got.Kind != Refuse || got.Code != 503 || got.Cause != FullHouse {
+	if got := do(Event{Kind: RequestRead, Conn: tool.Conn, Identity: "tool"}); got.Kind != Reject || got.Code != 503 || got.Cause != CapacityReached {
 		t.Errorf("beyond the reserve: %+v", got)
 	}
 }
 
 // A known client gone mad is held by its own cap, and an address by its rate.
-func TestOwnCaps(t *testing.T) {
+func TestKnownClientsKeepTheirLimits(t *testing.T) {
 	c := config()
-	c.Places, c.Address.PerSecond = 20, 2
+	c.MaxConnections, c.PerAddress.ConnectionsPerSecond = 20, 2
 	d := New(c, 1)
 	now := time.Second
-	for i, want := range []ActionKind{Admit, Admit, Turn, Turn} {
+	for i, want := range []ActionKind{Admit, Admit, Drop, Drop} {
 		if got := d.Step(now, Event{Kind: Opened, Addr: addr("10.0.0.1")}); got[0].Kind != want {
 			t.Errorf("connection %d: %+v", i, got)
 		}
@@ -289,8 +289,8 @@
 	}
 	for i := range 3 {
 		open := d.Step(now, Event{Kind: Opened, Addr: netip.AddrFrom4([4]byte{10, 1, byte(i), 1})})[0]
-		got := d.Step(now, Event{Kind: Asked, Conn: open.Conn, Identity: "mad"})[0]
-		if want := i < 2; (got.Kind == Serve) != want || !want && (got.Code != 429 || got.Cause != OverConns) {
+		got := d.Step(now, Event{Kind: RequestRead, Conn: open.Conn, Identity: "mad"})[0]
+		if want := i < 2; (got.Kind == Serve) != want || !want && (got.Code != 429 || got.Cause != TooManyConnections) {
 			t.Errorf("connection %d of one identity: %+v", i, got)
 		}
 	}
@@ -298,10 +298,10 @@
 
 // A known client whose request is there as it connects is let in past its own address's bounds; one that is not known
 // is answered without a place, and with the word that fits.
-func TestWordsAtTheDoor(t *testing.T) {
+func TestRequestReadBeforeAdmission(t *testing.T) {
 	c := config()
-	c.Address = Cap{Conns: 1, Open: 1, PerSecond: 4}
-	c.Identity = Cap{Conns: 3, PerSecond: 2}
+	c.PerAddress = ClientLimit{Connections: 1, OpenRequests: 1, ConnectionsPerSecond: 4}
+	c.PerIdentity = ClientLimit{Connections: 3, ConnectionsPerSecond: 2}
 	d := New(c, 1)
 	from := addr("10.0.0.1")
 	now := time.Second
@@ -311,16 +311,16 @@
 		code  int
 		cause Cause
 	}{
-		{Event{Said: true}, Admit, 0, NoCause},
-		{Event{Said: true}, Refuse, 429, OverConns},
+		{Event{HeadComplete: true}, Admit, 0, NoCause},
+		{Event{HeadComplete: true}, Reject, 429, TooManyConnections},
 		{Event{}, Admit, 0, NoCause}, // on the step: it has said nothing that could be answered
-		{Event{Left: true}, Turn, 0, Left},
-		{Event{Said: true}, Refuse, 429, OverRate},
-		{Event{}, Turn, 0, OverRate},
-		{Event{Said: true, Identity: "tool"}, Admit, 0, NoCause},
-		{Event{Said: true, Identity: "tool"}, Admit, 0, NoCause},
-		{Event{Said: true, Identity: "tool"}, Refuse, 429, OverRate},
-		{Event{Said: true, Identity: "stranger"}, Admit, 0, NoCause}, // from an address of known clients by now
+		{Event{ClientGone: true}, Drop, 0, ClientLeft},
+		{Event{HeadComplete: true}, Reject, 429, RateExceeded},
+		{Event{}, Drop, 0, RateExceeded},
+		{Event{HeadComplete: true, Identity: "tool"}, Admit, 0, NoCause},
+		{Event{HeadComplete: true, Identity: "tool"}, Admit, 0, NoCause},
+		{Event{HeadComplete: true, Identity: "tool"}, Reject, 429, RateExceeded},
+		{Event{HeadComplete: true, Identity: "stranger"}, Admit, 0, NoCause}, // from an address of known clients by now
 	} {
 		tt.e.Kind, tt.e.Addr = Opened, from
 		got := d.Step(now, tt.e)
@@ -328,24 +328,24 @@
 			t.Errorf("%d: %+v, want %v %d %v", i, got, tt.kind, tt.code, tt.cause)
 		}
 	}
-	if c := d.Counts(); c.Known != 2 || c.Unknown != 2 || c.Step != 1 || c.Refused[OverRate] != 2 || c.Turned[OverRate] != 1 {
+	if c := d.Counts(); c.Known != 2 || c.Unknown != 2 || c.Overflow != 1 || c.Rejected[RateExceeded] != 2 || c.Dropped[RateExceeded] != 1 {
 		t.Errorf("%+v", c)
 	}
 }
 
 // An IPv6 client with a new address each time is one client, and its whole net is one, too.
-func TestNewAddressEachTime(t *testing.T) {
+func TestNewAddressesOfOneNetAreOneClient(t *testing.T) {
 	c := config()
-	c.Places, c.Step, c.Address.Conns, c.Net.Conns = 50, 5, 3, 7
+	c.MaxConnections, c.MaxOverflow, c.PerAddress.Connections, c.PerNetwork.Connections = 50, 5, 3, 7
 	d := New(c, 1)
 	admitted := map[byte]int{}
 	for i := range 60 {
 		a := addr("2001:db8::").As16()
 		a[7], a[8], a[15] = byte(i%4), byte(i), byte(i) // 4 networks of one /48
-		for _, got := range d.Step(time.Second, Event{Kind: Opened, Addr: netip.AddrFrom16(a), Said: true}) {
+		for _, got := range d.Step(time.Second, Event{Kind: Opened, Addr: netip.AddrFrom16(a), HeadComplete: true}) {
 			if got.Kind == Admit {
 				admitted[a[7]]++
-			} else if got.Code != 429 || got.Cause != OverConns {
+			} else if got.Code != 429 || got.Cause != TooManyConnections {
 				t.Fatalf("%+v", got)
 			}
 		}
@@ -353,48 +353,48 @@
 	if diff := cmp.Diff(map[byte]int{0: 2, 1: 2, 2: 2, 3: 1}, admitted); diff != "" {
 		t.Error(diff)
 	}
-	if n := d.Counts().Addresses; n > 5+2*c.Addresses {
+	if n := d.Counts().Addresses; n > 5+2*c.RememberedAddresses {
 		t.Errorf("%d addresses remembered", n)
 	}
 	// Where the settings have it so, a /128 is a client.
-	c.Lengths, c.Net = Lengths{Address6: 128, Net6: 64}, Cap{}
+	c.Prefixes, c.PerNetwork = PrefixLengths{Address6: 128, Network6: 64}, ClientLimit{}
 	d = New(c, 1)
 	for i := range 10 {
 		a := addr("2001:db8::").As16()
 		a[15] = byte(i)
-		if got := d.Step(time.Second, Event{Kind: Opened, Addr: netip.AddrFrom16(a)}); got[0].Kind != Admit || d.Counts().Step > 0 {
+		if got := d.Step(time.Second, Event{Kind: Opened, Addr: netip.AddrFrom16(a)}); got[0].Kind != Admit || d.Counts().Overflow > 0 {
 			t.Fatalf("address %d: %+v", i, got)
 		}
 	}
 }
 
 // Who is silent and who sends too slowly has a bound of its own at each level; who waits for an answer has none.
-func TestPatienceByLevel(t *testing.T) {
+func TestTimeoutsByLevel(t *testing.T) {
 	c := config()
-	c.Places, c.Reserve = 20, 0
-	c.Patience, c.Sending = [3]time.Duration{500 * ms, 300 * ms, 100 * ms}, [3]time.Duration{400 * ms, 200 * ms, 50 * ms}
+	c.MaxConnections, c.ReservedForKnown = 20, 0
+	c.IdleTimeout, c.RequestTimeout = [3]time.Duration{500 * ms, 300 * ms, 100 * ms}, [3]time.Duration{400 * ms, 200 * ms, 50 * ms}
 	for level, busy := range []int{5, 13, 17} {
 		d := New(c, 1)
 		now := time.Second
 		open := func() int32 { return d.Step(now, Event{Kind: Opened, Addr: addr("10.0.0.1")})[0].Conn }
 		for range busy {
-			d.Step(now, Event{Kind: Asked, Conn: open()})
+			d.Step(now, Event{Kind: RequestRead, Conn: open()})
 		}
 		silent, sending := open(), open()
-		d.Step(now, Event{Kind: Began, Conn: sending})
+		d.Step(now, Event{Kind: RequestBegan, Conn: sending})
 		if d.Level() != Level(level) {
 			t.Fatalf("%v, want %v", d.Level(), Level(level))
 		}
 		hurried := map[int32]time.Duration{}
 		for end := now + time.Second; now < end; now += 10 * ms {
-			for _, a := range d.Step(now, Event{Kind: Passed}) {
-				if a.Kind != Hurry || a.Cause != TooSlow || hurried[a.Conn] != 0 {
+			for _, a := range d.Step(now, Event{Kind: TimePassed}) {
+				if a.Kind != Expire || a.Cause != TimedOut || hurried[a.Conn] != 0 {
 					t.Fatalf("%+v", a)
 				}
 				hurried[a.Conn] = now - time.Second
 			}
 		}
-		if diff := cmp.Diff(map[int32]time.Duration{silent: c.Patience[level], sending: c.Sending[level]}, hurried); diff != "" {
+		if diff := cmp.Diff(map[int32]time.Duration{silent: c.IdleTimeout[level], sending: c.RequestTimeout[level]}, hurried); diff != "" {
 			t.Errorf("%v: %s", Level(level), diff)
 		}
 	}
@@ -402,9 +402,9 @@
 
 // Bounds lowered below what is in use: silent ones go at once, the reserve opens as the rest is answered, and nobody is
 // let in before.
-func TestLoweredBounds(t *testing.T) {
+func TestLoweredLimits(t *testing.T) {
 	c := config()
-	c.Places, c.Reserve = 10, 0
+	c.MaxConnections, c.ReservedForKnown = 10, 0
 	d := New(c, 1)
 	now := time.Second
 	open := func(a string) int32 {
@@ -412,15 +412,15 @@
 		return d.Step(now, Event{Kind: Opened, Addr: addr(a)})[0].Conn
 	}
 	for range 5 {
-		d.Step(now, Event{Kind: Asked, Conn: open("10.0.0.1")})
+		d.Step(now, Event{Kind: RequestRead, Conn: open("10.0.0.1")})
 	}
 	for range 5 {
 		open("10.0.0.2")
 	}
-	c.Places, c.Reserve = 6, 3
+	c.MaxConnections, c.ReservedForKnown = 6, 3
 	shut := 0
-	for _, a := range d.Step(now, Event{Kind: Retune, Config: &c}) {
-		if a.Kind == Shut {
+	for _, a := range d.Step(now, Event{Kind: ConfigChanged, Config: &c}) {
+		if a.Kind == Evict {
 			shut++
 		}
 	}
@@ -428,9 +428,9 @@
 		t.Errorf("%d shut, %+v", shut, got)
 	}
 	refuse := func(e Event) bool {
-		e.Kind, e.Addr, e.Said = Opened, addr("10.0.0.3"), true
+		e.Kind, e.Addr, e.HeadComplete = Opened, addr("10.0.0.3"), true
 		got := d.Step(now, e)
-		return got[0].Kind == Refuse && got[0].Code == 503
+		return got[0].Kind == Reject && got[0].Code == 503
 	}
 	for conn := range int32(3) {
 		if !refuse(Event{}) {
@@ -446,14 +446,14 @@
 // An address of the known costs no allocation, and no crowd pushes it out.
 func TestKnownAddressAllocatesNothing(t *testing.T) {
 	c := config()
-	c.Places = 100
+	c.MaxConnections = 100
 	d := New(c, 1)
 	now := time.Second
 	visit := func() {
 		now += 10 * ms
 		open := d.Step(now, Event{Kind: Opened, Addr: addr("10.0.0.9")})[0].Conn
-		d.Step(now, Event{Kind: Asked, Conn: open, Identity: "tool"})
-		d.Step(now, Event{Kind: Done, Conn: open})
+		d.Step(now, Event{Kind: RequestRead, Conn: open, Identity: "tool"})
+		d.Step(now, Event{Kind: RequestDone, Conn: open})
 		d.Step(now, Event{Kind: Closed, Conn: open})
 	}
 	visit()
@@ -461,8 +461,8 @@
 		open := d.Step(now, Event{Kind: Opened, Addr: netip.AddrFrom4([4]byte{172, byte(i >> 8), byte(i), 1})})[0].Conn
 		d.Step(now, Event{Kind: Closed, Conn: open})
 	}
-	if own, _ := d.c.Lengths.keys(addr("10.0.0.9")); d.table.holders[own] == nil || len(d.table.holders) > 2*c.Addresses {
-		t.Errorf("%d addresses, the known one among them: %v", len(d.table.holders), d.table.holders[own] != nil)
+	if own, _ := d.config.Prefixes.keys(addr("10.0.0.9")); d.table.clients[own] == nil || len(d.table.clients) > 2*c.RememberedAddresses {
+		t.Errorf("%d addresses, the known one among them: %v", len(d.table.clients), d.table.clients[own] != nil)
 	}
 	if n := testing.AllocsPerRun(1000, visit); n != 0 {
 		t.Errorf("%v allocations", n)
@@ -472,7 +472,7 @@
 // BenchmarkStep is a flood of silent connections from 4,096 addresses at a full house, three events a connection.
 func BenchmarkStep(b *testing.B) {
 	c := config()
-	c.Places, c.Step, c.Addresses = 500, 16, 4096
+	c.MaxConnections, c.MaxOverflow, c.RememberedAddresses = 500, 16, 4096
 	d := New(c, 1)
 	now := time.Second
 	b.ReportAllocs()
@@ -480,7 +480,7 @@
 	for i := 0; b.Loop(); i++ {
 		now += 10 * time.Microsecond
 		for _, a := range d.Step(now, Event{Kind: Opened, Addr: netip.AddrFrom4([4]byte{10, byte(i >> 4 & 15), byte(i & 255), 1})}) {
-			if a.Kind == Shut {
+			if a.Kind == Evict {
 				events++
 				d.Step(now, Event{Kind: Closed, Conn: a.Conn})
 				break
--- a/internal/admission/types.go
+++ b/internal/admission/types.go
@@ -1,15 +1,19 @@
-// Package admission decides who gets in: which connection is accepted, which waits in the lobby until its first request,
-// which one makes room for another, which request is refused at once and with what word, and how long anyone may be
-// slow. It keeps the ledger of descriptors.
+// Package admission decides which client connections and requests are admitted: which connection is
+// accepted, which one is evicted for another, which request is rejected and with what advice, and how
+// long a client may be slow. It also has the table of the process's descriptors.
 //
-// This file is the interface; controller.go has the decisions, find.go those on a new connection, and table.go the table of
-// addresses. A Controller is a state machine without I/O, clock or goroutine. Its host calls Step with the time and one event
-// and carries out the actions before the next call; the slice that it gets is used again. The host owes it one caller at
-// a time, a clock that never goes back, and one Closed for each connection that was admitted. It may expect that the
-// limits are never passed, that the reserve is never used by the unknown, that no connection with an open request is
-// shut for another's sake, and that a request that was asked, or seen as its connection opened, gets one Serve or one
-// Refuse. Its memory is bounded for any sequence of addresses, and an address that it knows costs no allocation. It
-// imports nothing of ours.
+// types.go is the interface; controller.go has the decisions on connections, newconn.go those on a new
+// connection, clienttable.go the table of clients. A Controller is a state machine without I/O, clock or
+// goroutine. Its caller passes one event to Step and carries out the actions before the next call, which
+// reuses their slice. The caller owes it one call at a time, a clock that never goes back, and one Closed
+// for each connection that was admitted. It may expect that
+//
+//   - no limit is ever exceeded, and the reserve for known clients is used by no other;
+//   - no connection with an open request is closed for another client;
+//   - each request that was read, or was complete as its connection opened, gets one Serve or one Reject;
+//   - its memory is bounded for any sequence of addresses, and a known address costs no allocation.
+//
+// It imports no other package of the module.
 package admission
 
 import (
@@ -17,46 +21,66 @@
 	"time"
 )
 
-// Cap bounds what one holder (an address, a net or an identity) may have. A field that is 0 is no bound.
-type Cap struct {
-	Conns     int     // connections
-	Open      int     // open requests
-	PerSecond float64 // new connections; as many may come at once
+// ClientLimit bounds what one client may have: an address, a network or an identity. A field that is 0
+// is no bound.
+type ClientLimit struct {
+	Connections          int
+	OpenRequests         int
+	ConnectionsPerSecond float64 // new ones; as many may come at once
 }
 
-// Config is the settings of a Controller. Its zero value, but for Places, accepts as many as there is room for.
+// Config is the configuration of a Controller. Its zero value, except for MaxConnections, admits as many
+// connections as that.
 type Config struct {
-	Places  int // client connections that may be served
-	Reserve int // of these, for known clients alone
-	Step    int // connections beyond Places, which are read and refused
-
-	Address  Cap // of one that is not known: an IPv4 address, or an IPv6 /64
-	Net      Cap // of all unknown ones of an IPv4 /24 or an IPv6 /48
-	Known    Cap // of an address of known clients
-	Identity Cap
-
-	Lengths Lengths // of what counts as one address and as one net
-
-	Ranges     []netip.Prefix  // whose clients are known without a word
-	Identities map[string]bool // that are known; nil for none
-
-	Addresses int              // that are remembered without a connection, known and unknown each
-	Patience  [3]time.Duration // with a silent connection of an unknown client, by level; 0 for no bound of admission's
-	Sending   [3]time.Duration // with a request that an unknown client has begun, by level; 0 for no bound of admission's
-	Reading   [3]time.Duration // a client may take for what one write sent, by level; the host sees to it; 0 for no bound
-	Fair      bool             // whoever holds the most makes room; otherwise whoever was silent for longest
-	Last      bool             // at Critical, an unknown client's answer ends its connection
-	Away      time.Duration    // the least time that a refusal tells; up to twice that, spread
+	// MaxConnections is how many client connections may be served.
+	MaxConnections int
+	// ReservedForKnown is how many of these only known clients may use.
+	ReservedForKnown int
+	// MaxOverflow is how many connections beyond MaxConnections may be open only to have their first
+	// request read and rejected, or served if its identity is known.
+	MaxOverflow int
+
+	// PerAddress bounds an address that is not known, PerNetwork all unknown ones of one network,
+	// PerKnownAddress an address of known clients, PerIdentity a known identity.
+	PerAddress      ClientLimit
+	PerNetwork      ClientLimit
+	PerKnownAddress ClientLimit
+	PerIdentity     ClientLimit
+	// Prefixes says what counts as one address and as one network.
+	Prefixes PrefixLengths
+
+	// KnownRanges are the addresses whose clients are known without a request.
+	KnownRanges []netip.Prefix
+	// KnownIdentities are the known clients, nil for none.
+	KnownIdentities map[string]bool
+
+	// RememberedAddresses is how many addresses without a connection are remembered, known and unknown
+	// ones each. Fewer need less memory, and let clients that were forgotten come more often.
+	RememberedAddresses int
+	// IdleTimeout, RequestTimeout and WriteTimeout bound, by level, how long an unknown client may have
+	// an idle connection, take for a request that has begun, and take to read what one write sent. The
+	// caller enforces the last one. 0 is no bound.
+	IdleTimeout    [3]time.Duration
+	RequestTimeout [3]time.Duration
+	WriteTimeout   [3]time.Duration
+	// EvictFromLargest evicts an idle connection of the client that has the most of them; otherwise the
+	// one that is idle for longest is evicted.
+	EvictFromLargest bool
+	// CloseAfterAnswer ends an unknown client's connection with its answer at Critical.
+	CloseAfterAnswer bool
+	// MinRetryAfter is the least advice of a rejection. It is spread evenly up to twice that.
+	MinRetryAfter time.Duration
 }
 
-// Lengths are those of the prefixes that count as one address and as one net. A field that is 0 is the usual one: an
-// IPv4 address and /24, an IPv6 /64 and /48. A net's must be shorter than an address's.
-type Lengths struct{ Address4, Net4, Address6, Net6 int }
+// PrefixLengths are the lengths, in bits, of the prefixes that count as one address and as one network. A
+// field that is 0 has its default: an IPv4 address and /24, an IPv6 /64 and /48. A network's must be
+// shorter than an address's.
+type PrefixLengths struct{ Address4, Network4, Address6, Network6 int }
 
-// Level is how short places are.
+// Level says how scarce connections are.
 type Level int
 
-// The levels. Each begins at a share of the places in use, and ends at a lower one; see levels.
+// The levels. Each begins at a fraction of the connections in use, and ends at a lower one; see levels.
 const (
 	Calm Level = iota
 	Tight
@@ -66,103 +90,103 @@
 // String returns the level's name.
 func (l Level) String() string { return [...]string{"calm", "tight", "critical"}[l] }
 
-// levels has where each level begins and ends, in shares of the places.
+// levels has where each level begins and ends, as fractions of MaxConnections.
 var levels = [3]struct{ from, to float64 }{Tight: {0.75, 0.6}, Critical: {0.95, 0.85}}
 
-// Cause says why someone was refused, turned away or shut.
+// Cause says why a connection or request was rejected, dropped or closed.
 type Cause int
 
 // The causes.
 const (
-	NoCause   Cause = iota
-	OverRate        // new connections in a second
-	OverConns       // connections of one holder
-	OverOpen        // open requests of one holder
-	FullHouse       // all places taken
-	MadeRoom        // for another client
-	TooSlow         // longer silent than the level's patience
-	Exhausted       // the process had no descriptor left
-	Left            // ended by the client before it was accepted
-	SentAway        // the router sends clients away
+	NoCause             Cause = iota
+	RateExceeded              // too many new connections in a second
+	TooManyConnections        // of one client
+	TooManyOpenRequests       // of one client
+	CapacityReached           // all connections are in use
+	Evicted                   // for another client
+	TimedOut                  // idle, or sending a request, for longer than the level allows
+	NoDescriptor              // the process had no descriptor left
+	ClientLeft                // before it was accepted
+	RouterDraining            // idle connections are closed
 	causes
 )
 
-// String returns the cause in words.
+// String returns the cause in the words of the status page.
 func (c Cause) String() string {
 	return [...]string{"none", "rate", "connections", "open requests", "full house", "made room", "too slow", "no descriptor", "left at once", "sent away"}[c]
 }
 
-// EventKind tells what an Event is.
+// EventKind is the kind of an Event.
 type EventKind int
 
 // The kinds of events, with the fields that they need.
 const (
-	Opened EventKind = iota // Addr: a connection was accepted from it; Said, Whole, Identity, Left: what is seen of it by then
-	Began                   // Conn: the first byte of its next request came
-	Asked                   // Conn, Identity (empty for none): a request was read whole
-	Done                    // Conn: its request has its final answer
-	Closed                  // Conn: it is closed, by whomever
-	Lent                    // N: places that others' descriptors leave to known clients
-	Short                   // the process had no descriptor left
-	Passed                  // time did
-	Retune                  // Config: new settings; who is over a lower bound stays, unless silent
-	Empty                   // Silent: whoever has been silent for so long is to go, as the router sends clients away
+	Opened             EventKind = iota // Addr: a connection was accepted from it; HeadComplete, RequestComplete, Identity, ClientGone: what was read by then
+	RequestBegan                        // Conn: the first byte of its next request came
+	RequestRead                         // Conn, Identity (empty for none): a request was read to its end
+	RequestDone                         // Conn: its request has its final answer
+	Closed                              // Conn: it is closed, by either side
+	CapacityLent                        // Lent: connections that others' descriptors leave to known clients
+	DescriptorShortage                  // the process had no descriptor left
+	TimePassed                          // time has passed
+	ConfigChanged                       // Config: a new configuration; connections over a lower limit stay unless they are idle
+	CloseIdle                           // IdleTime: connections that are idle for so long are to be closed, as the router is draining
 )
 
 // Event is something that happened.
 type Event struct {
-	Kind     EventKind
-	Conn     int32
-	N        int
-	Addr     netip.Addr
-	Identity string
-	Said     bool // the whole head of its first request is there; its identity is Identity
-	Whole    bool // and the rest of the request, too: one Asked or Closed is due without anybody's doing
-	Left     bool // its client has ended it without a word
-	Config   *Config
-	Silent   time.Duration
+	Kind            EventKind
+	Conn            int32
+	Lent            int
+	Addr            netip.Addr
+	Identity        string
+	HeadComplete    bool // the head of its first request was read; its identity is Identity
+	RequestComplete bool // and the rest of the request, too: one RequestRead or Closed follows
+	ClientGone      bool // its client has ended it without a request
+	Config          *Config
+	IdleTime        time.Duration
 }
 
-// Nobody is the name of a connection that was not admitted.
-const Nobody int32 = -1
+// NoConnection is the ID of a connection that was not admitted.
+const NoConnection int32 = -1
 
-// ActionKind tells what an Action is.
+// ActionKind is the kind of an Action.
 type ActionKind int
 
 // The kinds of actions.
 const (
-	Admit  ActionKind = iota // the connection just opened gets the name Conn
-	Turn                     // close the connection just opened, before a byte is read
-	Hold                     // nobody can be asked to make room yet: open it again in a moment
-	Shut                     // close Conn: it is silent, and another needs its place
-	Hurry                    // Conn has been silent for too long: it has the time until now to say something
-	Serve                    // the request just asked; with Last its answer ends the connection
-	Refuse                   // answer the request just asked, or seen as its connection opened, with Code, at once, and close
+	Admit      ActionKind = iota // the connection just opened gets the ID Conn
+	Drop                         // close the connection just opened without an answer
+	RetryLater                   // none can be evicted yet: pass the event again in a moment
+	Evict                        // close Conn: it is idle, and another client needs its place
+	Expire                       // Conn was idle for too long: a request that has come by now is served, else it is closed
+	Serve                        // the request just read; with CloseAfterAnswer its answer ends the connection
+	Reject                       // answer the request just read, or complete as its connection opened, with Code, and close
 )
 
-// Action is something for the host to do.
+// Action is something for the caller to do.
 type Action struct {
-	Kind  ActionKind
-	Conn  int32
-	Cause Cause
-	Code  int           // 429 for a client over its own cap, 503 for a full house
-	Away  time.Duration // not to come back before
-	Last  bool
+	Kind             ActionKind
+	Conn             int32
+	Cause            Cause
+	Code             int           // 429 for a client over its own limit, 503 for all connections in use
+	RetryAfter       time.Duration // the client should not come back before
+	CloseAfterAnswer bool
 }
 
 // Counts is what a Controller has done so far, and its state.
 type Counts struct {
-	Level                             Level
-	Places, Reserve, Lent             int
-	Known, Unknown, Lobby, Step, Open int // connections; Lobby is of Unknown, Open has an open request
-	Admitted, Promoted, Served        uint64
-	Refused, Turned, Shut             [causes]uint64
-	Shorts                            uint64 // episodes without a descriptor
-	Addresses                         int    // in the table
+	Level                                           Level
+	MaxConnections, ReservedForKnown, Lent          int
+	Known, Unknown, AwaitingRequest, Overflow, Open int // connections; AwaitingRequest is of Unknown, Open has an open request
+	Admitted, Promoted, Served                      uint64
+	Rejected, Dropped, Closed                       [causes]uint64
+	DescriptorShortages                             uint64 // counted once in a second
+	Addresses                                       int    // and networks in the table
 }
 
-// Holding is how much a holder has.
-type Holding struct {
+// ClientUsage is how much a client has. Its JSON form is part of the status.
+type ClientUsage struct {
 	Name        string
 	Conns, Open int
 	Known       bool
--- a/internal/router/program/admission.go
+++ b/internal/router/program/admission.go
@@ -41,11 +41,11 @@
 // nothing more.
 func (c *Config) admission(clients int) admission.Config {
 	if c.set == nil || c.set.Admission == nil {
-		return admission.Config{Places: clients, Step: defaultStep, Away: min(c.balance.MaxRetryAfter, time.Second)}
+		return admission.Config{MaxConnections: clients, MaxOverflow: defaultStep, MinRetryAfter: min(c.balance.MaxRetryAfter, time.Second)}
 	}
 	d := c.set.Admission.Config
-	d.Places = clients
-	d.Reserve = int(c.set.Admission.Reserve * float64(clients))
+	d.MaxConnections = clients
+	d.ReservedForKnown = int(c.set.Admission.Reserve * float64(clients))
 	return d
 }
 
@@ -65,7 +65,7 @@
 		last = time.Now()
 		fields := []any{}
 		table := p.descriptorTable()
-		for _, line := range table.Lines {
+		for _, line := range table.Owners {
 			fields = append(fields, line.Owner, line.Used)
 		}
 		p.log.Warn("descriptors exhausted", fields...)
@@ -88,7 +88,7 @@
 			timer.Reset(reloadCheckInterval)
 			continue
 		}
-		p.front.Lend(admission.Lendable(p.cfg.copies(), p.mirror.Sockets()))
+		p.front.Lend(admission.LendableConnections(p.cfg.copies(), p.mirror.Sockets()))
 		timer.Reset(admissionInterval)
 	}
 }
@@ -106,37 +106,37 @@
 
 // descriptorShares is the descriptor table as the configuration divides it, before anybody holds a
 // descriptor.
-func (c *Config) descriptorShares(r processLimits) admission.Ledger {
-	clients, reserve, step := r.clients, c.admission(r.clients).Reserve, c.admission(r.clients).Step
-	return admission.Ledger{Limit: c.Limits.Sockets, Lines: []admission.Line{
-		{Owner: admission.Listeners, Share: listenerDescriptors},
-		{Owner: admission.KnownOnes, Share: reserve},
-		{Owner: admission.Unknown, Share: clients - reserve},
-		{Owner: admission.StepOnes, Share: step},
-		{Owner: admission.Servers, Share: r.servers},
-		{Owner: admission.Discovery, Share: 1},
-		{Owner: admission.Copies, Share: c.copies()},
-		{Owner: admission.StatusOnes, Share: c.descriptorsForSettings() - c.copies()}, // with the files of the records
-		{Owner: admission.Operators, Share: transport.ManagementSockets},
-		{Owner: admission.Float, Share: reservedDescriptors - listenerDescriptors - transport.ManagementSockets - 1 - step},
+func (c *Config) descriptorShares(r processLimits) admission.DescriptorTable {
+	clients, reserve, step := r.clients, c.admission(r.clients).ReservedForKnown, c.admission(r.clients).MaxOverflow
+	return admission.DescriptorTable{Limit: c.Limits.Sockets, Owners: []admission.OwnerUse{
+		{Owner: admission.Listeners, Limit: listenerDescriptors},
+		{Owner: admission.KnownClients, Limit: reserve},
+		{Owner: admission.UnknownClients, Limit: clients - reserve},
+		{Owner: admission.OverflowClients, Limit: step},
+		{Owner: admission.Servers, Limit: r.servers},
+		{Owner: admission.Discovery, Limit: 1},
+		{Owner: admission.Mirror, Limit: c.copies()},
+		{Owner: admission.StatusClients, Limit: c.descriptorsForSettings() - c.copies()}, // with the files of the records
+		{Owner: admission.Operators, Limit: transport.ManagementSockets},
+		{Owner: admission.Runtime, Limit: reservedDescriptors - listenerDescriptors - transport.ManagementSockets - 1 - step},
 	}}
 }
 
 // descriptorTable is who may hold and who holds the descriptors of the process.
-func (p *Program) descriptorTable() admission.Ledger {
+func (p *Program) descriptorTable() admission.DescriptorTable {
 	counts, _ := p.front.AdmissionStatus(0)
-	used := map[admission.Owner]int{admission.Listeners: 3, admission.Discovery: 1, admission.KnownOnes: counts.Known, admission.Unknown: counts.Unknown,
-		admission.StepOnes: counts.Step, admission.Servers: p.servers.Open(),
-		admission.Float: max(p.front.Alive()-counts.Known-counts.Unknown-counts.Step, 0)}
+	used := map[admission.Owner]int{admission.Listeners: 3, admission.Discovery: 1, admission.KnownClients: counts.Known, admission.UnknownClients: counts.Unknown,
+		admission.OverflowClients: counts.Overflow, admission.Servers: p.servers.Open(),
+		admission.Runtime: max(p.front.Alive()-counts.Known-counts.Unknown-counts.Overflow, 0)}
 	if p.mirror != nil {
-		used[admission.Copies] = p.mirror.Sockets()
+		used[admission.Mirror] = p.mirror.Sockets()
 	}
 	if p.status != nil {
-		used[admission.StatusOnes] = 1
+		used[admission.StatusClients] = 1
 	}
 	l := p.cfg.descriptorShares(*p.processLimits.Load())
-	for i := range l.Lines {
-		l.Lines[i].Used = used[l.Lines[i].Owner]
+	for i := range l.Owners {
+		l.Owners[i].Used = used[l.Owners[i].Owner]
 	}
 	if open, err := os.ReadDir("/proc/self/fd"); err == nil {
 		l.Open = len(open) - 1 // without the one that reads it
@@ -146,34 +146,34 @@
 
 // AdmissionStatus is the state of admission, as `admission` prints it.
 type AdmissionStatus struct {
-	Level       string              `json:"level"`
-	Slots       int                 `json:"places"`
-	Reserve     int                 `json:"reserve"`
-	Lent        int                 `json:"lent"`
-	Known       int                 `json:"known"`
-	Unknown     int                 `json:"unknown"`
-	Lobby       int                 `json:"lobby"`
-	Step        int                 `json:"step"`
-	Open        int                 `json:"open_requests"`
-	Admitted    uint64              `json:"admitted"`
-	Promoted    uint64              `json:"promoted"`
-	Served      uint64              `json:"served"`
-	Refused     map[string]uint64   `json:"refused"` // requests that were answered
-	Turned      map[string]uint64   `json:"turned"`  // connections closed before a byte was read
-	Shut        map[string]uint64   `json:"shut"`    // silent connections
-	Shorts      uint64              `json:"shorts"`
-	Holdings    []admission.Holding `json:"holdings"`
-	Descriptors admission.Ledger    `json:"ledger"`
+	Level       string                    `json:"level"`
+	Slots       int                       `json:"places"`
+	Reserve     int                       `json:"reserve"`
+	Lent        int                       `json:"lent"`
+	Known       int                       `json:"known"`
+	Unknown     int                       `json:"unknown"`
+	Lobby       int                       `json:"lobby"`
+	Step        int                       `json:"step"`
+	Open        int                       `json:"open_requests"`
+	Admitted    uint64                    `json:"admitted"`
+	Promoted    uint64                    `json:"promoted"`
+	Served      uint64                    `json:"served"`
+	Refused     map[string]uint64         `json:"refused"` // requests that were answered
+	Turned      map[string]uint64         `json:"turned"`  // connections closed before a byte was read
+	Shut        map[string]uint64         `json:"shut"`    // silent connections
+	Shorts      uint64                    `json:"shorts"`
+	Holdings    []admission.ClientUsage   `json:"holdings"`
+	Descriptors admission.DescriptorTable `json:"ledger"`
 }
 
 func (p *Program) admissionStatus() (any, error) {
 	c, top := p.front.AdmissionStatus(maxHoldings)
-	s := AdmissionStatus{Level: c.Level.String(), Slots: c.Places, Reserve: c.Reserve, Lent: c.Lent, Known: c.Known, Unknown: c.Unknown,
-		Lobby: c.Lobby, Step: c.Step, Open: c.Open, Admitted: c.Admitted, Promoted: c.Promoted, Served: c.Served,
-		Refused: map[string]uint64{}, Turned: map[string]uint64{}, Shut: map[string]uint64{}, Shorts: c.Shorts, Holdings: top, Descriptors: p.descriptorTable()}
-	byCause(s.Refused, c.Refused[:])
-	byCause(s.Turned, c.Turned[:])
-	byCause(s.Shut, c.Shut[:])
+	s := AdmissionStatus{Level: c.Level.String(), Slots: c.MaxConnections, Reserve: c.ReservedForKnown, Lent: c.Lent, Known: c.Known, Unknown: c.Unknown,
+		Lobby: c.AwaitingRequest, Step: c.Overflow, Open: c.Open, Admitted: c.Admitted, Promoted: c.Promoted, Served: c.Served,
+		Refused: map[string]uint64{}, Turned: map[string]uint64{}, Shut: map[string]uint64{}, Shorts: c.DescriptorShortages, Holdings: top, Descriptors: p.descriptorTable()}
+	byCause(s.Refused, c.Rejected[:])
+	byCause(s.Turned, c.Dropped[:])
+	byCause(s.Shut, c.Closed[:])
 	return s, nil
 }
 
--- a/internal/router/program/admission_test.go
+++ b/internal/router/program/admission_test.go
@@ -166,13 +166,15 @@
 			t.Errorf("%s: %d of 40 served; the flood: %s", f.name, served, flood.Summary())
 		}
 	}
-	s := h.wait("end of the floods", func(s *AdmissionStatus) bool { return s.Known+s.Unknown+s.Step == 0 && s.Descriptors.Float() == 0 })
+	s := h.wait("end of the floods", func(s *AdmissionStatus) bool {
+		return s.Known+s.Unknown+s.Step == 0 && s.Descriptors.RuntimeUsed() == 0
+	})
 	// What the ledger counts is what the process has; probes, the poller and the standard streams
 	// stand in the float.
 	if s.Descriptors.Used() > s.Descriptors.Open || s.Descriptors.Open-s.Descriptors.Used() > 20 {
 		t.Errorf("the ledger has %d of %d open descriptors: %+v", s.Descriptors.Used(), s.Descriptors.Open, s.Descriptors)
 	}
-	if s.Descriptors.Shares() > s.Descriptors.Limit || s.Promoted == 0 {
+	if s.Descriptors.TotalLimit() > s.Descriptors.Limit || s.Promoted == 0 {
 		t.Errorf("%+v", s)
 	}
 }
--- a/internal/router/program/program_test.go
+++ b/internal/router/program/program_test.go
@@ -137,13 +137,13 @@
 			return // they do not fit, and it is said
 		}
 		ledger := c.descriptorShares(c.processLimits(processgroup.Siblings{}))
-		if ledger.Shares() > ledger.Limit || ledger.Limit != c.Limits.Sockets {
-			t.Errorf("shares of %d under a limit of %d: %+v", ledger.Shares(), ledger.Limit, ledger)
+		if ledger.TotalLimit() > ledger.Limit || ledger.Limit != c.Limits.Sockets {
+			t.Errorf("shares of %d under a limit of %d: %+v", ledger.TotalLimit(), ledger.Limit, ledger)
 		}
-		for _, line := range ledger.Lines {
-			needs := line.Owner == admission.Unknown || line.Owner == admission.StepOnes || line.Owner == admission.Servers || line.Owner == admission.Float
-			if line.Share < 0 || needs && line.Share == 0 {
-				t.Errorf("%s has a share of %d under a limit of %d", line.Owner, line.Share, ledger.Limit)
+		for _, line := range ledger.Owners {
+			needs := line.Owner == admission.UnknownClients || line.Owner == admission.OverflowClients || line.Owner == admission.Servers || line.Owner == admission.Runtime
+			if line.Limit < 0 || needs && line.Limit == 0 {
+				t.Errorf("%s has a share of %d under a limit of %d", line.Owner, line.Limit, ledger.Limit)
 			}
 		}
 	})
--- a/internal/router/settings/admission.go
+++ b/internal/router/settings/admission.go
@@ -18,20 +18,20 @@
 func (c *checker) admission(b *admissionBlock) *Admission {
 	d := &Admission{Identity: b.Header, Reserve: c.number(b.Body, "reserve", b.Reserve, 0.25, 0, 0.9)}
 	d.Config = admission.Config{
-		Step:      c.count(b.Body, "step", b.Step, 16, 20), // more would not fit what is set aside for them
-		Addresses: c.count(b.Body, "addresses", b.Addresses, 4096, 1<<20),
-		Away:      c.duration(b.Body, "away", b.Away, time.Second),
-		Address:   c.cap(b.Address.cap(), admission.Cap{Conns: 16, Open: 16, PerSecond: 20}),
-		Net:       c.cap(b.Net.cap(), admission.Cap{Conns: 64, Open: 64, PerSecond: 100}),
-		Known:     c.cap(b.Known, admission.Cap{}),
-		Identity:  c.cap(b.Identity, admission.Cap{}),
-		Fair:      true,
-		Last:      true,
+		MaxOverflow:         c.count(b.Body, "step", b.Step, 16, 20), // more would not fit what is set aside for them
+		RememberedAddresses: c.count(b.Body, "addresses", b.Addresses, 4096, 1<<20),
+		MinRetryAfter:       c.duration(b.Body, "away", b.Away, time.Second),
+		PerAddress:          c.cap(b.Address.cap(), admission.ClientLimit{Connections: 16, OpenRequests: 16, ConnectionsPerSecond: 20}),
+		PerNetwork:          c.cap(b.Net.cap(), admission.ClientLimit{Connections: 64, OpenRequests: 64, ConnectionsPerSecond: 100}),
+		PerKnownAddress:     c.cap(b.Known, admission.ClientLimit{}),
+		PerIdentity:         c.cap(b.Identity, admission.ClientLimit{}),
+		EvictFromLargest:    true,
+		CloseAfterAnswer:    true,
 	}
-	d.Config.Lengths = c.lengths(b)
-	d.Config.Patience = c.byLevel(b.Patience, 2*time.Second, 500*time.Millisecond, 100*time.Millisecond)
-	d.Config.Reading = c.byLevel(b.Reading, 10*time.Second, 5*time.Second, 2*time.Second)
-	d.Config.Sending = c.byLevel(b.Sending, 2*time.Second, time.Second, 300*time.Millisecond)
+	d.Config.Prefixes = c.lengths(b)
+	d.Config.IdleTimeout = c.byLevel(b.Patience, 2*time.Second, 500*time.Millisecond, 100*time.Millisecond)
+	d.Config.WriteTimeout = c.byLevel(b.Reading, 10*time.Second, 5*time.Second, 2*time.Second)
+	d.Config.RequestTimeout = c.byLevel(b.Sending, 2*time.Second, time.Second, 300*time.Millisecond)
 	switch {
 	case b.Header != "" && !headerName.MatchString(b.Header):
 		c.fault(b.Body, "identity_header", "is %q; it must be the name of a header", b.Header)
@@ -45,12 +45,12 @@
 		if err != nil || p != p.Masked() {
 			c.fault(b.Body, "ranges", "holds %q; it must be the first address of a net and its length, such as 10.0.0.0/8", word)
 		}
-		d.Config.Ranges = append(d.Config.Ranges, p)
+		d.Config.KnownRanges = append(d.Config.KnownRanges, p)
 	}
 	if len(b.Identities) > 0 {
-		d.Config.Identities = map[string]bool{}
+		d.Config.KnownIdentities = map[string]bool{}
 		for _, name := range b.Identities {
-			d.Config.Identities[name] = true
+			d.Config.KnownIdentities[name] = true
 		}
 	}
 	return d
@@ -68,8 +68,8 @@
 }
 
 // lengths reads how long the prefixes are that count as one address and as one net.
-func (c *checker) lengths(b *admissionBlock) admission.Lengths {
-	l := admission.Lengths{Address4: 32, Net4: 24, Address6: 64, Net6: 48}
+func (c *checker) lengths(b *admissionBlock) admission.PrefixLengths {
+	l := admission.PrefixLengths{Address4: 32, Network4: 24, Address6: 64, Network6: 48}
 	read := func(b *netBlock, field string, length *int, to *int, most int) {
 		if length == nil {
 			return
@@ -83,13 +83,13 @@
 		read(a, "ipv6", a.IPv6, &l.Address6, 128)
 	}
 	if n := b.Net; n != nil {
-		read(n, "ipv4", n.IPv4, &l.Net4, 32)
-		read(n, "ipv6", n.IPv6, &l.Net6, 128)
+		read(n, "ipv4", n.IPv4, &l.Network4, 32)
+		read(n, "ipv6", n.IPv6, &l.Network6, 128)
 	}
 	for _, both := range []struct {
 		field        string
 		address, net int
-	}{{"ipv4", l.Address4, l.Net4}, {"ipv6", l.Address6, l.Net6}} {
+	}{{"ipv4", l.Address4, l.Network4}, {"ipv6", l.Address6, l.Network6}} {
 		if both.net < both.address {
 			continue
 		}
@@ -106,7 +106,7 @@
 }
 
 // cap reads the bounds of one holder; 0 is no bound.
-func (c *checker) cap(b *capBlock, usual admission.Cap) admission.Cap {
+func (c *checker) cap(b *capBlock, usual admission.ClientLimit) admission.ClientLimit {
 	if b == nil {
 		return usual
 	}
@@ -119,10 +119,10 @@
 		}
 		return *n
 	}
-	bound := admission.Cap{Conns: count("connections", b.Conns, usual.Conns), Open: count("open", b.Open, usual.Open),
-		PerSecond: c.number(b.Body, "per_second", b.PerSecond, usual.PerSecond, 0, 1e6)}
-	if bound.Conns > 0 && bound.Open > bound.Conns && b.Open != nil {
-		c.fault(b.Body, "open", "is %d; one connection carries one request, and connections is %d", bound.Open, bound.Conns)
+	bound := admission.ClientLimit{Connections: count("connections", b.Conns, usual.Connections), OpenRequests: count("open", b.Open, usual.OpenRequests),
+		ConnectionsPerSecond: c.number(b.Body, "per_second", b.PerSecond, usual.ConnectionsPerSecond, 0, 1e6)}
+	if bound.Connections > 0 && bound.OpenRequests > bound.Connections && b.Open != nil {
+		c.fault(b.Body, "open", "is %d; one connection carries one request, and connections is %d", bound.OpenRequests, bound.Connections)
 	}
 	return bound
 }
--- a/internal/router/settings/settings_test.go
+++ b/internal/router/settings/settings_test.go
@@ -161,13 +161,13 @@
 		t.Fatal(err)
 	}
 	ms := time.Millisecond
-	want := &Admission{Identity: "X-Client", Reserve: 0.5, Config: admission.Config{Step: 8, Away: 2 * time.Second, Addresses: 4096,
-		Address: admission.Cap{Conns: 4, Open: 2, PerSecond: 20}, Net: admission.Cap{Conns: 64, Open: 64, PerSecond: 7.5},
-		Identity: admission.Cap{Conns: 30}, Lengths: admission.Lengths{Address4: 31, Net4: 24, Address6: 56, Net6: 48},
-		Ranges:     []netip.Prefix{netip.MustParsePrefix("10.20.0.0/16"), netip.MustParsePrefix("2001:db8::/32")},
-		Identities: map[string]bool{"tool-1": true}, Fair: true, Last: true,
-		Patience: [3]time.Duration{2000 * ms, 300 * ms, 100 * ms}, Sending: [3]time.Duration{2000 * ms, 1000 * ms, 200 * ms},
-		Reading: [3]time.Duration{4000 * ms, 5000 * ms, 2000 * ms}}}
+	want := &Admission{Identity: "X-Client", Reserve: 0.5, Config: admission.Config{MaxOverflow: 8, MinRetryAfter: 2 * time.Second, RememberedAddresses: 4096,
+		PerAddress: admission.ClientLimit{Connections: 4, OpenRequests: 2, ConnectionsPerSecond: 20}, PerNetwork: admission.ClientLimit{Connections: 64, OpenRequests: 64, ConnectionsPerSecond: 7.5},
+		PerIdentity: admission.ClientLimit{Connections: 30}, Prefixes: admission.PrefixLengths{Address4: 31, Network4: 24, Address6: 56, Network6: 48},
+		KnownRanges:     []netip.Prefix{netip.MustParsePrefix("10.20.0.0/16"), netip.MustParsePrefix("2001:db8::/32")},
+		KnownIdentities: map[string]bool{"tool-1": true}, EvictFromLargest: true, CloseAfterAnswer: true,
+		IdleTimeout: [3]time.Duration{2000 * ms, 300 * ms, 100 * ms}, RequestTimeout: [3]time.Duration{2000 * ms, 1000 * ms, 200 * ms},
+		WriteTimeout: [3]time.Duration{4000 * ms, 5000 * ms, 2000 * ms}}}
 	if diff := cmp.Diff(want, s.Admission, cmp.Comparer(func(a, b netip.Prefix) bool { return a == b })); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/system/dataplane/plane_test.go
+++ b/internal/system/dataplane/plane_test.go
@@ -206,7 +206,7 @@
 	servers := transport.NewServers(transport.ServerLimits{ConnectTimeout: time.Second, Keepalive: time.Minute, StreamIdleTimeout: time.Second, Connections: 50,
 		Dialect: protocol.Fleet{}}, lines{})
 	f.plane = New(ctx, Options{Settings: func() *settings.Settings { return s }, Servers: servers, Quotas: f.quotas, Fresh: func() bool { return f.fresh.Load() }, Newest: func() bool { return f.newest.Load() }, Log: &f.log, StartedAt: began})
-	f.front = transport.NewIntakeFront(f.plane, transport.FrontLimits{BodyBytes: 1 << 20, Admission: admission.Config{Places: 100, Step: 8}})
+	f.front = transport.NewIntakeFront(f.plane, transport.FrontLimits{BodyBytes: 1 << 20, Admission: admission.Config{MaxConnections: 100, MaxOverflow: 8}})
 	f.front.SetKeepAlive(true)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/system/roles/node/dataplane.go
+++ b/internal/system/roles/node/dataplane.go
@@ -59,7 +59,7 @@
 		MaxHead:   maxHeaderBytes,
 		Patience:  n.clientTimeout,
 		Seed:      rand.Uint64(),
-		Admission: admission.Config{Places: free / 2, Step: maxRejectedConnections, Away: sendAwayTime},
+		Admission: admission.Config{MaxConnections: free / 2, MaxOverflow: maxRejectedConnections, MinRetryAfter: sendAwayTime},
 	})
 	n.front.SetKeepAlive(true)
 }
--- a/internal/transport/clientconn.go
+++ b/internal/transport/clientconn.go
@@ -106,7 +106,7 @@
 	}
 	c.remaining = max(c.remaining-bytes, 0)
 	// It is not idle any more; later bytes gain a slow sender no time.
-	c.listener.notifyAdmission(admission.Event{Kind: admission.Began, Conn: c.admissionID})
+	c.listener.notifyAdmission(admission.Event{Kind: admission.RequestBegan, Conn: c.admissionID})
 	c.restoreDeadline()
 }
 
@@ -175,7 +175,7 @@
 		return
 	}
 	c.requestOpen, c.requestBegun = false, false
-	c.listener.notifyAdmission(admission.Event{Kind: admission.Done, Conn: c.admissionID})
+	c.listener.notifyAdmission(admission.Event{Kind: admission.RequestDone, Conn: c.admissionID})
 }
 
 // lastRead is for an idle connection whose time is over. If another process takes over, the connection
--- a/internal/transport/front.go
+++ b/internal/transport/front.go
@@ -140,7 +140,7 @@
 // CloseIdle closes the connections that have been idle for so long. One whose next request has come by
 // then is served.
 func (f *Front) CloseIdle(silent time.Duration) {
-	f.listener.notifyAdmission(admission.Event{Kind: admission.Empty, Silent: silent})
+	f.listener.notifyAdmission(admission.Event{Kind: admission.CloseIdle, IdleTime: silent})
 }
 
 // StopAccepting ends Serve. Connections stay, and so does an inherited listener for the other processes
@@ -281,14 +281,14 @@
 	if f.limits.Identity != "" {
 		identity = string(ctx.Request.Header.Peek(f.limits.Identity))
 	}
-	answer := f.listener.notifyAdmission(admission.Event{Kind: admission.Asked, Conn: conn.admissionID, Identity: identity})
+	answer := f.listener.notifyAdmission(admission.Event{Kind: admission.RequestRead, Conn: conn.admissionID, Identity: identity})
 	if answer.Kind == admission.Serve {
-		if answer.Last {
+		if answer.CloseAfterAnswer {
 			ctx.SetConnectionClose()
 		}
 		return true
 	}
-	no := Rejection{Code: answer.Code, Text: rejectionText(answer), RetryAfter: answer.Away}
+	no := Rejection{Code: answer.Code, Text: rejectionText(answer), RetryAfter: answer.RetryAfter}
 	if no.Code == 0 { // its connection was shut while the request came: nobody reads this
 		no.Code = fasthttp.StatusServiceUnavailable
 	}
--- a/internal/transport/front_test.go
+++ b/internal/transport/front_test.go
@@ -49,7 +49,7 @@
 // one that is closed unused must not carry an answer to nothing.
 func TestSlowClientsAreClosedInTime(t *testing.T) {
 	post := "POST /v1/chat/completions HTTP/1.1\r\nHost: r\r\n"
-	addr := serve(t, FrontLimits{Admission: admission.Config{Places: 10, Step: 4}, BodyBytes: 100 << 10})
+	addr := serve(t, FrontLimits{Admission: admission.Config{MaxConnections: 10, MaxOverflow: 4}, BodyBytes: 100 << 10})
 	for text, want := range map[string]string{
 		"":                                    "",
 		post:                                  "HTTP/1.1 408 ",
@@ -71,7 +71,7 @@
 
 // Clients that connect and say nothing take up no place that another needs: the oldest of them goes.
 func TestIdleClientsAreReplaced(t *testing.T) {
-	addr := serve(t, FrontLimits{Admission: admission.Config{Places: 3, Step: 1}})
+	addr := serve(t, FrontLimits{Admission: admission.Config{MaxConnections: 3, MaxOverflow: 1}})
 	var silent []net.Conn
 	for range 3 {
 		silent = append(silent, dial(t, addr, ""))
@@ -96,8 +96,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := newListener(&FrontLimits{Admission: admission.Config{Places: 20, Step: 4, Fair: true, Away: time.Second, Addresses: 10,
-		Address: admission.Cap{Conns: 3}, Net: admission.Cap{Conns: 5}, Patience: [3]time.Duration{time.Second, time.Second, time.Second}}})
+	l := newListener(&FrontLimits{Admission: admission.Config{MaxConnections: 20, MaxOverflow: 4, EvictFromLargest: true, MinRetryAfter: time.Second, RememberedAddresses: 10,
+		PerAddress: admission.ClientLimit{Connections: 3}, PerNetwork: admission.ClientLimit{Connections: 5}, IdleTimeout: [3]time.Duration{time.Second, time.Second, time.Second}}})
 	if err := l.listen(ln, false); err != nil {
 		t.Fatal(err)
 	}
@@ -136,8 +136,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := newListener(&FrontLimits{Admission: admission.Config{Places: 20, Step: 4, Fair: true, Away: time.Second, Address: admission.Cap{PerSecond: 1},
-		Patience: [3]time.Duration{time.Second, time.Second, time.Second}}})
+	l := newListener(&FrontLimits{Admission: admission.Config{MaxConnections: 20, MaxOverflow: 4, EvictFromLargest: true, MinRetryAfter: time.Second, PerAddress: admission.ClientLimit{ConnectionsPerSecond: 1},
+		IdleTimeout: [3]time.Duration{time.Second, time.Second, time.Second}}})
 	if err := l.listen(ln, false); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/transport/handover.go
+++ b/internal/transport/handover.go
@@ -373,7 +373,7 @@
 		case admission.Admit:
 			c = l.admit(a.Conn, nc)
 			c.readAhead = ahead
-		case admission.Shut, admission.Hurry:
+		case admission.Evict, admission.Expire:
 			l.carryOut(a)
 		}
 	}
@@ -384,7 +384,7 @@
 func (l *listener) capacity() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.admission.Counts().Places
+	return l.admission.Counts().MaxConnections
 }
 
 // MoveTo has idle connections, and from the next read on all streams, move to another process.
--- a/internal/transport/handover_test.go
+++ b/internal/transport/handover_test.go
@@ -34,7 +34,7 @@
 	}
 	h := &half{servers: transport.NewServers(transport.ServerLimits{ConnectTimeout: time.Second, Keepalive: time.Minute, Connections: 10, StreamIdleTimeout: silent}, lines)}
 	h.core = routing.New(b, h.servers, lines, time.Second)
-	h.front = transport.NewFront(h.core, transport.FrontLimits{Admission: admission.Config{Places: 100, Step: 8}, BodyBytes: 1 << 20}, nil)
+	h.front = transport.NewFront(h.core, transport.FrontLimits{Admission: admission.Config{MaxConnections: 100, MaxOverflow: 8}, BodyBytes: 1 << 20}, nil)
 	r, err := transport.NewReceiver(path, h.front, h.servers, lines)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -69,8 +69,8 @@
 // newListener returns a listener that does not listen yet.
 func newListener(limits *FrontLimits) *listener {
 	c := limits.Admission
-	l := &listener{start: time.Now(), admission: admission.New(c, limits.Seed), maxAlive: c.Places + c.Step + maxClosingConns, log: limits.OnDescriptorShortage,
-		strict: c.Patience != [3]time.Duration{}, header: limits.Identity, burst: minAcceptBurst, patience: limits.Patience}
+	l := &listener{start: time.Now(), admission: admission.New(c, limits.Seed), maxAlive: c.MaxConnections + c.MaxOverflow + maxClosingConns, log: limits.OnDescriptorShortage,
+		strict: c.IdleTimeout != [3]time.Duration{}, header: limits.Identity, burst: minAcceptBurst, patience: limits.Patience}
 	l.aliveDropped = sync.NewCond(&l.mu)
 	return l
 }
@@ -233,10 +233,10 @@
 	switch {
 	case got > 0:
 		var seen protocol.Glance
-		seen, e.Said = protocol.Look(l.readAhead[:got], l.header)
-		e.Identity, e.Whole = seen.Named, e.Said && seen.Length >= 0 && got >= seen.Length
+		seen, e.HeadComplete = protocol.Look(l.readAhead[:got], l.header)
+		e.Identity, e.RequestComplete = seen.Named, e.HeadComplete && seen.Length >= 0 && got >= seen.Length
 	case err != syscall.EAGAIN && err != syscall.EINTR:
-		e.Left = true
+		e.ClientGone = true
 	}
 	return e, max(got, 0)
 }
@@ -258,7 +258,7 @@
 			if err != nil { // it is closed already, or there is no second descriptor
 				l.admission.Step(l.now(), admission.Event{Kind: admission.Closed, Conn: a.Conn})
 				if isDescriptorShortage(err) {
-					l.admission.Step(l.now(), admission.Event{Kind: admission.Short})
+					l.admission.Step(l.now(), admission.Event{Kind: admission.DescriptorShortage})
 					l.rejectedInBurst = maxAcceptBurst // rest before the next one
 					go l.log()                         // asks for the counts, which the lock guards
 				}
@@ -266,22 +266,22 @@
 			}
 			c = l.admit(a.Conn, nc)
 			c.readAhead = bytes.Clone(l.readAhead[:got])
-		case admission.Turn:
+		case admission.Drop:
 			l.rejectedInBurst++
-			if !e.Left { // no request was read to its end, so no answer is owed
+			if !e.ClientGone { // no request was read to its end, so no answer is owed
 				syscall.SetsockoptLinger(fd, syscall.SOL_SOCKET, syscall.SO_LINGER, &syscall.Linger{Onoff: 1})
 			}
 			syscall.Close(fd)
-		case admission.Refuse:
+		case admission.Reject:
 			l.rejectedInBurst++
-			l.reject(fd, e.Whole && got < len(l.readAhead), a)
-		case admission.Hold:
+			l.reject(fd, e.RequestComplete && got < len(l.readAhead), a)
+		case admission.RetryLater:
 			l.mu.Unlock()
 			time.Sleep(acceptRetryDelay)
 			l.mu.Lock()
 			goto again
 		default:
-			if a.Kind == admission.Shut {
+			if a.Kind == admission.Evict {
 				l.rejectedInBurst++
 			}
 			l.carryOut(a)
@@ -304,7 +304,7 @@
 // reject answers a request that was read, complete or not, before its connection was admitted. The caller
 // has the lock.
 func (l *listener) reject(fd int, whole bool, a admission.Action) {
-	l.text = protocol.AppendRefusal(l.text[:0], a.Code, a.Away, rejectionText(a))
+	l.text = protocol.AppendRefusal(l.text[:0], a.Code, a.RetryAfter, rejectionText(a))
 	// All of it goes out, in one packet with the end, or the client is gone.
 	syscall.SendmsgN(fd, l.text, nil, nil, syscall.MSG_MORE|syscall.MSG_DONTWAIT|syscall.MSG_NOSIGNAL)
 	if whole || l.alive >= l.maxAlive {
@@ -330,7 +330,7 @@
 // rejectionText returns the text of a rejection.
 func rejectionText(a admission.Action) string {
 	switch {
-	case a.Code == http.StatusTooManyRequests && a.Cause == admission.OverRate:
+	case a.Code == http.StatusTooManyRequests && a.Cause == admission.RateExceeded:
 		return "too many new connections of this client; trying again is harmless"
 	case a.Code == http.StatusTooManyRequests:
 		return "too many " + a.Cause.String() + " of this client; trying again is harmless"
@@ -341,9 +341,9 @@
 // carryOut does what admission wants of a connection. The lock is held.
 func (l *listener) carryOut(a admission.Action) {
 	switch a.Kind {
-	case admission.Shut:
+	case admission.Evict:
 		l.conns[a.Conn].Conn.Close()
-	case admission.Hurry:
+	case admission.Expire:
 		l.conns[a.Conn].hurried = true
 		l.conns[a.Conn].Conn.SetReadDeadline(time.Unix(1, 0))
 	}
@@ -354,7 +354,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, a := range l.admission.Step(l.now(), e) {
-		if a.Kind == admission.Serve || a.Kind == admission.Refuse {
+		if a.Kind == admission.Serve || a.Kind == admission.Reject {
 			answer = a
 			continue
 		}
@@ -366,7 +366,7 @@
 // rejectNextForShortage uses the reserved descriptor to tell one client that there is no other, and
 // reserves a new one.
 func (l *listener) rejectNextForShortage() {
-	l.notifyAdmission(admission.Event{Kind: admission.Short})
+	l.notifyAdmission(admission.Event{Kind: admission.DescriptorShortage})
 	l.log()
 	if l.reservedDescriptor == nil {
 		time.Sleep(descriptorRetryDelay)
@@ -401,12 +401,12 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return cmp.Or(l.admission.Reading(), clientWriteTimeout)
+	return cmp.Or(l.admission.WriteTimeout(), clientWriteTimeout)
 }
 
 // usedFraction returns the fraction of the connections that is used.
 func (l *listener) usedFraction() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.admission.Use()
+	return l.admission.UsedFraction()
 }
--- a/internal/transport/servers_test.go
+++ b/internal/transport/servers_test.go
@@ -43,7 +43,7 @@
 	network := transport.NewServers(transport.ServerLimits{ConnectTimeout: time.Second, Keepalive: time.Minute,
 		Connections: 10, StreamIdleTimeout: 300 * time.Millisecond}, log)
 	r := &router{core: routing.New(b, network, log, time.Second)}
-	r.front = transport.NewFront(r.core, transport.FrontLimits{Admission: admission.Config{Places: 100, Step: 8}, BodyBytes: 1 << 20}, nil)
+	r.front = transport.NewFront(r.core, transport.FrontLimits{Admission: admission.Config{MaxConnections: 100, MaxOverflow: 8}, BodyBytes: 1 << 20}, nil)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/transport/tap.go
+++ b/internal/transport/tap.go
@@ -96,10 +96,10 @@
 }
 
 // AdmissionStatus returns what admission has done, its state, and the clients with the most connections.
-func (f *Front) AdmissionStatus(most int) (admission.Counts, []admission.Holding) {
+func (f *Front) AdmissionStatus(most int) (admission.Counts, []admission.ClientUsage) {
 	f.listener.mu.Lock()
 	defer f.listener.mu.Unlock()
-	return f.listener.admission.Counts(), f.listener.admission.Holdings(most)
+	return f.listener.admission.Counts(), f.listener.admission.LargestClients(most)
 }
 
 // Alive returns the connections that the HTTP server has, those on their way out among them.
@@ -111,12 +111,12 @@
 
 // Lend tells admission that time has passed, and how many connections it may have from others' capacity.
 func (f *Front) Lend(lent int) {
-	f.listener.notifyAdmission(admission.Event{Kind: admission.Lent, N: lent})
+	f.listener.notifyAdmission(admission.Event{Kind: admission.CapacityLent, Lent: lent})
 }
 
 // SetAdmission gives admission another configuration.
 func (f *Front) SetAdmission(c admission.Config) {
-	f.listener.notifyAdmission(admission.Event{Kind: admission.Retune, Config: &c})
+	f.listener.notifyAdmission(admission.Event{Kind: admission.ConfigChanged, Config: &c})
 }
 
 // FrontLoad is how full the front end is, in fractions of its limits.
--- a/internal/transport/unsent_test.go
+++ b/internal/transport/unsent_test.go
@@ -85,7 +85,7 @@
 // others with it that were read and not answered. The watch reads a byte, and still notices that the client leaves.
 func TestFurtherRequestsStayUnread(t *testing.T) {
 	client, accepted := pair(t)
-	conn := &clientConn{Conn: accepted, listener: newListener(&FrontLimits{Admission: admission.Config{Places: 1, Step: 1}})}
+	conn := &clientConn{Conn: accepted, listener: newListener(&FrontLimits{Admission: admission.Config{MaxConnections: 1, MaxOverflow: 1}})}
 	first, second, third := scripted.AskText("1", ""), scripted.AskText("2", ""), scripted.AskText("3", "")
 	if _, err := client.Write([]byte(first + second + third)); err != nil {
 		t.Fatal(err)
