--- a/cmd/reachlab/sockets_test.go
+++ b/cmd/reachlab/sockets_test.go
@@ -47,8 +47,9 @@
 	return c.ExecuteContext(ctx)
 }
 
-// The fleet of a file, the real router before it, and the load of the same file: through a host that is killed and comes
-// back. What the router captured then loads the same fleet again, on sockets and in virtual time.
+// The fleet of a file, the real router before it, and the load of the same file: through a host
+// that is killed and comes back. What the router captured then loads the same fleet again, on
+// sockets and in virtual time.
 func TestFleetRouterAndLoad(t *testing.T) {
 	dir := t.TempDir()
 	in := func(name string) string { return filepath.Join(dir, name) }
@@ -127,7 +128,8 @@
 	return asked, good
 }
 
-// What can't be used is one line that names file, line and field, and nothing is loaded but this machine.
+// What can't be used is one line that names file, line and field, and nothing is loaded but this
+// machine.
 func TestBadCalls(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
--- a/cmd/reachspread/failures_test.go
+++ b/cmd/reachspread/failures_test.go
@@ -16,7 +16,8 @@
 // failuresFile names, in a router process that tests start, the file that says what fails in it.
 const failuresFile = "REACHSPREAD_TEST_FAILURES"
 
-// The words of that file, one a line. The address of a machine to which messages are lost is behind the first.
+// The words of that file, one a line. The address of a machine to which messages are lost is behind
+// the first.
 const (
 	loseWord  = "lose "
 	stallWord = "stall"
@@ -110,7 +111,8 @@
 	}
 }
 
-// cutOff has no message go from a process to any other, and none to it where others are deaf to it as well.
+// cutOff has no message go from a process to any other, and none to it where others are deaf to it
+// as well.
 func (f *processes) cutOff(i int, bothWays bool) {
 	f.t.Helper()
 	var others []string
--- a/cmd/reachspread/forms_test.go
+++ b/cmd/reachspread/forms_test.go
@@ -28,7 +28,8 @@
 	formtest.Compare(t, "status-answers.txt", formtest.Fields([]routerAnswer{}, "json"))
 }
 
-// environmentVariable is what a string that names one looks like; with = behind it for one that is set for another process.
+// environmentVariable is what a string that names one looks like; with = behind it for one that is
+// set for another process.
 var environmentVariable = regexp.MustCompile(`^[A-Z][A-Z0-9]*(_[A-Z0-9]+)+=?$`)
 
 // environmentNames adds the names of environment variables that a file of Go has.
@@ -50,7 +51,8 @@
 	})
 }
 
-// isProgramSource reports whether a file is written for the programs: neither generated nor for tests.
+// isProgramSource reports whether a file is written for the programs: neither generated nor for
+// tests.
 func isProgramSource(path string) bool {
 	if !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") || strings.HasSuffix(path, ".pb.go") {
 		return false
@@ -58,7 +60,8 @@
 	return !strings.Contains(path, "/formtest/") && !strings.Contains(path, "/golden/") // packages for tests alone
 }
 
-// The programs read the same environment variables, and set the same ones for processes that they start.
+// The programs read the same environment variables, and set the same ones for processes that they
+// start.
 func TestEnvironmentVariablesAreUnchanged(t *testing.T) {
 	names := map[string]bool{}
 	for _, top := range []string{"balance", "cmd", "coord", "internal"} {
--- a/cmd/reachspread/golden_test.go
+++ b/cmd/reachspread/golden_test.go
@@ -22,13 +22,13 @@
 	"reachspread/internal/testbed/pintest"
 )
 
-// The data directories below testdata/fleet are those of three routers on 127.82.7.1 to 127.82.7.3, written and stopped by the program of
-// commit 5bfcc27:
+// The data directories below testdata/fleet are those of three routers on 127.82.7.1 to 127.82.7.3,
+// written and stopped by the program of commit 5bfcc27:
 //
 //	go test ./cmd/reachspread -run TestGoldenFleet -write-golden
 //
-// They are never written again: a later version has to go on from them as they are. They hold addresses, so a fleet on them needs the same
-// ones.
+// They are never written again: a later version has to go on from them as they are. They hold
+// addresses, so a fleet on them needs the same ones.
 var writeGolden = flag.Bool("write-golden", false, "write testdata/fleet in place of a start on it")
 
 const (
@@ -59,8 +59,9 @@
 	{http.MethodDelete, "/pins/all", "3", `{"by":"bob","why":"over"}`},
 }
 
-// A fleet starts on the data directories of an earlier version: the configuration, the pins, their history, the hosts that were known and
-// the identities are as they were; orders that were acknowledged then are known again, and new ones go on from there.
+// A fleet starts on the data directories of an earlier version: the configuration, the pins, their
+// history, the hosts that were known and the identities are as they were; orders that were
+// acknowledged then are known again, and new ones go on from there.
 func TestGoldenFleet(t *testing.T) {
 	if *writeGolden {
 		writeGoldenFleet(t)
@@ -228,7 +229,8 @@
 	} `json:"hosts"`
 }
 
-// statuses is a line for each router: its identity as a machine of the register, and the hosts that it knows.
+// statuses is a line for each router: its identity as a machine of the register, and the hosts that
+// it knows.
 func (g *goldenFleet) statuses() string {
 	var all strings.Builder
 	for i := range goldenRouters {
@@ -268,7 +270,8 @@
 	g.until("all know the hosts", func() bool { return strings.Count(g.statuses(), "i-1") == goldenRouters })
 }
 
-// writeGoldenFleet makes the golden directories: orders, hosts, requests under a tenant's limit, and a stop of all routers.
+// writeGoldenFleet makes the golden directories: orders, hosts, requests under a tenant's limit,
+// and a stop of all routers.
 func writeGoldenFleet(t *testing.T) {
 	g := startGoldenFleet(t)
 	g.until("the control plane answers", func() bool { code, _ := g.call(goldenOrders[0], 0); return code == http.StatusOK })
--- a/cmd/reachspread/processes_test.go
+++ b/cmd/reachspread/processes_test.go
@@ -25,7 +25,8 @@
 }
 
 const (
-	// boundMs is the bound on the age of what keys are honoured by: each change of the pins takes so long.
+	// boundMs is the bound on the age of what keys are honoured by: each change of the pins takes
+	// so long.
 	boundMs      = 2000
 	heartbeatMs  = 60_000
 	playPatience = 60 * time.Second
@@ -99,8 +100,9 @@
 	return s
 }
 
-// Real processes: pins are honoured on live traffic while processes are killed, stand still for longer than a change of the pins takes, lose
-// their disks, are cut off, have a disk that stalls, and all lose their lives at once.
+// Real processes: pins are honoured on live traffic while processes are killed, stand still for
+// longer than a change of the pins takes, lose their disks, are cut off, have a disk that stalls,
+// and all lose their lives at once.
 func TestPinsOnProcesses(t *testing.T) {
 	f := startProcesses(t, 5, 3)
 	ctx, cancel := context.WithTimeout(context.Background(), 3*playPatience)
--- a/cmd/reachspread/profile.go
+++ b/cmd/reachspread/profile.go
@@ -13,8 +13,9 @@
 // profileFor is how long a CPU profile takes.
 const profileFor = time.Second
 
-// profiles writes, at each SIGUSR1, all goroutines and a CPU profile of the next second into a folder, under names with the
-// process's id. It is for whoever looks for a fault, and off without the folder.
+// profiles writes, at each SIGUSR1, all goroutines and a CPU profile of the next second into a
+// folder, under names with the process's id. It is for whoever looks for a fault, and off without
+// the folder.
 func profiles(folder string) (stop func()) {
 	asked := make(chan os.Signal, 1)
 	signal.Notify(asked, syscall.SIGUSR1)
--- a/cmd/reachspread/snapshot.go
+++ b/cmd/reachspread/snapshot.go
@@ -75,7 +75,8 @@
 	return c
 }
 
-// unanswered is how many requests a folder's open ones are, 0 where their file is not there or not whole.
+// unanswered is how many requests a folder's open ones are, 0 where their file is not there or not
+// whole.
 func unanswered(folder string) int {
 	text, err := os.ReadFile(filepath.Join(folder, snapshot.OpenRequestsFile))
 	if err != nil {
--- a/cmd/reachspread/tour_test.go
+++ b/cmd/reachspread/tour_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// tourFile is a Go file that the tour names, and tourFunctions are the functions behind it in brackets.
+// tourFile is a Go file that the tour names, and tourFunctions are the functions behind it in
+// brackets.
 var (
 	tourFile      = regexp.MustCompile("`((?:[a-z]+/)+[a-z]+\\.go)`(?:\\s*(?:,\\s*|\\()((?:`[A-Za-z]+`(?:,\\s*)?)+))?")
 	tourFunctions = regexp.MustCompile("`([A-Za-z]+)`")
--- a/internal/router/capture/capture.go
+++ b/internal/router/capture/capture.go
@@ -1,9 +1,10 @@
-// Package capture keeps what a router takes in, without text: when each request came, its class, its lengths, and its
-// session and shared beginning under names that tell nothing. It has the form of the file, a reader that refuses what is
-// not whole, and a writer that nobody waits for.
+// Package capture keeps what a router takes in, without text: when each request came, its class,
+// its lengths, and its session and shared beginning under names that tell nothing. It has the form
+// of the file, a reader that refuses what is not whole, and a writer that nobody waits for.
 //
-// A file is a header line, then a line for each request in the order in which they came, each a JSON object. The names
-// are hashes under a key that is drawn for each file and kept nowhere, so two files can't be joined by them.
+// A file is a header line, then a line for each request in the order in which they came, each a
+// JSON object. The names are hashes under a key that is drawn for each file and kept nowhere, so
+// two files can't be joined by them.
 package capture
 
 import (
--- a/internal/router/capture/capture_test.go
+++ b/internal/router/capture/capture_test.go
@@ -25,8 +25,8 @@
 		PrefixTokens: 50, TimeLeft: time.Second}
 }
 
-// What was taken can be read again, in its order and with names that tell nothing but who is the same; a file that is cut
-// anywhere within a line is refused by its line.
+// What was taken can be read again, in its order and with names that tell nothing but who is the
+// same; a file that is cut anywhere within a line is refused by its line.
 func TestWrittenIsRead(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "c.ndjson")
 	var log lines
@@ -75,7 +75,8 @@
 	}
 }
 
-// The bound holds to the byte, and ends the capture with one line; closing it then waits for nothing.
+// The bound holds to the byte, and ends the capture with one line; closing it then waits for
+// nothing.
 func TestBound(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "c.ndjson")
 	var log lines
--- a/internal/router/capture/stored_test.go
+++ b/internal/router/capture/stored_test.go
@@ -11,8 +11,8 @@
 	"reachspread/internal/testbed/golden"
 )
 
-// The file under testdata was written at commit 5bfcc27: WRITE_GOLDEN=1 go test -run Golden. Its lines are those of a Writer, whose
-// names are drawn anew for each file, so they are given here.
+// The file under testdata was written at commit 5bfcc27: WRITE_GOLDEN=1 go test -run Golden. Its
+// lines are those of a Writer, whose names are drawn anew for each file, so they are given here.
 
 // A capture is read as it was written, and its lines are written the same.
 func TestGoldenCapture(t *testing.T) {
--- a/internal/router/management/management_test.go
+++ b/internal/router/management/management_test.go
@@ -75,7 +75,8 @@
 	}
 }
 
-// Each figure is there under its name from the first call on, by class in the classes' order, and a line ends it.
+// Each figure is there under its name from the first call on, by class in the classes' order, and a
+// line ends it.
 func TestVars(t *testing.T) {
 	s := &scripted{values: Values{Relayed: 9, Open: 4, Entries: 10, Avoided: 2, Accepted: 1, Invalid: 3,
 		Classes: []Class{{Name: `o"dd\`, Taken: 8, Throttled: 8}, {Name: "C", Taken: 834, Fulfilled: 812, Throttled: 5, Faulted: 6, Abandoned: 7, Moved: 2}}}}
@@ -105,7 +106,8 @@
 	}
 }
 
-// Whatever the line, there is one answer, it begins with one of the two words, and a refusal is one line.
+// Whatever the line, there is one answer, it begins with one of the two words, and a refusal is one
+// line.
 func TestAnyLine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		got := Answer(rapid.String().Draw(t, "line"), &scripted{phase: "serving"})
--- a/internal/router/mirror/config_test.go
+++ b/internal/router/mirror/config_test.go
@@ -7,7 +7,8 @@
 	"reachspread/balance"
 )
 
-// A candidate pool is this router's alone: no other tells of its hosts, so it must not wait to hear, nor deal them out.
+// A candidate pool is this router's alone: no other tells of its hosts, so it must not wait to
+// hear, nor deal them out.
 func TestCopiesTellNobody(t *testing.T) {
 	c := copyConfig(balance.Config{Routers: 80, Self: 3, MayProbe: true, MaxRetryAfter: time.Second}, time.Second)
 	if c.Routers != 0 || c.MayProbe || c.MaxRetryAfter != 0 {
--- a/internal/router/mirror/sink.go
+++ b/internal/router/mirror/sink.go
@@ -15,8 +15,8 @@
 	retryFor   = 5 * time.Second // after the folder failed
 )
 
-// sink writes records on a goroutine of its own. What it can't take is counted and lost: neither the live path nor
-// the copies ever wait for a disk.
+// sink writes records on a goroutine of its own. What it can't take is counted and lost: neither
+// the live path nor the copies ever wait for a disk.
 type sink struct {
 	set     settings.Records
 	log     routing.Logger
@@ -86,7 +86,8 @@
 	}
 }
 
-// write appends a record. While the folder fails, it is tried again now and then, and on-call is told once.
+// write appends a record. While the folder fails, it is tried again now and then, and on-call is
+// told once.
 func (s *sink) write(r *records.Record, retry *time.Time) {
 	s.bytes.Add(-recordBytes(r))
 	if time.Now().Before(*retry) {
--- a/internal/router/processgroup/processgroup.go
+++ b/internal/router/processgroup/processgroup.go
@@ -1,7 +1,8 @@
-// Package processgroup tells a process of the others of its kind that run on the same machine for the same router, and how
-// many descriptors they hold. Each process locks a byte of one file for as long as it lives. Nothing is ever written
-// there, so whatever a file of that name holds, of an earlier process or of another version, is of no matter; and a
-// process that ends in any way has lost its lock. It imports nothing of ours.
+// Package processgroup tells a process of the others of its kind that run on the same machine for
+// the same router, and how many descriptors they hold. Each process locks a byte of one file for as
+// long as it lives. Nothing is ever written there, so whatever a file of that name holds, of an
+// earlier process or of another version, is of no matter; and a process that ends in any way has
+// lost its lock. It imports nothing of ours.
 package processgroup
 
 import (
@@ -14,7 +15,8 @@
 
 const (
 	fileName = "reachspread.beside"
-	// maxProcesses bounds the processes that find each other; a replacement needs two, and one more while the last one leaves.
+	// maxProcesses bounds the processes that find each other; a replacement needs two, and one more
+	// while the last one leaves.
 	maxProcesses = 8
 )
 
--- a/internal/router/records/records_test.go
+++ b/internal/router/records/records_test.go
@@ -66,8 +66,8 @@
 	return n, errors.New("no space left")
 }
 
-// A disk that fills up cuts a line off. It stays the last of its file, is passed over when read, and writing goes on
-// in the next file.
+// A disk that fills up cuts a line off. It stays the last of its file, is passed over when read,
+// and writing goes on in the next file.
 func TestFullDisk(t *testing.T) {
 	folder := t.TempDir()
 	w := &Writer{Folder: folder, FileBytes: 1 << 20, Files: 9, Open: func(path string) (io.WriteCloser, error) {
--- a/internal/router/settings/settings.go
+++ b/internal/router/settings/settings.go
@@ -1,5 +1,6 @@
-// Package settings reads the operators' settings file: HCL, typed, every field checked. An error is one line with
-// the file, the line and the field. It imports the types that it fills and opens nothing but the file itself.
+// Package settings reads the operators' settings file: HCL, typed, every field checked. An error is
+// one line with the file, the line and the field. It imports the types that it fills and opens
+// nothing but the file itself.
 package settings
 
 import (
--- a/internal/router/shadow/selector.go
+++ b/internal/router/shadow/selector.go
@@ -46,7 +46,8 @@
 	return s
 }
 
-// Session returns the hash that stands for a conversation; a request that names none is one of its own.
+// Session returns the hash that stands for a conversation; a request that names none is one of its
+// own.
 func Session(session, id string) uint64 {
 	if session == "" {
 		return xxhash.Sum64String(id)
@@ -54,9 +55,9 @@
 	return xxhash.Sum64String(session)
 }
 
-// Choose returns the pools that get a copy. The share is taken by the hash of the conversation, so that each pool
-// gets a conversation whole or not at all, at every router alike and after every restart; a larger share keeps what
-// a smaller one chose. It allocates nothing.
+// Choose returns the pools that get a copy. The share is taken by the hash of the conversation, so
+// that each pool gets a conversation whole or not at all, at every router alike and after every
+// restart; a larger share keeps what a smaller one chose. It allocates nothing.
 func (s *Selector) Choose(class string, tenant []byte, session uint64) Pools {
 	var chosen Pools
 	for i := range s.choices {
--- a/internal/testbed/capacity/capacity.go
+++ b/internal/testbed/capacity/capacity.go
@@ -1,5 +1,6 @@
-// Package capacity works out from measured slopes what a fleet of the planned size costs. It reads kept results, fits a line to
-// each slope and writes the tables of docs/CAPACITY.md; it measures nothing itself.
+// Package capacity works out from measured slopes what a fleet of the planned size costs. It reads
+// kept results, fits a line to each slope and writes the tables of docs/CAPACITY.md; it measures
+// nothing itself.
 package capacity
 
 import (
@@ -16,7 +17,8 @@
 // leastSizes is how many sizes a slope needs.
 const leastSizes = 5
 
-// mostResidual is how far a size may be from the line, as a part of the largest value, for the slope to count as linear.
+// mostResidual is how far a size may be from the line, as a part of the largest value, for the
+// slope to count as linear.
 const mostResidual = 0.1
 
 // Sample is one measured value.
@@ -142,7 +144,8 @@
 	}
 }
 
-// Tables writes the lines as a table in Markdown: what was measured, the fit, and the value at the planned size.
+// Tables writes the lines as a table in Markdown: what was measured, the fit, and the value at the
+// planned size.
 func Tables(lines []Line) string {
 	var b strings.Builder
 	b.WriteString("| what | over | sizes: medians | repetitions | spread, at most | fit | residual | at the planned size |\n")
--- a/internal/testbed/checker/answer.go
+++ b/internal/testbed/checker/answer.go
@@ -7,8 +7,8 @@
 	"reachspread/internal/testbed/history"
 )
 
-// answer finds requests with no final answer, with two, with a late one, or with a stream that broke while nothing that was
-// done explains it.
+// answer finds requests with no final answer, with two, with a late one, or with a stream that
+// broke while nothing that was done explains it.
 func answer(c *Case) (found []Verdict) {
 	for _, id := range c.ids {
 		r := c.requests[id]
@@ -60,7 +60,8 @@
 	}
 }
 
-// excused tells whether what was done to the router that has a request explains anything that became of it.
+// excused tells whether what was done to the router that has a request explains anything that
+// became of it.
 func (c *Case) excused(r *Request, to int64) bool {
 	return c.During(append(ends, slows...), r.Ask.T, to, router(r.Ask.Who))
 }
@@ -75,8 +76,9 @@
 	return false
 }
 
-// killedInTurn tells whether a stream broke as its process was killed, its time after SIGTERM being over: what it took until
-// shortly after SIGTERM it owes, and what it can't finish in that time it does not lose.
+// killedInTurn tells whether a stream broke as its process was killed, its time after SIGTERM being
+// over: what it took until shortly after SIGTERM it owes, and what it can't finish in that time it
+// does not lose.
 func (c *Case) killedInTurn(r *Request, at int64) bool {
 	termed := map[string]int64{}
 	for i := range c.Events {
@@ -97,8 +99,8 @@
 	return false
 }
 
-// attempt finds requests with two attempts out at the same time. An attempt ends when its host is done with it or when the
-// router closes its connection, whichever the history has first.
+// attempt finds requests with two attempts out at the same time. An attempt ends when its host is
+// done with it or when the router closes its connection, whichever the history has first.
 func attempt(c *Case) (found []Verdict) {
 	for _, id := range c.ids {
 		all := c.requests[id].Attempts
@@ -123,8 +125,8 @@
 // attemptSlack is the platform's, for all limits of time on sockets.
 const attemptSlack = 50 * time.Millisecond
 
-// unseen tells whether the end of an attempt could not be seen: its router died or stood still, and with it whoever would
-// close the connection.
+// unseen tells whether the end of an attempt could not be seen: its router died or stood still, and
+// with it whoever would close the connection.
 func (c *Case) unseen(a *Attempt) bool {
 	return c.During(append(ends, slows...), a.From, a.To, router(a.Router))
 }
--- a/internal/testbed/checker/checker.go
+++ b/internal/testbed/checker/checker.go
@@ -1,9 +1,9 @@
-// Package checker holds checkers over histories. Each takes what happened, on the rig's processes or in the lab's virtual
-// time, and says what should not have; each stands in a file of its own and has a test with a planted violation that it
-// must find. The package is pure.
+// Package checker holds checkers over histories. Each takes what happened, on the rig's processes
+// or in the lab's virtual time, and says what should not have; each stands in a file of its own and
+// has a test with a planted violation that it must find. The package is pure.
 //
-// A checker knows what a fault excuses, and no more than that: a router that was killed owes no answer to what it had
-// taken, one beside it does.
+// A checker knows what a fault excuses, and no more than that: a router that was killed owes no
+// answer to what it had taken, one beside it does.
 package checker
 
 import (
@@ -51,7 +51,8 @@
 	{"linear", "operations take effect at one moment between their start and their end", linear},
 }
 
-// Judge has all checkers look at a history, and returns what they found. Each tells of so many at most.
+// Judge has all checkers look at a history, and returns what they found. Each tells of so many at
+// most.
 func Judge(events []history.Event) []Verdict {
 	c := NewCase(events)
 	var all []Verdict
@@ -106,7 +107,8 @@
 	From, To     int64 // To is the history's end for one that nobody saw end
 }
 
-// NewCase reads a history. Events of requests that were never asked are left to the checkers that look for them.
+// NewCase reads a history. Events of requests that were never asked are left to the checkers that
+// look for them.
 func NewCase(events []history.Event) *Case {
 	c := &Case{Events: events, requests: map[string]*Request{}}
 	if len(events) == 0 {
@@ -179,11 +181,12 @@
 // crossing is how long after the router's close the host may still take what was sent before.
 const crossing = 50 * time.Millisecond
 
-// after is how long what a fault did may still be felt once it is over: connections that it left silent are found dead, a
-// process that stood still comes to itself.
+// after is how long what a fault did may still be felt once it is over: connections that it left
+// silent are found dead, a process that stood still comes to itself.
 const after = 2 * time.Second
 
-// machine is what a history has in place of a fault where the machine let whoever wrote it stand still.
+// machine is what a history has in place of a fault where the machine let whoever wrote it stand
+// still.
 const machine = "machine"
 
 // Kinds of faults that excuse something.
@@ -194,7 +197,8 @@
 	network   = []string{"cut", "partition", "loss", "delay", "reorder"}                          // a link
 )
 
-// During tells whether a fault of one of the kinds was on between two times, or shortly before, such that it fits.
+// During tells whether a fault of one of the kinds was on between two times, or shortly before,
+// such that it fits.
 func (c *Case) During(kinds []string, from, to int64, fits func(*Struck) bool) bool {
 	for i := range c.Faults {
 		s := &c.Faults[i]
--- a/internal/testbed/checker/checker_test.go
+++ b/internal/testbed/checker/checker_test.go
@@ -10,8 +10,8 @@
 
 const ms = 1_000_000
 
-// well is a history that nothing is wrong with: a router, two hosts, requests that are served, refused and sent twice, a
-// host that drains, a process that leaves.
+// well is a history that nothing is wrong with: a router, two hosts, requests that are served,
+// refused and sent twice, a host that drains, a process that leaves.
 func well() []history.Event {
 	all := []history.Event{
 		{What: history.Begin, Play: &history.Play{Version: 1, World: "rig", Routers: 2, Hosts: 2, Slack: 50 * ms, Memory: 32 << 20, Sockets: 256,
--- a/internal/testbed/checker/crash.go
+++ b/internal/testbed/checker/crash.go
@@ -8,8 +8,8 @@
 	"reachspread/internal/testbed/history"
 )
 
-// crash finds processes that ended by themselves, that did not start, and panics in logs. A second process that a fault
-// started under a name that lives is let fail, but not let crash.
+// crash finds processes that ended by themselves, that did not start, and panics in logs. A second
+// process that a fault started under a name that lives is let fail, but not let crash.
 func crash(c *Case) (found []Verdict) {
 	asked := map[string]int64{} // by process, from when on it may end
 	twin := map[string]bool{}
@@ -39,7 +39,8 @@
 	return found
 }
 
-// hang passes on what the rig's watch has caught. The rig knows better than a checker could what was done to a process.
+// hang passes on what the rig's watch has caught. The rig knows better than a checker could what
+// was done to a process.
 func hang(c *Case) (found []Verdict) {
 	for i := range c.Events {
 		if e := &c.Events[i]; e.What == history.Caught {
--- a/internal/testbed/checker/drain.go
+++ b/internal/testbed/checker/drain.go
@@ -7,11 +7,12 @@
 	"reachspread/internal/testbed/history"
 )
 
-// drainSlack is how long after it was told a host may still be sent something new, with the platform's slack on sockets.
+// drainSlack is how long after it was told a host may still be sent something new, with the
+// platform's slack on sockets.
 const drainSlack = 550 * time.Millisecond
 
-// drain finds attempts that reach a host after its router was told that it drains or is gone. One whose router or whose
-// list stood still meanwhile was told only when they went on.
+// drain finds attempts that reach a host after its router was told that it drains or is gone. One
+// whose router or whose list stood still meanwhile was told only when they went on.
 func drain(c *Case) (found []Verdict) {
 	since := map[string]int64{} // by router and host
 	for i := range c.Events {
--- a/internal/testbed/checker/duties.go
+++ b/internal/testbed/checker/duties.go
@@ -8,8 +8,9 @@
 	"reachspread/internal/testbed/history"
 )
 
-// duties finds acts that should not have been: accepted under a lower token than one before, of two routers under one token, or
-// begun by a router after another had begun under a higher one. The last is asked only where one clock stamps the beginnings.
+// duties finds acts that should not have been: accepted under a lower token than one before, of two
+// routers under one token, or begun by a router after another had begun under a higher one. The
+// last is asked only where one clock stamps the beginnings.
 func duties(c *Case) (found []Verdict) {
 	type last struct {
 		token uint64
--- a/internal/testbed/checker/duties_test.go
+++ b/internal/testbed/checker/duties_test.go
@@ -36,7 +36,8 @@
 		{T: to, What: history.OK, Who: who, ID: id, Op: &history.Op{Did: got > 0, Token: got}}}
 }
 
-// Grants that fit no order are found: a renewal after another was granted, two at once, a token that falls.
+// Grants that fit no order are found: a renewal after another was granted, two at once, a token
+// that falls.
 func TestGrantsPlanted(t *testing.T) {
 	for name, x := range map[string]struct {
 		ops   [][]history.Event
--- a/internal/testbed/checker/limits.go
+++ b/internal/testbed/checker/limits.go
@@ -8,8 +8,8 @@
 	"reachspread/internal/testbed/history"
 )
 
-// limits finds processes over their memory or their descriptors, and datagrams over the platform's bound. Each process is
-// told of once.
+// limits finds processes over their memory or their descriptors, and datagrams over the platform's
+// bound. Each process is told of once.
 func limits(c *Case) (found []Verdict) {
 	notified := map[string]bool{}
 	report := func(e *history.Event, text string) {
@@ -36,8 +36,8 @@
 // takesFor is how long after SIGTERM a router still takes requests that it owes a whole answer.
 const takesFor = 700 * time.Millisecond
 
-// leave finds processes that do not end as they should after SIGTERM. One that is killed when its time is over while it still
-// has streams that it took in time has done nothing wrong.
+// leave finds processes that do not end as they should after SIGTERM. One that is killed when its
+// time is over while it still has streams that it took in time has done nothing wrong.
 func leave(c *Case) (found []Verdict) {
 	if c.Play.Leave == 0 {
 		return nil
@@ -88,5 +88,6 @@
 	return false
 }
 
-// killSlack is how far the end of a process and those of its connections may lie apart in the history.
+// killSlack is how far the end of a process and those of its connections may lie apart in the
+// history.
 const killSlack = 100 * time.Millisecond
--- a/internal/testbed/checker/linear.go
+++ b/internal/testbed/checker/linear.go
@@ -15,8 +15,9 @@
 // linearWithin bounds the search, which may take exponential time.
 const linearWithin = 20 * time.Second
 
-// linear finds operations that do not fit any order of single moments between their starts and ends, for each key by
-// itself. One whose end is unknown may have taken effect at any time after its start, or never.
+// linear finds operations that do not fit any order of single moments between their starts and
+// ends, for each key by itself. One whose end is unknown may have taken effect at any time after
+// its start, or never.
 func linear(c *Case) []Verdict {
 	of := map[bool][]porcupine.Operation{} // by whether they are of duties
 	for _, o := range operations(c.Events) {
@@ -26,8 +27,8 @@
 	return append(fits(c, registers, of[false]), fits(c, grants, telling(of[true]))...)
 }
 
-// telling leaves out operations on duties that fit anywhere, so that the search ends: requests for a grant whose end is unknown, and the
-// end of grants that nobody was ever told of.
+// telling leaves out operations on duties that fit anywhere, so that the search ends: requests for
+// a grant whose end is unknown, and the end of grants that nobody was ever told of.
 func telling(all []porcupine.Operation) []porcupine.Operation {
 	notified := map[uint64]bool{}
 	for _, o := range all {
@@ -134,8 +135,9 @@
 	return kind == "acquire" || kind == "renew" || kind == "yield" || kind == "expire"
 }
 
-// grants is a duty that one router has at a time, under tokens that only grow. That it was given to somebody is seen as that one hears of it. A
-// request whose end is unknown may have given it back; what it may have got shows later.
+// grants is a duty that one router has at a time, under tokens that only grow. That it was given to
+// somebody is seen as that one hears of it. A request whose end is unknown may have given it back;
+// what it may have got shows later.
 var grants = porcupine.Model{
 	Partition: byKey,
 	Init:      func() any { return keyValue{} },
--- a/internal/testbed/checker/returned.go
+++ b/internal/testbed/checker/returned.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// servedAgain is the share of requests that must be served whole once the fleet has settled, of those that were before
-	// the first fault.
+	// servedAgain is the share of requests that must be served whole once the fleet has settled, of
+	// those that were before the first fault.
 	servedAgain = 0.9
 	// fewest is the least number of requests that a share is taken of.
 	fewest = 20
 )
 
-// returned finds fleets that do not come back: routers that are not ready, or requests that are refused or fail, once so
-// much time has passed since the last fault.
+// returned finds fleets that do not come back: routers that are not ready, or requests that are
+// refused or fail, once so much time has passed since the last fault.
 func returned(c *Case) (found []Verdict) {
 	if c.Play.Settle == 0 || c.LastHeal() == 0 {
 		return nil
--- a/internal/testbed/checker/views.go
+++ b/internal/testbed/checker/views.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// wellFor is how long a router must have lived, with no fault on, until it may be missing from nobody's view: as long as a
-	// view may take to settle a fault from before.
+	// wellFor is how long a router must have lived, with no fault on, until it may be missing from
+	// nobody's view: as long as a view may take to settle a fault from before.
 	wellFor = 10 * time.Second
 	// viewEvery is how far apart two looks at a view may be.
 	viewEvery = time.Second
@@ -21,8 +21,9 @@
 	from, to int64
 }
 
-// views finds views of the fleet that are wrong: an incarnation that falls, a router that is missing from its own view, or from that
-// of another though it has been well for long, and views that differ, or do not show who lives, so long after the last fault.
+// views finds views of the fleet that are wrong: an incarnation that falls, a router that is
+// missing from its own view, or from that of another though it has been well for long, and views
+// that differ, or do not show who lives, so long after the last fault.
 func views(c *Case) (found []Verdict) {
 	inc, at := map[int]uint32{}, map[int]int64{}
 	incarnations := c.incarnations()
@@ -80,8 +81,8 @@
 	return found
 }
 
-// remembered tells whether a process of another router lived from before one time to after another, with nothing between it and
-// the router: it knew the router's last incarnation.
+// remembered tells whether a process of another router lived from before one time to after another,
+// with nothing between it and the router: it knew the router's last incarnation.
 func (c *Case) remembered(n int, from, to int64) bool {
 	if c.During(network, from, to, func(*Struck) bool { return true }) || c.During(append(ends, slows...), to-int64(time.Second), to, func(s *Struck) bool {
 		return s.Kind == machine || s.Kind != "kill" && s.Kind != "power"
--- a/internal/testbed/experiment/charts.go
+++ b/internal/testbed/experiment/charts.go
@@ -15,7 +15,8 @@
 	"reachspread/internal/router/report"
 )
 
-// palette is Okabe and Ito's, which people see apart who see colours differently (Color Universal Design, 2008).
+// palette is Okabe and Ito's, which people see apart who see colours differently (Color Universal
+// Design, 2008).
 var palette = []color.Color{
 	color.RGBA{0x00, 0x72, 0xb2, 0xff}, color.RGBA{0xe6, 0x9f, 0x00, 0xff}, color.RGBA{0x00, 0x9e, 0x73, 0xff}, color.RGBA{0xcc, 0x79, 0xa7, 0xff},
 	color.RGBA{0x56, 0xb4, 0xe9, 0xff}, color.RGBA{0xd5, 0x5e, 0x00, 0xff}, color.RGBA{0x00, 0x00, 0x00, 0xff}, color.RGBA{0xf0, 0xe4, 0x42, 0xff},
@@ -23,7 +24,8 @@
 
 const chartWidth, chartHeight = 24 * vg.Centimeter, 9 * vg.Centimeter
 
-// byVariant sorts kept runs, in the order in which variants come. A world in which a rule broke is in no chart.
+// byVariant sorts kept runs, in the order in which variants come. A world in which a rule broke is
+// in no chart.
 func byVariant(keptRuns []KeptRun) (names []string, runs map[string][]*KeptRun) {
 	runs = map[string][]*KeptRun{}
 	for i := range keptRuns {
@@ -39,8 +41,8 @@
 	return names, runs
 }
 
-// overTime draws, for each variant and second, which share of the requests that came to an end then ended well, over all
-// seeds, smoothed over five seconds.
+// overTime draws, for each variant and second, which share of the requests that came to an end then
+// ended well, over all seeds, smoothed over five seconds.
 func overTime(keptRuns []KeptRun) (string, error) {
 	c := plot.New()
 	c.Title.Text, c.X.Label.Text, c.Y.Label.Text = "requests that ended well", "second", "share, mean of 5 s"
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -123,8 +123,8 @@
 	}
 }
 
-// One core or four, the runs are the same to the byte, in the same order; a folder that was left whole is read, one that
-// was cut off is said to be so.
+// One core or four, the runs are the same to the byte, in the same order; a folder that was left
+// whole is read, one that was cut off is said to be so.
 func TestRunsAreKept(t *testing.T) {
 	x, err := Parse([]byte(good), "day.hcl")
 	if err != nil {
@@ -197,7 +197,8 @@
 	}
 }
 
-// A difference that all seeds show is shown, one that they don't agree on is not, and a broken world counts in no pair.
+// A difference that all seeds show is shown, one that they don't agree on is not, and a broken
+// world counts in no pair.
 func TestCompare(t *testing.T) {
 	world := func(variant string, seed uint64, g float64) *Run {
 		return &Run{Variant: variant, Seed: seed, Result: &simulator.Result{Value: g, Asked: 1}}
--- a/internal/testbed/experiment/file.go
+++ b/internal/testbed/experiment/file.go
@@ -1,5 +1,6 @@
-// Package experiment reads experiments from HCL, plays their worlds side by side, one a core, and keeps and compares what
-// comes of them. The worlds are package lab's; nothing here decides anything in them.
+// Package experiment reads experiments from HCL, plays their worlds side by side, one a core, and
+// keeps and compares what comes of them. The worlds are package lab's; nothing here decides
+// anything in them.
 package experiment
 
 import (
@@ -424,7 +425,8 @@
 	return t
 }
 
-// Captured reads a capture as the plan of an experiment's clients. A class that the experiment does not have is a fault.
+// Captured reads a capture as the plan of an experiment's clients. A class that the experiment does
+// not have is a fault.
 func Captured(path string, spec *simulator.Spec) ([]simulator.Planned, error) {
 	_, all, err := capture.Read(path)
 	if err != nil {
--- a/internal/testbed/experiment/forms_test.go
+++ b/internal/testbed/experiment/forms_test.go
@@ -17,7 +17,8 @@
 	"reachspread/internal/testbed/formtest"
 )
 
-// blockHeaders are the blocks of an experiment's file, each with how it begins; %s is what stands in it.
+// blockHeaders are the blocks of an experiment's file, each with how it begins; %s is what stands
+// in it.
 func blockHeaders() map[string]string {
 	headers := map[string]string{"an experiment": "%s", "view": "view {\n%s\n}", "group/cold": "group \"g\" {\ncold {\n%s\n}\n}",
 		"variant/view": "variant \"v\" {\nview {\n%s\n}\n}", "group": "group \"g\" {\n%s\n}", "class": "class \"c\" {\n%s\n}",
@@ -74,7 +75,8 @@
 	{"texts", []string{`["a"]`, `["peer"]`, `["peers"]`}},
 }
 
-// complaint is what the reader says of a field with a value in a block, without the field's name; empty where it takes it.
+// complaint is what the reader says of a field with a value in a block, without the field's name;
+// empty where it takes it.
 func complaint(header, field, value string) string {
 	body := field + " = " + value
 	text := "seeds = 1\n" + fmt.Sprintf(header, body)
--- a/internal/testbed/experiment/keep.go
+++ b/internal/testbed/experiment/keep.go
@@ -154,7 +154,8 @@
 	return err
 }
 
-// Open reads a folder that Keep left: its experiment and the G of each run. One that was not left whole is not read.
+// Open reads a folder that Keep left: its experiment and the G of each run. One that was not left
+// whole is not read.
 func Open(folder string) (*Experiment, []KeptRun, error) {
 	count, err := os.ReadFile(filepath.Join(folder, ExperimentFile))
 	if errors.Is(err, os.ErrNotExist) {
--- a/internal/testbed/experiment/measure_test.go
+++ b/internal/testbed/experiment/measure_test.go
@@ -12,8 +12,9 @@
 
 var measure = flags.Bool("measure", false, "run the measurements")
 
-// TestMeasurePowerLoss plays deploy/lab/powerloss.hcl at three sizes, with routers that tell each other reports and without, and prints what was served of what was
-// asked for in the 30 s after the return, against the bound of package lab.
+// TestMeasurePowerLoss plays deploy/lab/powerloss.hcl at three sizes, with routers that tell each
+// other reports and without, and prints what was served of what was asked for in the 30 s after the
+// return, against the bound of package lab.
 func TestMeasurePowerLoss(t *testing.T) {
 	if !*measure {
 		t.Skip("a measurement; see docs/measurements/")
--- a/internal/testbed/experiment/run.go
+++ b/internal/testbed/experiment/run.go
@@ -23,8 +23,9 @@
 	err    error
 }
 
-// Play plays all worlds of an experiment, so many at a time. Done is told of each that is over, by one caller at a time;
-// it may be nil. The runs come by variant, then by seed, however they were played.
+// Play plays all worlds of an experiment, so many at a time. Done is told of each that is over, by
+// one caller at a time; it may be nil. The runs come by variant, then by seed, however they were
+// played.
 func (x *Experiment) Play(ctx context.Context, atOnce int, done func(*Run)) ([]*Run, error) {
 	if err := x.CheckFor(faults.Lab); err != nil {
 		return nil, err
@@ -99,8 +100,9 @@
 
 const resamples = 4000
 
-// Compare compares each further variant with the first. The interval is a percentile bootstrap over seeds (Efron and
-// Tibshirani, An Introduction to the Bootstrap, chapter 13), with a fixed seed of its own.
+// Compare compares each further variant with the first. The interval is a percentile bootstrap over
+// seeds (Efron and Tibshirani, An Introduction to the Bootstrap, chapter 13), with a fixed seed of
+// its own.
 func Compare(runs []*Run) []Difference {
 	p := pairs{g: map[string]map[uint64]float64{}}
 	for _, r := range runs {
@@ -119,7 +121,8 @@
 	return p.compare()
 }
 
-// CompareFolders compares each variant of one kept experiment with the one of the same name in another.
+// CompareFolders compares each variant of one kept experiment with the one of the same name in
+// another.
 func CompareFolders(from, to []KeptRun) (all []Difference) {
 	names, _ := byVariant(from)
 	for _, name := range names {
--- a/internal/testbed/experiment/scale.go
+++ b/internal/testbed/experiment/scale.go
@@ -13,7 +13,8 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Scale is what a fleet serves by how many routers stand before it, at several loads: one row of numbers for each load.
+// Scale is what a fleet serves by how many routers stand before it, at several loads: one row of
+// numbers for each load.
 type Scale struct {
 	Routers []int     // in rising order
 	Loads   []float64 // times the rates of the experiment's text, likewise
@@ -21,8 +22,8 @@
 	First   [][]float64 // share of the best class's requests that ended well
 }
 
-// ScaleOf sorts kept runs whose variants differ by routers and load alone. A pair that was not played, or in which a rule broke, is
-// not a number.
+// ScaleOf sorts kept runs whose variants differ by routers and load alone. A pair that was not
+// played, or in which a rule broke, is not a number.
 func (x *Experiment) ScaleOf(keptRuns []KeptRun) *Scale {
 	type point struct {
 		routers int
@@ -83,7 +84,8 @@
 	return s
 }
 
-// WriteTable writes a row for each load: G by routers, and how much the last column has less than the first.
+// WriteTable writes a row for each load: G by routers, and how much the last column has less than
+// the first.
 func (s *Scale) WriteTable(out io.Writer) error {
 	head, rule := "| load |", "| --- |"
 	for _, n := range s.Routers {
@@ -134,7 +136,8 @@
 	return nil
 }
 
-// WriteScalePage writes one page with the table and a chart of G by routers, and of a run before in dashes if there is one.
+// WriteScalePage writes one page with the table and a chart of G by routers, and of a run before in
+// dashes if there is one.
 func WriteScalePage(out io.Writer, title string, s, before *Scale) error {
 	c := plot.New()
 	c.Title.Text, c.X.Label.Text, c.Y.Label.Text = "what is served by how many routers stand before the same hosts", "routers", "G"
--- a/internal/testbed/experiment/schedule.go
+++ b/internal/testbed/experiment/schedule.go
@@ -155,13 +155,13 @@
 // Topology is the fleet as schedules see it.
 func (x *Experiment) Topology() *faults.Topology { return x.Spec.Topology() }
 
-// onSockets has for each trouble of virtual time the fault that means the same. Those that clients make are played
-// everywhere.
+// onSockets has for each trouble of virtual time the fault that means the same. Those that clients
+// make are played everywhere.
 var onSockets = map[simulator.DisruptionKind]string{simulator.SlowHosts: "slow", simulator.RouterCrash: "kill", simulator.HostsDie: "kill", simulator.Replace: "drain",
 	simulator.Release: "drain", simulator.LostZone: "power", simulator.ListLost: "cut"}
 
-// CheckFor returns what of the schedule does not exist in a world, or is wrong with it, as one line with file, line and
-// field.
+// CheckFor returns what of the schedule does not exist in a world, or is wrong with it, as one line
+// with file, line and field.
 func (x *Experiment) CheckFor(world faults.World) error {
 	if world != faults.Lab {
 		for i, t := range x.Spec.Disruptions {
--- a/internal/testbed/experiment/schedule_test.go
+++ b/internal/testbed/experiment/schedule_test.go
@@ -57,7 +57,8 @@
 	}
 }
 
-// A fault that a world lacks, and one with a field that its kind has not, is one line with file, line and field.
+// A fault that a world lacks, and one with a field that its kind has not, is one line with file,
+// line and field.
 func TestScheduleRefused(t *testing.T) {
 	for text, want := range map[string]string{
 		`fault "smoke" {}`: `x.hcl:20: fault "smoke" is unknown`,
@@ -91,8 +92,8 @@
 	}
 }
 
-// The rig's checkers judge virtual time: drawn faults there, with routers that tell each other, break no rule. A fault that
-// waits for what happens begins then.
+// The rig's checkers judge virtual time: drawn faults there, with routers that tell each other,
+// break no rule. A fault that waits for what happens begins then.
 func TestJudgeVirtualTime(t *testing.T) {
 	x, err := Parse([]byte(fleetOf), "x.hcl")
 	if err != nil {
--- a/internal/testbed/experiment/stored_test.go
+++ b/internal/testbed/experiment/stored_test.go
@@ -14,8 +14,8 @@
 	"reachspread/internal/testbed/golden"
 )
 
-// The folder testdata/kept was left by Keep at commit 5bfcc27 after the small experiment of this package's tests: WRITE_GOLDEN=1 go test
-// -run Golden. The schedule is a copy of that of package
+// The folder testdata/kept was left by Keep at commit 5bfcc27 after the small experiment of this
+// package's tests: WRITE_GOLDEN=1 go test -run Golden. The schedule is a copy of that of package
 // faults, written at the same commit.
 
 // A kept run is read as it was left, and the same experiment leaves the same files.
--- a/internal/testbed/explorer/explorer.go
+++ b/internal/testbed/explorer/explorer.go
@@ -1,13 +1,14 @@
-// Package explorer plays a small fleet of deciders in all orders: of messages, losses, second copies, crashes, starts,
-// standstills and timers, up to a depth, and prints a shortest path to a broken invariant. It is pure.
+// Package explorer plays a small fleet of deciders in all orders: of messages, losses, second
+// copies, crashes, starts, standstills and timers, up to a depth, and prints a shortest path to a
+// broken invariant. It is pure.
 //
-// A fleet is played anew for each path, from its beginning: a decider must be deterministic, and need not be copyable.
-// States are told apart by the hash of what their nodes write of themselves; two that write the same must behave the same
-// from then on, or states go unseen.
+// A fleet is played anew for each path, from its beginning: a decider must be deterministic, and
+// need not be copyable. States are told apart by the hash of what their nodes write of themselves;
+// two that write the same must behave the same from then on, or states go unseen.
 //
-// Each node has a clock of its own, which its timers move. The most by which two clocks that run may differ is part of the
-// question: a lease is only as safe as the bound that it counts on. The clock of a node that stands still or is down goes on
-// as well.
+// Each node has a clock of its own, which its timers move. The most by which two clocks that run
+// may differ is part of the question: a lease is only as safe as the bound that it counts on. The
+// clock of a node that stands still or is down goes on as well.
 package explorer
 
 import (
@@ -37,7 +38,8 @@
 // Out is what a node wants done.
 type Out[M any] struct {
 	Send []Send[M]
-	// Wake is when the node wants to be woken, on its clock; 0 for not at all. Each Out replaces the last one's.
+	// Wake is when the node wants to be woken, on its clock; 0 for not at all. Each Out replaces
+	// the last one's.
 	Wake time.Duration
 }
 
@@ -53,10 +55,11 @@
 // Question is what is to be explored.
 type Question[M any] struct {
 	Nodes int
-	// Make makes a node's decider. Life counts its starts from 0; what it finds kept is up to the caller, who may hand the last
-	// life's node on through before (nil at first).
+	// Make makes a node's decider. Life counts its starts from 0; what it finds kept is up to the
+	// caller, who may hand the last life's node on through before (nil at first).
 	Make func(node, life int, before Node[M]) Node[M]
-	// Holds returns what is wrong with a state. A node that is down is nil. Now has the clock of each.
+	// Holds returns what is wrong with a state. A node that is down is nil. Now has the clock of
+	// each.
 	Holds  func(nodes []Node[M], now []time.Duration) error
 	Budget Budget
 	Depth  int           // choices on a path
@@ -103,7 +106,8 @@
 	resume
 )
 
-// choice is one of the things that may happen next. N is a node, or a message's place among those under way.
+// choice is one of the things that may happen next. N is a node, or a message's place among those
+// under way.
 type choice struct {
 	do doing
 	n  int
@@ -203,8 +207,8 @@
 	return to
 }
 
-// mayReach tells whether a node's clock may come to a time while those of the others that run stand where they do. A timer
-// of another one that is due before goes first then.
+// mayReach tells whether a node's clock may come to a time while those of the others that run stand
+// where they do. A timer of another one that is due before goes first then.
 func (r *run[M]) mayReach(i int, t time.Duration) bool {
 	if r.q.Skew == 0 {
 		return true
--- a/internal/testbed/explorer/explorer_test.go
+++ b/internal/testbed/explorer/explorer_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// The toy: node 0 lends a lock for a time, the others ask for it. The lender counts the time from its grant; a holder must count from
-// before it asked, and take off twice what two clocks may differ by: the one may be ahead as it is asked, and the other at the end.
+// The toy: node 0 lends a lock for a time, the others ask for it. The lender counts the time from
+// its grant; a holder must count from before it asked, and take off twice what two clocks may
+// differ by: the one may be ahead as it is asked, and the other at the end.
 type word struct {
 	Kind string // ask, grant
 	Nth  int    // of the asker, over all its lives
--- a/internal/testbed/faults/check.go
+++ b/internal/testbed/faults/check.go
@@ -15,8 +15,8 @@
 	return fmt.Errorf("%s: %s %s", where, field, fmt.Sprintf(format, v...))
 }
 
-// Check returns what is wrong with a schedule for a fleet of a shape, in a world, of a length. It is one line that names
-// place and field.
+// Check returns what is wrong with a schedule for a fleet of a shape, in a world, of a length. It
+// is one line that names place and field.
 func Check(all []Fault, topology *Topology, world World, length time.Duration) error {
 	if len(all) > Most {
 		return all[Most].wrong("fault", "is one more than the %d that a schedule may have", Most)
--- a/internal/testbed/faults/faults_test.go
+++ b/internal/testbed/faults/faults_test.go
@@ -136,7 +136,8 @@
 	}
 }
 
-// Whatever is drawn passes the check of its world, is over in time, and is the same from the same seed.
+// Whatever is drawn passes the check of its world, is over in time, and is the same from the same
+// seed.
 func TestDraw(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		topology := &Topology{}
@@ -170,7 +171,8 @@
 	})
 }
 
-// Of many faults, the two that matter are left, with no more routers and no more time than they need.
+// Of many faults, the two that matter are left, with no more routers and no more time than they
+// need.
 func TestShrink(t *testing.T) {
 	var all []Fault
 	for i := range 20 {
--- a/internal/testbed/faults/injection.go
+++ b/internal/testbed/faults/injection.go
@@ -69,7 +69,8 @@
 	return s.Direction != In && s.hitsOut(from, to) || s.Direction != Out && s.hitsOut(to, from)
 }
 
-// hitsOut tells whether one end is among the routers of the fault, and the other is what their links lead to.
+// hitsOut tells whether one end is among the routers of the fault, and the other is what their
+// links lead to.
 func (s *Injection) hitsOut(from, to End) bool {
 	if from.Kind != AtRouter || !slices.Contains(s.Routers, from.N) {
 		return false
@@ -113,8 +114,8 @@
 // HitsList tells whether the list is down meanwhile.
 func (s *Injection) HitsList() bool { return s.all }
 
-// Touches tells whether the fault strikes a router itself or one of its links: whatever a checker then holds against it may
-// come from there.
+// Touches tells whether the fault strikes a router itself or one of its links: whatever a checker
+// then holds against it may come from there.
 func (s *Injection) Touches(router int) bool {
 	if slices.Contains(s.Routers, router) {
 		return true
--- a/internal/testbed/faults/kinds.go
+++ b/internal/testbed/faults/kinds.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// The kinds. Those of links strike what passes between routers, hosts and the list; those of processes strike routers,
-// hosts or both.
+// The kinds. Those of links strike what passes between routers, hosts and the list; those of
+// processes strike routers, hosts or both.
 const (
 	Loss      Kind = "loss"
 	Delay     Kind = "delay"
@@ -60,7 +60,8 @@
 	worlds  World
 }
 
-// Kinds has every kind. What a schedule may say, what a world refuses and the operators' table come from here.
+// Kinds has every kind. What a schedule may say, what a world refuses and the operators' table come
+// from here.
 var Kinds = []Meaning{
 	{Loss, "a share of datagrams never comes; a piece of a connection's comes later by a retransmission's time", links, []string{"share"}, nil, Rig | Lab | View | Explore},
 	{Delay, "everything comes later by delay, and by up to jitter more", links, []string{"delay"}, []string{"jitter"}, Rig | Lab | View | Explore},
--- a/internal/testbed/faults/link.go
+++ b/internal/testbed/faults/link.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Condition is what a link is like while the faults of the moment last. Its zero value is a link that is well.
+// Condition is what a link is like while the faults of the moment last. Its zero value is a link
+// that is well.
 type Condition struct {
 	Loss, Duplicate, Reorder, Clip, Flip float64
 	Delay, Jitter                        time.Duration
@@ -16,7 +17,8 @@
 // usualBy is how much later a second copy comes at most where the schedule does not say.
 const usualBy = 10 * time.Millisecond
 
-// ConditionOf joins the faults that are on by now, as they strike what goes from one end to another.
+// ConditionOf joins the faults that are on by now, as they strike what goes from one end to
+// another.
 func ConditionOf(on []*Injection, from, to End) (c Condition) {
 	join := func(a *float64, b float64) { *a = 1 - (1-*a)*(1-b) }
 	for _, s := range on {
@@ -92,10 +94,12 @@
 	return c
 }
 
-// retransmission is what TCP takes at least to send a lost piece again (RFC 6298 says 1 s; Linux has 200 ms).
+// retransmission is what TCP takes at least to send a lost piece again (RFC 6298 says 1 s; Linux
+// has 200 ms).
 const retransmission = 200 * time.Millisecond
 
-// ChunkDelay returns how much later a piece of a connection comes. A cut is not its matter: the piece waits for the cut's end.
+// ChunkDelay returns how much later a piece of a connection comes. A cut is not its matter: the
+// piece waits for the cut's end.
 func (l *Link) ChunkDelay() time.Duration {
 	d := l.Delay + l.upTo(l.Jitter)
 	for n := 0; n < 5 && l.Loss > 0 && l.rng.Float64() < l.Loss; n++ {
--- a/internal/testbed/faults/shrink.go
+++ b/internal/testbed/faults/shrink.go
@@ -11,9 +11,9 @@
 	Faults  []Fault
 }
 
-// Shrink makes a failing trial smaller for as long as fails says that it still fails: halves of its faults go first, then
-// single ones, then routers, then halves of lengths. It asks at most so many times, and returns the smallest trial that
-// failed.
+// Shrink makes a failing trial smaller for as long as fails says that it still fails: halves of its
+// faults go first, then single ones, then routers, then halves of lengths. It asks at most so many
+// times, and returns the smallest trial that failed.
 func Shrink(t Trial, most int, fails func(Trial) bool) Trial {
 	asks := func(x Trial) bool {
 		if most <= 0 {
--- a/internal/testbed/faults/stored_test.go
+++ b/internal/testbed/faults/stored_test.go
@@ -7,8 +7,8 @@
 	"reachspread/internal/testbed/golden"
 )
 
-// The files under testdata were written by Text and Table at commit 5bfcc27: WRITE_GOLDEN=1 go test -run Golden. Package
-// experiment reads the schedule.
+// The files under testdata were written by Text and Table at commit 5bfcc27: WRITE_GOLDEN=1 go test
+// -run Golden. Package experiment reads the schedule.
 
 // goldenSchedule has every kind, and between them every field and every form of a field.
 func goldenSchedule() []Fault {
--- a/internal/testbed/faults/types.go
+++ b/internal/testbed/faults/types.go
@@ -1,10 +1,12 @@
-// Package faults is the one vocabulary of what goes wrong with a fleet: the kinds in a table, schedules of them, what a
-// schedule makes of each link at each moment, drawing and shrinking. The rig plays schedules on processes, serve-fleet on
-// stand-in hosts, the lab in virtual time and the explorer in all orders; a fault has the same name in all of them.
+// Package faults is the one vocabulary of what goes wrong with a fleet: the kinds in a table,
+// schedules of them, what a schedule makes of each link at each moment, drawing and shrinking. The
+// rig plays schedules on processes, serve-fleet on stand-in hosts, the lab in virtual time and the
+// explorer in all orders; a fault has the same name in all of them.
 //
-// This file is the interface's types; kinds.go has the table, check.go what is wrong with a schedule, strike.go whom a
-// fault strikes, link.go what becomes of a datagram, draw.go and shrink.go what their names say. Everything here is pure:
-// no I/O, no clock, no goroutine, and all chance from seeds. It imports nothing of ours.
+// This file is the interface's types; kinds.go has the table, check.go what is wrong with a
+// schedule, strike.go whom a fault strikes, link.go what becomes of a datagram, draw.go and
+// shrink.go what their names say. Everything here is pure: no I/O, no clock, no goroutine, and all
+// chance from seeds. It imports nothing of ours.
 package faults
 
 import "time"
@@ -109,7 +111,8 @@
 // Disks has all of them.
 var Disks = []Disk{DiskUnchanged, DiskEmpty, DiskOther, DiskTruncated, DiskOlder, DiskNewer, DiskFlip, DiskAhead}
 
-// Topology is a fleet, as far as a schedule needs to know it: the zone of each router and of each host.
+// Topology is a fleet, as far as a schedule needs to know it: the zone of each router and of each
+// host.
 type Topology struct{ Routers, Hosts []string }
 
 // EndKind is what stands at one end of a link.
--- a/internal/testbed/history/history.go
+++ b/internal/testbed/history/history.go
@@ -1,9 +1,11 @@
-// Package history is what happened in a play, an event a line: of the rig's processes on sockets or of the lab's virtual
-// time. history.schema.json beside this file says the same of each line for programs that are not ours. The package is
-// pure: it writes to what it is given, and its owner stamps the times. It imports nothing of ours.
+// Package history is what happened in a play, an event a line: of the rig's processes on sockets or
+// of the lab's virtual time. history.schema.json beside this file says the same of each line for
+// programs that are not ours. The package is pure: it writes to what it is given, and its owner
+// stamps the times. It imports nothing of ours.
 //
-// Times are nanoseconds since the play began, by one monotonic clock for the whole machine. A client's request, a call of
-// a process and an operation each have a start and an end; what has no end is unknown, neither done nor not done.
+// Times are nanoseconds since the play began, by one monotonic clock for the whole machine. A
+// client's request, a call of a process and an operation each have a start and an end; what has no
+// end is unknown, neither done nor not done.
 package history
 
 import (
@@ -19,7 +21,8 @@
 // Version is that of the form; a reader refuses others.
 const Version = 1
 
-// MostLine bounds a line in bytes, MostText the text of an event, and MostEvents the events of one history.
+// MostLine bounds a line in bytes, MostText the text of an event, and MostEvents the events of one
+// history.
 const (
 	MostLine   = 64 << 10
 	MostText   = 512
@@ -168,7 +171,8 @@
 	return b.String()
 }
 
-// Writer writes events, each with one call of Write, so that what a killed process has written can be read.
+// Writer writes events, each with one call of Write, so that what a killed process has written can
+// be read.
 type Writer struct {
 	to     io.Writer
 	events int
--- a/internal/testbed/history/stored_test.go
+++ b/internal/testbed/history/stored_test.go
@@ -9,9 +9,11 @@
 	"reachspread/internal/testbed/golden"
 )
 
-// The file under testdata was written by a Writer at commit 5bfcc27: WRITE_GOLDEN=1 go test -run Golden.
+// The file under testdata was written by a Writer at commit 5bfcc27: WRITE_GOLDEN=1 go test -run
+// Golden.
 
-// goldenEvents are the beginning of a play and one event of each kind with every field, and for each way in which a request ends one more.
+// goldenEvents are the beginning of a play and one event of each kind with every field, and for
+// each way in which a request ends one more.
 func goldenEvents() []Event {
 	all := []Event{{What: Begin, Play: &Play{Version: Version, World: "rig", Name: "upgrade", Seed: 1<<63 - 1, Routers: 3, Hosts: 2, Schedule: "fault \"kill\" {}\n",
 		Slack: 5e8, Memory: 192 << 20, Sockets: 512, Leave: 7e8, Views: 3e9, Settle: 4e9}}}
--- a/internal/testbed/hostmodel/cache.go
+++ b/internal/testbed/hostmodel/cache.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// cachedSequence is a piece of prompt in memory: a beginning that sessions share, or what a session has beyond it.
+// cachedSequence is a piece of prompt in memory: a beginning that sessions share, or what a session
+// has beyond it.
 type cachedSequence struct {
 	key      sequenceKey
 	parent   *cachedSequence // of a session's piece: the beginning that it goes on from, nil for none
@@ -20,7 +21,8 @@
 	session bool
 }
 
-// cache has all pieces. What nobody uses and nothing goes on from may be evicted, the longest unused first.
+// cache has all pieces. What nobody uses and nothing goes on from may be evicted, the longest
+// unused first.
 type cache struct {
 	all            map[sequenceKey]*cachedSequence
 	oldest, newest *cachedSequence
@@ -31,7 +33,8 @@
 
 func newCache() cache { return cache{all: map[sequenceKey]*cachedSequence{}} }
 
-// find returns the pieces that a prompt begins with and how many of its first most tokens they hold.
+// find returns the pieces that a prompt begins with and how many of its first most tokens they
+// hold.
 func (c *cache) find(r *Request, most, block int) (path [2]*cachedSequence, found int) {
 	if p := c.all[sequenceKey{name: r.Prefix}]; r.Prefix != "" && p != nil {
 		if found = down(min(p.tokens, r.Shared, most), block); found > 0 {
@@ -79,7 +82,8 @@
 // loosen counts the tokens of a piece among those that may go, or takes them out.
 func (c *cache) loosen(p *cachedSequence, by int) { c.loose += by * p.tokens }
 
-// list has a piece in the list if, and only if, it may be evicted. The list is in the order of last use.
+// list has a piece in the list if, and only if, it may be evicted. The list is in the order of last
+// use.
 func (c *cache) list(p *cachedSequence) {
 	may := p.users == 0 && p.children == 0
 	switch {
--- a/internal/testbed/hostmodel/cold_test.go
+++ b/internal/testbed/hostmodel/cold_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// The most calls in a window are the platform's budget to the call: N + 2 x root of N + 2, and N + 3 x root of N + 3 for N under 30.
-// Calls that have left the window count no more.
+// The most calls in a window are the platform's budget to the call: N + 2 x root of N + 2, and N +
+// 3 x root of N + 3 for N under 30. Calls that have left the window count no more.
 func TestColdBudgetIsCountedToTheCall(t *testing.T) {
 	for _, tt := range []struct {
 		mean time.Duration
--- a/internal/testbed/hostmodel/host.go
+++ b/internal/testbed/hostmodel/host.go
@@ -67,11 +67,12 @@
 		warm: warmth{c: c.SlowStart, never: true}}
 }
 
-// Next returns when the host has something to tell unless something happens before; ok is false if it never has.
+// Next returns when the host has something to tell unless something happens before; ok is false if
+// it never has.
 func (h *Host) Next() (at time.Duration, ok bool) { return h.ends, h.stepping }
 
-// Step takes in the time and one event, and returns what came of the host's work by then, in order. The slice is used
-// again by the next call.
+// Step takes in the time and one event, and returns what came of the host's work by then, in order.
+// The slice is used again by the next call.
 func (h *Host) Step(now time.Duration, e Event) []Result {
 	h.out = h.out[:0]
 	for h.stepping && h.ends <= now {
@@ -210,8 +211,8 @@
 	clear(h.byID)
 }
 
-// begin starts a step if there is anything to do: it takes in who waits, divides what is to be read, and finds the
-// memory for it.
+// begin starts a step if there is anything to do: it takes in who waits, divides what is to be
+// read, and finds the memory for it.
 func (h *Host) begin(now time.Duration) {
 	h.stepping = false
 	if h.dead {
@@ -276,8 +277,8 @@
 	return n
 }
 
-// divide shares out a step: up to Chunk prompt tokens, first come first, and a token for each request whose prompt is
-// read by its end.
+// divide shares out a step: up to Chunk prompt tokens, first come first, and a token for each
+// request whose prompt is read by its end.
 func (h *Host) divide() []doing {
 	plan, left := h.plan[:0], h.c.Chunk
 	for _, r := range h.running {
@@ -309,7 +310,8 @@
 	return true
 }
 
-// preempt puts the newest running request back at the head of the queue. What it has made is read again.
+// preempt puts the newest running request back at the head of the queue. What it has made is read
+// again.
 func (h *Host) preempt(now time.Duration) {
 	r := h.running[len(h.running)-1]
 	h.running = h.running[:len(h.running)-1]
@@ -386,7 +388,8 @@
 	h.plan = h.plan[:0]
 }
 
-// shareBeginning makes the beginning of a prompt that was just read a piece of its own, for others to begin with.
+// shareBeginning makes the beginning of a prompt that was just read a piece of its own, for others
+// to begin with.
 func (h *Host) shareBeginning(r *run, now time.Duration) {
 	shared := down(min(r.req.Shared, r.req.Prompt), h.c.Block)
 	key := sequenceKey{name: r.req.Prefix}
@@ -486,7 +489,8 @@
 	return l
 }
 
-// Load returns what the host reports by now: what was true when the report was refreshed last, and a little noise.
+// Load returns what the host reports by now: what was true when the report was refreshed last, and
+// a little noise.
 func (h *Host) Load(now time.Duration) Load {
 	if h.c.ReportEvery <= 0 {
 		return h.noisy(h.exact())
--- a/internal/testbed/hostmodel/host_test.go
+++ b/internal/testbed/hostmodel/host_test.go
@@ -12,8 +12,8 @@
 
 const ms = time.Millisecond
 
-// plain is a host whose figures are easy to work out by hand: 10 ms a step, 1 ms for each running request, 10,000 tokens
-// read in a second (0.1 ms each).
+// plain is a host whose figures are easy to work out by hand: 10 ms a step, 1 ms for each running
+// request, 10,000 tokens read in a second (0.1 ms each).
 func plain() Config {
 	return Config{Slots: 4, Queue: 2, Memory: 10000, Chunk: 100, Block: 10, Base: 10 * ms, PerSeq: ms, ReadPerS: 10000}
 }
@@ -46,8 +46,8 @@
 	return at
 }
 
-// A prompt of 250 tokens is read in three steps of up to 100; the third makes the first token. By hand: 10+1+10 ms,
-// again, then 10+1+5 ms; each later step takes 11 ms.
+// A prompt of 250 tokens is read in three steps of up to 100; the third makes the first token. By
+// hand: 10+1+10 ms, again, then 10+1+5 ms; each later step takes 11 ms.
 func TestStepTimes(t *testing.T) {
 	all := play(New(plain(), 1), 0, time.Second, ask("a", 250, 3))
 	want := []time.Duration{58 * ms, 69 * ms, 80 * ms}
@@ -59,8 +59,9 @@
 	}
 }
 
-// Contexts and pairs have their price: with 10 ms for each 1,000 tokens of context and 100 ms for a million pairs, the
-// second step of a prompt of 200 begins with 100 tokens read (1 ms) and reads 100 after these (15,000 pairs: 1.5 ms).
+// Contexts and pairs have their price: with 10 ms for each 1,000 tokens of context and 100 ms for a
+// million pairs, the second step of a prompt of 200 begins with 100 tokens read (1 ms) and reads
+// 100 after these (15,000 pairs: 1.5 ms).
 func TestLongContextsTakeLonger(t *testing.T) {
 	c := plain()
 	c.ContextPerK, c.PairsPerM = 10*ms, 100*ms
@@ -127,7 +128,8 @@
 	}
 }
 
-// A beginning that was read is kept for others, and a session goes on from all that went before, in whole blocks.
+// A beginning that was read is kept for others, and a session goes on from all that went before, in
+// whole blocks.
 func TestWhatIsKept(t *testing.T) {
 	for _, made := range []bool{false, true} {
 		c := plain()
@@ -188,8 +190,9 @@
 	}
 }
 
-// When memory runs out the newest goes back into the queue, reads its prompt and what it made again, and is answered
-// all the same: no token is lost, none comes twice. Memory may run out twice in a step.
+// When memory runs out the newest goes back into the queue, reads its prompt and what it made
+// again, and is answered all the same: no token is lost, none comes twice. Memory may run out twice
+// in a step.
 func TestPreemption(t *testing.T) {
 	c := plain()
 	c.Memory, c.Chunk = 300, 1000
@@ -210,8 +213,8 @@
 	}
 }
 
-// A cold host has its share of the capacity and gains evenly; sent more than its budget within the window it falls over
-// and breaks what it has.
+// A cold host has its share of the capacity and gains evenly; sent more than its budget within the
+// window it falls over and breaks what it has.
 func TestColdStart(t *testing.T) {
 	c := plain()
 	c.SlowStart = SlowStart{Share: 0.25, Time: 10 * time.Second, Factor: 2, Window: time.Second, PerToken: ms}
@@ -227,7 +230,8 @@
 	if diff := cmp.Diff([]time.Duration{time.Second + 80*ms}, times(all, Token, "a")); diff != "" { // 20 ms at a quarter
 		t.Error(diff)
 	}
-	// At 2.5 s it has 0.3625: 725 ms of work may come within a second, of which the first took 90 before 1.5 s.
+	// At 2.5 s it has 0.3625: 725 ms of work may come within a second, of which the first took 90
+	// before 1.5 s.
 	var fell []Result
 	for i := range 8 {
 		got := h.Step(2500*ms, ask(fmt.Sprint("b", i), 100, 500))
@@ -266,7 +270,8 @@
 	}
 }
 
-// A full table takes its part of the capacity, a handshake its work, and beyond the table nobody connects.
+// A full table takes its part of the capacity, a handshake its work, and beyond the table nobody
+// connects.
 func TestConnections(t *testing.T) {
 	c := plain()
 	c.Conns, c.TableCost, c.Handshake = 10, 0.5, 2*ms
@@ -292,7 +297,8 @@
 	}
 }
 
-// Reports are as old as the last refresh; a shallow probe is answered beside the queue, a deep one waits in it.
+// Reports are as old as the last refresh; a shallow probe is answered beside the queue, a deep one
+// waits in it.
 func TestReportsAndProbes(t *testing.T) {
 	c := plain()
 	c.ReportEvery, c.ProbesMax = 100*ms, 3
@@ -320,8 +326,8 @@
 	}
 }
 
-// Whatever comes, each request that is taken in ends once, tokens are neither lost nor made twice, memory holds, and the
-// same events give the same results.
+// Whatever comes, each request that is taken in ends once, tokens are neither lost nor made twice,
+// memory holds, and the same events give the same results.
 func TestPromises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := plain()
--- a/internal/testbed/hostmodel/slowstart.go
+++ b/internal/testbed/hostmodel/slowstart.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// warmth is a host's way from its start to its full capacity, and the budget that it has until then.
+// warmth is a host's way from its start to its full capacity, and the budget that it has until
+// then.
 type warmth struct {
 	c     SlowStart
 	born  time.Duration
@@ -35,8 +36,8 @@
 	return w.c.Share + (1-w.c.Share)*min(max(fraction, 0), 1)
 }
 
-// topples counts work sent and tells whether it was too much: more within the window than Factor times what the host can
-// do in it at its present capacity.
+// topples counts work sent and tells whether it was too much: more within the window than Factor
+// times what the host can do in it at its present capacity.
 func (w *warmth) topples(now time.Duration, work time.Duration) bool {
 	capacity := w.share(now)
 	if capacity >= 1 || w.c.Window <= 0 || w.c.Factor <= 0 {
@@ -63,8 +64,9 @@
 // few is the number of calls in a window below which the platform allows more for chance.
 const few = 30
 
-// count counts a call of somebody who had been told of the start. The budget is the platform's: N calls in a window, N being
-// what the settings allow by then, and for chance 2 x root of N + 2 more, or 3 x root of N + 3 where N is small.
+// count counts a call of somebody who had been told of the start. The budget is the platform's: N
+// calls in a window, N being what the settings allow by then, and for chance 2 x root of N + 2
+// more, or 3 x root of N + 3 where N is small.
 func (w *warmth) count(now time.Duration) {
 	capacity := w.share(now)
 	if capacity >= 1 || w.c.Mean <= 0 {
--- a/internal/testbed/hostmodel/types.go
+++ b/internal/testbed/hostmodel/types.go
@@ -1,12 +1,13 @@
-// Package hostmodel is a model of a host that runs a language model: which requests it takes, how long its steps are, which
-// prompts it keeps, when it turns work away, how it warms up and when it falls over. It serves two worlds, the lab's
-// virtual time and stand-in hosts on sockets.
+// Package hostmodel is a model of a host that runs a language model: which requests it takes, how
+// long its steps are, which prompts it keeps, when it turns work away, how it warms up and when it
+// falls over. It serves two worlds, the lab's virtual time and stand-in hosts on sockets.
 //
-// This file is the interface; host.go has the steps, cache.go what is kept of prompts, and cold.go the start. A Host is a
-// state machine without I/O, clock or goroutine: its owner calls Step with the time and one event, and again at Next.
-// What comes back carries the time at which it happened, which may lie before the call, never after it. The same seed,
-// settings and events always give the same results. The owner owes one caller at a time and a clock that never goes back.
-// Its memory is bounded by slots, queue and kept tokens. It imports nothing of ours.
+// This file is the interface; host.go has the steps, cache.go what is kept of prompts, and cold.go
+// the start. A Host is a state machine without I/O, clock or goroutine: its owner calls Step with
+// the time and one event, and again at Next. What comes back carries the time at which it happened,
+// which may lie before the call, never after it. The same seed, settings and events always give the
+// same results. The owner owes one caller at a time and a clock that never goes back. Its memory is
+// bounded by slots, queue and kept tokens. It imports nothing of ours.
 package hostmodel
 
 import "time"
@@ -19,8 +20,9 @@
 	Chunk  int // prompt tokens that a step reads at most
 	Block  int // what is kept of a prompt is a multiple of this
 
-	// A step takes Base + PerSeq for each running request + ContextPerK for each 1,000 tokens of their contexts + what it
-	// reads at ReadPerS + PairsPerM for each million pairs of a token read and a token before it.
+	// A step takes Base + PerSeq for each running request + ContextPerK for each 1,000 tokens of
+	// their contexts + what it reads at ReadPerS + PairsPerM for each million pairs of a token read
+	// and a token before it.
 	Base, PerSeq, ContextPerK, PairsPerM time.Duration
 	ReadPerS                             float64
 
--- a/internal/testbed/membershipsim/drawn_test.go
+++ b/internal/testbed/membershipsim/drawn_test.go
@@ -7,7 +7,8 @@
 	"reachspread/internal/testbed/faults"
 )
 
-// playDrawn plays a schedule that a seed draws, on a fleet that it draws too, and returns what is wrong.
+// playDrawn plays a schedule that a seed draws, on a fleet that it draws too, and returns what is
+// wrong.
 func playDrawn(t testing.TB, seed uint64) string {
 	s := Spec{Seed: seed, Routers: 2 + int(seed*7%23), Zones: 1 + int(seed%4), Length: 2 * time.Minute}
 	if seed%3 == 0 {
@@ -43,7 +44,8 @@
 	return ""
 }
 
-// heavy tells whether so much is lost, or stands still in bursts, that a death is none of the decider's fault.
+// heavy tells whether so much is lost, or stands still in bursts, that a death is none of the
+// decider's fault.
 func heavy(all []faults.Fault) bool {
 	lost := 0.0
 	for _, f := range all {
@@ -57,7 +59,8 @@
 	return lost >= 0.5
 }
 
-// Drawn schedules on drawn fleets, of few routers that know each other or not, settle and break nothing.
+// Drawn schedules on drawn fleets, of few routers that know each other or not, settle and break
+// nothing.
 func TestDrawn(t *testing.T) {
 	seeds := []uint64{2112, 2676, 5972, 6236, 9116, 51539} // that failed once
 	for seed := range uint64(150) {
--- a/internal/testbed/membershipsim/measure_test.go
+++ b/internal/testbed/membershipsim/measure_test.go
@@ -11,7 +11,8 @@
 	"reachspread/internal/testbed/faults"
 )
 
-// The measurements run when asked: docs/measurements/members.md has the commands and what came of them.
+// The measurements run when asked: docs/measurements/members.md has the commands and what came of
+// them.
 var (
 	measure = flag.Bool("measure", false, "run the measurements")
 	hours   = flag.Float64("hours", 100, "of members' time, of TestMeasureFalseDeaths")
--- a/internal/testbed/membershipsim/membershipsim.go
+++ b/internal/testbed/membershipsim/membershipsim.go
@@ -1,6 +1,7 @@
-// Package membershipsim plays the deciders of package members in virtual time: many routers, the network between them with the
-// faults of package faults, and invariants that are looked at after each step. The same Spec gives the same play. It is
-// pure, single-threaded, and bounded by its routers and what is under way.
+// Package membershipsim plays the deciders of package members in virtual time: many routers, the
+// network between them with the faults of package faults, and invariants that are looked at after
+// each step. The same Spec gives the same play. It is pure, single-threaded, and bounded by its
+// routers and what is under way.
 package membershipsim
 
 import (
@@ -316,8 +317,8 @@
 	}
 }
 
-// wellFor is how long a router must have lived and been reached for its death to be false: what led to it may be from before,
-// and waits for others in doubt.
+// wellFor is how long a router must have lived and been reached for its death to be false: what led
+// to it may be from before, and waits for others in doubt.
 const wellFor = 6 * time.Second
 
 // well tells that a router lives, runs, and is struck by no cut or partition, for long enough.
@@ -472,7 +473,8 @@
 	w.put(event{at: w.now + time.Duration((1-s.Share)*float64(burst)), do: freezes, n: e.n, gen: e.gen})
 }
 
-// Settled tells whether all routers that live have the same view, in which are they and nobody else; if not, why.
+// Settled tells whether all routers that live have the same view, in which are they and nobody
+// else; if not, why.
 func (w *World) Settled() (bool, string) {
 	var digest uint64
 	var first *router
@@ -504,7 +506,8 @@
 	return true, ""
 }
 
-// AwaitConvergence plays on until the fleet has settled, and returns when; ok is false where it has not by a time.
+// AwaitConvergence plays on until the fleet has settled, and returns when; ok is false where it has
+// not by a time.
 func (w *World) AwaitConvergence(until time.Duration) (at time.Duration, ok bool, why string) {
 	const look = 50 * time.Millisecond
 	for {
--- a/internal/testbed/membershipsim/membershipsim_test.go
+++ b/internal/testbed/membershipsim/membershipsim_test.go
@@ -49,8 +49,9 @@
 	}
 }
 
-// settles is the bound within which a fleet settles after its last fault; the design note derives it: a greeting a second finds
-// who is held to be dead, a probe and a suspicion who is not there, each with as much again for loss and digests.
+// settles is the bound within which a fleet settles after its last fault; the design note derives
+// it: a greeting a second finds who is held to be dead, a probe and a suspicion who is not there,
+// each with as much again for loss and digests.
 func settles(routers int) time.Duration {
 	return 8*sec + time.Duration(routers)*30*ms
 }
@@ -64,8 +65,8 @@
 
 var everyone = faults.Select{All: true}
 
-// The hard cases: each settles within the bound, breaks no invariant, and takes nobody for dead who lives and can be
-// reached.
+// The hard cases: each settles within the bound, breaks no invariant, and takes nobody for dead who
+// lives and can be reached.
 func TestHardCases(t *testing.T) {
 	steps := restarts(4*sec, sec, 1, 2, 4, 5, 7, 8, 10, 11, 13, 14, 16, 17, 19, 20)
 	var killed []faults.Fault
--- a/internal/testbed/pairedruns/pairedruns.go
+++ b/internal/testbed/pairedruns/pairedruns.go
@@ -1,6 +1,7 @@
-// Package pairedruns plays days of the fleet's bench with two versions of the project, the same seeds with both, and says how much worth the one
-// earns beside the other. It owns the order of the plays and the sums; how a day is played is its caller's. Differences are of worth, from 0
-// to 1 a day.
+// Package pairedruns plays days of the fleet's bench with two versions of the project, the same
+// seeds with both, and says how much worth the one earns beside the other. It owns the order of the
+// plays and the sums; how a day is played is its caller's. Differences are of worth, from 0 to 1 a
+// day.
 package pairedruns
 
 import (
@@ -44,7 +45,8 @@
 	AtOnce      int // plays side by side, 1 or more
 }
 
-// plays are all plays, the two of a pair next to each other so that both meet the same load of the machine.
+// plays are all plays, the two of a pair next to each other so that both meet the same load of the
+// machine.
 func (p *Plan) plays() (all []Play) {
 	for _, seed := range p.Seeds {
 		for _, site := range p.Sites {
@@ -108,7 +110,8 @@
 	return d
 }
 
-// ValueDifference is the difference of worth, after less before, over the pairs of a site and a day; empty names stand for all.
+// ValueDifference is the difference of worth, after less before, over the pairs of a site and a
+// day; empty names stand for all.
 func (r *Result) ValueDifference(site, day string) Difference {
 	return r.difference(site, day, func(d *scoreanalysis.Day) float64 { return d.Worth })
 }
--- a/internal/testbed/pairedruns/pairedruns_test.go
+++ b/internal/testbed/pairedruns/pairedruns_test.go
@@ -12,7 +12,8 @@
 	"reachspread/internal/testbed/scoreanalysis"
 )
 
-// worths are the plays of two seeds: the later version earns 0.1 and 0.3 more on the day a, and as much on the day b.
+// worths are the plays of two seeds: the later version earns 0.1 and 0.3 more on the day a, and as
+// much on the day b.
 func worths(_ context.Context, p Play) (*scoreanalysis.Day, error) {
 	d := &scoreanalysis.Day{Worth: 0.5, Losses: []scoreanalysis.Loss{{Cause: "worst class", Worth: 0.5}}}
 	if p.Version == After && p.Day == "a" {
--- a/internal/testbed/scoreanalysis/print.go
+++ b/internal/testbed/scoreanalysis/print.go
@@ -13,8 +13,8 @@
 	leastShown  = 0.0005
 )
 
-// Print writes what each day lost, and what was lost on average. Beside is an account of other plays of the same days, nil for none: its figures
-// come as differences.
+// Print writes what each day lost, and what was lost on average. Beside is an account of other
+// plays of the same days, nil for none: its figures come as differences.
 func Print(w io.Writer, a, compared *Account) {
 	if a.ID != "" {
 		fmt.Fprintf(w, "%s, entry %s: %s\n", a.Site, a.ID, a.Why)
--- a/internal/testbed/scoreanalysis/requests.go
+++ b/internal/testbed/scoreanalysis/requests.go
@@ -11,13 +11,14 @@
 	"text/tabwriter"
 )
 
-// A build of the trial (docs/measurements/deciding-trace.diff) has every router print a line for each request that it decided on, when it is
-// done with it:
+// A build of the trial (docs/measurements/deciding-trace.diff) has every router print a line for
+// each request that it decided on, when it is done with it:
 //
 //	TRACE <arrived, ms> <prefix> aim=<ms> left=<ms> prompt=<tokens> shared=<tokens> how=<end|none> runs=<n> safe=<bool>|<attempt>|...
 //
-// with an attempt as host, sent, first token, end (ms after the arrival, the last two after the sending; a first token of -1 never came),
-// expected first token (ms), result (a balance.Result), tokens ahead, tokens to read, and more that is not read here, joined by commas.
+// with an attempt as host, sent, first token, end (ms after the arrival, the last two after the
+// sending; a first token of -1 never came), expected first token (ms), result (a balance.Result),
+// tokens ahead, tokens to read, and more that is not read here, joined by commas.
 
 // tracePrefix begins what a router printed of a request, behind the bench's time and machine.
 const tracePrefix = "TRACE "
@@ -116,8 +117,9 @@
 	Lost      float64 // share of the worth of all requests
 }
 
-// Requests is the account of a log by mechanisms, the greatest first, and how many requests it has. Worths are by the rules: by the size of
-// the prompt against the mean of its kind, four times its kind's at most. A kind is known by its aim, and a late answer keeps a tenth.
+// Requests is the account of a log by mechanisms, the greatest first, and how many requests it has.
+// Worths are by the rules: by the size of the prompt against the mean of its kind, four times its
+// kind's at most. A kind is known by its aim, and a late answer keeps a tenth.
 type Requests struct {
 	All    int
 	Losses []MechanismLoss
--- a/internal/testbed/scoreanalysis/requests_test.go
+++ b/internal/testbed/scoreanalysis/requests_test.go
@@ -7,7 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// line is a request of 1,000 tokens and an aim of 400 ms, as a router of the trial's build prints it.
+// line is a request of 1,000 tokens and an aim of 400 ms, as a router of the trial's build prints
+// it.
 func line(attempts ...string) string {
 	return "  12.5 frontend-x-1 TRACE 1774 p7 aim=400 left=2999 prompt=1000 shared=300 how=end runs=2 safe=true" + strings.Join(append([]string{""}, attempts...), "|")
 }
--- a/internal/testbed/scoreanalysis/scoreanalysis.go
+++ b/internal/testbed/scoreanalysis/scoreanalysis.go
@@ -1,8 +1,9 @@
-// Package scoreanalysis says what a played day of the fleet's bench lost, by part and by price: from a report of one day, or from a journal entry of
-// several. It reads nothing else of the bench. It is pure but for the reader that it is given.
+// Package scoreanalysis says what a played day of the fleet's bench lost, by part and by price:
+// from a report of one day, or from a journal entry of several. It reads nothing else of the bench.
+// It is pure but for the reader that it is given.
 //
-// A day's worth is the sum of its parts' values by their weights, less the prices. So what a part loses is its weight times what its value
-// lacks of 1.
+// A day's worth is the sum of its parts' values by their weights, less the prices. So what a part
+// loses is its weight times what its value lacks of 1.
 package scoreanalysis
 
 import (
--- a/internal/testbed/scoreanalysis/scoreanalysis_test.go
+++ b/internal/testbed/scoreanalysis/scoreanalysis_test.go
@@ -25,7 +25,8 @@
 	return a
 }
 
-// A part loses its weight times what it lacks of 1, a price what it took; the greatest loss is first.
+// A part loses its weight times what it lacks of 1, a price what it took; the greatest loss is
+// first.
 func TestRead(t *testing.T) {
 	is := is.New(t)
 	a := read(t, entryText)
--- a/internal/testbed/scoreanalysis/stored_test.go
+++ b/internal/testbed/scoreanalysis/stored_test.go
@@ -9,8 +9,9 @@
 	"reachspread/internal/testbed/golden"
 )
 
-// incident.json and run.json are entries of this repository's journal as the fleet's bench wrote them (44e275c5 and 981af365). What Print says
-// of them was written at commit 5bfcc27: WRITE_GOLDEN=1 go test -run Golden.
+// incident.json and run.json are entries of this repository's journal as the fleet's bench wrote
+// them (44e275c5 and 981af365). What Print says of them was written at commit 5bfcc27:
+// WRITE_GOLDEN=1 go test -run Golden.
 
 // An entry of the journal is read to the same account as before.
 func TestGoldenEntries(t *testing.T) {
--- a/internal/testbed/simulator/bound.go
+++ b/internal/testbed/simulator/bound.go
@@ -7,9 +7,10 @@
 	"reachspread/internal/testbed/hostmodel"
 )
 
-// What hosts could serve in time at a moment, whoever asked them: a bound from means, as of a fluid. Each host runs as many requests of a class at once as
-// keep its pace, reads what nobody can have kept, and is never idle; the classes share hosts as fits their worth best. Routers may come near it and not beyond, but for
-// what the means hide: a second whose requests are all short.
+// What hosts could serve in time at a moment, whoever asked them: a bound from means, as of a
+// fluid. Each host runs as many requests of a class at once as keep its pace, reads what nobody can
+// have kept, and is never idle; the classes share hosts as fits their worth best. Routers may come
+// near it and not beyond, but for what the means hide: a second whose requests are all short.
 
 // need is what a class asked for within a second.
 type need struct{ n, unread, out, prompt float64 }
@@ -29,7 +30,8 @@
 	*x = need{x.n + 1, x.unread + float64(max(unread, 1)), x.out + float64(f.out), x.prompt + float64(f.prompt)}
 }
 
-// inTime returns how many requests of a class a host could serve in a second if it did nothing else.
+// inTime returns how many requests of a class a host could serve in a second if it did nothing
+// else.
 func inTime(h *hostmodel.Config, share float64, c *Class, x need) float64 {
 	out, pace := x.out/x.n, c.Class.TokenLatencyTarget.Seconds()
 	if pace == 0 {
@@ -49,7 +51,8 @@
 	return at * share / (out * (h.Base.Seconds() + each*at))
 }
 
-// able returns, by class, the most worth that hosts could have given of what was asked for since the last call, and begins to count anew.
+// able returns, by class, the most worth that hosts could have given of what was asked for since
+// the last call, and begins to count anew.
 func (w *World) able() []float64 {
 	value := make([]float64, len(w.s.Classes))
 	if len(w.need) == 0 {
--- a/internal/testbed/simulator/bound_test.go
+++ b/internal/testbed/simulator/bound_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// No fleet serves more than the bound, warm or cold, with little to do or far too much; and the bound follows what hosts can do.
+// No fleet serves more than the bound, warm or cold, with little to do or far too much; and the
+// bound follows what hosts can do.
 func TestBound(t *testing.T) {
 	able := func(rate float64, cold bool) (got, able, of float64) {
 		s := small(3)
--- a/internal/testbed/simulator/client.go
+++ b/internal/testbed/simulator/client.go
@@ -43,7 +43,8 @@
 	return max(int(l.Median*math.Exp(l.Sigma*rng.NormFloat64())), 1)
 }
 
-// AnswerOf draws the length of an answer by the request's number, for requests whose answers are not known.
+// AnswerOf draws the length of an answer by the request's number, for requests whose answers are
+// not known.
 func (c *Class) AnswerOf(n int) int {
 	return min(c.Out.draw(rand.New(rand.NewPCG(uint64(n), forSession))), c.MaxOut)
 }
@@ -90,8 +91,9 @@
 	return s
 }
 
-// underway begins the sessions that are in the midst of it when the world begins, each at some turn after its first, as
-// many as there are on average: otherwise the load would take minutes to come up.
+// underway begins the sessions that are in the midst of it when the world begins, each at some turn
+// after its first, as many as there are on average: otherwise the load would take minutes to come
+// up.
 func (l *load) underway() {
 	gap := float64(l.c.Think+l.c.Class.LatencyTarget)/float64(time.Second) + l.c.Out.mean()*l.c.Class.TokenLatencyTarget.Seconds()
 	for n := l.c.Rate / l.c.Turns * (l.c.Turns - 1) * gap; n > 0 && (n >= 1 || l.rng.Float64() < n); n-- {
--- a/internal/testbed/simulator/disruption.go
+++ b/internal/testbed/simulator/disruption.go
@@ -103,7 +103,8 @@
 	}
 }
 
-// stop ends a host's process and has it start again after a while. The list hears of the start alone.
+// stop ends a host's process and has it start again after a while. The list hears of the start
+// alone.
 func (w *World) stop(h *host, after time.Duration) {
 	w.die(h)
 	w.at(w.now+after, event{kind: hostStarts, n: h.n, gen: h.gen})
@@ -188,7 +189,8 @@
 	}
 }
 
-// firstDisruptionNumber is where the numbers of disruptions begin among those of a history's faults.
+// firstDisruptionNumber is where the numbers of disruptions begin among those of a history's
+// faults.
 const firstDisruptionNumber = faults.Most
 
 // disruptionFault is the fault that excuses what a disruption does.
@@ -211,8 +213,8 @@
 	w.emit(e)
 }
 
-// releasing is a release of all hosts, some at a time: each is drained, has two thirds of its round to finish what it
-// has, and starts anew.
+// releasing is a release of all hosts, some at a time: each is drained, has two thirds of its round
+// to finish what it has, and starts anew.
 type releasing struct {
 	left    []int
 	each    int
--- a/internal/testbed/simulator/faults.go
+++ b/internal/testbed/simulator/faults.go
@@ -44,8 +44,9 @@
 	return topology
 }
 
-// checkFaults returns what of a schedule virtual time can't play. A host is cut off from all routers or from none, and so is
-// the list: a world has one list, and hosts whose answers all routers hear.
+// checkFaults returns what of a schedule virtual time can't play. A host is cut off from all
+// routers or from none, and so is the list: a world has one list, and hosts whose answers all
+// routers hear.
 func (s *Spec) checkFaults() error {
 	if err := faults.Check(s.Faults, s.Topology(), faults.Lab, s.Length); err != nil {
 		return err
@@ -176,7 +177,8 @@
 	}
 }
 
-// isolate cuts hosts and the list off, or has them back. What hosts had under way is reset then; they run on.
+// isolate cuts hosts and the list off, or has them back. What hosts had under way is reset then;
+// they run on.
 func (w *World) isolate(s *faults.Injection, on bool) {
 	if slices.Contains(s.Links, faults.LinkList) {
 		if on {
--- a/internal/testbed/simulator/hosts.go
+++ b/internal/testbed/simulator/hosts.go
@@ -57,8 +57,8 @@
 	return h
 }
 
-// hostDoes has a host take in an event, or only the time, and carries on what comes of it. Full tells that a connection
-// found no room.
+// hostDoes has a host take in an event, or only the time, and carries on what comes of it. Full
+// tells that a connection found no room.
 func (w *World) hostDoes(h *host, e hostmodel.Event) (full bool) {
 	if e == nil {
 		e = hostmodel.Passed{}
@@ -151,7 +151,8 @@
 	load         *balance.Load
 }
 
-// hostMessage sends a word to the attempt's router; the words of one attempt don't overtake one another.
+// hostMessage sends a word to the attempt's router; the words of one attempt don't overtake one
+// another.
 func (w *World) sendHostMessage(h *host, a *attempt, message *hostMessage) {
 	if h.isolated { // it is not heard, until the network is back and resets what was under way
 		h.undelivered = append(h.undelivered, a)
@@ -210,8 +211,8 @@
 	}
 }
 
-// endIdleStreams has routers end the streams of a host that was cut off and is not heard of since. What the host made meanwhile
-// nobody gets.
+// endIdleStreams has routers end the streams of a host that was cut off and is not heard of since.
+// What the host made meanwhile nobody gets.
 func (w *World) endIdleStreams(h *host, isolation int) {
 	if !h.isolated || h.isolations != isolation {
 		return
--- a/internal/testbed/simulator/loss_test.go
+++ b/internal/testbed/simulator/loss_test.go
@@ -17,8 +17,9 @@
 	lossesFrom = flag.Uint64("losses-from", 1, "the first one's seed")
 )
 
-// drawnLoss is a world in which power is lost: of all or some routers and hosts, which come back in any order, once to five times; discovery is away meanwhile
-// or not, some disks are empty, and hosts drain or slow down beside.
+// drawnLoss is a world in which power is lost: of all or some routers and hosts, which come back in
+// any order, once to five times; discovery is away meanwhile or not, some disks are empty, and
+// hosts drain or slow down beside.
 func drawnLoss(seed uint64) Spec {
 	rng := rand.New(rand.NewPCG(seed, 0x1055))
 	s := small(seed)
@@ -68,7 +69,8 @@
 	return s
 }
 
-// Drawn power losses: no rule is broken. 10,000 of them: go test ./internal/testbed/simulator -run Losses -losses 10000 (docs/measurements/recovery.md).
+// Drawn power losses: no rule is broken. 10,000 of them: go test ./internal/testbed/simulator -run
+// Losses -losses 10000 (docs/measurements/recovery.md).
 func TestDrawnPowerLosses(t *testing.T) {
 	t.Parallel()
 	var next atomic.Int64
@@ -100,7 +102,8 @@
 	all.Wait()
 }
 
-// The checkers find what is planted: routers that take hosts for warm as they start push them over, and the same ones that do not, do not.
+// The checkers find what is planted: routers that take hosts for warm as they start push them over,
+// and the same ones that do not, do not.
 func TestPlantedWarmth(t *testing.T) {
 	t.Parallel()
 	over := func(planted bool) (n int) {
--- a/internal/testbed/simulator/mass_test.go
+++ b/internal/testbed/simulator/mass_test.go
@@ -13,9 +13,10 @@
 
 var massSeeds = flag.Uint64("mass", 0, "seeds of the worlds of 300 routers to play")
 
-// At 300 routers by 100 hosts, with a zone that dies and returns cold, seven in ten routers killed at once, or six in ten
-// hosts replaced: no rule is broken, which the checkers see to, and what grows with routers times hosts stays bounded for
-// each attempt. It takes too long for CI under the race detector: go test ./internal/testbed/simulator -run ThreeHundred -mass 8.
+// At 300 routers by 100 hosts, with a zone that dies and returns cold, seven in ten routers killed
+// at once, or six in ten hosts replaced: no rule is broken, which the checkers see to, and what
+// grows with routers times hosts stays bounded for each attempt. It takes too long for CI under the
+// race detector: go test ./internal/testbed/simulator -run ThreeHundred -mass 8.
 func TestThreeHundredRouters(t *testing.T) {
 	if *massSeeds == 0 {
 		t.Skip("played with -mass")
@@ -49,8 +50,9 @@
 	return n
 }
 
-// TestMeasureTogether counts, in worlds of 300 routers, what is lost by what routers do together: refusals and late answers beside hosts with
-// room, what cold hosts leave unused, and prompts that wait at hosts while others are idle.
+// TestMeasureTogether counts, in worlds of 300 routers, what is lost by what routers do together:
+// refusals and late answers beside hosts with room, what cold hosts leave unused, and prompts that
+// wait at hosts while others are idle.
 func TestMeasureTogether(t *testing.T) {
 	if !*measure {
 		t.Skip("a measurement; see docs/measurements/")
--- a/internal/testbed/simulator/measure_test.go
+++ b/internal/testbed/simulator/measure_test.go
@@ -32,7 +32,8 @@
 	return c.Decider.Step(now, events)
 }
 
-// TestMeasureScale grows a fleet from 10 hosts to 1,000, with a router for each 10 and 20 requests a second for each host.
+// TestMeasureScale grows a fleet from 10 hosts to 1,000, with a router for each 10 and 20 requests
+// a second for each host.
 func TestMeasureScale(t *testing.T) {
 	if !*measure {
 		t.Skip("a measurement; see docs/measurements/")
@@ -69,8 +70,9 @@
 	}
 }
 
-// TestMeasureWords prints, as lines of docs/measurements/capacity.csv, the words that a router hears for each attempt of the fleet, by the
-// number of routers at the planned number of hosts for each.
+// TestMeasureWords prints, as lines of docs/measurements/capacity.csv, the words that a router
+// hears for each attempt of the fleet, by the number of routers at the planned number of hosts for
+// each.
 func TestMeasureWords(t *testing.T) {
 	if !*measure {
 		t.Skip("a measurement; see docs/CAPACITY.md")
--- a/internal/testbed/simulator/simulator_test.go
+++ b/internal/testbed/simulator/simulator_test.go
@@ -85,7 +85,8 @@
 	}
 }
 
-// The same spec and seed give the same bytes, one after another and side by side, and another seed gives others.
+// The same spec and seed give the same bytes, one after another and side by side, and another seed
+// gives others.
 func TestDeterminism(t *testing.T) {
 	s := small(7)
 	s.Disruptions = []Disruption{{Kind: SlowHosts, At: 3 * time.Second, Length: 5 * time.Second, Fraction: 0.3, Size: 4},
@@ -415,7 +416,8 @@
 	}
 }
 
-// A zone that falls silent for longer than a router waits: its streams end while it is silent, not with its return.
+// A zone that falls silent for longer than a router waits: its streams end while it is silent, not
+// with its return.
 func TestSilentStreamsEnd(t *testing.T) {
 	ended := func(silent time.Duration) (during, broken uint64) {
 		s := small(2)
--- a/internal/testbed/simulator/slowstart_test.go
+++ b/internal/testbed/simulator/slowstart_test.go
@@ -13,8 +13,9 @@
 
 var slowStartSeeds = flag.Uint64("slowstart", 1, "schedules to draw for each number of routers")
 
-// slowStart draws a world in which many hosts start cold under more load than they can take: routers get uneven parts of it, hear of
-// starts at different times, miss part of what the others tell or all of it, and some of them die and come back.
+// slowStart draws a world in which many hosts start cold under more load than they can take:
+// routers get uneven parts of it, hear of starts at different times, miss part of what the others
+// tell or all of it, and some of them die and come back.
 func slowStart(seed uint64, routers int) Spec {
 	rng := rand.New(rand.NewPCG(seed, uint64(routers)))
 	hosts := []int{2, 4, 8}[rng.IntN(3)]
@@ -51,7 +52,8 @@
 	return time.Duration(sum / rate)
 }
 
-// coldBudgetUsed plays a world and returns the most that any cold host was sent in a window, as a part of what it may be.
+// coldBudgetUsed plays a world and returns the most that any cold host was sent in a window, as a
+// part of what it may be.
 func coldBudgetUsed(t *testing.T, s Spec) float64 {
 	t.Helper()
 	w, err := New(s)
@@ -70,9 +72,10 @@
 	return worst
 }
 
-// The sum over all routers that were told of a start stays within what the settings allow, in every window: with one router or
-// hundreds, with more routers than calls in the budget, whoever hears of whom. That a share too large is found is shown where
-// hosts are no bound, by balance's TestNoViewOverloadsAReplicaInSlowStart.
+// The sum over all routers that were told of a start stays within what the settings allow, in every
+// window: with one router or hundreds, with more routers than calls in the budget, whoever hears of
+// whom. That a share too large is found is shown where hosts are no bound, by balance's
+// TestNoViewOverloadsAReplicaInSlowStart.
 func TestSlowStartOverDrawnSchedules(t *testing.T) {
 	for _, routers := range []int{1, 3, 30, 300} {
 		t.Run(fmt.Sprint(routers), func(t *testing.T) {
--- a/internal/testbed/simulator/spec.go
+++ b/internal/testbed/simulator/spec.go
@@ -1,11 +1,13 @@
-// Package simulator plays a whole fleet in virtual time: clients with sessions and retries, a front that spreads them, routers
-// around the real decision module, the list of hosts, the network, model hosts (package fleet) and disruptions. Checkers of
-// the platform's rules run on every world. The same Spec gives the same results, to the byte, wherever it is played.
+// Package simulator plays a whole fleet in virtual time: clients with sessions and retries, a front
+// that spreads them, routers around the real decision module, the list of hosts, the network, model
+// hosts (package fleet) and disruptions. Checkers of the platform's rules run on every world. The
+// same Spec gives the same results, to the byte, wherever it is played.
 //
-// This file is what an experiment is made of; world.go has the clock, client.go the load, router.go the routers, hosts.go
-// hosts and their list, disruption.go what goes wrong, rules.go the checkers and result.go what comes of it. A World is
-// single-threaded, does no I/O and looks at no clock; different worlds share nothing and may be played side by side. Its
-// memory is bounded by what is open at once: finished requests are only counted.
+// This file is what an experiment is made of; world.go has the clock, client.go the load, router.go
+// the routers, hosts.go hosts and their list, disruption.go what goes wrong, rules.go the checkers
+// and result.go what comes of it. A World is single-threaded, does no I/O and looks at no clock;
+// different worlds share nothing and may be played side by side. Its memory is bounded by what is
+// open at once: finished requests are only counted.
 package simulator
 
 import (
@@ -41,7 +43,8 @@
 	Faults      []faults.Fault // as far as virtual time has them
 	Captured    []Planned      // in the order of their times; in place of drawn load, if there is any
 
-	// History is told of what happens, as package judge reads it; nil for nobody. The event is not kept.
+	// History is told of what happens, as package judge reads it; nil for nobody. The event is not
+	// kept.
 	History func(*history.Event)
 
 	// New makes a router's decider; nil for that of package balance.
@@ -118,7 +121,8 @@
 	Lost        float64       // share that never comes
 }
 
-// mostUneven bounds Front.Uneven, and mostOff how far from the middle a router's part is, in its multiples.
+// mostUneven bounds Front.Uneven, and mostOff how far from the middle a router's part is, in its
+// multiples.
 const (
 	mostUneven = 1.0
 	mostOff    = 2.0
--- a/internal/testbed/simulator/vast_test.go
+++ b/internal/testbed/simulator/vast_test.go
@@ -7,8 +7,8 @@
 	"reachspread/internal/testbed/faults"
 )
 
-// vast is 80 routers before 60 hosts of three zones, each router under one request a second, with words between routers of
-// which a fifth is lost.
+// vast is 80 routers before 60 hosts of three zones, each router under one request a second, with
+// words between routers of which a fifth is lost.
 func vast(seed uint64) Spec { return fleetOf(seed, 80, 20, 38) }
 
 // mass is the size of the standing fleet test: 300 routers before 100 hosts, with traffic as thin.
@@ -32,8 +32,9 @@
 	return s
 }
 
-// Six in ten hosts are replaced by cold ones, or a zone dies and comes back cold: no cold host is pushed over by all
-// routers together, whatever the seed, although there is more to do than the fleet can. The checkers end a world in which a rule is broken.
+// Six in ten hosts are replaced by cold ones, or a zone dies and comes back cold: no cold host is
+// pushed over by all routers together, whatever the seed, although there is more to do than the
+// fleet can. The checkers end a world in which a rule is broken.
 func TestNoColdHostIsPushedOverByEightyRouters(t *testing.T) {
 	for _, trouble := range []Disruption{
 		{Kind: Replace, At: 4 * time.Second, Length: 5 * time.Second, Fraction: 0.6},
@@ -53,8 +54,9 @@
 	}
 }
 
-// All routers and hosts lose power and nobody has a disk: no work was ever seen, so hosts that are cold are tried by turns, and what they do is the measure of
-// more. They are not pushed over, and serve before they are warm.
+// All routers and hosts lose power and nobody has a disk: no work was ever seen, so hosts that are
+// cold are tried by turns, and what they do is the measure of more. They are not pushed over, and
+// serve before they are warm.
 func TestEightyRoutersBeginFromNothing(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
@@ -73,9 +75,10 @@
 	}
 }
 
-// At half the load, what the large fleet meets costs little: a zone that falls silent and comes back, hosts of which each
-// takes no more connections than a third of the routers want, slow hosts that each router has met once or never, and most
-// routers restarted at once with the list that they held.
+// At half the load, what the large fleet meets costs little: a zone that falls silent and comes
+// back, hosts of which each takes no more connections than a third of the routers want, slow hosts
+// that each router has met once or never, and most routers restarted at once with the list that
+// they held.
 func TestEightyRoutersGetOver(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
@@ -107,9 +110,10 @@
 	}
 }
 
-// All hosts die at once and come back cold: what the whole fleet of routers holds is refused within moments, and its
-// clients come back by what they were told. No cold host is pushed over by them, and within 5 s of the hosts' return the
-// fleet serves most of what it did before (a third less without the measure that fade keeps).
+// All hosts die at once and come back cold: what the whole fleet of routers holds is refused within
+// moments, and its clients come back by what they were told. No cold host is pushed over by them,
+// and within 5 s of the hosts' return the fleet serves most of what it did before (a third less
+// without the measure that fade keeps).
 func TestAllRefusedAtOnceComeBack(t *testing.T) {
 	for seed := range uint64(3) {
 		s := vast(seed)
--- a/internal/testbed/simulator/view.go
+++ b/internal/testbed/simulator/view.go
@@ -8,7 +8,8 @@
 	"reachspread/internal/rendezvous"
 )
 
-// View is how routers learn which of them live: each has a view of its own, which it gives its module.
+// View is how routers learn which of them live: each has a view of its own, which it gives its
+// module.
 type View struct {
 	On    bool
 	Late  time.Duration // from a death or a start until the others see it
--- a/internal/testbed/simulator/view_test.go
+++ b/internal/testbed/simulator/view_test.go
@@ -8,8 +8,9 @@
 
 var viewSeeds = flag.Uint64("views", 1, "seeds of the worlds whose routers' views differ")
 
-// Views that are late, wrong for every other second, or of a half each while words still cross: together the routers push no cold host
-// over, though seven in ten of them are killed as a zone comes back cold. The checkers end a world in which a rule is broken.
+// Views that are late, wrong for every other second, or of a half each while words still cross:
+// together the routers push no cold host over, though seven in ten of them are killed as a zone
+// comes back cold. The checkers end a world in which a rule is broken.
 func TestNoColdHostIsPushedOverWhateverIsSeen(t *testing.T) {
 	for name, view := range map[string]View{
 		"right": {On: true}, "late": {On: true, Late: 3 * time.Second}, "wrong": {On: true, Wrong: 0.5}, "split": {On: true, Split: true},
--- a/internal/testbed/simulator/world.go
+++ b/internal/testbed/simulator/world.go
@@ -59,7 +59,8 @@
 	w.traced++
 }
 
-// stream returns a source of random numbers of its own for one purpose, so that what one draws moves nothing of another.
+// stream returns a source of random numbers of its own for one purpose, so that what one draws
+// moves nothing of another.
 func (w *World) stream(purpose, n uint64) *rand.Rand {
 	return rand.New(rand.NewPCG(w.s.Seed, purpose<<48|n))
 }
@@ -162,7 +163,8 @@
 	return d + time.Duration(w.s.Net.Jitter*w.net.Float64()*float64(d))
 }
 
-// Run plays a world to its end, until a rule is broken, or until most events have been played (0 for no bound).
+// Run plays a world to its end, until a rule is broken, or until most events have been played (0
+// for no bound).
 func (w *World) Run(most int) (*Result, error) {
 	for len(w.queue.heap) > 0 && w.broken == nil {
 		if w.now >= w.s.Length && w.open == 0 {
