--- a/internal/system/deciders/configuration/configuration_test.go
+++ b/internal/system/deciders/configuration/configuration_test.go
@@ -58,7 +58,7 @@
 
 // Each fault that a configuration is rejected for is reported with the item or field, in one line.
 func TestRejectionNamesItemAndField(t *testing.T) {
-	change := func(old, new string) string { return strings.Replace(small, old, new, 1) }
+	change := func(old, build string) string { return strings.Replace(small, old, build, 1) }
 	for name, c := range map[string]struct{ text, says string }{
 		"cut short":           {small[:100], "whole JSON"},
 		"no object":           {`[1]`, "not a JSON object"},
@@ -284,7 +284,7 @@
 
 // Difference returns a patch that turns one document into the other, or none.
 func TestDifferenceIsAPatch(t *testing.T) {
-	change := func(old, new string) string { return strings.Replace(small, old, new, 1) }
+	change := func(old, build string) string { return strings.Replace(small, old, build, 1) }
 	for name, c := range map[string]struct {
 		before, after string
 		ok            bool
