--- a/internal/router/peering/gossip.go
+++ b/internal/router/peering/gossip.go
@@ -89,7 +89,7 @@
 		}
 		if err := g.open(); err != nil && !late.IsZero() && time.Now().After(late) {
 			late = time.Time{}
-			g.log.Warn("peers unheard", "cause", err)
+			g.log.Warn("peer address in use", "cause", err)
 		}
 	}
 }
--- a/internal/router/peering/gossip_test.go
+++ b/internal/router/peering/gossip_test.go
@@ -16,9 +16,9 @@
 	"reachspread/internal/testbed/scripted"
 )
 
-// Datagrams of strangers, cut ones and such of another version are dropped and counted; what comes
-// after them is heard.
-func TestGossip(t *testing.T) {
+// Datagrams of strangers, cut ones and those of another version are dropped and counted; what comes
+// after them is received.
+func TestUnusableDatagramsAreDropped(t *testing.T) {
 	socket := func() *net.UDPConn {
 		t.Helper()
 		c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -83,9 +83,9 @@
 	return a
 }
 
-// A process that takes over starts while the address is still another's, tells nothing until then,
-// and hears once it is free; without the right to take over an address in use is an error.
-func TestGossipTakesOver(t *testing.T) {
+// A process that takes over starts while the address is still another's, sends nothing until then,
+// and receives once it is free; without the right to take over, an address in use is an error.
+func TestAddressIsTakenOver(t *testing.T) {
 	peer, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/router/peering/roles_test.go
+++ b/internal/router/peering/roles_test.go
@@ -24,11 +24,11 @@
 
 var measure = flag.Bool("measure", false, "run the measurements")
 
-// site is routers with duties on real sockets and disks, in one process; a view that a test says
-// stands in for members.
-type site struct {
+// cluster is routers with roles on real sockets and disks, in one process; the test says which are
+// members.
+type cluster struct {
 	t       *testing.T
-	routers []*spot
+	routers []*testRouter
 	may     int
 	duties  []lease.Role
 	lease   time.Duration
@@ -38,14 +38,14 @@
 	sent  atomic.Uint64
 }
 
-// span is a time in which a router worked under the duty.
+// span is a time in which a router worked under the role.
 type span struct {
 	who      int
 	token    uint64
 	from, to time.Time
 }
 
-type spot struct {
+type testRouter struct {
 	n      int
 	addr   netip.AddrPort
 	listen string
@@ -57,17 +57,17 @@
 	lines  scripted.Lines
 }
 
-// sites counts those that there were. Each has a loopback address of its own: a port that a site
-// has given back, to be taken when a router starts, would else go to whoever asks for any port
-// meanwhile, in this process or another.
-var sites atomic.Uint32
+// clusters counts those that there were. Each has a loopback address of its own: a port that a
+// cluster has closed, to be opened when a router starts, might go meanwhile to whoever asks for any
+// port.
+var clusters atomic.Uint32
 
-func newSite(t *testing.T, routers, may int, leaseTime time.Duration) *site {
+func newCluster(t *testing.T, routers, may int, leaseTime time.Duration) *cluster {
 	t.Helper()
-	s := &site{t: t, may: may, lease: leaseTime, duties: []lease.Role{{Name: "work"}}}
-	ip := net.IPv4(127, 79, 0, byte(sites.Add(1)))
+	s := &cluster{t: t, may: may, lease: leaseTime, duties: []lease.Role{{Name: "work"}}}
+	ip := net.IPv4(127, 79, 0, byte(clusters.Add(1)))
 	for i := range routers {
-		p := &spot{n: i, folder: filepath.Join(t.TempDir(), "disk"), lines: make(scripted.Lines, 10_000)}
+		p := &testRouter{n: i, folder: filepath.Join(t.TempDir(), "disk"), lines: make(scripted.Lines, 10_000)}
 		ln, err := net.Listen("tcp4", net.JoinHostPort(ip.String(), "0"))
 		if err != nil {
 			t.Fatal(err)
@@ -90,8 +90,8 @@
 	return s
 }
 
-// tell has all that live see who lives.
-func (s *site) tell() {
+// updateViews has all that are alive see who is.
+func (s *cluster) updateViews() {
 	v := &members.View{}
 	for _, p := range s.routers {
 		if p.d != nil {
@@ -105,7 +105,7 @@
 	}
 }
 
-func (s *site) start(p *spot, wants bool) {
+func (s *cluster) start(p *testRouter, wants bool) {
 	s.t.Helper()
 	p.boot++
 	c := RolesConfig{Self: lease.Router{Name: fmt.Sprint("r", p.n), Boot: uint32(p.n)<<16 | p.boot, Zone: string(rune('a' + p.n%2))}, Timing: lease.DefaultTiming, Roles: s.duties, Voters: 3,
@@ -143,7 +143,7 @@
 			d.HandleDatagram(from, buf[:n])
 		}
 	}()
-	s.tell()
+	s.updateViews()
 	go d.Run(ctx)
 	if wants {
 		d.Acquire("work", s.work(p))
@@ -151,7 +151,7 @@
 }
 
 // work notes when a router worked, by the contexts that it was given.
-func (s *site) work(p *spot) Work {
+func (s *cluster) work(p *testRouter) Work {
 	return func(ctx context.Context, token uint64) error {
 		from := time.Now()
 		s.mu.Lock()
@@ -166,8 +166,8 @@
 	}
 }
 
-// wish has the duty go to a router.
-func (s *site) wish(at *spot, to int) {
+// transfer has the role go to a router.
+func (s *cluster) transfer(at *testRouter, to int) {
 	s.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), scripted.Patience)
 	defer cancel()
@@ -176,8 +176,8 @@
 	}
 }
 
-// open waits until so many spans are, and returns them in the order of their tokens.
-func (s *site) open(n int, fits func([]span) bool) []span {
+// open waits until so many spans are open, and returns them in the order of their tokens.
+func (s *cluster) open(n int, fits func([]span) bool) []span {
 	s.t.Helper()
 	for end := time.Now().Add(4 * scripted.Patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		s.mu.Lock()
@@ -187,15 +187,15 @@
 			return all
 		}
 	}
-	s.t.Fatal("other routers hold the duty")
+	s.t.Fatal("other routers have the role")
 	return nil
 }
 
-// Of two holders the one whose token is named gives the duty away, the other goes on. Duties that
-// come later are agreed on while all run.
-func TestDutiesByToken(t *testing.T) {
+// Of two holders the one whose token is named transfers the role, the other goes on. Roles that are
+// defined later are agreed on while all run.
+func TestTransferByToken(t *testing.T) {
 	t.Parallel()
-	s := newSite(t, 4, 3, 2*time.Second)
+	s := newCluster(t, 4, 3, 2*time.Second)
 	s.duties = []lease.Role{{Name: "work", MaxHolders: 2}}
 	for _, p := range s.routers {
 		s.start(p, true)
@@ -243,8 +243,8 @@
 	}
 }
 
-// kill ends a router without a word.
-func (s *site) kill(p *spot) {
+// kill ends a router at once.
+func (s *cluster) kill(p *testRouter) {
 	if p.d == nil {
 		return
 	}
@@ -263,8 +263,9 @@
 	}
 }
 
-// holder waits until one router alone holds the duty, other than one, and returns it with its span.
-func (s *site) holder(not int) (int, span) {
+// holder waits until one router alone works under the role, other than one, and returns it with its
+// span.
+func (s *cluster) holder(not int) (int, span) {
 	s.t.Helper()
 	for end := time.Now().Add(4 * scripted.Patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		s.mu.Lock()
@@ -287,12 +288,12 @@
 			s.t.Logf("r%d: %+v", p.n, p.d.LocalRoles())
 		}
 	}
-	s.t.Fatal("nobody holds the duty")
+	s.t.Fatal("nobody has the role")
 	return 0, span{}
 }
 
 // leader waits for a leader of the voters that most agree on.
-func (s *site) leader() int {
+func (s *cluster) leader() int {
 	s.t.Helper()
 	for end := time.Now().Add(4 * scripted.Patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		said := map[string]int{}
@@ -316,7 +317,7 @@
 }
 
 // ordered checks that works came one after another, under tokens that grew.
-func (s *site) ordered() {
+func (s *cluster) ordered() {
 	s.t.Helper()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -332,27 +333,27 @@
 	}
 }
 
-// A duty on sockets and disks: handed over to whom it is wished for, taken over from a holder that
-// dies, kept by one whose voters' leader dies, and the record lives through the end of all.
-func TestDutiesOnSockets(t *testing.T) {
+// A role on sockets and disks: transferred on request, taken over from a holder that dies, kept by
+// one whose voters' leader dies; and the tables survive the end of all.
+func TestRolesOnSockets(t *testing.T) {
 	t.Parallel()
-	s := newSite(t, 5, 4, 2*time.Second)
+	s := newCluster(t, 5, 4, 2*time.Second)
 	for _, p := range s.routers {
 		s.start(p, true)
 	}
 	first, _ := s.holder(-1)
 	to := (first + 2) % 5
-	s.wish(s.routers[(first+1)%5], to)
+	s.transfer(s.routers[(first+1)%5], to)
 	if got, _ := s.holder(first); got != to {
 		t.Errorf("r%d holds it, not r%d", got, to)
 	}
 	s.kill(s.routers[to])
-	s.tell()
+	s.updateViews()
 	next, at := s.holder(to)
 	s.start(s.routers[to], true)
 	if lead := s.leader(); lead != next {
 		s.kill(s.routers[lead])
-		s.tell()
+		s.updateViews()
 		s.leader()
 		time.Sleep(s.lease) // a holder that had not renewed would have ended by now
 		if now, same := s.holder(-1); now != next || same.token != at.token {
@@ -373,11 +374,11 @@
 	s.ordered()
 }
 
-// With a majority of the disks gone duties stop, a line says so, and they are founded anew only
-// where no majority may live.
-func TestDutiesRebuild(t *testing.T) {
+// With a majority of the disks lost there is no leader, a line says so, and a group is founded anew
+// only where no majority may have its disks.
+func TestRebuildAfterALostMajority(t *testing.T) {
 	t.Parallel()
-	s := newSite(t, 4, 3, 500*time.Millisecond)
+	s := newCluster(t, 4, 3, 500*time.Millisecond)
 	for _, p := range s.routers {
 		s.start(p, p.n == 3)
 	}
@@ -395,8 +396,8 @@
 		s.kill(p)
 		os.RemoveAll(p.folder)
 	}
-	s.tell()
-	for said := ""; !strings.HasPrefix(said, "duties stopped"); said = scripted.Next(t, s.routers[2].lines, "that duties have stopped") {
+	s.updateViews()
+	for said := ""; !strings.HasPrefix(said, "voters without leader"); said = scripted.Next(t, s.routers[2].lines, "that duties have stopped") {
 	}
 	for end := time.Now().Add(scripted.Patience); ; time.Sleep(20 * time.Millisecond) { // the dead may have named a leader a moment ago, which is a reason, too
 		err := ask(2)
@@ -431,15 +432,15 @@
 	s.ordered()
 }
 
-// 10,000 changes: what a voter holds and keeps stays in bounds.
-func TestDutiesBounded(t *testing.T) {
+// 10,000 changes: the memory and the store of a voter stay in bounds.
+func TestVoterStaysInBounds(t *testing.T) {
 	n := 300
 	if *measure {
 		n = 10_000
 	} else {
 		t.Parallel()
 	}
-	s := newSite(t, 3, 3, 2*time.Second)
+	s := newCluster(t, 3, 3, 2*time.Second)
 	s.duties = nil
 	for i := range 16 {
 		s.duties = append(s.duties, lease.Role{Name: fmt.Sprint("work-", i)})
@@ -481,9 +482,9 @@
 	}
 }
 
-// The times without a holder on sockets and disks, 200 of each: handed over as planned, and the
+// The times without a holder on sockets and disks, 200 of each: transferred on request, and the
 // holder killed.
-func TestDutiesTimes(t *testing.T) {
+func TestTimesWithoutHolder(t *testing.T) {
 	if !*measure {
 		t.Skip("a measurement")
 	}
@@ -492,7 +493,7 @@
 	var all sync.WaitGroup
 	for range 4 {
 		all.Go(func() {
-			s := newSite(t, 5, 3, 2*time.Second)
+			s := newCluster(t, 5, 3, 2*time.Second)
 			for _, p := range s.routers {
 				s.start(p, p.n >= 3) // voters alone do not hold, so that one thing dies at a time
 			}
@@ -500,8 +501,8 @@
 			for range 50 {
 				who, _ := s.holder(-1)
 				to := 7 - who
-				s.waiting(to) // what is handed to somebody who has not asked yet waits for that
-				s.wish(s.routers[0], to)
+				s.awaitQueued(to) // what is handed to somebody who has not asked yet waits for that
+				s.transfer(s.routers[0], to)
 				_, at := s.holder(who)
 				gap := s.gap(who, at)
 				mu.Lock()
@@ -516,7 +517,7 @@
 				time.Sleep(time.Duration(37*i%1000) * time.Millisecond)
 				died := time.Now()
 				s.kill(s.routers[who])
-				s.tell()
+				s.updateViews()
 				_, at := s.holder(who)
 				mu.Lock()
 				killed = append(killed, at.from.Sub(died))
@@ -539,19 +540,19 @@
 	}
 }
 
-// waiting waits until a router stands in line.
-func (s *site) waiting(n int) {
+// awaitQueued waits until a router is queued.
+func (s *cluster) awaitQueued(n int) {
 	s.t.Helper()
 	for end := time.Now().Add(4 * scripted.Patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if own := s.routers[n].d.LocalRoles(); len(own) > 0 && own[0].Queued {
+		if roles := s.routers[n].d.LocalRoles(); len(roles) > 0 && roles[0].Queued {
 			return
 		}
 	}
-	s.t.Fatalf("r%d does not wait for the duty", n)
+	s.t.Fatalf("r%d is not queued for the role", n)
 }
 
 // gap is the time between the end of a router's last work and another's beginning.
-func (s *site) gap(who int, next span) time.Duration {
+func (s *cluster) gap(who int, next span) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var end time.Time
--- a/internal/router/peering/store_test.go
+++ b/internal/router/peering/store_test.go
@@ -52,7 +52,8 @@
 	return folder, had
 }
 
-func TestStore(t *testing.T) {
+// A store has what was persisted, entries replaced and compacted.
+func TestStoreHasWhatWasPersisted(t *testing.T) {
 	_, had := filled(t)
 	if diff := cmp.Diff(entries(151, 300), had.Entries, protocmp.Transform()); diff != "" {
 		t.Error(diff)
@@ -62,16 +63,16 @@
 	}
 }
 
-// A store that is cut at any place, or has a bit flipped, is read as it was or set aside; never is
-// it read as something else, and never does it end the process.
-func TestStoreBroken(t *testing.T) {
+// A store that is cut anywhere, or has a bit flipped, is read as it was or set aside; it is never
+// read as something else, and never ends the process.
+func TestDamagedStoreIsSetAside(t *testing.T) {
 	folder, want := filled(t)
-	whole, err := os.ReadFile(filepath.Join(folder, storeFileName))
+	complete, err := os.ReadFile(filepath.Join(folder, storeFileName))
 	if err != nil {
 		t.Fatal(err)
 	}
 	asides := 0
-	try := func(what string, at int, text []byte) {
+	check := func(what string, at int, text []byte) {
 		t.Helper()
 		dir := t.TempDir()
 		if err := os.WriteFile(filepath.Join(dir, storeFileName), text, 0o644); err != nil {
@@ -94,13 +95,13 @@
 			t.Errorf("%s at %d: %v", what, at, err)
 		}
 	}
-	for at := 0; at < len(whole); at += len(whole)/40 + 1 {
-		try("cut", at, whole[:at])
+	for at := 0; at < len(complete); at += len(complete)/40 + 1 {
+		check("cut", at, complete[:at])
 	}
-	for at := 0; at < len(whole); at += len(whole)/100 + 1 {
-		text := append([]byte(nil), whole...)
+	for at := 0; at < len(complete); at += len(complete)/100 + 1 {
+		text := append([]byte(nil), complete...)
 		text[at] ^= 1 << (at % 8)
-		try("flip", at, text)
+		check("flip", at, text)
 	}
 	if t.Log(asides, "set aside"); asides < 30 {
 		t.Errorf("%d set aside", asides)
--- a/internal/router/peering/view_driver.go
+++ b/internal/router/peering/view_driver.go
@@ -166,7 +166,7 @@
 			v.changed(now, &a)
 			v.logChange(&a)
 		case members.NameConflict:
-			v.log.Warn("name refused", "name", a.Name, "claimed_by", a.Addr)
+			v.log.Warn("name conflict", "name", a.Name, "claimed_by", a.Addr)
 		case members.LocalNameTaken:
 			v.log.Warn("name taken", "told_by", a.By)
 		}
@@ -183,7 +183,7 @@
 	broken := incarnation < v.incarnation || state == members.Dead || state == members.Suspected
 	if broken && !v.invariantBroken {
 		v.invariantBroken = true
-		v.log.Warn("view broken", "incarnation", incarnation, "before", v.incarnation, "state", state)
+		v.log.Warn("membership invariant broken", "incarnation", incarnation, "before", v.incarnation, "state", state)
 	}
 	v.incarnation = max(v.incarnation, incarnation)
 }
--- a/internal/router/peering/view_driver_test.go
+++ b/internal/router/peering/view_driver_test.go
@@ -15,9 +15,9 @@
 	"reachspread/internal/testbed/scripted"
 )
 
-// Three drivers on sockets find each other; one that leaves is gone, one that ends without a word
-// is lost, with a line.
-func TestViewOnSockets(t *testing.T) {
+// Three drivers on sockets find each other; one that leaves is removed, one that ends without
+// leaving is lost, with a log line.
+func TestMembershipOnSockets(t *testing.T) {
 	var addrs []string
 	for range 3 {
 		c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
--- a/internal/router/peering/voter.go
+++ b/internal/router/peering/voter.go
@@ -65,7 +65,7 @@
 		return err
 	}
 	if unread != nil {
-		r.log.Warn("voter's store unread", "cause", unread, "kept", unreadStoreFileName)
+		r.log.Warn("voter store unreadable", "cause", unread, "kept", unreadStoreFileName)
 	}
 	c := quorum.Config{Self: r.config.Self.Name, Zone: r.config.Self.Zone, Candidates: r.config.Candidates, Voters: r.config.Voters,
 		Roles: *r.defined.Load(), Timing: r.config.Timing, ReplaceTimeout: r.config.ReplaceTimeout,
--- a/internal/router/peering/work.go
+++ b/internal/router/peering/work.go
@@ -151,7 +151,7 @@
 		return
 	}
 	r.begun.Add(1)
-	r.log.Info("duty begun", "duty", g.Role, "token", g.Token)
+	r.log.Info("lease acquired", "duty", g.Role, "token", g.Token)
 	ctx, cancel := context.WithCancel(r.workContext)
 	w.cancel, w.transferRequested = cancel, false
 	w.runs++
@@ -183,7 +183,7 @@
 	delay := lease.ReacquireDelay
 	if err != nil { // another router may do better
 		delay = min(max(2*w.retryDelay, minWorkRetryDelay), maxWorkRetryDelay)
-		r.log.Warn("duty given up", "duty", role, "again", delay, "cause", err)
+		r.log.Warn("role work failed", "duty", role, "again", delay, "cause", err)
 	}
 	w.retryDelay = delay
 	r.release(role, to, delay)
@@ -200,14 +200,14 @@
 	w.cancel()
 	w.cancel, w.lastEndReason = nil, reason
 	if reason != lease.EndedReleased {
-		r.log.Warn("duty lost", "duty", role, "cause", reason)
+		r.log.Warn("lease lost", "duty", role, "cause", reason)
 	}
 }
 
 // requestWorkTransfer cancels the work of a role that operators want another router to have; it is
 // given to that one once the work has returned. The caller holds mu.
 func (r *Roles) requestWorkTransfer(t *lease.TransferRequested) {
-	r.log.Info("duty wished elsewhere", "duty", t.Role, "to", t.To)
+	r.log.Info("lease transfer requested", "duty", t.Role, "to", t.To)
 	w := r.works[t.Role]
 	if w == nil {
 		return
--- a/internal/testbed/chaos/duty_test.go
+++ b/internal/testbed/chaos/duty_test.go
@@ -28,7 +28,7 @@
   length = "2500ms"
   routers = "all"
 }
-`, "duty lost"},
+`, "lease lost"},
 	"each is cut off from voters and not from its work, in all directions": {"22s", inTurn("cut", "2500ms", 3300, `links = ["peers"]`, 0, 1) +
 		strings.ReplaceAll(inTurn("cut", "2500ms", 3300, `links = ["peers"]
   direction = "out"`, 2), "2s\"", "8600ms\"") + `
@@ -71,7 +71,7 @@
   routers = [3]
   disk = "older"
 }
-`, "voter's store unread"},
+`, "voter store unreadable"},
 	"the power goes for all, twice, and a release goes on": {"24s", `
 fault "power" {
   at = "2s"
@@ -81,7 +81,7 @@
   at = "7s"
   length = "1s"
 }
-` + strings.ReplaceAll(steps("restart", "300ms", 0, 1, 2, 3, 4), "at = \"", "at = \"1"), "duties go on|duty begun"},
+` + strings.ReplaceAll(steps("restart", "300ms", 0, 1, 2, 3, 4), "at = \"", "at = \"1"), "voters have a leader|lease acquired"},
 	"no file can be written, and the work fails": {"27s", `
 # For longer than the 10 s after which a scribe writes what has not changed.
 fault "no_write" {
@@ -99,7 +99,7 @@
   length = "500ms"
   routers = [0]
 }
-`, "duty given up"},
+`, "role work failed"},
 }
 
 // inTurn are faults of one kind one after another.
@@ -132,7 +132,7 @@
 					for _, want := range strings.Split(x.says, "|") {
 						said = said || strings.Contains(e.Text, want)
 					}
-					if strings.Contains(e.Text, "dut") || strings.Contains(e.Text, "voter") {
+					if strings.Contains(e.Text, "role") || strings.Contains(e.Text, "lease") || strings.Contains(e.Text, "voter") {
 						t.Log(time.Duration(e.T).Round(time.Millisecond), e.Who, e.Text)
 					}
 				}
--- a/internal/testbed/soak/judge.go
+++ b/internal/testbed/soak/judge.go
@@ -59,7 +59,7 @@
 		}
 		for line := range strings.Lines(string(text)) {
 			// A mixed fleet also runs landed programs: a line that is worded anew is looked for in both wordings.
-			for _, bad := range []string{"loop stalls", "view broken", "panic", "fatal error", "DATA RACE", "unwritable"} {
+			for _, bad := range []string{"loop stalls", "view broken", "membership invariant broken", "panic", "fatal error", "DATA RACE", "unwritable"} {
 				if strings.Contains(line, bad) {
 					p.find("LOG", p.fleet.Name(i)+": "+strings.TrimSpace(line))
 				}
