--- a/cmd/reachlab/sockets.go
+++ b/cmd/reachlab/sockets.go
@@ -33,7 +33,7 @@
 			return err
 		}
 		spec := x.World(0, x.Seeds[0])
-		f, err := fakes.NewFleet(&spec, fakes.Anywhere)
+		f, err := fakes.NewFleet(&spec, fakes.AnyPort)
 		if err != nil {
 			return err
 		}
@@ -44,7 +44,7 @@
 			fmt.Fprintf(out, "%d %s %s\n", i, h.ID, h.Addr)
 		}
 		if *config != "" {
-			if err := writeNew(*config, f.RouterConfig(fakes.Site{Name: "lab", Listen: *listen})); err != nil {
+			if err := writeNew(*config, f.RouterConfig(fakes.RouterSite{Name: "lab", Listen: *listen})); err != nil {
 				return err
 			}
 			path, err := filepath.Abs(*config)
@@ -102,8 +102,8 @@
 func writeTallies(w io.Writer, all []fakes.Tally, took time.Duration) {
 	fmt.Fprintf(w, "%-16s %7s %7s %6s %8s %7s %7s %9s %9s %9s\n", "class", "asked", "good", "late", "refused", "failed", "broken", "p50 ms", "p99 ms", "p99.9 ms")
 	for _, t := range all {
-		at := func(q float64) float64 { return float64(t.First.ValueAtQuantile(q)) / 1000 }
-		fmt.Fprintf(w, "%-16s %7d %7d %6d %8d %7d %7d %9.1f %9.1f %9.1f\n", t.Class, t.Asked, t.Good, t.Late, t.Refused, t.Failed, t.BrokenOff,
+		at := func(q float64) float64 { return float64(t.FirstToken.ValueAtQuantile(q)) / 1000 }
+		fmt.Fprintf(w, "%-16s %7d %7d %6d %8d %7d %7d %9.1f %9.1f %9.1f\n", t.Class, t.Asked, t.Good, t.Late, t.Refused, t.Failed, t.Interrupted,
 			at(50), at(99), at(99.9))
 	}
 	fmt.Fprintf(w, "in %v\n", took.Round(time.Millisecond))
--- a/internal/testbed/chaos/chaos.go
+++ b/internal/testbed/chaos/chaos.go
@@ -269,9 +269,9 @@
 	}
 
 	clients := fakes.NewClients("", &p.spec)
-	clients.Front, clients.Watch, clients.Grace, clients.Retries = p.front.pick, p.saw, p.o.Experiment.Rig.Slack+time.Second, p.o.Experiment.Rig.Retries
+	clients.RouterFor, clients.Observe, clients.Grace, clients.Retries = p.front.pick, p.saw, p.o.Experiment.Rig.Slack+time.Second, p.o.Experiment.Rig.Retries
 	x := &p.o.Experiment.Rig
-	clients.Manner = fakes.Manner{Pieces: x.Pieces, Silent: x.Silent, Leave: x.Leave}
+	clients.Behavior = fakes.ClientBehavior{Chunked: x.Pieces, Stalled: x.Silent, Departing: x.Leave}
 	p.player = newPlayer(p)
 	over := make(chan error, 1)
 	go func() { over <- p.player.run(ctx) }()
@@ -288,10 +288,10 @@
 }
 
 // saw puts what clients tell into the history. They know routers by their addresses.
-func (p *play) saw(s fakes.Saw) {
+func (p *play) saw(s fakes.ClientEvent) {
 	e := s.Event
 	if e.What == history.Ask {
-		e.Who, e.Until = p.layout.routerAt(e.Who), p.rec.at(s.Until)
+		e.Who, e.Until = p.layout.routerAt(e.Who), p.rec.at(s.WaitsUntil)
 	}
 	p.rec.add(e)
 }
@@ -303,7 +303,7 @@
 	}
 	for n, h := range p.fleet.Hosts {
 		name := fmt.Sprint("h", n)
-		h.Watch(func(s fakes.Seen) { p.hostSaw(name, s) })
+		h.Observe(func(s fakes.HostEvent) { p.hostSaw(name, s) })
 	}
 	if p.spec.Routers > 1 {
 		p.mesh, err = faultproxy.NewMesh(addresses(p.spec.Routers, p.layout.peer), addresses(p.spec.Routers, p.layout.seen), p.o.Seed, mostDatagram, func(from, bytes int) {
@@ -331,7 +331,7 @@
 			return err
 		}
 		who := fmt.Sprint("r", i)
-		list.Watch(func(entries []fakes.Entry) {
+		list.Observe(func(entries []fakes.Entry) {
 			for _, e := range entries {
 				p.rec.add(history.Event{What: history.ListApplied, Who: who, From: p.hostName(e.ID), Text: e.State})
 			}
@@ -350,19 +350,19 @@
 
 // hostName is a host's name in the history, by that of the list.
 func (p *play) hostName(id string) string {
-	if n := fakes.Number(id); n >= 0 {
+	if n := fakes.HostNumber(id); n >= 0 {
 		return fmt.Sprint("h", n)
 	}
 	return id
 }
 
-func (p *play) hostSaw(name string, s fakes.Seen) {
+func (p *play) hostSaw(name string, s fakes.HostEvent) {
 	switch s.Kind {
-	case fakes.Came:
+	case fakes.RequestReceived:
 		p.rec.add(history.Event{What: history.Attempt, ID: s.ID, Who: name, From: p.layout.routerAt(s.Conn), Conn: s.Conn})
-	case fakes.Over:
+	case fakes.RequestDone:
 		p.rec.add(history.Event{What: history.Done, ID: s.ID, Who: name})
-	case fakes.Fell:
+	case fakes.Collapsed:
 		p.rec.add(history.Event{What: history.Fell, Who: name})
 	}
 }
--- a/internal/testbed/chaos/duties.go
+++ b/internal/testbed/chaos/duties.go
@@ -76,7 +76,7 @@
 	}
 	var mu sync.Mutex
 	var guard lease.TokenGuard
-	p.candidate.CheckTokens(func(name string, token uint64, conn string) (uint64, bool) {
+	p.candidate.CheckFencingTokens(func(name string, token uint64, conn string) (uint64, bool) {
 		mu.Lock()
 		defer mu.Unlock()
 		pass := guard.Accept(name, token)
--- a/internal/testbed/chaos/player.go
+++ b/internal/testbed/chaos/player.go
@@ -40,7 +40,7 @@
 
 // run plays all faults, each in its own time, and returns once all are over. The play's clock begins now.
 func (y *player) run(ctx context.Context) error {
-	y.p.fleet.Lists(func(l *fakes.List) { l.Remember() })
+	y.p.fleet.EachList(func(l *fakes.List) { l.Remember() })
 	begun := time.Now()
 	from := y.p.rec.count()
 	over, cancel := context.WithDeadline(ctx, begun.Add(y.p.spec.Length)) // what a fault waits for may never happen
@@ -108,12 +108,12 @@
 	}
 	switch s.Kind {
 	case faults.OldList:
-		y.p.fleet.Lists(func(l *fakes.List) { l.Old(true) })
+		y.p.fleet.EachList(func(l *fakes.List) { l.ServeRemembered(true) })
 		wait(ctx, s.Length)
-		y.p.fleet.Lists(func(l *fakes.List) { l.Old(false) })
+		y.p.fleet.EachList(func(l *fakes.List) { l.ServeRemembered(false) })
 		return nil
 	case faults.Renumber:
-		y.p.fleet.Lists(func(l *fakes.List) { l.Renumber() })
+		y.p.fleet.EachList(func(l *fakes.List) { l.Renumber() })
 		wait(ctx, s.Length)
 		return nil
 	}
--- a/internal/testbed/chaos/process.go
+++ b/internal/testbed/chaos/process.go
@@ -151,9 +151,9 @@
 	if x.Seeds > 0 {
 		peers = nil
 	}
-	text := p.fleet.RouterConfig(fakes.Site{Name: r.name(), Listen: p.layout.client(r.n), Discovery: p.layout.list(r.n), Seed: p.o.Seed<<16 | uint64(r.n+1),
+	text := p.fleet.RouterConfig(fakes.RouterSite{Name: r.name(), Listen: p.layout.client(r.n), Discovery: p.layout.list(r.n), Seed: p.o.Seed<<16 | uint64(r.n+1),
 		Zone: p.spec.Topology().Routers[r.n], Memory: x.MemoryMB, Sockets: x.Sockets, Cores: x.Cores,
-		Me: r.n, PeerListen: p.layout.peer(r.n).String(), Peers: peers})
+		Index: r.n, PeerListen: p.layout.peer(r.n).String(), Peers: peers})
 	return os.WriteFile(filepath.Join(r.folder, "config.json"), text, 0o644)
 }
 
--- a/internal/testbed/demo/demo.go
+++ b/internal/testbed/demo/demo.go
@@ -114,7 +114,7 @@
 	if s.folder, err = os.MkdirTemp("", "reachlab-demo-"); err != nil {
 		return s, err
 	}
-	if s.Fleet, err = fakes.NewFleet(spec, fakes.Anywhere); err != nil {
+	if s.Fleet, err = fakes.NewFleet(spec, fakes.AnyPort); err != nil {
 		return s, err
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -124,7 +124,7 @@
 	s.addr = ln.Addr().String()
 	ln.Close() // the router listens there next
 	path := filepath.Join(s.folder, "config.json")
-	if err = os.WriteFile(path, s.RouterConfig(fakes.Site{Name: "demo", Listen: s.addr}), 0o600); err != nil {
+	if err = os.WriteFile(path, s.RouterConfig(fakes.RouterSite{Name: "demo", Listen: s.addr}), 0o600); err != nil {
 		return s, err
 	}
 	env := func(name string) string { return map[string]string{"ROUTER_CONFIG": path}[name] }
@@ -252,7 +252,7 @@
 	h := w.s.Hosts[0]
 	w.announce(h.ID + " drains")
 	w.s.UpdateList(h, "Terminating", 0)
-	h.Event(hostmodel.Drain{})
+	h.Step(hostmodel.Drain{})
 }
 
 func (w *show) kill() {
@@ -281,8 +281,8 @@
 	if w.o.Live || final {
 		fmt.Fprintf(table, "%v  %s\n%-14s %6s %6s %6s %8s %7s %7s %8s %8s\n", after.Round(time.Second), w.notice, "class", "asked", "good", "late", "refused", "failed", "broken", "p50 ms", "p99 ms")
 		for _, t := range w.clients.Tallies() {
-			fmt.Fprintf(table, "%-14s %6d %6d %6d %8d %7d %7d %8.0f %8.0f\n", t.Class, t.Asked, t.Good, t.Late, t.Refused, t.Failed, t.BrokenOff,
-				float64(t.First.ValueAtQuantile(50))/1000, float64(t.First.ValueAtQuantile(99))/1000)
+			fmt.Fprintf(table, "%-14s %6d %6d %6d %8d %7d %7d %8.0f %8.0f\n", t.Class, t.Asked, t.Good, t.Late, t.Refused, t.Failed, t.Interrupted,
+				float64(t.FirstToken.ValueAtQuantile(50))/1000, float64(t.FirstToken.ValueAtQuantile(99))/1000)
 		}
 		for _, h := range w.s.Hosts {
 			x := h.Stats()
--- /dev/null
+++ b/internal/testbed/fakes/attempt.go
@@ -0,0 +1,239 @@
+package fakes
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptrace"
+	"strconv"
+	"strings"
+	"sync/atomic"
+	"syscall"
+	"time"
+
+	"reachspread/internal/protocol"
+	"reachspread/internal/testbed/history"
+	"reachspread/internal/testbed/simulator"
+)
+
+// crossedCloseWindow is how soon after a request was written the end of its connection may be a
+// close that the router began between two requests. The platform's clients then send once more, on
+// a new connection.
+const crossedCloseWindow = 100 * time.Millisecond
+
+// maxPromptRepeats bounds the text of a prompt: hosts read its length from a field of its own.
+const maxPromptRepeats = 60000
+
+// CloseCrossed is the note in a history that a request was sent again because the close of its
+// connection crossed it.
+const CloseCrossed = "a close crossed the request"
+
+var (
+	errGaveUp   = errors.New("the client gave up")
+	errDeparted = errors.New("the client left")
+)
+
+// attemptOutcome is the result of one attempt.
+type attemptOutcome struct {
+	first, last time.Duration // of the tokens, from when the request was due
+	tokens      int
+	how         history.How
+	status      int
+	retryAfter  time.Duration // that the answer asked to wait
+}
+
+// retryable reports whether a client may send the request again: no answer of it was begun.
+func (o *attemptOutcome) retryable() bool {
+	switch o.how {
+	case history.Refused, history.Failed, history.Unreached, history.Interrupted:
+		return true
+	}
+	return false
+}
+
+// tokenInterval is the mean time between two tokens.
+func (o *attemptOutcome) tokenInterval() time.Duration {
+	if o.tokens <= 1 {
+		return 0
+	}
+	return (o.last - o.first) / time.Duration(o.tokens-1)
+}
+
+// attempt is one attempt of a request, from the client's side.
+type attempt struct {
+	clients    *Clients
+	id, router string
+	body       string
+	content    io.Reader // how the body is written
+	due, until time.Time
+	gaveUp     *time.Timer // ends the attempt unless the answer has begun
+}
+
+// attempt sends a request once and observes its beginning and end.
+func (c *Clients) attempt(ctx context.Context, p *simulator.Planned, id string, isRetry bool, due, until time.Time) attemptOutcome {
+	ctx, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
+	a := &attempt{clients: c, id: id, due: due, until: until}
+	a.gaveUp = time.AfterFunc(time.Until(until.Add(c.Grace)), func() { cancel(errGaveUp) })
+	defer a.gaveUp.Stop()
+	a.router = c.RouterFor(p)
+	if a.router == "" {
+		return attemptOutcome{how: history.Unreached}
+	}
+	a.body = requestBody(p)
+	var departure time.Duration
+	a.content, departure = c.drawBehavior(ctx, id, a.body, time.Until(until))
+	if departure > 0 {
+		defer time.AfterFunc(departure, func() { cancel(errDeparted) }).Stop()
+	}
+	r, err := a.newRequest(ctx, p, isRetry)
+	if err != nil {
+		return attemptOutcome{how: history.Failed}
+	}
+	class := c.spec.Classes[p.Class].Class.Name
+	c.observe(history.Event{What: history.Ask, ID: id, Who: a.router, Class: class}, until)
+	outcome := a.exchange(ctx, r)
+	if outcome.how != history.Complete && a.abandoned(ctx) {
+		outcome.how = history.Left
+	}
+	c.observe(history.Event{What: history.Answer, ID: id, How: outcome.how, Status: outcome.status}, until)
+	return outcome
+}
+
+// requestBody is the body of a planned request, with the fields that fake hosts read.
+func requestBody(p *simulator.Planned) string {
+	prompt := strings.Repeat("word", min(p.Prompt, maxPromptRepeats))
+	return fmt.Sprintf(`{"stream":true,"max_tokens":%d,"lab_out":%d,"lab_prompt":%d,"lab_session":%q,"lab_prefix":%q,"lab_shared":%d,`+
+		`"messages":[{"role":"user","content":"%s"}]}`, p.MaxOut, p.Out, p.Prompt, p.Session, p.Prefix, p.Shared, prompt)
+}
+
+// newRequest returns the HTTP request of an attempt, in the platform's headers.
+func (a *attempt) newRequest(ctx context.Context, p *simulator.Planned, isRetry bool) (*http.Request, error) {
+	r, err := http.NewRequestWithContext(ctx, "POST", "http://"+a.router+protocol.PathCompletions, a.content)
+	if err != nil {
+		return nil, err
+	}
+	r.ContentLength = int64(len(a.body))
+	facts := fmt.Sprintf("prompt_len=%d,max_out=%d", p.Prompt, p.MaxOut)
+	if p.Prefix != "" {
+		facts = fmt.Sprintf("prefix=%s,prefix_len=%d,", p.Prefix, p.Shared) + facts
+	}
+	timeLeft := max(time.Until(a.until).Milliseconds(), 1)
+	r.Header.Set(protocol.HeaderID, a.id)
+	r.Header.Set(protocol.HeaderClass, a.clients.spec.Classes[p.Class].Class.Name)
+	r.Header.Set(protocol.HeaderSession, p.Session)
+	r.Header.Set(protocol.HeaderTimeLeft, fmt.Sprintf("%dm", timeLeft))
+	r.Header.Set(protocol.HeaderFacts, facts)
+	if isRetry {
+		r.Header.Set("X-Repeat", "1")
+	}
+	return r, nil
+}
+
+// abandoned reports whether the client ended the attempt, or never wrote its request to the end.
+func (a *attempt) abandoned(ctx context.Context) bool {
+	if context.Cause(ctx) == errDeparted {
+		return true
+	}
+	chunked, ok := a.content.(*chunkedBody)
+	return ok && chunked.stalls
+}
+
+// exchange sends a request and reads its answer.
+func (a *attempt) exchange(ctx context.Context, r *http.Request) attemptOutcome {
+	resp, err := a.send(ctx, r)
+	if err != nil {
+		return attemptOutcome{how: a.classifySendError(ctx, err)}
+	}
+	defer resp.Body.Close()
+	if resp.StatusCode != http.StatusOK {
+		return readRejection(resp)
+	}
+	return a.readStream(resp)
+}
+
+// send sends a request, and a second time on a new connection if the close of an idle connection
+// may have crossed it.
+func (a *attempt) send(ctx context.Context, r *http.Request) (*http.Response, error) {
+	var reused atomic.Bool
+	var written atomic.Pointer[time.Time]
+	r = r.WithContext(httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
+		GotConn: func(i httptrace.GotConnInfo) { reused.Store(i.Reused) },
+		WroteRequest: func(httptrace.WroteRequestInfo) {
+			now := time.Now()
+			written.Store(&now)
+		},
+	}))
+	resp, err := a.clients.client.Do(r)
+	if err == nil || ctx.Err() != nil || !reused.Load() {
+		return resp, err
+	}
+	if at := written.Load(); at != nil && time.Since(*at) >= crossedCloseWindow {
+		return resp, err
+	}
+	a.clients.observe(history.Event{What: history.Note, ID: a.id, Who: a.router, Text: CloseCrossed}, a.until)
+	r = r.Clone(ctx)
+	r.Body = io.NopCloser(strings.NewReader(a.body))
+	return a.clients.oneShot.Do(r)
+}
+
+// classifySendError names the outcome of an attempt that ended before an answer.
+func (a *attempt) classifySendError(ctx context.Context, err error) history.How {
+	if context.Cause(ctx) == errGaveUp {
+		return history.None
+	}
+	if errors.Is(err, syscall.ECONNREFUSED) {
+		return history.Unreached
+	}
+	if chunked, ok := a.content.(*chunkedBody); ok && chunked.remaining != "" {
+		return history.Unreached // the router never had the last byte of the request
+	}
+	return history.Interrupted
+}
+
+// readRejection reads an answer with a status other than 200.
+func readRejection(resp *http.Response) attemptOutcome {
+	io.Copy(io.Discard, resp.Body)
+	outcome := attemptOutcome{how: history.Failed, status: resp.StatusCode}
+	if outcome.status == http.StatusTooManyRequests || outcome.status == http.StatusServiceUnavailable {
+		outcome.how = history.Refused
+		seconds, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
+		outcome.retryAfter = time.Duration(seconds * float64(time.Second))
+	}
+	return outcome
+}
+
+// readStream reads an answer's events. Its tokens are counted by events until the usage event
+// states their number.
+func (a *attempt) readStream(resp *http.Response) attemptOutcome {
+	outcome := attemptOutcome{status: resp.StatusCode}
+	done := false
+	for lines := bufio.NewReader(resp.Body); ; {
+		line, err := lines.ReadBytes('\n')
+		if bytes.Contains(line, []byte(`"content":`)) {
+			if outcome.tokens == 0 {
+				a.gaveUp.Stop() // a client that has a part of its answer waits for the rest
+				outcome.first = time.Since(a.due)
+				a.clients.observe(history.Event{What: history.First, ID: a.id}, a.until)
+			}
+			outcome.tokens++
+			outcome.last = time.Since(a.due)
+		}
+		if _, usage, ok := bytes.Cut(line, []byte(`"completion_tokens":`)); ok {
+			fmt.Sscanf(string(usage), "%d", &outcome.tokens)
+		}
+		done = done || bytes.HasPrefix(line, []byte("data: [DONE]"))
+		if err == io.EOF && done {
+			outcome.how = history.Complete
+			return outcome
+		}
+		if err != nil {
+			outcome.tokens, outcome.how = 0, history.Broken
+			return outcome
+		}
+	}
+}
--- a/internal/testbed/fakes/fakes_test.go
+++ b/internal/testbed/fakes/fakes_test.go
@@ -23,7 +23,7 @@
 	return hostmodel.Config{Slots: 2, Queue: 1, Memory: 10000, Chunk: 1000, Block: 10, Base: 2 * ms, ReadPerS: 1e6, Conns: 20, KeepsMade: true}
 }
 
-func start(t *testing.T, c hostmodel.Config) *Host {
+func startHost(t *testing.T, c hostmodel.Config) *Host {
 	t.Helper()
 	h, err := NewHost("h1", "127.0.0.1:0", c, 1)
 	if err != nil {
@@ -41,9 +41,10 @@
 	return http.DefaultTransport.RoundTrip(r)
 }
 
-// An answer is a stream as the platform's are: the router's own parser reads its end, with the report and what was kept.
-func TestAnswer(t *testing.T) {
-	h := start(t, config())
+// An answer is a stream of events in the platform's form, which ends with the usage (with the
+// cached tokens of the prompt) and the load report.
+func TestAnswerIsStreamOfPlatform(t *testing.T) {
+	h := startHost(t, config())
 	for i, want := range []string{`"completion_tokens":9,"prompt_tokens_details":{"cached_tokens":0}`, `"cached_tokens":90}`} {
 		resp, err := ask(t, h, fmt.Sprint("q", i), 9)
 		if err != nil {
@@ -67,11 +68,12 @@
 	}
 }
 
-// Beyond slots and queue it turns away with the word that nothing was done; a client that leaves frees its slot; a host
-// that is killed resets what it has and refuses; started again it serves.
-func TestTurnedAwayLeftAndKilled(t *testing.T) {
-	h := start(t, config())
-	failed := make(chan error, 3)
+// A host whose slots and queue are full rejects a request and says that nothing was done; a client
+// that departs frees its slot; a killed host resets its connections and refuses new ones; started
+// again it serves.
+func TestFullHostRejectsDepartureFreesSlotAndKillResets(t *testing.T) {
+	h := startHost(t, config())
+	ends := make(chan error, 3)
 	for i := range 3 {
 		go func() {
 			resp, err := ask(t, h, fmt.Sprint("q", i), 500)
@@ -79,10 +81,10 @@
 				_, err = io.Copy(io.Discard, resp.Body)
 				resp.Body.Close()
 			}
-			failed <- err
+			ends <- err
 		}()
 	}
-	until(t, "three requests", func() bool { s := h.Stats(); return s.Running == 2 && s.Waiting == 1 })
+	awaitCondition(t, "three requests", func() bool { s := h.Stats(); return s.Running == 2 && s.Waiting == 1 })
 	resp, err := ask(t, h, "over", 1)
 	if err != nil {
 		t.Fatal(err)
@@ -93,7 +95,7 @@
 	}
 	h.Kill()
 	for range 3 {
-		if err := scripted.Next(t, failed, "the end of an attempt"); err == nil {
+		if err := scripted.Next(t, ends, "the end of an attempt"); err == nil {
 			t.Error("a killed host ended a stream well")
 		}
 	}
@@ -107,12 +109,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	until(t, "a request after the start", func() bool { return h.Stats().Running == 1 })
+	awaitCondition(t, "a request after the start", func() bool { return h.Stats().Running == 1 })
 	resp.Body.Close() // the client leaves
-	until(t, "a free slot", func() bool { return h.Stats().Running == 0 })
+	awaitCondition(t, "a free slot", func() bool { return h.Stats().Running == 0 })
 }
 
-func until(t *testing.T, what string, ok func() bool) {
+func awaitCondition(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(scripted.Patience); !ok(); time.Sleep(ms) {
 		if time.Now().After(end) {
@@ -121,14 +123,15 @@
 	}
 }
 
-// The list is told whole to who has none, what changed to who watches, and nothing is lost between two calls.
-func TestList(t *testing.T) {
+// A read returns the full list, a watch the changes since its version, and no change between two
+// calls is lost.
+func TestListAnswersFullyOrByChange(t *testing.T) {
 	l, err := NewList("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	get := func(query string) (a answer, ids []string) {
+	get := func(query string) (a listAnswer, ids []string) {
 		t.Helper()
 		resp, err := http.Get("http://" + l.Addr + "/api/targets" + query)
 		if err != nil {
@@ -145,9 +148,9 @@
 	}
 	l.Set(Entry{ID: "b", State: "Ready"})
 	l.Set(Entry{ID: "a", State: "Ready"})
-	whole, ids := get("")
-	if diff := cmp.Diff([]string{"a Ready", "b Ready"}, ids); diff != "" || !whole.Full || whole.Version != 3 {
-		t.Errorf("%+v %s", whole, diff)
+	full, ids := get("")
+	if diff := cmp.Diff([]string{"a Ready", "b Ready"}, ids); diff != "" || !full.Full || full.Version != 3 {
+		t.Errorf("%+v %s", full, diff)
 	}
 	if none, ids := get("?index=3&wait=1"); len(ids) > 0 || none.Full || none.Version != 3 {
 		t.Errorf("%+v", none)
@@ -169,9 +172,10 @@
 	}
 }
 
-// Clients count every request of the plan in one way, with its time from when it was due.
-func TestClients(t *testing.T) {
-	h := start(t, config())
+// Clients count each request of the plan under exactly one outcome, with its time from when it was
+// due.
+func TestClientsCountEachRequestOnce(t *testing.T) {
+	h := startHost(t, config())
 	spec := &simulator.Spec{Classes: []simulator.Class{{}}}
 	spec.Classes[0].Class.Name, spec.Classes[0].Class.LatencyTarget, spec.Classes[0].Class.Deadline = "chat", time.Minute, time.Minute
 	c := NewClients(h.Addr, spec)
@@ -179,7 +183,7 @@
 		{ID: "c", At: 10 * ms, Prompt: 20000, Out: 3, MaxOut: 5}} // the last one is too long for the host
 	c.Run(t.Context(), plan)
 	got := c.Tallies()[0]
-	if got.Asked != 3 || got.Good != 2 || got.Refused != 1 || got.Tokens != 6 || got.First.TotalCount() != 2 {
+	if got.Asked != 3 || got.Good != 2 || got.Refused != 1 || got.Tokens != 6 || got.FirstToken.TotalCount() != 2 {
 		t.Errorf("%+v", got)
 	}
 	h.Kill()
--- a/internal/testbed/fakes/faults.go
+++ b/internal/testbed/fakes/faults.go
@@ -1,6 +1,7 @@
 package fakes
 
 import (
+	"cmp"
 	"context"
 	"fmt"
 	"net"
@@ -11,71 +12,79 @@
 	"reachspread/internal/testbed/hostmodel"
 )
 
-// resetInterval is how often connections are reset while they are to be.
+// resetInterval is the time between two resets of a host's connections under the fault Reset.
 const resetInterval = 5 * time.Millisecond
 
-// Play has faults of hosts come and go in their time, until all are over or ctx ends. Tell is called with each.
-func (f *Fleet) Play(ctx context.Context, all []faults.Fault, log func(string)) error {
-	type turn struct {
-		at     time.Duration
-		strike *faults.Injection
-		ends   bool
-	}
-	var turns []turn
-	for _, s := range faults.Resolve(all, f.spec.Topology(), f.spec.Seed) {
-		turns = append(turns, turn{s.At, s, false}, turn{s.At + s.Length, s, true})
+// transition is the beginning or the end of a fault.
+type transition struct {
+	at        time.Duration
+	injection *faults.Injection
+	ends      bool
+}
+
+// transitions are the beginnings and ends of faults in the order of their times.
+func transitions(injections []*faults.Injection) []transition {
+	var all []transition
+	for _, i := range injections {
+		all = append(all, transition{i.At, i, false}, transition{i.At + i.Length, i, true})
 	}
-	slices.SortStableFunc(turns, func(a, b turn) int { return int(a.at - b.at) })
-	begun := time.Now()
-	for _, t := range turns {
-		select {
-		case <-ctx.Done():
+	slices.SortStableFunc(all, func(a, b transition) int { return cmp.Compare(a.at, b.at) })
+	return all
+}
+
+// Play begins and ends faults of hosts at their times, until all are over or ctx ends. log is
+// called with a line for each host of each transition. The error is that of a host that can't
+// listen again.
+func (f *Fleet) Play(ctx context.Context, all []faults.Fault, log func(string)) error {
+	planned := transitions(faults.Resolve(all, f.spec.Topology(), f.spec.Seed))
+	start := time.Now()
+	for _, t := range planned {
+		if !sleep(ctx, time.Until(start.Add(t.at))) {
 			return nil
-		case <-time.After(time.Until(begun.Add(t.at))):
 		}
 		phase := "begins"
 		if t.ends {
 			phase = "ends"
 		}
-		for _, n := range t.strike.Hosts {
-			if err := f.Inject(n, t.strike.Fault, t.ends); err != nil {
-				return fmt.Errorf("host-%d: %s: %w", n+1, t.strike.Kind, err)
+		for _, n := range t.injection.Hosts {
+			if err := f.Inject(n, t.injection.Fault, t.ends); err != nil {
+				return fmt.Errorf("host-%d: %s: %w", n+1, t.injection.Kind, err)
 			}
-			log(fmt.Sprintf("%v host-%d: %s %s", t.at, n+1, t.strike.Kind, phase))
+			log(fmt.Sprintf("%v host-%d: %s %s", t.at, n+1, t.injection.Kind, phase))
 		}
 	}
 	return nil
 }
 
-// Inject begins or ends a fault at a host. Faults may lie over one another: a host that two have killed starts as the last
-// of them ends.
+// Inject begins or ends a fault at a host. Faults may overlap: a host that two of them have killed
+// starts as the last one ends.
 func (f *Fleet) Inject(n int, x *faults.Fault, ends bool) error {
 	h := f.Hosts[n]
 	switch x.Kind {
 	case faults.Stall, faults.Garbage, faults.Reset:
-		h.misbehave(x.Kind, !ends)
+		h.setMisbehavior(x.Kind, !ends)
 	case faults.Slow:
 		factor := x.Size
 		if ends {
 			factor = 1
 		}
-		h.Event(hostmodel.Slow{Factor: factor})
+		h.Step(hostmodel.Slow{Factor: factor})
 	case faults.Refuse:
-		return h.refuse(!ends)
+		return h.setRefusing(!ends)
 	case faults.Drain:
 		if !ends {
-			f.UpdateList(h, "Terminating", 0)
-			h.Event(hostmodel.Drain{})
+			f.UpdateList(h, stateTerminating, 0)
+			h.Step(hostmodel.Drain{})
 			return nil
 		}
-		if h.down > 0 {
+		if h.kills > 0 {
 			return nil
 		}
 		h.Kill()
 		return f.restart(h)
 	case faults.Kill, faults.Power, faults.Rename:
 		if !ends {
-			if h.down++; h.down == 1 {
+			if h.kills++; h.kills == 1 {
 				h.Kill()
 			}
 			return nil
@@ -83,42 +92,43 @@
 		if x.Kind == faults.Rename {
 			f.rename(h)
 		}
-		if h.down--; h.down == 0 {
+		if h.kills--; h.kills == 0 {
 			return f.restart(h)
 		}
 	}
 	return nil
 }
 
-// restart starts a host that was killed, cold, and has the list say so.
+// restart starts a killed host and lists it with its new start time.
 func (f *Fleet) restart(h *Host) error {
 	if err := h.Start(); err != nil {
 		return err
 	}
-	f.UpdateList(h, "Ready", time.Now().UnixMilli())
+	f.UpdateList(h, stateReady, time.Now().UnixMilli())
 	return nil
 }
 
-// misbehave has the host's sockets do what its model knows nothing of, or no more.
-func (h *Host) misbehave(how faults.Kind, on bool) {
+// setMisbehavior begins or ends a fault of the host's sockets, of which its model knows nothing.
+func (h *Host) setMisbehavior(how faults.Kind, on bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !on {
-		if h.wrong == how {
-			h.wrong = ""
-			close(h.right)
+		if h.misbehavior == how {
+			h.misbehavior = ""
+			close(h.misbehaviorEnd)
 		}
 		return
 	}
-	if h.wrong == "" {
-		h.right = make(chan struct{})
+	if h.misbehavior == "" {
+		h.misbehaviorEnd = make(chan struct{})
 	}
-	if h.wrong = how; how == faults.Reset {
-		go h.resetConnections(h.right)
+	h.misbehavior = how
+	if how == faults.Reset {
+		go h.resetConnections(h.misbehaviorEnd) // until the fault ends
 	}
 }
 
-// resetConnections resets all connections over and over.
+// resetConnections resets all connections at short intervals until the fault ends.
 func (h *Host) resetConnections(until <-chan struct{}) {
 	for {
 		if h.resetOnce(until) {
@@ -132,7 +142,8 @@
 	}
 }
 
-// resetOnce resets all connections, unless that is over. The end is told under the lock, so nothing is cut after it.
+// resetOnce resets all connections, unless the fault is over. Its end is signalled under the lock,
+// so no connection is reset after it.
 func (h *Host) resetOnce(until <-chan struct{}) (over bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -142,44 +153,43 @@
 	default:
 	}
 	for c := range h.conns {
-		if tcp, ok := c.(*net.TCPConn); ok {
-			tcp.SetLinger(0)
-		}
+		resetOnClose(c)
 		c.Close()
 	}
 	return false
 }
 
-// amiss returns what the host's sockets do wrong by now, and what ends with it.
-func (h *Host) amiss() (how faults.Kind, until <-chan struct{}) {
+// currentMisbehavior returns the present fault of the host's sockets, and a channel that closes
+// when it ends.
+func (h *Host) currentMisbehavior() (how faults.Kind, until <-chan struct{}) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.wrong, h.right
+	return h.misbehavior, h.misbehaviorEnd
 }
 
-// refuse has no new connection come up, or listens again.
-func (h *Host) refuse(on bool) error {
+// setRefusing stops or resumes listening. The error is that of listening or of the close.
+func (h *Host) setRefusing(on bool) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if on == h.deaf || h.down > 0 {
-		return nil // it is so already; a host that is dead refuses anyway, and listens as it starts
+	if on == h.refusing || h.kills > 0 {
+		return nil // a killed host refuses anyway, and listens when it starts
 	}
-	h.deaf = on
+	h.refusing = on
 	if on {
-		return h.ln.Close()
+		return h.listener.Close()
 	}
 	ln, err := net.Listen("tcp", h.Addr)
 	if err != nil {
 		return err
 	}
-	h.ln = ln
-	go h.server.Serve(ln)
+	h.listener = ln
+	go h.server.Serve(ln) // until Kill
 	return nil
 }
 
-// Listens tells whether new connections to the host come up.
+// Listens reports whether the host accepts new connections.
 func (h *Host) Listens() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.down == 0 && !h.deaf
+	return h.kills == 0 && !h.refusing
 }
--- a/internal/testbed/fakes/faults_test.go
+++ b/internal/testbed/fakes/faults_test.go
@@ -16,8 +16,8 @@
 	"reachspread/internal/testbed/simulator"
 )
 
-// Each fault does what its name says, to the hosts named alone, and ends with its time.
-func TestFaults(t *testing.T) {
+// Each fault has the effect of its name, only on its hosts, and only while it lasts.
+func TestFaultAffectsOnlyItsHostsWhileItLasts(t *testing.T) {
 	spec := &simulator.Spec{Seed: 1, Groups: []simulator.Group{{Count: 2, Kind: "k", Zone: "z", Host: config()}}}
 	for _, tt := range []struct {
 		kind   faults.Kind
@@ -25,7 +25,7 @@
 	}{{faults.Stall, "late"}, {faults.Reset, "broken"}, {faults.Garbage, "garbage"}, {faults.Drain, "503"}, {faults.Kill, "refused"},
 		{faults.Refuse, "refused"}, {faults.Slow, "late"}} {
 		t.Run(string(tt.kind), func(t *testing.T) {
-			f, err := NewFleet(spec, Anywhere)
+			f, err := NewFleet(spec, AnyPort)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -42,25 +42,25 @@
 				})
 			}()
 			<-begun
-			if got := outcome(t, f.Hosts[0], string(tt.kind)); got != tt.during {
+			if got := askOutcome(t, f.Hosts[0], string(tt.kind)); got != tt.during {
 				t.Errorf("during it: %s, want %s", got, tt.during)
 			}
-			if got := outcome(t, f.Hosts[1], "other"); got != "well" {
+			if got := askOutcome(t, f.Hosts[1], "other"); got != "well" {
 				t.Errorf("the other host: %s", got)
 			}
 			<-ended
 			if err := <-over; err != nil {
 				t.Error(err)
 			}
-			if got := outcome(t, f.Hosts[0], "after"); got != "well" {
+			if got := askOutcome(t, f.Hosts[0], "after"); got != "well" {
 				t.Errorf("after it: %s", got)
 			}
 		})
 	}
 }
 
-// outcome asks a host once, on a connection of its own.
-func outcome(t *testing.T, h *Host, id string) string {
+// askOutcome asks a host once, on a connection of its own, and names what came of it.
+func askOutcome(t *testing.T, h *Host, id string) string {
 	t.Helper()
 	r := scripted.Ask(t, h.Addr, id, nil)
 	r.Body, r.ContentLength = io.NopCloser(strings.NewReader(`{"lab_out":6,"lab_prompt":10}`)), 29
@@ -88,8 +88,8 @@
 	return "well"
 }
 
-// Nothing is cut once the end of the fault was told.
-func TestNothingIsCutAfterTheEnd(t *testing.T) {
+// No connection is reset once the end of the fault was signalled.
+func TestNoConnectionIsResetAfterFaultEnds(t *testing.T) {
 	here, there := net.Pipe()
 	defer there.Close()
 	h := &Host{conns: map[net.Conn]bool{here: true}}
--- a/internal/testbed/fakes/fleet.go
+++ b/internal/testbed/fakes/fleet.go
@@ -1,42 +1,45 @@
 package fakes
 
 import (
-	"cmp"
-	"encoding/json"
 	"fmt"
 	"slices"
 	"strconv"
 	"strings"
 	"sync"
-	"time"
 
 	"reachspread/internal/testbed/simulator"
 )
 
-// Fleet is the hosts of an experiment and their lists, on loopback.
+// Fleet is the hosts of an experiment and the lists that name them. It owns both until Close.
 type Fleet struct {
-	Hosts []*Host
-	List  *List
+	Hosts []*Host // by number, from 0
+	List  *List   // the first one
 	spec  *simulator.Spec
-	zones map[*Host][2]string // with the kind
+	sites map[*Host]hostSite
 
 	mu      sync.Mutex
-	views   []view
-	applied map[string]Entry // by host, as last told
+	lists   []listView
+	entries map[string]Entry // by host id, as the lists have it
 }
 
-// view is a list that names the hosts at addresses of its own.
-type view struct {
+// hostSite is what the lists say of a host beside its state.
+type hostSite struct{ zone, kind string }
+
+// listView is a list that names the hosts at addresses of its own.
+type listView struct {
 	list *List
 	addr func(host int) string
 }
 
-// Anywhere is a free port on loopback.
-func Anywhere(int) string { return "127.0.0.1:0" }
+// anyPort is an address of the loopback with a port that the system chooses.
+const anyPort = "127.0.0.1:0"
+
+// AnyPort gives each host a free port on the loopback.
+func AnyPort(int) string { return anyPort }
 
 // NewFleet starts the hosts at the addresses given for their numbers, and a list of them.
 func NewFleet(spec *simulator.Spec, addr func(host int) string) (f *Fleet, err error) {
-	f = &Fleet{spec: spec, zones: map[*Host][2]string{}, applied: map[string]Entry{}}
+	f = &Fleet{spec: spec, sites: map[*Host]hostSite{}, entries: map[string]Entry{}}
 	defer func() {
 		if err != nil {
 			f.Close()
@@ -50,20 +53,20 @@
 				return nil, err
 			}
 			f.Hosts = append(f.Hosts, h)
-			f.zones[h] = [2]string{g.Zone, g.Kind}
+			f.sites[h] = hostSite{zone: g.Zone, kind: g.Kind}
 		}
 	}
-	if f.List, err = f.AddList("127.0.0.1:0", func(n int) string { return f.Hosts[n].Addr }); err != nil {
+	if f.List, err = f.AddList(anyPort, func(n int) string { return f.Hosts[n].Addr }); err != nil {
 		return nil, err
 	}
 	for _, h := range f.Hosts {
-		f.UpdateList(h, "Ready", 0)
+		f.UpdateList(h, stateReady, 0)
 	}
 	return f, nil
 }
 
-// AddList starts a further list at an address, with what the others tell by now. It names each host by the address given
-// for its number: a router on a machine of its own may reach hosts in a way of its own.
+// AddList starts a further list at an address, with the present entries. It names each host by the
+// address given for its number: routers on different machines may reach a host by different ones.
 func (f *Fleet) AddList(addr string, hosts func(host int) string) (*List, error) {
 	l, err := NewList(addr)
 	if err != nil {
@@ -71,9 +74,9 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.views = append(f.views, view{l, hosts})
+	f.lists = append(f.lists, listView{l, hosts})
 	for i, h := range f.Hosts {
-		if e, ok := f.applied[h.ID]; ok {
+		if e, ok := f.entries[h.ID]; ok {
 			e.Addr = hosts(i)
 			l.Set(e)
 		}
@@ -81,102 +84,54 @@
 	return l, nil
 }
 
-// Close ends all of it.
+// Close ends all hosts and lists.
 func (f *Fleet) Close() {
 	for _, h := range f.Hosts {
 		h.Close()
 	}
-	for _, v := range f.views {
+	for _, v := range f.lists {
 		v.list.Close()
 	}
 }
 
-// UpdateList has the lists tell of a host. Started is when, in milliseconds of Unix time, 0 for long ago.
+// UpdateList sets the state of a host in all lists. started is the start of its process in
+// milliseconds of Unix time, 0 for long ago.
 func (f *Fleet) UpdateList(h *Host, state string, started int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	at := f.zones[h]
-	e := Entry{ID: h.ID, Zone: at[0], Kind: at[1], State: state, Weight: 1, StartedMs: started}
-	f.applied[h.ID] = e
+	site := f.sites[h]
+	e := Entry{ID: h.ID, Zone: site.zone, Kind: site.kind, State: state, Weight: 1, StartedMs: started}
+	f.entries[h.ID] = e
 	n := slices.Index(f.Hosts, h)
-	for _, v := range f.views {
+	for _, v := range f.lists {
 		e.Addr = v.addr(n)
 		v.list.Set(e)
 	}
 }
 
-// Lists has a function called with each list.
-func (f *Fleet) Lists(do func(*List)) {
+// EachList calls a function with each list, under the fleet's lock.
+func (f *Fleet) EachList(visit func(*List)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, v := range f.views {
-		do(v.list)
+	for _, v := range f.lists {
+		visit(v.list)
 	}
 }
 
-// rename gives a host another id. The lists hear that the old one is gone.
+// rename gives a host another id and removes the old one from the lists.
 func (f *Fleet) rename(h *Host) {
-	f.UpdateList(h, "Gone", 0)
+	f.UpdateList(h, stateRemoved, 0)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.applied, h.ID)
+	delete(f.entries, h.ID)
 	h.ID += "'"
 }
 
-// Number is that of a host by one of its ids, -1 for none.
-func Number(id string) int {
+// HostNumber is the number of the host that has or had an id, -1 for none.
+func HostNumber(id string) int {
 	n, err := strconv.Atoi(strings.TrimRight(strings.TrimPrefix(id, "host-"), "'"))
 	if err != nil || !strings.HasPrefix(id, "host-") {
 		return -1
 	}
 	return n - 1
 }
-
-// Site is a router's place before a fleet.
-type Site struct {
-	Name, Listen, Discovery string
-	Seed                    uint64
-	Zone                    string // empty for that of the first hosts
-	Memory, Sockets         int    // limits, in MB and descriptors; 0 for 256 and 1,024
-	Cores                   float64
-
-	Me         int // number among Peers
-	PeerListen string
-	Peers      []string // all routers, itself included; none exchanges nothing
-}
-
-// RouterConfig is the configuration of a router before this fleet, with the classes of the experiment in the platform's
-// names.
-func (f *Fleet) RouterConfig(at Site) []byte {
-	var services []map[string]any
-	var targets []float64
-	var paces []int64
-	for _, c := range f.spec.Classes {
-		services = append(services, map[string]any{"name": c.Class.Name, "effect": "safe", "group": "all", "streaming": true, "gain": c.Class.Value,
-			"lateWorth": c.Class.LateValueFraction, "aimNs": c.Class.LatencyTarget.Nanoseconds(), "hardLimitNs": c.Class.Deadline.Nanoseconds()})
-		targets = append(targets, float64(c.Class.LatencyTargetPer1000Tokens.Microseconds()))
-		paces = append(paces, c.Class.TokenLatencyTarget.Nanoseconds())
-	}
-	if at.Zone == "" && len(f.spec.Groups) > 0 {
-		at.Zone = f.spec.Groups[0].Zone
-	}
-	b := &f.spec.Balance
-	settings := map[string]any{"az": at.Zone, "quantumNs": f.spec.Tick.Nanoseconds(), "services": services, "discovery": "push",
-		"clients": map[string]any{"marksRetry": true}, "me": at.Me, "nInstances": max(len(at.Peers), 1),
-		"extra": map[string]any{"aimUsPer1000PromptTokens": targets, "tokenAimNs": paces, "reportX1": "thousands of prompt tokens waiting to be read"},
-		"limits": map[string]any{"maxAttempts": b.MaxAttempts, "connectTimeoutNs": f.spec.Net.Connect.Nanoseconds(), "peers": len(at.Peers) > 0,
-			"keepaliveNs": f.spec.Net.Idle.Nanoseconds(), "maxRetryAfterNs": b.MaxRetryAfter.Nanoseconds(), "mayProbe": b.MayProbe, "retryAfter": true},
-		"reporting": map[string]any{"columns": []string{"inflight", "util", "x1"}, "how": "answers"},
-		"rules": map[string]any{"coldNs": b.SlowStartWindow.Nanoseconds(), "startCapacity": b.SlowStartMinCapacity, "overloadFactor": b.OverloadFactor,
-			"tipAfterNs": b.OverloadWindow.Nanoseconds(), "stopSendingWithinNs": int64(500 * time.Millisecond)}}
-	config := map[string]any{
-		"name": at.Name, "listen": at.Listen, "discovery": cmp.Or(at.Discovery, f.List.Addr), "seed": strconv.FormatUint(max(at.Seed, 1), 16),
-		"limits": map[string]any{"cores": cmp.Or(at.Cores, 2), "memory_mb": cmp.Or(at.Memory, 256), "sockets": cmp.Or(at.Sockets, 1024)},
-		"known":  map[string]any{"version": 0, "full": true, "servers": []any{}}, "settings": settings,
-	}
-	if len(at.Peers) > 0 {
-		config["peer_listen"], config["peers"] = at.PeerListen, at.Peers
-	}
-	text, _ := json.Marshal(config)
-	return text
-}
--- a/internal/testbed/fakes/list.go
+++ b/internal/testbed/fakes/list.go
@@ -13,7 +13,14 @@
 	"time"
 )
 
-// Entry is a host as the list has it.
+// The states of a host in discovery's list.
+const (
+	stateReady       = "Ready"
+	stateTerminating = "Terminating"
+	stateRemoved     = "Gone"
+)
+
+// Entry is a host in discovery's list.
 type Entry struct {
 	ID        string  `json:"id"`
 	Addr      string  `json:"addr"`
@@ -24,93 +31,106 @@
 	Weight    float64 `json:"weight"`
 	StartedMs int64   `json:"started_ms"`
 
-	since int64 // the version that changed it
+	version int64 // of the list that changed it
 }
 
-// List is discovery.
+// List is the platform's discovery: a versioned list of hosts, which routers read in full once and
+// then watch for changes.
 type List struct {
 	Addr   string
 	server *http.Server
 
-	mu      sync.Mutex
-	version int64
-	entries map[string]Entry
-	changed chan bool // closed at the next change
-	watcher func([]Entry)
-	conns   map[net.Conn]bool
-	first   *answer // as it was when Remember was called
-	old     bool    // it is told so
+	mu               sync.Mutex
+	version          int64
+	entries          map[string]Entry
+	changed          chan bool // closed at the next change
+	observer         func([]Entry)
+	conns            map[net.Conn]bool
+	remembered       *listAnswer // the full list when Remember was called
+	servesRemembered bool
 }
 
-// Watch has a function told of the entries that an answer held, once it is written. It must not wait.
-func (l *List) Watch(told func([]Entry)) {
+// Observe has a function called with the entries of each answer once it is written. It must not
+// block.
+func (l *List) Observe(observer func([]Entry)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.watcher = told
+	l.observer = observer
 }
 
-// mostWait is the longest that a watch may wait.
-const mostWait = time.Minute
+// maxWait bounds how long a watch waits for a change.
+const maxWait = time.Minute
 
-// NewList starts discovery without hosts.
+// NewList starts discovery without hosts at an address. It serves until Close.
 func NewList(addr string) (*List, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	l := &List{Addr: ln.Addr().String(), version: 1, entries: map[string]Entry{}, changed: make(chan bool), conns: map[net.Conn]bool{}}
+	l := &List{
+		Addr:    ln.Addr().String(),
+		version: 1,
+		entries: map[string]Entry{},
+		changed: make(chan bool),
+		conns:   map[net.Conn]bool{},
+	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /api/targets", l.targets)
-	l.server = &http.Server{Handler: mux, ConnState: func(c net.Conn, s http.ConnState) {
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		if l.conns[c] = true; s == http.StateClosed || s == http.StateHijacked {
-			delete(l.conns, c)
-		}
-	}}
-	go l.server.Serve(ln)
+	mux.HandleFunc("GET /api/targets", l.handleTargets)
+	l.server = &http.Server{Handler: mux, ConnState: l.trackConnection}
+	go l.server.Serve(ln) // until Close
 	return l, nil
 }
 
-// Close ends it.
+// trackConnection keeps the open connections, which a reset closes.
+func (l *List) trackConnection(c net.Conn, s http.ConnState) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if s == http.StateClosed || s == http.StateHijacked {
+		delete(l.conns, c)
+		return
+	}
+	l.conns[c] = true
+}
+
+// Close ends the server and its connections.
 func (l *List) Close() { l.server.Close() }
 
-// Set has a host be as the entry says. The state Gone takes it out.
+// Set adds or replaces a host's entry. The state Gone removes the host from full lists.
 func (l *List) Set(e Entry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.version++
-	e.since = l.version
+	e.version = l.version
 	l.entries[e.ID] = e
-	close(l.changed)
-	l.changed = make(chan bool)
+	l.notifyLocked()
 }
 
-// Remember keeps the list as it is now for Old.
+// Remember saves the present list for ServeRemembered.
 func (l *List) Remember() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	a := l.since(0)
-	l.first = &a
+	a := l.changesSince(0)
+	l.remembered = &a
 }
 
-// Old has the list be told as it was when Remember was called, under its version of then, or as it is again. Watches are reset.
-func (l *List) Old(on bool) {
+// ServeRemembered answers with the list that Remember saved, under its version, or with the present
+// one again. All connections are reset.
+func (l *List) ServeRemembered(on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.old = on && l.first != nil; !l.old {
+	if l.servesRemembered = on && l.remembered != nil; !l.servesRemembered {
 		l.version++
 	}
 	l.resetLocked()
 }
 
-// Renumber has versions count from 1 again. Watches are reset.
+// Renumber starts the versions at 1 again. All connections are reset.
 func (l *List) Renumber() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.version = 1
 	for id, e := range l.entries {
-		e.since = 1
+		e.version = 1
 		l.entries[id] = e
 	}
 	l.resetLocked()
@@ -120,21 +140,44 @@
 	for c := range l.conns {
 		c.Close()
 	}
+	l.notifyLocked()
+}
+
+// notifyLocked wakes the watches.
+func (l *List) notifyLocked() {
 	close(l.changed)
 	l.changed = make(chan bool)
 }
 
-func (l *List) targets(w http.ResponseWriter, r *http.Request) {
-	index, err := strconv.ParseInt(cmp.Or(r.FormValue("index"), "0"), 10, 64)
-	wait, err2 := strconv.ParseInt(cmp.Or(r.FormValue("wait"), "0"), 10, 64)
-	if err != nil || err2 != nil || wait < 0 {
+// handleTargets answers a read of the list (index 0) or a watch: the changes after a version, once
+// there are any or the wait in milliseconds is over.
+func (l *List) handleTargets(w http.ResponseWriter, r *http.Request) {
+	index, indexErr := strconv.ParseInt(cmp.Or(r.FormValue("index"), "0"), 10, 64)
+	wait, waitErr := strconv.ParseInt(cmp.Or(r.FormValue("wait"), "0"), 10, 64)
+	if indexErr != nil || waitErr != nil || wait < 0 {
 		http.Error(w, "index and wait must be whole numbers", http.StatusBadRequest)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), min(time.Duration(wait)*time.Millisecond, mostWait))
+	ctx, cancel := context.WithTimeout(r.Context(), min(time.Duration(wait)*time.Millisecond, maxWait))
 	defer cancel()
+	answer, observer := l.await(ctx, index)
+	text, err := json.Marshal(answer)
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusInternalServerError)
+		return
+	}
+	w.Header().Set("Content-Type", "application/json")
+	if _, err := w.Write(text); err == nil && observer != nil && r.Context().Err() == nil {
+		observer(answer.Servers)
+	}
+}
+
+// await returns the answer to a watch of a version once there is a change or ctx ends, and who
+// observes it.
+func (l *List) await(ctx context.Context, index int64) (listAnswer, func([]Entry)) {
 	l.mu.Lock()
-	for index > 0 && (l.old || l.version <= index) && ctx.Err() == nil {
+	defer l.mu.Unlock()
+	for index > 0 && (l.servesRemembered || l.version <= index) && ctx.Err() == nil {
 		changed := l.changed
 		l.mu.Unlock()
 		select {
@@ -143,36 +186,42 @@
 		}
 		l.mu.Lock()
 	}
-	answer := l.since(index)
-	switch {
-	case l.old && index == 0:
-		answer = *l.first
-	case l.old:
-		answer = answerOf(l.first.Version)
+	return l.answerLocked(index), l.observer
+}
+
+// answerLocked is the answer to a read or watch by now.
+func (l *List) answerLocked(index int64) listAnswer {
+	if !l.servesRemembered {
+		return l.changesSince(index)
 	}
-	told := l.watcher
-	l.mu.Unlock()
-	text, _ := json.Marshal(answer)
-	w.Header().Set("Content-Type", "application/json")
-	if _, err := w.Write(text); err == nil && told != nil && r.Context().Err() == nil {
-		told(answer.Servers)
+	if index == 0 {
+		return *l.remembered
 	}
+	return unchangedAnswer(l.remembered.Version)
 }
 
-type answer struct {
+// listAnswer is discovery's answer. Full is set where it has all hosts, not only changes.
+type listAnswer struct {
 	Version int64   `json:"version"`
 	Full    bool    `json:"full"`
 	Servers []Entry `json:"servers"`
 }
 
-// answerOf is an answer without an update.
-func answerOf(version int64) answer { return answer{Version: version, Servers: []Entry{}} }
+// unchangedAnswer is the answer to a watch without a change.
+func unchangedAnswer(version int64) listAnswer {
+	return listAnswer{Version: version, Servers: []Entry{}}
+}
 
-// since returns what changed after a version, or all that there is after none. The lock is held.
-func (l *List) since(index int64) answer {
-	a := answer{Version: l.version, Full: index == 0, Servers: []Entry{}}
+// changesSince returns the changes after a version, or all hosts for version 0. The lock is held.
+func (l *List) changesSince(index int64) listAnswer {
+	a := listAnswer{Version: l.version, Full: index == 0, Servers: []Entry{}}
 	for _, id := range slices.Sorted(maps.Keys(l.entries)) {
-		if e := l.entries[id]; a.Full && e.State != "Gone" || !a.Full && e.since > index {
+		e := l.entries[id]
+		listed := e.version > index
+		if a.Full {
+			listed = e.State != stateRemoved
+		}
+		if listed {
 			a.Servers = append(a.Servers, e)
 		}
 	}
