--- a/internal/router/mirror/answer.go
+++ b/internal/router/mirror/answer.go
@@ -20,69 +20,69 @@
 // capture keeps the beginning of an answer as it passes, and of the rest its length and hash. One
 // goroutine feeds it; it is read only after that has handed it on.
 type capture struct {
-	most    int
-	since   time.Time
-	prefix  []byte
-	size    int64
-	rest    *xxhash.Digest // of what came beyond kept
-	first   time.Time
-	last    time.Time // of the last piece with text
-	end     time.Time
-	from    routing.Source
-	outcome string
+	maxPrefix  int
+	since      time.Time
+	prefix     []byte
+	size       int64
+	restDigest *xxhash.Digest // of what came beyond kept
+	firstAt    time.Time
+	lastTextAt time.Time // of the last piece with text
+	endedAt    time.Time
+	source     routing.Source
+	outcome    string
 }
 
-// content marks the pieces with text; those with notes at the end of a stream are no tokens.
-var content = []byte(`"content"`)
+// contentField marks the pieces with text; those with notes at the end of a stream are no tokens.
+var contentField = []byte(`"content"`)
 
 func (c *capture) feed(p []byte) {
 	now := time.Now()
 	if c.size == 0 {
-		c.first, c.last = now, now
+		c.firstAt, c.lastTextAt = now, now
 	}
 	c.size += int64(len(p))
-	if bytes.Contains(p, content) {
-		c.last = now
+	if bytes.Contains(p, contentField) {
+		c.lastTextAt = now
 	}
-	n := min(len(p), c.most-len(c.prefix))
+	n := min(len(p), c.maxPrefix-len(c.prefix))
 	c.prefix = append(c.prefix, p[:n]...)
 	if n == len(p) {
 		return
 	}
-	if c.rest == nil {
-		c.rest = xxhash.New()
+	if c.restDigest == nil {
+		c.restDigest = xxhash.New()
 	}
-	c.rest.Write(p[n:])
+	c.restDigest.Write(p[n:])
 }
 
 // finish notes how the answer ended.
-func (c *capture) finish(outcome string) { c.outcome, c.end = outcome, time.Now() }
+func (c *capture) finish(outcome string) { c.outcome, c.endedAt = outcome, time.Now() }
 
-// complete is the outcome of an answer that came to its end.
-const complete = "whole"
+// outcomeComplete is the outcome of an answer that came to its end.
+const outcomeComplete = "whole"
 
 // answer reads what was captured; key is that of the digest.
 func (c *capture) answer(key []byte) shadow.Answer {
 	read := protocol.ReadAnswer(c.prefix)
-	a := shadow.Answer{Text: read.Text, Truncated: c.rest != nil, Bytes: c.size, Finish: read.Finish, Tokens: read.Tokens,
-		CachedTokens: read.Kept, First: -1, Between: -1, Total: -1, Wait: -1, Host: c.from.Server, Schedules: c.from.FailedAttempts}
+	a := shadow.Answer{Text: read.Text, Truncated: c.restDigest != nil, Bytes: c.size, Finish: read.Finish, Tokens: read.Tokens,
+		CachedTokens: read.Kept, FirstByte: -1, TokenInterval: -1, Total: -1, Queued: -1, Host: c.source.Server, Attempts: c.source.FailedAttempts}
 	if c.size > 0 {
-		a.First = c.first.Sub(c.since)
-		a.Schedules++
-		a.Wait = max(c.from.SentAt.Sub(c.since), 0)
+		a.FirstByte = c.firstAt.Sub(c.since)
+		a.Attempts++
+		a.Queued = max(c.source.SentAt.Sub(c.since), 0)
 		digest := hmac.New(sha256.New, key)
-		if c.rest == nil {
+		if c.restDigest == nil {
 			io.WriteString(digest, a.Text)
 		} else {
 			digest.Write(c.prefix)
-			digest.Write(c.rest.Sum(nil))
+			digest.Write(c.restDigest.Sum(nil))
 		}
 		a.Digest = hex.EncodeToString(digest.Sum(nil)[:16])
 	}
-	if c.outcome == complete {
-		a.Total = c.end.Sub(c.since)
+	if c.outcome == outcomeComplete {
+		a.Total = c.endedAt.Sub(c.since)
 		if a.Tokens > 1 {
-			a.Between = c.last.Sub(c.first) / time.Duration(a.Tokens-1)
+			a.TokenInterval = c.lastTextAt.Sub(c.firstAt) / time.Duration(a.Tokens-1)
 		}
 	}
 	return a
@@ -90,23 +90,23 @@
 
 // side is an answer in a record.
 func side(a shadow.Answer, outcome string, texts bool) records.Side {
-	s := records.Side{Outcome: outcome, Host: a.Host, Attempts: a.Schedules, Bytes: a.Bytes, Chars: len(a.Text),
-		Digest: a.Digest, Finish: a.Finish, Tokens: known(a.Tokens), CachedTokens: known(a.CachedTokens), WaitMs: millis(a.Wait), FirstMs: millis(a.First),
-		BetweenMs: millis(a.Between), TotalMs: millis(a.Total)}
+	s := records.Side{Outcome: outcome, Host: a.Host, Attempts: a.Attempts, Bytes: a.Bytes, Chars: len(a.Text),
+		Digest: a.Digest, Finish: a.Finish, Tokens: nonNegative(a.Tokens), CachedTokens: nonNegative(a.CachedTokens), WaitMs: milliseconds(a.Queued), FirstMs: milliseconds(a.FirstByte),
+		BetweenMs: milliseconds(a.TokenInterval), TotalMs: milliseconds(a.Total)}
 	if texts {
 		s.Text = a.Text
 	}
 	return s
 }
 
-func known(n int) *int {
+func nonNegative(n int) *int {
 	if n < 0 {
 		return nil
 	}
 	return &n
 }
 
-func millis(d time.Duration) *float64 {
+func milliseconds(d time.Duration) *float64 {
 	if d < 0 {
 		return nil
 	}
@@ -114,9 +114,9 @@
 	return &ms
 }
 
-// live is a live request that is copied, and its answer. It implements transport.Watcher. Once no
+// liveAnswer is a live request that is copied, and its answer. It implements transport.Watcher. Once no
 // copy wants its answer any more, it costs the client's path one look.
-type live struct {
+type liveAnswer struct {
 	copies        []liveCopy // never the copies themselves: the request's bytes must go with them
 	copiesWaiting atomic.Int32
 	answer        capture
@@ -128,50 +128,50 @@
 }
 
 // Begun implements transport.Watcher.
-func (l *live) Begun(from routing.Source) { l.answer.from = from }
+func (l *liveAnswer) Begun(from routing.Source) { l.answer.source = from }
 
 // Feed implements transport.Watcher.
-func (l *live) Feed(p []byte) {
+func (l *liveAnswer) Feed(p []byte) {
 	if l.copiesWaiting.Load() > 0 {
 		l.answer.feed(p)
 	}
 }
 
 // Ended implements transport.Watcher.
-func (l *live) Ended(err error) {
+func (l *liveAnswer) Ended(err error) {
 	switch err {
 	case io.EOF:
-		l.end(complete)
+		l.end(outcomeComplete)
 	case nil:
 		l.end("left")
 	default:
-		l.end(string(shadow.Broken))
+		l.end(string(shadow.StreamFailed))
 	}
 }
 
 // Refused implements transport.Watcher.
-func (l *live) Refused(ok bool, v routing.Verdict) {
+func (l *liveAnswer) Refused(ok bool, v routing.Verdict) {
 	if !ok {
 		l.end("left")
 		return
 	}
-	l.end(string(unserved(v)))
+	l.end(string(verdictCause(v)))
 }
 
-// unserved says why a request that was answered got no stream.
-func unserved(v routing.Verdict) shadow.Cause {
+// verdictCause says why a request that was answered got no stream.
+func verdictCause(v routing.Verdict) shadow.Cause {
 	switch v {
 	case routing.Rejected:
 		return shadow.Refused
 	case routing.Invalid:
-		return shadow.Unfit
+		return shadow.InvalidRequest
 	}
 	return shadow.Failed
 }
 
-func (l *live) end(outcome string) {
+func (l *liveAnswer) end(outcome string) {
 	l.answer.finish(outcome)
 	for _, c := range l.copies {
-		c.pool.post(posted{event: shadow.LiveEnded{Copy: c.id, Complete: outcome == complete}})
+		c.pool.post(message{event: shadow.LiveEnded{Copy: c.id, Complete: outcome == outcomeComplete}})
 	}
 }
--- a/internal/router/mirror/mirror.go
+++ b/internal/router/mirror/mirror.go
@@ -26,36 +26,36 @@
 	"reachspread/internal/transport"
 )
 
-// sampleEvery is how often the live path is looked at; copies get a step of their decider as often.
-const sampleEvery = 25 * time.Millisecond
+// sampleInterval is how often the live path is looked at; copies get a step of their decider as often.
+const sampleInterval = 25 * time.Millisecond
 
 // Options is what a Mirror is made of.
 type Options struct {
-	Balance balance.Config // the live one; each pool's module keeps its rules and classes
-	Seed    uint64
-	Connect time.Duration // for a connection to come up
-	Idle    time.Duration // after which a host closes an idle one
-	Log     routing.Logger
-	Sample  func() shadow.Sample // of the live path; asked by one goroutine
-	Duties  Duties               // nil where no pool has one copier
+	Balance        balance.Config // the live one; each pool's module keeps its rules and classes
+	Seed           uint64
+	ConnectTimeout time.Duration // for a connection to come up
+	KeepAlive      time.Duration // after which a host closes an idle one
+	Log            routing.Logger
+	Sample         func() shadow.Sample // of the live path; asked by one goroutine
+	Leases         Leases               // nil where no pool has one copier
 }
 
-// Duties say who may copy where only one router does. Its methods wait for nothing.
-type Duties interface {
+// Leases say who may copy where only one router does. Its methods wait for nothing.
+type Leases interface {
 	// Act is asked right before each copy is sent; it returns the token that the copy carries.
 	Check(duty string) (token uint64, within time.Duration, ok bool)
 	// Refused tells that a host has seen a higher token.
 	TokenRejected(duty string, highest uint64)
 }
 
-// Use names who says who may copy, before the first Apply.
-func (m *Mirror) Use(d Duties) { m.o.Duties = d }
+// UseLeases names who says who may copy, before the first Apply.
+func (m *Mirror) UseLeases(d Leases) { m.options.Leases = d }
 
-// Copies has this router copy to a pool of one copier until ctx ends, settings come without the
+// RunCopier has this router copy to a pool of one copier until ctx ends, settings come without the
 // pool, or the mirror leaves. Whoever copied before may have used up the copies of the last second,
 // so it begins after one, and anew where other settings have made another pool of the name; and it
 // ends once its own have reached their host, or after lastCopies.
-func (m *Mirror) Copies(ctx context.Context, name string) error {
+func (m *Mirror) RunCopier(ctx context.Context, name string) error {
 	for last := (*pool)(nil); ; {
 		m.mu.Lock()
 		i := slices.IndexFunc(m.pools, func(p *pool) bool { return p.name == name })
@@ -70,7 +70,7 @@
 		p := m.pools[i]
 		last = p
 		interval := time.Second
-		if rate := p.set.Decider.Caps.PerSecond; rate < 1 {
+		if rate := p.settings.Decider.Caps.PerSecond; rate < 1 {
 			interval = time.Duration(float64(time.Second) / rate)
 		}
 		m.mu.Unlock()
@@ -84,60 +84,60 @@
 		p.hasLease.Store(true)
 		select {
 		case <-ctx.Done():
-			p.lastCopies()
+			p.drainCopies()
 			return nil
 		case <-p.done: // it sends nothing more
 		}
 	}
 }
 
-// lastCopies ends copying.
-func (p *pool) lastCopies() {
+// drainCopies ends copying.
+func (p *pool) drainCopies() {
 	p.hasLease.Store(false)
-	for end := time.Now().Add(lastCopies); p.unheard.Load() > 0 && time.Now().Before(end); {
-		time.Sleep(lastCopies / 50)
+	for end := time.Now().Add(drainTimeout); p.unconfirmed.Load() > 0 && time.Now().Before(end); {
+		time.Sleep(drainTimeout / 50)
 	}
 }
 
-// lastCopies is for how long a copier waits for copies that are on their way before it gives its
+// drainTimeout is for how long a copier waits for copies that are on their way before it gives its
 // duty back: the margin of a lease in which nothing new is begun.
-const lastCopies = 100 * time.Millisecond
+const drainTimeout = 100 * time.Millisecond
 
 // Mirror has the pools in force. It implements transport.Tap.
 type Mirror struct {
-	o         Options
-	key       [32]byte // of the digests
-	copy      atomic.Uint64
-	force     atomic.Pointer[choosing]
+	options   Options
+	digestKey [32]byte // of the digests
+	lastCopy  atomic.Uint64
+	selection atomic.Pointer[selection]
 	suspended atomic.Bool // nothing is copied by now
 
-	mu     sync.Mutex // guards what follows, and is never taken on the live path
-	pools  []*pool
-	sink   *sink
-	ended  bool
-	leave  context.CancelFunc
-	idle   sync.WaitGroup // the sampler
-	some   chan bool      // told where there are pools: the sampler waits for that while there is none
-	closed []*pool        // that were taken out and may still end
+	mu          sync.Mutex // guards what follows, and is never taken on the live path
+	pools       []*pool
+	sink        *sink
+	closing     bool
+	stopSampler context.CancelFunc
+	sampler     sync.WaitGroup // the sampler
+	poolsAdded  chan bool      // told where there are pools: the sampler waits for that while there is none
+	closedPools []*pool        // that were taken out and may still end
 }
 
-// choosing is what the live path sees: who gets copies. It implements transport.Copier and never
+// selection is what the live path sees: who gets copies. It implements transport.Copier and never
 // changes.
-type choosing struct {
-	m        *Mirror
-	selector *shadow.Selector
-	idle     bool
-	tenant   string
-	pools    []*pool // by their place in the selector
+type selection struct {
+	mirror       *Mirror
+	selector     *shadow.Selector
+	idle         bool
+	tenantHeader string
+	pools        []*pool // by their place in the selector
 }
 
 // New returns a Mirror without pools. Nothing is sampled before the first Apply.
 func New(o Options) *Mirror {
-	m := &Mirror{o: o, some: make(chan bool, 1)}
-	if _, err := rand.Read(m.key[:]); err != nil {
+	m := &Mirror{options: o, poolsAdded: make(chan bool, 1)}
+	if _, err := rand.Read(m.digestKey[:]); err != nil {
 		panic(err) // by its page, it never fails
 	}
-	m.force.Store(&choosing{idle: true})
+	m.selection.Store(&selection{idle: true})
 	return m
 }
 
@@ -146,7 +146,7 @@
 func (m *Mirror) Apply(s settings.Shadow) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.ended {
+	if m.closing {
 		return errors.New("the program is ending")
 	}
 	old := map[string]*pool{}
@@ -157,7 +157,7 @@
 	var choices []shadow.Choice
 	for _, set := range s.Pools {
 		p := old[set.Choice.Pool]
-		if p == nil || !p.keeps(set) {
+		if p == nil || !p.compatible(set) {
 			var err error
 			if p, err = newPool(m, set); err != nil {
 				for _, p := range fresh {
@@ -170,15 +170,15 @@
 		pools, choices = append(pools, p), append(choices, set.Choice)
 	}
 	// Nothing fails from here on.
-	if m.leave == nil {
+	if m.stopSampler == nil {
 		ctx, leave := context.WithCancel(context.Background())
-		m.leave = leave
-		m.idle.Add(1)
+		m.stopSampler = leave
+		m.sampler.Add(1)
 		go m.sample(ctx)
 	}
 	last := m.sink
-	if last == nil || last.set != s.Records {
-		m.sink = newSink(s.Records, m.o.Log)
+	if last == nil || last.settings != s.Records {
+		m.sink = newSink(s.Records, m.options.Log)
 	}
 	for i, p := range pools {
 		if old[p.name] == p {
@@ -191,28 +191,28 @@
 	}
 	if m.pools = pools; len(pools) > 0 {
 		select {
-		case m.some <- true:
+		case m.poolsAdded <- true:
 		default:
 		}
 	}
 	selector := shadow.NewSelector(choices)
-	m.force.Store(&choosing{m: m, selector: selector, idle: selector.Idle(), tenant: s.TenantHeader, pools: pools})
-	m.closed = slices.DeleteFunc(m.closed, (*pool).isOver)
+	m.selection.Store(&selection{mirror: m, selector: selector, idle: selector.Idle(), tenantHeader: s.TenantHeader, pools: pools})
+	m.closedPools = slices.DeleteFunc(m.closedPools, (*pool).hasEnded)
 	for _, p := range old {
 		p.close()
-		m.closed = append(m.closed, p)
+		m.closedPools = append(m.closedPools, p)
 	}
 	return nil
 }
 
-// Retune has the pools take up other settings of the live router. A pool that has what it was made
+// Reconfigure has the pools take up other settings of the live router. A pool that has what it was made
 // of stays as it is.
-func (m *Mirror) Retune(c balance.Config) {
+func (m *Mirror) Reconfigure(c balance.Config) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.o.Balance = c
+	m.options.Balance = c
 	for _, p := range m.pools {
-		p.router.Reconfigure(copyConfig(c, p.set.Patience))
+		p.router.Reconfigure(copyConfig(c, p.settings.FirstEventTimeout))
 	}
 }
 
@@ -220,11 +220,11 @@
 func (m *Mirror) Suspend(on bool) { m.suspended.Store(on) }
 
 // TenantHeader implements transport.Tap.
-func (m *Mirror) TenantHeader() string { return m.force.Load().tenant }
+func (m *Mirror) TenantHeader() string { return m.selection.Load().tenantHeader }
 
 // Choose implements transport.Tap.
 func (m *Mirror) Choose(class, session, id string, tenant []byte) (transport.Copier, uint64) {
-	c := m.force.Load()
+	c := m.selection.Load()
 	if c.idle || m.suspended.Load() {
 		return nil, 0
 	}
@@ -236,19 +236,19 @@
 }
 
 // Copy implements transport.Copier.
-func (c *choosing) Copy(pools uint64, r transport.AcceptedRequest) transport.AnswerObserver {
+func (c *selection) Copy(pools uint64, r transport.AcceptedRequest) transport.AnswerObserver {
 	most := 0
 	for i, p := range c.pools {
 		if shadow.Pools(pools).Has(i) {
 			most = max(most, p.answerBytes())
 		}
 	}
-	l := &live{answer: capture{most: most, since: r.ArrivedAt}}
+	l := &liveAnswer{answer: capture{maxPrefix: most, since: r.ArrivedAt}}
 	for i, p := range c.pools {
-		if !shadow.Pools(pools).Has(i) || p.one.Load() && !p.hasLease.Load() {
+		if !shadow.Pools(pools).Has(i) || p.singleCopier.Load() && !p.hasLease.Load() {
 			continue
 		}
-		cp := &copied{id: c.m.copy.Add(1), live: l, taken: r, session: shadow.Session(r.Arrival.Session, r.Arrival.ID)}
+		cp := &shadowCopy{id: c.mirror.lastCopy.Add(1), live: l, request: r, session: shadow.Session(r.Arrival.Session, r.Arrival.ID)}
 		if p.offer(cp) {
 			l.copies = append(l.copies, liveCopy{p, cp.id})
 			l.copiesWaiting.Add(1)
@@ -263,8 +263,8 @@
 // sample looks at the live path again and again until ctx ends, while there are pools. That it is
 // late itself is a sign, too.
 func (m *Mirror) sample(ctx context.Context) {
-	defer m.idle.Done()
-	ticker := time.NewTicker(sampleEvery)
+	defer m.sampler.Done()
+	ticker := time.NewTicker(sampleInterval)
 	defer ticker.Stop()
 	for last := time.Now(); ; {
 		select {
@@ -281,28 +281,28 @@
 			select {
 			case <-ctx.Done():
 				return
-			case <-m.some:
+			case <-m.poolsAdded:
 			}
-			m.o.Sample() // counts from here on
-			ticker.Reset(sampleEvery)
+			m.options.Sample() // counts from here on
+			ticker.Reset(sampleInterval)
 			last = time.Now()
 			continue
 		}
-		s := m.o.Sample()
-		s.Late = max(s.Late, now.Sub(last)-sampleEvery)
+		s := m.options.Sample()
+		s.Delay = max(s.Delay, now.Sub(last)-sampleInterval)
 		last = now
 		for _, p := range pools {
-			p.post(posted{event: s})
+			p.post(message{event: s})
 		}
 	}
 }
 
-// Leave ends all copies at once, without waiting.
-func (m *Mirror) Leave() {
-	m.force.Store(&choosing{idle: true})
+// Shutdown ends all copies at once, without waiting.
+func (m *Mirror) Shutdown() {
+	m.selection.Store(&selection{idle: true})
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.ended = true
+	m.closing = true
 	for _, p := range m.pools {
 		p.close()
 	}
@@ -310,18 +310,18 @@
 
 // Close ends all copies and waits until their records are written, or until ctx ends.
 func (m *Mirror) Close(ctx context.Context) {
-	m.Leave()
+	m.Shutdown()
 	m.mu.Lock()
-	leave := m.leave
+	leave := m.stopSampler
 	m.mu.Unlock()
 	if leave == nil {
 		return // nothing was ever put in force
 	}
 	leave()
-	m.idle.Wait()
+	m.sampler.Wait()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, p := range append(m.closed, m.pools...) {
+	for _, p := range append(m.closedPools, m.pools...) {
 		select {
 		case <-p.done:
 		case <-ctx.Done():
@@ -336,8 +336,8 @@
 	}
 }
 
-// pooled names a pool in log lines.
-func pooled(log routing.Logger, name string) routing.Logger { return logging.With(log, "pool", name) }
+// withPool names a pool in log lines.
+func withPool(log routing.Logger, name string) routing.Logger { return logging.With(log, "pool", name) }
 
 // Sockets returns how many descriptors copies have, of pools that end too.
 func (m *Mirror) Sockets() (n int) {
@@ -346,7 +346,7 @@
 	for _, p := range m.pools {
 		n += p.servers.Open()
 	}
-	for _, p := range m.closed {
+	for _, p := range m.closedPools {
 		n += p.servers.Open()
 	}
 	return n
--- a/internal/router/mirror/mirror_test.go
+++ b/internal/router/mirror/mirror_test.go
@@ -34,13 +34,13 @@
 	t.Helper()
 	m := New(Options{Balance: balance.Config{Zone: "a", MaxAttempts: 3, StepInterval: time.Millisecond,
 		Classes: []balance.Class{{Name: "chat", LatencyTarget: time.Second, Deadline: time.Second, Streamed: true}}},
-		Connect: time.Second, Idle: time.Minute, Log: make(scripted.Lines, 100), Sample: sample})
+		ConnectTimeout: time.Second, KeepAlive: time.Minute, Log: make(scripted.Lines, 100), Sample: sample})
 	host := scripted.NewModel(t, scripted.Manner{Stalls: true})
-	caps := shadow.Caps{PerSecond: 1000, Out: 4, PerHost: 4, Bytes: 1 << 20, Waiting: 4, Wait: time.Second, Longest: time.Minute}
+	caps := shadow.Caps{PerSecond: 1000, InFlight: 4, InFlightPerHost: 4, Bytes: 1 << 20, Waiting: 4, MaxWait: time.Second, MaxDuration: time.Minute}
 	one := settings.Shadow{Pools: []settings.Pool{{Choice: shadow.Choice{Pool: "next", Share: share},
-		Hosts: []settings.Host{{ID: "c0", Addr: host.Addr}}, Sockets: 10, Patience: time.Minute, StreamIdleTimeout: time.Minute, AnswerBytes: 32 << 10,
-		Decider: shadow.Config{Caps: caps, Health: shadow.Health{Failures: 5, First: time.Second, Most: time.Minute},
-			Pressure: shadow.Pressure{Queued: 8, Bodies: 0.5, Sockets: 0.7, Late: time.Hour, Refusals: 2, Hard: 2, Grace: time.Second, Calm: time.Second}},
+		Hosts: []settings.Host{{ID: "c0", Addr: host.Addr}}, Sockets: 10, FirstEventTimeout: time.Minute, StreamIdleTimeout: time.Minute, AnswerBytes: 32 << 10,
+		Decider: shadow.Config{Caps: caps, Health: shadow.Health{Failures: 5, MinBackoff: time.Second, MaxBackoff: time.Minute},
+			Pressure: shadow.Pressure{Queued: 8, BodyFraction: 0.5, SocketFraction: 0.7, Delay: time.Hour, Rejections: 2, HardFactor: 2, GracePeriod: time.Second, CalmPeriod: time.Second}},
 	}}}
 	t.Cleanup(func() {
 		ctx, stop := context.WithTimeout(context.Background(), scripted.Patience)
@@ -58,12 +58,12 @@
 func TestCopierEndsWithItsPool(t *testing.T) {
 	for _, leaves := range []bool{false, true} {
 		m, one := untapped(t, 1, func() shadow.Sample { return shadow.Sample{} })
-		one.Pools[0].OneCopier = true
+		one.Pools[0].SingleCopier = true
 		if err := m.Apply(one); err != nil {
 			t.Fatal(err)
 		}
 		over := make(chan error, 1)
-		go func() { over <- m.Copies(context.Background(), "next") }()
+		go func() { over <- m.RunCopier(context.Background(), "next") }()
 		again := one
 		again.Pools = slices.Clone(one.Pools)
 		again.Pools[0].StreamIdleTimeout++
@@ -76,7 +76,7 @@
 			}
 		}
 		if leaves {
-			m.Leave()
+			m.Shutdown()
 		} else if err := m.Apply(settings.Shadow{}); err != nil {
 			t.Fatal(err)
 		}
@@ -149,11 +149,11 @@
 // What is not kept of an answer still counts in its length and its digest.
 func TestCapture(t *testing.T) {
 	take := func(most int, pieces ...string) shadow.Answer {
-		c := &capture{most: most, since: time.Now()}
+		c := &capture{maxPrefix: most, since: time.Now()}
 		for _, p := range pieces {
 			c.feed([]byte(p))
 		}
-		c.finish(complete)
+		c.finish(outcomeComplete)
 		return c.answer([]byte("key"))
 	}
 	long := strings.Repeat(scripted.Event, 3)
@@ -173,10 +173,10 @@
 func TestAfterTheEnd(t *testing.T) {
 	m := tapped(t, 1)
 	p := m.pools[0]
-	m.Leave()
+	m.Shutdown()
 	scripted.Next(t, p.done, "its end")
 	granted := make(chan bool, 1)
-	p.post(posted{event: shadow.AttemptRequest{Copy: 1, Host: "c0"}, granted: granted})
+	p.post(message{event: shadow.AttemptRequest{Copy: 1, Host: "c0"}, grantReply: granted})
 	if scripted.Next(t, granted, "an answer") || len(p.pending) > 0 {
 		t.Error("a seat was granted, or waits")
 	}
--- a/internal/router/mirror/pool.go
+++ b/internal/router/mirror/pool.go
@@ -21,89 +21,89 @@
 )
 
 const (
-	mostOffers = 256                    // that wait for the pool's goroutine; more are counted as busy
-	probeFor   = 100 * time.Millisecond // unused: copies' modules send no probes
-	askFor     = time.Second            // for the pool's goroutine to answer a question
+	maxOffers     = 256                    // that wait for the pool's goroutine; more are counted as busy
+	probeTimeout  = 100 * time.Millisecond // unused: copies' modules send no probes
+	statusTimeout = time.Second            // for the pool's goroutine to answer a question
 )
 
 // pool is one candidate pool: a decider that one goroutine owns, and a core of its own to send
 // with.
 type pool struct {
-	name     string
-	duty     string // of a pool with one copier
-	m        *Mirror
-	set      settings.Pool // the Mirror's lock guards it
-	start    time.Time
-	log      routing.Logger
-	router   *routing.Router
-	servers  *transport.Servers
-	stop     context.CancelFunc
-	done     chan struct{} // closed when its goroutine has ended
-	answers  atomic.Int64  // bytes to be kept of each
-	busy     atomic.Uint64 // offers passed over
-	one      atomic.Bool   // only the router that has the duty copies
-	hasLease atomic.Bool   // and this one does
-	unheard  atomic.Int64  // copies of one copier that may not have reached their host yet
+	name           string
+	role           string // of a pool with one copier
+	mirror         *Mirror
+	settings       settings.Pool // the Mirror's lock guards it
+	start          time.Time
+	log            routing.Logger
+	router         *routing.Router
+	servers        *transport.Servers
+	stop           context.CancelFunc
+	done           chan struct{} // closed when its goroutine has ended
+	maxAnswerBytes atomic.Int64  // bytes to be kept of each
+	busy           atomic.Uint64 // offers passed over
+	singleCopier   atomic.Bool   // only the router that has the duty copies
+	hasLease       atomic.Bool   // and this one does
+	unconfirmed    atomic.Int64  // copies of one copier that may not have reached their host yet
 
 	mu      sync.Mutex
-	pending []posted
+	pending []message
 	offers  int  // among pending
-	over    bool // the goroutine has ended: nothing is taken any more
+	ended   bool // the goroutine has ended: nothing is taken any more
 	wake    chan struct{}
 
 	// The goroutine's alone.
-	decider *shadow.Decider
-	force   settings.Pool
-	sink    *sink
-	texts   bool
-	copies  map[uint64]*copied
-	closing bool
-	pressed bool // the decider is not calm
-	times   *times
-	hosts   map[string]protocol.ServiceEntry // of the settings, as told last
-	version int64
+	decider       *shadow.Decider
+	inForce       settings.Pool
+	sink          *sink
+	recordTexts   bool
+	copies        map[uint64]*shadowCopy
+	closing       bool
+	underPressure bool // the decider is not calm
+	times         *latencies
+	hosts         map[string]protocol.ServiceEntry // of the settings, as told last
+	version       int64
 }
 
-// posted is something for the pool's goroutine.
-type posted struct {
-	event   shadow.Event
-	copied  *copied       // with an Offer
-	granted chan<- bool   // with a Seat
-	ask     chan<- Status // in place of an event
-	apply   *applied      // in place of an event
+// message is something for the pool's goroutine.
+type message struct {
+	event       shadow.Event
+	copied      *shadowCopy      // with an Offer
+	grantReply  chan<- bool      // with a Seat
+	statusReply chan<- Status    // in place of an event
+	apply       *appliedSettings // in place of an event
 }
 
-type applied struct {
-	set   settings.Pool
-	sink  *sink
-	texts bool
+type appliedSettings struct {
+	pool        settings.Pool
+	sink        *sink
+	recordTexts bool
 }
 
-// copied is a copy on its way.
-type copied struct {
+// shadowCopy is a copy on its way.
+type shadowCopy struct {
 	id      uint64
 	session uint64
-	live    *live
-	taken   transport.AcceptedRequest
+	live    *liveAnswer
+	request transport.AcceptedRequest
 
-	ctx    context.Context // from its start on; ends when it is given up
-	cancel context.CancelFunc
-	gap    bool
-	answer capture
+	ctx        context.Context // from its start on; ends when it is given up
+	cancel     context.CancelFunc
+	historyGap bool
+	answer     capture
 }
 
 // newPool starts a pool; what its settings say comes with apply.
 func newPool(m *Mirror, set settings.Pool) (*pool, error) {
-	p := &pool{name: set.Choice.Pool, duty: set.Duty(), m: m, set: set, force: set, start: time.Now(), log: pooled(m.o.Log, set.Choice.Pool),
-		wake: make(chan struct{}, 1), done: make(chan struct{}), copies: map[uint64]*copied{}, times: newTimes(),
-		decider: shadow.New(set.Decider, m.o.Seed), hosts: map[string]protocol.ServiceEntry{}}
-	b, err := balance.New(copyConfig(m.o.Balance, set.Patience), m.o.Seed)
+	p := &pool{name: set.Choice.Pool, role: set.Role(), mirror: m, settings: set, inForce: set, start: time.Now(), log: withPool(m.options.Log, set.Choice.Pool),
+		wake: make(chan struct{}, 1), done: make(chan struct{}), copies: map[uint64]*shadowCopy{}, times: newTimes(),
+		decider: shadow.New(set.Decider, m.options.Seed), hosts: map[string]protocol.ServiceEntry{}}
+	b, err := balance.New(copyConfig(m.options.Balance, set.FirstEventTimeout), m.options.Seed)
 	if err != nil {
 		return nil, err
 	}
-	p.servers = transport.NewServers(transport.ServerLimits{ConnectTimeout: m.o.Connect, Keepalive: m.o.Idle,
+	p.servers = transport.NewServers(transport.ServerLimits{ConnectTimeout: m.options.ConnectTimeout, Keepalive: m.options.KeepAlive,
 		StreamIdleTimeout: set.StreamIdleTimeout, Connections: set.Sockets}, p.log)
-	p.router = routing.New(b, seated{p.servers, p}, p.log, probeFor)
+	p.router = routing.New(b, cappedNetwork{p.servers, p}, p.log, probeTimeout)
 	ctx, stop := context.WithCancel(context.Background())
 	p.stop = stop
 	go p.router.Run(ctx)
@@ -126,55 +126,55 @@
 	return c
 }
 
-// keeps tells whether other settings can be taken up without ending what is out.
-func (p *pool) keeps(set settings.Pool) bool {
-	return set.Discovery == p.set.Discovery && set.Sockets == p.set.Sockets && set.Patience == p.set.Patience &&
-		set.StreamIdleTimeout == p.set.StreamIdleTimeout
+// compatible tells whether other settings can be taken up without ending what is out.
+func (p *pool) compatible(set settings.Pool) bool {
+	return set.Discovery == p.settings.Discovery && set.Sockets == p.settings.Sockets && set.FirstEventTimeout == p.settings.FirstEventTimeout &&
+		set.StreamIdleTimeout == p.settings.StreamIdleTimeout
 }
 
 // apply has the goroutine take up settings. Only Mirror.Apply calls it.
 func (p *pool) apply(set settings.Pool, sink *sink, texts bool) {
-	p.set = set
-	p.one.Store(set.OneCopier)
-	p.answers.Store(int64(set.AnswerBytes))
-	p.post(posted{apply: &applied{set, sink, texts}})
+	p.settings = set
+	p.singleCopier.Store(set.SingleCopier)
+	p.maxAnswerBytes.Store(int64(set.AnswerBytes))
+	p.post(message{apply: &appliedSettings{set, sink, texts}})
 }
 
-func (p *pool) answerBytes() int { return int(p.answers.Load()) }
+func (p *pool) answerBytes() int { return int(p.maxAnswerBytes.Load()) }
 
 // offer leaves a copy for the goroutine, unless too many wait already.
-func (p *pool) offer(c *copied) bool {
+func (p *pool) offer(c *shadowCopy) bool {
 	p.mu.Lock()
-	if p.over || p.offers >= mostOffers {
+	if p.ended || p.offers >= maxOffers {
 		p.mu.Unlock()
 		p.busy.Add(1)
 		return false
 	}
 	p.offers++
-	p.pending = append(p.pending, posted{copied: c, event: shadow.Offer{Copy: c.id, Session: c.session,
-		Bytes: len(c.taken.Message.Body())}})
+	p.pending = append(p.pending, message{copied: c, event: shadow.Offer{Copy: c.id, Session: c.session,
+		Bytes: len(c.request.Message.Body())}})
 	p.mu.Unlock()
-	p.rouse()
+	p.wakeUp()
 	return true
 }
 
 // post leaves something for the goroutine.
-func (p *pool) post(x posted) {
+func (p *pool) post(x message) {
 	p.mu.Lock()
-	over := p.over
+	over := p.ended
 	if !over {
 		p.pending = append(p.pending, x)
 	}
 	p.mu.Unlock()
 	switch {
 	case !over:
-		p.rouse()
-	case x.granted != nil:
-		x.granted <- false
+		p.wakeUp()
+	case x.grantReply != nil:
+		x.grantReply <- false
 	}
 }
 
-func (p *pool) rouse() {
+func (p *pool) wakeUp() {
 	select {
 	case p.wake <- struct{}{}:
 	default:
@@ -182,10 +182,10 @@
 }
 
 // close ends all copies; the pool's goroutine ends when theirs have.
-func (p *pool) close() { p.post(posted{event: shadow.Close{}}) }
+func (p *pool) close() { p.post(message{event: shadow.Close{}}) }
 
-// isOver tells that the pool's goroutine has ended.
-func (p *pool) isOver() bool {
+// hasEnded tells that the pool's goroutine has ended.
+func (p *pool) hasEnded() bool {
 	select {
 	case <-p.done:
 		return true
@@ -210,33 +210,33 @@
 	// What comes now finds nobody: seats that were asked for are denied, questions go unanswered.
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.over = true
+	p.ended = true
 	for _, x := range p.pending {
-		if x.granted != nil {
-			x.granted <- false
+		if x.grantReply != nil {
+			x.grantReply <- false
 		}
 	}
 }
 
-func (p *pool) step(batch []posted) {
+func (p *pool) step(batch []message) {
 	var events []shadow.Event
 	var grants []chan<- bool
 	for _, x := range batch {
 		switch {
 		case x.apply != nil:
-			p.force, p.sink, p.texts = x.apply.set, x.apply.sink, x.apply.texts
-			events = append(events, shadow.Retune{Config: x.apply.set.Decider})
-			if p.applyHosts(x.apply.set) {
-				events = append(events, shadow.Hosts{Serving: p.router.ServingCount()})
+			p.inForce, p.sink, p.recordTexts = x.apply.pool, x.apply.sink, x.apply.recordTexts
+			events = append(events, shadow.Reconfigure{Config: x.apply.pool.Decider})
+			if p.applyHosts(x.apply.pool) {
+				events = append(events, shadow.HostsChanged{Serving: p.router.ServingCount()})
 			}
 			continue
-		case x.ask != nil:
-			x.ask <- p.status(p.force)
+		case x.statusReply != nil:
+			x.statusReply <- p.status(p.inForce)
 			continue
 		case x.copied != nil:
 			p.copies[x.copied.id] = x.copied
-		case x.granted != nil:
-			grants = append(grants, x.granted)
+		case x.grantReply != nil:
+			grants = append(grants, x.grantReply)
 		}
 		if _, ok := x.event.(shadow.Close); ok {
 			p.closing = true
@@ -246,10 +246,10 @@
 	for _, action := range p.decider.Step(time.Since(p.start), events) {
 		switch a := action.(type) {
 		case shadow.Start:
-			p.launch(p.copies[a.Copy], a.Gap)
+			p.startCopy(p.copies[a.Copy], a.HistoryGap)
 		case shadow.Drop:
 			p.forget(a.Copy)
-		case shadow.End:
+		case shadow.Cancel:
 			p.copies[a.Copy].cancel()
 		case shadow.AttemptGranted: // in the order of the Seats
 			grants[0] <- a.OK
@@ -257,14 +257,14 @@
 		case shadow.Record:
 			p.record(p.copies[a.Copy], a)
 			p.forget(a.Copy)
-		case shadow.Down:
+		case shadow.PoolEjected:
 			p.log.Warn("shadow pool down", "failures", a.Failures, "retry", a.Retry.Round(time.Millisecond))
-		case shadow.Back:
+		case shadow.PoolRecovered:
 			p.log.Info("shadow pool back")
 		}
 	}
-	if pressed := p.decider.Level() != shadow.Calm; pressed != p.pressed {
-		p.pressed = pressed
+	if pressed := p.decider.Level() != shadow.LevelCalm; pressed != p.underPressure {
+		p.underPressure = pressed
 		p.servers.KeepIdle(!pressed) // their descriptors may be lent to known clients
 	}
 }
@@ -274,27 +274,27 @@
 	delete(p.copies, id)
 }
 
-// launch sends a copy out. From here on it belongs to a goroutine of its own until its Ended.
-func (p *pool) launch(c *copied, gap bool) {
+// startCopy sends a copy out. From here on it belongs to a goroutine of its own until its Ended.
+func (p *pool) startCopy(c *shadowCopy, gap bool) {
 	c.ctx, c.cancel = context.WithCancel(context.Background())
-	c.gap = gap
-	c.answer = capture{most: p.answerBytes(), since: time.Now()}
-	arrival := c.taken.Arrival
+	c.historyGap = gap
+	c.answer = capture{maxPrefix: p.answerBytes(), since: time.Now()}
+	arrival := c.request.Arrival
 	// An id of its own: a copy is never taken for an attempt of the real request, nor for another
 	// copy of it.
 	arrival.ID += "~" + p.name + "~" + strconv.FormatUint(c.id, 10)
-	arrival.TimeLeft = p.force.Patience
+	arrival.TimeLeft = p.inForce.FirstEventTimeout
 	go func() {
-		how := p.carry(c, arrival)
+		how := p.runCopy(c, arrival)
 		c.cancel()
-		p.post(posted{event: shadow.Ended{Copy: c.id, How: how}})
+		p.post(message{event: shadow.CopyEnded{Copy: c.id, Cause: how}})
 	}()
 }
 
-// carry takes a copy through the pool's core, as a front does with a request, and reads its answer
+// runCopy takes a copy through the pool's core, as a front does with a request, and reads its answer
 // to the end.
-func (p *pool) carry(c *copied, arrival balance.Arrival) (how shadow.Cause) {
-	request, err := p.router.Accept(arrival, time.Now(), copyMessage{c.taken.Message.WithID(arrival.ID), c})
+func (p *pool) runCopy(c *shadowCopy, arrival balance.Arrival) (how shadow.Cause) {
+	request, err := p.router.Accept(arrival, time.Now(), copyMessage{c.request.Message.WithID(arrival.ID), c})
 	if err != nil {
 		c.answer.finish(string(shadow.Failed))
 		return shadow.Failed
@@ -304,15 +304,15 @@
 	answer, ok := request.Wait()
 	if !ok {
 		c.answer.finish("left")
-		return shadow.Broken
+		return shadow.StreamFailed
 	}
 	if answer.Verdict != routing.Served {
-		how = unserved(answer.Verdict)
+		how = verdictCause(answer.Verdict)
 		c.answer.finish(string(how))
 		return how
 	}
 	defer answer.Stream.Close()
-	c.answer.from = answer.Stream.Source()
+	c.answer.source = answer.Stream.Source()
 	for buf := make([]byte, 4096); ; {
 		n, err := answer.Stream.Read(buf)
 		if n > 0 {
@@ -320,34 +320,34 @@
 		}
 		switch {
 		case err == io.EOF:
-			c.answer.finish(complete)
+			c.answer.finish(outcomeComplete)
 			return ""
 		case err != nil:
-			c.answer.finish(string(shadow.Broken))
-			return shadow.Broken
+			c.answer.finish(string(shadow.StreamFailed))
+			return shadow.StreamFailed
 		}
 	}
 }
 
 // record compares a copy's answer with the live one and hands the record on.
-func (p *pool) record(c *copied, a shadow.Record) {
-	taken, texts := c.taken, p.texts
-	answer := c.answer.answer(p.m.key[:])
+func (p *pool) record(c *shadowCopy, a shadow.Record) {
+	taken, texts := c.request, p.recordTexts
+	answer := c.answer.answer(p.mirror.digestKey[:])
 	r := &records.Record{Version: records.Version, At: taken.ArrivedAt.UTC(), Pool: p.name, Class: taken.Arrival.Class,
-		Tenant: taken.Tenant, ID: taken.Arrival.ID, Session: fmt.Sprintf("%016x", c.session), Gap: c.gap, Cause: string(a.Cause),
+		Tenant: taken.Tenant, ID: taken.Arrival.ID, Session: fmt.Sprintf("%016x", c.session), Gap: c.historyGap, Cause: string(a.Cause),
 		BodySize: len(taken.Message.Body()), Copy: side(answer, c.answer.outcome, texts)}
 	if texts {
 		r.Body = string(taken.Message.Body())
 	}
-	if !a.Live { // still on its way, and another's to write
+	if !a.LiveEnded { // still on its way, and another's to write
 		r.Live = records.Side{Outcome: "open"}
 	} else {
-		answered := c.live.answer.answer(p.m.key[:])
+		answered := c.live.answer.answer(p.mirror.digestKey[:])
 		r.Live = side(answered, c.live.answer.outcome, texts)
 		if a.Cause == "" {
 			cmp := shadow.Compare(answered, answer)
 			r.Compared = &records.Compared{Text: string(cmp.Text), Similarity: cmp.Similarity, Partial: cmp.Partial,
-				Finish: cmp.Finish, Tokens: cmp.Tokens, Kept: cmp.CachedTokens}
+				Finish: cmp.SameFinish, Tokens: cmp.TokenDelta, Kept: cmp.CachedTokenDelta}
 			p.times.add(taken.Arrival.Class, answered, answer)
 		}
 	}
@@ -357,7 +357,7 @@
 // applyList takes a list of discovery.
 func (p *pool) applyList(l *protocol.List) {
 	p.router.ApplyUpdate(l.Members(), l.Addrs())
-	p.post(posted{event: shadow.Hosts{Serving: p.router.ServingCount()}})
+	p.post(message{event: shadow.HostsChanged{Serving: p.router.ServingCount()}})
 }
 
 // applyHosts tells the core the hosts of the settings. One that they name for the first time is
@@ -386,73 +386,73 @@
 // copyMessage is what the pool's core sends.
 type copyMessage struct {
 	*transport.Message
-	copied *copied
+	copied *shadowCopy
 }
 
-// seated is the pool's network: each attempt needs a seat at its host, which the decider grants.
-type seated struct {
+// cappedNetwork is the pool's network: each attempt needs a seat at its host, which the decider grants.
+type cappedNetwork struct {
 	*transport.Servers
 	pool *pool
 }
 
 // Schedule implements routing.Network.
-func (s seated) Send(ctx context.Context, deadline time.Time, to routing.Server, m routing.Message, written func()) routing.AttemptResult {
+func (s cappedNetwork) Send(ctx context.Context, deadline time.Time, to routing.Server, m routing.Message, written func()) routing.AttemptResult {
 	cm := m.(copyMessage)
 	granted := make(chan bool, 1)
-	s.pool.post(posted{granted: granted, event: shadow.AttemptRequest{Copy: cm.copied.id, Host: to.ID}})
+	s.pool.post(message{grantReply: granted, event: shadow.AttemptRequest{Copy: cm.copied.id, Host: to.ID}})
 	if !<-granted {
 		return routing.AttemptResult{Result: balance.Full}
 	}
-	heard := func() { s.pool.post(posted{event: shadow.AttemptReached{Copy: cm.copied.id}}) }
-	left := func() { s.pool.post(posted{event: shadow.AttemptEnded{Host: to.ID}}) }
+	heard := func() { s.pool.post(message{event: shadow.AttemptReached{Copy: cm.copied.id}}) }
+	left := func() { s.pool.post(message{event: shadow.AttemptEnded{Host: to.ID}}) }
 	if !s.pool.router.IsServing(to.ID) { // asking took a moment, in which it may have begun to drain
 		heard()
 		left()
 		return routing.AttemptResult{Result: balance.NotSent}
 	}
 	msg := cm.Message
-	if s.pool.one.Load() {
-		duty := s.pool.duty
-		s.pool.unheard.Add(1)
-		defer s.pool.unheard.Add(-1)
-		token, _, ok := s.pool.m.o.Duties.Check(duty)
+	if s.pool.singleCopier.Load() {
+		duty := s.pool.role
+		s.pool.unconfirmed.Add(1)
+		defer s.pool.unconfirmed.Add(-1)
+		token, _, ok := s.pool.mirror.options.Leases.Check(duty)
 		if !ok || !s.pool.hasLease.Load() { // it was somebody's turn while the copy waited
 			heard()
 			left()
 			return routing.AttemptResult{Result: balance.NotSent}
 		}
-		msg = msg.WithFencingToken(duty, token, func(highest uint64) { s.pool.m.o.Duties.TokenRejected(duty, highest) })
+		msg = msg.WithFencingToken(duty, token, func(highest uint64) { s.pool.mirror.options.Leases.TokenRejected(duty, highest) })
 	}
 	head := s.Servers.Send(ctx, deadline, to, msg, written)
 	heard()
 	if head.Body == nil {
 		left()
 	} else {
-		head.Body = &seatedBody{head.Body, left}
+		head.Body = &cappedBody{head.Body, left}
 	}
 	return head
 }
 
-// seatedBody gives the seat back with its end.
-type seatedBody struct {
+// cappedBody gives the seat back with its end.
+type cappedBody struct {
 	routing.Body
-	left func()
+	release func()
 }
 
 // End implements routing.Body.
-func (b *seatedBody) End() (float64, *balance.Load) {
-	defer b.left()
+func (b *cappedBody) End() (float64, *balance.Load) {
+	defer b.release()
 	return b.Body.End()
 }
 
 // status asks the goroutine for the pool's state.
-func (p *pool) ask() (Status, error) {
+func (p *pool) requestStatus() (Status, error) {
 	answer := make(chan Status, 1)
-	p.post(posted{ask: answer})
+	p.post(message{statusReply: answer})
 	select {
 	case s := <-answer:
 		return s, nil
-	case <-time.After(askFor):
+	case <-time.After(statusTimeout):
 		return Status{}, errors.New("the pool " + p.name + " does not answer")
 	}
 }
--- a/internal/router/mirror/sink.go
+++ b/internal/router/mirror/sink.go
@@ -10,28 +10,28 @@
 )
 
 const (
-	queued     = 256             // records that wait to be written
-	queuedMost = 1 << 20         // bytes of texts in them
-	retryFor   = 5 * time.Second // after the folder failed
+	maxQueuedRecords = 256             // records that wait to be written
+	maxQueuedBytes   = 1 << 20         // bytes of texts in them
+	retryInterval    = 5 * time.Second // after the folder failed
 )
 
 // sink writes records on a goroutine of its own. What it can't take is counted and lost: neither
 // the live path nor the copies ever wait for a disk.
 type sink struct {
-	set     settings.Records
-	log     routing.Logger
-	writer  *records.Writer
-	queue   chan *records.Record
-	quit    chan struct{}
-	done    chan struct{}
-	bytes   atomic.Int64
-	written atomic.Uint64
-	lost    atomic.Uint64
-	failing atomic.Pointer[string] // why, nil while it works
+	settings settings.Records
+	log      routing.Logger
+	writer   *records.Writer
+	queue    chan *records.Record
+	quit     chan struct{}
+	done     chan struct{}
+	bytes    atomic.Int64
+	written  atomic.Uint64
+	lost     atomic.Uint64
+	failing  atomic.Pointer[string] // why, nil while it works
 }
 
 func newSink(set settings.Records, log routing.Logger) *sink {
-	s := &sink{set: set, log: log, queue: make(chan *records.Record, queued), quit: make(chan struct{}), done: make(chan struct{}),
+	s := &sink{settings: set, log: log, queue: make(chan *records.Record, maxQueuedRecords), quit: make(chan struct{}), done: make(chan struct{}),
 		writer: &records.Writer{Folder: set.Folder, FileBytes: set.FileBytes, Files: set.Files}}
 	go s.run()
 	return s
@@ -39,11 +39,11 @@
 
 // put leaves a record to be written.
 func (s *sink) put(r *records.Record) {
-	if s.set.Folder == "" {
+	if s.settings.Folder == "" {
 		return
 	}
 	size := recordBytes(r)
-	if s.bytes.Add(size) <= queuedMost {
+	if s.bytes.Add(size) <= maxQueuedBytes {
 		select {
 		case <-s.quit:
 		default:
@@ -96,7 +96,7 @@
 	}
 	if err := s.writer.Append(r); err != nil {
 		s.lost.Add(1)
-		*retry = time.Now().Add(retryFor)
+		*retry = time.Now().Add(retryInterval)
 		why := err.Error()
 		if s.failing.Swap(&why) == nil {
 			s.log.Warn("shadow records lost", "cause", why)
--- a/internal/router/mirror/status.go
+++ b/internal/router/mirror/status.go
@@ -85,14 +85,14 @@
 	m.mu.Unlock()
 	r := Report{Pools: []Status{}}
 	for _, p := range pools {
-		s, err := p.ask()
+		s, err := p.requestStatus()
 		if err != nil {
 			return nil, err
 		}
 		r.Pools = append(r.Pools, s)
 	}
 	if sink != nil {
-		r.Records = RecordsStatus{Folder: sink.set.Folder, Written: sink.written.Load(), Lost: sink.lost.Load()}
+		r.Records = RecordsStatus{Folder: sink.settings.Folder, Written: sink.written.Load(), Lost: sink.lost.Load()}
 		if why := sink.failing.Load(); why != nil {
 			r.Records.Failing = *why
 		}
@@ -104,12 +104,12 @@
 	c := p.decider.Counts()
 	caps := set.Decider.Caps
 	s := Status{Pool: p.name, Share: set.Choice.Share, Classes: set.Choice.Classes, Tenants: set.Choice.Tenants,
-		Caps: Caps{PerSecond: caps.PerSecond, Out: caps.Out, PerHost: caps.PerHost, Waiting: caps.Waiting,
+		Caps: Caps{PerSecond: caps.PerSecond, Out: caps.InFlight, PerHost: caps.InFlightPerHost, Waiting: caps.Waiting,
 			BodyBytes: caps.Bytes, Sockets: set.Sockets},
-		Hosts: c.Hosts, Health: "up", Level: c.Level.String(), Sampled: c.Sampled, Offered: c.Offered, Busy: p.busy.Load(),
-		Started: c.Started, Recorded: c.Recorded, Compared: c.Compared, Waiting: c.Waiting, Out: c.Out,
+		Hosts: c.Hosts, Health: "up", Level: c.PressureLevel.String(), Sampled: c.Sampled, Offered: c.Offered, Busy: p.busy.Load(),
+		Started: c.Started, Recorded: c.Recorded, Compared: c.Compared, Waiting: c.Waiting, Out: c.InFlight,
 		Pairing: c.Pairing, BodyBytes: c.Bytes, Dropped: c.Dropped, Ended: c.Ended, Incomparable: c.Incomparable,
-		Pressed: c.Pressed, HostFull: c.HostFull, Times: p.times.report()}
+		Pressed: c.PressureSignals, HostFull: c.HostFull, Times: p.times.report()}
 	switch {
 	case c.Hosts == 0:
 		s.Health = "no hosts"
@@ -121,37 +121,37 @@
 }
 
 const (
-	longestTime = 10 * 60 * 1000 // of a histogram, in milliseconds
-	mostClasses = 16             // with histograms of their own: the settings name the classes, but clients send the words
-	otherClass  = "other"
+	maxLatencyMs = 10 * 60 * 1000 // of a histogram, in milliseconds
+	maxClasses   = 16             // with histograms of their own: the settings name the classes, but clients send the words
+	otherClass   = "other"
 )
 
-// times holds what comparable answers took, by class.
-type times struct {
+// latencies holds what comparable answers took, by class.
+type latencies struct {
 	classes map[string]*[4]*hdrhistogram.Histogram
 }
 
-func newTimes() *times { return &times{map[string]*[4]*hdrhistogram.Histogram{}} }
+func newTimes() *latencies { return &latencies{map[string]*[4]*hdrhistogram.Histogram{}} }
 
-func (t *times) add(class string, live, copied shadow.Answer) {
+func (t *latencies) add(class string, live, copied shadow.Answer) {
 	h := t.classes[class]
-	if h == nil && len(t.classes) >= mostClasses {
+	if h == nil && len(t.classes) >= maxClasses {
 		class = otherClass
 		h = t.classes[class]
 	}
 	if h == nil {
 		h = new([4]*hdrhistogram.Histogram)
 		for i := range h {
-			h[i] = hdrhistogram.New(1, longestTime, 2)
+			h[i] = hdrhistogram.New(1, maxLatencyMs, 2)
 		}
 		t.classes[class] = h
 	}
-	for i, d := range []time.Duration{live.First, copied.First, live.Total, copied.Total} {
-		h[i].RecordValue(min(max(d.Milliseconds(), 1), longestTime)) // within its range, it can't fail
+	for i, d := range []time.Duration{live.FirstByte, copied.FirstByte, live.Total, copied.Total} {
+		h[i].RecordValue(min(max(d.Milliseconds(), 1), maxLatencyMs)) // within its range, it can't fail
 	}
 }
 
-func (t *times) report() map[string]Times {
+func (t *latencies) report() map[string]Times {
 	r := map[string]Times{}
 	for class, h := range t.classes {
 		spread := func(i int) Spread {
--- a/internal/router/program/admission.go
+++ b/internal/router/program/admission.go
@@ -32,7 +32,7 @@
 func (p *Program) frontLimits(r processLimits) transport.FrontLimits {
 	l := transport.FrontLimits{BodyBytes: r.bodies, Seed: p.cfg.seed, Admission: p.cfg.admission(r.clients), OnDescriptorShortage: p.onShortage()}
 	if p.cfg.set != nil && p.cfg.set.Admission != nil {
-		l.Identity = p.cfg.set.Admission.Identity
+		l.Identity = p.cfg.set.Admission.IdentityHeader
 	}
 	return l
 }
@@ -45,7 +45,7 @@
 	}
 	d := c.set.Admission.Config
 	d.MaxConnections = clients
-	d.ReservedForKnown = int(c.set.Admission.Reserve * float64(clients))
+	d.ReservedForKnown = int(c.set.Admission.ReservedFraction * float64(clients))
 	return d
 }
 
@@ -191,7 +191,7 @@
 	if (p.cfg.set.Admission == nil) != (cfg.set.Admission == nil) {
 		return fmt.Errorf("%s: the block \"door\" counts from the next start", p.file)
 	}
-	if cfg.set.Admission != nil && cfg.set.Admission.Identity != p.cfg.set.Admission.Identity {
+	if cfg.set.Admission != nil && cfg.set.Admission.IdentityHeader != p.cfg.set.Admission.IdentityHeader {
 		return fmt.Errorf("%s: identity_header counts from the next start", p.file)
 	}
 	return nil
--- a/internal/router/program/capture.go
+++ b/internal/router/program/capture.go
@@ -6,13 +6,13 @@
 // reload changes nothing of it. A file that can't be begun, as one is there from before a restart,
 // keeps nobody from being served.
 func (p *Program) startCapture() {
-	if p.cfg.set == nil || p.cfg.set.Capture.File == "" {
+	if p.cfg.set == nil || p.cfg.set.Capture.Path == "" {
 		return
 	}
 	set := p.cfg.set.Capture
-	w, err := capture.NewWriter(set.File, set.Bytes, p.log)
+	w, err := capture.NewWriter(set.Path, set.MaxBytes, p.log)
 	if err != nil {
-		p.log.Warn("capture lost", "file", set.File, "cause", err)
+		p.log.Warn("capture lost", "file", set.Path, "cause", err)
 		return
 	}
 	p.capture = w
--- a/internal/router/program/config.go
+++ b/internal/router/program/config.go
@@ -170,8 +170,8 @@
 	if most := c.Limits.Sockets - reservedDescriptors - 2*minClientConnections; set.Descriptors() > most {
 		return fmt.Errorf("%s: shadow and status may use %d descriptors; limits.sockets leaves %d for them", path, set.Descriptors(), most)
 	}
-	if most := int64(c.Limits.MemoryMB) << 20 / settingsMemoryDivisor; set.Memory() > most {
-		return fmt.Errorf("%s: shadow may hold %d bytes of bodies and answers; an eighth of limits.memory_mb is %d", path, set.Memory(), most)
+	if most := int64(c.Limits.MemoryMB) << 20 / settingsMemoryDivisor; set.MaxMemory() > most {
+		return fmt.Errorf("%s: shadow may hold %d bytes of bodies and answers; an eighth of limits.memory_mb is %d", path, set.MaxMemory(), most)
 	}
 	c.set = set
 	if err := c.checkFleet(path); err != nil {
--- a/internal/router/program/phases.go
+++ b/internal/router/program/phases.go
@@ -119,7 +119,7 @@
 		p.front.StopAccepting()
 	}
 	if p.mirror != nil && next == Terminating {
-		p.mirror.Leave()
+		p.mirror.Shutdown()
 	}
 	p.leavePhase()
 	p.leavePhase = func() {}
--- a/internal/router/program/reload.go
+++ b/internal/router/program/reload.go
@@ -115,6 +115,6 @@
 	p.servers.SetTimeouts(c.connectTimeout(), time.Duration(c.Settings.Limits.KeepaliveNs))
 	p.front.SetAdmission(p.admission(p.processLimits.Load().clients))
 	if p.mirror != nil {
-		p.mirror.Retune(c.balance)
+		p.mirror.Reconfigure(c.balance)
 	}
 }
--- a/internal/router/program/roles.go
+++ b/internal/router/program/roles.go
@@ -32,8 +32,8 @@
 	if s.Drains > 0 {
 		d.Roles = append(d.Roles, lease.Role{Name: drainRole, MaxHolders: s.Drains, ByZone: true})
 	}
-	for _, name := range c.set.Copiers() {
-		d.Roles = append(d.Roles, lease.Role{Name: settings.CopierDuty(name)})
+	for _, name := range c.set.SingleCopierPools() {
+		d.Roles = append(d.Roles, lease.Role{Name: settings.CopierRole(name)})
 	}
 	return d
 }
@@ -64,7 +64,7 @@
 		return fmt.Errorf("duties: %w", err)
 	}
 	p.roles.OnRecord(p.storeCopy)
-	p.mirror.Use(p.roles)
+	p.mirror.UseLeases(p.roles)
 	send.OnRolesDatagram(p.roles.HandleDatagram)
 	return nil
 }
@@ -87,14 +87,14 @@
 // requestCopierRoles requests the copier roles of the pools that settings have, and gives up those
 // of other pools.
 func (p *Program) requestCopierRoles(c *Config) {
-	names := c.set.Copiers()
+	names := c.set.SingleCopierPools()
 	for _, name := range p.copiers {
 		if !slices.Contains(names, name) {
-			p.roles.Release(settings.CopierDuty(name))
+			p.roles.Release(settings.CopierRole(name))
 		}
 	}
 	for _, name := range names {
-		p.roles.Acquire(settings.CopierDuty(name), func(ctx context.Context, _ uint64) error { return p.mirror.Copies(ctx, name) })
+		p.roles.Acquire(settings.CopierRole(name), func(ctx context.Context, _ uint64) error { return p.mirror.RunCopier(ctx, name) })
 	}
 	p.copiers = names
 }
@@ -103,14 +103,14 @@
 // force. All else in the block duties counts from the next start.
 func (p *Program) defineCopierRoles(c *Config) error {
 	if p.roles == nil {
-		if names := c.set.Copiers(); len(names) > 0 {
+		if names := c.set.SingleCopierPools(); len(names) > 0 {
 			return fmt.Errorf("%s: shadow pool %q has one copier; the block duties that it needs counts from the next start", p.file, names[0])
 		}
 		return nil
 	}
-	all := slices.DeleteFunc(p.cfg.rolesConfig(lease.Router{}).Roles, func(d lease.Role) bool { return strings.HasPrefix(d.Name, settings.CopierDuty("")) })
-	for _, name := range c.set.Copiers() {
-		all = append(all, lease.Role{Name: settings.CopierDuty(name)})
+	all := slices.DeleteFunc(p.cfg.rolesConfig(lease.Router{}).Roles, func(d lease.Role) bool { return strings.HasPrefix(d.Name, settings.CopierRole("")) })
+	for _, name := range c.set.SingleCopierPools() {
+		all = append(all, lease.Role{Name: settings.CopierRole(name)})
 	}
 	if err := p.roles.Define(all); err != nil {
 		return fmt.Errorf("%s: %w", p.file, err)
--- a/internal/router/program/shadow.go
+++ b/internal/router/program/shadow.go
@@ -18,12 +18,12 @@
 // startMirror turns on what the operators' settings say.
 func (p *Program) startMirror(servers *transport.Servers) error {
 	var refused uint64
-	p.mirror = mirror.New(mirror.Options{Balance: p.cfg.balance, Seed: p.cfg.seed, Connect: p.cfg.connectTimeout(),
-		Idle: time.Duration(p.cfg.Settings.Limits.KeepaliveNs), Log: p.log,
+	p.mirror = mirror.New(mirror.Options{Balance: p.cfg.balance, Seed: p.cfg.seed, ConnectTimeout: p.cfg.connectTimeout(),
+		KeepAlive: time.Duration(p.cfg.Settings.Limits.KeepaliveNs), Log: p.log,
 		Sample: func() shadow.Sample {
 			core, front := p.router.Load(), p.front.Load()
-			s := shadow.Sample{Queued: core.Queued, Late: core.MaxEventDelay, Bodies: front.Bodies,
-				Sockets: max(front.Connections, servers.Load()), Refusals: int(core.Rejected - refused)}
+			s := shadow.Sample{Queued: core.Queued, Delay: core.MaxEventDelay, BodyFraction: front.Bodies,
+				SocketFraction: max(front.Connections, servers.Load()), Rejections: int(core.Rejected - refused)}
 			refused = core.Rejected
 			return s
 		}})
@@ -32,7 +32,7 @@
 			return fmt.Errorf("status: %w", err)
 		}
 		var err error
-		if p.status, err = transport.NewStatus(dir, p.cfg.Name, settings.StatusClients,
+		if p.status, err = transport.NewStatus(dir, p.cfg.Name, settings.MaxStatusClients,
 			map[string]func() (any, error){ShadowTopic: p.mirror.Status, AdmissionTopic: p.admissionStatus}); err != nil {
 			return fmt.Errorf("status: %w", err)
 		}
--- a/internal/router/program/shadow_test.go
+++ b/internal/router/program/shadow_test.go
@@ -283,11 +283,11 @@
 		down   bool
 	}{
 		{"says nothing", scripted.Manner{Stalls: true}, []string{"share = 1", "share = 1\n patience = \"100ms\""}, shadow.Refused, true},
-		{"a twentieth of the pace", scripted.Manner{Gap: 40 * time.Millisecond}, []string{"share = 1", "share = 1\n patience = \"150ms\"\n longest = \"200ms\""}, shadow.TooLong, true},
-		{"falls silent", scripted.Manner{Gap: time.Minute}, []string{"share = 1", "share = 1\n silent = \"100ms\""}, shadow.Broken, true},
-		{"breaks halfway", scripted.Manner{Break: true}, nil, shadow.Broken, true},
+		{"a twentieth of the pace", scripted.Manner{Gap: 40 * time.Millisecond}, []string{"share = 1", "share = 1\n patience = \"150ms\"\n longest = \"200ms\""}, shadow.TimedOut, true},
+		{"falls silent", scripted.Manner{Gap: time.Minute}, []string{"share = 1", "share = 1\n silent = \"100ms\""}, shadow.StreamFailed, true},
+		{"breaks halfway", scripted.Manner{Break: true}, nil, shadow.StreamFailed, true},
 		{"errors", scripted.Manner{Status: 500}, nil, shadow.Refused, true},
-		{"finds the request at fault", scripted.Manner{Status: 404}, nil, shadow.Unfit, false},
+		{"finds the request at fault", scripted.Manner{Status: 404}, nil, shadow.InvalidRequest, false},
 		{"a report that can't be read", scripted.Manner{Report: "{"}, nil, "", false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -431,8 +431,8 @@
 				leave()
 			}
 			<-answered
-			s.until("the copy was ended", func(st mirror.Status) bool { return st.Recorded == 1 && st.Ended[shadow.NoLive] == 1 })
-			if r := s.records()["q"]; r.Cause != string(shadow.NoLive) || r.Compared != nil || r.Live.Outcome == "whole" {
+			s.until("the copy was ended", func(st mirror.Status) bool { return st.Recorded == 1 && st.Ended[shadow.NoLiveAnswer] == 1 })
+			if r := s.records()["q"]; r.Cause != string(shadow.NoLiveAnswer) || r.Compared != nil || r.Live.Outcome == "whole" {
 				t.Errorf("%+v", r)
 			}
 		})
@@ -648,7 +648,9 @@
 			break
 		}
 		go s.ask("held", "held", nil)
-		s.until("it yields", func(st mirror.Status) bool { return st.Level == "hard" && st.Ended[shadow.Pressed] > 0 && st.Out == 0 })
+		s.until("it yields", func(st mirror.Status) bool {
+			return st.Level == "hard" && st.Ended[shadow.UnderPressure] > 0 && st.Out == 0
+		})
 		s.live.Set(scripted.Manner{})
 	}
 	s.until("it is calm again", func(st mirror.Status) bool { return st.Level == "calm" })
--- a/internal/router/settings/admission.go
+++ b/internal/router/settings/admission.go
@@ -10,28 +10,28 @@
 
 // Admission is the block "door". Places and those of the step come from the limits.
 type Admission struct {
-	Config   admission.Config
-	Reserve  float64 // share of the places
-	Identity string  // header
+	Config           admission.Config
+	ReservedFraction float64 // share of the places
+	IdentityHeader   string  // header
 }
 
 func (c *checker) admission(b *admissionBlock) *Admission {
-	d := &Admission{Identity: b.Header, Reserve: c.number(b.Body, "reserve", b.Reserve, 0.25, 0, 0.9)}
+	d := &Admission{IdentityHeader: b.Header, ReservedFraction: c.number(b.Body, "reserve", b.ReservedFraction, 0.25, 0, 0.9)}
 	d.Config = admission.Config{
-		MaxOverflow:         c.count(b.Body, "step", b.Step, 16, 20), // more would not fit what is set aside for them
-		RememberedAddresses: c.count(b.Body, "addresses", b.Addresses, 4096, 1<<20),
-		MinRetryAfter:       c.duration(b.Body, "away", b.Away, time.Second),
-		PerAddress:          c.cap(b.Address.cap(), admission.ClientLimit{Connections: 16, OpenRequests: 16, ConnectionsPerSecond: 20}),
-		PerNetwork:          c.cap(b.Net.cap(), admission.ClientLimit{Connections: 64, OpenRequests: 64, ConnectionsPerSecond: 100}),
-		PerKnownAddress:     c.cap(b.Known, admission.ClientLimit{}),
-		PerIdentity:         c.cap(b.Identity, admission.ClientLimit{}),
+		MaxOverflow:         c.count(b.Body, "step", b.MaxOverflow, 16, 20), // more would not fit what is set aside for them
+		RememberedAddresses: c.count(b.Body, "addresses", b.RememberedAddresses, 4096, 1<<20),
+		MinRetryAfter:       c.duration(b.Body, "away", b.MinRetryAfter, time.Second),
+		PerAddress:          c.clientLimit(b.Address.limit(), admission.ClientLimit{Connections: 16, OpenRequests: 16, ConnectionsPerSecond: 20}),
+		PerNetwork:          c.clientLimit(b.Net.limit(), admission.ClientLimit{Connections: 64, OpenRequests: 64, ConnectionsPerSecond: 100}),
+		PerKnownAddress:     c.clientLimit(b.Known, admission.ClientLimit{}),
+		PerIdentity:         c.clientLimit(b.Identity, admission.ClientLimit{}),
 		EvictFromLargest:    true,
 		CloseAfterAnswer:    true,
 	}
-	d.Config.Prefixes = c.lengths(b)
-	d.Config.IdleTimeout = c.byLevel(b.Patience, 2*time.Second, 500*time.Millisecond, 100*time.Millisecond)
-	d.Config.WriteTimeout = c.byLevel(b.Reading, 10*time.Second, 5*time.Second, 2*time.Second)
-	d.Config.RequestTimeout = c.byLevel(b.Sending, 2*time.Second, time.Second, 300*time.Millisecond)
+	d.Config.Prefixes = c.prefixLengths(b)
+	d.Config.IdleTimeout = c.byLevel(b.IdleTimeout, 2*time.Second, 500*time.Millisecond, 100*time.Millisecond)
+	d.Config.WriteTimeout = c.byLevel(b.WriteTimeout, 10*time.Second, 5*time.Second, 2*time.Second)
+	d.Config.RequestTimeout = c.byLevel(b.RequestTimeout, 2*time.Second, time.Second, 300*time.Millisecond)
 	switch {
 	case b.Header != "" && !headerName.MatchString(b.Header):
 		c.fault(b.Body, "identity_header", "is %q; it must be the name of a header", b.Header)
@@ -57,9 +57,9 @@
 }
 
 // byLevel reads a time for each level.
-func (c *checker) byLevel(b *patienceBlock, usual ...time.Duration) (times [3]time.Duration) {
+func (c *checker) byLevel(b *timeoutBlock, usual ...time.Duration) (times [3]time.Duration) {
 	if b == nil {
-		b = new(patienceBlock)
+		b = new(timeoutBlock)
 	}
 	for i, word := range []string{b.Calm, b.Tight, b.Critical} {
 		times[i] = c.duration(b.Body, [...]string{"calm", "tight", "critical"}[i], word, usual[i])
@@ -67,8 +67,8 @@
 	return times
 }
 
-// lengths reads how long the prefixes are that count as one address and as one net.
-func (c *checker) lengths(b *admissionBlock) admission.PrefixLengths {
+// prefixLengths reads how long the prefixes are that count as one address and as one net.
+func (c *checker) prefixLengths(b *admissionBlock) admission.PrefixLengths {
 	l := admission.PrefixLengths{Address4: 32, Network4: 24, Address6: 64, Network6: 48}
 	read := func(b *netBlock, field string, length *int, to *int, most int) {
 		if length == nil {
@@ -105,8 +105,8 @@
 	return l
 }
 
-// cap reads the bounds of one holder; 0 is no bound.
-func (c *checker) cap(b *capBlock, usual admission.ClientLimit) admission.ClientLimit {
+// clientLimit reads the bounds of one holder; 0 is no bound.
+func (c *checker) clientLimit(b *limitBlock, usual admission.ClientLimit) admission.ClientLimit {
 	if b == nil {
 		return usual
 	}
@@ -119,9 +119,9 @@
 		}
 		return *n
 	}
-	bound := admission.ClientLimit{Connections: count("connections", b.Conns, usual.Connections), OpenRequests: count("open", b.Open, usual.OpenRequests),
+	bound := admission.ClientLimit{Connections: count("connections", b.Connections, usual.Connections), OpenRequests: count("open", b.OpenRequests, usual.OpenRequests),
 		ConnectionsPerSecond: c.number(b.Body, "per_second", b.PerSecond, usual.ConnectionsPerSecond, 0, 1e6)}
-	if bound.Connections > 0 && bound.OpenRequests > bound.Connections && b.Open != nil {
+	if bound.Connections > 0 && bound.OpenRequests > bound.Connections && b.OpenRequests != nil {
 		c.fault(b.Body, "open", "is %d; one connection carries one request, and connections is %d", bound.OpenRequests, bound.Connections)
 	}
 	return bound
--- a/internal/router/settings/blocks.go
+++ b/internal/router/settings/blocks.go
@@ -56,48 +56,48 @@
 }
 
 type admissionBlock struct {
-	Body       hcl.Body       `hcl:",body"`
-	Header     string         `hcl:"identity_header,optional"`
-	Identities []string       `hcl:"identities,optional"`
-	Ranges     []string       `hcl:"ranges,optional"`
-	Reserve    *float64       `hcl:"reserve,optional"`
-	Step       *int           `hcl:"step,optional"`
-	Away       string         `hcl:"away,optional"`
-	Addresses  *int           `hcl:"addresses,optional"`
-	Address    *netBlock      `hcl:"address,block"`
-	Net        *netBlock      `hcl:"net,block"`
-	Known      *capBlock      `hcl:"known,block"`
-	Identity   *capBlock      `hcl:"identity,block"`
-	Patience   *patienceBlock `hcl:"patience,block"`
-	Sending    *patienceBlock `hcl:"sending,block"`
-	Reading    *patienceBlock `hcl:"reading,block"`
-}
-
-type capBlock struct {
-	Body      hcl.Body `hcl:",body"`
-	Conns     *int     `hcl:"connections,optional"`
-	Open      *int     `hcl:"open,optional"`
-	PerSecond *float64 `hcl:"per_second,optional"`
+	Body                hcl.Body      `hcl:",body"`
+	Header              string        `hcl:"identity_header,optional"`
+	Identities          []string      `hcl:"identities,optional"`
+	Ranges              []string      `hcl:"ranges,optional"`
+	ReservedFraction    *float64      `hcl:"reserve,optional"`
+	MaxOverflow         *int          `hcl:"step,optional"`
+	MinRetryAfter       string        `hcl:"away,optional"`
+	RememberedAddresses *int          `hcl:"addresses,optional"`
+	Address             *netBlock     `hcl:"address,block"`
+	Net                 *netBlock     `hcl:"net,block"`
+	Known               *limitBlock   `hcl:"known,block"`
+	Identity            *limitBlock   `hcl:"identity,block"`
+	IdleTimeout         *timeoutBlock `hcl:"patience,block"`
+	RequestTimeout      *timeoutBlock `hcl:"sending,block"`
+	WriteTimeout        *timeoutBlock `hcl:"reading,block"`
+}
+
+type limitBlock struct {
+	Body         hcl.Body `hcl:",body"`
+	Connections  *int     `hcl:"connections,optional"`
+	OpenRequests *int     `hcl:"open,optional"`
+	PerSecond    *float64 `hcl:"per_second,optional"`
 }
 
 // netBlock is a capBlock with the lengths of the prefixes that count as one. HCL has no embedding.
 type netBlock struct {
-	Body      hcl.Body `hcl:",body"`
-	Conns     *int     `hcl:"connections,optional"`
-	Open      *int     `hcl:"open,optional"`
-	PerSecond *float64 `hcl:"per_second,optional"`
-	IPv4      *int     `hcl:"ipv4,optional"`
-	IPv6      *int     `hcl:"ipv6,optional"`
+	Body         hcl.Body `hcl:",body"`
+	Connections  *int     `hcl:"connections,optional"`
+	OpenRequests *int     `hcl:"open,optional"`
+	PerSecond    *float64 `hcl:"per_second,optional"`
+	IPv4         *int     `hcl:"ipv4,optional"`
+	IPv6         *int     `hcl:"ipv6,optional"`
 }
 
-func (b *netBlock) cap() *capBlock {
+func (b *netBlock) limit() *limitBlock {
 	if b == nil {
 		return nil
 	}
-	return &capBlock{Body: b.Body, Conns: b.Conns, Open: b.Open, PerSecond: b.PerSecond}
+	return &limitBlock{Body: b.Body, Connections: b.Connections, OpenRequests: b.OpenRequests, PerSecond: b.PerSecond}
 }
 
-type patienceBlock struct {
+type timeoutBlock struct {
 	Body     hcl.Body `hcl:",body"`
 	Calm     string   `hcl:"calm,optional"`
 	Tight    string   `hcl:"tight,optional"`
@@ -131,15 +131,15 @@
 }
 
 type pressureBlock struct {
-	Body     hcl.Body `hcl:",body"`
-	Queued   *float64 `hcl:"held,optional"`
-	Bodies   *float64 `hcl:"bodies,optional"`
-	Sockets  *float64 `hcl:"sockets,optional"`
-	Late     string   `hcl:"late,optional"`
-	Refusals *float64 `hcl:"refusals,optional"`
-	Hard     *float64 `hcl:"hard,optional"`
-	Grace    string   `hcl:"grace,optional"`
-	Calm     string   `hcl:"calm,optional"`
+	Body           hcl.Body `hcl:",body"`
+	Queued         *float64 `hcl:"held,optional"`
+	BodyFraction   *float64 `hcl:"bodies,optional"`
+	SocketFraction *float64 `hcl:"sockets,optional"`
+	Delay          string   `hcl:"late,optional"`
+	Rejections     *float64 `hcl:"refusals,optional"`
+	HardFactor     *float64 `hcl:"hard,optional"`
+	GracePeriod    string   `hcl:"grace,optional"`
+	CalmPeriod     string   `hcl:"calm,optional"`
 }
 
 type poolBlock struct {
@@ -152,20 +152,20 @@
 	Discovery         string      `hcl:"discovery,optional"`
 	Hosts             []hostBlock `hcl:"host,block"`
 	PerSecond         *float64    `hcl:"copies_per_second,optional"`
-	Out               *int        `hcl:"copies_out,optional"`
-	PerHost           *int        `hcl:"copies_per_host,optional"`
+	InFlight          *int        `hcl:"copies_out,optional"`
+	InFlightPerHost   *int        `hcl:"copies_per_host,optional"`
 	Waiting           *int        `hcl:"copies_waiting,optional"`
 	Bytes             string      `hcl:"body_bytes,optional"`
 	Sockets           *int        `hcl:"sockets,optional"`
-	Wait              string      `hcl:"wait,optional"`
-	Patience          string      `hcl:"patience,optional"`
+	MaxWait           string      `hcl:"wait,optional"`
+	FirstEventTimeout string      `hcl:"patience,optional"`
 	StreamIdleTimeout string      `hcl:"silent,optional"`
-	Longest           string      `hcl:"longest,optional"`
+	MaxDuration       string      `hcl:"longest,optional"`
 	AnswerBytes       string      `hcl:"answer_bytes,optional"`
 	Failures          *int        `hcl:"failures,optional"`
-	RetryFirst        string      `hcl:"retry_first,optional"`
-	RetryMost         string      `hcl:"retry_most,optional"`
-	OneCopier         bool        `hcl:"one_copier,optional"`
+	MinBackoff        string      `hcl:"retry_first,optional"`
+	MaxBackoff        string      `hcl:"retry_most,optional"`
+	SingleCopier      bool        `hcl:"one_copier,optional"`
 }
 
 type hostBlock struct {
--- a/internal/router/settings/settings.go
+++ b/internal/router/settings/settings.go
@@ -28,8 +28,8 @@
 
 // Capture says where what is taken in is kept, without text.
 type Capture struct {
-	File  string // empty: nothing is kept
-	Bytes int64
+	Path     string // empty: nothing is kept
+	MaxBytes int64
 }
 
 // Descriptors returns how many the block may use.
@@ -44,9 +44,9 @@
 		n += 2 // a file, and the folder when it is listed
 	}
 	if s.StatusDir != "" {
-		n += 1 + StatusClients
+		n += 1 + MaxStatusClients
 	}
-	if s.Capture.File != "" {
+	if s.Capture.Path != "" {
 		n++
 	}
 	if s.Fleet != nil {
@@ -61,17 +61,17 @@
 	return n
 }
 
-// Memory returns how many bytes of bodies and answers the block may hold.
-func (s *Settings) Memory() int64 {
+// MaxMemory returns how many bytes of bodies and answers the block may hold.
+func (s *Settings) MaxMemory() int64 {
 	var n int64
 	for _, p := range s.Shadow.Pools {
-		n += p.Decider.Caps.Bytes + int64(p.AnswerBytes)*int64(p.Decider.Caps.Answers())
+		n += p.Decider.Caps.Bytes + int64(p.AnswerBytes)*int64(p.Decider.Caps.MaxAnswers())
 	}
 	return n
 }
 
-// StatusClients is how many may ask for the status at once.
-const StatusClients = 4
+// MaxStatusClients is how many may ask for the status at once.
+const MaxStatusClients = 4
 
 // Read reads and checks the file at path.
 func Read(path string) (*Settings, error) {
@@ -117,7 +117,7 @@
 		s.Admission = c.admission(f.Admission)
 	}
 	if b := f.Capture; b != nil {
-		if s.Capture = (Capture{File: b.File, Bytes: c.size(b.Body, "bytes", b.Bytes, 8<<20, 4<<10)}); b.File == "" {
+		if s.Capture = (Capture{Path: b.File, MaxBytes: c.size(b.Body, "bytes", b.Bytes, 8<<20, 4<<10)}); b.File == "" {
 			c.fault(b.Body, "file", "is empty; it must name a file that is not there yet")
 		}
 	}
@@ -135,7 +135,7 @@
 		}
 	}
 	for i := range s.Shadow.Pools {
-		if s.Shadow.Pools[i].OneCopier && f.Duties == nil {
+		if s.Shadow.Pools[i].SingleCopier && f.Duties == nil {
 			c.faultAt(f.Shadow.Pools[i].Range, "one_copier", "needs a block duties, which says who agrees on the one")
 		}
 	}
--- a/internal/router/settings/settings_test.go
+++ b/internal/router/settings/settings_test.go
@@ -51,17 +51,17 @@
 	}
 	p := s.Shadow.Pools[0]
 	if s.LogFormat != logging.JSON || s.StatusDir != "run" || p.Choice.Share != 0.25 || p.Decider.Caps.Bytes != 2<<20 ||
-		p.Patience != 10*time.Second || p.Decider.Pressure.Late != 5*time.Millisecond || p.Decider.Pressure.Queued != 8 ||
+		p.FirstEventTimeout != 10*time.Second || p.Decider.Pressure.Delay != 5*time.Millisecond || p.Decider.Pressure.Queued != 8 ||
 		p.Hosts[0] != (Host{ID: "c0", Addr: "127.0.0.1:9000"}) || s.Shadow.Records.Files != 3 {
 		t.Errorf("%+v", s)
 	}
-	if n := s.Descriptors(); n != 20+2+1+StatusClients {
+	if n := s.Descriptors(); n != 20+2+1+MaxStatusClients {
 		t.Errorf("%d descriptors", n)
 	}
-	if n := s.Memory(); n != 2<<20+32<<10*int64(shadow.Caps{Waiting: 16, Out: 8}.Answers()) {
+	if n := s.MaxMemory(); n != 2<<20+32<<10*int64(shadow.Caps{Waiting: 16, InFlight: 8}.MaxAnswers()) {
 		t.Errorf("%d bytes", n)
 	}
-	if s, err := Parse(nil, "f.hcl"); err != nil || s.Descriptors() != 0 || s.Memory() != 0 || s.LogFormat != logging.Text {
+	if s, err := Parse(nil, "f.hcl"); err != nil || s.Descriptors() != 0 || s.MaxMemory() != 0 || s.LogFormat != logging.Text {
 		t.Errorf("an empty file: %+v, %v", s, err)
 	}
 }
@@ -161,7 +161,7 @@
 		t.Fatal(err)
 	}
 	ms := time.Millisecond
-	want := &Admission{Identity: "X-Client", Reserve: 0.5, Config: admission.Config{MaxOverflow: 8, MinRetryAfter: 2 * time.Second, RememberedAddresses: 4096,
+	want := &Admission{IdentityHeader: "X-Client", ReservedFraction: 0.5, Config: admission.Config{MaxOverflow: 8, MinRetryAfter: 2 * time.Second, RememberedAddresses: 4096,
 		PerAddress: admission.ClientLimit{Connections: 4, OpenRequests: 2, ConnectionsPerSecond: 20}, PerNetwork: admission.ClientLimit{Connections: 64, OpenRequests: 64, ConnectionsPerSecond: 7.5},
 		PerIdentity: admission.ClientLimit{Connections: 30}, Prefixes: admission.PrefixLengths{Address4: 31, Network4: 24, Address6: 56, Network6: 48},
 		KnownRanges:     []netip.Prefix{netip.MustParsePrefix("10.20.0.0/16"), netip.MustParsePrefix("2001:db8::/32")},
--- a/internal/router/settings/shadow.go
+++ b/internal/router/settings/shadow.go
@@ -32,22 +32,22 @@
 	Hosts             []Host // in place of Discovery
 	Discovery         string
 	Sockets           int           // connections to its hosts
-	Patience          time.Duration // for the first event of a copy's answer
+	FirstEventTimeout time.Duration // for the first event of a copy's answer
 	StreamIdleTimeout time.Duration // for its stream
 	AnswerBytes       int           // kept of each of the two answers
-	OneCopier         bool          // only the router that has the duty copies
+	SingleCopier      bool          // only the router that has the duty copies
 }
 
-// Duty is the name of the duty to copy to the pool.
-func (p *Pool) Duty() string { return CopierDuty(p.Choice.Pool) }
+// Role is the name of the duty to copy to the pool.
+func (p *Pool) Role() string { return CopierRole(p.Choice.Pool) }
 
-// CopierDuty is the name of the duty to copy to a pool.
-func CopierDuty(pool string) string { return "copier/" + pool }
+// CopierRole is the name of the duty to copy to a pool.
+func CopierRole(pool string) string { return "copier/" + pool }
 
-// Copiers are the pools to which one router copies.
-func (s *Settings) Copiers() (names []string) {
+// SingleCopierPools are the pools to which one router copies.
+func (s *Settings) SingleCopierPools() (names []string) {
 	for i := range s.Shadow.Pools {
-		if p := &s.Shadow.Pools[i]; p.OneCopier {
+		if p := &s.Shadow.Pools[i]; p.SingleCopier {
 			names = append(names, p.Choice.Pool)
 		}
 	}
@@ -84,8 +84,8 @@
 		pool.Decider.Pressure = pressure
 		s.Pools = append(s.Pools, pool)
 	}
-	if len(b.Pools) > shadow.MostPools {
-		c.faultAt(b.Pools[shadow.MostPools].Range, "pool", "is number %d; there may be %d", shadow.MostPools+1, shadow.MostPools)
+	if len(b.Pools) > shadow.MaxPools {
+		c.faultAt(b.Pools[shadow.MaxPools].Range, "pool", "is number %d; there may be %d", shadow.MaxPools+1, shadow.MaxPools)
 	}
 	return s
 }
@@ -95,14 +95,14 @@
 		b = new(pressureBlock)
 	}
 	return shadow.Pressure{
-		Queued:   c.number(b.Body, "held", b.Queued, 8, 1, 1e6),
-		Bodies:   c.number(b.Body, "bodies", b.Bodies, 0.5, 0.01, 1),
-		Sockets:  c.number(b.Body, "sockets", b.Sockets, 0.7, 0.01, 1),
-		Late:     c.duration(b.Body, "late", b.Late, 10*time.Millisecond),
-		Refusals: c.number(b.Body, "refusals", b.Refusals, 2, 0.1, 1e6),
-		Hard:     c.number(b.Body, "hard", b.Hard, 2, 1, 100),
-		Grace:    c.duration(b.Body, "grace", b.Grace, 500*time.Millisecond),
-		Calm:     c.duration(b.Body, "calm", b.Calm, 2*time.Second),
+		Queued:         c.number(b.Body, "held", b.Queued, 8, 1, 1e6),
+		BodyFraction:   c.number(b.Body, "bodies", b.BodyFraction, 0.5, 0.01, 1),
+		SocketFraction: c.number(b.Body, "sockets", b.SocketFraction, 0.7, 0.01, 1),
+		Delay:          c.duration(b.Body, "late", b.Delay, 10*time.Millisecond),
+		Rejections:     c.number(b.Body, "refusals", b.Rejections, 2, 0.1, 1e6),
+		HardFactor:     c.number(b.Body, "hard", b.HardFactor, 2, 1, 100),
+		GracePeriod:    c.duration(b.Body, "grace", b.GracePeriod, 500*time.Millisecond),
+		CalmPeriod:     c.duration(b.Body, "calm", b.CalmPeriod, 2*time.Second),
 	}
 }
 
@@ -112,26 +112,26 @@
 	p := Pool{
 		Choice:            shadow.Choice{Pool: b.Name, Share: b.Share, Classes: b.Classes, Tenants: b.Tenants},
 		Discovery:         b.Discovery,
-		OneCopier:         b.OneCopier,
+		SingleCopier:      b.SingleCopier,
 		Sockets:           c.count(b.Body, "sockets", b.Sockets, 16, 10_000),
-		Patience:          c.duration(b.Body, "patience", b.Patience, 15*time.Second),
+		FirstEventTimeout: c.duration(b.Body, "patience", b.FirstEventTimeout, 15*time.Second),
 		StreamIdleTimeout: c.duration(b.Body, "silent", b.StreamIdleTimeout, 15*time.Second),
 		// An answer of the platform's longest body must not push out the caps of everything else.
 		AnswerBytes: int(c.size(b.Body, "answer_bytes", b.AnswerBytes, 32<<10, 1<<10)),
 		Decider: shadow.Config{
 			Caps: shadow.Caps{
-				PerSecond: c.number(b.Body, "copies_per_second", b.PerSecond, 5, 0.01, 1000),
-				Out:       c.count(b.Body, "copies_out", b.Out, 8, 1000),
-				PerHost:   c.count(b.Body, "copies_per_host", b.PerHost, 4, 1000),
-				Waiting:   c.count(b.Body, "copies_waiting", b.Waiting, 16, 1000),
-				Bytes:     c.size(b.Body, "body_bytes", b.Bytes, 1<<20, 1<<10),
-				Wait:      c.duration(b.Body, "wait", b.Wait, time.Second),
-				Longest:   c.duration(b.Body, "longest", b.Longest, 2*time.Minute),
+				PerSecond:       c.number(b.Body, "copies_per_second", b.PerSecond, 5, 0.01, 1000),
+				InFlight:        c.count(b.Body, "copies_out", b.InFlight, 8, 1000),
+				InFlightPerHost: c.count(b.Body, "copies_per_host", b.InFlightPerHost, 4, 1000),
+				Waiting:         c.count(b.Body, "copies_waiting", b.Waiting, 16, 1000),
+				Bytes:           c.size(b.Body, "body_bytes", b.Bytes, 1<<20, 1<<10),
+				MaxWait:         c.duration(b.Body, "wait", b.MaxWait, time.Second),
+				MaxDuration:     c.duration(b.Body, "longest", b.MaxDuration, 2*time.Minute),
 			},
 			Health: shadow.Health{
-				Failures: c.count(b.Body, "failures", b.Failures, 5, 1000),
-				First:    c.duration(b.Body, "retry_first", b.RetryFirst, time.Second),
-				Most:     c.duration(b.Body, "retry_most", b.RetryMost, time.Minute),
+				Failures:   c.count(b.Body, "failures", b.Failures, 5, 1000),
+				MinBackoff: c.duration(b.Body, "retry_first", b.MinBackoff, time.Second),
+				MaxBackoff: c.duration(b.Body, "retry_most", b.MaxBackoff, time.Minute),
 			},
 		},
 	}
@@ -149,10 +149,10 @@
 		c.faultAt(b.Range, "pool", "%q has no hosts; it needs blocks host, or discovery", b.Name)
 	case b.Discovery != "" && len(b.Hosts) > 0:
 		c.fault(b.Body, "discovery", "and blocks host exclude each other")
-	case h.First > h.Most:
-		c.fault(b.Body, "retry_first", "is %v; it must not be more than retry_most, %v", h.First, h.Most)
-	case p.Patience > p.Decider.Caps.Longest:
-		c.fault(b.Body, "patience", "is %v; it must not be more than longest, %v", p.Patience, p.Decider.Caps.Longest)
+	case h.MinBackoff > h.MaxBackoff:
+		c.fault(b.Body, "retry_first", "is %v; it must not be more than retry_most, %v", h.MinBackoff, h.MaxBackoff)
+	case p.FirstEventTimeout > p.Decider.Caps.MaxDuration:
+		c.fault(b.Body, "patience", "is %v; it must not be more than longest, %v", p.FirstEventTimeout, p.Decider.Caps.MaxDuration)
 	}
 	if _, _, err := net.SplitHostPort(b.Discovery); b.Discovery != "" && err != nil {
 		c.fault(b.Body, "discovery", "is %q; it must be an address with a port", b.Discovery)
--- a/internal/router/shadow/compare.go
+++ b/internal/router/shadow/compare.go
@@ -11,60 +11,60 @@
 )
 
 const (
-	// maxComparedWords bounds what the similarity is taken over; its cost grows with the square.
-	maxComparedWords = 1000
-	// maxWordLength is cut into pieces of pieceLen: scripts without spaces would otherwise be one
-	// word.
-	maxWordLength, splitLength = 16, 4
+	// maxComparedTokens bounds what the similarity is taken over; its cost grows with the square.
+	maxComparedTokens = 1000
+	// maxTokenLength is the length in characters from which a word is split into tokens of
+	// splitLength: a text of a script without spaces would otherwise be one word.
+	maxTokenLength, splitLength = 16, 4
 )
 
-// Text says how two answers' texts compare.
-type Text string
+// TextMatch says how two answers' texts compare. Its values are part of the record files.
+type TextMatch string
 
-// The ways.
+// The values of TextMatch.
 const (
-	Equal       Text = "equal"
-	Spacing     Text = "equal but for space and case"
-	Differs     Text = "differs"
-	NotRetained Text = "not kept" // one was longer than what is kept, and the rest can't tell
+	Equal       TextMatch = "equal"
+	Spacing     TextMatch = "equal but for space and case"
+	Differs     TextMatch = "differs"
+	NotRetained TextMatch = "not kept" // one was longer than what is retained, and size and digest differ
 )
 
-// Answer is what is known of one side's answer. Times count from when its request was taken in;
-// those that are not known are negative, as are tokens.
+// Answer is what is known of one side's answer. Times count from when its request was accepted;
+// those that are not known are negative, as are unknown token counts.
 type Answer struct {
-	Text         string // as far as it was kept
-	Truncated    bool   // more came than was kept
-	Bytes        int64  // of the whole stream
-	Digest       string // of the whole stream
-	Finish       string // the reason that it gives for its end
-	Tokens       int
-	CachedTokens int           // prompt tokens that the host still held
-	Wait         time.Duration // until the attempt that answered was sent: the host's own time begins there
-	First        time.Duration
-	Between      time.Duration // mean time between tokens
-	Total        time.Duration
-	Host         string
-	Schedules    int // attempts that it took
+	Text          string // the beginning that was retained
+	Truncated     bool   // more came than was retained
+	Bytes         int64  // of the complete stream
+	Digest        string // of the complete stream
+	Finish        string // the finish reason that the host gave
+	Tokens        int
+	CachedTokens  int           // prompt tokens that the host had in its prefix cache
+	Queued        time.Duration // until the attempt that answered was sent
+	FirstByte     time.Duration
+	TokenInterval time.Duration // mean time between tokens
+	Total         time.Duration
+	Host          string
+	Attempts      int
 }
 
 // Comparison is how a copy's answer compares with the live one.
 type Comparison struct {
-	Text         Text
-	Similarity   float64 // of the texts, from 0 to 1: 1 less the share of words to be changed
-	Partial      bool    // only the first words were looked at
-	Finish       bool    // both ended for the same reason
-	Tokens       int     // more than the live answer has, 0 if either is unknown
-	CachedTokens int     // likewise
+	Text             TextMatch
+	Similarity       float64 // of the texts, from 0 to 1: 1 less the fraction of words to be changed
+	Partial          bool    // Similarity covers only the beginning of a text
+	SameFinish       bool    // both have the same finish reason
+	TokenDelta       int     // the copy's tokens less the live answer's, 0 if either is unknown
+	CachedTokenDelta int     // likewise for the cached tokens
 }
 
-// Compare compares two whole answers.
+// Compare compares two complete answers.
 func Compare(live, copied Answer) Comparison {
-	c := Comparison{Finish: live.Finish == copied.Finish}
+	c := Comparison{SameFinish: live.Finish == copied.Finish}
 	if live.Tokens >= 0 && copied.Tokens >= 0 {
-		c.Tokens = copied.Tokens - live.Tokens
+		c.TokenDelta = copied.Tokens - live.Tokens
 	}
 	if live.CachedTokens >= 0 && copied.CachedTokens >= 0 {
-		c.CachedTokens = copied.CachedTokens - live.CachedTokens
+		c.CachedTokenDelta = copied.CachedTokens - live.CachedTokens
 	}
 	switch {
 	case live.Truncated || copied.Truncated:
@@ -76,7 +76,7 @@
 	case live.Text == copied.Text:
 		c.Text, c.Similarity = Equal, 1
 		return c
-	case plain(live.Text) == plain(copied.Text):
+	case foldSpaceAndCase(live.Text) == foldSpaceAndCase(copied.Text):
 		c.Text, c.Similarity = Spacing, 1
 		return c
 	default:
@@ -88,8 +88,8 @@
 	return c
 }
 
-// plain folds the case and drops all space.
-func plain(s string) string {
+// foldSpaceAndCase converts to lower case and drops all space.
+func foldSpaceAndCase(s string) string {
 	return strings.Map(func(r rune) rune {
 		if unicode.IsSpace(r) {
 			return -1
@@ -98,28 +98,29 @@
 	}, s)
 }
 
-// similarity is 1 less the edit distance between the two texts' words, as a share of the longer
-// one's. By words it costs a hundredth of what it does by letters, and one reworded sentence counts
-// alike wherever it stands.
-func similarity(a, b string) (share float64, truncated bool) {
+// similarity is 1 less the edit distance between the two texts' words, as a fraction of the longer
+// text. By words it costs a hundredth of what it costs by characters, and one reworded sentence
+// counts alike wherever it stands.
+func similarity(a, b string) (fraction float64, truncated bool) {
 	names := map[string]rune{}
-	x, truncatedA := spell(a, names)
-	y, truncatedB := spell(b, names)
+	x, truncatedA := encodeTokens(a, names)
+	y, truncatedB := encodeTokens(b, names)
 	longest := max(len([]rune(x)), len([]rune(y)))
 	if longest == 0 {
 		return 1, truncatedA || truncatedB
 	}
-	share = 1 - float64(levenshtein.ComputeDistance(x, y))/float64(longest)
-	return math.Max(share, 0), truncatedA || truncatedB
+	fraction = 1 - float64(levenshtein.ComputeDistance(x, y))/float64(longest)
+	return math.Max(fraction, 0), truncatedA || truncatedB
 }
 
-// spell writes each distinct word as one letter.
-func spell(text string, names map[string]rune) (spelled string, truncated bool) {
+// encodeTokens maps each distinct word to one rune, so that the edit distance between strings counts
+// words. Both texts share names. The result is truncated after maxComparedTokens.
+func encodeTokens(text string, names map[string]rune) (spelled string, truncated bool) {
 	var out []rune
 	add := func(w string) {
 		r, ok := names[w]
 		if !ok {
-			r = rune(0x10000 + len(names)) // past all that is reserved
+			r = rune(0x10000 + len(names)) // beyond the reserved runes of the basic plane
 			names[w] = r
 		}
 		out = append(out, r)
@@ -127,11 +128,11 @@
 	for w := range strings.FieldsFuncSeq(strings.ToLower(text), unicode.IsSpace) {
 		characters := []rune(w)
 		length := len(characters)
-		if length > maxWordLength {
+		if length > maxTokenLength {
 			length = splitLength
 		}
 		for part := range slices.Chunk(characters, length) {
-			if len(out) >= maxComparedWords {
+			if len(out) >= maxComparedTokens {
 				return string(out), true
 			}
 			add(string(part))
--- a/internal/router/shadow/selector.go
+++ b/internal/router/shadow/selector.go
@@ -7,8 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MostPools is how many pools a Selector can tell apart.
-const MostPools = 64
+// MaxPools is how many pools a Selector can distinguish: Pools has a bit for each.
+const MaxPools = 64
 
 // Choice says which requests a pool gets copies of.
 type Choice struct {
@@ -18,10 +18,10 @@
 	Tenants []string // none for all
 }
 
-// Pools is a set of pools, by their place in the choices.
+// Pools is a set of pools, by their index in the choices of NewSelector.
 type Pools uint64
 
-// Has tells whether the pool at that place is in the set.
+// Has reports whether the pool with that index is in the set.
 func (p Pools) Has(i int) bool { return p&(1<<i) != 0 }
 
 // Selector chooses requests. It is immutable, and safe for use by many goroutines.
@@ -31,17 +31,17 @@
 
 type choice struct {
 	Choice
-	salt  uint64 // pools choose independently of one another
-	below uint64 // hashes under it are chosen
-	all   bool
+	salt      uint64 // pools choose independently of one another
+	hashLimit uint64 // hashes below it are chosen
+	all       bool
 }
 
-// NewSelector returns a Selector for up to MostPools choices.
+// NewSelector returns a Selector for up to MaxPools choices.
 func NewSelector(choices []Choice) *Selector {
 	s := new(Selector)
 	for _, c := range choices {
 		s.choices = append(s.choices, choice{Choice: c, salt: xxhash.Sum64String(c.Pool), all: c.Share >= 1,
-			below: uint64(c.Share * math.MaxUint32 * (1 << 32))})
+			hashLimit: uint64(c.Share * math.MaxUint32 * (1 << 32))})
 	}
 	return s
 }
@@ -62,7 +62,7 @@
 	var chosen Pools
 	for i := range s.choices {
 		c := &s.choices[i]
-		if !c.all && mix(session^c.salt) >= c.below ||
+		if !c.all && mix(session^c.salt) >= c.hashLimit ||
 			len(c.Classes) > 0 && !slices.Contains(c.Classes, class) ||
 			len(c.Tenants) > 0 && !slices.ContainsFunc(c.Tenants, func(t string) bool { return t == string(tenant) }) {
 			continue
@@ -72,9 +72,9 @@
 	return chosen
 }
 
-// Idle tells that nothing is ever chosen.
+// Idle reports whether nothing is ever chosen.
 func (s *Selector) Idle() bool {
-	return !slices.ContainsFunc(s.choices, func(c choice) bool { return c.all || c.below > 0 })
+	return !slices.ContainsFunc(s.choices, func(c choice) bool { return c.all || c.hashLimit > 0 })
 }
 
 // mix is the finalizer of xxHash64, which spreads a difference in any bit over all of them.
