--- a/balance/assignment.go
+++ b/balance/assignment.go
@@ -25,7 +25,7 @@
 	serving := slices.DeleteFunc(slices.Clone(b.sorted), func(r *replica) bool { return r.State != Serving })
 	count := max(minAssignedReplicas, minAssignees*len(serving)/max(b.routers.NotDead(b.now), 1))
 	assignees := map[*replica][]int{}
-	for i, who := range assignment.Deal(b.routers, b.now, serving, count, assignmentKey) {
+	for i, who := range assignment.Assign(b.routers, b.now, serving, count, assignmentKey) {
 		assignees[serving[i]] = who
 	}
 	b.assigned = nil
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -126,7 +126,7 @@
 	case ReportsReceived:
 		b.handlePeerReports(ev)
 	case LivenessView:
-		b.routers.Viewed(ev.Version, assignmentPeers(ev), b.now)
+		b.routers.SetLive(ev.Version, assignmentPeers(ev), b.now)
 	case ProbeResult:
 		if r := b.replicas[ev.Replica]; r != nil {
 			b.handleProbeResult(r, ev)
--- a/balance/choose.go
+++ b/balance/choose.go
@@ -41,8 +41,8 @@
 			zoneCandidates = append(zoneCandidates, r)
 		}
 	}
-	candidates = outlier.Trusted(candidates, outlierState, b.now)
-	zoneCandidates = outlier.Trusted(zoneCandidates, outlierState, b.now)
+	candidates = outlier.WithoutEjected(candidates, outlierState, b.now)
+	zoneCandidates = outlier.WithoutEjected(zoneCandidates, outlierState, b.now)
 	sharing := cmp.Or(len(zoneCandidates), len(candidates))
 	notAdmitted := func(r *replica) bool { return !b.slowStartAdmits(q, r, sharing) }
 	candidates = slices.DeleteFunc(candidates, notAdmitted)
--- a/balance/config.go
+++ b/balance/config.go
@@ -45,7 +45,7 @@
 	SingleAffinityHost bool
 
 	// RetryBudget is the budget that retries spend from once an attempt was delivered; nil for no bound.
-	RetryBudget *retrybudget.Bucket
+	RetryBudget *retrybudget.Budget
 
 	// Routers is how many routers there are, this one included, if they may send reports to each
 	// other by number; 0 if not. Below 8 it counts as 0.
--- a/balance/health.go
+++ b/balance/health.go
@@ -97,11 +97,11 @@
 // reportFailure counts a failure of r towards its ejection by all routers, and reports it to them
 // unless that is already in force.
 func (b *Balancer) reportFailure(r *replica) {
-	if b.cfg.Broadcast && !r.outlier.At(b.now) {
+	if b.cfg.Broadcast && !r.outlier.Ejected(b.now) {
 		b.sendReports(nil, PeerReport{ReplicaTag: replicaTag(r), Failed: true})
 	}
-	r.outlier.Failed(outlier.Own, b.now)
+	r.outlier.RecordFailure(outlier.LocalWitness, b.now)
 }
 
 // outlierState returns what is suspected of r by this and other routers.
-func outlierState(r *replica) *outlier.Server { return &r.outlier }
+func outlierState(r *replica) *outlier.State { return &r.outlier }
--- a/balance/membership.go
+++ b/balance/membership.go
@@ -31,7 +31,7 @@
 // failure discovery is asked again.
 func (b *Balancer) handleMembers(ev Members) {
 	if len(b.sorted) == 0 {
-		b.sendReports(b.routers.Others()) // an empty message: it says in which zone this router is
+		b.sendReports(b.routers.AllOtherMembers()) // an empty message: it says in which zone this router is
 	}
 	if ev.Failed {
 		jitter := time.Duration(b.rng.Float64() * float64(subscribeRetryInterval))
@@ -43,7 +43,7 @@
 	}
 	b.membersVersion = ev.Version
 	b.warmCountValid = false
-	b.routers.Changed()
+	b.routers.Invalidate()
 	if ev.Complete {
 		for _, r := range b.sorted {
 			r.State = Removed
--- a/balance/outlier_test.go
+++ b/balance/outlier_test.go
@@ -73,7 +73,7 @@
 		t.Errorf("a failure was reported %d times", n)
 	}
 	g.step(failure(g.b.replicas["a"], 7))
-	if !g.b.replicas["a"].outlier.At(g.b.now) {
+	if !g.b.replicas["a"].outlier.Ejected(g.b.now) {
 		t.Fatal("with the word of another one it is not suspected")
 	}
 	if n := reported(fail()); n != 0 {
@@ -87,7 +87,7 @@
 	for range 5 {
 		g.b.recordFailure(g.b.replicas["a"], Reset)
 	}
-	if g.b.replicas["a"].outlier.At(g.b.now) {
+	if g.b.replicas["a"].outlier.Ejected(g.b.now) {
 		t.Error("suspected by its own word alone")
 	}
 }
--- a/balance/peerreports.go
+++ b/balance/peerreports.go
@@ -57,7 +57,7 @@
 
 // handlePeerReports takes up the reports of another router.
 func (b *Balancer) handlePeerReports(ev ReportsReceived) {
-	if !b.cfg.Broadcast && !b.routers.Heard(ev.From, ev.Zone) {
+	if !b.cfg.Broadcast && !b.routers.SetZone(ev.From, ev.Zone) {
 		return
 	}
 	for _, report := range ev.Reports {
@@ -67,7 +67,7 @@
 		case report.PrefillTokens > 0:
 			b.handlePromptReport(r, report)
 		case report.Failed:
-			r.outlier.Failed(ev.From, b.now)
+			r.outlier.RecordFailure(ev.From, b.now)
 		case report.LatencyRatio > 0:
 			r.latencyRatio.Hear(b.now, clampLatencyRatio(report.LatencyRatio), peerReportWeight)
 		}
--- a/balance/queue.go
+++ b/balance/queue.go
@@ -58,7 +58,7 @@
 	}
 	q.prefixKey = prefixKey(q.prefixTag())
 	b.requests[ev.ID] = q
-	b.cfg.RetryBudget.First(ev.Resumed)
+	b.cfg.RetryBudget.RecordRequest(ev.Resumed)
 	b.prefixCounts.Add(q.prefixKey)
 	b.enqueue(q)
 }
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -103,9 +103,9 @@
 		d.handleOpened(&e)
 	case RequestBegan:
 		if c := d.conn(e.Conn); c != nil && !c.requestOpen && !c.rejected && !c.evicted && !c.requestReady {
-			d.markActive(c)
+			d.setActive(c)
 			c.since, c.requestBegun, c.drainExpired = d.now, true, false
-			d.markIdle(c)
+			d.setIdle(c)
 		}
 	case RequestRead:
 		if c := d.conn(e.Conn); c != nil {
@@ -169,7 +169,7 @@
 	}
 	d.countState(c, 1)
 	if !c.requestReady {
-		d.markIdle(c)
+		d.setIdle(c)
 	}
 	d.counts.Admitted++
 	d.emit(Action{Kind: Admit, Conn: c.id})
@@ -191,8 +191,8 @@
 	}
 }
 
-// markIdle adds a connection to the idle ones, at the end.
-func (d *Controller) markIdle(c *conn) {
+// setIdle adds a connection to the idle ones, at the end.
+func (d *Controller) setIdle(c *conn) {
 	if c.state == overflow {
 		d.idleOverflow.push(c)
 	} else {
@@ -206,8 +206,8 @@
 	}
 }
 
-// markActive removes a connection from the idle ones.
-func (d *Controller) markActive(c *conn) {
+// setActive removes a connection from the idle ones.
+func (d *Controller) setActive(c *conn) {
 	if c.state == overflow {
 		d.idleOverflow.remove(c)
 	} else {
@@ -279,7 +279,7 @@
 	if c.requestOpen {
 		d.countOpen(c, -1)
 	} else if !c.rejected {
-		d.markActive(c)
+		d.setActive(c)
 	}
 	d.countState(c, -1)
 	c.addr.conns--
@@ -315,7 +315,7 @@
 	if c.requestOpen || c.rejected || c.evicted {
 		return
 	}
-	d.markActive(c)
+	d.setActive(c)
 	c.requestBegun, c.requestReady = false, false
 	if h := d.identity(identity); h != nil {
 		if code, cause := d.promote(c, h); code != 0 {
@@ -389,7 +389,7 @@
 	}
 	c.requestOpen, c.since = false, d.now
 	d.countOpen(c, -1)
-	d.markIdle(c)
+	d.setIdle(c)
 }
 
 // evictExcess evicts idle connections until the limits hold again.
@@ -464,7 +464,7 @@
 func (d *Controller) LargestClients(limit int) []ClientUsage {
 	var all []ClientUsage
 	for key, h := range d.table.clients {
-		if own, _ := d.config.Prefixes.keys(key.Addr()); own == key && h.conns > 0 {
+		if address, _ := d.config.Prefixes.keys(key.Addr()); address == key && h.conns > 0 {
 			all = append(all, ClientUsage{Name: key.String(), Conns: h.conns, Open: h.open, Known: h.known})
 		}
 	}
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -125,13 +125,13 @@
 					e.Identity = rapid.SampledFrom([]string{"", "tool", "mad"}).Draw(t, "who")
 					e.RequestComplete = rapid.Bool().Draw(t, "whole")
 				} else {
-					e.ClientGone = rapid.Bool().Draw(t, "left")
+					e.ClientLeft = rapid.Bool().Draw(t, "left")
 				}
 				got, n := w.step(e)
 				if n != 1 {
 					t.Fatalf("%d answers to a connection", n)
 				}
-				if got.Kind == Reject && (!e.HeadComplete || got.Conn != NoConnection) || got.Kind == Drop && e.HeadComplete || got.Kind == Admit && e.ClientGone && c.EvictFromLargest && w.d.isFull() {
+				if got.Kind == Reject && (!e.HeadComplete || got.Conn != NoConnection) || got.Kind == Drop && e.HeadComplete || got.Kind == Admit && e.ClientLeft && c.EvictFromLargest && w.d.isFull() {
 					t.Fatalf("%+v to %+v", got, e)
 				}
 				if got.Kind != Admit {
@@ -314,7 +314,7 @@
 		{Event{HeadComplete: true}, Admit, 0, NoCause},
 		{Event{HeadComplete: true}, Reject, 429, TooManyConnections},
 		{Event{}, Admit, 0, NoCause}, // on the step: it has said nothing that could be answered
-		{Event{ClientGone: true}, Drop, 0, ClientLeft},
+		{Event{ClientLeft: true}, Drop, 0, ClientLeft},
 		{Event{HeadComplete: true}, Reject, 429, RateExceeded},
 		{Event{}, Drop, 0, RateExceeded},
 		{Event{HeadComplete: true, Identity: "tool"}, Admit, 0, NoCause},
--- a/internal/admission/newconn.go
+++ b/internal/admission/newconn.go
@@ -120,7 +120,7 @@
 	}
 	n.nextArrivalAt = due
 	switch {
-	case e.ClientGone:
+	case e.ClientLeft:
 		d.drop(ClientLeft)
 	case atLimit(a.conns, limit.Connections) || atLimit(n.conns, networkLimit.Connections):
 		d.deny(e, a, n, 429, TooManyConnections)
@@ -154,7 +154,7 @@
 // there that is idle for longest is evicted.
 func (d *Controller) deny(e *Event, a, n *client, code int, cause Cause) {
 	switch {
-	case e.ClientGone:
+	case e.ClientLeft:
 		d.drop(ClientLeft)
 	case e.HeadComplete:
 		d.emitRejection(NoConnection, code, cause)
--- a/internal/admission/types.go
+++ b/internal/admission/types.go
@@ -121,7 +121,7 @@
 
 // The kinds of events, with the fields that they need.
 const (
-	Opened             EventKind = iota // Addr: a connection was accepted from it; HeadComplete, RequestComplete, Identity, ClientGone: what was read by then
+	Opened             EventKind = iota // Addr: a connection was accepted from it; HeadComplete, RequestComplete, Identity, ClientLeft: what was read by then
 	RequestBegan                        // Conn: the first byte of its next request came
 	RequestRead                         // Conn, Identity (empty for none): a request was read to its end
 	RequestDone                         // Conn: its request has its final answer
@@ -142,7 +142,7 @@
 	Identity        string
 	HeadComplete    bool // the head of its first request was read; its identity is Identity
 	RequestComplete bool // and the rest of the request, too: one RequestRead or Closed follows
-	ClientGone      bool // its client has ended it without a request
+	ClientLeft      bool // its client has ended it without a request
 	Config          *Config
 	IdleTime        time.Duration
 }
--- a/internal/assignment/assignment.go
+++ b/internal/assignment/assignment.go
@@ -1,7 +1,8 @@
-// Package assignment deals things out among the members of a numbered group who live in the same zone, alike wherever it is worked out: each
-// member has so many of its zone's things, by rendezvous of its number and the thing, so that all know who else has what. A member knows
-// others' zones by what it hears of them, and who lives by its own view, which may be late or wrong (package standing).
-// It is pure: its user says what time it is, and that must not go back.
+// Package assignment assigns items, such as servers, to the members of a numbered group that live in the
+// same zone. It is the same wherever it is worked out: each member has so many of its zone's items, by
+// rendezvous hashing of its number and the item, so that each knows which others have an item. A member
+// learns others' zones from them, and which members live from its own view, which may be late or wrong
+// (package liveness). The package is pure: its user says what time it is, which must not go back.
 package assignment
 
 import (
@@ -14,18 +15,19 @@
 	"reachspread/internal/rendezvous"
 )
 
-// unknown is the zone of a member that was not heard of yet.
-const unknown = -1
+// unknownZone is the zone of a member that was not heard of yet.
+const unknownZone = -1
 
-// Group is the members by their numbers, as one of them sees them. A group of none is of one who is alone: everything is in its share.
+// Group is the members by their numbers, as one of them sees them. In a group of none the one is alone, and
+// has all items.
 type Group struct {
-	me    int
+	self  int
 	zones []int
 	*liveness.Tracker
-	next time.Duration // when shares may have changed
+	dueAt time.Duration // when assignments may have changed
 
-	dealt [][]int // of the last Deal, with n; nil once things or zones are others
-	n     int
+	assigned  [][]int // by the last Assign, with perMember; nil after items or zones have changed
+	perMember int
 }
 
 // Peer is a member that lives.
@@ -34,88 +36,94 @@
 	Zone   uint8
 }
 
-// New returns a group of n of which one is me. A view counts after it has held for so long; until the first all members live.
-func New(n, me int, zone uint8, hold time.Duration) *Group {
-	g := &Group{me: me, zones: slices.Repeat([]int{unknown}, n), Tracker: liveness.New(n, hold)}
-	if me >= 0 && me < n {
-		g.zones[me] = int(zone)
+// New returns a group of n members, self among them. A view counts after it has held for so long; until the
+// first one all members live.
+func New(n, self int, zone uint8, stableFor time.Duration) *Group {
+	g := &Group{self: self, zones: slices.Repeat([]int{unknownZone}, n), Tracker: liveness.New(n, stableFor)}
+	if self >= 0 && self < n {
+		g.zones[self] = int(zone)
 	}
 	return g
 }
 
-// Alone tells that nobody else is in the group.
+// Alone reports whether there are no other members.
 func (g *Group) Alone() bool { return len(g.zones) == 0 }
 
-// Others returns the numbers of all others, whether they live or not.
-func (g *Group) Others() (all []int) {
+// AllOtherMembers returns the numbers of all others, whether they live or not.
+func (g *Group) AllOtherMembers() (all []int) {
 	for i := range g.zones {
-		if i != g.me {
+		if i != g.self {
 			all = append(all, i)
 		}
 	}
 	return all
 }
 
-// Heard takes in that a member has told its zone, and returns whether there is such a member.
-func (g *Group) Heard(from int, zone uint8) bool {
-	if from < 0 || from >= len(g.zones) {
+// SetZone sets the zone of a member, and reports whether there is such a member.
+func (g *Group) SetZone(member int, zone uint8) bool {
+	if member < 0 || member >= len(g.zones) {
 		return false
 	}
-	if g.zones[from] != int(zone) {
-		g.zones[from] = int(zone)
-		g.Changed()
+	if g.zones[member] != int(zone) {
+		g.zones[member] = int(zone)
+		g.Invalidate()
 	}
 	return true
 }
 
-// Viewed takes in who lives. What is not newer than the last is ignored, and so are numbers that the group does not have.
-func (g *Group) Viewed(version uint64, living []Peer, now time.Duration) {
+// SetLive sets which members live. A version that is not newer than the last is ignored, and so are numbers
+// that the group does not have.
+func (g *Group) SetLive(version uint64, live []Peer, now time.Duration) {
 	var numbers []int
-	for _, p := range living {
+	for _, p := range live {
 		numbers = append(numbers, p.Number)
-		g.Heard(p.Number, p.Zone)
+		g.SetZone(p.Number, p.Zone)
 	}
 	g.Update(version, numbers, now)
-	g.next = 0
+	g.dueAt = 0
 }
 
-// Changed says that the things to be dealt are others.
-func (g *Group) Changed() { g.next, g.dealt = 0, nil }
+// Invalidate says that the items have changed.
+func (g *Group) Invalidate() { g.dueAt, g.assigned = 0, nil }
 
-// Due tells that shares may have changed since the last Deal.
-func (g *Group) Due(now time.Duration) bool { return now >= g.next }
+// Due reports whether assignments may have changed since the last Assign.
+func (g *Group) Due(now time.Duration) bool { return now >= g.dueAt }
 
-// Deal returns who has each of the things, n of each zone's for a member, in rising order, whether those live or not. A member whose zone has
-// none has a share of all, and one that was never heard of has none. Things of equal names are dealt by their order. The work of members times things is done
-// anew only where things, zones or n have changed; what is returned must stay as it is.
-func Deal[T any](g *Group, now time.Duration, things []T, n int, of func(T) (name uint64, zone uint8)) [][]int {
-	if g.next = cmp.Or(g.Next(now), math.MaxInt64); g.dealt != nil && g.n == n {
-		return g.dealt
+// Assign returns the members that have each of the items, in rising order, whether they live or not. Each
+// member has perMember items of its zone. A member whose zone has none has a part of all, and one that was
+// never heard of has none. Items of equal names are taken in their order. The work of members times items
+// is done again only after items, zones or perMember have changed; the caller must not change the result.
+func Assign[T any](g *Group, now time.Duration, items []T, perMember int, of func(T) (name uint64, zone uint8)) [][]int {
+	g.dueAt = cmp.Or(g.Next(now), math.MaxInt64)
+	if g.assigned != nil && g.perMember == perMember {
+		return g.assigned
 	}
-	type thing struct {
-		i    int
-		name uint64
+	type item struct {
+		index int
+		name  uint64
 	}
-	var all []thing
-	zones := map[int][]thing{}
-	for i, t := range things {
+	var all []item
+	zones := map[int][]item{}
+	for i, t := range items {
 		name, zone := of(t)
-		all = append(all, thing{i, name})
-		zones[int(zone)] = append(zones[int(zone)], thing{i, name})
+		all = append(all, item{i, name})
+		zones[int(zone)] = append(zones[int(zone)], item{i, name})
 	}
-	shares := make([][]int, len(things))
-	for m, zone := range g.zones {
-		if zone == unknown {
+	assigned := make([][]int, len(items))
+	for member, zone := range g.zones {
+		if zone == unknownZone {
 			continue
 		}
 		pool := zones[zone]
 		if len(pool) == 0 {
 			pool = all // a zone that has lost its own
 		}
-		for _, t := range rendezvous.First(rendezvous.Mix(uint64(m)+1), pool, n, func(t thing) uint64 { return t.name }) {
-			shares[t.i] = append(shares[t.i], m)
+		key := rendezvous.Mix(uint64(member) + 1)
+		for _, t := range rendezvous.First(key, pool, perMember, func(t item) uint64 { return t.name }) {
+			assigned[t.index] = append(assigned[t.index], member)
 		}
 	}
-	g.dealt, g.n = shares, n
-	return shares
+	g.assigned = assigned
+	g.perMember = perMember
+	return assigned
 }
--- a/internal/assignment/assignment_test.go
+++ b/internal/assignment/assignment_test.go
@@ -21,7 +21,7 @@
 
 // Whoever deals: members that know the same deal alike, each who lives has n of its zone's, or of all where its zone has none, and a thing
 // that goes moves nothing but its own place in each share.
-func TestDeal(t *testing.T) {
+func TestAssignmentIsTheSameForAllMembers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members, n := rapid.IntRange(1, 20).Draw(t, "members"), rapid.IntRange(1, 9).Draw(t, "share")
 		zones := rapid.SliceOfN(rapid.Uint8Range(0, 3), members, members).Draw(t, "zones")
@@ -34,9 +34,9 @@
 		dealt := func(me int, hosts []host) [][]int {
 			g := New(members, me, zones[me], hold)
 			for i, z := range zones {
-				g.Heard(i, z)
+				g.SetZone(i, z)
 			}
-			return Deal(g, 0, hosts, n, of)
+			return Assign(g, 0, hosts, n, of)
 		}
 		first := dealt(0, hosts)
 		for me := range members {
@@ -74,35 +74,35 @@
 }
 
 // Who is gone is so once that has held, and is back at once; strangers are ignored.
-func TestWhoLives(t *testing.T) {
+func TestAssignmentFollowsTheView(t *testing.T) {
 	g := New(3, 1, 5, hold)
 	things := []host{{1, 5}, {2, 5}}
-	if g.Heard(3, 5) || g.Heard(-1, 5) || !g.Heard(2, 5) || g.Alone() {
+	if g.SetZone(3, 5) || g.SetZone(-1, 5) || !g.SetZone(2, 5) || g.Alone() {
 		t.Error("who is there")
 	}
 	check := func(now time.Duration, want ...int) {
 		t.Helper()
-		for _, who := range Deal(g, now, things, 2, of) {
+		for _, who := range Assign(g, now, things, 2, of) {
 			if who = slices.DeleteFunc(slices.Clone(who), func(m int) bool { return g.Dead(m, now) }); !slices.Equal(who, want) {
 				t.Errorf("at %v %v, want %v", now, who, want)
 			}
 		}
 	}
 	check(0, 1, 2) // 0 was never heard of
-	g.Viewed(1, []Peer{{0, 5}, {1, 5}, {9, 5}}, time.Second)
+	g.SetLive(1, []Peer{{0, 5}, {1, 5}, {9, 5}}, time.Second)
 	if check(time.Second, 0, 1, 2); g.Due(time.Second) || !g.Due(time.Second+hold) {
 		t.Error("due by something else than the view's time")
 	}
 	check(time.Second+hold, 0, 1)
-	g.Viewed(2, []Peer{{0, 5}, {1, 5}, {2, 5}}, 4*time.Second)
+	g.SetLive(2, []Peer{{0, 5}, {1, 5}, {2, 5}}, 4*time.Second)
 	check(4*time.Second, 0, 1, 2)
-	if g.Due(5*time.Second) || g.Alone() || !slices.Equal(g.Others(), []int{0, 2}) {
+	if g.Due(5*time.Second) || g.Alone() || !slices.Equal(g.AllOtherMembers(), []int{0, 2}) {
 		t.Error("dealt anew without cause")
 	}
-	if g.Changed(); !g.Due(5 * time.Second) {
+	if g.Invalidate(); !g.Due(5 * time.Second) {
 		t.Error("other things are not dealt")
 	}
-	if alone := New(0, 0, 5, hold); !alone.Alone() || len(alone.Others()) > 0 || alone.Heard(0, 5) {
+	if alone := New(0, 0, 5, hold); !alone.Alone() || len(alone.AllOtherMembers()) > 0 || alone.SetZone(0, 5) {
 		t.Error("one who is alone")
 	}
 }
--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -1,8 +1,10 @@
-// Package outlier judges from what several callers saw of one server whether all of them had better avoid it for a while. It is pure: its
-// user brings the sightings of failures, its own and those that others tell, and says what time it is, which must not go back.
+// Package outlier detects servers that several routers saw fail, so that all of them avoid it for a while.
+// It is pure: its user brings the failures, its own and those that others report, and the time, which must
+// not go back.
 //
-// One witness is not enough, as its own path to the server may be at fault. What two saw within a short time counts, for a time that doubles
-// with each suspicion that follows soon after the one before. Then the server is taken back, and the next two failures end that again.
+// One witness is not enough, as its own path to the server may be at fault. If two see a failure within a
+// short time, the server is ejected for a time that doubles with each ejection soon after the one before.
+// After it the server is used again, until the next two failures.
 package outlier
 
 import (
@@ -12,60 +14,62 @@
 )
 
 const (
-	// together is the longest time between the sightings of two witnesses that count together.
-	together = 2 * time.Second
-	// first and most bound how long a server is avoided.
-	first = time.Second
-	most  = 4 * time.Second
-	// soon is how long after a suspicion another one is taken to have the same cause.
-	soon = 4 * time.Second
-	// mostSuspected is the part of all servers that may be avoided at once: one in so many.
-	mostSuspected = 3
+	// witnessWindow is the longest time between the failures of two witnesses that eject a server.
+	witnessWindow = 2 * time.Second
+	// minEjectionTime and maxEjectionTime bound how long a server is ejected.
+	minEjectionTime = time.Second
+	maxEjectionTime = 4 * time.Second
+	// recurrenceWindow is how long after an ejection another one is taken to have the same cause.
+	recurrenceWindow = 4 * time.Second
+	// maxEjectedDivisor bounds the servers that are ejected at once: one in so many.
+	maxEjectedDivisor = 3
 )
 
-// Own is the witness that a caller is to itself. Others have other numbers.
-const Own = -1
+// LocalWitness is the number of the local router as a witness. Others have other numbers.
+const LocalWitness = -1
 
-// Server is what is suspected of one server. Its zero value is trusted.
-type Server struct {
-	seen, began bool
-	witness     int           // who saw it fail last
-	at          time.Duration // when
-	until       time.Duration // it is avoided
-	span        time.Duration // for which it was, the last time
+// State is the state of one server. Its zero value is not ejected.
+type State struct {
+	hasWitness, everEjected bool
+	witness                 int           // that saw it fail last
+	seenAt                  time.Duration // when
+	ejectedUntil            time.Duration // 0 for never
+	ejectionTime            time.Duration // the last one
 }
 
-// Failed takes in that a witness saw the server fail.
-func (s *Server) Failed(witness int, now time.Duration) {
-	if s.At(now) {
-		return // of tries that were under way
+// RecordFailure records that a witness saw the server fail.
+func (s *State) RecordFailure(witness int, now time.Duration) {
+	if s.Ejected(now) {
+		return // of an attempt that was in flight
 	}
-	second := s.seen && s.witness != witness && now-s.at <= together
-	s.seen, s.witness, s.at = true, witness, now
+	second := s.hasWitness && s.witness != witness && now-s.seenAt <= witnessWindow
+	s.hasWitness, s.witness, s.seenAt = true, witness, now
 	if !second {
 		return
 	}
-	if again := s.began && now-s.until <= soon; again {
-		s.span = min(2*s.span, most)
+	repeated := s.everEjected && now-s.ejectedUntil <= recurrenceWindow
+	if repeated {
+		s.ejectionTime = min(2*s.ejectionTime, maxEjectionTime)
 	} else {
-		s.span = first
+		s.ejectionTime = minEjectionTime
 	}
-	s.began, s.until, s.seen = true, now+s.span, false
+	s.everEjected, s.ejectedUntil, s.hasWitness = true, now+s.ejectionTime, false
 }
 
-// At tells whether the server is to be avoided.
-func (s *Server) At(now time.Duration) bool { return s.began && now < s.until }
+// Ejected reports whether the server is ejected at a time.
+func (s *State) Ejected(now time.Duration) bool { return s.everEjected && now < s.ejectedUntil }
 
-// Trusted returns the servers that are not to be avoided. Where many are suspected only a part is avoided, those first that were for long, as
-// they failed again and again: the others could not bear the load of all, and would be late and suspected in turn.
-func Trusted[S any](all []S, of func(S) *Server, now time.Duration) []S {
-	avoided := slices.DeleteFunc(slices.Clone(all), func(s S) bool { return !of(s).At(now) })
-	if len(avoided) == 0 {
+// WithoutEjected returns the servers that are not ejected. Of many that are, only some are left out, those
+// with the longest ejection first, as they failed again and again: the others could not bear the load of
+// all, and would be ejected in turn.
+func WithoutEjected[S any](all []S, of func(S) *State, now time.Duration) []S {
+	ejected := slices.DeleteFunc(slices.Clone(all), func(s S) bool { return !of(s).Ejected(now) })
+	if len(ejected) == 0 {
 		return all
 	}
-	slices.SortStableFunc(avoided, func(a, b S) int { return cmp.Compare(of(b).span, of(a).span) })
-	avoided = avoided[:min(len(avoided), len(all)/mostSuspected)]
+	slices.SortStableFunc(ejected, func(a, b S) int { return cmp.Compare(of(b).ejectionTime, of(a).ejectionTime) })
+	ejected = ejected[:min(len(ejected), len(all)/maxEjectedDivisor)]
 	return slices.DeleteFunc(slices.Clone(all), func(s S) bool {
-		return slices.ContainsFunc(avoided, func(o S) bool { return of(o) == of(s) })
+		return slices.ContainsFunc(ejected, func(o S) bool { return of(o) == of(s) })
 	})
 }
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -15,7 +15,7 @@
 	witness int
 }
 
-func TestWitnesses(t *testing.T) {
+func TestTwoWitnessesEjectAServer(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		seen    []sighting
@@ -26,7 +26,7 @@
 		{name: "one witness", seen: []sighting{{0, 1}}, at: 0},
 		{name: "one witness, over and over", seen: []sighting{{0, 1}, {sec / 10, 1}, {sec / 5, 1}}, at: sec / 5},
 		{name: "two witnesses", seen: []sighting{{0, 1}, {sec / 10, 2}}, at: sec / 2, avoided: true},
-		{name: "oneself and another", seen: []sighting{{0, Own}, {sec / 10, 2}}, at: sec / 2, avoided: true},
+		{name: "oneself and another", seen: []sighting{{0, LocalWitness}, {sec / 10, 2}}, at: sec / 2, avoided: true},
 		{name: "two witnesses long apart", seen: []sighting{{0, 1}, {3 * sec, 2}}, at: 3 * sec},
 		{name: "taken back", seen: []sighting{{0, 1}, {0, 2}}, at: sec},
 		{name: "seen again soon: for longer", seen: []sighting{{0, 1}, {0, 2}, {2 * sec, 1}, {2 * sec, 3}}, at: 7 * sec / 2, avoided: true},
@@ -36,37 +36,37 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			var s Server
+			var s State
 			for _, one := range c.seen {
-				s.Failed(one.witness, one.at)
+				s.RecordFailure(one.witness, one.at)
 			}
-			is.Equal(s.At(c.at), c.avoided)
+			is.Equal(s.Ejected(c.at), c.avoided)
 		})
 	}
 }
 
 // However often it is seen to fail, a server is taken back at least once in the longest span.
-func TestTakenBackForEver(t *testing.T) {
+func TestEjectionIsBounded(t *testing.T) {
 	is := is.New(t)
-	var s Server
+	var s State
 	avoided := time.Duration(0)
 	for now := time.Duration(0); now < 100*sec; now += 10 * time.Millisecond {
-		s.Failed(int(now/(10*time.Millisecond))%7, now)
-		if !s.At(now) {
+		s.RecordFailure(int(now/(10*time.Millisecond))%7, now)
+		if !s.Ejected(now) {
 			avoided = 0
 			continue
 		}
 		avoided += 10 * time.Millisecond
-		is.True(avoided <= most)
+		is.True(avoided <= maxEjectionTime)
 	}
 }
 
-func TestTrusted(t *testing.T) {
-	fails := func(s *Server, times int) {
+func TestOnlySomeOfManyAreLeftOut(t *testing.T) {
+	fails := func(s *State, times int) {
 		for i := range times {
-			at := time.Duration(i) * most
-			s.Failed(1, at)
-			s.Failed(2, at)
+			at := time.Duration(i) * maxEjectionTime
+			s.RecordFailure(1, at)
+			s.RecordFailure(2, at)
 		}
 	}
 	for _, c := range []struct {
@@ -82,17 +82,17 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			const now = 3 * most
-			servers := make([]Server, len(c.times))
+			const now = 3 * maxEjectionTime
+			servers := make([]State, len(c.times))
 			all := make([]int, len(c.times))
 			for i, times := range c.times {
 				all[i] = i
 				fails(&servers[i], times)
 				if times > 0 {
-					servers[i].until = now + sec
+					servers[i].ejectedUntil = now + sec
 				}
 			}
-			is.Equal(Trusted(all, func(i int) *Server { return &servers[i] }, now), c.want)
+			is.Equal(WithoutEjected(all, func(i int) *State { return &servers[i] }, now), c.want)
 		})
 	}
 }
--- a/internal/protocol/answer.go
+++ b/internal/protocol/answer.go
@@ -5,18 +5,18 @@
 	"encoding/json"
 )
 
-// Answer is what a stream of events says, joined.
+// Answer is the joined content of a stream of events.
 type Answer struct {
-	Text   string
-	Finish string // the finish_reason, empty if none came
-	Tokens int    // completion_tokens, -1 if not said
-	Kept   int    // cached_tokens, -1 if not said
+	Text             string
+	FinishReason     string // finish_reason, empty if none came
+	CompletionTokens int    // completion_tokens, -1 if not given
+	CachedTokens     int    // cached_tokens, -1 if not given
 }
 
-// ReadAnswer joins the events of a stream, or of what was kept of one. Lines that it can't read are passed over: a
-// stream's text is its client's, and no business of the router's beyond what a report can use.
+// ReadAnswer joins the events of a stream, or of the retained part of one. Lines that it can't read are
+// skipped.
 func ReadAnswer(stream []byte) Answer {
-	a := Answer{Tokens: -1, Kept: -1}
+	a := Answer{CompletionTokens: -1, CachedTokens: -1}
 	var text bytes.Buffer
 	for line := range bytes.Lines(stream) {
 		data, ok := bytes.CutPrefix(bytes.TrimRight(line, "\r\n"), []byte("data:"))
@@ -43,15 +43,15 @@
 		for _, c := range event.Choices {
 			text.WriteString(c.Delta.Content)
 			if c.Finish != "" {
-				a.Finish = c.Finish
+				a.FinishReason = c.Finish
 			}
 		}
 		if u := event.Usage; u != nil {
 			if u.Tokens != nil {
-				a.Tokens = *u.Tokens
+				a.CompletionTokens = *u.Tokens
 			}
 			if u.Details != nil {
-				a.Kept = u.Details.Cached
+				a.CachedTokens = u.Details.Cached
 			}
 		}
 	}
--- a/internal/protocol/chunks.go
+++ b/internal/protocol/chunks.go
@@ -5,46 +5,48 @@
 	"fmt"
 )
 
-// Chunks follows a chunked body through its bytes as they come, cut anywhere. Its zero value is at the body's start. What
-// it holds is all that another process needs to go on from there, so its fields are for that.
-type Chunks struct {
-	At   Place  `json:"at"`
-	Left uint64 `json:"left"` // of the chunk's data, or of its size as far as it was read
-	Long int    `json:"long"` // bytes of the line at hand
-	Any  bool   `json:"any"`  // a digit of the size was read
+// ChunkParser parses a chunked body as its bytes come, split anywhere. Its zero value is at the body's
+// start. Its JSON form is all that another process needs to go on from there.
+type ChunkParser struct {
+	At         ChunkState `json:"at"`
+	Remaining  uint64     `json:"left"` // of the chunk's data; while its size is read, the size so far
+	LineLength int        `json:"long"` // bytes of the line that is being read
+	HasDigit   bool       `json:"any"`  // of the size
 }
 
-// Place is where among the parts of a chunked body the next byte belongs.
-type Place string
+// ChunkState says what the next byte of a chunked body is part of.
+type ChunkState string
 
-// The places.
+// The states.
 const (
-	AtSize    Place = ""        // digits of a chunk's size
-	AtRest    Place = "rest"    // what follows them on their line
-	AtData    Place = "data"    // the chunk's own bytes
-	AtEnd     Place = "end"     // the line's end behind them
-	AtTrailer Place = "trailer" // lines after the last chunk
-	AtWhole   Place = "whole"   // nothing more is due
-	mostChunk       = 1 << 40   // bytes said of one chunk, which is far beyond any body
-	mostLine        = 8 << 10   // bytes of a line of framing
+	AtSize          ChunkState = ""        // digits of a chunk's size
+	AtSizeExtension ChunkState = "rest"    // what follows these on their line
+	AtData          ChunkState = "data"    // the chunk's own bytes
+	AtDataEnd       ChunkState = "end"     // the line end after the data
+	AtTrailer       ChunkState = "trailer" // lines after the last chunk
+	AtComplete      ChunkState = "whole"   // the body is complete
+	maxChunkSize               = 1 << 40   // bytes of one chunk, far beyond any body
+	maxFramingLine             = 8 << 10   // bytes of a line of framing
 )
 
+// errChunk says that the framing of a chunked body is malformed.
 var errChunk = errors.New("malformed chunk")
 
-// Feed takes in the next bytes and gives each piece of data among them to data. It returns how many bytes belong to the
-// body: fewer than there are once it is whole.
-func (c *Chunks) Feed(p []byte, data func(piece []byte)) (used int, err error) {
-	for used < len(p) && c.At != AtWhole {
+// Feed parses the next bytes and calls data with each run of chunk data in them. It returns how many of the
+// bytes belong to the body: fewer than there are once it is complete.
+func (c *ChunkParser) Feed(p []byte, data func(chunk []byte)) (used int, err error) {
+	for used < len(p) && c.At != AtComplete {
 		if c.At == AtData {
-			n := int(min(c.Left, uint64(len(p)-used)))
+			n := int(min(c.Remaining, uint64(len(p)-used)))
 			data(p[used : used+n])
 			used += n
-			if c.Left -= uint64(n); c.Left == 0 {
-				c.At = AtEnd
+			c.Remaining -= uint64(n)
+			if c.Remaining == 0 {
+				c.At = AtDataEnd
 			}
 			continue
 		}
-		if err := c.line(p[used]); err != nil {
+		if err := c.feedFraming(p[used]); err != nil {
 			return used, err
 		}
 		used++
@@ -52,53 +54,55 @@
 	return used, nil
 }
 
-// line takes in one byte of framing.
-func (c *Chunks) line(b byte) error {
-	if c.Long++; c.Long > mostLine {
-		return fmt.Errorf("%w: a line of more than %d bytes", errChunk, mostLine)
+// feedFraming parses one byte of framing.
+func (c *ChunkParser) feedFraming(b byte) error {
+	c.LineLength++
+	if c.LineLength > maxFramingLine {
+		return fmt.Errorf("%w: a line of more than %d bytes", errChunk, maxFramingLine)
 	}
 	switch {
 	case b == '\n':
 		return c.endLine()
 	case c.At == AtSize:
 		digit, ok := hex(b)
-		if !ok && c.Any {
-			c.At = AtRest
+		if !ok && c.HasDigit {
+			c.At = AtSizeExtension
 			return nil
 		}
 		if !ok {
 			return fmt.Errorf("%w: %q is no size", errChunk, b)
 		}
-		c.Any = true
-		if c.Left = c.Left<<4 | digit; c.Left > mostChunk {
-			return fmt.Errorf("%w: a size of more than %d", errChunk, mostChunk)
+		c.HasDigit = true
+		c.Remaining = c.Remaining<<4 | digit
+		if c.Remaining > maxChunkSize {
+			return fmt.Errorf("%w: a size of more than %d", errChunk, maxChunkSize)
 		}
-	case c.At == AtEnd && b != '\r':
+	case c.At == AtDataEnd && b != '\r':
 		return fmt.Errorf("%w: %q behind its data", errChunk, b)
 	}
 	return nil
 }
 
-// endLine takes in the end of a line of framing.
-func (c *Chunks) endLine() error {
-	long := c.Long
-	c.Long = 0
+// endLine parses the end of a line of framing.
+func (c *ChunkParser) endLine() error {
+	length := c.LineLength
+	c.LineLength = 0
 	switch c.At {
-	case AtSize, AtRest:
+	case AtSize, AtSizeExtension:
 		switch {
-		case !c.Any:
+		case !c.HasDigit:
 			return fmt.Errorf("%w: no size", errChunk)
-		case c.Left > 0:
+		case c.Remaining > 0:
 			c.At = AtData
 		default:
 			c.At = AtTrailer
 		}
-		c.Any = false
-	case AtEnd:
+		c.HasDigit = false
+	case AtDataEnd:
 		c.At = AtSize
 	case AtTrailer:
-		if long <= len("\r\n") { // an empty line
-			c.At = AtWhole
+		if length <= len("\r\n") { // an empty line
+			c.At = AtComplete
 		}
 	}
 	return nil
--- a/internal/protocol/chunks_test.go
+++ b/internal/protocol/chunks_test.go
@@ -11,7 +11,7 @@
 
 // However a chunked body is cut, and wherever another process goes on with it, its data come out as they went in, and its
 // end is found to the byte.
-func TestChunksCutAnywhere(t *testing.T) {
+func TestChunksSplitAnywhere(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var body, want []byte
 		for _, piece := range rapid.SliceOfN(rapid.SliceOfN(rapid.Byte(), 1, 300), 0, 5).Draw(t, "pieces") {
@@ -21,10 +21,10 @@
 		}
 		body = append(body, rapid.SampledFrom([]string{"0\r\n\r\n", "0\r\nA: b\r\n\r\n", "000;x\r\n\r\n"}).Draw(t, "end")...)
 		rest := append(bytes.Clone(body), "HTTP/1.1 200"...)
-		var c Chunks
+		var c ChunkParser
 		var got []byte
 		read := 0
-		for read < len(rest) && c.At != AtWhole {
+		for read < len(rest) && c.At != AtComplete {
 			n := rapid.IntRange(1, 40).Draw(t, "cut")
 			used, err := c.Feed(rest[read:min(read+n, len(rest))], func(p []byte) { got = append(got, p...) })
 			if err != nil {
@@ -32,7 +32,7 @@
 			}
 			read += used
 			text, _ := json.Marshal(c)
-			c = Chunks{}
+			c = ChunkParser{}
 			if err := json.Unmarshal(text, &c); err != nil {
 				t.Fatal(err)
 			}
@@ -43,9 +43,9 @@
 	})
 }
 
-func TestChunksMalformed(t *testing.T) {
-	for _, text := range []string{"\r\n", "g\r\n", ";\r\n", "-1\r\n", "1\r\nab\r\n", "fffffffffff\r\n", string(bytes.Repeat([]byte("0"), mostLine+1))} {
-		var c Chunks
+func TestMalformedChunks(t *testing.T) {
+	for _, text := range []string{"\r\n", "g\r\n", ";\r\n", "-1\r\n", "1\r\nab\r\n", "fffffffffff\r\n", string(bytes.Repeat([]byte("0"), maxFramingLine+1))} {
+		var c ChunkParser
 		if _, err := c.Feed([]byte(text), func([]byte) {}); err == nil {
 			t.Errorf("%.20q was taken", text)
 		}
--- a/internal/protocol/completions.go
+++ b/internal/protocol/completions.go
@@ -18,29 +18,29 @@
 // RequestID implements Dialect.
 func (Completions) RequestID() string { return HeaderID }
 
-// Expects implements Dialect: servers can't be told whom a request is meant for.
+// Expects implements Dialect: no header names the server that a request is for.
 func (Completions) Expects(string) (Field, bool) { return Field{}, false }
 
-// Foreign implements Dialect: answers carry no id.
-func (Completions) Foreign(string, Header) bool { return false }
+// AnswersOther implements Dialect: answers carry no ID.
+func (Completions) AnswersOther(string, HeaderReader) bool { return false }
 
-// Judge implements Dialect. An answer that blames the request says nothing against the server: held against it, one client's
-// bad requests would shut out the whole fleet.
-func (Completions) Judge(status int, get Header) Judgement {
+// Judge implements Dialect. An answer that finds the request at fault is no failure of the server:
+// otherwise one client's bad requests would eject the whole fleet.
+func (Completions) Judge(status int, get HeaderReader) AttemptJudgement {
 	if status == http.StatusOK {
-		return Judgement{Result: balance.OK}
+		return AttemptJudgement{Result: balance.OK}
 	}
 	if get(HeaderUnprocessed) == "1" && (status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout) {
-		return Judgement{Result: balance.Full}
+		return AttemptJudgement{Result: balance.Full}
 	}
 	if status/100 == 4 && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests {
-		return Judgement{Result: balance.Cancelled, Unfit: true}
+		return AttemptJudgement{Result: balance.Cancelled, RequestInvalid: true}
 	}
-	return Judgement{Result: balance.Error}
+	return AttemptJudgement{Result: balance.Error}
 }
 
 // Load implements Dialect.
-func (Completions) Load(get Header) (*balance.Load, error) {
+func (Completions) Load(get HeaderReader) (*balance.Load, error) {
 	text := get(HeaderLoad)
 	if text == "" {
 		return nil, nil
@@ -59,5 +59,5 @@
 	return ParseLoad(text)
 }
 
-// KeepAlive implements Dialect: the settings tell it.
-func (Completions) KeepAlive(Header) time.Duration { return 0 }
+// KeepAlive implements Dialect: the settings have it.
+func (Completions) KeepAlive(HeaderReader) time.Duration { return 0 }
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -9,9 +9,9 @@
 	"reachspread/balance"
 )
 
-// ServiceEntry is one server as discovery lists it. The decisions know it by its id, which is alike at all
-// routers; only the network uses the address.
-type ServiceEntry struct {
+// ListedServer is a server as discovery lists it. The decisions know it by its ID, which is the same for
+// all routers; only the network uses the address.
+type ListedServer struct {
 	ID        string  `json:"id"`
 	Addr      string  `json:"addr"`
 	Zone      string  `json:"zone"`
@@ -21,24 +21,24 @@
 	StartedMs float64 `json:"started_ms"`
 }
 
-// List is an answer of discovery: the whole list, or the entries that changed.
+// List is an answer of discovery: the full list, or the servers that changed.
 type List struct {
 	Version int64          `json:"version"`
 	Full    bool           `json:"full"`
-	Servers []ServiceEntry `json:"servers"`
+	Servers []ListedServer `json:"servers"`
 }
 
-// ParseList reads and checks a list, so that a malformed one is refused whole.
+// ParseList parses and validates a list. A malformed one is rejected as a whole.
 func ParseList(text []byte) (*List, error) {
 	l := new(List)
 	if err := json.Unmarshal(text, l); err != nil {
 		return nil, fmt.Errorf("discovery list: %w", err)
 	}
-	return l, l.Check()
+	return l, l.Validate()
 }
 
-// Check tells the first fault of a list.
-func (l *List) Check() error {
+// Validate returns the first fault of a list, with the field at fault.
+func (l *List) Validate() error {
 	for i, e := range l.Servers {
 		state, known := stateOf(e.State)
 		switch {
@@ -53,9 +53,9 @@
 	return nil
 }
 
-// stateOf maps a word of discovery to the module's state.
-func stateOf(word string) (state balance.State, known bool) {
-	switch word {
+// stateOf returns the state that discovery names so.
+func stateOf(name string) (state balance.State, known bool) {
+	switch name {
 	case "Ready":
 		return balance.Serving, true
 	case "Terminating":
@@ -66,7 +66,8 @@
 	return balance.Removed, false
 }
 
-// Members turns a checked list into the module's event. The module's clock counts from the start of Unix time.
+// Members returns a valid list as an event for the decisions, whose clock counts from the start of Unix
+// time.
 func (l *List) Members() balance.Members {
 	ev := balance.Members{Version: l.Version, Complete: l.Full}
 	for _, e := range l.Servers {
@@ -77,7 +78,7 @@
 	return ev
 }
 
-// Addrs returns where to reach each server of the list.
+// Addrs returns the address of each server of the list.
 func (l *List) Addrs() map[string]string {
 	addrs := make(map[string]string, len(l.Servers))
 	for _, e := range l.Servers {
@@ -86,10 +87,10 @@
 	return addrs
 }
 
-// ListPath is the call for the whole list.
+// ListPath is the path of the full list.
 const ListPath = "/api/targets"
 
-// WatchPath is the call that waits for something newer than a version.
+// WatchPath returns the path of a call that waits for a list newer than a version.
 func WatchPath(version int64, wait time.Duration) string {
 	return ListPath + "?index=" + strconv.FormatInt(version, 10) + "&wait=" + strconv.FormatInt(wait.Milliseconds(), 10)
 }
--- a/internal/protocol/events.go
+++ b/internal/protocol/events.go
@@ -8,31 +8,36 @@
 	"reachspread/balance"
 )
 
-// longestNote bounds what is kept of a line in a stream. Longer lines are text for the client and never notes.
-const longestNote = 4096
+// maxStreamLine bounds the bytes of a line that are buffered. Longer lines are text for the client, and
+// never of use to the decisions.
+const maxStreamLine = 4096
 
-// Notes picks what the decisions need out of a stream of events as it passes. Its zero value is ready.
-type Notes struct {
-	Kept float64       // prompt tokens found kept, from the usage event
-	Load *balance.Load // the report at the stream's end, nil for none
-	Err  error         // the last note that could not be read
+// StreamReader reads what the decisions need from a stream of events as it is forwarded. Its zero value is
+// ready.
+type StreamReader struct {
+	CachedTokens float64       // of the prompt, from the usage event
+	Load         *balance.Load // the report at the stream's end, nil for none
+	Err          error         // of the last line that could not be read
 
-	line []byte
-	long bool // the line being read is too long to be a note
+	line        []byte
+	lineTooLong bool // for a line that is read
 }
 
-// NotesFrom goes on in the line that Rest gave.
-func NotesFrom(line []byte, long bool) Notes { return Notes{line: line, long: long} }
+// ResumeStreamReader returns a StreamReader that goes on with the line that Unfinished returned.
+func ResumeStreamReader(line []byte, tooLong bool) StreamReader {
+	return StreamReader{line: line, lineTooLong: tooLong}
+}
 
-// Rest returns what has come of the line at hand, and whether it is too long to be a note.
-func (n *Notes) Rest() (line []byte, long bool) { return n.line, n.long }
+// Unfinished returns what has come of the present line, and whether it is too long to be read.
+func (n *StreamReader) Unfinished() (line []byte, tooLong bool) { return n.line, n.lineTooLong }
 
-// HasEvent tells whether a stream's beginning holds a whole event: a line of data, and the empty line that ends it.
+// HasEvent reports whether a stream's beginning has a complete event: a line of data, and the empty line
+// that ends it.
 func HasEvent(p []byte) bool {
 	data := false
 	for line := range bytes.Lines(p) {
 		switch bare := bytes.TrimRight(line, "\r\n"); {
-		case len(bare) == len(line): // cut off
+		case len(bare) == len(line): // incomplete
 			return false
 		case len(bare) == 0 && data:
 			return true
@@ -43,44 +48,46 @@
 	return false
 }
 
-// fields are the ways in which a line of a stream may begin; the first is a comment's.
-var fields = []string{":", "data:", "event:", "id:", "retry:"}
+// lineFields are what a line of a stream may begin with; the first begins a comment.
+var lineFields = []string{":", "data:", "event:", "id:", "retry:"}
 
-// Feed takes in the next bytes of the stream, cut anywhere. It reports whether they are lines of events.
-func (n *Notes) Feed(p []byte) bool {
+// Feed reads the next bytes of the stream, split anywhere. It reports whether they are lines of events.
+func (n *StreamReader) Feed(p []byte) bool {
 	for len(p) > 0 {
-		part, rest, ended := bytes.Cut(p, []byte("\n"))
-		room := longestNote - len(n.line)
-		n.long = n.long || len(part) > room
-		n.line = append(n.line, part[:min(len(part), room)]...)
+		text, rest, ended := bytes.Cut(p, []byte("\n"))
+		free := maxStreamLine - len(n.line)
+		n.lineTooLong = n.lineTooLong || len(text) > free
+		n.line = append(n.line, text[:min(len(text), free)]...)
 		if !isField(n.line, ended) {
 			return false
 		}
 		if !ended {
 			return true
 		}
-		if !n.long {
-			n.read(bytes.TrimSuffix(n.line, []byte("\r")))
+		if !n.lineTooLong {
+			n.readLine(bytes.TrimSuffix(n.line, []byte("\r")))
 		}
-		n.line, n.long = n.line[:0], false
+		n.line, n.lineTooLong = n.line[:0], false
 		p = rest
 	}
 	return true
 }
 
-// isField tells whether a line, or what has come of it, is empty or begins with a field.
-func isField(line []byte, whole bool) bool {
+// isField reports whether a line, or what has come of it, is empty or begins with a field.
+func isField(line []byte, complete bool) bool {
 	if len(line) == 0 || string(line) == "\r" {
 		return true
 	}
-	for _, f := range fields {
-		if bytes.HasPrefix(line, []byte(f)) || !whole && len(line) < len(f) && f[:len(line)] == string(line) {
+	for _, f := range lineFields {
+		if bytes.HasPrefix(line, []byte(f)) || !complete && len(line) < len(f) && f[:len(line)] == string(line) {
 			return true
 		}
 	}
 	return false
 }
-func (n *Notes) read(line []byte) {
+
+// readLine reads a complete line: a load report in a comment, or the usage event.
+func (n *StreamReader) readLine(line []byte) {
 	if comment, ok := bytes.CutPrefix(line, []byte(": "+HeaderLoad+":")); ok {
 		load, err := ParseLoad(comment)
 		if err != nil {
@@ -105,6 +112,6 @@
 		n.Err = fmt.Errorf("usage event: %w", err)
 		return
 	}
-	// A model's own text may hold the words, in an event without usage; it tells nothing and changes nothing.
-	n.Kept = max(n.Kept, usage.Usage.Details.Cached)
+	// A model's own text may contain the field's name, in an event without usage, which changes nothing.
+	n.CachedTokens = max(n.CachedTokens, usage.Usage.Details.Cached)
 }
--- a/internal/protocol/fleet.go
+++ b/internal/protocol/fleet.go
@@ -12,7 +12,7 @@
 	"reachspread/balance"
 )
 
-// The headers of the router fleet's wire.
+// The headers of the router fleet's protocol.
 const (
 	HeaderRequestID        = "Request-Id"
 	HeaderDeadline         = "Request-Deadline"
@@ -30,14 +30,15 @@
 	HeaderVersions         = "Versions"
 	HeaderLastEventID      = "Last-Event-Id"
 
-	// PathReport is where a server tells how it stands.
+	// PathReport is the path of a server's load report.
 	PathReport = "/report"
 )
 
-// Fleet is the dialect of the router fleet: any method and path, answers under a seal that are passed on as they are.
+// Fleet is the dialect of the router fleet: any method and path, answers under a seal that are
+// forwarded as they are.
 type Fleet struct{}
 
-// TimeLeft implements Dialect: whole milliseconds, rounded down.
+// TimeLeft implements Dialect: integral milliseconds, rounded down.
 func (Fleet) TimeLeft(left time.Duration) Field {
 	return Field{HeaderDeadline, strconv.FormatInt(max(left.Milliseconds(), 0), 10)}
 }
@@ -48,36 +49,37 @@
 // Expects implements Dialect.
 func (Fleet) Expects(server string) (Field, bool) { return Field{HeaderExpectedInstance, server}, true }
 
-// Foreign implements Dialect: an answer carries the id of its request.
-func (Fleet) Foreign(id string, get Header) bool {
+// AnswersOther implements Dialect: an answer carries the ID of its request.
+func (Fleet) AnswersOther(id string, get HeaderReader) bool {
 	answered := get(HeaderRequestID)
 	return answered != "" && answered != id
 }
 
-// Judge implements Dialect. Only an answer with Not-Executed, or a 421, says that nothing ran.
-func (Fleet) Judge(status int, get Header) Judgement {
+// Judge implements Dialect. Only an answer with Not-Executed, or a 421, says that the request has not
+// executed, so that any request may be retried.
+func (Fleet) Judge(status int, get HeaderReader) AttemptJudgement {
 	switch {
 	case status == http.StatusMisdirectedRequest:
-		// Another server has the address by now, or its weights have another version.
-		return Judgement{Result: balance.NoConnection}
+		// Another server has the address by now, or the server has another version of the model.
+		return AttemptJudgement{Result: balance.NoConnection}
 	case get(HeaderNotExecuted) != "" && status == http.StatusBadRequest:
-		return Judgement{Result: balance.NotSent, Unfit: true, Final: true}
+		return AttemptJudgement{Result: balance.NotSent, RequestInvalid: true, Forwardable: true}
 	case get(HeaderNotExecuted) != "":
-		return Judgement{Result: balance.Full}
+		return AttemptJudgement{Result: balance.Full}
 	case get(HeaderSeal) == "" || status/100 == 2 && get(HeaderRequestID) == "":
-		return Judgement{Result: balance.Error} // no answer of a host's, or not known to be this request's
+		return AttemptJudgement{Result: balance.Error} // not a server's answer, or not known to be this request's
 	case status/100 == 2:
-		return Judgement{Result: balance.OK, Final: true}
+		return AttemptJudgement{Result: balance.OK, Forwardable: true}
 	case status/100 == 4 && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests:
-		return Judgement{Result: balance.Cancelled, Unfit: true, Final: true}
+		return AttemptJudgement{Result: balance.Cancelled, RequestInvalid: true, Forwardable: true}
 	}
-	// To a client these would promise that the request has not run, which only Not-Executed says.
-	promise := status == http.StatusRequestTimeout || status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
-	return Judgement{Result: balance.Error, Final: !promise}
+	// To a client these statuses would say that the request has not executed, which only Not-Executed says.
+	impliesNotExecuted := status == http.StatusRequestTimeout || status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
+	return AttemptJudgement{Result: balance.Error, Forwardable: !impliesNotExecuted}
 }
 
 // Load implements Dialect.
-func (Fleet) Load(get Header) (*balance.Load, error) {
+func (Fleet) Load(get HeaderReader) (*balance.Load, error) {
 	text := get(HeaderServerLoad)
 	if text == "" {
 		return nil, nil
@@ -85,17 +87,17 @@
 	return ParseServerLoad(text)
 }
 
-// ParseServerLoad reads requests running, requests waiting and slots, separated by commas.
+// ParseServerLoad parses requests running, requests waiting and slots, separated by commas.
 func ParseServerLoad(text string) (*balance.Load, error) {
-	parts := strings.Split(text, ",")
-	if len(parts) != 3 {
+	fields := strings.Split(text, ",")
+	if len(fields) != 3 {
 		return nil, fmt.Errorf("%s: %q is not of the form running,waiting,slots", HeaderServerLoad, text)
 	}
 	var n [3]float64
-	for i, part := range parts {
-		v, err := strconv.ParseUint(strings.TrimSpace(part), 10, 31)
+	for i, field := range fields {
+		v, err := strconv.ParseUint(strings.TrimSpace(field), 10, 31)
 		if err != nil {
-			return nil, fmt.Errorf("%s: %q is not a number of requests", HeaderServerLoad, part)
+			return nil, fmt.Errorf("%s: %q is not a number of requests", HeaderServerLoad, field)
 		}
 		n[i] = float64(v)
 	}
@@ -124,10 +126,10 @@
 	return &balance.Load{InFlight: *report.Running + *report.Waiting, Utilization: -1, PrefillTokens: -1}, nil
 }
 
-// KeepAlive implements Dialect: the timeout in Keep-Alive, in whole seconds.
-func (Fleet) KeepAlive(get Header) time.Duration {
-	for part := range strings.SplitSeq(get("Keep-Alive"), ",") {
-		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
+// KeepAlive implements Dialect: the timeout in Keep-Alive, in seconds.
+func (Fleet) KeepAlive(get HeaderReader) time.Duration {
+	for field := range strings.SplitSeq(get("Keep-Alive"), ",") {
+		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		if !strings.EqualFold(name, "timeout") {
 			continue
 		}
@@ -138,7 +140,7 @@
 	return 0
 }
 
-// ConnectionField tells whether a header concerns one connection only, and is not passed along.
+// ConnectionField reports whether a header concerns one connection only, and is not forwarded.
 func ConnectionField(name string) bool {
 	switch http.CanonicalHeaderKey(name) {
 	case "Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
--- a/internal/protocol/fleet_test.go
+++ b/internal/protocol/fleet_test.go
@@ -11,7 +11,7 @@
 )
 
 // headers reads from a map.
-func headers(m map[string]string) Header { return func(name string) string { return m[name] } }
+func headers(m map[string]string) HeaderReader { return func(name string) string { return m[name] } }
 
 // What the head of a host's answer says: only Not-Executed and 421 say that nothing ran, and only what is sealed is the host's word.
 func TestFleetJudge(t *testing.T) {
@@ -21,26 +21,26 @@
 	for _, c := range []struct {
 		status int
 		head   map[string]string
-		want   Judgement
+		want   AttemptJudgement
 	}{
-		{200, seal, Judgement{Result: balance.OK, Final: true}},
-		{204, seal, Judgement{Result: balance.OK, Final: true}},
-		{200, nil, Judgement{Result: balance.Error}},
-		{200, nameless, Judgement{Result: balance.Error}}, // it may be anybody's
-		{500, nameless, Judgement{Result: balance.Error, Final: true}},
-		{500, seal, Judgement{Result: balance.Error, Final: true}},
-		{504, seal, Judgement{Result: balance.Error, Final: true}},
-		{429, seal, Judgement{Result: balance.Error}}, // it has run, and these would promise that it has not
-		{503, seal, Judgement{Result: balance.Error}},
-		{408, seal, Judgement{Result: balance.Error}},
-		{404, seal, Judgement{Result: balance.Cancelled, Unfit: true, Final: true}},
-		{500, nil, Judgement{Result: balance.Error}},
-		{503, refused, Judgement{Result: balance.Full}},
-		{504, refused, Judgement{Result: balance.Full}},
-		{429, refused, Judgement{Result: balance.Full}},
-		{400, refused, Judgement{Result: balance.NotSent, Unfit: true, Final: true}},
-		{503, nil, Judgement{Result: balance.Error}},
-		{421, nil, Judgement{Result: balance.NoConnection}},
+		{200, seal, AttemptJudgement{Result: balance.OK, Forwardable: true}},
+		{204, seal, AttemptJudgement{Result: balance.OK, Forwardable: true}},
+		{200, nil, AttemptJudgement{Result: balance.Error}},
+		{200, nameless, AttemptJudgement{Result: balance.Error}}, // it may be anybody's
+		{500, nameless, AttemptJudgement{Result: balance.Error, Forwardable: true}},
+		{500, seal, AttemptJudgement{Result: balance.Error, Forwardable: true}},
+		{504, seal, AttemptJudgement{Result: balance.Error, Forwardable: true}},
+		{429, seal, AttemptJudgement{Result: balance.Error}}, // it has run, and these would promise that it has not
+		{503, seal, AttemptJudgement{Result: balance.Error}},
+		{408, seal, AttemptJudgement{Result: balance.Error}},
+		{404, seal, AttemptJudgement{Result: balance.Cancelled, RequestInvalid: true, Forwardable: true}},
+		{500, nil, AttemptJudgement{Result: balance.Error}},
+		{503, refused, AttemptJudgement{Result: balance.Full}},
+		{504, refused, AttemptJudgement{Result: balance.Full}},
+		{429, refused, AttemptJudgement{Result: balance.Full}},
+		{400, refused, AttemptJudgement{Result: balance.NotSent, RequestInvalid: true, Forwardable: true}},
+		{503, nil, AttemptJudgement{Result: balance.Error}},
+		{421, nil, AttemptJudgement{Result: balance.NoConnection}},
 	} {
 		if got := (Fleet{}).Judge(c.status, headers(c.head)); got != c.want {
 			t.Errorf("%d %v: got %+v, want %+v", c.status, c.head, got, c.want)
@@ -49,16 +49,16 @@
 }
 
 // The words of the fleet's wire.
-func TestFleetWords(t *testing.T) {
+func TestFleetHeaders(t *testing.T) {
 	is := is.New(t)
 	f := Fleet{}
 	is.Equal(f.TimeLeft(1500*time.Microsecond), Field{HeaderDeadline, "1"})
 	is.Equal(f.TimeLeft(-time.Second), Field{HeaderDeadline, "0"})
 	expects, ok := f.Expects("i-1")
 	is.True(ok && expects == Field{HeaderExpectedInstance, "i-1"})
-	is.True(f.Foreign("a", headers(map[string]string{HeaderRequestID: "b"})))
-	is.True(!f.Foreign("a", headers(map[string]string{HeaderRequestID: "a"})))
-	is.True(!f.Foreign("a", headers(nil)))
+	is.True(f.AnswersOther("a", headers(map[string]string{HeaderRequestID: "b"})))
+	is.True(!f.AnswersOther("a", headers(map[string]string{HeaderRequestID: "a"})))
+	is.True(!f.AnswersOther("a", headers(nil)))
 	is.Equal(f.KeepAlive(headers(map[string]string{"Keep-Alive": "timeout=5, max=100"})), 5*time.Second)
 	is.Equal(f.KeepAlive(headers(map[string]string{"Keep-Alive": "max=100"})), time.Duration(0))
 	is.Equal(f.KeepAlive(headers(map[string]string{"Keep-Alive": "timeout=soon"})), time.Duration(0))
@@ -90,18 +90,18 @@
 }
 
 // A prompt's parts, its usage and its deadline.
-func TestPrompt(t *testing.T) {
+func TestParsePrompt(t *testing.T) {
 	is := is.New(t)
 	parts, err := ParsePrompt("5c1e:800, 91bd:410,e440:250")
 	is.NoErr(err)
-	is.Equal(parts, []PromptPart{{"5c1e", 800}, {"91bd", 410}, {"e440", 250}})
-	for _, text := range []string{"5c1e", "5c1e:", ":5", "5c1e:-1", "5c1e:1,", strings.Repeat("a:1,", mostParts) + "a:1"} {
+	is.Equal(parts, []PromptSegment{{"5c1e", 800}, {"91bd", 410}, {"e440", 250}})
+	for _, text := range []string{"5c1e", "5c1e:", ":5", "5c1e:-1", "5c1e:1,", strings.Repeat("a:1,", maxPromptSegments) + "a:1"} {
 		if _, err := ParsePrompt(text); err == nil {
 			t.Errorf("%q was read", text)
 		}
 	}
 	usage, ok, err := ParseUsage("1460,80")
-	is.True(ok && err == nil && usage == Usage{1460, 80})
+	is.True(ok && err == nil && usage == TokenUsage{1460, 80})
 	_, ok, err = ParseUsage("")
 	is.True(!ok && err == nil)
 	for _, text := range []string{"1460", "a,1", "1,a"} {
@@ -122,7 +122,7 @@
 func FuzzFleetHeads(f *testing.F) {
 	f.Add("5c1e:800,91bd:410", "1460,80", "1500", "3,0,8", "timeout=5")
 	f.Fuzz(func(t *testing.T, prompt, usage, deadline, load, keep string) {
-		if parts, err := ParsePrompt(prompt); err == nil && len(parts) > mostParts {
+		if parts, err := ParsePrompt(prompt); err == nil && len(parts) > maxPromptSegments {
 			t.Error("too many parts")
 		}
 		ParseUsage(usage)
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -16,7 +16,7 @@
 	reports := []balance.PeerReport{{ReplicaTag: 0xabcdef, PrefillTokens: 1}, {ReplicaTag: 1, PrefillTokens: 4096}, {ReplicaTag: 2, PrefillTokens: 1e9}, {ReplicaTag: 3, LatencyRatio: 1.0 / 8}, {ReplicaTag: 0xffffff, LatencyRatio: 16}, {ReplicaTag: 5, LatencyRatio: 1e6}}
 	withPrefix := []balance.PeerReport{{ReplicaTag: 0xabcdef, PrefillTokens: 64, PrefixTag: 0xfedc}, {ReplicaTag: 1, LatencyRatio: 2}, {ReplicaTag: 2, PrefillTokens: 8, PrefixTag: 1}}
 	var many []balance.PeerReport
-	for i := range MostPeerReports + 2 {
+	for i := range MaxPeerReports + 2 {
 		many = append(many, balance.PeerReport{ReplicaTag: uint32(i), PrefillTokens: 2})
 	}
 	data := golden.Check(t, "peerreports", []golden.Record{
@@ -30,7 +30,7 @@
 		name string
 		zone uint8
 		want []balance.PeerReport
-	}{{"tokens-and-slowness", 0x7b, reports}, {"prefixes", 0xff, withPrefix}, {"more-than-fit", 0, many[:MostPeerReports]}, {"none", 1, nil}} {
+	}{{"tokens-and-slowness", 0x7b, reports}, {"prefixes", 0xff, withPrefix}, {"more-than-fit", 0, many[:MaxPeerReports]}, {"none", 1, nil}} {
 		zone, got, err := ParsePeerReports(data[c.name])
 		if err != nil || zone != c.zone || !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%s is read as zone %d, %+v, not %d, %+v (%v)", c.name, zone, got, c.zone, c.want, err)
--- a/internal/protocol/load.go
+++ b/internal/protocol/load.go
@@ -7,9 +7,9 @@
 	"reachspread/balance"
 )
 
-// ParseLoad reads a load report. Its fields go by the names that the settings give them, or by the short names of
-// the platform's pages: read by the short ones alone, every report of a site that keeps to its settings is
-// silently empty. Fields that it does not know are left alone, and those missing are negative.
+// ParseLoad parses a load report. Its fields have the names that the settings give them, or the short names
+// of the platform's pages: by the short ones alone, every report of a site that keeps to its settings would
+// silently be empty. Unknown fields are ignored, and missing ones are negative.
 func ParseLoad(text []byte) (*balance.Load, error) {
 	var report map[string]any
 	if err := json.Unmarshal(text, &report); err != nil {
--- a/internal/protocol/peerreport_test.go
+++ b/internal/protocol/peerreport_test.go
@@ -10,11 +10,11 @@
 )
 
 // What is told comes back within half a step of the scale, and any other length than the right one is refused whole.
-func TestNewsThereAndBack(t *testing.T) {
+func TestPeerReportsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zone := rapid.Byte().Draw(t, "zone")
 		var told []balance.PeerReport
-		for range rapid.IntRange(0, MostPeerReports).Draw(t, "words") {
+		for range rapid.IntRange(0, MaxPeerReports).Draw(t, "words") {
 			n := balance.PeerReport{ReplicaTag: rapid.Uint32Max(1<<24-1).Draw(t, "tag"), PrefixTag: rapid.SampledFrom([]uint16{0, 0, 1, 0x1234, 0xffff}).Draw(t, "prefix")}
 			if rapid.Bool().Draw(t, "slow") {
 				n.LatencyRatio = rapid.Float64Range(0.2, 20).Draw(t, "slowness")
--- a/internal/protocol/prompt.go
+++ b/internal/protocol/prompt.go
@@ -7,40 +7,41 @@
 	"time"
 )
 
-// mostParts bounds the parts of a prompt that are looked at.
-const mostParts = 64
+// maxPromptSegments bounds the segments of a prompt.
+const maxPromptSegments = 64
 
-// PromptPart is a part of a prompt that may be shared with others.
-type PromptPart struct {
+// PromptSegment is a segment of a prompt that may be shared with other prompts.
+type PromptSegment struct {
 	ID     string
 	Tokens float64
 }
 
-// ParsePrompt reads the parts of a prompt in their order, as Prompt-Prefix lists them. An empty text is a prompt without parts.
-func ParsePrompt(text string) ([]PromptPart, error) {
+// ParsePrompt parses the segments of a prompt in their order, as Prompt-Prefix lists them. An empty text is
+// a prompt without segments.
+func ParsePrompt(text string) ([]PromptSegment, error) {
 	if text == "" {
 		return nil, nil
 	}
-	var parts []PromptPart
+	var segments []PromptSegment
 	for one := range strings.SplitSeq(text, ",") {
-		if len(parts) == mostParts {
-			return nil, fmt.Errorf("%s: more than %d parts", HeaderPromptPrefix, mostParts)
+		if len(segments) == maxPromptSegments {
+			return nil, fmt.Errorf("%s: more than %d parts", HeaderPromptPrefix, maxPromptSegments)
 		}
 		id, length, ok := strings.Cut(strings.TrimSpace(one), ":")
 		tokens, err := strconv.ParseUint(length, 10, 31)
 		if !ok || id == "" || err != nil {
 			return nil, fmt.Errorf("%s: %q is not of the form id:tokens", HeaderPromptPrefix, one)
 		}
-		parts = append(parts, PromptPart{id, float64(tokens)})
+		segments = append(segments, PromptSegment{id, float64(tokens)})
 	}
-	return parts, nil
+	return segments, nil
 }
 
-// Usage is how many tokens a request brings, and how many it may generate.
-type Usage struct{ Prompt, Answer float64 }
+// TokenUsage is how many tokens a request has, and how many its answer may have.
+type TokenUsage struct{ PromptTokens, AnswerTokens float64 }
 
-// ParseUsage reads Token-Usage. An empty text is no usage.
-func ParseUsage(text string) (u Usage, ok bool, err error) {
+// ParseUsage parses Token-Usage. An empty text is no usage.
+func ParseUsage(text string) (u TokenUsage, ok bool, err error) {
 	if text == "" {
 		return u, false, nil
 	}
@@ -53,10 +54,10 @@
 	if err != nil {
 		return u, false, fmt.Errorf("%s: %q is not of the form prompt,answer", HeaderTokenUsage, text)
 	}
-	return Usage{float64(prompt), float64(answer)}, true, nil
+	return TokenUsage{float64(prompt), float64(answer)}, true, nil
 }
 
-// ParseDeadline reads a Request-Deadline in milliseconds. An empty text is none.
+// ParseDeadline parses a Request-Deadline in milliseconds. An empty text is none.
 func ParseDeadline(text string) (left time.Duration, ok bool, err error) {
 	if text == "" {
 		return 0, false, nil
@@ -68,7 +69,7 @@
 	return time.Duration(ms * float64(time.Millisecond)), true, nil
 }
 
-// BearerKey reads the key in an Authorization header, empty for none.
+// BearerKey returns the key in an Authorization header, empty for none.
 func BearerKey(text string) string {
 	scheme, key, ok := strings.Cut(text, " ")
 	if !ok || !strings.EqualFold(scheme, "Bearer") {
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -83,25 +83,25 @@
 	}
 }
 
-func TestNotesOfAStreamCutAnywhere(t *testing.T) {
+func TestStreamReaderSplitAnywhere(t *testing.T) {
 	stream := "data: {\"choices\":[{\"delta\":{\"content\":\"\\\"cached_tokens\\\" \"}}]}\n\n" +
 		"data: {\"choices\":[],\"usage\":{\"prompt_tokens\":5120,\"prompt_tokens_details\":{\"cached_tokens\":4096}}}\r\n\r\n" +
-		"data: " + strings.Repeat("x", 2*longestNote) + "\n\n" +
+		"data: " + strings.Repeat("x", 2*maxStreamLine) + "\n\n" +
 		"data: [DONE]\n\n: X-Backend-Load: {\"cpu_share\":0.5}\n\n"
-	want := Notes{Kept: 4096, Load: &balance.Load{InFlight: -1, Utilization: 0.5, PrefillTokens: -1}}
+	want := StreamReader{CachedTokens: 4096, Load: &balance.Load{InFlight: -1, Utilization: 0.5, PrefillTokens: -1}}
 	for _, size := range []int{1, 7, 1000, len(stream)} {
-		var got Notes
+		var got StreamReader
 		for rest := stream; rest != ""; {
 			n := min(size, len(rest))
 			got.Feed([]byte(rest[:n]))
 			rest = rest[n:]
 		}
 		got.line = nil
-		if diff := cmp.Diff(want, got, cmp.AllowUnexported(Notes{})); diff != "" {
+		if diff := cmp.Diff(want, got, cmp.AllowUnexported(StreamReader{})); diff != "" {
 			t.Errorf("pieces of %d: %s", size, diff)
 		}
 	}
-	var odd Notes
+	var odd StreamReader
 	odd.Feed([]byte(": X-Backend-Load: {\n"))
 	if odd.Err == nil || odd.Load != nil {
 		t.Errorf("a malformed report: got %+v, want an error and no load", odd)
--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -1,5 +1,6 @@
-// Package protocol reads and writes the platform's words: headers, durations, facts of a prompt, load reports,
-// discovery lists and event streams. Its functions are pure and open no connection.
+// Package protocol parses and writes what clients, routers, servers and discovery send each other: headers,
+// durations, prompts, load reports, discovery lists, event streams and peer reports. Its functions are
+// pure.
 package protocol
 
 import (
@@ -15,15 +16,16 @@
 // The headers and paths of the platform.
 const (
 	HeaderID = "X-Correlation-Id"
-	// HeaderDuty is ours, of copies alone: the duty under which one is sent, and its token. A 409 has the highest token that was seen.
-	HeaderDuty        = "X-Duty"
-	HeaderClass       = "X-Service-Class"
-	HeaderSession     = "X-Session-Key"
-	HeaderTimeLeft    = "X-Time-Left"
-	HeaderFacts       = "X-Facts"
-	HeaderHint        = "X-Weight-Hint"
-	HeaderLoad        = "X-Backend-Load"
-	HeaderUnprocessed = "X-Unprocessed"
+	// HeaderFencingToken is on mirrored requests alone: the role under which one is sent, and its fencing
+	// token. A 409 has the highest token that was seen.
+	HeaderFencingToken = "X-Duty"
+	HeaderClass        = "X-Service-Class"
+	HeaderSession      = "X-Session-Key"
+	HeaderTimeLeft     = "X-Time-Left"
+	HeaderFacts        = "X-Facts"
+	HeaderHint         = "X-Weight-Hint"
+	HeaderLoad         = "X-Backend-Load"
+	HeaderUnprocessed  = "X-Unprocessed"
 
 	PathCompletions = "/v1/chat/completions"
 	PathReady       = "/-/ready"
@@ -33,8 +35,8 @@
 // charsPerToken is the platform's length of a token, for a prompt that comes without facts.
 const charsPerToken = 4
 
-// ParseArrival reads what the decisions need of a request from its headers; get returns a header's value or "".
-// The error is one plain line for the client.
+// ParseArrival parses what the decisions need of a request from its headers; get returns a header's value
+// or "". The error is one line for the client.
 func ParseArrival(get func(name string) string, bodyLen int) (balance.Arrival, error) {
 	a := balance.Arrival{ID: get(HeaderID), Class: get(HeaderClass), Session: get(HeaderSession)}
 	switch {
@@ -63,9 +65,9 @@
 	return a, nil
 }
 
-// CheckFraming refuses a head whose lines, as they came, leave room for two opinions on where its body ends: what one
-// reader takes for a body may be a second request to the next. What a reader of HTTP refuses by itself (repeated or
-// signed lengths, other codings) is not looked for.
+// CheckFraming rejects a head that is ambiguous on where its body ends: what one reader takes for a body
+// may be a second request to the next (request smuggling). What the HTTP server rejects by itself, such as
+// repeated or signed lengths and other codings, is not checked.
 func CheckFraming(head []byte) error {
 	lengths, codings := false, false
 	for line := range bytes.Lines(head) {
@@ -82,7 +84,7 @@
 	return nil
 }
 
-// parseFacts reads name=value pairs; names that it does not know are left alone.
+// parseFacts parses name=value pairs; unknown names are ignored.
 func parseFacts(facts string, a *balance.Arrival) error {
 	for _, pair := range strings.Split(facts, ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(pair), "=")
@@ -113,7 +115,7 @@
 	return nil
 }
 
-// ParseDuration reads a number with its unit, m for milliseconds or u for microseconds.
+// ParseDuration parses a number with its unit, m for milliseconds or u for microseconds.
 func ParseDuration(s string) (time.Duration, error) {
 	unit := time.Millisecond
 	digits, ok := strings.CutSuffix(s, "m")
@@ -128,12 +130,12 @@
 	return time.Duration(n * float64(unit)), nil
 }
 
-// FormatDuration writes a time left in whole microseconds.
+// FormatDuration formats a time left in microseconds.
 func FormatDuration(d time.Duration) string {
 	return strconv.FormatInt(max(d.Microseconds(), 0), 10) + "u"
 }
 
-// FormatRetryAfter writes a time to stay away in decimal seconds.
+// FormatRetryAfter formats a time in decimal seconds.
 func FormatRetryAfter(d time.Duration) string {
 	return strconv.FormatFloat(d.Seconds(), 'f', 3, 64)
 }
--- a/internal/protocol/glance.go
+++ b/internal/protocol/requesthead.go
@@ -7,21 +7,22 @@
 	"time"
 )
 
-// Glance is what can be told of a request by its head alone, before anybody takes it up.
-type Glance struct {
-	Named  string // the value of the header looked for; empty if it is not there
-	Length int    // bytes of head and body; -1 where the head does not say it plainly
+// RequestHead is what admission needs of the head of a request, before an HTTP server reads it.
+type RequestHead struct {
+	HeaderValue string // of the header that was asked for; empty if it is not there
+	Length      int    // bytes of head and body; -1 if the head does not say it plainly
 }
 
 var (
-	askFor  = []byte("POST " + PathCompletions + " HTTP/1.1\r\n")
-	headEnd = []byte("\r\n\r\n")
+	completionsRequestLine = []byte("POST " + PathCompletions + " HTTP/1.1\r\n")
+	headEnd                = []byte("\r\n\r\n")
 )
 
-// Look reads the head at the start of what a client has sent. It is ok only for a whole and plain one that asks for a
-// completion; all else is for a full reader of HTTP to judge. The header's name may be empty for none.
-func Look(sent []byte, header string) (g Glance, ok bool) {
-	rest, ok := bytes.CutPrefix(sent, askFor)
+// ParseRequestHead parses the head at the start of what a client has sent. It is ok only for a complete and
+// plain one that asks for a completion; all else is left to the HTTP server. The header's name may be
+// empty for none.
+func ParseRequestHead(sent []byte, header string) (g RequestHead, ok bool) {
+	rest, ok := bytes.CutPrefix(sent, completionsRequestLine)
 	if !ok {
 		return g, false
 	}
@@ -29,7 +30,7 @@
 	if end < 0 {
 		return g, false
 	}
-	head := len(askFor) + end + len(headEnd)
+	head := len(completionsRequestLine) + end + len(headEnd)
 	named, lengths, body := 0, 0, 0
 	for rest = rest[:end+2]; len(rest) > 0; {
 		line, more, _ := bytes.Cut(rest, headEnd[:2])
@@ -41,7 +42,7 @@
 		value = bytes.Trim(value, " \t")
 		switch {
 		case header != "" && equalFold(name, header):
-			g.Named = string(value)
+			g.HeaderValue = string(value)
 			named++
 		case equalFold(name, "Content-Length"):
 			n, err := strconv.ParseUint(string(value), 10, 31)
@@ -64,7 +65,7 @@
 	return g, true
 }
 
-// equalFold compares names of headers without regard to case, for ASCII alone.
+// equalFold reports whether two names of headers are equal, without regard to case, for ASCII alone.
 func equalFold(b []byte, s string) bool {
 	if len(b) != len(s) {
 		return false
@@ -77,6 +78,7 @@
 	return true
 }
 
+// lower returns the lower case of an ASCII letter.
 func lower(c byte) byte {
 	if 'A' <= c && c <= 'Z' {
 		return c + 'a' - 'A'
@@ -84,8 +86,9 @@
 	return c
 }
 
-// AppendRefusal writes an answer that ends its connection, with one line of text. A wait of 0 is not told.
-func AppendRefusal(to []byte, code int, wait time.Duration, line string) []byte {
+// AppendRejection appends an answer that ends its connection, with one line of text. A wait of 0 is left
+// out.
+func AppendRejection(to []byte, code int, wait time.Duration, line string) []byte {
 	to = append(to, "HTTP/1.1 "...)
 	to = strconv.AppendInt(to, int64(code), 10)
 	to = append(append(append(to, ' '), http.StatusText(code)...), "\r\n"...)
--- a/internal/protocol/glance_test.go
+++ b/internal/protocol/requesthead_test.go
@@ -10,17 +10,17 @@
 	"time"
 )
 
-func TestLook(t *testing.T) {
+func TestParseRequestHead(t *testing.T) {
 	const first = "POST /v1/chat/completions HTTP/1.1\r\n"
 	for sent, want := range map[string]struct {
-		g  Glance
+		g  RequestHead
 		ok bool
 	}{
-		first + "X-Client: tool-1\r\nContent-Length: 5\r\n\r\nhe": {Glance{"tool-1", len(first) + 18 + 19 + 2 + 5}, true},
-		first + "x-cLIENT:\t tool 1 \r\n\r\n":                     {Glance{"tool 1", -1}, true},
-		first + "Host: r\r\nTransfer-Encoding: chunked\r\n\r\n":   {Glance{"", -1}, true},
+		first + "X-Client: tool-1\r\nContent-Length: 5\r\n\r\nhe": {RequestHead{"tool-1", len(first) + 18 + 19 + 2 + 5}, true},
+		first + "x-cLIENT:\t tool 1 \r\n\r\n":                     {RequestHead{"tool 1", -1}, true},
+		first + "Host: r\r\nTransfer-Encoding: chunked\r\n\r\n":   {RequestHead{"", -1}, true},
 		first + "X-Client: a\r\nX-Client: a\r\n\r\n":              {}, // two opinions
-		first + "Content-Length: 1\r\nContent-Length: 1\r\n\r\n":  {Glance{"", -1}, true},
+		first + "Content-Length: 1\r\nContent-Length: 1\r\n\r\n":  {RequestHead{"", -1}, true},
 		first + "Content-Length: -1\r\n\r\n":                      {},
 		first + "Content-Length: +1\r\n\r\n":                      {},
 		first + "X-Client: a\r\n b\r\n\r\n":                       {}, // folded
@@ -32,7 +32,7 @@
 		"POST /v1/chat/completions HTTP/1.0\r\n\r\n": {},
 		"": {},
 	} {
-		g, ok := Look([]byte(sent), "X-Client")
+		g, ok := ParseRequestHead([]byte(sent), "X-Client")
 		if ok != want.ok || ok && g != want.g {
 			t.Errorf("%q: %+v, %v; want %+v, %v", sent, g, ok, want.g, want.ok)
 		}
@@ -44,7 +44,7 @@
 	f.Add([]byte("POST /v1/chat/completions HTTP/1.1\r\nHost: r\r\nX-Client: tool-1\r\nContent-Length: 2\r\n\r\nhi"))
 	f.Add([]byte("POST /v1/chat/completions HTTP/1.1\r\nHost: r\r\nx-client:\tx\r\nTransfer-Encoding: chunked\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, sent []byte) {
-		g, ok := Look(sent, "X-Client")
+		g, ok := ParseRequestHead(sent, "X-Client")
 		if !ok {
 			return
 		}
@@ -52,8 +52,8 @@
 		if err != nil {
 			return // refused by both, or by the one that reads it whole
 		}
-		if got := r.Header.Get("X-Client"); got != g.Named || r.Method != "POST" || r.URL.Path != PathCompletions {
-			t.Errorf("%q: named %q, not %q", sent, g.Named, got)
+		if got := r.Header.Get("X-Client"); got != g.HeaderValue || r.Method != "POST" || r.URL.Path != PathCompletions {
+			t.Errorf("%q: named %q, not %q", sent, g.HeaderValue, got)
 		}
 		if g.Length > 0 && r.ContentLength >= 0 && g.Length != bytes.Index(sent, headEnd)+4+int(r.ContentLength) {
 			t.Errorf("%q: %d bytes, with a body of %d", sent, g.Length, r.ContentLength)
@@ -61,8 +61,8 @@
 	})
 }
 
-func TestRefusalIsAnAnswer(t *testing.T) {
-	text := AppendRefusal(nil, 429, 1500*time.Millisecond, "too many")
+func TestRejectionIsAnHTTPAnswer(t *testing.T) {
+	text := AppendRejection(nil, 429, 1500*time.Millisecond, "too many")
 	resp, err := http.ReadResponse(bufio.NewReader(bytes.NewReader(text)), nil)
 	if err != nil {
 		t.Fatal(err)
@@ -71,7 +71,7 @@
 	if err != nil || string(body) != "too many\n" || resp.StatusCode != 429 || !resp.Close || resp.Header.Get("Retry-After") != "1.500" {
 		t.Errorf("%q: %v, %+v", body, err, resp)
 	}
-	if text := AppendRefusal(nil, 503, 0, "x"); strings.Contains(string(text), "Retry-After") {
+	if text := AppendRejection(nil, 503, 0, "x"); strings.Contains(string(text), "Retry-After") {
 		t.Errorf("%q", text)
 	}
 }
--- a/internal/retrybudget/retrybudget.go
+++ b/internal/retrybudget/retrybudget.go
@@ -1,4 +1,4 @@
-// Package retrybudget bounds how often requests are repeated by how many there are: a retry budget. It is pure.
+// Package retrybudget bounds retries by the number of requests. It is pure.
 package retrybudget
 
 import (
@@ -6,41 +6,42 @@
 	"sync"
 )
 
-// Bucket holds repeats that may be made. Each first try adds a part of one, up to a bound; each repeat takes one. So in any span of time
-// there are at most as many repeats as the first tries in it added, and the bound. A new one is empty, so that a process that is started
-// again and again gains nothing. A nil one allows all.
+// Budget is a token bucket of retries. Each request adds a fraction of a token, up to a limit; each retry
+// takes one. So in any span of time there are at most as many retries as its requests added, and the limit.
+// A new one is empty, so that a process that restarts again and again gains nothing. A nil one allows all
+// retries.
 //
 // It is safe for concurrent use.
-type Bucket struct {
+type Budget struct {
 	mu     sync.Mutex
 	ratio  float64
-	most   float64
+	limit  float64
 	tokens float64
 }
 
-// New returns an empty bucket that gets so many repeats for each first try, and holds so many at most.
-func New(ratio, most float64) *Bucket { return &Bucket{ratio: ratio, most: max(most, 0)} }
+// New returns an empty budget that gets ratio tokens for each request, and holds limit tokens at most.
+func New(ratio, limit float64) *Budget { return &Budget{ratio: ratio, limit: max(limit, 0)} }
 
-// Set changes what each first try adds and what the bucket holds at most, from now on.
-func (b *Bucket) Set(ratio, most float64) {
+// Set changes what each request adds and what the budget holds at most.
+func (b *Budget) Set(ratio, limit float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.ratio, b.most = ratio, max(most, 0)
-	b.tokens = min(b.tokens, b.most)
+	b.ratio, b.limit = ratio, max(limit, 0)
+	b.tokens = min(b.tokens, b.limit)
 }
 
-// First counts a first try; one that is made again adds nothing.
-func (b *Bucket) First(again bool) {
-	if b == nil || again {
+// RecordRequest counts a request. One that resumes another by a retry adds nothing.
+func (b *Budget) RecordRequest(isRetry bool) {
+	if b == nil || isRetry {
 		return
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tokens = min(b.tokens+b.ratio, b.most)
+	b.tokens = min(b.tokens+b.ratio, b.limit)
 }
 
-// Take takes a repeat, if there is one.
-func (b *Bucket) Take() bool {
+// Take takes a token for a retry, and reports whether there was one.
+func (b *Budget) Take() bool {
 	if b == nil {
 		return true
 	}
@@ -53,8 +54,8 @@
 	return true
 }
 
-// Left is how many repeats may be made now.
-func (b *Bucket) Left() float64 {
+// Left returns how many retries may be made now.
+func (b *Budget) Left() float64 {
 	if b == nil {
 		return math.Inf(1)
 	}
--- a/internal/retrybudget/retrybudget_test.go
+++ b/internal/retrybudget/retrybudget_test.go
@@ -8,7 +8,7 @@
 )
 
 // In no span of events are there more repeats than the first tries in it and the bound allow, whatever the order and whatever restarts.
-func TestAnySpan(t *testing.T) {
+func TestRetriesAreBoundedInAnySpan(t *testing.T) {
 	is := is.New(t)
 	const ratio, most, events = 0.2, 3.0, 400
 	for seed := range uint64(100) {
@@ -25,7 +25,7 @@
 					sum++
 				}
 			default:
-				b.First(false)
+				b.RecordRequest(false)
 				sum -= ratio
 			}
 			balance = append(balance, sum)
@@ -39,27 +39,27 @@
 }
 
 // Without a budget every repeat is allowed; an empty one allows none.
-func TestNone(t *testing.T) {
+func TestNilAndEmptyBudget(t *testing.T) {
 	is := is.New(t)
-	var none *Bucket
-	none.First(false)
+	var none *Budget
+	none.RecordRequest(false)
 	is.True(none.Take())
 	is.True(!New(0.2, 5).Take())
 }
 
 // What is set later counts from then on: a bucket that may hold less loses what is beyond, and one that gets nothing for first tries stays empty.
-func TestSet(t *testing.T) {
+func TestSetLowersTheBudget(t *testing.T) {
 	is := is.New(t)
 	b := New(1, 5)
 	for range 5 {
-		b.First(false)
+		b.RecordRequest(false)
 	}
 	b.Set(0, 1)
 	is.True(b.Take())
 	is.True(!b.Take())
-	b.First(false)
+	b.RecordRequest(false)
 	is.True(!b.Take())
 	b.Set(1, 1)
-	b.First(false)
+	b.RecordRequest(false)
 	is.True(b.Take())
 }
--- a/internal/router/mirror/answer.go
+++ b/internal/router/mirror/answer.go
@@ -64,8 +64,8 @@
 // answer reads what was captured; key is that of the digest.
 func (c *capture) answer(key []byte) shadow.Answer {
 	read := protocol.ReadAnswer(c.prefix)
-	a := shadow.Answer{Text: read.Text, Truncated: c.restDigest != nil, Bytes: c.size, Finish: read.Finish, Tokens: read.Tokens,
-		CachedTokens: read.Kept, FirstByte: -1, TokenInterval: -1, Total: -1, Queued: -1, Host: c.source.Server, Attempts: c.source.FailedAttempts}
+	a := shadow.Answer{Text: read.Text, Truncated: c.restDigest != nil, Bytes: c.size, Finish: read.FinishReason, Tokens: read.CompletionTokens,
+		CachedTokens: read.CachedTokens, FirstByte: -1, TokenInterval: -1, Total: -1, Queued: -1, Host: c.source.Server, Attempts: c.source.FailedAttempts}
 	if c.size > 0 {
 		a.FirstByte = c.firstAt.Sub(c.since)
 		a.Attempts++
--- a/internal/router/mirror/pool.go
+++ b/internal/router/mirror/pool.go
@@ -60,7 +60,7 @@
 	closing       bool
 	underPressure bool // the decider is not calm
 	times         *latencies
-	hosts         map[string]protocol.ServiceEntry // of the settings, as told last
+	hosts         map[string]protocol.ListedServer // of the settings, as told last
 	version       int64
 }
 
@@ -96,7 +96,7 @@
 func newPool(m *Mirror, set settings.Pool) (*pool, error) {
 	p := &pool{name: set.Choice.Pool, role: set.Role(), mirror: m, settings: set, inForce: set, start: time.Now(), log: withPool(m.options.Log, set.Choice.Pool),
 		wake: make(chan struct{}, 1), done: make(chan struct{}), copies: map[uint64]*shadowCopy{}, times: newTimes(),
-		decider: shadow.New(set.Decider, m.options.Seed), hosts: map[string]protocol.ServiceEntry{}}
+		decider: shadow.New(set.Decider, m.options.Seed), hosts: map[string]protocol.ListedServer{}}
 	b, err := balance.New(copyConfig(m.options.Balance, set.FirstEventTimeout), m.options.Seed)
 	if err != nil {
 		return nil, err
@@ -368,9 +368,9 @@
 	}
 	p.version++
 	l := protocol.List{Version: p.version, Full: true}
-	hosts := map[string]protocol.ServiceEntry{}
+	hosts := map[string]protocol.ListedServer{}
 	for _, h := range set.Hosts {
-		e := protocol.ServiceEntry{ID: h.ID, Addr: h.Addr, Zone: h.Zone, Kind: h.Kind, State: "Ready",
+		e := protocol.ListedServer{ID: h.ID, Addr: h.Addr, Zone: h.Zone, Kind: h.Kind, State: "Ready",
 			StartedMs: float64(time.Now().UnixMilli())}
 		if old, ok := p.hosts[h.ID]; ok && old.Addr == h.Addr {
 			e.StartedMs = old.StartedMs
--- a/internal/router/program/config.go
+++ b/internal/router/program/config.go
@@ -107,7 +107,7 @@
 	case c.clients() < minClientConnections:
 		return fmt.Errorf("limits.sockets is %d; it must be %d or more", l.Sockets, l.Sockets+2*(minClientConnections-c.clients()))
 	}
-	if err := c.Known.Check(); err != nil {
+	if err := c.Known.Validate(); err != nil {
 		return fmt.Errorf("known.%w", err)
 	}
 	if c.Settings.Limits.ConnectTimeoutNs <= 0 {
--- a/internal/router/program/previous.go
+++ b/internal/router/program/previous.go
@@ -66,7 +66,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now, sum, n := time.Duration(time.Now().UnixNano()), 0.0, 0
-	add := func(e *protocol.ServiceEntry) {
+	add := func(e *protocol.ListedServer) {
 		if e.State == "Ready" {
 			sum += recovery.Warmth(c, time.Duration(e.StartedMs*float64(time.Millisecond)), now)
 			n++
--- a/internal/router/program/program.go
+++ b/internal/router/program/program.go
@@ -217,7 +217,7 @@
 	pace, since := transport.Pushed, int64(transport.FullList)
 	if p.cfg.balance.MustSubscribe {
 		o := p.cfg.Settings
-		pace = transport.Asked(o.NInstances, time.Duration(o.Rules.MustAskInNs))
+		pace = transport.Asked(o.Routers, time.Duration(o.Rules.SubscribeWithinNs))
 		if len(p.cfg.Known.Servers) > 0 {
 			since = p.cfg.Known.Version
 		}
--- a/internal/router/program/reload.go
+++ b/internal/router/program/reload.go
@@ -33,9 +33,9 @@
 	if limits.MaxAttempts <= 0 {
 		return nil, fmt.Errorf("settings.limits.maxAttempts is %d; it must be more than 0", limits.MaxAttempts)
 	}
-	for i, s := range c.Settings.Services {
-		if s.HardLimitNs <= 0 {
-			return nil, fmt.Errorf("settings.services[%d].hardLimitNs is %d; it must be more than 0", i, s.HardLimitNs)
+	for i, s := range c.Settings.Classes {
+		if s.DeadlineNs <= 0 {
+			return nil, fmt.Errorf("settings.services[%d].hardLimitNs is %d; it must be more than 0", i, s.DeadlineNs)
 		}
 	}
 	return c, nil
--- a/internal/router/program/snapshot.go
+++ b/internal/router/program/snapshot.go
@@ -34,7 +34,7 @@
 type snapshotWriter struct {
 	applying    sync.Mutex // locked while hosts are handed to the core: the previous list must not come after discovery's. Locked before mu
 	mu          sync.Mutex
-	list        map[string]protocol.ServiceEntry // as merged so far; nil until discovery has sent one
+	list        map[string]protocol.ListedServer // as merged so far; nil until discovery has sent one
 	listVersion int64
 	changes     uint64 // of the list
 	enabled     bool   // snapshots are configured
@@ -84,7 +84,7 @@
 		return
 	}
 	if k.list == nil {
-		k.list = map[string]protocol.ServiceEntry{}
+		k.list = map[string]protocol.ListedServer{}
 	}
 	if l.Full {
 		clear(k.list)
@@ -277,7 +277,7 @@
 		for _, e := range k.list {
 			s.List.Servers = append(s.List.Servers, e)
 		}
-		slices.SortFunc(s.List.Servers, func(a, b protocol.ServiceEntry) int { return strings.Compare(a.ID, b.ID) })
+		slices.SortFunc(s.List.Servers, func(a, b protocol.ListedServer) int { return strings.Compare(a.ID, b.ID) })
 	case k.previous != nil:
 		s.List, s.ListSource = k.previous.List, k.previous.ListSource
 	default:
--- a/internal/router/program/stored_test.go
+++ b/internal/router/program/stored_test.go
@@ -27,7 +27,7 @@
 func goldenSnapshot(generation int) *snapshot.State {
 	return &snapshot.State{
 		Router: "n1", Zone: "east", Boot: 7, SavedAt: time.Unix(1_800_000_000, 0).UTC(),
-		List: &protocol.List{Version: 12, Full: true, Servers: []protocol.ServiceEntry{
+		List: &protocol.List{Version: 12, Full: true, Servers: []protocol.ListedServer{
 			{ID: "host-1", Addr: "127.0.0.1:9", Zone: "a", Kind: "gpu-a", Cell: 3, State: "Ready", StartedMs: 1.8e12},
 			{ID: fmt.Sprint("host-", generation), Addr: "127.0.0.1:10", Zone: "b", Kind: "gpu-b", Cell: 4, State: "Terminating", StartedMs: 1.7e12},
 		}},
--- a/internal/router/recovery/recovery_test.go
+++ b/internal/router/recovery/recovery_test.go
@@ -180,7 +180,7 @@
 // withHosts gives a snapshot the hosts h0 to hn-1, of which the last one drained.
 func withHosts(b *snapshot.State, n int) *snapshot.State {
 	for i := range n {
-		e := protocol.ServiceEntry{ID: fmt.Sprint("h", i), State: "Ready", Addr: "a"}
+		e := protocol.ListedServer{ID: fmt.Sprint("h", i), State: "Ready", Addr: "a"}
 		if i == n-1 {
 			e.State = "Terminating"
 		}
--- a/internal/router/snapshot/snapshot.go
+++ b/internal/router/snapshot/snapshot.go
@@ -124,7 +124,7 @@
 		return nil, 0, &CorruptError{headerSize, "the content: " + err.Error()}
 	}
 	if s.List != nil {
-		if err := s.List.Check(); err != nil {
+		if err := s.List.Validate(); err != nil {
 			return nil, 0, &CorruptError{headerSize, "the content: " + err.Error()}
 		}
 	}
--- a/internal/router/snapshot/snapshot_test.go
+++ b/internal/router/snapshot/snapshot_test.go
@@ -18,7 +18,7 @@
 		List: &protocol.List{Version: 12, Full: true}, Routers: []Router{{"r1", "10.0.0.1:7946", 5}, {"r2", "10.0.0.2:7946", 6}}, OpenRequests: []OpenRequest{{"x-1", "field-fill"}}}
 	for i := range hosts {
 		id := fmt.Sprint("host-", i)
-		s.List.Servers = append(s.List.Servers, protocol.ServiceEntry{ID: id, Addr: "10.1.0.1:9000", Zone: "east", State: "Ready", StartedMs: 1.8e12})
+		s.List.Servers = append(s.List.Servers, protocol.ListedServer{ID: id, Addr: "10.1.0.1:9000", Zone: "east", State: "Ready", StartedMs: 1.8e12})
 	}
 	return s
 }
--- a/internal/router/snapshot/stored_test.go
+++ b/internal/router/snapshot/stored_test.go
@@ -20,7 +20,7 @@
 func goldenState(generation uint32) *State {
 	return &State{
 		Router: "r1", Zone: "east", Boot: 7 + generation, SavedAt: time.Unix(1_800_000_000, 0).UTC(),
-		List: &protocol.List{Version: 12, Full: true, Servers: []protocol.ServiceEntry{
+		List: &protocol.List{Version: 12, Full: true, Servers: []protocol.ListedServer{
 			{ID: "host-1", Addr: "10.1.0.1:9000", Zone: "east", Kind: "gpu-a", Cell: 3, State: "Ready", StartedMs: 1.8e12},
 			{ID: "host-2", Addr: "10.1.0.2:9000", Zone: "west", Kind: "gpu-b", Cell: 4, State: "Terminating", StartedMs: 1.7e12},
 		}},
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -46,7 +46,7 @@
 	Load           *balance.Load  // as the server reported it, nil for no report
 	Body           Body           // nil if no answer has begun
 	RequestInvalid bool           // the server finds the request itself at fault, as any other would
-	ClientGone     bool           // nothing was sent, as the client has gone
+	ClientLeft     bool           // nothing was sent, as the client has gone
 	ServerAnswer   any            // the server's own answer, for the client if no retry does better; nil for none
 }
 
--- a/internal/routing/send.go
+++ b/internal/routing/send.go
@@ -72,7 +72,7 @@
 	if result.RequestInvalid {
 		request.answer(Answer{Verdict: Invalid, ServerAnswer: request.serverAnswer.Load()})
 	}
-	if result.ClientGone {
+	if result.ClientLeft {
 		r.Abandon(request)
 	}
 	r.recordOutcome(a, result)
--- a/internal/routing/stream.go
+++ b/internal/routing/stream.go
@@ -57,11 +57,11 @@
 
 // result returns the result of the attempt by the last error of Read.
 func (s *Stream) result() balance.Result {
-	clientGone := s.attempt.request.ctx.Err() != nil
+	clientLeft := s.attempt.request.ctx.Err() != nil
 	switch {
 	case s.err == io.EOF:
 		return balance.OK
-	case clientGone, s.err == nil, s.err == ErrHandedOver, errors.Is(s.err, ErrUnacceptable):
+	case clientLeft, s.err == nil, s.err == ErrHandedOver, errors.Is(s.err, ErrUnacceptable):
 		return balance.Cancelled
 	case errors.Is(s.err, ErrMalformedAnswer):
 		return balance.Error
--- a/internal/system/dataplane/plane.go
+++ b/internal/system/dataplane/plane.go
@@ -94,7 +94,7 @@
 type service struct {
 	name            string
 	router          *routing.Router
-	retries         *retrybudget.Bucket
+	retries         *retrybudget.Budget
 	stop            context.CancelFunc
 	hostsRevision   uint64          // the last that SetHosts was given
 	classes         []balance.Class // of the configuration in force
--- a/internal/system/dataplane/quota.go
+++ b/internal/system/dataplane/quota.go
@@ -68,5 +68,5 @@
 	if !r.counted {
 		return t.UncachedTokens
 	}
-	return r.usage.Prompt + r.usage.Answer
+	return r.usage.PromptTokens + r.usage.AnswerTokens
 }
--- a/internal/system/dataplane/request.go
+++ b/internal/system/dataplane/request.go
@@ -17,7 +17,7 @@
 type request struct {
 	route   *configuration.Route
 	arrival balance.Arrival
-	usage   protocol.Usage
+	usage   protocol.TokenUsage
 	counted bool   // usage is what the request says
 	model   string // that it names, empty for none
 }
@@ -48,7 +48,7 @@
 	}
 	r.arrival.PromptTokens = float64(bodyLen / charsPerToken)
 	if r.counted {
-		r.arrival.PromptTokens = r.usage.Prompt
+		r.arrival.PromptTokens = r.usage.PromptTokens
 	}
 	if n := len(segments); n > 0 {
 		r.arrival.Session = segments[n-1].ID
--- a/internal/system/dataplane/startup.go
+++ b/internal/system/dataplane/startup.go
@@ -41,8 +41,8 @@
 
 // waitUntil waits until a condition holds, which is checked after each change, or a time has passed. It
 // reports whether the condition holds.
-func (c *changes) waitUntil(holds func() bool, timeout time.Duration) bool {
-	if holds() {
+func (c *changes) waitUntil(isTrue func() bool, timeout time.Duration) bool {
+	if isTrue() {
 		return true
 	}
 	if !c.addWaiter() {
@@ -53,13 +53,13 @@
 	defer timer.Stop()
 	for {
 		next := c.nextChange()
-		if holds() {
+		if isTrue() {
 			return true
 		}
 		select {
 		case <-next:
 		case <-timer.C:
-			return holds()
+			return isTrue()
 		}
 	}
 }
--- a/internal/testbed/fakes/serve.go
+++ b/internal/testbed/fakes/serve.go
@@ -49,7 +49,7 @@
 // rejectStaleToken answers a request whose fencing token is malformed or older than one seen
 // before, and reports whether it did.
 func (h *Host) rejectStaleToken(w http.ResponseWriter, r *http.Request) bool {
-	role, tokenText, hasRole := strings.Cut(r.Header.Get(protocol.HeaderDuty), " ")
+	role, tokenText, hasRole := strings.Cut(r.Header.Get(protocol.HeaderFencingToken), " ")
 	h.mu.Lock()
 	check := h.checkToken
 	h.mu.Unlock()
@@ -58,14 +58,14 @@
 	}
 	token, err := strconv.ParseUint(tokenText, 10, 64)
 	if err != nil {
-		http.Error(w, protocol.HeaderDuty+" has no token", http.StatusBadRequest)
+		http.Error(w, protocol.HeaderFencingToken+" has no token", http.StatusBadRequest)
 		return true
 	}
 	highest, accepted := check(role, token, r.RemoteAddr)
 	if accepted {
 		return false
 	}
-	w.Header().Set(protocol.HeaderDuty, strconv.FormatUint(highest, 10))
+	w.Header().Set(protocol.HeaderFencingToken, strconv.FormatUint(highest, 10))
 	http.Error(w, "another has the duty by now", http.StatusConflict)
 	return true
 }
--- a/internal/transport/body.go
+++ b/internal/transport/body.go
@@ -26,7 +26,7 @@
 	firstEvent []byte // read by open, for the next Read
 	endErr     error  // of open, for the Read after that
 	size       int    // bytes read so far
-	events     protocol.Notes
+	events     protocol.StreamReader
 
 	message      *Message
 	readDeadline time.Time // of the next read after a stopped move, 0 for the usual
@@ -108,5 +108,5 @@
 		b.servers.recordLoadReport(b.conn.to.ID, b.events.Err)
 	}
 	b.close()
-	return b.events.Kept, load
+	return b.events.CachedTokens, load
 }
--- a/internal/transport/clientconn.go
+++ b/internal/transport/clientconn.go
@@ -46,9 +46,9 @@
 	beganAt time.Time // when the first byte of the present request came
 
 	// Of the watch, for its user alone:
-	onGone      func()
+	onLeave     func()
 	watchDone   chan struct{} // closed when the watch ends, nil without one
-	hasGone     atomic.Bool   // the client ended the connection
+	hasLeft     atomic.Bool   // the client ended the connection
 	nextBegun   atomic.Bool   // the watch has read the first byte of the next request
 	nextBegunAt time.Time     // when
 }
@@ -131,19 +131,19 @@
 	if err != nil {
 		return 0, err
 	}
-	kept := copy(p, c.readAhead) // the byte that the watch has read
+	taken := copy(p, c.readAhead) // the byte that the watch has read
 	c.readAhead = nil
 	var failed error
 	err = raw.Read(func(fd uintptr) bool {
-		n, _, failed = syscall.Recvfrom(int(fd), p[kept:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		n, _, failed = syscall.Recvfrom(int(fd), p[taken:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		if failed == syscall.EAGAIN || failed == syscall.EINTR {
 			n, failed = 0, nil
-			return kept > 0 // what is there is returned; otherwise it is waited for
+			return taken > 0 // what is there is returned; otherwise it is waited for
 		}
 		if failed == nil && n > 0 {
-			n, failed = syscall.Read(int(fd), p[kept:c.firstRequestBytes(p[:kept+n])])
+			n, failed = syscall.Read(int(fd), p[taken:c.firstRequestBytes(p[:taken+n])])
 		}
-		if failed == nil && n == 0 && kept == 0 {
+		if failed == nil && n == 0 && taken == 0 {
 			failed = io.EOF
 		}
 		return true
@@ -151,8 +151,8 @@
 	if err == nil {
 		err = failed
 	}
-	if kept+max(n, 0) > 0 { // an error comes again with the next call
-		return kept + max(n, 0), nil
+	if taken+max(n, 0) > 0 { // an error comes again with the next call
+		return taken + max(n, 0), nil
 	}
 	return 0, err
 }
@@ -161,7 +161,7 @@
 // how many of it remain.
 func (c *clientConn) firstRequestBytes(p []byte) int {
 	c.remaining = 0
-	if seen, whole := protocol.Look(p, ""); whole && seen.Length > 0 {
+	if seen, complete := protocol.ParseRequestHead(p, ""); complete && seen.Length > 0 {
 		c.remaining = seen.Length
 		return min(len(p), seen.Length)
 	}
@@ -218,17 +218,17 @@
 	return c.Conn.Write(p)
 }
 
-// watch calls onGone if the client ends the connection, or only its sending, before unwatch is called.
+// watch calls onLeave if the client ends the connection, or only its sending, before unwatch is called.
 // Nothing else may read meanwhile.
-func (c *clientConn) watch(onGone func()) {
+func (c *clientConn) watch(onLeave func()) {
 	c.Conn.SetReadDeadline(time.Time{})
 	done := make(chan struct{})
-	c.onGone, c.watchDone = onGone, done
+	c.onLeave, c.watchDone = onLeave, done
 	go func() {
 		defer close(done)
 		if c.awaitClose() {
-			c.hasGone.Store(true)
-			onGone()
+			c.hasLeft.Store(true)
+			onLeave()
 		}
 	}()
 }
@@ -298,13 +298,13 @@
 	return n, err
 }
 
-// clientGone reports whether the client has gone. It asks the system, as the watch may be late where the
+// clientLeft reports whether the client has gone. It asks the system, as the watch may be late where the
 // router is short of processor time.
-func (c *clientConn) clientGone() bool {
+func (c *clientConn) clientLeft() bool {
 	if c == nil { // no client waits for the answer
 		return false
 	}
-	if c.hasGone.Load() {
+	if c.hasLeft.Load() {
 		return true
 	}
 	n, err := c.peek()
--- a/internal/transport/exchange.go
+++ b/internal/transport/exchange.go
@@ -65,7 +65,7 @@
 		f := o.dialect.TimeLeft(left)
 		o.request.Header.Set(f.Name, f.Value)
 	}
-	if ctx.Err() != nil || o.client.clientGone() {
+	if ctx.Err() != nil || o.client.clientLeft() {
 		return errUnsent
 	}
 	out := bufio.NewWriterSize(c, readBuffer)
@@ -117,7 +117,7 @@
 		if err := x.readHead(ctx); err != nil {
 			return err
 		}
-		if id == "" || !x.servers.dialect.Foreign(id, x.header) {
+		if id == "" || !x.servers.dialect.AnswersOther(id, x.header) {
 			return nil
 		}
 		if body := x.resp.BodyStream(); body != nil {
--- a/internal/transport/front.go
+++ b/internal/transport/front.go
@@ -139,8 +139,8 @@
 
 // CloseIdle closes the connections that have been idle for so long. One whose next request has come by
 // then is served.
-func (f *Front) CloseIdle(silent time.Duration) {
-	f.listener.notifyAdmission(admission.Event{Kind: admission.CloseIdle, IdleTime: silent})
+func (f *Front) CloseIdle(idleTime time.Duration) {
+	f.listener.notifyAdmission(admission.Event{Kind: admission.CloseIdle, IdleTime: idleTime})
 }
 
 // StopAccepting ends Serve. Connections stay, and so does an inherited listener for the other processes
--- a/internal/transport/handover.go
+++ b/internal/transport/handover.go
@@ -32,16 +32,16 @@
 // of it is half read; for an idle connection to a server, how long it is idle; nothing for a client's idle
 // connection.
 type movedConn struct {
-	Version int             `json:"version"`
-	Stream  bool            `json:"stream"`
-	Server  *routing.Server `json:"server,omitempty"` // of a stream, or of an idle connection, which has no client
-	Keep    bool            `json:"keep,omitempty"`   // the connection to it outlives the stream
-	Idle    time.Duration   `json:"idle,omitempty"`   // or, of a stream, how long its server has sent nothing
-	Class   string          `json:"class,omitempty"`
-	Chunks  protocol.Chunks `json:"chunks"`
-	Line    []byte          `json:"line,omitempty"` // of the event that is being read
-	Long    bool            `json:"long,omitempty"`
-	Size    int             `json:"size"` // of the stream so far
+	Version int                  `json:"version"`
+	Stream  bool                 `json:"stream"`
+	Server  *routing.Server      `json:"server,omitempty"` // of a stream, or of an idle connection, which has no client
+	Keep    bool                 `json:"keep,omitempty"`   // the connection to it outlives the stream
+	Idle    time.Duration        `json:"idle,omitempty"`   // or, of a stream, how long its server has sent nothing
+	Class   string               `json:"class,omitempty"`
+	Chunks  protocol.ChunkParser `json:"chunks"`
+	Line    []byte               `json:"line,omitempty"` // of the event that is being read
+	Long    bool                 `json:"long,omitempty"`
+	Size    int                  `json:"size"` // of the stream so far
 }
 
 // Mover hands connections to the process that takes over.
@@ -296,20 +296,20 @@
 
 // relay forwards the rest of a stream; next reports whether the client may send further requests.
 func (r *Receiver) relay(m *movedConn, client *clientConn, host net.Conn) (end routing.Verdict, next bool) {
-	notes := protocol.NotesFrom(m.Line, m.Long)
+	events := protocol.ResumeStreamReader(m.Line, m.Long)
 	raw := make([]byte, readBuffer)
 	out := make([]byte, 0, readBuffer+64)
 	last := time.Now().Add(-m.Idle) // a move gives a server no more time
-	for stays := false; m.Chunks.At != protocol.AtWhole; {
+	for stays := false; m.Chunks.At != protocol.AtComplete; {
 		if mover := r.front.listener.mover.Load(); mover != nil && !stays {
 			client.unwatch()
-			m.Line, m.Long = notes.Rest()
+			m.Line, m.Long = events.Unfinished()
 			m.Idle = time.Since(last)
-			if len(client.readAhead) == 0 && !client.hasGone.Load() && mover.move(*m, client.Conn, host) == nil {
+			if len(client.readAhead) == 0 && !client.hasLeft.Load() && mover.move(*m, client.Conn, host) == nil {
 				return routing.Abandoned, false
 			}
 			stays = true
-			client.watch(client.onGone)
+			client.watch(client.onLeave)
 		}
 		host.SetReadDeadline(last.Add(r.servers.streamIdleTimeout))
 		n, err := host.Read(raw)
@@ -320,7 +320,7 @@
 			continue // it is to move
 		}
 		if n == 0 && err != nil {
-			if client.hasGone.Load() {
+			if client.hasLeft.Load() {
 				return routing.Abandoned, false
 			}
 			return routing.Failed, false
@@ -329,14 +329,14 @@
 		malformed := false
 		used, bad := m.Chunks.Feed(raw[:n], func(chunk []byte) {
 			m.Size += len(chunk)
-			malformed = malformed || !notes.Feed(chunk) || m.Size > maxStream
+			malformed = malformed || !events.Feed(chunk) || m.Size > maxStream
 			out = fmt.Appendf(out, "%x\r\n", len(chunk))
 			out = append(append(out, chunk...), "\r\n"...)
 		})
 		if bad != nil || malformed || used < n {
 			return routing.Failed, false
 		}
-		if m.Chunks.At == protocol.AtWhole {
+		if m.Chunks.At == protocol.AtComplete {
 			out = append(out, "0\r\n\r\n"...)
 		}
 		if len(out) == 0 {
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -232,11 +232,11 @@
 	got, err := syscall.Read(fd, l.readAhead[:])
 	switch {
 	case got > 0:
-		var seen protocol.Glance
-		seen, e.HeadComplete = protocol.Look(l.readAhead[:got], l.header)
-		e.Identity, e.RequestComplete = seen.Named, e.HeadComplete && seen.Length >= 0 && got >= seen.Length
+		var seen protocol.RequestHead
+		seen, e.HeadComplete = protocol.ParseRequestHead(l.readAhead[:got], l.header)
+		e.Identity, e.RequestComplete = seen.HeaderValue, e.HeadComplete && seen.Length >= 0 && got >= seen.Length
 	case err != syscall.EAGAIN && err != syscall.EINTR:
-		e.ClientGone = true
+		e.ClientLeft = true
 	}
 	return e, max(got, 0)
 }
@@ -268,7 +268,7 @@
 			c.readAhead = bytes.Clone(l.readAhead[:got])
 		case admission.Drop:
 			l.rejectedInBurst++
-			if !e.ClientGone { // no request was read to its end, so no answer is owed
+			if !e.ClientLeft { // no request was read to its end, so no answer is owed
 				syscall.SetsockoptLinger(fd, syscall.SOL_SOCKET, syscall.SO_LINGER, &syscall.Linger{Onoff: 1})
 			}
 			syscall.Close(fd)
@@ -303,11 +303,11 @@
 
 // reject answers a request that was read, complete or not, before its connection was admitted. The caller
 // has the lock.
-func (l *listener) reject(fd int, whole bool, a admission.Action) {
-	l.text = protocol.AppendRefusal(l.text[:0], a.Code, a.RetryAfter, rejectionText(a))
+func (l *listener) reject(fd int, complete bool, a admission.Action) {
+	l.text = protocol.AppendRejection(l.text[:0], a.Code, a.RetryAfter, rejectionText(a))
 	// All of it goes out, in one packet with the end, or the client is gone.
 	syscall.SendmsgN(fd, l.text, nil, nil, syscall.MSG_MORE|syscall.MSG_DONTWAIT|syscall.MSG_NOSIGNAL)
-	if whole || l.alive >= l.maxAlive {
+	if complete || l.alive >= l.maxAlive {
 		syscall.Close(fd)
 		return
 	}
--- a/internal/transport/servers.go
+++ b/internal/transport/servers.go
@@ -127,7 +127,7 @@
 	x, result := s.exchange(headCtx, to, outgoing{request: req, deadline: deadline, client: msg.client, onWritten: written,
 		id: string(msg.id), fixedHost: msg.forward != nil})
 	if x == nil {
-		return routing.AttemptResult{Result: result, ClientGone: result == balance.NotSent && msg.client.clientGone()}
+		return routing.AttemptResult{Result: result, ClientLeft: result == balance.NotSent && msg.client.clientLeft()}
 	}
 	judged := s.dialect.Judge(x.resp.StatusCode(), x.header)
 	switch {
@@ -155,7 +155,7 @@
 		to.Set(f.Name, f.Value)
 	}
 	if m.fencingToken != "" {
-		to.Set(protocol.HeaderDuty, m.fencingToken)
+		to.Set(protocol.HeaderFencingToken, m.fencingToken)
 	}
 }
 
@@ -188,19 +188,19 @@
 
 // unserved reads an answer that does not serve the request. If the dialect says so it is kept, for the
 // client in the end.
-func (s *Servers) unserved(x *exchange, msg *Message, judged protocol.Judgement) routing.AttemptResult {
-	head := routing.AttemptResult{Result: judged.Result, RequestInvalid: judged.Unfit}
+func (s *Servers) unserved(x *exchange, msg *Message, judged protocol.AttemptJudgement) routing.AttemptResult {
+	head := routing.AttemptResult{Result: judged.Result, RequestInvalid: judged.RequestInvalid}
 	if msg.forward.rejectedForVersion(x.resp.StatusCode()) {
 		head.Result = balance.NotSent // the server is as well as before for others
 	}
 	if msg.fencingToken != "" && x.resp.StatusCode() == fasthttp.StatusConflict {
-		if highest, err := strconv.ParseUint(x.header(protocol.HeaderDuty), 10, 64); err == nil {
+		if highest, err := strconv.ParseUint(x.header(protocol.HeaderFencingToken), 10, 64); err == nil {
 			msg.tokenRejected(highest)
 		}
 	}
 	text, err := x.readBody()
 	x.complete = err == nil
-	if judged.Final && msg.forward != nil && err == nil {
+	if judged.Forwardable && msg.forward != nil && err == nil {
 		final := msg.forward.answer(x.resp)
 		final.Body = bytes.Clone(text)
 		head.ServerAnswer = final
--- a/internal/transport/streamtracker.go
+++ b/internal/transport/streamtracker.go
@@ -13,7 +13,7 @@
 // streamTracker follows the chunks of a stream as they come from a server, so that another process can go
 // on with it at any byte. It sits below the reader of the stream, and stops it between two reads.
 type streamTracker struct {
-	chunks     protocol.Chunks
+	chunks     protocol.ChunkParser
 	unmovable  bool         // its chunks are malformed: it stays here
 	begun      bool         // its answer has begun, so it is its client's alone
 	moving     *atomic.Bool // of all streams
@@ -26,7 +26,7 @@
 
 // read reads for the reader of the stream.
 func (t *streamTracker) read(c *conn, p []byte) (int, error) {
-	movable := t.begun && !t.unmovable && t.chunks.At != protocol.AtWhole
+	movable := t.begun && !t.unmovable && t.chunks.At != protocol.AtComplete
 	if t.stopped || movable && t.moving.Load() {
 		t.stopped = true
 		return 0, errStopped
@@ -113,11 +113,11 @@
 		client.unwatch()
 		m := movedConn{Stream: true, Class: b.message.class, Chunks: t.chunks, Size: b.size, Server: &b.conn.to, Keep: !b.resp.ConnectionClose(),
 			Idle: time.Since(t.lastReadAt)}
-		m.Line, m.Long = b.events.Rest()
-		if len(client.readAhead) == 0 && !client.hasGone.Load() && mover.move(m, client.Conn, b.conn.Conn) == nil {
+		m.Line, m.Long = b.events.Unfinished()
+		if len(client.readAhead) == 0 && !client.hasLeft.Load() && mover.move(m, client.Conn, b.conn.Conn) == nil {
 			return true
 		}
-		client.watch(client.onGone)
+		client.watch(client.onLeave)
 	}
 	b.readDeadline = t.lastReadAt.Add(b.servers.streamIdleTimeout)
 	b.servers.endTracking(b.conn)
@@ -128,21 +128,21 @@
 // unchunked reads the rest of a chunked body without its framing.
 type unchunked struct {
 	from   io.Reader
-	chunks protocol.Chunks
+	chunks protocol.ChunkParser
 }
 
 func (u *unchunked) Read(p []byte) (n int, err error) {
-	if u.chunks.At == protocol.AtWhole {
+	if u.chunks.At == protocol.AtComplete {
 		return 0, io.EOF
 	}
 	got, err := u.from.Read(p)
-	used, bad := u.chunks.Feed(p[:got], func(piece []byte) { n += copy(p[n:], piece) })
+	used, bad := u.chunks.Feed(p[:got], func(chunk []byte) { n += copy(p[n:], chunk) })
 	switch {
 	case bad != nil:
 		return n, bad
 	case used < got:
 		return n, errMalformedAnswer
-	case err == io.EOF && u.chunks.At != protocol.AtWhole:
+	case err == io.EOF && u.chunks.At != protocol.AtComplete:
 		return n, io.ErrUnexpectedEOF
 	}
 	return n, err
--- a/internal/transport/unsent_test.go
+++ b/internal/transport/unsent_test.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := raw.Read(func(uintptr) bool { return c.clientGone() }); err != nil {
+	if err := raw.Read(func(uintptr) bool { return c.clientLeft() }); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -62,7 +62,7 @@
 			leave(client)
 			awaitPeek(t, m.client)
 			head := servers.Send(context.Background(), time.Now().Add(time.Second), routing.Server{ID: "s", Addr: server.Addr}, m, func() { t.Error("written") })
-			if head.Result != balance.NotSent || !head.ClientGone {
+			if head.Result != balance.NotSent || !head.ClientLeft {
 				t.Errorf("got %+v, want nothing sent as the client has left", head)
 			}
 			if len(server.Requests) > 0 || servers.Open() != 1 || servers.Load() != 0 {
@@ -116,15 +116,15 @@
 	conn.watch(func() { left <- true })
 	scripted.Until(t, "the watch has read a byte", func() bool { return conn.nextBegun.Load() })
 	conn.unwatch()
-	if n := unread(); n != len(second+third)-1 || !conn.hasFurther() || conn.clientGone() {
-		t.Errorf("%d bytes are unread, further %v, left %v", n, conn.hasFurther(), conn.clientGone())
+	if n := unread(); n != len(second+third)-1 || !conn.hasFurther() || conn.clientLeft() {
+		t.Errorf("%d bytes are unread, further %v, left %v", n, conn.hasFurther(), conn.clientLeft())
 	}
 	read(second)
 	conn.watch(func() { left <- true })
 	client.Close()
 	scripted.Next(t, left, "the client's end is noticed")
-	if n := unread(); n != len(third)-1 || !conn.clientGone() {
-		t.Errorf("%d bytes are unread, left %v", n, conn.clientGone())
+	if n := unread(); n != len(third)-1 || !conn.clientLeft() {
+		t.Errorf("%d bytes are unread, left %v", n, conn.clientLeft())
 	}
 	conn.unwatch()
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,6 @@
-// Package wire holds the simulator's JSON messages and turns them into the events and actions of package balance.
-// It decides nothing.
+// Package wire has the JSON messages of the simulator and converts them to the events and actions of
+// package balance. The names of the JSON fields are the simulator's; the Go fields have the terms of this
+// module.
 package wire
 
 import (
@@ -18,46 +19,46 @@
 	Msgs []Message `json:"msgs"`
 }
 
-// Message is one event; just one of its fields is set.
+// Message is one event: exactly one of its fields is set.
 type Message struct {
-	Launch     *Launch     `json:"launch"`
-	Killed     *Bare       `json:"killed"`
-	PeersKnown *PeersKnown `json:"peersKnown"`
-	Arrival    *Arrival    `json:"arrival"`
-	Streaming  *Streaming  `json:"streaming"`
-	Verdict    *Verdict    `json:"verdict"`
-	Aborted    *Aborted    `json:"aborted"`
-	Timer      *Timer      `json:"timer"`
-	Health     *Health     `json:"health"`
-	Datagram   *Datagram   `json:"datagram"`
-}
-
-// Bare names an instance and nothing else that matters here.
-type Bare struct {
+	Launch     *Launch        `json:"launch"`
+	Killed     *InstanceOnly  `json:"killed"`
+	PeersKnown *MembersUpdate `json:"peersKnown"`
+	Arrival    *Arrival       `json:"arrival"`
+	Streaming  *FirstToken    `json:"streaming"`
+	Verdict    *Outcome       `json:"verdict"`
+	Aborted    *Aborted       `json:"aborted"`
+	Timer      *Timer         `json:"timer"`
+	Health     *ProbeResult   `json:"health"`
+	Datagram   *Datagram      `json:"datagram"`
+}
+
+// InstanceOnly is a message of which only the instance matters.
+type InstanceOnly struct {
 	I int `json:"i"`
 }
 
-// Launch starts an instance.
+// Launch starts an instance of the router.
 type Launch struct {
 	I       int     `json:"i"`
 	Entropy uint64  `json:"entropy"`
 	Options Options `json:"options"`
 }
 
-// Options are the settings of an instance; keys that are not listed here are ignored.
+// Options are the settings of an instance. Unknown keys are ignored.
 type Options struct {
-	Zone       string  `json:"az"`
-	Discovery  string  `json:"discovery"`
-	QuantumNs  int64   `json:"quantumNs"`
-	Services   []Class `json:"services"`
-	Deductions struct {
+	Zone           string  `json:"az"`
+	Discovery      string  `json:"discovery"`
+	StepIntervalNs int64   `json:"quantumNs"`
+	Classes        []Class `json:"services"`
+	Deductions     struct {
 		CrossZone float64 `json:"crossZone"`
 	} `json:"deductions"`
-	Me         int `json:"me"`
-	NInstances int `json:"nInstances"`
-	Extra      struct {
-		AimUsPer1000 []float64 `json:"aimUsPer1000PromptTokens"`
-		TokenAimNs   []int64   `json:"tokenAimNs"`
+	Self    int `json:"me"`
+	Routers int `json:"nInstances"`
+	Extra   struct {
+		LatencyTargetUsPer1000 []float64 `json:"aimUsPer1000PromptTokens"`
+		TokenLatencyTargetNs   []int64   `json:"tokenAimNs"`
 	} `json:"extra"`
 	Limits struct {
 		MaxAttempts      int   `json:"maxAttempts"`
@@ -69,75 +70,75 @@
 		RetryAfter       bool  `json:"retryAfter"`
 	} `json:"limits"`
 	Rules struct {
-		ColdNs         int64   `json:"coldNs"`
-		OverloadFactor float64 `json:"overloadFactor"`
-		StartCapacity  float64 `json:"startCapacity"`
-		TipAfterNs     int64   `json:"tipAfterNs"`
-		MustAskInNs    int64   `json:"mustAskInNs"`
+		SlowStartWindowNs int64   `json:"coldNs"`
+		OverloadFactor    float64 `json:"overloadFactor"`
+		StartCapacity     float64 `json:"startCapacity"`
+		OverloadWindowNs  int64   `json:"tipAfterNs"`
+		SubscribeWithinNs int64   `json:"mustAskInNs"`
 	} `json:"rules"`
 }
 
-// Class is one entry of services.
+// Class is a class of requests, one entry of services.
 type Class struct {
-	Name        string  `json:"name"`
-	AimNs       int64   `json:"aimNs"`
-	AimStretch  float64 `json:"aimStretch"`
-	HardLimitNs int64   `json:"hardLimitNs"`
-	Effect      string  `json:"effect"`
-	Group       string  `json:"group"`
-	LateWorth   float64 `json:"lateWorth"`
-	Streaming   bool    `json:"streaming"`
-	WindowNs    int64   `json:"windowNs"`
-	Gain        float64 `json:"gain"`
-}
-
-// PeersKnown is an update from discovery.
-type PeersKnown struct {
-	I       int     `json:"i"`
-	Mode    string  `json:"mode"`
-	Epoch   int64   `json:"epoch"`
-	Members []Entry `json:"members"`
-}
-
-// Entry is one replica of the list.
-type Entry struct {
-	BornNs  int64  `json:"bornNs"`
-	Pack    int    `json:"pack"`
-	Hall    string `json:"hall"`
-	State   string `json:"stageState"`
-	Machine string `json:"machine"`
-	Replica string `json:"replica"`
+	Name                    string  `json:"name"`
+	LatencyTargetNs         int64   `json:"aimNs"`
+	LatencyTargetWorkFactor float64 `json:"aimStretch"`
+	DeadlineNs              int64   `json:"hardLimitNs"`
+	Effect                  string  `json:"effect"`
+	DedupScope              string  `json:"group"`
+	LateValueFraction       float64 `json:"lateWorth"`
+	Streamed                bool    `json:"streaming"`
+	DedupWindowNs           int64   `json:"windowNs"`
+	Value                   float64 `json:"gain"`
+}
+
+// MembersUpdate is an update from discovery.
+type MembersUpdate struct {
+	I       int      `json:"i"`
+	Mode    string   `json:"mode"`
+	Epoch   int64    `json:"epoch"`
+	Members []Member `json:"members"`
+}
+
+// Member is a replica in an update from discovery.
+type Member struct {
+	StartedAtNs int64  `json:"bornNs"`
+	Cell        int    `json:"pack"`
+	Zone        string `json:"hall"`
+	State       string `json:"stageState"`
+	Kind        string `json:"machine"`
+	Replica     string `json:"replica"`
 }
 
 // Arrival is a new request.
 type Arrival struct {
 	I              int     `json:"i"`
 	Txn            string  `json:"txn"`
-	Service        string  `json:"service"`
-	Object         string  `json:"object"`
-	PatienceLeftNs int64   `json:"patienceLeftNs"`
-	WorkHintNs     int64   `json:"workHintNs"`
-	Template       string  `json:"template"`
-	NPrompt        float64 `json:"nPrompt"`
+	Class          string  `json:"service"`
+	Session        string  `json:"object"`
+	TimeLeftNs     int64   `json:"patienceLeftNs"`
+	WorkEstimateNs int64   `json:"workHintNs"`
+	Prefix         string  `json:"template"`
+	PromptTokens   float64 `json:"nPrompt"`
 	PrefixTokens   float64 `json:"prefixTokens"`
 }
 
-// Streaming says that an answer has begun.
-type Streaming struct {
-	I   int    `json:"i"`
-	Txn string `json:"txn"`
-	Try int    `json:"try"`
+// FirstToken says that an answer has begun.
+type FirstToken struct {
+	I       int    `json:"i"`
+	Txn     string `json:"txn"`
+	Attempt int    `json:"try"`
 }
 
-// Verdict ends an attempt.
-type Verdict struct {
-	I        int                `json:"i"`
-	Txn      string             `json:"txn"`
-	Try      int                `json:"try"`
-	Last     bool               `json:"last"`
-	Note     float64            `json:"note"`
-	How      string             `json:"how"`
-	Pressure map[string]float64 `json:"pressure"`
+// Outcome ends an attempt.
+type Outcome struct {
+	I            int                `json:"i"`
+	Txn          string             `json:"txn"`
+	Attempt      int                `json:"try"`
+	Final        bool               `json:"last"`
+	CachedTokens float64            `json:"note"`
+	Result       string             `json:"how"`
+	Load         map[string]float64 `json:"pressure"`
 }
 
 // Aborted says that a client has gone.
@@ -146,28 +147,28 @@
 	Txn string `json:"txn"`
 }
 
-// Timer is due.
+// Timer says that the time of a timer has passed.
 type Timer struct {
 	I   int   `json:"i"`
 	Ctx int64 `json:"ctx"`
 }
 
-// Health is the result of a probe.
-type Health struct {
-	I        int                `json:"i"`
-	Replica  string             `json:"replica"`
-	How      string             `json:"how"`
-	Pressure map[string]float64 `json:"pressure"`
+// ProbeResult is the result of a load probe.
+type ProbeResult struct {
+	I       int                `json:"i"`
+	Replica string             `json:"replica"`
+	Result  string             `json:"how"`
+	Load    map[string]float64 `json:"pressure"`
 }
 
-// Datagram is what another instance told.
+// Datagram is a message of reports from another instance, in base64.
 type Datagram struct {
 	I    int    `json:"i"`
 	From int    `json:"from"`
 	Body string `json:"body"`
 }
 
-// Config turns start-up options into settings.
+// Config returns the configuration of the decisions, or an error that names the option at fault.
 func (o *Options) Config() (balance.Config, error) {
 	c := balance.Config{
 		Zone:                 o.Zone,
@@ -175,43 +176,43 @@
 		MayProbe:             o.Limits.MayProbe,
 		MaxAttempts:          o.Limits.MaxAttempts,
 		SlowStartMinCapacity: o.Rules.StartCapacity,
-		SlowStartWindow:      time.Duration(o.Rules.ColdNs),
+		SlowStartWindow:      time.Duration(o.Rules.SlowStartWindowNs),
 		OverloadFactor:       o.Rules.OverloadFactor,
-		OverloadWindow:       time.Duration(o.Rules.TipAfterNs),
-		StepInterval:         time.Duration(o.QuantumNs),
+		OverloadWindow:       time.Duration(o.Rules.OverloadWindowNs),
+		StepInterval:         time.Duration(o.StepIntervalNs),
 		CrossZonePenalty:     o.Deductions.CrossZone,
 	}
 	if o.Limits.RetryAfter {
 		c.MaxRetryAfter = time.Duration(o.Limits.MaxRetryAfterNs)
 	}
 	if o.Limits.Peers {
-		if o.NInstances < 1 {
-			return c, fmt.Errorf("nInstances is %d; it must be 1 or more where limits.peers is set", o.NInstances)
+		if o.Routers < 1 {
+			return c, fmt.Errorf("nInstances is %d; it must be 1 or more where limits.peers is set", o.Routers)
 		}
-		if o.Me < 0 || o.Me >= o.NInstances {
-			return c, fmt.Errorf("me is %d; it must be from 0 to %d, below nInstances", o.Me, o.NInstances-1)
+		if o.Self < 0 || o.Self >= o.Routers {
+			return c, fmt.Errorf("me is %d; it must be from 0 to %d, below nInstances", o.Self, o.Routers-1)
 		}
-		c.Routers, c.Self = o.NInstances, o.Me
+		c.Routers, c.Self = o.Routers, o.Self
 	}
-	for i, s := range o.Services {
+	for i, s := range o.Classes {
 		effect, ok := effects[s.Effect]
 		if !ok {
 			return c, fmt.Errorf("services[%d].effect is %q; it must be safe, keyed or unsafe", i, s.Effect)
 		}
-		scope, ok := scopes[s.Group]
-		if !ok && s.Group != "" {
-			return c, fmt.Errorf("services[%d].group is %q; it must be all, zone or cell", i, s.Group)
+		scope, ok := scopes[s.DedupScope]
+		if !ok && s.DedupScope != "" {
+			return c, fmt.Errorf("services[%d].group is %q; it must be all, zone or cell", i, s.DedupScope)
 		}
 		class := balance.Class{
-			Name: s.Name, Effect: effect, DedupScope: scope, DedupWindow: time.Duration(s.WindowNs),
-			LatencyTarget: time.Duration(s.AimNs), LatencyTargetWorkFactor: s.AimStretch, Deadline: time.Duration(s.HardLimitNs),
-			Value: s.Gain, LateValueFraction: s.LateWorth, Streamed: s.Streaming,
+			Name: s.Name, Effect: effect, DedupScope: scope, DedupWindow: time.Duration(s.DedupWindowNs),
+			LatencyTarget: time.Duration(s.LatencyTargetNs), LatencyTargetWorkFactor: s.LatencyTargetWorkFactor, Deadline: time.Duration(s.DeadlineNs),
+			Value: s.Value, LateValueFraction: s.LateValueFraction, Streamed: s.Streamed,
 		}
-		if i < len(o.Extra.AimUsPer1000) {
-			class.LatencyTargetPer1000Tokens = time.Duration(o.Extra.AimUsPer1000[i] * 1000)
+		if i < len(o.Extra.LatencyTargetUsPer1000) {
+			class.LatencyTargetPer1000Tokens = time.Duration(o.Extra.LatencyTargetUsPer1000[i] * 1000)
 		}
-		if i < len(o.Extra.TokenAimNs) {
-			class.TokenLatencyTarget = time.Duration(o.Extra.TokenAimNs[i])
+		if i < len(o.Extra.TokenLatencyTargetNs) {
+			class.TokenLatencyTarget = time.Duration(o.Extra.TokenLatencyTargetNs[i])
 		}
 		c.Classes = append(c.Classes, class)
 	}
@@ -230,8 +231,8 @@
 		"DELETED": balance.Removed}
 )
 
-// Event turns a message other than launch and killed into its instance and event; the event is nil for
-// messages that mean nothing to the module.
+// Event returns the instance and the event of a message other than launch and killed. The event is nil for
+// a datagram that can't be read.
 func (m *Message) Event() (int, balance.Event, error) {
 	switch {
 	case m.PeersKnown != nil:
@@ -239,38 +240,38 @@
 		return m.PeersKnown.I, ev, err
 	case m.Arrival != nil:
 		a := m.Arrival
-		return a.I, balance.Arrival{ID: a.Txn, Class: a.Service, Session: a.Object,
-			Prefix: a.Template, TimeLeft: time.Duration(a.PatienceLeftNs), WorkEstimate: time.Duration(a.WorkHintNs),
-			PromptTokens: a.NPrompt, PrefixTokens: a.PrefixTokens}, nil
+		return a.I, balance.Arrival{ID: a.Txn, Class: a.Class, Session: a.Session,
+			Prefix: a.Prefix, TimeLeft: time.Duration(a.TimeLeftNs), WorkEstimate: time.Duration(a.WorkEstimateNs),
+			PromptTokens: a.PromptTokens, PrefixTokens: a.PrefixTokens}, nil
 	case m.Streaming != nil:
 		s := m.Streaming
-		return s.I, balance.FirstToken{ID: s.Txn, Attempt: s.Try}, nil
+		return s.I, balance.FirstToken{ID: s.Txn, Attempt: s.Attempt}, nil
 	case m.Verdict != nil:
 		v := m.Verdict
-		how, ok := results[v.How]
+		how, ok := results[v.Result]
 		if !ok {
-			return v.I, nil, fmt.Errorf("verdict.how is %q; it must be one of S E F T C R X N", v.How)
+			return v.I, nil, fmt.Errorf("verdict.how is %q; it must be one of S E F T C R X N", v.Result)
 		}
-		return v.I, balance.Outcome{ID: v.Txn, Attempt: v.Try, Result: how, Final: v.Last,
-			CachedTokens: v.Note, Load: load(v.Pressure)}, nil
+		return v.I, balance.Outcome{ID: v.Txn, Attempt: v.Attempt, Result: how, Final: v.Final,
+			CachedTokens: v.CachedTokens, Load: load(v.Load)}, nil
 	case m.Aborted != nil:
 		return m.Aborted.I, balance.Aborted{ID: m.Aborted.Txn}, nil
 	case m.Timer != nil:
 		return m.Timer.I, balance.TimerExpired{Token: m.Timer.Ctx}, nil
 	case m.Health != nil:
-		how, ok := results[m.Health.How]
+		how, ok := results[m.Health.Result]
 		if !ok {
-			return m.Health.I, nil, fmt.Errorf("health.how is %q; it must be one of S E F T C R X N", m.Health.How)
+			return m.Health.I, nil, fmt.Errorf("health.how is %q; it must be one of S E F T C R X N", m.Health.Result)
 		}
 		return m.Health.I, balance.ProbeResult{Replica: m.Health.Replica, Result: how,
-			Load: load(m.Health.Pressure)}, nil
+			Load: load(m.Health.Load)}, nil
 	case m.Datagram != nil:
 		return m.Datagram.I, m.Datagram.event(), nil
 	}
 	return 0, nil, fmt.Errorf("unknown event; see the wire's list of received messages")
 }
 
-// event is nil for what can not be read: a datagram is but a hint.
+// event returns nil for a datagram that can't be read: datagrams are only hints.
 func (d *Datagram) event() balance.Event {
 	text, err := base64.RawStdEncoding.DecodeString(d.Body)
 	if err != nil {
@@ -283,7 +284,7 @@
 	return balance.ReportsReceived{From: d.From, Zone: zone, Reports: reports}
 }
 
-func (p *PeersKnown) event() (balance.Event, error) {
+func (p *MembersUpdate) event() (balance.Event, error) {
 	ev := balance.Members{Version: p.Epoch}
 	switch p.Mode {
 	case "diff":
@@ -300,13 +301,13 @@
 			return nil, fmt.Errorf("peersKnown.members[%d].stageState is %q; it must be SERVING, DRAINING or DELETED",
 				i, e.State)
 		}
-		ev.Members = append(ev.Members, balance.Member{Replica: e.Replica, Zone: e.Hall, Cell: e.Pack,
-			Kind: e.Machine, State: state, StartedAt: time.Duration(e.BornNs)})
+		ev.Members = append(ev.Members, balance.Member{Replica: e.Replica, Zone: e.Zone, Cell: e.Cell,
+			Kind: e.Kind, State: state, StartedAt: time.Duration(e.StartedAtNs)})
 	}
 	return ev, nil
 }
 
-// load picks out the figures that the module reads; what is not reported is negative.
+// load returns the fields that the decisions use; one that is not reported is negative.
 func load(p map[string]float64) *balance.Load {
 	if p == nil {
 		return nil
@@ -326,41 +327,41 @@
 	Outbox []any `json:"outbox"`
 }
 
-type handOff struct {
+type send struct {
 	I       int    `json:"i"`
 	Txn     string `json:"txn"`
 	Replica string `json:"replica"`
 }
 
-type decline struct {
-	I       int    `json:"i"`
-	Txn     string `json:"txn"`
-	PauseNs int64  `json:"pauseNs,omitempty"`
+type reject struct {
+	I            int    `json:"i"`
+	Txn          string `json:"txn"`
+	RetryAfterNs int64  `json:"pauseNs,omitempty"`
 }
 
-type respondError struct {
+type fail struct {
 	I   int    `json:"i"`
 	Txn string `json:"txn"`
 }
 
-type askLoad struct {
+type probe struct {
 	I       int    `json:"i"`
 	Replica string `json:"replica"`
 }
 
-type post struct {
+type peerMessage struct {
 	I    int    `json:"i"`
 	Dest int    `json:"dest"`
 	Body string `json:"body"`
 }
 
-type deferred struct {
+type setTimer struct {
 	I       int   `json:"i"`
 	Ctx     int64 `json:"ctx"`
 	DelayNs int64 `json:"delayNs"`
 }
 
-type streamChanges struct {
+type subscribe struct {
 	I      int  `json:"i"`
 	Active bool `json:"active"`
 }
@@ -370,9 +371,10 @@
 	Msg string `json:"msg"`
 }
 
-type named map[string]any
+type tagged map[string]any
 
-// Actions turns an action of instance i into messages: one, or one for each instance told.
+// Actions returns the messages of an action of instance i: one, or one for each router that a report goes
+// to.
 func Actions(i int, a balance.Action) []any {
 	t, ok := a.(balance.SendReports)
 	if !ok {
@@ -381,7 +383,7 @@
 	body := base64.RawStdEncoding.EncodeToString(protocol.AppendPeerReports(nil, t.Zone, t.Reports))
 	var all []any
 	for _, dest := range t.To {
-		all = append(all, named{"post": post{i, dest, body}})
+		all = append(all, tagged{"post": peerMessage{i, dest, body}})
 	}
 	return all
 }
@@ -389,25 +391,25 @@
 func action(i int, a balance.Action) any {
 	switch a := a.(type) {
 	case balance.Send:
-		return named{"handOff": handOff{i, a.ID, a.Replica}}
+		return tagged{"handOff": send{i, a.ID, a.Replica}}
 	case balance.Reject:
-		return named{"decline": decline{i, a.ID, int64(a.RetryAfter)}}
+		return tagged{"decline": reject{i, a.ID, int64(a.RetryAfter)}}
 	case balance.Fail:
-		return named{"respondError": respondError{i, a.ID}}
+		return tagged{"respondError": fail{i, a.ID}}
 	case balance.Probe:
-		return named{"askLoad": askLoad{i, a.Replica}}
+		return tagged{"askLoad": probe{i, a.Replica}}
 	case balance.SetTimer:
-		return named{"defer": deferred{i, a.Token, int64(a.Delay)}}
+		return tagged{"defer": setTimer{i, a.Token, int64(a.Delay)}}
 	case balance.Subscribe:
-		return named{"streamChanges": streamChanges{i, true}}
+		return tagged{"streamChanges": subscribe{i, true}}
 	case balance.Log:
-		return named{"trace": text{i, a.Text}}
+		return tagged{"trace": text{i, a.Text}}
 	}
 	return Die(i, fmt.Sprintf("action %T has no message; add it to wire.action", a))
 }
 
 // Die reports a crash of instance i.
-func Die(i int, why string) any { return named{"die": text{i, why}} }
+func Die(i int, why string) any { return tagged{"die": text{i, why}} }
 
 // Decode reads one line of input.
 func Decode(line []byte) (*Batch, error) {
