--- /dev/null
+++ b/internal/router/mirror/network.go
@@ -0,0 +1,86 @@
+package mirror
+
+import (
+	"context"
+	"time"
+
+	"reachspread/balance"
+	"reachspread/internal/router/shadow"
+	"reachspread/internal/routing"
+	"reachspread/internal/transport"
+)
+
+// copyMessage is the message of a copy.
+type copyMessage struct {
+	*transport.Message
+	copied *shadowCopy
+}
+
+// cappedNetwork is the pool's network: the decider grants each attempt to a host.
+type cappedNetwork struct {
+	*transport.Servers
+	pool *pool
+}
+
+// Send implements routing.Network. An attempt that the decider denies counts as rejected by the
+// host.
+func (n cappedNetwork) Send(ctx context.Context, deadline time.Time, to routing.Server, m routing.Message, written func()) routing.AttemptResult {
+	copied := m.(copyMessage)
+	p := n.pool
+	granted := make(chan bool, 1)
+	p.post(message{grantReply: granted, event: shadow.AttemptRequest{Copy: copied.copied.id, Host: to.ID}})
+	if !<-granted {
+		return routing.AttemptResult{Result: balance.Full}
+	}
+	reached := func() { p.post(message{event: shadow.AttemptReached{Copy: copied.copied.id}}) }
+	release := func() { p.post(message{event: shadow.AttemptEnded{Host: to.ID}}) }
+	notSent := func() routing.AttemptResult {
+		reached()
+		release()
+		return routing.AttemptResult{Result: balance.NotSent}
+	}
+	if !p.router.IsServing(to.ID) { // it may have begun to drain while the grant was requested
+		return notSent()
+	}
+	msg := copied.Message
+	if p.singleCopier.Load() {
+		p.unconfirmed.Add(1)
+		defer p.unconfirmed.Add(-1)
+		var ok bool
+		if msg, ok = p.withToken(msg); !ok {
+			return notSent()
+		}
+	}
+	result := n.Servers.Send(ctx, deadline, to, msg, written)
+	reached()
+	if result.Body == nil {
+		release()
+	} else {
+		result.Body = &cappedBody{result.Body, release}
+	}
+	return result
+}
+
+// withToken returns the message with the fencing token of the pool's role, or false where this
+// router does not hold the lease any more.
+func (p *pool) withToken(m *transport.Message) (*transport.Message, bool) {
+	leases := p.mirror.options.Leases
+	token, _, ok := leases.Check(p.role)
+	if !ok || !p.hasLease.Load() {
+		return nil, false
+	}
+	rejected := func(highest uint64) { leases.TokenRejected(p.role, highest) }
+	return m.WithFencingToken(p.role, token, rejected), true
+}
+
+// cappedBody ends its attempt with the body.
+type cappedBody struct {
+	routing.Body
+	release func()
+}
+
+// End implements routing.Body.
+func (b *cappedBody) End() (float64, *balance.Load) {
+	defer b.release()
+	return b.Body.End()
+}
--- /dev/null
+++ b/internal/router/mirror/poolmessages.go
@@ -0,0 +1,153 @@
+package mirror
+
+import (
+	"errors"
+	"time"
+
+	"reachspread/internal/router/settings"
+	"reachspread/internal/router/shadow"
+)
+
+// message is an event or a request for the pool's goroutine.
+type message struct {
+	event       shadow.Event
+	copied      *shadowCopy      // of an Offer
+	grantReply  chan<- bool      // of an AttemptRequest; has room for the reply
+	statusReply chan<- Status    // in place of an event
+	apply       *appliedSettings // in place of an event
+}
+
+// appliedSettings is what Mirror.Apply puts in force.
+type appliedSettings struct {
+	pool        settings.Pool
+	sink        *sink
+	recordTexts bool
+}
+
+// offer passes a copy to the goroutine, unless maxOffers are pending. It does not block.
+func (p *pool) offer(c *shadowCopy) bool {
+	p.mu.Lock()
+	if p.ended || p.offers >= maxOffers {
+		p.mu.Unlock()
+		p.busy.Add(1)
+		return false
+	}
+	p.offers++
+	p.pending = append(p.pending, message{copied: c, event: shadow.Offer{Copy: c.id, Session: c.session,
+		Bytes: len(c.request.Message.Body())}})
+	p.mu.Unlock()
+	p.wakeUp()
+	return true
+}
+
+// post passes a message to the goroutine. After the pool's end an attempt is denied at once, and
+// any other message dropped.
+func (p *pool) post(x message) {
+	p.mu.Lock()
+	ended := p.ended
+	if !ended {
+		p.pending = append(p.pending, x)
+	}
+	p.mu.Unlock()
+	switch {
+	case !ended:
+		p.wakeUp()
+	case x.grantReply != nil:
+		x.grantReply <- false
+	}
+}
+
+func (p *pool) wakeUp() {
+	select {
+	case p.wake <- struct{}{}:
+	default:
+	}
+}
+
+// step handles a batch of messages and carries out what the decider makes of them.
+func (p *pool) step(batch []message) {
+	events, grants := p.handle(batch)
+	for _, action := range p.decider.Step(time.Since(p.start), events) {
+		if granted, ok := action.(shadow.AttemptGranted); ok {
+			grants[0] <- granted.OK // grants come in the order of their requests
+			grants = grants[1:]
+			continue
+		}
+		p.carryOut(action)
+	}
+	underPressure := p.decider.Level() != shadow.LevelCalm
+	if underPressure != p.underPressure {
+		p.underPressure = underPressure
+		p.servers.KeepIdle(!underPressure) // their descriptors may be lent to known clients
+	}
+}
+
+// handle returns the events of a batch, and where the replies to its attempt requests go.
+func (p *pool) handle(batch []message) (events []shadow.Event, grants []chan<- bool) {
+	for _, x := range batch {
+		switch {
+		case x.apply != nil:
+			events = append(events, p.putInForce(x.apply)...)
+			continue
+		case x.statusReply != nil:
+			x.statusReply <- p.status(p.inForce)
+			continue
+		case x.copied != nil:
+			p.copies[x.copied.id] = x.copied
+		case x.grantReply != nil:
+			grants = append(grants, x.grantReply)
+		}
+		if _, ok := x.event.(shadow.Close); ok {
+			p.closing = true
+		}
+		events = append(events, x.event)
+	}
+	return events, grants
+}
+
+// putInForce applies settings and returns the events that tell the decider.
+func (p *pool) putInForce(applied *appliedSettings) []shadow.Event {
+	p.inForce, p.sink, p.recordTexts = applied.pool, applied.sink, applied.recordTexts
+	events := []shadow.Event{shadow.Reconfigure{Config: applied.pool.Decider}}
+	if p.applyHosts(applied.pool) {
+		events = append(events, shadow.HostsChanged{Serving: p.router.ServingCount()})
+	}
+	return events
+}
+
+// carryOut carries out an action other than AttemptGranted.
+func (p *pool) carryOut(action shadow.Action) {
+	switch a := action.(type) {
+	case shadow.Start:
+		p.startCopy(p.copies[a.Copy], a.HistoryGap)
+	case shadow.Drop:
+		p.forget(a.Copy)
+	case shadow.Cancel:
+		p.copies[a.Copy].cancel()
+	case shadow.Record:
+		p.record(p.copies[a.Copy], a)
+		p.forget(a.Copy)
+	case shadow.PoolEjected:
+		p.log.Warn("shadow pool down", "failures", a.Failures, "retry", a.Retry.Round(time.Millisecond))
+	case shadow.PoolRecovered:
+		p.log.Info("shadow pool back")
+	}
+}
+
+// forget removes a copy after its Drop or Record.
+func (p *pool) forget(id uint64) {
+	p.copies[id].live.copiesWaiting.Add(-1)
+	delete(p.copies, id)
+}
+
+// requestStatus asks the goroutine for the pool's state. It fails after statusTimeout.
+func (p *pool) requestStatus() (Status, error) {
+	answer := make(chan Status, 1)
+	p.post(message{statusReply: answer})
+	select {
+	case s := <-answer:
+		return s, nil
+	case <-time.After(statusTimeout):
+		return Status{}, errors.New("the pool " + p.name + " does not answer")
+	}
+}
--- /dev/null
+++ b/internal/router/mirror/sampler_test.go
@@ -0,0 +1,49 @@
+package mirror
+
+import (
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"reachspread/internal/router/settings"
+	"reachspread/internal/router/shadow"
+	"reachspread/internal/testbed/scripted"
+)
+
+// The live path is sampled while there are pools, and not while there are none, whatever else the
+// settings have.
+func TestLivePathIsSampledOnlyWhileThereArePools(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		m := New(Options{Log: make(scripted.Lines, 100), Sample: func() shadow.Sample {
+			t.Error("sampled for nobody")
+			return shadow.Sample{}
+		}})
+		if err := m.Apply(settings.Shadow{}); err != nil {
+			t.Fatal(err)
+		}
+		time.Sleep(time.Minute) // of the bubble's clock
+		m.Close(t.Context())
+	})
+	seen := make(chan bool, 1)
+	m, one := newMirrorWithoutPool(t, 1, func() shadow.Sample {
+		select {
+		case seen <- true:
+		default:
+		}
+		return shadow.Sample{}
+	})
+	for _, s := range []settings.Shadow{{}, one, {}, one} {
+		if err := m.Apply(s); err != nil {
+			t.Fatal(err)
+		}
+		if len(s.Pools) > 0 {
+			for range 3 {
+				select {
+				case <-seen:
+				case <-time.After(scripted.Patience):
+					t.Fatal("not sampled")
+				}
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/router/mirror/selection_test.go
@@ -0,0 +1,71 @@
+package mirror
+
+import (
+	"io"
+	"testing"
+	"time"
+
+	"github.com/valyala/fasthttp"
+
+	"reachspread/balance"
+	"reachspread/internal/routing"
+	"reachspread/internal/testbed/scripted"
+	"reachspread/internal/transport"
+)
+
+var arrival = balance.Arrival{ID: "9b1f03aa5c7e2d41", Class: "chat", Session: "7f3a9c21e0b4d655"}
+
+// A request that is not copied costs the live path no allocation, whether the share is 0 or the
+// request is not chosen.
+func TestRequestThatIsNotCopiedAllocatesNothing(t *testing.T) {
+	for _, share := range []float64{0, 1e-9} {
+		var tap transport.Tap = newMirror(t, share)
+		if n := testing.AllocsPerRun(1000, func() {
+			if c, _ := tap.Choose(arrival.Class, arrival.Session, arrival.ID, nil); c != nil || tap.TenantHeader() != "" {
+				t.Fatal("chosen")
+			}
+		}); n != 0 {
+			t.Errorf("a share of %v: %v allocations", share, n)
+		}
+	}
+}
+
+// offerRequest does what the front does for a request that may be copied.
+func offerRequest(tap transport.Tap, header *fasthttp.RequestHeader, m *transport.Message) transport.AnswerObserver {
+	var tenant []byte
+	if name := tap.TenantHeader(); name != "" {
+		tenant = header.Peek(name)
+	}
+	copier, pools := tap.Choose(arrival.Class, arrival.Session, arrival.ID, tenant)
+	if copier == nil {
+		return nil
+	}
+	return copier.Copy(pools, transport.AcceptedRequest{Arrival: arrival, Tenant: string(tenant), ArrivedAt: time.Now(), Message: m})
+}
+
+func BenchmarkTapNothingChosen(b *testing.B) { benchmarkTap(b, 0) }
+
+func BenchmarkTapNotCopied(b *testing.B) { benchmarkTap(b, 1e-9) }
+
+// BenchmarkTapCopied measures all that a copied request costs its client's path: the offer, the
+// observation of an answer of 20 chunks, and its end. The pool is at its caps most of the time.
+func BenchmarkTapCopied(b *testing.B) { benchmarkTap(b, 1) }
+
+func benchmarkTap(b *testing.B, share float64) {
+	tap := newMirror(b, share)
+	var header fasthttp.RequestHeader
+	message := new(transport.Message)
+	piece := []byte(scripted.Event)
+	b.ReportAllocs()
+	for b.Loop() {
+		w := offerRequest(tap, &header, message)
+		if w == nil {
+			continue
+		}
+		w.Begun(routing.Source{Server: "s0"})
+		for range 20 {
+			w.Feed(piece)
+		}
+		w.Ended(io.EOF)
+	}
+}
--- a/internal/router/mirror/sink.go
+++ b/internal/router/mirror/sink.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	maxQueuedRecords = 256             // records that wait to be written
-	maxQueuedBytes   = 1 << 20         // bytes of texts in them
-	retryInterval    = 5 * time.Second // after the folder failed
+	maxQueuedRecords = 256             // to be written
+	maxQueuedBytes   = 1 << 20         // of texts in the queued records
+	retryInterval    = 5 * time.Second // after a write failed
 )
 
-// sink writes records on a goroutine of its own. What it can't take is counted and lost: neither
-// the live path nor the copies ever wait for a disk.
+// sink writes records on a goroutine of its own, which ends after close. A record that it can't
+// queue or write is counted and lost: neither the live path nor the copies wait for a disk.
 type sink struct {
 	settings settings.Records
 	log      routing.Logger
@@ -37,7 +37,7 @@
 	return s
 }
 
-// put leaves a record to be written.
+// put queues a record, or counts it as lost. It does not block.
 func (s *sink) put(r *records.Record) {
 	if s.settings.Folder == "" {
 		return
@@ -58,11 +58,12 @@
 	s.lost.Add(1)
 }
 
+// recordBytes is the size of the texts in a record.
 func recordBytes(r *records.Record) int64 {
 	return int64(len(r.Body) + len(r.Live.Text) + len(r.Copy.Text))
 }
 
-// close has what is queued written, then ends.
+// close ends the goroutine once the queued records are written; done is closed then.
 func (s *sink) close() { close(s.quit) }
 
 func (s *sink) run() {
@@ -86,8 +87,8 @@
 	}
 }
 
-// write appends a record. While the folder fails, it is tried again now and then, and on-call is
-// told once.
+// write appends a record. While writes fail, one is attempted each retryInterval, and only the
+// first failure is logged.
 func (s *sink) write(r *records.Record, retry *time.Time) {
 	s.bytes.Add(-recordBytes(r))
 	if time.Now().Before(*retry) {
--- a/internal/router/mirror/status.go
+++ b/internal/router/mirror/status.go
@@ -3,8 +3,6 @@
 import (
 	"time"
 
-	"github.com/HdrHistogram/hdrhistogram-go"
-
 	"reachspread/internal/router/settings"
 	"reachspread/internal/router/shadow"
 )
@@ -34,9 +32,9 @@
 	Health       string                  `json:"health"` // up, down or no hosts
 	RetryIn      string                  `json:"retry_in,omitempty"`
 	Level        string                  `json:"level"`
-	Sampled      bool                    `json:"sampled"` // before the first look at the live path no copy starts
+	Sampled      bool                    `json:"sampled"` // before the first sample of the live path no copy starts
 	Offered      uint64                  `json:"offered"`
-	Busy         uint64                  `json:"busy"` // not even offered: the pool's goroutine was behind
+	Busy         uint64                  `json:"busy"` // passed over: the pool's goroutine was behind
 	Started      uint64                  `json:"started"`
 	Recorded     uint64                  `json:"recorded"`
 	Compared     uint64                  `json:"compared"`
@@ -52,7 +50,7 @@
 	Times        map[string]Times        `json:"times"` // by class
 }
 
-// Caps is the caps in force.
+// Caps is the caps in force, see shadow.Caps.
 type Caps struct {
 	PerSecond float64 `json:"copies_per_second"`
 	Out       int     `json:"copies_out"`
@@ -71,14 +69,15 @@
 	CopyTotal Spread `json:"copy_whole_ms"`
 }
 
-// Spread is three places of a distribution.
+// Spread is three quantiles of a distribution, in milliseconds.
 type Spread struct {
 	P50 int64 `json:"p50"`
 	P90 int64 `json:"p90"`
 	P99 int64 `json:"p99"`
 }
 
-// Status asks all pools. It fails if one does not answer in a second.
+// Status returns a Report, for the status socket. It fails where a pool does not answer within a
+// second.
 func (m *Mirror) Status() (any, error) {
 	m.mu.Lock()
 	pools, sink := m.pools, m.sink
@@ -100,16 +99,43 @@
 	return r, nil
 }
 
+// status returns the pool's state. Only its goroutine calls it.
 func (p *pool) status(set settings.Pool) Status {
 	c := p.decider.Counts()
 	caps := set.Decider.Caps
-	s := Status{Pool: p.name, Share: set.Choice.Share, Classes: set.Choice.Classes, Tenants: set.Choice.Tenants,
-		Caps: Caps{PerSecond: caps.PerSecond, Out: caps.InFlight, PerHost: caps.InFlightPerHost, Waiting: caps.Waiting,
-			BodyBytes: caps.Bytes, Sockets: set.Sockets},
-		Hosts: c.Hosts, Health: "up", Level: c.PressureLevel.String(), Sampled: c.Sampled, Offered: c.Offered, Busy: p.busy.Load(),
-		Started: c.Started, Recorded: c.Recorded, Compared: c.Compared, Waiting: c.Waiting, Out: c.InFlight,
-		Pairing: c.Pairing, BodyBytes: c.Bytes, Dropped: c.Dropped, Ended: c.Ended, Incomparable: c.Incomparable,
-		Pressed: c.PressureSignals, HostFull: c.HostFull, Times: p.times.report()}
+	s := Status{
+		Pool:    p.name,
+		Share:   set.Choice.Share,
+		Classes: set.Choice.Classes,
+		Tenants: set.Choice.Tenants,
+		Caps: Caps{
+			PerSecond: caps.PerSecond,
+			Out:       caps.InFlight,
+			PerHost:   caps.InFlightPerHost,
+			Waiting:   caps.Waiting,
+			BodyBytes: caps.Bytes,
+			Sockets:   set.Sockets,
+		},
+		Hosts:        c.Hosts,
+		Health:       "up",
+		Level:        c.PressureLevel.String(),
+		Sampled:      c.Sampled,
+		Offered:      c.Offered,
+		Busy:         p.busy.Load(),
+		Started:      c.Started,
+		Recorded:     c.Recorded,
+		Compared:     c.Compared,
+		Waiting:      c.Waiting,
+		Out:          c.InFlight,
+		Pairing:      c.Pairing,
+		BodyBytes:    c.Bytes,
+		Dropped:      c.Dropped,
+		Ended:        c.Ended,
+		Incomparable: c.Incomparable,
+		Pressed:      c.PressureSignals,
+		HostFull:     c.HostFull,
+		Times:        p.times.report(),
+	}
 	switch {
 	case c.Hosts == 0:
 		s.Health = "no hosts"
@@ -119,45 +145,3 @@
 	}
 	return s
 }
-
-const (
-	maxLatencyMs = 10 * 60 * 1000 // of a histogram, in milliseconds
-	maxClasses   = 16             // with histograms of their own: the settings name the classes, but clients send the words
-	otherClass   = "other"
-)
-
-// latencies holds what comparable answers took, by class.
-type latencies struct {
-	classes map[string]*[4]*hdrhistogram.Histogram
-}
-
-func newTimes() *latencies { return &latencies{map[string]*[4]*hdrhistogram.Histogram{}} }
-
-func (t *latencies) add(class string, live, copied shadow.Answer) {
-	h := t.classes[class]
-	if h == nil && len(t.classes) >= maxClasses {
-		class = otherClass
-		h = t.classes[class]
-	}
-	if h == nil {
-		h = new([4]*hdrhistogram.Histogram)
-		for i := range h {
-			h[i] = hdrhistogram.New(1, maxLatencyMs, 2)
-		}
-		t.classes[class] = h
-	}
-	for i, d := range []time.Duration{live.FirstByte, copied.FirstByte, live.Total, copied.Total} {
-		h[i].RecordValue(min(max(d.Milliseconds(), 1), maxLatencyMs)) // within its range, it can't fail
-	}
-}
-
-func (t *latencies) report() map[string]Times {
-	r := map[string]Times{}
-	for class, h := range t.classes {
-		spread := func(i int) Spread {
-			return Spread{h[i].ValueAtQuantile(50), h[i].ValueAtQuantile(90), h[i].ValueAtQuantile(99)}
-		}
-		r[class] = Times{h[0].TotalCount(), spread(0), spread(1), spread(2), spread(3)}
-	}
-	return r
-}
