--- a/balance/assignment.go
+++ b/balance/assignment.go
@@ -15,8 +15,8 @@
 	minAssignees = 3
 )
 
-// updateAssignment assigns to each router replicas of its zone, alike on all routers: so few that it
-// hears of each often, keeps a connection to it and need not hear of the others.
+// updateAssignment assigns to each router replicas of its zone, alike on all routers: so few that
+// it hears of each often, keeps a connection to it and need not hear of the others.
 func (b *Balancer) updateAssignment() {
 	if !b.routers.Due(b.now) {
 		return
@@ -37,8 +37,8 @@
 	}
 }
 
-// assign sets the routers that a replica is assigned to. Prompts that were reported by routers which
-// are gone now are taken off in proportion.
+// assign sets the routers that a replica is assigned to. Prompts that were reported by routers
+// which are gone now are taken off in proportion.
 func (b *Balancer) assign(r *replica, assignees []int) {
 	before := len(r.liveAssignees)
 	removed := func(router int) bool { return b.routers.Dead(router, b.now) }
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -578,7 +578,8 @@
 	var all []sent
 	routers := routersWithSlowStart(t, 4)
 	startedAt := routers[0].now
-	// Each router sends 0.5 s of work a second to a warm replica, so one carries 2 s at least from all of them.
+	// Each router sends 0.5 s of work a second to a warm replica, so one carries 2 s at least from
+	// all of them.
 	capacity := 2.0
 	for _, g := range routers {
 		for g.now < startedAt+cfg.SlowStartWindow {
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -8,15 +8,16 @@
 	"time"
 )
 
-// BenchmarkRequestAtSixtyHosts is the module's cost of one request with its events, at 60 hosts of three zones and 80
-// routers; the others are at the size of the standing fleet test, and at a thousand of each, with peer reports and alone.
+// BenchmarkRequestAtSixtyHosts is the module's cost of one request with its events, at 60 hosts of
+// three zones and 80 routers; the others are at the size of the standing fleet test, and at a
+// thousand of each, with peer reports and alone.
 func BenchmarkRequestAtSixtyHosts(b *testing.B)          { benchmarkRequest(b, 60, 80) }
 func BenchmarkRequestAtAHundredHosts(b *testing.B)       { benchmarkRequest(b, 100, 300) }
 func BenchmarkRequestAtAThousandHosts(b *testing.B)      { benchmarkRequest(b, 1000, 1000) }
 func BenchmarkRequestAloneAtAThousandHosts(b *testing.B) { benchmarkRequest(b, 1000, 0) }
 
-// BenchmarkRequestOfTheRouterFleet is the cost in the router fleet, where each router uses all of the planned 810 hosts and hears three
-// prompts of others for each of its own.
+// BenchmarkRequestOfTheRouterFleet is the cost in the router fleet, where each router uses all of
+// the planned 810 hosts and hears three prompts of others for each of its own.
 func BenchmarkRequestOfTheRouterFleet(b *testing.B) {
 	benchmarkConfig(b, broadcasting(), 810)
 }
@@ -52,8 +53,8 @@
 
 var capacity = flag.Bool("capacity", false, "print lines of docs/measurements/capacity.csv")
 
-// TestMeasureCapacity prints the module's time for a request and its memory by the number of hosts, at the planned number of routers for
-// each host.
+// TestMeasureCapacity prints the module's time for a request and its memory by the number of hosts,
+// at the planned number of routers for each host.
 func TestMeasureCapacity(t *testing.T) {
 	if !*capacity {
 		t.Skip("a measurement; see docs/CAPACITY.md")
--- a/balance/config.go
+++ b/balance/config.go
@@ -22,8 +22,8 @@
 	// MaxAttempts bounds the attempts of a request, the first included. 0 counts as 1.
 	MaxAttempts int
 
-	// SlowStartMinCapacity is the fraction of its capacity that a replica has at its start, from 0 to
-	// 1. It rises evenly to 1 over SlowStartWindow.
+	// SlowStartMinCapacity is the fraction of its capacity that a replica has at its start, from 0
+	// to 1. It rises evenly to 1 over SlowStartWindow.
 	SlowStartMinCapacity float64
 	// SlowStartWindow is how long a replica is in slow start after its start, 0 for no slow start.
 	SlowStartWindow time.Duration
@@ -33,18 +33,20 @@
 	// OverloadWindow is the time over which OverloadFactor counts.
 	OverloadWindow time.Duration
 
-	// StepInterval is the least time between two calls of Step; timers are not set below it or 1 ms.
+	// StepInterval is the least time between two calls of Step; timers are not set below it or 1
+	// ms.
 	StepInterval time.Duration
-	// CrossZonePenalty is the fraction of the value lost if every request crosses zones once. A higher
-	// one keeps requests in their zone at the price of longer waits.
+	// CrossZonePenalty is the fraction of the value lost if every request crosses zones once. A
+	// higher one keeps requests in their zone at the price of longer waits.
 	CrossZonePenalty float64
 	// MaxRetryAfter bounds how long a rejection may tell a client to stay away, 0 for no advice.
 	MaxRetryAfter time.Duration
-	// SingleAffinityHost keeps each prefix on one replica, the same for all routers, as far as that has
-	// capacity: more cache hits, and less even load.
+	// SingleAffinityHost keeps each prefix on one replica, the same for all routers, as far as that
+	// has capacity: more cache hits, and less even load.
 	SingleAffinityHost bool
 
-	// RetryBudget is the budget that retries spend from once an attempt was delivered; nil for no bound.
+	// RetryBudget is the budget that retries spend from once an attempt was delivered; nil for no
+	// bound.
 	RetryBudget *retrybudget.Budget
 
 	// Routers is how many routers there are, this one included, if they may send reports to each
@@ -52,7 +54,8 @@
 	Routers int
 	// Self is this router's number among them, from 0.
 	Self int
-	// Broadcast says that this router's reports reach all others without numbers, and theirs reach it.
+	// Broadcast says that this router's reports reach all others without numbers, and theirs reach
+	// it.
 	Broadcast bool
 }
 
@@ -67,9 +70,9 @@
 	// DedupWindow is, for Keyed, how long they do so from the first attempt that may have executed.
 	DedupWindow time.Duration
 
-	// LatencyTarget is the target for the time to the first token if Streamed, else to the end of the
-	// answer. A request answered within it has its full value. 0 counts as one of a second where the
-	// targets of classes are compared.
+	// LatencyTarget is the target for the time to the first token if Streamed, else to the end of
+	// the answer. A request answered within it has its full value. 0 counts as one of a second
+	// where the targets of classes are compared.
 	LatencyTarget time.Duration
 	// LatencyTargetPer1000Tokens is added to LatencyTarget for each 1,000 tokens of the prompt.
 	LatencyTargetPer1000Tokens time.Duration
--- a/balance/estimate.go
+++ b/balance/estimate.go
@@ -33,9 +33,9 @@
 	peerStreamLifetime = 3.0
 )
 
-// estimatedCost returns the cost of q on r in seconds: the time to its first token, the streams that
-// slow down its decoding, and the price of crossing zones. With a single affinity host, leaving it
-// also costs that the prefix is computed once more and cached on two replicas.
+// estimatedCost returns the cost of q on r in seconds: the time to its first token, the streams
+// that slow down its decoding, and the price of crossing zones. With a single affinity host,
+// leaving it also costs that the prefix is computed once more and cached on two replicas.
 func (b *Balancer) estimatedCost(q *request, r *replica) float64 {
 	cost := b.timeToFirstToken(q, r)
 	streams := float64(r.inFlight) + r.peerStreams
@@ -195,6 +195,6 @@
 	r.latencyRatio.See(b.now, clampLatencyRatio(ratio), 2*learningRate)
 }
 
-// latencyRatioOf returns the observed over the expected time to a first token on r, which fades to 1.
-// Other routers' reports count the more, the older this router's own observations are.
+// latencyRatioOf returns the observed over the expected time to a first token on r, which fades to
+// 1. Other routers' reports count the more, the older this router's own observations are.
 func (b *Balancer) latencyRatioOf(r *replica) float64 { return r.latencyRatio.At(b.now) }
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -215,7 +215,8 @@
 				}
 			}
 		}
-		// The most in any window over what the settings allow at its end, but for prompts on their way.
+		// The most in any window over what the settings allow at its end, but for prompts on their
+		// way.
 		for i := range sent {
 			sum := 0.0
 			for j := i; j >= 0 && sent[i].at-sent[j].at < cfg.OverloadWindow; j-- {
--- a/balance/fuzz_test.go
+++ b/balance/fuzz_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// play feeds a sequence of events made from data, and checks rules 1 to 3 from outside. It returns all actions.
+// play feeds a sequence of events made from data, and checks rules 1 to 3 from outside. It returns
+// all actions.
 func play(t *testing.T, data []byte) []Action {
 	cfg := testConfig()
 	cfg.Classes[0].LateValueFraction = 0.5
--- a/balance/health.go
+++ b/balance/health.go
@@ -14,7 +14,8 @@
 	limitReduction = 0.7
 	// lateLimitFloor is the limit below which lateness alone reduces none: all may be late.
 	lateLimitFloor = 4.0
-	// limitRaiseUse is the fraction of a limit that must be in use for an answer in time to raise it.
+	// limitRaiseUse is the fraction of a limit that must be in use for an answer in time to raise
+	// it.
 	limitRaiseUse = 0.7
 	// minEjectionTime is the time of a first ejection. It doubles with each further failure, up to
 	// maxEjectionTime.
@@ -22,8 +23,8 @@
 	maxEjectionTime = 8 * time.Second
 )
 
-// hasCapacity reports whether this router may send r one more request. An ejected replica whose time
-// is over gets one request at a time, as a trial.
+// hasCapacity reports whether this router may send r one more request. An ejected replica whose
+// time is over gets one request at a time, as a trial.
 func (b *Balancer) hasCapacity(r *replica) bool {
 	if r.State != Serving {
 		return false
@@ -34,8 +35,8 @@
 	return float64(r.inFlight) < math.Floor(r.limit)
 }
 
-// adjustLimit raises the concurrency limit of a replica after an answer in time, and reduces it after
-// one that missed its latency target.
+// adjustLimit raises the concurrency limit of a replica after an answer in time, and reduces it
+// after one that missed its latency target.
 func (b *Balancer) adjustLimit(a *attempt) {
 	r := a.replica
 	switch {
--- a/balance/learned.go
+++ b/balance/learned.go
@@ -8,10 +8,10 @@
 	"reachspread/internal/decayed"
 )
 
-// Learned is what a router has learned of its replicas, so that another process can go on with it. A
-// router that starts before replicas which are all in slow start has no measure of what a warm one
-// can do, and without this sends them nothing until they are warm by their age. Its JSON form is
-// stored.
+// Learned is what a router has learned of its replicas, so that another process can go on with it.
+// A router that starts before replicas which are all in slow start has no measure of what a warm
+// one can do, and without this sends them nothing until they are warm by their age. Its JSON form
+// is stored.
 type Learned struct {
 	CompletedWork float64                `json:"Work"` // by a warm replica, decayed, in seconds
 	MeanWork      float64                // of a request, in seconds
@@ -73,8 +73,8 @@
 }
 
 // Restore restores what an earlier process of this router has learned, or another router, as far as
-// nothing better is known yet. What is out of bounds is ignored. Of replicas that are not listed yet
-// it is kept for RestoreReplicas.
+// nothing better is known yet. What is out of bounds is ignored. Of replicas that are not listed
+// yet it is kept for RestoreReplicas.
 func (b *Balancer) Restore(learned Learned) {
 	if inBounds(learned.CompletedWork) && inBounds(learned.MeanWork) && b.completedWork == 0 {
 		b.completedWork = learned.CompletedWork
@@ -112,8 +112,8 @@
 	return seconds > 0 && seconds <= maxRestoredSeconds && !math.IsNaN(seconds)
 }
 
-// RestoreReplicas restores what Restore was given of replicas that are listed by now, if they have not
-// started since. The caller calls it after a Step.
+// RestoreReplicas restores what Restore was given of replicas that are listed by now, if they have
+// not started since. The caller calls it after a Step.
 func (b *Balancer) RestoreReplicas() {
 	if len(b.restored) == 0 {
 		return
--- a/balance/peerreports.go
+++ b/balance/peerreports.go
@@ -30,10 +30,10 @@
 	}
 }
 
-// reportPrompt reports the prompt of an attempt to the routers that share its replica. Small prompts
-// are reported now and then, at the size of the smallest that always are, so that the sum is right.
-// Each prompt to a replica in slow start is reported, and also to routers that seem to be gone: a
-// liveness view may be wrong, and budget that is spent unreported is spent twice.
+// reportPrompt reports the prompt of an attempt to the routers that share its replica. Small
+// prompts are reported now and then, at the size of the smallest that always are, so that the sum
+// is right. Each prompt to a replica in slow start is reported, and also to routers that seem to be
+// gone: a liveness view may be wrong, and budget that is spent unreported is spent twice.
 func (b *Balancer) reportPrompt(a *attempt) {
 	r := a.replica
 	tokens := a.prefillTokens
--- a/balance/queue.go
+++ b/balance/queue.go
@@ -145,16 +145,16 @@
 	return end
 }
 
-// missesTarget reports whether q, with so many seconds until its first token, would miss its latency
-// target and so lose all of its value. That counts only where q may be rejected instead.
+// missesTarget reports whether q, with so many seconds until its first token, would miss its
+// latency target and so lose all of its value. That counts only where q may be rejected instead.
 func (b *Balancer) missesTarget(q *request, wait float64) bool {
 	left := (q.arrivedAt + q.latencyTarget - b.now).Seconds()
 	return q.class.LateValueFraction == 0 && q.mayReject() && q.inFlight == 0 && wait > targetFraction*left
 }
 
-// yieldsToHigherValue reports whether q, with so many seconds until its first token, would take much
-// of the time that a class of higher value has. Without it, patient requests of low value would fill
-// the replicas' queues and be first wherever capacity becomes free.
+// yieldsToHigherValue reports whether q, with so many seconds until its first token, would take
+// much of the time that a class of higher value has. Without it, patient requests of low value
+// would fill the replicas' queues and be first wherever capacity becomes free.
 func (b *Balancer) yieldsToHigherValue(q *request, wait float64) bool {
 	waited, target := float64(b.now-q.arrivedAt), float64(max(q.latencyTarget, 1))
 	fraction := yieldFraction + yieldFractionGrowth*waited/target
@@ -173,8 +173,8 @@
 	b.closeRequest(q)
 }
 
-// retryAfter returns how long a rejected client should wait before it comes back: queues are shorter
-// then, and its latency target is still in reach.
+// retryAfter returns how long a rejected client should wait before it comes back: queues are
+// shorter then, and its latency target is still in reach.
 func (b *Balancer) retryAfter(q *request) time.Duration {
 	left := q.arrivedAt + q.latencyTarget - b.now
 	advice := max(time.Duration(retryAfterFraction*float64(left)), minRetryAfter)
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -25,8 +25,8 @@
 	return q.class.MaxExecutions == 0 || executions < q.class.MaxExecutions
 }
 
-// mayReject reports whether q may be answered by a rejection, which promises the client that sending
-// it again does no harm: nothing has executed, or all replicas treat a duplicate as one.
+// mayReject reports whether q may be answered by a rejection, which promises the client that
+// sending it again does no harm: nothing has executed, or all replicas treat a duplicate as one.
 func (q *request) mayReject() bool {
 	if q.class.Effect == Safe || q.firstExecution() == nil {
 		return true
@@ -34,8 +34,8 @@
 	return q.class.Effect == Keyed && q.class.DedupScope == ScopeAll
 }
 
-// mayAttempt reports whether q may be sent to r. No replica gets a request twice. Once an attempt may
-// have executed, further ones go only where a duplicate is discarded.
+// mayAttempt reports whether q may be sent to r. No replica gets a request twice. Once an attempt
+// may have executed, further ones go only where a duplicate is discarded.
 func (b *Balancer) mayAttempt(q *request, r *replica) bool {
 	if q.RequiredFeature != "" && !slices.Contains(r.Features, q.RequiredFeature) {
 		return false
@@ -59,8 +59,8 @@
 	return true
 }
 
-// takeRetry reports whether q may be retried, by the number of its attempts and the retry budget. It
-// spends from the budget unless no attempt has been delivered yet.
+// takeRetry reports whether q may be retried, by the number of its attempts and the retry budget.
+// It spends from the budget unless no attempt has been delivered yet.
 func (b *Balancer) takeRetry(q *request) bool {
 	if len(q.attempts) >= b.cfg.MaxAttempts || !q.mayExecuteAgain() {
 		return false
--- a/balance/size_test.go
+++ b/balance/size_test.go
@@ -20,7 +20,8 @@
 	maxFunctionLines = 60
 )
 
-// undecided are the files that hold the interface, the state and what is read of it; they decide nothing.
+// undecided are the files that hold the interface, the state and what is read of it; they decide
+// nothing.
 var undecided = []string{"config.go", "learned.go", "state.go", "status.go", "tags.go", "types.go"}
 
 // policy returns the paths of the files that the deployment says decide.
@@ -77,7 +78,8 @@
 	}
 }
 
-// TestEveryDecisionIsListed: a file of this package is on the policy list, or is one of the few that decide nothing.
+// TestEveryDecisionIsListed: a file of this package is on the policy list, or is one of the few
+// that decide nothing.
 func TestEveryDecisionIsListed(t *testing.T) {
 	listed := policy(t)
 	files, err := filepath.Glob("*.go")
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -26,7 +26,8 @@
 	sharedBudgetFactor = 1.3
 )
 
-// beginSlowStart treats r as started at a time: its prefix cache is empty, and it gets few requests.
+// beginSlowStart treats r as started at a time: its prefix cache is empty, and it gets few
+// requests.
 func (b *Balancer) beginSlowStart(r *replica, startedAt time.Duration) {
 	r.warmingUp = true
 	r.startedAt = startedAt
@@ -39,8 +40,8 @@
 	b.warmCountValid = false
 }
 
-// countWarmReplicas counts the replicas that serve at full capacity, if the number may have changed.
-// A replica that is warming up changes it by time alone.
+// countWarmReplicas counts the replicas that serve at full capacity, if the number may have
+// changed. A replica that is warming up changes it by time alone.
 func (b *Balancer) countWarmReplicas() {
 	if b.warmCountValid {
 		return
@@ -91,8 +92,8 @@
 }
 
 // mayBootstrap reports whether it is this router's turn to try r while no replica was seen at work.
-// One request in each overload window, by turns of the routers that share r, can't overload it; what
-// comes of it is the measure of further ones.
+// One request in each overload window, by turns of the routers that share r, can't overload it;
+// what comes of it is the measure of further ones.
 func (b *Balancer) mayBootstrap(r *replica) bool {
 	window := max(b.cfg.OverloadWindow, time.Second)
 	turn := slices.Index(r.liveAssignees, b.cfg.Self)
--- a/balance/status.go
+++ b/balance/status.go
@@ -2,7 +2,8 @@
 
 // What a caller may ask of a Balancer between two Steps.
 
-// OutOfRotation returns how many listed replicas get nothing new now, as they are draining or ejected.
+// OutOfRotation returns how many listed replicas get nothing new now, as they are draining or
+// ejected.
 func (b *Balancer) OutOfRotation() int {
 	count := 0
 	for _, r := range b.sorted {
--- a/balance/types.go
+++ b/balance/types.go
@@ -127,7 +127,8 @@
 // Aborted says that nobody waits for a request any more.
 type Aborted struct{ ID string }
 
-// TimerExpired says that the time of SetTimer has passed. Tokens other than the last one are ignored.
+// TimerExpired says that the time of SetTimer has passed. Tokens other than the last one are
+// ignored.
 type TimerExpired struct{ Token int64 }
 
 // ProbeResult is the result of a Probe.
@@ -200,8 +201,8 @@
 // Probe asks a replica for its load. It owes one ProbeResult.
 type Probe struct{ Replica string }
 
-// SendReports sends a message of reports to other routers. It may arrive late, out of order, twice or
-// never.
+// SendReports sends a message of reports to other routers. It may arrive late, out of order, twice
+// or never.
 type SendReports struct {
 	To      []int // their numbers; empty with Config.Broadcast, for all routers
 	Zone    uint8 // tag of this router's zone
--- a/internal/admission/clienttable.go
+++ b/internal/admission/clienttable.go
@@ -29,8 +29,8 @@
 	in         bool
 }
 
-// list is an intrusive list: its elements have their own links, so that it allocates nothing. Of returns
-// the links of an element in this list.
+// list is an intrusive list: its elements have their own links, so that it allocates nothing. Of
+// returns the links of an element in this list.
 type list[T any] struct {
 	of         func(*T) *links[T]
 	head, tail *T
@@ -70,12 +70,14 @@
 	l.n--
 }
 
+// The links of elements in the lists that they may be in.
 func connIdleLinks(c *conn) *links[conn]         { return &c.idleLinks }
 func connTimeoutLinks(c *conn) *links[conn]      { return &c.timeoutLinks }
 func clientRankLinks(h *client) *links[client]   { return &h.rankLinks }
 func clientUnusedLinks(h *client) *links[client] { return &h.unusedLinks }
 
-// ranking orders clients by how many idle connections they have, so that the largest is found at once.
+// ranking orders clients by how many idle connections they have, so that the largest is found at
+// once.
 type ranking struct {
 	buckets []list[client]
 	largest int // no bucket above has a client
@@ -112,9 +114,9 @@
 	return r.buckets[r.largest].head
 }
 
-// clientTable has the addresses and networks: all with a connection, and of the others the last ones
-// seen, known and unknown ones each with a bound of its own, so that no crowd of unknown clients evicts a
-// known one.
+// clientTable has the addresses and networks: all with a connection, and of the others the last
+// ones seen, known and unknown ones each with a bound of its own, so that no crowd of unknown
+// clients evicts a known one.
 type clientTable struct {
 	clients   map[netip.Prefix]*client
 	unused    [2]list[client] // unknown and known; see index
@@ -152,8 +154,8 @@
 	return h
 }
 
-// release remembers a client without a connection as unused, and forgets the one that is unused for longest
-// if there are too many.
+// release remembers a client without a connection as unused, and forgets the one that is unused for
+// longest if there are too many.
 func (t *clientTable) release(h *client) {
 	if h.conns > 0 || h.inUse || h.unusedLinks.in || t.clients[h.key] != h {
 		return
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -10,11 +10,11 @@
 const (
 	// trustTime is how long an address of a known client counts as one of known clients.
 	trustTime = 10 * time.Minute
-	// shortageTime is how long a lack of descriptors keeps the level at Critical, and further ones are not
-	// counted.
+	// shortageTime is how long a lack of descriptors keeps the level at Critical, and further ones
+	// are not counted.
 	shortageTime = time.Second
-	// minEvictionAge is how long a connection must be idle before it may be evicted: its request may have
-	// come already, and only the caller is late.
+	// minEvictionAge is how long a connection must be idle before it may be evicted: its request
+	// may have come already, and only the caller is late.
 	minEvictionAge = 5 * time.Millisecond
 )
 
@@ -78,8 +78,8 @@
 	return d
 }
 
-// applyConfig puts a configuration in force. Identities that are not known any more stay while they have
-// connections.
+// applyConfig puts a configuration in force. Identities that are not known any more stay while they
+// have connections.
 func (d *Controller) applyConfig(c Config) {
 	d.config, d.table.maxUnused = c, max(c.RememberedAddresses, 1)
 	d.config.Prefixes = c.Prefixes.withDefaults()
@@ -230,8 +230,8 @@
 	return c != nil && d.now-c.since >= minEvictionAge
 }
 
-// evictionCandidate returns the connection to be evicted next, of the unknown (0) or the known clients (1);
-// nil if none is idle.
+// evictionCandidate returns the connection to be evicted next, of the unknown (0) or the known
+// clients (1); nil if none is idle.
 func (d *Controller) evictionCandidate(among int) *conn {
 	if !d.config.EvictFromLargest && among == 0 {
 		var oldest *conn
@@ -252,8 +252,8 @@
 	return nil
 }
 
-// evictOne evicts an idle connection of the unknown (0) or the known clients (1), and reports whether there
-// was one.
+// evictOne evicts an idle connection of the unknown (0) or the known clients (1), and reports
+// whether there was one.
 func (d *Controller) evictOne(among int) bool {
 	c := d.evictionCandidate(among)
 	if c == nil {
@@ -263,7 +263,8 @@
 	return true
 }
 
-// evict closes an idle connection. It does not count any more: the caller closes it before anything else.
+// evict closes an idle connection. It does not count any more: the caller closes it before anything
+// else.
 func (d *Controller) evict(c *conn, cause Cause) {
 	d.counts.Closed[cause]++
 	d.emit(Action{Kind: Evict, Conn: c.id, Cause: cause})
@@ -309,8 +310,8 @@
 	}
 }
 
-// handleRequest serves or rejects a request that was read. A known identity makes its connection one of a
-// known client.
+// handleRequest serves or rejects a request that was read. A known identity makes its connection
+// one of a known client.
 func (d *Controller) handleRequest(c *conn, identity string) {
 	if c.requestOpen || c.rejected || c.evicted {
 		return
@@ -376,7 +377,8 @@
 	d.emitRejection(c.id, code, cause)
 }
 
-// emitRejection rejects a request. Its advice is spread, so that rejected clients don't come back at once.
+// emitRejection rejects a request. Its advice is spread, so that rejected clients don't come back
+// at once.
 func (d *Controller) emitRejection(conn int32, code int, cause Cause) {
 	d.counts.Rejected[cause]++
 	d.emit(Action{Kind: Reject, Conn: conn, Code: code, Cause: cause, RetryAfter: d.config.MinRetryAfter + time.Duration(d.rng.Float64()*float64(d.config.MinRetryAfter))})
@@ -401,8 +403,8 @@
 	}
 }
 
-// expireAll expires all connections that are idle for so long, of known clients as well. One whose request
-// has begun has its own timeout.
+// expireAll expires all connections that are idle for so long, of known clients as well. One whose
+// request has begun has its own timeout.
 func (d *Controller) expireAll(idleTime time.Duration) {
 	for _, c := range d.conns {
 		if c.state != unusedConn && !c.requestOpen && !c.requestBegun && !c.requestReady && !c.rejected && !c.evicted && d.now-c.since >= idleTime {
@@ -429,7 +431,8 @@
 	}
 }
 
-// expireIdle expires the connections of unknown clients that were idle, or sending a request, for too long.
+// expireIdle expires the connections of unknown clients that were idle, or sending a request, for
+// too long.
 func (d *Controller) expireIdle() {
 	for i, timeout := range [2]time.Duration{d.config.IdleTimeout[d.level], d.config.RequestTimeout[d.level]} {
 		l := &d.timeouts[i]
@@ -455,12 +458,14 @@
 // Level returns the level.
 func (d *Controller) Level() Level { return d.level }
 
-// UsedFraction returns the fraction of MaxConnections that is in use; with lent ones it may be above 1.
+// UsedFraction returns the fraction of MaxConnections that is in use; with lent ones it may be
+// above 1.
 func (d *Controller) UsedFraction() float64 {
 	return float64(d.total()) / float64(max(d.config.MaxConnections, 1))
 }
 
-// LargestClients returns the addresses and identities with the most connections. It looks at all of them.
+// LargestClients returns the addresses and identities with the most connections. It looks at all of
+// them.
 func (d *Controller) LargestClients(limit int) []ClientUsage {
 	var all []ClientUsage
 	for key, h := range d.table.clients {
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -232,8 +232,8 @@
 	})
 }
 
-// A flood of silent connections from one address makes room for others, and a known client walks through it into the
-// reserve, even when all places of the unknown are busy.
+// A flood of silent connections from one address makes room for others, and a known client walks
+// through it into the reserve, even when all places of the unknown are busy.
 func TestKnownClientsAreAdmittedInAFlood(t *testing.T) {
 	d := New(config(), 1)
 	now := time.Second
@@ -296,8 +296,8 @@
 	}
 }
 
-// A known client whose request is there as it connects is let in past its own address's bounds; one that is not known
-// is answered without a place, and with the word that fits.
+// A known client whose request is there as it connects is let in past its own address's bounds; one
+// that is not known is answered without a place, and with the word that fits.
 func TestRequestReadBeforeAdmission(t *testing.T) {
 	c := config()
 	c.PerAddress = ClientLimit{Connections: 1, OpenRequests: 1, ConnectionsPerSecond: 4}
@@ -368,7 +368,8 @@
 	}
 }
 
-// Who is silent and who sends too slowly has a bound of its own at each level; who waits for an answer has none.
+// Who is silent and who sends too slowly has a bound of its own at each level; who waits for an
+// answer has none.
 func TestTimeoutsByLevel(t *testing.T) {
 	c := config()
 	c.MaxConnections, c.ReservedForKnown = 20, 0
@@ -400,8 +401,8 @@
 	}
 }
 
-// Bounds lowered below what is in use: silent ones go at once, the reserve opens as the rest is answered, and nobody is
-// let in before.
+// Bounds lowered below what is in use: silent ones go at once, the reserve opens as the rest is
+// answered, and nobody is let in before.
 func TestLoweredLimits(t *testing.T) {
 	c := config()
 	c.MaxConnections, c.ReservedForKnown = 10, 0
@@ -469,7 +470,8 @@
 	}
 }
 
-// BenchmarkStep is a flood of silent connections from 4,096 addresses at a full house, three events a connection.
+// BenchmarkStep is a flood of silent connections from 4,096 addresses at a full house, three events
+// a connection.
 func BenchmarkStep(b *testing.B) {
 	c := config()
 	c.MaxConnections, c.MaxOverflow, c.RememberedAddresses = 500, 16, 4096
--- a/internal/admission/descriptors.go
+++ b/internal/admission/descriptors.go
@@ -3,8 +3,9 @@
 // Owner is a part of the process that uses descriptors. The names are those of the status.
 type Owner string
 
-// The owners. Clients have their connections and the overflow, servers as many connections as clients. What
-// mirrored requests don't use is lent to known clients, and none starts before it is returned.
+// The owners. Clients have their connections and the overflow, servers as many connections as
+// clients. What mirrored requests don't use is lent to known clients, and none starts before it is
+// returned.
 const (
 	Listeners       Owner = "listeners" // with the descriptor in reserve
 	KnownClients    Owner = "known clients"
--- a/internal/admission/newconn.go
+++ b/internal/admission/newconn.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// nextArrival returns when the next connection of a client would be due after this one, and whether this
-// one conforms to the rate: the generic cell rate algorithm of ATM Forum TM 4.0, a leaky bucket kept as
-// one time. A library's limiter would cost an allocation and a lock for each client.
+// nextArrival returns when the next connection of a client would be due after this one, and whether
+// this one conforms to the rate: the generic cell rate algorithm of ATM Forum TM 4.0, a leaky
+// bucket kept as one time. A library's limiter would cost an allocation and a lock for each client.
 func (d *Controller) nextArrival(h *client, perSecond float64) (time.Duration, bool) {
 	if perSecond <= 0 {
 		return h.nextArrivalAt, true
@@ -23,8 +23,9 @@
 	return d.total() >= d.config.MaxConnections || d.unknown >= d.config.MaxConnections-d.config.ReservedForKnown
 }
 
-// mustRetryLater reports whether no connection is free and none, of the overflow neither, was idle for long
-// enough to be evicted. That passes in moments: idle ones grow older, and the overflow is answered at once.
+// mustRetryLater reports whether no connection is free and none, of the overflow neither, was idle
+// for long enough to be evicted. That passes in moments: idle ones grow older, and the overflow is
+// answered at once.
 func (d *Controller) mustRetryLater() bool {
 	switch {
 	case !d.isFull() || d.mayEvict(0):
@@ -35,7 +36,8 @@
 	return d.overflows >= d.config.MaxOverflow && !d.mayEvictOverflow()
 }
 
-// mayEvictOverflow reports whether a connection of the overflow was idle for long enough to be evicted.
+// mayEvictOverflow reports whether a connection of the overflow was idle for long enough to be
+// evicted.
 func (d *Controller) mayEvictOverflow() bool {
 	return d.idleOverflow.head != nil && d.now-d.idleOverflow.head.since >= minEvictionAge
 }
@@ -63,8 +65,8 @@
 	d.table.release(n)
 }
 
-// admitIdentity admits a known client whose request was read already. Limits on addresses are not for it:
-// others may flood from the same address.
+// admitIdentity admits a known client whose request was read already. Limits on addresses are not
+// for it: others may flood from the same address.
 func (d *Controller) admitIdentity(e *Event, a, n, h *client) {
 	if code, cause := d.identityFits(h, true); code != 0 {
 		d.emitRejection(NoConnection, code, cause)
@@ -78,8 +80,8 @@
 // trustAddress treats an address as one of known clients for a while.
 func (d *Controller) trustAddress(a *client) { a.trustedUntil, a.known = d.now+trustTime, true }
 
-// identityFits checks whether a known client may have one more connection, and evicts another one if need
-// be. It returns the code of a rejection, 0 for none.
+// identityFits checks whether a known client may have one more connection, and evicts another one
+// if need be. It returns the code of a rejection, 0 for none.
 func (d *Controller) identityFits(h *client, needs bool) (code int, cause Cause) {
 	due, ok := d.nextArrival(h, d.config.PerIdentity.ConnectionsPerSecond)
 	switch {
@@ -149,9 +151,9 @@
 	d.emit(Action{Kind: Drop, Cause: cause})
 }
 
-// deny does not admit a connection. A request that was read is rejected; without one the connection goes to
-// the overflow until it has a request, unless its client came too often. If the overflow is full, the one
-// there that is idle for longest is evicted.
+// deny does not admit a connection. A request that was read is rejected; without one the connection
+// goes to the overflow until it has a request, unless its client came too often. If the overflow is
+// full, the one there that is idle for longest is evicted.
 func (d *Controller) deny(e *Event, a, n *client, code int, cause Cause) {
 	switch {
 	case e.ClientLeft:
--- a/internal/admission/types.go
+++ b/internal/admission/types.go
@@ -21,23 +21,23 @@
 	"time"
 )
 
-// ClientLimit bounds what one client may have: an address, a network or an identity. A field that is 0
-// is no bound.
+// ClientLimit bounds what one client may have: an address, a network or an identity. A field that
+// is 0 is no bound.
 type ClientLimit struct {
 	Connections          int
 	OpenRequests         int
 	ConnectionsPerSecond float64 // new ones; as many may come at once
 }
 
-// Config is the configuration of a Controller. Its zero value, except for MaxConnections, admits as many
-// connections as that.
+// Config is the configuration of a Controller. Its zero value, except for MaxConnections, admits as
+// many connections as that.
 type Config struct {
 	// MaxConnections is how many client connections may be served.
 	MaxConnections int
 	// ReservedForKnown is how many of these only known clients may use.
 	ReservedForKnown int
-	// MaxOverflow is how many connections beyond MaxConnections may be open only to have their first
-	// request read and rejected, or served if its identity is known.
+	// MaxOverflow is how many connections beyond MaxConnections may be open only to have their
+	// first request read and rejected, or served if its identity is known.
 	MaxOverflow int
 
 	// PerAddress bounds an address that is not known, PerNetwork all unknown ones of one network,
@@ -54,17 +54,18 @@
 	// KnownIdentities are the known clients, nil for none.
 	KnownIdentities map[string]bool
 
-	// RememberedAddresses is how many addresses without a connection are remembered, known and unknown
-	// ones each. Fewer need less memory, and let clients that were forgotten come more often.
+	// RememberedAddresses is how many addresses without a connection are remembered, known and
+	// unknown ones each. Fewer need less memory, and let clients that were forgotten come more
+	// often.
 	RememberedAddresses int
-	// IdleTimeout, RequestTimeout and WriteTimeout bound, by level, how long an unknown client may have
-	// an idle connection, take for a request that has begun, and take to read what one write sent. The
-	// caller enforces the last one. 0 is no bound.
+	// IdleTimeout, RequestTimeout and WriteTimeout bound, by level, how long an unknown client may
+	// have an idle connection, take for a request that has begun, and take to read what one write
+	// sent. The caller enforces the last one. 0 is no bound.
 	IdleTimeout    [3]time.Duration
 	RequestTimeout [3]time.Duration
 	WriteTimeout   [3]time.Duration
-	// EvictFromLargest evicts an idle connection of the client that has the most of them; otherwise the
-	// one that is idle for longest is evicted.
+	// EvictFromLargest evicts an idle connection of the client that has the most of them; otherwise
+	// the one that is idle for longest is evicted.
 	EvictFromLargest bool
 	// CloseAfterAnswer ends an unknown client's connection with its answer at Critical.
 	CloseAfterAnswer bool
@@ -72,15 +73,16 @@
 	MinRetryAfter time.Duration
 }
 
-// PrefixLengths are the lengths, in bits, of the prefixes that count as one address and as one network. A
-// field that is 0 has its default: an IPv4 address and /24, an IPv6 /64 and /48. A network's must be
-// shorter than an address's.
+// PrefixLengths are the lengths, in bits, of the prefixes that count as one address and as one
+// network. A field that is 0 has its default: an IPv4 address and /24, an IPv6 /64 and /48. A
+// network's must be shorter than an address's.
 type PrefixLengths struct{ Address4, Network4, Address6, Network6 int }
 
 // Level says how scarce connections are.
 type Level int
 
-// The levels. Each begins at a fraction of the connections in use, and ends at a lower one; see levels.
+// The levels. Each begins at a fraction of the connections in use, and ends at a lower one; see
+// levels.
 const (
 	Calm Level = iota
 	Tight
@@ -121,7 +123,7 @@
 
 // The kinds of events, with the fields that they need.
 const (
-	Opened             EventKind = iota // Addr: a connection was accepted from it; HeadComplete, RequestComplete, Identity, ClientLeft: what was read by then
+	Opened             EventKind = iota // Addr: a connection was accepted; HeadComplete to ClientLeft: what was read by then
 	RequestBegan                        // Conn: the first byte of its next request came
 	RequestRead                         // Conn, Identity (empty for none): a request was read to its end
 	RequestDone                         // Conn: its request has its final answer
--- a/internal/assignment/assignment.go
+++ b/internal/assignment/assignment.go
@@ -1,8 +1,9 @@
-// Package assignment assigns items, such as servers, to the members of a numbered group that live in the
-// same zone. It is the same wherever it is worked out: each member has so many of its zone's items, by
-// rendezvous hashing of its number and the item, so that each knows which others have an item. A member
-// learns others' zones from them, and which members live from its own view, which may be late or wrong
-// (package liveness). The package is pure: its user says what time it is, which must not go back.
+// Package assignment assigns items, such as servers, to the members of a numbered group that live
+// in the same zone. It is the same wherever it is worked out: each member has so many of its zone's
+// items, by rendezvous hashing of its number and the item, so that each knows which others have an
+// item. A member learns others' zones from them, and which members live from its own view, which
+// may be late or wrong (package liveness). The package is pure: its user says what time it is,
+// which must not go back.
 package assignment
 
 import (
@@ -18,8 +19,8 @@
 // unknownZone is the zone of a member that was not heard of yet.
 const unknownZone = -1
 
-// Group is the members by their numbers, as one of them sees them. In a group of none the one is alone, and
-// has all items.
+// Group is the members by their numbers, as one of them sees them. In a group of none the one is
+// alone, and has all items.
 type Group struct {
 	self  int
 	zones []int
@@ -36,8 +37,8 @@
 	Zone   uint8
 }
 
-// New returns a group of n members, self among them. A view counts after it has held for so long; until the
-// first one all members live.
+// New returns a group of n members, self among them. A view counts after it has held for so long;
+// until the first one all members live.
 func New(n, self int, zone uint8, stableFor time.Duration) *Group {
 	g := &Group{self: self, zones: slices.Repeat([]int{unknownZone}, n), Tracker: liveness.New(n, stableFor)}
 	if self >= 0 && self < n {
@@ -71,8 +72,8 @@
 	return true
 }
 
-// SetLive sets which members live. A version that is not newer than the last is ignored, and so are numbers
-// that the group does not have.
+// SetLive sets which members live. A version that is not newer than the last is ignored, and so are
+// numbers that the group does not have.
 func (g *Group) SetLive(version uint64, live []Peer, now time.Duration) {
 	var numbers []int
 	for _, p := range live {
@@ -89,10 +90,11 @@
 // Due reports whether assignments may have changed since the last Assign.
 func (g *Group) Due(now time.Duration) bool { return now >= g.dueAt }
 
-// Assign returns the members that have each of the items, in rising order, whether they live or not. Each
-// member has perMember items of its zone. A member whose zone has none has a part of all, and one that was
-// never heard of has none. Items of equal names are taken in their order. The work of members times items
-// is done again only after items, zones or perMember have changed; the caller must not change the result.
+// Assign returns the members that have each of the items, in rising order, whether they live or
+// not. Each member has perMember items of its zone. A member whose zone has none has a part of all,
+// and one that was never heard of has none. Items of equal names are taken in their order. The work
+// of members times items is done again only after items, zones or perMember have changed; the
+// caller must not change the result.
 func Assign[T any](g *Group, now time.Duration, items []T, perMember int, of func(T) (name uint64, zone uint8)) [][]int {
 	g.dueAt = cmp.Or(g.Next(now), math.MaxInt64)
 	if g.assigned != nil && g.perMember == perMember {
--- a/internal/assignment/assignment_test.go
+++ b/internal/assignment/assignment_test.go
@@ -19,8 +19,8 @@
 
 func of(h host) (uint64, uint8) { return h.name, h.zone }
 
-// Whoever deals: members that know the same deal alike, each who lives has n of its zone's, or of all where its zone has none, and a thing
-// that goes moves nothing but its own place in each share.
+// Whoever deals: members that know the same deal alike, each who lives has n of its zone's, or of
+// all where its zone has none, and a thing that goes moves nothing but its own place in each share.
 func TestAssignmentIsTheSameForAllMembers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members, n := rapid.IntRange(1, 20).Draw(t, "members"), rapid.IntRange(1, 9).Draw(t, "share")
--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -1,10 +1,10 @@
-// Package outlier detects servers that several routers saw fail, so that all of them avoid it for a while.
-// It is pure: its user brings the failures, its own and those that others report, and the time, which must
-// not go back.
+// Package outlier detects servers that several routers saw fail, so that all of them avoid it for a
+// while. It is pure: its user brings the failures, its own and those that others report, and the
+// time, which must not go back.
 //
-// One witness is not enough, as its own path to the server may be at fault. If two see a failure within a
-// short time, the server is ejected for a time that doubles with each ejection soon after the one before.
-// After it the server is used again, until the next two failures.
+// One witness is not enough, as its own path to the server may be at fault. If two see a failure
+// within a short time, the server is ejected for a time that doubles with each ejection soon after
+// the one before. After it the server is used again, until the next two failures.
 package outlier
 
 import (
@@ -59,9 +59,9 @@
 // Ejected reports whether the server is ejected at a time.
 func (s *State) Ejected(now time.Duration) bool { return s.everEjected && now < s.ejectedUntil }
 
-// WithoutEjected returns the servers that are not ejected. Of many that are, only some are left out, those
-// with the longest ejection first, as they failed again and again: the others could not bear the load of
-// all, and would be ejected in turn.
+// WithoutEjected returns the servers that are not ejected. Of many that are, only some are left
+// out, those with the longest ejection first, as they failed again and again: the others could not
+// bear the load of all, and would be ejected in turn.
 func WithoutEjected[S any](all []S, of func(S) *State, now time.Duration) []S {
 	ejected := slices.DeleteFunc(slices.Clone(all), func(s S) bool { return !of(s).Ejected(now) })
 	if len(ejected) == 0 {
--- a/internal/protocol/answer.go
+++ b/internal/protocol/answer.go
@@ -13,8 +13,8 @@
 	CachedTokens     int    // cached_tokens, -1 if not given
 }
 
-// ReadAnswer joins the events of a stream, or of the retained part of one. Lines that it can't read are
-// skipped.
+// ReadAnswer joins the events of a stream, or of the retained part of one. Lines that it can't read
+// are skipped.
 func ReadAnswer(stream []byte) Answer {
 	a := Answer{CompletionTokens: -1, CachedTokens: -1}
 	var text bytes.Buffer
--- a/internal/protocol/chunks.go
+++ b/internal/protocol/chunks.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// ChunkParser parses a chunked body as its bytes come, split anywhere. Its zero value is at the body's
-// start. Its JSON form is all that another process needs to go on from there.
+// ChunkParser parses a chunked body as its bytes come, split anywhere. Its zero value is at the
+// body's start. Its JSON form is all that another process needs to go on from there.
 type ChunkParser struct {
 	At         ChunkState `json:"at"`
 	Remaining  uint64     `json:"left"` // of the chunk's data; while its size is read, the size so far
@@ -32,8 +32,8 @@
 // errChunk says that the framing of a chunked body is malformed.
 var errChunk = errors.New("malformed chunk")
 
-// Feed parses the next bytes and calls data with each run of chunk data in them. It returns how many of the
-// bytes belong to the body: fewer than there are once it is complete.
+// Feed parses the next bytes and calls data with each run of chunk data in them. It returns how
+// many of the bytes belong to the body: fewer than there are once it is complete.
 func (c *ChunkParser) Feed(p []byte, data func(chunk []byte)) (used int, err error) {
 	for used < len(p) && c.At != AtComplete {
 		if c.At == AtData {
--- a/internal/protocol/chunks_test.go
+++ b/internal/protocol/chunks_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// However a chunked body is cut, and wherever another process goes on with it, its data come out as they went in, and its
-// end is found to the byte.
+// However a chunked body is cut, and wherever another process goes on with it, its data come out as
+// they went in, and its end is found to the byte.
 func TestChunksSplitAnywhere(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var body, want []byte
--- a/internal/protocol/dialect.go
+++ b/internal/protocol/dialect.go
@@ -12,18 +12,18 @@
 // HeaderReader returns the value of a header, empty if it is not there.
 type HeaderReader func(name string) string
 
-// Dialect is the protocol of the servers of one deployment. There are two: Completions, that of the router
-// in service, and Fleet. An implementation is pure and safe for concurrent use.
+// Dialect is the protocol of the servers of one deployment. There are two: Completions, that of the
+// router in service, and Fleet. An implementation is pure and safe for concurrent use.
 type Dialect interface {
 	// TimeLeft returns the header that says how long the client still waits.
 	TimeLeft(left time.Duration) Field
 	// RequestID returns the name of the header with the ID of a request.
 	RequestID() string
-	// Expects returns the header that names the only server that may execute a request; ok is false if
-	// there is none.
+	// Expects returns the header that names the only server that may execute a request; ok is false
+	// if there is none.
 	Expects(server string) (f Field, ok bool)
-	// AnswersOther reports whether an answer is not to the request with the ID, but a surplus one to an
-	// earlier request.
+	// AnswersOther reports whether an answer is not to the request with the ID, but a surplus one
+	// to an earlier request.
 	AnswersOther(id string, get HeaderReader) bool
 	// Judge returns what the head of an answer says of its attempt, and so whether a retry is safe.
 	Judge(status int, get HeaderReader) AttemptJudgement
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -9,8 +9,8 @@
 	"reachspread/balance"
 )
 
-// ListedServer is a server as discovery lists it. The decisions know it by its ID, which is the same for
-// all routers; only the network uses the address.
+// ListedServer is a server as discovery lists it. The decisions know it by its ID, which is the
+// same for all routers; only the network uses the address.
 type ListedServer struct {
 	ID        string  `json:"id"`
 	Addr      string  `json:"addr"`
@@ -66,8 +66,8 @@
 	return balance.Removed, false
 }
 
-// Members returns a valid list as an event for the decisions, whose clock counts from the start of Unix
-// time.
+// Members returns a valid list as an event for the decisions, whose clock counts from the start of
+// Unix time.
 func (l *List) Members() balance.Members {
 	ev := balance.Members{Version: l.Version, Complete: l.Full}
 	for _, e := range l.Servers {
--- a/internal/protocol/events.go
+++ b/internal/protocol/events.go
@@ -8,12 +8,12 @@
 	"reachspread/balance"
 )
 
-// maxStreamLine bounds the bytes of a line that are buffered. Longer lines are text for the client, and
-// never of use to the decisions.
+// maxStreamLine bounds the bytes of a line that are buffered. Longer lines are text for the client,
+// and never of use to the decisions.
 const maxStreamLine = 4096
 
-// StreamReader reads what the decisions need from a stream of events as it is forwarded. Its zero value is
-// ready.
+// StreamReader reads what the decisions need from a stream of events as it is forwarded. Its zero
+// value is ready.
 type StreamReader struct {
 	CachedTokens float64       // of the prompt, from the usage event
 	Load         *balance.Load // the report at the stream's end, nil for none
@@ -31,8 +31,8 @@
 // Unfinished returns what has come of the present line, and whether it is too long to be read.
 func (n *StreamReader) Unfinished() (line []byte, tooLong bool) { return n.line, n.lineTooLong }
 
-// HasEvent reports whether a stream's beginning has a complete event: a line of data, and the empty line
-// that ends it.
+// HasEvent reports whether a stream's beginning has a complete event: a line of data, and the empty
+// line that ends it.
 func HasEvent(p []byte) bool {
 	data := false
 	for line := range bytes.Lines(p) {
@@ -51,7 +51,8 @@
 // lineFields are what a line of a stream may begin with; the first begins a comment.
 var lineFields = []string{":", "data:", "event:", "id:", "retry:"}
 
-// Feed reads the next bytes of the stream, split anywhere. It reports whether they are lines of events.
+// Feed reads the next bytes of the stream, split anywhere. It reports whether they are lines of
+// events.
 func (n *StreamReader) Feed(p []byte) bool {
 	for len(p) > 0 {
 		text, rest, ended := bytes.Cut(p, []byte("\n"))
@@ -112,6 +113,7 @@
 		n.Err = fmt.Errorf("usage event: %w", err)
 		return
 	}
-	// A model's own text may contain the field's name, in an event without usage, which changes nothing.
+	// A model's own text may contain the field's name, in an event without usage, which changes
+	// nothing.
 	n.CachedTokens = max(n.CachedTokens, usage.Usage.Details.Cached)
 }
--- a/internal/protocol/fleet.go
+++ b/internal/protocol/fleet.go
@@ -55,8 +55,8 @@
 	return answered != "" && answered != id
 }
 
-// Judge implements Dialect. Only an answer with Not-Executed, or a 421, says that the request has not
-// executed, so that any request may be retried.
+// Judge implements Dialect. Only an answer with Not-Executed, or a 421, says that the request has
+// not executed, so that any request may be retried.
 func (Fleet) Judge(status int, get HeaderReader) AttemptJudgement {
 	switch {
 	case status == http.StatusMisdirectedRequest:
@@ -73,7 +73,8 @@
 	case status/100 == 4 && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests:
 		return AttemptJudgement{Result: balance.Cancelled, RequestInvalid: true, Forwardable: true}
 	}
-	// To a client these statuses would say that the request has not executed, which only Not-Executed says.
+	// To a client these statuses would say that the request has not executed, which only
+	// Not-Executed says.
 	impliesNotExecuted := status == http.StatusRequestTimeout || status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
 	return AttemptJudgement{Result: balance.Error, Forwardable: !impliesNotExecuted}
 }
--- a/internal/protocol/fleet_test.go
+++ b/internal/protocol/fleet_test.go
@@ -13,7 +13,8 @@
 // headers reads from a map.
 func headers(m map[string]string) HeaderReader { return func(name string) string { return m[name] } }
 
-// What the head of a host's answer says: only Not-Executed and 421 say that nothing ran, and only what is sealed is the host's word.
+// What the head of a host's answer says: only Not-Executed and 421 say that nothing ran, and only
+// what is sealed is the host's word.
 func TestFleetJudge(t *testing.T) {
 	seal := map[string]string{HeaderSeal: "s", HeaderRequestID: "r"}
 	nameless := map[string]string{HeaderSeal: "s"}
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -38,7 +38,8 @@
 	}
 }
 
-// The headers between routers, hosts and clients have the names and forms that they had at commit 5bfcc27.
+// The headers between routers, hosts and clients have the names and forms that they had at commit
+// 5bfcc27.
 func TestHeadersKeepTheirForms(t *testing.T) {
 	left := Fleet{}.TimeLeft(1234567 * time.Microsecond)
 	none := Fleet{}.TimeLeft(-time.Second)
--- a/internal/protocol/peerreport.go
+++ b/internal/protocol/peerreport.go
@@ -34,8 +34,8 @@
 	maxStep               = 0x7f
 )
 
-// AppendPeerReports appends a datagram to b. Reports beyond MaxPeerReports are left out: they are only
-// hints.
+// AppendPeerReports appends a datagram to b. Reports beyond MaxPeerReports are left out: they are
+// only hints.
 func AppendPeerReports(b []byte, zone uint8, reports []balance.PeerReport) []byte {
 	reports = reports[:min(len(reports), MaxPeerReports)]
 	version := peerReportVersion
--- a/internal/protocol/peerreport_test.go
+++ b/internal/protocol/peerreport_test.go
@@ -9,7 +9,8 @@
 	"reachspread/balance"
 )
 
-// What is told comes back within half a step of the scale, and any other length than the right one is refused whole.
+// What is told comes back within half a step of the scale, and any other length than the right one
+// is refused whole.
 func TestPeerReportsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zone := rapid.Byte().Draw(t, "zone")
--- a/internal/protocol/prompt.go
+++ b/internal/protocol/prompt.go
@@ -16,8 +16,8 @@
 	Tokens float64
 }
 
-// ParsePrompt parses the segments of a prompt in their order, as Prompt-Prefix lists them. An empty text is
-// a prompt without segments.
+// ParsePrompt parses the segments of a prompt in their order, as Prompt-Prefix lists them. An empty
+// text is a prompt without segments.
 func ParsePrompt(text string) ([]PromptSegment, error) {
 	if text == "" {
 		return nil, nil
--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -1,6 +1,6 @@
-// Package protocol parses and writes what clients, routers, servers and discovery send each other: headers,
-// durations, prompts, load reports, discovery lists, event streams and peer reports. Its functions are
-// pure.
+// Package protocol parses and writes what clients, routers, servers and discovery send each other:
+// headers, durations, prompts, load reports, discovery lists, event streams and peer reports. Its
+// functions are pure.
 package protocol
 
 import (
@@ -16,8 +16,8 @@
 // The headers and paths of the platform.
 const (
 	HeaderID = "X-Correlation-Id"
-	// HeaderFencingToken is on mirrored requests alone: the role under which one is sent, and its fencing
-	// token. A 409 has the highest token that was seen.
+	// HeaderFencingToken is on mirrored requests alone: the role under which one is sent, and its
+	// fencing token. A 409 has the highest token that was seen.
 	HeaderFencingToken = "X-Duty"
 	HeaderClass        = "X-Service-Class"
 	HeaderSession      = "X-Session-Key"
@@ -35,8 +35,8 @@
 // charsPerToken is the platform's length of a token, for a prompt that comes without facts.
 const charsPerToken = 4
 
-// ParseArrival parses what the decisions need of a request from its headers; get returns a header's value
-// or "". The error is one line for the client.
+// ParseArrival parses what the decisions need of a request from its headers; get returns a header's
+// value or "". The error is one line for the client.
 func ParseArrival(get func(name string) string, bodyLen int) (balance.Arrival, error) {
 	a := balance.Arrival{ID: get(HeaderID), Class: get(HeaderClass), Session: get(HeaderSession)}
 	switch {
@@ -65,9 +65,9 @@
 	return a, nil
 }
 
-// CheckFraming rejects a head that is ambiguous on where its body ends: what one reader takes for a body
-// may be a second request to the next (request smuggling). What the HTTP server rejects by itself, such as
-// repeated or signed lengths and other codings, is not checked.
+// CheckFraming rejects a head that is ambiguous on where its body ends: what one reader takes for a
+// body may be a second request to the next (request smuggling). What the HTTP server rejects by
+// itself, such as repeated or signed lengths and other codings, is not checked.
 func CheckFraming(head []byte) error {
 	lengths, codings := false, false
 	for line := range bytes.Lines(head) {
--- a/internal/protocol/requesthead.go
+++ b/internal/protocol/requesthead.go
@@ -18,9 +18,9 @@
 	headEnd                = []byte("\r\n\r\n")
 )
 
-// ParseRequestHead parses the head at the start of what a client has sent. It is ok only for a complete and
-// plain one that asks for a completion; all else is left to the HTTP server. The header's name may be
-// empty for none.
+// ParseRequestHead parses the head at the start of what a client has sent. It is ok only for a
+// complete and plain one that asks for a completion; all else is left to the HTTP server. The
+// header's name may be empty for none.
 func ParseRequestHead(sent []byte, header string) (g RequestHead, ok bool) {
 	rest, ok := bytes.CutPrefix(sent, completionsRequestLine)
 	if !ok {
@@ -65,7 +65,8 @@
 	return g, true
 }
 
-// equalFold reports whether two names of headers are equal, without regard to case, for ASCII alone.
+// equalFold reports whether two names of headers are equal, without regard to case, for ASCII
+// alone.
 func equalFold(b []byte, s string) bool {
 	if len(b) != len(s) {
 		return false
@@ -86,8 +87,8 @@
 	return c
 }
 
-// AppendRejection appends an answer that ends its connection, with one line of text. A wait of 0 is left
-// out.
+// AppendRejection appends an answer that ends its connection, with one line of text. A wait of 0 is
+// left out.
 func AppendRejection(to []byte, code int, wait time.Duration, line string) []byte {
 	to = append(to, "HTTP/1.1 "...)
 	to = strconv.AppendInt(to, int64(code), 10)
--- a/internal/retrybudget/retrybudget.go
+++ b/internal/retrybudget/retrybudget.go
@@ -6,10 +6,10 @@
 	"sync"
 )
 
-// Budget is a token bucket of retries. Each request adds a fraction of a token, up to a limit; each retry
-// takes one. So in any span of time there are at most as many retries as its requests added, and the limit.
-// A new one is empty, so that a process that restarts again and again gains nothing. A nil one allows all
-// retries.
+// Budget is a token bucket of retries. Each request adds a fraction of a token, up to a limit; each
+// retry takes one. So in any span of time there are at most as many retries as its requests added,
+// and the limit. A new one is empty, so that a process that restarts again and again gains nothing.
+// A nil one allows all retries.
 //
 // It is safe for concurrent use.
 type Budget struct {
@@ -19,7 +19,8 @@
 	tokens float64
 }
 
-// New returns an empty budget that gets ratio tokens for each request, and holds limit tokens at most.
+// New returns an empty budget that gets ratio tokens for each request, and holds limit tokens at
+// most.
 func New(ratio, limit float64) *Budget { return &Budget{ratio: ratio, limit: max(limit, 0)} }
 
 // Set changes what each request adds and what the budget holds at most.
--- a/internal/retrybudget/retrybudget_test.go
+++ b/internal/retrybudget/retrybudget_test.go
@@ -7,7 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// In no span of events are there more repeats than the first tries in it and the bound allow, whatever the order and whatever restarts.
+// In no span of events are there more repeats than the first tries in it and the bound allow,
+// whatever the order and whatever restarts.
 func TestRetriesAreBoundedInAnySpan(t *testing.T) {
 	is := is.New(t)
 	const ratio, most, events = 0.2, 3.0, 400
@@ -47,7 +48,8 @@
 	is.True(!New(0.2, 5).Take())
 }
 
-// What is set later counts from then on: a bucket that may hold less loses what is beyond, and one that gets nothing for first tries stays empty.
+// What is set later counts from then on: a bucket that may hold less loses what is beyond, and one
+// that gets nothing for first tries stays empty.
 func TestSetLowersTheBudget(t *testing.T) {
 	is := is.New(t)
 	b := New(1, 5)
--- a/internal/routing/accept.go
+++ b/internal/routing/accept.go
@@ -8,8 +8,8 @@
 	"reachspread/balance"
 )
 
-// ErrDuplicateID says that another request under way has the ID. The platform makes a new ID for each
-// request, so this client is at fault.
+// ErrDuplicateID says that another request under way has the ID. The platform makes a new ID for
+// each request, so this client is at fault.
 var ErrDuplicateID = errors.New("the id is that of an open request")
 
 // Accept starts a request whose first byte came at the time given, from which on its client waits.
@@ -36,7 +36,8 @@
 }
 
 // register leaves a request to the decisions, unless its ID is in use: the decisions would ignore a
-// second request of one ID and never answer it, and a server would take it for a retry of the first.
+// second request of one ID and never answer it, and a server would take it for a retry of the
+// first.
 func (r *Router) register(request *Request) error {
 	r.mu.Lock()
 	if r.requests[request.id] != nil {
@@ -57,8 +58,8 @@
 	r.post(balance.Aborted{ID: request.id})
 }
 
-// Withdraw rejects a request of which nothing was sent yet, as its sender has to bring it in another
-// form. From then on Admit of its message must allow no attempt: one may begin meanwhile.
+// Withdraw rejects a request of which nothing was sent yet, as its sender has to bring it in
+// another form. From then on Admit of its message must allow no attempt: one may begin meanwhile.
 func (r *Router) Withdraw(id string) {
 	request := r.request(id)
 	if request == nil || request.references.Load() > 1 || request.mayHaveExecuted.Load() {
@@ -76,9 +77,9 @@
 	r.release(request)
 }
 
-// release gives up one reference to a request: its client has one, and so has each attempt in flight.
-// Without references the request is forgotten, but only after a decision on its last event: until then
-// the decisions may still name it, and would ignore a new request of its ID.
+// release gives up one reference to a request: its client has one, and so has each attempt in
+// flight. Without references the request is forgotten, but only after a decision on its last event:
+// until then the decisions may still name it, and would ignore a new request of its ID.
 func (r *Router) release(request *Request) {
 	if request.references.Add(-1) > 0 {
 		return
@@ -89,8 +90,8 @@
 	r.signal()
 }
 
-// forget removes requests that have ended. A client that leaves while its request is being sent ends
-// it twice, and by the second time another request may have the ID.
+// forget removes requests that have ended. A client that leaves while its request is being sent
+// ends it twice, and by the second time another request may have the ID.
 func (r *Router) forget(ended []*Request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/routing/metrics.go
+++ b/internal/routing/metrics.go
@@ -21,8 +21,8 @@
 	fleetView     atomic.Pointer[FleetView] // nil before the first view
 }
 
-// classCounters count the requests of one class: those that were accepted, and how they ended. A nil
-// one is of a class that is not listed: it counts nothing.
+// classCounters count the requests of one class: those that were accepted, and how they ended. A
+// nil one is of a class that is not listed: it counts nothing.
 type classCounters struct {
 	accepted atomic.Uint64
 	ended    [HandedOver + 1]atomic.Uint64
@@ -78,8 +78,8 @@
 // of returns the counters of a class, nil if it is not listed.
 func (c *counters) of(name string) *classCounters { return c.all()[name] }
 
-// Counts is how the requests of a class ended so far. Accepted is the sum of the others and of those
-// that are open.
+// Counts is how the requests of a class ended so far. Accepted is the sum of the others and of
+// those that are open.
 type Counts struct {
 	Accepted                 uint64
 	Served, Rejected, Failed uint64
@@ -121,8 +121,8 @@
 	return metrics
 }
 
-// OpenRequests returns the IDs and classes of at most limit requests that are under way, and how many
-// more there are.
+// OpenRequests returns the IDs and classes of at most limit requests that are under way, and how
+// many more there are.
 func (r *Router) OpenRequests(limit int) (ids, classes []string, more int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/routing/outcome.go
+++ b/internal/routing/outcome.go
@@ -14,8 +14,8 @@
 	sentAt   time.Time // when it was given to the network
 }
 
-// recordOutcome gives the decisions the outcome of an attempt whose answer did not begin. They retry
-// or answer the request unless it has its final answer or its client has gone.
+// recordOutcome gives the decisions the outcome of an attempt whose answer did not begin. They
+// retry or answer the request unless it has its final answer or its client has gone.
 func (r *Router) recordOutcome(a *attempt, result AttemptResult) {
 	final := a.request.answered.Load() || a.request.ctx.Err() != nil
 	r.post(balance.Outcome{
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -167,8 +167,8 @@
 	Rejected      uint64        // requests so far
 }
 
-// Load returns how busy the core is. It looks at all requests under way, so it is for a few calls in
-// a second.
+// Load returns how busy the core is. It looks at all requests under way, so it is for a few calls
+// in a second.
 func (r *Router) Load() Load {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -230,9 +230,11 @@
 	unix  time.Duration
 }
 
+// startClock returns a clock that begins now.
 func startClock() clock {
 	t := time.Now()
 	return clock{start: t, unix: time.Duration(t.UnixNano())}
 }
 
+// now returns the time since the start of Unix time.
 func (c clock) now() time.Duration { return c.unix + time.Since(c.start) }
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -2,9 +2,9 @@
 // package balance decide where they go, and has their attempts sent to servers. It knows nothing of
 // HTTP.
 //
-// A request passes these stages, each in a file of its own: it is accepted (accept.go), decided on by
-// the one goroutine of Router.Run (router.go), whose actions are carried out (actions.go); it is sent
-// (send.go), and answered by a stream (stream.go) or with the outcome of its last attempt
+// A request passes these stages, each in a file of its own: it is accepted (accept.go), decided on
+// by the one goroutine of Router.Run (router.go), whose actions are carried out (actions.go); it is
+// sent (send.go), and answered by a stream (stream.go) or with the outcome of its last attempt
 // (outcome.go). Its final answer is given by Request.answer and nowhere else.
 package routing
 
@@ -30,9 +30,9 @@
 // Network is what the core needs of the servers.
 type Network interface {
 	// Send sends m to a server once and waits until the deadline for the first event of its answer.
-	// The end of ctx ends all of it, the body too. If it returns no body, the attempt has been given
-	// up by then, so that no two attempts of a request overlap. It calls written after the last byte
-	// of m.
+	// The end of ctx ends all of it, the body too. If it returns no body, the attempt has been
+	// given up by then, so that no two attempts of a request overlap. It calls written after the
+	// last byte of m.
 	Send(ctx context.Context, deadline time.Time, to Server, m Message, written func()) AttemptResult
 	// Probe asks a server for its load, until ctx ends.
 	Probe(ctx context.Context, to Server) (balance.Result, *balance.Load)
@@ -50,8 +50,8 @@
 	ServerAnswer   any            // the server's own answer, for the client if no retry does better; nil for none
 }
 
-// The errors of Body.Read besides those of the network. They say what is known of the server, and so
-// how the attempt counts.
+// The errors of Body.Read besides those of the network. They say what is known of the server, and
+// so how the attempt counts.
 var (
 	// ErrMalformedAnswer says that the answer can't be read, although the server and the connection
 	// are well. It counts as an error of the server, not as a broken connection.
@@ -66,9 +66,9 @@
 // Body is an answer from its first complete event on. Read returns io.EOF only after the last byte.
 type Body interface {
 	io.Reader
-	// End closes the body and returns what was learned from it: the prompt tokens that the server had
-	// cached, and its load, nil for no report. The connection can be used again only if the body was
-	// read to io.EOF.
+	// End closes the body and returns what was learned from it: the prompt tokens that the server
+	// had cached, and its load, nil for no report. The connection can be used again only if the
+	// body was read to io.EOF.
 	End() (cachedTokens float64, load *balance.Load)
 }
 
--- a/internal/routing/send.go
+++ b/internal/routing/send.go
@@ -10,8 +10,8 @@
 // Readmitter is a message each attempt of which has to be allowed right before it is sent, as what
 // the request was admitted by may have lapsed since.
 type Readmitter interface {
-	// Admit reports whether an attempt may be sent; retry says that one before may have executed. If
-	// it may not, wait is when the client should come back. Admit may block for a moment.
+	// Admit reports whether an attempt may be sent; retry says that one before may have executed.
+	// If it may not, wait is when the client should come back. Admit may block for a moment.
 	Admit(retry bool) (ok bool, wait time.Duration)
 }
 
@@ -78,8 +78,8 @@
 	r.recordOutcome(a, result)
 }
 
-// mayHaveExecuted reports whether an attempt that ended so may have executed. After the other results
-// any request may be retried; see balance.Result.
+// mayHaveExecuted reports whether an attempt that ended so may have executed. After the other
+// results any request may be retried; see balance.Result.
 func mayHaveExecuted(result balance.Result) bool {
 	return result != balance.Full && result != balance.NoConnection && result != balance.NotSent
 }
--- a/internal/routing/servers.go
+++ b/internal/routing/servers.go
@@ -8,11 +8,11 @@
 	state balance.State
 }
 
-// ApplyUpdate applies an update from discovery: at once to the servers that may be sent to, and as an
-// event for the decisions. It returns after both, so that the next call to discovery finds them
-// applied. Updates come in order. The decisions get the number of the update as its version, as each
-// discovery counts versions of its own: by those of a new discovery that begins lower they would
-// ignore all of its updates.
+// ApplyUpdate applies an update from discovery: at once to the servers that may be sent to, and as
+// an event for the decisions. It returns after both, so that the next call to discovery finds them
+// applied. Updates come in order. The decisions get the number of the update as its version, as
+// each discovery counts versions of its own: by those of a new discovery that begins lower they
+// would ignore all of its updates.
 func (r *Router) ApplyUpdate(ev balance.Members, addrs map[string]string) {
 	r.mu.Lock()
 	r.discoveryUpdates++
--- a/internal/routing/stream.go
+++ b/internal/routing/stream.go
@@ -10,8 +10,8 @@
 	"reachspread/balance"
 )
 
-// Stream is an answer on its way to the client. The front end reads it to its end or to an error, and
-// closes it.
+// Stream is an answer on its way to the client. The front end reads it to its end or to an error,
+// and closes it.
 type Stream struct {
 	router    *Router
 	attempt   *attempt
--- a/internal/system/dataplane/callers_test.go
+++ b/internal/system/dataplane/callers_test.go
@@ -18,7 +18,8 @@
 	"github.com/matryer/is"
 )
 
-// callerPlays is how many drawn plays there are. Each takes two seconds, most of them waiting, and several run at once.
+// callerPlays is how many drawn plays there are. Each takes two seconds, most of them waiting, and
+// several run at once.
 var callerPlays = flag.Int("caller-plays", 8, "drawn plays of clients before hosts in trouble")
 
 const (
@@ -374,7 +375,8 @@
 	}
 }
 
-// playCallers has clients before a router whose hosts are in all kinds of trouble, and judges what came of it.
+// playCallers has clients before a router whose hosts are in all kinds of trouble, and judges what
+// came of it.
 func playCallers(t *testing.T, seed uint64) (*ledger, error) {
 	t.Helper()
 	l := newLedger()
@@ -394,9 +396,10 @@
 	return l, l.judge()
 }
 
-// Hosts break off, answer twice, answer early, say nothing, and forget connections, with bytes cut anywhere; clients send several requests
-// at once and leave. Each answer belongs to its request, what may run once does, a promise is kept, no short answer looks complete, and
-// nothing is sent for long after a client has gone.
+// Hosts break off, answer twice, answer early, say nothing, and forget connections, with bytes cut
+// anywhere; clients send several requests at once and leave. Each answer belongs to its request,
+// what may run once does, a promise is kept, no short answer looks complete, and nothing is sent
+// for long after a client has gone.
 func TestFaultyHostsAndClients(t *testing.T) {
 	var served atomic.Int64
 	for seed := range uint64(*callerPlays) {
--- a/internal/system/dataplane/classes.go
+++ b/internal/system/dataplane/classes.go
@@ -15,8 +15,8 @@
 	minStreamIdleTimeout = 2 * time.Second
 )
 
-// classesOf returns the classes of each service, sorted by name: one for all routes to it with the same
-// demands, however many there are.
+// classesOf returns the classes of each service, sorted by name: one for all routes to it with the
+// same demands, however many there are.
 func classesOf(c *configuration.Configuration) map[string][]balance.Class {
 	found := map[string]map[string]balance.Class{}
 	for _, r := range c.Routes {
--- a/internal/system/dataplane/forward.go
+++ b/internal/system/dataplane/forward.go
@@ -65,8 +65,8 @@
 	return named
 }
 
-// streamIdleTimeout returns how long a stream of a route may send nothing: a client gives up then as
-// well.
+// streamIdleTimeout returns how long a stream of a route may send nothing: a client gives up then
+// as well.
 func streamIdleTimeout(r *configuration.Route) time.Duration {
 	return max(minStreamIdleTimeout, 4*r.LatencyTarget(), 8*r.GapTarget())
 }
--- a/internal/system/dataplane/intake.go
+++ b/internal/system/dataplane/intake.go
@@ -37,8 +37,8 @@
 // Local implements transport.Intake: nothing on the clients' address is for the router itself.
 func (p *Plane) Local(*fasthttp.RequestCtx) bool { return false }
 
-// Head implements transport.Intake: route, key and tenant decide whether a body is to be read. A router
-// that is starting reads it without them, and looks again in Plan.
+// Head implements transport.Intake: route, key and tenant decide whether a body is to be read. A
+// router that is starting reads it without them, and looks again in Plan.
 func (p *Plane) Head(ctx *fasthttp.RequestCtx) *transport.Rejection {
 	p.counts.Accepted.Add(1)
 	a, no := p.admit(ctx)
@@ -87,8 +87,8 @@
 	return &transport.Rejection{Code: code, Text: line}
 }
 
-// routeMatchOf returns what admit found for a request when its head came, or finds now, as soon as the
-// router knows enough.
+// routeMatchOf returns what admit found for a request when its head came, or finds now, as soon as
+// the router knows enough.
 func (p *Plane) routeMatchOf(ctx *fasthttp.RequestCtx) (*routeMatch, *transport.Rejection) {
 	if a, ok := ctx.UserValue(routeMatchKey).(*routeMatch); ok {
 		return a, nil
--- a/internal/system/dataplane/models.go
+++ b/internal/system/dataplane/models.go
@@ -16,7 +16,8 @@
 // String returns its name for the decisions; see balance.Arrival.RequiredFeature.
 func (m modelVersion) String() string { return m.model + ":" + strconv.FormatInt(m.version, 10) }
 
-// models counts the versions of models that the ready hosts of a service have, by their registrations.
+// models counts the versions of models that the ready hosts of a service have, by their
+// registrations.
 type models struct {
 	hostCounts atomic.Pointer[map[modelVersion]int] // replaced, never changed
 	names      map[modelVersion]string              // one text for all hosts; the caller of recount's
--- a/internal/system/dataplane/outcomes.go
+++ b/internal/system/dataplane/outcomes.go
@@ -29,12 +29,14 @@
 	outcomes
 )
 
+// String returns the name of the outcome in the metrics.
 func (o Outcome) String() string {
 	return [...]string{"served", "refused", "failed", "abandoned", "over_quota", "no_key", "no_route", "malformed"}[o]
 }
 
 const (
-	// maxCountedKeys bounds the tenants and kinds that are counted by their names; further ones are counted together.
+	// maxCountedKeys bounds the tenants and kinds that are counted by their names; further ones are
+	// counted together.
 	maxCountedKeys = 1024
 	otherTenant    = "(other)"
 )
--- a/internal/system/dataplane/outcomes_test.go
+++ b/internal/system/dataplane/outcomes_test.go
@@ -11,7 +11,8 @@
 	"reachspread/internal/routing"
 )
 
-// Requests are counted by kind, tenant and end, by many at once; beyond a bound of names they are counted together.
+// Requests are counted by kind, tenant and end, by many at once; beyond a bound of names they are
+// counted together.
 func TestOutcomesAreCountedByKindAndTenant(t *testing.T) {
 	is := is.New(t)
 	var e outcomeCounts
--- a/internal/system/dataplane/peerreports_test.go
+++ b/internal/system/dataplane/peerreports_test.go
@@ -26,7 +26,8 @@
 	return f, all
 }
 
-// prompt sends one with a prefix of 300 tokens and 200 of its own, and returns what others were told of it.
+// prompt sends one with a prefix of 300 tokens and 200 of its own, and returns what others were
+// told of it.
 func (f *fleet) prompt(t *testing.T, all <-chan told, n int) told {
 	t.Helper()
 	is := is.New(t)
@@ -38,7 +39,8 @@
 
 func events(r seen) string { return stream(r, event(1, "x"), "") }
 
-// Others are told of each prompt: its service, its host, the tokens that are to be read there, and a mark of its prefix.
+// Others are told of each prompt: its service, its host, the tokens that are to be read there, and
+// a mark of its prefix.
 func TestPromptIsReported(t *testing.T) {
 	is := is.New(t)
 	f, all := talkingFleet(t, newHost(t, "i-1", events))
@@ -50,7 +52,8 @@
 	is.Equal(second.reports[0], balance.PeerReport{ReplicaTag: first.reports[0].ReplicaTag, PrefillTokens: 200, PrefixTag: first.reports[0].PrefixTag})
 }
 
-// A host that others have sent long prompts to gets none of those that another one can begin sooner.
+// A host that others have sent long prompts to gets none of those that another one can begin
+// sooner.
 func TestReportedPromptsMoveTheNextOne(t *testing.T) {
 	is := is.New(t)
 	a, b := newHost(t, "i-1", events), newHost(t, "i-2", events)
--- a/internal/system/dataplane/pins.go
+++ b/internal/system/dataplane/pins.go
@@ -44,8 +44,8 @@
 	Failed       uint64 // without a complete answer, for another reason
 }
 
-// pinnedRequest is a request with the pin that it is served under. A request without a pin is one as
-// well: a pin may come while it is queued.
+// pinnedRequest is a request with the pin that it is served under. A request without a pin is one
+// as well: a pin may come while it is queued.
 type pinnedRequest struct {
 	tracker         *pinTracker
 	pin             *message.Pin // nil for none
@@ -120,8 +120,8 @@
 	}
 }
 
-// metricsOf returns a pin's metrics, nil if the pin is not in force any more or was changed. The caller
-// has the lock.
+// metricsOf returns a pin's metrics, nil if the pin is not in force any more or was changed. The
+// caller has the lock.
 func (p *pinTracker) metricsOf(pin *message.Pin) *PinMetrics {
 	c := p.counts[pin.Name]
 	if c == nil || c.revision != pin.Revision {
@@ -130,8 +130,9 @@
 	return &c.metrics
 }
 
-// admit returns what allows an attempt: the pin under which the request was planned must be in force.
-// After an attempt that may have executed the request goes on under the pin with which it began.
+// admit returns what allows an attempt: the pin under which the request was planned must be in
+// force. After an attempt that may have executed the request goes on under the pin with which it
+// began.
 func (h *pinnedRequest) admit(units *quotaCharge) func(retry bool) (ok bool, wait time.Duration) {
 	return func(retry bool) (ok bool, wait time.Duration) {
 		if !retry && !h.isCurrent() {
@@ -141,8 +142,8 @@
 	}
 }
 
-// isCurrent reports whether the request is planned by the pins in force. If not, it has to be planned
-// again.
+// isCurrent reports whether the request is planned by the pins in force. If not, it has to be
+// planned again.
 func (h *pinnedRequest) isCurrent() bool {
 	if !pins.Equivalent(h.matchingPin(h.tracker.plane.state.Load().Pins()), h.pin) {
 		h.outdated.Store(true)
@@ -150,8 +151,8 @@
 	return !h.outdated.Load()
 }
 
-// resumed returns what a broken stream goes on with: the version of its first host. If the request has
-// or had a pin, that version must be known, and a host must have it.
+// resumed returns what a broken stream goes on with: the version of its first host. If the request
+// has or had a pin, that version must be known, and a host must have it.
 func (h *pinnedRequest) resumed(first *transport.Final) (version int64, requiredFeature string, ok bool) {
 	pin := h.pin
 	if pin == nil {
@@ -192,8 +193,8 @@
 	}
 }
 
-// pinsChanged takes up the pins that are in force now: requests that are queued under another one are
-// planned again.
+// pinsChanged takes up the pins that are in force now: requests that are queued under another one
+// are planned again.
 func (p *pinTracker) pinsChanged(in *pins.Set) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -214,8 +215,8 @@
 	}
 }
 
-// hostsChanged says that the hosts of a service have changed: requests that are queued for a version
-// that none has are planned again, and so rejected.
+// hostsChanged says that the hosts of a service have changed: requests that are queued for a
+// version that none has are planned again, and so rejected.
 func (p *pinTracker) hostsChanged(s *service) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -243,8 +244,8 @@
 	return all
 }
 
-// Ready returns how many hosts that are ready have a version of a model, and how many have others of
-// it, over all services.
+// Ready returns how many hosts that are ready have a version of a model, and how many have others
+// of it, over all services.
 func (p *Plane) Ready(model string, version int64) (with, without int) {
 	v := modelVersion{model, version}
 	for _, s := range *p.serviceMap.Load() {
--- a/internal/system/dataplane/pins_test.go
+++ b/internal/system/dataplane/pins_test.go
@@ -74,7 +74,8 @@
 	return &message.Pin{Name: "p", Tenant: tenant, Route: route, Model: "m", Version: version}
 }
 
-// Requests in a pin's scope are answered by hosts of its version, and are told of it; others by any.
+// Requests in a pin's scope are answered by hosts of its version, and are told of it; others by
+// any.
 func TestPinnedRequestGoesToItsVersion(t *testing.T) {
 	is := is.New(t)
 	one, two := newVersioned(t, "i-1", 1, 1), newVersioned(t, "i-2", 2, 2)
@@ -138,7 +139,8 @@
 	return n
 }
 
-// Where no host has the version, requests are refused at once, with a time to return and a reason; others are served.
+// Where no host has the version, requests are refused at once, with a time to return and a reason;
+// others are served.
 func TestRejectedWithoutAHostOfTheVersion(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, keyed)
@@ -156,7 +158,8 @@
 	is.Equal(f.quotas.put > 0, true) // what was refused takes nothing of the tenant's quota
 }
 
-// A host that registers a version which it does not have has not run the request, and another one serves it.
+// A host that registers a version which it does not have has not run the request, and another one
+// serves it.
 func TestAnotherHostServesWhereARegistrationIsWrong(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, keyed)
@@ -171,8 +174,8 @@
 	is.True(len(liar.requests()) > 0)
 }
 
-// Hosts that turn pinned requests away, answer them with another version, or roll in their streams are not in trouble: traffic out of scope has
-// them as before.
+// Hosts that turn pinned requests away, answer them with another version, or roll in their streams
+// are not in trouble: traffic out of scope has them as before.
 func TestPinsLeaveOtherRequestsAlone(t *testing.T) {
 	head := func(r seen, versions string, events ...string) string {
 		return strings.Replace(stream(r, events...), "Content-Type:", versions+"Content-Type:", 1)
@@ -235,8 +238,8 @@
 	}
 }
 
-// A host that rolls its weights in the middle of a stream: the client gets events of the chosen version alone, to the end from another host
-// where the route allows it, and else a visible end.
+// A host that rolls its weights in the middle of a stream: the client gets events of the chosen
+// version alone, to the end from another host where the route allows it, and else a visible end.
 func TestHostRolledDuringAStream(t *testing.T) {
 	rolled := func(id int) string { return fmt.Sprintf("versions: 3\nid: %d\ndata: new\n\n", id) }
 	head := func(r seen, events ...string) string {
@@ -282,8 +285,8 @@
 	return got{}
 }
 
-// A stream that began under no pin, and breaks after one was set, goes on with the version of its first part, or ends visibly where that is
-// not known.
+// A stream that began under no pin, and breaks after one was set, goes on with the version of its
+// first part, or ends visibly where that is not known.
 func TestStreamResumesAcrossAPinChange(t *testing.T) {
 	for _, c := range []struct {
 		name, versions string
@@ -320,8 +323,9 @@
 	}
 }
 
-// Requests that are held when a pin changes are decided anew, and run once: one that waits for a busy host of the old version goes to the new
-// one at once, and one for whose version the last host goes is refused at once.
+// Requests that are held when a pin changes are decided anew, and run once: one that waits for a
+// busy host of the old version goes to the new one at once, and one for whose version the last host
+// goes is refused at once.
 func TestQueuedRequestAcrossAPinChange(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -414,7 +418,8 @@
 	t.Fatalf("not within %v: %s", patience, what)
 }
 
-// A configuration that is put beside pins does not touch them, and neither does it have held requests planned anew.
+// A configuration that is put beside pins does not touch them, and neither does it have held
+// requests planned anew.
 func TestPinWithAConfigurationChange(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, keyed)
--- a/internal/system/dataplane/plan.go
+++ b/internal/system/dataplane/plan.go
@@ -78,8 +78,8 @@
 	return nil
 }
 
-// resume returns how a broken stream goes on at another host, nil if the route does not allow it. That
-// costs a retry and the tenant's units once more.
+// resume returns how a broken stream goes on at another host, nil if the route does not allow it.
+// That costs a retry and the tenant's units once more.
 func (p *Plane) resume(s *service, r *request, charge *quotaCharge, pinned *pinnedRequest, began time.Time) func(*transport.Message, *transport.Final, string) (*transport.Plan, bool) {
 	if r.route.Kind != configuration.Streaming || !r.route.StreamResumption {
 		return nil
--- a/internal/system/dataplane/plane.go
+++ b/internal/system/dataplane/plane.go
@@ -1,8 +1,8 @@
 // Package dataplane is the data plane of the router fleet: it admits clients' requests by the
-// configuration in force and has them served by the hosts of their services. A request is admitted by
-// its head (intake.go), planned with its body (plan.go): charged to its tenant's quota (quota.go), held
-// to a version pin (pins.go), and forwarded (forward.go). Which request goes where and when is decided
-// by package balance, once for each service.
+// configuration in force and has them served by the hosts of their services. A request is admitted
+// by its head (intake.go), planned with its body (plan.go): charged to its tenant's quota
+// (quota.go), held to a version pin (pins.go), and forwarded (forward.go). Which request goes where
+// and when is decided by package balance, once for each service.
 package dataplane
 
 import (
@@ -35,8 +35,8 @@
 	slowStartWindow      = time.Second
 	overloadFactor       = 4
 	overloadWindow       = time.Second
-	// crossZonePenalty is what crossing zones counts in the decisions, as a fraction of the value of
-	// all requests.
+	// crossZonePenalty is what crossing zones counts in the decisions, as a fraction of the value
+	// of all requests.
 	crossZonePenalty = 0.01
 
 	// retrySlackFraction is the fraction of the retry budget's slack that all routers together may
@@ -44,8 +44,8 @@
 	retrySlackFraction = 0.7
 )
 
-// Quotas says whether a tenant may have so many units now. It is called for each request of a tenant
-// with a limit, and blocks for a moment at most.
+// Quotas says whether a tenant may have so many units now. It is called for each request of a
+// tenant with a limit, and blocks for a moment at most.
 type Quotas interface {
 	// Take takes units of a tenant's quota. If there are too few, wait is when to ask again.
 	Take(t *configuration.Tenant, units float64) (ok bool, wait time.Duration)
@@ -58,7 +58,8 @@
 	Settings func() *settings.Settings // in force; not to be changed
 	Servers  *transport.Servers
 	Quotas   Quotas
-	// Fresh reports whether what is known of the configuration is fresh enough to honour keys by it.
+	// Fresh reports whether what is known of the configuration is fresh enough to honour keys by
+	// it.
 	Fresh func() bool
 	// Newest reports whether it was the newest for certain so short a time ago that it may deny a
 	// request.
@@ -103,18 +104,20 @@
 	models          models // of its hosts
 }
 
-// Counts are the heads of requests, and the requests that were rejected before a host was looked for.
+// Counts are the heads of requests, and the requests that were rejected before a host was looked
+// for.
 type Counts struct {
 	Accepted, Rejected atomic.Uint64
 }
 
-// Requests returns how many heads of requests came since the start, and how many requests were rejected
-// before a host was looked for.
+// Requests returns how many heads of requests came since the start, and how many requests were
+// rejected before a host was looked for.
 func (p *Plane) Requests() (accepted, rejected uint64) {
 	return p.counts.Accepted.Load(), p.counts.Rejected.Load()
 }
 
-// New returns a plane that serves nothing before the first configuration. Its decisions run until ctx ends.
+// New returns a plane that serves nothing before the first configuration. Its decisions run until
+// ctx ends.
 func New(ctx context.Context, o Options) *Plane {
 	p := &Plane{o: o, ctx: ctx, hash: maphash.MakeSeed(), services: map[string]*service{}, routers: 1}
 	p.serviceMap.Store(&map[string]*service{})
@@ -146,8 +149,8 @@
 }
 
 // configureService makes the decisions of a service, or gives them other classes if these have
-// changed. Those of the configuration before stay, for requests whose head came under it. The caller
-// has the lock.
+// changed. Those of the configuration before stay, for requests whose head came under it. The
+// caller has the lock.
 func (p *Plane) configureService(name string, classes []balance.Class) error {
 	s := p.services[name]
 	if s != nil {
--- a/internal/system/dataplane/plane_test.go
+++ b/internal/system/dataplane/plane_test.go
@@ -85,7 +85,8 @@
 	n    int    // of the host, from 0
 }
 
-// host is a scripted one: it answers each request with the bytes that script gives, and closes the connection where they end in nothing.
+// host is a scripted one: it answers each request with the bytes that script gives, and closes the
+// connection where they end in nothing.
 type host struct {
 	id     string
 	addr   string
@@ -153,7 +154,8 @@
 		status, r.Header.Get("Request-Id"), r.Header.Get("Expected-Instance"), extra, len(body), body)
 }
 
-// stream is the head of a stream, and its events; each event is a chunk, and an empty one ends the stream.
+// stream is the head of a stream, and its events; each event is a chunk, and an empty one ends the
+// stream.
 func stream(r seen, events ...string) string {
 	out := fmt.Sprintf("HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nResponse-Seal: seal-%s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n",
 		r.Header.Get("Request-Id"), r.Header.Get("Expected-Instance"))
@@ -282,8 +284,8 @@
 	return got{resp, string(text), err}
 }
 
-// A request reaches a host with method, path, query, body and headers as they came, but for what the router sets; the answer comes back as it
-// was, whatever its status.
+// A request reaches a host with method, path, query, body and headers as they came, but for what
+// the router sets; the answer comes back as it was, whatever its status.
 func TestRequestIsForwarded(t *testing.T) {
 	is := is.New(t)
 	h := newHost(t, "i-1", func(r seen) string { return answer(r, 202, "X-Own: 1\r\nContent-Type: a/b\r\n", "hello "+r.text) })
@@ -356,7 +358,8 @@
 	}
 }
 
-// Without a configuration nobody is told 401, 403 or 404; with an old one no key is honoured, and public routes go on.
+// Without a configuration nobody is told 401, 403 or 404; with an old one no key is honoured, and
+// public routes go on.
 func TestRejectedWhileTooLittleIsKnown(t *testing.T) {
 	is := is.New(t)
 	h := newHost(t, "i-1", func(r seen) string { return answer(r, 200, "", "ok") })
@@ -384,7 +387,8 @@
 	is.Equal(f.call(t, "/safe/", "", "Authorization: Bearer k1").StatusCode, 200)
 }
 
-// A tenant beyond its quota is told when to come back, and its connection stays. What did not run is given back.
+// A tenant beyond its quota is told when to come back, and its connection stays. What did not run
+// is given back.
 func TestQuotaRejectsAndRefunds(t *testing.T) {
 	is := is.New(t)
 	h := newHost(t, "i-1", func(r seen) string {
@@ -408,7 +412,8 @@
 	is.Equal(len(h.requests()) >= 2, true)
 }
 
-// A host's own failure goes to the client as it is where nobody else may try, and an idempotent request is tried elsewhere.
+// A host's own failure goes to the client as it is where nobody else may try, and an idempotent
+// request is tried elsewhere.
 func TestFailures(t *testing.T) {
 	is := is.New(t)
 	bad := newHost(t, "i-bad", func(r seen) string { return answer(r, 500, "", "broken") })
@@ -427,7 +432,8 @@
 	}
 }
 
-// An unsafe request that may have run gets an answer that promises nothing, once; one that did not run is sent on.
+// An unsafe request that may have run gets an answer that promises nothing, once; one that did not
+// run is sent on.
 func TestUnsafeRequestExecutesOnce(t *testing.T) {
 	is := is.New(t)
 	for _, script := range []string{hangUp, "HTTP/1.1 200 OK\r\nResponse-Seal: s\r\nContent-Length: 10\r\n\r\nhalf" + hangUp, "nonsense\r\n\r\n" + hangUp} {
@@ -464,7 +470,8 @@
 	is.Equal(f.call(t, "/unsafe/", "x", "Request-Id: q2").body, "second")
 }
 
-// Events are passed on as they are, whole ones alone, and a stream that breaks never looks complete.
+// Events are passed on as they are, whole ones alone, and a stream that breaks never looks
+// complete.
 func TestStream(t *testing.T) {
 	is := is.New(t)
 	whole := newHost(t, "i-1", func(r seen) string { return stream(r, event(1, "a"), event(2, "b"), "") })
@@ -482,7 +489,8 @@
 	is.True(a.err != nil) // ids rise
 }
 
-// A stream that may be resumed goes on at another host behind the last whole event, within the same answer and with its head.
+// A stream that may be resumed goes on at another host behind the last whole event, within the same
+// answer and with its head.
 func TestBrokenStreamResumes(t *testing.T) {
 	is := is.New(t)
 	script := func(r seen) string {
@@ -594,8 +602,9 @@
 	}
 }
 
-// What comes while a router starts waits for what is needed to serve it: a configuration, its being the newest, a host. Nothing waits where
-// the router has been there for long, and nothing waits for what does not come.
+// What comes while a router starts waits for what is needed to serve it: a configuration, its being
+// the newest, a host. Nothing waits where the router has been there for long, and nothing waits for
+// what does not come.
 func TestRequestsWaitForAStartingRouter(t *testing.T) {
 	is := is.New(t)
 	h := newHost(t, "i-1", func(r seen) string { return answer(r, 200, "", "whole") })
--- a/internal/system/dataplane/quota.go
+++ b/internal/system/dataplane/quota.go
@@ -16,8 +16,8 @@
 	takenAt atomic.Int64 // in Unix nanoseconds
 }
 
-// quotaValidity is how long units that were taken may wait for their request to be sent: what counts is
-// when it arrives at a host.
+// quotaValidity is how long units that were taken may wait for their request to be sent: what
+// counts is when it arrives at a host.
 const quotaValidity = 500 * time.Millisecond
 
 // quotaChargeFor returns the charge of a request, which has taken nothing yet.
@@ -38,7 +38,8 @@
 	return a.quotas.Take(a.tenant, a.units)
 }
 
-// admit takes the units once more for an attempt that comes late, or after one that may have executed.
+// admit takes the units once more for an attempt that comes late, or after one that may have
+// executed.
 func (a *quotaCharge) admit(retry bool) (ok bool, wait time.Duration) {
 	if a.tenant == nil || !retry && time.Since(time.Unix(0, a.takenAt.Load())) < quotaValidity {
 		return true, 0
--- a/internal/system/dataplane/startup.go
+++ b/internal/system/dataplane/startup.go
@@ -14,8 +14,8 @@
 	// requests wait for it. Later it lacks something because it is partitioned, and its clients do
 	// better elsewhere.
 	startupTime = 3 * time.Second
-	// maxStartupWait bounds how long a request waits for that, and maxWaitFraction the fraction of its
-	// deadline.
+	// maxStartupWait bounds how long a request waits for that, and maxWaitFraction the fraction of
+	// its deadline.
 	maxStartupWait  = 1200 * time.Millisecond
 	maxWaitFraction = 0.4
 	// maxWaiters bounds the requests that wait. Further ones are rejected.
@@ -39,8 +39,8 @@
 	}
 }
 
-// waitUntil waits until a condition holds, which is checked after each change, or a time has passed. It
-// reports whether the condition holds.
+// waitUntil waits until a condition holds, which is checked after each change, or a time has
+// passed. It reports whether the condition holds.
 func (c *changes) waitUntil(isTrue func() bool, timeout time.Duration) bool {
 	if isTrue() {
 		return true
@@ -102,8 +102,8 @@
 // Refreshed says that what is known of the configuration is fresh again.
 func (p *Plane) Refreshed() { p.changes.notify() }
 
-// isStarting reports whether this router started so short a time ago that what it lacks comes within
-// moments.
+// isStarting reports whether this router started so short a time ago that what it lacks comes
+// within moments.
 func (p *Plane) isStarting() bool { return time.Since(p.o.StartedAt) < startupTime }
 
 // awaitStartup waits, while this router is starting, until what it needs for a request is there. It
--- a/internal/transport/body.go
+++ b/internal/transport/body.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// maxFirstEvent bounds a stream's first event, in bytes, and maxStream all of it, by the platform's
-	// bound for any body: a chunk that is said to have gigabytes would go on for ever.
+	// maxFirstEvent bounds a stream's first event, in bytes, and maxStream all of it, by the
+	// platform's bound for any body: a chunk that is said to have gigabytes would go on for ever.
 	maxFirstEvent = 64 << 10
 	maxStream     = MaxBody
 )
@@ -49,8 +49,8 @@
 	return errMalformedAnswer
 }
 
-// Read returns what has come. A stream that breaks, times out or is malformed gives an error other than
-// io.EOF.
+// Read returns what has come. A stream that breaks, times out or is malformed gives an error other
+// than io.EOF.
 func (b *body) Read(p []byte) (int, error) {
 	if len(b.firstEvent) > 0 {
 		n := copy(p, b.firstEvent)
@@ -63,8 +63,8 @@
 	return b.readNext(p)
 }
 
-// readNext reads from the connection. What is no stream of events is not forwarded: a chunk of a wrong
-// size has the framing of the next one in its text.
+// readNext reads from the connection. What is no stream of events is not forwarded: a chunk of a
+// wrong size has the framing of the next one in its text.
 func (b *body) readNext(p []byte) (int, error) {
 	if b.stoppedForMove() {
 		if b.move() {
@@ -84,7 +84,8 @@
 		err = nil // the next call sees to it
 	}
 	if err == io.EOF && b.resp.Header.ContentLength() < -1 {
-		// Neither length nor chunks: an end of the connection does not say that the stream was complete.
+		// Neither length nor chunks: an end of the connection does not say that the stream was
+		// complete.
 		err = io.ErrUnexpectedEOF
 	}
 	b.size += n
--- a/internal/transport/clientconn.go
+++ b/internal/transport/clientconn.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	// lingerTimeout and lingerBytes bound what is read of a request that was rejected before its end,
-	// overloadLingerTimeout the time where connections are scarce.
+	// lingerTimeout and lingerBytes bound what is read of a request that was rejected before its
+	// end, overloadLingerTimeout the time where connections are scarce.
 	lingerTimeout         = time.Second
 	strictLingerTimeout   = 500 * time.Millisecond // where the client may have been accepted late
 	overloadLingerTimeout = 100 * time.Millisecond
 	lingerBytes           = 4 << 20
 )
 
-// clientWriteTimeout is how long a client may take to read what one write sent, where admission has no
-// bound of its own.
+// clientWriteTimeout is how long a client may take to read what one write sent, where admission has
+// no bound of its own.
 const clientWriteTimeout = 10 * time.Second
 
-// clientConn is a client's connection. Of pipelined requests it reads only the first: what was read of
-// others would be lost with a connection that has to end. While a request is open the HTTP server does
-// not read, so a watch notices whether the client leaves.
+// clientConn is a client's connection. Of pipelined requests it reads only the first: what was read
+// of others would be lost with a connection that has to end. While a request is open the HTTP
+// server does not read, so a watch notices whether the client leaves.
 type clientConn struct {
 	net.Conn
 	listener      *listener
@@ -53,7 +53,8 @@
 	nextBegunAt time.Time     // when
 }
 
-// Read is called by the HTTP server between requests and for what is left of one, never while one is open.
+// Read is called by the HTTP server between requests and for what is left of one, never while one
+// is open.
 func (c *clientConn) Read(p []byte) (n int, err error) {
 	c.requestAnswered()
 	switch {
@@ -80,8 +81,8 @@
 	return n, err
 }
 
-// SetReadDeadline is called by the HTTP server before it reads. A Patience replaces the deadline of the
-// server.
+// SetReadDeadline is called by the HTTP server before it reads. A Patience replaces the deadline of
+// the server.
 func (c *clientConn) SetReadDeadline(t time.Time) error {
 	if c.listener.patience != nil && !t.IsZero() {
 		t = time.Now().Add(c.listener.patience(c.requestBegun && !c.requestOpen))
@@ -89,8 +90,8 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// requestRead says that a request was read to its end. If its bytes came along with those of the one
-// before, no Read has said that it began.
+// requestRead says that a request was read to its end. If its bytes came along with those of the
+// one before, no Read has said that it began.
 func (c *clientConn) requestRead() {
 	c.requestAnswered()
 	if !c.requestBegun {
@@ -120,8 +121,8 @@
 	return n, nil
 }
 
-// readFirst reads the beginning of a request, and nothing of the next one if the head says how long it
-// is.
+// readFirst reads the beginning of a request, and nothing of the next one if the head says how long
+// it is.
 func (c *clientConn) readFirst(p []byte) (n int, err error) {
 	if len(c.readAhead) > 1 { // read as the connection was accepted, whatever it is
 		n = c.firstRequestBytes(c.readAhead[:min(len(c.readAhead), len(p))])
@@ -157,8 +158,8 @@
 	return 0, err
 }
 
-// firstRequestBytes returns how many of some bytes belong to the request that begins with them, and sets
-// how many of it remain.
+// firstRequestBytes returns how many of some bytes belong to the request that begins with them, and
+// sets how many of it remain.
 func (c *clientConn) firstRequestBytes(p []byte) int {
 	c.remaining = 0
 	if seen, complete := protocol.ParseRequestHead(p, ""); complete && seen.Length > 0 {
@@ -168,8 +169,8 @@
 	return len(p)
 }
 
-// requestAnswered says that the open request, if there is one, has its final answer. Only the goroutine
-// that serves the connection calls it.
+// requestAnswered says that the open request, if there is one, has its final answer. Only the
+// goroutine that serves the connection calls it.
 func (c *clientConn) requestAnswered() {
 	if !c.requestOpen {
 		return
@@ -178,10 +179,10 @@
 	c.listener.notifyAdmission(admission.Event{Kind: admission.RequestDone, Conn: c.admissionID})
 }
 
-// lastRead is for an idle connection whose time is over. If another process takes over, the connection
-// goes there, with what is on its way. Otherwise a request that has come but was not read, as the router
-// was short of processor time, is read now. Without one the close follows at once, so that hardly any
-// request can cross it.
+// lastRead is for an idle connection whose time is over. If another process takes over, the
+// connection goes there, with what is on its way. Otherwise a request that has come but was not
+// read, as the router was short of processor time, is read now. Without one the close follows at
+// once, so that hardly any request can cross it.
 func (c *clientConn) lastRead(p []byte, over error) (n int, err error) {
 	if m := c.listener.mover.Load(); m != nil && m.move(movedConn{}, c.Conn) == nil {
 		c.Conn.Close()
@@ -201,8 +202,8 @@
 	return 0, over
 }
 
-// restoreDeadline gives a request that came as its connection's deadline was shortened the time that any
-// has.
+// restoreDeadline gives a request that came as its connection's deadline was shortened the time
+// that any has.
 func (c *clientConn) restoreDeadline() {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -212,14 +213,15 @@
 	}
 }
 
-// Write gives up on a client that reads no more: its stream would occupy a server's connection for ever.
+// Write gives up on a client that reads no more: its stream would occupy a server's connection for
+// ever.
 func (c *clientConn) Write(p []byte) (int, error) {
 	c.Conn.SetWriteDeadline(time.Now().Add(c.listener.writeTimeout()))
 	return c.Conn.Write(p)
 }
 
-// watch calls onLeave if the client ends the connection, or only its sending, before unwatch is called.
-// Nothing else may read meanwhile.
+// watch calls onLeave if the client ends the connection, or only its sending, before unwatch is
+// called. Nothing else may read meanwhile.
 func (c *clientConn) watch(onLeave func()) {
 	c.Conn.SetReadDeadline(time.Time{})
 	done := make(chan struct{})
@@ -233,9 +235,9 @@
 	}()
 }
 
-// awaitClose returns true when the client leaves, and false at the end of the watch. It reads the first
-// byte of a further request, and nothing more of it: behind unread bytes the system still reports that
-// the client has ended the connection.
+// awaitClose returns true when the client leaves, and false at the end of the watch. It reads the
+// first byte of a further request, and nothing more of it: behind unread bytes the system still
+// reports that the client has ended the connection.
 func (c *clientConn) awaitClose() (left bool) {
 	var one [1]byte
 	n, err := c.Conn.Read(one[:])
@@ -249,7 +251,8 @@
 	return !ok || !timeout.Timeout()
 }
 
-// awaitHangUp waits until the client has ended the connection, and returns true, or until the watch ends.
+// awaitHangUp waits until the client has ended the connection, and returns true, or until the watch
+// ends.
 func (c *clientConn) awaitHangUp() bool {
 	raw, err := c.Conn.(syscall.Conn).SyscallConn()
 	if err != nil {
@@ -263,8 +266,8 @@
 	return err == nil && over
 }
 
-// hungUp reports whether the other side has ended a connection, or only its sending, whatever is unread
-// of it.
+// hungUp reports whether the other side has ended a connection, or only its sending, whatever is
+// unread of it.
 func hungUp(fd uintptr) bool {
 	const ended = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR
 	look := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
@@ -281,8 +284,8 @@
 	return n > 0 && err == nil
 }
 
-// peek returns whether anything is unread, and leaves it so. At the end of the connection it returns 0 and
-// no error.
+// peek returns whether anything is unread, and leaves it so. At the end of the connection it
+// returns 0 and no error.
 func (c *clientConn) peek() (n int, err error) {
 	raw, err := c.Conn.(syscall.Conn).SyscallConn()
 	if err != nil {
@@ -298,8 +301,8 @@
 	return n, err
 }
 
-// clientLeft reports whether the client has gone. It asks the system, as the watch may be late where the
-// router is short of processor time.
+// clientLeft reports whether the client has gone. It asks the system, as the watch may be late
+// where the router is short of processor time.
 func (c *clientConn) clientLeft() bool {
 	if c == nil { // no client waits for the answer
 		return false
@@ -338,8 +341,8 @@
 	c.Conn.SetReadDeadline(time.Time{})
 }
 
-// Close reads on for a moment after a request that was rejected before its end: closed with bytes unread,
-// the connection would be reset and the client might lose the answer.
+// Close reads on for a moment after a request that was rejected before its end: closed with bytes
+// unread, the connection would be reset and the client might lose the answer.
 func (c *clientConn) Close() error {
 	if c.closed {
 		return net.ErrClosed
--- a/internal/transport/clientconn_test.go
+++ b/internal/transport/clientconn_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// A client that ends its connection, or only its sending, has its attempt given up, also where more bytes of it came behind the
-// open request than one.
+// A client that ends its connection, or only its sending, has its attempt given up, also where more
+// bytes of it came behind the open request than one.
 func TestClientThatLeavesIsNoticed(t *testing.T) {
 	for name, tt := range map[string]struct {
 		further string
@@ -92,8 +92,8 @@
 	}
 }
 
-// Every request that is taken ends in one way: taken = served + refused + failed + abandoned + moved + open, whatever clients and
-// servers do.
+// Every request that is taken ends in one way: taken = served + refused + failed + abandoned +
+// moved + open, whatever clients and servers do.
 func TestEveryRequestIsAccountedFor(t *testing.T) {
 	answer := func(text string) func(chan bool) func(net.Conn) bool {
 		return func(chan bool) func(net.Conn) bool { return scripted.Answer(text) }
@@ -174,7 +174,8 @@
 	}
 }
 
-// Requests that came together are all answered where the router sends its clients away meanwhile; the last answer ends the connection.
+// Requests that came together are all answered where the router sends its clients away meanwhile;
+// the last answer ends the connection.
 func TestPipelinedRequestsAreAnsweredInADrain(t *testing.T) {
 	for name, apart := range map[string]bool{"in one piece": false, "the others behind the open one": true} {
 		t.Run(name, func(t *testing.T) {
@@ -215,8 +216,8 @@
 	}
 }
 
-// What a server is told of the time left is counted from the first byte of the request, whatever has kept it since: its client's slow
-// writing, or a request before it on the connection.
+// What a server is told of the time left is counted from the first byte of the request, whatever
+// has kept it since: its client's slow writing, or a request before it on the connection.
 func TestTimeLeftIsCountedFromTheFirstByte(t *testing.T) {
 	const (
 		asked = 8 * time.Second
--- a/internal/transport/clientrequest.go
+++ b/internal/transport/clientrequest.go
@@ -8,8 +8,8 @@
 	"reachspread/internal/routing"
 )
 
-// clientRequest is a client's request that is under way, from its acceptance until its answer has gone
-// out. It outlives the attempts: a broken stream goes on under another request of the router.
+// clientRequest is a client's request that is under way, from its acceptance until its answer has
+// gone out. It outlives the attempts: a broken stream goes on under another request of the router.
 type clientRequest struct {
 	front     *Front
 	conn      *clientConn
@@ -65,8 +65,8 @@
 	return answer.Stream
 }
 
-// acceptResumed accepts the request that goes on with a broken answer, in place of the one before; nil
-// if there may be none.
+// acceptResumed accepts the request that goes on with a broken answer, in place of the one before;
+// nil if there may be none.
 func (e *clientRequest) acceptResumed(first *Final, after string) *routing.Request {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -90,8 +90,8 @@
 // resumable is a body that knows the last event that was forwarded.
 type resumable interface{ LastEvent() string }
 
-// resumingStream is the answer that a client reads. It ends the client's request with its own end. A
-// stream that breaks goes on from another server where that is allowed.
+// resumingStream is the answer that a client reads. It ends the client's request with its own end.
+// A stream that breaks goes on from another server where that is allowed.
 type resumingStream struct {
 	*routing.Stream
 	request *clientRequest
--- a/internal/transport/discovery.go
+++ b/internal/transport/discovery.go
@@ -22,22 +22,22 @@
 	maxList       = 4 << 20
 )
 
-// Pace says when a watch is begun, and begun again after a failure: with a backoff that doubles from First
-// to Longest, and varies by half of it either way, so that routers which failed together do not come back
-// together.
+// Pace says when a watch is begun, and begun again after a failure: with a backoff that doubles
+// from First to Longest, and varies by half of it either way, so that routers which failed together
+// do not come back together.
 type Pace struct {
 	StartSpread    time.Duration // the first call goes out within this, if a list is known
 	First, Longest time.Duration
-	// Answer is the timeout of a connection attempt, and of an answer that waits for nothing to begin; 0
-	// counts as answerTimeout. After maxHastyFailures in a row it is answerTimeout: otherwise a slower
-	// discovery would never be heard.
+	// Answer is the timeout of a connection attempt, and of an answer that waits for nothing to
+	// begin; 0 counts as answerTimeout. After maxHastyFailures in a row it is answerTimeout:
+	// otherwise a slower discovery would never be heard.
 	Answer time.Duration
 }
 
-// Pushed is the pace for a discovery that pushes: an agent on this machine, which costs nothing to ask and
-// answers at once. While discovery is down the agent does not answer. A router must apply what it has
-// after that within 500 ms: an attempt that began before, the wait after it and the next attempt have to
-// end within that.
+// Pushed is the pace for a discovery that pushes: an agent on this machine, which costs nothing to
+// ask and answers at once. While discovery is down the agent does not answer. A router must apply
+// what it has after that within 500 ms: an attempt that began before, the wait after it and the
+// next attempt have to end within that.
 var Pushed = Pace{First: 20 * time.Millisecond, Longest: 80 * time.Millisecond, Answer: 250 * time.Millisecond}
 
 const maxHastyFailures = 100 // failures in a row, over half a minute
@@ -53,11 +53,11 @@
 // callCost is the time of a discovery that one call is assumed to take.
 const callCost = 100 * time.Millisecond
 
-// Asked returns the pace for a discovery that must be asked: one service for so many routers. Each call
-// takes some of its time, also one that is queued for too long and fails; if calls come as fast as it can
-// answer, a queue that once was too long stays so, and no router gets an answer. So the calls of all
-// routers are spread over the time that they take together, or most of that within which each must have
-// asked.
+// Asked returns the pace for a discovery that must be asked: one service for so many routers. Each
+// call takes some of its time, also one that is queued for too long and fails; if calls come as
+// fast as it can answer, a queue that once was too long stays so, and no router gets an answer. So
+// the calls of all routers are spread over the time that they take together, or most of that within
+// which each must have asked.
 func Asked(routers int, within time.Duration) Pace {
 	spread := time.Duration(max(routers, 1)) * callCost
 	if within > 0 {
@@ -66,9 +66,9 @@
 	return Pace{StartSpread: spread, First: min(spread, maxRetryDelay), Longest: min(3*spread, maxRetryDelay)}
 }
 
-// maxRetryDelay bounds the usual wait after a failure. A router must have a change 6 s after discovery had
-// it and could be reached, whatever call failed: the longest wait, which is half as much again, and the
-// call after it have to end within that.
+// maxRetryDelay bounds the usual wait after a failure. A router must have a change 6 s after
+// discovery had it and could be reached, whatever call failed: the longest wait, which is half as
+// much again, and the call after it have to end within that.
 const maxRetryDelay = 3 * time.Second
 
 // Discovery watches the list of servers.
@@ -78,7 +78,7 @@
 	log    routing.Logger
 	onList func(*protocol.List)
 	down   bool  // the loss was logged
-	since  int64 // version of the list held, below 0 where only a whole list will do
+	since  int64 // version of the last list, below 0 if only a full list will do
 }
 
 // Wait returns how long to wait after a failure that so many came before, one after the other.
@@ -90,9 +90,10 @@
 	return usual/2 + rand.N(usual)
 }
 
-// WaitAfterTimeout returns how long to wait after a watch has timed out. A router must have what it missed
-// 2 s after the time that its call could wait, and the time-out was noticed answerTimeout after that. When
-// watches time out together, their calls still began at different times, so the next ones are spread.
+// WaitAfterTimeout returns how long to wait after a watch has timed out. A router must have what it
+// missed 2 s after the time that its call could wait, and the time-out was noticed answerTimeout
+// after that. When watches time out together, their calls still began at different times, so the
+// next ones are spread.
 func (p Pace) WaitAfterTimeout() time.Duration {
 	usual := min(p.First, maxTimeoutRetryDelay)
 	return usual/2 + rand.N(usual)
@@ -104,14 +105,15 @@
 // FullList is the version to start from if no list of this discovery is known.
 const FullList = -1
 
-// NewDiscovery returns a watch that gives each list to onList. The next call goes out when onList returns.
-// The first call asks for what is newer than the version since: full lists for all routers at once would
-// overload a discovery.
+// NewDiscovery returns a watch that gives each list to onList. The next call goes out when onList
+// returns. The first call asks for what is newer than the version since: full lists for all routers
+// at once would overload a discovery.
 func NewDiscovery(addr string, pace Pace, since int64, log routing.Logger, onList func(*protocol.List)) *Discovery {
 	return &Discovery{addr: addr, pace: pace, since: since, log: log, onList: onList}
 }
 
-// Run watches until ctx ends. Whatever fails, the last good list stays in force and a new watch begins.
+// Run watches until ctx ends. Whatever fails, the last good list stays in force and a new watch
+// begins.
 func (d *Discovery) Run(ctx context.Context) {
 	if d.since >= 0 && d.pace.StartSpread > 0 {
 		select {
@@ -144,8 +146,8 @@
 	}
 }
 
-// watch asks for the full list, then again and again for what is newer, on one connection. It returns the
-// first error, and whether any list came before.
+// watch asks for the full list, then again and again for what is newer, on one connection. It
+// returns the first error, and whether any list came before.
 func (d *Discovery) watch(ctx context.Context, within time.Duration) (good bool, err error) {
 	dialer := net.Dialer{Timeout: within}
 	c, err := dialer.DialContext(ctx, "tcp", d.addr)
--- a/internal/transport/discovery_test.go
+++ b/internal/transport/discovery_test.go
@@ -14,9 +14,10 @@
 	"reachspread/internal/transport"
 )
 
-// Eighty routers start at once against a discovery that answers eleven calls in a second, in turn, and spends as much
-// on one that has waited 2 s and fails. Asked at the pace all have their list within the 10 s in which each must have
-// asked; where each asks again within a second, the queue never gets short and nobody has one.
+// Eighty routers start at once against a discovery that answers eleven calls in a second, in turn,
+// and spends as much on one that has waited 2 s and fails. Asked at the pace all have their list
+// within the 10 s in which each must have asked; where each asks again within a second, the queue
+// never gets short and nobody has one.
 func TestRoutersThatStartTogetherAllGetTheList(t *testing.T) {
 	const routers, service, patience, within = 80, time.Second / 11, 2 * time.Second, 10 * time.Second
 	ask := func(pace transport.Pace) (served int) {
@@ -49,8 +50,9 @@
 	}
 }
 
-// An agent that was silent and answers again is heard within what the platform leaves a router that was told, less what a decision takes: a call that began
-// before is given up, another is made after the longest wait.
+// An agent that was silent and answers again is heard within what the platform leaves a router that
+// was told, less what a decision takes: a call that began before is given up, another is made after
+// the longest wait.
 func TestPushedListIsAppliedInTime(t *testing.T) {
 	const grace, decided = 500 * time.Millisecond, 100 * time.Millisecond
 	p := transport.Pushed
@@ -63,8 +65,8 @@
 	}
 }
 
-// However many routers share a discovery, each has made its next call and can have heard of it 6 s after discovery could be reached
-// again, and their calls are spread.
+// However many routers share a discovery, each has made its next call and can have heard of it 6 s
+// after discovery could be reached again, and their calls are spread.
 func TestFailedCallIsRetriedInTime(t *testing.T) {
 	const told, answer = 6 * time.Second, time.Second
 	for _, routers := range []int{1, 3, 30, 300, 3000} {
@@ -91,7 +93,8 @@
 	}
 }
 
-// An agent that takes connections and says nothing is asked again, each time anew, until it answers.
+// An agent that takes connections and says nothing is asked again, each time anew, until it
+// answers.
 func TestAgentThatTimesOut(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/transport/events.go
+++ b/internal/transport/events.go
@@ -42,8 +42,8 @@
 	return strconv.FormatUint(e.value, 10)
 }
 
-// events is a stream of events from a server. Only complete events are forwarded, so that another server
-// can go on with a stream that breaks. It implements routing.Body.
+// events is a stream of events from a server. Only complete events are forwarded, so that another
+// server can go on with a stream that breaks. It implements routing.Body.
 type events struct {
 	*exchange
 	ctx         context.Context
@@ -74,8 +74,8 @@
 // LastEvent returns the ID of the last event that was forwarded, empty for none.
 func (b *events) LastEvent() string { return b.last.String() }
 
-// Read returns complete events. A stream that breaks, times out or is malformed gives an error other than
-// io.EOF.
+// Read returns complete events. A stream that breaks, times out or is malformed gives an error
+// other than io.EOF.
 func (b *events) Read(p []byte) (int, error) {
 	for b.ready == 0 {
 		if b.endErr != nil {
@@ -112,8 +112,8 @@
 	}
 	b.endErr = err
 	if err == io.EOF && (b.resp.Header.ContentLength() < -1 || b.ready < len(b.buffered)) {
-		// An end of the connection does not say that the stream was complete, and half an event says that it
-		// was not.
+		// An end of the connection does not say that the stream was complete, and half an event
+		// says that it was not.
 		b.endErr = io.ErrUnexpectedEOF
 		return
 	}
@@ -149,8 +149,8 @@
 	}
 }
 
-// checkEvent checks a complete event: its ID must be above that of the one before, and its version one
-// that counts.
+// checkEvent checks a complete event: its ID must be above that of the one before, and its version
+// one that counts.
 func (b *events) checkEvent(event []byte) error {
 	if err := b.checkVersion(event); err != nil {
 		return err
--- a/internal/transport/exchange.go
+++ b/internal/transport/exchange.go
@@ -19,10 +19,11 @@
 const (
 	// maxErrorBody bounds the body of an answer that is not forwarded as it comes, in bytes.
 	maxErrorBody = 64 << 10
-	// headTimeout is how long each read of a head that has begun may take. A server writes a head at
-	// once, however it is split on its way.
+	// headTimeout is how long each read of a head that has begun may take. A server writes a head
+	// at once, however it is split on its way.
 	headTimeout = time.Second
-	// maxInterimAnswers bounds the 1xx answers, and those to other requests, before the answer itself.
+	// maxInterimAnswers bounds the 1xx answers, and those to other requests, before the answer
+	// itself.
 	maxInterimAnswers = 100
 )
 
@@ -47,12 +48,12 @@
 	fixedHost bool   // the Host header is the client's
 }
 
-// errUnsent says that nothing of a request was written, so that it may be retried as if there had been
-// no attempt.
+// errUnsent says that nothing of a request was written, so that it may be retried as if there had
+// been no attempt.
 var errUnsent = errors.New("nobody waits for the answer any more")
 
-// write writes a request, unless nobody waits for its answer any more. That is checked, and the time left
-// worked out, at the last moment: the connection may have taken a while to come up.
+// write writes a request, unless nobody waits for its answer any more. That is checked, and the
+// time left worked out, at the last moment: the connection may have taken a while to come up.
 func (o *outgoing) write(ctx context.Context, c *conn) error {
 	if !o.fixedHost {
 		o.request.Header.SetHost(c.to.Addr)
@@ -75,9 +76,9 @@
 	return out.Flush()
 }
 
-// exchange writes a request and reads the head of its answer. Without one it returns the result. Until
-// the last byte was written no server can have executed the request, so the result is one that allows
-// any retry; after it the request may have executed.
+// exchange writes a request and reads the head of its answer. Without one it returns the result.
+// Until the last byte was written no server can have executed the request, so the result is one
+// that allows any retry; after it the request may have executed.
 func (s *Servers) exchange(ctx context.Context, to routing.Server, o outgoing) (*exchange, balance.Result) {
 	o.dialect = s.dialect
 	c, err := s.pool.take(ctx, to)
@@ -130,9 +131,9 @@
 	return errMalformedAnswer
 }
 
-// readHead reads the head of the answer, after any 1xx. It waits for the first byte of each as long as
-// ctx lasts, but not for the rest: a head that stops half-way would take all the time that another
-// server might use.
+// readHead reads the head of the answer, after any 1xx. It waits for the first byte of each as long
+// as ctx lasts, but not for the rest: a head that stops half-way would take all the time that
+// another server might use.
 func (x *exchange) readHead(ctx context.Context) error {
 	for range maxInterimAnswers {
 		if _, err := x.conn.in.Peek(1); err != nil {
@@ -165,8 +166,8 @@
 // errMalformedAnswer says that an answer can't be read although its connection is well.
 var errMalformedAnswer = fmt.Errorf("%w: the answer can not be read", routing.ErrMalformedAnswer)
 
-// failed returns the result of an answer that broke off: by the end of ctx, with the connection, or else
-// because it was malformed, which its server outlives.
+// failed returns the result of an answer that broke off: by the end of ctx, with the connection, or
+// else because it was malformed, which its server outlives.
 func (x *exchange) failed(ctx context.Context, over balance.Result) balance.Result {
 	broke := balance.Error
 	if x.conn.err != nil && !errors.Is(x.conn.err, os.ErrDeadlineExceeded) {
@@ -175,8 +176,8 @@
 	return ended(ctx, over, broke)
 }
 
-// commit takes off the deadline: the answer has begun, so only the end of ctx may end it. It returns
-// false if the deadline was first.
+// commit takes off the deadline: the answer has begun, so only the end of ctx may end it. It
+// returns false if the deadline was first.
 func (x *exchange) commit(ctx context.Context) bool {
 	if !x.stop() {
 		return false
@@ -197,7 +198,8 @@
 	return text, err
 }
 
-// close returns the connection to the pool if the answer was read to its end, and closes it otherwise.
+// close returns the connection to the pool if the answer was read to its end, and closes it
+// otherwise.
 func (x *exchange) close() {
 	reuse := x.stop() && x.complete && !x.resp.ConnectionClose()
 	if keep := x.servers.dialect.KeepAlive(x.header); keep > 0 {
@@ -212,9 +214,9 @@
 	}
 }
 
-// ended returns the result of an exchange that broke off: because its client left, because its time was
-// over, or else because the connection broke. What the last two mean depends on whether the request was
-// sent.
+// ended returns the result of an exchange that broke off: because its client left, because its time
+// was over, or else because the connection broke. What the last two mean depends on whether the
+// request was sent.
 func ended(ctx context.Context, over, broke balance.Result) balance.Result {
 	switch ctx.Err() {
 	case context.Canceled:
--- a/internal/transport/forward.go
+++ b/internal/transport/forward.go
@@ -17,8 +17,8 @@
 	"reachspread/internal/routing"
 )
 
-// Forward says how a request of the fleet's dialect is forwarded: with the headers of its client, to be
-// answered as the server answers.
+// Forward says how a request of the fleet's dialect is forwarded: with the headers of its client,
+// to be answered as the server answers.
 type Forward struct {
 	Header            []protocol.Field // as they are forwarded, Host among them
 	Events            bool             // the answer is a stream of events
@@ -52,8 +52,8 @@
 // errVersion says that an answer, or its rest, is not of the only version that counts.
 var errVersion = fmt.Errorf("%w: the answer is of another version", routing.ErrUnacceptable)
 
-// rejectedForVersion reports whether a server has not executed a request as it has another version. Any
-// request may be retried after that.
+// rejectedForVersion reports whether a server has not executed a request as it has another version.
+// Any request may be retried after that.
 func (f *Forward) rejectedForVersion(status int) bool {
 	return f != nil && f.Version > 0 && status == fasthttp.StatusMisdirectedRequest
 }
@@ -152,15 +152,15 @@
 	answerLine(ctx, no.Code, no.Text)
 }
 
-// maxBufferedAnswer bounds the answers, in bytes, that are read to their end before any of them goes to
-// the client, so that another server may still serve a request whose answer breaks off.
+// maxBufferedAnswer bounds the answers, in bytes, that are read to their end before any of them
+// goes to the client, so that another server may still serve a request whose answer breaks off.
 const maxBufferedAnswer = 64 << 10
 
 // errPartial says that an answer ended before its announced length.
 var errPartial = errors.New("the answer ended early")
 
-// forwardAnswer returns the body of an answer of the fleet's dialect after its first event, or all of
-// it, has come.
+// forwardAnswer returns the body of an answer of the fleet's dialect after its first event, or all
+// of it, has come.
 func (s *Servers) forwardAnswer(ctx, headCtx context.Context, x *exchange, msg *Message) routing.AttemptResult {
 	var body routing.Body
 	err := msg.forward.checkVersion(x.header(protocol.HeaderVersions))
--- a/internal/transport/front.go
+++ b/internal/transport/front.go
@@ -95,13 +95,15 @@
 		NoDefaultDate:                true,
 		CloseOnShutdown:              true,
 		DisablePreParseMultipartForm: true,
-		// What goes wrong on a client's connection is the client's to see; on-call can not act on it.
+		// What goes wrong on a client's connection is the client's to see; on-call can not act on
+		// it.
 		Logger: log.New(io.Discard, "", 0),
 	}
 	return f
 }
 
-// Serve answers the clients that connect to ln until Shutdown. Other processes have a shared one, too.
+// Serve answers the clients that connect to ln until Shutdown. Other processes have a shared one,
+// too.
 func (f *Front) Serve(ln net.Listener, shared bool) error {
 	if err := f.listener.listen(ln, shared); err != nil || f.listener.socket == nil {
 		return err
@@ -123,8 +125,8 @@
 // SetBodyBytes bounds the bytes of the bodies of all requests together.
 func (f *Front) SetBodyBytes(most int) { f.memory.limit.Store(int64(most)) }
 
-// SetKeepAlive says whether a connection outlives its answer. Answers that begin from then on say so to
-// their clients.
+// SetKeepAlive says whether a connection outlives its answer. Answers that begin from then on say
+// so to their clients.
 func (f *Front) SetKeepAlive(keeps bool) {
 	f.listener.draining.Store(!keeps)
 	f.listener.closingAfterAnswers.Store(false)
@@ -133,22 +135,22 @@
 // Draining reports whether connections end with their answers.
 func (f *Front) Draining() bool { return f.listener.draining.Load() }
 
-// CloseAfterAnswers ends connections with their answers, also with answers that could not say so. The
-// close may cross the client's next request.
+// CloseAfterAnswers ends connections with their answers, also with answers that could not say so.
+// The close may cross the client's next request.
 func (f *Front) CloseAfterAnswers() { f.listener.closingAfterAnswers.Store(true) }
 
-// CloseIdle closes the connections that have been idle for so long. One whose next request has come by
-// then is served.
+// CloseIdle closes the connections that have been idle for so long. One whose next request has come
+// by then is served.
 func (f *Front) CloseIdle(idleTime time.Duration) {
 	f.listener.notifyAdmission(admission.Event{Kind: admission.CloseIdle, IdleTime: idleTime})
 }
 
-// StopAccepting ends Serve. Connections stay, and so does an inherited listener for the other processes
-// that have it.
+// StopAccepting ends Serve. Connections stay, and so does an inherited listener for the other
+// processes that have it.
 func (f *Front) StopAccepting() { f.listener.Close() }
 
-// Shutdown waits until all accepted requests are answered. Each idle connection is read once more before
-// it is closed, which the HTTP server does not do.
+// Shutdown waits until all accepted requests are answered. Each idle connection is read once more
+// before it is closed, which the HTTP server does not do.
 func (f *Front) Shutdown() error {
 	f.StopAccepting()
 	f.listener.closeUntilEmpty(func() { f.CloseIdle(0) })
@@ -163,8 +165,8 @@
 	}
 }
 
-// closeIfDraining ends a connection with its answer while the router is draining, unless further requests
-// on it have come already: those are answered first.
+// closeIfDraining ends a connection with its answer while the router is draining, unless further
+// requests on it have come already: those are answered first.
 func (f *Front) closeIfDraining(ctx *fasthttp.RequestCtx) {
 	conn, ok := ctx.Conn().(*clientConn)
 	if f.listener.draining.Load() && !(ok && conn.hasFurther()) {
@@ -210,9 +212,9 @@
 	}
 }
 
-// serveOnce plans a request that was read, has it routed and answers it. Needed says that its body is
-// needed after the answer has begun; planAgain, that the request has to be planned again, as nothing of
-// it was sent.
+// serveOnce plans a request that was read, has it routed and answers it. Needed says that its body
+// is needed after the answer has begun; planAgain, that the request has to be planned again, as
+// nothing of it was sent.
 func (f *Front) serveOnce(ctx *fasthttp.RequestCtx, conn *clientConn, body []byte, came time.Time) (needed, planAgain bool) {
 	plan, no := f.intake.Plan(ctx, body, conn.beganAt)
 	if no != nil {
@@ -299,9 +301,9 @@
 // errBodyMemory says that the bodies of other requests use all memory for bodies.
 var errBodyMemory = errors.New("no room for the body")
 
-// readBody reads a request's body. Its buffer grows with what comes, not with what was announced, and is
-// reserved in f.memory, whatever the error. A client that closes half-way ends fasthttp's stream like a
-// complete body, so the length is compared.
+// readBody reads a request's body. Its buffer grows with what comes, not with what was announced,
+// and is reserved in f.memory, whatever the error. A client that closes half-way ends fasthttp's
+// stream like a complete body, so the length is compared.
 func (f *Front) readBody(ctx *fasthttp.RequestCtx) ([]byte, error) {
 	length := ctx.Request.Header.ContentLength() // negative where it was not announced
 	limit := f.intake.MaxBody()
@@ -340,8 +342,8 @@
 	ctx.SetBodyString(line + "\n")
 }
 
-// reject answers a request whose client is at fault, and ends the connection: what follows on it can't be
-// trusted, and a client that retries must connect again.
+// reject answers a request whose client is at fault, and ends the connection: what follows on it
+// can't be trusted, and a client that retries must connect again.
 func reject(ctx *fasthttp.RequestCtx, code int, line string) {
 	answerLine(ctx, code, line)
 	ctx.SetConnectionClose()
--- a/internal/transport/front_test.go
+++ b/internal/transport/front_test.go
@@ -45,8 +45,8 @@
 	return c
 }
 
-// Whatever a client holds back, it gets an error or a close in time. Clients open connections ahead of need, too:
-// one that is closed unused must not carry an answer to nothing.
+// Whatever a client holds back, it gets an error or a close in time. Clients open connections ahead
+// of need, too: one that is closed unused must not carry an answer to nothing.
 func TestSlowClientsAreClosedInTime(t *testing.T) {
 	post := "POST /v1/chat/completions HTTP/1.1\r\nHost: r\r\n"
 	addr := serve(t, FrontLimits{Admission: admission.Config{MaxConnections: 10, MaxOverflow: 4}, BodyBytes: 100 << 10})
@@ -69,7 +69,8 @@
 	}
 }
 
-// Clients that connect and say nothing take up no place that another needs: the oldest of them goes.
+// Clients that connect and say nothing take up no place that another needs: the oldest of them
+// goes.
 func TestIdleClientsAreReplaced(t *testing.T) {
 	addr := serve(t, FrontLimits{Admission: admission.Config{MaxConnections: 3, MaxOverflow: 1}})
 	var silent []net.Conn
@@ -89,8 +90,9 @@
 	}
 }
 
-// An IPv6 client that comes from a new address each time, of one net: on loopback there is one such address, so the
-// listener is told others. What it sends in small pieces is read and answered as what it sends at once.
+// An IPv6 client that comes from a new address each time, of one net: on loopback there is one such
+// address, so the listener is told others. What it sends in small pieces is read and answered as
+// what it sends at once.
 func TestClientWithNewAddressesOfOneNet(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -130,7 +132,8 @@
 	}
 }
 
-// A request whose body is still on its way is refused at once, and the rest of it does not take back the answer.
+// A request whose body is still on its way is refused at once, and the rest of it does not take
+// back the answer.
 func TestRejectionOfAHalfSentRequestArrives(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/transport/handover.go
+++ b/internal/transport/handover.go
@@ -21,16 +21,16 @@
 	handoverVersion    = 1
 	maxHandoverMessage = 32 << 10
 	handoverSockets    = 2
-	// handoverTimeout is how long the process that takes over may take to answer one message. If it has
-	// the message after that, it is alive and has the connection.
+	// handoverTimeout is how long the process that takes over may take to answer one message. If it
+	// has the message after that, it is alive and has the connection.
 	handoverTimeout = time.Second
 	accepted        = 'y'
 	declined        = 'n'
 )
 
-// movedConn is the message that goes with a connection to the process that takes over: for a stream, what
-// of it is half read; for an idle connection to a server, how long it is idle; nothing for a client's idle
-// connection.
+// movedConn is the message that goes with a connection to the process that takes over: for a
+// stream, what of it is half read; for an idle connection to a server, how long it is idle; nothing
+// for a client's idle connection.
 type movedConn struct {
 	Version int                  `json:"version"`
 	Stream  bool                 `json:"stream"`
@@ -64,8 +64,8 @@
 
 var errDeclined = errors.New("the other process has no room for it")
 
-// move hands a connection over, with the one to a server if it has a stream. Without an error the other
-// process has it: the caller must close its own copy, without reading or writing.
+// move hands a connection over, with the one to a server if it has a stream. Without an error the
+// other process has it: the caller must close its own copy, without reading or writing.
 func (m *Mover) move(what movedConn, conns ...net.Conn) error {
 	what.Version = handoverVersion
 	text, err := json.Marshal(what)
--- a/internal/transport/handover_test.go
+++ b/internal/transport/handover_test.go
@@ -51,7 +51,8 @@
 	return h
 }
 
-// A server that has fallen silent gets no more time by a move, nor by one that fails: its client is told in time.
+// A server that has fallen silent gets no more time by a move, nor by one that fails: its client is
+// told in time.
 func TestMovedStreamKeepsItsTimeout(t *testing.T) {
 	const silent = time.Second
 	for name, path := range map[string]string{"moved": "taken", "nobody takes it": "gone"} {
--- a/internal/transport/inherit.go
+++ b/internal/transport/inherit.go
@@ -7,10 +7,11 @@
 	"syscall"
 )
 
-// Inherit returns the listener that this process has as a descriptor from its parent. Closing it leaves
-// the socket, with its backlog, to the other processes that have it.
+// Inherit returns the listener that this process has as a descriptor from its parent. Closing it
+// leaves the socket, with its backlog, to the other processes that have it.
 func Inherit(fd int) (net.Listener, error) {
-	// Asked before the descriptor is taken: a wrong one may be anything's, the run-time's own poller among them.
+	// Asked before the descriptor is taken: a wrong one may be anything's, the run-time's own
+	// poller among them.
 	listens, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN)
 	if err == nil && listens == 0 {
 		err = fmt.Errorf("it does not listen")
--- a/internal/transport/intake.go
+++ b/internal/transport/intake.go
@@ -10,9 +10,9 @@
 	"reachspread/internal/routing"
 )
 
-// Intake is what one deployment makes of its clients' requests. The front end reads requests and writes
-// answers; the intake says which router gets a request, under which ID, and how an answer reads. Its
-// methods are called by many goroutines.
+// Intake is what one deployment makes of its clients' requests. The front end reads requests and
+// writes answers; the intake says which router gets a request, under which ID, and how an answer
+// reads. Its methods are called by many goroutines.
 type Intake interface {
 	// Local answers a request that is for the router itself, and reports whether it did.
 	Local(ctx *fasthttp.RequestCtx) bool
@@ -37,11 +37,11 @@
 	Router  *routing.Router
 	Arrival balance.Arrival
 	Message *Message
-	// Resume says how an answer that broke off after an event goes on, nil if that is not allowed; ok is
-	// false if it can't. First is the head of the answer so far.
+	// Resume says how an answer that broke off after an event goes on, nil if that is not allowed;
+	// ok is false if it can't. First is the head of the answer so far.
 	Resume func(m *Message, first *Final, after string) (next *Plan, ok bool)
-	// Outdated reports whether a request that was rejected before it executed has to be planned again;
-	// it may be nil.
+	// Outdated reports whether a request that was rejected before it executed has to be planned
+	// again; it may be nil.
 	Outdated func() bool
 	// Ended is called once with the request's end; it may be nil.
 	Ended func(routing.Answer)
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -19,13 +19,13 @@
 )
 
 const (
-	// maxClosingConns is how many connections that were shut may not have left the HTTP server yet; with
-	// more, nothing is accepted. Its workers end slower than new connections come, and it rejects beyond
-	// its own bound.
+	// maxClosingConns is how many connections that were shut may not have left the HTTP server yet;
+	// with more, nothing is accepted. Its workers end slower than new connections come, and it
+	// rejects beyond its own bound.
 	maxClosingConns = 32
-	// A flood is accepted in bursts: after so many connections that were rejected the listener rests, so
-	// that the poller gets to those that are served. While the backlog grows, its bursts grow up to
-	// maxAcceptBurst: the clients that are served next are in that backlog, too.
+	// A flood is accepted in bursts: after so many connections that were rejected the listener
+	// rests, so that the poller gets to those that are served. While the backlog grows, its bursts
+	// grow up to maxAcceptBurst: the clients that are served next are in that backlog, too.
 	minAcceptBurst       = 64
 	maxAcceptBurst       = 256
 	acceptRest           = 200 * time.Microsecond
@@ -97,7 +97,8 @@
 	if err != nil || !l.strict {
 		return err
 	}
-	// The system accepts a silent client after a second only, others when their first bytes have come.
+	// The system accepts a silent client after a second only, others when their first bytes have
+	// come.
 	failed := l.raw.Control(func(fd uintptr) {
 		err = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_DEFER_ACCEPT, int(deferAcceptTime/time.Second))
 	})
@@ -189,8 +190,8 @@
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
 }
 
-// rejectForShortage rejects a client on its bare descriptor. What it has sent must be read, or the close
-// would take back the answer.
+// rejectForShortage rejects a client on its bare descriptor. What it has sent must be read, or the
+// close would take back the answer.
 func rejectForShortage(fd int) {
 	syscall.Read(fd, make([]byte, 4096))
 	syscall.Write(fd, []byte(shortageAnswer))
@@ -222,8 +223,8 @@
 	}
 }
 
-// readEarly reads what a client has sent by now, if admission is strict. It returns admission's event and
-// how many bytes are in l.readAhead.
+// readEarly reads what a client has sent by now, if admission is strict. It returns admission's
+// event and how many bytes are in l.readAhead.
 func (l *listener) readEarly(fd int, from netip.Addr) (e admission.Event, got int) {
 	e = admission.Event{Kind: admission.Opened, Addr: from}
 	if !l.strict {
@@ -241,8 +242,8 @@
 	return e, max(got, 0)
 }
 
-// admitOpened has admission decide on a connection, nil for one that is not admitted. It waits while too
-// many connections have not left the HTTP server.
+// admitOpened has admission decide on a connection, nil for one that is not admitted. It waits
+// while too many connections have not left the HTTP server.
 func (l *listener) admitOpened(fd int, from netip.Addr) (c *clientConn) {
 	e, got := l.readEarly(fd, from)
 	l.mu.Lock()
@@ -301,8 +302,8 @@
 	return c
 }
 
-// reject answers a request that was read, complete or not, before its connection was admitted. The caller
-// has the lock.
+// reject answers a request that was read, complete or not, before its connection was admitted. The
+// caller has the lock.
 func (l *listener) reject(fd int, complete bool, a admission.Action) {
 	l.text = protocol.AppendRejection(l.text[:0], a.Code, a.RetryAfter, rejectionText(a))
 	// All of it goes out, in one packet with the end, or the client is gone.
@@ -338,7 +339,7 @@
 	return "no place for this request; trying again is harmless"
 }
 
-// carryOut does what admission wants of a connection. The lock is held.
+// carryOut carries out an action on a connection. The caller has the lock.
 func (l *listener) carryOut(a admission.Action) {
 	switch a.Kind {
 	case admission.Evict:
@@ -349,7 +350,7 @@
 	}
 }
 
-// tell has admission know of something that concerns one connection, or none.
+// notifyAdmission has admission handle an event, and returns its answer to a request that was read.
 func (l *listener) notifyAdmission(e admission.Event) (answer admission.Action) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/transport/management.go
+++ b/internal/transport/management.go
@@ -14,17 +14,18 @@
 )
 
 const (
-	// MaxCallers bounds the callers of the management address that are connected at one time. One more
-	// replaces the one that was connected first, so that silent callers keep nobody out.
+	// MaxCallers bounds the callers of the management address that are connected at one time. One
+	// more replaces the one that was connected first, so that silent callers keep nobody out.
 	MaxCallers = 16
-	// ManagementSockets are the descriptors that a Management may use: callers, the listener, and one in
-	// reserve for when the process has no other.
+	// ManagementSockets are the descriptors that a Management may use: callers, the listener, and
+	// one in reserve for when the process has no other.
 	ManagementSockets = MaxCallers + 2
 	// callTimeout is how long a caller may take for all of its call.
 	callTimeout = 10 * time.Second
 )
 
-// Management is the operators' management address: a connection carries one line and gets one answer.
+// Management is the operators' management address: a connection carries one line and gets one
+// answer.
 type Management struct {
 	ln     net.Listener
 	answer func(line string) string
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -1,7 +1,7 @@
 // Package transport has all that touches sockets: the front end for clients (front.go, listener.go,
-// clientconn.go), the connections to servers (servers.go, pool.go, exchange.go), the watch on discovery,
-// and the handover of connections to a process that takes over (handover.go). The HTTP on them is
-// fasthttp's.
+// clientconn.go), the connections to servers (servers.go, pool.go, exchange.go), the watch on
+// discovery, and the handover of connections to a process that takes over (handover.go). The HTTP
+// on them is fasthttp's.
 package transport
 
 import (
@@ -25,7 +25,8 @@
 // errNoSocket says that all connections to servers are in use. Nothing was sent.
 var errNoSocket = errors.New("no socket left for servers")
 
-// pool keeps connections to servers, for each the most recently used first, and bounds their number.
+// pool keeps connections to servers, for each the most recently used first, and bounds their
+// number.
 type pool struct {
 	connectTimeout time.Duration
 	idleTimeout    time.Duration // safely under the time after which the other side closes
@@ -81,8 +82,8 @@
 	return c, nil
 }
 
-// pop returns the most recently used idle connection. Without one it returns nil and counts a new one,
-// if need be in place of the longest idle connection to any server.
+// pop returns the most recently used idle connection. Without one it returns nil and counts a new
+// one, if need be in place of the longest idle connection to any server.
 func (p *pool) pop(to routing.Server) (*conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -115,8 +116,8 @@
 	return true
 }
 
-// setLimit sets how many connections there may be. Idle ones beyond it are closed; those in use end with
-// their users.
+// setLimit sets how many connections there may be. Idle ones beyond it are closed; those in use end
+// with their users.
 func (p *pool) setLimit(limit int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -125,8 +126,8 @@
 	}
 }
 
-// setIdle sets a server's idle connections. Without any its entry is deleted: over a long day there are
-// thousands of servers.
+// setIdle sets a server's idle connections. Without any its entry is deleted: over a long day there
+// are thousands of servers.
 func (p *pool) setIdle(to routing.Server, l []*conn) {
 	if len(l) == 0 {
 		delete(p.idle, to)
@@ -176,8 +177,8 @@
 	return all
 }
 
-// adopt takes over a connection of another process that has been idle for so long, unless there are too
-// many.
+// adopt takes over a connection of another process that has been idle for so long, unless there are
+// too many.
 func (p *pool) adopt(nc net.Conn, to routing.Server, idle time.Duration) bool {
 	p.mu.Lock()
 	if p.closed || p.open >= p.limit {
@@ -195,6 +196,7 @@
 // put returns a connection that is ready for the next request.
 func (p *pool) put(c *conn) { p.putSince(c, time.Now()) }
 
+// putSince returns a connection that is idle since a time.
 func (p *pool) putSince(c *conn, since time.Time) {
 	if c.in.Buffered() > 0 || c.SetDeadline(time.Time{}) != nil {
 		p.discard(c)
@@ -253,8 +255,8 @@
 	return float64(used) / float64(p.limit)
 }
 
-// keepIdle says whether idle connections may stay open. If not, the idle ones are closed, and each other
-// one as soon as it would become idle.
+// keepIdle says whether idle connections may stay open. If not, the idle ones are closed, and each
+// other one as soon as it would become idle.
 func (p *pool) keepIdle(may bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -289,7 +291,8 @@
 	return n, err
 }
 
-// isQuiet reports whether the other side has neither closed an idle connection nor sent anything on it.
+// isQuiet reports whether the other side has neither closed an idle connection nor sent anything on
+// it.
 func (c *conn) isQuiet() bool {
 	raw, err := c.Conn.(syscall.Conn).SyscallConn()
 	if err != nil {
--- a/internal/transport/servers.go
+++ b/internal/transport/servers.go
@@ -90,8 +90,8 @@
 // Close closes the idle connections. Those in use close with their users.
 func (s *Servers) Close() { s.pool.keepIdle(false) }
 
-// SetTimeouts sets the timeout of a connection attempt, and the time after which a server closes an idle
-// connection.
+// SetTimeouts sets the timeout of a connection attempt, and the time after which a server closes an
+// idle connection.
 func (s *Servers) SetTimeouts(connect, keepalive time.Duration) {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
@@ -186,8 +186,8 @@
 	return routing.AttemptResult{Result: result, Load: load}
 }
 
-// unserved reads an answer that does not serve the request. If the dialect says so it is kept, for the
-// client in the end.
+// unserved reads an answer that does not serve the request. If the dialect says so it is kept, for
+// the client in the end.
 func (s *Servers) unserved(x *exchange, msg *Message, judged protocol.AttemptJudgement) routing.AttemptResult {
 	head := routing.AttemptResult{Result: judged.Result, RequestInvalid: judged.RequestInvalid}
 	if msg.forward.rejectedForVersion(x.resp.StatusCode()) {
--- a/internal/transport/servers_test.go
+++ b/internal/transport/servers_test.go
@@ -153,7 +153,8 @@
 	}
 }
 
-// What a server sends beyond its answer harms nobody: not this client, and not the next one on the connection.
+// What a server sends beyond its answer harms nobody: not this client, and not the next one on the
+// connection.
 func TestSurplusBytesAfterAnAnswer(t *testing.T) {
 	interim := "HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n"
 	for name, script := range map[string]func(net.Conn) bool{
@@ -169,7 +170,8 @@
 	}
 }
 
-// A connection that was refused or closed while idle proves that nothing ran: the request goes on elsewhere.
+// A connection that was refused or closed while idle proves that nothing ran: the request goes on
+// elsewhere.
 func TestRetryAfterARefusedOrClosedConnection(t *testing.T) {
 	closed := make(chan bool, 1)
 	s := scripted.NewServer(t, func(c net.Conn) bool {
@@ -192,7 +194,8 @@
 	}
 }
 
-// A refusal comes at once and tells when to come back; a deadline ends an attempt that got no answer.
+// A refusal comes at once and tells when to come back; a deadline ends an attempt that got no
+// answer.
 func TestDeadlineIsAnsweredInTime(t *testing.T) {
 	gone := make(chan bool, 1)
 	s := scripted.NewServer(t, func(c net.Conn) bool {
@@ -295,7 +298,8 @@
 	}
 }
 
-// A client that closes before its request's last byte must not have the rest of it sent, however long that is.
+// A client that closes before its request's last byte must not have the rest of it sent, however
+// long that is.
 func TestIncompleteRequestIsNotForwarded(t *testing.T) {
 	s := scripted.NewServer(t, scripted.Answer(scripted.CompleteAnswer()))
 	r := newRouter(t, s)
@@ -321,7 +325,8 @@
 	}
 }
 
-// Ids are fresh by the platform's word. Who uses that of an open request gets an error; the first one is unharmed.
+// Ids are fresh by the platform's word. Who uses that of an open request gets an error; the first
+// one is unharmed.
 func TestTwoRequestsOfOneID(t *testing.T) {
 	more := make(chan bool)
 	s := scripted.NewServer(t, scripted.GatedAnswer(more))
@@ -341,8 +346,8 @@
 	}
 }
 
-// A request that a server finds at fault is answered so at once. Tried elsewhere and held against each, one
-// client's bad requests would have the whole fleet ejected.
+// A request that a server finds at fault is answered so at once. Tried elsewhere and held against
+// each, one client's bad requests would have the whole fleet ejected.
 func TestInvalidRequestEjectsNoServer(t *testing.T) {
 	s := scripted.NewServer(t, scripted.Answer("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"))
 	lines := make(scripted.Lines, 10)
@@ -386,7 +391,8 @@
 	}
 }
 
-// The watch goes on from the version told, outlives a bad list and a lost connection, and logs each once.
+// The watch goes on from the version told, outlives a bad list and a lost connection, and logs each
+// once.
 func TestDiscoveryWatch(t *testing.T) {
 	d := scripted.NewDiscovery(t, scripted.List(41, true, scripted.Entry("s0", "127.0.0.1:1", "Ready")))
 	lines, lists := make(chan string, 10), make(chan *protocol.List, 10)
--- a/internal/transport/splitbytes_test.go
+++ b/internal/transport/splitbytes_test.go
@@ -30,7 +30,8 @@
 	io.WriteString(c, text)
 }
 
-// Whatever pieces a good exchange comes in, from the client, the server and discovery, the same bytes come out.
+// Whatever pieces a good exchange comes in, from the client, the server and discovery, the same
+// bytes come out.
 func TestBytesSplitAnywhere(t *testing.T) {
 	lists, answers, told := make(chan []int, 1), make(chan []int, 1), make(chan *protocol.List, 1)
 	defer close(lists)
@@ -86,7 +87,8 @@
 	}
 }
 
-// A good server that writes its head slowly, a byte at a time, is not taken for one that has fallen silent.
+// A good server that writes its head slowly, a byte at a time, is not taken for one that has fallen
+// silent.
 func TestSlowHeadIsNoTimeout(t *testing.T) {
 	s := scripted.NewServer(t, func(c net.Conn) bool {
 		for _, b := range []byte(scripted.Head) {
--- a/internal/transport/status.go
+++ b/internal/transport/status.go
@@ -19,15 +19,17 @@
 	maxStatusAnswer = 4 << 20
 )
 
-// Status answers questions about the running router on a Unix socket, which only its own user may open.
+// Status answers questions about the running router on a Unix socket, which only its own user may
+// open.
 type Status struct {
 	path   string
 	server *fasthttp.Server
 	ln     net.Listener
 }
 
-// NewStatus listens on the socket name.sock in a folder that must exist. Each topic is asked for as a
-// path and answered as JSON. A socket that a dead process left is replaced; one that answers is an error.
+// NewStatus listens on the socket name.sock in a folder that must exist. Each topic is asked for as
+// a path and answered as JSON. A socket that a dead process left is replaced; one that answers is
+// an error.
 func NewStatus(folder, name string, clients int, topics map[string]func() (any, error)) (*Status, error) {
 	s := &Status{path: filepath.Join(folder, name+".sock")}
 	if c, err := net.DialTimeout("unix", s.path, statusTimeout); err == nil {
--- a/internal/transport/streamtracker.go
+++ b/internal/transport/streamtracker.go
@@ -10,8 +10,9 @@
 	"reachspread/internal/protocol"
 )
 
-// streamTracker follows the chunks of a stream as they come from a server, so that another process can go
-// on with it at any byte. It sits below the reader of the stream, and stops it between two reads.
+// streamTracker follows the chunks of a stream as they come from a server, so that another process
+// can go on with it at any byte. It sits below the reader of the stream, and stops it between two
+// reads.
 type streamTracker struct {
 	chunks     protocol.ChunkParser
 	unmovable  bool         // its chunks are malformed: it stays here
@@ -104,8 +105,8 @@
 // stoppedForMove reports whether reading was stopped for a move.
 func (b *body) stoppedForMove() bool { return b.conn.track != nil && b.conn.track.stopped }
 
-// move hands the stream to the process that takes over. If that can't be, it goes on here, from where it
-// was stopped.
+// move hands the stream to the process that takes over. If that can't be, it goes on here, from
+// where it was stopped.
 func (b *body) move() bool {
 	t, client := b.conn.track, b.message.client
 	mover := client.listener.mover.Load()
@@ -131,6 +132,7 @@
 	chunks protocol.ChunkParser
 }
 
+// Read implements io.Reader.
 func (u *unchunked) Read(p []byte) (n int, err error) {
 	if u.chunks.At == protocol.AtComplete {
 		return 0, io.EOF
--- a/internal/transport/tap.go
+++ b/internal/transport/tap.go
@@ -11,8 +11,8 @@
 	"reachspread/internal/routing"
 )
 
-// Tap may ask for a copy of each request that is accepted, and never blocks. A request that is not copied
-// costs one call of TenantHeader and one of Choose, which take no lock and allocate nothing.
+// Tap may ask for a copy of each request that is accepted, and never blocks. A request that is not
+// copied costs one call of TenantHeader and one of Choose, which take no lock and allocate nothing.
 type Tap interface {
 	// TenantHeader names the header that holds a request's tenant, empty for none.
 	TenantHeader() string
@@ -22,8 +22,8 @@
 
 // Copier takes copies.
 type Copier interface {
-	// Copy takes a request, whose bytes it shares from now on, and returns what observes its answer; nil
-	// for nothing.
+	// Copy takes a request, whose bytes it shares from now on, and returns what observes its
+	// answer; nil for nothing.
 	Copy(pools uint64, r AcceptedRequest) AnswerObserver
 }
 
@@ -35,15 +35,15 @@
 	Message   *Message
 }
 
-// AnswerObserver observes the answer to one request on its way to the client. It is used by one goroutine
-// and never blocks.
+// AnswerObserver observes the answer to one request on its way to the client. It is used by one
+// goroutine and never blocks.
 type AnswerObserver interface {
 	// Begun is called with the source of an answer that has begun.
 	Begun(from routing.Source)
 	// Feed is called with each chunk before it goes to the client, and must not keep it.
 	Feed(p []byte)
-	// Ended ends an answer that had begun: io.EOF says that it was complete, nil that its client left,
-	// another error that it broke.
+	// Ended ends an answer that had begun: io.EOF says that it was complete, nil that its client
+	// left, another error that it broke.
 	Ended(err error)
 	// Refused ends a request that got no answer: ok is false if its client had left.
 	Refused(ok bool, v routing.Verdict)
@@ -95,7 +95,8 @@
 	return err
 }
 
-// AdmissionStatus returns what admission has done, its state, and the clients with the most connections.
+// AdmissionStatus returns what admission has done, its state, and the clients with the most
+// connections.
 func (f *Front) AdmissionStatus(most int) (admission.Counts, []admission.ClientUsage) {
 	f.listener.mu.Lock()
 	defer f.listener.mu.Unlock()
@@ -109,7 +110,8 @@
 	return f.listener.alive
 }
 
-// Lend tells admission that time has passed, and how many connections it may have from others' capacity.
+// Lend tells admission that time has passed, and how many connections it may have from others'
+// capacity.
 func (f *Front) Lend(lent int) {
 	f.listener.notifyAdmission(admission.Event{Kind: admission.CapacityLent, Lent: lent})
 }
--- a/internal/transport/unsent_test.go
+++ b/internal/transport/unsent_test.go
@@ -47,8 +47,9 @@
 	}
 }
 
-// The watch on a client may be late where the router is short of processor time. Nothing is sent for one that has left by
-// the moment of sending, whatever the watch has noticed, and the server's connection is as good as before.
+// The watch on a client may be late where the router is short of processor time. Nothing is sent
+// for one that has left by the moment of sending, whatever the watch has noticed, and the server's
+// connection is as good as before.
 func TestNothingIsSentForAClientThatLeft(t *testing.T) {
 	for name, leave := range map[string]func(*net.TCPConn){
 		"closed": func(c *net.TCPConn) { c.Close() },
@@ -81,8 +82,9 @@
 	}
 }
 
-// Of requests that came together one is read: a connection that has to end with its answer, as where a stream breaks, takes none of the
-// others with it that were read and not answered. The watch reads a byte, and still notices that the client leaves.
+// Of requests that came together one is read: a connection that has to end with its answer, as
+// where a stream breaks, takes none of the others with it that were read and not answered. The
+// watch reads a byte, and still notices that the client leaves.
 func TestFurtherRequestsStayUnread(t *testing.T) {
 	client, accepted := pair(t)
 	conn := &clientConn{Conn: accepted, listener: newListener(&FrontLimits{Admission: admission.Config{MaxConnections: 1, MaxOverflow: 1}})}
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -13,7 +13,8 @@
 	"reachspread/balance"
 )
 
-// golden compares a text with a file of testdata. The files were taken from the landed code, and are never renewed.
+// golden compares a text with a file of testdata. The files were taken from the landed code, and
+// are never renewed.
 func golden(t *testing.T, path, got string) {
 	t.Helper()
 	want, err := os.ReadFile(path)
@@ -32,7 +33,8 @@
 	}
 }
 
-// values lists what a value holds, without any name of a field or type: these may change, what the messages mean may not.
+// values lists what a value holds, without any name of a field or type: these may change, what the
+// messages mean may not.
 func values(v reflect.Value) string {
 	switch v.Kind() {
 	case reflect.Interface, reflect.Pointer:
@@ -58,7 +60,8 @@
 	return fmt.Sprint(v.Interface())
 }
 
-// examples are one message of each kind that the simulator sends, and of each form that a field has.
+// examples are one message of each kind that the simulator sends, and of each form that a field
+// has.
 func examples(t *testing.T) []string {
 	t.Helper()
 	text, err := os.ReadFile("testdata/messages.in.jsonl")
@@ -68,7 +71,8 @@
 	return strings.Split(strings.TrimSpace(string(text)), "\n")
 }
 
-// Each message of the simulator, its settings included, means to the module what it meant when the golden file was written.
+// Each message of the simulator, its settings included, means to the module what it meant when the
+// golden file was written.
 func TestMessagesMeanTheSame(t *testing.T) {
 	var got strings.Builder
 	for _, line := range examples(t) {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,6 +1,6 @@
-// Package wire has the JSON messages of the simulator and converts them to the events and actions of
-// package balance. The names of the JSON fields are the simulator's; the Go fields have the terms of this
-// module.
+// Package wire has the JSON messages of the simulator and converts them to the events and actions
+// of package balance. The names of the JSON fields are the simulator's; the Go fields have the
+// terms of this module.
 package wire
 
 import (
@@ -231,8 +231,8 @@
 		"DELETED": balance.Removed}
 )
 
-// Event returns the instance and the event of a message other than launch and killed. The event is nil for
-// a datagram that can't be read.
+// Event returns the instance and the event of a message other than launch and killed. The event is
+// nil for a datagram that can't be read.
 func (m *Message) Event() (int, balance.Event, error) {
 	switch {
 	case m.PeersKnown != nil:
@@ -284,6 +284,7 @@
 	return balance.ReportsReceived{From: d.From, Zone: zone, Reports: reports}
 }
 
+// event returns the event of an update.
 func (p *MembersUpdate) event() (balance.Event, error) {
 	ev := balance.Members{Version: p.Epoch}
 	switch p.Mode {
@@ -327,6 +328,7 @@
 	Outbox []any `json:"outbox"`
 }
 
+// The messages of the actions, one type for each.
 type send struct {
 	I       int    `json:"i"`
 	Txn     string `json:"txn"`
@@ -371,10 +373,11 @@
 	Msg string `json:"msg"`
 }
 
+// tagged is a message under its name.
 type tagged map[string]any
 
-// Actions returns the messages of an action of instance i: one, or one for each router that a report goes
-// to.
+// Actions returns the messages of an action of instance i: one, or one for each router that a
+// report goes to.
 func Actions(i int, a balance.Action) []any {
 	t, ok := a.(balance.SendReports)
 	if !ok {
@@ -388,6 +391,7 @@
 	return all
 }
 
+// action returns the message of an action other than balance.SendReports.
 func action(i int, a balance.Action) any {
 	switch a := a.(type) {
 	case balance.Send:
