--- a/internal/testbed/leasesim/injections.go
+++ b/internal/testbed/leasesim/injections.go
@@ -8,28 +8,28 @@
 	"reachspread/internal/testbed/faults"
 )
 
-// strike has a fault begin or end.
-func (w *World) applyFault(s *faults.Injection, on bool) {
-	if faults.Of(s.Kind).OfLinks() {
+// applyFault has a fault begin, or end.
+func (w *World) applyFault(injection *faults.Injection, on bool) {
+	if faults.Of(injection.Kind).OfLinks() {
 		if on {
-			w.linkFaults = append(w.linkFaults, s)
+			w.linkFaults = append(w.linkFaults, injection)
 		} else {
-			w.linkFaults = slices.DeleteFunc(w.linkFaults, func(x *faults.Injection) bool { return x == s })
+			w.linkFaults = slices.DeleteFunc(w.linkFaults, func(x *faults.Injection) bool { return x == injection })
 		}
 		return
 	}
-	for _, n := range s.Routers {
+	for _, n := range injection.Routers {
 		r := w.routers[n]
-		switch s.Kind {
+		switch injection.Kind {
 		case faults.Kill, faults.Power, faults.Restart:
 			if on {
-				w.kill(r, s.Kind == faults.Restart)
+				w.kill(r, injection.Kind == faults.Restart)
 			} else if r.downCount--; r.downCount == 0 {
-				w.applyDiskFault(r, s)
+				w.applyDiskFault(r, injection)
 				w.startProcess(r)
 			}
 		case faults.Replace:
-			if on && r.alive && r.frozenCount == 0 && r.downCount == 0 {
+			if on && r.isRunning() && r.downCount == 0 {
 				w.kill(r, true)
 				r.downCount--
 				w.startProcess(r)
@@ -38,33 +38,36 @@
 			w.freeze(r, on)
 		case faults.Crawl:
 			if on {
-				w.schedule(event{at: w.now, kind: freezeRouter, router: n, generation: uint32(slices.Index(w.faults, s))})
+				w.schedule(event{at: w.now, kind: freezeRouter, router: n, generation: uint32(slices.Index(w.faults, injection))})
 			}
 		}
 	}
 }
 
-// kill ends a process: by itself, giving back what it holds, or in the middle of what it does.
-func (w *World) kill(r *router, asked bool) {
+// maxActionsUntilCrash bounds how far a process that crashes comes with a step.
+const maxActionsUntilCrash = 6
+
+// kill ends a process: by itself, giving its roles back, or in the middle of a step.
+func (w *World) kill(r *router, graceful bool) {
 	r.downCount++
 	switch {
 	case !r.alive:
-	case asked && r.frozenCount == 0:
-		for _, d := range r.agent.Roles() {
-			w.carryOutAgent(r, r.agent.Release(r.clock(w.now), d, "", 0))
+	case graceful && r.frozenCount == 0:
+		for _, role := range r.agent.Roles() {
+			w.carryOutAgent(r, r.agent.Release(r.clock(w.now), role, "", 0))
 		}
 	case r.voter != nil && r.frozenCount == 0:
-		r.actionsUntilCrash = w.rng.IntN(6)
+		r.actionsUntilCrash = w.rng.IntN(maxActionsUntilCrash)
 		w.carryOutVoter(r, r.voter.Step(r.clock(w.now), quorum.Tick{}))
 	}
 	w.stopProcess(r)
 }
 
-// disk does to a folder what a fault says.
-func (w *World) applyDiskFault(r *router, s *faults.Injection) {
-	switch s.Disk {
+// applyDiskFault does to a disk what a fault says.
+func (w *World) applyDiskFault(r *router, injection *faults.Injection) {
+	switch injection.Disk {
 	case faults.DiskEmpty, faults.DiskTruncated:
-		r.disk = nil // what is cut is not read
+		r.disk = nil // a truncated store is not read
 	case faults.DiskOther:
 		r.disk = w.routers[(r.number+1)%w.spec.Candidates].disk.Clone()
 	case faults.DiskOlder:
@@ -72,6 +75,7 @@
 	}
 }
 
+// freeze freezes a process, or lets it go on: with what has come meanwhile, unless that ends it.
 func (w *World) freeze(r *router, on bool) {
 	if on {
 		r.frozenCount++
@@ -80,31 +84,32 @@
 	if r.frozenCount--; r.frozenCount > 0 || !r.alive {
 		return
 	}
-	inbox, gen := r.inbox, r.generation
+	inbox, generation := r.inbox, r.generation
 	r.inbox = nil
 	for i := range inbox {
-		if r.alive && r.generation == gen {
+		if r.alive && r.generation == generation {
 			w.deliver(r, &inbox[i])
 		}
 	}
-	if r.alive && r.generation == gen {
+	if r.alive && r.generation == generation {
 		w.deliver(r, &event{kind: wakeUp})
 	}
 }
 
-// burst is the length of one standstill of a router that crawls with the time until the next one.
+// crawlPeriod is the time of one pause of a crawling process and the time until the next one.
 const crawlPeriod = 200 * time.Millisecond
 
+// stepCrawl freezes or thaws a crawling process, and schedules the other.
 func (w *World) stepCrawl(e *event) {
-	s, r := w.faults[e.generation], w.routers[e.router]
+	injection, r := w.faults[e.generation], w.routers[e.router]
 	if e.kind == freezeRouter {
-		if w.now >= s.At+s.Length {
+		if w.now >= injection.At+injection.Length {
 			return
 		}
 		w.freeze(r, true)
-		w.schedule(event{at: w.now + time.Duration(s.Share*float64(crawlPeriod)), kind: thawRouter, router: e.router, generation: e.generation})
+		w.schedule(event{at: w.now + time.Duration(injection.Share*float64(crawlPeriod)), kind: thawRouter, router: e.router, generation: e.generation})
 		return
 	}
 	w.freeze(r, false)
-	w.schedule(event{at: w.now + time.Duration((1-s.Share)*float64(crawlPeriod)), kind: freezeRouter, router: e.router, generation: e.generation})
+	w.schedule(event{at: w.now + time.Duration((1-injection.Share)*float64(crawlPeriod)), kind: freezeRouter, router: e.router, generation: e.generation})
 }
--- a/internal/testbed/leasesim/leasesim_test.go
+++ b/internal/testbed/leasesim/leasesim_test.go
@@ -16,7 +16,7 @@
 	"reachspread/internal/testbed/leasesim"
 )
 
-var duties = []lease.Role{{Name: "scribe"}, {Name: "pool", PreferredZones: []string{"b"}}, {Name: "drain", ByZone: true}}
+var roles = []lease.Role{{Name: "scribe"}, {Name: "pool", PreferredZones: []string{"b"}}, {Name: "drain", ByZone: true}}
 
 // played is what came of a play.
 type played struct {
@@ -48,7 +48,7 @@
 
 // drawn is a play of faults drawn by the seed.
 func drawn(seed uint64) leasesim.Spec {
-	s := leasesim.Spec{Seed: seed, Routers: 5 + int(seed%3), Zones: 1 + int(seed%3), Voters: 3 + 2*int(seed%2), Roles: duties, Length: 50 * time.Second, ClockDrift: lease.MaxClockDrift, ReplaceTimeout: 6 * time.Second}
+	s := leasesim.Spec{Seed: seed, Routers: 5 + int(seed%3), Zones: 1 + int(seed%3), Voters: 3 + 2*int(seed%2), Roles: roles, Length: 50 * time.Second, ClockDrift: lease.MaxClockDrift, ReplaceTimeout: 6 * time.Second}
 	s.Candidates = min(s.Voters+1, s.Routers)
 	s.Faults = faults.Draw(faults.Bounds{Length: 30 * time.Second, World: faults.View}, s.Topology(), seed)
 	older := false
@@ -62,23 +62,23 @@
 	return s
 }
 
-// lasting tells whether a schedule leaves every router its own disk.
-func lasting(all []faults.Fault) bool {
+// keepsDisks reports whether a schedule leaves every router its own disk.
+func keepsDisks(all []faults.Fault) bool {
 	return !slices.ContainsFunc(all, func(f faults.Fault) bool { return f.Disk != "" && f.Disk != faults.DiskUnchanged })
 }
 
-// lost tells whether a schedule takes the disks of a majority.
-func lost(s *leasesim.Spec) bool {
-	gone := map[int]bool{}
+// losesMajority reports whether a schedule takes the disks of a majority.
+func losesMajority(s *leasesim.Spec) bool {
+	lostDisk := map[int]bool{}
 	for _, x := range faults.Resolve(s.Faults, s.Topology(), s.Seed) {
 		if x.Disk != "" && x.Disk != faults.DiskUnchanged {
 			for _, n := range x.Routers {
-				gone[n] = n < s.Candidates
+				lostDisk[n] = n < s.Candidates
 			}
 		}
 	}
 	n := 0
-	for _, is := range gone {
+	for _, is := range lostDisk {
 		if is {
 			n++
 		}
@@ -86,12 +86,13 @@
 	return 2*n > s.Voters
 }
 
-// failed are seeds that did: a late answer to a store's last life was taken for one to the present one.
-var failed = []uint64{12180, 14362, 16266}
+// regressions are seeds that failed once: a late reply to an earlier process of a store was taken
+// for one to the present process.
+var regressions = []uint64{12180, 14362, 16266}
 
-// Whatever is drawn: no two act under one duty, all voters apply the same, and once the faults are over each duty has a holder, unless
-// disks were lost.
-func TestDrawn(t *testing.T) {
+// Whatever is drawn: no two act under one role, all voters apply the same, and once the faults are
+// over each role has a holder, unless disks were lost.
+func TestNoTwoActUnderDrawnFaults(t *testing.T) {
 	first, n := uint64(1), uint64(48)
 	if x, err := strconv.ParseUint(os.Getenv("DUTY_SCHEDULES"), 10, 64); err == nil {
 		n = x
@@ -100,30 +101,30 @@
 		first = x
 	}
 	var all sync.WaitGroup
-	room := make(chan bool, 4)
-	seeds := slices.Clone(failed)
+	slots := make(chan bool, 4)
+	seeds := slices.Clone(regressions)
 	for seed := first; seed < first+n; seed++ {
 		seeds = append(seeds, seed)
 	}
 	for _, seed := range seeds {
-		room <- true
+		slots <- true
 		all.Add(1)
 		go func() {
-			defer func() { <-room; all.Done() }()
+			defer func() { <-slots; all.Done() }()
 			s := drawn(seed)
 			p := play(t, s)
 			for _, v := range p.verdicts[:min(len(p.verdicts), 3)] {
-				if (strings.Contains(v.Text, "begun") || v.Checker == "linear") && lost(&s) { // the fence held, and the voters knew nothing any more
+				if (strings.Contains(v.Text, "begun") || v.Checker == "linear") && losesMajority(&s) { // the guard held, and the voters had lost what they knew
 					continue
 				}
 				t.Errorf("seed %d: %v\n%s", seed, v.String(), faults.Text(s.Faults))
 			}
-			if !lasting(s.Faults) {
+			if !keepsDisks(s.Faults) {
 				return
 			}
 			for _, d := range []string{"scribe", "pool"} {
 				if p.w.LeaseHolder(d) < 0 {
-					t.Errorf("seed %d: nobody holds %s in the end\n%s%s", seed, d, faults.Text(s.Faults), strings.Join(p.w.Notices, "\n"))
+					t.Errorf("seed %d: nobody has %s in the end\n%s%s", seed, d, faults.Text(s.Faults), strings.Join(p.w.Notices, "\n"))
 				}
 			}
 		}()
@@ -131,30 +132,30 @@
 	all.Wait()
 }
 
-// What was planted is found: a receiver without a fence, a leader that does not wait, clocks whose rates differ by more than is allowed
-// for. Without them nothing is.
-func TestPlanted(t *testing.T) {
-	var pauses, kills, cuts []faults.Fault
+// What is planted is found: a receiver that accepts every token, a leader that does not wait,
+// clocks whose rates differ by more than is allowed for. Without them nothing is.
+func TestPlantedFaultsAreFound(t *testing.T) {
+	var pauses, kills, blackHoles []faults.Fault
 	for i := range 20 {
-		cuts = append(cuts, faults.Fault{Kind: faults.Blackhole, At: time.Duration(4+5*i) * time.Second, Length: 4 * time.Second, Routers: faults.Select{Numbers: []int{i % 5}}})
+		blackHoles = append(blackHoles, faults.Fault{Kind: faults.Blackhole, At: time.Duration(4+5*i) * time.Second, Length: 4 * time.Second, Routers: faults.Select{Numbers: []int{i % 5}}})
 		at := time.Duration(4+5*i) * time.Second
 		pauses = append(pauses, faults.Fault{Kind: faults.Freeze, At: at, Length: 3 * time.Second, Routers: faults.Select{Numbers: []int{i % 5}}})
 		kills = append(kills, faults.Fault{Kind: faults.Kill, At: at, Length: time.Second, Routers: faults.Select{Numbers: []int{i % 3}}},
 			faults.Fault{Kind: faults.Blackhole, At: at - 900*time.Millisecond, Length: 2 * time.Second, Routers: faults.Select{Numbers: []int{3, 4}}, Links: []string{faults.LinkPeers}})
 	}
 	slices.SortStableFunc(kills, func(a, b faults.Fault) int { return int(a.At - b.At) })
-	base := leasesim.Spec{Routers: 5, Voters: 3, Roles: duties[:1], Length: 110 * time.Second, ClockDrift: lease.MaxClockDrift, ActInterval: 5 * time.Millisecond}
+	base := leasesim.Spec{Routers: 5, Voters: 3, Roles: roles[:1], Length: 110 * time.Second, ClockDrift: lease.MaxClockDrift, ActInterval: 5 * time.Millisecond}
 	for _, x := range []struct {
 		name  string
 		plant func(s *leasesim.Spec)
 		found bool
 	}{
 		{"nothing, pauses", func(s *leasesim.Spec) { s.Faults = pauses }, false},
-		{"no fence", func(s *leasesim.Spec) { s.Faults, s.SkipTokenCheck = pauses, true }, true},
+		{"no token guard", func(s *leasesim.Spec) { s.Faults, s.SkipTokenCheck = pauses, true }, true},
 		{"nothing, kills", func(s *leasesim.Spec) { s.Faults = kills }, false},
-		{"no wait", func(s *leasesim.Spec) { s.Faults, s.SkipLeaseWait = kills, true }, true},
-		{"rates", func(s *leasesim.Spec) { s.Faults, s.ClockDrift = cuts, 0.3 }, true},
-		{"nothing, cuts", func(s *leasesim.Spec) { s.Faults = cuts }, false},
+		{"no wait for the lease", func(s *leasesim.Spec) { s.Faults, s.SkipLeaseWait = kills, true }, true},
+		{"clock rates", func(s *leasesim.Spec) { s.Faults, s.ClockDrift = blackHoles, 0.3 }, true},
+		{"nothing, black holes", func(s *leasesim.Spec) { s.Faults = blackHoles }, false},
 	} {
 		verdicts := 0
 		for seed := uint64(1); seed <= 8 && verdicts == 0; seed++ {
--- a/internal/testbed/leasesim/measure_test.go
+++ b/internal/testbed/leasesim/measure_test.go
@@ -14,7 +14,8 @@
 
 var measure = flag.Bool("measure", false, "run the measurements")
 
-// gaps are the times without a holder of a duty between two times, and how many changes of holder there were.
+// gaps returns the longest time without a holder of a role between two times, and how many changes
+// of holder there were.
 func gaps(w *leasesim.World, name string, from, to time.Duration) (longest time.Duration, changes int) {
 	var spans []leasesim.Span
 	for _, s := range w.Spans {
@@ -35,7 +36,7 @@
 	return longest, changes
 }
 
-// histogram shows times as a table of bins and their 50th, 99th and last hundredth.
+// histogram shows times as a table of bins, with their median, 99th percentile and maximum.
 func histogram(all []time.Duration, bin time.Duration) string {
 	slices.Sort(all)
 	at := func(p float64) time.Duration {
@@ -62,13 +63,14 @@
 	return string(b)
 }
 
-// The times without a holder: handed over as planned, the holder killed, the voters' leader killed, with 5 ms for each write to disk.
-func TestTimes(t *testing.T) {
+// The times without a holder: transferred on request, the holder killed, the voters' leader killed,
+// with 5 ms for each write to disk.
+func TestTimesWithoutHolder(t *testing.T) {
 	n := 20
 	if *measure {
 		n = 240
 	}
-	base := leasesim.Spec{Routers: 9, Zones: 3, Candidates: 5, Voters: 3, Roles: duties[:1], ClockDrift: lease.MaxClockDrift, SyncDelay: 5 * time.Millisecond, Length: 30 * time.Second}
+	base := leasesim.Spec{Routers: 9, Zones: 3, Candidates: 5, Voters: 3, Roles: roles[:1], ClockDrift: lease.MaxClockDrift, SyncDelay: 5 * time.Millisecond, Length: 30 * time.Second}
 	var planned, killed, leader []time.Duration
 	for seed := range uint64(n) {
 		s := base
@@ -88,8 +90,8 @@
 		planned = append(planned, gap)
 
 		for _, x := range []struct {
-			who  func(w *leasesim.World) int
-			into *[]time.Duration
+			router func(w *leasesim.World) int
+			into   *[]time.Duration
 		}{{func(w *leasesim.World) int { return w.LeaseHolder("scribe") }, &killed}, {func(w *leasesim.World) int { return w.Leader() }, &leader}} {
 			at := 5*time.Second + time.Duration(seed)*37*time.Millisecond
 			w, err := leasesim.New(s)
@@ -97,7 +99,7 @@
 				t.Fatal(err)
 			}
 			w.Run(at)
-			who := x.who(w)
+			who := x.router(w)
 			if other := w.Leader(); x.into == &killed && who == other || x.into == &leader && who == w.LeaseHolder("scribe") {
 				continue // one fault at a time
 			}
@@ -125,8 +127,9 @@
 	}
 }
 
-// Many clients ask at the same moment, and one of them holds; then the power goes for all, and comes back. What a holder costs.
-func TestMany(t *testing.T) {
+// Many routers ask at the same moment, and one of them gets the role; then the power goes for all,
+// and comes back. What a holder costs.
+func TestManyRoutersAskAtOnce(t *testing.T) {
 	n := 60
 	if *measure {
 		n = 300
@@ -147,8 +150,8 @@
 	w.Run(20 * time.Second)
 	requests, answers := w.Requests, w.Answers
 	w.Run(40*time.Second - time.Millisecond)
-	all2 := float64(w.Requests-requests+w.Answers-answers) / 20
-	t.Logf("%d clients ask for two duties at once: held after %v; then %.1f datagrams a second of all", n, first, all2)
+	rate := float64(w.Requests-requests+w.Answers-answers) / 20
+	t.Logf("%d routers ask for two roles at once: granted after %v; then %.1f datagrams a second of all", n, first, rate)
 	w.Run(80 * time.Second)
 	if w.LeaseHolder("one") < 0 {
 		t.Errorf("nobody holds it after the power came back: %v", w.Notices)
