--- a/internal/router/capture/capture.go
+++ b/internal/router/capture/capture.go
@@ -23,23 +23,23 @@
 
 // Header is a file's first line.
 type Header struct {
-	Capture int       `json:"capture"` // the form's version
-	From    time.Time `json:"from"`
+	Version   int       `json:"capture"` // the form's version
+	StartedAt time.Time `json:"from"`
 }
 
 // Request is one line.
 type Request struct {
-	At      time.Duration `json:"at_ns"` // since the file's beginning
-	Class   string        `json:"class"`
-	Session string        `json:"session"`
-	Prefix  string        `json:"prefix,omitempty"`
-	Prompt  int           `json:"prompt"` // tokens
-	Shared  int           `json:"shared,omitempty"`
-	Left    time.Duration `json:"left_ns"` // until its client gives up
+	At           time.Duration `json:"at_ns"` // since the file's beginning
+	Class        string        `json:"class"`
+	Session      string        `json:"session"`
+	Prefix       string        `json:"prefix,omitempty"`
+	PromptTokens int           `json:"prompt"` // tokens
+	PrefixTokens int           `json:"shared,omitempty"`
+	TimeLeft     time.Duration `json:"left_ns"` // until its client gives up
 }
 
-// mostLine bounds a line; none that is ours comes near.
-const mostLine = 64 << 10
+// maxLineBytes bounds a line; none that is ours comes near.
+const maxLineBytes = 64 << 10
 
 // Read reads a whole file. Any fault is an error of one line with file, line and field.
 func Read(path string) (Header, []Request, error) {
@@ -53,7 +53,7 @@
 
 // Parse is Read for a text; name is that of its file.
 func Parse(r io.Reader, name string) (h Header, all []Request, err error) {
-	in := bufio.NewReaderSize(r, mostLine)
+	in := bufio.NewReaderSize(r, maxLineBytes)
 	for n := 1; ; n++ {
 		line, err := in.ReadSlice('\n')
 		fault := func(format string, v ...any) error {
@@ -65,18 +65,18 @@
 		case err == io.EOF:
 			return h, nil, fault("the line is cut off")
 		case err == bufio.ErrBufferFull:
-			return h, nil, fault("the line is longer than %d bytes", mostLine)
+			return h, nil, fault("the line is longer than %d bytes", maxLineBytes)
 		case err != nil:
 			return h, nil, err
 		}
 		if n == 1 {
-			if err := strict(line, &h); err != nil || h.Capture != Version {
+			if err := decodeStrict(line, &h); err != nil || h.Version != Version {
 				return h, nil, fault("capture is not %d: this is no capture, or one of another version", Version)
 			}
 			continue
 		}
 		var q Request
-		if err := strict(line, &q); err != nil {
+		if err := decodeStrict(line, &q); err != nil {
 			return h, nil, fault("%v", err)
 		}
 		last := time.Duration(0)
@@ -90,19 +90,19 @@
 			return h, nil, fault("session is missing")
 		case q.At < last:
 			return h, nil, fault("at_ns is %d, before the line above", q.At)
-		case q.Prompt < 1:
-			return h, nil, fault("prompt is %d; it must be 1 or more", q.Prompt)
-		case q.Shared < 0 || q.Shared > q.Prompt:
-			return h, nil, fault("shared is %d; it must be from 0 to prompt, %d", q.Shared, q.Prompt)
-		case q.Left < 0:
-			return h, nil, fault("left_ns is %d; it must not be negative", q.Left)
+		case q.PromptTokens < 1:
+			return h, nil, fault("prompt is %d; it must be 1 or more", q.PromptTokens)
+		case q.PrefixTokens < 0 || q.PrefixTokens > q.PromptTokens:
+			return h, nil, fault("shared is %d; it must be from 0 to prompt, %d", q.PrefixTokens, q.PromptTokens)
+		case q.TimeLeft < 0:
+			return h, nil, fault("left_ns is %d; it must not be negative", q.TimeLeft)
 		}
 		all = append(all, q)
 	}
 }
 
-// strict reads one object that has no other fields, and nothing behind it.
-func strict(line []byte, to any) error {
+// decodeStrict reads one object that has no other fields, and nothing behind it.
+func decodeStrict(line []byte, to any) error {
 	d := json.NewDecoder(bytes.NewReader(line))
 	d.DisallowUnknownFields()
 	if err := d.Decode(to); err != nil {
--- a/internal/router/capture/capture_test.go
+++ b/internal/router/capture/capture_test.go
@@ -40,11 +40,11 @@
 	w.Close()
 	w.Take(arrival(99), time.Now())
 	h, all, err := Read(path)
-	if err != nil || h.Capture != Version || len(all) != 20 {
+	if err != nil || h.Version != Version || len(all) != 20 {
 		t.Fatalf("%+v, %d requests, %v", h, len(all), err)
 	}
 	for i, q := range all {
-		want := Request{At: time.Duration(i) * time.Millisecond, Class: "desk-chat", Session: all[i%3].Session, Prefix: all[0].Prefix, Prompt: 100 + i, Shared: 50, Left: time.Second}
+		want := Request{At: time.Duration(i) * time.Millisecond, Class: "desk-chat", Session: all[i%3].Session, Prefix: all[0].Prefix, PromptTokens: 100 + i, PrefixTokens: 50, TimeLeft: time.Second}
 		if q != want || q.Session == all[(i+1)%3].Session {
 			t.Errorf("%d: got %+v, want %+v", i, q, want)
 		}
@@ -117,7 +117,7 @@
 		{head + strings.Replace(good, `:1}`, `:-1}`, 1), "c:2: left_ns is -1"},
 		{head + strings.Replace(good, `9`, `"nine"`, 1), "c:2: json: cannot unmarshal string into Go struct field Request.prompt"},
 		{head + strings.Replace(good, `9`, `9,"text":"a prompt"`, 1), `c:2: json: unknown field "text"`},
-		{head + strings.Repeat("x", mostLine+1), "c:2: the line is longer than"},
+		{head + strings.Repeat("x", maxLineBytes+1), "c:2: the line is longer than"},
 	} {
 		if _, _, err := Parse(strings.NewReader(tt.text), "c"); err == nil || !strings.HasPrefix(err.Error(), tt.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%.80q: got %v, want %q", tt.text, err, tt.want)
--- a/internal/router/capture/stored_test.go
+++ b/internal/router/capture/stored_test.go
@@ -16,10 +16,10 @@
 
 // A capture is read as it was written, and its lines are written the same.
 func TestGoldenCapture(t *testing.T) {
-	wantHeader := Header{Capture: Version, From: time.Unix(1_800_000_000, 5e8).UTC()}
+	wantHeader := Header{Version: Version, StartedAt: time.Unix(1_800_000_000, 5e8).UTC()}
 	want := []Request{
-		{At: 5 * time.Millisecond, Class: "chat", Session: "0123456789abcdef", Prefix: "fedcba9876543210", Prompt: 900, Shared: 512, Left: 8 * time.Second},
-		{At: 7 * time.Millisecond, Class: "code", Session: "00c0ffee00c0ffee", Prompt: 1},
+		{At: 5 * time.Millisecond, Class: "chat", Session: "0123456789abcdef", Prefix: "fedcba9876543210", PromptTokens: 900, PrefixTokens: 512, TimeLeft: 8 * time.Second},
+		{At: 7 * time.Millisecond, Class: "code", Session: "00c0ffee00c0ffee", PromptTokens: 1},
 	}
 	golden.Complete(t, want[0])
 	var made []byte
--- a/internal/router/capture/writer.go
+++ b/internal/router/capture/writer.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	queue      = 1024 // requests that wait to be written; 200 bytes each
-	flushEvery = time.Second
-	nameBytes  = 8 // of a hash
+	maxQueued     = 1024 // requests that wait to be written; 200 bytes each
+	flushInterval = time.Second
+	nameBytes     = 8 // of a hash
 )
 
 // Log takes the lines for on-call staff.
@@ -30,20 +30,20 @@
 // Writer writes a capture. What it costs a request is one send that never waits.
 type Writer struct {
 	file      *os.File
-	most      int64 // bytes
+	maxBytes  int64 // bytes
 	log       Log
 	start     time.Time
-	taken     chan item
+	requests  chan acceptedRequest
 	done      chan struct{}
 	ended     atomic.Bool
 	suspended atomic.Bool
 
-	written, passed atomic.Uint64 // requests
+	written, skipped atomic.Uint64 // requests
 }
 
-type item struct {
-	a    balance.Arrival
-	came time.Time
+type acceptedRequest struct {
+	arrival balance.Arrival
+	at      time.Time
 }
 
 // NewWriter begins a file, which must not be there yet. It holds so many bytes at most.
@@ -52,7 +52,7 @@
 	if err != nil {
 		return nil, err
 	}
-	w := &Writer{file: f, most: most, log: log, start: time.Now(), taken: make(chan item, queue), done: make(chan struct{})}
+	w := &Writer{file: f, maxBytes: most, log: log, start: time.Now(), requests: make(chan acceptedRequest, maxQueued), done: make(chan struct{})}
 	go w.run()
 	return w, nil
 }
@@ -63,9 +63,9 @@
 		return
 	}
 	select {
-	case w.taken <- item{a, came}:
+	case w.requests <- acceptedRequest{a, came}:
 	default:
-		w.passed.Add(1)
+		w.skipped.Add(1)
 	}
 }
 
@@ -74,12 +74,12 @@
 
 // Counts returns how many requests were written, and how many passed over for want of room in the
 // queue.
-func (w *Writer) Counts() (written, passed uint64) { return w.written.Load(), w.passed.Load() }
+func (w *Writer) Counts() (written, passed uint64) { return w.written.Load(), w.skipped.Load() }
 
 // Close writes what was taken, and ends the file.
 func (w *Writer) Close() {
 	if w.ended.CompareAndSwap(false, true) {
-		w.taken <- item{} // the last: it has no class
+		w.requests <- acceptedRequest{} // the last: it has no class
 	}
 	<-w.done
 }
@@ -98,14 +98,14 @@
 		if err != nil {
 			return false, err
 		}
-		if size += int64(len(line)) + 1; size > w.most {
+		if size += int64(len(line)) + 1; size > w.maxBytes {
 			return false, nil
 		}
 		_, err = out.Write(append(line, '\n'))
 		return true, err
 	}
-	fits, err := put(Header{Capture: Version, From: w.start})
-	ticker := time.NewTicker(flushEvery)
+	fits, err := put(Header{Version: Version, StartedAt: w.start})
+	ticker := time.NewTicker(flushInterval)
 	defer ticker.Stop()
 	last := time.Duration(0)
 	for fits && err == nil {
@@ -113,20 +113,20 @@
 		case <-ticker.C:
 			err = out.Flush()
 			continue
-		case x := <-w.taken:
-			if x.a.Class == "" {
+		case x := <-w.requests:
+			if x.arrival.Class == "" {
 				err = out.Flush()
-				w.ends("capture ended", err)
+				w.logEnd("capture ended", err)
 				return
 			}
-			last = max(x.came.Sub(w.start), last) // those of two connections may come in the other order
-			session := x.a.Session
+			last = max(x.at.Sub(w.start), last) // those of two connections may come in the other order
+			session := x.arrival.Session
 			if session == "" {
-				session = x.a.ID
+				session = x.arrival.ID
 			}
-			prompt := max(int(x.a.PromptTokens), 1)
-			if fits, err = put(Request{At: last, Class: x.a.Class, Session: name(names, session), Prefix: name(names, x.a.Prefix), Prompt: prompt,
-				Shared: min(int(x.a.PrefixTokens), prompt), Left: x.a.TimeLeft}); fits && err == nil {
+			prompt := max(int(x.arrival.PromptTokens), 1)
+			if fits, err = put(Request{At: last, Class: x.arrival.Class, Session: hashName(names, session), Prefix: hashName(names, x.arrival.Prefix), PromptTokens: prompt,
+				PrefixTokens: min(int(x.arrival.PrefixTokens), prompt), TimeLeft: x.arrival.TimeLeft}); fits && err == nil {
 				w.written.Add(1)
 			}
 		}
@@ -135,27 +135,27 @@
 	if err == nil {
 		err = out.Flush()
 	}
-	w.ends("capture full", err)
+	w.logEnd("capture full", err)
 	for { // whoever closes is not kept waiting
 		select {
-		case <-w.taken:
+		case <-w.requests:
 		default:
 			return
 		}
 	}
 }
 
-// ends tells how a capture ended.
-func (w *Writer) ends(event string, err error) {
+// logEnd tells how a capture ended.
+func (w *Writer) logEnd(event string, err error) {
 	if err != nil {
 		w.log.Warn("capture lost", "file", w.file.Name(), "cause", err)
 		return
 	}
-	w.log.Info(event, "file", w.file.Name(), "requests", w.written.Load(), "passed_over", w.passed.Load())
+	w.log.Info(event, "file", w.file.Name(), "requests", w.written.Load(), "passed_over", w.skipped.Load())
 }
 
-// name hashes a name; an empty one stays so.
-func name(h hash.Hash, s string) string {
+// hashName hashes a name; an empty one stays so.
+func hashName(h hash.Hash, s string) string {
 	if s == "" {
 		return ""
 	}
--- a/internal/router/management/management_test.go
+++ b/internal/router/management/management_test.go
@@ -17,22 +17,22 @@
 	err    error
 }
 
-func (s *scripted) Takes() (bool, string) { return s.phase == "serving", s.phase }
-func (s *scripted) Values() Values        { return s.values }
+func (s *scripted) Accepting() (bool, string) { return s.phase == "serving", s.phase }
+func (s *scripted) Values() Values            { return s.values }
 func (s *scripted) View() ([]string, bool) {
 	return []string{"view version=1"}, s.values.Fleet != nil
 }
-func (s *scripted) Duties() ([]string, bool) {
-	return []string{"duties leader=r0"}, s.values.Duties != nil
+func (s *scripted) Roles() ([]string, bool) {
+	return []string{"duties leader=r0"}, s.values.Roles != nil
 }
 func (s *scripted) Recovery() ([]string, bool) { return nil, false }
-func (s *scripted) GiveDuty(name, to string, token uint64) error {
+func (s *scripted) TransferRole(name, to string, token uint64) error {
 	if token == 7 {
 		return errors.New("nobody holds it")
 	}
 	return s.err
 }
-func (s *scripted) RebuildDuties(gone []string) error {
+func (s *scripted) RebuildRoles(gone []string) error {
 	if len(gone) == 0 {
 		return errors.New("a majority may live")
 	}
@@ -78,8 +78,8 @@
 // Each figure is there under its name from the first call on, by class in the classes' order, and a
 // line ends it.
 func TestVars(t *testing.T) {
-	s := &scripted{values: Values{Relayed: 9, Open: 4, Entries: 10, Avoided: 2, Accepted: 1, Invalid: 3,
-		Classes: []Class{{Name: `o"dd\`, Taken: 8, Throttled: 8}, {Name: "C", Taken: 834, Fulfilled: 812, Throttled: 5, Faulted: 6, Abandoned: 7, Moved: 2}}}}
+	s := &scripted{values: Values{AttemptsWritten: 9, OpenRequests: 4, ListedHosts: 10, ExcludedHosts: 2, ConfigsAccepted: 1, ConfigsInvalid: 3,
+		Classes: []Class{{Name: `o"dd\`, Accepted: 8, Throttled: 8}, {Name: "C", Accepted: 834, Fulfilled: 812, Throttled: 5, Faulted: 6, Abandoned: 7, Moved: 2}}}}
 	want := `+OK
 edge_router_fulfilled_total{priority="C"} 812
 edge_router_fulfilled_total{priority="o\"dd\\"} 0
--- a/internal/router/mirror/capture.go
+++ b/internal/router/mirror/capture.go
@@ -112,21 +112,21 @@
 }
 
 // side returns an answer in the form of a record, with its text only where texts are recorded.
-func side(a shadow.Answer, outcome string, texts bool) records.Side {
-	s := records.Side{
-		Outcome:      outcome,
-		Host:         a.Host,
-		Attempts:     a.Attempts,
-		Bytes:        a.Bytes,
-		Chars:        len(a.Text),
-		Digest:       a.Digest,
-		Finish:       a.Finish,
-		Tokens:       nonNegative(a.Tokens),
-		CachedTokens: nonNegative(a.CachedTokens),
-		WaitMs:       milliseconds(a.Queued),
-		FirstMs:      milliseconds(a.FirstByte),
-		BetweenMs:    milliseconds(a.TokenInterval),
-		TotalMs:      milliseconds(a.Total),
+func side(a shadow.Answer, outcome string, texts bool) records.Answer {
+	s := records.Answer{
+		Outcome:         outcome,
+		Host:            a.Host,
+		Attempts:        a.Attempts,
+		Bytes:           a.Bytes,
+		TextBytes:       len(a.Text),
+		Digest:          a.Digest,
+		Finish:          a.Finish,
+		Tokens:          nonNegative(a.Tokens),
+		CachedTokens:    nonNegative(a.CachedTokens),
+		QueuedMs:        milliseconds(a.Queued),
+		FirstByteMs:     milliseconds(a.FirstByte),
+		TokenIntervalMs: milliseconds(a.TokenInterval),
+		TotalMs:         milliseconds(a.Total),
 	}
 	if texts {
 		s.Text = a.Text
--- a/internal/router/mirror/copy.go
+++ b/internal/router/mirror/copy.go
@@ -91,35 +91,35 @@
 	request, texts := c.request, p.recordTexts
 	answer := c.answer.answer(p.mirror.digestKey[:])
 	r := &records.Record{
-		Version:  records.Version,
-		At:       request.ArrivedAt.UTC(),
-		Pool:     p.name,
-		Class:    request.Arrival.Class,
-		Tenant:   request.Tenant,
-		ID:       request.Arrival.ID,
-		Session:  fmt.Sprintf("%016x", c.session),
-		Gap:      c.historyGap,
-		Cause:    string(a.Cause),
-		BodySize: len(request.Message.Body()),
-		Copy:     side(answer, c.answer.outcome, texts),
+		Version:    records.Version,
+		At:         request.ArrivedAt.UTC(),
+		Pool:       p.name,
+		Class:      request.Arrival.Class,
+		Tenant:     request.Tenant,
+		ID:         request.Arrival.ID,
+		Session:    fmt.Sprintf("%016x", c.session),
+		HistoryGap: c.historyGap,
+		Cause:      string(a.Cause),
+		BodyBytes:  len(request.Message.Body()),
+		Copy:       side(answer, c.answer.outcome, texts),
 	}
 	if texts {
 		r.Body = string(request.Message.Body())
 	}
 	if !a.LiveEnded { // still written by the live path: not ours to read
-		r.Live = records.Side{Outcome: "open"}
+		r.Live = records.Answer{Outcome: "open"}
 	} else {
 		answered := c.live.answer.answer(p.mirror.digestKey[:])
 		r.Live = side(answered, c.live.answer.outcome, texts)
 		if a.Cause == "" {
 			cmp := shadow.Compare(answered, answer)
-			r.Compared = &records.Compared{
-				Text:       string(cmp.Text),
-				Similarity: cmp.Similarity,
-				Partial:    cmp.Partial,
-				Finish:     cmp.SameFinish,
-				Tokens:     cmp.TokenDelta,
-				Kept:       cmp.CachedTokenDelta,
+			r.Comparison = &records.Comparison{
+				Text:             string(cmp.Text),
+				Similarity:       cmp.Similarity,
+				Partial:          cmp.Partial,
+				SameFinish:       cmp.SameFinish,
+				TokenDelta:       cmp.TokenDelta,
+				CachedTokenDelta: cmp.CachedTokenDelta,
 			}
 			p.times.add(request.Arrival.Class, answered, answer)
 		}
--- a/internal/router/processgroup/processgroup.go
+++ b/internal/router/processgroup/processgroup.go
@@ -22,8 +22,8 @@
 
 // Slot is this process's place among those of one router.
 type Slot struct {
-	file *os.File
-	at   int64
+	file   *os.File
+	offset int64
 }
 
 // Join takes a place in a folder that the processes of one router share.
@@ -33,7 +33,7 @@
 		return nil, err
 	}
 	for at := range int64(maxProcesses) {
-		if err = syscall.FcntlFlock(f.Fd(), syscall.F_SETLK, byteLock(at)); err == nil {
+		if err = syscall.FcntlFlock(f.Fd(), syscall.F_SETLK, lockOfByte(at)); err == nil {
 			return &Slot{f, at}, nil
 		}
 		if !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EACCES) {
@@ -44,7 +44,7 @@
 	return nil, fmt.Errorf("%s: no place: %w", f.Name(), err)
 }
 
-func byteLock(at int64) *syscall.Flock_t {
+func lockOfByte(at int64) *syscall.Flock_t {
 	return &syscall.Flock_t{Type: syscall.F_WRLCK, Whence: 0, Start: at, Len: 1}
 }
 
@@ -58,8 +58,8 @@
 // Siblings looks for the other processes.
 func (p *Slot) Siblings() (o Siblings) {
 	for at := range int64(maxProcesses) {
-		l := byteLock(at)
-		if at == p.at || syscall.FcntlFlock(p.file.Fd(), syscall.F_GETLK, l) != nil || l.Type == syscall.F_UNLCK {
+		l := lockOfByte(at)
+		if at == p.offset || syscall.FcntlFlock(p.file.Fd(), syscall.F_GETLK, l) != nil || l.Type == syscall.F_UNLCK {
 			continue
 		}
 		o.Processes++
--- a/internal/router/program/management.go
+++ b/internal/router/program/management.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// Takes implements management.Router.
-func (p *Program) Takes() (bool, string) {
+// Accepting implements management.Router.
+func (p *Program) Accepting() (bool, string) {
 	phase := p.Phase()
 	return policies[phase].ready, string(phase)
 }
@@ -54,10 +54,10 @@
 // Values implements management.Router.
 func (p *Program) Values() management.Values {
 	f := p.router.Metrics()
-	v := management.Values{Relayed: f.AttemptsSent, Open: f.Open, Entries: f.ServersListed, Avoided: f.OutOfRotation,
-		Accepted: p.acceptedReloads.Load(), Invalid: p.refusedReloads.Load(), Fleet: p.fleetValues(), Duties: p.roleValues(), Recovery: p.recoveryValues()}
+	v := management.Values{AttemptsWritten: f.AttemptsSent, OpenRequests: f.Open, ListedHosts: f.ServersListed, ExcludedHosts: f.OutOfRotation,
+		ConfigsAccepted: p.acceptedReloads.Load(), ConfigsInvalid: p.refusedReloads.Load(), Fleet: p.fleetValues(), Roles: p.roleValues(), Recovery: p.recoveryValues()}
 	for name, c := range f.Classes {
-		v.Classes = append(v.Classes, management.Class{Name: name, Taken: c.Accepted, Fulfilled: c.Served, Throttled: c.Rejected,
+		v.Classes = append(v.Classes, management.Class{Name: name, Accepted: c.Accepted, Fulfilled: c.Served, Throttled: c.Rejected,
 			Faulted: c.Failed, Abandoned: c.Abandoned, Moved: c.HandedOver})
 	}
 	return v
--- a/internal/router/program/membership.go
+++ b/internal/router/program/membership.go
@@ -181,7 +181,7 @@
 	}
 	f := p.view.Stats()
 	return &management.Fleet{Members: f.Alive, Suspected: f.Suspected, Dead: f.Dead, View: p.router.Metrics().Fleet.Version, Deaths: f.Deaths,
-		Suspicions: f.Suspicions, Refuted: f.Refutations, Stood: f.Stalls, Sent: f.Sent, SentBytes: f.SentBytes, Dropped: f.Dropped}
+		Suspicions: f.Suspicions, Refuted: f.Refutations, Pauses: f.Stalls, Sent: f.Sent, SentBytes: f.SentBytes, Dropped: f.Dropped}
 }
 
 // Line is a line of the calls view and duties, apart.
--- a/internal/router/program/recovery.go
+++ b/internal/router/program/recovery.go
@@ -62,7 +62,7 @@
 // prepareRecovery makes the decider from what the previous incarnation persisted.
 func (p *Program) prepareRecovery(before *snapshot.State, broken []string) (err error) {
 	c := &recoveryDriver{start: time.Now(), events: make(chan recovery.Event, maxQueuedMessages), statusCalls: make(chan chan recovery.Status)}
-	duties := p.cfg.set.Duties != nil
+	duties := p.cfg.set.Roles != nil
 	name, boot := p.cfg.Name, uint32(0)
 	if p.cfg.set.Fleet != nil {
 		m := p.cfg.member()
@@ -252,7 +252,7 @@
 	if p.recovery == nil {
 		return nil
 	}
-	return &management.Recovery{Stage: int(p.recovery.stage.Load()), Share: p.snapshots.warmFraction(&p.inForce.Load().balance), Rejected: p.gate.rejected.Load(),
+	return &management.Recovery{Stage: int(p.recovery.stage.Load()), WarmFraction: p.snapshots.warmFraction(&p.inForce.Load().balance), RejectedRequests: p.gate.rejected.Load(),
 		Snapshots: p.snapshots.written.Load(), ExcludedHosts: p.recovery.excludedHosts.Load()}
 }
 
--- a/internal/router/program/roles.go
+++ b/internal/router/program/roles.go
@@ -20,17 +20,17 @@
 // rolesConfig is the configuration that the block duties describes. Every router derives the same
 // from the same file.
 func (c *Config) rolesConfig(self lease.Router) peering.RolesConfig {
-	s := c.set.Duties
-	d := peering.RolesConfig{Self: self, Timing: s.Times, Voters: s.Voters, ReplaceTimeout: s.Replace, Listen: s.Listen, Folder: s.Folder, Seed: c.seed, CandidateAddresses: map[string]string{}}
+	s := c.set.Roles
+	d := peering.RolesConfig{Self: self, Timing: s.LeaseTiming, Voters: s.Voters, ReplaceTimeout: s.ReplaceDelay, Listen: s.Listen, Folder: s.Folder, Seed: c.seed, CandidateAddresses: map[string]string{}}
 	for _, r := range s.Routers {
 		d.Candidates = append(d.Candidates, r.Name)
 		d.CandidateAddresses[r.Name] = r.Address.String()
 	}
-	if s.Scribe {
+	if s.FleetRecord {
 		d.Roles = append(d.Roles, lease.Role{Name: peering.ScribeRole})
 	}
-	if s.Drains > 0 {
-		d.Roles = append(d.Roles, lease.Role{Name: drainRole, MaxHolders: s.Drains, ByZone: true})
+	if s.MaxDraining > 0 {
+		d.Roles = append(d.Roles, lease.Role{Name: drainRole, MaxHolders: s.MaxDraining, ByZone: true})
 	}
 	for _, name := range c.set.SingleCopierPools() {
 		d.Roles = append(d.Roles, lease.Role{Name: settings.CopierRole(name)})
@@ -40,12 +40,12 @@
 
 // checkRoles checks what needs both the settings and the configuration.
 func (c *Config) checkRoles(path string) error {
-	s := c.set.Duties
+	s := c.set.Roles
 	if s == nil {
 		return nil
 	}
 	name := c.member().Name
-	if votes := slices.ContainsFunc(s.Routers, func(r settings.DutyRouter) bool { return r.Name == name }); votes != (s.Folder != "") {
+	if votes := slices.ContainsFunc(s.Routers, func(r settings.VoterRouter) bool { return r.Name == name }); votes != (s.Folder != "") {
 		if votes {
 			return fmt.Errorf("%s: duties: router %q may vote, and needs listen and folder", path, name)
 		}
@@ -56,7 +56,7 @@
 
 // prepareRoles opens what roles need, before the fleet view that they follow is there.
 func (p *Program) prepareRoles(member lease.Router, send *peering.Gossip) (err error) {
-	if p.cfg.set.Duties == nil {
+	if p.cfg.set.Roles == nil {
 		return nil
 	}
 	c := p.cfg.rolesConfig(member)
@@ -77,7 +77,7 @@
 	p.roles.SetWorkContext(work)
 	p.roles.UpdateView(p.view.Now())
 	go p.roles.Run(work)
-	if p.cfg.set.Duties.Scribe {
+	if p.cfg.set.Roles.FleetRecord {
 		p.roles.Acquire(peering.ScribeRole, p.scribe)
 	}
 	p.requestCopierRoles(p.cfg)
@@ -135,7 +135,7 @@
 }
 
 // needsDrainLease reports whether a router needs a lease to drain.
-func (p *Program) needsDrainLease() bool { return p.roles != nil && p.cfg.set.Duties.Drains > 0 }
+func (p *Program) needsDrainLease() bool { return p.roles != nil && p.cfg.set.Roles.MaxDraining > 0 }
 
 // drainWithLease drains once this router has leave, and answers at once: with the phase, or that it
 // waits.
@@ -186,8 +186,8 @@
 	}
 }
 
-// Duties implements management.Router.
-func (p *Program) Duties() (lines []string, on bool) {
+// Roles implements management.Router.
+func (p *Program) Roles() (lines []string, on bool) {
 	if p.roles == nil {
 		return nil, false
 	}
@@ -223,8 +223,8 @@
 
 var errNoDuties = errors.New("this router has no duties; the settings have no block duties")
 
-// GiveDuty implements management.Router.
-func (p *Program) GiveDuty(name, to string, token uint64) error {
+// TransferRole implements management.Router.
+func (p *Program) TransferRole(name, to string, token uint64) error {
 	if p.roles == nil {
 		return errNoDuties
 	}
@@ -236,8 +236,8 @@
 // votersTimeout is how long the management address waits for voters.
 const votersTimeout = 800 * time.Millisecond
 
-// RebuildDuties implements management.Router.
-func (p *Program) RebuildDuties(lost []string) error {
+// RebuildRoles implements management.Router.
+func (p *Program) RebuildRoles(lost []string) error {
 	if p.roles == nil {
 		return errNoDuties
 	}
@@ -247,11 +247,11 @@
 }
 
 // roleValues are the figures of duties, nil where there are none.
-func (p *Program) roleValues() *management.Duties {
+func (p *Program) roleValues() *management.Roles {
 	if p.roles == nil {
 		return nil
 	}
 	f := p.roles.Counters()
-	return &management.Duties{Leases: f.Leased, Requested: f.Requested, Begun: f.Begun, Ended: f.Ended, Refused: f.Rejected, Sent: f.Sent, Stopped: f.Leaderless,
-		Commands: f.Commands, Elections: f.Elections, Log: f.LogEntries, Token: f.Token}
+	return &management.Roles{Leases: f.Leased, Requested: f.Requested, Begun: f.Begun, Ended: f.Ended, TokensRejected: f.Rejected, Sent: f.Sent, NoLeader: f.Leaderless,
+		Commands: f.Commands, Elections: f.Elections, LogEntries: f.LogEntries, Token: f.Token}
 }
--- a/internal/router/program/scribe.go
+++ b/internal/router/program/scribe.go
@@ -51,7 +51,7 @@
 			}
 			text, err := json.Marshal(r)
 			if err == nil {
-				err = durable.WriteFileAtomic(filepath.Join(p.cfg.set.Duties.Folder, recordFile), text)
+				err = durable.WriteFileAtomic(filepath.Join(p.cfg.set.Roles.Folder, recordFile), text)
 			}
 			if err != nil {
 				return fmt.Errorf("the fleet's record: %w", err)
@@ -88,7 +88,7 @@
 	if len(text) > maxRecordBytes || json.Unmarshal(text, &r) != nil || r.Version != recordVersion {
 		return 0
 	}
-	path := filepath.Join(p.cfg.set.Duties.Folder, recordCopyFile)
+	path := filepath.Join(p.cfg.set.Roles.Folder, recordCopyFile)
 	if p.copiedToken == 0 {
 		var old Record
 		if had, err := os.ReadFile(path); err == nil && json.Unmarshal(had, &old) == nil {
--- a/internal/router/program/shadow_test.go
+++ b/internal/router/program/shadow_test.go
@@ -246,10 +246,10 @@
 		t.Errorf("the live host had %d attempts", n)
 	}
 	got := s.records()["q1"]
-	if got == nil || got.Compared == nil || got.Live.FirstMs == nil || got.Live.WaitMs == nil || *got.Live.WaitMs > *got.Live.FirstMs || got.Copy.TotalMs == nil || got.Live.Digest == got.Copy.Digest {
+	if got == nil || got.Comparison == nil || got.Live.FirstByteMs == nil || got.Live.QueuedMs == nil || *got.Live.QueuedMs > *got.Live.FirstByteMs || got.Copy.TotalMs == nil || got.Live.Digest == got.Copy.Digest {
 		t.Fatalf("%+v", got)
 	}
-	if diff := cmp.Diff(&records.Compared{Text: "differs", Similarity: 0, Finish: false}, got.Compared); diff != "" {
+	if diff := cmp.Diff(&records.Comparison{Text: "differs", Similarity: 0, SameFinish: false}, got.Comparison); diff != "" {
 		t.Error(diff)
 	}
 	if got.Tenant != "partner" || got.Live.Host != "s0" || got.Copy.Host != "c0" || *got.Live.Tokens != 10 || got.Copy.Tokens != nil || *got.Live.CachedTokens != 3 {
@@ -267,8 +267,8 @@
 	s.until("it is recorded", func(st mirror.Status) bool { return st.Recorded == 1 })
 	r := s.records()["prompt"]
 	words := strings.Join(scripted.Tokens("prompt", scripted.Manner{}), "")
-	if r.Body != "prompt" || r.Live.Text != words || r.Copy.Text != words+"x" || r.Compared.Similarity != 0.9 {
-		t.Errorf("%+v %+v", r, r.Compared)
+	if r.Body != "prompt" || r.Live.Text != words || r.Copy.Text != words+"x" || r.Comparison.Similarity != 0.9 {
+		t.Errorf("%+v %+v", r, r.Comparison)
 	}
 }
 
@@ -432,7 +432,7 @@
 			}
 			<-answered
 			s.until("the copy was ended", func(st mirror.Status) bool { return st.Recorded == 1 && st.Ended[shadow.NoLiveAnswer] == 1 })
-			if r := s.records()["q"]; r.Cause != string(shadow.NoLiveAnswer) || r.Compared != nil || r.Live.Outcome == "whole" {
+			if r := s.records()["q"]; r.Cause != string(shadow.NoLiveAnswer) || r.Comparison != nil || r.Live.Outcome == "whole" {
 				t.Errorf("%+v", r)
 			}
 		})
--- a/internal/router/program/stored_test.go
+++ b/internal/router/program/stored_test.go
@@ -140,7 +140,7 @@
 	}
 	folder := t.TempDir()
 	newProgram := func() *Program {
-		return New(&Config{set: &settings.Settings{Duties: &settings.Duties{Folder: folder}}}, func(string) string { return "" }, "", make(scripted.Lines, 10))
+		return New(&Config{set: &settings.Settings{Roles: &settings.Roles{Folder: folder}}}, func(string) string { return "" }, "", make(scripted.Lines, 10))
 	}
 	if highest := newProgram().storeCopy(77, text); highest != 0 {
 		t.Errorf("a record of token %d is at hand", highest)
--- a/internal/router/records/records.go
+++ b/internal/router/records/records.go
@@ -31,48 +31,48 @@
 
 // Record is one copy that was started, and the live answer beside it.
 type Record struct {
-	Version  int       `json:"version"`
-	At       time.Time `json:"at"` // when the live request was taken in
-	Pool     string    `json:"pool"`
-	Class    string    `json:"class"`
-	Tenant   string    `json:"tenant,omitempty"`
-	ID       string    `json:"id"`      // the live request's
-	Session  string    `json:"session"` // a hash
-	Gap      bool      `json:"gap"`     // an earlier request of the session was not copied
-	Cause    string    `json:"cause"`   // why it can't be compared, empty if it can
-	BodySize int       `json:"body_bytes"`
-	Live     Side      `json:"live"`
-	Copy     Side      `json:"copy"`
-	Compared *Compared `json:"compared,omitempty"`
-	Body     string    `json:"body,omitempty"` // only where the settings keep texts
+	Version    int         `json:"version"`
+	At         time.Time   `json:"at"` // when the live request was taken in
+	Pool       string      `json:"pool"`
+	Class      string      `json:"class"`
+	Tenant     string      `json:"tenant,omitempty"`
+	ID         string      `json:"id"`      // the live request's
+	Session    string      `json:"session"` // a hash
+	HistoryGap bool        `json:"gap"`     // an earlier request of the session was not copied
+	Cause      string      `json:"cause"`   // why it can't be compared, empty if it can
+	BodyBytes  int         `json:"body_bytes"`
+	Live       Answer      `json:"live"`
+	Copy       Answer      `json:"copy"`
+	Comparison *Comparison `json:"compared,omitempty"`
+	Body       string      `json:"body,omitempty"` // only where the settings keep texts
 }
 
-// Side is one of the two answers. What is not known is left out.
-type Side struct {
-	Outcome      string   `json:"outcome"` // whole, or why not
-	Host         string   `json:"host,omitempty"`
-	Attempts     int      `json:"schedulings"`      // the name that kept files have
-	Bytes        int64    `json:"bytes"`            // of the stream
-	Chars        int      `json:"chars"`            // bytes of its text, as far as kept
-	Digest       string   `json:"digest,omitempty"` // keyed anew at each start, so that it can't be looked up
-	Finish       string   `json:"finish,omitempty"`
-	Tokens       *int     `json:"tokens,omitempty"`
-	CachedTokens *int     `json:"kept_tokens,omitempty"`
-	WaitMs       *float64 `json:"wait_ms,omitempty"`    // from take-in until the attempt that answered was sent
-	FirstMs      *float64 `json:"first_ms,omitempty"`   // from take-in to the first event
-	BetweenMs    *float64 `json:"between_ms,omitempty"` // mean time between tokens
-	TotalMs      *float64 `json:"whole_ms,omitempty"`
-	Text         string   `json:"text,omitempty"` // only where the settings keep texts
+// Answer is one of the two answers. What is not known is left out.
+type Answer struct {
+	Outcome         string   `json:"outcome"` // whole, or why not
+	Host            string   `json:"host,omitempty"`
+	Attempts        int      `json:"schedulings"`      // the name that kept files have
+	Bytes           int64    `json:"bytes"`            // of the stream
+	TextBytes       int      `json:"chars"`            // bytes of its text, as far as kept
+	Digest          string   `json:"digest,omitempty"` // keyed anew at each start, so that it can't be looked up
+	Finish          string   `json:"finish,omitempty"`
+	Tokens          *int     `json:"tokens,omitempty"`
+	CachedTokens    *int     `json:"kept_tokens,omitempty"`
+	QueuedMs        *float64 `json:"wait_ms,omitempty"`    // from take-in until the attempt that answered was sent
+	FirstByteMs     *float64 `json:"first_ms,omitempty"`   // from take-in to the first event
+	TokenIntervalMs *float64 `json:"between_ms,omitempty"` // mean time between tokens
+	TotalMs         *float64 `json:"whole_ms,omitempty"`
+	Text            string   `json:"text,omitempty"` // only where the settings keep texts
 }
 
-// Compared is how the copy's answer compares with the live one.
-type Compared struct {
-	Text       string  `json:"text"`
-	Similarity float64 `json:"similarity"`
-	Partial    bool    `json:"partial"`
-	Finish     bool    `json:"same_finish"`
-	Tokens     int     `json:"more_tokens"`
-	Kept       int     `json:"more_kept_tokens"`
+// Comparison is how the copy's answer compares with the live one.
+type Comparison struct {
+	Text             string  `json:"text"`
+	Similarity       float64 `json:"similarity"`
+	Partial          bool    `json:"partial"`
+	SameFinish       bool    `json:"same_finish"`
+	TokenDelta       int     `json:"more_tokens"`
+	CachedTokenDelta int     `json:"more_kept_tokens"`
 }
 
 // Writer appends records. Only one goroutine uses it. After an error the next Append begins a new
@@ -95,7 +95,7 @@
 		return err
 	}
 	if w.file == nil {
-		if err := w.begin(); err != nil {
+		if err := w.openNext(); err != nil {
 			return err
 		}
 	}
@@ -108,8 +108,8 @@
 	return err
 }
 
-// begin opens the next file and makes room for it.
-func (w *Writer) begin() error {
+// openNext opens the next file and makes room for it.
+func (w *Writer) openNext() error {
 	if err := os.MkdirAll(w.Folder, 0o700); err != nil {
 		return err
 	}
--- a/internal/router/records/records_test.go
+++ b/internal/router/records/records_test.go
@@ -12,7 +12,7 @@
 
 func record(id string) *Record {
 	return &Record{Version: Version, At: time.Unix(1, 0).UTC(), Pool: "next", Class: "chat", ID: id, Session: "0123456789abcdef",
-		Cause: "broken", Live: Side{Outcome: "whole"}, Copy: Side{Outcome: "broken"}}
+		Cause: "broken", Live: Answer{Outcome: "whole"}, Copy: Answer{Outcome: "broken"}}
 }
 
 func ids(t *testing.T, folder string) (found string, cut int) {
--- a/internal/router/records/stored_test.go
+++ b/internal/router/records/stored_test.go
@@ -20,16 +20,16 @@
 func goldenRecords() []*Record {
 	number := func(n int) *int { return &n }
 	span := func(ms float64) *float64 { return &ms }
-	side := Side{Outcome: "whole", Host: "host-1", Attempts: 2, Bytes: 4096, Chars: 1200, Digest: "00c0ffee00c0ffee", Finish: "stop", Tokens: number(300),
-		CachedTokens: number(128), WaitMs: span(1.5), FirstMs: span(80.25), BetweenMs: span(12.5), TotalMs: span(3830.25), Text: "an answer"}
+	side := Answer{Outcome: "whole", Host: "host-1", Attempts: 2, Bytes: 4096, TextBytes: 1200, Digest: "00c0ffee00c0ffee", Finish: "stop", Tokens: number(300),
+		CachedTokens: number(128), QueuedMs: span(1.5), FirstByteMs: span(80.25), TokenIntervalMs: span(12.5), TotalMs: span(3830.25), Text: "an answer"}
 	other := side
 	other.Outcome, other.Host, other.Text = "broken", "host-2", "another answer"
 	return []*Record{
 		{Version: Version, At: time.Unix(1_800_000_000, 5e8).UTC(), Pool: "next", Class: "chat", Tenant: "kaje80", ID: "x-1", Session: "0123456789abcdef",
-			Gap: true, Cause: "broken", BodySize: 900, Live: side, Copy: other,
-			Compared: &Compared{Text: "differs", Similarity: 0.75, Partial: true, Finish: true, Tokens: -3, Kept: 64}, Body: "{}"},
+			HistoryGap: true, Cause: "broken", BodyBytes: 900, Live: side, Copy: other,
+			Comparison: &Comparison{Text: "differs", Similarity: 0.75, Partial: true, SameFinish: true, TokenDelta: -3, CachedTokenDelta: 64}, Body: "{}"},
 		{Version: Version, At: time.Unix(1_800_000_001, 0).UTC(), Pool: "next", Class: "chat", ID: "x-2", Session: "0123456789abcdef", Cause: "live gone",
-			Live: Side{Outcome: "gone"}, Copy: Side{Outcome: "ended"}},
+			Live: Answer{Outcome: "gone"}, Copy: Answer{Outcome: "ended"}},
 	}
 }
 
--- a/internal/router/report/charts.go
+++ b/internal/router/report/charts.go
@@ -30,19 +30,19 @@
 		return nil, nil // nothing was compared
 	}
 	var charts []string
-	for _, name := range []string{First, Total} {
-		c, err := cumulative(name, all.live[name], all.copied[name])
+	for _, name := range []string{FirstEvent, CompleteAnswer} {
+		c, err := cumulativeChart(name, all.live[name], all.copied[name])
 		if err != nil {
 			return nil, err
 		}
 		charts = append(charts, c)
 	}
-	c, err := similarities(p.similar)
+	c, err := similarityChart(p.similarities)
 	return append(charts, c), err
 }
 
-// cumulative draws which share of the answers came within a time.
-func cumulative(name string, live, copied *hdrhistogram.Histogram) (string, error) {
+// cumulativeChart draws which share of the answers came within a time.
+func cumulativeChart(name string, live, copied *hdrhistogram.Histogram) (string, error) {
 	c := plot.New()
 	c.Title.Text = name
 	c.X.Label.Text, c.Y.Label.Text = "milliseconds", "share of answers within"
@@ -76,7 +76,7 @@
 	return svg(c)
 }
 
-func similarities(values []float64) (string, error) {
+func similarityChart(values []float64) (string, error) {
 	c := plot.New()
 	c.Title.Text = "similarity of the texts"
 	c.X.Label.Text, c.Y.Label.Text = "1 for equal", "answers"
--- a/internal/router/report/report.go
+++ b/internal/router/report/report.go
@@ -28,22 +28,22 @@
 
 // Pool is one pool's part.
 type Pool struct {
-	Name         string         `json:"pool"`
-	Records      int            `json:"records"`
-	Compared     int            `json:"compared"`
-	Gaps         int            `json:"compared_with_gap"` // of conversations that had lost an earlier turn
-	Causes       map[string]int `json:"not_comparable"`
-	Texts        map[string]int `json:"texts"`
-	SameFinish   int            `json:"same_finish"`
-	Partial      int            `json:"similarity_of_a_part"`
-	Similarity   Spread         `json:"similarity"` // from 0 to 1
-	Tokens       Spread         `json:"more_tokens"`
-	CachedTokens Spread         `json:"more_kept_tokens"`
-	Groups       []*Group       `json:"groups"`
-
-	similar              []float64
-	tokens, cachedTokens []float64
-	groups               map[[2]string]*Group
+	Name             string         `json:"pool"`
+	Records          int            `json:"records"`
+	Compared         int            `json:"compared"`
+	Gaps             int            `json:"compared_with_gap"` // of conversations that had lost an earlier turn
+	Causes           map[string]int `json:"not_comparable"`
+	Texts            map[string]int `json:"texts"`
+	SameFinish       int            `json:"same_finish"`
+	Partial          int            `json:"similarity_of_a_part"`
+	Similarity       Spread         `json:"similarity"` // from 0 to 1
+	TokenDelta       Spread         `json:"more_tokens"`
+	CachedTokenDelta Spread         `json:"more_kept_tokens"`
+	Groups           []*Group       `json:"groups"`
+
+	similarities                   []float64
+	tokenDeltas, cachedTokenDeltas []float64
+	groups                         map[[2]string]*Group
 }
 
 // Group is the times of comparable answers of one class at one host; empty names stand for all.
@@ -59,9 +59,9 @@
 // Pair is one time on both sides, in milliseconds, and the copies' median as a multiple of the live
 // one.
 type Pair struct {
-	Live  Spread  `json:"live_ms"`
-	Copy  Spread  `json:"copy_ms"`
-	Ratio float64 `json:"ratio_p50"`
+	Live        Spread  `json:"live_ms"`
+	Copy        Spread  `json:"copy_ms"`
+	MedianRatio float64 `json:"ratio_p50"`
 }
 
 // Spread is places of a distribution.
@@ -77,16 +77,16 @@
 // The times, in the order in which they are shown. The host's own first event leaves out the wait
 // for a host.
 const (
-	First   = "first event"
-	Host    = "first event, host's own"
-	Between = "between tokens"
-	Total   = "whole answer"
+	FirstEvent     = "first event"
+	HostFirstEvent = "first event, host's own"
+	TokenInterval  = "between tokens"
+	CompleteAnswer = "whole answer"
 )
 
-var times = []string{First, Host, Between, Total}
+var times = []string{FirstEvent, HostFirstEvent, TokenInterval, CompleteAnswer}
 
-// longest is the most that a histogram holds, in microseconds: an hour.
-const longest = 3600 * 1e6
+// maxLatencyUs is the most that a histogram holds, in microseconds: an hour.
+const maxLatencyUs = 3600 * 1e6
 
 // Read sums up a folder. Each line must be valid by the records' schema.
 func Read(folder string) (*Report, error) {
@@ -150,27 +150,27 @@
 
 func (p *Pool) add(r *records.Record) {
 	p.Records++
-	if r.Compared == nil {
+	if r.Comparison == nil {
 		p.Causes[r.Cause]++
 		return
 	}
 	p.Compared++
-	if r.Gap {
+	if r.HistoryGap {
 		p.Gaps++
 	}
-	p.Texts[r.Compared.Text]++
-	if r.Compared.Finish {
+	p.Texts[r.Comparison.Text]++
+	if r.Comparison.SameFinish {
 		p.SameFinish++
 	}
-	if r.Compared.Partial {
+	if r.Comparison.Partial {
 		p.Partial++
 	}
-	p.similar = append(p.similar, r.Compared.Similarity)
+	p.similarities = append(p.similarities, r.Comparison.Similarity)
 	if r.Live.Tokens != nil && r.Copy.Tokens != nil {
-		p.tokens = append(p.tokens, float64(r.Compared.Tokens))
+		p.tokenDeltas = append(p.tokenDeltas, float64(r.Comparison.TokenDelta))
 	}
-	if r.Live.CachedTokens != nil && r.Copy.CachedTokens != nil && !r.Gap {
-		p.cachedTokens = append(p.cachedTokens, float64(r.Compared.Kept))
+	if r.Live.CachedTokens != nil && r.Copy.CachedTokens != nil && !r.HistoryGap {
+		p.cachedTokenDeltas = append(p.cachedTokenDeltas, float64(r.Comparison.CachedTokenDelta))
 	}
 	for _, of := range [][2]string{{"", ""}, {r.Class, ""}, {"", r.Copy.Host}, {r.Class, r.Copy.Host}} {
 		g := p.groups[of]
@@ -187,12 +187,12 @@
 func histograms() map[string]*hdrhistogram.Histogram {
 	m := map[string]*hdrhistogram.Histogram{}
 	for _, name := range times {
-		m[name] = hdrhistogram.New(1, longest, 3)
+		m[name] = hdrhistogram.New(1, maxLatencyUs, 3)
 	}
 	return m
 }
 
-func record(to map[string]*hdrhistogram.Histogram, s *records.Side) {
+func record(to map[string]*hdrhistogram.Histogram, s *records.Answer) {
 	add := func(name string, ms *float64, less *float64) {
 		if ms == nil {
 			return
@@ -201,23 +201,23 @@
 		if less != nil {
 			v -= *less
 		}
-		to[name].RecordValue(int64(min(max(v*1000, 1), longest))) // within its range, it can't fail
+		to[name].RecordValue(int64(min(max(v*1000, 1), maxLatencyUs))) // within its range, it can't fail
 	}
-	add(First, s.FirstMs, nil)
-	add(Host, s.FirstMs, s.WaitMs)
-	add(Between, s.BetweenMs, nil)
-	add(Total, s.TotalMs, nil)
+	add(FirstEvent, s.FirstByteMs, nil)
+	add(HostFirstEvent, s.FirstByteMs, s.QueuedMs)
+	add(TokenInterval, s.TokenIntervalMs, nil)
+	add(CompleteAnswer, s.TotalMs, nil)
 }
 
 func (p *Pool) finish() {
-	p.Similarity, p.Tokens, p.CachedTokens = spread(p.similar), spread(p.tokens), spread(p.cachedTokens)
+	p.Similarity, p.TokenDelta, p.CachedTokenDelta = valueSpread(p.similarities), valueSpread(p.tokenDeltas), valueSpread(p.cachedTokenDeltas)
 	for _, of := range slices.SortedFunc(maps.Keys(p.groups), func(a, b [2]string) int { return slices.Compare(a[:], b[:]) }) {
 		g := p.groups[of]
 		g.Times = map[string]Pair{}
 		for _, name := range times {
-			pair := Pair{Live: ofHistogram(g.live[name]), Copy: ofHistogram(g.copied[name])}
+			pair := Pair{Live: histogramSpread(g.live[name]), Copy: histogramSpread(g.copied[name])}
 			if pair.Live.P50 > 0 {
-				pair.Ratio = pair.Copy.P50 / pair.Live.P50
+				pair.MedianRatio = pair.Copy.P50 / pair.Live.P50
 			}
 			g.Times[name] = pair
 		}
@@ -225,7 +225,7 @@
 	}
 }
 
-func ofHistogram(h *hdrhistogram.Histogram) Spread {
+func histogramSpread(h *hdrhistogram.Histogram) Spread {
 	at := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 	if h.TotalCount() == 0 {
 		return Spread{}
@@ -233,8 +233,8 @@
 	return Spread{Count: int(h.TotalCount()), Mean: h.Mean() / 1000, P10: at(10), P50: at(50), P90: at(90), P99: at(99)}
 }
 
-// spread takes the places of values that may be negative, which a histogram can't hold.
-func spread(values []float64) Spread {
+// valueSpread takes the places of values that may be negative, which a histogram can't hold.
+func valueSpread(values []float64) Spread {
 	if len(values) == 0 {
 		return Spread{}
 	}
--- a/internal/router/report/report_test.go
+++ b/internal/router/report/report_test.go
@@ -27,13 +27,13 @@
 	for i := 1; i <= 100; i++ {
 		ms := float64(i)
 		r := &records.Record{Version: records.Version, At: time.Unix(int64(i), 0).UTC(), Pool: "next", Class: "chat", ID: fmt.Sprint("q", i),
-			Session: "0123456789abcdef", Gap: i == 1,
-			Live: records.Side{Outcome: "whole", Host: "s0", FirstMs: num(ms), WaitMs: num(ms / 2), TotalMs: num(3 * ms), Tokens: num(10), CachedTokens: num(4)},
-			Copy: records.Side{Outcome: "whole", Host: fmt.Sprint("c", i%2), FirstMs: num(2 * ms), WaitMs: num(0.0), TotalMs: num(6 * ms), Tokens: num(12), CachedTokens: num(1)}}
+			Session: "0123456789abcdef", HistoryGap: i == 1,
+			Live: records.Answer{Outcome: "whole", Host: "s0", FirstByteMs: num(ms), QueuedMs: num(ms / 2), TotalMs: num(3 * ms), Tokens: num(10), CachedTokens: num(4)},
+			Copy: records.Answer{Outcome: "whole", Host: fmt.Sprint("c", i%2), FirstByteMs: num(2 * ms), QueuedMs: num(0.0), TotalMs: num(6 * ms), Tokens: num(12), CachedTokens: num(1)}}
 		if i%10 == 0 {
-			r.Cause, r.Copy = "broken", records.Side{Outcome: "broken"}
+			r.Cause, r.Copy = "broken", records.Answer{Outcome: "broken"}
 		} else {
-			r.Compared = &records.Compared{Text: "differs", Similarity: ms / 100, Finish: i < 50, Tokens: 2, Kept: -3}
+			r.Comparison = &records.Comparison{Text: "differs", Similarity: ms / 100, SameFinish: i < 50, TokenDelta: 2, CachedTokenDelta: -3}
 		}
 		if err := w.Append(r); err != nil {
 			t.Fatal(err)
@@ -53,17 +53,17 @@
 	if p.Records != 100 || p.Compared != 90 || p.Causes["broken"] != 10 || p.Texts["differs"] != 90 || p.SameFinish != 45 || p.Gaps != 1 {
 		t.Errorf("%+v", p)
 	}
-	if p.Tokens != (Spread{90, 2, 2, 2, 2, 2}) || p.CachedTokens.Mean != -3 || p.CachedTokens.Count != 89 {
-		t.Errorf("tokens %+v, kept %+v", p.Tokens, p.CachedTokens)
+	if p.TokenDelta != (Spread{90, 2, 2, 2, 2, 2}) || p.CachedTokenDelta.Mean != -3 || p.CachedTokenDelta.Count != 89 {
+		t.Errorf("tokens %+v, kept %+v", p.TokenDelta, p.CachedTokenDelta)
 	}
 	if len(p.Groups) != 6 { // all, each host, the class, the class at each host
 		t.Fatalf("%d groups", len(p.Groups))
 	}
-	first, own := p.Groups[0].Times[First], p.Groups[0].Times[Host]
-	if !near(first.Live.P50, 50) && !near(first.Live.P50, 49) || !near(first.Ratio, 2) || !near(own.Ratio, 4) || first.Live.Count != 90 {
+	first, own := p.Groups[0].Times[FirstEvent], p.Groups[0].Times[HostFirstEvent]
+	if !near(first.Live.P50, 50) && !near(first.Live.P50, 49) || !near(first.MedianRatio, 2) || !near(own.MedianRatio, 4) || first.Live.Count != 90 {
 		t.Errorf("%+v %+v", first, own)
 	}
-	if g := p.Groups[1]; g.Host != "c0" || g.Count != 40 || g.Times[Between].Live.Count != 0 {
+	if g := p.Groups[1]; g.Host != "c0" || g.Count != 40 || g.Times[TokenInterval].Live.Count != 0 {
 		t.Errorf("%+v", g)
 	}
 }
--- a/internal/router/report/tables.go
+++ b/internal/router/report/tables.go
@@ -71,7 +71,7 @@
 	return t
 }
 
-func share(n, of int) string {
+func percentage(n, of int) string {
 	if of == 0 {
 		return "-"
 	}
@@ -80,7 +80,7 @@
 
 func (p *Pool) counts() table.Writer {
 	t := titled("Pool "+p.Name+": copies", "copies", "number", "share")
-	add := func(name string, n int) { t.AppendRow(table.Row{name, n, share(n, p.Records)}) }
+	add := func(name string, n int) { t.AppendRow(table.Row{name, n, percentage(n, p.Records)}) }
 	add("recorded", p.Records)
 	add("compared", p.Compared)
 	add("compared, after a gap in the conversation", p.Gaps)
@@ -92,7 +92,7 @@
 
 func (p *Pool) texts() table.Writer {
 	t := titled("Pool "+p.Name+": answers, of those compared", "answers", "number", "share", "mean", "p10", "p50", "p90")
-	add := func(name string, n int) { t.AppendRow(table.Row{name, n, share(n, p.Compared), "", "", "", ""}) }
+	add := func(name string, n int) { t.AppendRow(table.Row{name, n, percentage(n, p.Compared), "", "", "", ""}) }
 	for _, kind := range slices.Sorted(maps.Keys(p.Texts)) {
 		add("text: "+kind, p.Texts[kind])
 	}
@@ -100,11 +100,11 @@
 	add("similarity of a part only", p.Partial)
 	spread := func(name string, s Spread, digits int) {
 		f := func(v float64) string { return strconv.FormatFloat(v, 'f', digits, 64) }
-		t.AppendRow(table.Row{name, s.Count, share(s.Count, p.Compared), f(s.Mean), f(s.P10), f(s.P50), f(s.P90)})
+		t.AppendRow(table.Row{name, s.Count, percentage(s.Count, p.Compared), f(s.Mean), f(s.P10), f(s.P50), f(s.P90)})
 	}
 	spread("similarity, 0 to 1", p.Similarity, 3)
-	spread("tokens, more than live", p.Tokens, 1)
-	spread("kept tokens, more than live", p.CachedTokens, 1)
+	spread("tokens, more than live", p.TokenDelta, 1)
+	spread("kept tokens, more than live", p.CachedTokenDelta, 1)
 	return t
 }
 
@@ -117,8 +117,8 @@
 				continue
 			}
 			ratio := "-"
-			if pair.Ratio > 0 {
-				ratio = fmt.Sprintf("%.2f", pair.Ratio)
+			if pair.MedianRatio > 0 {
+				ratio = fmt.Sprintf("%.2f", pair.MedianRatio)
 			}
 			t.AppendRow(table.Row{orAll(g.Class), orAll(g.Host), g.Count, name, percentiles(pair.Live), percentiles(pair.Copy), ratio})
 		}
@@ -166,8 +166,8 @@
 			}
 		}
 		spread("", "", "similarity", "", p.Similarity)
-		spread("", "", "more tokens", "", p.Tokens)
-		spread("", "", "more kept tokens", "", p.CachedTokens)
+		spread("", "", "more tokens", "", p.TokenDelta)
+		spread("", "", "more kept tokens", "", p.CachedTokenDelta)
 		for _, g := range p.Groups {
 			for _, name := range times {
 				spread(g.Class, g.Host, name+", ms", "live", g.Times[name].Live)
--- a/internal/router/settings/blocks.go
+++ b/internal/router/settings/blocks.go
@@ -11,7 +11,7 @@
 	Admission *admissionBlock `hcl:"door,block"`
 	Capture   *captureBlock   `hcl:"capture,block"`
 	Fleet     *fleetBlock     `hcl:"fleet,block"`
-	Duties    *dutiesBlock    `hcl:"duties,block"`
+	Roles     *rolesBlock     `hcl:"duties,block"`
 
 	Recovery *recoveryBlock `hcl:"recovery,block"`
 }
@@ -22,19 +22,19 @@
 	Discovery string   `hcl:"discovery,optional"`
 }
 
-type dutiesBlock struct {
-	Body    hcl.Body          `hcl:",body"`
-	Listen  string            `hcl:"listen,optional"`
-	Folder  string            `hcl:"folder,optional"`
-	Voters  *int              `hcl:"voters,optional"`
-	Lease   string            `hcl:"lease,optional"`
-	Replace string            `hcl:"replace_after,optional"`
-	Drains  *int              `hcl:"drains,optional"`
-	Scribe  bool              `hcl:"scribe,optional"`
-	Routers []dutyRouterBlock `hcl:"router,block"`
+type rolesBlock struct {
+	Body         hcl.Body           `hcl:",body"`
+	Listen       string             `hcl:"listen,optional"`
+	Folder       string             `hcl:"folder,optional"`
+	Voters       *int               `hcl:"voters,optional"`
+	Lease        string             `hcl:"lease,optional"`
+	ReplaceDelay string             `hcl:"replace_after,optional"`
+	MaxDraining  *int               `hcl:"drains,optional"`
+	FleetRecord  bool               `hcl:"scribe,optional"`
+	Routers      []voterRouterBlock `hcl:"router,block"`
 }
 
-type dutyRouterBlock struct {
+type voterRouterBlock struct {
 	Body    hcl.Body  `hcl:",body"`
 	Name    string    `hcl:"name,label"`
 	Range   hcl.Range `hcl:",def_range"`
--- a/internal/router/settings/fleet.go
+++ b/internal/router/settings/fleet.go
@@ -17,20 +17,20 @@
 	Discovery string // the name of whose list it is, the same at all routers; empty for the address of their agents
 }
 
-// Duties is the block of that name, nil for none: what only so many routers may do at a time.
-type Duties struct {
-	Listen  string // of this router's voter; empty for a router that only asks
-	Folder  string // its durable folder, likewise
-	Voters  int    // 1, 3, 5 or 7
-	Times   lease.Timing
-	Replace time.Duration // until a voter that is gone makes room for another
-	Drains  int           // routers of a zone that may drain at a time; 0: nobody asks
-	Scribe  bool          // one router keeps the fleet's record
-	Routers []DutyRouter  // that may vote
+// Roles is the block of that name, nil for none: what only so many routers may do at a time.
+type Roles struct {
+	Listen       string // of this router's voter; empty for a router that only asks
+	Folder       string // its durable folder, likewise
+	Voters       int    // 1, 3, 5 or 7
+	LeaseTiming  lease.Timing
+	ReplaceDelay time.Duration // until a voter that is gone makes room for another
+	MaxDraining  int           // routers of a zone that may drain at a time; 0: nobody asks
+	FleetRecord  bool          // one router keeps the fleet's record
+	Routers      []VoterRouter // that may vote
 }
 
-// DutyRouter is one that may vote, under its name in the fleet view.
-type DutyRouter struct {
+// VoterRouter is one that may vote, under its name in the fleet view.
+type VoterRouter struct {
 	Name    string
 	Address netip.AddrPort
 }
@@ -43,17 +43,17 @@
 	Seeds   []netip.AddrPort // none: the configuration's peers, and nobody else may join
 }
 
-// duties reads the block.
-func (c *checker) duties(b *dutiesBlock) *Duties {
-	s := &Duties{Listen: b.Listen, Folder: b.Folder, Voters: c.count(b.Body, "voters", b.Voters, 3, 7), Times: lease.DefaultTiming, Scribe: b.Scribe,
-		Replace: c.duration(b.Body, "replace_after", b.Replace, 10*time.Second)}
-	s.Times.Duration = c.duration(b.Body, "lease", b.Lease, lease.DefaultTiming.Duration)
-	s.Times.ClockAllowance = max(s.Times.ClockAllowance, s.Times.Duration/200)
-	s.Times.Margin = min(s.Times.Margin, s.Times.Duration/10)
-	if b.Drains != nil && *b.Drains != 0 {
-		s.Drains = c.count(b.Body, "drains", b.Drains, 1, lease.MaxHolders)
+// roles reads the block.
+func (c *checker) roles(b *rolesBlock) *Roles {
+	s := &Roles{Listen: b.Listen, Folder: b.Folder, Voters: c.count(b.Body, "voters", b.Voters, 3, 7), LeaseTiming: lease.DefaultTiming, FleetRecord: b.FleetRecord,
+		ReplaceDelay: c.duration(b.Body, "replace_after", b.ReplaceDelay, 10*time.Second)}
+	s.LeaseTiming.Duration = c.duration(b.Body, "lease", b.Lease, lease.DefaultTiming.Duration)
+	s.LeaseTiming.ClockAllowance = max(s.LeaseTiming.ClockAllowance, s.LeaseTiming.Duration/200)
+	s.LeaseTiming.Margin = min(s.LeaseTiming.Margin, s.LeaseTiming.Duration/10)
+	if b.MaxDraining != nil && *b.MaxDraining != 0 {
+		s.MaxDraining = c.count(b.Body, "drains", b.MaxDraining, 1, lease.MaxHolders)
 	}
-	if err := s.Times.Validate(); err != nil {
+	if err := s.LeaseTiming.Validate(); err != nil {
 		c.fault(b.Body, "lease", "is no good: %v", err)
 	}
 	names := map[string]bool{}
@@ -63,7 +63,7 @@
 			c.faultAt(r.Range, "router", "%q is there twice, or has not 1 to %d printable characters without spaces", r.Name, members.MaxNameLen)
 		}
 		names[r.Name] = true
-		s.Routers = append(s.Routers, DutyRouter{r.Name, c.addr(r.Body, "address", r.Address)})
+		s.Routers = append(s.Routers, VoterRouter{r.Name, c.addr(r.Body, "address", r.Address)})
 	}
 	switch {
 	case s.Voters%2 == 0:
@@ -76,7 +76,7 @@
 		c.addr(b.Body, "listen", b.Listen)
 		s.Folder = filepath.Clean(s.Folder)
 	}
-	if s.Scribe && b.Folder == "" {
+	if s.FleetRecord && b.Folder == "" {
 		c.fault(b.Body, "scribe", "needs a folder: the fleet's record is kept there")
 	}
 	return s
@@ -95,8 +95,8 @@
 		s.Seeds = append(s.Seeds, c.addr(b.Body, "seeds", word))
 	}
 	switch {
-	case len(b.Seeds) > mostSeeds:
-		c.fault(b.Body, "seeds", "has %d addresses; there may be %d", len(b.Seeds), mostSeeds)
+	case len(b.Seeds) > maxSeeds:
+		c.fault(b.Body, "seeds", "has %d addresses; there may be %d", len(b.Seeds), maxSeeds)
 	case len(b.Seeds) > 0 && b.Address == "":
 		c.fault(b.Body, "address", "is missing; with seeds it says where the others reach this router")
 	case !memberName.MatchString(b.Name) && b.Name != "":
@@ -105,7 +105,7 @@
 	return s
 }
 
-// mostSeeds bounds the addresses that are asked for the fleet.
-const mostSeeds = 1024
+// maxSeeds bounds the addresses that are asked for the fleet.
+const maxSeeds = 1024
 
 var memberName = regexp.MustCompile(fmt.Sprintf(`^[!-~]{1,%d}$`, members.MaxNameLen))
--- a/internal/router/settings/settings.go
+++ b/internal/router/settings/settings.go
@@ -22,7 +22,7 @@
 	Admission *Admission // nil for none
 	Capture   Capture
 	Fleet     *Fleet // nil for none
-	Duties    *Duties
+	Roles     *Roles
 	Recovery  *Recovery
 }
 
@@ -55,7 +55,7 @@
 	if s.Recovery != nil {
 		n += 2 // the lock, and a file that is written
 	}
-	if d := s.Duties; d != nil && d.Folder != "" {
+	if d := s.Roles; d != nil && d.Folder != "" {
 		n += 3 + 2*len(d.Routers) // the store, the listener, a file that is written, and a connection each way
 	}
 	return n
@@ -124,9 +124,9 @@
 	if f.Fleet != nil {
 		s.Fleet = c.fleet(f.Fleet)
 	}
-	if f.Duties != nil {
-		if s.Duties = c.duties(f.Duties); f.Fleet == nil {
-			c.fault(f.Duties.Body, "duties", "needs a block fleet: who votes follows who lives")
+	if f.Roles != nil {
+		if s.Roles = c.roles(f.Roles); f.Fleet == nil {
+			c.fault(f.Roles.Body, "duties", "needs a block fleet: who votes follows who lives")
 		}
 	}
 	if b := f.Recovery; b != nil {
@@ -135,7 +135,7 @@
 		}
 	}
 	for i := range s.Shadow.Pools {
-		if s.Shadow.Pools[i].SingleCopier && f.Duties == nil {
+		if s.Shadow.Pools[i].SingleCopier && f.Roles == nil {
 			c.faultAt(f.Shadow.Pools[i].Range, "one_copier", "needs a block duties, which says who agrees on the one")
 		}
 	}
--- a/internal/testbed/experiment/file.go
+++ b/internal/testbed/experiment/file.go
@@ -442,8 +442,8 @@
 			return nil, fmt.Errorf("%s:%d: class %q is none of the experiment's", filepath.Base(path), i+2, q.Class)
 		}
 		c := &spec.Classes[n]
-		plan = append(plan, simulator.Planned{At: q.At, ID: fmt.Sprint("c", i+1), Class: n, Session: q.Session, Prefix: q.Prefix, Shared: q.Shared,
-			Prompt: q.Prompt, Out: c.AnswerOf(i), MaxOut: c.MaxOut})
+		plan = append(plan, simulator.Planned{At: q.At, ID: fmt.Sprint("c", i+1), Class: n, Session: q.Session, Prefix: q.Prefix, Shared: q.PrefixTokens,
+			Prompt: q.PromptTokens, Out: c.AnswerOf(i), MaxOut: c.MaxOut})
 	}
 	return plan, nil
 }
--- a/internal/transport/management.go
+++ b/internal/transport/management.go
@@ -113,7 +113,7 @@
 func (m *Management) call(c net.Conn) {
 	defer m.removeCaller(c)
 	c.SetDeadline(time.Now().Add(callTimeout))
-	in := bufio.NewReaderSize(c, management.MostLine)
+	in := bufio.NewReaderSize(c, management.MaxLineBytes)
 	line, err := in.ReadSlice('\n')
 	var text string
 	switch {
