--- a/internal/router/lease/apply.go
+++ b/internal/router/lease/apply.go
@@ -149,7 +149,7 @@
 func (s *roleSlots) requestTransfer(token uint64, to string) Result {
 	i := slices.IndexFunc(s.grants, func(g Grant) bool { return g.Token == token || token == 0 })
 	if i < 0 {
-		return Result{Refusal: RefusedNoHolder}
+		return Result{Refusal: RefusedNotGranted}
 	}
 	s.grants[i].TransferTo = to
 	return Result{OK: true, Grant: s.grants[i]}
--- a/internal/router/lease/command.go
+++ b/internal/router/lease/command.go
@@ -81,7 +81,7 @@
 	RefusedNoSuchCommand Refusal = "there is no such command"
 	RefusedNoSuchGrant   Refusal = "the grant is no more"
 	RefusedRenewed       Refusal = "it was renewed, or is no more"
-	RefusedNoHolder      Refusal = "nobody holds it"
+	RefusedNotGranted      Refusal = "nobody holds it"
 	RefusedRouterName    Refusal = "the router has no name, or too long a one"
 	RefusedQueueFull     Refusal = "too many wait"
 	RefusedQueued        Refusal = "it is held; the router waits in line"
--- a/internal/router/peering/voter.go
+++ b/internal/router/peering/voter.go
@@ -170,7 +170,7 @@
 		case quorum.SendReply:
 			r.sendReply(&a)
 		case quorum.Applied:
-			l.noteChanges(a.Changes)
+			l.recordChanges(a.Changes)
 		case quorum.Notice:
 			r.logNotice(&a)
 		case quorum.RebuildFinished:
@@ -182,7 +182,7 @@
 	return nil
 }
 
-func (l *voterLoop) noteChanges(changes []lease.Change) {
+func (l *voterLoop) recordChanges(changes []lease.Change) {
 	for _, c := range changes {
 		direction := "lost by "
 		if c.Granted {
--- a/internal/router/quorum/join.go
+++ b/internal/router/quorum/join.go
@@ -31,7 +31,7 @@
 
 // emptyFounders returns the other founders, if this router is the first and all have said that
 // their stores are empty.
-func (v *Voter) emptyFounders() (others []Node, ok bool) {
+func (v *Voter) emptyFounders() (peers []Node, ok bool) {
 	if v.config.Candidates[0] != v.config.Self || v.now < v.startedAt+2*helloInterval {
 		return nil, false
 	}
@@ -43,9 +43,9 @@
 		if !ok || m.Group != 0 {
 			return nil, false
 		}
-		others = append(others, m.From)
+		peers = append(peers, m.From)
 	}
-	return others, true
+	return peers, true
 }
 
 // isStoreConfirmed reports whether a majority, with this router, knows of nothing newer of its
@@ -77,14 +77,14 @@
 	return false
 }
 
-// foundGroup founds a group of this router and others whose stores are empty, which are all voters
+// foundGroup founds a group of this router and peers whose stores are empty, which are all voters
 // from the first command on. Further candidates join as they say hello. Tokens are above all that
 // were seen, and above all of any group before.
-func (v *Voter) foundGroup(group uint64, others []Node) {
+func (v *Voter) foundGroup(group uint64, peers []Node) {
 	floor := max(lease.NextTokenBlock(v.meta.HighestToken), lease.NextTokenBlock(group<<lease.TokenBlockBits))
 	v.newStore(group)
 	v.actions = v.actions[:len(v.actions)-1] // one write has both
-	members := append([]Node{{v.meta.ID, v.config.Self, v.config.Zone}}, others...)
+	members := append([]Node{{v.meta.ID, v.config.Self, v.config.Zone}}, peers...)
 	v.hardState, v.lastEntry = firstHardState(), entryID{1, 1}
 	s := firstSnapshot(members, floor)
 	v.storage.ApplySnapshot(s)
--- a/internal/router/recovery/gate.go
+++ b/internal/router/recovery/gate.go
@@ -210,11 +210,11 @@
 // left of its deadline.
 func (d *demand) isStaleRetry(a *balance.Arrival) bool {
 	extra := d.extraTime(a)
-	wholeTime := d.class.Deadline + 2*extra
-	if wholeTime <= 0 || d.class.LateValueFraction > 0 {
+	totalTime := d.class.Deadline + 2*extra
+	if totalTime <= 0 || d.class.LateValueFraction > 0 {
 		return false
 	}
-	leftFraction := float64(a.TimeLeft) / float64(wholeTime)
+	leftFraction := float64(a.TimeLeft) / float64(totalTime)
 	if leftFraction > maxPlausibleFraction {
 		return false
 	}
@@ -222,7 +222,7 @@
 	if leftFraction > firstAttemptFraction*d.maxLeftFraction {
 		return false
 	}
-	return wholeTime-a.TimeLeft > d.class.LatencyTarget+extra
+	return totalTime-a.TimeLeft > d.class.LatencyTarget+extra
 }
 
 // retryAfter is how long a rejected client is to stay away: spread, so that not all come back at
--- a/internal/router/recovery/stages.go
+++ b/internal/router/recovery/stages.go
@@ -75,12 +75,12 @@
 		d.enter(Listing, fmt.Sprintf("only %d of %d have answered", n, len(d.savedPeers)))
 	case d.now >= d.nextQueryAt:
 		d.nextQueryAt = d.now + queryInterval
-		d.actions = append(d.actions, Announce{d.silentPeers(), d.announcement(true)})
+		d.actions = append(d.actions, Announce{d.unheardPeers(), d.announcement(true)})
 	}
 }
 
-// silentPeers are the routers of the saved membership that have not announced themselves.
-func (d *Decider) silentPeers() (all []snapshot.Router) {
+// unheardPeers are the routers of the saved membership that have not announced themselves.
+func (d *Decider) unheardPeers() (all []snapshot.Router) {
 	for _, r := range d.savedPeers {
 		if _, heard := d.announcements[r.Name]; !heard {
 			all = append(all, r)
@@ -90,7 +90,7 @@
 }
 
 // repliesReceived counts the routers of the saved membership that have announced themselves.
-func (d *Decider) repliesReceived() int { return len(d.savedPeers) - len(d.silentPeers()) }
+func (d *Decider) repliesReceived() int { return len(d.savedPeers) - len(d.unheardPeers()) }
 
 func (d *Decider) stepListing() {
 	switch {
