--- a/cmd/reachlab/sockets_test.go
+++ b/cmd/reachlab/sockets_test.go
@@ -38,7 +38,7 @@
 `
 
 // run runs a command and returns what it prints.
-func run(ctx context.Context, t *testing.T, out *scripted.Text, args ...string) error {
+func run(ctx context.Context, t *testing.T, out *scripted.Output, args ...string) error {
 	t.Helper()
 	c := command()
 	c.SetArgs(args)
@@ -67,7 +67,7 @@
 	ln.Close()
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	var fleet scripted.Text
+	var fleet scripted.Output
 	served := make(chan error, 1)
 	go func() {
 		served <- run(ctx, t, &fleet, "serve-fleet", in("x.hcl"), "--config", in("router.json"), "--listen", addr)
@@ -82,14 +82,14 @@
 	if err := cfg.ReadSettings(in("settings.hcl")); err != nil {
 		t.Fatal(err)
 	}
-	lines := make(scripted.Lines, 1000)
+	lines := make(scripted.LogLines, 1000)
 	routerCtx, term := context.WithCancel(context.Background())
 	defer term()
 	exit := make(chan error, 1)
 	go func() { exit <- program.New(cfg, env, in("settings.hcl"), lines).Run(routerCtx, nil) }()
-	for !strings.HasPrefix(scripted.Next(t, lines, "serving"), "phase name=serving") {
+	for !strings.HasPrefix(scripted.Receive(t, lines, "serving"), "phase name=serving") {
 	}
-	var table scripted.Text
+	var table scripted.Output
 	if err := run(ctx, t, &table, "load", in("x.hcl"), "--router", addr); err != nil {
 		t.Fatal(err)
 	}
@@ -98,20 +98,20 @@
 		t.Errorf("%d asked, %d good:\n%s", asked, good, table.String())
 	}
 	term()
-	if err := scripted.Next(t, exit, "the router's end"); err != nil {
+	if err := scripted.Receive(t, exit, "the router's end"); err != nil {
 		t.Fatal(err)
 	}
 	_, all, err := capture.Read(in("c.ndjson"))
 	if err != nil || len(all) < asked {
 		t.Fatalf("%d requests captured of %d, %v", len(all), asked, err)
 	}
-	var again scripted.Text
+	var again scripted.Output
 	if err := run(ctx, t, &again, "run", in("again.hcl")); err != nil {
 		t.Fatal(err)
 	}
 	fleet.Wait(t, "host-2: kill ends")
 	stop()
-	if err := scripted.Next(t, served, "the fleet's end"); err != nil {
+	if err := scripted.Receive(t, served, "the fleet's end"); err != nil {
 		t.Error(err)
 	}
 }
@@ -156,7 +156,7 @@
 		{[]string{"serve-fleet", x, "--config", x}, "file exists"},
 	} {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
-		var out scripted.Text
+		var out scripted.Output
 		if err := run(ctx, t, &out, tt.args...); err == nil || !strings.Contains(err.Error(), tt.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%v: got %v, want %q", tt.args, err, tt.want)
 		}
--- a/internal/router/mirror/copier_test.go
+++ b/internal/router/mirror/copier_test.go
@@ -28,7 +28,7 @@
 		if err := m.Apply(again); err != nil {
 			t.Fatal(err)
 		}
-		for end := time.Now().Add(scripted.Patience); !m.pools[0].hasLease.Load(); time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(scripted.EventTimeout); !m.pools[0].hasLease.Load(); time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatal("the pool that was made anew has no copier")
 			}
@@ -43,7 +43,7 @@
 			if err != nil {
 				t.Error(err)
 			}
-		case <-time.After(scripted.Patience):
+		case <-time.After(scripted.EventTimeout):
 			t.Fatal("the copier goes on without a pool")
 		}
 	}
--- a/internal/router/mirror/mirror_test.go
+++ b/internal/router/mirror/mirror_test.go
@@ -26,8 +26,8 @@
 	t.Helper()
 	m := New(Options{Balance: balance.Config{Zone: "a", MaxAttempts: 3, StepInterval: time.Millisecond,
 		Classes: []balance.Class{{Name: "chat", LatencyTarget: time.Second, Deadline: time.Second, Streamed: true}}},
-		ConnectTimeout: time.Second, KeepAlive: time.Minute, Log: make(scripted.Lines, 100), Sample: sample})
-	host := scripted.NewModel(t, scripted.Manner{Stalls: true})
+		ConnectTimeout: time.Second, KeepAlive: time.Minute, Log: make(scripted.LogLines, 100), Sample: sample})
+	host := scripted.NewModel(t, scripted.ModelBehavior{Stalls: true})
 	caps := shadow.Caps{PerSecond: 1000, InFlight: 4, InFlightPerHost: 4, Bytes: 1 << 20, Waiting: 4, MaxWait: time.Second, MaxDuration: time.Minute}
 	one := settings.Shadow{Pools: []settings.Pool{{Choice: shadow.Choice{Pool: "next", Share: share},
 		Hosts: []settings.Host{{ID: "c0", Addr: host.Addr}}, Sockets: 10, FirstEventTimeout: time.Minute, StreamIdleTimeout: time.Minute, AnswerBytes: 32 << 10,
@@ -35,7 +35,7 @@
 			Pressure: shadow.Pressure{Queued: 8, BodyFraction: 0.5, SocketFraction: 0.7, Delay: time.Hour, Rejections: 2, HardFactor: 2, GracePeriod: time.Second, CalmPeriod: time.Second}},
 	}}}
 	t.Cleanup(func() {
-		ctx, stop := context.WithTimeout(context.Background(), scripted.Patience)
+		ctx, stop := context.WithTimeout(context.Background(), scripted.EventTimeout)
 		defer stop()
 		m.Close(ctx)
 		if ctx.Err() != nil {
--- a/internal/router/mirror/pool_test.go
+++ b/internal/router/mirror/pool_test.go
@@ -13,10 +13,10 @@
 	m := newMirror(t, 1)
 	p := m.pools[0]
 	m.Shutdown()
-	scripted.Next(t, p.done, "its end")
+	scripted.Receive(t, p.done, "its end")
 	granted := make(chan bool, 1)
 	p.post(message{event: shadow.AttemptRequest{Copy: 1, Host: "c0"}, grantReply: granted})
-	if scripted.Next(t, granted, "an answer") || len(p.pending) > 0 {
+	if scripted.Receive(t, granted, "an answer") || len(p.pending) > 0 {
 		t.Error("an attempt was granted, or waits")
 	}
 	if c, _ := m.Choose("chat", "s", "q", nil); c != nil {
--- a/internal/router/mirror/sampler_test.go
+++ b/internal/router/mirror/sampler_test.go
@@ -14,7 +14,7 @@
 // settings have.
 func TestLivePathIsSampledOnlyWhileThereArePools(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := New(Options{Log: make(scripted.Lines, 100), Sample: func() shadow.Sample {
+		m := New(Options{Log: make(scripted.LogLines, 100), Sample: func() shadow.Sample {
 			t.Error("sampled for nobody")
 			return shadow.Sample{}
 		}})
@@ -40,7 +40,7 @@
 			for range 3 {
 				select {
 				case <-seen:
-				case <-time.After(scripted.Patience):
+				case <-time.After(scripted.EventTimeout):
 					t.Fatal("not sampled")
 				}
 			}
--- a/internal/router/peering/golden_test.go
+++ b/internal/router/peering/golden_test.go
@@ -33,7 +33,7 @@
 	free.Close()
 	d, err := NewRoles(RolesConfig{Self: lease.Router{Name: "router-1", Boot: 1}, Timing: lease.DefaultTiming, Roles: []lease.Role{{Name: ScribeRole}}, Voters: 1,
 		CandidateAddresses: map[string]string{"router-1": own, "router-2": ln.Addr().String()}, Candidates: []string{"router-1", "router-2"}, Listen: own, Folder: t.TempDir()},
-		nil, make(scripted.Lines, 100))
+		nil, make(scripted.LogLines, 100))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/router/peering/gossip_test.go
+++ b/internal/router/peering/gossip_test.go
@@ -32,7 +32,7 @@
 	own := spare.LocalAddr().String()
 	spare.Close()
 	lines := make(chan string, 10)
-	g, err := peering.NewGossip(own, []string{own, peer.LocalAddr().String()}, false, scripted.Lines(lines))
+	g, err := peering.NewGossip(own, []string{own, peer.LocalAddr().String()}, false, scripted.LogLines(lines))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,10 +56,10 @@
 	send(peer, make([]byte, 300))
 	send(peer, nil)
 	send(peer, good)
-	if diff := cmp.Diff(balance.ReportsReceived{From: 1, Zone: 3, Reports: reports}, scripted.Next(t, heard, "reports")); diff != "" {
+	if diff := cmp.Diff(balance.ReportsReceived{From: 1, Zone: 3, Reports: reports}, scripted.Receive(t, heard, "reports")); diff != "" {
 		t.Error(diff)
 	}
-	if line := scripted.Next(t, lines, "a line"); !strings.HasPrefix(line, "datagram dropped") || len(lines) > 0 {
+	if line := scripted.Receive(t, lines, "a line"); !strings.HasPrefix(line, "datagram dropped") || len(lines) > 0 {
 		t.Errorf("got the line %q and %d more, want one for the first dropped", line, len(lines))
 	}
 	if unread, _ := g.Dropped(); unread != 5 {
@@ -91,7 +91,7 @@
 		t.Fatal(err)
 	}
 	defer peer.Close()
-	lines := make(scripted.Lines, 10)
+	lines := make(scripted.LogLines, 10)
 	free, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
@@ -115,7 +115,7 @@
 	}
 	free.Close()
 	to, _ := net.ResolveUDPAddr("udp4", own)
-	for end := time.Now().Add(scripted.Patience); ; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(scripted.EventTimeout); ; time.Sleep(5 * time.Millisecond) {
 		peer.WriteToUDP(protocol.AppendPeerReports(nil, 7, nil), to)
 		if len(heard) > 0 {
 			if got := <-heard; got.From != 1 || got.Zone != 7 {
--- a/internal/router/peering/roles_test.go
+++ b/internal/router/peering/roles_test.go
@@ -54,7 +54,7 @@
 	d      *Roles
 	stop   context.CancelFunc
 	conn   *net.UDPConn
-	lines  scripted.Lines
+	lines  scripted.LogLines
 }
 
 // clusters counts those that there were. Each has a loopback address of its own: a port that a
@@ -67,7 +67,7 @@
 	s := &cluster{t: t, may: may, lease: leaseTime, duties: []lease.Role{{Name: "work"}}}
 	ip := net.IPv4(127, 79, 0, byte(clusters.Add(1)))
 	for i := range routers {
-		p := &testRouter{n: i, folder: filepath.Join(t.TempDir(), "disk"), lines: make(scripted.Lines, 10_000)}
+		p := &testRouter{n: i, folder: filepath.Join(t.TempDir(), "disk"), lines: make(scripted.LogLines, 10_000)}
 		ln, err := net.Listen("tcp4", net.JoinHostPort(ip.String(), "0"))
 		if err != nil {
 			t.Fatal(err)
@@ -169,7 +169,7 @@
 // transfer has the role go to a router.
 func (s *cluster) transfer(at *testRouter, to int) {
 	s.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), scripted.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), scripted.EventTimeout)
 	defer cancel()
 	if err := at.d.RequestTransfer(ctx, "work", fmt.Sprint("r", to), 0); err != nil {
 		s.t.Error(err)
@@ -179,7 +179,7 @@
 // open waits until so many spans are open, and returns them in the order of their tokens.
 func (s *cluster) open(n int, fits func([]span) bool) []span {
 	s.t.Helper()
-	for end := time.Now().Add(4 * scripted.Patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(4 * scripted.EventTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		s.mu.Lock()
 		all := slices.DeleteFunc(slices.Clone(s.spans), func(x span) bool { return !x.to.IsZero() })
 		s.mu.Unlock()
@@ -205,7 +205,7 @@
 	for to == held[0].who || to == held[1].who {
 		to++
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), 4*scripted.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), 4*scripted.EventTimeout)
 	defer cancel()
 	if err := s.routers[0].d.RequestTransfer(ctx, "work", fmt.Sprint("r", to), held[1].token); err != nil {
 		t.Fatal(err)
@@ -254,7 +254,7 @@
 	p.d = nil
 	d.running.Wait()
 	if d.isCandidate {
-		for end := time.Now().Add(scripted.Patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+		for end := time.Now().Add(scripted.EventTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 			if f, err := durable.Lock(p.folder, storeLockName); err == nil { // its voter has ended
 				f.Close()
 				break
@@ -267,7 +267,7 @@
 // span.
 func (s *cluster) holder(not int) (int, span) {
 	s.t.Helper()
-	for end := time.Now().Add(4 * scripted.Patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(4 * scripted.EventTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		s.mu.Lock()
 		n, at := 0, span{}
 		for _, x := range s.spans {
@@ -295,7 +295,7 @@
 // leader waits for a leader of the voters that most agree on.
 func (s *cluster) leader() int {
 	s.t.Helper()
-	for end := time.Now().Add(4 * scripted.Patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(4 * scripted.EventTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		said := map[string]int{}
 		for _, p := range s.routers[:s.may] {
 			if p.d == nil {
@@ -397,9 +397,9 @@
 		os.RemoveAll(p.folder)
 	}
 	s.updateViews()
-	for said := ""; !strings.HasPrefix(said, "voters without leader"); said = scripted.Next(t, s.routers[2].lines, "that duties have stopped") {
+	for said := ""; !strings.HasPrefix(said, "voters without leader"); said = scripted.Receive(t, s.routers[2].lines, "that duties have stopped") {
 	}
-	for end := time.Now().Add(scripted.Patience); ; time.Sleep(20 * time.Millisecond) { // the dead may have named a leader a moment ago, which is a reason, too
+	for end := time.Now().Add(scripted.EventTimeout); ; time.Sleep(20 * time.Millisecond) { // the dead may have named a leader a moment ago, which is a reason, too
 		err := ask(2)
 		if err != nil && strings.Contains(err.Error(), "may live") {
 			break
@@ -410,7 +410,7 @@
 	}
 	s.start(s.routers[0], false) // with another disk, which is seen
 	var err error
-	for end := time.Now().Add(scripted.Patience); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(scripted.EventTimeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		if err = ask(2, "r1"); err == nil {
 			break
 		}
@@ -419,7 +419,7 @@
 		t.Fatal(err)
 	}
 	s.start(s.routers[1], false)
-	for end := time.Now().Add(4 * scripted.Patience); ; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(4 * scripted.EventTimeout); ; time.Sleep(10 * time.Millisecond) {
 		if s.mu.Lock(); len(s.spans) > 1 && s.spans[len(s.spans)-1].token > before.token {
 			s.mu.Unlock()
 			break
@@ -543,7 +543,7 @@
 // awaitQueued waits until a router is queued.
 func (s *cluster) awaitQueued(n int) {
 	s.t.Helper()
-	for end := time.Now().Add(4 * scripted.Patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(4 * scripted.EventTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if roles := s.routers[n].d.LocalRoles(); len(roles) > 0 && roles[0].Queued {
 			return
 		}
--- a/internal/router/peering/view_driver_test.go
+++ b/internal/router/peering/view_driver_test.go
@@ -30,12 +30,12 @@
 	type driver struct {
 		*peering.ViewDriver
 		end     context.CancelFunc
-		lines   scripted.Lines
+		lines   scripted.LogLines
 		changes chan *members.Changed
 	}
 	var all []*driver
 	for i, a := range addrs {
-		x := &driver{lines: make(scripted.Lines, 100), changes: make(chan *members.Changed, 100)}
+		x := &driver{lines: make(scripted.LogLines, 100), changes: make(chan *members.Changed, 100)}
 		g, err := peering.NewGossip(a, addrs, false, x.lines)
 		if err != nil {
 			t.Fatal(err)
@@ -58,7 +58,7 @@
 	sees := func(x *driver, n int) {
 		t.Helper()
 		for len(x.Now().Members) != n {
-			scripted.Next(t, x.changes, fmt.Sprintf("a view of %d", n))
+			scripted.Receive(t, x.changes, fmt.Sprintf("a view of %d", n))
 		}
 	}
 	for _, x := range all {
@@ -70,7 +70,7 @@
 		sees(x, 2)
 	}
 	// The figures are published right after the view of the same step.
-	for until := time.Now().Add(scripted.Patience); all[0].Stats().Alive != 2 && time.Now().Before(until); {
+	for until := time.Now().Add(scripted.EventTimeout); all[0].Stats().Alive != 2 && time.Now().Before(until); {
 		runtime.Gosched()
 	}
 	if f := all[0].Stats(); f.Deaths != 0 || f.Alive != 2 {
@@ -78,7 +78,7 @@
 	}
 	all[1].end()
 	sees(all[0], 1)
-	if line := scripted.Next(t, all[0].lines, "a line"); !strings.HasPrefix(line, "routers lost why=crashed count=1 names=r1") {
+	if line := scripted.Receive(t, all[0].lines, "a line"); !strings.HasPrefix(line, "routers lost why=crashed count=1 names=r1") {
 		t.Errorf("got %q", line)
 	}
 }
--- a/internal/router/program/admission_test.go
+++ b/internal/router/program/admission_test.go
@@ -34,7 +34,7 @@
 	t.Helper()
 	h := &house{dir: t.TempDir(), hosts: hosts}
 	if len(hosts) == 0 {
-		h.hosts = models(t, 2, scripted.Manner{Events: 2})
+		h.hosts = models(t, 2, scripted.ModelBehavior{Events: 2})
 	}
 	h.path = filepath.Join(h.dir, "settings.hcl")
 	h.set(t, settings)
@@ -80,7 +80,7 @@
 // wait asks for the state until it is as wanted.
 func (h *house) wait(what string, ok func(*AdmissionStatus) bool) AdmissionStatus {
 	h.t.Helper()
-	for end := time.Now().Add(scripted.Patience); ; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(scripted.EventTimeout); ; time.Sleep(10 * time.Millisecond) {
 		s := h.status()
 		if ok(&s) {
 			return s
@@ -94,12 +94,12 @@
 // dial connects and sends a text; the connection ends with the test.
 func (h *house) dial(text string) net.Conn {
 	h.t.Helper()
-	c, err := net.DialTimeout("tcp", h.addr, scripted.Patience)
+	c, err := net.DialTimeout("tcp", h.addr, scripted.EventTimeout)
 	if err != nil {
 		h.t.Fatal(err)
 	}
 	h.t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(scripted.Patience))
+	c.SetDeadline(time.Now().Add(scripted.EventTimeout))
 	if _, err := io.WriteString(c, text); err != nil {
 		h.t.Fatal(err)
 	}
@@ -149,15 +149,15 @@
 	for _, f := range []struct {
 		name    string
 		clients int
-		harm    scripted.Harm
+		harm    scripted.Misbehavior
 		from    func(int) string
 	}{
-		{"silent", 300, scripted.Mute, oneAddress},
-		{"asking", 150, scripted.Asking, oneAddress},
-		{"asking from many addresses", 150, scripted.Asking, manyAddresses},
-		{"silent from 2,000 addresses", 2000, scripted.Mute, manyAddresses},
-		{"flapping", 50, scripted.Flapping, oneAddress},
-		{"trickling", 100, scripted.Trickling, manyAddresses},
+		{"silent", 300, scripted.SendNothing, oneAddress},
+		{"asking", 150, scripted.SendRequests, oneAddress},
+		{"asking from many addresses", 150, scripted.SendRequests, manyAddresses},
+		{"silent from 2,000 addresses", 2000, scripted.SendNothing, manyAddresses},
+		{"flapping", 50, scripted.CloseAtOnce, oneAddress},
+		{"trickling", 100, scripted.TrickleRequest, manyAddresses},
 	} {
 		flood := scripted.NewFlood(h.addr, f.clients, f.harm, f.from, time.Minute)
 		served := askOften(h.process, f.name, 40)
@@ -187,16 +187,16 @@
 	for _, settings := range []string{"", admissionBlock + "\n"} {
 		hold := make(chan bool)
 		h := startWithAdmission(t, 256, strings.Replace(settings, "}", " patience {\n critical = \"2s\"\n }\n address {\n connections = 0\n open = 0\n per_second = 0\n }\n net {\n connections = 0\n open = 0\n per_second = 0\n }\n}", 1),
-			scripted.NewModel(t, scripted.Manner{Gate: hold, Events: 2}))
+			scripted.NewModel(t, scripted.ModelBehavior{Gate: hold, Events: 2}))
 		places := h.status().Slots - h.status().Reserve
 		for i := range places {
-			h.dial(scripted.AskText(fmt.Sprint("q", i), ""))
+			h.dial(scripted.RequestText(fmt.Sprint("q", i), ""))
 		}
 		h.wait("full house", func(s *AdmissionStatus) bool { return s.Open == places })
 		for i := range 10 {
 			// Three requests in one go have one answer: what follows on a connection that ends was
 			// not taken.
-			text := scripted.AskText(fmt.Sprint("x", i), "") + scripted.AskText(fmt.Sprint("y", i), "") + scripted.AskText(fmt.Sprint("z", i), "")
+			text := scripted.RequestText(fmt.Sprint("x", i), "") + scripted.RequestText(fmt.Sprint("y", i), "") + scripted.RequestText(fmt.Sprint("z", i), "")
 			got := read(t, h.dial(text))
 			if strings.Count(got, "HTTP/1.1 ") != 1 || !strings.HasPrefix(got, "HTTP/1.1 503 ") || settings != "" && !strings.Contains(got, "Retry-After: ") {
 				t.Errorf("request %d got %q", i, got)
@@ -206,12 +206,12 @@
 			t.Errorf("%+v", s)
 		}
 		if settings != "" {
-			c := h.dial(scripted.AskText("known", "X-Client: tool-1\r\n"))
+			c := h.dial(scripted.RequestText("known", "X-Client: tool-1\r\n"))
 			h.wait("known client", func(s *AdmissionStatus) bool { return s.Known == 1 && s.Open == places+1 })
 			// One whose word comes later stands on the step until it does.
 			late := h.dial("")
 			h.wait("client on the step", func(s *AdmissionStatus) bool { return s.Step == 1 })
-			io.WriteString(late, scripted.AskText("late", "X-Client: tool-1\r\n"))
+			io.WriteString(late, scripted.RequestText("late", "X-Client: tool-1\r\n"))
 			h.wait("known client from the step", func(s *AdmissionStatus) bool { return s.Known == 2 && s.Step == 0 && s.Open == places+2 })
 			c.Close()
 		}
@@ -224,16 +224,16 @@
 // and nothing is let in before there is room.
 func TestLoweredByReload(t *testing.T) {
 	hold := make(chan bool)
-	h := startWithAdmission(t, 256, admissionBlock, scripted.NewModel(t, scripted.Manner{Gate: hold, Events: 2}))
+	h := startWithAdmission(t, 256, admissionBlock, scripted.NewModel(t, scripted.ModelBehavior{Gate: hold, Events: 2}))
 	var asked []net.Conn
 	for i := range 12 {
-		asked = append(asked, h.dial(scripted.AskText(fmt.Sprint("q", i), "")))
+		asked = append(asked, h.dial(scripted.RequestText(fmt.Sprint("q", i), "")))
 	}
 	h.wait("open requests", func(s *AdmissionStatus) bool { return s.Open == 12 })
 	h.set(t, strings.Replace(admissionBlock, "}", " address {\n connections = 3\n per_second = 0\n }\n reserve = 0.9\n}", 1))
 	h.cmd.Process.Signal(syscall.SIGHUP)
 	h.until("reloaded")
-	if got := read(t, h.dial(scripted.AskText("more", ""))); !strings.HasPrefix(got, "HTTP/1.1 429 ") {
+	if got := read(t, h.dial(scripted.RequestText("more", ""))); !strings.HasPrefix(got, "HTTP/1.1 429 ") {
 		t.Errorf("over the lowered bound: %q", got)
 	}
 	close(hold)
@@ -257,10 +257,10 @@
 // one serves known clients though the flood is there before it.
 func TestRestartInAFlood(t *testing.T) {
 	hold := make(chan bool)
-	h := startWithAdmission(t, 256, admissionBlock, scripted.NewModel(t, scripted.Manner{Events: 2, Gate: hold}))
-	open := h.dial(scripted.AskText("open", "X-Client: tool-1\r\n"))
+	h := startWithAdmission(t, 256, admissionBlock, scripted.NewModel(t, scripted.ModelBehavior{Events: 2, Gate: hold}))
+	open := h.dial(scripted.RequestText("open", "X-Client: tool-1\r\n"))
 	h.wait("open request", func(s *AdmissionStatus) bool { return s.Known == 1 && s.Open == 1 })
-	flood := scripted.NewFlood(h.addr, 100, scripted.Asking, manyAddresses, time.Minute)
+	flood := scripted.NewFlood(h.addr, 100, scripted.SendRequests, manyAddresses, time.Minute)
 	defer flood.Stop()
 	h.wait("flood", func(s *AdmissionStatus) bool { return s.Admitted > 20 })
 	h.cmd.Process.Signal(syscall.SIGTERM)
@@ -286,8 +286,8 @@
  reading {
   calm = "400ms"
  }
-}`, 1), scripted.NewModel(t, scripted.Manner{Events: 100000}))
-	deaf := h.dial(scripted.AskText("deaf", ""))
+}`, 1), scripted.NewModel(t, scripted.ModelBehavior{Events: 100000}))
+	deaf := h.dial(scripted.RequestText("deaf", ""))
 	h.wait("open request", func(s *AdmissionStatus) bool { return s.Open == 1 })
 	slow := h.dial("POST /v1/chat/completions HTTP/1.1\r\nHost: r\r\nContent-Length: 100\r\n\r\n")
 	go func() {
@@ -318,7 +318,7 @@
 	p := h.process
 	var held []net.Conn
 	for range 60 {
-		c, err := net.DialTimeout("tcp", p.addr, scripted.Patience)
+		c, err := net.DialTimeout("tcp", p.addr, scripted.EventTimeout)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -333,15 +333,15 @@
 		}
 	}
 	c := held[len(held)-1] // stands in line: it is told, not left alone
-	c.SetDeadline(time.Now().Add(scripted.Patience))
-	io.WriteString(c, scripted.AskText("late", ""))
+	c.SetDeadline(time.Now().Add(scripted.EventTimeout))
+	io.WriteString(c, scripted.RequestText("late", ""))
 	if text, _ := io.ReadAll(c); len(text) > 0 && !strings.Contains(string(text), "HTTP/1.1 503") {
 		t.Errorf("the last one got %q", text)
 	}
 	for _, c := range held {
 		c.Close()
 	}
-	for end := time.Now().Add(scripted.Patience); askOften(p, fmt.Sprint("after", time.Now().UnixNano()), 1) == 0; {
+	for end := time.Now().Add(scripted.EventTimeout); askOften(p, fmt.Sprint("after", time.Now().UnixNano()), 1) == 0; {
 		if time.Now().After(end) {
 			t.Fatal("no service after the shortage")
 		}
--- a/internal/router/program/exchange_test.go
+++ b/internal/router/program/exchange_test.go
@@ -55,7 +55,7 @@
 	t.Cleanup(func() { f.Close() })
 	var entries []string
 	for i, h := range hosts {
-		entries = append(entries, scripted.Entry(fmt.Sprint("s", i), h.Addr, "Ready"))
+		entries = append(entries, scripted.ListEntry(fmt.Sprint("s", i), h.Addr, "Ready"))
 	}
 	d := scripted.NewDiscovery(t, scripted.List(1, true, entries...))
 	p.config = configFile(t, "127.0.0.1:1", d.Addr)("ROUTER_CONFIG")
@@ -102,7 +102,7 @@
 // yes waits until the process takes clients.
 func (o *one) yes() *one {
 	o.t.Helper()
-	for end := time.Now().Add(scripted.Patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(scripted.EventTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		c, err := net.Dial("tcp", o.management)
 		if err != nil {
 			continue
@@ -127,7 +127,7 @@
 
 func (o *one) exit(well bool) {
 	o.t.Helper()
-	scripted.Next(o.t, o.ended, "the exit")
+	scripted.Receive(o.t, o.ended, "the exit")
 	if o.cmd.ProcessState.Success() != well {
 		o.t.Errorf("the process ended with %v", o.cmd.ProcessState)
 	}
@@ -141,7 +141,7 @@
 	asked, wrong, end := 0, []string(nil), make(chan bool)
 	for i := range clients {
 		all.Go(func() {
-			client := &http.Client{Transport: &http.Transport{}, Timeout: scripted.Patience}
+			client := &http.Client{Transport: &http.Transport{}, Timeout: scripted.EventTimeout}
 			for n := 0; ; n++ {
 				select {
 				case <-end:
@@ -178,7 +178,7 @@
 // and leftovers in the folder that they share. No request is refused, closed on or answered twice,
 // and each process ends well.
 func TestProcessIsReplaced(t *testing.T) {
-	hosts := []*scripted.Model{scripted.NewModel(t, scripted.Manner{Events: 3, Gap: 5 * time.Millisecond}), scripted.NewModel(t, scripted.Manner{Events: 3, Gap: 5 * time.Millisecond})}
+	hosts := []*scripted.Model{scripted.NewModel(t, scripted.ModelBehavior{Events: 3, EventInterval: 5 * time.Millisecond}), scripted.NewModel(t, scripted.ModelBehavior{Events: 3, EventInterval: 5 * time.Millisecond})}
 	p := newPlatform(t, hosts...)
 	write(t, filepath.Join(p.folder, "reachspread.beside"), "cut off leftov")
 	first := p.start().yes()
@@ -199,8 +199,8 @@
 		t.Errorf("of %d requests these went wrong: %s", asked, strings.Join(wrong, "\n"))
 	}
 	for _, h := range hosts {
-		if _, _, _, twice := h.Counts(); twice != nil {
-			t.Errorf("%v had two attempts out", twice)
+		if counts := h.Counts(); counts.Duplicated != nil {
+			t.Errorf("%v had two attempts out", counts.Duplicated)
 		}
 	}
 	fourth.leaves()
@@ -211,7 +211,7 @@
 	p := newPlatform(t)
 	for fd, want := range map[string]string{"3": "ROUTER_ACCEPT_FD: descriptor 3 is no listening socket", "77": "ROUTER_ACCEPT_FD: descriptor 77 is no listening socket", "five": `ROUTER_ACCEPT_FD is "five"`} {
 		o := p.start("ROUTER_ACCEPT_FD=" + fd)
-		if line := scripted.Next(t, o.log, "a line"); !strings.Contains(line, want) {
+		if line := scripted.Receive(t, o.log, "a line"); !strings.Contains(line, want) {
 			t.Errorf("%s: got %q, want %q", fd, line, want)
 		}
 		o.exit(false)
@@ -235,13 +235,13 @@
 		close(stages[0])
 		stages = stages[1:]
 	}
-	host := scripted.NewModel(t, scripted.Manner{Events: 5, Stages: waits})
+	host := scripted.NewModel(t, scripted.ModelBehavior{Events: 5, Stages: waits})
 	p := newPlatform(t, host)
 	first := p.start().yes()
-	client := &http.Client{Transport: &http.Transport{}, Timeout: scripted.Patience}
+	client := &http.Client{Transport: &http.Transport{}, Timeout: scripted.EventTimeout}
 	open := func(id string) *http.Response {
 		t.Helper()
-		resp, err := client.Do(scripted.Ask(t, p.addr, id, nil))
+		resp, err := client.Do(scripted.NewRequest(t, p.addr, id, nil))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -259,7 +259,7 @@
 	on()
 	second.leaves()
 	on()
-	want := scripted.NewModel(t, scripted.Manner{Events: 5})
+	want := scripted.NewModel(t, scripted.ModelBehavior{Events: 5})
 	whole := answerOf(t, p, want)
 	for i, resp := range streams {
 		text, err := io.ReadAll(resp.Body)
@@ -269,7 +269,7 @@
 		}
 	}
 	conns := host.Accepted()
-	host.Set(scripted.Manner{Events: 5})
+	host.Set(scripted.ModelBehavior{Events: 5})
 	for i := range streams {
 		if resp := open(fmt.Sprint("next", i)); resp.StatusCode != 200 {
 			t.Errorf("the next request: %d", resp.StatusCode)
@@ -281,14 +281,14 @@
 	if got := host.Accepted() - conns; got > 0 {
 		t.Errorf("%d new connections to the server; those of the streams were there", got)
 	}
-	if _, _, _, twice := host.Counts(); twice != nil {
-		t.Errorf("%v had two attempts out", twice)
+	if counts := host.Counts(); counts.Duplicated != nil {
+		t.Errorf("%v had two attempts out", counts.Duplicated)
 	}
-	host.Set(scripted.Manner{Events: 5, Gate: hold})
+	host.Set(scripted.ModelBehavior{Events: 5, Gate: hold})
 	last := open("last")
 	third.cmd.Process.Signal(syscall.SIGTERM)
 	third.until("phase name=finishing")
-	scripted.Give(t, hold, true)
+	scripted.Send(t, hold, true)
 	if text, err := io.ReadAll(last.Body); err != nil || string(text) != whole {
 		t.Errorf("with nobody to go to: %q, %v", text, err)
 	}
@@ -298,7 +298,7 @@
 // answerOf returns what a server's answer to the clients' usual prompt is.
 func answerOf(t *testing.T, p *platformOf, host *scripted.Model) string {
 	t.Helper()
-	r := scripted.Ask(t, host.Addr, "as it is", nil)
+	r := scripted.NewRequest(t, host.Addr, "as it is", nil)
 	_, text, err := scripted.Do(t, r)
 	if err != nil {
 		t.Fatal(err)
@@ -308,7 +308,7 @@
 
 func (o *one) until(words string) {
 	o.t.Helper()
-	for !strings.Contains(scripted.Next(o.t, o.log, words), words) {
+	for !strings.Contains(scripted.Receive(o.t, o.log, words), words) {
 	}
 }
 
@@ -384,14 +384,14 @@
 // say nothing or read nothing, the management address answers each call in time, and a replacement
 // keeps both limits for the two together.
 func TestCrowdsAtSmallLimits(t *testing.T) {
-	host := scripted.NewModel(t, scripted.Manner{Events: 3})
+	host := scripted.NewModel(t, scripted.ModelBehavior{Events: 3})
 	p := newPlatform(t, host)
 	p.limit(32, 256)
 	first := p.start().yes()
 	from := func(int) string { return "127.0.0.1" }
-	mute := scripted.NewFlood(p.addr, 200, scripted.Mute, from, time.Minute)
+	mute := scripted.NewFlood(p.addr, 200, scripted.SendNothing, from, time.Minute)
 	defer mute.Stop()
-	asking := scripted.NewFlood(p.addr, 20, scripted.Asking, from, time.Minute)
+	asking := scripted.NewFlood(p.addr, 20, scripted.SendRequests, from, time.Minute)
 	defer asking.Stop()
 	for i := range 2 * transport.MaxCallers {
 		c, err := net.Dial("tcp", first.management)
@@ -409,7 +409,7 @@
 			t.Fatal(err)
 		}
 		defer c.Close()
-		c.SetDeadline(begun.Add(scripted.Patience))
+		c.SetDeadline(begun.Add(scripted.EventTimeout))
 		io.WriteString(c, "vars\n")
 		text, err := io.ReadAll(c)
 		if took := time.Since(begun); err != nil || !strings.HasPrefix(string(text), "+OK\n") || !strings.HasSuffix(string(text), "\n.\n") || took > time.Second {
@@ -455,10 +455,10 @@
 // third process serves.
 func TestReplacementThatDies(t *testing.T) {
 	hold := make(chan bool)
-	host := scripted.NewModel(t, scripted.Manner{Events: 5, Gate: hold})
+	host := scripted.NewModel(t, scripted.ModelBehavior{Events: 5, Gate: hold})
 	p := newPlatform(t, host)
 	first := p.start().yes()
-	resp, err := http.DefaultClient.Do(scripted.Ask(t, p.addr, "q", nil))
+	resp, err := http.DefaultClient.Do(scripted.NewRequest(t, p.addr, "q", nil))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -474,11 +474,11 @@
 	first.cmd.Process.Signal(syscall.SIGTERM)
 	first.until("phase name=finishing")
 	third := p.start().yes()
-	host.Set(scripted.Manner{Events: 5})
-	if status, _, err := scripted.Do(t, scripted.Ask(t, p.addr, "next", nil)); status != 200 || err != nil {
+	host.Set(scripted.ModelBehavior{Events: 5})
+	if status, _, err := scripted.Do(t, scripted.NewRequest(t, p.addr, "next", nil)); status != 200 || err != nil {
 		t.Errorf("the third process: %d, %v", status, err)
 	}
-	scripted.Give(t, hold, true)
+	scripted.Send(t, hold, true)
 	if text, err := io.ReadAll(resp.Body); err != nil || !strings.Contains(string(text), "[DONE]") {
 		t.Errorf("the stream that was out: %q, %v", text, err)
 	}
@@ -500,7 +500,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(scripted.Patience))
+	c.SetDeadline(time.Now().Add(scripted.EventTimeout))
 	io.WriteString(c, line+"\n")
 	text, err := io.ReadAll(c)
 	if err != nil {
--- a/internal/router/program/management_test.go
+++ b/internal/router/program/management_test.go
@@ -25,7 +25,7 @@
 	t      *testing.T
 	path   string // of the configuration
 	text   string // in it
-	lines  scripted.Lines
+	lines  scripted.LogLines
 	reload chan os.Signal
 	term   context.CancelFunc
 	exit   chan error
@@ -36,7 +36,7 @@
 // configFile, with the changes given as old and new by turns.
 func startServed(t *testing.T, entries []string, changes ...string) *served {
 	t.Helper()
-	s := &served{t: t, lines: make(scripted.Lines, 1000), reload: make(chan os.Signal, 10), exit: make(chan error, 1),
+	s := &served{t: t, lines: make(scripted.LogLines, 1000), reload: make(chan os.Signal, 10), exit: make(chan error, 1),
 		d: scripted.NewDiscovery(t, scripted.List(1, true, entries...))}
 	file := configFile(t, "127.0.0.1:1", s.d.Addr)
 	s.path = file("ROUTER_CONFIG")
@@ -53,7 +53,7 @@
 		term()
 		select {
 		case <-s.exit:
-		case <-time.After(scripted.Patience):
+		case <-time.After(scripted.EventTimeout):
 			t.Error("the program does not end")
 		}
 	})
@@ -77,7 +77,7 @@
 // until waits for a log line that begins so.
 func (s *served) until(begin string) {
 	s.t.Helper()
-	for !strings.HasPrefix(scripted.Next(s.t, s.lines, begin), begin) {
+	for !strings.HasPrefix(scripted.Receive(s.t, s.lines, begin), begin) {
 	}
 }
 
@@ -87,12 +87,12 @@
 // dial connects to the management address.
 func (s *served) dial(text string) net.Conn {
 	s.t.Helper()
-	c, err := net.DialTimeout("tcp", s.management.Addr().String(), scripted.Patience)
+	c, err := net.DialTimeout("tcp", s.management.Addr().String(), scripted.EventTimeout)
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	s.t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(scripted.Patience))
+	c.SetDeadline(time.Now().Add(scripted.EventTimeout))
 	io.WriteString(c, text)
 	return c
 }
@@ -107,7 +107,7 @@
 func (s *served) figures(want map[string]string) {
 	s.t.Helper()
 	var diff string
-	for end := time.Now().Add(scripted.Patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(scripted.EventTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		got := map[string]string{}
 		for line := range strings.Lines(s.call("vars")) {
 			name, value, _ := strings.Cut(strings.TrimSpace(line), " ")
@@ -144,7 +144,7 @@
 		}
 	}
 	s.call("drain-on")
-	s.d.Send(t, scripted.List(2, true, scripted.Entry("s0", "127.0.0.1:1", "Ready")))
+	s.d.Send(t, scripted.List(2, true, scripted.ListEntry("s0", "127.0.0.1:1", "Ready")))
 	s.until("phase name=draining")
 	if got := s.call("drain-off"); got != "+OK serving\n" {
 		t.Errorf("drain-off: %q", got)
@@ -170,11 +170,11 @@
 // attempts, a server ejected, a list that grows and shrinks.
 func TestFiguresAreTrue(t *testing.T) {
 	hold := make(chan bool)
-	well, bad := scripted.NewModel(t, scripted.Manner{Events: 2}), scripted.NewModel(t, scripted.Manner{Status: 500})
-	s := startServed(t, []string{scripted.Entry("s0", well.Addr, "Ready")}, `"services":[`, `"services":[{"name":"un/safe","effect":"unsafe","streaming":true,"aimNs":8000000000,"hardLimitNs":8000000000},`)
+	well, bad := scripted.NewModel(t, scripted.ModelBehavior{Events: 2}), scripted.NewModel(t, scripted.ModelBehavior{Status: 500})
+	s := startServed(t, []string{scripted.ListEntry("s0", well.Addr, "Ready")}, `"services":[`, `"services":[{"name":"un/safe","effect":"unsafe","streaming":true,"aimNs":8000000000,"hardLimitNs":8000000000},`)
 	s.until("phase name=serving")
 	ask := func(id string, set map[string]string) int {
-		status, _, _ := scripted.Do(t, scripted.Ask(t, s.addr(), id, set))
+		status, _, _ := scripted.Do(t, scripted.NewRequest(t, s.addr(), id, set))
 		return status
 	}
 	for i := range 3 {
@@ -192,13 +192,13 @@
 		`faulted_total{priority="chat"}`: "1", "relayed_total": "3", "open_requests": "0", "registry_entries": "1", "out_of_rotation": "0"})
 
 	// One that breaks after its first event, and one whose client leaves.
-	well.Set(scripted.Manner{Events: 4, Break: true})
-	if status, _, err := scripted.Do(t, scripted.Ask(t, s.addr(), "cut", nil)); status != 200 || err == nil {
+	well.Set(scripted.ModelBehavior{Events: 4, Breaks: true})
+	if status, _, err := scripted.Do(t, scripted.NewRequest(t, s.addr(), "cut", nil)); status != 200 || err == nil {
 		t.Errorf("a stream that breaks: got %d, %v", status, err)
 	}
-	well.Set(scripted.Manner{Events: 2, Gate: hold})
+	well.Set(scripted.ModelBehavior{Events: 2, Gate: hold})
 	ctx, leave := context.WithCancel(context.Background())
-	resp, err := http.DefaultClient.Do(scripted.Ask(t, s.addr(), "left", nil).WithContext(ctx))
+	resp, err := http.DefaultClient.Do(scripted.NewRequest(t, s.addr(), "left", nil).WithContext(ctx))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -209,7 +209,7 @@
 
 	// What may have run and must not run again fails; what may, is tried elsewhere. Two failures
 	// eject.
-	s.d.Send(t, scripted.List(2, true, scripted.Entry("s1", bad.Addr, "Ready")))
+	s.d.Send(t, scripted.List(2, true, scripted.ListEntry("s1", bad.Addr, "Ready")))
 	s.figures(map[string]string{"registry_entries": "1"})
 	for i := range 2 {
 		if got := ask(fmt.Sprint("bad", i), map[string]string{"X-Service-Class": "un/safe"}); got != 502 {
@@ -217,11 +217,11 @@
 		}
 	}
 	s.figures(map[string]string{`faulted_total{priority="un/safe"}`: "2", "relayed_total": "7", "out_of_rotation": "1"})
-	s.d.Send(t, scripted.List(3, false, scripted.Entry("s2", well.Addr, "Ready"), scripted.Entry("s3", well.Addr, "Terminating")))
+	s.d.Send(t, scripted.List(3, false, scripted.ListEntry("s2", well.Addr, "Ready"), scripted.ListEntry("s3", well.Addr, "Terminating")))
 	s.figures(map[string]string{"registry_entries": "3", "out_of_rotation": "2"})
-	s.d.Send(t, scripted.List(4, false, scripted.Entry("s3", well.Addr, "Gone"), scripted.Entry("s1", bad.Addr, "Gone")))
+	s.d.Send(t, scripted.List(4, false, scripted.ListEntry("s3", well.Addr, "Gone"), scripted.ListEntry("s1", bad.Addr, "Gone")))
 	s.figures(map[string]string{"registry_entries": "1", "out_of_rotation": "0"})
-	bad.Set(scripted.Manner{Status: 500})
+	bad.Set(scripted.ModelBehavior{Status: 500})
 	if got := ask("refused", map[string]string{"X-Time-Left": "0m"}); got != 503 {
 		t.Errorf("no time left: got %d", got)
 	}
@@ -240,15 +240,15 @@
 // before. Each word may come twice.
 func TestDrain(t *testing.T) {
 	hold := make(chan bool)
-	long := scripted.NewModel(t, scripted.Manner{Events: 2, Gate: hold})
-	s := startServed(t, []string{scripted.Entry("s0", long.Addr, "Ready")})
+	long := scripted.NewModel(t, scripted.ModelBehavior{Events: 2, Gate: hold})
+	s := startServed(t, []string{scripted.ListEntry("s0", long.Addr, "Ready")})
 	s.until("phase name=serving")
 	streams := make(chan string, 1)
 	go func() {
-		_, body, err := scripted.Do(t, scripted.Ask(t, s.addr(), "long", nil))
+		_, body, err := scripted.Do(t, scripted.NewRequest(t, s.addr(), "long", nil))
 		streams <- fmt.Sprint(strings.Contains(body, "[DONE]"), err)
 	}()
-	scripted.Next(t, long.Started, "the long stream")
+	scripted.Receive(t, long.Started, "the long stream")
 	silent, err := net.Dial("tcp", s.addr())
 	if err != nil {
 		t.Fatal(err)
@@ -287,7 +287,7 @@
 	if resp := get(); resp.StatusCode != 503 || !resp.Close {
 		t.Errorf("a connection that was kept: %d, close %t", resp.StatusCode, resp.Close)
 	}
-	silent.SetReadDeadline(time.Now().Add(scripted.Patience))
+	silent.SetReadDeadline(time.Now().Add(scripted.EventTimeout))
 	if n, err := silent.Read(make([]byte, 1)); n != 0 || err != io.EOF {
 		t.Errorf("a silent connection: %d, %v", n, err)
 	}
@@ -297,8 +297,8 @@
 	if got := s.Phase(); got != Draining {
 		t.Errorf("after a reload: %s", got)
 	}
-	scripted.Give(t, hold, true)
-	if got := scripted.Next(t, streams, "the stream's end"); got != "true <nil>" {
+	scripted.Send(t, hold, true)
+	if got := scripted.Receive(t, streams, "the stream's end"); got != "true <nil>" {
 		t.Errorf("the long stream ended %s", got)
 	}
 	for range 2 {
@@ -317,8 +317,8 @@
 // A request that came before its silent connection was looked at is served, not closed on, however
 // late it is read.
 func TestNoCloseCrossesARequest(t *testing.T) {
-	host := scripted.NewModel(t, scripted.Manner{Events: 2})
-	s := startServed(t, []string{scripted.Entry("s0", host.Addr, "Ready")})
+	host := scripted.NewModel(t, scripted.ModelBehavior{Events: 2})
+	s := startServed(t, []string{scripted.ListEntry("s0", host.Addr, "Ready")})
 	s.until("phase name=serving")
 	for i := range 30 {
 		c, err := net.Dial("tcp", s.addr())
--- a/internal/router/program/measure_test.go
+++ b/internal/router/program/measure_test.go
@@ -85,7 +85,7 @@
 	t.Helper()
 	var entries []string
 	for i, h := range live {
-		entries = append(entries, scripted.Entry(fmt.Sprint("s", i), h.Addr, "Ready"))
+		entries = append(entries, scripted.ListEntry(fmt.Sprint("s", i), h.Addr, "Ready"))
 	}
 	p := launchRouter(t, addr, binary, entries, args...)
 	p.until("serving")
@@ -126,7 +126,7 @@
 func (p *process) until(words string) {
 	p.t.Helper()
 	for {
-		line := scripted.Next(p.t, p.log, words)
+		line := scripted.Receive(p.t, p.log, words)
 		if line == "" {
 			p.t.Fatalf("the router ended before %q", words)
 		}
@@ -186,7 +186,7 @@
 		due := start.Add(time.Duration(at * float64(time.Second)))
 		time.Sleep(time.Until(due))
 		all.Go(func() {
-			r := scripted.Ask(t, addr, fmt.Sprint(name, i), map[string]string{"X-Session-Key": fmt.Sprint(name, i/3)})
+			r := scripted.NewRequest(t, addr, fmt.Sprint(name, i), map[string]string{"X-Session-Key": fmt.Sprint(name, i/3)})
 			body := strings.Repeat("order ", 300) + fmt.Sprint(i)
 			r.Body, r.ContentLength = io.NopCloser(strings.NewReader(body)), int64(len(body))
 			resp, err := client.Do(r)
@@ -216,7 +216,7 @@
 	return first, failed
 }
 
-func models(t *testing.T, n int, m scripted.Manner) (hosts []*scripted.Model) {
+func models(t *testing.T, n int, m scripted.ModelBehavior) (hosts []*scripted.Model) {
 	for range n {
 		hosts = append(hosts, scripted.NewModel(t, m))
 	}
@@ -230,8 +230,8 @@
 	if !*measure {
 		t.Skip("a measurement; see docs/measurements/")
 	}
-	manner := scripted.Manner{First: 10 * time.Millisecond, Gap: 3 * time.Millisecond, Events: 20}
-	slow := scripted.Manner{First: 200 * time.Millisecond, Gap: 60 * time.Millisecond, Events: 20}
+	manner := scripted.ModelBehavior{FirstDelay: 10 * time.Millisecond, EventInterval: 3 * time.Millisecond, Events: 20}
+	slow := scripted.ModelBehavior{FirstDelay: 200 * time.Millisecond, EventInterval: 60 * time.Millisecond, Events: 20}
 	live, candidates := models(t, 4, manner), models(t, 2, manner)
 	dir := t.TempDir()
 	records := filepath.Join(dir, "records")
@@ -266,7 +266,7 @@
 	p := startRouter(t, buildRouter(t), live, "--settings", path)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 200}}
 	load200(t, client, p.addr, "warm-up", 3, *rate)
-	turn := func(name, s string, manner scripted.Manner) *hdrhistogram.Histogram {
+	turn := func(name, s string, manner scripted.ModelBehavior) *hdrhistogram.Histogram {
 		share(s)
 		for _, c := range candidates {
 			c.Set(manner)
@@ -306,7 +306,7 @@
 		return h
 	}
 	kinds := []string{"on", "killed and revived", "slow", "silent"}
-	manners := map[string]scripted.Manner{"on": manner, "killed and revived": manner, "slow": slow, "silent": {Stalls: true}}
+	manners := map[string]scripted.ModelBehavior{"on": manner, "killed and revived": manner, "slow": slow, "silent": {Stalls: true}}
 	sums := map[string]*hdrhistogram.Histogram{}
 	sum := func(kind string, h *hdrhistogram.Histogram) {
 		if sums[kind] == nil {
@@ -358,7 +358,7 @@
 	if !*measure || *binaries == "" {
 		t.Skip("a measurement; see docs/measurements/")
 	}
-	live := models(t, *hostsNo, scripted.Manner{First: 10 * time.Millisecond, Gap: 3 * time.Millisecond, Events: 20})
+	live := models(t, *hostsNo, scripted.ModelBehavior{FirstDelay: 10 * time.Millisecond, EventInterval: 3 * time.Millisecond, Events: 20})
 	for range *rounds {
 		for _, binary := range strings.Split(*binaries, ",") {
 			p := startRouter(t, binary, live)
@@ -381,16 +381,16 @@
 var floods = []struct {
 	name    string
 	clients int
-	harm    scripted.Harm
+	harm    scripted.Misbehavior
 	from    func(i int) string
 }{
-	{"no flood", 0, scripted.Mute, nil},
-	{"500 silent, one address", 500, scripted.Mute, oneAddress},
-	{"500 asking, one address", 500, scripted.Asking, oneAddress},
-	{"500 asking, 500 addresses", 500, scripted.Asking, manyAddresses},
-	{"2000 silent, 2000 addresses", 2000, scripted.Mute, manyAddresses},
-	{"50 connect and close", 50, scripted.Flapping, manyAddresses},
-	{"200 trickling", 200, scripted.Trickling, manyAddresses},
+	{"no flood", 0, scripted.SendNothing, nil},
+	{"500 silent, one address", 500, scripted.SendNothing, oneAddress},
+	{"500 asking, one address", 500, scripted.SendRequests, oneAddress},
+	{"500 asking, 500 addresses", 500, scripted.SendRequests, manyAddresses},
+	{"2000 silent, 2000 addresses", 2000, scripted.SendNothing, manyAddresses},
+	{"50 connect and close", 50, scripted.CloseAtOnce, manyAddresses},
+	{"200 trickling", 200, scripted.TrickleRequest, manyAddresses},
 }
 
 func oneAddress(int) string      { return "127.0.0.2" }
@@ -415,7 +415,7 @@
 			if !strings.Contains(fl.name, *floodName) {
 				continue
 			}
-			live := models(t, 4, scripted.Manner{First: 30 * time.Millisecond, Events: 2})
+			live := models(t, 4, scripted.ModelBehavior{FirstDelay: 30 * time.Millisecond, Events: 2})
 			var args []string
 			if *admissionFile != "" {
 				args = []string{"--settings", *admissionFile}
@@ -497,7 +497,7 @@
 	if !*measure {
 		t.Skip("a measurement; see docs/measurements/")
 	}
-	live := models(t, 4, scripted.Manner{Events: 2})
+	live := models(t, 4, scripted.ModelBehavior{Events: 2})
 	p := startRouter(t, buildRouter(t), live, "--settings", *admissionFile)
 	ask := func(times int, more string, want int) time.Duration {
 		before, _ := p.used()
@@ -530,7 +530,7 @@
 // askFrom asks once from an address other than that of known clients, unless there is a word of
 // theirs.
 func askFrom(addr, id, more string) (status int) {
-	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(oneAddress(0))}, Timeout: 3 * time.Second, Control: scripted.PortLater}
+	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(oneAddress(0))}, Timeout: 3 * time.Second, Control: scripted.DeferPortChoice}
 	if more != "" {
 		dialer = net.Dialer{Timeout: 3 * time.Second}
 	}
@@ -540,7 +540,7 @@
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(5 * time.Second))
-	io.WriteString(c, scripted.AskText(id, more))
+	io.WriteString(c, scripted.RequestText(id, more))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		return 0
@@ -586,7 +586,7 @@
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(10 * time.Second))
-	if _, err := io.WriteString(c, scripted.AskText(id, "X-Client: tool-1\r\n")); err != nil {
+	if _, err := io.WriteString(c, scripted.RequestText(id, "X-Client: tool-1\r\n")); err != nil {
 		return 0, 0
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
--- a/internal/router/program/program_test.go
+++ b/internal/router/program/program_test.go
@@ -155,7 +155,7 @@
 	more := make(chan bool)
 	s := scripted.NewServer(t, scripted.GatedAnswer(more))
 	d := scripted.NewDiscovery(t, scripted.List(1, true))
-	lines := make(scripted.Lines, 20)
+	lines := make(scripted.LogLines, 20)
 	env := configFile(t, "127.0.0.1:1", d.Addr)
 	p := New(load(t, env), env, "", lines)
 	ctx, sigterm := context.WithCancel(context.Background())
@@ -164,12 +164,12 @@
 	go func() { exit <- p.Run(ctx, nil) }()
 	enter := func(phase Phase) {
 		t.Helper()
-		if got := scripted.Next(t, lines, string(phase)); got != fmt.Sprintf("phase name=%s", phase) || p.Phase() != phase {
+		if got := scripted.Receive(t, lines, string(phase)); got != fmt.Sprintf("phase name=%s", phase) || p.Phase() != phase {
 			t.Fatalf("got the line %q and phase %s, want %s", got, p.Phase(), phase)
 		}
 	}
 	enter(Listing)
-	d.Send(t, scripted.List(2, true, scripted.Entry("s0", s.Addr, "Ready")))
+	d.Send(t, scripted.List(2, true, scripted.ListEntry("s0", s.Addr, "Ready")))
 	enter(Serving)
 
 	addr := p.ln.Addr().String()
@@ -191,7 +191,7 @@
 	}
 	ends := make(chan end, 2)
 	ask := func(id string) {
-		resp, err := http.DefaultClient.Do(scripted.Ask(t, addr, id, nil))
+		resp, err := http.DefaultClient.Do(scripted.NewRequest(t, addr, id, nil))
 		if err != nil {
 			ends <- end{err: err}
 			return
@@ -201,18 +201,18 @@
 		ends <- end{resp.Close, string(body), err}
 	}
 	go ask("before")
-	scripted.Next(t, s.Requests, "the first attempt")
+	scripted.Receive(t, s.Requests, "the first attempt")
 	sigterm()
 	enter(Terminating)
 	ready(503)
 	go ask("after")
-	scripted.Next(t, s.Requests, "an attempt while leaving")
+	scripted.Receive(t, s.Requests, "an attempt while leaving")
 	enter(Finishing)
-	scripted.Give(t, more, true)
-	scripted.Give(t, more, true)
+	scripted.Send(t, more, true)
+	scripted.Send(t, more, true)
 	closes := 0
 	for range 2 {
-		e := scripted.Next(t, ends, "an answer")
+		e := scripted.Receive(t, ends, "an answer")
 		if e.err != nil || e.body != scripted.Event+scripted.Done {
 			t.Errorf("got %q, %v; want it whole", e.body, e.err)
 		}
@@ -224,7 +224,7 @@
 		t.Error("no answer given while leaving ended its connection")
 	}
 	enter(Stopped)
-	if err := scripted.Next(t, exit, "exit"); err != nil {
+	if err := scripted.Receive(t, exit, "exit"); err != nil {
 		t.Error(err)
 	}
 }
@@ -236,15 +236,15 @@
 	more := make(chan bool)
 	s := scripted.NewServer(t, scripted.GatedAnswer(more))
 	fresh := scripted.NewServer(t, scripted.Answer(scripted.CompleteAnswer()))
-	d := scripted.NewDiscovery(t, scripted.List(41, true, scripted.Entry("s0", s.Addr, "Ready")))
-	d2 := scripted.NewDiscovery(t, scripted.List(7, true, scripted.Entry("s1", fresh.Addr, "Ready")))
+	d := scripted.NewDiscovery(t, scripted.List(41, true, scripted.ListEntry("s0", s.Addr, "Ready")))
+	d2 := scripted.NewDiscovery(t, scripted.List(7, true, scripted.ListEntry("s1", fresh.Addr, "Ready")))
 	file := configFile(t, "127.0.0.1:1", d.Addr)
 	path := file("ROUTER_CONFIG")
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	lines := make(scripted.Lines, 20)
+	lines := make(scripted.LogLines, 20)
 	env := func(name string) string {
 		if name == "ROUTER_DISCOVERY" {
 			return d.Addr
@@ -258,7 +258,7 @@
 	go func() { exit <- p.Run(ctx, sighup) }()
 	expect := func(want string) {
 		t.Helper()
-		if got := scripted.Next(t, lines, want); !strings.HasPrefix(got, want) {
+		if got := scripted.Receive(t, lines, want); !strings.HasPrefix(got, want) {
 			t.Fatalf("got the line %q, want %q", got, want)
 		}
 	}
@@ -266,10 +266,10 @@
 	expect("phase name=serving")
 	ends := make(chan string, 1)
 	go func() {
-		_, body, err := scripted.Do(t, scripted.Ask(t, p.ln.Addr().String(), "held", nil))
+		_, body, err := scripted.Do(t, scripted.NewRequest(t, p.ln.Addr().String(), "held", nil))
 		ends <- fmt.Sprint(body, err)
 	}()
-	scripted.Next(t, s.Requests, "an attempt")
+	scripted.Receive(t, s.Requests, "an attempt")
 
 	for _, bad := range []string{"{", strings.Replace(string(text), d.Addr, "nowhere", 1)} {
 		write(t, path, bad)
@@ -280,20 +280,20 @@
 	sighup <- syscall.SIGHUP
 	expect("reloaded discovery=" + d2.Addr)
 	for _, want := range []string{"/api/targets", "/api/targets?index=7&wait=5000"} {
-		if got := scripted.Next(t, d2.Calls, want); got != want {
+		if got := scripted.Receive(t, d2.Calls, want); got != want {
 			t.Errorf("the new discovery was asked for %s, want %s", got, want)
 		}
 	}
-	if status, body, err := scripted.Do(t, scripted.Ask(t, p.ln.Addr().String(), "q", nil)); status != 200 || err != nil {
+	if status, body, err := scripted.Do(t, scripted.NewRequest(t, p.ln.Addr().String(), "q", nil)); status != 200 || err != nil {
 		t.Errorf("after the reload: got %d %q, %v; want it served by the new list", status, body, err)
 	}
-	scripted.Give(t, more, true)
-	if got := scripted.Next(t, ends, "the held answer"); got != scripted.Event+scripted.Done+"<nil>" {
+	scripted.Send(t, more, true)
+	if got := scripted.Receive(t, ends, "the held answer"); got != scripted.Event+scripted.Done+"<nil>" {
 		t.Errorf("the stream that was out ended with %q", got)
 	}
 	sigterm()
 	expect("phase name=leaving")
-	if err := scripted.Next(t, exit, "exit"); err != nil {
+	if err := scripted.Receive(t, exit, "exit"); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/router/program/recovery_test.go
+++ b/internal/router/program/recovery_test.go
@@ -38,15 +38,15 @@
 func TestTwoOnOneFolder(t *testing.T) {
 	t.Parallel()
 	binary, folder := buildRouter(t), t.TempDir()
-	host := scripted.NewModel(t, scripted.Manner{Events: 1})
+	host := scripted.NewModel(t, scripted.ModelBehavior{Events: 1})
 	settings := recoverySettings(t, folder)
 	first := startRouter(t, binary, []*scripted.Model{host}, "--settings", settings)
-	second := launchRouter(t, freeAddr(t), binary, []string{scripted.Entry("s0", host.Addr, "Ready")}, "--settings", settings)
+	second := launchRouter(t, freeAddr(t), binary, []string{scripted.ListEntry("s0", host.Addr, "Ready")}, "--settings", settings)
 	second.until(fmt.Sprintf("another process has it: number %d", first.cmd.Process.Pid))
 	if err := second.cmd.Wait(); err == nil || second.cmd.ProcessState.ExitCode() != 1 {
 		t.Errorf("the second ended with %v", second.cmd.ProcessState)
 	}
-	if status, _, _ := scripted.Do(t, scripted.Ask(t, first.addr, "q", nil)); status != 200 {
+	if status, _, _ := scripted.Do(t, scripted.NewRequest(t, first.addr, "q", nil)); status != 200 {
 		t.Errorf("the first answers %d", status)
 	}
 }
@@ -57,14 +57,14 @@
 	if !*measure {
 		t.Skip("a measurement; see docs/measurements/")
 	}
-	live := models(t, 4, scripted.Manner{First: 10 * time.Millisecond, Gap: 3 * time.Millisecond, Events: 20})
+	live := models(t, 4, scripted.ModelBehavior{FirstDelay: 10 * time.Millisecond, EventInterval: 3 * time.Millisecond, Events: 20})
 	var entries []string
 	for i := range 1000 {
 		state := "Terminating"
 		if i < len(live) {
 			state = "Ready"
 		}
-		entries = append(entries, scripted.Entry(fmt.Sprint("s", i), live[i%len(live)].Addr, state))
+		entries = append(entries, scripted.ListEntry(fmt.Sprint("s", i), live[i%len(live)].Addr, state))
 	}
 	binary, folder := buildRouter(t), t.TempDir()
 	routers := map[string]*process{}
--- a/internal/router/program/reload_test.go
+++ b/internal/router/program/reload_test.go
@@ -119,17 +119,17 @@
 // one count.
 func TestSettingsChangeUnderWay(t *testing.T) {
 	hold := make(chan bool)
-	host := scripted.NewModel(t, scripted.Manner{Events: 2, Gate: hold})
-	s := startServed(t, []string{scripted.Entry("s0", host.Addr, "Ready")})
+	host := scripted.NewModel(t, scripted.ModelBehavior{Events: 2, Gate: hold})
+	s := startServed(t, []string{scripted.ListEntry("s0", host.Addr, "Ready")})
 	s.until("phase name=serving")
 	ends := make(chan string, 1)
 	go func() {
-		status, body, err := scripted.Do(t, scripted.Ask(t, s.addr(), "before", nil))
+		status, body, err := scripted.Do(t, scripted.NewRequest(t, s.addr(), "before", nil))
 		ends <- fmt.Sprintln(status, strings.Contains(body, "[DONE]"), err)
 	}()
-	scripted.Next(t, host.Started, "an attempt")
+	scripted.Receive(t, host.Started, "an attempt")
 	ask := func(id, class string) int {
-		status, _, _ := scripted.Do(t, scripted.Ask(t, s.addr(), id, map[string]string{"X-Service-Class": class}))
+		status, _, _ := scripted.Do(t, scripted.NewRequest(t, s.addr(), id, map[string]string{"X-Service-Class": class}))
 		return status
 	}
 	reload := func(want string, changes ...string) {
@@ -145,21 +145,21 @@
 		t.Errorf("a class that is not there yet: got %d", got)
 	}
 	reload("reloaded", `"services":[`, `"services":[`+second+`,`)
-	host.Set(scripted.Manner{Events: 2})
+	host.Set(scripted.ModelBehavior{Events: 2})
 	if got := ask("new", "chat-v2"); got != 200 {
 		t.Errorf("a class that appeared: got %d", got)
 	}
-	host.Set(scripted.Manner{Status: 500})
+	host.Set(scripted.ModelBehavior{Status: 500})
 	if got := ask("unsafe", "chat-v2"); got != 502 {
 		t.Errorf("an unsafe class: got %d, want a failure, as it may have run", got)
 	}
-	host.Set(scripted.Manner{Events: 2})
+	host.Set(scripted.ModelBehavior{Events: 2})
 	reload("reloaded", `"name":"chat"`, `"name":"chat-v3"`)
 	if got := ask("old", "chat"); got != 503 {
 		t.Errorf("a class that vanished: got %d", got)
 	}
-	scripted.Give(t, hold, true)
-	if got := scripted.Next(t, ends, "the answer under way"); got != fmt.Sprintln(200, true, nil) {
+	scripted.Send(t, hold, true)
+	if got := scripted.Receive(t, ends, "the answer under way"); got != fmt.Sprintln(200, true, nil) {
 		t.Errorf("under way: %s", got)
 	}
 	reload("reloaded")
--- a/internal/router/program/shadow_test.go
+++ b/internal/router/program/shadow_test.go
@@ -32,7 +32,7 @@
 	t       *testing.T
 	p       *Program
 	live    *scripted.Model
-	lines   scripted.Lines
+	lines   scripted.LogLines
 	dir     string // of the records, the socket and the settings
 	reload  chan os.Signal
 	sigterm func()
@@ -75,14 +75,14 @@
 // startShadow starts it; each pair of replaced words is replaced in the usual settings.
 func startShadow(t *testing.T, hosts string, replaced ...string) *shadowed {
 	t.Helper()
-	return startShadowed(t, scripted.NewModel(t, scripted.Manner{}), hosts, replaced...)
+	return startShadowed(t, scripted.NewModel(t, scripted.ModelBehavior{}), hosts, replaced...)
 }
 
 func startShadowed(t *testing.T, live *scripted.Model, hosts string, replaced ...string) *shadowed {
 	t.Helper()
-	d := scripted.NewDiscovery(t, scripted.List(1, true, scripted.Entry("s0", live.Addr, "Ready")))
+	d := scripted.NewDiscovery(t, scripted.List(1, true, scripted.ListEntry("s0", live.Addr, "Ready")))
 	env := configFile(t, "127.0.0.1:1", d.Addr)
-	s := &shadowed{t: t, live: live, lines: make(scripted.Lines, 1000), reload: make(chan os.Signal), exit: make(chan error, 1),
+	s := &shadowed{t: t, live: live, lines: make(scripted.LogLines, 1000), reload: make(chan os.Signal), exit: make(chan error, 1),
 		dir: t.TempDir(), client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 50}}}
 	s.settings(hosts, replaced...)
 	cfg := load(t, env)
@@ -122,7 +122,7 @@
 // line waits for a log line that begins so.
 func (s *shadowed) line(want string) string {
 	s.t.Helper()
-	got := scripted.Next(s.t, s.lines, want)
+	got := scripted.Receive(s.t, s.lines, want)
 	if !strings.HasPrefix(got, want) {
 		s.t.Fatalf("got the line %q, want %q", got, want)
 	}
@@ -150,7 +150,7 @@
 func (s *shadowed) until(what string, ok func(mirror.Status) bool) mirror.Status {
 	s.t.Helper()
 	var r mirror.Report
-	for end := time.Now().Add(scripted.Patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(scripted.EventTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if r = s.status(); len(r.Pools) > 0 && ok(r.Pools[0]) {
 			return r.Pools[0]
 		}
@@ -161,7 +161,7 @@
 
 // ask sends one live request with a body of its own and returns the answer.
 func (s *shadowed) ask(id, body string, set map[string]string) (status int, answer string, end error) {
-	r := scripted.Ask(s.t, s.addr, id, set)
+	r := scripted.NewRequest(s.t, s.addr, id, set)
 	r.Body, r.ContentLength = io.NopCloser(strings.NewReader(body)), int64(len(body))
 	resp, err := s.client.Do(r)
 	if err != nil {
@@ -176,7 +176,7 @@
 func (s *shadowed) served(id string) {
 	s.t.Helper()
 	status, text, err := s.ask(id, id, nil)
-	if want := scripted.Tokens(id, scripted.Manner{}); status != 200 || err != nil || strings.Count(text, `"content":"w`) != len(want) ||
+	if want := scripted.Tokens(id, scripted.ModelBehavior{}); status != 200 || err != nil || strings.Count(text, `"content":"w`) != len(want) ||
 		!strings.Contains(text, want[len(want)-1]) {
 		s.t.Fatalf("%s: got %d %q, %v; want it served by the live host", id, status, text, err)
 	}
@@ -214,7 +214,7 @@
 func (s *shadowed) stop() {
 	s.t.Helper()
 	s.sigterm()
-	if err := scripted.Next(s.t, s.exit, "exit"); err != nil {
+	if err := scripted.Receive(s.t, s.exit, "exit"); err != nil {
 		s.t.Fatal(err)
 	}
 }
@@ -234,7 +234,7 @@
 	if status != 200 || err != nil {
 		t.Fatal(status, err)
 	}
-	r := scripted.Next(t, seen, "a copy")
+	r := scripted.Receive(t, seen, "a copy")
 	if r.Body != `{"stream": true}` || r.URI != "/v1/chat/completions?a=%20b" || !strings.HasPrefix(r.Header.Get("X-Correlation-Id"), "q1~next~") {
 		t.Errorf("the copy is %+v", r)
 	}
@@ -242,8 +242,8 @@
 	if st.Times["chat"].Count != 1 || st.BodyBytes != 0 || st.Out != 0 {
 		t.Errorf("%+v", st)
 	}
-	if n, _, _, _ := s.live.Counts(); n != 1 {
-		t.Errorf("the live host had %d attempts", n)
+	if counts := s.live.Counts(); counts.Total != 1 {
+		t.Errorf("the live host had %d attempts", counts.Total)
 	}
 	got := s.records()["q1"]
 	if got == nil || got.Comparison == nil || got.Live.FirstByteMs == nil || got.Live.QueuedMs == nil || *got.Live.QueuedMs > *got.Live.FirstByteMs || got.Copy.TotalMs == nil || got.Live.Digest == got.Copy.Digest {
@@ -262,11 +262,11 @@
 }
 
 func TestShadowKeepsTextsWhereTold(t *testing.T) {
-	s := startShadow(t, host(scripted.NewModel(t, scripted.Manner{Accent: "x"}).Addr), "records {", "records {\n texts = true")
+	s := startShadow(t, host(scripted.NewModel(t, scripted.ModelBehavior{Suffix: "x"}).Addr), "records {", "records {\n texts = true")
 	s.served("prompt")
 	s.until("it is recorded", func(st mirror.Status) bool { return st.Recorded == 1 })
 	r := s.records()["prompt"]
-	words := strings.Join(scripted.Tokens("prompt", scripted.Manner{}), "")
+	words := strings.Join(scripted.Tokens("prompt", scripted.ModelBehavior{}), "")
 	if r.Body != "prompt" || r.Live.Text != words || r.Copy.Text != words+"x" || r.Comparison.Similarity != 0.9 {
 		t.Errorf("%+v %+v", r, r.Comparison)
 	}
@@ -277,18 +277,18 @@
 func TestShadowCandidatesThatFail(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
-		manner scripted.Manner
+		manner scripted.ModelBehavior
 		set    []string
 		cause  shadow.Cause // of the records
 		down   bool
 	}{
-		{"says nothing", scripted.Manner{Stalls: true}, []string{"share = 1", "share = 1\n patience = \"100ms\""}, shadow.Refused, true},
-		{"a twentieth of the pace", scripted.Manner{Gap: 40 * time.Millisecond}, []string{"share = 1", "share = 1\n patience = \"150ms\"\n longest = \"200ms\""}, shadow.TimedOut, true},
-		{"falls silent", scripted.Manner{Gap: time.Minute}, []string{"share = 1", "share = 1\n silent = \"100ms\""}, shadow.StreamFailed, true},
-		{"breaks halfway", scripted.Manner{Break: true}, nil, shadow.StreamFailed, true},
-		{"errors", scripted.Manner{Status: 500}, nil, shadow.Refused, true},
-		{"finds the request at fault", scripted.Manner{Status: 404}, nil, shadow.InvalidRequest, false},
-		{"a report that can't be read", scripted.Manner{Report: "{"}, nil, "", false},
+		{"says nothing", scripted.ModelBehavior{Stalls: true}, []string{"share = 1", "share = 1\n patience = \"100ms\""}, shadow.Refused, true},
+		{"a twentieth of the pace", scripted.ModelBehavior{EventInterval: 40 * time.Millisecond}, []string{"share = 1", "share = 1\n patience = \"150ms\"\n longest = \"200ms\""}, shadow.TimedOut, true},
+		{"falls silent", scripted.ModelBehavior{EventInterval: time.Minute}, []string{"share = 1", "share = 1\n silent = \"100ms\""}, shadow.StreamFailed, true},
+		{"breaks halfway", scripted.ModelBehavior{Breaks: true}, nil, shadow.StreamFailed, true},
+		{"errors", scripted.ModelBehavior{Status: 500}, nil, shadow.Refused, true},
+		{"finds the request at fault", scripted.ModelBehavior{Status: 404}, nil, shadow.InvalidRequest, false},
+		{"a report that can't be read", scripted.ModelBehavior{Report: "{"}, nil, "", false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			candidate := scripted.NewModel(t, tt.manner)
@@ -301,11 +301,11 @@
 			if (st.Health == "down") != tt.down {
 				t.Errorf("%+v", st)
 			}
-			if n, _, _, twice := s.live.Counts(); n != 3 || twice != nil {
-				t.Errorf("%d live attempts, %v twice", n, twice)
+			if counts := s.live.Counts(); counts.Total != 3 || counts.Duplicated != nil {
+				t.Errorf("%d live attempts, %v twice", counts.Total, counts.Duplicated)
 			}
-			if _, _, out, twice := candidate.Counts(); out != 0 || twice != nil {
-				t.Errorf("%d candidate attempts are still out, %v twice", out, twice)
+			if counts := candidate.Counts(); counts.InFlight != 0 || counts.Duplicated != nil {
+				t.Errorf("%d candidate attempts are still out, %v twice", counts.InFlight, counts.Duplicated)
 			}
 			got := s.records()
 			for id, r := range got {
@@ -335,7 +335,7 @@
 // Down from the start, revived, killed and revived under load: trials find out, on-call gets a line
 // for each turn, and no live request feels it.
 func TestShadowPoolKilledAndRevived(t *testing.T) {
-	candidate := scripted.NewModel(t, scripted.Manner{})
+	candidate := scripted.NewModel(t, scripted.ModelBehavior{})
 	candidate.Kill()
 	s := startShadow(t, host(candidate.Addr), "share = 1", "share = 1\n patience = \"500ms\"")
 	stop, n := make(chan bool), 0
@@ -363,8 +363,8 @@
 	s.until("it is down again", func(st mirror.Status) bool { return st.Health == "down" })
 	close(stop)
 	load.Wait()
-	if total, _, _, twice := s.live.Counts(); total != n || twice != nil {
-		t.Errorf("%d live attempts for %d requests, %v twice", total, n, twice)
+	if counts := s.live.Counts(); counts.Total != n || counts.Duplicated != nil {
+		t.Errorf("%d live attempts for %d requests, %v twice", counts.Total, n, counts.Duplicated)
 	}
 	st := s.until("nothing is out", func(st mirror.Status) bool { return st.Out+st.Pairing+st.Waiting == 0 })
 	if got := s.records(); uint64(len(got)) != st.Started {
@@ -376,29 +376,29 @@
 // A lost discovery leaves the last good list in force.
 func TestShadowDrainsAndLostDiscovery(t *testing.T) {
 	hold := make(chan bool)
-	c0, c1 := scripted.NewModel(t, scripted.Manner{Gate: hold}), scripted.NewModel(t, scripted.Manner{})
+	c0, c1 := scripted.NewModel(t, scripted.ModelBehavior{Gate: hold}), scripted.NewModel(t, scripted.ModelBehavior{})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := scripted.ServeDiscovery(t, ln, scripted.List(1, true, scripted.Entry("c0", c0.Addr, "Ready")))
+	d := scripted.ServeDiscovery(t, ln, scripted.List(1, true, scripted.ListEntry("c0", c0.Addr, "Ready")))
 	s := startShadow(t, fmt.Sprintf("discovery = %q", d.Addr))
 	s.until("c0 is known", func(st mirror.Status) bool { return st.Hosts == 1 })
 	s.served("q0")
-	scripted.Next(t, c0.Started, "a copy")
-	d.Send(t, scripted.List(2, false, scripted.Entry("c0", c0.Addr, "Terminating"), scripted.Entry("c1", c1.Addr, "Ready")))
+	scripted.Receive(t, c0.Started, "a copy")
+	d.Send(t, scripted.List(2, false, scripted.ListEntry("c0", c0.Addr, "Terminating"), scripted.ListEntry("c1", c1.Addr, "Ready")))
 	// Both are told at once, so one serves before and after: what is sent must tell them apart.
 	for i := 1; c1.Attempts(fmt.Sprintf("q%d~next~%d", i-1, i)) == 0 && i < 50; i++ {
 		s.served(fmt.Sprint("q", i))
 		s.until("it has its record", func(st mirror.Status) bool { return st.Recorded == uint64(i) })
 	}
-	scripted.Give(t, hold, true)
+	scripted.Send(t, hold, true)
 	st := s.until("the copy that was out is compared", func(st mirror.Status) bool { return st.Out == 0 && st.Pairing == 0 })
 	if st.Compared != st.Started {
 		t.Errorf("%+v", st)
 	}
-	if n, _, _, _ := c0.Counts(); n != 1 {
-		t.Errorf("the host that drains had %d copies, want the first one alone", n)
+	if counts := c0.Counts(); counts.Total != 1 {
+		t.Errorf("the host that drains had %d copies, want the first one alone", counts.Total)
 	}
 	d.Stop()
 	s.line("discovery lost pool=next")
@@ -410,24 +410,24 @@
 // compare it with.
 func TestShadowWithoutALiveAnswer(t *testing.T) {
 	hold := make(chan bool)
-	for name, live := range map[string]scripted.Manner{"breaks": {Break: true, Gap: 20 * time.Millisecond}, "client leaves": {Gate: hold}, "fails": {Status: 500, First: 50 * time.Millisecond}} {
+	for name, live := range map[string]scripted.ModelBehavior{"breaks": {Breaks: true, EventInterval: 20 * time.Millisecond}, "client leaves": {Gate: hold}, "fails": {Status: 500, FirstDelay: 50 * time.Millisecond}} {
 		t.Run(name, func(t *testing.T) {
-			candidate := scripted.NewModel(t, scripted.Manner{Gate: hold})
+			candidate := scripted.NewModel(t, scripted.ModelBehavior{Gate: hold})
 			s := startShadowed(t, scripted.NewModel(t, live), host(candidate.Addr))
 			ctx, leave := context.WithCancel(context.Background())
 			defer leave()
 			answered := make(chan bool)
 			go func() {
 				defer close(answered)
-				resp, err := s.client.Do(scripted.Ask(t, s.addr, "q", nil).WithContext(ctx))
+				resp, err := s.client.Do(scripted.NewRequest(t, s.addr, "q", nil).WithContext(ctx))
 				if err == nil {
 					io.Copy(io.Discard, resp.Body)
 					resp.Body.Close()
 				}
 			}()
-			scripted.Next(t, candidate.Started, "a copy")
+			scripted.Receive(t, candidate.Started, "a copy")
 			if live.Gate != nil {
-				scripted.Next(t, s.live.Started, "an attempt")
+				scripted.Receive(t, s.live.Started, "an attempt")
 				leave()
 			}
 			<-answered
@@ -457,7 +457,7 @@
 	if err := cfg.ReadSettings(s.path()); err != nil {
 		t.Fatal(err)
 	}
-	if err := New(cfg, env, s.path(), make(scripted.Lines, 10)).Run(context.Background(), nil); err == nil || !strings.Contains(err.Error(), "another router's") {
+	if err := New(cfg, env, s.path(), make(scripted.LogLines, 10)).Run(context.Background(), nil); err == nil || !strings.Contains(err.Error(), "another router's") {
 		t.Errorf("a second router on the socket: %v", err)
 	}
 }
@@ -466,10 +466,10 @@
 // bad file changes nothing, nor does one for which too few descriptors were set aside.
 func TestShadowReload(t *testing.T) {
 	hold := make(chan bool)
-	candidate := scripted.NewModel(t, scripted.Manner{Gate: hold})
+	candidate := scripted.NewModel(t, scripted.ModelBehavior{Gate: hold})
 	s := startShadow(t, host(candidate.Addr))
 	s.served("q0")
-	scripted.Next(t, candidate.Started, "a copy")
+	scripted.Receive(t, candidate.Started, "a copy")
 	for _, bad := range [][]string{{"share = 1", "share = 2"}, {"share = 1", "share = 1\n sockets = 500"}} {
 		s.settings(host(candidate.Addr), bad...)
 		s.reload <- syscall.SIGHUP
@@ -483,13 +483,13 @@
 	if st.Offered != 1 || st.Out != 1 {
 		t.Errorf("%+v", st)
 	}
-	scripted.Give(t, hold, true)
+	scripted.Send(t, hold, true)
 	s.until("the copy went on", func(st mirror.Status) bool { return st.Compared == 1 })
 	s.settings(host(candidate.Addr))
 	s.reload <- syscall.SIGHUP
 	s.line("reloaded")
 	s.served("q2")
-	scripted.Next(t, candidate.Started, "a copy")
+	scripted.Receive(t, candidate.Started, "a copy")
 	s.settings(host(candidate.Addr), `"next"`, `"other"`)
 	s.reload <- syscall.SIGHUP
 	s.line("reloaded")
@@ -505,8 +505,8 @@
 // is the program once it is.
 func TestShadowSigterm(t *testing.T) {
 	hold := make(chan bool)
-	candidate := scripted.NewModel(t, scripted.Manner{Stalls: true})
-	s := startShadowed(t, scripted.NewModel(t, scripted.Manner{Gate: hold}), host(candidate.Addr))
+	candidate := scripted.NewModel(t, scripted.ModelBehavior{Stalls: true})
+	s := startShadowed(t, scripted.NewModel(t, scripted.ModelBehavior{Gate: hold}), host(candidate.Addr))
 	answered := make(chan error, 1)
 	go func() {
 		status, text, err := s.ask("q", "q", nil)
@@ -515,11 +515,11 @@
 		}
 		answered <- err
 	}()
-	scripted.Next(t, candidate.Started, "a copy")
-	scripted.Next(t, s.live.Started, "an attempt")
+	scripted.Receive(t, candidate.Started, "a copy")
+	scripted.Receive(t, s.live.Started, "an attempt")
 	s.sigterm()
-	for end := time.Now().Add(scripted.Patience); ; time.Sleep(time.Millisecond) {
-		if _, _, out, _ := candidate.Counts(); out == 0 {
+	for end := time.Now().Add(scripted.EventTimeout); ; time.Sleep(time.Millisecond) {
+		if counts := candidate.Counts(); counts.InFlight == 0 {
 			break
 		}
 		if time.Now().After(end) {
@@ -529,8 +529,8 @@
 	if s.p.Phase() != Terminating {
 		t.Errorf("the copy was out until %s", s.p.Phase())
 	}
-	scripted.Give(t, hold, true)
-	if err := scripted.Next(t, answered, "the live answer"); err != nil {
+	scripted.Send(t, hold, true)
+	if err := scripted.Receive(t, answered, "the live answer"); err != nil {
 		t.Error(err)
 	}
 	if r := s.records()["q"]; r.Cause != string(shadow.Closing) || r.Live.Outcome != "open" {
@@ -541,7 +541,7 @@
 // Bodies of 256 KiB under a cap of 1 MiB: four are held, the others dropped, and all live requests
 // served.
 func TestShadowBodiesUnderTheirCap(t *testing.T) {
-	candidate := scripted.NewModel(t, scripted.Manner{Stalls: true})
+	candidate := scripted.NewModel(t, scripted.ModelBehavior{Stalls: true})
 	s := startShadow(t, host(candidate.Addr))
 	body := strings.Repeat("x", 256<<10)
 	for i := range 10 { // the copies stay out, so one after another holds as much as all at once
@@ -558,7 +558,7 @@
 // A folder that can't be written costs records and one line, then works again; the router serves
 // on.
 func TestShadowRecordFolderFails(t *testing.T) {
-	s := startShadow(t, host(scripted.NewModel(t, scripted.Manner{}).Addr))
+	s := startShadow(t, host(scripted.NewModel(t, scripted.ModelBehavior{}).Addr))
 	folder := filepath.Join(s.dir, "records")
 	write(t, folder, "a file in its place")
 	for i := range 3 {
@@ -597,53 +597,53 @@
 		}
 		close(work)
 		clients.Wait()
-		total, _, out, twice := s.live.Counts()
-		if total != len(answers) || out != 0 || twice != nil {
-			t.Errorf("%d attempts for %d requests, %d out, %v twice", total, len(answers), out, twice)
+		counts := s.live.Counts()
+		if counts.Total != len(answers) || counts.InFlight != 0 || counts.Duplicated != nil {
+			t.Errorf("%d attempts for %d requests, %d out, %v twice", counts.Total, len(answers), counts.InFlight, counts.Duplicated)
 		}
 		s.stop()
 		return answers
 	}
-	candidate := scripted.NewModel(t, scripted.Manner{})
+	candidate := scripted.NewModel(t, scripted.ModelBehavior{})
 	without := day(host(candidate.Addr), func(int) {}, "share = 1", "share = 0")
-	if n, _, _, _ := candidate.Counts(); n != 0 {
-		t.Fatalf("%d copies with a share of 0", n)
+	if counts := candidate.Counts(); counts.Total != 0 {
+		t.Fatalf("%d copies with a share of 0", counts.Total)
 	}
 	with := day(host(candidate.Addr), func(i int) {
 		switch i {
 		case 20:
-			scripted.Next(t, candidate.Started, "a copy")
-			candidate.Set(scripted.Manner{Stalls: true})
+			scripted.Receive(t, candidate.Started, "a copy")
+			candidate.Set(scripted.ModelBehavior{Stalls: true})
 		case 40:
 			candidate.Kill()
 		case 60:
-			candidate.Set(scripted.Manner{Gap: 5 * time.Millisecond})
+			candidate.Set(scripted.ModelBehavior{EventInterval: 5 * time.Millisecond})
 			candidate.Revive(t)
 		case 80:
 			candidate.Kill()
 		case 100:
-			candidate.Set(scripted.Manner{})
+			candidate.Set(scripted.ModelBehavior{})
 			candidate.Revive(t)
 		}
 	}, "share = 1", "share = 1\n patience = \"100ms\"\n longest = \"300ms\"")
 	if diff := cmp.Diff(without, with); diff != "" {
 		t.Error(diff)
 	}
-	if n, _, _, twice := candidate.Counts(); n == 0 || twice != nil {
-		t.Errorf("%d copies, %v twice", n, twice)
+	if counts := candidate.Counts(); counts.Total == 0 || counts.Duplicated != nil {
+		t.Errorf("%d copies, %v twice", counts.Total, counts.Duplicated)
 	}
 }
 
 // Pressure on the live path, here by requests that wait for a server, drops copies and lets them
 // back.
 func TestShadowYieldsToPressure(t *testing.T) {
-	candidate := scripted.NewModel(t, scripted.Manner{Stalls: true})
+	candidate := scripted.NewModel(t, scripted.ModelBehavior{Stalls: true})
 	s := startShadow(t, host(candidate.Addr), "held = 1000", "held = 1\n grace = \"30ms\"")
 	s.served("q0")
-	scripted.Next(t, candidate.Started, "a copy")
-	s.live.Set(scripted.Manner{Status: 503})
+	scripted.Receive(t, candidate.Started, "a copy")
+	s.live.Set(scripted.ModelBehavior{Status: 503})
 	for _, e := range []string{"Terminating", "Ready"} { // no server: requests are held
-		s.p.applyServerList(mustList(t, scripted.List(9, false, scripted.Entry("s0", s.live.Addr, e))))
+		s.p.applyServerList(mustList(t, scripted.List(9, false, scripted.ListEntry("s0", s.live.Addr, e))))
 		if e == "Ready" {
 			break
 		}
@@ -651,7 +651,7 @@
 		s.until("it yields", func(st mirror.Status) bool {
 			return st.Level == "hard" && st.Ended[shadow.UnderPressure] > 0 && st.Out == 0
 		})
-		s.live.Set(scripted.Manner{})
+		s.live.Set(scripted.ModelBehavior{})
 	}
 	s.until("it is calm again", func(st mirror.Status) bool { return st.Level == "calm" })
 	s.served("q1")
--- a/internal/router/program/stored_test.go
+++ b/internal/router/program/stored_test.go
@@ -67,7 +67,7 @@
 // younger one, with all that it has learned nothing newer of.
 func TestGoldenFolder(t *testing.T) {
 	folder := goldenFolder(t)
-	d := scripted.NewDiscovery(t, scripted.List(1, true, scripted.Entry("s0", "127.0.0.1:9", "Ready")))
+	d := scripted.NewDiscovery(t, scripted.List(1, true, scripted.ListEntry("s0", "127.0.0.1:9", "Ready")))
 	env := configFile(t, "127.0.0.1:1", d.Addr)
 	path := filepath.Join(t.TempDir(), "settings.hcl")
 	write(t, path, fmt.Sprintf("recovery {\n  folder = %q\n  discovery = \"list.example\"\n}\n", folder))
@@ -75,13 +75,13 @@
 	if err := cfg.ReadSettings(path); err != nil {
 		t.Fatal(err)
 	}
-	p := New(cfg, env, path, make(scripted.Lines, 1000))
+	p := New(cfg, env, path, make(scripted.LogLines, 1000))
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- p.Run(ctx, nil) }()
 	next := filepath.Join(folder, "router.0.snap")
 	var got *snapshot.State
-	for deadline := time.Now().Add(scripted.Patience); ; time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(scripted.EventTimeout); ; time.Sleep(10 * time.Millisecond) {
 		text, err := os.ReadFile(next)
 		if err != nil {
 			t.Fatal(err)
@@ -140,7 +140,7 @@
 	}
 	folder := t.TempDir()
 	newProgram := func() *Program {
-		return New(&Config{set: &settings.Settings{Roles: &settings.Roles{Folder: folder}}}, func(string) string { return "" }, "", make(scripted.Lines, 10))
+		return New(&Config{set: &settings.Settings{Roles: &settings.Roles{Folder: folder}}}, func(string) string { return "" }, "", make(scripted.LogLines, 10))
 	}
 	if highest := newProgram().storeCopy(77, text); highest != 0 {
 		t.Errorf("a record of token %d is at hand", highest)
--- a/internal/testbed/fakes/attempt.go
+++ b/internal/testbed/fakes/attempt.go
@@ -25,8 +25,9 @@
 // a new connection.
 const crossedCloseWindow = 100 * time.Millisecond
 
-// maxPromptRepeats bounds the text of a prompt: hosts read its length from a field of its own.
-const maxPromptRepeats = 60000
+// maxPromptLength bounds the text of a prompt, in tokens: hosts read its length from a field of its
+// own.
+const maxPromptLength = 60000
 
 // CloseCrossed is the note in a history that a request was sent again because the close of its
 // connection crossed it.
@@ -106,7 +107,7 @@
 
 // requestBody is the body of a planned request, with the fields that fake hosts read.
 func requestBody(p *simulator.Planned) string {
-	prompt := strings.Repeat("word", min(p.Prompt, maxPromptRepeats))
+	prompt := strings.Repeat("word", min(p.Prompt, maxPromptLength))
 	return fmt.Sprintf(`{"stream":true,"max_tokens":%d,"lab_out":%d,"lab_prompt":%d,"lab_session":%q,"lab_prefix":%q,"lab_shared":%d,`+
 		`"messages":[{"role":"user","content":"%s"}]}`, p.MaxOut, p.Out, p.Prompt, p.Session, p.Prefix, p.Shared, prompt)
 }
--- a/internal/testbed/fakes/fakes_test.go
+++ b/internal/testbed/fakes/fakes_test.go
@@ -35,7 +35,7 @@
 
 func ask(t *testing.T, h *Host, id string, out int) (*http.Response, error) {
 	t.Helper()
-	r := scripted.Ask(t, h.Addr, id, nil)
+	r := scripted.NewRequest(t, h.Addr, id, nil)
 	body := fmt.Sprintf(`{"stream":true,"lab_out":%d,"lab_prompt":100,"lab_session":"s"}`, out)
 	r.Body, r.ContentLength = io.NopCloser(strings.NewReader(body)), int64(len(body))
 	return http.DefaultTransport.RoundTrip(r)
@@ -95,7 +95,7 @@
 	}
 	h.Kill()
 	for range 3 {
-		if err := scripted.Next(t, ends, "the end of an attempt"); err == nil {
+		if err := scripted.Receive(t, ends, "the end of an attempt"); err == nil {
 			t.Error("a killed host ended a stream well")
 		}
 	}
@@ -116,7 +116,7 @@
 
 func awaitCondition(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(scripted.Patience); !ok(); time.Sleep(ms) {
+	for end := time.Now().Add(scripted.EventTimeout); !ok(); time.Sleep(ms) {
 		if time.Now().After(end) {
 			t.Fatalf("no %s", what)
 		}
--- a/internal/testbed/fakes/faults_test.go
+++ b/internal/testbed/fakes/faults_test.go
@@ -62,7 +62,7 @@
 // askOutcome asks a host once, on a connection of its own, and names what came of it.
 func askOutcome(t *testing.T, h *Host, id string) string {
 	t.Helper()
-	r := scripted.Ask(t, h.Addr, id, nil)
+	r := scripted.NewRequest(t, h.Addr, id, nil)
 	r.Body, r.ContentLength = io.NopCloser(strings.NewReader(`{"lab_out":6,"lab_prompt":10}`)), 29
 	begun := time.Now()
 	resp, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(r)
--- a/internal/testbed/scripted/model.go
+++ b/internal/testbed/scripted/model.go
@@ -13,59 +13,78 @@
 	"time"
 )
 
-// Manner is how a Model answers.
-type Manner struct {
-	First  time.Duration // until the head and the first event
-	Gap    time.Duration // between two events
-	Events int           // with a word each; 0 counts as 10
-	Accent string        // added to the last word, so that the text differs from that of others
-	Report string        // load report at the end, none if empty
-	Break  bool          // resets the connection halfway
-	Stalls bool          // says nothing until the other side closes
-	Status int           // other than 0: this status and nothing else
-	Gate   <-chan bool   // waits for a word before the last event
-	Stages []<-chan bool // each of the last events waits until one of these is closed, in their order
+const (
+	defaultEvents    = 10
+	maxUnreadStarted = 1000
+)
+
+// ModelBehavior is how a Model answers.
+type ModelBehavior struct {
+	FirstDelay    time.Duration // before the head and the first event
+	EventInterval time.Duration // between two events
+	Events        int           // with a token each; 0 for defaultEvents
+	Suffix        string        // of the last token, so that the text differs from that of others
+	Report        string        // load report at the end, none if empty
+	Breaks        bool          // resets the connection halfway
+	Stalls        bool          // sends nothing until the other side closes
+	Status        int           // if not 0: answers with this status alone
+	Gate          <-chan bool   // the last event waits until this is sent to or closed
+	Stages        []<-chan bool // each of the last events waits for one of these, in their order
 }
 
-// Model is a stand-in for a model host. It answers each prompt with a text made from it, keeps count of the attempts
-// that are out for each id, and can be killed and revived at its address.
+// Model is a scripted model host. It answers each prompt with a text made from it, counts the
+// attempts in flight for each request id, and can be killed and revived at its address.
 type Model struct {
 	Addr    string
-	Started chan string // the ids of attempts, if there is room
+	Started chan string // the ids of attempts; those that it has no capacity for are dropped
+
+	mu           sync.Mutex
+	behavior     ModelBehavior
+	listener     net.Listener
+	conns        map[net.Conn]bool
+	inFlight     map[string]int // attempts by request id
+	attemptsByID map[string]int // so far
+	total        int            // attempts so far
+	duplicated   []string
+	maxInFlight  int
+	accepted     int // connections so far
+}
 
-	mu     sync.Mutex
-	manner Manner
-	ln     net.Listener
-	conns  map[net.Conn]bool
-	out    map[string]int // attempts that are out
-	Asked  map[string]int // attempts so far; read it with Attempts
-	total  int
-	twice  []string // ids with two out at once
-	most   int      // out at once
-	taken  int      // connections
+// ModelCounts are the attempts at a model.
+type ModelCounts struct {
+	Total       int      // so far
+	MaxInFlight int      // at the same time
+	InFlight    int      // now
+	Duplicated  []string // ids that ever had two attempts in flight at the same time
 }
 
-// NewModel starts a model host.
-func NewModel(t testing.TB, m Manner) *Model {
+// NewModel starts a model host until the end of the test.
+func NewModel(t testing.TB, b ModelBehavior) *Model {
 	t.Helper()
-	h := &Model{Addr: "127.0.0.1:0", manner: m, out: map[string]int{}, Asked: map[string]int{}, Started: make(chan string, 1000)}
+	h := &Model{
+		Addr:         "127.0.0.1:0",
+		behavior:     b,
+		inFlight:     map[string]int{},
+		attemptsByID: map[string]int{},
+		Started:      make(chan string, maxUnreadStarted),
+	}
 	h.Revive(t)
 	t.Cleanup(h.Kill)
 	return h
 }
 
-// Set changes how it answers from the next request on.
-func (h *Model) Set(m Manner) {
+// Set changes how the model answers from the next request on.
+func (h *Model) Set(b ModelBehavior) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.manner = m
+	h.behavior = b
 }
 
 // Kill resets all connections and refuses new ones.
 func (h *Model) Kill() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.ln.Close()
+	h.listener.Close()
 	for c := range h.conns {
 		c.(*net.TCPConn).SetLinger(0)
 		c.Close()
@@ -80,72 +99,86 @@
 		t.Fatal(err)
 	}
 	h.mu.Lock()
-	h.Addr, h.ln, h.conns = ln.Addr().String(), ln, map[net.Conn]bool{}
+	h.Addr, h.listener, h.conns = ln.Addr().String(), ln, map[net.Conn]bool{}
 	h.mu.Unlock()
-	go func() {
-		for {
-			c, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			h.mu.Lock()
-			h.conns[c] = true
-			h.taken++
-			h.mu.Unlock()
-			go h.serve(c)
+	go h.accept(ln)
+}
+
+// accept serves the connections of a listener until Kill closes it.
+func (h *Model) accept(ln net.Listener) {
+	for {
+		c, err := ln.Accept()
+		if err != nil {
+			return
 		}
-	}()
+		h.mu.Lock()
+		h.conns[c] = true
+		h.accepted++
+		h.mu.Unlock()
+		go h.serve(c)
+	}
 }
 
-// Counts returns the attempts so far, the most that were out at once, how many are, and the ids that ever had two
-// out at once.
-func (h *Model) Counts() (total, most, out int, twice []string) {
+// Counts returns the attempts so far.
+func (h *Model) Counts() ModelCounts {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, n := range h.out {
-		out += n
+	return ModelCounts{
+		Total:       h.total,
+		MaxInFlight: h.maxInFlight,
+		InFlight:    h.inFlightLocked(),
+		Duplicated:  h.duplicated,
+	}
+}
+
+// inFlightLocked is the number of attempts in flight, of all ids.
+func (h *Model) inFlightLocked() (n int) {
+	for _, attempts := range h.inFlight {
+		n += attempts
 	}
-	return h.total, h.most, out, h.twice
+	return n
 }
 
 // Accepted returns how many connections there were so far.
 func (h *Model) Accepted() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.taken
+	return h.accepted
 }
 
-// Attempts returns how often an id was asked for.
+// Attempts returns how many attempts a request id had so far.
 func (h *Model) Attempts(id string) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.Asked[id]
+	return h.attemptsByID[id]
 }
 
-func (h *Model) begin(id string) Manner {
+// begin counts a new attempt and returns how to answer it.
+func (h *Model) begin(id string) ModelBehavior {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.total++
-	h.Asked[id]++
-	if h.out[id]++; h.out[id] > 1 {
-		h.twice = append(h.twice, id)
+	h.attemptsByID[id]++
+	h.inFlight[id]++
+	if h.inFlight[id] > 1 {
+		h.duplicated = append(h.duplicated, id)
 	}
-	n := 0
-	for _, out := range h.out {
-		n += out
-	}
-	h.most = max(h.most, n)
-	return h.manner
+	h.maxInFlight = max(h.maxInFlight, h.inFlightLocked())
+	return h.behavior
 }
 
+// end counts the end of an attempt.
 func (h *Model) end(id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.out[id]--; h.out[id] == 0 {
-		delete(h.out, id)
+	h.inFlight[id]--
+	if h.inFlight[id] == 0 {
+		delete(h.inFlight, id)
 	}
 }
 
+// serve answers the requests of a connection. An attempt is in flight until the other side closes
+// or has the complete answer.
 func (h *Model) serve(c net.Conn) {
 	defer func() {
 		c.Close()
@@ -164,101 +197,135 @@
 			return
 		}
 		id := r.Header.Get("X-Correlation-Id")
-		m := h.begin(id)
+		behavior := h.begin(id)
 		select {
 		case h.Started <- id:
 		default:
 		}
-		// An attempt is out until the other side closes or has it all; only the reader notices a close.
-		gone := make(chan bool)
-		go func() { in.Peek(1); close(gone) }()
-		ok := h.answer(c, m, string(body), gone)
+		readable := make(chan bool)
+		go func() { // until the next request or the close, for which this function waits
+			in.Peek(1)
+			close(readable)
+		}()
+		a := modelAnswer{conn: c, ModelBehavior: behavior, interrupted: readable}
+		ok := a.write(string(body))
 		h.end(id)
 		if !ok {
 			return
 		}
-		<-gone // the next request, or the close
+		<-readable
 	}
 }
 
-// answer writes one answer and tells whether the connection is of further use.
-func (h *Model) answer(c net.Conn, m Manner, prompt string, gone <-chan bool) bool {
-	sleepFor := func(d time.Duration) bool {
-		if d <= 0 {
-			return true
-		}
-		select {
-		case <-time.After(d):
-			return true
-		case <-gone:
-			return false
-		}
-	}
-	if m.Stalls {
-		<-gone
+// modelAnswer writes one answer of a model.
+type modelAnswer struct {
+	ModelBehavior
+	conn        net.Conn
+	interrupted <-chan bool // closed when the other side closes or sends more
+}
+
+// write writes the answer to a prompt and reports whether the connection is of further use.
+func (a *modelAnswer) write(prompt string) bool {
+	if a.Stalls {
+		<-a.interrupted
 		return false
 	}
-	if !sleepFor(m.First) {
+	if !a.sleep(a.FirstDelay) {
 		return false
 	}
-	if m.Status != 0 {
-		_, err := fmt.Fprintf(c, "HTTP/1.1 %d Odd\r\nContent-Length: 0\r\n\r\n", m.Status)
-		return err == nil
+	if a.Status != 0 {
+		return a.send(fmt.Sprintf("HTTP/1.1 %d Odd\r\nContent-Length: 0\r\n\r\n", a.Status))
 	}
-	expected := Tokens(prompt, m)
-	for i, word := range expected {
-		text := Chunk(fmt.Sprintf("data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":%q},\"finish_reason\":null}]}\n\n", word))
+	tokens := Tokens(prompt, a.ModelBehavior)
+	if !a.writeEvents(tokens) {
+		return false
+	}
+	return a.send(Chunk(a.finalEvents(len(prompt)/4, len(tokens))) + End)
+}
+
+// writeEvents writes the head and an event for each token, as slowly and as far as the behavior
+// says.
+func (a *modelAnswer) writeEvents(tokens []string) bool {
+	for i, token := range tokens {
+		event := Chunk(fmt.Sprintf("data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":%q},\"finish_reason\":null}]}\n\n", token))
 		if i == 0 {
-			text = Head + text
-		} else if !sleepFor(m.Gap) {
+			event = Head + event
+		} else if !a.sleep(a.EventInterval) {
 			return false
 		}
-		if m.Break && i == len(expected)/2 {
-			c.(*net.TCPConn).SetLinger(0)
+		if a.Breaks && i == len(tokens)/2 {
+			a.conn.(*net.TCPConn).SetLinger(0)
 			return false
 		}
-		if stage := i - (len(expected) - len(m.Stages)); stage >= 0 {
-			select {
-			case <-m.Stages[stage]:
-			case <-gone:
-				return false
-			}
+		if stage := i - (len(tokens) - len(a.Stages)); stage >= 0 && !a.await(a.Stages[stage]) {
+			return false
 		}
-		if i == len(expected)-1 && m.Gate != nil {
-			select {
-			case <-m.Gate:
-			case <-gone:
-				return false
-			}
+		if i == len(tokens)-1 && a.Gate != nil && !a.await(a.Gate) {
+			return false
 		}
-		if _, err := io.WriteString(c, text); err != nil {
+		if !a.send(event) {
 			return false
 		}
 	}
-	last := "data: {\"choices\":[{\"index\":0,\"delta\":{},\"finish_reason\":\"stop\"}]}\n\n" + fmt.Sprintf(
+	return true
+}
+
+// finalEvents are the end of the stream: the finish, the usage and the load report.
+func (a *modelAnswer) finalEvents(promptTokens, completionTokens int) string {
+	const finish = "data: {\"choices\":[{\"index\":0,\"delta\":{},\"finish_reason\":\"stop\"}]}\n\n"
+	usage := fmt.Sprintf(
 		"data: {\"choices\":[],\"usage\":{\"prompt_tokens\":%d,\"completion_tokens\":%d,\"prompt_tokens_details\":{\"cached_tokens\":3}}}\n\n",
-		len(prompt)/4, len(expected)) + "data: [DONE]\n\n"
-	if m.Report != "" {
-		last += ": X-Backend-Load: " + m.Report + "\n\n"
+		promptTokens, completionTokens)
+	events := finish + usage + "data: [DONE]\n\n"
+	if a.Report != "" {
+		events += ": X-Backend-Load: " + a.Report + "\n\n"
 	}
-	_, err := io.WriteString(c, Chunk(last)+End)
+	return events
+}
+
+// send writes a text and reports whether it could.
+func (a *modelAnswer) send(text string) bool {
+	_, err := io.WriteString(a.conn, text)
 	return err == nil
 }
 
-// Tokens is the text of an answer to a prompt.
-func Tokens(prompt string, m Manner) []string {
-	n := m.Events
+// sleep waits for a time and reports false if the other side interrupted it.
+func (a *modelAnswer) sleep(d time.Duration) bool {
+	if d <= 0 {
+		return true
+	}
+	select {
+	case <-time.After(d):
+		return true
+	case <-a.interrupted:
+		return false
+	}
+}
+
+// await waits for the test to open a gate and reports false if the other side interrupted it.
+func (a *modelAnswer) await(gate <-chan bool) bool {
+	select {
+	case <-gate:
+		return true
+	case <-a.interrupted:
+		return false
+	}
+}
+
+// Tokens are the tokens of a model's answer to a prompt.
+func Tokens(prompt string, b ModelBehavior) []string {
+	n := b.Events
 	if n == 0 {
-		n = 10
+		n = defaultEvents
 	}
 	hash := fnv.New32a()
 	io.WriteString(hash, prompt)
 	seed := hash.Sum32()
-	expected := make([]string, n)
-	for i := range expected {
-		seed = seed*1664525 + 1013904223
-		expected[i] = fmt.Sprintf("w%d ", seed>>20)
+	tokens := make([]string, n)
+	for i := range tokens {
+		seed = seed*1664525 + 1013904223 // a linear congruential generator
+		tokens[i] = fmt.Sprintf("w%d ", seed>>20)
 	}
-	expected[n-1] = strings.TrimSpace(expected[n-1]) + m.Accent
-	return expected
+	tokens[n-1] = strings.TrimSpace(tokens[n-1]) + b.Suffix
+	return tokens
 }
--- /dev/null
+++ b/internal/testbed/scripted/output.go
@@ -0,0 +1,58 @@
+package scripted
+
+import (
+	"fmt"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+)
+
+// LogLines receives each log line as its event and fields. It implements routing.Logger.
+type LogLines chan string
+
+// Info implements routing.Logger.
+func (l LogLines) Info(event string, fields ...any) { l.add(event, fields) }
+
+// Warn implements routing.Logger.
+func (l LogLines) Warn(event string, fields ...any) { l.add(event, fields) }
+
+func (l LogLines) add(event string, fields []any) {
+	for i := 0; i+1 < len(fields); i += 2 {
+		event += fmt.Sprintf(" %v=%v", fields[i], fields[i+1])
+	}
+	l <- event
+}
+
+// outputPollInterval is the time between two looks at an output.
+const outputPollInterval = 5 * time.Millisecond
+
+// Output collects written text. Its methods may be called from any goroutine.
+type Output struct {
+	mu   sync.Mutex
+	text strings.Builder
+}
+
+// Write implements io.Writer.
+func (o *Output) Write(p []byte) (int, error) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.text.Write(p)
+}
+
+// String returns all text so far.
+func (o *Output) String() string {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.text.String()
+}
+
+// Wait waits until a text was written, and fails the test if it is not in time.
+func (o *Output) Wait(t testing.TB, expected string) {
+	t.Helper()
+	for end := time.Now().Add(EventTimeout); !strings.Contains(o.String(), expected); time.Sleep(outputPollInterval) {
+		if time.Now().After(end) {
+			t.Fatalf("no %q in:\n%s", expected, o.String())
+		}
+	}
+}
--- a/internal/transport/clientconn_test.go
+++ b/internal/transport/clientconn_test.go
@@ -25,7 +25,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(scripted.Patience))
+	conn.SetDeadline(time.Now().Add(scripted.EventTimeout))
 	return conn.(*net.TCPConn)
 }
 
@@ -36,7 +36,7 @@
 	const requests = 5
 	var all strings.Builder
 	for i := range requests {
-		all.WriteString(scripted.AskText(fmt.Sprint("id-", i), ""))
+		all.WriteString(scripted.RequestText(fmt.Sprint("id-", i), ""))
 	}
 	io.WriteString(conn, all.String())
 	in := bufio.NewReader(conn)
@@ -49,7 +49,7 @@
 		if response.StatusCode != http.StatusOK || err != nil || string(body) != scripted.Event+scripted.Done {
 			t.Fatalf("request %d: got %d %q, %v; want its answer", i, response.StatusCode, body, err)
 		}
-		if id := scripted.Next(t, server.Requests, "an attempt").Header.Get(protocol.HeaderID); id != fmt.Sprint("id-", i) {
+		if id := scripted.Receive(t, server.Requests, "an attempt").Header.Get(protocol.HeaderID); id != fmt.Sprint("id-", i) {
 			t.Errorf("attempt %d is for %s", i, id)
 		}
 	}
@@ -65,11 +65,11 @@
 		"closed":                      {"", func(c *net.TCPConn) { c.Close() }},
 		"reset":                       {"", func(c *net.TCPConn) { c.SetLinger(0); c.Close() }},
 		"only its sending":            {"", func(c *net.TCPConn) { c.CloseWrite() }},
-		"closed behind another":       {scripted.AskText("further", ""), func(c *net.TCPConn) { c.Close() }},
-		"reset behind another":        {scripted.AskText("further", ""), func(c *net.TCPConn) { c.SetLinger(0); c.Close() }},
-		"its sending behind another":  {scripted.AskText("further", ""), func(c *net.TCPConn) { c.CloseWrite() }},
-		"closed behind half a one":    {scripted.AskText("further", "")[:50], func(c *net.TCPConn) { c.Close() }},
-		"closed behind many requests": {strings.Repeat(scripted.AskText("further", ""), 50), func(c *net.TCPConn) { c.Close() }},
+		"closed behind another":       {scripted.RequestText("further", ""), func(c *net.TCPConn) { c.Close() }},
+		"reset behind another":        {scripted.RequestText("further", ""), func(c *net.TCPConn) { c.SetLinger(0); c.Close() }},
+		"its sending behind another":  {scripted.RequestText("further", ""), func(c *net.TCPConn) { c.CloseWrite() }},
+		"closed behind half a one":    {scripted.RequestText("further", "")[:50], func(c *net.TCPConn) { c.Close() }},
+		"closed behind many requests": {strings.Repeat(scripted.RequestText("further", ""), 50), func(c *net.TCPConn) { c.Close() }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			gone := make(chan bool, 1)
@@ -79,12 +79,12 @@
 				return false
 			})
 			conn := dial(t, newRouter(t, server).addr)
-			patient := strings.Replace(scripted.AskText("id", ""), "X-Time-Left: 8000m", "X-Time-Left: 600000m", 1)
+			patient := strings.Replace(scripted.RequestText("id", ""), "X-Time-Left: 8000m", "X-Time-Left: 600000m", 1)
 			io.WriteString(conn, patient) // the attempt is not over by itself within the test
-			scripted.Next(t, server.Requests, "an attempt")
+			scripted.Receive(t, server.Requests, "an attempt")
 			io.WriteString(conn, tt.further)
 			tt.leave(conn)
-			scripted.Next(t, gone, "the attempt's connection closed")
+			scripted.Receive(t, gone, "the attempt's connection closed")
 			if n := len(server.Requests); n > 0 {
 				t.Errorf("%d more attempts", n)
 			}
@@ -100,7 +100,7 @@
 	}
 	scripts := map[string]func(more chan bool) func(net.Conn) bool{
 		"served":  answer(scripted.CompleteAnswer()),
-		"refused": answer(scripted.Full),
+		"refused": answer(scripted.Rejection),
 		"unfit":   answer("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"),
 		"broken":  answer(scripted.Head + scripted.Chunk(scripted.Event) + "z\r\n"),
 		"held":    func(more chan bool) func(net.Conn) bool { return scripted.GatedAnswer(more) },
@@ -115,30 +115,30 @@
 	}{
 		{"served, three in one piece", "served", func(t *testing.T, r *router, s *scripted.Server, more chan bool) {
 			conn := dial(t, r.addr)
-			io.WriteString(conn, scripted.AskText("1", "")+scripted.AskText("2", "")+scripted.AskText("3", "Connection: close\r\n"))
+			io.WriteString(conn, scripted.RequestText("1", "")+scripted.RequestText("2", "")+scripted.RequestText("3", "Connection: close\r\n"))
 			io.Copy(io.Discard, conn)
 		}, routing.Counts{Accepted: 3, Served: 3}},
 		{"refused", "refused", func(t *testing.T, r *router, s *scripted.Server, more chan bool) {
-			scripted.Do(t, scripted.Ask(t, r.addr, "q", nil))
+			scripted.Do(t, scripted.NewRequest(t, r.addr, "q", nil))
 		}, routing.Counts{Accepted: 1, Rejected: 1}},
 		{"at fault", "unfit", func(t *testing.T, r *router, s *scripted.Server, more chan bool) {
-			scripted.Do(t, scripted.Ask(t, r.addr, "q", nil))
+			scripted.Do(t, scripted.NewRequest(t, r.addr, "q", nil))
 		}, routing.Counts{Accepted: 1, Failed: 1}},
 		{"a stream that breaks", "broken", func(t *testing.T, r *router, s *scripted.Server, more chan bool) {
-			scripted.Do(t, scripted.Ask(t, r.addr, "q", nil))
+			scripted.Do(t, scripted.NewRequest(t, r.addr, "q", nil))
 		}, routing.Counts{Accepted: 1, Failed: 1}},
 		{"out of time", "silent", func(t *testing.T, r *router, s *scripted.Server, more chan bool) {
-			scripted.Do(t, scripted.Ask(t, r.addr, "q", map[string]string{"X-Time-Left": "100m"}))
+			scripted.Do(t, scripted.NewRequest(t, r.addr, "q", map[string]string{"X-Time-Left": "100m"}))
 		}, routing.Counts{Accepted: 1, Rejected: 1}},
 		{"left before the first attempt's answer", "silent", func(t *testing.T, r *router, s *scripted.Server, more chan bool) {
 			conn := dial(t, r.addr)
-			io.WriteString(conn, scripted.AskText("1", ""))
-			scripted.Next(t, s.Requests, "an attempt")
+			io.WriteString(conn, scripted.RequestText("1", ""))
+			scripted.Receive(t, s.Requests, "an attempt")
 			conn.Close()
 		}, routing.Counts{Accepted: 1, Abandoned: 1}},
 		{"left in a stream, with more behind", "held", func(t *testing.T, r *router, s *scripted.Server, more chan bool) {
 			conn := dial(t, r.addr)
-			io.WriteString(conn, scripted.AskText("1", "")+scripted.AskText("2", ""))
+			io.WriteString(conn, scripted.RequestText("1", "")+scripted.RequestText("2", ""))
 			if _, err := bufio.NewReader(conn).ReadString('\n'); err != nil {
 				t.Fatal(err)
 			}
@@ -147,15 +147,15 @@
 		}, routing.Counts{Accepted: 1, Abandoned: 1}},
 		{"an id in use", "held", func(t *testing.T, r *router, s *scripted.Server, more chan bool) {
 			conn := dial(t, r.addr)
-			io.WriteString(conn, scripted.AskText("same", "Connection: close\r\n"))
-			scripted.Next(t, s.Requests, "an attempt")
-			scripted.Do(t, scripted.Ask(t, r.addr, "same", nil))
+			io.WriteString(conn, scripted.RequestText("same", "Connection: close\r\n"))
+			scripted.Receive(t, s.Requests, "an attempt")
+			scripted.Do(t, scripted.NewRequest(t, r.addr, "same", nil))
 			more <- true
 			io.Copy(io.Discard, conn)
 		}, routing.Counts{Accepted: 2, Served: 1, Failed: 1}},
 		{"not whole", "served", func(t *testing.T, r *router, s *scripted.Server, more chan bool) {
 			conn := dial(t, r.addr)
-			io.WriteString(conn, strings.TrimSuffix(scripted.AskText("1", ""), "}"))
+			io.WriteString(conn, strings.TrimSuffix(scripted.RequestText("1", ""), "}"))
 			conn.CloseWrite()
 			io.Copy(io.Discard, conn)
 		}, routing.Counts{}}, // it was never a request
@@ -165,7 +165,7 @@
 			server := scripted.NewServer(t, scripts[tt.script](more))
 			r := newRouter(t, server)
 			tt.do(t, r, server, more)
-			scripted.Until(t, "nothing is open", func() bool { return r.core.Metrics().Open == 0 })
+			scripted.AwaitCondition(t, "nothing is open", func() bool { return r.core.Metrics().Open == 0 })
 			got := r.core.Metrics().Classes["chat"]
 			if diff := cmp.Diff(tt.want, got); diff != "" || got.Open() != 0 {
 				t.Errorf("%d open %s", got.Open(), diff)
@@ -183,18 +183,18 @@
 			server := scripted.NewServer(t, scripted.GatedAnswer(more))
 			r := newRouter(t, server)
 			conn := dial(t, r.addr)
-			first, others := scripted.AskText("1", ""), scripted.AskText("2", "")+scripted.AskText("3", "")
+			first, others := scripted.RequestText("1", ""), scripted.RequestText("2", "")+scripted.RequestText("3", "")
 			if !apart {
 				first, others = first+others, ""
 			}
 			io.WriteString(conn, first)
-			scripted.Next(t, server.Requests, "an attempt")
+			scripted.Receive(t, server.Requests, "an attempt")
 			io.WriteString(conn, others)
 			r.front.SetKeepAlive(false)
 			in := bufio.NewReader(conn)
 			for i := 1; i <= 3; i++ {
 				if i > 1 {
-					scripted.Next(t, server.Requests, "an attempt")
+					scripted.Receive(t, server.Requests, "an attempt")
 				}
 				more <- true
 				response, err := http.ReadResponse(in, nil)
@@ -234,17 +234,17 @@
 		before int // attempts before the one in question
 	}{
 		"written slowly": {scripted.Answer(scripted.CompleteAnswer()), func(conn net.Conn) {
-			text := scripted.AskText("1", "")
+			text := scripted.RequestText("1", "")
 			io.WriteString(conn, text[:len(text)-1])
 			time.Sleep(kept)
 			io.WriteString(conn, text[len(text)-1:])
 		}, 0},
 		"in one piece with another": {slow, func(conn net.Conn) {
-			io.WriteString(conn, scripted.AskText("1", "")+scripted.AskText("2", ""))
+			io.WriteString(conn, scripted.RequestText("1", "")+scripted.RequestText("2", ""))
 		}, 1},
 		"behind another that is open": {slow, func(conn net.Conn) {
-			io.WriteString(conn, scripted.AskText("1", ""))
-			io.WriteString(conn, scripted.AskText("2", ""))
+			io.WriteString(conn, scripted.RequestText("1", ""))
+			io.WriteString(conn, scripted.RequestText("2", ""))
 		}, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -252,9 +252,9 @@
 			conn := dial(t, newRouter(t, server).addr)
 			tt.send(conn)
 			for range tt.before {
-				scripted.Next(t, server.Requests, "an attempt")
+				scripted.Receive(t, server.Requests, "an attempt")
 			}
-			told := scripted.Next(t, server.Requests, "an attempt").Header.Get(protocol.HeaderTimeLeft)
+			told := scripted.Receive(t, server.Requests, "an attempt").Header.Get(protocol.HeaderTimeLeft)
 			left, err := protocol.ParseDuration(told)
 			if err != nil || left > asked-kept || left < asked/2 {
 				t.Errorf("told %s, %v; want at most %v", told, err, asked-kept)
--- a/internal/transport/discovery_test.go
+++ b/internal/transport/discovery_test.go
@@ -111,15 +111,15 @@
 			if i < 3 {
 				continue
 			}
-			list := scripted.List(7, true, scripted.Entry("s0", "127.0.0.1:1", "Ready"))
+			list := scripted.List(7, true, scripted.ListEntry("s0", "127.0.0.1:1", "Ready"))
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
 		}
 	}()
 	lines, lists := make(chan string, 10), make(chan *protocol.List, 10)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	go transport.NewDiscovery(ln.Addr().String(), transport.Pushed, transport.FullList, scripted.Lines(lines), func(l *protocol.List) { lists <- l }).Run(ctx)
-	if l := scripted.Next(t, lists, "a list"); l.Version != 7 {
+	go transport.NewDiscovery(ln.Addr().String(), transport.Pushed, transport.FullList, scripted.LogLines(lines), func(l *protocol.List) { lists <- l }).Run(ctx)
+	if l := scripted.Receive(t, lists, "a list"); l.Version != 7 {
 		t.Errorf("version %d", l.Version)
 	}
 }
@@ -143,19 +143,19 @@
 
 // A list that is held is not asked for again whole, neither at the start nor after a failure.
 func TestAskedDiscoveryIsAskedForChanges(t *testing.T) {
-	d := scripted.NewDiscovery(t, scripted.List(41, true, scripted.Entry("s0", "127.0.0.1:1", "Ready")))
+	d := scripted.NewDiscovery(t, scripted.List(41, true, scripted.ListEntry("s0", "127.0.0.1:1", "Ready")))
 	lines, lists := make(chan string, 10), make(chan *protocol.List, 10)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	pace := transport.Pace{First: time.Millisecond, Longest: time.Millisecond}
-	go transport.NewDiscovery(d.Addr, pace, 40, scripted.Lines(lines), func(l *protocol.List) { lists <- l }).Run(ctx)
+	go transport.NewDiscovery(d.Addr, pace, 40, scripted.LogLines(lines), func(l *protocol.List) { lists <- l }).Run(ctx)
 	for _, step := range []struct{ tell, call string }{
-		{scripted.List(42, false, scripted.Entry("s0", "127.0.0.1:1", "Gone")), "/api/targets?index=40&wait=5000"},
+		{scripted.List(42, false, scripted.ListEntry("s0", "127.0.0.1:1", "Gone")), "/api/targets?index=40&wait=5000"},
 		{`{"version":43,"servers":[{"id":"s0","state":"Odd"}]}`, "/api/targets?index=42&wait=5000"},
 		{scripted.List(44, false), "/api/targets?index=42&wait=5000"},
 	} {
 		d.Send(t, step.tell)
-		if got := scripted.Next(t, d.Calls, "a call"); got != step.call {
+		if got := scripted.Receive(t, d.Calls, "a call"); got != step.call {
 			t.Errorf("got a call of %s, want %s", got, step.call)
 		}
 	}
--- a/internal/transport/front_test.go
+++ b/internal/transport/front_test.go
@@ -38,7 +38,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(scripted.Patience))
+	c.SetDeadline(time.Now().Add(scripted.EventTimeout))
 	if _, err := io.WriteString(c, text); err != nil {
 		t.Fatal(err)
 	}
@@ -106,7 +106,7 @@
 	defer l.Close()
 	admitted, refused := 0, 0
 	for i := range 12 {
-		c := dial(t, ln.Addr().String(), scripted.AskText(fmt.Sprint("q", i), ""))
+		c := dial(t, ln.Addr().String(), scripted.RequestText(fmt.Sprint("q", i), ""))
 		fd, _, err := l.accept()
 		if err != nil {
 			t.Fatal(err)
--- a/internal/transport/handover_test.go
+++ b/internal/transport/handover_test.go
@@ -25,7 +25,7 @@
 	addr    string
 }
 
-func newHalf(t *testing.T, path string, silent time.Duration, lines scripted.Lines) *half {
+func newHalf(t *testing.T, path string, silent time.Duration, lines scripted.LogLines) *half {
 	t.Helper()
 	b, err := balance.New(balance.Config{Zone: "a", MaxAttempts: 3, StepInterval: time.Millisecond,
 		Classes: []balance.Class{{Name: "chat", LatencyTarget: 8 * time.Second, Deadline: 8 * time.Second, Streamed: true}}}, 1)
@@ -58,15 +58,15 @@
 	for name, path := range map[string]string{"moved": "taken", "nobody takes it": "gone"} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
-			lines := make(scripted.Lines, 100)
+			lines := make(scripted.LogLines, 100)
 			old, next := newHalf(t, filepath.Join(dir, "old"), silent, lines), newHalf(t, filepath.Join(dir, "taken"), silent, lines)
 			s := scripted.NewServer(t, func(c net.Conn) bool {
 				io.WriteString(c, scripted.Head+scripted.Chunk(scripted.Event))
 				io.Copy(io.Discard, c)
 				return false
 			})
-			(&router{core: old.core}).tell(t, scripted.List(1, true, scripted.Entry("s0", s.Addr, "Ready")))
-			resp, err := http.DefaultClient.Do(scripted.Ask(t, old.addr, "q", nil))
+			(&router{core: old.core}).tell(t, scripted.List(1, true, scripted.ListEntry("s0", s.Addr, "Ready")))
+			resp, err := http.DefaultClient.Do(scripted.NewRequest(t, old.addr, "q", nil))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -87,7 +87,7 @@
 				t.Errorf("%q, %v after %v; want it cut off after %v", text, err, took, silent)
 			}
 			for who, h := range map[string]*half{"taken": next, "gone": old} {
-				for end := time.Now().Add(scripted.Patience); ; time.Sleep(5 * time.Millisecond) {
+				for end := time.Now().Add(scripted.EventTimeout); ; time.Sleep(5 * time.Millisecond) {
 					f := h.core.Metrics()
 					got := fmt.Sprint(f.Open, f.Classes["chat"].Failed)
 					if who == path && got == "0 1" || who != path && got == "0 0" {
--- a/internal/transport/pool_test.go
+++ b/internal/transport/pool_test.go
@@ -14,7 +14,7 @@
 // not lead to the old address.
 func TestRemovedServersLeaveNoState(t *testing.T) {
 	a, b := scripted.NewServer(t, nil), scripted.NewServer(t, nil)
-	s := NewServers(ServerLimits{ConnectTimeout: scripted.Patience, Keepalive: time.Minute, Connections: 2}, make(scripted.Lines, 10))
+	s := NewServers(ServerLimits{ConnectTimeout: scripted.EventTimeout, Keepalive: time.Minute, Connections: 2}, make(scripted.LogLines, 10))
 	old, moved := routing.Server{ID: "s0", Addr: a.Addr}, routing.Server{ID: "s0", Addr: b.Addr}
 	c, err := s.pool.take(t.Context(), old)
 	if err != nil {
--- a/internal/transport/servers_test.go
+++ b/internal/transport/servers_test.go
@@ -30,7 +30,7 @@
 
 func newRouter(t *testing.T, servers ...*scripted.Server) *router {
 	t.Helper()
-	return newLoggingRouter(t, make(scripted.Lines, 100), servers...)
+	return newLoggingRouter(t, make(scripted.LogLines, 100), servers...)
 }
 
 func newLoggingRouter(t *testing.T, log routing.Logger, servers ...*scripted.Server) *router {
@@ -55,7 +55,7 @@
 	go r.front.Serve(ln, false)
 	var entries []string
 	for i, s := range servers {
-		entries = append(entries, scripted.Entry(fmt.Sprint("s", i), s.Addr, "Ready"))
+		entries = append(entries, scripted.ListEntry(fmt.Sprint("s", i), s.Addr, "Ready"))
 	}
 	r.tell(t, scripted.List(1, true, entries...))
 	return r
@@ -75,7 +75,7 @@
 	s := scripted.NewServer(t, scripted.GatedAnswer(more))
 	r := newRouter(t, s)
 	for i := range 2 { // the second on the same connections
-		resp, err := http.DefaultClient.Do(scripted.Ask(t, r.addr, fmt.Sprint("id-Ab", i), nil))
+		resp, err := http.DefaultClient.Do(scripted.NewRequest(t, r.addr, fmt.Sprint("id-Ab", i), nil))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -89,7 +89,7 @@
 		if diff := cmp.Diff(scripted.Done, string(rest)); diff != "" || err != nil {
 			t.Errorf("request %d: %v %s", i, err, diff)
 		}
-		got := scripted.Next(t, s.Requests, "an attempt")
+		got := scripted.Receive(t, s.Requests, "an attempt")
 		left, err := protocol.ParseDuration(got.Header.Get("X-Time-Left"))
 		if err != nil || left <= 0 || left > 8*time.Second {
 			t.Errorf("X-Time-Left is %q, %v", got.Header.Get("X-Time-Left"), err)
@@ -117,8 +117,8 @@
 		torn   bool
 	}{
 		{"reset before an answer", scripted.Drop, 503, 2, false},
-		{"error", scripted.Answer(scripted.Error), 503, 2, false},
-		{"turned away", scripted.Answer(scripted.Full), 503, 2, false},
+		{"error", scripted.Answer(scripted.ServerError), 503, 2, false},
+		{"turned away", scripted.Answer(scripted.Rejection), 503, 2, false},
 		{"status without a body", scripted.Answer("HTTP/1.1 204 No Content\r\n\r\n"), 503, 2, false},
 		{"noise", scripted.Answer("\x01\x02noise\r\n\r\n"), 503, 2, false},
 		{"head without a status", scripted.Answer(strings.Replace(scripted.CompleteAnswer(), "200 OK", "OK 200", 1)), 503, 2, false},
@@ -142,7 +142,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			a, b := scripted.NewServer(t, tt.script), scripted.NewServer(t, tt.script)
-			status, _, err := scripted.Do(t, scripted.Ask(t, newRouter(t, a, b).addr, "q", nil))
+			status, _, err := scripted.Do(t, scripted.NewRequest(t, newRouter(t, a, b).addr, "q", nil))
 			if status != tt.status || (err != nil) != tt.torn {
 				t.Errorf("got %d, %v; want %d, torn %v", status, err, tt.status, tt.torn)
 			}
@@ -159,11 +159,11 @@
 	interim := "HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n"
 	for name, script := range map[string]func(net.Conn) bool{
 		"interim answers first":   scripted.Answer(strings.Repeat(interim, 3) + scripted.CompleteAnswer()),
-		"a second answer at once": scripted.Answer(scripted.CompleteAnswer() + scripted.Error),
+		"a second answer at once": scripted.Answer(scripted.CompleteAnswer() + scripted.ServerError),
 	} {
 		r := newRouter(t, scripted.NewServer(t, script))
 		for i := range 3 {
-			if status, body, err := scripted.Do(t, scripted.Ask(t, r.addr, fmt.Sprint(i), nil)); status != 200 || err != nil || body != scripted.Event+scripted.Done {
+			if status, body, err := scripted.Do(t, scripted.NewRequest(t, r.addr, fmt.Sprint(i), nil)); status != 200 || err != nil || body != scripted.Event+scripted.Done {
 				t.Errorf("%s: request %d got %d %q, %v; want its own answer", name, i, status, body, err)
 			}
 		}
@@ -182,14 +182,14 @@
 	})
 	r := newRouter(t, s)
 	for i := range 2 { // ids are fresh, by the platform's word
-		if status, body, err := scripted.Do(t, scripted.Ask(t, r.addr, fmt.Sprint("q", i), nil)); status != 200 || err != nil {
+		if status, body, err := scripted.Do(t, scripted.NewRequest(t, r.addr, fmt.Sprint("q", i), nil)); status != 200 || err != nil {
 			t.Errorf("got %d %q, %v; want it served", status, body, err)
 		}
-		scripted.Next(t, closed, "the server's close")
+		scripted.Receive(t, closed, "the server's close")
 	}
 	down := scripted.NewServer(t, nil)
 	down.Stop()
-	if status, body, err := scripted.Do(t, scripted.Ask(t, newRouter(t, down, s).addr, "q", nil)); status != 200 || err != nil {
+	if status, body, err := scripted.Do(t, scripted.NewRequest(t, newRouter(t, down, s).addr, "q", nil)); status != 200 || err != nil {
 		t.Errorf("with one server down: got %d %q, %v; want it served", status, body, err)
 	}
 }
@@ -203,7 +203,7 @@
 		gone <- true
 		return false
 	})
-	resp, err := http.DefaultClient.Do(scripted.Ask(t, newRouter(t, s).addr, "q", map[string]string{"X-Time-Left": "200m"}))
+	resp, err := http.DefaultClient.Do(scripted.NewRequest(t, newRouter(t, s).addr, "q", map[string]string{"X-Time-Left": "200m"}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -211,7 +211,7 @@
 	if resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("got %d, Retry-After %q; want a refusal with a time", resp.StatusCode, resp.Header.Get("Retry-After"))
 	}
-	scripted.Next(t, gone, "the attempt's connection closed")
+	scripted.Receive(t, gone, "the attempt's connection closed")
 }
 
 // A client that leaves frees the server at once, whether its answer has begun or not.
@@ -230,10 +230,10 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			scripted.Ask(t, r.addr, "q", nil).Write(c)
-			scripted.Next(t, s.Requests, "an attempt")
+			scripted.NewRequest(t, r.addr, "q", nil).Write(c)
+			scripted.Receive(t, s.Requests, "an attempt")
 			c.Close()
-			scripted.Next(t, gone, "the attempt's connection closed")
+			scripted.Receive(t, gone, "the attempt's connection closed")
 		})
 	}
 }
@@ -273,7 +273,7 @@
 			t.Fatal(err)
 		}
 		go io.WriteString(c, tt.text)
-		c.SetReadDeadline(time.Now().Add(scripted.Patience))
+		c.SetReadDeadline(time.Now().Add(scripted.EventTimeout))
 		var got bytes.Buffer
 		buf := make([]byte, 4096)
 		for !strings.HasSuffix(got.String(), "\n") || !strings.Contains(got.String(), "\r\n\r\n") {
@@ -316,7 +316,7 @@
 		io.WriteString(c, "POST /v1/chat/completions HTTP/1.1\r\nHost: r\r\nX-Correlation-Id: q\r\nX-Service-Class: chat\r\n"+
 			"X-Time-Left: 900m\r\n"+body)
 		c.(*net.TCPConn).CloseWrite()
-		c.SetReadDeadline(time.Now().Add(scripted.Patience))
+		c.SetReadDeadline(time.Now().Add(scripted.EventTimeout))
 		got, err := io.ReadAll(c)
 		c.Close()
 		if err != nil || !strings.HasPrefix(string(got), "HTTP/1.1 400 ") || len(s.Requests) > 0 {
@@ -333,15 +333,15 @@
 	r := newRouter(t, s)
 	end := make(chan string, 1)
 	go func() {
-		status, body, err := scripted.Do(t, scripted.Ask(t, r.addr, "same", nil))
+		status, body, err := scripted.Do(t, scripted.NewRequest(t, r.addr, "same", nil))
 		end <- fmt.Sprint(status, body, err)
 	}()
-	scripted.Next(t, s.Requests, "an attempt")
-	if status, body, err := scripted.Do(t, scripted.Ask(t, r.addr, "same", nil)); status != 409 || err != nil {
+	scripted.Receive(t, s.Requests, "an attempt")
+	if status, body, err := scripted.Do(t, scripted.NewRequest(t, r.addr, "same", nil)); status != 409 || err != nil {
 		t.Errorf("the second: got %d %q, %v; want 409", status, body, err)
 	}
 	more <- true
-	if got := scripted.Next(t, end, "an answer"); got != fmt.Sprint(200, scripted.Event+scripted.Done, nil) || len(s.Requests) > 0 {
+	if got := scripted.Receive(t, end, "an answer"); got != fmt.Sprint(200, scripted.Event+scripted.Done, nil) || len(s.Requests) > 0 {
 		t.Errorf("the first: got %s and %d more attempts; want it whole", got, len(s.Requests))
 	}
 }
@@ -350,10 +350,10 @@
 // each, one client's bad requests would have the whole fleet ejected.
 func TestInvalidRequestEjectsNoServer(t *testing.T) {
 	s := scripted.NewServer(t, scripted.Answer("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"))
-	lines := make(scripted.Lines, 10)
+	lines := make(scripted.LogLines, 10)
 	r := newLoggingRouter(t, lines, s)
 	for i := range 4 {
-		if status, body, err := scripted.Do(t, scripted.Ask(t, r.addr, fmt.Sprint("q", i), nil)); status != 400 || err != nil {
+		if status, body, err := scripted.Do(t, scripted.NewRequest(t, r.addr, fmt.Sprint("q", i), nil)); status != 400 || err != nil {
 			t.Errorf("got %d %q, %v; want 400", status, body, err)
 		}
 		if n := len(s.Requests); n != i+1 || len(lines) > 0 {
@@ -366,14 +366,14 @@
 func TestMalformedLoadReport(t *testing.T) {
 	odd := "data: [DONE]\n\n: X-Backend-Load: {\n\n"
 	s := scripted.NewServer(t, scripted.Answer(scripted.Head+scripted.Chunk(odd)+scripted.End))
-	lines := make(scripted.Lines, 10)
+	lines := make(scripted.LogLines, 10)
 	r := newLoggingRouter(t, lines, s)
 	for i := range 2 { // ids are fresh, by the platform's word
-		if status, body, err := scripted.Do(t, scripted.Ask(t, r.addr, fmt.Sprint("q", i), nil)); status != 200 || body != odd || err != nil {
+		if status, body, err := scripted.Do(t, scripted.NewRequest(t, r.addr, fmt.Sprint("q", i), nil)); status != 200 || body != odd || err != nil {
 			t.Errorf("got %d %q, %v; want it unchanged", status, body, err)
 		}
 	}
-	if got := scripted.Next(t, lines, "a log line"); !strings.HasPrefix(got, "load report unreadable server=s0 cause=") || len(lines) > 0 {
+	if got := scripted.Receive(t, lines, "a log line"); !strings.HasPrefix(got, "load report unreadable server=s0 cause=") || len(lines) > 0 {
 		t.Errorf("got %q and %d more lines, want one on s0", got, len(lines))
 	}
 }
@@ -382,9 +382,9 @@
 func TestDrainingServersGetNothingNew(t *testing.T) {
 	a, b := scripted.NewServer(t, scripted.Answer(scripted.CompleteAnswer())), scripted.NewServer(t, scripted.Answer(scripted.CompleteAnswer()))
 	r := newRouter(t, a, b)
-	r.tell(t, scripted.List(2, false, scripted.Entry("s0", a.Addr, "Terminating")))
+	r.tell(t, scripted.List(2, false, scripted.ListEntry("s0", a.Addr, "Terminating")))
 	for i := range 20 {
-		scripted.Do(t, scripted.Ask(t, r.addr, fmt.Sprint("q", i), map[string]string{"X-Session-Key": fmt.Sprint(i)}))
+		scripted.Do(t, scripted.NewRequest(t, r.addr, fmt.Sprint("q", i), map[string]string{"X-Session-Key": fmt.Sprint(i)}))
 	}
 	if len(a.Requests) != 0 || len(b.Requests) != 20 {
 		t.Errorf("%d sent to the one that drains, %d to the other; want 0 and 20", len(a.Requests), len(b.Requests))
@@ -394,30 +394,30 @@
 // The watch goes on from the version told, outlives a bad list and a lost connection, and logs each
 // once.
 func TestDiscoveryWatch(t *testing.T) {
-	d := scripted.NewDiscovery(t, scripted.List(41, true, scripted.Entry("s0", "127.0.0.1:1", "Ready")))
+	d := scripted.NewDiscovery(t, scripted.List(41, true, scripted.ListEntry("s0", "127.0.0.1:1", "Ready")))
 	lines, lists := make(chan string, 10), make(chan *protocol.List, 10)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	watch := transport.NewDiscovery(d.Addr, transport.Pushed, transport.FullList, scripted.Lines(lines), func(l *protocol.List) { lists <- l })
+	watch := transport.NewDiscovery(d.Addr, transport.Pushed, transport.FullList, scripted.LogLines(lines), func(l *protocol.List) { lists <- l })
 	go watch.Run(ctx)
 	expect := func(version int64, uris ...string) {
 		t.Helper()
-		if l := scripted.Next(t, lists, "a list"); l.Version != version {
+		if l := scripted.Receive(t, lists, "a list"); l.Version != version {
 			t.Errorf("got version %d, want %d", l.Version, version)
 		}
 		for _, uri := range uris {
-			if got := scripted.Next(t, d.Calls, "a call"); got != uri {
+			if got := scripted.Receive(t, d.Calls, "a call"); got != uri {
 				t.Errorf("got a call of %s, want %s", got, uri)
 			}
 		}
 	}
 	expect(41, "/api/targets", "/api/targets?index=41&wait=5000")
-	d.Send(t, scripted.List(42, false, scripted.Entry("s0", "127.0.0.1:1", "Gone")))
+	d.Send(t, scripted.List(42, false, scripted.ListEntry("s0", "127.0.0.1:1", "Gone")))
 	expect(42, "/api/targets?index=42&wait=5000")
 	d.Send(t, `{"version":43,"servers":[{"id":"s0","state":"Odd"}]}`)
 	expect(41, "/api/targets", "/api/targets?index=41&wait=5000")
 	for _, want := range []string{"discovery lost cause=servers[0].state", "discovery back version=41"} {
-		if got := scripted.Next(t, lines, "a log line"); !strings.HasPrefix(got, want) {
+		if got := scripted.Receive(t, lines, "a log line"); !strings.HasPrefix(got, want) {
 			t.Errorf("got the line %q, want %q", got, want)
 		}
 	}
--- a/internal/transport/splitbytes_test.go
+++ b/internal/transport/splitbytes_test.go
@@ -39,11 +39,11 @@
 		write(c, scripted.CompleteAnswer(), <-answers)
 		return true
 	})
-	lines := make(scripted.Lines, 1000)
+	lines := make(scripted.LogLines, 1000)
 	r := newLoggingRouter(t, lines)
 	d := scripted.NewServer(t, func(c net.Conn) bool {
 		cuts, more := <-lists
-		text := scripted.List(1, true, scripted.Entry("s0", s.Addr, "Ready"))
+		text := scripted.List(1, true, scripted.ListEntry("s0", s.Addr, "Ready"))
 		write(c, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text), cuts)
 		return more
 	})
@@ -57,20 +57,20 @@
 	pieces := rapid.SliceOfN(rapid.SampledFrom([]int{1, 1, 1, 2, 5, 17, 80}), 0, 60)
 	rapid.Check(t, func(rt *rapid.T) {
 		lists <- pieces.Draw(rt, "list")
-		if got := scripted.Next(t, told, "a list"); len(got.Servers) != 1 || got.Servers[0].Addr != s.Addr {
+		if got := scripted.Receive(t, told, "a list"); len(got.Servers) != 1 || got.Servers[0].Addr != s.Addr {
 			rt.Fatalf("got the list %+v", got)
 		}
-		scripted.Next(t, d.Requests, "a call")
+		scripted.Receive(t, d.Requests, "a call")
 		answers <- pieces.Draw(rt, "answer")
 		c, err := net.Dial("tcp", r.addr)
 		if err != nil {
 			rt.Fatal(err)
 		}
 		defer c.Close()
-		c.SetDeadline(time.Now().Add(scripted.Patience))
+		c.SetDeadline(time.Now().Add(scripted.EventTimeout))
 		asked++
 		id := fmt.Sprint("q", asked)
-		write(c, scripted.AskText(id, ""), pieces.Draw(rt, "request"))
+		write(c, scripted.RequestText(id, ""), pieces.Draw(rt, "request"))
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil {
 			rt.Fatal(err)
@@ -78,7 +78,7 @@
 		if body, err := io.ReadAll(resp.Body); err != nil || resp.StatusCode != 200 || string(body) != scripted.Event+scripted.Done {
 			rt.Fatalf("got %d %q, %v", resp.StatusCode, body, err)
 		}
-		if got := scripted.Next(t, s.Requests, "an attempt"); got.Header.Get("X-Correlation-Id") != id || !strings.HasSuffix(scripted.AskText(id, ""), got.Body) {
+		if got := scripted.Receive(t, s.Requests, "an attempt"); got.Header.Get("X-Correlation-Id") != id || !strings.HasSuffix(scripted.RequestText(id, ""), got.Body) {
 			rt.Fatalf("the server got %+v", got)
 		}
 	})
@@ -101,7 +101,7 @@
 		return true
 	})
 	r := newRouter(t, s)
-	if status, body, err := scripted.Do(t, scripted.Ask(t, r.addr, "q", nil)); status != 200 || err != nil || body != scripted.Event+scripted.Done {
+	if status, body, err := scripted.Do(t, scripted.NewRequest(t, r.addr, "q", nil)); status != 200 || err != nil || body != scripted.Event+scripted.Done {
 		t.Errorf("got %d %q, %v", status, body, err)
 	}
 }
--- a/internal/transport/unsent_test.go
+++ b/internal/transport/unsent_test.go
@@ -57,7 +57,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := scripted.NewServer(t, scripted.Answer(scripted.CompleteAnswer()))
-			servers := NewServers(ServerLimits{ConnectTimeout: time.Second, Keepalive: time.Minute, Connections: 1, StreamIdleTimeout: time.Second}, make(scripted.Lines, 1))
+			servers := NewServers(ServerLimits{ConnectTimeout: time.Second, Keepalive: time.Minute, Connections: 1, StreamIdleTimeout: time.Second}, make(scripted.LogLines, 1))
 			client, accepted := pair(t)
 			m := &Message{method: []byte("POST"), uri: []byte("/v1/chat/completions"), id: []byte("q"), client: &clientConn{Conn: accepted}}
 			leave(client)
@@ -88,7 +88,7 @@
 func TestFurtherRequestsStayUnread(t *testing.T) {
 	client, accepted := pair(t)
 	conn := &clientConn{Conn: accepted, listener: newListener(&FrontLimits{Admission: admission.Config{MaxConnections: 1, MaxOverflow: 1}})}
-	first, second, third := scripted.AskText("1", ""), scripted.AskText("2", ""), scripted.AskText("3", "")
+	first, second, third := scripted.RequestText("1", ""), scripted.RequestText("2", ""), scripted.RequestText("3", "")
 	if _, err := client.Write([]byte(first + second + third)); err != nil {
 		t.Fatal(err)
 	}
@@ -116,7 +116,7 @@
 	}
 	left := make(chan bool, 1)
 	conn.watch(func() { left <- true })
-	scripted.Until(t, "the watch has read a byte", func() bool { return conn.nextBegun.Load() })
+	scripted.AwaitCondition(t, "the watch has read a byte", func() bool { return conn.nextBegun.Load() })
 	conn.unwatch()
 	if n := unread(); n != len(second+third)-1 || !conn.hasFurther() || conn.clientLeft() {
 		t.Errorf("%d bytes are unread, further %v, left %v", n, conn.hasFurther(), conn.clientLeft())
@@ -124,7 +124,7 @@
 	read(second)
 	conn.watch(func() { left <- true })
 	client.Close()
-	scripted.Next(t, left, "the client's end is noticed")
+	scripted.Receive(t, left, "the client's end is noticed")
 	if n := unread(); n != len(third)-1 || !conn.clientLeft() {
 		t.Errorf("%d bytes are unread, left %v", n, conn.clientLeft())
 	}
