--- a/internal/router/capture/capture_test.go
+++ b/internal/router/capture/capture_test.go
@@ -27,7 +27,7 @@
 
 // What was taken can be read again, in its order and with names that tell nothing but who is the
 // same; a file that is cut anywhere within a line is refused by its line.
-func TestWrittenIsRead(t *testing.T) {
+func TestReaderReturnsWhatWriterWrote(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "c.ndjson")
 	var log lines
 	w, err := NewWriter(path, 1<<20, &log)
@@ -77,7 +77,7 @@
 
 // The bound holds to the byte, and ends the capture with one line; closing it then waits for
 // nothing.
-func TestBound(t *testing.T) {
+func TestWriterStopsAtItsBound(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "c.ndjson")
 	var log lines
 	w, err := NewWriter(path, 1000, &log)
@@ -102,7 +102,7 @@
 }
 
 // A fault is one line with file, line and field.
-func TestSpoilt(t *testing.T) {
+func TestReaderNamesFileLineAndField(t *testing.T) {
 	head := `{"capture":1,"from":"2026-01-02T03:04:05Z"}` + "\n"
 	good := `{"at_ns":5,"class":"c","session":"s","prompt":9,"left_ns":1}` + "\n"
 	for _, tt := range []struct{ text, want string }{
--- a/internal/router/management/management_test.go
+++ b/internal/router/management/management_test.go
@@ -45,7 +45,7 @@
 	return "serving", s.err
 }
 
-func TestAnswers(t *testing.T) {
+func TestAnswerToEachCall(t *testing.T) {
 	for _, tt := range []struct {
 		line, phase, want string
 		err               error
@@ -77,7 +77,7 @@
 
 // Each figure is there under its name from the first call on, by class in the classes' order, and a
 // line ends it.
-func TestVars(t *testing.T) {
+func TestVarsHasEachFigureInOrder(t *testing.T) {
 	s := &scripted{values: Values{AttemptsWritten: 9, OpenRequests: 4, ListedHosts: 10, ExcludedHosts: 2, ConfigsAccepted: 1, ConfigsInvalid: 3,
 		Classes: []Class{{Name: `o"dd\`, Accepted: 8, Throttled: 8}, {Name: "C", Accepted: 834, Fulfilled: 812, Throttled: 5, Faulted: 6, Abandoned: 7, Moved: 2}}}}
 	want := `+OK
@@ -108,7 +108,7 @@
 
 // Whatever the line, there is one answer, it begins with one of the two words, and a refusal is one
 // line.
-func TestAnyLine(t *testing.T) {
+func TestAnyLineGetsOneAnswer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		got := Answer(rapid.String().Draw(t, "line"), &scripted{phase: "serving"})
 		ok, refused := strings.HasPrefix(got, "+OK"), strings.HasPrefix(got, "-ERR ")
@@ -119,7 +119,7 @@
 }
 
 // The operators' page has the tables as they are made here.
-func TestPage(t *testing.T) {
+func TestOperatorsPageHasTheTables(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/operators/service.md")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/router/processgroup/processgroup.go
+++ b/internal/router/processgroup/processgroup.go
@@ -1,8 +1,7 @@
-// Package processgroup tells a process of the others of its kind that run on the same machine for
-// the same router, and how many descriptors they hold. Each process locks a byte of one file for as
-// long as it lives. Nothing is ever written there, so whatever a file of that name holds, of an
-// earlier process or of another version, is of no matter; and a process that ends in any way has
-// lost its lock. It imports nothing of ours.
+// Package processgroup finds the other processes of the same router on this machine, and counts
+// their descriptors. Each process locks a byte of one file for as long as it runs. Nothing is ever
+// written to the file, so its content, of an earlier process or another version, does not matter;
+// and a process that ends in any way, a crash included, has lost its lock.
 package processgroup
 
 import (
@@ -16,17 +15,18 @@
 const (
 	fileName = "reachspread.beside"
 	// maxProcesses bounds the processes that find each other; a replacement needs two, and one more
-	// while the last one leaves.
+	// while the earlier one drains.
 	maxProcesses = 8
 )
 
-// Slot is this process's place among those of one router.
+// Slot is this process's lock among those of one router.
 type Slot struct {
 	file   *os.File
 	offset int64
 }
 
-// Join takes a place in a folder that the processes of one router share.
+// Join locks a byte of the file in a folder that the processes of one router share. The caller must
+// Leave. It fails where maxProcesses have joined, or the file can't be opened or locked.
 func Join(folder string) (*Slot, error) {
 	f, err := os.OpenFile(filepath.Join(folder, fileName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -44,18 +44,19 @@
 	return nil, fmt.Errorf("%s: no place: %w", f.Name(), err)
 }
 
+// lockOfByte describes a write lock of one byte.
 func lockOfByte(at int64) *syscall.Flock_t {
 	return &syscall.Flock_t{Type: syscall.F_WRLCK, Whence: 0, Start: at, Len: 1}
 }
 
-// Siblings is what is known of the other processes.
+// Siblings describes the other processes of the router.
 type Siblings struct {
 	Processes   int
-	Descriptors int  // that they hold together
-	Uncounted   bool // some could not be counted
+	Descriptors int  // open in all of them together
+	Uncounted   bool // the descriptors of some could not be counted
 }
 
-// Siblings looks for the other processes.
+// Siblings returns the other processes at present.
 func (p *Slot) Siblings() (o Siblings) {
 	for at := range int64(maxProcesses) {
 		l := lockOfByte(at)
@@ -70,5 +71,5 @@
 	return o
 }
 
-// Leave gives up the place.
+// Leave releases the lock.
 func (p *Slot) Leave() { p.file.Close() }
--- a/internal/router/records/records_test.go
+++ b/internal/router/records/records_test.go
@@ -25,7 +25,7 @@
 }
 
 // Files keep to their size and number, and the oldest go first, also those of an earlier process.
-func TestRotation(t *testing.T) {
+func TestWriterRotatesFiles(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "made")
 	for _, id := range []string{"a", "b", "c", "d", "e"} {
 		w := &Writer{Folder: folder, FileBytes: 1, Files: 3}
@@ -68,7 +68,7 @@
 
 // A disk that fills up cuts a line off. It stays the last of its file, is passed over when read,
 // and writing goes on in the next file.
-func TestFullDisk(t *testing.T) {
+func TestTruncatedLineStaysTheLastOfItsFile(t *testing.T) {
 	folder := t.TempDir()
 	w := &Writer{Folder: folder, FileBytes: 1 << 20, Files: 9, Open: func(path string) (io.WriteCloser, error) {
 		f, err := create(path)
@@ -85,7 +85,7 @@
 }
 
 // What can't be read is told with file and line; only a last line may be cut off.
-func TestSpoiltFiles(t *testing.T) {
+func TestReaderNamesFileAndLine(t *testing.T) {
 	for text, want := range map[string]string{
 		"{}\n":                           ":1: version is 0",
 		"{\"version\":1}\n{\n{}":         ":2: unexpected end",
--- a/internal/router/report/charts.go
+++ b/internal/router/report/charts.go
@@ -22,10 +22,10 @@
 	similarityBins          = 20
 )
 
-// charts draws a pool's charts as SVG: both sides' first event and whole answer, and how alike the
-// texts are.
+// charts returns a pool's charts as SVG: the first event and the complete answer of both sides, and
+// the similarity of the texts. A pool of which nothing was compared has none.
 func (p *Pool) charts() ([]string, error) {
-	all := p.groups[[2]string{"", ""}]
+	all := p.groups[groupKey{}]
 	if all == nil {
 		return nil, nil // nothing was compared
 	}
@@ -41,7 +41,7 @@
 	return append(charts, c), err
 }
 
-// cumulativeChart draws which share of the answers came within a time.
+// cumulativeChart draws which fraction of the answers came within a time.
 func cumulativeChart(name string, live, copied *hdrhistogram.Histogram) (string, error) {
 	c := plot.New()
 	c.Title.Text = name
@@ -69,13 +69,14 @@
 		c.Add(line)
 		c.Legend.Add(side.name, line)
 	}
-	// Whole decades round the data, so that a tick with its number is at each end.
+	// Complete decades around the data, so that there is a labelled tick at each end.
 	c.X.Min = math.Pow(10, math.Floor(math.Log10(c.X.Min)))
 	c.X.Max = math.Pow(10, math.Ceil(math.Log10(c.X.Max*1.0001)))
 	c.Legend.Left, c.Legend.Top = true, true
 	return svg(c)
 }
 
+// similarityChart draws a histogram of the similarities.
 func similarityChart(values []float64) (string, error) {
 	c := plot.New()
 	c.Title.Text = "similarity of the texts"
@@ -95,10 +96,10 @@
 	return svg(c)
 }
 
-// svg draws a chart without the file's own first lines, so that it can stand in a page.
+// svg draws a chart of the report's size.
 func svg(c *plot.Plot) (string, error) { return SVG(c, chartWidth, chartHeight) }
 
-// SVG draws a chart of a size as text that can stand in a page.
+// SVG draws a chart as an element of a page: without the XML declaration before it.
 func SVG(c *plot.Plot, width, height vg.Length) (string, error) {
 	w, err := c.WriterTo(width, height, "svg")
 	if err != nil {
--- a/internal/router/report/report.go
+++ b/internal/router/report/report.go
@@ -1,11 +1,12 @@
 // Package report sums up the records of shadow pools: what was compared, what was not and why, how
-// the texts differ, and how long both sides took, as HDR histograms by pool, class and host. It
-// reads package records and writes tables; charts.go draws. It is for the program reachreport: the
-// router does without it.
+// the texts differ, and the times of both sides by pool, class and host. It reads package records
+// and writes tables and charts. Only the program reachreport uses it, so that the router does not
+// carry what draws charts.
 package report
 
 import (
 	"bytes"
+	"cmp"
 	"fmt"
 	"maps"
 	"slices"
@@ -17,21 +18,21 @@
 	"reachspread/internal/router/records"
 )
 
-// Report is what a folder of records says.
+// Report sums up the records of a folder.
 type Report struct {
 	Folder         string    `json:"folder"`
 	From           time.Time `json:"from"`
 	To             time.Time `json:"to"`
-	TruncatedLines int       `json:"cut_lines"` // last lines that were cut off and passed over
+	TruncatedLines int       `json:"cut_lines"` // skipped last lines of files
 	Pools          []*Pool   `json:"pools"`
 }
 
-// Pool is one pool's part.
+// Pool sums up the records of one pool.
 type Pool struct {
 	Name             string         `json:"pool"`
 	Records          int            `json:"records"`
 	Compared         int            `json:"compared"`
-	Gaps             int            `json:"compared_with_gap"` // of conversations that had lost an earlier turn
+	Gaps             int            `json:"compared_with_gap"` // of conversations of which an earlier request was dropped
 	Causes           map[string]int `json:"not_comparable"`
 	Texts            map[string]int `json:"texts"`
 	SameFinish       int            `json:"same_finish"`
@@ -43,7 +44,7 @@
 
 	similarities                   []float64
 	tokenDeltas, cachedTokenDeltas []float64
-	groups                         map[[2]string]*Group
+	groups                         map[groupKey]*Group
 }
 
 // Group is the times of comparable answers of one class at one host; empty names stand for all.
@@ -56,6 +57,14 @@
 	live, copied map[string]*hdrhistogram.Histogram
 }
 
+// groupKey names a Group; empty names stand for all.
+type groupKey struct{ class, host string }
+
+// compare orders keys by class, then by host.
+func (k groupKey) compare(other groupKey) int {
+	return cmp.Or(cmp.Compare(k.class, other.class), cmp.Compare(k.host, other.host))
+}
+
 // Pair is one time on both sides, in milliseconds, and the copies' median as a multiple of the live
 // one.
 type Pair struct {
@@ -64,7 +73,7 @@
 	MedianRatio float64 `json:"ratio_p50"`
 }
 
-// Spread is places of a distribution.
+// Spread is the mean and quantiles of a distribution.
 type Spread struct {
 	Count int     `json:"count"`
 	Mean  float64 `json:"mean"`
@@ -74,8 +83,8 @@
 	P99   float64 `json:"p99"`
 }
 
-// The times, in the order in which they are shown. The host's own first event leaves out the wait
-// for a host.
+// The names of the times, in the order in which they are shown. HostFirstEvent leaves out the time
+// until the attempt was sent.
 const (
 	FirstEvent     = "first event"
 	HostFirstEvent = "first event, host's own"
@@ -85,10 +94,11 @@
 
 var times = []string{FirstEvent, HostFirstEvent, TokenInterval, CompleteAnswer}
 
-// maxLatencyUs is the most that a histogram holds, in microseconds: an hour.
+// maxLatencyUs is the longest time that a histogram distinguishes, in microseconds: an hour.
 const maxLatencyUs = 3600 * 1e6
 
-// Read sums up a folder. Each line must be valid by the records' schema.
+// Read sums up a folder. It fails, with file and line, at a line that is not valid by the schema of
+// the records.
 func Read(folder string) (*Report, error) {
 	schema, err := Schema()
 	if err != nil {
@@ -97,16 +107,12 @@
 	r := &Report{Folder: folder, Pools: []*Pool{}}
 	pools := map[string]*Pool{}
 	r.TruncatedLines, err = records.Read(folder, func(line []byte, rec *records.Record) error {
-		doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(line))
-		if err != nil {
+		if err := validate(schema, line); err != nil {
 			return err
 		}
-		if err := schema.Validate(doc); err != nil {
-			return fmt.Errorf("not a record: %s", oneLine(err))
-		}
 		p := pools[rec.Pool]
 		if p == nil {
-			p = &Pool{Name: rec.Pool, Causes: map[string]int{}, Texts: map[string]int{}, groups: map[[2]string]*Group{}}
+			p = newPool(rec.Pool)
 			pools[rec.Pool] = p
 		}
 		if r.From.IsZero() || rec.At.Before(r.From) {
@@ -129,7 +135,19 @@
 	return r, nil
 }
 
-// Schema returns the records' schema, ready to judge a line.
+// validate fails where a line is no record by the schema.
+func validate(schema *jsonschema.Schema, line []byte) error {
+	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(line))
+	if err != nil {
+		return err
+	}
+	if err := schema.Validate(doc); err != nil {
+		return fmt.Errorf("not a record: %s", oneLine(err))
+	}
+	return nil
+}
+
+// Schema returns the schema of the records, compiled.
 func Schema() (*jsonschema.Schema, error) {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(records.Schema))
 	if err != nil {
@@ -143,11 +161,16 @@
 	return c.Compile("record.schema.json")
 }
 
-// oneLine joins the lines of the schema's own words.
+// oneLine joins the lines of an error.
 func oneLine(err error) string {
 	return string(bytes.Join(bytes.Fields([]byte(err.Error())), []byte(" ")))
 }
 
+func newPool(name string) *Pool {
+	return &Pool{Name: name, Causes: map[string]int{}, Texts: map[string]int{}, groups: map[groupKey]*Group{}}
+}
+
+// add counts a record.
 func (p *Pool) add(r *records.Record) {
 	p.Records++
 	if r.Comparison == nil {
@@ -172,11 +195,11 @@
 	if r.Live.CachedTokens != nil && r.Copy.CachedTokens != nil && !r.HistoryGap {
 		p.cachedTokenDeltas = append(p.cachedTokenDeltas, float64(r.Comparison.CachedTokenDelta))
 	}
-	for _, of := range [][2]string{{"", ""}, {r.Class, ""}, {"", r.Copy.Host}, {r.Class, r.Copy.Host}} {
-		g := p.groups[of]
+	for _, key := range []groupKey{{}, {class: r.Class}, {host: r.Copy.Host}, {r.Class, r.Copy.Host}} {
+		g := p.groups[key]
 		if g == nil {
-			g = &Group{Class: of[0], Host: of[1], live: histograms(), copied: histograms()}
-			p.groups[of] = g
+			g = &Group{Class: key.class, Host: key.host, live: histograms(), copied: histograms()}
+			p.groups[key] = g
 		}
 		g.Count++
 		record(g.live, &r.Live)
@@ -192,6 +215,7 @@
 	return m
 }
 
+// record adds the times of an answer to the histograms.
 func record(to map[string]*hdrhistogram.Histogram, s *records.Answer) {
 	add := func(name string, ms *float64, less *float64) {
 		if ms == nil {
@@ -209,10 +233,11 @@
 	add(CompleteAnswer, s.TotalMs, nil)
 }
 
+// finish computes the figures from what add collected.
 func (p *Pool) finish() {
 	p.Similarity, p.TokenDelta, p.CachedTokenDelta = valueSpread(p.similarities), valueSpread(p.tokenDeltas), valueSpread(p.cachedTokenDeltas)
-	for _, of := range slices.SortedFunc(maps.Keys(p.groups), func(a, b [2]string) int { return slices.Compare(a[:], b[:]) }) {
-		g := p.groups[of]
+	for _, key := range slices.SortedFunc(maps.Keys(p.groups), groupKey.compare) {
+		g := p.groups[key]
 		g.Times = map[string]Pair{}
 		for _, name := range times {
 			pair := Pair{Live: histogramSpread(g.live[name]), Copy: histogramSpread(g.copied[name])}
@@ -225,6 +250,7 @@
 	}
 }
 
+// histogramSpread returns the quantiles of a histogram of microseconds, in milliseconds.
 func histogramSpread(h *hdrhistogram.Histogram) Spread {
 	at := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 	if h.TotalCount() == 0 {
@@ -233,7 +259,7 @@
 	return Spread{Count: int(h.TotalCount()), Mean: h.Mean() / 1000, P10: at(10), P50: at(50), P90: at(90), P99: at(99)}
 }
 
-// valueSpread takes the places of values that may be negative, which a histogram can't hold.
+// valueSpread returns the quantiles of values that may be negative, which a histogram can't hold.
 func valueSpread(values []float64) Spread {
 	if len(values) == 0 {
 		return Spread{}
--- a/internal/router/report/report_test.go
+++ b/internal/router/report/report_test.go
@@ -44,7 +44,7 @@
 
 func near(got, want float64) bool { return math.Abs(got-want) <= 0.01*want+0.01 }
 
-func TestSums(t *testing.T) {
+func TestReadSumsUpRecords(t *testing.T) {
 	r, err := Read(fill(t))
 	if err != nil || len(r.Pools) != 1 {
 		t.Fatal(r, err)
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestFormats(t *testing.T) {
+func TestWriteInEachFormat(t *testing.T) {
 	folder := fill(t)
 	r, err := Read(folder)
 	if err != nil {
@@ -103,7 +103,7 @@
 }
 
 // The page stands alone: nothing in it is fetched, and its charts are whole drawings.
-func TestPage(t *testing.T) {
+func TestHTMLPageIsSelfContained(t *testing.T) {
 	folder := fill(t)
 	r, err := Read(folder)
 	if err != nil {
@@ -143,7 +143,7 @@
 
 // A line that is JSON but no record is told with file and line; an empty folder is a report of
 // nothing.
-func TestOddFolders(t *testing.T) {
+func TestReadOfBadAndEmptyFolders(t *testing.T) {
 	folder := t.TempDir()
 	r, err := Read(folder)
 	if err != nil {
--- a/internal/router/report/tables.go
+++ b/internal/router/report/tables.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/json"
 	"fmt"
-	"html"
 	"io"
 	"maps"
 	"slices"
@@ -13,11 +12,11 @@
 	"github.com/jedib0t/go-pretty/v6/text"
 )
 
-// Formats are the names of the ways in which Write writes.
+// Formats are the formats of Write.
 var Formats = []string{"terminal", "markdown", "csv", "json"}
 
-// Write writes the report. As CSV it is one long table, a line for each figure; as JSON the Report
-// itself.
+// Write writes the report in one of Formats. As CSV it is one table with a line for each figure, as
+// JSON the Report itself.
 func (r *Report) Write(w io.Writer, format string) error {
 	switch format {
 	case "terminal", "markdown":
@@ -42,6 +41,7 @@
 	return fmt.Errorf("format %q is none of %v", format, Formats)
 }
 
+// heading names the folder and the time of its records.
 func (r *Report) heading() string {
 	if len(r.Pools) == 0 {
 		return fmt.Sprintf("%s: no records", r.Folder)
@@ -78,6 +78,7 @@
 	return fmt.Sprintf("%.1f%%", 100*float64(n)/float64(of))
 }
 
+// counts is the table of how many copies there were, by cause.
 func (p *Pool) counts() table.Writer {
 	t := titled("Pool "+p.Name+": copies", "copies", "number", "share")
 	add := func(name string, n int) { t.AppendRow(table.Row{name, n, percentage(n, p.Records)}) }
@@ -90,6 +91,7 @@
 	return t
 }
 
+// texts is the table of how the compared answers differ.
 func (p *Pool) texts() table.Writer {
 	t := titled("Pool "+p.Name+": answers, of those compared", "answers", "number", "share", "mean", "p10", "p50", "p90")
 	add := func(name string, n int) { t.AppendRow(table.Row{name, n, percentage(n, p.Compared), "", "", "", ""}) }
@@ -108,6 +110,7 @@
 	return t
 }
 
+// times is the table of the times of both sides.
 func (p *Pool) times() table.Writer {
 	t := titled("Pool "+p.Name+": times in ms, p50 / p90 / p99", "class", "host", "answers", "time", "live", "copies", "copies to live, p50")
 	for _, g := range p.Groups {
@@ -139,72 +142,3 @@
 	}
 	return fmt.Sprintf("%.1f / %.1f / %.1f", s.P50, s.P90, s.P99)
 }
-
-// figures is all of the report as one line for each figure.
-func (r *Report) figures() table.Writer {
-	t := table.NewWriter()
-	t.AppendHeader(table.Row{"pool", "class", "host", "figure", "side", "place", "value"})
-	for _, p := range r.Pools {
-		one := func(figure string, v any) { t.AppendRow(table.Row{p.Name, "", "", figure, "", "", v}) }
-		one("records", p.Records)
-		one("compared", p.Compared)
-		one("compared after a gap", p.Gaps)
-		one("same finish", p.SameFinish)
-		one("similarity of a part", p.Partial)
-		for _, cause := range slices.Sorted(maps.Keys(p.Causes)) {
-			one("not comparable: "+cause, p.Causes[cause])
-		}
-		for _, kind := range slices.Sorted(maps.Keys(p.Texts)) {
-			one("text: "+kind, p.Texts[kind])
-		}
-		spread := func(class, host, figure, side string, s Spread) {
-			for _, x := range []struct {
-				percentile string
-				v          float64
-			}{{"count", float64(s.Count)}, {"mean", s.Mean}, {"p10", s.P10}, {"p50", s.P50}, {"p90", s.P90}, {"p99", s.P99}} {
-				t.AppendRow(table.Row{p.Name, class, host, figure, side, x.percentile, x.v})
-			}
-		}
-		spread("", "", "similarity", "", p.Similarity)
-		spread("", "", "more tokens", "", p.TokenDelta)
-		spread("", "", "more kept tokens", "", p.CachedTokenDelta)
-		for _, g := range p.Groups {
-			for _, name := range times {
-				spread(g.Class, g.Host, name+", ms", "live", g.Times[name].Live)
-				spread(g.Class, g.Host, name+", ms", "copy", g.Times[name].Copy)
-			}
-		}
-	}
-	return t
-}
-
-// WriteHTML writes one page with the tables and charts. All of it is in the page, so it opens
-// without a network.
-func (r *Report) WriteHTML(w io.Writer) error {
-	fmt.Fprintf(w, "<!doctype html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>Shadow pools</title>\n<style>%s</style></head><body>\n", style)
-	fmt.Fprintf(w, "<h1>Shadow pools</h1>\n<p>%s</p>\n", html.EscapeString(r.heading()))
-	for _, p := range r.Pools {
-		fmt.Fprintf(w, "<h2>Pool %s</h2>\n<div class=\"charts\">\n", html.EscapeString(p.Name))
-		charts, err := p.charts()
-		if err != nil {
-			return err
-		}
-		for _, chart := range charts {
-			fmt.Fprintf(w, "<figure>%s</figure>\n", chart)
-		}
-		fmt.Fprintln(w, "</div>")
-		for _, t := range []table.Writer{p.counts(), p.texts(), p.times()} {
-			t.Style().HTML = table.HTMLOptions{CSSClass: "figures", EscapeText: true, EmptyColumn: "&nbsp;", Newline: "<br/>"}
-			fmt.Fprintln(w, t.RenderHTML())
-		}
-	}
-	_, err := fmt.Fprintln(w, "</body></html>")
-	return err
-}
-
-const style = `body{font:15px/1.4 sans-serif;margin:2em auto;max-width:70em;padding:0 1em;color:#222}
-table.figures{border-collapse:collapse;margin:1.5em 0;font-variant-numeric:tabular-nums}
-table.figures caption,table.figures .title{text-align:left;font-weight:bold;padding:.3em 0}
-table.figures th,table.figures td{border-bottom:1px solid #ddd;padding:.25em .8em;text-align:left}
-table.figures td[align=right]{text-align:right}
-.charts{display:flex;flex-wrap:wrap;gap:1em}figure{margin:0}`
--- a/internal/router/settings/blocks.go
+++ b/internal/router/settings/blocks.go
@@ -2,7 +2,7 @@
 
 import "github.com/hashicorp/hcl/v2"
 
-// The file as HCL has it. Durations and sizes are words such as "250ms" and "1MiB".
+// file is the form of the file in HCL. Durations and sizes are strings such as "250ms" and "1MiB".
 type file struct {
 	Body      hcl.Body        `hcl:",body"`
 	Log       *logBlock       `hcl:"log,block"`
@@ -80,7 +80,8 @@
 	PerSecond    *float64 `hcl:"per_second,optional"`
 }
 
-// netBlock is a capBlock with the lengths of the prefixes that count as one. HCL has no embedding.
+// netBlock is a limitBlock with the lengths of the prefixes that count as one. HCL has no
+// embedding.
 type netBlock struct {
 	Body         hcl.Body `hcl:",body"`
 	Connections  *int     `hcl:"connections,optional"`
--- a/internal/router/settings/checker.go
+++ b/internal/router/settings/checker.go
@@ -11,7 +11,7 @@
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 )
 
-// oneLine makes the first error one line.
+// oneLine returns the first error of the diagnostics as one line with file and line.
 func oneLine(diags hcl.Diagnostics) error {
 	for _, d := range diags {
 		if d.Severity != hcl.DiagError {
@@ -26,10 +26,11 @@
 	return nil
 }
 
-// checker fills in defaults and keeps the first fault.
+// checker fills in defaults and remembers the first fault.
 type checker struct{ err error }
 
-// fault notes that a field of a block is wrong. What is not set at all is told at the block.
+// fault reports that a field of a block is wrong. The line is the field's, or the block's where the
+// field is not set.
 func (c *checker) fault(body hcl.Body, field, format string, v ...any) {
 	where := hcl.Range{}
 	if b, ok := body.(*hclsyntax.Body); ok {
@@ -41,15 +42,17 @@
 	c.faultAt(where, field, format, v...)
 }
 
+// faultAt reports that a field at a place of the file is wrong. Only the first fault counts.
 func (c *checker) faultAt(where hcl.Range, field, format string, v ...any) {
 	if c.err == nil {
 		c.err = fmt.Errorf("%s:%d: %s %s", where.Filename, where.Start.Line, field, fmt.Sprintf(format, v...))
 	}
 }
 
-func (c *checker) duration(body hcl.Body, field, text string, usual time.Duration) time.Duration {
+// duration reads a time over 0 and up to a day, or returns the fallback for an empty text.
+func (c *checker) duration(body hcl.Body, field, text string, fallback time.Duration) time.Duration {
 	if text == "" {
-		return usual
+		return fallback
 	}
 	d, err := time.ParseDuration(text)
 	if err != nil || d <= 0 || d > 24*time.Hour {
@@ -58,38 +61,42 @@
 	return d
 }
 
-func (c *checker) size(body hcl.Body, field, text string, usual, least int64) int64 {
+// size reads a number of bytes from minimum up to 1 TiB, or returns the fallback for an empty text.
+func (c *checker) size(body hcl.Body, field, text string, fallback, minimum int64) int64 {
 	if text == "" {
-		return usual
+		return fallback
 	}
 	n, err := humanize.ParseBytes(text)
-	if err != nil || n > 1<<40 || int64(n) < least {
-		c.fault(body, field, "is %q; it must be a size such as 64KiB or 1MiB, and %s at least", text, humanize.IBytes(uint64(least)))
-		return usual
+	if err != nil || n > 1<<40 || int64(n) < minimum {
+		c.fault(body, field, "is %q; it must be a size such as 64KiB or 1MiB, and %s at least", text, humanize.IBytes(uint64(minimum)))
+		return fallback
 	}
 	return int64(n)
 }
 
-func (c *checker) count(body hcl.Body, field string, n *int, usual, most int) int {
+// count returns a number from 1 to maximum, or the fallback for nil.
+func (c *checker) count(body hcl.Body, field string, n *int, fallback, maximum int) int {
 	if n == nil {
-		return usual
+		return fallback
 	}
-	if *n < 1 || *n > most {
-		c.fault(body, field, "is %d; it must be from 1 to %d", *n, most)
+	if *n < 1 || *n > maximum {
+		c.fault(body, field, "is %d; it must be from 1 to %d", *n, maximum)
 	}
 	return *n
 }
 
-func (c *checker) number(body hcl.Body, field string, n *float64, usual, least, most float64) float64 {
+// number returns a number from minimum to maximum, or the fallback for nil.
+func (c *checker) number(body hcl.Body, field string, n *float64, fallback, minimum, maximum float64) float64 {
 	if n == nil {
-		return usual
+		return fallback
 	}
-	if !(*n >= least && *n <= most) {
-		c.fault(body, field, "is %v; it must be from %v to %v", *n, least, most)
+	if !(*n >= minimum && *n <= maximum) {
+		c.fault(body, field, "is %v; it must be from %v to %v", *n, minimum, maximum)
 	}
 	return *n
 }
 
+// addr reads an IPv4 address with a port.
 func (c *checker) addr(body hcl.Body, field, text string) netip.AddrPort {
 	a, err := netip.ParseAddrPort(text)
 	if err != nil || !a.Addr().Is4() || a.Port() == 0 {
--- a/internal/router/settings/fleet.go
+++ b/internal/router/settings/fleet.go
@@ -3,38 +3,11 @@
 import (
 	"fmt"
 	"net/netip"
-	"path/filepath"
 	"regexp"
-	"time"
 
 	"reachspread/coord/members"
-	"reachspread/internal/router/lease"
 )
 
-// Recovery is the block of that name, nil for none: a router keeps what it knows for its next life.
-type Recovery struct {
-	Folder    string
-	Discovery string // the name of whose list it is, the same at all routers; empty for the address of their agents
-}
-
-// Roles is the block of that name, nil for none: what only so many routers may do at a time.
-type Roles struct {
-	Listen       string // of this router's voter; empty for a router that only asks
-	Folder       string // its durable folder, likewise
-	Voters       int    // 1, 3, 5 or 7
-	LeaseTiming  lease.Timing
-	ReplaceDelay time.Duration // until a voter that is gone makes room for another
-	MaxDraining  int           // routers of a zone that may drain at a time; 0: nobody asks
-	FleetRecord  bool          // one router keeps the fleet's record
-	Routers      []VoterRouter // that may vote
-}
-
-// VoterRouter is one that may vote, under its name in the fleet view.
-type VoterRouter struct {
-	Name    string
-	Address netip.AddrPort
-}
-
 // Fleet is the block of that name: routers keep a view of who of them lives.
 type Fleet struct {
 	Name    string           // empty: the configuration's
@@ -43,45 +16,6 @@
 	Seeds   []netip.AddrPort // none: the configuration's peers, and nobody else may join
 }
 
-// roles reads the block.
-func (c *checker) roles(b *rolesBlock) *Roles {
-	s := &Roles{Listen: b.Listen, Folder: b.Folder, Voters: c.count(b.Body, "voters", b.Voters, 3, 7), LeaseTiming: lease.DefaultTiming, FleetRecord: b.FleetRecord,
-		ReplaceDelay: c.duration(b.Body, "replace_after", b.ReplaceDelay, 10*time.Second)}
-	s.LeaseTiming.Duration = c.duration(b.Body, "lease", b.Lease, lease.DefaultTiming.Duration)
-	s.LeaseTiming.ClockAllowance = max(s.LeaseTiming.ClockAllowance, s.LeaseTiming.Duration/200)
-	s.LeaseTiming.Margin = min(s.LeaseTiming.Margin, s.LeaseTiming.Duration/10)
-	if b.MaxDraining != nil && *b.MaxDraining != 0 {
-		s.MaxDraining = c.count(b.Body, "drains", b.MaxDraining, 1, lease.MaxHolders)
-	}
-	if err := s.LeaseTiming.Validate(); err != nil {
-		c.fault(b.Body, "lease", "is no good: %v", err)
-	}
-	names := map[string]bool{}
-	for i := range b.Routers {
-		r := &b.Routers[i]
-		if !memberName.MatchString(r.Name) || names[r.Name] {
-			c.faultAt(r.Range, "router", "%q is there twice, or has not 1 to %d printable characters without spaces", r.Name, members.MaxNameLen)
-		}
-		names[r.Name] = true
-		s.Routers = append(s.Routers, VoterRouter{r.Name, c.addr(r.Body, "address", r.Address)})
-	}
-	switch {
-	case s.Voters%2 == 0:
-		c.fault(b.Body, "voters", "is %d; it must be 1, 3, 5 or 7", s.Voters)
-	case len(s.Routers) < s.Voters || len(s.Routers) > lease.MaxVoters:
-		c.fault(b.Body, "router", "is there %d times; there must be from voters, %d, to %d", len(s.Routers), s.Voters, lease.MaxVoters)
-	case (b.Listen == "") != (b.Folder == ""):
-		c.fault(b.Body, "folder", "and listen belong together: a router that may vote needs both")
-	case b.Listen != "":
-		c.addr(b.Body, "listen", b.Listen)
-		s.Folder = filepath.Clean(s.Folder)
-	}
-	if s.FleetRecord && b.Folder == "" {
-		c.fault(b.Body, "scribe", "needs a folder: the fleet's record is kept there")
-	}
-	return s
-}
-
 // fleet reads the block. Whether the configuration has what it leaves out, the program checks.
 func (c *checker) fleet(b *fleetBlock) *Fleet {
 	s := &Fleet{Name: b.Name, Listen: b.Listen}
--- a/internal/router/settings/settings.go
+++ b/internal/router/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads the operators' settings file: HCL, typed, every field checked. An error is
-// one line with the file, the line and the field. It imports the types that it fills and opens
-// nothing but the file itself.
+// Package settings reads the operators' settings file, in HCL, and checks every field. An error is
+// one line with the file, the line, the field and how to mend it. It opens nothing but the file
+// itself.
 package settings
 
 import (
@@ -14,7 +14,7 @@
 	"reachspread/internal/logging"
 )
 
-// Settings is the whole file. The zero value is that of no file.
+// Settings is the content of the file. The zero value stands for no file.
 type Settings struct {
 	LogFormat logging.Format
 	StatusDir string // folder of the status socket, empty for none
@@ -26,13 +26,14 @@
 	Recovery  *Recovery
 }
 
-// Capture says where what is taken in is kept, without text.
+// Capture says where accepted requests are captured, see package capture.
 type Capture struct {
-	Path     string // empty: nothing is kept
+	Path     string // empty: nothing is captured
 	MaxBytes int64
 }
 
-// Descriptors returns how many the block may use.
+// Descriptors returns how many file descriptors the blocks may use at most, those of the roles'
+// connections included.
 func (s *Settings) Descriptors() int {
 	n := 0
 	for _, p := range s.Shadow.Pools {
@@ -61,7 +62,7 @@
 	return n
 }
 
-// MaxMemory returns how many bytes of bodies and answers the block may hold.
+// MaxMemory returns how many bytes of bodies and answers the shadow pools may retain.
 func (s *Settings) MaxMemory() int64 {
 	var n int64
 	for _, p := range s.Shadow.Pools {
@@ -70,10 +71,10 @@
 	return n
 }
 
-// MaxStatusClients is how many may ask for the status at once.
+// MaxStatusClients is how many clients the status socket serves at a time.
 const MaxStatusClients = 4
 
-// Read reads and checks the file at path.
+// Read reads and checks the file at path. It fails with the first fault of the file.
 func Read(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -82,7 +83,7 @@
 	return Parse(text, path)
 }
 
-// Parse reads and checks a file's text; path is for the errors.
+// Parse checks the text of a file; path is for the errors.
 func Parse(text []byte, path string) (*Settings, error) {
 	parsed, diags := hclsyntax.ParseConfig(text, path, hcl.InitialPos)
 	if diags.HasErrors() {
--- a/internal/router/settings/settings_test.go
+++ b/internal/router/settings/settings_test.go
@@ -44,7 +44,7 @@
 }
 `
 
-func TestGoodFile(t *testing.T) {
+func TestParseFillsSettings(t *testing.T) {
 	s, err := Parse([]byte(good), "f.hcl")
 	if err != nil {
 		t.Fatal(err)
@@ -83,7 +83,7 @@
 }
 
 // Each fault is one line with file, line and field.
-func TestBadFiles(t *testing.T) {
+func TestParseNamesFileLineAndField(t *testing.T) {
 	badFiles(t, good, []bad{
 		{`status {`, `statue {`, `f.hcl:4: Unsupported block type: Blocks of type "statue"`},
 		{`late = "5ms"`, `later = "5ms"`, `f.hcl:15: Unsupported argument: An argument named "later"`},
@@ -155,7 +155,7 @@
 }
 `
 
-func TestGoodAdmission(t *testing.T) {
+func TestParseAdmission(t *testing.T) {
 	s, err := Parse([]byte(goodAdmission), "f.hcl")
 	if err != nil {
 		t.Fatal(err)
@@ -173,7 +173,7 @@
 	}
 }
 
-func TestBadAdmission(t *testing.T) {
+func TestParseRejectsBadAdmission(t *testing.T) {
 	badFiles(t, goodAdmission, []bad{
 		{`reserve = 0.5`, `reserve = 1.5`, "f.hcl:5: reserve is 1.5; it must be from 0 to 0.9"},
 		{`reserve = 0.5`, `reserve = -1`, "f.hcl:5: reserve is -1"},
@@ -206,7 +206,7 @@
 }
 
 // The file that stands under deploy is one that can be used.
-func TestDeployedFile(t *testing.T) {
+func TestDeployedFileIsValid(t *testing.T) {
 	if _, err := Read("../../../deploy/settings.hcl"); err != nil {
 		t.Error(err)
 	}
@@ -237,7 +237,7 @@
 `
 
 // The block fleet, whole and empty, and its faults.
-func TestFleet(t *testing.T) {
+func TestParseFleet(t *testing.T) {
 	s, err := Parse([]byte(goodFleet), "f.hcl")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/router/settings/shadow.go
+++ b/internal/router/settings/shadow.go
@@ -10,7 +10,7 @@
 	"reachspread/internal/router/shadow"
 )
 
-// Shadow is the block of that name.
+// Shadow is the block "shadow": copies of requests to candidate pools.
 type Shadow struct {
 	TenantHeader string // empty: no tenants
 	Records      Records
@@ -19,7 +19,7 @@
 
 // Records says where the records of compared answers go.
 type Records struct {
-	Folder    string // empty: none are kept
+	Folder    string // empty: none are written
 	FileBytes int64
 	Files     int
 	Texts     bool // prompts and answers too
@@ -34,17 +34,17 @@
 	Sockets           int           // connections to its hosts
 	FirstEventTimeout time.Duration // for the first event of a copy's answer
 	StreamIdleTimeout time.Duration // for its stream
-	AnswerBytes       int           // kept of each of the two answers
-	SingleCopier      bool          // only the router that has the duty copies
+	AnswerBytes       int           // retained of each of the two answers
+	SingleCopier      bool          // only the router that holds the lease of Role copies
 }
 
-// Role is the name of the duty to copy to the pool.
+// Role is the name of the singleton role of copying to the pool.
 func (p *Pool) Role() string { return CopierRole(p.Choice.Pool) }
 
-// CopierRole is the name of the duty to copy to a pool.
+// CopierRole is the name of the singleton role of copying to a pool.
 func CopierRole(pool string) string { return "copier/" + pool }
 
-// SingleCopierPools are the pools to which one router copies.
+// SingleCopierPools returns the names of the pools with a single copier.
 func (s *Settings) SingleCopierPools() (names []string) {
 	for i := range s.Shadow.Pools {
 		if p := &s.Shadow.Pools[i]; p.SingleCopier {
@@ -59,6 +59,7 @@
 
 var headerName = regexp.MustCompile(`^[A-Za-z0-9-]+$`)
 
+// shadow reads the block.
 func (c *checker) shadow(b *shadowBlock) Shadow {
 	s := Shadow{TenantHeader: b.TenantHeader}
 	if b.TenantHeader != "" && !headerName.MatchString(b.TenantHeader) {
@@ -90,6 +91,7 @@
 	return s
 }
 
+// pressure reads the block "pressure"; nil stands for one without fields.
 func (c *checker) pressure(b *pressureBlock) shadow.Pressure {
 	if b == nil {
 		b = new(pressureBlock)
@@ -108,7 +110,8 @@
 
 var poolName = regexp.MustCompile(`^[a-z0-9-]{1,32}$`)
 
-func (c *checker) pool(b *poolBlock, tenants string) Pool {
+// pool reads a block "pool". The pressure is that of all pools.
+func (c *checker) pool(b *poolBlock, tenantHeader string) Pool {
 	p := Pool{
 		Choice:            shadow.Choice{Pool: b.Name, Share: b.Share, Classes: b.Classes, Tenants: b.Tenants},
 		Discovery:         b.Discovery,
@@ -116,7 +119,8 @@
 		Sockets:           c.count(b.Body, "sockets", b.Sockets, 16, 10_000),
 		FirstEventTimeout: c.duration(b.Body, "patience", b.FirstEventTimeout, 15*time.Second),
 		StreamIdleTimeout: c.duration(b.Body, "silent", b.StreamIdleTimeout, 15*time.Second),
-		// An answer of the platform's longest body must not push out the caps of everything else.
+		// The answers count in MaxMemory: one of the platform's longest body would leave no room
+		// for others.
 		AnswerBytes: int(c.size(b.Body, "answer_bytes", b.AnswerBytes, 32<<10, 1<<10)),
 		Decider: shadow.Config{
 			Caps: shadow.Caps{
@@ -135,13 +139,20 @@
 			},
 		},
 	}
-	h := &p.Decider.Health
+	c.checkPool(b, &p, tenantHeader)
+	p.Hosts = c.hosts(b.Hosts)
+	return p
+}
+
+// checkPool checks the fields of a pool that depend on others.
+func (c *checker) checkPool(b *poolBlock, p *Pool, tenantHeader string) {
+	health, caps := &p.Decider.Health, &p.Decider.Caps
 	switch {
 	case !poolName.MatchString(b.Name):
 		c.faultAt(b.Range, "pool", "%q: a name has 1 to 32 small letters, digits and hyphens", b.Name)
 	case !(b.Share >= 0 && b.Share <= 1):
 		c.fault(b.Body, "share", "is %v; it must be from 0 to 1", b.Share)
-	case len(b.Tenants) > 0 && tenants == "":
+	case len(b.Tenants) > 0 && tenantHeader == "":
 		c.fault(b.Body, "tenants", "needs tenant_header in the block shadow, which says where a tenant stands")
 	case slices.Contains(b.Classes, "") || slices.Contains(b.Tenants, ""):
 		c.fault(b.Body, "classes", "and tenants hold an empty name")
@@ -149,16 +160,20 @@
 		c.faultAt(b.Range, "pool", "%q has no hosts; it needs blocks host, or discovery", b.Name)
 	case b.Discovery != "" && len(b.Hosts) > 0:
 		c.fault(b.Body, "discovery", "and blocks host exclude each other")
-	case h.MinBackoff > h.MaxBackoff:
-		c.fault(b.Body, "retry_first", "is %v; it must not be more than retry_most, %v", h.MinBackoff, h.MaxBackoff)
-	case p.FirstEventTimeout > p.Decider.Caps.MaxDuration:
-		c.fault(b.Body, "patience", "is %v; it must not be more than longest, %v", p.FirstEventTimeout, p.Decider.Caps.MaxDuration)
+	case health.MinBackoff > health.MaxBackoff:
+		c.fault(b.Body, "retry_first", "is %v; it must not be more than retry_most, %v", health.MinBackoff, health.MaxBackoff)
+	case p.FirstEventTimeout > caps.MaxDuration:
+		c.fault(b.Body, "patience", "is %v; it must not be more than longest, %v", p.FirstEventTimeout, caps.MaxDuration)
 	}
 	if _, _, err := net.SplitHostPort(b.Discovery); b.Discovery != "" && err != nil {
 		c.fault(b.Body, "discovery", "is %q; it must be an address with a port", b.Discovery)
 	}
+}
+
+// hosts reads the blocks "host" of a pool.
+func (c *checker) hosts(blocks []hostBlock) (hosts []Host) {
 	ids := map[string]bool{}
-	for _, host := range b.Hosts {
+	for _, host := range blocks {
 		if _, _, err := net.SplitHostPort(host.Addr); err != nil {
 			c.fault(host.Body, "addr", "is %q; it must be an address with a port", host.Addr)
 		}
@@ -166,7 +181,7 @@
 			c.faultAt(host.Range, "host", "%q is empty or there twice in its pool", host.ID)
 		}
 		ids[host.ID] = true
-		p.Hosts = append(p.Hosts, Host{ID: host.ID, Addr: host.Addr, Zone: host.Zone, Kind: host.Kind})
+		hosts = append(hosts, Host{ID: host.ID, Addr: host.Addr, Zone: host.Zone, Kind: host.Kind})
 	}
-	return p
+	return hosts
 }
