--- a/cmd/reachspread/control_processes_test.go
+++ b/cmd/reachspread/control_processes_test.go
@@ -271,7 +271,7 @@
 		f.untilWhole(3)
 		f.untilAcknowledged(h, before)
 	}
-	f.End()
+	f.KillAll()
 	f.must(f.StartAll())
 	f.untilWhole(3)
 	f.untilAcknowledged(h, h.newest())
--- a/cmd/reachspread/golden_test.go
+++ b/cmd/reachspread/golden_test.go
@@ -108,7 +108,7 @@
 	f.Fleet = localfleet.New(localfleet.Options{Folder: f.folder, Network: goldenFleetNetwork, Routers: goldenRouters, Disks: goldenRouters,
 		Executable: []string{os.Args[0], "router"}, Environment: func(int) []string { return []string{asRouter + "=1"} },
 		HeartbeatMs: heartbeatMs, RevocationMs: goldenRevocationMs})
-	t.Cleanup(f.End)
+	t.Cleanup(f.KillAll)
 	if *writeGolden {
 		is.NoErr(os.RemoveAll(goldenFleetPath))
 		is.NoErr(os.MkdirAll(goldenFleetPath, 0o755))
@@ -304,7 +304,7 @@
 		g.is.NoErr(g.Terminate(i))
 	}
 	for i := range goldenRouters {
-		e, ok := g.AwaitEnd(t.Context(), i)
+		e, ok := g.AwaitExit(t.Context(), i)
 		t.Log(e, ok)
 	}
 	t.Log("kept at the end:", kept())
--- a/cmd/reachspread/processes_test.go
+++ b/cmd/reachspread/processes_test.go
@@ -45,7 +45,7 @@
 	f.Fleet = localfleet.New(localfleet.Options{Folder: f.folder, Network: "127.78.0", Routers: count, Disks: disks, Executable: []string{os.Args[0], "router"},
 		Environment: func(i int) []string { return []string{asRouter + "=1", failuresFile + "=" + f.failuresPath(i)} },
 		HeartbeatMs: heartbeatMs, RevocationMs: boundMs})
-	t.Cleanup(f.End)
+	t.Cleanup(f.KillAll)
 	f.must(f.StartAll())
 	return f
 }
@@ -72,7 +72,7 @@
 // untilReady waits until processes say that clients may come.
 func (f *processes) untilReady(which ...int) {
 	f.t.Helper()
-	f.must(f.UntilReady(f.t.Context(), which...))
+	f.must(f.AwaitReady(f.t.Context(), which...))
 }
 
 // story is clients on the processes, and hosts of two versions.
@@ -147,7 +147,7 @@
 	change(1)
 	f.heal()
 	f.untilWhole(3)
-	f.End()
+	f.KillAll()
 	f.must(f.StartAll())
 	f.untilReady(0, 1, 2, 3, 4)
 	change(2)
--- a/internal/testbed/fleetdemo/fleetdemo.go
+++ b/internal/testbed/fleetdemo/fleetdemo.go
@@ -92,7 +92,7 @@
 		}
 	}
 	go d.story.Heartbeats(ctx, heartbeatEvery)
-	if err := d.fleet.UntilReady(ctx, all...); err != nil {
+	if err := d.fleet.AwaitReady(ctx, all...); err != nil {
 		return err
 	}
 	fmt.Fprintf(d.o.Out, "%d routers are ready, %d of them keep the register, before %d hosts\n", d.fleet.Len(), coreMachines, len(d.hosts))
@@ -162,7 +162,7 @@
 	for _, h := range d.hosts {
 		h.Close()
 	}
-	d.fleet.End()
+	d.fleet.KillAll()
 }
 
 // tally counts requests by their ends.
--- a/internal/testbed/soak/conductor.go
+++ b/internal/testbed/soak/conductor.go
@@ -91,7 +91,7 @@
 	for i := range c.play.fleet.Len() {
 		all = append(all, i)
 	}
-	if err := c.play.fleet.UntilReady(within, all...); err != nil && ctx.Err() == nil {
+	if err := c.play.fleet.AwaitReady(within, all...); err != nil && ctx.Err() == nil {
 		c.play.find("RECOVER", err.Error())
 	}
 }
@@ -114,7 +114,7 @@
 
 // give lets a router go once it serves again, and the register a while after.
 func (c *conductor) give(ctx context.Context, i int) {
-	c.play.fleet.UntilReady(ctx, i)
+	c.play.fleet.AwaitReady(ctx, i)
 	core := c.play.fleet.HasDisk(i)
 	if core {
 		sleep(ctx, coreCalm)
@@ -205,7 +205,7 @@
 	if rng.IntN(4) == 0 {
 		f.Reload(i)
 	}
-	e, ok := f.AwaitEnd(graceful, i)
+	e, ok := f.AwaitExit(graceful, i)
 	took := time.Since(began)
 	if !ok {
 		f.Kill(i)
--- a/internal/testbed/soak/mixedfleet_test.go
+++ b/internal/testbed/soak/mixedfleet_test.go
@@ -103,12 +103,12 @@
 	defer cancel()
 	f := localfleet.New(localfleet.Options{Folder: t.TempDir(), Network: "127.80.3", Routers: 4, Disks: 3, Executable: both.landed,
 		HeartbeatMs: heartbeatMs, RevocationMs: 2000, GraceS: graceS})
-	defer f.End()
+	defer f.KillAll()
 	is.NoErr(f.StartAll())
 	story := newPinStory(t, f)
 	is.NoErr(story.Configure(ctx))
 	is.NoErr(story.Register(ctx))
-	is.NoErr(f.UntilReady(ctx, 0, 1, 2, 3))
+	is.NoErr(f.AwaitReady(ctx, 0, 1, 2, 3))
 	go story.Heartbeats(ctx, heartbeatMs*time.Millisecond)
 	story.Traffic()
 	is.NoErr(story.Change(ctx, 1))
@@ -153,7 +153,7 @@
 	if err := f.Terminate(i); err != nil {
 		t.Fatal(err)
 	}
-	end, ok := f.AwaitEnd(ctx, i)
+	end, ok := f.AwaitExit(ctx, i)
 	if !ok || end.Status != 0 {
 		t.Fatalf("%s ended with %d after SIGTERM, in time %v", f.Name(i), end.Status, ok)
 	}
@@ -161,7 +161,7 @@
 	if err := f.Start(i); err != nil {
 		t.Fatal(err)
 	}
-	if err := f.UntilReady(ctx, i); err != nil {
+	if err := f.AwaitReady(ctx, i); err != nil {
 		t.Fatal(err)
 	}
 	checkProgram(t, f, i, program)
--- a/internal/testbed/soak/soak.go
+++ b/internal/testbed/soak/soak.go
@@ -96,7 +96,7 @@
 	p := &play{o: o, begun: time.Now(), report: Report{Seed: o.Seed, Requests: map[Outcome]int{}, Events: map[string]int{}}}
 	p.fleet = localfleet.New(localfleet.Options{Folder: folder, Network: o.Network, Routers: o.Routers, Disks: o.Disks, Executable: o.Executable,
 		HeartbeatMs: heartbeatMs, RevocationMs: revocation, GraceS: graceS})
-	defer p.fleet.End()
+	defer p.fleet.KillAll()
 	if err := p.fleet.StartAll(); err != nil {
 		return nil, err
 	}
@@ -133,7 +133,7 @@
 	for i := range p.fleet.Len() {
 		all = append(all, i)
 	}
-	return p.fleet.UntilReady(ctx, all...)
+	return p.fleet.AwaitReady(ctx, all...)
 }
 
 // playAll has clients, operators and the schedule work beside each other, and judges once all have ended.
