--- a/internal/router/lease/agent.go
+++ b/internal/router/lease/agent.go
@@ -11,10 +11,11 @@
 
 // Periods and bounds of an agent.
 const (
-	replyTimeout        = 150 * time.Millisecond // then another voter is asked
-	queuedRetryInterval = 10 * time.Second       // while queued, in case it was forgotten; up to a half longer
-	maxRetryDelay       = 2 * time.Second        // between two attempts while no voter replies
-	maxOutstanding      = 8                      // requests of one role whose reply still counts
+	replyTimeout = 150 * time.Millisecond // then another voter is asked
+	// queuedRetryInterval is that of a queued router, in case it was forgotten; up to a half longer.
+	queuedRetryInterval = 10 * time.Second
+	maxRetryDelay       = 2 * time.Second // between two attempts while no voter replies
+	maxOutstanding      = 8               // requests of one role whose reply still counts
 
 	// ReacquireDelay is the least time until a role that was given back is acquired anew.
 	ReacquireDelay = replyTimeout
--- a/internal/router/lease/agent_requests.go
+++ b/internal/router/lease/agent_requests.go
@@ -99,7 +99,8 @@
 		}
 		a.setLeader(from)
 		sentAt := m.outstanding[i].at
-		m.outstanding = slices.Delete(m.outstanding, 0, i+1) // replies to earlier ones count no more
+		// Replies to earlier ones count no more.
+		m.outstanding = slices.Delete(m.outstanding, 0, i+1)
 		m.attempts = 0
 		return a.handleResult(m, now, sentAt, &r.Result)
 	}
--- a/internal/router/lease/apply.go
+++ b/internal/router/lease/apply.go
@@ -54,7 +54,8 @@
 		t.token = NextTokenBlock(seen)
 	}
 	for i, g := range s.grants {
-		if g.Holder == router { // it has not heard of the grant, and will count its lease from this request
+		// It has not heard of the grant, and will count its lease from this request.
+		if g.Holder == router {
 			return s.confirm(i), nil
 		}
 		if g.Holder.Name == router.Name {
--- a/internal/router/lease/command.go
+++ b/internal/router/lease/command.go
@@ -16,13 +16,13 @@
 
 // The kinds. Routers send those up to RequestTransfer; the rest are the voters' own.
 const (
-	Acquire         CommandKind = iota // a grant for Router if a slot is free, otherwise a place in the queue
+	Acquire         CommandKind = iota // grants Router a free slot, or else queues it
 	Renew                              // Router still works under Token
 	Release                            // Router gives Token back
 	Transfer                           // as Release, and the slot is reserved for To
-	Expire                             // Token has had no renewal beyond Renewals for a whole lease, by the leader's clock
-	Dequeue                            // Router waits no more, or the reservation for To lapses
-	RequestTransfer                    // operators want the holder of Token, 0 for the first, to transfer to To
+	Expire                             // a lease has passed since Token's Renewals-th renewal
+	Dequeue                            // Router waits no more, or To's reservation lapses
+	RequestTransfer                    // has Token's holder, 0 for the first, transfer to To
 	DefineRole                         // the role Definition exists from here on
 	RaiseToken                         // tokens begin above Token
 )
@@ -81,7 +81,7 @@
 	RefusedNoSuchCommand Refusal = "there is no such command"
 	RefusedNoSuchGrant   Refusal = "the grant is no more"
 	RefusedRenewed       Refusal = "it was renewed, or is no more"
-	RefusedNotGranted      Refusal = "nobody holds it"
+	RefusedNotGranted    Refusal = "nobody holds it"
 	RefusedRouterName    Refusal = "the router has no name, or too long a one"
 	RefusedQueueFull     Refusal = "too many wait"
 	RefusedQueued        Refusal = "it is held; the router waits in line"
--- a/internal/router/lease/datagram.go
+++ b/internal/router/lease/datagram.go
@@ -12,7 +12,8 @@
 // before them as a byte, and a checksum (CRC-32C) of all before it stands at the end.
 //
 //	request:      number, command kind, role, router (name, boot, zone), token, renewals, to
-//	reply:        number, boot, flags, leader, grant (role, token, renewals, transfer to, reason), refusal
+//	reply:        number, boot, flags, leader, grant (role, token, renewals, transfer to, reason),
+//	              refusal
 //	notification: as a reply, with number 0
 const wireVersion = 3
 
--- a/internal/router/lease/role.go
+++ b/internal/router/lease/role.go
@@ -15,7 +15,7 @@
 	MaxNameBytes = 48   // of the name of a role, a router or a zone
 )
 
-// AnyRouter, in place of a router's name, stands for whoever is first in the queue.
+// AnyRouter stands in place of a router's name for whoever is first in the queue.
 const AnyRouter = "*"
 
 // Role is one kind of work that only so many routers may do at a time. It is stored in the voters'
--- a/internal/router/peering/doc.go
+++ b/internal/router/peering/doc.go
@@ -2,12 +2,12 @@
 // and singleton roles with the voters that agree on them. It decides nothing: the deciders are
 // packages members, lease and quorum, and each has one goroutine or one mutex here that owns it.
 //
-//   - Gossip owns the socket for datagrams. It hands those of the membership, of roles and of recovery
-//     to their owners, and peer reports to the caller of Run.
+//   - Gossip owns the socket for datagrams. It hands those of the membership, of roles and of
+//     recovery to their owners, and peer reports to the caller of Run.
 //   - ViewDriver owns the decider of the membership.
 //   - Roles owns a router's lease.Agent, behind a mutex, and runs the work under each role with a
-//     context that ends before the lease does. At a candidate it also runs the voter: one goroutine
-//     owns quorum.Voter and its store, and carries out its actions in order.
+//     context that ends before the lease does. At a candidate it also runs the voter: one
+//     goroutine owns quorum.Voter and its store, and carries out its actions in order.
 //
 // Datagrams may be lost, and what finds no room in a queue is lost like them. Messages between
 // candidates go over framed TCP (package link), where they may be lost only with the connection.
--- a/internal/router/peering/roles_test.go
+++ b/internal/router/peering/roles_test.go
@@ -399,7 +399,8 @@
 	s.updateViews()
 	for said := ""; !strings.HasPrefix(said, "voters without leader"); said = scripted.Receive(t, s.routers[2].lines, "that duties have stopped") {
 	}
-	for end := time.Now().Add(scripted.EventTimeout); ; time.Sleep(20 * time.Millisecond) { // the dead may have named a leader a moment ago, which is a reason, too
+	// The dead may have named a leader a moment ago, which is a reason, too.
+	for end := time.Now().Add(scripted.EventTimeout); ; time.Sleep(20 * time.Millisecond) {
 		err := ask(2)
 		if err != nil && strings.Contains(err.Error(), "may live") {
 			break
--- a/internal/router/quorum/config.go
+++ b/internal/router/quorum/config.go
@@ -10,15 +10,17 @@
 
 // Timing of elections and hellos.
 const (
-	TickInterval         = 50 * time.Millisecond // of the leader; it sends heartbeats each heartbeatTicks
+	// TickInterval is the leader's; it sends heartbeats each heartbeatTicks.
+	TickInterval         = 50 * time.Millisecond
 	heartbeatTicks       = 2
 	electionTimeoutTicks = 8 // without the leader, after which a voter campaigns
 	electionJitterTicks  = 4 // over which the campaigns of several voters are spread
 	maxTicksAtOnce       = 4 // after a pause of the process
 
-	helloInterval       = 200 * time.Millisecond // while a candidate is no member, or knows no leader
-	memberHelloInterval = 2 * time.Second        // of a member
-	helloTTL            = 3 * time.Second        // for how long a hello counts
+	// helloInterval is that of a candidate that is no member, or knows no leader.
+	helloInterval       = 200 * time.Millisecond
+	memberHelloInterval = 2 * time.Second // of a member
+	helloTTL            = 3 * time.Second // for how long a hello counts
 
 	// storeCheckTimeout bounds the wait for all that are alive to say what they know of the own
 	// store. A voter whose peers are down must not wait for them for ever.
@@ -29,10 +31,12 @@
 
 // Timing of the leader's work on leases and on the group.
 const (
-	reconfigureInterval   = 300 * time.Millisecond
-	notifyInterval        = 50 * time.Millisecond  // between two notifications of one grant
-	confirmTimeout        = 300 * time.Millisecond // a grant made in turn is taken back if its holder does not renew it
-	queueCheckInterval    = time.Second            // between two looks for queued routers that are dead
+	reconfigureInterval = 300 * time.Millisecond
+	notifyInterval      = 50 * time.Millisecond // between two notifications of one grant
+	// confirmTimeout is after what a grant made in turn is taken back unless its holder renews it.
+	confirmTimeout = 300 * time.Millisecond
+	// queueCheckInterval is between two looks for queued routers that are dead.
+	queueCheckInterval    = time.Second
 	proposalRetryInterval = 200 * time.Millisecond // until a proposal that was lost is made again
 	learnerTimeout        = 10 * time.Second       // a learner that is lost for so long is removed
 )
--- a/internal/router/quorum/events.go
+++ b/internal/router/quorum/events.go
@@ -94,10 +94,10 @@
 
 // The notices.
 const (
-	NoticeNoLeader      NoticeKind = "voters without leader"    // there has been no leader for a while
-	NoticeLeaderElected NoticeKind = "voters have a leader"      // there is one again
-	NoticeRejoining     NoticeKind = "voter rejoins" // the store can't be trusted
-	NoticeGroupFounded  NoticeKind = "voter group founded"    // by this router
+	NoticeNoLeader      NoticeKind = "voters without leader" // there has been no leader for a while
+	NoticeLeaderElected NoticeKind = "voters have a leader"  // there is one again
+	NoticeRejoining     NoticeKind = "voter rejoins"         // the store can't be trusted
+	NoticeGroupFounded  NoticeKind = "voter group founded"   // by this router
 )
 
 // Stage is how far a candidate is on its way to voting. It is in hellos, and shown to operators.
--- a/internal/router/quorum/hello.go
+++ b/internal/router/quorum/hello.go
@@ -13,7 +13,8 @@
 func (v *Voter) newHello() *hello {
 	h := &hello{Stage: v.stage(), LastTerm: v.lastEntry.term, LastIndex: v.lastEntry.index, HighestToken: v.meta.HighestToken,
 		Members: v.meta.Members, Voters: v.meta.Voters, Applied: v.applied}
-	if h.Stage == Voting || h.Stage == Learning { // what is only reported to this router is not passed on
+	// What is only reported to this router is not passed on.
+	if h.Stage == Voting || h.Stage == Learning {
 		h.Leader = v.Leader()
 	}
 	if v.hardState != nil {
@@ -156,7 +157,8 @@
 	if m.Starts != r.Starts || m.Boot != r.Boot {
 		r.Starts, r.Boot = m.Starts, m.Boot
 		v.meta.StoreRecords[m.From.ID] = r
-		v.actions = append(v.actions, Persist{Meta: v.cloneMeta()}) // before anybody is told that the store is complete
+		// It is persisted before anybody is told that the store is complete.
+		v.actions = append(v.actions, Persist{Meta: v.cloneMeta()})
 	}
 	return ""
 }
--- a/internal/router/quorum/join.go
+++ b/internal/router/quorum/join.go
@@ -102,7 +102,8 @@
 	for _, n := range members {
 		voters = append(voters, n.ID)
 	}
-	data, _ := json.Marshal(snapshotContent{members, lease.State{Token: tokenFloor}}) // of plain fields
+	// It can't fail: all fields are plain.
+	data, _ := json.Marshal(snapshotContent{members, lease.State{Token: tokenFloor}})
 	one := uint64(1)
 	return &raftpb.Snapshot{Data: data, Metadata: &raftpb.SnapshotMetadata{Index: &one, Term: &one, ConfState: &raftpb.ConfState{Voters: voters}}}
 }
--- a/internal/router/quorum/leases.go
+++ b/internal/router/quorum/leases.go
@@ -67,7 +67,8 @@
 		switch {
 		case v.now >= renewedAt+v.config.Timing.Duration, g.Unconfirmed && v.now >= renewedAt+confirmTimeout:
 			v.propose(lease.Command{Kind: lease.Expire, Role: g.Role, Token: g.Token, Renewals: g.Renewals})
-			v.renewedAt[g.Token] = v.now - v.config.Timing.Duration + proposalRetryInterval // again, if it is lost
+			// It is proposed again if it is lost.
+			v.renewedAt[g.Token] = v.now - v.config.Timing.Duration + proposalRetryInterval
 		case notified && v.now >= notification.nextAt, g.Unconfirmed && !notified:
 			v.notifyHolder(g)
 			interval := notifyInterval
--- a/internal/router/quorum/raft.go
+++ b/internal/router/quorum/raft.go
@@ -163,7 +163,8 @@
 		}
 	}
 	if m.GetType() == raftpb.MsgSnap {
-		v.raft.ReportSnapshot(m.GetTo(), raft.SnapshotFinish) // whether it came, the next reply shows
+		// The next reply shows whether it came.
+		v.raft.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
 	}
 }
 
@@ -252,7 +253,8 @@
 	if err != nil || last.GetMetadata().GetIndex() >= s.voter.applied || s.voter.confState == nil {
 		return last, err
 	}
-	data, _ := json.Marshal(snapshotContent{s.voter.meta.Members, s.voter.table.State()}) // of plain fields
+	// It can't fail: all fields are plain.
+	data, _ := json.Marshal(snapshotContent{s.voter.meta.Members, s.voter.table.State()})
 	return s.MemoryStorage.CreateSnapshot(s.voter.applied, s.voter.confState, data)
 }
 
--- a/internal/router/recovery/baseline.go
+++ b/internal/router/recovery/baseline.go
@@ -44,7 +44,8 @@
 	fraction := elapsed / b.weight
 	b.mean.CompletedWork += (l.CompletedWork - b.mean.CompletedWork) * fraction
 	b.mean.MeanWork += (l.MeanWork - b.mean.MeanWork) * fraction
-	b.mean.DecodeTimes, b.mean.PrefillByKind, b.mean.Replicas = l.DecodeTimes, l.PrefillByKind, l.Replicas // averages already
+	// These are averages already.
+	b.mean.DecodeTimes, b.mean.PrefillByKind, b.mean.Replicas = l.DecodeTimes, l.PrefillByKind, l.Replicas
 	if b.demand == nil {
 		b.demand = map[string]float64{}
 	}
--- a/internal/router/recovery/config.go
+++ b/internal/router/recovery/config.go
@@ -20,8 +20,9 @@
 
 // Periods.
 const (
-	queryInterval          = 250 * time.Millisecond // until who has not replied is asked again
-	savedListQueryInterval = 2 * time.Second        // as queryInterval, of hosts while the saved list is in use
+	queryInterval = 250 * time.Millisecond // until who has not replied is asked again
+	// savedListQueryInterval is that of queries on hosts while the saved list is in use.
+	savedListQueryInterval = 2 * time.Second
 )
 
 // Defaults of a Config.
--- a/internal/router/recovery/doc.go
+++ b/internal/router/recovery/doc.go
@@ -6,12 +6,12 @@
 //
 // A Decider goes through the stages in their order and never back.
 //
-//   - Querying: it announces itself to the routers of the saved membership and asks for theirs, until
-//     half of them have replied or QueryTimeout has passed. By their boot numbers it later classifies
-//     the Outage.
-//   - Listing: it waits for discovery's list of hosts. If that does not come within ListTimeout it has
-//     the saved list used, without the hosts that other routers exclude. Where a peer has a newer list
-//     and has not replied yet which hosts it has, it waits StaleListDelay longer.
+//   - Querying: it announces itself to the routers of the saved membership and asks for theirs,
+//     until half of them have replied or QueryTimeout has passed. By their boot numbers it later
+//     classifies the Outage.
+//   - Listing: it waits for discovery's list of hosts. If that does not come within ListTimeout it
+//     has the saved list used, without the hosts that other routers exclude. Where a peer has a
+//     newer list and has not replied yet which hosts it has, it waits StaleListDelay longer.
 //   - Admitting: the hosts are warming up; a Gate admits classes in the order of their value.
 //   - AwaitingVoters: it waits until the voters of roles have a leader, if there are roles.
 //   - Recovered: nothing more is waited for. Copies to shadow pools and captures begin.
--- a/internal/router/recovery/gate.go
+++ b/internal/router/recovery/gate.go
@@ -32,9 +32,10 @@
 
 	// How the highest value is served decides which fraction of warmFraction is granted.
 	grantedFraction float64
-	pending         map[string]time.Duration // requests of the highest value, with their latest answer; maxPending at most
-	inTime, late    float64                  // of those that ended, decayed
-	adjustedAt      time.Duration
+	// Pending are requests of the highest value, with their latest answer; maxPending at most.
+	pending      map[string]time.Duration
+	inTime, late float64 // of those that ended, decayed
+	adjustedAt   time.Duration
 
 	Rejected uint64 // requests
 }
--- a/internal/router/snapshot/snapshot.go
+++ b/internal/router/snapshot/snapshot.go
@@ -120,7 +120,8 @@
 		return nil, 0, err
 	}
 	s := &State{}
-	if err := json.Unmarshal(content, s); err != nil { // with a right checksum: a program wrote it so
+	// The checksum is right, so a program wrote what can't be read.
+	if err := json.Unmarshal(content, s); err != nil {
 		return nil, 0, &CorruptError{headerSize, "the content: " + err.Error()}
 	}
 	if s.List != nil {
--- a/internal/testbed/golden/golden.go
+++ b/internal/testbed/golden/golden.go
@@ -1,8 +1,10 @@
-// Package golden is test support: it compares what the code writes on a wire, and in files that it keeps, with what it wrote when the
-// golden files were made. stored.go is for files, of which each form has one.
+// Package golden is test support: it compares what the code writes on a wire, and in files that it
+// keeps, with what it wrote when the golden files were made. stored.go is for files, of which each
+// form has one.
 //
-// The golden files were made by the code of commit 5bfcc27, by running the tests with WRITE_GOLDEN=1. They are not to be made again: a test
-// that fails by them has found a change of a wire format that routers of the release before can't read.
+// The golden files were made by the code of commit 5bfcc27, by running the tests with
+// WRITE_GOLDEN=1. They are not to be made again: a test that fails by them has found a change of a
+// wire format that routers of the release before can't read.
 package golden
 
 import (
@@ -24,7 +26,8 @@
 // writeVariable is the environment variable that has the files written anew instead of compared.
 const writeVariable = "WRITE_GOLDEN"
 
-// Check fails the test unless a golden file under testdata has exactly these records, in this order. It returns the file's bytes by name.
+// Check fails the test unless a golden file under testdata has exactly these records, in this
+// order. It returns the file's bytes by name.
 func Check(t testing.TB, file string, records []Record) map[string][]byte {
 	t.Helper()
 	var text strings.Builder
@@ -49,7 +52,8 @@
 	return golden
 }
 
-// CheckText fails the test unless a golden file under testdata has exactly this text. The first line that differs is shown.
+// CheckText fails the test unless a golden file under testdata has exactly this text. The first
+// line that differs is shown.
 func CheckText(t testing.TB, file, text string) {
 	t.Helper()
 	path := filepath.Join("testdata", file)
--- a/internal/testbed/golden/messages.go
+++ b/internal/testbed/golden/messages.go
@@ -13,8 +13,9 @@
 	"google.golang.org/protobuf/types/dynamicpb"
 )
 
-// CheckMessages compares all messages of protobuf files with golden data: the numbers, kinds and cardinality of their fields, and the bytes of
-// examples in which every field is set. Messages and fields are known by position and number, so that a new name passes.
+// CheckMessages compares all messages of protobuf files with golden data: the numbers, kinds and
+// cardinality of their fields, and the bytes of examples in which every field is set. Messages and
+// fields are known by position and number, so that a new name passes.
 func CheckMessages(t *testing.T, file string, descriptors ...protoreflect.FileDescriptor) {
 	t.Helper()
 	var fields strings.Builder
@@ -81,7 +82,8 @@
 	out.WriteString("\n")
 }
 
-// exampleRecords are examples of a message: one with every field set, of a oneof the first; and one more for each further field of a oneof.
+// exampleRecords are examples of a message: one with every field set, of a oneof the first; and one
+// more for each further field of a oneof.
 func exampleRecords(t *testing.T, d protoreflect.MessageDescriptor) (all []Record) {
 	for _, choice := range choices(d) {
 		m := exampleOf(d, choice)
--- a/internal/testbed/golden/stored.go
+++ b/internal/testbed/golden/stored.go
@@ -10,9 +10,10 @@
 	"testing"
 )
 
-// File returns the content of testdata/name: stored data that an earlier version wrote. Made has the bytes that the present code
-// writes. With WRITE_GOLDEN=1 a file that does not exist yet is made of them; one that exists is never written again, as what
-// routers have on their disks does not change with the code either.
+// File returns the content of testdata/name: stored data that an earlier version wrote. Made has
+// the bytes that the present code writes. With WRITE_GOLDEN=1 a file that does not exist yet is
+// made of them; one that exists is never written again, as what routers have on their disks does
+// not change with the code either.
 func File(t testing.TB, name string, made []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -32,7 +33,8 @@
 	return text
 }
 
-// Same fails the test if testdata/name does not have exactly the bytes that the present code writes.
+// Same fails the test if testdata/name does not have exactly the bytes that the present code
+// writes.
 func Same(t testing.TB, name string, made []byte) {
 	t.Helper()
 	if text := File(t, name, made); string(text) != string(made) {
@@ -40,8 +42,8 @@
 	}
 }
 
-// Complete fails the test if a field of the content that a file pins is zero, as that field would not be pinned. Fields named
-// in except, as Type.Field, may be.
+// Complete fails the test if a field of the content that a file pins is zero, as that field would
+// not be pinned. Fields named in except, as Type.Field, may be.
 func Complete(t testing.TB, content any, except ...string) {
 	t.Helper()
 	allowed := map[string]bool{}
--- a/internal/testbed/leasesim/leasesim_test.go
+++ b/internal/testbed/leasesim/leasesim_test.go
@@ -55,7 +55,8 @@
 	for i := range s.Faults {
 		f := &s.Faults[i]
 		f.At += 3 * time.Second
-		if f.Disk == faults.DiskTruncated && f.Kind == faults.Kill && !older && len(f.Routers.Numbers) == 1 { // one alone: who else knew may have to be there
+		// One alone: who else knew may have to be there.
+		if f.Disk == faults.DiskTruncated && f.Kind == faults.Kill && !older && len(f.Routers.Numbers) == 1 {
 			f.Disk, f.Keep, older = faults.DiskOlder, 0, true
 		}
 	}
@@ -114,7 +115,8 @@
 			s := drawn(seed)
 			p := play(t, s)
 			for _, v := range p.verdicts[:min(len(p.verdicts), 3)] {
-				if (strings.Contains(v.Text, "begun") || v.Checker == "linear") && losesMajority(&s) { // the guard held, and the voters had lost what they knew
+				// The guard held, and the voters had lost what they knew.
+				if (strings.Contains(v.Text, "begun") || v.Checker == "linear") && losesMajority(&s) {
 					continue
 				}
 				t.Errorf("seed %d: %v\n%s", seed, v.String(), faults.Text(s.Faults))
--- a/internal/testbed/leasesim/router.go
+++ b/internal/testbed/leasesim/router.go
@@ -65,7 +65,8 @@
 	r.generation++
 	r.alive, r.actionsUntilCrash, r.inbox, r.leases = true, noCrash, nil, map[string]uint64{}
 	r.diskAtStart = r.disk.Clone()
-	boot := (uint32(r.number)*2654435761 ^ r.generation*2246822519) | 1 // another one in each process
+	// Another one in each process.
+	boot := (uint32(r.number)*2654435761 ^ r.generation*2246822519) | 1
 	actions, err := w.makeDeciders(r, boot)
 	if err != nil {
 		w.Err = err
