--- a/cmd/reachspread/admission.go
+++ b/cmd/reachspread/admission.go
@@ -27,12 +27,15 @@
 	return c
 }
 
+// printAdmission prints the levels, the counters and who uses the most.
 func printAdmission(w io.Writer, s *program.AdmissionStatus) {
 	fmt.Fprintf(w, "door: %s, %d places, %d of them for known clients, %d lent\n", s.Level, s.Slots, s.Reserve, s.Lent)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	defer t.Flush()
 	fmt.Fprintf(t, "  connections\tknown %d, unknown %d (in the lobby %d), on the step %d\n", s.Known, s.Unknown, s.Lobby, s.Step)
-	fmt.Fprintf(t, "  open requests\t%d\n  admitted\t%d, %d promoted\n  served\t%d\n", s.Open, s.Admitted, s.Promoted, s.Served)
+	fmt.Fprintf(t, "  open requests\t%d\n", s.Open)
+	fmt.Fprintf(t, "  admitted\t%d, %d promoted\n", s.Admitted, s.Promoted)
+	fmt.Fprintf(t, "  served\t%d\n", s.Served)
 	for _, m := range []struct {
 		name   string
 		counts map[string]uint64
--- a/cmd/reachspread/main.go
+++ b/cmd/reachspread/main.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// command returns the command line.
+// command returns the root of the command line.
 func command() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "reachspread",
@@ -30,17 +30,26 @@
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
-	root.AddCommand(serveCommand(), routerCommand(), checkCommand(), shadowCommand(), admissionCommand(), fleetCommand(), snapshotCommand(), versionCommand())
+	root.AddCommand(
+		serveCommand(),
+		routerCommand(),
+		checkCommand(),
+		shadowCommand(),
+		admissionCommand(),
+		fleetCommand(),
+		snapshotCommand(),
+		versionCommand(),
+	)
 	root.SetContext(context.Background())
 	return root
 }
 
-// settingsFlag adds the flag that names the operators' settings.
+// settingsFlag adds the flag of the operators' settings file to a command.
 func settingsFlag(c *cobra.Command) *string {
 	return c.Flags().String("settings", "", "the operators' settings `file`, in HCL; without it nothing of it is on")
 }
 
-// load reads the configuration, and the settings if there is a file.
+// load reads the configuration from the environment, and the settings where a file is given.
 func load(file string) (*program.Config, logging.Format, error) {
 	cfg, err := program.Load(os.Getenv)
 	if err != nil || file == "" {
@@ -62,7 +71,7 @@
 		if *folder != "" {
 			defer profiles(*folder)()
 		}
-		reload := make(chan os.Signal, 16) // each signal counts, also while a file is being taken
+		reload := make(chan os.Signal, 16) // signals queue up while a file is read
 		signal.Notify(reload, syscall.SIGHUP)
 		defer signal.Stop(reload)
 		ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGTERM, os.Interrupt)
--- a/cmd/reachspread/shadow.go
+++ b/cmd/reachspread/shadow.go
@@ -22,35 +22,45 @@
 	"reachspread/internal/transport"
 )
 
-// reporter is the program that makes reports. It is one of its own, found beside this one: what
-// draws charts would take memory from the router.
+// reporter is the program that makes reports. It lies in the folder of this one, and is a program of
+// its own so that the router does not carry what draws charts.
 const reporter = "reachreport"
 
 func shadowCommand() *cobra.Command {
 	c := &cobra.Command{Use: "shadow", Short: "Ask about the shadow pools"}
-	c.AddCommand(shadowStatusCommand(), &cobra.Command{
+	c.AddCommand(shadowStatusCommand(), shadowReportCommand())
+	return c
+}
+
+func shadowReportCommand() *cobra.Command {
+	return &cobra.Command{
 		Use:                "report DIR [--format terminal|markdown|csv|json] [--html FILE]",
 		Short:              "Report on the records in a folder; runs " + reporter + ", which stands beside this program",
 		DisableFlagParsing: true,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			self, err := os.Executable()
-			if err != nil {
-				return err
-			}
-			run := exec.Command(filepath.Join(filepath.Dir(self), reporter), append([]string{"shadow"}, args...)...)
-			run.Stdout, run.Stderr = cmd.OutOrStdout(), cmd.ErrOrStderr()
-			err = run.Run()
-			var exit *exec.ExitError
-			switch {
-			case errors.As(err, &exit):
-				os.Exit(exit.ExitCode()) // it has told why
-			case err != nil:
-				return fmt.Errorf("%w; build it with `go build -o bin/ ./cmd/...` first", err)
-			}
-			return nil
+			return runReporter(cmd.OutOrStdout(), cmd.ErrOrStderr(), args)
 		},
-	})
-	return c
+	}
+}
+
+// runReporter runs the reporter. Where that fails, this process exits with its status, as it has
+// printed why.
+func runReporter(stdout, stderr io.Writer, args []string) error {
+	self, err := os.Executable()
+	if err != nil {
+		return err
+	}
+	run := exec.Command(filepath.Join(filepath.Dir(self), reporter), append([]string{"shadow"}, args...)...)
+	run.Stdout, run.Stderr = stdout, stderr
+	err = run.Run()
+	var exit *exec.ExitError
+	if errors.As(err, &exit) {
+		os.Exit(exit.ExitCode())
+	}
+	if err != nil {
+		return fmt.Errorf("%w; build it with `go build -o bin/ ./cmd/...` first", err)
+	}
+	return nil
 }
 
 func shadowStatusCommand() *cobra.Command {
@@ -65,7 +75,7 @@
 		})
 }
 
-// statusCommand asks about one topic, and shows the answer.
+// statusCommand asks the router for its status on a topic, and shows the answer.
 func statusCommand(short, topic string, show func(io.Writer, []byte) error) *cobra.Command {
 	c := &cobra.Command{Use: "status", Short: short, Args: cobra.NoArgs}
 	file := settingsFlag(c)
@@ -104,43 +114,10 @@
 	return transport.AskStatus(socket, topic)
 }
 
-// printShadow prints one table for each pool, and a line on the records.
+// printShadow prints a table for each pool, and a line on the records.
 func printShadow(w io.Writer, r *mirror.Report) {
-	for _, p := range r.Pools {
-		fmt.Fprintf(w, "pool %s: %s, %d hosts, pressure %s\n", p.Pool, p.Health, p.Hosts, p.Level)
-		t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-		row := func(name string, v any) { fmt.Fprintf(t, "  %s\t%v\n", name, v) }
-		if p.RetryIn != "" {
-			row("next trial in", p.RetryIn)
-		}
-		row("share", strconv.FormatFloat(p.Share, 'g', -1, 64))
-		row("copies a second, at most", p.Caps.PerSecond)
-		row("copies out", fmt.Sprintf("%d of %d, %d a host", p.Out, p.Caps.Out, p.Caps.PerHost))
-		row("copies waiting", fmt.Sprintf("%d of %d", p.Waiting, p.Caps.Waiting))
-		row("waiting for the live answer", p.Pairing)
-		row("bytes of bodies", fmt.Sprintf("%d of %d", p.BodyBytes, p.Caps.BodyBytes))
-		row("offered", p.Offered)
-		row("started", p.Started)
-		row("recorded", fmt.Sprintf("%d, %d of them compared", p.Recorded, p.Compared))
-		row("passed over, busy", p.Busy)
-		row("attempts denied by copies_per_host", p.HostFull)
-		for _, m := range []struct {
-			name   string
-			counts map[shadow.Cause]uint64
-		}{{"dropped", p.Dropped}, {"ended", p.Ended}, {"not comparable", p.Incomparable}} {
-			for _, cause := range slices.Sorted(maps.Keys(m.counts)) {
-				row(m.name+": "+string(cause), m.counts[cause])
-			}
-		}
-		for _, signal := range slices.Sorted(maps.Keys(p.Pressed)) {
-			row("pressure by "+signal, p.Pressed[signal])
-		}
-		for _, class := range slices.Sorted(maps.Keys(p.Times)) {
-			x := p.Times[class]
-			row(class+", first event, ms p50/p90/p99", spreads(x.LiveFirst, x.CopyFirst))
-			row(class+", whole answer, ms p50/p90/p99", spreads(x.LiveTotal, x.CopyTotal))
-		}
-		t.Flush()
+	for i := range r.Pools {
+		printPool(w, &r.Pools[i])
 	}
 	switch {
 	case r.Records.Folder == "":
@@ -152,6 +129,45 @@
 	}
 }
 
+// printPool prints the table of a pool.
+func printPool(w io.Writer, p *mirror.Status) {
+	fmt.Fprintf(w, "pool %s: %s, %d hosts, pressure %s\n", p.Pool, p.Health, p.Hosts, p.Level)
+	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	row := func(name string, v any) { fmt.Fprintf(t, "  %s\t%v\n", name, v) }
+	if p.RetryIn != "" {
+		row("next trial in", p.RetryIn)
+	}
+	row("share", strconv.FormatFloat(p.Share, 'g', -1, 64))
+	row("copies a second, at most", p.Caps.PerSecond)
+	row("copies out", fmt.Sprintf("%d of %d, %d a host", p.Out, p.Caps.Out, p.Caps.PerHost))
+	row("copies waiting", fmt.Sprintf("%d of %d", p.Waiting, p.Caps.Waiting))
+	row("waiting for the live answer", p.Pairing)
+	row("bytes of bodies", fmt.Sprintf("%d of %d", p.BodyBytes, p.Caps.BodyBytes))
+	row("offered", p.Offered)
+	row("started", p.Started)
+	row("recorded", fmt.Sprintf("%d, %d of them compared", p.Recorded, p.Compared))
+	row("passed over, busy", p.Busy)
+	row("attempts denied by copies_per_host", p.HostFull)
+	for _, m := range []struct {
+		name   string
+		counts map[shadow.Cause]uint64
+	}{{"dropped", p.Dropped}, {"ended", p.Ended}, {"not comparable", p.Incomparable}} {
+		for _, cause := range slices.Sorted(maps.Keys(m.counts)) {
+			row(m.name+": "+string(cause), m.counts[cause])
+		}
+	}
+	for _, signal := range slices.Sorted(maps.Keys(p.Pressed)) {
+		row("pressure by "+signal, p.Pressed[signal])
+	}
+	for _, class := range slices.Sorted(maps.Keys(p.Times)) {
+		x := p.Times[class]
+		row(class+", first event, ms p50/p90/p99", spreads(x.LiveFirst, x.CopyFirst))
+		row(class+", whole answer, ms p50/p90/p99", spreads(x.LiveTotal, x.CopyTotal))
+	}
+	t.Flush()
+}
+
+// spreads shows the quantiles of both sides.
 func spreads(live, copied mirror.Spread) string {
 	return fmt.Sprintf("live %d/%d/%d, copies %d/%d/%d", live.P50, live.P90, live.P99, copied.P50, copied.P90, copied.P99)
 }
--- a/cmd/reachspread/snapshot.go
+++ b/cmd/reachspread/snapshot.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"io"
 	"io/fs"
 	"os"
 	"path/filepath"
@@ -17,6 +18,11 @@
 
 func snapshotCommand() *cobra.Command {
 	c := &cobra.Command{Use: "snapshot", Short: "Look at what a router keeps for its next life"}
+	c.AddCommand(snapshotShowCommand(), snapshotCheckCommand())
+	return c
+}
+
+func snapshotShowCommand() *cobra.Command {
 	show := &cobra.Command{Use: "show FOLDER", Short: "Show the youngest snapshot that is whole", Args: cobra.ExactArgs(1)}
 	asJSON := show.Flags().Bool("json", false, "print all of it as JSON")
 	show.RunE = func(cmd *cobra.Command, args []string) error {
@@ -24,60 +30,76 @@
 		if err != nil {
 			return err
 		}
-		s, generation, wrong := snapshot.Newest(files)
+		s, generation, invalid := snapshot.Newest(files)
 		if s == nil {
-			return errors.Join(fmt.Errorf("%s has no whole snapshot", args[0]), wrong[0], wrong[1])
+			return errors.Join(fmt.Errorf("%s has no whole snapshot", args[0]), invalid[0], invalid[1])
 		}
 		if *asJSON {
 			return json.NewEncoder(cmd.OutOrStdout()).Encode(s)
 		}
-		w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
-		defer w.Flush()
-		fmt.Fprintf(w, "router\t%s\ngeneration\t%d\nwritten\t%s, by a clock that nothing rests on\n", s.Router, generation, s.SavedAt.Format(time.RFC3339))
-		if s.List != nil {
-			fmt.Fprintf(w, "list\t%d hosts, version %d, from %s\n", len(s.List.Servers), s.List.Version, s.ListSource)
-		}
-		fmt.Fprintf(w, "view\t%d routers, own incarnation %d\nlargest token\t%d\ndrained\t%v\nunanswered\t%d\n", len(s.Routers), s.Incarnation, s.HighestToken, s.Drained, unanswered(args[0]))
-		if s.List != nil {
-			fmt.Fprintln(w, "\nhost\tzone\tkind\tstate\taddress")
-			for _, e := range s.List.Servers {
-				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", e.ID, e.Zone, e.Kind, e.State, e.Addr)
-			}
-		}
+		printSnapshot(cmd.OutOrStdout(), s, generation, openRequests(args[0]))
 		return nil
 	}
+	return show
+}
+
+// printSnapshot prints the figures of a snapshot, and a table of its hosts.
+func printSnapshot(out io.Writer, s *snapshot.State, generation uint64, open int) {
+	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	defer w.Flush()
+	fmt.Fprintf(w, "router\t%s\ngeneration\t%d\n", s.Router, generation)
+	fmt.Fprintf(w, "written\t%s, by a clock that nothing rests on\n", s.SavedAt.Format(time.RFC3339))
+	if s.List != nil {
+		fmt.Fprintf(w, "list\t%d hosts, version %d, from %s\n", len(s.List.Servers), s.List.Version, s.ListSource)
+	}
+	fmt.Fprintf(w, "view\t%d routers, own incarnation %d\n", len(s.Routers), s.Incarnation)
+	fmt.Fprintf(w, "largest token\t%d\ndrained\t%v\nunanswered\t%d\n", s.HighestToken, s.Drained, open)
+	if s.List == nil {
+		return
+	}
+	fmt.Fprintln(w, "\nhost\tzone\tkind\tstate\taddress")
+	for _, e := range s.List.Servers {
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", e.ID, e.Zone, e.Kind, e.State, e.Addr)
+	}
+}
+
+func snapshotCheckCommand() *cobra.Command {
 	check := &cobra.Command{Use: "check FOLDER", Short: "Say of each snapshot whether it is whole, or what is wrong at which byte", Args: cobra.ExactArgs(1)}
 	check.RunE = func(cmd *cobra.Command, args []string) error {
 		files, err := readSnapshots(args[0])
 		if err != nil {
 			return err
 		}
-		found := false
-		for i, b := range files {
-			if b == nil {
-				fmt.Fprintf(cmd.OutOrStdout(), "%s: not there\n", snapshot.GenerationFiles[i])
-				continue
-			}
-			_, generation, err := snapshot.Decode(b)
-			if err != nil {
-				fmt.Fprintf(cmd.OutOrStdout(), "%s: %v\n", snapshot.GenerationFiles[i], err)
-				continue
-			}
-			found = true
-			fmt.Fprintf(cmd.OutOrStdout(), "%s: whole, generation %d, %d bytes\n", snapshot.GenerationFiles[i], generation, len(b))
-		}
-		if !found {
+		if !checkSnapshots(cmd.OutOrStdout(), files) {
 			return errors.New("none is whole")
 		}
 		return nil
 	}
-	c.AddCommand(show, check)
-	return c
+	return check
+}
+
+// checkSnapshots prints a line for each file, and reports whether one of them is valid.
+func checkSnapshots(out io.Writer, files [2][]byte) (valid bool) {
+	for i, b := range files {
+		name := snapshot.GenerationFiles[i]
+		if b == nil {
+			fmt.Fprintf(out, "%s: not there\n", name)
+			continue
+		}
+		_, generation, err := snapshot.Decode(b)
+		if err != nil {
+			fmt.Fprintf(out, "%s: %v\n", name, err)
+			continue
+		}
+		valid = true
+		fmt.Fprintf(out, "%s: whole, generation %d, %d bytes\n", name, generation, len(b))
+	}
+	return valid
 }
 
-// unanswered is how many requests a folder's open ones are, 0 where their file is not there or not
-// whole.
-func unanswered(folder string) int {
+// openRequests returns how many requests were open by the file of a folder, 0 where that is missing
+// or invalid.
+func openRequests(folder string) int {
 	text, err := os.ReadFile(filepath.Join(folder, snapshot.OpenRequestsFile))
 	if err != nil {
 		return 0
@@ -89,7 +111,7 @@
 	return len(open.OpenRequests) + open.OmittedRequests
 }
 
-// readSnapshots reads the two files of a folder, nil for one that is not there.
+// readSnapshots reads the two snapshot files of a folder, nil for a missing one.
 func readSnapshots(folder string) (files [2][]byte, err error) {
 	if _, err := os.Stat(folder); err != nil {
 		return files, err
--- a/internal/testbed/simulator/bound.go
+++ b/internal/testbed/simulator/bound.go
@@ -12,36 +12,36 @@
 // have kept, and is never idle; the classes share hosts as fits their worth best. Routers may come
 // near it and not beyond, but for what the means hide: a second whose requests are all short.
 
-// need is what a class asked for within a second.
-type need struct{ n, unread, out, prompt float64 }
+// classDemand is what a class asked for within a second.
+type classDemand struct{ requests, prefillTokens, answerTokens, promptTokens float64 }
 
-// needs counts a request that is asked for now.
-func (w *World) needs(f *request) {
+// countDemand counts a request that is asked for now.
+func (w *World) countDemand(f *request) {
 	s := f.session
-	unread := f.prompt - s.shared
-	if s.known > 0 && s.askedAt >= w.emptied {
-		unread = min(unread, f.prompt-s.known)
+	unread := f.promptTokens - s.prefixTokens
+	if s.cachedTokens > 0 && s.askedAt >= w.noHostsAt {
+		unread = min(unread, f.promptTokens-s.cachedTokens)
 	}
-	s.askedAt, s.known = w.now, f.prompt+f.out
-	if len(w.need) == 0 {
-		w.need = make([]need, len(w.s.Classes))
+	s.askedAt, s.cachedTokens = w.now, f.promptTokens+f.answerTokens
+	if len(w.demand) == 0 {
+		w.demand = make([]classDemand, len(w.spec.Classes))
 	}
-	x := &w.need[s.load.n]
-	*x = need{x.n + 1, x.unread + float64(max(unread, 1)), x.out + float64(f.out), x.prompt + float64(f.prompt)}
+	x := &w.demand[s.load.class]
+	*x = classDemand{x.requests + 1, x.prefillTokens + float64(max(unread, 1)), x.answerTokens + float64(f.answerTokens), x.promptTokens + float64(f.promptTokens)}
 }
 
-// inTime returns how many requests of a class a host could serve in a second if it did nothing
+// hostRate returns how many requests of a class a host could serve in a second if it did nothing
 // else.
-func inTime(h *hostmodel.Config, share float64, c *Class, x need) float64 {
-	out, pace := x.out/x.n, c.Class.TokenLatencyTarget.Seconds()
+func hostRate(h *hostmodel.Config, share float64, c *Class, x classDemand) float64 {
+	out, pace := x.answerTokens/x.requests, c.Class.TokenLatencyTarget.Seconds()
 	if pace == 0 {
 		pace = c.Class.Deadline.Seconds() / out
 	}
-	each := h.PerSeq.Seconds() + x.prompt/x.n/1000*h.ContextPerK.Seconds()
+	each := h.PerSeq.Seconds() + x.promptTokens/x.requests/1000*h.ContextPerK.Seconds()
 	if h.ReadPerS > 0 {
-		each += x.unread / x.out / h.ReadPerS
+		each += x.prefillTokens / x.answerTokens / h.ReadPerS
 	}
-	at := min(float64(h.Slots), float64(h.Memory)/(x.prompt/x.n+out))
+	at := min(float64(h.Slots), float64(h.Memory)/(x.promptTokens/x.requests+out))
 	if each > 0 {
 		at = min(at, (pace*share-h.Base.Seconds())/each)
 	}
@@ -51,11 +51,11 @@
 	return at * share / (out * (h.Base.Seconds() + each*at))
 }
 
-// able returns, by class, the most worth that hosts could have given of what was asked for since
+// servableValue returns, by class, the most worth that hosts could have given of what was asked for since
 // the last call, and begins to count anew.
-func (w *World) able() []float64 {
-	value := make([]float64, len(w.s.Classes))
-	if len(w.need) == 0 {
+func (w *World) servableValue() []float64 {
+	value := make([]float64, len(w.spec.Classes))
+	if len(w.demand) == 0 {
 		return value
 	}
 	type hostCapacity struct{ left, share float64 }
@@ -63,21 +63,21 @@
 	var of []*hostmodel.Config
 	for _, h := range w.hosts {
 		if h.alive && !h.isolated {
-			hosts, of = append(hosts, hostCapacity{1, h.model.Stats(w.now).Capacity}), append(of, &w.s.Groups[h.group].Host)
+			hosts, of = append(hosts, hostCapacity{1, h.model.Stats(w.now).Capacity}), append(of, &w.spec.Groups[h.group].Host)
 		}
 	}
-	classes := make([]int, len(w.s.Classes))
+	classes := make([]int, len(w.spec.Classes))
 	for i := range classes {
 		classes[i] = i
 	}
 	slices.SortStableFunc(classes, func(a, b int) int {
-		return cmp.Compare(w.s.Classes[b].Class.Value, w.s.Classes[a].Class.Value)
+		return cmp.Compare(w.spec.Classes[b].Class.Value, w.spec.Classes[a].Class.Value)
 	})
 	rate := func(h, c int) float64 {
-		if w.need[c].n == 0 {
+		if w.demand[c].requests == 0 {
 			return 0
 		}
-		return inTime(of[h], hosts[h].share, &w.s.Classes[c], w.need[c])
+		return hostRate(of[h], hosts[h].share, &w.spec.Classes[c], w.demand[c])
 	}
 	for at, c := range classes {
 		order := make([]int, len(hosts))
@@ -91,7 +91,7 @@
 			}
 		}
 		slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(gain[b], gain[a]) })
-		left := w.need[c].n
+		left := w.demand[c].requests
 		for _, h := range order {
 			if r := rate(h, c); r > 0 && left > 0 {
 				fraction := min(hosts[h].left, left/r)
@@ -99,8 +99,8 @@
 				left -= fraction * r
 			}
 		}
-		value[c] = (w.need[c].n - left) * w.s.Classes[c].Class.Value
+		value[c] = (w.demand[c].requests - left) * w.spec.Classes[c].Class.Value
 	}
-	clear(w.need)
+	clear(w.demand)
 	return value
 }
--- a/internal/testbed/simulator/disruption.go
+++ b/internal/testbed/simulator/disruption.go
@@ -9,8 +9,8 @@
 	"reachspread/internal/testbed/hostmodel"
 )
 
-// some draws a part of so many, at least one unless the part is 0, in the order of their numbers.
-func (w *World) some(n int, fraction float64, ok func(int) bool) (drawn []int) {
+// drawSome draws a part of so many, at least one unless the part is 0, in the order of their numbers.
+func (w *World) drawSome(n int, fraction float64, ok func(int) bool) (drawn []int) {
 	var may []int
 	for i := range n {
 		if ok(i) {
@@ -22,58 +22,58 @@
 	}
 	want := min(max(int(fraction*float64(len(may))+0.5), 1), len(may))
 	for i, at := range may { // each one left has an even chance of the places left
-		if w.chance.IntN(len(may)-i) < want-len(drawn) {
+		if w.disruptionRand.IntN(len(may)-i) < want-len(drawn) {
 			drawn = append(drawn, at)
 		}
 	}
 	return drawn
 }
 
-// struck is what a disruption has hit.
-type struck struct {
+// activeDisruption is what a disruption has hit.
+type activeDisruption struct {
 	disruption int
-	at         []int
+	targets    []int
 }
 
-func (w *World) begins(n int) {
-	t := &w.s.Disruptions[n]
+func (w *World) beginDisruption(n int) {
+	t := &w.spec.Disruptions[n]
 	w.trace("trouble begins: "+string(t.Kind), "", n)
-	hit := struck{disruption: n}
+	hit := activeDisruption{disruption: n}
 	alive := func(i int) bool { return w.hosts[i].alive && !w.hosts[i].removed }
 	switch t.Kind {
 	case SlowHosts:
-		hit.at = w.some(len(w.hosts), t.Fraction, alive)
-		for _, i := range hit.at {
-			w.hostDoes(w.hosts[i], hostmodel.Slow{Factor: t.Size})
+		hit.targets = w.drawSome(len(w.hosts), t.Fraction, alive)
+		for _, i := range hit.targets {
+			w.stepHost(w.hosts[i], hostmodel.Slow{Factor: t.Size})
 		}
 	case Burst:
-		w.burst *= t.Size
+		w.burstFactor *= t.Size
 	case HeavyTail:
-		w.tail = append(w.tail, tail{n, t.Fraction, t.Size})
+		w.heavyTails = append(w.heavyTails, heavyTail{n, t.Fraction, t.Size})
 	case RouterCrash:
-		hit.at = w.some(len(w.routers), t.Fraction, func(i int) bool { return w.routers[i].alive })
-		for _, i := range hit.at {
-			w.crash(i)
-			w.at(w.now+w.s.Front.Notice, event{kind: disruptionEnds, n: ^i}) // the front notices
-			w.at(w.now+t.Length, event{kind: routerStarts, n: i})
+		hit.targets = w.drawSome(len(w.routers), t.Fraction, func(i int) bool { return w.routers[i].alive })
+		for _, i := range hit.targets {
+			w.crashRouter(i)
+			w.schedule(w.now+w.spec.Front.Notice, event{kind: disruptionEnds, number: ^i}) // the front notices
+			w.schedule(w.now+t.Length, event{kind: routerStarts, number: i})
 		}
 	case HostsDie:
-		hit.at = w.some(len(w.hosts), t.Fraction, alive)
-		for _, i := range hit.at {
-			w.stop(w.hosts[i], t.Length)
+		hit.targets = w.drawSome(len(w.hosts), t.Fraction, alive)
+		for _, i := range hit.targets {
+			w.restartHost(w.hosts[i], t.Length)
 		}
 	case Replace:
-		hit.at = w.some(len(w.hosts), t.Fraction, alive)
-		for _, i := range hit.at {
+		hit.targets = w.drawSome(len(w.hosts), t.Fraction, alive)
+		for _, i := range hit.targets {
 			old := w.hosts[i]
 			old.state = balance.Removed
-			w.changed(old)
+			w.publishHost(old)
 			old.removed = true
-			w.die(old)
+			w.stopHost(old)
 			h := w.addHost(old.group)
 			h.model.Step(w.now, hostmodel.Die{})
 			h.alive = false
-			w.at(w.now+t.Length, event{kind: hostStarts, n: h.n, gen: h.gen})
+			w.schedule(w.now+t.Length, event{kind: hostStarts, number: h.number, generation: h.generation})
 		}
 	case Release:
 		var all []int
@@ -84,33 +84,33 @@
 		}
 		each := max(int(t.Fraction*float64(len(all))+0.5), 1)
 		rounds := (len(all) + each - 1) / each
-		w.release(&releasing{left: all, each: each, every: t.Length / time.Duration(max(rounds, 1))})
+		w.rollingRestart(&rollingRestart{remaining: all, batch: each, interval: t.Length / time.Duration(max(rounds, 1))})
 	case LostZone:
 		for i, h := range w.hosts {
 			if h.zone == t.Zone && !h.removed {
 				w.isolateHost(h)
-				hit.at = append(hit.at, i)
+				hit.targets = append(hit.targets, i)
 			}
 		}
 	case ListLost:
-		w.list.down++
+		w.list.outages++
 	}
-	w.emitDisruption(n, t, hit.at)
-	w.res.Disruptions = append(w.res.Disruptions, DisruptionResult{Kind: t.Kind, At: w.now, Hit: len(hit.at)})
+	w.emitDisruption(n, t, hit.targets)
+	w.result.Disruptions = append(w.result.Disruptions, DisruptionResult{Kind: t.Kind, At: w.now, Hit: len(hit.targets)})
 	if t.Kind != Release && t.Kind != Replace {
-		w.struck = append(w.struck, hit)
-		w.at(w.now+t.Length, event{kind: disruptionEnds, n: n})
+		w.activeDisruptions = append(w.activeDisruptions, hit)
+		w.schedule(w.now+t.Length, event{kind: disruptionEnds, number: n})
 	}
 }
 
-// stop ends a host's process and has it start again after a while. The list hears of the start
+// restartHost ends a host's process and has it start again after a while. The list hears of the start
 // alone.
-func (w *World) stop(h *host, after time.Duration) {
-	w.die(h)
-	w.at(w.now+after, event{kind: hostStarts, n: h.n, gen: h.gen})
+func (w *World) restartHost(h *host, after time.Duration) {
+	w.stopHost(h)
+	w.schedule(w.now+after, event{kind: hostStarts, number: h.number, generation: h.generation})
 }
 
-func (w *World) ends(n int) {
+func (w *World) endDisruption(n int) {
 	if n < 0 { // the front has noticed that a router died
 		for i, r := range w.front {
 			if r == ^n && !w.routers[r].alive {
@@ -120,44 +120,44 @@
 		}
 		return
 	}
-	t := &w.s.Disruptions[n]
+	t := &w.spec.Disruptions[n]
 	w.trace("trouble ends: "+string(t.Kind), "", n)
-	var hit struck
-	for i, x := range w.struck {
+	var hit activeDisruption
+	for i, x := range w.activeDisruptions {
 		if x.disruption == n {
 			hit = x
-			w.struck = append(w.struck[:i], w.struck[i+1:]...)
+			w.activeDisruptions = append(w.activeDisruptions[:i], w.activeDisruptions[i+1:]...)
 			break
 		}
 	}
 	switch t.Kind {
 	case SlowHosts:
-		for _, i := range hit.at {
-			w.hostDoes(w.hosts[i], hostmodel.Slow{Factor: 1})
+		for _, i := range hit.targets {
+			w.stepHost(w.hosts[i], hostmodel.Slow{Factor: 1})
 		}
 	case Burst:
-		w.burst /= t.Size
+		w.burstFactor /= t.Size
 	case HeavyTail:
-		for i, x := range w.tail {
+		for i, x := range w.heavyTails {
 			if x.disruption == n {
-				w.tail = append(w.tail[:i], w.tail[i+1:]...)
+				w.heavyTails = append(w.heavyTails[:i], w.heavyTails[i+1:]...)
 				break
 			}
 		}
 	case LostZone: // what was under way is reset now
-		for _, i := range hit.at {
+		for _, i := range hit.targets {
 			h := w.hosts[i]
 			w.reconnectHost(h)
 			if h.alive {
-				w.die(h)
+				w.stopHost(h)
 				h.alive = true
-				w.hostDoes(h, hostmodel.Start{})
-				h.born = w.clock()
-				w.changed(h)
+				w.stepHost(h, hostmodel.Start{})
+				h.startedAt = w.clock()
+				w.publishHost(h)
 			}
 		}
 	case ListLost:
-		w.listBack()
+		w.endListOutage()
 	}
 	w.emit(history.Event{What: history.Heal, N: firstDisruptionNumber + n, Text: disruptionFault[t.Kind]})
 }
@@ -165,8 +165,8 @@
 // isolateHost cuts a host off from the network.
 func (w *World) isolateHost(h *host) {
 	h.isolated = true
-	if h.isolations++; w.s.Net.StreamIdleTimeout > 0 {
-		w.at(w.now+w.s.Net.StreamIdleTimeout, event{kind: streamsIdle, n: h.n, gen: h.isolations})
+	if h.isolations++; w.spec.Net.StreamIdleTimeout > 0 {
+		w.schedule(w.now+w.spec.Net.StreamIdleTimeout, event{kind: streamsIdle, number: h.number, generation: h.isolations})
 	}
 }
 
@@ -174,15 +174,15 @@
 func (w *World) reconnectHost(h *host) {
 	h.isolated = false
 	for _, a := range h.undelivered {
-		w.sendHostMessage(h, a, &hostMessage{a: a, result: balance.Reset, made: a.made})
+		w.sendHostMessage(h, a, &hostMessage{attempt: a, result: balance.Reset, tokens: a.tokens})
 	}
 	h.undelivered = nil
 }
 
-// listBack ends one of the faults that hold the list up.
-func (w *World) listBack() {
-	if w.list.down--; w.list.down == 0 && w.list.missed {
-		w.list.missed = false
+// endListOutage ends one of the faults that hold the list up.
+func (w *World) endListOutage() {
+	if w.list.outages--; w.list.outages == 0 && w.list.updateMissed {
+		w.list.updateMissed = false
 		for _, r := range w.routers {
 			w.sendFullList(r)
 		}
@@ -213,37 +213,37 @@
 	w.emit(e)
 }
 
-// releasing is a release of all hosts, some at a time: each is drained, has two thirds of its round
+// rollingRestart is a release of all hosts, some at a time: each is drained, has two thirds of its round
 // to finish what it has, and starts anew.
-type releasing struct {
-	left    []int
-	each    int
-	every   time.Duration
-	drained []int
+type rollingRestart struct {
+	remaining []int
+	batch     int
+	interval  time.Duration
+	drained   []int
 }
 
-func (w *World) release(x *releasing) {
+func (w *World) rollingRestart(x *rollingRestart) {
 	if x.drained != nil {
 		for _, i := range x.drained {
 			if h := w.hosts[i]; h.alive && !h.removed {
-				w.stop(h, x.every/6)
+				w.restartHost(h, x.interval/6)
 			}
 		}
 		x.drained = nil
-		w.at(w.now+x.every/3, event{kind: releaseGoesOn, p: x})
+		w.schedule(w.now+x.interval/3, event{kind: rollingRestartContinues, payload: x})
 		return
 	}
-	n := min(x.each, len(x.left))
+	n := min(x.batch, len(x.remaining))
 	if n == 0 {
 		return
 	}
-	x.drained, x.left = x.left[:n:n], x.left[n:]
+	x.drained, x.remaining = x.remaining[:n:n], x.remaining[n:]
 	for _, i := range x.drained {
 		if h := w.hosts[i]; h.alive && !h.removed {
 			h.state = balance.Draining
-			w.hostDoes(h, hostmodel.Drain{})
-			w.changed(h)
+			w.stepHost(h, hostmodel.Drain{})
+			w.publishHost(h)
 		}
 	}
-	w.at(w.now+2*x.every/3, event{kind: releaseGoesOn, p: x})
+	w.schedule(w.now+2*x.interval/3, event{kind: rollingRestartContinues, payload: x})
 }
--- a/internal/testbed/simulator/events.go
+++ b/internal/testbed/simulator/events.go
@@ -4,12 +4,12 @@
 
 // event is something due in a world. Two at one time come in the order in which they were put in.
 type event struct {
-	at   time.Duration
-	seq  uint64
-	kind eventKind
-	n    int // a router's, a host's, a class's or a disruption's number, or another small figure
-	gen  int // of what n names: an event for one that has been started anew since is void
-	p    any // what it is about
+	at         time.Duration
+	seq        uint64
+	kind       eventKind
+	number     int // a router's, a host's, a class's or a disruption's number, or another small figure
+	generation int // of what n names: an event for one that has been started anew since is void
+	payload    any // what it is about
 }
 
 // eventKind is what is done with an event.
@@ -17,32 +17,32 @@
 
 const (
 	sessionBegins eventKind = iota
-	turnComes
+	turnBegins
 	clientAttemptReaches // its router
 	clientAttemptOverdue
-	retryComes
-	capturedComes
+	retryBegins
+	capturedArrives
 	streamsIdle
 	routerSteps
 	routerWakes
-	routerHears
+	peerReportReaches
 	listReaches
 	routerStarts
 	attemptReaches     // its host
 	hostMessageReaches // its router
 	cancelReaches      // its host
-	connGivenUp
-	connClosed
+	connectTimeout
+	idleTimeout
 	probeReaches
 	probeResultReaches
 	hostSteps
 	hostStarts
 	disruptionBegins
 	disruptionEnds
-	releaseGoesOn
+	rollingRestartContinues
 	faultBegins
 	faultEnds
-	sampled
+	sampleDue
 	viewsChange
 )
 
--- a/internal/testbed/simulator/faults.go
+++ b/internal/testbed/simulator/faults.go
@@ -12,14 +12,14 @@
 	"reachspread/internal/testbed/hostmodel"
 )
 
-// schedule is the faults of a world.
-type schedule struct {
-	injections []*faults.Injection
-	on         []*faults.Injection // by now, those of links
-	waiting    []int               // for what happens
-	counts     []int               // how often that has happened
-	link       *faults.Link        // what becomes of routers' words; each pair has the condition of its moment
-	copies     []faults.Copy
+// faultSchedule is the faults of a world.
+type faultSchedule struct {
+	injections    []*faults.Injection
+	linkFaults    []*faults.Injection // by now, those of links
+	awaitingEvent []int               // for what happens
+	eventCounts   []int               // how often that has happened
+	link          *faults.Link        // what becomes of routers' words; each pair has the condition of its moment
+	copies        []faults.Copy
 }
 
 // Topology is the fleet as schedules see it.
@@ -64,38 +64,38 @@
 	return nil
 }
 
-// schedules puts a world's faults in.
-func (w *World) schedules() {
-	w.faults.injections = faults.Resolve(w.s.Faults, w.s.Topology(), w.s.Seed)
-	w.faults.counts = make([]int, len(w.faults.injections))
-	w.faults.link = faults.NewLink(w.s.Seed, 0)
+// scheduleFaults puts a world's faults in.
+func (w *World) scheduleFaults() {
+	w.faults.injections = faults.Resolve(w.spec.Faults, w.spec.Topology(), w.spec.Seed)
+	w.faults.eventCounts = make([]int, len(w.faults.injections))
+	w.faults.link = faults.NewLink(w.spec.Seed, 0)
 	for i, s := range w.faults.injections {
 		if s.When != nil {
-			w.faults.waiting = append(w.faults.waiting, i)
+			w.faults.awaitingEvent = append(w.faults.awaitingEvent, i)
 			continue
 		}
-		w.at(s.At, event{kind: faultBegins, n: i})
+		w.schedule(s.At, event{kind: faultBegins, number: i})
 	}
 }
 
 // emit tells the history of an event, and faults that wait for one.
 func (w *World) emit(e history.Event) {
-	if w.s.History == nil && len(w.faults.waiting) == 0 {
+	if w.spec.History == nil && len(w.faults.awaitingEvent) == 0 {
 		return
 	}
 	e.T = w.now.Nanoseconds()
-	if w.s.History != nil {
-		w.s.History(&e)
+	if w.spec.History != nil {
+		w.spec.History(&e)
 	}
-	w.faults.waiting = slices.DeleteFunc(w.faults.waiting, func(i int) bool {
+	w.faults.awaitingEvent = slices.DeleteFunc(w.faults.awaitingEvent, func(i int) bool {
 		s := w.faults.injections[i]
 		if !Fits(s.When, &e) {
 			return false
 		}
-		if w.faults.counts[i]++; w.faults.counts[i] < s.When.Nth {
+		if w.faults.eventCounts[i]++; w.faults.eventCounts[i] < s.When.Nth {
 			return false
 		}
-		w.at(w.now+s.At, event{kind: faultBegins, n: i})
+		w.schedule(w.now+s.At, event{kind: faultBegins, number: i})
 		return true
 	})
 }
@@ -106,7 +106,7 @@
 }
 
 // observed tells whether somebody wants events, for those that cost something to make.
-func (w *World) observed() bool { return w.s.History != nil || len(w.faults.waiting) > 0 }
+func (w *World) observed() bool { return w.spec.History != nil || len(w.faults.awaitingEvent) > 0 }
 
 func routerName(n int) string { return "r" + strconv.Itoa(n) }
 
@@ -126,24 +126,24 @@
 	s := w.faults.injections[n]
 	w.trace("fault begins: "+string(s.Kind), "", n)
 	w.emit(FaultEvent(history.Fault, n, s))
-	w.at(w.now+s.Length, event{kind: faultEnds, n: n})
+	w.schedule(w.now+s.Length, event{kind: faultEnds, number: n})
 	if faults.Of(s.Kind).OfLinks() {
-		w.faults.on = append(w.faults.on, s)
+		w.faults.linkFaults = append(w.faults.linkFaults, s)
 		w.isolate(s, true)
 		return
 	}
 	for _, i := range s.Routers {
-		if w.routers[i].down++; w.routers[i].down == 1 && w.routers[i].alive {
-			w.crash(i)
-			w.at(w.now+w.s.Front.Notice, event{kind: disruptionEnds, n: ^i}) // the front notices
+		if w.routers[i].activeFaults++; w.routers[i].activeFaults == 1 && w.routers[i].alive {
+			w.crashRouter(i)
+			w.schedule(w.now+w.spec.Front.Notice, event{kind: disruptionEnds, number: ^i}) // the front notices
 		}
 	}
 	for _, i := range s.Hosts {
 		h := w.hosts[i]
 		if s.Kind == faults.Slow {
-			w.hostDoes(h, hostmodel.Slow{Factor: s.Size})
-		} else if h.down++; h.down == 1 {
-			w.die(h)
+			w.stepHost(h, hostmodel.Slow{Factor: s.Size})
+		} else if h.activeFaults++; h.activeFaults == 1 {
+			w.stopHost(h)
 		}
 	}
 }
@@ -153,26 +153,26 @@
 	w.trace("fault ends: "+string(s.Kind), "", n)
 	w.emit(FaultEvent(history.Heal, n, s))
 	if faults.Of(s.Kind).OfLinks() {
-		w.faults.on = slices.DeleteFunc(w.faults.on, func(x *faults.Injection) bool { return x == s })
+		w.faults.linkFaults = slices.DeleteFunc(w.faults.linkFaults, func(x *faults.Injection) bool { return x == s })
 		w.isolate(s, false)
 		return
 	}
 	for _, i := range s.Routers {
-		if r := w.routers[i]; r.down > 0 {
+		if r := w.routers[i]; r.activeFaults > 0 {
 			if s.Disk == faults.DiskEmpty {
-				r.usual = recovery.Baseline{}
+				r.baseline = recovery.Baseline{}
 			}
-			if r.down--; r.down == 0 && !r.alive {
-				w.at(w.now, event{kind: routerStarts, n: i})
+			if r.activeFaults--; r.activeFaults == 0 && !r.alive {
+				w.schedule(w.now, event{kind: routerStarts, number: i})
 			}
 		}
 	}
 	for _, i := range s.Hosts {
 		h := w.hosts[i]
 		if s.Kind == faults.Slow {
-			w.hostDoes(h, hostmodel.Slow{Factor: 1})
-		} else if h.down--; h.down == 0 {
-			w.at(w.now, event{kind: hostStarts, n: i, gen: h.gen})
+			w.stepHost(h, hostmodel.Slow{Factor: 1})
+		} else if h.activeFaults--; h.activeFaults == 0 {
+			w.schedule(w.now, event{kind: hostStarts, number: i, generation: h.generation})
 		}
 	}
 }
@@ -182,9 +182,9 @@
 func (w *World) isolate(s *faults.Injection, on bool) {
 	if slices.Contains(s.Links, faults.LinkList) {
 		if on {
-			w.list.down++
+			w.list.outages++
 		} else {
-			w.listBack()
+			w.endListOutage()
 		}
 	}
 	if !slices.Contains(s.Links, faults.LinkHosts) {
@@ -202,17 +202,17 @@
 	}
 }
 
-// carry sends a word to another router as the faults of the moment have it.
-func (w *World) carry(from, to int, e event) {
+// sendToPeer sends a word to another router as the faults of the moment have it.
+func (w *World) sendToPeer(from, to int, e event) {
 	at := e.at
-	if len(w.faults.on) == 0 {
-		w.at(at, e)
+	if len(w.faults.linkFaults) == 0 {
+		w.schedule(at, e)
 		return
 	}
 	l := w.faults.link
-	l.Condition = faults.ConditionOf(w.faults.on, faults.End{N: from}, faults.End{N: to})
+	l.Condition = faults.ConditionOf(w.faults.linkFaults, faults.End{N: from}, faults.End{N: to})
 	w.faults.copies = l.Pass(0, w.faults.copies[:0])
 	for _, c := range w.faults.copies {
-		w.at(at+c.After, e)
+		w.schedule(at+c.After, e)
 	}
 }
--- a/internal/testbed/simulator/mass_test.go
+++ b/internal/testbed/simulator/mass_test.go
@@ -94,7 +94,7 @@
 					has := [2]bool{}
 					for _, h := range w.hosts {
 						if h.zone == r.zone && room(h, h.model.Stats(w.now)) {
-							has[btoi(h.born > 0 && w.clock()-h.born < s.Balance.SlowStartWindow)] = true
+							has[btoi(h.startedAt > 0 && w.clock()-h.startedAt < s.Balance.SlowStartWindow)] = true
 						}
 					}
 					if has[0] {
@@ -118,7 +118,7 @@
 					if queued += x.Waiting; x.Waiting == 0 {
 						free++
 					}
-					if h.born > 0 && w.clock()-h.born < s.Balance.SlowStartWindow {
+					if h.startedAt > 0 && w.clock()-h.startedAt < s.Balance.SlowStartWindow {
 						could += passed
 						did += passed * min(float64(x.Running)/(float64(s.Groups[h.group].Host.Slots)/4), 1)
 					}
--- a/internal/testbed/simulator/result.go
+++ b/internal/testbed/simulator/result.go
@@ -6,16 +6,16 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// ending is how a request, or an attempt, came out.
-type ending string
+// outcome is how a request, or an attempt, came out.
+type outcome string
 
 const (
-	served     ending = "served"
-	refused    ending = "refused"
-	failed     ending = "failed"
-	brokenOff  ending = "broken off"
-	routerDied ending = "router gone"
-	noRouter   ending = "no router"
+	served       outcome = "served"
+	refused      outcome = "refused"
+	failed       outcome = "failed"
+	interrupted  outcome = "broken off"
+	lostToRouter outcome = "router gone"
+	noRouter     outcome = "no router"
 )
 
 // Result is what came of a world.
@@ -75,10 +75,10 @@
 // second returns the present one.
 func (w *World) second() *Second {
 	n := int(w.now / time.Second)
-	for len(w.res.Seconds) <= n {
-		w.res.Seconds = append(w.res.Seconds, Second{Begun: make([]Share, len(w.s.Classes))})
+	for len(w.result.Seconds) <= n {
+		w.result.Seconds = append(w.result.Seconds, Second{Begun: make([]Share, len(w.spec.Classes))})
 	}
-	return &w.res.Seconds[n]
+	return &w.result.Seconds[n]
 }
 
 // sample takes the state of all hosts, once a second until all is over.
@@ -94,31 +94,31 @@
 		}
 	}
 	for _, r := range w.routers {
-		r.keeps()
+		r.saveBaseline()
 	}
-	w.res.MostOpen = max(w.res.MostOpen, w.open)
-	w.res.MostQueued = max(w.res.MostQueued, len(w.queue.heap))
-	if n := int(w.now/time.Second) - 1; n >= 0 && w.now <= w.s.Length+time.Second {
-		w.res.Seconds[n].Able = w.able()
+	w.result.MostOpen = max(w.result.MostOpen, w.openRequests)
+	w.result.MostQueued = max(w.result.MostQueued, len(w.queue.heap))
+	if n := int(w.now/time.Second) - 1; n >= 0 && w.now <= w.spec.Length+time.Second {
+		w.result.Seconds[n].Able = w.servableValue()
 	}
-	if w.now < w.s.Length || w.open > 0 {
-		w.at(w.now+time.Second, event{kind: sampled})
+	if w.now < w.spec.Length || w.openRequests > 0 {
+		w.schedule(w.now+time.Second, event{kind: sampleDue})
 	}
 }
 
-// over ends a request. Began and ended are those of its stream.
-func (w *World) over(f *request, how ending, began, ended time.Duration, made int) {
-	w.open--
-	c := &f.session.load.c.Class
-	r := &w.res.Classes[f.session.load.n]
+// endRequest ends a request. Began and ended are those of its stream.
+func (w *World) endRequest(f *request, how outcome, began, ended time.Duration, made int) {
+	w.openRequests--
+	c := &f.session.load.config.Class
+	r := &w.result.Classes[f.session.load.class]
 	s := w.second()
-	w.res.Asked += c.Value
+	w.result.Asked += c.Value
 	value := 0.0
 	switch how {
 	case served:
-		first := began - f.began
+		first := began - f.startedAt
 		r.First.RecordValue(max(first.Microseconds(), 1))
-		more := time.Duration(float64(f.prompt) / 1000 * float64(c.LatencyTargetPer1000Tokens))
+		more := time.Duration(float64(f.promptTokens) / 1000 * float64(c.LatencyTargetPer1000Tokens))
 		pace := time.Duration(0)
 		if made > 1 {
 			pace = (ended - began) / time.Duration(made-1)
@@ -137,15 +137,15 @@
 		r.Refused++
 	case failed:
 		r.Failed++
-	case brokenOff:
+	case interrupted:
 		r.BrokenOff++
 	default:
 		r.Lost++
 	}
 	r.Value += value
-	begun := &w.res.Seconds[f.began/time.Second].Begun[f.session.load.n]
+	begun := &w.result.Seconds[f.startedAt/time.Second].Begun[f.session.load.class]
 	begun.Of, begun.Got = begun.Of+c.Value, begun.Got+value
-	w.res.Value += value
+	w.result.Value += value
 	if value == c.Value && how == served {
 		s.Good++
 	} else {
@@ -161,5 +161,5 @@
 	return r.Value / r.Asked
 }
 
-// end does what is left to do when nothing more is played.
-func (w *World) end() { w.res.MostOpen = max(w.res.MostOpen, w.open) }
+// finish does what is left to do when nothing more is played.
+func (w *World) finish() { w.result.MostOpen = max(w.result.MostOpen, w.openRequests) }
--- a/internal/testbed/simulator/rules.go
+++ b/internal/testbed/simulator/rules.go
@@ -32,15 +32,15 @@
 
 // violated stops the world. The first one counts.
 func (w *World) violated(rule, id string, n int, text string) {
-	if w.broken != nil {
+	if w.violation != nil {
 		return
 	}
-	v := &Violation{Seed: w.s.Seed, At: w.now, Rule: rule, Text: strings.TrimSpace(fmt.Sprintf("%s %d %s", id, n, text))}
+	v := &Violation{Seed: w.spec.Seed, At: w.now, Rule: rule, Text: strings.TrimSpace(fmt.Sprintf("%s %d %s", id, n, text))}
 	for i := max(w.traced-maxTrace, 0); i < w.traced; i++ {
 		x := w.traceRing[i%maxTrace]
 		v.Last = append(v.Last, fmt.Sprintf("%12v %s %s %d", x.at, x.what, x.id, x.n))
 	}
-	w.broken = v
+	w.violation = v
 }
 
 // The rules' names.
@@ -59,13 +59,13 @@
 	h, listed := r.byID[to]
 	switch {
 	case t == nil || t.answered:
-		w.violated(ruleAnswered, id, r.n, "to "+to)
-	case t.out != nil:
-		w.violated(ruleOneAttempt, id, r.n, "to "+to)
+		w.violated(ruleAnswered, id, r.number, "to "+to)
+	case t.inFlight != nil:
+		w.violated(ruleOneAttempt, id, r.number, "to "+to)
 	case !listed:
-		w.violated(ruleListed, id, r.n, "to "+to)
+		w.violated(ruleListed, id, r.number, "to "+to)
 	case r.known[h].draining && w.now > r.known[h].since+drainSlack:
-		w.violated(ruleDrain, id, r.n, fmt.Sprintf("to %s, %v after the news", to, w.now-r.known[h].since))
+		w.violated(ruleDrain, id, r.number, fmt.Sprintf("to %s, %v after the news", to, w.now-r.known[h].since))
 	default:
 		return true
 	}
--- a/internal/testbed/simulator/simulator_test.go
+++ b/internal/testbed/simulator/simulator_test.go
@@ -155,17 +155,17 @@
 		t.Fatal(err)
 	}
 	h, r := w.hosts[0], w.routers[0]
-	f := &request{session: &session{load: w.classes[0], name: "s"}, prompt: 10, out: 5}
+	f := &request{session: &session{load: w.classes[0], name: "s"}, promptTokens: 10, answerTokens: 5}
 	send := func(id string) *attempt {
-		a := &attempt{t: &clientAttempt{f: f, id: id, router: r, gen: r.gen}, fresh: true, conn: &conn{}}
-		a.t.out = a
+		a := &attempt{client: &clientAttempt{request: f, id: id, router: r, routerGeneration: r.generation}, connecting: true, conn: &connection{}}
+		a.client.inFlight = a
 		w.attemptReaches(a)
 		return a
 	}
 	first := send("a")
-	w.now = h.due
-	if send("b"); !first.first || first.made != 1 {
-		t.Errorf("the first attempt has %d tokens", first.made)
+	w.now = h.nextStep
+	if send("b"); !first.firstSent || first.tokens != 1 {
+		t.Errorf("the first attempt has %d tokens", first.tokens)
 	}
 }
 
@@ -316,13 +316,13 @@
 		var q queue
 		var want []event
 		for i, at := range rapid.SliceOfN(rapid.IntRange(0, 20), 1, 200).Draw(t, "times") {
-			q.push(event{at: time.Duration(at), n: i})
-			want = append(want, event{at: time.Duration(at), n: i})
+			q.push(event{at: time.Duration(at), number: i})
+			want = append(want, event{at: time.Duration(at), number: i})
 		}
 		slices.SortStableFunc(want, func(a, b event) int { return int(a.at - b.at) })
 		for _, e := range want {
-			if got := q.pop(); got.at != e.at || got.n != e.n {
-				t.Fatalf("%v %d, want %v %d", got.at, got.n, e.at, e.n)
+			if got := q.pop(); got.at != e.at || got.number != e.number {
+				t.Fatalf("%v %d, want %v %d", got.at, got.number, e.at, e.number)
 			}
 		}
 	})
--- a/internal/testbed/simulator/spec.go
+++ b/internal/testbed/simulator/spec.go
@@ -124,8 +124,8 @@
 // mostUneven bounds Front.Uneven, and mostOff how far from the middle a router's part is, in its
 // multiples.
 const (
-	mostUneven = 1.0
-	mostOff    = 2.0
+	maxUneven     = 1.0
+	maxDeviations = 2.0
 )
 
 // DisruptionKind names what goes wrong.
@@ -172,8 +172,8 @@
 	if v := s.View; v.Late < 0 || v.Wrong < 0 || v.Wrong > 1 {
 		return fmt.Errorf("spec: View has Late %v and Wrong %v; Late must not be negative, and Wrong from 0 to 1", v.Late, v.Wrong)
 	}
-	if u := s.Front.Uneven; u < 0 || u > mostUneven {
-		return fmt.Errorf("spec: Front.Uneven is %v; it must be from 0 to %v", u, mostUneven)
+	if u := s.Front.Uneven; u < 0 || u > maxUneven {
+		return fmt.Errorf("spec: Front.Uneven is %v; it must be from 0 to %v", u, maxUneven)
 	}
 	zones := map[string]bool{}
 	for i, g := range s.Groups {
--- a/internal/testbed/simulator/view.go
+++ b/internal/testbed/simulator/view.go
@@ -17,47 +17,47 @@
 	Split bool          // two halves, by the routers' numbers, that do not see each other though their words still arrive
 }
 
-// viewEvery is how often a router's view is looked at.
-const viewEvery = 250 * time.Millisecond
+// viewInterval is how often a router's view is looked at.
+const viewInterval = 250 * time.Millisecond
 
-// views gives each living router its view, where it has changed.
-func (w *World) views() {
+// updateViews gives each living router its view, where it has changed.
+func (w *World) updateViews() {
 	for _, r := range w.routers {
 		if !r.alive {
 			continue
 		}
 		var living []balance.Peer
 		for _, o := range w.routers {
-			if w.sees(r, o) {
-				living = append(living, balance.Peer{Number: o.n, Zone: o.zone})
+			if w.isVisible(r, o) {
+				living = append(living, balance.Peer{Number: o.number, Zone: o.zone})
 			}
 		}
-		if !slices.Equal(living, r.sees) {
-			r.sees = living
-			r.viewed++
-			r.take(balance.LivenessView{Version: r.viewed, Live: living})
+		if !slices.Equal(living, r.view) {
+			r.view = living
+			r.viewVersion++
+			r.enqueue(balance.LivenessView{Version: r.viewVersion, Live: living})
 		}
 	}
-	if w.now < w.s.Length || w.open > 0 {
-		w.at(w.now+viewEvery, event{kind: viewsChange})
+	if w.now < w.spec.Length || w.openRequests > 0 {
+		w.schedule(w.now+viewInterval, event{kind: viewsChange})
 	}
 }
 
-// sees tells whether a router is in another's view.
-func (w *World) sees(r, o *router) bool {
-	v := &w.s.View
+// isVisible tells whether a router is in another's view.
+func (w *World) isVisible(r, o *router) bool {
+	v := &w.spec.View
 	if r == o {
 		return true
 	}
-	if old := w.now >= o.changed+v.Late; o.changed > 0 && o.alive != old {
+	if old := w.now >= o.aliveChangedAt+v.Late; o.aliveChangedAt > 0 && o.alive != old {
 		return false // dead for long enough, or back for not as long yet
 	}
-	if v.Split && r.n%2 != o.n%2 {
+	if v.Split && r.number%2 != o.number%2 {
 		return false
 	}
 	second := uint64(w.now / time.Second)
 	if second%2 == 1 && v.Wrong > 0 {
-		drawn := rendezvous.Mix(w.s.Seed ^ rendezvous.Mix(uint64(r.n)<<40|uint64(o.n)<<20|second))
+		drawn := rendezvous.Mix(w.spec.Seed ^ rendezvous.Mix(uint64(r.number)<<40|uint64(o.number)<<20|second))
 		return float64(drawn>>11)/(1<<53) >= v.Wrong
 	}
 	return true
--- a/internal/testbed/simulator/view_test.go
+++ b/internal/testbed/simulator/view_test.go
@@ -38,7 +38,7 @@
 				}
 				viewed := uint64(0)
 				for _, o := range w.routers {
-					viewed += o.viewed
+					viewed += o.viewVersion
 				}
 				if viewed < uint64(s.Routers) {
 					t.Errorf("seed %d: %d views for %d routers", seed, viewed, s.Routers)
--- a/internal/testbed/simulator/world.go
+++ b/internal/testbed/simulator/world.go
@@ -17,33 +17,33 @@
 
 // World is one experiment at one moment.
 type World struct {
-	s        Spec
-	queue    queue
-	now      time.Duration // since the beginning
-	net      *rand.Rand    // delays on the network
-	chance   *rand.Rand    // disruptions and the front
-	classes  []*load
-	zones    []string
-	hosts    []*host
-	routers  []*router
-	front    []int // the routers that the front believes in
-	list     list
-	open     int // requests that are not over
-	requests int
-	burst    float64
-	tail     []tail
-	struck   []struck
-	faults   schedule
-	need     []need        // in this second, by class
-	emptied  time.Duration // the last moment at which no host was alive
+	spec              Spec
+	queue             queue
+	now               time.Duration // since the beginning
+	networkRand       *rand.Rand    // delays on the network
+	disruptionRand    *rand.Rand    // disruptions and the front
+	classes           []*load
+	zones             []string
+	hosts             []*host
+	routers           []*router
+	front             []int // the routers that the front believes in
+	list              list
+	openRequests      int // requests that are not over
+	lastRequest       int
+	burstFactor       float64
+	heavyTails        []heavyTail
+	activeDisruptions []activeDisruption
+	faults            faultSchedule
+	demand            []classDemand // in this second, by class
+	noHostsAt         time.Duration // the last moment at which no host was alive
 
-	planning bool // requests are only written down
+	planOnly bool // requests are only written down
 	plan     []Planned
 
-	res       Result
+	result    Result
 	traceRing [maxTrace]traceEntry
 	traced    int
-	broken    *Violation
+	violation *Violation
 }
 
 // traceEntry is something that happened, for a report of a broken rule.
@@ -62,7 +62,7 @@
 // stream returns a source of random numbers of its own for one purpose, so that what one draws
 // moves nothing of another.
 func (w *World) stream(purpose, n uint64) *rand.Rand {
-	return rand.New(rand.NewPCG(w.s.Seed, purpose<<48|n))
+	return rand.New(rand.NewPCG(w.spec.Seed, purpose<<48|n))
 }
 
 // The purposes.
@@ -86,19 +86,19 @@
 	if s.New == nil {
 		s.New = func(c balance.Config, seed uint64) (Decider, error) { return balance.New(c, seed) }
 	}
-	w := &World{s: s, burst: 1}
-	w.net, w.chance = w.stream(forNet, 0), w.stream(forChance, 0)
-	w.res.Classes = make([]ClassResult, len(s.Classes))
+	w := &World{spec: s, burstFactor: 1}
+	w.networkRand, w.disruptionRand = w.stream(forNet, 0), w.stream(forChance, 0)
+	w.result.Classes = make([]ClassResult, len(s.Classes))
 	s.Balance.StepInterval = s.Tick
 	s.Balance.Classes = nil
 	for i, c := range s.Classes {
 		s.Balance.Classes = append(s.Balance.Classes, c.Class)
 		w.classes = append(w.classes, newLoad(w, i))
-		w.res.Classes[i] = newClassResult(c.Class.Name)
+		w.result.Classes[i] = newClassResult(c.Class.Name)
 	}
-	w.s = s
+	w.spec = s
 	for g := range s.Groups {
-		w.zone(s.Groups[g].Zone)
+		w.addZone(s.Groups[g].Zone)
 		for range s.Groups[g].Count {
 			w.addHost(g)
 		}
@@ -108,8 +108,8 @@
 		if len(w.zones) > 0 {
 			zone = w.zones[i%len(w.zones)]
 		}
-		off := min(max(w.stream(forWeight, uint64(i)).NormFloat64(), -mostOff), mostOff)
-		w.routers = append(w.routers, &router{w: w, n: i, zone: zone, weight: math.Exp(s.Front.Uneven * (off - mostOff))})
+		off := min(max(w.stream(forWeight, uint64(i)).NormFloat64(), -maxDeviations), maxDeviations)
+		w.routers = append(w.routers, &router{world: w, number: i, zone: zone, weight: math.Exp(s.Front.Uneven * (off - maxDeviations))})
 		if err := w.startRouter(i); err != nil {
 			return nil, err
 		}
@@ -117,26 +117,26 @@
 	}
 	for i, c := range s.Classes {
 		if c.Rate > 0 && len(s.Captured) == 0 {
-			w.classes[i].underway()
-			w.at(w.classes[i].gap(), event{kind: sessionBegins, n: i})
+			w.classes[i].beginUnderway()
+			w.schedule(w.classes[i].nextSessionAt(), event{kind: sessionBegins, number: i})
 		}
 	}
 	if len(s.Captured) > 0 {
-		w.at(s.Captured[0].At, event{kind: capturedComes})
+		w.schedule(s.Captured[0].At, event{kind: capturedArrives})
 	}
 	for i, t := range s.Disruptions {
-		w.at(t.At, event{kind: disruptionBegins, n: i})
+		w.schedule(t.At, event{kind: disruptionBegins, number: i})
 	}
-	w.schedules()
-	w.at(time.Second, event{kind: sampled})
+	w.scheduleFaults()
+	w.schedule(time.Second, event{kind: sampleDue})
 	if s.View.On {
-		w.at(0, event{kind: viewsChange})
+		w.schedule(0, event{kind: viewsChange})
 	}
 	return w, nil
 }
 
-// zone has a zone listed, in the order in which they are named.
-func (w *World) zone(name string) {
+// addZone has a zone listed, in the order in which they are named.
+func (w *World) addZone(name string) {
 	for _, z := range w.zones {
 		if z == name {
 			return
@@ -145,8 +145,8 @@
 	w.zones = append(w.zones, name)
 }
 
-// at puts in an event, not before now.
-func (w *World) at(t time.Duration, e event) {
+// schedule puts in an event, not before now.
+func (w *World) schedule(t time.Duration, e event) {
 	e.at = max(t, w.now)
 	w.queue.push(e)
 }
@@ -154,114 +154,114 @@
 // clock is the routers' time.
 func (w *World) clock() time.Duration { return epoch + w.now }
 
-// way is how long a message takes from one zone to another.
-func (w *World) way(from, to string) time.Duration {
-	d := w.s.Net.Same
+// networkDelay is how long a message takes from one zone to another.
+func (w *World) networkDelay(from, to string) time.Duration {
+	d := w.spec.Net.Same
 	if from != to {
-		d = w.s.Net.Cross
+		d = w.spec.Net.Cross
 	}
-	return d + time.Duration(w.s.Net.Jitter*w.net.Float64()*float64(d))
+	return d + time.Duration(w.spec.Net.Jitter*w.networkRand.Float64()*float64(d))
 }
 
 // Run plays a world to its end, until a rule is broken, or until most events have been played (0
 // for no bound).
 func (w *World) Run(most int) (*Result, error) {
-	for len(w.queue.heap) > 0 && w.broken == nil {
-		if w.now >= w.s.Length && w.open == 0 {
+	for len(w.queue.heap) > 0 && w.violation == nil {
+		if w.now >= w.spec.Length && w.openRequests == 0 {
 			break
 		}
-		if most > 0 && w.res.Events >= uint64(most) {
-			return &w.res, fmt.Errorf("the world was not over after %d events, at %v", most, w.now)
+		if most > 0 && w.result.Events >= uint64(most) {
+			return &w.result, fmt.Errorf("the world was not over after %d events, at %v", most, w.now)
 		}
 		e := w.queue.pop()
 		w.now = e.at
-		w.res.Events++
-		w.play(&e)
+		w.result.Events++
+		w.handle(&e)
 	}
-	w.end()
-	if w.broken != nil {
-		return &w.res, w.broken
+	w.finish()
+	if w.violation != nil {
+		return &w.result, w.violation
 	}
-	return &w.res, nil
+	return &w.result, nil
 }
 
-func (w *World) play(e *event) {
+func (w *World) handle(e *event) {
 	switch e.kind {
 	case sessionBegins:
-		w.classes[e.n].begin()
-	case turnComes:
-		w.turn(e.p.(*session))
+		w.classes[e.number].begin()
+	case turnBegins:
+		w.nextTurn(e.payload.(*session))
 	case streamsIdle:
-		w.endIdleStreams(w.hosts[e.n], e.gen)
-	case capturedComes:
-		w.captured(e.n)
-	case retryComes:
-		w.sendToRouter(e.p.(*request))
+		w.endIdleStreams(w.hosts[e.number], e.generation)
+	case capturedArrives:
+		w.replayCaptured(e.number)
+	case retryBegins:
+		w.sendToRouter(e.payload.(*request))
 	case clientAttemptReaches:
-		w.reach(e.p.(*clientAttempt))
+		w.clientAttemptReachesRouter(e.payload.(*clientAttempt))
 	case clientAttemptOverdue:
-		w.overdue(e.p.(*clientAttempt), e.n == 1)
+		w.clientTimedOut(e.payload.(*clientAttempt), e.number == 1)
 	case routerSteps:
-		if r := w.routers[e.n]; r.alive && r.gen == e.gen {
+		if r := w.routers[e.number]; r.alive && r.generation == e.generation {
 			r.step()
 		}
-	case routerHears:
-		if r := w.routers[e.n]; r.alive {
-			w.res.Heard++
-			r.take(e.p.(balance.ReportsReceived))
+	case peerReportReaches:
+		if r := w.routers[e.number]; r.alive {
+			w.result.Heard++
+			r.enqueue(e.payload.(balance.ReportsReceived))
 		}
 	case routerWakes:
-		if r := w.routers[e.n]; r.alive && r.gen == e.gen {
-			r.take(balance.TimerExpired{Token: e.p.(int64)})
+		if r := w.routers[e.number]; r.alive && r.generation == e.generation {
+			r.enqueue(balance.TimerExpired{Token: e.payload.(int64)})
 		}
 	case listReaches:
-		if r := w.routers[e.n]; r.alive && r.gen == e.gen {
-			r.applyList(e.p.(*listUpdate))
+		if r := w.routers[e.number]; r.alive && r.generation == e.generation {
+			r.applyList(e.payload.(*listUpdate))
 		}
 	case routerStarts:
-		if err := w.startRouter(e.n); err != nil {
-			w.violated("a router did not start", "", e.n, err.Error())
+		if err := w.startRouter(e.number); err != nil {
+			w.violated("a router did not start", "", e.number, err.Error())
 		}
 	case attemptReaches:
-		w.attemptReaches(e.p.(*attempt))
+		w.attemptReaches(e.payload.(*attempt))
 	case hostMessageReaches:
-		t := e.p.(*hostMessage)
-		if r := w.routers[e.n]; r.alive && r.gen == e.gen {
+		t := e.payload.(*hostMessage)
+		if r := w.routers[e.number]; r.alive && r.generation == e.generation {
 			r.receiveHostMessage(t)
 		}
 	case cancelReaches:
-		w.cancelled(e.p.(*attempt))
-	case connGivenUp:
-		w.givenUp(e.p.(*attempt))
-	case connClosed:
-		w.routers[e.n].idleOver(e.p.(*conn), e.gen)
+		w.cancelReachesHost(e.payload.(*attempt))
+	case connectTimeout:
+		w.connectTimedOut(e.payload.(*attempt))
+	case idleTimeout:
+		w.routers[e.number].closeIdle(e.payload.(*connection), e.generation)
 	case probeReaches:
-		w.probeReaches(e.p.(*probe))
+		w.probeReaches(e.payload.(*probe))
 	case probeResultReaches:
-		p := e.p.(*probe)
-		if r := w.routers[e.n]; r.alive && r.gen == e.gen {
-			r.take(balance.ProbeResult{Replica: w.hosts[p.host].id, Result: p.result, Load: p.load})
+		p := e.payload.(*probe)
+		if r := w.routers[e.number]; r.alive && r.generation == e.generation {
+			r.enqueue(balance.ProbeResult{Replica: w.hosts[p.host].id, Result: p.result, Load: p.load})
 		}
 	case hostSteps:
-		if h := w.hosts[e.n]; h.gen == e.gen && h.due == e.at {
-			h.due = -1
-			w.hostDoes(h, nil)
+		if h := w.hosts[e.number]; h.generation == e.generation && h.nextStep == e.at {
+			h.nextStep = -1
+			w.stepHost(h, nil)
 		}
 	case hostStarts:
-		w.startHost(w.hosts[e.n], e.gen)
+		w.startHost(w.hosts[e.number], e.generation)
 	case disruptionBegins:
-		w.begins(e.n)
+		w.beginDisruption(e.number)
 	case disruptionEnds:
-		w.ends(e.n)
+		w.endDisruption(e.number)
 	case faultBegins:
-		w.faultBegins(e.n)
+		w.faultBegins(e.number)
 	case faultEnds:
-		w.faultEnds(e.n)
-	case releaseGoesOn:
-		w.release(e.p.(*releasing))
+		w.faultEnds(e.number)
+	case rollingRestartContinues:
+		w.rollingRestart(e.payload.(*rollingRestart))
 	case viewsChange:
-		w.views()
-	case sampled:
+		w.updateViews()
+	case sampleDue:
 		w.sample()
 	}
 }
