--- a/balance/balance.go
+++ b/balance/balance.go
@@ -41,8 +41,8 @@
 		replicas:      map[string]*replica{},
 		byTag:         map[uint32]*replica{},
 		requests:      map[string]*request{},
-		bootstrapWork: decayed.Sum{Span: workWindow * time.Second, Least: time.Second},
-		prefixCounts:  decayed.Counts{Most: maxCountedPrompts},
+		bootstrapWork: decayed.Sum{Span: workWindow * time.Second, MinAge: time.Second},
+		prefixCounts:  decayed.Counts{Limit: maxCountedPrompts},
 		liveRouters:   float64(cfg.Routers),
 		routers:       assignment.New(cfg.Routers, cfg.Self, zoneTag(cfg.Zone), viewStabilityTime),
 	}
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -1012,7 +1012,7 @@
 	q.Prefix, q.Session = "p", "s"
 	for _, r := range g.b.affinitySamples(&request{Arrival: q, prefixHash: rendezvous.Hash("p"), sessionHash: rendezvous.Hash("s")}, g.b.sorted) {
 		r.inFlight = 1
-		r.latencyRatio.See(g.now, 100, 1)
+		r.latencyRatio.Observe(g.now, 100, 1)
 	}
 	if r := g.b.replicas[sentTo(t, g.step(q))]; g.b.latencyRatioOf(r) > 1 {
 		t.Errorf("sent to %s, which is slow", r.Replica)
--- a/balance/estimate.go
+++ b/balance/estimate.go
@@ -192,7 +192,7 @@
 	if surprising && math.Abs(took-believed) > deviation {
 		b.sendReports(r.liveAssignees, PeerReport{ReplicaTag: replicaTag(r), LatencyRatio: ratio})
 	}
-	r.latencyRatio.See(b.now, clampLatencyRatio(ratio), 2*learningRate)
+	r.latencyRatio.Observe(b.now, clampLatencyRatio(ratio), 2*learningRate)
 }
 
 // latencyRatioOf returns the observed over the expected time to a first token on r, which fades to
--- a/balance/learned.go
+++ b/balance/learned.go
@@ -129,7 +129,7 @@
 			r.limit = known.ConcurrencyLimit
 		}
 		if known.LatencyRatio >= minLatencyRatio && known.LatencyRatio <= maxLatencyRatio {
-			r.latencyRatio.See(b.now, known.LatencyRatio, 1)
+			r.latencyRatio.Observe(b.now, known.LatencyRatio, 1)
 		}
 	}
 }
--- a/balance/learned_test.go
+++ b/balance/learned_test.go
@@ -37,7 +37,7 @@
 	}
 	for _, r := range b.sorted {
 		r.limit = 23
-		r.latencyRatio.See(now, 3, 1)
+		r.latencyRatio.Observe(now, 3, 1)
 	}
 	l := b.Learned()
 	if l.CompletedWork <= 0 || l.MeanWork <= 0 || l.PrefillByKind["k"].XX <= 0 || len(l.Replicas) != 3 {
--- a/balance/membership.go
+++ b/balance/membership.go
@@ -79,8 +79,8 @@
 	r := &replica{
 		hash:         rendezvous.Hash(name),
 		limit:        initialLimit,
-		latencyRatio: decayed.Opinion{Half: latencyRatioHalfLife},
-		prefixCache:  decayed.Memory{Most: maxCachedPrefixes, Forget: prefixCacheTTL},
+		latencyRatio: decayed.Estimate{HalfLife: latencyRatioHalfLife},
+		prefixCache:  decayed.Memory{Limit: maxCachedPrefixes, TTL: prefixCacheTTL},
 	}
 	b.replicas[name] = r
 	i := sort.Search(len(b.sorted), func(i int) bool { return b.sorted[i].Replica > name })
--- a/balance/peerreports.go
+++ b/balance/peerreports.go
@@ -69,7 +69,7 @@
 		case report.Failed:
 			r.outlier.RecordFailure(ev.From, b.now)
 		case report.LatencyRatio > 0:
-			r.latencyRatio.Hear(b.now, clampLatencyRatio(report.LatencyRatio), peerReportWeight)
+			r.latencyRatio.Report(b.now, clampLatencyRatio(report.LatencyRatio), peerReportWeight)
 		}
 	}
 }
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -36,7 +36,7 @@
 	r.creditAt = b.now
 	r.limit = slowStartLimit
 	r.peerTokens = 0
-	r.latencyRatio.Forget()
+	r.latencyRatio.Reset()
 	b.warmCountValid = false
 }
 
--- a/balance/state.go
+++ b/balance/state.go
@@ -125,7 +125,7 @@
 	// Trust.
 	limit          float64 // of concurrent requests of this router
 	limitReducedAt time.Duration
-	latencyRatio   decayed.Opinion // observed over expected time to the first token
+	latencyRatio   decayed.Estimate // observed over expected time to the first token
 	outlier        outlier.State   // failures that this and other routers saw
 	failures       int             // in a row
 	crashed        bool            // connections were refused more than once in a row
--- a/internal/decayed/decayed.go
+++ b/internal/decayed/decayed.go
@@ -1,5 +1,6 @@
-// Package decayed keeps figures in which what is long ago counts less. All are bounded, and none knows of a clock: a figure
-// fades with what is added to it, or its user says what time it is.
+// Package decayed has statistics in which older observations count less. All of them use bounded
+// memory, and none reads a clock: a statistic decays with each observation, or its user passes the
+// time, which must not go back. They are not safe for concurrent use.
 package decayed
 
 import (
@@ -8,16 +9,17 @@
 	"time"
 )
 
-// keep is what an addition leaves of a line's past.
-const keep = 0.99
+// retention is the factor by which an observation scales the earlier ones of a Line.
+const retention = 0.99
 
-// Line is a least-squares line from the origin. Its zero value knows nothing.
-type Line struct{ XX, XY float64 } // sums of squares and of products
+// Line is a least-squares fit of a line through the origin. Its zero value has no observations.
+type Line struct{ XX, XY float64 } // decayed sums of x*x and of x*y
 
-// Add takes in that x came with y.
-func (l *Line) Add(x, y float64) { l.XX, l.XY = l.XX*keep+x*x, l.XY*keep+x*y }
+// Add adds the observation of y at x.
+func (l *Line) Add(x, y float64) { l.XX, l.XY = l.XX*retention+x*x, l.XY*retention+x*y }
 
-// Slope is y for each x: the guess before anything was added, and within a tenth and ten times that after.
+// Slope is y per x: the guess before any observation, and between a tenth and ten times the guess
+// afterwards.
 func (l *Line) Slope(guess float64) float64 {
 	if l.XX == 0 {
 		return guess
@@ -25,44 +27,48 @@
 	return min(max(l.XY/l.XX, guess/10), guess*10)
 }
 
-// Counts has how often names came. When Most have, all are halved, and those below one forgotten, so it never holds more
-// than twice as many names.
+// Counts counts occurrences by name. When Limit is reached all counts are halved and those below one
+// dropped, so it never holds more than twice Limit names.
 type Counts struct {
-	Most float64
-	all  float64
-	by   map[string]float64
+	Limit  float64
+	total  float64
+	counts map[string]float64
 }
 
-// Add counts a name. The empty one counts among all only.
+// Add counts an occurrence of a name. The empty name counts in the total only.
 func (c *Counts) Add(name string) {
-	if c.all++; name != "" {
-		if c.by == nil {
-			c.by = map[string]float64{}
+	if c.total++; name != "" {
+		if c.counts == nil {
+			c.counts = map[string]float64{}
 		}
-		c.by[name]++
+		c.counts[name]++
 	}
-	if c.all <= c.Most {
+	if c.total <= c.Limit {
 		return
 	}
-	c.all /= 2
-	for name, n := range c.by {
-		if c.by[name] = n / 2; n < 1 {
-			delete(c.by, name)
+	c.total /= 2
+	for name, n := range c.counts {
+		if c.counts[name] = n / 2; n < 1 {
+			delete(c.counts, name)
 		}
 	}
 }
 
-// Share is a name's part of all, as though unseen others had come before.
-func (c *Counts) Share(name string, unseen float64) float64 { return c.by[name] / (c.all + unseen) }
+// Share is the fraction of all occurrences that a name has, with a number of unseen others added to the
+// total.
+func (c *Counts) Share(name string, unseen float64) float64 {
+	return c.counts[name] / (c.total + unseen)
+}
 
-// Memory has when things by name were last put, with a figure. It holds Most names. One that is full drops what is older than
-// Forget, which it looks for once in a quarter of that, and takes no new name while nothing is.
+// Memory has a figure by name and when it was put. It holds Limit names. A full one drops entries older
+// than TTL, which it looks for once in a quarter of that time, and takes no new name while there are
+// none.
 type Memory struct {
-	Most   int
-	Forget time.Duration
+	Limit int
+	TTL   time.Duration
 
-	by    map[string]entry
-	swept time.Duration
+	entries map[string]entry
+	sweptAt time.Duration
 }
 
 type entry struct {
@@ -70,103 +76,107 @@
 	figure float64
 }
 
-// Put notes a figure, unless the name is empty. The time must not go back.
+// Put sets the figure of a name, unless the name is empty. The time must not go back.
 func (m *Memory) Put(name string, now time.Duration, figure float64) {
 	if name == "" {
 		return
 	}
-	if len(m.by) >= m.Most && now-m.swept >= m.Forget/4 {
-		m.swept = now
-		maps.DeleteFunc(m.by, func(_ string, e entry) bool { return now-e.at > m.Forget })
+	if len(m.entries) >= m.Limit && now-m.sweptAt >= m.TTL/4 {
+		m.sweptAt = now
+		maps.DeleteFunc(m.entries, func(_ string, e entry) bool { return now-e.at > m.TTL })
 	}
-	if m.by == nil {
-		m.by = map[string]entry{}
+	if m.entries == nil {
+		m.entries = map[string]entry{}
 	}
-	if _, known := m.by[name]; known || len(m.by) < m.Most {
-		m.by[name] = entry{now, figure}
+	if _, known := m.entries[name]; known || len(m.entries) < m.Limit {
+		m.entries[name] = entry{now, figure}
 	}
 }
 
-// Get returns what was put after a time, or 0.
+// Get returns the figure of a name if it was put after a time, else 0.
 func (m *Memory) Get(name string, after time.Duration) float64 {
-	if e := m.by[name]; e.at > after {
+	if e := m.entries[name]; e.at > after {
 		return e.figure
 	}
 	return 0
 }
 
-// Drop forgets names.
+// Drop removes names.
 func (m *Memory) Drop(names ...string) {
 	for _, name := range names {
-		delete(m.by, name)
+		delete(m.entries, name)
 	}
 }
 
-// Len is how many names are held.
-func (m *Memory) Len() int { return len(m.by) }
+// Len is the number of names.
+func (m *Memory) Len() int { return len(m.entries) }
 
-// Opinion is how many times the usual something is, by what was seen of it and by what others told. Both fade to 1, by half in
-// each Half; what was told counts the more the longer ago something was seen. The zero value, with Half, has seen nothing.
-type Opinion struct {
-	Half time.Duration
+// Estimate is a ratio to an expected value, from own observations and from reports of others. Both decay
+// to 1, by half in each HalfLife; reports count the more the longer ago the last observation is. The
+// zero value, with HalfLife set, is 1.
+type Estimate struct {
+	HalfLife time.Duration
 
-	own, told               float64 // above 1
-	ownAt, toldAt, seenLast time.Duration
+	observed, reported               float64 // above 1
+	observedAt, reportedAt, lastSeen time.Duration
 }
 
-// At is the opinion at a time, which must not go back.
-func (o *Opinion) At(now time.Duration) float64 {
-	if o.ownAt != now {
-		o.own, o.ownAt = o.own*o.left(now-o.ownAt), now
+// At is the estimate at a time, which must not go back.
+func (o *Estimate) At(now time.Duration) float64 {
+	if o.observedAt != now {
+		o.observed, o.observedAt = o.observed*o.remaining(now-o.observedAt), now
 	}
-	return 1 + o.own + (o.told-o.own)*(1-o.left(now-o.seenLast))*o.left(now-o.toldAt)
+	return 1 + o.observed + (o.reported-o.observed)*(1-o.remaining(now-o.lastSeen))*o.remaining(now-o.reportedAt)
 }
 
-func (o *Opinion) left(passed time.Duration) float64 {
-	return math.Exp2(-passed.Seconds() / o.Half.Seconds())
+func (o *Estimate) remaining(passed time.Duration) float64 {
+	return math.Exp2(-passed.Seconds() / o.HalfLife.Seconds())
 }
 
-// See moves the own part towards what was seen, by a weight of 1 at most.
-func (o *Opinion) See(now time.Duration, times, weight float64) {
+// Observe moves the observed part towards a ratio, by a weight of 1 at most.
+func (o *Estimate) Observe(now time.Duration, times, weight float64) {
 	o.At(now)
-	o.own += (times - 1 - o.own) * weight
-	o.seenLast = now
+	o.observed += (times - 1 - o.observed) * weight
+	o.lastSeen = now
 }
 
-// Hear moves what was told from the opinion towards a word of it.
-func (o *Opinion) Hear(now time.Duration, times, weight float64) {
+// Report moves the reported part from the present estimate towards a reported ratio, by a weight of 1 at
+// most.
+func (o *Estimate) Report(now time.Duration, times, weight float64) {
 	was := o.At(now)
-	o.told, o.toldAt = was+(times-was)*weight-1, now
+	o.reported, o.reportedAt = was+(times-was)*weight-1, now
 }
 
-// Forget makes it 1. When something was last seen stays.
-func (o *Opinion) Forget() { o.own, o.told = 0, 0 }
+// Reset makes the estimate 1. The time of the last observation stays.
+func (o *Estimate) Reset() { o.observed, o.reported = 0, 0 }
 
-// Sum is a sum in which what was added counts less the longer ago it was, by 1/e in each Span. The zero value, with Span and Least, has nothing.
+// Sum is a sum whose terms decay by 1/e in each Span. The zero value, with Span and MinAge set, is
+// empty.
 type Sum struct {
-	Span  time.Duration
-	Least time.Duration // for which it is taken to have lasted at least
+	Span   time.Duration
+	MinAge time.Duration // the age that the sum is taken to have at least
 
-	sum      float64
-	at, from time.Duration
+	sum                  float64
+	updatedAt, startedAt time.Duration
 }
 
-// Add adds at a time, which must not go back.
+// Add adds a term at a time, which must not go back.
 func (s *Sum) Add(now time.Duration, x float64) {
 	if s.sum == 0 {
-		s.from = now
+		s.startedAt = now
 	}
-	s.sum, s.at = s.sum*s.left(now-s.at)+x, now
+	s.sum, s.updatedAt = s.sum*s.remaining(now-s.updatedAt)+x, now
 }
 
-// At is the sum over a whole span. One that began later than that ago is taken to have gone on before as it has since.
+// At estimates the sum over a whole Span. A younger sum is extrapolated from the time since its first
+// term.
 func (s *Sum) At(now time.Duration) float64 {
 	if s.sum == 0 {
 		return 0
 	}
-	return s.sum * s.left(now-s.at) / (1 - s.left(max(now-s.from, s.Least)))
+	return s.sum * s.remaining(now-s.updatedAt) / (1 - s.remaining(max(now-s.startedAt, s.MinAge)))
 }
 
-func (s *Sum) left(passed time.Duration) float64 {
+func (s *Sum) remaining(passed time.Duration) float64 {
 	return math.Exp(-passed.Seconds() / s.Span.Seconds())
 }
--- a/internal/decayed/decayed_test.go
+++ b/internal/decayed/decayed_test.go
@@ -28,25 +28,25 @@
 
 // Names are forgotten, and never more of them kept than twice the bound.
 func TestCounts(t *testing.T) {
-	c := Counts{Most: 100}
+	c := Counts{Limit: 100}
 	for i := range 10000 {
 		c.Add(fmt.Sprint("rare", i))
 		c.Add("often")
 		c.Add("")
-		if len(c.by) > 200 || c.all > 101 {
-			t.Fatalf("%d names of %v", len(c.by), c.all)
+		if len(c.counts) > 200 || c.total > 101 {
+			t.Fatalf("%d names of %v", len(c.counts), c.total)
 		}
 	}
 	if often, rare := c.Share("often", 0), c.Share("rare1", 0); math.Abs(often-1.0/3) > 0.02 || rare != 0 {
 		t.Errorf("often %v, rare %v", often, rare)
 	}
-	if got := c.Share("often", c.all); math.Abs(got-1.0/6) > 0.01 {
+	if got := c.Share("often", c.total); math.Abs(got-1.0/6) > 0.01 {
 		t.Errorf("with others unseen: %v", got)
 	}
 }
 
 func TestMemory(t *testing.T) {
-	m := Memory{Most: 3, Forget: time.Minute}
+	m := Memory{Limit: 3, TTL: time.Minute}
 	for i, name := range []string{"a", "b", "", "c", "d"} {
 		m.Put(name, time.Duration(i+1)*time.Second, float64(i))
 	}
@@ -68,7 +68,7 @@
 
 // A sum that is younger than its span is taken to have gone on before; one of a steady rate is that rate over a span, from Least on.
 func TestSum(t *testing.T) {
-	s := Sum{Span: 5 * time.Second, Least: time.Second}
+	s := Sum{Span: 5 * time.Second, MinAge: time.Second}
 	if s.At(time.Hour) != 0 {
 		t.Error("something of nothing")
 	}
