--- a/internal/testbed/simulator/bound.go
+++ b/internal/testbed/simulator/bound.go
@@ -51,8 +51,8 @@
 	return at * share / (out * (h.Base.Seconds() + each*at))
 }
 
-// servableValue returns, by class, the most worth that hosts could have given of what was asked for since
-// the last call, and begins to count anew.
+// servableValue returns, by class, the most worth that hosts could have given of what was asked for
+// since the last call, and begins to count anew.
 func (w *World) servableValue() []float64 {
 	value := make([]float64, len(w.spec.Classes))
 	if len(w.demand) == 0 {
--- a/internal/testbed/simulator/client.go
+++ b/internal/testbed/simulator/client.go
@@ -91,9 +91,9 @@
 	return s
 }
 
-// beginUnderway begins the sessions that are in the midst of it when the world begins, each at some turn
-// after its first, as many as there are on average: otherwise the load would take minutes to come
-// up.
+// beginUnderway begins the sessions that are in the midst of it when the world begins, each at some
+// turn after its first, as many as there are on average: otherwise the load would take minutes to
+// come up.
 func (l *load) beginUnderway() {
 	gap := float64(l.config.Think+l.config.Class.LatencyTarget)/float64(time.Second) + l.config.Out.mean()*l.config.Class.TokenLatencyTarget.Seconds()
 	for n := l.config.Rate / l.config.Turns * (l.config.Turns - 1) * gap; n > 0 && (n >= 1 || l.rng.Float64() < n); n-- {
--- a/internal/testbed/simulator/disruption.go
+++ b/internal/testbed/simulator/disruption.go
@@ -1,6 +1,7 @@
 package simulator
 
 import (
+	"slices"
 	"time"
 
 	"reachspread/balance"
@@ -9,7 +10,8 @@
 	"reachspread/internal/testbed/hostmodel"
 )
 
-// drawSome draws a part of so many, at least one unless the part is 0, in the order of their numbers.
+// drawSome draws a fraction of those of n that are ok, at least one unless the fraction is 0, in
+// the order of their numbers.
 func (w *World) drawSome(n int, fraction float64, ok func(int) bool) (drawn []int) {
 	var may []int
 	for i := range n {
@@ -21,7 +23,7 @@
 		return nil
 	}
 	want := min(max(int(fraction*float64(len(may))+0.5), 1), len(may))
-	for i, at := range may { // each one left has an even chance of the places left
+	for i, at := range may { // selection sampling: each subset is equally likely
 		if w.disruptionRand.IntN(len(may)-i) < want-len(drawn) {
 			drawn = append(drawn, at)
 		}
@@ -29,12 +31,13 @@
 	return drawn
 }
 
-// activeDisruption is what a disruption has hit.
+// activeDisruption is a disruption that has not ended, and its targets.
 type activeDisruption struct {
 	disruption int
 	targets    []int
 }
 
+// beginDisruption draws the targets of a disruption and applies it to them.
 func (w *World) beginDisruption(n int) {
 	t := &w.spec.Disruptions[n]
 	w.trace("trouble begins: "+string(t.Kind), "", n)
@@ -65,33 +68,12 @@
 	case Replace:
 		hit.targets = w.drawSome(len(w.hosts), t.Fraction, alive)
 		for _, i := range hit.targets {
-			old := w.hosts[i]
-			old.state = balance.Removed
-			w.publishHost(old)
-			old.removed = true
-			w.stopHost(old)
-			h := w.addHost(old.group)
-			h.model.Step(w.now, hostmodel.Die{})
-			h.alive = false
-			w.schedule(w.now+t.Length, event{kind: hostStarts, number: h.number, generation: h.generation})
+			w.replaceHost(w.hosts[i], t.Length)
 		}
 	case Release:
-		var all []int
-		for i := range w.hosts {
-			if alive(i) {
-				all = append(all, i)
-			}
-		}
-		each := max(int(t.Fraction*float64(len(all))+0.5), 1)
-		rounds := (len(all) + each - 1) / each
-		w.rollingRestart(&rollingRestart{remaining: all, batch: each, interval: t.Length / time.Duration(max(rounds, 1))})
+		w.beginRollingRestart(t, alive)
 	case LostZone:
-		for i, h := range w.hosts {
-			if h.zone == t.Zone && !h.removed {
-				w.isolateHost(h)
-				hit.targets = append(hit.targets, i)
-			}
-		}
+		hit.targets = w.isolateZone(t.Zone)
 	case ListLost:
 		w.list.outages++
 	}
@@ -103,33 +85,46 @@
 	}
 }
 
-// restartHost ends a host's process and has it start again after a while. The list hears of the start
-// alone.
+// replaceHost removes a host for good and starts another of its group after a delay.
+func (w *World) replaceHost(old *host, delay time.Duration) {
+	old.state = balance.Removed
+	w.publishHost(old)
+	old.removed = true
+	w.stopHost(old)
+	h := w.addHost(old.group)
+	h.model.Step(w.now, hostmodel.Die{})
+	h.alive = false
+	w.schedule(w.now+delay, event{kind: hostStarts, number: h.number, generation: h.generation})
+}
+
+// isolateZone isolates the hosts of a zone, and returns them.
+func (w *World) isolateZone(zone string) (isolated []int) {
+	for i, h := range w.hosts {
+		if h.zone == zone && !h.removed {
+			w.isolateHost(h)
+			isolated = append(isolated, i)
+		}
+	}
+	return isolated
+}
+
+// restartHost ends a host's process and starts another after a delay. Only the start is published
+// in the list.
 func (w *World) restartHost(h *host, after time.Duration) {
 	w.stopHost(h)
 	w.schedule(w.now+after, event{kind: hostStarts, number: h.number, generation: h.generation})
 }
 
+// endDisruption undoes a disruption. A number below 0 is not one: the front has noticed that the
+// router ^n died.
 func (w *World) endDisruption(n int) {
-	if n < 0 { // the front has noticed that a router died
-		for i, r := range w.front {
-			if r == ^n && !w.routers[r].alive {
-				w.front = append(w.front[:i], w.front[i+1:]...)
-				break
-			}
-		}
+	if n < 0 {
+		w.frontNotices(^n)
 		return
 	}
 	t := &w.spec.Disruptions[n]
 	w.trace("trouble ends: "+string(t.Kind), "", n)
-	var hit activeDisruption
-	for i, x := range w.activeDisruptions {
-		if x.disruption == n {
-			hit = x
-			w.activeDisruptions = append(w.activeDisruptions[:i], w.activeDisruptions[i+1:]...)
-			break
-		}
-	}
+	hit := w.removeActive(n)
 	switch t.Kind {
 	case SlowHosts:
 		for _, i := range hit.targets {
@@ -138,23 +133,13 @@
 	case Burst:
 		w.burstFactor /= t.Size
 	case HeavyTail:
-		for i, x := range w.heavyTails {
-			if x.disruption == n {
-				w.heavyTails = append(w.heavyTails[:i], w.heavyTails[i+1:]...)
-				break
-			}
+		i := slices.IndexFunc(w.heavyTails, func(x heavyTail) bool { return x.disruption == n })
+		if i >= 0 {
+			w.heavyTails = slices.Delete(w.heavyTails, i, i+1)
 		}
-	case LostZone: // what was under way is reset now
+	case LostZone:
 		for _, i := range hit.targets {
-			h := w.hosts[i]
-			w.reconnectHost(h)
-			if h.alive {
-				w.stopHost(h)
-				h.alive = true
-				w.stepHost(h, hostmodel.Start{})
-				h.startedAt = w.clock()
-				w.publishHost(h)
-			}
+			w.reconnectZoneHost(w.hosts[i])
 		}
 	case ListLost:
 		w.endListOutage()
@@ -162,7 +147,42 @@
 	w.emit(history.Event{What: history.Heal, N: firstDisruptionNumber + n, Text: disruptionFault[t.Kind]})
 }
 
-// isolateHost cuts a host off from the network.
+// frontNotices removes a router that died from those that the front sends to.
+func (w *World) frontNotices(router int) {
+	if w.routers[router].alive {
+		return
+	}
+	if i := slices.Index(w.front, router); i >= 0 {
+		w.front = slices.Delete(w.front, i, i+1)
+	}
+}
+
+// removeActive returns what a disruption has hit, and forgets it.
+func (w *World) removeActive(disruption int) (hit activeDisruption) {
+	i := slices.IndexFunc(w.activeDisruptions, func(x activeDisruption) bool { return x.disruption == disruption })
+	if i < 0 {
+		return hit
+	}
+	hit = w.activeDisruptions[i]
+	w.activeDisruptions = slices.Delete(w.activeDisruptions, i, i+1)
+	return hit
+}
+
+// reconnectZoneHost reconnects a host of a lost zone, with a new process: its attempts are reset
+// now.
+func (w *World) reconnectZoneHost(h *host) {
+	w.reconnectHost(h)
+	if !h.alive {
+		return
+	}
+	w.stopHost(h)
+	h.alive = true
+	w.stepHost(h, hostmodel.Start{})
+	h.startedAt = w.clock()
+	w.publishHost(h)
+}
+
+// isolateHost isolates a host from the network.
 func (w *World) isolateHost(h *host) {
 	h.isolated = true
 	if h.isolations++; w.spec.Net.StreamIdleTimeout > 0 {
@@ -170,7 +190,7 @@
 	}
 }
 
-// reconnectHost has it back: what was under way is reset.
+// reconnectHost reconnects an isolated host. The attempts whose messages were lost are reset.
 func (w *World) reconnectHost(h *host) {
 	h.isolated = false
 	for _, a := range h.undelivered {
@@ -179,7 +199,8 @@
 	h.undelivered = nil
 }
 
-// endListOutage ends one of the faults that hold the list up.
+// endListOutage ends one outage of the list. After the last one, routers get the complete list if
+// an update was lost.
 func (w *World) endListOutage() {
 	if w.list.outages--; w.list.outages == 0 && w.list.updateMissed {
 		w.list.updateMissed = false
@@ -197,7 +218,7 @@
 var disruptionFault = map[DisruptionKind]string{SlowHosts: "slow", RouterCrash: "kill", HostsDie: "kill", Replace: "kill", Release: "drain", LostZone: "power", ListLost: "cut",
 	Burst: "burst", HeavyTail: "heavy_tail"}
 
-// emitDisruption tells the history of a disruption that begins, as the fault that it is like.
+// emitDisruption records in the history that a disruption begins, as the fault that it is like.
 func (w *World) emitDisruption(n int, t *Disruption, hit []int) {
 	e := history.Event{What: history.Fault, N: firstDisruptionNumber + n, Text: disruptionFault[t.Kind], Hosts: hit}
 	switch t.Kind {
@@ -212,38 +233,3 @@
 	}
 	w.emit(e)
 }
-
-// rollingRestart is a release of all hosts, some at a time: each is drained, has two thirds of its round
-// to finish what it has, and starts anew.
-type rollingRestart struct {
-	remaining []int
-	batch     int
-	interval  time.Duration
-	drained   []int
-}
-
-func (w *World) rollingRestart(x *rollingRestart) {
-	if x.drained != nil {
-		for _, i := range x.drained {
-			if h := w.hosts[i]; h.alive && !h.removed {
-				w.restartHost(h, x.interval/6)
-			}
-		}
-		x.drained = nil
-		w.schedule(w.now+x.interval/3, event{kind: rollingRestartContinues, payload: x})
-		return
-	}
-	n := min(x.batch, len(x.remaining))
-	if n == 0 {
-		return
-	}
-	x.drained, x.remaining = x.remaining[:n:n], x.remaining[n:]
-	for _, i := range x.drained {
-		if h := w.hosts[i]; h.alive && !h.removed {
-			h.state = balance.Draining
-			w.stepHost(h, hostmodel.Drain{})
-			w.publishHost(h)
-		}
-	}
-	w.schedule(w.now+2*x.interval/3, event{kind: rollingRestartContinues, payload: x})
-}
