--- a/internal/router/peering/doc.go
+++ b/internal/router/peering/doc.go
@@ -15,8 +15,10 @@
 // # After a crash
 //
 // A candidate's store is a bbolt file, written in one transaction for each quorum.Persist and
-// synced before anything that follows. Each value has a checksum of its own; a file that can't be
-// read, or has a value that does not fit its checksum, is set aside and the voter begins a new
-// store, as one that has never voted. A voter whose store fails to be written is stopped and begun
-// anew from its disk. A router without its voter still serves, and asks the other voters.
+// synced before anything that follows. Each value has a checksum of its own. A file that can't be
+// read, or has a value that does not fit its checksum, is set aside; the voter goes on with what
+// was read before a broken log entry, if quorum.New and the other candidates accept that, and
+// otherwise begins a new store, as one that has never voted. A voter whose store fails to be
+// written is stopped and begun anew from its disk. A router without its voter still serves, and
+// asks the other voters.
 package peering
--- a/internal/router/peering/store.go
+++ b/internal/router/peering/store.go
@@ -52,9 +52,12 @@
 }
 
 // openStore opens a directory's store and returns what it has, nil for nothing. A file that can't
-// be read is set aside, and unread says why. One that can is written anew: pages that are broken
-// and were not read would be met later, and the file is no longer than it must be. Another
-// process's store is an error that wraps durable.ErrLocked.
+// be read is set aside, and unread says why. Of one that has a broken log entry, what was read
+// before it is returned all the same: a log that ends before what was committed is rejected by
+// quorum.New, one that ends before what was acknowledged by the records of other candidates. A file
+// that can be read is written anew: pages that are broken and were not read would be met later, and
+// the file is no longer than it must be. Another process's store is an error that wraps
+// durable.ErrLocked.
 func openStore(directory string) (s *store, stored *quorum.StoredState, unread error, err error) {
 	if err := os.MkdirAll(directory, 0o755); err != nil {
 		return nil, nil, nil, err
