--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -149,7 +149,7 @@
 func (d *Controller) emit(a Action) { d.actions = append(d.actions, a) }
 
 // admit adds a connection in a state.
-func (d *Controller) admit(e *Event, a, n *client, state connState, owner *client) *conn {
+func (d *Controller) admit(event *Event, address, network *client, state connState, owner *client) *conn {
 	var c *conn
 	if k := len(d.freeIDs); k > 0 {
 		c = d.conns[d.freeIDs[k-1]]
@@ -158,14 +158,14 @@
 		c = &conn{id: int32(len(d.conns))}
 		d.conns = append(d.conns, c)
 	}
-	*c = conn{id: c.id, state: state, since: d.now, addr: a, net: n, owner: owner, requestBegun: e.HeadComplete, requestReady: e.RequestComplete}
-	a.conns++
-	n.conns++
-	if owner != a {
+	*c = conn{id: c.id, state: state, since: d.now, addr: address, net: network, owner: owner, requestBegun: event.HeadComplete, requestReady: event.RequestComplete}
+	address.conns++
+	network.conns++
+	if owner != address {
 		owner.conns++
 	}
 	if state == knownClient {
-		a.known = true
+		address.known = true
 	}
 	d.countState(c, 1)
 	if !c.requestReady {
@@ -329,11 +329,11 @@
 		d.rejectConn(c, c.rejectCode, c.cause)
 		return
 	case c.state != knownClient && (atLimit(c.addr.open, d.config.PerAddress.OpenRequests) || atLimit(c.net.open, d.config.PerNetwork.OpenRequests)):
-		d.rejectConn(c, 429, TooManyOpenRequests)
+		d.rejectConn(c, tooManyRequests, TooManyOpenRequests)
 		return
 	case c.state == knownClient && c.owner == c.addr && atLimit(c.addr.open, d.config.PerKnownAddress.OpenRequests),
 		c.state == knownClient && c.owner != c.addr && atLimit(c.owner.open, d.config.PerIdentity.OpenRequests):
-		d.rejectConn(c, 429, TooManyOpenRequests)
+		d.rejectConn(c, tooManyRequests, TooManyOpenRequests)
 		return
 	case c.state == awaitingRequest:
 		d.changeState(c, unknownClient, c.addr)
--- a/internal/admission/newconn.go
+++ b/internal/admission/newconn.go
@@ -51,34 +51,36 @@
 }
 
 // handleOpened admits a new connection or not.
-func (d *Controller) handleOpened(e *Event) {
-	address, net := d.config.Prefixes.keys(e.Addr)
-	a, n := d.table.acquire(address), d.table.acquire(net)
-	a.inUse, n.inUse = true, true // an eviction may close their last connection
-	if h := d.identity(e.Identity); h != nil && e.HeadComplete {
-		d.admitIdentity(e, a, n, h)
+func (d *Controller) handleOpened(event *Event) {
+	addressKey, networkKey := d.config.Prefixes.keys(event.Addr)
+	address, network := d.table.acquire(addressKey), d.table.acquire(networkKey)
+	address.inUse, network.inUse = true, true // an eviction may close their last connection
+	if h := d.identity(event.Identity); h != nil && event.HeadComplete {
+		d.admitIdentity(event, address, network, h)
 	} else {
-		d.admitByAddress(e, a, n)
+		d.admitByAddress(event, address, network)
 	}
-	a.inUse, n.inUse = false, false
-	d.table.release(a)
-	d.table.release(n)
+	address.inUse, network.inUse = false, false
+	d.table.release(address)
+	d.table.release(network)
 }
 
 // admitIdentity admits a known client whose request was read already. Limits on addresses are not
 // for it: others may flood from the same address.
-func (d *Controller) admitIdentity(e *Event, a, n, h *client) {
-	if code, cause := d.identityFits(h, true); code != 0 {
+func (d *Controller) admitIdentity(event *Event, address, network, identity *client) {
+	if code, cause := d.identityFits(identity, true); code != 0 {
 		d.emitRejection(NoConnection, code, cause)
 		return
 	}
-	d.trustAddress(a)
-	d.admit(e, a, n, knownClient, h)
+	d.trustAddress(address)
+	d.admit(event, address, network, knownClient, identity)
 	d.counts.Promoted++
 }
 
 // trustAddress treats an address as one of known clients for a while.
-func (d *Controller) trustAddress(a *client) { a.trustedUntil, a.known = d.now+trustTime, true }
+func (d *Controller) trustAddress(address *client) {
+	address.trustedUntil, address.known = d.now+trustTime, true
+}
 
 // identityFits checks whether a known client may have one more connection, and evicts another one
 // if need be. It returns the code of a rejection, 0 for none.
@@ -86,11 +88,11 @@
 	due, ok := d.nextArrival(h, d.config.PerIdentity.ConnectionsPerSecond)
 	switch {
 	case !ok:
-		return 429, RateExceeded
+		return tooManyRequests, RateExceeded
 	case atLimit(h.conns, d.config.PerIdentity.Connections):
-		return 429, TooManyConnections
+		return tooManyRequests, TooManyConnections
 	case needs && d.total() >= d.config.MaxConnections+d.lent && !d.evictOne(0):
-		return 503, CapacityReached
+		return unavailable, CapacityReached
 	}
 	h.nextArrivalAt = due
 	return 0, NoCause
@@ -98,44 +100,44 @@
 
 // admitByAddress admits a client that is not known by a request, if its address may have one more
 // connection and one is free or can be evicted.
-func (d *Controller) admitByAddress(e *Event, a, n *client) {
-	inKnownRange := slices.ContainsFunc(d.config.KnownRanges, func(p netip.Prefix) bool { return p.Contains(e.Addr.Unmap()) })
-	trusted := inKnownRange || d.now < a.trustedUntil
+func (d *Controller) admitByAddress(event *Event, address, network *client) {
+	inKnownRange := slices.ContainsFunc(d.config.KnownRanges, func(p netip.Prefix) bool { return p.Contains(event.Addr.Unmap()) })
+	trusted := inKnownRange || d.now < address.trustedUntil
 	limit, networkLimit := d.config.PerAddress, d.config.PerNetwork
 	if trusted {
 		limit, networkLimit = d.config.PerKnownAddress, ClientLimit{}
 	}
 	// The address comes first: what it may not have takes nothing from its network.
-	due, ok := d.nextArrival(a, limit.ConnectionsPerSecond)
+	due, ok := d.nextArrival(address, limit.ConnectionsPerSecond)
 	if !ok {
-		d.deny(e, a, n, 429, RateExceeded)
+		d.deny(event, address, network, tooManyRequests, RateExceeded)
 		return
 	}
 	if !inKnownRange && !d.config.EvictFromLargest && d.mustRetryLater() {
 		d.emit(Action{Kind: RetryLater})
 		return
 	}
-	a.nextArrivalAt = due
-	if due, ok = d.nextArrival(n, networkLimit.ConnectionsPerSecond); !ok {
-		d.deny(e, a, n, 429, RateExceeded)
+	address.nextArrivalAt = due
+	if due, ok = d.nextArrival(network, networkLimit.ConnectionsPerSecond); !ok {
+		d.deny(event, address, network, tooManyRequests, RateExceeded)
 		return
 	}
-	n.nextArrivalAt = due
+	network.nextArrivalAt = due
 	switch {
-	case e.ClientLeft:
+	case event.ClientLeft:
 		d.drop(ClientLeft)
-	case atLimit(a.conns, limit.Connections) || atLimit(n.conns, networkLimit.Connections):
-		d.deny(e, a, n, 429, TooManyConnections)
-	case e.HeadComplete && (atLimit(a.open, limit.OpenRequests) || atLimit(n.open, networkLimit.OpenRequests)):
-		d.deny(e, a, n, 429, TooManyOpenRequests)
+	case atLimit(address.conns, limit.Connections) || atLimit(network.conns, networkLimit.Connections):
+		d.deny(event, address, network, tooManyRequests, TooManyConnections)
+	case event.HeadComplete && (atLimit(address.open, limit.OpenRequests) || atLimit(network.open, networkLimit.OpenRequests)):
+		d.deny(event, address, network, tooManyRequests, TooManyOpenRequests)
 	case inKnownRange && d.total() >= d.config.MaxConnections+d.lent && !d.evictOne(0) && !(d.mayEvict(1) && d.evictOne(1)),
 		// A trusted address need not wait until an idle connection is old enough.
 		!inKnownRange && d.isFull() && !((trusted || d.mayEvict(0)) && d.evictOne(0)):
-		d.deny(e, a, n, 503, CapacityReached)
+		d.deny(event, address, network, unavailable, CapacityReached)
 	case inKnownRange:
-		d.admit(e, a, n, knownClient, a)
+		d.admit(event, address, network, knownClient, address)
 	default:
-		d.admit(e, a, n, awaitingRequest, a)
+		d.admit(event, address, network, awaitingRequest, address)
 	}
 }
 
@@ -154,11 +156,11 @@
 // deny does not admit a connection. A request that was read is rejected; without one the connection
 // goes to the overflow until it has a request, unless its client came too often. If the overflow is
 // full, the one there that is idle for longest is evicted.
-func (d *Controller) deny(e *Event, a, n *client, code int, cause Cause) {
+func (d *Controller) deny(event *Event, address, network *client, code int, cause Cause) {
 	switch {
-	case e.ClientLeft:
+	case event.ClientLeft:
 		d.drop(ClientLeft)
-	case e.HeadComplete:
+	case event.HeadComplete:
 		d.emitRejection(NoConnection, code, cause)
 	case cause == RateExceeded, d.overflows >= d.config.MaxOverflow && !d.mayEvictOverflow():
 		d.drop(cause)
@@ -166,7 +168,7 @@
 		if d.overflows >= d.config.MaxOverflow {
 			d.evict(d.idleOverflow.head, Evicted)
 		}
-		c := d.admit(e, a, n, overflow, a)
+		c := d.admit(event, address, network, overflow, address)
 		c.rejectCode, c.cause = code, cause
 	}
 }
--- a/internal/admission/types.go
+++ b/internal/admission/types.go
@@ -149,6 +149,12 @@
 	IdleTime        time.Duration
 }
 
+// The statuses of rejections: of a client over its own limit, and for want of a connection.
+const (
+	tooManyRequests = 429
+	unavailable     = 503
+)
+
 // NoConnection is the ID of a connection that was not admitted.
 const NoConnection int32 = -1
 
--- a/internal/transport/clientrequest.go
+++ b/internal/transport/clientrequest.go
@@ -24,37 +24,37 @@
 }
 
 // abandon says that the client has gone.
-func (e *clientRequest) abandon() {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.abandoned = true
-	if !e.ended {
-		e.plan.Router.Abandon(e.request)
+func (r *clientRequest) abandon() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.abandoned = true
+	if !r.ended {
+		r.plan.Router.Abandon(r.request)
 	}
 }
 
 // end ends the request, whose client has its answer or has gone.
-func (e *clientRequest) end(a routing.Answer) {
-	e.conn.unwatch()
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if e.ended {
+func (r *clientRequest) end(a routing.Answer) {
+	r.conn.unwatch()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.ended {
 		return
 	}
-	e.ended = true
-	e.plan.Router.Done(e.request)
-	e.plan.end(a)
-	e.front.memory.release(e.bodyBytes)
+	r.ended = true
+	r.plan.Router.Done(r.request)
+	r.plan.end(a)
+	r.front.memory.release(r.bodyBytes)
 }
 
 // outdated reports whether a request was rejected, unsent, because it has to be planned again.
-func (e *clientRequest) outdated(a routing.Answer) bool {
-	return a.Verdict == routing.Rejected && !a.MayHaveExecuted && e.plan.Outdated != nil && e.plan.Outdated()
+func (r *clientRequest) outdated(a routing.Answer) bool {
+	return a.Verdict == routing.Rejected && !a.MayHaveExecuted && r.plan.Outdated != nil && r.plan.Outdated()
 }
 
 // resume has a broken answer go on after an event, by a request of its own; nil if it can't.
-func (e *clientRequest) resume(first *Final, after string) *routing.Stream {
-	request := e.acceptResumed(first, after)
+func (r *clientRequest) resume(first *Final, after string) *routing.Stream {
+	request := r.acceptResumed(first, after)
 	if request == nil {
 		return nil
 	}
@@ -67,23 +67,23 @@
 
 // acceptResumed accepts the request that goes on with a broken answer, in place of the one before;
 // nil if there may be none.
-func (e *clientRequest) acceptResumed(first *Final, after string) *routing.Request {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if e.abandoned || e.ended || e.plan.Resume == nil || after == "" {
+func (r *clientRequest) acceptResumed(first *Final, after string) *routing.Request {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.abandoned || r.ended || r.plan.Resume == nil || after == "" {
 		return nil
 	}
-	next, ok := e.plan.Resume(e.plan.Message, first, after)
+	next, ok := r.plan.Resume(r.plan.Message, first, after)
 	if !ok {
 		return nil
 	}
-	request, err := next.Router.Accept(next.Arrival, e.began, next.Message)
+	request, err := next.Router.Accept(next.Arrival, r.began, next.Message)
 	if err != nil {
 		return nil
 	}
-	e.plan.Router.Done(e.request)
-	next.Resume, next.Ended = e.plan.Resume, e.plan.Ended
-	e.plan, e.request = next, request
+	r.plan.Router.Done(r.request)
+	next.Resume, next.Ended = r.plan.Resume, r.plan.Ended
+	r.plan, r.request = next, request
 	return request
 }
 
