--- a/internal/system/dataplane/intake.go
+++ b/internal/system/dataplane/intake.go
@@ -41,19 +41,19 @@
 // router that is starting reads it without them, and looks again in Plan.
 func (p *Plane) Head(ctx *fasthttp.RequestCtx) *transport.Rejection {
 	p.counts.Accepted.Add(1)
-	a, no := p.admit(ctx)
+	a, rejection := p.admit(ctx)
 	switch {
-	case no == nil:
+	case rejection == nil:
 		ctx.SetUserValue(routeMatchKey, a)
-	case isUncertain(no) && p.isStarting():
+	case isUncertain(rejection) && p.isStarting():
 		return nil
 	}
-	return no
+	return rejection
 }
 
 // isUncertain reports whether a request is rejected only because too little is known here.
-func isUncertain(no *transport.Rejection) bool {
-	return no != nil && no.Code == http.StatusServiceUnavailable
+func isUncertain(rejection *transport.Rejection) bool {
+	return rejection != nil && rejection.Code == http.StatusServiceUnavailable
 }
 
 // admit looks up the route of a request and the tenant that sends it.
@@ -94,12 +94,12 @@
 		return a, nil
 	}
 	var a *routeMatch
-	var no *transport.Rejection
+	var rejection *transport.Rejection
 	p.awaitStartup(ctx, func() bool {
-		a, no = p.admit(ctx)
-		return !isUncertain(no)
+		a, rejection = p.admit(ctx)
+		return !isUncertain(rejection)
 	})
-	return a, no
+	return a, rejection
 }
 
 // startupRetryAfter is when a client should come back to a router that can serve nothing yet. It
--- a/internal/system/dataplane/outcomes.go
+++ b/internal/system/dataplane/outcomes.go
@@ -143,10 +143,10 @@
 }
 
 // Count implements transport.Intake.
-func (p *Plane) Count(ctx *fasthttp.RequestCtx, no transport.Rejection) {
+func (p *Plane) Count(ctx *fasthttp.RequestCtx, rejection transport.Rejection) {
 	p.counts.Rejected.Add(1)
 	a, _ := ctx.UserValue(routeMatchKey).(*routeMatch)
-	p.outcomeCounts.add(keyOf(a), outcomeOfCode(no.Code))
+	p.outcomeCounts.add(keyOf(a), outcomeOfCode(rejection.Code))
 }
 
 // Outcomes returns the requests since the start, by their outcomes.
--- a/internal/transport/forward.go
+++ b/internal/transport/forward.go
@@ -141,15 +141,15 @@
 }
 
 // WriteRejection writes a rejection as an answer.
-func WriteRejection(ctx *fasthttp.RequestCtx, no Rejection) {
-	if no.RetryAfter > 0 {
-		ctx.Response.Header.Set("Retry-After", protocol.FormatRetryAfter(no.RetryAfter))
+func WriteRejection(ctx *fasthttp.RequestCtx, rejection Rejection) {
+	if rejection.RetryAfter > 0 {
+		ctx.Response.Header.Set("Retry-After", protocol.FormatRetryAfter(rejection.RetryAfter))
 	}
-	if !no.KeepAlive {
-		reject(ctx, no.Code, no.Text)
+	if !rejection.KeepAlive {
+		reject(ctx, rejection.Code, rejection.Text)
 		return
 	}
-	answerLine(ctx, no.Code, no.Text)
+	answerLine(ctx, rejection.Code, rejection.Text)
 }
 
 // maxBufferedAnswer bounds the answers, in bytes, that are read to their end before any of them
--- a/internal/transport/front.go
+++ b/internal/transport/front.go
@@ -181,8 +181,8 @@
 		f.rejectAndCount(ctx, Rejection{Code: fasthttp.StatusBadRequest, Text: err.Error()})
 		return
 	}
-	if no := f.intake.Head(ctx); no != nil {
-		f.rejectAndCount(ctx, *no)
+	if rejection := f.intake.Head(ctx); rejection != nil {
+		f.rejectAndCount(ctx, *rejection)
 		return
 	}
 	body, err := f.readBody(ctx)
@@ -216,9 +216,9 @@
 // is needed after the answer has begun; planAgain, that the request has to be planned again, as
 // nothing of it was sent.
 func (f *Front) serveOnce(ctx *fasthttp.RequestCtx, conn *clientConn, body []byte, came time.Time) (needed, planAgain bool) {
-	plan, no := f.intake.Plan(ctx, body, conn.beganAt)
-	if no != nil {
-		f.rejectAndCount(ctx, *no)
+	plan, rejection := f.intake.Plan(ctx, body, conn.beganAt)
+	if rejection != nil {
+		f.rejectAndCount(ctx, *rejection)
 		return false, false
 	}
 	plan.Message.client = conn
@@ -290,11 +290,11 @@
 		}
 		return true
 	}
-	no := Rejection{Code: answer.Code, Text: rejectionText(answer), RetryAfter: answer.RetryAfter}
-	if no.Code == 0 { // its connection was shut while the request came: nobody reads this
-		no.Code = fasthttp.StatusServiceUnavailable
+	rejection := Rejection{Code: answer.Code, Text: rejectionText(answer), RetryAfter: answer.RetryAfter}
+	if rejection.Code == 0 { // its connection was shut while the request came: nobody reads this
+		rejection.Code = fasthttp.StatusServiceUnavailable
 	}
-	f.rejectAndCount(ctx, no)
+	f.rejectAndCount(ctx, rejection)
 	return false
 }
 
@@ -363,25 +363,25 @@
 	}
 	var small *fasthttp.ErrSmallBuffer
 	var timeout net.Error
-	no := Rejection{Code: fasthttp.StatusBadRequest, Text: "malformed request"}
+	rejection := Rejection{Code: fasthttp.StatusBadRequest, Text: "malformed request"}
 	switch {
 	case errors.Is(err, fasthttp.ErrBodyTooLarge):
-		no = Rejection{Code: fasthttp.StatusRequestEntityTooLarge, Text: fmt.Sprintf("the body is longer than %d bytes", f.intake.MaxBody())}
+		rejection = Rejection{Code: fasthttp.StatusRequestEntityTooLarge, Text: fmt.Sprintf("the body is longer than %d bytes", f.intake.MaxBody())}
 	case errors.As(err, &small):
-		no = f.intake.LongHead()
+		rejection = f.intake.LongHead()
 	case errors.Is(err, errBodyMemory):
-		no = Rejection{Code: fasthttp.StatusServiceUnavailable, Text: err.Error()}
+		rejection = Rejection{Code: fasthttp.StatusServiceUnavailable, Text: err.Error()}
 	case errors.As(err, &timeout) && timeout.Timeout():
-		no = Rejection{Code: fasthttp.StatusRequestTimeout, Text: "the request took too long to arrive"}
+		rejection = Rejection{Code: fasthttp.StatusRequestTimeout, Text: "the request took too long to arrive"}
 	}
-	f.rejectAndCount(ctx, no)
+	f.rejectAndCount(ctx, rejection)
 }
 
 // rejectAndCount rejects a request that the router never gets, and counts it.
-func (f *Front) rejectAndCount(ctx *fasthttp.RequestCtx, no Rejection) {
-	f.intake.Count(ctx, no)
-	if c, ok := ctx.Conn().(*clientConn); ok && no.KeepAlive {
+func (f *Front) rejectAndCount(ctx *fasthttp.RequestCtx, rejection Rejection) {
+	f.intake.Count(ctx, rejection)
+	if c, ok := ctx.Conn().(*clientConn); ok && rejection.KeepAlive {
 		c.requestOpen = true // it is answered with the next read
 	}
-	WriteRejection(ctx, no)
+	WriteRejection(ctx, rejection)
 }
--- a/internal/transport/intake.go
+++ b/internal/transport/intake.go
@@ -25,7 +25,7 @@
 	// Unserved writes the answer to a request that no server has served.
 	Unserved(ctx *fasthttp.RequestCtx, a routing.Answer)
 	// Count counts a request that is answered before it got to a router.
-	Count(ctx *fasthttp.RequestCtx, no Rejection)
+	Count(ctx *fasthttp.RequestCtx, rejection Rejection)
 	// MaxBody bounds a request's body, in bytes.
 	MaxBody() int
 	// LongHead is the answer to a head beyond the bound.
@@ -129,9 +129,9 @@
 }
 
 // Count implements Intake.
-func (c *completions) Count(ctx *fasthttp.RequestCtx, no Rejection) {
+func (c *completions) Count(ctx *fasthttp.RequestCtx, rejection Rejection) {
 	v := routing.Failed
-	if no.Code == fasthttp.StatusTooManyRequests || no.Code == fasthttp.StatusServiceUnavailable {
+	if rejection.Code == fasthttp.StatusTooManyRequests || rejection.Code == fasthttp.StatusServiceUnavailable {
 		v = routing.Rejected
 	}
 	c.router.CountUnadmitted(string(ctx.Request.Header.Peek(protocol.HeaderClass)), v)
