--- a/cmd/reachlab/soak.go
+++ b/cmd/reachlab/soak.go
@@ -57,7 +57,7 @@
 				return err
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "seed %d: requests %v, events %v, orders %d, probes %d, ends %d in %v at most with %.2f of a core at most, found %d\n", report.Seed,
-				report.Requests, report.Events, report.Orders, report.Probes, report.Ends, report.LongestTo.Round(time.Millisecond), report.MostCPU, len(report.Findings))
+				report.Requests, report.Events, report.Changes, report.Probes, report.Terminations, report.LongestTermination.Round(time.Millisecond), report.MaxTerminationCPU, len(report.Findings))
 			for _, f := range report.Findings {
 				fmt.Fprintln(cmd.OutOrStdout(), " ", f)
 			}
--- a/internal/testbed/soak/client.go
+++ b/internal/testbed/soak/client.go
@@ -19,127 +19,131 @@
 )
 
 const (
-	deadline             = 5 * time.Second
-	dialAgain            = 30 * time.Millisecond
-	maxPause             = 40 * time.Millisecond // between two requests on a connection
-	mostWorkMs           = 60
-	longWorkMs           = 1200
+	requestDeadline      = 5 * time.Second
+	maxRedialDelay       = 30 * time.Millisecond
+	maxRequestGap        = 40 * time.Millisecond // between two requests on a connection
+	maxWorkMs            = 60
+	maxLongWorkMs        = 1200
 	maxEvents            = 60
-	ignoresCloseFraction = 0.3 // of the clients go on using a connection although they were told that it ends
+	ignoresCloseFraction = 0.3 // of the clients go on using a connection whose close was announced
 	streamFraction       = 0.25
 	longFraction         = 0.1
-	dialFor              = time.Second
-	answerExtra          = time.Second // beyond the deadline
+	dialTimeout          = time.Second
+	answerGrace          = time.Second // beyond the deadline
 )
 
-// Outcome is what became of a request.
+// Outcome is the outcome of a request.
 type Outcome string
 
 // The outcomes.
 const (
-	Complete    Outcome = "whole"   // a whole success
+	Complete    Outcome = "whole"   // a complete success
 	Refused     Outcome = "refused" // 429 or 503
-	Failed      Outcome = "failed"  // another answer, whole
-	Interrupted Outcome = "cut"     // in the middle of an answer
-	Closed      Outcome = "closed"  // without an answer
-	TimedOut    Outcome = "silent"  // nothing by the end of its time
-	Wrong       Outcome = "wrong"   // an answer that is not its own, or no answer in the protocol
+	Failed      Outcome = "failed"  // another complete answer
+	Interrupted Outcome = "cut"     // the connection ended within the answer
+	Closed      Outcome = "closed"  // the connection ended without an answer
+	TimedOut    Outcome = "silent"  // no answer by the deadline
+	Wrong       Outcome = "wrong"   // the answer of another request, or none of the protocol
 )
 
-// asked is a request that a client sent.
-type asked struct {
+// request is a request that a client sent.
+type request struct {
 	id          string
 	router      int
 	stream      bool
-	afterEnd    bool // its connection was said to end with the answer before
-	kept        bool // it was not the first on its connection
+	afterClose  bool // an earlier answer announced the close of the connection
+	reusedConn  bool // it was not the first on its connection
 	work        int
-	wrote       time.Duration // its last byte
-	ended       time.Duration
+	written     time.Duration // its last byte
+	done        time.Duration
 	outcome     Outcome
 	status      int
-	what        string // of an outcome that is not whole
-	unsentWhole bool   // its writing failed
+	detail      string // of an outcome other than Complete
+	writeFailed bool   // its writing failed
 }
 
-// client uses connections to one router, each as long as it lasts.
+// client sends requests to one router, on one connection at a time.
 type client struct {
-	play   *play
-	router int
-	rng    *rand.Rand
-	number int
-	next   int
-	all    []asked
+	soak     *soakRun
+	router   int
+	rng      *rand.Rand
+	number   int
+	next     int
+	requests []request
 }
 
-// run asks until ctx ends, and returns what came of it.
-func (c *client) run(ctx context.Context) []asked {
-	deaf := c.rng.Float64() < ignoresCloseFraction
+// run sends requests until ctx ends, and returns them with their outcomes.
+func (c *client) run(ctx context.Context) []request {
+	ignoresClose := c.rng.Float64() < ignoresCloseFraction
 	for ctx.Err() == nil {
-		conn, err := net.DialTimeout("tcp", c.play.fleet.Front(c.router), dialFor)
+		conn, err := net.DialTimeout("tcp", c.soak.fleet.Front(c.router), dialTimeout)
 		if err != nil {
-			sleep(ctx, dialAgain)
+			sleep(ctx, maxRedialDelay)
 			continue
 		}
-		c.use(ctx, conn, deaf)
+		c.use(ctx, conn, ignoresClose)
 		conn.Close()
-		sleep(ctx, time.Duration(c.rng.IntN(int(dialAgain))))
+		sleep(ctx, time.Duration(c.rng.IntN(int(maxRedialDelay))))
 	}
-	return c.all
+	return c.requests
 }
 
-// use asks on one connection until it ends.
-func (c *client) use(ctx context.Context, conn net.Conn, deaf bool) {
+// use sends requests on one connection until it ends.
+func (c *client) use(ctx context.Context, conn net.Conn, ignoresClose bool) {
 	in := bufio.NewReader(conn)
 	closeAnnounced := false
-	for n := 0; ctx.Err() == nil && (deaf || !closeAnnounced); n++ {
+	for n := 0; ctx.Err() == nil && (ignoresClose || !closeAnnounced); n++ {
 		a := c.draw()
-		a.kept, a.afterEnd = n > 0, closeAnnounced
-		ends := c.ask(conn, in, &a)
+		a.reusedConn, a.afterClose = n > 0, closeAnnounced
+		ends := c.send(conn, in, &a)
 		closeAnnounced = closeAnnounced || ends
-		c.all = append(c.all, a)
-		if a.outcome != Complete && a.outcome != Refused && a.outcome != Failed {
+		c.requests = append(c.requests, a)
+		if !a.outcome.answered() {
 			return
 		}
-		sleep(ctx, time.Duration(c.rng.IntN(int(maxPause))))
+		sleep(ctx, time.Duration(c.rng.IntN(int(maxRequestGap))))
 	}
 }
 
-// draw is the next request.
-func (c *client) draw() asked {
+// answered reports whether the answer came completely, so that the connection is of further use.
+func (o Outcome) answered() bool { return o == Complete || o == Refused || o == Failed }
+
+// draw draws the next request.
+func (c *client) draw() request {
 	c.next++
-	a := asked{id: fmt.Sprintf("c%d-%d", c.number, c.next), router: c.router, work: 1 + c.rng.IntN(mostWorkMs)}
+	a := request{id: fmt.Sprintf("c%d-%d", c.number, c.next), router: c.router, work: 1 + c.rng.IntN(maxWorkMs)}
 	switch kind := c.rng.Float64(); {
 	case kind < streamFraction:
 		a.stream, a.work = true, 1+c.rng.IntN(maxEvents)
 	case kind < streamFraction+longFraction:
-		a.work = c.rng.IntN(longWorkMs)
+		a.work = c.rng.IntN(maxLongWorkMs)
 	}
 	return a
 }
 
-// ask sends a request and reads its answer. It tells whether the connection is said to end.
-func (c *client) ask(conn net.Conn, in *bufio.Reader, a *asked) (ends bool) {
+// send sends a request and reads its answer. It reports whether the answer announces
+// the close of the connection, or the connection has ended.
+func (c *client) send(conn net.Conn, in *bufio.Reader, a *request) (ends bool) {
 	path := unsafePath
 	if a.stream {
 		path = streamPath
 	}
-	conn.SetDeadline(time.Now().Add(deadline + answerExtra))
+	conn.SetDeadline(time.Now().Add(requestDeadline + answerGrace))
 	_, err := fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: %s\r\nRequest-Id: %s\r\nRequest-Deadline: %d\r\n%s: %d\r\nContent-Length: 1\r\n\r\nx",
-		path, clientHost, a.id, deadline.Milliseconds(), askHeader, a.work)
-	a.wrote = c.play.now()
-	defer func() { a.ended = c.play.now() }()
+		path, clientHost, a.id, requestDeadline.Milliseconds(), workHeader, a.work)
+	a.written = c.soak.now()
+	defer func() { a.done = c.soak.now() }()
 	if err != nil {
-		a.outcome, a.unsentWhole, a.what = Closed, true, err.Error()
+		a.outcome, a.writeFailed, a.detail = Closed, true, err.Error()
 		return true
 	}
 	if _, err := in.Peek(1); err != nil {
-		a.outcome, a.what = endOf(err), err.Error()
+		a.outcome, a.detail = outcomeWithoutAnswer(err), err.Error()
 		return true
 	}
 	resp, err := http.ReadResponse(in, &http.Request{Method: http.MethodPost})
 	if err != nil {
-		a.outcome, a.what = Wrong, err.Error()
+		a.outcome, a.detail = Wrong, err.Error()
 		if err == io.ErrUnexpectedEOF || strings.Contains(err.Error(), "reset") {
 			a.outcome = Interrupted
 		}
@@ -148,20 +152,20 @@
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
 	a.status = resp.StatusCode
-	a.outcome, a.what = judgeAnswer(a, resp.StatusCode, string(text), err)
+	a.outcome, a.detail = judgeAnswer(a, resp.StatusCode, string(text), err)
 	return resp.Close
 }
 
-// endOf is the outcome of a request whose connection gave no byte of an answer.
-func endOf(err error) Outcome {
+// outcomeWithoutAnswer is the outcome of a request without a byte of an answer.
+func outcomeWithoutAnswer(err error) Outcome {
 	if timeout, ok := err.(net.Error); ok && timeout.Timeout() {
 		return TimedOut
 	}
 	return Closed
 }
 
-// judgeAnswer is what an answer was.
-func judgeAnswer(a *asked, status int, text string, err error) (Outcome, string) {
+// judgeAnswer is the outcome of a request by its answer, with the detail.
+func judgeAnswer(a *request, status int, text string, err error) (Outcome, string) {
 	switch {
 	case err != nil:
 		return Interrupted, fmt.Sprintf("%d, then %v after %d bytes", status, err, len(text))
@@ -169,20 +173,20 @@
 		return Refused, text
 	case status != http.StatusOK:
 		return Failed, fmt.Sprint(status, " ", text)
-	case text != a.answer():
-		return Wrong, fmt.Sprintf("%d bytes of %d: %.80q", len(text), len(a.answer()), text)
+	case text != a.expectedAnswer():
+		return Wrong, fmt.Sprintf("%d bytes of %d: %.80q", len(text), len(a.expectedAnswer()), text)
 	}
 	return Complete, ""
 }
 
-// answer is the body that the host gives.
-func (a *asked) answer() string {
+// expectedAnswer is the body that a host answers with.
+func (a *request) expectedAnswer() string {
 	if !a.stream {
 		return completeAnswer(a.id)
 	}
-	var all strings.Builder
+	var body strings.Builder
 	for n := range a.work {
-		all.WriteString(streamEvent(a.id, n))
+		body.WriteString(streamEvent(a.id, n))
 	}
-	return all.String()
+	return body.String()
 }
--- a/internal/testbed/soak/host.go
+++ b/internal/testbed/soak/host.go
@@ -16,36 +16,36 @@
 )
 
 const (
-	drainFor          = 2200 * time.Millisecond // a leaving host serves on
+	drainTime         = 2200 * time.Millisecond // a draining host serves on
 	heartbeatInterval = heartbeatMs * time.Millisecond
 	hostSlots         = 64
 	eventInterval     = 25 * time.Millisecond // between two events of a stream
-	askHeader         = "X-Work"              // how long the host is to work, in ms, or how many events it is to send
+	workHeader        = "X-Work"              // how long the host is to work, in ms, or how many events it is to send
 )
 
-// hosts are stand-ins for hosts of one service, which count what they ran.
+// hosts are fake hosts of one service, which count how often they executed each request.
 type hosts struct {
-	play *play
+	soak *soakRun
 	stop chan struct{}
 
-	mu     sync.Mutex
-	all    []*host
-	number int
-	ran    map[string]int // by request
+	mu         sync.Mutex
+	all        []*host
+	lastNumber int
+	executions map[string]int // by request id
 }
 
-// host is one life of one.
+// host is one incarnation of a fake host.
 type host struct {
-	of       *hosts
+	hosts    *hosts
 	id       string
 	listener net.Listener
 	server   *http.Server
 	sequence int
-	leaving  bool
+	draining bool
 }
 
-func newHosts(p *play) *hosts {
-	return &hosts{play: p, stop: make(chan struct{}), ran: map[string]int{}}
+func newHosts(p *soakRun) *hosts {
+	return &hosts{soak: p, stop: make(chan struct{}), executions: map[string]int{}}
 }
 
 // add starts a host.
@@ -56,14 +56,15 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.number++
-	x := &host{of: h, id: fmt.Sprint("i-", h.number), listener: listener}
+	h.lastNumber++
+	x := &host{hosts: h, id: fmt.Sprint("i-", h.lastNumber), listener: listener}
 	x.server = &http.Server{Handler: x}
-	go x.server.Serve(listener)
+	go x.server.Serve(listener) // until close or drainOldest
 	h.all = append(h.all, x)
 	return nil
 }
 
+// close ends all hosts.
 func (h *hosts) close() {
 	close(h.stop)
 	h.mu.Lock()
@@ -73,7 +74,7 @@
 	}
 }
 
-// heartbeats has all hosts tell of themselves until the play ends.
+// heartbeats has all hosts register at routers by turns until ctx or the hosts end.
 func (h *hosts) heartbeats(ctx context.Context) {
 	tick := time.NewTicker(heartbeatInterval)
 	defer tick.Stop()
@@ -92,21 +93,22 @@
 	}
 }
 
-// leave has the oldest host say that it leaves, serve on, and end; another one begins first.
-func (h *hosts) leave(ctx context.Context) {
+// drainOldest starts a host, has the oldest one announce that it drains, serve on for drainTime,
+// and end.
+func (h *hosts) drainOldest(ctx context.Context) {
 	if h.add() != nil {
 		return
 	}
 	h.mu.Lock()
 	x := h.all[0]
-	x.leaving = true
+	x.draining = true
 	h.mu.Unlock()
 	for attempt := 0; !x.call(ctx, http.MethodPut, x.registration(), attempt); attempt++ {
-		if attempt > 4*h.play.fleet.Len() || !sleep(ctx, 50*time.Millisecond) {
+		if attempt > 4*h.soak.fleet.Len() || !sleep(ctx, 50*time.Millisecond) {
 			break
 		}
 	}
-	sleep(ctx, drainFor)
+	sleep(ctx, drainTime)
 	x.call(ctx, http.MethodDelete, nil, 0)
 	x.server.Shutdown(ctx)
 	h.mu.Lock()
@@ -119,29 +121,49 @@
 	}
 }
 
-// runs are how often each request ran.
-func (h *hosts) runs() map[string]int {
+// executionCounts are how often each request was executed, by its id.
+func (h *hosts) executionCounts() map[string]int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return maps.Clone(h.ran)
+	return maps.Clone(h.executions)
 }
 
+// registration is a host's heartbeat to the control plane.
+type registration struct {
+	Address  string `json:"address"`
+	Sequence int    `json:"sequence"`
+	Service  string `json:"service"`
+	Slots    int    `json:"slots"`
+	State    string `json:"state"`
+	Zone     string `json:"zone"`
+}
+
+// registration is the body of the host's next heartbeat.
 func (x *host) registration() []byte {
-	x.of.mu.Lock()
-	defer x.of.mu.Unlock()
+	x.hosts.mu.Lock()
+	defer x.hosts.mu.Unlock()
 	x.sequence++
 	state := "ready"
-	if x.leaving {
+	if x.draining {
 		state = "draining"
 	}
-	text, _ := json.Marshal(map[string]any{"service": service, "address": x.listener.Addr().String(), "zone": "z0", "state": state, "slots": hostSlots,
-		"sequence": x.sequence})
+	text, err := json.Marshal(registration{
+		Address:  x.listener.Addr().String(),
+		Sequence: x.sequence,
+		Service:  service,
+		Slots:    hostSlots,
+		State:    state,
+		Zone:     "z0",
+	})
+	if err != nil {
+		panic(fmt.Sprintf("a registration that JSON lacks: %v", err))
+	}
 	return text
 }
 
-// call calls the control plane of a router; ok says that it was acknowledged.
+// call calls the control plane of a router; ok is set if it was acknowledged.
 func (x *host) call(ctx context.Context, method string, body []byte, router int) (ok bool) {
-	f := x.of.play.fleet
+	f := x.hosts.soak.fleet
 	code, _ := callControl(ctx, f.Control(router%f.Len()), method, "/instances/"+x.id, body, "")
 	return code == http.StatusOK
 }
@@ -150,10 +172,10 @@
 func (x *host) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	io.Copy(io.Discard, r.Body)
 	id := r.Header.Get(protocol.HeaderRequestID)
-	x.of.mu.Lock()
-	x.of.ran[id]++
-	x.of.mu.Unlock()
-	work, _ := strconv.Atoi(r.Header.Get(askHeader))
+	x.hosts.mu.Lock()
+	x.hosts.executions[id]++
+	x.hosts.mu.Unlock()
+	work, _ := strconv.Atoi(r.Header.Get(workHeader))
 	w.Header().Set(protocol.HeaderRequestID, id)
 	w.Header().Set(protocol.HeaderSeal, "seal")
 	if r.URL.Path != streamPath {
@@ -175,7 +197,7 @@
 
 func streamEvent(id string, n int) string { return fmt.Sprintf("id: %d\ndata: %s %d\n\n", n+1, id, n) }
 
-// sleep waits; false where ctx ended first.
+// sleep waits for a time and reports false if ctx ended first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/testbed/soak/judge.go
+++ b/internal/testbed/soak/judge.go
@@ -7,61 +7,62 @@
 	"time"
 )
 
-// closeSlack is how long after its last byte a request's connection may still be closed without an answer, where it did not run: the request
-// may have crossed the close.
+// closeSlack is how long after its last byte the connection of a request that was not executed may
+// still be closed without an answer: the request may have crossed the close.
 const closeSlack = 200*time.Millisecond + slack
 
-// judgeRequests looks at what became of all requests.
-func (p *play) judgeRequests(all []asked) {
-	runs := p.hosts.runs()
+// judgeRequests counts the outcomes of all requests and finds those that break a rule.
+func (p *soakRun) judgeRequests(all []request) {
+	runs := p.hosts.executionCounts()
 	for _, a := range all {
 		p.report.Requests[a.outcome]++
-		unplanned := p.struck(a.wrote-contact, a.ended, func(t fault) bool { return t.router == a.router && !t.planned })
+		unplanned := p.hadFault(a.written-contactTime, a.done, func(t fault) bool { return t.router == a.router && !t.planned })
 		if rule, what := judgeRequest(&a, runs[a.id], unplanned); rule != "" {
-			p.report.Findings = append(p.report.Findings, Finding{a.ended, rule, fmt.Sprintf("%s at %s, sent at %.3f s, work %d, kept %v, after its end %v: %s",
-				a.id, p.fleet.Name(a.router), a.wrote.Seconds(), a.work, a.kept, a.afterEnd, what)})
+			p.report.Findings = append(p.report.Findings, Finding{a.done, rule, fmt.Sprintf("%s at %s, sent at %.3f s, work %d, kept %v, after its end %v: %s",
+				a.id, p.fleet.Name(a.router), a.written.Seconds(), a.work, a.reusedConn, a.afterClose, what)})
 		}
 	}
 }
 
-// judgeRequest is the rule that a request's end breaks, empty for none. Runs are how often hosts ran it; unplanned says that its router was
-// killed or stood still around it.
-func judgeRequest(a *asked, runs int, unplanned bool) (rule, what string) {
+// judgeRequest is the rule that a request's outcome breaks, empty for none, with the detail. runs
+// are its executions at hosts; unplanned says that its router was killed or frozen around it.
+func judgeRequest(a *request, runs int, unplanned bool) (rule, what string) {
 	switch {
 	case runs > 1:
 		return "TWICE", fmt.Sprintf("it ran %d times", runs)
 	case a.outcome == Wrong:
-		return "MIXED", a.what
+		return "MIXED", a.detail
 	case a.outcome == Refused && runs > 0:
 		return "REFUSED", fmt.Sprintf("%d, and it has run", a.status)
 	case a.outcome == Failed && (a.status == 400 || a.status == 401 || a.status == 403 || a.status == 404):
-		return "DENIED", a.what
+		return "DENIED", a.detail
 	case unplanned:
 		return "", ""
 	case a.outcome == Interrupted:
-		return "LOST", "cut in the answer: " + a.what
+		return "LOST", "cut in the answer: " + a.detail
 	case a.outcome == TimedOut:
 		return "LOST", fmt.Sprintf("no answer; it ran %d times", runs)
 	case a.outcome == Closed && runs > 0:
-		return "LOST", "closed without an answer, and it has run: " + a.what
-	case a.outcome == Closed && !a.unsentWhole && a.ended-a.wrote > closeSlack:
-		return "LOST", fmt.Sprintf("closed without an answer %v after it was sent", (a.ended - a.wrote).Round(time.Millisecond))
+		return "LOST", "closed without an answer, and it has run: " + a.detail
+	case a.outcome == Closed && !a.writeFailed && a.done-a.written > closeSlack:
+		return "LOST", fmt.Sprintf("closed without an answer %v after it was sent", (a.done - a.written).Round(time.Millisecond))
 	}
 	return "", ""
 }
 
-// readLogs looks for lines that may not be in the routers' logs.
-func (p *play) readLogs() {
+// judgeLogs finds lines in the routers' logs that report a violated invariant.
+func (p *soakRun) judgeLogs() {
 	for i := range p.fleet.Len() {
 		text, err := os.ReadFile(p.fleet.Log(i))
 		if err != nil {
 			continue
 		}
 		for line := range strings.Lines(string(text)) {
-			// A mixed fleet also runs landed programs: a line that is worded anew is looked for in both wordings.
+			// Mixed fleets also run earlier programs: a changed log line is looked for in both
+			// forms.
 			for _, bad := range []string{"loop stalls", "view broken", "membership invariant broken", "panic", "fatal error", "DATA RACE", "unwritable"} {
 				if strings.Contains(line, bad) {
-					p.find("LOG", p.fleet.Name(i)+": "+strings.TrimSpace(line))
+					p.addFinding("LOG", p.fleet.Name(i)+": "+strings.TrimSpace(line))
 				}
 			}
 		}
--- a/internal/testbed/soak/mixedfleet_test.go
+++ b/internal/testbed/soak/mixedfleet_test.go
@@ -13,12 +13,13 @@
 	"reachspread/internal/testbed/pintest"
 )
 
-// landedProgram names the environment variable that holds the path of a reachspread binary of an earlier landing.
+// landedProgram names the environment variable that holds the path of a reachspread binary of an
+// earlier landing.
 const landedProgram = "REACHSPREAD_LANDED_PROGRAM"
 
 const (
-	mixedFor       = 5 * time.Second // half of the routers run each program: longer than probes of calm routers need
-	pinFleetWithin = 2 * time.Minute
+	mixedTime       = 5 * time.Second // half of the routers run each program: longer than probes of routers without a fault need
+	pinFleetTimeout = 2 * time.Minute
 )
 
 // programs are the two that take turns in a mixed fleet.
@@ -57,16 +58,17 @@
 	}
 }
 
-// A fleet of landed routers is upgraded to the present program one router at a time, and rolled back, while clients use their connections and
-// the configuration changes in storms. Each half-way the two programs serve together. Nothing that was taken is lost, nothing runs twice, and a
-// calm router of either program goes by the newest configuration.
+// A fleet of landed routers is upgraded to the present program one router at a time, and rolled
+// back, while clients use their connections and the configuration changes in storms. Halfway, the
+// two programs serve together. No accepted request is lost, none is executed twice, and a router of
+// either program without a fault uses the newest configuration.
 func TestMixedFleet(t *testing.T) {
 	both := bothPrograms(t)
 	is := is.New(t)
 	report, err := runWith(t.Context(), Options{Network: "127.80.2", Executable: both.landed, Seed: 1, Routers: 6, Disks: 3, Hosts: 3, Clients: 24},
-		func(ctx context.Context, p *play) {
-			c := newConductor(p)
-			c.quota = 0
+		func(ctx context.Context, p *soakRun) {
+			c := newScheduler(p)
+			c.throttledFraction = 0
 			for i := range p.fleet.Len() {
 				checkProgram(t, p.fleet, i, both.landed)
 			}
@@ -76,11 +78,11 @@
 					c.restart(ctx, c.rng, i)
 					checkProgram(t, p.fleet, i, program)
 					if step == 2 {
-						p.hosts.leave(ctx)
-						sleep(ctx, mixedFor)
+						p.hosts.drainOldest(ctx)
+						sleep(ctx, mixedTime)
 					}
 				}
-				sleep(ctx, mixedFor)
+				sleep(ctx, mixedTime)
 			}
 		})
 	is.NoErr(err)
@@ -88,18 +90,19 @@
 	for _, f := range report.Findings {
 		t.Error(f)
 	}
-	is.Equal(report.Ends, 12)
+	is.Equal(report.Terminations, 12)
 	is.True(report.Requests[Complete] > 500)
-	is.True(report.Orders > 5)
+	is.True(report.Changes > 5)
 	is.True(report.Probes > 0)
 }
 
-// Version pins hold while a fleet of landed routers is upgraded to the present program one router at a time, and rolled back: no answer is of
-// a version that was not the pinned one between the request and its answer, and no unsafe request runs twice.
+// Version pins hold while a fleet of landed routers is upgraded to the present program one router
+// at a time, and rolled back: no answer is of a version that was not the pinned one between the
+// request and its answer, and no unsafe request runs twice.
 func TestPinsOnMixedFleet(t *testing.T) {
 	both := bothPrograms(t)
 	is := is.New(t)
-	ctx, cancel := context.WithTimeout(t.Context(), pinFleetWithin)
+	ctx, cancel := context.WithTimeout(t.Context(), pinFleetTimeout)
 	defer cancel()
 	f := localfleet.New(localfleet.Options{Folder: t.TempDir(), Network: "127.80.3", Routers: 4, Disks: 3, Executable: both.landed,
 		HeartbeatMs: heartbeatMs, RevocationMs: 2000, GraceS: graceS})
@@ -147,7 +150,7 @@
 	return pintest.NewStory(fronts, controls, all)
 }
 
-// upgrade ends a router in order, and begins the other program in its place.
+// upgrade terminates a router and starts the other program in its place.
 func upgrade(ctx context.Context, t *testing.T, f *localfleet.Fleet, i int, program []string) {
 	t.Helper()
 	if err := f.Terminate(i); err != nil {
--- a/internal/testbed/soak/operator.go
+++ b/internal/testbed/soak/operator.go
@@ -15,56 +15,59 @@
 )
 
 const (
-	callFor       = 2 * time.Second
-	orderFor      = 20 * time.Second // then an order is left without a clear answer
-	mostRoutes    = 6                // that come and go
+	callTimeout   = 2 * time.Second
+	changeTimeout = 20 * time.Second // then the outcome of a change stays unknown
+	maxRoutes     = 6                // that come and go
 	calmGap       = 400 * time.Millisecond
 	stormGap      = 40 * time.Millisecond
-	stormFraction = 0.5 // of the time orders come in storms
-	stormFor      = 2 * time.Second
-	raceFraction  = 0.4 // of the orders are sent beside another one on the same version
-	probeEvery    = 30 * time.Millisecond
-	probeFor      = 2 * time.Second
+	stormFraction = 0.5 // of the time changes come in storms
+	stormPeriod   = 2 * time.Second
+	raceFraction  = 0.4 // of the changes are sent concurrently with another one on the same version
+	probeInterval = 30 * time.Millisecond
+	probeTimeout  = 2 * time.Second
 	slack         = time.Second // of real time, on a machine that does other work as well
 	neverBefore   = time.Duration(-1)
 )
 
-// route is one that an order added, and another one removed perhaps.
+// route is a route that a change added and another one may have removed.
 type route struct {
 	name     string
-	added    time.Duration // acknowledged; below 0 where that is not known
-	removing time.Duration // the first order that removes it was sent; below 0 for none
+	added    time.Duration // acknowledged; below 0 if that is unknown
+	removing time.Duration // the first change that removes it was sent; below 0 for none
 	removed  time.Duration // that was acknowledged
 }
 
-// operator changes the configuration, by two orders on one version among others, and looks at which is in force on calm routers.
+// operator changes the configuration, at times by two concurrent changes of one version, and probes
+// which one is in force on routers without a fault.
 type operator struct {
-	play    *play
+	soak    *soakRun
 	rng     *rand.Rand
 	version int // in force, as far as is known
 	number  int
 
-	mu     sync.Mutex
-	routes []*route
-	acked  int // the newest version that was acknowledged
-	orders int
-	probes int
+	mu           sync.Mutex
+	routes       []*route
+	acknowledged int // the newest version that was acknowledged
+	changes      int
+	probes       int
 }
 
-// order is one change.
-type order struct {
-	version, on int
-	add, remove *route
-	code        int // the clear answer, 0 for none
+// change is one change of the configuration.
+type change struct {
+	version, baseVersion int
+	add, remove          *route
+	status               int // of the definite answer, 0 for none
 }
 
-func newOperator(p *play) *operator { return &operator{play: p, rng: p.rng(1), version: 1, acked: 1} }
+func newOperator(p *soakRun) *operator {
+	return &operator{soak: p, rng: p.rng(operatorStream), version: 1, acknowledged: 1}
+}
 
-// begin sends the first configuration until it is taken.
-func (o *operator) begin(ctx context.Context) bool {
+// configure sends the first configuration until it is acknowledged; false if ctx ended first.
+func (o *operator) configure(ctx context.Context) bool {
 	text := fmt.Sprintf(`{"version":1,"routes":[%s,%s],"services":[{"name":%q}]}`, routeText("unsafe", unsafePath, "unsafe"), routeText("stream", streamPath, "streaming"), service)
 	for i := 0; ctx.Err() == nil; i++ {
-		code, _ := callControl(ctx, o.play.fleet.Control(i%o.play.fleet.Len()), http.MethodPut, "/configuration", []byte(text), "0")
+		code, _ := callControl(ctx, o.soak.fleet.Control(i%o.soak.fleet.Len()), http.MethodPut, "/configuration", []byte(text), "0")
 		if code == http.StatusOK {
 			return true
 		}
@@ -73,12 +76,13 @@
 	return false
 }
 
+// routeText is a route in the control plane's form.
 func routeText(name, path, kind string) string {
 	return fmt.Sprintf(`{"name":%q,"host":%q,"pathPrefix":%q,"kind":%q,"timeoutMs":5000,"targetLatencyMs":1000,"service":%q,"maxAttempts":1}`, name, clientHost, path, kind, service)
 }
 
-// work orders and probes until ctx ends.
-func (o *operator) work(ctx context.Context) {
+// run sends changes and probes until ctx ends.
+func (o *operator) run(ctx context.Context) {
 	var group sync.WaitGroup
 	group.Go(func() { o.probe(ctx) })
 	for ctx.Err() == nil {
@@ -86,49 +90,49 @@
 		if o.rng.Float64() < stormFraction {
 			gap = stormGap
 		}
-		for until := o.play.now() + stormFor; o.play.now() < until && ctx.Err() == nil; {
-			o.change(ctx)
+		for until := o.soak.now() + stormPeriod; o.soak.now() < until && ctx.Err() == nil; {
+			o.sendChanges(ctx)
 			sleep(ctx, gap)
 		}
 	}
 	group.Wait()
 }
 
-// change sends an order, or two on one version, and takes in what was answered.
-func (o *operator) change(ctx context.Context) {
-	all := []*order{o.draw(1)}
+// sendChanges sends one change, or two of one version, and records the answers.
+func (o *operator) sendChanges(ctx context.Context) {
+	all := []*change{o.draw(1)}
 	if o.rng.Float64() < raceFraction {
 		all = append(all, o.draw(2))
 	}
-	seeds := make([]int, len(all))
-	for i := range seeds {
-		seeds[i] = o.rng.IntN(o.play.fleet.Len())
+	firstRouters := make([]int, len(all))
+	for i := range firstRouters {
+		firstRouters[i] = o.rng.IntN(o.soak.fleet.Len())
 	}
 	var group sync.WaitGroup
 	for i, x := range all {
-		group.Go(func() { o.send(ctx, x, seeds[i]) })
+		group.Go(func() { o.send(ctx, x, firstRouters[i]) })
 	}
 	group.Wait()
-	taken := 0
+	accepted := 0
 	for _, x := range all {
-		o.take(x)
-		if x.code == http.StatusOK {
-			taken++
+		o.record(x)
+		if x.status == http.StatusOK {
+			accepted++
 			o.version = max(o.version, x.version)
 		}
 	}
-	if taken > 1 {
-		o.play.find("CONFIG", fmt.Sprintf("two changes on version %d were acknowledged", all[0].on))
+	if accepted > 1 {
+		o.soak.addFinding("CONFIG", fmt.Sprintf("two changes on version %d were acknowledged", all[0].baseVersion))
 	}
-	if taken == 0 && ctx.Err() == nil {
+	if accepted == 0 && ctx.Err() == nil {
 		o.version = max(o.version, o.read(ctx))
 	}
 }
 
-// draw is the next order: it adds a route, and removes the oldest where there are many.
-func (o *operator) draw(step int) *order {
+// draw draws the next change: it adds a route, and removes the oldest if there are maxRoutes.
+func (o *operator) draw(step int) *change {
 	o.number++
-	x := &order{on: o.version, version: o.version + step + o.rng.IntN(2)*2, add: &route{name: fmt.Sprint("p", o.number), added: neverBefore, removing: neverBefore, removed: neverBefore}}
+	x := &change{baseVersion: o.version, version: o.version + step + o.rng.IntN(2)*2, add: &route{name: fmt.Sprint("p", o.number), added: neverBefore, removing: neverBefore, removed: neverBefore}}
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	present := 0
@@ -138,8 +142,8 @@
 		}
 	}
 	for _, r := range o.routes {
-		if r.removing < 0 && present > mostRoutes {
-			r.removing, x.remove = o.play.now(), r
+		if r.removing < 0 && present > maxRoutes {
+			r.removing, x.remove = o.soak.now(), r
 			break
 		}
 	}
@@ -147,35 +151,35 @@
 	return x
 }
 
-// send sends an order to routers by turns until it has a clear answer.
-func (o *operator) send(ctx context.Context, x *order, router int) {
+// send sends a change to routers by turns until it has a definite answer.
+func (o *operator) send(ctx context.Context, x *change, router int) {
 	body := fmt.Sprintf(`{"version":%d,"upsert":{"routes":[%s]}`, x.version, routeText(x.add.name, x.add.path(), "safe"))
 	if x.remove != nil {
 		body += fmt.Sprintf(`,"remove":{"routes":[%q]}`, x.remove.name)
 	}
-	for until := o.play.now() + orderFor; o.play.now() < until && ctx.Err() == nil; router++ {
-		code, text := callControl(ctx, o.play.fleet.Control(router%o.play.fleet.Len()), http.MethodPatch, "/configuration", []byte(body+"}"), strconv.Itoa(x.on))
+	for until := o.soak.now() + changeTimeout; o.soak.now() < until && ctx.Err() == nil; router++ {
+		code, text := callControl(ctx, o.soak.fleet.Control(router%o.soak.fleet.Len()), http.MethodPatch, "/configuration", []byte(body+"}"), strconv.Itoa(x.baseVersion))
 		switch {
 		case code == http.StatusOK || code == http.StatusPreconditionFailed:
-			x.code = code
+			x.status = code
 			return
 		case code/100 == 4:
-			o.play.find("CONFIG", fmt.Sprintf("a proper order is refused with %d: %s", code, text))
+			o.soak.addFinding("CONFIG", fmt.Sprintf("a proper order is refused with %d: %s", code, text))
 			return
 		}
 		sleep(ctx, 20*time.Millisecond)
 	}
 }
 
-// take notes what became of an order.
-func (o *operator) take(x *order) {
+// record records the answer to a change.
+func (o *operator) record(x *change) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	now := o.play.now()
-	switch x.code {
+	now := o.soak.now()
+	switch x.status {
 	case http.StatusOK:
-		o.orders++
-		o.acked = max(o.acked, x.version)
+		o.changes++
+		o.acknowledged = max(o.acknowledged, x.version)
 		x.add.added = now
 		if x.remove != nil {
 			x.remove.removed = now
@@ -193,7 +197,7 @@
 // read is the version in force, 0 where nobody tells it.
 func (o *operator) read(ctx context.Context) int {
 	for i := 0; ctx.Err() == nil && i < 200; i++ {
-		code, text := callControl(ctx, o.play.fleet.Control(i%o.play.fleet.Len()), http.MethodGet, "/configuration", nil, "")
+		code, text := callControl(ctx, o.soak.fleet.Control(i%o.soak.fleet.Len()), http.MethodGet, "/configuration", nil, "")
 		var in struct {
 			Version int `json:"version"`
 		}
@@ -205,38 +209,38 @@
 	return 0
 }
 
-// probe asks calm routers for routes that were added or removed long enough ago.
+// probe probes routers without a fault for routes that were added or removed long enough ago.
 func (o *operator) probe(ctx context.Context) {
-	rng := o.play.rng(2)
-	for n := 0; sleep(ctx, probeEvery); n++ {
-		router := rng.IntN(o.play.fleet.Len())
-		began := o.play.now()
-		r, there := o.toProbe(rng, began)
-		if r == nil || !o.play.calm(router, began) {
+	rng := o.soak.rng(probeStream)
+	for n := 0; sleep(ctx, probeInterval); n++ {
+		router := rng.IntN(o.soak.fleet.Len())
+		began := o.soak.now()
+		r, there := o.drawProbe(rng, began)
+		if r == nil || !o.soak.isCalm(router, began) {
 			continue
 		}
-		code := o.ask(router, r, n)
+		code := o.probeRoute(router, r, n)
 		o.mu.Lock()
 		o.probes++
-		wasRemoved := r.removing >= 0 && r.removing <= o.play.now()
+		wasRemoved := r.removing >= 0 && r.removing <= o.soak.now()
 		o.mu.Unlock()
-		if !o.play.calm(router, began) {
+		if !o.soak.isCalm(router, began) {
 			continue
 		}
 		switch {
 		case there && !wasRemoved && (code == http.StatusNotFound || code == http.StatusUnauthorized):
-			o.play.find("CONFIG", fmt.Sprintf("%s answers %d on route %s, acknowledged at %.3f s", o.play.fleet.Name(router), code, r.name, r.added.Seconds()))
+			o.soak.addFinding("CONFIG", fmt.Sprintf("%s answers %d on route %s, acknowledged at %.3f s", o.soak.fleet.Name(router), code, r.name, r.added.Seconds()))
 		case !there && code == http.StatusOK:
-			o.play.find("CONFIG", fmt.Sprintf("%s serves route %s, whose removal was acknowledged at %.3f s", o.play.fleet.Name(router), r.name, r.removed.Seconds()))
+			o.soak.addFinding("CONFIG", fmt.Sprintf("%s serves route %s, whose removal was acknowledged at %.3f s", o.soak.fleet.Name(router), r.name, r.removed.Seconds()))
 		}
 	}
 }
 
-// toProbe draws a route whose coming (there) or going has to be in force everywhere.
-func (o *operator) toProbe(rng *rand.Rand, now time.Duration) (r *route, there bool) {
+// drawProbe draws a route whose addition (there) or removal has to be in force everywhere.
+func (o *operator) drawProbe(rng *rand.Rand, now time.Duration) (r *route, there bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	old := func(at time.Duration) bool { return at >= 0 && now-at >= apply+slack }
+	old := func(at time.Duration) bool { return at >= 0 && now-at >= applyTime+slack }
 	var added, removed []*route
 	for _, r := range o.routes {
 		switch {
@@ -255,15 +259,15 @@
 	return nil, false
 }
 
-// ask sends one request on a route, and returns the status, 0 without an answer.
-func (o *operator) ask(router int, r *route, n int) int {
-	request, err := http.NewRequest(http.MethodPost, "http://"+o.play.fleet.Front(router)+r.path(), bytes.NewReader([]byte("x")))
+// probeRoute sends one request on a route, and returns the status, 0 without an answer.
+func (o *operator) probeRoute(router int, r *route, n int) int {
+	request, err := http.NewRequest(http.MethodPost, "http://"+o.soak.fleet.Front(router)+r.path(), bytes.NewReader([]byte("x")))
 	if err != nil {
 		return 0
 	}
 	request.Host = clientHost
 	request.Header.Set("Request-Id", fmt.Sprint("probe-", n))
-	client := http.Client{Timeout: probeFor, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := http.Client{Timeout: probeTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Do(request)
 	if err != nil {
 		return 0
@@ -274,26 +278,27 @@
 
 func (r *route) path() string { return "/" + r.name + "/" }
 
-// judge reads the configuration back: nothing that was acknowledged may be lost.
+// judge reads the configuration back and finds a lost acknowledged change.
 func (o *operator) judge() {
-	ctx, cancel := context.WithTimeout(context.Background(), quiesceTime)
+	ctx, cancel := context.WithTimeout(context.Background(), recoveryTimeout)
 	defer cancel()
-	o.play.mu.Lock()
-	o.play.report.Orders, o.play.report.Probes = o.orders, o.probes
-	o.play.mu.Unlock()
-	if read := o.read(ctx); read < o.acked {
-		o.play.find("LOST", fmt.Sprintf("version %d is read back, %d was acknowledged", read, o.acked))
+	o.soak.mu.Lock()
+	o.soak.report.Changes, o.soak.report.Probes = o.changes, o.probes
+	o.soak.mu.Unlock()
+	if read := o.read(ctx); read < o.acknowledged {
+		o.soak.addFinding("LOST", fmt.Sprintf("version %d is read back, %d was acknowledged", read, o.acknowledged))
 	}
 }
 
-// calm tells whether a router and the register had no trouble for so long before a time, and have had none since.
-func (p *play) calm(router int, at time.Duration) bool {
-	return !p.struck(at-contact-slack, p.now(), func(t fault) bool { return t.router == router || p.fleet.HasDisk(t.router) })
+// isCalm reports whether a router and the register have had no fault since contactTime before a
+// time.
+func (p *soakRun) isCalm(router int, at time.Duration) bool {
+	return !p.hadFault(at-contactTime-slack, p.now(), func(f fault) bool { return f.router == router || p.fleet.HasDisk(f.router) })
 }
 
 // callControl makes one call; the code is 0 without an answer.
 func callControl(ctx context.Context, address, method, path string, body []byte, ifMatch string) (code int, text []byte) {
-	within, cancel := context.WithTimeout(ctx, callFor)
+	within, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	answer, err := controlclient.Do(within, controlclient.Call{Address: address, Method: method, Path: path, IfMatch: ifMatch, Body: body})
 	if err != nil {
--- a/internal/testbed/soak/soak.go
+++ b/internal/testbed/soak/soak.go
@@ -1,6 +1,8 @@
-// Package soak plays a fleet of router processes for a long time: clients that use their connections until the process is gone, operators
-// that change the configuration in storms, and signals, restarts, standstills and leaving hosts that come in series and overlap, all drawn from
-// a seed. A judge looks at what clients, hosts and operators saw. The same seed draws the same schedule; what becomes of it is real time's.
+// Package soak plays a fleet of router processes for a long time: clients that use their
+// connections until the process exits, operators that change the configuration in storms, and
+// signals, restarts, frozen processes and draining hosts that come in series and overlap, all drawn
+// from a seed. It judges what clients, hosts and operators saw. The same seed draws the same
+// schedule; its outcomes depend on real time.
 package soak
 
 import (
@@ -16,7 +18,7 @@
 	"reachspread/internal/testbed/localfleet"
 )
 
-// Options are a play's.
+// Options are the size, length and seed of a soak test.
 type Options struct {
 	Out        io.Writer // a line for each event; nil for none
 	Network    string    // the first three bytes of all addresses
@@ -30,72 +32,84 @@
 }
 
 const (
-	service     = "s"
-	clientHost  = "h.example"
-	heartbeatMs = 500
-	revocation  = 5000 // ms
-	graceS      = 6
-	apply       = 2 * time.Second // until a change is in force on all routers, as the settings say
-	contact     = 3 * time.Second // without trouble, until a router counts as in touch
-	quiesceTime = 30 * time.Second
+	service         = "s"
+	clientHost      = "h.example"
+	heartbeatMs     = 500
+	revocationMs    = 5000
+	graceS          = 6
+	applyTime       = 2 * time.Second // until a change is in force on all routers, as the settings say
+	contactTime     = 3 * time.Second // without trouble, until a router counts as in touch
+	recoveryTimeout = 30 * time.Second
 )
 
-// Finding is something that may not be.
+// The streams of random numbers.
+const (
+	operatorStream    = 1
+	probeStream       = 2
+	scheduleStream    = 3
+	firstClientStream = 1000
+)
+
+// Finding is a violation of a rule.
 type Finding struct {
-	At   time.Duration // since the beginning
-	Rule string
-	What string
+	At     time.Duration // since the beginning
+	Rule   string
+	Detail string
 }
 
-func (f Finding) String() string { return fmt.Sprintf("%7.3fs %s: %s", f.At.Seconds(), f.Rule, f.What) }
+func (f Finding) String() string {
+	return fmt.Sprintf("%7.3fs %s: %s", f.At.Seconds(), f.Rule, f.Detail)
+}
 
-// Report is what came of a play.
+// Report is the result of a soak test.
 type Report struct {
-	Seed      uint64
-	Requests  map[Outcome]int
-	Events    map[string]int
-	Orders    int // that were acknowledged
-	Probes    int
-	Ends      int           // processes that were told to end, and did
-	LongestTo time.Duration // end
-	MostCPU   float64       // of a core, that a process used while it ended
-	Findings  []Finding
+	Seed               uint64
+	Requests           map[Outcome]int
+	Events             map[string]int
+	Changes            int // of the configuration, acknowledged
+	Probes             int
+	Terminations       int           // processes that exited after SIGTERM
+	LongestTermination time.Duration // end
+	MaxTerminationCPU  float64       // of a core, that a process used while it ended
+	Findings           []Finding
 }
 
-// play is one.
-type play struct {
-	o     Options
-	fleet *localfleet.Fleet
-	hosts *hosts
-	begun time.Time
+// soakRun is one run of the soak test.
+type soakRun struct {
+	options Options
+	fleet   *localfleet.Fleet
+	hosts   *hosts
+	start   time.Time
 
-	mu       sync.Mutex
-	report   Report
-	troubles []fault
+	mu     sync.Mutex
+	report Report
+	faults []fault
 }
 
-// fault is a time in which a router may not do all that it should, or the register, where its machine is one.
+// fault is a time in which a router may not do all that it should, or the register, where its
+// machine is one.
 type fault struct {
 	router   int
 	from, to time.Duration // to is below 0 while it goes on
-	planned  bool          // it was told to end, or to reload: what it has taken may not be lost
+	planned  bool          // a graceful shutdown: no accepted request may be lost
 }
 
-// Run plays until the length is over or ctx ends, and judges what was seen.
+// Run runs the soak test until its length is over or ctx ends. The error is that of starting the
+// fleet or of ctx; violations are findings of the report.
 func Run(ctx context.Context, o Options) (*Report, error) {
-	return runWith(ctx, o, func(ctx context.Context, p *play) { newConductor(p).run(ctx) })
+	return runWith(ctx, o, func(ctx context.Context, p *soakRun) { newScheduler(p).run(ctx) })
 }
 
 // runWith is Run with another schedule.
-func runWith(ctx context.Context, o Options, schedule func(context.Context, *play)) (*Report, error) {
+func runWith(ctx context.Context, o Options, schedule func(context.Context, *soakRun)) (*Report, error) {
 	folder, err := os.MkdirTemp("", "reachspread-soak")
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(folder)
-	p := &play{o: o, begun: time.Now(), report: Report{Seed: o.Seed, Requests: map[Outcome]int{}, Events: map[string]int{}}}
+	p := &soakRun{options: o, start: time.Now(), report: Report{Seed: o.Seed, Requests: map[Outcome]int{}, Events: map[string]int{}}}
 	p.fleet = localfleet.New(localfleet.Options{Folder: folder, Network: o.Network, Routers: o.Routers, Disks: o.Disks, Executable: o.Executable,
-		HeartbeatMs: heartbeatMs, RevocationMs: revocation, GraceS: graceS})
+		HeartbeatMs: heartbeatMs, RevocationMs: revocationMs, GraceS: graceS})
 	defer p.fleet.KillAll()
 	if err := p.fleet.StartAll(); err != nil {
 		return nil, err
@@ -104,93 +118,102 @@
 	defer stop()
 	p.hosts = newHosts(p)
 	defer p.hosts.close()
-	beating, stopHeartbeats := context.WithCancel(context.WithoutCancel(ctx)) // hosts call on until clients have ended
+	heartbeats, stopHeartbeats := context.WithCancel(context.WithoutCancel(ctx)) // until clients have ended
 	defer stopHeartbeats()
-	if err := p.bringUp(work, beating); err != nil {
+	if err := p.awaitServing(work, heartbeats); err != nil {
 		return nil, err
 	}
-	p.playAll(work, stop, schedule)
-	p.readLogs()
+	p.runAll(work, stop, schedule)
+	p.judgeLogs()
 	slices.SortFunc(p.report.Findings, func(a, b Finding) int { return int(a.At - b.At) })
 	return &p.report, ctx.Err()
 }
 
-// bringUp waits until all routers serve. Hosts call until beating ends.
-func (p *play) bringUp(ctx, beating context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, 2*quiesceTime)
+// awaitServing waits until all routers serve. Hosts send heartbeats until the
+// context heartbeats ends.
+func (p *soakRun) awaitServing(ctx, heartbeats context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, 2*recoveryTimeout)
 	defer cancel()
 	op := newOperator(p)
-	if !op.begin(ctx) {
+	if !op.configure(ctx) {
 		return fmt.Errorf("soak: the first configuration is never taken: %w", ctx.Err())
 	}
-	for range p.o.Hosts {
+	for range p.options.Hosts {
 		if err := p.hosts.add(); err != nil {
 			return err
 		}
 	}
-	go p.hosts.heartbeats(beating)
-	var all []int
+	go p.hosts.heartbeats(heartbeats) // until that context or the hosts end
+	return p.fleet.AwaitReady(ctx, p.allRouters()...)
+}
+
+// allRouters are the numbers of all routers.
+func (p *soakRun) allRouters() (all []int) {
 	for i := range p.fleet.Len() {
 		all = append(all, i)
 	}
-	return p.fleet.AwaitReady(ctx, all...)
+	return all
 }
 
-// playAll has clients, operators and the schedule work beside each other, and judges once all have ended.
-func (p *play) playAll(ctx context.Context, stop context.CancelFunc, schedule func(context.Context, *play)) {
+// runAll runs clients, the operator and the schedule concurrently, and judges once all have ended.
+func (p *soakRun) runAll(ctx context.Context, stop context.CancelFunc, schedule func(context.Context, *soakRun)) {
 	var clients, background sync.WaitGroup
-	asked := make([][]asked, p.o.Clients)
-	for i := range p.o.Clients {
-		c := &client{play: p, router: i % p.fleet.Len(), rng: p.rng(uint64(i) + 1000), number: i}
-		clients.Go(func() { asked[i] = c.run(ctx) })
+	requests := make([][]request, p.options.Clients)
+	for i := range p.options.Clients {
+		c := &client{soak: p, router: i % p.fleet.Len(), rng: p.rng(firstClientStream + uint64(i)), number: i}
+		clients.Go(func() { requests[i] = c.run(ctx) })
 	}
 	operator := newOperator(p)
-	background.Go(func() { operator.work(ctx) })
+	background.Go(func() { operator.run(ctx) })
 	schedule(ctx, p)
 	stop()
 	clients.Wait()
 	background.Wait()
-	p.judgeRequests(slices.Concat(asked...))
+	p.judgeRequests(slices.Concat(requests...))
 	operator.judge()
 }
 
-func (p *play) rng(stream uint64) *rand.Rand { return rand.New(rand.NewPCG(p.o.Seed, stream)) }
+// rng is the stream of random numbers of one drawing part.
+func (p *soakRun) rng(stream uint64) *rand.Rand { return rand.New(rand.NewPCG(p.options.Seed, stream)) }
 
-func (p *play) now() time.Duration { return time.Since(p.begun) }
+// now is the time since the beginning.
+func (p *soakRun) now() time.Duration { return time.Since(p.start) }
 
-func (p *play) log(event, what string) {
+// log counts an event and prints it.
+func (p *soakRun) log(event, what string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.report.Events[event]++
-	if p.o.Out != nil {
-		fmt.Fprintf(p.o.Out, "%7.3fs %s %s\n", p.now().Seconds(), event, what)
+	if p.options.Out != nil {
+		fmt.Fprintf(p.options.Out, "%7.3fs %s %s\n", p.now().Seconds(), event, what)
 	}
 }
 
-func (p *play) find(rule, what string) {
+// addFinding adds a violation of a rule at this time.
+func (p *soakRun) addFinding(rule, what string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.report.Findings = append(p.report.Findings, Finding{p.now(), rule, what})
 }
 
-// trouble notes that something begins at a router, and returns what ends it.
-func (p *play) trouble(router int, planned bool) (end func()) {
+// beginFault records that a fault of a router begins, and returns the function that ends it.
+func (p *soakRun) beginFault(router int, planned bool) (end func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	n := len(p.troubles)
-	p.troubles = append(p.troubles, fault{router, p.now(), -1, planned})
+	n := len(p.faults)
+	p.faults = append(p.faults, fault{router, p.now(), -1, planned})
 	return func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.troubles[n].to = p.now()
+		p.faults[n].to = p.now()
 	}
 }
 
-// struck tells whether any trouble of some kind fell into a time.
-func (p *play) struck(from, to time.Duration, counts func(fault) bool) bool {
+// hadFault reports whether any fault that counts was in force between two times.
+func (p *soakRun) hadFault(from, to time.Duration, counts func(fault) bool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return slices.ContainsFunc(p.troubles, func(t fault) bool {
-		return t.from <= to && (t.to < 0 || t.to >= from) && counts(t)
+	return slices.ContainsFunc(p.faults, func(f fault) bool {
+		return f.from <= to && (f.to < 0 || f.to >= from) && counts(f)
 	})
 }
