--- a/internal/testbed/demo/demo.go
+++ b/internal/testbed/demo/demo.go
@@ -286,7 +286,7 @@
 		}
 		for _, h := range w.s.Hosts {
 			x := h.Stats()
-			fmt.Fprintf(table, "%s: %d running, %d waiting, %d connections, capacity %.2f, up: %v\n", h.ID, x.Running, x.Waiting, x.Conns, x.Capacity, x.Alive)
+			fmt.Fprintf(table, "%s: %d running, %d waiting, %d connections, capacity %.2f, up: %v\n", h.ID, x.Running, x.Waiting, x.Connections, x.Capacity, x.Alive)
 		}
 	} else {
 		sum := w.sum()
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -59,7 +59,7 @@
 	if x.Name != "day" || x.Worlds() != 6 || base.Seed != 5 || base.Routers != 2 || base.Balance.MaxAttempts != 4 ||
 		single.Seed != 8 || single.Routers != 1 || single.Balance.MaxAttempts != 1 || single.Balance.SlowStartWindow != 8*time.Second ||
 		base.Classes[0].Rate != 20 || single.Classes[0].Rate != 30 || x.World(1, 3).Classes[0].Rate != 30 ||
-		base.Groups[0].Host.Slots != 64 || base.Groups[0].Host.SlowStart.Share != 0.3 || base.Disruptions[0].Size != 3 {
+		base.Groups[0].Host.Slots != 64 || base.Groups[0].Host.SlowStart.InitialCapacity != 0.3 || base.Disruptions[0].Size != 3 {
 		t.Errorf("%+v\n%+v", base, single)
 	}
 	if x, err := Parse([]byte(strings.Replace(good, "[3, 5, 8]", "4", 1)), "day.hcl"); err != nil || !cmp.Equal(x.Seeds, []uint64{1, 2, 3, 4}) {
--- a/internal/testbed/experiment/file.go
+++ b/internal/testbed/experiment/file.go
@@ -366,20 +366,20 @@
 func (d *decoder) group(b *hclsyntax.Block) simulator.Group {
 	g := simulator.Group{Kind: d.label(b), Zone: "a", Host: hostmodel.Config{Slots: 64, Queue: 64, Memory: 200000, Chunk: 2048, Block: 16,
 		Base: 12 * time.Millisecond, PerSeq: 200 * time.Microsecond, ContextPerK: 50 * time.Microsecond, PairsPerM: time.Millisecond,
-		ReadPerS: 20000, KeepsMade: true}}
+		ReadPerS: 20000, CachesAnswers: true}}
 	h := &g.Host
 	d.body(b.Body, "group", fields{
 		"hosts": integer(&g.Count, 0, 100000), "zone": word(&g.Zone),
 		"slots": integer(&h.Slots, 1, 100000), "queue": integer(&h.Queue, 0, 1000000), "memory": integer(&h.Memory, 1, 1<<31),
 		"chunk": integer(&h.Chunk, 1, 1<<20), "block": integer(&h.Block, 1, 1<<20), "step": span(&h.Base, 1), "per_seq": span(&h.PerSeq, 0),
 		"context_per_k": span(&h.ContextPerK, 0), "pairs_per_m": span(&h.PairsPerM, 0), "read_per_s": num(&h.ReadPerS, 0, 1e9),
-		"keeps_made": flag(&h.KeepsMade), "connections": integer(&h.Conns, 0, 1<<20), "handshake": span(&h.Handshake, 0),
-		"table_cost": num(&h.TableCost, 0, 0.9), "probe": span(&h.Probe, 0), "probes_per_second": integer(&h.ProbesMax, 0, 1<<20),
-		"report_every": span(&h.ReportEvery, 0), "report_noise": num(&h.ReportNoise, 0, 1),
+		"keeps_made": flag(&h.CachesAnswers), "connections": integer(&h.MaxConnections, 0, 1<<20), "handshake": span(&h.HandshakeWork, 0),
+		"table_cost": num(&h.TableCost, 0, 0.9), "probe": span(&h.ProbeWork, 0), "probes_per_second": integer(&h.MaxProbesPerSecond, 0, 1<<20),
+		"report_every": span(&h.ReportInterval, 0), "report_noise": num(&h.ReportNoise, 0, 1),
 	}, blocks{"cold": func(b *hclsyntax.Block) {
 		c := &h.SlowStart
-		d.body(b.Body, "cold", fields{"share": num(&c.Share, 0.01, 1), "time": span(&c.Time, 0), "work": span(&c.Work, 0),
-			"factor": num(&c.Factor, 0, 1000), "window": span(&c.Window, 0), "per_token": span(&c.PerToken, 0), "per_made": span(&c.PerMade, 0)},
+		d.body(b.Body, "cold", fields{"share": num(&c.InitialCapacity, 0.01, 1), "time": span(&c.Duration, 0), "work": span(&c.Work, 0),
+			"factor": num(&c.MaxLoadFactor, 0, 1000), "window": span(&c.Window, 0), "per_token": span(&c.PerPromptToken, 0), "per_made": span(&c.PerAnswerToken, 0)},
 			nil, "share", "time")
 	}}, "hosts")
 	return g
--- a/internal/testbed/fakes/fakes_test.go
+++ b/internal/testbed/fakes/fakes_test.go
@@ -20,7 +20,7 @@
 const ms = time.Millisecond
 
 func config() hostmodel.Config {
-	return hostmodel.Config{Slots: 2, Queue: 1, Memory: 10000, Chunk: 1000, Block: 10, Base: 2 * ms, ReadPerS: 1e6, Conns: 20, KeepsMade: true}
+	return hostmodel.Config{Slots: 2, Queue: 1, Memory: 10000, Chunk: 1000, Block: 10, Base: 2 * ms, ReadPerS: 1e6, MaxConnections: 20, CachesAnswers: true}
 }
 
 func startHost(t *testing.T, c hostmodel.Config) *Host {
--- a/internal/testbed/fakes/host.go
+++ b/internal/testbed/fakes/host.go
@@ -128,7 +128,7 @@
 // deliver passes a result to its attempt. One whose reader is too far behind sees its channel
 // closed. The lock is held.
 func (h *Host) deliver(r hostmodel.Result) {
-	if r.Kind == hostmodel.Fell {
+	if r.Kind == hostmodel.Overloaded {
 		h.observe(Collapsed, "", "")
 	}
 	results := h.attempts[r.ID]
@@ -147,7 +147,7 @@
 func (h *Host) stepTime() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.step(hostmodel.Passed{})
+	h.step(hostmodel.TimePassed{})
 }
 
 // trackConnection gives the model each connection's beginning and end. One that the model's table
@@ -189,7 +189,7 @@
 // Kill ends the host's process: connections are reset, new ones refused.
 func (h *Host) Kill() {
 	h.mu.Lock()
-	h.step(hostmodel.Die{})
+	h.step(hostmodel.Crash{})
 	for c := range h.conns {
 		resetOnClose(c)
 	}
--- a/internal/testbed/fakes/serve.go
+++ b/internal/testbed/fakes/serve.go
@@ -137,27 +137,27 @@
 	var stated completionRequest
 	json.Unmarshal(body, &stated)
 	request := hostmodel.Request{
-		ID:      id,
-		Session: stated.Session,
-		Prefix:  stated.Prefix,
-		Shared:  stated.Shared,
-		Prompt:  stated.Prompt,
-		Out:     stated.Out,
-		MaxOut:  defaultMaxTokens,
+		ID:              id,
+		Session:         stated.Session,
+		Prefix:          stated.Prefix,
+		PrefixTokens:    stated.Shared,
+		PromptTokens:    stated.Prompt,
+		AnswerTokens:    stated.Out,
+		MaxAnswerTokens: defaultMaxTokens,
 	}
 	if stated.Prompt <= 0 {
-		request.Prompt = max(len(body)/bytesPerToken, 1)
+		request.PromptTokens = max(len(body)/bytesPerToken, 1)
 	}
 	if stated.MaxTokens > 0 {
-		request.MaxOut = min(request.MaxOut, stated.MaxTokens)
+		request.MaxAnswerTokens = min(request.MaxAnswerTokens, stated.MaxTokens)
 	}
-	if request.Out <= 0 {
+	if request.AnswerTokens <= 0 {
 		hash := fnv.New64a()
 		io.WriteString(hash, id)
 		rng := rand.New(rand.NewPCG(hash.Sum64(), 1))
-		request.Out = int(defaultMeanTokens * (0.3 + 1.4*rng.Float64()))
+		request.AnswerTokens = int(defaultMeanTokens * (0.3 + 1.4*rng.Float64()))
 	}
-	request.Out = max(min(request.Out, request.MaxOut), 1)
+	request.AnswerTokens = max(min(request.AnswerTokens, request.MaxAnswerTokens), 1)
 	return request
 }
 
@@ -184,11 +184,11 @@
 		case <-ctx.Done():
 			return
 		}
-		if !ok || r.Kind == hostmodel.Broken {
+		if !ok || r.Kind == hostmodel.Interrupted {
 			panic(http.ErrAbortHandler) // resets the connection
 		}
 		switch r.Kind {
-		case hostmodel.TurnedAway:
+		case hostmodel.Rejected:
 			s.reject()
 			return
 		case hostmodel.Token:
@@ -245,7 +245,7 @@
 	s.host.forget(s.request.ID)
 	s.flush()
 	fmt.Fprintf(s.w, finishEvent+usageEvent+reportEvent+doneEvent,
-		s.request.Prompt, s.made, s.cached, protocol.HeaderLoad, s.host.loadReport())
+		s.request.PromptTokens, s.made, s.cached, protocol.HeaderLoad, s.host.loadReport())
 }
 
 // forget ends an attempt that the model has ended by itself.
@@ -264,7 +264,7 @@
 }
 
 func formatReport(l *hostmodel.Load) string {
-	return fmt.Sprintf(`{"inflight":%d,"queue":%d,"util":%.3f,"x0":%.3f,"x1":%.3f}`, l.Running, l.Waiting, l.Util, l.Memory, l.Unread)
+	return fmt.Sprintf(`{"inflight":%d,"queue":%d,"util":%.3f,"x0":%.3f,"x1":%.3f}`, l.Running, l.Waiting, l.Utilization, l.Memory, l.PrefillThousands)
 }
 
 // handleLoad answers a health check, with a load report on the path of reports.
@@ -284,7 +284,7 @@
 	id := "probe" + strconv.Itoa(h.probes)
 	status = http.StatusServiceUnavailable
 	for _, result := range h.step(hostmodel.Probe{ID: id}) {
-		if result.Kind == hostmodel.Answered && result.ID == id {
+		if result.Kind == hostmodel.ProbeAnswered && result.ID == id {
 			status, report = http.StatusOK, formatReport(&result.Load)
 		}
 	}
--- a/internal/testbed/hostmodel/cache.go
+++ b/internal/testbed/hostmodel/cache.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// cachedSequence is a piece of prompt in memory: a beginning that sessions share, or what a session
-// has beyond it.
+// cachedSequence is a cached part of prompts: a prefix that sessions share, or what a session has
+// beyond its prefix.
 type cachedSequence struct {
 	key      sequenceKey
-	parent   *cachedSequence // of a session's piece: the beginning that it goes on from, nil for none
+	parent   *cachedSequence // of a session's: the prefix that it extends, nil for none
 	tokens   int
 	users    int // running requests
-	children int // sessions' pieces that go on from it
-	last     time.Duration
+	children int // sessions' sequences that extend it
+	lastUsed time.Duration
 
-	in         bool // in the list of those that may be evicted
+	evictable  bool // in the list of the evictable ones
 	prev, next *cachedSequence
 }
 
@@ -21,32 +21,32 @@
 	session bool
 }
 
-// cache has all pieces. What nobody uses and nothing goes on from may be evicted, the longest
-// unused first.
+// cache has the cached sequences. One that no request uses and none extends is evictable, the least
+// recently used first.
 type cache struct {
-	all            map[sequenceKey]*cachedSequence
-	oldest, newest *cachedSequence
-	tokens         int // of all
-	loose          int // of those that may go, now or once what goes on from them has gone
-	evicted        uint64
+	sequences       map[sequenceKey]*cachedSequence
+	oldest, newest  *cachedSequence
+	tokens          int // of all
+	evictableTokens int // of those without users, which can go once those that extend them are gone
+	evicted         uint64
 }
 
-func newCache() cache { return cache{all: map[sequenceKey]*cachedSequence{}} }
+func newCache() cache { return cache{sequences: map[sequenceKey]*cachedSequence{}} }
 
-// find returns the pieces that a prompt begins with and how many of its first most tokens they
-// hold.
-func (c *cache) find(r *Request, most, block int) (path [2]*cachedSequence, found int) {
-	if p := c.all[sequenceKey{name: r.Prefix}]; r.Prefix != "" && p != nil {
-		if found = down(min(p.tokens, r.Shared, most), block); found > 0 {
+// find returns the sequences that a prompt begins with, and how many of its first tokens, at most
+// limit, they have.
+func (c *cache) find(r *Request, limit, block int) (path [2]*cachedSequence, found int) {
+	if p := c.sequences[sequenceKey{name: r.Prefix}]; r.Prefix != "" && p != nil {
+		if found = alignToBlock(min(p.tokens, r.PrefixTokens, limit), block); found > 0 {
 			path[0] = p
 		}
 	}
-	s := c.all[sequenceKey{r.Session, true}]
+	s := c.sequences[sequenceKey{r.Session, true}]
 	if r.Session == "" || s == nil {
 		return path, found
 	}
-	if s.parent == nil { // it has its beginning in itself
-		if aligned := down(min(s.tokens, most), block); aligned > found {
+	if s.parent == nil { // it includes its prefix
+		if aligned := alignToBlock(min(s.tokens, limit), block); aligned > found {
 			return [2]*cachedSequence{nil, s}, aligned
 		}
 		return path, found
@@ -54,50 +54,50 @@
 	if s.parent != path[0] || found < s.parent.tokens {
 		return path, found
 	}
-	if more := down(min(s.tokens, most-found), block); more > 0 {
+	if more := alignToBlock(min(s.tokens, limit-found), block); more > 0 {
 		path[1] = s
 		found += more
 	}
 	return path, found
 }
 
-func down(n, block int) int { return n - n%max(block, 1) }
+func alignToBlock(n, block int) int { return n - n%max(block, 1) }
 
-// pin keeps a piece from being evicted.
+// pin protects a sequence from eviction, until unpin.
 func (c *cache) pin(p *cachedSequence) {
 	if p.users++; p.users == 1 {
-		c.loosen(p, -1)
+		c.countEvictable(p, -1)
 	}
-	c.list(p)
+	c.updateEvictable(p)
 }
 
 func (c *cache) unpin(p *cachedSequence, now time.Duration) {
-	p.last = now
+	p.lastUsed = now
 	if p.users--; p.users == 0 {
-		c.loosen(p, 1)
+		c.countEvictable(p, 1)
 	}
-	c.list(p)
+	c.updateEvictable(p)
 }
 
-// loosen counts the tokens of a piece among those that may go, or takes them out.
-func (c *cache) loosen(p *cachedSequence, by int) { c.loose += by * p.tokens }
+// countEvictable adds the tokens of a sequence to the evictable ones, or with -1 subtracts them.
+func (c *cache) countEvictable(p *cachedSequence, by int) { c.evictableTokens += by * p.tokens }
 
-// list has a piece in the list if, and only if, it may be evicted. The list is in the order of last
-// use.
-func (c *cache) list(p *cachedSequence) {
+// updateEvictable adds a sequence to the list of evictable ones or removes it. The list is in the
+// order of last use.
+func (c *cache) updateEvictable(p *cachedSequence) {
 	may := p.users == 0 && p.children == 0
 	switch {
-	case may == p.in:
+	case may == p.evictable:
 		return
 	case !may:
-		c.unlist(p)
+		c.removeEvictable(p)
 		return
 	}
 	after := c.newest
-	for after != nil && after.last > p.last {
+	for after != nil && after.lastUsed > p.lastUsed {
 		after = after.prev
 	}
-	p.in, p.prev = true, after
+	p.evictable, p.prev = true, after
 	if after != nil {
 		p.next, after.next = after.next, p
 	} else {
@@ -110,7 +110,7 @@
 	}
 }
 
-func (c *cache) unlist(p *cachedSequence) {
+func (c *cache) removeEvictable(p *cachedSequence) {
 	if p.prev != nil {
 		p.prev.next = p.next
 	} else {
@@ -121,36 +121,36 @@
 	} else {
 		c.newest = p.prev
 	}
-	p.in, p.prev, p.next = false, nil, nil
+	p.evictable, p.prev, p.next = false, nil, nil
 }
 
-// add puts in a piece that somebody uses.
+// add caches a sequence with one user.
 func (c *cache) add(key sequenceKey, parent *cachedSequence, tokens int, now time.Duration) *cachedSequence {
-	p := &cachedSequence{key: key, parent: parent, tokens: tokens, users: 1, last: now}
-	c.all[key] = p
+	p := &cachedSequence{key: key, parent: parent, tokens: tokens, users: 1, lastUsed: now}
+	c.sequences[key] = p
 	c.tokens += tokens
 	if parent != nil {
 		parent.children++
-		c.list(parent)
+		c.updateEvictable(parent)
 	}
 	return p
 }
 
-// drop takes out a piece that nobody uses and nothing goes on from.
+// drop removes a sequence without users that none extends.
 func (c *cache) drop(p *cachedSequence) {
-	if p.in {
-		c.unlist(p)
+	if p.evictable {
+		c.removeEvictable(p)
 	}
-	c.loosen(p, -1)
-	delete(c.all, p.key)
+	c.countEvictable(p, -1)
+	delete(c.sequences, p.key)
 	c.tokens -= p.tokens
 	if p.parent != nil {
 		p.parent.children--
-		c.list(p.parent)
+		c.updateEvictable(p.parent)
 	}
 }
 
-// evict drops pieces until so many tokens are free of them, or none may go.
+// evict drops sequences until so many tokens are free, or none is evictable.
 func (c *cache) evict(tokens int) {
 	for tokens > 0 && c.oldest != nil {
 		tokens -= c.oldest.tokens
--- a/internal/testbed/hostmodel/cold_test.go
+++ b/internal/testbed/hostmodel/cold_test.go
@@ -18,27 +18,27 @@
 		{time.Second / 100, 100 + 20 + 2},
 		{time.Second / 900, 900 + 60 + 2},
 	} {
-		cold := SlowStart{Share: 0.5, Time: time.Hour, Factor: 2, Window: time.Second, Mean: tt.mean}
+		cold := SlowStart{InitialCapacity: 0.5, Duration: time.Hour, MaxLoadFactor: 2, Window: time.Second, MeanRequestWork: tt.mean}
 		now := time.Microsecond // a microsecond of an hour adds nothing that counts
-		w := warmth{c: cold}
+		w := slowStartState{config: cold}
 		for range tt.most {
-			w.count(now)
+			w.countCall(now)
 		}
-		if w.worst > 1.001 || w.worst < 0.99 {
-			t.Errorf("mean %v: %d calls are %.3f of the budget, want all of it", tt.mean, tt.most, w.worst)
+		if w.maxBudgetUsed > 1.001 || w.maxBudgetUsed < 0.99 {
+			t.Errorf("mean %v: %d calls are %.3f of the budget, want all of it", tt.mean, tt.most, w.maxBudgetUsed)
 		}
 		for range int(math.Ceil(0.01 * float64(tt.most))) {
-			w.count(now)
+			w.countCall(now)
 		}
-		if w.worst <= 1.001 {
-			t.Errorf("mean %v: more are %.3f of the budget", tt.mean, w.worst)
+		if w.maxBudgetUsed <= 1.001 {
+			t.Errorf("mean %v: more are %.3f of the budget", tt.mean, w.maxBudgetUsed)
 		}
-		before := w.worst
+		before := w.maxBudgetUsed
 		for range tt.most {
-			w.count(now + 2*cold.Window)
+			w.countCall(now + 2*cold.Window)
 		}
-		if w.worst != before {
-			t.Errorf("mean %v: calls of an earlier window count: %.3f", tt.mean, w.worst)
+		if w.maxBudgetUsed != before {
+			t.Errorf("mean %v: calls of an earlier window count: %.3f", tt.mean, w.maxBudgetUsed)
 		}
 	}
 }
--- a/internal/testbed/hostmodel/host.go
+++ b/internal/testbed/hostmodel/host.go
@@ -6,221 +6,220 @@
 	"time"
 )
 
-// run is a request in work, or waiting.
+// run is a running or waiting request.
 type run struct {
-	req   Request
-	probe bool
-	came  time.Duration
-	path  [2]*cachedSequence // the pieces that it uses: of its beginning, and of its session
-	found int                // tokens of them
-	kept  int                // of its prompt, when it began for the first time
-	begun bool
-	need  int  // tokens to be read before it makes any: prompt, and what of the answer was made elsewhere or before
-	read  int  // of them, the ones found among them
-	made  int  // tokens of the answer
-	own   int  // tokens of memory that are its own
-	bare  bool // what it would find kept, and all else, does not fit beside it: it reads everything
-	gone  bool
+	request       Request
+	probe         bool
+	arrivedAt     time.Duration
+	cached        [2]*cachedSequence // the cached sequences that it uses: of its prefix, and of its session
+	cacheHit      int                // tokens of them that it uses
+	cachedTokens  int                // of its prompt, when it first ran
+	begun         bool
+	prefillTokens int  // tokens to prefill: the prompt, and the answer tokens made before a preemption or elsewhere
+	prefilled     int  // of them, so far; cacheHit included
+	answerTokens  int  // tokens of the answer
+	memoryTokens  int  // tokens of memory beside the cached sequences
+	ignoreCache   bool // its cached sequences do not fit the memory together with the rest of it: it prefills everything
+	ended         bool
 }
 
-// doing is what a step does for one request.
-type doing struct {
-	run  *run
-	read int
-	make bool
+// stepWorkItem is what a step does for one request.
+type stepWorkItem struct {
+	run     *run
+	prefill int
+	decode  bool
 }
 
-// Host is one host.
+// Host is the model of one host. It is not safe for concurrent use.
 type Host struct {
-	c    Config
-	rng  *rand.Rand
-	out  []Result
-	warm warmth
+	config    Config
+	rng       *rand.Rand
+	results   []Result
+	slowStart slowStartState
 
 	dead, draining bool
-	slow           float64
-	conns          int
+	slowFactor     float64
+	connections    int
 	running        []*run // the oldest first
 	waiting        []*run
 	byID           map[string]*run
-	own            int // tokens of all running requests' own
+	runningTokens  int // sum of run.memoryTokens of the running requests
 	cache          cache
 
-	stepping bool
-	ends     time.Duration // the step at hand
-	work     time.Duration // of it, as a warm, idle host counts it
-	took     time.Duration
-	plan     []doing
-	extra    time.Duration // work of handshakes and probes, for the next step
-
-	first     time.Duration // to the first token, a decayed mean
-	report    Load
-	refreshed time.Duration // when the report is refreshed next
-	probes    int           // in the second at hand
-	second    time.Duration
-	stats     Stats
+	stepping  bool
+	stepEnd   time.Duration // of the present step
+	stepWork  time.Duration // of the present step, as a warm, idle host counts it
+	stepTime  time.Duration
+	plan      []stepWorkItem
+	extraWork time.Duration // work of handshakes and probes, for the next step
+
+	meanFirstToken time.Duration // to the first token, a decayed mean
+	report         Load
+	nextReport     time.Duration // when the report is refreshed
+	probes         int           // in the second that began at probeSecond
+	probeSecond    time.Duration
+	stats          Stats
 }
 
 // New returns a warm, idle host.
 func New(c Config, seed uint64) *Host {
-	return &Host{c: c, rng: rand.New(rand.NewPCG(seed, 1)), slow: 1, byID: map[string]*run{}, cache: newCache(),
-		warm: warmth{c: c.SlowStart, never: true}}
+	return &Host{config: c, rng: rand.New(rand.NewPCG(seed, 1)), slowFactor: 1, byID: map[string]*run{}, cache: newCache(),
+		slowStart: slowStartState{config: c.SlowStart, alwaysWarm: true}}
 }
 
-// Next returns when the host has something to tell unless something happens before; ok is false if
-// it never has.
-func (h *Host) Next() (at time.Duration, ok bool) { return h.ends, h.stepping }
+// Next returns the time of the next Result if no event comes before; ok is false if there is none.
+func (h *Host) Next() (at time.Duration, ok bool) { return h.stepEnd, h.stepping }
 
-// Step takes in the time and one event, and returns what came of the host's work by then, in order.
-// The slice is used again by the next call.
+// Step applies the passing of time and then one event, and returns the results in order. The slice
+// is valid until the next call.
 func (h *Host) Step(now time.Duration, e Event) []Result {
-	h.out = h.out[:0]
-	for h.stepping && h.ends <= now {
-		h.refresh(h.ends)
-		h.finish(h.ends)
-		h.begin(h.ends)
-	}
-	h.refresh(now)
-	h.take(now, e)
+	h.results = h.results[:0]
+	for h.stepping && h.stepEnd <= now {
+		h.refreshReport(h.stepEnd)
+		h.finishStep(h.stepEnd)
+		h.beginStep(h.stepEnd)
+	}
+	h.refreshReport(now)
+	h.apply(now, e)
 	if !h.stepping {
-		h.begin(now)
+		h.beginStep(now)
 	}
-	return h.out
+	return h.results
 }
 
-func (h *Host) emit(r Result) { h.out = append(h.out, r) }
+func (h *Host) emit(r Result) { h.results = append(h.results, r) }
 
-func (h *Host) take(now time.Duration, e Event) {
+func (h *Host) apply(now time.Duration, e Event) {
 	switch e := e.(type) {
 	case Arrive:
 		h.arrive(now, e.Request, false)
 	case Cancel:
 		if r := h.byID[e.ID]; r != nil {
-			h.leave(r, now)
+			h.cancel(r, now)
 		}
 	case Connect:
-		if h.dead || h.c.Conns > 0 && h.conns >= h.c.Conns {
+		if h.dead || h.config.MaxConnections > 0 && h.connections >= h.config.MaxConnections {
 			h.emit(Result{Kind: TableFull, At: now})
 			return
 		}
-		h.conns++
-		h.extra += h.c.Handshake
+		h.connections++
+		h.extraWork += h.config.HandshakeWork
 	case Disconnect:
-		h.conns = max(h.conns-1, 0)
+		h.connections = max(h.connections-1, 0)
 	case Probe:
-		h.probed(now, e)
+		h.probe(now, e)
 	case Slow:
-		h.slow = max(e.Factor, 0)
+		h.slowFactor = max(e.Factor, 0)
 	case Drain:
 		h.draining = true
-	case Die:
-		h.die(now)
+	case Crash:
+		h.crash(now)
 	case Start:
 		if h.dead {
-			h.dead, h.draining, h.conns = false, false, 0
-			h.warm = warmth{c: h.c.SlowStart, born: now, worst: h.warm.worst}
+			h.dead, h.draining, h.connections = false, false, 0
+			h.slowStart = slowStartState{config: h.config.SlowStart, startedAt: now, maxBudgetUsed: h.slowStart.maxBudgetUsed}
 		}
 	}
 }
 
-func (h *Host) probed(now time.Duration, p Probe) {
-	if now >= h.second+time.Second {
-		h.second, h.probes = now-now%time.Second, 0
+func (h *Host) probe(now time.Duration, p Probe) {
+	if now >= h.probeSecond+time.Second {
+		h.probeSecond, h.probes = now-now%time.Second, 0
 	}
 	h.probes++
 	switch {
 	case h.dead:
-		h.turnAway(now, p.ID, Dead)
-	case h.c.ProbesMax > 0 && h.probes > h.c.ProbesMax:
-		h.turnAway(now, p.ID, QueueFull)
+		h.reject(now, p.ID, Dead)
+	case h.config.MaxProbesPerSecond > 0 && h.probes > h.config.MaxProbesPerSecond:
+		h.reject(now, p.ID, QueueFull)
 	case p.Deep:
-		h.extra += h.c.Probe
-		h.arrive(now, Request{ID: p.ID, Prompt: 1, Out: 1, MaxOut: 1}, true)
+		h.extraWork += h.config.ProbeWork
+		h.arrive(now, Request{ID: p.ID, PromptTokens: 1, AnswerTokens: 1, MaxAnswerTokens: 1}, true)
 	default:
-		h.extra += h.c.Probe
-		h.emit(Result{Kind: Answered, At: now, ID: p.ID, Load: h.Load(now)})
+		h.extraWork += h.config.ProbeWork
+		h.emit(Result{Kind: ProbeAnswered, At: now, ID: p.ID, Load: h.Load(now)})
 	}
 }
 
-func (h *Host) turnAway(now time.Duration, id string, why Why) {
-	h.stats.TurnedAway++
-	h.emit(Result{Kind: TurnedAway, At: now, ID: id, Why: why})
+func (h *Host) reject(now time.Duration, id string, why RejectReason) {
+	h.stats.Rejected++
+	h.emit(Result{Kind: Rejected, At: now, ID: id, Reason: why})
 }
 
 func (h *Host) arrive(now time.Duration, q Request, probe bool) {
-	q.Out, q.Prompt = max(q.Out, q.Made+1, 1), max(q.Prompt, 1)
+	q.AnswerTokens, q.PromptTokens = max(q.AnswerTokens, q.TokensMade+1, 1), max(q.PromptTokens, 1)
 	switch {
 	case h.dead:
-		h.turnAway(now, q.ID, Dead)
+		h.reject(now, q.ID, Dead)
 	case h.draining:
-		h.turnAway(now, q.ID, Draining)
-	case q.Prompt+max(q.Out, q.MaxOut) > h.c.Memory:
-		h.turnAway(now, q.ID, TooLong)
-	case h.byID[q.ID] != nil, len(h.waiting) >= h.c.Queue+max(h.c.Slots-len(h.running), 0):
-		h.turnAway(now, q.ID, QueueFull)
+		h.reject(now, q.ID, Draining)
+	case q.PromptTokens+max(q.AnswerTokens, q.MaxAnswerTokens) > h.config.Memory:
+		h.reject(now, q.ID, TooLong)
+	case h.byID[q.ID] != nil, len(h.waiting) >= h.config.Queue+max(h.config.Slots-len(h.running), 0):
+		h.reject(now, q.ID, QueueFull)
 	default:
-		r := &run{req: q, probe: probe, came: now, need: q.Prompt + q.Made, made: q.Made}
+		r := &run{request: q, probe: probe, arrivedAt: now, prefillTokens: q.PromptTokens + q.TokensMade, answerTokens: q.TokensMade}
 		h.byID[q.ID] = r
 		h.waiting = append(h.waiting, r)
 	}
-	// What is sent to a cold host counts, whatever it does with it.
-	if !h.dead && !q.Untold {
-		h.warm.count(now)
+	// What is sent in the slow start counts, whether it is accepted or not.
+	if !h.dead && !q.StartUnknown {
+		h.slowStart.countCall(now)
 	}
-	if !h.dead && h.warm.topples(now, h.warm.work(&q)) {
-		h.emit(Result{Kind: Fell, At: now})
-		h.die(now)
+	if !h.dead && h.slowStart.addWork(now, h.slowStart.work(&q)) {
+		h.emit(Result{Kind: Overloaded, At: now})
+		h.crash(now)
 	}
 }
 
-// leave ends a request that nobody waits for. The step at hand takes as long as it would have.
-func (h *Host) leave(r *run, now time.Duration) {
-	r.gone = true
-	delete(h.byID, r.req.ID)
+// cancel ends a request. The present step takes as long as planned.
+func (h *Host) cancel(r *run, now time.Duration) {
+	r.ended = true
+	delete(h.byID, r.request.ID)
 	if i := slices.Index(h.waiting, r); i >= 0 {
 		h.waiting = slices.Delete(h.waiting, i, i+1)
 	}
 	if i := slices.Index(h.running, r); i >= 0 {
 		h.running = slices.Delete(h.running, i, i+1)
-		h.free(r, now)
+		h.releaseMemory(r, now)
 	}
 }
 
-// free gives a running request's memory back.
-func (h *Host) free(r *run, now time.Duration) {
-	h.own -= r.own
-	r.own = 0
-	for i, p := range r.path {
+// releaseMemory releases the memory of a running request.
+func (h *Host) releaseMemory(r *run, now time.Duration) {
+	h.runningTokens -= r.memoryTokens
+	r.memoryTokens = 0
+	for i, p := range r.cached {
 		if p != nil {
 			h.cache.unpin(p, now)
-			r.path[i] = nil
+			r.cached[i] = nil
 		}
 	}
 }
 
-func (h *Host) die(now time.Duration) {
+func (h *Host) crash(now time.Duration) {
 	if h.dead {
 		return
 	}
 	for _, r := range append(h.running, h.waiting...) {
-		r.gone = true
-		h.emit(Result{Kind: Broken, At: now, ID: r.req.ID})
+		r.ended = true
+		h.emit(Result{Kind: Interrupted, At: now, ID: r.request.ID})
 	}
-	h.dead, h.stepping, h.conns, h.extra, h.first = true, false, 0, 0, 0
-	h.running, h.waiting, h.plan, h.own, h.cache = nil, nil, nil, 0, newCache()
+	h.dead, h.stepping, h.connections, h.extraWork, h.meanFirstToken = true, false, 0, 0, 0
+	h.running, h.waiting, h.plan, h.runningTokens, h.cache = nil, nil, nil, 0, newCache()
 	clear(h.byID)
 }
 
-// begin starts a step if there is anything to do: it takes in who waits, divides what is to be
-// read, and finds the memory for it.
-func (h *Host) begin(now time.Duration) {
+// beginStep starts a step if there is anything to do: it admits waiting requests, plans the step
+// and reserves its memory.
+func (h *Host) beginStep(now time.Duration) {
 	h.stepping = false
 	if h.dead {
 		return
 	}
 	for {
 		h.admit(now)
-		for h.plan = h.divide(); len(h.plan) > 0 && !h.fits(); h.plan = h.divide() {
+		for h.plan = h.planStep(); len(h.plan) > 0 && !h.reserveMemory(); h.plan = h.planStep() {
 			h.preempt(now)
 		}
 		if len(h.plan) > 0 {
@@ -229,79 +228,80 @@
 		if len(h.waiting) == 0 {
 			return
 		}
-		h.waiting[0].bare = true // nothing runs, so this one fits
+		h.waiting[0].ignoreCache = true // nothing runs, so without cached sequences this one fits
 	}
-	h.work = h.length() + h.extra
-	h.extra = 0
-	h.took = max(time.Duration(float64(h.work)*h.slow/h.capacity(now)), 1)
-	h.stepping, h.ends = true, now+h.took
+	h.stepWork = h.stepLength() + h.extraWork
+	h.extraWork = 0
+	h.stepTime = max(time.Duration(float64(h.stepWork)*h.slowFactor/h.capacity(now)), 1)
+	h.stepping, h.stepEnd = true, now+h.stepTime
 }
 
-// admit takes in who waits, first come first, while there are slots and memory for the prompt.
+// admit runs waiting requests in their order while there are slots and memory for the prompt.
 func (h *Host) admit(now time.Duration) {
-	for len(h.waiting) > 0 && len(h.running) < h.c.Slots {
+	for len(h.waiting) > 0 && len(h.running) < h.config.Slots {
 		r := h.waiting[0]
 		var path [2]*cachedSequence
 		found := 0
-		if !r.bare {
-			path, found = h.cache.find(&r.req, r.need-1, h.c.Block)
+		if !r.ignoreCache {
+			path, found = h.cache.find(&r.request, r.prefillTokens-1, h.config.Block)
 		}
-		for _, p := range path { // pinned, they don't count as memory to be had
+		for _, p := range path { // in use, they do not count as evictable
 			if p != nil {
 				h.cache.pin(p)
 			}
 		}
-		if unread := r.need - found; h.own+h.committedTokens()+unread > h.c.Memory-(h.cache.tokens-h.cache.loose) {
+		if unread := r.prefillTokens - found; h.runningTokens+h.committedTokens()+unread > h.config.Memory-(h.cache.tokens-h.cache.evictableTokens) {
 			for _, p := range path {
 				if p != nil {
-					h.cache.unpin(p, p.last)
+					h.cache.unpin(p, p.lastUsed)
 				}
 			}
 			return
 		}
 		h.waiting = h.waiting[1:]
-		r.path, r.found, r.read = path, found, found
+		r.cached, r.cacheHit, r.prefilled = path, found, found
 		if !r.begun {
-			r.begun, r.kept = true, min(found, r.req.Prompt)
-			h.stats.Kept += uint64(r.kept)
+			r.begun, r.cachedTokens = true, min(found, r.request.PromptTokens)
+			h.stats.CachedTokens += uint64(r.cachedTokens)
 		}
 		h.running = append(h.running, r)
 	}
 }
 
-// committedTokens returns the tokens that running requests have yet to read.
+// committedTokens returns the tokens that running requests have yet to prefill.
 func (h *Host) committedTokens() (n int) {
 	for _, r := range h.running {
-		n += r.need - r.read
+		n += r.prefillTokens - r.prefilled
 	}
 	return n
 }
 
-// divide shares out a step: up to Chunk prompt tokens, first come first, and a token for each
-// request whose prompt is read by its end.
-func (h *Host) divide() []doing {
-	plan, left := h.plan[:0], h.c.Chunk
+// planStep plans a step: up to Chunk prompt tokens, the oldest request first, and a token for each
+// request whose prompt is complete by its end.
+func (h *Host) planStep() []stepWorkItem {
+	plan, left := h.plan[:0], h.config.Chunk
 	for _, r := range h.running {
-		d := doing{run: r, read: min(r.need-r.read, left)}
-		left -= d.read
-		d.make = r.read+d.read == r.need
-		if d.read > 0 || d.make {
+		d := stepWorkItem{run: r, prefill: min(r.prefillTokens-r.prefilled, left)}
+		left -= d.prefill
+		d.decode = r.prefilled+d.prefill == r.prefillTokens
+		if d.prefill > 0 || d.decode {
 			plan = append(plan, d)
 		}
 	}
 	return plan
 }
 
-// fits tells whether there is memory for the step, and evicts what is in the way.
-func (h *Host) fits() bool {
+// reserveMemory evicts cached sequences until the step fits the memory, and reports whether it
+// does.
+func (h *Host) reserveMemory() bool {
 	more := 0
 	for _, d := range h.plan {
-		if more += d.read; d.make {
+		if more += d.prefill; d.decode {
 			more++
 		}
 	}
-	over := h.own + h.cache.tokens + more - h.c.Memory
-	if over > h.cache.loose {
+	over := h.runningTokens + h.cache.tokens + more - h.config.Memory
+	if over > h.cache.evictableTokens {
 		return false
 	}
 	before := h.cache.evicted
@@ -310,199 +310,199 @@
 	return true
 }
 
-// preempt puts the newest running request back at the head of the queue. What it has made is read
-// again.
+// preempt moves the newest running request to the head of the queue. The tokens that it has made
+// are prefilled again.
 func (h *Host) preempt(now time.Duration) {
 	r := h.running[len(h.running)-1]
 	h.running = h.running[:len(h.running)-1]
-	h.free(r, now)
-	r.need, r.read, r.found = r.req.Prompt+r.made, 0, 0
+	h.releaseMemory(r, now)
+	r.prefillTokens, r.prefilled, r.cacheHit = r.request.PromptTokens+r.answerTokens, 0, 0
 	h.waiting = slices.Insert(h.waiting, 0, r)
 	h.stats.Preempted++
-	h.emit(Result{Kind: Preempted, At: now, ID: r.req.ID})
+	h.emit(Result{Kind: Preempted, At: now, ID: r.request.ID})
 }
 
-// length is how long the step takes on a warm, idle host that is not slowed.
-func (h *Host) length() time.Duration {
+// stepLength is how long the step takes on a warm, idle host that is not slowed down.
+func (h *Host) stepLength() time.Duration {
 	contexts, read, pairs := 0, 0, 0.0
 	for _, r := range h.running {
-		contexts += r.read + r.made - min(r.made, r.need-r.req.Prompt)
+		contexts += r.prefilled + r.answerTokens - min(r.answerTokens, r.prefillTokens-r.request.PromptTokens)
 	}
 	for _, d := range h.plan {
-		read += d.read
-		pairs += float64(d.read) * (float64(d.run.read) + float64(d.read)/2)
+		read += d.prefill
+		pairs += float64(d.prefill) * (float64(d.run.prefilled) + float64(d.prefill)/2)
 	}
-	length := h.c.Base + time.Duration(len(h.running))*h.c.PerSeq + time.Duration(float64(contexts)/1000*float64(h.c.ContextPerK)) +
-		time.Duration(pairs/1e6*float64(h.c.PairsPerM))
-	if h.c.ReadPerS > 0 {
-		length += time.Duration(float64(read) / h.c.ReadPerS * float64(time.Second))
+	length := h.config.Base + time.Duration(len(h.running))*h.config.PerSeq + time.Duration(float64(contexts)/1000*float64(h.config.ContextPerK)) +
+		time.Duration(pairs/1e6*float64(h.config.PairsPerM))
+	if h.config.ReadPerS > 0 {
+		length += time.Duration(float64(read) / h.config.ReadPerS * float64(time.Second))
 	}
 	return length
 }
 
-// capacity is the share of a warm, idle host's speed that this one has.
+// capacity is the speed as a fraction of a warm, idle host's.
 func (h *Host) capacity(now time.Duration) float64 {
-	share := h.warm.share(now)
-	if h.c.Conns > 0 {
-		share *= 1 - h.c.TableCost*float64(h.conns)/float64(h.c.Conns)
+	share := h.slowStart.capacity(now)
+	if h.config.MaxConnections > 0 {
+		share *= 1 - h.config.TableCost*float64(h.connections)/float64(h.config.MaxConnections)
 	}
 	return max(share, 0.01)
 }
 
-// finish ends the step at hand.
-func (h *Host) finish(now time.Duration) {
+// finishStep completes the present step.
+func (h *Host) finishStep(now time.Duration) {
 	h.stats.Steps++
-	h.stats.Busy += h.took
-	h.warm.done += h.work
+	h.stats.Busy += h.stepTime
+	h.slowStart.workDone += h.stepWork
 	for _, d := range h.plan {
 		r := d.run
-		if r.gone {
+		if r.ended {
 			continue
 		}
-		r.read += d.read
-		r.own += d.read
-		h.own += d.read
-		h.stats.Read += uint64(d.read)
-		h.shareBeginning(r, now)
-		if !d.make {
+		r.prefilled += d.prefill
+		r.memoryTokens += d.prefill
+		h.runningTokens += d.prefill
+		h.stats.PrefillTokens += uint64(d.prefill)
+		h.cachePrefix(r, now)
+		if !d.decode {
 			continue
 		}
-		r.made++
-		r.own++
-		h.own++
+		r.answerTokens++
+		r.memoryTokens++
+		h.runningTokens++
 		h.stats.Tokens++
-		if r.made == r.req.Made+1 {
-			if took := now - r.came; h.first == 0 {
-				h.first = took
+		if r.answerTokens == r.request.TokensMade+1 {
+			if took := now - r.arrivedAt; h.meanFirstToken == 0 {
+				h.meanFirstToken = took
 			} else {
-				h.first += (took - h.first) / 8
+				h.meanFirstToken += (took - h.meanFirstToken) / 8
 			}
 		}
 		if !r.probe {
-			h.emit(Result{Kind: Token, At: now, ID: r.req.ID, CachedTokens: r.kept})
+			h.emit(Result{Kind: Token, At: now, ID: r.request.ID, CachedTokens: r.cachedTokens})
 		}
-		if r.made >= r.req.Out {
-			h.complete(r, now)
+		if r.answerTokens >= r.request.AnswerTokens {
+			h.completeRequest(r, now)
 		}
 	}
 	h.plan = h.plan[:0]
 }
 
-// shareBeginning makes the beginning of a prompt that was just read a piece of its own, for others
-// to begin with.
-func (h *Host) shareBeginning(r *run, now time.Duration) {
-	shared := down(min(r.req.Shared, r.req.Prompt), h.c.Block)
-	key := sequenceKey{name: r.req.Prefix}
-	if r.req.Prefix == "" || shared == 0 || r.path[0] != nil || r.path[1] != nil || r.read < shared || h.cache.all[key] != nil {
+// cachePrefix caches the prefix of a prompt once it is prefilled, for the requests of other
+// sessions.
+func (h *Host) cachePrefix(r *run, now time.Duration) {
+	shared := alignToBlock(min(r.request.PrefixTokens, r.request.PromptTokens), h.config.Block)
+	key := sequenceKey{name: r.request.Prefix}
+	if r.request.Prefix == "" || shared == 0 || r.cached[0] != nil || r.cached[1] != nil || r.prefilled < shared || h.cache.sequences[key] != nil {
 		return
 	}
-	r.path[0] = h.cache.add(key, nil, shared, now)
-	r.own -= shared
-	h.own -= shared
+	r.cached[0] = h.cache.add(key, nil, shared, now)
+	r.memoryTokens -= shared
+	h.runningTokens -= shared
 }
 
-// complete ends a request with its last token, and keeps what its session may go on from.
-func (h *Host) complete(r *run, now time.Duration) {
-	delete(h.byID, r.req.ID)
+// completeRequest ends a request with its last token, and caches the sequence for the next one of
+// its session.
+func (h *Host) completeRequest(r *run, now time.Duration) {
+	delete(h.byID, r.request.ID)
 	h.running = slices.DeleteFunc(h.running, func(x *run) bool { return x == r })
 	if r.probe {
-		h.free(r, now)
-		h.emit(Result{Kind: Answered, At: now, ID: r.req.ID, Load: h.Load(now)})
+		h.releaseMemory(r, now)
+		h.emit(Result{Kind: ProbeAnswered, At: now, ID: r.request.ID, Load: h.Load(now)})
 		return
 	}
-	h.keep(r, now)
-	h.free(r, now)
-	h.emit(Result{Kind: LastToken, At: now, ID: r.req.ID, CachedTokens: r.kept})
+	h.cacheSession(r, now)
+	h.releaseMemory(r, now)
+	h.emit(Result{Kind: LastToken, At: now, ID: r.request.ID, CachedTokens: r.cachedTokens})
 }
 
-func (h *Host) keep(r *run, now time.Duration) {
-	if r.req.Session == "" {
+func (h *Host) cacheSession(r *run, now time.Duration) {
+	if r.request.Session == "" {
 		return
 	}
-	length := r.req.Prompt
-	if h.c.KeepsMade {
-		length += r.made
+	length := r.request.PromptTokens
+	if h.config.CachesAnswers {
+		length += r.answerTokens
 	}
 	var base int
-	beginning := r.path[0]
+	beginning := r.cached[0]
 	if beginning != nil {
 		base = beginning.tokens
 	}
-	key := sequenceKey{r.req.Session, true}
-	more := down(length, h.c.Block) - base
-	old := h.cache.all[key]
+	key := sequenceKey{r.request.Session, true}
+	more := alignToBlock(length, h.config.Block) - base
+	old := h.cache.sequences[key]
 	if old != nil && (old.parent != beginning || old.tokens < more) {
 		mine := 0
-		if r.path[1] == old {
+		if r.cached[1] == old {
 			mine = 1
 		}
-		if old.users > mine { // another request of the session goes on from it still
+		if old.users > mine { // another request of the session still uses it
 			return
 		}
 		if mine == 1 {
-			r.own += old.tokens // what it used of the piece is its own from here on
-			h.own += old.tokens
+			r.memoryTokens += old.tokens // it owns what it used of the sequence from here on
+			h.runningTokens += old.tokens
 			h.cache.unpin(old, now)
-			r.path[1] = nil
+			r.cached[1] = nil
 		}
 		h.cache.drop(old)
 		old = nil
 	}
-	if old != nil || more <= 0 || more > r.own {
+	if old != nil || more <= 0 || more > r.memoryTokens {
 		return
 	}
-	r.path[1] = h.cache.add(key, beginning, more, now)
-	r.own -= more
-	h.own -= more
+	r.cached[1] = h.cache.add(key, beginning, more, now)
+	r.memoryTokens -= more
+	h.runningTokens -= more
 }
 
-// refresh takes the report anew if it is due by a time, from what was true until then.
-func (h *Host) refresh(now time.Duration) {
-	if h.c.ReportEvery > 0 && now >= h.refreshed {
-		h.report = h.noisy(h.exact())
-		h.refreshed = now - now%h.c.ReportEvery + h.c.ReportEvery
+// refreshReport refreshes the report if that is due, from the state until then.
+func (h *Host) refreshReport(now time.Duration) {
+	if h.config.ReportInterval > 0 && now >= h.nextReport {
+		h.report = h.addNoise(h.exactLoad())
+		h.nextReport = now - now%h.config.ReportInterval + h.config.ReportInterval
 	}
 }
 
-func (h *Host) exact() Load {
-	l := Load{Running: len(h.running), Waiting: len(h.waiting), Util: float64(len(h.running)) / float64(max(h.c.Slots, 1)), First: h.first,
-		Memory: float64(h.pinnedTokens()) / float64(max(h.c.Memory, 1))}
+func (h *Host) exactLoad() Load {
+	l := Load{Running: len(h.running), Waiting: len(h.waiting), Utilization: float64(len(h.running)) / float64(max(h.config.Slots, 1)), FirstTokenTime: h.meanFirstToken,
+		Memory: float64(h.pinnedTokens()) / float64(max(h.config.Memory, 1))}
 	for _, r := range h.running {
-		l.Unread += float64(r.need-r.read) / 1000
+		l.PrefillThousands += float64(r.prefillTokens-r.prefilled) / 1000
 	}
 	for _, r := range h.waiting {
-		l.Unread += float64(r.need) / 1000
+		l.PrefillThousands += float64(r.prefillTokens) / 1000
 	}
 	return l
 }
 
-func (h *Host) pinnedTokens() int { return h.own + h.cache.tokens - h.cache.loose }
+func (h *Host) pinnedTokens() int { return h.runningTokens + h.cache.tokens - h.cache.evictableTokens }
 
-func (h *Host) noisy(l Load) Load {
-	if h.c.ReportNoise > 0 {
-		factor := func() float64 { return max(1+h.c.ReportNoise*h.rng.NormFloat64(), 0) }
-		l.Util *= factor()
+func (h *Host) addNoise(l Load) Load {
+	if h.config.ReportNoise > 0 {
+		factor := func() float64 { return max(1+h.config.ReportNoise*h.rng.NormFloat64(), 0) }
+		l.Utilization *= factor()
 		l.Memory *= factor()
-		l.Unread *= factor()
-		l.First = time.Duration(float64(l.First) * factor())
+		l.PrefillThousands *= factor()
+		l.FirstTokenTime = time.Duration(float64(l.FirstTokenTime) * factor())
 	}
 	return l
 }
 
-// Load returns what the host reports by now: what was true when the report was refreshed last, and
-// a little noise.
+// Load returns the last report, which has noise by ReportNoise.
 func (h *Host) Load(now time.Duration) Load {
-	if h.c.ReportEvery <= 0 {
-		return h.noisy(h.exact())
+	if h.config.ReportInterval <= 0 {
+		return h.addNoise(h.exactLoad())
 	}
-	h.refresh(now)
+	h.refreshReport(now)
 	return h.report
 }
 
 // Stats returns the counters and the exact state.
 func (h *Host) Stats(now time.Duration) Stats {
 	s := h.stats
-	s.Running, s.Waiting, s.UsedTokens, s.RunningTokens, s.Conns = len(h.running), len(h.waiting), h.own+h.cache.tokens, h.pinnedTokens(), h.conns
-	s.Capacity, s.Alive, s.SlowStartBudgetUsed = h.capacity(now), !h.dead, h.warm.worst
+	s.Running, s.Waiting, s.UsedTokens, s.RunningTokens, s.Connections = len(h.running), len(h.waiting), h.runningTokens+h.cache.tokens, h.pinnedTokens(), h.connections
+	s.Capacity, s.Alive, s.SlowStartBudgetUsed = h.capacity(now), !h.dead, h.slowStart.maxBudgetUsed
 	return s
 }
--- a/internal/testbed/hostmodel/host_test.go
+++ b/internal/testbed/hostmodel/host_test.go
@@ -28,12 +28,12 @@
 		if !ok || at > until {
 			return all
 		}
-		all = append(all, h.Step(at, Passed{})...)
+		all = append(all, h.Step(at, TimePassed{})...)
 	}
 }
 
 func ask(id string, prompt, out int) Arrive {
-	return Arrive{Request{ID: id, Prompt: prompt, Out: out, MaxOut: out}}
+	return Arrive{Request{ID: id, PromptTokens: prompt, AnswerTokens: out, MaxAnswerTokens: out}}
 }
 
 // times returns when each kind of result came to a request.
@@ -107,23 +107,23 @@
 	}
 	for _, tt := range []struct {
 		e   Event
-		why Why
+		why RejectReason
 	}{{ask("6", 10, 10), QueueFull}, {ask("7", 9991, 10), TooLong}} {
-		if got := h.Step(0, tt.e); len(got) != 1 || got[0].Kind != TurnedAway || got[0].Why != tt.why {
+		if got := h.Step(0, tt.e); len(got) != 1 || got[0].Kind != Rejected || got[0].Reason != tt.why {
 			t.Errorf("%+v, want %v", got, tt.why)
 		}
 	}
 	h.Step(0, Drain{})
-	if got := h.Step(0, ask("8", 10, 10)); len(got) != 1 || got[0].Why != Draining {
+	if got := h.Step(0, ask("8", 10, 10)); len(got) != 1 || got[0].Reason != Draining {
 		t.Errorf("%+v", got)
 	}
 	if got := play(h, 0, time.Minute); len(times(got, LastToken, "0")) != 1 || len(times(got, LastToken, "5")) != 1 {
 		t.Error("a draining host did not finish what it had")
 	}
-	if got := h.Step(time.Minute, Die{}); len(got) != 0 {
+	if got := h.Step(time.Minute, Crash{}); len(got) != 0 {
 		t.Errorf("%+v", got)
 	}
-	if got := h.Step(time.Minute, ask("9", 10, 10)); len(got) != 1 || got[0].Why != Dead {
+	if got := h.Step(time.Minute, ask("9", 10, 10)); len(got) != 1 || got[0].Reason != Dead {
 		t.Errorf("%+v", got)
 	}
 }
@@ -133,10 +133,10 @@
 func TestWhatIsKept(t *testing.T) {
 	for _, made := range []bool{false, true} {
 		c := plain()
-		c.KeepsMade = made
+		c.CachesAnswers = made
 		h := New(c, 1)
 		turn := func(at time.Duration, id, session string, prompt, out int) int {
-			for _, r := range play(h, at, at+time.Second, Arrive{Request{ID: id, Session: session, Prefix: "p", Shared: 47, Prompt: prompt, Out: out, MaxOut: out}}) {
+			for _, r := range play(h, at, at+time.Second, Arrive{Request{ID: id, Session: session, Prefix: "p", PrefixTokens: 47, PromptTokens: prompt, AnswerTokens: out, MaxAnswerTokens: out}}) {
 				if r.Kind == LastToken {
 					return r.CachedTokens
 				}
@@ -171,7 +171,7 @@
 	at := time.Second
 	turn := func(id, session, prefix string, prompt int) (kept int) {
 		at += time.Second
-		for _, r := range play(h, at, at+900*ms, Arrive{Request{ID: id, Session: session, Prefix: prefix, Shared: 50, Prompt: prompt, Out: 1, MaxOut: 1}}) {
+		for _, r := range play(h, at, at+900*ms, Arrive{Request{ID: id, Session: session, Prefix: prefix, PrefixTokens: 50, PromptTokens: prompt, AnswerTokens: 1, MaxAnswerTokens: 1}}) {
 			if r.Kind == LastToken {
 				kept = r.CachedTokens
 			}
@@ -217,9 +217,9 @@
 // window it falls over and breaks what it has.
 func TestColdStart(t *testing.T) {
 	c := plain()
-	c.SlowStart = SlowStart{Share: 0.25, Time: 10 * time.Second, Factor: 2, Window: time.Second, PerToken: ms}
+	c.SlowStart = SlowStart{InitialCapacity: 0.25, Duration: 10 * time.Second, MaxLoadFactor: 2, Window: time.Second, PerPromptToken: ms}
 	h := New(c, 1)
-	h.Step(0, Die{})
+	h.Step(0, Crash{})
 	h.Step(time.Second, Start{})
 	for at, want := range map[time.Duration]float64{time.Second: 0.25, 6 * time.Second: 0.625, 11 * time.Second: 1, time.Hour: 1} {
 		if got := h.Stats(at).Capacity; got != want {
@@ -235,7 +235,7 @@
 	var fell []Result
 	for i := range 8 {
 		got := h.Step(2500*ms, ask(fmt.Sprint("b", i), 100, 500))
-		if fallen := slices.ContainsFunc(got, func(r Result) bool { return r.Kind == Fell }); fallen != (i == 7) {
+		if fallen := slices.ContainsFunc(got, func(r Result) bool { return r.Kind == Overloaded }); fallen != (i == 7) {
 			t.Errorf("request %d: %+v", i, got)
 		} else if fallen {
 			fell = slices.Clone(got)
@@ -249,7 +249,7 @@
 		kinds[r.Kind]++
 	}
 	// Four ran and two waited; the last two were turned away, and count all the same.
-	if diff := cmp.Diff(map[ResultKind]int{TurnedAway: 1, Fell: 1, Broken: 6}, kinds); diff != "" {
+	if diff := cmp.Diff(map[ResultKind]int{Rejected: 1, Overloaded: 1, Interrupted: 6}, kinds); diff != "" {
 		t.Error(diff)
 	}
 }
@@ -257,9 +257,9 @@
 // Warmed by work, a host stays cold for as long as it has none.
 func TestWarmedByWork(t *testing.T) {
 	c := plain()
-	c.SlowStart = SlowStart{Share: 0.5, Time: time.Second, Work: 110 * ms}
+	c.SlowStart = SlowStart{InitialCapacity: 0.5, Duration: time.Second, Work: 110 * ms}
 	h := New(c, 1)
-	h.Step(0, Die{})
+	h.Step(0, Crash{})
 	h.Step(0, Start{})
 	if got := h.Stats(time.Hour).Capacity; got != 0.5 {
 		t.Errorf("idle for an hour, its capacity is %v", got)
@@ -274,7 +274,7 @@
 // connects.
 func TestConnections(t *testing.T) {
 	c := plain()
-	c.Conns, c.TableCost, c.Handshake = 10, 0.5, 2*ms
+	c.MaxConnections, c.TableCost, c.HandshakeWork = 10, 0.5, 2*ms
 	h := New(c, 1)
 	for range 10 {
 		if got := h.Step(0, Connect{}); len(got) > 0 {
@@ -292,7 +292,7 @@
 	for range 10 {
 		h.Step(time.Second, Disconnect{})
 	}
-	if s := h.Stats(time.Second); s.Conns != 0 || s.Capacity != 1 {
+	if s := h.Stats(time.Second); s.Connections != 0 || s.Capacity != 1 {
 		t.Errorf("%+v", s)
 	}
 }
@@ -301,25 +301,25 @@
 // waits in it.
 func TestReportsAndProbes(t *testing.T) {
 	c := plain()
-	c.ReportEvery, c.ProbesMax = 100*ms, 3
+	c.ReportInterval, c.MaxProbesPerSecond = 100*ms, 3
 	h := New(c, 1)
-	h.Step(0, Passed{})
+	h.Step(0, TimePassed{})
 	for i := range 5 {
 		h.Step(10*ms, ask(fmt.Sprint(i), 100, 50))
 	}
-	if got := h.Load(20 * ms); got.Running != 0 || got.Util != 0 {
+	if got := h.Load(20 * ms); got.Running != 0 || got.Utilization != 0 {
 		t.Errorf("refreshed too early: %+v", got)
 	}
-	if got := h.Step(110*ms, Probe{ID: "p"}); len(got) == 0 || got[len(got)-1].Kind != Answered || got[len(got)-1].Load.Running != 4 ||
+	if got := h.Step(110*ms, Probe{ID: "p"}); len(got) == 0 || got[len(got)-1].Kind != ProbeAnswered || got[len(got)-1].Load.Running != 4 ||
 		got[len(got)-1].Load.Waiting != 1 {
 		t.Errorf("%+v", got)
 	}
 	deep := play(h, 110*ms, time.Minute, Probe{ID: "deep", Deep: true})
-	if at := times(deep, Answered, "deep"); len(at) != 1 || at[0] < 700*ms { // a slot is free when the first are whole
+	if at := times(deep, ProbeAnswered, "deep"); len(at) != 1 || at[0] < 700*ms { // a slot is free when the first are whole
 		t.Errorf("%v", at)
 	}
 	h.Step(59*time.Second, Probe{ID: "q"})
-	for i, want := range []ResultKind{Answered, Answered, TurnedAway} {
+	for i, want := range []ResultKind{ProbeAnswered, ProbeAnswered, Rejected} {
 		if got := h.Step(59*time.Second, Probe{ID: "q"}); got[0].Kind != want {
 			t.Errorf("probe %d: %+v", i, got)
 		}
@@ -334,8 +334,8 @@
 		c.Memory = rapid.IntRange(50, 600).Draw(t, "memory")
 		c.Chunk = rapid.IntRange(1, 200).Draw(t, "chunk")
 		c.Block = rapid.IntRange(1, 32).Draw(t, "block")
-		c.KeepsMade = rapid.Bool().Draw(t, "keeps")
-		c.SlowStart = SlowStart{Share: 0.3, Time: time.Second, Factor: 2, Window: 300 * ms, PerToken: 200 * time.Microsecond}
+		c.CachesAnswers = rapid.Bool().Draw(t, "keeps")
+		c.SlowStart = SlowStart{InitialCapacity: 0.3, Duration: time.Second, MaxLoadFactor: 2, Window: 300 * ms, PerPromptToken: 200 * time.Microsecond}
 		c.ReportNoise = 0.1
 		h, twin := New(c, 7), New(c, 7)
 		now, n := time.Duration(0), 0
@@ -363,7 +363,7 @@
 						t.Fatalf("%s ended with %d tokens of %d", r.ID, s.made, s.out)
 					}
 					delete(open, r.ID)
-				case TurnedAway, Broken:
+				case Rejected, Interrupted:
 					if s == nil {
 						t.Fatalf("%+v of nobody", r)
 					}
@@ -386,17 +386,17 @@
 			"arrive": func(t *rapid.T) {
 				n++
 				q := Request{ID: fmt.Sprint(n), Session: rapid.SampledFrom([]string{"", "s", "t", "u"}).Draw(t, "session"),
-					Prefix: rapid.SampledFrom([]string{"", "p", "q"}).Draw(t, "prefix"), Prompt: rapid.IntRange(1, 300).Draw(t, "prompt")}
-				q.Shared = rapid.IntRange(0, q.Prompt).Draw(t, "shared")
-				q.Out = rapid.IntRange(1, 60).Draw(t, "out")
-				q.Made = rapid.IntRange(0, q.Out-1).Draw(t, "made")
-				q.MaxOut = q.Out
-				open[q.ID] = &state{q.Made, q.Out}
+					Prefix: rapid.SampledFrom([]string{"", "p", "q"}).Draw(t, "prefix"), PromptTokens: rapid.IntRange(1, 300).Draw(t, "prompt")}
+				q.PrefixTokens = rapid.IntRange(0, q.PromptTokens).Draw(t, "shared")
+				q.AnswerTokens = rapid.IntRange(1, 60).Draw(t, "out")
+				q.TokensMade = rapid.IntRange(0, q.AnswerTokens-1).Draw(t, "made")
+				q.MaxAnswerTokens = q.AnswerTokens
+				open[q.ID] = &state{q.TokensMade, q.AnswerTokens}
 				took(Arrive{q})
 			},
 			"pass": func(t *rapid.T) {
 				now += time.Duration(rapid.IntRange(0, 200).Draw(t, "ms")) * ms
-				took(Passed{})
+				took(TimePassed{})
 			},
 			"cancel": func(t *rapid.T) {
 				id := fmt.Sprint(rapid.IntRange(0, n).Draw(t, "id"))
@@ -405,14 +405,14 @@
 			},
 			"die": func(t *rapid.T) {
 				if rapid.IntRange(0, 3).Draw(t, "really") == 0 {
-					took(Die{})
+					took(Crash{})
 					took(Start{})
 				}
 			},
 			"slow": func(t *rapid.T) { took(Slow{rapid.Float64Range(0, 3).Draw(t, "factor")}) },
 		})
 		now += time.Hour
-		took(Passed{})
+		took(TimePassed{})
 		if len(open) > 0 {
 			t.Fatalf("%d are open after an hour", len(open))
 		}
@@ -429,10 +429,10 @@
 		if at, ok := h.Next(); ok {
 			now = at
 		}
-		h.Step(now, Passed{})
+		h.Step(now, TimePassed{})
 		for h.Stats(now).Waiting < 8 {
 			n++
-			h.Step(now, Arrive{Request{ID: fmt.Sprint(n), Session: fmt.Sprint(n % 300), Prefix: fmt.Sprint(n % 10), Shared: 500, Prompt: 1200, Out: 100, MaxOut: 200}})
+			h.Step(now, Arrive{Request{ID: fmt.Sprint(n), Session: fmt.Sprint(n % 300), Prefix: fmt.Sprint(n % 10), PrefixTokens: 500, PromptTokens: 1200, AnswerTokens: 100, MaxAnswerTokens: 200}})
 		}
 	}
 }
--- a/internal/testbed/hostmodel/types.go
+++ b/internal/testbed/hostmodel/types.go
@@ -1,13 +1,12 @@
-// Package hostmodel is a model of a host that runs a language model: which requests it takes, how
-// long its steps are, which prompts it keeps, when it turns work away, how it warms up and when it
-// falls over. It serves two worlds, the lab's virtual time and stand-in hosts on sockets.
+// Package hostmodel models a host that serves a language model: which requests it accepts, how long
+// its steps take, which prompt prefixes it caches, when it rejects work, its slow start and when it
+// fails from overload. The simulator runs it in virtual time, fake hosts on sockets.
 //
-// This file is the interface; host.go has the steps, cache.go what is kept of prompts, and cold.go
-// the start. A Host is a state machine without I/O, clock or goroutine: its owner calls Step with
-// the time and one event, and again at Next. What comes back carries the time at which it happened,
-// which may lie before the call, never after it. The same seed, settings and events always give the
-// same results. The owner owes one caller at a time and a clock that never goes back. Its memory is
-// bounded by slots, queue and kept tokens. It imports nothing of ours.
+// A Host is a state machine without I/O, clock or goroutine: its owner calls Step with the time and
+// one event, and again at Next. A Result carries the time at which it happened, which may lie
+// before the call, never after it. The same seed, configuration and events always give the same
+// results. The owner makes one call at a time, with a clock that never goes back. The memory of a
+// Host is bounded by its slots, its queue and the tokens that it caches.
 package hostmodel
 
 import "time"
@@ -15,10 +14,10 @@
 // Config is one kind of host. All lengths are in tokens.
 type Config struct {
 	Slots  int // requests that run at once
-	Queue  int // that wait beyond them; more are turned away
-	Memory int // tokens of running requests and kept prompts together
+	Queue  int // that wait beyond them; more are rejected
+	Memory int // tokens of running requests and cached sequences together
 	Chunk  int // prompt tokens that a step reads at most
-	Block  int // what is kept of a prompt is a multiple of this
+	Block  int // the length of a cached sequence is a multiple of this
 
 	// A step takes Base + PerSeq for each running request + ContextPerK for each 1,000 tokens of
 	// their contexts + what it reads at ReadPerS + PairsPerM for each million pairs of a token read
@@ -26,53 +25,53 @@
 	Base, PerSeq, ContextPerK, PairsPerM time.Duration
 	ReadPerS                             float64
 
-	KeepsMade bool // a complete answer is kept with its prompt
+	CachesAnswers bool // a complete answer is cached with its prompt
 
 	SlowStart SlowStart
 
-	Conns     int           // connections; 0 is no bound
-	Handshake time.Duration // of work for each new one
-	TableCost float64       // share of the capacity that a full table takes
+	MaxConnections int           // connections; 0 is no bound
+	HandshakeWork  time.Duration // of work for each new one
+	TableCost      float64       // fraction of the capacity that a full connection table costs
 
-	Probe     time.Duration // of work for each
-	ProbesMax int           // in a second; 0 is no bound
+	ProbeWork          time.Duration // of work for each
+	MaxProbesPerSecond int           // in a second; 0 is no bound
 
-	ReportEvery time.Duration // reports are refreshed so often; 0 is always
-	ReportNoise float64       // relative standard deviation of each figure
+	ReportInterval time.Duration // after which a report is refreshed; 0 is always
+	ReportNoise    float64       // relative standard deviation of each figure
 }
 
 // SlowStart is how a host starts. Its zero value is a host that is warm at once.
 type SlowStart struct {
-	Share    float64       // of the capacity at the start
-	Time     time.Duration // until it is warm; with Work, the least
-	Work     time.Duration // of steps until it is warm, as a warm host counts them; 0 if time alone warms it
-	Factor   float64       // work sent beyond this multiple of the present capacity
-	Window   time.Duration // within this time topples it; 0 for never
-	PerToken time.Duration // of a prompt, as work sent is counted
-	PerMade  time.Duration // the same of a token of its answer
-	Mean     time.Duration // work of a mean request, by which calls are counted; 0 for no count
+	InitialCapacity float64       // of the capacity at the start
+	Duration        time.Duration // until it is warm, at least
+	Work            time.Duration // of steps until it is warm, as a warm host counts them; 0 if only time counts
+	MaxLoadFactor   float64       // work sent beyond this multiple of the present capacity
+	Window          time.Duration // within this time makes it fail; 0 for never
+	PerPromptToken  time.Duration // of a prompt, as work sent is counted
+	PerAnswerToken  time.Duration // the same of a token of its answer
+	MeanRequestWork time.Duration // of a mean request, by which calls are counted; 0 for no count
 }
 
-// Request is a prompt.
+// Request is a request to a host. Its lengths are in tokens.
 type Request struct {
-	ID      string
-	Session string // what goes before a session's prompt is its last prompt and answer; empty for none
-	Prefix  string // names the beginning shared with other sessions; empty for none
-	Prompt  int    // length
-	Shared  int    // of it, the length of Prefix
-	Made    int    // tokens of the answer that another host has made already
-	Out     int    // true length of the answer, those among them
-	MaxOut  int    // that was asked for
-	Untold  bool   // who sent it had not been told of the host's last start
+	ID              string
+	Session         string // what goes before a session's prompt is its last prompt and answer; empty for none
+	Prefix          string // names the prefix shared with other sessions; empty for none
+	PromptTokens    int    // length
+	PrefixTokens    int    // of it, the length of Prefix
+	TokensMade      int    // tokens of the answer that another host has made already
+	AnswerTokens    int    // true length of the answer, those among them
+	MaxAnswerTokens int    // that the client asked for
+	StartUnknown    bool   // its sender did not know of the host's last start
 }
 
 // Event is something that happens to a host: one of the types below.
 type Event interface{ isEvent() }
 
-// Arrive brings a request whole.
+// Arrive brings a complete request.
 type Arrive struct{ Request Request }
 
-// Cancel ends a request that nobody waits for.
+// Cancel ends a request whose client does not wait any more.
 type Cancel struct{ ID string }
 
 // Connect opens a connection.
@@ -90,17 +89,17 @@
 // Slow makes all steps take Factor times as long, from the next one on.
 type Slow struct{ Factor float64 }
 
-// Drain has the host finish what it has and take nothing new.
+// Drain lets the host finish its requests and reject new ones.
 type Drain struct{}
 
-// Die ends everything that it has.
-type Die struct{}
+// Crash ends the process with all its requests.
+type Crash struct{}
 
-// Start starts a host that died, empty and cold.
+// Start starts the process of a host that crashed, with an empty cache and its slow start.
 type Start struct{}
 
-// Passed says that nothing but time has.
-type Passed struct{}
+// TimePassed is no event but the passing of time.
+type TimePassed struct{}
 
 func (Arrive) isEvent()     {}
 func (Cancel) isEvent()     {}
@@ -109,62 +108,62 @@
 func (Probe) isEvent()      {}
 func (Slow) isEvent()       {}
 func (Drain) isEvent()      {}
-func (Die) isEvent()        {}
+func (Crash) isEvent()      {}
 func (Start) isEvent()      {}
-func (Passed) isEvent()     {}
+func (TimePassed) isEvent() {}
 
-// ResultKind tells what a Result is.
+// ResultKind is the kind of a Result.
 type ResultKind int
 
 // The kinds.
 const (
-	TurnedAway ResultKind = iota // ID never ran; Why
-	Token                        // ID has one more; the first one has Kept
-	LastToken                    // ID has its last one: follows its Token
-	Broken                       // ID was in work when the host died or fell over
-	Answered                     // probe ID: Load
-	TableFull                    // the connection just asked for does not fit the table
-	Fell                         // the host was pushed over while cold, and is dead; Broken of all it had follow
-	Preempted                    // ID went back into the queue, as memory ran out; what it had is read again
+	Rejected      ResultKind = iota // ID did not run; see Reason
+	Token                           // ID has one more token; the first one has CachedTokens
+	LastToken                       // ID is complete: follows its last Token
+	Interrupted                     // ID ran or waited when the host crashed or failed
+	ProbeAnswered                   // probe ID: Load
+	TableFull                       // the connection of this Connect does not fit the table
+	Overloaded                      // the host failed from overload in its slow start; an Interrupted for each request follows
+	Preempted                       // ID went back into the queue for lack of memory; its prompt is prefilled again
 )
 
-// Why says why a request was turned away.
-type Why int
+// RejectReason says why a request was rejected.
+type RejectReason int
 
 // The reasons.
 const (
-	NoReason Why = iota
+	NoReason RejectReason = iota
 	QueueFull
 	Draining
 	Dead
 	TooLong // for the memory, even alone
 )
 
-// Result is something that came of a host's work.
+// Result is an outcome of a host's work.
 type Result struct {
 	Kind         ResultKind
 	At           time.Duration
 	ID           string
-	Why          Why
+	Reason       RejectReason
 	CachedTokens int // prompt tokens found kept
 	Load         Load
 }
 
-// Load is what a host reports of itself.
+// Load is a host's report of its load.
 type Load struct {
 	Running, Waiting int
-	Util             float64 // share of the slots
-	First            time.Duration
-	Memory           float64 // share held by running requests
-	Unread           float64 // thousands of prompt tokens
+	Utilization      float64 // fraction of the slots
+	FirstTokenTime   time.Duration
+	Memory           float64 // fraction used by running requests
+	PrefillThousands float64 // thousands of prompt tokens
 }
 
 // Stats are counters and the present state, exact.
 type Stats struct {
-	Steps, Tokens, Read, Kept, Preempted, Evicted, TurnedAway uint64
-	Running, Waiting, UsedTokens, RunningTokens, Conns        int // Held and Pinned in tokens: all, and those of running requests
-	Busy                                                      time.Duration
-	Capacity                                                  float64 // share of a warm, idle host's
-	Alive                                                     bool
-	SlowStartBudgetUsed                                       float64 // the most calls in a window while it was cold, by those who had been told, 1 for all that there may be
+	Steps, Tokens, PrefillTokens, CachedTokens, Preempted, Evicted, Rejected uint64
+	Running, Waiting, UsedTokens, RunningTokens, Connections                 int // UsedTokens with the cache, RunningTokens without what nobody uses
+	Busy                                                                     time.Duration
+	Capacity                                                                 float64 // fraction of a warm, idle host's
+	Alive                                                                    bool
+	SlowStartBudgetUsed                                                      float64 // in its slow start: the most calls in a window, as a fraction of the budget
 }
--- a/internal/testbed/simulator/bound_test.go
+++ b/internal/testbed/simulator/bound_test.go
@@ -7,7 +7,7 @@
 
 // No fleet serves more than the bound, warm or cold, with little to do or far too much; and the
 // bound follows what hosts can do.
-func TestBound(t *testing.T) {
+func TestServableValueBoundsWhatIsServed(t *testing.T) {
 	able := func(rate float64, cold bool) (got, able, of float64) {
 		s := small(3)
 		for i := range s.Classes {
--- a/internal/testbed/simulator/disruption.go
+++ b/internal/testbed/simulator/disruption.go
@@ -92,7 +92,7 @@
 	old.removed = true
 	w.stopHost(old)
 	h := w.addHost(old.group)
-	h.model.Step(w.now, hostmodel.Die{})
+	h.model.Step(w.now, hostmodel.Crash{})
 	h.alive = false
 	w.schedule(w.now+delay, event{kind: hostStarts, number: h.number, generation: h.generation})
 }
--- a/internal/testbed/simulator/events.go
+++ b/internal/testbed/simulator/events.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// event is something due in a world. Two at one time come in the order in which they were put in.
+// event is due at a time. Two at one time come in the order in which they were scheduled.
 type event struct {
 	at         time.Duration
 	seq        uint64
 	kind       eventKind
 	number     int // a router's, a host's, a class's or a disruption's number, or another small figure
-	generation int // of what n names: an event for one that has been started anew since is void
+	generation int // of the process of what number names: the event is void after its next start
 	payload    any // what it is about
 }
 
@@ -74,7 +74,7 @@
 	top := q.heap[0]
 	last := len(q.heap) - 1
 	e := q.heap[last]
-	q.heap[last] = event{} // what it is about may go
+	q.heap[last] = event{} // so that the payload can be freed
 	q.heap = q.heap[:last]
 	if last == 0 {
 		return top
--- a/internal/testbed/simulator/hostattempts.go
+++ b/internal/testbed/simulator/hostattempts.go
@@ -66,14 +66,14 @@
 	}
 	session := f.session
 	w.stepHost(h, hostmodel.Arrive{Request: hostmodel.Request{
-		ID:      a.client.id,
-		Session: session.name,
-		Prefix:  session.prefix,
-		Prompt:  f.promptTokens,
-		Shared:  session.prefixTokens,
-		Out:     f.answerTokens,
-		MaxOut:  session.load.config.MaxOut,
-		Untold:  a.client.router.known[h.number].startedAt != h.startedAt,
+		ID:              a.client.id,
+		Session:         session.name,
+		Prefix:          session.prefix,
+		PromptTokens:    f.promptTokens,
+		PrefixTokens:    session.prefixTokens,
+		AnswerTokens:    f.answerTokens,
+		MaxAnswerTokens: session.load.config.MaxOut,
+		StartUnknown:    a.client.router.known[h.number].startedAt != h.startedAt,
 	}})
 }
 
--- a/internal/testbed/simulator/hosts.go
+++ b/internal/testbed/simulator/hosts.go
@@ -49,7 +49,7 @@
 // It reports tableFull where a connection was refused.
 func (w *World) stepHost(h *host, e hostmodel.Event) (tableFull bool) {
 	if e == nil {
-		e = hostmodel.Passed{}
+		e = hostmodel.TimePassed{}
 	}
 	for _, x := range h.model.Step(w.now, e) {
 		switch x.Kind {
@@ -60,7 +60,7 @@
 				w.result.CachedTokens += uint64(x.CachedTokens)
 				return &hostMessage{attempt: a, result: balance.OK, cachedTokens: x.CachedTokens, tokens: a.tokens, load: w.load(h)}
 			})
-		case hostmodel.TurnedAway:
+		case hostmodel.Rejected:
 			if w.probeDone(h, x.ID, balance.Full, nil) {
 				continue
 			}
@@ -68,18 +68,18 @@
 				w.result.TurnedAway++
 				return &hostMessage{attempt: a, result: balance.Full, load: w.load(h)}
 			})
-		case hostmodel.Broken:
+		case hostmodel.Interrupted:
 			w.attemptDone(h, x.ID, func(a *attempt) *hostMessage {
 				w.result.Wasted += uint64(a.tokens)
 				return &hostMessage{attempt: a, result: balance.Reset, tokens: a.tokens}
 			})
-		case hostmodel.Answered:
+		case hostmodel.ProbeAnswered:
 			w.probeDone(h, x.ID, balance.OK, loadOf(&x.Load))
 		case hostmodel.TableFull:
 			tableFull = true
 		case hostmodel.Preempted:
 			w.result.Preempted++
-		case hostmodel.Fell:
+		case hostmodel.Overloaded:
 			w.emit(history.Event{What: history.Fell, Who: h.id})
 			w.violated(ruleSlowStart, h.id, h.number, "fell over")
 		}
@@ -132,7 +132,7 @@
 
 // loadOf converts a report of load.
 func loadOf(l *hostmodel.Load) *balance.Load {
-	return &balance.Load{InFlight: float64(l.Running + l.Waiting), Utilization: l.Util, PrefillTokens: 1000 * l.Unread}
+	return &balance.Load{InFlight: float64(l.Running + l.Waiting), Utilization: l.Utilization, PrefillTokens: 1000 * l.PrefillThousands}
 }
 
 // load returns a host's report of load.
@@ -147,7 +147,7 @@
 		return
 	}
 	w.trace("host dies", h.id, h.number)
-	w.stepHost(h, hostmodel.Die{})
+	w.stepHost(h, hostmodel.Crash{})
 	h.alive, h.nextStep = false, -1
 	h.generation++
 	clear(h.probes)
--- a/internal/testbed/simulator/loss_test.go
+++ b/internal/testbed/simulator/loss_test.go
@@ -71,7 +71,7 @@
 
 // Drawn power losses: no rule is broken. 10,000 of them: go test ./internal/testbed/simulator -run
 // Losses -losses 10000 (docs/measurements/recovery.md).
-func TestDrawnPowerLosses(t *testing.T) {
+func TestRulesHoldInDrawnPowerLosses(t *testing.T) {
 	t.Parallel()
 	var next atomic.Int64
 	var all sync.WaitGroup
@@ -104,7 +104,7 @@
 
 // The checkers find what is planted: routers that take hosts for warm as they start push them over,
 // and the same ones that do not, do not.
-func TestPlantedWarmth(t *testing.T) {
+func TestRuleFindsRoutersWithoutSlowStart(t *testing.T) {
 	t.Parallel()
 	over := func(planted bool) (n int) {
 		for seed := range uint64(4) {
--- a/internal/testbed/simulator/rules.go
+++ b/internal/testbed/simulator/rules.go
@@ -7,9 +7,10 @@
 )
 
 const (
-	// answerSlack is how long after a client's patience an answer may still come.
+	// answerSlack is how long after a client's deadline an answer may still come.
 	answerSlack = 20 * time.Millisecond
-	// drainSlack is how long after it was told a host may still be sent something new.
+	// drainSlack is how long after the list has marked a host as draining it may still get new
+	// requests.
 	drainSlack = 500 * time.Millisecond
 )
 
@@ -19,18 +20,18 @@
 	At   time.Duration
 	Rule string
 	Text string
-	Last []string // what happened before, the last one at the end
+	Last []string // the events before it, the last one at the end
 }
 
-// Error is one line; Last tells more.
+// Error returns one line, without Last.
 func (v *Violation) Error() string {
 	return fmt.Sprintf("rule broken at %v with seed %d: %s: %s", v.At, v.Seed, v.Rule, v.Text)
 }
 
-// Report is the whole text.
+// Report returns the error and the events before it.
 func (v *Violation) Report() string { return v.Error() + "\n" + strings.Join(v.Last, "\n") + "\n" }
 
-// violated stops the world. The first one counts.
+// violated stops the world with a violation. Only the first one counts.
 func (w *World) violated(rule, id string, n int, text string) {
 	if w.violation != nil {
 		return
@@ -54,7 +55,7 @@
 	ruleSlowStart  = "no cold host is pushed over"
 )
 
-// checkSend checks what a router is about to send.
+// checkSend checks an attempt that a router is about to send.
 func (w *World) checkSend(r *router, t *clientAttempt, id, to string) bool {
 	h, listed := r.byID[to]
 	switch {
--- a/internal/testbed/simulator/simulator_test.go
+++ b/internal/testbed/simulator/simulator_test.go
@@ -22,9 +22,9 @@
 // small is a fleet of 6 hosts in two zones with 2 routers, at some two thirds of what it can do.
 func small(seed uint64) Spec {
 	host := hostmodel.Config{Slots: 32, Queue: 32, Memory: 120000, Chunk: 2048, Block: 16, Base: 12 * ms, PerSeq: 200 * time.Microsecond,
-		ContextPerK: 50 * time.Microsecond, PairsPerM: ms, ReadPerS: 20000, KeepsMade: true, Conns: 200, Handshake: ms, TableCost: 0.1,
-		ReportEvery: 100 * ms, ReportNoise: 0.05, Probe: 100 * time.Microsecond, ProbesMax: 20,
-		SlowStart: hostmodel.SlowStart{Share: 0.3, Time: 8 * time.Second, Factor: 2.5, Window: 3 * time.Second, PerToken: 50 * time.Microsecond, PerMade: 600 * time.Microsecond}}
+		ContextPerK: 50 * time.Microsecond, PairsPerM: ms, ReadPerS: 20000, CachesAnswers: true, MaxConnections: 200, HandshakeWork: ms, TableCost: 0.1,
+		ReportInterval: 100 * ms, ReportNoise: 0.05, ProbeWork: 100 * time.Microsecond, MaxProbesPerSecond: 20,
+		SlowStart: hostmodel.SlowStart{InitialCapacity: 0.3, Duration: 8 * time.Second, MaxLoadFactor: 2.5, Window: 3 * time.Second, PerPromptToken: 50 * time.Microsecond, PerAnswerToken: 600 * time.Microsecond}}
 	chat := func(name string, rate, value float64, aim, deadline time.Duration) Class {
 		return Class{Class: balance.Class{Name: name, LatencyTarget: aim, LatencyTargetPer1000Tokens: 40 * ms, TokenLatencyTarget: 60 * ms, Deadline: deadline, Value: value, Streamed: true},
 			Rate: rate, Turns: 3, Think: 3 * time.Second, New: Length{200, 0.8}, Out: Length{80, 0.6}, MaxOut: 400, MaxContext: 16000,
@@ -68,7 +68,7 @@
 }
 
 // Every request comes out in one way, and the counts of all views agree.
-func TestAQuietDay(t *testing.T) {
+func TestQuietWorldServesAll(t *testing.T) {
 	r, _ := run(t, small(1))
 	var asked, seconds uint64
 	for _, c := range r.Classes {
@@ -87,7 +87,7 @@
 
 // The same spec and seed give the same bytes, one after another and side by side, and another seed
 // gives others.
-func TestDeterminism(t *testing.T) {
+func TestSameSpecGivesSameResult(t *testing.T) {
 	s := small(7)
 	s.Disruptions = []Disruption{{Kind: SlowHosts, At: 3 * time.Second, Length: 5 * time.Second, Fraction: 0.3, Size: 4},
 		{Kind: RouterCrash, At: 6 * time.Second, Length: 3 * time.Second, Fraction: 0.5}, {Kind: HostsDie, At: 9 * time.Second, Length: time.Second, Fraction: 0.2}}
@@ -126,7 +126,7 @@
 }
 
 // A plan is the load of a world, request by request.
-func TestPlan(t *testing.T) {
+func TestPlanHasTheRequestsOfTheWorld(t *testing.T) {
 	s := small(3)
 	s.Disruptions = []Disruption{{Kind: Burst, At: 5 * time.Second, Length: 5 * time.Second, Size: 3}, {Kind: HostsDie, At: 5 * time.Second, Fraction: 1, Length: time.Second}}
 	plan, err := Plan(s)
@@ -182,7 +182,7 @@
 }
 
 // Each trouble does what it says, and none makes the module break a rule.
-func TestTroubles(t *testing.T) {
+func TestEachDisruption(t *testing.T) {
 	quiet, _ := run(t, small(5))
 	for _, tt := range []struct {
 		t    Disruption
@@ -217,7 +217,7 @@
 }
 
 // No host at all, and all hosts cold at once: clients are refused or wait, and no rule is broken.
-func TestHardBeginnings(t *testing.T) {
+func TestWorldsWithoutHostsAndWithAllHostsDead(t *testing.T) {
 	s := small(2)
 	s.Groups = nil
 	r, _ := run(t, s)
@@ -233,7 +233,7 @@
 }
 
 // Each rule has a checker that stops the world, with the seed, the time and what came before.
-func TestBrokenRules(t *testing.T) {
+func TestEachRuleFindsItsViolation(t *testing.T) {
 	for _, tt := range []struct {
 		rule string
 		d    func(events []balance.Event) []balance.Action
@@ -311,7 +311,7 @@
 func (s scripted) Step(_ time.Duration, events []balance.Event) []balance.Action { return s(events) }
 
 // Events come in the order of their times, and those of one time as they were put in.
-func TestQueueOrder(t *testing.T) {
+func TestQueueKeepsOrderOfTimeAndInsertion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q queue
 		var want []event
@@ -329,7 +329,7 @@
 }
 
 // Whatever happens to a fleet, the module breaks no rule, and each request comes out once.
-func TestRandomWorlds(t *testing.T) {
+func TestRulesHoldInRandomWorlds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := small(rapid.Uint64().Draw(t, "seed"))
 		s.Length = 6 * time.Second
@@ -338,7 +338,7 @@
 			s.Groups[i].Count = rapid.IntRange(0, 3).Draw(t, "hosts")
 			h := &s.Groups[i].Host
 			h.Slots = rapid.IntRange(8, 40).Draw(t, "slots")
-			h.SlowStart.PerMade = (h.Base + time.Duration(h.Slots)*h.PerSeq) / time.Duration(h.Slots)
+			h.SlowStart.PerAnswerToken = (h.Base + time.Duration(h.Slots)*h.PerSeq) / time.Duration(h.Slots)
 			s.Groups[i].Host.Memory = rapid.IntRange(18000, 120000).Draw(t, "memory")
 		}
 		for range rapid.IntRange(0, 3).Draw(t, "troubles") {
@@ -368,7 +368,7 @@
 }
 
 // Bad specs are one line that names the field.
-func TestBadSpecs(t *testing.T) {
+func TestCheckNamesTheBadField(t *testing.T) {
 	for want, change := range map[string]func(*Spec){
 		"Length is 0s":                          func(s *Spec) { s.Length = 0 },
 		"Tick is 0s":                            func(s *Spec) { s.Tick = 0 },
@@ -418,7 +418,7 @@
 
 // A zone that falls silent for longer than a router waits: its streams end while it is silent, not
 // with its return.
-func TestSilentStreamsEnd(t *testing.T) {
+func TestIdleStreamsOfIsolatedHostEnd(t *testing.T) {
 	ended := func(silent time.Duration) (during, broken uint64) {
 		s := small(2)
 		s.Net.StreamIdleTimeout = silent
--- a/internal/testbed/simulator/slowstart_test.go
+++ b/internal/testbed/simulator/slowstart_test.go
@@ -35,7 +35,7 @@
 		s.Disruptions = append(s.Disruptions, Disruption{Kind: RouterCrash, At: 5 * time.Second, Length: 2 * time.Second, Fraction: 0.7 * rng.Float64()})
 	}
 	for i := range s.Groups {
-		s.Groups[i].Host.SlowStart.Mean = meanWork(&s, s.Groups[i].Host.SlowStart)
+		s.Groups[i].Host.SlowStart.MeanRequestWork = meanWork(&s, s.Groups[i].Host.SlowStart)
 	}
 	return s
 }
@@ -46,7 +46,7 @@
 	for i := range s.Classes {
 		x := &s.Classes[i]
 		prompt := x.New.Median*1.4 + x.PrefixLen.Median*1.1 // a log-normal's mean is above its median
-		work := prompt*float64(c.PerToken) + x.Out.Median*1.2*float64(c.PerMade)
+		work := prompt*float64(c.PerPromptToken) + x.Out.Median*1.2*float64(c.PerAnswerToken)
 		sum, rate = sum+work*x.Rate, rate+x.Rate
 	}
 	return time.Duration(sum / rate)
--- a/internal/testbed/simulator/spec.go
+++ b/internal/testbed/simulator/spec.go
@@ -1,13 +1,11 @@
-// Package simulator plays a whole fleet in virtual time: clients with sessions and retries, a front
-// that spreads them, routers around the real decision module, the list of hosts, the network, model
-// hosts (package fleet) and disruptions. Checkers of the platform's rules run on every world. The
-// same Spec gives the same results, to the byte, wherever it is played.
+// Package simulator simulates a fleet in virtual time: clients with sessions and retries, a front
+// that spreads them, routers around the real decision module, the discovery's list of hosts, the
+// network, model hosts (package hostmodel), disruptions and faults. Rules of the platform are
+// checked in every world. The same Spec gives the same results, to the byte, on any machine.
 //
-// This file is what an experiment is made of; world.go has the clock, client.go the load, router.go
-// the routers, hosts.go hosts and their list, disruption.go what goes wrong, rules.go the checkers
-// and result.go what comes of it. A World is single-threaded, does no I/O and looks at no clock;
-// different worlds share nothing and may be played side by side. Its memory is bounded by what is
-// open at once: finished requests are only counted.
+// A World is single-threaded, does no I/O and reads no clock; different worlds share nothing and
+// may run at the same time. Its memory is bounded by the requests that are open at once: those that
+// have ended are only counted.
 package simulator
 
 import (
@@ -19,18 +17,18 @@
 	"reachspread/internal/testbed/hostmodel"
 )
 
-// Spec is one experiment's world.
+// Spec describes a world.
 type Spec struct {
 	Seed    uint64
-	Length  time.Duration // clients arrive until then; what is open is played to its end
-	Learned bool          // a router that comes back has what its last process had learned, as from a snapshot
-	Gate    bool          // routers admit classes by what cold hosts can do, as package recovery has it
-	Tick    time.Duration // a router handles what has come in once in this time
+	Length  time.Duration // sessions begin until then; open requests run to their end
+	Learned bool          // a restarted router has what its last process had learned, as from a snapshot
+	Gate    bool          // routers admit classes by the capacity of hosts in slow start, as in package recovery
+	Tick    time.Duration // a router handles its events once in this time
 
 	Groups  []Group
 	Routers int
 	Classes []Class
-	Balance balance.Config // but for Zone, Classes and Tick, which the world fills in
+	Balance balance.Config // without Zone, Classes and StepInterval, which the world sets
 
 	Net         Network
 	List        List
@@ -39,11 +37,11 @@
 	Peers       Peers
 	View        View
 	Disruptions []Disruption
-	Faults      []faults.Fault // as far as virtual time has them
-	Captured    []Planned      // in the order of their times; in place of drawn load, if there is any
+	Faults      []faults.Fault // those that exist in virtual time
+	Captured    []Planned      // in the order of their times; if there are any, no load is drawn
 
-	// History is told of what happens, as package judge reads it; nil for nobody. The event is not
-	// kept.
+	// History gets each event, in the form that package checker reads; nil for none. The simulator
+	// reuses the event afterwards.
 	History func(*history.Event)
 
 	// New makes a router's decider; nil for that of package balance.
@@ -55,7 +53,7 @@
 	Step(now time.Duration, events []balance.Event) []balance.Action
 }
 
-// Group is a number of hosts that are alike.
+// Group is a number of equal hosts.
 type Group struct {
 	Count int
 	Kind  string
--- a/internal/testbed/simulator/vast_test.go
+++ b/internal/testbed/simulator/vast_test.go
@@ -98,7 +98,7 @@
 				s.Classes[i].New = Length{200, 0.8}
 			}
 			for i := range s.Groups {
-				s.Groups[i].Host.Conns = tt.conns
+				s.Groups[i].Host.MaxConnections = tt.conns
 			}
 			s.Disruptions = []Disruption{tt.trouble}
 			r, _ := run(t, s)
--- a/internal/testbed/simulator/world.go
+++ b/internal/testbed/simulator/world.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	maxTrace = 64 // kept for whoever reads of a broken rule
-	// epoch is a world's first moment on the routers' clock: 0 would be "long ago" to them.
+	maxTrace = 64 // events that a Violation reports
+	// epoch is the beginning of a world on the routers' clock: 0 would mean an unknown past there.
 	epoch = time.Hour
 )
 
-// World is one experiment at one moment.
+// World is the state of one simulation. It is not safe for concurrent use.
 type World struct {
 	spec              Spec
 	queue             queue
@@ -26,18 +26,18 @@
 	zones             []string
 	hosts             []*host
 	routers           []*router
-	front             []int // the routers that the front believes in
+	front             []int // the routers that the front sends to
 	list              list
-	openRequests      int // requests that are not over
+	openRequests      int // requests that have not ended
 	lastRequest       int
 	burstFactor       float64
 	heavyTails        []heavyTail
 	activeDisruptions []activeDisruption
 	faults            faultSchedule
-	demand            []classDemand // in this second, by class
-	noHostsAt         time.Duration // the last moment at which no host was alive
+	demand            []classDemand // of the present second, by class
+	noHostsAt         time.Duration // the last time at which no host was alive
 
-	planOnly bool // requests are only written down
+	planOnly bool // for Plan: requests are recorded, not sent
 	plan     []Planned
 
 	result    Result
@@ -46,7 +46,7 @@
 	violation *Violation
 }
 
-// traceEntry is something that happened, for a report of a broken rule.
+// traceEntry is an event for the report of a Violation.
 type traceEntry struct {
 	at   time.Duration
 	what string
@@ -54,6 +54,7 @@
 	n    int
 }
 
+// trace records an event in a ring of maxTrace.
 func (w *World) trace(what, id string, n int) {
 	w.traceRing[w.traced%maxTrace] = traceEntry{w.now, what, id, n}
 	w.traced++
@@ -65,7 +66,7 @@
 	return rand.New(rand.NewPCG(w.spec.Seed, purpose<<48|n))
 }
 
-// The purposes.
+// The purposes of random streams. Their values are part of what a seed means.
 const (
 	forNet uint64 = iota + 1
 	forChance
@@ -78,7 +79,7 @@
 	forWeight
 )
 
-// New makes a world.
+// New returns a world at its beginning. It fails where the Spec is invalid.
 func New(s Spec) (*World, error) {
 	if err := s.Check(); err != nil {
 		return nil, err
@@ -135,7 +136,7 @@
 	return w, nil
 }
 
-// addZone has a zone listed, in the order in which they are named.
+// addZone adds a zone, unless it is known.
 func (w *World) addZone(name string) {
 	for _, z := range w.zones {
 		if z == name {
@@ -145,16 +146,16 @@
 	w.zones = append(w.zones, name)
 }
 
-// schedule puts in an event, not before now.
+// schedule adds an event at a time, or now if that has passed.
 func (w *World) schedule(t time.Duration, e event) {
 	e.at = max(t, w.now)
 	w.queue.push(e)
 }
 
-// clock is the routers' time.
+// clock returns the present time on the routers' clock.
 func (w *World) clock() time.Duration { return epoch + w.now }
 
-// networkDelay is how long a message takes from one zone to another.
+// networkDelay draws how long a message takes from one zone to another.
 func (w *World) networkDelay(from, to string) time.Duration {
 	d := w.spec.Net.Same
 	if from != to {
@@ -163,15 +164,16 @@
 	return d + time.Duration(w.spec.Net.Jitter*w.networkRand.Float64()*float64(d))
 }
 
-// Run plays a world to its end, until a rule is broken, or until most events have been played (0
-// for no bound).
-func (w *World) Run(most int) (*Result, error) {
+// Run runs the world to its end, until a rule is broken, or for at most maxEvents events (0 for no
+// bound). The error is a *Violation where a rule was broken. The Result is that of the time until
+// then.
+func (w *World) Run(maxEvents int) (*Result, error) {
 	for len(w.queue.heap) > 0 && w.violation == nil {
 		if w.now >= w.spec.Length && w.openRequests == 0 {
 			break
 		}
-		if most > 0 && w.result.Events >= uint64(most) {
-			return &w.result, fmt.Errorf("the world was not over after %d events, at %v", most, w.now)
+		if maxEvents > 0 && w.result.Events >= uint64(maxEvents) {
+			return &w.result, fmt.Errorf("the world was not over after %d events, at %v", maxEvents, w.now)
 		}
 		e := w.queue.pop()
 		w.now = e.at
