--- a/cmd/reachspread/golden_test.go
+++ b/cmd/reachspread/golden_test.go
@@ -284,10 +284,10 @@
 	g.start(goldenRouters - 1)
 	g.untilWhole(goldenRouters)
 	g.startHosts()
-	s := pintest.NewStory([]string{g.Front(0), g.Front(1), g.Front(2)}, nil, nil)
+	s := pintest.NewScenario([]string{g.Front(0), g.Front(1), g.Front(2)}, nil, nil)
 	for n := range 12 {
 		router := n % goldenRouters
-		g.until("a request is served", func() bool { return s.Ask(router, pintest.SafePath).Status == http.StatusOK })
+		g.until("a request is served", func() bool { return s.Send(router, pintest.SafePath).Status == http.StatusOK })
 	}
 	kept := func() (usage bool) {
 		for i := range goldenRouters {
--- a/cmd/reachspread/processes_test.go
+++ b/cmd/reachspread/processes_test.go
@@ -76,7 +76,7 @@
 }
 
 // story is clients on the processes, and hosts of two versions.
-func (f *processes) story(ctx context.Context) *pintest.Story {
+func (f *processes) story(ctx context.Context) *pintest.Scenario {
 	f.t.Helper()
 	var fronts, controls []string
 	for i := range f.Len() {
@@ -91,7 +91,7 @@
 		f.t.Cleanup(h.Close)
 		hosts = append(hosts, h)
 	}
-	s := pintest.NewStory(fronts, controls, hosts)
+	s := pintest.NewScenario(fronts, controls, hosts)
 	for _, step := range []func(context.Context) error{s.Configure, s.Register} {
 		if err := step(ctx); err != nil {
 			f.t.Fatal(err)
@@ -111,11 +111,11 @@
 	f.untilReady(0, 1, 2, 3, 4)
 	change := func(version int64) {
 		t.Helper()
-		if err := s.Change(ctx, version); err != nil {
+		if err := s.ChangePin(ctx, version); err != nil {
 			t.Fatal(err)
 		}
 	}
-	s.Traffic()
+	s.StartTraffic()
 	change(1)
 	f.Freeze(3) // without a disk: it learns of nothing
 	change(2)
@@ -152,9 +152,9 @@
 	f.untilReady(0, 1, 2, 3, 4)
 	change(2)
 	change(0)
-	report := s.End()
+	report := s.Finish()
 	t.Logf("%d requests, %d served, %d changes of the pin", report.Requests, report.Served, report.Changes)
-	for _, wrong := range report.Wrong {
+	for _, wrong := range report.Violations {
 		t.Error(wrong)
 	}
 	if report.Served < report.Requests/4 {
--- a/internal/system/roles/node/pins_test.go
+++ b/internal/system/roles/node/pins_test.go
@@ -22,7 +22,7 @@
 // versions.
 type pinStory struct {
 	*testFleet
-	*pintest.Story
+	*pintest.Scenario
 	ctx    context.Context
 	folder string
 }
@@ -46,11 +46,11 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 3*testTimeout)
 	t.Cleanup(cancel)
-	s := &pinStory{f, pintest.NewStory(fronts, controls, hosts), ctx, filepath.Dir(f.nodes[0].settings().DataDirectory)}
+	s := &pinStory{f, pintest.NewScenario(fronts, controls, hosts), ctx, filepath.Dir(f.nodes[0].settings().DataDirectory)}
 	s.must(s.Configure(ctx))
 	s.registerAll()
 	for i := range s.nodes {
-		s.eventually("all serve", func() bool { return s.Ask(i, pintest.SafePath).Status == http.StatusOK })
+		s.eventually("all serve", func() bool { return s.Send(i, pintest.SafePath).Status == http.StatusOK })
 	}
 	return s
 }
@@ -69,7 +69,7 @@
 
 func (s *pinStory) change(version int64) {
 	s.t.Helper()
-	s.must(s.Change(s.ctx, version))
+	s.must(s.ChangePin(s.ctx, version))
 }
 
 // restart has a router that ended come back.
@@ -80,7 +80,7 @@
 // routers with and without a disk end and come back.
 func TestPinsOnLiveTraffic(t *testing.T) {
 	s := newPinStory(t)
-	s.Traffic()
+	s.StartTraffic()
 	s.change(1)
 	s.change(2)
 	s.Hosts[2].Version.Store(3) // it rolls, and its registration says otherwise
@@ -96,9 +96,9 @@
 	s.crash(1)
 	s.restart(1)
 	s.change(0)
-	report := s.End()
+	report := s.Finish()
 	t.Logf("%d requests, %d served, %d changes of the pin", report.Requests, report.Served, report.Changes)
-	for _, wrong := range report.Wrong {
+	for _, wrong := range report.Violations {
 		t.Error(wrong)
 	}
 	if report.Served < report.Requests/2 {
@@ -121,7 +121,7 @@
 	s.registerAll()
 	for i := range s.nodes {
 		s.eventually("each serves", func() bool {
-			a := s.Ask(i, pintest.SafePath)
+			a := s.Send(i, pintest.SafePath)
 			if a.Status == http.StatusOK && a.Version != 2 {
 				t.Errorf("router %d answers with version %d", i, a.Version)
 			}
--- a/internal/testbed/fleetdemo/fleetdemo.go
+++ b/internal/testbed/fleetdemo/fleetdemo.go
@@ -36,7 +36,7 @@
 	o      Options
 	fleet  *localfleet.Fleet
 	hosts  []*pintest.Host
-	story  *pintest.Story
+	story  *pintest.Scenario
 	begun  time.Time
 	events []event
 }
@@ -61,7 +61,7 @@
 		return err
 	}
 	err = d.play(ctx)
-	report := d.story.End() // its clients have stopped then, whatever came of it
+	report := d.story.Finish() // its clients have stopped then, whatever came of it
 	if err != nil {
 		return err
 	}
@@ -85,7 +85,7 @@
 		}
 		d.hosts = append(d.hosts, h)
 	}
-	d.story = pintest.NewStory(fronts, controls, d.hosts)
+	d.story = pintest.NewScenario(fronts, controls, d.hosts)
 	for _, step := range []func(context.Context) error{d.story.Configure, d.story.Register} {
 		if err := step(ctx); err != nil {
 			return err
@@ -116,21 +116,21 @@
 		return func(context.Context) error { return d.fleet.Start(i) }
 	}
 	return []happening{
-		{0.10, "the operator pins tenant x to version 2", func(ctx context.Context) error { return d.story.Change(ctx, 2) }},
+		{0.10, "the operator pins tenant x to version 2", func(ctx context.Context) error { return d.story.ChangePin(ctx, 2) }},
 		{0.25, otherName + " is killed", kill(other)},
 		{0.35, otherName + " comes back", start(other)},
 		{0.45, coreName + " of the register is killed", kill(core)},
-		{0.55, "the operator pins tenant x to version 1, without it", func(ctx context.Context) error { return d.story.Change(ctx, 1) }},
+		{0.55, "the operator pins tenant x to version 1, without it", func(ctx context.Context) error { return d.story.ChangePin(ctx, 1) }},
 		{0.65, coreName + " comes back", start(core)},
 		{0.75, host.ID + " is killed", func(context.Context) error { host.Close(); return nil }},
-		{0.85, "the operator lifts the pin", func(ctx context.Context) error { return d.story.Change(ctx, 0) }},
+		{0.85, "the operator lifts the pin", func(ctx context.Context) error { return d.story.ChangePin(ctx, 0) }},
 	}
 }
 
 // play has clients ask while things happen.
 func (d *demo) play(ctx context.Context) error {
 	d.begun = time.Now()
-	d.story.Traffic()
+	d.story.StartTraffic()
 	for _, h := range d.happenings() {
 		if !d.until(ctx, time.Duration(h.at*float64(d.o.Length))) {
 			return ctx.Err()
@@ -168,9 +168,9 @@
 // tally counts requests by their ends.
 type tally struct{ served, refused, failed int }
 
-func (t *tally) add(a pintest.Asked) {
+func (t *tally) add(a pintest.Request) {
 	switch {
-	case a.Status == http.StatusOK && a.Whole:
+	case a.Status == http.StatusOK && a.Complete:
 		t.served++
 	case a.Status == http.StatusServiceUnavailable, a.Status == http.StatusTooManyRequests:
 		t.refused++
--- a/internal/testbed/fleetdemo/show.go
+++ b/internal/testbed/fleetdemo/show.go
@@ -28,8 +28,8 @@
 	d.printRouters(asked)
 	seconds := d.bySecond(asked)
 	d.printSeconds(seconds)
-	fmt.Fprintf(d.o.Out, "%d requests, %d served, %d changes of the pin; answers that were not as promised: %d\n", r.Requests, r.Served, r.Changes, len(r.Wrong))
-	for _, wrong := range r.Wrong {
+	fmt.Fprintf(d.o.Out, "%d requests, %d served, %d changes of the pin; answers that were not as promised: %d\n", r.Requests, r.Served, r.Changes, len(r.Violations))
+	for _, wrong := range r.Violations {
 		fmt.Fprintln(d.o.Out, "  ", wrong)
 	}
 	if d.o.Page == "" {
@@ -42,7 +42,7 @@
 	return nil
 }
 
-func (d *demo) printRouters(asked []pintest.Asked) {
+func (d *demo) printRouters(asked []pintest.Request) {
 	tallies := make([]tally, d.fleet.Len())
 	for _, a := range asked {
 		tallies[a.Router].add(a)
@@ -56,7 +56,7 @@
 }
 
 // bySecond counts the requests of each second of the load.
-func (d *demo) bySecond(asked []pintest.Asked) []tally {
+func (d *demo) bySecond(asked []pintest.Request) []tally {
 	seconds := make([]tally, int(d.o.Length/time.Second)+1)
 	for _, a := range asked {
 		if second := int(a.Sent.Sub(d.begun) / time.Second); second >= 0 && second < len(seconds) {
--- a/internal/testbed/pintest/judge_test.go
+++ b/internal/testbed/pintest/judge_test.go
@@ -10,10 +10,10 @@
 
 func at(s int) time.Time { return time.Unix(int64(s), 0) }
 
-// Which answers are allowed while pins change.
-func TestAllowed(t *testing.T) {
+// An answer is allowed if its version was pinned at some time between the request and the answer.
+func TestAnswerIsAllowedByPinInForceDuringRequest(t *testing.T) {
 	is := is.New(t)
-	s := &Story{pins: []period{{from: at(0), until: at(12)}, {version: 2, from: at(10), until: at(22)}, {version: 1, from: at(20)}}}
+	s := &Scenario{pins: []period{{from: at(0), until: at(12)}, {version: 2, from: at(10), until: at(22)}, {version: 1, from: at(20)}}}
 	for _, c := range []struct {
 		sent, came int
 		version    int64
@@ -29,33 +29,34 @@
 		{23, 24, 2, false},
 		{23, 24, 1, true},
 	} {
-		is.Equal(s.allowed(Asked{Sent: at(c.sent), Came: at(c.came), Version: c.version}), c.allowed)
+		is.Equal(s.allowed(Request{Sent: at(c.sent), Answered: at(c.came), Version: c.version}), c.allowed)
 	}
 }
 
-// The judge finds answers of the wrong version, that are cut or another request's, and unsafe requests that ran twice.
-func TestJudge(t *testing.T) {
-	good := Asked{ID: "q1", Path: UnsafePath, Sent: at(13), Came: at(14), Status: http.StatusOK, Version: 2, Text: "2 by q1", Whole: true}
+// The judge finds answers of the wrong version, incomplete ones, those of other requests, and
+// unsafe requests that were executed twice.
+func TestJudgeFindsWrongAnswersAndSecondExecutions(t *testing.T) {
+	good := Request{ID: "q1", Path: UnsafePath, Sent: at(13), Answered: at(14), Status: http.StatusOK, Version: 2, Text: "2 by q1", Complete: true}
 	for _, c := range []struct {
 		name   string
-		change func(a *Asked)
+		change func(a *Request)
 		runs   int
 		wrong  int
 	}{
-		{"good", func(*Asked) {}, 1, 0},
-		{"refused", func(a *Asked) { a.Status, a.Version = 503, 0 }, 0, 0},
-		{"another version", func(a *Asked) { a.Version, a.Text = 1, "1 by q1" }, 1, 1},
-		{"cut", func(a *Asked) { a.Whole = false }, 1, 1},
-		{"another request's", func(a *Asked) { a.Text = "2 by q2" }, 1, 1},
-		{"ran twice", func(*Asked) {}, 2, 1},
-		{"ran twice, and may", func(a *Asked) { a.Path = SafePath }, 2, 0},
+		{"good", func(*Request) {}, 1, 0},
+		{"refused", func(a *Request) { a.Status, a.Version = 503, 0 }, 0, 0},
+		{"another version", func(a *Request) { a.Version, a.Text = 1, "1 by q1" }, 1, 1},
+		{"cut", func(a *Request) { a.Complete = false }, 1, 1},
+		{"another request's", func(a *Request) { a.Text = "2 by q2" }, 1, 1},
+		{"ran twice", func(*Request) {}, 2, 1},
+		{"ran twice, and may", func(a *Request) { a.Path = SafePath }, 2, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			a := good
 			c.change(&a)
-			s := &Story{pins: []period{{version: 2, from: at(10)}}, Hosts: []*Host{{ran: map[string]int{"q1": c.runs}}}, asked: []Asked{a}}
-			is.Equal(len(s.judge().Wrong), c.wrong)
+			s := &Scenario{pins: []period{{version: 2, from: at(10)}}, Hosts: []*Host{{executions: map[string]int{"q1": c.runs}}}, requests: []Request{a}}
+			is.Equal(len(s.judge().Violations), c.wrong)
 		})
 	}
 }
--- a/internal/testbed/soak/mixedfleet_test.go
+++ b/internal/testbed/soak/mixedfleet_test.go
@@ -113,18 +113,18 @@
 	is.NoErr(story.Register(ctx))
 	is.NoErr(f.AwaitReady(ctx, 0, 1, 2, 3))
 	go story.Heartbeats(ctx, heartbeatMs*time.Millisecond)
-	story.Traffic()
-	is.NoErr(story.Change(ctx, 1))
+	story.StartTraffic()
+	is.NoErr(story.ChangePin(ctx, 1))
 	for _, program := range [][]string{both.present, both.landed} {
 		for step, i := range []int{0, 3, 1, 2} {
 			upgrade(ctx, t, f, i, program)
-			is.NoErr(story.Change(ctx, int64(1+step%2)))
+			is.NoErr(story.ChangePin(ctx, int64(1+step%2)))
 		}
 	}
-	is.NoErr(story.Change(ctx, 0))
-	report := story.End()
+	is.NoErr(story.ChangePin(ctx, 0))
+	report := story.Finish()
 	t.Logf("%d requests, %d served, %d changes", report.Requests, report.Served, report.Changes)
-	for _, wrong := range report.Wrong {
+	for _, wrong := range report.Violations {
 		t.Error(wrong)
 	}
 	is.True(report.Served > 500)
@@ -132,7 +132,7 @@
 }
 
 // newPinStory is a story with two hosts of each of two versions.
-func newPinStory(t *testing.T, f *localfleet.Fleet) *pintest.Story {
+func newPinStory(t *testing.T, f *localfleet.Fleet) *pintest.Scenario {
 	t.Helper()
 	var fronts, controls []string
 	for i := range f.Len() {
@@ -147,7 +147,7 @@
 		t.Cleanup(h.Close)
 		all = append(all, h)
 	}
-	return pintest.NewStory(fronts, controls, all)
+	return pintest.NewScenario(fronts, controls, all)
 }
 
 // upgrade terminates a router and starts the other program in its place.
