--- a/internal/router/management/calls.go
+++ b/internal/router/management/calls.go
@@ -78,19 +78,19 @@
 	return "+OK\n" + strings.Join(append(lines, ".\n"), "\n")
 }
 
-func transferRole(r Router, words []string) string {
+func transferRole(r Router, arguments []string) string {
 	var token uint64
 	var err error
-	if len(words) == 3 {
-		token, err = strconv.ParseUint(words[2], 10, 64)
+	if len(arguments) == 3 {
+		token, err = strconv.ParseUint(arguments[2], 10, 64)
 	}
-	if len(words) < 2 || len(words) > 3 || err != nil {
+	if len(arguments) < 2 || len(arguments) > 3 || err != nil {
 		return Refusal("say duty-give DUTY ROUTER [TOKEN], with * for whoever waits and the token of the holder, as duties tells it")
 	}
-	return acknowledge(r.TransferRole(words[0], words[1], token))
+	return acknowledge(r.TransferRole(arguments[0], arguments[1], token))
 }
 
-func rebuildRoles(r Router, words []string) string { return acknowledge(r.RebuildRoles(words)) }
+func rebuildRoles(r Router, arguments []string) string { return acknowledge(r.RebuildRoles(arguments)) }
 
 func acknowledge(err error) string {
 	if err != nil {
