--- a/internal/testbed/chaos/chaos.go
+++ b/internal/testbed/chaos/chaos.go
@@ -70,17 +70,17 @@
 	folder  string
 	fleet   *fakes.Fleet
 	mesh    *faultproxy.Mesh
-	hosts   [][]*faultproxy.Conns // by router and host
-	lists   []*faultproxy.Conns   // by router
+	hosts   [][]*faultproxy.ConnProxy // by router and host
+	lists   []*faultproxy.ConnProxy   // by router
 	routers []*router
 	start   starter
 	player  *player
 	front   *front
 	stalls  *stalls
 
-	voterLines [][]*faultproxy.Conns // by router and router, nil for itself
-	copyLines  []*faultproxy.Conns   // by router
-	candidate  *fakes.Host           // gets copies; nil without duties
+	voterLines [][]*faultproxy.ConnProxy // by router and router, nil for itself
+	copyLines  []*faultproxy.ConnProxy   // by router
+	candidate  *fakes.Host               // gets copies; nil without duties
 
 	settings string // the operators' file of the routers, as it is before each gets its own
 	views    bool   // routers keep a view of the fleet
@@ -319,10 +319,10 @@
 		}
 	}
 	for i := range p.spec.Routers {
-		row := make([]*faultproxy.Conns, len(p.fleet.Hosts))
+		row := make([]*faultproxy.ConnProxy, len(p.fleet.Hosts))
 		p.hosts = append(p.hosts, row)
 		for n, h := range p.fleet.Hosts {
-			if row[n], err = faultproxy.NewConns(p.layout.hostOf(i, n), h.Addr, p.o.Seed, uint64(i)<<20|uint64(n), closings{p.rec, i}); err != nil {
+			if row[n], err = faultproxy.NewConnProxy(p.layout.hostOf(i, n), h.Addr, p.o.Seed, uint64(i)<<20|uint64(n), closings{p.rec, i}); err != nil {
 				return err
 			}
 		}
@@ -336,7 +336,7 @@
 				p.rec.add(history.Event{What: history.ListApplied, Who: who, From: p.hostName(e.ID), Text: e.State})
 			}
 		})
-		conns, err := faultproxy.NewConns(p.layout.list(i), list.Addr, p.o.Seed, uint64(i)<<20|0xfffff, nil)
+		conns, err := faultproxy.NewConnProxy(p.layout.list(i), list.Addr, p.o.Seed, uint64(i)<<20|0xfffff, nil)
 		if err != nil {
 			return err
 		}
@@ -405,7 +405,7 @@
 	var all sync.WaitGroup
 	var mu sync.Mutex
 	var failed error
-	set := func(c *faultproxy.Conns, i int, far faults.End, blackholed bool) {
+	set := func(c *faultproxy.ConnProxy, i int, far faults.End, blackholed bool) {
 		all.Go(func() {
 			near := faults.End{Kind: faults.AtRouter, N: i}
 			out, in := faults.ConditionOf(on, near, far), faults.ConditionOf(on, far, near)
@@ -423,7 +423,7 @@
 		}
 		set(p.lists[i], i, faults.End{Kind: faults.AtList}, listDown)
 	}
-	p.eachLine(func(c *faultproxy.Conns, near int, far faults.End) { set(c, near, far, false) })
+	p.eachLine(func(c *faultproxy.ConnProxy, near int, far faults.End) { set(c, near, far, false) })
 	all.Wait()
 	return failed
 }
--- a/internal/testbed/chaos/duties.go
+++ b/internal/testbed/chaos/duties.go
@@ -53,13 +53,13 @@
 // act is in the history.
 func (p *play) openDuties() (err error) {
 	for i := range p.eligibleVoters() {
-		row := make([]*faultproxy.Conns, p.eligibleVoters())
+		row := make([]*faultproxy.ConnProxy, p.eligibleVoters())
 		p.voterLines = append(p.voterLines, row)
 		for j := range row {
 			if i == j {
 				continue
 			}
-			if row[j], err = faultproxy.NewConns(p.layout.line(i, j), p.layout.voter(j), p.o.Seed, uint64(i)<<20|0xe0000|uint64(j), nil); err != nil {
+			if row[j], err = faultproxy.NewConnProxy(p.layout.line(i, j), p.layout.voter(j), p.o.Seed, uint64(i)<<20|0xe0000|uint64(j), nil); err != nil {
 				return err
 			}
 		}
@@ -68,7 +68,7 @@
 		return err
 	}
 	for i := range p.spec.Routers {
-		c, err := faultproxy.NewConns(p.layout.copies(i), p.candidate.Addr, p.o.Seed, uint64(i)<<20|0xd0000, nil)
+		c, err := faultproxy.NewConnProxy(p.layout.copies(i), p.candidate.Addr, p.o.Seed, uint64(i)<<20|0xd0000, nil)
 		if err != nil {
 			return err
 		}
@@ -104,7 +104,7 @@
 }
 
 // eachLine calls do for each relay between voters and to the candidate, with its two ends.
-func (p *play) eachLine(do func(c *faultproxy.Conns, near int, far faults.End)) {
+func (p *play) eachLine(do func(c *faultproxy.ConnProxy, near int, far faults.End)) {
 	for i, row := range p.voterLines {
 		for j, c := range row {
 			if c != nil {
--- a/internal/testbed/faultproxy/faultproxy_test.go
+++ b/internal/testbed/faultproxy/faultproxy_test.go
@@ -55,7 +55,7 @@
 }
 
 func (r *routers) addr(i int) netip.AddrPort {
-	return r.mesh.at[i].LocalAddr().(*net.UDPAddr).AddrPort()
+	return r.mesh.conns[i].LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
 func (r *routers) send(i, j int, text string) {
@@ -65,7 +65,8 @@
 	}
 }
 
-// hear returns the next datagram of a router, and that it came from where the router reaches its sender.
+// hear returns the next datagram of a router, and that it came from where the router reaches its
+// sender.
 func (r *routers) hear(j, from int) string {
 	r.t.Helper()
 	r.conns[j].SetReadDeadline(time.Now().Add(patience))
@@ -80,9 +81,10 @@
 	return string(buf[:n])
 }
 
-// Datagrams come from where the receiver knows the sender; a cut of one direction leaves the other, a partition has a
-// bridge; what is flipped differs in one bit; a long one is told of.
-func TestMesh(t *testing.T) {
+// Datagrams come from the address at which the receiver knows the sender; a blackhole of one
+// direction leaves the other, and a partition its bridge; a corrupted datagram differs in one bit;
+// an oversized one is reported.
+func TestMeshForwardsUnderLinkConditions(t *testing.T) {
 	r := newRouters(t, 3)
 	shape := &faults.Topology{Routers: []string{"", "", ""}}
 	set := func(all ...faults.Fault) { r.mesh.Set(faults.Resolve(all, shape, 1)) }
@@ -130,15 +132,15 @@
 	}
 }
 
-// closings is a Watcher.
+// closings is an Observer.
 type closings chan string
 
 func (c closings) Closed(conn string) { c <- conn }
 
-// pair is a relay before an echo.
+// pair is a proxy before an echo server.
 type pair struct {
 	t      *testing.T
-	relay  *Conns
+	relay  *ConnProxy
 	closed closings
 	mu     sync.Mutex
 	from   []string // who connected
@@ -166,7 +168,7 @@
 			}()
 		}
 	}()
-	if p.relay, err = NewConns("127.0.0.1:0", ln.Addr().String(), 1, 1, p.closed); err != nil {
+	if p.relay, err = NewConnProxy("127.0.0.1:0", ln.Addr().String(), 1, 1, p.closed); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(p.relay.Close)
@@ -206,9 +208,9 @@
 	return nil
 }
 
-// All bytes come, in their order, whatever is late; the close of the near side is told with the address that the far side
-// knows.
-func TestConns(t *testing.T) {
+// All bytes come in their order, whatever is delayed; the close of the near side is reported with
+// the address that the far side knows.
+func TestConnProxyKeepsByteOrder(t *testing.T) {
 	p := newPair(t)
 	c := p.dial()
 	big := string(bytes.Repeat([]byte("0123456789"), 50000))
@@ -240,9 +242,9 @@
 	}
 }
 
-// A cut is silent: what is open stays open, what is new neither comes up nor is refused. As it ends what was open across it
-// is reset, and new connections come up.
-func TestCut(t *testing.T) {
+// A blackhole leaves open connections open, and new ones unanswered. When it ends, connections that
+// were open are reset, and new ones are accepted.
+func TestBlackholeLeavesConnectionsUnanswered(t *testing.T) {
 	p := newPair(t)
 	for round := range 3 {
 		c := p.dial()
@@ -276,8 +278,9 @@
 	return errors.As(err, &e) && e.Timeout()
 }
 
-// One that refuses does so at once, also where a cut begins or ends meanwhile, and serves again after.
-func TestRefuse(t *testing.T) {
+// A proxy that refuses does so at once, also while a blackhole begins or ends, and accepts again
+// afterwards.
+func TestRefusingProxyRefusesAtOnce(t *testing.T) {
 	p := newPair(t)
 	refused := func(when string) {
 		t.Helper()
@@ -309,9 +312,9 @@
 	}
 }
 
-// A far side that is not there looks as it does without a relay, but for the accepted connection: it ends at once.
-func TestNobodyThere(t *testing.T) {
-	r, err := NewConns("127.0.0.1:0", "127.0.0.1:1", 1, 1, nil)
+// A connection to an absent far side is accepted, and reset at once.
+func TestAbsentTargetResetsConnection(t *testing.T) {
+	r, err := NewConnProxy("127.0.0.1:0", "127.0.0.1:1", 1, 1, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -332,7 +335,7 @@
 
 var measure = flag.Bool("measure", false, "run the measurements")
 
-// What a relay adds to an echo, over a connection and over datagrams, both ways together.
+// Measures the round-trip time that a proxy adds to an echo, over a connection and over datagrams.
 func TestMeasureDelay(t *testing.T) {
 	if !*measure {
 		t.Skip("a measurement; run with -measure")
@@ -354,7 +357,7 @@
 		return h
 	}
 	p := newPair(t)
-	plain, err := net.Dial("tcp4", p.relay.to)
+	plain, err := net.Dial("tcp4", p.relay.target)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testbed/faultproxy/tcp.go
+++ b/internal/testbed/faultproxy/tcp.go
@@ -13,130 +13,145 @@
 
 const (
 	chunkBytes = 16 << 10
-	// maxQueuedChunks bounds what one direction of a connection holds; whoever writes more waits, as on a wire.
+	// maxQueuedChunks bounds what one direction of a connection queues; a sender of more waits, as
+	// on a wire.
 	maxQueuedChunks = 16
-	// dialFor is how long the far side has to come up.
-	dialFor = 2 * time.Second
-	// usualBacklog is the length of a listener's queue when nothing is cut.
-	usualBacklog = 1024
+	// dialTimeout bounds a connection attempt to the far side.
+	dialTimeout = 2 * time.Second
+	// defaultBacklog is the length of a listener's queue while the link is not blackholed.
+	defaultBacklog = 1024
 )
 
-// Observer is told of connections as the near side sees them. No method may wait.
+// Observer observes connections as the near side sees them. Its methods must not block.
 type Observer interface {
-	// Closed tells that the near side has closed a connection, which the far side knows by this address.
+	// Closed is called when the near side has closed a connection, which the far side knows by this
+	// address.
 	Closed(conn string)
 }
 
-// Conns carries connections from an address to another.
-type Conns struct {
-	at, to  string
-	dialer  net.Dialer // from the address that it listens at, so that the far side can tell relays apart
-	watcher Observer   // nil for nobody
-	all     sync.WaitGroup
-	// taking is held while a connection is taken from the queue. It may be waited for with mu held, not the other way round.
-	taking sync.Mutex
+// ConnProxy forwards connections from its address to a target, under the conditions of a link. Its
+// goroutines end with Close.
+type ConnProxy struct {
+	addr, target string
+	dialer       net.Dialer // from its own IP address, so that the far side can tell proxies apart
+	observer     Observer   // may be nil
+	goroutines   sync.WaitGroup
+	// accepting is held while a connection is accepted. It may be locked with mu held, but mu not
+	// with accepting held.
+	accepting sync.Mutex
 
-	mu      sync.Mutex
-	ln      *net.TCPListener
-	out, in *faults.Link // towards the far side, and from it
-	cut     bool         // in either direction
-	on      chan bool    // closed once nothing is cut
-	plug    net.Conn     // takes the only place of the queue while it is
-	open    map[*carried]bool
-	closed  bool
-	refuses bool // nobody listens
+	mu         sync.Mutex
+	listener   *net.TCPListener
+	outbound   *faults.Link // towards the far side
+	inbound    *faults.Link
+	blackholed bool      // in either direction
+	restored   chan bool // closed once the link is not blackholed
+	plug       net.Conn  // occupies the listener's queue while the link is blackholed
+	conns      map[*proxiedConn]bool
+	closed     bool
+	refusing   bool // does not listen
 }
 
-// carried is one connection.
-type carried struct {
-	near, far *net.TCPConn
-	cut       bool // nothing passed for a while: it is reset as the cut ends
+// proxiedConn is one connection, of two sockets.
+type proxiedConn struct {
+	near, far  *net.TCPConn
+	blackholed bool // the link was blackholed meanwhile: it is reset when that ends
 }
 
-// NewConns starts at an address.
-func NewConns(at, to string, seed, number uint64, watcher Observer) (*Conns, error) {
-	r := &Conns{at: at, to: to, watcher: watcher, out: faults.NewLink(seed, number<<1|1<<40), in: faults.NewLink(seed, number<<1|1|1<<40),
-		on: make(chan bool), open: map[*carried]bool{}}
-	close(r.on)
+// NewConnProxy starts a proxy at an address, which may end with port 0. The links of proxies with
+// different numbers draw different random numbers of the seed. The error is that of listening.
+func NewConnProxy(at, to string, seed, number uint64, observer Observer) (*ConnProxy, error) {
+	r := &ConnProxy{
+		addr:     at,
+		target:   to,
+		observer: observer,
+		outbound: faults.NewLink(seed, number<<1|1<<40),
+		inbound:  faults.NewLink(seed, number<<1|1|1<<40),
+		restored: make(chan bool),
+		conns:    map[*proxiedConn]bool{},
+	}
+	close(r.restored)
 	return r, r.listen()
 }
 
-func (r *Conns) listen() error {
-	ln, err := net.Listen("tcp4", r.at)
+// listen begins to accept connections.
+func (r *ConnProxy) listen() error {
+	ln, err := net.Listen("tcp4", r.addr)
 	if err != nil {
 		return err
 	}
-	r.at, r.ln = ln.Addr().String(), ln.(*net.TCPListener)
-	r.dialer = net.Dialer{Timeout: dialFor, LocalAddr: &net.TCPAddr{IP: ln.Addr().(*net.TCPAddr).IP}}
-	listener := r.ln
-	r.all.Go(func() { r.accept(listener) })
+	r.addr, r.listener = ln.Addr().String(), ln.(*net.TCPListener)
+	r.dialer = net.Dialer{Timeout: dialTimeout, LocalAddr: &net.TCPAddr{IP: ln.Addr().(*net.TCPAddr).IP}}
+	listener := r.listener
+	r.goroutines.Go(func() { r.accept(listener) })
 	return nil
 }
 
-// Addr is where it listens.
-func (r *Conns) Addr() string { return r.at }
+// Addr is the address where the proxy listens.
+func (r *ConnProxy) Addr() string { return r.addr }
 
-// Refuse has new connections be refused, as those to a process that has ended, or come up again.
-func (r *Conns) Refuse(on bool) error {
+// Refuse refuses new connections, as the address of an exited process does, or accepts them again.
+// The error is that of listening.
+func (r *ConnProxy) Refuse(on bool) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if on == r.refuses || r.closed {
+	if on == r.refusing || r.closed {
 		return nil
 	}
-	r.refuses = on
+	r.refusing = on
 	if on {
-		if r.cut {
+		if r.blackholed {
 			r.plug.Close()
 		}
-		return r.ln.Close()
+		return r.listener.Close()
 	}
 	if err := r.listen(); err != nil {
 		return err
 	}
-	if r.cut {
-		return r.deafen()
+	if r.blackholed {
+		return r.blackhole()
 	}
 	return nil
 }
 
-// Set has the link be as the conditions say, towards the far side and from it.
-func (r *Conns) Set(out, in faults.Condition) error {
+// Set sets the conditions of the link towards the far side and from it.
+func (r *ConnProxy) Set(out, in faults.Condition) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.out.Condition, r.in.Condition = out, in
-	cut := out.Blackholed || in.Blackholed
-	if cut == r.cut || r.closed {
+	r.outbound.Condition, r.inbound.Condition = out, in
+	blackholed := out.Blackholed || in.Blackholed
+	if blackholed == r.blackholed || r.closed {
 		return nil
 	}
-	r.cut = cut
-	if cut {
-		r.on = make(chan bool)
-		for c := range r.open {
-			c.cut = true
+	r.blackholed = blackholed
+	if blackholed {
+		r.restored = make(chan bool)
+		for c := range r.conns {
+			c.blackholed = true
 		}
-		if r.refuses {
+		if r.refusing {
 			return nil
 		}
-		return r.deafen()
+		return r.blackhole()
 	}
-	for c := range r.open {
-		if c.cut {
+	for c := range r.conns {
+		if c.blackholed {
 			c.reset()
 		}
 	}
-	return r.hear()
+	return r.restore()
 }
 
-// deafen has no new connection come up, nor be refused: with a queue of one place that is taken, the kernel answers no
-// further SYN. The lock is held.
-func (r *Conns) deafen() error {
-	r.ln.SetDeadline(time.Unix(1, 0)) // wakes accept, which waits for the end
-	r.taking.Lock()                   // it may be about to take what comes next, which would be the plug
-	defer r.taking.Unlock()
-	if err := r.backlog(0); err != nil {
+// blackhole leaves new connections without an answer: while a listener's queue has one place, which
+// the plug occupies, the kernel answers no further SYN. The lock is held.
+func (r *ConnProxy) blackhole() error {
+	r.listener.SetDeadline(time.Unix(1, 0)) // wakes accept, which then waits for restored
+	r.accepting.Lock()                      // accept might take the plug otherwise
+	defer r.accepting.Unlock()
+	if err := r.setBacklog(0); err != nil {
 		return err
 	}
-	plug, err := net.DialTimeout("tcp4", r.Addr(), dialFor)
+	plug, err := net.DialTimeout("tcp4", r.Addr(), dialTimeout)
 	if err != nil {
 		return err
 	}
@@ -144,83 +159,87 @@
 	return nil
 }
 
-// hear ends that. What stands in the queue meanwhile is reset: it may have come before the cut or during it.
-func (r *Conns) hear() error {
-	defer close(r.on)
-	if r.refuses {
+// restore ends a blackhole. Connections in the queue are reset: they may have come before it or
+// during it. The lock is held.
+func (r *ConnProxy) restore() error {
+	defer close(r.restored)
+	if r.refusing {
 		return nil
 	}
 	r.plug.Close()
-	r.ln.SetDeadline(time.Now().Add(time.Millisecond))
+	r.listener.SetDeadline(time.Now().Add(time.Millisecond))
 	for {
-		c, err := r.ln.AcceptTCP()
+		c, err := r.listener.AcceptTCP()
 		if err != nil {
 			break
 		}
 		c.SetLinger(0)
 		c.Close()
 	}
-	r.ln.SetDeadline(time.Time{})
-	return r.backlog(usualBacklog)
+	r.listener.SetDeadline(time.Time{})
+	return r.setBacklog(defaultBacklog)
 }
 
-func (r *Conns) backlog(n int) error {
-	raw, err := r.ln.SyscallConn()
+// setBacklog changes the length of the listener's queue.
+func (r *ConnProxy) setBacklog(n int) error {
+	raw, err := r.listener.SyscallConn()
 	if err != nil {
 		return err
 	}
-	var failed error
-	if err := raw.Control(func(fd uintptr) { failed = syscall.Listen(int(fd), n) }); err != nil {
+	var listenErr error
+	if err := raw.Control(func(fd uintptr) { listenErr = syscall.Listen(int(fd), n) }); err != nil {
 		return err
 	}
-	return failed
+	return listenErr
 }
 
-func (r *Conns) accept(ln *net.TCPListener) {
+// accept forwards the connections of a listener until it is closed.
+func (r *ConnProxy) accept(ln *net.TCPListener) {
 	for {
 		r.mu.Lock()
-		on, closed := r.on, r.closed
+		on, closed := r.restored, r.closed
 		r.mu.Unlock()
 		if closed {
 			return
 		}
 		<-on
-		c, err := r.take(ln)
+		c, err := r.acceptNext(ln)
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			continue // a cut began
+			continue // a blackhole began
 		}
 		r.mu.Lock()
-		if r.cut || r.closed { // in this moment
+		if r.blackholed || r.closed { // since acceptNext
 			c.SetLinger(0)
 			c.Close()
 			r.mu.Unlock()
 			continue
 		}
-		x := &carried{near: c}
-		r.open[x] = true
+		x := &proxiedConn{near: c}
+		r.conns[x] = true
 		r.mu.Unlock()
-		r.all.Go(func() { r.carry(x) })
+		r.goroutines.Go(func() { r.forward(x) })
 	}
 }
 
-// take takes a connection from the queue.
-func (r *Conns) take(ln *net.TCPListener) (*net.TCPConn, error) {
-	r.taking.Lock()
-	defer r.taking.Unlock()
+// acceptNext accepts the next connection in the queue.
+func (r *ConnProxy) acceptNext(ln *net.TCPListener) (*net.TCPConn, error) {
+	r.accepting.Lock()
+	defer r.accepting.Unlock()
 	return ln.AcceptTCP()
 }
 
-func (r *Conns) carry(x *carried) {
+// forward forwards a connection in both directions until both have ended.
+func (r *ConnProxy) forward(x *proxiedConn) {
 	defer func() {
 		r.mu.Lock()
-		delete(r.open, x)
+		delete(r.conns, x)
 		r.mu.Unlock()
 	}()
-	far, err := r.dialer.Dial("tcp4", r.to)
-	if err != nil { // as if it had come from there
+	far, err := r.dialer.Dial("tcp4", r.target)
+	if err != nil { // reset as by the far side
 		x.near.SetLinger(0)
 		x.near.Close()
 		return
@@ -231,84 +250,95 @@
 	defer x.far.Close()
 	defer x.near.Close()
 	var both sync.WaitGroup
-	both.Go(func() { r.pump(x, x.near, x.far, r.out, true) })
-	both.Go(func() { r.pump(x, x.far, x.near, r.in, false) })
+	both.Go(func() { r.pump(x, x.near, x.far, r.outbound, true) })
+	both.Go(func() { r.pump(x, x.far, x.near, r.inbound, false) })
 	both.Wait()
 }
 
-// chunk is some bytes and when they are due.
+// chunk is data with the time when it is due, or the end of a direction.
 type chunk struct {
-	text []byte
+	data []byte
 	due  time.Time
-	end  error // of the side that they came from, in place of bytes
+	err  error // the end of the side that it came from, in place of data
 }
 
-// pump carries one direction until its side ends.
-func (r *Conns) pump(x *carried, from, to *net.TCPConn, link *faults.Link, near bool) {
+// pump forwards one direction until its side ends. near says that it is the near side's.
+func (r *ConnProxy) pump(x *proxiedConn, from, to *net.TCPConn, link *faults.Link, near bool) {
 	chunks := make(chan chunk, maxQueuedChunks)
-	closed := make(chan bool)
-	go func() {
-		defer close(closed)
-		r.put(x, to, chunks)
+	written := make(chan bool)
+	go func() { // until the chunks end, which this function awaits
+		defer close(written)
+		r.writeChunks(x, to, chunks)
 	}()
 	defer func() {
 		close(chunks)
-		<-closed
+		<-written
 	}()
 	buf := make([]byte, chunkBytes)
-	var last time.Time // pieces do not pass each other
+	var last time.Time // when the chunk before is due: chunks do not overtake each other
 	for {
 		n, err := from.Read(buf)
 		if n > 0 {
-			p := chunk{text: append([]byte(nil), buf[:n]...)}
-			r.mu.Lock()
-			late := link.ChunkDelay()
-			r.mu.Unlock()
-			if late > 0 || !last.IsZero() {
-				if p.due = time.Now().Add(late); p.due.Before(last) {
-					p.due = last
-				}
-				last = p.due
+			c := chunk{data: append([]byte(nil), buf[:n]...)}
+			c.due = r.dueTime(link, last)
+			if !c.due.IsZero() {
+				last = c.due
 			}
 			select {
-			case chunks <- p:
-			case <-closed:
+			case chunks <- c:
+			case <-written:
 				return
 			}
 		}
 		if err == nil {
 			continue
 		}
-		if near && r.watcher != nil && x.far != nil {
-			r.watcher.Closed(x.far.LocalAddr().String())
+		if near && r.observer != nil && x.far != nil {
+			r.observer.Closed(x.far.LocalAddr().String())
 		}
 		select {
-		case chunks <- chunk{due: last, end: err}:
-		case <-closed:
+		case chunks <- chunk{due: last, err: err}:
+		case <-written:
 		}
 		return
 	}
 }
 
-// put writes pieces at their time, and holds them while the link is cut.
-func (r *Conns) put(x *carried, to *net.TCPConn, chunks <-chan chunk) {
+// dueTime draws when a chunk that comes now is due, not before the last one; zero for at once, if
+// no chunk was ever late.
+func (r *ConnProxy) dueTime(link *faults.Link, last time.Time) time.Time {
+	r.mu.Lock()
+	delay := link.ChunkDelay()
+	r.mu.Unlock()
+	if delay <= 0 && last.IsZero() {
+		return time.Time{}
+	}
+	due := time.Now().Add(delay)
+	if due.Before(last) {
+		return last
+	}
+	return due
+}
+
+// writeChunks writes chunks at their time, and queues them while the link is blackholed.
+func (r *ConnProxy) writeChunks(x *proxiedConn, to *net.TCPConn, chunks <-chan chunk) {
 	for p := range chunks {
 		if wait := time.Until(p.due); !p.due.IsZero() && wait > 0 {
 			time.Sleep(wait)
 		}
 		r.mu.Lock()
-		on, closed := r.on, r.closed
+		on, closed := r.restored, r.closed
 		r.mu.Unlock()
 		if !closed {
 			<-on
 		}
 		switch {
-		case p.end == nil:
-			if _, err := to.Write(p.text); err != nil {
-				x.reset() // the side that p came from is to see it, too
+		case p.err == nil:
+			if _, err := to.Write(p.data); err != nil {
+				x.reset() // the side that p came from sees it, too
 				return
 			}
-		case p.end == io.EOF:
+		case p.err == io.EOF:
 			to.CloseWrite()
 		default:
 			x.reset()
@@ -317,8 +347,8 @@
 	}
 }
 
-// reset ends both sides at once, without a word of order.
-func (x *carried) reset() {
+// reset resets both sides.
+func (x *proxiedConn) reset() {
 	for _, c := range []*net.TCPConn{x.near, x.far} {
 		if c != nil {
 			c.SetLinger(0)
@@ -327,22 +357,22 @@
 	}
 }
 
-// Close ends it, and all connections.
-func (r *Conns) Close() {
+// Close ends the proxy, resets all connections and waits for its goroutines.
+func (r *ConnProxy) Close() {
 	r.mu.Lock()
 	if !r.closed {
 		r.closed = true
-		r.ln.Close()
-		if r.cut {
-			close(r.on)
-			if !r.refuses {
+		r.listener.Close()
+		if r.blackholed {
+			close(r.restored)
+			if !r.refusing {
 				r.plug.Close()
 			}
 		}
-		for c := range r.open {
+		for c := range r.conns {
 			c.reset()
 		}
 	}
 	r.mu.Unlock()
-	r.all.Wait()
+	r.goroutines.Wait()
 }
--- a/internal/testbed/faultproxy/udp.go
+++ b/internal/testbed/faultproxy/udp.go
@@ -1,5 +1,7 @@
-// Package faultproxy carries what passes between a fleet's processes on loopback: datagrams between routers and connections to
-// hosts and lists, as package faults says that each link is at the moment. It decides nothing itself.
+// Package faultproxy forwards the traffic between a fleet's processes on loopback, datagrams
+// between routers (Mesh) and connections to hosts and lists (ConnProxy), under the present
+// condition of each link, of package faults. It decides nothing itself; its caller sets the
+// conditions.
 package faultproxy
 
 import (
@@ -13,142 +15,159 @@
 )
 
 const (
-	// mostDatagram is the longest that is carried, far over the platform's bound, which somebody else judges.
-	mostDatagram = 2048
-	// mostUnderWay bounds the datagrams of one direction of a link that are late; further ones are dropped and counted.
-	mostUnderWay = 1024
-	// readBuffer is room for what comes while the relay waits for a core.
-	readBuffer = 1 << 20
+	// readBytes is the longest datagram that is forwarded, far over the platform's bound, which the
+	// caller checks.
+	readBytes = 2048
+	// maxDelayed bounds the delayed datagrams of one direction of a link; further ones are dropped
+	// and counted.
+	maxDelayed = 1024
+	// socketBufferBytes is the receive buffer of a socket, for datagrams that come while the proxy
+	// waits for a core.
+	socketBufferBytes = 1 << 20
 )
 
-// Mesh is the datagrams between routers. Each router has an address here at which all others reach it, and what it sends
-// comes to them from there: each sees the others as every list of peers names them. Whose a datagram is tells the address that
-// it came from.
+// Mesh forwards the datagrams between routers. Each router has an address here at which all others
+// reach it, and its datagrams come to them from there, so each router sees the others at the
+// addresses that every list of peers has. The source address says whose a datagram is. Its
+// goroutines end with Close.
 type Mesh struct {
-	at    []*net.UDPConn // where router i is reached
-	peer  []netip.AddrPort
-	who   map[netip.AddrPort]int
-	links [][]*link
-	all   sync.WaitGroup
-	wide  func(from, bytes int) // told of each datagram over bound
-	bound int
+	conns        []*net.UDPConn // by router: where the others reach it
+	routers      []netip.AddrPort
+	routerByAddr map[netip.AddrPort]int
+	links        [][]*link // by sender and receiver
+	goroutines   sync.WaitGroup
+	onOversized  func(from, bytes int) // called with each datagram of more than maxBytes
+	maxBytes     int
 
-	closed  atomic.Bool
-	carried atomic.Uint64
-	kinds   [16]atomic.Uint64 // datagrams that came, by the high half of their first byte
-	dropped atomic.Uint64     // as too many were under way
+	closed    atomic.Bool
+	forwarded atomic.Uint64
+	kinds     [16]atomic.Uint64 // datagrams that came, by the high half of their first byte
+	dropped   atomic.Uint64     // beyond maxDelayed
 }
 
 // link is one direction between two routers.
 type link struct {
-	mu       sync.Mutex
-	decides  *faults.Link
-	well     bool // nothing is the matter, which is most of the time
-	underWay int
-	copies   []faults.Copy
+	mu      sync.Mutex
+	faults  *faults.Link
+	healthy bool // no fault, which is most of the time
+	delayed int
+	copies  []faults.Copy // reused
 }
 
-// NewMesh returns a mesh between routers that listen at the addresses given, and are reached at the others. Wide is told of
-// datagrams of more than bound bytes.
-func NewMesh(listen, at []netip.AddrPort, seed uint64, bound int, wide func(from, bytes int)) (*Mesh, error) {
-	m := &Mesh{peer: listen, who: map[netip.AddrPort]int{}, wide: wide, bound: bound}
+// NewMesh returns a mesh between routers that listen at some addresses and are reached at others.
+// onOversized is called with the sender and size of each datagram of more than maxBytes; it must
+// not block. The error is that of listening.
+func NewMesh(listen, at []netip.AddrPort, seed uint64, maxBytes int, onOversized func(from, bytes int)) (*Mesh, error) {
+	m := &Mesh{routers: listen, routerByAddr: map[netip.AddrPort]int{}, onOversized: onOversized, maxBytes: maxBytes}
 	for i := range listen {
 		conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(at[i]))
 		if err != nil {
 			m.Close()
 			return nil, err
 		}
-		conn.SetReadBuffer(readBuffer)
-		m.at = append(m.at, conn)
-		m.who[listen[i]] = i
+		conn.SetReadBuffer(socketBufferBytes)
+		m.conns = append(m.conns, conn)
+		m.routerByAddr[listen[i]] = i
 		links := make([]*link, len(listen))
 		for j := range links {
-			links[j] = &link{decides: faults.NewLink(seed, uint64(i)<<16|uint64(j)), well: true}
+			links[j] = &link{faults: faults.NewLink(seed, uint64(i)<<16|uint64(j)), healthy: true}
 		}
 		m.links = append(m.links, links)
 	}
 	for i := range listen {
-		m.all.Go(func() { m.carry(i) })
+		m.goroutines.Go(func() { m.receive(i) })
 	}
 	return m, nil
 }
 
-// Set has each direction of each link be as the faults of the moment have it.
+// Set sets the condition of each direction of each link by the faults in force.
 func (m *Mesh) Set(on []*faults.Injection) {
 	for i, row := range m.links {
 		for j, l := range row {
 			c := faults.ConditionOf(on, faults.End{N: i}, faults.End{N: j})
 			l.mu.Lock()
-			l.decides.Condition, l.well = c, c == faults.Condition{}
+			l.faults.Condition, l.healthy = c, c == faults.Condition{}
 			l.mu.Unlock()
 		}
 	}
 }
 
-// carry takes what is sent to a router.
-func (m *Mesh) carry(j int) {
-	buf := make([]byte, mostDatagram)
+// receive forwards the datagrams to a router until Close.
+func (m *Mesh) receive(to int) {
+	buf := make([]byte, readBytes)
 	for !m.closed.Load() {
-		n, sender, err := m.at[j].ReadFromUDPAddrPort(buf)
+		n, sender, err := m.conns[to].ReadFromUDPAddrPort(buf)
 		if err != nil {
 			if m.closed.Load() {
 				return
 			}
-			continue // word of an earlier one that nobody took
+			continue // an earlier datagram could not be delivered
 		}
-		i, known := m.who[netip.AddrPortFrom(sender.Addr().Unmap(), sender.Port())]
-		if !known {
-			continue
-		}
-		to, l := m.at[i], m.links[i][j] // it comes from where its sender is reached
-		if n > m.bound {
-			m.wide(i, n)
+		from, known := m.routerByAddr[netip.AddrPortFrom(sender.Addr().Unmap(), sender.Port())]
+		if known {
+			m.forward(from, to, buf[:n])
 		}
-		if n > 0 {
-			m.kinds[buf[0]>>4].Add(1)
+	}
+}
+
+// forward forwards a datagram as the condition of its link says.
+func (m *Mesh) forward(from, to int, data []byte) {
+	if len(data) > m.maxBytes {
+		m.onOversized(from, len(data))
+	}
+	if len(data) > 0 {
+		m.kinds[data[0]>>4].Add(1)
+	}
+	source, l := m.conns[from], m.links[from][to]
+	l.mu.Lock()
+	if l.healthy {
+		l.mu.Unlock()
+		m.send(source, data, to)
+		return
+	}
+	defer l.mu.Unlock()
+	l.copies = l.faults.Pass(len(data), l.copies[:0])
+	for _, c := range l.copies {
+		copied := append([]byte(nil), data[:c.Bytes]...)
+		if c.Flip >= 0 {
+			copied[c.Flip/8] ^= 1 << (c.Flip % 8)
 		}
-		l.mu.Lock()
-		if l.well {
-			l.mu.Unlock()
-			m.send(to, buf[:n], j)
+		if c.After <= 0 {
+			m.send(source, copied, to)
 			continue
 		}
-		l.copies = l.decides.Pass(n, l.copies[:0])
-		for _, c := range l.copies {
-			text := append([]byte(nil), buf[:c.Bytes]...)
-			if c.Flip >= 0 {
-				text[c.Flip/8] ^= 1 << (c.Flip % 8)
-			}
-			if c.After <= 0 {
-				m.send(to, text, j)
-				continue
-			}
-			if l.underWay >= mostUnderWay {
-				m.dropped.Add(1)
-				continue
-			}
-			l.underWay++
-			time.AfterFunc(c.After, func() {
-				l.mu.Lock()
-				l.underWay--
-				l.mu.Unlock()
-				m.send(to, text, j)
-			})
-		}
-		l.mu.Unlock()
+		m.sendLater(l, c.After, source, copied, to)
 	}
 }
 
-func (m *Mesh) send(from *net.UDPConn, text []byte, to int) {
-	if _, err := from.WriteToUDPAddrPort(text, m.peer[to]); err == nil {
-		m.carried.Add(1)
+// sendLater sends a datagram after a delay, or drops it if too many of its link are delayed. The
+// link's lock is held.
+func (m *Mesh) sendLater(l *link, delay time.Duration, source *net.UDPConn, data []byte, to int) {
+	if l.delayed >= maxDelayed {
+		m.dropped.Add(1)
+		return
+	}
+	l.delayed++
+	time.AfterFunc(delay, func() {
+		l.mu.Lock()
+		l.delayed--
+		l.mu.Unlock()
+		m.send(source, data, to)
+	})
+}
+
+// send sends a datagram to a router and counts it. One that can't be sent is lost, as on a network.
+func (m *Mesh) send(from *net.UDPConn, data []byte, to int) {
+	if _, err := from.WriteToUDPAddrPort(data, m.routers[to]); err == nil {
+		m.forwarded.Add(1)
 	}
 }
 
-// Carried returns how many datagrams went on, and how many were dropped as too many of their link were under way.
-func (m *Mesh) Carried() (carried, dropped uint64) { return m.carried.Load(), m.dropped.Load() }
+// Forwarded returns how many datagrams were forwarded, and how many were dropped because too many
+// of their link were delayed.
+func (m *Mesh) Forwarded() (carried, dropped uint64) { return m.forwarded.Load(), m.dropped.Load() }
 
-// Kinds returns how many datagrams came, by the high half of their first byte: what they are of.
+// Kinds returns how many datagrams came, by the high half of their first byte, which is their kind.
 func (m *Mesh) Kinds() (all [16]uint64) {
 	for i := range m.kinds {
 		all[i] = m.kinds[i].Load()
@@ -156,11 +175,11 @@
 	return all
 }
 
-// Close ends it. What is under way is lost.
+// Close ends the mesh and waits for its goroutines. Delayed datagrams are lost.
 func (m *Mesh) Close() {
 	m.closed.Store(true)
-	for _, c := range m.at {
+	for _, c := range m.conns {
 		c.Close()
 	}
-	m.all.Wait()
+	m.goroutines.Wait()
 }
--- a/internal/testbed/pintest/scenario.go
+++ b/internal/testbed/pintest/scenario.go
@@ -35,8 +35,7 @@
 )
 
 // Scenario runs clients on the routers of a fleet while pins change. Its methods, except Send and
-// Heartbeats, are
-// for one goroutine.
+// Heartbeats, are for one goroutine.
 type Scenario struct {
 	Fronts   []string // the routers' addresses for clients
 	Controls []string // and those of their control planes
