--- a/cmd/reachlab/main.go
+++ b/cmd/reachlab/main.go
@@ -212,7 +212,7 @@
 		if *name != "" && x.Variants[variant].Name != *name {
 			return fmt.Errorf("%s has no variant %q", args[0], *name)
 		}
-		if err := x.CheckFor(faults.Lab); err != nil {
+		if err := x.CheckFor(faults.Simulation); err != nil {
 			return err
 		}
 		w, err := simulator.New(x.Virtual(variant, *seed))
--- a/cmd/reachlab/rig.go
+++ b/cmd/reachlab/rig.go
@@ -43,7 +43,7 @@
 			return err
 		}
 		for _, k := range *kinds {
-			if m := faults.Of(faults.Kind(k)); m == nil || !m.In(faults.Rig) {
+			if m := faults.Of(faults.Kind(k)); m == nil || !m.In(faults.RealProcesses) {
 				return fmt.Errorf("--kinds has %q, which is no fault of the rig: reachlab faults lists them", k)
 			}
 			s.Kinds = append(s.Kinds, faults.Kind(k))
@@ -147,7 +147,7 @@
 		if err != nil {
 			return fmt.Errorf("%s: %w", args[0], err)
 		}
-		verdicts := checker.Judge(events)
+		verdicts := checker.CheckAll(events)
 		out := cmd.OutOrStdout()
 		for i := range verdicts {
 			fmt.Fprintln(out, verdicts[i].String())
--- a/cmd/reachlab/sockets.go
+++ b/cmd/reachlab/sockets.go
@@ -29,7 +29,7 @@
 		if err != nil {
 			return err
 		}
-		if err := x.CheckFor(faults.Hosts); err != nil {
+		if err := x.CheckFor(faults.FakeHosts); err != nil {
 			return err
 		}
 		spec := x.World(0, x.Seeds[0])
--- a/internal/testbed/chaos/chaos.go
+++ b/internal/testbed/chaos/chaos.go
@@ -43,7 +43,7 @@
 // Result is what came of a play.
 type Result struct {
 	Folder    string // with the history, the logs and whatever was caught
-	Verdicts  []checker.Verdict
+	Verdicts  []checker.Violation
 	Events    []history.Event
 	Tallies   []fakes.Tally
 	Lost      int // events beyond the bound
@@ -143,7 +143,7 @@
 		return nil, err
 	}
 	r := &Result{Folder: p.folder, Events: p.rec.events(), Tallies: tallies, Lost: p.rec.lost(), Took: time.Since(begun), Datagrams: datagrams, Stalls: p.stalls.count()}
-	r.Verdicts = checker.Judge(r.Events)
+	r.Verdicts = checker.CheckAll(r.Events)
 	if len(r.Verdicts) > 0 {
 		keep = true
 		if err := p.writeFailure(r); err != nil {
@@ -166,10 +166,10 @@
 	if v := x.Rig.Voters; v > 0 && (!x.Rig.View || v%2 == 0 || v > p.spec.Routers || x.Rig.Seeds > 0) {
 		return fmt.Errorf("voters is %d; it needs view = true without seeds, must be odd, and not more than the routers, %d", v, p.spec.Routers)
 	}
-	if err := x.CheckFor(faults.Rig); err != nil && !p.o.Drawn {
+	if err := x.CheckFor(faults.RealProcesses); err != nil && !p.o.Drawn {
 		return err
 	}
-	if err := faults.Check(p.o.Faults, topology, faults.Rig, p.spec.Length); err != nil {
+	if err := faults.Check(p.o.Faults, topology, faults.RealProcesses, p.spec.Length); err != nil {
 		return err
 	}
 	for _, f := range p.o.Faults {
--- a/internal/testbed/chaos/page.go
+++ b/internal/testbed/chaos/page.go
@@ -49,7 +49,7 @@
 
 // WritePage draws lanes of processes with their phases, faults as bands, what clients got over time, and verdicts. The page
 // needs no network.
-func WritePage(w io.Writer, events []history.Event, verdicts []checker.Verdict) error {
+func WritePage(w io.Writer, events []history.Event, verdicts []checker.Violation) error {
 	if len(events) == 0 || events[0].Play == nil {
 		return fmt.Errorf("the history has no beginning")
 	}
@@ -97,7 +97,7 @@
 	return p.err
 }
 
-func found(verdicts []checker.Verdict) string {
+func found(verdicts []checker.Violation) string {
 	if len(verdicts) == 0 {
 		return "nothing found"
 	}
@@ -147,7 +147,7 @@
 	}
 	now := map[string]stretch{}
 	lane := func(who string) (int, bool) {
-		n := checker.Number(who)
+		n := checker.NumberOf(who)
 		return y + n*laneHeight, n >= 0 && n < routers && who[0] == 'r'
 	}
 	endStretch := func(who string, t int64) {
--- a/internal/testbed/chaos/player.go
+++ b/internal/testbed/chaos/player.go
@@ -129,7 +129,7 @@
 			}
 		})
 	}
-	if s.HitsList() {
+	if s.StopsList() {
 		if err := y.links(s, true, 1); err != nil {
 			return err
 		}
@@ -141,7 +141,7 @@
 		each(func() error { return y.host(ctx, s, n) })
 	}
 	all.Wait()
-	if s.HitsList() {
+	if s.StopsList() {
 		errs = errors.Join(errs, y.links(s, false, 1))
 	}
 	return errs
@@ -440,7 +440,7 @@
 			if err != nil {
 				return err
 			}
-			return os.Truncate(path, int64(s.Keep*float64(info.Size())))
+			return os.Truncate(path, int64(s.RemainingFraction*float64(info.Size())))
 		})
 	case faults.DiskNewer, faults.DiskFlip, faults.DiskAhead:
 		for _, name := range snapshot.GenerationFiles {
--- a/internal/testbed/chaos/series.go
+++ b/internal/testbed/chaos/series.go
@@ -99,11 +99,11 @@
 func (s *Series) draw(seed uint64) []faults.Fault {
 	var kinds []faults.Kind
 	for _, m := range faults.Kinds {
-		if m.In(faults.Rig) && (len(s.Kinds) == 0 || slices.Contains(s.Kinds, m.Kind)) && (m.Kind != faults.Replace || s.Experiment.Rig.Held) && (m.Kind != faults.Restart || !s.Experiment.Rig.Held) {
+		if m.In(faults.RealProcesses) && (len(s.Kinds) == 0 || slices.Contains(s.Kinds, m.Kind)) && (m.Kind != faults.Replace || s.Experiment.Rig.Held) && (m.Kind != faults.Restart || !s.Experiment.Rig.Held) {
 			kinds = append(kinds, m.Kind)
 		}
 	}
-	all := faults.Draw(faults.Bounds{Length: s.Experiment.Spec.Length, Faults: s.Faults, Kinds: kinds, World: faults.Rig}, s.Experiment.Topology(), seed)
+	all := faults.Draw(faults.Bounds{Length: s.Experiment.Spec.Length, Faults: s.Faults, Kinds: kinds, World: faults.RealProcesses}, s.Experiment.Topology(), seed)
 	if s.Beside {
 		all = append(slices.Clone(s.Experiment.Faults), all...)
 	}
@@ -151,7 +151,7 @@
 	}
 }
 
-func hasVerdict(all []checker.Verdict, checker string) bool {
+func hasVerdict(all []checker.Violation, checker string) bool {
 	for i := range all {
 		if all[i].Checker == checker {
 			return true
--- a/internal/testbed/chaos/watch.go
+++ b/internal/testbed/chaos/watch.go
@@ -382,7 +382,7 @@
 			inc, _ := strconv.ParseUint(l.Fields["incarnation"], 10, 32)
 			e.Inc = uint32(inc)
 		}
-		if n := checker.Number(name); n >= 0 {
+		if n := checker.NumberOf(name); n >= 0 {
 			e.Routers = append(e.Routers, n)
 		}
 	}
--- a/internal/testbed/checker/answer.go
+++ b/internal/testbed/checker/answer.go
@@ -9,7 +9,7 @@
 
 // answer finds requests with no final answer, with two, with a late one, or with a stream that
 // broke while nothing that was done explains it.
-func answer(c *Case) (found []Verdict) {
+func answer(c *Case) (found []Violation) {
 	for _, id := range c.ids {
 		r := c.requests[id]
 		wrong := func(t int64, format string, v ...any) {
@@ -17,7 +17,7 @@
 			if r.Ask != nil {
 				who = r.Ask.Who
 			}
-			found = append(found, Verdict{"answer", t, who, id, fmt.Sprintf(format, v...)})
+			found = append(found, Violation{"answer", t, who, id, fmt.Sprintf(format, v...)})
 		}
 		switch {
 		case r.Ask == nil && len(r.Answers) > 0:
@@ -63,13 +63,13 @@
 // excused tells whether what was done to the router that has a request explains anything that
 // became of it.
 func (c *Case) excused(r *Request, to int64) bool {
-	return c.During(append(ends, slows...), r.Ask.T, to, router(r.Ask.Who))
+	return c.FaultDuring(append(processEnds, processStalls...), r.Ask.T, to, affectsRouter(r.Ask.Who))
 }
 
 // brokenBy tells whether something was done to a host that had the request, or to the way there.
 func (c *Case) brokenBy(r *Request, to int64) bool {
 	for _, a := range r.Attempts {
-		if c.During(hostBreak, r.Ask.T, to, host(a.Host)) || c.During(network, r.Ask.T, to, linkOf(a.Router, "hosts")) {
+		if c.FaultDuring(hostFailures, r.Ask.T, to, affectsHost(a.Host)) || c.FaultDuring(linkFaults, r.Ask.T, to, affectsLink(a.Router, "hosts")) {
 			return true
 		}
 	}
@@ -83,7 +83,7 @@
 	termed := map[string]int64{}
 	for i := range c.Events {
 		e := &c.Events[i]
-		if Number(e.Who) != Number(r.Ask.Who) || e.T > at+killSlack.Nanoseconds() {
+		if NumberOf(e.Who) != NumberOf(r.Ask.Who) || e.T > at+killSlack.Nanoseconds() {
 			continue
 		}
 		switch e.What {
@@ -101,7 +101,7 @@
 
 // attempt finds requests with two attempts out at the same time. An attempt ends when its host is
 // done with it or when the router closes its connection, whichever the history has first.
-func attempt(c *Case) (found []Verdict) {
+func attempt(c *Case) (found []Violation) {
 	for _, id := range c.ids {
 		all := c.requests[id].Attempts
 		for i := 1; i < len(all); i++ {
@@ -110,7 +110,7 @@
 			}
 			for _, before := range all[:i] {
 				if over := before.To - all[i].From; over > attemptSlack.Nanoseconds() && !c.unseen(before) {
-					found = append(found, Verdict{"attempt", all[i].From, all[i].Router, id,
+					found = append(found, Violation{"attempt", all[i].From, all[i].Router, id,
 						fmt.Sprintf("at %s while the one at %s is out for %v more", all[i].Host, before.Host, time.Duration(over).Round(time.Millisecond))})
 				}
 			}
@@ -128,5 +128,5 @@
 // unseen tells whether the end of an attempt could not be seen: its router died or stood still, and
 // with it whoever would close the connection.
 func (c *Case) unseen(a *Attempt) bool {
-	return c.During(append(ends, slows...), a.From, a.To, router(a.Router))
+	return c.FaultDuring(append(processEnds, processStalls...), a.From, a.To, affectsRouter(a.Router))
 }
--- a/internal/testbed/checker/checker.go
+++ b/internal/testbed/checker/checker.go
@@ -1,9 +1,9 @@
-// Package checker holds checkers over histories. Each takes what happened, on the rig's processes
-// or in the lab's virtual time, and says what should not have; each stands in a file of its own and
-// has a test with a planted violation that it must find. The package is pure.
+// Package checker has checkers of histories. Each reads what happened, to processes in chaos tests
+// or in the simulator's virtual time, and returns the violations of one rule; each has a file and a
+// test with a built-in violation that it must find. The package is pure.
 //
 // A checker knows what a fault excuses, and no more than that: a router that was killed owes no
-// answer to what it had taken, one beside it does.
+// answer to the requests that it had accepted, another router does.
 package checker
 
 import (
@@ -16,26 +16,26 @@
 	"reachspread/internal/testbed/history"
 )
 
-// Verdict is one thing that should not have happened.
-type Verdict struct {
+// Violation is a violation of a rule.
+type Violation struct {
 	Checker string
-	T       int64 // nanoseconds since the play began
+	T       int64 // nanoseconds since the run began
 	Who, ID string
 	Text    string
 }
 
 // String is one line.
-func (v *Verdict) String() string {
+func (v *Violation) String() string {
 	return fmt.Sprintf("%s: %s at %v: %s", v.Checker, strings.TrimSpace(v.Who+" "+v.ID), time.Duration(v.T).Round(time.Millisecond), v.Text)
 }
 
-// Checker is one rule.
+// Checker checks one rule.
 type Checker struct {
 	Name, Rule string
-	Check      func(*Case) []Verdict
+	Check      func(*Case) []Violation
 }
 
-// Checkers has all of them, in the order in which they are told.
+// Checkers has all checkers, in the order of reports.
 var Checkers = []Checker{
 	{"crash", "no process ends or fails to start by itself", crash},
 	{"hang", "a process answers its management address or its clients, unless something was done to it", hang},
@@ -51,48 +51,48 @@
 	{"linear", "operations take effect at one moment between their start and their end", linear},
 }
 
-// Judge has all checkers look at a history, and returns what they found. Each tells of so many at
-// most.
-func Judge(events []history.Event) []Verdict {
+// CheckAll runs all checkers on a history and returns the violations, at most maxViolations of each
+// checker.
+func CheckAll(events []history.Event) []Violation {
 	c := NewCase(events)
-	var all []Verdict
+	var all []Violation
 	for _, k := range Checkers {
 		found := k.Check(c)
-		slices.SortStableFunc(found, func(a, b Verdict) int { return int(a.T - b.T) })
-		all = append(all, found[:min(len(found), mostOfOne)]...)
-		if more := len(found) - mostOfOne; more > 0 {
-			all = append(all, Verdict{Checker: k.Name, T: found[mostOfOne].T, Text: fmt.Sprintf("and %d more", more)})
+		slices.SortStableFunc(found, func(a, b Violation) int { return int(a.T - b.T) })
+		all = append(all, found[:min(len(found), maxViolations)]...)
+		if more := len(found) - maxViolations; more > 0 {
+			all = append(all, Violation{Checker: k.Name, T: found[maxViolations].T, Text: fmt.Sprintf("and %d more", more)})
 		}
 	}
 	return all
 }
 
-// mostOfOne bounds what one checker tells of one history.
-const mostOfOne = 20
+// maxViolations bounds the violations of one checker.
+const maxViolations = 20
 
-// Case is a history with what checkers ask of it.
+// Case is a history with indexes for the checkers.
 type Case struct {
 	Play   history.Play
 	Events []history.Event
-	Faults []Struck
+	Faults []Fault
 	End    int64 // of the history
 
 	requests map[string]*Request
 	ids      []string // of requests, in the order of their asking
 }
 
-// Struck is a fault as it was played.
-type Struck struct {
+// Fault is a fault as it was injected.
+type Fault struct {
 	Kind     string
 	N        int
 	From, To int64 // To is the history's end for one that was never ended
 	Routers  []int
 	Hosts    []int
 	Links    []string
-	All      bool // the links of every router, as a partition strikes them
+	All      bool // the links of every router, as in a partition
 }
 
-// Request is a client's request with all that is known of it.
+// Request is a client's request with its events.
 type Request struct {
 	Ask      *history.Event
 	First    int64 // of its first event, -1 for none
@@ -100,14 +100,14 @@
 	Attempts []*Attempt
 }
 
-// Attempt is one sending to a host.
+// Attempt is one attempt of a request at a host.
 type Attempt struct {
 	Host, Router string
 	Conn         string
 	From, To     int64 // To is the history's end for one that nobody saw end
 }
 
-// NewCase reads a history. Events of requests that were never asked are left to the checkers that
+// NewCase indexes a history. Events of requests that were never asked are left to the checkers that
 // look for them.
 func NewCase(events []history.Event) *Case {
 	c := &Case{Events: events, requests: map[string]*Request{}}
@@ -120,117 +120,144 @@
 	for i := range events {
 		c.End = max(c.End, events[i].T)
 	}
-	open := map[int]int{} // faults by their number
-	running := map[string]*Attempt{}
-	onConn := map[string]*Attempt{}
-	closed := map[string]int64{} // by connection, of late
-	of := func(id string) *Request {
-		r := c.requests[id]
-		if r == nil {
-			r = &Request{First: -1}
-			c.requests[id] = r
-			c.ids = append(c.ids, id)
-		}
-		return r
+	x := &indexer{
+		c:            c,
+		openFaults:   map[int]int{},
+		running:      map[attemptKey]*Attempt{},
+		onConnection: map[string]*Attempt{},
+		closedAt:     map[string]int64{},
 	}
 	for i := range events {
-		e := &events[i]
-		switch e.What {
-		case history.Fault:
-			open[e.N] = len(c.Faults)
-			c.Faults = append(c.Faults, Struck{e.Text, e.N, e.T, c.End, e.Routers, e.Hosts, e.Links, e.All})
-		case history.Heal:
-			if at, ok := open[e.N]; ok {
-				c.Faults[at].To = e.T
-				delete(open, e.N)
-			}
-		case history.Ask:
-			of(e.ID).Ask = e
-		case history.First:
-			of(e.ID).First = e.T
-		case history.Answer:
-			r := of(e.ID)
-			r.Answers = append(r.Answers, e)
-		case history.Attempt:
-			a := &Attempt{Host: e.Who, Router: e.From, Conn: e.Conn, From: e.T, To: c.End}
-			r := of(e.ID)
-			r.Attempts = append(r.Attempts, a)
-			running[e.ID+" "+e.Who] = a
-			if e.Conn != "" {
-				onConn[e.Conn] = a
-				if at, was := closed[e.Conn]; was && e.T < at+crossing.Nanoseconds() {
-					a.To = e.T // it was given up while its last byte was on its way
-				}
-			}
-		case history.Done:
-			if a := running[e.ID+" "+e.Who]; a != nil {
-				a.To = min(a.To, e.T)
-				delete(running, e.ID+" "+e.Who)
-			}
-		case history.Closed:
-			closed[e.Conn] = e.T
-			if a := onConn[e.Conn]; a != nil {
-				a.To = min(a.To, e.T)
-				delete(onConn, e.Conn)
-			}
-		}
+		x.add(&events[i])
 	}
 	return c
 }
 
-// crossing is how long after the router's close the host may still take what was sent before.
-const crossing = 50 * time.Millisecond
+// request returns the request of an id, which it adds.
+func (c *Case) request(id string) *Request {
+	r := c.requests[id]
+	if r == nil {
+		r = &Request{First: -1}
+		c.requests[id] = r
+		c.ids = append(c.ids, id)
+	}
+	return r
+}
+
+// attemptKey names an attempt by its request and host.
+type attemptKey struct{ id, host string }
+
+// indexer fills a Case from its events, in their order.
+type indexer struct {
+	c            *Case
+	openFaults   map[int]int // index in Case.Faults, by number
+	running      map[attemptKey]*Attempt
+	onConnection map[string]*Attempt
+	closedAt     map[string]int64 // the last close, by connection
+}
+
+func (x *indexer) add(e *history.Event) {
+	c := x.c
+	switch e.What {
+	case history.Fault:
+		x.openFaults[e.N] = len(c.Faults)
+		c.Faults = append(c.Faults, Fault{e.Text, e.N, e.T, c.End, e.Routers, e.Hosts, e.Links, e.All})
+	case history.Heal:
+		if at, ok := x.openFaults[e.N]; ok {
+			c.Faults[at].To = e.T
+			delete(x.openFaults, e.N)
+		}
+	case history.Ask:
+		c.request(e.ID).Ask = e
+	case history.First:
+		c.request(e.ID).First = e.T
+	case history.Answer:
+		r := c.request(e.ID)
+		r.Answers = append(r.Answers, e)
+	case history.Attempt:
+		x.addAttempt(e)
+	case history.Done:
+		key := attemptKey{e.ID, e.Who}
+		if a := x.running[key]; a != nil {
+			a.To = min(a.To, e.T)
+			delete(x.running, key)
+		}
+	case history.Closed:
+		x.closedAt[e.Conn] = e.T
+		if a := x.onConnection[e.Conn]; a != nil {
+			a.To = min(a.To, e.T)
+			delete(x.onConnection, e.Conn)
+		}
+	}
+}
+
+func (x *indexer) addAttempt(e *history.Event) {
+	a := &Attempt{Host: e.Who, Router: e.From, Conn: e.Conn, From: e.T, To: x.c.End}
+	r := x.c.request(e.ID)
+	r.Attempts = append(r.Attempts, a)
+	x.running[attemptKey{e.ID, e.Who}] = a
+	if e.Conn == "" {
+		return
+	}
+	x.onConnection[e.Conn] = a
+	if at, closed := x.closedAt[e.Conn]; closed && e.T < at+cancelDelay.Nanoseconds() {
+		a.To = e.T // it was canceled while its last byte was in flight
+	}
+}
+
+// cancelDelay is how long after the router's close the host may still receive what was sent before.
+const cancelDelay = 50 * time.Millisecond
 
-// after is how long what a fault did may still be felt once it is over: connections that it left
-// silent are found dead, a process that stood still comes to itself.
-const after = 2 * time.Second
+// faultAftermath is how long a fault may still have effects once it has ended: idle connections are
+// found dead, a process that was frozen catches up.
+const faultAftermath = 2 * time.Second
 
-// machine is what a history has in place of a fault where the machine let whoever wrote it stand
-// still.
-const machine = "machine"
+// machineStall is the kind in a history for a time in which the machine did not schedule the test
+// itself.
+const machineStall = "machine"
 
 // Kinds of faults that excuse something.
 var (
-	ends      = []string{"kill", "power"}                                                         // a process
-	slows     = []string{"pause", "crawl"}                                                        // a process
-	hostBreak = []string{"kill", "power", "rename", "stall", "reset", "garbage", "drain", "slow"} // streams of a host
-	network   = []string{"cut", "partition", "loss", "delay", "reorder"}                          // a link
+	processEnds   = []string{"kill", "power"}                                                         // a process
+	processStalls = []string{"pause", "crawl"}                                                        // a process
+	hostFailures  = []string{"kill", "power", "rename", "stall", "reset", "garbage", "drain", "slow"} // streams of a host
+	linkFaults    = []string{"cut", "partition", "loss", "delay", "reorder"}                          // a link
 )
 
-// During tells whether a fault of one of the kinds was on between two times, or shortly before,
-// such that it fits.
-func (c *Case) During(kinds []string, from, to int64, fits func(*Struck) bool) bool {
+// FaultDuring reports whether a fault of one of the kinds that fits was on between two times, or
+// shortly before.
+func (c *Case) FaultDuring(kinds []string, from, to int64, fits func(*Fault) bool) bool {
 	for i := range c.Faults {
 		s := &c.Faults[i]
-		if slices.Contains(kinds, s.Kind) && s.From <= to && s.To+after.Nanoseconds() >= from && fits(s) {
+		if slices.Contains(kinds, s.Kind) && s.From <= to && s.To+faultAftermath.Nanoseconds() >= from && fits(s) {
 			return true
 		}
 	}
 	return false
 }
 
-// router fits faults that strike a router itself, or the whole machine.
-func router(name string) func(*Struck) bool {
-	n := Number(name)
-	return func(s *Struck) bool { return s.Kind == machine || slices.Contains(s.Routers, n) }
+// affectsRouter fits faults of a router itself, or of the machine.
+func affectsRouter(name string) func(*Fault) bool {
+	n := NumberOf(name)
+	return func(s *Fault) bool { return s.Kind == machineStall || slices.Contains(s.Routers, n) }
 }
 
-// host fits faults that strike a host itself.
-func host(name string) func(*Struck) bool {
-	n := Number(name)
-	return func(s *Struck) bool { return slices.Contains(s.Hosts, n) }
+// affectsHost fits faults of a host itself.
+func affectsHost(name string) func(*Fault) bool {
+	n := NumberOf(name)
+	return func(s *Fault) bool { return slices.Contains(s.Hosts, n) }
 }
 
-// linkOf fits faults of a router's links to hosts or to the list.
-func linkOf(name, what string) func(*Struck) bool {
-	n := Number(name)
-	return func(s *Struck) bool {
+// affectsLink fits faults of a router's links to hosts or to the list.
+func affectsLink(name, what string) func(*Fault) bool {
+	n := NumberOf(name)
+	return func(s *Fault) bool {
 		return slices.Contains(s.Links, what) && (s.All || slices.Contains(s.Routers, n))
 	}
 }
 
-// Number is that of a router or host by its name, as in r3, r3/2 or h12; -1 for none.
-func Number(name string) int {
+// NumberOf returns the number in the name of a router or host, as in r3, r3/2 or h12; -1 for none.
+func NumberOf(name string) int {
 	name, _, _ = strings.Cut(name, "/")
 	if len(name) < 2 {
 		return -1
@@ -242,10 +269,10 @@
 	return n
 }
 
-// LastHeal is when the last fault was over, 0 where there was none.
+// LastHeal returns when the last fault ended, 0 where there was none.
 func (c *Case) LastHeal() (last int64) {
 	for i := range c.Faults {
-		if c.Faults[i].Kind != machine {
+		if c.Faults[i].Kind != machineStall {
 			last = max(last, c.Faults[i].To)
 		}
 	}
--- a/internal/testbed/checker/checker_test.go
+++ b/internal/testbed/checker/checker_test.go
@@ -75,7 +75,7 @@
 
 // Nothing is found where nothing is wrong.
 func TestNothingFound(t *testing.T) {
-	for _, v := range Judge(well()) {
+	for _, v := range CheckAll(well()) {
 		t.Error(v.String())
 	}
 }
@@ -139,7 +139,7 @@
 		"a cas that could not": {"linear", add(history.Event{T: 9070 * ms, What: history.Invoke, Who: "c5", ID: "5", Op: &history.Op{Kind: "cas", Key: "k", Old: "y", Value: "w"}}, history.Event{T: 9080 * ms, What: history.OK, Who: "c5", ID: "5", Op: &history.Op{Kind: "cas", Key: "k", Old: "y", Value: "w", Did: true}}), "fit no order"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			found := Judge(x.plant(well()))
+			found := CheckAll(x.plant(well()))
 			if len(found) == 0 {
 				t.Fatal("nothing is found")
 			}
--- a/internal/testbed/checker/crash.go
+++ b/internal/testbed/checker/crash.go
@@ -10,7 +10,7 @@
 
 // crash finds processes that ended by themselves, that did not start, and panics in logs. A second
 // process that a fault started under a name that lives is let fail, but not let crash.
-func crash(c *Case) (found []Verdict) {
+func crash(c *Case) (found []Violation) {
 	asked := map[string]int64{} // by process, from when on it may end
 	twin := map[string]bool{}
 	for i := range c.Events {
@@ -23,15 +23,15 @@
 			asked[e.Who] = e.T
 		case history.Exit:
 			_, notified := asked[e.Who]
-			killed := e.Text == "killed" && c.During(ends, e.T, e.T, router(e.Who))
+			killed := e.Text == "killed" && c.FaultDuring(processEnds, e.T, e.T, affectsRouter(e.Who))
 			if notified || killed || e.Text == "ended by the rig" || twin[e.Who] && e.Status == 1 {
 				continue
 			}
-			found = append(found, Verdict{"crash", e.T, e.Who, "", fmt.Sprintf("ended by itself, status %d %s", e.Status, e.Text)})
+			found = append(found, Violation{"crash", e.T, e.Who, "", fmt.Sprintf("ended by itself, status %d %s", e.Status, e.Text)})
 		case history.Log:
 			if strings.HasPrefix(e.Text, "panic: ") || strings.HasPrefix(e.Text, "fatal error: ") || strings.HasPrefix(e.Text, "SIG") {
 				if !slices.ContainsFunc(c.Events, func(x history.Event) bool { return x.What == history.Caught && x.Who == e.Who && x.T <= e.T }) {
-					found = append(found, Verdict{"crash", e.T, e.Who, "", e.Text})
+					found = append(found, Violation{"crash", e.T, e.Who, "", e.Text})
 				}
 			}
 		}
@@ -41,10 +41,10 @@
 
 // hang passes on what the rig's watch has caught. The rig knows better than a checker could what
 // was done to a process.
-func hang(c *Case) (found []Verdict) {
+func hang(c *Case) (found []Violation) {
 	for i := range c.Events {
 		if e := &c.Events[i]; e.What == history.Caught {
-			found = append(found, Verdict{"hang", e.T, e.Who, "", e.Text})
+			found = append(found, Violation{"hang", e.T, e.Who, "", e.Text})
 		}
 	}
 	return found
--- a/internal/testbed/checker/drain.go
+++ b/internal/testbed/checker/drain.go
@@ -13,7 +13,7 @@
 
 // drain finds attempts that reach a host after its router was told that it drains or is gone. One
 // whose router or whose list stood still meanwhile was told only when they went on.
-func drain(c *Case) (found []Verdict) {
+func drain(c *Case) (found []Violation) {
 	since := map[string]int64{} // by router and host
 	for i := range c.Events {
 		e := &c.Events[i]
@@ -27,11 +27,11 @@
 		case history.Attempt:
 			notified, draining := since[e.From+" "+e.Who]
 			late := e.T - notified - drainSlack.Nanoseconds()
-			if !draining || late <= 0 || c.During(append(ends, slows...), notified, e.T, router(e.From)) ||
-				c.During(network, notified, e.T, linkOf(e.From, "list")) || c.During(network, notified, e.T, linkOf(e.From, "hosts")) {
+			if !draining || late <= 0 || c.FaultDuring(append(processEnds, processStalls...), notified, e.T, affectsRouter(e.From)) ||
+				c.FaultDuring(linkFaults, notified, e.T, affectsLink(e.From, "list")) || c.FaultDuring(linkFaults, notified, e.T, affectsLink(e.From, "hosts")) {
 				continue
 			}
-			found = append(found, Verdict{"drain", e.T, e.From, e.ID,
+			found = append(found, Violation{"drain", e.T, e.From, e.ID,
 				fmt.Sprintf("sent to %s %v after the list had said that it leaves", e.Who, time.Duration(e.T-notified).Round(time.Millisecond))})
 		}
 	}
@@ -39,10 +39,10 @@
 }
 
 // slowStart finds hosts that were pushed over before they were warm.
-func slowStart(c *Case) (found []Verdict) {
+func slowStart(c *Case) (found []Violation) {
 	for i := range c.Events {
 		if e := &c.Events[i]; e.What == history.Fell {
-			found = append(found, Verdict{"cold", e.T, e.Who, "", "fell over while cold"})
+			found = append(found, Violation{"cold", e.T, e.Who, "", "fell over while cold"})
 		}
 	}
 	return found
--- a/internal/testbed/checker/duties.go
+++ b/internal/testbed/checker/duties.go
@@ -11,7 +11,7 @@
 // duties finds acts that should not have been: accepted under a lower token than one before, of two
 // routers under one token, or begun by a router after another had begun under a higher one. The
 // last is asked only where one clock stamps the beginnings.
-func duties(c *Case) (found []Verdict) {
+func duties(c *Case) (found []Violation) {
 	type last struct {
 		token uint64
 		at    int64
@@ -20,7 +20,7 @@
 	leaseHolder := map[string]string{}     // by duty and token
 	begun := map[string][]*history.Event{} // by duty
 	say := func(e *history.Event, format string, a ...any) {
-		found = append(found, Verdict{"duty", e.T, e.From, e.ID, e.Text + ": " + fmt.Sprintf(format, a...)})
+		found = append(found, Violation{"duty", e.T, e.From, e.ID, e.Text + ": " + fmt.Sprintf(format, a...)})
 	}
 	for i := range c.Events {
 		e := &c.Events[i]
--- a/internal/testbed/checker/limits.go
+++ b/internal/testbed/checker/limits.go
@@ -10,12 +10,12 @@
 
 // limits finds processes over their memory or their descriptors, and datagrams over the platform's
 // bound. Each process is told of once.
-func limits(c *Case) (found []Verdict) {
+func limits(c *Case) (found []Violation) {
 	notified := map[string]bool{}
 	report := func(e *history.Event, text string) {
 		if !notified[e.Who+text[:5]] {
 			notified[e.Who+text[:5]] = true
-			found = append(found, Verdict{"limits", e.T, e.Who, "", text})
+			found = append(found, Violation{"limits", e.T, e.Who, "", text})
 		}
 	}
 	for i := range c.Events {
@@ -38,14 +38,14 @@
 
 // leave finds processes that do not end as they should after SIGTERM. One that is killed when its
 // time is over while it still has streams that it took in time has done nothing wrong.
-func leave(c *Case) (found []Verdict) {
+func leave(c *Case) (found []Violation) {
 	if c.Play.Leave == 0 {
 		return nil
 	}
 	termed := map[string]int64{}
 	late := func(who string, t, end int64) {
-		if over := end - t; over > c.Play.Leave+c.Play.Slack && !c.During(append(ends, slows...), t, end, router(who)) {
-			found = append(found, Verdict{"leave", end, who, "", fmt.Sprintf("%v after SIGTERM; %v are allowed", time.Duration(over).Round(time.Millisecond),
+		if over := end - t; over > c.Play.Leave+c.Play.Slack && !c.FaultDuring(append(processEnds, processStalls...), t, end, affectsRouter(who)) {
+			found = append(found, Violation{"leave", end, who, "", fmt.Sprintf("%v after SIGTERM; %v are allowed", time.Duration(over).Round(time.Millisecond),
 				time.Duration(c.Play.Leave))})
 		}
 	}
@@ -66,8 +66,8 @@
 				continue
 			}
 			late(e.Who, t, e.T)
-			if e.Status != 0 && !c.During(ends, t, e.T, router(e.Who)) {
-				found = append(found, Verdict{"leave", e.T, e.Who, "", fmt.Sprintf("status %d after SIGTERM %s", e.Status, e.Text)})
+			if e.Status != 0 && !c.FaultDuring(processEnds, t, e.T, affectsRouter(e.Who)) {
+				found = append(found, Violation{"leave", e.T, e.Who, "", fmt.Sprintf("status %d after SIGTERM %s", e.Status, e.Text)})
 			}
 		}
 	}
--- a/internal/testbed/checker/linear.go
+++ b/internal/testbed/checker/linear.go
@@ -18,7 +18,7 @@
 // linear finds operations that do not fit any order of single moments between their starts and
 // ends, for each key by itself. One whose end is unknown may have taken effect at any time after
 // its start, or never.
-func linear(c *Case) []Verdict {
+func linear(c *Case) []Violation {
 	of := map[bool][]porcupine.Operation{} // by whether they are of duties
 	for _, o := range operations(c.Events) {
 		duty := isGrant(o.Input.(history.Op).Kind)
@@ -47,7 +47,7 @@
 	})
 }
 
-func fits(c *Case, m porcupine.Model, ops []porcupine.Operation) []Verdict {
+func fits(c *Case, m porcupine.Model, ops []porcupine.Operation) []Violation {
 	if len(ops) == 0 {
 		return nil
 	}
@@ -55,9 +55,9 @@
 	case porcupine.Ok:
 		return nil
 	case porcupine.Unknown:
-		return []Verdict{{"linear", c.End, "", "", fmt.Sprintf("%d operations could not be ordered within %v", len(ops), linearWithin)}}
+		return []Violation{{"linear", c.End, "", "", fmt.Sprintf("%d operations could not be ordered within %v", len(ops), linearWithin)}}
 	}
-	return []Verdict{{"linear", c.End, "", "", fmt.Sprintf("%d operations fit no order of single moments", len(ops))}}
+	return []Violation{{"linear", c.End, "", "", fmt.Sprintf("%d operations fit no order of single moments", len(ops))}}
 }
 
 // outcome is what is known of an operation's end.
--- a/internal/testbed/checker/returned.go
+++ b/internal/testbed/checker/returned.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// servedAgain is the share of requests that must be served whole once the fleet has settled, of
-	// those that were before the first fault.
-	servedAgain = 0.9
-	// fewest is the least number of requests that a share is taken of.
-	fewest = 20
+	// minServedFraction is the share of requests that must be served whole once the fleet has
+	// settled, of those that were before the first fault.
+	minServedFraction = 0.9
+	// minRequests is the least number of requests that a share is taken of.
+	minRequests = 20
 )
 
 // returned finds fleets that do not come back: routers that are not ready, or requests that are
 // refused or fail, once so much time has passed since the last fault.
-func returned(c *Case) (found []Verdict) {
+func returned(c *Case) (found []Violation) {
 	if c.Play.Settle == 0 || c.LastHeal() == 0 {
 		return nil
 	}
@@ -34,14 +34,14 @@
 		}
 		switch e.What {
 		case history.Ready:
-			ready[Number(e.Who)] = true
+			ready[NumberOf(e.Who)] = true
 		case history.Unready:
-			ready[Number(e.Who)] = false
+			ready[NumberOf(e.Who)] = false
 		}
 	}
 	for n := range c.Play.Routers {
 		if !ready[n] && c.Play.World == "rig" {
-			found = append(found, Verdict{"return", from, fmt.Sprint("r", n), "", fmt.Sprintf("not ready %v after the last fault", time.Duration(c.Play.Settle))})
+			found = append(found, Violation{"return", from, fmt.Sprint("r", n), "", fmt.Sprintf("not ready %v after the last fault", time.Duration(c.Play.Settle))})
 		}
 	}
 	var before, beforeComplete, then, afterComplete int
@@ -61,10 +61,10 @@
 			then, afterComplete = then+1, afterComplete+complete
 		}
 	}
-	if before >= fewest && then >= fewest {
+	if before >= minRequests && then >= minRequests {
 		b, t := float64(beforeComplete)/float64(before), float64(afterComplete)/float64(then)
-		if t < servedAgain*b {
-			found = append(found, Verdict{"return", from, "", "", fmt.Sprintf("%.0f%% of %d requests are served whole from %v after the last fault on; before the first one it were %.0f%% of %d",
+		if t < minServedFraction*b {
+			found = append(found, Violation{"return", from, "", "", fmt.Sprintf("%.0f%% of %d requests are served whole from %v after the last fault on; before the first one it were %.0f%% of %d",
 				100*t, then, time.Duration(c.Play.Settle), 100*b, before)})
 		}
 	}
--- a/internal/testbed/checker/views.go
+++ b/internal/testbed/checker/views.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// wellFor is how long a router must have lived, with no fault on, until it may be missing from
-	// nobody's view: as long as a view may take to settle a fault from before.
-	wellFor = 10 * time.Second
-	// viewEvery is how far apart two looks at a view may be.
-	viewEvery = time.Second
+	// minHealthyTime is how long a router must have lived, with no fault on, until it may be
+	// missing from nobody's view: as long as a view may take to settle a fault from before.
+	minHealthyTime = 10 * time.Second
+	// viewInterval is how far apart two looks at a view may be.
+	viewInterval = time.Second
 )
 
 // incarnation is a router's life as the history has it.
@@ -24,7 +24,7 @@
 // views finds views of the fleet that are wrong: an incarnation that falls, a router that is
 // missing from its own view, or from that of another though it has been well for long, and views
 // that differ, or do not show who lives, so long after the last fault.
-func views(c *Case) (found []Verdict) {
+func views(c *Case) (found []Violation) {
 	inc, at := map[int]uint32{}, map[int]int64{}
 	incarnations := c.incarnations()
 	last := map[int]*history.Event{}
@@ -38,16 +38,16 @@
 		if e.What != history.View {
 			continue
 		}
-		n := Number(e.Who)
+		n := NumberOf(e.Who)
 		if e.Inc < inc[n] && c.remembered(n, at[n], e.T) {
-			found = append(found, Verdict{"view", e.T, e.Who, "", fmt.Sprintf("its incarnation went from %d to %d", inc[n], e.Inc)})
+			found = append(found, Violation{"view", e.T, e.Who, "", fmt.Sprintf("its incarnation went from %d to %d", inc[n], e.Inc)})
 		}
 		inc[n], at[n] = max(inc[n], e.Inc), e.T
 		if e.Inc < inc[n] {
 			inc[n] = e.Inc // nobody was left who knew
 		}
 		if !slices.Contains(e.Routers, n) {
-			found = append(found, Verdict{"view", e.T, e.Who, "", "is missing from its own view"})
+			found = append(found, Violation{"view", e.T, e.Who, "", "is missing from its own view"})
 		}
 		if e.T <= over {
 			last[n] = e
@@ -64,18 +64,18 @@
 		case !alive:
 			continue
 		case e == nil:
-			found = append(found, Verdict{"view", converged, fmt.Sprint("r", n), "", "tells no view"})
+			found = append(found, Violation{"view", converged, fmt.Sprint("r", n), "", "tells no view"})
 			continue
 		}
 		for m := range c.Play.Routers {
 			if in := slices.Contains(e.Routers, m); in != c.runsThroughout(incarnations[m], converged, over) {
-				found = append(found, Verdict{"view", over, e.Who, "", fmt.Sprintf("r%d is in its view: %v; it lives: %v", m, in, !in)})
+				found = append(found, Violation{"view", over, e.Who, "", fmt.Sprintf("r%d is in its view: %v; it lives: %v", m, in, !in)})
 			}
 		}
 		if first == nil {
 			first = e
 		} else if e.Text != first.Text {
-			found = append(found, Verdict{"view", over, e.Who, "", fmt.Sprintf("its view is %s, that of %s is %s", e.Text, first.Who, first.Text)})
+			found = append(found, Violation{"view", over, e.Who, "", fmt.Sprintf("its view is %s, that of %s is %s", e.Text, first.Who, first.Text)})
 		}
 	}
 	return found
@@ -84,8 +84,8 @@
 // remembered tells whether a process of another router lived from before one time to after another,
 // with nothing between it and the router: it knew the router's last incarnation.
 func (c *Case) remembered(n int, from, to int64) bool {
-	if c.During(network, from, to, func(*Struck) bool { return true }) || c.During(append(ends, slows...), to-int64(time.Second), to, func(s *Struck) bool {
-		return s.Kind == machine || s.Kind != "kill" && s.Kind != "power"
+	if c.FaultDuring(linkFaults, from, to, func(*Fault) bool { return true }) || c.FaultDuring(append(processEnds, processStalls...), to-int64(time.Second), to, func(s *Fault) bool {
+		return s.Kind == machineStall || s.Kind != "kill" && s.Kind != "power"
 	}) {
 		return false
 	}
@@ -94,7 +94,7 @@
 		e := &c.Events[i]
 		switch e.What {
 		case history.Start:
-			if Number(e.Who) != n {
+			if NumberOf(e.Who) != n {
 				started[e.Who] = e.T
 			}
 		case history.Exit, history.Term:
@@ -118,7 +118,7 @@
 	count := map[int]int{}
 	for i := range c.Events {
 		e := &c.Events[i]
-		n := Number(e.Who)
+		n := NumberOf(e.Who)
 		switch e.What {
 		case history.Start:
 			if e.Text == "twin" {
@@ -147,20 +147,20 @@
 }
 
 // missing finds those that have been well for long and are not in a view.
-func (c *Case) missing(e *history.Event, incarnations map[int][]incarnation) (found []Verdict) {
-	since := e.T - wellFor.Nanoseconds()
+func (c *Case) missing(e *history.Event, incarnations map[int][]incarnation) (found []Violation) {
+	since := e.T - minHealthyTime.Nanoseconds()
 	for i := range c.Faults {
 		if s := &c.Faults[i]; s.From <= e.T && s.To >= since {
 			return nil
 		}
 	}
-	viewer := Number(e.Who)
+	viewer := NumberOf(e.Who)
 	if !c.runsThroughout(incarnations[viewer], since, e.T) {
 		return nil
 	}
 	for n := range c.Play.Routers {
-		if c.runsThroughout(incarnations[n], since, e.T+viewEvery.Nanoseconds()) && !slices.Contains(e.Routers, n) && n != viewer {
-			found = append(found, Verdict{"view", e.T, e.Who, "", fmt.Sprintf("r%d is missing; it has been well for %v", n, wellFor)})
+		if c.runsThroughout(incarnations[n], since, e.T+viewInterval.Nanoseconds()) && !slices.Contains(e.Routers, n) && n != viewer {
+			found = append(found, Violation{"view", e.T, e.Who, "", fmt.Sprintf("r%d is missing; it has been well for %v", n, minHealthyTime)})
 		}
 	}
 	return found
--- a/internal/testbed/experiment/run.go
+++ b/internal/testbed/experiment/run.go
@@ -27,7 +27,7 @@
 // one caller at a time; it may be nil. The runs come by variant, then by seed, however they were
 // played.
 func (x *Experiment) Play(ctx context.Context, atOnce int, done func(*Run)) ([]*Run, error) {
-	if err := x.CheckFor(faults.Lab); err != nil {
+	if err := x.CheckFor(faults.Simulation); err != nil {
 		return nil, err
 	}
 	runs := make([]*Run, x.Worlds())
--- a/internal/testbed/experiment/schedule.go
+++ b/internal/testbed/experiment/schedule.go
@@ -53,7 +53,7 @@
 	}
 	every := fields{
 		"at": span(&f.At, 0), "length": span(&f.Length, 0), "share": num(&f.Share, 0, 1), "size": num(&f.Size, 0.01, 1000),
-		"delay": span(&f.Delay, 0), "jitter": span(&f.Jitter, 0), "zone": word(&f.Zone), "file": word(&f.File), "keep": num(&f.Keep, 0, 1),
+		"delay": span(&f.Delay, 0), "jitter": span(&f.Jitter, 0), "zone": word(&f.Zone), "file": word(&f.File), "keep": num(&f.RemainingFraction, 0, 1),
 		"routers": selected(&f.Routers), "hosts": selected(&f.Hosts), "peers": selected(&f.Peers), "links": words(&f.Links),
 		"direction": word((*string)(&f.Direction)), "disk": word((*string)(&f.Disk)), "bridge": numbers(&f.Bridge),
 		"groups": func(v cty.Value) string {
@@ -82,7 +82,7 @@
 }
 
 // selected takes a list of numbers, a share, "all" or a zone.
-func selected(s *faults.Select) func(cty.Value) string {
+func selected(s *faults.Selection) func(cty.Value) string {
 	return func(v cty.Value) string {
 		if fraction, ok := number(v); ok {
 			if !(fraction > 0 && fraction <= 1) {
@@ -163,7 +163,7 @@
 // CheckFor returns what of the schedule does not exist in a world, or is wrong with it, as one line
 // with file, line and field.
 func (x *Experiment) CheckFor(world faults.World) error {
-	if world != faults.Lab {
+	if world != faults.Simulation {
 		for i, t := range x.Spec.Disruptions {
 			if same, ok := onSockets[t.Kind]; ok {
 				return fmt.Errorf("%s: trouble %q is of virtual time alone; fault %q is for sockets", x.troubles[i], t.Kind, same)
--- a/internal/testbed/experiment/schedule_test.go
+++ b/internal/testbed/experiment/schedule_test.go
@@ -42,7 +42,7 @@
 		t.Fatal(err)
 	}
 	for seed := range uint64(300) {
-		drawn := faults.Draw(faults.Bounds{Length: 10 * time.Second, Faults: 12, World: faults.Rig}, x.Topology(), seed)
+		drawn := faults.Draw(faults.Bounds{Length: 10 * time.Second, Faults: 12, World: faults.RealProcesses}, x.Topology(), seed)
 		drawn[0].When = &faults.When{What: "phase", Who: "r1", Text: "serving", Nth: 2}
 		y, err := Parse([]byte(fleetOf+faults.Text(drawn)), "y.hcl")
 		if err != nil {
@@ -51,7 +51,7 @@
 		if diff := cmp.Diff(drawn, y.Faults, cmpopts.IgnoreFields(faults.Fault{}, "Source"), cmpopts.EquateEmpty()); diff != "" {
 			t.Fatal(diff)
 		}
-		if err := y.CheckFor(faults.Rig); err != nil {
+		if err := y.CheckFor(faults.RealProcesses); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -74,7 +74,7 @@
 	} {
 		x, err := Parse([]byte(fleetOf+text), "x.hcl")
 		if err == nil {
-			if err = x.CheckFor(faults.Lab); err == nil {
+			if err = x.CheckFor(faults.Simulation); err == nil {
 				spec := x.Virtual(0, 1)
 				err = spec.Check()
 			}
@@ -87,7 +87,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := x.CheckFor(faults.Rig); err == nil || err.Error() != `x.hcl:20: trouble "lost_zone" is of virtual time alone; fault "power" is for sockets` {
+	if err := x.CheckFor(faults.RealProcesses); err == nil || err.Error() != `x.hcl:20: trouble "lost_zone" is of virtual time alone; fault "power" is for sockets` {
 		t.Errorf("got %v", err)
 	}
 }
@@ -104,17 +104,17 @@
 		spec := x.World(0, seed)
 		spec.Routers = 9 // enough to tell each other
 		spec.Peers = simulator.Peers{On: true, Most: 5 * time.Millisecond}
-		spec.Faults = faults.Draw(faults.Bounds{Length: spec.Length, World: faults.Lab}, spec.Topology(), seed)
+		spec.Faults = faults.Draw(faults.Bounds{Length: spec.Length, World: faults.Simulation}, spec.Topology(), seed)
 		for i := range spec.Faults { // as virtual time has them
 			f := &spec.Faults[i]
-			f.Disk, f.File, f.Keep = "", "", 0
+			f.Disk, f.File, f.RemainingFraction = "", "", 0
 			if len(f.Links) > 0 && f.Links[0] != faults.LinkPeers || len(f.Links) > 1 {
-				f.Links, f.Routers, f.Direction = []string{faults.LinkHosts}, faults.Select{All: true}, ""
+				f.Links, f.Routers, f.Direction = []string{faults.LinkHosts}, faults.Selection{All: true}, ""
 				f.Kind, f.Share, f.Delay, f.Jitter = faults.Blackhole, 0, 0, 0
 			}
 			kinds[f.Kind]++
 		}
-		f := faults.Fault{Kind: faults.Kill, Length: time.Second, At: 50 * time.Millisecond, Routers: faults.Select{Numbers: []int{1}},
+		f := faults.Fault{Kind: faults.Kill, Length: time.Second, At: 50 * time.Millisecond, Routers: faults.Selection{Numbers: []int{1}},
 			When: &faults.When{What: "answer", Nth: 30}}
 		spec.Faults = append(spec.Faults, f)
 		all := []history.Event{{What: history.Begin, Play: &history.Play{Version: 1, World: "lab", Routers: 9, Hosts: 6, Slack: 30e6}}}
@@ -134,7 +134,7 @@
 		if _, err := w.Run(0); err != nil {
 			t.Fatalf("seed %d: %v\n%s", seed, err, faults.Text(spec.Faults))
 		}
-		for _, v := range checker.Judge(all) {
+		for _, v := range checker.CheckAll(all) {
 			t.Errorf("seed %d: %s\n%s", seed, v.String(), faults.Text(spec.Faults))
 		}
 		last := len(spec.Faults) - 1
--- a/internal/testbed/experiment/stored_test.go
+++ b/internal/testbed/experiment/stored_test.go
@@ -71,11 +71,11 @@
 	if diff := cmp.Diff(string(text), faults.Text(x.Faults)); diff != "" {
 		t.Error(diff)
 	}
-	if err := x.CheckFor(faults.Rig); err != nil {
+	if err := x.CheckFor(faults.RealProcesses); err != nil {
 		t.Error(err)
 	}
 	last := x.Faults[len(x.Faults)-1]
-	want := faults.Fault{Kind: faults.Kill, At: last.At, Length: 300 * time.Millisecond, Hosts: faults.Select{Numbers: []int{0}},
+	want := faults.Fault{Kind: faults.Kill, At: last.At, Length: 300 * time.Millisecond, Hosts: faults.Selection{Numbers: []int{0}},
 		When: &faults.When{What: "phase", Who: "r1", Text: "serving", Nth: 2}, Source: last.Source}
 	if diff := cmp.Diff(want, last); diff != "" {
 		t.Error(diff)
--- a/internal/testbed/fakes/faults_test.go
+++ b/internal/testbed/fakes/faults_test.go
@@ -33,7 +33,7 @@
 			begun, ended := make(chan bool), make(chan bool)
 			over := make(chan error, 1)
 			go func() {
-				over <- f.Play(context.Background(), []faults.Fault{{Kind: tt.kind, Length: 600 * ms, Hosts: faults.Select{Numbers: []int{0}}, Size: 400}}, func(line string) {
+				over <- f.Play(context.Background(), []faults.Fault{{Kind: tt.kind, Length: 600 * ms, Hosts: faults.Selection{Numbers: []int{0}}, Size: 400}}, func(line string) {
 					if strings.HasSuffix(line, "begins") {
 						close(begun)
 					} else {
--- a/internal/testbed/faultproxy/faultproxy_test.go
+++ b/internal/testbed/faultproxy/faultproxy_test.go
@@ -93,7 +93,7 @@
 	if a, b := r.hear(1, 0), r.hear(0, 1); a != "one" || b != "two" {
 		t.Errorf("got %q and %q", a, b)
 	}
-	set(faults.Fault{Kind: faults.Blackhole, Routers: faults.Select{Numbers: []int{0}}, Direction: faults.Out})
+	set(faults.Fault{Kind: faults.Blackhole, Routers: faults.Selection{Numbers: []int{0}}, Direction: faults.Out})
 	r.send(0, 1, "lost")
 	r.send(1, 0, "comes")
 	if got := r.hear(0, 1); got != "comes" {
@@ -106,7 +106,7 @@
 	if a, b := r.hear(2, 0), r.hear(1, 2); a != "over the bridge" || b != "and on" { // the first that came to 1 at all
 		t.Errorf("got %q and %q", a, b)
 	}
-	set(faults.Fault{Kind: faults.Flip, Share: 1, Routers: faults.Select{All: true}}, faults.Fault{Kind: faults.Duplicate, Share: 1, Routers: faults.Select{All: true}})
+	set(faults.Fault{Kind: faults.Flip, Share: 1, Routers: faults.Selection{All: true}}, faults.Fault{Kind: faults.Duplicate, Share: 1, Routers: faults.Selection{All: true}})
 	r.send(0, 1, "abcd")
 	for range 2 {
 		got, bits := r.hear(1, 0), 0
@@ -119,7 +119,7 @@
 			t.Errorf("got %q", got)
 		}
 	}
-	set(faults.Fault{Kind: faults.Delay, Delay: 80 * ms, Routers: faults.Select{All: true}})
+	set(faults.Fault{Kind: faults.Delay, Delay: 80 * ms, Routers: faults.Selection{All: true}})
 	begun := time.Now()
 	r.send(0, 1, "late")
 	if got := r.hear(1, 0); got != "late" || time.Since(begun) < 80*ms {
--- a/internal/testbed/faults/draw.go
+++ b/internal/testbed/faults/draw.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// Bounds is within what a schedule is drawn.
+// Bounds limits the schedules that Draw returns.
 type Bounds struct {
-	Length time.Duration // all is over by four fifths of it, so that the fleet can settle
+	Length time.Duration // every fault ends within four fifths of it, so that the fleet can recover
 	Faults int           // at most; 0 counts as 6
 	Kinds  []Kind        // drawn from; none for all that the world has
 	World  World
 }
 
-// Draw draws a schedule. It passes Check for the shape.
+// Draw draws a schedule that passes Check for the topology. The same seed gives the same schedule.
 func Draw(b Bounds, topology *Topology, seed uint64) []Fault {
 	rng := rand.New(rand.NewPCG(seed, 0xd4a3))
 	kinds := b.Kinds
@@ -25,13 +25,14 @@
 			}
 		}
 	}
-	most := b.Faults
-	if most == 0 {
-		most = 6
+	limit := b.Faults
+	if limit == 0 {
+		limit = defaultFaults
 	}
+	d := &drawer{topology, rng}
 	var all []Fault
-	for n := 1 + rng.IntN(most); len(all) < n; {
-		f := drawOne(kinds[rng.IntN(len(kinds))], topology, rng, b.Length)
+	for n := 1 + rng.IntN(limit); len(all) < n; {
+		f := d.fault(kinds[rng.IntN(len(kinds))], b.Length)
 		if f.check(topology, b.World, b.Length) == nil {
 			all = append(all, f)
 		}
@@ -40,86 +41,122 @@
 	return all
 }
 
-// steps is what drawn times are whole numbers of: a schedule is to be read.
+// defaultFaults bounds the faults of a schedule where Bounds has no number.
+const defaultFaults = 6
+
+// step is the unit that drawn times are rounded to, so that a schedule is easy to read.
 const step = 100 * time.Millisecond
 
-func drawOne(k Kind, topology *Topology, rng *rand.Rand, length time.Duration) Fault {
-	between := func(least, most time.Duration) time.Duration {
-		if most <= least {
-			return least
-		}
-		return (least + time.Duration(rng.Int64N(int64(most-least)))).Round(step)
+// drawer draws one fault. The order of its draws is part of what a seed means.
+type drawer struct {
+	topology *Topology
+	rng      *rand.Rand
+}
+
+// between draws a time, rounded to a step.
+func (d *drawer) between(shortest, longest time.Duration) time.Duration {
+	if longest <= shortest {
+		return shortest
 	}
-	f := Fault{Kind: k, At: between(length/20, length/2)}
-	f.Length = between(2*step, min(length*4/5-f.At, 6*time.Second))
-	tenths := func(least, most int) float64 { return float64(least+rng.IntN(most-least+1)) / 10 }
+	return (shortest + time.Duration(d.rng.Int64N(int64(longest-shortest)))).Round(step)
+}
+
+// tenths draws a fraction in tenths.
+func (d *drawer) tenths(lowest, highest int) float64 {
+	return float64(lowest+d.rng.IntN(highest-lowest+1)) / 10
+}
+
+func (d *drawer) fault(k Kind, length time.Duration) Fault {
+	f := Fault{Kind: k, At: d.between(length/20, length/2)}
+	f.Length = d.between(2*step, min(length*4/5-f.At, 6*time.Second))
 	m := Of(k)
-	for _, field := range append(slices.Clone(m.needs), m.takes...) {
-		switch field {
-		case "share":
-			f.Share = tenths(1, 6)
-		case "delay":
-			f.Delay = between(step/10, 5*step).Round(step / 10)
-		case "jitter":
-			f.Jitter = time.Duration(rng.IntN(20)) * step / 10
-		case "size":
-			f.Size = float64(2 + rng.IntN(6))
-		case "zone":
-			if rng.IntN(2) == 0 && len(topology.Routers) > 0 {
-				f.Zone = topology.Routers[rng.IntN(len(topology.Routers))]
-			}
-		case "disk":
-			if f.Disk = []Disk{DiskUnchanged, DiskUnchanged, DiskEmpty, DiskOther, DiskTruncated}[rng.IntN(5)]; f.Disk == DiskTruncated {
-				f.Keep = tenths(0, 9)
-			}
-		case "groups":
-			if f.Zones = rng.IntN(2) == 0 && zones(topology.Routers) > 1; !f.Zones {
-				order := rng.Perm(len(topology.Routers))
-				at := 1 + rng.IntN(max(len(order)-1, 1))
-				f.Groups = [][]int{order[:at], order[at:]}
-				slices.Sort(f.Groups[0])
-				slices.Sort(f.Groups[1])
-			}
-		case "bridge":
-			if rng.IntN(3) == 0 && len(topology.Routers) > 2 {
-				f.Bridge = []int{rng.IntN(len(topology.Routers))}
-			}
+	for _, field := range append(slices.Clone(m.required), m.optional...) {
+		d.field(&f, field)
+	}
+	d.targets(&f, m)
+	return f
+}
+
+// field draws the value of a field. It leaves those that it does not know.
+func (d *drawer) field(f *Fault, field string) {
+	switch field {
+	case "share":
+		f.Share = d.tenths(1, 6)
+	case "delay":
+		f.Delay = d.between(step/10, 5*step).Round(step / 10)
+	case "jitter":
+		f.Jitter = time.Duration(d.rng.IntN(20)) * step / 10
+	case "size":
+		f.Size = float64(2 + d.rng.IntN(6))
+	case "zone":
+		if d.rng.IntN(2) == 0 && len(d.topology.Routers) > 0 {
+			f.Zone = d.topology.Routers[d.rng.IntN(len(d.topology.Routers))]
+		}
+	case "disk":
+		f.Disk = []Disk{DiskUnchanged, DiskUnchanged, DiskEmpty, DiskOther, DiskTruncated}[d.rng.IntN(5)]
+		if f.Disk == DiskTruncated {
+			f.RemainingFraction = d.tenths(0, 9)
+		}
+	case "groups":
+		d.groups(f)
+	case "bridge":
+		if d.rng.IntN(3) == 0 && len(d.topology.Routers) > 2 {
+			f.Bridge = []int{d.rng.IntN(len(d.topology.Routers))}
 		}
 	}
-	some := func(of []string) (s Select) {
-		switch rng.IntN(4) {
-		case 0:
-			s.Fraction = tenths(2, 7)
-		case 1:
-			if len(of) > 0 && of[0] != "" {
-				s.Zone = of[rng.IntN(len(of))]
-				return s
-			}
-			fallthrough
-		default:
-			if len(of) > 0 {
-				s.Numbers = []int{rng.IntN(len(of))}
-			}
+}
+
+// groups draws the sides of a partition: the zones, or two groups of routers.
+func (d *drawer) groups(f *Fault) {
+	f.Zones = d.rng.IntN(2) == 0 && countZones(d.topology.Routers) > 1
+	if f.Zones {
+		return
+	}
+	order := d.rng.Perm(len(d.topology.Routers))
+	at := 1 + d.rng.IntN(max(len(order)-1, 1))
+	f.Groups = [][]int{order[:at], order[at:]}
+	slices.Sort(f.Groups[0])
+	slices.Sort(f.Groups[1])
+}
+
+// selection draws some of those with the zones of: a fraction, a zone or a single one.
+func (d *drawer) selection(of []string) (s Selection) {
+	switch d.rng.IntN(4) {
+	case 0:
+		s.Fraction = d.tenths(2, 7)
+	case 1:
+		if len(of) > 0 && of[0] != "" {
+			s.Zone = of[d.rng.IntN(len(of))]
+			return s
+		}
+		fallthrough
+	default:
+		if len(of) > 0 {
+			s.Numbers = []int{d.rng.IntN(len(of))}
 		}
-		return s
 	}
+	return s
+}
+
+// targets draws whom a fault affects.
+func (d *drawer) targets(f *Fault, m *KindInfo) {
 	switch {
-	case k == Power || k == Partition || m.targets == 0:
+	case f.Kind == Power || f.Kind == Partition || m.targets == 0:
 	case m.OfLinks():
-		f.Routers = some(topology.Routers)
-		f.Links = [][]string{nil, {LinkHosts}, {LinkPeers, LinkHosts}, {LinkList}, {LinkPeers, LinkHosts, LinkList}}[rng.IntN(5)]
-		if k == Blackhole {
-			f.Direction = []Direction{Both, Both, Out, In}[rng.IntN(4)]
+		f.Routers = d.selection(d.topology.Routers)
+		f.Links = [][]string{nil, {LinkHosts}, {LinkPeers, LinkHosts}, {LinkList}, {LinkPeers, LinkHosts, LinkList}}[d.rng.IntN(5)]
+		if f.Kind == Blackhole {
+			f.Direction = []Direction{Both, Both, Out, In}[d.rng.IntN(4)]
 		}
-	case m.targets == routers|hosts && rng.IntN(2) == 0, m.targets == hosts:
-		f.Hosts, f.Disk, f.Keep = some(topology.Hosts), "", 0
+	case m.targets == routers|hosts && d.rng.IntN(2) == 0, m.targets == hosts:
+		f.Hosts, f.Disk, f.RemainingFraction = d.selection(d.topology.Hosts), "", 0
 	default:
-		f.Routers = some(topology.Routers)
+		f.Routers = d.selection(d.topology.Routers)
 	}
-	return f
 }
 
-func zones(of []string) int {
+// countZones returns the number of distinct zones.
+func countZones(of []string) int {
 	all := slices.Clone(of)
 	slices.Sort(all)
 	return len(slices.Compact(all))
--- a/internal/testbed/faults/faults_test.go
+++ b/internal/testbed/faults/faults_test.go
@@ -18,33 +18,33 @@
 func TestCheck(t *testing.T) {
 	for want, f := range map[string]Fault{
 		`"smoke" is unknown`:                         {Kind: "smoke"},
-		`"flip" does not exist in virtual time`:      {Kind: Flip, Length: 1, Share: 0.1, Routers: Select{All: true}},
-		`at is 1s; the play is over after 1s`:        {Kind: Kill, At: time.Second, Routers: Select{All: true}},
-		`length is 500ms from 600ms on`:              {Kind: Kill, At: 600 * ms, Length: 500 * ms, Routers: Select{All: true}},
-		`share is 1.5; it must be from 0 to 1`:       {Kind: Loss, Share: 1.5, Routers: Select{All: true}},
-		`share must be more than 0`:                  {Kind: Loss, Routers: Select{All: true}},
+		`"flip" does not exist in virtual time`:      {Kind: Flip, Length: 1, Share: 0.1, Routers: Selection{All: true}},
+		`at is 1s; the play is over after 1s`:        {Kind: Kill, At: time.Second, Routers: Selection{All: true}},
+		`length is 500ms from 600ms on`:              {Kind: Kill, At: 600 * ms, Length: 500 * ms, Routers: Selection{All: true}},
+		`share is 1.5; it must be from 0 to 1`:       {Kind: Loss, Share: 1.5, Routers: Selection{All: true}},
+		`share must be more than 0`:                  {Kind: Loss, Routers: Selection{All: true}},
 		`routers names no one`:                       {Kind: Kill},
 		`hosts names no one`:                         {Kind: Slow, Size: 2},
-		`routers has 5; there are 5, from 0`:         {Kind: Kill, Routers: Select{Numbers: []int{0, 5}}},
-		`hosts is "c"; nobody stands there`:          {Kind: Kill, Hosts: Select{Zone: "c"}},
-		`links has "walls"`:                          {Kind: Blackhole, Routers: Select{All: true}, Links: []string{"walls"}},
-		`direction is "up"`:                          {Kind: Blackhole, Routers: Select{All: true}, Direction: "up"},
+		`routers has 5; there are 5, from 0`:         {Kind: Kill, Routers: Selection{Numbers: []int{0, 5}}},
+		`hosts is "c"; nobody stands there`:          {Kind: Kill, Hosts: Selection{Zone: "c"}},
+		`links has "walls"`:                          {Kind: Blackhole, Routers: Selection{All: true}, Links: []string{"walls"}},
+		`direction is "up"`:                          {Kind: Blackhole, Routers: Selection{All: true}, Direction: "up"},
 		`groups has router 1 twice`:                  {Kind: Partition, Groups: [][]int{{0, 1}, {1, 2}}},
 		`groups has router 9; there are 5, from 0`:   {Kind: Partition, Groups: [][]int{{0, 1}, {2}}, Bridge: []int{9}},
 		`groups must be "zones" or lists of routers`: {Kind: Partition},
-		`peers has -1`:                               {Kind: Blackhole, Routers: Select{All: true}, Peers: Select{Numbers: []int{-1}}},
-		`disk is "wet"`:                              {Kind: Kill, Routers: Select{All: true}, Disk: "wet"},
+		`peers has -1`:                               {Kind: Blackhole, Routers: Selection{All: true}, Peers: Selection{Numbers: []int{-1}}},
+		`disk is "wet"`:                              {Kind: Kill, Routers: Selection{All: true}, Disk: "wet"},
 	} {
-		world := Rig
+		world := RealProcesses
 		if f.Kind == Flip {
-			world = Lab
+			world = Simulation
 		}
 		f.Source = "x.hcl:7"
 		if err := Check([]Fault{f}, shape, world, time.Second); err == nil || !strings.HasPrefix(err.Error(), "x.hcl:7: ") || !strings.Contains(err.Error(), want) {
 			t.Errorf("got %v, want %s", err, want)
 		}
 	}
-	if err := Check(make([]Fault, Most+1), shape, Rig, time.Second); err == nil {
+	if err := Check(make([]Fault, MaxFaults+1), shape, RealProcesses, time.Second); err == nil {
 		t.Error("a schedule without end is taken")
 	}
 }
@@ -57,25 +57,25 @@
 		hit  [][2]End
 		miss [][2]End
 	}{
-		"a router's links to others": {Fault{Kind: Blackhole, Routers: Select{Numbers: []int{1}}},
+		"a router's links to others": {Fault{Kind: Blackhole, Routers: Selection{Numbers: []int{1}}},
 			[][2]End{{r(1), r(0)}, {r(4), r(1)}}, [][2]End{{r(0), r(2)}, {r(1), h(0)}, {r(1), list}}},
-		"out alone": {Fault{Kind: Blackhole, Routers: Select{Numbers: []int{1}}, Direction: Out},
+		"out alone": {Fault{Kind: Blackhole, Routers: Selection{Numbers: []int{1}}, Direction: Out},
 			[][2]End{{r(1), r(0)}}, [][2]End{{r(0), r(1)}}},
-		"in alone, from one": {Fault{Kind: Blackhole, Routers: Select{Numbers: []int{1}}, Direction: In, Peers: Select{Numbers: []int{2}}},
+		"in alone, from one": {Fault{Kind: Blackhole, Routers: Selection{Numbers: []int{1}}, Direction: In, Peers: Selection{Numbers: []int{2}}},
 			[][2]End{{r(2), r(1)}}, [][2]End{{r(1), r(2)}, {r(0), r(1)}}},
-		"hosts of a zone": {Fault{Kind: Blackhole, Routers: Select{All: true}, Links: []string{LinkHosts}, Hosts: Select{Zone: "b"}},
+		"hosts of a zone": {Fault{Kind: Blackhole, Routers: Selection{All: true}, Links: []string{LinkHosts}, Hosts: Selection{Zone: "b"}},
 			[][2]End{{r(0), h(2)}, {h(2), r(4)}}, [][2]End{{r(0), h(0)}, {r(0), r(1)}, {r(0), list}}},
-		"the list": {Fault{Kind: Delay, Delay: 1, Routers: Select{Zone: "a"}, Links: []string{LinkList}},
+		"the list": {Fault{Kind: Delay, Delay: 1, Routers: Selection{Zone: "a"}, Links: []string{LinkList}},
 			[][2]End{{r(0), list}, {list, r(4)}}, [][2]End{{r(1), list}, {r(0), r(1)}}},
 		"two halves with a bridge": {Fault{Kind: Partition, Groups: [][]int{{0, 1}, {2, 3}}, Bridge: []int{4}},
 			[][2]End{{r(0), r(2)}, {r(3), r(1)}}, [][2]End{{r(0), r(1)}, {r(4), r(0)}, {r(2), r(4)}, {r(0), h(2)}}},
 		"zones apart, hosts too": {Fault{Kind: Partition, Zones: true, Links: []string{LinkPeers, LinkHosts}},
 			[][2]End{{r(0), r(1)}, {r(0), h(2)}, {h(0), r(1)}}, [][2]End{{r(0), r(2)}, {r(1), h(2)}, {r(0), list}}},
-		"a kill": {Fault{Kind: Kill, Routers: Select{All: true}}, nil, [][2]End{{r(0), r(1)}}},
+		"a kill": {Fault{Kind: Kill, Routers: Selection{All: true}}, nil, [][2]End{{r(0), r(1)}}},
 	} {
 		s := Resolve([]Fault{x.f}, shape, 1)[0]
 		for i, ends := range append(slices.Clone(x.hit), x.miss...) {
-			if got, want := s.Hits(ends[0], ends[1]), i < len(x.hit); got != want {
+			if got, want := s.Affects(ends[0], ends[1]), i < len(x.hit); got != want {
 				t.Errorf("%s: %v: got %v", name, ends, got)
 			}
 		}
@@ -85,9 +85,9 @@
 // A link does with so many datagrams what its condition says, the same with the same seed.
 func TestLink(t *testing.T) {
 	on := Resolve([]Fault{
-		{Kind: Loss, Share: 0.2, Routers: Select{All: true}}, {Kind: Duplicate, Share: 0.1, Routers: Select{All: true}},
-		{Kind: Delay, Delay: 10 * ms, Jitter: 5 * ms, Routers: Select{All: true}}, {Kind: Clip, Share: 0.3, Routers: Select{All: true}},
-		{Kind: Flip, Share: 0.4, Routers: Select{All: true}}, {Kind: Reorder, Share: 0.5, Delay: 50 * ms, Routers: Select{All: true}}}, shape, 1)
+		{Kind: Loss, Share: 0.2, Routers: Selection{All: true}}, {Kind: Duplicate, Share: 0.1, Routers: Selection{All: true}},
+		{Kind: Delay, Delay: 10 * ms, Jitter: 5 * ms, Routers: Selection{All: true}}, {Kind: Truncate, Share: 0.3, Routers: Selection{All: true}},
+		{Kind: Flip, Share: 0.4, Routers: Selection{All: true}}, {Kind: Reorder, Share: 0.5, Delay: 50 * ms, Routers: Selection{All: true}}}, shape, 1)
 	pass := func() (all []Copy, none int) {
 		l := NewLink(7, 3)
 		l.Condition = ConditionOf(on, End{N: 0}, End{N: 1})
@@ -147,7 +147,7 @@
 		for range rapid.IntRange(0, 5).Draw(t, "hosts") {
 			topology.Hosts = append(topology.Hosts, rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"))
 		}
-		b := Bounds{Length: 10 * time.Second, World: rapid.SampledFrom([]World{Rig, Lab}).Draw(t, "world")}
+		b := Bounds{Length: 10 * time.Second, World: rapid.SampledFrom([]World{RealProcesses, Simulation}).Draw(t, "world")}
 		seed := rapid.Uint64().Draw(t, "seed")
 		all := Draw(b, topology, seed)
 		if err := Check(all, topology, b.World, b.Length); err != nil {
@@ -176,9 +176,9 @@
 func TestShrink(t *testing.T) {
 	var all []Fault
 	for i := range 20 {
-		all = append(all, Fault{Kind: Freeze, At: time.Duration(i) * time.Second, Length: 4 * time.Second, Routers: Select{Fraction: 0.5}})
+		all = append(all, Fault{Kind: Freeze, At: time.Duration(i) * time.Second, Length: 4 * time.Second, Routers: Selection{Fraction: 0.5}})
 	}
-	all[3].Kind, all[3].Routers = Kill, Select{Numbers: []int{2}}
+	all[3].Kind, all[3].Routers = Kill, Selection{Numbers: []int{2}}
 	all[17].Kind = Blackhole
 	asked := 0
 	fails := func(x Trial) bool {
--- a/internal/testbed/faults/injection.go
+++ b/internal/testbed/faults/injection.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// Injection is a fault with those whom it strikes, as drawn.
+// Injection is a fault with the routers and hosts that it affects.
 type Injection struct {
 	*Fault
 	Routers, Hosts []int // by number, ascending
 	peers          []int
-	all            bool // the list, too: Power of everything
+	listToo        bool // Power of everything: the discovery is down too
 	topology       *Topology
 }
 
-// Resolve draws whom each fault of a schedule strikes. The same seed and shape give the same.
+// Resolve draws whom each fault of a schedule affects. The same seed and topology give the same.
 func Resolve(all []Fault, topology *Topology, seed uint64) []*Injection {
 	var out []*Injection
 	for i := range all {
@@ -22,8 +22,8 @@
 		rng := rand.New(rand.NewPCG(seed, 0xfa017<<16|uint64(i)))
 		s := &Injection{Fault: f, topology: topology}
 		if f.Kind == Power {
-			zone := Select{Zone: f.Zone, All: f.Zone == ""}
-			s.all = f.Zone == ""
+			zone := Selection{Zone: f.Zone, All: f.Zone == ""}
+			s.listToo = f.Zone == ""
 			s.Routers, s.Hosts = zone.draw(topology.Routers, rng), zone.draw(topology.Hosts, rng)
 		} else {
 			s.Routers, s.Hosts = f.Routers.draw(topology.Routers, rng), f.Hosts.draw(topology.Hosts, rng)
@@ -34,10 +34,10 @@
 	return out
 }
 
-// draw returns who is meant, ascending. A part is one at least.
-func (s *Select) draw(zones []string, rng *rand.Rand) (drawn []int) {
+// draw returns the selected ones, ascending. A fraction is one at least.
+func (s *Selection) draw(zones []string, rng *rand.Rand) (drawn []int) {
 	switch {
-	case s.Nobody():
+	case s.IsEmpty():
 		return nil
 	case len(s.Numbers) > 0:
 		drawn = slices.Clone(s.Numbers)
@@ -57,8 +57,8 @@
 	return drawn
 }
 
-// Hits tells whether the fault strikes what goes from one end to another.
-func (s *Injection) Hits(from, to End) bool {
+// Affects reports whether the fault affects messages from one end to another.
+func (s *Injection) Affects(from, to End) bool {
 	m := Of(s.Kind)
 	switch {
 	case !m.OfLinks():
@@ -66,12 +66,12 @@
 	case s.Kind == Partition:
 		return s.separates(from, to)
 	}
-	return s.Direction != In && s.hitsOut(from, to) || s.Direction != Out && s.hitsOut(to, from)
+	return s.Direction != In && s.affectsOutgoing(from, to) || s.Direction != Out && s.affectsOutgoing(to, from)
 }
 
-// hitsOut tells whether one end is among the routers of the fault, and the other is what their
-// links lead to.
-func (s *Injection) hitsOut(from, to End) bool {
+// affectsOutgoing reports whether one end is among the routers of the fault, and the other at the
+// end of one of their affected links.
+func (s *Injection) affectsOutgoing(from, to End) bool {
 	if from.Kind != AtRouter || !slices.Contains(s.Routers, from.N) {
 		return false
 	}
@@ -111,12 +111,12 @@
 	return string(rune('0' + slices.IndexFunc(s.Groups, func(g []int) bool { return slices.Contains(g, e.N) })))
 }
 
-// HitsList tells whether the list is down meanwhile.
-func (s *Injection) HitsList() bool { return s.all }
+// StopsList reports whether the discovery is down meanwhile.
+func (s *Injection) StopsList() bool { return s.listToo }
 
-// Touches tells whether the fault strikes a router itself or one of its links: whatever a checker
-// then holds against it may come from there.
-func (s *Injection) Touches(router int) bool {
+// Concerns reports whether the fault affects a router itself or one of its links: what a checker
+// finds at the router may be the effect of the fault.
+func (s *Injection) Concerns(router int) bool {
 	if slices.Contains(s.Routers, router) {
 		return true
 	}
--- a/internal/testbed/faults/kinds.go
+++ b/internal/testbed/faults/kinds.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// The kinds. Those of links strike what passes between routers, hosts and the list; those of
-// processes strike routers, hosts or both.
+// The kinds. Those of links affect messages between routers, hosts and the discovery; those of
+// processes affect routers, hosts or both.
 const (
 	Loss      Kind = "loss"
 	Delay     Kind = "delay"
 	Duplicate Kind = "duplicate"
 	Reorder   Kind = "reorder"
-	Clip      Kind = "clip"
+	Truncate  Kind = "clip"
 	Flip      Kind = "flip"
 	Blackhole Kind = "cut"
 	Partition Kind = "partition"
@@ -50,54 +50,54 @@
 	hosts
 )
 
-// Meaning is a row of the table of kinds.
-type Meaning struct {
-	Kind    Kind
-	Means   string // while it lasts, and as it ends
-	targets targetSet
-	needs   []string // fields
-	takes   []string // further ones
-	worlds  World
+// KindInfo is a row of the table of kinds.
+type KindInfo struct {
+	Kind     Kind
+	Effect   string // while it lasts, and as it ends
+	targets  targetSet
+	required []string // fields
+	optional []string // further ones
+	worlds   World
 }
 
-// Kinds has every kind. What a schedule may say, what a world refuses and the operators' table come
-// from here.
-var Kinds = []Meaning{
-	{Loss, "a share of datagrams never comes; a piece of a connection's comes later by a retransmission's time", links, []string{"share"}, nil, Rig | Lab | View | Explore},
-	{Delay, "everything comes later by delay, and by up to jitter more", links, []string{"delay"}, []string{"jitter"}, Rig | Lab | View | Explore},
-	{Duplicate, "a share of datagrams comes twice, the second up to delay later", links, []string{"share"}, []string{"delay"}, Rig | Lab | View | Explore},
-	{Reorder, "a share of datagrams comes later by up to delay, past those behind them", links, []string{"share", "delay"}, nil, Rig | Lab | View | Explore},
-	{Clip, "a share of datagrams is cut short", links, []string{"share"}, nil, Rig | View},
-	{Flip, "a share of datagrams has one bit flipped", links, []string{"share"}, nil, Rig | View},
-	{Blackhole, "nothing passes; connections that were open are reset as it ends, new ones never come up", links, nil, nil, Rig | Lab | View | Explore},
-	{Partition, "routers of different groups do not reach each other; bridges reach all", links, nil, []string{"groups", "bridge"}, Rig | Lab | View | Explore},
-
-	{Kill, "the process dies at once, and starts again as it ends", routers | hosts, nil, []string{"disk", "file", "keep"}, Rig | Hosts | Lab | View | Explore},
-	{Power, "routers, hosts and list of a zone, or of all, die at once and start again as it ends", 0, nil, []string{"zone", "disk", "file", "keep"}, Rig | View},
-	{Freeze, "the process stands still", routers, nil, nil, Rig | View | Explore},
-	{Crawl, "the process stands still for a share of the time, in bursts", routers, []string{"share"}, nil, Rig | View},
-	{Restart, "SIGTERM; the process starts again as it ends, once the old one is gone", routers, nil, nil, Rig | View},
-	{Replace, "a second process starts beside; once it takes clients the first gets SIGTERM", routers, nil, nil, Rig | View},
-	{Twin, "a second process starts under the same name and addresses, by mistake, and gets SIGTERM as it ends", routers, nil, nil, Rig},
-	{FullDisk, "no file of the process can grow", routers, nil, nil, Rig},
-	{NoWrite, "the durable folder is no folder, and is again as it ends", routers, nil, nil, Rig},
-	{Reload, "SIGHUP with the same file", routers, nil, nil, Rig},
-	{Withhold, "the management address sends clients away, and takes them again as it ends", routers, nil, nil, Rig},
-
-	{Stall, "streams say nothing, and go on as it ends", hosts, nil, nil, Rig | Hosts},
-	{Reset, "connections are reset, over and over; the process stands", hosts, nil, nil, Rig | Hosts},
-	{Garbage, "what is no event stands in the streams", hosts, nil, nil, Rig | Hosts},
-	{Drain, "the list says so, the host finishes, and starts cold as it ends", hosts, nil, nil, Rig | Hosts},
-	{Refuse, "no new connection comes up; those that are there go on", hosts, nil, nil, Rig | Hosts},
-	{Slow, "the model works size times slower", hosts, []string{"size"}, nil, Rig | Hosts | Lab},
-	{Rename, "the process dies, and starts as it ends under another id at the same address", hosts, nil, nil, Rig | Hosts},
-
-	{OldList, "the list is as it was when the play began, and as it should be as it ends; watches are reset both times", 0, nil, nil, Rig},
-	{Renumber, "the list counts its versions anew from 1 as it begins, and watches are reset", 0, nil, nil, Rig},
+// Kinds has every kind. The fields that a schedule may have, the kinds that a world rejects and the
+// operators' table are derived from it.
+var Kinds = []KindInfo{
+	{Loss, "a share of datagrams never comes; a piece of a connection's comes later by a retransmission's time", links, []string{"share"}, nil, RealProcesses | Simulation | MembershipSimulation | Explorer},
+	{Delay, "everything comes later by delay, and by up to jitter more", links, []string{"delay"}, []string{"jitter"}, RealProcesses | Simulation | MembershipSimulation | Explorer},
+	{Duplicate, "a share of datagrams comes twice, the second up to delay later", links, []string{"share"}, []string{"delay"}, RealProcesses | Simulation | MembershipSimulation | Explorer},
+	{Reorder, "a share of datagrams comes later by up to delay, past those behind them", links, []string{"share", "delay"}, nil, RealProcesses | Simulation | MembershipSimulation | Explorer},
+	{Truncate, "a share of datagrams is cut short", links, []string{"share"}, nil, RealProcesses | MembershipSimulation},
+	{Flip, "a share of datagrams has one bit flipped", links, []string{"share"}, nil, RealProcesses | MembershipSimulation},
+	{Blackhole, "nothing passes; connections that were open are reset as it ends, new ones never come up", links, nil, nil, RealProcesses | Simulation | MembershipSimulation | Explorer},
+	{Partition, "routers of different groups do not reach each other; bridges reach all", links, nil, []string{"groups", "bridge"}, RealProcesses | Simulation | MembershipSimulation | Explorer},
+
+	{Kill, "the process dies at once, and starts again as it ends", routers | hosts, nil, []string{"disk", "file", "keep"}, RealProcesses | FakeHosts | Simulation | MembershipSimulation | Explorer},
+	{Power, "routers, hosts and list of a zone, or of all, die at once and start again as it ends", 0, nil, []string{"zone", "disk", "file", "keep"}, RealProcesses | MembershipSimulation},
+	{Freeze, "the process stands still", routers, nil, nil, RealProcesses | MembershipSimulation | Explorer},
+	{Crawl, "the process stands still for a share of the time, in bursts", routers, []string{"share"}, nil, RealProcesses | MembershipSimulation},
+	{Restart, "SIGTERM; the process starts again as it ends, once the old one is gone", routers, nil, nil, RealProcesses | MembershipSimulation},
+	{Replace, "a second process starts beside; once it takes clients the first gets SIGTERM", routers, nil, nil, RealProcesses | MembershipSimulation},
+	{Twin, "a second process starts under the same name and addresses, by mistake, and gets SIGTERM as it ends", routers, nil, nil, RealProcesses},
+	{FullDisk, "no file of the process can grow", routers, nil, nil, RealProcesses},
+	{NoWrite, "the durable folder is no folder, and is again as it ends", routers, nil, nil, RealProcesses},
+	{Reload, "SIGHUP with the same file", routers, nil, nil, RealProcesses},
+	{Withhold, "the management address sends clients away, and takes them again as it ends", routers, nil, nil, RealProcesses},
+
+	{Stall, "streams say nothing, and go on as it ends", hosts, nil, nil, RealProcesses | FakeHosts},
+	{Reset, "connections are reset, over and over; the process stands", hosts, nil, nil, RealProcesses | FakeHosts},
+	{Garbage, "what is no event stands in the streams", hosts, nil, nil, RealProcesses | FakeHosts},
+	{Drain, "the list says so, the host finishes, and starts cold as it ends", hosts, nil, nil, RealProcesses | FakeHosts},
+	{Refuse, "no new connection comes up; those that are there go on", hosts, nil, nil, RealProcesses | FakeHosts},
+	{Slow, "the model works size times slower", hosts, []string{"size"}, nil, RealProcesses | FakeHosts | Simulation},
+	{Rename, "the process dies, and starts as it ends under another id at the same address", hosts, nil, nil, RealProcesses | FakeHosts},
+
+	{OldList, "the list is as it was when the play began, and as it should be as it ends; watches are reset both times", 0, nil, nil, RealProcesses},
+	{Renumber, "the list counts its versions anew from 1 as it begins, and watches are reset", 0, nil, nil, RealProcesses},
 }
 
-// Of returns a kind's row, nil for one that there is not.
-func Of(k Kind) *Meaning {
+// Of returns the row of a kind, nil for an unknown one.
+func Of(k Kind) *KindInfo {
 	for i := range Kinds {
 		if Kinds[i].Kind == k {
 			return &Kinds[i]
@@ -106,19 +106,19 @@
 	return nil
 }
 
-// In tells whether a world has the kind.
-func (m *Meaning) In(w World) bool { return m.worlds&w != 0 }
+// In reports whether a world has the kind.
+func (m *KindInfo) In(w World) bool { return m.worlds&w != 0 }
 
-// OfLinks tells whether the kind strikes links.
-func (m *Meaning) OfLinks() bool { return m.targets&links != 0 }
+// OfLinks reports whether the kind affects links.
+func (m *KindInfo) OfLinks() bool { return m.targets&links != 0 }
 
 // Needed returns the fields that a block of the kind must have.
-func (m *Meaning) Needed() []string { return m.needs }
+func (m *KindInfo) Needed() []string { return m.required }
 
 // Fields returns all fields that a block of the kind may have.
-func (m *Meaning) Fields() []string {
-	all := append([]string{"at", "length"}, m.needs...)
-	all = append(all, m.takes...)
+func (m *KindInfo) Fields() []string {
+	all := append([]string{"at", "length"}, m.required...)
+	all = append(all, m.optional...)
 	if m.targets&links != 0 {
 		all = append(all, "routers", "links", "peers", "hosts", "direction")
 	}
@@ -131,7 +131,7 @@
 	return all
 }
 
-// Table is the kinds as a table of Markdown, for people and for the operators' page.
+// Table returns the kinds as a table in Markdown, for the operators' page.
 func Table() string {
 	var b strings.Builder
 	b.WriteString("| fault | while it lasts, and as it ends | needs | may have | where |\n| --- | --- | --- | --- | --- |\n")
@@ -140,7 +140,7 @@
 		for _, w := range []struct {
 			world World
 			name  string
-		}{{Rig, "rig"}, {Hosts, "serve-fleet"}, {Lab, "lab"}, {View, "view"}, {Explore, "explorer"}} {
+		}{{RealProcesses, "rig"}, {FakeHosts, "serve-fleet"}, {Simulation, "lab"}, {MembershipSimulation, "view"}, {Explorer, "explorer"}} {
 			if m.In(w.world) {
 				where = append(where, w.name)
 			}
@@ -151,8 +151,8 @@
 			}
 			return "`" + strings.Join(all, "`, `") + "`"
 		}
-		may := m.Fields()[2+len(m.needs):]
-		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s |\n", m.Kind, m.Means, code(m.needs), code(may), strings.Join(where, ", "))
+		may := m.Fields()[2+len(m.required):]
+		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s |\n", m.Kind, m.Effect, code(m.required), code(may), strings.Join(where, ", "))
 	}
 	return b.String()
 }
--- a/internal/testbed/faults/link.go
+++ b/internal/testbed/faults/link.go
@@ -22,7 +22,7 @@
 func ConditionOf(on []*Injection, from, to End) (c Condition) {
 	join := func(a *float64, b float64) { *a = 1 - (1-*a)*(1-b) }
 	for _, s := range on {
-		if !s.Hits(from, to) {
+		if !s.Affects(from, to) {
 			continue
 		}
 		switch s.Kind {
@@ -37,7 +37,7 @@
 		case Reorder:
 			join(&c.Reorder, s.Share)
 			c.ReorderBy = max(c.ReorderBy, s.Fault.Delay)
-		case Clip:
+		case Truncate:
 			join(&c.Clip, s.Share)
 		case Flip:
 			join(&c.Flip, s.Share)
--- a/internal/testbed/faults/text.go
+++ b/internal/testbed/faults/text.go
@@ -27,9 +27,9 @@
 	share := func(x float64) string { return strconv.FormatFloat(x, 'g', -1, 64) }
 	line("at", f.When == nil, span(f.At))
 	line("length", true, span(f.Length))
-	line("routers", !f.Routers.Nobody(), f.Routers.text())
-	line("hosts", !f.Hosts.Nobody(), f.Hosts.text())
-	line("peers", !f.Peers.Nobody(), f.Peers.text())
+	line("routers", !f.Routers.IsEmpty(), f.Routers.text())
+	line("hosts", !f.Hosts.IsEmpty(), f.Hosts.text())
+	line("peers", !f.Peers.IsEmpty(), f.Peers.text())
 	line("zone", f.Zone != "", strconv.Quote(f.Zone))
 	var links []string
 	for _, l := range f.Links {
@@ -53,7 +53,7 @@
 	line("jitter", f.Jitter != 0, span(f.Jitter))
 	line("disk", f.Disk != "", strconv.Quote(string(f.Disk)))
 	line("file", f.File != "", strconv.Quote(f.File))
-	line("keep", f.Keep != 0, share(f.Keep))
+	line("keep", f.RemainingFraction != 0, share(f.RemainingFraction))
 	if w := f.When; w != nil {
 		b.WriteString("  when {\n")
 		line("  what", w.What != "", strconv.Quote(w.What))
@@ -66,7 +66,7 @@
 	b.WriteString("}\n")
 }
 
-func (s *Select) text() string {
+func (s *Selection) text() string {
 	switch {
 	case s.All:
 		return `"all"`
--- a/internal/testbed/faults/types.go
+++ b/internal/testbed/faults/types.go
@@ -1,17 +1,14 @@
-// Package faults is the one vocabulary of what goes wrong with a fleet: the kinds in a table,
-// schedules of them, what a schedule makes of each link at each moment, drawing and shrinking. The
-// rig plays schedules on processes, serve-fleet on stand-in hosts, the lab in virtual time and the
-// explorer in all orders; a fault has the same name in all of them.
+// Package faults is the one vocabulary of faults that tests inject into a fleet: a table of kinds,
+// schedules of them, their effect on each link at each moment, and drawing and shrinking of
+// schedules. Chaos tests play schedules on processes, serve-fleet on fake hosts, the simulator in
+// virtual time and the explorer in all orders; a fault has the same name in all of them.
 //
-// This file is the interface's types; kinds.go has the table, check.go what is wrong with a
-// schedule, strike.go whom a fault strikes, link.go what becomes of a datagram, draw.go and
-// shrink.go what their names say. Everything here is pure: no I/O, no clock, no goroutine, and all
-// chance from seeds. It imports nothing of ours.
+// The package is pure: no I/O, no clock, no goroutine, and all random choices from seeds.
 package faults
 
 import "time"
 
-// Kind names what goes wrong.
+// Kind names a fault.
 type Kind string
 
 // World is where a fault may be played.
@@ -19,15 +16,15 @@
 
 // The worlds.
 const (
-	Rig     World = 1 << iota // processes on loopback
-	Hosts                     // stand-in hosts alone, as serve-fleet starts them
-	Lab                       // virtual time
-	View                      // virtual time of the fleet view
-	Explore                   // all orders
+	RealProcesses        World = 1 << iota // processes on loopback
+	FakeHosts                              // fake hosts alone, as serve-fleet starts them
+	Simulation                             // virtual time
+	MembershipSimulation                   // virtual time of the membership protocol
+	Explorer                               // all orders
 )
 
-// Most bounds the faults of one schedule.
-const Most = 256
+// MaxFaults bounds the faults of one schedule.
+const MaxFaults = 256
 
 // Fault is one block of a schedule.
 type Fault struct {
@@ -36,25 +33,25 @@
 	When   *When         // nil for a time of the play
 	Length time.Duration
 
-	Routers Select // whom it strikes, or one end of the links
-	Hosts   Select
+	Routers Selection // that it affects, or one end of the links
+	Hosts   Selection
 	Zone    string // of Power, empty for all
 
-	Links     []string  // of Routers: to LinkPeers, LinkHosts, LinkList; none counts as LinkPeers
-	Peers     Select    // the other ends among routers; nobody counts as all
-	Direction Direction // of Cut and the other link kinds, seen from Routers
-	Groups    [][]int   // of Partition, routers by number
-	Zones     bool      // Groups are the zones, hosts included where Links has LinkHosts
-	Bridge    []int     // of Partition: routers that all groups reach
-	Share     float64   // of the datagrams, or of the time (Crawl)
-	Size      float64   // of Slow: times
-	Delay     time.Duration
-	Jitter    time.Duration
-	Disk      Disk    // that a router comes back with; empty counts as DiskOwn
-	File      string  // of DiskCut, a pattern below the folder; empty for every file
-	Keep      float64 // of DiskCut: the share of the file's bytes that stays
-
-	Source string // file and line, for whoever is told of it
+	Links             []string  // of Routers: to LinkPeers, LinkHosts, LinkList; none counts as LinkPeers
+	Peers             Selection // the other ends among routers; nobody counts as all
+	Direction         Direction // of Cut and the other link kinds, seen from Routers
+	Groups            [][]int   // of Partition, routers by number
+	Zones             bool      // Groups are the zones, hosts included where Links has LinkHosts
+	Bridge            []int     // of Partition: routers that all groups reach
+	Share             float64   // of the datagrams, or of the time (Crawl)
+	Size              float64   // of Slow: times
+	Delay             time.Duration
+	Jitter            time.Duration
+	Disk              Disk    // that a router restarts with; empty counts as DiskUnchanged
+	File              string  // of DiskTruncated: a pattern below the folder; empty for every file
+	RemainingFraction float64 // of DiskTruncated: of the file's bytes
+
+	Source string // file and line, for errors
 }
 
 // When is the event that a fault waits for, as the history has it. Empty fields fit everything.
@@ -63,16 +60,16 @@
 	Nth             int    // 0 counts as 1
 }
 
-// Select is a number of routers or of hosts. Its zero value is nobody.
-type Select struct {
+// Selection is a number of routers or of hosts. Its zero value is nobody.
+type Selection struct {
 	All      bool
 	Numbers  []int   // from 0
 	Zone     string  // all of a zone
 	Fraction float64 // of all, drawn by the schedule's seed
 }
 
-// Nobody tells whether it names no one.
-func (s *Select) Nobody() bool {
+// IsEmpty tells whether it names no one.
+func (s *Selection) IsEmpty() bool {
 	return !s.All && len(s.Numbers) == 0 && s.Zone == "" && s.Fraction == 0
 }
 
@@ -83,7 +80,7 @@
 	LinkList  = "list"
 )
 
-// Direction is which way of a link is struck, as the routers of the fault see it.
+// Direction is the affected direction of a link, seen from the routers of the fault.
 type Direction string
 
 // The directions. Empty counts as Both.
--- a/internal/testbed/leasesim/leasesim_test.go
+++ b/internal/testbed/leasesim/leasesim_test.go
@@ -22,7 +22,7 @@
 type played struct {
 	w        *leasesim.World
 	events   []history.Event
-	verdicts []checker.Verdict
+	verdicts []checker.Violation
 }
 
 func play(t *testing.T, s leasesim.Spec) played {
@@ -50,14 +50,14 @@
 func drawn(seed uint64) leasesim.Spec {
 	s := leasesim.Spec{Seed: seed, Routers: 5 + int(seed%3), Zones: 1 + int(seed%3), Voters: 3 + 2*int(seed%2), Roles: roles, Length: 50 * time.Second, ClockDrift: lease.MaxClockDrift, ReplaceTimeout: 6 * time.Second}
 	s.Candidates = min(s.Voters+1, s.Routers)
-	s.Faults = faults.Draw(faults.Bounds{Length: 30 * time.Second, World: faults.View}, s.Topology(), seed)
+	s.Faults = faults.Draw(faults.Bounds{Length: 30 * time.Second, World: faults.MembershipSimulation}, s.Topology(), seed)
 	older := false
 	for i := range s.Faults {
 		f := &s.Faults[i]
 		f.At += 3 * time.Second
 		// One alone: who else knew may have to be there.
 		if f.Disk == faults.DiskTruncated && f.Kind == faults.Kill && !older && len(f.Routers.Numbers) == 1 {
-			f.Disk, f.Keep, older = faults.DiskOlder, 0, true
+			f.Disk, f.RemainingFraction, older = faults.DiskOlder, 0, true
 		}
 	}
 	return s
@@ -139,11 +139,11 @@
 func TestPlantedFaultsAreFound(t *testing.T) {
 	var pauses, kills, blackHoles []faults.Fault
 	for i := range 20 {
-		blackHoles = append(blackHoles, faults.Fault{Kind: faults.Blackhole, At: time.Duration(4+5*i) * time.Second, Length: 4 * time.Second, Routers: faults.Select{Numbers: []int{i % 5}}})
+		blackHoles = append(blackHoles, faults.Fault{Kind: faults.Blackhole, At: time.Duration(4+5*i) * time.Second, Length: 4 * time.Second, Routers: faults.Selection{Numbers: []int{i % 5}}})
 		at := time.Duration(4+5*i) * time.Second
-		pauses = append(pauses, faults.Fault{Kind: faults.Freeze, At: at, Length: 3 * time.Second, Routers: faults.Select{Numbers: []int{i % 5}}})
-		kills = append(kills, faults.Fault{Kind: faults.Kill, At: at, Length: time.Second, Routers: faults.Select{Numbers: []int{i % 3}}},
-			faults.Fault{Kind: faults.Blackhole, At: at - 900*time.Millisecond, Length: 2 * time.Second, Routers: faults.Select{Numbers: []int{3, 4}}, Links: []string{faults.LinkPeers}})
+		pauses = append(pauses, faults.Fault{Kind: faults.Freeze, At: at, Length: 3 * time.Second, Routers: faults.Selection{Numbers: []int{i % 5}}})
+		kills = append(kills, faults.Fault{Kind: faults.Kill, At: at, Length: time.Second, Routers: faults.Selection{Numbers: []int{i % 3}}},
+			faults.Fault{Kind: faults.Blackhole, At: at - 900*time.Millisecond, Length: 2 * time.Second, Routers: faults.Selection{Numbers: []int{3, 4}}, Links: []string{faults.LinkPeers}})
 	}
 	slices.SortStableFunc(kills, func(a, b faults.Fault) int { return int(a.At - b.At) })
 	base := leasesim.Spec{Routers: 5, Voters: 3, Roles: roles[:1], Length: 110 * time.Second, ClockDrift: lease.MaxClockDrift, ActInterval: 5 * time.Millisecond}
--- a/internal/testbed/leasesim/measure_test.go
+++ b/internal/testbed/leasesim/measure_test.go
@@ -104,7 +104,7 @@
 				continue // one fault at a time
 			}
 			f := s
-			f.Faults = []faults.Fault{{Kind: faults.Kill, At: at, Length: 10 * time.Second, Routers: faults.Select{Numbers: []int{who}}}}
+			f.Faults = []faults.Fault{{Kind: faults.Kill, At: at, Length: 10 * time.Second, Routers: faults.Selection{Numbers: []int{who}}}}
 			if w, err = leasesim.New(f); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/testbed/leasesim/spec.go
+++ b/internal/testbed/leasesim/spec.go
@@ -70,7 +70,7 @@
 	s.Latency = cmp.Or(s.Latency, defaultLatency)
 	s.ActInterval = cmp.Or(s.ActInterval, defaultActInterval)
 	s.ReplaceTimeout = cmp.Or(s.ReplaceTimeout, defaultReplaceTimeout)
-	return faults.Check(s.Faults, s.Topology(), faults.View, s.Length)
+	return faults.Check(s.Faults, s.Topology(), faults.MembershipSimulation, s.Length)
 }
 
 // isShared reports whether a role may have several holders: their acts need no token.
--- a/internal/testbed/membershipsim/drawn_test.go
+++ b/internal/testbed/membershipsim/drawn_test.go
@@ -14,7 +14,7 @@
 	if seed%3 == 0 {
 		s.Seeds = 3 + s.Routers/4
 	}
-	b := faults.Bounds{Length: 30 * sec, Faults: 5, World: faults.View}
+	b := faults.Bounds{Length: 30 * sec, Faults: 5, World: faults.MembershipSimulation}
 	for _, f := range faults.Draw(b, s.Topology(), seed) {
 		f.Links, f.At = nil, f.At+5*sec
 		s.Faults = append(s.Faults, f)
@@ -52,7 +52,7 @@
 		switch f.Kind {
 		case faults.Crawl:
 			return true
-		case faults.Loss, faults.Clip, faults.Flip:
+		case faults.Loss, faults.Truncate, faults.Flip:
 			lost += f.Share
 		}
 	}
--- a/internal/testbed/membershipsim/measure_test.go
+++ b/internal/testbed/membershipsim/measure_test.go
@@ -67,7 +67,7 @@
 	const n = 300
 	length := time.Duration(*hours / n * float64(time.Hour)).Round(time.Second)
 	w := world(t, Spec{Seed: *firstOf, Routers: n, Zones: 3, Length: length, StartConverged: true, Pauses: time.Minute, Pause: sec,
-		Faults: []faults.Fault{{Kind: faults.Loss, Share: 0.2, Length: length, Routers: faults.Select{All: true}}}})
+		Faults: []faults.Fault{{Kind: faults.Loss, Share: 0.2, Length: length, Routers: faults.Selection{All: true}}}})
 	if err := w.Run(length); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testbed/membershipsim/membershipsim.go
+++ b/internal/testbed/membershipsim/membershipsim.go
@@ -113,7 +113,7 @@
 	if s.Routers < 1 || s.Routers > 60000 {
 		return nil, fmt.Errorf("spec: Routers is %d; it must be from 1 to 60000", s.Routers)
 	}
-	if err := faults.Check(s.Faults, s.Topology(), faults.View, s.Length); err != nil {
+	if err := faults.Check(s.Faults, s.Topology(), faults.MembershipSimulation, s.Length); err != nil {
 		return nil, err
 	}
 	for _, f := range s.Faults {
@@ -327,7 +327,7 @@
 		return false
 	}
 	for _, s := range w.injections {
-		if partitioned := s.Kind == faults.Partition || s.Kind == faults.Blackhole && s.Touches(r.n); partitioned && w.now >= s.At && w.now < s.At+s.Length+wellFor {
+		if partitioned := s.Kind == faults.Partition || s.Kind == faults.Blackhole && s.Concerns(r.n); partitioned && w.now >= s.At && w.now < s.At+s.Length+wellFor {
 			return false
 		}
 		if still := s.Kind == faults.Freeze && slices.Contains(s.Routers, r.n); still && w.now >= s.At && w.now < s.At+s.Length+wellFor && s.Length > maxFreeze {
--- a/internal/testbed/membershipsim/membershipsim_test.go
+++ b/internal/testbed/membershipsim/membershipsim_test.go
@@ -33,7 +33,7 @@
 	return at - from
 }
 
-func numbers(ns ...int) faults.Select { return faults.Select{Numbers: ns} }
+func numbers(ns ...int) faults.Selection { return faults.Selection{Numbers: ns} }
 
 // Fleets of any size that all start at once settle on one view, whatever each knows at first.
 func TestJoin(t *testing.T) {
@@ -63,7 +63,7 @@
 	return all
 }
 
-var everyone = faults.Select{All: true}
+var everyone = faults.Selection{All: true}
 
 // The hard cases: each settles within the bound, breaks no invariant, and takes nobody for dead who
 // lives and can be reached.
@@ -71,7 +71,7 @@
 	steps := restarts(4*sec, sec, 1, 2, 4, 5, 7, 8, 10, 11, 13, 14, 16, 17, 19, 20)
 	var killed []faults.Fault
 	for i := range 5 {
-		killed = append(killed, faults.Fault{Kind: faults.Kill, At: 5 * sec, Length: time.Duration(2+i) * sec, Routers: faults.Select{Fraction: 0.14}})
+		killed = append(killed, faults.Fault{Kind: faults.Kill, At: 5 * sec, Length: time.Duration(2+i) * sec, Routers: faults.Selection{Fraction: 0.14}})
 	}
 	all := func(k faults.Kind, share float64, length time.Duration) faults.Fault {
 		return faults.Fault{Kind: k, At: 5 * sec, Length: length, Share: share, Routers: everyone}
@@ -87,8 +87,8 @@
 		faults  []faults.Fault
 		changes int // that any router may tell of at most; 0 for no bound
 	}{
-		"restarts while a zone is cut off": {24, append(steps, faults.Fault{Kind: faults.Blackhole, At: 3 * sec, Length: 12 * sec, Routers: faults.Select{Zone: "a"}, Peers: faults.Select{Zone: "b"}},
-			faults.Fault{Kind: faults.Blackhole, At: 3 * sec, Length: 12 * sec, Routers: faults.Select{Zone: "a"}, Peers: faults.Select{Zone: "c"}}), 0},
+		"restarts while a zone is cut off": {24, append(steps, faults.Fault{Kind: faults.Blackhole, At: 3 * sec, Length: 12 * sec, Routers: faults.Selection{Zone: "a"}, Peers: faults.Selection{Zone: "b"}},
+			faults.Fault{Kind: faults.Blackhole, At: 3 * sec, Length: 12 * sec, Routers: faults.Selection{Zone: "a"}, Peers: faults.Selection{Zone: "c"}}), 0},
 		"seven in ten killed, back after 2 to 6 s": {60, killed, 0},
 		"stands still for less":                    {9, []faults.Fault{{Kind: faults.Freeze, At: 5 * sec, Length: 1200 * ms, Routers: numbers(3)}}, 1},
 		"stands still for more":                    {9, []faults.Fault{{Kind: faults.Freeze, At: 5 * sec, Length: 20 * sec, Routers: numbers(3)}}, 9},
@@ -96,7 +96,7 @@
 		"all crawl":                                {9, []faults.Fault{all(faults.Crawl, 0.6, 20*sec)}, 1},
 		"all answers take 1.2 s":                   {9, []faults.Fault{slow}, 1},
 		"loss, late, twice, minutes old":           {30, []faults.Fault{all(faults.Loss, 0.2, 20*sec), late, old, all(faults.Duplicate, 0.2, 20*sec)}, 1},
-		"flipped bits and cuts":                    {9, []faults.Fault{all(faults.Flip, 0.2, 20*sec), all(faults.Clip, 0.1, 20*sec)}, 1},
+		"flipped bits and cuts":                    {9, []faults.Fault{all(faults.Flip, 0.2, 20*sec), all(faults.Truncate, 0.1, 20*sec)}, 1},
 		"one way between two":                      {9, []faults.Fault{{Kind: faults.Blackhole, At: 5 * sec, Length: time.Minute, Routers: numbers(0), Peers: numbers(1), Direction: faults.Out}}, 1},
 		"halves with a bridge":                     {9, []faults.Fault{{Kind: faults.Partition, At: 5 * sec, Length: time.Minute, Groups: [][]int{{0, 1, 2, 3}, {4, 5, 6, 7}}, Bridge: []int{8}}}, 2},
 		"one deaf":                                 {9, []faults.Fault{{Kind: faults.Blackhole, At: 5 * sec, Length: 30 * sec, Routers: numbers(2), Direction: faults.In}}, 0},
--- a/internal/testbed/simulator/disruption.go
+++ b/internal/testbed/simulator/disruption.go
@@ -212,7 +212,7 @@
 
 // firstDisruptionNumber is where the numbers of disruptions begin among those of a history's
 // faults.
-const firstDisruptionNumber = faults.Most
+const firstDisruptionNumber = faults.MaxFaults
 
 // disruptionFault is the fault that excuses what a disruption does.
 var disruptionFault = map[DisruptionKind]string{SlowHosts: "slow", RouterCrash: "kill", HostsDie: "kill", Replace: "kill", Release: "drain", LostZone: "power", ListLost: "cut",
--- a/internal/testbed/simulator/faults.go
+++ b/internal/testbed/simulator/faults.go
@@ -48,7 +48,7 @@
 // routers or from none, and so is the list: a world has one list, and hosts whose answers all
 // routers hear.
 func (s *Spec) checkFaults() error {
-	if err := faults.Check(s.Faults, s.Topology(), faults.Lab, s.Length); err != nil {
+	if err := faults.Check(s.Faults, s.Topology(), faults.Simulation, s.Length); err != nil {
 		return err
 	}
 	for i := range s.Faults {
--- a/internal/testbed/simulator/loss_test.go
+++ b/internal/testbed/simulator/loss_test.go
@@ -32,11 +32,11 @@
 		s.Classes[i].Rate *= 0.5 + 2*rng.Float64() // up to far more than the fleet can do
 	}
 	tenths := func(least, most int) time.Duration { return time.Duration(least+rng.IntN(most-least+1)) * 100 * ms }
-	some := func() faults.Select {
+	some := func() faults.Selection {
 		if rng.IntN(3) == 0 {
-			return faults.Select{Fraction: 0.1 + 0.9*rng.Float64()}
+			return faults.Selection{Fraction: 0.1 + 0.9*rng.Float64()}
 		}
-		return faults.Select{All: true}
+		return faults.Selection{All: true}
 	}
 	at := tenths(30, 90)
 	for range 1 + rng.IntN(2)*rng.IntN(5) {
@@ -53,7 +53,7 @@
 			}
 		}
 		if rng.IntN(3) == 0 {
-			s.Faults = append(s.Faults, faults.Fault{Kind: faults.Blackhole, At: at + tenths(0, 10), Length: tenths(2, 60), Routers: faults.Select{All: true}, Links: []string{faults.LinkList}})
+			s.Faults = append(s.Faults, faults.Fault{Kind: faults.Blackhole, At: at + tenths(0, 10), Length: tenths(2, 60), Routers: faults.Selection{All: true}, Links: []string{faults.LinkList}})
 		}
 		at += tenths(8, 45)
 		if at > 13*time.Second {
--- a/internal/testbed/simulator/spec.go
+++ b/internal/testbed/simulator/spec.go
@@ -40,8 +40,8 @@
 	Faults      []faults.Fault // those that exist in virtual time
 	Captured    []Planned      // in the order of their times; if there are any, no load is drawn
 
-	// History gets each event, in the form that package checker reads; nil for none. The simulator
-	// reuses the event afterwards.
+	// History gets each event, in the form that package checker reads; nil for none. It must not
+	// keep the event.
 	History func(*history.Event)
 
 	// New makes a router's decider; nil for that of package balance.
--- a/internal/testbed/simulator/vast_test.go
+++ b/internal/testbed/simulator/vast_test.go
@@ -62,8 +62,8 @@
 	for seed := range uint64(4) {
 		s := vast(seed)
 		s.Gate = true
-		s.Faults = []faults.Fault{{Kind: faults.Kill, At: 4 * time.Second, Length: 2 * time.Second, Routers: faults.Select{All: true}},
-			{Kind: faults.Kill, At: 4 * time.Second, Length: time.Second, Hosts: faults.Select{All: true}}}
+		s.Faults = []faults.Fault{{Kind: faults.Kill, At: 4 * time.Second, Length: 2 * time.Second, Routers: faults.Selection{All: true}},
+			{Kind: faults.Kill, At: 4 * time.Second, Length: time.Second, Hosts: faults.Selection{All: true}}}
 		r, _ := run(t, s)
 		good := uint64(0)
 		for _, x := range r.Seconds[6 : 5+int(s.Balance.SlowStartWindow/time.Second)] {
