--- a/balance/state.go
+++ b/balance/state.go
@@ -126,11 +126,11 @@
 	limit          float64 // of concurrent requests of this router
 	limitReducedAt time.Duration
 	latencyRatio   decayed.Estimate // observed over expected time to the first token
-	outlier        outlier.State   // failures that this and other routers saw
-	failures       int             // in a row
-	crashed        bool            // connections were refused more than once in a row
-	ejectedUntil   time.Duration   // 0 for not ejected
-	ejectionTime   time.Duration   // of the last ejection
+	outlier        outlier.State    // failures that this and other routers saw
+	failures       int              // in a row
+	crashed        bool             // connections were refused more than once in a row
+	ejectedUntil   time.Duration    // 0 for not ejected
+	ejectionTime   time.Duration    // of the last ejection
 
 	// Assignment.
 	assignees     []int // routers that it is assigned to
