--- a/cmd/reachlab/rig.go
+++ b/cmd/reachlab/rig.go
@@ -42,16 +42,12 @@
 		if err != nil {
 			return err
 		}
-		for _, k := range *kinds {
-			if m := faults.Of(faults.Kind(k)); m == nil || !m.In(faults.RealProcesses) {
-				return fmt.Errorf("--kinds has %q, which is no fault of the rig: reachlab faults lists them", k)
-			}
-			s.Kinds = append(s.Kinds, faults.Kind(k))
-		}
-		s.Drawn = cmd.Flags().Changed("seed") || s.Until > 0 || s.Plays > 1
-		if s.Drawn && len(x.Faults) > 0 && (s.Until > 0 || s.Plays > 1) && !cmd.Flags().Changed("seed") {
-			s.Drawn = false // the file's own, over and over
+		if s.Kinds, err = chaosKinds(*kinds); err != nil {
+			return err
 		}
+		seeded := cmd.Flags().Changed("seed")
+		repeated := s.Until > 0 || s.Plays > 1
+		s.Drawn = seeded || repeated && len(x.Faults) == 0 // else the file's own, over and over
 		s.Experiment, s.Profile = x, *profile
 		if s.Program, err = routerBinary(*program); err != nil {
 			return err
@@ -65,28 +61,45 @@
 			}
 			s.Folder = *folder
 		}
-		failed := 0
-		out := cmd.OutOrStdout()
-		err = s.Run(cmd.Context(), func(p *chaos.Played) {
-			if p.Err != nil || len(p.Result.Verdicts) > 0 {
-				failed++
-			}
-			if *asJSON {
-				line, _ := json.Marshal(p.Summary())
-				fmt.Fprintln(out, string(line))
-				return
-			}
-			p.Write(out)
-		})
-		if err != nil {
-			return err
+		return runSeries(cmd, &s, *asJSON)
+	}
+	return c
+}
+
+// chaosKinds returns the kinds of faults of those names. It fails at one that does not exist for
+// processes.
+func chaosKinds(names []string) (kinds []faults.Kind, err error) {
+	for _, k := range names {
+		if m := faults.Of(faults.Kind(k)); m == nil || !m.In(faults.RealProcesses) {
+			return nil, fmt.Errorf("--kinds has %q, which is no fault of the rig: reachlab faults lists them", k)
 		}
-		if failed > 0 {
-			return fmt.Errorf("%d plays failed", failed)
+		kinds = append(kinds, faults.Kind(k))
+	}
+	return kinds, nil
+}
+
+// runSeries runs a series and prints each run. It fails where a run did.
+func runSeries(cmd *cobra.Command, s *chaos.Series, asJSON bool) error {
+	failed := 0
+	out := cmd.OutOrStdout()
+	err := s.Run(cmd.Context(), func(p *chaos.Played) {
+		if p.Err != nil || len(p.Result.Verdicts) > 0 {
+			failed++
 		}
-		return nil
+		if asJSON {
+			line, _ := json.Marshal(p.Summary())
+			fmt.Fprintln(out, string(line))
+			return
+		}
+		p.Write(out)
+	})
+	if err != nil {
+		return err
 	}
-	return c
+	if failed > 0 {
+		return fmt.Errorf("%d plays failed", failed)
+	}
+	return nil
 }
 
 // routerBinary finds the router's program.
--- a/internal/testbed/experiment/file.go
+++ b/internal/testbed/experiment/file.go
@@ -236,14 +236,30 @@
 	}
 }
 
+// defaultSpec returns the world of a file without fields.
+func defaultSpec() simulator.Spec {
+	return simulator.Spec{
+		Length:  time.Minute,
+		Tick:    5 * time.Millisecond,
+		Routers: 1,
+		Balance: balance.Config{MaxAttempts: 4, SlowStartMinCapacity: 1},
+		Net: simulator.Network{
+			Same:              300 * time.Microsecond,
+			Cross:             2 * time.Millisecond,
+			Jitter:            0.2,
+			Connect:           50 * time.Millisecond,
+			Idle:              15 * time.Second,
+			StreamIdleTimeout: 4500 * time.Millisecond,
+		},
+		List:    simulator.List{Delay: 50 * time.Millisecond, Spread: 200 * time.Millisecond},
+		Front:   simulator.Front{Notice: 2 * time.Second},
+		Retries: simulator.Retries{Max: 2, After: 200 * time.Millisecond, Heed: true},
+	}
+}
+
 func (d *decoder) file(x *Experiment, b *hclsyntax.Body) {
 	s := &x.Spec
-	*s = simulator.Spec{Length: time.Minute, Tick: 5 * time.Millisecond, Routers: 1,
-		Balance: balance.Config{MaxAttempts: 4, SlowStartMinCapacity: 1},
-		Net: simulator.Network{Same: 300 * time.Microsecond, Cross: 2 * time.Millisecond, Jitter: 0.2, Connect: 50 * time.Millisecond,
-			Idle: 15 * time.Second, StreamIdleTimeout: 4500 * time.Millisecond},
-		List: simulator.List{Delay: 50 * time.Millisecond, Spread: 200 * time.Millisecond}, Front: simulator.Front{Notice: 2 * time.Second},
-		Retries: simulator.Retries{Max: 2, After: 200 * time.Millisecond, Heed: true}}
+	*s = defaultSpec()
 	names := map[string]bool{}
 	d.body(b, "an experiment", fields{
 		"seeds":    d.seeds(x),
