--- a/internal/testbed/checker/answer.go
+++ b/internal/testbed/checker/answer.go
@@ -60,13 +60,12 @@
 	}
 }
 
-// excused tells whether what was done to the router that has a request explains anything that
-// became of it.
+// excused reports whether a fault of the router that has a request excuses any end of it.
 func (c *Case) excused(r *Request, to int64) bool {
 	return c.FaultDuring(append(processEnds, processStalls...), r.Ask.T, to, affectsRouter(r.Ask.Who))
 }
 
-// brokenBy tells whether something was done to a host that had the request, or to the way there.
+// brokenBy reports whether a fault affected a host that had the request, or the link to it.
 func (c *Case) brokenBy(r *Request, to int64) bool {
 	for _, a := range r.Attempts {
 		if c.FaultDuring(hostFailures, r.Ask.T, to, affectsHost(a.Host)) || c.FaultDuring(linkFaults, r.Ask.T, to, affectsLink(a.Router, "hosts")) {
@@ -76,9 +75,9 @@
 	return false
 }
 
-// killedInTurn tells whether a stream broke as its process was killed, its time after SIGTERM being
-// over: what it took until shortly after SIGTERM it owes, and what it can't finish in that time it
-// does not lose.
+// killedInTurn reports whether a stream broke as its process was killed, its time after SIGTERM
+// being over: what it took until shortly after SIGTERM it owes, and what it can't finish in that
+// time it does not lose.
 func (c *Case) killedInTurn(r *Request, at int64) bool {
 	termed := map[string]int64{}
 	for i := range c.Events {
@@ -125,8 +124,8 @@
 // attemptSlack is the platform's, for all limits of time on sockets.
 const attemptSlack = 50 * time.Millisecond
 
-// unseen tells whether the end of an attempt could not be seen: its router died or stood still, and
-// with it whoever would close the connection.
+// unseen reports whether the end of an attempt could not be seen: its router died or was frozen,
+// and did not close the connection.
 func (c *Case) unseen(a *Attempt) bool {
 	return c.FaultDuring(append(processEnds, processStalls...), a.From, a.To, affectsRouter(a.Router))
 }
--- a/internal/testbed/checker/limits.go
+++ b/internal/testbed/checker/limits.go
@@ -77,7 +77,7 @@
 	return found
 }
 
-// has tells whether a router had requests at a time that were asked before another.
+// has reports whether a router had requests at a time that were asked before another.
 func (c *Case) has(who string, asked, at int64) bool {
 	who, _, _ = strings.Cut(who, "/")
 	for _, r := range c.requests {
--- a/internal/testbed/checker/views.go
+++ b/internal/testbed/checker/views.go
@@ -16,7 +16,7 @@
 	viewInterval = time.Second
 )
 
-// incarnation is a router's life as the history has it.
+// incarnation is the time in which a router had a process.
 type incarnation struct {
 	from, to int64
 }
@@ -81,8 +81,8 @@
 	return found
 }
 
-// remembered tells whether a process of another router lived from before one time to after another,
-// with nothing between it and the router: it knew the router's last incarnation.
+// remembered reports whether a process of another router lived from before one time to after
+// another, with nothing between it and the router: it knew the router's last incarnation.
 func (c *Case) remembered(n int, from, to int64) bool {
 	if c.FaultDuring(linkFaults, from, to, func(*Fault) bool { return true }) || c.FaultDuring(append(processEnds, processStalls...), to-int64(time.Second), to, func(s *Fault) bool {
 		return s.Kind == machineStall || s.Kind != "kill" && s.Kind != "power"
@@ -141,7 +141,7 @@
 	return all
 }
 
-// runsThroughout tells whether a router lived from one time to another.
+// runsThroughout reports whether a router lived from one time to another.
 func (c *Case) runsThroughout(all []incarnation, from, to int64) bool {
 	return slices.ContainsFunc(all, func(l incarnation) bool { return l.from <= from && l.to >= to })
 }
--- a/internal/testbed/experiment/run.go
+++ b/internal/testbed/experiment/run.go
@@ -95,7 +95,7 @@
 	Low, High float64 // of the mean, 95 in 100
 }
 
-// Shown tells whether the difference is more than chance would give.
+// Shown reports whether the difference is larger than chance explains.
 func (d *Difference) Shown() bool { return d.Pairs > 1 && (d.Low > 0 || d.High < 0) }
 
 const resamples = 4000
--- a/internal/testbed/faults/link.go
+++ b/internal/testbed/faults/link.go
@@ -5,8 +5,7 @@
 	"time"
 )
 
-// Condition is what a link is like while the faults of the moment last. Its zero value is a link
-// that is well.
+// Condition is the effect of the active faults on a link. The zero value is a link without faults.
 type Condition struct {
 	Loss, Duplicate, Reorder, Clip, Flip float64
 	Delay, Jitter                        time.Duration
@@ -17,8 +16,7 @@
 // usualBy is how much later a second copy comes at most where the schedule does not say.
 const usualBy = 10 * time.Millisecond
 
-// ConditionOf joins the faults that are on by now, as they strike what goes from one end to
-// another.
+// ConditionOf combines the active faults that affect messages from one end to another.
 func ConditionOf(on []*Injection, from, to End) (c Condition) {
 	join := func(a *float64, b float64) { *a = 1 - (1-*a)*(1-b) }
 	for _, s := range on {
@@ -48,13 +46,13 @@
 	return c
 }
 
-// Link decides what becomes of the datagrams of one direction of one link.
+// Link decides the fate of the datagrams of one direction of a link.
 type Link struct {
 	Condition
 	rng *rand.Rand
 }
 
-// NewLink returns a link that is well. Each direction has a number of its own.
+// NewLink returns a link without faults. Each direction has a number of its own.
 func NewLink(seed, number uint64) *Link {
 	return &Link{rng: rand.New(rand.NewPCG(seed, 0x117c<<32|number))}
 }
--- a/internal/testbed/faults/shrink.go
+++ b/internal/testbed/faults/shrink.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Trial is a play of a smaller fleet or a smaller schedule.
+// Trial is a fleet and a schedule to run.
 type Trial struct {
 	Routers int
 	Faults  []Fault
 }
 
-// Shrink makes a failing trial smaller for as long as fails says that it still fails: halves of its
-// faults go first, then single ones, then routers, then halves of lengths. It asks at most so many
-// times, and returns the smallest trial that failed.
+// Shrink makes a failing trial smaller as long as it still fails: it removes halves of its faults
+// first, then single ones, then routers, and halves lengths. It calls fails at most so many times,
+// and returns the smallest trial that failed.
 func Shrink(t Trial, most int, fails func(Trial) bool) Trial {
 	asks := func(x Trial) bool {
 		if most <= 0 {
@@ -54,7 +54,7 @@
 	return t
 }
 
-// names tells whether a schedule names a router beyond so many.
+// names reports whether a schedule names a router beyond that number.
 func names(all []Fault, routers int) bool {
 	over := func(ns []int) bool { return slices.ContainsFunc(ns, func(n int) bool { return n >= routers }) }
 	return slices.ContainsFunc(all, func(f Fault) bool {
--- a/internal/testbed/faults/text.go
+++ b/internal/testbed/faults/text.go
@@ -86,7 +86,7 @@
 	return "[" + strings.Join(texts, ", ") + "]"
 }
 
-// Whom names those whom a strike hits, for a line.
+// Whom names the affected routers and hosts, for a log line.
 func (s *Injection) Whom() string {
 	var texts []string
 	for _, n := range s.Routers {
--- a/internal/testbed/faults/types.go
+++ b/internal/testbed/faults/types.go
@@ -68,7 +68,7 @@
 	Fraction float64 // of all, drawn by the schedule's seed
 }
 
-// IsEmpty tells whether it names no one.
+// IsEmpty reports whether it selects nothing.
 func (s *Selection) IsEmpty() bool {
 	return !s.All && len(s.Numbers) == 0 && s.Zone == "" && s.Fraction == 0
 }
--- a/internal/testbed/simulator/client.go
+++ b/internal/testbed/simulator/client.go
@@ -10,7 +10,7 @@
 	"reachspread/internal/testbed/history"
 )
 
-// load is one class's clients.
+// load generates the requests of one class.
 type load struct {
 	world         *World
 	class         int
@@ -21,7 +21,7 @@
 	prefixTokens  []int     // of the prefixes
 }
 
-// heavyTail is a time of long prompts.
+// heavyTail is an active disruption that makes some prompts long.
 type heavyTail struct {
 	disruption int
 	fraction   float64
@@ -55,7 +55,7 @@
 	return l.world.now + time.Duration(l.rng.ExpFloat64()/perSecond*float64(time.Second))
 }
 
-// session is one client's conversation. Its turns are drawn ahead and don't wait for answers.
+// session is one client's conversation. Its requests do not wait for the answers before.
 type session struct {
 	load          *load
 	name          string
@@ -64,8 +64,8 @@
 	prefixTokens  int
 	contextTokens int // of all turns so far, with their whole answers
 
-	askedAt      time.Duration // for the last time
-	cachedTokens int           // tokens that a host may have kept since
+	askedAt      time.Duration // the last request
+	cachedTokens int           // tokens that a host may have cached since
 }
 
 func (l *load) begin() {
@@ -107,7 +107,7 @@
 
 func (l Length) mean() float64 { return l.Median * math.Exp(l.Sigma*l.Sigma/2) }
 
-// request is a client's request over all its tries.
+// request is a client's request, over all its attempts at routers.
 type request struct {
 	session      *session
 	number       int
@@ -146,7 +146,7 @@
 	w.ask(f)
 }
 
-// ask has a client ask for the first time.
+// ask begins a request, or records it for Plan.
 func (w *World) ask(f *request) {
 	s := f.session
 	if w.planOnly {
@@ -209,21 +209,21 @@
 	return w.plan, nil
 }
 
-// clientAttempt is one of a request's tries, at one router.
+// clientAttempt is one attempt of a request at a router.
 type clientAttempt struct {
 	request          *request
 	id               string
 	router           *router
 	routerGeneration int
 	sentAt           time.Duration
-	deadline         time.Duration // its client's patience
+	deadline         time.Duration // when its client gives up
 	index            int           // among the router's open ones
 	attempts         int
-	inFlight         *attempt // that is out
+	inFlight         *attempt // the router's attempt at a host, nil for none
 	answered         bool
 }
 
-// patience is the whole time that a request's client waits.
+// patience is how long a request's client waits, over all attempts.
 func (f *request) patience() time.Duration {
 	c := &f.session.load.config.Class
 	return c.Deadline + 2*time.Duration(float64(f.promptTokens)/1000*float64(c.LatencyTargetPer1000Tokens))
@@ -266,7 +266,7 @@
 	w.schedule(t.deadline+answerSlack+w.spec.Tick, event{kind: clientAttemptOverdue, payload: t, number: 1})
 }
 
-// clientTimedOut ends an attempt whose client has waited for long enough.
+// clientTimedOut ends an attempt whose client has given up.
 func (w *World) clientTimedOut(t *clientAttempt, last bool) {
 	r := t.router
 	if t.answered || r.generation != t.routerGeneration {
@@ -283,7 +283,7 @@
 	}
 }
 
-// answer takes a final answer. What a client is not served it may ask for again.
+// answer handles a router's final answer other than a stream. The client may retry.
 func (w *World) answer(r *router, id string, away time.Duration, how outcome) {
 	t := r.clientAttempts[id]
 	if t == nil || t.answered {
@@ -300,14 +300,14 @@
 	w.retryOrGiveUp(t.request, away, how)
 }
 
-// emitAnswer tells the history how an attempt came out.
+// emitAnswer records in the history how an attempt ended.
 func (w *World) emitAnswer(t *clientAttempt, how outcome) {
 	w.emit(history.Event{What: history.Answer, ID: t.id, How: answerKinds[how]})
 }
 
 var answerKinds = map[outcome]history.How{served: history.Complete, refused: history.Refused, failed: history.Failed, interrupted: history.Broken}
 
-// retryOrGiveUp has a request's client come back, or give up.
+// retryOrGiveUp schedules a client's retry, or ends the request.
 func (w *World) retryOrGiveUp(f *request, away time.Duration, how outcome) {
 	wait := w.spec.Retries.After + time.Duration(f.rng.Float64()*float64(w.spec.Retries.After))
 	if w.spec.Retries.Heed {
--- a/internal/testbed/simulator/faults.go
+++ b/internal/testbed/simulator/faults.go
@@ -15,14 +15,14 @@
 // faultSchedule is the faults of a world.
 type faultSchedule struct {
 	injections    []*faults.Injection
-	linkFaults    []*faults.Injection // by now, those of links
-	awaitingEvent []int               // for what happens
-	eventCounts   []int               // how often that has happened
+	linkFaults    []*faults.Injection // those of links that are on
+	awaitingEvent []int               // indexes of those that wait for an event
+	eventCounts   []int               // how often the event has come, by index
 	link          *faults.Link        // what becomes of routers' words; each pair has the condition of its moment
 	copies        []faults.Copy
 }
 
-// Topology is the fleet as schedules see it.
+// Topology returns the fleet in the form that schedules need.
 func (s *Spec) Topology() *faults.Topology {
 	topology := &faults.Topology{}
 	var zones []string
@@ -44,9 +44,8 @@
 	return topology
 }
 
-// checkFaults returns what of a schedule virtual time can't play. A host is cut off from all
-// routers or from none, and so is the list: a world has one list, and hosts whose answers all
-// routers hear.
+// checkFaults returns the first fault that a world can't inject. A host is isolated from all
+// routers or from none, and so is the list.
 func (s *Spec) checkFaults() error {
 	if err := faults.Check(s.Faults, s.Topology(), faults.Simulation, s.Length); err != nil {
 		return err
@@ -78,7 +77,7 @@
 	}
 }
 
-// emit tells the history of an event, and faults that wait for one.
+// emit records an event in the history, and schedules the faults that wait for it.
 func (w *World) emit(e history.Event) {
 	if w.spec.History == nil && len(w.faults.awaitingEvent) == 0 {
 		return
@@ -100,17 +99,17 @@
 	})
 }
 
-// Fits tells whether an event is what a fault waits for.
+// Fits reports whether an event is the one that a fault waits for.
 func Fits(when *faults.When, e *history.Event) bool {
 	return string(e.What) == when.What && (when.Who == "" || when.Who == e.Who) && strings.Contains(e.Text, when.Text)
 }
 
-// observed tells whether somebody wants events, for those that cost something to make.
+// observed reports whether events are used at all, so that costly ones are only made then.
 func (w *World) observed() bool { return w.spec.History != nil || len(w.faults.awaitingEvent) > 0 }
 
 func routerName(n int) string { return "r" + strconv.Itoa(n) }
 
-// FaultEvent is what a history has of a strike.
+// FaultEvent is the event of a history for the begin or the end of an injection.
 func FaultEvent(what history.What, n int, s *faults.Injection) history.Event {
 	e := history.Event{What: what, N: n, Text: string(s.Kind), ID: s.Whom(), Routers: s.Routers, Hosts: s.Hosts}
 	if faults.Of(s.Kind).OfLinks() {
@@ -122,6 +121,7 @@
 	return e
 }
 
+// faultBegins injects a fault.
 func (w *World) faultBegins(n int) {
 	s := w.faults.injections[n]
 	w.trace("fault begins: "+string(s.Kind), "", n)
@@ -148,6 +148,7 @@
 	}
 }
 
+// faultEnds ends a fault: processes start again, links are repaired.
 func (w *World) faultEnds(n int) {
 	s := w.faults.injections[n]
 	w.trace("fault ends: "+string(s.Kind), "", n)
@@ -177,8 +178,8 @@
 	}
 }
 
-// isolate cuts hosts and the list off, or has them back. What hosts had under way is reset then;
-// they run on.
+// isolate isolates hosts and the list, or reconnects them. Attempts whose messages were lost are
+// reset then; the hosts keep running.
 func (w *World) isolate(s *faults.Injection, on bool) {
 	if slices.Contains(s.Links, faults.LinkList) {
 		if on {
--- a/internal/testbed/simulator/result.go
+++ b/internal/testbed/simulator/result.go
@@ -18,7 +18,7 @@
 	noRouter     outcome = "no router"
 )
 
-// Result is what came of a world.
+// Result is the figures of a world.
 type Result struct {
 	Classes     []ClassResult
 	Seconds     []Second
@@ -38,7 +38,7 @@
 	Asked                     float64 // the value of all requests
 }
 
-// ClassResult is one class's part. Counts are of requests, over all their attempts.
+// ClassResult is the figures of one class. Counts are of requests, over all their attempts.
 type ClassResult struct {
 	Name                             string
 	Asked, Good, Late, Slow          uint64                  // Slow are served too late, or at too slow a pace, for any value
@@ -58,7 +58,7 @@
 	Able  []float64 // of that, the most that hosts could have given in time: bound.go
 }
 
-// Share is a part of something: of a value, or of a number.
+// Share is what was got of a value.
 type Share struct{ Of, Got float64 }
 
 // DisruptionResult is a disruption that came, and how many it hit.
@@ -153,7 +153,7 @@
 	}
 }
 
-// G is the worth answered over the worth asked for.
+// G is the value of the requests answered in time as a fraction of the value of all.
 func (r *Result) G() float64 {
 	if r.Asked == 0 {
 		return 0
@@ -161,5 +161,5 @@
 	return r.Value / r.Asked
 }
 
-// finish does what is left to do when nothing more is played.
+// finish completes the Result.
 func (w *World) finish() { w.result.MostOpen = max(w.result.MostOpen, w.openRequests) }
--- a/internal/testbed/simulator/router.go
+++ b/internal/testbed/simulator/router.go
@@ -8,7 +8,7 @@
 	"reachspread/internal/testbed/history"
 )
 
-// router is one instance: a decision module, its open tries, its list and its connections.
+// router is one router: a decider, its open attempts, its list and its connections.
 type router struct {
 	world         *World
 	number        int
@@ -37,14 +37,14 @@
 	viewVersion    uint64         // and that one's number
 }
 
-// hostKnowledge is what a router was told of a host.
+// hostKnowledge is what a router's list says of a host.
 type hostKnowledge struct {
 	draining  bool
-	since     time.Duration // that it has been leaving
+	since     time.Duration // it has been draining
 	startedAt time.Duration // its last start
 }
 
-// startRouter starts a router's process. One that comes back has the last list that it was told.
+// startRouter starts a router's process. A restarted one begins with the last list that it had.
 func (w *World) startRouter(n int) error {
 	r := w.routers[n]
 	c := w.spec.Balance
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// saveBaseline has a router keep what it has learned, as in a snapshot.
+// saveBaseline saves what a router has learned, as in a snapshot.
 func (r *router) saveBaseline() {
 	d, ok := r.decider.(interface{ Learned() balance.Learned })
 	if !ok || !r.world.spec.Learned || !r.alive || r.gate != nil && !r.gate.Warm(r.world.clock()) {
@@ -102,7 +102,7 @@
 	r.baseline.Update(r.world.now, d.Learned(), demand)
 }
 
-// enqueue gives the module an event; it sees it with the next tick.
+// enqueue queues an event for the decider's next step.
 func (r *router) enqueue(e balance.Event) {
 	r.inbox = append(r.inbox, e)
 	if !r.stepScheduled {
@@ -146,7 +146,7 @@
 	}
 }
 
-// attempt is one scheduling of an attempt.
+// attempt is an attempt of a router at a host.
 type attempt struct {
 	client         *clientAttempt
 	index          int
@@ -159,7 +159,7 @@
 	tokens         int
 	firstTokenAt   time.Duration // its first token, at the host
 	lastTokenAt    time.Duration
-	deliveredAt    time.Duration // when the last word of it reaches the router
+	deliveredAt    time.Duration // when its last message reaches the router
 	ended          bool
 }
 
@@ -189,7 +189,7 @@
 	w.schedule(w.now+way, event{kind: attemptReaches, payload: x})
 }
 
-// receiveHostMessage takes a host's word on an attempt.
+// receiveHostMessage handles a host's message on an attempt.
 func (r *router) receiveHostMessage(message *hostMessage) {
 	w := r.world
 	a := message.attempt
--- a/internal/testbed/simulator/view.go
+++ b/internal/testbed/simulator/view.go
@@ -8,12 +8,12 @@
 	"reachspread/internal/rendezvous"
 )
 
-// View is how routers learn which of them live: each has a view of its own, which it gives its
-// module.
+// View configures how routers learn which of them live: each has a view of its own, which it passes
+// to its decider.
 type View struct {
 	On    bool
 	Late  time.Duration // from a death or a start until the others see it
-	Wrong float64       // share of the living that a view misses in every other second, drawn anew for each router
+	Wrong float64       // fraction of the living that a view misses in every other second, drawn anew for each router
 	Split bool          // two halves, by the routers' numbers, that do not see each other though their words still arrive
 }
 
@@ -43,7 +43,7 @@
 	}
 }
 
-// isVisible tells whether a router is in another's view.
+// isVisible reports whether a router is in another's view.
 func (w *World) isVisible(r, o *router) bool {
 	v := &w.spec.View
 	if r == o {
