--- a/coord/members/explore_test.go
+++ b/coord/members/explore_test.go
@@ -91,11 +91,11 @@
 // from a settled view: no incarnation falls, and no member is missing from its own view.
 func TestExploredOrdersKeepInvariants(t *testing.T) {
 	for _, settled := range []bool{false, true} {
-		q := explorer.Question[datagram]{Nodes: 3, Depth: *depth, States: 400_000, Budget: explorer.Budget{Losses: 1, Crashes: 1, Pauses: 1}, Skew: 100 * time.Millisecond,
+		q := explorer.Question[datagram]{Nodes: 3, Depth: *depth, MaxStates: 400_000, Budget: explorer.Budget{Losses: 1, Crashes: 1, Pauses: 1}, MaxSkew: 100 * time.Millisecond,
 			Make: func(n, life int, before explorer.Node[datagram]) explorer.Node[datagram] {
 				return &node{n: n, run: life, settled: settled && life == 0}
 			},
-			Holds: func(nodes []explorer.Node[datagram], _ []time.Duration) error {
+			Invariant: func(nodes []explorer.Node[datagram], _ []time.Duration) error {
 				for _, n := range nodes {
 					if x, ok := n.(*node); ok && x.violation != nil {
 						return x.violation
@@ -109,7 +109,7 @@
 			t.Fatal(err)
 		}
 		t.Log(a.String())
-		if a.Broken != nil || a.States < 500 {
+		if a.Violation != nil || a.States < 500 {
 			t.Errorf("settled %v: %s", settled, a)
 		}
 	}
--- a/internal/router/lease/lease_test.go
+++ b/internal/router/lease/lease_test.go
@@ -308,7 +308,7 @@
 		if x.flaw == noAllowance {
 			timing.ClockAllowance = 0
 		}
-		q := explorer.Question[message]{Nodes: 3, Depth: x.depth, Skew: 5 * time.Millisecond, Budget: explorer.Budget{Losses: 1, Copies: 1, Pauses: 1}, States: 600_000,
+		q := explorer.Question[message]{Nodes: 3, Depth: x.depth, MaxSkew: 5 * time.Millisecond, Budget: explorer.Budget{Losses: 1, Duplicates: 1, Pauses: 1}, MaxStates: 600_000,
 			Make: func(n, process int, _ explorer.Node[message]) explorer.Node[message] {
 				if n == 0 {
 					table, _ := NewTable([]Role{{Name: "d"}}, 0)
@@ -316,7 +316,7 @@
 				}
 				return &client{lease: NewLease(timing), sent: map[int]time.Duration{}, flaw: x.flaw}
 			},
-			Holds: func(nodes []explorer.Node[message], now []time.Duration) error {
+			Invariant: func(nodes []explorer.Node[message], now []time.Duration) error {
 				acts := 0
 				for i, n := range nodes[1:] {
 					if c, ok := n.(*client); ok {
@@ -335,7 +335,7 @@
 			t.Fatal(err)
 		}
 		t.Logf("flaw %d: %s", x.flaw, answer)
-		if found := errors.Is(answer.Broken, errTwo); found != (x.flaw != none) {
+		if found := errors.Is(answer.Violation, errTwo); found != (x.flaw != none) {
 			t.Errorf("flaw %d: %s", x.flaw, answer)
 		}
 	}
--- a/internal/router/quorum/explore_test.go
+++ b/internal/router/quorum/explore_test.go
@@ -224,7 +224,7 @@
 func exploring(lease time.Duration, woken bool, depth int, budget explorer.Budget) explorer.Question[packet] {
 	var fresh []explorer.Node[packet]
 	var inFlight []explorer.Send[packet]
-	return explorer.Question[packet]{Nodes: 5, Depth: depth, Skew: time.Millisecond, Budget: budget, Order: true,
+	return explorer.Question[packet]{Nodes: 5, Depth: depth, MaxSkew: time.Millisecond, Budget: budget, Ordered: true,
 		Show: func(m packet) string { return m.kind },
 		Make: func(n, process int, last explorer.Node[packet]) explorer.Node[packet] {
 			switch {
@@ -239,7 +239,7 @@
 			}
 			return newExploredClient(n, process)
 		},
-		Holds: func(nodes []explorer.Node[packet], now []time.Duration) error {
+		Invariant: func(nodes []explorer.Node[packet], now []time.Duration) error {
 			acts, all := 0, map[uint64]string{}
 			for i, n := range nodes {
 				switch x := inner(n).(type) {
@@ -271,21 +271,21 @@
 	if *measure {
 		depth, states = 6, 600_000
 	}
-	q := exploring(exploreTiming.Duration, false, depth, explorer.Budget{Losses: 1, Copies: 1, Crashes: 1, Pauses: 1})
-	q.States = states
+	q := exploring(exploreTiming.Duration, false, depth, explorer.Budget{Losses: 1, Duplicates: 1, Crashes: 1, Pauses: 1})
+	q.MaxStates = states
 	answer, err := explorer.Explore(q)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if t.Logf("%s", answer); answer.Broken != nil {
+	if t.Logf("%s", answer); answer.Violation != nil {
 		t.Error(answer)
 	}
 	q = exploring(500*time.Millisecond, true, 9, explorer.Budget{})
-	q.States = 60_000
+	q.MaxStates = 60_000
 	if answer, err = explorer.Explore(q); err != nil {
 		t.Fatal(err)
 	}
-	if t.Logf("a lease of a quarter: %s", answer); !errors.Is(answer.Broken, errOverlap) {
+	if t.Logf("a lease of a quarter: %s", answer); !errors.Is(answer.Violation, errOverlap) {
 		t.Error("voters that count a shorter lease were not found")
 	}
 }
--- a/internal/testbed/capacity/capacity.go
+++ b/internal/testbed/capacity/capacity.go
@@ -14,12 +14,12 @@
 	"strings"
 )
 
-// leastSizes is how many sizes a slope needs.
-const leastSizes = 5
+// minSizes is how many sizes a slope needs.
+const minSizes = 5
 
-// mostResidual is how far a size may be from the line, as a part of the largest value, for the
+// maxResidual is how far a size may be from the line, as a part of the largest value, for the
 // slope to count as linear.
-const mostResidual = 0.1
+const maxResidual = 0.1
 
 // Sample is one measured value.
 type Sample struct {
@@ -78,7 +78,7 @@
 }
 
 // Linear tells whether the points are near enough to the line to believe it beyond them.
-func (l *Line) Linear() bool { return l.Residual <= mostResidual }
+func (l *Line) Linear() bool { return l.Residual <= maxResidual }
 
 // At is the value of the line at a size.
 func (l *Line) At(size float64) float64 { return l.At0 + l.PerUnit*size }
@@ -101,8 +101,8 @@
 	}
 	for _, name := range names {
 		l := Line{Slope: name, Unit: groups[name][0].Unit, Over: groups[name][0].Over, Points: points(groups[name])}
-		if len(l.Points) < leastSizes {
-			return nil, fmt.Errorf("%s: %d sizes were measured; it takes %d", name, len(l.Points), leastSizes)
+		if len(l.Points) < minSizes {
+			return nil, fmt.Errorf("%s: %d sizes were measured; it takes %d", name, len(l.Points), minSizes)
 		}
 		l.fit()
 		lines = append(lines, l)
--- a/internal/testbed/explorer/explorer.go
+++ b/internal/testbed/explorer/explorer.go
@@ -1,14 +1,14 @@
-// Package explorer plays a small fleet of deciders in all orders: of messages, losses, second
-// copies, crashes, starts, standstills and timers, up to a depth, and prints a shortest path to a
-// broken invariant. It is pure.
+// Package explorer is a model checker for a small fleet of deciders: it runs all orders of
+// messages, losses, duplicates, crashes, starts, pauses and timers up to a depth, and returns a
+// shortest path to a violated invariant. It is pure.
 //
-// A fleet is played anew for each path, from its beginning: a decider must be deterministic, and
-// need not be copyable. States are told apart by the hash of what their nodes write of themselves;
-// two that write the same must behave the same from then on, or states go unseen.
+// Each path is run from the beginning: a decider must be deterministic and need not be copyable.
+// States are distinguished by the hash of what their nodes write of themselves; two nodes that
+// write the same must behave the same from then on, or states are missed.
 //
-// Each node has a clock of its own, which its timers move. The most by which two clocks that run
-// may differ is part of the question: a lease is only as safe as the bound that it counts on. The
-// clock of a node that stands still or is down goes on as well.
+// Each node has a clock of its own, which its timers advance. The largest difference between two
+// running clocks is part of the question: a lease is only as safe as the bound that it relies on.
+// The clock of a paused or crashed node advances as well.
 package explorer
 
 import (
@@ -35,7 +35,7 @@
 	Write(w hash.Hash64)
 }
 
-// Out is what a node wants done.
+// Out is the messages and the timer that a node wants.
 type Out[M any] struct {
 	Send []Send[M]
 	// Wake is when the node wants to be woken, on its clock; 0 for not at all. Each Out replaces
@@ -49,56 +49,56 @@
 	Msg M
 }
 
-// Budget is how much may go wrong on one path.
-type Budget struct{ Losses, Copies, Crashes, Pauses int }
+// Budget bounds the faults on one path.
+type Budget struct{ Losses, Duplicates, Crashes, Pauses int }
 
-// Question is what is to be explored.
+// Question configures an exploration.
 type Question[M any] struct {
 	Nodes int
 	// Make makes a node's decider. Life counts its starts from 0; what it finds kept is up to the
 	// caller, who may hand the last life's node on through before (nil at first).
 	Make func(node, life int, before Node[M]) Node[M]
-	// Holds returns what is wrong with a state. A node that is down is nil. Now has the clock of
-	// each.
-	Holds  func(nodes []Node[M], now []time.Duration) error
-	Budget Budget
-	Depth  int           // choices on a path
-	States int           // that are looked at, at most; 0 for MostStates
-	Skew   time.Duration // the most by which the clocks of two nodes that run may differ; 0 for no bound
-	Order  bool          // messages of one node to another come in the order of their sending
-	Show   func(M) string
+	// Invariant returns the violation in a state, or nil. A crashed node is nil. Now has the clock
+	// of each.
+	Invariant func(nodes []Node[M], now []time.Duration) error
+	Budget    Budget
+	Depth     int           // choices on a path
+	MaxStates int           // that are looked at, at most; 0 for MostStates
+	MaxSkew   time.Duration // the most by which the clocks of two nodes that run may differ; 0 for no bound
+	Ordered   bool          // messages of one node to another come in the order of their sending
+	Show      func(M) string
 }
 
-// MostStates bounds an exploration whose question does not.
-const MostStates = 2_000_000
+// MaxStates bounds an exploration whose question does not.
+const MaxStates = 2_000_000
 
-// Answer is what came of it.
-type Answer struct {
+// Result is the result of an exploration.
+type Result struct {
 	States, Paths int      // told apart, and played
 	Depth         int      // reached by all paths
-	Whole         bool     // everything to the depth was seen
-	Broken        error    // the invariant that is, nil for none
+	Complete      bool     // all states to the depth were seen
+	Violation     error    // nil for none
 	Path          []string // a shortest one to it
 }
 
 // String is for people.
-func (a *Answer) String() string {
+func (a *Result) String() string {
 	how := "whole"
-	if !a.Whole {
+	if !a.Complete {
 		how = "not whole"
 	}
-	if a.Broken == nil {
+	if a.Violation == nil {
 		return fmt.Sprintf("%d states in %d paths to depth %d, %s: nothing is broken", a.States, a.Paths, a.Depth, how)
 	}
-	return fmt.Sprintf("after %d states: %v\n  %s", a.States, a.Broken, strings.Join(a.Path, "\n  "))
+	return fmt.Sprintf("after %d states: %v\n  %s", a.States, a.Violation, strings.Join(a.Path, "\n  "))
 }
 
-type doing uint8
+type choiceKind uint8
 
 const (
-	deliver doing = iota
+	deliver choiceKind = iota
 	lose
-	again // deliver, and leave a copy
+	duplicate // deliver, and leave a copy
 	wake
 	crash
 	start
@@ -109,69 +109,69 @@
 // choice is one of the things that may happen next. N is a node, or a message's place among those
 // under way.
 type choice struct {
-	do doing
-	n  int
+	kind  choiceKind
+	index int
 }
 
-type flying[M any] struct {
+type inFlightMessage[M any] struct {
 	from, to int
 	msg      M
 	key      uint64 // of its content, for telling states apart
 }
 
-// run is a fleet at one moment.
+// run is the state of a fleet on a path.
 type run[M any] struct {
-	q      *Question[M]
-	nodes  []Node[M]
-	last   []Node[M] // of the last life
-	lives  []int
-	now    []time.Duration
-	due    []time.Duration // 0 for none
-	paused []bool
-	air    []flying[M]
-	left   Budget
-	told   []string // what happened, where somebody wants to know
-	tell   bool
+	question     *Question[M]
+	nodes        []Node[M]
+	previous     []Node[M] // of the last life
+	incarnations []int
+	now          []time.Duration
+	wakeAt       []time.Duration // 0 for none
+	paused       []bool
+	inFlight     []inFlightMessage[M]
+	budget       Budget
+	log          []string // of what happened, while logging
+	logging      bool
 }
 
 func newRun[M any](q *Question[M], tell bool) *run[M] {
-	r := &run[M]{q: q, nodes: make([]Node[M], q.Nodes), last: make([]Node[M], q.Nodes), lives: make([]int, q.Nodes), now: make([]time.Duration, q.Nodes),
-		due: make([]time.Duration, q.Nodes), paused: make([]bool, q.Nodes), left: q.Budget, tell: tell}
+	r := &run[M]{question: q, nodes: make([]Node[M], q.Nodes), previous: make([]Node[M], q.Nodes), incarnations: make([]int, q.Nodes), now: make([]time.Duration, q.Nodes),
+		wakeAt: make([]time.Duration, q.Nodes), paused: make([]bool, q.Nodes), budget: q.Budget, logging: tell}
 	for i := range q.Nodes {
 		r.start(i)
 	}
 	return r
 }
 
-func (r *run[M]) say(format string, v ...any) {
-	if r.tell {
-		r.told = append(r.told, fmt.Sprintf(format, v...))
+func (r *run[M]) logf(format string, v ...any) {
+	if r.logging {
+		r.log = append(r.log, fmt.Sprintf(format, v...))
 	}
 }
 
 func (r *run[M]) start(i int) {
-	r.nodes[i] = r.q.Make(i, r.lives[i], r.last[i])
-	r.lives[i]++
-	r.take(i, r.nodes[i].Start(r.now[i]))
+	r.nodes[i] = r.question.Make(i, r.incarnations[i], r.previous[i])
+	r.incarnations[i]++
+	r.apply(i, r.nodes[i].Start(r.now[i]))
 }
 
-func (r *run[M]) take(i int, o Out[M]) {
-	r.due[i] = o.Wake
+func (r *run[M]) apply(i int, o Out[M]) {
+	r.wakeAt[i] = o.Wake
 	for _, s := range o.Send {
 		h := xxhash.New()
 		fmt.Fprintf(h, "%d %d %v", i, s.To, s.Msg)
-		r.air = append(r.air, flying[M]{i, s.To, s.Msg, h.Sum64()})
+		r.inFlight = append(r.inFlight, inFlightMessage[M]{i, s.To, s.Msg, h.Sum64()})
 	}
 }
 
 // choices lists what may happen next, each message and each node in turn.
 func (r *run[M]) choices(to []choice) []choice {
-	for i := range r.air {
-		m := &r.air[i]
-		if r.q.Order && slices.ContainsFunc(r.air[:i], func(x flying[M]) bool { return x.from == m.from && x.to == m.to }) {
+	for i := range r.inFlight {
+		m := &r.inFlight[i]
+		if r.question.Ordered && slices.ContainsFunc(r.inFlight[:i], func(x inFlightMessage[M]) bool { return x.from == m.from && x.to == m.to }) {
 			continue
 		}
-		if slices.ContainsFunc(r.air[:i], func(x flying[M]) bool { return x.key == m.key }) {
+		if slices.ContainsFunc(r.inFlight[:i], func(x inFlightMessage[M]) bool { return x.key == m.key }) {
 			continue // one like it stands before it
 		}
 		if r.nodes[m.to] == nil || !r.paused[m.to] {
@@ -180,11 +180,11 @@
 		if r.nodes[m.to] == nil {
 			continue
 		}
-		if r.left.Losses > 0 {
+		if r.budget.Losses > 0 {
 			to = append(to, choice{lose, i})
 		}
-		if r.left.Copies > 0 && !r.paused[m.to] {
-			to = append(to, choice{again, i})
+		if r.budget.Duplicates > 0 && !r.paused[m.to] {
+			to = append(to, choice{duplicate, i})
 		}
 	}
 	for i := range r.nodes {
@@ -194,27 +194,27 @@
 			continue
 		case r.paused[i]:
 			to = append(to, choice{resume, i})
-		case r.due[i] > 0 && r.mayReach(i, r.due[i]):
+		case r.wakeAt[i] > 0 && r.clockMayReach(i, r.wakeAt[i]):
 			to = append(to, choice{wake, i})
 		}
-		if r.left.Crashes > 0 {
+		if r.budget.Crashes > 0 {
 			to = append(to, choice{crash, i})
 		}
-		if r.left.Pauses > 0 && !r.paused[i] {
+		if r.budget.Pauses > 0 && !r.paused[i] {
 			to = append(to, choice{freeze, i})
 		}
 	}
 	return to
 }
 
-// mayReach tells whether a node's clock may come to a time while those of the others that run stand
-// where they do. A timer of another one that is due before goes first then.
-func (r *run[M]) mayReach(i int, t time.Duration) bool {
-	if r.q.Skew == 0 {
+// clockMayReach tells whether a node's clock may come to a time while those of the others that run
+// stand where they do. A timer of another one that is due before goes first then.
+func (r *run[M]) clockMayReach(i int, t time.Duration) bool {
+	if r.question.MaxSkew == 0 {
 		return true
 	}
 	for j := range r.nodes {
-		if j != i && r.nodes[j] != nil && !r.paused[j] && r.due[j] > 0 && r.due[j]+r.q.Skew < t {
+		if j != i && r.nodes[j] != nil && !r.paused[j] && r.wakeAt[j] > 0 && r.wakeAt[j]+r.question.MaxSkew < t {
 			return false
 		}
 	}
@@ -222,70 +222,70 @@
 }
 
 func (r *run[M]) do(c choice) {
-	switch c.do {
-	case deliver, again, lose:
-		m := r.air[c.n]
-		if c.do != again {
-			r.air = slices.Delete(r.air, c.n, c.n+1)
+	switch c.kind {
+	case deliver, duplicate, lose:
+		m := r.inFlight[c.index]
+		if c.kind != duplicate {
+			r.inFlight = slices.Delete(r.inFlight, c.index, c.index+1)
 		}
-		if c.do == again {
-			r.left.Copies--
+		if c.kind == duplicate {
+			r.budget.Duplicates--
 		}
 		action := ""
-		if r.tell {
+		if r.logging {
 			action = r.show(m.msg)
 		}
 		switch {
-		case c.do == lose:
-			r.left.Losses--
-			r.say("lost: %d to %d: %s", m.from, m.to, action)
+		case c.kind == lose:
+			r.budget.Losses--
+			r.logf("lost: %d to %d: %s", m.from, m.to, action)
 		case r.nodes[m.to] == nil:
-			r.say("to nobody: %d to %d: %s", m.from, m.to, action)
+			r.logf("to nobody: %d to %d: %s", m.from, m.to, action)
 		default:
-			r.say("%d to %d: %s", m.from, m.to, action)
-			r.take(m.to, r.nodes[m.to].Receive(r.now[m.to], m.from, m.msg))
+			r.logf("%d to %d: %s", m.from, m.to, action)
+			r.apply(m.to, r.nodes[m.to].Receive(r.now[m.to], m.from, m.msg))
 		}
 	case wake:
-		r.reach(c.n, max(r.now[c.n], r.due[c.n]))
-		r.say("%d wakes at %v", c.n, r.now[c.n])
-		r.take(c.n, r.nodes[c.n].Wake(r.now[c.n]))
+		r.advanceClock(c.index, max(r.now[c.index], r.wakeAt[c.index]))
+		r.logf("%d wakes at %v", c.index, r.now[c.index])
+		r.apply(c.index, r.nodes[c.index].Wake(r.now[c.index]))
 	case crash:
-		r.left.Crashes--
-		r.say("%d crashes", c.n)
-		r.last[c.n], r.nodes[c.n], r.due[c.n], r.paused[c.n] = r.nodes[c.n], nil, 0, false
+		r.budget.Crashes--
+		r.logf("%d crashes", c.index)
+		r.previous[c.index], r.nodes[c.index], r.wakeAt[c.index], r.paused[c.index] = r.nodes[c.index], nil, 0, false
 	case start:
-		r.say("%d starts at %v", c.n, r.now[c.n])
-		r.start(c.n)
+		r.logf("%d starts at %v", c.index, r.now[c.index])
+		r.start(c.index)
 	case freeze:
-		r.left.Pauses--
-		r.say("%d stands still", c.n)
-		r.paused[c.n] = true
+		r.budget.Pauses--
+		r.logf("%d stands still", c.index)
+		r.paused[c.index] = true
 	case resume:
-		r.paused[c.n] = false
-		r.say("%d goes on at %v", c.n, r.now[c.n])
+		r.paused[c.index] = false
+		r.logf("%d goes on at %v", c.index, r.now[c.index])
 	}
 }
 
-// reach moves a node's clock on, and those of all others that would stay too far behind.
-func (r *run[M]) reach(i int, t time.Duration) {
+// advanceClock moves a node's clock on, and those of all others that would stay too far behind.
+func (r *run[M]) advanceClock(i int, t time.Duration) {
 	r.now[i] = t
-	if r.q.Skew == 0 {
+	if r.question.MaxSkew == 0 {
 		return
 	}
 	for j := range r.now {
-		r.now[j] = max(r.now[j], t-r.q.Skew)
+		r.now[j] = max(r.now[j], t-r.question.MaxSkew)
 	}
 }
 
 func (r *run[M]) show(m M) string {
-	if r.q.Show != nil {
-		return r.q.Show(m)
+	if r.question.Show != nil {
+		return r.question.Show(m)
 	}
 	return fmt.Sprintf("%+v", m)
 }
 
-// key tells this state from others.
-func (r *run[M]) key() uint64 {
+// stateKey returns the hash of the state.
+func (r *run[M]) stateKey() uint64 {
 	h := xxhash.New()
 	var action [8]byte
 	put := func(v uint64) {
@@ -294,31 +294,31 @@
 	}
 	for i, n := range r.nodes {
 		put(uint64(r.now[i]))
-		put(uint64(r.due[i]))
+		put(uint64(r.wakeAt[i]))
 		what := uint64(0)
 		if r.paused[i] {
 			what = 1
 		}
 		if n == nil {
 			what = 2
-			n = r.last[i]
+			n = r.previous[i]
 		}
 		put(what)
 		if n != nil {
 			n.Write(h)
 		}
 	}
-	air := make([]uint64, 0, len(r.air))
-	for i := range r.air {
-		air = append(air, r.air[i].key)
+	air := make([]uint64, 0, len(r.inFlight))
+	for i := range r.inFlight {
+		air = append(air, r.inFlight[i].key)
 	}
-	if !r.q.Order {
+	if !r.question.Ordered {
 		slices.Sort(air)
 	}
 	for _, k := range air {
 		put(k)
 	}
-	for _, n := range []int{len(air), r.left.Losses, r.left.Copies, r.left.Crashes, r.left.Pauses} {
+	for _, n := range []int{len(air), r.budget.Losses, r.budget.Duplicates, r.budget.Crashes, r.budget.Pauses} {
 		put(uint64(n))
 	}
 	return h.Sum64()
@@ -330,75 +330,94 @@
 	choice choice
 }
 
-// Explore plays all orders, breadth first.
-func Explore[M any](q Question[M]) (*Answer, error) {
-	if q.Nodes < 1 || q.Depth < 0 || q.Make == nil || q.Holds == nil {
+// Explore runs all orders, breadth first, so that a path to a violation is a shortest one. It fails
+// where the question lacks a field that it needs.
+func Explore[M any](q Question[M]) (*Result, error) {
+	if q.Nodes < 1 || q.Depth < 0 || q.Make == nil || q.Invariant == nil {
 		return nil, errors.New("an exploration needs Nodes, Depth, Make and Holds")
 	}
-	most := q.States
-	if most <= 0 || most > MostStates {
-		most = MostStates
+	e := &exploration[M]{question: &q, result: &Result{Complete: true}, seen: map[uint64]bool{}, steps: []step{{before: -1}}}
+	if e.maxStates = q.MaxStates; e.maxStates <= 0 || e.maxStates > MaxStates {
+		e.maxStates = MaxStates
+	}
+	first := newRun(&q, false)
+	e.seen[first.stateKey()] = true
+	if e.violates(first, 0) {
+		return e.result, nil
 	}
-	a := &Answer{Whole: true}
-	seen := map[uint64]bool{}
-	steps := []step{{before: -1}}
 	frontier := []int32{0}
-	path := make([]choice, 0, q.Depth)
-	var next []choice
-	play := func(at int32, tell bool) *run[M] {
-		path = path[:0]
-		for i := at; steps[i].before >= 0; i = steps[i].before {
-			path = append(path, steps[i].choice)
-		}
-		r := newRun(&q, tell)
-		for i := len(path) - 1; i >= 0; i-- {
-			r.do(path[i])
+	for ; e.result.Depth < q.Depth && len(frontier) > 0; e.result.Depth++ {
+		var done bool
+		if frontier, done = e.expand(frontier); done {
+			break
 		}
-		a.Paths++
-		return r
 	}
-	broken := func(r *run[M], at int32) bool {
-		if a.Broken = q.Holds(r.nodes, r.now); a.Broken == nil {
-			return false
+	e.result.States = len(e.seen)
+	return e.result, nil
+}
+
+// exploration is the state of one Explore.
+type exploration[M any] struct {
+	question  *Question[M]
+	maxStates int
+	result    *Result
+	seen      map[uint64]bool // by the key of the state
+	steps     []step          // how each state was first reached
+	path      []choice        // reused by replay
+	next      []choice        // reused by expand
+}
+
+// expand makes each choice in each state of the frontier, and returns the new states. It reports
+// done after a violation, or where maxStates is reached.
+func (e *exploration[M]) expand(frontier []int32) (reached []int32, done bool) {
+	for _, at := range frontier {
+		r := e.replay(at, false)
+		e.next = r.choices(e.next[:0])
+		for i, c := range e.next {
+			if i > 0 {
+				r = e.replay(at, false)
+			}
+			r.do(c)
+			key := r.stateKey()
+			if e.seen[key] {
+				continue
+			}
+			if len(e.seen) >= e.maxStates {
+				e.result.Complete = false
+				return nil, true
+			}
+			e.seen[key] = true
+			e.steps = append(e.steps, step{at, c})
+			n := int32(len(e.steps) - 1)
+			if e.violates(r, n) {
+				return nil, true
+			}
+			reached = append(reached, n)
 		}
-		a.Path = play(at, true).told
-		return true
 	}
-	r := newRun(&q, false)
-	seen[r.key()] = true
-	if broken(r, 0) {
-		return a, nil
+	return reached, false
+}
+
+// replay runs the choices that lead to a state, from the beginning.
+func (e *exploration[M]) replay(at int32, logging bool) *run[M] {
+	e.path = e.path[:0]
+	for i := at; e.steps[i].before >= 0; i = e.steps[i].before {
+		e.path = append(e.path, e.steps[i].choice)
 	}
-	for ; a.Depth < q.Depth && len(frontier) > 0; a.Depth++ {
-		var reached []int32
-		for _, at := range frontier {
-			r := play(at, false)
-			next = r.choices(next[:0])
-			for i, c := range next {
-				if i > 0 {
-					r = play(at, false)
-				}
-				r.do(c)
-				key := r.key()
-				if seen[key] {
-					continue
-				}
-				if len(seen) >= most {
-					a.Whole, a.States = false, len(seen)
-					return a, nil
-				}
-				seen[key] = true
-				steps = append(steps, step{at, c})
-				n := int32(len(steps) - 1)
-				if broken(r, n) {
-					a.States = len(seen)
-					return a, nil
-				}
-				reached = append(reached, n)
-			}
-		}
-		frontier = reached
+	r := newRun(e.question, logging)
+	for i := len(e.path) - 1; i >= 0; i-- {
+		r.do(e.path[i])
 	}
-	a.States = len(seen)
-	return a, nil
+	e.result.Paths++
+	return r
+}
+
+// violates checks the invariant in a state, and keeps the path to a violation.
+func (e *exploration[M]) violates(r *run[M], at int32) bool {
+	e.result.Violation = e.question.Invariant(r.nodes, r.now)
+	if e.result.Violation == nil {
+		return false
+	}
+	e.result.Path = e.replay(at, true).log
+	return true
 }
--- a/internal/testbed/explorer/explorer_test.go
+++ b/internal/testbed/explorer/explorer_test.go
@@ -95,7 +95,7 @@
 var errTwo = errors.New("two hold the lock")
 
 func lock(wrong fault, b Budget, depth int) Question[word] {
-	return Question[word]{Nodes: 3, Depth: depth, Budget: b, Skew: skew,
+	return Question[word]{Nodes: 3, Depth: depth, Budget: b, MaxSkew: skew,
 		Make: func(n, life int, before Node[word]) Node[word] {
 			switch {
 			case n == 0 && before != nil && wrong != forgets:
@@ -109,7 +109,7 @@
 			}
 			return a
 		},
-		Holds: func(nodes []Node[word], now []time.Duration) error {
+		Invariant: func(nodes []Node[word], now []time.Duration) error {
 			hold := 0
 			for i, n := range nodes[1:] {
 				if a, ok := n.(*asker); ok && now[i+1] < a.until {
@@ -132,7 +132,7 @@
 		depth  int
 		length int // of the path to it, 0 where nothing is broken
 	}{
-		{"right", right, Budget{Losses: 1, Copies: 1, Pauses: 1, Crashes: 1}, 7, 0},
+		{"right", right, Budget{Losses: 1, Duplicates: 1, Pauses: 1, Crashes: 1}, 7, 0},
 		{"counts from the grant", fromGrant, Budget{}, 9, 5},
 		{"takes nothing off", noSkew, Budget{}, 9, 5},
 		{"takes the difference off once", onceSkew, Budget{}, 9, 7},
@@ -147,10 +147,10 @@
 			}
 			t.Log(a.String())
 			if x.length == 0 {
-				if a.Broken != nil || !a.Whole || a.Depth != x.depth || a.States < 1000 {
+				if a.Violation != nil || !a.Complete || a.Depth != x.depth || a.States < 1000 {
 					t.Errorf("got %s", a)
 				}
-			} else if !errors.Is(a.Broken, errTwo) || len(a.Path) != x.length {
+			} else if !errors.Is(a.Violation, errTwo) || len(a.Path) != x.length {
 				t.Errorf("got %s", a)
 			}
 		})
@@ -159,9 +159,9 @@
 
 // A bound on states is kept, and said.
 func TestBound(t *testing.T) {
-	q := lock(right, Budget{Losses: 2, Copies: 2}, 50)
-	q.States = 500
-	if a, err := Explore(q); err != nil || a.Whole || a.States != 500 || a.Depth >= 50 {
+	q := lock(right, Budget{Losses: 2, Duplicates: 2}, 50)
+	q.MaxStates = 500
+	if a, err := Explore(q); err != nil || a.Complete || a.States != 500 || a.Depth >= 50 {
 		t.Errorf("%v, %s", err, a)
 	}
 	if _, err := Explore(Question[word]{}); err == nil {
