--- a/internal/testbed/scaletest/hollow.go
+++ b/internal/testbed/scaletest/hollow.go
@@ -14,19 +14,20 @@
 	"reachspread/internal/router/peering"
 )
 
-// network is what lies between hollow members and all others: it loses datagrams, and may be cut in two.
+// network is what lies between hollow members and all others: it loses datagrams, and may be
+// partitioned.
 type network struct {
-	loss float64
-	cut  atomic.Bool
-	far  map[netip.AddrPort]bool // who is on the far side of the cut; fixed before anything starts
+	loss        float64
+	partitioned atomic.Bool
+	farSide     map[netip.AddrPort]bool // who is on the far side of a partition; fixed before anything starts
 
 	mu  sync.Mutex
 	rng *rand.Rand
 }
 
-// passes tells whether a datagram between two addresses arrives.
-func (n *network) passes(from, to netip.AddrPort) bool {
-	if n.cut.Load() && n.far[from] != n.far[to] {
+// delivers reports whether a datagram between two addresses arrives.
+func (n *network) delivers(from, to netip.AddrPort) bool {
+	if n.partitioned.Load() && n.farSide[from] != n.farSide[to] {
 		return false
 	}
 	if n.loss == 0 {
@@ -37,12 +38,13 @@
 	return n.rng.Float64() >= n.loss
 }
 
-// hollow is a member without traffic: the router's own driver of the membership protocol, on a socket of its own.
+// hollow is a member without requests: the router's own driver of the membership protocol, on a
+// socket of its own.
 type hollow struct {
 	name, zone string
 	addr       netip.AddrPort
-	net        *network
-	hollows    map[netip.AddrPort]bool // of which datagrams were lost already, if they were to be
+	network    *network
+	hollows    map[netip.AddrPort]bool // whose datagrams have passed the network at their sender
 
 	mu          sync.Mutex
 	incarnation uint32
@@ -50,20 +52,20 @@
 	conn        *net.UDPConn
 	stop        context.CancelFunc
 	done        sync.WaitGroup
-	sent        uint64 // datagrams of lives before
-	bytes       uint64
+	sentBefore  uint64 // datagrams of earlier incarnations
+	bytesBefore uint64
 }
 
-// quiet is a logger that says nothing: what members see is counted, not read.
-type quiet struct{}
+// discardLogger is a logger that writes nothing: views of members are counted, not read.
+type discardLogger struct{}
 
 // Info implements routing.Logger.
-func (quiet) Info(string, ...any) {}
+func (discardLogger) Info(string, ...any) {}
 
 // Warn implements routing.Logger.
-func (quiet) Warn(string, ...any) {}
+func (discardLogger) Warn(string, ...any) {}
 
-// start begins a life. It takes its conn, or opens its address anew.
+// start begins an incarnation, on its socket or a new one at its address.
 func (h *hollow) start(seeds []netip.AddrPort) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -82,11 +84,11 @@
 	config := members.Config{Name: h.name, Zone: h.zone, Version: "hollow", Addr: h.addr, Boot: rand.Uint32() | 1, Incarnation: h.incarnation, Seeds: seeds,
 		RandomSeed: uint64(h.addr.Port())<<32 | uint64(h.incarnation)}
 	send := func(to netip.AddrPort, data []byte) {
-		if h.net.passes(h.addr, to) {
+		if h.network.delivers(h.addr, to) {
 			conn.WriteToUDPAddrPort(data, to) // one that can't be sent is lost, as on any network
 		}
 	}
-	view, err := peering.NewViewDriver(config, send, func(*members.View, *members.Changed) {}, quiet{})
+	view, err := peering.NewViewDriver(config, send, func(*members.View, *members.Changed) {}, discardLogger{})
 	if err != nil {
 		return fmt.Errorf("%s: %w", h.name, err)
 	}
@@ -106,13 +108,13 @@
 			return
 		}
 		from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
-		if err == nil && (h.hollows[from] || h.net.passes(from, h.addr)) {
+		if err == nil && (h.hollows[from] || h.network.delivers(from, h.addr)) {
 			view.HandleDatagram(from, buffer[:n])
 		}
 	}
 }
 
-// crash ends a life without a word.
+// crash ends an incarnation without notice to other members.
 func (h *hollow) crash() {
 	h.mu.Lock()
 	view := h.view
@@ -128,11 +130,12 @@
 	f := view.Stats()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.sent, h.bytes = h.sent+f.Sent, h.bytes+f.SentBytes
+	h.sentBefore, h.bytesBefore = h.sentBefore+f.Sent, h.bytesBefore+f.SentBytes
 }
 
-// sees is how many members it takes to live, itself among them; alive is false while it is down.
-func (h *hollow) sees() (living int, alive bool) {
+// livingMembers is how many members it considers alive, itself among them; alive is false while it
+// is down.
+func (h *hollow) livingMembers() (living int, alive bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.view == nil {
@@ -141,11 +144,11 @@
 	return len(h.view.Now().Members), true
 }
 
-// traffic is what it has sent in all its lives.
+// traffic is what it has sent in all its incarnations.
 func (h *hollow) traffic() (datagrams, bytes uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	datagrams, bytes = h.sent, h.bytes
+	datagrams, bytes = h.sentBefore, h.bytesBefore
 	if h.view != nil {
 		f := h.view.Stats()
 		datagrams, bytes = datagrams+f.Sent, bytes+f.SentBytes
--- a/internal/testbed/scaletest/plan.go
+++ b/internal/testbed/scaletest/plan.go
@@ -1,6 +1,7 @@
-// Package scaletest measures the membership protocol on many members at once: real router processes beside hollow members, which run
-// the real protocol on real sockets, many in one process, and carry no traffic. It starts and ends everything that it needs on
-// loopback, and judges nothing: its caller reads what was measured.
+// Package scaletest measures the membership protocol on many members at once: real router processes
+// and hollow members, which run the real protocol on real sockets, many in one process, and serve
+// no requests. It starts and ends everything that it needs on loopback. It only measures; its
+// caller judges the figures.
 package scaletest
 
 import (
@@ -12,40 +13,41 @@
 )
 
 const (
-	mostReal   = 300
-	mostHollow = 5000
-	// What a member takes up at the most, for plans that would not fit the machine.
-	realMB   = 64
-	hollowMB = 1
+	maxReal   = 300
+	maxHollow = 5000
+	// The memory bounds of a member, by which plans that do not fit the machine are refused.
+	realMemberMB   = 64
+	hollowMemberMB = 1
 )
 
-// Plan is one run.
+// Plan is the size, faults and times of one run. Its JSON names are part of the output.
 type Plan struct {
 	Real    int // router processes
 	Hollow  int // members without traffic, all in this process
 	Zones   int
-	Loss    float64       // share of the datagrams from and to hollow members that is lost
+	Loss    float64       // fraction of the datagrams from and to hollow members that is lost
 	Churn   float64       // restarts of hollow members a minute, while traffic is measured
-	Quiesce time.Duration // after the joins, before traffic is measured
+	Quiesce time.Duration `json:"Settle"` // after the joins, before traffic is measured
 	Length  time.Duration // for which traffic is measured
-	Apart   time.Duration // for which half of the members are cut off from the others
+	Apart   time.Duration // for which half of the members are partitioned from the others
 	Within  time.Duration // for a change to be known to all
 	Seed    uint64
 	Program string // the router's binary; needed for real members
 }
 
-// Members is how many there are.
+// Members is the number of members of both kinds.
 func (p *Plan) Members() int { return p.Real + p.Hollow }
 
-// Check returns in one line what is wrong with a plan, for a machine with so much memory.
+// Check returns an error of one line that names an invalid field, or the memory if the plan does
+// not fit a machine with machineMB.
 func (p *Plan) Check(machineMB int) error {
-	switch need := p.Real*realMB + p.Hollow*hollowMB; {
+	switch need := p.Real*realMemberMB + p.Hollow*hollowMemberMB; {
 	case p.Hollow < 2:
 		return fmt.Errorf("hollow is %d; it must be 2 or more, as members are crashed and cut off", p.Hollow)
-	case p.Hollow > mostHollow:
-		return fmt.Errorf("hollow is %d; it must be %d or less", p.Hollow, mostHollow)
-	case p.Real < 0 || p.Real > mostReal:
-		return fmt.Errorf("real is %d; it must be from 0 to %d processes", p.Real, mostReal)
+	case p.Hollow > maxHollow:
+		return fmt.Errorf("hollow is %d; it must be %d or less", p.Hollow, maxHollow)
+	case p.Real < 0 || p.Real > maxReal:
+		return fmt.Errorf("real is %d; it must be from 0 to %d processes", p.Real, maxReal)
 	case p.Real > 0 && p.Program == "":
 		return fmt.Errorf("program is empty; real members need the router's binary")
 	case p.Zones < 1 || p.Zones > 26:
@@ -62,7 +64,7 @@
 	return nil
 }
 
-// MachineMB is this machine's memory.
+// MachineMB is this machine's memory in MB. The error is that of reading /proc/meminfo.
 func MachineMB() (int, error) {
 	file, err := os.Open("/proc/meminfo")
 	if err != nil {
@@ -79,5 +81,5 @@
 	return 0, fmt.Errorf("/proc/meminfo has no line MemTotal")
 }
 
-// zone is that of the n-th member.
+// zone is the zone of the n-th member.
 func (p *Plan) zone(n int) string { return string(rune('a' + n%p.Zones)) }
--- a/internal/testbed/scaletest/process.go
+++ b/internal/testbed/scaletest/process.go
@@ -17,24 +17,24 @@
 )
 
 const (
-	pollEvery = 50 * time.Millisecond
-	answerIn  = time.Second
+	viewPollInterval = 50 * time.Millisecond
+	callTimeout      = time.Second
 )
 
-// process is a real router that has no hosts and no clients, so that what it does is the membership's.
+// process is a real router without hosts and clients, so that its usage is that of the membership.
 type process struct {
 	name, zone string
 	addr       netip.AddrPort // of its datagrams
-	management string         // of its operators' calls
+	management string         // address of operators' calls
 	cmd        *exec.Cmd
-	done       chan struct{} // closed once it has ended
-	asked      *atomic.Bool  // whether it is asked what it sees: to answer costs more than the membership
-	living     atomic.Int64  // members that it saw when it was asked last
+	done       chan struct{} // closed once it has exited
+	polled     *atomic.Bool  // whether its view is read: to answer costs more than the membership
+	living     atomic.Int64  // members in its view when that was read last
 	polling    sync.WaitGroup
 }
 
-// configuration is the least that a router needs. Its %s are name, the client's address, the address of a discovery that is not there,
-// and the zone.
+// configuration is a minimal configuration of a router, with its name, the address for clients,
+// that of an absent discovery, and the zone.
 const configuration = `{"name": %q, "listen": %q, "discovery": %q, "seed": "1",
  "limits": {"cores": 1, "memory_mb": 64, "sockets": 256},
  "settings": {"az": %q, "discovery": "push", "quantumNs": 5000000,
@@ -43,7 +43,7 @@
   "rules": {"coldNs": 8000000000, "overloadFactor": 2.5, "startCapacity": 0.3, "tipAfterNs": 3000000000}}}
 `
 
-// start begins the process, which ends with ctx at the latest.
+// start starts the process, which ends with ctx at the latest.
 func (x *process) start(ctx context.Context, program, folder string, seeds []netip.AddrPort) error {
 	folder = filepath.Join(folder, x.name)
 	if err := os.Mkdir(folder, 0o755); err != nil {
@@ -74,7 +74,7 @@
 		return err
 	}
 	x.done = make(chan struct{})
-	go func() {
+	go func() { // until the exit
 		x.cmd.Wait()
 		close(x.done)
 	}()
@@ -82,10 +82,10 @@
 	return nil
 }
 
-// poll asks again and again how many members it sees, until it has ended.
+// poll reads the size of the view at intervals until the exit, while polled is set.
 func (x *process) poll() {
 	for {
-		if x.asked.Load() {
+		if x.polled.Load() {
 			if figures, err := x.figures(); err == nil {
 				x.living.Store(int64(figures["fleet_members"]))
 			}
@@ -94,12 +94,12 @@
 		case <-x.done:
 			x.living.Store(0)
 			return
-		case <-time.After(pollEvery):
+		case <-time.After(viewPollInterval):
 		}
 	}
 }
 
-// stop ends it and waits until it has.
+// stop kills the process and waits for its exit.
 func (x *process) stop() {
 	if x.cmd == nil || x.cmd.Process == nil {
 		return
@@ -109,14 +109,15 @@
 	x.polling.Wait()
 }
 
-// figures asks the management address for the figures without labels, by their names without the prefix.
+// figures reads the metrics without labels from the management address, by their names without the
+// prefix.
 func (x *process) figures() (map[string]float64, error) {
-	conn, err := net.DialTimeout("tcp", x.management, answerIn)
+	conn, err := net.DialTimeout("tcp", x.management, callTimeout)
 	if err != nil {
 		return nil, err
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(answerIn))
+	conn.SetDeadline(time.Now().Add(callTimeout))
 	if _, err := fmt.Fprintln(conn, "vars"); err != nil {
 		return nil, err
 	}
@@ -139,6 +140,7 @@
 	memoryMB float64
 }
 
+// usage reads the processor time and resident memory from /proc.
 func (x *process) usage() (u usage, err error) {
 	root := fmt.Sprintf("/proc/%d", x.cmd.Process.Pid)
 	tasks, err := filepath.Glob(root + "/task/*/schedstat")
--- a/internal/testbed/scaletest/run.go
+++ b/internal/testbed/scaletest/run.go
@@ -11,13 +11,14 @@
 	"time"
 )
 
-// lookEvery is how often it is looked at who knows.
-const lookEvery = 20 * time.Millisecond
+// countInterval is the time between two counts of the members that know a change.
+const countInterval = 20 * time.Millisecond
 
-// mostSeeds is how many addresses each member is told at its start.
-const mostSeeds = 8
+// maxSeeds is how many seed addresses each member has.
+const maxSeeds = 8
 
-// Known is how long after something happened parts of the living members knew of it; 0 where they never did within the plan's time.
+// Known is how long after a change fractions of the living members knew of it; 0 if they did not
+// within the plan's time.
 type Known struct {
 	What          string        `json:"what"`
 	Half          time.Duration `json:"half_ns"`
@@ -26,7 +27,7 @@
 	Knew, Members int
 }
 
-// Traffic is what a member sent for membership, in the mean.
+// Traffic is what a member sent and used for membership, on average.
 type Traffic struct {
 	Members   int     `json:"members"`
 	Datagrams float64 `json:"datagrams_a_second"`
@@ -35,7 +36,7 @@
 	MemoryMB  float64 `json:"memory_mb,omitempty"`  // likewise: all that the process has resident
 }
 
-// Result is what was measured.
+// Result is the figures of a run.
 type Result struct {
 	Plan   Plan    `json:"plan"`
 	Known  []Known `json:"known"`
@@ -43,18 +44,19 @@
 	Hollow Traffic `json:"hollow"`
 }
 
-// fleet is a run under way.
+// fleet is the members of a run.
 type fleet struct {
 	plan    Plan
-	net     *network
+	network *network
 	seeds   []netip.AddrPort
 	hollows []*hollow
 	real    []*process
 	rng     *rand.Rand
-	asked   atomic.Bool // whether real members are asked what they see
+	polled  atomic.Bool // whether the views of real members are read
 }
 
-// Run plays a plan. Everything that it started has ended when it returns, also where ctx ends.
+// Run runs a plan. Everything that it started has ended when it returns, also if ctx ends. The
+// error is that of a member that did not start or answer, or of ctx.
 func Run(ctx context.Context, plan Plan) (*Result, error) {
 	folder, err := os.MkdirTemp("", "scalerun-")
 	if err != nil {
@@ -62,12 +64,12 @@
 	}
 	defer os.RemoveAll(folder)
 	f := &fleet{plan: plan, rng: rand.New(rand.NewPCG(plan.Seed, 1)),
-		net: &network{loss: plan.Loss, far: map[netip.AddrPort]bool{}, rng: rand.New(rand.NewPCG(plan.Seed, 2))}}
-	defer f.end()
+		network: &network{loss: plan.Loss, farSide: map[netip.AddrPort]bool{}, rng: rand.New(rand.NewPCG(plan.Seed, 2))}}
+	defer f.close()
 	if err := f.prepare(); err != nil {
 		return nil, err
 	}
-	return f.play(ctx, folder)
+	return f.runSteps(ctx, folder)
 }
 
 // prepare opens the hollow members' sockets and finds addresses for the real ones.
@@ -81,9 +83,9 @@
 		addr := conn.LocalAddr().(*net.UDPAddr).AddrPort()
 		addr = netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())
 		all[addr] = true
-		f.net.far[addr] = n%2 == 1
-		f.hollows = append(f.hollows, &hollow{name: fmt.Sprint("h", n), zone: f.plan.zone(n), addr: addr, net: f.net, hollows: all, conn: conn})
-		if len(f.seeds) < mostSeeds {
+		f.network.farSide[addr] = n%2 == 1
+		f.hollows = append(f.hollows, &hollow{name: fmt.Sprint("h", n), zone: f.plan.zone(n), addr: addr, network: f.network, hollows: all, conn: conn})
+		if len(f.seeds) < maxSeeds {
 			f.seeds = append(f.seeds, addr)
 		}
 	}
@@ -96,12 +98,12 @@
 		if err != nil {
 			return err
 		}
-		f.real = append(f.real, &process{name: fmt.Sprint("r", n), zone: f.plan.zone(n), addr: addr, management: management.String(), asked: &f.asked})
+		f.real = append(f.real, &process{name: fmt.Sprint("r", n), zone: f.plan.zone(n), addr: addr, management: management.String(), polled: &f.polled})
 	}
 	return nil
 }
 
-// freeAddress finds a port of loopback that nobody has at the moment.
+// freeAddress finds a port of the loopback that is free at the moment.
 func freeAddress(network string) (netip.AddrPort, error) {
 	if network == "udp4" {
 		conn, err := net.ListenUDP(network, &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -119,25 +121,25 @@
 	return netip.ParseAddrPort(ln.Addr().String())
 }
 
-// end ends all members.
-func (f *fleet) end() {
+// close ends all members.
+func (f *fleet) close() {
 	for _, x := range f.real {
 		x.stop()
 	}
 	for _, h := range f.hollows {
 		h.crash()
-		if h.conn != nil { // it never began
+		if h.conn != nil { // it never started
 			h.conn.Close()
 		}
 	}
 }
 
-// play goes through the steps of a run.
-func (f *fleet) play(ctx context.Context, folder string) (*Result, error) {
+// runSteps runs the steps: joins, traffic, a crash, a join, a partition and its end.
+func (f *fleet) runSteps(ctx context.Context, folder string) (*Result, error) {
 	result := &Result{Plan: f.plan}
-	await := func(what string, want func(far bool) int) {
+	await := func(what string, expected func(far bool) int) {
 		if ctx.Err() == nil {
-			result.Known = append(result.Known, f.await(ctx, what, want))
+			result.Known = append(result.Known, f.await(ctx, what, expected))
 		}
 	}
 	all := f.plan.Members()
@@ -168,7 +170,7 @@
 	await("a join", everybody)
 
 	far := f.plan.Hollow / 2
-	f.net.cut.Store(true)
+	f.network.partitioned.Store(true)
 	await("two parts that are cut off from each other", func(isFar bool) int {
 		if isFar {
 			return far
@@ -176,19 +178,20 @@
 		return all - far
 	})
 	sleep(ctx, f.plan.Apart)
-	f.net.cut.Store(false)
+	f.network.partitioned.Store(false)
 	await("both together again", everybody)
 	return result, ctx.Err()
 }
 
-// await waits until all living members see as many as wanted, by the side of the cut that they are on.
-func (f *fleet) await(ctx context.Context, what string, want func(far bool) int) Known {
-	f.asked.Store(true)
-	defer f.asked.Store(false)
+// await waits until all living members see the expected number of members, by their side of a
+// partition.
+func (f *fleet) await(ctx context.Context, what string, expected func(far bool) int) Known {
+	f.polled.Store(true)
+	defer f.polled.Store(false)
 	began := time.Now()
 	k := Known{What: what}
 	for {
-		k.Knew, k.Members = f.count(want)
+		k.Knew, k.Members = f.count(expected)
 		passed := time.Since(began)
 		measure := func(of float64, at *time.Duration) {
 			if *at == 0 && float64(k.Knew) >= of*float64(k.Members) {
@@ -201,72 +204,92 @@
 		if k.All > 0 || passed > f.plan.Within || ctx.Err() != nil {
 			return k
 		}
-		sleep(ctx, lookEvery)
+		sleep(ctx, countInterval)
 	}
 }
 
-// count returns how many members live, and how many of them see as many as wanted.
-func (f *fleet) count(want func(far bool) int) (knew, living int) {
+// count returns how many members live, and how many of them see the expected number.
+func (f *fleet) count(expected func(far bool) int) (knew, living int) {
 	for _, h := range f.hollows {
-		n, alive := h.sees()
+		n, alive := h.livingMembers()
 		if !alive {
 			continue
 		}
 		living++
-		if n == want(f.net.far[h.addr]) {
+		if n == expected(f.network.farSide[h.addr]) {
 			knew++
 		}
 	}
 	for _, x := range f.real {
 		living++
-		if int(x.living.Load()) == want(false) {
+		if int(x.living.Load()) == expected(false) {
 			knew++
 		}
 	}
 	return knew, living
 }
 
-// measure measures traffic, with churn, for the plan's length.
-func (f *fleet) measure(ctx context.Context, result *Result) error {
-	type counts struct{ datagrams, bytes float64 }
-	look := func() (hollow, routers counts, used usage, err error) {
-		for _, h := range f.hollows {
-			n, bytes := h.traffic()
-			hollow.datagrams, hollow.bytes = hollow.datagrams+float64(n), hollow.bytes+float64(bytes)
+// counts are sums over members of one kind.
+type counts struct{ datagrams, bytes float64 }
+
+// sample is what all members have sent, and the real ones used, by some time.
+type sample struct {
+	hollow, real counts
+	used         usage
+}
+
+// sample reads the counters of all members.
+func (f *fleet) sample() (s sample, err error) {
+	for _, h := range f.hollows {
+		datagrams, bytes := h.traffic()
+		s.hollow.datagrams += float64(datagrams)
+		s.hollow.bytes += float64(bytes)
+	}
+	for _, x := range f.real {
+		figures, err := x.figures()
+		if err != nil {
+			return s, err
 		}
-		for _, x := range f.real {
-			figures, err := x.figures()
-			if err != nil {
-				return hollow, routers, used, err
-			}
-			routers.datagrams, routers.bytes = routers.datagrams+figures["fleet_sent_total"], routers.bytes+figures["fleet_sent_bytes_total"]
-			u, err := x.usage()
-			if err != nil {
-				return hollow, routers, used, err
-			}
-			used.cpu, used.memoryMB = used.cpu+u.cpu, used.memoryMB+u.memoryMB
+		s.real.datagrams += figures["fleet_sent_total"]
+		s.real.bytes += figures["fleet_sent_bytes_total"]
+		used, err := x.usage()
+		if err != nil {
+			return s, err
 		}
-		return hollow, routers, used, nil
+		s.used.cpu += used.cpu
+		s.used.memoryMB += used.memoryMB
 	}
-	began := time.Now()
-	hollow0, real0, used0, err := look()
+	return s, nil
+}
+
+// meanTraffic is the traffic of a member between two samples.
+func meanTraffic(members int, before, after counts, seconds float64) Traffic {
+	per := 1 / (seconds * float64(max(members, 1)))
+	return Traffic{
+		Members:   members,
+		Datagrams: (after.datagrams - before.datagrams) * per,
+		Bytes:     (after.bytes - before.bytes) * per,
+	}
+}
+
+// measure measures traffic, with churn, for the plan's length.
+func (f *fleet) measure(ctx context.Context, result *Result) error {
+	start := time.Now()
+	before, err := f.sample()
 	if err != nil {
 		return err
 	}
-	f.churn(ctx, began.Add(f.plan.Length))
-	hollow1, real1, used1, err := look()
+	f.churn(ctx, start.Add(f.plan.Length))
+	after, err := f.sample()
 	if err != nil {
 		return err
 	}
-	seconds := time.Since(began).Seconds()
-	mean := func(members int, before, after counts) Traffic {
-		per := 1 / (seconds * float64(max(members, 1)))
-		return Traffic{Members: members, Datagrams: (after.datagrams - before.datagrams) * per, Bytes: (after.bytes - before.bytes) * per}
-	}
-	result.Hollow, result.Real = mean(f.plan.Hollow, hollow0, hollow1), mean(f.plan.Real, real0, real1)
+	seconds := time.Since(start).Seconds()
+	result.Hollow = meanTraffic(f.plan.Hollow, before.hollow, after.hollow, seconds)
+	result.Real = meanTraffic(f.plan.Real, before.real, after.real, seconds)
 	if n := float64(f.plan.Real); n > 0 {
-		result.Real.CPU = (used1.cpu - used0.cpu).Seconds() / seconds / n
-		result.Real.MemoryMB = used1.memoryMB / n
+		result.Real.CPU = (after.used.cpu - before.used.cpu).Seconds() / seconds / n
+		result.Real.MemoryMB = after.used.memoryMB / n
 	}
 	return nil
 }
@@ -290,12 +313,12 @@
 		h := f.hollows[f.rng.IntN(len(f.hollows))]
 		h.crash()
 		if err := h.start(f.seeds); err != nil {
-			return // its port is another's by now; it stays away, and who waits for all to be there tells so
+			return // another process took its port; it stays down, and the next await never ends well
 		}
 	}
 }
 
-// sleep waits, unless ctx ends.
+// sleep waits for a time or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/internal/testbed/scaletest/scaletest_test.go
+++ b/internal/testbed/scaletest/scaletest_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"encoding/json"
 	"os/exec"
 	"path/filepath"
 	"strings"
@@ -9,17 +10,17 @@
 	"time"
 )
 
-func plan() Plan {
+func smallPlan() Plan {
 	return Plan{Hollow: 12, Zones: 3, Length: 2 * time.Second, Apart: time.Second, Within: time.Minute, Seed: 1}
 }
 
-// Real and hollow members are one fleet: all of them learn of each thing that happens, and send about as much.
+// Real and hollow members are one fleet: all of them learn of each change, and send about as much.
 func TestRealAndHollowMembersAgree(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "reachspread")
 	if out, err := exec.Command("go", "build", "-o", program, "reachspread/cmd/reachspread").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	p := plan()
+	p := smallPlan()
 	p.Real, p.Program, p.Loss = 2, program, 0.02
 	r, err := Run(t.Context(), p)
 	if err != nil {
@@ -45,17 +46,17 @@
 	}
 }
 
-// An end of the run ends everything, wherever it is.
-func TestRunEndsWithItsContext(t *testing.T) {
+// A cancelled run ends with the error of its context.
+func TestCancelledRunEndsAllMembers(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
-	if _, err := Run(ctx, plan()); err != context.Canceled {
+	if _, err := Run(ctx, smallPlan()); err != context.Canceled {
 		t.Errorf("got %v, want that it was ended", err)
 	}
 }
 
-// Plans that can not be played, or would take too much of the machine, are refused in one line that names the field.
-func TestBadPlans(t *testing.T) {
+// Invalid plans, and those that need too much memory, are refused in one line that names the field.
+func TestInvalidPlanIsRefusedByField(t *testing.T) {
 	for want, change := range map[string]func(*Plan){
 		"hollow is 1;":                      func(p *Plan) { p.Hollow = 1 },
 		"hollow is 9000;":                   func(p *Plan) { p.Hollow = 9000 },
@@ -67,14 +68,26 @@
 		"length, apart and within":          func(p *Plan) { p.Length = 0 },
 		"40 real and 12 hollow members may": func(p *Plan) { p.Real, p.Program = 40, "router" },
 	} {
-		p := plan()
+		p := smallPlan()
 		change(&p)
 		if err := p.Check(4096); err == nil || !strings.HasPrefix(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("got %v, want %q", err, want)
 		}
 	}
-	p := plan()
+	p := smallPlan()
 	if err := p.Check(4096); err != nil {
 		t.Error(err)
 	}
 }
+
+// The JSON names of a plan are those of earlier outputs.
+func TestPlanKeepsItsJSONNames(t *testing.T) {
+	text, err := json.Marshal(Plan{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	const expected = `{"Real":0,"Hollow":0,"Zones":0,"Loss":0,"Churn":0,"Settle":0,"Length":0,"Apart":0,"Within":0,"Seed":0,"Program":""}`
+	if string(text) != expected {
+		t.Errorf("got %s, want %s", text, expected)
+	}
+}
--- a/internal/testbed/scaletest/table.go
+++ b/internal/testbed/scaletest/table.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Write writes a result as tables in Markdown.
+// Write writes the result as tables in Markdown. The error is that of w.
 func (r *Result) Write(w io.Writer) error {
 	p := &r.Plan
 	fmt.Fprintf(w, "%d real and %d hollow members in %d zones, loss %v, churn %v a minute, seed %d\n\n", p.Real, p.Hollow, p.Zones, p.Loss, p.Churn, p.Seed)
@@ -24,7 +24,7 @@
 	return err
 }
 
-// time writes when a part of the members knew.
+// time formats when a fraction of the members knew.
 func (k *Known) time(at time.Duration) string {
 	if at == 0 {
 		return fmt.Sprintf("not within the time; %d of %d knew", k.Knew, k.Members)
