--- a/internal/testbed/chaos/player.go
+++ b/internal/testbed/chaos/player.go
@@ -158,7 +158,7 @@
 		y.on = slices.DeleteFunc(y.on, func(x *faults.Injection) bool { return x == s })
 		y.list -= list
 	}
-	return y.p.network(y.on, y.list > 0)
+	return y.p.setConditions(y.on, y.list > 0)
 }
 
 // host plays a fault of a host. One whose process is gone refuses connections, behind its relays, too.
--- /dev/null
+++ b/internal/testbed/chaos/run.go
@@ -0,0 +1,144 @@
+package chaos
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync"
+	"time"
+
+	"reachspread/internal/testbed/fakes"
+	"reachspread/internal/testbed/history"
+	"reachspread/internal/testbed/simulator"
+)
+
+// run starts the network and the routers, runs clients and faults to their end, and ends all
+// processes. The error is that of what could not be started, of a fault that could not be played, or
+// of ctx.
+func (p *play) run(ctx context.Context, plan []simulator.Planned) (_ []fakes.Tally, err error) {
+	ctx, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
+	if p.layout, err = newLayout(); err != nil {
+		return nil, err
+	}
+	defer p.layout.close()
+	p.start = newStarter()
+	defer p.start.close()
+	var background sync.WaitGroup
+	backgroundCtx, endBackground := context.WithCancel(context.Background())
+	defer background.Wait()
+	defer endBackground()
+	p.stalls = &stalls{rec: p.rec}
+	background.Go(func() { p.stalls.watch(backgroundCtx) })
+
+	if err := p.openNetwork(); err != nil {
+		return nil, err
+	}
+	defer p.closeNetwork()
+	if err := p.openRouters(); err != nil {
+		return nil, err
+	}
+	defer p.endRouters()
+	p.front = newFront(p)
+	background.Go(func() { p.front.watch(backgroundCtx) })
+	if err := p.startRouters(ctx); err != nil {
+		return nil, err
+	}
+	p.startObservers(backgroundCtx, &background)
+
+	clients := p.newClients()
+	p.player = newPlayer(p)
+	faultsDone := make(chan error, 1)
+	go func() { faultsDone <- p.player.run(ctx) }()
+	clients.Run(ctx, plan)
+	err = <-faultsDone
+	if ctx.Err() != nil {
+		return nil, ctx.Err()
+	}
+	endBackground() // before the routers end: an ending process is not to be reported as hung
+	background.Wait()
+	p.endRouters()
+	p.rec.add(history.Event{What: history.End})
+	return clients.Tallies(), err
+}
+
+// startRouters starts the routers' processes and waits until all are ready.
+func (p *play) startRouters(ctx context.Context) error {
+	for _, r := range p.routers {
+		if err := r.begin(""); err != nil {
+			return err
+		}
+	}
+	ready, cancel := context.WithTimeout(ctx, readyWithin)
+	defer cancel()
+	for _, r := range p.routers {
+		if err := p.awaitReady(ready, r); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// awaitReady waits until a router is ready. The error has the last line of its log.
+func (p *play) awaitReady(ctx context.Context, r *router) error {
+	e, err := p.rec.await(ctx, func(e *history.Event) bool {
+		return e.Who == r.name() && (e.What == history.Ready || e.What == history.Exit)
+	})
+	var reason string
+	switch {
+	case e.What == history.Exit:
+		reason = fmt.Sprintf("ended before it was ready, status %d", e.Status)
+	case err != nil:
+		reason = fmt.Sprint("is not ready: ", err)
+	default:
+		return nil
+	}
+	log, _ := os.ReadFile(filepath.Join(r.folder, "log"))
+	return fmt.Errorf("router %s %s; its last words: %q", r.name(), reason, lastLine(log))
+}
+
+// startObservers starts what looks at the routers, and what hands roles over, until ctx ends.
+func (p *play) startObservers(ctx context.Context, background *sync.WaitGroup) {
+	x := &p.o.Experiment.Rig
+	w := newWatch(p)
+	background.Go(func() { w.run(ctx) })
+	if p.viewsWithin() > 0 {
+		background.Go(func() { p.watchViews(ctx) })
+	}
+	if interval := x.Scrape; interval > 0 {
+		background.Go(func() { p.scrape(ctx, interval) })
+	}
+	if interval := x.HandOver; interval > 0 && p.eligibleVoters() > 0 {
+		background.Go(func() { p.handOver(ctx, interval) })
+	}
+}
+
+// newClients are the clients of the experiment, whose events go into the history.
+func (p *play) newClients() *fakes.Clients {
+	x := &p.o.Experiment.Rig
+	clients := fakes.NewClients("", &p.spec)
+	clients.RouterFor = p.front.pick
+	clients.Observe = p.recordClientEvent
+	clients.Grace = x.Slack + time.Second
+	clients.Retries = x.Retries
+	clients.Behavior = fakes.ClientBehavior{Chunked: x.Pieces, Stalled: x.Silent, Departing: x.Leave}
+	return clients
+}
+
+// recordClientEvent adds an event of a client to the history. Clients know routers by their
+// addresses, the history by their names.
+func (p *play) recordClientEvent(s fakes.ClientEvent) {
+	e := s.Event
+	if e.What == history.Ask {
+		e.Who, e.Until = p.layout.routerAt(e.Who), p.rec.at(s.WaitsUntil)
+	}
+	p.rec.add(e)
+}
+
+// lastLine is the last line of a log that says something.
+func lastLine(log []byte) string {
+	lines := strings.Split(strings.TrimSpace(string(log)), "\n")
+	return lines[len(lines)-1]
+}
