--- a/cmd/reachlab/main.go
+++ b/cmd/reachlab/main.go
@@ -246,7 +246,7 @@
 	keep := c.Flags().Bool("keep", false, "leave all up until Ctrl-C, and print how to ask it with curl")
 	logs := c.Flags().Bool("logs", false, "print the router's log lines, too")
 	c.RunE = func(cmd *cobra.Command, _ []string) error {
-		o := demo.Options{Out: cmd.OutOrStdout(), Live: terminal(cmd.OutOrStdout()) && !*logs, Length: *length, Keep: *keep}
+		o := demo.Options{Out: cmd.OutOrStdout(), Live: terminal(cmd.OutOrStdout()) && !*logs, Length: *length, StayUp: *keep}
 		if *logs {
 			o.Log = cmd.ErrOrStderr()
 		}
--- a/internal/testbed/demo/demo_test.go
+++ b/internal/testbed/demo/demo_test.go
@@ -10,8 +10,9 @@
 	"time"
 )
 
-// A short demo asks the real router, drains and kills hosts on the way, and leaves its charts; what it started is ended.
-func TestDemo(t *testing.T) {
+// A short demo sends requests to the real router, drains and kills hosts on the way, and writes its
+// charts.
+func TestDemoServesWhileHostsDrainAndDie(t *testing.T) {
 	var out bytes.Buffer
 	page := filepath.Join(t.TempDir(), "page.html")
 	if err := Run(t.Context(), Options{Out: &out, Length: 3 * time.Second, Page: page}); err != nil {
@@ -32,12 +33,12 @@
 	}
 }
 
-// Ctrl-C in the midst of it ends all cleanly.
-func TestDemoIsEnded(t *testing.T) {
+// A cancelled demo ends without an error.
+func TestCancelledDemoEndsCleanly(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(time.Second, cancel)
 	var out bytes.Buffer
-	if err := Run(ctx, Options{Out: &out, Length: time.Minute, Keep: true}); err != nil {
+	if err := Run(ctx, Options{Out: &out, Length: time.Minute, StayUp: true}); err != nil {
 		t.Errorf("%v after %s", err, out.String())
 	}
 }
--- a/internal/testbed/demo/measure_test.go
+++ b/internal/testbed/demo/measure_test.go
@@ -17,7 +17,8 @@
 	played  = flag.Duration("played", 10*time.Second, "of each shape, in the measurements")
 )
 
-// TestMeasureAgreement plays the same load on sockets, through the real router, and in virtual time, on six fleets.
+// TestMeasureAgreement plays the same load on sockets, through the real router, and in virtual
+// time, on six fleets.
 func TestMeasureAgreement(t *testing.T) {
 	if !*measure {
 		t.Skip("a measurement; see docs/measurements/")
--- a/internal/testbed/fleetdemo/fleetdemo.go
+++ b/internal/testbed/fleetdemo/fleetdemo.go
@@ -1,5 +1,6 @@
-// Package fleetdemo starts a whole router fleet on the loopback: router processes of which three keep the register, stand-in hosts, an
-// operator and clients. It kills one of each kind on the way, and shows what came of the requests. All it started has ended when it returns.
+// Package fleetdemo starts a complete router fleet on the loopback: router processes, three of
+// which keep the register, fake hosts, an operator and clients. It kills one process of each kind
+// on the way, and shows the outcomes of the requests. All it started has ended when it returns.
 package fleetdemo
 
 import (
@@ -14,61 +15,62 @@
 	"reachspread/internal/testbed/pintest"
 )
 
-// Options are what a demo may be told.
+// Options are the size, length and output of a demo.
 type Options struct {
 	Out        io.Writer
 	Routers    int           // three of them keep the register
 	Length     time.Duration // of the load
-	Executable []string      // runs a router, as the settings file in the environment says
+	Executable []string      // runs a router by the settings file that the environment names
 	Network    string        // the first three bytes of the routers' loopback addresses
 	Page       string        // where the chart goes; empty for none
 }
 
-// happening is something that the demo does at a part of its length.
-type happening struct {
-	at   float64
-	what string
-	do   func(ctx context.Context) error
+// step is something that the demo does at a fraction of its length.
+type step struct {
+	fraction float64
+	text     string
+	run      func(ctx context.Context) error
 }
 
-// demo is one under way.
+// demo is a running demo.
 type demo struct {
-	o      Options
-	fleet  *localfleet.Fleet
-	hosts  []*pintest.Host
-	story  *pintest.Scenario
-	begun  time.Time
-	events []event
+	options   Options
+	fleet     *localfleet.Fleet
+	hosts     []*pintest.Host
+	scenario  *pintest.Scenario
+	loadStart time.Time
+	events    []event
 }
 
-// event is what happened, for the chart.
+// event is a step that was run, for the chart.
 type event struct {
 	at   time.Duration
-	what string
+	text string
 }
 
-// Run plays a demo until it is over or ctx ends.
+// Run runs a demo until it is over or ctx ends. The error is that of starting the fleet, of a step,
+// of the page, or of ctx.
 func Run(ctx context.Context, o Options) error {
 	folder, err := os.MkdirTemp("", "fleetdemo")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(folder)
-	d := &demo{o: o, fleet: localfleet.New(localfleet.Options{Folder: folder, Network: o.Network, Routers: o.Routers, Disks: coreMachines,
-		Executable: o.Executable, HeartbeatMs: int(heartbeatEvery / time.Millisecond), RevocationMs: revocationMs})}
-	defer d.end()
+	d := &demo{options: o, fleet: localfleet.New(localfleet.Options{Folder: folder, Network: o.Network, Routers: o.Routers, Disks: registerMembers,
+		Executable: o.Executable, HeartbeatMs: int(heartbeatInterval / time.Millisecond), RevocationMs: revocationMs})}
+	defer d.close()
 	if err := d.start(ctx); err != nil {
 		return err
 	}
-	err = d.play(ctx)
-	report := d.story.Finish() // its clients have stopped then, whatever came of it
+	err = d.runSteps(ctx)
+	report := d.scenario.Finish() // ends the clients, also after an error
 	if err != nil {
 		return err
 	}
 	return d.show(report)
 }
 
-// start brings up routers, hosts and the configuration.
+// start starts routers and hosts and configures the fleet.
 func (d *demo) start(ctx context.Context) error {
 	if err := d.fleet.StartAll(); err != nil {
 		return err
@@ -85,89 +87,90 @@
 		}
 		d.hosts = append(d.hosts, h)
 	}
-	d.story = pintest.NewScenario(fronts, controls, d.hosts)
-	for _, step := range []func(context.Context) error{d.story.Configure, d.story.Register} {
+	d.scenario = pintest.NewScenario(fronts, controls, d.hosts)
+	for _, step := range []func(context.Context) error{d.scenario.Configure, d.scenario.Register} {
 		if err := step(ctx); err != nil {
 			return err
 		}
 	}
-	go d.story.Heartbeats(ctx, heartbeatEvery)
+	go d.scenario.Heartbeats(ctx, heartbeatInterval) // until Finish or the end of ctx
 	if err := d.fleet.AwaitReady(ctx, all...); err != nil {
 		return err
 	}
-	fmt.Fprintf(d.o.Out, "%d routers are ready, %d of them keep the register, before %d hosts\n", d.fleet.Len(), coreMachines, len(d.hosts))
+	fmt.Fprintf(d.options.Out, "%d routers are ready, %d of them keep the register, before %d hosts\n", d.fleet.Len(), registerMembers, len(d.hosts))
 	return nil
 }
 
 const (
-	coreMachines   = 3
-	heartbeatEvery = time.Second
-	revocationMs   = 2000
+	registerMembers   = 3
+	heartbeatInterval = time.Second
+	revocationMs      = 2000
 )
 
-// happenings are what goes on, in parts of the length.
-func (d *demo) happenings() []happening {
-	core, other, host := 1, d.fleet.Len()-1, d.hosts[0]
-	coreName, otherName := d.fleet.Name(core), d.fleet.Name(other)
+// steps are the steps of a demo in their order.
+func (d *demo) steps() []step {
+	member, other, host := 1, d.fleet.Len()-1, d.hosts[0] // member of the register
+	memberName, otherName := d.fleet.Name(member), d.fleet.Name(other)
 	kill := func(i int) func(context.Context) error {
 		return func(context.Context) error { d.fleet.Kill(i); return nil }
 	}
 	start := func(i int) func(context.Context) error {
 		return func(context.Context) error { return d.fleet.Start(i) }
 	}
-	return []happening{
-		{0.10, "the operator pins tenant x to version 2", func(ctx context.Context) error { return d.story.ChangePin(ctx, 2) }},
+	return []step{
+		{0.10, "the operator pins tenant x to version 2", func(ctx context.Context) error { return d.scenario.ChangePin(ctx, 2) }},
 		{0.25, otherName + " is killed", kill(other)},
 		{0.35, otherName + " comes back", start(other)},
-		{0.45, coreName + " of the register is killed", kill(core)},
-		{0.55, "the operator pins tenant x to version 1, without it", func(ctx context.Context) error { return d.story.ChangePin(ctx, 1) }},
-		{0.65, coreName + " comes back", start(core)},
+		{0.45, memberName + " of the register is killed", kill(member)},
+		{0.55, "the operator pins tenant x to version 1, without it", func(ctx context.Context) error { return d.scenario.ChangePin(ctx, 1) }},
+		{0.65, memberName + " comes back", start(member)},
 		{0.75, host.ID + " is killed", func(context.Context) error { host.Close(); return nil }},
-		{0.85, "the operator lifts the pin", func(ctx context.Context) error { return d.story.ChangePin(ctx, 0) }},
+		{0.85, "the operator lifts the pin", func(ctx context.Context) error { return d.scenario.ChangePin(ctx, 0) }},
 	}
 }
 
-// play has clients ask while things happen.
-func (d *demo) play(ctx context.Context) error {
-	d.begun = time.Now()
-	d.story.StartTraffic()
-	for _, h := range d.happenings() {
-		if !d.until(ctx, time.Duration(h.at*float64(d.o.Length))) {
+// runSteps runs the steps at their times while clients send requests.
+func (d *demo) runSteps(ctx context.Context) error {
+	d.loadStart = time.Now()
+	d.scenario.StartTraffic()
+	for _, h := range d.steps() {
+		if !d.waitUntil(ctx, time.Duration(h.fraction*float64(d.options.Length))) {
 			return ctx.Err()
 		}
-		d.events = append(d.events, event{time.Since(d.begun), h.what})
-		fmt.Fprintf(d.o.Out, "%5.1fs  %s\n", time.Since(d.begun).Seconds(), h.what)
-		if err := h.do(ctx); err != nil {
-			return fmt.Errorf("%s: %w", h.what, err)
+		d.events = append(d.events, event{time.Since(d.loadStart), h.text})
+		fmt.Fprintf(d.options.Out, "%5.1fs  %s\n", time.Since(d.loadStart).Seconds(), h.text)
+		if err := h.run(ctx); err != nil {
+			return fmt.Errorf("%s: %w", h.text, err)
 		}
 	}
-	if !d.until(ctx, d.o.Length) {
+	if !d.waitUntil(ctx, d.options.Length) {
 		return ctx.Err()
 	}
 	return nil
 }
 
-// until waits for a time since the beginning; false where ctx ended first.
-func (d *demo) until(ctx context.Context, at time.Duration) bool {
+// waitUntil waits for a time since the start of the load and reports false if ctx ended first.
+func (d *demo) waitUntil(ctx context.Context, at time.Duration) bool {
 	select {
-	case <-time.After(time.Until(d.begun.Add(at))):
+	case <-time.After(time.Until(d.loadStart.Add(at))):
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// end ends all that was started.
-func (d *demo) end() {
+// close ends hosts and routers.
+func (d *demo) close() {
 	for _, h := range d.hosts {
 		h.Close()
 	}
 	d.fleet.KillAll()
 }
 
-// tally counts requests by their ends.
+// tally counts requests by outcome.
 type tally struct{ served, refused, failed int }
 
+// add counts a request.
 func (t *tally) add(a pintest.Request) {
 	switch {
 	case a.Status == http.StatusOK && a.Complete:
--- a/internal/testbed/fleetdemo/fleetdemo_test.go
+++ b/internal/testbed/fleetdemo/fleetdemo_test.go
@@ -18,7 +18,7 @@
 	"reachspread/internal/system/roles"
 )
 
-// isRouter has the test's own program be a router.
+// isRouter is the environment variable that makes the test binary run as a router.
 const isRouter = "REACHSPREAD_TEST_IS_ROUTER"
 
 func TestMain(m *testing.M) {
@@ -32,8 +32,9 @@
 	}
 }
 
-// A short demo: all routers serve, what is killed comes back, every answer is as promised, and the chart is drawn.
-func TestDemo(t *testing.T) {
+// In a short demo all routers serve, killed ones come back, no answer violates a pin, and the chart
+// is drawn.
+func TestDemoServesWhileMembersAreKilled(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	page := filepath.Join(t.TempDir(), "page.html")
@@ -68,8 +69,8 @@
 	return len(p), nil
 }
 
-// Ctrl-C in the midst of it ends all: no client asks any more.
-func TestDemoIsEnded(t *testing.T) {
+// A cancelled demo ends all its goroutines: no client sends requests any more.
+func TestCancelledDemoEndsItsGoroutines(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	before := runtime.NumGoroutine()
@@ -78,7 +79,7 @@
 	http.DefaultClient.CloseIdleConnections()
 	tick := time.NewTicker(10 * time.Millisecond)
 	defer tick.Stop()
-	for until := time.Now().Add(endedWithin); runtime.NumGoroutine() > before+fewGoroutines; <-tick.C {
+	for until := time.Now().Add(endTimeout); runtime.NumGoroutine() > before+maxSystemGoroutines; <-tick.C {
 		if time.Now().After(until) {
 			t.Fatalf("%d goroutines are left of %d", runtime.NumGoroutine(), before)
 		}
@@ -86,6 +87,6 @@
 }
 
 const (
-	endedWithin   = time.Minute
-	fewGoroutines = 2 // of the system's, which come and go
+	endTimeout          = time.Minute
+	maxSystemGoroutines = 2 // of the system's, which come and go
 )
--- a/internal/testbed/fleetdemo/show.go
+++ b/internal/testbed/fleetdemo/show.go
@@ -22,32 +22,34 @@
 	chartHeight = 4 * vg.Inch
 )
 
-// show prints what came of the requests: a table by router, a chart by second, and whether every answer was as promised.
+// show prints the outcomes of the requests, a table by router and a chart by second, and the
+// violations of the pins. It writes the page if there is to be one.
 func (d *demo) show(r pintest.Report) error {
-	asked := d.story.Requests()
-	d.printRouters(asked)
-	seconds := d.bySecond(asked)
+	requests := d.scenario.Requests()
+	d.printRouters(requests)
+	seconds := d.bySecond(requests)
 	d.printSeconds(seconds)
-	fmt.Fprintf(d.o.Out, "%d requests, %d served, %d changes of the pin; answers that were not as promised: %d\n", r.Requests, r.Served, r.Changes, len(r.Violations))
-	for _, wrong := range r.Violations {
-		fmt.Fprintln(d.o.Out, "  ", wrong)
+	fmt.Fprintf(d.options.Out, "%d requests, %d served, %d changes of the pin; answers that were not as promised: %d\n", r.Requests, r.Served, r.Changes, len(r.Violations))
+	for _, violation := range r.Violations {
+		fmt.Fprintln(d.options.Out, "  ", violation)
 	}
-	if d.o.Page == "" {
+	if d.options.Page == "" {
 		return nil
 	}
-	if err := report.WriteFile(d.o.Page, func(w io.Writer) error { return d.writePage(w, seconds) }); err != nil {
+	if err := report.WriteFile(d.options.Page, func(w io.Writer) error { return d.writePage(w, seconds) }); err != nil {
 		return err
 	}
-	fmt.Fprintln(d.o.Out, "chart:", d.o.Page)
+	fmt.Fprintln(d.options.Out, "chart:", d.options.Page)
 	return nil
 }
 
-func (d *demo) printRouters(asked []pintest.Request) {
+// printRouters prints the table by router.
+func (d *demo) printRouters(requests []pintest.Request) {
 	tallies := make([]tally, d.fleet.Len())
-	for _, a := range asked {
+	for _, a := range requests {
 		tallies[a.Router].add(a)
 	}
-	t := tabwriter.NewWriter(d.o.Out, 0, 0, 2, ' ', tabwriter.AlignRight)
+	t := tabwriter.NewWriter(d.options.Out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	defer t.Flush()
 	fmt.Fprintln(t, "router\tserved\trefused\tfailed\t")
 	for i, tally := range tallies {
@@ -56,35 +58,35 @@
 }
 
 // bySecond counts the requests of each second of the load.
-func (d *demo) bySecond(asked []pintest.Request) []tally {
-	seconds := make([]tally, int(d.o.Length/time.Second)+1)
-	for _, a := range asked {
-		if second := int(a.Sent.Sub(d.begun) / time.Second); second >= 0 && second < len(seconds) {
+func (d *demo) bySecond(requests []pintest.Request) []tally {
+	seconds := make([]tally, int(d.options.Length/time.Second)+1)
+	for _, a := range requests {
+		if second := int(a.Sent.Sub(d.loadStart) / time.Second); second >= 0 && second < len(seconds) {
 			seconds[second].add(a)
 		}
 	}
 	return seconds
 }
 
-// printSeconds draws a bar for each second: served, then what was not.
+// printSeconds prints a bar for each second: served requests, then the others.
 func (d *demo) printSeconds(seconds []tally) {
-	most := 1
+	largest := 1
 	for _, s := range seconds {
-		most = max(most, s.served+s.refused+s.failed)
+		largest = max(largest, s.served+s.refused+s.failed)
 	}
 	for i, s := range seconds {
-		served, lost := s.served*barWidth/most, (s.refused+s.failed)*barWidth/most
-		what := ""
+		served, lost := s.served*barWidth/largest, (s.refused+s.failed)*barWidth/largest
+		events := ""
 		for _, e := range d.events {
 			if int(e.at/time.Second) == i {
-				what += "  " + e.what
+				events += "  " + e.text
 			}
 		}
-		fmt.Fprintf(d.o.Out, "%3ds %5d %s%s%s\n", i, s.served, strings.Repeat("#", served), strings.Repeat(".", lost), what)
+		fmt.Fprintf(d.options.Out, "%3ds %5d %s%s%s\n", i, s.served, strings.Repeat("#", served), strings.Repeat(".", lost), events)
 	}
 }
 
-// writePage draws the same as a page.
+// writePage writes the outcomes by second as a page with a chart.
 func (d *demo) writePage(w io.Writer, seconds []tally) error {
 	chart := plot.New()
 	chart.Title.Text, chart.X.Label.Text, chart.Y.Label.Text = "Requests by second", "seconds", "requests"
@@ -113,7 +115,7 @@
 	}
 	var list strings.Builder
 	for _, e := range d.events {
-		fmt.Fprintf(&list, "<li>%.1f s: %s</li>\n", e.at.Seconds(), html.EscapeString(e.what))
+		fmt.Fprintf(&list, "<li>%.1f s: %s</li>\n", e.at.Seconds(), html.EscapeString(e.text))
 	}
 	_, err = fmt.Fprintf(w, "<!doctype html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>A router fleet</title></head><body>\n%s\n<ul>\n%s</ul>\n</body></html>\n", svg, list.String())
 	return err
