--- a/internal/testbed/chaos/network.go
+++ b/internal/testbed/chaos/network.go
@@ -48,7 +48,7 @@
 // openMesh starts the proxy of datagrams between routers.
 func (p *play) openMesh() (err error) {
 	recordOversized := func(from, bytes int) {
-		p.rec.add(history.Event{What: history.Wide, Who: fmt.Sprint("r", from), Bytes: bytes})
+		p.rec.add(history.Event{What: history.OversizedDatagram, Who: fmt.Sprint("r", from), Bytes: bytes})
 	}
 	listen, reached := addresses(p.spec.Routers, p.layout.peer), addresses(p.spec.Routers, p.layout.seen)
 	p.mesh, err = faultproxy.NewMesh(listen, reached, p.o.Seed, maxDatagram, recordOversized)
@@ -105,7 +105,7 @@
 	case fakes.RequestDone:
 		p.rec.add(history.Event{What: history.Done, ID: s.ID, Who: name})
 	case fakes.Collapsed:
-		p.rec.add(history.Event{What: history.Fell, Who: name})
+		p.rec.add(history.Event{What: history.HostOverloaded, Who: name})
 	}
 }
 
--- a/internal/testbed/chaos/page.go
+++ b/internal/testbed/chaos/page.go
@@ -180,7 +180,7 @@
 		case history.Exit:
 			endStretch(e.Who, e.T)
 			delete(now, e.Who)
-		case history.Caught:
+		case history.Unresponsive:
 			if at, ok := lane(e.Who); ok {
 				p.put(`<text x="%.1f" y="%d" fill="#c00">&#x26a0;<title>%s</title></text>`, p.x(e.T), at+12, html.EscapeString(e.Text))
 			}
--- a/internal/testbed/chaos/player.go
+++ b/internal/testbed/chaos/player.go
@@ -350,7 +350,7 @@
 			break
 		}
 		if time.Since(began) > takesWithin+y.p.o.Experiment.Rig.Slack && r.runs() {
-			y.p.rec.add(history.Event{What: history.Caught, Who: x.name, Text: fmt.Sprintf("takes no clients %v after its start beside another", takesWithin)})
+			y.p.rec.add(history.Event{What: history.Unresponsive, Who: x.name, Text: fmt.Sprintf("takes no clients %v after its start beside another", takesWithin)})
 			break
 		}
 	}
--- a/internal/testbed/chaos/record.go
+++ b/internal/testbed/chaos/record.go
@@ -45,7 +45,7 @@
 	if err := r.writer.Write(&e); err != nil && r.err == nil {
 		r.err = err
 	}
-	if len(r.all) < history.MostEvents {
+	if len(r.all) < history.MaxEvents {
 		r.all = append(r.all, e)
 	}
 	if r.tell != nil {
--- a/internal/testbed/chaos/watch.go
+++ b/internal/testbed/chaos/watch.go
@@ -262,7 +262,7 @@
 
 // caught tells whether a process was.
 func (p *play) caught() bool {
-	return slices.ContainsFunc(p.rec.events(), func(e history.Event) bool { return e.What == history.Caught })
+	return slices.ContainsFunc(p.rec.events(), func(e history.Event) bool { return e.What == history.Unresponsive })
 }
 
 // catch leaves all evidence of a process that answers nobody, before anybody can restart it: its threads, twice, a CPU
@@ -276,7 +276,7 @@
 	defer f.Close()
 	w := bufio.NewWriter(f)
 	defer w.Flush()
-	p.rec.add(history.Event{What: history.Caught, Who: x.name, Text: fmt.Sprintf("answers nobody: %v; see %s", why, path)})
+	p.rec.add(history.Event{What: history.Unresponsive, Who: x.name, Text: fmt.Sprintf("answers nobody: %v; see %s", why, path)})
 	fmt.Fprintf(w, "%s: %v\n", x.name, why)
 	for range 2 {
 		threads(w, x.pid())
@@ -354,7 +354,7 @@
 				if !ok || x != r.newest() {
 					continue
 				}
-				if key := fmt.Sprint(x.name, e.Text, e.N, e.Inc); key != last {
+				if key := fmt.Sprint(x.name, e.Text, e.N, e.Incarnation); key != last {
 					last = key
 					p.rec.add(e)
 				}
@@ -380,7 +380,7 @@
 		name := l.Fields["name"]
 		if name == who {
 			inc, _ := strconv.ParseUint(l.Fields["incarnation"], 10, 32)
-			e.Inc = uint32(inc)
+			e.Incarnation = uint32(inc)
 		}
 		if n := checker.NumberOf(name); n >= 0 {
 			e.Routers = append(e.Routers, n)
--- a/internal/testbed/checker/checker_test.go
+++ b/internal/testbed/checker/checker_test.go
@@ -67,8 +67,8 @@
 	op(9060, history.OK, "4", "read", "x")
 	for i, n := range []int{0, 1} { // views, before the kill and long after it
 		who := fmt.Sprint("r", n)
-		all = append(all, history.Event{T: int64(2950+i) * ms, What: history.View, Who: who, Text: "d1", N: 1, Inc: 1, Routers: []int{0, 1}},
-			history.Event{T: int64(9400+i) * ms, What: history.View, Who: who, Text: "d2", N: 3, Inc: 2, Routers: []int{0, 1}})
+		all = append(all, history.Event{T: int64(2950+i) * ms, What: history.View, Who: who, Text: "d1", N: 1, Incarnation: 1, Routers: []int{0, 1}},
+			history.Event{T: int64(9400+i) * ms, What: history.View, Who: who, Text: "d2", N: 3, Incarnation: 2, Routers: []int{0, 1}})
 	}
 	return append(all, history.Event{T: 10000 * ms, What: history.End})
 }
@@ -110,7 +110,7 @@
 		"ended by itself":      {"crash", add(history.Event{T: 9000 * ms, What: history.Exit, Who: "r7", Status: 2}), "ended by itself, status 2"},
 		"killed by nobody":     {"crash", add(history.Event{T: 9000 * ms, What: history.Exit, Who: "r7", Status: -1, Text: "killed"}), "ended by itself"},
 		"a panic":              {"crash", add(history.Event{T: 9000 * ms, What: history.Log, Who: "r0", Text: "panic: runtime error"}), "panic: runtime"},
-		"caught":               {"hang", add(history.Event{T: 9000 * ms, What: history.Caught, Who: "r0", Text: "dump"}), "dump"},
+		"caught":               {"hang", add(history.Event{T: 9000 * ms, What: history.Unresponsive, Who: "r0", Text: "dump"}), "dump"},
 		"no answer":            {"answer", add(ask), "no final answer by the end"},
 		"none in time":         {"answer", add(ask, history.Event{T: 9900 * ms, What: history.Answer, ID: "z", How: history.None}), "no final answer in time"},
 		"cut off":              {"answer", add(ask, history.Event{T: 9150 * ms, What: history.Answer, ID: "z", How: history.Interrupted}), "ended without an answer"},
@@ -121,22 +121,22 @@
 		"nobody asked":         {"answer", add(history.Event{T: 9000 * ms, What: history.Answer, ID: "z", How: history.Complete}), "nobody asked"},
 		"two out":              {"attempt", change(is(history.Closed, "", ""), drop), "at h1 while the one at h0 is out for 279ms more"},
 		"drained":              {"drain", change(is(history.Attempt, "h0", "b"), func(e *history.Event) { e.T = 1100 * ms }), "600ms after the list"},
-		"fell":                 {"cold", add(history.Event{T: 9000 * ms, What: history.Fell, Who: "h1"}), "fell over"},
+		"fell":                 {"cold", add(history.Event{T: 9000 * ms, What: history.HostOverloaded, Who: "h1"}), "fell over"},
 		"memory":               {"limits", change(is(history.Usage, "", ""), func(e *history.Event) { e.Memory = 33 << 20 }), "memory of 34603008 bytes"},
 		"descriptors":          {"limits", change(is(history.Usage, "", ""), func(e *history.Event) { e.Descriptors = 257 }), "descriptors: 257"},
-		"datagram":             {"limits", add(history.Event{T: 9000 * ms, What: history.Wide, Who: "r0", Bytes: 257}), "257 bytes"},
+		"datagram":             {"limits", add(history.Event{T: 9000 * ms, What: history.OversizedDatagram, Who: "r0", Bytes: 257}), "257 bytes"},
 		"leaves late":          {"leave", change(func(e *history.Event) bool { return e.T == 2000*ms }, func(e *history.Event) { e.T += 2100 * ms }), "3.1s after SIGTERM"},
 		"status after SIGTERM": {"leave", change(func(e *history.Event) bool { return e.What == history.Exit && e.T == 2000*ms }, func(e *history.Event) { e.Status = 2 }), "status 2 after"},
 		"not ready again":      {"return", change(func(e *history.Event) bool { return e.What == history.Ready && e.T == 6000*ms }, func(e *history.Event) { e.What = history.Unready }), "r1 at 7s: not ready"},
 		"not served again":     {"return", change(func(e *history.Event) bool { return e.What == history.Answer && e.T > 7000*ms }, func(e *history.Event) { e.How = history.Refused }), "0% of 20"},
-		"an incarnation falls": {"view", change(is(history.View, "r1", ""), func(e *history.Event) { e.Inc = 3 - e.Inc }), "went from 2 to 1"},
-		"not in its own view":  {"view", change(func(e *history.Event) bool { return e.What == history.View && e.Who == "r1" && e.Inc == 1 }, func(e *history.Event) { e.Routers = []int{0} }), "own view"},
-		"views differ":         {"view", change(func(e *history.Event) bool { return e.What == history.View && e.Who == "r1" && e.Inc == 2 }, func(e *history.Event) { e.Text = "d3" }), "its view is d3, that of r0 is d2"},
-		"somebody is missing":  {"view", change(func(e *history.Event) bool { return e.What == history.View && e.Who == "r0" && e.Inc == 2 }, func(e *history.Event) { e.Routers = []int{0} }), "r1 is in its view: false; it lives: true"},
+		"an incarnation falls": {"view", change(is(history.View, "r1", ""), func(e *history.Event) { e.Incarnation = 3 - e.Incarnation }), "went from 2 to 1"},
+		"not in its own view":  {"view", change(func(e *history.Event) bool { return e.What == history.View && e.Who == "r1" && e.Incarnation == 1 }, func(e *history.Event) { e.Routers = []int{0} }), "own view"},
+		"views differ":         {"view", change(func(e *history.Event) bool { return e.What == history.View && e.Who == "r1" && e.Incarnation == 2 }, func(e *history.Event) { e.Text = "d3" }), "its view is d3, that of r0 is d2"},
+		"somebody is missing":  {"view", change(func(e *history.Event) bool { return e.What == history.View && e.Who == "r0" && e.Incarnation == 2 }, func(e *history.Event) { e.Routers = []int{0} }), "r1 is in its view: false; it lives: true"},
 		"no view":              {"view", change(is(history.View, "r1", ""), drop), "tells no view"},
-		"well, and missing":    {"view", add(history.Event{T: 30000 * ms, What: history.View, Who: "r0", Text: "d", Inc: 2, Routers: []int{0}}, history.Event{T: 40000 * ms, What: history.End}), "r1 is missing; it has been well"},
+		"well, and missing":    {"view", add(history.Event{T: 30000 * ms, What: history.View, Who: "r0", Text: "d", Incarnation: 2, Routers: []int{0}}, history.Event{T: 40000 * ms, What: history.End}), "r1 is missing; it has been well"},
 		"an old value again":   {"linear", add(history.Event{T: 9070 * ms, What: history.Invoke, Who: "c5", ID: "5", Op: &history.Op{Kind: "read", Key: "k"}}, history.Event{T: 9080 * ms, What: history.OK, Who: "c5", ID: "5", Op: &history.Op{Kind: "read", Key: "k", Value: "y"}}), "fit no order"},
-		"a cas that could not": {"linear", add(history.Event{T: 9070 * ms, What: history.Invoke, Who: "c5", ID: "5", Op: &history.Op{Kind: "cas", Key: "k", Old: "y", Value: "w"}}, history.Event{T: 9080 * ms, What: history.OK, Who: "c5", ID: "5", Op: &history.Op{Kind: "cas", Key: "k", Old: "y", Value: "w", Did: true}}), "fit no order"},
+		"a cas that could not": {"linear", add(history.Event{T: 9070 * ms, What: history.Invoke, Who: "c5", ID: "5", Op: &history.Op{Kind: "cas", Key: "k", Old: "y", Value: "w"}}, history.Event{T: 9080 * ms, What: history.OK, Who: "c5", ID: "5", Op: &history.Op{Kind: "cas", Key: "k", Old: "y", Value: "w", Succeeded: true}}), "fit no order"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			found := CheckAll(x.plant(well()))
--- a/internal/testbed/checker/crash.go
+++ b/internal/testbed/checker/crash.go
@@ -30,7 +30,7 @@
 			found = append(found, Violation{"crash", e.T, e.Who, "", fmt.Sprintf("ended by itself, status %d %s", e.Status, e.Text)})
 		case history.Log:
 			if strings.HasPrefix(e.Text, "panic: ") || strings.HasPrefix(e.Text, "fatal error: ") || strings.HasPrefix(e.Text, "SIG") {
-				if !slices.ContainsFunc(c.Events, func(x history.Event) bool { return x.What == history.Caught && x.Who == e.Who && x.T <= e.T }) {
+				if !slices.ContainsFunc(c.Events, func(x history.Event) bool { return x.What == history.Unresponsive && x.Who == e.Who && x.T <= e.T }) {
 					found = append(found, Violation{"crash", e.T, e.Who, "", e.Text})
 				}
 			}
@@ -43,7 +43,7 @@
 // was done to a process.
 func hang(c *Case) (found []Violation) {
 	for i := range c.Events {
-		if e := &c.Events[i]; e.What == history.Caught {
+		if e := &c.Events[i]; e.What == history.Unresponsive {
 			found = append(found, Violation{"hang", e.T, e.Who, "", e.Text})
 		}
 	}
--- a/internal/testbed/checker/drain.go
+++ b/internal/testbed/checker/drain.go
@@ -41,7 +41,7 @@
 // slowStart finds hosts that were pushed over before they were warm.
 func slowStart(c *Case) (found []Violation) {
 	for i := range c.Events {
-		if e := &c.Events[i]; e.What == history.Fell {
+		if e := &c.Events[i]; e.What == history.HostOverloaded {
 			found = append(found, Violation{"cold", e.T, e.Who, "", "fell over while cold"})
 		}
 	}
--- a/internal/testbed/checker/duties.go
+++ b/internal/testbed/checker/duties.go
@@ -27,7 +27,7 @@
 		if e.What != history.Act {
 			continue
 		}
-		if e.Begun > 0 {
+		if e.LeaseCheckedAt > 0 {
 			begun[e.Text] = append(begun[e.Text], e)
 		}
 		if e.Status != taken {
@@ -46,7 +46,7 @@
 		leaseHolder[key] = e.From
 	}
 	for _, all := range begun {
-		slices.SortStableFunc(all, func(a, b *history.Event) int { return cmp.Compare(a.Begun, b.Begun) })
+		slices.SortStableFunc(all, func(a, b *history.Event) int { return cmp.Compare(a.LeaseCheckedAt, b.LeaseCheckedAt) })
 		most := uint64(0)
 		for _, e := range all {
 			if e.Token < most {
--- a/internal/testbed/checker/duties_test.go
+++ b/internal/testbed/checker/duties_test.go
@@ -7,7 +7,7 @@
 )
 
 func act(t int64, from string, token uint64, status int, begun int64) history.Event {
-	return history.Event{T: t, What: history.Act, Who: "h0", From: from, Text: "scribe", Token: token, Status: status, Begun: begun}
+	return history.Event{T: t, What: history.Act, Who: "h0", From: from, Text: "scribe", Token: token, Status: status, LeaseCheckedAt: begun}
 }
 
 // Acts that should not have been are found, and such as were refused in time are none.
@@ -33,7 +33,7 @@
 func op(from, to int64, who, kind string, token, got uint64) []history.Event {
 	id := who + kind + string(rune('a'+from))
 	return []history.Event{{T: from, What: history.Invoke, Who: who, ID: id, Op: &history.Op{Kind: kind, Key: "scribe", Value: who, Token: token}},
-		{T: to, What: history.OK, Who: who, ID: id, Op: &history.Op{Did: got > 0, Token: got}}}
+		{T: to, What: history.OK, Who: who, ID: id, Op: &history.Op{Succeeded: got > 0, Token: got}}}
 }
 
 // Grants that fit no order are found: a renewal after another was granted, two at once, a token
--- a/internal/testbed/checker/limits.go
+++ b/internal/testbed/checker/limits.go
@@ -21,7 +21,7 @@
 	for i := range c.Events {
 		e := &c.Events[i]
 		switch {
-		case e.What == history.Wide:
+		case e.What == history.OversizedDatagram:
 			report(e, fmt.Sprintf("datagram of %d bytes; 256 are allowed", e.Bytes))
 		case e.What != history.Usage:
 		case c.Play.Memory > 0 && e.Memory > c.Play.Memory:
--- a/internal/testbed/checker/linear.go
+++ b/internal/testbed/checker/linear.go
@@ -32,7 +32,7 @@
 func telling(all []porcupine.Operation) []porcupine.Operation {
 	notified := map[uint64]bool{}
 	for _, o := range all {
-		if out := o.Output.(outcome); out.known && out.op.Did && o.Input.(history.Op).Kind != "expire" {
+		if out := o.Output.(outcome); out.known && out.op.Succeeded && o.Input.(history.Op).Kind != "expire" {
 			if in := o.Input.(history.Op); in.Kind == "acquire" {
 				notified[out.op.Token] = true
 			} else {
@@ -107,7 +107,7 @@
 		if did {
 			value = in.Value
 		}
-		return !out.known || out.op.Did == did, value
+		return !out.known || out.op.Succeeded == did, value
 	},
 	Equal: func(a, b any) bool { return a == b },
 }
@@ -159,9 +159,9 @@
 			return true, s
 		case !out.known:
 			return true, s
-		case !out.op.Did && in.Kind == "acquire":
+		case !out.op.Succeeded && in.Kind == "acquire":
 			return s.who != in.Value, s
-		case !out.op.Did:
+		case !out.op.Succeeded:
 			return !mine, s
 		case in.Kind == "yield":
 			got.who, got.token = "", 0
--- a/internal/testbed/checker/views.go
+++ b/internal/testbed/checker/views.go
@@ -39,12 +39,12 @@
 			continue
 		}
 		n := NumberOf(e.Who)
-		if e.Inc < inc[n] && c.remembered(n, at[n], e.T) {
-			found = append(found, Violation{"view", e.T, e.Who, "", fmt.Sprintf("its incarnation went from %d to %d", inc[n], e.Inc)})
+		if e.Incarnation < inc[n] && c.remembered(n, at[n], e.T) {
+			found = append(found, Violation{"view", e.T, e.Who, "", fmt.Sprintf("its incarnation went from %d to %d", inc[n], e.Incarnation)})
 		}
-		inc[n], at[n] = max(inc[n], e.Inc), e.T
-		if e.Inc < inc[n] {
-			inc[n] = e.Inc // nobody was left who knew
+		inc[n], at[n] = max(inc[n], e.Incarnation), e.T
+		if e.Incarnation < inc[n] {
+			inc[n] = e.Incarnation // nobody was left who knew
 		}
 		if !slices.Contains(e.Routers, n) {
 			found = append(found, Violation{"view", e.T, e.Who, "", "is missing from its own view"})
--- a/internal/testbed/history/history.go
+++ b/internal/testbed/history/history.go
@@ -1,11 +1,11 @@
-// Package history is what happened in a play, an event a line: of the rig's processes on sockets or
-// of the lab's virtual time. history.schema.json beside this file says the same of each line for
-// programs that are not ours. The package is pure: it writes to what it is given, and its owner
-// stamps the times. It imports nothing of ours.
+// Package history has the format of the history of a run, an event a line: of processes on sockets
+// or of the simulator's virtual time. history.schema.json beside this file describes the same lines
+// for other programs. The package is pure: it writes to what it is given, and its caller stamps the
+// times.
 //
-// Times are nanoseconds since the play began, by one monotonic clock for the whole machine. A
-// client's request, a call of a process and an operation each have a start and an end; what has no
-// end is unknown, neither done nor not done.
+// Times are nanoseconds since the run began, by one monotonic clock for the whole machine. A
+// client's request, a call of a process and an operation each have a start and an end; the outcome
+// of one without an end is unknown, neither done nor not done.
 package history
 
 import (
@@ -18,15 +18,15 @@
 	"time"
 )
 
-// Version is that of the form; a reader refuses others.
+// Version is the version of the format; a reader rejects others.
 const Version = 1
 
 // MostLine bounds a line in bytes, MostText the text of an event, and MostEvents the events of one
 // history.
 const (
-	MostLine   = 64 << 10
-	MostText   = 512
-	MostEvents = 2_000_000
+	MaxLineBytes = 64 << 10
+	MaxTextBytes = 512
+	MaxEvents    = 2_000_000
 )
 
 // Schema is the JSON schema of a line.
@@ -34,7 +34,7 @@
 //go:embed history.schema.json
 var Schema []byte
 
-// What names an event.
+// What is the kind of an event.
 type What string
 
 // The events.
@@ -43,30 +43,30 @@
 	Bound What = "bound" // the last one where the history is full
 	End   What = "end"   // of the play
 
-	Start   What = "start"   // a process: Who, PID; Text is why where that is not the play's beginning
-	Phase   What = "phase"   // its log names a phase: Text
-	Ready   What = "ready"   // its clients' address says yes
-	Unready What = "unready" // and no more
-	Log     What = "log"     // any other line that it wrote: Text
-	Term    What = "term"    // it was told to end
-	Exit    What = "exit"    // it has ended: Status, or Text for a signal
-	Usage   What = "usage"   // what it holds: Memory, Descriptors, CPU
-	Caught  What = "caught"  // it answers nobody, and nothing that was done to it explains that: Text is where the evidence is
-	Call    What = "call"    // a call at its management address: ID, Text
-	Return  What = "return"  // the answer: ID, Text; empty for none in time
+	Start        What = "start"   // a process: Who, PID; Text is why where that is not the play's beginning
+	Phase        What = "phase"   // its log names a phase: Text
+	Ready        What = "ready"   // its clients' address says yes
+	Unready      What = "unready" // and no more
+	Log          What = "log"     // any other line that it wrote: Text
+	Term         What = "term"    // it was told to end
+	Exit         What = "exit"    // it has ended: Status, or Text for a signal
+	Usage        What = "usage"   // what it uses: Memory, Descriptors, CPU
+	Unresponsive What = "caught"  // it does not answer, and no fault excuses that: Text is where the evidence is
+	Call         What = "call"    // a call at its management address: ID, Text
+	Return       What = "return"  // the answer: ID, Text; empty for none in time
 
 	Fault What = "fault" // begins: N in the schedule, Text its kind, Routers, Hosts, Links
 	Heal  What = "heal"  // ends
 
-	Ask         What = "ask"     // a client's request goes to a router: ID, Who, Class, Until
-	First       What = "first"   // its first event came
-	Answer      What = "answer"  // its final answer: Status, How
-	Attempt     What = "attempt" // its last byte is at a host: ID, Who the host, From the router, Conn
-	Done        What = "done"    // the host has done with it, in whatever way
-	Closed      What = "closed"  // the router closed the connection Conn
-	ListApplied What = "told"    // the list told router Who of host From: Text is the state
-	Fell        What = "fell"    // host Who was pushed over while cold
-	Wide        What = "wide"    // router Who sent a datagram of Bytes, more than the platform allows
+	Ask               What = "ask"     // a client's request goes to a router: ID, Who, Class, Until
+	First             What = "first"   // its first event came
+	Answer            What = "answer"  // its final answer: Status, How
+	Attempt           What = "attempt" // its last byte is at a host: ID, Who the host, From the router, Conn
+	Done              What = "done"    // the host has finished it, in whatever way
+	Closed            What = "closed"  // the router closed the connection Conn
+	ListApplied       What = "told"    // the list told router Who of host From: Text is the state
+	HostOverloaded    What = "fell"    // host Who failed from overload in its slow start
+	OversizedDatagram What = "wide"    // router Who sent a datagram of Bytes, more than the platform allows
 
 	View   What = "view"   // a router's view of the fleet: Who, Text its digest, N its number, Routers who is in it, Inc its own incarnation
 	Invoke What = "invoke" // an operation of client Who begins: ID, Op
@@ -75,10 +75,10 @@
 	Note   What = "note"   // of the rig itself: Text
 )
 
-// How is what a client got.
+// How is the outcome of a client's request.
 type How string
 
-// The ways.
+// The outcomes.
 const (
 	Complete    How = "whole"
 	Broken      How = "broken"    // it began, and is not whole
@@ -86,13 +86,13 @@
 	Failed      How = "failed"    // any other status
 	Unreached   How = "unreached" // no connection came up: nobody has taken the request
 	Interrupted How = "cut off"   // the connection ended with no answer
-	None        How = "none"      // nothing came, for as long as the client listened
-	Left        How = "left"      // the client went away by itself
+	None        How = "none"      // nothing came before the client's time-out
+	Left        How = "left"      // the client canceled
 )
 
 // Event is a line.
 type Event struct {
-	T    int64  `json:"t"` // nanoseconds since the play began
+	T    int64  `json:"t"` // nanoseconds since the run began
 	What What   `json:"what"`
 	Who  string `json:"who,omitempty"` // r0 is a router, r0/2 its second process, h0 a host
 	ID   string `json:"id,omitempty"`
@@ -116,11 +116,11 @@
 	Routers []int    `json:"routers,omitempty"`
 	Hosts   []int    `json:"hosts,omitempty"`
 	Links   []string `json:"links,omitempty"`
-	All     bool     `json:"all,omitempty"` // every router's links are struck
+	All     bool     `json:"all,omitempty"` // the links of every router are affected
 
-	Inc   uint32 `json:"inc,omitempty"`
-	Token uint64 `json:"token,omitempty"`
-	Begun int64  `json:"begun,omitempty"` // when the holder of Token last looked at its lease, where one clock says so
+	Incarnation    uint32 `json:"inc,omitempty"`
+	Token          uint64 `json:"token,omitempty"`
+	LeaseCheckedAt int64  `json:"begun,omitempty"` // when the holder of Token last checked its lease, where both have one clock
 
 	Op   *Op   `json:"op,omitempty"`
 	Play *Play `json:"play,omitempty"`
@@ -128,12 +128,12 @@
 
 // Op is what an operation does, for histories that must be linearizable.
 type Op struct {
-	Kind  string `json:"kind"` // read, write or cas of a register; acquire, renew, yield or expire of a duty
-	Key   string `json:"key"`
-	Value string `json:"value,omitempty"` // of a duty the router, and its process behind a slash
-	Old   string `json:"old,omitempty"`   // of cas
-	Did   bool   `json:"did,omitempty"`   // of the end of all but read and write
-	Token uint64 `json:"token,omitempty"`
+	Kind      string `json:"kind"` // read, write or cas of a register; acquire, renew, yield or expire of a duty
+	Key       string `json:"key"`
+	Value     string `json:"value,omitempty"` // of a duty the router, and its process behind a slash
+	Old       string `json:"old,omitempty"`   // of cas
+	Succeeded bool   `json:"did,omitempty"`   // of the end of all but read and write
+	Token     uint64 `json:"token,omitempty"`
 }
 
 // Play is what was played.
@@ -185,15 +185,15 @@
 // Write writes an event. Beyond MostEvents it writes Bound once, and counts.
 func (w *Writer) Write(e *Event) error {
 	switch {
-	case w.events == MostEvents-1:
+	case w.events == MaxEvents-1:
 		e = &Event{T: e.T, What: Bound, Text: fmt.Sprintf("full after %d events", w.events)}
-	case w.events >= MostEvents:
+	case w.events >= MaxEvents:
 		w.lost++
 		return nil
 	}
-	if len(e.Text) > MostText {
+	if len(e.Text) > MaxTextBytes {
 		truncated := *e
-		truncated.Text = e.Text[:MostText]
+		truncated.Text = e.Text[:MaxTextBytes]
 		e = &truncated
 	}
 	line, err := json.Marshal(e)
@@ -211,7 +211,7 @@
 // Read reads a history. A last line that was cut is left out; any other fault names its line.
 func Read(from io.Reader) ([]Event, error) {
 	var all []Event
-	lines := bufio.NewReaderSize(from, MostLine)
+	lines := bufio.NewReaderSize(from, MaxLineBytes)
 	for n := 1; ; n++ {
 		line, err := lines.ReadSlice('\n')
 		if err == io.EOF {
@@ -230,8 +230,8 @@
 		if n == 1 && e.Play.Version != Version {
 			return nil, fmt.Errorf("line 1: is of version %d; this program reads %d", e.Play.Version, Version)
 		}
-		if len(all) == MostEvents {
-			return nil, fmt.Errorf("line %d: is more than the %d events that a history may have", n, MostEvents)
+		if len(all) == MaxEvents {
+			return nil, fmt.Errorf("line %d: is more than the %d events that a history may have", n, MaxEvents)
 		}
 		all = append(all, e)
 	}
--- a/internal/testbed/history/history_test.go
+++ b/internal/testbed/history/history_test.go
@@ -33,10 +33,10 @@
 // Every event that the package names fits the written schema, and is read as it was written.
 func TestSchemaAndBack(t *testing.T) {
 	all := []Event{begin}
-	for _, w := range []What{Start, Phase, Ready, Unready, Log, Term, Exit, Usage, Caught, Call, Return, Fault, Heal, Ask, First, Answer, Attempt,
-		Done, Closed, ListApplied, Fell, Wide, View, Invoke, OK, Note, Bound, End} {
+	for _, w := range []What{Start, Phase, Ready, Unready, Log, Term, Exit, Usage, Unresponsive, Call, Return, Fault, Heal, Ask, First, Answer, Attempt,
+		Done, Closed, ListApplied, HostOverloaded, OversizedDatagram, View, Invoke, OK, Note, Bound, End} {
 		all = append(all, Event{T: 7, What: w, Who: "r0/2", ID: "x", Text: "words \x00 \xff", How: Complete, Until: 9, Status: 503, Routers: []int{1},
-			Links: []string{"hosts"}, Op: &Op{Kind: "cas", Key: "k", Old: "1", Value: "2", Did: true}})
+			Links: []string{"hosts"}, Op: &Op{Kind: "cas", Key: "k", Old: "1", Value: "2", Succeeded: true}})
 	}
 	var file bytes.Buffer
 	w, s := NewWriter(&file), schema(t)
@@ -81,14 +81,14 @@
 	var file bytes.Buffer
 	w := NewWriter(&file)
 	w.Write(&begin)
-	w.events = MostEvents - 2
+	w.events = MaxEvents - 2
 	for range 3 {
 		if err := w.Write(&Event{What: Note, Text: strings.Repeat("x", 600)}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	all, err := Read(&file)
-	if err != nil || len(all) != 3 || len(all[1].Text) != MostText || all[2].What != Bound || w.Lost() != 1 {
+	if err != nil || len(all) != 3 || len(all[1].Text) != MaxTextBytes || all[2].What != Bound || w.Lost() != 1 {
 		t.Errorf("got %v, %v, %d lost", all, err, w.Lost())
 	}
 }
--- a/internal/testbed/history/stored_test.go
+++ b/internal/testbed/history/stored_test.go
@@ -18,10 +18,10 @@
 	all := []Event{{What: Begin, Play: &Play{Version: Version, World: "rig", Name: "upgrade", Seed: 1<<63 - 1, Routers: 3, Hosts: 2, Schedule: "fault \"kill\" {}\n",
 		Slack: 5e8, Memory: 192 << 20, Sockets: 512, Leave: 7e8, Views: 3e9, Settle: 4e9}}}
 	event := Event{T: 123456789, Who: "r0/2", ID: "x-1", Text: "words", PID: 4321, N: 3, Status: 503, How: Refused, Until: 9e9, Class: "chat", From: "r1", Conn: "c-7",
-		Bytes: 300, Memory: 1 << 20, Descriptors: 40, CPU: 5e6, Routers: []int{1, 2}, Hosts: []int{3}, Links: []string{"peers", "hosts"}, All: true, Inc: 4, Token: 77,
-		Begun: 8e9, Op: &Op{Kind: "cas", Key: "k", Value: "r1/2", Old: "r2/1", Did: true, Token: 76}}
-	for _, what := range []What{Start, Phase, Ready, Unready, Log, Term, Exit, Usage, Caught, Call, Return, Fault, Heal, Ask, First, Answer, Attempt, Done, Closed, ListApplied,
-		Fell, Wide, View, Invoke, OK, Act, Note, Bound, End} {
+		Bytes: 300, Memory: 1 << 20, Descriptors: 40, CPU: 5e6, Routers: []int{1, 2}, Hosts: []int{3}, Links: []string{"peers", "hosts"}, All: true, Incarnation: 4, Token: 77,
+		LeaseCheckedAt: 8e9, Op: &Op{Kind: "cas", Key: "k", Value: "r1/2", Old: "r2/1", Succeeded: true, Token: 76}}
+	for _, what := range []What{Start, Phase, Ready, Unready, Log, Term, Exit, Usage, Unresponsive, Call, Return, Fault, Heal, Ask, First, Answer, Attempt, Done, Closed, ListApplied,
+		HostOverloaded, OversizedDatagram, View, Invoke, OK, Act, Note, Bound, End} {
 		event.What = what
 		all = append(all, event)
 	}
--- a/internal/testbed/leasesim/acts.go
+++ b/internal/testbed/leasesim/acts.go
@@ -54,5 +54,5 @@
 			w.scheduleWakeUp(sender)
 		}
 	}
-	w.emit(history.Event{What: history.Act, Who: "h0", From: sender.name, Text: e.role, Token: e.token, Status: status, Begun: e.checkedAt.Nanoseconds()})
+	w.emit(history.Event{What: history.Act, Who: "h0", From: sender.name, Text: e.role, Token: e.token, Status: status, LeaseCheckedAt: e.checkedAt.Nanoseconds()})
 }
--- a/internal/testbed/leasesim/operations.go
+++ b/internal/testbed/leasesim/operations.go
@@ -30,7 +30,7 @@
 	if reply.ID == 0 || reply.NotLeader {
 		return
 	}
-	op := &history.Op{Did: reply.Result.OK, Token: reply.Result.Grant.Token}
+	op := &history.Op{Succeeded: reply.Result.OK, Token: reply.Result.Grant.Token}
 	w.emit(history.Event{What: history.OK, Who: r.process(), ID: r.operationID(reply.ID), Op: op})
 }
 
@@ -48,7 +48,7 @@
 		if byVoters && !w.spec.isShared(c.Grant.Role) {
 			id := fmt.Sprint("expire ", token)
 			w.emitAt(w.grantedAt[token], history.Event{What: history.Invoke, Who: id, ID: id, Op: &history.Op{Kind: "expire", Key: c.Grant.Role, Token: token}})
-			w.emit(history.Event{What: history.OK, Who: id, ID: id, Op: &history.Op{Did: true}})
+			w.emit(history.Event{What: history.OK, Who: id, ID: id, Op: &history.Op{Succeeded: true}})
 		}
 	}
 }
--- a/internal/testbed/membershipsim/drawn_test.go
+++ b/internal/testbed/membershipsim/drawn_test.go
@@ -38,7 +38,7 @@
 		return err.Error() + faults.Text(s.Faults)
 	case !ok:
 		return "not settled: " + why + faults.Text(s.Faults)
-	case w.False > 0 && !heavy(s.Faults):
+	case w.FalseDeaths > 0 && !heavy(s.Faults):
 		return "a living member was taken for dead" + faults.Text(s.Faults)
 	}
 	return ""
--- a/internal/testbed/membershipsim/measure_test.go
+++ b/internal/testbed/membershipsim/measure_test.go
@@ -51,8 +51,8 @@
 		w.Run(30 * sec)
 		all = append(all, at99-w.FirstMiss(int(seed)%n))
 		whole = append(whole, at100-10*sec)
-		if w.False > 0 || knows != n-1 {
-			t.Errorf("seed %d: %d false deaths, %d know", seed, w.False, knows)
+		if w.FalseDeaths > 0 || knows != n-1 {
+			t.Errorf("seed %d: %d false deaths, %d know", seed, w.FalseDeaths, knows)
 		}
 	}
 	slices.Sort(all)
@@ -75,7 +75,7 @@
 	for i := range n {
 		stood += w.Decider(i).Stats().Stalls
 	}
-	t.Logf("%v of %d routers: %d deaths told, %d of them of routers that lived; %.0f bytes a second; stood still %d times", length, n, w.Deaths, w.False,
+	t.Logf("%v of %d routers: %d deaths told, %d of them of routers that lived; %.0f bytes a second; stood still %d times", length, n, w.Deaths, w.FalseDeaths,
 		float64(w.Bytes)/length.Seconds()/n, stood)
 }
 
@@ -103,6 +103,6 @@
 		b = w.Bytes
 		took := w.mustSettle(t, 30*sec)
 		t.Logf("%5d routers: %.1f bytes and %.2f datagrams a second, %.4f%% of a core, %d kB each; a crash settles in %v for %.0f bytes a router, %d false",
-			n, quiet, datagrams, 100*cpu.Seconds()/60/float64(n), (after.HeapAlloc-before.HeapAlloc)/uint64(n)>>10, took, float64(w.Bytes-b)/float64(n), w.False)
+			n, quiet, datagrams, 100*cpu.Seconds()/60/float64(n), (after.HeapAlloc-before.HeapAlloc)/uint64(n)>>10, took, float64(w.Bytes-b)/float64(n), w.FalseDeaths)
 	}
 }
--- a/internal/testbed/membershipsim/membershipsim.go
+++ b/internal/testbed/membershipsim/membershipsim.go
@@ -1,7 +1,7 @@
-// Package membershipsim plays the deciders of package members in virtual time: many routers, the
-// network between them with the faults of package faults, and invariants that are looked at after
-// each step. The same Spec gives the same play. It is pure, single-threaded, and bounded by its
-// routers and what is under way.
+// Package membershipsim runs the deciders of package members in virtual time: many routers, the
+// network between them with the faults of package faults, and invariants that are checked after
+// each step. The same Spec gives the same run. It is pure and single-threaded; its memory is
+// bounded by the routers and the datagrams in flight.
 package membershipsim
 
 import (
@@ -18,7 +18,7 @@
 	"reachspread/internal/testbed/simulator"
 )
 
-// Spec is a play.
+// Spec describes a run.
 type Spec struct {
 	Seed           uint64
 	Routers        int
@@ -37,7 +37,7 @@
 	Changed        func(router int, now time.Duration, c *members.Changed) // nil for nobody
 }
 
-// Topology is the fleet as schedules see it.
+// Topology returns the fleet in the form that schedules need.
 func (s *Spec) Topology() *faults.Topology {
 	topology := &faults.Topology{}
 	for i := range s.Routers {
@@ -46,49 +46,49 @@
 	return topology
 }
 
-// router is one place, with a decider while its process lives.
+// router is a router, with a decider while its process runs.
 type router struct {
-	n        int
-	addr     netip.AddrPort
-	zone     string
-	d        *members.Decider
-	gen      uint32
-	inc      uint32 // of this life
-	due      time.Duration
-	down     int
-	still    int
-	inbox    []members.Received
-	draining bool
-	born     time.Duration
-	missed   time.Duration // the first ping that found it dead, 0 for none yet
+	number          int
+	addr            netip.AddrPort
+	zone            string
+	decider         *members.Decider
+	generation      uint32
+	incarnation     uint32 // of this process
+	wakeAt          time.Duration
+	activeFaults    int
+	activeFreezes   int
+	inbox           []members.Received
+	draining        bool
+	startedAt       time.Duration
+	firstMissedPing time.Duration // the first ping that found it dead, 0 for none yet
 }
 
-// World is a play at one moment.
+// World is the state of a run.
 type World struct {
-	s          Spec
+	spec       Spec
 	now        time.Duration
 	rng        *rand.Rand
 	events     eventqueue.Queue[event]
 	routers    []*router
-	at         map[netip.AddrPort]*router
+	byAddress  map[netip.AddrPort]*router
 	injections []*faults.Injection
-	on         []*faults.Injection
+	linkFaults []*faults.Injection
 	link       *faults.Link
 	copies     []faults.Copy
-	broken     error
+	violation  error
 	roster     *members.Roster // what all begin with, where they do
 	seeds      []netip.AddrPort
 
 	Datagrams, Bytes uint64 // sent
-	Deaths           int    // told by any router of any other
-	False            int    // of them, of routers that lived and were not still
+	Deaths           int    // of any router, in the view of any other
+	FalseDeaths      int    // of them, of routers that ran and were not frozen
 	Changes          int
 }
 
-type doing uint8
+type eventKind uint8
 
 const (
-	arrives doing = iota
+	arrives eventKind = iota
 	wakes
 	starts
 	begins
@@ -100,15 +100,15 @@
 )
 
 type event struct {
-	at   time.Duration
-	do   doing
-	n    int // a router's or a strike's number
-	gen  uint32
-	from netip.AddrPort
-	data []byte
+	at         time.Duration
+	kind       eventKind
+	number     int // of a router or of an injection
+	generation uint32
+	from       netip.AddrPort
+	data       []byte
 }
 
-// New makes a world. Its faults must exist in virtual time of views.
+// New returns a world at its beginning. It fails where the Spec is invalid.
 func New(s Spec) (*World, error) {
 	if s.Routers < 1 || s.Routers > 60000 {
 		return nil, fmt.Errorf("spec: Routers is %d; it must be from 1 to 60000", s.Routers)
@@ -124,16 +124,16 @@
 	if s.Same == 0 {
 		s.Same, s.Cross, s.Jitter = 300*time.Microsecond, 2*time.Millisecond, 0.2
 	}
-	w := &World{s: s, rng: rand.New(rand.NewPCG(s.Seed, 0x71e3)), at: map[netip.AddrPort]*router{}, link: faults.NewLink(s.Seed, 0)}
+	w := &World{spec: s, rng: rand.New(rand.NewPCG(s.Seed, 0x71e3)), byAddress: map[netip.AddrPort]*router{}, link: faults.NewLink(s.Seed, 0)}
 	topology := s.Topology()
 	for i := range s.Routers {
-		r := &router{n: i, zone: topology.Routers[i], addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(i >> 8), byte(i), 1}), 7946)}
+		r := &router{number: i, zone: topology.Routers[i], addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(i >> 8), byte(i), 1}), 7946)}
 		w.routers = append(w.routers, r)
-		w.at[r.addr] = r
+		w.byAddress[r.addr] = r
 	}
 	var all []members.Member
 	for _, x := range w.routers {
-		all = append(all, members.Member{Name: name(x.n), Zone: x.zone, Version: "1", Addr: x.addr, Boot: bootOf(x.n, 1), Incarnation: 1})
+		all = append(all, members.Member{Name: name(x.number), Zone: x.zone, Version: "1", Addr: x.addr, Boot: bootOf(x.number, 1), Incarnation: 1})
 		w.seeds = append(w.seeds, x.addr)
 	}
 	if s.StartConverged {
@@ -144,20 +144,20 @@
 		if s.Spread > 0 {
 			at = time.Duration(w.rng.Int64N(int64(s.Spread)))
 		}
-		w.put(event{at: at, do: starts, n: i})
+		w.put(event{at: at, kind: starts, number: i})
 		w.scheduleFreeze(i)
 	}
 	w.injections = faults.Resolve(s.Faults, topology, s.Seed)
 	for i, x := range w.injections {
-		w.put(event{at: x.At, do: begins, n: i})
+		w.put(event{at: x.At, kind: begins, number: i})
 	}
 	return w, nil
 }
 
 // scheduleFreeze has a router stand still some time.
 func (w *World) scheduleFreeze(n int) {
-	if w.s.Pauses > 0 {
-		w.put(event{at: w.now + time.Duration(w.rng.ExpFloat64()*float64(w.s.Pauses)), do: stands, n: n})
+	if w.spec.Pauses > 0 {
+		w.put(event{at: w.now + time.Duration(w.rng.ExpFloat64()*float64(w.spec.Pauses)), kind: stands, number: n})
 	}
 }
 
@@ -168,7 +168,7 @@
 
 // Run plays until a time. An invariant that breaks ends it.
 func (w *World) Run(until time.Duration) error {
-	for w.broken == nil {
+	for w.violation == nil {
 		e, at, ok := w.events.Next(until)
 		if !ok {
 			break
@@ -176,31 +176,31 @@
 		w.now = at
 		w.play(&e)
 	}
-	if w.broken == nil {
+	if w.violation == nil {
 		w.now = max(w.now, until)
 	}
-	return w.broken
+	return w.violation
 }
 
 // Now is the time of the play.
 func (w *World) Now() time.Duration { return w.now }
 
 func (w *World) emit(e history.Event) {
-	if w.s.History != nil {
+	if w.spec.History != nil {
 		e.T = w.now.Nanoseconds()
-		w.s.History(&e)
+		w.spec.History(&e)
 	}
 }
 
 func name(n int) string { return fmt.Sprint("r", n) }
 
 func (w *World) play(e *event) {
-	switch e.do {
+	switch e.kind {
 	case arrives:
-		r := w.routers[e.n]
+		r := w.routers[e.number]
 		switch {
-		case r.d == nil:
-		case r.still > 0:
+		case r.decider == nil:
+		case r.activeFreezes > 0:
 			if len(r.inbox) < mostInbox {
 				r.inbox = append(r.inbox, members.Received{From: e.from, Data: e.data})
 			}
@@ -208,30 +208,30 @@
 			w.step(r, members.Received{From: e.from, Data: e.data})
 		}
 	case wakes:
-		if r := w.routers[e.n]; r.d != nil && r.gen == e.gen && r.due == e.at && r.still == 0 {
+		if r := w.routers[e.number]; r.decider != nil && r.generation == e.generation && r.wakeAt == e.at && r.activeFreezes == 0 {
 			w.step(r, members.Tick{})
 		}
 	case starts:
-		w.start(w.routers[e.n])
+		w.start(w.routers[e.number])
 	case begins:
-		s := w.injections[e.n]
-		w.emit(simulator.FaultEvent(history.Fault, e.n, s))
-		w.put(event{at: w.now + s.Length, do: ends, n: e.n})
+		s := w.injections[e.number]
+		w.emit(simulator.FaultEvent(history.Fault, e.number, s))
+		w.put(event{at: w.now + s.Length, kind: ends, number: e.number})
 		w.inject(s, true)
 	case ends:
-		s := w.injections[e.n]
+		s := w.injections[e.number]
 		w.inject(s, false)
-		w.emit(simulator.FaultEvent(history.Heal, e.n, s))
+		w.emit(simulator.FaultEvent(history.Heal, e.number, s))
 	case freezes, thaws:
 		w.crawl(e)
 	case stands:
-		if w.now < w.s.Length {
-			w.freeze(w.routers[e.n], true)
-			w.put(event{at: w.now + w.s.Pause, do: goesOn, n: e.n})
+		if w.now < w.spec.Length {
+			w.freeze(w.routers[e.number], true)
+			w.put(event{at: w.now + w.spec.Pause, kind: goesOn, number: e.number})
 		}
 	case goesOn:
-		w.freeze(w.routers[e.n], false)
-		w.scheduleFreeze(e.n)
+		w.freeze(w.routers[e.number], false)
+		w.scheduleFreeze(e.number)
 	}
 }
 
@@ -239,29 +239,29 @@
 const mostInbox = 1000
 
 func (w *World) start(r *router) {
-	if r.d != nil || r.down > 0 {
+	if r.decider != nil || r.activeFaults > 0 {
 		return
 	}
 	var seeds []netip.AddrPort
-	if w.s.Seeds > 0 {
-		for _, i := range w.rng.Perm(w.s.Routers)[:min(w.s.Seeds, w.s.Routers)] {
+	if w.spec.Seeds > 0 {
+		for _, i := range w.rng.Perm(w.spec.Routers)[:min(w.spec.Seeds, w.spec.Routers)] {
 			seeds = append(seeds, w.routers[i].addr)
 		}
 	} else {
 		seeds = w.seeds
 	}
-	r.gen++
-	d, err := members.New(members.Config{Name: name(r.n), Zone: r.zone, Version: "1", Addr: r.addr, Boot: bootOf(r.n, r.gen), Seeds: seeds,
-		SeedsOnly: w.s.Seeds == 0, RandomSeed: w.s.Seed<<20 | uint64(r.n)}, w.now)
+	r.generation++
+	d, err := members.New(members.Config{Name: name(r.number), Zone: r.zone, Version: "1", Addr: r.addr, Boot: bootOf(r.number, r.generation), Seeds: seeds,
+		SeedsOnly: w.spec.Seeds == 0, RandomSeed: w.spec.Seed<<20 | uint64(r.number)}, w.now)
 	if err != nil {
-		w.broken = err
+		w.violation = err
 		return
 	}
-	r.d, r.inc, r.draining, r.born = d, 0, false, w.now
-	if w.s.StartConverged && r.gen == 1 {
+	r.decider, r.incarnation, r.draining, r.startedAt = d, 0, false, w.now
+	if w.spec.StartConverged && r.generation == 1 {
 		d.Restore(w.roster)
 	}
-	w.emit(history.Event{What: history.Start, Who: name(r.n)})
+	w.emit(history.Event{What: history.Start, Who: name(r.number)})
 	w.step(r, members.Tick{})
 }
 
@@ -270,16 +270,16 @@
 
 // stop ends a router's process.
 func (w *World) stop(r *router) {
-	if r.d != nil {
-		r.d, r.inbox, r.missed = nil, nil, 0
-		w.emit(history.Event{What: history.Exit, Who: name(r.n), Status: -1, Text: "killed"})
+	if r.decider != nil {
+		r.decider, r.inbox, r.firstMissedPing = nil, nil, 0
+		w.emit(history.Event{What: history.Exit, Who: name(r.number), Status: -1, Text: "killed"})
 	}
 }
 
 // step has a decider take an event, and carries out what it wants.
 func (w *World) step(r *router, e members.Event) {
-	gen := r.gen
-	for _, a := range r.d.Step(w.now, e) {
+	gen := r.generation
+	for _, a := range r.decider.Step(w.now, e) {
 		switch a := a.(type) {
 		case members.Send:
 			w.send(r, a)
@@ -287,16 +287,16 @@
 			w.changed(r, &a)
 		}
 	}
-	if r.d == nil || r.gen != gen {
+	if r.decider == nil || r.generation != gen {
 		return
 	}
 	w.invariants(r)
-	if due := r.d.Next(); due != r.due || due <= w.now {
-		if _, byTimer := e.(members.Tick); byTimer && due <= w.now && w.broken == nil {
-			w.broken = fmt.Errorf("%v: %s was stepped at the time that it named, and names no later one: its loop would turn without pause", w.now, name(r.n))
+	if due := r.decider.Next(); due != r.wakeAt || due <= w.now {
+		if _, byTimer := e.(members.Tick); byTimer && due <= w.now && w.violation == nil {
+			w.violation = fmt.Errorf("%v: %s was stepped at the time that it named, and names no later one: its loop would turn without pause", w.now, name(r.number))
 		}
-		r.due = max(due, w.now+time.Microsecond) // what a message has called for follows at once
-		w.put(event{at: r.due, do: wakes, n: r.n, gen: r.gen})
+		r.wakeAt = max(due, w.now+time.Microsecond) // what a message has called for follows at once
+		w.put(event{at: r.wakeAt, kind: wakes, number: r.number, generation: r.generation})
 	}
 }
 
@@ -307,13 +307,13 @@
 			continue
 		}
 		w.Deaths++
-		if of := w.at[x.Member.Addr]; w.well(of) {
-			w.False++
-			w.emit(history.Event{What: history.Note, Who: name(r.n), Text: "false death of " + x.Member.Name})
+		if of := w.byAddress[x.Member.Addr]; w.well(of) {
+			w.FalseDeaths++
+			w.emit(history.Event{What: history.Note, Who: name(r.number), Text: "false death of " + x.Member.Name})
 		}
 	}
-	if w.s.Changed != nil {
-		w.s.Changed(r.n, w.now, c)
+	if w.spec.Changed != nil {
+		w.spec.Changed(r.number, w.now, c)
 	}
 }
 
@@ -323,14 +323,14 @@
 
 // well tells that a router lives, runs, and is struck by no cut or partition, for long enough.
 func (w *World) well(r *router) bool {
-	if r.d == nil || r.still > 0 || w.now < r.born+wellFor {
+	if r.decider == nil || r.activeFreezes > 0 || w.now < r.startedAt+wellFor {
 		return false
 	}
 	for _, s := range w.injections {
-		if partitioned := s.Kind == faults.Partition || s.Kind == faults.Blackhole && s.Concerns(r.n); partitioned && w.now >= s.At && w.now < s.At+s.Length+wellFor {
+		if partitioned := s.Kind == faults.Partition || s.Kind == faults.Blackhole && s.Concerns(r.number); partitioned && w.now >= s.At && w.now < s.At+s.Length+wellFor {
 			return false
 		}
-		if still := s.Kind == faults.Freeze && slices.Contains(s.Routers, r.n); still && w.now >= s.At && w.now < s.At+s.Length+wellFor && s.Length > maxFreeze {
+		if still := s.Kind == faults.Freeze && slices.Contains(s.Routers, r.number); still && w.now >= s.At && w.now < s.At+s.Length+wellFor && s.Length > maxFreeze {
 			return false
 		}
 	}
@@ -342,40 +342,40 @@
 
 // invariants are looked at after each step of a router.
 func (w *World) invariants(r *router) {
-	inc := r.d.Incarnation()
+	inc := r.decider.Incarnation()
 	switch {
-	case inc < r.inc:
-		w.broken = fmt.Errorf("at %v the incarnation of %s went from %d to %d", w.now, name(r.n), r.inc, inc)
-	case !r.draining && r.d.State() != members.Joining && r.d.State() != members.Alive:
-		w.broken = fmt.Errorf("at %v %s is %v in its own view", w.now, name(r.n), r.d.State())
+	case inc < r.incarnation:
+		w.violation = fmt.Errorf("at %v the incarnation of %s went from %d to %d", w.now, name(r.number), r.incarnation, inc)
+	case !r.draining && r.decider.State() != members.Joining && r.decider.State() != members.Alive:
+		w.violation = fmt.Errorf("at %v %s is %v in its own view", w.now, name(r.number), r.decider.State())
 	}
-	r.inc = inc
+	r.incarnation = inc
 }
 
 func (w *World) send(r *router, a members.Send) {
 	w.Datagrams++
 	w.Bytes += uint64(len(a.Data))
 	if len(a.Data) > members.MaxDatagramLen {
-		w.broken = fmt.Errorf("at %v %s sends %d bytes", w.now, name(r.n), len(a.Data))
+		w.violation = fmt.Errorf("at %v %s sends %d bytes", w.now, name(r.number), len(a.Data))
 		return
 	}
-	to := w.at[a.To]
+	to := w.byAddress[a.To]
 	if to == nil {
 		return
 	}
-	if to.d == nil && to.missed == 0 && len(a.Data) > 0 && a.Data[0] == pingByte {
-		to.missed = w.now
+	if to.decider == nil && to.firstMissedPing == 0 && len(a.Data) > 0 && a.Data[0] == pingByte {
+		to.firstMissedPing = w.now
 	}
-	way := w.s.Same
+	way := w.spec.Same
 	if to.zone != r.zone {
-		way = w.s.Cross
+		way = w.spec.Cross
 	}
-	way += time.Duration(w.s.Jitter * w.rng.Float64() * float64(way))
-	if len(w.on) == 0 {
-		w.put(event{at: w.now + way, do: arrives, n: to.n, from: r.addr, data: a.Data})
+	way += time.Duration(w.spec.Jitter * w.rng.Float64() * float64(way))
+	if len(w.linkFaults) == 0 {
+		w.put(event{at: w.now + way, kind: arrives, number: to.number, from: r.addr, data: a.Data})
 		return
 	}
-	w.link.Condition = faults.ConditionOf(w.on, faults.End{N: r.n}, faults.End{N: to.n})
+	w.link.Condition = faults.ConditionOf(w.linkFaults, faults.End{N: r.number}, faults.End{N: to.number})
 	w.copies = w.link.Pass(len(a.Data), w.copies[:0])
 	for _, c := range w.copies {
 		data := a.Data
@@ -385,7 +385,7 @@
 				data[c.Flip/8] ^= 1 << (c.Flip % 8)
 			}
 		}
-		w.put(event{at: w.now + way + c.After, do: arrives, n: to.n, from: r.addr, data: data})
+		w.put(event{at: w.now + way + c.After, kind: arrives, number: to.number, from: r.addr, data: data})
 	}
 }
 
@@ -393,15 +393,15 @@
 const pingByte = 2 << 4
 
 // FirstMiss is when the first ping found a router dead, since it died last; 0 for not yet.
-func (w *World) FirstMiss(n int) time.Duration { return w.routers[n].missed }
+func (w *World) FirstMiss(n int) time.Duration { return w.routers[n].firstMissedPing }
 
 // inject has a fault begin or end.
 func (w *World) inject(s *faults.Injection, on bool) {
 	if faults.Of(s.Kind).OfLinks() {
 		if on {
-			w.on = append(w.on, s)
+			w.linkFaults = append(w.linkFaults, s)
 		} else {
-			w.on = slices.DeleteFunc(w.on, func(x *faults.Injection) bool { return x == s })
+			w.linkFaults = slices.DeleteFunc(w.linkFaults, func(x *faults.Injection) bool { return x == s })
 		}
 		return
 	}
@@ -410,17 +410,17 @@
 		switch s.Kind {
 		case faults.Kill, faults.Power, faults.Restart:
 			if on {
-				if s.Kind == faults.Restart && r.d != nil && r.still == 0 {
+				if s.Kind == faults.Restart && r.decider != nil && r.activeFreezes == 0 {
 					r.draining = true
 					w.step(r, members.Leave{})
 				}
-				r.down++
+				r.activeFaults++
 				w.stop(r)
-			} else if r.down--; r.down == 0 {
+			} else if r.activeFaults--; r.activeFaults == 0 {
 				w.start(r)
 			}
 		case faults.Replace:
-			if on && r.d != nil && r.still == 0 && r.down == 0 {
+			if on && r.decider != nil && r.activeFreezes == 0 && r.activeFaults == 0 {
 				r.draining = true
 				w.step(r, members.Leave{Replaced: true})
 				w.stop(r)
@@ -430,7 +430,7 @@
 			w.freeze(r, on)
 		case faults.Crawl:
 			if on {
-				w.put(event{at: w.now, do: freezes, n: n, gen: uint32(slices.Index(w.injections, s))})
+				w.put(event{at: w.now, kind: freezes, number: n, generation: uint32(slices.Index(w.injections, s))})
 			}
 		}
 	}
@@ -438,20 +438,20 @@
 
 func (w *World) freeze(r *router, on bool) {
 	if on {
-		r.still++
+		r.activeFreezes++
 		return
 	}
-	if r.still--; r.still > 0 || r.d == nil {
+	if r.activeFreezes--; r.activeFreezes > 0 || r.decider == nil {
 		return
 	}
 	inbox := r.inbox
 	r.inbox = nil
 	for _, e := range inbox {
-		if r.d != nil {
+		if r.decider != nil {
 			w.step(r, e)
 		}
 	}
-	if r.d != nil {
+	if r.decider != nil {
 		w.step(r, members.Tick{})
 	}
 }
@@ -460,17 +460,17 @@
 const burst = 200 * time.Millisecond
 
 func (w *World) crawl(e *event) {
-	s, r := w.injections[e.gen], w.routers[e.n]
-	if e.do == freezes {
+	s, r := w.injections[e.generation], w.routers[e.number]
+	if e.kind == freezes {
 		if w.now >= s.At+s.Length {
 			return
 		}
 		w.freeze(r, true)
-		w.put(event{at: w.now + time.Duration(s.Share*float64(burst)), do: thaws, n: e.n, gen: e.gen})
+		w.put(event{at: w.now + time.Duration(s.Share*float64(burst)), kind: thaws, number: e.number, generation: e.generation})
 		return
 	}
 	w.freeze(r, false)
-	w.put(event{at: w.now + time.Duration((1-s.Share)*float64(burst)), do: freezes, n: e.n, gen: e.gen})
+	w.put(event{at: w.now + time.Duration((1-s.Share)*float64(burst)), kind: freezes, number: e.number, generation: e.generation})
 }
 
 // Settled tells whether all routers that live have the same view, in which are they and nobody
@@ -480,26 +480,26 @@
 	var first *router
 	live := 0
 	for _, r := range w.routers {
-		if r.d == nil {
+		if r.decider == nil {
 			continue
 		}
 		live++
 		if first == nil {
-			first, digest = r, r.d.Digest()
+			first, digest = r, r.decider.Digest()
 		}
-		if r.d.Digest() != digest {
-			return false, fmt.Sprintf("%s and %s see different fleets, of %d and %d", name(first.n), name(r.n), first.d.Stats().Alive, r.d.Stats().Alive)
+		if r.decider.Digest() != digest {
+			return false, fmt.Sprintf("%s and %s see different fleets, of %d and %d", name(first.number), name(r.number), first.decider.Stats().Alive, r.decider.Stats().Alive)
 		}
 	}
 	if first == nil {
 		return true, ""
 	}
-	v := first.d.View()
+	v := first.decider.View()
 	if len(v.Members) != live {
-		return false, fmt.Sprintf("%s sees %d; %d live", name(first.n), len(v.Members), live)
+		return false, fmt.Sprintf("%s sees %d; %d live", name(first.number), len(v.Members), live)
 	}
 	for _, m := range v.Members {
-		if r := w.at[m.Addr]; r.d == nil || name(r.n) != m.Name {
+		if r := w.byAddress[m.Addr]; r.decider == nil || name(r.number) != m.Name {
 			return false, m.Name + " is seen, and does not live"
 		}
 	}
@@ -514,7 +514,7 @@
 		if ok, why = w.Settled(); ok {
 			return w.now, true, ""
 		}
-		if w.now >= until || w.broken != nil {
+		if w.now >= until || w.violation != nil {
 			return w.now, false, why
 		}
 		w.Run(min(w.now+look, until))
@@ -522,12 +522,12 @@
 }
 
 // Decider returns a router's, nil while it is dead.
-func (w *World) Decider(n int) *members.Decider { return w.routers[n].d }
+func (w *World) Decider(n int) *members.Decider { return w.routers[n].decider }
 
 // Live is how many routers live.
 func (w *World) Live() (n int) {
 	for _, r := range w.routers {
-		if r.d != nil {
+		if r.decider != nil {
 			n++
 		}
 	}
--- a/internal/testbed/membershipsim/membershipsim_test.go
+++ b/internal/testbed/membershipsim/membershipsim_test.go
@@ -27,8 +27,8 @@
 	t.Helper()
 	from := w.now
 	at, ok, why := w.AwaitConvergence(from + within)
-	if !ok || w.broken != nil {
-		t.Fatalf("not settled %v after %v: %s, %v", at-from, from, why, w.broken)
+	if !ok || w.violation != nil {
+		t.Fatalf("not settled %v after %v: %s, %v", at-from, from, why, w.violation)
 	}
 	return at - from
 }
@@ -134,8 +134,8 @@
 				if ok, why := w.Settled(); !ok {
 					t.Errorf("seed %d: settled, and not any more: %s", seed, why)
 				}
-				if w.False > 0 {
-					t.Errorf("seed %d: %d living members were taken for dead", seed, w.False)
+				if w.FalseDeaths > 0 {
+					t.Errorf("seed %d: %d living members were taken for dead", seed, w.FalseDeaths)
 				}
 				for r, n := range changes {
 					if x.changes > 0 && n > x.changes {
--- a/internal/testbed/simulator/hosts.go
+++ b/internal/testbed/simulator/hosts.go
@@ -80,7 +80,7 @@
 		case hostmodel.Preempted:
 			w.result.Preempted++
 		case hostmodel.Overloaded:
-			w.emit(history.Event{What: history.Fell, Who: h.id})
+			w.emit(history.Event{What: history.HostOverloaded, Who: h.id})
 			w.violated(ruleSlowStart, h.id, h.number, "fell over")
 		}
 	}
