--- a/internal/testbed/chaos/chaos.go
+++ b/internal/testbed/chaos/chaos.go
@@ -25,92 +25,80 @@
 	"reachspread/internal/testbed/simulator"
 )
 
-// Options is what a play may be told.
+// Options are the experiment of a chaos test, its seed and its outputs.
 type Options struct {
 	Experiment *experiment.Experiment
 	Seed       uint64
 	Program    string         // the router's binary
-	Folder     string         // a new one; empty for one of the system's, which is gone after a play without a verdict
+	Folder     string         // a new one; empty for a temporary one, which is removed after a test without a verdict
 	Faults     []faults.Fault // in place of the experiment's, if Drawn
 	Drawn      bool
 	Routers    int                  // in place of the experiment's; 0 for those
 	Profile    bool                 // routers write profiles when they are caught
-	Say        func(string)         // lines as it goes; nil for nobody
-	Event      func(*history.Event) // told of each event; nil for nobody
+	Print      func(string)         // called with lines of progress; may be nil
+	Observe    func(*history.Event) // called with each event; may be nil
 }
 
-// Result is what came of a play.
+// Result is the result of a chaos test.
 type Result struct {
-	Folder    string // with the history, the logs and whatever was caught
+	Folder    string // with the history, the logs and the profiles
 	Verdicts  []checker.Violation
 	Events    []history.Event
 	Tallies   []fakes.Tally
 	Lost      int // events beyond the bound
 	Took      time.Duration
 	Datagrams [16]uint64 // between routers, by the high half of their first byte
-	Stalls    int        // times that the machine let the rig itself stand still
+	Stalls    int        // times that the machine stalled this process
 }
 
-// mostRouters bounds a play; addresses are laid out for so many.
-const mostRouters = 100
+// maxRouters bounds the routers of a test: the layout has addresses for so many.
+const maxRouters = 100
 
 const (
-	readyWithin = 30 * time.Second // the platform's: then clients arrive in any case
-	leaveWithin = 3700 * time.Millisecond
-	endWithin   = leaveWithin + 2*time.Second
+	readyTimeout = 30 * time.Second // the platform's: then clients arrive in any case
+	drainTimeout = 3700 * time.Millisecond
+	exitTimeout  = drainTimeout + 2*time.Second
 )
 
-// play is a play under way.
+// play is a running chaos test.
 type play struct {
-	o       *Options
-	spec    simulator.Spec
-	layout  *layout
-	rec     *recorder
-	folder  string
-	fleet   *fakes.Fleet
-	mesh    *faultproxy.Mesh
-	hosts   [][]*faultproxy.ConnProxy // by router and host
-	lists   []*faultproxy.ConnProxy   // by router
-	routers []*router
-	start   starter
-	player  *player
-	front   *front
-	stalls  *stalls
+	options  *Options
+	spec     simulator.Spec
+	layout   *layout
+	recorder *recorder
+	folder   string
+	fleet    *fakes.Fleet
+	mesh     *faultproxy.Mesh
+	hosts    [][]*faultproxy.ConnProxy // by router and host
+	lists    []*faultproxy.ConnProxy   // by router
+	routers  []*router
+	starter  starter
+	player   *player
+	front    *front
+	stalls   *stalls
 
 	voterLines [][]*faultproxy.ConnProxy // by router and router, nil for itself
 	copyLines  []*faultproxy.ConnProxy   // by router
 	candidate  *fakes.Host               // gets copies; nil without duties
 
 	settings string // the operators' file of the routers, as it is before each gets its own
-	views    bool   // routers keep a view of the fleet
+	hasViews bool   // routers keep a view of the fleet
 }
 
-// Run plays an experiment once. All that it started is ended when it returns, also where ctx ends.
+// Run runs an experiment once. All that it started has ended when it returns, also if ctx ends. The
+// error is that of an invalid experiment, of starting the processes, of the history, or of ctx;
+// violations are verdicts of the result.
 func Run(ctx context.Context, o Options) (_ *Result, err error) {
-	begun := time.Now()
-	p := &play{o: &o, spec: o.Experiment.World(0, o.Seed)}
+	start := time.Now()
+	p := &play{options: &o, spec: o.Experiment.World(0, o.Seed), hasViews: o.Experiment.Rig.View}
 	if o.Routers > 0 {
 		p.spec.Routers = o.Routers
 	}
 	if !o.Drawn {
 		o.Faults = o.Experiment.Faults
 	}
-	if file := o.Experiment.Rig.Settings; file != "" {
-		text, err := os.ReadFile(file)
-		if err != nil {
-			return nil, err
-		}
-		p.settings = string(text)
-	}
-	if o.Experiment.Rig.View {
-		p.settings += "\nfleet {\n@FLEET@}\n"
-	}
-	if o.Experiment.Rig.Recovery {
-		p.settings += "\nrecovery {\n  folder = \"@DISK@\"\n  discovery = \"rig\"\n}\n"
-	}
-	p.views = o.Experiment.Rig.View
-	if p.eligibleVoters() > 0 {
-		p.settings += "@DUTIES@"
+	if err := p.readSettings(); err != nil {
+		return nil, err
 	}
 	if err := p.check(); err != nil {
 		return nil, err
@@ -118,60 +106,95 @@
 	if err := p.open(); err != nil {
 		return nil, err
 	}
-	keep := o.Folder != ""
+	keepFolder := o.Folder != ""
 	defer func() {
-		if !keep {
+		if !keepFolder {
 			os.RemoveAll(p.folder)
 		}
 	}()
 	plan, err := simulator.Plan(p.spec)
 	if err != nil {
-		p.rec.close()
+		p.recorder.close()
 		return nil, err
 	}
 	tallies, err := p.run(ctx, plan)
-	datagrams := [16]uint64{}
-	if p.mesh != nil {
-		datagrams = p.mesh.Kinds()
-	}
-	if cerr := p.rec.close(); err == nil {
-		err = cerr
+	if closeErr := p.recorder.close(); err == nil {
+		err = closeErr
 	}
 	if err != nil {
-		keep = keep || p.caught()
+		keepFolder = keepFolder || p.caught()
 		return nil, err
 	}
-	r := &Result{Folder: p.folder, Events: p.rec.events(), Tallies: tallies, Lost: p.rec.lost(), Took: time.Since(begun), Datagrams: datagrams, Stalls: p.stalls.count()}
-	r.Verdicts = checker.CheckAll(r.Events)
+	r := p.result(tallies, time.Since(start))
 	if len(r.Verdicts) > 0 {
-		keep = true
+		keepFolder = true
 		if err := p.writeFailure(r); err != nil {
 			return nil, err
 		}
 	}
-	if !keep {
+	if !keepFolder {
 		r.Folder = ""
 	}
 	return r, nil
 }
 
-// check refuses what can't be played, before anything is started.
+// readSettings composes the operators' settings file of the routers, with placeholders that each
+// router fills in.
+func (p *play) readSettings() error {
+	x := &p.options.Experiment.Rig
+	if x.Settings != "" {
+		text, err := os.ReadFile(x.Settings)
+		if err != nil {
+			return err
+		}
+		p.settings = string(text)
+	}
+	if x.View {
+		p.settings += "\nfleet {\n@FLEET@}\n"
+	}
+	if x.Recovery {
+		p.settings += "\nrecovery {\n  folder = \"@DISK@\"\n  discovery = \"rig\"\n}\n"
+	}
+	if p.eligibleVoters() > 0 {
+		p.settings += "@DUTIES@"
+	}
+	return nil
+}
+
+// result judges the history of a run.
+func (p *play) result(tallies []fakes.Tally, took time.Duration) *Result {
+	r := &Result{
+		Folder:  p.folder,
+		Events:  p.recorder.events(),
+		Tallies: tallies,
+		Lost:    p.recorder.lost(),
+		Took:    took,
+		Stalls:  p.stalls.count(),
+	}
+	if p.mesh != nil {
+		r.Datagrams = p.mesh.Kinds()
+	}
+	r.Verdicts = checker.CheckAll(r.Events)
+	return r
+}
+
+// check refuses an invalid experiment before anything is started.
 func (p *play) check() error {
-	x := p.o.Experiment
-	if p.spec.Routers > mostRouters {
-		return fmt.Errorf("routers is %d; the rig has addresses for %d", p.spec.Routers, mostRouters)
+	x := p.options.Experiment
+	if p.spec.Routers > maxRouters {
+		return fmt.Errorf("routers is %d; the rig has addresses for %d", p.spec.Routers, maxRouters)
 	}
 	topology := p.spec.Topology()
 	if v := x.Rig.Voters; v > 0 && (!x.Rig.View || v%2 == 0 || v > p.spec.Routers || x.Rig.Seeds > 0) {
 		return fmt.Errorf("voters is %d; it needs view = true without seeds, must be odd, and not more than the routers, %d", v, p.spec.Routers)
 	}
-	if err := x.CheckFor(faults.RealProcesses); err != nil && !p.o.Drawn {
+	if err := x.CheckFor(faults.RealProcesses); err != nil && !p.options.Drawn {
 		return err
 	}
-	if err := faults.Check(p.o.Faults, topology, faults.RealProcesses, p.spec.Length); err != nil {
+	if err := faults.Check(p.options.Faults, topology, faults.RealProcesses, p.spec.Length); err != nil {
 		return err
 	}
-	for _, f := range p.o.Faults {
+	for _, f := range p.options.Faults {
 		switch {
 		case f.Kind == faults.Replace && !x.Rig.Held:
 			return fmt.Errorf("%s: replace needs held = true in the block rig: the processes of a router share their clients' listener", f.Source)
@@ -179,30 +202,30 @@
 			return fmt.Errorf("%s: restart needs held = false in the block rig: nobody answers at a listener that the platform holds until the next process starts", f.Source)
 		}
 	}
-	if _, err := os.Stat(p.o.Program); err != nil {
+	if _, err := os.Stat(p.options.Program); err != nil {
 		return fmt.Errorf("the router's program: %w", err)
 	}
 	return enoughDescriptors(p.spec.Routers, len(topology.Hosts))
 }
 
-// open makes the folder and begins the history.
+// open creates the folder and begins the history.
 func (p *play) open() (err error) {
-	if p.folder = p.o.Folder; p.folder == "" {
+	if p.folder = p.options.Folder; p.folder == "" {
 		if p.folder, err = os.MkdirTemp("", "reachlab-rig-"); err != nil {
 			return err
 		}
 	} else if err = os.Mkdir(p.folder, 0o755); err != nil {
 		return err
 	}
-	if p.rec, err = newRecorder(filepath.Join(p.folder, historyFile), p.o.Event); err != nil {
+	if p.recorder, err = newRecorder(filepath.Join(p.folder, historyFile), p.options.Observe); err != nil {
 		return err
 	}
-	x := &p.o.Experiment.Rig
-	p.rec.add(history.Event{What: history.Begin, Play: &history.Play{Version: history.Version, World: "rig", Name: p.o.Experiment.Name, Seed: p.o.Seed,
-		Routers: p.spec.Routers, Hosts: len(p.spec.Topology().Hosts), Schedule: faults.Text(p.o.Faults), Slack: x.Slack.Nanoseconds(),
-		Memory: int64(x.MemoryMB) << 20, Sockets: x.Sockets, Leave: leaveWithin.Nanoseconds(), Settle: x.Settle.Nanoseconds(), Views: p.viewsWithin().Nanoseconds()}})
+	x := &p.options.Experiment.Rig
+	p.recorder.add(history.Event{What: history.Begin, Play: &history.Play{Version: history.Version, World: "rig", Name: p.options.Experiment.Name, Seed: p.options.Seed,
+		Routers: p.spec.Routers, Hosts: len(p.spec.Topology().Hosts), Schedule: faults.Text(p.options.Faults), Slack: x.Slack.Nanoseconds(),
+		Memory: int64(x.MemoryMB) << 20, Sockets: x.Sockets, Leave: drainTimeout.Nanoseconds(), Settle: x.Settle.Nanoseconds(), Views: p.viewsWithin().Nanoseconds()}})
 	return nil
 }
 
-// historyFile is a history's name in its folder.
+// historyFile is the file name of a history.
 const historyFile = "history.jsonl"
--- a/internal/testbed/chaos/chaos_test.go
+++ b/internal/testbed/chaos/chaos_test.go
@@ -278,7 +278,7 @@
 		{Kind: faults.FullDisk, At: 500 * time.Millisecond, Length: 300 * time.Millisecond, Routers: faults.Selection{Numbers: []int{1}}}}}
 	folder = filepath.Join(t.TempDir(), "play")
 	o.Folder = folder
-	o.Event = func(e *history.Event) {
+	o.Observe = func(e *history.Event) {
 		mu.Lock()
 		defer mu.Unlock()
 		n := strings.TrimPrefix(strings.SplitN(e.Who, "/", 2)[0], "r")
@@ -541,7 +541,7 @@
 	served := make(chan bool, 100)
 	over := make(chan error, 1)
 	go func() {
-		_, err := Run(ctx, Options{Experiment: x, Seed: 1, Program: routerBinary(t), Folder: filepath.Join(t.TempDir(), "play"), Event: func(e *history.Event) {
+		_, err := Run(ctx, Options{Experiment: x, Seed: 1, Program: routerBinary(t), Folder: filepath.Join(t.TempDir(), "play"), Observe: func(e *history.Event) {
 			switch e.What {
 			case history.Start:
 				pids <- e.PID
--- a/internal/testbed/chaos/duties.go
+++ b/internal/testbed/chaos/duties.go
@@ -16,7 +16,7 @@
 
 // eligibleVoters is how many routers may: the voters, and one more where there is one.
 func (p *play) eligibleVoters() int {
-	if n := p.o.Experiment.Rig.Voters; n > 0 {
+	if n := p.options.Experiment.Rig.Voters; n > 0 {
 		return min(n+1, p.spec.Routers)
 	}
 	return 0
@@ -28,7 +28,7 @@
 // dutyFields are a router's blocks duties and shadow: a scribe, and one copier for a pool of one candidate host. Each router
 // reaches the others' voters through relays of its own.
 func (p *play) dutyFields(i int) string {
-	x := &p.o.Experiment.Rig
+	x := &p.options.Experiment.Rig
 	var b strings.Builder
 	fmt.Fprintf(&b, "duties {\n  voters = %d\n  lease = %q\n  replace_after = \"4s\"\n", x.Voters, x.Lease)
 	if x.Drains > 0 {
@@ -59,16 +59,16 @@
 			if i == j {
 				continue
 			}
-			if row[j], err = faultproxy.NewConnProxy(p.layout.line(i, j), p.layout.voter(j), p.o.Seed, uint64(i)<<20|0xe0000|uint64(j), nil); err != nil {
+			if row[j], err = faultproxy.NewConnProxy(p.layout.line(i, j), p.layout.voter(j), p.options.Seed, uint64(i)<<20|0xe0000|uint64(j), nil); err != nil {
 				return err
 			}
 		}
 	}
-	if p.candidate, err = fakes.NewHost("c0", p.layout.candidate(), p.spec.Groups[0].Host, p.o.Seed); err != nil {
+	if p.candidate, err = fakes.NewHost("c0", p.layout.candidate(), p.spec.Groups[0].Host, p.options.Seed); err != nil {
 		return err
 	}
 	for i := range p.spec.Routers {
-		c, err := faultproxy.NewConnProxy(p.layout.copies(i), p.candidate.Addr, p.o.Seed, uint64(i)<<20|0xd0000, nil)
+		c, err := faultproxy.NewConnProxy(p.layout.copies(i), p.candidate.Addr, p.options.Seed, uint64(i)<<20|0xd0000, nil)
 		if err != nil {
 			return err
 		}
@@ -84,7 +84,7 @@
 		if !pass {
 			status = 409
 		}
-		p.rec.add(history.Event{What: history.Act, Who: "c0", From: p.layout.routerAt(conn), Text: name, Token: token, Status: status})
+		p.recorder.add(history.Event{What: history.Act, Who: "c0", From: p.layout.routerAt(conn), Text: name, Token: token, Status: status})
 		return guard.Highest(name), pass
 	})
 	return nil
@@ -132,9 +132,9 @@
 		}
 		call := fmt.Sprintf("duty-give %s r%d", copier, n%len(p.routers))
 		if x := p.routers[n%len(p.routers)].newest(); x != nil {
-			p.rec.add(history.Event{What: history.Call, Who: x.name, ID: call})
+			p.recorder.add(history.Event{What: history.Call, Who: x.name, ID: call})
 			text, _ := x.call(ctx, call, answerIn)
-			p.rec.add(history.Event{What: history.Return, Who: x.name, ID: call, Text: strings.TrimSpace(text)})
+			p.recorder.add(history.Event{What: history.Return, Who: x.name, ID: call, Text: strings.TrimSpace(text)})
 		}
 	}
 }
--- a/internal/testbed/chaos/duty_test.go
+++ b/internal/testbed/chaos/duty_test.go
@@ -233,7 +233,7 @@
   length = "100ms"
   routers = "all"
 }
-`), Seed: 1, Program: routerBinary(t), Folder: folder, Event: func(e *history.Event) { // told before a fault is carried out
+`), Seed: 1, Program: routerBinary(t), Folder: folder, Observe: func(e *history.Event) { // told before a fault is carried out
 		if e.What != history.Fault || e.Text != "reload" || len(at) == len(reloads) {
 			return
 		}
--- a/internal/testbed/chaos/failure.go
+++ b/internal/testbed/chaos/failure.go
@@ -17,12 +17,12 @@
 	if err != nil {
 		return err
 	}
-	WriteFailure(f, r, p.o.Seed)
+	WriteFailure(f, r, p.options.Seed)
 	return f.Close()
 }
 
-// lastEvents is how many events before a verdict are shown.
-const lastEvents = 30
+// shownEvents is how many events before a verdict are shown.
+const shownEvents = 30
 
 // WriteFailure writes the verdicts with seed, schedule and the events that led to the first of them.
 func WriteFailure(w io.Writer, r *Result, seed uint64) {
@@ -48,5 +48,5 @@
 			last = append(last, e.String())
 		}
 	}
-	fmt.Fprintf(w, "before the first of them:\n%s\n", strings.Join(last[max(0, len(last)-lastEvents):], "\n"))
+	fmt.Fprintf(w, "before the first of them:\n%s\n", strings.Join(last[max(0, len(last)-shownEvents):], "\n"))
 }
--- a/internal/testbed/chaos/network.go
+++ b/internal/testbed/chaos/network.go
@@ -48,10 +48,10 @@
 // openMesh starts the proxy of datagrams between routers.
 func (p *play) openMesh() (err error) {
 	recordOversized := func(from, bytes int) {
-		p.rec.add(history.Event{What: history.OversizedDatagram, Who: fmt.Sprint("r", from), Bytes: bytes})
+		p.recorder.add(history.Event{What: history.OversizedDatagram, Who: fmt.Sprint("r", from), Bytes: bytes})
 	}
 	listen, reached := addresses(p.spec.Routers, p.layout.peer), addresses(p.spec.Routers, p.layout.seen)
-	p.mesh, err = faultproxy.NewMesh(listen, reached, p.o.Seed, maxDatagram, recordOversized)
+	p.mesh, err = faultproxy.NewMesh(listen, reached, p.options.Seed, maxDatagram, recordOversized)
 	return err
 }
 
@@ -60,8 +60,8 @@
 	row := make([]*faultproxy.ConnProxy, len(p.fleet.Hosts))
 	p.hosts = append(p.hosts, row)
 	for n, h := range p.fleet.Hosts {
-		observer := closings{p.rec, router}
-		row[n], err = faultproxy.NewConnProxy(p.layout.hostOf(router, n), h.Addr, p.o.Seed, uint64(router)<<20|uint64(n), observer)
+		observer := closings{p.recorder, router}
+		row[n], err = faultproxy.NewConnProxy(p.layout.hostOf(router, n), h.Addr, p.options.Seed, uint64(router)<<20|uint64(n), observer)
 		if err != nil {
 			return err
 		}
@@ -78,10 +78,10 @@
 	who := fmt.Sprint("r", router)
 	list.Observe(func(entries []fakes.Entry) {
 		for _, e := range entries {
-			p.rec.add(history.Event{What: history.ListApplied, Who: who, From: p.hostName(e.ID), Text: e.State})
+			p.recorder.add(history.Event{What: history.ListApplied, Who: who, From: p.hostName(e.ID), Text: e.State})
 		}
 	})
-	proxy, err := faultproxy.NewConnProxy(p.layout.list(router), list.Addr, p.o.Seed, uint64(router)<<20|0xfffff, nil)
+	proxy, err := faultproxy.NewConnProxy(p.layout.list(router), list.Addr, p.options.Seed, uint64(router)<<20|0xfffff, nil)
 	if err != nil {
 		return err
 	}
@@ -101,11 +101,11 @@
 func (p *play) recordHostEvent(name string, s fakes.HostEvent) {
 	switch s.Kind {
 	case fakes.RequestReceived:
-		p.rec.add(history.Event{What: history.Attempt, ID: s.ID, Who: name, From: p.layout.routerAt(s.Conn), Conn: s.Conn})
+		p.recorder.add(history.Event{What: history.Attempt, ID: s.ID, Who: name, From: p.layout.routerAt(s.Conn), Conn: s.Conn})
 	case fakes.RequestDone:
-		p.rec.add(history.Event{What: history.Done, ID: s.ID, Who: name})
+		p.recorder.add(history.Event{What: history.Done, ID: s.ID, Who: name})
 	case fakes.Collapsed:
-		p.rec.add(history.Event{What: history.HostOverloaded, Who: name})
+		p.recorder.add(history.Event{What: history.HostOverloaded, Who: name})
 	}
 }
 
--- a/internal/testbed/chaos/player.go
+++ b/internal/testbed/chaos/player.go
@@ -35,14 +35,14 @@
 }
 
 func newPlayer(p *play) *player {
-	return &player{p: p, injections: faults.Resolve(p.o.Faults, p.spec.Topology(), p.o.Seed)}
+	return &player{p: p, injections: faults.Resolve(p.options.Faults, p.spec.Topology(), p.options.Seed)}
 }
 
 // run plays all faults, each in its own time, and returns once all are over. The play's clock begins now.
 func (y *player) run(ctx context.Context) error {
 	y.p.fleet.EachList(func(l *fakes.List) { l.Remember() })
 	begun := time.Now()
-	from := y.p.rec.count()
+	from := y.p.recorder.count()
 	over, cancel := context.WithDeadline(ctx, begun.Add(y.p.spec.Length)) // what a fault waits for may never happen
 	defer cancel()
 	var all sync.WaitGroup
@@ -50,13 +50,13 @@
 		all.Go(func() {
 			if !y.due(over, s, begun, from) {
 				if ctx.Err() == nil {
-					y.p.rec.add(history.Event{What: history.Note, N: n, Text: "fault " + string(s.Kind) + " was never due"})
+					y.p.recorder.add(history.Event{What: history.Note, N: n, Text: "fault " + string(s.Kind) + " was never due"})
 				}
 				return
 			}
-			y.p.rec.add(simulator.FaultEvent(history.Fault, n, s))
+			y.p.recorder.add(simulator.FaultEvent(history.Fault, n, s))
 			err := y.play(ctx, s)
-			y.p.rec.add(simulator.FaultEvent(history.Heal, n, s))
+			y.p.recorder.add(simulator.FaultEvent(history.Heal, n, s))
 			if err != nil {
 				y.mu.Lock()
 				y.errs = errors.Join(y.errs, fmt.Errorf("fault %s (%s): %w", s.Kind, s.Whom(), err))
@@ -74,7 +74,7 @@
 	at := begun.Add(s.At)
 	if w := s.When; w != nil {
 		left := max(w.Nth, 1)
-		if _, err := y.p.rec.awaitFrom(ctx, from, func(e *history.Event) bool {
+		if _, err := y.p.recorder.awaitFrom(ctx, from, func(e *history.Event) bool {
 			if simulator.Fits(w, e) {
 				left--
 			}
@@ -260,12 +260,12 @@
 	if x == nil {
 		return false
 	}
-	y.p.rec.add(history.Event{What: history.Call, Who: x.name, ID: what})
+	y.p.recorder.add(history.Event{What: history.Call, Who: x.name, ID: what})
 	text, err := x.call(ctx, what, time.Second)
 	if err != nil {
 		text = ""
 	}
-	y.p.rec.add(history.Event{What: history.Return, Who: x.name, ID: what, Text: strings.TrimSpace(text)})
+	y.p.recorder.add(history.Event{What: history.Return, Who: x.name, ID: what, Text: strings.TrimSpace(text)})
 	return strings.HasPrefix(text, "+OK")
 }
 
@@ -291,7 +291,7 @@
 	x.term()
 	length := time.NewTimer(s.Length)
 	defer length.Stop()
-	late := time.NewTimer(leaveWithin)
+	late := time.NewTimer(drainTimeout)
 	defer late.Stop()
 	select {
 	case <-x.done:
@@ -349,13 +349,13 @@
 		if text, err := x.call(ctx, "check", time.Second); err == nil && strings.HasPrefix(text, "+OK") {
 			break
 		}
-		if time.Since(began) > takesWithin+y.p.o.Experiment.Rig.Slack && r.runs() {
-			y.p.rec.add(history.Event{What: history.Unresponsive, Who: x.name, Text: fmt.Sprintf("takes no clients %v after its start beside another", takesWithin)})
+		if time.Since(began) > takesWithin+y.p.options.Experiment.Rig.Slack && r.runs() {
+			y.p.recorder.add(history.Event{What: history.Unresponsive, Who: x.name, Text: fmt.Sprintf("takes no clients %v after its start beside another", takesWithin)})
 			break
 		}
 	}
 	old.term()
-	late := time.NewTimer(leaveWithin)
+	late := time.NewTimer(drainTimeout)
 	defer late.Stop()
 	select {
 	case <-old.done:
--- a/internal/testbed/chaos/process.go
+++ b/internal/testbed/chaos/process.go
@@ -112,7 +112,7 @@
 				return err
 			}
 		}
-		if p.o.Experiment.Rig.Held {
+		if p.options.Experiment.Rig.Held {
 			ln, err := net.Listen("tcp4", p.layout.client(i))
 			if err != nil {
 				return err
@@ -133,7 +133,7 @@
 
 // fleetFields are those of a router's block fleet: none where the configuration names its peers.
 func (p *play) fleetFields(i int) string {
-	n := p.o.Experiment.Rig.Seeds
+	n := p.options.Experiment.Rig.Seeds
 	if n == 0 {
 		return ""
 	}
@@ -146,12 +146,12 @@
 
 // configure writes the configuration that processes read.
 func (r *router) configure() error {
-	p, x := r.p, &r.p.o.Experiment.Rig
+	p, x := r.p, &r.p.options.Experiment.Rig
 	peers := p.layout.known(p.spec.Routers)
 	if x.Seeds > 0 {
 		peers = nil
 	}
-	text := p.fleet.RouterConfig(fakes.RouterSite{Name: r.name(), Listen: p.layout.client(r.n), Discovery: p.layout.list(r.n), Seed: p.o.Seed<<16 | uint64(r.n+1),
+	text := p.fleet.RouterConfig(fakes.RouterSite{Name: r.name(), Listen: p.layout.client(r.n), Discovery: p.layout.list(r.n), Seed: p.options.Seed<<16 | uint64(r.n+1),
 		Zone: p.spec.Topology().Routers[r.n], Memory: x.MemoryMB, Sockets: x.Sockets, Cores: x.Cores,
 		Index: r.n, PeerListen: p.layout.peer(r.n).String(), Peers: peers})
 	return os.WriteFile(filepath.Join(r.folder, "config.json"), text, 0o644)
@@ -183,10 +183,10 @@
 	if r.settings != "" {
 		args = append(args, "--settings", r.settings)
 	}
-	if r.p.o.Profile {
+	if r.p.options.Profile {
 		args = append(args, "--profile", r.folder)
 	}
-	x.cmd = exec.Command(r.p.o.Program, args...)
+	x.cmd = exec.Command(r.p.options.Program, args...)
 	x.cmd.Dir = r.folder
 	x.cmd.Env = []string{"ROUTER_CONFIG=" + filepath.Join(r.folder, "config.json"), "ROUTER_MANAGEMENT=" + x.management, "TMPDIR=" + r.tmp(),
 		"PATH=" + os.Getenv("PATH"), "GOTRACEBACK=all"}
@@ -202,12 +202,12 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := r.p.start.start(x.cmd); err != nil {
+	if err := r.p.starter.start(x.cmd); err != nil {
 		file.Close()
 		return nil, err
 	}
 	r.procs = append(r.procs, x)
-	r.p.rec.add(history.Event{What: history.Start, Who: x.name, PID: x.cmd.Process.Pid, Text: why})
+	r.p.recorder.add(history.Event{What: history.Start, Who: x.name, PID: x.cmd.Process.Pid, Text: why})
 	go x.follow(out, file)
 	return x, nil
 }
@@ -249,7 +249,7 @@
 	if s, ok := state.Sys().(syscall.WaitStatus); ok && s.Signaled() {
 		e.Text = s.Signal().String()
 	}
-	x.r.p.rec.add(e)
+	x.r.p.recorder.add(e)
 }
 
 // wrote puts a line of its log into the history.
@@ -264,17 +264,17 @@
 		x.r.mu.Lock()
 		x.spoke = true
 		x.r.mu.Unlock()
-		x.r.p.rec.add(history.Event{What: history.Phase, Who: x.name, Text: phase})
+		x.r.p.recorder.add(history.Event{What: history.Phase, Who: x.name, Text: phase})
 		return
 	}
-	x.r.p.rec.add(history.Event{What: history.Log, Who: x.name, Text: line})
+	x.r.p.recorder.add(history.Event{What: history.Log, Who: x.name, Text: line})
 }
 
 func (x *process) pid() int { return x.cmd.Process.Pid }
 
 // term tells a process to end.
 func (x *process) term() {
-	x.r.p.rec.add(history.Event{What: history.Term, Who: x.name})
+	x.r.p.recorder.add(history.Event{What: history.Term, Who: x.name})
 	x.cmd.Process.Signal(syscall.SIGTERM)
 }
 
@@ -385,7 +385,7 @@
 		}
 		r.mu.Unlock()
 	}
-	late := time.NewTimer(endWithin)
+	late := time.NewTimer(exitTimeout)
 	defer late.Stop()
 	for _, x := range all {
 		select {
--- a/internal/testbed/chaos/record.go
+++ b/internal/testbed/chaos/record.go
@@ -9,10 +9,10 @@
 	"reachspread/internal/testbed/history"
 )
 
-// recorder stamps events, writes them, and has others wait for them.
+// recorder gives events their times, writes them to the history and lets others wait for them.
 type recorder struct {
-	begun time.Time // with the monotonic clock
-	tell  func(*history.Event)
+	start    time.Time // with the monotonic clock
+	observer func(*history.Event)
 
 	mu     sync.Mutex
 	file   *os.File
@@ -23,18 +23,19 @@
 	closed bool
 }
 
+// newRecorder creates a history. The error is that of the file, which must not exist.
 func newRecorder(path string, report func(*history.Event)) (*recorder, error) {
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644)
 	if err != nil {
 		return nil, err
 	}
-	return &recorder{begun: time.Now(), tell: report, file: f, writer: history.NewWriter(f), more: make(chan bool)}, nil
+	return &recorder{start: time.Now(), observer: report, file: f, writer: history.NewWriter(f), more: make(chan bool)}, nil
 }
 
-// at is a time as events have it.
-func (r *recorder) at(t time.Time) int64 { return max(t.Sub(r.begun).Nanoseconds(), 0) }
+// at is a time in nanoseconds since the start, as events have it.
+func (r *recorder) at(t time.Time) int64 { return max(t.Sub(r.start).Nanoseconds(), 0) }
 
-// add stamps an event and writes it.
+// add adds an event at this time. Events after close are dropped.
 func (r *recorder) add(e history.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -48,14 +49,14 @@
 	if len(r.all) < history.MaxEvents {
 		r.all = append(r.all, e)
 	}
-	if r.tell != nil {
-		r.tell(&e)
+	if r.observer != nil {
+		r.observer(&e)
 	}
 	close(r.more)
 	r.more = make(chan bool)
 }
 
-// await returns the first event that fits, whether it has been or is to come.
+// await returns the first event that fits, past or future. The error is that of ctx.
 func (r *recorder) await(ctx context.Context, fits func(*history.Event) bool) (history.Event, error) {
 	return r.awaitFrom(ctx, 0, fits)
 }
@@ -81,7 +82,7 @@
 	}
 }
 
-// count is how many events there are by now.
+// count is the number of events so far.
 func (r *recorder) count() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -100,6 +101,7 @@
 	return r.writer.Lost()
 }
 
+// close ends the history and returns the first error of writing it.
 func (r *recorder) close() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/testbed/chaos/returns.go
+++ b/internal/testbed/chaos/returns.go
@@ -10,17 +10,19 @@
 	"reachspread/internal/testbed/history"
 )
 
-// Returns collects how long routers took to come back after they had died or were restarted, from the start of the process to each phase and stage.
+// Returns collects how long restarted routers took from the start of the process to each phase and
+// stage of their return.
 type Returns struct {
 	of map[string][]time.Duration
 }
 
-// returnSteps are what is looked for, in the order of a return: phases of the program, and stages by the words of their log lines.
+// returnSteps are the steps of a return in their order: phases of the program, and stages by their log
+// lines.
 var returnSteps = []struct{ name, phase, stage string }{
 	{"listening", "listing", ""}, {"asked others", "", "listing"}, {"serves", "serving", ""}, {"has a list", "", "admitting"}, {"hosts warm", "", "duties"}, {"back", "", "back"},
 }
 
-// Add takes a play's events in.
+// Add adds the events of a chaos test.
 func (r *Returns) Add(events []history.Event) {
 	if r.of == nil {
 		r.of = map[string][]time.Duration{}
@@ -46,7 +48,7 @@
 	}
 }
 
-// Write prints a table, and a bar for each step as long as its median.
+// Write prints a table with a bar for the median of each step.
 func (r *Returns) Write(w io.Writer) {
 	fmt.Fprintln(w, "| from the start to | returns | median | p90 | most | |\n| --- | --- | --- | --- | --- | --- |")
 	for _, s := range returnSteps {
@@ -56,9 +58,9 @@
 		}
 		at := func(q int) time.Duration { return all[min(len(all)*q/100, len(all)-1)].Round(time.Millisecond) }
 		fmt.Fprintf(w, "| %s | %d | %v | %v | %v | %s |\n", s.name, len(all), at(50), at(90), all[len(all)-1].Round(time.Millisecond),
-			strings.Repeat("#", 1+int(at(50)/barEvery)))
+			strings.Repeat("#", 1+int(at(50)/barUnit)))
 	}
 }
 
-// barEvery is what a sign of a bar stands for.
-const barEvery = 200 * time.Millisecond
+// barUnit is the time that a character of a bar stands for.
+const barUnit = 200 * time.Millisecond
--- a/internal/testbed/chaos/run.go
+++ b/internal/testbed/chaos/run.go
@@ -24,13 +24,13 @@
 		return nil, err
 	}
 	defer p.layout.close()
-	p.start = newStarter()
-	defer p.start.close()
+	p.starter = newStarter()
+	defer p.starter.close()
 	var background sync.WaitGroup
 	backgroundCtx, endBackground := context.WithCancel(context.Background())
 	defer background.Wait()
 	defer endBackground()
-	p.stalls = &stalls{rec: p.rec}
+	p.stalls = &stalls{rec: p.recorder}
 	background.Go(func() { p.stalls.watch(backgroundCtx) })
 
 	if err := p.openNetwork(); err != nil {
@@ -60,7 +60,7 @@
 	endBackground() // before the routers end: an ending process is not to be reported as hung
 	background.Wait()
 	p.endRouters()
-	p.rec.add(history.Event{What: history.End})
+	p.recorder.add(history.Event{What: history.End})
 	return clients.Tallies(), err
 }
 
@@ -71,7 +71,7 @@
 			return err
 		}
 	}
-	ready, cancel := context.WithTimeout(ctx, readyWithin)
+	ready, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for _, r := range p.routers {
 		if err := p.awaitReady(ready, r); err != nil {
@@ -83,7 +83,7 @@
 
 // awaitReady waits until a router is ready. The error has the last line of its log.
 func (p *play) awaitReady(ctx context.Context, r *router) error {
-	e, err := p.rec.await(ctx, func(e *history.Event) bool {
+	e, err := p.recorder.await(ctx, func(e *history.Event) bool {
 		return e.Who == r.name() && (e.What == history.Ready || e.What == history.Exit)
 	})
 	var reason string
@@ -101,7 +101,7 @@
 
 // startObservers starts what looks at the routers, and what hands roles over, until ctx ends.
 func (p *play) startObservers(ctx context.Context, background *sync.WaitGroup) {
-	x := &p.o.Experiment.Rig
+	x := &p.options.Experiment.Rig
 	w := newWatch(p)
 	background.Go(func() { w.run(ctx) })
 	if p.viewsWithin() > 0 {
@@ -117,7 +117,7 @@
 
 // newClients are the clients of the experiment, whose events go into the history.
 func (p *play) newClients() *fakes.Clients {
-	x := &p.o.Experiment.Rig
+	x := &p.options.Experiment.Rig
 	clients := fakes.NewClients("", &p.spec)
 	clients.RouterFor = p.front.pick
 	clients.Observe = p.recordClientEvent
@@ -132,9 +132,9 @@
 func (p *play) recordClientEvent(s fakes.ClientEvent) {
 	e := s.Event
 	if e.What == history.Ask {
-		e.Who, e.Until = p.layout.routerAt(e.Who), p.rec.at(s.WaitsUntil)
+		e.Who, e.Until = p.layout.routerAt(e.Who), p.recorder.at(s.WaitsUntil)
 	}
-	p.rec.add(e)
+	p.recorder.add(e)
 }
 
 // lastLine is the last line of a log that says something.
--- a/internal/testbed/chaos/watch.go
+++ b/internal/testbed/chaos/watch.go
@@ -60,7 +60,7 @@
 					if ready {
 						what = history.Ready
 					}
-					f.p.rec.add(history.Event{What: what, Who: r.name()})
+					f.p.recorder.add(history.Event{What: what, Who: r.name()})
 				}
 				select {
 				case <-ticker.C:
@@ -220,7 +220,7 @@
 		return // it has ended
 	}
 	u.What, u.Who = history.Usage, x.name
-	w.p.rec.add(u)
+	w.p.recorder.add(u)
 }
 
 // usageOf reads a process's most memory so far, its descriptors and its CPU time.
@@ -262,7 +262,7 @@
 
 // caught tells whether a process was.
 func (p *play) caught() bool {
-	return slices.ContainsFunc(p.rec.events(), func(e history.Event) bool { return e.What == history.Unresponsive })
+	return slices.ContainsFunc(p.recorder.events(), func(e history.Event) bool { return e.What == history.Unresponsive })
 }
 
 // catch leaves all evidence of a process that answers nobody, before anybody can restart it: its threads, twice, a CPU
@@ -276,7 +276,7 @@
 	defer f.Close()
 	w := bufio.NewWriter(f)
 	defer w.Flush()
-	p.rec.add(history.Event{What: history.Unresponsive, Who: x.name, Text: fmt.Sprintf("answers nobody: %v; see %s", why, path)})
+	p.recorder.add(history.Event{What: history.Unresponsive, Who: x.name, Text: fmt.Sprintf("answers nobody: %v; see %s", why, path)})
 	fmt.Fprintf(w, "%s: %v\n", x.name, why)
 	for range 2 {
 		threads(w, x.pid())
@@ -285,7 +285,7 @@
 	x.r.mu.Lock()
 	x.quiet = true // its goroutines go to its log alone
 	x.r.mu.Unlock()
-	if p.o.Profile {
+	if p.options.Profile {
 		x.cmd.Process.Signal(syscall.SIGUSR1)
 		select {
 		case <-x.done:
@@ -322,7 +322,7 @@
 // viewsWithin is when all views must be the same after the last fault, as the view's design note derives it, 0 where routers
 // keep none.
 func (p *play) viewsWithin() time.Duration {
-	if !p.views {
+	if !p.hasViews {
 		return 0
 	}
 	return 8*time.Second + time.Duration(p.spec.Routers)*30*time.Millisecond
@@ -356,7 +356,7 @@
 				}
 				if key := fmt.Sprint(x.name, e.Text, e.N, e.Incarnation); key != last {
 					last = key
-					p.rec.add(e)
+					p.recorder.add(e)
 				}
 			}
 		})
