--- a/cmd/reachlab/membership.go
+++ b/cmd/reachlab/membership.go
@@ -23,7 +23,7 @@
 	flags.IntVar(&p.Zones, "zones", 3, "zones that members stand in by turns")
 	flags.Float64Var(&p.Loss, "loss", 0, "share of the datagrams from and to hollow members that is lost")
 	flags.Float64Var(&p.Churn, "churn", 0, "restarts of hollow members a minute, while traffic is measured")
-	flags.DurationVar(&p.Settle, "settle", 10*time.Second, "time after the joins, before traffic is measured")
+	flags.DurationVar(&p.Quiesce, "settle", 10*time.Second, "time after the joins, before traffic is measured")
 	flags.DurationVar(&p.Length, "length", 20*time.Second, "time for which traffic is measured")
 	flags.DurationVar(&p.Apart, "apart", 5*time.Second, "time for which half of the hollow members stay cut off, once that is known")
 	flags.DurationVar(&p.Within, "within", time.Minute, "time for a change to be known to all, before it is given up")
--- a/internal/testbed/chaos/layout.go
+++ b/internal/testbed/chaos/layout.go
@@ -18,18 +18,18 @@
 }
 
 const (
-	clientPort     = 9000
-	managementPort = 9001 // and the next ones for further processes of a router
-	peerPort       = 7946
-	listPort       = 8500
-	hostPort       = 10000 // of a router's relay to host 0
-	seenPort       = 20000 // at which a router is reached by the others
-	guardPort      = 9999
-	voterPort      = 7950
-	lineFirst      = 30000 // of a router's relay to the voter of router 0
-	spareFirst     = 12000 // of the host that gets copies
-	copyPort       = 9500  // of a router's relay to it
-	firstHost      = 11000
+	clientPort         = 9000
+	managementPort     = 9001 // and the next ones for further processes of a router
+	peerPort           = 7946
+	listPort           = 8500
+	hostPort           = 10000 // of a router's relay to host 0
+	seenPort           = 20000 // at which a router is reached by the others
+	guardPort          = 9999
+	voterPort          = 7950
+	lineFirst          = 30000 // of a router's relay to the voter of router 0
+	firstCandidatePort = 12000 // of the host that gets copies
+	copyPort           = 9500  // of a router's relay to it
+	firstHost          = 11000
 )
 
 func newLayout() (*layout, error) {
@@ -59,7 +59,7 @@
 func (l *layout) voter(i int) string     { return l.router(i) + ":" + strconv.Itoa(voterPort) }
 func (l *layout) line(i, to int) string  { return l.router(i) + ":" + strconv.Itoa(lineFirst+to) }
 func (l *layout) copies(i int) string    { return l.router(i) + ":" + strconv.Itoa(copyPort) }
-func (l *layout) candidate() string      { return l.ip(2) + ":" + strconv.Itoa(spareFirst) }
+func (l *layout) candidate() string      { return l.ip(2) + ":" + strconv.Itoa(firstCandidatePort) }
 func (l *layout) peer(i int) netip.AddrPort {
 	return netip.MustParseAddrPort(l.router(i) + ":" + strconv.Itoa(peerPort))
 }
--- a/internal/testbed/chaos/page.go
+++ b/internal/testbed/chaos/page.go
@@ -27,8 +27,8 @@
 var howColours = []struct {
 	how    history.How
 	colour string
-}{{history.Whole, "#4c9f70"}, {history.Refused, "#e0b84c"}, {history.Left, "#b0b0b0"}, {history.Broken, "#d9822b"}, {history.Failed, "#c0504d"},
-	{history.CutOff, "#a0307d"}, {history.Unreached, "#6f6fa8"}, {history.None, "#000000"}}
+}{{history.Complete, "#4c9f70"}, {history.Refused, "#e0b84c"}, {history.Left, "#b0b0b0"}, {history.Broken, "#d9822b"}, {history.Failed, "#c0504d"},
+	{history.Interrupted, "#a0307d"}, {history.Unreached, "#6f6fa8"}, {history.None, "#000000"}}
 
 // page draws a history.
 type page struct {
--- a/internal/testbed/chaos/record.go
+++ b/internal/testbed/chaos/record.go
@@ -23,12 +23,12 @@
 	closed bool
 }
 
-func newRecorder(path string, tell func(*history.Event)) (*recorder, error) {
+func newRecorder(path string, report func(*history.Event)) (*recorder, error) {
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644)
 	if err != nil {
 		return nil, err
 	}
-	return &recorder{begun: time.Now(), tell: tell, file: f, writer: history.NewWriter(f), more: make(chan bool)}, nil
+	return &recorder{begun: time.Now(), tell: report, file: f, writer: history.NewWriter(f), more: make(chan bool)}, nil
 }
 
 // at is a time as events have it.
--- a/internal/testbed/checker/answer.go
+++ b/internal/testbed/checker/answer.go
@@ -47,13 +47,13 @@
 	switch a.How {
 	case history.None:
 		wrong(r.Ask.Until, "no final answer in time")
-	case history.CutOff:
+	case history.Interrupted:
 		wrong(a.T, "the connection ended without an answer")
 	case history.Broken:
 		if !c.brokenBy(r, a.T) && !c.killedInTurn(r, a.T) {
 			wrong(a.T, "the stream broke, and nothing was done to its host or the way to it")
 		}
-	case history.Whole, history.Refused, history.Failed:
+	case history.Complete, history.Refused, history.Failed:
 		if late > 0 {
 			wrong(a.T, "answered %v after its client gave up", time.Duration(late+c.Play.Slack).Round(time.Millisecond))
 		}
--- a/internal/testbed/checker/checker.go
+++ b/internal/testbed/checker/checker.go
@@ -42,7 +42,7 @@
 	{"answer", "each request gets one final answer before its client gives up", answer},
 	{"attempt", "never two attempts of one request out", attempt},
 	{"drain", "nothing new to a draining or gone host 500 ms after the list has said so", drain},
-	{"cold", "no cold host is pushed over", cold},
+	{"cold", "no cold host is pushed over", slowStart},
 	{"limits", "a process stays within its memory and descriptors, a datagram within 256 bytes", limits},
 	{"leave", "after SIGTERM a process ends with status 0 and in time", leave},
 	{"return", "once the last fault is over all routers are ready, and requests are served as before", returned},
--- a/internal/testbed/demo/demo.go
+++ b/internal/testbed/demo/demo.go
@@ -124,7 +124,7 @@
 	s.addr = ln.Addr().String()
 	ln.Close() // the router listens there next
 	path := filepath.Join(s.folder, "config.json")
-	if err = os.WriteFile(path, s.RouterConfig(fakes.Place{Name: "demo", Listen: s.addr}), 0o600); err != nil {
+	if err = os.WriteFile(path, s.RouterConfig(fakes.Site{Name: "demo", Listen: s.addr}), 0o600); err != nil {
 		return s, err
 	}
 	env := func(name string) string { return map[string]string{"ROUTER_CONFIG": path}[name] }
@@ -241,7 +241,7 @@
 	return all
 }
 
-func (w *show) tell(text string) {
+func (w *show) announce(text string) {
 	w.notice = text
 	if !w.o.Live {
 		fmt.Fprintln(w.o.Out, text)
@@ -250,35 +250,35 @@
 
 func (w *show) drain() {
 	h := w.s.Hosts[0]
-	w.tell(h.ID + " drains")
-	w.s.Tell(h, "Terminating", 0)
+	w.announce(h.ID + " drains")
+	w.s.UpdateList(h, "Terminating", 0)
 	h.Event(hostmodel.Drain{})
 }
 
 func (w *show) kill() {
 	h := w.s.Hosts[1]
-	w.tell(h.ID + " is killed")
+	w.announce(h.ID + " is killed")
 	h.Kill()
 }
 
 func (w *show) back() {
 	h := w.s.Hosts[1]
 	if err := h.Start(); err != nil {
-		w.tell(fmt.Sprintf("%s does not come back: %v", h.ID, err))
+		w.announce(fmt.Sprintf("%s does not come back: %v", h.ID, err))
 		return
 	}
-	w.tell(h.ID + " is back, cold")
-	w.s.Tell(h, "Ready", time.Now().UnixMilli())
+	w.announce(h.ID + " is back, cold")
+	w.s.UpdateList(h, "Ready", time.Now().UnixMilli())
 }
 
 // draw writes the table, over the last one on a terminal.
-func (w *show) draw(after time.Duration, whole bool) {
+func (w *show) draw(after time.Duration, final bool) {
 	var b strings.Builder
 	if w.o.Live && w.lines > 0 {
 		fmt.Fprintf(&b, "\x1b[%dA\x1b[J", w.lines)
 	}
 	table := &strings.Builder{}
-	if w.o.Live || whole {
+	if w.o.Live || final {
 		fmt.Fprintf(table, "%v  %s\n%-14s %6s %6s %6s %8s %7s %7s %8s %8s\n", after.Round(time.Second), w.notice, "class", "asked", "good", "late", "refused", "failed", "broken", "p50 ms", "p99 ms")
 		for _, t := range w.clients.Tallies() {
 			fmt.Fprintf(table, "%-14s %6d %6d %6d %8d %7d %7d %8.0f %8.0f\n", t.Class, t.Asked, t.Good, t.Late, t.Refused, t.Failed, t.BrokenOff,
@@ -301,12 +301,12 @@
 	if path == "" {
 		path = filepath.Join(os.TempDir(), "reachlab-demo.html")
 	}
-	var k experiment.Kept
+	var k experiment.KeptRun
 	k.Variant, k.Seed = "demo", x.Seeds[0]
 	for _, s := range w.seconds {
 		k.Result.Seconds = append(k.Result.Seconds, struct{ Good, Other float64 }(s))
 		k.Result.Worth += s.Good
 		k.Result.Asked += s.Good + s.Other
 	}
-	return path, report.WriteFile(path, func(to io.Writer) error { return x.WritePage(to, []experiment.Kept{k}) })
+	return path, report.WriteFile(path, func(to io.Writer) error { return x.WritePage(to, []experiment.KeptRun{k}) })
 }
--- a/internal/testbed/explorer/explorer.go
+++ b/internal/testbed/explorer/explorer.go
@@ -99,7 +99,7 @@
 	wake
 	crash
 	start
-	pause
+	freeze
 	resume
 )
 
@@ -197,7 +197,7 @@
 			to = append(to, choice{crash, i})
 		}
 		if r.left.Pauses > 0 && !r.paused[i] {
-			to = append(to, choice{pause, i})
+			to = append(to, choice{freeze, i})
 		}
 	}
 	return to
@@ -227,18 +227,18 @@
 		if c.do == again {
 			r.left.Copies--
 		}
-		word := ""
+		action := ""
 		if r.tell {
-			word = r.show(m.msg)
+			action = r.show(m.msg)
 		}
 		switch {
 		case c.do == lose:
 			r.left.Losses--
-			r.say("lost: %d to %d: %s", m.from, m.to, word)
+			r.say("lost: %d to %d: %s", m.from, m.to, action)
 		case r.nodes[m.to] == nil:
-			r.say("to nobody: %d to %d: %s", m.from, m.to, word)
+			r.say("to nobody: %d to %d: %s", m.from, m.to, action)
 		default:
-			r.say("%d to %d: %s", m.from, m.to, word)
+			r.say("%d to %d: %s", m.from, m.to, action)
 			r.take(m.to, r.nodes[m.to].Receive(r.now[m.to], m.from, m.msg))
 		}
 	case wake:
@@ -252,7 +252,7 @@
 	case start:
 		r.say("%d starts at %v", c.n, r.now[c.n])
 		r.start(c.n)
-	case pause:
+	case freeze:
 		r.left.Pauses--
 		r.say("%d stands still", c.n)
 		r.paused[c.n] = true
@@ -283,10 +283,10 @@
 // key tells this state from others.
 func (r *run[M]) key() uint64 {
 	h := xxhash.New()
-	var word [8]byte
+	var action [8]byte
 	put := func(v uint64) {
-		binary.LittleEndian.PutUint64(word[:], v)
-		h.Write(word[:])
+		binary.LittleEndian.PutUint64(action[:], v)
+		h.Write(action[:])
 	}
 	for i, n := range r.nodes {
 		put(uint64(r.now[i]))
--- a/internal/testbed/fakes/faults.go
+++ b/internal/testbed/fakes/faults.go
@@ -11,11 +11,11 @@
 	"reachspread/internal/testbed/hostmodel"
 )
 
-// cutEvery is how often connections are reset while they are to be.
-const cutEvery = 5 * time.Millisecond
+// resetInterval is how often connections are reset while they are to be.
+const resetInterval = 5 * time.Millisecond
 
 // Play has faults of hosts come and go in their time, until all are over or ctx ends. Tell is called with each.
-func (f *Fleet) Play(ctx context.Context, all []faults.Fault, tell func(string)) error {
+func (f *Fleet) Play(ctx context.Context, all []faults.Fault, log func(string)) error {
 	type turn struct {
 		at     time.Duration
 		strike *faults.Injection
@@ -33,15 +33,15 @@
 			return nil
 		case <-time.After(time.Until(begun.Add(t.at))):
 		}
-		word := "begins"
+		phase := "begins"
 		if t.ends {
-			word = "ends"
+			phase = "ends"
 		}
 		for _, n := range t.strike.Hosts {
 			if err := f.Inject(n, t.strike.Fault, t.ends); err != nil {
 				return fmt.Errorf("host-%d: %s: %w", n+1, t.strike.Kind, err)
 			}
-			tell(fmt.Sprintf("%v host-%d: %s %s", t.at, n+1, t.strike.Kind, word))
+			log(fmt.Sprintf("%v host-%d: %s %s", t.at, n+1, t.strike.Kind, phase))
 		}
 	}
 	return nil
@@ -64,7 +64,7 @@
 		return h.refuse(!ends)
 	case faults.Drain:
 		if !ends {
-			f.Tell(h, "Terminating", 0)
+			f.UpdateList(h, "Terminating", 0)
 			h.Event(hostmodel.Drain{})
 			return nil
 		}
@@ -95,7 +95,7 @@
 	if err := h.Start(); err != nil {
 		return err
 	}
-	f.Tell(h, "Ready", time.Now().UnixMilli())
+	f.UpdateList(h, "Ready", time.Now().UnixMilli())
 	return nil
 }
 
@@ -114,26 +114,26 @@
 		h.right = make(chan struct{})
 	}
 	if h.wrong = how; how == faults.Reset {
-		go h.cut(h.right)
+		go h.resetConnections(h.right)
 	}
 }
 
-// cut resets all connections over and over.
-func (h *Host) cut(until <-chan struct{}) {
+// resetConnections resets all connections over and over.
+func (h *Host) resetConnections(until <-chan struct{}) {
 	for {
-		if h.cutOnce(until) {
+		if h.resetOnce(until) {
 			return
 		}
 		select {
 		case <-until:
 			return
-		case <-time.After(cutEvery):
+		case <-time.After(resetInterval):
 		}
 	}
 }
 
-// cutOnce resets all connections, unless that is over. The end is told under the lock, so nothing is cut after it.
-func (h *Host) cutOnce(until <-chan struct{}) (over bool) {
+// resetOnce resets all connections, unless that is over. The end is told under the lock, so nothing is cut after it.
+func (h *Host) resetOnce(until <-chan struct{}) (over bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	select {
--- a/internal/testbed/fakes/list.go
+++ b/internal/testbed/fakes/list.go
@@ -36,7 +36,7 @@
 	version int64
 	entries map[string]Entry
 	changed chan bool // closed at the next change
-	told    func([]Entry)
+	watcher func([]Entry)
 	conns   map[net.Conn]bool
 	first   *answer // as it was when Remember was called
 	old     bool    // it is told so
@@ -46,7 +46,7 @@
 func (l *List) Watch(told func([]Entry)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.told = told
+	l.watcher = told
 }
 
 // mostWait is the longest that a watch may wait.
@@ -150,7 +150,7 @@
 	case l.old:
 		answer = answerOf(l.first.Version)
 	}
-	told := l.told
+	told := l.watcher
 	l.mu.Unlock()
 	text, _ := json.Marshal(answer)
 	w.Header().Set("Content-Type", "application/json")
--- a/internal/testbed/faultproxy/tcp.go
+++ b/internal/testbed/faultproxy/tcp.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	pieceBytes = 16 << 10
-	// mostPieces bounds what one direction of a connection holds; whoever writes more waits, as on a wire.
-	mostPieces = 16
+	chunkBytes = 16 << 10
+	// maxQueuedChunks bounds what one direction of a connection holds; whoever writes more waits, as on a wire.
+	maxQueuedChunks = 16
 	// dialFor is how long the far side has to come up.
 	dialFor = 2 * time.Second
 	// usualBacklog is the length of a listener's queue when nothing is cut.
 	usualBacklog = 1024
 )
 
-// Watcher is told of connections as the near side sees them. No method may wait.
-type Watcher interface {
+// Observer is told of connections as the near side sees them. No method may wait.
+type Observer interface {
 	// Closed tells that the near side has closed a connection, which the far side knows by this address.
 	Closed(conn string)
 }
@@ -31,7 +31,7 @@
 type Conns struct {
 	at, to  string
 	dialer  net.Dialer // from the address that it listens at, so that the far side can tell relays apart
-	watcher Watcher    // nil for nobody
+	watcher Observer   // nil for nobody
 	all     sync.WaitGroup
 	// taking is held while a connection is taken from the queue. It may be waited for with mu held, not the other way round.
 	taking sync.Mutex
@@ -54,7 +54,7 @@
 }
 
 // NewConns starts at an address.
-func NewConns(at, to string, seed, number uint64, watcher Watcher) (*Conns, error) {
+func NewConns(at, to string, seed, number uint64, watcher Observer) (*Conns, error) {
 	r := &Conns{at: at, to: to, watcher: watcher, out: faults.NewLink(seed, number<<1|1<<40), in: faults.NewLink(seed, number<<1|1|1<<40),
 		on: make(chan bool), open: map[*carried]bool{}}
 	close(r.on)
@@ -236,8 +236,8 @@
 	both.Wait()
 }
 
-// piece is some bytes and when they are due.
-type piece struct {
+// chunk is some bytes and when they are due.
+type chunk struct {
 	text []byte
 	due  time.Time
 	end  error // of the side that they came from, in place of bytes
@@ -245,22 +245,22 @@
 
 // pump carries one direction until its side ends.
 func (r *Conns) pump(x *carried, from, to *net.TCPConn, link *faults.Link, near bool) {
-	pieces := make(chan piece, mostPieces)
-	gone := make(chan bool)
+	chunks := make(chan chunk, maxQueuedChunks)
+	closed := make(chan bool)
 	go func() {
-		defer close(gone)
-		r.put(x, to, pieces)
+		defer close(closed)
+		r.put(x, to, chunks)
 	}()
 	defer func() {
-		close(pieces)
-		<-gone
+		close(chunks)
+		<-closed
 	}()
-	buf := make([]byte, pieceBytes)
+	buf := make([]byte, chunkBytes)
 	var last time.Time // pieces do not pass each other
 	for {
 		n, err := from.Read(buf)
 		if n > 0 {
-			p := piece{text: append([]byte(nil), buf[:n]...)}
+			p := chunk{text: append([]byte(nil), buf[:n]...)}
 			r.mu.Lock()
 			late := link.ChunkDelay()
 			r.mu.Unlock()
@@ -271,8 +271,8 @@
 				last = p.due
 			}
 			select {
-			case pieces <- p:
-			case <-gone:
+			case chunks <- p:
+			case <-closed:
 				return
 			}
 		}
@@ -283,16 +283,16 @@
 			r.watcher.Closed(x.far.LocalAddr().String())
 		}
 		select {
-		case pieces <- piece{due: last, end: err}:
-		case <-gone:
+		case chunks <- chunk{due: last, end: err}:
+		case <-closed:
 		}
 		return
 	}
 }
 
 // put writes pieces at their time, and holds them while the link is cut.
-func (r *Conns) put(x *carried, to *net.TCPConn, pieces <-chan piece) {
-	for p := range pieces {
+func (r *Conns) put(x *carried, to *net.TCPConn, chunks <-chan chunk) {
+	for p := range chunks {
 		if wait := time.Until(p.due); !p.due.IsZero() && wait > 0 {
 			time.Sleep(wait)
 		}
--- a/internal/testbed/pairedruns/pairedruns.go
+++ b/internal/testbed/pairedruns/pairedruns.go
@@ -108,8 +108,8 @@
 	return d
 }
 
-// Worth is the difference of worth, after less before, over the pairs of a site and a day; empty names stand for all.
-func (r *Result) Worth(site, day string) Difference {
+// ValueDifference is the difference of worth, after less before, over the pairs of a site and a day; empty names stand for all.
+func (r *Result) ValueDifference(site, day string) Difference {
 	return r.difference(site, day, func(d *scoreanalysis.Day) float64 { return d.Worth })
 }
 
--- a/internal/testbed/pairedruns/print.go
+++ b/internal/testbed/pairedruns/print.go
@@ -36,7 +36,7 @@
 }
 
 func (r *Result) row(w io.Writer, site, day string) {
-	d := r.Worth(site, day)
+	d := r.ValueDifference(site, day)
 	name := strings.TrimSuffix(filepath.Base(site), ".toml")
 	if site == "" {
 		name = "all"
@@ -57,9 +57,9 @@
 func (r *Result) changes(site, day string) string {
 	size := func(cause string) float64 { return math.Abs(r.Lost(site, day, cause).Mean) }
 	causes := slices.SortedFunc(slices.Values(r.Causes()), func(a, b string) int { return cmp.Compare(size(b), size(a)) })
-	var words []string
+	var columns []string
 	for _, cause := range causes[:min(len(causes), shownCauses)] {
-		words = append(words, fmt.Sprintf("%s %s", cause, r.Lost(site, day, cause)))
+		columns = append(columns, fmt.Sprintf("%s %s", cause, r.Lost(site, day, cause)))
 	}
-	return strings.Join(words, ", ")
+	return strings.Join(columns, ", ")
 }
--- a/internal/testbed/scaletest/hollow.go
+++ b/internal/testbed/scaletest/hollow.go
@@ -44,14 +44,14 @@
 	net        *network
 	hollows    map[netip.AddrPort]bool // of which datagrams were lost already, if they were to be
 
-	mu    sync.Mutex
-	lives uint32
-	view  *peering.ViewDriver // nil while it is down
-	conn  *net.UDPConn
-	stop  context.CancelFunc
-	done  sync.WaitGroup
-	sent  uint64 // datagrams of lives before
-	bytes uint64
+	mu          sync.Mutex
+	incarnation uint32
+	view        *peering.ViewDriver // nil while it is down
+	conn        *net.UDPConn
+	stop        context.CancelFunc
+	done        sync.WaitGroup
+	sent        uint64 // datagrams of lives before
+	bytes       uint64
 }
 
 // quiet is a logger that says nothing: what members see is counted, not read.
@@ -78,9 +78,9 @@
 		h.conn = conn
 	}
 	conn := h.conn
-	h.lives++
-	config := members.Config{Name: h.name, Zone: h.zone, Version: "hollow", Addr: h.addr, Boot: rand.Uint32() | 1, Incarnation: h.lives, Seeds: seeds,
-		RandomSeed: uint64(h.addr.Port())<<32 | uint64(h.lives)}
+	h.incarnation++
+	config := members.Config{Name: h.name, Zone: h.zone, Version: "hollow", Addr: h.addr, Boot: rand.Uint32() | 1, Incarnation: h.incarnation, Seeds: seeds,
+		RandomSeed: uint64(h.addr.Port())<<32 | uint64(h.incarnation)}
 	send := func(to netip.AddrPort, data []byte) {
 		if h.net.passes(h.addr, to) {
 			conn.WriteToUDPAddrPort(data, to) // one that can't be sent is lost, as on any network
--- a/internal/testbed/scaletest/run.go
+++ b/internal/testbed/scaletest/run.go
@@ -153,7 +153,7 @@
 		}
 	}
 	await("all join at once", everybody)
-	pause(ctx, f.plan.Settle)
+	sleep(ctx, f.plan.Quiesce)
 	if err := f.measure(ctx, result); err != nil {
 		return nil, err
 	}
@@ -175,7 +175,7 @@
 		}
 		return all - far
 	})
-	pause(ctx, f.plan.Apart)
+	sleep(ctx, f.plan.Apart)
 	f.net.cut.Store(false)
 	await("both together again", everybody)
 	return result, ctx.Err()
@@ -190,18 +190,18 @@
 	for {
 		k.Knew, k.Members = f.count(want)
 		passed := time.Since(began)
-		part := func(of float64, at *time.Duration) {
+		measure := func(of float64, at *time.Duration) {
 			if *at == 0 && float64(k.Knew) >= of*float64(k.Members) {
 				*at = max(passed, 1)
 			}
 		}
-		part(0.5, &k.Half)
-		part(0.99, &k.NinetyNine)
-		part(1, &k.All)
+		measure(0.5, &k.Half)
+		measure(0.99, &k.NinetyNine)
+		measure(1, &k.All)
 		if k.All > 0 || passed > f.plan.Within || ctx.Err() != nil {
 			return k
 		}
-		pause(ctx, lookEvery)
+		sleep(ctx, lookEvery)
 	}
 }
 
@@ -279,11 +279,11 @@
 			return
 		}
 		if f.plan.Churn == 0 {
-			pause(ctx, left)
+			sleep(ctx, left)
 			continue
 		}
 		next := time.Duration(f.rng.ExpFloat64() / f.plan.Churn * float64(time.Minute))
-		pause(ctx, min(next, left))
+		sleep(ctx, min(next, left))
 		if next >= left {
 			continue
 		}
@@ -295,8 +295,8 @@
 	}
 }
 
-// pause waits, unless ctx ends.
-func pause(ctx context.Context, d time.Duration) {
+// sleep waits, unless ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
--- a/internal/testbed/scoreanalysis/print.go
+++ b/internal/testbed/scoreanalysis/print.go
@@ -15,7 +15,7 @@
 
 // Print writes what each day lost, and what was lost on average. Beside is an account of other plays of the same days, nil for none: its figures
 // come as differences.
-func Print(w io.Writer, a, beside *Account) {
+func Print(w io.Writer, a, compared *Account) {
 	if a.ID != "" {
 		fmt.Fprintf(w, "%s, entry %s: %s\n", a.Site, a.ID, a.Why)
 	}
@@ -25,12 +25,12 @@
 	for i := range a.Days {
 		d := &a.Days[i]
 		var other *Day
-		if beside != nil {
-			other = beside.Named(d.Name)
+		if compared != nil {
+			other = compared.Named(d.Name)
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\n", d.Name, worthText(d, other), scoreText(d), rulesText(d), causesText(d.Losses, other))
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\n", d.Name, valueText(d, other), scoreText(d), rulesText(d), causesText(d.Losses, other))
 	}
-	fmt.Fprintf(t, "mean\t\t\t\t%s\n", causesText(a.Mean(), meanOf(beside)))
+	fmt.Fprintf(t, "mean\t\t\t\t%s\n", causesText(a.Mean(), meanOf(compared)))
 }
 
 // meanOf is the mean of an account as a day, nil for none.
@@ -41,7 +41,7 @@
 	return &Day{Losses: a.Mean()}
 }
 
-func worthText(d, other *Day) string {
+func valueText(d, other *Day) string {
 	if other == nil {
 		return fmt.Sprintf("%.3f", d.Worth)
 	}
@@ -63,16 +63,16 @@
 }
 
 func causesText(all []Loss, other *Day) string {
-	var words []string
+	var columns []string
 	for _, l := range all[:min(len(all), shownCauses)] {
 		if l.Worth < leastShown {
 			break
 		}
-		word := fmt.Sprintf("%s %.3f", l.Cause, l.Worth)
+		column := fmt.Sprintf("%s %.3f", l.Cause, l.Worth)
 		if other != nil {
-			word += fmt.Sprintf(" (%+.3f)", l.Worth-other.Lost(l.Cause))
+			column += fmt.Sprintf(" (%+.3f)", l.Worth-other.Lost(l.Cause))
 		}
-		words = append(words, word)
+		columns = append(columns, column)
 	}
-	return strings.Join(words, ", ")
+	return strings.Join(columns, ", ")
 }
--- a/internal/testbed/scoreanalysis/scoreanalysis.go
+++ b/internal/testbed/scoreanalysis/scoreanalysis.go
@@ -43,7 +43,7 @@
 
 type report struct {
 	Worth  *float64       `json:"G"`
-	Parts  []part         `json:"parts"`
+	Parts  []component    `json:"parts"`
 	Prices []price        `json:"prices"`
 	Breaks map[string]int `json:"breaks"`
 }
@@ -56,14 +56,14 @@
 	Rules map[string]int `json:"rules"`
 }
 
-// part is a name, a weight and a value.
-type part struct {
+// component is a name, a weight and a value.
+type component struct {
 	name          string
 	weight, value float64
 }
 
 // UnmarshalJSON implements json.Unmarshaler.
-func (p *part) UnmarshalJSON(text []byte) error {
+func (p *component) UnmarshalJSON(text []byte) error {
 	return json.Unmarshal(text, &[]any{&p.name, &p.weight, &p.value})
 }
 
--- a/internal/testbed/scripted/flood.go
+++ b/internal/testbed/scripted/flood.go
@@ -142,18 +142,18 @@
 
 // Summary tells what came back.
 func (f *Flood) Summary() string {
-	var parts []string
+	var fields []string
 	f.Answers.Range(func(status, n any) bool {
-		parts = append(parts, fmt.Sprintf("%d: %d", status, n.(*atomic.Int64).Load()))
+		fields = append(fields, fmt.Sprintf("%d: %d", status, n.(*atomic.Int64).Load()))
 		return true
 	})
-	slices.Sort(parts)
+	slices.Sort(fields)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.refused.TotalCount() > 0 {
-		parts = append(parts, fmt.Sprintf("refused within p50 %.1f ms, p99 %.1f ms", float64(f.refused.ValueAtQuantile(50))/1000, float64(f.refused.ValueAtQuantile(99))/1000))
+		fields = append(fields, fmt.Sprintf("refused within p50 %.1f ms, p99 %.1f ms", float64(f.refused.ValueAtQuantile(50))/1000, float64(f.refused.ValueAtQuantile(99))/1000))
 	}
-	return fmt.Sprintf("%d connections, answers %s", f.Conns.Load(), strings.Join(parts, ", "))
+	return fmt.Sprintf("%d connections, answers %s", f.Conns.Load(), strings.Join(fields, ", "))
 }
 
 // AskText is a well-formed client request as it goes over the wire, with more header lines.
--- a/internal/testbed/simulator/client.go
+++ b/internal/testbed/simulator/client.go
@@ -303,7 +303,7 @@
 	w.emit(history.Event{What: history.Answer, ID: t.id, How: hows[how]})
 }
 
-var hows = map[ending]history.How{served: history.Whole, refused: history.Refused, failed: history.Failed, brokenOff: history.Broken}
+var hows = map[ending]history.How{served: history.Complete, refused: history.Refused, failed: history.Failed, brokenOff: history.Broken}
 
 // again has a request's client come back, or give up.
 func (w *World) again(f *request, away time.Duration, how ending) {
--- a/internal/testbed/simulator/hosts.go
+++ b/internal/testbed/simulator/hosts.go
@@ -77,12 +77,12 @@
 				a.first = true
 				w.sendHostMessage(h, a, &hostMessage{a: a, first: true})
 			}
-		case hostmodel.Whole:
+		case hostmodel.LastToken:
 			if a := h.atIt[x.ID]; a != nil {
 				delete(h.atIt, x.ID)
-				w.res.CachedTokens += uint64(x.Kept)
+				w.res.CachedTokens += uint64(x.CachedTokens)
 				w.hostDone(h, a)
-				w.sendHostMessage(h, a, &hostMessage{a: a, result: balance.OK, cachedTokens: x.Kept, made: a.made, load: w.load(h)})
+				w.sendHostMessage(h, a, &hostMessage{a: a, result: balance.OK, cachedTokens: x.CachedTokens, made: a.made, load: w.load(h)})
 			}
 		case hostmodel.TurnedAway:
 			if p := h.asks[x.ID]; p != nil {
@@ -108,7 +108,7 @@
 				delete(h.asks, x.ID)
 				w.sendProbeResult(h, p, balance.OK, loadOf(&x.Load))
 			}
-		case hostmodel.NoRoom:
+		case hostmodel.TableFull:
 			full = true
 		case hostmodel.Preempted:
 			w.res.Preempted++
@@ -374,7 +374,7 @@
 		r.byID[m.Replica] = h
 		if m.State == balance.Serving {
 			r.known[h] = knowledge{born: m.StartedAt}
-			w.emit(history.Event{What: history.Told, Who: routerName(r.n), From: m.Replica, Text: "Ready"})
+			w.emit(history.Event{What: history.ListApplied, Who: routerName(r.n), From: m.Replica, Text: "Ready"})
 		} else {
 			r.recordDraining(h)
 		}
@@ -385,6 +385,6 @@
 func (r *router) recordDraining(h int) {
 	if !r.known[h].draining {
 		r.known[h] = knowledge{draining: true, since: r.w.now}
-		r.w.emit(history.Event{What: history.Told, Who: routerName(r.n), From: r.w.hosts[h].id, Text: "Terminating"})
+		r.w.emit(history.Event{What: history.ListApplied, Who: routerName(r.n), From: r.w.hosts[h].id, Text: "Terminating"})
 	}
 }
--- a/internal/testbed/simulator/router.go
+++ b/internal/testbed/simulator/router.go
@@ -313,7 +313,7 @@
 	}
 	for _, t := range r.open {
 		streaming := t.answered
-		w.emit(history.Event{What: history.Answer, ID: t.id, How: history.CutOff})
+		w.emit(history.Event{What: history.Answer, ID: t.id, How: history.Interrupted})
 		t.answered = true
 		if a := t.out; a != nil {
 			t.out = nil
--- a/internal/testbed/soak/client.go
+++ b/internal/testbed/soak/client.go
@@ -19,17 +19,17 @@
 )
 
 const (
-	deadline    = 5 * time.Second
-	dialAgain   = 30 * time.Millisecond
-	mostPause   = 40 * time.Millisecond // between two requests on a connection
-	mostWorkMs  = 60
-	longWorkMs  = 1200
-	mostPieces  = 60
-	deafPart    = 0.3 // of the clients go on using a connection although they were told that it ends
-	streamPart  = 0.25
-	longPart    = 0.1
-	dialFor     = time.Second
-	answerExtra = time.Second // beyond the deadline
+	deadline             = 5 * time.Second
+	dialAgain            = 30 * time.Millisecond
+	maxPause             = 40 * time.Millisecond // between two requests on a connection
+	mostWorkMs           = 60
+	longWorkMs           = 1200
+	maxEvents            = 60
+	ignoresCloseFraction = 0.3 // of the clients go on using a connection although they were told that it ends
+	streamFraction       = 0.25
+	longFraction         = 0.1
+	dialFor              = time.Second
+	answerExtra          = time.Second // beyond the deadline
 )
 
 // Outcome is what became of a request.
@@ -37,13 +37,13 @@
 
 // The outcomes.
 const (
-	Whole   Outcome = "whole"   // a whole success
-	Refused Outcome = "refused" // 429 or 503
-	Failed  Outcome = "failed"  // another answer, whole
-	Cut     Outcome = "cut"     // in the middle of an answer
-	Closed  Outcome = "closed"  // without an answer
-	Silent  Outcome = "silent"  // nothing by the end of its time
-	Wrong   Outcome = "wrong"   // an answer that is not its own, or no answer in the protocol
+	Complete    Outcome = "whole"   // a whole success
+	Refused     Outcome = "refused" // 429 or 503
+	Failed      Outcome = "failed"  // another answer, whole
+	Interrupted Outcome = "cut"     // in the middle of an answer
+	Closed      Outcome = "closed"  // without an answer
+	TimedOut    Outcome = "silent"  // nothing by the end of its time
+	Wrong       Outcome = "wrong"   // an answer that is not its own, or no answer in the protocol
 )
 
 // asked is a request that a client sent.
@@ -74,16 +74,16 @@
 
 // run asks until ctx ends, and returns what came of it.
 func (c *client) run(ctx context.Context) []asked {
-	deaf := c.rng.Float64() < deafPart
+	deaf := c.rng.Float64() < ignoresCloseFraction
 	for ctx.Err() == nil {
 		conn, err := net.DialTimeout("tcp", c.play.fleet.Front(c.router), dialFor)
 		if err != nil {
-			pause(ctx, dialAgain)
+			sleep(ctx, dialAgain)
 			continue
 		}
 		c.use(ctx, conn, deaf)
 		conn.Close()
-		pause(ctx, time.Duration(c.rng.IntN(int(dialAgain))))
+		sleep(ctx, time.Duration(c.rng.IntN(int(dialAgain))))
 	}
 	return c.all
 }
@@ -91,17 +91,17 @@
 // use asks on one connection until it ends.
 func (c *client) use(ctx context.Context, conn net.Conn, deaf bool) {
 	in := bufio.NewReader(conn)
-	toldEnd := false
-	for n := 0; ctx.Err() == nil && (deaf || !toldEnd); n++ {
+	closeAnnounced := false
+	for n := 0; ctx.Err() == nil && (deaf || !closeAnnounced); n++ {
 		a := c.draw()
-		a.kept, a.afterEnd = n > 0, toldEnd
+		a.kept, a.afterEnd = n > 0, closeAnnounced
 		ends := c.ask(conn, in, &a)
-		toldEnd = toldEnd || ends
+		closeAnnounced = closeAnnounced || ends
 		c.all = append(c.all, a)
-		if a.outcome != Whole && a.outcome != Refused && a.outcome != Failed {
+		if a.outcome != Complete && a.outcome != Refused && a.outcome != Failed {
 			return
 		}
-		pause(ctx, time.Duration(c.rng.IntN(int(mostPause))))
+		sleep(ctx, time.Duration(c.rng.IntN(int(maxPause))))
 	}
 }
 
@@ -110,9 +110,9 @@
 	c.next++
 	a := asked{id: fmt.Sprintf("c%d-%d", c.number, c.next), router: c.router, work: 1 + c.rng.IntN(mostWorkMs)}
 	switch kind := c.rng.Float64(); {
-	case kind < streamPart:
-		a.stream, a.work = true, 1+c.rng.IntN(mostPieces)
-	case kind < streamPart+longPart:
+	case kind < streamFraction:
+		a.stream, a.work = true, 1+c.rng.IntN(maxEvents)
+	case kind < streamFraction+longFraction:
 		a.work = c.rng.IntN(longWorkMs)
 	}
 	return a
@@ -141,7 +141,7 @@
 	if err != nil {
 		a.outcome, a.what = Wrong, err.Error()
 		if err == io.ErrUnexpectedEOF || strings.Contains(err.Error(), "reset") {
-			a.outcome = Cut
+			a.outcome = Interrupted
 		}
 		return true
 	}
@@ -155,7 +155,7 @@
 // endOf is the outcome of a request whose connection gave no byte of an answer.
 func endOf(err error) Outcome {
 	if timeout, ok := err.(net.Error); ok && timeout.Timeout() {
-		return Silent
+		return TimedOut
 	}
 	return Closed
 }
@@ -164,7 +164,7 @@
 func judgeAnswer(a *asked, status int, text string, err error) (Outcome, string) {
 	switch {
 	case err != nil:
-		return Cut, fmt.Sprintf("%d, then %v after %d bytes", status, err, len(text))
+		return Interrupted, fmt.Sprintf("%d, then %v after %d bytes", status, err, len(text))
 	case status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable:
 		return Refused, text
 	case status != http.StatusOK:
@@ -172,17 +172,17 @@
 	case text != a.answer():
 		return Wrong, fmt.Sprintf("%d bytes of %d: %.80q", len(text), len(a.answer()), text)
 	}
-	return Whole, ""
+	return Complete, ""
 }
 
 // answer is the body that the host gives.
 func (a *asked) answer() string {
 	if !a.stream {
-		return wholeAnswer(a.id)
+		return completeAnswer(a.id)
 	}
 	var all strings.Builder
 	for n := range a.work {
-		all.WriteString(piece(a.id, n))
+		all.WriteString(streamEvent(a.id, n))
 	}
 	return all.String()
 }
--- a/internal/testbed/soak/conductor.go
+++ b/internal/testbed/soak/conductor.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	meanGap       = 500 * time.Millisecond // between two events of the schedule
-	quietPart     = 0.2                    // of the gaps are long ones, so that routers count as in touch
-	quietFor      = 8 * time.Second
-	mostInRoll    = 4
-	mostAtOnce    = 3
-	coreCalm      = 2500 * time.Millisecond // between two troubles of the register, from its being ready again
-	quotaRuns     = 30 * time.Millisecond   // of each quotaPeriod, a process whose processor is a quota
-	quotaPeriod   = 100 * time.Millisecond
-	quotaPart     = 0.3                    // of the processes that end have one
-	graceSlack    = 500 * time.Millisecond // of real time
-	mostLeaverCPU = 0.5                    // of a core, over at least leastLeaverCPU
-	leastCPU      = 500 * time.Millisecond
-	ticksASecond  = 100 // of the processor times under /proc, the same on all Linux systems
+	meanGap        = 500 * time.Millisecond // between two events of the schedule
+	quietFraction  = 0.2                    // of the gaps are long ones, so that routers count as in touch
+	quietFor       = 8 * time.Second
+	mostInRoll     = 4
+	mostAtOnce     = 3
+	coreCalm       = 2500 * time.Millisecond // between two troubles of the register, from its being ready again
+	quotaRuns      = 30 * time.Millisecond   // of each quotaPeriod, a process whose processor is a quota
+	quotaPeriod    = 100 * time.Millisecond
+	quotaFraction  = 0.3                    // of the processes that end have one
+	graceSlack     = 500 * time.Millisecond // of real time
+	maxDrainingCPU = 0.5                    // of a core, over at least leastLeaverCPU
+	leastCPU       = 500 * time.Millisecond
+	ticksASecond   = 100 // of the processor times under /proc, the same on all Linux systems
 )
 
 // conductor plays the schedule. Events go on beside each other; a router is struck by one at a time, and so is the register.
@@ -43,7 +43,7 @@
 }
 
 func newConductor(p *play) *conductor {
-	return &conductor{play: p, rng: p.rng(3), quota: quotaPart, runs: quotaRuns, busy: map[int]bool{}, logged: map[int]int64{}}
+	return &conductor{play: p, rng: p.rng(3), quota: quotaFraction, runs: quotaRuns, busy: map[int]bool{}, logged: map[int]int64{}}
 }
 
 // event is one kind, with its weight among all.
@@ -68,16 +68,16 @@
 		rng := rand.New(rand.NewPCG(c.rng.Uint64(), 0))
 		for _, e := range events {
 			if drawn -= e.weight; drawn < 0 {
-				c.play.tell(e.name, "")
+				c.play.log(e.name, "")
 				c.group.Go(func() { e.begin(ctx, rng) })
 				break
 			}
 		}
 		gap := time.Duration(c.rng.ExpFloat64() * float64(meanGap))
-		if c.rng.Float64() < quietPart {
+		if c.rng.Float64() < quietFraction {
 			gap = quietFor
 		}
-		pause(ctx, min(gap, quietFor))
+		sleep(ctx, min(gap, quietFor))
 	}
 	c.group.Wait()
 	c.untilBack(ctx)
@@ -85,7 +85,7 @@
 
 // untilBack waits until all routers serve again.
 func (c *conductor) untilBack(ctx context.Context) {
-	within, cancel := context.WithTimeout(ctx, settleFor)
+	within, cancel := context.WithTimeout(ctx, quiesceTime)
 	defer cancel()
 	var all []int
 	for i := range c.play.fleet.Len() {
@@ -117,7 +117,7 @@
 	c.play.fleet.UntilReady(ctx, i)
 	core := c.play.fleet.HasDisk(i)
 	if core {
-		pause(ctx, coreCalm)
+		sleep(ctx, coreCalm)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -132,9 +132,9 @@
 	gap := time.Duration(rng.IntN(500)) * time.Millisecond
 	var group sync.WaitGroup
 	for _, i := range c.take(rng, 1+rng.IntN(mostInRoll)) {
-		own := rand.New(rand.NewPCG(rng.Uint64(), 0))
-		group.Go(func() { c.restart(ctx, own, i) })
-		pause(ctx, gap)
+		clientRandom := rand.New(rand.NewPCG(rng.Uint64(), 0))
+		group.Go(func() { c.restart(ctx, clientRandom, i) })
+		sleep(ctx, gap)
 	}
 	group.Wait()
 }
@@ -143,8 +143,8 @@
 func (c *conductor) terminateSome(ctx context.Context, rng *rand.Rand) {
 	var group sync.WaitGroup
 	for _, i := range c.take(rng, mostAtOnce) {
-		own := rand.New(rand.NewPCG(rng.Uint64(), 0))
-		group.Go(func() { c.restart(ctx, own, i) })
+		clientRandom := rand.New(rand.NewPCG(rng.Uint64(), 0))
+		group.Go(func() { c.restart(ctx, clientRandom, i) })
 	}
 	group.Wait()
 }
@@ -154,7 +154,7 @@
 	ended := c.play.trouble(i, true)
 	defer ended()
 	c.end(ctx, rng, i)
-	pause(ctx, time.Duration(rng.IntN(400))*time.Millisecond)
+	sleep(ctx, time.Duration(rng.IntN(400))*time.Millisecond)
 	c.start(i)
 	c.give(ctx, i)
 }
@@ -193,19 +193,19 @@
 	if f.Terminate(i) != nil {
 		return
 	}
-	whole, over := context.WithTimeout(context.WithoutCancel(ctx), graceS*time.Second+graceSlack)
+	graceful, over := context.WithTimeout(context.WithoutCancel(ctx), graceS*time.Second+graceSlack)
 	defer over()
 	if rng.Float64() < c.quota {
-		go throttle(whole, pid, c.runs)
+		go throttle(graceful, pid, c.runs)
 	}
 	if rng.IntN(4) == 0 {
-		pause(whole, time.Duration(rng.IntN(1500))*time.Millisecond)
+		sleep(graceful, time.Duration(rng.IntN(1500))*time.Millisecond)
 		f.Terminate(i)
 	}
 	if rng.IntN(4) == 0 {
 		f.Reload(i)
 	}
-	e, ok := f.AwaitEnd(whole, i)
+	e, ok := f.AwaitEnd(graceful, i)
 	took := time.Since(began)
 	if !ok {
 		f.Kill(i)
@@ -223,7 +223,7 @@
 	if e.Status != 0 && c.hasStarted(i, logged) {
 		c.play.find("EXIT", fmt.Sprintf("%s ended with %d after SIGTERM", name, e.Status))
 	}
-	if used >= leastCPU && used.Seconds() > mostLeaverCPU*took.Seconds() {
+	if used >= leastCPU && used.Seconds() > maxDrainingCPU*took.Seconds() {
 		c.play.find("BUSY", fmt.Sprintf("%s used %v of processor time in %v while it ended", name, used.Round(time.Millisecond), took.Round(time.Millisecond)))
 	}
 }
@@ -231,16 +231,16 @@
 // throttle lets a process run for a part of each period until it has ended or ctx has.
 func throttle(ctx context.Context, pid int, runs time.Duration) {
 	for syscall.Kill(pid, syscall.SIGSTOP) == nil {
-		pause(ctx, quotaPeriod-runs)
+		sleep(ctx, quotaPeriod-runs)
 		syscall.Kill(pid, syscall.SIGCONT)
-		if !pause(ctx, runs) || !lives(pid) {
+		if !sleep(ctx, runs) || !isAlive(pid) {
 			return
 		}
 	}
 }
 
-// lives tells whether a process is there and has not ended.
-func lives(pid int) bool {
+// isAlive tells whether a process is there and has not ended.
+func isAlive(pid int) bool {
 	fields := statOf(pid)
 	return len(fields) > 0 && fields[0] != "Z" && fields[0] != "X"
 }
@@ -274,7 +274,7 @@
 	for _, i := range c.take(rng, 1) {
 		ended := c.play.trouble(i, false)
 		c.play.fleet.Kill(i)
-		pause(ctx, time.Duration(rng.IntN(1500))*time.Millisecond)
+		sleep(ctx, time.Duration(rng.IntN(1500))*time.Millisecond)
 		c.start(i)
 		c.give(ctx, i)
 		ended()
@@ -286,7 +286,7 @@
 	for _, i := range c.take(rng, 1) {
 		ended := c.play.trouble(i, false)
 		c.play.fleet.Freeze(i)
-		pause(ctx, time.Duration(200+rng.IntN(2800))*time.Millisecond)
+		sleep(ctx, time.Duration(200+rng.IntN(2800))*time.Millisecond)
 		c.play.fleet.Thaw(i)
 		c.give(ctx, i)
 		ended()
@@ -300,7 +300,7 @@
 		for _, i := range all {
 			c.play.fleet.Reload(i)
 		}
-		pause(ctx, time.Duration(rng.IntN(200))*time.Millisecond)
+		sleep(ctx, time.Duration(rng.IntN(200))*time.Millisecond)
 	}
 	for _, i := range all {
 		c.give(ctx, i)
@@ -315,7 +315,7 @@
 		for range 1 + rng.IntN(2) {
 			c.start(i)
 			c.untilHandled(ctx, i)
-			pause(ctx, time.Duration(rng.IntN(600))*time.Millisecond)
+			sleep(ctx, time.Duration(rng.IntN(600))*time.Millisecond)
 			c.end(ctx, rng, i)
 		}
 		c.start(i)
@@ -327,7 +327,7 @@
 // untilHandled waits until a process that has begun takes signals: one that comes before ends it as the system does.
 func (c *conductor) untilHandled(ctx context.Context, i int) {
 	const caughtBit = uint64(1) << (int(syscall.SIGTERM) - 1)
-	within, cancel := context.WithTimeout(ctx, settleFor)
+	within, cancel := context.WithTimeout(ctx, quiesceTime)
 	defer cancel()
 	for {
 		text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", c.play.fleet.Process(i)))
@@ -338,7 +338,7 @@
 				}
 			}
 		}
-		if !pause(within, 2*time.Millisecond) {
+		if !sleep(within, 2*time.Millisecond) {
 			return
 		}
 	}
--- a/internal/testbed/soak/host.go
+++ b/internal/testbed/soak/host.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	drainFor   = 2200 * time.Millisecond // a leaving host serves on
-	beatEvery  = heartbeatMs * time.Millisecond
-	hostSlots  = 64
-	piecePause = 25 * time.Millisecond // between two events of a stream
-	askHeader  = "X-Work"              // how long the host is to work, in ms, or how many events it is to send
+	drainFor          = 2200 * time.Millisecond // a leaving host serves on
+	heartbeatInterval = heartbeatMs * time.Millisecond
+	hostSlots         = 64
+	eventInterval     = 25 * time.Millisecond // between two events of a stream
+	askHeader         = "X-Work"              // how long the host is to work, in ms, or how many events it is to send
 )
 
 // hosts are stand-ins for hosts of one service, which count what they ran.
@@ -75,7 +75,7 @@
 
 // heartbeats has all hosts tell of themselves until the play ends.
 func (h *hosts) heartbeats(ctx context.Context) {
-	tick := time.NewTicker(beatEvery)
+	tick := time.NewTicker(heartbeatInterval)
 	defer tick.Stop()
 	for router := 0; ; router++ {
 		h.mu.Lock()
@@ -101,12 +101,12 @@
 	x := h.all[0]
 	x.leaving = true
 	h.mu.Unlock()
-	for try := 0; !x.call(ctx, http.MethodPut, x.registration(), try); try++ {
-		if try > 4*h.play.fleet.Len() || !pause(ctx, 50*time.Millisecond) {
+	for attempt := 0; !x.call(ctx, http.MethodPut, x.registration(), attempt); attempt++ {
+		if attempt > 4*h.play.fleet.Len() || !sleep(ctx, 50*time.Millisecond) {
 			break
 		}
 	}
-	pause(ctx, drainFor)
+	sleep(ctx, drainFor)
 	x.call(ctx, http.MethodDelete, nil, 0)
 	x.server.Shutdown(ctx)
 	h.mu.Lock()
@@ -157,26 +157,26 @@
 	w.Header().Set(protocol.HeaderRequestID, id)
 	w.Header().Set(protocol.HeaderSeal, "seal")
 	if r.URL.Path != streamPath {
-		pause(r.Context(), time.Duration(work)*time.Millisecond)
-		io.WriteString(w, wholeAnswer(id))
+		sleep(r.Context(), time.Duration(work)*time.Millisecond)
+		io.WriteString(w, completeAnswer(id))
 		return
 	}
 	w.Header().Set("Content-Type", "text/event-stream")
 	for n := range work {
-		io.WriteString(w, piece(id, n))
+		io.WriteString(w, streamEvent(id, n))
 		w.(http.Flusher).Flush()
-		if !pause(r.Context(), piecePause) {
+		if !sleep(r.Context(), eventInterval) {
 			return
 		}
 	}
 }
 
-func wholeAnswer(id string) string { return "answer to " + id }
+func completeAnswer(id string) string { return "answer to " + id }
 
-func piece(id string, n int) string { return fmt.Sprintf("id: %d\ndata: %s %d\n\n", n+1, id, n) }
+func streamEvent(id string, n int) string { return fmt.Sprintf("id: %d\ndata: %s %d\n\n", n+1, id, n) }
 
-// pause waits; false where ctx ended first.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits; false where ctx ended first.
+func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/testbed/soak/judge.go
+++ b/internal/testbed/soak/judge.go
@@ -16,7 +16,7 @@
 	runs := p.hosts.runs()
 	for _, a := range all {
 		p.report.Requests[a.outcome]++
-		unplanned := p.struck(a.wrote-contact, a.ended, func(t trouble) bool { return t.router == a.router && !t.planned })
+		unplanned := p.struck(a.wrote-contact, a.ended, func(t fault) bool { return t.router == a.router && !t.planned })
 		if rule, what := judgeRequest(&a, runs[a.id], unplanned); rule != "" {
 			p.report.Findings = append(p.report.Findings, Finding{a.ended, rule, fmt.Sprintf("%s at %s, sent at %.3f s, work %d, kept %v, after its end %v: %s",
 				a.id, p.fleet.Name(a.router), a.wrote.Seconds(), a.work, a.kept, a.afterEnd, what)})
@@ -38,9 +38,9 @@
 		return "DENIED", a.what
 	case unplanned:
 		return "", ""
-	case a.outcome == Cut:
+	case a.outcome == Interrupted:
 		return "LOST", "cut in the answer: " + a.what
-	case a.outcome == Silent:
+	case a.outcome == TimedOut:
 		return "LOST", fmt.Sprintf("no answer; it ran %d times", runs)
 	case a.outcome == Closed && runs > 0:
 		return "LOST", "closed without an answer, and it has run: " + a.what
--- a/internal/testbed/soak/operator.go
+++ b/internal/testbed/soak/operator.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	callFor     = 2 * time.Second
-	orderFor    = 20 * time.Second // then an order is left without a clear answer
-	mostRoutes  = 6                // that come and go
-	calmGap     = 400 * time.Millisecond
-	stormGap    = 40 * time.Millisecond
-	stormPart   = 0.5 // of the time orders come in storms
-	stormFor    = 2 * time.Second
-	racePart    = 0.4 // of the orders are sent beside another one on the same version
-	probeEvery  = 30 * time.Millisecond
-	probeFor    = 2 * time.Second
-	slack       = time.Second // of real time, on a machine that does other work as well
-	neverBefore = time.Duration(-1)
+	callFor       = 2 * time.Second
+	orderFor      = 20 * time.Second // then an order is left without a clear answer
+	mostRoutes    = 6                // that come and go
+	calmGap       = 400 * time.Millisecond
+	stormGap      = 40 * time.Millisecond
+	stormFraction = 0.5 // of the time orders come in storms
+	stormFor      = 2 * time.Second
+	raceFraction  = 0.4 // of the orders are sent beside another one on the same version
+	probeEvery    = 30 * time.Millisecond
+	probeFor      = 2 * time.Second
+	slack         = time.Second // of real time, on a machine that does other work as well
+	neverBefore   = time.Duration(-1)
 )
 
 // route is one that an order added, and another one removed perhaps.
@@ -68,7 +68,7 @@
 		if code == http.StatusOK {
 			return true
 		}
-		pause(ctx, calmGap)
+		sleep(ctx, calmGap)
 	}
 	return false
 }
@@ -83,12 +83,12 @@
 	group.Go(func() { o.probe(ctx) })
 	for ctx.Err() == nil {
 		gap := calmGap
-		if o.rng.Float64() < stormPart {
+		if o.rng.Float64() < stormFraction {
 			gap = stormGap
 		}
 		for until := o.play.now() + stormFor; o.play.now() < until && ctx.Err() == nil; {
 			o.change(ctx)
-			pause(ctx, gap)
+			sleep(ctx, gap)
 		}
 	}
 	group.Wait()
@@ -97,7 +97,7 @@
 // change sends an order, or two on one version, and takes in what was answered.
 func (o *operator) change(ctx context.Context) {
 	all := []*order{o.draw(1)}
-	if o.rng.Float64() < racePart {
+	if o.rng.Float64() < raceFraction {
 		all = append(all, o.draw(2))
 	}
 	seeds := make([]int, len(all))
@@ -163,7 +163,7 @@
 			o.play.find("CONFIG", fmt.Sprintf("a proper order is refused with %d: %s", code, text))
 			return
 		}
-		pause(ctx, 20*time.Millisecond)
+		sleep(ctx, 20*time.Millisecond)
 	}
 }
 
@@ -200,7 +200,7 @@
 		if code == http.StatusOK && json.Unmarshal(text, &in) == nil {
 			return in.Version
 		}
-		pause(ctx, 50*time.Millisecond)
+		sleep(ctx, 50*time.Millisecond)
 	}
 	return 0
 }
@@ -208,7 +208,7 @@
 // probe asks calm routers for routes that were added or removed long enough ago.
 func (o *operator) probe(ctx context.Context) {
 	rng := o.play.rng(2)
-	for n := 0; pause(ctx, probeEvery); n++ {
+	for n := 0; sleep(ctx, probeEvery); n++ {
 		router := rng.IntN(o.play.fleet.Len())
 		began := o.play.now()
 		r, there := o.toProbe(rng, began)
@@ -276,7 +276,7 @@
 
 // judge reads the configuration back: nothing that was acknowledged may be lost.
 func (o *operator) judge() {
-	ctx, cancel := context.WithTimeout(context.Background(), settleFor)
+	ctx, cancel := context.WithTimeout(context.Background(), quiesceTime)
 	defer cancel()
 	o.play.mu.Lock()
 	o.play.report.Orders, o.play.report.Probes = o.orders, o.probes
@@ -288,7 +288,7 @@
 
 // calm tells whether a router and the register had no trouble for so long before a time, and have had none since.
 func (p *play) calm(router int, at time.Duration) bool {
-	return !p.struck(at-contact-slack, p.now(), func(t trouble) bool { return t.router == router || p.fleet.HasDisk(t.router) })
+	return !p.struck(at-contact-slack, p.now(), func(t fault) bool { return t.router == router || p.fleet.HasDisk(t.router) })
 }
 
 // callControl makes one call; the code is 0 without an answer.
--- a/internal/testbed/soak/soak.go
+++ b/internal/testbed/soak/soak.go
@@ -37,7 +37,7 @@
 	graceS      = 6
 	apply       = 2 * time.Second // until a change is in force on all routers, as the settings say
 	contact     = 3 * time.Second // without trouble, until a router counts as in touch
-	settleFor   = 30 * time.Second
+	quiesceTime = 30 * time.Second
 )
 
 // Finding is something that may not be.
@@ -71,11 +71,11 @@
 
 	mu       sync.Mutex
 	report   Report
-	troubles []trouble
+	troubles []fault
 }
 
-// trouble is a time in which a router may not do all that it should, or the register, where its machine is one.
-type trouble struct {
+// fault is a time in which a router may not do all that it should, or the register, where its machine is one.
+type fault struct {
 	router   int
 	from, to time.Duration // to is below 0 while it goes on
 	planned  bool          // it was told to end, or to reload: what it has taken may not be lost
@@ -104,8 +104,8 @@
 	defer stop()
 	p.hosts = newHosts(p)
 	defer p.hosts.close()
-	beating, silence := context.WithCancel(context.WithoutCancel(ctx)) // hosts call on until clients have ended
-	defer silence()
+	beating, stopHeartbeats := context.WithCancel(context.WithoutCancel(ctx)) // hosts call on until clients have ended
+	defer stopHeartbeats()
 	if err := p.bringUp(work, beating); err != nil {
 		return nil, err
 	}
@@ -117,7 +117,7 @@
 
 // bringUp waits until all routers serve. Hosts call until beating ends.
 func (p *play) bringUp(ctx, beating context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, 2*settleFor)
+	ctx, cancel := context.WithTimeout(ctx, 2*quiesceTime)
 	defer cancel()
 	op := newOperator(p)
 	if !op.begin(ctx) {
@@ -138,18 +138,18 @@
 
 // playAll has clients, operators and the schedule work beside each other, and judges once all have ended.
 func (p *play) playAll(ctx context.Context, stop context.CancelFunc, schedule func(context.Context, *play)) {
-	var clients, others sync.WaitGroup
+	var clients, background sync.WaitGroup
 	asked := make([][]asked, p.o.Clients)
 	for i := range p.o.Clients {
 		c := &client{play: p, router: i % p.fleet.Len(), rng: p.rng(uint64(i) + 1000), number: i}
 		clients.Go(func() { asked[i] = c.run(ctx) })
 	}
 	operator := newOperator(p)
-	others.Go(func() { operator.work(ctx) })
+	background.Go(func() { operator.work(ctx) })
 	schedule(ctx, p)
 	stop()
 	clients.Wait()
-	others.Wait()
+	background.Wait()
 	p.judgeRequests(slices.Concat(asked...))
 	operator.judge()
 }
@@ -158,7 +158,7 @@
 
 func (p *play) now() time.Duration { return time.Since(p.begun) }
 
-func (p *play) tell(event, what string) {
+func (p *play) log(event, what string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.report.Events[event]++
@@ -178,7 +178,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := len(p.troubles)
-	p.troubles = append(p.troubles, trouble{router, p.now(), -1, planned})
+	p.troubles = append(p.troubles, fault{router, p.now(), -1, planned})
 	return func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
@@ -187,10 +187,10 @@
 }
 
 // struck tells whether any trouble of some kind fell into a time.
-func (p *play) struck(from, to time.Duration, counts func(trouble) bool) bool {
+func (p *play) struck(from, to time.Duration, counts func(fault) bool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return slices.ContainsFunc(p.troubles, func(t trouble) bool {
+	return slices.ContainsFunc(p.troubles, func(t fault) bool {
 		return t.from <= to && (t.to < 0 || t.to >= from) && counts(t)
 	})
 }
