--- a/balance/assignment.go
+++ b/balance/assignment.go
@@ -9,14 +9,15 @@
 )
 
 const (
-	// minAssignedReplicas is the least number of replicas that are assigned to a router.
+	// minAssignedReplicas is the smallest number of replicas that are assigned to a router.
 	minAssignedReplicas = 7
-	// minAssignees is the least mean number of routers that each replica is assigned to.
+	// minAssignees is the smallest mean number of routers that a replica is assigned to.
 	minAssignees = 3
 )
 
-// updateAssignment assigns to each router replicas of its zone, alike on all routers: so few that
-// it hears of each often, keeps a connection to it and need not hear of the others.
+// updateAssignment assigns to each router some replicas of its zone. All routers compute the same
+// assignments. A router has so few replicas that it observes each of them often, can keep a
+// connection to each, and needs no reports on the others.
 func (b *Balancer) updateAssignment() {
 	if !b.routers.Due(b.now) {
 		return
@@ -37,8 +38,8 @@
 	}
 }
 
-// assign sets the routers that a replica is assigned to. Prompts that were reported by routers
-// which are gone now are taken off in proportion.
+// assign sets the routers that a replica is assigned to. If some of the former routers are dead
+// now, it reduces the reported tokens in proportion.
 func (b *Balancer) assign(r *replica, assignees []int) {
 	before := len(r.liveAssignees)
 	removed := func(router int) bool { return b.routers.Dead(router, b.now) }
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -1,6 +1,6 @@
 package balance
 
-// The entry points: New builds a Balancer, Step handles events and returns actions. types.go
+// The entry points: New returns a Balancer, and Step handles events and returns actions. types.go
 // describes the algorithm and lists its exceptions.
 
 import (
@@ -14,23 +14,25 @@
 )
 
 const (
-	// maxCountedPrompts is the number of prompts after which the counts by prefix are halved.
+	// maxCountedPrompts is the number of counted prompts above which all counts by prefix are
+	// halved.
 	maxCountedPrompts = 1000
-	// queueCheckInterval is the longest time until queued requests are tried again: a replica that
-	// is warming up or ejected may have capacity by then.
+	// queueCheckInterval is the longest time between two attempts to dispatch queued requests. It
+	// is bounded because a replica that is warming up or ejected may gain capacity without an
+	// event.
 	queueCheckInterval = 100 * time.Millisecond
-	// minReportingRouters is the number of routers from which on they send each other reports.
-	// Fewer hear enough of each replica by themselves.
+	// minReportingRouters is the smallest number of routers that send each other reports. With
+	// fewer routers, each one observes enough of every replica itself.
 	minReportingRouters = 8
-	// viewStabilityTime is how long a liveness view must hold before assignments and budgets follow
-	// it.
+	// viewStabilityTime is how long a liveness view must stay the same before assignments and
+	// budgets follow it.
 	viewStabilityTime = 2 * time.Second
-	// defaultLatencyTarget stands in for a class that has none where targets are compared.
+	// defaultLatencyTarget is used for classes without a latency target where targets are compared.
 	defaultLatencyTarget = time.Second
 )
 
-// New returns a Balancer for one router, or an error that names the setting at fault.
-// The same configuration, seed and events always give the same actions.
+// New returns a Balancer for one router, or an error that names the invalid setting. The same
+// configuration, seed and events always produce the same actions.
 func New(cfg Config, seed uint64) (*Balancer, error) {
 	if cfg.Routers < minReportingRouters {
 		cfg.Routers = 0
@@ -48,13 +50,13 @@
 		routers:       assignment.New(cfg.Routers, cfg.Self, zoneTag(cfg.Zone), viewStabilityTime),
 	}
 	if cfg.MustSubscribe {
-		b.subscribeAt = 1 // with the first Step
+		b.subscribeAt = 1 // subscribe in the first Step
 	}
 	return b, b.applyConfig(cfg)
 }
 
-// applyConfig puts a configuration in force, except for the fields that identify this router to
-// others. Requests under way keep their classes.
+// applyConfig puts a configuration into effect, except for MustSubscribe and the fields that
+// identify this router to others. Requests under way keep their classes.
 func (b *Balancer) applyConfig(cfg Config) error {
 	if err := cfg.validate(); err != nil {
 		return err
@@ -81,8 +83,8 @@
 	return nil
 }
 
-// Step handles the events in order, then dispatches queued requests once. The time now is the
-// caller's clock and never goes back. The caller carries out the actions in order.
+// Step handles the events in order, dispatches queued requests once, and returns actions that the
+// caller carries out in order. The time now is read from the caller's clock and must never go back.
 func (b *Balancer) Step(now time.Duration, events []Event) []Action {
 	b.now = now
 	b.actions = nil
@@ -99,11 +101,11 @@
 	return b.actions
 }
 
-// emit adds an action to those that the current Step returns.
+// emit adds an action to the result of the current Step.
 func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
-// handle passes an event to its handler. Events of unknown requests, attempts and replicas are
-// ignored, as they may be late or repeated.
+// handle passes an event to its handler. It ignores events of unknown requests, attempts and
+// replicas, because events may arrive late or more than once.
 func (b *Balancer) handle(ev Event) {
 	switch ev := ev.(type) {
 	case Members:
@@ -139,7 +141,7 @@
 	}
 }
 
-// resubscribe asks discovery for its changes once that is due.
+// resubscribe emits a Subscribe action once subscribeAt is reached.
 func (b *Balancer) resubscribe() {
 	if b.subscribeAt > 0 && b.now >= b.subscribeAt {
 		b.subscribeAt = 0
@@ -147,8 +149,8 @@
 	}
 }
 
-// setTimer sets the one timer to the earliest time at which something is due, unless an earlier one
-// is already set.
+// setTimer sets the timer to the earliest time at which something is due, unless the timer is
+// already set to an earlier time.
 func (b *Balancer) setTimer() {
 	next := time.Duration(math.MaxInt64)
 	if b.subscribeAt > 0 {
--- a/balance/choose.go
+++ b/balance/choose.go
@@ -12,23 +12,25 @@
 )
 
 const (
-	// affinitySpread is how many times more affinity hosts a prefix has than it would need if all
-	// replicas were alike and evenly used.
+	// affinitySpread is the number of affinity hosts of a prefix relative to the number that it
+	// would need if all replicas were alike and evenly loaded.
 	affinitySpread = 1.5
-	// priorPrompts is the number of prompts of other prefixes that are taken as seen at the start.
+	// priorPrompts is the number of prompts of other prefixes that the router assumes to have seen
+	// at the start.
 	priorPrompts = 10.0
-	// reportTTL is the age from which on a load report says nothing any more.
+	// reportTTL is the age at which a load report becomes too old to use.
 	reportTTL = time.Second
 	// probeTimeout is how long a request waits for the answers to load probes.
 	probeTimeout = 25 * time.Millisecond
 	// exploreInterval is the shortest time between two prompts that are sent to an idle replica
-	// although its estimate speaks against it.
+	// although its estimate is too high.
 	exploreInterval = time.Second
 )
 
-// chooseReplica returns the cheaper of two sampled replicas with capacity, or nil if none has any.
-// Samples of the router's own zone take part besides those of all zones where crossing zones costs
-// more than a second prefill of the prefix, or where no report says what other routers have sent.
+// chooseReplica returns the cheapest of the sampled replicas with capacity, or nil if no replica
+// has capacity. It takes samples from all zones, and further samples from the router's own zone
+// where crossing zones costs more than a second prefill of the prefix, or where no report says what
+// other routers have sent.
 func (b *Balancer) chooseReplica(q *request) *replica {
 	preferZone := b.preferZone(q)
 	candidates, zoneCandidates := b.candidates[:0], b.zoneCandidates[:0]
@@ -56,7 +58,7 @@
 	return b.cheapest(q, samples)
 }
 
-// preferZone reports whether replicas of the router's own zone are sampled separately for q.
+// preferZone reports whether chooseReplica samples the router's own zone separately for q.
 func (b *Balancer) preferZone(q *request) bool {
 	if b.crossZoneCost(q) > q.PrefixTokens*defaultPrefillTime {
 		return true
@@ -65,10 +67,12 @@
 	return !keepsOneHost && !b.prefillReported
 }
 
-// affinitySamples returns samples of pool, the same on all routers. The affinity hosts of a prefix
-// are the first in its rendezvous order, as many as its fraction of all prompts asks for: so it is
-// cached on few replicas and overloads none. A session gets two of them, a request without a prefix
-// two of all. Where Config.SingleAffinityHost is set all hosts of a prefix are samples, mostly two.
+// affinitySamples returns samples of pool, which are the same on all routers. The affinity hosts of
+// a prefix are the first replicas in its rendezvous order. Their number grows with the fraction of
+// all prompts that have the prefix, so that few replicas cache the prefix and none is overloaded by
+// it. The samples of a session are two of these hosts, and those of a request without a prefix are
+// two of all replicas. If Config.SingleAffinityHost is set, all hosts of a prefix, mostly two, are
+// samples.
 func (b *Balancer) affinitySamples(q *request, pool []*replica) []*replica {
 	if q.Prefix == "" {
 		return firstRanked(q.sessionHash, pool, 2)
@@ -83,7 +87,7 @@
 	return firstRanked(q.sessionHash, hosts, 2)
 }
 
-// unassignedSamples returns two replicas with capacity that are not assigned to this router.
+// unassignedSamples returns up to two replicas with capacity that are not assigned to this router.
 func (b *Balancer) unassignedSamples(q *request) []*replica {
 	var pool []*replica
 	for _, r := range b.sorted {
@@ -94,7 +98,7 @@
 	return firstRanked(q.sessionHash, pool, 2)
 }
 
-// cheapest returns the replica with the lowest estimated cost for q, or nil for no samples.
+// cheapest returns the sample with the lowest estimated cost for q, or nil if there are no samples.
 func (b *Balancer) cheapest(q *request, samples []*replica) *replica {
 	if len(samples) == 0 {
 		return nil
@@ -104,9 +108,9 @@
 	})
 }
 
-// probeSamples probes the sampled replicas whose last load report is old. A router that is one of
-// many hears of a replica too rarely to compare two. The request waits for the answers, but no
-// longer than probeTimeout.
+// probeSamples probes the sampled replicas whose last load report is old, because a router that is
+// one of many observes a replica too rarely to compare it with another. The request waits for the
+// answers for at most probeTimeout.
 func (b *Balancer) probeSamples(q *request, samples []*replica) {
 	for _, r := range samples {
 		if b.cfg.MayProbe && b.routers.Alone() && !r.probing && b.now >= r.reportedAt+reportTTL {
@@ -120,7 +124,7 @@
 	q.samples = samples
 }
 
-// awaitsProbes reports whether q still waits for the load of its samples.
+// awaitsProbes reports whether q still waits for load probes of its samples.
 func (b *Balancer) awaitsProbes(q *request) bool {
 	return b.now < q.probesUntil && slices.ContainsFunc(q.samples, func(r *replica) bool { return r.probing })
 }
@@ -145,8 +149,9 @@
 	b.reportPrompt(a)
 }
 
-// delayExploration sets the earliest time at which an idle replica is tried against its estimate:
-// the later, the more routers may do so.
+// delayExploration sets exploreAt, the earliest time at which this router may send to an idle
+// replica although its estimate is too high. The delay grows with the number of live routers per
+// warm replica.
 func (b *Balancer) delayExploration() {
 	perReplica := maxEjectionTime * time.Duration(b.liveRouters) / time.Duration(max(b.warmReplicas, 1))
 	b.exploreAt = b.now + max(exploreInterval, perReplica)
--- a/balance/config.go
+++ b/balance/config.go
@@ -7,55 +7,62 @@
 	"reachspread/internal/retrybudget"
 )
 
-// Config is the configuration of a router's decisions. Times and sizes must not be negative.
+// Config configures the decisions of one router. Times and sizes must not be negative.
 type Config struct {
 	// Zone is the zone of this router.
 	Zone string
-	// Classes are the classes of requests, at least one. Requests of other classes are rejected.
+	// Classes are the classes of requests. There must be at least one. Requests of other classes
+	// are rejected.
 	Classes []Class
 
-	// MustSubscribe says that discovery sends updates only after a Subscribe action.
+	// MustSubscribe means that discovery sends updates only after a Subscribe action.
 	MustSubscribe bool
-	// MayProbe allows Probe actions. A router that is alone probes replicas whose last load report
-	// is older than a second, which costs a request up to 25 ms and gives a better choice.
+	// MayProbe allows Probe actions. A router that exchanges no reports by number with other
+	// routers then probes replicas whose last load report is at least a second old. Probes delay a
+	// request by up to 25 ms and improve the choice of its replica.
 	MayProbe bool
-	// MaxAttempts bounds the attempts of a request, the first included. 0 counts as 1.
+	// MaxAttempts is the most attempts that a request may have, including the first. 0 counts as 1.
 	MaxAttempts int
 
-	// SlowStartMinCapacity is the fraction of its capacity that a replica has at its start, from 0
-	// to 1. It rises evenly to 1 over SlowStartWindow.
+	// SlowStartMinCapacity is the fraction of its full capacity, from 0 to 1, that a replica has
+	// when it starts. The fraction rises linearly to 1 over SlowStartWindow.
 	SlowStartMinCapacity float64
-	// SlowStartWindow is how long a replica is in slow start after its start, 0 for no slow start.
+	// SlowStartWindow is how long a replica stays in slow start after it has started, 0 for no slow
+	// start.
 	SlowStartWindow time.Duration
-	// OverloadFactor is the multiple of its capacity which, sent to a replica in slow start for
-	// OverloadWindow, makes it fail. A higher one lets replicas warm up sooner.
+	// OverloadFactor is the multiple of its current capacity that makes a replica in slow start
+	// fail if it receives that much work for OverloadWindow. With a higher factor, replicas get
+	// more work while they warm up.
 	OverloadFactor float64
-	// OverloadWindow is the time over which OverloadFactor counts.
+	// OverloadWindow is the time over which work is compared with OverloadFactor.
 	OverloadWindow time.Duration
 
-	// StepInterval is the least time between two calls of Step; timers are not set below it or 1
-	// ms.
+	// StepInterval is the shortest time between two calls of Step. Timers are set to at least this
+	// time and at least 1 ms.
 	StepInterval time.Duration
-	// CrossZonePenalty is the fraction of the value lost if every request crosses zones once. A
-	// higher one keeps requests in their zone at the price of longer waits.
+	// CrossZonePenalty is the fraction of the total value of requests that is lost if every request
+	// crosses zones once. A higher penalty keeps more requests in their zone but makes them wait
+	// longer.
 	CrossZonePenalty float64
-	// MaxRetryAfter bounds how long a rejection may tell a client to stay away, 0 for no advice.
+	// MaxRetryAfter is the longest time for which a rejection may tell a client to wait before it
+	// retries, 0 for no advice.
 	MaxRetryAfter time.Duration
-	// SingleAffinityHost keeps each prefix on one replica, the same for all routers, as far as that
-	// has capacity: more cache hits, and less even load.
+	// SingleAffinityHost sends the requests of each prefix to one replica, the same for all
+	// routers, as long as that replica has capacity. This gives more cache hits but spreads load
+	// less evenly.
 	SingleAffinityHost bool
 
-	// RetryBudget is the budget that retries spend from once an attempt was delivered; nil for no
-	// bound.
+	// RetryBudget limits the retries of requests of which an attempt was delivered to a replica.
+	// nil means no limit.
 	RetryBudget *retrybudget.Budget
 
-	// Routers is how many routers there are, this one included, if they may send reports to each
-	// other by number; 0 if not. Below 8 it counts as 0.
+	// Routers is the number of routers, including this one, if they can send reports to each other
+	// by number, else 0. Values below 8 count as 0.
 	Routers int
-	// Self is this router's number among them, from 0.
+	// Self is the number of this router among Routers, from 0.
 	Self int
-	// Broadcast says that this router's reports reach all others without numbers, and theirs reach
-	// it.
+	// Broadcast means that the reports of this router reach all others, and theirs reach this
+	// router, without router numbers.
 	Broadcast bool
 }
 
@@ -63,64 +70,67 @@
 type Class struct {
 	Name string
 
-	// Effect says what a duplicate of a request does, and so where it may be retried.
+	// Effect is the effect of a duplicate of a request. It decides where a request may be retried.
 	Effect Effect
-	// DedupScope names, for Keyed, the replicas that discard duplicates.
+	// DedupScope is the set of replicas that discard duplicates of a Keyed request.
 	DedupScope Scope
-	// DedupWindow is, for Keyed, how long they do so from the first attempt that may have executed.
+	// DedupWindow is how long replicas discard duplicates of a Keyed request, counted from the
+	// first attempt that may have executed.
 	DedupWindow time.Duration
 
-	// LatencyTarget is the target for the time to the first token if Streamed, else to the end of
-	// the answer. A request answered within it has its full value. 0 counts as one of a second
-	// where the targets of classes are compared.
+	// LatencyTarget is the target for the time to the first token if Streamed is set, else for the
+	// time to the end of the answer. An answer within it earns the full Value. Where the targets of
+	// classes are compared, 0 counts as one second.
 	LatencyTarget time.Duration
 	// LatencyTargetPer1000Tokens is added to LatencyTarget for each 1,000 tokens of the prompt.
 	LatencyTargetPer1000Tokens time.Duration
-	// LatencyTargetWorkFactor adds this multiple of a request's own work to LatencyTarget.
+	// LatencyTargetWorkFactor is multiplied by the request's own work estimate and added to
+	// LatencyTarget.
 	LatencyTargetWorkFactor float64
-	// TokenLatencyTarget is the target for the mean time between tokens, 0 for none. Nothing is
-	// decided by it.
+	// TokenLatencyTarget is the target for the mean time between tokens, 0 for none. No decision
+	// depends on it.
 	TokenLatencyTarget time.Duration
-	// Deadline is how long a client waits, over all of its requests for the same thing.
+	// Deadline is how long a client waits for an answer, including the time of the requests that it
+	// sends again.
 	Deadline time.Duration
-	// Value is the value of a request against those of other classes.
+	// Value is the value of an answered request, relative to requests of other classes.
 	Value float64
-	// LateValueFraction is the fraction of the value that an answer between LatencyTarget and
-	// Deadline keeps. Requests of a class with 0 are rejected rather than answered late.
+	// LateValueFraction is the fraction of Value that an answer between LatencyTarget and Deadline
+	// earns. If it is 0, requests of the class are rejected rather than answered late.
 	LateValueFraction float64
-	// Streamed says that the client gets the answer token by token.
+	// Streamed means that the client receives the answer token by token.
 	Streamed bool
 
-	// MaxExecutions bounds the attempts of a request that may have executed, 0 for no bound.
+	// MaxExecutions is the most attempts of a request that may have executed, 0 for no limit.
 	MaxExecutions int
 }
 
-// Effect says what a duplicate of a request does.
+// Effect is the effect of a duplicate of a request.
 type Effect int
 
 // The effects.
 const (
 	Safe   Effect = iota // a duplicate does no harm: the request is idempotent
-	Keyed                // a duplicate is discarded within a scope and a time
+	Keyed                // replicas discard a duplicate within DedupScope and DedupWindow
 	Unsafe               // a duplicate takes effect a second time
 )
 
-// Scope names the replicas that discard duplicates of one keyed request.
+// Scope is the set of replicas that discard duplicates of one Keyed request.
 type Scope int
 
 // The scopes.
 const (
 	ScopeAll  Scope = iota // all replicas
-	ScopeZone              // those of the first replica's zone
-	ScopeCell              // those of the first replica's cell
+	ScopeZone              // replicas in the zone of the first attempt that may have executed
+	ScopeCell              // replicas in the cell of the first attempt that may have executed
 )
 
-// latencyTargetFor returns the latency target for a prompt of so many tokens.
+// latencyTargetFor returns the latency target for a prompt with a number of tokens.
 func (c *Class) latencyTargetFor(promptTokens float64) time.Duration {
 	return c.LatencyTarget + time.Duration(float64(c.LatencyTargetPer1000Tokens)*promptTokens/1000)
 }
 
-// validate returns what is wrong with a configuration, with the name of the field at fault.
+// validate returns an error that names the first invalid field, or nil.
 func (c *Config) validate() error {
 	if len(c.Classes) == 0 {
 		return fmt.Errorf("Classes is empty; list at least one class")
--- a/balance/estimate.go
+++ b/balance/estimate.go
@@ -1,41 +1,44 @@
 package balance
 
-// Estimates: how long a request takes on a replica, and how much work it is.
+// Estimates of the time that a request takes on a replica, and of its work.
 
 import "math"
 
 const (
 	// streamWorkFraction is the fraction of a replica's time that one stream takes.
 	streamWorkFraction = 0.006
-	// interferenceFraction is the fraction of a stream's time that another one beside it costs:
-	// half of it to itself, half to the other.
+	// interferenceFraction is the cost of a stream to a request on the same replica, as a fraction
+	// of the request's decode time. Half of it is the delay of the request, half the delay of the
+	// stream.
 	interferenceFraction = 0.04
-	// crossZoneStreams is the number of streams that crossing zones counts for, so that small
-	// differences send no request to another zone.
+	// crossZoneStreams is the number of streams that is added to the count of a replica in another
+	// zone, so that small differences send no request across zones.
 	crossZoneStreams = 1.5
-	// crossZoneFactor is how many times its price in missed latency targets a crossing counts.
+	// crossZoneFactor multiplies the price of crossing zones, which CrossZonePenalty gives in
+	// missed latency targets.
 	crossZoneFactor = 4.0
-	// recomputeFactor is how many times its prefill time a prefix that is computed once more costs
-	// others.
+	// recomputeFactor is the cost to other requests of computing a prefix once more, as a multiple
+	// of the prefix's prefill time.
 	recomputeFactor = 3.0
-	// learningRate is the weight of a sample in a moving average.
+	// learningRate is the weight of a new sample in a moving average.
 	learningRate = 0.1
-	// defaultPrefillTime is the seconds of prefill for a token before any were observed.
+	// defaultPrefillTime is the assumed prefill time of a token, in seconds, until one is observed.
 	defaultPrefillTime = 1e-4
-	// baseFirstToken is the seconds to a first token with nothing to prefill.
+	// baseFirstToken is the time to the first token, in seconds, with no tokens to prefill.
 	baseFirstToken = 0.05
-	// reportRatio and reportDeviation say which first tokens are reported to other routers: those
-	// that took so many times more or less than expected, and were so many seconds off.
+	// A first token is reported to other routers if its time differs from the expected one by more
+	// than the factor reportRatio and by more than reportDeviation, in seconds.
 	reportRatio     = 2.0
 	reportDeviation = 0.2
-	// peerStreamLifetime is the seconds after which a stream that another router reported counts
-	// for 1/e.
+	// peerStreamLifetime is the time, in seconds, in which the weight of a stream that another
+	// router reported falls to 1/e.
 	peerStreamLifetime = 3.0
 )
 
-// estimatedCost returns the cost of q on r in seconds: the time to its first token, the streams
-// that slow down its decoding, and the price of crossing zones. With a single affinity host,
-// leaving it also costs that the prefix is computed once more and cached on two replicas.
+// estimatedCost returns the cost of q on r in seconds: the time to its first token, the delay by
+// other streams on r while it decodes, and the price of crossing zones. If
+// Config.SingleAffinityHost is set, the cost includes that of computing a prefix again that r has
+// not cached, because the prefix then takes up cache on two replicas.
 func (b *Balancer) estimatedCost(q *request, r *replica) float64 {
 	cost := b.timeToFirstToken(q, r)
 	streams := float64(r.inFlight) + r.peerStreams
@@ -51,9 +54,10 @@
 	return cost + q.class.decodeTime*fraction*streams
 }
 
-// timeToFirstToken returns the expected seconds to the first token of q on r, or of a request with
-// nothing to prefill if q is nil. A replica that accepts requests and never answers looks idle, so
-// what is overdue there counts in full.
+// timeToFirstToken returns the expected seconds to the first token of q on r, or of a request
+// without tokens to prefill if q is nil. The time by which the oldest attempt without a first token
+// is overdue is added in full: a replica that accepts requests but never answers would look idle
+// otherwise.
 func (b *Balancer) timeToFirstToken(q *request, r *replica) float64 {
 	ratio := b.latencyRatioOf(r)
 	fraction := b.capacityFraction(r)
@@ -69,7 +73,7 @@
 	return seconds
 }
 
-// prefillTokensOn returns the tokens of q that r would have to prefill, 0 if q is nil.
+// prefillTokensOn returns the number of tokens of q that r would have to prefill, or 0 if q is nil.
 func (b *Balancer) prefillTokensOn(q *request, r *replica) float64 {
 	if q == nil {
 		return 0
@@ -83,12 +87,12 @@
 	return max(q.PromptTokens-cached, 1)
 }
 
-// recomputedTokens returns the tokens of q's prefix that r is not known to have cached.
+// recomputedTokens returns the number of tokens of q's prefix that r is not known to have cached.
 func (b *Balancer) recomputedTokens(q *request, r *replica) float64 {
 	return max(b.prefillTokensOn(q, r)-(q.PromptTokens-q.PrefixTokens), 0)
 }
 
-// tokensQueuedOn returns the tokens that r has to prefill before those of a new request.
+// tokensQueuedOn returns the number of tokens that r has to prefill before those of a new request.
 func (b *Balancer) tokensQueuedOn(r *replica) float64 {
 	b.decayPeerTokens(r)
 	tokens := r.peerTokens
@@ -98,8 +102,8 @@
 	return tokens
 }
 
-// decayPeerTokens takes off what r has prefilled, since the last call, of the prompts that other
-// routers reported. They are taken to be prefilled steadily.
+// decayPeerTokens subtracts from the prompts that other routers reported what r has prefilled since
+// the last call, at an assumed constant rate. It also lowers the number of reported streams.
 func (b *Balancer) decayPeerTokens(r *replica) {
 	passed := (b.now - r.peerTokensAt).Seconds()
 	if passed <= 0 || b.routers.Alone() && !b.cfg.Broadcast {
@@ -110,10 +114,11 @@
 	r.peerTokensAt = b.now
 }
 
-// effectiveWait returns the seconds to the first token of q on r as far as they count. An idle
-// replica is worth an attempt, so that a wrong estimate does not last. But to one of many routers
-// most replicas are idle: there the wait counts as far as the replicas with reports are behind,
-// except for rare attempts.
+// effectiveWait returns the expected time to the first token of q on r, in seconds, as it is
+// compared with latency targets. If this router has no attempt on r, the wait counts as 0, so that
+// a request is sent there and corrects a wrong estimate. But one of many routers has no attempt on
+// most replicas. Its estimate for these is scaled by the backlog ratio of the assigned replicas
+// instead, except for a rare attempt once exploreAt is reached.
 func (b *Balancer) effectiveWait(q *request, r *replica) float64 {
 	switch {
 	case r.inFlight > 0:
@@ -124,8 +129,8 @@
 	return b.backlogRatio * b.timeToFirstToken(q, r)
 }
 
-// shortestWait returns a lower bound of the effective wait on any replica with capacity, or
-// infinity if none has any. It updates the backlog ratio that effectiveWait needs.
+// shortestWait returns a lower bound of effectiveWait over all replicas with capacity, or infinity
+// if no replica has capacity. It also updates the backlog ratio that effectiveWait uses.
 func (b *Balancer) shortestWait() float64 {
 	b.updateBacklogRatio()
 	shortest := math.Inf(1)
@@ -137,15 +142,17 @@
 		case !b.hasCapacity(r):
 		case r.assigned || r.inFlight > 0:
 			shortest = min(shortest, b.effectiveWait(nil, r))
-		default: // not assigned to this router, so nothing is known of its load
+		default: // not assigned to this router, so its load is unknown
 			shortest = min(shortest, b.backlogRatio*baseFirstToken)
 		}
 	}
 	return shortest
 }
 
-// updateBacklogRatio works out how far the assigned replicas are behind: the mean wait before the
-// prefill of a new request, as a fraction of the shortest latency target, from 0 to 1.
+// updateBacklogRatio sets the backlog ratio: the mean wait on the assigned replicas before the
+// prefill of a new request, as a fraction of the shortest latency target, from 0 to 1. Replicas
+// without a recent load report are left out if this router exchanges no reports by number with
+// others.
 func (b *Balancer) updateBacklogRatio() {
 	sum, count := 0.0, 0.0
 	for _, r := range b.assigned {
@@ -160,12 +167,14 @@
 	b.backlogRatio = min(max(mean/b.shortestTarget, 0), 1)
 }
 
-// crossZoneCost returns the price of crossing zones in seconds of q's latency target.
+// crossZoneCost returns the price of crossing zones in seconds, which is in proportion to q's
+// latency target.
 func (b *Balancer) crossZoneCost(q *request) float64 {
 	return b.cfg.CrossZonePenalty * crossZoneFactor * q.latencyTarget.Seconds()
 }
 
-// workOf returns the work of a request in seconds of a replica's time.
+// workOf returns the work of a request: the seconds of a replica's time that it is expected to
+// take.
 func (b *Balancer) workOf(q *request) float64 {
 	if q.WorkEstimate > 0 {
 		return q.WorkEstimate.Seconds()
@@ -173,14 +182,15 @@
 	return q.PromptTokens*defaultPrefillTime + q.class.decodeTime*streamWorkFraction
 }
 
-// workOn returns the work of a request on r: with the prefill of a prefix that r is not known to
-// have cached. A replica that has just started seldom has.
+// workOn returns the work of a request on r, including the prefill of the prefix tokens that r is
+// not known to have cached. A replica that has just started rarely has the prefix cached.
 func (b *Balancer) workOn(q *request, r *replica) float64 {
 	return b.workOf(q) + b.recomputedTokens(q, r)*r.prefill.perToken()
 }
 
-// recordFirstToken records that a first token took so many seconds where so many were expected from
-// the prefill alone, and reports it to other routers if it is a surprise to this one.
+// recordFirstToken records that a first token took a number of seconds where the prefill alone made
+// another number expected. If the time differs much from this router's own estimate, it reports the
+// ratio to the routers that share r.
 func (b *Balancer) recordFirstToken(r *replica, took, expected float64) {
 	believed := b.latencyRatioOf(r) * expected
 	ratio := took / expected
@@ -195,6 +205,7 @@
 	r.latencyRatio.Observe(b.now, clampLatencyRatio(ratio), 2*learningRate)
 }
 
-// latencyRatioOf returns the observed over the expected time to a first token on r, which fades to
-// 1. Other routers' reports count the more, the older this router's own observations are.
+// latencyRatioOf returns the observed over the expected time to a first token on r. Without new
+// observations it decays to 1. The older this router's own observations are, the more weight
+// reports of other routers have.
 func (b *Balancer) latencyRatioOf(r *replica) float64 { return r.latencyRatio.At(b.now) }
--- a/balance/health.go
+++ b/balance/health.go
@@ -1,6 +1,6 @@
 package balance
 
-// How much a replica is trusted with: its concurrency limit and its ejection as an outlier.
+// The health of a replica: its concurrency limit and its ejection after failures.
 
 import (
 	"math"
@@ -10,21 +10,22 @@
 )
 
 const (
-	// limitReduction is the factor by which a failed or late answer reduces a concurrency limit.
+	// limitReduction is the factor by which a failed or late attempt reduces a concurrency limit.
 	limitReduction = 0.7
-	// lateLimitFloor is the limit below which lateness alone reduces none: all may be late.
+	// lateLimitFloor is the limit below which late answers alone do not reduce it, because all
+	// replicas may be late at once.
 	lateLimitFloor = 4.0
 	// limitRaiseUse is the fraction of a limit that must be in use for an answer in time to raise
-	// it.
+	// the limit.
 	limitRaiseUse = 0.7
-	// minEjectionTime is the time of a first ejection. It doubles with each further failure, up to
-	// maxEjectionTime.
+	// minEjectionTime is the duration of a first ejection. It doubles with each further failure, up
+	// to maxEjectionTime.
 	minEjectionTime = time.Second
 	maxEjectionTime = 8 * time.Second
 )
 
-// hasCapacity reports whether this router may send r one more request. An ejected replica whose
-// time is over gets one request at a time, as a trial.
+// hasCapacity reports whether this router may send one more request to r. When the ejection time of
+// a replica is over, the replica gets one trial request at a time.
 func (b *Balancer) hasCapacity(r *replica) bool {
 	if r.State != Serving {
 		return false
@@ -35,8 +36,8 @@
 	return float64(r.inFlight) < math.Floor(r.limit)
 }
 
-// adjustLimit raises the concurrency limit of a replica after an answer in time, and reduces it
-// after one that missed its latency target.
+// adjustLimit raises the concurrency limit of a replica after an answer within its latency target,
+// and reduces it after an answer that missed the target.
 func (b *Balancer) adjustLimit(a *attempt) {
 	r := a.replica
 	switch {
@@ -47,8 +48,8 @@
 	}
 }
 
-// reduceLimit reduces the concurrency limit of an attempt's replica, but not below floor or 1.
-// Attempts that were in flight together reduce it once.
+// reduceLimit reduces the concurrency limit of an attempt's replica, but not below floor or 1. Of
+// the attempts that were in flight together, only the first one reduces it.
 func (b *Balancer) reduceLimit(a *attempt, floor float64) {
 	r := a.replica
 	if a.sentAt < r.limitReducedAt {
@@ -58,8 +59,8 @@
 	r.limitReducedAt = b.now
 }
 
-// recordHealthy records that r answered, which ends an ejection. A replica that comes back after a
-// crash begins slow start.
+// recordHealthy records that r has answered, which ends its ejection. A replica that answers again
+// after a crash begins slow start.
 func (b *Balancer) recordHealthy(r *replica) {
 	if r.ejectedUntil > 0 {
 		b.emit(Log{"back: " + r.Replica})
@@ -75,8 +76,8 @@
 }
 
 // recordFailure records a failure of r. A refused connection ejects r at once. Other failures eject
-// it from the second in a row on, as single requests fail on processes that live on. Each further
-// failure doubles the time until the next trial.
+// r only from the second in a row on, because single requests fail on processes that stay alive.
+// Each further failure doubles the time until the next trial.
 func (b *Balancer) recordFailure(r *replica, how Result) {
 	b.reportFailure(r)
 	r.failures++
@@ -95,8 +96,8 @@
 	b.warmCountValid = false
 }
 
-// reportFailure counts a failure of r towards its ejection by all routers, and reports it to them
-// unless that is already in force.
+// reportFailure counts a failure of r towards its ejection by all routers, and reports the failure
+// to them unless that ejection is already in effect.
 func (b *Balancer) reportFailure(r *replica) {
 	if b.cfg.Broadcast && !r.outlier.Ejected(b.now) {
 		b.sendReports(nil, PeerReport{ReplicaTag: replicaTag(r), Failed: true})
@@ -104,5 +105,5 @@
 	r.outlier.RecordFailure(outlier.LocalWitness, b.now)
 }
 
-// outlierState returns what is suspected of r by this and other routers.
+// outlierState returns the ejection state of r, which counts failures that any router saw.
 func outlierState(r *replica) *outlier.State { return &r.outlier }
--- a/balance/learned.go
+++ b/balance/learned.go
@@ -8,38 +8,39 @@
 	"reachspread/internal/decayed"
 )
 
-// Learned is what a router has learned of its replicas, so that another process can go on with it.
-// A router that starts before replicas which are all in slow start has no measure of what a warm
-// one can do, and without this sends them nothing until they are warm by their age. Its JSON form
-// is stored.
+// Learned is what a router has learned of its replicas, in a form that another process can restore.
+// It matters when a router starts while all replicas are in slow start: it has no measure of the
+// work of a warm replica, and without the restored one it would send the replicas nothing until
+// they are old enough to count as warm. The JSON form is stored.
 type Learned struct {
-	CompletedWork float64                `json:"Work"` // by a warm replica, decayed, in seconds
-	MeanWork      float64                // of a request, in seconds
-	DecodeTimes   map[string]float64     `json:"Decode"` // by class, seconds from the first token to the end
+	CompletedWork float64                `json:"Work"` // work that a warm replica completed, a decayed sum in seconds
+	MeanWork      float64                // mean work of a request, in seconds
+	DecodeTimes   map[string]float64     `json:"Decode"` // by class, mean seconds from the first token to the end of an answer
 	PrefillByKind map[string]PrefillLine `json:"Kinds"`  // by kind of machine
-	Replicas      []LearnedReplica       // maxRestoredReplicas at most
+	Replicas      []LearnedReplica       // at most maxRestoredReplicas
 }
 
-// PrefillLine is a decayed least-squares line of the seconds to a first token by the tokens to
-// prefill: the sums of squares and of products.
+// PrefillLine holds the decayed sums of a least-squares fit of the seconds of prefill (y) against
+// the tokens to prefill (x): the sum of x*x and the sum of x*y.
 type PrefillLine struct{ XX, XY float64 }
 
-// LearnedReplica is what a router has learned of one replica. It is of use until that starts again.
+// LearnedReplica is what a router has learned of one replica. It is valid until the replica
+// restarts.
 type LearnedReplica struct {
 	Replica          string
-	StartedAt        time.Duration `json:"Born"` // as listed
+	StartedAt        time.Duration `json:"Born"` // as discovery lists it
 	ConcurrencyLimit float64       `json:"Cap"`
 	LatencyRatio     float64       `json:"Slow"` // observed over expected time to the first token
 }
 
-// Bounds of what is believed of a stored state.
+// Bounds of the values that are accepted from a stored state.
 const (
 	maxRestoredReplicas = 4096
 	maxRestoredLimit    = 1000 // of concurrent requests
 	maxRestoredSeconds  = 1000 // of any time
 )
 
-// Learned returns what has been learned by now.
+// Learned returns what the router has learned so far.
 func (b *Balancer) Learned() Learned {
 	learned := Learned{
 		CompletedWork: b.completedWork,
@@ -72,9 +73,9 @@
 	return learned
 }
 
-// Restore restores what an earlier process of this router has learned, or another router, as far as
-// nothing better is known yet. What is out of bounds is ignored. Of replicas that are not listed
-// yet it is kept for RestoreReplicas.
+// Restore restores what an earlier process of this router, or another router, has learned, except
+// where this process has already observed something itself. It ignores values that are out of
+// bounds. What it gets on replicas it keeps until RestoreReplicas is called.
 func (b *Balancer) Restore(learned Learned) {
 	if inBounds(learned.CompletedWork) && inBounds(learned.MeanWork) && b.completedWork == 0 {
 		b.completedWork = learned.CompletedWork
@@ -97,7 +98,8 @@
 	}
 }
 
-// restorePrefill restores the prefill model of a kind of machine unless something was observed.
+// restorePrefill restores the prefill model of a kind of machine, unless the model already has
+// observations.
 func (b *Balancer) restorePrefill(kind string, line PrefillLine) {
 	model := cmp.Or(b.prefillByKind[kind], &prefillModel{})
 	b.prefillByKind[kind] = model
@@ -107,13 +109,13 @@
 	}
 }
 
-// inBounds reports whether a number of seconds may be believed.
+// inBounds reports whether a stored number of seconds is acceptable.
 func inBounds(seconds float64) bool {
 	return seconds > 0 && seconds <= maxRestoredSeconds && !math.IsNaN(seconds)
 }
 
-// RestoreReplicas restores what Restore was given of replicas that are listed by now, if they have
-// not started since. The caller calls it after a Step.
+// RestoreReplicas applies what Restore has kept to the replicas that are listed now and have not
+// restarted since. The caller calls it after a Step.
 func (b *Balancer) RestoreReplicas() {
 	if len(b.restored) == 0 {
 		return
@@ -134,19 +136,20 @@
 	}
 }
 
-// prefillModel estimates the seconds of prefill by the number of tokens.
+// prefillModel estimates the prefill time from the number of tokens.
 type prefillModel struct{ decayed.Line }
 
-// perToken returns the seconds of prefill for a token.
+// perToken returns the prefill time of one token, in seconds.
 func (m *prefillModel) perToken() float64 { return m.Slope(defaultPrefillTime) }
 
-// firstTokenAfter returns the seconds to a first token with so many tokens to prefill.
+// firstTokenAfter returns the seconds until a first token with a number of tokens to prefill before
+// it.
 func (m *prefillModel) firstTokenAfter(tokens float64) float64 {
 	return baseFirstToken + tokens*m.perToken()
 }
 
-// recordDecode takes up how long an answer took from its first token to its end. A single long one
-// counts as five times the mean at most.
+// recordDecode updates the mean decode time with the time that an answer took from its first token
+// to its end. A single answer counts as at most five times the mean.
 func (c *class) recordDecode(took time.Duration) {
 	const maxRatio = 5
 	seconds := min(took.Seconds(), maxRatio*c.decodeTime)
--- a/balance/membership.go
+++ b/balance/membership.go
@@ -1,6 +1,6 @@
 package balance
 
-// The list of replicas, as discovery reports it.
+// The list of replicas that discovery reports.
 
 import (
 	"cmp"
@@ -14,24 +14,25 @@
 )
 
 const (
-	// initialLimit is the concurrency limit of a warm replica of which nothing is known yet.
+	// initialLimit is the concurrency limit of a warm replica that is new to this router.
 	initialLimit = 8.0
-	// maxCachedPrefixes bounds the prefixes and sessions that are remembered for a replica.
+	// maxCachedPrefixes is the most prefixes and sessions that are remembered for a replica.
 	maxCachedPrefixes = 4096
-	// prefixCacheTTL is the time after which an unused prefix or session may be dropped.
+	// prefixCacheTTL is the time after which an unused prefix or session may be forgotten.
 	prefixCacheTTL = time.Minute
-	// latencyRatioHalfLife is the time after which half of what a replica's first tokens were off
-	// is forgotten.
+	// latencyRatioHalfLife is the time in which the deviation of a replica's latency ratio from 1
+	// decays by half.
 	latencyRatioHalfLife = 5 * time.Second
-	// subscribeRetryInterval is the mean time between two calls to a discovery that failed.
+	// subscribeRetryInterval is the mean time until this router subscribes again after discovery
+	// failed.
 	subscribeRetryInterval = time.Second
 )
 
-// handleMembers applies an update of the list. One that is older than the last is ignored; after a
-// failure discovery is asked again.
+// handleMembers applies an update of the list of replicas. It ignores an update that is older than
+// the last one. After a failure it schedules another subscription.
 func (b *Balancer) handleMembers(ev Members) {
 	if len(b.sorted) == 0 {
-		b.sendReports(b.routers.AllOtherMembers()) // an empty message: it says in which zone this router is
+		b.sendReports(b.routers.AllOtherMembers()) // an empty message that tells the others this router's zone
 	}
 	if ev.Failed {
 		jitter := time.Duration(b.rng.Float64() * float64(subscribeRetryInterval))
@@ -56,7 +57,8 @@
 	b.indexTags()
 }
 
-// handleMember adds a replica or updates it. One that has just started begins slow start.
+// handleMember adds or updates a replica. A replica that has started within SlowStartWindow begins
+// slow start.
 func (b *Balancer) handleMember(m Member) {
 	r := b.replicas[m.Replica]
 	if r == nil {
@@ -74,7 +76,7 @@
 	}
 }
 
-// addReplica adds a replica of which nothing is known but its name.
+// addReplica adds a replica of which only the name is known.
 func (b *Balancer) addReplica(name string) *replica {
 	r := &replica{
 		hash:         rendezvous.Hash(name),
@@ -88,7 +90,7 @@
 	return r
 }
 
-// removeReplicas forgets the replicas that are gone and have nothing in flight.
+// removeReplicas removes the replicas that are no longer listed and have nothing in flight.
 func (b *Balancer) removeReplicas() {
 	maps.DeleteFunc(b.replicas, func(_ string, r *replica) bool {
 		return r.State == Removed && r.inFlight == 0
@@ -98,8 +100,8 @@
 	})
 }
 
-// indexTags finds replicas by the tags that peer reports name them by. Of two with the same tag the
-// first by name has it.
+// indexTags indexes replicas by the tags that name them in peer reports. If two replicas have the
+// same tag, it stands for the first one by name.
 func (b *Balancer) indexTags() {
 	clear(b.byTag)
 	for _, r := range slices.Backward(b.sorted) {
--- a/balance/outcome.go
+++ b/balance/outcome.go
@@ -1,15 +1,15 @@
 package balance
 
-// What came of attempts: first tokens, outcomes and reports of load.
+// The results of attempts: first tokens, outcomes and load reports.
 
 import "slices"
 
-// assumedSlots is a guess of how many requests a full replica works on, where it reports only the
-// fraction of its slots in use.
+// assumedSlots is the assumed number of slots of a replica that reports only the fraction of its
+// slots in use.
 const assumedSlots = 6.0
 
-// handleFirstToken records that an answer has begun. The request now belongs to its client and is
-// retried no more.
+// handleFirstToken records that an answer has begun. From then on the client receives the answer,
+// so the request is not retried.
 func (b *Balancer) handleFirstToken(a *attempt) {
 	q, r := a.request, a.replica
 	a.firstTokenAt = b.now
@@ -18,20 +18,21 @@
 	b.recordHealthy(r)
 	took := (b.now - a.sentAt).Seconds()
 	b.recordFirstToken(r, took, r.prefill.firstTokenAfter(a.tokensAhead))
-	// The base time is not fitted: tokens that were reported late would raise it.
+	// Only the time per token is fitted, not the base time: tokens that other routers reported late
+	// would raise the base time.
 	r.prefill.Add(a.tokensAhead, took-baseFirstToken)
 	if q.class.Streamed {
 		b.adjustLimit(a)
 	}
 }
 
-// endPrefill takes an attempt off those that wait for their first token.
+// endPrefill removes an attempt from those that wait for their first token.
 func (r *replica) endPrefill(a *attempt) {
 	r.prefilling = slices.DeleteFunc(r.prefilling, func(o *attempt) bool { return o == a })
 }
 
-// handleOutcome ends an attempt: it updates what is known of the replica, then retries or answers
-// the request if that is still owed.
+// handleOutcome ends an attempt. It updates what is known of the replica, then retries or answers
+// the request if the client is still owed an answer.
 func (b *Balancer) handleOutcome(a *attempt, ev Outcome) {
 	q, r := a.request, a.replica
 	a.ended = true
@@ -56,7 +57,7 @@
 	}
 }
 
-// recordResult updates the health and the concurrency limit of a replica by how an attempt ended.
+// recordResult updates the health and the concurrency limit of a replica after an attempt on it.
 func (b *Balancer) recordResult(a *attempt, result Result) {
 	r := a.replica
 	switch result {
@@ -76,7 +77,8 @@
 	}
 }
 
-// recordSuccess counts the work of a complete answer and learns how long it took to decode.
+// recordSuccess counts the work of a complete answer and records how long the answer took to
+// decode.
 func (b *Balancer) recordSuccess(a *attempt) {
 	class := a.request.class
 	b.recordWork(a.request, a.replica)
@@ -86,9 +88,9 @@
 	class.recordDecode(b.now - max(a.firstTokenAt, a.sentAt))
 }
 
-// recordLoad takes up a report of r's load. Streams that are not this router's own are other
-// routers'. The reported number of prefill tokens is not used by itself: it is old, so all routers
-// would send to the same replica.
+// recordLoad records a load report of r. Streams that this router did not send are those of other
+// routers. The reported number of prefill tokens is not used: it is old, so all routers would send
+// to the same replica.
 func (b *Balancer) recordLoad(r *replica, l *Load) {
 	if l == nil {
 		return
@@ -105,7 +107,7 @@
 	}
 }
 
-// handleProbeResult takes up the answer to a load probe, or its failure.
+// handleProbeResult records the result of a load probe: the load of r, or a failure.
 func (b *Balancer) handleProbeResult(r *replica, ev ProbeResult) {
 	r.probing = false
 	r.reportedAt = b.now
--- a/balance/peerreports.go
+++ b/balance/peerreports.go
@@ -1,6 +1,6 @@
 package balance
 
-// The reports that routers send each other: prompts sent, slow first tokens and failures.
+// The reports that routers send each other: prompts sent, unexpected latency ratios and failures.
 
 import (
 	"math"
@@ -8,21 +8,21 @@
 )
 
 const (
-	// smallPromptFraction bounds, as a part of the shortest latency target, the prefill time of
-	// prompts that are reported by sample only.
+	// smallPromptFraction is the prefill time, as a fraction of the shortest latency target, below
+	// which only a sample of prompts is reported.
 	smallPromptFraction = 0.25
 	// peerReportWeight is the weight of a latency ratio that another router reports.
 	peerReportWeight = 0.3
-	// maxPeerPrefill bounds the seconds of prefill that other routers' reports may put in front of
-	// a replica.
+	// maxPeerPrefill is the most prefill time, in seconds, that the reports of other routers can
+	// add to the backlog of a replica.
 	maxPeerPrefill = 30.0
-	// minLatencyRatio and maxLatencyRatio bound a single observation or report of a latency ratio.
+	// minLatencyRatio and maxLatencyRatio bound a single observed or reported latency ratio.
 	minLatencyRatio = 0.2
 	maxLatencyRatio = 20
 )
 
-// sendReports sends reports to other routers, by number. Where Config.Broadcast is set they reach
-// all, and the numbers do not matter.
+// sendReports sends reports to other routers by number. If Config.Broadcast is set, the reports
+// reach all routers and the numbers are ignored.
 func (b *Balancer) sendReports(to []int, reports ...PeerReport) {
 	to = slices.DeleteFunc(slices.Clone(to), func(i int) bool { return i == b.cfg.Self })
 	if len(to) > 0 || b.cfg.Broadcast && len(reports) > 0 {
@@ -30,10 +30,11 @@
 	}
 }
 
-// reportPrompt reports the prompt of an attempt to the routers that share its replica. Small
-// prompts are reported now and then, at the size of the smallest that always are, so that the sum
-// is right. Each prompt to a replica in slow start is reported, and also to routers that seem to be
-// gone: a liveness view may be wrong, and budget that is spent unreported is spent twice.
+// reportPrompt reports the prompt of an attempt to the routers that share its replica. A small
+// prompt is reported with a probability in proportion to its size, as a prompt of the smallest size
+// that is always reported, so that the expected sum of tokens is right. Each prompt to a replica in
+// slow start is reported, also to routers that seem to be dead: a liveness view may be wrong, and
+// budget that is spent without a report is spent twice.
 func (b *Balancer) reportPrompt(a *attempt) {
 	r := a.replica
 	tokens := a.prefillTokens
@@ -55,7 +56,7 @@
 	})
 }
 
-// handlePeerReports takes up the reports of another router.
+// handlePeerReports applies the reports of another router.
 func (b *Balancer) handlePeerReports(ev ReportsReceived) {
 	if !b.cfg.Broadcast && !b.routers.SetZone(ev.From, ev.Zone) {
 		return
@@ -74,9 +75,10 @@
 	}
 }
 
-// handlePromptReport counts a prompt that another router has sent to r: its tokens are in front of
-// the next prompt, its prefix is cached there, and in slow start it spends from the common budget.
-// A router that is alone has a budget of its own, which nobody else spends from.
+// handlePromptReport records a prompt that another router has sent to r: its tokens are prefilled
+// before the next prompt, its prefix is cached on r, and in slow start its work is taken from the
+// shared budget. A router without reports by number has a budget of its own, from which no other
+// router spends.
 func (b *Balancer) handlePromptReport(r *replica, report PeerReport) {
 	b.decayPeerTokens(r)
 	r.peerTokens = min(r.peerTokens+report.PrefillTokens, maxPeerPrefill/r.prefill.perToken())
@@ -89,7 +91,7 @@
 	b.spendCredit(r, b.meanWork*min(b.liveRouters, 1))
 }
 
-// clampLatencyRatio bounds a latency ratio that was observed or reported.
+// clampLatencyRatio limits an observed or reported latency ratio to its bounds.
 func clampLatencyRatio(ratio float64) float64 {
 	return min(max(ratio, minLatencyRatio), maxLatencyRatio)
 }
--- a/balance/queue.go
+++ b/balance/queue.go
@@ -1,6 +1,6 @@
 package balance
 
-// The queue of requests: which are admitted, which leaves next, which are rejected.
+// The queue of requests: which requests are admitted, which leaves next, and which are rejected.
 
 import (
 	"cmp"
@@ -13,29 +13,32 @@
 )
 
 const (
-	// targetFraction is the largest part of the time left to a latency target that a first token
-	// may be expected to take. The rest is left to decoding.
+	// targetFraction is the largest fraction of the time left until a latency target that the wait
+	// for a first token may be expected to take. The rest is reserved for decoding.
 	targetFraction = 0.6
-	// yieldFraction is the wait from which on a request yields to a class of higher value, as a
-	// part of that class's latency target.
+	// yieldFraction is the wait, as a fraction of the latency target of a class of higher value,
+	// above which a request yields to that class.
 	yieldFraction = 0.4
-	// yieldFractionGrowth is added to yieldFraction once a request was queued for as long as its
-	// own latency target, and in proportion before and after.
+	// yieldFractionGrowth is added to yieldFraction when a request has been queued for as long as
+	// its own latency target. For shorter and longer times it is added in proportion.
 	yieldFractionGrowth = 0.25
-	// retryAfterFraction is the part of the time left to its latency target for which a rejected
-	// client is told to stay away. Longer would cost it the target.
+	// retryAfterFraction is the fraction of the time left until its latency target that a rejected
+	// client is told to wait before it retries. After a longer wait, the client would miss the
+	// target.
 	retryAfterFraction = 0.2
-	// minRetryAfter is the shortest advice to a rejected client.
+	// minRetryAfter is the shortest time that a rejected client is told to wait, unless
+	// MaxRetryAfter is shorter.
 	minRetryAfter = 50 * time.Millisecond
-	// undelayedQueueLength is the number of queued requests up to which each is tried at each Step.
+	// undelayedQueueLength is the number of queued requests up to which each Step tries to send
+	// every request.
 	undelayedQueueLength = 5
-	// rescheduleDelay is added, for each request beyond undelayedQueueLength, to the time until a
-	// request that found no replica is tried again.
+	// rescheduleDelay is the time after which a request that found no replica is tried again, for
+	// each queued request beyond undelayedQueueLength.
 	rescheduleDelay = 3 * time.Millisecond
 )
 
-// handleArrival queues a new request. One of an unknown class is rejected, which is safe as nothing
-// has executed yet; one whose ID is in use is ignored.
+// handleArrival queues a new request. It rejects a request of an unknown class, which is safe
+// because nothing has executed yet, and ignores a request whose ID is in use.
 func (b *Balancer) handleArrival(ev Arrival) {
 	if b.requests[ev.ID] != nil {
 		return
@@ -63,16 +66,17 @@
 	b.enqueue(q)
 }
 
-// enqueue adds a request to the queue: a new one, or one that is to be retried.
+// enqueue adds a new request, or one that is to be retried, to the queue.
 func (b *Balancer) enqueue(q *request) {
 	b.decayWork()
 	b.queue = append(b.queue, q)
 	b.offeredWork += b.workOf(q)
 }
 
-// dispatch sends queued requests, the highest response ratio first, and answers those that expired
-// or would miss their latency target. A late request of the highest value stays queued: others
-// yield to it, and the capacity that they leave must not stay idle.
+// dispatch sends queued requests in order of their response ratio, the highest first, and answers
+// those that have expired or would miss their latency target. A request of the highest value that
+// would miss its target stays queued, because other requests yield to it and the capacity that they
+// leave must not stay idle.
 func (b *Balancer) dispatch() {
 	b.sortQueue()
 	waiting := b.queue[:0]
@@ -90,11 +94,11 @@
 			waiting = append(waiting, q)
 		}
 	}
-	clear(b.queue[len(waiting):]) // so that answered requests can be collected
+	clear(b.queue[len(waiting):]) // release answered requests to the garbage collector
 	b.queue = waiting
 }
 
-// sortQueue orders the queue by response ratio, 1 + wait / estimated run time, the highest first.
+// sortQueue sorts the queue by response ratio, 1 + wait / estimated run time, the highest first.
 func (b *Balancer) sortQueue() {
 	ratio := make(map[*request]float64, len(b.queue))
 	for _, q := range b.queue {
@@ -104,10 +108,10 @@
 	sort.SliceStable(b.queue, func(i, j int) bool { return ratio[b.queue[i]] > ratio[b.queue[j]] })
 }
 
-// schedule finds a replica on which q meets its latency target and takes no time from a class of
-// higher value. It returns nil if q stays queued, and late if q would miss its target. No replica
-// is chosen where even the shortest wait of all is too long. The longer the queue, the later a
-// request that found none is tried again.
+// schedule returns a replica on which q meets its latency target without using much of the latency
+// target of a class of higher value. It returns nil if q stays queued, and late if q would miss its
+// target. If even the shortest wait of all replicas is too long, it chooses no replica. A request
+// that found no replica is tried again after a delay that grows with the length of the queue.
 func (b *Balancer) schedule(q *request, shortest float64) (r *replica, late bool) {
 	if q.closed || b.now < q.rescheduleAt || math.IsInf(shortest, 1) {
 		return nil, false
@@ -122,7 +126,7 @@
 	if r == nil || b.awaitsProbes(q) {
 		return nil, false
 	}
-	for range 2 { // the best of the samples, then the best of all candidates
+	for range 2 { // first the best sample, then the best of all candidates
 		wait := b.effectiveWait(q, r)
 		late = b.missesTarget(q, wait)
 		if !late && !b.yieldsToHigherValue(q, wait) {
@@ -135,8 +139,8 @@
 	return nil, late
 }
 
-// expiresAt returns when it is of no use to keep a request queued any longer: shortly before its
-// client gives up, or at its latency target where a late answer has no value.
+// expiresAt returns when a queued request expires: shortly before its client gives up, or at its
+// latency target if a late answer has no value.
 func (b *Balancer) expiresAt(q *request) time.Duration {
 	end := q.deadline - 2*b.cfg.StepInterval
 	if q.class.LateValueFraction == 0 {
@@ -145,16 +149,16 @@
 	return end
 }
 
-// missesTarget reports whether q, with so many seconds until its first token, would miss its
-// latency target and so lose all of its value. That counts only where q may be rejected instead.
+// missesTarget reports whether q, with wait seconds until its first token, would miss its latency
+// target and thereby lose all of its value. It returns false if q may not be rejected.
 func (b *Balancer) missesTarget(q *request, wait float64) bool {
 	left := (q.arrivedAt + q.latencyTarget - b.now).Seconds()
 	return q.class.LateValueFraction == 0 && q.mayReject() && q.inFlight == 0 && wait > targetFraction*left
 }
 
-// yieldsToHigherValue reports whether q, with so many seconds until its first token, would take
-// much of the time that a class of higher value has. Without it, patient requests of low value
-// would fill the replicas' queues and be first wherever capacity becomes free.
+// yieldsToHigherValue reports whether q, with wait seconds until its first token, would use much of
+// the latency target of a class of higher value. Without this rule, requests of low value with long
+// latency targets would fill the replicas' queues and take any capacity that becomes free.
 func (b *Balancer) yieldsToHigherValue(q *request, wait float64) bool {
 	waited, target := float64(b.now-q.arrivedAt), float64(max(q.latencyTarget, 1))
 	fraction := yieldFraction + yieldFractionGrowth*waited/target
@@ -173,16 +177,16 @@
 	b.closeRequest(q)
 }
 
-// retryAfter returns how long a rejected client should wait before it comes back: queues are
-// shorter then, and its latency target is still in reach.
+// retryAfter returns how long a rejected client should wait before it retries. By then queues are
+// expected to be shorter, and the client can still meet its latency target.
 func (b *Balancer) retryAfter(q *request) time.Duration {
 	left := q.arrivedAt + q.latencyTarget - b.now
 	advice := max(time.Duration(retryAfterFraction*float64(left)), minRetryAfter)
 	return min(advice, b.cfg.MaxRetryAfter)
 }
 
-// closeRequest notes that nothing is owed to a client any more. The request is forgotten with its
-// last attempt.
+// closeRequest marks a request whose client is owed no further answer. It deletes the request if no
+// attempt is in flight.
 func (b *Balancer) closeRequest(q *request) {
 	q.closed = true
 	if q.inFlight == 0 {
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -1,10 +1,10 @@
 package balance
 
-// Retries: whether a request may be retried, where, and whether its client may.
+// Retries: whether and where a request may be retried, and whether its client may retry it.
 
 import "slices"
 
-// firstExecution returns the first attempt that may have executed, or nil.
+// firstExecution returns the first attempt of q that may have executed, or nil.
 func (q *request) firstExecution() *attempt {
 	for _, a := range q.attempts {
 		if a.mayHaveExecuted {
@@ -14,7 +14,7 @@
 	return nil
 }
 
-// mayExecuteAgain reports whether the class allows one more attempt that executes.
+// mayExecuteAgain reports whether the class of q allows one more attempt that may execute.
 func (q *request) mayExecuteAgain() bool {
 	executions := 0
 	for _, a := range q.attempts {
@@ -25,8 +25,9 @@
 	return q.class.MaxExecutions == 0 || executions < q.class.MaxExecutions
 }
 
-// mayReject reports whether q may be answered by a rejection, which promises the client that
-// sending it again does no harm: nothing has executed, or all replicas treat a duplicate as one.
+// mayReject reports whether q may be answered with a rejection, which promises the client that
+// sending the request again does no harm. It may if nothing has executed, if duplicates are
+// harmless, or if all replicas discard duplicates.
 func (q *request) mayReject() bool {
 	if q.class.Effect == Safe || q.firstExecution() == nil {
 		return true
@@ -35,7 +36,8 @@
 }
 
 // mayAttempt reports whether q may be sent to r. No replica gets a request twice. Once an attempt
-// may have executed, further ones go only where a duplicate is discarded.
+// may have executed, further attempts go only to replicas where a duplicate is harmless or
+// discarded.
 func (b *Balancer) mayAttempt(q *request, r *replica) bool {
 	if q.RequiredFeature != "" && !slices.Contains(r.Features, q.RequiredFeature) {
 		return false
@@ -59,8 +61,8 @@
 	return true
 }
 
-// takeRetry reports whether q may be retried, by the number of its attempts and the retry budget.
-// It spends from the budget unless no attempt has been delivered yet.
+// takeRetry reports whether q may be retried, given the number of its attempts and the retry
+// budget. It spends from the budget unless no attempt has been delivered yet.
 func (b *Balancer) takeRetry(q *request) bool {
 	if len(q.attempts) >= b.cfg.MaxAttempts || !q.mayExecuteAgain() {
 		return false
@@ -69,7 +71,7 @@
 	return !delivered || b.cfg.RetryBudget.Take()
 }
 
-// mayAttemptAnywhere reports whether any replica that serves may get q.
+// mayAttemptAnywhere reports whether q may be sent to any serving replica.
 func (b *Balancer) mayAttemptAnywhere(q *request) bool {
 	return slices.ContainsFunc(b.sorted, func(r *replica) bool {
 		return r.State == Serving && b.mayAttempt(q, r)
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -1,6 +1,6 @@
 package balance
 
-// Slow start: what may be sent to a replica that started a short while ago and is warming up.
+// Slow start: what may be sent to a replica that has recently started and is warming up.
 
 import (
 	"cmp"
@@ -10,24 +10,25 @@
 )
 
 const (
-	// slowStartLimit is the concurrency limit of a replica that has just started. Its budget is the
-	// tighter bound.
+	// slowStartLimit is the concurrency limit of a replica that has just started. The slow-start
+	// budget is usually the tighter bound.
 	slowStartLimit = 4.0
-	// slowStartMargin is the part of the slow-start budget that is used, as the work of warm
-	// replicas is known by its average only.
+	// slowStartMargin is the fraction of the slow-start budget that is used, because only the
+	// average of the work of warm replicas is known.
 	slowStartMargin = 0.7
-	// maxRelativeWork is how many times the mean work a request may have that is sent to a replica
-	// in slow start.
+	// maxRelativeWork is the most work that a request to a replica in slow start may have, as a
+	// multiple of the mean work of a request.
 	maxRelativeWork = 3.0
 	// workWindow is the time, in seconds, over which work is averaged.
 	workWindow = 5.0
-	// sharedBudgetFactor bounds what all routers together send, as a multiple of the work of a warm
-	// replica and in proportion to the capacity that is there by now.
+	// sharedBudgetFactor bounds the budget that all routers share for a replica in slow start. It
+	// is a multiple of the work that a warm replica completes, scaled by the fraction of its
+	// capacity that the starting replica has by now.
 	sharedBudgetFactor = 1.3
 )
 
-// beginSlowStart treats r as started at a time: its prefix cache is empty, and it gets few
-// requests.
+// beginSlowStart marks r as started at startedAt. Its prefix cache counts as empty, and few
+// requests are sent to it.
 func (b *Balancer) beginSlowStart(r *replica, startedAt time.Duration) {
 	r.warmingUp = true
 	r.startedAt = startedAt
@@ -40,8 +41,8 @@
 	b.warmCountValid = false
 }
 
-// countWarmReplicas counts the replicas that serve at full capacity, if the number may have
-// changed. A replica that is warming up changes it by time alone.
+// countWarmReplicas counts the replicas that serve at full capacity, if their number may have
+// changed. While a replica is warming up, the number can change by the passage of time alone.
 func (b *Balancer) countWarmReplicas() {
 	if b.warmCountValid {
 		return
@@ -58,12 +59,13 @@
 	}
 }
 
-// slowStartAdmits reports whether q may be sent to r, which may be in slow start. It keeps what all
-// routers together send such a replica below a multiple of its capacity, by a credit that is not
-// saved up. Routers that report to each other spend from one credit, the two sides of a network
-// partition from one each, and any other router from a fraction of its own. Where that is far below
-// one request it is the chance that one may go: lower the more work is offered, higher the more
-// replicas share it.
+// slowStartAdmits reports whether slow start, if r is in it, allows q to be sent to r. A credit
+// keeps the work that all routers together send to r below a multiple of its capacity; unused
+// credit is not saved. Routers that report prompts to each other share one credit, and the two
+// sides of a network partition have one each. A router without such reports has its own credit, in
+// proportion to the work that a warm replica completes for it alone. If this credit is far below
+// one request, it determines the probability that a request is admitted, which is lower the more
+// work is offered and higher the more replicas share it.
 func (b *Balancer) slowStartAdmits(q *request, r *replica, sharing int) bool {
 	if b.capacityFraction(r) == 1 {
 		return true
@@ -75,7 +77,7 @@
 	budget := b.spendCredit(r, 0)
 	admitted := false
 	if b.routers.Alone() {
-		const samples = 2 // of which one is chosen
+		const samples = 2 // number of samples, of which one is chosen
 		chance := budget * float64(sharing) / (samples * b.offeredWork) * work / b.workOn(q, r)
 		admitted = q.draw < chance
 	} else {
@@ -84,16 +86,18 @@
 	return admitted && r.credit >= 0 && work <= maxRelativeWork*b.meanWork
 }
 
-// needsBootstrap reports whether no replica was seen at work yet, so that nothing is known of what
-// one can do. A router that is alone has its own budget from the start.
+// needsBootstrap reports whether no replica has completed work yet, so that nothing is known of the
+// capacity of one. It is always false for a router without reports by number, which has its own
+// budget from the start.
 func (b *Balancer) needsBootstrap() bool {
 	seen := b.bootstrapWork.At(b.now)*float64(len(b.sorted)) > b.meanWork
 	return !seen && b.warmReplicas == 0 && b.completedWork == 0 && !b.routers.Alone()
 }
 
-// mayBootstrap reports whether it is this router's turn to try r while no replica was seen at work.
-// One request in each overload window, by turns of the routers that share r, can't overload it;
-// what comes of it is the measure of further ones.
+// mayBootstrap reports whether it is this router's turn to send a request to r while no replica has
+// completed work. The routers that share r take turns, one per overload window. One request in a
+// window cannot overload r, and the work that r completes determines how many more requests are
+// sent.
 func (b *Balancer) mayBootstrap(r *replica) bool {
 	window := max(b.cfg.OverloadWindow, time.Second)
 	turn := slices.Index(r.liveAssignees, b.cfg.Self)
@@ -103,8 +107,8 @@
 	return r.credit == 0 || b.now >= r.creditAt+window
 }
 
-// spendCredit takes work, in seconds, from the slow-start credit of r. It returns the budget: the
-// work by which the credit grows in a workWindow.
+// spendCredit subtracts work, in seconds, from the slow-start credit of r. It returns the budget:
+// the work by which the credit grows in workWindow seconds.
 func (b *Balancer) spendCredit(r *replica, work float64) float64 {
 	b.decayWork()
 	var budget float64
@@ -120,8 +124,8 @@
 	return budget
 }
 
-// capacityFraction returns the fraction of its capacity that r has by now at least, 1 once it has
-// warmed up. It ends the slow start of a replica whose time is over.
+// capacityFraction returns a lower bound of the fraction of its full capacity that r has now, 1 if
+// it has warmed up. It ends the slow start of a replica when SlowStartWindow has passed.
 func (b *Balancer) capacityFraction(r *replica) float64 {
 	r.warmingUp = r.warmingUp && b.now-r.startedAt < b.cfg.SlowStartWindow
 	if !r.warmingUp {
@@ -131,8 +135,9 @@
 	return start + (1-start)*float64(b.now-r.startedAt)/float64(b.cfg.SlowStartWindow)
 }
 
-// decayWork lowers the sums of work by the time that has passed. Without a warm replica, what one
-// did stays the measure.
+// decayWork decays the sums of offered and completed work by the time that has passed. While no
+// replica is warm, completedWork does not decay, so that the last measure of a warm replica
+// remains.
 func (b *Balancer) decayWork() {
 	left := math.Exp(-(b.now - b.workDecayedAt).Seconds() / workWindow)
 	b.workDecayedAt = b.now
@@ -142,8 +147,9 @@
 	}
 }
 
-// recordWork counts work that r has completed. Work that was only sent says nothing of what a
-// replica can do: in a storm of failing attempts it would open replicas in slow start wide.
+// recordWork counts the work of a request that r has completed. Work that was only sent is not
+// counted, because it says nothing of a replica's capacity: many failing attempts would raise the
+// budgets of replicas in slow start far too high.
 func (b *Balancer) recordWork(q *request, r *replica) {
 	work := b.workOf(q)
 	b.meanWork = cmp.Or(b.meanWork, work)
--- a/balance/status.go
+++ b/balance/status.go
@@ -1,9 +1,9 @@
 package balance
 
-// What a caller may ask of a Balancer between two Steps.
+// Queries that a caller may make between two Steps.
 
-// OutOfRotation returns how many listed replicas get nothing new now, as they are draining or
-// ejected.
+// OutOfRotation returns the number of listed replicas that get no regular requests now, because
+// they are draining or ejected.
 func (b *Balancer) OutOfRotation() int {
 	count := 0
 	for _, r := range b.sorted {
@@ -14,10 +14,10 @@
 	return count
 }
 
-// Classes returns the classes that are in force. The caller must not change them.
+// Classes returns the classes of the current configuration. The caller must not change them.
 func (b *Balancer) Classes() []Class { return b.cfg.Classes }
 
-// findAttempt returns an attempt by the ID of its request and its number, or nil.
+// findAttempt returns the attempt with a number of the request with an ID, or nil.
 func (b *Balancer) findAttempt(id string, number int) *attempt {
 	q := b.requests[id]
 	if q == nil || number < 0 || number >= len(q.attempts) {
--- a/balance/types.go
+++ b/balance/types.go
@@ -1,170 +1,176 @@
-// Package balance decides for one router which replica of a language-model fleet gets which
+// Package balance decides, for one router, which replica of a language-model fleet gets which
 // request, and when.
 //
-// A Balancer is a pure state machine, without I/O, clock or goroutine: its caller passes events to
-// Step and carries out the actions that come back, in order. The caller owes it one call at a time,
-// a clock that never goes back, and every event that concerns this router. It may expect that the
-// same configuration, seed and events always give the same actions.
+// A Balancer is a pure state machine without I/O, clock or goroutines. Its caller passes events to
+// Step and carries out the returned actions in order. The caller must not call Step concurrently,
+// must pass times that never go back, and must report every event that concerns this router. The
+// same configuration, seed and events always produce the same actions.
 //
 // Requests wait in a queue. When a replica has capacity below the concurrency limit that this
-// router has learned for it, the request with the highest response ratio, 1 + wait / estimated run
-// time, leaves for the cheaper of two sampled replicas, compared by estimated cost. What was sent
-// is never recalled, and nothing waits while a replica has capacity.
+// router has learned for it, the router takes the request with the highest response ratio, 1 + wait
+// / estimated run time, and sends it to the cheaper of two sampled replicas, compared by estimated
+// cost. The router never recalls a request that it has sent, and no request waits while a replica
+// has capacity.
 //
-// The exceptions, each at the function named:
+// The following functions make exceptions to this algorithm:
 //
-//   - affinitySamples: the two samples are of the first few in the rendezvous order of the prefix;
-//   - chooseReplica: samples of the own zone take part where crossing costs more than a second
-//     prefill of the prefix, and where no report says what other routers have sent;
-//   - unassignedSamples: replicas that are not assigned to this router are used only where the
-//     assigned ones have no capacity;
+//   - affinitySamples: the two samples are among the first few replicas in the rendezvous order of
+//     the prefix;
+//   - chooseReplica: replicas of the router's own zone are sampled as well where crossing zones costs
+//     more than a second prefill of the prefix, or where no report says what other routers have sent;
+//   - unassignedSamples: replicas that are not assigned to this router are used only if no assigned
+//     replica has capacity;
 //   - probeSamples: a request waits some ms for load probes of samples whose last reports are old;
-//   - schedule: where the choice would miss a latency target, all candidates and two replicas that
-//     are not assigned are compared;
+//   - schedule: if the chosen replica would miss a latency target, all candidates and two replicas
+//     that are not assigned are compared;
 //   - missesTarget, expiresAt: a request that would miss its target is rejected, or stays queued if
-//     others yield to it;
-//   - yieldsToHigherValue: a request stays queued where it would take much of the time that a class
-//     of higher value has;
-//   - slowStartAdmits: a replica that has just started gets a budget, and no request of much work;
+//     requests of other classes yield to it;
+//   - yieldsToHigherValue: a request stays queued if it would use much of the latency target of a
+//     class of higher value;
+//   - slowStartAdmits: a replica that has just started gets only a budget of work, and no request
+//     that needs much work;
 //   - hasCapacity, recordFailure: a failing replica is ejected, then gets one trial request at a time;
-//   - chooseReplica: a replica that several routers saw fail is avoided by all for a moment, but no
-//     more than a third of all replicas at once.
+//   - chooseReplica: all routers avoid a replica for a short time after several routers saw it fail,
+//     but they avoid no more than a third of all replicas at once.
 //
-// The files that decide are listed as policy in deploy/balancer.toml.
+// deploy/balancer.toml lists the files that make these decisions as policy.
 package balance
 
 import "time"
 
-// State is what discovery says of a replica.
+// State is the state of a replica as discovery reports it.
 type State int
 
 // The states.
 const (
-	Serving  State = iota // takes requests
-	Draining              // completes those that it has
-	Removed               // is not listed any more
+	Serving  State = iota // accepts new requests
+	Draining              // completes the requests that it has and accepts no new ones
+	Removed               // no longer listed
 )
 
-// Member is a replica as listed by discovery.
+// Member describes a replica as discovery lists it.
 type Member struct {
-	Replica   string // its name
+	Replica   string // name of the replica
 	Zone      string
 	Cell      int    // a failure domain within a zone
-	Kind      string // machines of one kind are taken to be equally fast
+	Kind      string // hardware kind; machines of one kind are assumed to be equally fast
 	State     State
 	StartedAt time.Duration // when it last started, 0 for long ago
-	Features  []string      // features that not all replicas have, such as a version of a model
+	Features  []string      // features that only some replicas have, such as a version of a model
 }
 
-// Load is a replica's report of its load. A field that is not reported is negative.
+// Load is a load report of a replica. Fields that the replica does not report are negative.
 type Load struct {
-	InFlight      float64 // requests that it has
-	Utilization   float64 // fraction of its slots in use
-	PrefillTokens float64 // prompt tokens that wait for prefill
+	InFlight      float64 // requests that the replica has
+	Utilization   float64 // fraction of the replica's slots in use
+	PrefillTokens float64 // prompt tokens that wait for prefill on the replica
 }
 
-// Event is something that happened to this router: one of the types below.
+// Event is an input to Step: one of the types below that have an isEvent method.
 type Event interface{ isEvent() }
 
-// Members is an update from discovery, or the news that a subscription failed.
+// Members is a list of replicas from discovery, or reports that a subscription to discovery failed.
 type Members struct {
-	Version  int64 // an update older than the last is ignored
-	Complete bool  // the list has all replicas: others are removed
-	Failed   bool  // discovery did not answer; Subscribe follows after a while
+	Version  int64 // updates with a lower version than the last one are ignored
+	Complete bool  // the list has all replicas; replicas that it lacks are removed
+	Failed   bool  // discovery did not answer; the Balancer emits Subscribe again after a delay
 	Members  []Member
 }
 
-// ConfigChange is a configuration that replaces the last one. It must be valid. Zone, Routers, Self
-// and MustSubscribe stay as they were; requests under way keep their classes as they were.
+// ConfigChange replaces the configuration. The new one must be valid. Its Zone, Routers, Self and
+// MustSubscribe are ignored. Requests under way keep the class definitions under which they
+// arrived.
 type ConfigChange struct{ Config Config }
 
 // Arrival is a new request.
 type Arrival struct {
-	ID              string // unique among requests under way
+	ID              string // unique among the requests under way
 	Class           string
-	Session         string        // requests of a session prefer the same replicas, empty for none
-	Prefix          string        // names the beginning of the prompt that others share, empty for none
-	TimeLeft        time.Duration // until the client gives up
-	WorkEstimate    time.Duration // a guess of its work, 0 for none
-	PromptTokens    float64       // tokens of the prompt
-	PrefixTokens    float64       // of these, tokens of the prefix
-	Resumed         bool          // continues a request that executed in part, by a retry that was taken from the budget
-	RequiredFeature string        // a feature that its replica must have, empty for none
+	Session         string        // session whose requests prefer the same replicas, empty for none
+	Prefix          string        // name of the beginning of the prompt, which other prompts share; empty for none
+	TimeLeft        time.Duration // time until the client gives up
+	WorkEstimate    time.Duration // estimated replica time that the request takes, 0 if unknown
+	PromptTokens    float64       // tokens in the prompt
+	PrefixTokens    float64       // tokens of the prompt that belong to the prefix
+	Resumed         bool          // the request continues one that executed in part; the caller has taken this retry from the budget
+	RequiredFeature string        // feature that the replica must have, empty for none
 }
 
-// FirstToken says that an attempt's answer has begun. The request is not retried after it.
+// FirstToken reports that the answer of an attempt has begun. The request is not retried after
+// that.
 type FirstToken struct {
 	ID      string
-	Attempt int // from 0, in the order of Send actions
+	Attempt int // number of the attempt, from 0 in the order of Send actions
 }
 
-// Result is how an attempt ended.
+// Result is the way in which an attempt or a load probe ended.
 type Result int
 
-// The results. Full, NoConnection and NotSent prove that the attempt did not execute, so that any
-// request may be retried after them.
+// The results. Full, NoConnection and NotSent prove that the attempt did not execute, so a request
+// of any class may be retried after them.
 const (
-	OK           Result = iota // complete
-	Error                      // the replica answered with an error of its own
-	Full                       // the replica rejected it before it executed
-	TimedOut                   // no answer in time
-	NoConnection               // the replica could not be reached
-	Reset                      // the connection broke
-	Cancelled                  // by the client or this router
-	NotSent                    // the caller found that it must not be sent
+	OK           Result = iota // the answer is complete
+	Error                      // the replica answered with an error other than Full
+	Full                       // the replica rejected the request before executing it
+	TimedOut                   // no answer arrived in time
+	NoConnection               // the caller could not connect to the replica
+	Reset                      // the connection broke after the attempt was sent
+	Cancelled                  // the client or this router cancelled the attempt
+	NotSent                    // the caller decided not to send the attempt
 )
 
-// Outcome ends an attempt.
+// Outcome reports that an attempt has ended.
 type Outcome struct {
 	ID           string
 	Attempt      int
 	Result       Result
-	Final        bool    // the request has its final answer, now or earlier
-	CachedTokens float64 // prompt tokens that the replica had cached, on OK
+	Final        bool    // the client has its final answer, from this attempt or from an earlier event
+	CachedTokens float64 // prompt tokens that the replica had cached; set if Result is OK
 	Load         *Load   // nil for no report
 }
 
-// Aborted says that nobody waits for a request any more.
+// Aborted reports that no client waits for a request any more.
 type Aborted struct{ ID string }
 
-// TimerExpired says that the time of SetTimer has passed. Tokens other than the last one are
-// ignored.
+// TimerExpired reports that the delay of a SetTimer action has passed. The Balancer ignores all
+// tokens but that of the last SetTimer.
 type TimerExpired struct{ Token int64 }
 
-// ProbeResult is the result of a Probe.
+// ProbeResult reports how a Probe ended.
 type ProbeResult struct {
 	Replica string
 	Result  Result
 	Load    *Load // nil for no report
 }
 
-// PeerReport is a report on a replica from one router to others. PrefillTokens, LatencyRatio or
-// Failed is set.
+// PeerReport is one router's report on a replica to other routers. Exactly one of PrefillTokens,
+// LatencyRatio and Failed is set.
 type PeerReport struct {
-	ReplicaTag    uint32  // of the replica, 24 bits
-	PrefillTokens float64 // to prefill of a prompt that was just sent to it
-	PrefixTag     uint16  // tag of the prefix, which the replica has cached from then on; 0 for none
-	LatencyRatio  float64 // observed over expected time of a first token
-	Failed        bool    // an attempt failed
+	ReplicaTag    uint32  // tag of the replica, 24 bits
+	PrefillTokens float64 // tokens to prefill of a prompt that the sender has just sent to the replica
+	PrefixTag     uint16  // tag of that prompt's prefix, which the replica has cached from then on; 0 for none
+	LatencyRatio  float64 // observed time to a first token divided by the expected time
+	Failed        bool    // the sender saw an attempt on the replica fail
 }
 
-// ReportsReceived is a message of reports from another router.
+// ReportsReceived is a message with reports from another router.
 type ReportsReceived struct {
-	From    int   // its number; with Config.Broadcast any that tells it from the others
-	Zone    uint8 // tag of its zone
+	From    int   // number of the sender; with Config.Broadcast, any number that no other sender uses
+	Zone    uint8 // tag of the sender's zone
 	Reports []PeerReport
 }
 
-// LivenessView says which routers live, this one among them. It may be late, wrong, or differ from
-// the views of others. Until the first one all of Config.Routers are taken to live.
+// LivenessView lists the routers that are alive, including this one. A view may be late or wrong,
+// and may differ from the views of other routers. Until the first view arrives, all of
+// Config.Routers are assumed to be alive.
 type LivenessView struct {
-	Version uint64 // from 1 on; what is not newer than the last is ignored
+	Version uint64 // from 1 on; views whose version is not above the last one are ignored
 	Live    []Peer
 }
 
-// Peer is a router that lives.
+// Peer is a live router of a LivenessView.
 type Peer struct {
-	Number int // as in Config.Self; numbers that are not below Config.Routers are ignored
+	Number int // number of the router, as in Config.Self; peers with a number outside Config.Routers are ignored
 	Zone   string
 }
 
@@ -179,46 +185,48 @@
 func (ReportsReceived) isEvent() {}
 func (LivenessView) isEvent()    {}
 
-// Action is something for the caller to do: one of the types below.
+// Action is an output of Step that the caller carries out: one of the types below that have an
+// isAction method.
 type Action interface{ isAction() }
 
-// Send starts an attempt, which may last as long as the client waits. The attempts of a request are
-// numbered from 0 in the order of their Send actions. Each owes one Outcome.
+// Send starts an attempt, which may last until the client gives up. The attempts of a request are
+// numbered from 0 in the order of their Send actions. The caller must report one Outcome for each.
 type Send struct {
 	ID      string
 	Replica string
 }
 
-// Reject is a final answer: a rejection, which says that sending the request again does no harm.
+// Reject is a final answer that rejects a request and tells the client that sending the request
+// again does no harm.
 type Reject struct {
 	ID         string
-	RetryAfter time.Duration // the client should not come back before, 0 for no advice
+	RetryAfter time.Duration // shortest time until the client should retry, 0 for no advice
 }
 
-// Fail is a final answer that says nothing of whether the request has executed.
+// Fail is a final answer that leaves open whether the request has executed.
 type Fail struct{ ID string }
 
-// Probe asks a replica for its load. It owes one ProbeResult.
+// Probe asks a replica for its load. The caller must report one ProbeResult for each.
 type Probe struct{ Replica string }
 
-// SendReports sends a message of reports to other routers. It may arrive late, out of order, twice
-// or never.
+// SendReports sends a message with reports to other routers. The message may arrive late, out of
+// order, more than once or never.
 type SendReports struct {
-	To      []int // their numbers; empty with Config.Broadcast, for all routers
-	Zone    uint8 // tag of this router's zone
+	To      []int // numbers of the receivers; empty with Config.Broadcast, which sends to all routers
+	Zone    uint8 // tag of the sender's zone
 	Reports []PeerReport
 }
 
-// SetTimer asks for a TimerExpired with its token. It replaces the timer before.
+// SetTimer asks for a TimerExpired with Token after Delay. It replaces the previous timer.
 type SetTimer struct {
 	Token int64
 	Delay time.Duration
 }
 
-// Subscribe asks discovery for its updates.
+// Subscribe asks discovery to send updates.
 type Subscribe struct{}
 
-// Log is a line for on-call staff, of the form "event: replica".
+// Log is a log line for on-call staff in the form "event: replica".
 type Log struct{ Text string }
 
 func (Send) isAction()        {}
