--- a/balance/affinity_test.go
+++ b/balance/affinity_test.go
@@ -16,20 +16,20 @@
 	for _, tt := range []struct {
 		name   string
 		ahead  float64 // tokens in front of the affinity host
-		shared float64
-		leaves bool
+		prefixTokens float64
+		wantsOther bool
 	}{
 		{"a short wait for a long prefix", 2000, 1000, false},
 		{"a long wait for a long prefix", 8000, 1000, true},
 		{"a short wait for a short prefix", 2000, 100, true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			g := newTestRouter(t, broadcasting(), members("a", "b")...)
+			g := newTestRouter(t, broadcastConfig(), members("a", "b")...)
 			host, other := g.b.replicas["a"], g.b.replicas["b"]
 			q := &request{Arrival: g.request("safe"), class: g.b.classes["safe"], latencyTarget: sec, prefixKey: "p", affinityHost: host}
-			q.Prefix, q.PrefixTokens = "p", tt.shared
+			q.Prefix, q.PrefixTokens = "p", tt.prefixTokens
 			g.step(ReportsReceived{From: 3, Reports: []PeerReport{{ReplicaTag: replicaTag(host), PrefillTokens: tt.ahead}}})
-			if best := g.b.cheapest(q, []*replica{host, other}); (best == other) != tt.leaves {
+			if best := g.b.cheapest(q, []*replica{host, other}); (best == other) != tt.wantsOther {
 				t.Errorf("%s is better, at %.3f s and %.3f s", best.Replica, g.b.estimatedCost(q, host), g.b.estimatedCost(q, other))
 			}
 		})
@@ -57,7 +57,7 @@
 			for i := range hosts {
 				names = append(names, fmt.Sprintf("host%02d", i))
 			}
-			g := newTestRouter(t, broadcasting(), members(names...)...)
+			g := newTestRouter(t, broadcastConfig(), members(names...)...)
 			q := &request{Arrival: g.request("safe"), class: g.b.classes["safe"], prefixHash: rendezvous.Hash("hot")}
 			q.Prefix = "hot"
 			q.prefixKey = prefixKey(q.prefixTag())
--- a/balance/assignment.go
+++ b/balance/assignment.go
@@ -26,8 +26,8 @@
 	serving := slices.DeleteFunc(slices.Clone(b.sorted), func(r *replica) bool { return r.State != Serving })
 	count := max(minAssignedReplicas, minAssignees*len(serving)/max(b.routers.NotDead(b.now), 1))
 	assignees := map[*replica][]int{}
-	for i, who := range assignment.Assign(b.routers, b.now, serving, count, assignmentKey) {
-		assignees[serving[i]] = who
+	for i, routers := range assignment.Assign(b.routers, b.now, serving, count, assignmentKey) {
+		assignees[serving[i]] = routers
 	}
 	b.assigned = nil
 	for _, r := range b.sorted {
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -79,7 +79,7 @@
 }
 
 // numbered returns n names that begin alike.
-func numbered(start string, n int) []string {
+func numberedNames(start string, n int) []string {
 	var names []string
 	for i := 0; i < n; i++ {
 		names = append(names, fmt.Sprintf("%s%02d", start, i))
@@ -88,7 +88,7 @@
 }
 
 // of picks the actions of one type.
-func of[A Action](actions []Action) []A {
+func actionsOf[A Action](actions []Action) []A {
 	var list []A
 	for _, a := range actions {
 		if a, ok := a.(A); ok {
@@ -100,7 +100,7 @@
 
 func sentTo(t *testing.T, actions []Action) string {
 	t.Helper()
-	sends := of[Send](actions)
+	sends := actionsOf[Send](actions)
 	if len(sends) != 1 {
 		t.Fatalf("want one Send, got %v", actions)
 	}
@@ -148,7 +148,7 @@
 
 func TestUnknownClassIsRejected(t *testing.T) {
 	g := newTestRouter(t, testConfig(), members("a")...)
-	if out := g.step(g.request("nobody's")); len(of[Reject](out)) != 1 {
+	if out := g.step(g.request("nobody's")); len(actionsOf[Reject](out)) != 1 {
 		t.Errorf("want a rejection, got %v", out)
 	}
 }
@@ -162,24 +162,24 @@
 	sentTo(t, g.step(first))
 	long, short := g.request("safe"), g.request("safe")
 	long.PromptTokens, short.PromptTokens = 9000, 100
-	if out := g.step(long); len(of[Send](out)) != 0 {
+	if out := g.step(long); len(actionsOf[Send](out)) != 0 {
 		t.Fatalf("sent beyond the limit: %v", out)
 	}
 	g.after(20*ms, short)
 	r.limit = 2
-	if got := of[Send](g.after(100 * ms)); len(got) != 1 || got[0].ID != short.ID {
+	if got := actionsOf[Send](g.after(100 * ms)); len(got) != 1 || got[0].ID != short.ID {
 		t.Errorf("want the short prompt first, got %v", got)
 	}
 	// The same two, but the long one has waited far longer.
-	patient := testConfig()
-	patient.Classes[0].LatencyTarget = 10 * sec
-	late := newTestRouter(t, patient, members("a")...)
-	late.b.replicas["a"].limit = 1
-	late.step(late.request("safe"))
-	late.step(long)
-	late.after(900*ms, short)
-	late.b.replicas["a"].limit = 2
-	if got := of[Send](late.after(ms)); len(got) != 1 || got[0].ID != long.ID {
+	longTarget := testConfig()
+	longTarget.Classes[0].LatencyTarget = 10 * sec
+	waited := newTestRouter(t, longTarget, members("a")...)
+	waited.b.replicas["a"].limit = 1
+	waited.step(waited.request("safe"))
+	waited.step(long)
+	waited.after(900*ms, short)
+	waited.b.replicas["a"].limit = 2
+	if got := actionsOf[Send](waited.after(ms)); len(got) != 1 || got[0].ID != long.ID {
 		t.Errorf("want the long prompt that has waited, got %v", got)
 	}
 }
@@ -263,7 +263,7 @@
 // routers, none of which sees the load that the others put there (incident iaaacad): their
 // number grows with the fraction of the prompts.
 func TestAffinityHostsGrowWithThePrefixFraction(t *testing.T) {
-	names := numbered("r", 60)
+	names := numberedNames("r", 60)
 	used := map[string]map[string]bool{"hot": {}, "rare": {}}
 	for n := 0; n < 40; n++ { // routers, which see 50 prompts each
 		g := newTestRouter(t, testConfig(), members(names...)...)
@@ -294,7 +294,7 @@
 	for i := 0; i < 40; i++ {
 		q := g.request("safe")
 		q.Prefix, q.PrefixTokens = "p", 900
-		for _, s := range of[Send](g.after(ms, q)) {
+		for _, s := range actionsOf[Send](g.after(ms, q)) {
 			used[s.Replica]++
 			g.step(FirstToken{ID: q.ID})
 		}
@@ -316,7 +316,7 @@
 		}
 	}
 	for i := 0; i < 20; i++ {
-		for _, s := range of[Send](g.step(g.request("safe"))) {
+		for _, s := range actionsOf[Send](g.step(g.request("safe"))) {
 			if s.Replica == "b" {
 				return
 			}
@@ -328,9 +328,9 @@
 func TestDrainGraceIsNotUsed(t *testing.T) {
 	for _, state := range []State{Draining, Removed} {
 		g := newTestRouter(t, testConfig(), members("a")...)
-		gone := members("a")[0]
-		gone.State = state
-		if out := g.step(Members{Version: 2, Members: []Member{gone}}, g.request("safe")); len(of[Send](out)) != 0 {
+		updated := members("a")[0]
+		updated.State = state
+		if out := g.step(Members{Version: 2, Members: []Member{updated}}, g.request("safe")); len(actionsOf[Send](out)) != 0 {
 			t.Errorf("state %d: sent in the same step: %v", state, out)
 		}
 	}
@@ -359,14 +359,14 @@
 		q := g.request("safe")
 		out := g.step(q)
 		end := g.now + q.TimeLeft
-		for g.now < end && len(of[Reject](out))+len(of[Fail](out)) == 0 {
-			timers := of[SetTimer](out)
+		for g.now < end && len(actionsOf[Reject](out))+len(actionsOf[Fail](out)) == 0 {
+			timers := actionsOf[SetTimer](out)
 			if len(timers) == 0 {
 				t.Fatalf("%s: held without a timer", tt.name)
 			}
 			out = g.after(timers[len(timers)-1].Delay, TimerExpired{Token: timers[len(timers)-1].Token})
 		}
-		if n := len(of[Reject](out)); n != 1 || g.now >= end {
+		if n := len(actionsOf[Reject](out)); n != 1 || g.now >= end {
 			t.Errorf("%s: want one rejection before the client gives up, got %d at %v of %v", tt.name, n, g.now, end)
 		}
 	}
@@ -376,7 +376,7 @@
 	type want int
 	const (
 		resend want = iota
-		refuse
+		reject
 		fail
 	)
 	tests := []struct {
@@ -387,16 +387,16 @@
 	}{
 		{"safe", Error, ms, resend},
 		{"safe", NoConnection, ms, resend},
-		{"safe", TimedOut, 2 * sec, refuse},
+		{"safe", TimedOut, 2 * sec, reject},
 		{"unsafe", Error, ms, fail},
 		{"unsafe", Reset, ms, fail},
 		{"unsafe", TimedOut, 2 * sec, fail},
 		{"unsafe", Full, ms, resend},
 		{"unsafe", NoConnection, ms, resend},
-		{"unsafe", NotSent, 2 * sec, refuse},
+		{"unsafe", NotSent, 2 * sec, reject},
 		{"keyed", Error, ms, resend},
 		{"keyed", TimedOut, 2 * sec, fail},
-		{"keyed-all", TimedOut, 2 * sec, refuse},
+		{"keyed-all", TimedOut, 2 * sec, reject},
 	}
 	for _, tt := range tests {
 		list := members("a", "b", "c", "d")
@@ -407,7 +407,7 @@
 		q := g.request(tt.class)
 		first := sentTo(t, g.step(q))
 		out := g.after(tt.wait, Outcome{ID: q.ID, Result: tt.result})
-		got := []int{len(of[Send](out)), len(of[Reject](out)), len(of[Fail](out))}
+		got := []int{len(actionsOf[Send](out)), len(actionsOf[Reject](out)), len(actionsOf[Fail](out))}
 		if want := []int{0, 0, 0}; true {
 			want[tt.want] = 1
 			if !reflect.DeepEqual(got, want) {
@@ -433,7 +433,7 @@
 	g := newTestRouter(t, cfg, members("a", "b")...)
 	q := g.request("keyed")
 	sentTo(t, g.step(q))
-	if out := g.after(200*ms, Outcome{ID: q.ID, Result: Error}); len(of[Fail](out)) != 1 {
+	if out := g.after(200*ms, Outcome{ID: q.ID, Result: Error}); len(actionsOf[Fail](out)) != 1 {
 		t.Errorf("the group has forgotten the request: want a failure, got %v", out)
 	}
 }
@@ -458,7 +458,7 @@
 		q := g.request("safe")
 		g.step(q)
 		out := g.after(ms, tt.events(q.ID)...)
-		if n := len(of[Send](out)) + len(of[Reject](out)) + len(of[Fail](out)); n != 0 {
+		if n := len(actionsOf[Send](out)) + len(actionsOf[Reject](out)) + len(actionsOf[Fail](out)); n != 0 {
 			t.Errorf("%s: got %v", tt.name, out)
 		}
 		if len(g.b.requests) != 0 {
@@ -471,11 +471,11 @@
 	g := newTestRouter(t, testConfig(), members("a", "b", "c", "d", "e")...)
 	q := g.request("safe")
 	out := g.step(q)
-	sends := len(of[Send](out))
+	sends := len(actionsOf[Send](out))
 	for n := 0; n < 5; n++ {
 		out = g.after(ms, Outcome{ID: q.ID, Attempt: n, Result: NoConnection})
-		sends += len(of[Send](out))
-		if len(of[Reject](out)) > 0 {
+		sends += len(actionsOf[Send](out))
+		if len(actionsOf[Reject](out)) > 0 {
 			break
 		}
 	}
@@ -491,10 +491,10 @@
 	g.b.replicas["b"].State = Draining
 	g.step(q)
 	out := g.after(ms, Outcome{ID: q.ID, Result: NoConnection})
-	if logs := of[Log](out); len(logs) != 1 || logs[0].Text != "ejected: a" {
+	if logs := actionsOf[Log](out); len(logs) != 1 || logs[0].Text != "ejected: a" {
 		t.Fatalf("want the ejection logged, got %v", out)
 	}
-	if out := g.step(g.request("safe")); len(of[Send](out)) != 0 {
+	if out := g.step(g.request("safe")); len(actionsOf[Send](out)) != 0 {
 		t.Fatal("sent to an ejected replica")
 	}
 	g.now = a.ejectedUntil
@@ -503,7 +503,7 @@
 	g.step(Outcome{ID: again.ID, Result: NoConnection})
 	g.now = a.ejectedUntil
 	trial, second := g.request("safe"), g.request("safe")
-	if n := len(of[Send](g.step(trial, second))); n != 1 {
+	if n := len(actionsOf[Send](g.step(trial, second))); n != 1 {
 		t.Fatalf("want one trial, got %d", n)
 	}
 	g.after(100*ms, FirstToken{ID: trial.ID}, FirstToken{ID: second.ID})
@@ -516,20 +516,20 @@
 // a new process: on a day with stray resets, a whole healthy fleet got only what a replica in
 // slow start may have.
 func TestSingleFailuresNeitherEjectNorBeginSlowStart(t *testing.T) {
-	for _, how := range []Result{TimedOut, Error, Reset} {
+	for _, result := range []Result{TimedOut, Error, Reset} {
 		g := newTestRouter(t, testConfig(), members("a")...)
 		r := g.b.replicas["a"]
 		for n, want := range []bool{false, true} {
 			q := g.request("safe")
 			g.step(q)
-			g.after(2*sec, Outcome{ID: q.ID, Result: how})
+			g.after(2*sec, Outcome{ID: q.ID, Result: result})
 			if got := r.ejectedUntil > 0; got != want {
-				t.Errorf("after %d of result %d: ejected %v", n+1, how, got)
+				t.Errorf("after %d of result %d: ejected %v", n+1, result, got)
 			}
 		}
 		g.now = r.ejectedUntil
 		if g.serve(g.request("safe"), 10*ms, 0); r.ejectedUntil > 0 || r.warmingUp {
-			t.Errorf("back after result %d: ejected %v, in slow start %v; want neither", how, r.ejectedUntil, r.warmingUp)
+			t.Errorf("back after result %d: ejected %v, in slow start %v; want neither", result, r.ejectedUntil, r.warmingUp)
 		}
 	}
 }
@@ -538,10 +538,10 @@
 func TestOverdueAnswersCount(t *testing.T) {
 	g := newTestRouter(t, testConfig(), members("a", "b")...)
 	q := g.request("safe")
-	silent := sentTo(t, g.step(q))
+	unresponsive := sentTo(t, g.step(q))
 	g.now += sec
 	for i := 0; i < 5; i++ {
-		if r := sentTo(t, g.after(ms, g.request("safe"))); r == silent {
+		if r := sentTo(t, g.after(ms, g.request("safe"))); r == unresponsive {
 			t.Errorf("prompt %d went to %s, which owes an answer for a second", i, r)
 		}
 	}
@@ -587,7 +587,7 @@
 			if g.ids%7 == 0 {
 				q.WorkEstimate = 600 * ms // a heavy prompt
 			}
-			for range of[Send](g.after(50*ms, q)) {
+			for range actionsOf[Send](g.after(50*ms, q)) {
 				all = append(all, sent{g.now, q.WorkEstimate.Seconds()})
 				g.step(FirstToken{ID: q.ID}, Outcome{ID: q.ID, Result: OK, Final: true})
 			}
@@ -615,8 +615,8 @@
 // attempts fail elsewhere.
 func TestSlowStartBudgetOfManyRouters(t *testing.T) {
 	const routers, warm, rate = 200, 50, 1.0 // prompts a second from each
-	for _, storm := range []bool{false, true} {
-		names := numbered("warm", warm)
+	for _, failing := range []bool{false, true} {
+		names := numberedNames("warm", warm)
 		var all []*testRouter
 		for i := 0; i < routers; i++ {
 			cfg := testConfig()
@@ -635,15 +635,15 @@
 					g.step(Members{Version: 2, Members: list})
 				}
 				q := g.request("safe")
-				for _, s := range of[Send](g.step(q)) {
+				for _, s := range actionsOf[Send](g.step(q)) {
 					result := OK
-					if storm && s.Replica != "cold" && n%2 > 0 {
+					if failing && s.Replica != "cold" && n%2 > 0 {
 						result = Full
 					}
 					if s.Replica == "cold" {
 						sends = append(sends, g.now)
 					}
-					for _, again := range of[Send](g.step(Outcome{ID: s.ID, Result: result, Final: result == OK})) {
+					for _, again := range actionsOf[Send](g.step(Outcome{ID: s.ID, Result: result, Final: result == OK})) {
 						if again.Replica == "cold" {
 							sends = append(sends, g.now)
 						}
@@ -654,7 +654,7 @@
 			}
 		}
 		if len(sends) < 3 {
-			t.Errorf("storm %v: only %d prompts for the replica in slow start in 10 s", storm, len(sends))
+			t.Errorf("storm %v: only %d prompts for the replica in slow start in 10 s", failing, len(sends))
 		}
 		cfg := testConfig()
 		capacity := 2 * routers * rate / warm // prompts a second, as warm replicas are half used
@@ -667,7 +667,7 @@
 			}
 			share := cfg.SlowStartMinCapacity + (1-cfg.SlowStartMinCapacity)*float64(at-startedAt)/float64(cfg.SlowStartWindow)
 			if limit := cfg.OverloadFactor * share * capacity * cfg.OverloadWindow.Seconds(); float64(count) > limit {
-				t.Fatalf("storm %v, %v after the start: %d prompts in a window, at most %.1f", storm, at-startedAt, count, limit)
+				t.Fatalf("storm %v, %v after the start: %d prompts in a window, at most %.1f", failing, at-startedAt, count, limit)
 			}
 		}
 	}
@@ -677,7 +677,7 @@
 	g := routersWithSlowStart(t, 1)[0]
 	q := g.request("safe")
 	q.WorkEstimate = 5 * sec
-	if out := g.step(q); len(of[Send](out)) != 0 {
+	if out := g.step(q); len(actionsOf[Send](out)) != 0 {
 		t.Errorf("a prompt over the whole budget was sent to a replica in slow start: %v", out)
 	}
 }
@@ -691,11 +691,11 @@
 	}
 	q := g.request("safe")
 	q.TimeLeft = 2 * sec
-	if out := g.step(q); len(of[Reject](out)) != 1 {
+	if out := g.step(q); len(actionsOf[Reject](out)) != 1 {
 		t.Errorf("behind 63,000 tokens to prefill the latency target of 1 s is out of reach: want a rejection, got %v", out)
 	}
 	q = g.request("unsafe")
-	if out := g.step(q); len(of[Reject](out)) != 1 {
+	if out := g.step(q); len(actionsOf[Reject](out)) != 1 {
 		t.Errorf("nothing of an unsafe request has run yet: want a rejection, got %v", out)
 	}
 }
@@ -707,19 +707,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if out := b.Step(sec, []Event{Members{Version: 1, Complete: true, Members: members("a")}}); len(of[Subscribe](out)) != 1 {
+	if out := b.Step(sec, []Event{Members{Version: 1, Complete: true, Members: members("a")}}); len(actionsOf[Subscribe](out)) != 1 {
 		t.Errorf("want a subscription at the start, got %v", out)
 	}
 	out := b.Step(2*sec, []Event{Members{Failed: true}})
-	timers := of[SetTimer](out)
+	timers := actionsOf[SetTimer](out)
 	if len(timers) != 1 {
 		t.Fatalf("want a timer to ask again, got %v", out)
 	}
 	out = b.Step(2*sec+timers[0].Delay, []Event{TimerExpired{Token: timers[0].Token}})
-	if len(of[Subscribe](out)) != 1 {
+	if len(actionsOf[Subscribe](out)) != 1 {
 		t.Errorf("want a new subscription after a failed one, got %v", out)
 	}
-	if sends := of[Send](b.Step(4*sec, []Event{Arrival{ID: "q", Class: "safe", TimeLeft: sec, PromptTokens: 10}})); len(sends) != 1 {
+	if sends := actionsOf[Send](b.Step(4*sec, []Event{Arrival{ID: "q", Class: "safe", TimeLeft: sec, PromptTokens: 10}})); len(sends) != 1 {
 		t.Errorf("the list held before stays valid")
 	}
 }
@@ -735,30 +735,30 @@
 		q := g.request("safe")
 		q.Prefix = "p"
 		out := g.step(q)
-		probes := of[Probe](out)
-		if len(probes) != 2 || len(of[Send](out)) != 0 {
+		probes := actionsOf[Probe](out)
+		if len(probes) != 2 || len(actionsOf[Send](out)) != 0 {
 			t.Fatalf("want two probes and the prompt held, got %v", out)
 		}
 		again := q
 		again.ID = "again"
-		if n := len(of[Probe](g.step(again))); n != 0 {
+		if n := len(actionsOf[Probe](g.step(again))); n != 0 {
 			t.Errorf("%d more probes while the first are out", n)
 		}
 		if !answered {
-			if n := len(of[Send](g.after(probeTimeout, TimerExpired{Token: of[SetTimer](out)[0].Token}))); n != 2 {
+			if n := len(actionsOf[Send](g.after(probeTimeout, TimerExpired{Token: actionsOf[SetTimer](out)[0].Token}))); n != 2 {
 				t.Errorf("probes without answer: want both prompts sent after %v, got %d", probeTimeout, n)
 			}
 			continue
 		}
 		g.after(ms, ProbeResult{Replica: probes[0].Replica, Result: OK, Load: &Load{InFlight: -1, Utilization: 0.9, PrefillTokens: 0}})
 		out = g.after(ms, ProbeResult{Replica: probes[1].Replica, Result: OK, Load: &Load{InFlight: -1, Utilization: 0.1, PrefillTokens: 0}})
-		sends := of[Send](out)
+		sends := actionsOf[Send](out)
 		if len(sends) != 2 || sends[0].Replica != probes[1].Replica {
 			t.Errorf("want both sent, the first to %s, got %v", probes[1].Replica, out)
 		}
 		last := g.request("safe")
 		last.Prefix = "p"
-		if out := g.after(ms, last); len(of[Probe](out)) != 0 || len(of[Send](out)) != 1 {
+		if out := g.after(ms, last); len(actionsOf[Probe](out)) != 0 || len(actionsOf[Send](out)) != 1 {
 			t.Errorf("with fresh reports: want no probe and a send, got %v", out)
 		}
 	}
@@ -783,9 +783,9 @@
 	q := g.request("safe")
 	q.Prefix, q.PrefixTokens = "p", 900
 	g.step(q)
-	again := members("a")[0]
-	again.StartedAt = g.now + ms
-	g.after(2*ms, Members{Version: 2, Members: []Member{again}})
+	restarted := members("a")[0]
+	restarted.StartedAt = g.now + ms
+	g.after(2*ms, Members{Version: 2, Members: []Member{restarted}})
 	r := g.b.replicas["a"]
 	if n := g.b.prefillTokensOn(&request{Arrival: q}, r); n != 1000 || !r.warmingUp || r.limit != slowStartLimit {
 		t.Errorf("after a restart: %v tokens to prefill, in slow start %v, limit %v", n, r.warmingUp, r.limit)
@@ -834,7 +834,7 @@
 		g.b.queue = nil
 		q := g.request("patient")
 		q.PromptTokens = tt.length
-		if got := len(of[Send](g.step(q))); got != tt.sends {
+		if got := len(actionsOf[Send](g.step(q))); got != tt.sends {
 			t.Errorf("value %v against 5, %v tokens behind %d prompts: want %d sends, got %d",
 				tt.value, tt.length, tt.ahead, tt.sends, got)
 		}
@@ -844,13 +844,13 @@
 // A first token expected late in its latency target leaves nothing for error or for the decoding
 // after it.
 func TestRejectsBeforeTheLatencyTargetIsUsedUp(t *testing.T) {
-	for tokens, refusals := range map[float64]int{3000: 0, 8000: 1} {
+	for tokens, rejections := range map[float64]int{3000: 0, 8000: 1} {
 		g := newTestRouter(t, testConfig(), members("a")...)
 		q := g.request("safe")
 		q.PromptTokens = tokens - 1000
 		g.step(q)
-		if got := len(of[Reject](g.step(g.request("safe")))); got != refusals {
-			t.Errorf("%v tokens to prefill before a latency target of 1 s: want %d rejections, got %d", tokens, refusals, got)
+		if got := len(actionsOf[Reject](g.step(g.request("safe")))); got != rejections {
+			t.Errorf("%v tokens to prefill before a latency target of 1 s: want %d rejections, got %d", tokens, rejections, got)
 		}
 	}
 }
@@ -859,7 +859,7 @@
 func TestHighestClassIsQueuedNotRejected(t *testing.T) {
 	for _, tt := range []struct {
 		value    float64 // of the class asked for; another has 3
-		refusals int
+		rejections int
 	}{{5, 0}, {3, 1}, {1, 1}} {
 		cfg := testConfig()
 		for i := range cfg.Classes {
@@ -872,10 +872,10 @@
 		sentTo(t, g.step(heavy))
 		q := g.request("safe")
 		actions := g.step(q)
-		if got := len(of[Reject](actions)); got != tt.refusals || len(of[Send](actions)) > 0 {
-			t.Errorf("value %v against 3: want %d rejections and no send, got %v", tt.value, tt.refusals, actions)
+		if got := len(actionsOf[Reject](actions)); got != tt.rejections || len(actionsOf[Send](actions)) > 0 {
+			t.Errorf("value %v against 3: want %d rejections and no send, got %v", tt.value, tt.rejections, actions)
 		}
-		if tt.refusals > 0 {
+		if tt.rejections > 0 {
 			continue
 		}
 		actions = g.after(300*ms, FirstToken{ID: heavy.ID})
@@ -899,7 +899,7 @@
 		for i := 0; i < 200; i++ {
 			q := g.request("safe")
 			q.Prefix, q.PrefixTokens = fmt.Sprint("p", i%40), 900
-			for _, s := range of[Send](g.after(20*ms, q)) {
+			for _, s := range actionsOf[Send](g.after(20*ms, q)) {
 				used[s.Replica] = true
 				g.step(FirstToken{ID: s.ID}, Outcome{ID: s.ID, Result: OK, Final: true})
 			}
@@ -955,14 +955,14 @@
 	list := members("a", "b", "c", "d")
 	list[2].Zone, list[3].Zone = "there", "there"
 	g := newTestRouter(t, cfg, list...)
-	asked := map[string]bool{}
+	probed := map[string]bool{}
 	for i := 0; i < 8; i++ {
-		for _, p := range of[Probe](g.step(g.request("safe"))) {
-			asked[p.Replica] = true
+		for _, p := range actionsOf[Probe](g.step(g.request("safe"))) {
+			probed[p.Replica] = true
 		}
 	}
-	if !asked["c"] && !asked["d"] {
-		t.Errorf("asked only %v", asked)
+	if !probed["c"] && !probed["d"] {
+		t.Errorf("asked only %v", probed)
 	}
 }
 
@@ -970,7 +970,7 @@
 func TestRejectionSaysWhenToComeBack(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
-		most  time.Duration
+		maxRetryAfter  time.Duration
 		class string
 		after time.Duration // until the only replica has drained and the request is given up
 		want  time.Duration
@@ -981,7 +981,7 @@
 		{"unknown class", 2 * sec, "odd", 0, 2 * sec},
 	} {
 		cfg := testConfig()
-		cfg.MaxRetryAfter = tt.most
+		cfg.MaxRetryAfter = tt.maxRetryAfter
 		g := newTestRouter(t, cfg)
 		q := g.request(tt.class)
 		actions := g.step(q)
@@ -1006,7 +1006,7 @@
 
 // A request whose two samples are busy must not be rejected while other replicas are idle.
 func TestBusySampleIsNoReasonToReject(t *testing.T) {
-	names := numbered("r", 8)
+	names := numberedNames("r", 8)
 	g := newTestRouter(t, testConfig(), members(names...)...)
 	q := g.request("safe")
 	q.Prefix, q.Session = "p", "s"
@@ -1025,9 +1025,9 @@
 	g := newTestRouter(t, testConfig(), members("a")...)
 	q := g.request("safe")
 	g.step(q)
-	gone := members("a")[0]
-	gone.State = Removed
-	g.step(Members{Version: 2, Members: append(members("b"), gone)})
+	updated := members("a")[0]
+	updated.State = Removed
+	g.step(Members{Version: 2, Members: append(members("b"), updated)})
 	if g.b.replicas["a"] == nil {
 		t.Error("forgotten with a stream on it")
 	}
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -19,7 +19,7 @@
 // BenchmarkRequestOfTheRouterFleet is the cost in the router fleet, where each router uses all of
 // the planned 810 hosts and hears three prompts of others for each of its own.
 func BenchmarkRequestOfTheRouterFleet(b *testing.B) {
-	benchmarkConfig(b, broadcasting(), 810)
+	benchmarkConfig(b, broadcastConfig(), 810)
 }
 
 func benchmarkRequest(b *testing.B, hosts, routers int) {
@@ -30,11 +30,11 @@
 
 func benchmarkConfig(b *testing.B, cfg Config, hosts int) {
 	var list []Member
-	for i, name := range numbered("r", hosts) {
+	for i, name := range numberedNames("r", hosts) {
 		list = append(list, Member{Replica: name, Zone: fmt.Sprint("z", i%3), Kind: "k"})
 	}
 	cfg.Zone = "z0"
-	heard := ReportsReceived{From: 1, Zone: zoneTag("z0"), Reports: []PeerReport{{ReplicaTag: 1, PrefillTokens: 100}}}
+	received := ReportsReceived{From: 1, Zone: zoneTag("z0"), Reports: []PeerReport{{ReplicaTag: 1, PrefillTokens: 100}}}
 	m, err := New(cfg, 1)
 	if err != nil {
 		b.Fatal(err)
@@ -46,7 +46,7 @@
 	for i := 0; i < b.N; i++ {
 		id := fmt.Sprint("q", i)
 		step(100*ms, Arrival{ID: id, Class: "safe", Session: id, Prefix: fmt.Sprint("p", i%10), TimeLeft: 2 * sec, PromptTokens: 1000, PrefixTokens: 500})
-		step(100*ms, heard, heard, heard, FirstToken{ID: id})
+		step(100*ms, received, received, received, FirstToken{ID: id})
 		step(100*ms, Outcome{ID: id, Result: OK, Final: true})
 	}
 }
@@ -77,7 +77,7 @@
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	var list []Member
-	for i, name := range numbered("r", hosts) {
+	for i, name := range numberedNames("r", hosts) {
 		list = append(list, Member{Replica: name, Zone: fmt.Sprint("z", i%6), Kind: "k"})
 	}
 	cfg := testConfig()
--- a/balance/broadcast_test.go
+++ b/balance/broadcast_test.go
@@ -8,7 +8,7 @@
 
 // broadcasting is the configuration of a router that has no number and whose reports reach all
 // others; prefixes have a single affinity host, as in the router fleet.
-func broadcasting() Config {
+func broadcastConfig() Config {
 	cfg := testConfig()
 	cfg.Broadcast, cfg.SingleAffinityHost = true, true
 	return cfg
@@ -17,12 +17,12 @@
 // Each prompt is reported as it is, however small, to all routers: the caller that carries the
 // reports samples them.
 func TestBroadcastOfEachPrompt(t *testing.T) {
-	g := newTestRouter(t, broadcasting(), members("a")...)
+	g := newTestRouter(t, broadcastConfig(), members("a")...)
 	for _, tokens := range []float64{20, 500, 4000} {
 		q := g.request("safe")
 		q.PromptTokens = tokens
 		want := []SendReports{{Zone: zoneTag("here"), Reports: []PeerReport{{ReplicaTag: replicaTag(g.b.replicas["a"]), PrefillTokens: tokens}}}}
-		if diff := cmp.Diff(want, of[SendReports](g.step(q))); diff != "" {
+		if diff := cmp.Diff(want, actionsOf[SendReports](g.step(q))); diff != "" {
 			t.Error(diff)
 		}
 	}
@@ -30,10 +30,10 @@
 
 // A list of replicas is no reason to report anything.
 func TestBroadcastOfNothing(t *testing.T) {
-	g := newTestRouter(t, broadcasting())
+	g := newTestRouter(t, broadcastConfig())
 	list := members("a")
-	if tells := of[SendReports](g.step(Members{Version: 1, Members: list})); len(tells) != 0 {
-		t.Errorf("reported %v", tells)
+	if messages := actionsOf[SendReports](g.step(Members{Version: 1, Members: list})); len(messages) != 0 {
+		t.Errorf("reported %v", messages)
 	}
 }
 
@@ -54,7 +54,7 @@
 		{name: "where nobody is to be heard", tokens: 8000, ago: 10},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			cfg := broadcasting()
+			cfg := broadcastConfig()
 			cfg.Broadcast = tt.broadcast
 			g := newTestRouter(t, cfg, members("a", "b")...)
 			first, second := g.b.replicas["a"], g.b.replicas["b"]
@@ -76,7 +76,7 @@
 
 // A replica to which another router has sent a prompt has its prefix cached from then on.
 func TestReportedPrefixIsCached(t *testing.T) {
-	g := newTestRouter(t, broadcasting(), members("a")...)
+	g := newTestRouter(t, broadcastConfig(), members("a")...)
 	a := g.b.replicas["a"]
 	q := &request{Arrival: g.request("safe"), class: g.b.classes["safe"], prefixHash: 0xabcd << 48}
 	q.Prefix, q.PrefixTokens, q.PromptTokens = "p", 800, 1000
@@ -93,7 +93,7 @@
 func TestReportedPromptsSpendNoCredit(t *testing.T) {
 	list := members("a", "cold")
 	list[1].StartedAt = 99 * sec
-	g := newTestRouter(t, broadcasting(), list...)
+	g := newTestRouter(t, broadcastConfig(), list...)
 	cold := g.b.replicas["cold"]
 	g.b.meanWork = 1
 	g.b.spendCredit(cold, 0.5)
--- a/balance/configchange_test.go
+++ b/balance/configchange_test.go
@@ -15,7 +15,7 @@
 	for _, tt := range []struct {
 		name         string
 		next         Config
-		first, again Action // on an error of a request of before, and of one of after
+		wantEarlier, wantLater Action // on an error of a request of before, and of one of after
 	}{
 		{"the same", cfg, Send{}, Send{}},
 		{"a stricter effect", strict, Send{}, Fail{}},
@@ -45,17 +45,17 @@
 			t.Fatalf("%s: nothing was sent", tt.name)
 		}
 		step(ConfigChange{tt.next})
-		if got := fail("before"); kindOf(got) != kindOf(tt.first) {
-			t.Errorf("%s: a request of before got %#v, want %T", tt.name, got, tt.first)
+		if got := fail("before"); actionName(got) != actionName(tt.wantEarlier) {
+			t.Errorf("%s: a request of before got %#v, want %T", tt.name, got, tt.wantEarlier)
 		}
 		ask("after")
-		if got := fail("after"); kindOf(got) != kindOf(tt.again) {
-			t.Errorf("%s: a request of after got %#v, want %T", tt.name, got, tt.again)
+		if got := fail("after"); actionName(got) != actionName(tt.wantLater) {
+			t.Errorf("%s: a request of after got %#v, want %T", tt.name, got, tt.wantLater)
 		}
 	}
 }
 
-func kindOf(a Action) string {
+func actionName(a Action) string {
 	switch a.(type) {
 	case Send:
 		return "send"
--- a/balance/docs_test.go
+++ b/balance/docs_test.go
@@ -13,7 +13,7 @@
 		t.Fatal(err)
 	}
 	var code strings.Builder
-	for _, path := range policy(t) {
+	for _, path := range policyFiles(t) {
 		text, err := os.ReadFile(path)
 		if err != nil {
 			t.Fatal(err)
--- a/balance/estimate.go
+++ b/balance/estimate.go
@@ -78,9 +78,9 @@
 	if q == nil {
 		return 0
 	}
-	ofPrefix := min(r.prefixCache.Get(q.prefixKey, r.cacheLostAt), q.PrefixTokens)
-	ofSession := r.prefixCache.Get(q.Session, r.cacheLostAt)
-	cached := max(ofPrefix, ofSession)
+	cachedPrefix := min(r.prefixCache.Get(q.prefixKey, r.cacheLostAt), q.PrefixTokens)
+	cachedSession := r.prefixCache.Get(q.Session, r.cacheLostAt)
+	cached := max(cachedPrefix, cachedSession)
 	if q.affinityHost == r {
 		cached = max(cached, q.PrefixTokens)
 	}
@@ -105,12 +105,12 @@
 // decayPeerTokens subtracts from the prompts that other routers reported what r has prefilled since
 // the last call, at an assumed constant rate. It also lowers the number of reported streams.
 func (b *Balancer) decayPeerTokens(r *replica) {
-	passed := (b.now - r.peerTokensAt).Seconds()
-	if passed <= 0 || b.routers.Alone() && !b.cfg.Broadcast {
+	elapsed := (b.now - r.peerTokensAt).Seconds()
+	if elapsed <= 0 || b.routers.Alone() && !b.cfg.Broadcast {
 		return
 	}
-	r.peerTokens = max(r.peerTokens-passed/(r.prefill.perToken()*b.latencyRatioOf(r)), 0)
-	r.peerStreams *= math.Exp(-passed / peerStreamLifetime)
+	r.peerTokens = max(r.peerTokens-elapsed/(r.prefill.perToken()*b.latencyRatioOf(r)), 0)
+	r.peerStreams *= math.Exp(-elapsed / peerStreamLifetime)
 	r.peerTokensAt = b.now
 }
 
@@ -192,14 +192,14 @@
 // another number expected. If the time differs much from this router's own estimate, it reports the
 // ratio to the routers that share r.
 func (b *Balancer) recordFirstToken(r *replica, took, expected float64) {
-	believed := b.latencyRatioOf(r) * expected
+	predicted := b.latencyRatioOf(r) * expected
 	ratio := took / expected
 	deviation := reportDeviation
 	if b.cfg.Broadcast {
 		deviation = smallPromptFraction * b.shortestTarget
 	}
-	surprising := took > reportRatio*believed || took*reportRatio < believed
-	if surprising && math.Abs(took-believed) > deviation {
+	surprising := took > reportRatio*predicted || took*reportRatio < predicted
+	if surprising && math.Abs(took-predicted) > deviation {
 		b.sendReports(r.liveAssignees, PeerReport{ReplicaTag: replicaTag(r), LatencyRatio: ratio})
 	}
 	r.latencyRatio.Observe(b.now, clampLatencyRatio(ratio), 2*learningRate)
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -11,7 +11,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func living(numbers ...int) (all []Peer) {
+func livePeers(numbers ...int) (all []Peer) {
 	for _, n := range numbers {
 		all = append(all, Peer{n, "here"})
 	}
@@ -22,13 +22,13 @@
 // for a second changes nothing, and a router that is back, or was never heard of, gets reports
 // again at once.
 func TestLivenessViewSelectsWhoGetsReports(t *testing.T) {
-	g := talking(t, members("a")...)
+	g := newRouterWithPeers(t, members("a")...)
 	reported := func(want ...int) {
 		t.Helper()
-		q := long(g.request("safe"))
+		q := longPrompt(g.request("safe"))
 		var to []int
-		for _, tell := range of[SendReports](g.after(ms, q)) {
-			to = append(to, tell.To...)
+		for _, message := range actionsOf[SendReports](g.after(ms, q)) {
+			to = append(to, message.To...)
 		}
 		g.after(450*ms, FirstToken{ID: q.ID})
 		g.after(50*ms, Outcome{ID: q.ID, Result: OK, Final: true})
@@ -37,37 +37,37 @@
 		}
 	}
 	reported(1, 2)
-	g.step(LivenessView{Version: 5, Live: living(0, 1)})
+	g.step(LivenessView{Version: 5, Live: livePeers(0, 1)})
 	reported(1, 2)
-	g.after(sec, LivenessView{Version: 6, Live: living(0, 1, 2)})
+	g.after(sec, LivenessView{Version: 6, Live: livePeers(0, 1, 2)})
 	g.after(2 * viewStabilityTime)
 	reported(1, 2)
-	g.step(LivenessView{Version: 7, Live: living(0, 1)})
+	g.step(LivenessView{Version: 7, Live: livePeers(0, 1)})
 	g.after(viewStabilityTime)
 	reported(1)
-	g.step(LivenessView{Version: 6, Live: living(0, 1, 2)}) // old
+	g.step(LivenessView{Version: 6, Live: livePeers(0, 1, 2)}) // old
 	reported(1)
-	g.step(LivenessView{Version: 8, Live: living(0, 1, 2, 3, 99, -1)})
+	g.step(LivenessView{Version: 8, Live: livePeers(0, 1, 2, 3, 99, -1)})
 	reported(1, 2, 3)
 }
 
 // The slow-start budget counts the routers that live: fewer count at once, more after the view
 // has held.
 func TestSlowStartBudgetFollowsTheView(t *testing.T) {
-	g := talking(t, append(members("warm"), Member{Replica: "cold", Zone: "here", Kind: "k", StartedAt: 99 * sec})...)
+	g := newRouterWithPeers(t, append(members("warm"), Member{Replica: "cold", Zone: "here", Kind: "k", StartedAt: 99 * sec})...)
 	g.serve(g.request("safe"), 50*ms, 0)
 	cold := g.b.replicas["cold"]
 	ratio := func(want float64) {
 		t.Helper()
-		part, of := g.b.spendCredit(cold, 0), g.b.cfg.OverloadFactor/2*g.b.capacityFraction(cold)*g.b.completedWork
-		if got := part / of; of == 0 || got < want-0.01 || got > want+0.01 {
+		budget, full := g.b.spendCredit(cold, 0), g.b.cfg.OverloadFactor/2*g.b.capacityFraction(cold)*g.b.completedWork
+		if got := budget / full; full == 0 || got < want-0.01 || got > want+0.01 {
 			t.Errorf("the budget is for %.2f routers, want %v", got, want)
 		}
 	}
 	ratio(minReportingRouters)
-	g.step(LivenessView{Version: 1, Live: living(0, 1, 2)})
+	g.step(LivenessView{Version: 1, Live: livePeers(0, 1, 2)})
 	ratio(3)
-	g.after(sec, LivenessView{Version: 2, Live: living(0, 1, 2, 3, 4, 5)})
+	g.after(sec, LivenessView{Version: 2, Live: livePeers(0, 1, 2, 3, 4, 5)})
 	ratio(3)
 	g.after(viewStabilityTime)
 	ratio(6)
@@ -76,8 +76,8 @@
 // To each of many routers most replicas are idle. While the assigned ones have a backlog, an
 // idle one is tried against its estimate only once in a while; while they have none, at once.
 func TestIdleReplicaIsTriedAsFarAsOthersHaveNoBacklog(t *testing.T) {
-	for _, behind := range []bool{false, true} {
-		g := talking(t, members("a", "b", "c")...)
+	for _, backlogged := range []bool{false, true} {
+		g := newRouterWithPeers(t, members("a", "b", "c")...)
 		for _, r := range g.b.sorted {
 			r.prefill.Add(1000, 0.5) // so that 1,000 tokens are half of the latency target
 		}
@@ -87,18 +87,18 @@
 		}
 		sent := 0
 		for range 20 {
-			if behind {
+			if backlogged {
 				g.step(ReportsReceived{From: 1, Zone: zoneTag("here"), Reports: reports})
 			}
 			q := g.request("safe")
 			q.PromptTokens = 1500
-			if n := len(of[Send](g.after(ms, q))); n > 0 {
+			if n := len(actionsOf[Send](g.after(ms, q))); n > 0 {
 				sent++
 				g.after(20*ms, Aborted{ID: q.ID}, Outcome{ID: q.ID, Result: Cancelled, Final: true}) // which teaches nothing
 			}
 		}
-		if behind && sent != 1 || !behind && sent < 15 {
-			t.Errorf("behind %v: %d of 20 prompts were sent to idle replicas", behind, sent)
+		if backlogged && sent != 1 || !backlogged && sent < 15 {
+			t.Errorf("behind %v: %d of 20 prompts were sent to idle replicas", backlogged, sent)
 		}
 	}
 }
@@ -106,20 +106,20 @@
 // The prompts that a dead router reported are over, too: what all reported is lowered in
 // proportion once the view has held.
 func TestReportsOfRemovedRoutersAreDropped(t *testing.T) {
-	for _, gone := range []bool{false, true} {
-		g := talking(t, members("a")...)
+	for _, dead := range []bool{false, true} {
+		g := newRouterWithPeers(t, members("a")...)
 		a := g.b.replicas["a"]
 		tokens := 0.5 * maxPeerPrefill / a.prefill.perToken()
-		g.step(ReportsReceived{From: 1, Zone: zoneTag("here"), Reports: []PeerReport{{ReplicaTag: replicaTag(a), PrefillTokens: tokens}}}, LivenessView{Version: 1, Live: living(0, 1, 2)})
+		g.step(ReportsReceived{From: 1, Zone: zoneTag("here"), Reports: []PeerReport{{ReplicaTag: replicaTag(a), PrefillTokens: tokens}}}, LivenessView{Version: 1, Live: livePeers(0, 1, 2)})
 		want := tokens
-		if gone {
-			g.step(LivenessView{Version: 2, Live: living(0, 2)})
+		if dead {
+			g.step(LivenessView{Version: 2, Live: livePeers(0, 2)})
 			want *= 2.0 / 3
 		}
 		want -= viewStabilityTime.Seconds() / a.prefill.perToken() // read meanwhile
 		g.after(viewStabilityTime)
 		if got := g.b.tokensQueuedOn(a); got < 0.99*want || got > 1.01*want {
-			t.Errorf("gone %v: %.0f tokens are taken to be before it, want %.0f", gone, got, want)
+			t.Errorf("gone %v: %.0f tokens are taken to be before it, want %.0f", dead, got, want)
 		}
 	}
 }
@@ -130,23 +130,23 @@
 	const routers, hosts = 10, 80
 	cfg := testConfig()
 	cfg.Routers = routers
-	g := newTestRouter(t, cfg, members(numbered("r", hosts)...)...)
+	g := newTestRouter(t, cfg, members(numberedNames("r", hosts)...)...)
 	for from := 1; from < routers; from++ {
 		g.step(ReportsReceived{From: from, Zone: zoneTag("here")})
 	}
-	queued := 0
+	covered := 0
 	for _, r := range g.b.sorted {
 		if len(r.liveAssignees) > 0 {
-			queued++
+			covered++
 		}
 	}
 	want := minAssignees * hosts / routers
-	if len(g.b.assigned) != want || queued < hosts*9/10 {
-		t.Errorf("a share of %d, want %d; %d of %d replicas are in some", len(g.b.assigned), want, queued, hosts)
+	if len(g.b.assigned) != want || covered < hosts*9/10 {
+		t.Errorf("a share of %d, want %d; %d of %d replicas are in some", len(g.b.assigned), want, covered, hosts)
 	}
-	share := g.b.assigned // a view of half of them moves none of it, until it has held
-	g.step(LivenessView{Version: 1, Live: living(0, 1, 2, 3, 4)})
-	if g.after(viewStabilityTime / 2); !slices.Equal(share, g.b.assigned) {
+	assigned := g.b.assigned // a view of half of them moves none of it, until it has held
+	g.step(LivenessView{Version: 1, Live: livePeers(0, 1, 2, 3, 4)})
+	if g.after(viewStabilityTime / 2); !slices.Equal(assigned, g.b.assigned) {
 		t.Error("the share has moved after a second")
 	}
 	if g.after(viewStabilityTime / 2); len(g.b.assigned) != 2*want {
@@ -161,11 +161,11 @@
 func TestNoViewOverloadsAReplicaInSlowStart(t *testing.T) {
 	const (
 		routers = 12
-		span    = 5 * sec
+		duration    = 5 * sec
 		mean    = 0.02 // seconds of work
-		usual   = 0.6  // seconds of work that a warm replica did for each router in workSpan
+		warmWork   = 0.6  // seconds of work that a warm replica did for each router in workSpan
 	)
-	sends := func(tick time.Duration, parts int, view func(i int) []Peer, seed uint64) (worst float64) {
+	sends := func(tick time.Duration, partitions int, view func(i int) []Peer, seed uint64) (worst float64) {
 		cfg := testConfig()
 		cfg.Routers, cfg.SlowStartWindow, cfg.OverloadWindow = routers, 60*sec, 3*sec
 		now := 100 * sec
@@ -177,7 +177,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			b.Restore(Learned{CompletedWork: usual, MeanWork: mean})
+			b.Restore(Learned{CompletedWork: warmWork, MeanWork: mean})
 			b.Step(now, []Event{Members{Version: 1, Complete: true, Members: []Member{cold}}})
 			for j := range routers {
 				b.Step(now, []Event{ReportsReceived{From: j, Zone: zoneTag("here")}})
@@ -190,7 +190,7 @@
 		}
 		var sent []sending
 		rng := rand.New(rand.NewPCG(seed, 1))
-		for n := 0; now < 100*sec+span; now += tick {
+		for n := 0; now < 100*sec+duration; now += tick {
 			for _, i := range rng.Perm(routers) {
 				b := all[i]
 				n++
@@ -204,7 +204,7 @@
 						b.Step(now, []Event{FirstToken{ID: a.ID}, Outcome{ID: a.ID, Result: OK, Final: true}})
 					case SendReports:
 						for _, to := range a.To {
-							if to%parts == i%parts {
+							if to%partitions == i%partitions {
 								all[to].Step(now, []Event{ReportsReceived{From: i, Zone: a.Zone, Reports: a.Reports}})
 							}
 						}
@@ -222,19 +222,19 @@
 			for j := i; j >= 0 && sent[i].at-sent[j].at < cfg.OverloadWindow; j-- {
 				sum += sent[j].work
 			}
-			warmth := cfg.SlowStartMinCapacity + (1-cfg.SlowStartMinCapacity)*float64(sent[i].at-100*sec)/float64(cfg.SlowStartWindow)
-			allowed := cfg.OverloadFactor * warmth * usual * routers / workWindow * cfg.OverloadWindow.Seconds()
+			fraction := cfg.SlowStartMinCapacity + (1-cfg.SlowStartMinCapacity)*float64(sent[i].at-100*sec)/float64(cfg.SlowStartWindow)
+			allowed := cfg.OverloadFactor * fraction * warmWork * routers / workWindow * cfg.OverloadWindow.Seconds()
 			worst = max(worst, sum/(allowed+2*mean))
 		}
 		return worst
 	}
 	for n := range uint64(16) {
-		missing, parts := int(n/2)%(routers/2+1), 1+int(n%2)
+		missing, partitions := int(n/2)%(routers/2+1), 1+int(n%2)
 		view := func(i int) (all []Peer) { // the same each time
 			rng := rand.New(rand.NewPCG(n, uint64(i)))
 			for k, j := range rng.Perm(routers) {
 				if k >= missing || j == i {
-					all = append(all, living(j)...)
+					all = append(all, livePeers(j)...)
 				}
 			}
 			return all
@@ -243,19 +243,19 @@
 		if n == 1 { // nobody is missing, and each half asks all the time
 			tick = 2 * ms
 		}
-		worst := sends(tick, parts, view, n)
-		t.Logf("%d missing, %d parts: %.2f", missing, parts, worst)
+		worst := sends(tick, partitions, view, n)
+		t.Logf("%d missing, %d parts: %.2f", missing, partitions, worst)
 		if worst > 1 {
-			t.Errorf("%d of %d missing in each view, %d parts: %.2f times what the settings allow", missing, routers, parts, worst)
+			t.Errorf("%d of %d missing in each view, %d parts: %.2f times what the settings allow", missing, routers, partitions, worst)
 		}
 	}
-	found := 0.0
+	worstOfFour := 0.0
 	for n := range uint64(4) {
 		rng := rand.New(rand.NewPCG(n, 2))
-		found = max(found, sends(10*ms, 4, func(int) []Peer { return living(rng.Perm(routers)...) }, n))
+		worstOfFour = max(worstOfFour, sends(10*ms, 4, func(int) []Peer { return livePeers(rng.Perm(routers)...) }, n))
 	}
-	if found <= 1 {
-		t.Errorf("four parts that hear nothing of each other sent %.2f times what the settings allow, and were not found", found)
+	if worstOfFour <= 1 {
+		t.Errorf("four parts that hear nothing of each other sent %.2f times what the settings allow, and were not found", worstOfFour)
 	}
 }
 
@@ -271,15 +271,15 @@
 		length  = 20 * sec
 	)
 	for n := range uint64(24) {
-		able := []float64{1, 3, 10, 40}[n%4] // requests that it does in a second, once warm
+		warmRate := []float64{1, 3, 10, 40}[n%4] // requests that it does in a second, once warm
 		rng := rand.New(rand.NewPCG(n, 3))
 		cfg := testConfig()
 		cfg.Routers, cfg.SlowStartMinCapacity, cfg.SlowStartWindow, cfg.OverloadFactor, cfg.OverloadWindow = routers, 0.3, 40*sec, 2.5, 3*sec
-		type asker struct {
+		type clockedRouter struct {
 			*Balancer
 			clock time.Duration // ahead of the test's
 		}
-		var all []asker
+		var all []clockedRouter
 		for i := range routers {
 			cfg.Self = i
 			b, err := New(cfg, n<<8+uint64(i))
@@ -291,50 +291,50 @@
 			for j := range routers {
 				b.Step(clock, []Event{ReportsReceived{From: j, Zone: zoneTag("here")}})
 			}
-			all = append(all, asker{b, clock})
+			all = append(all, clockedRouter{b, clock})
 		}
-		type working struct {
-			by   int
+		type execution struct {
+			router   int
 			id   string
 			left float64 // seconds of its time, warm
 		}
-		var queue []working
+		var queue []execution
 		var sent []time.Duration
-		var words []func()
-		worst, asked := 0.0, 0
+		var pendingReports []func()
+		worst, arrivals := 0.0, 0
 		for now := time.Duration(0); now < length; now += tick {
-			warmth := cfg.SlowStartMinCapacity + (1-cfg.SlowStartMinCapacity)*float64(now)/float64(cfg.SlowStartWindow)
-			late := words
-			words = nil
-			for _, say := range late {
-				say()
+			fraction := cfg.SlowStartMinCapacity + (1-cfg.SlowStartMinCapacity)*float64(now)/float64(cfg.SlowStartWindow)
+			dueReports := pendingReports
+			pendingReports = nil
+			for _, deliver := range dueReports {
+				deliver()
 			}
-			for able := able * tick.Seconds() * warmth; able > 0 && len(queue) > 0; {
+			for work := warmRate * tick.Seconds() * fraction; work > 0 && len(queue) > 0; {
 				w := &queue[0]
-				did := min(able, w.left)
-				if able, w.left = able-did, w.left-did; w.left <= 0 {
-					all[w.by].Step(all[w.by].clock+now, []Event{FirstToken{ID: w.id}, Outcome{ID: w.id, Result: OK, Final: true}})
+				done := min(work, w.left)
+				if work, w.left = work-done, w.left-done; w.left <= 0 {
+					all[w.router].Step(all[w.router].clock+now, []Event{FirstToken{ID: w.id}, Outcome{ID: w.id, Result: OK, Final: true}})
 					queue = queue[1:]
 				}
 			}
 			for _, i := range rng.Perm(routers) {
 				b := all[i]
-				asked++
-				q := Arrival{ID: fmt.Sprint("q", asked), Class: "safe", TimeLeft: 4 * sec, PromptTokens: 100, WorkEstimate: time.Duration(mean * 1e9)}
+				arrivals++
+				q := Arrival{ID: fmt.Sprint("q", arrivals), Class: "safe", TimeLeft: 4 * sec, PromptTokens: 100, WorkEstimate: time.Duration(mean * 1e9)}
 				for _, action := range b.Step(b.clock+now, []Event{q}) {
 					switch a := action.(type) {
 					case Send:
-						queue, sent = append(queue, working{i, a.ID, 1}), append(sent, now)
-						in := 0
+						queue, sent = append(queue, execution{i, a.ID, 1}), append(sent, now)
+						inWindow := 0
 						for j := len(sent) - 1; j >= 0 && now-sent[j] < cfg.OverloadWindow; j-- {
-							in++
+							inWindow++
 						}
-						may := cfg.OverloadFactor * warmth * able * cfg.OverloadWindow.Seconds()
-						worst = max(worst, float64(in)/(may+2*math.Sqrt(may)+2))
+						allowed := cfg.OverloadFactor * fraction * warmRate * cfg.OverloadWindow.Seconds()
+						worst = max(worst, float64(inWindow)/(allowed+2*math.Sqrt(allowed)+2))
 					case SendReports:
 						for _, to := range a.To {
 							if to != i {
-								words = append(words, func() {
+								pendingReports = append(pendingReports, func() {
 									all[to].Step(all[to].clock+now+tick, []Event{ReportsReceived{From: i, Zone: a.Zone, Reports: a.Reports}})
 								})
 							}
@@ -346,9 +346,9 @@
 				}
 			}
 		}
-		t.Logf("a replica of %v a second: %d sent in %v, %.2f of what is allowed in the worst window", able, len(sent), length, worst)
+		t.Logf("a replica of %v a second: %d sent in %v, %.2f of what is allowed in the worst window", warmRate, len(sent), length, worst)
 		if worst > 1 || len(sent) < 4 {
-			t.Errorf("seed %d, a replica of %v a second: %d sent, %.2f times what is allowed", n, able, len(sent), worst)
+			t.Errorf("seed %d, a replica of %v a second: %d sent, %.2f times what is allowed", n, warmRate, len(sent), worst)
 		}
 	}
 }
--- a/balance/fuzz_test.go
+++ b/balance/fuzz_test.go
@@ -9,7 +9,7 @@
 
 // play feeds a sequence of events made from data, and checks rules 1 to 3 from outside. It returns
 // all actions.
-func play(t *testing.T, data []byte) []Action {
+func runEvents(t *testing.T, data []byte) []Action {
 	cfg := testConfig()
 	cfg.Classes[0].LateValueFraction = 0.5
 	cfg.MayProbe = len(data)%2 > 0
@@ -21,8 +21,8 @@
 		class    Class
 		end      time.Duration
 		sent     []string
-		out      map[int]bool
-		mayRun   bool
+		pending      map[int]bool
+		mayHaveExecuted   bool
 		answered bool
 	}
 	names := []string{"a", "b", "c"}
@@ -45,20 +45,20 @@
 				if !listed[a.Replica] {
 					t.Fatalf("sent to %s, which drains or is gone", a.Replica)
 				}
-				if q.mayRun && q.class.Effect == Unsafe {
+				if q.mayHaveExecuted && q.class.Effect == Unsafe {
 					t.Fatalf("unsafe %s sent again after it may have run", a.ID)
 				}
-				if q.mayRun && q.class.Effect == Keyed && q.class.DedupScope == ScopeCell &&
+				if q.mayHaveExecuted && q.class.Effect == Keyed && q.class.DedupScope == ScopeCell &&
 					cells[a.Replica] != cells[q.sent[0]] {
 					t.Fatalf("keyed %s left its cell", a.ID)
 				}
-				q.out[len(q.sent)] = true
+				q.pending[len(q.sent)] = true
 				q.sent = append(q.sent, a.Replica)
 			case Reject, Fail:
 				id := ""
-				refused := false
+				rejected := false
 				if r, ok := a.(Reject); ok {
-					id, refused = r.ID, true
+					id, rejected = r.ID, true
 				} else {
 					id = a.(Fail).ID
 				}
@@ -67,7 +67,7 @@
 					t.Fatalf("answered %s, which is closed or unknown", id)
 				}
 				safe := q.class.Effect == Safe || q.class.Effect == Keyed && q.class.DedupScope == ScopeAll
-				if refused && !safe && (q.mayRun || len(q.out) > 0) {
+				if rejected && !safe && (q.mayHaveExecuted || len(q.pending) > 0) {
 					t.Fatalf("refused %s, which may have run", id)
 				}
 				q.answered = true
@@ -77,7 +77,7 @@
 		}
 		for _, id := range ids {
 			q := requests[id]
-			if !q.answered && len(q.out) == 0 && now >= q.end {
+			if !q.answered && len(q.pending) == 0 && now >= q.end {
 				t.Fatalf("%s has no answer at its deadline", id)
 			}
 		}
@@ -94,7 +94,7 @@
 			c := cfg.Classes[x%len(cfg.Classes)]
 			left := time.Duration(y+5) * 10 * ms
 			ids = append(ids, id)
-			requests[id] = &state{class: c, end: now + left, out: map[int]bool{}}
+			requests[id] = &state{class: c, end: now + left, pending: map[int]bool{}}
 			ev = Arrival{ID: id, Class: c.Name, TimeLeft: left, PromptTokens: float64(y * 50), Prefix: names[x%3], PrefixTokens: float64(y * 20),
 				WorkEstimate: time.Duration(y) * ms}
 		case 1, 2:
@@ -104,17 +104,17 @@
 			id := ids[x%len(ids)]
 			q := requests[id]
 			n := y % 4
-			if !q.out[n] {
+			if !q.pending[n] {
 				continue
 			}
-			delete(q.out, n)
-			how := Result(y / 4 % 8)
-			if how != Full && how != NoConnection && how != NotSent {
-				q.mayRun = true
+			delete(q.pending, n)
+			result := Result(y / 4 % 8)
+			if result != Full && result != NoConnection && result != NotSent {
+				q.mayHaveExecuted = true
 			}
-			final := how == OK || q.answered
+			final := result == OK || q.answered
 			q.answered = final
-			ev = Outcome{ID: id, Attempt: n, Result: how, Final: final, Load: &Load{InFlight: float64(y), PrefillTokens: -1}}
+			ev = Outcome{ID: id, Attempt: n, Result: result, Final: final, Load: &Load{InFlight: float64(y), PrefillTokens: -1}}
 		case 3:
 			version++
 			m := Member{Replica: names[x%3], Cell: cells[names[x%3]], Zone: "here", State: State(y % 3)}
@@ -130,7 +130,7 @@
 			q := requests[ids[x%len(ids)]]
 			if y%2 == 0 {
 				ev = Aborted{ID: ids[x%len(ids)]}
-			} else if q.out[0] {
+			} else if q.pending[0] {
 				ev = FirstToken{ID: ids[x%len(ids)]}
 			} else {
 				continue
@@ -168,8 +168,8 @@
 	f.Add([]byte{3, 0, 0, 3, 1, 0, 3, 2, 0, 0, 3, 250, 1, 0, 8, 3, 0, 1, 0, 1, 40, 5, 255, 0, 4, 0, 1})
 	f.Add([]byte{0, 0, 10, 5, 255, 0, 3, 0, 201, 0, 2, 99, 0, 0, 99, 5, 10, 0, 1, 1, 12, 5, 255, 0})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		first := play(t, data)
-		if again := play(t, data); !reflect.DeepEqual(first, again) {
+		first := runEvents(t, data)
+		if again := runEvents(t, data); !reflect.DeepEqual(first, again) {
 			t.Fatal("the same events and seed gave other actions")
 		}
 	})
@@ -187,7 +187,7 @@
 			}
 			q.PromptTokens = float64(700 + 300*(i%11))
 			out := g.after(time.Duration(i%5)*10*ms, q)
-			for n, s := range of[Send](out) {
+			for n, s := range actionsOf[Send](out) {
 				if (i+n)%4 > 0 {
 					out = append(out, g.step(FirstToken{ID: s.ID}, Outcome{ID: s.ID, Result: OK, Final: true})...)
 				}
--- a/balance/health.go
+++ b/balance/health.go
@@ -78,10 +78,10 @@
 // recordFailure records a failure of r. A refused connection ejects r at once. Other failures eject
 // r only from the second in a row on, because single requests fail on processes that stay alive.
 // Each further failure doubles the time until the next trial.
-func (b *Balancer) recordFailure(r *replica, how Result) {
+func (b *Balancer) recordFailure(r *replica, result Result) {
 	b.reportFailure(r)
 	r.failures++
-	refused := how == NoConnection
+	refused := result == NoConnection
 	if refused && r.failures > 1 {
 		r.crashed = true
 	}
--- a/balance/interference_test.go
+++ b/balance/interference_test.go
@@ -10,22 +10,22 @@
 		name        string
 		streams     [2]int // own, with their first token
 		cached      float64
-		far         bool // the second replica is in another zone
-		others      float64
+		otherZone         bool // the second replica is in another zone
+		peerStreams      float64
 		singleHost  bool
 		wantsSecond bool
 	}{
 		{name: "a kept prefix beside few streams", streams: [2]int{1, 0}, cached: 1000},
 		{name: "a kept prefix beside many", streams: [2]int{6, 0}, cached: 1000, wantsSecond: true},
 		{name: "as many on both", streams: [2]int{6, 6}, cached: 1000},
-		{name: "those of other routers count as well", streams: [2]int{0, 0}, cached: 1000, others: 6, wantsSecond: true},
+		{name: "those of other routers count as well", streams: [2]int{0, 0}, cached: 1000, peerStreams: 6, wantsSecond: true},
 		{name: "where a prefix has one affinity host", streams: [2]int{6, 0}, cached: 1000, singleHost: true},
-		{name: "nothing kept, one stream more near by", streams: [2]int{1, 0}, far: true},
-		{name: "nothing kept, several more near by", streams: [2]int{4, 0}, far: true, wantsSecond: true},
+		{name: "nothing kept, one stream more near by", streams: [2]int{1, 0}, otherZone: true},
+		{name: "nothing kept, several more near by", streams: [2]int{4, 0}, otherZone: true, wantsSecond: true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			list := members("a", "b")
-			if tt.far {
+			if tt.otherZone {
 				list[1].Zone = "there"
 			}
 			cfg := testConfig()
@@ -34,7 +34,7 @@
 			q := &request{Arrival: g.request("safe"), class: g.b.classes["safe"], latencyTarget: sec, prefixKey: "p"}
 			q.Prefix, q.PrefixTokens = "p", tt.cached
 			first, second := g.b.replicas["a"], g.b.replicas["b"]
-			first.inFlight, second.inFlight, first.peerStreams = tt.streams[0], tt.streams[1], tt.others
+			first.inFlight, second.inFlight, first.peerStreams = tt.streams[0], tt.streams[1], tt.peerStreams
 			g.after(ms)
 			first.prefixCache.Put(q.prefixKey, g.b.now, tt.cached)
 			best := g.b.cheapest(q, []*replica{first, second})
--- a/balance/latencyratio_test.go
+++ b/balance/latencyratio_test.go
@@ -17,11 +17,11 @@
 	}{{60, false}, {110, false}, {400, true}} {
 		t.Run(fmt.Sprint(tt.took, " ms"), func(t *testing.T) {
 			is := is.New(t)
-			g := newTestRouter(t, broadcasting(), members("a")...)
+			g := newTestRouter(t, broadcastConfig(), members("a")...)
 			g.b.shortestTarget = 0.4
 			g.step()
 			g.b.recordFirstToken(g.b.replicas["a"], float64(tt.took)/1000, 0.05)
-			is.Equal(len(of[SendReports](g.b.actions)) == 1, tt.reported)
+			is.Equal(len(actionsOf[SendReports](g.b.actions)) == 1, tt.reported)
 		})
 	}
 }
@@ -38,7 +38,7 @@
 		{[]time.Duration{2 * sec, 0}, 1},
 	} {
 		is := is.New(t)
-		cfg := broadcasting()
+		cfg := broadcastConfig()
 		cfg.Classes = nil
 		for i, target := range tt.targets {
 			cfg.Classes = append(cfg.Classes, Class{Name: fmt.Sprint(i), LatencyTarget: target, Deadline: sec})
--- a/balance/learned.go
+++ b/balance/learned.go
@@ -103,8 +103,8 @@
 func (b *Balancer) restorePrefill(kind string, line PrefillLine) {
 	model := cmp.Or(b.prefillByKind[kind], &prefillModel{})
 	b.prefillByKind[kind] = model
-	sound := line.XX > 0 && !math.IsInf(line.XX, 1) && math.Abs(line.XY) <= maxRestoredSeconds*line.XX
-	if model.XX == 0 && sound {
+	valid := line.XX > 0 && !math.IsInf(line.XX, 1) && math.Abs(line.XY) <= maxRestoredSeconds*line.XX
+	if model.XX == 0 && valid {
 		model.Line = decayed.Line(line)
 	}
 }
--- a/balance/learned_test.go
+++ b/balance/learned_test.go
@@ -66,10 +66,10 @@
 	if next.completedWork != l.CompletedWork || next.prefillByKind["k"].perToken() != b.prefillByKind["k"].perToken() || next.prefillByKind["z"].XX != 0 {
 		t.Errorf("work %v, slopes %v and %v", next.completedWork, next.prefillByKind["k"].perToken(), next.prefillByKind["z"].XX)
 	}
-	odd, _ := New(cfg, 3)
-	odd.Restore(Learned{CompletedWork: math.NaN(), MeanWork: 1, Replicas: []LearnedReplica{{"r0", time.Minute, math.Inf(1), -1}}})
-	odd.Step(now, []Event{list(time.Minute)})
-	if odd.RestoreReplicas(); odd.sorted[0].limit != initialLimit || odd.latencyRatioOf(odd.sorted[0]) != 1 || odd.completedWork != 0 {
-		t.Errorf("limit %v, slow %v, work %v", odd.sorted[0].limit, odd.latencyRatioOf(odd.sorted[0]), odd.completedWork)
+	invalid, _ := New(cfg, 3)
+	invalid.Restore(Learned{CompletedWork: math.NaN(), MeanWork: 1, Replicas: []LearnedReplica{{"r0", time.Minute, math.Inf(1), -1}}})
+	invalid.Step(now, []Event{list(time.Minute)})
+	if invalid.RestoreReplicas(); invalid.sorted[0].limit != initialLimit || invalid.latencyRatioOf(invalid.sorted[0]) != 1 || invalid.completedWork != 0 {
+		t.Errorf("limit %v, slow %v, work %v", invalid.sorted[0].limit, invalid.latencyRatioOf(invalid.sorted[0]), invalid.completedWork)
 	}
 }
--- a/balance/outlier_test.go
+++ b/balance/outlier_test.go
@@ -7,7 +7,7 @@
 )
 
 // failure is another router's report that it saw a replica fail.
-func failure(r *replica, witness int) ReportsReceived {
+func failureReport(r *replica, witness int) ReportsReceived {
 	return ReportsReceived{From: witness, Reports: []PeerReport{{ReplicaTag: replicaTag(r), Failed: true}}}
 }
 
@@ -27,10 +27,10 @@
 		{name: "two of four", seen: map[string][]int{"a": {1, 2}, "b": {1, 2}}, avoided: "a"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			g := newTestRouter(t, broadcasting(), members("a", "b", "c", "d")...)
+			g := newTestRouter(t, broadcastConfig(), members("a", "b", "c", "d")...)
 			for name, witnesses := range tt.seen {
 				for _, w := range witnesses {
-					g.step(failure(g.b.replicas[name], w))
+					g.step(failureReport(g.b.replicas[name], w))
 				}
 			}
 			g.now += time.Duration(tt.waited) * sec
@@ -38,7 +38,7 @@
 			for i := range 40 {
 				q := g.request("safe")
 				q.Prefix = fmt.Sprint("p", i)
-				for _, s := range of[Send](g.step(q)) {
+				for _, s := range actionsOf[Send](g.step(q)) {
 					sent[s.Replica] = true
 				}
 			}
@@ -53,10 +53,10 @@
 
 // A failure is reported to all, once; while a replica is suspected already it is nothing new.
 func TestFailuresAreReported(t *testing.T) {
-	g := newTestRouter(t, broadcasting(), members("a")...)
+	g := newTestRouter(t, broadcastConfig(), members("a")...)
 	reported := func(out []Action) (n int) {
-		for _, tell := range of[SendReports](out) {
-			for _, r := range tell.Reports {
+		for _, message := range actionsOf[SendReports](out) {
+			for _, r := range message.Reports {
 				if r.Failed {
 					n++
 				}
@@ -72,7 +72,7 @@
 	if n := reported(fail()); n != 1 {
 		t.Errorf("a failure was reported %d times", n)
 	}
-	g.step(failure(g.b.replicas["a"], 7))
+	g.step(failureReport(g.b.replicas["a"], 7))
 	if !g.b.replicas["a"].outlier.Ejected(g.b.now) {
 		t.Fatal("with the word of another one it is not suspected")
 	}
--- a/balance/peerreport_test.go
+++ b/balance/peerreport_test.go
@@ -13,7 +13,7 @@
 
 // talking is the configuration of the first of many routers; two others of its zone have been
 // heard of.
-func talking(t *testing.T, replicas ...Member) *testRouter {
+func newRouterWithPeers(t *testing.T, replicas ...Member) *testRouter {
 	t.Helper()
 	cfg := testConfig()
 	cfg.Routers, cfg.MayProbe = minReportingRouters, true
@@ -25,7 +25,7 @@
 }
 
 // long makes a prompt so long that it is always reported.
-func long(q Arrival) Arrival {
+func longPrompt(q Arrival) Arrival {
 	q.PromptTokens = 4000
 	return q
 }
@@ -33,40 +33,40 @@
 // Of prompts with little prefill some are reported, each for as much as the smallest that always
 // are: the sum is right. The budget of a replica in slow start needs all.
 func TestSmallPromptsAreReportedBySample(t *testing.T) {
-	g := talking(t, members("a")...)
-	words, sum := 0, 0.0
+	g := newRouterWithPeers(t, members("a")...)
+	count, sum := 0, 0.0
 	const sent, tokens = 400, 500
 	for range sent {
 		q := g.request("safe")
 		q.PromptTokens = tokens
-		for _, tell := range of[SendReports](g.step(q)) {
-			words, sum = words+1, sum+tell.Reports[0].PrefillTokens
+		for _, message := range actionsOf[SendReports](g.step(q)) {
+			count, sum = count+1, sum+message.Reports[0].PrefillTokens
 		}
 		g.after(ms, Outcome{ID: q.ID, Result: NotSent, Final: true}) // which teaches nothing
 	}
-	word := smallPromptFraction * 1 / defaultPrefillTime // of a latency target of a second
-	if want := sent * tokens / word; float64(words) < 0.7*want || float64(words) > 1.3*want || sum != float64(words)*word {
-		t.Errorf("%d words of %.0f tokens in all, want some %.0f of %.0f each", words, sum, want, word)
+	smallest := smallPromptFraction * 1 / defaultPrefillTime // of a latency target of a second
+	if want := sent * tokens / smallest; float64(count) < 0.7*want || float64(count) > 1.3*want || sum != float64(count)*smallest {
+		t.Errorf("%d words of %.0f tokens in all, want some %.0f of %.0f each", count, sum, want, smallest)
 	}
-	cold := talking(t, append(members("a"), Member{Replica: "cold", Zone: "here", Kind: "k", StartedAt: 99 * sec})...)
-	cold.serve(long(cold.request("safe")), 50*ms, 0)
+	cold := newRouterWithPeers(t, append(members("a"), Member{Replica: "cold", Zone: "here", Kind: "k", StartedAt: 99 * sec})...)
+	cold.serve(longPrompt(cold.request("safe")), 50*ms, 0)
 	cold.step(Members{Version: 9, Members: []Member{{Replica: "a", Zone: "here", Kind: "k", State: Draining}}})
 	q := cold.request("safe")
-	if tells := of[SendReports](cold.step(q)); len(tells) != 1 || tells[0].Reports[0].PrefillTokens != q.PromptTokens {
-		t.Errorf("reported of a replica in slow start: %v", tells)
+	if messages := actionsOf[SendReports](cold.step(q)); len(messages) != 1 || messages[0].Reports[0].PrefillTokens != q.PromptTokens {
+		t.Errorf("reported of a replica in slow start: %v", messages)
 	}
 }
 
 // Each of many routers sees few of a replica's requests: what one sends is reported to those
 // that share the replica.
 func TestSentPromptIsReported(t *testing.T) {
-	g := talking(t, members("a")...)
-	out := g.step(long(g.request("safe")))
+	g := newRouterWithPeers(t, members("a")...)
+	out := g.step(longPrompt(g.request("safe")))
 	want := []SendReports{{To: []int{1, 2}, Zone: zoneTag("here"), Reports: []PeerReport{{ReplicaTag: replicaTag(g.b.replicas["a"]), PrefillTokens: 4000}}}}
-	if diff := cmp.Diff(want, of[SendReports](out)); diff != "" {
+	if diff := cmp.Diff(want, actionsOf[SendReports](out)); diff != "" {
 		t.Error(diff)
 	}
-	if n := len(of[Probe](out)); n != 0 {
+	if n := len(actionsOf[Probe](out)); n != 0 {
 		t.Errorf("%d probes; where routers tell each other, none is value its price", n)
 	}
 }
@@ -82,12 +82,12 @@
 	}
 	g := &testRouter{t: t, b: b, now: 100 * sec}
 	greeting := []SendReports{{To: []int{0, 2, 3, 4, 5, 6, 7}, Zone: zoneTag("here")}}
-	if diff := cmp.Diff(greeting, of[SendReports](g.step(Members{Version: 1, Complete: true, Members: append(members("a"), Member{Replica: "far", Zone: "there", Kind: "k"})}))); diff != "" {
+	if diff := cmp.Diff(greeting, actionsOf[SendReports](g.step(Members{Version: 1, Complete: true, Members: append(members("a"), Member{Replica: "far", Zone: "there", Kind: "k"})}))); diff != "" {
 		t.Error(diff)
 	}
 	g.step(ReportsReceived{From: 0, Zone: zoneTag("there")}, ReportsReceived{From: 3, Zone: zoneTag("here")}, ReportsReceived{From: 9}, ReportsReceived{From: -1})
-	if tells := of[SendReports](g.step(long(g.request("safe")))); len(tells) != 1 || !cmp.Equal(tells[0].To, []int{3}) {
-		t.Errorf("want the prompt reported to router 3 alone, got %v", tells)
+	if messages := actionsOf[SendReports](g.step(longPrompt(g.request("safe")))); len(messages) != 1 || !cmp.Equal(messages[0].To, []int{3}) {
+		t.Errorf("want the prompt reported to router 3 alone, got %v", messages)
 	}
 }
 
@@ -97,9 +97,9 @@
 	for _, test := range []struct {
 		name  string
 		after int // s since the others sent
-		fresh bool
+		looksIdle bool
 	}{{"just now", 0, false}, {"long ago", 60, true}} {
-		g := talking(t, members("a", "b")...)
+		g := newRouterWithPeers(t, members("a", "b")...)
 		best := sentTo(t, g.step(g.request("safe")))
 		g.after(50*ms, FirstToken{ID: "q1"})
 		g.step(Outcome{ID: "q1", Result: OK, Final: true})
@@ -109,25 +109,25 @@
 		for range test.after {
 			g.after(sec)
 		}
-		if got := sentTo(t, g.step(q)) == best; got != test.fresh {
-			t.Errorf("%s: sent to the one that others filled: %v, want %v", test.name, got, test.fresh)
+		if got := sentTo(t, g.step(q)) == best; got != test.looksIdle {
+			t.Errorf("%s: sent to the one that others filled: %v, want %v", test.name, got, test.looksIdle)
 		}
 	}
 }
 
 // A slow replica is known to all from the first router that met it, until that report is old.
 func TestLatencyRatioIsReportedAndBelieved(t *testing.T) {
-	g := talking(t, members("a")...)
+	g := newRouterWithPeers(t, members("a")...)
 	g.step(g.request("safe"))
-	tells := of[SendReports](g.after(900*ms, FirstToken{ID: "q1"}))
-	if len(tells) != 1 || tells[0].Reports[0].LatencyRatio < reportRatio {
-		t.Fatalf("want the slow first token reported, got %v", tells)
+	messages := actionsOf[SendReports](g.after(900*ms, FirstToken{ID: "q1"}))
+	if len(messages) != 1 || messages[0].Reports[0].LatencyRatio < reportRatio {
+		t.Fatalf("want the slow first token reported, got %v", messages)
 	}
 
-	h := talking(t, members("a", "b")...)
+	h := newRouterWithPeers(t, members("a", "b")...)
 	a := h.b.replicas["a"]
 	for range 3 {
-		h.step(ReportsReceived{From: 1, Zone: zoneTag("here"), Reports: tells[0].Reports})
+		h.step(ReportsReceived{From: 1, Zone: zoneTag("here"), Reports: messages[0].Reports})
 	}
 	if s := h.b.latencyRatioOf(a); s < reportRatio {
 		t.Errorf("slowness %.2f after three words of it", s)
@@ -140,7 +140,7 @@
 
 // What was observed here a moment ago stands, however many report otherwise.
 func TestReportsNeverOutweighLocalObservations(t *testing.T) {
-	g := talking(t, members("a")...)
+	g := newRouterWithPeers(t, members("a")...)
 	a := g.b.replicas["a"]
 	g.serve(g.request("safe"), 60*ms, 0)
 	own := g.b.latencyRatioOf(a)
@@ -154,7 +154,7 @@
 
 // Reports on a replica that is not listed do nothing, and none makes it one to send to.
 func TestUnlistedReplicaIsNeverSentTo(t *testing.T) {
-	g := talking(t, members("a")...)
+	g := newRouterWithPeers(t, members("a")...)
 	g.step(ReportsReceived{From: 1, Reports: []PeerReport{{ReplicaTag: replicaTag(&replica{hash: rendezvous.Hash("elsewhere")}), PrefillTokens: 1}}})
 	if len(g.b.replicas) != 1 || g.b.replicas["a"].peerTokens != 0 {
 		t.Errorf("%d replicas, %v tokens reported of for the one listed; want 1 and none", len(g.b.replicas), g.b.replicas["a"].peerTokens)
@@ -166,36 +166,36 @@
 func TestAssignmentsAgree(t *testing.T) {
 	const routers, hosts = 30, 40
 	var list []Member
-	for i, name := range numbered("r", hosts) {
+	for i, name := range numberedNames("r", hosts) {
 		list = append(list, Member{Replica: name, Zone: fmt.Sprint("z", i%2), Kind: "k"})
 	}
 	all := make([]*testRouter, routers)
-	for me := range all {
+	for self := range all {
 		cfg := testConfig()
-		cfg.Routers, cfg.Self, cfg.Zone = routers, me, fmt.Sprint("z", me%2)
-		all[me] = newTestRouter(t, cfg, list...)
+		cfg.Routers, cfg.Self, cfg.Zone = routers, self, fmt.Sprint("z", self%2)
+		all[self] = newTestRouter(t, cfg, list...)
 		for from := range routers {
-			all[me].step(ReportsReceived{From: from, Zone: zoneTag(fmt.Sprint("z", from%2))})
+			all[self].step(ReportsReceived{From: from, Zone: zoneTag(fmt.Sprint("z", from%2))})
 		}
 	}
-	for me, g := range all {
-		mine := 0
+	for self, g := range all {
+		assignedCount := 0
 		for _, r := range g.b.sorted {
 			if diff := cmp.Diff(all[0].b.replicas[r.Replica].liveAssignees, r.liveAssignees); diff != "" {
-				t.Fatalf("routers 0 and %d differ on who has %s: %s", me, r.Replica, diff)
+				t.Fatalf("routers 0 and %d differ on who has %s: %s", self, r.Replica, diff)
 			}
-			if slices.Contains(r.liveAssignees, me) != r.assigned {
-				t.Errorf("router %d: %s is mine: %v, for others %v", me, r.Replica, r.assigned, r.liveAssignees)
+			if slices.Contains(r.liveAssignees, self) != r.assigned {
+				t.Errorf("router %d: %s is mine: %v, for others %v", self, r.Replica, r.assigned, r.liveAssignees)
 			}
 			if r.assigned {
-				mine++
+				assignedCount++
 				if r.Zone != g.b.cfg.Zone {
-					t.Errorf("router %d has %s of another zone in its share", me, r.Replica)
+					t.Errorf("router %d has %s of another zone in its share", self, r.Replica)
 				}
 			}
 		}
-		if mine != minAssignedReplicas {
-			t.Errorf("router %d has a share of %d, want %d", me, mine, minAssignedReplicas)
+		if assignedCount != minAssignedReplicas {
+			t.Errorf("router %d has a share of %d, want %d", self, assignedCount, minAssignedReplicas)
 		}
 	}
 }
@@ -203,12 +203,12 @@
 // Routers that report to each other spend one budget of a replica in slow start: what others
 // sent it leaves that much less.
 func TestSlowStartBudgetIsSharedByReports(t *testing.T) {
-	sent := func(others bool) (n int) {
-		g := talking(t, append(members("warm"), Member{Replica: "cold", Zone: "here", Kind: "k", StartedAt: 99 * sec})...)
+	sent := func(reportsOthers bool) (n int) {
+		g := newRouterWithPeers(t, append(members("warm"), Member{Replica: "cold", Zone: "here", Kind: "k", StartedAt: 99 * sec})...)
 		cold := g.b.replicas["cold"]
 		for range 60 {
 			q := g.request("safe")
-			if others {
+			if reportsOthers {
 				g.step(ReportsReceived{From: 1, Zone: zoneTag("here"), Reports: []PeerReport{{ReplicaTag: replicaTag(cold), PrefillTokens: 1}}})
 			}
 			g.step(q)
@@ -233,10 +233,10 @@
 func TestUnassignedReplicasOnlyForNeed(t *testing.T) {
 	cfg := testConfig()
 	cfg.Routers = minReportingRouters
-	g := newTestRouter(t, cfg, members(numbered("r", 3*minAssignedReplicas)...)...)
-	mine := func() bool { return g.b.replicas[sentTo(t, g.step(g.request("safe")))].assigned }
+	g := newTestRouter(t, cfg, members(numberedNames("r", 3*minAssignedReplicas)...)...)
+	sentToAssigned := func() bool { return g.b.replicas[sentTo(t, g.step(g.request("safe")))].assigned }
 	for range 2 * minAssignedReplicas {
-		if !mine() {
+		if !sentToAssigned() {
 			t.Fatal("sent beyond the share, which has room")
 		}
 	}
@@ -245,7 +245,7 @@
 			r.limit = 0
 		}
 	}
-	if mine() {
+	if sentToAssigned() {
 		t.Error("sent to a full replica of the share")
 	}
 }
@@ -255,17 +255,17 @@
 // capacity, nothing else is ever sent to, and once the reports have stopped all is as it was.
 func TestReportsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		g := talking(t, append(members("a", "b", "c"), Member{Replica: "leaving", Zone: "here", Kind: "k", State: Draining})...)
+		g := newRouterWithPeers(t, append(members("a", "b", "c"), Member{Replica: "leaving", Zone: "here", Kind: "k", State: Draining})...)
 		tags := []uint32{0, 1, replicaTag(&replica{hash: rendezvous.Hash("elsewhere")})}
 		for _, r := range g.b.sorted {
 			tags = append(tags, replicaTag(r))
 		}
-		var said []ReportsReceived
+		var received []ReportsReceived
 		for i := range rapid.IntRange(1, 40).Draw(rt, "steps") {
-			var words []Event
+			var events []Event
 			for range rapid.IntRange(0, 4).Draw(rt, "words") {
-				if len(said) > 0 && rapid.Bool().Draw(rt, "again") {
-					words = append(words, rapid.SampledFrom(said).Draw(rt, "which"))
+				if len(received) > 0 && rapid.Bool().Draw(rt, "again") {
+					events = append(events, rapid.SampledFrom(received).Draw(rt, "which"))
 					continue
 				}
 				n := PeerReport{ReplicaTag: rapid.SampledFrom(tags).Draw(rt, "tag")}
@@ -275,11 +275,11 @@
 					n.PrefillTokens = rapid.Float64Range(0, 1e6).Draw(rt, "tokens")
 				}
 				h := ReportsReceived{From: rapid.IntRange(-1, minReportingRouters).Draw(rt, "from"), Zone: zoneTag(rapid.SampledFrom([]string{"here", "there"}).Draw(rt, "zone")), Reports: []PeerReport{n}}
-				said, words = append(said, h), append(words, h)
+				received, events = append(received, h), append(events, h)
 			}
 			q := g.request("safe")
 			q.ID = fmt.Sprint("w", i)
-			for _, s := range of[Send](g.after(100*ms, append(words, q)...)) {
+			for _, s := range actionsOf[Send](g.after(100*ms, append(events, q)...)) {
 				if r := g.b.replicas[s.Replica]; r == nil || r.State != Serving {
 					rt.Fatalf("sent to %s", s.Replica)
 				}
@@ -304,18 +304,18 @@
 // the replica has not restarted; a prompt of it needs less prefill there, another's does not,
 // and neither more of a prompt than the prefix.
 func TestReportedPrefixIsCachedForOthers(t *testing.T) {
-	g := talking(t, members("a", "b")...)
-	q := long(g.request("safe"))
+	g := newRouterWithPeers(t, members("a", "b")...)
+	q := longPrompt(g.request("safe"))
 	q.Prefix, q.PrefixTokens = "long beginning", 3000
-	reported := of[SendReports](g.step(q))
+	reported := actionsOf[SendReports](g.step(q))
 	if len(reported) != 1 || reported[0].Reports[0].PrefixTag == 0 {
 		t.Fatalf("reported %v", reported)
 	}
-	other := talking(t, members("a", "b")...)
+	other := newRouterWithPeers(t, members("a", "b")...)
 	other.step(ReportsReceived{From: 1, Zone: zoneTag("here"), Reports: reported[0].Reports})
 	other.after(10 * sec) // it has been read
-	tagged := other.b.byTag[reported[0].Reports[0].ReplicaTag]
-	reads := func(prefix string, r *replica) float64 {
+	reportedReplica := other.b.byTag[reported[0].Reports[0].ReplicaTag]
+	prefillTokens := func(prefix string, r *replica) float64 {
 		a := q
 		a.Prefix = prefix
 		x := &request{Arrival: a, class: other.b.classes["safe"], prefixHash: rendezvous.Hash(prefix)}
@@ -324,18 +324,18 @@
 	}
 	for _, r := range other.b.sorted {
 		want := 4000.0
-		if r == tagged {
+		if r == reportedReplica {
 			want = 1000
 		}
-		if got := reads(q.Prefix, r); got != want {
+		if got := prefillTokens(q.Prefix, r); got != want {
 			t.Errorf("%s reads %v of it, want %v", r.Replica, got, want)
 		}
-		if got := reads("another", r); got != 4000 {
+		if got := prefillTokens("another", r); got != 4000 {
 			t.Errorf("%s reads %v of another, want all", r.Replica, got)
 		}
 	}
-	other.b.beginSlowStart(tagged, other.b.now)
-	if got := reads(q.Prefix, tagged); got != 4000 {
+	other.b.beginSlowStart(reportedReplica, other.b.now)
+	if got := prefillTokens(q.Prefix, reportedReplica); got != 4000 {
 		t.Errorf("started anew it reads %v, want all", got)
 	}
 }
--- a/balance/retrybudget_test.go
+++ b/balance/retrybudget_test.go
@@ -20,10 +20,10 @@
 			cfg.RetryBudget = retrybudget.New(0, 0)
 			g := newTestRouter(t, cfg, members("a", "b")...)
 			q := g.request("safe")
-			if len(of[Send](g.step(q))) != 1 {
+			if len(actionsOf[Send](g.step(q))) != 1 {
 				t.Fatal("not sent")
 			}
-			if again := len(of[Send](g.step(Outcome{ID: q.ID, Result: tt.result}))) == 1; again != tt.again {
+			if again := len(actionsOf[Send](g.step(Outcome{ID: q.ID, Result: tt.result}))) == 1; again != tt.again {
 				t.Errorf("sent again: %v, want %v", again, tt.again)
 			}
 		})
--- a/balance/size_test.go
+++ b/balance/size_test.go
@@ -22,10 +22,10 @@
 
 // undecided are the files that hold the interface, the state and what is read of it; they decide
 // nothing.
-var undecided = []string{"config.go", "learned.go", "state.go", "status.go", "tags.go", "types.go"}
+var nonPolicyFiles = []string{"config.go", "learned.go", "state.go", "status.go", "tags.go", "types.go"}
 
 // policy returns the paths of the files that the deployment says decide.
-func policy(t *testing.T) []string {
+func policyFiles(t *testing.T) []string {
 	t.Helper()
 	text, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
@@ -43,7 +43,7 @@
 }
 
 func TestLinesFitAScreen(t *testing.T) {
-	for _, path := range policy(t) {
+	for _, path := range policyFiles(t) {
 		text, err := os.ReadFile(path)
 		if err != nil {
 			t.Fatal(err)
@@ -58,7 +58,7 @@
 
 func TestFunctionsFitAScreen(t *testing.T) {
 	fset := token.NewFileSet()
-	for _, path := range policy(t) {
+	for _, path := range policyFiles(t) {
 		file, err := parser.ParseFile(fset, path, nil, parser.SkipObjectResolution|parser.ParseComments)
 		if err != nil {
 			t.Fatal(err)
@@ -81,13 +81,13 @@
 // TestEveryDecisionIsListed: a file of this package is on the policy list, or is one of the few
 // that decide nothing.
 func TestEveryDecisionIsListed(t *testing.T) {
-	listed := policy(t)
+	listed := policyFiles(t)
 	files, err := filepath.Glob("*.go")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, file := range files {
-		if strings.HasSuffix(file, "_test.go") || slices.Contains(undecided, file) {
+		if strings.HasSuffix(file, "_test.go") || slices.Contains(nonPolicyFiles, file) {
 			continue
 		}
 		if !slices.Contains(listed, filepath.Join("..", "balance", file)) {
@@ -98,7 +98,7 @@
 
 // TestFilesThatDecideNothing: no action is given, and no random number drawn, outside the policy.
 func TestFilesThatDecideNothing(t *testing.T) {
-	for _, file := range undecided {
+	for _, file := range nonPolicyFiles {
 		text, err := os.ReadFile(file)
 		if err != nil {
 			t.Fatal(err)
