--- a/balance/affinity_test.go
+++ b/balance/affinity_test.go
@@ -10,14 +10,14 @@
 	"reachspread/internal/rendezvous"
 )
 
-// What the affinity host of a prefix has cached is not computed a second time elsewhere for a
-// little less waiting.
+// A prefix that its affinity host has cached is not computed again on another replica to save a
+// short wait.
 func TestRecomputedPrefixIsExpensive(t *testing.T) {
 	for _, tt := range []struct {
-		name   string
-		ahead  float64 // tokens in front of the affinity host
+		name         string
+		ahead        float64 // tokens queued on the affinity host
 		prefixTokens float64
-		wantsOther bool
+		wantsOther   bool
 	}{
 		{"a short wait for a long prefix", 2000, 1000, false},
 		{"a long wait for a long prefix", 8000, 1000, true},
@@ -36,13 +36,13 @@
 	}
 }
 
-// A prefix has two affinity hosts while it is one of many, and more as its fraction of all
-// prompts grows, by this router's prompts and by those that others report.
+// A prefix with a small fraction of all prompts has two affinity hosts. Their number grows with
+// that fraction, which counts this router's prompts and those that other routers report.
 func TestAffinityHostsByPrefixFraction(t *testing.T) {
 	const hosts = 20
 	for _, tt := range []struct {
 		name                string
-		own, reported, rest int // prompts: own ones of the prefix, those of it that others reported, and others
+		own, reported, rest int // this router's prompts with the prefix, other routers' prompts with it, and prompts with other prefixes
 		least, most         int
 	}{
 		{"one of many", 1, 0, 400, 2, 2},
@@ -74,7 +74,7 @@
 			is.True(len(hosts) >= tt.least)
 			is.True(len(hosts) <= tt.most)
 			is.Equal(hosts[0], q.affinityHost)
-			is.Equal(hosts[0], firstRanked(q.prefixHash, slices.Clone(g.b.sorted), 1)[0]) // the same affinity host, however many there are
+			is.Equal(hosts[0], firstRanked(q.prefixHash, slices.Clone(g.b.sorted), 1)[0]) // the first affinity host does not depend on their number
 		})
 	}
 }
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// testRouter drives one Balancer and records what it did.
+// testRouter drives one Balancer with a clock and numbers its requests.
 type testRouter struct {
 	t   *testing.T
 	b   *Balancer
@@ -55,13 +55,14 @@
 	return g.step(events...)
 }
 
-// request is an arrival of a class with 1,000 prompt tokens.
+// request returns a new arrival of a class with 1,000 prompt tokens.
 func (g *testRouter) request(class string) Arrival {
 	g.ids++
 	return Arrival{ID: fmt.Sprint("q", g.ids), Class: class, TimeLeft: 2 * sec, PromptTokens: 1000, WorkEstimate: 100 * ms}
 }
 
-// serve has a request sent, begun after a while and answered, and returns its replica.
+// serve sends a request, reports its first token after a while and a complete answer, and returns
+// its replica.
 func (g *testRouter) serve(q Arrival, first time.Duration, cached float64) string {
 	g.t.Helper()
 	replica := sentTo(g.t, g.step(q))
@@ -78,7 +79,7 @@
 	return list
 }
 
-// numbered returns n names that begin alike.
+// numberedNames returns n names that consist of a common prefix and a number.
 func numberedNames(start string, n int) []string {
 	var names []string
 	for i := 0; i < n; i++ {
@@ -87,7 +88,7 @@
 	return names
 }
 
-// of picks the actions of one type.
+// actionsOf returns the actions of one type.
 func actionsOf[A Action](actions []Action) []A {
 	var list []A
 	for _, a := range actions {
@@ -153,7 +154,8 @@
 	}
 }
 
-// Nothing waits while a replica has capacity, and what waits leaves by response ratio.
+// A request is sent as soon as a replica has capacity, and queued requests are sent in order of
+// their response ratio.
 func TestDispatchOrder(t *testing.T) {
 	g := newTestRouter(t, testConfig(), members("a")...)
 	r := g.b.replicas["a"]
@@ -170,7 +172,7 @@
 	if got := actionsOf[Send](g.after(100 * ms)); len(got) != 1 || got[0].ID != short.ID {
 		t.Errorf("want the short prompt first, got %v", got)
 	}
-	// The same two, but the long one has waited far longer.
+	// The same two requests, but the one with the long prompt has waited much longer.
 	longTarget := testConfig()
 	longTarget.Classes[0].LatencyTarget = 10 * sec
 	waited := newTestRouter(t, longTarget, members("a")...)
@@ -209,14 +211,15 @@
 	}
 }
 
-// A client's time spent before this attempt says nothing about the replica (incident i58049e).
+// The time that a client spent before this attempt must not count as latency of the replica
+// (incident i58049e).
 func TestLaterAttemptDoesNotReduceTheLimit(t *testing.T) {
 	g := newTestRouter(t, testConfig(), members("a")...)
 	first := g.request("safe")
 	g.step(first)
 	g.step(FirstToken{ID: first.ID}, Outcome{ID: first.ID, Result: OK, Final: true})
 	later := g.request("safe")
-	later.TimeLeft = 1400 * ms // of 4 s, so 2.6 s are spent
+	later.TimeLeft = 1400 * ms // 2.6 s of the deadline of 4 s have passed
 	g.b.replicas["a"].ejectedUntil = 0
 	before := g.b.replicas["a"].limit
 	a := &attempt{request: &request{class: g.b.classes["safe"], latencyTarget: sec, arrivedAt: g.now - 2*sec}, replica: g.b.replicas["a"],
@@ -227,7 +230,7 @@
 	}
 }
 
-// A slowdown of the whole fleet is no reason to reduce every limit to its minimum.
+// If all replicas are slow, lateness must not reduce every concurrency limit to its minimum.
 func TestLatenessAloneKeepsTheLimitAboveItsFloor(t *testing.T) {
 	g := newTestRouter(t, testConfig(), members("a", "b", "c")...)
 	for i := 0; i < 50; i++ {
@@ -259,13 +262,13 @@
 	}
 }
 
-// Two affinity hosts are too few for a prefix that a large fleet is asked for through many
-// routers, none of which sees the load that the others put there (incident iaaacad): their
-// number grows with the fraction of the prompts.
+// Two affinity hosts are too few for a prefix that many routers of a large fleet use, because no
+// router sees the load that the others put on these hosts (incident iaaacad). The number of
+// affinity hosts must grow with the fraction of the prompts that have the prefix.
 func TestAffinityHostsGrowWithThePrefixFraction(t *testing.T) {
 	names := numberedNames("r", 60)
 	used := map[string]map[string]bool{"hot": {}, "rare": {}}
-	for n := 0; n < 40; n++ { // routers, which see 50 prompts each
+	for n := 0; n < 40; n++ { // 40 routers with 50 prompts each
 		g := newTestRouter(t, testConfig(), members(names...)...)
 		for i := 0; i < 50; i++ {
 			q := g.request("safe")
@@ -287,7 +290,7 @@
 	}
 }
 
-// A hot prefix must not overload its affinity hosts.
+// A frequent prefix must not overload its affinity hosts.
 func TestHotPrefixGetsFurtherAffinityHosts(t *testing.T) {
 	g := newTestRouter(t, testConfig(), members("a", "b", "c", "d", "e", "f")...)
 	used := map[string]int{}
@@ -341,7 +344,7 @@
 	}
 }
 
-// Whatever happens, a request gets its answer before its client gives up.
+// A queued request is answered before its client gives up, even if no replica can take it.
 func TestQueuedRequestIsAnsweredInTime(t *testing.T) {
 	full := func(g *testRouter) { g.b.replicas["a"].limit = 0 }
 	tests := []struct {
@@ -401,7 +404,7 @@
 	for _, tt := range tests {
 		list := members("a", "b", "c", "d")
 		for i := range list {
-			list[i].Cell = i / 2 // a and b discard each other's duplicates, c and d theirs
+			list[i].Cell = i / 2 // a and b share a cell and discard each other's duplicates, and so do c and d
 		}
 		g := newTestRouter(t, testConfig(), list...)
 		q := g.request(tt.class)
@@ -512,9 +515,10 @@
 	}
 }
 
-// A failure that need not be the process's ejects from the second in a row on, and is no sign of
-// a new process: on a day with stray resets, a whole healthy fleet got only what a replica in
-// slow start may have.
+// A failure other than a refused connection does not prove that the process died. It ejects a
+// replica only if it is the second in a row, and the replica does not begin slow start afterwards.
+// When stray resets began slow start, a whole healthy fleet got only as much as replicas in slow
+// start may get.
 func TestSingleFailuresNeitherEjectNorBeginSlowStart(t *testing.T) {
 	for _, result := range []Result{TimedOut, Error, Reset} {
 		g := newTestRouter(t, testConfig(), members("a")...)
@@ -534,7 +538,7 @@
 	}
 }
 
-// A replica that accepts and never answers looks idle.
+// A replica that accepts requests and never answers must not look idle.
 func TestOverdueAnswersCount(t *testing.T) {
 	g := newTestRouter(t, testConfig(), members("a", "b")...)
 	q := g.request("safe")
@@ -547,8 +551,8 @@
 	}
 }
 
-// routersWithSlowStart returns routers that have sent a warm replica 5 requests a second each,
-// and know of a second one in slow start.
+// routersWithSlowStart returns n routers, each of which has sent 5 requests a second to a warm
+// replica and then learns of a second replica in slow start.
 func routersWithSlowStart(t *testing.T, n int) []*testRouter {
 	var list []*testRouter
 	for i := 0; i < n; i++ {
@@ -568,7 +572,7 @@
 	return list
 }
 
-// All routers together must stay below factor x present capacity x window, in any window.
+// In any window, all routers together must send less than factor x current capacity x window.
 func TestSlowStartBudgetOverAnyWindow(t *testing.T) {
 	cfg := testConfig()
 	type sent struct {
@@ -578,14 +582,14 @@
 	var all []sent
 	routers := routersWithSlowStart(t, 4)
 	startedAt := routers[0].now
-	// Each router sends 0.5 s of work a second to a warm replica, so one carries 2 s at least from
-	// all of them.
+	// Each router sends 0.5 s of work per second to a warm replica, so a warm replica handles at
+	// least 2 s per second from the 4 routers.
 	capacity := 2.0
 	for _, g := range routers {
 		for g.now < startedAt+cfg.SlowStartWindow {
 			q := g.request("safe")
 			if g.ids%7 == 0 {
-				q.WorkEstimate = 600 * ms // a heavy prompt
+				q.WorkEstimate = 600 * ms // a request with much work
 			}
 			for range actionsOf[Send](g.after(50*ms, q)) {
 				all = append(all, sent{g.now, q.WorkEstimate.Seconds()})
@@ -610,11 +614,11 @@
 	}
 }
 
-// Many routers share a budget of which each one's fraction is far below one request: the replica
-// in slow start must get some of the load, but not from all routers at once, nor more because
-// attempts fail elsewhere.
+// With many routers, each router's fraction of the slow-start budget is far below one request. The
+// replica in slow start must still get some of the load, but not from all routers at once, and not
+// more because attempts fail on other replicas.
 func TestSlowStartBudgetOfManyRouters(t *testing.T) {
-	const routers, warm, rate = 200, 50, 1.0 // prompts a second from each
+	const routers, warm, rate = 200, 50, 1.0 // rate is in prompts per second from each router
 	for _, failing := range []bool{false, true} {
 		names := numberedNames("warm", warm)
 		var all []*testRouter
@@ -657,7 +661,7 @@
 			t.Errorf("storm %v: only %d prompts for the replica in slow start in 10 s", failing, len(sends))
 		}
 		cfg := testConfig()
-		capacity := 2 * routers * rate / warm // prompts a second, as warm replicas are half used
+		capacity := 2 * routers * rate / warm // prompts per second; warm replicas are half used
 		for at := startedAt; at < startedAt+10*sec; at += 100 * ms {
 			count := 0
 			for _, s := range sends {
@@ -724,9 +728,9 @@
 	}
 }
 
-// Each of many routers hears of a replica too rarely to compare two (incident iaaacad): the
-// samples are probed, never the whole fleet, and the request leaves for the one that reports
-// less, or after a while in any case.
+// One of many routers observes each replica too rarely to compare two of them (incident iaaacad).
+// It probes the samples, never the whole fleet, and sends the request to the sample that reports
+// less load, or after probeTimeout to either sample.
 func TestSamplesAreProbedWhereReportsAreOld(t *testing.T) {
 	cfg := testConfig()
 	cfg.MayProbe = true
@@ -764,7 +768,8 @@
 	}
 }
 
-// The order must be by name however the list comes, as results depend on it.
+// Replicas must be kept sorted by name whatever the order of the list, because results depend on
+// the order.
 func TestMembersInAnyOrder(t *testing.T) {
 	for _, names := range [][]string{{"a", "b", "c", "d"}, {"d", "b", "a", "c"}} {
 		g := newTestRouter(t, testConfig(), members(names...)...)
@@ -792,18 +797,18 @@
 	}
 }
 
-// Tokens of other routers that are reported late must not pass for a slow base time of every
-// answer (incident i752ce5).
+// Tokens of other routers that are reported late must not raise the estimated base time of every
+// first token (incident i752ce5).
 func TestUnreportedTokensDoNotRaiseTheBaseTime(t *testing.T) {
 	g := newTestRouter(t, testConfig(), members("a")...)
 	r := g.b.replicas["a"]
 	for i := 0; i < 200; i++ {
 		q := g.request("safe")
 		g.after(sec, q)
-		g.after(600*ms, FirstToken{ID: q.ID}) // 0.6 s for 1,000 tokens: others are in front, unseen
+		g.after(600*ms, FirstToken{ID: q.ID}) // 0.6 s for 1,000 tokens: unreported tokens of other routers come first
 		g.step(Outcome{ID: q.ID, Result: OK, Final: true})
 	}
-	g.now += 100 * sec // what is held against the replica itself fades
+	g.now += 100 * sec // long enough for the replica's latency ratio to decay
 	q := &request{Arrival: g.request("safe"), class: g.b.classes["safe"]}
 	q.PromptTokens = 1
 	if got := g.b.timeToFirstToken(q, r); got > 0.1 {
@@ -811,15 +816,16 @@
 	}
 }
 
-// In an overload patient requests of low value must not fill the queues (incident icafd05), nor
-// take the capacity that becomes free while others are rejected (i813dbf).
+// During overload, requests of low value with a long latency target must not fill the replicas'
+// queues (incident icafd05) or take the capacity that becomes free while other requests are
+// rejected (i813dbf).
 func TestLowValueYields(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[0].Value = 5
 	cfg.Classes = append(cfg.Classes, Class{Name: "patient", Value: 1, LatencyTarget: 10 * sec, Deadline: 40 * sec, Streamed: true})
 	for _, tt := range []struct {
 		value  float64
-		ahead  int // prompts of 2,000 tokens
+		ahead  int // number of prompts of 2,000 tokens sent before
 		length float64
 		sends  int
 	}{{1, 7, 1000, 0}, {5, 7, 1000, 1}, {1, 2, 1000, 0}, {1, 1, 100, 1}} {
@@ -841,8 +847,8 @@
 	}
 }
 
-// A first token expected late in its latency target leaves nothing for error or for the decoding
-// after it.
+// A request is rejected if its first token is expected so late within the latency target that no
+// time is left for an error of the estimate or for decoding.
 func TestRejectsBeforeTheLatencyTargetIsUsedUp(t *testing.T) {
 	for tokens, rejections := range map[float64]int{3000: 0, 8000: 1} {
 		g := newTestRouter(t, testConfig(), members("a")...)
@@ -855,10 +861,11 @@
 	}
 }
 
-// The class that others yield to stays queued while it can still be served (incident i813dbf).
+// A request of the class that others yield to stays queued while it can still be served (incident
+// i813dbf).
 func TestHighestClassIsQueuedNotRejected(t *testing.T) {
 	for _, tt := range []struct {
-		value    float64 // of the class asked for; another has 3
+		value      float64 // of the request's class; another class has value 3
 		rejections int
 	}{{5, 0}, {3, 1}, {1, 1}} {
 		cfg := testConfig()
@@ -885,7 +892,8 @@
 	}
 }
 
-// A list that doubles at once, an empty one, and a fleet of hundreds are ordinary updates.
+// Updates that double the list of replicas, empty it, or list hundreds of replicas are handled like
+// any other.
 func TestLargeAndChangingFleets(t *testing.T) {
 	var names []string
 	for i := 0; i < 600; i++ {
@@ -894,7 +902,7 @@
 	g := newTestRouter(t, testConfig(), members(names[:300]...)...)
 	used := map[string]bool{}
 	spread := func(version int64, list []string, want int) {
-		g.after(3*sec, Members{Version: version, Complete: true, Members: members(list...)}) // what was held is refused
+		g.after(3*sec, Members{Version: version, Complete: true, Members: members(list...)}) // queued requests have expired and been rejected by then
 		clear(used)
 		for i := 0; i < 200; i++ {
 			q := g.request("safe")
@@ -917,7 +925,7 @@
 	spread(5, names[:1], 1)
 }
 
-// What has been answered must not stay reachable behind the queue.
+// The queue's backing array must not keep answered requests reachable.
 func TestAnsweredRequestsAreReleased(t *testing.T) {
 	g := newTestRouter(t, testConfig(), members("a")...)
 	for i := 0; i < 5; i++ {
@@ -931,8 +939,8 @@
 	}
 }
 
-// A replica in slow start has cached no prefix, so a request costs more there than its work
-// estimate says (a zone's return at size).
+// A replica in slow start has no prefix cached, so a request takes more work there than its work
+// estimate says. This was found when a zone of many replicas returned.
 func TestSlowStartWorkCountsThePrefix(t *testing.T) {
 	g := routersWithSlowStart(t, 1)[0]
 	q := g.request("safe")
@@ -940,15 +948,15 @@
 	r := &request{Arrival: q, class: g.b.classes["safe"], prefixKey: "p"}
 	cold := g.b.replicas["cold"]
 	before := g.b.workOn(r, cold)
-	g.after(ms) // what is remembered at the start itself counts as lost with it
+	g.after(ms) // entries of the cache from the time of the start itself count as lost
 	cold.prefixCache.Put(r.prefixKey, g.b.now, q.PrefixTokens)
 	if after := g.b.workOn(r, cold); before < 1.5*after {
 		t.Errorf("work with the prefix to read %v, with it kept %v", before, after)
 	}
 }
 
-// A replica of another zone without a report must not pass for idle beside a near one that was
-// probed (hunted day hef4d9d).
+// A replica of another zone without a load report must not look idle next to a probed replica of
+// the router's own zone (found on the simulated day hef4d9d).
 func TestSamplesOfOtherZonesAreProbedToo(t *testing.T) {
 	cfg := testConfig()
 	cfg.MayProbe, cfg.CrossZonePenalty = true, 0.1
@@ -966,14 +974,15 @@
 	}
 }
 
-// Clients that retry at once find the queues that rejected them, and come once more.
+// A client that retries at once meets the same full queues and is rejected again, so a rejection
+// states a time after which to retry.
 func TestRejectionSaysWhenToComeBack(t *testing.T) {
 	for _, tt := range []struct {
-		name  string
-		maxRetryAfter  time.Duration
-		class string
-		after time.Duration // until the only replica has drained and the request is given up
-		want  time.Duration
+		name          string
+		maxRetryAfter time.Duration
+		class         string
+		after         time.Duration // time until the request expires
+		want          time.Duration
 	}{
 		{"latency target passed", 2 * sec, "safe", 3 * sec, 50 * ms},
 		{"the site's most", 20 * ms, "safe", 3 * sec, 20 * ms},
@@ -1019,8 +1028,8 @@
 	}
 }
 
-// On a long day every replica is replaced, again and again: those that were removed are
-// forgotten.
+// Over a long run every replica is replaced many times. The router must forget replicas that were
+// removed.
 func TestRemovedReplicasAreForgotten(t *testing.T) {
 	g := newTestRouter(t, testConfig(), members("a")...)
 	q := g.request("safe")
@@ -1038,8 +1047,8 @@
 	}
 }
 
-// Where each replica always has something to do, a request that yields for ever is never served,
-// on quiet days too.
+// If every replica is always busy, a request that always yields is never served, even at low load.
+// So a request must yield less the longer it has been queued.
 func TestQueuedRequestsYieldLessWithTime(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[0].Value = 5
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -8,16 +8,18 @@
 	"time"
 )
 
-// BenchmarkRequestAtSixtyHosts is the module's cost of one request with its events, at 60 hosts of
-// three zones and 80 routers; the others are at the size of the standing fleet test, and at a
-// thousand of each, with peer reports and alone.
+// BenchmarkRequestAtSixtyHosts measures the cost of one request with its events, at 60 hosts in
+// three zones and 80 routers. The benchmarks below measure it at the size of the fleet test (100
+// hosts, 300 routers), at a thousand hosts and routers with peer reports, and at a thousand hosts
+// without.
 func BenchmarkRequestAtSixtyHosts(b *testing.B)          { benchmarkRequest(b, 60, 80) }
 func BenchmarkRequestAtAHundredHosts(b *testing.B)       { benchmarkRequest(b, 100, 300) }
 func BenchmarkRequestAtAThousandHosts(b *testing.B)      { benchmarkRequest(b, 1000, 1000) }
 func BenchmarkRequestAloneAtAThousandHosts(b *testing.B) { benchmarkRequest(b, 1000, 0) }
 
-// BenchmarkRequestOfTheRouterFleet is the cost in the router fleet, where each router uses all of
-// the planned 810 hosts and hears three prompts of others for each of its own.
+// BenchmarkRequestOfTheRouterFleet measures the cost of one request in the router fleet, where each
+// router uses all of the planned 810 hosts and receives reports of three other prompts for each of
+// its own.
 func BenchmarkRequestOfTheRouterFleet(b *testing.B) {
 	benchmarkConfig(b, broadcastConfig(), 810)
 }
@@ -53,8 +55,8 @@
 
 var capacity = flag.Bool("capacity", false, "print lines of docs/measurements/capacity.csv")
 
-// TestMeasureCapacity prints the module's time for a request and its memory by the number of hosts,
-// at the planned number of routers for each host.
+// TestMeasureCapacity prints the time that a request takes in this package and the memory of a
+// Balancer, by number of hosts, at the planned number of routers per host.
 func TestMeasureCapacity(t *testing.T) {
 	if !*capacity {
 		t.Skip("a measurement; see docs/CAPACITY.md")
@@ -70,8 +72,8 @@
 	}
 }
 
-// memoryOf is the memory of one router's state once each of its assigned replicas has as many
-// cached prefixes as are remembered.
+// memoryOf returns the memory of one Balancer, in kB, after each of its assigned replicas has
+// maxCachedPrefixes entries in its prefix cache.
 func memoryOf(hosts int) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
--- a/balance/broadcast_test.go
+++ b/balance/broadcast_test.go
@@ -6,16 +6,16 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// broadcasting is the configuration of a router that has no number and whose reports reach all
-// others; prefixes have a single affinity host, as in the router fleet.
+// broadcastConfig returns the configuration of a router without a number whose reports reach all
+// others. Each prefix has a single affinity host, as in the router fleet.
 func broadcastConfig() Config {
 	cfg := testConfig()
 	cfg.Broadcast, cfg.SingleAffinityHost = true, true
 	return cfg
 }
 
-// Each prompt is reported as it is, however small, to all routers: the caller that carries the
-// reports samples them.
+// With Config.Broadcast, each prompt is reported to all routers with its actual size, even a small
+// one, because the caller that transmits the reports samples them.
 func TestBroadcastOfEachPrompt(t *testing.T) {
 	g := newTestRouter(t, broadcastConfig(), members("a")...)
 	for _, tokens := range []float64{20, 500, 4000} {
@@ -28,7 +28,7 @@
 	}
 }
 
-// A list of replicas is no reason to report anything.
+// An update of the list of replicas causes no reports.
 func TestBroadcastOfNothing(t *testing.T) {
 	g := newTestRouter(t, broadcastConfig())
 	list := members("a")
@@ -37,14 +37,14 @@
 	}
 }
 
-// What other routers have sent to a replica is in front of the next request there, until there
-// was time to prefill it.
+// Tokens that other routers have sent to a replica delay the next request there until the replica
+// has had time to prefill them.
 func TestReportedPromptsMoveTheNextOne(t *testing.T) {
 	for _, tt := range []struct {
 		name        string
 		broadcast   bool
-		tokens      float64 // that others have sent to the first replica
-		ago         int     // milliseconds
+		tokens      float64 // tokens that other routers have sent to the first replica
+		ago         int     // milliseconds since the report
 		wantsSecond bool
 	}{
 		{name: "nothing heard", broadcast: true},
@@ -74,7 +74,8 @@
 	}
 }
 
-// A replica to which another router has sent a prompt has its prefix cached from then on.
+// When another router reports a prompt that it has sent to a replica, the prompt's prefix counts as
+// cached on the replica from then on.
 func TestReportedPrefixIsCached(t *testing.T) {
 	g := newTestRouter(t, broadcastConfig(), members("a")...)
 	a := g.b.replicas["a"]
@@ -88,8 +89,8 @@
 	}
 }
 
-// Routers without numbers do not know how many they are: each has a credit of its own for a
-// replica in slow start, and others' reports take nothing from it.
+// Routers without numbers do not know how many routers there are. Each has its own slow-start
+// credit for a replica, and the reports of other routers spend nothing from it.
 func TestReportedPromptsSpendNoCredit(t *testing.T) {
 	list := members("a", "cold")
 	list[1].StartedAt = 99 * sec
--- a/balance/configchange_test.go
+++ b/balance/configchange_test.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// A request under way keeps the effect of its class, whatever the class becomes; fewer attempts
-// count for it, too, and end in an answer, never in another attempt.
+// A request that is under way when the configuration changes keeps the effect of its class. A lower
+// MaxAttempts applies to it as well: when it has no attempts left, it is answered and not sent
+// again.
 func TestConfigChange(t *testing.T) {
 	cfg := Config{MaxAttempts: 3, Classes: []Class{{Name: "c", LatencyTarget: time.Minute, Deadline: time.Minute, Streamed: true}}}
 	strict := Config{MaxAttempts: 3, Classes: []Class{{Name: "c", Effect: Unsafe, LatencyTarget: time.Minute, Deadline: time.Minute, Streamed: true}}}
 	fewer := cfg
 	fewer.MaxAttempts = 1
 	for _, tt := range []struct {
-		name         string
-		next         Config
-		wantEarlier, wantLater Action // on an error of a request of before, and of one of after
+		name                   string
+		next                   Config
+		wantEarlier, wantLater Action // actions on a failed attempt of a request that arrived before the change, and after it
 	}{
 		{"the same", cfg, Send{}, Send{}},
 		{"a stricter effect", strict, Send{}, Fail{}},
--- a/balance/docs_test.go
+++ b/balance/docs_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The page for on-call staff must hold the log lines in their exact words, and no others exist.
+// The on-call page must list every log line of the policy files in its exact words.
 func TestLogLinesAreDocumented(t *testing.T) {
 	page, err := os.ReadFile("../docs/oncall.md")
 	if err != nil {
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -7,8 +7,8 @@
 	"reachspread/balance"
 )
 
-// A router takes two requests. The first is served; the second times out at its client's
-// deadline while the replica is draining, so the router answers itself.
+// A router receives two requests. It serves the first one. The second one times out at its client's
+// deadline while the replica is draining, so the router rejects it.
 func Example() {
 	b, err := balance.New(balance.Config{
 		Zone: "east",
@@ -21,7 +21,7 @@
 	}
 	step := func(now time.Duration, events ...balance.Event) {
 		for _, a := range b.Step(now, events) {
-			switch a := a.(type) { // the host carries these out, in order
+			switch a := a.(type) { // the caller carries out the actions in order
 			case balance.Send:
 				fmt.Printf("%v send %s to %s\n", now, a.ID, a.Replica)
 			case balance.Reject:
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -18,9 +18,9 @@
 	return all
 }
 
-// A router that is dead by the view gets no reports once the view has held. A view that is wrong
-// for a second changes nothing, and a router that is back, or was never heard of, gets reports
-// again at once.
+// Once a liveness view has been stable, routers that it lacks get no more reports. A view that is
+// wrong for one second changes nothing. A router that returns to the view, or appears in it for the
+// first time, gets reports at once.
 func TestLivenessViewSelectsWhoGetsReports(t *testing.T) {
 	g := newRouterWithPeers(t, members("a")...)
 	reported := func(want ...int) {
@@ -45,14 +45,14 @@
 	g.step(LivenessView{Version: 7, Live: livePeers(0, 1)})
 	g.after(viewStabilityTime)
 	reported(1)
-	g.step(LivenessView{Version: 6, Live: livePeers(0, 1, 2)}) // old
+	g.step(LivenessView{Version: 6, Live: livePeers(0, 1, 2)}) // older than the last view, so ignored
 	reported(1)
 	g.step(LivenessView{Version: 8, Live: livePeers(0, 1, 2, 3, 99, -1)})
 	reported(1, 2, 3)
 }
 
-// The slow-start budget counts the routers that live: fewer count at once, more after the view
-// has held.
+// The slow-start budget is computed with the number of live routers. A lower number takes effect at
+// once, a higher one after the view has been stable.
 func TestSlowStartBudgetFollowsTheView(t *testing.T) {
 	g := newRouterWithPeers(t, append(members("warm"), Member{Replica: "cold", Zone: "here", Kind: "k", StartedAt: 99 * sec})...)
 	g.serve(g.request("safe"), 50*ms, 0)
@@ -73,13 +73,14 @@
 	ratio(6)
 }
 
-// To each of many routers most replicas are idle. While the assigned ones have a backlog, an
-// idle one is tried against its estimate only once in a while; while they have none, at once.
+// One of many routers has no attempts on most replicas. While the assigned replicas have a backlog,
+// it sends to such an idle replica against its estimate only once in a while; without a backlog, at
+// once.
 func TestIdleReplicaIsTriedAsFarAsOthersHaveNoBacklog(t *testing.T) {
 	for _, backlogged := range []bool{false, true} {
 		g := newRouterWithPeers(t, members("a", "b", "c")...)
 		for _, r := range g.b.sorted {
-			r.prefill.Add(1000, 0.5) // so that 1,000 tokens are half of the latency target
+			r.prefill.Add(1000, 0.5) // so that 1,000 tokens take half of the latency target
 		}
 		var reports []PeerReport
 		for _, r := range g.b.sorted {
@@ -94,7 +95,7 @@
 			q.PromptTokens = 1500
 			if n := len(actionsOf[Send](g.after(ms, q))); n > 0 {
 				sent++
-				g.after(20*ms, Aborted{ID: q.ID}, Outcome{ID: q.ID, Result: Cancelled, Final: true}) // which teaches nothing
+				g.after(20*ms, Aborted{ID: q.ID}, Outcome{ID: q.ID, Result: Cancelled, Final: true}) // a cancelled attempt changes no estimate
 			}
 		}
 		if backlogged && sent != 1 || !backlogged && sent < 15 {
@@ -103,8 +104,8 @@
 	}
 }
 
-// The prompts that a dead router reported are over, too: what all reported is lowered in
-// proportion once the view has held.
+// The prompts that a dead router reported no longer count. Because reports are summed over routers,
+// the sum is reduced in proportion once the view has been stable.
 func TestReportsOfRemovedRoutersAreDropped(t *testing.T) {
 	for _, dead := range []bool{false, true} {
 		g := newRouterWithPeers(t, members("a")...)
@@ -116,7 +117,7 @@
 			g.step(LivenessView{Version: 2, Live: livePeers(0, 2)})
 			want *= 2.0 / 3
 		}
-		want -= viewStabilityTime.Seconds() / a.prefill.perToken() // read meanwhile
+		want -= viewStabilityTime.Seconds() / a.prefill.perToken() // prefilled while the view was stable
 		g.after(viewStabilityTime)
 		if got := g.b.tokensQueuedOn(a); got < 0.99*want || got > 1.01*want {
 			t.Errorf("gone %v: %.0f tokens are taken to be before it, want %.0f", dead, got, want)
@@ -124,8 +125,9 @@
 	}
 }
 
-// Few routers before many replicas have so many assigned that nearly each replica is assigned to
-// some; one that is assigned to none is used for need alone.
+// With few routers and many replicas, enough replicas are assigned to each router that nearly every
+// replica is assigned to some router. A replica assigned to no router is used only if others have
+// no capacity.
 func TestAssignmentsCoverTheReplicas(t *testing.T) {
 	const routers, hosts = 10, 80
 	cfg := testConfig()
@@ -144,7 +146,7 @@
 	if len(g.b.assigned) != want || covered < hosts*9/10 {
 		t.Errorf("a share of %d, want %d; %d of %d replicas are in some", len(g.b.assigned), want, covered, hosts)
 	}
-	assigned := g.b.assigned // a view of half of them moves none of it, until it has held
+	assigned := g.b.assigned // a view that lacks half of the routers changes no assignment until it has been stable
 	g.step(LivenessView{Version: 1, Live: livePeers(0, 1, 2, 3, 4)})
 	if g.after(viewStabilityTime / 2); !slices.Equal(assigned, g.b.assigned) {
 		t.Error("the share has moved after a second")
@@ -154,16 +156,17 @@
 	}
 }
 
-// Whatever views say of up to half of the others, and though the two sides of a network
-// partition hear nothing of each other: together routers send a replica in slow start no more
-// than the configuration allows, in any window, except for one request of each side in flight.
-// Four sides that hear nothing of each other and still count all are beyond that, and are found.
+// Routers together must not send a replica in slow start more than the configuration allows in any
+// window, apart from one request in flight from each side of a partition. This holds for views that
+// wrongly lack up to half of the other routers, and in a network partition whose two sides exchange
+// no reports. The test must detect the overload by four such sides that still count all routers as
+// live.
 func TestNoViewOverloadsAReplicaInSlowStart(t *testing.T) {
 	const (
-		routers = 12
-		duration    = 5 * sec
-		mean    = 0.02 // seconds of work
-		warmWork   = 0.6  // seconds of work that a warm replica did for each router in workSpan
+		routers  = 12
+		duration = 5 * sec
+		mean     = 0.02 // seconds of work
+		warmWork = 0.6  // seconds of work that a warm replica completed for each router within workWindow
 	)
 	sends := func(tick time.Duration, partitions int, view func(i int) []Peer, seed uint64) (worst float64) {
 		cfg := testConfig()
@@ -210,13 +213,13 @@
 						}
 					}
 				}
-				for _, x := range b.queue { // nobody waits for long
+				for _, x := range b.queue { // clients abort at once
 					b.Step(now, []Event{Aborted{ID: x.ID}})
 				}
 			}
 		}
-		// The most in any window over what the settings allow at its end, but for prompts on their
-		// way.
+		// The largest ratio, over all windows, of the work sent in the window to the work that the
+		// settings allow at its end, with a tolerance of two requests in transit.
 		for i := range sent {
 			sum := 0.0
 			for j := i; j >= 0 && sent[i].at-sent[j].at < cfg.OverloadWindow; j-- {
@@ -230,7 +233,7 @@
 	}
 	for n := range uint64(16) {
 		missing, partitions := int(n/2)%(routers/2+1), 1+int(n%2)
-		view := func(i int) (all []Peer) { // the same each time
+		view := func(i int) (all []Peer) { // returns the same view on each call
 			rng := rand.New(rand.NewPCG(n, uint64(i)))
 			for k, j := range rng.Perm(routers) {
 				if k >= missing || j == i {
@@ -240,7 +243,7 @@
 			return all
 		}
 		tick := 10 * ms
-		if n == 1 { // nobody is missing, and each half asks all the time
+		if n == 1 { // no router is missing, and each side of the partition sends requests more often
 			tick = 2 * ms
 		}
 		worst := sends(tick, partitions, view, n)
@@ -259,10 +262,10 @@
 	}
 }
 
-// No work was ever seen, and there is nothing but a replica in slow start that is asked for all
-// the time by routers whose clocks have nothing in common: it gets work, ever more as it
-// answers, and in no window more requests than the configuration allows a replica that can do as
-// much, with the platform's slack for chance.
+// No replica has ever completed work, the only replica is in slow start, and routers with unrelated
+// clocks send requests all the time. The replica must get requests, and more of them as it answers,
+// but in no window more than the configuration allows for its actual capacity, plus the slack for
+// random variation that the platform grants.
 func TestBootstrapOverloadsNoReplica(t *testing.T) {
 	const (
 		routers = 12
@@ -271,13 +274,13 @@
 		length  = 20 * sec
 	)
 	for n := range uint64(24) {
-		warmRate := []float64{1, 3, 10, 40}[n%4] // requests that it does in a second, once warm
+		warmRate := []float64{1, 3, 10, 40}[n%4] // requests that the warm replica completes per second
 		rng := rand.New(rand.NewPCG(n, 3))
 		cfg := testConfig()
 		cfg.Routers, cfg.SlowStartMinCapacity, cfg.SlowStartWindow, cfg.OverloadFactor, cfg.OverloadWindow = routers, 0.3, 40*sec, 2.5, 3*sec
 		type clockedRouter struct {
 			*Balancer
-			clock time.Duration // ahead of the test's
+			clock time.Duration // offset to the test's time
 		}
 		var all []clockedRouter
 		for i := range routers {
@@ -294,9 +297,9 @@
 			all = append(all, clockedRouter{b, clock})
 		}
 		type execution struct {
-			router   int
-			id   string
-			left float64 // seconds of its time, warm
+			router int
+			id     string
+			left   float64 // remaining part of the request, 1 at the start
 		}
 		var queue []execution
 		var sent []time.Duration
--- a/balance/fuzz_test.go
+++ b/balance/fuzz_test.go
@@ -7,8 +7,10 @@
 	"time"
 )
 
-// play feeds a sequence of events made from data, and checks rules 1 to 3 from outside. It returns
-// all actions.
+// runEvents feeds a Balancer a sequence of events derived from data and returns all actions. It
+// checks rules 1 to 3 on the actions alone: (1) requests go only to serving replicas, not after
+// their answer, and not where a duplicate could take effect; (2) a request is rejected only if
+// sending it again does no harm; (3) each request has its answer by its deadline.
 func runEvents(t *testing.T, data []byte) []Action {
 	cfg := testConfig()
 	cfg.Classes[0].LateValueFraction = 0.5
@@ -18,12 +20,12 @@
 		t.Fatal(err)
 	}
 	type state struct {
-		class    Class
-		end      time.Duration
-		sent     []string
-		pending      map[int]bool
-		mayHaveExecuted   bool
-		answered bool
+		class           Class
+		end             time.Duration
+		sent            []string
+		pending         map[int]bool
+		mayHaveExecuted bool
+		answered        bool
 	}
 	names := []string{"a", "b", "c"}
 	cells := map[string]int{"a": 0, "b": 0, "c": 1}
@@ -138,7 +140,7 @@
 			q.answered = true
 		case 5:
 			end := now + time.Duration(x)*5*ms
-			for { // let all timers fire that are due on the way
+			for { // fire all timers that are due until then
 				first := int64(0)
 				for token, at := range timers {
 					if at <= end && (first == 0 || at < timers[first] || at == timers[first] && token < first) {
@@ -150,7 +152,7 @@
 				}
 				now = max(now, timers[first])
 				delete(timers, first)
-				// Time-outs at the deadline come before it is missed.
+				// A timer at the deadline fires before the check that the deadline was met.
 				step(TimerExpired{Token: first})
 			}
 			now = end
@@ -175,7 +177,8 @@
 	})
 }
 
-// Many requests on many replicas give the same actions twice: nothing depends on map order.
+// Many requests on many replicas produce the same actions in two runs, so no result depends on map
+// order.
 func TestSameEventsSameActions(t *testing.T) {
 	run := func() []Action {
 		g := newTestRouter(t, testConfig(), members("a", "b", "c", "d", "e", "f", "g", "h")...)
--- a/balance/interference_test.go
+++ b/balance/interference_test.go
@@ -2,16 +2,16 @@
 
 import "testing"
 
-// The cost of streams beside a request is compared with what it would have to prefill and with
-// crossing zones: each row has the streams of this router on two replicas, of which the first
-// has so many tokens of the prompt cached, and says which of the two is cheaper.
+// The estimated cost weighs concurrent streams against tokens to prefill and against crossing
+// zones. Each row states this router's streams on two replicas and the number of prompt tokens that
+// the first replica has cached, and says which replica is cheaper.
 func TestStreamsAgainstPrefillAndCrossing(t *testing.T) {
 	for _, tt := range []struct {
 		name        string
-		streams     [2]int // own, with their first token
+		streams     [2]int // this router's streams on the two replicas, all past their first token
 		cached      float64
-		otherZone         bool // the second replica is in another zone
-		peerStreams      float64
+		otherZone   bool // the second replica is in another zone
+		peerStreams float64
 		singleHost  bool
 		wantsSecond bool
 	}{
@@ -45,9 +45,9 @@
 	}
 }
 
-// What reports say of others' prefill tokens is some hundred milliseconds old, and all routers
-// hear the same: it moves no request, or all of them would go to one replica at once. The number
-// of streams does.
+// A reported number of prefill tokens is some hundred milliseconds old, and all routers get the
+// same report. It must not move a request, or all routers would send to one replica at once. The
+// reported number of streams does move requests.
 func TestReportsOfPrefillTokensMoveNoRequest(t *testing.T) {
 	for _, tt := range []struct {
 		name        string
--- a/balance/latencyratio_test.go
+++ b/balance/latencyratio_test.go
@@ -8,11 +8,11 @@
 	"github.com/matryer/is"
 )
 
-// A first token that took longer than expected by a fraction of the shortest latency target is
-// reported to all routers of a fleet.
+// A first token is reported to all routers if it took longer than expected by both a factor and a
+// fraction of the shortest latency target.
 func TestLatencyRatioIsReported(t *testing.T) {
 	for _, tt := range []struct {
-		took     int // of 50 ms, in ms
+		took     int // actual time in ms where 50 ms are expected
 		reported bool
 	}{{60, false}, {110, false}, {400, true}} {
 		t.Run(fmt.Sprint(tt.took, " ms"), func(t *testing.T) {
@@ -26,7 +26,8 @@
 	}
 }
 
-// A class without a latency target makes no trifle a surprise: it counts as one of a second.
+// A class without a latency target counts as one with a target of a second. Counted as 0, it would
+// make every small deviation worth a report.
 func TestShortestLatencyTarget(t *testing.T) {
 	for _, tt := range []struct {
 		targets []time.Duration
--- a/balance/learned_test.go
+++ b/balance/learned_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// What was learned of replicas holds in another process for those that have not started since,
-// and for no others; what was learned of kinds and of a warm replica's work holds until
-// something is observed.
+// In another process, what was learned of a replica applies only if the replica has not restarted
+// since. What was learned of a kind of machine and of a warm replica's work applies until the
+// process observes something itself.
 func TestLearned(t *testing.T) {
 	cfg := Config{Zone: "a", SlowStartMinCapacity: 0.3, SlowStartWindow: 8 * time.Second, Classes: []Class{{Name: "c", LatencyTarget: time.Second, Deadline: 4 * time.Second, Value: 1, Streamed: true}}}
 	now := time.Hour
@@ -47,7 +47,7 @@
 	next, _ := New(cfg, 2)
 	next.Restore(l)
 	next.RestoreReplicas()
-	next.Step(now, []Event{list(time.Minute, now-time.Minute, 0, now-time.Second)}) // r1 has started since, of r2 nobody knows, r3 is in slow start
+	next.Step(now, []Event{list(time.Minute, now-time.Minute, 0, now-time.Second)}) // r1 has restarted, the start of r2 is unknown, r3 is in slow start
 	next.RestoreReplicas()
 	for i, want := range []float64{23, initialLimit, initialLimit, slowStartLimit} {
 		if got := next.sorted[i].limit; got != want {
@@ -61,7 +61,7 @@
 		t.Errorf("a token is read in %v s, not %v; work %v of %v; %d left", got, want, next.completedWork, l.CompletedWork, len(next.restored))
 	}
 
-	// Nonsense is not believed, and what is known already stays.
+	// Invalid values are ignored, and values that are already known stay.
 	next.Restore(Learned{CompletedWork: 5, MeanWork: 5, PrefillByKind: map[string]PrefillLine{"k": {1, 1}, "z": {math.Inf(1), 1}}})
 	if next.completedWork != l.CompletedWork || next.prefillByKind["k"].perToken() != b.prefillByKind["k"].perToken() || next.prefillByKind["z"].XX != 0 {
 		t.Errorf("work %v, slopes %v and %v", next.completedWork, next.prefillByKind["k"].perToken(), next.prefillByKind["z"].XX)
--- a/balance/outlier_test.go
+++ b/balance/outlier_test.go
@@ -6,18 +6,19 @@
 	"time"
 )
 
-// failure is another router's report that it saw a replica fail.
+// failureReport returns the report of another router that an attempt on r failed.
 func failureReport(r *replica, witness int) ReportsReceived {
 	return ReportsReceived{From: witness, Reports: []PeerReport{{ReplicaTag: replicaTag(r), Failed: true}}}
 }
 
-// A replica that two routers saw fail gets nothing for a moment, one that a single router saw
-// fail goes on. Where more than a third are suspected, some go on.
+// A replica that two routers saw fail gets no requests for a short time. A replica that only one
+// router saw fail still gets requests. If more than a third of the replicas were seen to fail, some
+// of them still get requests.
 func TestOutlierNeedsTwoWitnesses(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
-		seen    map[string][]int // replica to witnesses
-		waited  int              // seconds
+		seen    map[string][]int // witnesses by replica
+		waited  int              // seconds since the failures
 		avoided string
 	}{
 		{name: "by one", seen: map[string][]int{"a": {1}}},
@@ -51,7 +52,8 @@
 	}
 }
 
-// A failure is reported to all, once; while a replica is suspected already it is nothing new.
+// A failure is reported once to all routers. While a replica is already ejected as an outlier, its
+// failures are not reported.
 func TestFailuresAreReported(t *testing.T) {
 	g := newTestRouter(t, broadcastConfig(), members("a")...)
 	reported := func(out []Action) (n int) {
@@ -81,7 +83,8 @@
 	}
 }
 
-// A router that is alone suspects no replica: ejection is for its own failures.
+// A router without peer reports ejects no replica as an outlier, because that takes two witnesses.
+// Its own failures eject replicas by the other mechanism.
 func TestAloneNobodyIsAnOutlier(t *testing.T) {
 	g := newTestRouter(t, testConfig(), members("a", "b")...)
 	for range 5 {
--- a/balance/peerreport_test.go
+++ b/balance/peerreport_test.go
@@ -11,8 +11,8 @@
 	"reachspread/internal/rendezvous"
 )
 
-// talking is the configuration of the first of many routers; two others of its zone have been
-// heard of.
+// newRouterWithPeers returns the first of many routers, which has received messages from two other
+// routers of its zone.
 func newRouterWithPeers(t *testing.T, replicas ...Member) *testRouter {
 	t.Helper()
 	cfg := testConfig()
@@ -24,14 +24,15 @@
 	return g
 }
 
-// long makes a prompt so long that it is always reported.
+// longPrompt makes a prompt so long that it is always reported.
 func longPrompt(q Arrival) Arrival {
 	q.PromptTokens = 4000
 	return q
 }
 
-// Of prompts with little prefill some are reported, each for as much as the smallest that always
-// are: the sum is right. The budget of a replica in slow start needs all.
+// Only a sample of the prompts with little prefill is reported, each with the smallest size that is
+// always reported, so that the expected sum is right. For a replica in slow start each prompt is
+// reported with its own size, because the budget needs all of them.
 func TestSmallPromptsAreReportedBySample(t *testing.T) {
 	g := newRouterWithPeers(t, members("a")...)
 	count, sum := 0, 0.0
@@ -42,9 +43,9 @@
 		for _, message := range actionsOf[SendReports](g.step(q)) {
 			count, sum = count+1, sum+message.Reports[0].PrefillTokens
 		}
-		g.after(ms, Outcome{ID: q.ID, Result: NotSent, Final: true}) // which teaches nothing
+		g.after(ms, Outcome{ID: q.ID, Result: NotSent, Final: true}) // an attempt that was not sent changes no estimate
 	}
-	smallest := smallPromptFraction * 1 / defaultPrefillTime // of a latency target of a second
+	smallest := smallPromptFraction * 1 / defaultPrefillTime // for a latency target of one second
 	if want := sent * tokens / smallest; float64(count) < 0.7*want || float64(count) > 1.3*want || sum != float64(count)*smallest {
 		t.Errorf("%d words of %.0f tokens in all, want some %.0f of %.0f each", count, sum, want, smallest)
 	}
@@ -57,7 +58,7 @@
 	}
 }
 
-// Each of many routers sees few of a replica's requests: what one sends is reported to those
+// One of many routers sees few of a replica's requests, so each prompt is reported to the routers
 // that share the replica.
 func TestSentPromptIsReported(t *testing.T) {
 	g := newRouterWithPeers(t, members("a")...)
@@ -71,8 +72,8 @@
 	}
 }
 
-// A router that has not been heard of, or is of another zone, gets no report of a prompt; the
-// empty first message goes to all.
+// A prompt is not reported to a router of another zone, or to one from which no message has
+// arrived. The empty first message goes to all routers.
 func TestOnlyRoutersOfTheZoneGetReports(t *testing.T) {
 	cfg := testConfig()
 	cfg.Routers, cfg.Self = minReportingRouters, 1
@@ -91,12 +92,12 @@
 	}
 }
 
-// A replica that others have just filled must not look idle, and looks idle again once it has
-// prefilled what they sent.
+// A replica to which other routers have just sent prompts must not look idle until it has had time
+// to prefill them.
 func TestReportedPromptsCount(t *testing.T) {
 	for _, test := range []struct {
-		name  string
-		after int // s since the others sent
+		name      string
+		after     int // seconds since the other routers sent prompts
 		looksIdle bool
 	}{{"just now", 0, false}, {"long ago", 60, true}} {
 		g := newRouterWithPeers(t, members("a", "b")...)
@@ -104,7 +105,7 @@
 		g.after(50*ms, FirstToken{ID: "q1"})
 		g.step(Outcome{ID: "q1", Result: OK, Final: true})
 		q := g.request("safe")
-		q.ID, q.Session = "q1", "" // the same affinity hosts in the same order
+		q.ID, q.Session = "q1", "" // the same samples in the same order as for the first request
 		g.step(ReportsReceived{From: 1, Zone: zoneTag("here"), Reports: []PeerReport{{ReplicaTag: replicaTag(g.b.replicas[best]), PrefillTokens: 20000}}})
 		for range test.after {
 			g.after(sec)
@@ -115,7 +116,8 @@
 	}
 }
 
-// A slow replica is known to all from the first router that met it, until that report is old.
+// All routers learn that a replica is slow from the first router that observes it, until that
+// report has decayed.
 func TestLatencyRatioIsReportedAndBelieved(t *testing.T) {
 	g := newRouterWithPeers(t, members("a")...)
 	g.step(g.request("safe"))
@@ -138,7 +140,7 @@
 	}
 }
 
-// What was observed here a moment ago stands, however many report otherwise.
+// A recent observation by this router outweighs any number of reports from others.
 func TestReportsNeverOutweighLocalObservations(t *testing.T) {
 	g := newRouterWithPeers(t, members("a")...)
 	a := g.b.replicas["a"]
@@ -152,7 +154,7 @@
 	}
 }
 
-// Reports on a replica that is not listed do nothing, and none makes it one to send to.
+// Reports on a replica that is not listed are ignored, and do not add the replica.
 func TestUnlistedReplicaIsNeverSentTo(t *testing.T) {
 	g := newRouterWithPeers(t, members("a")...)
 	g.step(ReportsReceived{From: 1, Reports: []PeerReport{{ReplicaTag: replicaTag(&replica{hash: rendezvous.Hash("elsewhere")}), PrefillTokens: 1}}})
@@ -161,8 +163,8 @@
 	}
 }
 
-// Assignments are the same wherever they are worked out, so that a router that sends to a
-// replica reports to just those that do, too.
+// All routers compute the same assignments, so a router reports a prompt to exactly those routers
+// that send to the same replica.
 func TestAssignmentsAgree(t *testing.T) {
 	const routers, hosts = 30, 40
 	var list []Member
@@ -200,8 +202,8 @@
 	}
 }
 
-// Routers that report to each other spend one budget of a replica in slow start: what others
-// sent it leaves that much less.
+// Routers that report to each other share one budget for a replica in slow start: work that others
+// sent reduces what this router may send.
 func TestSlowStartBudgetIsSharedByReports(t *testing.T) {
 	sent := func(reportsOthers bool) (n int) {
 		g := newRouterWithPeers(t, append(members("warm"), Member{Replica: "cold", Zone: "here", Kind: "k", StartedAt: 99 * sec})...)
@@ -227,8 +229,8 @@
 	}
 }
 
-// A replica that is not assigned is a connection more, and others' prompts there are not
-// reported here: none is used while the assigned ones will do, and one is where these have no
+// Sending to a replica that is not assigned costs a connection, and other routers' prompts there
+// are not reported to this router. Such a replica is used only if the assigned ones have no
 // capacity.
 func TestUnassignedReplicasOnlyForNeed(t *testing.T) {
 	cfg := testConfig()
@@ -250,9 +252,10 @@
 	}
 }
 
-// Reports that come late, repeated, out of order, or on replicas that are draining or not listed
-// lose nothing but knowledge: each request is sent at once to a listed replica while one has
-// capacity, nothing else is ever sent to, and once the reports have stopped all is as it was.
+// Reports that are late, repeated, out of order, or on replicas that are draining or not listed
+// only reduce what the router knows. Each request is still sent at once while a listed replica has
+// capacity, and only to listed replicas. After the reports have stopped, the state returns to what
+// it was before.
 func TestReportsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		g := newRouterWithPeers(t, append(members("a", "b", "c"), Member{Replica: "leaving", Zone: "here", Kind: "k", State: Draining})...)
@@ -300,9 +303,9 @@
 	})
 }
 
-// A prefix that another router has sent to a replica is known to be cached there for as long as
-// the replica has not restarted; a prompt of it needs less prefill there, another's does not,
-// and neither more of a prompt than the prefix.
+// When another router reports a prompt with a prefix, the replica counts as having the prefix
+// cached until it restarts. A prompt with that prefix then needs less prefill there, by the prefix
+// alone. A prompt with another prefix does not.
 func TestReportedPrefixIsCachedForOthers(t *testing.T) {
 	g := newRouterWithPeers(t, members("a", "b")...)
 	q := longPrompt(g.request("safe"))
@@ -313,7 +316,7 @@
 	}
 	other := newRouterWithPeers(t, members("a", "b")...)
 	other.step(ReportsReceived{From: 1, Zone: zoneTag("here"), Reports: reported[0].Reports})
-	other.after(10 * sec) // it has been read
+	other.after(10 * sec) // the reported prompt has been prefilled
 	reportedReplica := other.b.byTag[reported[0].Reports[0].ReplicaTag]
 	prefillTokens := func(prefix string, r *replica) float64 {
 		a := q
--- a/balance/retrybudget_test.go
+++ b/balance/retrybudget_test.go
@@ -7,7 +7,7 @@
 	"reachspread/internal/retrybudget"
 )
 
-// A retry is free while no attempt was delivered; after one that was it takes from the budget.
+// A retry spends from the retry budget only if an attempt of the request was delivered.
 func TestRetryBudgetCountsDeliveredAttempts(t *testing.T) {
 	for _, tt := range []struct {
 		result Result
--- a/balance/size_test.go
+++ b/balance/size_test.go
@@ -14,17 +14,17 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// The files that decide are ported by hand: their lines and functions have to fit a screen.
+// The policy files are ported by hand, so their lines and functions must fit on a screen.
 const (
 	maxColumns       = 110
 	maxFunctionLines = 60
 )
 
-// undecided are the files that hold the interface, the state and what is read of it; they decide
-// nothing.
+// nonPolicyFiles are the files that define the interface and the state, and that convert and query
+// it. They make no decisions.
 var nonPolicyFiles = []string{"config.go", "learned.go", "state.go", "status.go", "tags.go", "types.go"}
 
-// policy returns the paths of the files that the deployment says decide.
+// policyFiles returns the paths of the policy files that the deployment lists.
 func policyFiles(t *testing.T) []string {
 	t.Helper()
 	text, err := os.ReadFile("../deploy/balancer.toml")
@@ -78,8 +78,8 @@
 	}
 }
 
-// TestEveryDecisionIsListed: a file of this package is on the policy list, or is one of the few
-// that decide nothing.
+// TestEveryDecisionIsListed checks that each file of this package is on the policy list or in
+// nonPolicyFiles.
 func TestEveryDecisionIsListed(t *testing.T) {
 	listed := policyFiles(t)
 	files, err := filepath.Glob("*.go")
@@ -96,7 +96,8 @@
 	}
 }
 
-// TestFilesThatDecideNothing: no action is given, and no random number drawn, outside the policy.
+// TestFilesThatDecideNothing checks that files outside the policy emit no action and draw no random
+// number.
 func TestFilesThatDecideNothing(t *testing.T) {
 	for _, file := range nonPolicyFiles {
 		text, err := os.ReadFile(file)
