--- a/balance/affinity_test.go
+++ b/balance/affinity_test.go
@@ -30,7 +30,7 @@
 			q.Prefix, q.PrefixTokens = "p", tt.prefixTokens
 			g.step(ReportsReceived{From: 3, Reports: []PeerReport{{ReplicaTag: replicaTag(host), PrefillTokens: tt.ahead}}})
 			if best := g.b.cheapest(q, []*replica{host, other}); (best == other) != tt.wantsOther {
-				t.Errorf("%s is better, at %.3f s and %.3f s", best.Replica, g.b.estimatedCost(q, host), g.b.estimatedCost(q, other))
+				t.Errorf("cheapest replica is %s; costs: affinity host %.3f s, other %.3f s", best.Replica, g.b.estimatedCost(q, host), g.b.estimatedCost(q, other))
 			}
 		})
 	}
@@ -45,11 +45,11 @@
 		own, reported, rest int // this router's prompts with the prefix, other routers' prompts with it, and prompts with other prefixes
 		least, most         int
 	}{
-		{"one of many", 1, 0, 400, 2, 2},
-		{"a tenth, of the own", 40, 0, 360, 3, 4},
-		{"a tenth, that others reported", 0, 40, 360, 3, 4},
-		{"a quarter of all", 50, 50, 300, 7, 9},
-		{"nearly all", 0, 400, 4, hosts, hosts},
+		{"one prompt of 401", 1, 0, 400, 2, 2},
+		{"a tenth, this router's prompts", 40, 0, 360, 3, 4},
+		{"a tenth, other routers' prompts", 0, 40, 360, 3, 4},
+		{"a quarter, prompts of all routers", 50, 50, 300, 7, 9},
+		{"nearly all, other routers' prompts", 0, 400, 4, hosts, hosts},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -127,7 +127,7 @@
 		cfg := testConfig()
 		tt.change(&cfg)
 		if _, err := New(cfg, 1); err == nil || !strings.Contains(err.Error(), tt.field) {
-			t.Errorf("want an error that names %s, got %v", tt.field, err)
+			t.Errorf("New: want an error that names %s, got %v", tt.field, err)
 		}
 	}
 }
@@ -149,8 +149,8 @@
 
 func TestUnknownClassIsRejected(t *testing.T) {
 	g := newTestRouter(t, testConfig(), members("a")...)
-	if out := g.step(g.request("nobody's")); len(actionsOf[Reject](out)) != 1 {
-		t.Errorf("want a rejection, got %v", out)
+	if out := g.step(g.request("unlisted")); len(actionsOf[Reject](out)) != 1 {
+		t.Errorf("request of an unknown class: want a rejection, got %v", out)
 	}
 }
 
@@ -165,12 +165,12 @@
 	long, short := g.request("safe"), g.request("safe")
 	long.PromptTokens, short.PromptTokens = 9000, 100
 	if out := g.step(long); len(actionsOf[Send](out)) != 0 {
-		t.Fatalf("sent beyond the limit: %v", out)
+		t.Fatalf("request sent beyond the concurrency limit: %v", out)
 	}
 	g.after(20*ms, short)
 	r.limit = 2
 	if got := actionsOf[Send](g.after(100 * ms)); len(got) != 1 || got[0].ID != short.ID {
-		t.Errorf("want the short prompt first, got %v", got)
+		t.Errorf("after 20 ms in the queue: want the short prompt sent first, got %v", got)
 	}
 	// The same two requests, but the one with the long prompt has waited much longer.
 	longTarget := testConfig()
@@ -182,7 +182,7 @@
 	waited.after(900*ms, short)
 	waited.b.replicas["a"].limit = 2
 	if got := actionsOf[Send](waited.after(ms)); len(got) != 1 || got[0].ID != long.ID {
-		t.Errorf("want the long prompt that has waited, got %v", got)
+		t.Errorf("after 900 ms in the queue: want the long prompt sent first, got %v", got)
 	}
 }
 
@@ -195,11 +195,11 @@
 	g.step(q1, q2)
 	g.after(100*ms, FirstToken{ID: q1.ID})
 	if r.limit != 3 {
-		t.Errorf("a clean answer at a used limit: want 3, got %v", r.limit)
+		t.Errorf("limit of 2 after an answer in time with 2 requests in flight: want 3, got %v", r.limit)
 	}
 	g.step(Outcome{ID: q1.ID, Result: OK, Final: true}, Outcome{ID: q2.ID, Result: Full})
 	if r.limit >= 3 {
-		t.Errorf("a full replica must cut the limit, got %v", r.limit)
+		t.Errorf("limit of 3 after the replica was full: want less, got %v", r.limit)
 	}
 	for i := 0; i < 20; i++ {
 		q := g.request("safe")
@@ -207,7 +207,7 @@
 		g.after(ms, Outcome{ID: q.ID, Result: Full})
 	}
 	if r.limit != 1 {
-		t.Errorf("want the floor of 1, got %v", r.limit)
+		t.Errorf("limit after 20 rejections: want the minimum of 1, got %v", r.limit)
 	}
 }
 
@@ -226,7 +226,7 @@
 		sentAt: g.now - 100*ms}
 	g.b.adjustLimit(a)
 	if got := g.b.replicas["a"].limit; got < before {
-		t.Errorf("limit cut from %v to %v", before, got)
+		t.Errorf("limit reduced from %v to %v by a second attempt that was in time", before, got)
 	}
 }
 
@@ -236,7 +236,7 @@
 	for i := 0; i < 50; i++ {
 		replica := g.serve(g.request("safe"), 1100*ms, 0)
 		if c := g.b.replicas[replica].limit; c < lateLimitFloor {
-			t.Fatalf("limit of %s collapsed to %v", replica, c)
+			t.Fatalf("limit of %s fell to %v, below lateLimitFloor", replica, c)
 		}
 	}
 }
@@ -252,13 +252,13 @@
 		}
 	}
 	if len(used) > 2 {
-		t.Errorf("a prefix asked for in turn was read on %d replicas; want 2 at most: %v", len(used), used)
+		t.Errorf("prefix p0 was sent to %d replicas, want at most 2: %v", len(used), used)
 	}
 	other := newTestRouter(t, testConfig(), members("a", "b", "c", "d", "e", "f")...)
 	q := other.request("safe")
 	q.Prefix, q.PrefixTokens = "p0", 900
 	if r := sentTo(t, other.step(q)); used[r] == 0 {
-		t.Errorf("another router chose %s; affinity hosts are %v", r, used)
+		t.Errorf("another router sent prefix p0 to %s; affinity hosts are %v", r, used)
 	}
 }
 
@@ -286,7 +286,7 @@
 		}
 	}
 	if hot, rare := len(used["hot"]), len(used["rare"]); hot < 20 || hot > 50 || rare > 4 {
-		t.Errorf("half of all prompts went to %d of 60 replicas, a rare prefix to %d", hot, rare)
+		t.Errorf("half of all prompts went to %d of 60 replicas, want 20 to 50; a rare prefix went to %d, want at most 4", hot, rare)
 	}
 }
 
@@ -303,7 +303,7 @@
 		}
 	}
 	if len(used) < 4 {
-		t.Errorf("40 prompts at once went to %d replicas: %v", len(used), used)
+		t.Errorf("40 prompts at once with one prefix went to %d replicas, want at least 4: %v", len(used), used)
 	}
 }
 
@@ -315,7 +315,7 @@
 	g := newTestRouter(t, cfg, near, far)
 	for i := 0; i < 3; i++ {
 		if r := sentTo(t, g.after(ms, g.request("safe"))); r != "a" {
-			t.Fatalf("prompt %d left the zone for %s", i, r)
+			t.Fatalf("request %d was sent to %s, want replica a of the router's own zone", i, r)
 		}
 	}
 	for i := 0; i < 20; i++ {
@@ -325,7 +325,7 @@
 			}
 		}
 	}
-	t.Error("a zone that is overrun must overflow")
+	t.Error("none of 20 requests was sent to the other zone although replica a is overloaded")
 }
 
 func TestDrainGraceIsNotUsed(t *testing.T) {
@@ -334,13 +334,13 @@
 		updated := members("a")[0]
 		updated.State = state
 		if out := g.step(Members{Version: 2, Members: []Member{updated}}, g.request("safe")); len(actionsOf[Send](out)) != 0 {
-			t.Errorf("state %d: sent in the same step: %v", state, out)
+			t.Errorf("state %d: request sent to the replica in the step that delisted it: %v", state, out)
 		}
 	}
 	g := newTestRouter(t, testConfig(), members("a", "b")...)
 	g.step(Members{Version: 2, Complete: true, Members: members("b")})
 	if r := sentTo(t, g.step(g.request("safe"))); r != "b" {
-		t.Errorf("sent to %s, which the new list lacks", r)
+		t.Errorf("request sent to %s, which is not in the latest list", r)
 	}
 }
 
@@ -365,12 +365,12 @@
 		for g.now < end && len(actionsOf[Reject](out))+len(actionsOf[Fail](out)) == 0 {
 			timers := actionsOf[SetTimer](out)
 			if len(timers) == 0 {
-				t.Fatalf("%s: held without a timer", tt.name)
+				t.Fatalf("%s: request queued without a timer", tt.name)
 			}
 			out = g.after(timers[len(timers)-1].Delay, TimerExpired{Token: timers[len(timers)-1].Token})
 		}
 		if n := len(actionsOf[Reject](out)); n != 1 || g.now >= end {
-			t.Errorf("%s: want one rejection before the client gives up, got %d at %v of %v", tt.name, n, g.now, end)
+			t.Errorf("%s: want one rejection before the client gives up, got %d rejections at %v; the client gives up at %v", tt.name, n, g.now, end)
 		}
 	}
 }
@@ -414,17 +414,17 @@
 		if want := []int{0, 0, 0}; true {
 			want[tt.want] = 1
 			if !reflect.DeepEqual(got, want) {
-				t.Errorf("%s after %d: want send, refuse, fail %v, got %v", tt.class, tt.result, want, got)
+				t.Errorf("class %s after result %d: want counts of Send, Reject, Fail %v, got %v", tt.class, tt.result, want, got)
 				continue
 			}
 		}
 		if tt.want == resend {
 			second := sentTo(t, out)
 			if second == first {
-				t.Errorf("%s: tried %s twice", tt.class, first)
+				t.Errorf("class %s: request sent to %s twice", tt.class, first)
 			}
 			if tt.class == "keyed" && g.b.replicas[second].Cell != g.b.replicas[first].Cell {
-				t.Errorf("keyed request left the cell that discards its duplicates")
+				t.Errorf("keyed request was retried outside the cell that discards its duplicates")
 			}
 		}
 	}
@@ -437,7 +437,7 @@
 	q := g.request("keyed")
 	sentTo(t, g.step(q))
 	if out := g.after(200*ms, Outcome{ID: q.ID, Result: Error}); len(actionsOf[Fail](out)) != 1 {
-		t.Errorf("the group has forgotten the request: want a failure, got %v", out)
+		t.Errorf("error after the dedup window: want one Fail, got %v", out)
 	}
 }
 
@@ -446,13 +446,13 @@
 		name   string
 		events func(id string) []Event
 	}{
-		{"aborted, then a failure", func(id string) []Event {
+		{"aborted, then a failed attempt", func(id string) []Event {
 			return []Event{Aborted{ID: id}, Outcome{ID: id, Result: Error}}
 		}},
-		{"stream begun, then broken", func(id string) []Event {
+		{"first token, then the connection breaks", func(id string) []Event {
 			return []Event{FirstToken{ID: id}, Outcome{ID: id, Result: Reset, Final: true}}
 		}},
-		{"closed by the outcome, then aborted", func(id string) []Event {
+		{"final outcome, then aborted", func(id string) []Event {
 			return []Event{Outcome{ID: id, Result: OK, Final: true}, Aborted{ID: id}, Outcome{ID: id, Result: OK}}
 		}},
 	}
@@ -462,10 +462,10 @@
 		g.step(q)
 		out := g.after(ms, tt.events(q.ID)...)
 		if n := len(actionsOf[Send](out)) + len(actionsOf[Reject](out)) + len(actionsOf[Fail](out)); n != 0 {
-			t.Errorf("%s: got %v", tt.name, out)
+			t.Errorf("%s: want no Send, Reject or Fail, got %v", tt.name, out)
 		}
 		if len(g.b.requests) != 0 {
-			t.Errorf("%s: %d requests are still remembered", tt.name, len(g.b.requests))
+			t.Errorf("%s: %d closed requests are still in the request map", tt.name, len(g.b.requests))
 		}
 	}
 }
@@ -483,7 +483,7 @@
 		}
 	}
 	if sends != 3 {
-		t.Errorf("want 3 attempts, got %d", sends)
+		t.Errorf("want 3 attempts in all, got %d", sends)
 	}
 }
 
@@ -498,7 +498,7 @@
 		t.Fatalf("want the ejection logged, got %v", out)
 	}
 	if out := g.step(g.request("safe")); len(actionsOf[Send](out)) != 0 {
-		t.Fatal("sent to an ejected replica")
+		t.Fatal("request sent to an ejected replica")
 	}
 	g.now = a.ejectedUntil
 	again := g.request("safe")
@@ -507,11 +507,11 @@
 	g.now = a.ejectedUntil
 	trial, second := g.request("safe"), g.request("safe")
 	if n := len(actionsOf[Send](g.step(trial, second))); n != 1 {
-		t.Fatalf("want one trial, got %d", n)
+		t.Fatalf("want one trial request after the ejection, got %d", n)
 	}
 	g.after(100*ms, FirstToken{ID: trial.ID}, FirstToken{ID: second.ID})
 	if a.ejectedUntil != 0 || !a.warmingUp {
-		t.Errorf("after the trial: ejected %v, in slow start %v; a replica that died comes back in slow start", a.ejectedUntil, a.warmingUp)
+		t.Errorf("after the trial: ejected until %v, in slow start %v; want no ejection, and slow start after a crash", a.ejectedUntil, a.warmingUp)
 	}
 }
 
@@ -528,12 +528,12 @@
 			g.step(q)
 			g.after(2*sec, Outcome{ID: q.ID, Result: result})
 			if got := r.ejectedUntil > 0; got != want {
-				t.Errorf("after %d of result %d: ejected %v", n+1, result, got)
+				t.Errorf("after %d failures with result %d: ejected %v", n+1, result, got)
 			}
 		}
 		g.now = r.ejectedUntil
 		if g.serve(g.request("safe"), 10*ms, 0); r.ejectedUntil > 0 || r.warmingUp {
-			t.Errorf("back after result %d: ejected %v, in slow start %v; want neither", result, r.ejectedUntil, r.warmingUp)
+			t.Errorf("after an answer following result %d: ejected until %v, in slow start %v; want neither", result, r.ejectedUntil, r.warmingUp)
 		}
 	}
 }
@@ -546,7 +546,7 @@
 	g.now += sec
 	for i := 0; i < 5; i++ {
 		if r := sentTo(t, g.after(ms, g.request("safe"))); r == unresponsive {
-			t.Errorf("prompt %d went to %s, which owes an answer for a second", i, r)
+			t.Errorf("request %d was sent to %s, which has not answered for a second", i, r)
 		}
 	}
 }
@@ -598,7 +598,7 @@
 		}
 	}
 	if len(all) == 0 {
-		t.Fatal("nothing was sent to the replica in slow start at all")
+		t.Fatal("no request was sent to the replica in slow start")
 	}
 	for at := startedAt; at < startedAt+cfg.SlowStartWindow; at += 50 * ms {
 		share := cfg.SlowStartMinCapacity + (1-cfg.SlowStartMinCapacity)*float64(at-startedAt)/float64(cfg.SlowStartWindow)
@@ -609,7 +609,7 @@
 			}
 		}
 		if limit := cfg.OverloadFactor * share * capacity * cfg.OverloadWindow.Seconds(); sum > limit {
-			t.Fatalf("%v after the start: %.2f s of work in a window, at most %.2f", at-startedAt, sum, limit)
+			t.Fatalf("%v after the start: %.2f s of work in a window, want at most %.2f", at-startedAt, sum, limit)
 		}
 	}
 }
@@ -658,7 +658,7 @@
 			}
 		}
 		if len(sends) < 3 {
-			t.Errorf("storm %v: only %d prompts for the replica in slow start in 10 s", failing, len(sends))
+			t.Errorf("failures elsewhere %v: replica in slow start got only %d prompts in 10 s, want at least 3", failing, len(sends))
 		}
 		cfg := testConfig()
 		capacity := 2 * routers * rate / warm // prompts per second; warm replicas are half used
@@ -671,7 +671,7 @@
 			}
 			share := cfg.SlowStartMinCapacity + (1-cfg.SlowStartMinCapacity)*float64(at-startedAt)/float64(cfg.SlowStartWindow)
 			if limit := cfg.OverloadFactor * share * capacity * cfg.OverloadWindow.Seconds(); float64(count) > limit {
-				t.Fatalf("storm %v, %v after the start: %d prompts in a window, at most %.1f", failing, at-startedAt, count, limit)
+				t.Fatalf("failures elsewhere %v, %v after the start: %d prompts in a window, want at most %.1f", failing, at-startedAt, count, limit)
 			}
 		}
 	}
@@ -682,7 +682,7 @@
 	q := g.request("safe")
 	q.WorkEstimate = 5 * sec
 	if out := g.step(q); len(actionsOf[Send](out)) != 0 {
-		t.Errorf("a prompt over the whole budget was sent to a replica in slow start: %v", out)
+		t.Errorf("a request with more work than the whole budget was sent to a replica in slow start: %v", out)
 	}
 }
 
@@ -696,11 +696,11 @@
 	q := g.request("safe")
 	q.TimeLeft = 2 * sec
 	if out := g.step(q); len(actionsOf[Reject](out)) != 1 {
-		t.Errorf("behind 63,000 tokens to prefill the latency target of 1 s is out of reach: want a rejection, got %v", out)
+		t.Errorf("request with a latency target of 1 s after 63,000 tokens to prefill: want a rejection, got %v", out)
 	}
 	q = g.request("unsafe")
 	if out := g.step(q); len(actionsOf[Reject](out)) != 1 {
-		t.Errorf("nothing of an unsafe request has run yet: want a rejection, got %v", out)
+		t.Errorf("unsafe request that has not executed: want a rejection, got %v", out)
 	}
 }
 
@@ -712,19 +712,19 @@
 		t.Fatal(err)
 	}
 	if out := b.Step(sec, []Event{Members{Version: 1, Complete: true, Members: members("a")}}); len(actionsOf[Subscribe](out)) != 1 {
-		t.Errorf("want a subscription at the start, got %v", out)
+		t.Errorf("first step: want one Subscribe, got %v", out)
 	}
 	out := b.Step(2*sec, []Event{Members{Failed: true}})
 	timers := actionsOf[SetTimer](out)
 	if len(timers) != 1 {
-		t.Fatalf("want a timer to ask again, got %v", out)
+		t.Fatalf("after a failed subscription: want one timer, got %v", out)
 	}
 	out = b.Step(2*sec+timers[0].Delay, []Event{TimerExpired{Token: timers[0].Token}})
 	if len(actionsOf[Subscribe](out)) != 1 {
-		t.Errorf("want a new subscription after a failed one, got %v", out)
+		t.Errorf("timer after a failed subscription: want one Subscribe, got %v", out)
 	}
 	if sends := actionsOf[Send](b.Step(4*sec, []Event{Arrival{ID: "q", Class: "safe", TimeLeft: sec, PromptTokens: 10}})); len(sends) != 1 {
-		t.Errorf("the list held before stays valid")
+		t.Errorf("request not sent to the replica that was listed before the subscription failed")
 	}
 }
 
@@ -741,16 +741,16 @@
 		out := g.step(q)
 		probes := actionsOf[Probe](out)
 		if len(probes) != 2 || len(actionsOf[Send](out)) != 0 {
-			t.Fatalf("want two probes and the prompt held, got %v", out)
+			t.Fatalf("want two probes and the request queued, got %v", out)
 		}
 		again := q
 		again.ID = "again"
 		if n := len(actionsOf[Probe](g.step(again))); n != 0 {
-			t.Errorf("%d more probes while the first are out", n)
+			t.Errorf("%d more probes while the first ones are unanswered", n)
 		}
 		if !answered {
 			if n := len(actionsOf[Send](g.after(probeTimeout, TimerExpired{Token: actionsOf[SetTimer](out)[0].Token}))); n != 2 {
-				t.Errorf("probes without answer: want both prompts sent after %v, got %d", probeTimeout, n)
+				t.Errorf("unanswered probes: want both requests sent after %v, got %d", probeTimeout, n)
 			}
 			continue
 		}
@@ -758,12 +758,12 @@
 		out = g.after(ms, ProbeResult{Replica: probes[1].Replica, Result: OK, Load: &Load{InFlight: -1, Utilization: 0.1, PrefillTokens: 0}})
 		sends := actionsOf[Send](out)
 		if len(sends) != 2 || sends[0].Replica != probes[1].Replica {
-			t.Errorf("want both sent, the first to %s, got %v", probes[1].Replica, out)
+			t.Errorf("want both requests sent, the first to %s, got %v", probes[1].Replica, out)
 		}
 		last := g.request("safe")
 		last.Prefix = "p"
 		if out := g.after(ms, last); len(actionsOf[Probe](out)) != 0 || len(actionsOf[Send](out)) != 1 {
-			t.Errorf("with fresh reports: want no probe and a send, got %v", out)
+			t.Errorf("with recent load reports: want no probe and one Send, got %v", out)
 		}
 	}
 }
@@ -778,7 +778,7 @@
 			got = append(got, r.Replica)
 		}
 		if want := []string{"a", "b", "c", "d"}; !reflect.DeepEqual(got, want) {
-			t.Errorf("listed as %v: kept as %v", names, got)
+			t.Errorf("replicas listed as %v: stored as %v, want them sorted by name", names, got)
 		}
 	}
 }
@@ -812,7 +812,7 @@
 	q := &request{Arrival: g.request("safe"), class: g.b.classes["safe"]}
 	q.PromptTokens = 1
 	if got := g.b.timeToFirstToken(q, r); got > 0.1 {
-		t.Errorf("one token on an idle replica is expected to take %.2f s", got)
+		t.Errorf("expected time to the first token of a one-token prompt on an idle replica is %.2f s, want at most 0.1 s", got)
 	}
 }
 
@@ -822,7 +822,7 @@
 func TestLowValueYields(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[0].Value = 5
-	cfg.Classes = append(cfg.Classes, Class{Name: "patient", Value: 1, LatencyTarget: 10 * sec, Deadline: 40 * sec, Streamed: true})
+	cfg.Classes = append(cfg.Classes, Class{Name: "batch", Value: 1, LatencyTarget: 10 * sec, Deadline: 40 * sec, Streamed: true})
 	for _, tt := range []struct {
 		value  float64
 		ahead  int // number of prompts of 2,000 tokens sent before
@@ -838,10 +838,10 @@
 			g.b.send(g.b.requests[q.ID], g.b.replicas["a"])
 		}
 		g.b.queue = nil
-		q := g.request("patient")
+		q := g.request("batch")
 		q.PromptTokens = tt.length
 		if got := len(actionsOf[Send](g.step(q))); got != tt.sends {
-			t.Errorf("value %v against 5, %v tokens behind %d prompts: want %d sends, got %d",
+			t.Errorf("request of value %v among value 5, %v tokens, after %d prompts: want %d sends, got %d",
 				tt.value, tt.length, tt.ahead, tt.sends, got)
 		}
 	}
@@ -880,14 +880,14 @@
 		q := g.request("safe")
 		actions := g.step(q)
 		if got := len(actionsOf[Reject](actions)); got != tt.rejections || len(actionsOf[Send](actions)) > 0 {
-			t.Errorf("value %v against 3: want %d rejections and no send, got %v", tt.value, tt.rejections, actions)
+			t.Errorf("request of value %v among value 3: want %d rejections and no send, got %v", tt.value, tt.rejections, actions)
 		}
 		if tt.rejections > 0 {
 			continue
 		}
 		actions = g.after(300*ms, FirstToken{ID: heavy.ID})
 		if got := sentTo(t, actions); got != "a" {
-			t.Errorf("after the heavy prompt was read: sent to %s", got)
+			t.Errorf("after the first token of the long prompt: queued request sent to %s, want a", got)
 		}
 	}
 }
@@ -913,14 +913,14 @@
 			}
 		}
 		if len(used) < want {
-			t.Errorf("%d replicas listed: only %d used, want %d at least", len(list), len(used), want)
+			t.Errorf("%d replicas listed: only %d used, want at least %d", len(list), len(used), want)
 		}
 	}
 	spread(2, names[:300], 40)
 	spread(3, names, 40)
 	spread(4, nil, 0)
 	if len(used) > 0 {
-		t.Errorf("sent to %v, which an empty list lacks", used)
+		t.Errorf("requests sent to %v although the list is empty", used)
 	}
 	spread(5, names[:1], 1)
 }
@@ -934,7 +934,7 @@
 	g.step()
 	for _, q := range g.b.queue[:cap(g.b.queue)] {
 		if q != nil && len(q.attempts) > 0 {
-			t.Fatalf("%s was sent and is still kept behind the queue", q.ID)
+			t.Fatalf("sent request %s is still in the queue's backing array", q.ID)
 		}
 	}
 }
@@ -951,7 +951,7 @@
 	g.after(ms) // entries of the cache from the time of the start itself count as lost
 	cold.prefixCache.Put(r.prefixKey, g.b.now, q.PrefixTokens)
 	if after := g.b.workOn(r, cold); before < 1.5*after {
-		t.Errorf("work with the prefix to read %v, with it kept %v", before, after)
+		t.Errorf("work without the cached prefix is %v s, with it %v s; want at least 1.5 times as much without", before, after)
 	}
 }
 
@@ -970,7 +970,7 @@
 		}
 	}
 	if !probed["c"] && !probed["d"] {
-		t.Errorf("asked only %v", probed)
+		t.Errorf("probed only %v, want a replica of the other zone among them", probed)
 	}
 }
 
@@ -985,8 +985,8 @@
 		want          time.Duration
 	}{
 		{"latency target passed", 2 * sec, "safe", 3 * sec, 50 * ms},
-		{"the site's most", 20 * ms, "safe", 3 * sec, 20 * ms},
-		{"clients take no advice", 0, "safe", 3 * sec, 0},
+		{"bounded by MaxRetryAfter", 20 * ms, "safe", 3 * sec, 20 * ms},
+		{"no advice configured", 0, "safe", 3 * sec, 0},
 		{"unknown class", 2 * sec, "odd", 0, 2 * sec},
 	} {
 		cfg := testConfig()
@@ -1009,7 +1009,7 @@
 	q := &request{arrivedAt: g.now, latencyTarget: sec}
 	g.step()
 	if got := g.b.retryAfter(q); got != 200*ms {
-		t.Errorf("with 1 s left to the latency target: got %v, want a fifth of it", got)
+		t.Errorf("advice with 1 s left until the latency target: got %v, want 200ms", got)
 	}
 }
 
@@ -1024,7 +1024,7 @@
 		r.latencyRatio.Observe(g.now, 100, 1)
 	}
 	if r := g.b.replicas[sentTo(t, g.step(q))]; g.b.latencyRatioOf(r) > 1 {
-		t.Errorf("sent to %s, which is slow", r.Replica)
+		t.Errorf("request sent to busy replica %s although others are idle", r.Replica)
 	}
 }
 
@@ -1038,12 +1038,12 @@
 	updated.State = Removed
 	g.step(Members{Version: 2, Members: append(members("b"), updated)})
 	if g.b.replicas["a"] == nil {
-		t.Error("forgotten with a stream on it")
+		t.Error("removed replica a was forgotten with a request in flight")
 	}
 	g.step(Outcome{ID: q.ID, Result: OK, Final: true})
 	g.step(Members{Version: 3, Members: members("c")})
 	if len(g.b.replicas) != 2 || len(g.b.sorted) != 2 {
-		t.Errorf("%d replicas are known, want 2", len(g.b.replicas))
+		t.Errorf("%d replicas are known after the removal of a, want 2", len(g.b.replicas))
 	}
 }
 
@@ -1057,7 +1057,7 @@
 	for queued, want := range map[time.Duration]bool{0: true, 9 * sec: false} {
 		q.arrivedAt = g.now - queued
 		if got := g.b.yieldsToHigherValue(q, 0.55); got != want {
-			t.Errorf("queued for %v, a wait of 0.55 s against a latency target of 1 s: yields %v", queued, got)
+			t.Errorf("queued for %v, a wait of 0.55 s, a latency target of 1 s of the other class: yields %v", queued, got)
 		}
 	}
 }
--- a/balance/broadcast_test.go
+++ b/balance/broadcast_test.go
@@ -33,7 +33,7 @@
 	g := newTestRouter(t, broadcastConfig())
 	list := members("a")
 	if messages := actionsOf[SendReports](g.step(Members{Version: 1, Members: list})); len(messages) != 0 {
-		t.Errorf("reported %v", messages)
+		t.Errorf("update of the list of replicas caused reports: %v", messages)
 	}
 }
 
@@ -47,11 +47,11 @@
 		ago         int     // milliseconds since the report
 		wantsSecond bool
 	}{
-		{name: "nothing heard", broadcast: true},
+		{name: "no report", broadcast: true},
 		{name: "a long prompt", broadcast: true, tokens: 8000, ago: 10, wantsSecond: true},
-		{name: "a long prompt that was read since", broadcast: true, tokens: 8000, ago: 1500},
-		{name: "less than what it would read again elsewhere", broadcast: true, tokens: 300, ago: 10},
-		{name: "where nobody is to be heard", tokens: 8000, ago: 10},
+		{name: "a long prompt that has been prefilled since", broadcast: true, tokens: 8000, ago: 1500},
+		{name: "a prompt with less prefill than the prefix elsewhere", broadcast: true, tokens: 300, ago: 10},
+		{name: "without broadcast", tokens: 8000, ago: 10},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			cfg := broadcastConfig()
@@ -68,7 +68,7 @@
 				g.after(ms)
 			}
 			if best := g.b.cheapest(q, []*replica{first, second}); (best == second) != tt.wantsSecond {
-				t.Errorf("%s is better, at %.3f s and %.3f s", best.Replica, g.b.estimatedCost(q, first), g.b.estimatedCost(q, second))
+				t.Errorf("cheapest replica is %s; costs: first %.3f s, second %.3f s", best.Replica, g.b.estimatedCost(q, first), g.b.estimatedCost(q, second))
 			}
 		})
 	}
@@ -85,7 +85,7 @@
 	before := g.b.prefillTokensOn(q, a)
 	g.step(ReportsReceived{Reports: []PeerReport{{ReplicaTag: replicaTag(a), PrefillTokens: 10, PrefixTag: q.prefixTag()}}})
 	if after := g.b.prefillTokensOn(q, a); before != 1000 || after != 200 {
-		t.Errorf("%v tokens to prefill before, %v after", before, after)
+		t.Errorf("%v tokens to prefill before the report, %v after it; want 1000 and 200", before, after)
 	}
 }
 
@@ -101,6 +101,6 @@
 	credit := cold.credit
 	g.step(ReportsReceived{Reports: []PeerReport{{ReplicaTag: replicaTag(cold), PrefillTokens: 8000}}})
 	if cold.credit < credit {
-		t.Errorf("a credit of %v s is %v s", credit, cold.credit)
+		t.Errorf("slow-start credit of %v s is %v s after a report of another router, want it unchanged", credit, cold.credit)
 	}
 }
--- a/balance/configchange_test.go
+++ b/balance/configchange_test.go
@@ -18,7 +18,7 @@
 		next                   Config
 		wantEarlier, wantLater Action // actions on a failed attempt of a request that arrived before the change, and after it
 	}{
-		{"the same", cfg, Send{}, Send{}},
+		{"the same configuration", cfg, Send{}, Send{}},
 		{"a stricter effect", strict, Send{}, Fail{}},
 		{"fewer attempts", fewer, Reject{}, Reject{}},
 	} {
@@ -43,15 +43,15 @@
 		}
 		fail := func(id string) Action { return step(Outcome{ID: id, Attempt: 0, Result: Error}) }
 		if _, ok := ask("before").(Send); !ok {
-			t.Fatalf("%s: nothing was sent", tt.name)
+			t.Fatalf("%s: the request before the change was not sent", tt.name)
 		}
 		step(ConfigChange{tt.next})
 		if got := fail("before"); actionName(got) != actionName(tt.wantEarlier) {
-			t.Errorf("%s: a request of before got %#v, want %T", tt.name, got, tt.wantEarlier)
+			t.Errorf("%s: after a failure, the request from before the change got %#v, want %T", tt.name, got, tt.wantEarlier)
 		}
 		ask("after")
 		if got := fail("after"); actionName(got) != actionName(tt.wantLater) {
-			t.Errorf("%s: a request of after got %#v, want %T", tt.name, got, tt.wantLater)
+			t.Errorf("%s: after a failure, the request from after the change got %#v, want %T", tt.name, got, tt.wantLater)
 		}
 	}
 }
@@ -63,7 +63,7 @@
 	case Fail:
 		return "fail"
 	case Reject:
-		return "refuse"
+		return "reject"
 	}
 	return "nothing"
 }
--- a/balance/docs_test.go
+++ b/balance/docs_test.go
@@ -22,7 +22,7 @@
 	}
 	parts := strings.Split(code.String(), `Log{"`)
 	if len(parts) < 2 {
-		t.Fatal("no log line found in the files that decide")
+		t.Fatal("no log line found in the policy files")
 	}
 	for _, part := range parts[1:] {
 		words, _, _ := strings.Cut(part, `: "`)
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -25,7 +25,7 @@
 			case balance.Send:
 				fmt.Printf("%v send %s to %s\n", now, a.ID, a.Replica)
 			case balance.Reject:
-				fmt.Printf("%v refuse %s\n", now, a.ID)
+				fmt.Printf("%v reject %s\n", now, a.ID)
 			}
 		}
 	}
@@ -44,5 +44,5 @@
 	// Output:
 	// 1s send q1 to r1
 	// 3s send q2 to r1
-	// 5s refuse q2
+	// 5s reject q2
 }
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -61,7 +61,7 @@
 		t.Helper()
 		budget, full := g.b.spendCredit(cold, 0), g.b.cfg.OverloadFactor/2*g.b.capacityFraction(cold)*g.b.completedWork
 		if got := budget / full; full == 0 || got < want-0.01 || got > want+0.01 {
-			t.Errorf("the budget is for %.2f routers, want %v", got, want)
+			t.Errorf("slow-start budget is computed for %.2f routers, want %v", got, want)
 		}
 	}
 	ratio(minReportingRouters)
@@ -99,7 +99,7 @@
 			}
 		}
 		if backlogged && sent != 1 || !backlogged && sent < 15 {
-			t.Errorf("behind %v: %d of 20 prompts were sent to idle replicas", backlogged, sent)
+			t.Errorf("backlog %v: %d of 20 prompts were sent to idle replicas, want 1 with a backlog and at least 15 without", backlogged, sent)
 		}
 	}
 }
@@ -120,7 +120,7 @@
 		want -= viewStabilityTime.Seconds() / a.prefill.perToken() // prefilled while the view was stable
 		g.after(viewStabilityTime)
 		if got := g.b.tokensQueuedOn(a); got < 0.99*want || got > 1.01*want {
-			t.Errorf("gone %v: %.0f tokens are taken to be before it, want %.0f", dead, got, want)
+			t.Errorf("reporting router dead %v: %.0f tokens counted as queued, want %.0f", dead, got, want)
 		}
 	}
 }
@@ -144,15 +144,15 @@
 	}
 	want := minAssignees * hosts / routers
 	if len(g.b.assigned) != want || covered < hosts*9/10 {
-		t.Errorf("a share of %d, want %d; %d of %d replicas are in some", len(g.b.assigned), want, covered, hosts)
+		t.Errorf("router has %d assigned replicas, want %d; %d of %d replicas are assigned to some router", len(g.b.assigned), want, covered, hosts)
 	}
 	assigned := g.b.assigned // a view that lacks half of the routers changes no assignment until it has been stable
 	g.step(LivenessView{Version: 1, Live: livePeers(0, 1, 2, 3, 4)})
 	if g.after(viewStabilityTime / 2); !slices.Equal(assigned, g.b.assigned) {
-		t.Error("the share has moved after a second")
+		t.Error("assignments changed before the view was stable")
 	}
 	if g.after(viewStabilityTime / 2); len(g.b.assigned) != 2*want {
-		t.Errorf("a share of %d once half are gone, want %d", len(g.b.assigned), 2*want)
+		t.Errorf("router has %d assigned replicas after half of the routers died, want %d", len(g.b.assigned), 2*want)
 	}
 }
 
@@ -247,9 +247,9 @@
 			tick = 2 * ms
 		}
 		worst := sends(tick, partitions, view, n)
-		t.Logf("%d missing, %d parts: %.2f", missing, partitions, worst)
+		t.Logf("%d routers missing in each view, %d partitions: sent %.2f times what the settings allow", missing, partitions, worst)
 		if worst > 1 {
-			t.Errorf("%d of %d missing in each view, %d parts: %.2f times what the settings allow", missing, routers, partitions, worst)
+			t.Errorf("%d of %d routers missing in each view, %d partitions: sent %.2f times what the settings allow", missing, routers, partitions, worst)
 		}
 	}
 	worstOfFour := 0.0
@@ -258,7 +258,7 @@
 		worstOfFour = max(worstOfFour, sends(10*ms, 4, func(int) []Peer { return livePeers(rng.Perm(routers)...) }, n))
 	}
 	if worstOfFour <= 1 {
-		t.Errorf("four parts that hear nothing of each other sent %.2f times what the settings allow, and were not found", worstOfFour)
+		t.Errorf("four partitions without reports between them sent %.2f times what the settings allow; the test must detect more than 1", worstOfFour)
 	}
 }
 
@@ -349,9 +349,9 @@
 				}
 			}
 		}
-		t.Logf("a replica of %v a second: %d sent in %v, %.2f of what is allowed in the worst window", warmRate, len(sent), length, worst)
+		t.Logf("replica of %v requests/s: %d sent in %v, %.2f times what is allowed in the worst window", warmRate, len(sent), length, worst)
 		if worst > 1 || len(sent) < 4 {
-			t.Errorf("seed %d, a replica of %v a second: %d sent, %.2f times what is allowed", n, warmRate, len(sent), worst)
+			t.Errorf("seed %d, replica of %v requests/s: %d sent, want at least 4; %.2f times what is allowed, want at most 1", n, warmRate, len(sent), worst)
 		}
 	}
 }
--- a/balance/fuzz_test.go
+++ b/balance/fuzz_test.go
@@ -42,17 +42,17 @@
 			case Send:
 				q := requests[a.ID]
 				if q == nil || q.answered {
-					t.Fatalf("sent %s, which is closed or unknown", a.ID)
+					t.Fatalf("request %s was sent although it is answered or unknown", a.ID)
 				}
 				if !listed[a.Replica] {
-					t.Fatalf("sent to %s, which drains or is gone", a.Replica)
+					t.Fatalf("request sent to replica %s, which is draining or not listed", a.Replica)
 				}
 				if q.mayHaveExecuted && q.class.Effect == Unsafe {
-					t.Fatalf("unsafe %s sent again after it may have run", a.ID)
+					t.Fatalf("unsafe request %s sent again after it may have executed", a.ID)
 				}
 				if q.mayHaveExecuted && q.class.Effect == Keyed && q.class.DedupScope == ScopeCell &&
 					cells[a.Replica] != cells[q.sent[0]] {
-					t.Fatalf("keyed %s left its cell", a.ID)
+					t.Fatalf("keyed request %s sent again outside its first cell", a.ID)
 				}
 				q.pending[len(q.sent)] = true
 				q.sent = append(q.sent, a.Replica)
@@ -66,11 +66,11 @@
 				}
 				q := requests[id]
 				if q == nil || q.answered {
-					t.Fatalf("answered %s, which is closed or unknown", id)
+					t.Fatalf("request %s got an answer although it is answered or unknown", id)
 				}
 				safe := q.class.Effect == Safe || q.class.Effect == Keyed && q.class.DedupScope == ScopeAll
 				if rejected && !safe && (q.mayHaveExecuted || len(q.pending) > 0) {
-					t.Fatalf("refused %s, which may have run", id)
+					t.Fatalf("request %s rejected although it may have executed", id)
 				}
 				q.answered = true
 			case SetTimer:
@@ -80,7 +80,7 @@
 		for _, id := range ids {
 			q := requests[id]
 			if !q.answered && len(q.pending) == 0 && now >= q.end {
-				t.Fatalf("%s has no answer at its deadline", id)
+				t.Fatalf("request %s has no answer at its deadline", id)
 			}
 		}
 	}
--- a/balance/interference_test.go
+++ b/balance/interference_test.go
@@ -15,13 +15,13 @@
 		singleHost  bool
 		wantsSecond bool
 	}{
-		{name: "a kept prefix beside few streams", streams: [2]int{1, 0}, cached: 1000},
-		{name: "a kept prefix beside many", streams: [2]int{6, 0}, cached: 1000, wantsSecond: true},
-		{name: "as many on both", streams: [2]int{6, 6}, cached: 1000},
-		{name: "those of other routers count as well", streams: [2]int{0, 0}, cached: 1000, peerStreams: 6, wantsSecond: true},
-		{name: "where a prefix has one affinity host", streams: [2]int{6, 0}, cached: 1000, singleHost: true},
-		{name: "nothing kept, one stream more near by", streams: [2]int{1, 0}, otherZone: true},
-		{name: "nothing kept, several more near by", streams: [2]int{4, 0}, otherZone: true, wantsSecond: true},
+		{name: "cached prefix, one stream more", streams: [2]int{1, 0}, cached: 1000},
+		{name: "cached prefix, many streams more", streams: [2]int{6, 0}, cached: 1000, wantsSecond: true},
+		{name: "cached prefix, as many streams on both", streams: [2]int{6, 6}, cached: 1000},
+		{name: "cached prefix, many streams of other routers", streams: [2]int{0, 0}, cached: 1000, peerStreams: 6, wantsSecond: true},
+		{name: "cached prefix, many streams more, single affinity host", streams: [2]int{6, 0}, cached: 1000, singleHost: true},
+		{name: "nothing cached, one stream more in the own zone", streams: [2]int{1, 0}, otherZone: true},
+		{name: "nothing cached, several streams more in the own zone", streams: [2]int{4, 0}, otherZone: true, wantsSecond: true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			list := members("a", "b")
@@ -39,7 +39,7 @@
 			first.prefixCache.Put(q.prefixKey, g.b.now, tt.cached)
 			best := g.b.cheapest(q, []*replica{first, second})
 			if (best == second) != tt.wantsSecond {
-				t.Errorf("%s is better, at %.3f s and %.3f s", best.Replica, g.b.estimatedCost(q, first), g.b.estimatedCost(q, second))
+				t.Errorf("cheapest replica is %s; costs: first %.3f s, second %.3f s", best.Replica, g.b.estimatedCost(q, first), g.b.estimatedCost(q, second))
 			}
 		})
 	}
@@ -66,7 +66,7 @@
 			first.prefixCache.Put(q.prefixKey, g.b.now, q.PrefixTokens)
 			g.b.recordLoad(first, &tt.load)
 			if best := g.b.cheapest(q, []*replica{first, second}); (best == second) != tt.wantsSecond {
-				t.Errorf("%s is better", best.Replica)
+				t.Errorf("cheapest replica is %s", best.Replica)
 			}
 		})
 	}
--- a/balance/learned_test.go
+++ b/balance/learned_test.go
@@ -51,25 +51,25 @@
 	next.RestoreReplicas()
 	for i, want := range []float64{23, initialLimit, initialLimit, slowStartLimit} {
 		if got := next.sorted[i].limit; got != want {
-			t.Errorf("r%d has limit %v, not %v", i, got, want)
+			t.Errorf("r%d has limit %v, want %v", i, got, want)
 		}
 	}
 	if s := next.latencyRatioOf(next.sorted[0]); s < 2.5 || next.latencyRatioOf(next.sorted[1]) != 1 {
-		t.Errorf("r0 is %v times slow, r1 %v", s, next.latencyRatioOf(next.sorted[1]))
+		t.Errorf("latency ratio of r0 is %v, want 2.5 or more; that of r1 is %v, want 1", s, next.latencyRatioOf(next.sorted[1]))
 	}
 	if got, want := next.replicas["r0"].prefill.perToken(), b.prefillByKind["k"].perToken(); got != want || next.completedWork != l.CompletedWork || len(next.restored) != 0 {
-		t.Errorf("a token is read in %v s, not %v; work %v of %v; %d left", got, want, next.completedWork, l.CompletedWork, len(next.restored))
+		t.Errorf("restored prefill time per token is %v s, want %v; completed work %v, want %v; %d restored replicas left, want 0", got, want, next.completedWork, l.CompletedWork, len(next.restored))
 	}
 
 	// Invalid values are ignored, and values that are already known stay.
 	next.Restore(Learned{CompletedWork: 5, MeanWork: 5, PrefillByKind: map[string]PrefillLine{"k": {1, 1}, "z": {math.Inf(1), 1}}})
 	if next.completedWork != l.CompletedWork || next.prefillByKind["k"].perToken() != b.prefillByKind["k"].perToken() || next.prefillByKind["z"].XX != 0 {
-		t.Errorf("work %v, slopes %v and %v", next.completedWork, next.prefillByKind["k"].perToken(), next.prefillByKind["z"].XX)
+		t.Errorf("known values changed or invalid ones accepted: completed work %v, prefill time per token %v s, sum of squares of kind z %v", next.completedWork, next.prefillByKind["k"].perToken(), next.prefillByKind["z"].XX)
 	}
 	invalid, _ := New(cfg, 3)
 	invalid.Restore(Learned{CompletedWork: math.NaN(), MeanWork: 1, Replicas: []LearnedReplica{{"r0", time.Minute, math.Inf(1), -1}}})
 	invalid.Step(now, []Event{list(time.Minute)})
 	if invalid.RestoreReplicas(); invalid.sorted[0].limit != initialLimit || invalid.latencyRatioOf(invalid.sorted[0]) != 1 || invalid.completedWork != 0 {
-		t.Errorf("limit %v, slow %v, work %v", invalid.sorted[0].limit, invalid.latencyRatioOf(invalid.sorted[0]), invalid.completedWork)
+		t.Errorf("invalid values accepted: limit %v, latency ratio %v, completed work %v", invalid.sorted[0].limit, invalid.latencyRatioOf(invalid.sorted[0]), invalid.completedWork)
 	}
 }
--- a/balance/outlier_test.go
+++ b/balance/outlier_test.go
@@ -21,11 +21,11 @@
 		waited  int              // seconds since the failures
 		avoided string
 	}{
-		{name: "by one", seen: map[string][]int{"a": {1}}},
-		{name: "by one, twice", seen: map[string][]int{"a": {1, 1}}},
-		{name: "by two", seen: map[string][]int{"a": {1, 2}}, avoided: "a"},
-		{name: "by two, a while ago", seen: map[string][]int{"a": {1, 2}}, waited: 2},
-		{name: "two of four", seen: map[string][]int{"a": {1, 2}, "b": {1, 2}}, avoided: "a"},
+		{name: "one witness", seen: map[string][]int{"a": {1}}},
+		{name: "one witness, twice", seen: map[string][]int{"a": {1, 1}}},
+		{name: "two witnesses", seen: map[string][]int{"a": {1, 2}}, avoided: "a"},
+		{name: "two witnesses, 2 s ago", seen: map[string][]int{"a": {1, 2}}, waited: 2},
+		{name: "two of four replicas", seen: map[string][]int{"a": {1, 2}, "b": {1, 2}}, avoided: "a"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			g := newTestRouter(t, broadcastConfig(), members("a", "b", "c", "d")...)
@@ -45,7 +45,7 @@
 			}
 			for _, name := range []string{"a", "b", "c", "d"} {
 				if want := name != tt.avoided; sent[name] != want {
-					t.Errorf("prompts for %s: %v, want %v", name, sent[name], want)
+					t.Errorf("requests sent to %s: %v, want %v", name, sent[name], want)
 				}
 			}
 		})
@@ -72,14 +72,14 @@
 		return g.step(Outcome{ID: q.ID, Result: Reset})
 	}
 	if n := reported(fail()); n != 1 {
-		t.Errorf("a failure was reported %d times", n)
+		t.Errorf("first failure was reported %d times, want 1", n)
 	}
 	g.step(failureReport(g.b.replicas["a"], 7))
 	if !g.b.replicas["a"].outlier.Ejected(g.b.now) {
-		t.Fatal("with the word of another one it is not suspected")
+		t.Fatal("replica a is not ejected as an outlier after failures seen by two routers")
 	}
 	if n := reported(fail()); n != 0 {
-		t.Errorf("a failure of one that is suspected was reported %d times", n)
+		t.Errorf("failure of an ejected outlier was reported %d times, want 0", n)
 	}
 }
 
@@ -91,6 +91,6 @@
 		g.b.recordFailure(g.b.replicas["a"], Reset)
 	}
 	if g.b.replicas["a"].outlier.Ejected(g.b.now) {
-		t.Error("suspected by its own word alone")
+		t.Error("replica a is ejected as an outlier although only this router saw it fail")
 	}
 }
--- a/balance/peerreport_test.go
+++ b/balance/peerreport_test.go
@@ -47,14 +47,14 @@
 	}
 	smallest := smallPromptFraction * 1 / defaultPrefillTime // for a latency target of one second
 	if want := sent * tokens / smallest; float64(count) < 0.7*want || float64(count) > 1.3*want || sum != float64(count)*smallest {
-		t.Errorf("%d words of %.0f tokens in all, want some %.0f of %.0f each", count, sum, want, smallest)
+		t.Errorf("%d reports with %.0f tokens in total, want about %.0f reports of %.0f tokens each", count, sum, want, smallest)
 	}
 	cold := newRouterWithPeers(t, append(members("a"), Member{Replica: "cold", Zone: "here", Kind: "k", StartedAt: 99 * sec})...)
 	cold.serve(longPrompt(cold.request("safe")), 50*ms, 0)
 	cold.step(Members{Version: 9, Members: []Member{{Replica: "a", Zone: "here", Kind: "k", State: Draining}}})
 	q := cold.request("safe")
 	if messages := actionsOf[SendReports](cold.step(q)); len(messages) != 1 || messages[0].Reports[0].PrefillTokens != q.PromptTokens {
-		t.Errorf("reported of a replica in slow start: %v", messages)
+		t.Errorf("small prompt to a replica in slow start: want one report with its own size, got %v", messages)
 	}
 }
 
@@ -68,7 +68,7 @@
 		t.Error(diff)
 	}
 	if n := len(actionsOf[Probe](out)); n != 0 {
-		t.Errorf("%d probes; where routers tell each other, none is value its price", n)
+		t.Errorf("%d probes although routers report to each other, want 0", n)
 	}
 }
 
@@ -88,7 +88,7 @@
 	}
 	g.step(ReportsReceived{From: 0, Zone: zoneTag("there")}, ReportsReceived{From: 3, Zone: zoneTag("here")}, ReportsReceived{From: 9}, ReportsReceived{From: -1})
 	if messages := actionsOf[SendReports](g.step(longPrompt(g.request("safe")))); len(messages) != 1 || !cmp.Equal(messages[0].To, []int{3}) {
-		t.Errorf("want the prompt reported to router 3 alone, got %v", messages)
+		t.Errorf("want the prompt reported to router 3 only, got %v", messages)
 	}
 }
 
@@ -111,7 +111,7 @@
 			g.after(sec)
 		}
 		if got := sentTo(t, g.step(q)) == best; got != test.looksIdle {
-			t.Errorf("%s: sent to the one that others filled: %v, want %v", test.name, got, test.looksIdle)
+			t.Errorf("prompts of others %s: sent to the replica that got them: %v, want %v", test.name, got, test.looksIdle)
 		}
 	}
 }
@@ -123,7 +123,7 @@
 	g.step(g.request("safe"))
 	messages := actionsOf[SendReports](g.after(900*ms, FirstToken{ID: "q1"}))
 	if len(messages) != 1 || messages[0].Reports[0].LatencyRatio < reportRatio {
-		t.Fatalf("want the slow first token reported, got %v", messages)
+		t.Fatalf("want the late first token reported, got %v", messages)
 	}
 
 	h := newRouterWithPeers(t, members("a", "b")...)
@@ -132,11 +132,11 @@
 		h.step(ReportsReceived{From: 1, Zone: zoneTag("here"), Reports: messages[0].Reports})
 	}
 	if s := h.b.latencyRatioOf(a); s < reportRatio {
-		t.Errorf("slowness %.2f after three words of it", s)
+		t.Errorf("latency ratio is %.2f after three reports, want at least reportRatio", s)
 	}
 	h.after(60 * sec)
 	if s := h.b.latencyRatioOf(a); s > 1.1 {
-		t.Errorf("slowness %.2f a minute later", s)
+		t.Errorf("latency ratio is %.2f a minute after the reports, want at most 1.1", s)
 	}
 }
 
@@ -150,7 +150,7 @@
 		g.step(ReportsReceived{From: 1, Zone: zoneTag("here"), Reports: []PeerReport{{ReplicaTag: replicaTag(a), LatencyRatio: 20}}})
 	}
 	if s := g.b.latencyRatioOf(a); s > own*1.01 {
-		t.Errorf("slowness %.2f where %.2f was just seen", s, own)
+		t.Errorf("latency ratio is %.2f after 100 reports, want about %.2f as just observed", s, own)
 	}
 }
 
@@ -159,7 +159,7 @@
 	g := newRouterWithPeers(t, members("a")...)
 	g.step(ReportsReceived{From: 1, Reports: []PeerReport{{ReplicaTag: replicaTag(&replica{hash: rendezvous.Hash("elsewhere")}), PrefillTokens: 1}}})
 	if len(g.b.replicas) != 1 || g.b.replicas["a"].peerTokens != 0 {
-		t.Errorf("%d replicas, %v tokens reported of for the one listed; want 1 and none", len(g.b.replicas), g.b.replicas["a"].peerTokens)
+		t.Errorf("%d replicas known, want 1; %v reported tokens on the listed one, want 0", len(g.b.replicas), g.b.replicas["a"].peerTokens)
 	}
 }
 
@@ -184,20 +184,20 @@
 		assignedCount := 0
 		for _, r := range g.b.sorted {
 			if diff := cmp.Diff(all[0].b.replicas[r.Replica].liveAssignees, r.liveAssignees); diff != "" {
-				t.Fatalf("routers 0 and %d differ on who has %s: %s", self, r.Replica, diff)
+				t.Fatalf("routers 0 and %d differ on the live assignees of %s: %s", self, r.Replica, diff)
 			}
 			if slices.Contains(r.liveAssignees, self) != r.assigned {
-				t.Errorf("router %d: %s is mine: %v, for others %v", self, r.Replica, r.assigned, r.liveAssignees)
+				t.Errorf("router %d: replica %s is assigned to it: %v, but its live assignees are %v", self, r.Replica, r.assigned, r.liveAssignees)
 			}
 			if r.assigned {
 				assignedCount++
 				if r.Zone != g.b.cfg.Zone {
-					t.Errorf("router %d has %s of another zone in its share", self, r.Replica)
+					t.Errorf("router %d is assigned %s, which is in another zone", self, r.Replica)
 				}
 			}
 		}
 		if assignedCount != minAssignedReplicas {
-			t.Errorf("router %d has a share of %d, want %d", self, assignedCount, minAssignedReplicas)
+			t.Errorf("router %d is assigned %d replicas, want %d", self, assignedCount, minAssignedReplicas)
 		}
 	}
 }
@@ -225,7 +225,7 @@
 	}
 	alone, shared := sent(false), sent(true)
 	if alone == 0 || shared > alone/2 {
-		t.Errorf("room for %d prompts on the replica in slow start alone, %d where others fill it; want some, and far fewer", alone, shared)
+		t.Errorf("replica in slow start admits %d prompts without reports of others, %d with them; want at least 1, and at most half with them", alone, shared)
 	}
 }
 
@@ -239,7 +239,7 @@
 	sentToAssigned := func() bool { return g.b.replicas[sentTo(t, g.step(g.request("safe")))].assigned }
 	for range 2 * minAssignedReplicas {
 		if !sentToAssigned() {
-			t.Fatal("sent beyond the share, which has room")
+			t.Fatal("request sent to an unassigned replica although assigned ones have capacity")
 		}
 	}
 	for _, r := range g.b.sorted {
@@ -248,7 +248,7 @@
 		}
 	}
 	if sentToAssigned() {
-		t.Error("sent to a full replica of the share")
+		t.Error("request sent to an assigned replica although all of them are full")
 	}
 }
 
@@ -266,14 +266,14 @@
 		var received []ReportsReceived
 		for i := range rapid.IntRange(1, 40).Draw(rt, "steps") {
 			var events []Event
-			for range rapid.IntRange(0, 4).Draw(rt, "words") {
-				if len(received) > 0 && rapid.Bool().Draw(rt, "again") {
+			for range rapid.IntRange(0, 4).Draw(rt, "reports") {
+				if len(received) > 0 && rapid.Bool().Draw(rt, "repeat") {
 					events = append(events, rapid.SampledFrom(received).Draw(rt, "which"))
 					continue
 				}
 				n := PeerReport{ReplicaTag: rapid.SampledFrom(tags).Draw(rt, "tag")}
 				if rapid.Bool().Draw(rt, "slow") {
-					n.LatencyRatio = rapid.Float64Range(0, 1000).Draw(rt, "times")
+					n.LatencyRatio = rapid.Float64Range(0, 1000).Draw(rt, "ratio")
 				} else {
 					n.PrefillTokens = rapid.Float64Range(0, 1e6).Draw(rt, "tokens")
 				}
@@ -284,12 +284,12 @@
 			q.ID = fmt.Sprint("w", i)
 			for _, s := range actionsOf[Send](g.after(100*ms, append(events, q)...)) {
 				if r := g.b.replicas[s.Replica]; r == nil || r.State != Serving {
-					rt.Fatalf("sent to %s", s.Replica)
+					rt.Fatalf("request sent to %s, which is not serving", s.Replica)
 				}
 				g.step(FirstToken{ID: s.ID}, Outcome{ID: s.ID, Result: OK, Final: true})
 			}
 			if len(g.b.replicas) != 4 {
-				rt.Fatalf("%d replicas", len(g.b.replicas))
+				rt.Fatalf("%d replicas known, want 4", len(g.b.replicas))
 			}
 		}
 		for range 120 {
@@ -297,7 +297,7 @@
 		}
 		for _, r := range g.b.sorted {
 			if s := g.b.latencyRatioOf(r); s < 0.9 || s > 1.1 || g.b.tokensQueuedOn(r) > 1 || r.peerStreams > 0.1 {
-				rt.Errorf("two minutes later %s has slowness %v, %v tokens and %v streams of others", r.Replica, s, g.b.tokensQueuedOn(r), r.peerStreams)
+				rt.Errorf("two minutes after the reports %s has latency ratio %v, %v queued tokens and %v streams of other routers", r.Replica, s, g.b.tokensQueuedOn(r), r.peerStreams)
 			}
 		}
 	})
@@ -312,7 +312,7 @@
 	q.Prefix, q.PrefixTokens = "long beginning", 3000
 	reported := actionsOf[SendReports](g.step(q))
 	if len(reported) != 1 || reported[0].Reports[0].PrefixTag == 0 {
-		t.Fatalf("reported %v", reported)
+		t.Fatalf("want one report with a prefix tag, got %v", reported)
 	}
 	other := newRouterWithPeers(t, members("a", "b")...)
 	other.step(ReportsReceived{From: 1, Zone: zoneTag("here"), Reports: reported[0].Reports})
@@ -331,14 +331,14 @@
 			want = 1000
 		}
 		if got := prefillTokens(q.Prefix, r); got != want {
-			t.Errorf("%s reads %v of it, want %v", r.Replica, got, want)
+			t.Errorf("%s has %v tokens of the prompt to prefill, want %v", r.Replica, got, want)
 		}
 		if got := prefillTokens("another", r); got != 4000 {
-			t.Errorf("%s reads %v of another, want all", r.Replica, got)
+			t.Errorf("%s has %v tokens of a prompt with another prefix to prefill, want 4000", r.Replica, got)
 		}
 	}
 	other.b.beginSlowStart(reportedReplica, other.b.now)
 	if got := prefillTokens(q.Prefix, reportedReplica); got != 4000 {
-		t.Errorf("started anew it reads %v, want all", got)
+		t.Errorf("after a restart the replica has %v tokens to prefill, want 4000", got)
 	}
 }
--- a/balance/retrybudget_test.go
+++ b/balance/retrybudget_test.go
@@ -21,10 +21,10 @@
 			g := newTestRouter(t, cfg, members("a", "b")...)
 			q := g.request("safe")
 			if len(actionsOf[Send](g.step(q))) != 1 {
-				t.Fatal("not sent")
+				t.Fatal("request was not sent")
 			}
 			if again := len(actionsOf[Send](g.step(Outcome{ID: q.ID, Result: tt.result}))) == 1; again != tt.again {
-				t.Errorf("sent again: %v, want %v", again, tt.again)
+				t.Errorf("retried: %v, want %v", again, tt.again)
 			}
 		})
 	}
--- a/balance/size_test.go
+++ b/balance/size_test.go
@@ -50,7 +50,7 @@
 		}
 		for i, line := range strings.Split(string(text), "\n") {
 			if n := utf8.RuneCountInString(line); n > maxColumns {
-				t.Errorf("%s:%d has %d characters; %d at most", path, i+1, n, maxColumns)
+				t.Errorf("%s:%d has %d characters; at most %d are allowed", path, i+1, n, maxColumns)
 			}
 		}
 	}
@@ -69,10 +69,10 @@
 				continue
 			}
 			if n := fset.Position(f.End()).Line - fset.Position(f.Pos()).Line + 1; n > maxFunctionLines {
-				t.Errorf("%s: %s has %d lines; %d at most", path, f.Name.Name, n, maxFunctionLines)
+				t.Errorf("%s: function %s has %d lines; at most %d are allowed", path, f.Name.Name, n, maxFunctionLines)
 			}
 			if f.Doc == nil {
-				t.Errorf("%s: %s has no comment", path, f.Name.Name)
+				t.Errorf("%s: function %s has no doc comment", path, f.Name.Name)
 			}
 		}
 	}
@@ -106,7 +106,7 @@
 		}
 		for _, word := range []string{"b.emit(", "b.rng."} {
 			if strings.Contains(string(text), word) {
-				t.Errorf("%s has %s; files that decide are on the policy list", file, word)
+				t.Errorf("%s contains %s; files that emit actions or draw random numbers must be on the policy list", file, word)
 			}
 		}
 	}
@@ -115,6 +115,6 @@
 		t.Fatal(err)
 	}
 	if strings.Contains(string(text), "\nfunc ") {
-		t.Error("state.go has a function; it holds types only")
+		t.Error("state.go has a function; it may hold types only")
 	}
 }
