--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -730,7 +730,7 @@
 
 // One of many routers observes each replica too rarely to compare two of them (incident iaaacad).
 // It probes the samples, never the whole fleet, and sends the request to the sample that reports
-// less load, or after probeTimeout to either sample.
+// less load. If the probes are not answered, it sends the request after probeTimeout all the same.
 func TestSamplesAreProbedWhereReportsAreOld(t *testing.T) {
 	cfg := testConfig()
 	cfg.MayProbe = true
--- a/balance/choose.go
+++ b/balance/choose.go
@@ -70,9 +70,8 @@
 // affinitySamples returns samples of pool, which are the same on all routers. The affinity hosts of
 // a prefix are the first replicas in its rendezvous order. Their number grows with the fraction of
 // all prompts that have the prefix, so that few replicas cache the prefix and none is overloaded by
-// it. The samples of a session are two of these hosts, and those of a request without a prefix are
-// two of all replicas. If Config.SingleAffinityHost is set, all hosts of a prefix, mostly two, are
-// samples.
+// it. The samples of a session are two of these hosts; those of a request without a prefix are two
+// of pool. If Config.SingleAffinityHost is set, all hosts of a prefix, mostly two, are samples.
 func (b *Balancer) affinitySamples(q *request, pool []*replica) []*replica {
 	if q.Prefix == "" {
 		return firstRanked(q.sessionHash, pool, 2)
--- a/balance/estimate.go
+++ b/balance/estimate.go
@@ -7,8 +7,8 @@
 const (
 	// streamWorkFraction is the fraction of a replica's time that one stream takes.
 	streamWorkFraction = 0.006
-	// interferenceFraction is the cost of a stream to a request on the same replica, as a fraction
-	// of the request's decode time. Half of it is the delay of the request, half the delay of the
+	// interferenceFraction is the cost of another stream on the same replica, as a fraction of a
+	// request's decode time. Half of it is the delay of the request, half the delay of the other
 	// stream.
 	interferenceFraction = 0.04
 	// crossZoneStreams is the number of streams that is added to the count of a replica in another
@@ -37,8 +37,8 @@
 
 // estimatedCost returns the cost of q on r in seconds: the time to its first token, the delay by
 // other streams on r while it decodes, and the price of crossing zones. If
-// Config.SingleAffinityHost is set, the cost includes that of computing a prefix again that r has
-// not cached, because the prefix then takes up cache on two replicas.
+// Config.SingleAffinityHost is set, it also includes what it costs others that r computes prefix
+// tokens again which it has not cached, so that two replicas have them cached.
 func (b *Balancer) estimatedCost(q *request, r *replica) float64 {
 	cost := b.timeToFirstToken(q, r)
 	streams := float64(r.inFlight) + r.peerStreams
@@ -103,7 +103,8 @@
 }
 
 // decayPeerTokens subtracts from the prompts that other routers reported what r has prefilled since
-// the last call, at an assumed constant rate. It also lowers the number of reported streams.
+// the last call, at an assumed constant rate. It also lowers the number of reported streams. It
+// does nothing if this router gets no reports from others.
 func (b *Balancer) decayPeerTokens(r *replica) {
 	elapsed := (b.now - r.peerTokensAt).Seconds()
 	if elapsed <= 0 || b.routers.Alone() && !b.cfg.Broadcast {
@@ -167,8 +168,8 @@
 	b.backlogRatio = min(max(mean/b.shortestTarget, 0), 1)
 }
 
-// crossZoneCost returns the price of crossing zones in seconds, which is in proportion to q's
-// latency target.
+// crossZoneCost returns the price of crossing zones in seconds. It is proportional to q's latency
+// target.
 func (b *Balancer) crossZoneCost(q *request) float64 {
 	return b.cfg.CrossZonePenalty * crossZoneFactor * q.latencyTarget.Seconds()
 }
@@ -188,9 +189,9 @@
 	return b.workOf(q) + b.recomputedTokens(q, r)*r.prefill.perToken()
 }
 
-// recordFirstToken records that a first token took a number of seconds where the prefill alone made
-// another number expected. If the time differs much from this router's own estimate, it reports the
-// ratio to the routers that share r.
+// recordFirstToken records that a first token took some seconds, where another number was expected
+// from the prefill alone. If the time differs much from this router's estimate for r, the ratio is
+// reported to the routers that share r.
 func (b *Balancer) recordFirstToken(r *replica, took, expected float64) {
 	predicted := b.latencyRatioOf(r) * expected
 	ratio := took / expected
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -233,7 +233,7 @@
 	}
 	for n := range uint64(16) {
 		missing, partitions := int(n/2)%(routers/2+1), 1+int(n%2)
-		view := func(i int) (all []Peer) { // returns the same view on each call
+		view := func(i int) (all []Peer) { // each router gets the same view every time
 			rng := rand.New(rand.NewPCG(n, uint64(i)))
 			for k, j := range rng.Perm(routers) {
 				if k >= missing || j == i {
@@ -280,7 +280,7 @@
 		cfg.Routers, cfg.SlowStartMinCapacity, cfg.SlowStartWindow, cfg.OverloadFactor, cfg.OverloadWindow = routers, 0.3, 40*sec, 2.5, 3*sec
 		type clockedRouter struct {
 			*Balancer
-			clock time.Duration // offset to the test's time
+			clock time.Duration // how far the router's clock is ahead of the test's
 		}
 		var all []clockedRouter
 		for i := range routers {
--- a/balance/learned.go
+++ b/balance/learned.go
@@ -75,7 +75,8 @@
 
 // Restore restores what an earlier process of this router, or another router, has learned, except
 // where this process has already observed something itself. It ignores values that are out of
-// bounds. What it gets on replicas it keeps until RestoreReplicas is called.
+// bounds. It keeps the state of replicas until RestoreReplicas applies it, because they may not be
+// listed yet.
 func (b *Balancer) Restore(learned Learned) {
 	if inBounds(learned.CompletedWork) && inBounds(learned.MeanWork) && b.completedWork == 0 {
 		b.completedWork = learned.CompletedWork
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -35,9 +35,9 @@
 	return q.class.Effect == Keyed && q.class.DedupScope == ScopeAll
 }
 
-// mayAttempt reports whether q may be sent to r. No replica gets a request twice. Once an attempt
-// may have executed, further attempts go only to replicas where a duplicate is harmless or
-// discarded.
+// mayAttempt reports whether q may be sent to r. r must have the feature that q requires, and no
+// replica gets a request twice. Once an attempt may have executed, further attempts go only to
+// replicas where a duplicate is harmless or discarded.
 func (b *Balancer) mayAttempt(q *request, r *replica) bool {
 	if q.RequiredFeature != "" && !slices.Contains(r.Features, q.RequiredFeature) {
 		return false
