--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// testRouter drives one Balancer and records what it did.
+// testRouter drives one Balancer with a clock and numbers its requests.
 type testRouter struct {
 	t   *testing.T
 	b   *Balancer
@@ -55,13 +55,14 @@
 	return g.step(events...)
 }
 
-// request is an arrival of a class with 1,000 prompt tokens.
+// request returns a new arrival of a class with 1,000 prompt tokens.
 func (g *testRouter) request(class string) Arrival {
 	g.ids++
 	return Arrival{ID: fmt.Sprint("q", g.ids), Class: class, TimeLeft: 2 * sec, PromptTokens: 1000, WorkEstimate: 100 * ms}
 }
 
-// serve has a request sent, begun after a while and answered, and returns its replica.
+// serve sends a request, reports its first token after a while and a complete answer, and returns
+// its replica.
 func (g *testRouter) serve(q Arrival, first time.Duration, cached float64) string {
 	g.t.Helper()
 	replica := sentTo(g.t, g.step(q))
@@ -78,8 +79,8 @@
 	return list
 }
 
-// numbered returns n names that begin alike.
-func numbered(start string, n int) []string {
+// numberedNames returns n names that consist of a common prefix and a number.
+func numberedNames(start string, n int) []string {
 	var names []string
 	for i := 0; i < n; i++ {
 		names = append(names, fmt.Sprintf("%s%02d", start, i))
@@ -87,8 +88,8 @@
 	return names
 }
 
-// of picks the actions of one type.
-func of[A Action](actions []Action) []A {
+// actionsOf returns the actions of one type.
+func actionsOf[A Action](actions []Action) []A {
 	var list []A
 	for _, a := range actions {
 		if a, ok := a.(A); ok {
@@ -100,7 +101,7 @@
 
 func sentTo(t *testing.T, actions []Action) string {
 	t.Helper()
-	sends := of[Send](actions)
+	sends := actionsOf[Send](actions)
 	if len(sends) != 1 {
 		t.Fatalf("want one Send, got %v", actions)
 	}
@@ -126,7 +127,7 @@
 		cfg := testConfig()
 		tt.change(&cfg)
 		if _, err := New(cfg, 1); err == nil || !strings.Contains(err.Error(), tt.field) {
-			t.Errorf("want an error that names %s, got %v", tt.field, err)
+			t.Errorf("New: want an error that names %s, got %v", tt.field, err)
 		}
 	}
 }
@@ -148,12 +149,13 @@
 
 func TestUnknownClassIsRejected(t *testing.T) {
 	g := newTestRouter(t, testConfig(), members("a")...)
-	if out := g.step(g.request("nobody's")); len(of[Reject](out)) != 1 {
-		t.Errorf("want a rejection, got %v", out)
+	if out := g.step(g.request("unlisted")); len(actionsOf[Reject](out)) != 1 {
+		t.Errorf("request of an unknown class: want a rejection, got %v", out)
 	}
 }
 
-// Nothing waits while a replica has capacity, and what waits leaves by response ratio.
+// A request is sent as soon as a replica has capacity, and queued requests are sent in order of
+// their response ratio.
 func TestDispatchOrder(t *testing.T) {
 	g := newTestRouter(t, testConfig(), members("a")...)
 	r := g.b.replicas["a"]
@@ -162,25 +164,25 @@
 	sentTo(t, g.step(first))
 	long, short := g.request("safe"), g.request("safe")
 	long.PromptTokens, short.PromptTokens = 9000, 100
-	if out := g.step(long); len(of[Send](out)) != 0 {
-		t.Fatalf("sent beyond the limit: %v", out)
+	if out := g.step(long); len(actionsOf[Send](out)) != 0 {
+		t.Fatalf("request sent beyond the concurrency limit: %v", out)
 	}
 	g.after(20*ms, short)
 	r.limit = 2
-	if got := of[Send](g.after(100 * ms)); len(got) != 1 || got[0].ID != short.ID {
-		t.Errorf("want the short prompt first, got %v", got)
-	}
-	// The same two, but the long one has waited far longer.
-	patient := testConfig()
-	patient.Classes[0].LatencyTarget = 10 * sec
-	late := newTestRouter(t, patient, members("a")...)
-	late.b.replicas["a"].limit = 1
-	late.step(late.request("safe"))
-	late.step(long)
-	late.after(900*ms, short)
-	late.b.replicas["a"].limit = 2
-	if got := of[Send](late.after(ms)); len(got) != 1 || got[0].ID != long.ID {
-		t.Errorf("want the long prompt that has waited, got %v", got)
+	if got := actionsOf[Send](g.after(100 * ms)); len(got) != 1 || got[0].ID != short.ID {
+		t.Errorf("after 20 ms in the queue: want the short prompt sent first, got %v", got)
+	}
+	// The same two requests, but the one with the long prompt has waited much longer.
+	longTarget := testConfig()
+	longTarget.Classes[0].LatencyTarget = 10 * sec
+	waited := newTestRouter(t, longTarget, members("a")...)
+	waited.b.replicas["a"].limit = 1
+	waited.step(waited.request("safe"))
+	waited.step(long)
+	waited.after(900*ms, short)
+	waited.b.replicas["a"].limit = 2
+	if got := actionsOf[Send](waited.after(ms)); len(got) != 1 || got[0].ID != long.ID {
+		t.Errorf("after 900 ms in the queue: want the long prompt sent first, got %v", got)
 	}
 }
 
@@ -193,11 +195,11 @@
 	g.step(q1, q2)
 	g.after(100*ms, FirstToken{ID: q1.ID})
 	if r.limit != 3 {
-		t.Errorf("a clean answer at a used limit: want 3, got %v", r.limit)
+		t.Errorf("limit of 2 after an answer in time with 2 requests in flight: want 3, got %v", r.limit)
 	}
 	g.step(Outcome{ID: q1.ID, Result: OK, Final: true}, Outcome{ID: q2.ID, Result: Full})
 	if r.limit >= 3 {
-		t.Errorf("a full replica must cut the limit, got %v", r.limit)
+		t.Errorf("limit of 3 after the replica was full: want less, got %v", r.limit)
 	}
 	for i := 0; i < 20; i++ {
 		q := g.request("safe")
@@ -205,35 +207,36 @@
 		g.after(ms, Outcome{ID: q.ID, Result: Full})
 	}
 	if r.limit != 1 {
-		t.Errorf("want the floor of 1, got %v", r.limit)
+		t.Errorf("limit after 20 rejections: want the minimum of 1, got %v", r.limit)
 	}
 }
 
-// A client's time spent before this attempt says nothing about the replica (incident i58049e).
+// The time that a client spent before this attempt must not count as latency of the replica
+// (incident i58049e).
 func TestLaterAttemptDoesNotReduceTheLimit(t *testing.T) {
 	g := newTestRouter(t, testConfig(), members("a")...)
 	first := g.request("safe")
 	g.step(first)
 	g.step(FirstToken{ID: first.ID}, Outcome{ID: first.ID, Result: OK, Final: true})
 	later := g.request("safe")
-	later.TimeLeft = 1400 * ms // of 4 s, so 2.6 s are spent
+	later.TimeLeft = 1400 * ms // 2.6 s of the deadline of 4 s have passed
 	g.b.replicas["a"].ejectedUntil = 0
 	before := g.b.replicas["a"].limit
 	a := &attempt{request: &request{class: g.b.classes["safe"], latencyTarget: sec, arrivedAt: g.now - 2*sec}, replica: g.b.replicas["a"],
 		sentAt: g.now - 100*ms}
 	g.b.adjustLimit(a)
 	if got := g.b.replicas["a"].limit; got < before {
-		t.Errorf("limit cut from %v to %v", before, got)
+		t.Errorf("limit reduced from %v to %v by a second attempt that was in time", before, got)
 	}
 }
 
-// A slowdown of the whole fleet is no reason to reduce every limit to its minimum.
+// If all replicas are slow, lateness must not reduce every concurrency limit to its minimum.
 func TestLatenessAloneKeepsTheLimitAboveItsFloor(t *testing.T) {
 	g := newTestRouter(t, testConfig(), members("a", "b", "c")...)
 	for i := 0; i < 50; i++ {
 		replica := g.serve(g.request("safe"), 1100*ms, 0)
 		if c := g.b.replicas[replica].limit; c < lateLimitFloor {
-			t.Fatalf("limit of %s collapsed to %v", replica, c)
+			t.Fatalf("limit of %s fell to %v, below lateLimitFloor", replica, c)
 		}
 	}
 }
@@ -249,23 +252,23 @@
 		}
 	}
 	if len(used) > 2 {
-		t.Errorf("a prefix asked for in turn was read on %d replicas; want 2 at most: %v", len(used), used)
+		t.Errorf("prefix p0 was sent to %d replicas, want at most 2: %v", len(used), used)
 	}
 	other := newTestRouter(t, testConfig(), members("a", "b", "c", "d", "e", "f")...)
 	q := other.request("safe")
 	q.Prefix, q.PrefixTokens = "p0", 900
 	if r := sentTo(t, other.step(q)); used[r] == 0 {
-		t.Errorf("another router chose %s; affinity hosts are %v", r, used)
+		t.Errorf("another router sent prefix p0 to %s; affinity hosts are %v", r, used)
 	}
 }
 
-// Two affinity hosts are too few for a prefix that a large fleet is asked for through many
-// routers, none of which sees the load that the others put there (incident iaaacad): their
-// number grows with the fraction of the prompts.
+// Two affinity hosts are too few for a prefix that many routers of a large fleet use, because no
+// router sees the load that the others put on these hosts (incident iaaacad). The number of
+// affinity hosts must grow with the fraction of the prompts that have the prefix.
 func TestAffinityHostsGrowWithThePrefixFraction(t *testing.T) {
-	names := numbered("r", 60)
+	names := numberedNames("r", 60)
 	used := map[string]map[string]bool{"hot": {}, "rare": {}}
-	for n := 0; n < 40; n++ { // routers, which see 50 prompts each
+	for n := 0; n < 40; n++ { // 40 routers with 50 prompts each
 		g := newTestRouter(t, testConfig(), members(names...)...)
 		for i := 0; i < 50; i++ {
 			q := g.request("safe")
@@ -283,24 +286,24 @@
 		}
 	}
 	if hot, rare := len(used["hot"]), len(used["rare"]); hot < 20 || hot > 50 || rare > 4 {
-		t.Errorf("half of all prompts went to %d of 60 replicas, a rare prefix to %d", hot, rare)
+		t.Errorf("half of all prompts went to %d of 60 replicas, want 20 to 50; a rare prefix went to %d, want at most 4", hot, rare)
 	}
 }
 
-// A hot prefix must not overload its affinity hosts.
+// A frequent prefix must not overload its affinity hosts.
 func TestHotPrefixGetsFurtherAffinityHosts(t *testing.T) {
 	g := newTestRouter(t, testConfig(), members("a", "b", "c", "d", "e", "f")...)
 	used := map[string]int{}
 	for i := 0; i < 40; i++ {
 		q := g.request("safe")
 		q.Prefix, q.PrefixTokens = "p", 900
-		for _, s := range of[Send](g.after(ms, q)) {
+		for _, s := range actionsOf[Send](g.after(ms, q)) {
 			used[s.Replica]++
 			g.step(FirstToken{ID: q.ID})
 		}
 	}
 	if len(used) < 4 {
-		t.Errorf("40 prompts at once went to %d replicas: %v", len(used), used)
+		t.Errorf("40 prompts at once with one prefix went to %d replicas, want at least 4: %v", len(used), used)
 	}
 }
 
@@ -312,36 +315,36 @@
 	g := newTestRouter(t, cfg, near, far)
 	for i := 0; i < 3; i++ {
 		if r := sentTo(t, g.after(ms, g.request("safe"))); r != "a" {
-			t.Fatalf("prompt %d left the zone for %s", i, r)
+			t.Fatalf("request %d was sent to %s, want replica a of the router's own zone", i, r)
 		}
 	}
 	for i := 0; i < 20; i++ {
-		for _, s := range of[Send](g.step(g.request("safe"))) {
+		for _, s := range actionsOf[Send](g.step(g.request("safe"))) {
 			if s.Replica == "b" {
 				return
 			}
 		}
 	}
-	t.Error("a zone that is overrun must overflow")
+	t.Error("none of 20 requests was sent to the other zone although replica a is overloaded")
 }
 
 func TestDrainGraceIsNotUsed(t *testing.T) {
 	for _, state := range []State{Draining, Removed} {
 		g := newTestRouter(t, testConfig(), members("a")...)
-		gone := members("a")[0]
-		gone.State = state
-		if out := g.step(Members{Version: 2, Members: []Member{gone}}, g.request("safe")); len(of[Send](out)) != 0 {
-			t.Errorf("state %d: sent in the same step: %v", state, out)
+		updated := members("a")[0]
+		updated.State = state
+		if out := g.step(Members{Version: 2, Members: []Member{updated}}, g.request("safe")); len(actionsOf[Send](out)) != 0 {
+			t.Errorf("state %d: request sent to the replica in the step that delisted it: %v", state, out)
 		}
 	}
 	g := newTestRouter(t, testConfig(), members("a", "b")...)
 	g.step(Members{Version: 2, Complete: true, Members: members("b")})
 	if r := sentTo(t, g.step(g.request("safe"))); r != "b" {
-		t.Errorf("sent to %s, which the new list lacks", r)
+		t.Errorf("request sent to %s, which is not in the latest list", r)
 	}
 }
 
-// Whatever happens, a request gets its answer before its client gives up.
+// A queued request is answered before its client gives up, even if no replica can take it.
 func TestQueuedRequestIsAnsweredInTime(t *testing.T) {
 	full := func(g *testRouter) { g.b.replicas["a"].limit = 0 }
 	tests := []struct {
@@ -359,15 +362,15 @@
 		q := g.request("safe")
 		out := g.step(q)
 		end := g.now + q.TimeLeft
-		for g.now < end && len(of[Reject](out))+len(of[Fail](out)) == 0 {
-			timers := of[SetTimer](out)
+		for g.now < end && len(actionsOf[Reject](out))+len(actionsOf[Fail](out)) == 0 {
+			timers := actionsOf[SetTimer](out)
 			if len(timers) == 0 {
-				t.Fatalf("%s: held without a timer", tt.name)
+				t.Fatalf("%s: request queued without a timer", tt.name)
 			}
 			out = g.after(timers[len(timers)-1].Delay, TimerExpired{Token: timers[len(timers)-1].Token})
 		}
-		if n := len(of[Reject](out)); n != 1 || g.now >= end {
-			t.Errorf("%s: want one rejection before the client gives up, got %d at %v of %v", tt.name, n, g.now, end)
+		if n := len(actionsOf[Reject](out)); n != 1 || g.now >= end {
+			t.Errorf("%s: want one rejection before the client gives up, got %d rejections at %v; the client gives up at %v", tt.name, n, g.now, end)
 		}
 	}
 }
@@ -376,7 +379,7 @@
 	type want int
 	const (
 		resend want = iota
-		refuse
+		reject
 		fail
 	)
 	tests := []struct {
@@ -387,41 +390,41 @@
 	}{
 		{"safe", Error, ms, resend},
 		{"safe", NoConnection, ms, resend},
-		{"safe", TimedOut, 2 * sec, refuse},
+		{"safe", TimedOut, 2 * sec, reject},
 		{"unsafe", Error, ms, fail},
 		{"unsafe", Reset, ms, fail},
 		{"unsafe", TimedOut, 2 * sec, fail},
 		{"unsafe", Full, ms, resend},
 		{"unsafe", NoConnection, ms, resend},
-		{"unsafe", NotSent, 2 * sec, refuse},
+		{"unsafe", NotSent, 2 * sec, reject},
 		{"keyed", Error, ms, resend},
 		{"keyed", TimedOut, 2 * sec, fail},
-		{"keyed-all", TimedOut, 2 * sec, refuse},
+		{"keyed-all", TimedOut, 2 * sec, reject},
 	}
 	for _, tt := range tests {
 		list := members("a", "b", "c", "d")
 		for i := range list {
-			list[i].Cell = i / 2 // a and b discard each other's duplicates, c and d theirs
+			list[i].Cell = i / 2 // a and b share a cell and discard each other's duplicates, and so do c and d
 		}
 		g := newTestRouter(t, testConfig(), list...)
 		q := g.request(tt.class)
 		first := sentTo(t, g.step(q))
 		out := g.after(tt.wait, Outcome{ID: q.ID, Result: tt.result})
-		got := []int{len(of[Send](out)), len(of[Reject](out)), len(of[Fail](out))}
+		got := []int{len(actionsOf[Send](out)), len(actionsOf[Reject](out)), len(actionsOf[Fail](out))}
 		if want := []int{0, 0, 0}; true {
 			want[tt.want] = 1
 			if !reflect.DeepEqual(got, want) {
-				t.Errorf("%s after %d: want send, refuse, fail %v, got %v", tt.class, tt.result, want, got)
+				t.Errorf("class %s after result %d: want counts of Send, Reject, Fail %v, got %v", tt.class, tt.result, want, got)
 				continue
 			}
 		}
 		if tt.want == resend {
 			second := sentTo(t, out)
 			if second == first {
-				t.Errorf("%s: tried %s twice", tt.class, first)
+				t.Errorf("class %s: request sent to %s twice", tt.class, first)
 			}
 			if tt.class == "keyed" && g.b.replicas[second].Cell != g.b.replicas[first].Cell {
-				t.Errorf("keyed request left the cell that discards its duplicates")
+				t.Errorf("keyed request was retried outside the cell that discards its duplicates")
 			}
 		}
 	}
@@ -433,8 +436,8 @@
 	g := newTestRouter(t, cfg, members("a", "b")...)
 	q := g.request("keyed")
 	sentTo(t, g.step(q))
-	if out := g.after(200*ms, Outcome{ID: q.ID, Result: Error}); len(of[Fail](out)) != 1 {
-		t.Errorf("the group has forgotten the request: want a failure, got %v", out)
+	if out := g.after(200*ms, Outcome{ID: q.ID, Result: Error}); len(actionsOf[Fail](out)) != 1 {
+		t.Errorf("error after the dedup window: want one Fail, got %v", out)
 	}
 }
 
@@ -443,13 +446,13 @@
 		name   string
 		events func(id string) []Event
 	}{
-		{"aborted, then a failure", func(id string) []Event {
+		{"aborted, then a failed attempt", func(id string) []Event {
 			return []Event{Aborted{ID: id}, Outcome{ID: id, Result: Error}}
 		}},
-		{"stream begun, then broken", func(id string) []Event {
+		{"first token, then the connection breaks", func(id string) []Event {
 			return []Event{FirstToken{ID: id}, Outcome{ID: id, Result: Reset, Final: true}}
 		}},
-		{"closed by the outcome, then aborted", func(id string) []Event {
+		{"final outcome, then aborted", func(id string) []Event {
 			return []Event{Outcome{ID: id, Result: OK, Final: true}, Aborted{ID: id}, Outcome{ID: id, Result: OK}}
 		}},
 	}
@@ -458,11 +461,11 @@
 		q := g.request("safe")
 		g.step(q)
 		out := g.after(ms, tt.events(q.ID)...)
-		if n := len(of[Send](out)) + len(of[Reject](out)) + len(of[Fail](out)); n != 0 {
-			t.Errorf("%s: got %v", tt.name, out)
+		if n := len(actionsOf[Send](out)) + len(actionsOf[Reject](out)) + len(actionsOf[Fail](out)); n != 0 {
+			t.Errorf("%s: want no Send, Reject or Fail, got %v", tt.name, out)
 		}
 		if len(g.b.requests) != 0 {
-			t.Errorf("%s: %d requests are still remembered", tt.name, len(g.b.requests))
+			t.Errorf("%s: %d closed requests are still in the request map", tt.name, len(g.b.requests))
 		}
 	}
 }
@@ -471,16 +474,16 @@
 	g := newTestRouter(t, testConfig(), members("a", "b", "c", "d", "e")...)
 	q := g.request("safe")
 	out := g.step(q)
-	sends := len(of[Send](out))
+	sends := len(actionsOf[Send](out))
 	for n := 0; n < 5; n++ {
 		out = g.after(ms, Outcome{ID: q.ID, Attempt: n, Result: NoConnection})
-		sends += len(of[Send](out))
-		if len(of[Reject](out)) > 0 {
+		sends += len(actionsOf[Send](out))
+		if len(actionsOf[Reject](out)) > 0 {
 			break
 		}
 	}
 	if sends != 3 {
-		t.Errorf("want 3 attempts, got %d", sends)
+		t.Errorf("want 3 attempts in all, got %d", sends)
 	}
 }
 
@@ -491,11 +494,11 @@
 	g.b.replicas["b"].State = Draining
 	g.step(q)
 	out := g.after(ms, Outcome{ID: q.ID, Result: NoConnection})
-	if logs := of[Log](out); len(logs) != 1 || logs[0].Text != "ejected: a" {
+	if logs := actionsOf[Log](out); len(logs) != 1 || logs[0].Text != "ejected: a" {
 		t.Fatalf("want the ejection logged, got %v", out)
 	}
-	if out := g.step(g.request("safe")); len(of[Send](out)) != 0 {
-		t.Fatal("sent to an ejected replica")
+	if out := g.step(g.request("safe")); len(actionsOf[Send](out)) != 0 {
+		t.Fatal("request sent to an ejected replica")
 	}
 	g.now = a.ejectedUntil
 	again := g.request("safe")
@@ -503,52 +506,53 @@
 	g.step(Outcome{ID: again.ID, Result: NoConnection})
 	g.now = a.ejectedUntil
 	trial, second := g.request("safe"), g.request("safe")
-	if n := len(of[Send](g.step(trial, second))); n != 1 {
-		t.Fatalf("want one trial, got %d", n)
+	if n := len(actionsOf[Send](g.step(trial, second))); n != 1 {
+		t.Fatalf("want one trial request after the ejection, got %d", n)
 	}
 	g.after(100*ms, FirstToken{ID: trial.ID}, FirstToken{ID: second.ID})
 	if a.ejectedUntil != 0 || !a.warmingUp {
-		t.Errorf("after the trial: ejected %v, in slow start %v; a replica that died comes back in slow start", a.ejectedUntil, a.warmingUp)
+		t.Errorf("after the trial: ejected until %v, in slow start %v; want no ejection, and slow start after a crash", a.ejectedUntil, a.warmingUp)
 	}
 }
 
-// A failure that need not be the process's ejects from the second in a row on, and is no sign of
-// a new process: on a day with stray resets, a whole healthy fleet got only what a replica in
-// slow start may have.
+// A failure other than a refused connection does not prove that the process died. It ejects a
+// replica only if it is the second in a row, and the replica does not begin slow start afterwards.
+// When stray resets began slow start, a whole healthy fleet got only as much as replicas in slow
+// start may get.
 func TestSingleFailuresNeitherEjectNorBeginSlowStart(t *testing.T) {
-	for _, how := range []Result{TimedOut, Error, Reset} {
+	for _, result := range []Result{TimedOut, Error, Reset} {
 		g := newTestRouter(t, testConfig(), members("a")...)
 		r := g.b.replicas["a"]
 		for n, want := range []bool{false, true} {
 			q := g.request("safe")
 			g.step(q)
-			g.after(2*sec, Outcome{ID: q.ID, Result: how})
+			g.after(2*sec, Outcome{ID: q.ID, Result: result})
 			if got := r.ejectedUntil > 0; got != want {
-				t.Errorf("after %d of result %d: ejected %v", n+1, how, got)
+				t.Errorf("after %d failures with result %d: ejected %v", n+1, result, got)
 			}
 		}
 		g.now = r.ejectedUntil
 		if g.serve(g.request("safe"), 10*ms, 0); r.ejectedUntil > 0 || r.warmingUp {
-			t.Errorf("back after result %d: ejected %v, in slow start %v; want neither", how, r.ejectedUntil, r.warmingUp)
+			t.Errorf("after an answer following result %d: ejected until %v, in slow start %v; want neither", result, r.ejectedUntil, r.warmingUp)
 		}
 	}
 }
 
-// A replica that accepts and never answers looks idle.
+// A replica that accepts requests and never answers must not look idle.
 func TestOverdueAnswersCount(t *testing.T) {
 	g := newTestRouter(t, testConfig(), members("a", "b")...)
 	q := g.request("safe")
-	silent := sentTo(t, g.step(q))
+	unresponsive := sentTo(t, g.step(q))
 	g.now += sec
 	for i := 0; i < 5; i++ {
-		if r := sentTo(t, g.after(ms, g.request("safe"))); r == silent {
-			t.Errorf("prompt %d went to %s, which owes an answer for a second", i, r)
+		if r := sentTo(t, g.after(ms, g.request("safe"))); r == unresponsive {
+			t.Errorf("request %d was sent to %s, which has not answered for a second", i, r)
 		}
 	}
 }
 
-// routersWithSlowStart returns routers that have sent a warm replica 5 requests a second each,
-// and know of a second one in slow start.
+// routersWithSlowStart returns n routers, each of which has sent 5 requests a second to a warm
+// replica and then learns of a second replica in slow start.
 func routersWithSlowStart(t *testing.T, n int) []*testRouter {
 	var list []*testRouter
 	for i := 0; i < n; i++ {
@@ -568,7 +572,7 @@
 	return list
 }
 
-// All routers together must stay below factor x present capacity x window, in any window.
+// In any window, all routers together must send less than factor x current capacity x window.
 func TestSlowStartBudgetOverAnyWindow(t *testing.T) {
 	cfg := testConfig()
 	type sent struct {
@@ -578,23 +582,23 @@
 	var all []sent
 	routers := routersWithSlowStart(t, 4)
 	startedAt := routers[0].now
-	// Each router sends 0.5 s of work a second to a warm replica, so one carries 2 s at least from
-	// all of them.
+	// Each router sends 0.5 s of work per second to a warm replica, so a warm replica handles at
+	// least 2 s per second from the 4 routers.
 	capacity := 2.0
 	for _, g := range routers {
 		for g.now < startedAt+cfg.SlowStartWindow {
 			q := g.request("safe")
 			if g.ids%7 == 0 {
-				q.WorkEstimate = 600 * ms // a heavy prompt
+				q.WorkEstimate = 600 * ms // a request with much work
 			}
-			for range of[Send](g.after(50*ms, q)) {
+			for range actionsOf[Send](g.after(50*ms, q)) {
 				all = append(all, sent{g.now, q.WorkEstimate.Seconds()})
 				g.step(FirstToken{ID: q.ID}, Outcome{ID: q.ID, Result: OK, Final: true})
 			}
 		}
 	}
 	if len(all) == 0 {
-		t.Fatal("nothing was sent to the replica in slow start at all")
+		t.Fatal("no request was sent to the replica in slow start")
 	}
 	for at := startedAt; at < startedAt+cfg.SlowStartWindow; at += 50 * ms {
 		share := cfg.SlowStartMinCapacity + (1-cfg.SlowStartMinCapacity)*float64(at-startedAt)/float64(cfg.SlowStartWindow)
@@ -605,18 +609,18 @@
 			}
 		}
 		if limit := cfg.OverloadFactor * share * capacity * cfg.OverloadWindow.Seconds(); sum > limit {
-			t.Fatalf("%v after the start: %.2f s of work in a window, at most %.2f", at-startedAt, sum, limit)
+			t.Fatalf("%v after the start: %.2f s of work in a window, want at most %.2f", at-startedAt, sum, limit)
 		}
 	}
 }
 
-// Many routers share a budget of which each one's fraction is far below one request: the replica
-// in slow start must get some of the load, but not from all routers at once, nor more because
-// attempts fail elsewhere.
+// With many routers, each router's fraction of the slow-start budget is far below one request. The
+// replica in slow start must still get some of the load, but not from all routers at once, and not
+// more because attempts fail on other replicas.
 func TestSlowStartBudgetOfManyRouters(t *testing.T) {
-	const routers, warm, rate = 200, 50, 1.0 // prompts a second from each
-	for _, storm := range []bool{false, true} {
-		names := numbered("warm", warm)
+	const routers, warm, rate = 200, 50, 1.0 // rate is in prompts per second from each router
+	for _, failing := range []bool{false, true} {
+		names := numberedNames("warm", warm)
 		var all []*testRouter
 		for i := 0; i < routers; i++ {
 			cfg := testConfig()
@@ -635,15 +639,15 @@
 					g.step(Members{Version: 2, Members: list})
 				}
 				q := g.request("safe")
-				for _, s := range of[Send](g.step(q)) {
+				for _, s := range actionsOf[Send](g.step(q)) {
 					result := OK
-					if storm && s.Replica != "cold" && n%2 > 0 {
+					if failing && s.Replica != "cold" && n%2 > 0 {
 						result = Full
 					}
 					if s.Replica == "cold" {
 						sends = append(sends, g.now)
 					}
-					for _, again := range of[Send](g.step(Outcome{ID: s.ID, Result: result, Final: result == OK})) {
+					for _, again := range actionsOf[Send](g.step(Outcome{ID: s.ID, Result: result, Final: result == OK})) {
 						if again.Replica == "cold" {
 							sends = append(sends, g.now)
 						}
@@ -654,10 +658,10 @@
 			}
 		}
 		if len(sends) < 3 {
-			t.Errorf("storm %v: only %d prompts for the replica in slow start in 10 s", storm, len(sends))
+			t.Errorf("failures elsewhere %v: replica in slow start got only %d prompts in 10 s, want at least 3", failing, len(sends))
 		}
 		cfg := testConfig()
-		capacity := 2 * routers * rate / warm // prompts a second, as warm replicas are half used
+		capacity := 2 * routers * rate / warm // prompts per second; warm replicas are half used
 		for at := startedAt; at < startedAt+10*sec; at += 100 * ms {
 			count := 0
 			for _, s := range sends {
@@ -667,7 +671,7 @@
 			}
 			share := cfg.SlowStartMinCapacity + (1-cfg.SlowStartMinCapacity)*float64(at-startedAt)/float64(cfg.SlowStartWindow)
 			if limit := cfg.OverloadFactor * share * capacity * cfg.OverloadWindow.Seconds(); float64(count) > limit {
-				t.Fatalf("storm %v, %v after the start: %d prompts in a window, at most %.1f", storm, at-startedAt, count, limit)
+				t.Fatalf("failures elsewhere %v, %v after the start: %d prompts in a window, want at most %.1f", failing, at-startedAt, count, limit)
 			}
 		}
 	}
@@ -677,8 +681,8 @@
 	g := routersWithSlowStart(t, 1)[0]
 	q := g.request("safe")
 	q.WorkEstimate = 5 * sec
-	if out := g.step(q); len(of[Send](out)) != 0 {
-		t.Errorf("a prompt over the whole budget was sent to a replica in slow start: %v", out)
+	if out := g.step(q); len(actionsOf[Send](out)) != 0 {
+		t.Errorf("a request with more work than the whole budget was sent to a replica in slow start: %v", out)
 	}
 }
 
@@ -691,12 +695,12 @@
 	}
 	q := g.request("safe")
 	q.TimeLeft = 2 * sec
-	if out := g.step(q); len(of[Reject](out)) != 1 {
-		t.Errorf("behind 63,000 tokens to prefill the latency target of 1 s is out of reach: want a rejection, got %v", out)
+	if out := g.step(q); len(actionsOf[Reject](out)) != 1 {
+		t.Errorf("request with a latency target of 1 s after 63,000 tokens to prefill: want a rejection, got %v", out)
 	}
 	q = g.request("unsafe")
-	if out := g.step(q); len(of[Reject](out)) != 1 {
-		t.Errorf("nothing of an unsafe request has run yet: want a rejection, got %v", out)
+	if out := g.step(q); len(actionsOf[Reject](out)) != 1 {
+		t.Errorf("unsafe request that has not executed: want a rejection, got %v", out)
 	}
 }
 
@@ -707,26 +711,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if out := b.Step(sec, []Event{Members{Version: 1, Complete: true, Members: members("a")}}); len(of[Subscribe](out)) != 1 {
-		t.Errorf("want a subscription at the start, got %v", out)
+	if out := b.Step(sec, []Event{Members{Version: 1, Complete: true, Members: members("a")}}); len(actionsOf[Subscribe](out)) != 1 {
+		t.Errorf("first step: want one Subscribe, got %v", out)
 	}
 	out := b.Step(2*sec, []Event{Members{Failed: true}})
-	timers := of[SetTimer](out)
+	timers := actionsOf[SetTimer](out)
 	if len(timers) != 1 {
-		t.Fatalf("want a timer to ask again, got %v", out)
+		t.Fatalf("after a failed subscription: want one timer, got %v", out)
 	}
 	out = b.Step(2*sec+timers[0].Delay, []Event{TimerExpired{Token: timers[0].Token}})
-	if len(of[Subscribe](out)) != 1 {
-		t.Errorf("want a new subscription after a failed one, got %v", out)
+	if len(actionsOf[Subscribe](out)) != 1 {
+		t.Errorf("timer after a failed subscription: want one Subscribe, got %v", out)
 	}
-	if sends := of[Send](b.Step(4*sec, []Event{Arrival{ID: "q", Class: "safe", TimeLeft: sec, PromptTokens: 10}})); len(sends) != 1 {
-		t.Errorf("the list held before stays valid")
+	if sends := actionsOf[Send](b.Step(4*sec, []Event{Arrival{ID: "q", Class: "safe", TimeLeft: sec, PromptTokens: 10}})); len(sends) != 1 {
+		t.Errorf("request not sent to the replica that was listed before the subscription failed")
 	}
 }
 
-// Each of many routers hears of a replica too rarely to compare two (incident iaaacad): the
-// samples are probed, never the whole fleet, and the request leaves for the one that reports
-// less, or after a while in any case.
+// One of many routers observes each replica too rarely to compare two of them (incident iaaacad).
+// It probes the samples, never the whole fleet, and sends the request to the sample that reports
+// less load. If the probes are not answered, it sends the request after probeTimeout all the same.
 func TestSamplesAreProbedWhereReportsAreOld(t *testing.T) {
 	cfg := testConfig()
 	cfg.MayProbe = true
@@ -735,36 +739,37 @@
 		q := g.request("safe")
 		q.Prefix = "p"
 		out := g.step(q)
-		probes := of[Probe](out)
-		if len(probes) != 2 || len(of[Send](out)) != 0 {
-			t.Fatalf("want two probes and the prompt held, got %v", out)
+		probes := actionsOf[Probe](out)
+		if len(probes) != 2 || len(actionsOf[Send](out)) != 0 {
+			t.Fatalf("want two probes and the request queued, got %v", out)
 		}
 		again := q
 		again.ID = "again"
-		if n := len(of[Probe](g.step(again))); n != 0 {
-			t.Errorf("%d more probes while the first are out", n)
+		if n := len(actionsOf[Probe](g.step(again))); n != 0 {
+			t.Errorf("%d more probes while the first ones are unanswered", n)
 		}
 		if !answered {
-			if n := len(of[Send](g.after(probeTimeout, TimerExpired{Token: of[SetTimer](out)[0].Token}))); n != 2 {
-				t.Errorf("probes without answer: want both prompts sent after %v, got %d", probeTimeout, n)
+			if n := len(actionsOf[Send](g.after(probeTimeout, TimerExpired{Token: actionsOf[SetTimer](out)[0].Token}))); n != 2 {
+				t.Errorf("unanswered probes: want both requests sent after %v, got %d", probeTimeout, n)
 			}
 			continue
 		}
 		g.after(ms, ProbeResult{Replica: probes[0].Replica, Result: OK, Load: &Load{InFlight: -1, Utilization: 0.9, PrefillTokens: 0}})
 		out = g.after(ms, ProbeResult{Replica: probes[1].Replica, Result: OK, Load: &Load{InFlight: -1, Utilization: 0.1, PrefillTokens: 0}})
-		sends := of[Send](out)
+		sends := actionsOf[Send](out)
 		if len(sends) != 2 || sends[0].Replica != probes[1].Replica {
-			t.Errorf("want both sent, the first to %s, got %v", probes[1].Replica, out)
+			t.Errorf("want both requests sent, the first to %s, got %v", probes[1].Replica, out)
 		}
 		last := g.request("safe")
 		last.Prefix = "p"
-		if out := g.after(ms, last); len(of[Probe](out)) != 0 || len(of[Send](out)) != 1 {
-			t.Errorf("with fresh reports: want no probe and a send, got %v", out)
+		if out := g.after(ms, last); len(actionsOf[Probe](out)) != 0 || len(actionsOf[Send](out)) != 1 {
+			t.Errorf("with recent load reports: want no probe and one Send, got %v", out)
 		}
 	}
 }
 
-// The order must be by name however the list comes, as results depend on it.
+// Replicas must be kept sorted by name whatever the order of the list, because results depend on
+// the order.
 func TestMembersInAnyOrder(t *testing.T) {
 	for _, names := range [][]string{{"a", "b", "c", "d"}, {"d", "b", "a", "c"}} {
 		g := newTestRouter(t, testConfig(), members(names...)...)
@@ -773,7 +778,7 @@
 			got = append(got, r.Replica)
 		}
 		if want := []string{"a", "b", "c", "d"}; !reflect.DeepEqual(got, want) {
-			t.Errorf("listed as %v: kept as %v", names, got)
+			t.Errorf("replicas listed as %v: stored as %v, want them sorted by name", names, got)
 		}
 	}
 }
@@ -783,43 +788,44 @@
 	q := g.request("safe")
 	q.Prefix, q.PrefixTokens = "p", 900
 	g.step(q)
-	again := members("a")[0]
-	again.StartedAt = g.now + ms
-	g.after(2*ms, Members{Version: 2, Members: []Member{again}})
+	restarted := members("a")[0]
+	restarted.StartedAt = g.now + ms
+	g.after(2*ms, Members{Version: 2, Members: []Member{restarted}})
 	r := g.b.replicas["a"]
 	if n := g.b.prefillTokensOn(&request{Arrival: q}, r); n != 1000 || !r.warmingUp || r.limit != slowStartLimit {
 		t.Errorf("after a restart: %v tokens to prefill, in slow start %v, limit %v", n, r.warmingUp, r.limit)
 	}
 }
 
-// Tokens of other routers that are reported late must not pass for a slow base time of every
-// answer (incident i752ce5).
+// Tokens of other routers that are reported late must not raise the estimated base time of every
+// first token (incident i752ce5).
 func TestUnreportedTokensDoNotRaiseTheBaseTime(t *testing.T) {
 	g := newTestRouter(t, testConfig(), members("a")...)
 	r := g.b.replicas["a"]
 	for i := 0; i < 200; i++ {
 		q := g.request("safe")
 		g.after(sec, q)
-		g.after(600*ms, FirstToken{ID: q.ID}) // 0.6 s for 1,000 tokens: others are in front, unseen
+		g.after(600*ms, FirstToken{ID: q.ID}) // 0.6 s for 1,000 tokens: unreported tokens of other routers come first
 		g.step(Outcome{ID: q.ID, Result: OK, Final: true})
 	}
-	g.now += 100 * sec // what is held against the replica itself fades
+	g.now += 100 * sec // long enough for the replica's latency ratio to decay
 	q := &request{Arrival: g.request("safe"), class: g.b.classes["safe"]}
 	q.PromptTokens = 1
 	if got := g.b.timeToFirstToken(q, r); got > 0.1 {
-		t.Errorf("one token on an idle replica is expected to take %.2f s", got)
+		t.Errorf("expected time to the first token of a one-token prompt on an idle replica is %.2f s, want at most 0.1 s", got)
 	}
 }
 
-// In an overload patient requests of low value must not fill the queues (incident icafd05), nor
-// take the capacity that becomes free while others are rejected (i813dbf).
+// During overload, requests of low value with a long latency target must not fill the replicas'
+// queues (incident icafd05) or take the capacity that becomes free while other requests are
+// rejected (i813dbf).
 func TestLowValueYields(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[0].Value = 5
-	cfg.Classes = append(cfg.Classes, Class{Name: "patient", Value: 1, LatencyTarget: 10 * sec, Deadline: 40 * sec, Streamed: true})
+	cfg.Classes = append(cfg.Classes, Class{Name: "batch", Value: 1, LatencyTarget: 10 * sec, Deadline: 40 * sec, Streamed: true})
 	for _, tt := range []struct {
 		value  float64
-		ahead  int // prompts of 2,000 tokens
+		ahead  int // number of prompts of 2,000 tokens sent before
 		length float64
 		sends  int
 	}{{1, 7, 1000, 0}, {5, 7, 1000, 1}, {1, 2, 1000, 0}, {1, 1, 100, 1}} {
@@ -832,34 +838,35 @@
 			g.b.send(g.b.requests[q.ID], g.b.replicas["a"])
 		}
 		g.b.queue = nil
-		q := g.request("patient")
+		q := g.request("batch")
 		q.PromptTokens = tt.length
-		if got := len(of[Send](g.step(q))); got != tt.sends {
-			t.Errorf("value %v against 5, %v tokens behind %d prompts: want %d sends, got %d",
+		if got := len(actionsOf[Send](g.step(q))); got != tt.sends {
+			t.Errorf("request of value %v among value 5, %v tokens, after %d prompts: want %d sends, got %d",
 				tt.value, tt.length, tt.ahead, tt.sends, got)
 		}
 	}
 }
 
-// A first token expected late in its latency target leaves nothing for error or for the decoding
-// after it.
+// A request is rejected if its first token is expected so late within the latency target that no
+// time is left for an error of the estimate or for decoding.
 func TestRejectsBeforeTheLatencyTargetIsUsedUp(t *testing.T) {
-	for tokens, refusals := range map[float64]int{3000: 0, 8000: 1} {
+	for tokens, rejections := range map[float64]int{3000: 0, 8000: 1} {
 		g := newTestRouter(t, testConfig(), members("a")...)
 		q := g.request("safe")
 		q.PromptTokens = tokens - 1000
 		g.step(q)
-		if got := len(of[Reject](g.step(g.request("safe")))); got != refusals {
-			t.Errorf("%v tokens to prefill before a latency target of 1 s: want %d rejections, got %d", tokens, refusals, got)
+		if got := len(actionsOf[Reject](g.step(g.request("safe")))); got != rejections {
+			t.Errorf("%v tokens to prefill before a latency target of 1 s: want %d rejections, got %d", tokens, rejections, got)
 		}
 	}
 }
 
-// The class that others yield to stays queued while it can still be served (incident i813dbf).
+// A request of the class that others yield to stays queued while it can still be served (incident
+// i813dbf).
 func TestHighestClassIsQueuedNotRejected(t *testing.T) {
 	for _, tt := range []struct {
-		value    float64 // of the class asked for; another has 3
-		refusals int
+		value      float64 // of the request's class; another class has value 3
+		rejections int
 	}{{5, 0}, {3, 1}, {1, 1}} {
 		cfg := testConfig()
 		for i := range cfg.Classes {
@@ -872,20 +879,21 @@
 		sentTo(t, g.step(heavy))
 		q := g.request("safe")
 		actions := g.step(q)
-		if got := len(of[Reject](actions)); got != tt.refusals || len(of[Send](actions)) > 0 {
-			t.Errorf("value %v against 3: want %d rejections and no send, got %v", tt.value, tt.refusals, actions)
+		if got := len(actionsOf[Reject](actions)); got != tt.rejections || len(actionsOf[Send](actions)) > 0 {
+			t.Errorf("request of value %v among value 3: want %d rejections and no send, got %v", tt.value, tt.rejections, actions)
 		}
-		if tt.refusals > 0 {
+		if tt.rejections > 0 {
 			continue
 		}
 		actions = g.after(300*ms, FirstToken{ID: heavy.ID})
 		if got := sentTo(t, actions); got != "a" {
-			t.Errorf("after the heavy prompt was read: sent to %s", got)
+			t.Errorf("after the first token of the long prompt: queued request sent to %s, want a", got)
 		}
 	}
 }
 
-// A list that doubles at once, an empty one, and a fleet of hundreds are ordinary updates.
+// Updates that double the list of replicas, empty it, or list hundreds of replicas are handled like
+// any other.
 func TestLargeAndChangingFleets(t *testing.T) {
 	var names []string
 	for i := 0; i < 600; i++ {
@@ -894,30 +902,30 @@
 	g := newTestRouter(t, testConfig(), members(names[:300]...)...)
 	used := map[string]bool{}
 	spread := func(version int64, list []string, want int) {
-		g.after(3*sec, Members{Version: version, Complete: true, Members: members(list...)}) // what was held is refused
+		g.after(3*sec, Members{Version: version, Complete: true, Members: members(list...)}) // queued requests have expired and been rejected by then
 		clear(used)
 		for i := 0; i < 200; i++ {
 			q := g.request("safe")
 			q.Prefix, q.PrefixTokens = fmt.Sprint("p", i%40), 900
-			for _, s := range of[Send](g.after(20*ms, q)) {
+			for _, s := range actionsOf[Send](g.after(20*ms, q)) {
 				used[s.Replica] = true
 				g.step(FirstToken{ID: s.ID}, Outcome{ID: s.ID, Result: OK, Final: true})
 			}
 		}
 		if len(used) < want {
-			t.Errorf("%d replicas listed: only %d used, want %d at least", len(list), len(used), want)
+			t.Errorf("%d replicas listed: only %d used, want at least %d", len(list), len(used), want)
 		}
 	}
 	spread(2, names[:300], 40)
 	spread(3, names, 40)
 	spread(4, nil, 0)
 	if len(used) > 0 {
-		t.Errorf("sent to %v, which an empty list lacks", used)
+		t.Errorf("requests sent to %v although the list is empty", used)
 	}
 	spread(5, names[:1], 1)
 }
 
-// What has been answered must not stay reachable behind the queue.
+// The queue's backing array must not keep answered requests reachable.
 func TestAnsweredRequestsAreReleased(t *testing.T) {
 	g := newTestRouter(t, testConfig(), members("a")...)
 	for i := 0; i < 5; i++ {
@@ -926,13 +934,13 @@
 	g.step()
 	for _, q := range g.b.queue[:cap(g.b.queue)] {
 		if q != nil && len(q.attempts) > 0 {
-			t.Fatalf("%s was sent and is still kept behind the queue", q.ID)
+			t.Fatalf("sent request %s is still in the queue's backing array", q.ID)
 		}
 	}
 }
 
-// A replica in slow start has cached no prefix, so a request costs more there than its work
-// estimate says (a zone's return at size).
+// A replica in slow start has no prefix cached, so a request takes more work there than its work
+// estimate says. This was found when a zone of many replicas returned.
 func TestSlowStartWorkCountsThePrefix(t *testing.T) {
 	g := routersWithSlowStart(t, 1)[0]
 	q := g.request("safe")
@@ -940,48 +948,49 @@
 	r := &request{Arrival: q, class: g.b.classes["safe"], prefixKey: "p"}
 	cold := g.b.replicas["cold"]
 	before := g.b.workOn(r, cold)
-	g.after(ms) // what is remembered at the start itself counts as lost with it
+	g.after(ms) // entries of the cache from the time of the start itself count as lost
 	cold.prefixCache.Put(r.prefixKey, g.b.now, q.PrefixTokens)
 	if after := g.b.workOn(r, cold); before < 1.5*after {
-		t.Errorf("work with the prefix to read %v, with it kept %v", before, after)
+		t.Errorf("work without the cached prefix is %v s, with it %v s; want at least 1.5 times as much without", before, after)
 	}
 }
 
-// A replica of another zone without a report must not pass for idle beside a near one that was
-// probed (hunted day hef4d9d).
+// A replica of another zone without a load report must not look idle next to a probed replica of
+// the router's own zone (found on the simulated day hef4d9d).
 func TestSamplesOfOtherZonesAreProbedToo(t *testing.T) {
 	cfg := testConfig()
 	cfg.MayProbe, cfg.CrossZonePenalty = true, 0.1
 	list := members("a", "b", "c", "d")
 	list[2].Zone, list[3].Zone = "there", "there"
 	g := newTestRouter(t, cfg, list...)
-	asked := map[string]bool{}
+	probed := map[string]bool{}
 	for i := 0; i < 8; i++ {
-		for _, p := range of[Probe](g.step(g.request("safe"))) {
-			asked[p.Replica] = true
+		for _, p := range actionsOf[Probe](g.step(g.request("safe"))) {
+			probed[p.Replica] = true
 		}
 	}
-	if !asked["c"] && !asked["d"] {
-		t.Errorf("asked only %v", asked)
+	if !probed["c"] && !probed["d"] {
+		t.Errorf("probed only %v, want a replica of the other zone among them", probed)
 	}
 }
 
-// Clients that retry at once find the queues that rejected them, and come once more.
+// A client that retries at once meets the same full queues and is rejected again, so a rejection
+// states a time after which to retry.
 func TestRejectionSaysWhenToComeBack(t *testing.T) {
 	for _, tt := range []struct {
-		name  string
-		most  time.Duration
-		class string
-		after time.Duration // until the only replica has drained and the request is given up
-		want  time.Duration
+		name          string
+		maxRetryAfter time.Duration
+		class         string
+		after         time.Duration // time until the request expires
+		want          time.Duration
 	}{
 		{"latency target passed", 2 * sec, "safe", 3 * sec, 50 * ms},
-		{"the site's most", 20 * ms, "safe", 3 * sec, 20 * ms},
-		{"clients take no advice", 0, "safe", 3 * sec, 0},
+		{"bounded by MaxRetryAfter", 20 * ms, "safe", 3 * sec, 20 * ms},
+		{"no advice configured", 0, "safe", 3 * sec, 0},
 		{"unknown class", 2 * sec, "odd", 0, 2 * sec},
 	} {
 		cfg := testConfig()
-		cfg.MaxRetryAfter = tt.most
+		cfg.MaxRetryAfter = tt.maxRetryAfter
 		g := newTestRouter(t, cfg)
 		q := g.request(tt.class)
 		actions := g.step(q)
@@ -1000,13 +1009,13 @@
 	q := &request{arrivedAt: g.now, latencyTarget: sec}
 	g.step()
 	if got := g.b.retryAfter(q); got != 200*ms {
-		t.Errorf("with 1 s left to the latency target: got %v, want a fifth of it", got)
+		t.Errorf("advice with 1 s left until the latency target: got %v, want 200ms", got)
 	}
 }
 
 // A request whose two samples are busy must not be rejected while other replicas are idle.
 func TestBusySampleIsNoReasonToReject(t *testing.T) {
-	names := numbered("r", 8)
+	names := numberedNames("r", 8)
 	g := newTestRouter(t, testConfig(), members(names...)...)
 	q := g.request("safe")
 	q.Prefix, q.Session = "p", "s"
@@ -1015,31 +1024,31 @@
 		r.latencyRatio.Observe(g.now, 100, 1)
 	}
 	if r := g.b.replicas[sentTo(t, g.step(q))]; g.b.latencyRatioOf(r) > 1 {
-		t.Errorf("sent to %s, which is slow", r.Replica)
+		t.Errorf("request sent to busy replica %s although others are idle", r.Replica)
 	}
 }
 
-// On a long day every replica is replaced, again and again: those that were removed are
-// forgotten.
+// Over a long run every replica is replaced many times. The router must forget replicas that were
+// removed.
 func TestRemovedReplicasAreForgotten(t *testing.T) {
 	g := newTestRouter(t, testConfig(), members("a")...)
 	q := g.request("safe")
 	g.step(q)
-	gone := members("a")[0]
-	gone.State = Removed
-	g.step(Members{Version: 2, Members: append(members("b"), gone)})
+	updated := members("a")[0]
+	updated.State = Removed
+	g.step(Members{Version: 2, Members: append(members("b"), updated)})
 	if g.b.replicas["a"] == nil {
-		t.Error("forgotten with a stream on it")
+		t.Error("removed replica a was forgotten with a request in flight")
 	}
 	g.step(Outcome{ID: q.ID, Result: OK, Final: true})
 	g.step(Members{Version: 3, Members: members("c")})
 	if len(g.b.replicas) != 2 || len(g.b.sorted) != 2 {
-		t.Errorf("%d replicas are known, want 2", len(g.b.replicas))
+		t.Errorf("%d replicas are known after the removal of a, want 2", len(g.b.replicas))
 	}
 }
 
-// Where each replica always has something to do, a request that yields for ever is never served,
-// on quiet days too.
+// If every replica is always busy, a request that always yields is never served, even at low load.
+// So a request must yield less the longer it has been queued.
 func TestQueuedRequestsYieldLessWithTime(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[0].Value = 5
@@ -1048,7 +1057,7 @@
 	for queued, want := range map[time.Duration]bool{0: true, 9 * sec: false} {
 		q.arrivedAt = g.now - queued
 		if got := g.b.yieldsToHigherValue(q, 0.55); got != want {
-			t.Errorf("queued for %v, a wait of 0.55 s against a latency target of 1 s: yields %v", queued, got)
+			t.Errorf("queued for %v, a wait of 0.55 s, a latency target of 1 s of the other class: yields %v", queued, got)
 		}
 	}
 }
--- a/balance/broadcast_test.go
+++ b/balance/broadcast_test.go
@@ -6,55 +6,55 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// broadcasting is the configuration of a router that has no number and whose reports reach all
-// others; prefixes have a single affinity host, as in the router fleet.
-func broadcasting() Config {
+// broadcastConfig returns the configuration of a router without a number whose reports reach all
+// others. Each prefix has a single affinity host, as in the router fleet.
+func broadcastConfig() Config {
 	cfg := testConfig()
 	cfg.Broadcast, cfg.SingleAffinityHost = true, true
 	return cfg
 }
 
-// Each prompt is reported as it is, however small, to all routers: the caller that carries the
-// reports samples them.
+// With Config.Broadcast, each prompt is reported to all routers with its actual size, even a small
+// one, because the caller that transmits the reports samples them.
 func TestBroadcastOfEachPrompt(t *testing.T) {
-	g := newTestRouter(t, broadcasting(), members("a")...)
+	g := newTestRouter(t, broadcastConfig(), members("a")...)
 	for _, tokens := range []float64{20, 500, 4000} {
 		q := g.request("safe")
 		q.PromptTokens = tokens
 		want := []SendReports{{Zone: zoneTag("here"), Reports: []PeerReport{{ReplicaTag: replicaTag(g.b.replicas["a"]), PrefillTokens: tokens}}}}
-		if diff := cmp.Diff(want, of[SendReports](g.step(q))); diff != "" {
+		if diff := cmp.Diff(want, actionsOf[SendReports](g.step(q))); diff != "" {
 			t.Error(diff)
 		}
 	}
 }
 
-// A list of replicas is no reason to report anything.
+// An update of the list of replicas causes no reports.
 func TestBroadcastOfNothing(t *testing.T) {
-	g := newTestRouter(t, broadcasting())
+	g := newTestRouter(t, broadcastConfig())
 	list := members("a")
-	if tells := of[SendReports](g.step(Members{Version: 1, Members: list})); len(tells) != 0 {
-		t.Errorf("reported %v", tells)
+	if messages := actionsOf[SendReports](g.step(Members{Version: 1, Members: list})); len(messages) != 0 {
+		t.Errorf("update of the list of replicas caused reports: %v", messages)
 	}
 }
 
-// What other routers have sent to a replica is in front of the next request there, until there
-// was time to prefill it.
+// Tokens that other routers have sent to a replica delay the next request there until the replica
+// has had time to prefill them.
 func TestReportedPromptsMoveTheNextOne(t *testing.T) {
 	for _, tt := range []struct {
 		name        string
 		broadcast   bool
-		tokens      float64 // that others have sent to the first replica
-		ago         int     // milliseconds
+		tokens      float64 // tokens that other routers have sent to the first replica
+		ago         int     // milliseconds since the report
 		wantsSecond bool
 	}{
-		{name: "nothing heard", broadcast: true},
+		{name: "no report", broadcast: true},
 		{name: "a long prompt", broadcast: true, tokens: 8000, ago: 10, wantsSecond: true},
-		{name: "a long prompt that was read since", broadcast: true, tokens: 8000, ago: 1500},
-		{name: "less than what it would read again elsewhere", broadcast: true, tokens: 300, ago: 10},
-		{name: "where nobody is to be heard", tokens: 8000, ago: 10},
+		{name: "a long prompt that has been prefilled since", broadcast: true, tokens: 8000, ago: 1500},
+		{name: "a prompt with less prefill than the prefix elsewhere", broadcast: true, tokens: 300, ago: 10},
+		{name: "without broadcast", tokens: 8000, ago: 10},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			cfg := broadcasting()
+			cfg := broadcastConfig()
 			cfg.Broadcast = tt.broadcast
 			g := newTestRouter(t, cfg, members("a", "b")...)
 			first, second := g.b.replicas["a"], g.b.replicas["b"]
@@ -68,15 +68,16 @@
 				g.after(ms)
 			}
 			if best := g.b.cheapest(q, []*replica{first, second}); (best == second) != tt.wantsSecond {
-				t.Errorf("%s is better, at %.3f s and %.3f s", best.Replica, g.b.estimatedCost(q, first), g.b.estimatedCost(q, second))
+				t.Errorf("cheapest replica is %s; costs: first %.3f s, second %.3f s", best.Replica, g.b.estimatedCost(q, first), g.b.estimatedCost(q, second))
 			}
 		})
 	}
 }
 
-// A replica to which another router has sent a prompt has its prefix cached from then on.
+// When another router reports a prompt that it has sent to a replica, the prompt's prefix counts as
+// cached on the replica from then on.
 func TestReportedPrefixIsCached(t *testing.T) {
-	g := newTestRouter(t, broadcasting(), members("a")...)
+	g := newTestRouter(t, broadcastConfig(), members("a")...)
 	a := g.b.replicas["a"]
 	q := &request{Arrival: g.request("safe"), class: g.b.classes["safe"], prefixHash: 0xabcd << 48}
 	q.Prefix, q.PrefixTokens, q.PromptTokens = "p", 800, 1000
@@ -84,22 +85,22 @@
 	before := g.b.prefillTokensOn(q, a)
 	g.step(ReportsReceived{Reports: []PeerReport{{ReplicaTag: replicaTag(a), PrefillTokens: 10, PrefixTag: q.prefixTag()}}})
 	if after := g.b.prefillTokensOn(q, a); before != 1000 || after != 200 {
-		t.Errorf("%v tokens to prefill before, %v after", before, after)
+		t.Errorf("%v tokens to prefill before the report, %v after it; want 1000 and 200", before, after)
 	}
 }
 
-// Routers without numbers do not know how many they are: each has a credit of its own for a
-// replica in slow start, and others' reports take nothing from it.
+// Routers without numbers do not know how many routers there are. Each has its own slow-start
+// credit for a replica, and the reports of other routers spend nothing from it.
 func TestReportedPromptsSpendNoCredit(t *testing.T) {
 	list := members("a", "cold")
 	list[1].StartedAt = 99 * sec
-	g := newTestRouter(t, broadcasting(), list...)
+	g := newTestRouter(t, broadcastConfig(), list...)
 	cold := g.b.replicas["cold"]
 	g.b.meanWork = 1
 	g.b.spendCredit(cold, 0.5)
 	credit := cold.credit
 	g.step(ReportsReceived{Reports: []PeerReport{{ReplicaTag: replicaTag(cold), PrefillTokens: 8000}}})
 	if cold.credit < credit {
-		t.Errorf("a credit of %v s is %v s", credit, cold.credit)
+		t.Errorf("slow-start credit of %v s is %v s after a report of another router, want it unchanged", credit, cold.credit)
 	}
 }
--- a/balance/configchange_test.go
+++ b/balance/configchange_test.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// A request under way keeps the effect of its class, whatever the class becomes; fewer attempts
-// count for it, too, and end in an answer, never in another attempt.
+// A request that is under way when the configuration changes keeps the effect of its class. A lower
+// MaxAttempts applies to it as well: when it has no attempts left, it is answered and not sent
+// again.
 func TestConfigChange(t *testing.T) {
 	cfg := Config{MaxAttempts: 3, Classes: []Class{{Name: "c", LatencyTarget: time.Minute, Deadline: time.Minute, Streamed: true}}}
 	strict := Config{MaxAttempts: 3, Classes: []Class{{Name: "c", Effect: Unsafe, LatencyTarget: time.Minute, Deadline: time.Minute, Streamed: true}}}
 	fewer := cfg
 	fewer.MaxAttempts = 1
 	for _, tt := range []struct {
-		name         string
-		next         Config
-		first, again Action // on an error of a request of before, and of one of after
+		name                   string
+		next                   Config
+		wantEarlier, wantLater Action // actions on a failed attempt of a request that arrived before the change, and after it
 	}{
-		{"the same", cfg, Send{}, Send{}},
+		{"the same configuration", cfg, Send{}, Send{}},
 		{"a stricter effect", strict, Send{}, Fail{}},
 		{"fewer attempts", fewer, Reject{}, Reject{}},
 	} {
@@ -42,27 +43,27 @@
 		}
 		fail := func(id string) Action { return step(Outcome{ID: id, Attempt: 0, Result: Error}) }
 		if _, ok := ask("before").(Send); !ok {
-			t.Fatalf("%s: nothing was sent", tt.name)
+			t.Fatalf("%s: the request before the change was not sent", tt.name)
 		}
 		step(ConfigChange{tt.next})
-		if got := fail("before"); kindOf(got) != kindOf(tt.first) {
-			t.Errorf("%s: a request of before got %#v, want %T", tt.name, got, tt.first)
+		if got := fail("before"); actionName(got) != actionName(tt.wantEarlier) {
+			t.Errorf("%s: after a failure, the request from before the change got %#v, want %T", tt.name, got, tt.wantEarlier)
 		}
 		ask("after")
-		if got := fail("after"); kindOf(got) != kindOf(tt.again) {
-			t.Errorf("%s: a request of after got %#v, want %T", tt.name, got, tt.again)
+		if got := fail("after"); actionName(got) != actionName(tt.wantLater) {
+			t.Errorf("%s: after a failure, the request from after the change got %#v, want %T", tt.name, got, tt.wantLater)
 		}
 	}
 }
 
-func kindOf(a Action) string {
+func actionName(a Action) string {
 	switch a.(type) {
 	case Send:
 		return "send"
 	case Fail:
 		return "fail"
 	case Reject:
-		return "refuse"
+		return "reject"
 	}
 	return "nothing"
 }
--- a/balance/docs_test.go
+++ b/balance/docs_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// The page for on-call staff must hold the log lines in their exact words, and no others exist.
+// The on-call page must list every log line of the policy files in its exact words.
 func TestLogLinesAreDocumented(t *testing.T) {
 	page, err := os.ReadFile("../docs/oncall.md")
 	if err != nil {
 		t.Fatal(err)
 	}
 	var code strings.Builder
-	for _, path := range policy(t) {
+	for _, path := range policyFiles(t) {
 		text, err := os.ReadFile(path)
 		if err != nil {
 			t.Fatal(err)
@@ -22,7 +22,7 @@
 	}
 	parts := strings.Split(code.String(), `Log{"`)
 	if len(parts) < 2 {
-		t.Fatal("no log line found in the files that decide")
+		t.Fatal("no log line found in the policy files")
 	}
 	for _, part := range parts[1:] {
 		words, _, _ := strings.Cut(part, `: "`)
--- a/balance/interference_test.go
+++ b/balance/interference_test.go
@@ -2,30 +2,30 @@
 
 import "testing"
 
-// The cost of streams beside a request is compared with what it would have to prefill and with
-// crossing zones: each row has the streams of this router on two replicas, of which the first
-// has so many tokens of the prompt cached, and says which of the two is cheaper.
+// The estimated cost weighs concurrent streams against tokens to prefill and against crossing
+// zones. Each row states this router's streams on two replicas and the number of prompt tokens that
+// the first replica has cached, and says which replica is cheaper.
 func TestStreamsAgainstPrefillAndCrossing(t *testing.T) {
 	for _, tt := range []struct {
 		name        string
-		streams     [2]int // own, with their first token
+		streams     [2]int // this router's streams on the two replicas, all past their first token
 		cached      float64
-		far         bool // the second replica is in another zone
-		others      float64
+		otherZone   bool // the second replica is in another zone
+		peerStreams float64
 		singleHost  bool
 		wantsSecond bool
 	}{
-		{name: "a kept prefix beside few streams", streams: [2]int{1, 0}, cached: 1000},
-		{name: "a kept prefix beside many", streams: [2]int{6, 0}, cached: 1000, wantsSecond: true},
-		{name: "as many on both", streams: [2]int{6, 6}, cached: 1000},
-		{name: "those of other routers count as well", streams: [2]int{0, 0}, cached: 1000, others: 6, wantsSecond: true},
-		{name: "where a prefix has one affinity host", streams: [2]int{6, 0}, cached: 1000, singleHost: true},
-		{name: "nothing kept, one stream more near by", streams: [2]int{1, 0}, far: true},
-		{name: "nothing kept, several more near by", streams: [2]int{4, 0}, far: true, wantsSecond: true},
+		{name: "cached prefix, one stream more", streams: [2]int{1, 0}, cached: 1000},
+		{name: "cached prefix, many streams more", streams: [2]int{6, 0}, cached: 1000, wantsSecond: true},
+		{name: "cached prefix, as many streams on both", streams: [2]int{6, 6}, cached: 1000},
+		{name: "cached prefix, many streams of other routers", streams: [2]int{0, 0}, cached: 1000, peerStreams: 6, wantsSecond: true},
+		{name: "cached prefix, many streams more, single affinity host", streams: [2]int{6, 0}, cached: 1000, singleHost: true},
+		{name: "nothing cached, one stream more in the own zone", streams: [2]int{1, 0}, otherZone: true},
+		{name: "nothing cached, several streams more in the own zone", streams: [2]int{4, 0}, otherZone: true, wantsSecond: true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			list := members("a", "b")
-			if tt.far {
+			if tt.otherZone {
 				list[1].Zone = "there"
 			}
 			cfg := testConfig()
@@ -34,20 +34,20 @@
 			q := &request{Arrival: g.request("safe"), class: g.b.classes["safe"], latencyTarget: sec, prefixKey: "p"}
 			q.Prefix, q.PrefixTokens = "p", tt.cached
 			first, second := g.b.replicas["a"], g.b.replicas["b"]
-			first.inFlight, second.inFlight, first.peerStreams = tt.streams[0], tt.streams[1], tt.others
+			first.inFlight, second.inFlight, first.peerStreams = tt.streams[0], tt.streams[1], tt.peerStreams
 			g.after(ms)
 			first.prefixCache.Put(q.prefixKey, g.b.now, tt.cached)
 			best := g.b.cheapest(q, []*replica{first, second})
 			if (best == second) != tt.wantsSecond {
-				t.Errorf("%s is better, at %.3f s and %.3f s", best.Replica, g.b.estimatedCost(q, first), g.b.estimatedCost(q, second))
+				t.Errorf("cheapest replica is %s; costs: first %.3f s, second %.3f s", best.Replica, g.b.estimatedCost(q, first), g.b.estimatedCost(q, second))
 			}
 		})
 	}
 }
 
-// What reports say of others' prefill tokens is some hundred milliseconds old, and all routers
-// hear the same: it moves no request, or all of them would go to one replica at once. The number
-// of streams does.
+// A reported number of prefill tokens is some hundred milliseconds old, and all routers get the
+// same report. It must not move a request, or all routers would send to one replica at once. The
+// reported number of streams does move requests.
 func TestReportsOfPrefillTokensMoveNoRequest(t *testing.T) {
 	for _, tt := range []struct {
 		name        string
@@ -66,7 +66,7 @@
 			first.prefixCache.Put(q.prefixKey, g.b.now, q.PrefixTokens)
 			g.b.recordLoad(first, &tt.load)
 			if best := g.b.cheapest(q, []*replica{first, second}); (best == second) != tt.wantsSecond {
-				t.Errorf("%s is better", best.Replica)
+				t.Errorf("cheapest replica is %s", best.Replica)
 			}
 		})
 	}
--- a/balance/learned_test.go
+++ b/balance/learned_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// What was learned of replicas holds in another process for those that have not started since,
-// and for no others; what was learned of kinds and of a warm replica's work holds until
-// something is observed.
+// In another process, what was learned of a replica applies only if the replica has not restarted
+// since. What was learned of a kind of machine and of a warm replica's work applies until the
+// process observes something itself.
 func TestLearned(t *testing.T) {
 	cfg := Config{Zone: "a", SlowStartMinCapacity: 0.3, SlowStartWindow: 8 * time.Second, Classes: []Class{{Name: "c", LatencyTarget: time.Second, Deadline: 4 * time.Second, Value: 1, Streamed: true}}}
 	now := time.Hour
@@ -47,29 +47,29 @@
 	next, _ := New(cfg, 2)
 	next.Restore(l)
 	next.RestoreReplicas()
-	next.Step(now, []Event{list(time.Minute, now-time.Minute, 0, now-time.Second)}) // r1 has started since, of r2 nobody knows, r3 is in slow start
+	next.Step(now, []Event{list(time.Minute, now-time.Minute, 0, now-time.Second)}) // r1 has restarted, the start of r2 is unknown, r3 is in slow start
 	next.RestoreReplicas()
 	for i, want := range []float64{23, initialLimit, initialLimit, slowStartLimit} {
 		if got := next.sorted[i].limit; got != want {
-			t.Errorf("r%d has limit %v, not %v", i, got, want)
+			t.Errorf("r%d has limit %v, want %v", i, got, want)
 		}
 	}
 	if s := next.latencyRatioOf(next.sorted[0]); s < 2.5 || next.latencyRatioOf(next.sorted[1]) != 1 {
-		t.Errorf("r0 is %v times slow, r1 %v", s, next.latencyRatioOf(next.sorted[1]))
+		t.Errorf("latency ratio of r0 is %v, want 2.5 or more; that of r1 is %v, want 1", s, next.latencyRatioOf(next.sorted[1]))
 	}
 	if got, want := next.replicas["r0"].prefill.perToken(), b.prefillByKind["k"].perToken(); got != want || next.completedWork != l.CompletedWork || len(next.restored) != 0 {
-		t.Errorf("a token is read in %v s, not %v; work %v of %v; %d left", got, want, next.completedWork, l.CompletedWork, len(next.restored))
+		t.Errorf("restored prefill time per token is %v s, want %v; completed work %v, want %v; %d restored replicas left, want 0", got, want, next.completedWork, l.CompletedWork, len(next.restored))
 	}
 
-	// Nonsense is not believed, and what is known already stays.
+	// Invalid values are ignored, and values that are already known stay.
 	next.Restore(Learned{CompletedWork: 5, MeanWork: 5, PrefillByKind: map[string]PrefillLine{"k": {1, 1}, "z": {math.Inf(1), 1}}})
 	if next.completedWork != l.CompletedWork || next.prefillByKind["k"].perToken() != b.prefillByKind["k"].perToken() || next.prefillByKind["z"].XX != 0 {
-		t.Errorf("work %v, slopes %v and %v", next.completedWork, next.prefillByKind["k"].perToken(), next.prefillByKind["z"].XX)
+		t.Errorf("known values changed or invalid ones accepted: completed work %v, prefill time per token %v s, sum of squares of kind z %v", next.completedWork, next.prefillByKind["k"].perToken(), next.prefillByKind["z"].XX)
 	}
-	odd, _ := New(cfg, 3)
-	odd.Restore(Learned{CompletedWork: math.NaN(), MeanWork: 1, Replicas: []LearnedReplica{{"r0", time.Minute, math.Inf(1), -1}}})
-	odd.Step(now, []Event{list(time.Minute)})
-	if odd.RestoreReplicas(); odd.sorted[0].limit != initialLimit || odd.latencyRatioOf(odd.sorted[0]) != 1 || odd.completedWork != 0 {
-		t.Errorf("limit %v, slow %v, work %v", odd.sorted[0].limit, odd.latencyRatioOf(odd.sorted[0]), odd.completedWork)
+	invalid, _ := New(cfg, 3)
+	invalid.Restore(Learned{CompletedWork: math.NaN(), MeanWork: 1, Replicas: []LearnedReplica{{"r0", time.Minute, math.Inf(1), -1}}})
+	invalid.Step(now, []Event{list(time.Minute)})
+	if invalid.RestoreReplicas(); invalid.sorted[0].limit != initialLimit || invalid.latencyRatioOf(invalid.sorted[0]) != 1 || invalid.completedWork != 0 {
+		t.Errorf("invalid values accepted: limit %v, latency ratio %v, completed work %v", invalid.sorted[0].limit, invalid.latencyRatioOf(invalid.sorted[0]), invalid.completedWork)
 	}
 }
--- a/balance/retrybudget_test.go
+++ b/balance/retrybudget_test.go
@@ -7,7 +7,7 @@
 	"reachspread/internal/retrybudget"
 )
 
-// A retry is free while no attempt was delivered; after one that was it takes from the budget.
+// A retry spends from the retry budget only if an attempt of the request was delivered.
 func TestRetryBudgetCountsDeliveredAttempts(t *testing.T) {
 	for _, tt := range []struct {
 		result Result
@@ -20,11 +20,11 @@
 			cfg.RetryBudget = retrybudget.New(0, 0)
 			g := newTestRouter(t, cfg, members("a", "b")...)
 			q := g.request("safe")
-			if len(of[Send](g.step(q))) != 1 {
-				t.Fatal("not sent")
+			if len(actionsOf[Send](g.step(q))) != 1 {
+				t.Fatal("request was not sent")
 			}
-			if again := len(of[Send](g.step(Outcome{ID: q.ID, Result: tt.result}))) == 1; again != tt.again {
-				t.Errorf("sent again: %v, want %v", again, tt.again)
+			if again := len(actionsOf[Send](g.step(Outcome{ID: q.ID, Result: tt.result}))) == 1; again != tt.again {
+				t.Errorf("retried: %v, want %v", again, tt.again)
 			}
 		})
 	}
--- a/balance/size_test.go
+++ b/balance/size_test.go
@@ -14,18 +14,18 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// The files that decide are ported by hand: their lines and functions have to fit a screen.
+// The policy files are ported by hand, so their lines and functions must fit on a screen.
 const (
 	maxColumns       = 110
 	maxFunctionLines = 60
 )
 
-// undecided are the files that hold the interface, the state and what is read of it; they decide
-// nothing.
-var undecided = []string{"config.go", "learned.go", "state.go", "status.go", "tags.go", "types.go"}
+// nonPolicyFiles are the files that define the interface and the state, and that convert and query
+// it. They make no decisions.
+var nonPolicyFiles = []string{"config.go", "learned.go", "state.go", "status.go", "tags.go", "types.go"}
 
-// policy returns the paths of the files that the deployment says decide.
-func policy(t *testing.T) []string {
+// policyFiles returns the paths of the policy files that the deployment lists.
+func policyFiles(t *testing.T) []string {
 	t.Helper()
 	text, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
@@ -43,14 +43,14 @@
 }
 
 func TestLinesFitAScreen(t *testing.T) {
-	for _, path := range policy(t) {
+	for _, path := range policyFiles(t) {
 		text, err := os.ReadFile(path)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for i, line := range strings.Split(string(text), "\n") {
 			if n := utf8.RuneCountInString(line); n > maxColumns {
-				t.Errorf("%s:%d has %d characters; %d at most", path, i+1, n, maxColumns)
+				t.Errorf("%s:%d has %d characters; at most %d are allowed", path, i+1, n, maxColumns)
 			}
 		}
 	}
@@ -58,7 +58,7 @@
 
 func TestFunctionsFitAScreen(t *testing.T) {
 	fset := token.NewFileSet()
-	for _, path := range policy(t) {
+	for _, path := range policyFiles(t) {
 		file, err := parser.ParseFile(fset, path, nil, parser.SkipObjectResolution|parser.ParseComments)
 		if err != nil {
 			t.Fatal(err)
@@ -69,25 +69,25 @@
 				continue
 			}
 			if n := fset.Position(f.End()).Line - fset.Position(f.Pos()).Line + 1; n > maxFunctionLines {
-				t.Errorf("%s: %s has %d lines; %d at most", path, f.Name.Name, n, maxFunctionLines)
+				t.Errorf("%s: function %s has %d lines; at most %d are allowed", path, f.Name.Name, n, maxFunctionLines)
 			}
 			if f.Doc == nil {
-				t.Errorf("%s: %s has no comment", path, f.Name.Name)
+				t.Errorf("%s: function %s has no doc comment", path, f.Name.Name)
 			}
 		}
 	}
 }
 
-// TestEveryDecisionIsListed: a file of this package is on the policy list, or is one of the few
-// that decide nothing.
+// TestEveryDecisionIsListed checks that each file of this package is on the policy list or in
+// nonPolicyFiles.
 func TestEveryDecisionIsListed(t *testing.T) {
-	listed := policy(t)
+	listed := policyFiles(t)
 	files, err := filepath.Glob("*.go")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, file := range files {
-		if strings.HasSuffix(file, "_test.go") || slices.Contains(undecided, file) {
+		if strings.HasSuffix(file, "_test.go") || slices.Contains(nonPolicyFiles, file) {
 			continue
 		}
 		if !slices.Contains(listed, filepath.Join("..", "balance", file)) {
@@ -96,16 +96,17 @@
 	}
 }
 
-// TestFilesThatDecideNothing: no action is given, and no random number drawn, outside the policy.
+// TestFilesThatDecideNothing checks that files outside the policy emit no action and draw no random
+// number.
 func TestFilesThatDecideNothing(t *testing.T) {
-	for _, file := range undecided {
+	for _, file := range nonPolicyFiles {
 		text, err := os.ReadFile(file)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, word := range []string{"b.emit(", "b.rng."} {
 			if strings.Contains(string(text), word) {
-				t.Errorf("%s has %s; files that decide are on the policy list", file, word)
+				t.Errorf("%s contains %s; files that emit actions or draw random numbers must be on the policy list", file, word)
 			}
 		}
 	}
@@ -114,6 +115,6 @@
 		t.Fatal(err)
 	}
 	if strings.Contains(string(text), "\nfunc ") {
-		t.Error("state.go has a function; it holds types only")
+		t.Error("state.go has a function; it may hold types only")
 	}
 }
