--- a/internal/logging/limit.go
+++ b/internal/logging/limit.go
@@ -10,7 +10,7 @@
 	leftOutField = "left_out"
 	// mostEvents bounds the events that are counted apart; further ones are written without a
 	// bound.
-	mostEvents = 256
+	maxEvents = 256
 )
 
 // Limiter passes lines on, but of each event no more than a number in a period. The first line of
@@ -18,10 +18,10 @@
 // nor hides the other events, and is still seen for what it was. It may be called by several
 // goroutines at once.
 type Limiter struct {
-	to     Lines
-	most   int
-	period time.Duration
-	now    func() time.Time
+	to       EventLogger
+	maxLines int
+	period   time.Duration
+	now      func() time.Time
 
 	mu     sync.Mutex
 	events map[string]*eventLines
@@ -36,8 +36,8 @@
 
 // Limit returns a Limiter that writes at most so many lines of one event in a period. The clock is
 // time.Now outside tests.
-func Limit(to Lines, most int, period time.Duration, now func() time.Time) *Limiter {
-	return &Limiter{to: to, most: most, period: period, now: now, events: map[string]*eventLines{}}
+func Limit(to EventLogger, maxLines int, period time.Duration, now func() time.Time) *Limiter {
+	return &Limiter{to: to, maxLines: maxLines, period: period, now: now, events: map[string]*eventLines{}}
 }
 
 // Info writes an event that needs nobody.
@@ -64,7 +64,7 @@
 	now := l.now()
 	e := l.events[event]
 	if e == nil {
-		if len(l.events) >= mostEvents {
+		if len(l.events) >= maxEvents {
 			return 0, true
 		}
 		e = &eventLines{began: now}
@@ -74,7 +74,7 @@
 		leftOut = e.leftOut
 		*e = eventLines{began: now}
 	}
-	if e.written >= l.most {
+	if e.written >= l.maxLines {
 		e.leftOut++
 		return 0, false
 	}
--- a/internal/logging/limit_test.go
+++ b/internal/logging/limit_test.go
@@ -54,9 +54,9 @@
 	is := is.New(t)
 	var out bytes.Buffer
 	l := Limit(New(&out, Text), 1, time.Second, time.Now)
-	for i := range 2 * mostEvents {
+	for i := range 2 * maxEvents {
 		l.Info(fmt.Sprint("event ", i))
 	}
-	is.Equal(len(l.events), mostEvents)
-	is.Equal(strings.Count(out.String(), "\n"), 2*mostEvents)
+	is.Equal(len(l.events), maxEvents)
+	is.Equal(strings.Count(out.String(), "\n"), 2*maxEvents)
 }
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -21,7 +21,7 @@
 )
 
 // Logger writes lines. It implements routing.Logger; fields come as name and value by turns.
-type Logger struct{ zero zerolog.Logger }
+type Logger struct{ logger zerolog.Logger }
 
 // New returns a Logger that writes to w. Text has no time of its own: whoever collects the lines
 // stamps them.
@@ -36,10 +36,10 @@
 }
 
 // Info writes an event that needs nobody.
-func (l *Logger) Info(event string, fields ...any) { write(l.zero.Info(), event, fields) }
+func (l *Logger) Info(event string, fields ...any) { write(l.logger.Info(), event, fields) }
 
 // Warn writes an event that somebody may have to act on.
-func (l *Logger) Warn(event string, fields ...any) { write(l.zero.Warn(), event, fields) }
+func (l *Logger) Warn(event string, fields ...any) { write(l.logger.Warn(), event, fields) }
 
 func write(line *zerolog.Event, event string, fields []any) {
 	for i := 0; i+1 < len(fields); i += 2 {
@@ -49,24 +49,24 @@
 }
 
 // Lines is what a named part of the program logs to.
-type Lines interface {
+type EventLogger interface {
 	Info(event string, fields ...any)
 	Warn(event string, fields ...any)
 }
 
 // With returns lines that carry one more field, first.
-func With(l Lines, name string, value any) Lines { return with{l, name, value} }
+func With(l EventLogger, name string, value any) EventLogger { return fieldLogger{l, name, value} }
 
-type with struct {
-	Lines
+type fieldLogger struct {
+	EventLogger
 	name  string
 	value any
 }
 
-func (w with) Info(event string, fields ...any) {
-	w.Lines.Info(event, append([]any{w.name, w.value}, fields...)...)
+func (w fieldLogger) Info(event string, fields ...any) {
+	w.EventLogger.Info(event, append([]any{w.name, w.value}, fields...)...)
 }
 
-func (w with) Warn(event string, fields ...any) {
-	w.Lines.Warn(event, append([]any{w.name, w.value}, fields...)...)
+func (w fieldLogger) Warn(event string, fields ...any) {
+	w.EventLogger.Warn(event, append([]any{w.name, w.value}, fields...)...)
 }
--- a/internal/system/roles/roles.go
+++ b/internal/system/roles/roles.go
@@ -43,7 +43,7 @@
 
 // reloadOnSignal reads the settings file at each signal until ctx ends. A file that can't be used
 // changes nothing.
-func reloadOnSignal(ctx context.Context, signals <-chan os.Signal, read chan<- *settings.Settings, log logging.Lines) {
+func reloadOnSignal(ctx context.Context, signals <-chan os.Signal, read chan<- *settings.Settings, log logging.EventLogger) {
 	for {
 		select {
 		case <-ctx.Done():
