--- a/internal/assignment/assignment.go
+++ b/internal/assignment/assignment.go
@@ -39,8 +39,8 @@
 
 // New returns a group of n members, self among them. A view counts after it has held for so long;
 // until the first one all members live.
-func New(n, self int, zone uint8, stableFor time.Duration) *Group {
-	g := &Group{self: self, zones: slices.Repeat([]int{unknownZone}, n), Tracker: liveness.New(n, stableFor)}
+func New(n, self int, zone uint8, stabilityDelay time.Duration) *Group {
+	g := &Group{self: self, zones: slices.Repeat([]int{unknownZone}, n), Tracker: liveness.New(n, stabilityDelay)}
 	if self >= 0 && self < n {
 		g.zones[self] = int(zone)
 	}
@@ -95,7 +95,7 @@
 // and one that was never heard of has none. Items of equal names are taken in their order. The work
 // of members times items is done again only after items, zones or perMember have changed; the
 // caller must not change the result.
-func Assign[T any](g *Group, now time.Duration, items []T, perMember int, of func(T) (name uint64, zone uint8)) [][]int {
+func Assign[T any](g *Group, now time.Duration, items []T, perMember int, keyOf func(T) (name uint64, zone uint8)) [][]int {
 	g.dueAt = cmp.Or(g.Next(now), math.MaxInt64)
 	if g.assigned != nil && g.perMember == perMember {
 		return g.assigned
@@ -104,21 +104,21 @@
 		index int
 		name  uint64
 	}
-	var all []item
-	zones := map[int][]item{}
+	var allItems []item
+	itemsByZone := map[int][]item{}
 	for i, t := range items {
-		name, zone := of(t)
-		all = append(all, item{i, name})
-		zones[int(zone)] = append(zones[int(zone)], item{i, name})
+		name, zone := keyOf(t)
+		allItems = append(allItems, item{i, name})
+		itemsByZone[int(zone)] = append(itemsByZone[int(zone)], item{i, name})
 	}
 	assigned := make([][]int, len(items))
 	for member, zone := range g.zones {
 		if zone == unknownZone {
 			continue
 		}
-		pool := zones[zone]
+		pool := itemsByZone[zone]
 		if len(pool) == 0 {
-			pool = all // a zone that has lost its own
+			pool = allItems // a zone that has lost its own
 		}
 		key := rendezvous.Mix(uint64(member) + 1)
 		for _, t := range rendezvous.First(key, pool, perMember, func(t item) uint64 { return t.name }) {
--- a/internal/assignment/assignment_test.go
+++ b/internal/assignment/assignment_test.go
@@ -10,20 +10,20 @@
 	"reachspread/internal/rendezvous"
 )
 
-const hold = 2 * time.Second
+const stabilityDelay = 2 * time.Second
 
 type host struct {
 	name uint64
 	zone uint8
 }
 
-func of(h host) (uint64, uint8) { return h.name, h.zone }
+func hostKey(h host) (uint64, uint8) { return h.name, h.zone }
 
 // Whoever deals: members that know the same deal alike, each who lives has n of its zone's, or of
 // all where its zone has none, and a thing that goes moves nothing but its own place in each share.
 func TestAssignmentIsTheSameForAllMembers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		members, n := rapid.IntRange(1, 20).Draw(t, "members"), rapid.IntRange(1, 9).Draw(t, "share")
+		members, perMember := rapid.IntRange(1, 20).Draw(t, "members"), rapid.IntRange(1, 9).Draw(t, "share")
 		zones := rapid.SliceOfN(rapid.Uint8Range(0, 3), members, members).Draw(t, "zones")
 		var hosts []host
 		count := map[uint8]int{}
@@ -31,26 +31,26 @@
 			hosts = append(hosts, host{rendezvous.Mix(uint64(i) + 7), z})
 			count[z]++
 		}
-		dealt := func(me int, hosts []host) [][]int {
-			g := New(members, me, zones[me], hold)
+		assignAs := func(self int, hosts []host) [][]int {
+			g := New(members, self, zones[self], stabilityDelay)
 			for i, z := range zones {
 				g.SetZone(i, z)
 			}
-			return Assign(g, 0, hosts, n, of)
+			return Assign(g, 0, hosts, perMember, hostKey)
 		}
-		first := dealt(0, hosts)
-		for me := range members {
-			if other := dealt(me, hosts); !slices.EqualFunc(first, other, slices.Equal) {
-				t.Fatalf("%d deals %v, 0 deals %v", me, other, first)
+		first := assignAs(0, hosts)
+		for self := range members {
+			if other := assignAs(self, hosts); !slices.EqualFunc(first, other, slices.Equal) {
+				t.Fatalf("%d deals %v, 0 deals %v", self, other, first)
 			}
 		}
 		for m, zone := range zones {
-			got, want := 0, min(n, count[zone])
+			got, want := 0, min(perMember, count[zone])
 			if count[zone] == 0 {
-				want = min(n, len(hosts))
+				want = min(perMember, len(hosts))
 			}
-			for i, who := range first {
-				if slices.Contains(who, m) {
+			for i, assignees := range first {
+				if slices.Contains(assignees, m) {
 					if got++; count[zone] > 0 && hosts[i].zone != zone {
 						t.Fatalf("%d of zone %d has a thing of zone %d", m, zone, hosts[i].zone)
 					}
@@ -63,9 +63,9 @@
 		if len(hosts) == 1 {
 			return
 		}
-		for i, who := range dealt(0, hosts[1:]) {
+		for i, assignees := range assignAs(0, hosts[1:]) {
 			for _, m := range first[i+1] {
-				if count[zones[m]] != 1 && !slices.Contains(who, m) {
+				if count[zones[m]] != 1 && !slices.Contains(assignees, m) {
 					t.Fatalf("%d has lost thing %d, though another went", m, i+1)
 				}
 			}
@@ -75,25 +75,25 @@
 
 // Who is gone is so once that has held, and is back at once; strangers are ignored.
 func TestAssignmentFollowsTheView(t *testing.T) {
-	g := New(3, 1, 5, hold)
-	things := []host{{1, 5}, {2, 5}}
+	g := New(3, 1, 5, stabilityDelay)
+	hosts := []host{{1, 5}, {2, 5}}
 	if g.SetZone(3, 5) || g.SetZone(-1, 5) || !g.SetZone(2, 5) || g.Alone() {
 		t.Error("who is there")
 	}
 	check := func(now time.Duration, want ...int) {
 		t.Helper()
-		for _, who := range Assign(g, now, things, 2, of) {
-			if who = slices.DeleteFunc(slices.Clone(who), func(m int) bool { return g.Dead(m, now) }); !slices.Equal(who, want) {
-				t.Errorf("at %v %v, want %v", now, who, want)
+		for _, assignees := range Assign(g, now, hosts, 2, hostKey) {
+			if assignees = slices.DeleteFunc(slices.Clone(assignees), func(m int) bool { return g.Dead(m, now) }); !slices.Equal(assignees, want) {
+				t.Errorf("at %v %v, want %v", now, assignees, want)
 			}
 		}
 	}
 	check(0, 1, 2) // 0 was never heard of
 	g.SetLive(1, []Peer{{0, 5}, {1, 5}, {9, 5}}, time.Second)
-	if check(time.Second, 0, 1, 2); g.Due(time.Second) || !g.Due(time.Second+hold) {
+	if check(time.Second, 0, 1, 2); g.Due(time.Second) || !g.Due(time.Second+stabilityDelay) {
 		t.Error("due by something else than the view's time")
 	}
-	check(time.Second+hold, 0, 1)
+	check(time.Second+stabilityDelay, 0, 1)
 	g.SetLive(2, []Peer{{0, 5}, {1, 5}, {2, 5}}, 4*time.Second)
 	check(4*time.Second, 0, 1, 2)
 	if g.Due(5*time.Second) || g.Alone() || !slices.Equal(g.AllOtherMembers(), []int{0, 2}) {
@@ -102,7 +102,7 @@
 	if g.Invalidate(); !g.Due(5 * time.Second) {
 		t.Error("other things are not dealt")
 	}
-	if alone := New(0, 0, 5, hold); !alone.Alone() || len(alone.AllOtherMembers()) > 0 || alone.SetZone(0, 5) {
+	if alone := New(0, 0, 5, stabilityDelay); !alone.Alone() || len(alone.AllOtherMembers()) > 0 || alone.SetZone(0, 5) {
 		t.Error("one who is alone")
 	}
 }
--- a/internal/decayed/decayed.go
+++ b/internal/decayed/decayed.go
@@ -72,31 +72,31 @@
 }
 
 type entry struct {
-	at     time.Duration
-	figure float64
+	storedAt time.Duration
+	value    float64
 }
 
 // Put sets the figure of a name, unless the name is empty. The time must not go back.
-func (m *Memory) Put(name string, now time.Duration, figure float64) {
+func (m *Memory) Put(name string, now time.Duration, value float64) {
 	if name == "" {
 		return
 	}
 	if len(m.entries) >= m.Limit && now-m.sweptAt >= m.TTL/4 {
 		m.sweptAt = now
-		maps.DeleteFunc(m.entries, func(_ string, e entry) bool { return now-e.at > m.TTL })
+		maps.DeleteFunc(m.entries, func(_ string, e entry) bool { return now-e.storedAt > m.TTL })
 	}
 	if m.entries == nil {
 		m.entries = map[string]entry{}
 	}
 	if _, known := m.entries[name]; known || len(m.entries) < m.Limit {
-		m.entries[name] = entry{now, figure}
+		m.entries[name] = entry{now, value}
 	}
 }
 
 // Get returns the figure of a name if it was put after a time, else 0.
 func (m *Memory) Get(name string, after time.Duration) float64 {
-	if e := m.entries[name]; e.at > after {
-		return e.figure
+	if e := m.entries[name]; e.storedAt > after {
+		return e.value
 	}
 	return 0
 }
@@ -129,22 +129,22 @@
 	return 1 + o.observed + (o.reported-o.observed)*(1-o.remaining(now-o.lastSeen))*o.remaining(now-o.reportedAt)
 }
 
-func (o *Estimate) remaining(passed time.Duration) float64 {
-	return math.Exp2(-passed.Seconds() / o.HalfLife.Seconds())
+func (o *Estimate) remaining(elapsed time.Duration) float64 {
+	return math.Exp2(-elapsed.Seconds() / o.HalfLife.Seconds())
 }
 
 // Observe moves the observed part towards a ratio, by a weight of 1 at most.
-func (o *Estimate) Observe(now time.Duration, times, weight float64) {
+func (o *Estimate) Observe(now time.Duration, ratio, weight float64) {
 	o.At(now)
-	o.observed += (times - 1 - o.observed) * weight
+	o.observed += (ratio - 1 - o.observed) * weight
 	o.lastSeen = now
 }
 
 // Report moves the reported part from the present estimate towards a reported ratio, by a weight of
 // 1 at most.
-func (o *Estimate) Report(now time.Duration, times, weight float64) {
-	was := o.At(now)
-	o.reported, o.reportedAt = was+(times-was)*weight-1, now
+func (o *Estimate) Report(now time.Duration, ratio, weight float64) {
+	previous := o.At(now)
+	o.reported, o.reportedAt = previous+(ratio-previous)*weight-1, now
 }
 
 // Reset makes the estimate 1. The time of the last observation stays.
@@ -177,6 +177,6 @@
 	return s.sum * s.remaining(now-s.updatedAt) / (1 - s.remaining(max(now-s.startedAt, s.MinAge)))
 }
 
-func (s *Sum) remaining(passed time.Duration) float64 {
-	return math.Exp(-passed.Seconds() / s.Span.Seconds())
+func (s *Sum) remaining(elapsed time.Duration) float64 {
+	return math.Exp(-elapsed.Seconds() / s.Span.Seconds())
 }
--- a/internal/durable/stored_test.go
+++ b/internal/durable/stored_test.go
@@ -58,8 +58,8 @@
 // nobody.
 func TestGoldenWriteWhole(t *testing.T) {
 	folder := t.TempDir()
-	left := golden.File(t, "kept.2085132717.new", []byte("cut in the mid"))
-	if err := os.WriteFile(filepath.Join(folder, "kept.2085132717.new"), left, 0o600); err != nil {
+	leftover := golden.File(t, "kept.2085132717.new", []byte("cut in the mid"))
+	if err := os.WriteFile(filepath.Join(folder, "kept.2085132717.new"), leftover, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for _, text := range []string{"first", "second, and longer"} {
--- a/internal/naming/imports_test.go
+++ b/internal/naming/imports_test.go
@@ -57,17 +57,17 @@
 
 // misplacedImport is the first import that is in another group than its own, nil for none.
 func misplacedImport(files *token.FileSet, file *ast.File) *ast.ImportSpec {
-	var before *ast.ImportSpec
+	var previous *ast.ImportSpec
 	for _, spec := range file.Imports {
-		if before != nil {
-			lines := files.Position(spec.Pos()).Line - files.Position(before.End()).Line
-			group, earlier := groupOf(importPath(spec)), groupOf(importPath(before))
-			apart := lines > 1 && spec.Doc == nil
-			if group < earlier || group != earlier && !apart {
+		if previous != nil {
+			lines := files.Position(spec.Pos()).Line - files.Position(previous.End()).Line
+			group, earlier := groupOf(importPath(spec)), groupOf(importPath(previous))
+			separated := lines > 1 && spec.Doc == nil
+			if group < earlier || group != earlier && !separated {
 				return spec
 			}
 		}
-		before = spec
+		previous = spec
 	}
 	return nil
 }
--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -31,8 +31,8 @@
 // State is the state of one server. Its zero value is not ejected.
 type State struct {
 	hasWitness, everEjected bool
-	witness                 int           // that saw it fail last
-	seenAt                  time.Duration // when
+	lastWitness             int           // that saw it fail last
+	lastFailureAt           time.Duration // when
 	ejectedUntil            time.Duration // 0 for never
 	ejectionTime            time.Duration // the last one
 }
@@ -42,13 +42,13 @@
 	if s.Ejected(now) {
 		return // of an attempt that was in flight
 	}
-	second := s.hasWitness && s.witness != witness && now-s.seenAt <= witnessWindow
-	s.hasWitness, s.witness, s.seenAt = true, witness, now
-	if !second {
+	confirmed := s.hasWitness && s.lastWitness != witness && now-s.lastFailureAt <= witnessWindow
+	s.hasWitness, s.lastWitness, s.lastFailureAt = true, witness, now
+	if !confirmed {
 		return
 	}
-	repeated := s.everEjected && now-s.ejectedUntil <= recurrenceWindow
-	if repeated {
+	recurring := s.everEjected && now-s.ejectedUntil <= recurrenceWindow
+	if recurring {
 		s.ejectionTime = min(2*s.ejectionTime, maxEjectionTime)
 	} else {
 		s.ejectionTime = minEjectionTime
@@ -62,14 +62,14 @@
 // WithoutEjected returns the servers that are not ejected. Of many that are, only some are left
 // out, those with the longest ejection first, as they failed again and again: the others could not
 // bear the load of all, and would be ejected in turn.
-func WithoutEjected[S any](all []S, of func(S) *State, now time.Duration) []S {
-	ejected := slices.DeleteFunc(slices.Clone(all), func(s S) bool { return !of(s).Ejected(now) })
+func WithoutEjected[S any](all []S, stateOf func(S) *State, now time.Duration) []S {
+	ejected := slices.DeleteFunc(slices.Clone(all), func(s S) bool { return !stateOf(s).Ejected(now) })
 	if len(ejected) == 0 {
 		return all
 	}
-	slices.SortStableFunc(ejected, func(a, b S) int { return cmp.Compare(of(b).ejectionTime, of(a).ejectionTime) })
+	slices.SortStableFunc(ejected, func(a, b S) int { return cmp.Compare(stateOf(b).ejectionTime, stateOf(a).ejectionTime) })
 	ejected = ejected[:min(len(ejected), len(all)/maxEjectedDivisor)]
 	return slices.DeleteFunc(slices.Clone(all), func(s S) bool {
-		return slices.ContainsFunc(ejected, func(o S) bool { return of(o) == of(s) })
+		return slices.ContainsFunc(ejected, func(o S) bool { return stateOf(o) == stateOf(s) })
 	})
 }
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -10,37 +10,37 @@
 const sec = time.Second
 
 // sighting is one failure that a witness saw.
-type sighting struct {
+type failure struct {
 	at      time.Duration
 	witness int
 }
 
 func TestTwoWitnessesEjectAServer(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		seen    []sighting
-		at      time.Duration
-		avoided bool
+		name     string
+		failures []failure
+		at       time.Duration
+		ejected  bool
 	}{
 		{name: "nothing seen", at: sec},
-		{name: "one witness", seen: []sighting{{0, 1}}, at: 0},
-		{name: "one witness, over and over", seen: []sighting{{0, 1}, {sec / 10, 1}, {sec / 5, 1}}, at: sec / 5},
-		{name: "two witnesses", seen: []sighting{{0, 1}, {sec / 10, 2}}, at: sec / 2, avoided: true},
-		{name: "oneself and another", seen: []sighting{{0, LocalWitness}, {sec / 10, 2}}, at: sec / 2, avoided: true},
-		{name: "two witnesses long apart", seen: []sighting{{0, 1}, {3 * sec, 2}}, at: 3 * sec},
-		{name: "taken back", seen: []sighting{{0, 1}, {0, 2}}, at: sec},
-		{name: "seen again soon: for longer", seen: []sighting{{0, 1}, {0, 2}, {2 * sec, 1}, {2 * sec, 3}}, at: 7 * sec / 2, avoided: true},
-		{name: "seen again much later: as at first", seen: []sighting{{0, 1}, {0, 2}, {20 * sec, 1}, {20 * sec, 3}}, at: 43 * sec / 2},
-		{name: "tries that were under way add nothing", seen: []sighting{{0, 1}, {0, 2}, {sec / 2, 3}, {sec / 2, 4}}, at: 11 * sec / 10},
-		{name: "of a suspicion that is over nothing is left", seen: []sighting{{0, 1}, {0, 2}, {11 * sec / 10, 5}}, at: 11 * sec / 10},
+		{name: "one witness", failures: []failure{{0, 1}}, at: 0},
+		{name: "one witness, over and over", failures: []failure{{0, 1}, {sec / 10, 1}, {sec / 5, 1}}, at: sec / 5},
+		{name: "two witnesses", failures: []failure{{0, 1}, {sec / 10, 2}}, at: sec / 2, ejected: true},
+		{name: "oneself and another", failures: []failure{{0, LocalWitness}, {sec / 10, 2}}, at: sec / 2, ejected: true},
+		{name: "two witnesses long apart", failures: []failure{{0, 1}, {3 * sec, 2}}, at: 3 * sec},
+		{name: "taken back", failures: []failure{{0, 1}, {0, 2}}, at: sec},
+		{name: "seen again soon: for longer", failures: []failure{{0, 1}, {0, 2}, {2 * sec, 1}, {2 * sec, 3}}, at: 7 * sec / 2, ejected: true},
+		{name: "seen again much later: as at first", failures: []failure{{0, 1}, {0, 2}, {20 * sec, 1}, {20 * sec, 3}}, at: 43 * sec / 2},
+		{name: "tries that were under way add nothing", failures: []failure{{0, 1}, {0, 2}, {sec / 2, 3}, {sec / 2, 4}}, at: 11 * sec / 10},
+		{name: "of a suspicion that is over nothing is left", failures: []failure{{0, 1}, {0, 2}, {11 * sec / 10, 5}}, at: 11 * sec / 10},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			var s State
-			for _, one := range c.seen {
-				s.RecordFailure(one.witness, one.at)
+			for _, f := range c.failures {
+				s.RecordFailure(f.witness, f.at)
 			}
-			is.Equal(s.Ejected(c.at), c.avoided)
+			is.Equal(s.Ejected(c.at), c.ejected)
 		})
 	}
 }
@@ -49,20 +49,20 @@
 func TestEjectionIsBounded(t *testing.T) {
 	is := is.New(t)
 	var s State
-	avoided := time.Duration(0)
+	ejectedFor := time.Duration(0)
 	for now := time.Duration(0); now < 100*sec; now += 10 * time.Millisecond {
 		s.RecordFailure(int(now/(10*time.Millisecond))%7, now)
 		if !s.Ejected(now) {
-			avoided = 0
+			ejectedFor = 0
 			continue
 		}
-		avoided += 10 * time.Millisecond
-		is.True(avoided <= maxEjectionTime)
+		ejectedFor += 10 * time.Millisecond
+		is.True(ejectedFor <= maxEjectionTime)
 	}
 }
 
 func TestOnlySomeOfManyAreLeftOut(t *testing.T) {
-	fails := func(s *State, times int) {
+	eject := func(s *State, times int) {
 		for i := range times {
 			at := time.Duration(i) * maxEjectionTime
 			s.RecordFailure(1, at)
@@ -87,7 +87,7 @@
 			all := make([]int, len(c.times))
 			for i, times := range c.times {
 				all[i] = i
-				fails(&servers[i], times)
+				eject(&servers[i], times)
 				if times > 0 {
 					servers[i].ejectedUntil = now + sec
 				}
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -9,9 +9,9 @@
 
 // The first n are those that sorting all would put first, and one that leaves moves no other.
 func TestFirst(t *testing.T) {
-	self := func(n uint64) uint64 { return n }
+	identity := func(n uint64) uint64 { return n }
 	rapid.Check(t, func(t *rapid.T) {
-		pool := rapid.SliceOfDistinct(rapid.Uint64(), self).Draw(t, "pool")
+		pool := rapid.SliceOfDistinct(rapid.Uint64(), identity).Draw(t, "pool")
 		key, n := rapid.Uint64().Draw(t, "key"), rapid.IntRange(0, 20).Draw(t, "n")
 		all := slices.Clone(pool)
 		slices.SortFunc(all, func(a, b uint64) int {
@@ -20,16 +20,16 @@
 			}
 			return 1
 		})
-		if got := First(key, pool, n, self); !slices.Equal(got, all[:min(n, len(all))]) {
+		if got := First(key, pool, n, identity); !slices.Equal(got, all[:min(n, len(all))]) {
 			t.Fatalf("got %v, want the first %d of %v", got, n, all)
 		}
 		if len(all) == 0 {
 			return
 		}
-		gone := rapid.IntRange(0, len(all)-1).Draw(t, "gone")
-		left := slices.Delete(slices.Clone(all), gone, gone+1)
-		if got := First(key, left, len(left), self); !slices.Equal(got, left) {
-			t.Fatalf("without %v: got %v, want %v", all[gone], got, left)
+		removed := rapid.IntRange(0, len(all)-1).Draw(t, "gone")
+		remaining := slices.Delete(slices.Clone(all), removed, removed+1)
+		if got := First(key, remaining, len(remaining), identity); !slices.Equal(got, remaining) {
+			t.Fatalf("without %v: got %v, want %v", all[removed], got, remaining)
 		}
 	})
 }
--- a/internal/retrybudget/retrybudget_test.go
+++ b/internal/retrybudget/retrybudget_test.go
@@ -11,16 +11,16 @@
 // whatever the order and whatever restarts.
 func TestRetriesAreBoundedInAnySpan(t *testing.T) {
 	is := is.New(t)
-	const ratio, most, events = 0.2, 3.0, 400
+	const ratio, limit, events = 0.2, 3.0, 400
 	for seed := range uint64(100) {
 		rng := rand.New(rand.NewPCG(seed, 0))
-		b := New(ratio, most)
-		balance := make([]float64, 1, events+1) // repeats less what first tries added, so far
+		b := New(ratio, limit)
+		net := make([]float64, 1, events+1) // repeats less what first tries added, so far
 		for range events {
-			sum := balance[len(balance)-1]
+			sum := net[len(net)-1]
 			switch rng.IntN(40) {
 			case 0:
-				b = New(ratio, most) // a restart
+				b = New(ratio, limit) // a restart
 			case 1, 2, 3, 4, 5, 6, 7, 8, 9, 10:
 				if b.Take() {
 					sum++
@@ -29,11 +29,11 @@
 				b.RecordRequest(false)
 				sum -= ratio
 			}
-			balance = append(balance, sum)
+			net = append(net, sum)
 		}
-		for from := range balance {
-			for to := from; to < len(balance); to++ {
-				is.True(balance[to]-balance[from] <= most+1e-9)
+		for from := range net {
+			for to := from; to < len(net); to++ {
+				is.True(net[to]-net[from] <= limit+1e-9)
 			}
 		}
 	}
@@ -42,9 +42,9 @@
 // Without a budget every repeat is allowed; an empty one allows none.
 func TestNilAndEmptyBudget(t *testing.T) {
 	is := is.New(t)
-	var none *Budget
-	none.RecordRequest(false)
-	is.True(none.Take())
+	var unlimited *Budget
+	unlimited.RecordRequest(false)
+	is.True(unlimited.Take())
 	is.True(!New(0.2, 5).Take())
 }
 
--- a/internal/routing/accept.go
+++ b/internal/routing/accept.go
@@ -19,7 +19,7 @@
 	request := &Request{
 		id:       a.ID,
 		arrival:  a,
-		class:    r.counters.of(a.Class),
+		class:    r.counters.forClass(a.Class),
 		message:  m,
 		deadline: began.Add(a.TimeLeft),
 		ctx:      ctx,
--- a/internal/routing/metrics.go
+++ b/internal/routing/metrics.go
@@ -76,7 +76,7 @@
 }
 
 // of returns the counters of a class, nil if it is not listed.
-func (c *counters) of(name string) *classCounters { return c.all()[name] }
+func (c *counters) forClass(name string) *classCounters { return c.all()[name] }
 
 // Counts is how the requests of a class ended so far. Accepted is the sum of the others and of
 // those that are open.
@@ -140,16 +140,16 @@
 // how it ends here.
 func (r *Router) CountTakenOver(class string) (ended func(Verdict)) {
 	r.counters.open.Add(1)
-	r.counters.of(class).countAccepted()
+	r.counters.forClass(class).countAccepted()
 	return func(v Verdict) {
-		r.counters.of(class).countEnded(v)
+		r.counters.forClass(class).countEnded(v)
 		r.counters.open.Add(-1)
 	}
 }
 
 // CountUnadmitted counts a request of a class that a front end answered without Accept.
 func (r *Router) CountUnadmitted(class string, v Verdict) {
-	counters := r.counters.of(class)
+	counters := r.counters.forClass(class)
 	counters.countAccepted()
 	counters.countEnded(v)
 }
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -68,7 +68,9 @@
 
 // OnLearned has take called with what the decisions have learned, once a second while there are
 // decisions, by their goroutine. It must not block. OnLearned is called before Run.
-func (r *Router) OnLearned(take func(now time.Duration, l balance.Learned)) { r.onLearned = take }
+func (r *Router) OnLearned(callback func(now time.Duration, l balance.Learned)) {
+	r.onLearned = callback
+}
 
 // SetGate puts a gate before the decisions. It is called before Run.
 func (r *Router) SetGate(g Gate) { r.gate = g }
--- a/internal/schedlatency/schedlatency.go
+++ b/internal/schedlatency/schedlatency.go
@@ -24,19 +24,19 @@
 // Monitor remembers by how much the ticks of a process were late. It may be used by several
 // goroutines.
 type Monitor struct {
-	mu     sync.Mutex
-	ticked time.Time
-	delays []delay // within Window, the oldest first
+	mu       sync.Mutex
+	lastTick time.Time
+	delays   []delay // within Window, the oldest first
 }
 
 // delay is a tick that was late.
 type delay struct {
-	ended  time.Time
-	length time.Duration
+	endedAt time.Time
+	length  time.Duration
 }
 
 // NewMonitor returns a monitor whose first tick is due Interval after now.
-func NewMonitor(now time.Time) *Monitor { return &Monitor{ticked: now} }
+func NewMonitor(now time.Time) *Monitor { return &Monitor{lastTick: now} }
 
 // Run ticks until ctx ends.
 func (m *Monitor) Run(ctx context.Context) {
@@ -58,8 +58,8 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	late := m.overdue(now)
-	m.ticked = now
-	for len(m.delays) > 0 && now.Sub(m.delays[0].ended) > Window {
+	m.lastTick = now
+	for len(m.delays) > 0 && now.Sub(m.delays[0].endedAt) > Window {
 		m.delays = m.delays[1:]
 	}
 	if late >= minDelay {
@@ -74,7 +74,7 @@
 	defer m.mu.Unlock()
 	longest := m.overdue(now)
 	for _, d := range m.delays {
-		if now.Sub(d.ended) <= within {
+		if now.Sub(d.endedAt) <= within {
 			longest = max(longest, d.length)
 		}
 	}
@@ -87,5 +87,5 @@
 
 // overdue returns for how long a tick has been due. The caller has the lock.
 func (m *Monitor) overdue(now time.Time) time.Duration {
-	return max(now.Sub(m.ticked)-Interval, 0)
+	return max(now.Sub(m.lastTick)-Interval, 0)
 }
--- a/internal/schedlatency/schedlatency_test.go
+++ b/internal/schedlatency/schedlatency_test.go
@@ -14,15 +14,15 @@
 	m.Tick(at(Interval + 500*time.Millisecond))                // 400 ms late
 	m.Tick(at(2*Interval + 500*time.Millisecond))              // in time
 	m.Tick(at(3*Interval + 500*time.Millisecond + minDelay/2)) // too little
-	ticked := 3*Interval + 500*time.Millisecond + minDelay/2
+	lastTick := 3*Interval + 500*time.Millisecond + minDelay/2
 	for _, x := range []struct {
 		now, within, want time.Duration
 	}{
-		{ticked, Window, 400 * time.Millisecond},
-		{ticked, 50 * time.Millisecond, 0},
-		{ticked + Interval, 0, 0},
-		{ticked + Interval + time.Second, 0, time.Second},
-		{ticked + Interval + 200*time.Millisecond, time.Second, 400 * time.Millisecond},
+		{lastTick, Window, 400 * time.Millisecond},
+		{lastTick, 50 * time.Millisecond, 0},
+		{lastTick + Interval, 0, 0},
+		{lastTick + Interval + time.Second, 0, time.Second},
+		{lastTick + Interval + 200*time.Millisecond, time.Second, 400 * time.Millisecond},
 	} {
 		if got := m.Longest(at(x.now), x.within); got != x.want {
 			t.Errorf("at %v within %v: got %v, want %v", x.now, x.within, got, x.want)
@@ -38,7 +38,7 @@
 		now = now.Add(2 * Interval)
 		m.Tick(now)
 	}
-	if most := int(Window/(2*Interval)) + 1; len(m.delays) > most {
-		t.Errorf("%d delays are remembered, want at most %d", len(m.delays), most)
+	if maxDelays := int(Window/(2*Interval)) + 1; len(m.delays) > maxDelays {
+		t.Errorf("%d delays are remembered, want at most %d", len(m.delays), maxDelays)
 	}
 }
