--- a/internal/routing/accept.go
+++ b/internal/routing/accept.go
@@ -8,12 +8,13 @@
 	"reachspread/balance"
 )
 
-// ErrDuplicateID says that another request under way has the ID. The platform makes a new ID for
-// each request, so this client is at fault.
+// ErrDuplicateID says that another open request has the same ID. The platform generates a new ID for
+// each request, so the client is at fault.
 var ErrDuplicateID = errors.New("the id is that of an open request")
 
-// Accept starts a request whose first byte came at the time given, from which on its client waits.
-// Its caller owes one call of Done, unless there is an error, which is ErrDuplicateID.
+// Accept starts a request. Its time left counts from began, when its first byte arrived and its
+// client began to wait. The caller must call Done once, unless Accept returns an error, which is
+// ErrDuplicateID.
 func (r *Router) Accept(a balance.Arrival, began time.Time, m Message) (*Request, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	request := &Request{
@@ -35,9 +36,9 @@
 	return request, nil
 }
 
-// register leaves a request to the decisions, unless its ID is in use: the decisions would ignore a
-// second request of one ID and never answer it, and a server would take it for a retry of the
-// first.
+// register queues a request for the decisions, or returns ErrDuplicateID if its ID is in use. The
+// decisions would ignore a second request with the same ID and never answer it, and a server would
+// take it for a retry of the first.
 func (r *Router) register(request *Request) error {
 	r.mu.Lock()
 	if r.requests[request.id] != nil {
@@ -46,20 +47,21 @@
 	}
 	r.requests[request.id] = request
 	r.mu.Unlock()
-	request.class.countAccepted() // before anything can end it
+	request.class.countAccepted() // before the request can end
 	request.arrival.TimeLeft = time.Until(request.deadline)
 	r.post(request.arrival)
 	return nil
 }
 
-// Abandon says that the client of a request has gone: its attempts are cancelled.
+// Abandon cancels the attempts of a request whose client has disconnected.
 func (r *Router) Abandon(request *Request) {
 	request.cancel()
 	r.post(balance.Aborted{ID: request.id})
 }
 
-// Withdraw rejects a request of which nothing was sent yet, as its sender has to bring it in
-// another form. From then on Admit of its message must allow no attempt: one may begin meanwhile.
+// Withdraw rejects a request if nothing of it was sent yet, so that the caller can plan it again and
+// submit it in another form. The Admit method of its message must allow no attempt from then on,
+// because an attempt may start at the same time.
 func (r *Router) Withdraw(id string) {
 	request := r.request(id)
 	if request == nil || request.references.Load() > 1 || request.mayHaveExecuted.Load() {
@@ -70,16 +72,17 @@
 	}
 }
 
-// Done ends a request whose client has its answer, or has gone.
+// Done ends a request whose client has got its answer or has disconnected.
 func (r *Router) Done(request *Request) {
 	request.cancel()
 	r.counters.open.Add(-1)
 	r.release(request)
 }
 
-// release gives up one reference to a request: its client has one, and so has each attempt in
-// flight. Without references the request is forgotten, but only after a decision on its last event:
-// until then the decisions may still name it, and would ignore a new request of its ID.
+// release drops one reference to a request. The client holds one reference, and so does each attempt
+// in flight. When the last reference is dropped, the request is removed from the open requests, but
+// only after the decisions have handled its last event: until then they may still return actions for
+// its ID, and would ignore a new request with that ID.
 func (r *Router) release(request *Request) {
 	if request.references.Add(-1) > 0 {
 		return
@@ -90,8 +93,9 @@
 	r.signal()
 }
 
-// forget removes requests that have ended. A client that leaves while its request is being sent
-// ends it twice, and by the second time another request may have the ID.
+// forget removes requests that have ended. A request ends twice if its client leaves while send starts
+// an attempt: the references then drop to zero once before the attempt and once after it. By the
+// second time another request may have the same ID, so forget compares the requests.
 func (r *Router) forget(ended []*Request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/routing/actions.go
+++ b/internal/routing/actions.go
@@ -6,7 +6,7 @@
 	"reachspread/balance"
 )
 
-// carryOut carries out one action of the decisions. It runs on their goroutine and never waits.
+// carryOut carries out one action of the decisions. It runs on the goroutine of Run and never blocks.
 func (r *Router) carryOut(action balance.Action) {
 	switch a := action.(type) {
 	case balance.Send:
@@ -25,18 +25,19 @@
 	case balance.Log:
 		r.logDecision(a.Text)
 	case balance.Subscribe:
-		// Discovery is watched from the start to the end, so there is nothing to ask for.
+		// The process watches discovery from start to exit, so there is nothing to subscribe to.
 	}
 }
 
-// request returns a request that the decisions name. It is there: see release.
+// request returns the open request with an ID. An ID in an action of the decisions always has one,
+// see release.
 func (r *Router) request(id string) *Request {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.requests[id]
 }
 
-// logDecision logs a line of the decisions, of the form "event: replica".
+// logDecision logs a line that the decisions wrote, in the form "event: replica".
 func (r *Router) logDecision(text string) {
 	event, replica, _ := strings.Cut(text, ": ")
 	if event == "back" {
--- a/internal/routing/metrics.go
+++ b/internal/routing/metrics.go
@@ -7,42 +7,43 @@
 	"reachspread/balance"
 )
 
-// maxCountedClasses bounds the classes that are counted, those that a reload removed among them.
+// maxCountedClasses is the maximum number of classes that have counters, including classes that a
+// reload of the configuration removed.
 const maxCountedClasses = 256
 
-// counters count what the core does. They are counted where a thing happens; reading them waits for
-// nobody.
+// counters hold the metrics of the core. Each counter is updated where the counted event happens.
+// Reading the counters never blocks.
 type counters struct {
-	classes       atomic.Pointer[map[string]*classCounters] // replaced, never changed
-	attemptsSent  atomic.Uint64                             // to their last byte
+	classes       atomic.Pointer[map[string]*classCounters] // the map is replaced, never modified
+	attemptsSent  atomic.Uint64                             // attempts whose last byte was written
 	open          atomic.Int64                              // requests accepted and not done
 	serversListed atomic.Int64
-	outOfRotation atomic.Int64              // of these
+	outOfRotation atomic.Int64              // listed servers that are draining or ejected
 	fleetView     atomic.Pointer[FleetView] // nil before the first view
 }
 
-// classCounters count the requests of one class: those that were accepted, and how they ended. A
-// nil one is of a class that is not listed: it counts nothing.
+// classCounters count the accepted requests of one class, and how they ended. Methods of a nil
+// *classCounters, which stands for a class without counters, count nothing.
 type classCounters struct {
 	accepted atomic.Uint64
 	ended    [HandedOver + 1]atomic.Uint64
 }
 
-// countAccepted counts a request, whose end is to be counted once.
+// countAccepted counts an accepted request. The caller must count its end once with countEnded.
 func (c *classCounters) countAccepted() {
 	if c != nil {
 		c.accepted.Add(1)
 	}
 }
 
-// countEnded counts the end of a request.
+// countEnded counts a request that ended with a verdict.
 func (c *classCounters) countEnded(v Verdict) {
 	if c != nil {
 		c.ended[v].Add(1)
 	}
 }
 
-// counts returns the counts by now.
+// counts returns the current counts.
 func (c *classCounters) counts() Counts {
 	counts := Counts{
 		Served:     c.ended[Served].Load(),
@@ -51,11 +52,11 @@
 		Abandoned:  c.ended[Abandoned].Load(),
 		HandedOver: c.ended[HandedOver].Load(),
 	}
-	counts.Accepted = c.accepted.Load() // last, so that never more have ended than were accepted
+	counts.Accepted = c.accepted.Load() // read last, so that it is at least the number of ended requests
 	return counts
 }
 
-// addClasses has these classes counted, too. The counts of those before stay.
+// addClasses adds counters for these classes. Existing counters are kept.
 func (c *counters) addClasses(classes []balance.Class) {
 	next := map[string]*classCounters{}
 	maps.Copy(next, c.all())
@@ -67,7 +68,7 @@
 	c.classes.Store(&next)
 }
 
-// all returns the counters by class, which must not be changed.
+// all returns the counters by class. The caller must not modify the map.
 func (c *counters) all() map[string]*classCounters {
 	if all := c.classes.Load(); all != nil {
 		return *all
@@ -75,34 +76,34 @@
 	return nil
 }
 
-// of returns the counters of a class, nil if it is not listed.
+// forClass returns the counters of a class, nil if it has none.
 func (c *counters) forClass(name string) *classCounters { return c.all()[name] }
 
-// Counts is how the requests of a class ended so far. Accepted is the sum of the others and of
-// those that are open.
+// Counts are the numbers of requests of a class so far: all accepted requests, and those that ended
+// in each way. Accepted also includes the open requests.
 type Counts struct {
 	Accepted                 uint64
 	Served, Rejected, Failed uint64
-	Abandoned                uint64 // by their clients
-	HandedOver               uint64 // another process goes on with them
+	Abandoned                uint64 // their clients left
+	HandedOver               uint64 // another process took them over
 }
 
-// Open returns how many have not ended.
+// Open returns how many requests have not ended.
 func (c Counts) Open() uint64 {
 	return c.Accepted - c.Served - c.Rejected - c.Failed - c.Abandoned - c.HandedOver
 }
 
-// Metrics is what the core did so far, and its state by now.
+// Metrics holds counts of what the core did so far, and its current state.
 type Metrics struct {
 	Classes       map[string]Counts
-	AttemptsSent  uint64 // to their last byte
+	AttemptsSent  uint64 // attempts whose last byte was written
 	Open          int64  // requests accepted and not done
 	ServersListed int64
-	OutOfRotation int64     // of these, draining or ejected
-	Fleet         FleetView // as the decisions have it
+	OutOfRotation int64     // listed servers that are draining or ejected
+	Fleet         FleetView // the view that the decisions got last
 }
 
-// Metrics returns the metrics by now. It waits for nothing.
+// Metrics returns the current metrics. It never blocks.
 func (r *Router) Metrics() Metrics {
 	c := &r.counters
 	metrics := Metrics{
@@ -121,8 +122,8 @@
 	return metrics
 }
 
-// OpenRequests returns the IDs and classes of at most limit requests that are under way, and how
-// many more there are.
+// OpenRequests returns the IDs and classes of at most limit open requests, and how many more open
+// requests there are.
 func (r *Router) OpenRequests(limit int) (ids, classes []string, more int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -136,8 +137,8 @@
 	return ids, classes, 0
 }
 
-// CountTakenOver counts a stream that another process began. The caller owes one call of ended with
-// how it ends here.
+// CountTakenOver counts a stream that this process took over from another process. The caller must
+// call ended once, with the verdict of the stream in this process.
 func (r *Router) CountTakenOver(class string) (ended func(Verdict)) {
 	r.counters.open.Add(1)
 	r.counters.forClass(class).countAccepted()
@@ -147,7 +148,7 @@
 	}
 }
 
-// CountUnadmitted counts a request of a class that a front end answered without Accept.
+// CountUnadmitted counts a request of a class that a front end answered without calling Accept.
 func (r *Router) CountUnadmitted(class string, v Verdict) {
 	counters := r.counters.forClass(class)
 	counters.countAccepted()
--- a/internal/routing/metrics_test.go
+++ b/internal/routing/metrics_test.go
@@ -6,7 +6,8 @@
 	"reachspread/balance"
 )
 
-// What the metrics cost a request: its class is looked up once, and its end is one addition.
+// Measures what the metrics of one request cost: a lookup of its class, and one addition for each
+// counter.
 func BenchmarkMetricsOfARequest(b *testing.B) {
 	var metrics counters
 	metrics.addClasses([]balance.Class{{Name: "field-fill"}, {Name: "desk-chat"}, {Name: "batch-review"}, {Name: "order-steps"}})
@@ -20,7 +21,7 @@
 	}
 }
 
-// Classes beyond the bound are not counted, and the ones before stay.
+// Classes beyond maxCountedClasses get no counters, and the classes added before keep theirs.
 func TestClassesAreBounded(t *testing.T) {
 	var metrics counters
 	for i := range 3 * maxCountedClasses {
@@ -28,7 +29,7 @@
 	}
 	metrics.forClass("a").countEnded(Served)
 	if metrics.forClass("a").ended[Served].Load() != 1 || len(metrics.all()) != maxCountedClasses {
-		t.Errorf("%d classes", len(metrics.all()))
+		t.Errorf("%d classes have counters, or the first one lost its count", len(metrics.all()))
 	}
 	metrics.forClass("nobody's").countEnded(Failed)
 }
--- a/internal/routing/outcome.go
+++ b/internal/routing/outcome.go
@@ -6,16 +6,16 @@
 	"reachspread/balance"
 )
 
-// attempt is one attempt of a request.
+// attempt is one attempt to send a request to a server.
 type attempt struct {
 	request  *Request
-	number   int // from 0
+	number   int // counts the attempts of the request, from 0
 	serverID string
-	sentAt   time.Time // when it was given to the network
+	sentAt   time.Time // when the attempt started, before it was admitted and sent
 }
 
-// recordOutcome gives the decisions the outcome of an attempt whose answer did not begin. They
-// retry or answer the request unless it has its final answer or its client has gone.
+// recordOutcome queues the outcome of an attempt whose answer did not begin. The decisions then retry
+// the request or answer it, unless it has its final answer or its client has left.
 func (r *Router) recordOutcome(a *attempt, result AttemptResult) {
 	final := a.request.answered.Load() || a.request.ctx.Err() != nil
 	r.post(balance.Outcome{
@@ -28,8 +28,8 @@
 	r.release(a.request)
 }
 
-// recordStreamOutcome gives the decisions the outcome of an attempt whose answer had begun. That
-// closes the request in any case.
+// recordStreamOutcome queues the outcome of an attempt whose answer had begun. Whatever the outcome,
+// it is the last event of the request.
 func (r *Router) recordStreamOutcome(a *attempt, result AttemptResult, cachedTokens float64) {
 	r.post(balance.Outcome{
 		ID:           a.request.id,
--- a/internal/routing/request.go
+++ b/internal/routing/request.go
@@ -8,49 +8,50 @@
 	"reachspread/balance"
 )
 
-// Verdict is the kind of a final answer.
+// Verdict says how a request ended.
 type Verdict int
 
-// The final answers.
+// How a request can end.
 const (
-	Served     Verdict = iota
-	Rejected           // sending the request again does no harm
-	Failed             // says nothing of whether the request has executed
-	Invalid            // the request itself is at fault, as a server found
-	Abandoned          // by its client
-	HandedOver         // another process goes on with the stream
+	Served     Verdict = iota // answered by a server
+	Rejected                  // the client may safely send the request again
+	Failed                    // the request may or may not have been executed
+	Invalid                   // a server found an error in the request itself
+	Abandoned                 // the client left
+	HandedOver                // another process has taken over the stream
 )
 
-// Answer is the final answer to a request.
+// Answer is the final answer to a request. A field that names verdicts is set only with these.
 type Answer struct {
 	Verdict         Verdict
-	RetryAfter      time.Duration // Rejected: when to come back, 0 for no advice
-	MayHaveExecuted bool          // Rejected: a server may have executed it before, which did no harm
-	Stream          *Stream       // Served: the events as they come
-	ServerAnswer    any           // Failed, Invalid: the last answer of a server's own, nil for none
+	RetryAfter      time.Duration // Rejected: how long the client should wait before it retries, 0 for no advice
+	MayHaveExecuted bool          // Rejected: an earlier attempt may have been executed, which did no harm
+	Stream          *Stream       // Served: the events as they arrive
+	ServerAnswer    any           // Failed, Invalid: the last answer that a server itself gave, nil for none
 }
 
-// Request is a client request that is under way.
+// Request is a client request that is open.
 type Request struct {
-	id       string // in the decisions
+	id       string // identifies the request to the decisions
 	arrival  balance.Arrival
-	class    *classCounters // counts its end
+	class    *classCounters // counts how the request ends
 	message  Message
 	deadline time.Time
 
-	ctx      context.Context // ends when the client has gone
+	ctx      context.Context // ends when the client has left or the request is done
 	cancel   context.CancelFunc
 	answered atomic.Bool
 	final    chan Answer
 
-	attempts        int          // so far; for the goroutine of Router.Run alone
-	references      atomic.Int32 // of the client and of each attempt in flight; see Router.release
+	attempts        int          // started so far; only the goroutine of Router.Run uses it
+	references      atomic.Int32 // held by the client and by each attempt in flight; see Router.release
 	mayHaveExecuted atomic.Bool
-	serverAnswer    atomic.Value // the last answer of a server's own, nothing for none
+	serverAnswer    atomic.Value // the last answer that a server itself gave, empty for none
 }
 
-// answer gives the request its final answer and reports whether it was the first. This is the only
-// place that does. It also counts how the request ended, except for a stream, whose end says that.
+// answer gives the request its final answer, unless it already has one, and reports whether it did.
+// No other function gives final answers. It also counts how the request ended, except for an answer
+// with a stream, which Stream.Close counts.
 func (r *Request) answer(a Answer) bool {
 	if !r.answered.CompareAndSwap(false, true) {
 		return false
@@ -62,14 +63,15 @@
 	return true
 }
 
-// Wait returns the final answer; ok is false if the client has gone and nobody is to be answered.
+// Wait waits for the final answer and returns it. If the client leaves first, ok is false and there
+// is nobody to answer.
 func (r *Request) Wait() (a Answer, ok bool) {
 	select {
 	case a = <-r.final:
 		return a, true
 	case <-r.ctx.Done():
 	}
-	// The answer may have come at the same time: somebody must end a stream.
+	// If an answer arrived at the same time, return it: the caller must close its stream.
 	if r.answered.CompareAndSwap(false, true) {
 		r.class.countEnded(Abandoned)
 		return a, false
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -10,14 +10,15 @@
 )
 
 const (
-	// learnedInterval is the least time between two calls of the function of OnLearned.
+	// learnedInterval is the minimum time between two calls of the OnLearned callback.
 	learnedInterval = time.Second
-	// maxPendingReports is the number of reports from other routers that call for a decision by
-	// themselves. Fewer wait for the next event.
+	// maxPendingReports is the number of pending report messages from other routers at which Run
+	// wakes up to handle them. Fewer messages wait for the next event.
 	maxPendingReports = 64
 )
 
-// Router owns the decisions. One goroutine runs Run; all others only leave events for it.
+// Router accepts requests, lets package balance decide on them, and carries out its actions. All
+// decisions run on the goroutine of Run; other goroutines only queue events for it.
 type Router struct {
 	balancer     *balance.Balancer
 	gate         Gate // nil for none
@@ -26,26 +27,27 @@
 	clock        clock
 	probeTimeout time.Duration
 	sendReports  func(balance.SendReports)                  // must not block
-	onLearned    func(now time.Duration, l balance.Learned) // nil for nobody
-	toRestore    atomic.Pointer[balance.Learned]            // for the next decision, nil for nothing
-	closing      atomic.Pointer[closingAnswer]              // what open requests are answered with; nil until AnswerOpen
-	rejected     atomic.Uint64                              // requests so far
+	onLearned    func(now time.Duration, l balance.Learned) // nil for no callback
+	toRestore    atomic.Pointer[balance.Learned]            // restored with the next decision, nil for nothing
+	closing      atomic.Pointer[closingAnswer]              // set by AnswerOpen, nil before
+	rejected     atomic.Uint64                              // requests that the decisions rejected so far
 	counters     counters
 
 	mu               sync.Mutex
 	pending          []balance.Event
-	pendingSince     time.Time       // when the first of them came
-	pendingReports   []balance.Event // from other routers, for the next decision
-	pendingView      *FleetView      // nil for none since the last decision
-	maxEventDelay    time.Duration   // the longest wait for a decision since the last Load
+	pendingSince     time.Time       // when the first event of pending arrived
+	pendingReports   []balance.Event // reports from other routers, for the next decision
+	pendingView      *FleetView      // the last view since the last decision, nil for none
+	maxEventDelay    time.Duration   // the longest that an event waited for its decision since the last call of Load
 	servers          map[string]listedServer
-	discoveryUpdates int64 // so far
+	discoveryUpdates int64 // number of updates so far
 	requests         map[string]*Request
-	ended            []*Request    // to be forgotten after a decision on their last events
-	wake             chan struct{} // has one token while something is pending
+	ended            []*Request    // removed from requests after the next decision
+	wake             chan struct{} // holds one token while something is pending
 }
 
-// New returns a Router that decides nothing until Run. Probes time out after probeTimeout.
+// New returns a Router. It makes no decisions until Run is called. Probes time out after
+// probeTimeout.
 func New(b *balance.Balancer, n Network, log Logger, probeTimeout time.Duration) *Router {
 	r := &Router{
 		balancer:     b,
@@ -62,27 +64,29 @@
 	return r
 }
 
-// SendReportsBy has reports to other routers carried by send, which must not block. It is called
-// before Run.
+// SendReportsBy sets the function that sends reports to other routers, which must not block.
+// SendReportsBy must be called before Run.
 func (r *Router) SendReportsBy(send func(balance.SendReports)) { r.sendReports = send }
 
-// OnLearned has take called with what the decisions have learned, once a second while there are
-// decisions, by their goroutine. It must not block. OnLearned is called before Run.
+// OnLearned sets a function that the goroutine of Run calls with what the decisions have learned,
+// once a second while there are decisions. The function must not block. OnLearned must be called
+// before Run.
 func (r *Router) OnLearned(callback func(now time.Duration, l balance.Learned)) {
 	r.onLearned = callback
 }
 
-// SetGate puts a gate before the decisions. It is called before Run.
+// SetGate sets a gate that filters the events before the decisions. It must be called before Run.
 func (r *Router) SetGate(g Gate) { r.gate = g }
 
-// Restore restores what another router has learned, with the next decision.
+// Restore restores what another router has learned. It takes effect with the next decision.
 func (r *Router) Restore(l balance.Learned) {
 	r.toRestore.Store(&l)
 	r.signal()
 }
 
-// ReceiveReports leaves another router's reports for the next decision. By themselves they call for
-// none until there are many: in a large fleet a router hears far more than it decides.
+// ReceiveReports queues another router's reports for the next decision. Reports alone trigger a
+// decision only when maxPendingReports of them are queued, because in a large fleet a router receives
+// far more reports than it makes decisions.
 func (r *Router) ReceiveReports(ev balance.ReportsReceived) {
 	r.mu.Lock()
 	r.pendingReports = append(r.pendingReports, ev)
@@ -93,7 +97,7 @@
 	}
 }
 
-// Run decides until ctx ends.
+// Run handles the pending events whenever there are any or the timer expires, until ctx ends.
 func (r *Router) Run(ctx context.Context) {
 	timer := decisionTimer{Timer: time.NewTimer(time.Hour)}
 	defer timer.Stop()
@@ -126,7 +130,8 @@
 	}
 }
 
-// decide has events decided on and carries out the actions.
+// decide passes the events to the gate and the balancer, and carries out the actions that they
+// return.
 func (r *Router) decide(now time.Duration, events []balance.Event, timer *decisionTimer) {
 	if learned := r.toRestore.Swap(nil); learned != nil {
 		r.balancer.Restore(*learned)
@@ -148,14 +153,14 @@
 	r.counters.outOfRotation.Store(int64(r.balancer.OutOfRotation()))
 }
 
-// decisionTimer is the one timer that counts: the last that the decisions have set.
+// decisionTimer is the timer that the balancer set last. Setting a timer replaces the previous one.
 type decisionTimer struct {
 	*time.Timer
-	token int64
-	at    time.Duration // 0 for not set
+	token int64         // identifies the timer to the balancer
+	at    time.Duration // when the timer expires; 0 if it is not set
 }
 
-// expire returns the event of the timer if its time has passed.
+// expire returns the TimerExpired event and clears the timer if its time has come.
 func (t *decisionTimer) expire(now time.Duration) (event balance.Event, ok bool) {
 	if t.at == 0 || now < t.at {
 		return nil, false
@@ -164,15 +169,15 @@
 	return balance.TimerExpired{Token: t.token}, true
 }
 
-// Load is how busy the core is.
+// Load describes how busy the core is.
 type Load struct {
-	Queued        int           // requests without an attempt in flight
-	MaxEventDelay time.Duration // the longest that an event waited for its decision since the last Load
-	Rejected      uint64        // requests so far
+	Queued        int           // unanswered requests without an attempt in flight
+	MaxEventDelay time.Duration // the longest that an event waited for its decision since the last call of Load
+	Rejected      uint64        // requests that the decisions rejected so far
 }
 
-// Load returns how busy the core is. It looks at all requests under way, so it is for a few calls
-// in a second.
+// Load returns how busy the core is. It iterates over all open requests, so it should be called only
+// a few times per second.
 func (r *Router) Load() Load {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -189,7 +194,7 @@
 	return load
 }
 
-// post leaves an event for the goroutine of Run.
+// post queues an event for the goroutine of Run.
 func (r *Router) post(ev balance.Event) {
 	r.mu.Lock()
 	if len(r.pending) == 0 {
@@ -200,7 +205,7 @@
 	r.signal()
 }
 
-// signal has the goroutine of Run look for what is pending.
+// signal wakes up the goroutine of Run.
 func (r *Router) signal() {
 	select {
 	case r.wake <- struct{}{}:
@@ -208,8 +213,8 @@
 	}
 }
 
-// takePending takes all events that are pending, a liveness view last, and the requests that have
-// ended with them.
+// takePending removes and returns all pending events, and the requests that have ended. A pending
+// liveness view is the last event.
 func (r *Router) takePending() ([]balance.Event, []*Request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -228,17 +233,18 @@
 	return events, ended
 }
 
-// clock counts from the start of Unix time, as discovery does, yet never goes back.
+// clock tells the time since the Unix epoch, like the times of discovery, but never goes back: it
+// adds the monotonic time since its start to the time of its start.
 type clock struct {
-	start time.Time
-	unix  time.Duration
+	start time.Time     // with the monotonic clock reading
+	unix  time.Duration // from the Unix epoch to start
 }
 
-// startClock returns a clock that begins now.
+// startClock returns a clock that starts now.
 func startClock() clock {
 	t := time.Now()
 	return clock{start: t, unix: time.Duration(t.UnixNano())}
 }
 
-// now returns the time since the start of Unix time.
+// now returns the time since the Unix epoch.
 func (c clock) now() time.Duration { return c.unix + time.Since(c.start) }
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,11 +1,18 @@
-// Package routing is the core of the router in service. It accepts requests from any front end, has
-// package balance decide where they go, and has their attempts sent to servers. It knows nothing of
-// HTTP.
+// Package routing is the core of the router in service. It accepts requests from any front end, lets
+// package balance choose a server for each, and sends the attempts through a Network. It does not
+// depend on HTTP.
 //
-// A request passes these stages, each in a file of its own: it is accepted (accept.go), decided on
-// by the one goroutine of Router.Run (router.go), whose actions are carried out (actions.go); it is
-// sent (send.go), and answered by a stream (stream.go) or with the outcome of its last attempt
-// (outcome.go). Its final answer is given by Request.answer and nowhere else.
+// A request passes through these stages, each in a file of its own:
+//
+//   - accept.go registers the request.
+//   - router.go lets package balance decide on the request. All decisions run on the goroutine of
+//     Router.Run.
+//   - actions.go carries out the actions that the decisions return.
+//   - send.go sends an attempt to a server.
+//   - stream.go answers the request with a stream, or outcome.go reports how the attempt ended, for
+//     a retry or a final answer.
+//
+// Only Request.answer gives a request its final answer.
 package routing
 
 import (
@@ -17,78 +24,82 @@
 	"reachspread/balance"
 )
 
-// Message is what passes unchanged from the client to a server. Only the front end that made it and
-// the network that sends it look inside.
+// Message is the content of a request. The core passes it from the front end to the Network without
+// looking inside.
 type Message any
 
-// Server is a listed server: its ID, and where to reach it.
+// Server identifies a server that discovery lists, and gives its address.
 type Server struct {
 	ID   string
-	Addr string
+	Addr string // network address
 }
 
-// Network is what the core needs of the servers.
+// Network connects the core to the servers.
 type Network interface {
 	// Send sends m to a server once and waits until the deadline for the first event of its answer.
-	// The end of ctx ends all of it, the body too. If it returns no body, the attempt has been
-	// given up by then, so that no two attempts of a request overlap.
+	// The end of ctx ends the attempt, including its body. If Send returns no body, it has given the
+	// attempt up before it returns, so that no two attempts of a request overlap.
 	Send(ctx context.Context, deadline time.Time, to Server, m Message, hooks SendHooks) AttemptResult
-	// Probe asks a server for its load, until ctx ends.
+	// Probe asks a server for its load and waits for the answer until ctx ends.
 	Probe(ctx context.Context, to Server) (balance.Result, *balance.Load)
 	// CloseIdle closes the idle connections to a server.
 	CloseIdle(id string)
 }
 
-// SendHooks are what a Network asks and calls while it sends an attempt.
+// SendHooks are functions that a Network calls while it sends an attempt.
 type SendHooks struct {
-	// MaySend is asked once the connection is there, right before the first byte is written:
-	// connecting may have taken long. If it returns false nothing is written, and the result is
+	// MaySend reports whether the attempt may still be sent. The Network calls it when the
+	// connection is established, right before it writes the first byte, because connecting may have
+	// taken long. If MaySend returns false, the Network writes nothing, and the result is
 	// balance.NotSent.
 	MaySend func() bool
-	// Written is called after the last byte.
+	// Written is called after the last byte is written.
 	Written func()
 }
 
-// AttemptResult is how an attempt began, or how it ended if its answer did not begin.
+// AttemptResult describes how an attempt began, or how it ended if its answer did not begin.
 type AttemptResult struct {
 	Result         balance.Result // OK if there is a body
 	Load           *balance.Load  // as the server reported it, nil for no report
 	Body           Body           // nil if no answer has begun
-	RequestInvalid bool           // the server finds the request itself at fault, as any other would
-	ClientLeft     bool           // nothing was sent, as the client has gone
-	ServerAnswer   any            // the server's own answer, for the client if no retry does better; nil for none
+	RequestInvalid bool           // the server found an error in the request itself, as any other server would
+	ClientLeft     bool           // nothing was sent because the client has disconnected
+	ServerAnswer   any            // the server's own answer, which the client gets if no retry succeeds; nil for none
 }
 
-// The errors of Body.Read besides those of the network. They say what is known of the server, and
-// so how the attempt counts.
+// Errors that Body.Read returns besides those of the network. Each tells what is known about the
+// server, and so how the attempt is counted.
 var (
-	// ErrMalformedAnswer says that the answer can't be read, although the server and the connection
-	// are well. It counts as an error of the server, not as a broken connection.
+	// ErrMalformedAnswer says that the answer can't be parsed although the server and the connection
+	// work. It counts as an error of the server, not as a broken connection.
 	ErrMalformedAnswer = errors.New("spoilt")
-	// ErrUnacceptable says that the answer, complete or not, is not one that its request asked for.
-	// It does not count against the server.
+	// ErrUnacceptable says that the answer, complete or not, does not match what the request asked
+	// for. It does not count against the server.
 	ErrUnacceptable = errors.New("not what was asked for")
-	// ErrHandedOver says that another process goes on with a stream, counts it and ends it.
+	// ErrHandedOver says that another process has taken over the stream. That process also counts
+	// how the stream ends.
 	ErrHandedOver = errors.New("moved to another process")
 )
 
-// Body is an answer from its first complete event on. Read returns io.EOF only after the last byte.
+// Body is the body of an answer, starting with its first complete event. Read returns io.EOF only
+// after the last byte.
 type Body interface {
 	io.Reader
-	// End closes the body and returns what was learned from it: the prompt tokens that the server
-	// had cached, and its load, nil for no report. The connection can be used again only if the
+	// End closes the body. It returns the number of prompt tokens that the server had cached, and
+	// the load that the server reported, nil for no report. The connection can be reused only if the
 	// body was read to io.EOF.
 	End() (cachedTokens float64, load *balance.Load)
 }
 
-// Logger writes one line for on-call staff: an event, and its fields as name and value by turns.
+// Logger writes one log line for the on-call staff. The line names an event; fields are alternating
+// names and values.
 type Logger interface {
-	Info(event string, fields ...any) // needs nobody
+	Info(event string, fields ...any) // nobody has to act
 	Warn(event string, fields ...any) // somebody may have to act
 }
 
-// Gate stands before the decisions: it gets all events, passes on those that are to be decided on,
-// and answers the others. Only the goroutine of Router.Run calls it.
+// Gate filters the events before package balance decides on them. Step gets all events, and returns
+// the events to decide on and the answers to the others. Only the goroutine of Router.Run calls it.
 type Gate interface {
 	Step(now time.Duration, events []balance.Event) (pass []balance.Event, answers []balance.Action)
 }
--- a/internal/routing/send.go
+++ b/internal/routing/send.go
@@ -7,16 +7,17 @@
 	"reachspread/balance"
 )
 
-// Readmitter is a message each attempt of which has to be allowed right before it is sent, as what
-// the request was admitted by may have lapsed since.
+// Readmitter is a Message whose attempts must each be admitted again right before they are sent,
+// because the permission that the request was admitted with may have expired since.
 type Readmitter interface {
-	// Admit reports whether an attempt may be sent; retry says that one before may have executed.
-	// If it may not, wait is when the client should come back. Admit may block for a moment.
+	// Admit reports whether an attempt may be sent. Retry says that an earlier attempt may have been
+	// executed. If ok is false, wait is how long the client should wait before it retries. Admit may
+	// block for a moment.
 	Admit(retry bool) (ok bool, wait time.Duration)
 }
 
-// send starts one attempt. The request's deadline ends it until its answer has begun; the client's
-// leaving ends it at any time.
+// send starts one attempt. The request's deadline ends an attempt whose answer has not begun. If the
+// client leaves, the attempt ends whether its answer has begun or not.
 func (r *Router) send(request *Request, action balance.Send) {
 	a := &attempt{
 		request:  request,
@@ -38,7 +39,7 @@
 	}()
 }
 
-// admit reports whether an attempt may be sent. If not, its request is rejected.
+// admit reports whether an attempt may be sent. If not, it rejects the request.
 func (r *Router) admit(a *attempt) bool {
 	request := a.request
 	message, ok := request.message.(Readmitter)
@@ -54,7 +55,8 @@
 	return false
 }
 
-// attempt sends an attempt, and answers its request or records how the attempt ended.
+// attempt sends an attempt to a server. It answers the request with a stream if the answer begins,
+// and records the outcome of the attempt otherwise.
 func (r *Router) attempt(a *attempt, to Server) {
 	request := a.request
 	hooks := SendHooks{
@@ -81,13 +83,13 @@
 	r.recordOutcome(a, result)
 }
 
-// mayHaveExecuted reports whether an attempt that ended so may have executed. After the other
-// results any request may be retried; see balance.Result.
+// mayHaveExecuted reports whether a server may have executed an attempt with this result. The other
+// results prove that it did not, so that any request may be retried; see balance.Result.
 func mayHaveExecuted(result balance.Result) bool {
 	return result != balance.Full && result != balance.NoConnection && result != balance.NotSent
 }
 
-// probe asks a server for its load, for the decisions.
+// probe asks a server for its load, and queues the result for the decisions.
 func (r *Router) probe(id string) {
 	to, ok := r.servingServer(id)
 	if !ok {
--- a/internal/routing/send_test.go
+++ b/internal/routing/send_test.go
@@ -8,11 +8,11 @@
 	"reachspread/balance"
 )
 
-// slowNetwork is a network whose connections come up when the test says so.
+// slowNetwork is a Network whose connections are established when the test allows it.
 type slowNetwork struct {
-	connecting chan Server // an attempt waits for its connection
-	connected  chan bool   // the connection is there
-	maySend    chan bool   // what the attempt was told then
+	connecting chan Server // receives the server of an attempt that waits for its connection
+	connected  chan bool   // the test sends here to establish the connection
+	maySend    chan bool   // receives what SendHooks.MaySend returned after that
 }
 
 func newSlowNetwork() *slowNetwork {
@@ -41,8 +41,9 @@
 func (discardLogger) Info(string, ...any) {}
 func (discardLogger) Warn(string, ...any) {}
 
-// Guards against sends to a server that began to drain while the connection to it came up: a
-// connection may take a second, and nothing new goes to the server 500 ms after the update.
+// Guards against sends to a server that begins to drain, is removed or moves while the connection to
+// it is being established. A connection may take a second, but a server must get no new requests
+// 500 ms after the update.
 func TestUpdateWhileConnectingDecidesWhetherAttemptIsSent(t *testing.T) {
 	const server, address, otherAddress = "s", "10.0.0.1:80", "10.0.0.2:80"
 	for name, x := range map[string]struct {
@@ -74,12 +75,12 @@
 			}
 			defer r.Done(request)
 			if to := <-network.connecting; to != (Server{server, address}) {
-				t.Fatalf("the attempt goes to %v", to)
+				t.Fatalf("the attempt goes to %v, want server s at 10.0.0.1:80", to)
 			}
 			update(x.state, x.address)
 			network.connected <- true
 			if got := <-network.maySend; got != x.want {
-				t.Errorf("may be sent: %v, want %v", got, x.want)
+				t.Errorf("MaySend after the update: got %v, want %v", got, x.want)
 			}
 		})
 	}
--- a/internal/routing/servers.go
+++ b/internal/routing/servers.go
@@ -2,17 +2,20 @@
 
 import "reachspread/balance"
 
-// listedServer is what is known of a server, apart from the decisions.
+// listedServer is a server and the state that discovery last reported for it. The decisions have
+// their own copy of the state.
 type listedServer struct {
 	Server
 	state balance.State
 }
 
-// ApplyUpdate applies an update from discovery: at once to the servers that may be sent to, and as
-// an event for the decisions. It returns after both, so that the next call to discovery finds them
-// applied. Updates come in order. The decisions get the number of the update as its version, as
-// each discovery counts versions of its own: by those of a new discovery that begins lower they
-// would ignore all of its updates.
+// ApplyUpdate applies an update from discovery. It updates the list of servers that may receive
+// requests at once, and queues an event for the decisions. It returns after both, so that they
+// precede the next call to discovery. Updates must come in order.
+//
+// The decisions get the sequence number of the update as its version. Each discovery has version
+// numbers of its own, and the decisions would ignore all updates of a new discovery whose versions
+// start lower.
 func (r *Router) ApplyUpdate(ev balance.Members, addrs map[string]string) {
 	r.mu.Lock()
 	r.discoveryUpdates++
@@ -26,8 +29,8 @@
 	r.post(ev)
 }
 
-// updateServers updates the list and returns the servers that moved or were removed, to which idle
-// connections are of no use any more. The caller has the lock.
+// updateServers updates the list of servers. It returns the IDs of the servers that were removed or
+// have a new address, whose idle connections are useless now. The caller must hold r.mu.
 func (r *Router) updateServers(ev balance.Members, addrs map[string]string) []string {
 	var moved []string
 	if ev.Complete {
@@ -52,15 +55,15 @@
 	return moved
 }
 
-// Reconfigure puts a configuration in force for requests that are accepted from now on.
+// Reconfigure applies a configuration to requests that are accepted from now on.
 func (r *Router) Reconfigure(c balance.Config) {
 	r.counters.addClasses(c.Classes)
 	r.post(balance.ConfigChange{Config: c})
 }
 
-// servingServer returns a server that may be sent to. It is asked again before a connection is
-// taken: the decisions are on events that were taken before, and a server that is draining or
-// removed must get nothing new.
+// servingServer returns a server, and whether it may receive requests now. It is called again before
+// each attempt, because discovery may have changed the server's state after the decision, and a
+// server that is draining or removed must get no new requests.
 func (r *Router) servingServer(id string) (Server, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -68,13 +71,13 @@
 	return server.Server, ok && server.state == balance.Serving
 }
 
-// isServingAt reports whether a server may be sent to now, and is still at the same address.
+// isServingAt reports whether a server may receive requests now and still has the same address.
 func (r *Router) isServingAt(server Server) bool {
 	listed, ok := r.servingServer(server.ID)
 	return ok && listed == server
 }
 
-// ServingCount returns how many servers may be sent to.
+// ServingCount returns how many servers may receive requests.
 func (r *Router) ServingCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/routing/shutdown.go
+++ b/internal/routing/shutdown.go
@@ -6,21 +6,23 @@
 	"reachspread/balance"
 )
 
-// AnswerOpen gives every request without an answer its final one, and from then on each further
-// request as it comes. It is for a process that is about to be killed: a client that gets an answer
-// may send its request again at once, and one whose connection just ends can't know what became of
-// it. A request of which nothing was sent is rejected, with the advice when to come back; one that
-// a server may be executing fails. Streams that have begun go on.
+// AnswerOpen gives a final answer to every request that has none, and from then on to every new
+// request. A process calls it when it is about to be killed. A client that gets an answer can send
+// its request again at once, but a client whose connection just closes can't know what happened to
+// its request.
+//
+// A request that no server can have executed is rejected, and its client is told to retry after
+// retryAfter. A request that a server may have executed fails. Streams that have begun continue.
 func (r *Router) AnswerOpen(retryAfter time.Duration) {
 	r.closing.Store(&closingAnswer{retryAfter})
 	r.signal()
 }
 
-// closingAnswer is what AnswerOpen advises.
+// closingAnswer holds the advice for clients that AnswerOpen was called with.
 type closingAnswer struct{ retryAfter time.Duration }
 
-// answerOpen answers all open requests once AnswerOpen was called. It runs on the goroutine of the
-// decisions, so no attempt can begin meanwhile.
+// answerOpen answers all open requests if AnswerOpen was called. It runs on the goroutine of Run, so
+// no attempt can start at the same time.
 func (r *Router) answerOpen() {
 	closing := r.closing.Load()
 	if closing == nil {
@@ -33,18 +35,18 @@
 			answer = Answer{Verdict: Rejected, RetryAfter: closing.retryAfter}
 		}
 		if !request.answer(answer) {
-			continue // its stream has begun meanwhile
+			continue // the request got another answer, such as a stream, meanwhile
 		}
 		request.cancel()
 		r.post(balance.Aborted{ID: request.id})
 		answered++
 	}
 	if answered > 0 {
-		r.log.Warn("requests ended with the process", "count", answered)
+		r.log.Warn("open requests answered before exit", "count", answered)
 	}
 }
 
-// unanswered returns the requests that have no final answer.
+// unanswered returns the requests that have no final answer yet.
 func (r *Router) unanswered() (open []*Request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -56,5 +58,5 @@
 	return open
 }
 
-// inFlight reports whether an attempt of the request is under way.
+// inFlight reports whether an attempt of the request is in flight.
 func (r *Request) inFlight() bool { return r.references.Load() > 1 }
--- a/internal/routing/stream.go
+++ b/internal/routing/stream.go
@@ -10,20 +10,21 @@
 	"reachspread/balance"
 )
 
-// Stream is an answer on its way to the client. The front end reads it to its end or to an error,
-// and closes it.
+// Stream is a server's answer that the front end forwards to the client. The front end reads it to
+// the end or to an error, and then closes it.
 type Stream struct {
 	router    *Router
 	attempt   *attempt
 	body      Body
-	err       error // the last of Read
-	abandoned bool  // the client had gone before the answer began, and the request was counted so
+	err       error // the last error of Read
+	abandoned bool  // the request had ended before the answer began, so its end is already counted
 	once      sync.Once
 }
 
-// answerWithStream answers a request with an answer that has begun, which ends its retries.
+// answerWithStream answers a request with a server's answer that has begun. The request is not
+// retried after that.
 func (r *Router) answerWithStream(a *attempt, body Body) {
-	a.request.message = nil // nothing more is sent
+	a.request.message = nil // no further attempt is sent
 	r.post(balance.FirstToken{ID: a.request.id, Attempt: a.number})
 	stream := &Stream{router: r, attempt: a, body: body}
 	if !a.request.answer(Answer{Verdict: Served, Stream: stream}) {
@@ -32,7 +33,7 @@
 	}
 }
 
-// Read passes on the next bytes. It returns io.EOF only after the last byte of the answer.
+// Read reads the next bytes of the answer. It returns io.EOF only after the last byte.
 func (s *Stream) Read(p []byte) (int, error) {
 	n, err := s.body.Read(p)
 	if err != nil {
@@ -41,7 +42,8 @@
 	return n, err
 }
 
-// Close ends the answer, complete or not, and records its outcome.
+// Close ends the stream, whether the answer is complete or not, and records the outcome of its
+// attempt.
 func (s *Stream) Close() error {
 	s.once.Do(func() {
 		result := AttemptResult{Result: s.result()}
@@ -55,7 +57,7 @@
 	return nil
 }
 
-// result returns the result of the attempt by the last error of Read.
+// result returns the result of the attempt, which it derives from the last error of Read.
 func (s *Stream) result() balance.Result {
 	clientLeft := s.attempt.request.ctx.Err() != nil
 	switch {
@@ -66,12 +68,12 @@
 	case errors.Is(s.err, ErrMalformedAnswer):
 		return balance.Error
 	case errors.Is(s.err, os.ErrDeadlineExceeded):
-		return balance.TimedOut // the process need not be dead
+		return balance.TimedOut // the server's process may still be alive
 	}
 	return balance.Reset
 }
 
-// verdict returns how the request ended whose stream ended so.
+// verdict returns how the request ended, given the result of its attempt.
 func (s *Stream) verdict(result balance.Result) Verdict {
 	switch {
 	case result == balance.OK:
@@ -86,20 +88,21 @@
 	return Failed
 }
 
-// Complete reports whether the answer was read to its end. It is for the caller of Close.
+// Complete reports whether the answer was read to its end. Only the goroutine that reads and closes
+// the stream may call it.
 func (s *Stream) Complete() bool { return s.err == io.EOF }
 
-// Body returns the answer as the network has it.
+// Body returns the body that the Network returned for the attempt.
 func (s *Stream) Body() Body { return s.body }
 
-// Source is where an answer comes from.
+// Source identifies the attempt that an answer comes from.
 type Source struct {
-	Server         string    // its ID
-	FailedAttempts int       // before the one that answered
-	SentAt         time.Time // when the one that answered was given to the network
+	Server         string    // ID of the server that answered
+	FailedAttempts int       // number of attempts before the one that was answered
+	SentAt         time.Time // when the attempt that was answered started
 }
 
-// Source returns where the answer comes from.
+// Source returns the server and the attempt that the answer comes from.
 func (s *Stream) Source() Source {
 	return Source{Server: s.attempt.serverID, FailedAttempts: s.attempt.number, SentAt: s.attempt.sentAt}
 }
--- a/internal/routing/view.go
+++ b/internal/routing/view.go
@@ -2,15 +2,16 @@
 
 import "reachspread/balance"
 
-// FleetView is the routers of the fleet as this one sees them.
+// FleetView is this router's view of which routers of the fleet are alive.
 type FleetView struct {
 	Version uint64         // grows with each view
-	Live    int            // routers, this one among them
-	Peers   []balance.Peer // those that have a number, for the decisions; nil where these are told nothing
+	Live    int            // number of live routers, including this one
+	Peers   []balance.Peer // live routers that have a number, for the decisions; nil if the decisions get no view
 }
 
-// SetFleetView leaves a view for the decisions. They take it up with the events that are pending
-// then, so that no decision is taken half on the view before. Only the last view counts.
+// SetFleetView queues a view for the next decision. The decision handles the view together with all
+// pending events, so that it is never based partly on the previous view. A newer view replaces one
+// that is still pending.
 func (r *Router) SetFleetView(view FleetView) {
 	r.mu.Lock()
 	r.pendingView = &view
