--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -71,9 +71,7 @@
 // OnLearned sets a function that the goroutine of Run calls with what the decisions have learned,
 // once a second while there are decisions. The function must not block. OnLearned must be called
 // before Run.
-func (r *Router) OnLearned(callback func(now time.Duration, l balance.Learned)) {
-	r.onLearned = callback
-}
+func (r *Router) OnLearned(fn func(now time.Duration, l balance.Learned)) { r.onLearned = fn }
 
 // SetGate sets a gate that filters the events before the decisions. It must be called before Run.
 func (r *Router) SetGate(g Gate) { r.gate = g }
