--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -1,10 +1,11 @@
-// Package outlier detects servers that several routers saw fail, so that all of them avoid it for a
-// while. It is pure: its user brings the failures, its own and those that others report, and the
-// time, which must not go back.
+// Package outlier detects servers that several routers saw fail, so that all routers avoid such a
+// server for a while. The package reads no clock and does no I/O: the caller passes the failures that
+// it saw itself or that other routers reported, and the time, which must not go back.
 //
-// One witness is not enough, as its own path to the server may be at fault. If two see a failure
-// within a short time, the server is ejected for a time that doubles with each ejection soon after
-// the one before. After it the server is used again, until the next two failures.
+// A failure that one router (a witness) saw does not eject a server, because the router's own network
+// path to the server may be at fault. If two witnesses see a failure within a short time, the server
+// is ejected. The ejection time doubles with each ejection that follows soon after the previous one.
+// When it is over, the server is used again until two witnesses see the next failures.
 package outlier
 
 import (
@@ -14,21 +15,24 @@
 )
 
 const (
-	// witnessWindow is the longest time between the failures of two witnesses that eject a server.
+	// witnessWindow is the longest time between two failures, seen by different witnesses, that eject
+	// a server.
 	witnessWindow = 2 * time.Second
 	// minEjectionTime and maxEjectionTime bound how long a server is ejected.
 	minEjectionTime = time.Second
 	maxEjectionTime = 4 * time.Second
-	// recurrenceWindow is how long after an ejection another one is taken to have the same cause.
+	// recurrenceWindow is how long after the end of an ejection a new ejection is assumed to have the
+	// same cause.
 	recurrenceWindow = 4 * time.Second
-	// maxEjectedDivisor bounds the servers that are ejected at once: one in so many.
+	// maxEjectedDivisor limits how many servers are left out at once: one in maxEjectedDivisor.
 	maxEjectedDivisor = 3
 )
 
-// LocalWitness is the number of the local router as a witness. Others have other numbers.
+// LocalWitness is the witness number of the local router. No other router has this number.
 const LocalWitness = -1
 
-// State is the state of one server. Its zero value is not ejected.
+// State holds the failures and the ejection of one server. A server with the zero value is not
+// ejected.
 type State struct {
 	hasWitness, everEjected bool
 	lastWitness             int           // that saw it fail last
@@ -40,7 +44,7 @@
 // RecordFailure records that a witness saw the server fail.
 func (s *State) RecordFailure(witness int, now time.Duration) {
 	if s.Ejected(now) {
-		return // of an attempt that was in flight
+		return // the failed attempt was already in flight when the server was ejected
 	}
 	confirmed := s.hasWitness && s.lastWitness != witness && now-s.lastFailureAt <= witnessWindow
 	s.hasWitness, s.lastWitness, s.lastFailureAt = true, witness, now
@@ -56,12 +60,13 @@
 	s.everEjected, s.ejectedUntil, s.hasWitness = true, now+s.ejectionTime, false
 }
 
-// Ejected reports whether the server is ejected at a time.
+// Ejected reports whether the server is ejected at the time now.
 func (s *State) Ejected(now time.Duration) bool { return s.everEjected && now < s.ejectedUntil }
 
-// WithoutEjected returns the servers that are not ejected. Of many that are, only some are left
-// out, those with the longest ejection first, as they failed again and again: the others could not
-// bear the load of all, and would be ejected in turn.
+// WithoutEjected returns all servers except ejected ones. It leaves out at most one server in
+// maxEjectedDivisor, because the remaining servers could not carry the load of more, and would be
+// ejected in turn. If more servers are ejected, it leaves out those with the longest ejection time,
+// because these failed repeatedly. Function stateOf returns the state of a server.
 func WithoutEjected[S any](all []S, stateOf func(S) *State, now time.Duration) []S {
 	ejected := slices.DeleteFunc(slices.Clone(all), func(s S) bool { return !stateOf(s).Ejected(now) })
 	if len(ejected) == 0 {
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -9,7 +9,7 @@
 
 const sec = time.Second
 
-// sighting is one failure that a witness saw.
+// failure is one failure of the server that a witness saw.
 type failure struct {
 	at      time.Duration
 	witness int
@@ -22,17 +22,17 @@
 		at       time.Duration
 		ejected  bool
 	}{
-		{name: "nothing seen", at: sec},
+		{name: "no failure", at: sec},
 		{name: "one witness", failures: []failure{{0, 1}}, at: 0},
-		{name: "one witness, over and over", failures: []failure{{0, 1}, {sec / 10, 1}, {sec / 5, 1}}, at: sec / 5},
+		{name: "one witness, three times", failures: []failure{{0, 1}, {sec / 10, 1}, {sec / 5, 1}}, at: sec / 5},
 		{name: "two witnesses", failures: []failure{{0, 1}, {sec / 10, 2}}, at: sec / 2, ejected: true},
-		{name: "oneself and another", failures: []failure{{0, LocalWitness}, {sec / 10, 2}}, at: sec / 2, ejected: true},
-		{name: "two witnesses long apart", failures: []failure{{0, 1}, {3 * sec, 2}}, at: 3 * sec},
-		{name: "taken back", failures: []failure{{0, 1}, {0, 2}}, at: sec},
-		{name: "seen again soon: for longer", failures: []failure{{0, 1}, {0, 2}, {2 * sec, 1}, {2 * sec, 3}}, at: 7 * sec / 2, ejected: true},
-		{name: "seen again much later: as at first", failures: []failure{{0, 1}, {0, 2}, {20 * sec, 1}, {20 * sec, 3}}, at: 43 * sec / 2},
-		{name: "tries that were under way add nothing", failures: []failure{{0, 1}, {0, 2}, {sec / 2, 3}, {sec / 2, 4}}, at: 11 * sec / 10},
-		{name: "of a suspicion that is over nothing is left", failures: []failure{{0, 1}, {0, 2}, {11 * sec / 10, 5}}, at: 11 * sec / 10},
+		{name: "the local router and another witness", failures: []failure{{0, LocalWitness}, {sec / 10, 2}}, at: sec / 2, ejected: true},
+		{name: "two witnesses outside the witness window", failures: []failure{{0, 1}, {3 * sec, 2}}, at: 3 * sec},
+		{name: "the ejection is over", failures: []failure{{0, 1}, {0, 2}}, at: sec},
+		{name: "ejected again soon: for longer", failures: []failure{{0, 1}, {0, 2}, {2 * sec, 1}, {2 * sec, 3}}, at: 7 * sec / 2, ejected: true},
+		{name: "ejected again much later: for the minimum time", failures: []failure{{0, 1}, {0, 2}, {20 * sec, 1}, {20 * sec, 3}}, at: 43 * sec / 2},
+		{name: "failures during an ejection are ignored", failures: []failure{{0, 1}, {0, 2}, {sec / 2, 3}, {sec / 2, 4}}, at: 11 * sec / 10},
+		{name: "failures before an ejection do not count after it", failures: []failure{{0, 1}, {0, 2}, {11 * sec / 10, 5}}, at: 11 * sec / 10},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -45,7 +45,7 @@
 	}
 }
 
-// However often it is seen to fail, a server is taken back at least once in the longest span.
+// However often a server fails, no ejection lasts longer than maxEjectionTime.
 func TestEjectionIsBounded(t *testing.T) {
 	is := is.New(t)
 	var s State
@@ -71,10 +71,10 @@
 	}
 	for _, c := range []struct {
 		name  string
-		times []int // that each server was suspected, the last time just now
-		want  []int // that are trusted
+		times []int // how often each server was ejected; every server with a number above 0 is ejected now
+		want  []int // servers that are not left out
 	}{
-		{"nobody is suspected", []int{0, 0, 0}, []int{0, 1, 2}},
+		{"none is ejected", []int{0, 0, 0}, []int{0, 1, 2}},
 		{"one of three", []int{0, 1, 0}, []int{0, 2}},
 		{"one of two", []int{1, 0}, []int{0, 1}},
 		{"two of three: the one that failed more often", []int{1, 2, 0}, []int{0, 2}},
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,6 +1,6 @@
-// Package rendezvous ranks things by highest random weight: all who rank the same things by the
-// same key agree on the order, and a thing that comes or goes leaves the order of the others as it
-// was.
+// Package rendezvous ranks items by rendezvous hashing (highest random weight). All processes that
+// rank the same items by the same key compute the same order. Adding or removing an item does not
+// change the order of the others.
 package rendezvous
 
 import (
@@ -9,22 +9,22 @@
 	"sort"
 )
 
-// Hash maps a name to a number whose bits all depend on all of the name.
+// Hash returns a hash of a name. Each of its bits depends on the whole name.
 func Hash(name string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	return Mix(h.Sum64())
 }
 
-// Mix spreads each bit of a number over all of them.
+// Mix returns a hash of a number. Each of its bits depends on all bits of the number.
 func Mix(h uint64) uint64 {
 	h = (h ^ h>>33) * 0xff51afd7ed558ccd
 	h = (h ^ h>>33) * 0xc4ceb9fe1a85ec53
 	return h ^ h>>33
 }
 
-// First returns the first n of a pool in the order of a key, without sorting all of it. The hash of
-// a thing must not change; pool is left as it is.
+// First returns the first n items of pool in the order of key, without sorting the whole pool. The
+// hash of an item must not change. First does not modify pool.
 func First[T any](key uint64, pool []T, n int, hash func(T) uint64) []T {
 	n = min(n, len(pool))
 	top, scores := make([]T, 0, n), make([]uint64, 0, n)
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -7,7 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// The first n are those that sorting all would put first, and one that leaves moves no other.
+// First returns the same n items that a sort of the whole pool puts first. Removing an item does not
+// change the order of the others.
 func TestFirst(t *testing.T) {
 	identity := func(n uint64) uint64 { return n }
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/retrybudget/retrybudget.go
+++ b/internal/retrybudget/retrybudget.go
@@ -1,4 +1,4 @@
-// Package retrybudget bounds retries by the number of requests. It is pure.
+// Package retrybudget limits retries to a fraction of the requests. It reads no clock.
 package retrybudget
 
 import (
@@ -6,24 +6,24 @@
 	"sync"
 )
 
-// Budget is a token bucket of retries. Each request adds a fraction of a token, up to a limit; each
-// retry takes one. So in any span of time there are at most as many retries as its requests added,
-// and the limit. A new one is empty, so that a process that restarts again and again gains nothing.
-// A nil one allows all retries.
+// Budget is a token bucket for retries. Each request adds a fraction of a token, up to a limit, and
+// each retry takes one token. So the number of retries in any period is at most the limit plus the
+// tokens that requests of this period added. A new budget is empty, so that a process that restarts
+// repeatedly gains no retries. A nil budget allows all retries.
 //
-// It is safe for concurrent use.
+// A Budget is safe for concurrent use.
 type Budget struct {
 	mu     sync.Mutex
-	ratio  float64
-	limit  float64
+	ratio  float64 // tokens added for each request
+	limit  float64 // maximum number of tokens
 	tokens float64
 }
 
-// New returns an empty budget that gets ratio tokens for each request, and holds limit tokens at
-// most.
+// New returns an empty budget. Each request adds ratio tokens to it, and it holds at most limit
+// tokens.
 func New(ratio, limit float64) *Budget { return &Budget{ratio: ratio, limit: max(limit, 0)} }
 
-// Set changes what each request adds and what the budget holds at most.
+// Set changes how many tokens each request adds and how many tokens the budget can hold.
 func (b *Budget) Set(ratio, limit float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -31,7 +31,8 @@
 	b.tokens = min(b.tokens, b.limit)
 }
 
-// RecordRequest counts a request. One that resumes another by a retry adds nothing.
+// RecordRequest adds the tokens for a request. A request that resumes another one as a retry adds
+// none.
 func (b *Budget) RecordRequest(isRetry bool) {
 	if b == nil || isRetry {
 		return
@@ -41,7 +42,8 @@
 	b.tokens = min(b.tokens+b.ratio, b.limit)
 }
 
-// Take takes a token for a retry, and reports whether there was one.
+// Take takes one token for a retry. It reports whether there was a token, that is, whether the retry
+// is allowed.
 func (b *Budget) Take() bool {
 	if b == nil {
 		return true
@@ -55,7 +57,7 @@
 	return true
 }
 
-// Left returns how many retries may be made now.
+// Left returns how many tokens are left for retries.
 func (b *Budget) Left() float64 {
 	if b == nil {
 		return math.Inf(1)
--- a/internal/retrybudget/retrybudget_test.go
+++ b/internal/retrybudget/retrybudget_test.go
@@ -7,15 +7,15 @@
 	"github.com/matryer/is"
 )
 
-// In no span of events are there more repeats than the first tries in it and the bound allow,
-// whatever the order and whatever restarts.
+// In any sequence of events, the number of retries is at most the limit plus the tokens that the
+// requests in the sequence added. This holds for any order of events, and across restarts.
 func TestRetriesAreBoundedInAnySpan(t *testing.T) {
 	is := is.New(t)
 	const ratio, limit, events = 0.2, 3.0, 400
 	for seed := range uint64(100) {
 		rng := rand.New(rand.NewPCG(seed, 0))
 		b := New(ratio, limit)
-		net := make([]float64, 1, events+1) // repeats less what first tries added, so far
+		net := make([]float64, 1, events+1) // retries so far minus the tokens that requests added
 		for range events {
 			sum := net[len(net)-1]
 			switch rng.IntN(40) {
@@ -39,7 +39,7 @@
 	}
 }
 
-// Without a budget every repeat is allowed; an empty one allows none.
+// A nil budget allows every retry, and an empty budget allows none.
 func TestNilAndEmptyBudget(t *testing.T) {
 	is := is.New(t)
 	var unlimited *Budget
@@ -48,8 +48,8 @@
 	is.True(!New(0.2, 5).Take())
 }
 
-// What is set later counts from then on: a bucket that may hold less loses what is beyond, and one
-// that gets nothing for first tries stays empty.
+// Set takes effect at once. A budget with a lower limit loses the tokens above the limit, and a budget
+// with ratio 0 gets no tokens for requests.
 func TestSetLowersTheBudget(t *testing.T) {
 	is := is.New(t)
 	b := New(1, 5)
