--- a/internal/durable/files.go
+++ b/internal/durable/files.go
@@ -5,8 +5,9 @@
 	"path/filepath"
 )
 
-// WriteFileAtomic replaces a file's content. It returns once the new content is on the disk under
-// its name; whatever happens before, the old or the new content is there, complete.
+// WriteFileAtomic replaces a file's content. It returns when the new content is on the disk under the
+// file's name. If it fails or the machine crashes before, the file has either its complete old content
+// or its complete new content.
 func WriteFileAtomic(path string, content []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".*.new")
 	if err != nil {
@@ -29,7 +30,7 @@
 	return SyncDirectory(filepath.Dir(path))
 }
 
-// SyncDirectory has the names in a directory survive a power loss as they are now.
+// SyncDirectory flushes the entries of a directory to the disk, so that they survive a power loss.
 func SyncDirectory(path string) error {
 	f, err := os.Open(path)
 	if err != nil {
@@ -39,16 +40,16 @@
 	return f.Sync()
 }
 
-// ScratchFile is a file that one process overwrites again and again without waiting for the disk. A
-// crash leaves one that is cut or of two writes, which its reader has to detect. Its zero value,
-// with Path, is ready.
+// ScratchFile is a file that one process overwrites repeatedly without waiting for the disk. After a
+// crash the file may be truncated or mix the content of two writes, which its reader must detect. The
+// zero value with Path set is ready to use.
 type ScratchFile struct {
 	Path string
-	file *os.File // nil until the first Write
-	size int
+	file *os.File // nil while the file is not open
+	size int      // of the content that was written last, in bytes
 }
 
-// Write replaces the content.
+// Write replaces the content of the file. The first Write opens the file and creates it if necessary.
 func (s *ScratchFile) Write(content []byte) (err error) {
 	if s.file == nil {
 		if s.file, err = os.OpenFile(s.Path, os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o644); err != nil {
@@ -64,13 +65,13 @@
 	return err
 }
 
-// Remove removes the file. A later Write makes it anew.
+// Remove closes and removes the file. A later Write creates it again.
 func (s *ScratchFile) Remove() {
 	s.Close()
 	os.Remove(s.Path)
 }
 
-// Close leaves the file as it is.
+// Close closes the file and keeps its content. A later Write opens it again.
 func (s *ScratchFile) Close() {
 	if s.file != nil {
 		s.file.Close()
--- a/internal/durable/files_test.go
+++ b/internal/durable/files_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// The last write is the content, whether shorter or longer than before; a removed file is gone, and
-// comes back with the next write.
+// After each Write the file has exactly the written content, whether it is shorter or longer than the
+// content before. Remove deletes the file, and the next Write creates it again.
 func TestScratchFileHasTheLastWrite(t *testing.T) {
 	s := ScratchFile{Path: filepath.Join(t.TempDir(), "scratch")}
 	defer s.Close()
@@ -20,23 +20,23 @@
 			t.Fatal(err)
 		}
 		if got, err := os.ReadFile(s.Path); err != nil || string(got) != text {
-			t.Errorf("got %q, %v, want %q", got, err, text)
+			t.Errorf("content after Write: got %q, error %v, want %q", got, err, text)
 		}
 	}
 	s.Remove()
 	if _, err := os.Stat(s.Path); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("it still exists: %v", err)
+		t.Errorf("Stat after Remove: got error %v, want that the file does not exist", err)
 	}
 	if err := s.Write([]byte("again")); err != nil {
 		t.Fatal(err)
 	}
 	if got, _ := os.ReadFile(s.Path); string(got) != "again" {
-		t.Errorf("got %q", got)
+		t.Errorf("content after Remove and Write: got %q, want \"again\"", got)
 	}
 }
 
-// A directory that is locked can't be locked again, by whichever file descriptor, until it is
-// released.
+// A locked directory can't be locked again until the lock is released, even through another file
+// descriptor of the same process.
 func TestLockedDirectoryIsRefusedUntilReleased(t *testing.T) {
 	folder := t.TempDir()
 	f, err := Lock(folder, "lock")
@@ -44,11 +44,11 @@
 		t.Fatal(err)
 	}
 	if _, err := Lock(folder, "lock"); !errors.Is(err, ErrLocked) {
-		t.Errorf("a second lock: %v", err)
+		t.Errorf("a second lock of the directory: got %v, want ErrLocked", err)
 	}
 	f.Close()
 	if f, err = Lock(folder, "lock"); err != nil {
-		t.Errorf("released: %v", err)
+		t.Errorf("a lock of the directory after the first one was released: %v", err)
 	} else {
 		f.Close()
 	}
--- a/internal/durable/lock.go
+++ b/internal/durable/lock.go
@@ -9,15 +9,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrLocked says that another process has a directory.
-var ErrLocked = errors.New("another process has it")
+// ErrLocked says that another process has locked a directory.
+var ErrLocked = errors.New("locked by another process")
 
-// maxPIDBytes is what is read of a lock file for whoever is told of it.
+// maxPIDBytes is how many bytes of a lock file are read to report the process ID of its owner.
 const maxPIDBytes = 20
 
-// Lock has this process alone use a directory under a name, until the returned file is closed or
-// the process has ended. The file has the process's number, for people. An error that wraps
-// ErrLocked names the directory and the process that has it.
+// Lock locks a directory for this process by locking the file name in it, which it creates if
+// necessary. The lock is held until the returned file is closed or the process ends. Lock writes the
+// process ID into the file, for people to read. If another process holds the lock, Lock returns an
+// error that wraps ErrLocked and names the directory and the ID of that process.
 func Lock(directory, name string) (*os.File, error) {
 	f, err := os.OpenFile(filepath.Join(directory, name), os.O_RDWR|os.O_CREATE, 0o644)
 	if err != nil {
@@ -27,7 +28,7 @@
 		var pid [maxPIDBytes]byte
 		n, _ := f.Read(pid[:])
 		f.Close()
-		return nil, fmt.Errorf("%s: %w: number %s", directory, ErrLocked, pid[:n])
+		return nil, fmt.Errorf("%s: %w: process ID %s", directory, ErrLocked, pid[:n])
 	}
 	if f.Truncate(0) == nil {
 		f.WriteAt(fmt.Append(nil, os.Getpid()), 0)
--- a/internal/durable/stored_test.go
+++ b/internal/durable/stored_test.go
@@ -10,12 +10,12 @@
 	"reachspread/internal/testbed/golden"
 )
 
-// The files under testdata were written at commit 5bfcc27: WRITE_GOLDEN=1 go test -run Golden. A
-// lock has the number of its process and nothing else, a scratch file and one that is written whole
-// have their text and nothing else.
+// The files under testdata were written at commit 5bfcc27 by WRITE_GOLDEN=1 go test -run Golden. A
+// lock file contains only the ID of its process. A ScratchFile and a file that WriteFileAtomic wrote
+// contain only their text.
 
-// A lock that a process has left behind is taken over, whatever it says, and says then whose it is;
-// whoever is refused is told.
+// Lock takes over a lock file that another process left behind, whatever it contains, and replaces its
+// content by the ID of this process. The error for a second Lock contains this ID.
 func TestGoldenLock(t *testing.T) {
 	folder := t.TempDir()
 	path := filepath.Join(folder, "router.lock")
@@ -28,14 +28,15 @@
 	}
 	defer f.Close()
 	if text, err := os.ReadFile(path); err != nil || string(text) != fmt.Sprint(os.Getpid()) {
-		t.Errorf("the lock has %q, %v", text, err)
+		t.Errorf("the lock file contains %q, error %v, want the ID of this process", text, err)
 	}
 	if _, err := Lock(folder, "router.lock"); err == nil || !strings.Contains(err.Error(), fmt.Sprint(os.Getpid())) {
-		t.Errorf("refused with %v", err)
+		t.Errorf("a second lock: got error %v, want one with the ID of this process", err)
 	}
 }
 
-// A scratch file that is there already is taken over, and has then what is written and no more.
+// A ScratchFile whose file exists already overwrites it, so that the file has exactly the written
+// content.
 func TestGoldenScratch(t *testing.T) {
 	text := []byte("what a scratch file has is its writer's\n")
 	s := ScratchFile{Path: filepath.Join(t.TempDir(), "router.open")}
@@ -48,14 +49,13 @@
 			t.Fatal(err)
 		}
 		if got, err := os.ReadFile(s.Path); err != nil || string(got) != string(want) {
-			t.Errorf("%q, %v", got, err)
+			t.Errorf("content after Write: got %q, error %v", got, err)
 		}
 	}
 }
 
-// A file that is written whole has its text under its name, and nothing else is left in the folder.
-// What a process that was killed left under the name of a file in the making stays there and harms
-// nobody.
+// WriteFileAtomic writes the text to the named file and leaves no temporary file in the folder. A
+// temporary file that a killed process left behind stays there, and does no harm.
 func TestGoldenWriteWhole(t *testing.T) {
 	folder := t.TempDir()
 	leftover := golden.File(t, "kept.2085132717.new", []byte("cut in the mid"))
@@ -67,11 +67,11 @@
 			t.Fatal(err)
 		}
 		if got, err := os.ReadFile(filepath.Join(folder, "kept")); err != nil || string(got) != text {
-			t.Errorf("%q, %v", got, err)
+			t.Errorf("content after WriteFileAtomic: got %q, error %v", got, err)
 		}
 	}
 	entries, err := os.ReadDir(folder)
 	if err != nil || len(entries) != 2 {
-		t.Errorf("%v, %v", entries, err)
+		t.Errorf("folder has %v, error %v, want two files", entries, err)
 	}
 }
--- a/internal/logging/limit.go
+++ b/internal/logging/limit.go
@@ -6,17 +6,18 @@
 )
 
 const (
-	// leftOutField is how many lines of an event were left out before one that is written.
+	// leftOutField is the field with the number of lines of an event that were left out since the
+	// event's last written line.
 	leftOutField = "left_out"
-	// mostEvents bounds the events that are counted apart; further ones are written without a
-	// bound.
+	// maxEvents is the maximum number of different events that are counted. The lines of further
+	// events are written without a limit.
 	maxEvents = 256
 )
 
-// Limiter passes lines on, but of each event no more than a number in a period. The first line of
-// the next period says how many were left out, so that a storm of one event neither fills a disk
-// nor hides the other events, and is still seen for what it was. It may be called by several
-// goroutines at once.
+// Limiter forwards log lines to another logger, but only a limited number of lines of each event in a
+// period. The first line of an event in its next period says how many lines were left out. So a flood
+// of one event neither fills a disk nor hides other events, but its size still shows in the log. A
+// Limiter is safe for concurrent use.
 type Limiter struct {
 	to       EventLogger
 	maxLines int
@@ -27,25 +28,27 @@
 	events map[string]*eventLines
 }
 
-// eventLines is what became of an event's lines in a period.
+// eventLines counts the lines of one event in its current period.
 type eventLines struct {
-	began   time.Time
-	written int
-	leftOut int
+	began   time.Time // when the period began
+	written int       // lines forwarded
+	leftOut int       // lines dropped
 }
 
-// Limit returns a Limiter that writes at most so many lines of one event in a period. The clock is
-// time.Now outside tests.
+// Limit returns a Limiter that forwards to another logger at most maxLines lines of one event in a
+// period. Function now returns the time; it is time.Now except in tests.
 func Limit(to EventLogger, maxLines int, period time.Duration, now func() time.Time) *Limiter {
 	return &Limiter{to: to, maxLines: maxLines, period: period, now: now, events: map[string]*eventLines{}}
 }
 
-// Info writes an event that needs nobody.
+// Info logs an event on which nobody has to act.
 func (l *Limiter) Info(event string, fields ...any) { l.pass(l.to.Info, event, fields) }
 
-// Warn writes an event that somebody may have to act on.
+// Warn logs an event on which somebody may have to act.
 func (l *Limiter) Warn(event string, fields ...any) { l.pass(l.to.Warn, event, fields) }
 
+// pass forwards a line to write unless the limit of its event is reached. It adds the number of lines
+// that were left out, if any.
 func (l *Limiter) pass(write func(string, ...any), event string, fields []any) {
 	leftOut, ok := l.admit(event)
 	if !ok {
@@ -57,7 +60,8 @@
 	write(event, fields...)
 }
 
-// admit tells whether a line is to be written, and how many of its event were left out before it.
+// admit reports whether a line of an event may be written, and how many lines of the event were left
+// out in its previous period if this line begins a new one.
 func (l *Limiter) admit(event string) (leftOut int, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/logging/limit_test.go
+++ b/internal/logging/limit_test.go
@@ -10,8 +10,8 @@
 	"github.com/matryer/is"
 )
 
-// Of a storm of one event the first lines of a period are written, the next period's first line
-// tells how many were not, and another event's lines are not among them.
+// In a flood of one event, only the first lines of a period are written, and the first line of the next
+// period says how many were left out. Lines of another event are still written.
 func TestLimit(t *testing.T) {
 	type line struct {
 		at    time.Duration
@@ -30,8 +30,8 @@
 	}{
 		{"few", storm(0, 2), "storm,storm"},
 		{"a storm", storm(0, 9), "storm,storm"},
-		{"its next period", append(storm(0, 9), line{10 * time.Second, "storm"}, line{11 * time.Second, "storm"}), "storm,storm,storm left_out=7,storm"},
-		{"another event in it", append(storm(0, 9), line{time.Second, "calm"}), "storm,storm,calm"},
+		{"a storm and its next period", append(storm(0, 9), line{10 * time.Second, "storm"}, line{11 * time.Second, "storm"}), "storm,storm,storm left_out=7,storm"},
+		{"another event in a storm", append(storm(0, 9), line{time.Second, "calm"}), "storm,storm,calm"},
 		{"few in each period", append(storm(0, 2), storm(10*time.Second, 2)...), "storm,storm,storm,storm"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -49,7 +49,8 @@
 	}
 }
 
-// Events without end, as where an event's name had an address in it, take no memory without end.
+// The memory of a Limiter is bounded even if the number of different events is not, for example
+// because event names contain addresses.
 func TestLimitIsBounded(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,6 +1,6 @@
-// Package logging writes the lines for on-call staff: one for each event, with its level and its
-// fields, as text for people or as JSON for programs. It imports zerolog and nothing of ours, and
-// promises that a line is one write.
+// Package logging writes log lines for the on-call staff. Each event is one line with its level and
+// its fields, as text for people or as JSON for programs. Each line is a single write. The package
+// imports zerolog, and no other package of this module.
 package logging
 
 import (
@@ -11,20 +11,21 @@
 	"github.com/rs/zerolog"
 )
 
-// Format is how lines are written.
+// Format is the format of log lines.
 type Format string
 
-// The formats.
+// The formats of log lines.
 const (
 	Text Format = "text" // WRN discovery lost cause="..."
 	JSON Format = "json" // {"level":"warn","time":"...","cause":"...","event":"discovery lost"}
 )
 
-// Logger writes lines. It implements routing.Logger; fields come as name and value by turns.
+// Logger writes log lines. It implements routing.Logger. The fields of its methods are alternating
+// names and values.
 type Logger struct{ logger zerolog.Logger }
 
-// New returns a Logger that writes to w. Text has no time of its own: whoever collects the lines
-// stamps them.
+// New returns a Logger that writes to w. Lines in the Text format have no timestamp, because the
+// system that collects them adds one.
 func New(w io.Writer, format Format) *Logger {
 	zerolog.MessageFieldName = "event"
 	if format == JSON {
@@ -35,12 +36,13 @@
 	return &Logger{zerolog.New(console)}
 }
 
-// Info writes an event that needs nobody.
+// Info logs an event on which nobody has to act.
 func (l *Logger) Info(event string, fields ...any) { write(l.logger.Info(), event, fields) }
 
-// Warn writes an event that somebody may have to act on.
+// Warn logs an event on which somebody may have to act.
 func (l *Logger) Warn(event string, fields ...any) { write(l.logger.Warn(), event, fields) }
 
+// write writes the log line of an event with its fields, which are alternating names and values.
 func write(line *zerolog.Event, event string, fields []any) {
 	for i := 0; i+1 < len(fields); i += 2 {
 		line = line.Str(fmt.Sprint(fields[i]), fmt.Sprint(fields[i+1]))
@@ -48,15 +50,17 @@
 	line.Msg(event)
 }
 
-// Lines is what a named part of the program logs to.
+// EventLogger writes events to the log. Logger and Limiter implement it. The fields of its methods are
+// alternating names and values.
 type EventLogger interface {
 	Info(event string, fields ...any)
 	Warn(event string, fields ...any)
 }
 
-// With returns lines that carry one more field, first.
+// With returns a logger that adds one field before the other fields of each line, and logs to l.
 func With(l EventLogger, name string, value any) EventLogger { return fieldLogger{l, name, value} }
 
+// fieldLogger is an EventLogger that adds one field to each line.
 type fieldLogger struct {
 	EventLogger
 	name  string
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -8,12 +8,12 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// A line is one write of one line, whatever its fields hold, in either format.
+// Each event is exactly one line in either format, whatever its fields contain.
 func TestLines(t *testing.T) {
 	var out bytes.Buffer
 	With(New(&out, Text), "pool", "next").Warn("discovery lost", "cause", "two\nlines")
 	if got, want := out.String(), "WRN discovery lost cause=\"two\\nlines\" pool=next\n"; got != want {
-		t.Errorf("text: got %q, want %q", got, want)
+		t.Errorf("line in the Text format: got %q, want %q", got, want)
 	}
 	out.Reset()
 	New(&out, JSON).Info("phase", "name", "serving")
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	if got["time"] == nil {
-		t.Error("JSON: no time")
+		t.Error("the line in the JSON format has no time")
 	}
 	delete(got, "time")
 	want := map[string]any{"level": "info", "event": "phase", "name": "serving"}
--- a/internal/naming/doc.go
+++ b/internal/naming/doc.go
@@ -1,4 +1,4 @@
-// Package naming has no code: its test checks that the names declared in this module are terms of
-// the field. docs/glossary.md lists the plain words that are not to be used and the exceptions;
-// remaining.txt lists the names that are still to be renamed.
+// Package naming contains only tests. They check that the names declared in this module are standard
+// technical terms, and that imports are grouped. docs/glossary.md lists plain words that names must
+// not contain, and exceptions to this rule. remaining.txt lists names that still have to be renamed.
 package naming
--- a/internal/naming/imports_test.go
+++ b/internal/naming/imports_test.go
@@ -10,10 +10,10 @@
 	"testing"
 )
 
-// importGroup is where an import belongs in a file's import block.
+// importGroup is the group of a file's import block that an import belongs to.
 type importGroup int
 
-// The groups, in their order; a blank line stands between two.
+// The groups, in their order in a file. A blank line separates two groups.
 const (
 	standardLibrary importGroup = iota
 	libraries
@@ -24,6 +24,7 @@
 	return [...]string{"the standard library", "libraries", "this module"}[g]
 }
 
+// groupOf returns the group that an import path belongs to.
 func groupOf(path string) importGroup {
 	first, _, _ := strings.Cut(path, "/")
 	switch {
@@ -35,8 +36,8 @@
 	return standardLibrary
 }
 
-// TestImportsAreGrouped fails for a file whose imports don't stand in the groups standard library,
-// libraries, this module, in that order with a blank line between; gofmt sorts within a group.
+// TestImportsAreGrouped fails for a file whose imports are not grouped as standard library, libraries,
+// this module, in this order and separated by blank lines. gofmt sorts the imports within a group.
 func TestImportsAreGrouped(t *testing.T) {
 	for _, path := range goFiles(t) {
 		if strings.HasSuffix(path, ".pb.go") {
@@ -55,7 +56,7 @@
 	}
 }
 
-// misplacedImport is the first import that is in another group than its own, nil for none.
+// misplacedImport returns the first import that is in the wrong group, nil for none.
 func misplacedImport(files *token.FileSet, file *ast.File) *ast.ImportSpec {
 	var previous *ast.ImportSpec
 	for _, spec := range file.Imports {
@@ -72,6 +73,7 @@
 	return nil
 }
 
+// importPath returns the path of an import without its quotes.
 func importPath(spec *ast.ImportSpec) string {
 	path, err := strconv.Unquote(spec.Path.Value)
 	if err != nil {
--- a/internal/naming/naming_test.go
+++ b/internal/naming/naming_test.go
@@ -30,15 +30,15 @@
 
 func (d declaration) String() string { return d.folder + " " + d.name }
 
-// glossary is what docs/glossary.md says of names.
+// glossary holds the rules for names in docs/glossary.md.
 type glossary struct {
-	terms      map[string]string // a plain word, and the term in its place
-	exceptions map[declaration]bool
+	terms      map[string]string    // by plain word, the technical term to use instead
+	exceptions map[declaration]bool // names that may contain a plain word
 }
 
-// TestDeclaredNamesAreTerms fails for a declared name that has a plain word, is no exception of the
-// glossary and was not there when the list of remaining names was written; and for an entry of
-// either list that no longer stands for any name.
+// TestDeclaredNamesAreTerms fails for a declared name that contains a plain word, unless the name is
+// an exception of the glossary or is listed in remaining.txt. It also fails for an exception or an
+// entry of remaining.txt without such a name.
 func TestDeclaredNamesAreTerms(t *testing.T) {
 	glossary := readGlossary(t)
 	found := map[declaration]string{}
@@ -49,7 +49,7 @@
 	}
 	for d := range glossary.exceptions {
 		if found[d] == "" {
-			t.Errorf("docs/glossary.md lists the exception %q; no such name has a plain word", d)
+			t.Errorf("docs/glossary.md lists the exception %q, but no declared name of that kind contains a plain word", d)
 		}
 		delete(found, d)
 	}
@@ -61,18 +61,18 @@
 	for _, d := range sorted(found) {
 		if !remaining[d] {
 			word := found[d]
-			t.Errorf("%s: the word %q is %q in docs/glossary.md; rename it, or add an exception with its reason",
+			t.Errorf("%s: docs/glossary.md replaces the word %q by %q; rename the declaration, or add an exception with its reason",
 				d, word, glossary.terms[word])
 		}
 	}
 	for _, d := range sorted(remaining) {
 		if found[d] == "" {
-			t.Errorf("%s lists %q, which is gone: run this test with %s=1", remainingFile, d, updateVar)
+			t.Errorf("%s lists %q, which is not declared or contains no plain word any more: run this test with %s=1", remainingFile, d, updateVar)
 		}
 	}
 }
 
-// plainWord is the first plain word in a name, empty for none.
+// plainWord returns the first plain word in a name, empty for none.
 func (g *glossary) plainWord(name string) string {
 	for _, word := range splitName(name) {
 		if g.terms[word] != "" {
@@ -112,13 +112,13 @@
 		}
 	}
 	if len(g.terms) == 0 {
-		t.Fatalf("%s has no table of plain words", glossaryFile)
+		t.Fatalf("%s has no rows below the heading \"Plain words\"", glossaryFile)
 	}
 	return g
 }
 
-// declarations are the names of files, types, functions, constants, variables, fields, parameters
-// and locals of all packages, but for tests and generated code.
+// declarations returns the names of the files, types, functions, constants, variables, fields,
+// parameters and locals of all packages, except in tests and generated code.
 func declarations(t *testing.T) map[declaration]bool {
 	t.Helper()
 	all := map[declaration]bool{}
@@ -133,7 +133,8 @@
 	return all
 }
 
-// goFiles are the Go files of the module, but for snapshots in the journal and test data.
+// goFiles returns the paths of the module's Go files, except for snapshots in the journal, test data
+// and build output.
 func goFiles(t *testing.T) []string {
 	t.Helper()
 	skipped := []string{"journal", "testdata", "bin", "target"}
@@ -157,7 +158,7 @@
 	return all
 }
 
-// collect adds the names that one file declares.
+// collect adds the names that the file at path declares, and its own name, to all.
 func collect(path string, all map[declaration]bool) error {
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
 	if err != nil {
@@ -199,7 +200,7 @@
 
 var letterRuns = regexp.MustCompile(`[A-Za-z]+`)
 
-// splitName splits a name in camel case into its words, in lower case.
+// splitName splits a camel-case name into its words, in lower case.
 func splitName(name string) []string {
 	var words []string
 	for _, run := range letterRuns.FindAllString(name, -1) {
@@ -215,6 +216,7 @@
 	return words
 }
 
+// readRemaining reads the names in remaining.txt.
 func readRemaining(t *testing.T) map[declaration]bool {
 	t.Helper()
 	all := map[declaration]bool{}
@@ -230,6 +232,7 @@
 	return all
 }
 
+// writeRemaining replaces remaining.txt by a list of the names in found.
 func writeRemaining(t *testing.T, found map[declaration]string) {
 	t.Helper()
 	byFolder := map[string][]string{}
@@ -245,6 +248,7 @@
 	}
 }
 
+// readLines returns the lines of a text file.
 func readLines(t *testing.T, path string) []string {
 	t.Helper()
 	file, err := os.Open(path)
@@ -264,6 +268,7 @@
 	return lines
 }
 
+// sorted returns the declarations in a map, ordered by folder and name.
 func sorted[V any](all map[declaration]V) []declaration {
 	return slices.SortedFunc(maps.Keys(all), func(a, b declaration) int {
 		return cmp.Or(cmp.Compare(a.folder, b.folder), cmp.Compare(a.name, b.name))
--- a/internal/router/program/recovery_test.go
+++ b/internal/router/program/recovery_test.go
@@ -46,7 +46,7 @@
 	settings := recoverySettings(t, folder)
 	first := startRouter(t, binary, []*scripted.Model{host}, "--settings", settings)
 	second := launchRouter(t, freeAddr(t), binary, []string{scripted.ListEntry("s0", host.Addr, "Ready")}, "--settings", settings)
-	second.until(fmt.Sprintf("another process has it: number %d", first.cmd.Process.Pid))
+	second.until(fmt.Sprintf("locked by another process: process ID %d", first.cmd.Process.Pid))
 	if err := second.cmd.Wait(); err == nil || second.cmd.ProcessState.ExitCode() != 1 {
 		t.Errorf("the second ended with %v", second.cmd.ProcessState)
 	}
--- a/internal/schedlatency/schedlatency.go
+++ b/internal/schedlatency/schedlatency.go
@@ -1,6 +1,7 @@
-// Package schedlatency measures the scheduling latency of its own process: how much later than due
-// the process ran, as its machine had no processor for it or as it was stopped. A process that must
-// act by a time that others have set plans with it. The caller starts Run, or calls Tick in its place.
+// Package schedlatency measures the scheduling latency of its own process: how much later than due the
+// process ran, because no processor was free or because the process was stopped. A process that must
+// act before a deadline set by others uses the latency to plan a margin. The caller starts Run, or
+// calls Tick itself.
 package schedlatency
 
 import (
@@ -10,35 +11,36 @@
 )
 
 const (
-	// Interval is the time between two ticks. Of a delay up to so much may be missed.
+	// Interval is the time between two ticks. The measured delay can be shorter than the real one by
+	// up to Interval.
 	Interval = 100 * time.Millisecond
 	// Window is how long a delay is remembered.
 	Window = 10 * time.Second
 	// minDelay is the shortest delay that is remembered.
 	minDelay = 20 * time.Millisecond
-	// signalWindow is how long before a signal was noticed a delay may have ended that held it up:
-	// the tick may get a processor first.
+	// signalWindow is the longest time between the end of a delay and the moment at which the process
+	// notices a signal that this delay held up. The tick that ends the delay may run before the
+	// goroutine that receives the signal.
 	signalWindow = 200 * time.Millisecond
 )
 
-// Monitor remembers by how much the ticks of a process were late. It may be used by several
-// goroutines.
+// Monitor records by how much the ticks of a process were late. It is safe for concurrent use.
 type Monitor struct {
 	mu       sync.Mutex
 	lastTick time.Time
 	delays   []delay // within Window, the oldest first
 }
 
-// delay is a tick that was late.
+// delay is the delay of a tick that was late.
 type delay struct {
-	endedAt time.Time
+	endedAt time.Time // when the tick ran
 	length  time.Duration
 }
 
 // NewMonitor returns a monitor whose first tick is due Interval after now.
 func NewMonitor(now time.Time) *Monitor { return &Monitor{lastTick: now} }
 
-// Run ticks until ctx ends.
+// Run calls Tick every Interval until ctx ends.
 func (m *Monitor) Run(ctx context.Context) {
 	timer := time.NewTimer(Interval)
 	defer timer.Stop()
@@ -53,7 +55,8 @@
 	}
 }
 
-// Tick records that the process runs.
+// Tick records that the process runs now, and by how much the tick is late. It drops delays that are
+// older than Window.
 func (m *Monitor) Tick(now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -67,8 +70,8 @@
 	}
 }
 
-// Longest returns the longest delay that ended in the time before now, or that has not ended yet.
-// Within is at most Window.
+// Longest returns the longest delay that ended at most within before now, or that has not ended yet.
+// Delays are remembered for Window, so within must not be longer.
 func (m *Monitor) Longest(now time.Time, within time.Duration) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -81,11 +84,11 @@
 	return longest
 }
 
-// SignalDelay returns how long before now a signal may have been sent that the process has noticed
-// now.
+// SignalDelay returns the longest time for which scheduling may have delayed a signal that the process
+// notices now.
 func (m *Monitor) SignalDelay(now time.Time) time.Duration { return m.Longest(now, signalWindow) }
 
-// overdue returns for how long a tick has been due. The caller has the lock.
+// overdue returns how long the next tick is overdue, 0 if it is not due yet. The caller must hold m.mu.
 func (m *Monitor) overdue(now time.Time) time.Duration {
 	return max(now.Sub(m.lastTick)-Interval, 0)
 }
--- a/internal/schedlatency/schedlatency_test.go
+++ b/internal/schedlatency/schedlatency_test.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// A delay counts while it lasts, and after its end for as long as was asked for.
+// Longest counts a delay while it lasts, and after its end for the time that its argument within says.
 func TestLongestDelayWithinWindow(t *testing.T) {
 	start := time.Now()
 	at := func(d time.Duration) time.Time { return start.Add(d) }
 	m := NewMonitor(start)
 	m.Tick(at(Interval))
 	m.Tick(at(Interval + 500*time.Millisecond))                // 400 ms late
-	m.Tick(at(2*Interval + 500*time.Millisecond))              // in time
-	m.Tick(at(3*Interval + 500*time.Millisecond + minDelay/2)) // too little
+	m.Tick(at(2*Interval + 500*time.Millisecond))              // on time
+	m.Tick(at(3*Interval + 500*time.Millisecond + minDelay/2)) // late by less than minDelay
 	lastTick := 3*Interval + 500*time.Millisecond + minDelay/2
 	for _, x := range []struct {
 		now, within, want time.Duration
@@ -30,7 +30,7 @@
 	}
 }
 
-// What is older than Window is forgotten.
+// Tick drops delays that are older than Window, so the number of remembered delays is bounded.
 func TestOldDelaysAreForgotten(t *testing.T) {
 	now := time.Now()
 	m := NewMonitor(now)
