--- a/internal/assignment/assignment.go
+++ b/internal/assignment/assignment.go
@@ -102,8 +102,9 @@
 // has no items gets perMember of all items, and a member whose zone is unknown gets none. Items with
 // equal names are ranked in their order in items.
 //
-// Assign costs time in proportion to members times items. It therefore returns the previous result
-// unless items, zones or perMember have changed. The caller must not modify the result.
+// Assign takes time in proportion to members times items. It therefore returns the previous result
+// unless perMember or zones have changed or Invalidate was called for new items. The caller must not
+// modify the result.
 func Assign[T any](g *Group, now time.Duration, items []T, perMember int, keyOf func(T) (name uint64, zone uint8)) [][]int {
 	g.dueAt = cmp.Or(g.Next(now), math.MaxInt64)
 	if g.assigned != nil && g.perMember == perMember {
--- a/internal/liveness/liveness.go
+++ b/internal/liveness/liveness.go
@@ -47,7 +47,8 @@
 	return changed
 }
 
-// Dead reports whether views have shown a member as dead for at least the stability delay.
+// Dead reports whether a member has been dead, according to the views, for at least the stability
+// delay.
 func (t *Tracker) Dead(i int, now time.Duration) bool { return t.dead[i] && t.isStable(i, now) }
 
 // ConfirmedAlive returns how many members have been alive for at least the stability delay, or
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,6 +1,6 @@
 // Package logging writes log lines for the on-call staff. Each event is one line with its level and
 // its fields, as text for people or as JSON for programs. Each line is a single write. The package
-// imports zerolog, and no other package of this module.
+// imports zerolog, and no package of this module.
 package logging
 
 import (
--- a/internal/naming/naming_test.go
+++ b/internal/naming/naming_test.go
@@ -37,8 +37,8 @@
 }
 
 // TestDeclaredNamesAreTerms fails for a declared name that contains a plain word, unless the name is
-// an exception of the glossary or is listed in remaining.txt. It also fails for an exception or an
-// entry of remaining.txt without such a name.
+// an exception of the glossary or is listed in remaining.txt. It also fails for an exception, or an
+// entry of remaining.txt, that no longer matches a declared name with a plain word.
 func TestDeclaredNamesAreTerms(t *testing.T) {
 	glossary := readGlossary(t)
 	found := map[declaration]string{}
--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -35,13 +35,14 @@
 // ejected.
 type State struct {
 	hasWitness, everEjected bool
-	lastWitness             int           // that saw it fail last
-	lastFailureAt           time.Duration // when
-	ejectedUntil            time.Duration // 0 for never
-	ejectionTime            time.Duration // the last one
+	lastWitness             int           // witness of the last failure
+	lastFailureAt           time.Duration // time of the last failure
+	ejectedUntil            time.Duration // end of the last ejection, 0 for none
+	ejectionTime            time.Duration // length of the last ejection
 }
 
-// RecordFailure records that a witness saw the server fail.
+// RecordFailure records that a witness saw the server fail. It ejects the server if another witness
+// saw the previous failure within witnessWindow.
 func (s *State) RecordFailure(witness int, now time.Duration) {
 	if s.Ejected(now) {
 		return // the failed attempt was already in flight when the server was ejected
--- a/internal/routing/accept.go
+++ b/internal/routing/accept.go
@@ -36,8 +36,8 @@
 	return request, nil
 }
 
-// register queues a request for the decisions, or returns ErrDuplicateID if its ID is in use. The
-// decisions would ignore a second request with the same ID and never answer it, and a server would
+// register queues a request for the balancer, or returns ErrDuplicateID if its ID is in use. The
+// balancer would ignore a second request with the same ID and never answer it, and a server would
 // take it for a retry of the first.
 func (r *Router) register(request *Request) error {
 	r.mu.Lock()
@@ -81,8 +81,8 @@
 
 // release drops one reference to a request. The client holds one reference, and so does each attempt
 // in flight. When the last reference is dropped, the request is removed from the open requests, but
-// only after the decisions have handled its last event: until then they may still return actions for
-// its ID, and would ignore a new request with that ID.
+// only after the balancer has handled its last event: until then the balancer may still return
+// actions for its ID, and would ignore a new request with that ID.
 func (r *Router) release(request *Request) {
 	if request.references.Add(-1) > 0 {
 		return
--- a/internal/routing/actions.go
+++ b/internal/routing/actions.go
@@ -6,7 +6,8 @@
 	"reachspread/balance"
 )
 
-// carryOut carries out one action of the decisions. It runs on the goroutine of Run and never blocks.
+// carryOut carries out one action that the balancer or the gate returned. It runs on the goroutine of
+// Run and never blocks.
 func (r *Router) carryOut(action balance.Action) {
 	switch a := action.(type) {
 	case balance.Send:
@@ -29,15 +30,15 @@
 	}
 }
 
-// request returns the open request with an ID. An ID in an action of the decisions always has one,
-// see release.
+// request returns the open request with an ID, nil for none. Every request that an action of the
+// balancer names is still open, see release.
 func (r *Router) request(id string) *Request {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.requests[id]
 }
 
-// logDecision logs a line that the decisions wrote, in the form "event: replica".
+// logDecision logs a line from the balancer, which has the form "event: replica".
 func (r *Router) logDecision(text string) {
 	event, replica, _ := strings.Cut(text, ": ")
 	if event == "back" {
--- a/internal/routing/metrics.go
+++ b/internal/routing/metrics.go
@@ -100,7 +100,7 @@
 	Open          int64  // requests accepted and not done
 	ServersListed int64
 	OutOfRotation int64     // listed servers that are draining or ejected
-	Fleet         FleetView // the view that the decisions got last
+	Fleet         FleetView // the view that Run handled last
 }
 
 // Metrics returns the current metrics. It never blocks.
--- a/internal/routing/outcome.go
+++ b/internal/routing/outcome.go
@@ -9,13 +9,14 @@
 // attempt is one attempt to send a request to a server.
 type attempt struct {
 	request  *Request
-	number   int // counts the attempts of the request, from 0
+	number   int // index of the attempt within the request, from 0
 	serverID string
 	sentAt   time.Time // when the attempt started, before it was admitted and sent
 }
 
-// recordOutcome queues the outcome of an attempt whose answer did not begin. The decisions then retry
-// the request or answer it, unless it has its final answer or its client has left.
+// recordOutcome queues the outcome of an attempt whose answer did not begin. The balancer then decides
+// whether to retry, reject or fail the request, unless the request has its final answer or its client
+// has left.
 func (r *Router) recordOutcome(a *attempt, result AttemptResult) {
 	final := a.request.answered.Load() || a.request.ctx.Err() != nil
 	r.post(balance.Outcome{
--- a/internal/routing/request.go
+++ b/internal/routing/request.go
@@ -21,7 +21,8 @@
 	HandedOver                // another process has taken over the stream
 )
 
-// Answer is the final answer to a request. A field that names verdicts is set only with these.
+// Answer is the final answer to a request. Fields other than Verdict are set only with the verdicts
+// that their comments name.
 type Answer struct {
 	Verdict         Verdict
 	RetryAfter      time.Duration // Rejected: how long the client should wait before it retries, 0 for no advice
@@ -32,7 +33,7 @@
 
 // Request is a client request that is open.
 type Request struct {
-	id       string // identifies the request to the decisions
+	id       string // identifies the request to the balancer
 	arrival  balance.Arrival
 	class    *classCounters // counts how the request ends
 	message  Message
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -30,7 +30,7 @@
 	onLearned    func(now time.Duration, l balance.Learned) // nil for no callback
 	toRestore    atomic.Pointer[balance.Learned]            // restored with the next decision, nil for nothing
 	closing      atomic.Pointer[closingAnswer]              // set by AnswerOpen, nil before
-	rejected     atomic.Uint64                              // requests that the decisions rejected so far
+	rejected     atomic.Uint64                              // requests that the balancer or the gate rejected so far
 	counters     counters
 
 	mu               sync.Mutex
@@ -68,12 +68,12 @@
 // SendReportsBy must be called before Run.
 func (r *Router) SendReportsBy(send func(balance.SendReports)) { r.sendReports = send }
 
-// OnLearned sets a function that the goroutine of Run calls with what the decisions have learned,
-// once a second while there are decisions. The function must not block. OnLearned must be called
+// OnLearned sets a function that the goroutine of Run calls with what the balancer has learned, at
+// most once a second and only after a decision. The function must not block. OnLearned must be called
 // before Run.
 func (r *Router) OnLearned(fn func(now time.Duration, l balance.Learned)) { r.onLearned = fn }
 
-// SetGate sets a gate that filters the events before the decisions. It must be called before Run.
+// SetGate sets a gate that filters the events for the balancer. It must be called before Run.
 func (r *Router) SetGate(g Gate) { r.gate = g }
 
 // Restore restores what another router has learned. It takes effect with the next decision.
@@ -95,7 +95,8 @@
 	}
 }
 
-// Run handles the pending events whenever there are any or the timer expires, until ctx ends.
+// Run makes the decisions until ctx ends: it handles the pending events when some arrive or when the
+// timer expires.
 func (r *Router) Run(ctx context.Context) {
 	timer := decisionTimer{Timer: time.NewTimer(time.Hour)}
 	defer timer.Stop()
@@ -171,7 +172,7 @@
 type Load struct {
 	Queued        int           // unanswered requests without an attempt in flight
 	MaxEventDelay time.Duration // the longest that an event waited for its decision since the last call of Load
-	Rejected      uint64        // requests that the decisions rejected so far
+	Rejected      uint64        // requests that the balancer or the gate rejected so far
 }
 
 // Load returns how busy the core is. It iterates over all open requests, so it should be called only
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -7,7 +7,7 @@
 //   - accept.go registers the request.
 //   - router.go lets package balance decide on the request. All decisions run on the goroutine of
 //     Router.Run.
-//   - actions.go carries out the actions that the decisions return.
+//   - actions.go carries out the actions that package balance returns.
 //   - send.go sends an attempt to a server.
 //   - stream.go answers the request with a stream, or outcome.go reports how the attempt ended, for
 //     a retry or a final answer.
--- a/internal/routing/send.go
+++ b/internal/routing/send.go
@@ -89,7 +89,7 @@
 	return result != balance.Full && result != balance.NoConnection && result != balance.NotSent
 }
 
-// probe asks a server for its load, and queues the result for the decisions.
+// probe asks a server for its load, and queues the result for the balancer.
 func (r *Router) probe(id string) {
 	to, ok := r.servingServer(id)
 	if !ok {
--- a/internal/routing/servers.go
+++ b/internal/routing/servers.go
@@ -2,19 +2,19 @@
 
 import "reachspread/balance"
 
-// listedServer is a server and the state that discovery last reported for it. The decisions have
-// their own copy of the state.
+// listedServer is a server and the state that discovery last reported for it. The balancer has its
+// own copy of the state, which may be older.
 type listedServer struct {
 	Server
 	state balance.State
 }
 
 // ApplyUpdate applies an update from discovery. It updates the list of servers that may receive
-// requests at once, and queues an event for the decisions. It returns after both, so that they
-// precede the next call to discovery. Updates must come in order.
+// requests at once, and queues an event for the balancer. It returns after both, so that both precede
+// the next call to discovery. Updates must come in order.
 //
-// The decisions get the sequence number of the update as its version. Each discovery has version
-// numbers of its own, and the decisions would ignore all updates of a new discovery whose versions
+// The balancer gets the sequence number of the update as its version. Each discovery has version
+// numbers of its own, and the balancer would ignore all updates of a new discovery whose versions
 // start lower.
 func (r *Router) ApplyUpdate(ev balance.Members, addrs map[string]string) {
 	r.mu.Lock()
--- a/internal/routing/view.go
+++ b/internal/routing/view.go
@@ -6,7 +6,7 @@
 type FleetView struct {
 	Version uint64         // grows with each view
 	Live    int            // number of live routers, including this one
-	Peers   []balance.Peer // live routers that have a number, for the decisions; nil if the decisions get no view
+	Peers   []balance.Peer // live routers that have a number, for the balancer; nil if the balancer gets no view
 }
 
 // SetFleetView queues a view for the next decision. The decision handles the view together with all
