--- a/internal/retrybudget/retrybudget_test.go
+++ b/internal/retrybudget/retrybudget_test.go
@@ -7,20 +7,20 @@
 	"github.com/matryer/is"
 )
 
-// In no span of events are there more repeats than the first tries in it and the bound allow,
-// whatever the order and whatever restarts.
+// In any sequence of events, the number of retries is at most the limit plus the tokens that the
+// requests in the sequence added. This holds for any order of events, and across restarts.
 func TestRetriesAreBoundedInAnySpan(t *testing.T) {
 	is := is.New(t)
-	const ratio, most, events = 0.2, 3.0, 400
+	const ratio, limit, events = 0.2, 3.0, 400
 	for seed := range uint64(100) {
 		rng := rand.New(rand.NewPCG(seed, 0))
-		b := New(ratio, most)
-		balance := make([]float64, 1, events+1) // repeats less what first tries added, so far
+		b := New(ratio, limit)
+		net := make([]float64, 1, events+1) // retries so far minus the tokens that requests added
 		for range events {
-			sum := balance[len(balance)-1]
+			sum := net[len(net)-1]
 			switch rng.IntN(40) {
 			case 0:
-				b = New(ratio, most) // a restart
+				b = New(ratio, limit) // a restart
 			case 1, 2, 3, 4, 5, 6, 7, 8, 9, 10:
 				if b.Take() {
 					sum++
@@ -29,27 +29,27 @@
 				b.RecordRequest(false)
 				sum -= ratio
 			}
-			balance = append(balance, sum)
+			net = append(net, sum)
 		}
-		for from := range balance {
-			for to := from; to < len(balance); to++ {
-				is.True(balance[to]-balance[from] <= most+1e-9)
+		for from := range net {
+			for to := from; to < len(net); to++ {
+				is.True(net[to]-net[from] <= limit+1e-9)
 			}
 		}
 	}
 }
 
-// Without a budget every repeat is allowed; an empty one allows none.
+// A nil budget allows every retry, and an empty budget allows none.
 func TestNilAndEmptyBudget(t *testing.T) {
 	is := is.New(t)
-	var none *Budget
-	none.RecordRequest(false)
-	is.True(none.Take())
+	var unlimited *Budget
+	unlimited.RecordRequest(false)
+	is.True(unlimited.Take())
 	is.True(!New(0.2, 5).Take())
 }
 
-// What is set later counts from then on: a bucket that may hold less loses what is beyond, and one
-// that gets nothing for first tries stays empty.
+// Set takes effect at once. A budget with a lower limit loses the tokens above the limit, and a budget
+// with ratio 0 gets no tokens for requests.
 func TestSetLowersTheBudget(t *testing.T) {
 	is := is.New(t)
 	b := New(1, 5)
