--- a/coord/members/decider.go
+++ b/coord/members/decider.go
@@ -144,7 +144,7 @@
 // receive handles a datagram. One that is malformed, or from a sender that may not send, is counted
 // as dropped.
 func (d *Decider) receive(from netip.AddrPort, data []byte) {
-	msg, body, err := unseal(data)
+	msg, body, err := parseDatagram(data)
 	sender := d.byAddr[addrKey(from)]
 	if err == nil && sender == d.self {
 		err = errOutOfRange // an echo
@@ -196,7 +196,7 @@
 
 // send seals a datagram and adds it to the actions.
 func (d *Decider) send(to netip.AddrPort, b []byte) {
-	b = seal(b)
+	b = appendChecksum(b)
 	d.stats.Sent++
 	d.stats.SentBytes += uint64(len(b))
 	d.actions = append(d.actions, Send{to, b})
@@ -204,9 +204,9 @@
 
 // Stats returns the counters.
 func (d *Decider) Stats() Stats {
-	f := d.stats
-	f.Alive, f.Suspected, f.Dead = d.liveCount, len(d.suspicions), d.deadCount
-	return f
+	stats := d.stats
+	stats.Alive, stats.Suspected, stats.Dead = d.liveCount, len(d.suspicions), d.deadCount
+	return stats
 }
 
 // Incarnation returns the present local incarnation, for the owner to persist.
--- a/coord/members/decider_test.go
+++ b/coord/members/decider_test.go
@@ -118,7 +118,7 @@
 	f.expectView(b, "r2@2", "r3@3")
 	delete(f.deciders, addr(1)) // and ends
 	f.deciders[addr(3)] = c
-	f.step(b, Received{addr(3), seal(appendUpdate(newDatagram(updatesMsg), aliveUpdate(c.entries[slices.IndexFunc(c.entries, func(e *entry) bool { return e.Name == "r1" })])))})
+	f.step(b, Received{addr(3), appendChecksum(appendUpdate(newDatagram(updatesMsg), aliveUpdate(c.entries[slices.IndexFunc(c.entries, func(e *entry) bool { return e.Name == "r1" })])))})
 	f.expectView(c, "r2@2", "r3@3")
 	for _, x := range f.actions[addr(3)] {
 		if ch, ok := x.(Changed); ok && slices.ContainsFunc(ch.Changes, func(y Change) bool { return y.Reason == ReasonCrashed }) {
@@ -133,9 +133,9 @@
 	f := newFleet(t)
 	a, b := f.start(config(1, 2)), f.start(config(2, 1))
 	f.run(3 * time.Second)
-	twin := config(3, 1, 2)
-	twin.Name = "r1"
-	c := f.start(twin)
+	claimant := config(3, 1, 2)
+	claimant.Name = "r1"
+	c := f.start(claimant)
 	f.run(5 * time.Second)
 	f.expectView(b, "r1@1", "r2@2")
 	for _, x := range f.actions[addr(3)] {
@@ -197,38 +197,38 @@
 	if a.Incarnation() != 7 {
 		t.Errorf("it begins at %d", a.Incarnation())
 	}
-	again := config(1, 2) // its memory is gone
-	again.Boot = 555
-	a = f.start(again)
+	restarted := config(1, 2) // its memory is gone
+	restarted.Boot = 555
+	a = f.start(restarted)
 	f.run(3 * time.Second)
 	if a.Incarnation() != 8 {
 		t.Errorf("after a start with nothing it is at %d", a.Incarnation())
 	}
 	f.expectView(b, "r1@1", "r2@2")
-	var why []Reason
+	var reasons []Reason
 	for _, x := range f.actions[addr(2)] {
 		if ch, ok := x.(Changed); ok {
 			for _, y := range ch.Changes {
 				if y.Member.Name == "r1" {
-					why = append(why, y.Reason)
+					reasons = append(reasons, y.Reason)
 				}
 			}
 		}
 	}
-	if diff := cmp.Diff([]Reason{ReasonJoined, ReasonRestarted}, why); diff != "" {
+	if diff := cmp.Diff([]Reason{ReasonJoined, ReasonRestarted}, reasons); diff != "" {
 		t.Error(diff)
 	}
-	for _, w := range []update{{state: Suspected, incarnation: 8}, {state: Dead, incarnation: 20}, {state: Alive, incarnation: 30}, {state: Left, incarnation: 31}, {state: Dead, incarnation: math.MaxUint32}, {state: Dead, incarnation: 3}} {
-		w.id = idOf("r1")
+	for _, u := range []update{{state: Suspected, incarnation: 8}, {state: Dead, incarnation: 20}, {state: Alive, incarnation: 30}, {state: Left, incarnation: 31}, {state: Dead, incarnation: math.MaxUint32}, {state: Dead, incarnation: 3}} {
+		u.id = idOf("r1")
 		before := a.Incarnation()
 		f.now += time.Second
-		f.step(a, Received{addr(2), seal(appendUpdate(newDatagram(updatesMsg), w))})
-		want := max(before, w.incarnation+1)
-		if w.incarnation == math.MaxUint32 {
+		f.step(a, Received{addr(2), appendChecksum(appendUpdate(newDatagram(updatesMsg), u))})
+		want := max(before, u.incarnation+1)
+		if u.incarnation == math.MaxUint32 {
 			want = before
 		}
 		if a.Incarnation() != want || a.State() != Alive {
-			t.Errorf("%+v: %v at %d, want %d", w, a.State(), a.Incarnation(), want)
+			t.Errorf("%+v: %v at %d, want %d", u, a.State(), a.Incarnation(), want)
 		}
 	}
 }
@@ -240,7 +240,7 @@
 	b := f.start(config(2, 1))
 	a := f.start(config(1, 2))
 	f.run(3 * time.Second)
-	old := seal(appendUpdate(newDatagram(updatesMsg), aliveUpdate(a.self)))
+	old := appendChecksum(appendUpdate(newDatagram(updatesMsg), aliveUpdate(a.self)))
 	f.step(a, Leave{})
 	f.run(100 * ms)
 	f.deciders[addr(1)] = nil
@@ -286,7 +286,7 @@
 	d := f.start(c)
 	for i := range 100 {
 		m := Member{Name: fmt.Sprint("s", i), Zone: "z", Version: "1", Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 1, 0, byte(i)}), 1), Boot: 1, Incarnation: 1, State: Alive}
-		f.step(d, Received{m.Addr, seal(appendRecord(newDatagram(joinMsg), &m))})
+		f.step(d, Received{m.Addr, appendChecksum(appendRecord(newDatagram(joinMsg), &m))})
 	}
 	if got := len(d.entries); got != 10 {
 		t.Errorf("%d members, 10 are allowed", got)
@@ -324,20 +324,20 @@
 			switch rapid.IntRange(0, 3).Draw(t, "how") {
 			case 0:
 			case 1:
-				b = seal(append(newDatagram(messageType(rapid.IntRange(0, 15).Draw(t, "kind"))), b...))
+				b = appendChecksum(append(newDatagram(messageType(rapid.IntRange(0, 15).Draw(t, "kind"))), b...))
 			default: // well-formed updates and records
 				out := newDatagram(rapid.SampledFrom([]messageType{updatesMsg, recordsMsg, joinMsg, wrongProcessMsg, syncChunkMsg}).Draw(t, "kind"))
 				if messageType(out[0]&15) == syncChunkMsg {
 					out = append(out, 1, byte(rapid.IntRange(0, 15).Draw(t, "nibble")), 1)
 				}
 				name := rapid.SampledFrom([]string{"r1", "r2", "r3", "x"}).Draw(t, "name")
-				if k := messageType(out[0] & 15); k == updatesMsg || k == syncChunkMsg {
+				if msgType := messageType(out[0] & 15); msgType == updatesMsg || msgType == syncChunkMsg {
 					out = appendUpdate(out, update{id: idOf(name), state: State(rapid.IntRange(1, 4).Draw(t, "state")), incarnation: rapid.Uint32().Draw(t, "inc"), reporter: idOf("r3")})
 				} else {
 					out = appendRecord(out, &Member{Name: name, Addr: addr(rapid.IntRange(1, 4).Draw(t, "addr")), Incarnation: rapid.Uint32Min(1).Draw(t, "inc"),
 						Boot: rapid.Uint32Min(1).Draw(t, "boot"), State: State(rapid.IntRange(0, 4).Draw(t, "state"))})
 				}
-				b = seal(out)
+				b = appendChecksum(out)
 			}
 			for _, a := range d.Step(now, Received{addr(rapid.IntRange(1, 4).Draw(t, "from")), b}) {
 				if s, ok := a.(Send); ok && len(s.Data) > MaxDatagramLen {
@@ -368,23 +368,23 @@
 // detected.
 func TestCorruptionIsDetected(t *testing.T) {
 	m := Member{Name: "router-7", Zone: "east", Version: "1.4", Addr: addr(9), Incarnation: 1 << 20, Boot: 5, State: Suspected}
-	w := update{id: idOf("a"), state: Suspected, incarnation: 300, confirms: true, reporter: idOf("b")}
-	b := seal(appendUpdate(appendRecord(newDatagram(recordsMsg), &m), w))
-	k, body, err := unseal(b)
+	u := update{id: idOf("a"), state: Suspected, incarnation: 300, confirms: true, reporter: idOf("b")}
+	b := appendChecksum(appendUpdate(appendRecord(newDatagram(recordsMsg), &m), u))
+	msgType, body, err := parseDatagram(b)
 	r := &reader{rest: body}
-	got, gotWord := r.record(), r.update()
-	if diff := cmp.Diff(m, got, cmpopts.EquateComparable(netip.AddrPort{})); diff != "" || err != nil || k != recordsMsg || r.err != nil || gotWord != w || r.hasMore() {
-		t.Errorf("%v %v %+v %s", err, r.err, gotWord, diff)
+	got, gotUpdate := r.record(), r.update()
+	if diff := cmp.Diff(m, got, cmpopts.EquateComparable(netip.AddrPort{})); diff != "" || err != nil || msgType != recordsMsg || r.err != nil || gotUpdate != u || r.hasMore() {
+		t.Errorf("%v %v %+v %s", err, r.err, gotUpdate, diff)
 	}
 	for i := range 8 * len(b) {
 		x := bytes.Clone(b)
 		x[i/8] ^= 1 << (i % 8)
-		if _, _, err := unseal(x); err == nil {
+		if _, _, err := parseDatagram(x); err == nil {
 			t.Errorf("bit %d flipped: taken", i)
 		}
 	}
 	for n := range b {
-		if _, _, err := unseal(b[:n]); err == nil {
+		if _, _, err := parseDatagram(b[:n]); err == nil {
 			t.Errorf("truncated at %d: taken", n)
 		}
 	}
@@ -393,21 +393,21 @@
 // The timings meet the goals of the design note.
 func TestTimingsMeetGoals(t *testing.T) {
 	const loss = 0.2
-	ping := 1 - (1-loss)*(1-loss)
-	path := 1 - math.Pow(1-loss, 4)
-	probe := math.Pow(ping, pingsPerProbe) * math.Pow(path, indirectProbers)
-	if probe > 0.011 {
-		t.Errorf("a probe of a living member fails with %.3f", probe)
+	pingFailure := 1 - (1-loss)*(1-loss)
+	indirectFailure := 1 - math.Pow(1-loss, 4)
+	probeFailure := math.Pow(pingFailure, pingsPerProbe) * math.Pow(indirectFailure, indirectProbers)
+	if probeFailure > 0.011 {
+		t.Errorf("a probe of a living member fails with %.3f", probeFailure)
 	}
-	if known := baseProbeTimeout + baseSuspicionTimeout + 2*(5*gossipBatchDelay+regossipDelay); known > 3*time.Second {
-		t.Errorf("a crash is known after %v", known)
+	if detectionTime := baseProbeTimeout + baseSuspicionTimeout + 2*(5*gossipBatchDelay+regossipDelay); detectionTime > 3*time.Second {
+		t.Errorf("a crash is known after %v", detectionTime)
 	}
-	left := baseProbeTimeout + baseSuspicionTimeout - time.Second // after a stall of 1 s
-	if n := int(left / pingInterval); n < 7 || math.Pow(ping, 7) > 0.0009 {
+	remaining := baseProbeTimeout + baseSuspicionTimeout - time.Second // after a stall of 1 s
+	if n := int(remaining / pingInterval); n < 7 || math.Pow(pingFailure, 7) > 0.0009 {
 		t.Errorf("a witness has %d pings left", n)
 	}
-	if miss := math.Exp(-float64(gossipFanout+regossipFanout) * (1 - loss)); miss > 0.004 {
-		t.Errorf("an update does not reach %.4f", miss)
+	if missed := math.Exp(-float64(gossipFanout+regossipFanout) * (1 - loss)); missed > 0.004 {
+		t.Errorf("an update does not reach %.4f", missed)
 	}
 	if bytes := float64(pingLen+ackLen+2*checksumLen) / protocolPeriod.Seconds(); bytes > 64 {
 		t.Errorf("%.0f bytes a second", bytes)
--- a/coord/members/explore_test.go
+++ b/coord/members/explore_test.go
@@ -19,11 +19,11 @@
 
 // node makes a decider a node of the model checker and remembers the highest incarnation.
 type node struct {
-	n, run    int
-	decider   *members.Decider
-	highest   uint32
-	violation error
-	settled   bool
+	n, restarts        int
+	decider            *members.Decider
+	highestIncarnation uint32
+	violation          error
+	settled            bool
 }
 
 func addrOf(n int) netip.AddrPort {
@@ -36,7 +36,7 @@
 		seeds = append(seeds, addrOf(i))
 	}
 	var err error
-	x.decider, err = members.New(members.Config{Name: fmt.Sprint("r", x.n), Zone: "z", Version: "1", Addr: addrOf(x.n), Boot: uint32(1 + x.n + 10*x.run), Seeds: seeds, SeedsOnly: true,
+	x.decider, err = members.New(members.Config{Name: fmt.Sprint("r", x.n), Zone: "z", Version: "1", Addr: addrOf(x.n), Boot: uint32(1 + x.n + 10*x.restarts), Seeds: seeds, SeedsOnly: true,
 		RandomSeed: uint64(x.n)}, now)
 	if err != nil {
 		x.violation = err
@@ -64,10 +64,10 @@
 			o.Send = append(o.Send, explorer.Send[datagram]{To: int(s.To.Addr().As4()[3]) - 1, Msg: datagram{string(s.Data)}})
 		}
 	}
-	if inc := x.decider.Incarnation(); inc < x.highest {
-		x.violation = fmt.Errorf("r%d went from incarnation %d to %d", x.n, x.highest, inc)
+	if inc := x.decider.Incarnation(); inc < x.highestIncarnation {
+		x.violation = fmt.Errorf("r%d went from incarnation %d to %d", x.n, x.highestIncarnation, inc)
 	} else {
-		x.highest = inc
+		x.highestIncarnation = inc
 	}
 	if s := x.decider.State(); s != members.Joining && s != members.Alive {
 		x.violation = fmt.Errorf("r%d is %v in its own view", x.n, s)
@@ -92,8 +92,8 @@
 func TestExploredOrdersKeepInvariants(t *testing.T) {
 	for _, settled := range []bool{false, true} {
 		q := explorer.Question[datagram]{Nodes: 3, Depth: *depth, MaxStates: 400_000, Budget: explorer.Budget{Losses: 1, Crashes: 1, Pauses: 1}, MaxSkew: 100 * time.Millisecond,
-			Make: func(n, life int, before explorer.Node[datagram]) explorer.Node[datagram] {
-				return &node{n: n, run: life, settled: settled && life == 0}
+			Make: func(n, restarts int, before explorer.Node[datagram]) explorer.Node[datagram] {
+				return &node{n: n, restarts: restarts, settled: settled && restarts == 0}
 			},
 			Invariant: func(nodes []explorer.Node[datagram], _ []time.Duration) error {
 				for _, n := range nodes {
--- a/coord/members/golden_test.go
+++ b/coord/members/golden_test.go
@@ -18,7 +18,7 @@
 
 // traced is deciders on one clock, with a trace of all that they send and notify. A datagram takes
 // 5 ms.
-type traced struct {
+type tracedFleet struct {
 	t        *testing.T
 	now      time.Duration
 	deciders map[netip.AddrPort]*Decider
@@ -37,11 +37,11 @@
 
 const samplesPerType = 4
 
-func newTraced(t *testing.T) *traced {
-	return &traced{t: t, deciders: map[netip.AddrPort]*Decider{}, isLost: func(_, _ netip.AddrPort) bool { return false }, trace: xxhash.New(), samples: map[messageType][]golden.Record{}}
+func newTracedFleet(t *testing.T) *tracedFleet {
+	return &tracedFleet{t: t, deciders: map[netip.AddrPort]*Decider{}, isLost: func(_, _ netip.AddrPort) bool { return false }, trace: xxhash.New(), samples: map[messageType][]golden.Record{}}
 }
 
-func (x *traced) start(c Config) {
+func (x *tracedFleet) start(c Config) {
 	x.t.Helper()
 	d, err := New(c, x.now)
 	if err != nil {
@@ -51,7 +51,7 @@
 	x.step(c.Addr, Tick{})
 }
 
-func (x *traced) step(at netip.AddrPort, e Event) {
+func (x *tracedFleet) step(at netip.AddrPort, e Event) {
 	for _, a := range x.deciders[at].Step(x.now, e) {
 		if s, ok := a.(Send); ok {
 			x.sent(at, s)
@@ -78,13 +78,13 @@
 	return fmt.Sprintf("%v", a)
 }
 
-func (x *traced) sent(from netip.AddrPort, s Send) {
+func (x *tracedFleet) sent(from netip.AddrPort, s Send) {
 	fmt.Fprintf(x.trace, "%d %v %v %x\n", x.now, from, s.To, s.Data)
-	k := messageType(s.Data[0] & 0x0f)
-	all := x.samples[k]
+	msgType := messageType(s.Data[0] & 0x0f)
+	all := x.samples[msgType]
 	if len(all) < samplesPerType && !slices.ContainsFunc(all, func(r golden.Record) bool { return len(r.Data) == len(s.Data) }) {
-		name := fmt.Sprintf("kind-%d-sample-%d-at-%v-from-%v-to-%v", k, len(all), x.now, from, s.To)
-		x.samples[k] = append(all, golden.Record{Name: name, Data: slices.Clone(s.Data)})
+		name := fmt.Sprintf("kind-%d-sample-%d-at-%v-from-%v-to-%v", msgType, len(all), x.now, from, s.To)
+		x.samples[msgType] = append(all, golden.Record{Name: name, Data: slices.Clone(s.Data)})
 	}
 	if x.deciders[s.To] != nil && !x.isLost(from, s.To) {
 		x.queue = append(x.queue, tracedDatagram{x.now + 5*ms, from, s.To, s.Data})
@@ -92,7 +92,7 @@
 }
 
 // run lets time pass for all.
-func (x *traced) run(d time.Duration) {
+func (x *tracedFleet) run(d time.Duration) {
 	for end := x.now + d; x.now < end; x.now += ms {
 		for len(x.queue) > 0 && x.queue[0].arrivesAt <= x.now {
 			m := x.queue[0]
@@ -119,7 +119,7 @@
 // conflict and a leave, has the datagrams and views that it had at commit 5bfcc27: every type of
 // datagram, each decision and each random draw.
 func TestHistoryKeepsItsDatagrams(t *testing.T) {
-	x := newTraced(t)
+	x := newTracedFleet(t)
 	for n := 1; n <= 7; n++ {
 		x.start(zoned(n, []string{"north", "south"}[n%2], 1, 2, 3))
 		x.run(100 * ms)
@@ -129,26 +129,26 @@
 		return from == addr(7) && to == addr(1) || from == addr(1) && to == addr(7)
 	}
 	x.run(8 * time.Second)
-	divided := func(a netip.AddrPort) bool { return a.Addr().As4()[3] > 4 }
-	x.isLost = func(from, to netip.AddrPort) bool { return divided(from) != divided(to) }
+	inMinority := func(a netip.AddrPort) bool { return a.Addr().As4()[3] > 4 }
+	x.isLost = func(from, to netip.AddrPort) bool { return inMinority(from) != inMinority(to) }
 	x.run(10 * time.Second)
 	x.isLost = func(_, _ netip.AddrPort) bool { return false }
 	x.run(10 * time.Second)
 	delete(x.deciders, addr(5))
 	x.run(10 * time.Second)
-	again := zoned(5, "south", 1, 2)
-	again.Boot = 1005
-	x.start(again)
-	again = zoned(4, "north", 1, 2)
-	again.Boot = 1004
-	x.start(again)
-	twin := zoned(9, "north", 1, 2, 3)
-	twin.Name = "r1"
-	x.start(twin)
-	newcomer := zoned(4, "north", 1)
-	newcomer.Name, newcomer.Boot = "r8", 1008
+	restarted := zoned(5, "south", 1, 2)
+	restarted.Boot = 1005
+	x.start(restarted)
+	restarted = zoned(4, "north", 1, 2)
+	restarted.Boot = 1004
+	x.start(restarted)
+	claimant := zoned(9, "north", 1, 2, 3)
+	claimant.Name = "r1"
+	x.start(claimant)
+	successor := zoned(4, "north", 1)
+	successor.Name, successor.Boot = "r8", 1008
 	x.run(3 * time.Second)
-	x.start(newcomer)
+	x.start(successor)
 	x.run(5 * time.Second)
 	x.step(addr(3), Leave{})
 	x.run(time.Second)
@@ -156,11 +156,11 @@
 	x.step(addr(6), Leave{Replaced: true})
 	x.run(5 * time.Second)
 	var records []golden.Record
-	for k := range messageTypes {
-		if len(x.samples[k]) == 0 {
-			t.Errorf("no datagram of kind %d was sent", k)
+	for msgType := range messageTypes {
+		if len(x.samples[msgType]) == 0 {
+			t.Errorf("no datagram of kind %d was sent", msgType)
 		}
-		records = append(records, x.samples[k]...)
+		records = append(records, x.samples[msgType]...)
 	}
 	records = append(records, golden.Record{Name: "hash-of-all", Data: x.trace.Sum(nil)})
 	golden.Check(t, "history", records)
@@ -188,28 +188,28 @@
 // Updates, records and the elements of other datagrams have the bytes that they had at commit
 // 5bfcc27, and are decoded from them.
 func TestUpdatesAndRecordsKeepTheirBytes(t *testing.T) {
-	words, whole := newDatagram(updatesMsg), newDatagram(recordsMsg)
-	for _, w := range goldenUpdates() {
-		words = appendUpdate(words, w)
+	updates, records := newDatagram(updatesMsg), newDatagram(recordsMsg)
+	for _, u := range goldenUpdates() {
+		updates = appendUpdate(updates, u)
 	}
 	members := goldenRecords()
 	for i := range members {
-		whole = appendRecord(whole, &members[i])
+		records = appendRecord(records, &members[i])
 	}
-	asks := binary.BigEndian.AppendUint16(newDatagram(indirectPingMsg), 0xfedc)
-	asks = binary.BigEndian.AppendUint32(appendAddr(asks, members[0].Addr), members[0].Boot)
+	indirectPing := binary.BigEndian.AppendUint16(newDatagram(indirectPingMsg), 0xfedc)
+	indirectPing = binary.BigEndian.AppendUint32(appendAddr(indirectPing, members[0].Addr), members[0].Boot)
 	data := golden.Check(t, "wordsandcards", []golden.Record{
-		{Name: "words", Data: seal(words)},
-		{Name: "cards", Data: seal(whole)},
-		{Name: "ask", Data: seal(asks)},
-		{Name: "refused", Data: seal(appendText(newDatagram(nameTakenMsg), "router-1"))},
-		{Name: "path", Data: seal(appendPath(newDatagram(syncRequestMsg), []byte{1, 15, 0}))},
+		{Name: "words", Data: appendChecksum(updates)},
+		{Name: "cards", Data: appendChecksum(records)},
+		{Name: "ask", Data: appendChecksum(indirectPing)},
+		{Name: "refused", Data: appendChecksum(appendText(newDatagram(nameTakenMsg), "router-1"))},
+		{Name: "path", Data: appendChecksum(appendPath(newDatagram(syncRequestMsg), []byte{1, 15, 0}))},
 	})
 	read := func(name string, want messageType) *reader {
 		t.Helper()
-		k, body, err := unseal(data[name])
-		if err != nil || k != want {
-			t.Errorf("%s is read as kind %d, not %d (%v)", name, k, want, err)
+		msgType, body, err := parseDatagram(data[name])
+		if err != nil || msgType != want {
+			t.Errorf("%s is read as kind %d, not %d (%v)", name, msgType, want, err)
 		}
 		return &reader{rest: body}
 	}
@@ -223,8 +223,8 @@
 		}
 	}
 	r = read("ask", indirectPingMsg)
-	if seq, at, boot := r.u16(), r.addr(), r.u32(); seq != 0xfedc || at != members[0].Addr || boot != members[0].Boot || r.err != nil || r.hasMore() {
-		t.Errorf("what is asked for is read as %x, %v, %x (%v)", seq, at, boot, r.err)
+	if seq, target, boot := r.u16(), r.addr(), r.u32(); seq != 0xfedc || target != members[0].Addr || boot != members[0].Boot || r.err != nil || r.hasMore() {
+		t.Errorf("what is asked for is read as %x, %v, %x (%v)", seq, target, boot, r.err)
 	}
 	if name := read("refused", nameTakenMsg).text(MaxNameLen); name != "router-1" {
 		t.Errorf("the name that is refused is read as %q", name)
--- a/coord/members/gossip.go
+++ b/coord/members/gossip.go
@@ -91,7 +91,7 @@
 		}
 		if p.withRecord {
 			if _, e := d.find(p.id); e != nil {
-				if records = appendRecord(records, e.toMember()); len(records) > maxUnsealedLen-maxRecordLen {
+				if records = appendRecord(records, e.toMember()); len(records) > maxLenBeforeChecksum-maxRecordLen {
 					d.send(to, records)
 					records = newDatagram(recordsMsg)
 					sent++
@@ -99,7 +99,7 @@
 				continue
 			}
 		}
-		if updates = appendUpdate(updates, p.update); len(updates) > maxUnsealedLen-maxUpdateLen {
+		if updates = appendUpdate(updates, p.update); len(updates) > maxLenBeforeChecksum-maxUpdateLen {
 			d.send(to, updates)
 			updates = newDatagram(updatesMsg)
 			sent++
--- a/coord/members/health.go
+++ b/coord/members/health.go
@@ -23,7 +23,7 @@
 
 // suspectEverybody is called once nothing was received for isolationTimeout: a small side of a
 // network partition would take long to find that out one probe a period.
-func (d *Decider) suspectEverybody() {
+func (d *Decider) suspectAll() {
 	d.lastReceivedAt = d.now
 	for _, e := range slices.Clone(d.entries) {
 		if e == d.self || e.State != Alive {
--- a/coord/members/join.go
+++ b/coord/members/join.go
@@ -94,7 +94,7 @@
 		b = appendRecord(b, known.toMember())
 	}
 	for _, e := range d.randomMembers(joinReplyRecords, isAlive) {
-		if e != known && len(b) <= maxUnsealedLen-maxRecordLen {
+		if e != known && len(b) <= maxLenBeforeChecksum-maxRecordLen {
 			b = appendRecord(b, e.toMember())
 		}
 	}
--- a/coord/members/probe.go
+++ b/coord/members/probe.go
@@ -112,7 +112,7 @@
 		p.nextAt = d.now + d.probeInterval()
 	}
 	if d.now-d.lastReceivedAt >= isolationTimeout && d.now >= d.noAccusationUntil && d.liveCount > 1 {
-		d.suspectEverybody()
+		d.suspectAll()
 	}
 }
 
--- a/coord/members/records.go
+++ b/coord/members/records.go
@@ -45,7 +45,7 @@
 	}
 	for _, id := range unsent {
 		request := d.recordRequests[id]
-		if request.from != to || len(b) > maxUnsealedLen-idLen {
+		if request.from != to || len(b) > maxLenBeforeChecksum-idLen {
 			flush()
 			to = request.from
 		}
@@ -81,7 +81,7 @@
 		if r.err != nil || e == nil || !e.isLive() {
 			continue
 		}
-		if b = appendRecord(b, e.toMember()); len(b) > maxUnsealedLen-maxRecordLen {
+		if b = appendRecord(b, e.toMember()); len(b) > maxLenBeforeChecksum-maxRecordLen {
 			d.send(from, b)
 			b = newDatagram(recordsMsg)
 			sent++
@@ -150,22 +150,22 @@
 // isAddressTaken reports whether an alive member other than e has an address. That member is
 // probed: one of the two is wrong.
 func (d *Decider) isAddressTaken(addr netip.AddrPort, e *entry) bool {
-	at := d.byAddr[addrKey(addr)]
-	if at == nil || at == e || at.State != Alive {
+	occupant := d.byAddr[addrKey(addr)]
+	if occupant == nil || occupant == e || occupant.State != Alive {
 		return false
 	}
-	if at != d.self {
-		d.probeSoon(at)
+	if occupant != d.self {
+		d.probeSoon(occupant)
 	}
 	return true
 }
 
 // insertRecord adds a member that was not known.
-func (d *Decider) insertRecord(at int, id memberID, m *Member) {
+func (d *Decider) insertRecord(index int, id memberID, m *Member) {
 	if len(d.entries) >= d.config.MaxMembers {
 		return
 	}
-	e := d.insert(at, id, identityOf(m), m.Incarnation)
+	e := d.insert(index, id, identityOf(m), m.Incarnation)
 	d.stats.Joins++
 	d.enqueue(pendingUpdate{update: aliveUpdate(e), withRecord: true})
 }
--- a/coord/members/relay.go
+++ b/coord/members/relay.go
@@ -18,13 +18,13 @@
 // sendIndirectPings asks other members to ping the target of a probe: one that reached it before,
 // then members of other zones, then any.
 func (d *Decider) sendIndirectPings(e *entry, x *probe) {
-	fits := func(x *entry) bool { return x != e && x.State == Alive }
-	relays := d.randomMembers(indirectProbers, func(x *entry) bool { return fits(x) && x.Zone != d.self.Zone })
-	_, known := d.find(e.readHistory().lastRelay)
-	if known != nil && known != d.self && fits(known) && !slices.Contains(relays, known) {
-		relays = append([]*entry{known}, relays[:min(len(relays), indirectProbers-1)]...)
+	eligible := func(x *entry) bool { return x != e && x.State == Alive }
+	relays := d.randomMembers(indirectProbers, func(x *entry) bool { return eligible(x) && x.Zone != d.self.Zone })
+	_, lastRelay := d.find(e.readHistory().lastRelay)
+	if lastRelay != nil && lastRelay != d.self && eligible(lastRelay) && !slices.Contains(relays, lastRelay) {
+		relays = append([]*entry{lastRelay}, relays[:min(len(relays), indirectProbers-1)]...)
 	}
-	for _, x := range d.randomMembers(indirectProbers, fits) {
+	for _, x := range d.randomMembers(indirectProbers, eligible) {
 		if len(relays) < indirectProbers && !slices.Contains(relays, x) {
 			relays = append(relays, x)
 		}
--- a/coord/members/roster.go
+++ b/coord/members/roster.go
@@ -28,14 +28,14 @@
 // published, not among its changes, and are probed like any others.
 func (d *Decider) Restore(roster *Roster) {
 	d.entries = slices.Grow(d.entries, len(roster.identities))
-	for i, who := range roster.identities {
-		id := idOf(who.Name)
-		at, e := d.find(id)
+	for i, ident := range roster.identities {
+		id := idOf(ident.Name)
+		index, e := d.find(id)
 		if e != nil || len(d.entries) >= d.config.MaxMembers {
 			continue
 		}
-		e = d.insert(at, id, who, roster.incarnations[i])
-		e.published = publishedState{boot: who.Boot, live: true, known: true}
+		e = d.insert(index, id, ident, roster.incarnations[i])
+		e.published = publishedState{boot: ident.Boot, live: true, known: true}
 	}
 	d.unpublished = map[memberID]*entry{}
 }
--- a/coord/members/schedule_test.go
+++ b/coord/members/schedule_test.go
@@ -27,12 +27,12 @@
 
 // newPacedFleet starts members at once. The last one may have the name of the first, so that it is
 // rejected.
-func newPacedFleet(t *rapid.T, members int, twin bool) *pacedFleet {
+func newPacedFleet(t *rapid.T, members int, duplicateName bool) *pacedFleet {
 	f := &pacedFleet{t: t, broken: map[[2]int]bool{}, stalledUntil: make([]time.Duration, members), steps: make([]int, members), running: make([]bool, members)}
 	for i := range members {
 		c := config(i+1, 1, 2)
 		c.RandomSeed = rapid.Uint64().Draw(t, "seed")
-		if twin && i == members-1 {
+		if duplicateName && i == members-1 {
 			c.Name = f.deciders[0].config.Name
 		}
 		d, err := New(c, 0)
@@ -66,11 +66,11 @@
 func (f *pacedFleet) run(span time.Duration) {
 	end := f.now + span
 	for f.now < end {
-		i := f.first()
-		if i < 0 || f.due(i) > end {
+		i := f.nextDue()
+		if i < 0 || f.dueAt(i) > end {
 			break
 		}
-		f.pass(f.due(i))
+		f.advanceClock(f.dueAt(i))
 		f.step(i, Tick{})
 		if next := f.deciders[i].Next(); next <= f.now {
 			f.t.Fatalf("member %d, %v, shutting down %v: stepped at %v, it asks for %v", i, f.deciders[i].State(), f.deciders[i].shuttingDown, f.now, next)
@@ -79,11 +79,11 @@
 			f.t.Fatalf("member %d, %v, shutting down %v: %d steps by its timer in a second", i, f.deciders[i].State(), f.deciders[i].shuttingDown, f.steps[i])
 		}
 	}
-	f.pass(end)
+	f.advanceClock(end)
 }
 
 // pass sets the clock and restarts the count of steps with each second.
-func (f *pacedFleet) pass(now time.Duration) {
+func (f *pacedFleet) advanceClock(now time.Duration) {
 	if now/time.Second != f.now/time.Second {
 		clear(f.steps)
 	}
@@ -91,15 +91,15 @@
 }
 
 // due is when a decider is stepped next.
-func (f *pacedFleet) due(i int) time.Duration {
+func (f *pacedFleet) dueAt(i int) time.Duration {
 	return max(f.deciders[i].Next(), f.stalledUntil[i], f.now)
 }
 
 // first is the decider that is stepped next, below 0 for none.
-func (f *pacedFleet) first() int {
+func (f *pacedFleet) nextDue() int {
 	first := -1
 	for i := range f.deciders {
-		if f.running[i] && (first < 0 || f.due(i) < f.due(first)) {
+		if f.running[i] && (first < 0 || f.dueAt(i) < f.dueAt(first)) {
 			first = i
 		}
 	}
@@ -117,32 +117,32 @@
 	rapid.Check(t, func(t *rapid.T) {
 		members := rapid.IntRange(1, 5).Draw(t, "members")
 		f := newPacedFleet(t, members, members > 1 && rapid.Bool().Draw(t, "twin"))
-		one := func() int { return rapid.IntRange(0, members-1).Draw(t, "who") }
+		anyMember := func() int { return rapid.IntRange(0, members-1).Draw(t, "who") }
 		t.Repeat(map[string]func(*rapid.T){
 			"time passes": func(t *rapid.T) {
 				f.run(rapid.SampledFrom([]time.Duration{ms, 30 * ms, 300 * ms, 1500 * ms, 5 * time.Second}).Draw(t, "time"))
 			},
 			"one shuts down": func(t *rapid.T) {
-				if i := one(); f.isRunning(i) {
+				if i := anyMember(); f.isRunning(i) {
 					f.step(i, Leave{Replaced: rapid.Bool().Draw(t, "replaced")})
 				}
 			},
 			"one crashes": func(t *rapid.T) {
-				f.running[one()] = false
+				f.running[anyMember()] = false
 				f.run(rapid.SampledFrom([]time.Duration{0, 3 * time.Second, 4 * time.Second, 5 * time.Second}).Draw(t, "until it is missed"))
 			},
 			"one stalls": func(t *rapid.T) {
-				f.stalledUntil[one()] = f.now + rapid.SampledFrom([]time.Duration{20 * ms, 300 * ms, 4 * time.Second}).Draw(t, "time")
+				f.stalledUntil[anyMember()] = f.now + rapid.SampledFrom([]time.Duration{20 * ms, 300 * ms, 4 * time.Second}).Draw(t, "time")
 			},
-			"a link fails in one direction": func(t *rapid.T) { f.broken[[2]int{one(), one()}] = true },
+			"a link fails in one direction": func(t *rapid.T) { f.broken[[2]int{anyMember(), anyMember()}] = true },
 			"all links recover":             func(*rapid.T) { clear(f.broken) },
 			"one gets other seeds": func(*rapid.T) {
-				if i := one(); f.isRunning(i) {
-					f.step(i, SetSeeds{Addrs: []netip.AddrPort{addr(1 + one())}})
+				if i := anyMember(); f.isRunning(i) {
+					f.step(i, SetSeeds{Addrs: []netip.AddrPort{addr(1 + anyMember())}})
 				}
 			},
 			"foreign bytes come": func(t *rapid.T) {
-				if i := one(); f.isRunning(i) {
+				if i := anyMember(); f.isRunning(i) {
 					f.step(i, Received{addr(9), rapid.SliceOfN(rapid.Byte(), 0, 40).Draw(t, "bytes")})
 				}
 			},
--- a/coord/members/suspicion.go
+++ b/coord/members/suspicion.go
@@ -99,10 +99,10 @@
 // alive members by rendezvous hashing with the suspect.
 func (d *Decider) becomeWitness(s *suspicion) {
 	s.rankedAt = d.now
-	weight, before := rendezvousWeight(d.self.id, s.entry.id), 0
+	weight, higherRanked := rendezvousWeight(d.self.id, s.entry.id), 0
 	for _, e := range d.entries {
 		if e.State == Alive && e != d.self && rendezvousWeight(e.id, s.entry.id) > weight {
-			if before++; before >= witnessCount {
+			if higherRanked++; higherRanked >= witnessCount {
 				return
 			}
 		}
@@ -248,17 +248,17 @@
 // dead. A local member that watched it from the start was wrong and backs off; a member that
 // returned from death has a grace period.
 func (d *Decider) setAlive(e *entry, incarnation uint32) {
-	before := e.State
+	previous := e.State
 	if s := d.suspicions[e.id]; s != nil && s.watchedFromStart {
 		h := e.ensureHistory()
 		h.noAccusationUntil = d.now + min(minAccusationBackoff<<min(h.wrongAccusations, maxDoublings), maxGracePeriod)
 		h.wrongAccusations = min(h.wrongAccusations+1, maxDoublings)
 	}
 	delete(d.suspicions, e.id)
-	if before == Suspected {
+	if previous == Suspected {
 		d.stats.Refutations++
 	}
-	if before == Dead {
+	if previous == Dead {
 		h := e.ensureHistory()
 		if d.now-e.Since > 2*maxGracePeriod {
 			h.returns = 0
--- a/coord/members/sync.go
+++ b/coord/members/sync.go
@@ -78,9 +78,9 @@
 // with a request one level down.
 func (d *Decider) onSyncRequest(from netip.AddrPort, r *reader) {
 	path := append([]byte(nil), r.path()...)
-	var theirs [syncFanout]uint32
-	for i := range theirs {
-		theirs[i] = r.u32()
+	var remoteSums [syncFanout]uint32
+	for i := range remoteSums {
+		remoteSums[i] = r.u32()
 	}
 	if r.err != nil || d.self.State != Alive || d.byAddr[addrKey(from)] == nil {
 		return
@@ -90,15 +90,15 @@
 	sent := 0
 	for i := range syncFanout {
 		child := byte((first + i) % syncFanout)
-		if sums[child] == theirs[child] || sent >= maxDatagramsPerTarget {
+		if sums[child] == remoteSums[child] || sent >= maxDatagramsPerTarget {
 			continue
 		}
 		sent++
-		below := append(path[:len(path):len(path)], child)
-		if counts[child] > maxLeafMembers && len(below) < maxPathLen-1 {
-			d.sendSyncRequest(from, below)
+		childPath := append(path[:len(path):len(path)], child)
+		if counts[child] > maxLeafMembers && len(childPath) < maxPathLen-1 {
+			d.sendSyncRequest(from, childPath)
 		} else {
-			d.sendSyncChunk(from, below, true, nil)
+			d.sendSyncChunk(from, childPath, true, nil)
 		}
 	}
 }
@@ -114,7 +114,7 @@
 	b = append(b, flag)
 	n := 0
 	for _, e := range d.membersUnder(path) {
-		if e.isLive() && !except[e.id] && n < maxChunkUpdates && len(b) <= maxUnsealedLen-maxUpdateLen {
+		if e.isLive() && !except[e.id] && n < maxChunkUpdates && len(b) <= maxLenBeforeChecksum-maxUpdateLen {
 			b = appendUpdate(b, aliveUpdate(e))
 			n++
 		}
--- a/coord/members/table.go
+++ b/coord/members/table.go
@@ -108,10 +108,10 @@
 }
 
 // insert adds a member that is alive, at the index that find returned.
-func (d *Decider) insert(at int, id memberID, who *identity, incarnation uint32) *entry {
-	e := &entry{identity: who, id: id, State: Left, Since: d.now}
-	d.entries = slices.Insert(d.entries, at, e)
-	d.byAddr[addrKey(who.Addr)] = e
+func (d *Decider) insert(index int, id memberID, ident *identity, incarnation uint32) *entry {
+	e := &entry{identity: ident, id: id, State: Left, Since: d.now}
+	d.entries = slices.Insert(d.entries, index, e)
+	d.byAddr[addrKey(ident.Addr)] = e
 	d.setState(e, Alive, incarnation)
 	return e
 }
@@ -119,7 +119,7 @@
 // remove forgets a member.
 func (d *Decider) remove(e *entry) {
 	d.setState(e, Left, e.Incarnation)
-	if i, at := d.find(e.id); at == e {
+	if i, found := d.find(e.id); found == e {
 		d.entries = slices.Delete(d.entries, i, i+1)
 	}
 	if d.byAddr[addrKey(e.Addr)] == e {
@@ -204,23 +204,23 @@
 }
 
 // randomMembers draws at most n other members that fit, looking at no more than a few times n.
-func (d *Decider) randomMembers(n int, fits func(*entry) bool) (drawn []*entry) {
-	draws := 8 * n
-	if len(d.entries) <= draws {
+func (d *Decider) randomMembers(n int, filter func(*entry) bool) (selected []*entry) {
+	attempts := 8 * n
+	if len(d.entries) <= attempts {
 		for _, i := range d.rng.Perm(len(d.entries)) {
-			if e := d.entries[i]; len(drawn) < n && e != d.self && fits(e) {
-				drawn = append(drawn, e)
+			if e := d.entries[i]; len(selected) < n && e != d.self && filter(e) {
+				selected = append(selected, e)
 			}
 		}
-		return drawn
+		return selected
 	}
-	for ; draws > 0 && len(drawn) < n; draws-- {
+	for ; attempts > 0 && len(selected) < n; attempts-- {
 		e := d.entries[d.rng.IntN(len(d.entries))]
-		if e != d.self && fits(e) && !slices.Contains(drawn, e) {
-			drawn = append(drawn, e)
+		if e != d.self && filter(e) && !slices.Contains(selected, e) {
+			selected = append(selected, e)
 		}
 	}
-	return drawn
+	return selected
 }
 
 // deadMembers returns all members that are Dead.
--- a/coord/members/view.go
+++ b/coord/members/view.go
@@ -57,12 +57,12 @@
 	}
 	for id, e := range unpublished {
 		delete(unpublished, id)
-		why, changed := e.unpublishedChange()
+		reason, changed := e.unpublishedChange()
 		if !changed {
 			continue
 		}
 		e.published = publishedState{live: e.isLive(), known: true, boot: e.Boot}
-		changes = append(changes, Change{*e.toMember(), why})
+		changes = append(changes, Change{*e.toMember(), reason})
 	}
 	return changes
 }
--- a/coord/members/wire.go
+++ b/coord/members/wire.go
@@ -65,13 +65,13 @@
 
 // Lengths in bytes.
 const (
-	headerLen      = 1
-	checksumLen    = 4
-	pingLen        = headerLen + 2 + 4 + 4 // without updates
-	ackLen         = headerLen + 2 + 4     // without updates
-	maxUnsealedLen = MaxDatagramLen - checksumLen
-	maxUpdateLen   = 1 + idLen + 5 + idLen
-	maxRecordLen   = 5 + 4 + 1 + 6 + 3 + MaxNameLen + MaxZoneLen + MaxVersionLen
+	headerLen            = 1
+	checksumLen          = 4
+	pingLen              = headerLen + 2 + 4 + 4 // without updates
+	ackLen               = headerLen + 2 + 4     // without updates
+	maxLenBeforeChecksum = MaxDatagramLen - checksumLen
+	maxUpdateLen         = 1 + idLen + 5 + idLen
+	maxRecordLen         = 5 + 4 + 1 + 6 + 3 + MaxNameLen + MaxZoneLen + MaxVersionLen
 )
 
 var crcTable = crc32.MakeTable(crc32.Castagnoli)
@@ -93,12 +93,12 @@
 }
 
 // seal appends the checksum.
-func seal(b []byte) []byte {
+func appendChecksum(b []byte) []byte {
 	return binary.BigEndian.AppendUint32(b, crc32.Checksum(b, crcTable))
 }
 
 // unseal checks length, version and checksum of a datagram and returns its type and body.
-func unseal(b []byte) (messageType, []byte, error) {
+func parseDatagram(b []byte) (messageType, []byte, error) {
 	switch {
 	case len(b) < headerLen+checksumLen:
 		return 0, nil, errTruncated
