--- a/coord/members/config.go
+++ b/coord/members/config.go
@@ -5,57 +5,61 @@
 	"net/netip"
 )
 
-// Bounds of what comes from outside.
+// Limits on configured values, on datagrams and on the membership list.
 const (
-	MaxDatagramLen = 256    // bytes of a datagram; the platform's bound
+	MaxDatagramLen = 256    // bytes of a datagram; the limit of the platform
 	MaxMembers     = 20_000 // entries of the membership list, dead members included
 	MaxNameLen     = 32     // bytes of Config.Name
 	MaxZoneLen     = 16     // bytes of Config.Zone
 	MaxVersionLen  = 16     // bytes of Config.Version
 )
 
-// Config is what a Decider is given at its start.
+// Config configures a Decider.
 type Config struct {
 	// Name identifies the member in the fleet and stays the same across restarts: 1 to MaxNameLen
 	// bytes of printable ASCII without spaces.
 	Name string
-	// Zone is the member's failure domain, at most MaxZoneLen bytes. Indirect probes go through
-	// another zone first, and deaths of half a zone are published as one change.
+	// Zone is the member's failure domain, at most MaxZoneLen bytes. Indirect probes prefer members of
+	// other zones as relays. If half of a zone dies, its deaths are published as one change.
 	Zone string
-	// Version is the program's version, at most MaxVersionLen bytes; shown, never compared.
+	// Version is the program's version, at most MaxVersionLen bytes. It is only displayed, never
+	// compared.
 	Version string
 	// Addr is the IPv4 address and port at which all other members reach this one.
 	Addr netip.AddrPort
-	// Boot identifies the process: a random number, drawn at each start, not 0.
+	// Boot identifies the process. It is a random number other than 0, drawn at each start.
 	Boot uint32
-	// Incarnation is the lowest incarnation to begin with: the last one that was persisted plus 1.
-	// 0 counts as 1. Without it the incarnation is learnt from live members alone.
+	// Incarnation is the lowest incarnation to start with: the last persisted incarnation plus 1.
+	// 0 counts as 1. If it is not set, the member can only learn its earlier incarnation from live
+	// members.
 	Incarnation uint32
-	// Seeds are addresses that are asked for the membership; the local address is skipped. More
-	// seeds bridge larger partitions, at one datagram a second in total. The slice must not change.
+	// Seeds are the addresses that the member asks for the membership. It skips its own address. More
+	// seeds help to reconnect larger network partitions, at a cost of one datagram a second in total.
+	// The slice must not be modified.
 	Seeds []netip.AddrPort
-	// SeedsOnly rejects datagrams from addresses that are neither members nor Seeds.
+	// SeedsOnly makes the member reject datagrams from addresses that belong neither to a member nor
+	// to Seeds.
 	SeedsOnly bool
-	// RandomSeed seeds all random draws.
+	// RandomSeed seeds the random number generator.
 	RandomSeed uint64
-	// MaxMembers bounds the membership list, dead members included; 0 for MaxMembers. A lower bound
-	// saves memory and leaves members out once it is reached.
+	// MaxMembers limits the entries of the membership list, dead members included. 0 means the
+	// constant MaxMembers. A lower limit saves memory; once the list is full, new members are not added.
 	MaxMembers int
 }
 
-// ConfigError is returned by New for a Config that breaks a rule.
+// ConfigError reports a field of a Config that New rejects.
 type ConfigError struct {
-	Field string // of Config
+	Field string // name of the field of Config
 	Value any
-	Rule  string // what Field must be
+	Rule  string // what the value must satisfy: it follows "it must" in the error text
 }
 
-// Error names the field, its value and the rule.
+// Error returns a text that names the field, its value and the rule that the value breaks.
 func (e *ConfigError) Error() string {
 	return fmt.Sprintf("members: %s is %q; it must %s", e.Field, fmt.Sprint(e.Value), e.Rule)
 }
 
-// validate returns the first broken rule as a *ConfigError.
+// validate returns a *ConfigError for the first rule that the Config breaks, or nil.
 func (c *Config) validate() error {
 	addrOK := c.Addr.IsValid() && c.Addr.Addr().Is4() && c.Addr.Port() != 0
 	for _, check := range []struct {
@@ -82,6 +86,7 @@
 
 const printableRule = "be printable ASCII without spaces"
 
+// isPrintable reports whether s consists of printable ASCII characters other than the space.
 func isPrintable(s string) bool {
 	for _, c := range s {
 		if c <= ' ' || c > '~' {
--- a/coord/members/decider.go
+++ b/coord/members/decider.go
@@ -7,71 +7,71 @@
 	"time"
 )
 
-// Decider is the membership of one process.
+// Decider is the membership state machine of one process. See the package comment for its use.
 type Decider struct {
 	config     Config
 	randSource *rand.PCG
 	rng        *rand.Rand
 	now        time.Duration
-	actions    []Action // of the present step
+	actions    []Action // to be returned by the current call of Step
 	self       *entry
 	stats      Stats
 
-	// The membership list; table.go.
+	// The membership list: see table.go.
 
 	entries    []*entry          // sorted by id
 	byAddr     map[uint64]*entry // by addrKey
 	liveCount  int
 	deadCount  int
-	digest     uint64 // of the live members and their incarnations: equal at all members
-	viewDigest uint64 // of the live members and their processes: what users see
-	sweepIndex int
+	digest     uint64 // of the live members and their incarnations; equal at all members once they agree
+	viewDigest uint64 // of the live members and their processes; published to users of the view
+	sweepIndex int    // index of the next entry that sweepDead checks
 
-	// Local health; health.go.
+	// Local health: see health.go.
 
-	lastReceivedAt    time.Duration // from any member
-	expectedStepAt    time.Duration // when the owner is due to call
-	noAccusationUntil time.Duration // after a stall nobody is accused
+	lastReceivedAt    time.Duration // when the last valid datagram arrived
+	expectedStepAt    time.Duration // when the owner should call Step again at the latest
+	noAccusationUntil time.Duration // after a stall, no member is accused before this time
 
-	// Failure detection; probe.go, relay.go and suspicion.go.
+	// Failure detection: see probe.go, relay.go and suspicion.go.
 
 	prober        proberState
-	recentRTT     time.Duration // the longest round trip, decaying
+	recentRTT     time.Duration // longest recent round trip; it decays with each answered probe
 	relays        [maxRelays]relayedProbe
 	lastRelay     uint16
 	suspicions    map[memberID]*suspicion
 	zoneScannedAt map[string]time.Duration
 
-	// Dissemination; gossip.go, records.go and sync.go.
+	// Dissemination: see gossip.go, records.go and sync.go.
 
 	pendingUpdates      []pendingUpdate
-	nextFlushAt         time.Duration // 0 for nothing pending
+	nextFlushAt         time.Duration // 0 if no update is pending
 	recordRequests      map[memberID]recordRequest
-	nextRecordRequestAt time.Duration // 0 for none
+	nextRecordRequestAt time.Duration // 0 if no request is planned
 	digestChangedAt     time.Duration
 	nextSyncAt          time.Duration
 	incarnationRaisedAt time.Duration
 
-	// Joining and reconnecting; join.go and reconnect.go.
+	// Joining and reconnecting: see join.go and reconnect.go.
 
 	nextJoinAt        time.Duration
 	joinDeadline      time.Duration
-	joiningPeers      []netip.AddrPort // that join at the same time
-	nameTaken         bool
-	reportedConflicts map[string]bool // by name and address
+	joiningPeers      []netip.AddrPort // processes that are joining at the same time
+	nameTaken         bool             // another member has the local name
+	reportedConflicts map[string]bool  // by name and address
 	nextReconnectAt   time.Duration
-	disputed          []memberID // dead here and alive to others
-	nextDisputeAt     time.Duration
+	disputed          []memberID    // members that are dead in the local list and alive in another member's
+	nextDisputeAt     time.Duration // 0 if no ping of a disputed member is planned
 	shuttingDown      bool
 
-	// What users are notified of; view.go.
+	// Notification of users: see view.go.
 
-	unpublished        map[memberID]*entry
-	deathsDelayedUntil time.Duration // 0 for no death that waits
+	unpublished        map[memberID]*entry // members that changed since the last published view
+	deathsDelayedUntil time.Duration       // 0 if no death is waiting to be published
 	viewVersion        uint64
 }
 
-// New returns the Decider of a process that starts now. It fails with a *ConfigError.
+// New returns a Decider for a process that starts now. If c is invalid, New returns a *ConfigError.
 func New(c Config, now time.Duration) (*Decider, error) {
 	if err := c.validate(); err != nil {
 		return nil, err
@@ -110,15 +110,16 @@
 	return d, nil
 }
 
-// jitter draws a duration from 1 ns to a maximum.
+// jitter returns a random duration from 1 ns to maximum.
 func (d *Decider) jitter(maximum time.Duration) time.Duration {
 	return time.Duration(d.rng.Int64N(int64(maximum)) + 1)
 }
 
-// Step takes an event at a time and returns the actions to carry out, in order. The slice is valid
-// until the next call. A now before that of the last call counts as that.
+// Step processes one event at time now and returns the actions that the owner must carry out, in
+// order. The returned slice is valid until the next call. If now is earlier than in the previous call,
+// Step uses the time of the previous call.
 func (d *Decider) Step(now time.Duration, e Event) []Action {
-	clear(d.actions) // they may refer to much, such as the first change of a large fleet
+	clear(d.actions) // releases memory that old actions refer to, such as the first change of a large fleet
 	d.actions = d.actions[:0]
 	if now > d.now {
 		stalled := now-d.expectedStepAt >= stallThreshold
@@ -141,13 +142,13 @@
 	return d.actions
 }
 
-// receive handles a datagram. One that is malformed, or from a sender that may not send, is counted
-// as dropped.
+// receive handles a datagram. It drops and counts a datagram that is malformed or that comes from a
+// sender that is not allowed to send.
 func (d *Decider) receive(from netip.AddrPort, data []byte) {
 	msg, body, err := parseDatagram(data)
 	sender := d.byAddr[addrKey(from)]
 	if err == nil && sender == d.self {
-		err = errOutOfRange // an echo
+		err = errOutOfRange // the local member received its own datagram
 	}
 	if err == nil && sender == nil && d.config.SeedsOnly && !slices.Contains(d.config.Seeds, from) {
 		err = errOutOfRange
@@ -166,7 +167,7 @@
 	d.lastReceivedAt = max(d.lastReceivedAt, d.now)
 }
 
-// handle passes a message on by its type. Sender is nil where the address is no member's.
+// handle calls the handler for the type of a message. sender is nil if no member has the address from.
 func (d *Decider) handle(msg messageType, from netip.AddrPort, sender *entry, r *reader) {
 	switch msg {
 	case pingMsg:
@@ -194,7 +195,7 @@
 	}
 }
 
-// send seals a datagram and adds it to the actions.
+// send appends the checksum to a datagram and adds the datagram to the actions.
 func (d *Decider) send(to netip.AddrPort, b []byte) {
 	b = appendChecksum(b)
 	d.stats.Sent++
@@ -202,15 +203,15 @@
 	d.actions = append(d.actions, Send{to, b})
 }
 
-// Stats returns the counters.
+// Stats returns the current counters and gauges.
 func (d *Decider) Stats() Stats {
 	stats := d.stats
 	stats.Alive, stats.Suspected, stats.Dead = d.liveCount, len(d.suspicions), d.deadCount
 	return stats
 }
 
-// Incarnation returns the present local incarnation, for the owner to persist.
+// Incarnation returns the current local incarnation, which the owner should persist.
 func (d *Decider) Incarnation() uint32 { return d.self.Incarnation }
 
-// State returns the local state: Joining, Alive or Left.
+// State returns the state of the local member: Joining, Alive or Left.
 func (d *Decider) State() State { return d.self.State }
--- a/coord/members/doc.go
+++ b/coord/members/doc.go
@@ -1,41 +1,47 @@
-// Package members is the group membership of a fleet: which processes are alive, as one of them
-// sees it. It is SWIM with the additions of Lifeguard, over datagrams of at most MaxDatagramLen
-// bytes. docs/design/members.md derives the timings and gives the format of every datagram.
+// Package members implements the group membership of a fleet: it decides which processes are alive,
+// from the point of view of one of them. The protocol is SWIM with the Lifeguard extensions. It runs
+// over datagrams of at most MaxDatagramLen bytes. docs/design/members.md derives the timings and
+// specifies the format of every datagram.
 //
 // # The protocol
 //
-// Failure detection. Once a protocol period a member pings the next member of a shuffled list. A
-// ping that stays without an answer is repeated, then other members are asked to ping the target
-// (an indirect probe). A probe without any answer makes the target suspected.
+// Failure detection. In each protocol period a member pings the next member of a shuffled list. If
+// the target does not answer, the member repeats the ping and then asks other members to ping the
+// target (an indirect probe). If the probe gets no answer at all, the member marks its target as
+// suspected.
 //
-// Suspicion. An update that a member is suspected is gossiped. The members that rank first for the
-// suspect by rendezvous hashing are its witnesses: they ping it until it answers, and confirm the
-// suspicion if it does not within the suspicion time-out. Two confirmations make it dead. The
-// suspect hears of the suspicion from each ping, and refutes it by raising its incarnation.
+// Suspicion. Members gossip an update that says that a member is suspected. The members that rank
+// first for the suspect by rendezvous hashing are its witnesses. The witnesses ping the suspect until
+// it answers. A witness that gets no answer within the suspicion timeout confirms the suspicion. Two
+// confirmations make the suspect dead. Each ping tells the suspect about the suspicion, and the
+// suspect refutes the suspicion by raising its incarnation.
 //
-// Dissemination. An update goes to a few random members at once and to a few more shortly
-// afterwards. Pings and acks carry a digest of all live members with their incarnations; two
-// members whose digests differ compare them level by level and exchange the updates that differ
+// Dissemination. A member sends an update to a few random members at once, and to a few more shortly
+// afterwards. Pings and acks carry a digest of all live members and their incarnations. Two members
+// whose digests differ compare the digests level by level and exchange the updates that differ
 // (anti-entropy).
 //
-// Joining. A process that starts asks its seeds what they know of its name, and takes an
-// incarnation above that before it announces itself. Of several processes that claim one
-// name the first has it; the others are rejected until it is dead.
+// Joining. A process that starts asks its seeds what they know about its name, and chooses an
+// incarnation above that before it announces itself. If several processes claim the same name, the
+// first one keeps it. The others are rejected until the first one is dead.
 //
-// Local health. A member that was not scheduled in time, or whose probes fail often, doubts itself
-// first: it voids its probes, accuses nobody for a period and probes less often.
+// Local health. If a member was not scheduled in time (a stall), or if its probes fail often, the
+// member assumes that it is itself at fault and probes less often. After a stall it also cancels its
+// probes and accuses no member for one protocol period.
 //
 // # Use
 //
-// A Decider is a state machine without I/O, clock or goroutine. Its owner calls Step with the time
-// and one event, carries out the returned actions, and calls again at Next. The same seed and
-// events give the same actions. The owner calls from one goroutine at a time, with a clock that
-// never goes back; a clock or an owner that stood still is detected.
+// A Decider is a state machine without I/O, clock or goroutine. The owner of the Decider calls Step
+// with the time and one event, carries out the returned actions, and calls Step again no later than
+// the time that Next returns. The same seed and the same events produce the same actions. The owner
+// must call from one goroutine at a time, with a clock that never goes backwards. The Decider detects
+// that the clock jumped forward or that the owner stalled.
 //
-// # Promises
+// # Guarantees
 //
-// The local incarnation only grows, across restarts too, as long as one live member knew it or
-// Config.Incarnation was persisted. The local member is never dead in its own view. No datagram is
-// longer than MaxDatagramLen. Memory is bounded as the design note says, whatever datagrams arrive.
-// From the last fault on, the views of all live members become equal within a bounded time.
+// The local incarnation never decreases. This holds across restarts too, as long as one live member
+// knew the incarnation or the owner persisted Config.Incarnation. The local member is never dead in its
+// own view. No datagram is longer than MaxDatagramLen. Whatever datagrams arrive, memory use stays
+// within the bounds in the design document. After the last fault, the views of all live members become
+// equal within a bounded time.
 package members
--- a/coord/members/gossip.go
+++ b/coord/members/gossip.go
@@ -6,19 +6,20 @@
 	"time"
 )
 
-// pendingUpdate is an update that is gossiped twice.
+// pendingUpdate is an update that the local member gossips twice: soon after it was enqueued, and once
+// more after regossipDelay.
 type pendingUpdate struct {
 	update
-	withRecord bool // the member's record goes out in place of the update
+	withRecord bool // send the member's record instead of the update
 	sendAt     time.Duration
 	timesSent  int
 }
 
-// broadcast gossips an update.
+// broadcast enqueues an update to be gossiped.
 func (d *Decider) broadcast(u update) { d.enqueue(pendingUpdate{update: u}) }
 
-// enqueue adds an update to the next batch and removes those that it supersedes. Beyond
-// maxPendingUpdates it is left out: anti-entropy repairs that.
+// enqueue adds an update to the next batch and removes the pending updates that it supersedes. If
+// maxPendingUpdates are pending, enqueue discards the new update; anti-entropy spreads it later.
 func (d *Decider) enqueue(p pendingUpdate) {
 	d.pendingUpdates = slices.DeleteFunc(d.pendingUpdates, func(x pendingUpdate) bool {
 		return x.id == p.id && (x.incarnation < p.incarnation || x.state != p.state && p.state != Suspected)
@@ -33,13 +34,13 @@
 	}
 }
 
-// flushUpdates sends the updates that are due: new ones to gossipFanout random members, and those
-// that went out before to regossipFanout more.
+// flushUpdates sends the updates that are due. It sends new updates to gossipFanout random members, and
+// updates that were sent once before to regossipFanout random members.
 func (d *Decider) flushUpdates() {
 	if d.nextFlushAt == 0 || d.now < d.nextFlushAt {
 		return
 	}
-	if d.liveCount < 2 && !d.shuttingDown { // nobody is there to receive them
+	if d.liveCount < 2 && !d.shuttingDown { // no other live member could receive the updates
 		d.nextFlushAt = d.now + regossipDelay
 		return
 	}
@@ -56,8 +57,8 @@
 	}
 }
 
-// takeDueUpdates returns the updates that are due for the first and for the second time. Those of
-// the first time stay pending.
+// takeDueUpdates returns the updates that are due for the first time and those that are due for the
+// second time. Updates that are due for the first time stay pending.
 func (d *Decider) takeDueUpdates() (first, repeated []pendingUpdate) {
 	d.nextFlushAt = 0
 	waiting := d.pendingUpdates[:0]
@@ -80,8 +81,9 @@
 	return first, repeated
 }
 
-// sendUpdates sends updates to one member in as few datagrams as they fit, at most
-// maxDatagramsPerTarget and two that are not full.
+// sendUpdates sends updates to one member in as few datagrams as possible. It sends at most
+// maxDatagramsPerTarget full datagrams, plus two that are not full. Updates that do not fit are not sent
+// to this member.
 func (d *Decider) sendUpdates(to netip.AddrPort, all []pendingUpdate) {
 	updates, records := newDatagram(updatesMsg), newDatagram(recordsMsg)
 	sent := 0
@@ -109,13 +111,14 @@
 	d.sendUnlessEmpty(to, records)
 }
 
-// sendUnlessEmpty sends a datagram that has more than its header.
+// sendUnlessEmpty sends a datagram unless it consists of the header only.
 func (d *Decider) sendUnlessEmpty(to netip.AddrPort, b []byte) {
 	if len(b) > headerLen {
 		d.send(to, b)
 	}
 }
 
+// onUpdates applies the gossiped updates of a datagram.
 func (d *Decider) onUpdates(from netip.AddrPort, r *reader) {
 	updates := r.updates()
 	if r.err != nil {
@@ -126,7 +129,8 @@
 	}
 }
 
-// applyUpdate applies an update of a member, which may be the local one.
+// applyUpdate applies an update about a member, which may be the local one. The update was received in
+// a datagram from the address from.
 func (d *Decider) applyUpdate(u update, from netip.AddrPort) {
 	_, e := d.find(u.id)
 	switch {
@@ -151,8 +155,9 @@
 	}
 }
 
-// applyAlive applies an update that a member is alive. Where the sender does not know of its death,
-// its leave or its new process, the sender or the member is notified.
+// applyAlive applies an update that says that a member is alive. If the sender does not know that the
+// member died or left, applyAlive sends the sender an update. If the sender knows another process of
+// the member at the same incarnation, applyAlive sends the member its record.
 func (d *Decider) applyAlive(e *entry, u update, from netip.AddrPort) {
 	sameProcess := u.bootLow == uint16(e.Boot)
 	switch {
@@ -163,18 +168,19 @@
 		d.broadcast(u)
 	case u.incarnation < e.Incarnation:
 	case e.isLive() && !sameProcess:
-		// The new process has the incarnation of the old one and raises it once it knows.
+		// The new process has the same incarnation as the old one. It raises its incarnation when it
+		// receives this record.
 		d.send(e.Addr, appendRecord(newDatagram(recordsMsg), e.toMember()))
 	case e.State == Dead:
 		d.send(from, appendUpdate(newDatagram(updatesMsg), deadUpdate(e)))
 		d.dispute(e)
 	case e.State == Left && sameProcess:
-		// Anti-entropy exchanges live members only, so nothing else would notify the sender.
+		// Anti-entropy exchanges live members only, so the sender would not learn of the leave otherwise.
 		d.send(from, appendUpdate(newDatagram(updatesMsg), update{id: e.id, state: Left, incarnation: e.Incarnation}))
 	}
 }
 
-// applySuspected applies an update that a member is suspected.
+// applySuspected applies an update that says that a member is suspected.
 func (d *Decider) applySuspected(e *entry, u update, from netip.AddrPort) {
 	switch {
 	case !e.isLive() && u.incarnation <= e.Incarnation:
@@ -182,14 +188,14 @@
 			d.send(from, appendUpdate(newDatagram(updatesMsg), deadUpdate(e)))
 		}
 	case u.incarnation > e.Incarnation:
-		d.requestRecord(u.id, from) // it was alive since, perhaps as another process
+		d.requestRecord(u.id, from) // the member has been alive at u.incarnation, perhaps as another process
 	default:
 		d.suspectMember(e, u)
 	}
 }
 
-// applyDead applies an update that a member is dead. It is believed of a suspect only; of any other
-// member it leads to a probe.
+// applyDead applies an update that says that a member is dead. The local member accepts the update only
+// if it already suspects the member; otherwise it probes the member.
 func (d *Decider) applyDead(e *entry, u update) {
 	switch {
 	case u.incarnation < e.Incarnation || !e.isLive():
@@ -200,7 +206,7 @@
 	}
 }
 
-// applyLeft applies an update that a member has left.
+// applyLeft applies an update that says that a member has left.
 func (d *Decider) applyLeft(e *entry, u update) {
 	if u.incarnation < e.Incarnation || !e.isLive() {
 		return
@@ -210,8 +216,9 @@
 	d.broadcast(u)
 }
 
-// applyUpdateOfSelf refutes whatever is held against the local member, or held of an earlier
-// process of it.
+// applyUpdateOfSelf refutes an update that says that the local member is suspected, dead or has left, or
+// that belongs to an earlier process with the local name. It refutes the update by raising the local
+// incarnation.
 func (d *Decider) applyUpdateOfSelf(u update) {
 	if d.shuttingDown || d.self.State == Joining && u.incarnation < d.self.Incarnation {
 		return
@@ -225,17 +232,19 @@
 	d.raiseIncarnation(u.incarnation)
 }
 
-// raiseIncarnation raises the local incarnation above one that was heard of, and gossips it.
+// raiseIncarnation raises the local incarnation above a received one and gossips the new incarnation.
 func (d *Decider) raiseIncarnation(above uint32) {
 	if above == 1<<32-1 {
-		return // nothing is above it: the sender is wrong
+		return // no higher incarnation exists, so the received one must be wrong
 	}
 	if d.self.State == Joining {
 		d.self.Incarnation = max(d.self.Incarnation, above+1)
 		return
 	}
 	if d.incarnationRaisedAt > 0 && d.now < d.incarnationRaisedAt+refutationInterval {
-		return // two processes of one name would drive each other on; the update comes again
+		// Otherwise two processes with the same name would raise their incarnations in a tight loop.
+		// A later copy of the update raises the incarnation.
+		return
 	}
 	d.incarnationRaisedAt = d.now
 	d.setState(d.self, d.self.State, above+1)
--- a/coord/members/health.go
+++ b/coord/members/health.go
@@ -2,8 +2,9 @@
 
 import "slices"
 
-// onStall is called where the owner called too late: the answers to the probes under way may wait
-// unread, so they are void, and nobody is accused for a period.
+// onStall handles a call of Step that came too late, at least stallThreshold after the expected time.
+// Answers to the probes in progress may still be unread, so onStall cancels these probes, restarts the
+// timeouts of all suspicions, and lets the local member accuse no member for one protocol period.
 func (d *Decider) onStall() {
 	d.stats.Stalls++
 	d.raiseHealthScore()
@@ -15,14 +16,15 @@
 	d.lastReceivedAt = d.now
 }
 
-// raiseHealthScore takes note that the local process may be what fails. Answers to probes lower the
-// score again.
+// raiseHealthScore raises the local health score (Lifeguard) when the local process itself may be at
+// fault. Direct answers to probes lower the score again.
 func (d *Decider) raiseHealthScore() {
 	d.stats.HealthScore = min(d.stats.HealthScore+1, maxHealthScore)
 }
 
-// suspectEverybody is called once nothing was received for isolationTimeout: a small side of a
-// network partition would take long to find that out one probe a period.
+// suspectAll suspects all alive members. It is called when no datagram was received for
+// isolationTimeout. On the small side of a network partition, detecting the loss of the other members
+// with one probe per protocol period would take too long.
 func (d *Decider) suspectAll() {
 	d.lastReceivedAt = d.now
 	for _, e := range slices.Clone(d.entries) {
@@ -36,7 +38,7 @@
 	}
 }
 
-// accuse suspects a member by the local member's own probes.
+// accuse starts a suspicion of a member, with the local member as the accuser.
 func (d *Decider) accuse(e *entry) {
 	d.suspectMember(e, update{id: e.id, state: Suspected, incarnation: e.Incarnation, reporter: d.self.id})
 }
--- a/coord/members/join.go
+++ b/coord/members/join.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// joinReplyRecords is how many records of random members the answer to a join has.
+// joinReplyRecords is how many records of random members the answer to a join message contains at most.
 const joinReplyRecords = 3
 
-// nextJoinEvent is when the local member asks seeds again, or has waited long enough to be the
-// first of its fleet.
+// nextJoinEvent returns the time at which the local member asks seeds again, or at which it concludes
+// that it is the first member of its fleet.
 func (d *Decider) nextJoinEvent() time.Duration {
 	if d.nameTaken {
 		return d.nextJoinAt
@@ -18,8 +18,8 @@
 	return min(d.nextJoinAt, d.joinDeadline)
 }
 
-// runJoin asks random seeds for what is known of the local name. The join is complete when an alive
-// member has answered, or at the deadline.
+// runJoin asks random seeds what they know about the local name. The join is complete when an alive
+// member has answered, or at joinDeadline if the name is not taken.
 func (d *Decider) runJoin() {
 	if d.now >= d.joinDeadline && !d.nameTaken {
 		d.completeJoin()
@@ -40,31 +40,33 @@
 	}
 }
 
-// sendJoin sends the local record.
+// sendJoin sends a join message, which contains the record of the local member.
 func (d *Decider) sendJoin(to netip.AddrPort) {
 	d.send(to, appendRecord(newDatagram(joinMsg), d.self.toMember()))
 }
 
-// completeJoin makes the local member alive.
+// completeJoin sets the local member to Alive and gossips its record.
 func (d *Decider) completeJoin() {
 	d.setState(d.self, Alive, d.self.Incarnation)
 	d.unpublished[d.self.id] = d.self
 	d.enqueue(pendingUpdate{update: aliveUpdate(d.self), withRecord: true})
-	for _, peer := range d.joiningPeers { // they did not know this member either, and are alive by now
+	// Processes that joined at the same time did not know this member either. They are alive by now.
+	for _, peer := range d.joiningPeers {
 		d.sendJoin(peer)
 	}
 	d.joiningPeers = nil
 }
 
-// addJoiningPeer keeps the address of a process that joins at the same time.
+// addJoiningPeer stores the address of a process that joins at the same time as the local one, so that
+// completeJoin can contact it.
 func (d *Decider) addJoiningPeer(addr netip.AddrPort) {
 	if d.self.State == Joining && len(d.joiningPeers) < maxJoiningPeers && !slices.Contains(d.joiningPeers, addr) {
 		d.joiningPeers = append(d.joiningPeers, addr)
 	}
 }
 
-// onJoin answers a process that introduces itself with the local record, what is known of it, and a
-// few other members.
+// onJoin answers a join message with the record of the local member, the known record of the sender,
+// and the records of a few other members. It rejects a sender that claims the name of an alive member.
 func (d *Decider) onJoin(from netip.AddrPort, r *reader) {
 	m := r.record()
 	if r.err != nil || m.Addr != from || d.shuttingDown {
@@ -83,11 +85,14 @@
 	}
 }
 
-// sendJoinReply answers a join. Known is the entry of the process that joins, nil for none.
+// sendJoinReply answers a join message. known is the entry with the name of the joining process, nil if
+// the name is unknown.
 func (d *Decider) sendJoinReply(to netip.AddrPort, known *entry) {
 	local := *d.self.toMember()
 	if local.State == Alive && d.now < local.Since+joinTimeout {
-		local.State = Joining // a member that has only just joined may not know the name of the other
+		// A member that joined less than joinTimeout ago may not yet know the joining process's name.
+		// It reports itself as Joining, so that its answer does not complete the join.
+		local.State = Joining
 	}
 	b := appendRecord(newDatagram(recordsMsg), &local)
 	if known != nil && known != d.self {
@@ -101,12 +106,13 @@
 	d.send(to, b)
 }
 
-// conflicts reports whether a record claims the name of an alive member from another address.
+// conflicts reports whether the record m claims the name of the alive member e from another address.
 func (d *Decider) conflicts(e *entry, m *Member) bool {
 	return m.Addr != e.Addr && (e == d.self || e.State == Alive)
 }
 
-// rejectClaim notifies a process that its name is taken, and reports that to the owner once.
+// rejectClaim notifies a process that the name it claims is taken. It reports the conflict to the owner
+// once for each name and address.
 func (d *Decider) rejectClaim(m *Member) {
 	d.send(m.Addr, appendText(newDatagram(nameTakenMsg), m.Name))
 	key := m.Name + " " + m.Addr.String()
@@ -116,8 +122,9 @@
 	}
 }
 
-// onNameTaken takes note that another member has the local name. A member that is alive has it
-// itself and goes on: others will find out which of the two is to be rejected.
+// onNameTaken handles a message that says that another member has the local name. A local member that is
+// already alive ignores the message: it holds the name itself, and the other members decide which of
+// the two processes to reject.
 func (d *Decider) onNameTaken(from netip.AddrPort, r *reader) {
 	if name := r.text(MaxNameLen); r.err != nil || name != d.config.Name || d.self.State != Joining {
 		return
@@ -128,7 +135,8 @@
 	}
 }
 
-// leave announces that this process ends, unless another process of the same name takes over.
+// leave shuts the local member down. It announces the leave unless another process takes over the
+// same name.
 func (d *Decider) leave(replaced bool) {
 	if d.shuttingDown {
 		return
--- a/coord/members/member.go
+++ b/coord/members/member.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// State is the state of a member, as one member sees it.
+// State is the state of a member from the point of view of one member.
 type State uint8
 
-// The states. The numbers are on the wire.
+// The states. Datagrams contain these numbers.
 const (
-	Joining   State = iota // only of the local member: it asks others for its incarnation
-	Alive                  // answers probes, or is reported to
-	Suspected              // failed a probe and may still refute; counts as live
+	Joining   State = iota // asks other members for its earlier incarnation; in a list, only the local member
+	Alive                  // answers probes, or other members say so
+	Suspected              // failed a probe and may still refute the suspicion; counts as live
 	Dead                   // witnesses confirmed the suspicion
 	Left                   // announced that it leaves
 )
 
-// States has the name and meaning of every state, in the order of their numbers.
+// States lists the name and meaning of every state. The index is the number of the state.
 var States = []struct{ Name, Meaning string }{
 	{"joining", "asks other members for its earlier incarnation"},
 	{"alive", "answers probes, or is reported to"},
@@ -26,56 +26,56 @@
 	{"left", "announced that it leaves"},
 }
 
-// String is the name of the state.
+// String returns the name of the state.
 func (s State) String() string { return States[s].Name }
 
-// Member is one member of a View.
+// Member describes one member of the fleet: its identity and its state.
 type Member struct {
 	Name, Zone, Version string
 	Addr                netip.AddrPort
 	Incarnation         uint32
 	Boot                uint32
 	State               State
-	Since               time.Duration // when State began, on the decider's clock
+	Since               time.Duration // when the member entered State, on the clock of the Decider
 }
 
-// View is a snapshot of the live members: those that are Alive or Suspected.
+// View is a snapshot of the live members. A member is live if it is Alive or Suspected.
 type View struct {
-	// Version grows with each change; versions of different deciders can't be compared.
+	// Version grows with each published change. Versions of different Deciders are not comparable.
 	Version uint64
-	// Digest is equal for two views with the same processes as members.
+	// Digest is equal for two views whose members are the same processes.
 	Digest uint64
 	// Members are sorted by name.
 	Members []Member
 }
 
-// Reason is the cause of a change.
+// Reason is the cause of a Change.
 type Reason string
 
-// The reasons. Their texts stand in logs.
+// The reasons. Their texts appear in logs.
 const (
 	ReasonJoined    Reason = "joined"
-	ReasonRestarted Reason = "restarted" // another process of the member: after a crash, an upgrade or a replacement
-	ReasonReturned  Reason = "returned"  // was dead and answers
+	ReasonRestarted Reason = "restarted" // a new process has the name, after a crash, an upgrade or a replacement
+	ReasonReturned  Reason = "returned"  // the member was dead or had left, and the same process is live again
 	ReasonCrashed   Reason = "crashed"
 	ReasonZoneLost  Reason = "zone lost" // crashed together with at least half of its zone
 	ReasonLeft      Reason = "left"
 )
 
-// Change is what became of one member.
+// Change is the change of one member between two versions of the view.
 type Change struct {
 	Member Member
 	Reason Reason
 }
 
-// Stats are counters since the start, but for the gauges that say so.
+// Stats holds counters since the start of the Decider and some gauges, which are marked as gauges.
 type Stats struct {
-	Alive, Suspected, Dead  int // gauges; Alive counts the local member and the suspected ones
+	Alive, Suspected, Dead  int // gauges; Alive includes the local member and the suspected members
 	Sent, SentBytes         uint64
 	Received                uint64
-	Dropped                 uint64 // datagrams that were malformed, or from a sender that may not send
+	Dropped                 uint64 // datagrams that were malformed or whose sender was not allowed to send
 	Suspicions, Refutations uint64
 	Deaths, Joins           uint64
 	HealthScore             int    // gauge: the local health score, 0 for healthy up to 8
-	Stalls                  uint64 // calls to Step that came late
+	Stalls                  uint64 // calls of Step that came late by stallThreshold or more
 }
