--- a/coord/members/gossip.go
+++ b/coord/members/gossip.go
@@ -157,7 +157,7 @@
 
 // applyAlive applies an update that says that a member is alive. If the sender does not know that the
 // member died or left, applyAlive sends the sender an update. If the sender knows another process of
-// the member at the same incarnation, applyAlive sends the member its record.
+// the member at the same incarnation, applyAlive sends the locally known record to the member.
 func (d *Decider) applyAlive(e *entry, u update, from netip.AddrPort) {
 	sameProcess := u.bootLow == uint16(e.Boot)
 	switch {
--- a/coord/members/member.go
+++ b/coord/members/member.go
@@ -10,7 +10,7 @@
 
 // The states. Datagrams contain these numbers.
 const (
-	Joining   State = iota // asks other members for its earlier incarnation; in a list, only the local member
+	Joining   State = iota // the local member asks other members for its earlier incarnation
 	Alive                  // answers probes, or other members say so
 	Suspected              // failed a probe and may still refute the suspicion; counts as live
 	Dead                   // witnesses confirmed the suspicion
--- a/coord/members/probe.go
+++ b/coord/members/probe.go
@@ -8,45 +8,46 @@
 	"time"
 )
 
-// pingRingSize is how many of the last pings are remembered, to tell whose ack has come.
+// pingRingSize is how many of the last pings the prober remembers, to match acks with their pings.
 const pingRingSize = 64
 
-// untrackedSeq is the sequence number of pings outside of probes: what their acks carry counts, not
-// that they come. Numbers of probes are below it, those of relayed pings have relayFlag.
+// untrackedSeq is the sequence number of all pings that belong to no probe. The member processes the
+// updates and the digest in the ack of such a ping, but the ack does not complete a probe. The sequence
+// numbers of pings in probes are lower than untrackedSeq; those of relayed pings have relayFlag set.
 const untrackedSeq = 0x7fff
 
-// maxRTT bounds what a round trip is taken for: an ack that is minutes late says nothing of the
-// next.
+// maxRTT limits the measured round-trip time. An ack that is minutes late does not predict the next
+// round trip.
 const maxRTT = 3 * time.Second
 
-// proberState has the probes under way and the targets that come next.
+// proberState holds the probes in progress and the next targets.
 type proberState struct {
-	nextAt time.Duration // when the next probe begins
-	queue  []memberID    // targets of this pass over all members, shuffled; the last is next
-	active []probe
+	nextAt time.Duration // when the next probe starts
+	queue  []memberID    // remaining targets of this pass over all members, shuffled; the last one is next
+	active []probe       // probes in progress
 
-	lastSeq uint16                      // of the last ping of a probe
-	sentAt  [pingRingSize]time.Duration // by sequence number
-	sentTo  [pingRingSize]memberID
+	lastSeq uint16                      // sequence number of the last ping that belongs to a probe
+	sentAt  [pingRingSize]time.Duration // time of a ping, by sequence number modulo pingRingSize
+	sentTo  [pingRingSize]memberID      // target of a ping, by sequence number modulo pingRingSize
 
-	boostUntil  time.Duration // probes go faster until then
-	urgentCount int           // targets at the end of queue that are to be probed soon
-	missBits    uint16        // of the last missWindow probes, the newest in the lowest bit
+	boostUntil  time.Duration // until this time probes start every boostedProbeInterval
+	urgentCount int           // number of targets at the end of queue that are probed at the boosted rate
+	missBits    uint16        // results of the last missWindow probes: 1 is a failure, the lowest bit is the newest
 }
 
-// probe is one probe under way.
+// probe is a probe in progress.
 type probe struct {
 	target    memberID
 	startedAt time.Duration
-	pingsSent int
-	indirect  bool             // other members were asked
-	relays    []netip.AddrPort // who was asked
+	pingsSent int              // direct pings
+	indirect  bool             // whether other members were asked to ping the target
+	relays    []netip.AddrPort // the members that were asked
 }
 
 // cancelAll ends all probes without a result.
 func (p *proberState) cancelAll() { p.active = p.active[:0] }
 
-// nextSeq numbers a ping of a probe.
+// nextSeq returns the sequence number for a ping of a probe, and records the time and target of the ping.
 func (p *proberState) nextSeq(now time.Duration, target memberID) uint16 {
 	if p.lastSeq++; p.lastSeq >= untrackedSeq {
 		p.lastSeq = 1
@@ -55,17 +56,19 @@
 	return p.lastSeq
 }
 
-// isProbing reports whether a probe of a member is under way.
+// isProbing reports whether a probe of a member is in progress.
 func (p *proberState) isProbing(id memberID) bool {
 	return slices.ContainsFunc(p.active, func(x probe) bool { return x.target == id })
 }
 
-// probeTimeout is how long a probe has: longer where acks took long of late.
+// probeTimeout returns how long a probe may take before it fails. Long recent round trips extend the
+// timeout.
 func (d *Decider) probeTimeout() time.Duration {
 	return baseProbeTimeout + max(d.recentRTT-baseProbeTimeout/2, 0)
 }
 
-// probeInterval is the time between two probes.
+// probeInterval returns the time between the starts of two probes. A higher local health score makes the
+// interval longer.
 func (d *Decider) probeInterval() time.Duration {
 	if d.now < d.prober.boostUntil || d.prober.urgentCount > 0 {
 		return boostedProbeInterval
@@ -73,7 +76,8 @@
 	return protocolPeriod * time.Duration(2+d.stats.HealthScore) / 2
 }
 
-// nextProbeEvent is when a probe begins, goes on or ends.
+// nextProbeEvent returns the next time at which a probe starts, sends pings or fails, or at which
+// isolationTimeout ends.
 func (d *Decider) nextProbeEvent() time.Duration {
 	p := &d.prober
 	next := p.nextAt
@@ -96,7 +100,8 @@
 	return next
 }
 
-// runProbes advances the probes under way and begins the next one when it is due.
+// runProbes advances the probes in progress and starts the next one when it is due. It suspects all
+// members if no datagram arrived for isolationTimeout.
 func (d *Decider) runProbes() {
 	p := &d.prober
 	for i := 0; i < len(p.active); {
@@ -116,17 +121,17 @@
 	}
 }
 
-// startProbe probes the next target. At the end of the queue it shuffles all live members anew, so
-// that each is probed once in a pass.
+// startProbe starts a probe of the next target. At the end of the queue it fills the queue with all
+// live members in random order, so that each pass probes each member once.
 func (d *Decider) startProbe() {
 	p := &d.prober
-	for range 2 { // what is left of this pass, and a new one
+	for range 2 { // the rest of this pass, then a new pass
 		for len(p.queue) > 0 {
 			id := p.queue[len(p.queue)-1]
 			p.queue = p.queue[:len(p.queue)-1]
 			p.urgentCount = max(p.urgentCount-1, 0)
 			if s := d.suspicions[id]; s != nil && s.watching || p.isProbing(id) {
-				continue // it is pinged anyway
+				continue // a suspicion or another probe already pings this member
 			}
 			if _, e := d.find(id); e != nil && e != d.self && e.isLive() {
 				p.active = append(p.active, probe{target: id, startedAt: d.now})
@@ -143,7 +148,8 @@
 	}
 }
 
-// probeSoon makes a member the next target, where an update about it is to be checked first-hand.
+// probeSoon makes a member the next target. It is used when the local member must check a report about
+// the member by a probe of its own.
 func (d *Decider) probeSoon(e *entry) {
 	p := &d.prober
 	n := len(p.queue)
@@ -155,7 +161,8 @@
 	p.nextAt = min(p.nextAt, d.now+boostedProbeInterval)
 }
 
-// advanceProbe sends the pings of a probe that are due and reports whether it is still under way.
+// advanceProbe sends the pings of a probe that are due and reports whether the probe is still in
+// progress.
 func (d *Decider) advanceProbe(x *probe) bool {
 	_, e := d.find(x.target)
 	if e == nil || !e.isLive() {
@@ -176,8 +183,8 @@
 	return true
 }
 
-// probeFailed takes note of a probe without an answer and accuses its target, unless the local
-// member was wrong about it before or has just stalled.
+// probeFailed records that a probe got no answer and accuses the target. It does not accuse the target if
+// the local member has just stalled or has recently accused the same target wrongly.
 func (d *Decider) probeFailed(e *entry) {
 	p := &d.prober
 	p.missBits = p.missBits<<1 | 1
@@ -194,8 +201,9 @@
 	}
 }
 
-// sendPing pings a member. The ping names the process that it is for and carries what is held
-// against the member, so that it can refute that.
+// sendPing pings a member. The ping contains the Boot number of the process that should answer. If the
+// local member does not consider the target alive, the ping also contains an update with the state of the
+// target, so that the target can refute that state.
 func (d *Decider) sendPing(e *entry, seq uint16) {
 	b := binary.BigEndian.AppendUint16(newDatagram(pingMsg), seq)
 	b = binary.BigEndian.AppendUint32(b, e.Boot)
@@ -206,8 +214,8 @@
 	d.send(e.Addr, b)
 }
 
-// onPing answers a ping with an ack, or, if it was for an earlier process at this address, with the
-// record of this one.
+// onPing answers a ping with an ack. If the ping was meant for another process at this address, onPing
+// answers with the record of the local process instead.
 func (d *Decider) onPing(from netip.AddrPort, sender *entry, r *reader) {
 	seq, boot, digest := r.u16(), r.u32(), r.u32()
 	updates := r.updates()
@@ -225,10 +233,10 @@
 	}
 	b := binary.BigEndian.AppendUint16(newDatagram(ackMsg), seq)
 	b = binary.BigEndian.AppendUint32(b, uint32(d.digest))
-	if accused { // refuted in each ack: an earlier one may be lost
+	if accused { // every ack contains the refutation, because an earlier ack may have been lost
 		b = appendUpdate(b, aliveUpdate(d.self))
 	}
-	if sender != nil && !sender.isLive() { // so that it can refute its death
+	if sender != nil && !sender.isLive() { // lets the sender refute its death
 		b = appendUpdate(b, update{id: sender.id, state: Dead, incarnation: sender.Incarnation})
 	}
 	d.send(from, b)
@@ -239,7 +247,8 @@
 	d.compareDigest(from, digest)
 }
 
-// onAck takes the answer to a ping of a probe, of a witness, or on behalf of another member.
+// onAck handles the answer to a ping that the local member sent for a probe, as a witness, or on behalf
+// of another member.
 func (d *Decider) onAck(from netip.AddrPort, sender *entry, r *reader) {
 	seq, digest := r.u16(), r.u32()
 	updates := r.updates()
@@ -260,8 +269,8 @@
 	}
 }
 
-// probeAnswered ends a probe with success. The ack comes from the target or from a member that was
-// asked for an indirect probe.
+// probeAnswered ends a probe as successful. The ack comes from the target or from a member that the
+// local member asked for an indirect probe.
 func (d *Decider) probeAnswered(from netip.AddrPort, seq uint16) {
 	p := &d.prober
 	slot := seq % pingRingSize
@@ -288,14 +297,15 @@
 	}
 }
 
-// onWrongProcess takes note that a ping reached another process than the one that it was for.
+// onWrongProcess handles the answer of a process that received a ping meant for another process at its
+// address. The answer contains the record of the process that answered.
 func (d *Decider) onWrongProcess(from netip.AddrPort, r *reader) {
 	m := r.record()
 	if r.err != nil || m.Addr != from {
 		return
 	}
 	if old := d.byAddr[addrKey(from)]; old != nil && old != d.self && old.Name != m.Name && old.State == Alive {
-		d.accuse(old) // while it is alive, no other member can answer at its address
+		d.accuse(old) // a member with another name answers at the address of old, so old may be dead
 	}
 	d.applyRecord(m, from)
 }
--- a/coord/members/reader.go
+++ b/coord/members/reader.go
@@ -6,16 +6,17 @@
 	"net/netip"
 )
 
-// reader decodes the body of a datagram from its front. The first error sticks; reads after it
-// return zero values.
+// reader decodes the body of a datagram from front to back. After a read failed, err is set and all
+// further reads return zero values.
 type reader struct {
 	rest []byte
 	err  error
 }
 
-// hasMore reports whether bytes are left and none was malformed.
+// hasMore reports whether unread bytes remain and no read has failed.
 func (r *reader) hasMore() bool { return r.err == nil && len(r.rest) > 0 }
 
+// take reads n bytes. It returns nil if fewer bytes remain.
 func (r *reader) take(n int) []byte {
 	if r.err != nil || len(r.rest) < n {
 		r.err = errTruncated
@@ -72,7 +73,8 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte(b[:4])), binary.BigEndian.Uint16(b[4:]))
 }
 
-// text reads printable ASCII of at most maxLen bytes.
+// text reads a string of at most maxLen printable ASCII characters, which a byte with its length
+// precedes.
 func (r *reader) text(maxLen int) string {
 	n := int(r.u8())
 	if n > maxLen {
@@ -87,7 +89,7 @@
 	return string(b)
 }
 
-// path reads the path of a node of the anti-entropy tree.
+// path reads the path to a node of the anti-entropy tree: one nibble in each byte.
 func (r *reader) path() []byte {
 	n := int(r.u8())
 	if n >= maxPathLen {
@@ -120,7 +122,7 @@
 	return u
 }
 
-// updates reads updates to the end of the body.
+// updates reads updates until the end of the body.
 func (r *reader) updates() (all []update) {
 	for r.hasMore() {
 		if u := r.update(); r.err == nil {
--- a/coord/members/reconnect.go
+++ b/coord/members/reconnect.go
@@ -2,14 +2,15 @@
 
 import "slices"
 
-// seedDraws is how many seeds are drawn at most to find one that no live member has.
+// seedDraws is how many random seeds reconnect tries at most to find one whose address belongs to no
+// live member.
 const seedDraws = 8
 
-// disputesPerBatch is how many disputed members are pinged at a time.
+// disputesPerBatch is how many disputed members pingDisputed pings in one batch.
 const disputesPerBatch = 4
 
-// reconnect contacts a dead member, or a seed at which no live member is known: it may be the way
-// to the other side of a network partition.
+// reconnect contacts a dead member, or a seed whose address belongs to no known live member. The
+// contacted process may be on the other side of a network partition that has healed.
 func (d *Decider) reconnect() {
 	if d.self.State != Alive || d.now < d.nextReconnectAt {
 		return
@@ -34,8 +35,9 @@
 	}
 }
 
-// dispute takes note of a member that is dead here and alive to another member: the ping that it is
-// sent has the update that it is dead here, which it refutes if it is alive.
+// dispute schedules a ping of a member that is dead in the local list and alive in another member's
+// list. The ping contains the update that says that the member is dead. If the member is alive, it
+// refutes this update.
 func (d *Decider) dispute(e *entry) {
 	if len(d.disputed) >= maxRecordRequests || slices.Contains(d.disputed, e.id) {
 		return
@@ -46,7 +48,7 @@
 	}
 }
 
-// pingDisputed pings the next few disputed members.
+// pingDisputed pings the next disputesPerBatch disputed members.
 func (d *Decider) pingDisputed() {
 	if d.nextDisputeAt == 0 || d.now < d.nextDisputeAt {
 		return
--- a/coord/members/records.go
+++ b/coord/members/records.go
@@ -7,14 +7,15 @@
 	"time"
 )
 
-// recordRequest is that a member is known by its id only, and its record is requested from whoever
-// mentioned it.
+// recordRequest is a request for the record of a member about which the local member received an update,
+// but whose record it lacks or has only for an earlier incarnation.
 type recordRequest struct {
-	from   netip.AddrPort
-	sentAt time.Duration // 0 for not yet
+	from   netip.AddrPort // the member that sent the update, to which the request goes
+	sentAt time.Duration  // 0 if the request was not sent yet
 }
 
-// requestRecord has the record of a member requested in the next batch.
+// requestRecord schedules a request for the record of a member. The next batch sends the request to the
+// address from.
 func (d *Decider) requestRecord(id memberID, from netip.AddrPort) {
 	_, requested := d.recordRequests[id]
 	if requested || len(d.recordRequests) >= maxRecordRequests || len(d.entries) >= d.config.MaxMembers {
@@ -26,8 +27,8 @@
 	}
 }
 
-// sendRecordRequests sends the requests that wait. One without an answer lapses after
-// recordRequestTTL, and is made again when the member is mentioned again.
+// sendRecordRequests sends the unsent requests. A request without an answer expires after
+// recordRequestTTL. A later update about the same member creates a new request.
 func (d *Decider) sendRecordRequests() {
 	if d.nextRecordRequestAt == 0 || d.now < d.nextRecordRequestAt {
 		return
@@ -55,8 +56,8 @@
 	flush()
 }
 
-// unsentRecordRequests returns the members whose records are to be requested, by whom to ask and
-// id, and removes requests that lapsed.
+// unsentRecordRequests returns the members with unsent requests, sorted by the address that receives the
+// request and then by member id. It removes expired requests.
 func (d *Decider) unsentRecordRequests() []memberID {
 	unsent := make([]memberID, 0, len(d.recordRequests))
 	for id, request := range d.recordRequests {
@@ -73,7 +74,7 @@
 	return unsent
 }
 
-// onRecordRequest answers with the records of the live members that are asked for.
+// onRecordRequest answers with the records of those requested members that are live.
 func (d *Decider) onRecordRequest(from netip.AddrPort, r *reader) {
 	b, sent := newDatagram(recordsMsg), 0
 	for r.hasMore() && sent < maxDatagramsPerTarget {
@@ -90,7 +91,8 @@
 	d.sendUnlessEmpty(from, b)
 }
 
-// onRecords takes records: the answer to a request or to a join, or gossip of new members.
+// onRecords handles a datagram with records, which is the answer to a record request, the answer to a
+// join message, or gossip about new members.
 func (d *Decider) onRecords(from netip.AddrPort, r *reader) {
 	var all []Member
 	for r.hasMore() {
@@ -113,7 +115,8 @@
 	}
 }
 
-// applyRecord takes who a member is and inserts or updates it.
+// applyRecord inserts the member that a record describes into the list, or updates the member. The
+// record was received in a datagram from the address from.
 func (d *Decider) applyRecord(m Member, from netip.AddrPort) {
 	id := idOf(m.Name)
 	delete(d.recordRequests, id)
@@ -123,7 +126,7 @@
 		d.applyRecordOfSelf(m)
 		return
 	case e != nil && e.Name != m.Name:
-		return // two names with one id: one in 10^14
+		return // two names have the same id; the probability is 1 in 10^14
 	case m.State != Alive && m.State != Suspected:
 		if e != nil && m.State == Left {
 			d.applyUpdate(update{id: id, state: Left, incarnation: m.Incarnation}, from)
@@ -139,7 +142,7 @@
 	d.updateRecord(e, &m, from)
 }
 
-// applyRecordOfSelf goes above the incarnation of another process of the local member.
+// applyRecordOfSelf raises the local incarnation above that of another process with the local name.
 func (d *Decider) applyRecordOfSelf(m Member) {
 	otherProcess := m.Name == d.config.Name && m.Boot != d.config.Boot
 	if otherProcess && m.Incarnation >= d.self.Incarnation && !d.shuttingDown {
@@ -147,8 +150,8 @@
 	}
 }
 
-// isAddressTaken reports whether an alive member other than e has an address. That member is
-// probed: one of the two is wrong.
+// isAddressTaken reports whether an alive member other than e has the address addr. It probes that
+// member, because only one of the two members can have the address.
 func (d *Decider) isAddressTaken(addr netip.AddrPort, e *entry) bool {
 	occupant := d.byAddr[addrKey(addr)]
 	if occupant == nil || occupant == e || occupant.State != Alive {
@@ -160,7 +163,8 @@
 	return true
 }
 
-// insertRecord adds a member that was not known.
+// insertRecord adds an unknown member to the list at the given index, unless the list is full, and gossips
+// its record.
 func (d *Decider) insertRecord(index int, id memberID, m *Member) {
 	if len(d.entries) >= d.config.MaxMembers {
 		return
@@ -170,7 +174,8 @@
 	d.enqueue(pendingUpdate{update: aliveUpdate(e), withRecord: true})
 }
 
-// updateRecord compares a record with what is known of the member.
+// updateRecord applies a record of a member that is already in the list. A record with a higher
+// incarnation replaces the entry, unless it claims the name of an alive member from another address.
 func (d *Decider) updateRecord(e *entry, m *Member, from netip.AddrPort) {
 	switch {
 	case m.Incarnation < e.Incarnation:
@@ -183,7 +188,8 @@
 		d.setAlive(e, m.Incarnation)
 		d.enqueue(pendingUpdate{update: aliveUpdate(e), withRecord: true})
 	case m.Boot != e.Boot && m.Addr == from && from == e.Addr:
-		// Its new process has not learnt the incarnation of the old one.
+		// The new process of the member does not know the incarnation of the old process yet. It raises its
+		// incarnation when it receives this record.
 		d.send(from, appendRecord(newDatagram(recordsMsg), e.toMember()))
 	case m.Boot == e.Boot && e.State == Left, e.State == Dead:
 		d.applyUpdate(aliveUpdate(e), from)
--- a/coord/members/relay.go
+++ b/coord/members/relay.go
@@ -6,17 +6,19 @@
 	"slices"
 )
 
-// relayFlag marks the sequence numbers of pings on behalf of other members.
+// relayFlag is set in the sequence numbers of pings that the local member sends on behalf of other
+// members.
 const relayFlag = 0x8000
 
-// relayedProbe is an indirect probe on behalf of another member.
+// relayedProbe is an indirect probe that the local member carries out on behalf of another member.
 type relayedProbe struct {
 	requester, target      netip.AddrPort
-	requesterSeq, relaySeq uint16
+	requesterSeq, relaySeq uint16 // sequence numbers of the requester's probe and of the relayed ping
 }
 
-// sendIndirectPings asks other members to ping the target of a probe: one that reached it before,
-// then members of other zones, then any.
+// sendIndirectPings asks indirectProbers other members to ping the target of a probe. It prefers the
+// member whose indirect ping reached the target last, then members of other zones than the local one,
+// then any members.
 func (d *Decider) sendIndirectPings(e *entry, x *probe) {
 	eligible := func(x *entry) bool { return x != e && x.State == Alive }
 	relays := d.randomMembers(indirectProbers, func(x *entry) bool { return eligible(x) && x.Zone != d.self.Zone })
@@ -37,7 +39,7 @@
 	}
 }
 
-// onIndirectPing pings a member on behalf of another one.
+// onIndirectPing pings a member on behalf of the member that requested the ping.
 func (d *Decider) onIndirectPing(from netip.AddrPort, r *reader) {
 	seq, target, boot := r.u16(), r.addr(), r.u32()
 	if r.err != nil || d.byAddr[addrKey(target)] == nil || d.byAddr[addrKey(from)] == nil || d.shuttingDown {
@@ -51,8 +53,8 @@
 	d.send(target, binary.BigEndian.AppendUint32(b, uint32(d.digest)))
 }
 
-// forwardAck passes the answer to a relayed ping on to the member that asked for it, and reports
-// whether it was one.
+// forwardAck reports whether an ack answers a relayed ping. If so, forwardAck sends an ack to the member
+// that requested the ping.
 func (d *Decider) forwardAck(from netip.AddrPort, seq uint16) bool {
 	x := &d.relays[seq%maxRelays]
 	if seq&relayFlag == 0 || x.relaySeq != seq || x.target != from {
--- a/coord/members/roster.go
+++ b/coord/members/roster.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// Roster is a membership to begin with, such as one that was persisted. One may be handed to many
-// deciders, which then share the memory of the members' identities.
+// Roster is an initial membership for a Decider, for example one that was persisted. Several Deciders can
+// use the same Roster and then share the memory of the members' identities.
 type Roster struct {
 	identities   []*identity
 	incarnations []uint32
 }
 
-// NewRoster returns a roster of members.
+// NewRoster returns a Roster of the given members.
 func NewRoster(all []Member) *Roster {
 	all = slices.Clone(all)
 	slices.SortFunc(all, func(a, b Member) int { return cmp.Compare(idOf(a.Name), idOf(b.Name)) })
@@ -24,8 +24,9 @@
 	return roster
 }
 
-// Restore inserts the members of a roster before the first Step. They are in the first view that is
-// published, not among its changes, and are probed like any others.
+// Restore inserts the members of a Roster. The owner must call Restore before the first Step. The first
+// published view contains these members, but its list of changes does not. The Decider probes these
+// members like all others.
 func (d *Decider) Restore(roster *Roster) {
 	d.entries = slices.Grow(d.entries, len(roster.identities))
 	for i, ident := range roster.identities {
--- a/coord/members/schedule.go
+++ b/coord/members/schedule.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// never is the time of a task that is not planned.
+// never is the next time of a task that is not scheduled.
 const never = time.Duration(math.MaxInt64)
 
-// task is something that a decider does at times of its own.
+// task is an activity that a Decider performs at times that it schedules itself.
 type task struct {
-	next func(*Decider) time.Duration // the next time, never for none
-	run  func(*Decider)               // does it if its time has come, and plans the next time
+	next func(*Decider) time.Duration // returns the next time, or never if the task is not scheduled
+	run  func(*Decider)               // runs the task if it is due, and schedules the next time
 }
 
-// The tasks by state. Next and runDue go by the same lists, so that Next names no time at which
-// nothing is done: such a time would stay in the past and have the owner's loop spin.
+// The tasks of each state. Next and runDue use the same lists. Otherwise Next could return the time of a
+// task that runDue does not run; that time would remain in the past, and the owner's loop would spin.
 var (
 	joiningTasks  = []task{joinTask, probeTask, suspicionTask, recordRequestTask, disputeTask, flushTask}
 	aliveTasks    = []task{probeTask, suspicionTask, reconnectTask, recordRequestTask, disputeTask, flushTask, publishTask}
 	shutdownTasks = []task{flushTask}
 )
 
-// Two tasks do nothing themselves: runDue runs runJoin before all others, and each Step ends with
-// publish.
+// joinTask and publishTask only provide a time; their run functions do nothing. runDue calls runJoin
+// before it runs the tasks, and every Step ends with a call of publish.
 var (
 	joinTask          = task{(*Decider).nextJoinEvent, func(*Decider) {}}
 	probeTask         = task{(*Decider).nextProbeEvent, (*Decider).runProbes}
@@ -38,7 +38,7 @@
 	publishTask = task{func(d *Decider) time.Duration { return zeroAsNever(d.deathsDelayedUntil) }, func(*Decider) {}}
 )
 
-// zeroAsNever is a time that is 0 for none.
+// zeroAsNever converts a time that is 0 if nothing is scheduled: it returns never for 0.
 func zeroAsNever(at time.Duration) time.Duration {
 	if at == 0 {
 		return never
@@ -46,7 +46,7 @@
 	return at
 }
 
-// tasks returns the tasks of the present state.
+// tasks returns the tasks of the current state.
 func (d *Decider) tasks() []task {
 	switch {
 	case d.shuttingDown:
@@ -57,7 +57,7 @@
 	return aliveTasks
 }
 
-// Next returns the time at which the owner calls Step again at the latest.
+// Next returns the latest time at which the owner must call Step again.
 func (d *Decider) Next() time.Duration {
 	next := never
 	for _, t := range d.tasks() {
@@ -66,8 +66,8 @@
 	return max(next, d.now)
 }
 
-// runDue runs the tasks whose time has come. Joining goes first: the others depend on the state
-// that it leads to.
+// runDue runs the tasks that are due. It calls runJoin first, because the list of tasks depends on the
+// state that runJoin sets.
 func (d *Decider) runDue() {
 	if d.self.State == Joining && !d.shuttingDown {
 		d.runJoin()
