--- a/coord/members/probe.go
+++ b/coord/members/probe.go
@@ -11,9 +11,10 @@
 // pingRingSize is how many of the last pings the prober remembers, to match acks with their pings.
 const pingRingSize = 64
 
-// untrackedSeq is the sequence number of all pings that belong to no probe. The member processes the
-// updates and the digest in the ack of such a ping, but the ack does not complete a probe. The sequence
-// numbers of pings in probes are lower than untrackedSeq; those of relayed pings have relayFlag set.
+// untrackedSeq is the sequence number of all pings that are neither part of a probe nor relayed for
+// another member. The sender of such a ping processes the updates and the digest in the ack, but the ack
+// does not complete a probe. The sequence numbers of pings in probes are lower than untrackedSeq; those of
+// relayed pings have relayFlag set.
 const untrackedSeq = 0x7fff
 
 // maxRTT limits the measured round-trip time. An ack that is minutes late does not predict the next
@@ -305,7 +306,7 @@
 		return
 	}
 	if old := d.byAddr[addrKey(from)]; old != nil && old != d.self && old.Name != m.Name && old.State == Alive {
-		d.accuse(old) // a member with another name answers at the address of old, so old may be dead
+		d.accuse(old) // while old is alive, no member with another name can answer at its address
 	}
 	d.applyRecord(m, from)
 }
--- a/coord/members/reader.go
+++ b/coord/members/reader.go
@@ -73,8 +73,8 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte(b[:4])), binary.BigEndian.Uint16(b[4:]))
 }
 
-// text reads a string of at most maxLen printable ASCII characters, which a byte with its length
-// precedes.
+// text reads a byte with a length of at most maxLen and then a string of that length, which must be
+// printable ASCII without spaces.
 func (r *reader) text(maxLen int) string {
 	n := int(r.u8())
 	if n > maxLen {
@@ -89,7 +89,7 @@
 	return string(b)
 }
 
-// path reads the path to a node of the anti-entropy tree: one nibble in each byte.
+// path reads the path to a node of the anti-entropy tree: a length byte and then one byte for each nibble.
 func (r *reader) path() []byte {
 	n := int(r.u8())
 	if n >= maxPathLen {
@@ -105,6 +105,7 @@
 	return path
 }
 
+// update reads one update.
 func (r *reader) update() (u update) {
 	flags := r.u8()
 	u.state, u.confirms = State(flags&stateMask), flags&confirmsFlag != 0
@@ -132,6 +133,7 @@
 	return all
 }
 
+// record reads one record and validates it.
 func (r *reader) record() (m Member) {
 	m.Incarnation, m.Boot, m.State, m.Addr = r.uvarint(), r.u32(), State(r.u8()), r.addr()
 	m.Name, m.Zone, m.Version = r.text(MaxNameLen), r.text(MaxZoneLen), r.text(MaxVersionLen)
--- a/coord/members/relay.go
+++ b/coord/members/relay.go
@@ -13,12 +13,12 @@
 // relayedProbe is an indirect probe that the local member carries out on behalf of another member.
 type relayedProbe struct {
 	requester, target      netip.AddrPort
-	requesterSeq, relaySeq uint16 // sequence numbers of the requester's probe and of the relayed ping
+	requesterSeq, relaySeq uint16 // sequence numbers of the requester's own ping and of the relayed ping
 }
 
-// sendIndirectPings asks indirectProbers other members to ping the target of a probe. It prefers the
-// member whose indirect ping reached the target last, then members of other zones than the local one,
-// then any members.
+// sendIndirectPings asks up to indirectProbers other members to ping the target of a probe. It prefers
+// the member whose indirect ping reached the target last, then members of other zones than the local
+// one, then any members.
 func (d *Decider) sendIndirectPings(e *entry, x *probe) {
 	eligible := func(x *entry) bool { return x != e && x.State == Alive }
 	relays := d.randomMembers(indirectProbers, func(x *entry) bool { return eligible(x) && x.Zone != d.self.Zone })
--- a/coord/members/suspicion.go
+++ b/coord/members/suspicion.go
@@ -6,27 +6,30 @@
 	"time"
 )
 
-// maxScannedZones bounds zoneScannedAt; beyond it all are forgotten, and may be scanned early.
+// maxScannedZones limits the size of zoneScannedAt. If the map is larger, scanZone clears it, so a zone may
+// be scanned again before zoneScanInterval has passed.
 const maxScannedZones = 64
 
-// maxDoublings bounds the exponent of grace periods and backoffs.
+// maxDoublings limits the exponent of grace periods and accusation backoffs.
 const maxDoublings = 8
 
-// suspicion is that a member may be dead, until it is refuted or confirmed.
+// suspicion is the state of a suspected member (the suspect) until the suspicion is refuted or enough
+// witnesses confirm it.
 type suspicion struct {
-	entry            *entry
-	incarnation      uint32
-	startedAt        time.Duration // at the local member
-	watching         bool          // the local member is the accuser or a witness: it pings the suspect
-	watchedFromStart bool
+	entry            *entry // the suspect
+	incarnation      uint32 // incarnation of the suspect that is suspected
+	startedAt        time.Duration
+	watching         bool // the local member pings the suspect, because it is the accuser or a witness
+	watchedFromStart bool // watching was set when the suspicion started
 	watchingSince    time.Duration
-	lastPingAt       time.Duration // 0 for none
-	rankedAt         time.Duration // when the local member ranked itself as a witness last
-	confirmed        bool          // by the local member
-	confirmations    []memberID    // witnesses that heard nothing
+	lastPingAt       time.Duration // 0 if the local member sent no ping to the suspect yet
+	rankedAt         time.Duration // when the local member last computed its rank as a witness
+	confirmed        bool          // the local member confirmed the suspicion
+	confirmations    []memberID    // witnesses that got no answer within the suspicion timeout
 }
 
-// restart begins a suspicion anew after the local member stalled.
+// restart resets the timeouts of a suspicion and withdraws the local confirmation, after the local member
+// stalled.
 func (s *suspicion) restart(now time.Duration, self memberID) {
 	s.startedAt, s.watchingSince = now, now
 	s.lastPingAt, s.rankedAt = 0, 0
@@ -34,7 +37,8 @@
 	s.confirmations = slices.DeleteFunc(s.confirmations, func(id memberID) bool { return id == self })
 }
 
-// nextEvent is when a ping, a ranking or a decision is due.
+// nextEvent returns the time at which a ping, a computation of the witness rank, or undecidedTimeout is
+// due.
 func (s *suspicion) nextEvent() time.Duration {
 	if s.watching {
 		return s.lastPingAt + pingInterval
@@ -42,13 +46,13 @@
 	return min(s.rankedAt+witnessRankInterval, s.startedAt+undecidedTimeout)
 }
 
-// suspicionTimeout is how long a witness hears nothing before it confirms: longer where acks took
-// long of late.
+// suspicionTimeout returns how long a suspect may leave a witness without an answer before the witness
+// confirms the suspicion. Long recent round trips extend the timeout.
 func (d *Decider) suspicionTimeout() time.Duration {
 	return baseSuspicionTimeout + 2*max(d.recentRTT-pingInterval, 0)
 }
 
-// nextSuspicionEvent is when something is due for any suspicion.
+// nextSuspicionEvent returns the time of the next event of all suspicions.
 func (d *Decider) nextSuspicionEvent() time.Duration {
 	next := never
 	for _, s := range d.suspicions {
@@ -57,8 +61,8 @@
 	return next
 }
 
-// suspectMember applies an update that a member is suspected, by the local member or another, and
-// counts its confirmation.
+// suspectMember applies an update that says that the local member or another member suspects e. It starts
+// a suspicion if necessary, and counts the confirmation if the update contains one.
 func (d *Decider) suspectMember(e *entry, u update) {
 	if u.incarnation < e.Incarnation || e == d.self || !e.isLive() {
 		return
@@ -78,7 +82,8 @@
 	}
 }
 
-// startSuspicion begins a suspicion and gossips it. It reports whether the update confirms it, too.
+// startSuspicion starts a suspicion and gossips it. It reports whether the update also contains a
+// confirmation by another member.
 func (d *Decider) startSuspicion(e *entry, u update) (confirms bool) {
 	s := &suspicion{entry: e, incarnation: u.incarnation, startedAt: d.now, watchingSince: d.now}
 	d.suspicions[e.id] = s
@@ -95,8 +100,8 @@
 	return u.confirms
 }
 
-// becomeWitness makes the local member a witness of a suspicion if it is among the first of all
-// alive members by rendezvous hashing with the suspect.
+// becomeWitness makes the local member a witness of a suspicion if the local member is among the first
+// witnessCount alive members in the rendezvous hashing order for the suspect.
 func (d *Decider) becomeWitness(s *suspicion) {
 	s.rankedAt = d.now
 	weight, higherRanked := rendezvousWeight(d.self.id, s.entry.id), 0
@@ -110,6 +115,7 @@
 	s.watching, s.watchingSince = true, d.now
 }
 
+// rendezvousWeight returns the rendezvous hashing weight of member a for member b.
 func rendezvousWeight(a, b memberID) uint64 {
 	x := uint64(a)*0x9e3779b97f4a7c15 ^ uint64(b)*0xc2b2ae3d27d4eb4f
 	x ^= x >> 29
@@ -117,9 +123,9 @@
 	return x ^ x>>32
 }
 
-// scanZone probes the members of a zone as soon as two of it are suspected: if the zone is lost,
-// all of it is to be found at once. Each member is probed by a few others, chosen by a hash of the
-// two.
+// scanZone probes alive members of a zone as soon as two members of the zone are suspected, so that the
+// loss of a whole zone is detected quickly. Each member of the zone is probed by zoneScanProbers other
+// members on average, which a hash of the two member ids selects. The local zone is not scanned.
 func (d *Decider) scanZone(zone string) {
 	if at, ok := d.zoneScannedAt[zone]; ok && d.now < at+zoneScanInterval {
 		return
@@ -147,18 +153,18 @@
 	}
 }
 
-// runSuspicions advances all suspicions, in the order of their members so that the same events give
+// runSuspicions advances all suspicions in the order of the member ids, so that the same events produce
 // the same actions.
 func (d *Decider) runSuspicions() {
 	for _, s := range d.sortedSuspicions() {
-		if d.suspicions[s.entry.id] == s { // not decided meanwhile
+		if d.suspicions[s.entry.id] == s { // the suspicion has not ended in the meantime
 			d.advanceSuspicion(s)
 		}
 	}
 }
 
-// advanceSuspicion ranks the local member as a witness, pings the suspect and confirms, as far as
-// that is due.
+// advanceSuspicion performs the actions of a suspicion that are due: it computes the witness rank of the
+// local member, pings the suspect and confirms the suspicion.
 func (d *Decider) advanceSuspicion(s *suspicion) {
 	if !s.watching && d.now >= s.rankedAt+witnessRankInterval {
 		if d.declareDeadIfConfirmed(s) {
@@ -185,7 +191,7 @@
 	d.sendPing(s.entry, untrackedSeq)
 }
 
-// confirm adds the local member's confirmation and gossips it, once.
+// confirm adds the local member's confirmation to a suspicion and gossips it. Further calls do nothing.
 func (d *Decider) confirm(s *suspicion) {
 	if s.confirmed {
 		return
@@ -195,7 +201,7 @@
 	d.broadcast(update{id: s.entry.id, state: Suspected, incarnation: s.incarnation, confirms: true, reporter: d.self.id})
 }
 
-// sortedSuspicions returns the suspicions by the id of their members.
+// sortedSuspicions returns the suspicions sorted by the id of the suspect.
 func (d *Decider) sortedSuspicions() []*suspicion {
 	if len(d.suspicions) == 0 {
 		return nil
@@ -208,12 +214,13 @@
 	return all
 }
 
-// declareDeadIfConfirmed makes a suspect dead if enough witnesses confirmed, or if nobody else can
-// be a witness and the local member heard nothing for the longer loneWitnessTimeout. It reports
-// whether it did.
+// declareDeadIfConfirmed declares a suspect dead in two cases: if deathConfirmations witnesses confirmed
+// the suspicion, or if no other member can be a witness and the suspect did not answer the local member
+// for loneWitnessTimeout, which is longer than the suspicion timeout. It reports whether it declared the
+// suspect dead.
 func (d *Decider) declareDeadIfConfirmed(s *suspicion) bool {
 	if d.now < d.noAccusationUntil {
-		return false // after a stall the refutation may wait unread
+		return false // after a stall, the refutation may have arrived but not been read yet
 	}
 	timeout := loneWitnessTimeout + d.suspicionTimeout() - baseSuspicionTimeout
 	alone := s.confirmed && d.now-s.watchingSince >= timeout && !d.hasOtherWitness(s.entry)
@@ -224,7 +231,8 @@
 	return true
 }
 
-// hasOtherWitness reports whether any other member is there to be a witness of a suspect.
+// hasOtherWitness reports whether any alive member other than the local one can be a witness for a
+// suspect.
 func (d *Decider) hasOtherWitness(suspect *entry) bool {
 	for _, e := range d.entries {
 		if e != d.self && e != suspect && e.State == Alive {
@@ -234,7 +242,7 @@
 	return false
 }
 
-// setDead ends a suspicion with death.
+// setDead ends the suspicion of a member and sets the member to Dead.
 func (d *Decider) setDead(e *entry) {
 	delete(d.suspicions, e.id)
 	d.setState(e, Dead, e.Incarnation)
@@ -244,9 +252,10 @@
 	}
 }
 
-// setAlive takes a member as alive at an incarnation above the one at which it was suspected or
-// dead. A local member that watched it from the start was wrong and backs off; a member that
-// returned from death has a grace period.
+// setAlive sets a member to Alive at an incarnation above the one at which the member was suspected or
+// dead. If the local member pinged the suspect from the start of the suspicion, its accusation was wrong,
+// and it does not accuse the member again for a backoff time. A member that was dead gets a grace period in
+// which it is not suspected.
 func (d *Decider) setAlive(e *entry, incarnation uint32) {
 	previous := e.State
 	if s := d.suspicions[e.id]; s != nil && s.watchedFromStart {
--- a/coord/members/sync.go
+++ b/coord/members/sync.go
@@ -5,18 +5,19 @@
 	"net/netip"
 )
 
-// Anti-entropy: the members form a tree by the nibbles of their ids. Two members compare the
-// digests of the sixteen children of a node, go down where they differ, and exchange the updates of
-// a subtree that is small.
+// Anti-entropy arranges the members in a tree by the nibbles of their ids. Two members compare the digests
+// of the sixteen children of a node, descend into the children whose digests differ, and exchange the
+// updates of a subtree that has few members.
 const (
 	syncFanout      = 16        // children of a node
 	maxPathLen      = 2 * idLen // nibbles of an id
-	maxLeafMembers  = 12        // members of a subtree that is exchanged without going down further
-	maxChunkUpdates = 24        // that fit a datagram
+	maxLeafMembers  = 12        // a subtree with at most so many members is exchanged as a whole
+	maxChunkUpdates = 24        // updates in one datagram
 )
 
-// compareDigest asks a member for differences if its digest is not the local one, unless the local
-// list has just changed: the change is spreading by gossip.
+// compareDigest starts anti-entropy with a member whose digest differs from the local one. It does nothing
+// if the local list changed less than digestSpreadDelay ago, because that change may still be spreading by
+// gossip.
 func (d *Decider) compareDigest(from netip.AddrPort, digest uint32) {
 	settling := d.now < d.digestChangedAt+digestSpreadDelay
 	if digest == uint32(d.digest) || d.now < d.nextSyncAt || settling || d.self.State != Alive {
@@ -36,9 +37,11 @@
 	return true
 }
 
+// nibble returns the i-th nibble of an id; the most significant nibble is number 0.
 func nibble(id memberID, i int) byte { return byte(id>>(4*(maxPathLen-1-i))) & 0x0f }
 
-// childDigests returns the digests and counts of the live members under each child of a path.
+// childDigests returns, for each child of the node at path, the digest and the number of the live members
+// below it.
 func (d *Decider) childDigests(path []byte) (sums [syncFanout]uint32, counts [syncFanout]int) {
 	for _, e := range d.membersUnder(path) {
 		if e.isLive() {
@@ -50,7 +53,7 @@
 	return sums, counts
 }
 
-// membersUnder returns all members under a path, live or not.
+// membersUnder returns all members whose ids begin with path, whether they are live or not.
 func (d *Decider) membersUnder(path []byte) []*entry {
 	var lowest memberID
 	for i, n := range path {
@@ -64,7 +67,7 @@
 	return d.entries[from:to]
 }
 
-// sendSyncRequest sends the digests of the children of a path.
+// sendSyncRequest sends the digests of the children of the node at path.
 func (d *Decider) sendSyncRequest(to netip.AddrPort, path []byte) {
 	b := appendPath(newDatagram(syncRequestMsg), path)
 	sums, _ := d.childDigests(path)
@@ -74,8 +77,9 @@
 	d.send(to, b)
 }
 
-// onSyncRequest answers for each child whose digest differs: with its members if they are few, else
-// with a request one level down.
+// onSyncRequest answers for each child whose digest differs from the local one. If the child has at most
+// maxLeafMembers local members, onSyncRequest sends their updates. Otherwise it sends a sync request for
+// the child, one level down. It sends at most maxDatagramsPerTarget datagrams.
 func (d *Decider) onSyncRequest(from netip.AddrPort, r *reader) {
 	path := append([]byte(nil), r.path()...)
 	var remoteSums [syncFanout]uint32
@@ -86,7 +90,7 @@
 		return
 	}
 	sums, counts := d.childDigests(path)
-	first := d.rng.IntN(syncFanout) // so that all differences are settled in the end
+	first := d.rng.IntN(syncFanout) // a random first child, so that repeated requests reach all children
 	sent := 0
 	for i := range syncFanout {
 		child := byte((first + i) % syncFanout)
@@ -103,8 +107,8 @@
 	}
 }
 
-// sendSyncChunk sends updates of the live members under a path except some. With wantsReply the
-// other side sends its own in return.
+// sendSyncChunk sends updates of the live members whose ids begin with path, except those in except. If
+// wantsReply is set, the receiver answers with its own updates for path.
 func (d *Decider) sendSyncChunk(to netip.AddrPort, path []byte, wantsReply bool, except map[memberID]bool) {
 	b := appendPath(newDatagram(syncChunkMsg), path)
 	flag := byte(0)
@@ -124,7 +128,8 @@
 	}
 }
 
-// onSyncChunk applies the updates of a subtree.
+// onSyncChunk applies the updates of a subtree. If the sender asks for a reply, onSyncChunk answers with
+// the local updates of the members that the datagram does not mention.
 func (d *Decider) onSyncChunk(from netip.AddrPort, r *reader) {
 	path := append([]byte(nil), r.path()...)
 	wantsReply := r.u8() == 1
@@ -138,7 +143,7 @@
 		received[u.id] = true
 		d.applyUpdate(u, from)
 	}
-	if len(d.recordRequests) > before { // the sender knows more members
+	if len(d.recordRequests) > before { // the sender knows members that the local list lacks
 		d.nextSyncAt = min(d.nextSyncAt, d.now+syncCatchUpDelay)
 	}
 	if wantsReply {
--- a/coord/members/table.go
+++ b/coord/members/table.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// entry is a member of the membership list.
+// entry is a member in the membership list.
 type entry struct {
 	*identity
-	*history    // nil for most
+	*history    // nil for most members
 	Since       time.Duration
 	id          memberID
 	Incarnation uint32
@@ -17,40 +17,42 @@
 	published   publishedState
 }
 
-// identity is who a member is, apart from its state. It is replaced, never changed.
+// identity holds the properties of a member that do not depend on its state. An identity is never
+// modified, only replaced, so that several Deciders can share it.
 type identity struct {
 	Name, Zone, Version string
 	Addr                netip.AddrPort
 	Boot                uint32
 }
 
+// identityOf returns the identity of a Member.
 func identityOf(m *Member) *identity {
 	return &identity{m.Name, m.Zone, m.Version, m.Addr, m.Boot}
 }
 
-// history is what few members have: returns from death, and accusations that were wrong because the
-// way between the two was broken.
+// history records rare events of a member: its returns from death, and wrong accusations by the local
+// member that occurred because the network path between the two members was broken.
 type history struct {
-	graceUntil        time.Duration // not suspected until then, after a return
-	returns           uint8
-	noAccusationUntil time.Duration // not accused by the local member until then
-	wrongAccusations  uint8         // by the local member
-	lastRelay         memberID      // through which an indirect probe reached it last
+	graceUntil        time.Duration // the member is not suspected before this time, after a return from death
+	returns           uint8         // number of returns from death, limited to maxDoublings
+	noAccusationUntil time.Duration // the local member does not accuse the member before this time
+	wrongAccusations  uint8         // by the local member, limited to maxDoublings
+	lastRelay         memberID      // the member whose indirect probe reached the member last
 }
 
-// publishedState is what users of the view know of a member.
+// publishedState is the state of a member in the last view that was published to users.
 type publishedState struct {
-	boot        uint32
-	live, known bool
+	boot        uint32 // Boot of the published process
+	live, known bool   // whether the last view contains the member, and whether any view has contained it
 }
 
-// isLive reports whether the member counts as a member of the view.
+// isLive reports whether the member is Alive or Suspected and thus a member of the view.
 func (e *entry) isLive() bool { return e.State == Alive || e.State == Suspected }
 
-// isAlive is a filter for randomMembers.
+// isAlive reports whether a member is Alive. It is a filter for randomMembers.
 func isAlive(e *entry) bool { return e.State == Alive }
 
-// ensureHistory returns the member's history for writing.
+// ensureHistory returns the member's history for modification. It allocates the history if necessary.
 func (e *entry) ensureHistory() *history {
 	if e.history == nil {
 		e.history = &history{}
@@ -58,7 +60,7 @@
 	return e.history
 }
 
-// readHistory returns the member's history for reading.
+// readHistory returns a copy of the member's history, or a zero history if the member has none.
 func (e *entry) readHistory() history {
 	if e.history == nil {
 		return history{}
@@ -66,7 +68,7 @@
 	return *e.history
 }
 
-// toMember returns the member as it is published to users and sent to other members.
+// toMember returns the entry in the form that is published to users and sent to other members.
 func (e *entry) toMember() *Member {
 	return &Member{
 		Name:        e.Name,
@@ -80,7 +82,7 @@
 	}
 }
 
-// addrKey is an IPv4 address with its port as a number, 0 for other addresses.
+// addrKey returns an IPv4 address and its port as one number. It returns 0 for other addresses.
 func addrKey(a netip.AddrPort) uint64 {
 	if !a.Addr().Is4() {
 		return 0
@@ -89,8 +91,8 @@
 	return uint64(ip[0])<<40 | uint64(ip[1])<<32 | uint64(ip[2])<<24 | uint64(ip[3])<<16 | uint64(a.Port())
 }
 
-// find returns the index of a member in the list, and nil with the index at which to insert it
-// where it is not there.
+// find returns the index and the entry of a member. If the member is not in the list, find returns the
+// index at which to insert it, and nil.
 func (d *Decider) find(id memberID) (int, *entry) {
 	i, ok := slices.BinarySearchFunc(d.entries, id, func(e *entry, id memberID) int {
 		switch {
@@ -107,7 +109,7 @@
 	return i, nil
 }
 
-// insert adds a member that is alive, at the index that find returned.
+// insert adds an alive member to the list, at the index that find returned.
 func (d *Decider) insert(index int, id memberID, ident *identity, incarnation uint32) *entry {
 	e := &entry{identity: ident, id: id, State: Left, Since: d.now}
 	d.entries = slices.Insert(d.entries, index, e)
@@ -116,7 +118,7 @@
 	return e
 }
 
-// remove forgets a member.
+// remove removes a member from the list.
 func (d *Decider) remove(e *entry) {
 	d.setState(e, Left, e.Incarnation)
 	if i, found := d.find(e.id); found == e {
@@ -128,7 +130,8 @@
 	delete(d.suspicions, e.id)
 }
 
-// sweepDead removes a few members that have been dead, or have left, for longer than deadMemberTTL.
+// sweepDead checks the next sweepBatch entries and removes the members that died or left at least
+// deadMemberTTL ago.
 func (d *Decider) sweepDead() {
 	for range min(sweepBatch, len(d.entries)) {
 		if d.sweepIndex >= len(d.entries) {
@@ -143,7 +146,7 @@
 	}
 }
 
-// setState puts a member into a state at an incarnation and updates counts and digests.
+// setState sets the state and the incarnation of a member and updates the counts and digests.
 func (d *Decider) setState(e *entry, s State, incarnation uint32) {
 	if e.isLive() {
 		d.toggleDigests(e)
@@ -167,7 +170,7 @@
 	}
 }
 
-// replaceIdentity takes up a new process or address of a member.
+// replaceIdentity replaces the identity of a member that has a new process or a new address.
 func (d *Decider) replaceIdentity(e *entry, m *Member) {
 	if e.Addr != m.Addr {
 		if d.byAddr[addrKey(e.Addr)] == e {
@@ -185,17 +188,19 @@
 	d.unpublished[e.id] = e
 }
 
-// toggleDigests adds a live member to the digests, or takes it out.
+// toggleDigests adds a live member to both digests, or removes it if the digests contain it.
 func (d *Decider) toggleDigests(e *entry) {
 	d.digest ^= digestOf(e)
 	d.viewDigest ^= viewDigestOf(e)
 }
 
-// digestOf is the contribution of a live member to the digest of the list, and viewDigestOf that to
-// the digest of the view.
-func digestOf(e *entry) uint64     { return hashPair(e.id, e.Incarnation) ^ viewDigestOf(e)>>1 }
+// digestOf returns the contribution of a live member to Decider.digest.
+func digestOf(e *entry) uint64 { return hashPair(e.id, e.Incarnation) ^ viewDigestOf(e)>>1 }
+
+// viewDigestOf returns the contribution of a live member to Decider.viewDigest.
 func viewDigestOf(e *entry) uint64 { return hashPair(e.id, e.Boot) }
 
+// hashPair returns a hash of a member id and a number.
 func hashPair(id memberID, n uint32) uint64 {
 	x := uint64(id)*0x9e3779b97f4a7c15 ^ uint64(n)*0xd6e8feb86659fd93
 	x ^= x >> 32
@@ -203,7 +208,8 @@
 	return x ^ x>>32
 }
 
-// randomMembers draws at most n other members that fit, looking at no more than a few times n.
+// randomMembers returns at most n random members that pass the filter, without the local member. It checks
+// at most 8*n entries, so it may return fewer members than pass the filter.
 func (d *Decider) randomMembers(n int, filter func(*entry) bool) (selected []*entry) {
 	attempts := 8 * n
 	if len(d.entries) <= attempts {
@@ -223,7 +229,7 @@
 	return selected
 }
 
-// deadMembers returns all members that are Dead.
+// deadMembers returns all members in state Dead.
 func (d *Decider) deadMembers() (all []*entry) {
 	for _, e := range d.entries {
 		if e.State == Dead {
--- a/coord/members/timing.go
+++ b/coord/members/timing.go
@@ -2,112 +2,125 @@
 
 import "time"
 
-// The protocol's timings. docs/design/members.md derives them from the detection time, the rate of
-// false deaths and the bandwidth that are promised; TestGoals computes the same figures.
+// The timings of the protocol. docs/design/members.md derives them from the guaranteed detection time, rate
+// of false deaths and bandwidth. TestTimingsMeetGoals computes the same figures.
 const (
-	// protocolPeriod is the time between two probes of a healthy member. Longer periods save
-	// bandwidth and delay detection by as much.
+	// protocolPeriod is the time between the starts of two probes by a member whose health score is 0. A
+	// longer period saves bandwidth but delays the detection of a failure by the same time.
 	protocolPeriod = time.Second
-	// pingInterval is the time between two pings of one target, in a probe and by a witness.
+	// pingInterval is the time between two pings of the same target, both in a probe and by a witness.
 	pingInterval = 200 * time.Millisecond
 	// pingsPerProbe is how many direct pings a probe sends.
 	pingsPerProbe = 3
-	// indirectPingDelay is how long after the first ping other members are asked to ping.
+	// indirectPingDelay is the time from the first ping of a probe until the prober asks other members to
+	// ping the target.
 	indirectPingDelay = 400 * time.Millisecond
-	// indirectProbers is how many members are asked (SWIM's k).
+	// indirectProbers is how many members a prober asks to ping its target (k in the SWIM paper).
 	indirectProbers = 3
-	// baseProbeTimeout is when a probe without an answer fails; slow round trips extend it.
+	// baseProbeTimeout is the time after which a probe without an answer fails. Slow round trips extend
+	// this time.
 	baseProbeTimeout = 900 * time.Millisecond
-	// boostedProbeInterval replaces protocolPeriod while probes fail often or targets are urgent.
+	// boostedProbeInterval replaces protocolPeriod while probes fail often or urgent targets are queued.
 	boostedProbeInterval = 100 * time.Millisecond
-	// boostDuration is how long probes stay boosted after the last failure.
+	// boostDuration is how long boostedProbeInterval applies after the last failed probe that reached
+	// boostMissThreshold.
 	boostDuration = 5 * time.Second
-	// boostMissThreshold is how many of the last missWindow probes must fail for a boost. With 20%
-	// loss and stalls one probe in 40 fails, and three of eight do in 1 of 1,000.
+	// boostMissThreshold is how many of the last missWindow probes must fail to start a boost. With 20%
+	// packet loss and stalls, one probe in 40 fails, and at least three of eight probes fail in 1 of 1,000
+	// cases.
 	boostMissThreshold = 3
-	// missWindow is over how many probes failures are counted.
+	// missWindow is the number of recent probes among which failures are counted.
 	missWindow = 8
-	// isolationTimeout is after how long without any datagram all members are suspected.
+	// isolationTimeout is the time without any received datagram after which the local member suspects all
+	// other members.
 	isolationTimeout = 3 * time.Second
-	// stallThreshold is from which delay of a call to Step on the owner counts as stalled.
+	// stallThreshold is the smallest delay of a call of Step that counts as a stall of the owner.
 	stallThreshold = 200 * time.Millisecond
-	// maxHealthScore bounds the local health score; each step adds half a period between probes.
+	// maxHealthScore is the highest local health score. Each point adds half a protocolPeriod to the time
+	// between two probes.
 	maxHealthScore = 8
 )
 
-// Suspicions.
+// Timings and counts for suspicions, deaths and zone scans.
 const (
-	// baseSuspicionTimeout is how long a witness hears nothing before it confirms a suspicion; slow
-	// round trips extend it. A shorter one detects faster and kills members that stall.
+	// baseSuspicionTimeout is how long a suspect may leave a witness without an answer before the witness
+	// confirms the suspicion. Slow round trips extend this time. A shorter timeout would detect failures
+	// faster but would declare members dead that only stall.
 	baseSuspicionTimeout = 1500 * time.Millisecond
-	// witnessCount is how many members ping a suspect, beside the one that accused it.
+	// witnessCount is how many members ping a suspect as witnesses, in addition to the accuser.
 	witnessCount = 5
-	// deathConfirmations is how many witnesses must have heard nothing for a death.
+	// deathConfirmations is how many witnesses must confirm a suspicion to declare the suspect dead.
 	deathConfirmations = 2
-	// loneWitnessTimeout replaces the confirmations where no second witness exists.
+	// loneWitnessTimeout is the time without an answer after which the only possible witness of a suspect
+	// declares the suspect dead by itself.
 	loneWitnessTimeout = 2 * baseSuspicionTimeout
-	// undecidedTimeout is after how long a member becomes a witness of a suspicion that nobody
-	// decided, whatever its rank.
+	// undecidedTimeout is the time after which every member becomes a witness of an unresolved suspicion,
+	// whatever the rank of the member.
 	undecidedTimeout = 8 * time.Second
-	// witnessRankInterval is how often a member that is no witness ranks itself again.
+	// witnessRankInterval is the time after which a member that is not a witness of a suspicion computes its
+	// rank again.
 	witnessRankInterval = 500 * time.Millisecond
-	// minGracePeriod is how long a member that returned from death is not suspected; doubled with
-	// each return up to maxGracePeriod, which bounds how often it can flap.
+	// minGracePeriod is how long a member that returned from death is not suspected. The period doubles
+	// with each return up to maxGracePeriod, which limits how often the member can flap.
 	minGracePeriod = 5 * time.Second
 	maxGracePeriod = time.Minute
-	// minAccusationBackoff is how long an accuser that was wrong does not accuse the same member;
-	// doubled each time up to maxGracePeriod.
+	// minAccusationBackoff is how long a member that accused another member wrongly does not accuse it
+	// again. The backoff doubles with each wrong accusation up to maxGracePeriod.
 	minAccusationBackoff = 2 * time.Second
-	// zoneScanInterval is the shortest time between two scans of a zone in which members are
-	// suspected.
+	// zoneScanInterval is the shortest time between two scans of the same zone.
 	zoneScanInterval = 5 * time.Second
-	// zoneScanProbers is how many members on average probe each member of a scanned zone. A third
-	// of them may be lost with the zone; 8 would leave out one member in 3,000.
+	// zoneScanProbers is how many members on average probe each member of a scanned zone. Up to a third of
+	// these probers may be lost together with the zone. With 8 probers, one member in 3,000 would not be
+	// probed.
 	zoneScanProbers = 12
-	// maxPublishDelay is how long a death waits for the fate of other suspects of its zone.
+	// maxPublishDelay is how long the publication of a death waits at most until the suspicions of other
+	// members of its zone are resolved.
 	maxPublishDelay = 2500 * time.Millisecond
-	// deadMemberTTL is how long a dead member is remembered.
+	// deadMemberTTL is how long the list keeps a member that died or left.
 	deadMemberTTL = 10 * time.Minute
 )
 
-// Dissemination and joining.
+// Timings and fan-outs for dissemination and joining.
 const (
-	// gossipBatchDelay is how long an update waits for others to share its datagram.
+	// gossipBatchDelay is how long an update waits for other updates that can share its datagram.
 	gossipBatchDelay = 20 * time.Millisecond
-	// regossipDelay is when an update goes out a second time.
+	// regossipDelay is the time between the first and the second sending of an update.
 	regossipDelay = 200 * time.Millisecond
-	// gossipFanout and regossipFanout are to how many members it goes first and then.
+	// gossipFanout is how many members receive the first sending of an update, and regossipFanout is how
+	// many receive the second.
 	gossipFanout   = 4
 	regossipFanout = 3
-	// digestSpreadDelay is how long after a change another digest is no difference yet: the change
-	// spreads by gossip.
+	// digestSpreadDelay is the time after a change of the local list during which a different digest of
+	// another member does not start anti-entropy, because the change is still spreading by gossip.
 	digestSpreadDelay = 400 * time.Millisecond
-	// syncInterval is the shortest time between two sync requests that this member begins.
+	// syncInterval is the shortest time between two exchanges of anti-entropy that the local member starts.
 	syncInterval = 250 * time.Millisecond
-	// syncCatchUpDelay replaces syncInterval while many members are unknown.
+	// syncCatchUpDelay replaces syncInterval after an exchange that revealed unknown members.
 	syncCatchUpDelay = gossipBatchDelay
-	// recordRequestTTL is after how long a record that did not come may be requested again.
+	// recordRequestTTL is the time after which an unanswered record request expires and a new request for
+	// the same record is allowed.
 	recordRequestTTL = 300 * time.Millisecond
-	// refutationInterval is the shortest time between two raises of the local incarnation.
+	// refutationInterval is the shortest time between two increases of the local incarnation.
 	refutationInterval = 300 * time.Millisecond
 	// joinInterval is the time between two rounds of join messages to seeds.
 	joinInterval = 500 * time.Millisecond
-	// joinTimeout is when a joining member takes itself to be the first of its fleet.
+	// joinTimeout is the time after which a joining member that got no answer from an alive member concludes
+	// that it is the first member of its fleet.
 	joinTimeout = 1500 * time.Millisecond
-	// reconnectInterval is the time between two contacts with a dead member, or with a seed at
-	// which no live member is known.
+	// reconnectInterval is the time between two attempts to contact a dead member, or a seed whose address
+	// belongs to no known live member.
 	reconnectInterval = time.Second
 )
 
-// Bounds of memory and work.
+// Limits of memory use and work.
 const (
-	maxSuspicions         = 1024 // followed at once
-	maxDatagramsPerTarget = 4    // in one batch of updates, and in one answer
-	maxReportedConflicts  = 64   // names with addresses that were rejected
+	maxSuspicions         = 1024 // suspicions at the same time
+	maxDatagramsPerTarget = 4    // datagrams to one member in one batch of updates, or in one answer
+	maxReportedConflicts  = 64   // rejected pairs of name and address that are remembered
 	maxPendingUpdates     = 4096
 	maxRecordRequests     = 512
-	maxRelays             = 256 // indirect probes on behalf of others
-	maxProbes             = 8   // at once, while probes are boosted
+	maxRelays             = 256 // indirect probes on behalf of other members at the same time
+	maxProbes             = 8   // probes in progress at the same time, while probes are boosted
 	maxJoiningPeers       = 8
-	sweepBatch            = 32 // entries a period that are checked against deadMemberTTL
+	sweepBatch            = 32 // entries that are checked against deadMemberTTL before each probe
 )
--- a/coord/members/view.go
+++ b/coord/members/view.go
@@ -5,11 +5,12 @@
 	"slices"
 )
 
-// maxRetainedUnpublished is from how many unpublished members on their map is allocated anew: a map
-// keeps the memory of its largest size, which is that of a rare day.
+// maxRetainedUnpublished is the largest number of unpublished members for which takeChanges reuses the
+// map. A Go map never releases the memory of its largest size, which is rarely needed.
 const maxRetainedUnpublished = 64
 
-// View returns a snapshot. It copies all members, so it is for whoever asks, not for each change.
+// View returns a snapshot of the live members. It copies all members; a caller that needs only the changes
+// should use Changed.Changes instead.
 func (d *Decider) View() *View {
 	v := &View{Version: d.viewVersion, Digest: d.viewDigest, Members: make([]Member, 0, d.liveCount)}
 	for _, e := range d.entries {
@@ -21,18 +22,19 @@
 	return v
 }
 
-// Digest returns the digest of the present view.
+// Digest returns the digest of the current view.
 func (d *Decider) Digest() uint64 { return d.viewDigest }
 
-// publish notifies users of what became of members. A death waits as long as the fate of other
-// members of its zone is undecided, at most maxPublishDelay, so that a lost zone is one change.
+// publish adds a Changed action if the view changed. While a suspicion or a scan in the zone of an
+// unpublished death is unresolved, publish waits, at most for maxPublishDelay, so that the loss of a
+// whole zone is published as one change.
 func (d *Decider) publish() {
 	if len(d.unpublished) == 0 {
 		d.deathsDelayedUntil = 0
 		return
 	}
 	if d.self.State != Alive {
-		return // a view contains the local member: there is none before it joined or after it left
+		return // a view contains the local member, so no view exists before it joined or after it left
 	}
 	if d.deathsDelayedUntil > 0 && d.now < d.deathsDelayedUntil && d.hasUndecidedZone() {
 		return
@@ -48,8 +50,8 @@
 	d.actions = append(d.actions, Changed{Version: d.viewVersion, Digest: d.viewDigest, Changes: changes})
 }
 
-// takeChanges returns the changes of all unpublished members, in no order, and marks them
-// published.
+// takeChanges returns the changes of all unpublished members, in no particular order, and marks these
+// members as published.
 func (d *Decider) takeChanges() (changes []Change) {
 	unpublished := d.unpublished
 	if len(unpublished) > maxRetainedUnpublished {
@@ -67,7 +69,8 @@
 	return changes
 }
 
-// unpublishedChange compares the member with what users know of it.
+// unpublishedChange compares the member with its published state. It returns the reason of the change, and
+// whether there is a change to publish.
 func (e *entry) unpublishedChange() (Reason, bool) {
 	switch {
 	case e.isLive() && !e.published.known:
@@ -84,8 +87,8 @@
 	return "", false
 }
 
-// hasUndecidedZone reports whether the zone of an unpublished death has a suspect, or was scanned
-// so recently that one may still be found.
+// hasUndecidedZone reports whether the zone of an unpublished death has a suspected member, or was
+// scanned so recently that the scan may still find one.
 func (d *Decider) hasUndecidedZone() bool {
 	const scanTime = baseProbeTimeout + baseSuspicionTimeout + 4*regossipDelay
 	for _, e := range d.unpublished {
@@ -104,11 +107,11 @@
 	return false
 }
 
-// isUnpublishedDeath reports whether the member is dead and alive to users.
+// isUnpublishedDeath reports whether the member is dead but still live in the published view.
 func (e *entry) isUnpublishedDeath() bool { return e.State == Dead && e.published.live }
 
-// classifyZoneLosses gives the deaths of at least half of a zone, and of more than one member,
-// their reason.
+// classifyZoneLosses sets the reason of crashes to ReasonZoneLost if more than one member and at least half
+// of the members of the zone crashed.
 func (d *Decider) classifyZoneLosses(changes []Change) {
 	crashed := map[string]int{}
 	for i := range changes {
--- a/coord/members/wire.go
+++ b/coord/members/wire.go
@@ -9,14 +9,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// wireVersion is the high half of a datagram's first byte, which distinguishes it from datagrams of
-// other protocols on the same socket.
+// wireVersion is the value of the high nibble of the first byte of a datagram. It distinguishes the
+// datagrams of this package from those of other protocols on the same socket.
 const wireVersion = 2
 
-// messageType is the low half of a datagram's first byte.
+// messageType is the value of the low nibble of the first byte of a datagram.
 type messageType uint8
 
-// The types. docs/design/members.md has the content of each.
+// The message types. docs/design/members.md specifies the content of each.
 const (
 	pingMsg messageType = iota
 	ackMsg
@@ -29,46 +29,49 @@
 	syncChunkMsg
 	wrongProcessMsg
 	nameTakenMsg
-	messageTypes // how many there are
+	messageTypes // number of message types
 )
 
 // memberID identifies a member in updates: the top six bytes of the hash of its name.
 type memberID uint64
 
-const idLen = 6
+const idLen = 6 // bytes of a memberID in a datagram
 
+// idOf returns the id of the member with the given name.
 func idOf(name string) memberID { return memberID(xxhash.Sum64String(name) >> 16) }
 
-// update is a statement about a member.
+// update is a statement about the state of a member, as exchanged between members.
 type update struct {
 	id          memberID
 	state       State // Alive, Suspected, Dead or Left
 	incarnation uint32
-	confirms    bool     // of Suspected: a witness heard nothing for the suspicion time-out
-	reporter    memberID // of Suspected: who suspects or confirms
-	bootLow     uint16   // of Alive: the low half of Boot, to detect another process
+	confirms    bool     // if Suspected: reporter is a witness that got no answer within the suspicion timeout
+	reporter    memberID // if Suspected: the member that suspects the member or confirms the suspicion
+	bootLow     uint16   // if Alive: the low half of Boot, to detect another process
 }
 
+// aliveUpdate returns an update that says that a member is alive at its incarnation.
 func aliveUpdate(e *entry) update {
 	return update{id: e.id, state: Alive, incarnation: e.Incarnation, bootLow: uint16(e.Boot)}
 }
 
+// deadUpdate returns an update that says that a member is dead at its incarnation.
 func deadUpdate(e *entry) update {
 	return update{id: e.id, state: Dead, incarnation: e.Incarnation}
 }
 
-// The flags byte of an update.
+// Bits of the flags byte of an update.
 const (
 	stateMask    = 0x07
 	confirmsFlag = 0x08
 )
 
-// Lengths in bytes.
+// Lengths of datagrams and their parts, in bytes.
 const (
 	headerLen            = 1
 	checksumLen          = 4
-	pingLen              = headerLen + 2 + 4 + 4 // without updates
-	ackLen               = headerLen + 2 + 4     // without updates
+	pingLen              = headerLen + 2 + 4 + 4 // without updates and checksum
+	ackLen               = headerLen + 2 + 4     // without updates and checksum
 	maxLenBeforeChecksum = MaxDatagramLen - checksumLen
 	maxUpdateLen         = 1 + idLen + 5 + idLen
 	maxRecordLen         = 5 + 4 + 1 + 6 + 3 + MaxNameLen + MaxZoneLen + MaxVersionLen
@@ -76,7 +79,7 @@
 
 var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
-// Why a datagram is dropped.
+// Reasons to drop a datagram.
 var (
 	errTruncated  = errors.New("the datagram is truncated")
 	errChecksum   = errors.New("the datagram's checksum is wrong")
@@ -84,20 +87,20 @@
 	errOutOfRange = errors.New("the datagram has a field out of range")
 )
 
-// IsDatagram reports by its first byte whether a datagram is one of this package's.
+// IsDatagram reports whether a datagram belongs to this package, judging by its first byte.
 func IsDatagram(b []byte) bool { return len(b) > 0 && b[0]>>4 == wireVersion }
 
-// newDatagram begins a datagram with its header.
+// newDatagram returns a datagram that consists of the header only.
 func newDatagram(msg messageType) []byte {
 	return append(make([]byte, 0, 64), byte(wireVersion<<4)|byte(msg))
 }
 
-// seal appends the checksum.
+// appendChecksum appends the checksum of b.
 func appendChecksum(b []byte) []byte {
 	return binary.BigEndian.AppendUint32(b, crc32.Checksum(b, crcTable))
 }
 
-// unseal checks length, version and checksum of a datagram and returns its type and body.
+// parseDatagram checks the length, version and checksum of a datagram and returns its type and body.
 func parseDatagram(b []byte) (messageType, []byte, error) {
 	switch {
 	case len(b) < headerLen+checksumLen:
@@ -135,7 +138,7 @@
 	return b
 }
 
-// appendRecord appends who a member is, with its state.
+// appendRecord appends a record: the identity, incarnation and state of a member.
 func appendRecord(b []byte, m *Member) []byte {
 	b = binary.AppendUvarint(b, uint64(m.Incarnation))
 	b = binary.BigEndian.AppendUint32(b, m.Boot)
