--- a/coord/members/config.go
+++ b/coord/members/config.go
@@ -19,8 +19,8 @@
 	// Name identifies the member in the fleet and stays the same across restarts: 1 to MaxNameLen
 	// bytes of printable ASCII without spaces.
 	Name string
-	// Zone is the member's failure domain, at most MaxZoneLen bytes. Indirect probes prefer members of
-	// other zones as relays. If half of a zone dies, its deaths are published as one change.
+	// Zone is the member's failure domain, at most MaxZoneLen bytes. Indirect probes prefer members
+	// of other zones as relays. If half of a zone dies, its deaths are published as one change.
 	Zone string
 	// Version is the program's version, at most MaxVersionLen bytes. It is only displayed, never
 	// compared.
@@ -33,17 +33,18 @@
 	// 0 counts as 1. If it is not set, the member can only learn its earlier incarnation from live
 	// members.
 	Incarnation uint32
-	// Seeds are the addresses that the member asks for the membership. It skips its own address. More
-	// seeds help to reconnect larger network partitions, at a cost of one datagram a second in total.
-	// The slice must not be modified.
+	// Seeds are the addresses that the member asks for the membership. It skips its own address.
+	// More seeds help to reconnect larger network partitions, at a cost of one datagram a second in
+	// total. The slice must not be modified.
 	Seeds []netip.AddrPort
-	// SeedsOnly makes the member reject datagrams from addresses that belong neither to a member nor
-	// to Seeds.
+	// SeedsOnly makes the member reject datagrams from addresses that belong neither to a member
+	// nor to Seeds.
 	SeedsOnly bool
 	// RandomSeed seeds the random number generator.
 	RandomSeed uint64
 	// MaxMembers limits the entries of the membership list, dead members included. 0 means the
-	// constant MaxMembers. A lower limit saves memory; once the list is full, new members are not added.
+	// constant MaxMembers. A lower limit saves memory; once the list is full, new members are not
+	// added.
 	MaxMembers int
 }
 
--- a/coord/members/decider.go
+++ b/coord/members/decider.go
@@ -116,8 +116,8 @@
 }
 
 // Step processes one event at time now and returns the actions that the owner must carry out, in
-// order. The returned slice is valid until the next call. If now is earlier than in the previous call,
-// Step uses the time of the previous call.
+// order. The returned slice is valid until the next call. If now is earlier than in the previous
+// call, Step uses the time of the previous call.
 func (d *Decider) Step(now time.Duration, e Event) []Action {
 	clear(d.actions) // releases memory that old actions refer to, such as the first change of a large fleet
 	d.actions = d.actions[:0]
@@ -167,7 +167,8 @@
 	d.lastReceivedAt = max(d.lastReceivedAt, d.now)
 }
 
-// handle calls the handler for the type of a message. sender is nil if no member has the address from.
+// handle calls the handler for the type of a message. sender is nil if no member has the address
+// from.
 func (d *Decider) handle(msg messageType, from netip.AddrPort, sender *entry, r *reader) {
 	switch msg {
 	case pingMsg:
--- a/coord/members/decider_test.go
+++ b/coord/members/decider_test.go
@@ -18,10 +18,12 @@
 
 const ms = time.Millisecond
 
+// addr returns the address of member n.
 func addr(n int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(n)}), 7946)
 }
 
+// config returns the Config of member n, whose seeds are the members with the given numbers.
 func config(n int, seeds ...int) Config {
 	c := Config{Name: fmt.Sprint("r", n), Zone: "z", Version: "1", Addr: addr(n), Boot: uint32(100 + n), RandomSeed: uint64(n)}
 	for _, s := range seeds {
@@ -30,18 +32,19 @@
 	return c
 }
 
-// fleet is deciders whose datagrams arrive at once, on one clock.
+// fleet is a set of Deciders that share a virtual clock. Datagrams between them arrive immediately.
 type fleet struct {
 	t        *testing.T
 	now      time.Duration
-	deciders map[netip.AddrPort]*Decider
-	actions  map[netip.AddrPort][]Action
+	deciders map[netip.AddrPort]*Decider // nil for a member that crashed
+	actions  map[netip.AddrPort][]Action // all actions of each member except Send
 }
 
 func newFleet(t *testing.T) *fleet {
 	return &fleet{t: t, deciders: map[netip.AddrPort]*Decider{}, actions: map[netip.AddrPort][]Action{}}
 }
 
+// start starts a member and steps it once. It replaces an earlier member at the same address.
 func (f *fleet) start(c Config) *Decider {
 	f.t.Helper()
 	d, err := New(c, f.now)
@@ -53,6 +56,7 @@
 	return d
 }
 
+// step passes an event to a Decider, records its actions and delivers the datagrams that it sends.
 func (f *fleet) step(d *Decider, e Event) {
 	from := d.self.Addr
 	for _, a := range slices.Clone(d.Step(f.now, e)) {
@@ -67,7 +71,7 @@
 	}
 }
 
-// run lets time pass for all.
+// run advances the clock by d and steps each member when it is due.
 func (f *fleet) run(d time.Duration) {
 	for end := f.now + d; f.now < end; f.now += 10 * ms {
 		for _, a := range slices.SortedFunc(mapKeys(f.deciders), netip.AddrPort.Compare) {
@@ -88,6 +92,7 @@
 	}
 }
 
+// names returns the members in the view of d, each as its name and the last byte of its address.
 func (f *fleet) names(d *Decider) (all []string) {
 	for _, m := range d.View().Members {
 		all = append(all, fmt.Sprintf("%s@%d", m.Name, m.Addr.Addr().As4()[3]))
@@ -95,40 +100,44 @@
 	return all
 }
 
+// expectView checks that the view of d has exactly the given members.
 func (f *fleet) expectView(d *Decider, want ...string) {
 	f.t.Helper()
 	if diff := cmp.Diff(want, f.names(d)); diff != "" {
-		f.t.Errorf("%s sees (-want +got):\n%s", d.config.Name, diff)
+		f.t.Errorf("view of %s differs (-want +got):\n%s", d.config.Name, diff)
 	}
 }
 
-// On a day of planned restarts a third of a fleet counted a router as crashed, 4.4 s after it had
-// announced that it leaves: new members had learnt of it from one that had missed the announcement,
-// and gossiped it on. Those that knew sent nothing, as anti-entropy exchanges live members only.
+// If a member gossips that another member is alive and the receiver knows that the other member has
+// left, the receiver sends the sender an update about the leave.
 //
-// A member that mentions as alive one that has left is told that it has left.
+// Without this update, a third of a fleet reported a router as crashed during planned restarts, 4.4
+// s after the router had announced its leave. New members had learnt about the router from a member
+// that had missed the announcement, and gossiped that the router was alive. The members that knew
+// about the leave did not correct them, because anti-entropy exchanges live members only.
 func TestLeaveReachesMemberThatMissedIt(t *testing.T) {
 	f := newFleet(t)
 	a, b, c := f.start(config(1, 2)), f.start(config(2, 1)), f.start(config(3, 1, 2))
 	f.run(5 * time.Second)
 	f.expectView(c, "r1@1", "r2@2", "r3@3")
-	delete(f.deciders, addr(3)) // it misses the announcement
+	delete(f.deciders, addr(3)) // r3 misses the announcement of r1
 	f.step(a, Leave{})
 	f.run(500 * ms)
 	f.expectView(b, "r2@2", "r3@3")
-	delete(f.deciders, addr(1)) // and ends
+	delete(f.deciders, addr(1)) // the process of r1 ends
 	f.deciders[addr(3)] = c
 	f.step(b, Received{addr(3), appendChecksum(appendUpdate(newDatagram(updatesMsg), aliveUpdate(c.entries[slices.IndexFunc(c.entries, func(e *entry) bool { return e.Name == "r1" })])))})
 	f.expectView(c, "r2@2", "r3@3")
 	for _, x := range f.actions[addr(3)] {
 		if ch, ok := x.(Changed); ok && slices.ContainsFunc(ch.Changes, func(y Change) bool { return y.Reason == ReasonCrashed }) {
-			t.Errorf("the member that left counts as crashed: %+v", ch)
+			t.Errorf("r3 reports the member that left as crashed: %+v", ch)
 		}
 	}
 }
 
-// A process that claims the name of a live member is rejected, notified, and reported once. When
-// the member is dead its name is free, and its incarnation goes on.
+// A process that claims the name of a live member is rejected and notified, and the conflict is
+// reported once. After the member is dead, the process gets the name, with a higher incarnation
+// than the dead member had.
 func TestClaimOfLiveNameIsRejected(t *testing.T) {
 	f := newFleet(t)
 	a, b := f.start(config(1, 2)), f.start(config(2, 1))
@@ -140,11 +149,11 @@
 	f.expectView(b, "r1@1", "r2@2")
 	for _, x := range f.actions[addr(3)] {
 		if ch, ok := x.(Changed); ok {
-			t.Errorf("a process that has not joined publishes a view: %+v", ch)
+			t.Errorf("the process that claims a taken name published a view before it joined: %+v", ch)
 		}
 	}
 	if c.State() != Joining {
-		t.Errorf("the twin is %v", c.State())
+		t.Errorf("the process that claims a taken name is %v, want joining", c.State())
 	}
 	var rejections, taken int
 	for _, x := range append(f.actions[addr(1)], f.actions[addr(2)]...) {
@@ -158,19 +167,19 @@
 		}
 	}
 	if rejections == 0 || rejections > 2 || taken != 1 {
-		t.Errorf("%d rejections by two members, notified %d times", rejections, taken)
+		t.Errorf("two members reported %d name conflicts, want 1 or 2; the claimant reported %d times that its name is taken, want 1", rejections, taken)
 	}
 	before := a.Incarnation()
-	f.deciders[addr(1)] = nil // dies
+	f.deciders[addr(1)] = nil // r1 crashes
 	f.run(12 * time.Second)
 	f.expectView(b, "r1@3", "r2@2")
 	if c.State() != Alive || c.Incarnation() <= before {
-		t.Errorf("the successor is %v at incarnation %d; it was %d", c.State(), c.Incarnation(), before)
+		t.Errorf("the successor is %v at incarnation %d, want alive at an incarnation above %d", c.State(), c.Incarnation(), before)
 	}
 }
 
-// The address of a dead member is free for another name, and the member is detected as dead though
-// somebody answers at its address.
+// A new member can use the address of a dead member. The dead member is detected as dead although
+// the new member answers pings at the same address.
 func TestAddressOfDeadMemberIsReused(t *testing.T) {
 	f := newFleet(t)
 	b := f.start(config(2, 1))
@@ -184,9 +193,9 @@
 	f.expectView(b, "r2@2", "r3@3", "r9@1")
 }
 
-// A process that restarts takes an incarnation above its earlier one, from whichever member it
-// learns that. Any higher incarnation that it hears of itself is believed, except the highest
-// possible.
+// A restarted process chooses an incarnation above its earlier one, which it learns from any other
+// member. If a process receives an update about itself with a higher incarnation, it raises its own
+// incarnation above the received one, unless the received one is the highest possible.
 func TestIncarnationOnlyGrows(t *testing.T) {
 	f := newFleet(t)
 	b := f.start(config(2, 1))
@@ -195,14 +204,14 @@
 	a := f.start(c)
 	f.run(3 * time.Second)
 	if a.Incarnation() != 7 {
-		t.Errorf("it begins at %d", a.Incarnation())
+		t.Errorf("r1 started at incarnation %d, want 7 as configured", a.Incarnation())
 	}
-	restarted := config(1, 2) // its memory is gone
+	restarted := config(1, 2) // without a persisted incarnation
 	restarted.Boot = 555
 	a = f.start(restarted)
 	f.run(3 * time.Second)
 	if a.Incarnation() != 8 {
-		t.Errorf("after a start with nothing it is at %d", a.Incarnation())
+		t.Errorf("after a restart without a persisted incarnation, r1 is at incarnation %d, want 8", a.Incarnation())
 	}
 	f.expectView(b, "r1@1", "r2@2")
 	var reasons []Reason
@@ -228,13 +237,14 @@
 			want = before
 		}
 		if a.Incarnation() != want || a.State() != Alive {
-			t.Errorf("%+v: %v at %d, want %d", u, a.State(), a.Incarnation(), want)
+			t.Errorf("after update %+v, r1 is %v at incarnation %d, want alive at %d", u, a.State(), a.Incarnation(), want)
 		}
 	}
 }
 
-// A member that leaves is removed at once, and an update from before does not bring it back. A
-// replacement is no death.
+// A member that leaves is removed from the view immediately, and an earlier update does not add it
+// again. A process that is replaced by another process with the same name does not count as
+// crashed.
 func TestLeaveRemovesAtOnce(t *testing.T) {
 	f := newFleet(t)
 	b := f.start(config(2, 1))
@@ -262,14 +272,14 @@
 		if ch, ok := x.(Changed); ok {
 			for _, y := range ch.Changes {
 				if y.Reason == ReasonCrashed {
-					t.Errorf("%s crashed", y.Member.Name)
+					t.Errorf("r2 reports %s as crashed, but no member crashed", y.Member.Name)
 				}
 			}
 		}
 	}
 }
 
-// With SeedsOnly nobody but the seeds joins; and the membership list stays within its bound.
+// With SeedsOnly, only seeds can join. The membership list does not exceed Config.MaxMembers.
 func TestStrangersAndBoundOfMembers(t *testing.T) {
 	f := newFleet(t)
 	c := config(2, 1)
@@ -279,7 +289,7 @@
 	f.run(3 * time.Second)
 	f.expectView(b, "r2@2")
 	if b.Stats().Dropped == 0 {
-		t.Error("a stranger's datagrams are not counted")
+		t.Error("r2 did not count the rejected datagrams of r3 as dropped")
 	}
 	c = config(4)
 	c.MaxMembers = 10
@@ -289,11 +299,11 @@
 		f.step(d, Received{m.Addr, appendChecksum(appendRecord(newDatagram(joinMsg), &m))})
 	}
 	if got := len(d.entries); got != 10 {
-		t.Errorf("%d members, 10 are allowed", got)
+		t.Errorf("the membership list has %d entries, want 10", got)
 	}
 }
 
-// New rejects an invalid Config and names the field.
+// New rejects an invalid Config with an error that names the field.
 func TestNewRejectsInvalidConfig(t *testing.T) {
 	for _, change := range []func(*Config){
 		func(c *Config) { c.Name = "" }, func(c *Config) { c.Name = "a b" }, func(c *Config) { c.Name = string(make([]byte, 40)) },
@@ -304,13 +314,14 @@
 		change(&c)
 		var invalid *ConfigError
 		if _, err := New(c, 0); !errors.As(err, &invalid) || !strings.Contains(err.Error(), invalid.Field) {
-			t.Errorf("%+v: error %v", c, err)
+			t.Errorf("New(%+v) returned error %v, want a *ConfigError that names the field", c, err)
 		}
 	}
 }
 
-// Whatever datagrams arrive from wherever: the decider does not panic, sends none that is too long,
-// its incarnation does not fall, and its digest is that of its live members.
+// Whatever datagrams arrive from any address, a Decider does not panic, does not send a datagram
+// longer than MaxDatagramLen, and does not lower its incarnation; its digest matches its live
+// members.
 func TestAnyDatagramKeepsInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d, err := New(config(1, 2, 3), 0)
@@ -341,15 +352,15 @@
 			}
 			for _, a := range d.Step(now, Received{addr(rapid.IntRange(1, 4).Draw(t, "from")), b}) {
 				if s, ok := a.(Send); ok && len(s.Data) > MaxDatagramLen {
-					t.Fatalf("%d bytes", len(s.Data))
+					t.Fatalf("sent a datagram of %d bytes, which is longer than MaxDatagramLen", len(s.Data))
 				}
 			}
 			if d.Incarnation() < inc || d.State() != Joining && d.State() != Alive {
-				t.Fatalf("%v at %d, after %d", d.State(), d.Incarnation(), inc)
+				t.Fatalf("the local member is %v at incarnation %d, want joining or alive at %d or above", d.State(), d.Incarnation(), inc)
 			}
 			inc = d.Incarnation()
 			if d.Next() < now {
-				t.Fatalf("Next is %v at %v", d.Next(), now)
+				t.Fatalf("Next() = %v, which is before the current time %v", d.Next(), now)
 			}
 			sum := uint64(0)
 			for _, e := range d.entries {
@@ -358,14 +369,14 @@
 				}
 			}
 			if sum != d.digest {
-				t.Fatal("the digest is not that of the living")
+				t.Fatal("the digest does not match the live members")
 			}
 		}
 	})
 }
 
-// Records and updates are decoded as they were encoded; one flipped bit and any truncation is
-// detected.
+// Decoding an encoded record and update returns the original values. A datagram with one flipped
+// bit and a truncated datagram are rejected.
 func TestCorruptionIsDetected(t *testing.T) {
 	m := Member{Name: "router-7", Zone: "east", Version: "1.4", Addr: addr(9), Incarnation: 1 << 20, Boot: 5, State: Suspected}
 	u := update{id: idOf("a"), state: Suspected, incarnation: 300, confirms: true, reporter: idOf("b")}
@@ -374,45 +385,45 @@
 	r := &reader{rest: body}
 	got, gotUpdate := r.record(), r.update()
 	if diff := cmp.Diff(m, got, cmpopts.EquateComparable(netip.AddrPort{})); diff != "" || err != nil || msgType != recordsMsg || r.err != nil || gotUpdate != u || r.hasMore() {
-		t.Errorf("%v %v %+v %s", err, r.err, gotUpdate, diff)
+		t.Errorf("decoded datagram differs: parse error %v, read error %v, update %+v, record (-want +got):\n%s", err, r.err, gotUpdate, diff)
 	}
 	for i := range 8 * len(b) {
 		x := bytes.Clone(b)
 		x[i/8] ^= 1 << (i % 8)
 		if _, _, err := parseDatagram(x); err == nil {
-			t.Errorf("bit %d flipped: taken", i)
+			t.Errorf("a datagram with bit %d flipped was accepted", i)
 		}
 	}
 	for n := range b {
 		if _, _, err := parseDatagram(b[:n]); err == nil {
-			t.Errorf("truncated at %d: taken", n)
+			t.Errorf("a datagram truncated to %d bytes was accepted", n)
 		}
 	}
 }
 
-// The timings meet the goals of the design note.
+// The timings meet the goals in docs/design/members.md.
 func TestTimingsMeetGoals(t *testing.T) {
 	const loss = 0.2
 	pingFailure := 1 - (1-loss)*(1-loss)
 	indirectFailure := 1 - math.Pow(1-loss, 4)
 	probeFailure := math.Pow(pingFailure, pingsPerProbe) * math.Pow(indirectFailure, indirectProbers)
 	if probeFailure > 0.011 {
-		t.Errorf("a probe of a living member fails with %.3f", probeFailure)
+		t.Errorf("a probe of a live member fails with probability %.3f, want at most 0.011", probeFailure)
 	}
 	if detectionTime := baseProbeTimeout + baseSuspicionTimeout + 2*(5*gossipBatchDelay+regossipDelay); detectionTime > 3*time.Second {
-		t.Errorf("a crash is known after %v", detectionTime)
+		t.Errorf("a crash is known to all members after %v, want at most 3 s", detectionTime)
 	}
 	remaining := baseProbeTimeout + baseSuspicionTimeout - time.Second // after a stall of 1 s
 	if n := int(remaining / pingInterval); n < 7 || math.Pow(pingFailure, 7) > 0.0009 {
-		t.Errorf("a witness has %d pings left", n)
+		t.Errorf("after a stall of 1 s, a suspect receives %d more pings from a witness, want at least 7", n)
 	}
 	if missed := math.Exp(-float64(gossipFanout+regossipFanout) * (1 - loss)); missed > 0.004 {
-		t.Errorf("an update does not reach %.4f", missed)
+		t.Errorf("gossip of an update misses %.4f of the members, want at most 0.004", missed)
 	}
 	if bytes := float64(pingLen+ackLen+2*checksumLen) / protocolPeriod.Seconds(); bytes > 64 {
-		t.Errorf("%.0f bytes a second", bytes)
+		t.Errorf("probes of a member take %.0f bytes a second, want at most 64", bytes)
 	}
 	if baseProbeTimeout >= protocolPeriod || indirectPingDelay < (pingsPerProbe-1)*pingInterval || deathConfirmations > witnessCount {
-		t.Error("the timings do not fit one another")
+		t.Error("want baseProbeTimeout < protocolPeriod, indirectPingDelay >= (pingsPerProbe-1)*pingInterval and deathConfirmations <= witnessCount")
 	}
 }
--- a/coord/members/event.go
+++ b/coord/members/event.go
@@ -15,8 +15,8 @@
 type Tick struct{}
 
 // Leave makes the Decider announce that the local process is ending. If Replaced is set, another
-// process takes over the same name. The Decider then announces nothing, and the other members see the
-// successor as a restart.
+// process takes over the same name. The Decider then announces nothing, and the other members see
+// the successor as a restart.
 type Leave struct{ Replaced bool }
 
 // SetSeeds replaces Config.Seeds. The caller must not modify the slice afterwards.
@@ -44,16 +44,16 @@
 	Changes         []Change
 }
 
-// NameConflict reports that a process claims the name of a live member. It is reported once for each
-// pair of name and address.
+// NameConflict reports that a process claims the name of a live member. It is reported once for
+// each pair of name and address.
 type NameConflict struct {
 	Name string
 	Addr netip.AddrPort // address of the process that claims the name
 }
 
 // LocalNameTaken reports, once, that a live member at another address has the local name. By is the
-// address of the member that sent the rejection. The local process stays in state Joining and appears in
-// no view until the other member is dead.
+// address of the member that sent the rejection. The local process stays in state Joining and
+// appears in no view until the other member is dead.
 type LocalNameTaken struct{ By netip.AddrPort }
 
 func (Send) isAction()           {}
--- a/coord/members/example_test.go
+++ b/coord/members/example_test.go
@@ -8,8 +8,8 @@
 	"reachspread/coord/members"
 )
 
-// Three processes discover each other through one seed. The owner of each Decider delivers its datagrams.
-// In this example, datagrams arrive immediately, in virtual time.
+// Three processes discover each other through one seed. The owner of each Decider delivers its
+// datagrams. In this example, datagrams arrive immediately, in virtual time.
 func Example() {
 	seed := netip.MustParseAddrPort("10.0.0.1:7680")
 	all := map[netip.AddrPort]*members.Decider{}
--- a/coord/members/explore_test.go
+++ b/coord/members/explore_test.go
@@ -12,24 +12,26 @@
 	"reachspread/internal/testbed/explorer"
 )
 
-var depth = flag.Int("depth", 4, "of the exploration")
+var depth = flag.Int("depth", 4, "number of choices on each path that the model checker explores")
 
-// datagram is a message of the model checker.
+// datagram is a message between nodes of the model checker.
 type datagram struct{ Data string }
 
-// node makes a decider a node of the model checker and remembers the highest incarnation.
+// node wraps a Decider as a node of the model checker and records violated invariants.
 type node struct {
-	n, restarts        int
+	n, restarts        int // index of the node, and how often it restarted before this start
 	decider            *members.Decider
 	highestIncarnation uint32
-	violation          error
-	settled            bool
+	violation          error // the last violated invariant
+	settled            bool  // start with all three members in the membership list
 }
 
+// addrOf returns the address of node n.
 func addrOf(n int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(n + 1)}), 7946)
 }
 
+// Start starts the Decider of the node.
 func (x *node) Start(now time.Duration) explorer.Out[datagram] {
 	var seeds []netip.AddrPort
 	for i := range 3 {
@@ -52,12 +54,15 @@
 	return x.step(now, members.Tick{})
 }
 
+// Receive passes a datagram to the Decider.
 func (x *node) Receive(now time.Duration, from int, m datagram) explorer.Out[datagram] {
 	return x.step(now, members.Received{From: addrOf(from), Data: []byte(m.Data)})
 }
 
+// Wake steps the Decider at the time that its Next method returned, or later.
 func (x *node) Wake(now time.Duration) explorer.Out[datagram] { return x.step(now, members.Tick{}) }
 
+// step passes an event to the Decider, checks the invariants and returns the datagrams to send.
 func (x *node) step(now time.Duration, e members.Event) (o explorer.Out[datagram]) {
 	for _, a := range x.decider.Step(now, e) {
 		if s, ok := a.(members.Send); ok {
@@ -65,12 +70,12 @@
 		}
 	}
 	if inc := x.decider.Incarnation(); inc < x.highestIncarnation {
-		x.violation = fmt.Errorf("r%d went from incarnation %d to %d", x.n, x.highestIncarnation, inc)
+		x.violation = fmt.Errorf("the incarnation of r%d fell from %d to %d", x.n, x.highestIncarnation, inc)
 	} else {
 		x.highestIncarnation = inc
 	}
 	if s := x.decider.State(); s != members.Joining && s != members.Alive {
-		x.violation = fmt.Errorf("r%d is %v in its own view", x.n, s)
+		x.violation = fmt.Errorf("the state of r%d at itself is %v, want joining or alive", x.n, s)
 	}
 	if x.decider.State() == members.Alive {
 		seen := false
@@ -85,10 +90,12 @@
 	return o
 }
 
+// Write writes the state of the Decider, so that the model checker can compare states.
 func (x *node) Write(h hash.Hash64) { x.decider.WriteState(h) }
 
-// In all orders of the events of three members with a crash, a loss and a stall, from an empty and
-// from a settled view: no incarnation falls, and no member is missing from its own view.
+// The model checker explores all orders of the events of three members with up to one crash, one
+// lost datagram and one stall. The members start with an empty or with a settled membership list.
+// In no order does an incarnation fall or a member disappear from its own view.
 func TestExploredOrdersKeepInvariants(t *testing.T) {
 	for _, settled := range []bool{false, true} {
 		q := explorer.Question[datagram]{Nodes: 3, Depth: *depth, MaxStates: 400_000, Budget: explorer.Budget{Losses: 1, Crashes: 1, Pauses: 1}, MaxSkew: 100 * time.Millisecond,
@@ -110,7 +117,7 @@
 		}
 		t.Log(a.String())
 		if a.Violation != nil || a.States < 500 {
-			t.Errorf("settled %v: %s", settled, a)
+			t.Errorf("exploration with settled=%v violated an invariant or reached fewer than 500 states: %s", settled, a)
 		}
 	}
 }
--- a/coord/members/golden_test.go
+++ b/coord/members/golden_test.go
@@ -16,31 +16,34 @@
 	"reachspread/internal/testbed/golden"
 )
 
-// traced is deciders on one clock, with a trace of all that they send and notify. A datagram takes
-// 5 ms.
+// tracedFleet is a set of Deciders that share a virtual clock, with a trace of all their actions.
+// The network delivers a datagram after 5 ms.
 type tracedFleet struct {
 	t        *testing.T
 	now      time.Duration
 	deciders map[netip.AddrPort]*Decider
-	isLost   func(from, to netip.AddrPort) bool
-	queue    []tracedDatagram
-	trace    hash.Hash64
-	samples  map[messageType][]golden.Record
-	changes  strings.Builder
+	isLost   func(from, to netip.AddrPort) bool // whether the network loses datagrams between two addresses
+	queue    []tracedDatagram                   // datagrams in transit
+	trace    hash.Hash64                        // hash of all datagrams sent
+	samples  map[messageType][]golden.Record    // sample datagrams of each type
+	changes  strings.Builder                    // one line for each action other than Send
 }
 
+// tracedDatagram is a datagram in transit.
 type tracedDatagram struct {
 	arrivesAt time.Duration
 	from, to  netip.AddrPort
 	data      []byte
 }
 
-const samplesPerType = 4
+const samplesPerType = 4 // at most, each of a different length
 
+// newTracedFleet returns an empty fleet whose network loses no datagrams.
 func newTracedFleet(t *testing.T) *tracedFleet {
 	return &tracedFleet{t: t, deciders: map[netip.AddrPort]*Decider{}, isLost: func(_, _ netip.AddrPort) bool { return false }, trace: xxhash.New(), samples: map[messageType][]golden.Record{}}
 }
 
+// start starts a member and steps it once. It replaces an earlier member at the same address.
 func (x *tracedFleet) start(c Config) {
 	x.t.Helper()
 	d, err := New(c, x.now)
@@ -51,6 +54,7 @@
 	x.step(c.Addr, Tick{})
 }
 
+// step passes an event to the Decider at an address and traces its actions.
 func (x *tracedFleet) step(at netip.AddrPort, e Event) {
 	for _, a := range x.deciders[at].Step(x.now, e) {
 		if s, ok := a.(Send); ok {
@@ -61,7 +65,8 @@
 	}
 }
 
-// actionText describes an action without names of the code.
+// actionText describes an action in the words of the golden file, which do not depend on names in
+// the code.
 func actionText(a Action) string {
 	switch a := a.(type) {
 	case Changed:
@@ -78,6 +83,7 @@
 	return fmt.Sprintf("%v", a)
 }
 
+// sent adds a datagram to the trace and the samples, and to the queue unless the network loses it.
 func (x *tracedFleet) sent(from netip.AddrPort, s Send) {
 	fmt.Fprintf(x.trace, "%d %v %v %x\n", x.now, from, s.To, s.Data)
 	msgType := messageType(s.Data[0] & 0x0f)
@@ -91,7 +97,7 @@
 	}
 }
 
-// run lets time pass for all.
+// run advances the clock by d, delivers datagrams and steps the Deciders that are due.
 func (x *tracedFleet) run(d time.Duration) {
 	for end := x.now + d; x.now < end; x.now += ms {
 		for len(x.queue) > 0 && x.queue[0].arrivesAt <= x.now {
@@ -109,15 +115,16 @@
 	}
 }
 
+// zoned returns the Config of member n in the given zone.
 func zoned(n int, zone string, seeds ...int) Config {
 	c := config(n, seeds...)
 	c.Zone, c.Version = zone, "1.2"
 	return c
 }
 
-// The history of a small fleet, with a broken link, a network partition, a crash, restarts, a name
-// conflict and a leave, has the datagrams and views that it had at commit 5bfcc27: every type of
-// datagram, each decision and each random draw.
+// The history of a small fleet has the same datagrams and views as at commit 5bfcc27. It contains a
+// broken link, a network partition, a crash, restarts, a name conflict and a leave, and covers
+// every type of datagram. A different decision or a different random draw changes the history.
 func TestHistoryKeepsItsDatagrams(t *testing.T) {
 	x := newTracedFleet(t)
 	for n := 1; n <= 7; n++ {
@@ -158,7 +165,7 @@
 	var records []golden.Record
 	for msgType := range messageTypes {
 		if len(x.samples[msgType]) == 0 {
-			t.Errorf("no datagram of kind %d was sent", msgType)
+			t.Errorf("the history contains no datagram of message type %d", msgType)
 		}
 		records = append(records, x.samples[msgType]...)
 	}
@@ -167,7 +174,7 @@
 	golden.CheckText(t, "history.views", x.changes.String())
 }
 
-// goldenUpdates are updates of each state.
+// goldenUpdates returns updates of every state that an update can have.
 func goldenUpdates() []update {
 	return []update{
 		{id: idOf("router-1"), state: Alive, incarnation: 1, bootLow: 0xfedc},
@@ -178,6 +185,7 @@
 	}
 }
 
+// goldenRecords returns members whose records the golden file contains.
 func goldenRecords() []Member {
 	return []Member{
 		{Name: "router-1", Zone: "north", Version: "1.2", Addr: netip.MustParseAddrPort("10.1.2.3:7946"), Incarnation: 1 << 20, Boot: 0xfedcba98, State: Alive},
@@ -185,8 +193,8 @@
 	}
 }
 
-// Updates, records and the elements of other datagrams have the bytes that they had at commit
-// 5bfcc27, and are decoded from them.
+// Updates, records and the elements of other datagrams are encoded to the same bytes as at commit
+// 5bfcc27, and those bytes are decoded to the original values.
 func TestUpdatesAndRecordsKeepTheirBytes(t *testing.T) {
 	updates, records := newDatagram(updatesMsg), newDatagram(recordsMsg)
 	for _, u := range goldenUpdates() {
@@ -209,27 +217,27 @@
 		t.Helper()
 		msgType, body, err := parseDatagram(data[name])
 		if err != nil || msgType != want {
-			t.Errorf("%s is read as kind %d, not %d (%v)", name, msgType, want, err)
+			t.Errorf("golden datagram %s has message type %d, want %d (error %v)", name, msgType, want, err)
 		}
 		return &reader{rest: body}
 	}
 	if got := read("words", updatesMsg).updates(); !reflect.DeepEqual(got, goldenUpdates()) {
-		t.Errorf("the updates are read as %+v, not %+v", got, goldenUpdates())
+		t.Errorf("decoded updates are %+v, want %+v", got, goldenUpdates())
 	}
 	r := read("cards", recordsMsg)
 	for _, want := range members {
 		if got := r.record(); !reflect.DeepEqual(got, want) || r.err != nil {
-			t.Errorf("a record is read as %+v, not %+v (%v)", got, want, r.err)
+			t.Errorf("decoded record is %+v, want %+v (error %v)", got, want, r.err)
 		}
 	}
 	r = read("ask", indirectPingMsg)
 	if seq, target, boot := r.u16(), r.addr(), r.u32(); seq != 0xfedc || target != members[0].Addr || boot != members[0].Boot || r.err != nil || r.hasMore() {
-		t.Errorf("what is asked for is read as %x, %v, %x (%v)", seq, target, boot, r.err)
+		t.Errorf("decoded indirect ping has sequence number %x, target %v, boot number %x (error %v), or bytes are left", seq, target, boot, r.err)
 	}
 	if name := read("refused", nameTakenMsg).text(MaxNameLen); name != "router-1" {
-		t.Errorf("the name that is refused is read as %q", name)
+		t.Errorf("decoded taken name is %q, want router-1", name)
 	}
 	if path := read("path", syncRequestMsg).path(); !slices.Equal(path, []byte{1, 15, 0}) {
-		t.Errorf("the path is read as %v", path)
+		t.Errorf("decoded path is %v, want [1 15 0]", path)
 	}
 }
--- a/coord/members/gossip.go
+++ b/coord/members/gossip.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// pendingUpdate is an update that the local member gossips twice: soon after it was enqueued, and once
-// more after regossipDelay.
+// pendingUpdate is an update that the local member gossips twice: soon after it was enqueued, and
+// once more after regossipDelay.
 type pendingUpdate struct {
 	update
 	withRecord bool // send the member's record instead of the update
@@ -34,8 +34,8 @@
 	}
 }
 
-// flushUpdates sends the updates that are due. It sends new updates to gossipFanout random members, and
-// updates that were sent once before to regossipFanout random members.
+// flushUpdates sends the updates that are due. It sends new updates to gossipFanout random members,
+// and updates that were sent once before to regossipFanout random members.
 func (d *Decider) flushUpdates() {
 	if d.nextFlushAt == 0 || d.now < d.nextFlushAt {
 		return
@@ -82,8 +82,8 @@
 }
 
 // sendUpdates sends updates to one member in as few datagrams as possible. It sends at most
-// maxDatagramsPerTarget full datagrams, plus two that are not full. Updates that do not fit are not sent
-// to this member.
+// maxDatagramsPerTarget full datagrams, plus two that are not full. Updates that do not fit are not
+// sent to this member.
 func (d *Decider) sendUpdates(to netip.AddrPort, all []pendingUpdate) {
 	updates, records := newDatagram(updatesMsg), newDatagram(recordsMsg)
 	sent := 0
@@ -129,8 +129,8 @@
 	}
 }
 
-// applyUpdate applies an update about a member, which may be the local one. The update was received in
-// a datagram from the address from.
+// applyUpdate applies an update about a member, which may be the local one. The update was received
+// in a datagram from the address from.
 func (d *Decider) applyUpdate(u update, from netip.AddrPort) {
 	_, e := d.find(u.id)
 	switch {
@@ -155,9 +155,10 @@
 	}
 }
 
-// applyAlive applies an update that says that a member is alive. If the sender does not know that the
-// member died or left, applyAlive sends the sender an update. If the sender knows another process of
-// the member at the same incarnation, applyAlive sends the locally known record to the member.
+// applyAlive applies an update that says that a member is alive. If the sender does not know that
+// the member died or left, applyAlive sends the sender an update. If the sender knows another
+// process of the member at the same incarnation, applyAlive sends the locally known record to the
+// member.
 func (d *Decider) applyAlive(e *entry, u update, from netip.AddrPort) {
 	sameProcess := u.bootLow == uint16(e.Boot)
 	switch {
@@ -168,14 +169,15 @@
 		d.broadcast(u)
 	case u.incarnation < e.Incarnation:
 	case e.isLive() && !sameProcess:
-		// The new process has the same incarnation as the old one. It raises its incarnation when it
-		// receives this record.
+		// The new process has the same incarnation as the old one. It raises its incarnation when
+		// it receives this record.
 		d.send(e.Addr, appendRecord(newDatagram(recordsMsg), e.toMember()))
 	case e.State == Dead:
 		d.send(from, appendUpdate(newDatagram(updatesMsg), deadUpdate(e)))
 		d.dispute(e)
 	case e.State == Left && sameProcess:
-		// Anti-entropy exchanges live members only, so the sender would not learn of the leave otherwise.
+		// Anti-entropy exchanges live members only, so the sender would not learn of the leave
+		// otherwise.
 		d.send(from, appendUpdate(newDatagram(updatesMsg), update{id: e.id, state: Left, incarnation: e.Incarnation}))
 	}
 }
@@ -194,8 +196,8 @@
 	}
 }
 
-// applyDead applies an update that says that a member is dead. The local member accepts the update only
-// if it already suspects the member; otherwise it probes the member.
+// applyDead applies an update that says that a member is dead. The local member accepts the update
+// only if it already suspects the member; otherwise it probes the member.
 func (d *Decider) applyDead(e *entry, u update) {
 	switch {
 	case u.incarnation < e.Incarnation || !e.isLive():
@@ -216,9 +218,9 @@
 	d.broadcast(u)
 }
 
-// applyUpdateOfSelf refutes an update that says that the local member is suspected, dead or has left, or
-// that belongs to an earlier process with the local name. It refutes the update by raising the local
-// incarnation.
+// applyUpdateOfSelf refutes an update that says that the local member is suspected, dead or has
+// left, or that belongs to an earlier process with the local name. It refutes the update by raising
+// the local incarnation.
 func (d *Decider) applyUpdateOfSelf(u update) {
 	if d.shuttingDown || d.self.State == Joining && u.incarnation < d.self.Incarnation {
 		return
@@ -232,7 +234,8 @@
 	d.raiseIncarnation(u.incarnation)
 }
 
-// raiseIncarnation raises the local incarnation above a received one and gossips the new incarnation.
+// raiseIncarnation raises the local incarnation above a received one and gossips the new
+// incarnation.
 func (d *Decider) raiseIncarnation(above uint32) {
 	if above == 1<<32-1 {
 		return // no higher incarnation exists, so the received one must be wrong
@@ -242,8 +245,8 @@
 		return
 	}
 	if d.incarnationRaisedAt > 0 && d.now < d.incarnationRaisedAt+refutationInterval {
-		// Otherwise two processes with the same name would raise their incarnations in a tight loop.
-		// A later copy of the update raises the incarnation.
+		// Otherwise two processes with the same name would raise their incarnations in a tight
+		// loop. A later copy of the update raises the incarnation.
 		return
 	}
 	d.incarnationRaisedAt = d.now
--- a/coord/members/health.go
+++ b/coord/members/health.go
@@ -2,9 +2,10 @@
 
 import "slices"
 
-// onStall handles a call of Step that came too late, at least stallThreshold after the expected time.
-// Answers to the probes in progress may still be unread, so onStall cancels these probes, restarts the
-// timeouts of all suspicions, and lets the local member accuse no member for one protocol period.
+// onStall handles a call of Step that came too late, at least stallThreshold after the expected
+// time. Answers to the probes in progress may still be unread, so onStall cancels these probes,
+// restarts the timeouts of all suspicions, and lets the local member accuse no member for one
+// protocol period.
 func (d *Decider) onStall() {
 	d.stats.Stalls++
 	d.raiseHealthScore()
@@ -16,15 +17,15 @@
 	d.lastReceivedAt = d.now
 }
 
-// raiseHealthScore raises the local health score (Lifeguard) when the local process itself may be at
-// fault. Direct answers to probes lower the score again.
+// raiseHealthScore raises the local health score (Lifeguard) when the local process itself may be
+// at fault. Direct answers to probes lower the score again.
 func (d *Decider) raiseHealthScore() {
 	d.stats.HealthScore = min(d.stats.HealthScore+1, maxHealthScore)
 }
 
 // suspectAll suspects all alive members. It is called when no datagram was received for
-// isolationTimeout. On the small side of a network partition, detecting the loss of the other members
-// with one probe per protocol period would take too long.
+// isolationTimeout. On the small side of a network partition, detecting the loss of the other
+// members with one probe per protocol period would take too long.
 func (d *Decider) suspectAll() {
 	d.lastReceivedAt = d.now
 	for _, e := range slices.Clone(d.entries) {
--- a/coord/members/join.go
+++ b/coord/members/join.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// joinReplyRecords is how many records of random members the answer to a join message contains at most.
+// joinReplyRecords is how many records of random members the answer to a join message contains at
+// most.
 const joinReplyRecords = 3
 
-// nextJoinEvent returns the time at which the local member asks seeds again, or at which it concludes
-// that it is the first member of its fleet.
+// nextJoinEvent returns the time at which the local member asks seeds again, or at which it
+// concludes that it is the first member of its fleet.
 func (d *Decider) nextJoinEvent() time.Duration {
 	if d.nameTaken {
 		return d.nextJoinAt
@@ -50,23 +51,25 @@
 	d.setState(d.self, Alive, d.self.Incarnation)
 	d.unpublished[d.self.id] = d.self
 	d.enqueue(pendingUpdate{update: aliveUpdate(d.self), withRecord: true})
-	// Processes that joined at the same time did not know this member either. They are alive by now.
+	// Processes that joined at the same time did not know this member either. They are alive by
+	// now.
 	for _, peer := range d.joiningPeers {
 		d.sendJoin(peer)
 	}
 	d.joiningPeers = nil
 }
 
-// addJoiningPeer stores the address of a process that joins at the same time as the local one, so that
-// completeJoin can contact it.
+// addJoiningPeer stores the address of a process that joins at the same time as the local one, so
+// that completeJoin can contact it.
 func (d *Decider) addJoiningPeer(addr netip.AddrPort) {
 	if d.self.State == Joining && len(d.joiningPeers) < maxJoiningPeers && !slices.Contains(d.joiningPeers, addr) {
 		d.joiningPeers = append(d.joiningPeers, addr)
 	}
 }
 
-// onJoin answers a join message with the record of the local member, the known record of the sender,
-// and the records of a few other members. It rejects a sender that claims the name of an alive member.
+// onJoin answers a join message with the record of the local member, the known record of the
+// sender, and the records of a few other members. It rejects a sender that claims the name of an
+// alive member.
 func (d *Decider) onJoin(from netip.AddrPort, r *reader) {
 	m := r.record()
 	if r.err != nil || m.Addr != from || d.shuttingDown {
@@ -85,13 +88,13 @@
 	}
 }
 
-// sendJoinReply answers a join message. known is the entry with the name of the joining process, nil if
-// the name is unknown.
+// sendJoinReply answers a join message. known is the entry with the name of the joining process,
+// nil if the name is unknown.
 func (d *Decider) sendJoinReply(to netip.AddrPort, known *entry) {
 	local := *d.self.toMember()
 	if local.State == Alive && d.now < local.Since+joinTimeout {
-		// A member that joined less than joinTimeout ago may not yet know the joining process's name.
-		// It reports itself as Joining, so that its answer does not complete the join.
+		// A member that joined less than joinTimeout ago may not yet know the joining process's
+		// name. It reports itself as Joining, so that its answer does not complete the join.
 		local.State = Joining
 	}
 	b := appendRecord(newDatagram(recordsMsg), &local)
@@ -106,13 +109,14 @@
 	d.send(to, b)
 }
 
-// conflicts reports whether the record m claims the name of the alive member e from another address.
+// conflicts reports whether the record m claims the name of the alive member e from another
+// address.
 func (d *Decider) conflicts(e *entry, m *Member) bool {
 	return m.Addr != e.Addr && (e == d.self || e.State == Alive)
 }
 
-// rejectClaim notifies a process that the name it claims is taken. It reports the conflict to the owner
-// once for each name and address.
+// rejectClaim notifies a process that the name it claims is taken. It reports the conflict to the
+// owner once for each name and address.
 func (d *Decider) rejectClaim(m *Member) {
 	d.send(m.Addr, appendText(newDatagram(nameTakenMsg), m.Name))
 	key := m.Name + " " + m.Addr.String()
@@ -122,9 +126,9 @@
 	}
 }
 
-// onNameTaken handles a message that says that another member has the local name. A local member that is
-// already alive ignores the message: it holds the name itself, and the other members decide which of
-// the two processes to reject.
+// onNameTaken handles a message that says that another member has the local name. A local member
+// that is already alive ignores the message: it holds the name itself, and the other members decide
+// which of the two processes to reject.
 func (d *Decider) onNameTaken(from netip.AddrPort, r *reader) {
 	if name := r.text(MaxNameLen); r.err != nil || name != d.config.Name || d.self.State != Joining {
 		return
--- a/coord/members/probe.go
+++ b/coord/members/probe.go
@@ -12,9 +12,9 @@
 const pingRingSize = 64
 
 // untrackedSeq is the sequence number of all pings that are neither part of a probe nor relayed for
-// another member. The sender of such a ping processes the updates and the digest in the ack, but the ack
-// does not complete a probe. The sequence numbers of pings in probes are lower than untrackedSeq; those of
-// relayed pings have relayFlag set.
+// another member. The sender of such a ping processes the updates and the digest in the ack, but
+// the ack does not complete a probe. The sequence numbers of pings in probes are lower than
+// untrackedSeq; those of relayed pings have relayFlag set.
 const untrackedSeq = 0x7fff
 
 // maxRTT limits the measured round-trip time. An ack that is minutes late does not predict the next
@@ -48,7 +48,8 @@
 // cancelAll ends all probes without a result.
 func (p *proberState) cancelAll() { p.active = p.active[:0] }
 
-// nextSeq returns the sequence number for a ping of a probe, and records the time and target of the ping.
+// nextSeq returns the sequence number for a ping of a probe, and records the time and target of the
+// ping.
 func (p *proberState) nextSeq(now time.Duration, target memberID) uint16 {
 	if p.lastSeq++; p.lastSeq >= untrackedSeq {
 		p.lastSeq = 1
@@ -62,14 +63,14 @@
 	return slices.ContainsFunc(p.active, func(x probe) bool { return x.target == id })
 }
 
-// probeTimeout returns how long a probe may take before it fails. Long recent round trips extend the
-// timeout.
+// probeTimeout returns how long a probe may take before it fails. Long recent round trips extend
+// the timeout.
 func (d *Decider) probeTimeout() time.Duration {
 	return baseProbeTimeout + max(d.recentRTT-baseProbeTimeout/2, 0)
 }
 
-// probeInterval returns the time between the starts of two probes. A higher local health score makes the
-// interval longer.
+// probeInterval returns the time between the starts of two probes. A higher local health score
+// makes the interval longer.
 func (d *Decider) probeInterval() time.Duration {
 	if d.now < d.prober.boostUntil || d.prober.urgentCount > 0 {
 		return boostedProbeInterval
@@ -149,8 +150,8 @@
 	}
 }
 
-// probeSoon makes a member the next target. It is used when the local member must check a report about
-// the member by a probe of its own.
+// probeSoon makes a member the next target. It is used when the local member must check a report
+// about the member by a probe of its own.
 func (d *Decider) probeSoon(e *entry) {
 	p := &d.prober
 	n := len(p.queue)
@@ -184,8 +185,8 @@
 	return true
 }
 
-// probeFailed records that a probe got no answer and accuses the target. It does not accuse the target if
-// the local member has just stalled or has recently accused the same target wrongly.
+// probeFailed records that a probe got no answer and accuses the target. It does not accuse the
+// target if the local member has just stalled or has recently accused the same target wrongly.
 func (d *Decider) probeFailed(e *entry) {
 	p := &d.prober
 	p.missBits = p.missBits<<1 | 1
@@ -202,9 +203,9 @@
 	}
 }
 
-// sendPing pings a member. The ping contains the Boot number of the process that should answer. If the
-// local member does not consider the target alive, the ping also contains an update with the state of the
-// target, so that the target can refute that state.
+// sendPing pings a member. The ping contains the Boot number of the process that should answer. If
+// the local member does not consider the target alive, the ping also contains an update with the
+// state of the target, so that the target can refute that state.
 func (d *Decider) sendPing(e *entry, seq uint16) {
 	b := binary.BigEndian.AppendUint16(newDatagram(pingMsg), seq)
 	b = binary.BigEndian.AppendUint32(b, e.Boot)
@@ -215,8 +216,8 @@
 	d.send(e.Addr, b)
 }
 
-// onPing answers a ping with an ack. If the ping was meant for another process at this address, onPing
-// answers with the record of the local process instead.
+// onPing answers a ping with an ack. If the ping was meant for another process at this address,
+// onPing answers with the record of the local process instead.
 func (d *Decider) onPing(from netip.AddrPort, sender *entry, r *reader) {
 	seq, boot, digest := r.u16(), r.u32(), r.u32()
 	updates := r.updates()
@@ -248,8 +249,8 @@
 	d.compareDigest(from, digest)
 }
 
-// onAck handles the answer to a ping that the local member sent for a probe, as a witness, or on behalf
-// of another member.
+// onAck handles the answer to a ping that the local member sent for a probe, as a witness, or on
+// behalf of another member.
 func (d *Decider) onAck(from netip.AddrPort, sender *entry, r *reader) {
 	seq, digest := r.u16(), r.u32()
 	updates := r.updates()
@@ -298,8 +299,8 @@
 	}
 }
 
-// onWrongProcess handles the answer of a process that received a ping meant for another process at its
-// address. The answer contains the record of the process that answered.
+// onWrongProcess handles the answer of a process that received a ping meant for another process at
+// its address. The answer contains the record of the process that answered.
 func (d *Decider) onWrongProcess(from netip.AddrPort, r *reader) {
 	m := r.record()
 	if r.err != nil || m.Addr != from {
--- a/coord/members/reader.go
+++ b/coord/members/reader.go
@@ -89,7 +89,8 @@
 	return string(b)
 }
 
-// path reads the path to a node of the anti-entropy tree: a length byte and then one byte for each nibble.
+// path reads the path to a node of the anti-entropy tree: a length byte and then one byte for each
+// nibble.
 func (r *reader) path() []byte {
 	n := int(r.u8())
 	if n >= maxPathLen {
--- a/coord/members/reconnect.go
+++ b/coord/members/reconnect.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// seedDraws is how many random seeds reconnect tries at most to find one whose address belongs to no
-// live member.
+// seedDraws is how many random seeds reconnect tries at most to find one whose address belongs to
+// no live member.
 const seedDraws = 8
 
 // disputesPerBatch is how many disputed members pingDisputed pings in one batch.
--- a/coord/members/records.go
+++ b/coord/members/records.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// recordRequest is a request for the record of a member about which the local member received an update,
-// but whose record it lacks or has only for an earlier incarnation.
+// recordRequest is a request for the record of a member about which the local member received an
+// update, but whose record it lacks or has only for an earlier incarnation.
 type recordRequest struct {
 	from   netip.AddrPort // the member that sent the update, to which the request goes
 	sentAt time.Duration  // 0 if the request was not sent yet
 }
 
-// requestRecord schedules a request for the record of a member. The next batch sends the request to the
-// address from.
+// requestRecord schedules a request for the record of a member. The next batch sends the request to
+// the address from.
 func (d *Decider) requestRecord(id memberID, from netip.AddrPort) {
 	_, requested := d.recordRequests[id]
 	if requested || len(d.recordRequests) >= maxRecordRequests || len(d.entries) >= d.config.MaxMembers {
@@ -56,8 +56,8 @@
 	flush()
 }
 
-// unsentRecordRequests returns the members with unsent requests, sorted by the address that receives the
-// request and then by member id. It removes expired requests.
+// unsentRecordRequests returns the members with unsent requests, sorted by the address that
+// receives the request and then by member id. It removes expired requests.
 func (d *Decider) unsentRecordRequests() []memberID {
 	unsent := make([]memberID, 0, len(d.recordRequests))
 	for id, request := range d.recordRequests {
@@ -91,8 +91,8 @@
 	d.sendUnlessEmpty(from, b)
 }
 
-// onRecords handles a datagram with records, which is the answer to a record request, the answer to a
-// join message, or gossip about new members.
+// onRecords handles a datagram with records, which is the answer to a record request, the answer to
+// a join message, or gossip about new members.
 func (d *Decider) onRecords(from netip.AddrPort, r *reader) {
 	var all []Member
 	for r.hasMore() {
@@ -163,8 +163,8 @@
 	return true
 }
 
-// insertRecord adds an unknown member to the list at the given index, unless the list is full, and gossips
-// its record.
+// insertRecord adds an unknown member to the list at the given index, unless the list is full, and
+// gossips its record.
 func (d *Decider) insertRecord(index int, id memberID, m *Member) {
 	if len(d.entries) >= d.config.MaxMembers {
 		return
@@ -175,7 +175,8 @@
 }
 
 // updateRecord applies a record of a member that is already in the list. A record with a higher
-// incarnation replaces the entry, unless it claims the name of an alive member from another address.
+// incarnation replaces the entry, unless it claims the name of an alive member from another
+// address.
 func (d *Decider) updateRecord(e *entry, m *Member, from netip.AddrPort) {
 	switch {
 	case m.Incarnation < e.Incarnation:
@@ -188,8 +189,8 @@
 		d.setAlive(e, m.Incarnation)
 		d.enqueue(pendingUpdate{update: aliveUpdate(e), withRecord: true})
 	case m.Boot != e.Boot && m.Addr == from && from == e.Addr:
-		// The new process of the member does not know the incarnation of the old process yet. It raises its
-		// incarnation when it receives this record.
+		// The new process of the member does not know the incarnation of the old process yet. It
+		// raises its incarnation when it receives this record.
 		d.send(from, appendRecord(newDatagram(recordsMsg), e.toMember()))
 	case m.Boot == e.Boot && e.State == Left, e.State == Dead:
 		d.applyUpdate(aliveUpdate(e), from)
--- a/coord/members/relay.go
+++ b/coord/members/relay.go
@@ -16,9 +16,9 @@
 	requesterSeq, relaySeq uint16 // sequence numbers of the requester's own ping and of the relayed ping
 }
 
-// sendIndirectPings asks up to indirectProbers other members to ping the target of a probe. It prefers
-// the member whose indirect ping reached the target last, then members of other zones than the local
-// one, then any members.
+// sendIndirectPings asks up to indirectProbers other members to ping the target of a probe. It
+// prefers the member whose indirect ping reached the target last, then members of other zones than
+// the local one, then any members.
 func (d *Decider) sendIndirectPings(e *entry, x *probe) {
 	eligible := func(x *entry) bool { return x != e && x.State == Alive }
 	relays := d.randomMembers(indirectProbers, func(x *entry) bool { return eligible(x) && x.Zone != d.self.Zone })
@@ -53,8 +53,8 @@
 	d.send(target, binary.BigEndian.AppendUint32(b, uint32(d.digest)))
 }
 
-// forwardAck reports whether an ack answers a relayed ping. If so, forwardAck sends an ack to the member
-// that requested the ping.
+// forwardAck reports whether an ack answers a relayed ping. If so, forwardAck sends an ack to the
+// member that requested the ping.
 func (d *Decider) forwardAck(from netip.AddrPort, seq uint16) bool {
 	x := &d.relays[seq%maxRelays]
 	if seq&relayFlag == 0 || x.relaySeq != seq || x.target != from {
--- a/coord/members/roster.go
+++ b/coord/members/roster.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Roster is an initial membership for a Decider, for example one that was persisted. Several Deciders can
-// use the same Roster and then share the memory of the members' identities.
+// Roster is an initial membership for a Decider, for example one that was persisted. Several
+// Deciders can use the same Roster and then share the memory of the members' identities.
 type Roster struct {
 	identities   []*identity
 	incarnations []uint32
@@ -24,9 +24,9 @@
 	return roster
 }
 
-// Restore inserts the members of a Roster. The owner must call Restore before the first Step. The first
-// published view contains these members, but its list of changes does not. The Decider probes these
-// members like all others.
+// Restore inserts the members of a Roster. The owner must call Restore before the first Step. The
+// first published view contains these members, but its list of changes does not. The Decider probes
+// these members like all others.
 func (d *Decider) Restore(roster *Roster) {
 	d.entries = slices.Grow(d.entries, len(roster.identities))
 	for i, ident := range roster.identities {
--- a/coord/members/schedule.go
+++ b/coord/members/schedule.go
@@ -14,16 +14,17 @@
 	run  func(*Decider)               // runs the task if it is due, and schedules the next time
 }
 
-// The tasks of each state. Next and runDue use the same lists. Otherwise Next could return the time of a
-// task that runDue does not run; that time would remain in the past, and the owner's loop would spin.
+// The tasks of each state. Next and runDue use the same lists. Otherwise Next could return the time
+// of a task that runDue does not run; that time would remain in the past, and the owner's loop
+// would spin.
 var (
 	joiningTasks  = []task{joinTask, probeTask, suspicionTask, recordRequestTask, disputeTask, flushTask}
 	aliveTasks    = []task{probeTask, suspicionTask, reconnectTask, recordRequestTask, disputeTask, flushTask, publishTask}
 	shutdownTasks = []task{flushTask}
 )
 
-// joinTask and publishTask only provide a time; their run functions do nothing. runDue calls runJoin
-// before it runs the tasks, and every Step ends with a call of publish.
+// joinTask and publishTask only provide a time; their run functions do nothing. runDue calls
+// runJoin before it runs the tasks, and every Step ends with a call of publish.
 var (
 	joinTask          = task{(*Decider).nextJoinEvent, func(*Decider) {}}
 	probeTask         = task{(*Decider).nextProbeEvent, (*Decider).runProbes}
@@ -66,8 +67,8 @@
 	return max(next, d.now)
 }
 
-// runDue runs the tasks that are due. It calls runJoin first, because the list of tasks depends on the
-// state that runJoin sets.
+// runDue runs the tasks that are due. It calls runJoin first, because the list of tasks depends on
+// the state that runJoin sets.
 func (d *Decider) runDue() {
 	if d.self.State == Joining && !d.shuttingDown {
 		d.runJoin()
--- a/coord/members/schedule_test.go
+++ b/coord/members/schedule_test.go
@@ -9,24 +9,24 @@
 	"pgregory.net/rapid"
 )
 
-// maxStepsPerSecond bounds the steps of a decider by its own timer in a second of virtual time,
-// while few members change.
+// maxStepsPerSecond is how often a Decider may ask to be stepped by its timer in one second of
+// virtual time, in a fleet where few members change.
 const maxStepsPerSecond = 100
 
-// pacedFleet is deciders in virtual time, each stepped when it asks to be, on links that may fail
-// in one direction.
+// pacedFleet is a set of Deciders in virtual time. Each Decider is stepped exactly at the time that
+// it requests. Links between Deciders may fail in one direction.
 type pacedFleet struct {
 	t            *rapid.T
 	now          time.Duration
 	deciders     []*Decider
 	running      []bool
-	stalledUntil []time.Duration // each is stalled until then
-	broken       map[[2]int]bool
-	steps        []int // by the timer, in the present second
+	stalledUntil []time.Duration // a Decider is not stepped before this time
+	broken       map[[2]int]bool // failed links, by sender and receiver
+	steps        []int           // steps by the timer in the current second
 }
 
-// newPacedFleet starts members at once. The last one may have the name of the first, so that it is
-// rejected.
+// newPacedFleet starts the given number of members at time 0. If duplicateName is set, the last
+// member has the name of the first member, and the other members reject it.
 func newPacedFleet(t *rapid.T, members int, duplicateName bool) *pacedFleet {
 	f := &pacedFleet{t: t, broken: map[[2]int]bool{}, stalledUntil: make([]time.Duration, members), steps: make([]int, members), running: make([]bool, members)}
 	for i := range members {
@@ -45,7 +45,7 @@
 	return f
 }
 
-// step passes an event to a decider and delivers what it sends.
+// step passes an event to a Decider and immediately delivers the datagrams that it sends.
 func (f *pacedFleet) step(i int, e Event) {
 	d := f.deciders[i]
 	for _, a := range slices.Clone(d.Step(f.now, e)) {
@@ -60,9 +60,11 @@
 	}
 }
 
+// isRunning reports whether a member has neither crashed nor stalled.
 func (f *pacedFleet) isRunning(i int) bool { return f.running[i] && f.now >= f.stalledUntil[i] }
 
-// run lets time pass: each decider is stepped at its Next, and must name a later time then.
+// run advances the time by span. It steps each Decider at the time that Next returns, and checks
+// that Next returns a later time after the step.
 func (f *pacedFleet) run(span time.Duration) {
 	end := f.now + span
 	for f.now < end {
@@ -73,16 +75,16 @@
 		f.advanceClock(f.dueAt(i))
 		f.step(i, Tick{})
 		if next := f.deciders[i].Next(); next <= f.now {
-			f.t.Fatalf("member %d, %v, shutting down %v: stepped at %v, it asks for %v", i, f.deciders[i].State(), f.deciders[i].shuttingDown, f.now, next)
+			f.t.Fatalf("member %d (state %v, shutting down %v) was stepped at %v, but Next() = %v is not later", i, f.deciders[i].State(), f.deciders[i].shuttingDown, f.now, next)
 		}
 		if f.steps[i]++; f.steps[i] > maxStepsPerSecond {
-			f.t.Fatalf("member %d, %v, shutting down %v: %d steps by its timer in a second", i, f.deciders[i].State(), f.deciders[i].shuttingDown, f.steps[i])
+			f.t.Fatalf("member %d (state %v, shutting down %v) was stepped %d times by its timer in a second, which is more than maxStepsPerSecond", i, f.deciders[i].State(), f.deciders[i].shuttingDown, f.steps[i])
 		}
 	}
 	f.advanceClock(end)
 }
 
-// pass sets the clock and restarts the count of steps with each second.
+// advanceClock sets the clock and resets the step counts at the start of each second.
 func (f *pacedFleet) advanceClock(now time.Duration) {
 	if now/time.Second != f.now/time.Second {
 		clear(f.steps)
@@ -90,12 +92,12 @@
 	f.now = max(f.now, now)
 }
 
-// due is when a decider is stepped next.
+// dueAt returns the time at which a Decider is stepped next.
 func (f *pacedFleet) dueAt(i int) time.Duration {
 	return max(f.deciders[i].Next(), f.stalledUntil[i], f.now)
 }
 
-// first is the decider that is stepped next, below 0 for none.
+// nextDue returns the index of the running Decider that is stepped next, or -1 if none is running.
 func (f *pacedFleet) nextDue() int {
 	first := -1
 	for i := range f.deciders {
@@ -106,42 +108,44 @@
 	return first
 }
 
-// On a day of planned restarts a router that was told to end did not forward the rest of an answer
-// for 4.5 s, until it was killed. A decider that shut down still named the past times of its probes
-// and suspicions, which it did not run any more, and its loop spun from SIGTERM to the end on a
-// share of a core that the streams needed. Virtual time hid it: there a step that named no later
-// time was delayed by a microsecond.
+// In every state and after any events, a Decider that was stepped at the time of Next returns a
+// later time from Next.
 //
-// Whatever happens, in every state, a decider that was stepped at its Next names a later one.
+// This test guards against a busy loop. During planned restarts, a router that had received SIGTERM
+// did not forward the rest of a response for 4.5 s, until it was killed. Its Decider was shutting
+// down, but Next still returned the past times of probes and suspicions, which the Decider no
+// longer ran. The router's loop therefore spun from SIGTERM until the process ended, and used a
+// share of a core that the streams needed. The simulation in virtual time had hidden the fault,
+// because it delayed a step by a microsecond if Next returned no later time.
 func TestNextIsLater(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := rapid.IntRange(1, 5).Draw(t, "members")
-		f := newPacedFleet(t, members, members > 1 && rapid.Bool().Draw(t, "twin"))
-		anyMember := func() int { return rapid.IntRange(0, members-1).Draw(t, "who") }
+		f := newPacedFleet(t, members, members > 1 && rapid.Bool().Draw(t, "duplicate name"))
+		anyMember := func() int { return rapid.IntRange(0, members-1).Draw(t, "member") }
 		t.Repeat(map[string]func(*rapid.T){
 			"time passes": func(t *rapid.T) {
 				f.run(rapid.SampledFrom([]time.Duration{ms, 30 * ms, 300 * ms, 1500 * ms, 5 * time.Second}).Draw(t, "time"))
 			},
-			"one shuts down": func(t *rapid.T) {
+			"one member shuts down": func(t *rapid.T) {
 				if i := anyMember(); f.isRunning(i) {
 					f.step(i, Leave{Replaced: rapid.Bool().Draw(t, "replaced")})
 				}
 			},
-			"one crashes": func(t *rapid.T) {
+			"one member crashes": func(t *rapid.T) {
 				f.running[anyMember()] = false
-				f.run(rapid.SampledFrom([]time.Duration{0, 3 * time.Second, 4 * time.Second, 5 * time.Second}).Draw(t, "until it is missed"))
+				f.run(rapid.SampledFrom([]time.Duration{0, 3 * time.Second, 4 * time.Second, 5 * time.Second}).Draw(t, "time until the crash is detected"))
 			},
-			"one stalls": func(t *rapid.T) {
+			"one member stalls": func(t *rapid.T) {
 				f.stalledUntil[anyMember()] = f.now + rapid.SampledFrom([]time.Duration{20 * ms, 300 * ms, 4 * time.Second}).Draw(t, "time")
 			},
 			"a link fails in one direction": func(t *rapid.T) { f.broken[[2]int{anyMember(), anyMember()}] = true },
 			"all links recover":             func(*rapid.T) { clear(f.broken) },
-			"one gets other seeds": func(*rapid.T) {
+			"one member gets other seeds": func(*rapid.T) {
 				if i := anyMember(); f.isRunning(i) {
 					f.step(i, SetSeeds{Addrs: []netip.AddrPort{addr(1 + anyMember())}})
 				}
 			},
-			"foreign bytes come": func(t *rapid.T) {
+			"foreign bytes arrive": func(t *rapid.T) {
 				if i := anyMember(); f.isRunning(i) {
 					f.step(i, Received{addr(9), rapid.SliceOfN(rapid.Byte(), 0, 40).Draw(t, "bytes")})
 				}
--- a/coord/members/suspicion.go
+++ b/coord/members/suspicion.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// maxScannedZones limits the size of zoneScannedAt. If the map is larger, scanZone clears it, so a zone may
-// be scanned again before zoneScanInterval has passed.
+// maxScannedZones limits the size of zoneScannedAt. If the map is larger, scanZone clears it, so a
+// zone may be scanned again before zoneScanInterval has passed.
 const maxScannedZones = 64
 
 // maxDoublings limits the exponent of grace periods and accusation backoffs.
 const maxDoublings = 8
 
-// suspicion is the state of a suspected member (the suspect) until the suspicion is refuted or enough
-// witnesses confirm it.
+// suspicion is the state of a suspected member (the suspect) until the suspicion is refuted or
+// enough witnesses confirm it.
 type suspicion struct {
 	entry            *entry // the suspect
 	incarnation      uint32 // incarnation of the suspect that is suspected
@@ -28,8 +28,8 @@
 	confirmations    []memberID    // witnesses that got no answer within the suspicion timeout
 }
 
-// restart resets the timeouts of a suspicion and withdraws the local confirmation, after the local member
-// stalled.
+// restart resets the timeouts of a suspicion and withdraws the local confirmation, after the local
+// member stalled.
 func (s *suspicion) restart(now time.Duration, self memberID) {
 	s.startedAt, s.watchingSince = now, now
 	s.lastPingAt, s.rankedAt = 0, 0
@@ -37,8 +37,8 @@
 	s.confirmations = slices.DeleteFunc(s.confirmations, func(id memberID) bool { return id == self })
 }
 
-// nextEvent returns the time at which a ping, a computation of the witness rank, or undecidedTimeout is
-// due.
+// nextEvent returns the time at which a ping, a computation of the witness rank, or
+// undecidedTimeout is due.
 func (s *suspicion) nextEvent() time.Duration {
 	if s.watching {
 		return s.lastPingAt + pingInterval
@@ -46,8 +46,8 @@
 	return min(s.rankedAt+witnessRankInterval, s.startedAt+undecidedTimeout)
 }
 
-// suspicionTimeout returns how long a suspect may leave a witness without an answer before the witness
-// confirms the suspicion. Long recent round trips extend the timeout.
+// suspicionTimeout returns how long a suspect may leave a witness without an answer before the
+// witness confirms the suspicion. Long recent round trips extend the timeout.
 func (d *Decider) suspicionTimeout() time.Duration {
 	return baseSuspicionTimeout + 2*max(d.recentRTT-pingInterval, 0)
 }
@@ -61,8 +61,8 @@
 	return next
 }
 
-// suspectMember applies an update that says that the local member or another member suspects e. It starts
-// a suspicion if necessary, and counts the confirmation if the update contains one.
+// suspectMember applies an update that says that the local member or another member suspects e. It
+// starts a suspicion if necessary, and counts the confirmation if the update contains one.
 func (d *Decider) suspectMember(e *entry, u update) {
 	if u.incarnation < e.Incarnation || e == d.self || !e.isLive() {
 		return
@@ -100,8 +100,8 @@
 	return u.confirms
 }
 
-// becomeWitness makes the local member a witness of a suspicion if the local member is among the first
-// witnessCount alive members in the rendezvous hashing order for the suspect.
+// becomeWitness makes the local member a witness of a suspicion if the local member is among the
+// first witnessCount alive members in the rendezvous hashing order for the suspect.
 func (d *Decider) becomeWitness(s *suspicion) {
 	s.rankedAt = d.now
 	weight, higherRanked := rendezvousWeight(d.self.id, s.entry.id), 0
@@ -123,9 +123,10 @@
 	return x ^ x>>32
 }
 
-// scanZone probes alive members of a zone as soon as two members of the zone are suspected, so that the
-// loss of a whole zone is detected quickly. Each member of the zone is probed by zoneScanProbers other
-// members on average, which a hash of the two member ids selects. The local zone is not scanned.
+// scanZone probes alive members of a zone as soon as two members of the zone are suspected, so that
+// the loss of a whole zone is detected quickly. Each member of the zone is probed by
+// zoneScanProbers other members on average, which a hash of the two member ids selects. The local
+// zone is not scanned.
 func (d *Decider) scanZone(zone string) {
 	if at, ok := d.zoneScannedAt[zone]; ok && d.now < at+zoneScanInterval {
 		return
@@ -153,8 +154,8 @@
 	}
 }
 
-// runSuspicions advances all suspicions in the order of the member ids, so that the same events produce
-// the same actions.
+// runSuspicions advances all suspicions in the order of the member ids, so that the same events
+// produce the same actions.
 func (d *Decider) runSuspicions() {
 	for _, s := range d.sortedSuspicions() {
 		if d.suspicions[s.entry.id] == s { // the suspicion has not ended in the meantime
@@ -163,8 +164,8 @@
 	}
 }
 
-// advanceSuspicion performs the actions of a suspicion that are due: it computes the witness rank of the
-// local member, pings the suspect and confirms the suspicion.
+// advanceSuspicion performs the actions of a suspicion that are due: it computes the witness rank
+// of the local member, pings the suspect and confirms the suspicion.
 func (d *Decider) advanceSuspicion(s *suspicion) {
 	if !s.watching && d.now >= s.rankedAt+witnessRankInterval {
 		if d.declareDeadIfConfirmed(s) {
@@ -191,7 +192,8 @@
 	d.sendPing(s.entry, untrackedSeq)
 }
 
-// confirm adds the local member's confirmation to a suspicion and gossips it. Further calls do nothing.
+// confirm adds the local member's confirmation to a suspicion and gossips it. Further calls do
+// nothing.
 func (d *Decider) confirm(s *suspicion) {
 	if s.confirmed {
 		return
@@ -214,10 +216,10 @@
 	return all
 }
 
-// declareDeadIfConfirmed declares a suspect dead in two cases: if deathConfirmations witnesses confirmed
-// the suspicion, or if no other member can be a witness and the suspect did not answer the local member
-// for loneWitnessTimeout, which is longer than the suspicion timeout. It reports whether it declared the
-// suspect dead.
+// declareDeadIfConfirmed declares a suspect dead in two cases: if deathConfirmations witnesses
+// confirmed the suspicion, or if no other member can be a witness and the suspect did not answer
+// the local member for loneWitnessTimeout, which is longer than the suspicion timeout. It reports
+// whether it declared the suspect dead.
 func (d *Decider) declareDeadIfConfirmed(s *suspicion) bool {
 	if d.now < d.noAccusationUntil {
 		return false // after a stall, the refutation may have arrived but not been read yet
@@ -252,10 +254,10 @@
 	}
 }
 
-// setAlive sets a member to Alive at an incarnation above the one at which the member was suspected or
-// dead. If the local member pinged the suspect from the start of the suspicion, its accusation was wrong,
-// and it does not accuse the member again for a backoff time. A member that was dead gets a grace period in
-// which it is not suspected.
+// setAlive sets a member to Alive at an incarnation above the one at which the member was suspected
+// or dead. If the local member pinged the suspect from the start of the suspicion, its accusation
+// was wrong, and it does not accuse the member again for a backoff time. A member that was dead
+// gets a grace period in which it is not suspected.
 func (d *Decider) setAlive(e *entry, incarnation uint32) {
 	previous := e.State
 	if s := d.suspicions[e.id]; s != nil && s.watchedFromStart {
--- a/coord/members/sync.go
+++ b/coord/members/sync.go
@@ -5,9 +5,9 @@
 	"net/netip"
 )
 
-// Anti-entropy arranges the members in a tree by the nibbles of their ids. Two members compare the digests
-// of the sixteen children of a node, descend into the children whose digests differ, and exchange the
-// updates of a subtree that has few members.
+// Anti-entropy arranges the members in a tree by the nibbles of their ids. Two members compare the
+// digests of the sixteen children of a node, descend into the children whose digests differ, and
+// exchange the updates of a subtree that has few members.
 const (
 	syncFanout      = 16        // children of a node
 	maxPathLen      = 2 * idLen // nibbles of an id
@@ -15,9 +15,9 @@
 	maxChunkUpdates = 24        // updates in one datagram
 )
 
-// compareDigest starts anti-entropy with a member whose digest differs from the local one. It does nothing
-// if the local list changed less than digestSpreadDelay ago, because that change may still be spreading by
-// gossip.
+// compareDigest starts anti-entropy with a member whose digest differs from the local one. It does
+// nothing if the local list changed less than digestSpreadDelay ago, because that change may still
+// be spreading by gossip.
 func (d *Decider) compareDigest(from netip.AddrPort, digest uint32) {
 	settling := d.now < d.digestChangedAt+digestSpreadDelay
 	if digest == uint32(d.digest) || d.now < d.nextSyncAt || settling || d.self.State != Alive {
@@ -40,8 +40,8 @@
 // nibble returns the i-th nibble of an id; the most significant nibble is number 0.
 func nibble(id memberID, i int) byte { return byte(id>>(4*(maxPathLen-1-i))) & 0x0f }
 
-// childDigests returns, for each child of the node at path, the digest and the number of the live members
-// below it.
+// childDigests returns, for each child of the node at path, the digest and the number of the live
+// members below it.
 func (d *Decider) childDigests(path []byte) (sums [syncFanout]uint32, counts [syncFanout]int) {
 	for _, e := range d.membersUnder(path) {
 		if e.isLive() {
@@ -77,9 +77,9 @@
 	d.send(to, b)
 }
 
-// onSyncRequest answers for each child whose digest differs from the local one. If the child has at most
-// maxLeafMembers local members, onSyncRequest sends their updates. Otherwise it sends a sync request for
-// the child, one level down. It sends at most maxDatagramsPerTarget datagrams.
+// onSyncRequest answers for each child whose digest differs from the local one. If the child has at
+// most maxLeafMembers local members, onSyncRequest sends their updates. Otherwise it sends a sync
+// request for the child, one level down. It sends at most maxDatagramsPerTarget datagrams.
 func (d *Decider) onSyncRequest(from netip.AddrPort, r *reader) {
 	path := append([]byte(nil), r.path()...)
 	var remoteSums [syncFanout]uint32
@@ -107,8 +107,8 @@
 	}
 }
 
-// sendSyncChunk sends updates of the live members whose ids begin with path, except those in except. If
-// wantsReply is set, the receiver answers with its own updates for path.
+// sendSyncChunk sends updates of the live members whose ids begin with path, except those in
+// except. If wantsReply is set, the receiver answers with its own updates for path.
 func (d *Decider) sendSyncChunk(to netip.AddrPort, path []byte, wantsReply bool, except map[memberID]bool) {
 	b := appendPath(newDatagram(syncChunkMsg), path)
 	flag := byte(0)
@@ -128,8 +128,8 @@
 	}
 }
 
-// onSyncChunk applies the updates of a subtree. If the sender asks for a reply, onSyncChunk answers with
-// the local updates of the members that the datagram does not mention.
+// onSyncChunk applies the updates of a subtree. If the sender asks for a reply, onSyncChunk answers
+// with the local updates of the members that the datagram does not mention.
 func (d *Decider) onSyncChunk(from netip.AddrPort, r *reader) {
 	path := append([]byte(nil), r.path()...)
 	wantsReply := r.u8() == 1
--- a/coord/members/table.go
+++ b/coord/members/table.go
@@ -30,8 +30,8 @@
 	return &identity{m.Name, m.Zone, m.Version, m.Addr, m.Boot}
 }
 
-// history records rare events of a member: its returns from death, and wrong accusations by the local
-// member that occurred because the network path between the two members was broken.
+// history records rare events of a member: its returns from death, and wrong accusations by the
+// local member that occurred because the network path between the two members was broken.
 type history struct {
 	graceUntil        time.Duration // the member is not suspected before this time, after a return from death
 	returns           uint8         // number of returns from death, limited to maxDoublings
@@ -52,7 +52,8 @@
 // isAlive reports whether a member is Alive. It is a filter for randomMembers.
 func isAlive(e *entry) bool { return e.State == Alive }
 
-// ensureHistory returns the member's history for modification. It allocates the history if necessary.
+// ensureHistory returns the member's history for modification. It allocates the history if
+// necessary.
 func (e *entry) ensureHistory() *history {
 	if e.history == nil {
 		e.history = &history{}
@@ -91,8 +92,8 @@
 	return uint64(ip[0])<<40 | uint64(ip[1])<<32 | uint64(ip[2])<<24 | uint64(ip[3])<<16 | uint64(a.Port())
 }
 
-// find returns the index and the entry of a member. If the member is not in the list, find returns the
-// index at which to insert it, and nil.
+// find returns the index and the entry of a member. If the member is not in the list, find returns
+// the index at which to insert it, and nil.
 func (d *Decider) find(id memberID) (int, *entry) {
 	i, ok := slices.BinarySearchFunc(d.entries, id, func(e *entry, id memberID) int {
 		switch {
@@ -208,8 +209,8 @@
 	return x ^ x>>32
 }
 
-// randomMembers returns at most n random members that pass the filter, without the local member. It checks
-// at most 8*n entries, so it may return fewer members than pass the filter.
+// randomMembers returns at most n random members that pass the filter, without the local member. It
+// checks at most 8*n entries, so it may return fewer members than pass the filter.
 func (d *Decider) randomMembers(n int, filter func(*entry) bool) (selected []*entry) {
 	attempts := 8 * n
 	if len(d.entries) <= attempts {
--- a/coord/members/view.go
+++ b/coord/members/view.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// maxRetainedUnpublished is the largest number of unpublished members for which takeChanges reuses the
-// map. A Go map never releases the memory of its largest size, which is rarely needed.
+// maxRetainedUnpublished is the largest number of unpublished members for which takeChanges reuses
+// the map. A Go map never releases the memory of its largest size, which is rarely needed.
 const maxRetainedUnpublished = 64
 
-// View returns a snapshot of the live members. It copies all members; a caller that needs only the changes
-// should use Changed.Changes instead.
+// View returns a snapshot of the live members. It copies all members; a caller that needs only the
+// changes should use Changed.Changes instead.
 func (d *Decider) View() *View {
 	v := &View{Version: d.viewVersion, Digest: d.viewDigest, Members: make([]Member, 0, d.liveCount)}
 	for _, e := range d.entries {
@@ -26,8 +26,8 @@
 func (d *Decider) Digest() uint64 { return d.viewDigest }
 
 // publish adds a Changed action if the view changed. While a suspicion or a scan in the zone of an
-// unpublished death is unresolved, publish waits, at most for maxPublishDelay, so that the loss of a
-// whole zone is published as one change.
+// unpublished death is unresolved, publish waits, at most for maxPublishDelay, so that the loss of
+// a whole zone is published as one change.
 func (d *Decider) publish() {
 	if len(d.unpublished) == 0 {
 		d.deathsDelayedUntil = 0
@@ -50,8 +50,8 @@
 	d.actions = append(d.actions, Changed{Version: d.viewVersion, Digest: d.viewDigest, Changes: changes})
 }
 
-// takeChanges returns the changes of all unpublished members, in no particular order, and marks these
-// members as published.
+// takeChanges returns the changes of all unpublished members, in no particular order, and marks
+// these members as published.
 func (d *Decider) takeChanges() (changes []Change) {
 	unpublished := d.unpublished
 	if len(unpublished) > maxRetainedUnpublished {
@@ -69,8 +69,8 @@
 	return changes
 }
 
-// unpublishedChange compares the member with its published state. It returns the reason of the change, and
-// whether there is a change to publish.
+// unpublishedChange compares the member with its published state. It returns the reason of the
+// change, and whether there is a change to publish.
 func (e *entry) unpublishedChange() (Reason, bool) {
 	switch {
 	case e.isLive() && !e.published.known:
@@ -110,8 +110,8 @@
 // isUnpublishedDeath reports whether the member is dead but still live in the published view.
 func (e *entry) isUnpublishedDeath() bool { return e.State == Dead && e.published.live }
 
-// classifyZoneLosses sets the reason of crashes to ReasonZoneLost if more than one member and at least half
-// of the members of the zone crashed.
+// classifyZoneLosses sets the reason of crashes to ReasonZoneLost if more than one member and at
+// least half of the members of the zone crashed.
 func (d *Decider) classifyZoneLosses(changes []Change) {
 	crashed := map[string]int{}
 	for i := range changes {
--- a/coord/members/wire.go
+++ b/coord/members/wire.go
@@ -83,8 +83,8 @@
 var (
 	errTruncated  = errors.New("the datagram is truncated")
 	errChecksum   = errors.New("the datagram's checksum is wrong")
-	errVersion    = errors.New("the datagram is of another version")
-	errOutOfRange = errors.New("the datagram has a field out of range")
+	errVersion    = errors.New("the datagram has an unknown version or message type")
+	errOutOfRange = errors.New("the datagram has a length or a field out of range")
 )
 
 // IsDatagram reports whether a datagram belongs to this package, judging by its first byte.
@@ -100,7 +100,8 @@
 	return binary.BigEndian.AppendUint32(b, crc32.Checksum(b, crcTable))
 }
 
-// parseDatagram checks the length, version and checksum of a datagram and returns its type and body.
+// parseDatagram checks the length, version and checksum of a datagram and returns its type and
+// body.
 func parseDatagram(b []byte) (messageType, []byte, error) {
 	switch {
 	case len(b) < headerLen+checksumLen:
--- a/coord/members/writestate.go
+++ b/coord/members/writestate.go
@@ -8,8 +8,8 @@
 	"slices"
 )
 
-// WriteState writes all the state on which the future behaviour of the Decider depends, except the current
-// time. A model checker (internal/testbed/explorer) uses the output to compare states.
+// WriteState writes all the state on which the future behaviour of the Decider depends, except the
+// current time. A model checker (internal/testbed/explorer) uses the output to compare states.
 func (d *Decider) WriteState(w io.Writer) {
 	random, _ := d.randSource.MarshalBinary()
 	fmt.Fprintf(w, "%x|", random)
