--- a/coord/members/config.go
+++ b/coord/members/config.go
@@ -20,7 +20,8 @@
 	// bytes of printable ASCII without spaces.
 	Name string
 	// Zone is the member's failure domain, at most MaxZoneLen bytes. Indirect probes prefer members
-	// of other zones as relays. If half of a zone dies, its deaths are published as one change.
+	// of other zones as relays. If at least half of a zone dies, the deaths are published as one
+	// change.
 	Zone string
 	// Version is the program's version, at most MaxVersionLen bytes. It is only displayed, never
 	// compared.
--- a/coord/members/decider.go
+++ b/coord/members/decider.go
@@ -58,7 +58,7 @@
 	joinDeadline      time.Duration
 	joiningPeers      []netip.AddrPort // processes that are joining at the same time
 	nameTaken         bool             // another member has the local name
-	reportedConflicts map[string]bool  // by name and address
+	reportedConflicts map[string]bool  // conflicts reported to the owner, by name and address
 	nextReconnectAt   time.Duration
 	disputed          []memberID    // members that are dead in the local list and alive in another member's
 	nextDisputeAt     time.Duration // 0 if no ping of a disputed member is planned
--- a/coord/members/decider_test.go
+++ b/coord/members/decider_test.go
@@ -111,10 +111,10 @@
 // If a member gossips that another member is alive and the receiver knows that the other member has
 // left, the receiver sends the sender an update about the leave.
 //
-// Without this update, a third of a fleet reported a router as crashed during planned restarts, 4.4
-// s after the router had announced its leave. New members had learnt about the router from a member
-// that had missed the announcement, and gossiped that the router was alive. The members that knew
-// about the leave did not correct them, because anti-entropy exchanges live members only.
+// Without this update, a third of a fleet reported a router as crashed during planned restarts,
+// 4.4 s after the router had announced its leave. New members had learnt about the router from a
+// member that had missed the announcement, and gossiped that the router was alive. The members that
+// knew about the leave did not correct them, because anti-entropy exchanges live members only.
 func TestLeaveReachesMemberThatMissedIt(t *testing.T) {
 	f := newFleet(t)
 	a, b, c := f.start(config(1, 2)), f.start(config(2, 1)), f.start(config(3, 1, 2))
--- a/coord/members/doc.go
+++ b/coord/members/doc.go
@@ -34,8 +34,8 @@
 // A Decider is a state machine without I/O, clock or goroutine. The owner of the Decider calls Step
 // with the time and one event, carries out the returned actions, and calls Step again no later than
 // the time that Next returns. The same seed and the same events produce the same actions. The owner
-// must call from one goroutine at a time, with a clock that never goes backwards. The Decider
-// detects that the clock jumped forward or that the owner stalled.
+// must call from one goroutine at a time, with a clock that never goes backwards. If a call of Step
+// comes too late, because the owner stalled or the clock jumped forward, the Decider detects it.
 //
 // # Guarantees
 //
--- a/coord/members/explore_test.go
+++ b/coord/members/explore_test.go
@@ -95,7 +95,7 @@
 
 // The model checker explores all orders of the events of three members with up to one crash, one
 // lost datagram and one stall. The members start with an empty or with a settled membership list.
-// In no order does an incarnation fall or a member disappear from its own view.
+// No incarnation may fall, and no member may be missing from its own view.
 func TestExploredOrdersKeepInvariants(t *testing.T) {
 	for _, settled := range []bool{false, true} {
 		q := explorer.Question[datagram]{Nodes: 3, Depth: *depth, MaxStates: 400_000, Budget: explorer.Budget{Losses: 1, Crashes: 1, Pauses: 1}, MaxSkew: 100 * time.Millisecond,
--- a/coord/members/gossip.go
+++ b/coord/members/gossip.go
@@ -129,8 +129,8 @@
 	}
 }
 
-// applyUpdate applies an update about a member, which may be the local one. The update was received
-// in a datagram from the address from.
+// applyUpdate applies an update about a member, which may be the local one. from is the address of
+// the sender of the update.
 func (d *Decider) applyUpdate(u update, from netip.AddrPort) {
 	_, e := d.find(u.id)
 	switch {
@@ -218,9 +218,9 @@
 	d.broadcast(u)
 }
 
-// applyUpdateOfSelf refutes an update that says that the local member is suspected, dead or has
-// left, or that belongs to an earlier process with the local name. It refutes the update by raising
-// the local incarnation.
+// applyUpdateOfSelf raises the local incarnation to refute an update that says that the local
+// member is suspected, is dead or has left. It also raises the local incarnation above that of an
+// earlier process with the local name, if an update says that the earlier process is alive.
 func (d *Decider) applyUpdateOfSelf(u update) {
 	if d.shuttingDown || d.self.State == Joining && u.incarnation < d.self.Incarnation {
 		return
--- a/coord/members/member.go
+++ b/coord/members/member.go
@@ -76,6 +76,6 @@
 	Dropped                 uint64 // datagrams that were malformed or whose sender was not allowed to send
 	Suspicions, Refutations uint64
 	Deaths, Joins           uint64
-	HealthScore             int    // gauge: the local health score, 0 for healthy up to 8
+	HealthScore             int    // gauge: the local health score, from 0 (healthy) to 8
 	Stalls                  uint64 // calls of Step that came late by stallThreshold or more
 }
--- a/coord/members/reconnect.go
+++ b/coord/members/reconnect.go
@@ -10,7 +10,8 @@
 const disputesPerBatch = 4
 
 // reconnect contacts a dead member, or a seed whose address belongs to no known live member. The
-// contacted process may be on the other side of a network partition that has healed.
+// contacted process may be on the other side of a network partition; if it answers, the two sides
+// can merge again.
 func (d *Decider) reconnect() {
 	if d.self.State != Alive || d.now < d.nextReconnectAt {
 		return
--- a/coord/members/records.go
+++ b/coord/members/records.go
@@ -7,15 +7,16 @@
 	"time"
 )
 
-// recordRequest is a request for the record of a member about which the local member received an
-// update, but whose record it lacks or has only for an earlier incarnation.
+// recordRequest is a request for the record of a member. The local member sends the request after
+// it received an update about a member whose record it lacks or knows only at an earlier
+// incarnation.
 type recordRequest struct {
 	from   netip.AddrPort // the member that sent the update, to which the request goes
 	sentAt time.Duration  // 0 if the request was not sent yet
 }
 
-// requestRecord schedules a request for the record of a member. The next batch sends the request to
-// the address from.
+// requestRecord schedules a request for the record of a member. The request goes to the address
+// from, in the next batch.
 func (d *Decider) requestRecord(id memberID, from netip.AddrPort) {
 	_, requested := d.recordRequests[id]
 	if requested || len(d.recordRequests) >= maxRecordRequests || len(d.entries) >= d.config.MaxMembers {
@@ -115,8 +116,8 @@
 	}
 }
 
-// applyRecord inserts the member that a record describes into the list, or updates the member. The
-// record was received in a datagram from the address from.
+// applyRecord inserts the member that a record describes into the list, or updates the member. from
+// is the address of the sender of the record.
 func (d *Decider) applyRecord(m Member, from netip.AddrPort) {
 	id := idOf(m.Name)
 	delete(d.recordRequests, id)
@@ -175,7 +176,7 @@
 }
 
 // updateRecord applies a record of a member that is already in the list. A record with a higher
-// incarnation replaces the entry, unless it claims the name of an alive member from another
+// incarnation updates the entry, unless the record claims the name of an alive member from another
 // address.
 func (d *Decider) updateRecord(e *entry, m *Member, from netip.AddrPort) {
 	switch {
--- a/coord/members/suspicion.go
+++ b/coord/members/suspicion.go
@@ -46,7 +46,7 @@
 	return min(s.rankedAt+witnessRankInterval, s.startedAt+undecidedTimeout)
 }
 
-// suspicionTimeout returns how long a suspect may leave a witness without an answer before the
+// suspicionTimeout returns how long a witness waits for an answer from the suspect before the
 // witness confirms the suspicion. Long recent round trips extend the timeout.
 func (d *Decider) suspicionTimeout() time.Duration {
 	return baseSuspicionTimeout + 2*max(d.recentRTT-pingInterval, 0)
@@ -125,8 +125,8 @@
 
 // scanZone probes alive members of a zone as soon as two members of the zone are suspected, so that
 // the loss of a whole zone is detected quickly. Each member of the zone is probed by
-// zoneScanProbers other members on average, which a hash of the two member ids selects. The local
-// zone is not scanned.
+// zoneScanProbers other members on average. A hash of the ids of prober and target selects the
+// probers. The local zone is not scanned.
 func (d *Decider) scanZone(zone string) {
 	if at, ok := d.zoneScannedAt[zone]; ok && d.now < at+zoneScanInterval {
 		return
@@ -255,9 +255,9 @@
 }
 
 // setAlive sets a member to Alive at an incarnation above the one at which the member was suspected
-// or dead. If the local member pinged the suspect from the start of the suspicion, its accusation
-// was wrong, and it does not accuse the member again for a backoff time. A member that was dead
-// gets a grace period in which it is not suspected.
+// or dead. If the local member pinged the suspect from the start of the suspicion, the local member
+// was wrong and does not accuse the member again during a backoff period. A member that was dead
+// gets a grace period during which it is not suspected.
 func (d *Decider) setAlive(e *entry, incarnation uint32) {
 	previous := e.State
 	if s := d.suspicions[e.id]; s != nil && s.watchedFromStart {
--- a/coord/members/sync.go
+++ b/coord/members/sync.go
@@ -11,7 +11,7 @@
 const (
 	syncFanout      = 16        // children of a node
 	maxPathLen      = 2 * idLen // nibbles of an id
-	maxLeafMembers  = 12        // a subtree with at most so many members is exchanged as a whole
+	maxLeafMembers  = 12        // a subtree with at most this many members is exchanged as a whole
 	maxChunkUpdates = 24        // updates in one datagram
 )
 
@@ -107,7 +107,7 @@
 	}
 }
 
-// sendSyncChunk sends updates of the live members whose ids begin with path, except those in
+// sendSyncChunk sends updates of the live members whose ids begin with path, without the members in
 // except. If wantsReply is set, the receiver answers with its own updates for path.
 func (d *Decider) sendSyncChunk(to netip.AddrPort, path []byte, wantsReply bool, except map[memberID]bool) {
 	b := appendPath(newDatagram(syncChunkMsg), path)
--- a/coord/members/timing.go
+++ b/coord/members/timing.go
@@ -6,7 +6,7 @@
 // time, rate of false deaths and bandwidth. TestTimingsMeetGoals computes the same figures.
 const (
 	// protocolPeriod is the time between the starts of two probes by a member whose health score is
-	// 0. A longer period saves bandwidth but delays the detection of a failure by the same time.
+	// 0. A longer period saves bandwidth but delays the detection of a failure by the same amount.
 	protocolPeriod = time.Second
 	// pingInterval is the time between two pings of the same target, both in a probe and by a
 	// witness.
@@ -45,9 +45,9 @@
 
 // Timings and counts for suspicions, deaths and zone scans.
 const (
-	// baseSuspicionTimeout is how long a suspect may leave a witness without an answer before the
+	// baseSuspicionTimeout is how long a witness waits for an answer from the suspect before the
 	// witness confirms the suspicion. Slow round trips extend this time. A shorter timeout would
-	// detect failures faster but would declare members dead that only stall.
+	// detect failures faster, but members that only stall would be declared dead.
 	baseSuspicionTimeout = 1500 * time.Millisecond
 	// witnessCount is how many members ping a suspect as witnesses, in addition to the accuser.
 	witnessCount = 5
