--- a/coord/members/reader.go
+++ b/coord/members/reader.go
@@ -6,16 +6,17 @@
 	"net/netip"
 )
 
-// reader decodes the body of a datagram from its front. The first error sticks; reads after it
-// return zero values.
+// reader decodes the body of a datagram from front to back. After a read failed, err is set and all
+// further reads return zero values.
 type reader struct {
 	rest []byte
 	err  error
 }
 
-// hasMore reports whether bytes are left and none was malformed.
+// hasMore reports whether unread bytes remain and no read has failed.
 func (r *reader) hasMore() bool { return r.err == nil && len(r.rest) > 0 }
 
+// take reads n bytes. It returns nil if fewer bytes remain.
 func (r *reader) take(n int) []byte {
 	if r.err != nil || len(r.rest) < n {
 		r.err = errTruncated
@@ -72,7 +73,8 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte(b[:4])), binary.BigEndian.Uint16(b[4:]))
 }
 
-// text reads printable ASCII of at most maxLen bytes.
+// text reads a byte with a length of at most maxLen and then a string of that length, which must be
+// printable ASCII without spaces.
 func (r *reader) text(maxLen int) string {
 	n := int(r.u8())
 	if n > maxLen {
@@ -87,7 +89,8 @@
 	return string(b)
 }
 
-// path reads the path of a node of the anti-entropy tree.
+// path reads the path to a node of the anti-entropy tree: a length byte and then one byte for each
+// nibble.
 func (r *reader) path() []byte {
 	n := int(r.u8())
 	if n >= maxPathLen {
@@ -103,6 +106,7 @@
 	return path
 }
 
+// update reads one update.
 func (r *reader) update() (u update) {
 	flags := r.u8()
 	u.state, u.confirms = State(flags&stateMask), flags&confirmsFlag != 0
@@ -120,7 +124,7 @@
 	return u
 }
 
-// updates reads updates to the end of the body.
+// updates reads updates until the end of the body.
 func (r *reader) updates() (all []update) {
 	for r.hasMore() {
 		if u := r.update(); r.err == nil {
@@ -130,6 +134,7 @@
 	return all
 }
 
+// record reads one record and validates it.
 func (r *reader) record() (m Member) {
 	m.Incarnation, m.Boot, m.State, m.Addr = r.uvarint(), r.u32(), State(r.u8()), r.addr()
 	m.Name, m.Zone, m.Version = r.text(MaxNameLen), r.text(MaxZoneLen), r.text(MaxVersionLen)
