--- a/coord/link/golden_test.go
+++ b/coord/link/golden_test.go
@@ -17,7 +17,7 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	sender, receiver, came := started(t)
+	sender, receiver, arrived := startLink(t)
 	messages := []received{{7, "a message"}, {255, ""}, {0, "\x00\xff"}}
 	length := 0
 	for _, m := range messages {
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	frames := make([]byte, length)
 	if _, err := io.ReadFull(c, frames); err != nil {
 		t.Fatal(err)
@@ -40,7 +40,7 @@
 		t.Fatal(err)
 	}
 	defer out.Close()
-	out.SetDeadline(time.Now().Add(patience))
+	out.SetDeadline(time.Now().Add(testTimeout))
 	if _, err := out.Write(frames); err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +50,7 @@
 	}
 	golden.Check(t, "frames", []golden.Record{{Name: "frames", Data: frames}, {Name: "acknowledgement", Data: acknowledged}})
 	for _, want := range messages {
-		if got := next(t, came); got != want {
+		if got := nextMessage(t, arrived); got != want {
 			t.Errorf("a frame is read as %+v, not %+v", got, want)
 		}
 	}
--- a/coord/link/link.go
+++ b/coord/link/link.go
@@ -19,7 +19,7 @@
 	frameHeaderLen = 4 + 1 // length and kind
 
 	idleTimeout = 20 * time.Second // an outbound connection without a message is closed then
-	maxAccepted = 1024             // inbound connections
+	maxInbound  = 1024             // inbound connections
 	bufferSize  = 16 << 10
 )
 
@@ -126,7 +126,7 @@
 func (l *Link) addInbound(c net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.inbound.Cardinality() >= maxAccepted || l.ctx.Err() != nil {
+	if l.inbound.Cardinality() >= maxInbound || l.ctx.Err() != nil {
 		return false
 	}
 	l.inbound.Add(c)
--- a/coord/link/link_test.go
+++ b/coord/link/link_test.go
@@ -14,7 +14,7 @@
 )
 
 // patience bounds what a test waits for; it is never waited for where all is well.
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
 // received is a message that came.
 type received struct {
@@ -23,7 +23,7 @@
 }
 
 // started returns a link that listens on a free port, and what comes there.
-func started(t *testing.T) (*Link, string, chan received) {
+func startLink(t *testing.T) (*Link, string, chan received) {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -31,22 +31,22 @@
 	}
 	address := ln.Addr().String()
 	ln.Close()
-	came := make(chan received, 1000)
-	l := New(netip.MustParseAddrPort(address), func(kind Kind, data []byte) { came <- received{kind, string(data)} })
+	messages := make(chan received, 1000)
+	l := New(netip.MustParseAddrPort(address), func(kind Kind, data []byte) { messages <- received{kind, string(data)} })
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
 	if err := l.Start(ctx); err != nil {
 		t.Fatal(err)
 	}
-	return l, address, came
+	return l, address, messages
 }
 
-func next(t *testing.T, came chan received) received {
+func nextMessage(t *testing.T, messages chan received) received {
 	t.Helper()
 	select {
-	case r := <-came:
+	case r := <-messages:
 		return r
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("nothing came")
 		return received{}
 	}
@@ -55,16 +55,16 @@
 // Messages arrive with their kinds, in order, whatever their size.
 func TestMessagesArriveInOrder(t *testing.T) {
 	is := is.New(t)
-	a, _, _ := started(t)
-	_, to, came := started(t)
+	a, _, _ := startLink(t)
+	_, to, messages := startLink(t)
 	large := bytes.Repeat([]byte("x"), 1<<20)
 	a.Send(to, 2, large)
 	for i := range 100 {
 		a.Send(to, 1, fmt.Append(nil, i))
 	}
-	is.Equal(next(t, came), received{2, string(large)})
+	is.Equal(nextMessage(t, messages), received{2, string(large)})
 	for i := range 100 {
-		is.Equal(next(t, came), received{1, fmt.Sprint(i)})
+		is.Equal(nextMessage(t, messages), received{1, fmt.Sprint(i)})
 	}
 	is.True(a.Stats().Sent == 101)
 	is.True(a.Stats().SentBytes > 1<<20)
@@ -74,24 +74,24 @@
 // is counted.
 func TestReceiverThatStartsLater(t *testing.T) {
 	is := is.New(t)
-	a, _, _ := started(t)
+	a, _, _ := startLink(t)
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
 	to := ln.Addr().String()
 	ln.Close()
-	came := make(chan received, 1000)
-	b := New(netip.MustParseAddrPort(to), func(kind Kind, data []byte) { came <- received{kind, string(data)} })
+	messages := make(chan received, 1000)
+	b := New(netip.MustParseAddrPort(to), func(kind Kind, data []byte) { messages <- received{kind, string(data)} })
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	again := time.NewTicker(time.Millisecond)
-	defer again.Stop()
+	ticker := time.NewTicker(time.Millisecond)
+	defer ticker.Stop()
 	for started, arrived := false, false; !arrived; {
 		a.Send(to, 1, []byte("word"))
 		select {
-		case <-came:
+		case <-messages:
 			is.True(started)
 			arrived = true
-		case <-again.C:
+		case <-ticker.C:
 			if !started && a.Stats().Lost > 0 { // nobody has listened so far
 				is.NoErr(b.Start(ctx))
 				started = true
@@ -103,33 +103,33 @@
 // Bytes that are no frame end their connection and nothing else; a length alone takes no memory.
 func TestMalformedFramesEndTheirConnection(t *testing.T) {
 	is := is.New(t)
-	a, _, _ := started(t)
-	_, to, came := started(t)
+	a, _, _ := startLink(t)
+	_, to, messages := startLink(t)
 	for _, text := range [][]byte{{0xff, 0xff, 0xff, 0xff, 1, 2}, {0, 0x10, 0, 0, 1}, []byte("GET / HTTP/1.1\r\n\r\n")} {
 		c, err := net.Dial("tcp", to)
 		is.NoErr(err)
 		c.Write(text)
 		c.(*net.TCPConn).CloseWrite()
-		c.SetReadDeadline(time.Now().Add(patience))
+		c.SetReadDeadline(time.Now().Add(testTimeout))
 		c.Read(make([]byte, 1)) // until it is closed
 		c.Close()
 	}
 	a.Send(to, 1, []byte("complete"))
-	is.Equal(next(t, came), received{1, "complete"})
-	is.Equal(len(came), 0)
+	is.Equal(nextMessage(t, messages), received{1, "complete"})
+	is.Equal(len(messages), 0)
 }
 
 // A message above the bound is lost, and counted.
 func TestTooLongMessageIsLost(t *testing.T) {
 	is := is.New(t)
-	a, _, _ := started(t)
+	a, _, _ := startLink(t)
 	a.Send("127.0.0.1:1", 1, make([]byte, MaxMessageLen+1))
 	is.Equal(a.Stats().Lost, uint64(1))
 }
 
 // swallower is a proxy that forwards all connections but the first: its bytes are acknowledged by
 // the system, and go no further.
-func swallower(t *testing.T, to string) string {
+func startBlackholeProxy(t *testing.T, to string) string {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -137,12 +137,12 @@
 	}
 	t.Cleanup(func() { ln.Close() })
 	go func() {
-		for swallowed := false; ; swallowed = true {
+		for discarded := false; ; discarded = true {
 			c, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			if !swallowed {
+			if !discarded {
 				go io.Copy(io.Discard, c)
 				continue
 			}
@@ -155,16 +155,16 @@
 // forward forwards bytes both ways until one side ends.
 func forward(c net.Conn, to string) {
 	defer c.Close()
-	next, err := net.Dial("tcp4", to)
+	upstream, err := net.Dial("tcp4", to)
 	if err != nil {
 		return
 	}
-	defer next.Close()
+	defer upstream.Close()
 	go func() {
-		io.Copy(c, next)
+		io.Copy(c, upstream)
 		c.Close()
 	}()
-	io.Copy(next, c)
+	io.Copy(upstream, c)
 }
 
 // On a long day with hundreds of configurations a machine of the register that had been isolated
@@ -177,15 +177,15 @@
 // What was queued in it is lost, what is sent later arrives.
 func TestConnectionThatDeliversNothing(t *testing.T) {
 	is := is.New(t)
-	a, _, _ := started(t)
-	_, to, came := started(t)
-	by := swallower(t, to)
-	again := time.NewTicker(20 * time.Millisecond)
-	defer again.Stop()
-	for until := time.Now().Add(patience); time.Now().Before(until); <-again.C {
-		a.Send(by, 1, []byte("word"))
+	a, _, _ := startLink(t)
+	_, to, messages := startLink(t)
+	proxy := startBlackholeProxy(t, to)
+	ticker := time.NewTicker(20 * time.Millisecond)
+	defer ticker.Stop()
+	for until := time.Now().Add(testTimeout); time.Now().Before(until); <-ticker.C {
+		a.Send(proxy, 1, []byte("word"))
 		select {
-		case r := <-came:
+		case r := <-messages:
 			is.Equal(r, received{1, "word"})
 			return
 		default:
@@ -195,7 +195,7 @@
 }
 
 // slowly is a proxy that forwards bytes at a rate.
-func slowly(t *testing.T, to string, bytesAStep int, step time.Duration) string {
+func startSlowProxy(t *testing.T, to string, bytesPerStep int, step time.Duration) string {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -208,8 +208,8 @@
 			if err != nil {
 				return
 			}
-			c.(*net.TCPConn).SetReadBuffer(bytesAStep)
-			go forward(&pacedConn{c, bytesAStep, step}, to)
+			c.(*net.TCPConn).SetReadBuffer(bytesPerStep)
+			go forward(&pacedConn{c, bytesPerStep, step}, to)
 		}
 	}()
 	return ln.Addr().String()
@@ -231,19 +231,19 @@
 // acknowledged on the way. An idle connection is kept for as long, too.
 func TestLongMessageOverSlowLink(t *testing.T) {
 	is := is.New(t)
-	a, _, _ := started(t)
-	_, to, came := started(t)
-	by := slowly(t, to, 16<<10, 40*time.Millisecond)
+	a, _, _ := startLink(t)
+	_, to, messages := startLink(t)
+	proxy := startSlowProxy(t, to, 16<<10, 40*time.Millisecond)
 	long := bytes.Repeat([]byte("x"), 1<<20)
 	for _, size := range []int{len(long), 1} {
-		a.Send(by, 1, long[:size])
-		is.Equal(len(next(t, came).data), size)
+		a.Send(proxy, 1, long[:size])
+		is.Equal(len(nextMessage(t, messages).data), size)
 	}
 	idle := time.NewTimer(minDeliveryTimeout + ackInterval)
 	defer idle.Stop()
 	<-idle.C
-	a.Send(by, 1, []byte("after an idle time"))
-	is.Equal(next(t, came).data, "after an idle time")
+	a.Send(proxy, 1, []byte("after an idle time"))
+	is.Equal(nextMessage(t, messages).data, "after an idle time")
 	is.Equal(a.Stats().Connected, uint64(1))
 	is.Equal(a.Stats().Broken, uint64(0))
 }
@@ -252,11 +252,11 @@
 // over connections that are replaced less and less often.
 func TestReceiverWithoutAcks(t *testing.T) {
 	is := is.New(t)
-	a, _, _ := started(t)
+	a, _, _ := startLink(t)
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
 	defer ln.Close()
-	came := make(chan byte, 1000)
+	payloads := make(chan byte, 1000)
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -269,7 +269,7 @@
 					if _, err := io.ReadFull(c, frame); err != nil {
 						return
 					}
-					came <- frame[frameHeaderLen]
+					payloads <- frame[frameHeaderLen]
 				}
 			}()
 		}
@@ -277,9 +277,9 @@
 	for number := byte(0); a.Stats().Connected < 3; number++ {
 		a.Send(ln.Addr().String(), 1, []byte{number})
 		select {
-		case got := <-came:
+		case got := <-payloads:
 			is.Equal(got, number)
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatal("nothing came")
 		}
 		time.Sleep(20 * time.Millisecond)
--- a/coord/link/send.go
+++ b/coord/link/send.go
@@ -49,7 +49,7 @@
 	frame = append(append(frame, byte(kind)), data...)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	q := l.queueTo(to)
+	q := l.queueFor(to)
 	if q == nil || !l.enqueue(q, frame) {
 		l.lost.Add(1)
 	}
@@ -57,7 +57,7 @@
 
 // queueTo returns the queue of an address, made if there was none; nil where there can't be one. It
 // is called with mu held.
-func (l *Link) queueTo(to string) *sendQueue {
+func (l *Link) queueFor(to string) *sendQueue {
 	if q := l.queues[to]; q != nil {
 		return q
 	}
--- a/coord/register/batch.go
+++ b/coord/register/batch.go
@@ -34,11 +34,11 @@
 	}
 	b := &Batch{RecordCount: count}
 	for _, record := range records {
-		text, err := proto.Marshal(record)
+		data, err := proto.Marshal(record)
 		if err != nil {
 			return nil, fmt.Errorf("register: a record can not be written: %w", err)
 		}
-		b.records = append(b.records, text)
+		b.records = append(b.records, data)
 	}
 	return b, nil
 }
@@ -46,11 +46,11 @@
 // fullBatch is a batch with the complete state.
 func (c *Core) fullBatch() (*Batch, error) {
 	state, count := c.Durable()
-	text, err := proto.Marshal(state)
+	data, err := proto.Marshal(state)
 	if err != nil {
 		return nil, fmt.Errorf("register: the state can not be written: %w", err)
 	}
-	return &Batch{RecordCount: count, state: text}, nil
+	return &Batch{RecordCount: count, state: data}, nil
 }
 
 // Write writes the batch, and returns once it is durable.
--- a/coord/register/effects.go
+++ b/coord/register/effects.go
@@ -100,7 +100,7 @@
 		switch {
 		case q.committed != nil:
 			out.Commits = append(out.Commits, *q.committed)
-		case q.send.To == c.config.Self.Address && !forClient(q.send.Message):
+		case q.send.To == c.config.Self.Address && !isForClient(q.send.Message):
 			c.loopback = append(c.loopback, proto.Clone(q.send.Message).(*coordpb.Message))
 		default:
 			out.Sends = append(out.Sends, *q.send)
@@ -110,4 +110,4 @@
 }
 
 // forClient reports whether a message is for a client, which may be in this process.
-func forClient(m *coordpb.Message) bool { return m.GetReply() != nil || m.GetRedirect() != nil }
+func isForClient(m *coordpb.Message) bool { return m.GetReply() != nil || m.GetRedirect() != nil }
--- a/coord/register/explore_test.go
+++ b/coord/register/explore_test.go
@@ -176,9 +176,9 @@
 // runs and not thousands. Whether a bug shows depends on the seed, so some seeds are tried.
 func TestExplorerFindsBugs(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		bug   simulation.Bug
-		begin faultplan.Plan[faultKind]
+		name        string
+		bug         simulation.Bug
+		initialPlan faultplan.Plan[faultKind]
 	}{
 		{"acknowledged before the tail", simulation.EarlyReply, nil},
 		{"written before the disk has it", simulation.EarlyWrite, faultplan.Plan[faultKind]{{Point: 1, Kind: freezeReceiver}}},
@@ -187,7 +187,7 @@
 			is := is.New(t)
 			var found faultplan.Result[faultKind]
 			for seed := uint64(1); seed <= maxSeeds && found.Violation == nil; seed++ {
-				found = explorer(runOptions{seed, syncWithBug}, c.bug, len(c.begin)+1, firstFaultInWithBug).ExploreFrom(c.begin)
+				found = explorer(runOptions{seed, syncWithBug}, c.bug, len(c.initialPlan)+1, firstFaultInWithBug).ExploreFrom(c.initialPlan)
 				t.Logf("seed %d: %d runs; %v: %v", seed, found.Runs, found.Plan, found.Violation)
 			}
 			is.True(found.Violation != nil)
--- a/coord/register/fuzz_test.go
+++ b/coord/register/fuzz_test.go
@@ -29,15 +29,15 @@
 	}
 	for i, m := range seeds {
 		first, _ := proto.Marshal(seeds[0])
-		text, _ := proto.Marshal(m)
-		f.Add(first, text, i%2 == 0)
+		data, _ := proto.Marshal(m)
+		f.Add(first, data, i%2 == 0)
 	}
 	f.Fuzz(func(t *testing.T, first, second []byte, founder bool) {
 		core := register.NewCore(register.Config{Self: self, Seeds: []string{"a", "b"}, Founder: founder, Eligible: true, Tolerance: 1}, simulation.Counter{}.New(), 0)
 		now := time.Duration(0)
-		for _, text := range [][]byte{first, second, first} {
+		for _, data := range [][]byte{first, second, first} {
 			m := &coordpb.Message{}
-			if proto.Unmarshal(text, m) != nil || m.From == nil {
+			if proto.Unmarshal(data, m) != nil || m.From == nil {
 				continue // as whoever reads from the wire does
 			}
 			now += 100 * time.Millisecond
--- a/coord/register/golden_test.go
+++ b/coord/register/golden_test.go
@@ -40,7 +40,7 @@
 func (l *lines) Decide(command []byte) (change, reply []byte) { return command, []byte("added") }
 func (l *lines) Apply(change []byte)                          { l.all = append(l.all, string(change)) }
 func (l *lines) Snapshot() []byte                             { return []byte(strings.Join(l.all, "\n")) }
-func (l *lines) Restore(text []byte) error                    { l.all = strings.Split(string(text), "\n"); return nil }
+func (l *lines) Restore(data []byte) error                    { l.all = strings.Split(string(data), "\n"); return nil }
 func (l *lines) Value() any                                   { return strings.Join(l.all, "\n") }
 
 // everyField is the saved state of a process with each field set.
@@ -81,22 +81,22 @@
 		defer files.Close()
 		store, _, err := storage.Open(files)
 		is.NoErr(err)
-		text, err := proto.Marshal(saved)
+		data, err := proto.Marshal(saved)
 		is.NoErr(err)
-		is.NoErr(store.Save(text))
+		is.NoErr(store.Save(data))
 		for _, r := range recordsOf(saved) {
-			text, err := proto.Marshal(r)
+			data, err := proto.Marshal(r)
 			is.NoErr(err)
-			is.NoErr(store.Append(text))
+			is.NoErr(store.Append(data))
 		}
 	}
 	if *writeGolden {
 		write(filepath.Join(goldenPath, everyRecord))
 		return
 	}
-	today := t.TempDir()
-	write(today)
-	golden.SameFolders(t, filepath.Join(goldenPath, everyRecord), today)
+	current := t.TempDir()
+	write(current)
+	golden.SameFolders(t, filepath.Join(goldenPath, everyRecord), current)
 
 	state := &lines{}
 	_, persisted := loadGolden(t, everyRecord, state)
@@ -148,7 +148,7 @@
 	is          *is.I
 	now         time.Duration
 	processes   []*goldenProcess
-	onTheWay    []register.Send
+	inFlight    []register.Send
 	submissions uint64
 	replies     int
 	accepted    map[uint64]int // by epoch, messages that a view was accepted
@@ -195,14 +195,14 @@
 func (g *goldenGroup) run(until time.Duration, done func() bool) {
 	for g.now < until && (done == nil || !done()) {
 		g.now += goldenStep
-		sends := g.onTheWay
-		g.onTheWay = nil
+		sends := g.inFlight
+		g.inFlight = nil
 		for _, s := range sends {
 			g.deliver(s)
 		}
 		for _, p := range g.processes {
 			if p.core != nil && g.now%goldenTick == 0 {
-				g.carryOut(p.core.Tick(g.now))
+				g.applyOutput(p.core.Tick(g.now))
 			}
 			g.write(p)
 		}
@@ -218,18 +218,18 @@
 	}
 	for _, p := range g.processes {
 		if p.address == s.To && p.core != nil {
-			g.carryOut(p.core.Receive(g.now, proto.Clone(s.Message).(*coordpb.Message)))
+			g.applyOutput(p.core.Receive(g.now, proto.Clone(s.Message).(*coordpb.Message)))
 			g.write(p)
 		}
 	}
 }
 
-func (g *goldenGroup) carryOut(out register.Output) {
+func (g *goldenGroup) applyOutput(out register.Output) {
 	for _, s := range out.Sends {
 		if a := s.Message.GetAccepted(); a != nil {
 			g.accepted[a.Instance]++
 		}
-		g.onTheWay = append(g.onTheWay, s)
+		g.inFlight = append(g.inFlight, s)
 	}
 }
 
@@ -242,7 +242,7 @@
 			return
 		}
 		g.is.NoErr(batch.Write(p.store))
-		g.carryOut(p.core.RecordsWritten(batch.RecordCount, g.now))
+		g.applyOutput(p.core.RecordsWritten(batch.RecordCount, g.now))
 	}
 }
 
@@ -250,10 +250,10 @@
 func (g *goldenGroup) submit(text string) {
 	g.submissions++
 	for _, p := range g.processes {
-		v := p.core
-		if v != nil && len(v.View().Chain) > 0 && v.View().Chain[0] == 1000+uint64(p.address[0]) {
+		core := p.core
+		if core != nil && len(core.View().Chain) > 0 && core.View().Chain[0] == 1000+uint64(p.address[0]) {
 			m := &coordpb.Message{From: &coordpb.Member{Address: goldenClient, Identity: 1}, Body: &coordpb.Message_Submit{Submit: &coordpb.Submit{Id: g.submissions, Order: []byte(text)}}}
-			g.onTheWay = append(g.onTheWay, register.Send{To: p.address, Message: m})
+			g.inFlight = append(g.inFlight, register.Send{To: p.address, Message: m})
 			break
 		}
 	}
@@ -265,13 +265,13 @@
 	batch, err := p.core.NextBatch(p.store, true)
 	g.is.NoErr(err)
 	g.is.NoErr(batch.Write(p.store))
-	g.carryOut(p.core.RecordsWritten(batch.RecordCount, g.now))
+	g.applyOutput(p.core.RecordsWritten(batch.RecordCount, g.now))
 }
 
 // playGolden writes the folders of a group: commands in a first view, others while a process is
 // down, then that one is started again, and all stop between the vote on the view that has it in
 // its chain and the choice of that view.
-func playGolden(is *is.I, folder string) {
+func runGoldenScenario(is *is.I, folder string) {
 	g := newGoldenGroup(is, folder)
 	g.run(3*time.Second, nil)
 	for _, text := range []string{"one", "two", "three"} {
@@ -299,14 +299,14 @@
 func TestGoldenGroup(t *testing.T) {
 	is := is.New(t)
 	if *writeGolden {
-		playGolden(is, goldenPath)
+		runGoldenScenario(is, goldenPath)
 		return
 	}
-	today := t.TempDir()
-	playGolden(is, today)
+	current := t.TempDir()
+	runGoldenScenario(is, current)
 	const state = "one\ntwo\nthree\nfour\nfive"
 	for i, name := range []string{"a", "b", "c"} {
-		golden.SameFolders(t, filepath.Join(goldenPath, name), filepath.Join(today, name))
+		golden.SameFolders(t, filepath.Join(goldenPath, name), filepath.Join(current, name))
 		machine := &lines{}
 		_, persisted := loadGolden(t, name, machine)
 		is.Equal(persisted.Identity, 1097+uint64(i))
--- a/coord/register/recovery.go
+++ b/coord/register/recovery.go
@@ -46,9 +46,9 @@
 		return nil, nil, &UnreadableError{SavedState, err}
 	}
 	var records []*coordpb.Record
-	for i, text := range found.Records {
+	for i, data := range found.Records {
 		r := &coordpb.Record{}
-		if err := proto.Unmarshal(text, r); err != nil {
+		if err := proto.Unmarshal(data, r); err != nil {
 			return nil, nil, &UnreadableError{i, err}
 		}
 		records = append(records, r)
--- a/coord/register/recovery_test.go
+++ b/coord/register/recovery_test.go
@@ -15,23 +15,23 @@
 var errRejected = errors.New("rejected")
 
 // pickyLines rejects the snapshot "bad".
-type pickyLines struct{ lines }
+type rejectingLines struct{ lines }
 
-func (l *pickyLines) Restore(text []byte) error {
-	if string(text) == "bad" {
+func (l *rejectingLines) Restore(data []byte) error {
+	if string(data) == "bad" {
 		return errRejected
 	}
-	return l.lines.Restore(text)
+	return l.lines.Restore(data)
 }
 
 // What can't be read on a disk is named by an error of its own type.
 func TestUnreadableStateIsNamed(t *testing.T) {
 	marshal := func(m proto.Message) []byte {
-		text, err := proto.Marshal(m)
+		data, err := proto.Marshal(m)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return text
+		return data
 	}
 	garbage := []byte{0xff}
 	good := marshal(&coordpb.Durable{Identity: 1, State: []byte("one")})
@@ -59,7 +59,7 @@
 			if len(c.records) > 0 {
 				is.NoErr(store.Append(c.records...))
 			}
-			_, _, err = register.Load(files, &pickyLines{})
+			_, _, err = register.Load(files, &rejectingLines{})
 			var unreadable *register.UnreadableError
 			is.True(errors.As(err, &unreadable))
 			is.Equal(unreadable.Record, c.want)
--- a/coord/register/schedules_test.go
+++ b/coord/register/schedules_test.go
@@ -65,11 +65,11 @@
 	for w.Violation == nil && w.Now < d.EndsAt() {
 		w.Run(d.EndsAt())
 	}
-	calm := quietTime
+	settleTime := quietTime
 	if s.overlap {
-		calm = overlapRecoveryTime + acknowledgeTimeout
+		settleTime = overlapRecoveryTime + acknowledgeTimeout
 	}
-	w.Run(w.Now + calm)
+	w.Run(w.Now + settleTime)
 	if w.Violation == nil && w.Now-w.History.LastAcknowledged > acknowledgeTimeout {
 		w.Fail("no command was acknowledged since %v", w.History.LastAcknowledged)
 	}
@@ -121,21 +121,21 @@
 }
 
 // runAll runs seeds on all processors.
-func runAll(n int, play func(seed uint64)) {
-	faultplan.ForEachParallel(n, func(i int) { play(*firstSeed + uint64(i)) })
+func runAll(n int, run func(seed uint64)) {
+	faultplan.ForEachParallel(n, func(i int) { run(*firstSeed + uint64(i)) })
 }
 
 // Each bug is found by the checks within some schedules, where need be with the kinds of faults
 // that concern it.
 func TestSchedulesFindBugs(t *testing.T) {
 	three := schedules[0]
-	power := schedule{machines: 3, tolerance: 1, sync: syncWithBug, kinds: []simulation.Kind{simulation.HerdKillOff, simulation.HerdKillAcknowledged, simulation.PowerOffAll}}
+	powerLoss := schedule{machines: 3, tolerance: 1, sync: syncWithBug, kinds: []simulation.Kind{simulation.HerdKillOff, simulation.HerdKillAcknowledged, simulation.PowerOffAll}}
 	for name, c := range map[string]struct {
 		bug simulation.Bug
 		schedule
 	}{
 		"acknowledged before the tail":        {simulation.EarlyReply, three},
-		"written before the disk has it":      {simulation.EarlyWrite, power},
+		"written before the disk has it":      {simulation.EarlyWrite, powerLoss},
 		"votes again after its disk was lost": {simulation.ReusedIdentity, three},
 		"stale read":                          {simulation.UnconfirmedReads, three},
 		"lease ignored":                       {simulation.IgnoredLease, three},
--- a/coord/storage/format.go
+++ b/coord/storage/format.go
@@ -26,18 +26,18 @@
 }
 
 // parseSlot returns the content of a slot; ok is false unless it is complete.
-func parseSlot(text []byte) (generation uint64, state []byte, ok bool) {
-	if len(text) < slotHeaderLen || binary.BigEndian.Uint32(text) != slotMagic {
+func parseSlot(data []byte) (generation uint64, state []byte, ok bool) {
+	if len(data) < slotHeaderLen || binary.BigEndian.Uint32(data) != slotMagic {
 		return 0, nil, false
 	}
-	generation = binary.BigEndian.Uint64(text[4:])
-	length := binary.BigEndian.Uint64(text[12:])
-	if length > uint64(len(text)-slotHeaderLen) {
+	generation = binary.BigEndian.Uint64(data[4:])
+	length := binary.BigEndian.Uint64(data[12:])
+	if length > uint64(len(data)-slotHeaderLen) {
 		return 0, nil, false
 	}
-	state = text[slotHeaderLen : slotHeaderLen+int(length)]
-	header := text[:slotHeaderLen-checksumLen]
-	stored := binary.BigEndian.Uint32(text[slotHeaderLen-checksumLen:])
+	state = data[slotHeaderLen : slotHeaderLen+int(length)]
+	header := data[:slotHeaderLen-checksumLen]
+	stored := binary.BigEndian.Uint32(data[slotHeaderLen-checksumLen:])
 	return generation, state, generation > 0 && checksum(header, state) == stored
 }
 
@@ -54,21 +54,21 @@
 
 // parseRecord returns the record at the start of text and its size with header; ok is false unless
 // it is complete, of the generation, and the one with the index.
-func parseRecord(text []byte, generation uint64, index uint32) (record []byte, size int, ok bool) {
-	if len(text) < recordHeaderLen || binary.BigEndian.Uint32(text) != recordMagic {
+func parseRecord(data []byte, generation uint64, index uint32) (record []byte, size int, ok bool) {
+	if len(data) < recordHeaderLen || binary.BigEndian.Uint32(data) != recordMagic {
 		return nil, 0, false
 	}
-	if binary.BigEndian.Uint64(text[4:]) != generation || binary.BigEndian.Uint32(text[12:]) != index {
+	if binary.BigEndian.Uint64(data[4:]) != generation || binary.BigEndian.Uint32(data[12:]) != index {
 		return nil, 0, false
 	}
-	length := binary.BigEndian.Uint32(text[16:])
-	if uint64(length) > uint64(len(text)-recordHeaderLen) {
+	length := binary.BigEndian.Uint32(data[16:])
+	if uint64(length) > uint64(len(data)-recordHeaderLen) {
 		return nil, 0, false
 	}
 	size = recordHeaderLen + int(length)
-	record = text[recordHeaderLen:size]
-	header := text[:recordHeaderLen-checksumLen]
-	stored := binary.BigEndian.Uint32(text[recordHeaderLen-checksumLen:])
+	record = data[recordHeaderLen:size]
+	header := data[:recordHeaderLen-checksumLen]
+	stored := binary.BigEndian.Uint32(data[recordHeaderLen-checksumLen:])
 	return record, size, checksum(header, record) == stored
 }
 
--- a/coord/storage/golden_test.go
+++ b/coord/storage/golden_test.go
@@ -36,11 +36,11 @@
 
 // longRecord has all byte values, several times.
 var longRecord = func() []byte {
-	text := make([]byte, 1000)
-	for i := range text {
-		text[i] = byte(i)
+	data := make([]byte, 1000)
+	for i := range data {
+		data[i] = byte(i)
 	}
-	return text
+	return data
 }()
 
 func goldenFolders() []goldenFolder {
@@ -135,9 +135,9 @@
 				return
 			}
 			is := is.New(t)
-			today := t.TempDir()
-			g.fill(t, today)
-			golden.SameFolders(t, written, today)
+			current := t.TempDir()
+			g.fill(t, current)
+			golden.SameFolders(t, written, current)
 			path := t.TempDir()
 			is.NoErr(os.CopyFS(path, os.DirFS(written)))
 			g.check(t, path)
--- a/coord/storage/storage.go
+++ b/coord/storage/storage.go
@@ -65,11 +65,11 @@
 	s := &Store{files: files}
 	recovered := &Recovered{}
 	for i, name := range slotFiles {
-		text, err := readFile(files, name)
+		data, err := readFile(files, name)
 		if err != nil {
 			return nil, nil, err
 		}
-		generation, state, ok := parseSlot(text)
+		generation, state, ok := parseSlot(data)
 		if ok && generation > s.generation {
 			s.generation, s.nextSlot, recovered.State = generation, 1-i, state
 		}
@@ -102,11 +102,11 @@
 
 // readFile returns the content of a file, nil if there is none.
 func readFile(files Files, name string) ([]byte, error) {
-	text, err := files.Read(name)
+	data, err := files.Read(name)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, fmt.Errorf("storage: %s: %w", name, err)
 	}
-	return text, nil
+	return data, nil
 }
 
 // LogFull reports whether the log is long enough for a Save to be due.
--- a/coord/storage/storage_test.go
+++ b/coord/storage/storage_test.go
@@ -42,7 +42,7 @@
 	return nil
 }
 
-func put(to []byte, w write) []byte {
+func applyWrite(to []byte, w write) []byte {
 	if end := int(w.offset) + len(w.data); end > len(to) {
 		to = append(to, make([]byte, end-len(to))...)
 	}
@@ -51,15 +51,15 @@
 }
 
 func (d *disk) Read(name string) ([]byte, error) {
-	text, ok := d.synced[name]
+	data, ok := d.synced[name]
 	if !ok && len(d.written[name]) == 0 {
 		return nil, fs.ErrNotExist
 	}
-	text = append([]byte(nil), text...)
+	data = append([]byte(nil), data...)
 	for _, w := range d.written[name] {
-		text = put(text, w)
+		data = applyWrite(data, w)
 	}
-	return text, nil
+	return data, nil
 }
 
 func (d *disk) WriteAt(name string, data []byte, offset int64) error {
@@ -74,8 +74,8 @@
 	if err := d.step(); err != nil {
 		return err
 	}
-	text, _ := d.Read(name)
-	d.synced[name], d.written[name] = text, nil
+	data, _ := d.Read(name)
+	d.synced[name], d.written[name] = data, nil
 	return nil
 }
 
@@ -84,25 +84,25 @@
 // afterPowerLoss is what is left of a disk: each write that was not synced is there, lost, or torn
 // at any byte.
 func (d *disk) afterPowerLoss(rng *rand.Rand) *disk {
-	left := newDisk()
-	for name, text := range d.synced {
-		left.synced[name] = append([]byte(nil), text...)
+	remaining := newDisk()
+	for name, data := range d.synced {
+		remaining.synced[name] = append([]byte(nil), data...)
 	}
 	for name, writes := range d.written {
-		text, existed := left.synced[name]
+		data, existed := remaining.synced[name]
 		for _, w := range writes {
 			switch rng.IntN(3) {
 			case 0:
-				text = put(text, w)
+				data = applyWrite(data, w)
 			case 1:
-				text = put(text, write{w.data[:rng.IntN(len(w.data)+1)], w.offset})
+				data = applyWrite(data, write{w.data[:rng.IntN(len(w.data)+1)], w.offset})
 			}
 		}
-		if existed || len(text) > 0 {
-			left.synced[name] = text
+		if existed || len(data) > 0 {
+			remaining.synced[name] = data
 		}
 	}
-	return left
+	return remaining
 }
 
 // owner persists a list of numbers: all in the slot, single ones in the log.
@@ -140,20 +140,20 @@
 }
 
 // play adds numbers until power is lost, and returns how many were acknowledged.
-func play(d *disk, from *owner, numbers int) (kept int) {
-	for n := len(from.list); n < numbers; n++ {
-		err := from.add(byte(n), n%4 == 0)
+func addUntilPowerLoss(d *disk, o *owner, numbers int) (acknowledged int) {
+	for n := len(o.list); n < numbers; n++ {
+		err := o.add(byte(n), n%4 == 0)
 		if errors.Is(err, errPowerLost) {
 			break
 		}
 	}
-	return from.acknowledged
+	return o.acknowledged
 }
 
 // check returns what is wrong with a recovered list of which so many numbers were acknowledged.
-func check(list []byte, kept int) error {
-	if len(list) < kept {
-		return fmt.Errorf("%d numbers are there; %d were acknowledged", len(list), kept)
+func check(list []byte, acknowledged int) error {
+	if len(list) < acknowledged {
+		return fmt.Errorf("%d numbers are there; %d were acknowledged", len(list), acknowledged)
 	}
 	for i, n := range list {
 		if int(n) != i {
@@ -175,19 +175,19 @@
 			d.powerLossAt = first
 			o, err := open(d)
 			is.NoErr(err)
-			kept := play(d, o, numbers)
+			acknowledged := addUntilPowerLoss(d, o, numbers)
 			d = d.afterPowerLoss(rng)
 			d.powerLossAt = second
 			o, err = open(d)
 			is.NoErr(err)
-			if err := check(o.list, kept); err != nil {
+			if err := check(o.list, acknowledged); err != nil {
 				t.Fatalf("power lost at step %d: %v", first, err)
 			}
-			o.acknowledged = kept
-			kept = play(d, o, numbers)
+			o.acknowledged = acknowledged
+			acknowledged = addUntilPowerLoss(d, o, numbers)
 			o, err = open(d.afterPowerLoss(rng))
 			is.NoErr(err)
-			if err := check(o.list, kept); err != nil {
+			if err := check(o.list, acknowledged); err != nil {
 				t.Fatalf("power lost at step %d, then %d: %v", first, second, err)
 			}
 		}
@@ -206,10 +206,10 @@
 			d.failAt, d.powerLossAt = failed, failed+later
 			o, err := open(d)
 			is.NoErr(err)
-			kept := play(d, o, numbers)
+			acknowledged := addUntilPowerLoss(d, o, numbers)
 			o, err = open(d.afterPowerLoss(rng))
 			is.NoErr(err)
-			if err := check(o.list, kept); err != nil {
+			if err := check(o.list, acknowledged); err != nil {
 				t.Fatalf("step %d failed, power lost %d steps later: %v", failed, later, err)
 			}
 		}
@@ -229,19 +229,19 @@
 			d.powerLossAt = killed
 			o, err := open(d)
 			is.NoErr(err)
-			play(d, o, numbers)
+			addUntilPowerLoss(d, o, numbers)
 			d.powerLossAt = 0
 			o, err = open(d)
 			is.NoErr(err)
-			kept := 0
+			acknowledged := 0
 			d.steps = 0
 			if d.powerLossAt = later; o.store.SyncRecovered() == nil {
 				o.acknowledged = len(o.list)
-				kept = play(d, o, numbers)
+				acknowledged = addUntilPowerLoss(d, o, numbers)
 			}
 			o, err = open(d.afterPowerLoss(rng))
 			is.NoErr(err)
-			if err := check(o.list, kept); err != nil {
+			if err := check(o.list, acknowledged); err != nil {
 				t.Fatalf("killed at step %d, power lost %d steps later: %v", killed, later, err)
 			}
 		}
