--- a/coord/register/batch.go
+++ b/coord/register/batch.go
@@ -10,17 +10,17 @@
 
 // Batch is one write to the disk.
 type Batch struct {
-	// RecordCount is the count that Core.RecordsWritten gets once the batch is written.
+	// RecordCount is the count to pass to Core.RecordsWritten once the batch is written.
 	RecordCount uint64
 
 	records  [][]byte
-	state    []byte // the complete state, in place of records
-	syncOnly bool   // only what was found is synced
+	state    []byte // the complete state to save instead of records, nil for none
+	syncOnly bool   // write nothing, only sync the data that was recovered at the start
 }
 
-// NextBatch returns what is to be written next, nil for nothing: the records since the last
-// batch, or the complete state if the log is long or full is true, as it has to be after a
-// write or NextBatch has failed.
+// NextBatch returns the next write to the disk, nil if there is nothing to write. It contains the
+// records created since the last batch, or the complete state if the log is full or the argument
+// full is true. After a failed write or an error of NextBatch, the caller has to set full.
 func (c *Core) NextBatch(store *storage.Store, full bool) (*Batch, error) {
 	switch {
 	case full || store.LogFull():
@@ -36,24 +36,24 @@
 	for _, record := range records {
 		data, err := proto.Marshal(record)
 		if err != nil {
-			return nil, fmt.Errorf("register: a record can not be written: %w", err)
+			return nil, fmt.Errorf("register: encoding a record for the log: %w", err)
 		}
 		b.records = append(b.records, data)
 	}
 	return b, nil
 }
 
-// fullBatch is a batch with the complete state.
+// fullBatch returns a batch that saves the complete state.
 func (c *Core) fullBatch() (*Batch, error) {
 	state, count := c.Durable()
 	data, err := proto.Marshal(state)
 	if err != nil {
-		return nil, fmt.Errorf("register: the state can not be written: %w", err)
+		return nil, fmt.Errorf("register: encoding the complete state: %w", err)
 	}
 	return &Batch{RecordCount: count, state: data}, nil
 }
 
-// Write writes the batch, and returns once it is durable.
+// Write writes the batch to the store and returns once the batch is durable.
 func (b *Batch) Write(store *storage.Store) error {
 	switch {
 	case b.syncOnly:
--- a/coord/register/client.go
+++ b/coord/register/client.go
@@ -12,16 +12,19 @@
 )
 
 const (
-	// attemptTimeout is how long a client waits for an answer before it asks another process.
+	// attemptTimeout is how long a client waits for an answer before its next attempt, which may
+	// ask another process.
 	attemptTimeout = 350 * time.Millisecond
-	// redirectDelay is how long it waits after a redirect that leads to nobody new.
+	// redirectDelay is how long a client waits before its next attempt if, after a redirect, the
+	// newest known view still leads to the process that the client has just asked.
 	redirectDelay = 40 * time.Millisecond
-	// answerCapacity bounds the answers to one call that wait; further ones are duplicates.
+	// answerCapacity bounds the answers buffered for one call. Further ones are duplicates and are
+	// dropped.
 	answerCapacity = 4
 )
 
-// ErrNoAnswer reports that no process answered before the context ended. A command may have been
-// committed, or may be later; the caller may submit it again.
+// ErrNoAnswer reports that no process answered before the context ended. A submitted command may
+// have been committed, or may still be committed later; the caller may submit it again.
 var ErrNoAnswer = errors.New("register: no answer in time")
 
 // Client submits commands to a register and reads it, from any process. It is safe for
@@ -32,23 +35,25 @@
 
 	mu             sync.Mutex
 	view           *coordpb.View
-	knownAddresses []string // that may know a view
-	lastID         uint64
-	calls          map[uint64]chan answer // in progress, by id
+	knownAddresses []string               // addresses of processes that may know a view
+	lastID         uint64                 // the id of the newest call
+	calls          map[uint64]chan answer // calls in progress, by id
 }
 
-// answer is a message that came for a call.
+// answer is a message that answers a call: a reply or a redirect. The zero answer stands for none.
 type answer struct {
 	reply    *coordpb.Reply // nil for a redirect
 	redirect bool
 }
 
-// NewClient returns a client in a process with the address of self. Send must not block.
+// NewClient returns a client that sends messages from self with send. Answers to the address of
+// self must be passed to Receive. The function send must not block.
 func NewClient(self *coordpb.Member, send func(to string, m *coordpb.Message)) *Client {
 	return &Client{self: self, send: send, lastID: rand.Uint64(), calls: map[uint64]chan answer{}}
 }
 
-// LearnView takes up a view, unless a newer one is known.
+// LearnView makes the client use a view, unless the client already knows one of the same or a later
+// epoch.
 func (c *Client) LearnView(v *coordpb.View) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -57,21 +62,22 @@
 	}
 }
 
-// View is the newest known view, nil for none. It must not be changed.
+// View returns the newest known view, nil for none. The caller must not change it.
 func (c *Client) View() *coordpb.View {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.view
 }
 
-// SetKnownAddresses sets the addresses of processes that may know a view.
+// SetKnownAddresses sets the addresses of processes that may know a view. The client asks them, for
+// example, while it knows no view itself.
 func (c *Client) SetKnownAddresses(addresses []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.knownAddresses = addresses
 }
 
-// Receive handles an answer; ok is false if the message is none.
+// Receive handles a reply or a redirect; ok is false for any other message.
 func (c *Client) Receive(m *coordpb.Message) (ok bool) {
 	switch body := m.Body.(type) {
 	case *coordpb.Message_Reply:
@@ -85,38 +91,38 @@
 	return true
 }
 
-// deliver passes an answer to the call that waits for it, if any does.
+// deliver passes an answer to the call with an id, if that call is still in progress.
 func (c *Client) deliver(id uint64, a answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	select {
-	case c.calls[id] <- a: // nil, and so never ready, for no call
+	case c.calls[id] <- a: // without such a call the channel is nil and never ready
 	default:
 	}
 }
 
-// Submit submits a command and returns its reply once it is committed. It is sent again until
-// ctx ends, so the machine has to recognize a command that comes twice. The error is
-// ErrNoAnswer.
+// Submit submits a command and returns the reply once the command is committed or rejected. It
+// sends the command again until a reply arrives or ctx ends, so the state machine has to recognize
+// a command that it receives twice. The error is ErrNoAnswer.
 func (c *Client) Submit(ctx context.Context, command []byte) (*coordpb.Reply, error) {
 	return c.call(ctx, chain.Head, func(id uint64) *coordpb.Message {
 		return &coordpb.Message{From: c.self, Body: &coordpb.Message_Submit{Submit: &coordpb.Submit{Id: id, Order: command}}}
 	})
 }
 
-// Read returns the newest state that was committed after the call began. The error is
+// Read returns a state that contains every change committed before the call began. The error is
 // ErrNoAnswer.
 func (c *Client) Read(ctx context.Context) (*coordpb.Reply, error) { return c.ReadAfter(ctx, 0) }
 
-// ReadAfter is Read for a caller that has the state of a sequence: if that is still the newest
-// one, the reply says so and has no state.
+// ReadAfter is Read for a caller that already has the state with the sequence known. If that state
+// is still the newest one, the reply has Unchanged set and contains no state.
 func (c *Client) ReadAfter(ctx context.Context, known uint64) (*coordpb.Reply, error) {
 	return c.call(ctx, chain.Tail, func(id uint64) *coordpb.Message {
 		return &coordpb.Message{From: c.self, Body: &coordpb.Message_Read{Read: &coordpb.Read{Id: id, Known: known}}}
 	})
 }
 
-// call sends a message to one end of the chain, again and again, until a reply comes or ctx ends.
+// call sends a request to one end of the chain, and repeats it until a reply arrives or ctx ends.
 func (c *Client) call(ctx context.Context, end func(*coordpb.View) string, message func(id uint64) *coordpb.Message) (*coordpb.Reply, error) {
 	id, answers := c.register()
 	defer c.unregister(id)
@@ -137,7 +143,7 @@
 	}
 }
 
-// register begins a call, whose answers come on a channel.
+// register begins a call and returns its id and the channel that receives its answers.
 func (c *Client) register() (id uint64, answers chan answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -147,14 +153,14 @@
 	return c.lastID, answers
 }
 
-// unregister ends a call.
+// unregister ends a call; later answers to it are dropped.
 func (c *Client) unregister(id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.calls, id)
 }
 
-// await waits for an answer for attemptTimeout. The answer is zero if none came, and the error
+// await waits up to attemptTimeout for an answer. It returns the zero answer after a timeout, and
 // ErrNoAnswer if ctx ended.
 func (c *Client) await(ctx context.Context, answers <-chan answer) (answer, error) {
 	timer := time.NewTimer(attemptTimeout)
@@ -169,7 +175,7 @@
 	}
 }
 
-// sleep waits for a duration, or until ctx ends.
+// sleep waits for a duration or until ctx ends, whichever is first.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -177,8 +183,9 @@
 	}
 }
 
-// target is the address to ask at an attempt: the end of the chain, and at each other attempt any
-// process that may know a newer view. It is empty if none is known.
+// target returns the address to ask at an attempt, counted from 0. Even attempts go to the end of
+// the chain. Odd attempts go to a random process that may know a newer view, and so do all attempts
+// while no view is known. The result is empty if no address is known.
 func (c *Client) target(end func(*coordpb.View) string, attempt int) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/coord/register/core.go
+++ b/coord/register/core.go
@@ -8,68 +8,69 @@
 	"reachspread/coord/view"
 )
 
-// Config is what a Core is made with.
+// Config configures a Core.
 type Config struct {
-	// Self is this process: its address, which stays the same over its incarnations, and the
-	// identity of its storage.
+	// Self describes this process: its address, which stays the same across its incarnations, and
+	// the identity of its storage.
 	Self *coordpb.Member
-	// Seeds are the addresses of the processes that vote on the first view. They have to be the
-	// same in all processes on the first start.
+	// Seeds are the addresses of the processes that vote on the first view. All processes must be
+	// given the same seeds on their first start.
 	Seeds []string
-	// Founder reports whether this process may vote on the first view: it runs at its address for
-	// the first time.
+	// Founder reports whether this process may vote on the first view. It may if it runs at its
+	// address for the first time.
 	Founder bool
-	// Eligible reports whether this process may become a member.
+	// Eligible reports whether this process may become a member of a view.
 	Eligible bool
-	// Tolerance is how many members may be lost at once.
+	// Tolerance is the number of members whose simultaneous loss the register has to survive.
 	Tolerance int
-	// Seed is the seed of the random backoff.
+	// Seed seeds the random backoff after a failed proposal of a view.
 	Seed uint64
-	// Persisted is what Load returned, nil for a process with new storage.
+	// Persisted is the state that Load returned, nil for a process with new storage.
 	Persisted *coordpb.Durable
-	// Unsynced reports whether Persisted may not survive a power failure yet. It counts as
-	// RecoveredRecords that are still to be written.
+	// Unsynced reports whether a power failure could still destroy Persisted. If so, the Core
+	// counts Persisted as RecoveredRecords records that aren't durable yet.
 	Unsynced bool
 }
 
-// RecoveredRecords is the count that Core.RecordsWritten gets once what a process found on its
-// disk is durable (Config.Unsynced). Nothing that rests on it is sent before.
+// RecoveredRecords is the record count to pass to Core.RecordsWritten once the state that a process
+// recovered from its disk is durable (see Config.Unsynced). Until then the Core sends no message
+// that depends on this state.
 const RecoveredRecords = 1
 
-// Core is one process's part in a register: its parts in the agreement on views and in the
-// chain, and the order of their effects with respect to the disk. It isn't safe for concurrent
-// use.
+// Core runs one process's part of a register: the agreement on views and the chain protocol. It
+// delays the effects of both until the records before them are on disk. It isn't safe for
+// concurrent use.
 type Core struct {
 	config  Config
 	view    *view.Decider
 	chain   *chain.Replica
 	machine chain.Machine
 
-	deferred     []deferredEffect   // in their order, until the records that they depend on are durable
-	records      []*coordpb.Record  // since PendingRecords was called
-	recordCount  uint64             // records so far
-	durableCount uint64             // of these, the durable ones
-	loopback     []*coordpb.Message // messages of this process to itself
+	deferred     []deferredEffect   // effects that wait for durable records, in order
+	records      []*coordpb.Record  // records created since the last call of PendingRecords
+	recordCount  uint64             // number of records created so far
+	durableCount uint64             // number of those records that are durable
+	loopback     []*coordpb.Message // messages from this process to itself
 	healthy      bool
 	draining     bool
 }
 
-// Send is a message to an address.
+// Send is a message and the address to send it to.
 type Send struct {
 	To      string
 	Message *coordpb.Message
 }
 
-// Output is the outcome of a step. Messages may be sent, and commits and the view published, at
-// once.
+// Output is the result of a step of a Core. The owner may send the messages and publish the commits
+// and the view at once: every record that they depend on is durable.
 type Output struct {
 	Sends   []Send
 	Commits []chain.Committed
-	View    *coordpb.View // a new one, nil for none
+	View    *coordpb.View // the newly learned view, nil for none
 }
 
-// NewCore returns the Core of a process that starts now. The machine has the state that belongs to
-// Config.Persisted.
+// NewCore returns the Core of a process that starts now. The machine must already have the state
+// that belongs to Config.Persisted.
 func NewCore(config Config, m chain.Machine, now time.Duration) *Core {
 	persisted := config.Persisted
 	if persisted == nil {
@@ -96,57 +97,60 @@
 		c.chain.FollowAsLearner()
 	}
 	if persisted.View != nil {
-		// What this process told others before it restarted is unknown, so it takes no further part
-		// in the epoch.
+		// It is unknown which messages this process sent before it restarted, so it takes no
+		// further part in the epoch of the persisted view.
 		c.chain.Resume(persisted.View, persisted.Promised != nil)
 	}
 	return c
 }
 
-// View is the last view that this process has learned. It must not be changed.
+// View returns the last view that this process has learned. The caller must not change it.
 func (c *Core) View() *coordpb.View { return c.view.View() }
 
-// Position is that of the state here, committed or not.
+// Position returns the position of this process's state, which may include uncommitted changes.
 func (c *Core) Position() *coordpb.Position { return c.chain.Position() }
 
-// Readable reports whether this process is the tail and has the state of the chain.
+// Readable reports whether this process is the tail and has the state of the chain, so that it can
+// answer reads.
 func (c *Core) Readable() bool { return c.chain.Readable() }
 
-// ConfirmedAt is when the epoch was certainly the last one; ok is false if that isn't known.
+// ConfirmedAt returns the latest time at which this process's epoch was certainly the newest one,
+// because a majority of the members confirmed it then; ok is false if no such time is known.
 func (c *Core) ConfirmedAt() (time.Duration, bool) { return c.chain.ConfirmedAt() }
 
-// SetKnownAddresses sets the addresses of processes that may be members.
+// SetKnownAddresses sets the addresses of the processes that may be or become members.
 func (c *Core) SetKnownAddresses(addresses []string) { c.view.SetKnownAddresses(addresses) }
 
-// SetHealthy reports whether writes get to the disk in time.
+// SetHealthy tells the Core whether writes reach the disk in time.
 func (c *Core) SetHealthy(healthy bool) { c.healthy = healthy }
 
-// Drain reports to the others that the process is about to shut down.
+// Drain makes this process announce to the others that it is about to shut down.
 func (c *Core) Drain() { c.draining = true }
 
 // CanShutDown reports whether the others can do without this process: enough of them have the
-// state on their disks, and its seat was given to a standby where there is one.
+// state on their disks, and a standby, if there is one, has replaced this process as a member.
 func (c *Core) CanShutDown() bool {
 	c.updateStatus()
 	return c.view.CanShutDown()
 }
 
-// CurrentTolerance is how many more members may be lost at once, as this process knows it.
+// CurrentTolerance returns how many more members may be lost at once without losing the state or
+// the majority, as far as this process knows. It is at most Config.Tolerance.
 func (c *Core) CurrentTolerance() int {
 	c.updateStatus()
 	return c.view.CurrentTolerance()
 }
 
-// PendingRecords returns the records that were made since the last call, to be written in their
-// order, and the count that RecordsWritten gets once they are durable.
+// PendingRecords returns the records created since the last call, in the order in which the owner
+// has to write them, and the count to pass to RecordsWritten once they are durable.
 func (c *Core) PendingRecords() ([]*coordpb.Record, uint64) {
 	records := c.records
 	c.records = nil
 	return records, c.recordCount
 }
 
-// Durable returns the complete state to write to disk, with the count of the records in it.
-// Pending records are part of it.
+// Durable returns the complete state to write to disk, and the count to pass to RecordsWritten once
+// it is durable. The state contains the pending records, so PendingRecords no longer returns them.
 func (c *Core) Durable() (*coordpb.Durable, uint64) {
 	d := &coordpb.Durable{Identity: c.config.Self.Identity, Founder: c.config.Founder, Position: c.chain.Position(), State: c.machine.Snapshot()}
 	c.view.Persist(d)
@@ -154,19 +158,20 @@
 	return d, c.recordCount
 }
 
-// RecordsWritten reports that so many records are durable.
+// RecordsWritten tells the Core that the given number of records, counted since its start, are
+// durable. It returns the effects that waited for them.
 func (c *Core) RecordsWritten(records uint64, now time.Duration) Output {
 	c.durableCount = max(c.durableCount, records)
 	return c.applyEffects(now, nil, nil)
 }
 
-// Tick runs the timers that are due.
+// Tick runs the timers that are due at the given time.
 func (c *Core) Tick(now time.Duration) Output {
 	c.updateStatus()
 	return c.applyEffects(now, c.view.Tick(now), c.chain.Tick(now))
 }
 
-// Receive handles a message.
+// Receive handles a message of the view agreement or of the chain protocol.
 func (c *Core) Receive(now time.Duration, m *coordpb.Message) Output {
 	c.updateStatus()
 	if effects, ok := c.view.Receive(now, m); ok {
@@ -176,7 +181,7 @@
 	return c.applyEffects(now, nil, effects)
 }
 
-// updateStatus has the Decider know the present state of the chain and the disk.
+// updateStatus passes the current state of the chain and the disk to the view Decider.
 func (c *Core) updateStatus() {
 	c.view.SetStatus(view.Status{Position: c.chain.Position(), Confirmations: c.chain.Confirmations(), Idle: c.chain.Idle(), Healthy: c.healthy, Stalled: c.chain.Stalled(), Draining: c.draining})
 }
--- a/coord/register/disk.go
+++ b/coord/register/disk.go
@@ -9,24 +9,25 @@
 )
 
 const (
-	// slowWriteThreshold is how long a write may take before the process counts as unhealthy and is
-	// left out of the chain, which is as slow as its slowest disk.
+	// slowWriteThreshold is the duration of a write from which on the process counts as unhealthy.
+	// An unhealthy process is left out of the chain, because the chain is as slow as its slowest
+	// disk.
 	slowWriteThreshold = 400 * time.Millisecond
 	// writeRetryDelay is the time from a failed write to the next attempt.
 	writeRetryDelay = 200 * time.Millisecond
-	// diskRecoveryDelay is how long no write may have been slow or failed before the process counts
-	// as healthy again.
+	// diskRecoveryDelay is how long after the last slow or failed write the process counts as
+	// healthy again.
 	diskRecoveryDelay = 1 * time.Second
 )
 
-// writeResult is the outcome of writing a batch.
+// writeResult is the outcome of writing a Batch.
 type writeResult struct {
-	recordCount uint64
+	recordCount uint64 // the RecordCount of the batch
 	err         error
 }
 
-// startWrite starts the next write to the disk if none is in progress. Without a disk records
-// are durable at once.
+// startWrite starts the next write to the disk if no write is in progress. Without a disk, records
+// count as durable at once.
 func (r *Replica) startWrite() {
 	for !r.writing {
 		if r.store == nil {
@@ -49,18 +50,20 @@
 	}
 }
 
-// nextBatch returns what is to be written next, nil for nothing.
+// nextBatch returns the next batch to write, nil if there is nothing to write or the batch can't be
+// encoded. After an encoding error, the next batch contains the complete state.
 func (r *Replica) nextBatch() *Batch {
 	b, err := r.core.NextBatch(r.store, r.needsFullWrite)
 	if err != nil {
-		r.options.Log.Warn("record unwritable", "cause", err)
+		r.options.Log.Warn("register write encoding failed", "cause", err)
 		r.needsFullWrite = true
 		return nil
 	}
 	return b
 }
 
-// writeBatches writes batches until ctx ends, so that only this goroutine waits for the disk.
+// writeBatches writes batches until ctx ends. It runs in a goroutine of its own, so that no other
+// goroutine waits for the disk.
 func (r *Replica) writeBatches(ctx context.Context) {
 	for {
 		var b *Batch
@@ -73,7 +76,8 @@
 	}
 }
 
-// handleResult takes in that a write is done. After an error the complete state is written.
+// handleResult handles the end of a write. After an error, the next batch contains the complete
+// state.
 func (r *Replica) handleResult(w writeResult) {
 	r.writing = false
 	if r.now()-r.writeStartedAt >= slowWriteThreshold || w.err != nil {
@@ -81,21 +85,22 @@
 	}
 	if w.err != nil {
 		if !r.writeFailed && !errors.Is(w.err, storage.ErrSaveRequired) {
-			r.options.Log.Warn("disk failed", "cause", w.err)
+			r.options.Log.Warn("register write failed", "cause", w.err)
 		}
 		r.writeFailed, r.needsFullWrite, r.nextWrite = true, true, r.now()+writeRetryDelay
 		r.updateDiskHealth()
 		return
 	}
 	if r.writeFailed {
-		r.options.Log.Info("disk back")
+		r.options.Log.Info("register write succeeded after failure")
 	}
 	r.writeFailed, r.needsFullWrite = false, false
 	r.updateDiskHealth()
 	r.execute(r.core.RecordsWritten(w.recordCount, r.now()))
 }
 
-// updateDiskHealth reports to the Core whether the disk is reliable.
+// updateDiskHealth tells the Core whether the disk is healthy: the last write did not fail, and no
+// write within diskRecoveryDelay was slow or failed.
 func (r *Replica) updateDiskHealth() {
 	if r.writing && r.now()-r.writeStartedAt >= slowWriteThreshold {
 		r.lastSlowWrite = r.now()
--- a/coord/register/effects.go
+++ b/coord/register/effects.go
@@ -11,15 +11,15 @@
 	"reachspread/coord/view"
 )
 
-// deferredEffect is a message or a commit that waits until records are durable.
+// deferredEffect is a message or a commit that waits until the records before it are durable.
 type deferredEffect struct {
-	afterRecords uint64 // how many records have to be durable
-	send         *Send
-	committed    *chain.Committed
+	afterRecords uint64           // number of records that have to be durable first
+	send         *Send            // nil for a commit
+	committed    *chain.Committed // nil for a message
 }
 
-// applyEffects applies the effects of a step, and those of the messages that the process sends
-// to itself, until none is left.
+// applyEffects applies the effects of a step. It then handles the messages that the process sends
+// to itself and applies their effects, until no such message is left.
 func (c *Core) applyEffects(now time.Duration, fromView []view.Effect, fromChain []chain.Effect) Output {
 	var out Output
 	for {
@@ -41,8 +41,8 @@
 	}
 }
 
-// applyViewEffects applies effects of the agreement on views. The chain begins the epoch of a
-// new view at once.
+// applyViewEffects applies effects of the agreement on views. If the view has changed, the chain
+// begins the new epoch at once.
 func (c *Core) applyViewEffects(now time.Duration, effects []view.Effect, out *Output) {
 	for _, e := range effects {
 		switch e := e.(type) {
@@ -59,7 +59,7 @@
 	}
 }
 
-// applyChainEffects applies effects of the chain.
+// applyChainEffects applies effects of the chain protocol.
 func (c *Core) applyChainEffects(effects []chain.Effect, out *Output) {
 	for _, e := range effects {
 		switch e := e.(type) {
@@ -73,14 +73,14 @@
 	}
 }
 
-// write appends a record to those that are pending.
+// write appends a record to the pending records.
 func (c *Core) write(r *coordpb.Record) {
 	c.records = append(c.records, r)
 	c.recordCount++
 }
 
-// send sends an immediate message at once, and defers others until the records before it are
-// durable.
+// send releases an immediate message to another process at once. It defers any other message until
+// the records created before it are durable.
 func (c *Core) send(to string, m *coordpb.Message, immediate bool, out *Output) {
 	if immediate && to != c.config.Self.Address {
 		out.Sends = append(out.Sends, Send{to, m})
@@ -89,7 +89,8 @@
 	c.deferred = append(c.deferred, deferredEffect{afterRecords: c.recordCount, send: &Send{to, m}})
 }
 
-// releaseDurable releases the deferred effects whose records are durable by now, in order.
+// releaseDurable releases, in order, the deferred effects whose records are durable by now. A
+// message of this process to itself goes to the loopback queue, unless it is for a client.
 func (c *Core) releaseDurable(out *Output) {
 	n := 0
 	for _, q := range c.deferred {
@@ -109,5 +110,6 @@
 	c.deferred = slices.Delete(c.deferred, 0, n)
 }
 
-// forClient reports whether a message is for a client, which may be in this process.
+// isForClient reports whether a message is an answer to a Client. The Client may run in this
+// process, and then it has the same address as the Core.
 func isForClient(m *coordpb.Message) bool { return m.GetReply() != nil || m.GetRedirect() != nil }
--- a/coord/register/recovery.go
+++ b/coord/register/recovery.go
@@ -10,18 +10,19 @@
 	"reachspread/coord/storage"
 )
 
-// SavedState is the Record of an UnreadableError about the saved state rather than the log.
+// SavedState is the value of UnreadableError.Record for an error in the saved state rather than in
+// a record of the log.
 const SavedState = -1
 
-// UnreadableError reports that what is on disk passed its checksum and can't be read: it was
-// written by another program or version. The folder must not be used, as this process may have
-// promised something in what can't be read.
+// UnreadableError reports data on disk whose checksum is correct but that can't be decoded or
+// restored: another program or version wrote it. The process must not use the folder, because the
+// unreadable data may contain a promise that binds it.
 type UnreadableError struct {
-	Record int // the index in the log, or SavedState
-	Err    error
+	Record int   // the index of the record in the log, or SavedState
+	Err    error // the cause
 }
 
-// Error names what can't be read, and how to go on.
+// Error says which data can't be read, why, and how the operator can recover it.
 func (e *UnreadableError) Error() string {
 	what := "the saved state"
 	if e.Record != SavedState {
@@ -30,12 +31,12 @@
 	return fmt.Sprintf("register: %s can't be read (start the version that wrote it): %v", what, e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the cause, for errors.Is and errors.As.
 func (e *UnreadableError) Unwrap() error { return e.Err }
 
-// Load restores what is on disk into a machine. The returned state is nil if there is none; then
-// the store needs a first Save, which the replica does. The error is an *UnreadableError, or that
-// of reading a file.
+// Load opens the store in files and restores the state on disk into a machine. The returned Durable
+// is nil if nothing has been saved yet; the replica then begins with a Save to the store. The error
+// is an *UnreadableError, or the error of reading a file.
 func Load(files storage.Files, m chain.Machine) (*storage.Store, *coordpb.Durable, error) {
 	store, found, err := storage.Open(files)
 	if err != nil || found.State == nil {
@@ -56,8 +57,8 @@
 	return store, d, Replay(d, records, m)
 }
 
-// Replay applies records that were written after a state to that state and to the machine. The
-// error is an *UnreadableError about a snapshot that the machine rejects.
+// Replay restores the machine from a saved state, and then applies the records written after that
+// state to both. The error is an *UnreadableError for a snapshot that the machine rejects.
 func Replay(d *coordpb.Durable, records []*coordpb.Record, m chain.Machine) error {
 	if len(d.State) > 0 {
 		if err := m.Restore(d.State); err != nil {
@@ -75,7 +76,8 @@
 	return nil
 }
 
-// replayRecord applies one record.
+// replayRecord applies one record to the state and the machine. The error is that of the machine
+// for a snapshot that it rejects.
 func replayRecord(d *coordpb.Durable, r *coordpb.Record, m chain.Machine) error {
 	switch b := r.Body.(type) {
 	case *coordpb.Record_Promised:
--- a/coord/register/replica.go
+++ b/coord/register/replica.go
@@ -15,37 +15,38 @@
 const (
 	// tickInterval is the time between two ticks of the Core.
 	tickInterval = 50 * time.Millisecond
-	// inboxCapacity bounds the messages that wait for the Core. Further ones are dropped, as on a
-	// network.
+	// inboxCapacity bounds the messages that wait for the Core. Further messages are dropped, which
+	// the protocols tolerate as they tolerate losses on the network.
 	inboxCapacity = 1024
-	// callCapacity bounds the calls of other goroutines that wait.
+	// callCapacity bounds the calls of other goroutines that wait for the goroutine of Run.
 	callCapacity = 16
 )
 
-// Logger writes a line for on-call staff: an event, and its fields as alternating names and values.
+// Logger writes log lines for operators. Each line has an event and fields, which are given as
+// alternating names and values.
 type Logger interface {
 	Info(event string, fields ...any)
 	Warn(event string, fields ...any)
 }
 
-// Options are what a Replica is made with. The functions are called by the goroutine of Run and
-// must not block.
+// Options configure a Replica. The goroutine of Run calls the functions, so they must not block.
 type Options struct {
 	Config
 	Machine chain.Machine
-	// Files is the folder of the register, nil for one in memory alone.
+	// Files is the folder of the register, nil for a register that is only in memory.
 	Files storage.Files
-	// Send sends a message. It may drop it.
+	// Send sends a message to an address. It may drop the message.
 	Send func(to string, m *coordpb.Message)
-	// Committed is called with each committed state that this process learns of, in order.
+	// Committed is called, in order, for each committed state that this process learns of.
 	Committed func(c chain.Committed)
-	// ViewChanged is called with each view that this process learns of, in order.
+	// ViewChanged is called, in order, for each view that this process learns.
 	ViewChanged func(v *coordpb.View)
 	Log         Logger
 }
 
-// Replica drives a Core: one goroutine, that of Run, owns it, and another one writes to its
-// disk. Its exported methods are safe for concurrent use.
+// Replica drives a Core with a clock, a disk and a network. The goroutine of Run owns the Core, and
+// a second goroutine writes to the disk. The exported methods of Replica are safe for concurrent
+// use.
 type Replica struct {
 	options   Options
 	core      *Core
@@ -54,28 +55,29 @@
 
 	inbox   chan *coordpb.Message
 	calls   chan func()
-	batches chan *Batch
-	results chan writeResult
+	batches chan *Batch      // to the goroutine that writes to the disk
+	results chan writeResult // from that goroutine
 
-	// The disk.
-	writing        bool
-	writeStartedAt time.Duration
-	lastSlowWrite  time.Duration // or failed one, 0 for none
-	nextWrite      time.Duration // the earliest time of a retry
-	writeFailed    bool          // the last one
-	needsFullWrite bool          // the log lacks records, so the complete state has to be written
+	// The state of the disk. Times are durations since startedAt.
+	writing        bool          // a write is in progress
+	writeStartedAt time.Duration // when the latest write began
+	lastSlowWrite  time.Duration // when a write was last slow or failed, 0 for never
+	nextWrite      time.Duration // the earliest time of a retry after a failed write
+	writeFailed    bool          // the last write failed
+	needsFullWrite bool          // the log may lack records, so the complete state has to be written
 
 	currentTolerance    int
-	toleranceShortSince time.Duration // below 0 while it isn't
+	toleranceShortSince time.Duration // since when it is below Config.Tolerance; below 0 while it isn't
 	canShutDown         bool
 
 	status  atomic.Pointer[Status]
-	dropped atomic.Uint64 // messages and calls
+	dropped atomic.Uint64 // messages and calls for which a channel was full
 	pace    pacing.Meter
 }
 
-// NewReplica returns the replica of a process. The store, nil for a register in memory, and
-// Config.Persisted are what Load returned; the machine is the one that was given to it.
+// NewReplica returns the replica of a process. The store and Config.Persisted must be those that
+// Load returned, and the machine must be the one that was passed to Load. The store is nil for a
+// register in memory.
 func NewReplica(o Options, store *storage.Store) *Replica {
 	o.Unsynced = store != nil && store.Unsynced()
 	r := &Replica{
@@ -94,10 +96,10 @@
 	return r
 }
 
-// now is the time since the start, on a clock that never goes back.
+// now returns the time since the replica was created, on a monotonic clock.
 func (r *Replica) now() time.Duration { return time.Since(r.startedAt) }
 
-// Receive passes a message to the Core. It doesn't block.
+// Receive passes a message to the Core, or drops it if too many messages wait. It doesn't block.
 func (r *Replica) Receive(m *coordpb.Message) {
 	select {
 	case r.inbox <- m:
@@ -106,15 +108,16 @@
 	}
 }
 
-// SetKnownAddresses sets the addresses of processes that may be members.
+// SetKnownAddresses sets the addresses of the processes that may be or become members. It doesn't
+// block.
 func (r *Replica) SetKnownAddresses(addresses []string) {
 	r.call(func() { r.core.SetKnownAddresses(addresses) })
 }
 
-// Drain reports to the others that this process is about to shut down.
+// Drain makes this process announce to the others that it is about to shut down. It doesn't block.
 func (r *Replica) Drain() { r.call(r.core.Drain) }
 
-// call has the goroutine of Run call f. It doesn't block.
+// call makes the goroutine of Run call f, or drops f if too many calls wait. It doesn't block.
 func (r *Replica) call(f func()) {
 	select {
 	case r.calls <- f:
@@ -123,9 +126,10 @@
 	}
 }
 
-// Confirmed is the sequence of the committed state here, and when it was certainly the newest
-// one; ok is false if this process can't know. The time is a moment rather than an age, so that
-// a pause between this call and its use doesn't make the state look younger than it is.
+// Confirmed returns the sequence of the committed state of this process and the last time at which
+// that state was certainly the newest one; ok is false if this process can't know. The result is a
+// point in time rather than an age, so that a pause of the process between this call and the use of
+// the result doesn't make the state look more recent than it is.
 func (r *Replica) Confirmed() (sequence uint64, at time.Time, ok bool) {
 	s := r.status.Load()
 	if s.ConfirmedAt < 0 || !s.Readable {
@@ -134,8 +138,8 @@
 	return s.Position.GetSequence(), r.startedAt.Add(s.ConfirmedAt), true
 }
 
-// Lease reports whether this process may act on the shards that the view assigns to it, as a
-// majority has confirmed the epoch of late.
+// Lease returns the current view and reports whether this process may act on the shards that the
+// view assigns to it: a majority must have confirmed the epoch within view.LeaseDuration.
 func (r *Replica) Lease() (v *coordpb.View, ok bool) {
 	s := r.status.Load()
 	return s.View, s.ConfirmedAt >= 0 && r.now()-s.ConfirmedAt < view.LeaseDuration
@@ -172,10 +176,10 @@
 // Pace returns the counters of the loop of Run. It doesn't block.
 func (r *Replica) Pace() pacing.Stats { return r.pace.Stats() }
 
-// execute carries out the output of a step.
+// execute carries out the output of a step of the Core.
 func (r *Replica) execute(out Output) {
 	if out.View != nil {
-		r.options.Log.Info("view", "epoch", out.View.Epoch, "members", len(out.View.Members), "chain", len(out.View.Chain))
+		r.options.Log.Info("register view changed", "epoch", out.View.Epoch, "members", len(out.View.Members), "chain", len(out.View.Chain))
 		r.options.ViewChanged(out.View)
 	}
 	for _, s := range out.Sends {
--- a/coord/register/status.go
+++ b/coord/register/status.go
@@ -8,20 +8,25 @@
 	"reachspread/coord/view"
 )
 
-// Status is the state of a replica after a step. Durations are since its start.
+// Status is the state of a replica after a step. Times are durations since the replica was created.
 type Status struct {
 	Identity uint64
 	View     *coordpb.View
 	Position *coordpb.Position
-	// Readable reports whether this process is the tail and has the state of the chain.
+	// Readable reports whether this process is the tail and has the state of the chain, so that it
+	// can answer reads.
 	Readable bool
-	// Healthy reports whether writes get to the disk in time.
+	// Healthy reports whether writes reach the disk in time.
 	Healthy bool
-	// ConfirmedAt is when a majority last confirmed the epoch, below 0 for never.
+	// ConfirmedAt is the latest time at which the epoch was certainly the newest one, because a
+	// majority confirmed it then; it is below 0 if no such time is known.
 	ConfirmedAt time.Duration
-	// CurrentTolerance is how many more members may be lost at once, as this process knows it.
+	// CurrentTolerance is how many more members may be lost at once without losing the state or the
+	// majority, as far as this process knows.
 	CurrentTolerance int
-	// ToleranceShortSince is since when that is less than Config.Tolerance, below 0 while it isn't.
+	// ToleranceShortSince is the time since which CurrentTolerance has been less than
+	// Config.Tolerance. It is below 0 while CurrentTolerance is as high as Config.Tolerance, and
+	// before the first view.
 	ToleranceShortSince time.Duration
 	// CanShutDown reports, for a draining process, whether the others can do without it.
 	CanShutDown bool
@@ -30,7 +35,7 @@
 // Status returns the state of the replica after its last step.
 func (r *Replica) Status() Status { return *r.status.Load() }
 
-// publishStatus has Status return the present state.
+// publishStatus makes Status return the current state.
 func (r *Replica) publishStatus() {
 	s := &Status{
 		Identity:            r.options.Self.Identity,
@@ -49,8 +54,8 @@
 	r.status.Store(s)
 }
 
-// updateTolerance computes how many members may be lost now, and whether this process can shut
-// down.
+// updateTolerance updates the current tolerance and whether this process can shut down. It logs when
+// the tolerance falls below Config.Tolerance and when it has recovered.
 func (r *Replica) updateTolerance() {
 	before := r.toleranceShortSince
 	r.currentTolerance = r.core.CurrentTolerance()
@@ -58,28 +63,30 @@
 	switch {
 	case short && before < 0:
 		r.toleranceShortSince = r.now()
-		r.options.Log.Info("tolerance short", "current_tolerance", r.currentTolerance, "tolerance", r.options.Tolerance)
+		r.options.Log.Info("register tolerance below configured value", "current_tolerance", r.currentTolerance, "tolerance", r.options.Tolerance)
 	case !short && before >= 0:
 		r.toleranceShortSince = -1
-		r.options.Log.Info("tolerance full", "short_for", (r.now() - before).Round(time.Millisecond).String())
+		r.options.Log.Info("register tolerance restored", "short_for", (r.now() - before).Round(time.Millisecond).String())
 	}
 	r.canShutDown = r.core.draining && r.core.CanShutDown()
 }
 
-// Inspection is the state of a replica and of the peers that it hears, for status pages.
+// Inspection is the state of a replica and of the peers that it receives heartbeats from, for
+// status pages.
 type Inspection struct {
 	Status
 	Address           string
-	Confirmed         bool          // it may act on its shards
-	ConfirmedAge      time.Duration // the age of the last confirmation, if Confirmed
-	Shards            int           // that it owns
+	Confirmed         bool          // the replica may act on its shards (see Replica.Lease)
+	ConfirmedAge      time.Duration // the age of the last confirmation; 0 if ConfirmedAt is below 0
+	Shards            int           // number of shards that the replica owns
 	Tolerance         int           // Config.Tolerance
-	ToleranceShort    bool          // fewer members may be lost at present
-	ToleranceShortFor time.Duration // if ToleranceShort
+	ToleranceShort    bool          // CurrentTolerance is less than Tolerance
+	ToleranceShortFor time.Duration // for how long it has been less; 0 unless ToleranceShort
 	Peers             []view.Peer
 }
 
-// Inspect returns the state of the replica and its peers; ok is false if ctx ended first.
+// Inspect returns the state of the replica and its peers. It waits for the goroutine of Run; ok is
+// false if ctx ended first.
 func (r *Replica) Inspect(ctx context.Context) (in Inspection, ok bool) {
 	done := make(chan Inspection, 1)
 	select {
@@ -95,7 +102,7 @@
 	}
 }
 
-// inspect is Inspect in the goroutine of Run.
+// inspect returns the state of the replica and its peers. The goroutine of Run calls it.
 func (r *Replica) inspect() Inspection {
 	s := r.Status()
 	in := Inspection{Status: s, Address: r.options.Self.Address, Peers: r.core.view.Peers(r.now())}
