--- a/coord/register/explore_test.go
+++ b/coord/register/explore_test.go
@@ -11,31 +11,32 @@
 	"reachspread/coord/simulation"
 )
 
-// maxFaults bounds the faults of an explored run.
-var maxFaults = flag.Int("deviations", 1, "faults of an explored run")
+// maxFaults bounds the number of faults in one run of TestPromisesHoldWithFaultsAtAnyPoint.
+var maxFaults = flag.Int("deviations", 1, "explore runs with up to this many faults")
 
-// The explorer runs a register of three machines in virtual time, with a client, and injects
-// each kind of fault at each point where a message of the protocol arrives or a write is
-// durable. After one fault the next one comes at any later point within the time of a failover.
-// All else follows from one seed.
+// The explorer runs a register of three machines in virtual time, with a client, and injects each
+// kind of fault at each point. A point is the moment before a protocol message arrives or a write
+// becomes durable. Each further fault is injected at a later point within nextFaultWithin of the
+// previous one. Everything else in a run follows from one seed.
 const (
-	exploreStart        = 3 * time.Second        // the first view is chosen by then
-	firstFaultIn        = 200 * time.Millisecond // within which the first fault is injected after that
-	firstFaultInWithBug = 400 * time.Millisecond
-	nextFaultWithin     = 2 * time.Second // after the fault before: a failover, and commands after it
-	recoveryTime        = 4 * time.Second // after the last one, until commands are acknowledged again
-	stallTime           = 1300 * time.Millisecond
-	restartDelay        = 300 * time.Millisecond // of a crashed process
-	syncWithBug         = 250 * time.Millisecond // a slow disk, so that crashes lose more
-	maxSeeds            = 6                      // within which a bug has to be found
+	exploreStart        = 3 * time.Second         // the first view has been chosen by then
+	firstFaultIn        = 200 * time.Millisecond  // the first fault is injected within this time after exploreStart
+	firstFaultInWithBug = 400 * time.Millisecond  // firstFaultIn in runs with a built-in bug
+	nextFaultWithin     = 2 * time.Second         // long enough for a failover and commands after it
+	recoveryTime        = 4 * time.Second         // from nextFaultWithin after the last fault until the end of the run
+	stallTime           = 1300 * time.Millisecond // the duration of a partition, a freeze or a disk stall
+	restartDelay        = 300 * time.Millisecond  // from a power loss until the restart of the process
+	syncWithBug         = 250 * time.Millisecond  // mean duration of a write in runs with a bug; a slow disk, so that a crash loses more writes
+	maxSeeds            = 6                       // number of seeds within which a bug has to be found
 )
 
-// faultKind is a kind of fault at a point.
+// faultKind is a kind of fault to inject at a point. The sender and the receiver are those of the
+// message; at a write, both are the process that writes.
 type faultKind int
 
 const (
-	loseMessage   faultKind = iota // or, at a write, the disk stalls
-	partitionLink                  // messages from the sender to the receiver are lost for a while
+	loseMessage   faultKind = iota // the message is lost; at a write, the disk stalls for stallTime
+	partitionLink                  // messages from the sender to the receiver are lost for stallTime
 	crashReceiver
 	wipeReceiver
 	freezeReceiver
@@ -48,23 +49,23 @@
 	return [...]string{"lose", "partition", "crash receiver", "wipe receiver", "freeze receiver", "crash sender", "wipe sender"}[s]
 }
 
-// runOptions are common to all runs of an exploration.
+// runOptions are the options that all runs of an exploration have in common.
 type runOptions struct {
-	seed uint64        // of the world
-	sync time.Duration // mean duration of a write, 0 for a drawn one
+	seed uint64        // the seed of the simulated world
+	sync time.Duration // the mean duration of a write; if 0, the world draws one from the seed
 }
 
-// exploration is one run.
+// exploration is the state of one run.
 type exploration struct {
 	world     *simulation.World
 	plan      faultplan.Plan[faultKind]
-	points    int           // so far
-	lastFault time.Duration // when the last fault was injected
-	wiped     int
+	points    int           // number of points reached so far
+	lastFault time.Duration // when the last fault was injected, in virtual time
+	wiped     int           // number of disks that were wiped
 }
 
-// explore runs a plan, and returns the number of points at which one more fault could have been
-// injected. The first one is injected within a time.
+// explore runs a plan. It returns the number of points at which the run could inject a fault, and
+// the world at the end. The first fault is injected within firstIn after exploreStart.
 func explore(d runOptions, plan faultplan.Plan[faultKind], p simulation.Bug, firstIn time.Duration, trace func(string, ...any)) (points int, w *simulation.World) {
 	w = simulation.New(simulation.Options{Seed: d.seed, Sync: d.sync, Machines: 3, Tolerance: 1, Application: simulation.Counter{}, Bug: p, Trace: trace})
 	w.StartAll()
@@ -73,15 +74,16 @@
 	e := &exploration{world: w, plan: plan, lastFault: exploreStart + firstIn - nextFaultWithin}
 	w.InjectAt = e.injectAt
 	w.Run(e.lastFault + nextFaultWithin)
-	w.Run(e.lastFault + nextFaultWithin) // a fault may have been injected meanwhile
+	w.Run(e.lastFault + nextFaultWithin) // the run above may have injected a fault and so moved lastFault
 	w.InjectAt = nil
 	w.Run(e.lastFault + nextFaultWithin + recoveryTime)
 	e.checkEnd()
 	return e.points, w
 }
 
-// checkEnd checks what holds at the end. Two lost disks within a moment are more than is
-// tolerated, so then commands need not be acknowledged.
+// checkEnd checks the properties that must hold at the end of a run. It checks nothing if the run
+// lost two disks: within such a short time the register tolerates the loss of one only, so commands
+// need not be acknowledged.
 func (e *exploration) checkEnd() {
 	if e.wiped > 1 {
 		return
@@ -93,7 +95,8 @@
 	e.world.CheckHistory()
 }
 
-// injectAt is called at each point, and injects the faults of the plan.
+// injectAt injects the fault that the plan has at the current point, if any. The world calls it at
+// each point. It reports whether the message or the write of the point is lost.
 func (e *exploration) injectAt(at simulation.Point) (lost bool) {
 	if e.world.Now > e.lastFault+nextFaultWithin {
 		return false
@@ -109,8 +112,8 @@
 	return false
 }
 
-// inject injects a fault at a point. At a write, sender and receiver are the process whose disk
-// it is.
+// inject injects a fault at a point, and reports whether the message or the write of the point is
+// lost.
 func (e *exploration) inject(kind faultKind, at simulation.Point) (lost bool) {
 	sender, receiver := at.From, at.To
 	if receiver == nil {
@@ -138,8 +141,8 @@
 	return false
 }
 
-// losePower has a machine lose power and all that it was writing, and its disk with wipe, and
-// starts it again in a moment.
+// losePower makes a machine lose power together with all that it was writing, and if wipe is true
+// also its disk. The machine starts again after restartDelay.
 func (e *exploration) losePower(p *simulation.Process, wipe bool) {
 	p.LoseUnwritten()
 	if wipe {
@@ -153,7 +156,8 @@
 	p.SlowDisk(stallTime, stallTime)
 }
 
-// explorer explores all plans with some number of faults. The first one is injected within a time.
+// explorer returns an explorer of all plans with up to the given number of faults. The first fault
+// is injected within firstIn after exploreStart.
 func explorer(d runOptions, p simulation.Bug, faults int, firstIn time.Duration) faultplan.Explorer[faultKind] {
 	return faultplan.Explorer[faultKind]{Kinds: faultKinds, MaxFaults: faults, Simulate: func(plan faultplan.Plan[faultKind]) faultplan.Outcome {
 		points, w := explore(d, plan, p, firstIn, nil)
@@ -161,19 +165,20 @@
 	}}
 }
 
-// Wherever a fault is injected, what a register promises holds, and commands are acknowledged
-// afterwards.
+// The guarantees of a register hold wherever a fault is injected, and commands are acknowledged
+// again afterwards.
 func TestPromisesHoldWithFaultsAtAnyPoint(t *testing.T) {
 	found := explorer(runOptions{seed: 1}, simulation.NoBug, *maxFaults, firstFaultIn).Explore()
 	if found.Violation != nil {
-		t.Errorf("%v: %v", found.Plan, found.Violation)
+		t.Errorf("run with the faults %v violates a guarantee: %v", found.Plan, found.Violation)
 		return
 	}
 	t.Logf("%d runs with at most %d faults", found.Runs, *maxFaults)
 }
 
-// The explorer finds bugs. It begins behind a first fault, so that this takes some hundreds of
-// runs and not thousands. Whether a bug shows depends on the seed, so some seeds are tried.
+// The explorer finds bugs that are built into the simulated processes. For one bug it starts from a
+// plan that already has a first fault, so that it needs some hundreds of runs rather than thousands.
+// The seed decides whether a bug shows, so the test tries up to maxSeeds seeds.
 func TestExplorerFindsBugs(t *testing.T) {
 	for _, c := range []struct {
 		name        string
--- a/coord/register/fuzz_test.go
+++ b/coord/register/fuzz_test.go
@@ -11,7 +11,7 @@
 	"reachspread/coord/simulation"
 )
 
-// No message, in whatever state a replica is, makes the process panic.
+// No message makes a Core panic, whatever state the Core is in.
 func FuzzCoreReceives(f *testing.F) {
 	self := &coordpb.Member{Identity: 1, Address: "a"}
 	other := &coordpb.Member{Identity: 2, Address: "b"}
@@ -38,7 +38,7 @@
 		for _, data := range [][]byte{first, second, first} {
 			m := &coordpb.Message{}
 			if proto.Unmarshal(data, m) != nil || m.From == nil {
-				continue // as whoever reads from the wire does
+				continue // the readers of network messages drop these too
 			}
 			now += 100 * time.Millisecond
 			core.Receive(now, m)
--- a/coord/register/golden_test.go
+++ b/coord/register/golden_test.go
@@ -17,14 +17,14 @@
 	"reachspread/internal/testbed/golden"
 )
 
-// The folders below testdata/golden were written by the code of commit 5bfcc27:
+// The code of commit 5bfcc27 wrote the folders below testdata/golden, with this command:
 //
 //	go test ./coord/register -run TestGolden -write-golden
 //
-// They pin what a process of a register writes to its disk, and what it decides: the same inputs
-// have to write the same bytes. They are never written again: a later version has to read them
-// as they are.
-var writeGolden = flag.Bool("write-golden", false, "write testdata/golden in place of a comparison with it")
+// They pin what a process of a register writes to its disk and what it decides: the same inputs
+// have to produce the same bytes. The folders are never written again, because later versions have
+// to read them as they are.
+var writeGolden = flag.Bool("write-golden", false, "write testdata/golden instead of comparing with it")
 
 const (
 	goldenPath   = "testdata/golden"
@@ -34,7 +34,7 @@
 	goldenClient = "client"
 )
 
-// lines is a state of lines of text. A command adds one.
+// lines is a state machine whose state is lines of text. A command adds a line.
 type lines struct{ all []string }
 
 func (l *lines) Decide(command []byte) (change, reply []byte) { return command, []byte("added") }
@@ -43,7 +43,7 @@
 func (l *lines) Restore(data []byte) error                    { l.all = strings.Split(string(data), "\n"); return nil }
 func (l *lines) Value() any                                   { return strings.Join(l.all, "\n") }
 
-// everyField is the saved state of a process with each field set.
+// everyField returns the saved state of a process, with every field set.
 func everyField() *coordpb.Durable {
 	members := []*coordpb.Member{{Identity: 11, Address: "a:1", Label: "zone 1"}, {Identity: 1 << 63, Address: "b:1"}, {Identity: 13, Address: "c:1"}}
 	view := func(epoch uint64, chain ...uint64) *coordpb.View {
@@ -55,7 +55,8 @@
 		Position: &coordpb.Position{StateEpoch: 7, Sequence: 300, EntryEpoch: 6}, State: []byte("one\ntwo")}
 }
 
-// recordsOf are records of each kind, in the order in which a process may write them.
+// recordsOf returns records of every kind that a process with the saved state d may write, in a
+// possible order.
 func recordsOf(d *coordpb.Durable) []*coordpb.Record {
 	next := proto.Clone(d.AcceptedView).(*coordpb.View)
 	after := proto.Clone(next).(*coordpb.View)
@@ -71,7 +72,8 @@
 	}
 }
 
-// A slot with each field and a log with each kind of record are read to what was written.
+// Load recovers exactly what was written to a slot with every field and to a log with every kind of
+// record.
 func TestGoldenEveryRecord(t *testing.T) {
 	is := is.New(t)
 	saved := everyField()
@@ -118,7 +120,7 @@
 	is.True(proto.Equal(durable, want))
 }
 
-// loadGolden reads a copy of a golden folder into a machine.
+// loadGolden loads a copy of a golden folder into a machine.
 func loadGolden(t *testing.T, name string, machine *lines) (*storage.Store, *coordpb.Durable) {
 	t.Helper()
 	is := is.New(t)
@@ -133,7 +135,7 @@
 	return store, persisted
 }
 
-// goldenProcess is a process of goldenGroup. Its core is nil while it is down.
+// goldenProcess is a process of a goldenGroup. Its core is nil while the process is stopped.
 type goldenProcess struct {
 	address string
 	path    string
@@ -143,7 +145,8 @@
 	core    *register.Core
 }
 
-// goldenGroup is three processes with disks, whose messages take one step each and are never lost.
+// goldenGroup is a group of three processes with disks. Each message takes one goldenStep to arrive
+// and none is lost.
 type goldenGroup struct {
 	is          *is.I
 	now         time.Duration
@@ -151,7 +154,7 @@
 	inFlight    []register.Send
 	submissions uint64
 	replies     int
-	accepted    map[uint64]int // by epoch, messages that a view was accepted
+	accepted    map[uint64]int // by the epoch of a view, the number of Accepted messages sent for it
 }
 
 var goldenAddresses = []string{"a:1", "b:1", "c:1"}
@@ -166,7 +169,7 @@
 	return g
 }
 
-// start starts a process with what its disk has.
+// start starts a process with the state on its disk.
 func (g *goldenGroup) start(p *goldenProcess) {
 	var err error
 	p.files, err = storage.NewFolder(p.path)
@@ -185,13 +188,14 @@
 	p.core.SetKnownAddresses(goldenAddresses)
 }
 
-// stop ends a process.
+// stop stops a process.
 func (p *goldenProcess) stop() {
 	p.files.Close()
 	p.core = nil
 }
 
-// run advances the time, until done, which may be nil, returns true.
+// run advances the time to until, or only to the step after which done returns true. The function
+// done may be nil.
 func (g *goldenGroup) run(until time.Duration, done func() bool) {
 	for g.now < until && (done == nil || !done()) {
 		g.now += goldenStep
@@ -233,7 +237,7 @@
 	}
 }
 
-// write writes all that is due to the disk of a process.
+// write writes all pending batches of a process to its disk.
 func (g *goldenGroup) write(p *goldenProcess) {
 	for p.core != nil {
 		batch, err := p.core.NextBatch(p.store, p.store.SaveRequired())
@@ -246,7 +250,7 @@
 	}
 }
 
-// submit submits a command to the head, and runs for a moment.
+// submit submits a command to the head and runs the group for 200 ms.
 func (g *goldenGroup) submit(text string) {
 	g.submissions++
 	for _, p := range g.processes {
@@ -260,7 +264,7 @@
 	g.run(g.now+200*time.Millisecond, nil)
 }
 
-// save writes the complete state of a process to its disk, as when the log is long.
+// save writes the complete state of a process to its disk, as a process does when the log is full.
 func (g *goldenGroup) save(p *goldenProcess) {
 	batch, err := p.core.NextBatch(p.store, true)
 	g.is.NoErr(err)
@@ -268,9 +272,10 @@
 	g.applyOutput(p.core.RecordsWritten(batch.RecordCount, g.now))
 }
 
-// playGolden writes the folders of a group: commands in a first view, others while a process is
-// down, then that one is started again, and all stop between the vote on the view that has it in
-// its chain and the choice of that view.
+// runGoldenScenario writes the folders of a group. The group executes commands in a first view, and
+// further ones while the third process is stopped. Then the third process starts again. All
+// processes stop after the first vote for the view that takes the third process back into the
+// chain, before that view is chosen.
 func runGoldenScenario(is *is.I, folder string) {
 	g := newGoldenGroup(is, folder)
 	g.run(3*time.Second, nil)
@@ -293,9 +298,9 @@
 	}
 }
 
-// The same inputs write the same bytes today as they did in the golden folders, and these are
-// read to the same content: a promise and an accepted view for the next epoch, all commands, the
-// identities.
+// Today's code writes the same bytes as the golden folders for the same inputs. From the golden
+// folders it loads the expected content: a promise and an accepted view for the next epoch, all
+// commands, and the identities.
 func TestGoldenGroup(t *testing.T) {
 	is := is.New(t)
 	if *writeGolden {
@@ -329,8 +334,8 @@
 	}
 }
 
-// Processes that start on golden folders have their state, agree on one more view, and commit
-// further commands.
+// Processes that start on copies of the golden folders have the recorded state, agree on one more
+// view, and commit further commands.
 func TestGoldenGroupGoesOn(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
--- a/coord/register/recovery_test.go
+++ b/coord/register/recovery_test.go
@@ -14,7 +14,7 @@
 
 var errRejected = errors.New("rejected")
 
-// pickyLines rejects the snapshot "bad".
+// rejectingLines is a state machine of lines that rejects the snapshot "bad".
 type rejectingLines struct{ lines }
 
 func (l *rejectingLines) Restore(data []byte) error {
@@ -24,7 +24,7 @@
 	return l.lines.Restore(data)
 }
 
-// What can't be read on a disk is named by an error of its own type.
+// Load returns an UnreadableError that names the unreadable record or saved state on the disk.
 func TestUnreadableStateIsNamed(t *testing.T) {
 	marshal := func(m proto.Message) []byte {
 		data, err := proto.Marshal(m)
@@ -40,7 +40,7 @@
 	for name, c := range map[string]struct {
 		state   []byte
 		records [][]byte
-		want    int
+		want    int   // the expected UnreadableError.Record
 		cause   error // nil for any
 	}{
 		"a saved state that is no message":    {garbage, nil, register.SavedState, nil},
--- a/coord/register/register_test.go
+++ b/coord/register/register_test.go
@@ -9,14 +9,15 @@
 	"reachspread/coord/simulation"
 )
 
-// newWorld is a register of three machines, with a trace in the log of the test.
+// newWorld starts a simulated register of three machines, and writes its trace to the log of the
+// test.
 func newWorld(t *testing.T, seed uint64) *simulation.World {
 	w := simulation.New(simulation.Options{Seed: seed, Machines: 3, Tolerance: 1, Application: simulation.Counter{}, Trace: t.Logf})
 	w.StartAll()
 	return w
 }
 
-// Three machines that start undisturbed agree on one view and keep it.
+// Three machines without faults agree on a view and stay in it.
 func TestUndisturbedRegisterKeepsItsView(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, 1)
@@ -28,8 +29,9 @@
 	is.True(w.History.Reads > 50)
 }
 
-// A machine that crashes leaves the chain, and joins it again after its restart; neither takes
-// more than one view, or two with the end of its epoch.
+// A machine that crashes is removed from the chain, and joins the chain again after its restart.
+// The crash costs at most one further view. The restart costs at most two, where an epoch has to end
+// before the machine can join.
 func TestCrashedMemberRejoinsChain(t *testing.T) {
 	for victim := range 3 {
 		is := is.New(t)
--- a/coord/register/repeat_test.go
+++ b/coord/register/repeat_test.go
@@ -14,12 +14,12 @@
 
 const (
 	resultsPath      = "testdata/schedules.txt"
-	seedsPerSchedule = 4 // of each kind of schedule
+	seedsPerSchedule = 4 // number of runs of each schedule
 )
 
-// Drawn schedules end as they did with the code of commit 5bfcc27, which wrote
-// testdata/schedules.txt: nothing but the seed decides what happens in them, and no decision has
-// changed since.
+// Runs of random schedules end with the same results as with the code of commit 5bfcc27, which wrote
+// testdata/schedules.txt. So the seed alone decides what happens in a run, and no decision of the
+// register has changed since that commit.
 func TestSchedulesRepeat(t *testing.T) {
 	is := is.New(t)
 	results := make([]string, len(schedules)*seedsPerSchedule)
@@ -43,6 +43,6 @@
 	want, err := os.ReadFile(resultsPath)
 	is.NoErr(err)
 	if got != string(want) {
-		t.Errorf("they end with\n%sand ended with\n%s", got, want)
+		t.Errorf("the schedules end with\n%sbut testdata/schedules.txt has\n%s", got, want)
 	}
 }
--- a/coord/register/schedules_test.go
+++ b/coord/register/schedules_test.go
@@ -14,26 +14,26 @@
 )
 
 var (
-	scheduleCount = flag.Int("schedules", 24, "drawn schedules that are played of each kind")
-	firstSeed     = flag.Uint64("from", 1, "the seed of the first one")
-	showTrace     = flag.Bool("show", false, "tell what happens")
-	onlyKind      = flag.String("only", "", "draw this kind of fault alone")
+	scheduleCount = flag.Int("schedules", 24, "random runs of each schedule")
+	firstSeed     = flag.Uint64("from", 1, "the seed of the first run")
+	showTrace     = flag.Bool("show", false, "log every event of each run")
+	onlyKind      = flag.String("only", "", "inject only faults of this kind")
 )
 
 const (
-	faultsUntil         = 40 * time.Second
-	quietTime           = 8 * time.Second
-	overlapRecoveryTime = 12 * time.Second // after more faults than are tolerated
-	acknowledgeTimeout  = 5 * time.Second  // after the end of all faults
-	callInterval        = 60 * time.Millisecond
+	faultsUntil         = 40 * time.Second      // faults begin until then
+	quietTime           = 8 * time.Second       // run time after the end of all faults
+	overlapRecoveryTime = 12 * time.Second      // recovery time after more faults than are tolerated
+	acknowledgeTimeout  = 5 * time.Second       // a command must be acknowledged within this time before the end of a run
+	callInterval        = 60 * time.Millisecond // mean time between two calls of a client
 )
 
-// schedule is a kind of run with drawn faults.
+// schedule describes runs with random faults.
 type schedule struct {
 	machines, tolerance int
-	overlap             bool              // more machines may be lost than are tolerated, though not their disks
-	kinds               []simulation.Kind // of faults, nil for all
-	sync                time.Duration     // mean duration of a write, 0 for a drawn one
+	overlap             bool              // more machines than tolerated may fail at once, though not lose their disks
+	kinds               []simulation.Kind // the kinds of faults to inject, nil for all
+	sync                time.Duration     // the mean duration of a write; if 0, the world draws one from the seed
 }
 
 func (s schedule) String() string {
@@ -43,11 +43,11 @@
 	return fmt.Sprintf("%d machines", s.machines)
 }
 
-// schedules are the kinds of runs.
+// schedules are the schedules that the tests run.
 var schedules = []schedule{{machines: 3, tolerance: 1}, {machines: 6, tolerance: 2}, {machines: 8, tolerance: 2},
 	{machines: 3, tolerance: 1, overlap: true}, {machines: 6, tolerance: 2, overlap: true}}
 
-// run runs one schedule.
+// run runs the schedule with a seed and returns the world at the end of the run.
 func (s schedule) run(seed uint64, bug simulation.Bug, trace func(string, ...any)) *simulation.World {
 	w := simulation.New(simulation.Options{Seed: seed, Machines: s.machines, Tolerance: s.tolerance, Application: simulation.Counter{},
 		Bug: bug, Sync: s.sync, Trace: trace})
@@ -78,9 +78,9 @@
 	return w
 }
 
-// startClients starts clients. In every other schedule they are sequential, so that the complete
-// history can be checked; in the others one of them builds on versions that it doesn't know to
-// be in force.
+// startClients starts three clients. With an even seed they are sequential, so that the complete
+// history can be checked. With an odd seed, one of them submits commands that build on versions
+// before the answers about those versions have arrived.
 func startClients(w *simulation.World, seed uint64) {
 	for i := range 3 {
 		c := w.NewClient(seed%2 == 0)
@@ -91,11 +91,12 @@
 	}
 }
 
-// Whatever is drawn of the kinds of faults of the operators' bench: acknowledged commands are
-// durable, reads are never stale, no command is rejected after it was accepted or accepted after
-// it was rejected, no epoch has two views and no shard two owners, and commands are acknowledged
-// again once all faults are over. Within the tolerance they are acknowledged whenever nothing
-// has changed for a while.
+// The guarantees of a register hold under random faults of all kinds that the operators' bench
+// injects. Acknowledged commands are durable and reads are never stale. No command is rejected after
+// it was accepted, or accepted after it was rejected. No epoch has two views and no shard has two
+// owners. Commands are acknowledged again once all faults are over. With no more faults than
+// tolerated, commands are also acknowledged during the run whenever no fault has begun or ended for
+// a while.
 func TestPromisesHoldUnderDrawnFaults(t *testing.T) {
 	for _, s := range schedules {
 		t.Run(s.String(), func(t *testing.T) {
@@ -120,13 +121,14 @@
 	}
 }
 
-// runAll runs seeds on all processors.
+// runAll calls run with n successive seeds from firstSeed on, in parallel on all processors.
 func runAll(n int, run func(seed uint64)) {
 	faultplan.ForEachParallel(n, func(i int) { run(*firstSeed + uint64(i)) })
 }
 
-// Each bug is found by the checks within some schedules, where need be with the kinds of faults
-// that concern it.
+// The checks find each bug that is built into the simulated processes within maxBugSchedules runs.
+// Runs for the bug EarlyWrite inject only the kinds of faults that concern it, in which all machines
+// lose power.
 func TestSchedulesFindBugs(t *testing.T) {
 	three := schedules[0]
 	powerLoss := schedule{machines: 3, tolerance: 1, sync: syncWithBug, kinds: []simulation.Kind{simulation.HerdKillOff, simulation.HerdKillAcknowledged, simulation.PowerOffAll}}
@@ -153,11 +155,11 @@
 				}
 			})
 			if found.Load() == 0 {
-				t.Errorf("not found in %d schedules", maxBugSchedules)
+				t.Errorf("the checks did not find the bug in %d schedules", maxBugSchedules)
 			}
 		})
 	}
 }
 
-// maxBugSchedules bounds the schedules within which a bug has to be found.
+// maxBugSchedules is the number of runs of a schedule within which the checks have to find a bug.
 const maxBugSchedules = 300
