--- a/coord/storage/example_test.go
+++ b/coord/storage/example_test.go
@@ -7,8 +7,8 @@
 	"reachspread/coord/storage"
 )
 
-// A complete state is saved from time to time, and the changes since are appended. Open recovers
-// what was acknowledged last.
+// The owner saves a complete state from time to time and appends a record for each change after it.
+// Open recovers the newest state and the records appended since.
 func Example() {
 	path, _ := os.MkdirTemp("", "storage")
 	defer os.RemoveAll(path)
--- a/coord/storage/folder.go
+++ b/coord/storage/folder.go
@@ -7,14 +7,14 @@
 	"reachspread/coord/failpoint"
 )
 
-// Folder implements Files in a folder of the operating system. Files that were written stay open
-// until Close.
+// Folder implements Files in a folder of the file system. Files that were written or synced stay
+// open until Close.
 type Folder struct {
 	path string
-	open map[string]*os.File
+	open map[string]*os.File // open files, by name
 }
 
-// NewFolder returns the folder at a path and creates it if there is none.
+// NewFolder returns the folder at a path, and creates the folder if it doesn't exist.
 func NewFolder(path string) (*Folder, error) {
 	if err := os.MkdirAll(path, 0o755); err != nil {
 		return nil, err
--- a/coord/storage/format.go
+++ b/coord/storage/format.go
@@ -15,7 +15,8 @@
 
 var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
-// appendSlot appends a slot: magic, generation, length, checksum and state.
+// appendSlot appends an encoded slot to a buffer: magic, generation, length of the state, checksum
+// and state.
 func appendSlot(to []byte, generation uint64, state []byte) []byte {
 	begin := len(to)
 	to = binary.BigEndian.AppendUint32(to, slotMagic)
@@ -25,7 +26,7 @@
 	return append(to, state...)
 }
 
-// parseSlot returns the content of a slot; ok is false unless it is complete.
+// parseSlot decodes a slot; ok is false unless the slot is complete and its checksum is correct.
 func parseSlot(data []byte) (generation uint64, state []byte, ok bool) {
 	if len(data) < slotHeaderLen || binary.BigEndian.Uint32(data) != slotMagic {
 		return 0, nil, false
@@ -41,7 +42,8 @@
 	return generation, state, generation > 0 && checksum(header, state) == stored
 }
 
-// appendRecord appends a record: magic, generation, index, length, checksum and content.
+// appendRecord appends an encoded record to a buffer: magic, generation, index, length of the
+// content, checksum and content.
 func appendRecord(to []byte, generation uint64, index uint32, record []byte) []byte {
 	begin := len(to)
 	to = binary.BigEndian.AppendUint32(to, recordMagic)
@@ -52,8 +54,9 @@
 	return append(to, record...)
 }
 
-// parseRecord returns the record at the start of text and its size with header; ok is false unless
-// it is complete, of the generation, and the one with the index.
+// parseRecord decodes the record at the start of data, and returns its content and its size with
+// header. ok is false unless the record is complete, has a correct checksum, and has the given
+// generation and index.
 func parseRecord(data []byte, generation uint64, index uint32) (record []byte, size int, ok bool) {
 	if len(data) < recordHeaderLen || binary.BigEndian.Uint32(data) != recordMagic {
 		return nil, 0, false
@@ -72,7 +75,7 @@
 	return record, size, checksum(header, record) == stored
 }
 
-// checksum is the CRC-32C of a header, without its checksum field, and what follows it.
+// checksum returns the CRC-32C of a header without its checksum field, followed by the content.
 func checksum(header, content []byte) uint32 {
 	return crc32.Update(crc32.Checksum(header, crcTable), crcTable, content)
 }
--- a/coord/storage/golden_test.go
+++ b/coord/storage/golden_test.go
@@ -13,28 +13,28 @@
 	"reachspread/internal/testbed/golden"
 )
 
-// The folders below testdata/golden were written by the code of commit 5bfcc27:
+// The code of commit 5bfcc27 wrote the folders below testdata/golden, with this command:
 //
 //	go test ./coord/storage -run TestGoldenFolders -write-golden
 //
-// They pin the format on disk. They are never written again: a later version has to read them as
-// they are.
-var writeGolden = flag.Bool("write-golden", false, "write testdata/golden in place of a comparison with it")
+// They pin the format on disk. They are never written again, because later versions have to read
+// them as they are.
+var writeGolden = flag.Bool("write-golden", false, "write testdata/golden instead of comparing with it")
 
 const goldenPath = "testdata/golden"
 
-// goldenFolder is what a process did to its storage, and what the next one has to recover.
+// goldenFolder describes what a process wrote to a folder, and what the next process must recover.
 type goldenFolder struct {
 	name    string
 	write   func(is *is.I, s *storage.Store)
-	tail    []byte // bytes of a write that was torn, behind the log
-	tornIn  string // a file that is truncated
-	tornTo  int    // its length then
-	state   string
-	records []string
+	tail    []byte   // bytes of a torn write after the last complete record of the log
+	tornIn  string   // the file to truncate, as a torn write would, empty for none
+	tornTo  int      // the length that this file is truncated to, in bytes
+	state   string   // the state to recover
+	records []string // the records to recover
 }
 
-// longRecord has all byte values, several times.
+// longRecord is a record that contains every byte value several times.
 var longRecord = func() []byte {
 	data := make([]byte, 1000)
 	for i := range data {
@@ -78,7 +78,7 @@
 	}
 }
 
-// fill does to a folder what a golden folder says.
+// fill writes the files of the golden folder to a path.
 func (g goldenFolder) fill(t *testing.T, path string) {
 	t.Helper()
 	is := is.New(t)
@@ -100,7 +100,8 @@
 	}
 }
 
-// check opens a folder and compares what is recovered.
+// check opens the folder at a path, and compares what Open recovers with the expected state and
+// records. It then appends a record and checks that Open recovers this one too.
 func (g goldenFolder) check(t *testing.T, path string) {
 	t.Helper()
 	is := is.New(t)
@@ -124,8 +125,8 @@
 	is.Equal(string(found.Records[len(g.records)]), "one more")
 }
 
-// Folders of an earlier version are read to the content that was written, go on from there, and the
-// same steps write the same bytes today.
+// Open recovers the written content from folders of an earlier version, and a process can continue
+// to write to them. The same steps write the same bytes with today's code.
 func TestGoldenFolders(t *testing.T) {
 	for _, g := range goldenFolders() {
 		t.Run(g.name, func(t *testing.T) {
@@ -145,7 +146,7 @@
 	}
 }
 
-// A folder without files, and one that is not there, have no state; a first Save is due.
+// Open finds no state in an empty folder or in one that didn't exist before, and requires a Save.
 func TestEmptyFolder(t *testing.T) {
 	for _, path := range []string{t.TempDir(), filepath.Join(t.TempDir(), "none", "yet")} {
 		is := is.New(t)
--- a/coord/storage/storage.go
+++ b/coord/storage/storage.go
@@ -7,10 +7,11 @@
 )
 
 const (
-	// MaxLogSize is the size in bytes from which on LogFull reports that a Save is due. A longer
-	// log takes longer to recover, a shorter one has the state written more often.
+	// MaxLogSize is the size of the log, in bytes, from which on LogFull reports that a Save is
+	// due. A longer log takes longer to recover; with a shorter log the owner saves the complete
+	// state more often.
 	MaxLogSize = 256 << 10
-	// MaxRecordSize bounds one record, in bytes.
+	// MaxRecordSize is the maximum size of one record, in bytes.
 	MaxRecordSize = 16 << 20
 )
 
@@ -18,49 +19,51 @@
 
 var slotFiles = [2]string{"slot-a", "slot-b"}
 
-// Files is the folder that a Store has for itself. Folder implements it.
+// Files is a folder that one Store uses exclusively. Folder implements it.
 type Files interface {
-	// Read returns the content of a file, or an error that wraps fs.ErrNotExist if there is none.
+	// Read returns the content of a file. The error wraps fs.ErrNotExist if there is no such file.
 	Read(name string) ([]byte, error)
-	// WriteAt writes at an offset of a file and creates it if there is none.
+	// WriteAt writes data at an offset of a file, and creates the file if it doesn't exist.
 	WriteAt(name string, data []byte, offset int64) error
-	// Sync makes what was written to a file survive a loss of power.
+	// Sync makes the content of a file durable, so that it survives a loss of power.
 	Sync(name string) error
-	// SyncFolder makes the names of new files survive a loss of power.
+	// SyncFolder makes the names of new files durable, so that they survive a loss of power.
 	SyncFolder() error
 }
 
-// ErrSaveRequired is returned by Append after an earlier write failed, and in a new folder: what
-// the log has is unknown, so the owner must Save the complete state before it appends.
+// ErrSaveRequired is returned by Append after an earlier write failed, and while the folder has no
+// complete state. The content of the log is unknown then, so the owner must Save the complete state
+// before it appends.
 var ErrSaveRequired = errors.New("storage: the complete state must be saved before records are appended")
 
-// RecordTooLargeError is returned by Append for a record above MaxRecordSize. Nothing was written.
+// RecordTooLargeError is returned by Append if a record is larger than MaxRecordSize. Append has
+// then written nothing. Size is the size of the record, in bytes.
 type RecordTooLargeError struct{ Size int }
 
 // Error implements error.
 func (e *RecordTooLargeError) Error() string {
-	return fmt.Sprintf("storage: a record has %d bytes; at most %d are allowed", e.Size, MaxRecordSize)
+	return fmt.Sprintf("storage: record not appended: it has %d bytes, at most %d are allowed", e.Size, MaxRecordSize)
 }
 
-// Store persists a state. Open returns one.
+// Store persists the state of one process in a folder. Open returns a Store.
 type Store struct {
 	files        Files
-	generation   uint64 // of the slot in force, 0 for none
-	nextSlot     int    // which is written next
-	logSize      int64
-	nextIndex    uint32 // of the next record
-	saveRequired bool
-	unsynced     bool // what was recovered may not survive a loss of power
+	generation   uint64 // of the newest state or of a later Save that failed, 0 for none
+	nextSlot     int    // the index in slotFiles of the slot to write next
+	logSize      int64  // the size of the valid records in the log, in bytes
+	nextIndex    uint32 // the index of the next record
+	saveRequired bool   // records can't be appended before a Save
+	unsynced     bool   // a loss of power may still destroy what was recovered
 }
 
-// Recovered is the content of a folder when it was opened.
+// Recovered is the content that Open found in a folder.
 type Recovered struct {
-	State   []byte   // nil if nothing was ever saved
-	Records [][]byte // appended since, in order
+	State   []byte   // the newest complete state, nil if no complete state was found
+	Records [][]byte // the records appended since that state, in order
 }
 
-// Open recovers the newest complete state of a folder and the records since. Until SyncRecovered,
-// Append or Save has succeeded it may be lost with a loss of power.
+// Open recovers the newest complete state of a folder and the records appended since. A loss of
+// power may still destroy them until SyncRecovered, Append or Save has succeeded.
 func Open(files Files) (*Store, *Recovered, error) {
 	s := &Store{files: files}
 	recovered := &Recovered{}
@@ -87,7 +90,8 @@
 	return s, recovered, nil
 }
 
-// readLog returns the records of the generation in force, up to the first that is torn.
+// readLog returns the records of the current generation, up to the first that isn't valid: the rest
+// of the log is torn or belongs to an earlier generation.
 func (s *Store) readLog(log []byte) (records [][]byte) {
 	for {
 		record, size, ok := parseRecord(log[s.logSize:], s.generation, s.nextIndex)
@@ -100,26 +104,27 @@
 	}
 }
 
-// readFile returns the content of a file, nil if there is none.
+// readFile returns the content of a file, nil if the file doesn't exist.
 func readFile(files Files, name string) ([]byte, error) {
 	data, err := files.Read(name)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return nil, fmt.Errorf("storage: %s: %w", name, err)
+		return nil, fmt.Errorf("storage: reading %s: %w", name, err)
 	}
 	return data, nil
 }
 
-// LogFull reports whether the log is long enough for a Save to be due.
+// LogFull reports whether the log has reached MaxLogSize, so that a Save is due.
 func (s *Store) LogFull() bool { return s.logSize >= MaxLogSize }
 
 // SaveRequired reports whether Append would return ErrSaveRequired.
 func (s *Store) SaveRequired() bool { return s.saveRequired }
 
-// Unsynced reports whether what was recovered may not survive a loss of power.
+// Unsynced reports whether a loss of power may still destroy what Open recovered.
 func (s *Store) Unsynced() bool { return s.unsynced }
 
-// SyncRecovered makes what was recovered survive a loss of power. Append and Save call it: else a
-// slot that was never synced could be the only complete one while the other is overwritten.
+// SyncRecovered makes what Open recovered durable, so that it survives a loss of power. Append and
+// Save call it first. Otherwise, while Save overwrites one slot, the other one could be the only
+// complete slot and still be lost because it was never synced.
 func (s *Store) SyncRecovered() error {
 	if !s.unsynced {
 		return nil
@@ -136,8 +141,8 @@
 	return nil
 }
 
-// Append appends records to the log and syncs it. It returns ErrSaveRequired, a
-// *RecordTooLargeError, or the error of the disk.
+// Append appends records to the log and syncs the log. The error is ErrSaveRequired, a
+// *RecordTooLargeError, or an error of the disk.
 func (s *Store) Append(records ...[]byte) error {
 	if s.saveRequired {
 		return ErrSaveRequired
@@ -164,7 +169,8 @@
 	return nil
 }
 
-// Save writes a complete state to the slot that is not in force, syncs it and begins a new log.
+// Save writes a complete state to the slot that doesn't hold the newest state, syncs it and begins a
+// new log.
 func (s *Store) Save(state []byte) error {
 	if err := s.SyncRecovered(); err != nil {
 		return err
@@ -186,8 +192,9 @@
 	return nil
 }
 
-// writeFailed takes note that the content of the disk is unknown.
+// writeFailed records that the content of the disk is unknown after a failed write or sync, and
+// returns the error with the name of the file.
 func (s *Store) writeFailed(name string, err error) error {
 	s.saveRequired = true
-	return fmt.Errorf("storage: %s: %w", name, err)
+	return fmt.Errorf("storage: writing %s: %w", name, err)
 }
--- a/coord/storage/storage_test.go
+++ b/coord/storage/storage_test.go
@@ -10,15 +10,17 @@
 	"github.com/matryer/is"
 )
 
-// disk is Files that can lose power: each write that was not synced is then there, lost or torn.
+// disk implements Files and can lose power. After a loss of power each unsynced write is complete,
+// lost or torn.
 type disk struct {
-	synced      map[string][]byte
-	written     map[string][]write // since the last sync
-	steps       int                // writes and syncs so far
-	powerLossAt int                // the step before which power is lost; 0 for never
-	failAt      int                // the step that fails, with power; 0 for none
+	synced      map[string][]byte  // the durable content of the files, by name
+	written     map[string][]write // the writes since the last sync, by file name
+	steps       int                // the number of writes and syncs so far
+	powerLossAt int                // the step from which on every step fails for lack of power; 0 for never
+	failAt      int                // the step that fails while there is power; 0 for none
 }
 
+// write is a write of data at an offset of a file.
 type write struct {
 	data   []byte
 	offset int64
@@ -31,6 +33,7 @@
 
 func newDisk() *disk { return &disk{synced: map[string][]byte{}, written: map[string][]write{}} }
 
+// step counts a write or sync, and returns the error with which it fails, nil for none.
 func (d *disk) step() error {
 	d.steps++
 	switch {
@@ -42,6 +45,7 @@
 	return nil
 }
 
+// applyWrite returns the content of a file after a write.
 func applyWrite(to []byte, w write) []byte {
 	if end := int(w.offset) + len(w.data); end > len(to) {
 		to = append(to, make([]byte, end-len(to))...)
@@ -64,7 +68,7 @@
 
 func (d *disk) WriteAt(name string, data []byte, offset int64) error {
 	err := d.step()
-	if err == nil || errors.Is(err, errPowerLost) { // the write may have been under way
+	if err == nil || errors.Is(err, errPowerLost) { // the write may have been in progress when power was lost
 		d.written[name] = append(d.written[name], write{append([]byte(nil), data...), offset})
 	}
 	return err
@@ -81,8 +85,8 @@
 
 func (d *disk) SyncFolder() error { return d.step() }
 
-// afterPowerLoss is what is left of a disk: each write that was not synced is there, lost, or torn
-// at any byte.
+// afterPowerLoss returns the disk after a loss of power. Each unsynced write is complete, lost, or
+// torn at a random byte.
 func (d *disk) afterPowerLoss(rng *rand.Rand) *disk {
 	remaining := newDisk()
 	for name, data := range d.synced {
@@ -105,13 +109,15 @@
 	return remaining
 }
 
-// owner persists a list of numbers: all in the slot, single ones in the log.
+// owner persists a list of numbers. A slot holds the whole list, and a record of the log holds one
+// further number.
 type owner struct {
 	store        *Store
 	list         []byte
-	acknowledged int // numbers whose write was acknowledged
+	acknowledged int // the length of the list at the last successful write
 }
 
+// open returns an owner with the list that Open recovers from a disk.
 func open(d *disk) (*owner, error) {
 	s, found, err := Open(d)
 	if err != nil {
@@ -124,7 +130,8 @@
 	return o, nil
 }
 
-// add persists one more number by the log or, from time to time and after an error, by a slot.
+// add appends a number to the list and persists it: in a slot if save is true or the store requires
+// a Save, and in the log otherwise.
 func (o *owner) add(n byte, save bool) error {
 	o.list = append(o.list, n)
 	var err error
@@ -139,7 +146,8 @@
 	return err
 }
 
-// play adds numbers until power is lost, and returns how many were acknowledged.
+// addUntilPowerLoss adds numbers until power is lost or the list has the given length. It returns how
+// many numbers of the list were acknowledged.
 func addUntilPowerLoss(d *disk, o *owner, numbers int) (acknowledged int) {
 	for n := len(o.list); n < numbers; n++ {
 		err := o.add(byte(n), n%4 == 0)
@@ -150,21 +158,22 @@
 	return o.acknowledged
 }
 
-// check returns what is wrong with a recovered list of which so many numbers were acknowledged.
+// check returns an error if a recovered list lacks an acknowledged number or has a wrong number.
 func check(list []byte, acknowledged int) error {
 	if len(list) < acknowledged {
-		return fmt.Errorf("%d numbers are there; %d were acknowledged", len(list), acknowledged)
+		return fmt.Errorf("%d numbers were recovered, but %d were acknowledged", len(list), acknowledged)
 	}
 	for i, n := range list {
 		if int(n) != i {
-			return fmt.Errorf("number %d is %d", i, n)
+			return fmt.Errorf("number %d of the recovered list has the value %d", i, n)
 		}
 	}
 	return nil
 }
 
-// Power is lost before every step in turn, and a second time after the first recovery: what was
-// acknowledged is recovered, and nothing that was never written.
+// Acknowledged numbers are recovered after a loss of power, and nothing is recovered that was never
+// written. The test loses power before each step in turn, and a second time at each step after the
+// first recovery.
 func TestAcknowledgedSurvivesPowerLoss(t *testing.T) {
 	is := is.New(t)
 	const numbers = 14
@@ -194,8 +203,8 @@
 	}
 }
 
-// One step fails, as on a full disk, and power is lost some steps later: nothing that was
-// acknowledged since is lost, whatever the failed write left.
+// Acknowledged numbers are recovered when one step fails, as on a full disk, and power is lost some
+// steps later, whatever the failed write left on the disk.
 func TestAcknowledgedSurvivesFailedWrite(t *testing.T) {
 	is := is.New(t)
 	const numbers = 14
@@ -216,9 +225,10 @@
 	}
 }
 
-// A process is killed before every step in turn, which leaves its writes unsynced. The next one
-// recovers them and acts on them once SyncRecovered has succeeded, and power is lost some steps
-// later: what was recovered is there again, as is what was acknowledged since.
+// Numbers that were recovered and synced survive a later loss of power. The test kills a process
+// before each step in turn, which leaves its writes unsynced. The next process recovers the writes
+// and relies on them once SyncRecovered has succeeded. Power is lost some steps later. The recovered
+// numbers and those acknowledged since must then be recovered again.
 func TestRecoveredSurvivesPowerLoss(t *testing.T) {
 	is := is.New(t)
 	const numbers = 14
@@ -248,8 +258,8 @@
 	}
 }
 
-// Without a slot nothing can be appended: records of no state could not be told from those of a
-// former one.
+// Append requires a first Save: without a state in a slot, records could not be distinguished from
+// those of an earlier state.
 func TestAppendRequiresFirstSave(t *testing.T) {
 	is := is.New(t)
 	s, found, err := Open(newDisk())
@@ -261,7 +271,7 @@
 	is.NoErr(s.Append([]byte("x")))
 }
 
-// Open ignores bytes that are not of the format.
+// Open ignores bytes that don't follow the format.
 func FuzzOpen(f *testing.F) {
 	whole := appendSlot(nil, 3, []byte("state"))
 	f.Add(whole, appendRecord(nil, 3, 0, []byte("record")))
@@ -276,7 +286,7 @@
 	})
 }
 
-// A folder of the operating system persists what was written.
+// Folder persists a state and records in the file system.
 func TestFolderPersists(t *testing.T) {
 	is := is.New(t)
 	path := t.TempDir()
@@ -296,7 +306,7 @@
 	is.Equal(string(found.Records[1]), "two")
 }
 
-// A record above the bound is rejected with a typed error, and the store goes on.
+// Append rejects a record above MaxRecordSize with a RecordTooLargeError, and the store stays usable.
 func TestTooLargeRecordIsRejected(t *testing.T) {
 	is := is.New(t)
 	s, _, err := Open(newDisk())
