--- a/coord/link/link.go
+++ b/coord/link/link.go
@@ -13,34 +13,34 @@
 )
 
 const (
-	// MaxMessageLen bounds a message, in bytes.
+	// MaxMessageLen is the maximum length of a message, in bytes.
 	MaxMessageLen = 24 << 20
 
-	frameHeaderLen = 4 + 1 // length and kind
+	frameHeaderLen = 4 + 1 // length and kind, in bytes
 
-	idleTimeout = 20 * time.Second // an outbound connection without a message is closed then
-	maxInbound  = 1024             // inbound connections
-	bufferSize  = 16 << 10
+	idleTimeout = 20 * time.Second // an outbound connection is closed after this time without a message
+	maxInbound  = 1024             // maximum number of inbound connections
+	bufferSize  = 16 << 10         // size of the buffer of a connection, in bytes
 )
 
-// Kind tells messages of different protocols on one link apart.
+// Kind identifies the protocol of a message, so that one link can carry several protocols.
 type Kind uint8
 
-// Handler receives each message. It must not retain data, and blocks further messages of its
-// sender.
+// Handler is called for each message that arrives. It must not retain data. Further messages on the
+// same connection wait until it returns.
 type Handler func(kind Kind, data []byte)
 
-// Stats are counters since the start.
+// Stats are counters of a Link since its creation.
 type Stats struct {
-	Sent, SentBytes         uint64
-	Received, ReceivedBytes uint64
-	Lost                    uint64 // messages for which a queue was full, or no connection could be opened
+	Sent, SentBytes         uint64 // messages, and bytes of their frames
+	Received, ReceivedBytes uint64 // messages, and bytes of their frames
+	Lost                    uint64 // messages that could not be queued, or for which no connection could be opened
 	Connected               uint64 // outbound connections that were opened
-	Unreachable             uint64 // attempts to open one that failed
-	Broken                  uint64 // outbound connections that failed, or delivered nothing
+	Unreachable             uint64 // failed attempts to open an outbound connection
+	Broken                  uint64 // outbound connections that were dropped because they failed or delivered nothing
 }
 
-// Link is the sender and receiver of one process.
+// Link sends and receives the messages of one process.
 type Link struct {
 	listen  netip.AddrPort
 	handler Handler
@@ -50,19 +50,21 @@
 	queues  map[string]*sendQueue // by address
 	inbound mapset.Set[net.Conn]
 
-	closing sync.WaitGroup
+	closing sync.WaitGroup // done once the listener and the inbound connections are closed
 
-	queuedBytes                                    atomic.Int64 // in frames of all queues
+	queuedBytes                                    atomic.Int64 // bytes of the frames in all queues
 	sent, sentBytes, received, receivedBytes, lost atomic.Uint64
 	connected, unreachable, broken                 atomic.Uint64
 }
 
-// New returns a link that Start has listen at an address.
+// New returns a link that listens at an address once Start is called, and passes the messages that
+// arrive to a handler.
 func New(listen netip.AddrPort, handler Handler) *Link {
 	return &Link{listen: listen, handler: handler, queues: map[string]*sendQueue{}, inbound: mapset.NewThreadUnsafeSet[net.Conn]()}
 }
 
-// Start listens, and carries messages until ctx ends. What is sent before is lost.
+// Start listens, and sends and receives messages until ctx ends. Messages passed to Send before Start
+// are lost.
 func (l *Link) Start(ctx context.Context) error {
 	config := net.ListenConfig{KeepAlive: -1}
 	listener, err := config.Listen(ctx, "tcp4", l.listen.String())
@@ -86,10 +88,11 @@
 	return nil
 }
 
-// Wait returns once the listener is closed, after the context of Start has ended.
+// Wait returns once the listener and the inbound connections are closed, which happens after the
+// context of Start has ended.
 func (l *Link) Wait() { l.closing.Wait() }
 
-// Stats returns the counters.
+// Stats returns the current counters.
 func (l *Link) Stats() Stats {
 	return Stats{
 		Sent:          l.sent.Load(),
@@ -103,7 +106,7 @@
 	}
 }
 
-// accept serves inbound connections until the listener is closed.
+// accept accepts inbound connections and starts a receiver for each until the listener is closed.
 func (l *Link) accept(listener net.Listener) {
 	for {
 		c, err := listener.Accept()
@@ -122,7 +125,8 @@
 	}
 }
 
-// addInbound registers an inbound connection and reports whether there may be one more.
+// addInbound registers an inbound connection. It returns false if there are maxInbound connections
+// already or the link has ended; the caller then has to close the connection.
 func (l *Link) addInbound(c net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -133,7 +137,7 @@
 	return true
 }
 
-// sleep waits for a time, or until ctx ends.
+// sleep waits for a duration or until ctx ends, whichever is first.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/coord/link/receive.go
+++ b/coord/link/receive.go
@@ -7,8 +7,8 @@
 	"net"
 )
 
-// receive passes the messages of an inbound connection to the handler, until the connection ends,
-// is idle for too long or has bytes that are no frame.
+// receive passes the messages of an inbound connection to the handler. It returns and closes the
+// connection when the connection ends, is idle for too long, or carries bytes that aren't a frame.
 func (l *Link) receive(c net.Conn) {
 	defer func() {
 		c.Close()
@@ -28,7 +28,8 @@
 	}
 }
 
-// readFrame reads one frame; ok is false where the connection ends or the length is out of range.
+// readFrame reads one frame; ok is false if the connection ends within the frame or the length in the
+// header is above MaxMessageLen.
 func readFrame(in io.Reader) (kind Kind, data []byte, ok bool) {
 	var header [frameHeaderLen]byte
 	if _, err := io.ReadFull(in, header[:]); err != nil {
@@ -38,7 +39,8 @@
 	if n > MaxMessageLen {
 		return 0, nil, false
 	}
-	// ReadAll grows its buffer as bytes arrive: a length alone takes no memory.
+	// ReadAll grows its buffer as bytes arrive, so that a large length in a header alone doesn't
+	// allocate memory.
 	data, err := io.ReadAll(io.LimitReader(in, int64(n)))
 	if err != nil || len(data) != int(n) {
 		return 0, nil, false
--- a/coord/link/send.go
+++ b/coord/link/send.go
@@ -14,31 +14,32 @@
 )
 
 const (
-	// dialTimeout bounds one attempt to connect. A machine that starts meanwhile is not noticed by
-	// the attempt under way, so it is short.
+	// dialTimeout bounds one attempt to connect. It is short, because an attempt in progress doesn't
+	// notice a machine that starts in the meantime.
 	dialTimeout = 200 * time.Millisecond
-	// retryInterval is the time between two attempts.
+	// retryInterval is the time from a failed attempt to connect, or from a failed write, to the
+	// next attempt to connect. It is also the pause after a failed accept.
 	retryInterval = 50 * time.Millisecond
-	// writeTimeout bounds the write of what is queued.
+	// writeTimeout bounds the time for writing the frames that are queued.
 	writeTimeout = 2 * time.Second
-	// tcpUserTimeout is after how long the system ends a connection whose bytes are not
-	// acknowledged.
+	// tcpUserTimeout is how long sent bytes may remain without a TCP acknowledgement before the
+	// operating system ends the connection.
 	tcpUserTimeout = 1500 * time.Millisecond
 
 	maxQueuedFrames = 256      // for one address
 	maxQueuedBytes  = 4 << 20  // for one address; a single message may be longer
-	maxTotalBytes   = 24 << 20 // for all addresses
-	maxAddresses    = 4096
+	maxTotalBytes   = 24 << 20 // for all addresses; enqueue allows maxQueuedBytes more
+	maxAddresses    = 4096     // addresses with a queue
 )
 
-// sendQueue is the frames that wait for one address.
+// sendQueue holds the frames that wait to be sent to one address.
 type sendQueue struct {
 	frames      chan []byte
-	queuedBytes atomic.Int64 // in them, and in the one that is being written
+	queuedBytes atomic.Int64 // bytes of the waiting frames and of the frame being written
 }
 
 // Send queues a message for an address. It never blocks: a message that can't be queued is lost and
-// counted. Data may be reused once Send has returned.
+// counted in Stats.Lost. The caller may reuse data once Send has returned.
 func (l *Link) Send(to string, kind Kind, data []byte) {
 	if len(data) > MaxMessageLen || failpoint.DropMessage(to) {
 		l.lost.Add(1)
@@ -55,8 +56,9 @@
 	}
 }
 
-// queueTo returns the queue of an address, made if there was none; nil where there can't be one. It
-// is called with mu held.
+// queueFor returns the queue of an address, and creates the queue and its sender if there is none. It
+// returns nil if there are maxAddresses queues already or the link isn't running. The caller must
+// hold mu.
 func (l *Link) queueFor(to string) *sendQueue {
 	if q := l.queues[to]; q != nil {
 		return q
@@ -70,7 +72,8 @@
 	return q
 }
 
-// enqueue adds a frame to a queue and reports whether it fits.
+// enqueue adds a frame to a queue. It returns false if the frame would exceed the bounds of the queue
+// or of all queues.
 func (l *Link) enqueue(q *sendQueue, frame []byte) bool {
 	size := int64(len(frame))
 	if queued := q.queuedBytes.Load(); queued > 0 && queued+size > maxQueuedBytes {
@@ -89,24 +92,24 @@
 	}
 }
 
-// release takes a frame off the count of queued bytes.
+// release subtracts a frame from the counts of queued bytes.
 func (l *Link) release(q *sendQueue, frame []byte) {
 	q.queuedBytes.Add(-int64(len(frame)))
 	l.queuedBytes.Add(-int64(len(frame)))
 }
 
-// sender is the goroutine of one queue, with its connection.
+// sender is the state of the goroutine that sends the frames of one queue.
 type sender struct {
 	link            *Link
 	to              string
 	queue           *sendQueue
-	conn            *outbound // nil for none
-	out             *bufio.Writer
+	conn            *outbound     // nil while there is no connection
+	out             *bufio.Writer // writes to conn
 	deliveryTimeout time.Duration // of the next connection
-	retryAt         time.Time     // no attempt to connect before
+	retryAt         time.Time     // the earliest time of the next attempt to connect
 }
 
-// drain sends the frames of a queue until it was empty for idleTimeout.
+// drain sends the frames of a queue until the queue has been empty for idleTimeout or the link ends.
 func (l *Link) drain(to string, q *sendQueue) {
 	s := &sender{link: l, to: to, queue: q, deliveryTimeout: minDeliveryTimeout}
 	idle := time.NewTimer(idleTimeout)
@@ -127,7 +130,8 @@
 	}
 }
 
-// removeIfEmpty removes an idle queue, unless a frame has come meanwhile.
+// removeIfEmpty removes an idle queue, unless a frame has been queued in the meantime. It reports
+// whether it removed the queue.
 func (l *Link) removeIfEmpty(to string, q *sendQueue) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -138,8 +142,8 @@
 	return true
 }
 
-// send writes a frame and those that are queued behind it, over a new connection where the present
-// one delivers nothing. Without a connection the frame is lost.
+// send writes a frame and the frames queued after it. If the current connection delivers nothing,
+// send replaces it first. If no connection can be opened, the frame is lost.
 func (s *sender) send(frame []byte) {
 	if s.conn != nil && !s.conn.isDelivering(time.Now()) {
 		s.dropConn()
@@ -155,7 +159,7 @@
 	}
 }
 
-// connect opens a connection, unless the last attempt failed a moment ago.
+// connect opens a connection and reports whether it succeeded. It doesn't try before retryAt.
 func (s *sender) connect() bool {
 	if time.Now().Before(s.retryAt) {
 		return false
@@ -168,7 +172,8 @@
 	return true
 }
 
-// dropConn closes a connection that failed or delivers nothing.
+// dropConn closes a connection that failed or delivers nothing, and sets the delivery timeout of the
+// next one.
 func (s *sender) dropConn() {
 	s.conn.Close()
 	s.deliveryTimeout = s.conn.nextDeliveryTimeout()
@@ -182,7 +187,7 @@
 	}
 }
 
-// flush writes a frame and those that are queued behind it.
+// flush writes a frame and the frames queued after it.
 func (s *sender) flush(frame []byte) error {
 	now := time.Now()
 	s.conn.SetWriteDeadline(now.Add(writeTimeout))
@@ -204,7 +209,7 @@
 	}
 }
 
-// dial connects to an address; nil where it does not answer in time.
+// dial connects to an address. It returns nil if the attempt fails or takes longer than dialTimeout.
 func (l *Link) dial(to string, deliveryTimeout time.Duration) *outbound {
 	dialer := net.Dialer{Timeout: dialTimeout, KeepAlive: -1}
 	c, err := dialer.DialContext(l.ctx, "tcp4", to)
@@ -219,7 +224,8 @@
 	return o
 }
 
-// setUserTimeout has the system end a connection whose other side acknowledges nothing.
+// setUserTimeout makes the operating system end a connection if sent bytes remain without a TCP
+// acknowledgement for tcpUserTimeout.
 func setUserTimeout(c net.Conn) {
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
