--- a/coord/link/golden_test.go
+++ b/coord/link/golden_test.go
@@ -9,8 +9,8 @@
 	"reachspread/internal/testbed/golden"
 )
 
-// A connection carries the bytes that it did at commit 5bfcc27, without a handshake: frames one
-// way, acknowledgements the other.
+// A connection carries the same bytes as at commit 5bfcc27: frames in one direction,
+// acknowledgements in the other, and no handshake.
 func TestFramesKeepTheirBytes(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -51,7 +51,7 @@
 	golden.Check(t, "frames", []golden.Record{{Name: "frames", Data: frames}, {Name: "acknowledgement", Data: acknowledged}})
 	for _, want := range messages {
 		if got := nextMessage(t, arrived); got != want {
-			t.Errorf("a frame is read as %+v, not %+v", got, want)
+			t.Errorf("the receiver read a frame as %+v, want %+v", got, want)
 		}
 	}
 }
--- a/coord/link/link_test.go
+++ b/coord/link/link_test.go
@@ -13,16 +13,18 @@
 	"github.com/matryer/is"
 )
 
-// patience bounds what a test waits for; it is never waited for where all is well.
+// testTimeout is how long a test waits for an event before it fails. A test that passes never waits
+// that long.
 const testTimeout = 10 * time.Second
 
-// received is a message that came.
+// received is a message that arrived.
 type received struct {
 	kind Kind
 	data string
 }
 
-// started returns a link that listens on a free port, and what comes there.
+// startLink starts a link on a free port. It returns the link, its address, and a channel with the
+// messages that arrive there.
 func startLink(t *testing.T) (*Link, string, chan received) {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -41,13 +43,14 @@
 	return l, address, messages
 }
 
+// nextMessage returns the next message that arrives, and fails the test after testTimeout.
 func nextMessage(t *testing.T, messages chan received) received {
 	t.Helper()
 	select {
 	case r := <-messages:
 		return r
 	case <-time.After(testTimeout):
-		t.Fatal("nothing came")
+		t.Fatal("no message arrived within testTimeout")
 		return received{}
 	}
 }
@@ -70,8 +73,8 @@
 	is.True(a.Stats().SentBytes > 1<<20)
 }
 
-// A process that starts later at an address gets what is sent from then on; what could not be sent
-// is counted.
+// A receiver that starts after the first messages to its address were sent receives later ones. The
+// messages that could not be sent before are counted as lost.
 func TestReceiverThatStartsLater(t *testing.T) {
 	is := is.New(t)
 	a, _, _ := startLink(t)
@@ -92,7 +95,7 @@
 			is.True(started)
 			arrived = true
 		case <-ticker.C:
-			if !started && a.Stats().Lost > 0 { // nobody has listened so far
+			if !started && a.Stats().Lost > 0 { // no process has listened at the address so far
 				is.NoErr(b.Start(ctx))
 				started = true
 			}
@@ -100,7 +103,8 @@
 	}
 }
 
-// Bytes that are no frame end their connection and nothing else; a length alone takes no memory.
+// Bytes that aren't a frame end their connection, and other connections are unaffected. A large
+// length in a header alone doesn't allocate memory.
 func TestMalformedFramesEndTheirConnection(t *testing.T) {
 	is := is.New(t)
 	a, _, _ := startLink(t)
@@ -111,7 +115,7 @@
 		c.Write(text)
 		c.(*net.TCPConn).CloseWrite()
 		c.SetReadDeadline(time.Now().Add(testTimeout))
-		c.Read(make([]byte, 1)) // until it is closed
+		c.Read(make([]byte, 1)) // returns once the receiver has closed the connection
 		c.Close()
 	}
 	a.Send(to, 1, []byte("complete"))
@@ -119,7 +123,7 @@
 	is.Equal(len(messages), 0)
 }
 
-// A message above the bound is lost, and counted.
+// A message above MaxMessageLen is lost and counted.
 func TestTooLongMessageIsLost(t *testing.T) {
 	is := is.New(t)
 	a, _, _ := startLink(t)
@@ -127,8 +131,9 @@
 	is.Equal(a.Stats().Lost, uint64(1))
 }
 
-// swallower is a proxy that forwards all connections but the first: its bytes are acknowledged by
-// the system, and go no further.
+// startBlackholeProxy starts a proxy and returns its address. The proxy discards the bytes of the
+// first connection, which the operating system has acknowledged to the sender. It forwards all later
+// connections to an address.
 func startBlackholeProxy(t *testing.T, to string) string {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -152,7 +157,7 @@
 	return ln.Addr().String()
 }
 
-// forward forwards bytes both ways until one side ends.
+// forward connects to an address and forwards bytes in both directions until one side ends.
 func forward(c net.Conn, to string) {
 	defer c.Close()
 	upstream, err := net.Dial("tcp4", to)
@@ -167,14 +172,15 @@
 	io.Copy(upstream, c)
 }
 
-// On a long day with hundreds of configurations a machine of the register that had been isolated
-// one way received nothing for 5.2 s after the partition had healed, though it could send, so it
-// served by an old configuration. The connections to it had outlived the partition: what was
-// written to them went into buffers and no further, until a write did not fit any more. The
-// system's user time-out for bytes without an acknowledgement did not end them.
+// A connection that delivers nothing is replaced soon, although each write to it succeeds. The
+// messages queued in it are lost; messages sent later arrive.
 //
-// A connection through which nothing arrives is replaced soon, though each write to it succeeds.
-// What was queued in it is lost, what is sent later arrives.
+// The test guards against this failure: during a long run with hundreds of configurations, one
+// machine of the register was isolated in one direction. After the partition had healed, the machine
+// could send but received nothing for 5.2 s, so it served an old configuration. The connections to
+// it had survived the partition. Writes to them only filled buffers, until the buffers were full.
+// TCP_USER_TIMEOUT, which limits how long bytes may remain unacknowledged, did not end the
+// connections.
 func TestConnectionThatDeliversNothing(t *testing.T) {
 	is := is.New(t)
 	a, _, _ := startLink(t)
@@ -191,10 +197,11 @@
 		default:
 		}
 	}
-	t.Fatal("nothing came")
+	t.Fatal("no message arrived through the proxy within testTimeout")
 }
 
-// slowly is a proxy that forwards bytes at a rate.
+// startSlowProxy starts a proxy and returns its address. The proxy forwards connections to an
+// address, bytesPerStep bytes per step in the direction to that address.
 func startSlowProxy(t *testing.T, to string, bytesPerStep int, step time.Duration) string {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -215,11 +222,12 @@
 	return ln.Addr().String()
 }
 
-// pacedConn reads a few bytes a step.
+// pacedConn is a connection from which each Read takes one step and returns a limited number of
+// bytes.
 type pacedConn struct {
 	net.Conn
-	bytes int
-	step  time.Duration
+	bytes int           // maximum number of bytes per Read
+	step  time.Duration // pause before each Read
 }
 
 func (p *pacedConn) Read(b []byte) (int, error) {
@@ -227,8 +235,9 @@
 	return p.Conn.Read(b[:min(len(b), p.bytes)])
 }
 
-// A message that takes longer than the delivery time-out arrives over one connection, as it is
-// acknowledged on the way. An idle connection is kept for as long, too.
+// A message that takes longer than the delivery timeout arrives over one connection, because the
+// receiver acknowledges its bytes while they arrive. A connection that is idle for longer than the
+// delivery timeout is not replaced either.
 func TestLongMessageOverSlowLink(t *testing.T) {
 	is := is.New(t)
 	a, _, _ := startLink(t)
@@ -248,8 +257,8 @@
 	is.Equal(a.Stats().Broken, uint64(0))
 }
 
-// A receiver that never acknowledges, as one of an older version, gets the messages all the same,
-// over connections that are replaced less and less often.
+// A receiver that never acknowledges, such as one of an older version, still receives the messages.
+// The sender replaces the connections to it less and less often.
 func TestReceiverWithoutAcks(t *testing.T) {
 	is := is.New(t)
 	a, _, _ := startLink(t)
@@ -280,7 +289,7 @@
 		case got := <-payloads:
 			is.Equal(got, number)
 		case <-time.After(testTimeout):
-			t.Fatal("nothing came")
+			t.Fatal("no message arrived without acknowledgements within testTimeout")
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
