--- a/coord/link/delivery.go
+++ b/coord/link/delivery.go
@@ -79,8 +79,8 @@
 // recordWrite records that bytes are written to the connection at the given time.
 func (o *outbound) recordWrite(now time.Time) { o.unackedSince.CompareAndSwap(0, now.UnixNano()) }
 
-// isDelivering reports whether the connection seems to deliver what is written to it: every write is
-// acknowledged, or the first unacknowledged one is not older than the delivery timeout.
+// isDelivering reports whether the connection seems to deliver what is written to it: no write has
+// remained without a later acknowledgement for as long as the delivery timeout.
 func (o *outbound) isDelivering(now time.Time) bool {
 	since := o.unackedSince.Load()
 	return since == 0 || now.Sub(time.Unix(0, since)) < o.deliveryTimeout
--- a/coord/register/client.go
+++ b/coord/register/client.go
@@ -40,14 +40,15 @@
 	calls          map[uint64]chan answer // calls in progress, by id
 }
 
-// answer is a message that answers a call: a reply or a redirect. The zero answer stands for none.
+// answer is a message that answers a call: a reply or a redirect. The zero value means that no
+// answer arrived.
 type answer struct {
 	reply    *coordpb.Reply // nil for a redirect
 	redirect bool
 }
 
-// NewClient returns a client that sends messages from self with send. Answers to the address of
-// self must be passed to Receive. The function send must not block.
+// NewClient returns a client in a process with the address of self. It sends its requests with the
+// function send, which must not block. Answers that arrive at the address must be passed to Receive.
 func NewClient(self *coordpb.Member, send func(to string, m *coordpb.Message)) *Client {
 	return &Client{self: self, send: send, lastID: rand.Uint64(), calls: map[uint64]chan answer{}}
 }
--- a/coord/register/core.go
+++ b/coord/register/core.go
@@ -114,8 +114,9 @@
 // answer reads.
 func (c *Core) Readable() bool { return c.chain.Readable() }
 
-// ConfirmedAt returns the latest time at which this process's epoch was certainly the newest one,
-// because a majority of the members confirmed it then; ok is false if no such time is known.
+// ConfirmedAt returns the latest time at which this process's epoch was certainly the newest one. It
+// is when the last round of confirmations began that a majority of the members answered; ok is false
+// if there is no such time.
 func (c *Core) ConfirmedAt() (time.Duration, bool) { return c.chain.ConfirmedAt() }
 
 // SetKnownAddresses sets the addresses of the processes that may be or become members.
@@ -158,8 +159,8 @@
 	return d, c.recordCount
 }
 
-// RecordsWritten tells the Core that the given number of records, counted since its start, are
-// durable. It returns the effects that waited for them.
+// RecordsWritten tells the Core how many of the records created since its start are durable. It
+// returns the effects that waited for them.
 func (c *Core) RecordsWritten(records uint64, now time.Duration) Output {
 	c.durableCount = max(c.durableCount, records)
 	return c.applyEffects(now, nil, nil)
--- a/coord/register/fuzz_test.go
+++ b/coord/register/fuzz_test.go
@@ -38,7 +38,7 @@
 		for _, data := range [][]byte{first, second, first} {
 			m := &coordpb.Message{}
 			if proto.Unmarshal(data, m) != nil || m.From == nil {
-				continue // the readers of network messages drop these too
+				continue // the code that reads messages from the network drops these too
 			}
 			now += 100 * time.Millisecond
 			core.Receive(now, m)
--- a/coord/register/replica.go
+++ b/coord/register/replica.go
@@ -67,7 +67,7 @@
 	needsFullWrite bool          // the log may lack records, so the complete state has to be written
 
 	currentTolerance    int
-	toleranceShortSince time.Duration // since when it is below Config.Tolerance; below 0 while it isn't
+	toleranceShortSince time.Duration // when it fell below Config.Tolerance; below 0 while it equals it
 	canShutDown         bool
 
 	status  atomic.Pointer[Status]
@@ -139,7 +139,8 @@
 }
 
 // Lease returns the current view and reports whether this process may act on the shards that the
-// view assigns to it: a majority must have confirmed the epoch within view.LeaseDuration.
+// view assigns to it. It may if a majority has confirmed the epoch within the last
+// view.LeaseDuration.
 func (r *Replica) Lease() (v *coordpb.View, ok bool) {
 	s := r.status.Load()
 	return s.View, s.ConfirmedAt >= 0 && r.now()-s.ConfirmedAt < view.LeaseDuration
--- a/coord/register/schedules_test.go
+++ b/coord/register/schedules_test.go
@@ -21,7 +21,7 @@
 )
 
 const (
-	faultsUntil         = 40 * time.Second      // faults begin until then
+	faultsUntil         = 40 * time.Second      // no fault begins later
 	quietTime           = 8 * time.Second       // run time after the end of all faults
 	overlapRecoveryTime = 12 * time.Second      // recovery time after more faults than are tolerated
 	acknowledgeTimeout  = 5 * time.Second       // a command must be acknowledged within this time before the end of a run
--- a/coord/register/status.go
+++ b/coord/register/status.go
@@ -18,15 +18,14 @@
 	Readable bool
 	// Healthy reports whether writes reach the disk in time.
 	Healthy bool
-	// ConfirmedAt is the latest time at which the epoch was certainly the newest one, because a
-	// majority confirmed it then; it is below 0 if no such time is known.
+	// ConfirmedAt is the latest time at which the epoch was certainly the newest one: when the last
+	// round of confirmations began that a majority answered. It is below 0 if there is no such time.
 	ConfirmedAt time.Duration
 	// CurrentTolerance is how many more members may be lost at once without losing the state or the
 	// majority, as far as this process knows.
 	CurrentTolerance int
-	// ToleranceShortSince is the time since which CurrentTolerance has been less than
-	// Config.Tolerance. It is below 0 while CurrentTolerance is as high as Config.Tolerance, and
-	// before the first view.
+	// ToleranceShortSince is when CurrentTolerance fell below Config.Tolerance. It is below 0 while
+	// CurrentTolerance equals Config.Tolerance, and before the first view.
 	ToleranceShortSince time.Duration
 	// CanShutDown reports, for a draining process, whether the others can do without it.
 	CanShutDown bool
