--- a/coord/link/golden_test.go
+++ b/coord/link/golden_test.go
@@ -9,15 +9,15 @@
 	"reachspread/internal/testbed/golden"
 )
 
-// A connection carries the bytes that it did at commit 5bfcc27, without a handshake: frames one
-// way, acknowledgements the other.
+// A connection carries the same bytes as at commit 5bfcc27: frames in one direction,
+// acknowledgements in the other, and no handshake.
 func TestFramesKeepTheirBytes(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	sender, receiver, came := started(t)
+	sender, receiver, arrived := startLink(t)
 	messages := []received{{7, "a message"}, {255, ""}, {0, "\x00\xff"}}
 	length := 0
 	for _, m := range messages {
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	frames := make([]byte, length)
 	if _, err := io.ReadFull(c, frames); err != nil {
 		t.Fatal(err)
@@ -40,7 +40,7 @@
 		t.Fatal(err)
 	}
 	defer out.Close()
-	out.SetDeadline(time.Now().Add(patience))
+	out.SetDeadline(time.Now().Add(testTimeout))
 	if _, err := out.Write(frames); err != nil {
 		t.Fatal(err)
 	}
@@ -50,8 +50,8 @@
 	}
 	golden.Check(t, "frames", []golden.Record{{Name: "frames", Data: frames}, {Name: "acknowledgement", Data: acknowledged}})
 	for _, want := range messages {
-		if got := next(t, came); got != want {
-			t.Errorf("a frame is read as %+v, not %+v", got, want)
+		if got := nextMessage(t, arrived); got != want {
+			t.Errorf("the receiver read a frame as %+v, want %+v", got, want)
 		}
 	}
 }
--- a/coord/link/link_test.go
+++ b/coord/link/link_test.go
@@ -13,17 +13,19 @@
 	"github.com/matryer/is"
 )
 
-// patience bounds what a test waits for; it is never waited for where all is well.
-const patience = 10 * time.Second
+// testTimeout is how long a test waits for an event before it fails. A test that passes never waits
+// that long.
+const testTimeout = 10 * time.Second
 
-// received is a message that came.
+// received is a message that arrived.
 type received struct {
 	kind Kind
 	data string
 }
 
-// started returns a link that listens on a free port, and what comes there.
-func started(t *testing.T) (*Link, string, chan received) {
+// startLink starts a link on a free port. It returns the link, its address, and a channel with the
+// messages that arrive there.
+func startLink(t *testing.T) (*Link, string, chan received) {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -31,23 +33,24 @@
 	}
 	address := ln.Addr().String()
 	ln.Close()
-	came := make(chan received, 1000)
-	l := New(netip.MustParseAddrPort(address), func(kind Kind, data []byte) { came <- received{kind, string(data)} })
+	messages := make(chan received, 1000)
+	l := New(netip.MustParseAddrPort(address), func(kind Kind, data []byte) { messages <- received{kind, string(data)} })
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
 	if err := l.Start(ctx); err != nil {
 		t.Fatal(err)
 	}
-	return l, address, came
+	return l, address, messages
 }
 
-func next(t *testing.T, came chan received) received {
+// nextMessage returns the next message that arrives, and fails the test after testTimeout.
+func nextMessage(t *testing.T, messages chan received) received {
 	t.Helper()
 	select {
-	case r := <-came:
+	case r := <-messages:
 		return r
-	case <-time.After(patience):
-		t.Fatal("nothing came")
+	case <-time.After(testTimeout):
+		t.Fatal("no message arrived within testTimeout")
 		return received{}
 	}
 }
@@ -55,44 +58,44 @@
 // Messages arrive with their kinds, in order, whatever their size.
 func TestMessagesArriveInOrder(t *testing.T) {
 	is := is.New(t)
-	a, _, _ := started(t)
-	_, to, came := started(t)
+	a, _, _ := startLink(t)
+	_, to, messages := startLink(t)
 	large := bytes.Repeat([]byte("x"), 1<<20)
 	a.Send(to, 2, large)
 	for i := range 100 {
 		a.Send(to, 1, fmt.Append(nil, i))
 	}
-	is.Equal(next(t, came), received{2, string(large)})
+	is.Equal(nextMessage(t, messages), received{2, string(large)})
 	for i := range 100 {
-		is.Equal(next(t, came), received{1, fmt.Sprint(i)})
+		is.Equal(nextMessage(t, messages), received{1, fmt.Sprint(i)})
 	}
 	is.True(a.Stats().Sent == 101)
 	is.True(a.Stats().SentBytes > 1<<20)
 }
 
-// A process that starts later at an address gets what is sent from then on; what could not be sent
-// is counted.
+// A receiver that starts after the first messages to its address were sent receives later ones. The
+// messages that could not be sent before are counted as lost.
 func TestReceiverThatStartsLater(t *testing.T) {
 	is := is.New(t)
-	a, _, _ := started(t)
+	a, _, _ := startLink(t)
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
 	to := ln.Addr().String()
 	ln.Close()
-	came := make(chan received, 1000)
-	b := New(netip.MustParseAddrPort(to), func(kind Kind, data []byte) { came <- received{kind, string(data)} })
+	messages := make(chan received, 1000)
+	b := New(netip.MustParseAddrPort(to), func(kind Kind, data []byte) { messages <- received{kind, string(data)} })
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	again := time.NewTicker(time.Millisecond)
-	defer again.Stop()
+	ticker := time.NewTicker(time.Millisecond)
+	defer ticker.Stop()
 	for started, arrived := false, false; !arrived; {
 		a.Send(to, 1, []byte("word"))
 		select {
-		case <-came:
+		case <-messages:
 			is.True(started)
 			arrived = true
-		case <-again.C:
-			if !started && a.Stats().Lost > 0 { // nobody has listened so far
+		case <-ticker.C:
+			if !started && a.Stats().Lost > 0 { // no process has listened at the address so far
 				is.NoErr(b.Start(ctx))
 				started = true
 			}
@@ -100,36 +103,38 @@
 	}
 }
 
-// Bytes that are no frame end their connection and nothing else; a length alone takes no memory.
+// Bytes that aren't a frame end their connection, and other connections are unaffected. A large
+// length in a header alone doesn't allocate memory.
 func TestMalformedFramesEndTheirConnection(t *testing.T) {
 	is := is.New(t)
-	a, _, _ := started(t)
-	_, to, came := started(t)
+	a, _, _ := startLink(t)
+	_, to, messages := startLink(t)
 	for _, text := range [][]byte{{0xff, 0xff, 0xff, 0xff, 1, 2}, {0, 0x10, 0, 0, 1}, []byte("GET / HTTP/1.1\r\n\r\n")} {
 		c, err := net.Dial("tcp", to)
 		is.NoErr(err)
 		c.Write(text)
 		c.(*net.TCPConn).CloseWrite()
-		c.SetReadDeadline(time.Now().Add(patience))
-		c.Read(make([]byte, 1)) // until it is closed
+		c.SetReadDeadline(time.Now().Add(testTimeout))
+		c.Read(make([]byte, 1)) // returns once the receiver has closed the connection
 		c.Close()
 	}
 	a.Send(to, 1, []byte("complete"))
-	is.Equal(next(t, came), received{1, "complete"})
-	is.Equal(len(came), 0)
+	is.Equal(nextMessage(t, messages), received{1, "complete"})
+	is.Equal(len(messages), 0)
 }
 
-// A message above the bound is lost, and counted.
+// A message above MaxMessageLen is lost and counted.
 func TestTooLongMessageIsLost(t *testing.T) {
 	is := is.New(t)
-	a, _, _ := started(t)
+	a, _, _ := startLink(t)
 	a.Send("127.0.0.1:1", 1, make([]byte, MaxMessageLen+1))
 	is.Equal(a.Stats().Lost, uint64(1))
 }
 
-// swallower is a proxy that forwards all connections but the first: its bytes are acknowledged by
-// the system, and go no further.
-func swallower(t *testing.T, to string) string {
+// startBlackholeProxy starts a proxy and returns its address. The proxy discards the bytes of the
+// first connection, which the operating system has acknowledged to the sender. It forwards all later
+// connections to an address.
+func startBlackholeProxy(t *testing.T, to string) string {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -137,12 +142,12 @@
 	}
 	t.Cleanup(func() { ln.Close() })
 	go func() {
-		for swallowed := false; ; swallowed = true {
+		for discarded := false; ; discarded = true {
 			c, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			if !swallowed {
+			if !discarded {
 				go io.Copy(io.Discard, c)
 				continue
 			}
@@ -152,50 +157,52 @@
 	return ln.Addr().String()
 }
 
-// forward forwards bytes both ways until one side ends.
+// forward connects to an address and forwards bytes in both directions until one side ends.
 func forward(c net.Conn, to string) {
 	defer c.Close()
-	next, err := net.Dial("tcp4", to)
+	upstream, err := net.Dial("tcp4", to)
 	if err != nil {
 		return
 	}
-	defer next.Close()
+	defer upstream.Close()
 	go func() {
-		io.Copy(c, next)
+		io.Copy(c, upstream)
 		c.Close()
 	}()
-	io.Copy(next, c)
+	io.Copy(upstream, c)
 }
 
-// On a long day with hundreds of configurations a machine of the register that had been isolated
-// one way received nothing for 5.2 s after the partition had healed, though it could send, so it
-// served by an old configuration. The connections to it had outlived the partition: what was
-// written to them went into buffers and no further, until a write did not fit any more. The
-// system's user time-out for bytes without an acknowledgement did not end them.
+// A connection that delivers nothing is replaced soon, although each write to it succeeds. The
+// messages queued in it are lost; messages sent later arrive.
 //
-// A connection through which nothing arrives is replaced soon, though each write to it succeeds.
-// What was queued in it is lost, what is sent later arrives.
+// The test guards against this failure: during a long run with hundreds of configurations, one
+// machine of the register was isolated in one direction. After the partition had healed, the machine
+// could send but received nothing for 5.2 s, so it served an old configuration. The connections to
+// it had survived the partition. Writes to them only filled buffers, until the buffers were full.
+// TCP_USER_TIMEOUT, which limits how long bytes may remain unacknowledged, did not end the
+// connections.
 func TestConnectionThatDeliversNothing(t *testing.T) {
 	is := is.New(t)
-	a, _, _ := started(t)
-	_, to, came := started(t)
-	by := swallower(t, to)
-	again := time.NewTicker(20 * time.Millisecond)
-	defer again.Stop()
-	for until := time.Now().Add(patience); time.Now().Before(until); <-again.C {
-		a.Send(by, 1, []byte("word"))
+	a, _, _ := startLink(t)
+	_, to, messages := startLink(t)
+	proxy := startBlackholeProxy(t, to)
+	ticker := time.NewTicker(20 * time.Millisecond)
+	defer ticker.Stop()
+	for until := time.Now().Add(testTimeout); time.Now().Before(until); <-ticker.C {
+		a.Send(proxy, 1, []byte("word"))
 		select {
-		case r := <-came:
+		case r := <-messages:
 			is.Equal(r, received{1, "word"})
 			return
 		default:
 		}
 	}
-	t.Fatal("nothing came")
+	t.Fatal("no message arrived through the proxy within testTimeout")
 }
 
-// slowly is a proxy that forwards bytes at a rate.
-func slowly(t *testing.T, to string, bytesAStep int, step time.Duration) string {
+// startSlowProxy starts a proxy and returns its address. The proxy forwards connections to an
+// address, bytesPerStep bytes per step in the direction to that address.
+func startSlowProxy(t *testing.T, to string, bytesPerStep int, step time.Duration) string {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -208,18 +215,19 @@
 			if err != nil {
 				return
 			}
-			c.(*net.TCPConn).SetReadBuffer(bytesAStep)
-			go forward(&pacedConn{c, bytesAStep, step}, to)
+			c.(*net.TCPConn).SetReadBuffer(bytesPerStep)
+			go forward(&pacedConn{c, bytesPerStep, step}, to)
 		}
 	}()
 	return ln.Addr().String()
 }
 
-// pacedConn reads a few bytes a step.
+// pacedConn is a connection from which each Read takes one step and returns a limited number of
+// bytes.
 type pacedConn struct {
 	net.Conn
-	bytes int
-	step  time.Duration
+	bytes int           // maximum number of bytes per Read
+	step  time.Duration // pause before each Read
 }
 
 func (p *pacedConn) Read(b []byte) (int, error) {
@@ -227,36 +235,37 @@
 	return p.Conn.Read(b[:min(len(b), p.bytes)])
 }
 
-// A message that takes longer than the delivery time-out arrives over one connection, as it is
-// acknowledged on the way. An idle connection is kept for as long, too.
+// A message that takes longer than the delivery timeout arrives over one connection, because the
+// receiver acknowledges its bytes while they arrive. A connection that is idle for longer than the
+// delivery timeout is not replaced either.
 func TestLongMessageOverSlowLink(t *testing.T) {
 	is := is.New(t)
-	a, _, _ := started(t)
-	_, to, came := started(t)
-	by := slowly(t, to, 16<<10, 40*time.Millisecond)
+	a, _, _ := startLink(t)
+	_, to, messages := startLink(t)
+	proxy := startSlowProxy(t, to, 16<<10, 40*time.Millisecond)
 	long := bytes.Repeat([]byte("x"), 1<<20)
 	for _, size := range []int{len(long), 1} {
-		a.Send(by, 1, long[:size])
-		is.Equal(len(next(t, came).data), size)
+		a.Send(proxy, 1, long[:size])
+		is.Equal(len(nextMessage(t, messages).data), size)
 	}
 	idle := time.NewTimer(minDeliveryTimeout + ackInterval)
 	defer idle.Stop()
 	<-idle.C
-	a.Send(by, 1, []byte("after an idle time"))
-	is.Equal(next(t, came).data, "after an idle time")
+	a.Send(proxy, 1, []byte("after an idle time"))
+	is.Equal(nextMessage(t, messages).data, "after an idle time")
 	is.Equal(a.Stats().Connected, uint64(1))
 	is.Equal(a.Stats().Broken, uint64(0))
 }
 
-// A receiver that never acknowledges, as one of an older version, gets the messages all the same,
-// over connections that are replaced less and less often.
+// A receiver that never acknowledges, such as one of an older version, still receives the messages.
+// The sender replaces the connections to it less and less often.
 func TestReceiverWithoutAcks(t *testing.T) {
 	is := is.New(t)
-	a, _, _ := started(t)
+	a, _, _ := startLink(t)
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
 	defer ln.Close()
-	came := make(chan byte, 1000)
+	payloads := make(chan byte, 1000)
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -269,7 +278,7 @@
 					if _, err := io.ReadFull(c, frame); err != nil {
 						return
 					}
-					came <- frame[frameHeaderLen]
+					payloads <- frame[frameHeaderLen]
 				}
 			}()
 		}
@@ -277,10 +286,10 @@
 	for number := byte(0); a.Stats().Connected < 3; number++ {
 		a.Send(ln.Addr().String(), 1, []byte{number})
 		select {
-		case got := <-came:
+		case got := <-payloads:
 			is.Equal(got, number)
-		case <-time.After(patience):
-			t.Fatal("nothing came")
+		case <-time.After(testTimeout):
+			t.Fatal("no message arrived without acknowledgements within testTimeout")
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
--- a/coord/register/fuzz_test.go
+++ b/coord/register/fuzz_test.go
@@ -11,7 +11,7 @@
 	"reachspread/coord/simulation"
 )
 
-// No message, in whatever state a replica is, makes the process panic.
+// No message makes a Core panic, whatever state the Core is in.
 func FuzzCoreReceives(f *testing.F) {
 	self := &coordpb.Member{Identity: 1, Address: "a"}
 	other := &coordpb.Member{Identity: 2, Address: "b"}
@@ -29,16 +29,16 @@
 	}
 	for i, m := range seeds {
 		first, _ := proto.Marshal(seeds[0])
-		text, _ := proto.Marshal(m)
-		f.Add(first, text, i%2 == 0)
+		data, _ := proto.Marshal(m)
+		f.Add(first, data, i%2 == 0)
 	}
 	f.Fuzz(func(t *testing.T, first, second []byte, founder bool) {
 		core := register.NewCore(register.Config{Self: self, Seeds: []string{"a", "b"}, Founder: founder, Eligible: true, Tolerance: 1}, simulation.Counter{}.New(), 0)
 		now := time.Duration(0)
-		for _, text := range [][]byte{first, second, first} {
+		for _, data := range [][]byte{first, second, first} {
 			m := &coordpb.Message{}
-			if proto.Unmarshal(text, m) != nil || m.From == nil {
-				continue // as whoever reads from the wire does
+			if proto.Unmarshal(data, m) != nil || m.From == nil {
+				continue // the code that reads messages from the network drops these too
 			}
 			now += 100 * time.Millisecond
 			core.Receive(now, m)
