--- a/coord/chain/catchup.go
+++ b/coord/chain/catchup.go
@@ -79,13 +79,13 @@
 }
 
 // requestState asks a member for what the state lacks; ahead says that a learner asks.
-func (r *Replica) requestState(from string, ahead bool) {
+func (r *Replica) requestState(from string, asLearner bool) {
 	c := &r.catchUp
 	c.nextRequest = r.now + requestTimeout
-	n := &coordpb.Need{Epoch: r.view.Epoch, Position: r.position, Ahead: ahead}
+	n := &coordpb.Need{Epoch: r.view.Epoch, Position: r.position, Ahead: asLearner}
 	if c.incoming != nil {
-		of := c.incoming.of
-		n.Have = &coordpb.Part{Position: of.Position, Size: of.Size, Sum: of.Sum, Offset: uint64(len(c.incoming.text))}
+		first := c.incoming.firstChunk
+		n.Have = &coordpb.Part{Position: first.Position, Size: first.Size, Sum: first.Sum, Offset: uint64(len(c.incoming.data))}
 	}
 	r.send(from, &coordpb.Message{Body: &coordpb.Message_Need{Need: n}})
 }
@@ -107,11 +107,11 @@
 	}
 	o := r.outgoingSnapshotFor(n.Have)
 	offset := 0
-	if o.has(n.Have) {
+	if o.matches(n.Have) {
 		offset = int(n.Have.Offset)
 	}
-	text := o.text[offset:min(len(o.text), offset+chunkBytes)]
-	chunk := &coordpb.Snapshot{Epoch: n.Epoch, Position: r.position, State: text, Part: o.chunkAt(offset), Ahead: n.Ahead}
+	data := o.data[offset:min(len(o.data), offset+chunkBytes)]
+	chunk := &coordpb.Snapshot{Epoch: n.Epoch, Position: r.position, State: data, Part: o.chunkAt(offset), Ahead: n.Ahead}
 	r.send(from, &coordpb.Message{Body: &coordpb.Message_Snapshot{Snapshot: chunk}})
 }
 
@@ -133,11 +133,11 @@
 
 // acceptsStateFrom reports whether the state may be taken from a member: by a learner from any,
 // in the chain from the predecessor.
-func (r *Replica) acceptsStateFrom(from string, epoch uint64, ahead bool) bool {
+func (r *Replica) acceptsStateFrom(from string, epoch uint64, asLearner bool) bool {
 	if epoch != r.view.Epoch || r.sealed {
 		return false
 	}
-	if ahead {
+	if asLearner {
 		return !r.participates()
 	}
 	return r.isActiveIn(epoch) && from == r.predecessor()
@@ -164,8 +164,8 @@
 
 // applyCaughtUp applies one change. Once this replica is synced, the members behind it lack the
 // change as well, and it is forwarded.
-func (r *Replica) applyCaughtUp(e *coordpb.Entry, previous uint64, ahead bool) {
-	if ahead || !r.synced {
+func (r *Replica) applyCaughtUp(e *coordpb.Entry, previous uint64, asLearner bool) {
+	if asLearner || !r.synced {
 		r.apply(e)
 		return
 	}
@@ -174,12 +174,12 @@
 
 // continueCatchUp goes on after something was taken from a member: with the epoch, if the
 // states are the same now, else with the next request.
-func (r *Replica) continueCatchUp(from string, to *coordpb.Position, ahead bool) {
+func (r *Replica) continueCatchUp(from string, to *coordpb.Position, asLearner bool) {
 	if !sameState(r.position, to) {
-		r.requestState(from, ahead)
+		r.requestState(from, asLearner)
 		return
 	}
-	if !ahead {
+	if !asLearner {
 		r.completeSync()
 		return
 	}
--- a/coord/chain/catchup_test.go
+++ b/coord/chain/catchup_test.go
@@ -16,28 +16,28 @@
 
 // exchange carries messages between two replicas until none is left; lose reports which to drop. It
 // returns how many chunks of snapshots and how many messages with entries were delivered.
-func exchange(t *testing.T, a, b *Replica, from *Replica, effects []Effect, lose func(*coordpb.Message) bool) (chunks, entries int) {
+func exchange(t *testing.T, a, b *Replica, from *Replica, effects []Effect, drop func(*coordpb.Message) bool) (chunks, entries int) {
 	t.Helper()
 	type sent struct {
 		from *Replica
 		m    *coordpb.Message
 	}
 	var queue []sent
-	take := func(r *Replica, effects []Effect) {
+	enqueue := func(r *Replica, effects []Effect) {
 		for _, e := range effects {
 			if s, ok := e.(Send); ok && (s.To == a.self.Address || s.To == b.self.Address) {
 				queue = append(queue, sent{r, s.Message})
 			}
 		}
 	}
-	take(from, effects)
+	enqueue(from, effects)
 	for steps := 0; len(queue) > 0; steps++ {
 		if steps > 1000 {
 			t.Fatal("the two never come to an end")
 		}
 		s := queue[0]
 		queue = queue[1:]
-		if lose != nil && lose(s.m) {
+		if drop != nil && drop(s.m) {
 			continue
 		}
 		if s.m.GetSnapshot() != nil {
@@ -51,7 +51,7 @@
 			to = b
 		}
 		got, _ := to.Receive(to.now, s.m)
-		take(to, got)
+		enqueue(to, got)
 	}
 	return chunks, entries
 }
@@ -125,7 +125,7 @@
 		}
 		return seen > 2
 	})
-	is.Equal(len(learner.catchUp.incoming.text), 2*chunkBytes)
+	is.Equal(len(learner.catchUp.incoming.data), 2*chunkBytes)
 	appendChanges(t, tail, "e")
 	chunks, entries := exchange(t, learner, tail, learner, learner.Tick(2*time.Second), nil)
 	is.Equal(chunks, 3) // of five
@@ -185,10 +185,10 @@
 	is := is.New(t)
 	tail, all := newTail(t, chunkOf("a"))
 	learner, has := newLearner()
-	spoilt := false
+	corrupted := false
 	exchange(t, learner, tail, learner, learner.Tick(time.Second), func(m *coordpb.Message) bool {
-		if s := m.GetSnapshot(); s != nil && !spoilt {
-			spoilt = true
+		if s := m.GetSnapshot(); s != nil && !corrupted {
+			corrupted = true
 			s.State = append([]byte("x"), s.State[1:]...)
 		}
 		return false
--- a/coord/chain/confirm.go
+++ b/coord/chain/confirm.go
@@ -32,11 +32,11 @@
 // deferredReply is a reply that waits for a confirmation of the epoch that began after its request
 // came.
 type deferredReply struct {
-	arrivedAt time.Duration
-	origin    *coordpb.Origin
-	reply     []byte
-	read      bool   // the reply is the state at the time of the confirmation
-	known     uint64 // of a read: the sequence of the state that the client has, 0 for none
+	arrivedAt     time.Duration
+	origin        *coordpb.Origin
+	reply         []byte
+	read          bool   // the reply is the state at the time of the confirmation
+	knownSequence uint64 // of a read: the sequence of the state that the client has, 0 for none
 }
 
 // ConfirmedAt is the time at which the epoch was certainly the last one, on the owner's clock;
@@ -59,8 +59,8 @@
 			r.confirmedTo[m.Address] = r.now
 			continue
 		}
-		ask := &coordpb.Message{From: r.self, Body: &coordpb.Message_Confirm{Confirm: &coordpb.Confirm{Epoch: r.view.Epoch, Nonce: c.nonce}}}
-		r.emit(Send{To: m.Address, Message: ask, Immediate: true})
+		request := &coordpb.Message{From: r.self, Body: &coordpb.Message_Confirm{Confirm: &coordpb.Confirm{Epoch: r.view.Epoch, Nonce: c.nonce}}}
+		r.emit(Send{To: m.Address, Message: request, Immediate: true})
 	}
 	r.completeConfirm()
 }
@@ -116,16 +116,16 @@
 		return
 	}
 	c.active, c.confirmedAt = false, c.startedAt
-	left := r.deferred[:0]
+	remaining := r.deferred[:0]
 	for _, w := range r.deferred {
 		if w.arrivedAt > c.confirmedAt {
-			left = append(left, w)
+			remaining = append(remaining, w)
 			continue
 		}
 		r.sendDeferred(w)
 	}
-	clear(r.deferred[len(left):])
-	r.deferred = left
+	clear(r.deferred[len(remaining):])
+	r.deferred = remaining
 	if len(r.deferred) > 0 {
 		r.startConfirm()
 	}
@@ -139,7 +139,7 @@
 			r.redirect(w.origin.Address, w.origin.Id)
 			return
 		}
-		if reply.Unchanged = w.known > 0 && w.known == r.position.Sequence; !reply.Unchanged {
+		if reply.Unchanged = w.knownSequence > 0 && w.knownSequence == r.position.Sequence; !reply.Unchanged {
 			reply.Reply = r.machine.Snapshot()
 		}
 	}
@@ -152,6 +152,6 @@
 		r.redirect(from, read.Id)
 		return
 	}
-	r.deferred = append(r.deferred, deferredReply{arrivedAt: r.now, origin: &coordpb.Origin{Address: from, Id: read.Id}, read: true, known: read.Known})
+	r.deferred = append(r.deferred, deferredReply{arrivedAt: r.now, origin: &coordpb.Origin{Address: from, Id: read.Id}, read: true, knownSequence: read.Known})
 	r.startConfirm()
 }
--- a/coord/chain/replicate.go
+++ b/coord/chain/replicate.go
@@ -8,7 +8,7 @@
 // command is a submitted command that waits at the head.
 type command struct {
 	origin *coordpb.Origin
-	text   []byte
+	data   []byte
 }
 
 // handleSubmit queues a command at the head. A command of a client that is queued or in flight
@@ -51,7 +51,7 @@
 	for len(r.queue) > 0 && r.canExecute() {
 		next := r.queue[0]
 		r.queue = r.queue[1:]
-		change, reply := r.machine.Decide(next.text)
+		change, reply := r.machine.Decide(next.data)
 		if change == nil {
 			r.deferred = append(r.deferred, deferredReply{arrivedAt: r.now, origin: next.origin, reply: reply})
 			r.startConfirm()
--- a/coord/chain/snapshot.go
+++ b/coord/chain/snapshot.go
@@ -12,33 +12,33 @@
 // outgoingSnapshot is a snapshot that others fetch in chunks.
 type outgoingSnapshot struct {
 	position *coordpb.Position
-	text     []byte
+	data     []byte
 	sum      uint64
 	usedAt   time.Duration
 }
 
 // chunkAt describes the chunk at an offset.
 func (o *outgoingSnapshot) chunkAt(offset int) *coordpb.Part {
-	return &coordpb.Part{Position: o.position, Size: uint64(len(o.text)), Sum: o.sum, Offset: uint64(offset)}
+	return &coordpb.Part{Position: o.position, Size: uint64(len(o.data)), Sum: o.sum, Offset: uint64(offset)}
 }
 
 // has reports whether a chunk belongs to this snapshot.
-func (o *outgoingSnapshot) has(p *coordpb.Part) bool {
+func (o *outgoingSnapshot) matches(p *coordpb.Part) bool {
 	if o == nil || p == nil {
 		return false
 	}
-	return p.Sum == o.sum && p.Size == uint64(len(o.text)) && sameState(p.Position, o.position) && p.Offset <= p.Size
+	return p.Sum == o.sum && p.Size == uint64(len(o.data)) && sameState(p.Position, o.position) && p.Offset <= p.Size
 }
 
 // incomingSnapshot is a snapshot of which some chunks have come.
 type incomingSnapshot struct {
-	of   *coordpb.Part // its first chunk
-	text []byte
+	firstChunk *coordpb.Part // its first chunk
+	data       []byte
 }
 
 // has reports whether a chunk belongs to this snapshot.
-func (i *incomingSnapshot) has(p *coordpb.Part) bool {
-	return i != nil && i.of.Sum == p.Sum && i.of.Size == p.Size && sameState(i.of.Position, p.Position)
+func (i *incomingSnapshot) matches(p *coordpb.Part) bool {
+	return i != nil && i.firstChunk.Sum == p.Sum && i.firstChunk.Size == p.Size && sameState(i.firstChunk.Position, p.Position)
 }
 
 // outgoingSnapshotFor returns the snapshot to send a chunk of: the last one, as long as the
@@ -46,13 +46,13 @@
 func (r *Replica) outgoingSnapshotFor(have *coordpb.Part) *outgoingSnapshot {
 	o := r.catchUp.outgoing
 	if o != nil {
-		if _, ok := r.catchUp.recent.after(o.position, r.position); !ok && !o.has(have) {
+		if _, ok := r.catchUp.recent.after(o.position, r.position); !ok && !o.matches(have) {
 			o = nil
 		}
 	}
 	if o == nil {
-		text := r.machine.Snapshot()
-		o = &outgoingSnapshot{position: r.position, text: text, sum: xxhash.Sum64(text)}
+		data := r.machine.Snapshot()
+		o = &outgoingSnapshot{position: r.position, data: data, sum: xxhash.Sum64(data)}
 		r.catchUp.outgoing = o
 	}
 	o.usedAt = r.now
@@ -65,49 +65,49 @@
 		return
 	}
 	r.catchUp.unansweredRequests = 0
-	of := s.Position
+	position := s.Position
 	if s.Part != nil {
-		of = s.Part.Position
+		position = s.Part.Position
 	}
-	text, complete := r.addChunk(from, s)
+	data, complete := r.addChunk(from, s)
 	if !complete {
 		return
 	}
-	if s.Ahead && !view.IsAhead(of, r.position) {
+	if s.Ahead && !view.IsAhead(position, r.position) {
 		r.catchUp.nextRequest = r.now + learnerPollInterval
 		return
 	}
-	if r.machine.Restore(text) != nil {
+	if r.machine.Restore(data) != nil {
 		return
 	}
 	r.catchUp.recent = recentChanges{}
-	r.position = &coordpb.Position{StateEpoch: of.GetStateEpoch(), Sequence: of.GetSequence(), EntryEpoch: of.GetEntryEpoch()}
-	r.emit(Write{&coordpb.Record{Body: &coordpb.Record_Installed{Installed: &coordpb.Installed{Position: r.position, State: text}}}})
+	r.position = &coordpb.Position{StateEpoch: position.GetStateEpoch(), Sequence: position.GetSequence(), EntryEpoch: position.GetEntryEpoch()}
+	r.emit(Write{&coordpb.Record{Body: &coordpb.Record_Installed{Installed: &coordpb.Installed{Position: r.position, State: data}}}})
 	r.continueCatchUp(from, s.Position, s.Ahead)
 }
 
 // addChunk adds a chunk to those that came before; complete is true once all are there with the
 // right checksum.
-func (r *Replica) addChunk(from string, s *coordpb.Snapshot) (text []byte, complete bool) {
+func (r *Replica) addChunk(from string, s *coordpb.Snapshot) (data []byte, complete bool) {
 	if s.Part == nil {
 		return s.State, true
 	}
 	c := &r.catchUp
-	if !c.incoming.has(s.Part) {
+	if !c.incoming.matches(s.Part) {
 		if s.Part.Offset > 0 || s.Part.Size > maxSnapshotBytes {
 			return nil, false
 		}
-		c.incoming = &incomingSnapshot{of: s.Part}
+		c.incoming = &incomingSnapshot{firstChunk: s.Part}
 	}
-	b := c.incoming
-	if s.Part.Offset != uint64(len(b.text)) {
+	incoming := c.incoming
+	if s.Part.Offset != uint64(len(incoming.data)) {
 		return nil, false // a duplicate
 	}
-	b.text = append(b.text, s.State...)
-	if uint64(len(b.text)) < b.of.Size {
+	incoming.data = append(incoming.data, s.State...)
+	if uint64(len(incoming.data)) < incoming.firstChunk.Size {
 		r.requestState(from, s.Ahead)
 		return nil, false
 	}
 	c.incoming = nil
-	return b.text, xxhash.Sum64(b.text) == b.of.Sum
+	return incoming.data, xxhash.Sum64(incoming.data) == incoming.firstChunk.Sum
 }
--- a/coord/view/acceptor.go
+++ b/coord/view/acceptor.go
@@ -59,7 +59,7 @@
 
 // promise records a proposal number as promised, and seals the present epoch.
 func (d *Decider) promise(b *coordpb.Ballot) {
-	d.sealedAt = d.now
+	d.lastPromiseAt = d.now
 	if d.promised == nil {
 		d.emit(Sealed{})
 	}
--- a/coord/view/heartbeat.go
+++ b/coord/view/heartbeat.go
@@ -9,18 +9,18 @@
 
 // peer is another process that may be a member, as its heartbeats describe it.
 type peer struct {
-	member         *coordpb.Member
-	lastHeard      time.Duration // when the last heartbeat came
-	aliveSince     time.Duration // the beginning of the present period without a gap
-	firstHeard     time.Duration // when the first heartbeat of this incarnation came
-	unhealthySince time.Duration // when its storage began to fail, 0 while it works
-	position       *coordpb.Position
-	epoch          uint64
-	healthy        bool // its storage works
-	founder        bool // it may vote on the first view
-	draining       bool // it is about to shut down
-	eligible       bool // it may be a member
-	hearsSelf      bool // it has received heartbeats of this process of late
+	member           *coordpb.Member
+	lastHeartbeatAt  time.Duration // when the last heartbeat came
+	aliveSince       time.Duration // the beginning of the present period without a gap
+	firstHeartbeatAt time.Duration // when the first heartbeat of this incarnation came
+	unhealthySince   time.Duration // when its storage began to fail, 0 while it works
+	position         *coordpb.Position
+	epoch            uint64
+	healthy          bool // its storage works
+	founder          bool // it may vote on the first view
+	draining         bool // it is about to shut down
+	eligible         bool // it may be a member
+	receivesFromSelf bool // it has received heartbeats of this process of late
 }
 
 // sendHeartbeats sends heartbeats to all processes that may be members. Processes that can't be
@@ -74,7 +74,7 @@
 		add(address)
 	}
 	for address, p := range d.peers {
-		if d.now-p.lastHeard < replaceTimeout {
+		if d.now-p.lastHeartbeatAt < replaceTimeout {
 			add(address)
 		}
 	}
@@ -114,7 +114,7 @@
 		d.peers[from.Address] = p
 	}
 	if p.member == nil || p.member.Identity != from.Identity {
-		*p = peer{member: from, firstHeard: d.now, aliveSince: d.now, lastHeard: d.now}
+		*p = peer{member: from, firstHeartbeatAt: d.now, aliveSince: d.now, lastHeartbeatAt: d.now}
 		if d.config.Eligible || d.isAcceptor() {
 			d.sendHeartbeat(from.Address) // it does not know yet that this process hears it
 		}
@@ -124,10 +124,10 @@
 
 // update takes in a heartbeat that came now.
 func (p *peer) update(now time.Duration, h *coordpb.Heartbeat, self uint64) {
-	if now-p.lastHeard >= suspectTimeout {
+	if now-p.lastHeartbeatAt >= suspectTimeout {
 		p.aliveSince = now
 	}
-	p.lastHeard = now
+	p.lastHeartbeatAt = now
 	p.epoch = h.Epoch
 	p.healthy = h.Healthy
 	p.founder = h.Founder
@@ -139,7 +139,7 @@
 	case p.unhealthySince == 0:
 		p.unhealthySince = now
 	}
-	p.hearsSelf = slices.Contains(h.Heard, self)
+	p.receivesFromSelf = slices.Contains(h.Heard, self)
 	if p.position = h.Position; p.position == nil {
 		p.position = &coordpb.Position{}
 	}
--- a/coord/view/membership_test.go
+++ b/coord/view/membership_test.go
@@ -15,9 +15,9 @@
 	is := is.New(t)
 	d := decider(viewOf(3, 3))
 	now := time.Duration(0)
-	run := func(until time.Duration, living ...int) {
+	run := func(until time.Duration, alive ...int) {
 		for ; now < until; now += 100 * time.Millisecond {
-			for _, i := range living {
+			for _, i := range alive {
 				d.Receive(now, heartbeat(i, 3))
 			}
 			d.Tick(now)
@@ -44,7 +44,7 @@
 
 // The seat of a draining member goes to a standby that has caught up, while the member still
 // votes and as long as enough others have completed the epoch.
-func TestDrainingMemberHandsOverSeat(t *testing.T) {
+func TestDrainingMemberIsReplacedByStandby(t *testing.T) {
 	lagging := heartbeat(3, 0)
 	lagging.GetHeartbeat().Position = &coordpb.Position{}
 	for name, c := range map[string]struct {
--- a/coord/view/nextview.go
+++ b/coord/view/nextview.go
@@ -81,37 +81,37 @@
 // compareChainOrder compares members by their order in the present chain. Those outside it come
 // last, by address.
 func (d *Decider) compareChainOrder(a, b *coordpb.Member) int {
-	in := func(m *coordpb.Member) int {
+	chainIndex := func(m *coordpb.Member) int {
 		if i := slices.Index(d.view.Chain, m.Identity); i >= 0 {
 			return i
 		}
 		return len(d.view.Chain)
 	}
-	return cmp.Or(cmp.Compare(in(a), in(b)), cmp.Compare(a.Address, b.Address))
+	return cmp.Or(cmp.Compare(chainIndex(a), chainIndex(b)), cmp.Compare(a.Address, b.Address))
 }
 
 // nextChain returns the chain of the next view: the source, then the healthy members that are
 // in the present chain or have caught up; if these are too few also draining ones, then lagging
 // ones.
 func (d *Decider) nextChain(v *coordpb.View, source *promiseFrom, promises map[string]*promiseFrom) []uint64 {
-	var ready, ending, lacking []*coordpb.Member
+	var ready, draining, lagging []*coordpb.Member
 	for _, m := range v.Members {
 		if m.Identity == source.from.Identity {
 			continue
 		}
-		at, position := d.stateAndPosition(m, promises)
+		state, position := d.stateAndPosition(m, promises)
 		inChain := slices.Contains(d.view.Chain, m.Identity)
 		switch {
-		case at == peerDraining:
-			ending = append(ending, m)
-		case at == peerHealthy && (inChain || lagRank(position, source.Position) == 0):
+		case state == peerDraining:
+			draining = append(draining, m)
+		case state == peerHealthy && (inChain || lagRank(position, source.Position) == 0):
 			ready = append(ready, m)
-		case at == peerHealthy:
-			lacking = append(lacking, m)
+		case state == peerHealthy:
+			lagging = append(lagging, m)
 		}
 	}
 	lists := [][]uint64{{source.from.Identity}}
-	for _, list := range [][]*coordpb.Member{ready, ending, lacking} {
+	for _, list := range [][]*coordpb.Member{ready, draining, lagging} {
 		slices.SortStableFunc(list, d.compareChainOrder)
 		lists = append(lists, identities(list))
 	}
@@ -132,10 +132,10 @@
 }
 
 // padChain returns the first list, and as much of the others as it takes to get to a length.
-func padChain(least int, lists ...[]uint64) []uint64 {
+func padChain(minLength int, lists ...[]uint64) []uint64 {
 	all := slices.Clone(lists[0])
 	for _, list := range lists[1:] {
-		missing := max(least-len(all), 0)
+		missing := max(minLength-len(all), 0)
 		all = append(all, list[:min(missing, len(list))]...)
 	}
 	return all
--- a/coord/view/peers.go
+++ b/coord/view/peers.go
@@ -10,20 +10,20 @@
 
 // Peer is another process that may be a member, as this process sees it, for status pages.
 type Peer struct {
-	Member   *coordpb.Member
-	Position *coordpb.Position
-	Epoch    uint64         // of the last view that it reported
-	HeardAge *time.Duration // the age of its last heartbeat, nil where that isn't known
-	Healthy  bool           // its writes get to the disk in time
-	Draining bool           // it is about to shut down
+	Member           *coordpb.Member
+	Position         *coordpb.Position
+	Epoch            uint64         // of the last view that it reported
+	LastHeartbeatAge *time.Duration // the age of its last heartbeat, nil where that isn't known
+	Healthy          bool           // its writes get to the disk in time
+	Draining         bool           // it is about to shut down
 }
 
 // Peers are the processes that have sent heartbeats, by address.
 func (d *Decider) Peers(now time.Duration) []Peer {
 	var all []Peer
 	for _, p := range d.peers {
-		age := max(now-p.lastHeard, 0)
-		all = append(all, Peer{Member: p.member, Position: p.position, Epoch: p.epoch, HeardAge: &age, Healthy: p.healthy, Draining: p.draining})
+		age := max(now-p.lastHeartbeatAt, 0)
+		all = append(all, Peer{Member: p.member, Position: p.position, Epoch: p.epoch, LastHeartbeatAge: &age, Healthy: p.healthy, Draining: p.draining})
 	}
 	slices.SortFunc(all, func(a, b Peer) int { return cmp.Compare(a.Member.Address, b.Member.Address) })
 	return all
--- a/coord/view/peerstate.go
+++ b/coord/view/peerstate.go
@@ -16,7 +16,9 @@
 )
 
 // alive reports whether a heartbeat of a peer came in time.
-func (d *Decider) alive(p *peer) bool { return p.member != nil && d.now-p.lastHeard < suspectTimeout }
+func (d *Decider) alive(p *peer) bool {
+	return p.member != nil && d.now-p.lastHeartbeatAt < suspectTimeout
+}
 
 // isHealthy reports whether a peer may be in a chain.
 func (d *Decider) isHealthy(p *peer) bool { return d.stateOf(p) == peerHealthy }
@@ -24,11 +26,11 @@
 // stateOf is the state of a peer. Whether it hears this process is only known some time after
 // its first heartbeat.
 func (d *Decider) stateOf(p *peer) peerState {
-	hears := p.hearsSelf || d.now-p.aliveSince < suspectTimeout
+	receives := p.receivesFromSelf || d.now-p.aliveSince < suspectTimeout
 	switch {
 	case !d.alive(p):
 		return peerDead
-	case !hears || !p.healthy:
+	case !receives || !p.healthy:
 		return peerUnhealthy
 	case p.draining:
 		return peerDraining
--- a/coord/view/proposer.go
+++ b/coord/view/proposer.go
@@ -99,11 +99,11 @@
 // may still succeed: concurrent proposals reject each other, more often the slower the
 // processes are.
 func (d *Decider) earliestProposal() time.Duration {
-	turn := time.Duration(d.proposerRank()) * proposalStagger
+	delay := time.Duration(d.proposerRank()) * proposalStagger
 	if d.IsSealed() && d.promised.Proposer != d.config.Self.Identity {
-		return max(d.changeNeededSince, d.sealedAt+sealedTimeout) + turn
+		return max(d.changeNeededSince, d.lastPromiseAt+sealedTimeout) + delay
 	}
-	return d.changeNeededSince + turn
+	return d.changeNeededSince + delay
 }
 
 // proposerRank is the number of live voters before this process.
--- a/coord/view/quorum_test.go
+++ b/coord/view/quorum_test.go
@@ -9,12 +9,12 @@
 func TestMinChainLengthSurvivesTolerance(t *testing.T) {
 	for n := 1; n <= 9; n++ {
 		for tolerance := 0; 2*tolerance < n; tolerance++ {
-			least := MinChainLength(n, tolerance)
-			if least > n-tolerance {
-				t.Errorf("%d of %d members can't be had after the loss of %d", least, n, tolerance)
+			minLength := MinChainLength(n, tolerance)
+			if minLength > n-tolerance {
+				t.Errorf("%d of %d members can't be had after the loss of %d", minLength, n, tolerance)
 			}
-			if least <= tolerance || least+Majority(n) <= n {
-				t.Errorf("%d of %d members, %d may be lost", least, n, tolerance)
+			if minLength <= tolerance || minLength+Majority(n) <= n {
+				t.Errorf("%d of %d members, %d may be lost", minLength, n, tolerance)
 			}
 		}
 	}
--- a/coord/view/shards.go
+++ b/coord/view/shards.go
@@ -35,10 +35,10 @@
 // assignShards assigns the shards to the chain of a new view. An owner that is still in the
 // chain keeps its shards; the others go to the members with the fewest.
 func (d *Decider) assignShards(v *coordpb.View, promises map[string]*promiseFrom) []*coordpb.Duty {
-	before := d.view.GetDuties()
+	previous := d.view.GetDuties()
 	load := map[uint64]int{}
 	all := make([]*coordpb.Duty, Shards)
-	for shard, old := range before {
+	for shard, old := range previous {
 		if slices.Contains(v.Chain, old.Owner) {
 			all[shard] = &coordpb.Duty{Owner: old.Owner, Since: old.Since, WaitMs: old.WaitMs}
 			load[old.Owner]++
@@ -51,8 +51,8 @@
 		owner := slices.MinFunc(v.Chain, func(a, b uint64) int { return load[a] - load[b] })
 		load[owner]++
 		all[shard] = &coordpb.Duty{Owner: owner, Since: v.Epoch}
-		if shard < len(before) {
-			all[shard].WaitMs = int32(d.remainingLease(before[shard], promises).Milliseconds())
+		if shard < len(previous) {
+			all[shard].WaitMs = int32(d.remainingLease(previous[shard], promises).Milliseconds())
 		}
 	}
 	return all
@@ -63,19 +63,19 @@
 // reports since when. For another one it follows from the confirmations of those that promised:
 // a confirmation that succeeded was answered by one of them at least.
 func (d *Decider) remainingLease(duty *coordpb.Duty, promises map[string]*promiseFrom) time.Duration {
-	before := time.Duration(duty.WaitMs)*time.Millisecond - (d.now - d.learnedAt)
-	left := -maxIdle
+	recorded := time.Duration(duty.WaitMs)*time.Millisecond - (d.now - d.learnedAt)
+	remaining := -maxIdle
 	for _, p := range promises {
 		if p.from.Identity == duty.Owner {
-			return max(before, -time.Duration(p.IdleMs)*time.Millisecond, -maxIdle)
+			return max(recorded, -time.Duration(p.IdleMs)*time.Millisecond, -maxIdle)
 		}
 		for _, a := range p.Answered {
 			if a.Identity == duty.Owner {
-				left = max(left, LeaseDuration+leaseMargin-time.Duration(a.AgeMs)*time.Millisecond)
+				remaining = max(remaining, LeaseDuration+leaseMargin-time.Duration(a.AgeMs)*time.Millisecond)
 			}
 		}
 	}
-	return max(before, left)
+	return max(recorded, remaining)
 }
 
 // maxIdle bounds the idle time that is recorded for a shard.
--- a/coord/view/trigger.go
+++ b/coord/view/trigger.go
@@ -8,7 +8,7 @@
 	if d.view.Epoch == 0 {
 		return d.foundingAllowed()
 	}
-	if d.IsSealed() && d.now >= d.sealedAt+sealedTimeout || d.status.Stalled {
+	if d.IsSealed() && d.now >= d.lastPromiseAt+sealedTimeout || d.status.Stalled {
 		return true
 	}
 	if !d.majorityCanVote() {
@@ -28,7 +28,7 @@
 	all := d.candidates()
 	last := d.startedAt
 	for _, p := range d.peers {
-		last = max(last, p.firstHeard)
+		last = max(last, p.firstHeartbeatAt)
 	}
 	seeds := 0
 	for _, m := range all {
@@ -73,7 +73,7 @@
 // that are in the chain or have caught up; if these are too few also draining ones, then
 // lagging ones.
 func (d *Decider) desiredChain(mayJoin bool) []uint64 {
-	var ready, ending, lacking []uint64
+	var ready, draining, lagging []uint64
 	newest := d.newestPosition()
 	for _, m := range d.view.Members {
 		inChain := slices.Contains(d.view.Chain, m.Identity)
@@ -84,11 +84,11 @@
 			if stable && (inChain || lagRank(d.positionOf(m.Identity), newest) == 0) {
 				ready = append(ready, m.Identity)
 			} else if stable {
-				lacking = append(lacking, m.Identity)
+				lagging = append(lagging, m.Identity)
 			}
 		case peerDraining:
-			ending = append(ending, m.Identity)
+			draining = append(draining, m.Identity)
 		}
 	}
-	return padChain(MinChainLength(len(d.view.Members), d.config.Tolerance), ready, ending, lacking)
+	return padChain(MinChainLength(len(d.view.Members), d.config.Tolerance), ready, draining, lagging)
 }
--- a/coord/view/view.go
+++ b/coord/view/view.go
@@ -101,7 +101,7 @@
 	promised       *coordpb.Ballot
 	acceptedNumber *coordpb.Ballot
 	acceptedView   *coordpb.View
-	sealedAt       time.Duration // the last sign of a proposal that this process promised to
+	lastPromiseAt  time.Duration // the last sign of a proposal that this process promised to
 
 	// Failure detection.
 	peers          map[string]*peer // by address, at most maxPeers
@@ -138,7 +138,7 @@
 	}
 	d.learnedAt = now
 	if d.promised != nil {
-		d.maxRound, d.sealedAt = d.promised.Round, now
+		d.maxRound, d.lastPromiseAt = d.promised.Round, now
 	}
 	return d
 }
@@ -232,7 +232,7 @@
 		d.unchangedViews = 0
 	}
 	d.view, d.learnedAt = proto.Clone(v).(*coordpb.View), d.now
-	d.promised, d.acceptedNumber, d.acceptedView, d.sealedAt = nil, nil, nil, 0
+	d.promised, d.acceptedNumber, d.acceptedView, d.lastPromiseAt = nil, nil, nil, 0
 	d.proposal, d.changeNeededSince, d.failedProposals = nil, 0, 0
 	d.nextProposal = d.now + minViewInterval
 	d.emit(Write{&coordpb.Record{Body: &coordpb.Record_Learned{Learned: d.view}}})
--- a/internal/system/roles/node/registerstatus.go
+++ b/internal/system/roles/node/registerstatus.go
@@ -59,8 +59,8 @@
 		m.Sequence, m.Behind = p.Position.GetSequence(), newest-p.Position.GetSequence()
 		m.Complete = p.Position.GetStateEpoch() == s.Epoch
 		m.Healthy, m.Draining = p.Healthy, p.Draining
-		if p.HeardAge != nil {
-			m.HeardAgeSeconds = secondsOf(*p.HeardAge)
+		if p.LastHeartbeatAge != nil {
+			m.HeardAgeSeconds = secondsOf(*p.LastHeartbeatAge)
 		}
 	}
 }
@@ -87,10 +87,10 @@
 func selfAsPeer(in register.Inspection) view.Peer {
 	justNow := time.Duration(0)
 	return view.Peer{
-		Member:   &coordpb.Member{Address: in.Address, Identity: in.Identity},
-		Position: in.Position,
-		Healthy:  in.Healthy,
-		HeardAge: &justNow,
+		Member:           &coordpb.Member{Address: in.Address, Identity: in.Identity},
+		Position:         in.Position,
+		Healthy:          in.Healthy,
+		LastHeartbeatAge: &justNow,
 	}
 }
 
