--- a/coord/view/heartbeat.go
+++ b/coord/view/heartbeat.go
@@ -10,7 +10,7 @@
 // peer is another process that may be a member, as its heartbeats describe it.
 type peer struct {
 	member           *coordpb.Member
-	lastHeartbeatAt  time.Duration // when the last heartbeat came
+	heartbeatAt      time.Duration // when the last heartbeat came
 	aliveSince       time.Duration // the beginning of the present period without a gap
 	firstHeartbeatAt time.Duration // when the first heartbeat of this incarnation came
 	unhealthySince   time.Duration // when its storage began to fail, 0 while it works
@@ -74,7 +74,7 @@
 		add(address)
 	}
 	for address, p := range d.peers {
-		if d.now-p.lastHeartbeatAt < replaceTimeout {
+		if d.now-p.heartbeatAt < replaceTimeout {
 			add(address)
 		}
 	}
@@ -114,7 +114,7 @@
 		d.peers[from.Address] = p
 	}
 	if p.member == nil || p.member.Identity != from.Identity {
-		*p = peer{member: from, firstHeartbeatAt: d.now, aliveSince: d.now, lastHeartbeatAt: d.now}
+		*p = peer{member: from, firstHeartbeatAt: d.now, aliveSince: d.now, heartbeatAt: d.now}
 		if d.config.Eligible || d.isAcceptor() {
 			d.sendHeartbeat(from.Address) // it does not know yet that this process hears it
 		}
@@ -124,10 +124,10 @@
 
 // update takes in a heartbeat that came now.
 func (p *peer) update(now time.Duration, h *coordpb.Heartbeat, self uint64) {
-	if now-p.lastHeartbeatAt >= suspectTimeout {
+	if now-p.heartbeatAt >= suspectTimeout {
 		p.aliveSince = now
 	}
-	p.lastHeartbeatAt = now
+	p.heartbeatAt = now
 	p.epoch = h.Epoch
 	p.healthy = h.Healthy
 	p.founder = h.Founder
--- a/coord/view/membership.go
+++ b/coord/view/membership.go
@@ -121,7 +121,7 @@
 		return d.now-d.startedAt >= replaceTimeout
 	}
 	failed := p.unhealthySince > 0 && d.now-p.unhealthySince >= replaceUnhealthyTimeout
-	return p.member.Identity != m.Identity || d.now-p.lastHeartbeatAt >= replaceTimeout || failed
+	return p.member.Identity != m.Identity || d.now-p.heartbeatAt >= replaceTimeout || failed
 }
 
 // isComplete reports whether so many members of the chain have completed the present epoch and
--- a/coord/view/peers.go
+++ b/coord/view/peers.go
@@ -22,7 +22,7 @@
 func (d *Decider) Peers(now time.Duration) []Peer {
 	var all []Peer
 	for _, p := range d.peers {
-		age := max(now-p.lastHeartbeatAt, 0)
+		age := max(now-p.heartbeatAt, 0)
 		all = append(all, Peer{Member: p.member, Position: p.position, Epoch: p.epoch, LastHeartbeatAge: &age, Healthy: p.healthy, Draining: p.draining})
 	}
 	slices.SortFunc(all, func(a, b Peer) int { return cmp.Compare(a.Member.Address, b.Member.Address) })
--- a/coord/view/peerstate.go
+++ b/coord/view/peerstate.go
@@ -16,9 +16,7 @@
 )
 
 // alive reports whether a heartbeat of a peer came in time.
-func (d *Decider) alive(p *peer) bool {
-	return p.member != nil && d.now-p.lastHeartbeatAt < suspectTimeout
-}
+func (d *Decider) alive(p *peer) bool { return p.member != nil && d.now-p.heartbeatAt < suspectTimeout }
 
 // isHealthy reports whether a peer may be in a chain.
 func (d *Decider) isHealthy(p *peer) bool { return d.stateOf(p) == peerHealthy }
