--- a/coord/view/acceptor.go
+++ b/coord/view/acceptor.go
@@ -6,7 +6,7 @@
 	"reachspread/coord/coordpb"
 )
 
-// isAcceptor reports whether this process votes on the view after the one it knows.
+// isAcceptor reports whether this process votes on the view that follows the known one.
 func (d *Decider) isAcceptor() bool {
 	if d.view.Epoch == 0 {
 		return d.config.Founder && slices.Contains(d.config.Seeds, d.config.Self.Address)
@@ -14,8 +14,8 @@
 	return MemberOf(d.view, d.config.Self.Identity) != nil
 }
 
-// handlePrepare promises not to accept proposals with lower numbers and to do nothing more in
-// the present epoch, and reports what this process has accepted.
+// handlePrepare promises not to accept proposals with lower numbers, which also seals the current
+// epoch, and reports which view this process has accepted.
 func (d *Decider) handlePrepare(from *coordpb.Member, p *coordpb.Prepare) {
 	d.learnView(p.View)
 	if !d.isNextInstance(from, p.Instance) || !d.isAcceptor() || p.Ballot == nil {
@@ -41,7 +41,7 @@
 	d.send(from.Address, &coordpb.Message{Body: &coordpb.Message_Promise{Promise: promise}})
 }
 
-// handleAccept accepts a view, unless this process has promised a greater number.
+// handleAccept accepts a view, unless this process has promised a greater proposal number.
 func (d *Decider) handleAccept(from *coordpb.Member, a *coordpb.Accept) {
 	if !d.isNextInstance(from, a.Instance) || !d.isAcceptor() || a.Ballot == nil || a.View == nil || a.View.Epoch != a.Instance {
 		return
@@ -57,7 +57,7 @@
 	d.send(from.Address, &coordpb.Message{Body: &coordpb.Message_Accepted{Accepted: &coordpb.Accepted{Instance: a.Instance, Ballot: a.Ballot}}})
 }
 
-// promise records a proposal number as promised, and seals the present epoch.
+// promise records a promise for a proposal number, and seals the current epoch.
 func (d *Decider) promise(b *coordpb.Ballot) {
 	d.lastPromiseAt = d.now
 	if d.promised == nil {
@@ -69,8 +69,8 @@
 	}
 }
 
-// isNextInstance reports whether a message is about the view after the known one. A sender that
-// is behind gets the known view.
+// isNextInstance reports whether a message is about the view that follows the known one. It sends
+// the known view to a sender that is behind.
 func (d *Decider) isNextInstance(from *coordpb.Member, instance uint64) bool {
 	if instance <= d.view.Epoch {
 		d.send(from.Address, &coordpb.Message{Body: &coordpb.Message_Learn{Learn: &coordpb.Learn{View: d.view}}})
@@ -78,8 +78,8 @@
 	return instance == d.view.Epoch+1
 }
 
-// reject reports the promised number to a proposer with a lower one, so that it goes on with a
-// greater one.
+// reject reports the promised number to a proposer whose number is lower, so that the proposer
+// continues with a greater one.
 func (d *Decider) reject(from *coordpb.Member, instance uint64) {
 	d.send(from.Address, &coordpb.Message{Body: &coordpb.Message_Reject{Reject: &coordpb.Reject{Instance: instance, Promised: d.promised}}})
 }
--- a/coord/view/heartbeat.go
+++ b/coord/view/heartbeat.go
@@ -7,24 +7,24 @@
 	"reachspread/coord/coordpb"
 )
 
-// peer is another process that may be a member, as its heartbeats describe it.
+// peer describes another process that may be a member, according to its heartbeats.
 type peer struct {
 	member           *coordpb.Member
-	heartbeatAt      time.Duration // when the last heartbeat came
-	aliveSince       time.Duration // the beginning of the present period without a gap
-	firstHeartbeatAt time.Duration // when the first heartbeat of this incarnation came
-	unhealthySince   time.Duration // when its storage began to fail, 0 while it works
+	heartbeatAt      time.Duration // when the last heartbeat arrived
+	aliveSince       time.Duration // when the current period without a gap in the heartbeats began
+	firstHeartbeatAt time.Duration // when the first heartbeat of this incarnation arrived
+	unhealthySince   time.Duration // when its storage began to fail, 0 while its storage works
 	position         *coordpb.Position
 	epoch            uint64
 	healthy          bool // its storage works
 	founder          bool // it may vote on the first view
 	draining         bool // it is about to shut down
 	eligible         bool // it may be a member
-	receivesFromSelf bool // it has received heartbeats of this process of late
+	receivesFromSelf bool // it has recently received heartbeats from this process
 }
 
-// sendHeartbeats sends heartbeats to all processes that may be members. Processes that can't be
-// members or acceptors send none.
+// sendHeartbeats sends heartbeats to all processes that may be members. A process that is neither
+// eligible nor an acceptor sends none.
 func (d *Decider) sendHeartbeats() {
 	d.nextHeartbeat = d.now + HeartbeatInterval
 	if !d.config.Eligible && !d.isAcceptor() {
@@ -35,7 +35,8 @@
 	}
 }
 
-// sendHeartbeat sends a heartbeat. It brings the view to a peer that has an older one.
+// sendHeartbeat sends a heartbeat to one address. The heartbeat includes the current view if the
+// peer has an older one.
 func (d *Decider) sendHeartbeat(to string) {
 	h := &coordpb.Heartbeat{
 		Epoch:    d.view.Epoch,
@@ -58,8 +59,9 @@
 	d.emit(Send{To: to, Message: m, Immediate: true})
 }
 
-// heartbeatTargets are the addresses that heartbeats go to, sorted: members, standbys, known
-// addresses, and the seeds before a view is known.
+// heartbeatTargets returns the addresses that heartbeats go to, sorted: members, known addresses,
+// peers whose last heartbeat is younger than replaceTimeout (standbys included), and the seeds
+// before a view is known.
 func (d *Decider) heartbeatTargets() []string {
 	var all []string
 	add := func(address string) {
@@ -87,7 +89,8 @@
 	return all
 }
 
-// handleHeartbeat takes in the state of a peer, and learns of a newer view or reports one.
+// handleHeartbeat records the state of a peer. It adopts a newer view from the heartbeat, and sends
+// the current view to a peer that has an older one.
 func (d *Decider) handleHeartbeat(from *coordpb.Member, h *coordpb.Heartbeat) {
 	p := d.peerAt(from)
 	if p == nil {
@@ -102,8 +105,9 @@
 	}
 }
 
-// peerAt returns the peer that a heartbeat is from, with a new entry where its address or its
-// incarnation is new. It returns nil where there are too many peers already.
+// peerAt returns the peer that sent a heartbeat. It creates an entry for a new address, and resets
+// the entry for a new incarnation. It returns nil for a new address if there are already maxPeers
+// peers.
 func (d *Decider) peerAt(from *coordpb.Member) *peer {
 	p := d.peers[from.Address]
 	if p == nil {
@@ -116,13 +120,13 @@
 	if p.member == nil || p.member.Identity != from.Identity {
 		*p = peer{member: from, firstHeartbeatAt: d.now, aliveSince: d.now, heartbeatAt: d.now}
 		if d.config.Eligible || d.isAcceptor() {
-			d.sendHeartbeat(from.Address) // it does not know yet that this process hears it
+			d.sendHeartbeat(from.Address) // so that the peer learns that this process receives its heartbeats
 		}
 	}
 	return p
 }
 
-// update takes in a heartbeat that came now.
+// update records the contents of a heartbeat that has just arrived.
 func (p *peer) update(now time.Duration, h *coordpb.Heartbeat, self uint64) {
 	if now-p.heartbeatAt >= suspectTimeout {
 		p.aliveSince = now
--- a/coord/view/membership.go
+++ b/coord/view/membership.go
@@ -7,7 +7,8 @@
 	"reachspread/coord/coordpb"
 )
 
-// candidates are the healthy processes that may be members, this one included, by address.
+// candidates returns the healthy processes that may be members, this one included, sorted by
+// address.
 func (d *Decider) candidates() []*coordpb.Member {
 	var all []*coordpb.Member
 	if d.config.Eligible && d.status.Healthy {
@@ -22,8 +23,9 @@
 	return all
 }
 
-// standbys are the processes that may become members: eligible ones that have been healthy for
-// a while and aren't members yet. Those that have caught up come first.
+// standbys returns the processes that may become members: healthy, eligible peers that aren't
+// members yet and have sent heartbeats without a gap for stabilityDelay. Standbys that have caught
+// up come first.
 func (d *Decider) standbys() []*coordpb.Member {
 	var all []*coordpb.Member
 	for _, m := range d.candidates() {
@@ -41,8 +43,9 @@
 	return all
 }
 
-// nextMembers returns the members of the next view: the present ones, with those that are dead,
-// unhealthy or draining replaced as far as enough of the others have completed the epoch.
+// nextMembers returns the members of the next view: the current members, with standbys in place of
+// dead, unhealthy and draining ones. Draining members stay if too few of the new members would have
+// completed the epoch. If there are still too few, the current members stay.
 func (d *Decider) nextMembers(source *coordpb.Member, hasCompleted func(identity uint64) bool) []*coordpb.Member {
 	for _, threshold := range []peerState{peerDraining, peerDead} {
 		members := d.membersReplacing(source, threshold)
@@ -53,9 +56,10 @@
 	return d.view.Members
 }
 
-// membersReplacing returns the present members, with standbys in place of those that can be
-// replaced and, up to the target, added to them. With threshold peerDraining draining members
-// are replaced as well, with peerDead only those that are lost. The source of the state stays.
+// membersReplacing returns the current members with standbys in place of those that can be
+// replaced, and with further standbys up to the target number of members. With threshold
+// peerDraining it also replaces draining members; with peerDead it replaces only lost or failed
+// ones. It never replaces the source of the state.
 func (d *Decider) membersReplacing(source *coordpb.Member, threshold peerState) []*coordpb.Member {
 	members := slices.Clone(d.view.Members)
 	available := d.standbys()
@@ -75,10 +79,10 @@
 	return members
 }
 
-// replacementFor returns the index of the standby that replaces a member, -1 for none. A lost
-// member is replaced by a process at the same address at once, by any other one only when
-// isReplaceable. A draining member, which still works, is replaced only by a standby that has
-// caught up.
+// replacementFor returns the index of the standby that replaces a member, or -1 for none. A process
+// at the same address replaces a lost member at once. Any other standby replaces a member only if
+// isReplaceable reports true. A draining member still works, so only a standby that has caught up
+// replaces it.
 func (d *Decider) replacementFor(m *coordpb.Member, standbys []*coordpb.Member, threshold peerState) int {
 	if d.isLost(m) {
 		if at := slices.IndexFunc(standbys, func(s *coordpb.Member) bool { return s.Address == m.Address }); at >= 0 {
@@ -98,7 +102,7 @@
 	return -1
 }
 
-// isLost reports whether a member is dead, or another incarnation runs at its address.
+// isLost reports whether a member is dead or another incarnation runs at its address.
 func (d *Decider) isLost(m *coordpb.Member) bool {
 	if m.Identity == d.config.Self.Identity {
 		return false
@@ -110,8 +114,8 @@
 	return p.member.Identity != m.Identity || !d.alive(p)
 }
 
-// isReplaceable reports whether a member has been dead, or its storage has failed, for so long
-// that another process may take its place.
+// isReplaceable reports whether any standby may replace a member: the member has been dead or its
+// storage has failed for long enough, or another incarnation runs at its address.
 func (d *Decider) isReplaceable(m *coordpb.Member) bool {
 	if m.Identity == d.config.Self.Identity {
 		return false
@@ -124,10 +128,10 @@
 	return p.member.Identity != m.Identity || d.now-p.heartbeatAt >= replaceTimeout || failed
 }
 
-// isComplete reports whether so many members of the chain have completed the present epoch and
-// stay among some members that one of them is left whatever is tolerated. Only then these may
-// become the members: they can tell from it that nothing was committed in an epoch whose
-// members they can't ask (see syncSource).
+// isComplete reports whether members may become the members of the next view. At least
+// MinChainLength of them must be in the current chain and have completed the current epoch, so that
+// one of these survives any tolerated loss. That one shows the new members that nothing was
+// committed in an epoch whose members they can't ask (see syncSource).
 func (d *Decider) isComplete(members []*coordpb.Member, hasCompleted func(identity uint64) bool) bool {
 	complete := 0
 	for _, m := range members {
--- a/coord/view/nextview.go
+++ b/coord/view/nextview.go
@@ -7,8 +7,8 @@
 	"reachspread/coord/coordpb"
 )
 
-// foundingView returns the first view, with the seeds before other processes; nil if no process
-// is eligible.
+// foundingView returns the first view, which lists seeds before other processes. It returns nil if
+// no healthy process is eligible.
 func (d *Decider) foundingView() *coordpb.View {
 	all := d.candidates()
 	slices.SortStableFunc(all, func(a, b *coordpb.Member) int {
@@ -26,8 +26,8 @@
 	return v
 }
 
-// nextView returns the view after the present one, given the promises of a majority of its
-// members; nil if none is possible now.
+// nextView returns the view that follows the current one, given the promises of a majority of the
+// members. It returns nil if no such view is possible now.
 func (d *Decider) nextView(promises map[string]*promiseFrom) *coordpb.View {
 	source := d.syncSource(promises)
 	if source == nil {
@@ -50,12 +50,12 @@
 	return v
 }
 
-// syncSource returns the promise of the member whose state the next epoch begins with: the
-// furthest of those that promised. That state has all committed changes, if the member has
-// completed the epoch before the present members came, or a later one: each epoch since then
-// was of the same members, and one of those that promised was in its chain, so nothing was
-// committed in the epochs that the source hasn't completed. Otherwise nothing can be said, and
-// syncSource returns nil.
+// syncSource returns the promise of the member whose state the next epoch begins with. This is the
+// most advanced state among those that promised. The state has all committed changes if its member
+// has completed the last epoch before the current members took over (MembersSince-1) or a later
+// one. Every epoch since then had the same members, and one of the members that promised was in its
+// chain, so nothing was committed in the epochs that the source hasn't completed. Otherwise the
+// state may lack committed changes, and syncSource returns nil.
 func (d *Decider) syncSource(promises map[string]*promiseFrom) *promiseFrom {
 	var best *promiseFrom
 	for _, m := range promises {
@@ -69,8 +69,9 @@
 	return best
 }
 
-// preferredAsSource reports whether of two members with the same state a goes first: the
-// healthier one, or the one further ahead in the present chain.
+// preferredAsSource reports whether member a is preferred to member b as the source when their
+// positions are equal. The healthier member is preferred, then the one nearer to the head of the
+// current chain.
 func (d *Decider) preferredAsSource(a, b *promiseFrom) bool {
 	if a.state() != b.state() {
 		return a.state() > b.state()
@@ -78,8 +79,8 @@
 	return d.compareChainOrder(a.from, b.from) < 0
 }
 
-// compareChainOrder compares members by their order in the present chain. Those outside it come
-// last, by address.
+// compareChainOrder compares members by their order in the current chain. Members outside the chain
+// come last, by address.
 func (d *Decider) compareChainOrder(a, b *coordpb.Member) int {
 	chainIndex := func(m *coordpb.Member) int {
 		if i := slices.Index(d.view.Chain, m.Identity); i >= 0 {
@@ -90,9 +91,9 @@
 	return cmp.Or(cmp.Compare(chainIndex(a), chainIndex(b)), cmp.Compare(a.Address, b.Address))
 }
 
-// nextChain returns the chain of the next view: the source, then the healthy members that are
-// in the present chain or have caught up; if these are too few also draining ones, then lagging
-// ones.
+// nextChain returns the chain of the next view: the source, followed by the healthy members that
+// are in the current chain or have caught up. If the chain would be shorter than MinChainLength,
+// nextChain adds draining members, then lagging ones.
 func (d *Decider) nextChain(v *coordpb.View, source *promiseFrom, promises map[string]*promiseFrom) []uint64 {
 	var ready, draining, lagging []*coordpb.Member
 	for _, m := range v.Members {
@@ -119,8 +120,9 @@
 	return padChain(MinChainLength(len(v.Members), d.config.Tolerance), lists[0], lists[2], lists[3])
 }
 
-// stateAndPosition returns the state and position of a member of the next view: as it promised,
-// or as was last heard of it if it had no vote. A voter that didn't promise counts as dead.
+// stateAndPosition returns the state and position of a member of the next view. They come from the
+// promise of a voter, and from the last heartbeat of a process that has no vote. A voter that
+// didn't promise counts as dead.
 func (d *Decider) stateAndPosition(m *coordpb.Member, promises map[string]*promiseFrom) (peerState, *coordpb.Position) {
 	if p := promises[m.Address]; p != nil && p.from.Identity == m.Identity {
 		return p.state(), p.Position
@@ -131,7 +133,8 @@
 	return d.stateOfIdentity(m.Identity), d.positionOf(m.Identity)
 }
 
-// padChain returns the first list, and as much of the others as it takes to get to a length.
+// padChain returns the first list, followed by as many members of the other lists as it needs to
+// reach minLength.
 func padChain(minLength int, lists ...[]uint64) []uint64 {
 	all := slices.Clone(lists[0])
 	for _, list := range lists[1:] {
--- a/coord/view/peers.go
+++ b/coord/view/peers.go
@@ -8,17 +8,17 @@
 	"reachspread/coord/coordpb"
 )
 
-// Peer is another process that may be a member, as this process sees it, for status pages.
+// Peer describes, for status pages, how this process sees another process that may be a member.
 type Peer struct {
 	Member           *coordpb.Member
 	Position         *coordpb.Position
-	Epoch            uint64         // of the last view that it reported
-	LastHeartbeatAge *time.Duration // the age of its last heartbeat, nil where that isn't known
-	Healthy          bool           // its writes get to the disk in time
+	Epoch            uint64         // the epoch of the last view that the peer reported
+	LastHeartbeatAge *time.Duration // nil if unknown
+	Healthy          bool           // its writes reach the disk in time
 	Draining         bool           // it is about to shut down
 }
 
-// Peers are the processes that have sent heartbeats, by address.
+// Peers returns the processes that have sent heartbeats, sorted by address.
 func (d *Decider) Peers(now time.Duration) []Peer {
 	var all []Peer
 	for _, p := range d.peers {
--- a/coord/view/peerstate.go
+++ b/coord/view/peerstate.go
@@ -4,25 +4,25 @@
 	"reachspread/coord/coordpb"
 )
 
-// peerState is how far a process can be relied on. A greater state is better.
+// peerState says how usable a process is as a member of the chain. A greater value is better.
 type peerState int
 
 // The states of a peer.
 const (
-	peerDead      peerState = iota // nothing was heard of it for suspectTimeout
-	peerUnhealthy                  // it is alive, but its storage fails, or it doesn't hear this process
-	peerDraining                   // it works, and is about to shut down
+	peerDead      peerState = iota // no heartbeat arrived for suspectTimeout
+	peerUnhealthy                  // it is alive, but its storage fails or it doesn't receive heartbeats from this process
+	peerDraining                   // it works, but is about to shut down
 	peerHealthy
 )
 
-// alive reports whether a heartbeat of a peer came in time.
+// alive reports whether a peer has sent a heartbeat within suspectTimeout.
 func (d *Decider) alive(p *peer) bool { return p.member != nil && d.now-p.heartbeatAt < suspectTimeout }
 
 // isHealthy reports whether a peer may be in a chain.
 func (d *Decider) isHealthy(p *peer) bool { return d.stateOf(p) == peerHealthy }
 
-// stateOf is the state of a peer. Whether it hears this process is only known some time after
-// its first heartbeat.
+// stateOf returns the state of a peer. A peer needs some time to report that it receives the
+// heartbeats of this process, so stateOf assumes this for the first suspectTimeout.
 func (d *Decider) stateOf(p *peer) peerState {
 	receives := p.receivesFromSelf || d.now-p.aliveSince < suspectTimeout
 	switch {
@@ -36,7 +36,7 @@
 	return peerHealthy
 }
 
-// localState is the state of this process.
+// localState returns the state of this process.
 func (d *Decider) localState() peerState {
 	switch {
 	case !d.status.Healthy:
@@ -47,9 +47,9 @@
 	return peerHealthy
 }
 
-// stateOfIdentity is the state of a process, which may be this one. A process that was never
-// heard of counts as healthy until there was time to hear of it, unless another incarnation runs
-// at its address.
+// stateOfIdentity returns the state of a process, which may be this one. For suspectTimeout after
+// the start of this process, a process that has sent no heartbeat counts as healthy, unless another
+// incarnation runs at its address.
 func (d *Decider) stateOfIdentity(identity uint64) peerState {
 	if identity == d.config.Self.Identity {
 		return d.localState()
@@ -65,7 +65,7 @@
 	return peerDead
 }
 
-// peerOf returns the peer with an identity, nil for none.
+// peerOf returns the peer with an identity, or nil if there is none.
 func (d *Decider) peerOf(identity uint64) *peer {
 	for _, p := range d.peers {
 		if p.member.Identity == identity {
@@ -75,12 +75,12 @@
 	return nil
 }
 
-// maxReplicationLag is how many changes a process may lack and still be taken into the chain
-// without being counted as lagging. So many come in one message.
+// maxReplicationLag is how many changes a process may lack and still join the chain without
+// counting as lagging. One message brings that many changes.
 const maxReplicationLag = 64
 
-// lagRank is 0 for a state that lags behind the newest one by maxReplicationLag changes at
-// most, else 1.
+// lagRank returns 0 for a state that is at most maxReplicationLag changes behind the newest one,
+// and 1 otherwise.
 func lagRank(p, newest *coordpb.Position) int {
 	if p.GetSequence()+maxReplicationLag < newest.GetSequence() {
 		return 1
@@ -88,7 +88,7 @@
 	return 0
 }
 
-// newestPosition is the furthest position that this process knows of.
+// newestPosition returns the most advanced position that this process knows of.
 func (d *Decider) newestPosition() *coordpb.Position {
 	newest := d.status.Position
 	for _, p := range d.peers {
@@ -99,7 +99,7 @@
 	return newest
 }
 
-// positionOf is the last reported position of a process, nil if it isn't known.
+// positionOf returns the last reported position of a process, or nil if it isn't known.
 func (d *Decider) positionOf(identity uint64) *coordpb.Position {
 	if identity == d.config.Self.Identity {
 		return d.status.Position
@@ -110,8 +110,8 @@
 	return nil
 }
 
-// hasCompletedEpoch reports whether a process is known to have the state that the present epoch
-// began with.
+// hasCompletedEpoch reports whether a process is not dead and is known to have the state that the
+// current epoch began with.
 func (d *Decider) hasCompletedEpoch(identity uint64) bool {
 	return d.stateOfIdentity(identity) != peerDead && d.positionOf(identity).GetStateEpoch() == d.view.Epoch
 }
--- a/coord/view/view.go
+++ b/coord/view/view.go
@@ -9,51 +9,52 @@
 	"reachspread/coord/coordpb"
 )
 
-// Config is what a Decider is made with.
+// Config holds the settings and the persisted values from which New creates a Decider.
 type Config struct {
-	// Self is this process: its address, and the identity of its storage.
+	// Self identifies this process by its address and the identity of its storage.
 	Self *coordpb.Member
-	// Seeds are the addresses of the acceptors of the first view. They have to be the same in all
-	// processes on the first start; later they are only contacted while no view is known.
+	// Seeds are the addresses of the acceptors of the first view. All processes must have the same
+	// seeds on their first start. Later a process contacts them only while it knows no view.
 	Seeds []string
-	// Founder reports whether this process may vote on the first view: it runs at its address for
-	// the first time, with new storage.
+	// Founder reports whether this process may vote on the first view. It is true only for a
+	// process that runs at its address for the first time, with new storage.
 	Founder bool
 	// Eligible reports whether this process may become a member.
 	Eligible bool
 	// Tolerance is how many members may be lost at once. A view has TargetMembers(Tolerance)
-	// members; more tolerance costs more machines and a longer chain.
+	// members, so a greater tolerance needs more machines and a longer chain.
 	Tolerance int
-	// Seed is the seed of the random backoff.
+	// Seed initializes the random number generator for the backoff.
 	Seed uint64
 
-	// View, Promised, AcceptedNumber and AcceptedView are what Persist gave before the process
-	// restarted. They are nil for a process with new storage.
+	// View, Promised, AcceptedNumber and AcceptedView are the values that Persist stored before the
+	// process restarted. They are nil for a process with new storage.
 	View           *coordpb.View
 	Promised       *coordpb.Ballot
 	AcceptedNumber *coordpb.Ballot
 	AcceptedView   *coordpb.View
 }
 
-// Status is what the owner of a Decider reports to other processes in heartbeats and promises.
+// Status is the state of this process that its caller sets with SetStatus. The Decider reports all
+// of it except Stalled to other processes, in heartbeats and promises.
 type Status struct {
-	// Position is that of the replicated state here.
+	// Position is the position of the replicated state on this process.
 	Position *coordpb.Position
-	// Idle is for how long this process certainly hasn't acted on its shards.
+	// Idle is the time for which this process is certain not to have acted on its shards.
 	Idle time.Duration
-	// Confirmations are the ages of the last confirmations of the epoch, by the member they went
-	// to.
+	// Confirmations lists the members to which this process has confirmed the epoch, with the age
+	// of the last confirmation to each.
 	Confirmations []*coordpb.Answered
-	// Healthy reports whether writes get to the disk in time.
+	// Healthy reports whether writes reach the disk in time.
 	Healthy bool
-	// Stalled reports whether the chain has made no progress for too long, so that another view is
+	// Stalled reports whether the chain has made no progress for so long that another view is
 	// needed.
 	Stalled bool
 	// Draining reports whether the process is about to shut down.
 	Draining bool
 }
 
-// Effect is something that the owner of a Decider has to carry out: Send, Write, ViewChanged or
+// Effect is an action that the caller of a Decider must carry out: Send, Write, ViewChanged or
 // Sealed.
 type Effect interface{ isEffect() }
 
@@ -61,19 +62,20 @@
 type Send struct {
 	To      string
 	Message *coordpb.Message
-	// Immediate reports whether the message may be sent before earlier Writes are durable, as
-	// nothing in it depends on them. Others have to wait for those.
+	// Immediate reports whether the message may be sent before earlier Writes are durable, because
+	// nothing in it depends on them. Other messages must wait for those Writes.
 	Immediate bool
 }
 
-// Write appends a record to the log on disk. Messages that come after it depend on the record.
+// Write appends a record to the log on disk. Messages that follow it in the effects depend on the
+// record.
 type Write struct{ Record *coordpb.Record }
 
-// ViewChanged reports that a view was chosen. It is in force from now on.
+// ViewChanged reports that a view was chosen. The view is in force from now on.
 type ViewChanged struct{ View *coordpb.View }
 
-// Sealed reports that this process has promised to leave its epoch: it must not write, read or
-// confirm anything in it any more.
+// Sealed reports that this process has promised to leave its epoch. The process must no longer
+// write, read or confirm anything in that epoch.
 type Sealed struct{}
 
 func (Send) isEffect() {}
@@ -84,42 +86,42 @@
 
 func (Sealed) isEffect() {}
 
-// Decider is one process's part in the agreement on views: proposer, acceptor and learner. It isn't
-// safe for concurrent use.
+// Decider is the part of one process in the agreement on views: its proposer, acceptor and learner.
+// A Decider isn't safe for concurrent use.
 type Decider struct {
 	config    Config
 	rng       *rand.Rand
 	now       time.Duration
 	startedAt time.Duration
-	effects   []Effect // of the present step
+	effects   []Effect // of the current call
 	status    Status
 
-	// The learner and acceptor. promised, acceptedNumber and acceptedView are of the instance after
-	// the view; promised is nil unless the epoch is sealed.
-	view           *coordpb.View // epoch 0 before the first one
-	learnedAt      time.Duration // when the view was learned
+	// State of the learner and the acceptor. promised, acceptedNumber and acceptedView belong to
+	// the instance that follows the view. promised is nil unless the epoch is sealed.
+	view           *coordpb.View // its epoch is 0 before the first view
+	learnedAt      time.Duration // when this process learned the view
 	promised       *coordpb.Ballot
 	acceptedNumber *coordpb.Ballot
 	acceptedView   *coordpb.View
-	lastPromiseAt  time.Duration // the last sign of a proposal that this process promised to
+	lastPromiseAt  time.Duration // when this process last promised or accepted, or restarted with a promise
 
-	// Failure detection.
+	// State of the failure detection.
 	peers          map[string]*peer // by address, at most maxPeers
-	knownAddresses []string         // of processes that may be members, from the owner
+	knownAddresses []string         // of processes that may be members, set by the caller
 	nextHeartbeat  time.Duration
 
-	// The proposer.
-	nextEvaluation    time.Duration // when to look again whether another view is needed
-	changeNeededSince time.Duration // 0 while none is needed
+	// State of the proposer.
+	nextEvaluation    time.Duration // when to check again whether another view is needed
+	changeNeededSince time.Duration // 0 while no other view is needed
 	nextProposal      time.Duration // the earliest time of the next proposal
 	maxRound          uint64        // the greatest round seen in a proposal number
-	proposal          *proposal     // in progress, nil for none
-	failedProposals   int           // since the last view, at most 2
-	unchangedViews    int           // views in a row that had the chain of the one before
+	proposal          *proposal     // the proposal in progress, nil for none
+	failedProposals   int           // proposals that timed out since the last view, counted up to 2
+	unchangedViews    int           // consecutive views with the same chain members as the view before
 }
 
-// New returns the Decider of a process that starts now. The values of c that were persisted
-// have to be the last ones that are on its disk.
+// New returns the Decider of a process that starts now. The persisted fields of c must have the
+// latest values that are on the disk of the process.
 func New(c Config, now time.Duration) *Decider {
 	d := &Decider{
 		config:         c,
@@ -143,12 +145,12 @@
 	return d
 }
 
-// View is the last view that this process has learned; its epoch is 0 before the first one. It
-// must not be changed.
+// View returns the last view that this process has learned. Its epoch is 0 before the first view.
+// The caller must not modify the view.
 func (d *Decider) View() *coordpb.View { return d.view }
 
-// Persist sets the fields of a saved state that belong to this package, for Config after a
-// restart.
+// Persist sets the fields of a saved state that belong to this package. After a restart these
+// values go into Config.
 func (d *Decider) Persist(to *coordpb.Durable) {
 	if d.view.Epoch > 0 {
 		to.View = d.view
@@ -159,20 +161,22 @@
 // IsSealed reports whether this process has promised to leave the epoch of its view.
 func (d *Decider) IsSealed() bool { return d.promised != nil }
 
-// SetKnownAddresses sets the addresses of processes that may be members. Heartbeats go to them.
+// SetKnownAddresses sets the addresses of processes that may be members. The Decider sends
+// heartbeats to them.
 func (d *Decider) SetKnownAddresses(addresses []string) { d.knownAddresses = addresses }
 
-// SetStatus sets what this process reports of itself from now on.
+// SetStatus sets the status that this process uses and reports from now on.
 func (d *Decider) SetStatus(s Status) { d.status = s }
 
-// Tick runs the timers that are due. The owner calls it every few tens of milliseconds.
+// Tick runs the timers that are due. The caller must call it every few tens of milliseconds.
 func (d *Decider) Tick(now time.Duration) []Effect {
 	d.startStep(now)
 	d.runTimers()
 	return d.effects
 }
 
-// Receive handles a message; ok is false if it belongs to another package.
+// Receive handles a message. ok is false if the message has no sender or belongs to another
+// package.
 func (d *Decider) Receive(now time.Duration, m *coordpb.Message) (effects []Effect, ok bool) {
 	d.startStep(now)
 	from := m.From
@@ -201,7 +205,7 @@
 	return d.effects, true
 }
 
-// startStep begins the handling of one input.
+// startStep prepares for one input: it advances the clock, never backwards, and clears the effects.
 func (d *Decider) startStep(now time.Duration) {
 	d.now, d.effects = max(now, d.now), nil
 }
@@ -213,7 +217,7 @@
 	d.emit(Send{To: to, Message: m})
 }
 
-// runTimers does what is due by now.
+// runTimers sends heartbeats if they are due, and begins or continues a proposal.
 func (d *Decider) runTimers() {
 	if d.now >= d.nextHeartbeat {
 		d.sendHeartbeats()
@@ -221,8 +225,8 @@
 	d.driveProposal()
 }
 
-// learnView takes up a view that was chosen, unless it is known or older. Promises and accepted
-// values of the instance are obsolete with it.
+// learnView adopts a chosen view, unless the view is already known or older than the known one. The
+// promises and accepted values of its instance become obsolete.
 func (d *Decider) learnView(v *coordpb.View) {
 	if v == nil || v.Epoch <= d.view.Epoch {
 		return
