--- a/coord/chain/recent.go
+++ b/coord/chain/recent.go
@@ -27,8 +27,8 @@
 }
 
 // after returns the changes behind a position; ok is false if they don't lead from there.
-func (c *recentChanges) after(p, present *coordpb.Position) (all []recentChange, ok bool) {
-	if sameState(p, present) {
+func (c *recentChanges) after(p, current *coordpb.Position) (all []recentChange, ok bool) {
+	if sameState(p, current) {
 		return nil, true
 	}
 	for i, x := range c.all {
--- a/coord/view/acceptor_test.go
+++ b/coord/view/acceptor_test.go
@@ -10,7 +10,8 @@
 	"reachspread/coord/coordpb"
 )
 
-// An acceptor promises, accepts, rejects or informs the proposer, depending on what it knows.
+// An acceptor promises, accepts, rejects or sends the known view to the proposer, depending on its
+// view and its promises.
 func TestAcceptorReplies(t *testing.T) {
 	three, four := viewOf(3, 3), viewOf(4, 3)
 	outside := viewOf(3, 3)
@@ -18,22 +19,22 @@
 	for name, c := range map[string]struct {
 		view *coordpb.View
 		in   []*coordpb.Message
-		want []string // of the last one
+		want []string // effects of the last message
 	}{
-		"promises":                        {three, []*coordpb.Message{prepare(4, 1, 1)}, []string{"sealed", "write", "promise 1 to m1"}},
-		"promises a greater number":       {three, []*coordpb.Message{prepare(4, 1, 1), prepare(4, 2, 2)}, []string{"write", "promise 2 to m2"}},
-		"promises the same again":         {three, []*coordpb.Message{prepare(4, 1, 1), prepare(4, 1, 1)}, []string{"promise 1 to m1"}},
-		"rejects a lower number":          {three, []*coordpb.Message{prepare(4, 2, 2), prepare(4, 1, 1)}, []string{"reject to m1"}},
-		"accepts":                         {three, []*coordpb.Message{prepare(4, 1, 1), accept(four, 1, 1)}, []string{"write", "accepted 1 to m1"}},
-		"accepts without a promise":       {three, []*coordpb.Message{accept(four, 1, 1)}, []string{"sealed", "write", "write", "accepted 1 to m1"}},
-		"rejects what it promised beyond": {three, []*coordpb.Message{prepare(4, 2, 2), accept(four, 1, 1)}, []string{"reject to m1"}},
-		"informs a proposer behind":       {three, []*coordpb.Message{prepare(3, 1, 1)}, []string{"learn 3 to m1"}},
-		"ignores a later instance":        {three, []*coordpb.Message{prepare(5, 1, 1)}, nil},
-		"is no member":                    {outside, []*coordpb.Message{prepare(4, 1, 1)}, nil},
-		"a view of another epoch":         {three, []*coordpb.Message{from(1, &coordpb.Message{Body: &coordpb.Message_Accept{Accept: &coordpb.Accept{Instance: 4, Ballot: proposalNumber(1, 1), View: three}}})}, nil},
-		"learns":                          {three, []*coordpb.Message{from(1, &coordpb.Message{Body: &coordpb.Message_Learn{Learn: &coordpb.Learn{View: four}}})}, []string{"write", "decided 4"}},
-		"has learnt":                      {four, []*coordpb.Message{from(1, &coordpb.Message{Body: &coordpb.Message_Learn{Learn: &coordpb.Learn{View: three}}})}, nil},
-		"no number":                       {three, []*coordpb.Message{from(1, &coordpb.Message{Body: &coordpb.Message_Prepare{Prepare: &coordpb.Prepare{Instance: 4}}})}, nil},
+		"promises":                           {three, []*coordpb.Message{prepare(4, 1, 1)}, []string{"sealed", "write", "promise 1 to m1"}},
+		"promises a greater number":          {three, []*coordpb.Message{prepare(4, 1, 1), prepare(4, 2, 2)}, []string{"write", "promise 2 to m2"}},
+		"repeats a promise":                  {three, []*coordpb.Message{prepare(4, 1, 1), prepare(4, 1, 1)}, []string{"promise 1 to m1"}},
+		"rejects a lower number":             {three, []*coordpb.Message{prepare(4, 2, 2), prepare(4, 1, 1)}, []string{"reject to m1"}},
+		"accepts":                            {three, []*coordpb.Message{prepare(4, 1, 1), accept(four, 1, 1)}, []string{"write", "accepted 1 to m1"}},
+		"accepts without a promise":          {three, []*coordpb.Message{accept(four, 1, 1)}, []string{"sealed", "write", "write", "accepted 1 to m1"}},
+		"rejects a view with a lower number": {three, []*coordpb.Message{prepare(4, 2, 2), accept(four, 1, 1)}, []string{"reject to m1"}},
+		"sends its view to a late proposer":  {three, []*coordpb.Message{prepare(3, 1, 1)}, []string{"learn 3 to m1"}},
+		"ignores a later instance":           {three, []*coordpb.Message{prepare(5, 1, 1)}, nil},
+		"isn't a member":                     {outside, []*coordpb.Message{prepare(4, 1, 1)}, nil},
+		"ignores a view of another epoch":    {three, []*coordpb.Message{from(1, &coordpb.Message{Body: &coordpb.Message_Accept{Accept: &coordpb.Accept{Instance: 4, Ballot: proposalNumber(1, 1), View: three}}})}, nil},
+		"learns a newer view":                {three, []*coordpb.Message{from(1, &coordpb.Message{Body: &coordpb.Message_Learn{Learn: &coordpb.Learn{View: four}}})}, []string{"write", "decided 4"}},
+		"ignores an older view":              {four, []*coordpb.Message{from(1, &coordpb.Message{Body: &coordpb.Message_Learn{Learn: &coordpb.Learn{View: three}}})}, nil},
+		"ignores a prepare without a number": {three, []*coordpb.Message{from(1, &coordpb.Message{Body: &coordpb.Message_Prepare{Prepare: &coordpb.Prepare{Instance: 4}}})}, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := decider(c.view)
@@ -41,7 +42,7 @@
 			for _, m := range c.in {
 				effects, ok := d.Receive(time.Millisecond, m)
 				if !ok {
-					t.Fatal("the message is not known")
+					t.Fatal("Receive does not handle a message of this type")
 				}
 				got = describe(effects)
 			}
@@ -66,7 +67,8 @@
 	is.Equal(describe(effects), nil)
 }
 
-// What was promised and accepted before a restart still binds the acceptor.
+// After a restart an acceptor still honors its earlier promise, and reports the view that it
+// accepted earlier.
 func TestPromiseBindsAfterRestart(t *testing.T) {
 	is := is.New(t)
 	four := viewOf(4, 3)
--- a/coord/view/doc.go
+++ b/coord/view/doc.go
@@ -1,6 +1,6 @@
 // Package view implements the agreement, among the processes of a register, on the current view. A
-// view is identified by its epoch. It lists the voting members and the order of the replication
-// chain.
+// view is identified by its epoch, and lists a small number of voting members and the order of the
+// replication chain.
 //
 // # Protocol
 //
--- a/coord/view/helpers_test.go
+++ b/coord/view/helpers_test.go
@@ -7,14 +7,14 @@
 	"reachspread/coord/coordpb"
 )
 
-// member is the process at address i, with its first identity.
+// member returns the member at address i, with the first identity used there.
 func member(i int) *coordpb.Member {
 	return &coordpb.Member{Address: fmt.Sprintf("m%d", i), Identity: uint64(100 + i)}
 }
 
 var seeds = []string{"m0", "m1", "m2"}
 
-// viewOf is a view of the first n members, all in the chain.
+// viewOf returns a view whose members and chain are the first n members.
 func viewOf(epoch uint64, n int) *coordpb.View {
 	v := &coordpb.View{Epoch: epoch, MembersSince: 1}
 	for i := range n {
@@ -27,7 +27,7 @@
 	return v
 }
 
-// decider returns the Decider of the first member, in a view.
+// decider returns the Decider of the first member, which knows view v.
 func decider(v *coordpb.View) *Decider {
 	return New(Config{Self: member(0), Seeds: seeds, Eligible: true, Tolerance: 1, View: v}, 0)
 }
@@ -40,7 +40,8 @@
 	return &coordpb.Position{StateEpoch: epoch, Sequence: sequence, EntryEpoch: epoch}
 }
 
-// promises are those of members at some positions.
+// promises returns the promises of healthy members, by address. It takes the position of each
+// member by index.
 func promises(positions map[int]*coordpb.Position) map[string]*promiseFrom {
 	all := map[string]*promiseFrom{}
 	for i, p := range positions {
@@ -50,7 +51,7 @@
 	return all
 }
 
-// from makes a message of a member.
+// from sets member i as the sender of a message.
 func from(i int, m *coordpb.Message) *coordpb.Message {
 	m.From = member(i)
 	return m
@@ -64,20 +65,21 @@
 	return from(i, &coordpb.Message{Body: &coordpb.Message_Accept{Accept: &coordpb.Accept{Instance: v.Epoch, Ballot: proposalNumber(round, i), View: v}}})
 }
 
-// heartbeat is that of a healthy member that has completed an epoch.
+// heartbeat returns a heartbeat of member i, which is healthy and has completed an epoch.
 func heartbeat(i int, epoch uint64) *coordpb.Message {
 	return from(i, &coordpb.Message{Body: &coordpb.Message_Heartbeat{Heartbeat: &coordpb.Heartbeat{Epoch: epoch, Healthy: true, Eligible: true,
 		Founder: true, Heard: []uint64{100, 101, 102, 103}, Position: &coordpb.Position{StateEpoch: epoch}}}})
 }
 
-// drainingHeartbeat is a heartbeat of a draining member.
+// drainingHeartbeat returns the heartbeat of a draining member.
 func drainingHeartbeat(i int, epoch uint64) *coordpb.Message {
 	m := heartbeat(i, epoch)
 	m.GetHeartbeat().Leaving = true
 	return m
 }
 
-// receiveHeartbeats gives a Decider heartbeats of peers for a second, the last of them at now.
+// receiveHeartbeats delivers heartbeats to a Decider every 100 ms for one second, the last of them
+// at now.
 func receiveHeartbeats(d *Decider, now time.Duration, all ...*coordpb.Message) {
 	for at := now - time.Second; at <= now; at += 100 * time.Millisecond {
 		for _, m := range all {
@@ -86,7 +88,7 @@
 	}
 }
 
-// describe returns the effects of a step as text.
+// describe returns the effects of a call as text, without heartbeats.
 func describe(effects []Effect) (all []string) {
 	for _, e := range effects {
 		switch e := e.(type) {
--- a/coord/view/membership_test.go
+++ b/coord/view/membership_test.go
@@ -9,8 +9,8 @@
 	"reachspread/coord/coordpb"
 )
 
-// A dead member is replaced by a standby once enough members have completed the epoch, and by a
-// process at its address that lost its disk at once.
+// A standby replaces a dead member once enough members have completed the epoch. A process that
+// lost its disk replaces its earlier incarnation, at the same address, at once.
 func TestDeadMemberIsReplacedByStandby(t *testing.T) {
 	is := is.New(t)
 	d := decider(viewOf(3, 3))
@@ -24,11 +24,11 @@
 		}
 	}
 	run(3*time.Second, 1, 2, 3)
-	is.True(sameMembers(d.membersReplacing(nil, peerDraining), d.view.Members)) // nobody is dead
+	is.True(sameMembers(d.membersReplacing(nil, peerDraining), d.view.Members)) // no member is dead
 	run(6*time.Second, 1, 3)
 	changed := d.membersReplacing(nil, peerDraining)
 	is.Equal(changed[2].Identity, uint64(103))
-	is.Equal(d.nextView(promises(map[int]*coordpb.Position{0: position(2, 1), 1: position(2, 1)})).MembersSince, uint64(1)) // not complete
+	is.Equal(d.nextView(promises(map[int]*coordpb.Position{0: position(2, 1), 1: position(2, 1)})).MembersSince, uint64(1)) // too few members have completed epoch 3, so the members stay
 	next := d.nextView(promises(map[int]*coordpb.Position{0: position(3, 1), 1: position(3, 1)}))
 	is.Equal(next.MembersSince, uint64(4))
 	is.Equal(next.Chain, []uint64{100, 101, 103})
@@ -42,8 +42,8 @@
 	is.Equal(d.membersReplacing(nil, peerDraining)[1].Identity, uint64(999))
 }
 
-// The seat of a draining member goes to a standby that has caught up, while the member still
-// votes and as long as enough others have completed the epoch.
+// A standby that has caught up replaces a draining member while that member still votes, as long as
+// enough other members have completed the epoch.
 func TestDrainingMemberIsReplacedByStandby(t *testing.T) {
 	lagging := heartbeat(3, 0)
 	lagging.GetHeartbeat().Position = &coordpb.Position{}
@@ -53,13 +53,13 @@
 		members    []uint64
 		chain      []uint64
 	}{
-		"a standby has caught up":         {[]*coordpb.Message{heartbeat(1, 3), drainingHeartbeat(2, 3), heartbeat(3, 3)}, map[int]*coordpb.Position{0: position(3, 9), 1: position(3, 9), 2: position(3, 9)}, []uint64{100, 101, 103}, []uint64{100, 101, 103}},
-		"no standby":                      {[]*coordpb.Message{heartbeat(1, 3), drainingHeartbeat(2, 3)}, map[int]*coordpb.Position{0: position(3, 9), 1: position(3, 9), 2: position(3, 9)}, []uint64{100, 101, 102}, []uint64{100, 101}},
-		"another one is dead":             {[]*coordpb.Message{drainingHeartbeat(2, 3), heartbeat(3, 3)}, map[int]*coordpb.Position{0: position(3, 9), 2: position(3, 9)}, []uint64{100, 103, 102}, []uint64{100, 103}},
-		"another one is dead, no standby": {[]*coordpb.Message{drainingHeartbeat(2, 3)}, map[int]*coordpb.Position{0: position(3, 9), 2: position(3, 9)}, []uint64{100, 101, 102}, []uint64{100, 102}},
-		"it alone has all changes":        {[]*coordpb.Message{heartbeat(1, 3), drainingHeartbeat(2, 3), heartbeat(3, 3)}, map[int]*coordpb.Position{0: position(3, 8), 1: position(3, 8), 2: position(3, 9)}, []uint64{100, 101, 102}, []uint64{102, 100, 101}},
-		"too few others have completed":   {[]*coordpb.Message{heartbeat(1, 3), drainingHeartbeat(2, 3), heartbeat(3, 3)}, map[int]*coordpb.Position{0: position(3, 9), 1: position(2, 8), 2: position(3, 9)}, []uint64{100, 101, 102}, []uint64{100, 101}},
-		"the standby lags":                {[]*coordpb.Message{heartbeat(1, 3), drainingHeartbeat(2, 3), lagging}, map[int]*coordpb.Position{0: position(3, 900), 1: position(3, 900), 2: position(3, 900)}, []uint64{100, 101, 102}, []uint64{100, 101}},
+		"the standby has caught up":          {[]*coordpb.Message{heartbeat(1, 3), drainingHeartbeat(2, 3), heartbeat(3, 3)}, map[int]*coordpb.Position{0: position(3, 9), 1: position(3, 9), 2: position(3, 9)}, []uint64{100, 101, 103}, []uint64{100, 101, 103}},
+		"no standby":                         {[]*coordpb.Message{heartbeat(1, 3), drainingHeartbeat(2, 3)}, map[int]*coordpb.Position{0: position(3, 9), 1: position(3, 9), 2: position(3, 9)}, []uint64{100, 101, 102}, []uint64{100, 101}},
+		"another member is dead":             {[]*coordpb.Message{drainingHeartbeat(2, 3), heartbeat(3, 3)}, map[int]*coordpb.Position{0: position(3, 9), 2: position(3, 9)}, []uint64{100, 103, 102}, []uint64{100, 103}},
+		"another member is dead, no standby": {[]*coordpb.Message{drainingHeartbeat(2, 3)}, map[int]*coordpb.Position{0: position(3, 9), 2: position(3, 9)}, []uint64{100, 101, 102}, []uint64{100, 102}},
+		"only it has all changes":            {[]*coordpb.Message{heartbeat(1, 3), drainingHeartbeat(2, 3), heartbeat(3, 3)}, map[int]*coordpb.Position{0: position(3, 8), 1: position(3, 8), 2: position(3, 9)}, []uint64{100, 101, 102}, []uint64{102, 100, 101}},
+		"too few others have the state":      {[]*coordpb.Message{heartbeat(1, 3), drainingHeartbeat(2, 3), heartbeat(3, 3)}, map[int]*coordpb.Position{0: position(3, 9), 1: position(2, 8), 2: position(3, 9)}, []uint64{100, 101, 102}, []uint64{100, 101}},
+		"the standby lags":                   {[]*coordpb.Message{heartbeat(1, 3), drainingHeartbeat(2, 3), lagging}, map[int]*coordpb.Position{0: position(3, 900), 1: position(3, 900), 2: position(3, 900)}, []uint64{100, 101, 102}, []uint64{100, 101}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
--- a/coord/view/peerstate.go
+++ b/coord/view/peerstate.go
@@ -22,7 +22,8 @@
 func (d *Decider) isHealthy(p *peer) bool { return d.stateOf(p) == peerHealthy }
 
 // stateOf returns the state of a peer. A peer needs some time to report that it receives the
-// heartbeats of this process, so stateOf assumes this for the first suspectTimeout.
+// heartbeats of this process, so stateOf assumes this until the peer has been alive for
+// suspectTimeout.
 func (d *Decider) stateOf(p *peer) peerState {
 	receives := p.receivesFromSelf || d.now-p.aliveSince < suspectTimeout
 	switch {
--- a/coord/view/proposer.go
+++ b/coord/view/proposer.go
@@ -14,19 +14,19 @@
 	instance       uint64
 	number         *coordpb.Ballot
 	phaseStartedAt time.Duration
-	quorumAt       time.Duration           // when a majority had promised, 0 before
+	quorumAt       time.Duration           // when a majority had promised, 0 before that
 	promises       map[string]*promiseFrom // by address
-	value          *coordpb.View           // that is to be accepted, nil in the first phase
+	value          *coordpb.View           // the view to be accepted, nil in the first phase
 	accepted       map[string]bool         // by address
 }
 
-// promiseFrom is a promise and the acceptor that gave it.
+// promiseFrom is a promise and the acceptor that sent it.
 type promiseFrom struct {
 	*coordpb.Promise
 	from *coordpb.Member
 }
 
-// state is how far the acceptor can be relied on, by its promise.
+// state returns the state of the acceptor that its promise reports.
 func (p *promiseFrom) state() peerState {
 	switch {
 	case p.Leaving:
@@ -37,7 +37,7 @@
 	return peerHealthy
 }
 
-// voters are the addresses of the acceptors of the next view.
+// voters returns the addresses of the acceptors of the next view.
 func (d *Decider) voters() []string {
 	if d.view.Epoch == 0 {
 		return d.config.Seeds
@@ -49,8 +49,8 @@
 	return all
 }
 
-// isVoter reports whether a message is from an acceptor of the next view, and from the
-// incarnation of its storage that is a member.
+// isVoter reports whether the sender of a message is an acceptor of the next view. Once there is a
+// first view, the identity of the sender's storage must match as well.
 func (d *Decider) isVoter(from *coordpb.Member) bool {
 	if d.view.Epoch == 0 {
 		return slices.Contains(d.config.Seeds, from.Address)
@@ -59,7 +59,8 @@
 	return m != nil && m.Address == from.Address
 }
 
-// driveProposal continues the proposal in progress, or begins one if another view is needed.
+// driveProposal continues the proposal in progress. If there is none, it begins one when another
+// view is needed.
 func (d *Decider) driveProposal() {
 	if d.proposal != nil {
 		d.continueProposal(d.proposal)
@@ -81,8 +82,8 @@
 	}
 }
 
-// continueProposal gives up a proposal whose phase takes too long, and begins its second phase once
-// the promises are complete.
+// continueProposal abandons a proposal whose current phase takes too long, and begins its second
+// phase once the promises are complete.
 func (d *Decider) continueProposal(p *proposal) {
 	timeout := min(proposalTimeout<<d.failedProposals, maxProposalTimeout)
 	switch {
@@ -94,10 +95,10 @@
 	}
 }
 
-// earliestProposal is when this process may propose if another view is needed until then.
-// Members propose one after the other, and not while the proposal that this process promised to
-// may still succeed: concurrent proposals reject each other, more often the slower the
-// processes are.
+// earliestProposal returns the earliest time at which this process may propose, if another view
+// remains needed until then. Members propose one after the other. A sealed member waits while the
+// proposal that it promised to may still succeed. Both rules avoid concurrent proposals, which
+// reject each other, and do so more often the slower the processes are.
 func (d *Decider) earliestProposal() time.Duration {
 	delay := time.Duration(d.proposerRank()) * proposalStagger
 	if d.IsSealed() && d.promised.Proposer != d.config.Self.Identity {
@@ -106,7 +107,7 @@
 	return d.changeNeededSince + delay
 }
 
-// proposerRank is the number of live voters before this process.
+// proposerRank returns the number of live voters that precede this process in the list of voters.
 func (d *Decider) proposerRank() int {
 	rank := 0
 	for _, address := range d.voters() {
@@ -120,8 +121,8 @@
 	return rank
 }
 
-// majorityAlive reports whether a majority of the voters is alive. On the first view only founders
-// vote.
+// majorityAlive reports whether a majority of the voters is alive. Before the first view it counts
+// only founders, because only they vote.
 func (d *Decider) majorityAlive() bool {
 	alive := 0
 	for _, address := range d.voters() {
@@ -137,7 +138,7 @@
 	return alive >= Majority(len(d.voters()))
 }
 
-// propose begins the first phase with a new proposal number.
+// propose begins the first phase of a proposal with a new number.
 func (d *Decider) propose() {
 	d.maxRound++
 	d.proposal = &proposal{
@@ -153,7 +154,7 @@
 	})
 }
 
-// viewOrNil is the present view, nil before the first one.
+// viewOrNil returns the current view, or nil before the first one.
 func (d *Decider) viewOrNil() *coordpb.View {
 	if d.view.Epoch == 0 {
 		return nil
@@ -161,14 +162,15 @@
 	return d.view
 }
 
-// broadcast sends a message to all voters, this process included. Each gets its own.
+// broadcast sends a message to every voter, including this process. It calls newMessage once for
+// each voter.
 func (d *Decider) broadcast(newMessage func() *coordpb.Message) {
 	for _, address := range d.voters() {
 		d.send(address, newMessage())
 	}
 }
 
-// handlePromise counts a promise for the proposal in progress.
+// handlePromise records a promise for the proposal in progress.
 func (d *Decider) handlePromise(from *coordpb.Member, m *coordpb.Promise) {
 	p := d.proposal
 	if p == nil || p.value != nil || m.Instance != p.instance || !proto.Equal(m.Ballot, p.number) || !d.isVoter(from) {
@@ -183,8 +185,9 @@
 	}
 }
 
-// promisesComplete reports whether no further promises are waited for: all voters have
-// promised, or there was time enough for those that are alive, and for the others.
+// promisesComplete reports whether the proposer needn't wait for further promises. This is the case
+// once all voters have promised, once livePromiseTimeout has passed since a majority promised, or
+// once promiseTimeout has passed and no member that seems to work is missing.
 func (d *Decider) promisesComplete(p *proposal) bool {
 	if len(p.promises) == len(d.voters()) || d.now >= p.quorumAt+livePromiseTimeout {
 		return true
@@ -197,9 +200,10 @@
 	return d.now >= p.quorumAt+promiseTimeout
 }
 
-// beginAcceptPhase asks the voters to accept a view: the one that has the greatest accepted
-// number among the promises, as it may have been chosen already, or else the one that this
-// process wants.
+// beginAcceptPhase asks the voters to accept a view. If a promise reports an accepted view, the
+// proposer must choose the one with the greatest proposal number, because it may already have been
+// chosen. Otherwise the proposer chooses the view that it wants. If no view is possible now, it
+// abandons the proposal.
 func (d *Decider) beginAcceptPhase() {
 	p := d.proposal
 	var best *promiseFrom
@@ -226,8 +230,8 @@
 	})
 }
 
-// handleAccepted counts an acceptance. The view is chosen once a majority has accepted it; then
-// all processes that may need it are informed.
+// handleAccepted counts an acceptance. Once a majority has accepted the view, the view is chosen,
+// and handleAccepted sends it to all processes that may need it.
 func (d *Decider) handleAccepted(from *coordpb.Member, m *coordpb.Accepted) {
 	p := d.proposal
 	if p == nil || p.value == nil || m.Instance != p.instance || !proto.Equal(m.Ballot, p.number) || !d.isVoter(from) {
@@ -237,14 +241,14 @@
 	if len(p.accepted) < Majority(len(d.voters())) {
 		return
 	}
-	targets := d.heartbeatTargets() // of the view before, some of which may be members no more
+	targets := d.heartbeatTargets() // of the old view, some of whose members may not be in the new one
 	d.learnView(p.value)
 	for _, address := range targets {
 		d.send(address, &coordpb.Message{Body: &coordpb.Message_Learn{Learn: &coordpb.Learn{View: d.view}}})
 	}
 }
 
-// handleReject gives up the proposal in progress if an acceptor has promised a greater number.
+// handleReject abandons the proposal in progress if an acceptor has promised a greater number.
 func (d *Decider) handleReject(r *coordpb.Reject) {
 	if r.Promised != nil {
 		d.maxRound = max(d.maxRound, r.Promised.Round)
@@ -254,8 +258,8 @@
 	}
 }
 
-// abandonProposal gives up the proposal in progress. The next one waits for a random time, so
-// that two proposers don't reject each other for ever.
+// abandonProposal abandons the proposal in progress. The next proposal waits for a random time, so
+// that two proposers don't reject each other forever.
 func (d *Decider) abandonProposal() {
 	d.proposal = nil
 	d.nextProposal = d.now + time.Duration(d.rng.Int64N(int64(maxBackoff))) + maxBackoff/4
--- a/coord/view/quorum.go
+++ b/coord/view/quorum.go
@@ -7,20 +7,20 @@
 	"reachspread/coord/coordpb"
 )
 
-// Majority is the size of the smallest majority of n members.
+// Majority returns the size of the smallest majority of n members.
 func Majority(n int) int { return n/2 + 1 }
 
-// MinChainLength is the least length of the chain of a view with n members: the loss of as many
-// as are tolerated leaves one member of it, and each majority of the members has one of it, so
-// that committed changes are always found.
+// MinChainLength returns the minimum length of the chain of a view with n members. A chain of that
+// length keeps at least one member after the loss of as many members as are tolerated, and shares
+// at least one member with every majority, so that committed changes are always found.
 func MinChainLength(n, tolerance int) int {
 	return max(min(tolerance+1, n), n-Majority(n)+1)
 }
 
-// TargetMembers is how many members a view should have, where that many processes are eligible.
+// TargetMembers returns how many members a view should have if that many processes are eligible.
 func TargetMembers(tolerance int) int { return max(2*tolerance+1, minMembers) }
 
-// MemberOf returns the member of a view with an identity, nil for none.
+// MemberOf returns the member of a view with an identity, or nil if there is none.
 func MemberOf(v *coordpb.View, identity uint64) *coordpb.Member {
 	for _, m := range v.Members {
 		if m.Identity == identity {
@@ -38,7 +38,7 @@
 	return cmp.Or(cmp.Compare(a.Round, b.Round), cmp.Compare(a.Proposer, b.Proposer)) < 0
 }
 
-// IsAhead reports whether the state at position a is further than that at b.
+// IsAhead reports whether the state at position a is more advanced than the state at position b.
 func IsAhead(a, b *coordpb.Position) bool {
 	return cmp.Or(cmp.Compare(a.GetStateEpoch(), b.GetStateEpoch()), cmp.Compare(a.GetSequence(), b.GetSequence())) > 0
 }
@@ -56,7 +56,7 @@
 	return slices.Equal(a, b)
 }
 
-// identities are those of some members, in their order.
+// identities returns the identities of members, in the same order.
 func identities(members []*coordpb.Member) (all []uint64) {
 	for _, m := range members {
 		all = append(all, m.Identity)
@@ -64,7 +64,8 @@
 	return all
 }
 
-// indexOrLen is the index of an address, or the number of addresses if it isn't one of them.
+// indexOrLen returns the index of an address in a list, or the length of the list if it doesn't
+// have the address.
 func indexOrLen(addresses []string, address string) int {
 	if i := slices.Index(addresses, address); i >= 0 {
 		return i
--- a/coord/view/shards.go
+++ b/coord/view/shards.go
@@ -10,20 +10,21 @@
 )
 
 const (
-	// Shards is the number of shards that the keys of singleton roles are split into.
+	// Shards is the number of shards into which the keys of singleton roles are split.
 	Shards = 32
-	// LeaseDuration is how long a member may act on its shards after it began a confirmation of its
-	// epoch that a majority answered.
+	// LeaseDuration is how long a member may act on its shards. It counts from the time at which
+	// the member began a confirmation of its epoch that a majority answered.
 	LeaseDuration = 600 * time.Millisecond
-	// leaseMargin allows for clocks that run at different speeds.
+	// leaseMargin extends the lease that other members assume, because clocks may run at different
+	// speeds.
 	leaseMargin = 50 * time.Millisecond
 )
 
 // ShardOf returns the shard that a key belongs to.
 func ShardOf(key string) int { return int(xxhash.Sum64String(key) % Shards) }
 
-// Owner returns the member that owns the shard of a key in a view, with the assignment, whose
-// epoch is the fencing token. Both are nil if nobody does.
+// Owner returns the member that owns the shard of a key in a view, and the assignment of the shard,
+// whose Since is the fencing token. Both are nil if the view assigns no shards.
 func Owner(v *coordpb.View, key string) (*coordpb.Member, *coordpb.Duty) {
 	if len(v.GetDuties()) != Shards {
 		return nil, nil
@@ -32,8 +33,8 @@
 	return MemberOf(v, duty.Owner), duty
 }
 
-// assignShards assigns the shards to the chain of a new view. An owner that is still in the
-// chain keeps its shards; the others go to the members with the fewest.
+// assignShards assigns the shards to the chain of a new view. An owner that is still in the chain
+// keeps its shards. Each other shard goes to the member with the fewest shards.
 func (d *Decider) assignShards(v *coordpb.View, promises map[string]*promiseFrom) []*coordpb.Duty {
 	previous := d.view.GetDuties()
 	load := map[uint64]int{}
@@ -58,10 +59,11 @@
 	return all
 }
 
-// remainingLease is for how long at most the owner of a shard, or an earlier one, may still act
-// on it; below 0, for so long nobody has. An owner that promised doesn't act any more, and
-// reports since when. For another one it follows from the confirmations of those that promised:
-// a confirmation that succeeded was answered by one of them at least.
+// remainingLease returns the longest time for which the owner of a shard, or an earlier owner, may
+// still act on the shard. A result below 0 means that no owner has acted on the shard for that
+// long. An owner that promised no longer acts, and reports how long ago it stopped. For any other
+// owner the time follows from the confirmations that the promises report, because each successful
+// confirmation was answered by at least one of the members that promised.
 func (d *Decider) remainingLease(duty *coordpb.Duty, promises map[string]*promiseFrom) time.Duration {
 	recorded := time.Duration(duty.WaitMs)*time.Millisecond - (d.now - d.learnedAt)
 	remaining := -maxIdle
--- a/coord/view/shards_test.go
+++ b/coord/view/shards_test.go
@@ -8,8 +8,8 @@
 	"reachspread/coord/coordpb"
 )
 
-// A shard stays with its owner while that is in the chain. The others go to the members with the
-// fewest, which wait until the lease of the earlier owner is over.
+// A shard stays with its owner while the owner is in the chain. Each other shard goes to the member
+// with the fewest shards, which waits until the lease of the earlier owner has ended.
 func TestShardsStayWithOwnerInChain(t *testing.T) {
 	is := is.New(t)
 	d := decider(viewOf(3, 3))
@@ -28,6 +28,6 @@
 		is.Equal(duty.WaitMs, int32((LeaseDuration+leaseMargin).Milliseconds()-400))
 	}
 	is.Equal(counts, map[uint64]int{101: Shards / 2, 102: Shards / 2})
-	given["m0"] = &promiseFrom{&coordpb.Promise{Position: position(3, 1), IdleMs: 300}, member(0)} // it has promised, so it doesn't act any more
+	given["m0"] = &promiseFrom{&coordpb.Promise{Position: position(3, 1), IdleMs: 300}, member(0)} // the owner has promised, so it no longer acts on its shards
 	is.True(d.assignShards(v, given)[0].WaitMs <= 0)
 }
--- a/coord/view/timing.go
+++ b/coord/view/timing.go
@@ -7,64 +7,68 @@
 // HeartbeatInterval is the time between two heartbeats to the same process.
 const HeartbeatInterval = 200 * time.Millisecond
 
-// Failure detection. A shorter time-out gets a dead member out of the chain sooner, but takes a
-// process that pauses for a moment for dead, which costs a change of the view.
+// Limits of the failure detection. A shorter timeout removes a dead member from the chain sooner,
+// but a process that pauses briefly then counts as dead, which costs a view change.
 const (
-	// suspectTimeout is how long nothing may be heard of a peer before it counts as dead. A few
+	// suspectTimeout is how long a peer may send no heartbeat before it counts as dead. A few
 	// heartbeats may be lost or late before that.
 	suspectTimeout = 900 * time.Millisecond
-	// replaceTimeout is how long a member has to be silent before a standby may take its place. It
-	// is longer than suspectTimeout, as a member that restarts is back in the chain sooner than a
-	// standby has caught up.
+	// replaceTimeout is how long a member must be silent before a standby may replace it. It is
+	// longer than suspectTimeout because a member that restarts is back in the chain sooner than a
+	// standby catches up.
 	replaceTimeout = 1500 * time.Millisecond
-	// replaceUnhealthyTimeout is how long the writes of a member have to fail before a standby may
-	// take its place.
+	// replaceUnhealthyTimeout is how long the writes of a member must fail before a standby may
+	// replace the member.
 	replaceUnhealthyTimeout = 3 * time.Second
-	// stabilityDelay is how long a process has to be heard of without a gap before it may be taken
-	// into the chain, or become a member.
+	// stabilityDelay is how long a process must send heartbeats without a gap before it may join
+	// the chain or become a member.
 	stabilityDelay = 500 * time.Millisecond
-	// maxPeers bounds the processes that heartbeats are taken from.
+	// maxPeers limits the number of processes whose heartbeats this process accepts.
 	maxPeers = 256
 )
 
-// The first view.
+// Limits for the first view.
 const (
 	// foundingDelay is how long no new process may have appeared before the first view is proposed,
-	// so that it has all that start at the same time.
+	// so that the view includes all processes that start at the same time.
 	foundingDelay = 400 * time.Millisecond
-	// foundingTimeout is after how long the first view is proposed with the processes that are up.
+	// foundingTimeout is how long after its start a process proposes the first view with the
+	// processes that are up, even if more are expected.
 	foundingTimeout = 3 * time.Second
-	// minMembers is how many members a view has where that many processes are eligible.
+	// minMembers is the minimum number of members that a view should have if that many processes
+	// are eligible.
 	minMembers = 3
 )
 
-// Proposals. TestFailoverIsBounded derives a bound on a failover from the time-outs here and above.
+// Limits for proposals. TestFailoverIsBounded derives the longest duration of a failover from the
+// timeouts here and above.
 const (
-	// evaluationInterval is the least time between two looks at whether another view is needed.
+	// evaluationInterval is the minimum time between two checks whether another view is needed.
 	evaluationInterval = 20 * time.Millisecond
-	// proposalStagger is how much later a member proposes for each live member before it, so that
-	// usually there is one proposer.
+	// proposalStagger is how much later a member proposes for each live member that precedes it in
+	// the view, so that usually only one member proposes.
 	proposalStagger = 250 * time.Millisecond
-	// promiseTimeout is how long promises beyond a majority are waited for, and livePromiseTimeout
-	// how long those of members that seem to live: a member that isn't waited for is left out of
-	// the next chain.
+	// promiseTimeout is how long a proposer waits for further promises after a majority has
+	// promised. livePromiseTimeout is how long it waits if a member that seems alive hasn't
+	// promised. A member whose promise arrives too late is left out of the next chain.
 	promiseTimeout     = 80 * time.Millisecond
 	livePromiseTimeout = 140 * time.Millisecond
-	// proposalTimeout is how long each phase of a proposal may take. It doubles after each failure,
-	// up to maxProposalTimeout.
+	// proposalTimeout is how long each phase of a proposal may take. It doubles after each proposal
+	// that times out, up to maxProposalTimeout.
 	proposalTimeout    = 600 * time.Millisecond
 	maxProposalTimeout = 2400 * time.Millisecond
-	// maxBackoff bounds the random wait after a proposal that failed.
+	// maxBackoff limits the random part of the wait after a failed proposal. A quarter of
+	// maxBackoff is added to that part.
 	maxBackoff = 400 * time.Millisecond
-	// sealedTimeout is after how long a sealed member proposes a view itself, as the proposer that
-	// it promised to may have died.
+	// sealedTimeout is how long a sealed member waits after its last promise before it proposes a
+	// view itself, because the proposer may have died.
 	sealedTimeout = 700 * time.Millisecond
-	// minViewInterval is the least time from a view to the next proposal: the positions that peers
-	// report are of the new epoch by then.
+	// minViewInterval is the minimum time from a view to the next proposal. By then the positions
+	// that peers report belong to the new epoch.
 	minViewInterval = 100 * time.Millisecond
-	// joinRetryDelay is how long a healthy member that missed the last view waits until another
-	// view may take it into the chain. It doubles with each view that didn't, up to
-	// maxJoinRetryDelay.
+	// joinRetryDelay is how long a healthy member that the last view left out of the chain waits
+	// until another view may add it. It doubles with each further view that leaves the chain
+	// unchanged, up to maxJoinRetryDelay.
 	joinRetryDelay    = 500 * time.Millisecond
 	maxJoinRetryDelay = 16 * time.Second
 )
--- a/coord/view/tolerance.go
+++ b/coord/view/tolerance.go
@@ -6,9 +6,9 @@
 	"reachspread/coord/coordpb"
 )
 
-// CurrentTolerance is how many more members may be lost at once without a loss of the state and
-// with a majority left, as this process knows it; Config.Tolerance at most. It is 0 for a
-// process that is no member.
+// CurrentTolerance returns how many more members may be lost at once without losing the state or
+// the majority, as far as this process knows. It is at most Config.Tolerance, and 0 for a process
+// that isn't a member.
 func (d *Decider) CurrentTolerance() int {
 	if MemberOf(d.view, d.config.Self.Identity) == nil {
 		return 0
@@ -26,8 +26,9 @@
 	return max(min(working-Majority(len(d.view.Members)), complete-1, d.config.Tolerance), 0)
 }
 
-// CanShutDown reports whether the other members can do without this process, which is draining:
-// enough of them have completed the epoch, and its seat was given to a standby where there is one.
+// CanShutDown reports whether the other members can continue without this process, which is
+// draining. Enough of them must have completed the epoch, or all of them must be draining. If this
+// process is a member and there is a standby, a standby must replace it first.
 func (d *Decider) CanShutDown() bool {
 	if d.view.Epoch == 0 {
 		return true
@@ -40,8 +41,8 @@
 	return d.isComplete(remaining, d.hasCompletedEpoch) || d.allDraining(remaining)
 }
 
-// allDraining reports whether all of some members are draining, so that there is nobody to hand
-// the state to.
+// allDraining reports whether all members in a list are draining, so that none of them can take
+// over the state.
 func (d *Decider) allDraining(members []*coordpb.Member) bool {
 	return !slices.ContainsFunc(members, func(m *coordpb.Member) bool { return d.stateOfIdentity(m.Identity) != peerDraining })
 }
--- a/coord/view/trigger.go
+++ b/coord/view/trigger.go
@@ -2,8 +2,9 @@
 
 import "slices"
 
-// viewChangeNeeded reports whether another view is needed: the epoch is sealed or stalled, or
-// the desired chain or members differ from the present ones and a majority can vote on them.
+// viewChangeNeeded reports whether another view is needed: the epoch has been sealed for
+// sealedTimeout, the chain has stalled, or the desired chain or members differ from the current
+// ones and a majority can vote.
 func (d *Decider) viewChangeNeeded() bool {
 	if d.view.Epoch == 0 {
 		return d.foundingAllowed()
@@ -22,8 +23,9 @@
 	return !sameMembers(d.nextMembers(nil, d.hasCompletedEpoch), d.view.Members)
 }
 
-// foundingAllowed reports whether the first view may be proposed: enough processes are up and
-// no new one has appeared for a while, or foundingTimeout is over.
+// foundingAllowed reports whether the first view may be proposed. A majority of the seeds must be
+// up. In addition, either foundingTimeout has passed, or enough processes are up and these include
+// all seeds or no new process has appeared for foundingDelay.
 func (d *Decider) foundingAllowed() bool {
 	all := d.candidates()
 	last := d.startedAt
@@ -47,7 +49,7 @@
 	return d.now >= d.startedAt+foundingTimeout
 }
 
-// majorityCanVote reports whether a majority of the members is alive with working storage.
+// majorityCanVote reports whether a majority of the members is alive and has working storage.
 func (d *Decider) majorityCanVote() bool {
 	working := 0
 	for _, m := range d.view.Members {
@@ -58,9 +60,9 @@
 	return working >= Majority(len(d.view.Members))
 }
 
-// joinAllowed reports whether another member may be taken into the chain now. If the last views
-// left the chain as it was, a member that seems healthy didn't promise in time, and is tried
-// again less and less often.
+// joinAllowed reports whether another member may join the chain now. If the last views left the
+// chain unchanged, a member that seems healthy didn't promise in time. The wait before the next
+// attempt then grows with each such view.
 func (d *Decider) joinAllowed() bool {
 	if d.unchangedViews == 0 {
 		return true
@@ -69,9 +71,10 @@
 	return d.now >= d.learnedAt+wait
 }
 
-// desiredChain returns the members that a chain would have that began now: the healthy ones
-// that are in the chain or have caught up; if these are too few also draining ones, then
-// lagging ones.
+// desiredChain returns the members of the chain that would begin now: the healthy ones that are in
+// the chain or have caught up. If these are fewer than MinChainLength, it adds draining members,
+// then lagging ones. If mayJoin is false, members outside the current chain are added only when
+// draining.
 func (d *Decider) desiredChain(mayJoin bool) []uint64 {
 	var ready, draining, lagging []uint64
 	newest := d.newestPosition()
--- a/coord/view/trigger_test.go
+++ b/coord/view/trigger_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// A member that seems healthy and didn't promise in time is tried again less and less often, as
-// each attempt is another view.
+// A member that seems healthy but didn't promise in time is tried again less and less often,
+// because each attempt costs another view.
 func TestJoinIsRetriedLessOften(t *testing.T) {
 	is := is.New(t)
 	two := viewOf(3, 3)
@@ -27,5 +27,5 @@
 		is.True(d.joinAllowed())
 	}
 	d.learnView(viewOf(d.view.Epoch+1, 3))
-	is.True(d.joinAllowed()) // it has joined
+	is.True(d.joinAllowed()) // the member has joined the chain
 }
