--- a/coord/chain/catchup.go
+++ b/coord/chain/catchup.go
@@ -8,48 +8,52 @@
 )
 
 const (
-	// chunkBytes is the size of a chunk of a snapshot: 0.05 s on a link of 10 Mbit/s, so that
-	// heartbeats queued behind one are in time.
+	// chunkBytes is the size of a chunk of a snapshot. A link of 10 Mbit/s takes 0.05 s for a
+	// chunk, so heartbeats that are queued behind one still arrive in time.
 	chunkBytes = 64 << 10
-	// maxRecentChanges and maxRecentBytes bound the changes that are cached for replicas that lack
-	// only these. Replicas that lag further need a snapshot.
+	// maxRecentChanges and maxRecentBytes limit the changes that are cached for replicas that lack
+	// only these. A replica that lags further needs a snapshot.
 	maxRecentChanges = 256
 	maxRecentBytes   = 1 << 20
-	// maxEntriesBytes bounds the changes in one message, unless it has a single one.
+	// maxEntriesBytes limits the total size of the changes in one message. A message with a single
+	// change may be larger.
 	maxEntriesBytes = 256 << 10
-	// maxSnapshotBytes bounds a snapshot that is received.
+	// maxSnapshotBytes limits the size of a snapshot that this replica accepts.
 	maxSnapshotBytes = 64 << 20
-	// requestTimeout is after how long a request for the state that wasn't answered is sent again.
+	// requestTimeout is how long a replica waits for the answer to a request for state before it
+	// sends the request again.
 	requestTimeout = 400 * time.Millisecond
 	// learnerPollInterval is the time between two requests of a learner that has caught up.
 	learnerPollInterval = 300 * time.Millisecond
-	// snapshotTTL is how long a snapshot is kept after its last chunk was requested.
+	// snapshotTTL is how long a replica keeps a snapshot after a chunk of it was last requested.
 	snapshotTTL = 5 * time.Second
 )
 
-// catchUp is the state of getting what this replica lacks, and of serving what others lack.
+// catchUp is the state of a replica that fetches what it lacks from another replica, and serves
+// what others lack.
 type catchUp struct {
-	learner            bool // it gets the state also while it is outside the chain
+	learner            bool // this replica fetches the state even while it is outside the chain
 	recent             recentChanges
 	outgoing           *outgoingSnapshot
 	incoming           *incomingSnapshot
 	nextRequest        time.Duration // the earliest time of the next request
-	unansweredRequests int           // in a row, as a learner
+	unansweredRequests int           // consecutive requests without an answer, as a learner
 
-	progress          uint64 // grows whenever this replica or one behind it gets more of the state
-	successorProgress uint64 // as the successor last reported its own
-	progressAt        time.Duration
+	progress          uint64        // grows whenever this replica or a member behind it receives more of the state
+	successorProgress uint64        // the progress that the successor last reported
+	progressAt        time.Duration // when progress last grew
 }
 
-// FollowAsLearner has the replica follow the state also while it is outside the chain, so that
-// it can join the chain of the next epoch at once.
+// FollowAsLearner makes the replica follow the state even while it is outside the chain, so that it
+// can join the chain of the next epoch at once.
 func (r *Replica) FollowAsLearner() { r.catchUp.learner = true }
 
-// participates reports whether this process is in the chain and hasn't restarted in its epoch.
+// participates reports whether this process is in the chain and hasn't restarted in the current
+// epoch.
 func (r *Replica) participates() bool { return r.index() >= 0 && !r.resumed }
 
-// runCatchUpTimers drops a snapshot that nobody fetches any more, and requests the state that
-// this replica lacks.
+// runCatchUpTimers drops a snapshot that other replicas no longer fetch, and requests the state
+// that this replica lacks.
 func (r *Replica) runCatchUpTimers() {
 	c := &r.catchUp
 	if c.outgoing != nil && r.now-c.outgoing.usedAt >= snapshotTTL {
@@ -67,8 +71,8 @@
 	}
 }
 
-// learnerSource is whom a learner asks: the tail, and the other members by turns while requests
-// aren't answered.
+// learnerSource returns the address of the member that a learner asks for state. This is the tail
+// first. While requests remain unanswered, the learner asks the other members in turn.
 func (r *Replica) learnerSource() string {
 	n := len(r.view.Chain)
 	at := addressAt(r.view, (n-1)-(r.catchUp.unansweredRequests-1)%n)
@@ -78,7 +82,8 @@
 	return at
 }
 
-// requestState asks a member for what the state lacks; ahead says that a learner asks.
+// requestState asks a member for what this replica lacks. asLearner reports whether this replica
+// asks as a learner.
 func (r *Replica) requestState(from string, asLearner bool) {
 	c := &r.catchUp
 	c.nextRequest = r.now + requestTimeout
@@ -90,7 +95,8 @@
 	r.send(from, &coordpb.Message{Body: &coordpb.Message_Need{Need: n}})
 }
 
-// handleStateRequest sends what a state lacks: cached changes, or else a chunk of a snapshot.
+// handleStateRequest sends what the state of another replica lacks: the changes if they are cached,
+// otherwise a chunk of a snapshot.
 func (r *Replica) handleStateRequest(from string, n *coordpb.Need) {
 	if !r.isActiveIn(n.Epoch) || !r.synced || !n.Ahead && from != r.successor() {
 		return
@@ -115,7 +121,7 @@
 	r.send(from, &coordpb.Message{Body: &coordpb.Message_Snapshot{Snapshot: chunk}})
 }
 
-// sendEntries sends changes, as many as fit into one message.
+// sendEntries sends as many of the changes as fit into one message.
 func (r *Replica) sendEntries(to string, n *coordpb.Need, changes []recentChange) {
 	m := &coordpb.Entries{Epoch: n.Epoch, Position: r.position, Ahead: n.Ahead}
 	bytes := 0
@@ -131,8 +137,8 @@
 	r.send(to, &coordpb.Message{Body: &coordpb.Message_Entries{Entries: m}})
 }
 
-// acceptsStateFrom reports whether the state may be taken from a member: by a learner from any,
-// in the chain from the predecessor.
+// acceptsStateFrom reports whether this replica may take state from a member. A learner takes it
+// from any member, and a member of the chain only from its predecessor.
 func (r *Replica) acceptsStateFrom(from string, epoch uint64, asLearner bool) bool {
 	if epoch != r.view.Epoch || r.sealed {
 		return false
@@ -143,7 +149,7 @@
 	return r.isActiveIn(epoch) && from == r.predecessor()
 }
 
-// handleEntries applies changes that the state lacks.
+// handleEntries applies changes that this replica lacks.
 func (r *Replica) handleEntries(from string, e *coordpb.Entries) {
 	if e.Position == nil || !r.acceptsStateFrom(from, e.Epoch, e.Ahead) {
 		return
@@ -152,7 +158,7 @@
 	previous := e.PreviousEpoch
 	for _, entry := range e.Entries {
 		if entry == nil || entry.Sequence != r.position.Sequence+1 || previous != r.position.EntryEpoch {
-			return // an old answer
+			return // an answer to an older request
 		}
 		r.applyCaughtUp(entry, previous, e.Ahead)
 		previous = entry.Epoch
@@ -162,8 +168,8 @@
 	}
 }
 
-// applyCaughtUp applies one change. Once this replica is synced, the members behind it lack the
-// change as well, and it is forwarded.
+// applyCaughtUp applies one change. If this replica is already synced, the members behind it lack
+// the change as well, so applyCaughtUp also forwards it.
 func (r *Replica) applyCaughtUp(e *coordpb.Entry, previous uint64, asLearner bool) {
 	if asLearner || !r.synced {
 		r.apply(e)
@@ -172,8 +178,9 @@
 	r.replicate(&coordpb.Append{Epoch: e.Epoch, Sequence: e.Sequence, PreviousEpoch: previous, Change: e.Change})
 }
 
-// continueCatchUp goes on after something was taken from a member: with the epoch, if the
-// states are the same now, else with the next request.
+// continueCatchUp takes the next step after this replica has received state from a member. If the
+// states still differ, it requests more. If they are equal, a member of the chain completes its
+// synchronization, and a learner waits for learnerPollInterval.
 func (r *Replica) continueCatchUp(from string, to *coordpb.Position, asLearner bool) {
 	if !sameState(r.position, to) {
 		r.requestState(from, asLearner)
--- a/coord/chain/chain.go
+++ b/coord/chain/chain.go
@@ -7,62 +7,67 @@
 )
 
 const (
-	// ResendInterval is after how long a message to a neighbour that wasn't answered is sent again.
+	// ResendInterval is how long a member waits for an answer from a neighbour before it resends
+	// the message.
 	ResendInterval = 200 * time.Millisecond
-	// stallTimeout is how long a chain of one member may take for a change, or any chain may go
-	// without progress at the beginning of an epoch, before another view is called for.
+	// stallTimeout is how long a chain of one member may take for a change, and how long any chain
+	// may make no progress at the beginning of an epoch, before another view is requested.
 	stallTimeout = 900 * time.Millisecond
-	// hopLatency is how long each further member may take for a change: a write to its disk, and a
-	// pause of the process.
+	// hopLatency is how long each further member of the chain may take for a change: for a write to
+	// its disk and a pause of its process.
 	hopLatency = 150 * time.Millisecond
-	// minLinkBandwidth is the least bandwidth between members that a change may be expected to
-	// travel at, in bytes a second.
+	// minLinkBandwidth is the lowest bandwidth, in bytes per second, that is expected for a change
+	// on a link between members.
 	minLinkBandwidth = 1 << 20
-	// minRestartTime is the least time between the end of a process and the start of the next one
+	// minRestartTime is the minimum time between the end of a process and the start of the next one
 	// on its machine.
 	minRestartTime = 250 * time.Millisecond
-	// MaxQueuedCommands bounds the commands that wait at the head. Further ones are redirected.
+	// MaxQueuedCommands limits the number of commands that wait at the head. The head redirects
+	// further ones.
 	MaxQueuedCommands = 256
 )
 
-// Machine is the replicated state machine. It has to be deterministic: the same changes lead to
-// the same state on all replicas. Its methods are called by the caller of the replica's methods,
-// one at a time.
+// Machine is the replicated state machine. It must be deterministic: the same changes lead to the
+// same state on all replicas. The replica calls its methods one at a time, while one of the
+// replica's own methods runs.
 type Machine interface {
-	// Decide executes a command on the present state without changing it: it returns the change
-	// that it would make, nil for none, and the reply to the client. A client may submit a command
-	// again, also after it was committed; the machine has to recognize it.
+	// Decide executes a command on the current state without changing the state. It returns the
+	// change that the command would make, nil for none, and the reply to the client. A client may
+	// submit a command again, even after the command was committed, and the machine must recognize
+	// such a repetition.
 	Decide(command []byte) (change, reply []byte)
-	// Apply makes a change that Decide has returned on this or another replica.
+	// Apply makes a change that Decide returned on this or another replica.
 	Apply(change []byte)
 	// Snapshot returns the complete state.
 	Snapshot() []byte
-	// Restore replaces the state by a snapshot, and leaves it as it is if it returns an error.
+	// Restore replaces the state with a snapshot. It must leave the state unchanged if it returns
+	// an error.
 	Restore(snapshot []byte) error
 	// Value returns the state in an immutable form, for readers in other goroutines.
 	Value() any
 }
 
-// Effect is something that the owner of a Replica has to carry out: Send, Write or Committed.
+// Effect is an action that the caller of a Replica must carry out: Send, Write or Committed.
 type Effect interface{ isEffect() }
 
 // Send sends a message to an address.
 type Send struct {
 	To      string
 	Message *coordpb.Message
-	// Immediate reports whether the message may be sent before earlier Writes are durable, as
+	// Immediate reports whether the message may be sent before earlier Writes are durable, because
 	// nothing in it depends on them.
 	Immediate bool
 }
 
-// Write appends a record to the log on disk. Messages and commits that come after it depend on it.
+// Write appends a record to the log on disk. Messages and commits that follow it in the effects
+// depend on the record.
 type Write struct{ Record *coordpb.Record }
 
-// Committed reports that the state is on the disks of all members of the chain, so it may be
+// Committed reports that the state is on the disks of all members of the chain, so that it may be
 // shown to others.
 type Committed struct {
 	Position *coordpb.Position
-	Value    any // Machine.Value
+	Value    any // the result of Machine.Value
 }
 
 func (Send) isEffect() {}
@@ -71,29 +76,29 @@
 
 func (Committed) isEffect() {}
 
-// Replica is one process's copy of the state. It isn't safe for concurrent use.
+// Replica is the copy of the state on one process. It isn't safe for concurrent use.
 type Replica struct {
 	self    *coordpb.Member
 	machine Machine
 	now     time.Duration
-	effects []Effect // of the present step
+	effects []Effect // of the current call
 
-	// The epoch.
+	// State of the epoch.
 	view             *coordpb.View
 	sealed           bool          // this process has promised to leave the epoch
-	resumed          bool          // it was in the epoch before it restarted, and takes no further part
-	synced           bool          // it has the state that the epoch began with, or a later one
-	successorsSynced bool          // so have all members behind it
-	epochBeganAt     time.Duration // for this process
-	earlySync        *coordpb.Sync // of an epoch whose view isn't known yet, nil for none
-	earlySyncFrom    string
-
-	// The state.
+	resumed          bool          // this process has restarted in the epoch, and takes no further part in it
+	synced           bool          // this process has the state that the epoch began with, or a later one
+	successorsSynced bool          // all members behind this process are synced as well
+	epochBeganAt     time.Duration // when this process began the epoch, or restarted in it
+	earlySync        *coordpb.Sync // a Sync for an epoch whose view isn't known yet, nil for none
+	earlySyncFrom    string        // the address of its sender
+
+	// The replicated state.
 	position  *coordpb.Position
-	committed uint64 // the sequence up to which changes are committed, as far as is known here
+	committed uint64 // the sequence of the last change that is known to be committed
 
-	// Replication. At the head inFlight is the change that is being replicated, elsewhere the last
-	// one that was forwarded.
+	// State of the replication. At the head, inFlight is the change that is being replicated. At
+	// other members, it is the last change that was forwarded.
 	queue         []command // at most MaxQueuedCommands
 	inFlight      *coordpb.Append
 	inFlightSince time.Duration
@@ -101,11 +106,12 @@
 
 	catchUp      catchUp
 	confirmation confirmation
-	confirmedTo  map[string]time.Duration // when this process last confirmed the epoch, by address
+	confirmedTo  map[string]time.Duration // when this process last confirmed the epoch to a member, by the member's address
 	deferred     []deferredReply          // at most maxDeferredReplies
 }
 
-// New returns a replica whose machine has the state of a position, nil for the initial state.
+// New returns the replica of process self. The state of machine m is at position p; nil is the
+// position of the initial state.
 func New(self *coordpb.Member, m Machine, p *coordpb.Position, now time.Duration) *Replica {
 	if p == nil {
 		p = &coordpb.Position{}
@@ -121,18 +127,20 @@
 	}
 }
 
-// Position is that of the state here, committed or not. It must not be changed.
+// Position returns the position of the state on this process, whether committed or not. The caller
+// must not modify it.
 func (r *Replica) Position() *coordpb.Position { return r.position }
 
-// CommittedSequence is the number of committed changes, as far as this process knows.
+// CommittedSequence returns the number of committed changes, as far as this process knows.
 func (r *Replica) CommittedSequence() uint64 { return r.committed }
 
 // Readable reports whether this process is the tail and has the state of the chain, so that it
 // can answer reads.
 func (r *Replica) Readable() bool { return !r.sealed && r.synced && r.isTail() }
 
-// Idle is for how long this process certainly hasn't acted on its shards: since its last
-// incarnation ended, if it hasn't been in a chain since.
+// Idle returns the time for which this process is certain not to have acted on its shards. After a
+// restart, until the next epoch begins, this is the time since the previous incarnation ended.
+// Otherwise it is 0.
 func (r *Replica) Idle() time.Duration {
 	if r.resumed {
 		return r.now - r.epochBeganAt + minRestartTime
@@ -140,8 +148,9 @@
 	return 0
 }
 
-// Stalled reports whether the chain has taken too long for a change or for the beginning of the
-// epoch, though its members seem to be alive.
+// Stalled reports whether the chain has taken too long to commit a change or to begin the epoch,
+// although its members seem to be alive. A member of the chain that has restarted in the epoch
+// reports this at once.
 func (r *Replica) Stalled() bool {
 	if r.sealed || r.index() < 0 {
 		return false
@@ -152,8 +161,8 @@
 	return r.isHead() && r.inFlight != nil && r.inFlight.Sequence > r.committed && r.now-r.inFlightSince >= r.commitTimeout()
 }
 
-// commitTimeout is how long the chain may take for the change in flight. It grows with the
-// length of the chain and the size of the change.
+// commitTimeout returns how long the chain may take to commit the change in flight. It grows with
+// the length of the chain and the size of the change.
 func (r *Replica) commitTimeout() time.Duration {
 	hops := len(r.view.Chain) - 1
 	return stallTimeout + time.Duration(hops)*hopLatency + time.Duration(hops*len(r.inFlight.Change))*time.Second/minLinkBandwidth
@@ -175,7 +184,7 @@
 	return r.effects
 }
 
-// Receive handles a message; ok is false if it belongs to another package.
+// Receive handles a message. ok is false if the message belongs to another package.
 func (r *Replica) Receive(now time.Duration, m *coordpb.Message) (effects []Effect, ok bool) {
 	r.startStep(now)
 	from := m.GetFrom().GetAddress()
@@ -212,7 +221,7 @@
 	return r.effects, true
 }
 
-// startStep begins the handling of one input.
+// startStep prepares for one input: it advances the clock, never backwards, and clears the effects.
 func (r *Replica) startStep(now time.Duration) { r.now, r.effects = max(now, r.now), nil }
 
 func (r *Replica) emit(e Effect) { r.effects = append(r.effects, e) }
@@ -225,7 +234,8 @@
 	r.emit(Send{To: to, Message: m})
 }
 
-// isActiveIn reports whether this process is in the chain of an epoch and hasn't left it.
+// isActiveIn reports whether this process takes part in an epoch: it is in the chain, hasn't sealed
+// the epoch and hasn't restarted in it.
 func (r *Replica) isActiveIn(epoch uint64) bool {
 	return epoch == r.view.Epoch && !r.sealed && !r.resumed && r.index() >= 0
 }
--- a/coord/chain/confirm.go
+++ b/coord/chain/confirm.go
@@ -8,44 +8,46 @@
 )
 
 const (
-	// ConfirmInterval is the time between two confirmations of the epoch, while nothing waits for
-	// one.
+	// ConfirmInterval is the time between two confirmation rounds of the epoch while no reply waits
+	// for one.
 	ConfirmInterval = 200 * time.Millisecond
-	// confirmTimeout is after how long a confirmation that a majority hasn't answered is begun
-	// again.
+	// confirmTimeout is how long a confirmation round may wait for the answers of a majority before
+	// it is abandoned and another round may begin.
 	confirmTimeout = 400 * time.Millisecond
-	// maxDeferredReplies bounds the replies that wait for a confirmation. Further reads are
-	// redirected.
+	// maxDeferredReplies limits the number of replies that wait for a confirmation round. Further
+	// reads are redirected.
 	maxDeferredReplies = 1024
 )
 
-// confirmation is the state of asking the members whether the epoch is still the last one. If a
-// majority says so, no later view had been chosen when they were asked.
+// confirmation is the state of the rounds in which this replica asks the members whether its epoch
+// is still the latest one. If a majority confirms this, no later view had been chosen when the
+// replica asked.
 type confirmation struct {
 	nonce       uint64
-	startedAt   time.Duration // of the latest round
-	active      bool          // a round is in progress
-	answers     map[string]bool
-	confirmedAt time.Duration // when the last successful round began, below 0 for never
+	startedAt   time.Duration   // when the latest round began
+	active      bool            // a round is in progress
+	answers     map[string]bool // members that have confirmed the epoch in the latest round, by address
+	confirmedAt time.Duration   // when the last successful round began, below 0 for never
 }
 
-// deferredReply is a reply that waits for a confirmation of the epoch that began after its request
-// came.
+// deferredReply is a reply that waits for a successful confirmation round that began after the
+// request arrived.
 type deferredReply struct {
 	arrivedAt     time.Duration
 	origin        *coordpb.Origin
 	reply         []byte
-	read          bool   // the reply is the state at the time of the confirmation
-	knownSequence uint64 // of a read: the sequence of the state that the client has, 0 for none
+	read          bool   // the request is a read: the reply is the state at the time of the confirmation
+	knownSequence uint64 // of the state that the reading client has, 0 for none
 }
 
-// ConfirmedAt is the time at which the epoch was certainly the last one, on the owner's clock;
-// ok is false if it isn't known.
+// ConfirmedAt returns the last time, on the caller's clock, at which the epoch is known to have
+// been the latest one. ok is false if no such time is known or this process has sealed the epoch.
 func (r *Replica) ConfirmedAt() (at time.Duration, ok bool) {
 	return r.confirmation.confirmedAt, r.confirmation.confirmedAt >= 0 && !r.sealed
 }
 
-// startConfirm begins a round of confirmations, unless one is in progress.
+// startConfirm begins a confirmation round, unless one is in progress or this process has sealed
+// the epoch or isn't in the chain.
 func (r *Replica) startConfirm() {
 	if r.confirmation.active || r.sealed || r.index() < 0 {
 		return
@@ -65,8 +67,8 @@
 	r.completeConfirm()
 }
 
-// runConfirmTimers begins a round where one is due or replies wait for it, and gives up one
-// that takes too long.
+// runConfirmTimers abandons a confirmation round that takes too long. It begins a round if one is
+// due or replies wait for one.
 func (r *Replica) runConfirmTimers() {
 	c := &r.confirmation
 	if c.active && r.now >= c.startedAt+confirmTimeout {
@@ -77,8 +79,8 @@
 	}
 }
 
-// handleConfirm confirms that the epoch of the sender is the last one known here, unless this
-// process has sealed it.
+// handleConfirm confirms to the sender that its epoch is the latest one known here. It doesn't
+// answer if it knows another epoch, has sealed this one or isn't a member.
 func (r *Replica) handleConfirm(from string, c *coordpb.Confirm) {
 	if c.Epoch != r.view.Epoch || r.sealed || view.MemberOf(r.view, r.self.Identity) == nil {
 		return
@@ -88,7 +90,7 @@
 	r.emit(Send{To: from, Message: answer, Immediate: true})
 }
 
-// handleConfirmed counts a confirmation of the round in progress.
+// handleConfirmed counts an answer in the confirmation round in progress.
 func (r *Replica) handleConfirmed(from string, c *coordpb.Confirmed) {
 	if c.Epoch != r.view.Epoch || r.sealed || !r.confirmation.active || c.Nonce != r.confirmation.nonce {
 		return
@@ -97,8 +99,8 @@
 	r.completeConfirm()
 }
 
-// Confirmations are the members that this process has confirmed the epoch to, with the ages of
-// the last confirmations.
+// Confirmations returns the members to which this process has confirmed the epoch, with the age of
+// the last confirmation to each.
 func (r *Replica) Confirmations() (all []*coordpb.Answered) {
 	for _, m := range r.view.Members {
 		if at, ok := r.confirmedTo[m.Address]; ok {
@@ -108,8 +110,8 @@
 	return all
 }
 
-// completeConfirm ends a round that a majority has answered, and sends the replies that waited
-// for it.
+// completeConfirm ends the confirmation round if a majority has answered, and sends the replies
+// that waited for it. If other replies still wait, it begins another round.
 func (r *Replica) completeConfirm() {
 	c := &r.confirmation
 	if len(c.answers) < view.Majority(len(r.view.Members)) {
@@ -131,7 +133,8 @@
 	}
 }
 
-// sendDeferred sends a reply that is certain by now.
+// sendDeferred sends a reply that the confirmation round has shown to be current. It redirects a
+// read if this process can no longer answer it.
 func (r *Replica) sendDeferred(w deferredReply) {
 	reply := &coordpb.Reply{Id: w.origin.Id, Reply: w.reply, Position: r.position}
 	if w.read {
@@ -146,7 +149,8 @@
 	r.send(w.origin.Address, &coordpb.Message{Body: &coordpb.Message_Reply{Reply: reply}})
 }
 
-// handleRead defers a read until a round of confirmations that begins after it.
+// handleRead defers the reply to a read until a confirmation round that begins after the read
+// arrived.
 func (r *Replica) handleRead(from string, read *coordpb.Read) {
 	if !r.Readable() || len(r.deferred) >= maxDeferredReplies {
 		r.redirect(from, read.Id)
--- a/coord/chain/epoch.go
+++ b/coord/chain/epoch.go
@@ -6,13 +6,14 @@
 	"reachspread/coord/coordpb"
 )
 
-// Seal ends this process's part in the present epoch.
+// Seal ends the participation of this process in the current epoch.
 func (r *Replica) Seal() { r.sealed = true }
 
-// Resume takes up the view that this process knew before it restarted. It takes no further part
-// in that epoch: more may be on its disk than it told its neighbours, so the chain has to begin
-// another. It may have confirmed the epoch to any member right before it ended, so it counts as
-// having done so.
+// Resume restores the view that this process knew before it restarted. The process takes no further
+// part in the epoch of that view: its disk may have changes that it didn't report to its
+// neighbours, so the chain must begin another epoch. The process may have confirmed the epoch to
+// any member just before it ended. Resume therefore records that it has confirmed the epoch to
+// every member.
 func (r *Replica) Resume(v *coordpb.View, sealed bool) {
 	r.view, r.sealed, r.resumed, r.epochBeganAt = v, sealed, true, r.now
 	for _, m := range v.Members {
@@ -20,7 +21,7 @@
 	}
 }
 
-// BeginEpoch takes up a view that was chosen.
+// BeginEpoch begins the epoch of a view that was chosen.
 func (r *Replica) BeginEpoch(now time.Duration, v *coordpb.View) []Effect {
 	r.startStep(now)
 	r.view, r.epochBeganAt = v, r.now
@@ -39,8 +40,8 @@
 	return r.effects
 }
 
-// redirectWaiting redirects the clients that wait for an epoch that is over. A head that stays
-// head keeps its queue.
+// redirectWaiting redirects the clients whose requests still wait from the epoch that has ended. A
+// head that remains the head keeps its queue of commands.
 func (r *Replica) redirectWaiting() {
 	for _, w := range r.deferred {
 		r.redirect(w.origin.Address, w.origin.Id)
@@ -55,8 +56,8 @@
 	r.queue = nil
 }
 
-// completeSync records that this replica has the state that the epoch begins with, and
-// synchronizes its successor.
+// completeSync records that this replica has the state that the epoch begins with, and synchronizes
+// its successor.
 func (r *Replica) completeSync() {
 	r.synced = true
 	r.recordProgress()
@@ -70,15 +71,15 @@
 	r.sendSync()
 }
 
-// sendSync tells the successor which state the epoch begins with.
+// sendSync sends the successor the position of the state that the epoch begins with.
 func (r *Replica) sendSync() {
 	r.resendAt = r.now + ResendInterval
 	sync := &coordpb.Sync{Epoch: r.view.Epoch, Position: r.position}
 	r.send(r.successor(), &coordpb.Message{Body: &coordpb.Message_Sync{Sync: sync}})
 }
 
-// completeChainSync records that all members behind have the state as well, and reports it to
-// the predecessor. The head begins to execute commands.
+// completeChainSync records that all members behind this one also have the state, and reports this
+// to the predecessor. The head, which has no predecessor, begins to execute commands.
 func (r *Replica) completeChainSync() {
 	if r.successorsSynced {
 		return
@@ -92,8 +93,9 @@
 	r.executeQueue()
 }
 
-// handleSync compares this replica's state with that of its predecessor. A Sync of an epoch
-// whose view isn't known yet is kept until that comes.
+// handleSync compares the state of this replica with that of its predecessor, and requests the
+// state if they differ. It stores a Sync for an epoch whose view isn't known yet until the view
+// arrives.
 func (r *Replica) handleSync(from string, s *coordpb.Sync) {
 	if s.Epoch > r.view.Epoch {
 		r.earlySync, r.earlySyncFrom = s, from
@@ -114,8 +116,8 @@
 	}
 }
 
-// handleSyncing records that the successor has the state, and that members behind it are
-// getting it.
+// handleSyncing records that the successor has the state and that members behind the successor are
+// still getting it.
 func (r *Replica) handleSyncing(from string, s *coordpb.Syncing) {
 	if !r.isActiveIn(s.Epoch) || from != r.successor() || s.Progress == r.catchUp.successorProgress {
 		return
@@ -124,8 +126,8 @@
 	r.recordProgress()
 }
 
-// recordProgress records that this replica or one behind it is getting the state, so that the
-// chain doesn't count as stalled.
+// recordProgress records that this replica or a member behind it has received more of the state, so
+// that the chain doesn't count as stalled.
 func (r *Replica) recordProgress() {
 	r.catchUp.progress++
 	r.catchUp.progressAt = r.now
--- a/coord/chain/recent.go
+++ b/coord/chain/recent.go
@@ -4,13 +4,13 @@
 	"reachspread/coord/coordpb"
 )
 
-// recentChange is a change, and the epoch of the one before it.
+// recentChange is a change and the epoch of the change before it.
 type recentChange struct {
 	entry    *coordpb.Entry
 	previous uint64
 }
 
-// recentChanges are the last changes that led to the present state, the oldest first.
+// recentChanges holds the last changes that led to the current state, the oldest first.
 type recentChanges struct {
 	all   []recentChange
 	bytes int
@@ -26,7 +26,8 @@
 	}
 }
 
-// after returns the changes behind a position; ok is false if they don't lead from there.
+// after returns the changes that follow position p. ok is false if the changes held here don't lead
+// from p to the current position.
 func (c *recentChanges) after(p, current *coordpb.Position) (all []recentChange, ok bool) {
 	if sameState(p, current) {
 		return nil, true
@@ -39,8 +40,8 @@
 	return nil, false
 }
 
-// sameState reports whether two positions are of the same state: the pair of sequence and epoch
-// of the last change identifies it.
+// sameState reports whether two positions belong to the same state. The sequence and epoch of the
+// last change identify a state.
 func sameState(a, b *coordpb.Position) bool {
 	return a.GetSequence() == b.GetSequence() && a.GetEntryEpoch() == b.GetEntryEpoch()
 }
--- a/coord/chain/replicate.go
+++ b/coord/chain/replicate.go
@@ -5,14 +5,15 @@
 	"reachspread/coord/view"
 )
 
-// command is a submitted command that waits at the head.
+// command is a submitted command that waits at the head for its execution.
 type command struct {
 	origin *coordpb.Origin
 	data   []byte
 }
 
-// handleSubmit queues a command at the head. A command of a client that is queued or in flight
-// already is ignored.
+// handleSubmit queues a command at the head. It ignores a command that is already queued or in
+// flight for the same client. It redirects the client if this process isn't an active head or the
+// queue is full.
 func (r *Replica) handleSubmit(from string, s *coordpb.Submit) {
 	if r.sealed || !r.isHead() || len(r.queue) >= MaxQueuedCommands {
 		r.redirect(from, s.Id)
@@ -36,7 +37,8 @@
 	return a != nil && a.Sequence > r.committed && a.Origin.GetAddress() == from && a.Origin.GetId() == id
 }
 
-// redirect tells a client that this process can't answer, with the last view that it knows.
+// redirect informs a client that this process can't answer its request, and sends it the last view
+// that this process knows.
 func (r *Replica) redirect(to string, id uint64) {
 	m := &coordpb.Redirect{Id: id}
 	if r.view.Epoch > 0 {
@@ -45,8 +47,9 @@
 	r.send(to, &coordpb.Message{Body: &coordpb.Message_Redirect{Redirect: m}})
 }
 
-// executeQueue executes queued commands, each once the change of the one before is committed.
-// The reply to a command without a change is deferred until the epoch is confirmed.
+// executeQueue executes queued commands. It executes a command only once the change of the previous
+// one is committed. The reply to a command without a change is deferred until the epoch is
+// confirmed.
 func (r *Replica) executeQueue() {
 	for len(r.queue) > 0 && r.canExecute() {
 		next := r.queue[0]
@@ -76,8 +79,9 @@
 	return r.inFlight == nil || r.inFlight.Sequence <= r.committed
 }
 
-// handleAppend takes in a change from the predecessor. One that came before is forwarded again,
-// as it may have been lost further on.
+// handleAppend handles a change from the predecessor. It replicates the next change. It forwards
+// the last change again if that arrives a second time, because the first copy may have been lost
+// further down the chain. If changes are missing, it requests them.
 func (r *Replica) handleAppend(from string, a *coordpb.Append) {
 	if !r.isActiveIn(a.Epoch) || !r.synced || from != r.predecessor() {
 		return
@@ -92,15 +96,15 @@
 	}
 }
 
-// replicate applies a change here and forwards it.
+// replicate applies a change on this replica and forwards it.
 func (r *Replica) replicate(a *coordpb.Append) {
 	r.apply(&coordpb.Entry{Epoch: a.Epoch, Sequence: a.Sequence, Change: a.Change})
 	r.inFlight, r.inFlightSince = a, r.now
 	r.forward(a)
 }
 
-// forward sends a change to the successor. At the tail the change is committed: its client gets
-// the reply, and all members of the chain are notified.
+// forward sends a change to the successor. At the tail the change is committed instead: forward
+// sends the reply to the client and notifies all members of the chain.
 func (r *Replica) forward(a *coordpb.Append) {
 	r.resendAt = r.now + ResendInterval
 	if !r.isTail() {
@@ -119,7 +123,7 @@
 	}
 }
 
-// handleCommit takes in that all members of the chain have a change.
+// handleCommit handles the notification from the tail that all members of the chain have a change.
 func (r *Replica) handleCommit(from string, c *coordpb.Commit) {
 	if !r.isActiveIn(c.Epoch) || !r.synced || from != Tail(r.view) || c.Sequence <= r.committed || c.Sequence > r.position.Sequence {
 		return
@@ -128,7 +132,7 @@
 	r.executeQueue()
 }
 
-// commit records that all members of the chain have the changes up to a sequence.
+// commit records that all members of the chain have the changes up to a sequence number.
 func (r *Replica) commit(sequence uint64) {
 	r.committed = sequence
 	if sequence == r.position.Sequence {
--- a/coord/chain/snapshot.go
+++ b/coord/chain/snapshot.go
@@ -9,15 +9,15 @@
 	"reachspread/coord/view"
 )
 
-// outgoingSnapshot is a snapshot that others fetch in chunks.
+// outgoingSnapshot is a snapshot that other replicas fetch in chunks.
 type outgoingSnapshot struct {
 	position *coordpb.Position
 	data     []byte
 	sum      uint64
-	usedAt   time.Duration
+	usedAt   time.Duration // when another replica last requested a chunk
 }
 
-// chunkAt describes the chunk at an offset.
+// chunkAt returns the description of the chunk at an offset.
 func (o *outgoingSnapshot) chunkAt(offset int) *coordpb.Part {
 	return &coordpb.Part{Position: o.position, Size: uint64(len(o.data)), Sum: o.sum, Offset: uint64(offset)}
 }
@@ -30,9 +30,9 @@
 	return p.Sum == o.sum && p.Size == uint64(len(o.data)) && sameState(p.Position, o.position) && p.Offset <= p.Size
 }
 
-// incomingSnapshot is a snapshot of which some chunks have come.
+// incomingSnapshot is a snapshot of which this replica has received the first chunks.
 type incomingSnapshot struct {
-	firstChunk *coordpb.Part // its first chunk
+	firstChunk *coordpb.Part // the description of the first chunk
 	data       []byte
 }
 
@@ -41,8 +41,9 @@
 	return i != nil && i.firstChunk.Sum == p.Sum && i.firstChunk.Size == p.Size && sameState(i.firstChunk.Position, p.Position)
 }
 
-// outgoingSnapshotFor returns the snapshot to send a chunk of: the last one, as long as the
-// receiver has begun with it or the changes since are cached.
+// outgoingSnapshotFor returns the snapshot from which to send a chunk. It returns the last snapshot
+// if the receiver has begun with that one, or if the changes since then are cached. Otherwise it
+// takes a new snapshot.
 func (r *Replica) outgoingSnapshotFor(have *coordpb.Part) *outgoingSnapshot {
 	o := r.catchUp.outgoing
 	if o != nil {
@@ -59,7 +60,7 @@
 	return o
 }
 
-// handleSnapshot takes in a chunk, and replaces the state once the snapshot is complete.
+// handleSnapshot adds a received chunk, and replaces the state once the snapshot is complete.
 func (r *Replica) handleSnapshot(from string, s *coordpb.Snapshot) {
 	if s.Position == nil || !r.acceptsStateFrom(from, s.Epoch, s.Ahead) || !s.Ahead && r.synced {
 		return
@@ -86,8 +87,8 @@
 	r.continueCatchUp(from, s.Position, s.Ahead)
 }
 
-// addChunk adds a chunk to those that came before; complete is true once all are there with the
-// right checksum.
+// addChunk adds a chunk to those that arrived before. complete is true once all chunks are there
+// and the checksum is right.
 func (r *Replica) addChunk(from string, s *coordpb.Snapshot) (data []byte, complete bool) {
 	if s.Part == nil {
 		return s.State, true
@@ -101,7 +102,7 @@
 	}
 	incoming := c.incoming
 	if s.Part.Offset != uint64(len(incoming.data)) {
-		return nil, false // a duplicate
+		return nil, false // a duplicate chunk
 	}
 	incoming.data = append(incoming.data, s.State...)
 	if uint64(len(incoming.data)) < incoming.firstChunk.Size {
--- a/coord/chain/topology.go
+++ b/coord/chain/topology.go
@@ -7,13 +7,14 @@
 	"reachspread/coord/view"
 )
 
-// Head returns the address of the head of a view's chain, empty for none.
+// Head returns the address of the head of a view's chain, or "" if there is none.
 func Head(v *coordpb.View) string { return addressAt(v, 0) }
 
-// Tail returns the address of the tail of a view's chain, empty for none.
+// Tail returns the address of the tail of a view's chain, or "" if there is none.
 func Tail(v *coordpb.View) string { return addressAt(v, len(v.GetChain())-1) }
 
-// addressAt returns the address of the member at an index of a view's chain, empty for none.
+// addressAt returns the address of the member at an index of a view's chain, or "" if there is
+// none.
 func addressAt(v *coordpb.View, i int) string {
 	if i < 0 || i >= len(v.GetChain()) {
 		return ""
@@ -24,10 +25,10 @@
 	return ""
 }
 
-// Head returns the address of the head of the present chain, empty for none.
+// Head returns the address of the head of the current chain, or "" if there is none.
 func (r *Replica) Head() string { return Head(r.view) }
 
-// index is this process's index in the chain, -1 if it is outside.
+// index returns the index of this process in the chain, or -1 if the process isn't in the chain.
 func (r *Replica) index() int { return slices.Index(r.view.Chain, r.self.Identity) }
 
 func (r *Replica) isHead() bool { return r.index() == 0 }
