--- a/coord/chain/catchup_test.go
+++ b/coord/chain/catchup_test.go
@@ -11,11 +11,12 @@
 	"reachspread/coord/coordpb"
 )
 
-// chunkOf is a word of the size of a chunk.
+// chunkOf returns a word as long as a chunk.
 func chunkOf(letter string) string { return strings.Repeat(letter, chunkBytes) }
 
-// exchange carries messages between two replicas until none is left; lose reports which to drop. It
-// returns how many chunks of snapshots and how many messages with entries were delivered.
+// exchange delivers messages between two replicas until none is left. It begins with the effects of
+// replica from, and drops each message for which drop returns true. It returns how many chunks of
+// snapshots and how many messages with entries were delivered.
 func exchange(t *testing.T, a, b *Replica, from *Replica, effects []Effect, drop func(*coordpb.Message) bool) (chunks, entries int) {
 	t.Helper()
 	type sent struct {
@@ -33,7 +34,7 @@
 	enqueue(from, effects)
 	for steps := 0; len(queue) > 0; steps++ {
 		if steps > 1000 {
-			t.Fatal("the two never come to an end")
+			t.Fatal("the two replicas still exchange messages after 1000 steps")
 		}
 		s := queue[0]
 		queue = queue[1:]
@@ -56,7 +57,8 @@
 	return chunks, entries
 }
 
-// newLearner is member 2 with some words, a learner in epoch 2: the chain is members 0 and 1.
+// newLearner returns member 2 as a learner in epoch 2, whose machine has some words. The chain of
+// epoch 2 is members 0 and 1.
 func newLearner(words ...string) (*Replica, *list) {
 	r, l := replica(2, words...)
 	r.FollowAsLearner()
@@ -64,19 +66,19 @@
 	return r, l
 }
 
-// newTail is member 1 with some words, the tail of epoch 2.
+// newTail returns member 1 as the tail of epoch 2, whose machine has some words.
 func newTail(t *testing.T, words ...string) (*Replica, *list) {
 	t.Helper()
 	r, l := replica(1, words...)
 	r.BeginEpoch(time.Millisecond, chainOf(2, 0, 1))
 	receive(t, r, from(0, sync(2, uint64(len(words)), 1)))
 	if !r.Readable() {
-		t.Fatal("the tail has not begun its epoch")
+		t.Fatal("the tail is not readable after a Sync with its own position")
 	}
 	return r, l
 }
 
-// appendChanges gives the tail changes of the epoch.
+// appendChanges sends the tail a change of epoch 2 for each word.
 func appendChanges(t *testing.T, tail *Replica, words ...string) {
 	t.Helper()
 	for _, w := range words {
@@ -84,15 +86,14 @@
 	}
 }
 
-// A learner gets the state: by the changes that it lacks where these are cached, else by a
-// snapshot in chunks.
+// A learner receives the changes that it lacks if these are cached, otherwise a snapshot in chunks.
 func TestLearnerCatchesUp(t *testing.T) {
 	big := []string{chunkOf("a"), chunkOf("b"), chunkOf("c")}
 	for name, c := range map[string]struct {
 		has, tail, later []string
 		chunks           int
 	}{
-		"it has all":                      {[]string{"a"}, []string{"a"}, nil, 0},
+		"it lacks nothing":                {[]string{"a"}, []string{"a"}, nil, 0},
 		"it lacks two changes":            {[]string{"a"}, []string{"a"}, []string{"b", "c"}, 0},
 		"it is empty":                     {nil, []string{"a"}, []string{"b"}, 1},
 		"it is empty, the state is large": {nil, big, []string{"d"}, 4},
@@ -112,7 +113,7 @@
 	}
 }
 
-// A snapshot goes on with the chunk that is missing, also after changes that came meanwhile.
+// The transfer of a snapshot resumes at the missing chunk, even after further changes.
 func TestSnapshotResumesAtMissingChunk(t *testing.T) {
 	is := is.New(t)
 	big := []string{chunkOf("a"), chunkOf("b"), chunkOf("c"), chunkOf("d")}
@@ -128,13 +129,13 @@
 	is.Equal(len(learner.catchUp.incoming.data), 2*chunkBytes)
 	appendChanges(t, tail, "e")
 	chunks, entries := exchange(t, learner, tail, learner, learner.Tick(2*time.Second), nil)
-	is.Equal(chunks, 3) // of five
+	is.Equal(chunks, 3) // of five chunks
 	is.Equal(entries, 1)
 	is.True(slices.Equal(has.words, all.words))
 }
 
-// In the chain a member gets the state of its predecessor in chunks as well, which counts as
-// progress there.
+// A member of the chain also gets the state of its predecessor in chunks. The predecessor counts
+// this as progress.
 func TestChainMemberCatchesUpByChunks(t *testing.T) {
 	is := is.New(t)
 	before, all := newTail(t, chunkOf("a"), chunkOf("b"))
@@ -151,7 +152,8 @@
 	is.True(before.catchUp.progress > progress)
 }
 
-// A large state may take long: the chain is stalled only without progress.
+// The transfer of a large state may take long. The chain counts as stalled only while no progress
+// is made.
 func TestStalledOnlyWithoutProgress(t *testing.T) {
 	is := is.New(t)
 	head, _ := replica(0, "a")
@@ -168,8 +170,8 @@
 	is.True(head.Stalled())
 }
 
-// A learner that is ahead of the chain keeps its state: a change that was in flight when its
-// epoch ended may still be committed.
+// A learner that is ahead of the chain keeps its state, because a change that was in flight when
+// its epoch ended may still be committed.
 func TestLearnerAheadKeepsItsState(t *testing.T) {
 	is := is.New(t)
 	tail, _ := newTail(t, "a")
@@ -180,7 +182,7 @@
 	is.Equal(has.words, []string{"a", "b", "c"})
 }
 
-// A snapshot with a wrong checksum is dropped, and requested again.
+// A learner drops a snapshot with a wrong checksum and requests it again.
 func TestSnapshotWithWrongChecksumIsFetchedAgain(t *testing.T) {
 	is := is.New(t)
 	tail, all := newTail(t, chunkOf("a"))
@@ -198,7 +200,7 @@
 	is.True(slices.Equal(has.words, all.words))
 }
 
-// A sealed learner neither requests nor takes anything.
+// A sealed learner neither requests nor accepts state.
 func TestSealedLearnerTakesNothing(t *testing.T) {
 	is := is.New(t)
 	learner, has := newLearner()
@@ -209,7 +211,7 @@
 	is.Equal(len(has.words), 0)
 }
 
-// The cached changes are bounded in number and in bytes.
+// The cached changes are limited in number and in bytes.
 func TestRecentChangesAreBounded(t *testing.T) {
 	is := is.New(t)
 	var small, large recentChanges
