--- a/coord/chain/catchup.go
+++ b/coord/chain/catchup.go
@@ -29,8 +29,8 @@
 	snapshotTTL = 5 * time.Second
 )
 
-// catchUp is the state of a replica that fetches what it lacks from another replica, and serves
-// what others lack.
+// catchUp holds what a replica needs to fetch the state that it lacks, and to serve the state that
+// other replicas lack.
 type catchUp struct {
 	learner            bool // this replica fetches the state even while it is outside the chain
 	recent             recentChanges
--- a/coord/chain/catchup_test.go
+++ b/coord/chain/catchup_test.go
@@ -15,8 +15,8 @@
 func chunkOf(letter string) string { return strings.Repeat(letter, chunkBytes) }
 
 // exchange delivers messages between two replicas until none is left. It begins with the effects of
-// replica from, and drops each message for which drop returns true. It returns how many chunks of
-// snapshots and how many messages with entries were delivered.
+// replica from. If drop isn't nil, it drops each message for which drop returns true. It returns
+// how many chunks of snapshots and how many messages with entries were delivered.
 func exchange(t *testing.T, a, b *Replica, from *Replica, effects []Effect, drop func(*coordpb.Message) bool) (chunks, entries int) {
 	t.Helper()
 	type sent struct {
@@ -138,18 +138,18 @@
 // this as progress.
 func TestChainMemberCatchesUpByChunks(t *testing.T) {
 	is := is.New(t)
-	before, all := newTail(t, chunkOf("a"), chunkOf("b"))
+	predecessor, all := newTail(t, chunkOf("a"), chunkOf("b"))
 	next := chainOf(3, 1, 2)
-	after, has := replica(2)
-	effects := before.BeginEpoch(time.Second, next)
-	after.BeginEpoch(time.Second, next)
-	progress := before.catchUp.progress
-	chunks, _ := exchange(t, before, after, before, effects, nil)
+	successor, has := replica(2)
+	effects := predecessor.BeginEpoch(time.Second, next)
+	successor.BeginEpoch(time.Second, next)
+	progress := predecessor.catchUp.progress
+	chunks, _ := exchange(t, predecessor, successor, predecessor, effects, nil)
 	is.Equal(chunks, 3)
 	is.True(slices.Equal(has.words, all.words))
-	is.True(after.Readable())
-	is.True(before.successorsSynced)
-	is.True(before.catchUp.progress > progress)
+	is.True(successor.Readable())
+	is.True(predecessor.successorsSynced)
+	is.True(predecessor.catchUp.progress > progress)
 }
 
 // The transfer of a large state may take long. The chain counts as stalled only while no progress
--- a/coord/chain/chain.go
+++ b/coord/chain/chain.go
@@ -13,8 +13,8 @@
 	// stallTimeout is how long a chain of one member may take for a change, and how long any chain
 	// may make no progress at the beginning of an epoch, before another view is requested.
 	stallTimeout = 900 * time.Millisecond
-	// hopLatency is how long each further member of the chain may take for a change: for a write to
-	// its disk and a pause of its process.
+	// hopLatency is the additional time that a change may take for each further member of the
+	// chain. It covers a write to the member's disk and a pause of its process.
 	hopLatency = 150 * time.Millisecond
 	// minLinkBandwidth is the lowest bandwidth, in bytes per second, that is expected for a change
 	// on a link between members.
@@ -28,8 +28,8 @@
 )
 
 // Machine is the replicated state machine. It must be deterministic: the same changes lead to the
-// same state on all replicas. The replica calls its methods one at a time, while one of the
-// replica's own methods runs.
+// same state on all replicas. Its methods run one at a time, on the goroutine that calls the
+// replica's methods.
 type Machine interface {
 	// Decide executes a command on the current state without changing the state. It returns the
 	// change that the command would make, nil for none, and the reply to the client. A client may
--- a/coord/chain/chain_test.go
+++ b/coord/chain/chain_test.go
@@ -261,7 +261,7 @@
 	is.True(begun.Stalled())
 }
 
-// A head that loses its role redirects the clients whose commands still wait.
+// When an epoch begins, a former head redirects the clients whose commands still wait.
 func TestWaitingClientsAreRedirectedAtNewEpoch(t *testing.T) {
 	is := is.New(t)
 	r := active(t, 0)
--- a/coord/chain/confirm.go
+++ b/coord/chain/confirm.go
@@ -37,7 +37,7 @@
 	origin        *coordpb.Origin
 	reply         []byte
 	read          bool   // the request is a read: the reply is the state at the time of the confirmation
-	knownSequence uint64 // of the state that the reading client has, 0 for none
+	knownSequence uint64 // the sequence of the state that the reading client has, 0 for none
 }
 
 // ConfirmedAt returns the last time, on the caller's clock, at which the epoch is known to have
--- a/coord/chain/doc.go
+++ b/coord/chain/doc.go
@@ -32,6 +32,7 @@
 // A Replica is a state machine that does no I/O, reads no clock and starts no goroutine. Its caller
 // calls the methods with the current time and carries out the returned effects in order. The caller
 // sends a message that follows a Write only once the write is durable, unless the message is
-// Immediate. The caller must serialize the calls, and its clock must never go backwards. It must
-// pass on each view that it learns, and call Seal when it promises to leave an epoch.
+// Immediate. The caller must serialize the calls, and its clock must never go backwards. The
+// caller must also pass on each view that it learns, and call Seal when it promises to leave an
+// epoch.
 package chain
--- a/coord/chain/epoch.go
+++ b/coord/chain/epoch.go
@@ -40,8 +40,8 @@
 	return r.effects
 }
 
-// redirectWaiting redirects the clients whose requests still wait from the epoch that has ended. A
-// head that remains the head keeps its queue of commands.
+// redirectWaiting redirects the clients whose requests from the previous epoch still wait. A head
+// that remains the head keeps its queue of commands.
 func (r *Replica) redirectWaiting() {
 	for _, w := range r.deferred {
 		r.redirect(w.origin.Address, w.origin.Id)
--- a/coord/chain/snapshot.go
+++ b/coord/chain/snapshot.go
@@ -22,7 +22,7 @@
 	return &coordpb.Part{Position: o.position, Size: uint64(len(o.data)), Sum: o.sum, Offset: uint64(offset)}
 }
 
-// has reports whether a chunk belongs to this snapshot.
+// matches reports whether a chunk belongs to this snapshot.
 func (o *outgoingSnapshot) matches(p *coordpb.Part) bool {
 	if o == nil || p == nil {
 		return false
@@ -36,7 +36,7 @@
 	data       []byte
 }
 
-// has reports whether a chunk belongs to this snapshot.
+// matches reports whether a chunk belongs to this snapshot.
 func (i *incomingSnapshot) matches(p *coordpb.Part) bool {
 	return i != nil && i.firstChunk.Sum == p.Sum && i.firstChunk.Size == p.Size && sameState(i.firstChunk.Position, p.Position)
 }
--- a/coord/view/acceptor.go
+++ b/coord/view/acceptor.go
@@ -14,8 +14,8 @@
 	return MemberOf(d.view, d.config.Self.Identity) != nil
 }
 
-// handlePrepare promises not to accept proposals with lower numbers, which also seals the current
-// epoch, and reports which view this process has accepted.
+// handlePrepare promises not to accept proposals with lower numbers, seals the current epoch, and
+// reports which view this process has accepted.
 func (d *Decider) handlePrepare(from *coordpb.Member, p *coordpb.Prepare) {
 	d.learnView(p.View)
 	if !d.isNextInstance(from, p.Instance) || !d.isAcceptor() || p.Ballot == nil {
--- a/coord/view/membership.go
+++ b/coord/view/membership.go
@@ -114,8 +114,9 @@
 	return p.member.Identity != m.Identity || !d.alive(p)
 }
 
-// isReplaceable reports whether any standby may replace a member: the member has been dead or its
-// storage has failed for long enough, or another incarnation runs at its address.
+// isReplaceable reports whether any standby may replace a member: the member has been dead for
+// replaceTimeout, its storage has failed for replaceUnhealthyTimeout, or another incarnation runs
+// at its address.
 func (d *Decider) isReplaceable(m *coordpb.Member) bool {
 	if m.Identity == d.config.Self.Identity {
 		return false
@@ -128,10 +129,10 @@
 	return p.member.Identity != m.Identity || d.now-p.heartbeatAt >= replaceTimeout || failed
 }
 
-// isComplete reports whether members may become the members of the next view. At least
+// isComplete reports whether a list of members may become the members of the next view. At least
 // MinChainLength of them must be in the current chain and have completed the current epoch, so that
-// one of these survives any tolerated loss. That one shows the new members that nothing was
-// committed in an epoch whose members they can't ask (see syncSource).
+// one of these survives any tolerated loss. The state of that one shows the new members that
+// nothing was committed in an epoch whose members they can't ask (see syncSource).
 func (d *Decider) isComplete(members []*coordpb.Member, hasCompleted func(identity uint64) bool) bool {
 	complete := 0
 	for _, m := range members {
--- a/coord/view/nextview_test.go
+++ b/coord/view/nextview_test.go
@@ -9,7 +9,7 @@
 )
 
 // The next chain begins with the member whose state is most advanced and contains all healthy
-// members. Members with equal positions keep their order in the current chain.
+// members that promised. Members with equal positions keep their order in the current chain.
 func TestNextChainStartsAtFurthestMember(t *testing.T) {
 	for name, c := range map[string]struct {
 		positions map[int]*coordpb.Position
--- a/coord/view/peerstate.go
+++ b/coord/view/peerstate.go
@@ -77,7 +77,7 @@
 }
 
 // maxReplicationLag is how many changes a process may lack and still join the chain without
-// counting as lagging. One message brings that many changes.
+// counting as lagging. One message can bring that many changes.
 const maxReplicationLag = 64
 
 // lagRank returns 0 for a state that is at most maxReplicationLag changes behind the newest one,
--- a/coord/view/proposer.go
+++ b/coord/view/proposer.go
@@ -97,8 +97,8 @@
 
 // earliestProposal returns the earliest time at which this process may propose, if another view
 // remains needed until then. Members propose one after the other. A sealed member waits while the
-// proposal that it promised to may still succeed. Both rules avoid concurrent proposals, which
-// reject each other, and do so more often the slower the processes are.
+// proposal that it promised to may still succeed. Both rules avoid concurrent proposals: these
+// reject each other, and the slower the processes are, the more often this happens.
 func (d *Decider) earliestProposal() time.Duration {
 	delay := time.Duration(d.proposerRank()) * proposalStagger
 	if d.IsSealed() && d.promised.Proposer != d.config.Self.Identity {
@@ -187,7 +187,7 @@
 
 // promisesComplete reports whether the proposer needn't wait for further promises. This is the case
 // once all voters have promised, once livePromiseTimeout has passed since a majority promised, or
-// once promiseTimeout has passed and no member that seems to work is missing.
+// once promiseTimeout has passed and every member that seems to work has promised.
 func (d *Decider) promisesComplete(p *proposal) bool {
 	if len(p.promises) == len(d.voters()) || d.now >= p.quorumAt+livePromiseTimeout {
 		return true
--- a/coord/view/timing.go
+++ b/coord/view/timing.go
@@ -10,8 +10,8 @@
 // Limits of the failure detection. A shorter timeout removes a dead member from the chain sooner,
 // but a process that pauses briefly then counts as dead, which costs a view change.
 const (
-	// suspectTimeout is how long a peer may send no heartbeat before it counts as dead. A few
-	// heartbeats may be lost or late before that.
+	// suspectTimeout is how long a peer may send no heartbeat before it counts as dead. It
+	// tolerates a few lost or late heartbeats.
 	suspectTimeout = 900 * time.Millisecond
 	// replaceTimeout is how long a member must be silent before a standby may replace it. It is
 	// longer than suspectTimeout because a member that restarts is back in the chain sooner than a
@@ -33,7 +33,7 @@
 	// so that the view includes all processes that start at the same time.
 	foundingDelay = 400 * time.Millisecond
 	// foundingTimeout is how long after its start a process proposes the first view with the
-	// processes that are up, even if more are expected.
+	// processes that are up.
 	foundingTimeout = 3 * time.Second
 	// minMembers is the minimum number of members that a view should have if that many processes
 	// are eligible.
--- a/coord/view/trigger.go
+++ b/coord/view/trigger.go
@@ -4,7 +4,8 @@
 
 // viewChangeNeeded reports whether another view is needed: the epoch has been sealed for
 // sealedTimeout, the chain has stalled, or the desired chain or members differ from the current
-// ones and a majority can vote.
+// ones and a majority can vote. Before the first view, it reports whether that view may be
+// proposed.
 func (d *Decider) viewChangeNeeded() bool {
 	if d.view.Epoch == 0 {
 		return d.foundingAllowed()
--- a/coord/view/view.go
+++ b/coord/view/view.go
@@ -99,7 +99,7 @@
 	// State of the learner and the acceptor. promised, acceptedNumber and acceptedView belong to
 	// the instance that follows the view. promised is nil unless the epoch is sealed.
 	view           *coordpb.View // its epoch is 0 before the first view
-	learnedAt      time.Duration // when this process learned the view
+	learnedAt      time.Duration // when this process learned the view, or restarted with it
 	promised       *coordpb.Ballot
 	acceptedNumber *coordpb.Ballot
 	acceptedView   *coordpb.View
