--- a/coord/quota/golden_test.go
+++ b/coord/quota/golden_test.go
@@ -9,9 +9,9 @@
 	"reachspread/internal/testbed/golden"
 )
 
-// What goes into messages has the figures that it had at commit 5bfcc27: the division of a bound,
-// the counts that are persisted, the updates to standbys with their sequences, requests and
-// responses.
+// All numbers that other processes receive, or that are persisted, are the same as at commit
+// 5bfcc27: the plan of a bound, the persisted counts, the updates to standbys with their sequence
+// numbers, requests and responses.
 func TestFiguresOfMessagesStay(t *testing.T) {
 	var out strings.Builder
 	plan := NewPlan(Limit{Rate: 15, Burst: 20}, 10*time.Second, 0.05, 10)
@@ -36,22 +36,22 @@
 		lessee.ReportedBorrowed(request.Borrowed)
 		lessee.AddGrant(now, response.Granted)
 		usage.Add(now, response.Granted)
-		room := outstanding.MayGrant("key", plan, response.Granted)
-		fmt.Fprintf(&out, ", room %v, tells now %v", room, outstanding.AddGranted("key", plan, response.Granted))
+		mayGrant := outstanding.MayGrant("key", plan, response.Granted)
+		fmt.Fprintf(&out, ", room %v, tells now %v", mayGrant, outstanding.AddGranted("key", plan, response.Granted))
 		if i%3 == 0 {
-			number, units := outstanding.NextUpdate()
-			fmt.Fprintf(&out, ", word %d of %v", number, units["key"])
-			tracker.Update(now, 9, number, units, 0)
-			outstanding.Acknowledge(7, number)
+			sequence, units := outstanding.NextUpdate()
+			fmt.Fprintf(&out, ", word %d of %v", sequence, units["key"])
+			tracker.Update(now, 9, sequence, units, 0)
+			outstanding.Acknowledge(7, sequence)
 			if i%2 == 0 {
-				outstanding.Acknowledge(8, number)
+				outstanding.Acknowledge(8, sequence)
 			}
 		}
 		fmt.Fprintf(&out, ", holds %v, takes %v, waits for standbys %v\n", lessee.Available(now), lessee.Take(now, 1), outstanding.HasPending())
 	}
-	parts := usage.Buckets(now)
-	fmt.Fprintf(&out, "parts %v\n", parts)
-	fmt.Fprintf(&out, "read again %v\n", UsageFromBuckets(plan.Window, now, parts).Buckets(now))
+	buckets := usage.Buckets(now)
+	fmt.Fprintf(&out, "parts %v\n", buckets)
+	fmt.Fprintf(&out, "read again %v\n", UsageFromBuckets(plan.Window, now, buckets).Buckets(now))
 	known, complete := tracker.Usage(now, 9)
 	fmt.Fprintf(&out, "known %v, complete from %v\n", known["key"].Sum(now), complete)
 	golden.CheckText(t, "sent", out.String())
--- a/coord/quota/lessee.go
+++ b/coord/quota/lessee.go
@@ -2,29 +2,30 @@
 
 import "time"
 
-// maxBorrowTime is how long use may go on without an owner, once in a window. By then another owner
-// acts, or this process is isolated and its units are granted to others.
+// maxBorrowTime bounds how long a lessee may borrow units without an owner. After that it may not
+// borrow again for one window. By then either another owner has taken over, or this process is
+// isolated and the owner grants its units to other processes.
 const maxBorrowTime = 2500 * time.Millisecond
 
-// Lessee keeps what one process was granted of one key. Plan is to be set before use and may
-// change.
+// Lessee holds the units of one key that one process was granted. The caller must set Plan before
+// use, and may change it later.
 type Lessee struct {
 	Plan Plan
 
-	grants         []grant // the oldest first
+	grants         []grant // oldest first
 	used           Usage
-	borrowingSince time.Duration
-	borrowLimit    float64 // units used in the window when borrowing began; 0 before the first time
-	borrowed       float64 // units that were reported to no owner
+	borrowingSince time.Duration // start of the current or last borrowing period
+	borrowLimit    float64       // units used in the window before borrowingSince; 0 before the first period
+	borrowed       float64       // borrowed units that this lessee has not reported to an owner
 }
 
-// grant is units that can be used until they expire.
+// grant is a number of units that can be used until expiresAt.
 type grant struct {
 	units     float64
 	expiresAt time.Duration
 }
 
-// Available returns how many units can be used now.
+// Available returns the sum of the granted units that have not been used and have not expired.
 func (l *Lessee) Available(now time.Duration) float64 {
 	for len(l.grants) > 0 && l.grants[0].expiresAt <= now {
 		l.grants = l.grants[1:]
@@ -36,13 +37,13 @@
 	return sum
 }
 
-// Take uses units and reports whether so many were available.
+// Take uses units if that many are available, and reports whether it did.
 func (l *Lessee) Take(now time.Duration, units float64) bool {
 	if l.Available(now) < units {
 		return false
 	}
 	l.use(now, units)
-	for units > 0 && len(l.grants) > 0 { // the grants may be short of units by a rounding error
+	for units > 0 && len(l.grants) > 0 { // a rounding error can make the grants add up to less than units
 		g := &l.grants[0]
 		if g.units > units {
 			g.units -= units
@@ -59,16 +60,17 @@
 	l.used.Add(now, units)
 }
 
-// Borrow uses units that nobody granted, for when no owner answers, and reports whether it may: for
-// maxBorrowTime a process may use as much in a window as before. So all processes together use no
-// more than they did.
+// Borrow uses units without a grant, and reports whether the lessee may do so. The caller borrows
+// when no owner answers. For maxBorrowTime a process may use as many units in a window as it used
+// before, so all processes together use no more than before.
 func (l *Lessee) Borrow(now time.Duration, units float64) bool {
 	l.used.Window = l.Plan.Window
 	used := l.used.Sum(now)
 	if l.borrowLimit == 0 || now-l.borrowingSince >= l.Plan.Window+maxBorrowTime {
 		l.borrowingSince, l.borrowLimit = now, used
 	}
-	// Half of the units: where few are used, one request in two that would exceed the limit passes.
+	// Only half of the units count here, so that at low use every second request that would exceed
+	// the limit passes.
 	if now-l.borrowingSince >= maxBorrowTime || used+units/2 > l.borrowLimit {
 		return false
 	}
@@ -77,15 +79,17 @@
 	return true
 }
 
-// Request returns what to ask the owner for so that units can be taken.
+// Request returns the request to send to the owner before taking units. Its Need is 0 if enough
+// units are available.
 func (l *Lessee) Request(now time.Duration, units float64) Request {
 	return Request{Need: max(units-l.Available(now), 0), Borrowed: l.borrowed}
 }
 
-// ReportedBorrowed takes note that borrowed units were reported to an owner.
+// ReportedBorrowed records that the caller has reported borrowed units to an owner.
 func (l *Lessee) ReportedBorrowed(units float64) { l.borrowed = max(l.borrowed-units, 0) }
 
-// AddGrant adds units that were granted to a request made at a time.
+// AddGrant adds units that an owner granted to a request made at requestedAt. They expire
+// Plan.GrantTTL after that time.
 func (l *Lessee) AddGrant(requestedAt time.Duration, units float64) {
 	if units > 0 {
 		l.grants = append(l.grants, grant{units, requestedAt + l.Plan.GrantTTL})
--- a/coord/quota/owner.go
+++ b/coord/quota/owner.go
@@ -3,24 +3,27 @@
 import "time"
 
 const (
-	// maxKeys bounds the keys of an owner; beyond it all counts are dropped.
+	// maxKeys bounds the keys of an owner. If a request for another key arrives, the owner drops
+	// the counts of all keys.
 	maxKeys = 65_536
 	// learningRateFraction is the fraction of the limit's rate at which an owner in learning mode
 	// grants.
 	learningRateFraction = 0.7
-	// minRetryAfter is the shortest RetryAfter, and maxRetryAfter bounds it: within that time
-	// rejected lessees return one after the other.
+	// minRetryAfter and maxRetryAfter bound Response.RetryAfter. Rejected lessees get different
+	// times up to maxRetryAfter, so that they ask again one after the other.
 	minRetryAfter = 50 * time.Millisecond
 	maxRetryAfter = time.Second
-	// minRate is the rate, in units per second, by which waits are computed for a limit of none.
+	// minRate is the lowest rate, in units per second, from which RetryAfter is computed. It avoids
+	// a division by 0 if the limit's rate is 0.
 	minRate = 1e-3
 )
 
 // Owner grants the units of the keys that one process is responsible for.
 type Owner struct {
-	// StartedAt is from when on nobody but this owner has granted anything.
+	// StartedAt is the time since which no other owner has granted units of these keys.
 	StartedAt time.Duration
-	// LearningUntil is until when earlier grants that it does not know may be in the window.
+	// LearningUntil is the time at which learning mode ends. Before it, the window may contain
+	// grants of earlier owners that this owner does not know.
 	LearningUntil time.Duration
 
 	keys map[string]*account
@@ -28,21 +31,21 @@
 
 // account is the state of one key.
 type account struct {
-	usage      Usage
-	learning   Usage         // of this, what was granted in learning mode
-	tokens     float64       // of the bucket
-	refilledAt time.Duration // when tokens was right
+	usage      Usage         // granted and borrowed units
+	learning   Usage         // the part of usage that was granted in learning mode
+	tokens     float64       // units in the token bucket at refilledAt
+	refilledAt time.Duration // time of the last refill
 
-	largestNeed     float64       // of the last one or two windows
-	nextLargestNeed float64       // since needPeriodStart
-	needPeriodStart time.Duration // at most a window ago
+	largestNeed     float64       // largest Request.Need of the last one or two windows
+	nextLargestNeed float64       // largest Request.Need since needPeriodStart
+	needPeriodStart time.Duration // at most one window before the last request
 
-	lastRetryAt time.Duration // when the last rejected lessee is to ask again
+	lastRetryAt time.Duration // time at which the last rejected lessee asks again
 }
 
-// NewOwner returns an owner that takes over at startedAt. Known is what others granted before, by
-// key; it has all grants since completeFrom, so the owner is in learning mode until a window after
-// that.
+// NewOwner returns an owner that takes over at startedAt. Known holds the units that earlier owners
+// granted, by key. It contains all grants since completeFrom, so the new owner is in learning mode
+// until a window after completeFrom.
 func NewOwner(startedAt, window time.Duration, known map[string]*Usage, completeFrom time.Duration) *Owner {
 	o := &Owner{StartedAt: startedAt, LearningUntil: completeFrom + window, keys: map[string]*account{}}
 	for key, usage := range known {
@@ -51,7 +54,7 @@
 	return o
 }
 
-// Serve answers a request for a key, whose plan may have changed since the last one.
+// Serve answers a request for a key. The plan of the key may differ from the one of earlier calls.
 func (o *Owner) Serve(now time.Duration, key string, p Plan, r Request) Response {
 	a := o.account(key)
 	a.usage.Window, a.learning.Window = p.Window, p.Window
@@ -61,7 +64,7 @@
 	if !o.mayGrant(now, a, p) {
 		return Response{RetryAfter: a.retryAfter(now, max(p.Rate, minRate), r.Need)}
 	}
-	a.tokens -= r.Need // may become negative: large requests are served as often as small ones
+	a.tokens -= r.Need // may become negative, so that large requests are granted as often as small ones
 	a.usage.Add(now, r.Need)
 	if now < o.LearningUntil {
 		a.learning.Add(now, r.Need)
@@ -82,7 +85,7 @@
 	return a
 }
 
-// trackNeed keeps the largest need of the last one or two windows.
+// trackNeed updates the largest need of the last one or two windows.
 func (a *account) trackNeed(now, window time.Duration, need float64) {
 	if now-a.needPeriodStart >= window {
 		a.largestNeed, a.nextLargestNeed, a.needPeriodStart = a.nextLargestNeed, 0, now
@@ -91,30 +94,31 @@
 	a.largestNeed = max(a.largestNeed, need)
 }
 
-// refill adds to the bucket what has come since the last request.
+// refill adds to the bucket the tokens for the time since the last request.
 func (a *account) refill(now time.Duration, p Plan) {
 	added := p.MaxPerWindow / p.Window.Seconds() * (now - a.refilledAt).Seconds()
 	a.tokens = min(a.tokens+added, p.BucketDepth)
 	a.refilledAt = now
 }
 
-// mayGrant reports whether one more grant fits the bound, whatever its size. In learning mode
-// grants follow the limit's rate alone.
+// mayGrant reports whether one more grant of any size seen lately (largestNeed) fits the bound. In
+// learning mode the grants must also stay below learningRateFraction of the limit's rate, without a
+// burst.
 func (o *Owner) mayGrant(now time.Duration, a *account, p Plan) bool {
 	if a.tokens <= 0 {
 		return false
 	}
 	if now < o.LearningUntil {
-		learned := (now - o.StartedAt - p.LearningDelay).Seconds()
-		if a.learning.Sum(now) >= learningRateFraction*p.Rate*learned {
+		grantingSeconds := (now - o.StartedAt - p.LearningDelay).Seconds()
+		if a.learning.Sum(now) >= learningRateFraction*p.Rate*grantingSeconds {
 			return false
 		}
 	}
 	return a.usage.Sum(now)+a.largestNeed <= p.MaxPerWindow
 }
 
-// retryAfter is when a rejected lessee asks again: after those that were rejected before, but
-// within maxRetryAfter.
+// retryAfter returns how long a rejected lessee waits before it asks again. It asks after the
+// lessees that were rejected earlier, but within maxRetryAfter.
 func (a *account) retryAfter(now time.Duration, rate, need float64) time.Duration {
 	a.lastRetryAt = max(a.lastRetryAt, now) + seconds(need/rate)
 	a.lastRetryAt = min(a.lastRetryAt, now+maxRetryAfter)
--- a/coord/quota/plan.go
+++ b/coord/quota/plan.go
@@ -5,50 +5,52 @@
 // Limit is the rate limit of one key.
 type Limit struct {
 	Rate  float64 // units per second
-	Burst float64 // units at once
+	Burst float64 // units that may be used at once
 }
 
-// Plan divides the bound on the use of one key in a window between what an owner grants and what
-// may be used without its knowledge.
+// Plan divides the bound on the use of one key in a window between the units that an owner grants
+// and the units that may be used without the owner's knowledge.
 type Plan struct {
 	Limit
 	// Window is the time over which use is bounded.
 	Window time.Duration
-	// MaxPerWindow is how many units an owner grants in any window.
+	// MaxPerWindow is the maximum number of units that an owner grants in any window.
 	MaxPerWindow float64
-	// BucketDepth is how many units an owner grants at once.
+	// BucketDepth is the maximum number of tokens in an owner's bucket, that is the number of units
+	// that it can grant at once.
 	BucketDepth float64
-	// MaxUnacknowledged is how many granted units may be unknown to a standby.
+	// MaxUnacknowledged is the maximum number of granted units that a standby has not acknowledged.
 	MaxUnacknowledged float64
-	// GrantTTL is how long a grant can be used.
+	// GrantTTL is how long a grant can be used, counted from the lessee's request.
 	GrantTTL time.Duration
 	// LearningDelay is how long an owner in learning mode grants nothing.
 	LearningDelay time.Duration
 }
 
-// The fractions of the excess of a bound: what it has beyond the limit's rate and burst. The
-// rest is for requests in flight, for what an owner granted right before its end and could not
-// publish, and for what isolated processes use meanwhile.
+// These constants are fractions of the excess of a bound, which is the part of the bound beyond the
+// limit's rate and burst. The rest of the excess covers requests in flight, grants that an owner
+// made just before it ended and could not publish, and the use by isolated processes in the
+// meantime.
 const (
 	maxPerWindowFraction   = 0.70
 	bucketDepthFraction    = 0.15
 	unacknowledgedFraction = 0.15
-	learningFraction       = 0.20 // by which an owner in learning mode may exceed MaxPerWindow
+	learningFraction       = 0.20 // by which the grants of an owner in learning mode may exceed MaxPerWindow
 )
 
-// grantTTL bounds how long a grant that is lost or unused counts against its key, and how long a
-// process that lost its owner may go on with it.
+// grantTTL bounds how long a lost or unused grant counts against its key, and how long a process
+// that lost contact with the owner can use a grant.
 const grantTTL = 200 * time.Millisecond
 
-// An owner publishes at once after this many units: a fraction of a second's, or one of
-// MaxUnacknowledged, whichever is less.
+// An owner publishes its unpublished grants at once when they reach a fraction of the units of one
+// second at the limit's rate, or a fraction of MaxUnacknowledged, whichever is less.
 const (
 	publishRateFraction           = 0.1
 	publishUnacknowledgedFraction = 1.0 / 3
 )
 
-// NewPlan returns the plan for a bound: in a window, the limit's rate and burst exceeded by a
-// fraction of overshoot, and slack units.
+// NewPlan returns the plan for a bound. For one window, the bound is the units of the limit's rate
+// and burst, increased by the fraction overshoot, plus slack units.
 func NewPlan(l Limit, window time.Duration, overshoot, slack float64) Plan {
 	p := Plan{Limit: l, Window: window, GrantTTL: grantTTL}
 	nominal := l.Rate*window.Seconds() + l.Burst
@@ -60,9 +62,11 @@
 	return p
 }
 
-// learningDelay is for the worst case: the earlier owner granted its whole bucket at the very end,
-// and at its fastest before. Then none of it leaves the window until the bucket has been refilled,
-// and what is granted meanwhile exceeds MaxPerWindow.
+// learningDelay returns the LearningDelay of a plan, which covers the worst case: the previous owner
+// granted units at its maximum rate and then its whole bucket just before it ended. None of these
+// grants leave the window during the time in which a bucket is refilled, so the grants of the new
+// owner in that time exceed MaxPerWindow. The delay keeps them within learningFraction of the
+// excess.
 func learningDelay(p Plan, excess float64) time.Duration {
 	if p.Rate <= 0 || p.MaxPerWindow <= 0 {
 		return 0
@@ -72,10 +76,10 @@
 	return max(seconds(min(refill, p.Window.Seconds())-allowed), 0)
 }
 
-// UnknownUsage is what may have been granted beside what is known: the units of so many seconds at
-// the limit's rate, and what an owner can grant in a time.
-func (p Plan) UnknownUsage(atRate float64, in time.Duration) float64 {
-	return atRate*p.Rate + p.MaxPerWindow/p.Window.Seconds()*in.Seconds()
+// UnknownUsage returns how many units may have been granted in addition to the known ones: the units
+// of secondsAtRate seconds at the limit's rate, plus the units that an owner can grant in a period.
+func (p Plan) UnknownUsage(secondsAtRate float64, period time.Duration) float64 {
+	return secondsAtRate*p.Rate + p.MaxPerWindow/p.Window.Seconds()*period.Seconds()
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/coord/quota/quota_test.go
+++ b/coord/quota/quota_test.go
@@ -14,7 +14,7 @@
 	window    = 8 * time.Second
 	overshoot = 0.1
 	slack     = 60.0
-	biggest   = 8.0
+	maxNeed   = 8.0
 )
 
 var (
@@ -23,7 +23,7 @@
 	allowed = (limit.Rate*window.Seconds()+limit.Burst)*(1+overshoot) + slack
 )
 
-// A plan has the fractions of its bound.
+// NewPlan divides the bound by the configured fractions.
 func TestPlanDividesBound(t *testing.T) {
 	is := is.New(t)
 	is.Equal(plan.MaxPerWindow, 900+maxPerWindowFraction*150)
@@ -31,15 +31,15 @@
 	is.Equal(plan.GrantTTL, grantTTL)
 }
 
-// An owner grants up to the bound in a window, no more at once than the bucket has, and says when
-// to ask again.
+// An owner grants at most MaxPerWindow units in a window and at most the tokens of the bucket at
+// once. If it rejects a request, it returns when to ask again.
 func TestOwnerGrantsWithinBound(t *testing.T) {
 	is := is.New(t)
 	o := NewOwner(0, window, nil, -window)
 	is.Equal(o.Serve(0, "k", plan, Request{Need: 1}).Granted, 0.0) // the bucket is empty
 	is.Equal(o.Serve(10*time.Second, "k", plan, Request{Need: plan.BucketDepth}).Granted, plan.BucketDepth)
 	is.Equal(o.Serve(10*time.Second, "k", plan, Request{Need: 1}).Granted, 0.0)
-	is.Equal(o.Serve(10*time.Second+100*time.Millisecond, "k", plan, Request{Need: 30}).Granted, 30.0) // more than was refilled since
+	is.Equal(o.Serve(10*time.Second+100*time.Millisecond, "k", plan, Request{Need: 30}).Granted, 30.0) // more than the refill of the last 100 ms
 	late := o.Serve(10*time.Second+100*time.Millisecond, "k", plan, Request{Need: 1})
 	is.Equal(late.Granted, 0.0)
 	is.True(late.RetryAfter >= minRetryAfter)
@@ -51,7 +51,7 @@
 	is.True(granted > 0.8*plan.MaxPerWindow)
 }
 
-// Rejected lessees return one after the other, within maxRetryAfter.
+// Rejected lessees are told to ask again one after the other, within maxRetryAfter.
 func TestRejectedLesseesReturnOneByOne(t *testing.T) {
 	is := is.New(t)
 	o := &Owner{}
@@ -65,7 +65,8 @@
 	is.Equal(before, maxRetryAfter)
 }
 
-// An owner in learning mode begins at nothing and keeps to the limit's rate for a window.
+// An owner in learning mode starts without any capacity and stays within the limit's rate for one
+// window.
 func TestLearningModeGrantsAtRate(t *testing.T) {
 	is := is.New(t)
 	o := NewOwner(0, window, nil, 0)
@@ -77,17 +78,17 @@
 	is.True(granted > 0.95*learningRateFraction*rate*(window-plan.LearningDelay).Seconds())
 }
 
-// An owner that takes over continues the counts that the one before published.
+// A new owner continues the counts that the previous owner published.
 func TestTakeOverContinuesCounts(t *testing.T) {
 	is := is.New(t)
 	tracker := Tracker{Window: window}
 	first := NewOwner(-20*time.Second, window, nil, -20*time.Second)
-	now, number, granted := time.Duration(0), uint64(0), 0.0
+	now, sequence, granted := time.Duration(0), uint64(0), 0.0
 	for ; now < 6*time.Second; now += 100 * time.Millisecond {
 		got := first.Serve(now, "k", plan, Request{Need: 20}).Granted
 		granted += got
-		tracker.Update(now, 1, number, map[string]float64{"k": got}, 0)
-		number++
+		tracker.Update(now, 1, sequence, map[string]float64{"k": got}, 0)
+		sequence++
 	}
 	keys, complete := tracker.Usage(now, 1)
 	is.True(complete <= 0)
@@ -99,8 +100,8 @@
 	is.True(granted > 0.9*plan.MaxPerWindow)
 }
 
-// What is known of an owner is complete only after the last gap in its updates, and not while it is
-// in learning mode.
+// The known grants of an owner are complete only since the last gap in its updates. While the owner
+// is in learning mode, this time is later.
 func TestTrackerIsCompleteAfterGap(t *testing.T) {
 	is := is.New(t)
 	tracker := Tracker{Window: window}
@@ -119,7 +120,7 @@
 	is.Equal(len(keys), 0)
 }
 
-// A unit counts for the window and at most one bucket longer.
+// A unit counts for the duration of the window and at most one bucket longer.
 func TestUsageCountsSlidingWindow(t *testing.T) {
 	is := is.New(t)
 	u := &Usage{Window: window}
@@ -135,80 +136,82 @@
 	is.Equal(u.Merge(time.Hour, nil).Sum(time.Hour), 1.0)
 }
 
-// A grant is used once, and expires.
+// The units of a grant can be used once, and until the grant expires.
 func TestGrantIsUsedOnceAndExpires(t *testing.T) {
 	is := is.New(t)
-	h := &Lessee{Plan: Plan{GrantTTL: time.Second}}
-	is.True(!h.Take(0, 1))
-	h.AddGrant(0, 10)
-	h.AddGrant(500*time.Millisecond, 5)
-	is.True(h.Take(600*time.Millisecond, 12))
-	is.Equal(h.Available(600*time.Millisecond), 3.0)
-	is.True(!h.Take(600*time.Millisecond, 4))
-	is.Equal(h.Available(1500*time.Millisecond), 0.0)
-	is.Equal(h.Request(1500*time.Millisecond, 7).Need, 7.0)
+	lessee := &Lessee{Plan: Plan{GrantTTL: time.Second}}
+	is.True(!lessee.Take(0, 1))
+	lessee.AddGrant(0, 10)
+	lessee.AddGrant(500*time.Millisecond, 5)
+	is.True(lessee.Take(600*time.Millisecond, 12))
+	is.Equal(lessee.Available(600*time.Millisecond), 3.0)
+	is.True(!lessee.Take(600*time.Millisecond, 4))
+	is.Equal(lessee.Available(1500*time.Millisecond), 0.0)
+	is.Equal(lessee.Request(1500*time.Millisecond, 7).Need, 7.0)
 }
 
-// Taking all grants whose sum has a rounding error leaves nothing and does not panic.
+// If the sum of the grants has a rounding error, taking all units leaves none and does not panic.
 func TestTakeAllDespiteRounding(t *testing.T) {
-	h := &Lessee{Plan: Plan{GrantTTL: time.Hour}}
+	lessee := &Lessee{Plan: Plan{GrantTTL: time.Hour}}
 	for range 10 {
-		h.AddGrant(0, 0.1)
+		lessee.AddGrant(0, 0.1)
 	}
-	h.Take(0, h.Available(0))
-	if left := h.Available(0); left > 1e-9 {
-		t.Errorf("%v are left", left)
+	lessee.Take(0, lessee.Available(0))
+	if left := lessee.Available(0); left > 1e-9 {
+		t.Errorf("%v units are available after all were taken", left)
 	}
 }
 
-// Without an owner use goes on as it was for maxBorrowTime, once in a window, and is reported.
+// Without an owner a lessee can use units at the same rate as before for maxBorrowTime, and then not
+// again for a window. It reports the borrowed units to the next owner.
 func TestBorrowIsBoundedAndReported(t *testing.T) {
 	is := is.New(t)
-	h := &Lessee{Plan: plan}
+	lessee := &Lessee{Plan: plan}
 	now := time.Duration(0)
-	for range 100 { // 100 units a second
+	for range 100 { // use 100 units per second
 		now += 100 * time.Millisecond
-		h.AddGrant(now, 10)
-		is.True(h.Take(now, 10))
+		lessee.AddGrant(now, 10)
+		is.True(lessee.Take(now, 10))
 	}
 	borrowed, from := 0.0, now
 	for ; now < from+2*maxBorrowTime; now += 10 * time.Millisecond {
-		if h.Borrow(now, 2) {
+		if lessee.Borrow(now, 2) {
 			borrowed += 2
 		}
 	}
 	is.True(borrowed >= 0.8*rate*maxBorrowTime.Seconds() && borrowed <= rate*maxBorrowTime.Seconds()+rate*window.Seconds()/usageBuckets)
-	is.Equal(h.Request(now, 1).Borrowed, borrowed)
-	h.ReportedBorrowed(borrowed)
-	is.Equal(h.Request(now, 1).Borrowed, 0.0)
-	is.True(!(&Lessee{Plan: plan}).Borrow(0, 1)) // without use before nothing is borrowed
+	is.Equal(lessee.Request(now, 1).Borrowed, borrowed)
+	lessee.ReportedBorrowed(borrowed)
+	is.Equal(lessee.Request(now, 1).Borrowed, 0.0)
+	is.True(!(&Lessee{Plan: plan}).Borrow(0, 1)) // a lessee that has used no units may not borrow
 }
 
-// fleet is lessees of one key, and owners that start and end by random schedules.
+// fleet simulates the lessees of one key, and a sequence of owners that start and end at random
+// times.
 type fleet struct {
 	rng             *rand.Rand
 	now             time.Duration
-	owners          []*owner // the last one acts; with a planted fault the one before, too
-	tracker         Tracker  // of the standbys
+	owners          []*owner // the last one is active; with the injected fault twoOwners the previous one is too
+	tracker         Tracker  // shared by all standbys
 	lessees         []*Lessee
 	used            []use
-	noOwnerUntil    time.Duration // no owner acts until then
-	isolatedUntil   time.Duration // updates or acknowledgements are lost until then; 0 for none
-	updatesLost     bool          // it is the updates that are lost
-	ignoresStandbys bool          // planted fault: an owner does not wait for acknowledgements
+	noOwnerUntil    time.Duration // no owner is active until this time
+	isolatedUntil   time.Duration // updates or acknowledgements are lost until this time; 0 if none are
+	updatesLost     bool          // while isolated, updates are lost; otherwise acknowledgements
+	ignoresStandbys bool          // injected fault: an owner does not wait for acknowledgements
 	plan            Plan
 }
 
-// owner is an owner with what it has to publish.
+// owner is an Owner with the grants that it has to publish.
 type owner struct {
 	*Owner
 	Outstanding
 	name        uint64
 	publishedAt time.Duration
-	endedAt     time.Duration // it granted nothing after that; 0 while it acts
+	endedAt     time.Duration // time after which the owner grants nothing; 0 while it is active
 }
 
-// standby is the identity of the standbys, which know the same.
+// standby is the identity that represents all standbys. They share one Tracker.
 const standby = 1
 
 func newOwner(name uint64, begin time.Duration, known map[string]*Usage, complete time.Duration) *owner {
@@ -217,6 +220,7 @@
 	return o
 }
 
+// use records that a lessee used units at a time.
 type use struct {
 	at    time.Duration
 	units float64
@@ -236,18 +240,20 @@
 	sequence, grants := o.NextUpdate()
 	o.publishedAt = f.now
 	isolated := f.now < f.isolatedUntil
-	if isolated && f.updatesLost || f.rng.IntN(400) == 0 { // an update may be lost
+	if isolated && f.updatesLost || f.rng.IntN(400) == 0 { // the update is lost
 		return
 	}
 	f.tracker.Update(f.now, o.name, sequence, grants, o.LearningUntil-f.now)
-	if !isolated && f.rng.IntN(400) > 0 { // as may its acknowledgement
+	if !isolated && f.rng.IntN(400) > 0 { // otherwise the acknowledgement is lost
 		o.Acknowledge(standby, sequence)
 	}
 }
 
-// request is one request of a lessee: it takes what it has or asks; the response may be lost.
-func (f *fleet) request(double bool) {
-	lessee, units := f.lessees[f.rng.IntN(len(f.lessees))], 1+f.rng.Float64()*(biggest-1)
+// request simulates one request at a random lessee. The lessee uses its grants, or asks an owner for
+// units, or borrows them. The owner's response may be lost. With twoOwners the previous owner also
+// answers.
+func (f *fleet) request(twoOwners bool) {
+	lessee, units := f.lessees[f.rng.IntN(len(f.lessees))], 1+f.rng.Float64()*(maxNeed-1)
 	switch {
 	case lessee.Take(f.now, units):
 	case f.now < f.noOwnerUntil:
@@ -256,7 +262,7 @@
 		}
 	default:
 		o := f.owners[len(f.owners)-1]
-		if double && len(f.owners) > 1 && f.rng.IntN(2) == 0 {
+		if twoOwners && len(f.owners) > 1 && f.rng.IntN(2) == 0 {
 			o = f.owners[len(f.owners)-2]
 		}
 		request := lessee.Request(f.now, units)
@@ -282,30 +288,33 @@
 	f.used = append(f.used, use{f.now, units})
 }
 
-// isolate begins a time in which the owner's updates or their acknowledgements are lost.
+// isolate starts a period in which the owner's updates or their acknowledgements are lost.
 func (f *fleet) isolate() {
 	f.isolatedUntil = f.now + time.Duration(f.rng.IntN(700))*time.Millisecond
 	f.updatesLost = f.rng.IntN(3) > 0
 }
 
-// endIsolation has another owner take over from an isolated one, two times out of three.
-func (f *fleet) endIsolation(double bool) {
+// endIsolation ends the period that isolate started, when it is over. In two cases out of three
+// another owner takes over.
+func (f *fleet) endIsolation(twoOwners bool) {
 	if f.isolatedUntil == 0 || f.now < f.isolatedUntil {
 		return
 	}
 	if f.rng.IntN(3) > 0 {
-		f.takeOver(double)
+		f.takeOver(twoOwners)
 	}
 	f.isolatedUntil = 0
 }
 
-// takeOver ends the owner and starts another one, which knows its grants or has lost all memory.
-func (f *fleet) takeOver(double bool) {
+// takeOver ends the active owner and starts another one. The new owner either knows the published
+// grants, or has lost its state. With twoOwners it starts without a gap, and the previous owner
+// continues to answer requests.
+func (f *fleet) takeOver(twoOwners bool) {
 	before := f.owners[len(f.owners)-1]
 	gap := time.Duration(f.rng.IntN(2000)) * time.Millisecond
-	memory := f.rng.IntN(3) > 0
-	if !memory {
-		gap = max(gap, 500*time.Millisecond) // its process has to restart
+	keepsMemory := f.rng.IntN(3) > 0
+	if !keepsMemory {
+		gap = max(gap, 500*time.Millisecond) // the new owner's process has to restart
 		f.tracker = Tracker{Window: window}
 	}
 	keys, complete := map[string]*Usage{}, f.now-window
@@ -320,22 +329,23 @@
 		}
 	}
 	before.endedAt = f.now
-	if !memory {
+	if !keepsMemory {
 		complete = f.now + gap
 	}
-	if double {
+	if twoOwners {
 		gap = 0
 	}
 	f.noOwnerUntil = f.now + gap
 	f.owners = append(f.owners, newOwner(before.name+1, f.noOwnerUntil, keys, complete))
 }
 
-// maxUse is the largest use in any window.
+// maxUse returns the largest number of units used in any window.
 func (f *fleet) maxUse() float64 { return f.maxUseSince(0) }
 
-// maxUseSince is the largest use in any window that begins at a time or later.
+// maxUseSince returns the largest number of units used in any window, without the units used before
+// begin.
 func (f *fleet) maxUseSince(begin time.Duration) float64 {
-	most, sum, from := 0.0, 0.0, 0
+	largest, sum, from := 0.0, 0.0, 0
 	for _, u := range f.used {
 		if u.at < begin {
 			from++
@@ -346,22 +356,22 @@
 			sum -= f.used[from].units
 			from++
 		}
-		most = max(most, sum)
+		largest = max(largest, sum)
 	}
-	return most
+	return largest
 }
 
-// play draws a minute of traffic far above the limit, with take-overs, lessees that restart, idle
-// times, times without an owner, and owners that are isolated from the standbys until their lease
-// ends.
-func (f *fleet) play(double bool) { f.playUntil(time.Minute, double) }
+// runMinute simulates one minute of random traffic far above the limit. It includes take-overs,
+// restarts of lessees, idle periods, periods without an owner, and owners that are isolated from the
+// standbys until their lease ends.
+func (f *fleet) runMinute(twoOwners bool) { f.runUntil(time.Minute, twoOwners) }
 
-func (f *fleet) playUntil(end time.Duration, double bool) {
+func (f *fleet) runUntil(end time.Duration, twoOwners bool) {
 	for f.now < end {
 		f.now += time.Duration(f.rng.ExpFloat64() * float64(8*time.Millisecond))
 		switch f.rng.IntN(2500) {
 		case 0, 1:
-			f.takeOver(double)
+			f.takeOver(twoOwners)
 		case 2:
 			f.lessees[f.rng.IntN(len(f.lessees))] = &Lessee{Plan: plan}
 		case 3:
@@ -369,60 +379,62 @@
 		case 4, 5:
 			f.isolate()
 		}
-		f.endIsolation(double)
-		f.request(double)
+		f.endIsolation(twoOwners)
+		f.request(twoOwners)
 	}
 }
 
-// Whatever is drawn of take-overs, with and without memory, lost updates and responses, new lessees
-// and idle times, in no window is more used than the bound allows.
+// The use in any window stays within the bound, under any random sequence of take-overs with and
+// without lost state, lost updates and responses, restarted lessees and idle periods.
 func TestUseStaysWithinBound(t *testing.T) {
-	top := 0.0
+	largest := 0.0
 	for seed := range uint64(400) {
 		f := newFleet(seed)
-		f.play(false)
-		top = max(top, f.maxUse())
+		f.runMinute(false)
+		largest = max(largest, f.maxUse())
 		if f.maxUse() > allowed {
 			t.Errorf("seed %d: %.0f units in a window; %.0f are allowed", seed, f.maxUse(), allowed)
 		}
 	}
-	t.Logf("at most %.0f of %.0f", top, allowed)
+	t.Logf("at most %.0f units used in a window; %.0f are allowed", largest, allowed)
 }
 
-// A lowered limit binds as soon as nobody borrows by what was used before, whatever else is drawn.
+// A lowered limit takes effect within maxBorrowTime, when the lessees stop borrowing based on their
+// earlier use. This holds under the same random faults as above.
 func TestLoweredLimitBinds(t *testing.T) {
 	const change = 30 * time.Second
 	lower := Limit{Rate: rate / 2, Burst: rate / 4}
 	allowed := (lower.Rate*window.Seconds()+lower.Burst)*(1+overshoot) + slack
 	for seed := range uint64(400) {
 		f := newFleet(seed)
-		f.playUntil(change, false)
+		f.runUntil(change, false)
 		f.plan = NewPlan(lower, window, overshoot, slack)
-		for _, h := range f.lessees {
-			h.Plan = f.plan
+		for _, lessee := range f.lessees {
+			lessee.Plan = f.plan
 		}
-		f.playUntil(time.Minute, false)
-		if most := f.maxUseSince(change + maxBorrowTime); most > allowed {
-			t.Errorf("seed %d: %.0f units in a window; %.0f are allowed", seed, most, allowed)
+		f.runUntil(time.Minute, false)
+		if largest := f.maxUseSince(change + maxBorrowTime); largest > allowed {
+			t.Errorf("seed %d: %.0f units in a window; %.0f are allowed", seed, largest, allowed)
 		}
 	}
 }
 
-// An owner that goes on while nobody receives its updates is detected.
+// The simulation detects an owner that continues to grant units while no standby acknowledges its
+// updates.
 func TestUnacknowledgedOwnerIsDetected(t *testing.T) {
 	for seed := range uint64(400) {
 		f := newFleet(seed)
 		f.ignoresStandbys = true
-		f.play(false)
+		f.runMinute(false)
 		if f.maxUse() > allowed {
 			return
 		}
 	}
-	t.Error("not detected")
+	t.Error("owners that ignore missing acknowledgements exceeded the bound with none of the seeds")
 }
 
-// What not all standbys have acknowledged is bounded for each key; a first grant is never rejected
-// for it.
+// The units that not all standbys have acknowledged are bounded for each key. The first grant is
+// allowed even if it exceeds this bound.
 func TestUnacknowledgedGrantsAreBounded(t *testing.T) {
 	is := is.New(t)
 	p := Plan{Limit: Limit{Rate: 1000}, MaxUnacknowledged: 30}
@@ -432,22 +444,23 @@
 	is.True(!o.AddGranted("k", p, 9))
 	is.True(!o.MayGrant("k", p, 22))
 	is.True(o.MayGrant("other", p, 22))
-	is.True(o.AddGranted("k", p, 9)) // a third of MaxUnacknowledged
-	number, units := o.NextUpdate()
+	is.True(o.AddGranted("k", p, 9)) // more than a third of MaxUnacknowledged is unpublished
+	sequence, units := o.NextUpdate()
 	is.Equal(units["k"], 18.0)
 	is.True(!o.MayGrant("k", p, 13))
-	o.Acknowledge(1, number)
-	is.True(!o.MayGrant("k", p, 13)) // not all have
-	o.Acknowledge(2, number+1)
-	is.True(!o.MayGrant("k", p, 13)) // of an update that was never sent
-	o.Acknowledge(3, number)         // of a process that is no standby
+	o.Acknowledge(1, sequence)
+	is.True(!o.MayGrant("k", p, 13)) // not all standbys have acknowledged
+	o.Acknowledge(2, sequence+1)
+	is.True(!o.MayGrant("k", p, 13)) // the acknowledged update was never sent
+	o.Acknowledge(3, sequence)       // process 3 is not a standby
 	is.True(o.HasPending())
-	o.Acknowledge(2, number)
+	o.Acknowledge(2, sequence)
 	is.True(o.MayGrant("k", p, 30))
 	is.True(!o.HasPending())
 }
 
-// A removed standby is not waited for, and a new one is from then on.
+// After SetStandbys an owner ignores missing acknowledgements of a removed standby, and requires
+// those of a new standby for the updates that follow.
 func TestStandbysChange(t *testing.T) {
 	is := is.New(t)
 	p := Plan{Limit: Limit{Rate: 1000}, MaxUnacknowledged: 30}
@@ -458,7 +471,7 @@
 	o.Acknowledge(1, first)
 	is.True(!o.MayGrant("k", p, 1))
 	o.SetStandbys([]uint64{1, 3})
-	is.True(o.MayGrant("k", p, 1)) // the one that had not acknowledged was removed
+	is.True(o.MayGrant("k", p, 1)) // standby 2, which had not acknowledged, was removed
 	o.AddGranted("k", p, 30)
 	second, _ := o.NextUpdate()
 	o.Acknowledge(1, second)
@@ -468,19 +481,19 @@
 	o.AddGranted("k", p, 30)
 	o.NextUpdate()
 	o.SetStandbys(nil)
-	is.True(!o.HasPending()) // nobody is to be waited for
+	is.True(!o.HasPending()) // no standby has to acknowledge
 }
 
-// The learning delay grows with the burst: the owner before may have granted its whole bucket and
-// then all that was refilled, until its end.
+// The learning delay is long enough for any burst. The previous owner may have granted its whole
+// bucket, and then all refilled tokens until it ended.
 func TestLearningDelayCoversBurst(t *testing.T) {
 	for _, burst := range []float64{0, rate / 4, rate, 2 * rate, 4 * rate, 8 * rate} {
 		l := Limit{Rate: rate, Burst: burst}
 		p := NewPlan(l, window, overshoot, slack)
-		full := time.Duration(p.BucketDepth / p.MaxPerWindow * float64(window)) // in which a burst is refilled
+		refillTime := time.Duration(p.BucketDepth / p.MaxPerWindow * float64(window)) // time in which a bucket is refilled
 		end := 2 * window
 		f := &fleet{plan: p}
-		f.useAll(NewOwner(window, window, nil, 0), window+full, end)
+		f.useAll(NewOwner(window, window, nil, 0), window+refillTime, end)
 		f.useAll(NewOwner(end, window, nil, end), end, end+window)
 		nominal := l.Rate*window.Seconds() + l.Burst
 		if allowed := nominal + overshoot*nominal + slack; f.maxUse() > allowed {
@@ -489,7 +502,7 @@
 	}
 }
 
-// useAll uses all that an owner grants from a time to another.
+// useAll uses all units that an owner grants between two times.
 func (f *fleet) useAll(o *Owner, from, to time.Duration) {
 	for now := from; now < to; now += 5 * time.Millisecond {
 		for o.Serve(now, "k", f.plan, Request{Need: 1}).Granted > 0 {
@@ -498,19 +511,20 @@
 	}
 }
 
-// Two owners at once, which grant the same units twice, are detected.
+// The simulation detects two owners that are active at the same time and grant the same units twice.
 func TestDoubleGrantIsDetected(t *testing.T) {
 	for seed := range uint64(400) {
 		f := newFleet(seed)
-		f.play(true)
+		f.runMinute(true)
 		if f.maxUse() > allowed {
 			return
 		}
 	}
-	t.Error("not detected")
+	t.Error("two owners at the same time exceeded the bound with none of the seeds")
 }
 
-// BenchmarkServe is what a request costs the owner of a third of the planned 15,000 tenants.
+// BenchmarkServe measures a request at an owner of 5,000 keys, which are a third of the planned
+// 15,000 tenants.
 func BenchmarkServe(b *testing.B) {
 	const tenants = 5000
 	o := NewOwner(0, 8*time.Second, nil, -8*time.Second)
--- a/coord/quota/tracker.go
+++ b/coord/quota/tracker.go
@@ -2,27 +2,28 @@
 
 import "time"
 
-// maxOwners bounds the owners that are tracked; beyond it all are forgotten.
+// maxOwners bounds the owners that a Tracker tracks. When an update of another owner arrives, the
+// Tracker drops all earlier data.
 const maxOwners = 64
 
-// Tracker is what a standby knows of the grants of other owners, so that it can take over from
-// them. Each owner numbers its updates; after a gap in them what is known of it is complete only
-// from then on.
+// Tracker counts the grants that other owners publish to a standby, so that the standby can take
+// over from them. Each owner numbers its updates. If the numbers have a gap, the known grants of
+// that owner are complete only from the update after the gap.
 type Tracker struct {
 	Window time.Duration
 
 	owners map[uint64]*ownerUsage
 }
 
-// ownerUsage is what one owner has published.
+// ownerUsage counts the grants that one owner has published.
 type ownerUsage struct {
-	nextSequence uint64
-	completeFrom time.Duration
+	nextSequence uint64        // sequence number expected in the next update
+	completeFrom time.Duration // keys has all grants since this time
 	keys         map[string]*Usage
 }
 
-// Update applies an update of an owner: its grants by key since the update before, and for how long
-// it still is in learning mode.
+// Update applies an update from an owner. Grants are the units granted since the owner's previous
+// update, by key. Learning is how long the owner remains in learning mode.
 func (t *Tracker) Update(now time.Duration, owner, sequence uint64, grants map[string]float64, learning time.Duration) {
 	if t.owners == nil || len(t.owners) >= maxOwners && t.owners[owner] == nil {
 		t.owners = map[uint64]*ownerUsage{}
@@ -31,7 +32,7 @@
 	if o == nil || sequence != o.nextSequence {
 		o = &ownerUsage{completeFrom: now, keys: map[string]*Usage{}}
 		if sequence == 0 {
-			o.completeFrom = now - t.Window // it has granted nothing before
+			o.completeFrom = now - t.Window // the owner has granted nothing before its first update
 		}
 		t.owners[owner] = o
 	}
@@ -48,8 +49,8 @@
 	}
 }
 
-// Usage returns the known grants of an owner by key, and from when on they are complete: now for an
-// owner that is not known, later for one in learning mode.
+// Usage returns the known grants of an owner by key, and the time since which they are complete. For
+// an unknown owner this time is now. Learning mode of the owner moves it to a later time.
 func (t *Tracker) Usage(now time.Duration, owner uint64) (keys map[string]*Usage, completeFrom time.Duration) {
 	o := t.owners[owner]
 	if o == nil {
@@ -58,7 +59,7 @@
 	return o.keys, o.completeFrom
 }
 
-// TotalUsage returns the known grants of all owners by key.
+// TotalUsage returns the sum of the known grants of all owners, by key.
 func (t *Tracker) TotalUsage(now time.Duration) map[string]*Usage {
 	all := map[string]*Usage{}
 	for _, o := range t.owners {
--- a/coord/quota/usage.go
+++ b/coord/quota/usage.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// usageBuckets is into how many buckets a window is divided: a unit counts for the window and at
-// most one bucket longer.
+// usageBuckets is the number of buckets into which a window is divided. A unit counts for the
+// duration of the window and at most one bucket longer.
 const usageBuckets = 32
 
-// Usage counts units in a sliding window. The zero value needs Window to be set before use.
+// Usage counts units in a sliding window. The caller must set Window before use.
 type Usage struct {
 	Window time.Duration
 
 	buckets    [usageBuckets + 1]float64
-	lastBucket int64 // the number of the newest, counted from time 0
+	lastBucket int64 // number of the newest bucket; bucket 0 begins at time 0
 }
 
-// advance clears the buckets that have left the window.
+// advance makes the bucket of the given time the newest one, and clears the buckets that have left
+// the window.
 func (u *Usage) advance(now time.Duration) {
 	bucket := int64(now / max(u.Window/usageBuckets, 1))
 	if bucket <= u.lastBucket {
@@ -26,7 +27,7 @@
 	u.lastBucket = bucket
 }
 
-// Add counts units at a time.
+// Add counts units that are granted or used now.
 func (u *Usage) Add(now time.Duration, units float64) {
 	u.advance(now)
 	u.buckets[u.lastBucket%int64(len(u.buckets))] += units
@@ -42,7 +43,8 @@
 	return sum
 }
 
-// Merge returns the sum of this usage and another of the same window, which may be nil.
+// Merge returns the sum of this usage and another one with the same window. The other one may be
+// nil.
 func (u *Usage) Merge(now time.Duration, other *Usage) *Usage {
 	sum := *u
 	sum.advance(now)
@@ -56,7 +58,7 @@
 	return &sum
 }
 
-// Buckets returns the counts of the last window, the newest last, to be persisted.
+// Buckets returns the counts of the last window in a form that can be persisted, newest last.
 func (u *Usage) Buckets(now time.Duration) []float64 {
 	u.advance(now)
 	out := make([]float64, 0, len(u.buckets))
@@ -71,8 +73,8 @@
 	return out
 }
 
-// UsageFromBuckets returns a usage of what Buckets returned, as though no time had passed since.
-// Now must be later than a window.
+// UsageFromBuckets returns a usage with the counts that Buckets returned, as if Buckets had been
+// called now. Now must be greater than window.
 func UsageFromBuckets(window, now time.Duration, buckets []float64) *Usage {
 	u := &Usage{Window: window}
 	length := max(window/usageBuckets, 1)
