--- a/coord/feed/example_test.go
+++ b/coord/feed/example_test.go
@@ -8,7 +8,7 @@
 	"reachspread/coord/feed"
 )
 
-// names is a topic: a list that only grows. Its revision is its length.
+// names is a topic with a list of names that only grows. The revision is the length of the list.
 type names struct{ all []string }
 
 func (n *names) Revision() uint64                            { return uint64(len(n.all)) }
@@ -19,8 +19,8 @@
 func (n *names) Merge(d *coordpb.Delta)                      { n.all = append(n.all, string(d.Payload)) }
 func (n *names) add(name string)                             { n.all = append(n.all, name) }
 
-// A process subscribes to a topic of another one and is sent its changes as they come. The owner of
-// each node delivers the messages between them.
+// A process subscribes to a topic of another process, which sends it each change at once. The caller
+// delivers the messages that the nodes return.
 func Example() {
 	nodes, topics := map[string]*feed.Node{}, map[string]*names{}
 	for i, address := range []string{"source", "subscriber"} {
--- a/coord/feed/feed_test.go
+++ b/coord/feed/feed_test.go
@@ -14,13 +14,13 @@
 	"reachspread/coord/coordpb"
 )
 
-// number is a topic that holds a number, which only grows.
+// number is a topic that consists of one number, which only grows.
 type number struct {
 	value     uint64
-	confirmed time.Duration // below 0 for never
+	confirmed time.Duration // time of the last confirmation; below 0 if there was none
 	merges    int
 	shared    bool
-	padding   int // bytes after the number
+	padding   int // number of bytes in the payload after the number
 }
 
 func (n *number) Revision() uint64 { return n.value }
@@ -44,18 +44,18 @@
 	}
 }
 
-// world is processes with one topic, on a network with broken links.
+// world simulates processes with one topic, and a network whose links can be broken.
 type world struct {
 	now    time.Duration
-	nodes  map[string]*router
+	nodes  map[string]*process
 	names  []string
-	broken map[string]bool // from>to
+	broken map[string]bool // broken links, by "from>to"
 	queue  []delivery
-	sent   int
-	bytes  int // of payloads
+	sent   int // number of messages sent
+	bytes  int // number of payload bytes sent
 }
 
-type router struct {
+type process struct {
 	*Node
 	topic   *number
 	running bool
@@ -68,22 +68,22 @@
 }
 
 const (
-	topic = "t"
-	trip  = 2 * time.Millisecond
-	step  = 10 * time.Millisecond
+	topic        = "t"
+	linkLatency  = 2 * time.Millisecond
+	tickInterval = 10 * time.Millisecond
 )
 
 func newWorld(names ...string) *world {
-	w := &world{nodes: map[string]*router{}, broken: map[string]bool{}, names: names}
+	w := &world{nodes: map[string]*process{}, broken: map[string]bool{}, names: names}
 	for i, name := range names {
 		w.start(name, uint64(i+1))
 	}
 	return w
 }
 
-// start starts a process.
-func (w *world) start(name string, life uint64) {
-	r := &router{Node: New(name, life, w.now), topic: &number{confirmed: -1}, running: true}
+// start starts a process, or replaces it by a new incarnation without content.
+func (w *world) start(name string, incarnation uint64) {
+	r := &process{Node: New(name, incarnation, w.now), topic: &number{confirmed: -1}, running: true}
 	r.Add(topic, r.topic)
 	w.nodes[name] = r
 }
@@ -94,13 +94,14 @@
 		for _, delta := range s.Update.GetDeltas() {
 			w.bytes += len(delta.Payload)
 		}
-		w.queue = append(w.queue, delivery{w.now + trip, from, s})
+		w.queue = append(w.queue, delivery{w.now + linkLatency, from, s})
 	}
 }
 
-// run lets time pass; the source, if it runs, confirms its number all along.
+// run advances the time by d. While it runs, the source confirms its number at each tick, if that
+// process is running.
 func (w *world) run(d time.Duration, source string) {
-	for until := w.now + d; w.now < until; w.now += step {
+	for until := w.now + d; w.now < until; w.now += tickInterval {
 		if r := w.nodes[source]; r != nil && r.running {
 			r.topic.confirmed = w.now
 		}
@@ -114,7 +115,7 @@
 }
 
 func (w *world) deliver() {
-	for len(w.queue) > 0 && w.queue[0].arrivesAt <= w.now+step {
+	for len(w.queue) > 0 && w.queue[0].arrivesAt <= w.now+tickInterval {
 		d := w.queue[0]
 		w.queue = w.queue[1:]
 		to := w.nodes[d.send.To]
@@ -149,8 +150,8 @@
 	return w.now - at
 }
 
-// A change reaches a subscriber's subscriber at once, not with the next poll; a confirmation
-// arrives with its age.
+// A change passes through a chain of two subscriptions at once, without waiting for the next poll.
+// A confirmation arrives with its age.
 func TestChangePassesThroughChainAtOnce(t *testing.T) {
 	is := is.New(t)
 	w := newWorld("tail", "home", "leaf")
@@ -159,18 +160,19 @@
 	w.run(2*time.Second, "tail")
 	w.setValue("tail", 5)
 	w.send("home", w.nodes["home"].Publish(w.now, topic))
-	w.run(3*step, "tail")
+	w.run(3*tickInterval, "tail")
 	w.send("home", w.nodes["home"].Publish(w.now, topic))
-	w.run(3*step, "tail")
+	w.run(3*tickInterval, "tail")
 	is.Equal(w.nodes["leaf"].topic.value, uint64(5))
 	w.run(2*time.Second, "tail")
-	is.True(w.age("leaf") < 2*PollInterval+10*step)
-	is.True(w.age("leaf") > 0) // never younger than it is
+	is.True(w.age("leaf") < 2*PollInterval+10*tickInterval)
+	is.True(w.age("leaf") > 0) // the leaf does not take the confirmation for newer than it is
 	is.Equal(w.nodes["home"].Source(topic, ""), "tail")
 	is.Equal(w.nodes["tail"].Subscribers(topic), []string{"home"})
 }
 
-// A source that stops is replaced by the next candidate, and used again once it is back.
+// A subscriber switches from a stopped source to the next candidate, and switches back when the
+// first source is running again.
 func TestStoppedSourceIsReplacedUntilItReturns(t *testing.T) {
 	is := is.New(t)
 	w := newWorld("tail", "home", "second", "leaf")
@@ -188,7 +190,8 @@
 	is.Equal(w.nodes["leaf"].Source(topic, ""), "home")
 }
 
-// A source that answers, but is isolated from its own source, is replaced as well.
+// A subscriber also switches away from a source that answers but has lost contact with its own
+// source.
 func TestIsolatedSourceIsReplaced(t *testing.T) {
 	is := is.New(t)
 	w := newWorld("tail", "home", "second", "leaf")
@@ -203,7 +206,8 @@
 	is.True(w.age("home") > 2*time.Second)
 }
 
-// A restarted source counts revisions anew; its subscribers get all that it has, once.
+// A restarted source counts its revisions from the start again. Its subscribers receive its whole
+// content once.
 func TestRestartedSourceIsReadFromStart(t *testing.T) {
 	is := is.New(t)
 	w := newWorld("source", "leaf")
@@ -219,10 +223,10 @@
 	is.True(w.nodes["leaf"].topic.merges > merges)
 	merges = w.nodes["leaf"].topic.merges
 	w.run(2*time.Second, "source")
-	is.Equal(w.nodes["leaf"].topic.merges, merges) // nothing new, nothing sent
+	is.Equal(w.nodes["leaf"].topic.merges, merges) // no payload is sent without a change
 }
 
-// A delta that builds on a lost one is ignored; the next poll brings both.
+// A subscriber ignores a delta that builds on a lost one, and receives both with the next poll.
 func TestLostDeltaIsRecoveredByPoll(t *testing.T) {
 	is := is.New(t)
 	w := newWorld("source", "leaf")
@@ -237,7 +241,7 @@
 	is.Equal(w.nodes["leaf"].topic.value, uint64(9))
 }
 
-// An answer to a poll that was never sent, or long ago, confirms nothing.
+// An answer whose nonce belongs to no recent poll confirms nothing.
 func TestUnsolicitedAnswerConfirmsNothing(t *testing.T) {
 	is := is.New(t)
 	w := newWorld("source", "leaf")
@@ -246,24 +250,26 @@
 	is.True(!ok)
 }
 
-// An unconfirmed topic is polled faster, and at the usual interval once it is confirmed.
+// A subscriber polls faster while the topic is unconfirmed, and at the normal interval once it is
+// confirmed.
 func TestUnconfirmedTopicIsPolledFaster(t *testing.T) {
 	is := is.New(t)
 	w := newWorld("source", "leaf")
 	w.subscribe("leaf", "source")
 	before := w.sent
-	w.run(time.Second, "") // the source has nothing that is confirmed
-	hurried := w.sent - before
+	w.run(time.Second, "") // the source has no confirmation
+	fastPollSends := w.sent - before
 	w.run(time.Second, "source")
 	before = w.sent
 	w.run(time.Second, "source")
-	calm := w.sent - before
-	is.True(hurried >= 3*calm)
-	is.True(calm <= 8)
+	normalPollSends := w.sent - before
+	is.True(fastPollSends >= 3*normalPollSends)
+	is.True(normalPollSends <= 8)
 }
 
-// newThreeZones returns 12 processes in three zones. The first of each zone subscribes to the first
-// of all, the others to that of their zone with two more candidates.
+// newThreeZones returns a world with 12 processes in three zones. The first process of each zone
+// subscribes to the first process of all. The others subscribe to the first process of their zone,
+// with two more candidates.
 func newThreeZones() *world {
 	var names []string
 	for i := range 12 {
@@ -282,9 +288,9 @@
 	return w
 }
 
-// Whatever is drawn of broken links and stopped processes among 12 in three zones: 3 s after the
-// last fault all have the number, no number went back, and none was confirmed as the newest at a
-// time when the first process had a greater one.
+// Under random broken links and stopped processes, among 12 processes in three zones, the following
+// holds: 3 s after the last fault all processes have the newest number. No number ever decreases. No
+// number is confirmed as the newest at a time at which the first process has a greater one.
 func TestRandomFaultsConverge(t *testing.T) {
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 0))
@@ -292,7 +298,7 @@
 		names := w.names
 		value, history := uint64(0), []time.Duration{0}
 		last := map[string]uint64{}
-		look := func() {
+		checkInvariants := func() {
 			for _, name := range names {
 				r := w.nodes[name]
 				if r.topic.value < last[name] {
@@ -301,7 +307,7 @@
 				last[name] = r.topic.value
 				at, ok := r.topic.Confirmed()
 				if next := r.topic.value + 1; ok && next < uint64(len(history)) && at > history[next] {
-					t.Fatalf("seed %d: %s has %d confirmed at %v; %d was there at %v", seed, name, r.topic.value, at, next, history[next])
+					t.Fatalf("seed %d: %s has %d confirmed as the newest at %v, but %d existed since %v", seed, name, r.topic.value, at, next, history[next])
 				}
 			}
 		}
@@ -323,8 +329,8 @@
 				}
 			}
 			for range 10 {
-				w.run(step, names[0])
-				look()
+				w.run(tickInterval, names[0])
+				checkInvariants()
 			}
 		}
 		clear(w.broken)
@@ -334,16 +340,17 @@
 		w.run(3*time.Second, names[0])
 		for _, name := range names {
 			if got := w.nodes[name].topic.value; got != value {
-				t.Errorf("seed %d: %s has %d of %d", seed, name, got, value)
+				t.Errorf("seed %d: 3 s after the last fault %s has %d, want %d", seed, name, got, value)
 			}
 			if age := w.age(name); age > 2*staleTimeout {
-				t.Errorf("seed %d: what %s has was confirmed %v ago", seed, name, age)
+				t.Errorf("seed %d: 3 s after the last fault the number of %s was last confirmed %v ago, longer than 2 * staleTimeout", seed, name, age)
 			}
 		}
 	}
 }
 
-// With shared revisions a new source is not asked for what the subscriber has already.
+// If revisions are shared, a subscriber does not request content from a new source that it already
+// has.
 func TestSharedRevisionsAreNotSentAgain(t *testing.T) {
 	is := is.New(t)
 	w := newWorld("source", "second", "leaf")
@@ -363,8 +370,8 @@
 	is.Equal(w.nodes["leaf"].topic.value, uint64(8))
 }
 
-// A long payload is sent once while it may be in flight, however often it is polled for, and again
-// once it should have arrived.
+// While a long payload may be in flight, the source does not send it again, however often the
+// subscriber polls. It sends the payload again after the time by which it should have arrived.
 func TestLongPayloadIsSentOnceWhileInFlight(t *testing.T) {
 	is := is.New(t)
 	w := newWorld("source", "leaf")
@@ -384,8 +391,8 @@
 	is.True(w.age("leaf") < staleTimeout)
 }
 
-// A process that lacks a confirmation polls at each update of that topic, but not at those of a
-// topic that needs none.
+// A process that lacks a required confirmation polls at once after each update of that topic, but
+// not after updates of a topic that requires no confirmation.
 func TestNoExtraPollForPlainTopics(t *testing.T) {
 	is := is.New(t)
 	n := New("a", 1, 0)
--- a/coord/feed/node.go
+++ b/coord/feed/node.go
@@ -10,26 +10,27 @@
 // maxPeers bounds the subscribers and the cursors of a node.
 const maxPeers = 4096
 
-// Node is the subscriptions and subscribers of one process.
+// Node manages the subscriptions and the subscribers of one process.
 type Node struct {
 	self        string
 	incarnation uint64
 	now         time.Duration
-	sends       []Send // of the present call
+	sends       []Send // messages that the current call returns
 	topics      map[string]Topic
-	names       []string // of topics, in order
+	names       []string // names of the topics in the order of Add
 
 	subscriptions map[subscriptionKey]*subscription
 	cursors       map[cursorKey]*coordpb.Cursor
-	polls         map[uint64]time.Duration // when those under way were sent, by nonce
-	pollOrder     []uint64
+	polls         map[uint64]time.Duration // send times of the last maxPolls polls, by nonce
+	pollOrder     []uint64                 // the nonces in polls, oldest first
 	nonce         uint64
 	nextPollAt    time.Duration
 
 	subscribers map[string]*subscriber // by address
 }
 
-// New returns the Node of a process at an address. Incarnation is drawn at each start.
+// New returns the Node of the process at the address self. The caller draws a new incarnation at
+// each start of the process.
 func New(self string, incarnation uint64, now time.Duration) *Node {
 	return &Node{
 		self:          self,
@@ -43,7 +44,7 @@
 	}
 }
 
-// Add adds a topic, or replaces one.
+// Add adds a topic, or replaces the topic of that name.
 func (n *Node) Add(name string, t Topic) {
 	if n.topics[name] == nil {
 		n.names = append(n.names, name)
@@ -51,22 +52,24 @@
 	n.topics[name] = t
 }
 
-// Topic returns a topic by its name, nil for none.
+// Topic returns the topic with a name, or nil if there is none.
 func (n *Node) Topic(name string) Topic { return n.topics[name] }
 
-// Tick takes note that time has passed. It is called at Next, or earlier.
+// Tick runs the actions that are due and returns the messages to send. The caller calls it at the
+// time that Next returns, or earlier.
 func (n *Node) Tick(now time.Duration) []Send {
 	n.startStep(now)
 	n.runDue()
 	return n.sends
 }
 
-// Next is when Tick is to be called at the latest.
+// Next returns the latest time at which the caller has to call Tick.
 func (n *Node) Next() time.Duration { return n.nextPollAt }
 
 func (n *Node) startStep(now time.Duration) { n.now, n.sends = max(now, n.now), nil }
 
-// runDue switches from stale sources, polls, and removes subscribers that poll no more.
+// runDue switches subscriptions away from stale sources, polls if a poll is due, and removes
+// subscribers that have stopped polling.
 func (n *Node) runDue() {
 	for _, s := range n.subscriptions {
 		n.switchSource(s)
@@ -81,7 +84,7 @@
 	}
 }
 
-// Subscribers returns the addresses to which a topic is published, sorted.
+// Subscribers returns the sorted addresses of the processes to which this process publishes a topic.
 func (n *Node) Subscribers(name string) (all []string) {
 	for address, s := range n.subscribers {
 		if _, ok := s.cursors[name]; ok && n.now-s.polledAt < subscriberTTL {
@@ -92,7 +95,8 @@
 	return all
 }
 
-// Source returns the address of the present source of a subscription, empty for none.
+// Source returns the address of the current source of a subscription. It is empty if there is no
+// such subscription.
 func (n *Node) Source(topic, group string) string {
 	if s := n.subscriptions[subscriptionKey{topic, group}]; s != nil {
 		return s.Candidates[s.current]
--- a/coord/feed/poll.go
+++ b/coord/feed/poll.go
@@ -10,21 +10,24 @@
 const (
 	// PollInterval is the time between two polls of a source.
 	PollInterval = 400 * time.Millisecond
-	// fastPollInterval replaces it while a topic that has to be confirmed is not.
+	// fastPollInterval replaces PollInterval while a topic that requires confirmation lacks a recent
+	// one.
 	fastPollInterval = 100 * time.Millisecond
-	// preferredRetryInterval is how often the first candidate is polled beside the one in use.
+	// preferredRetryInterval is the time between two polls of the first candidate while a
+	// subscription uses another candidate.
 	preferredRetryInterval = 2 * time.Second
-	// maxPolls bounds the polls under way whose answers still count.
+	// maxPolls bounds the polls whose send times a Node stores. Answers to older polls confirm
+	// nothing.
 	maxPolls = 64
 )
 
 type cursorKey struct{ topic, source string }
 
-// poll asks all sources in use for what changed, and from time to time the first candidates of
-// subscriptions that use others.
+// poll asks all current sources for changes. From time to time it also polls the first candidates of
+// subscriptions that use another candidate.
 func (n *Node) poll() {
 	n.nextPollAt = n.now + PollInterval
-	if n.isBehind() {
+	if n.hasStaleTopic() {
 		n.nextPollAt = n.now + fastPollInterval
 	}
 	polls := map[string]*coordpb.Poll{}
@@ -43,7 +46,7 @@
 	}
 }
 
-// addCursor adds a topic to the poll of a source.
+// addCursor adds the cursor of a topic to the poll of a source, unless the poll has it already.
 func (n *Node) addCursor(polls map[string]*coordpb.Poll, source, topic string) {
 	poll := polls[source]
 	if poll == nil {
@@ -56,7 +59,8 @@
 	poll.Cursors = append(poll.Cursors, n.cursor(topic, source))
 }
 
-// cursor returns up to which revision this process has a topic of a source.
+// cursor returns the revision of a topic up to which this process has received it from a source. For
+// a shared topic this is the local revision.
 func (n *Node) cursor(topic, source string) *coordpb.Cursor {
 	if t := n.topics[topic]; t.Shared() {
 		return &coordpb.Cursor{Topic: topic, Revision: t.Revision()}
@@ -72,7 +76,7 @@
 	return c
 }
 
-// rememberPoll notes when a poll was sent and forgets the oldest beyond maxPolls.
+// rememberPoll stores the send time of a poll, and removes the oldest poll beyond maxPolls.
 func (n *Node) rememberPoll(nonce uint64) {
 	n.polls[nonce] = n.now
 	if n.pollOrder = append(n.pollOrder, nonce); len(n.pollOrder) > maxPolls {
@@ -81,7 +85,8 @@
 	}
 }
 
-// HandleUpdate merges what a source has sent, in answer to a poll or as a change.
+// HandleUpdate merges an update from a source, which is either the answer to a poll or a published
+// change. It returns the messages to send.
 func (n *Node) HandleUpdate(now time.Duration, u *coordpb.Update) []Send {
 	n.startStep(now)
 	polledAt, answered := n.polls[u.Nonce]
@@ -92,15 +97,15 @@
 		}
 		cursor := n.cursor(delta.Topic, u.From)
 		if !buildsOn(cursor, delta, topic) {
-			continue // on a delta that was lost: the next poll asks for all since
+			continue // it builds on a lost delta; the next poll requests all changes since the cursor
 		}
 		if len(delta.Payload) > 0 {
 			topic.Merge(delta)
 		}
-		cursor.Life, cursor.Revision = delta.Life, delta.Revision // without effect for a shared topic
+		cursor.Life, cursor.Revision = delta.Life, delta.Revision // has no effect for a shared topic
 		if answered {
 			n.confirm(topic, u.From, polledAt, delta)
-		} else if n.requiresConfirmation(delta.Topic) && n.isBehind() {
+		} else if n.requiresConfirmation(delta.Topic) && n.hasStaleTopic() {
 			n.nextPollAt = n.now
 		}
 	}
@@ -108,8 +113,8 @@
 	return n.sends
 }
 
-// confirm takes note of an answer to a poll. Its content was the newest at the time of the poll,
-// less the age of the source's knowledge.
+// confirm processes the answer to a poll. The answer confirms that its content was the newest at the
+// time of the poll minus the age of the source's own confirmation.
 func (n *Node) confirm(topic Topic, source string, polledAt time.Duration, delta *coordpb.Delta) {
 	confirmed := never
 	if delta.AgeUs >= 0 {
@@ -119,7 +124,7 @@
 	n.sourceAnswered(delta.Topic, source, confirmed)
 }
 
-// buildsOn reports whether a delta can be merged where a topic of its source is at a cursor.
+// buildsOn reports whether a delta can be merged, given the cursor of its topic at its source.
 func buildsOn(c *coordpb.Cursor, delta *coordpb.Delta, t Topic) bool {
 	if t.Shared() {
 		return delta.Since == 0 || delta.Since == c.Revision || delta.Revision <= c.Revision
--- a/coord/feed/publish.go
+++ b/coord/feed/publish.go
@@ -7,30 +7,31 @@
 )
 
 const (
-	// subscriberTTL is how long changes are published to a subscriber after its last poll.
+	// subscriberTTL is how long this process publishes changes to a subscriber after its last poll.
 	subscriberTTL = 3 * time.Second
-	// longPayloadLen is from how many bytes on a payload is not sent again while it may be in
-	// flight: for resendDelay, and resendDelayPerByte for each byte.
+	// A payload of longPayloadLen bytes or more is not sent again while it may be in flight. This
+	// time is resendDelay plus resendDelayPerByte for each byte.
 	longPayloadLen     = 4 << 10
 	resendDelay        = 500 * time.Millisecond
-	resendDelayPerByte = 2 * time.Microsecond // half of what a link of 10 Mbit/s needs
+	resendDelayPerByte = 2 * time.Microsecond // enough if a payload gets 4 Mbit/s, less than half of a 10 Mbit/s link
 )
 
-// subscriber is a process that polls this one.
+// subscriber is a process that polls this process.
 type subscriber struct {
-	polledAt     time.Duration
-	nonce        uint64                 // of its last poll
-	cursors      map[string]uint64      // revisions of this process that it was sent, by topic
-	longPayloads map[string]longPayload // the last ones, by topic
+	polledAt     time.Duration          // time of the last poll
+	nonce        uint64                 // nonce of the last poll
+	cursors      map[string]uint64      // last revision sent to the subscriber, by topic
+	longPayloads map[string]longPayload // last long payload sent to the subscriber, by topic
 }
 
-// longPayload is a long payload that a subscriber was sent.
+// longPayload describes a long payload that was sent to a subscriber.
 type longPayload struct {
 	revision   uint64
-	expectedBy time.Duration // it should have arrived by then
+	expectedBy time.Duration // time by which the payload should have arrived
 }
 
-// HandlePoll answers a subscriber and publishes changes to it from now on.
+// HandlePoll answers the poll of a subscriber. From now on this process publishes changes to the
+// subscriber, until subscriberTTL after its last poll.
 func (n *Node) HandlePoll(now time.Duration, p *coordpb.Poll) []Send {
 	n.startStep(now)
 	s := n.subscribers[p.From]
@@ -59,8 +60,9 @@
 	return n.sends
 }
 
-// deltaForPoll returns the answer for one topic. While a long payload may be in flight it has no
-// content and says only that this process answers.
+// deltaForPoll returns the answer to a poll for one topic. While a long payload with the topic's
+// current revision may be in flight, the answer has no content and only shows that this process is
+// alive.
 func (n *Node) deltaForPoll(s *subscriber, name string, t Topic, after uint64) *coordpb.Delta {
 	inFlight := s.longPayloads[name]
 	if after < inFlight.revision && inFlight.revision == t.Revision() && n.now < inFlight.expectedBy {
@@ -69,14 +71,15 @@
 	return n.deltaForSubscriber(s, name, t, after)
 }
 
-// deltaForSubscriber returns what a topic has after a revision and remembers a long payload.
+// deltaForSubscriber returns the changes of a topic after a revision. If the payload is long, it
+// remembers that the payload is sent.
 func (n *Node) deltaForSubscriber(s *subscriber, name string, t Topic, after uint64) *coordpb.Delta {
 	d := n.newDelta(name, t, after)
 	n.rememberLongPayload(s, name, d)
 	return d
 }
 
-// newDelta returns what a topic has after a revision.
+// newDelta returns the changes of a topic after a revision, and the age of its confirmation.
 func (n *Node) newDelta(name string, t Topic, after uint64) *coordpb.Delta {
 	d := &coordpb.Delta{Topic: name, Life: n.incarnation, Since: after, Revision: t.Revision(), AgeUs: -1}
 	if after != d.Revision {
@@ -95,7 +98,7 @@
 	}
 }
 
-// Publish sends what changed in a topic to its subscribers.
+// Publish returns the messages that send the changes of a topic to its subscribers.
 func (n *Node) Publish(now time.Duration, name string) []Send {
 	n.startStep(now)
 	topic := n.topics[name]
@@ -103,7 +106,7 @@
 		return nil
 	}
 	revision := topic.Revision()
-	deltas := map[uint64]*coordpb.Delta{} // by cursor: most subscribers are at the same one
+	deltas := map[uint64]*coordpb.Delta{} // by cursor, because most subscribers have the same cursor
 	for address, s := range n.subscribers {
 		after, ok := s.cursors[name]
 		if !ok || after == revision || n.now-s.polledAt >= subscriberTTL {
@@ -120,8 +123,9 @@
 	return n.sends
 }
 
-// PublishConfirmation sends to the subscribers of a topic that it was confirmed, as an answer to
-// their last polls: they polled before it was.
+// PublishConfirmation returns the messages that send a new confirmation of a topic to its
+// subscribers. Each message counts as an answer to the subscriber's last poll, which was sent before
+// the topic was confirmed.
 func (n *Node) PublishConfirmation(now time.Duration, name string) []Send {
 	n.startStep(now)
 	topic := n.topics[name]
--- a/coord/feed/subscription.go
+++ b/coord/feed/subscription.go
@@ -6,26 +6,29 @@
 )
 
 const (
-	// staleTimeout is how long a source may bring nothing fresh before the next candidate is used.
+	// staleTimeout is how long a subscription may lack fresh content before it switches to the next
+	// candidate.
 	staleTimeout = 1000 * time.Millisecond
-	// candidateTimeout is how long each further candidate is given.
+	// candidateTimeout is the minimum time for which a subscription uses a candidate before it
+	// switches to the next one.
 	candidateTimeout = 300 * time.Millisecond
-	// never is before all times at which something can have happened.
+	// never is earlier than the time of any event.
 	never = -time.Hour
 )
 
 type subscriptionKey struct{ topic, group string }
 
-// subscription is a Subscription with its source.
+// subscription is a Subscription with the state of its sources.
 type subscription struct {
 	Subscription
-	current          int           // index of the candidate in use
-	currentSince     time.Duration // it is in use
-	freshAt          time.Duration // when it brought what is fresh last
-	preferredRetryAt time.Duration // when the first candidate is asked beside another one
+	current          int           // index of the candidate that is the source
+	currentSince     time.Duration // time since which that candidate is the source
+	freshAt          time.Duration // last time at which the content was fresh
+	preferredRetryAt time.Duration // next time to poll the first candidate while another one is the source
 }
 
-// Subscribe replaces all subscriptions. One whose source is still a candidate keeps it.
+// Subscribe replaces all subscriptions. A subscription whose source is still a candidate keeps that
+// source.
 func (n *Node) Subscribe(now time.Duration, all []Subscription) []Send {
 	n.startStep(now)
 	before := n.subscriptions
@@ -43,7 +46,8 @@
 	return n.sends
 }
 
-// updated returns a subscription with new candidates. Before is nil for one that is new.
+// updated returns a subscription with the desired candidates. Before is its earlier state, or nil if
+// the subscription is new.
 func (n *Node) updated(before *subscription, desired Subscription) *subscription {
 	if before == nil {
 		n.nextPollAt = n.now
@@ -58,7 +62,7 @@
 	return before
 }
 
-// switchSource uses the next candidate of a subscription if the present one is stale.
+// switchSource switches a subscription to its next candidate if its content is stale.
 func (n *Node) switchSource(s *subscription) {
 	if s.RequireConfirmed {
 		if at, ok := n.topics[s.Topic].Confirmed(); ok {
@@ -73,8 +77,8 @@
 	n.nextPollAt = n.now
 }
 
-// sourceAnswered takes note that a source answered with what was confirmed at a time. A
-// subscription returns to its first candidate when that is fresh.
+// sourceAnswered records that a source answered with content that was confirmed at a time. A
+// subscription switches back to its first candidate when the content of that candidate is fresh.
 func (n *Node) sourceAnswered(topic, source string, confirmed time.Duration) {
 	for _, s := range n.subscriptions {
 		i := slices.Index(s.Candidates, source)
@@ -92,8 +96,9 @@
 	}
 }
 
-// isBehind reports whether a topic that has to be confirmed was not for too long.
-func (n *Node) isBehind() bool {
+// hasStaleTopic reports whether a topic that requires confirmation was not confirmed within
+// staleTimeout.
+func (n *Node) hasStaleTopic() bool {
 	for _, s := range n.subscriptions {
 		if !s.RequireConfirmed {
 			continue
--- a/coord/feed/topic.go
+++ b/coord/feed/topic.go
@@ -6,36 +6,38 @@
 	"reachspread/coord/coordpb"
 )
 
-// Topic is something that processes distribute. Merging payloads in any order, or twice, must lead
-// to the same content.
+// Topic is content that processes distribute to each other. Payloads may be merged in any order, and
+// more than once, and must lead to the same content.
 type Topic interface {
-	// Revision grows with each change of the local content.
+	// Revision returns the revision of the local content. It grows with each change.
 	Revision() uint64
-	// Shared reports whether a revision means the same in all processes. Otherwise each process
-	// counts its own.
+	// Shared reports whether a revision stands for the same content in all processes. Otherwise each
+	// process counts its own revisions.
 	Shared() bool
-	// Delta returns what changed after a revision of this process, all content for 0; since is the
-	// revision on which the payload builds.
+	// Delta returns the changes after a revision of this process, or all content if the revision is
+	// 0. Since is the revision on which the payload builds.
 	Delta(after uint64) (payload []byte, since uint64)
 	// Merge applies a payload from a source.
-	Merge(n *coordpb.Delta)
-	// Confirmed returns when the local content was known to be the newest; ok is false for never.
+	Merge(delta *coordpb.Delta)
+	// Confirmed returns the last time at which the local content was known to be the newest. Ok is
+	// false if it never was.
 	Confirmed() (at time.Duration, ok bool)
-	// Confirm takes note that what a source has was the newest at a time, up to its revision.
-	Confirm(at time.Duration, n *coordpb.Delta)
+	// Confirm records that the content of a source, up to the revision of the delta, was the newest
+	// at a time.
+	Confirm(at time.Duration, delta *coordpb.Delta)
 }
 
-// Subscription says from where a process gets a group of a topic's content.
+// Subscription lists the candidate sources of a topic for a process.
 type Subscription struct {
 	Topic      string
-	Group      string   // each group of a topic has a source of its own
-	Candidates []string // addresses by preference; the first that brings what is fresh is the source
-	// RequireConfirmed makes only content fresh that was confirmed to be the newest. Otherwise any
-	// answer is.
+	Group      string   // distinguishes subscriptions to one topic; each group has its own source
+	Candidates []string // addresses in order of preference; the first that delivers fresh content is the source
+	// RequireConfirmed means that content is fresh only if it was confirmed to be the newest.
+	// Otherwise the content of any answer is fresh.
 	RequireConfirmed bool
 }
 
-// Send is a message to an address: one of Poll and Update is set.
+// Send is a message to an address. Exactly one of Poll and Update is set.
 type Send struct {
 	To     string
 	Poll   *coordpb.Poll
