--- a/coord/embed/docs_test.go
+++ b/coord/embed/docs_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// maxExampleLines bounds the example in docs/library.md.
+// maxExampleLines bounds the length of the example in docs/library.md.
 const maxExampleLines = 60
 
-// docs/library.md shows the example as it is tested, and it stays short.
+// docs/library.md contains the example of example_test.go unchanged, and the example is short.
 func TestLibraryPageShowsExample(t *testing.T) {
 	page, err := os.ReadFile("../../docs/library.md")
 	if err != nil {
@@ -21,9 +21,9 @@
 	}
 	_, shown, _ := strings.Cut(string(example), "\n// note is")
 	if !strings.Contains(string(page), "```go\n// note is"+shown+"```") {
-		t.Error("docs/library.md does not show the example as it is")
+		t.Error("docs/library.md does not contain the example as it is in coord/embed/example_test.go")
 	}
 	if lines := strings.Count(shown, "\n"); lines >= maxExampleLines {
-		t.Errorf("the example has %d lines; it may have fewer than %d", lines, maxExampleLines)
+		t.Errorf("the example in coord/embed/example_test.go has %d lines, want fewer than %d", lines, maxExampleLines)
 	}
 }
--- a/coord/embed/embed.go
+++ b/coord/embed/embed.go
@@ -15,26 +15,29 @@
 	"reachspread/coord/storage"
 )
 
-// messageKind is the kind of the register's messages on the link.
+// messageKind marks the register's messages on the link.
 const messageKind link.Kind = 1
 
-// Options are what a Process is made with.
+// Options configures a Process.
 type Options struct {
-	// Address is where this process listens. It has to stay the same over restarts.
+	// Address is the address on which this process listens. It must not change across restarts.
 	Address netip.AddrPort
-	// Seeds are the processes that agree on the first members. The list has to be the same in all
-	// processes on the first start.
+	// Seeds are the processes that agree on the first members. On the first start, the list must be
+	// the same in all processes.
 	Seeds []netip.AddrPort
-	// Folder is for this process alone, and has to be there again after a restart.
+	// Folder is where this process stores its state. No other process may use the folder, and its
+	// content must be present after a restart.
 	Folder string
-	// FirstStart reports whether the register is founded now. It must be false once a register was
-	// founded, or a second one may be. It is ignored if the folder has a state.
+	// FirstStart means that the processes create a new register. It must be false if the register
+	// was created before, because the processes could otherwise create a second one. It is ignored
+	// if Folder contains a state.
 	FirstStart bool
-	// Tolerance is how many processes may be lost at once. That takes 2*Tolerance+1 of them.
+	// Tolerance is the number of processes that may be lost at the same time. The register needs
+	// 2*Tolerance+1 processes for it.
 	Tolerance int
-	// Machine is the state of this process. It is used by one goroutine.
+	// Machine is the state of this process. Only one goroutine uses it.
 	Machine chain.Machine
-	// Log gets lines for on-call staff, nil for none.
+	// Log receives log lines for on-call staff. If it is nil, they are discarded.
 	Log register.Logger
 }
 
@@ -46,15 +49,16 @@
 	replica *register.Replica
 }
 
-// New restores the state of a process from its folder. An error says that the folder can't be read.
+// New creates a process and restores its state from Options.Folder. It returns an error if the
+// folder can't be created or its content can't be read.
 func New(o Options) (*Process, error) {
 	files, err := storage.NewFolder(o.Folder)
 	if err != nil {
-		return nil, fmt.Errorf("embed: Options.Folder: %w", err)
+		return nil, fmt.Errorf("embed: creating Options.Folder: %w", err)
 	}
 	store, persisted, err := register.Load(files, o.Machine)
 	if err != nil {
-		return nil, fmt.Errorf("embed: Options.Folder %s: %w", o.Folder, err)
+		return nil, fmt.Errorf("embed: loading the state from Options.Folder %s: %w", o.Folder, err)
 	}
 	if o.Log == nil {
 		o.Log = discardLogger{}
@@ -78,8 +82,8 @@
 	return p, nil
 }
 
-// registerConfig is the configuration of the replica, given what its folder has. A process without
-// a state draws a new identity.
+// registerConfig returns the configuration of the replica. Persisted is the state from the folder.
+// If it is nil, the process draws a new identity.
 func (o Options) registerConfig(persisted *coordpb.Durable) register.Config {
 	c := register.Config{
 		Self:      &coordpb.Member{Address: o.Address.String(), Identity: rand.Uint64()},
@@ -98,22 +102,22 @@
 	return c
 }
 
-// Run runs the process until ctx ends. The address is free again when it returns. An error says
-// that the address can't be listened on.
+// Run runs the process until ctx ends. When Run returns, the process no longer listens on its
+// address. Run returns an error if it can't listen on the address.
 func (p *Process) Run(ctx context.Context) error {
-	work, stop := context.WithCancel(ctx)
+	runCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	if err := p.link.Start(work); err != nil {
-		return fmt.Errorf("embed: Options.Address: %w", err)
+	if err := p.link.Start(runCtx); err != nil {
+		return fmt.Errorf("embed: listening on Options.Address: %w", err)
 	}
-	p.replica.Run(work)
+	p.replica.Run(runCtx)
 	p.link.Wait()
 	return nil
 }
 
-// Submit executes a command and returns the reply of the machine once the change is committed.
-// It retries until ctx ends; then the error is register.ErrNoAnswer, and the command may have
-// been committed or may be later.
+// Submit executes a command and returns the reply of the machine after the change is committed.
+// It retries until ctx ends. Then the error is register.ErrNoAnswer; the command may have been
+// committed, or may still be committed later.
 func (p *Process) Submit(ctx context.Context, command []byte) (reply []byte, err error) {
 	answer, err := p.client.Submit(ctx, command)
 	return answer.GetReply(), err
@@ -126,15 +130,15 @@
 	return answer.GetReply(), err
 }
 
-// Status is the state of the replica.
+// Status returns the status of the replica.
 func (p *Process) Status() register.Status { return p.replica.Status() }
 
-// Lease reports whether this process may act on the shards that the view assigns to it. Storage
-// that others share should reject a fencing token, the epoch of the assignment, below one that
-// it has seen.
+// Lease returns the current view, and reports whether this process may act on the shards that the
+// view assigns to it. The epoch of the assignment is the fencing token: storage that several
+// processes share should reject an epoch below the highest one that it has seen.
 func (p *Process) Lease() (view *coordpb.View, ok bool) { return p.replica.Lease() }
 
-// receive handles a message of the link. What can't be parsed is dropped.
+// receive handles a message from the link. It drops messages that it can't parse.
 func (p *Process) receive(kind link.Kind, data []byte) {
 	m := &coordpb.Message{}
 	if kind == messageKind && proto.Unmarshal(data, m) == nil && m.From != nil {
@@ -149,7 +153,7 @@
 	}
 }
 
-// send sends a message, which may be for this process itself.
+// send sends a message to a process, which may be this process itself.
 func (p *Process) send(to string, m *coordpb.Message) {
 	if to == p.self {
 		p.dispatch(proto.Clone(m).(*coordpb.Message))
--- a/coord/embed/embed_test.go
+++ b/coord/embed/embed_test.go
@@ -10,18 +10,18 @@
 	"github.com/matryer/is"
 )
 
-const patience = 30 * time.Second
+const testTimeout = 30 * time.Second
 
-// text is a state of one text, which commands replace.
-type text struct{ now string }
+// text is a machine whose state is one text. Each command replaces the text.
+type text struct{ content string }
 
 func (x *text) Decide(command []byte) (change, reply []byte) { return command, nil }
-func (x *text) Apply(change []byte)                          { x.now = string(change) }
-func (x *text) Snapshot() []byte                             { return []byte(x.now) }
-func (x *text) Restore(snapshot []byte) error                { x.now = string(snapshot); return nil }
-func (x *text) Value() any                                   { return x.now }
+func (x *text) Apply(change []byte)                          { x.content = string(change) }
+func (x *text) Snapshot() []byte                             { return []byte(x.content) }
+func (x *text) Restore(snapshot []byte) error                { x.content = string(snapshot); return nil }
+func (x *text) Value() any                                   { return x.content }
 
-// group is processes of one register on the loopback.
+// group is a group of processes that share one register, on loopback addresses.
 type group struct {
 	t         *testing.T
 	folder    string
@@ -34,7 +34,8 @@
 	return newGroupOn(t, t.TempDir(), 0, size, true)
 }
 
-// newGroupOn is newGroup on folders that may have a state, and on a loopback network of its own.
+// newGroupOn starts a group like newGroup, but with a parent folder that may contain the states of
+// the processes, and on the addresses 127.67.<network>.x.
 func newGroupOn(t *testing.T, folder string, network byte, size int, firstStart bool) *group {
 	g := &group{t: t, folder: folder, processes: make([]*Process, size), stops: make([]func(), size)}
 	for i := range size {
@@ -70,12 +71,12 @@
 	}
 }
 
-// All processes stop at once and start again: the state is there, and the identities are those
-// of before.
+// After all processes have stopped and started again, the state and the identities are the same as
+// before.
 func TestStateAndIdentitySurviveRestart(t *testing.T) {
 	is := is.New(t)
 	g := newGroup(t, 3)
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	_, err := g.processes[2].Submit(ctx, []byte("kept"))
 	is.NoErr(err)
@@ -95,11 +96,11 @@
 	}
 }
 
-// Without a majority nothing is acknowledged or read.
+// Without a majority, Submit and Read fail.
 func TestNothingIsAcknowledgedWithoutMajority(t *testing.T) {
 	is := is.New(t)
 	g := newGroup(t, 3)
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	_, err := g.processes[0].Submit(ctx, []byte("one"))
 	is.NoErr(err)
--- a/coord/embed/golden_test.go
+++ b/coord/embed/golden_test.go
@@ -10,27 +10,28 @@
 	"github.com/matryer/is"
 )
 
-// The folders below testdata/golden are those of three processes on the addresses 127.67.9.1 to
-// 127.67.9.3, stopped after a few commands by the code of commit 5bfcc27:
+// The folders in testdata/golden belong to three processes with the addresses 127.67.9.1 to
+// 127.67.9.3. The code of commit 5bfcc27 executed a few commands, stopped, and left these folders.
+// The following command wrote them:
 //
 //	go test ./coord/embed -run TestGoldenFoldersOfThreeProcesses -write-golden
 //
-// They are never written again: a later version has to go on from them as they are.
-var writeGolden = flag.Bool("write-golden", false, "write testdata/golden in place of a start on it")
+// Do not write them again, because later versions must be able to start from these folders.
+var writeGolden = flag.Bool("write-golden", false, "write the folders in testdata/golden instead of starting from them")
 
 const (
 	goldenPath    = "testdata/golden"
 	goldenNetwork = 9
 )
 
-// goldenIdentities are those of the processes that wrote the folders.
+// goldenIdentities are the identities of the processes that wrote the folders.
 var goldenIdentities = []uint64{13286635060248893229, 14552921678484771279, 2856205162335355595}
 
-// Processes that start on golden folders have their identities and state, and commit further
-// commands.
+// Processes that start from the golden folders restore the identities and the state of these
+// folders, and commit further commands.
 func TestGoldenFoldersOfThreeProcesses(t *testing.T) {
 	is := is.New(t)
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	folder := t.TempDir()
 	if *writeGolden {
@@ -57,7 +58,7 @@
 	is.NoErr(err)
 	is.Equal(string(snapshot), "one more")
 	view := g.processes[0].Status().View
-	is.True(view.Epoch > 1) // it comes after the persisted one
+	is.True(view.Epoch > 1) // the view is newer than the persisted one
 	for _, m := range view.Members {
 		is.True(slices.Contains(goldenIdentities, m.Identity))
 	}
