--- a/coord/faultplan/faultplan.go
+++ b/coord/faultplan/faultplan.go
@@ -7,50 +7,53 @@
 	"sync/atomic"
 )
 
-// Fault is a fault of a kind at a point. Points are counted from 1 within a run.
+// Fault is one fault to inject: its kind, and the point of the run at which to inject it. The first
+// point of a run is 1.
 type Fault[K ~int] struct {
 	Point int
 	Kind  K
 }
 
-// String describes the fault for people.
+// String returns a readable description of the fault, such as "crash at point 3".
 func (f Fault[K]) String() string { return fmt.Sprintf("%v at point %d", f.Kind, f.Point) }
 
-// Plan is the faults of one run, by their points.
+// Plan lists the faults of one run in the order of their points.
 type Plan[K ~int] []Fault[K]
 
-// Explorer says what is to be explored.
+// Explorer defines an exploration: a simulation and the faults to inject.
 type Explorer[K ~int] struct {
-	// Kinds is the number of kinds of faults, which are 0 to Kinds-1.
+	// Kinds is the number of kinds of faults. The kinds are 0 to Kinds-1.
 	Kinds K
-	// MaxFaults bounds the faults in one run. The number of runs grows with the number of points to
-	// that power.
+	// MaxFaults is the maximum number of faults in one run. The number of runs grows with the number
+	// of points to the power of MaxFaults.
 	MaxFaults int
-	// Simulate runs the simulation from its start with the faults of a plan. It is called by
-	// several goroutines at once.
+	// Simulate runs the simulation from its start with the faults of a plan. Several goroutines call
+	// it concurrently.
 	Simulate func(Plan[K]) Outcome
 }
 
-// Outcome is the outcome of a run.
+// Outcome is the outcome of one run of the simulation.
 type Outcome struct {
-	Points    int   // at which one more fault could have been injected
-	Violation error // a property that didn't hold, nil for none
+	Points    int   // number of points at which a fault can be injected
+	Violation error // describes the property that did not hold; nil if all held
 }
 
-// Result is the outcome of an exploration.
+// Result is the result of an exploration.
 type Result[K ~int] struct {
-	Runs      int64
-	Plan      Plan[K] // the one with the violation
-	Violation error   // nil if all properties held in all runs
+	Runs      int64   // number of runs of the simulation
+	Plan      Plan[K] // plan of the run with the violation
+	Violation error   // violation of that run; nil if all properties held in all runs
 }
 
-// Explore runs the plan without faults, and all others. It ends at the first violation.
+// Explore runs the simulation without faults, and then with every plan of up to MaxFaults faults. It
+// stops at the first violation.
 func (s Explorer[K]) Explore() Result[K] { return s.ExploreFrom(nil) }
 
-// ExploreFrom runs a plan, and all that begin with it. It ends at the first violation.
-func (s Explorer[K]) ExploreFrom(begin Plan[K]) Result[K] {
+// ExploreFrom runs the simulation with a plan, and then with every plan of up to MaxFaults faults
+// that begins with the faults of that plan. It stops at the first violation.
+func (s Explorer[K]) ExploreFrom(prefix Plan[K]) Result[K] {
 	r := &exploration[K]{Explorer: s}
-	next := r.simulate(begin)
+	next := r.simulate(prefix)
 	ForEachParallel(len(next), func(i int) { r.explore(next[i]) })
 	if found := r.violation.Load(); found != nil {
 		return Result[K]{Runs: r.runs.Load(), Plan: found.plan, Violation: found.err}
@@ -62,40 +65,42 @@
 type exploration[K ~int] struct {
 	Explorer[K]
 	runs      atomic.Int64
-	violation atomic.Pointer[violation[K]] // the first one, nil for none yet
+	violation atomic.Pointer[violation[K]] // first violation; nil if there was none yet
 }
 
-// violation is a plan with which a property didn't hold.
+// violation is a plan under which a property did not hold, with the error that describes it.
 type violation[K ~int] struct {
 	plan Plan[K]
 	err  error
 }
 
-// explore runs a plan, and all that begin with it.
+// explore runs the simulation with a plan, and with all plans that begin with the faults of this
+// plan.
 func (r *exploration[K]) explore(plan Plan[K]) {
 	for _, next := range r.simulate(plan) {
 		r.explore(next)
 	}
 }
 
-// simulate runs a plan, and returns those with one more fault.
+// simulate runs the simulation with a plan, and returns all plans that add one fault to it. It
+// returns no plans after a violation, or if the plan already has MaxFaults faults.
 func (r *exploration[K]) simulate(plan Plan[K]) []Plan[K] {
 	if r.violation.Load() != nil {
 		return nil
 	}
 	r.runs.Add(1)
-	played := r.Simulate(plan)
-	if played.Violation != nil {
-		r.violation.CompareAndSwap(nil, &violation[K]{plan, played.Violation})
+	outcome := r.Simulate(plan)
+	if outcome.Violation != nil {
+		r.violation.CompareAndSwap(nil, &violation[K]{plan, outcome.Violation})
 		return nil
 	}
 	if len(plan) >= r.MaxFaults {
 		return nil
 	}
-	return plan.extended(played.Points, r.Kinds)
+	return plan.extended(outcome.Points, r.Kinds)
 }
 
-// extended returns all plans with one more fault, at a later point than the others.
+// extended returns all plans that add to p one fault at a later point than the faults of p.
 func (p Plan[K]) extended(points int, kinds K) (all []Plan[K]) {
 	first := 1
 	if len(p) > 0 {
@@ -109,7 +114,8 @@
 	return all
 }
 
-// ForEachParallel calls a function for each number below n, on all processors.
+// ForEachParallel calls a function once for each number from 0 to n-1, on GOMAXPROCS goroutines, and
+// waits until all calls have returned.
 func ForEachParallel(n int, do func(i int)) {
 	var group sync.WaitGroup
 	next := atomic.Int64{}
--- a/coord/faultplan/faultplan_test.go
+++ b/coord/faultplan/faultplan_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-// kind is a kind of fault of these tests.
+// kind is the kind of a fault in these tests.
 type kind int
 
 const (
@@ -20,12 +20,13 @@
 
 func (k kind) String() string { return [...]string{"lose", "crash"}[k] }
 
-// Each plan runs once: each kind at each point, and a further fault only at later points.
+// Explore runs each plan once. The plans have each kind of fault at each point, and each further
+// fault at a later point than the one before.
 func TestEachPlanRunsOnce(t *testing.T) {
 	const points = 5
 	for _, c := range []struct {
 		faults int
-		plays  int64
+		runs   int64
 	}{
 		{0, 1},
 		{1, 1 + points*2},
@@ -42,13 +43,13 @@
 				return Outcome{Points: points}
 			}}.Explore()
 			is.NoErr(found.Violation)
-			is.Equal(found.Runs, c.plays)
-			is.Equal(len(seen), int(c.plays))
+			is.Equal(found.Runs, c.runs)
+			is.Equal(len(seen), int(c.runs))
 		})
 	}
 }
 
-// A violation is returned with its plan, and ends the exploration.
+// Explore stops at a violation and returns it with its plan.
 func TestViolationEndsExploration(t *testing.T) {
 	is := is.New(t)
 	wrong := errors.New("two owners")
@@ -64,25 +65,25 @@
 	is.Equal(found.Plan[0].String(), fmt.Sprintf("crash at point %d", found.Plan[0].Point))
 }
 
-// An exploration may begin behind given faults.
+// ExploreFrom runs only plans that begin with the given faults.
 func TestExploreFromExtendsAPlan(t *testing.T) {
 	is := is.New(t)
 	var mu sync.Mutex
-	var played []Plan[kind]
-	begin := Plan[kind]{{Point: 2, Kind: crash}}
+	var simulated []Plan[kind]
+	prefix := Plan[kind]{{Point: 2, Kind: crash}}
 	Explorer[kind]{Kinds: kinds, MaxFaults: 2, Simulate: func(p Plan[kind]) Outcome {
 		mu.Lock()
 		defer mu.Unlock()
-		played = append(played, p)
+		simulated = append(simulated, p)
 		return Outcome{Points: 4}
-	}}.ExploreFrom(begin)
-	is.Equal(len(played), 1+2*2) // itself, and two kinds at points 3 and 4
-	for _, p := range played {
-		is.Equal(p[0], begin[0])
+	}}.ExploreFrom(prefix)
+	is.Equal(len(simulated), 1+2*2) // the given plan, and two kinds of faults at points 3 and 4
+	for _, p := range simulated {
+		is.Equal(p[0], prefix[0])
 	}
 }
 
-// A run without a point for a further fault is not extended.
+// If a run has no points at which a fault can be injected, Explore does not extend its plan.
 func TestRunWithoutPointsIsNotExtended(t *testing.T) {
 	is := is.New(t)
 	is.Equal(Explorer[kind]{Kinds: kinds, MaxFaults: 3, Simulate: func(Plan[kind]) Outcome { return Outcome{} }}.Explore().Runs, int64(1))
