--- a/coord/failpoint/failpoint_test.go
+++ b/coord/failpoint/failpoint_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-// Nothing fails before Set, the faults that are set do, and nothing does after Set(nil).
+// Before Set nothing fails. After Set the injected faults occur. After Set(nil) nothing fails again.
 func TestSetInjectsAndEndsFaults(t *testing.T) {
 	is := is.New(t)
 	full := errors.New("full")
