--- a/coord/feed/node.go
+++ b/coord/feed/node.go
@@ -84,7 +84,8 @@
 	}
 }
 
-// Subscribers returns the sorted addresses of the processes to which this process publishes a topic.
+// Subscribers returns the addresses of the processes to which this process publishes a topic, in
+// ascending order.
 func (n *Node) Subscribers(name string) (all []string) {
 	for address, s := range n.subscribers {
 		if _, ok := s.cursors[name]; ok && n.now-s.polledAt < subscriberTTL {
--- a/coord/feed/publish.go
+++ b/coord/feed/publish.go
@@ -124,8 +124,8 @@
 }
 
 // PublishConfirmation returns the messages that send a new confirmation of a topic to its
-// subscribers. Each message counts as an answer to the subscriber's last poll, which was sent before
-// the topic was confirmed.
+// subscribers. Each message repeats the nonce of the subscriber's last poll, which was sent before
+// the topic was confirmed, because subscribers accept a confirmation only in the answer to a poll.
 func (n *Node) PublishConfirmation(now time.Duration, name string) []Send {
 	n.startStep(now)
 	topic := n.topics[name]
--- a/coord/feed/topic.go
+++ b/coord/feed/topic.go
@@ -6,8 +6,8 @@
 	"reachspread/coord/coordpb"
 )
 
-// Topic is content that processes distribute to each other. Payloads may be merged in any order, and
-// more than once, and must lead to the same content.
+// Topic gives access to content that processes distribute to each other. The content must not depend
+// on the order in which payloads are merged, or on whether a payload is merged more than once.
 type Topic interface {
 	// Revision returns the revision of the local content. It grows with each change.
 	Revision() uint64
--- a/coord/quota/doc.go
+++ b/coord/quota/doc.go
@@ -8,14 +8,14 @@
 // either grants the units or says when to ask again. An Owner counts its grants in a sliding window
 // and grants units while the bound of the Plan has capacity. It publishes its grants to standbys,
 // the processes that may own the key next. A standby counts these grants in its Tracker and passes
-// them to NewOwner when it takes over. Outstanding bounds the grants that not all standbys have
-// acknowledged. At that bound the owner stops granting, because the next owner could be unaware of
-// further grants.
+// them to NewOwner when it takes over. Outstanding tracks the grants that not all standbys have
+// acknowledged. While they reach Plan.MaxUnacknowledged, the owner grants nothing, because the next
+// owner could be unaware of further grants.
 //
 // An owner that does not know all grants of the last window is in learning mode: it grants nothing
 // during Plan.LearningDelay, and then grants at a fraction of the limit's rate until a window has
-// passed. A Lessee that reaches no owner borrows units for a short time, at most as many as it used
-// before, and reports them to the next owner.
+// passed. A Lessee that reaches no owner borrows units for a short time, at most as many per window
+// as it used before, and reports them to the next owner.
 //
 // # Guarantees
 //
--- a/coord/quota/owner.go
+++ b/coord/quota/owner.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// maxKeys bounds the keys of an owner. If a request for another key arrives, the owner drops
+	// maxKeys bounds the keys of an owner. If a request for one more key arrives, the owner drops
 	// the counts of all keys.
 	maxKeys = 65_536
 	// learningRateFraction is the fraction of the limit's rate at which an owner in learning mode
@@ -101,9 +101,9 @@
 	a.refilledAt = now
 }
 
-// mayGrant reports whether one more grant of any size seen lately (largestNeed) fits the bound. In
-// learning mode the grants must also stay below learningRateFraction of the limit's rate, without a
-// burst.
+// mayGrant reports whether one more grant fits the bound. It checks with largestNeed instead of the
+// size of the current request, so the result does not depend on that size. In learning mode the
+// grants must also stay below learningRateFraction of the limit's rate, without a burst.
 func (o *Owner) mayGrant(now time.Duration, a *account, p Plan) bool {
 	if a.tokens <= 0 {
 		return false
@@ -117,8 +117,8 @@
 	return a.usage.Sum(now)+a.largestNeed <= p.MaxPerWindow
 }
 
-// retryAfter returns how long a rejected lessee waits before it asks again. It asks after the
-// lessees that were rejected earlier, but within maxRetryAfter.
+// retryAfter returns how long a rejected lessee waits before it asks again. The lessee asks after
+// those that were rejected earlier, but within maxRetryAfter.
 func (a *account) retryAfter(now time.Duration, rate, need float64) time.Duration {
 	a.lastRetryAt = max(a.lastRetryAt, now) + seconds(need/rate)
 	a.lastRetryAt = min(a.lastRetryAt, now+maxRetryAfter)
--- a/coord/quota/plan.go
+++ b/coord/quota/plan.go
@@ -28,9 +28,9 @@
 }
 
 // These constants are fractions of the excess of a bound, which is the part of the bound beyond the
-// limit's rate and burst. The rest of the excess covers requests in flight, grants that an owner
-// made just before it ended and could not publish, and the use by isolated processes in the
-// meantime.
+// limit's rate and burst. The part of the excess that is not in MaxPerWindow covers requests in
+// flight, grants that an owner made just before it ended and could not publish, and the use by
+// isolated processes in the meantime.
 const (
 	maxPerWindowFraction   = 0.70
 	bucketDepthFraction    = 0.15
@@ -65,8 +65,8 @@
 // learningDelay returns the LearningDelay of a plan, which covers the worst case: the previous owner
 // granted units at its maximum rate and then its whole bucket just before it ended. None of these
 // grants leave the window during the time in which a bucket is refilled, so the grants of the new
-// owner in that time exceed MaxPerWindow. The delay keeps them within learningFraction of the
-// excess.
+// owner in that time exceed MaxPerWindow. The delay keeps the units above MaxPerWindow within
+// learningFraction of the excess.
 func learningDelay(p Plan, excess float64) time.Duration {
 	if p.Rate <= 0 || p.MaxPerWindow <= 0 {
 		return 0
--- a/coord/quota/tracker.go
+++ b/coord/quota/tracker.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// maxOwners bounds the owners that a Tracker tracks. When an update of another owner arrives, the
-// Tracker drops all earlier data.
+// maxOwners bounds the owners that a Tracker tracks. If an update from one more owner arrives, the
+// Tracker drops the data of all owners.
 const maxOwners = 64
 
 // Tracker counts the grants that other owners publish to a standby, so that the standby can take
@@ -50,7 +50,8 @@
 }
 
 // Usage returns the known grants of an owner by key, and the time since which they are complete. For
-// an unknown owner this time is now. Learning mode of the owner moves it to a later time.
+// an unknown owner this time is now. For an owner in learning mode it is later than for another
+// owner.
 func (t *Tracker) Usage(now time.Duration, owner uint64) (keys map[string]*Usage, completeFrom time.Duration) {
 	o := t.owners[owner]
 	if o == nil {
