--- a/internal/system/roles/node/dataplane.go
+++ b/internal/system/roles/node/dataplane.go
@@ -25,7 +25,7 @@
 	bodyFraction           = 0.2 // of the memory limit, for the bodies of all requests in flight
 	maxHeaderBytes         = 16 << 10
 	maxRejectedConnections = 8 // beyond the limit of connections, each read and answered with 503
-	sendAwayTime           = time.Second
+	minRetryAfter          = time.Second
 )
 
 // reservedDescriptors are for the disk, other routers, the control plane and the run-time. Clients
@@ -59,7 +59,7 @@
 		MaxHead:   maxHeaderBytes,
 		Patience:  n.clientTimeout,
 		Seed:      rand.Uint64(),
-		Admission: admission.Config{MaxConnections: free / 2, MaxOverflow: maxRejectedConnections, MinRetryAfter: sendAwayTime},
+		Admission: admission.Config{MaxConnections: free / 2, MaxOverflow: maxRejectedConnections, MinRetryAfter: minRetryAfter},
 		OnClose:   n.logUnanswered,
 	})
 	n.front.SetKeepAlive(true)
--- a/internal/system/roles/node/decode_test.go
+++ b/internal/system/roles/node/decode_test.go
@@ -18,7 +18,7 @@
 )
 
 // ended is a context that is over.
-func ended() context.Context {
+func canceledContext() context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	return ctx
@@ -30,7 +30,7 @@
 	n.link = link.New(n.self.address, n.receiveLink)
 	n.client = register.NewClient(&coordpb.Member{Address: n.self.internal()}, func(string, *coordpb.Message) {})
 	n.quotas = newQuotas(n)
-	n.openDataPlane(ended())
+	n.openDataPlane(canceledContext())
 	n.hub = newHub(n)
 	return n
 }
--- a/internal/system/roles/node/golden_test.go
+++ b/internal/system/roles/node/golden_test.go
@@ -62,7 +62,7 @@
 			t.Errorf("%s are not taken as a datagram of prompts", names[i])
 		}
 	}
-	if got := p.figures().Received; got != uint64(len(messages)) {
+	if got := p.stats().Received; got != uint64(len(messages)) {
 		t.Errorf("%d datagrams were taken in, not %d", got, len(messages))
 	}
 }
--- a/internal/system/roles/node/handoff.go
+++ b/internal/system/roles/node/handoff.go
@@ -35,7 +35,7 @@
 // has it, and that one or this one reaches a majority of the register. A router that has never
 // known of another is enough by itself.
 func (h *hub) replicate(in *message.Instance, done func()) {
-	if h.standsAlone() {
+	if h.isStandalone() {
 		done()
 		return
 	}
@@ -117,8 +117,8 @@
 		changed = append(changed, h.registry.Merge(h.now(), []*message.Instance{in})...)
 	}
 	h.hostsChanged(changed)
-	taken := &message.Taken{Nonce: m.Nonce, Connected: h.reachesMajority()}
-	h.node.send(m.From, &message.Envelope{Body: &message.Envelope_Taken{Taken: taken}})
+	acknowledgement := &message.Taken{Nonce: m.Nonce, Connected: h.reachesMajority()}
+	h.node.send(m.From, &message.Envelope{Body: &message.Envelope_Taken{Taken: acknowledgement}})
 }
 
 // handoffAcknowledged ends a handoff.
--- a/internal/system/roles/node/holdinghost_test.go
+++ b/internal/system/roles/node/holdinghost_test.go
@@ -10,21 +10,21 @@
 
 // holdingHost is a host that holds its one request until it is told to answer, or to end.
 type holdingHost struct {
-	took   chan struct{} // closed once it has the request
-	answer chan struct{}
-	over   chan struct{}
+	received chan struct{} // closed once it has the request
+	answer   chan struct{}
+	stopped  chan struct{}
 }
 
 // startHoldingHost starts one of a fleet of one router, which is ready for it when this returns.
 func startHoldingHost(t *testing.T, f *testFleet) *holdingHost {
 	t.Helper()
 	is := is.New(t)
-	is.Equal(f.order(http.MethodPut, firstConfiguration, 0, 0), 200)
-	h := &holdingHost{took: make(chan struct{}), answer: make(chan struct{}), over: make(chan struct{})}
+	is.Equal(f.changeConfiguration(http.MethodPut, firstConfiguration, 0, 0), 200)
+	h := &holdingHost{received: make(chan struct{}), answer: make(chan struct{}), stopped: make(chan struct{})}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	t.Cleanup(func() {
-		close(h.over)
+		close(h.stopped)
 		ln.Close()
 	})
 	go http.Serve(ln, h)
@@ -36,10 +36,10 @@
 
 // ServeHTTP implements http.Handler.
 func (h *holdingHost) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	close(h.took)
+	close(h.received)
 	select {
 	case <-h.answer:
-	case <-h.over:
+	case <-h.stopped:
 		return
 	}
 	w.Header().Set("Response-Seal", "seal")
@@ -55,12 +55,12 @@
 
 // ask sends the host a request by the router, and returns where its answer comes, once the host has
 // the request.
-func (h *holdingHost) ask(f *testFleet) <-chan heldAnswer {
+func (h *holdingHost) sendRequest(f *testFleet) <-chan heldAnswer {
 	answered := make(chan heldAnswer, 1)
 	go func() {
 		status, text := f.request(0, "/a", "q", "k")
 		answered <- heldAnswer{status, text}
 	}()
-	<-h.took
+	<-h.received
 	return answered
 }
--- a/internal/system/roles/node/hosts.go
+++ b/internal/system/roles/node/hosts.go
@@ -43,7 +43,7 @@
 		h.acknowledgeEnd(known, true, done)
 		return
 	}
-	if h.standsAlone() || h.reachesMajority() && !h.joining() {
+	if h.isStandalone() || h.reachesMajority() && !h.joining() {
 		done()
 	}
 }
--- a/internal/system/roles/node/many_measure_test.go
+++ b/internal/system/roles/node/many_measure_test.go
@@ -21,7 +21,7 @@
 		t.Skip("a measurement; see docs/measurements/")
 	}
 	f := newFleet(t, *manyRouters, 3)
-	f.order(http.MethodPut, firstConfiguration, 0, 0)
+	f.changeConfiguration(http.MethodPut, firstConfiguration, 0, 0)
 	address := f.host("one")
 	f.eventually("all routers know each other", func() bool {
 		for i := range f.nodes {
--- a/internal/system/roles/node/measure_test.go
+++ b/internal/system/roles/node/measure_test.go
@@ -16,7 +16,7 @@
 var measure = flag.Bool("measure", false, "run the measurements")
 
 // manyRoutes is a configuration of a size that a grown deployment has.
-func manyRoutes(version, routes int) string {
+func configurationWithRoutes(version, routes int) string {
 	c := configuration.Configuration{Version: int64(version), Services: []*configuration.Service{{Name: "s"}, {Name: "t"}}}
 	for i := range routes {
 		c.Routes = append(c.Routes, idleRoute(i, "s"))
@@ -31,13 +31,13 @@
 }
 
 // use is what the process has used so far.
-type use struct {
+type resourceUsage struct {
 	processor time.Duration
 	bytes     uint64 // sent between routers
 	allocated uint64
 }
 
-func (f *testFleet) use() (u use) {
+func (f *testFleet) resourceUsage() (u resourceUsage) {
 	var r syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &r)
 	u.processor = time.Duration(r.Utime.Nano() + r.Stime.Nano())
@@ -59,9 +59,9 @@
 	const routers, routes, changes = 40, 2000, 20
 	began := time.Now()
 	f := newFleet(t, routers, 3)
-	last := f.use()
+	last := f.resourceUsage()
 	step := func(what string) {
-		now := f.use()
+		now := f.resourceUsage()
 		t.Logf("%-24s %6.2f s, processor %6.2f s, %7.2f MB sent, %7.1f MB allocated", what, time.Since(began).Seconds(), (now.processor - last.processor).Seconds(),
 			float64(now.bytes-last.bytes)/1e6, float64(now.allocated-last.allocated)/1e6)
 		began, last = time.Now(), now
@@ -85,12 +85,12 @@
 		return true
 	})
 	step("from the start")
-	f.order(http.MethodPut, manyRoutes(1, routes), 0, 0)
+	f.changeConfiguration(http.MethodPut, configurationWithRoutes(1, routes), 0, 0)
 	everywhere(1)
 	step("a configuration")
 	for i := range changes {
 		text, _ := json.Marshal(map[string]any{"version": i + 2, "upsert": map[string]any{"routes": []any{idleRoute(i, "t")}}})
-		f.order(http.MethodPatch, string(text), int64(i+1), i%routers)
+		f.changeConfiguration(http.MethodPatch, string(text), int64(i+1), i%routers)
 	}
 	everywhere(changes + 1)
 	step("changes")
--- a/internal/system/roles/node/node_test.go
+++ b/internal/system/roles/node/node_test.go
@@ -23,8 +23,8 @@
 	is := is.New(t)
 	f := newFleet(t, 5, 3)
 	all := []int{0, 1, 2, 3, 4}
-	is.Equal(f.order(http.MethodPut, firstConfiguration, 0, 4, 3), 200)
-	is.Equal(f.order(http.MethodPut, firstConfiguration, 0, 1), 200) // again
+	is.Equal(f.changeConfiguration(http.MethodPut, firstConfiguration, 0, 4, 3), 200)
+	is.Equal(f.changeConfiguration(http.MethodPut, firstConfiguration, 0, 1), 200) // again
 	one, two := f.host("one"), f.host("two")
 	status, text := f.heartbeat(3, "i-1", "s", one, "ready", 1)
 	is.Equal(status, 200)
@@ -51,7 +51,7 @@
 	}
 
 	f.crash(1)
-	is.Equal(f.order(http.MethodPatch, `{"version":5,"upsert":{"tenants":[{"name":"x","apiKeys":["k2"],"ratePerS":1000,"burst":1000}]}}`, 1, 0, 2, 3), 200)
+	is.Equal(f.changeConfiguration(http.MethodPatch, `{"version":5,"upsert":{"tenants":[{"name":"x","apiKeys":["k2"],"ratePerS":1000,"burst":1000}]}}`, 1, 0, 2, 3), 200)
 	for _, i := range []int{0, 2, 3, 4} {
 		f.eventually(fmt.Sprint("router ", i, " refuses the key"), func() bool {
 			f.heartbeat(0, "i-2", "s", two, "ready", 2)
@@ -65,8 +65,8 @@
 		status, text := f.call(1, http.MethodGet, "/configuration", "", nil)
 		return status == 200 && strings.Contains(text, `"version":5`)
 	})
-	is.Equal(f.order(http.MethodPut, firstConfiguration, 0, 1), 200) // it was accepted once, and is never rejected
-	is.Equal(f.order(http.MethodPut, strings.Replace(firstConfiguration, `"version":1`, `"version":9`, 1), 1, 3), 412)
+	is.Equal(f.changeConfiguration(http.MethodPut, firstConfiguration, 0, 1), 200) // it was accepted once, and is never rejected
+	is.Equal(f.changeConfiguration(http.MethodPut, strings.Replace(firstConfiguration, `"version":1`, `"version":9`, 1), 1, 3), 412)
 }
 
 // A router that reaches no majority of the register acknowledges to no host that it drains or ends,
@@ -77,7 +77,7 @@
 func TestIsolatedRouterAcknowledgesNothing(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 4, 3)
-	is.Equal(f.order(http.MethodPut, firstConfiguration, 0, 3), 200)
+	is.Equal(f.changeConfiguration(http.MethodPut, firstConfiguration, 0, 3), 200)
 	one := f.host("one")
 	for i, id := range []string{"i-1", "i-2", "i-3"} {
 		f.eventually("a host is taken on", func() bool { status, _ := f.heartbeat(3, id, "s", one, "ready", 1); return status == 200 })
@@ -126,27 +126,27 @@
 func TestUnconfirmedConfigurationRejectsNothing(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 4, 3)
-	is.Equal(f.order(http.MethodPut, strings.NewReplacer(`"pathPrefix":"/"`, `"pathPrefix":"/a/"`, `,"ratePerS":1000,"burst":1000`, "").Replace(firstConfiguration), 0, 3), 200)
+	is.Equal(f.changeConfiguration(http.MethodPut, strings.NewReplacer(`"pathPrefix":"/"`, `"pathPrefix":"/a/"`, `,"ratePerS":1000,"burst":1000`, "").Replace(firstConfiguration), 0, 3), 200)
 	one := f.host("one")
 	f.eventually("a host is taken on", func() bool { status, _ := f.heartbeat(0, "i-1", "s", one, "ready", 1); return status == 200 })
 	f.eventually("requests are served", func() bool { status, _ := f.request(0, "/a/", "1", "k"); return status == 200 })
-	refusals := func() (route, key int) {
+	rejections := func() (route, key int) {
 		route, _ = f.request(0, "/b/", "2", "k")
 		key, _ = f.request(0, "/a/", "3", "unknown")
 		return route, key
 	}
-	route, key := refusals()
+	route, key := rejections()
 	is.Equal([]int{route, key}, []int{http.StatusNotFound, http.StatusUnauthorized})
 	f.crash(1)
 	f.crash(2)
 	f.eventually("nobody has confirmed the configuration for too long", func() bool { return !f.nodes[0].hub.confirmedWithin(applyMs * time.Millisecond) })
-	route, key = refusals()
+	route, key = rejections()
 	is.Equal([]int{route, key}, []int{http.StatusServiceUnavailable, http.StatusServiceUnavailable})
 	status, _ := f.request(0, "/a/", "4", "k")
 	is.Equal(status, http.StatusOK)
 	f.start(1, filepath.Dir(f.nodes[0].settings().DataDirectory), false)
 	f.eventually("what is not allowed is refused again", func() bool {
-		route, key := refusals()
+		route, key := rejections()
 		return route == http.StatusNotFound && key == http.StatusUnauthorized
 	})
 }
@@ -156,12 +156,12 @@
 func TestDrainingMemberHandsOverItsReplica(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 6, 6)
-	is.Equal(f.order(http.MethodPut, firstConfiguration, 0, 5), 200)
+	is.Equal(f.changeConfiguration(http.MethodPut, firstConfiguration, 0, 5), 200)
 	version := int64(1)
-	another := func(at int) {
+	commitNext := func(at int) {
 		t.Helper()
 		next := strings.Replace(firstConfiguration, `"version":1`, fmt.Sprintf(`"version":%d`, version+1), 1)
-		is.Equal(f.order(http.MethodPut, next, version, at), 200)
+		is.Equal(f.changeConfiguration(http.MethodPut, next, version, at), 200)
 		version++
 	}
 	members := func(at int) (all []string) {
@@ -170,26 +170,26 @@
 		}
 		return all
 	}
-	full := func(at int) func() bool {
+	tolerant := func(at int) func() bool {
 		return func() bool {
 			s := f.nodes[at].replica.Status()
 			return s.CurrentTolerance == 1 && s.ToleranceShortSince < 0
 		}
 	}
-	f.eventually("one machine may be lost", full(1))
+	f.eventually("one machine may be lost", tolerant(1))
 	is.Equal(len(members(1)), 3)
 	for _, next := range []struct{ leaver, victim, left int }{{0, 1, 2}, {2, -1, 5}} {
-		leaver := next.leaver
-		f.nodes[leaver].cancel()
-		err := <-f.nodes[leaver].ended
-		f.nodes[leaver].ended <- err // for whoever waits for its end
+		draining := next.leaver
+		f.nodes[draining].cancel()
+		err := <-f.nodes[draining].ended
+		f.nodes[draining].ended <- err // for whoever waits for its end
 		is.NoErr(err)
-		is.True(!slices.Contains(members(next.left), f.nodes[leaver].self.internal())) // by then, not some time later
+		is.True(!slices.Contains(members(next.left), f.nodes[draining].self.internal())) // by then, not some time later
 		if next.victim >= 0 {
 			f.crash(next.victim)
 		}
-		another(next.left)
-		f.eventually("one machine may be lost again", func() bool { return full(3)() || full(4)() || full(5)() })
+		commitNext(next.left)
+		f.eventually("one machine may be lost again", func() bool { return tolerant(3)() || tolerant(4)() || tolerant(5)() })
 	}
 	status, text := f.call(5, http.MethodGet, "/configuration", "", nil)
 	is.Equal(status, 200)
@@ -201,7 +201,7 @@
 func TestFleetServesAfterAllCrash(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 4, 3)
-	is.Equal(f.order(http.MethodPut, firstConfiguration, 0, 0), 200)
+	is.Equal(f.changeConfiguration(http.MethodPut, firstConfiguration, 0, 0), 200)
 	one := f.host("one")
 	status, _ := f.heartbeat(0, "i-1", "s", one, "ready", 1)
 	is.Equal(status, 200)
@@ -234,7 +234,7 @@
 	is := is.New(t)
 	f := newFleet(t, 1, 1)
 	host := startHoldingHost(t, f)
-	answered := host.ask(f)
+	answered := host.sendRequest(f)
 	f.nodes[0].cancel()
 	f.eventually("it is not ready", func() bool { return !f.ready(0) })
 	close(host.answer)
@@ -249,7 +249,7 @@
 func TestRequestsOpenAtEndOfGraceAreAnswered(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 1, 1)
-	answered := startHoldingHost(t, f).ask(f)
+	answered := startHoldingHost(t, f).sendRequest(f)
 	f.nodes[0].cancel()
 	is.Equal((<-answered).status, http.StatusBadGateway)
 }
@@ -259,7 +259,7 @@
 func TestReloadAppliesSeedsAndBounds(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 3, 3)
-	is.Equal(f.order(http.MethodPut, firstConfiguration, 0, 0), 200)
+	is.Equal(f.changeConfiguration(http.MethodPut, firstConfiguration, 0, 0), 200)
 	f.eventually("all know of each other", func() bool { return f.nodes[2].plane.Routers() == 3 })
 	before := f.nodes[2].settings()
 	read := *before
@@ -269,7 +269,7 @@
 	f.eventually("they are in force", func() bool { return f.nodes[2].settings().Bounds.DrainMs == 1234 })
 	is.Equal(f.nodes[2].settings().SeedNodes, read.SeedNodes)
 	is.Equal(f.nodes[2].settings().Zone, before.Zone)
-	is.Equal(f.order(http.MethodPut, strings.Replace(firstConfiguration, `"version":1`, `"version":2`, 1), 1, 2), 200)
+	is.Equal(f.changeConfiguration(http.MethodPut, strings.Replace(firstConfiguration, `"version":1`, `"version":2`, 1), 1, 2), 200)
 }
 
 // Bytes that are no message of routers are dropped.
@@ -289,7 +289,7 @@
 func TestRegisterInMemoryOutlivesEachMember(t *testing.T) {
 	is := is.New(t)
 	f := startFleet(t, 4, 0, 3)
-	is.Equal(f.order(http.MethodPut, firstConfiguration, 0, 3), 200)
+	is.Equal(f.changeConfiguration(http.MethodPut, firstConfiguration, 0, 3), 200)
 	for i := range 3 {
 		before := f.nodes[i].replica.Status().View.GetEpoch()
 		f.crash(i)
@@ -311,7 +311,7 @@
 	is := is.New(t)
 	const many = 300
 	f := newFleet(t, 4, 3)
-	is.Equal(f.order(http.MethodPut, firstConfiguration, 0, 0), 200)
+	is.Equal(f.changeConfiguration(http.MethodPut, firstConfiguration, 0, 0), 200)
 	address := f.host("one")
 	f.eventually("all routers know each other", func() bool {
 		for i := range f.nodes {
@@ -322,7 +322,7 @@
 		return true
 	})
 	// At the owner of the service in their zone, as hosts do after their first call.
-	home := slices.IndexFunc(f.nodes, func(n *running) bool {
+	home := slices.IndexFunc(f.nodes, func(n *runningNode) bool {
 		at, ok := query(t.Context(), n.hub, func() router { return n.hub.owner("s", "z0") })
 		return ok && at.address == n.self.address
 	})
@@ -360,7 +360,7 @@
 		fmt.Fprintf(&text, `{"name":"r%d","host":"h.example","pathPrefix":"/p%d/","kind":"safe","timeoutMs":3000,"targetLatencyMs":500,"service":"s","maxAttempts":2}`, i, i)
 	}
 	text.WriteString("]}")
-	is.Equal(f.order(http.MethodPut, text.String(), 0, 0), 200)
+	is.Equal(f.changeConfiguration(http.MethodPut, text.String(), 0, 0), 200)
 	last := len(f.nodes) - 1
 	f.eventually("the router has it", func() bool {
 		state := f.nodes[last].plane.State()
@@ -375,7 +375,7 @@
 	received := f.nodes[last].link.Stats().ReceivedBytes - before
 	t.Logf("%d bytes came for five reads of %d", received, text.Len())
 	is.True(received < uint64(text.Len()))
-	is.Equal(f.order(http.MethodPatch, `{"version":4,"upsert":{"services":[{"name":"t"}]}}`, 3, 1), 200)
+	is.Equal(f.changeConfiguration(http.MethodPatch, `{"version":4,"upsert":{"services":[{"name":"t"}]}}`, 3, 1), 200)
 	_, got := f.call(last, http.MethodGet, "/configuration", "", nil) // at once: what the router has may still be the one before
 	is.True(strings.Contains(got, `"version":4`))
 }
--- a/internal/system/roles/node/ownership.go
+++ b/internal/system/roles/node/ownership.go
@@ -58,7 +58,7 @@
 }
 
 // standsAlone reports whether this router has never known of any other.
-func (h *hub) standsAlone() bool {
+func (h *hub) isStandalone() bool {
 	for _, seed := range h.node.settings().Seeds() {
 		if seed != h.node.self.address {
 			return false
--- a/internal/system/roles/node/peerreports.go
+++ b/internal/system/roles/node/peerreports.go
@@ -167,9 +167,9 @@
 		return true
 	}
 	p.received.Add(1)
-	heard := balance.ReportsReceived{From: witnessID(from), Reports: make([]balance.PeerReport, 0, len(m.Prompts))}
+	received := balance.ReportsReceived{From: reporterID(from), Reports: make([]balance.PeerReport, 0, len(m.Prompts))}
 	for _, prompt := range m.Prompts {
-		heard.Reports = append(heard.Reports, balance.PeerReport{
+		received.Reports = append(received.Reports, balance.PeerReport{
 			ReplicaTag:    prompt.Host,
 			PrefillTokens: float64(prompt.Tokens),
 			PrefixTag:     uint16(prompt.Prefix),
@@ -177,14 +177,14 @@
 			LatencyRatio:  float64(prompt.Slow) / slownessScale,
 		})
 	}
-	p.node.plane.ReceiveReports(m.Service, heard)
+	p.node.plane.ReceiveReports(m.Service, received)
 	return true
 }
 
 // witnessID is a number that distinguishes a router from others.
-func witnessID(from netip.AddrPort) int { return int(hashString(from.String()) >> 1) }
+func reporterID(from netip.AddrPort) int { return int(hashString(from.String()) >> 1) }
 
 // figures count the datagrams since the start.
-func (p *peerReporter) figures() status.PromptReports {
+func (p *peerReporter) stats() status.PromptReports {
 	return status.PromptReports{Sent: p.sent.Load(), Received: p.received.Load(), Dropped: p.dropped.Load()}
 }
--- a/internal/system/roles/node/peerreports_test.go
+++ b/internal/system/roles/node/peerreports_test.go
@@ -28,13 +28,13 @@
 	})
 	first.peerReports.report("chat", []balance.PeerReport{{ReplicaTag: 7, PrefillTokens: 900, PrefixTag: 3}})
 	f.eventually("both others were told", func() bool {
-		return f.nodes[1].peerReports.figures().Received == 1 && f.nodes[2].peerReports.figures().Received == 1
+		return f.nodes[1].peerReports.stats().Received == 1 && f.nodes[2].peerReports.stats().Received == 1
 	})
-	is.Equal(first.peerReports.figures(), status.PromptReports{Sent: 2})
+	is.Equal(first.peerReports.stats(), status.PromptReports{Sent: 2})
 }
 
 // knowsPeer reports whether a router of two has the other among those that it reports to.
-func knowsPeer(n *running) bool { return len(n.peerReports.peers.Load().addresses) == 1 }
+func knowsPeer(n *runningNode) bool { return len(n.peerReports.peers.Load().addresses) == 1 }
 
 // A datagram that is lost is not sent again, and nothing waits for it.
 func TestLostPeerReportIsNotRetried(t *testing.T) {
@@ -56,7 +56,7 @@
 	<-lost
 	failpoint.Set(nil)
 	f.nodes[0].peerReports.report("chat", []balance.PeerReport{{ReplicaTag: 7, PrefillTokens: 900}})
-	f.eventually("the next one comes", func() bool { return f.nodes[1].peerReports.figures().Received >= 1 })
+	f.eventually("the next one comes", func() bool { return f.nodes[1].peerReports.stats().Received >= 1 })
 }
 
 // Only datagrams of peer reports are received, only from routers that live, and only valid ones.
@@ -86,7 +86,7 @@
 			p := newPeerReporter(f.nodes[0].Node)
 			p.membershipChanged([]router{{address: peer}, f.nodes[0].self})
 			is.Equal(p.receive(c.from, c.data), c.ours)
-			is.Equal(p.figures(), c.count)
+			is.Equal(p.stats(), c.count)
 		})
 	}
 }
@@ -100,7 +100,7 @@
 	for range maxQueuedPeerReports + 5 {
 		p.report("chat", []balance.PeerReport{{ReplicaTag: 7, PrefillTokens: 900}})
 	}
-	is.Equal(p.figures(), status.PromptReports{Dropped: 5})
+	is.Equal(p.stats(), status.PromptReports{Dropped: 5})
 	is.Equal(len(p.queue), maxQueuedPeerReports)
 }
 
@@ -111,16 +111,16 @@
 	f := newFleet(t, 2, 1)
 	f.eventually("both know of each other", func() bool { return knowsPeer(f.nodes[0]) && knowsPeer(f.nodes[1]) })
 	first := f.nodes[0].peerReports
-	told := 0
+	allowed := 0
 	for range 2 * hostDatagramBurst {
 		if first.mayReportHost() {
-			told++
+			allowed++
 		}
 	}
-	is.True(told >= hostDatagramBurst)
-	is.True(told < 2*hostDatagramBurst)
-	before := first.figures().Sent
+	is.True(allowed >= hostDatagramBurst)
+	is.True(allowed < 2*hostDatagramBurst)
+	before := first.stats().Sent
 	f.nodes[1].peerReports.report("chat", []balance.PeerReport{{ReplicaTag: 7, Failed: true}})
-	f.eventually("a failure is told", func() bool { return first.figures().Received > 0 })
-	is.Equal(first.figures().Sent, before) // and passed on by nobody
+	f.eventually("a failure is told", func() bool { return first.stats().Received > 0 })
+	is.Equal(first.stats().Sent, before) // and passed on by nobody
 }
--- a/internal/system/roles/node/pins_explore_test.go
+++ b/internal/system/roles/node/pins_explore_test.go
@@ -31,14 +31,14 @@
 type pinFaultKind int
 
 const (
-	loseOne        pinFaultKind = iota
-	cutLink                     // from the sender to the receiver, for longer than the bound
-	cutReceiver                 // from all others, for longer than the bound
-	cutFromSources              // the receiver hears nobody, and is heard
-	freezeShort                 // the receiver stalls for less than the bound
-	freezeLong                  // and for longer
-	suspend                     // and for longer, and what comes meanwhile is lost
-	newLife                     // of the receiver
+	dropMessage     pinFaultKind = iota
+	cutLink                      // from the sender to the receiver, for longer than the bound
+	cutReceiver                  // from all others, for longer than the bound
+	cutFromSources               // the receiver hears nobody, and is heard
+	stallShort                   // the receiver stalls for less than the bound
+	stallLong                    // and for longer
+	suspend                      // and for longer, and what comes meanwhile is lost
+	restartReceiver              // of the receiver
 	pinFaultKinds
 )
 
@@ -47,14 +47,14 @@
 }
 
 const (
-	cutFor    = drawnBound + time.Second
-	briefStop = time.Second
-	longStop  = drawnBound + time.Second
+	cutFor     = simulatedRevocation + time.Second
+	shortStall = time.Second
+	longStall  = simulatedRevocation + time.Second
 )
 
 // exploredSchedule is one schedule.
 type exploredSchedule struct {
-	*pinWorld
+	*pinSimulation
 	plan   faultplan.Plan[pinFaultKind]
 	points int
 	heals  []heal
@@ -67,9 +67,9 @@
 }
 
 // explorePins plays a plan, and returns how many points there were for one more fault.
-func explorePins(t *testing.T, plan faultplan.Plan[pinFaultKind], plant pinPlant) (points int, w *pinWorld) {
-	e := &exploredSchedule{pinWorld: newPinWorld(t, exploredRouters, exploredSeed, plant), plan: plan}
-	e.strike = e.place
+func explorePins(t *testing.T, plan faultplan.Plan[pinFaultKind], plant plantedFault) (points int, w *pinSimulation) {
+	e := &exploredSchedule{pinSimulation: newPinSimulation(t, exploredRouters, exploredSeed, plant), plan: plan}
+	e.intercept = e.injectFaults
 	for e.now < exploredLength && e.fault == nil {
 		e.step(func() {
 			if e.now == firstChange || e.now == secondChange {
@@ -78,12 +78,12 @@
 		})
 		e.healDue()
 	}
-	return e.points, e.pinWorld
+	return e.points, e.pinSimulation
 }
 
 // place has the faults of the plan strike. The first one does near the first change, others at any
 // time behind it.
-func (e *exploredSchedule) place(m drawnMessage) (lost bool) {
+func (e *exploredSchedule) injectFaults(m simulatedMessage) (lost bool) {
 	if e.now < pointsFrom || e.now > pointsFrom+pointsFor {
 		return false
 	}
@@ -96,9 +96,9 @@
 	return lost
 }
 
-func (e *exploredSchedule) apply(kind pinFaultKind, m drawnMessage) (lost bool) {
+func (e *exploredSchedule) apply(kind pinFaultKind, m simulatedMessage) (lost bool) {
 	switch kind {
-	case loseOne:
+	case dropMessage:
 		return true
 	case cutLink:
 		e.cutUntil(m.from, m.to)
@@ -111,17 +111,17 @@
 			}
 		}
 		return true
-	case freezeShort:
-		e.freeze(m.to, briefStop)
-	case freezeLong:
-		e.freeze(m.to, longStop)
+	case stallShort:
+		e.stall(m.to, shortStall)
+	case stallLong:
+		e.stall(m.to, longStall)
 	case suspend:
-		e.freeze(m.to, longStop)
+		e.stall(m.to, longStall)
 		for i := range e.routers {
 			e.cutUntil(i, m.to)
 		}
 		return true
-	case newLife:
+	case restartReceiver:
 		if m.to > 0 {
 			e.startIncarnation(m.to)
 			return true
@@ -132,9 +132,9 @@
 
 // freeze has a router stand still. The tail's own part is the register's, which has an explorer of
 // its own.
-func (e *exploredSchedule) freeze(router int, span time.Duration) {
+func (e *exploredSchedule) stall(router int, span time.Duration) {
 	if router > 0 {
-		e.routers[router].frozen = e.now + span
+		e.routers[router].stalledUntil = e.now + span
 	}
 }
 
@@ -152,7 +152,7 @@
 }
 
 // exploreAllPins plays all plans with so many faults, until one finds something that does not hold.
-func exploreAllPins(t *testing.T, faults int, plant pinPlant) (found faultplan.Result[pinFaultKind], served int64) {
+func exploreAllPins(t *testing.T, faults int, plant plantedFault) (found faultplan.Result[pinFaultKind], served int64) {
 	var answered atomic.Int64
 	found = faultplan.Explorer[pinFaultKind]{Kinds: pinFaultKinds, MaxFaults: faults, Simulate: func(plan faultplan.Plan[pinFaultKind]) faultplan.Outcome {
 		points, w := explorePins(t, plan, plant)
@@ -165,7 +165,7 @@
 // Wherever a fault strikes around a change of the pins, each request that arrives after a change
 // was acknowledged is served by it, or rejected.
 func TestPinsHoldInExploredSchedules(t *testing.T) {
-	found, served := exploreAllPins(t, *pinFaults, noPlant)
+	found, served := exploreAllPins(t, *pinFaults, noPlantedFault)
 	if found.Violation != nil {
 		t.Fatalf("%v: %v", found.Plan, found.Violation)
 	}
@@ -177,7 +177,7 @@
 
 // The explorer finds each planted fault with one fault of the network or a router.
 func TestExplorerFindsPlantedPinFaults(t *testing.T) {
-	for name, plant := range map[string]pinPlant{"acknowledged too early": ackedTooEarly, "stale after a thaw": staleAfterThaw, "never runs out": neverRunsOut} {
+	for name, plant := range map[string]plantedFault{"acknowledged too early": ackedTooEarly, "stale after a thaw": staleAfterStall, "never runs out": neverExpires} {
 		t.Run(name, func(t *testing.T) {
 			found, _ := exploreAllPins(t, 1, plant)
 			if found.Violation == nil {
--- a/internal/system/roles/node/pins_schedules_test.go
+++ b/internal/system/roles/node/pins_schedules_test.go
@@ -21,54 +21,54 @@
 var pinSchedules = flag.Int("pin-schedules", 100, "drawn schedules of pins that are played")
 
 const (
-	drawnBound  = 3 * time.Second // on the age of what keys are honoured by
-	drawnLength = 30 * time.Second
-	drawnTick   = 20 * time.Millisecond
+	simulatedRevocation  = 3 * time.Second // on the age of what keys are honoured by
+	randomScheduleLength = 30 * time.Second
+	simulatedTick        = 20 * time.Millisecond
 )
 
 // pinPlant is a fault in the program, which the judge is to find.
-type pinPlant int
+type plantedFault int
 
 const (
-	noPlant        pinPlant = iota
-	ackedTooEarly           // a change is acknowledged as soon as the router that took it has it
-	staleAfterThaw          // a router that stood still goes by what it found young before
-	neverRunsOut            // an isolated router goes on honouring keys
+	noPlantedFault  plantedFault = iota
+	ackedTooEarly                // a change is acknowledged as soon as the router that took it has it
+	staleAfterStall              // a router that stood still goes by what it found young before
+	neverExpires                 // an isolated router goes on honouring keys
 )
 
 // pinWorld is routers that bring each other the configuration, with pins that change, in virtual
 // time. The first is the register's tail.
-type pinWorld struct {
-	rng     *rand.Rand
-	now     time.Duration
-	plant   pinPlant
-	routers []*drawnRouter
-	queue   []drawnMessage
-	cut     map[[2]int]bool
-	state   *configuration.State
-	changes []drawnChange
-	served  int
-	refused int
-	fault   error
-	strike  func(m drawnMessage) (lost bool) // called before each message arrives, nil for nothing
+type pinSimulation struct {
+	rng       *rand.Rand
+	now       time.Duration
+	planted   plantedFault
+	routers   []*simulatedRouter
+	queue     []simulatedMessage
+	cut       map[[2]int]bool
+	state     *configuration.State
+	changes   []pinChange
+	served    int
+	rejected  int
+	fault     error
+	intercept func(m simulatedMessage) (lost bool) // called before each message arrives, nil for nothing
 }
 
 // drawnChange is a change of the pins: the number of its revision is its place, from 1 on.
-type drawnChange struct {
+type pinChange struct {
 	committed, acked time.Duration
 }
 
-type drawnRouter struct {
-	world   *pinWorld
-	number  int
-	feed    *feed.Node
-	config  *configurationFeed
-	frozen  time.Duration // until then it does nothing
-	waiting []func()      // for the end of that
-	young   bool          // as it last found
+type simulatedRouter struct {
+	simulation   *pinSimulation
+	number       int
+	feed         *feed.Node
+	config       *configurationFeed
+	stalledUntil time.Duration // until then it does nothing
+	waiting      []func()      // for the end of that
+	fresh        bool          // as it last found
 }
 
-type drawnMessage struct {
+type simulatedMessage struct {
 	at   time.Duration
 	from int
 	to   int
@@ -76,9 +76,9 @@
 }
 
 // drawnRouters is how many routers a drawn schedule has.
-const drawnRouters = 8
+const randomScheduleRouters = 8
 
-func newPinWorld(t *testing.T, routers int, seed uint64, plant pinPlant) *pinWorld {
+func newPinSimulation(t *testing.T, routers int, seed uint64, plant plantedFault) *pinSimulation {
 	document, err := configuration.Parse([]byte(pintest.Configuration))
 	if err != nil {
 		t.Fatal(err)
@@ -87,9 +87,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &pinWorld{rng: rand.New(rand.NewPCG(seed, 0)), plant: plant, cut: map[[2]int]bool{}, state: state}
+	w := &pinSimulation{rng: rand.New(rand.NewPCG(seed, 0)), planted: plant, cut: map[[2]int]bool{}, state: state}
 	for i := range routers {
-		w.routers = append(w.routers, &drawnRouter{world: w, number: i})
+		w.routers = append(w.routers, &simulatedRouter{simulation: w, number: i})
 		w.startIncarnation(i)
 	}
 	w.tail().config.install(1, state)
@@ -100,13 +100,13 @@
 
 // startIncarnation begins an incarnation of a router: the first two are the owners in their zones,
 // and ask the tail.
-func (w *pinWorld) startIncarnation(i int) {
+func (w *pinSimulation) startIncarnation(i int) {
 	r := w.routers[i]
 	r.feed = feed.New(routerName(i), w.rng.Uint64(), w.now)
 	r.config = &configurationFeed{confirmedAt: -1, clock: func() time.Duration { return w.now }, onError: func(err error) { w.fault = err }}
 	r.config.onChange = func(*configuration.State) { w.post(i, r.feed.Publish(w.now, configurationTopic)) }
 	r.feed.Add(configurationTopic, r.config)
-	r.young, r.frozen, r.waiting = false, 0, nil
+	r.fresh, r.stalledUntil, r.waiting = false, 0, nil
 	candidates := []string{routerName(0)}
 	if i > 2 {
 		candidates = []string{routerName(1 + i%2), routerName(2 - i%2), routerName(0)}
@@ -116,19 +116,19 @@
 	}
 }
 
-func (w *pinWorld) tail() *drawnRouter { return w.routers[0] }
+func (w *pinSimulation) tail() *simulatedRouter { return w.routers[0] }
 
-func (w *pinWorld) post(from int, all []feed.Send) {
+func (w *pinSimulation) post(from int, all []feed.Send) {
 	for _, s := range all {
 		var to int
 		fmt.Sscanf(s.To, "r%d", &to)
-		w.queue = append(w.queue, drawnMessage{w.now + time.Duration(1+w.rng.IntN(30))*time.Millisecond, from, to, s})
+		w.queue = append(w.queue, simulatedMessage{w.now + time.Duration(1+w.rng.IntN(30))*time.Millisecond, from, to, s})
 	}
 }
 
 // do has a router do something, once it does anything.
-func (r *drawnRouter) do(f func()) {
-	if r.world.now < r.frozen {
+func (r *simulatedRouter) do(f func()) {
+	if r.simulation.now < r.stalledUntil {
 		r.waiting = append(r.waiting, f)
 		return
 	}
@@ -140,12 +140,12 @@
 	f()
 }
 
-func (w *pinWorld) deliver() {
-	slices.SortStableFunc(w.queue, func(a, b drawnMessage) int { return cmp.Compare(a.at, b.at) })
+func (w *pinSimulation) deliver() {
+	slices.SortStableFunc(w.queue, func(a, b simulatedMessage) int { return cmp.Compare(a.at, b.at) })
 	for len(w.queue) > 0 && w.queue[0].at <= w.now {
 		m := w.queue[0]
 		w.queue = w.queue[1:]
-		if w.cut[[2]int{m.from, m.to}] || w.strike != nil && w.strike(m) {
+		if w.cut[[2]int{m.from, m.to}] || w.intercept != nil && w.intercept(m) {
 			continue
 		}
 		r := w.routers[m.to]
@@ -160,7 +160,7 @@
 }
 
 // change commits a change of the pins, and acknowledges it once it is in force.
-func (w *pinWorld) change() {
+func (w *pinSimulation) change() {
 	revision := int64(len(w.changes) + 1)
 	set, err := (&pins.Set{Revision: revision - 1}).Add(&message.Pin{Name: "p", Tenant: "x", Model: "m", Version: revision, By: "ann", Why: "trial"})
 	if err != nil {
@@ -169,24 +169,24 @@
 	}
 	w.state = w.state.WithPins(set)
 	w.tail().config.install(w.tail().config.sequence+1, w.state)
-	acked := w.now + drawnBound
-	if w.plant == ackedTooEarly {
-		acked = w.now + drawnTick
+	acked := w.now + simulatedRevocation
+	if w.planted == ackedTooEarly {
+		acked = w.now + simulatedTick
 	}
-	w.changes = append(w.changes, drawnChange{w.now, acked})
+	w.changes = append(w.changes, pinChange{w.now, acked})
 }
 
 // request has a client ask a router, which answers by what it knows then.
-func (r *drawnRouter) request() {
-	w, arrived := r.world, r.world.now
-	frozen := w.now < r.frozen
+func (r *simulatedRouter) request() {
+	w, arrived := r.simulation, r.simulation.now
+	frozen := w.now < r.stalledUntil
 	r.do(func() {
-		if w.plant != staleAfterThaw || !frozen {
+		if w.planted != staleAfterStall || !frozen {
 			age := w.now - r.config.confirmedAt
-			r.young = r.config.confirmedAt >= 0 && (age < drawnBound-revocationMargin || w.plant == neverRunsOut)
+			r.fresh = r.config.confirmedAt >= 0 && (age < simulatedRevocation-revocationMargin || w.planted == neverExpires)
 		}
-		if !r.young {
-			w.refused++
+		if !r.fresh {
+			w.rejected++
 			return
 		}
 		w.served++
@@ -196,7 +196,7 @@
 
 // check looks at a request that a router serves: it goes by all changes that were acknowledged when
 // it arrived.
-func (w *pinWorld) check(r *drawnRouter, arrived time.Duration) {
+func (w *pinSimulation) check(r *simulatedRouter, arrived time.Duration) {
 	revision := r.config.state.Pins().Revision
 	for i, c := range w.changes {
 		if int64(i+1) > revision && c.acked <= arrived {
@@ -206,7 +206,7 @@
 }
 
 // drawFault draws a partition, a stall or a restart.
-func (w *pinWorld) drawFault() {
+func (w *pinSimulation) drawFault() {
 	a, b := w.rng.IntN(len(w.routers)), w.rng.IntN(len(w.routers))
 	switch w.rng.IntN(7) {
 	case 0:
@@ -220,7 +220,7 @@
 		clear(w.cut)
 	case 4, 5:
 		if a > 0 {
-			w.routers[a].frozen = w.now + time.Duration(w.rng.IntN(6000))*time.Millisecond
+			w.routers[a].stalledUntil = w.now + time.Duration(w.rng.IntN(6000))*time.Millisecond
 		}
 	case 6:
 		if a > 0 {
@@ -229,8 +229,8 @@
 	}
 }
 
-func (w *pinWorld) play() {
-	for w.now < drawnLength && w.fault == nil {
+func (w *pinSimulation) run() {
+	for w.now < randomScheduleLength && w.fault == nil {
 		w.step(func() {
 			if w.rng.IntN(60) == 0 {
 				w.change()
@@ -243,44 +243,44 @@
 }
 
 // step has a tick pass. What happens besides does so before the clients ask.
-func (w *pinWorld) step(besides func()) {
+func (w *pinSimulation) step(actions func()) {
 	w.tail().config.confirmAt(w.now, w.tail().config.sequence)
 	for i, r := range w.routers {
 		r.do(func() { w.post(i, r.feed.Tick(w.now)) })
 	}
 	w.deliver()
-	besides()
+	actions()
 	for _, r := range w.routers {
 		r.request()
 	}
-	w.now += drawnTick
+	w.now += simulatedTick
 }
 
 // Whatever is drawn of partitions, stalls and restarts of routers, each request that arrives after
 // a change of the pins was acknowledged is served by it, or rejected.
 func TestPinsHoldInDrawnSchedules(t *testing.T) {
-	served, refused := 0, 0
+	served, rejected := 0, 0
 	for seed := range uint64(*pinSchedules) {
-		w := newPinWorld(t, drawnRouters, seed, noPlant)
-		w.play()
+		w := newPinSimulation(t, randomScheduleRouters, seed, noPlantedFault)
+		w.run()
 		if w.fault != nil {
 			t.Errorf("seed %d: %v", seed, w.fault)
 		}
-		served, refused = served+w.served, refused+w.refused
+		served, rejected = served+w.served, rejected+w.rejected
 	}
-	t.Logf("%d schedules: %d requests served, %d refused", *pinSchedules, served, refused)
-	if served < refused {
+	t.Logf("%d schedules: %d requests served, %d refused", *pinSchedules, served, rejected)
+	if served < rejected {
 		t.Error("too few are served to tell")
 	}
 }
 
 // The judge finds each planted fault.
 func TestCheckerFindsPlantedPinFaults(t *testing.T) {
-	for name, plant := range map[string]pinPlant{"acknowledged too early": ackedTooEarly, "stale after a thaw": staleAfterThaw, "never runs out": neverRunsOut} {
+	for name, plant := range map[string]plantedFault{"acknowledged too early": ackedTooEarly, "stale after a thaw": staleAfterStall, "never runs out": neverExpires} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(*pinSchedules) {
-				w := newPinWorld(t, drawnRouters, seed, plant)
-				w.play()
+				w := newPinSimulation(t, randomScheduleRouters, seed, plant)
+				w.run()
 				if w.fault != nil {
 					t.Logf("seed %d: %v", seed, w.fault)
 					return
--- a/internal/system/roles/node/pins_test.go
+++ b/internal/system/roles/node/pins_test.go
@@ -20,14 +20,14 @@
 
 // pinStory is a fleet of five routers, of which three keep the register, with hosts of two
 // versions.
-type pinStory struct {
+type pinScenario struct {
 	*testFleet
 	*pintest.Scenario
 	ctx    context.Context
 	folder string
 }
 
-func newPinStory(t *testing.T) *pinStory {
+func newPinScenario(t *testing.T) *pinScenario {
 	t.Helper()
 	f := startWithRevocation(t, 5, 3, pinRevocationMs)
 	var fronts, controls []string
@@ -46,7 +46,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 3*testTimeout)
 	t.Cleanup(cancel)
-	s := &pinStory{f, pintest.NewScenario(fronts, controls, hosts), ctx, filepath.Dir(f.nodes[0].settings().DataDirectory)}
+	s := &pinScenario{f, pintest.NewScenario(fronts, controls, hosts), ctx, filepath.Dir(f.nodes[0].settings().DataDirectory)}
 	s.must(s.Configure(ctx))
 	s.registerAll()
 	for i := range s.nodes {
@@ -55,31 +55,31 @@
 	return s
 }
 
-func (s *pinStory) must(err error) {
+func (s *pinScenario) must(err error) {
 	s.t.Helper()
 	if err != nil {
 		s.t.Fatal(err)
 	}
 }
 
-func (s *pinStory) registerAll() {
+func (s *pinScenario) registerAll() {
 	s.t.Helper()
 	s.must(s.Register(s.ctx))
 }
 
-func (s *pinStory) change(version int64) {
+func (s *pinScenario) change(version int64) {
 	s.t.Helper()
 	s.must(s.ChangePin(s.ctx, version))
 }
 
 // restart has a router that ended come back.
-func (s *pinStory) restart(i int) { s.start(i, s.folder, false) }
+func (s *pinScenario) restart(i int) { s.start(i, s.folder, false) }
 
 // On live traffic, each request after a pin was set, moved or lifted is answered by the chosen
 // version, whichever router gets it: while hosts roll their weights, tell what is not so, and
 // routers with and without a disk end and come back.
 func TestPinsOnLiveTraffic(t *testing.T) {
-	s := newPinStory(t)
+	s := newPinScenario(t)
 	s.StartTraffic()
 	s.change(1)
 	s.change(2)
@@ -110,7 +110,7 @@
 // there.
 func TestPinsSurviveRestartOfAll(t *testing.T) {
 	is := is.New(t)
-	s := newPinStory(t)
+	s := newPinScenario(t)
 	s.change(2)
 	for i := range s.nodes {
 		s.crash(i)
@@ -137,8 +137,8 @@
 	is.NoErr(json.Unmarshal([]byte(text), &history))
 	is.Equal(history.Changes[0].Pin.Version, int64(2))
 	is.Equal(history.Changes[0].By, "ann")
-	figures := s.status(0).Pins
-	is.Equal(figures.Revision, int64(1))
-	is.Equal(figures.Pins[0].Hosts, 2)
-	is.Equal(figures.Pins[0].WrongVersion, uint64(0))
+	pinStatus := s.status(0).Pins
+	is.Equal(pinStatus.Revision, int64(1))
+	is.Equal(pinStatus.Pins[0].Hosts, 2)
+	is.Equal(pinStatus.Pins[0].WrongVersion, uint64(0))
 }
--- a/internal/system/roles/node/quotaowner.go
+++ b/internal/system/roles/node/quotaowner.go
@@ -251,7 +251,7 @@
 func (o *quotaOwner) report(now time.Duration) {
 	self := o.identity()
 	number, grants := o.outstanding.NextUpdate()
-	m := &message.QuotaUsage{Owner: self, Number: number, Grants: grants, BlindUs: o.blindTime(now).Microseconds()}
+	m := &message.QuotaUsage{Owner: self, Number: number, Grants: grants, BlindUs: o.learningTimeLeft(now).Microseconds()}
 	o.reportedAt = now
 	o.recordUsage(m)
 	for _, member := range o.view.Members {
@@ -271,14 +271,14 @@
 	if owner == nil {
 		return
 	}
-	heard := &message.QuotaHeard{Member: o.identity(), Owner: m.Owner, Number: m.Number}
-	o.quotas.node.send(owner.Address, &message.Envelope{Body: &message.Envelope_QuotaHeard{QuotaHeard: heard}})
+	acknowledgement := &message.QuotaHeard{Member: o.identity(), Owner: m.Owner, Number: m.Number}
+	o.quotas.node.send(owner.Address, &message.Envelope{Body: &message.Envelope_QuotaHeard{QuotaHeard: acknowledgement}})
 }
 
 // recordUsage records an owner's report.
 func (o *quotaOwner) recordUsage(m *message.QuotaUsage) {
-	blind := time.Duration(m.BlindUs) * time.Microsecond
-	o.tracker.Update(o.quotas.now(), m.Owner, m.Number, m.Grants, blind)
+	learningTime := time.Duration(m.BlindUs) * time.Microsecond
+	o.tracker.Update(o.quotas.now(), m.Owner, m.Number, m.Grants, learningTime)
 	for tenant, units := range m.Grants {
 		o.unsaved[tenant] += units
 	}
@@ -295,7 +295,7 @@
 func (o *quotaOwner) identity() uint64 { return o.quotas.node.replica.Status().Identity }
 
 // blindTime is for how long this router still does not know all that was granted before it.
-func (o *quotaOwner) blindTime(now time.Duration) time.Duration {
+func (o *quotaOwner) learningTimeLeft(now time.Duration) time.Duration {
 	left := time.Duration(0)
 	for _, s := range o.shards {
 		left = max(left, s.owner.LearningUntil-now)
--- a/internal/system/roles/node/statefile.go
+++ b/internal/system/roles/node/statefile.go
@@ -110,10 +110,10 @@
 // marshal encodes the state. The same state gives the same bytes.
 func (f *stateFile) marshal(ctx context.Context) ([]byte, error) {
 	hub := f.node.hub
-	living, ok := query(ctx, hub, hub.registry.Active)
+	active, ok := query(ctx, hub, hub.registry.Active)
 	if !ok {
 		return nil, ctx.Err()
 	}
-	state := &message.Kept{Instances: living, Usage: f.node.quotas.saveUsage()}
+	state := &message.Kept{Instances: active, Usage: f.node.quotas.saveUsage()}
 	return proto.MarshalOptions{Deterministic: true}.Marshal(state)
 }
--- a/internal/system/roles/node/status.go
+++ b/internal/system/roles/node/status.go
@@ -69,7 +69,7 @@
 		Requests:      n.requestStatus(),
 		Connections:   n.connectionStatus(),
 		Link:          status.Link(n.link.Stats()),
-		PromptReports: n.peerReports.figures(),
+		PromptReports: n.peerReports.stats(),
 		Members:       memberStatus(n.members.Now()),
 		Pins:          n.pinStatus(),
 	}
@@ -149,10 +149,10 @@
 		configuration: h.configurationStatus(),
 		register:      viewStatus(h.registerView.view),
 	}
-	figures := h.node.plane.Metrics()
+	metricsByService := h.node.plane.Metrics()
 	for _, name := range h.services() {
 		service := serviceStatus(name, h.registry.Records(name), h.now())
-		f := figures[name]
+		f := metricsByService[name]
 		service.Open, service.Retries, service.Ejected = f.Open, f.Retries, f.OutOfRotation
 		s.services = append(s.services, service)
 	}
@@ -187,9 +187,9 @@
 func (n *Node) pinStatus() status.Pins {
 	in := n.plane.State().Pins()
 	out := status.Pins{Revision: in.Revision, Pins: []status.Pin{}}
-	figures := n.plane.Pins()
+	pinStats := n.plane.Pins()
 	for _, p := range in.Pins {
-		f := figures[p.Name]
+		f := pinStats[p.Name]
 		pin := status.Pin{
 			Name:          p.Name,
 			Tenant:        p.Tenant,
--- a/internal/system/roles/node/status_test.go
+++ b/internal/system/roles/node/status_test.go
@@ -47,7 +47,7 @@
 func TestStatusDescribesTheFleet(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 4, 3)
-	is.Equal(f.order(http.MethodPut, firstConfiguration, 0, 0), 200)
+	is.Equal(f.changeConfiguration(http.MethodPut, firstConfiguration, 0, 0), 200)
 	code, _ := f.heartbeat(0, "i-1", "s", f.host("one"), "ready", 1)
 	is.Equal(code, 200)
 	for i := range f.nodes {
@@ -66,11 +66,11 @@
 	for _, shard := range s.Register.Shards {
 		is.True(slices.ContainsFunc(s.Register.Machines, func(m status.Machine) bool { return m.Address == shard.Address && m.ChainPosition > 0 }))
 	}
-	bare := f.status(3)
-	is.Equal(len(bare.Register.Shards), view.Shards) // known from the view, also where there is no disk
-	is.True(!bare.Eligible)
-	is.Equal(bare.Register.Replica, nil) // it has no part in the register
-	is.True(bare.Configuration.Source != "")
+	withoutReplica := f.status(3)
+	is.Equal(len(withoutReplica.Register.Shards), view.Shards) // known from the view, also where there is no disk
+	is.True(!withoutReplica.Eligible)
+	is.Equal(withoutReplica.Register.Replica, nil) // it has no part in the register
+	is.True(withoutReplica.Configuration.Source != "")
 
 	for id, key := range map[string]string{"q1": "k", "q2": "k", "q3": "nobody's"} {
 		f.request(0, "/a", id, key)
@@ -81,7 +81,7 @@
 			strings.Contains(text, `reachspread_requests_total{kind="",tenant="",outcome="no_key"} 1`)
 	})
 	is.True(strings.Contains(f.metrics(0), "reachspread_register_chain 3\n"))
-	is.Equal(f.order(http.MethodPatch, `{"version":4,"remove":{"services":["t"]}}`, 1, 2), 200)
+	is.Equal(f.changeConfiguration(http.MethodPatch, `{"version":4,"remove":{"services":["t"]}}`, 1, 2), 200)
 	f.eventually("a change is in the history of every router", func() bool {
 		history := f.status(3).Configuration.History
 		return len(history) == 2 && history[0].Version == 4 && len(history[0].Changes) == 1 && slices.Equal(history[0].Changes[0].Removed, []string{"t"})
@@ -104,7 +104,7 @@
 func TestAbandonedQueryDoesNotDisturbTheHub(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 1, 1)
-	is.Equal(f.order(http.MethodPut, firstConfiguration, 0, 0), 200)
+	is.Equal(f.changeConfiguration(http.MethodPut, firstConfiguration, 0, 0), 200)
 	n := f.nodes[0]
 	for _, c := range []struct {
 		name string
@@ -114,9 +114,9 @@
 		{"what is kept", func(ctx context.Context) bool { _, err := n.newStateFile().marshal(ctx); return err == nil }},
 	} {
 		release := make(chan struct{})
-		standing := make(chan struct{})
-		n.hub.post(func() { close(standing); <-release })
-		<-standing
+		blocked := make(chan struct{})
+		n.hub.post(func() { close(blocked); <-release })
+		<-blocked
 		ctx, cancel := context.WithCancel(t.Context())
 		answered := make(chan bool)
 		waiting := len(n.hub.calls)
--- a/internal/system/roles/node/stored_test.go
+++ b/internal/system/roles/node/stored_test.go
@@ -47,7 +47,7 @@
 func TestGoldenKeptIsTakenUp(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 1, 1)
-	is.Equal(f.order(http.MethodPut, firstConfiguration, 0, 0), 200)
+	is.Equal(f.changeConfiguration(http.MethodPut, firstConfiguration, 0, 0), 200)
 	folder := f.nodes[0].settings().DataDirectory
 	path := filepath.Join(folder, "kept")
 	f.crash(0)
@@ -56,10 +56,10 @@
 	is.NoErr(os.WriteFile(path, text, 0o644))
 	f.start(0, filepath.Dir(folder), false)
 	n := f.nodes[0]
-	living, ok := query(t.Context(), n.hub, n.hub.registry.Active)
+	active, ok := query(t.Context(), n.hub, n.hub.registry.Active)
 	is.True(ok)
 	ids := map[string]bool{}
-	for _, in := range living {
+	for _, in := range active {
 		ids[in.Id] = true
 	}
 	is.Equal(ids, map[string]bool{"i-0": true, "i-1": true, "i-2": true})
--- a/internal/system/roles/node/testfleet_test.go
+++ b/internal/system/roles/node/testfleet_test.go
@@ -28,10 +28,10 @@
 
 // testFleet is routers on addresses of the loopback. The first ones have disks.
 type testFleet struct {
-	t     *testing.T
-	net   byte // the third byte of all addresses
-	ports struct{ internal, front, ready, control int }
-	nodes []*running
+	t      *testing.T
+	subnet byte // the third byte of all addresses
+	ports  struct{ internal, front, ready, control int }
+	nodes  []*runningNode
 
 	disks           int     // routers with a disk, which may be members of the register
 	disklessMembers int     // routers after those that may be members without a disk
@@ -39,7 +39,7 @@
 }
 
 // running is a router of the fleet, in its present incarnation.
-type running struct {
+type runningNode struct {
 	*Node
 	ip      string
 	ended   chan error         // gets the result of Run
@@ -48,15 +48,15 @@
 }
 
 // nextNet is the net to try next, the third byte of the addresses of a fleet.
-var nextNet atomic.Uint32
+var nextSubnet atomic.Uint32
 
 // reserveNet returns a net that no other fleet has, of this process or of others that play these
 // tests at the same time. It holds the net by a socket on an address that no router has.
-func reserveNet(t *testing.T) byte {
+func reserveSubnet(t *testing.T) byte {
 	t.Helper()
-	const nets, reservation = 256, 250
-	for range nets {
-		number := byte(nextNet.Add(1))
+	const subnets, reservation = 256, 250
+	for range subnets {
+		number := byte(nextSubnet.Add(1))
 		held, err := net.Listen("tcp4", fmt.Sprintf("127.77.%d.%d:7680", number, reservation))
 		if err == nil {
 			t.Cleanup(func() { held.Close() })
@@ -86,10 +86,10 @@
 
 func startFleetOf(t *testing.T, f *testFleet, routers int) *testFleet {
 	t.Helper()
-	f.t, f.net = t, reserveNet(t)
+	f.t, f.subnet = t, reserveSubnet(t)
 	f.ports.internal, f.ports.front, f.ports.ready, f.ports.control = 7680, 8662, 8663, 8665
 	for i := range routers {
-		f.nodes = append(f.nodes, &running{ip: fmt.Sprintf("127.77.%d.%d", f.net, i+1)})
+		f.nodes = append(f.nodes, &runningNode{ip: fmt.Sprintf("127.77.%d.%d", f.subnet, i+1)})
 	}
 	folder := t.TempDir()
 	for i := range f.nodes {
@@ -204,7 +204,7 @@
 }
 
 // order brings an order to routers by turns until it is answered for certain, as operators do.
-func (f *testFleet) order(method, body string, on int64, routers ...int) int {
+func (f *testFleet) changeConfiguration(method, body string, on int64, routers ...int) int {
 	f.t.Helper()
 	until := time.Now().Add(testTimeout)
 	for try := 0; time.Now().Before(until); try++ {
