--- a/internal/system/roles/doc.go
+++ b/internal/system/roles/doc.go
@@ -1,4 +1,4 @@
-// Package roles runs a router of the fleet as the process that it is in: with the settings of the
-// file that the environment names, until a signal ends it. The programs that can be a router share
-// it.
+// Package roles runs one router of the fleet in the current process. It loads the settings from
+// the file that the environment names and serves until a signal ends the process. All programs
+// that can act as a router use this package.
 package roles
--- a/internal/system/roles/node/configuration.go
+++ b/internal/system/roles/node/configuration.go
@@ -7,15 +7,15 @@
 	"reachspread/internal/system/deciders/configuration"
 )
 
-// knownConfiguration is the newest configuration that this router has, with the sequence of its
-// state in the register.
+// knownConfiguration is the newest configuration that this router has, with the register's
+// sequence number of that state.
 type knownConfiguration struct {
 	sequence uint64
 	state    *configuration.State
 }
 
-// known is the newest configuration that this router has, with the sequence of its state in the
-// register; 0 for none. It may be called by any goroutine.
+// known returns the newest configuration document that this router has and the register's sequence
+// number of its state, or 0 if there is none. Any goroutine may call it.
 func (h *hub) known() (sequence uint64, document []byte) {
 	in := h.inForce.Load()
 	if in == nil {
@@ -29,7 +29,8 @@
 	h.configuration.install(c.Position.Sequence, c.Value.(*configuration.State))
 }
 
-// configurationChanged puts a configuration in force here and publishes it to subscribers.
+// configurationChanged puts a new configuration in force on this router and publishes it to
+// subscribers.
 func (h *hub) configurationChanged(state *configuration.State) {
 	h.inForce.Store(&knownConfiguration{h.configuration.sequence, state})
 	if err := h.node.plane.Configure(state); err != nil {
--- a/internal/system/roles/node/confirmation.go
+++ b/internal/system/roles/node/confirmation.go
@@ -6,29 +6,33 @@
 	"reachspread/internal/system/settings"
 )
 
-// The configuration is confirmed at a time if no newer one had been committed by then. The tail of
-// the register knows that of its own; others learn it with updates of the configuration's topic.
+// The configuration is confirmed as of a time if no newer one had been committed by that time. The
+// tail of the register knows this by itself. Other routers learn it from updates of the
+// configuration topic.
 
-// confirmationTTL is how long the configuration counts as confirmed here. When it is confirmed
-// again after that, those that waited for it are notified.
+// confirmationTTL is how long the configuration counts as confirmed on this router after a
+// confirmation. When it is confirmed again later than that, the data plane and the subscribers are
+// notified, because requests may wait for it.
 const confirmationTTL = time.Second
 
-// majorityContactTTL is how old a confirmation may be for its router to count as one that reaches a
-// majority of the register, and so those that do.
+// majorityContactTTL is the maximum age of a confirmation for this router to count as reaching a
+// majority of the register.
 const majorityContactTTL = 1600 * time.Millisecond
 
-// confirmedWithin reports whether the configuration was confirmed within a time. It may be called
-// by any goroutine.
+// confirmedWithin reports whether the configuration was confirmed less than the given age ago. Any
+// goroutine may call it.
 func (h *hub) confirmedWithin(age time.Duration) bool {
 	at := time.Duration(h.confirmedAt.Load())
 	return at >= 0 && h.now()-at < age
 }
 
-// reachesMajority reports whether this router is known to reach a majority of the register. What an
-// isolated router acknowledges would bind the others as well, and they would not learn of it.
+// reachesMajority reports whether this router is known to reach a majority of the register. An
+// isolated router must not acknowledge changes: its acknowledgement would bind the other routers,
+// and they would not learn of it.
 func (h *hub) reachesMajority() bool { return h.confirmedWithin(majorityContactTTL) }
 
-// confirmFromReplica confirms the configuration where this router's replica is the register's tail.
+// confirmFromReplica confirms the configuration if this router's replica is the tail of the
+// register.
 func (h *hub) confirmFromReplica() {
 	replica := h.node.replica
 	if replica == nil {
@@ -39,8 +43,8 @@
 	}
 }
 
-// refreshConfirmation notifies the data plane and subscribers when the configuration is confirmed
-// again: requests may wait for that.
+// refreshConfirmation notifies the data plane and the subscribers when the configuration becomes
+// confirmed again, because requests may wait for that.
 func (h *hub) refreshConfirmation() {
 	at := h.configuration.confirmedAt
 	h.confirmedAt.Store(int64(at))
@@ -53,8 +57,8 @@
 	h.logUnconfirmed()
 }
 
-// logUnconfirmed logs when nobody has confirmed the configuration for too long, and when somebody
-// has again.
+// logUnconfirmed logs once when the configuration has not been confirmed for
+// bounds.configurationApplyMs, and once when it is confirmed again.
 func (h *hub) logUnconfirmed() {
 	bound := settings.Milliseconds(h.node.settings().Bounds.ConfigurationApplyMs)
 	if h.configuration.state == nil || bound == 0 {
--- a/internal/system/roles/node/feeds.go
+++ b/internal/system/roles/node/feeds.go
@@ -10,25 +10,25 @@
 	"reachspread/internal/system/message"
 )
 
-// The names of the topics that routers poll each other for. That of a service's hosts is
-// hostsTopicPrefix with the service's name.
+// Names of the topics that routers poll each other for. The topic of a service's hosts is named
+// hostsTopicPrefix followed by the service's name.
 const (
 	configurationTopic = "configuration"
 	registerViewTopic  = "view"
 	hostsTopicPrefix   = "hosts/"
 )
 
-// registerViewFeed is the topic of the register's view. It implements feed.Topic and belongs to the
-// hub.
+// registerViewFeed is the topic of the register's view. It implements feed.Topic. Only the hub
+// uses it.
 type registerViewFeed struct {
-	view     *coordpb.View // nil for none
+	view     *coordpb.View // nil before the first view
 	onChange func(*coordpb.View)
 }
 
 // Revision implements feed.Topic.
 func (f *registerViewFeed) Revision() uint64 { return f.view.GetEpoch() }
 
-// Shared implements feed.Topic: revisions are epochs, the same at all routers.
+// Shared implements feed.Topic. The revisions are epochs, which are the same on all routers.
 func (f *registerViewFeed) Shared() bool { return true }
 
 // Delta implements feed.Topic.
@@ -45,7 +45,7 @@
 	}
 }
 
-// install replaces the view by a newer one. Others are ignored.
+// install replaces the view if the given one is newer, and ignores it otherwise.
 func (f *registerViewFeed) install(view *coordpb.View) {
 	if view.GetEpoch() <= f.view.GetEpoch() {
 		return
@@ -60,7 +60,7 @@
 // Confirm implements feed.Topic.
 func (f *registerViewFeed) Confirm(time.Duration, *coordpb.Delta) {}
 
-// hostsFeed is the topic of one service's hosts. It implements feed.Topic and belongs to the hub.
+// hostsFeed is the topic of one service's hosts. It implements feed.Topic. Only the hub uses it.
 type hostsFeed struct {
 	service  string
 	registry *instances.Registry
@@ -71,7 +71,7 @@
 // Revision implements feed.Topic.
 func (f *hostsFeed) Revision() uint64 { return f.registry.ServiceRevision(f.service) }
 
-// Shared implements feed.Topic: each router counts revisions of its own.
+// Shared implements feed.Topic. Each router numbers its revisions independently.
 func (f *hostsFeed) Shared() bool { return false }
 
 // Delta implements feed.Topic.
--- a/internal/system/roles/node/fleet.go
+++ b/internal/system/roles/node/fleet.go
@@ -12,17 +12,17 @@
 	"reachspread/internal/rendezvous"
 )
 
-// router is one that lives, as this one sees it.
+// router is a live router, as this router knows it.
 type router struct {
 	address  netip.AddrPort // for other routers
-	zone     string         // its label
-	eligible bool           // it may be a member of the register
+	zone     string         // zone label
+	eligible bool           // may be a member of the register
 }
 
-// internal is the address for other routers as messages have it.
+// internal returns the address for other routers in the form that messages use.
 func (r *router) internal() string { return r.address.String() }
 
-// rank orders routers that may be members of the register before others.
+// rank returns the sort key that orders routers eligible for the register before all others.
 func (r *router) rank() int {
 	if r.eligible {
 		return 0
@@ -30,14 +30,13 @@
 	return 1
 }
 
-// fleet is the routers that live, by their addresses; this one is among them. It is not changed
-// once it is made.
+// fleet is the set of live routers, this one included, sorted by address. It is immutable.
 type fleet struct {
 	self    router
 	routers []router
 }
 
-// fleetOf is the routers of a view of the membership.
+// fleetOf returns the fleet that a view of the membership describes.
 func fleetOf(self router, v *members.View) *fleet {
 	f := &fleet{self: self, routers: []router{self}}
 	for _, m := range v.Members {
@@ -49,8 +48,8 @@
 	return f
 }
 
-// withRegisterMembers is the fleet with the members of the register, for a router that does not
-// know many others yet.
+// withRegisterMembers returns the fleet extended by the members of the register. A router uses it
+// after its start, when it may not know many other routers yet.
 func (f *fleet) withRegisterMembers(v *coordpb.View) *fleet {
 	all := &fleet{self: f.self, routers: slices.Clone(f.routers)}
 	for _, m := range v.GetMembers() {
@@ -68,9 +67,10 @@
 	slices.SortFunc(f.routers, func(a, b router) int { return a.address.Compare(b.address) })
 }
 
-// owners are the routers of a zone in the order in which they are responsible for a key: the first
-// is its owner, the others are its backup owners. Routers that may be members of the register come
-// first, as they keep what they know over a restart. A zone without routers has all of the fleet.
+// owners returns the routers of a zone in the order in which they are responsible for a key: the
+// owner first, then its backup owners. Routers eligible for the register come before the others
+// because they retain their state across a restart. If the zone has no routers, the result has all
+// routers of the fleet.
 func (f *fleet) owners(key, zone string) []router {
 	candidates := f.inZone(zone)
 	if len(candidates) == 0 {
@@ -91,7 +91,7 @@
 	return all
 }
 
-// zones are those that have routers, in order.
+// zones returns the zones that have routers, sorted.
 func (f *fleet) zones() (all []string) {
 	for _, r := range f.routers {
 		if !slices.Contains(all, r.zone) {
@@ -102,7 +102,8 @@
 	return all
 }
 
-// registerCandidates are the other routers that may be members of the register.
+// registerCandidates returns the addresses of the other routers that may be members of the
+// register.
 func (f *fleet) registerCandidates() (all []string) {
 	for _, r := range f.routers {
 		if r.eligible && r.address != f.self.address {
@@ -112,9 +113,9 @@
 	return all
 }
 
-// relays are the other routers that may not be members of the register: those of this router's
-// zone, or all where it has none. They forward requests to an owner that this router does not
-// reach.
+// relays returns the addresses of routers that can forward requests to an owner which this router
+// does not reach: the other routers that may not be members of the register. It returns those in
+// this router's zone, or all of them if its zone has none.
 func (f *fleet) relays() []string {
 	var inZone, all []string
 	for _, r := range f.routers {
@@ -135,7 +136,7 @@
 // maxBackupOwners is how many backup owners a subscription tries after the owner.
 const maxBackupOwners = 2
 
-// sources are the addresses of an owner and its backup owners, in their order.
+// sources returns the addresses of an owner and its backup owners, in this order.
 func sources(owners []router) (addresses []string) {
 	for _, r := range owners[:min(len(owners), 1+maxBackupOwners)] {
 		addresses = append(addresses, r.internal())
@@ -143,11 +144,11 @@
 	return addresses
 }
 
-// subscriptions are the routers from which this one obtains each topic. Register has the addresses
-// to ask about the register, the tail first.
+// subscriptions returns which routers this one obtains each topic from. The register argument has
+// the addresses to ask about the register, the tail first.
 //
-// The hosts of a service come from the service's owner in this router's zone. The owner itself
-// obtains them from the owners in the other zones, zone by zone.
+// A router obtains the hosts of a service from the service's owner in its own zone. That owner
+// obtains them from the service's owner in each other zone.
 func (f *fleet) subscriptions(services, register []string) []feed.Subscription {
 	all := f.registerSubscriptions(register)
 	for _, service := range services {
@@ -166,9 +167,9 @@
 	return all
 }
 
-// registerSubscriptions are those to the configuration and the register's view: routers that may be
-// members of the register, and the owner of the configuration in each zone, ask the register;
-// others ask that owner first.
+// registerSubscriptions returns the subscriptions to the configuration and the register's view.
+// Routers that may be members of the register, and the owner of the configuration in each zone,
+// ask the register. All others ask that owner first.
 func (f *fleet) registerSubscriptions(register []string) []feed.Subscription {
 	candidates := slices.Clone(register)
 	owners := f.owners(configurationTopic, f.self.zone)
--- a/internal/system/roles/node/handoff.go
+++ b/internal/system/roles/node/handoff.go
@@ -8,32 +8,34 @@
 	"reachspread/internal/system/message"
 )
 
-// A handoff brings the record of a host to another router. It is sent again until that router
-// acknowledges it, and then given up (hinted handoff). Receiving one twice does no harm.
+// A handoff sends the record of a host to another router. It is retried until that router
+// acknowledges it or a timeout passes (hinted handoff). Receiving a handoff twice does no harm.
 
 const (
 	handoffRetryInterval = 250 * time.Millisecond
-	// handoffTimeout is when a handoff that a caller waits for is given up.
+	// handoffTimeout is the age at which a handoff is given up if a caller waits for its
+	// acknowledgement.
 	handoffTimeout = 30 * time.Second
-	// heartbeatHandoffTimeout is the same where nobody waits: the host's next heartbeat brings
-	// another.
+	// heartbeatHandoffTimeout is the age at which a handoff is given up if no caller waits for it:
+	// the host's next heartbeat starts another one.
 	heartbeatHandoffTimeout = 4 * handoffRetryInterval
-	// maxHints bounds the handoffs that wait for an acknowledgement. Further ones are not begun.
+	// maxHints is the most handoffs that may wait for an acknowledgement. Further ones are not
+	// started.
 	maxHints = 4096
 )
 
-// hint is a handoff that is not acknowledged yet.
+// hint is a handoff that has not been acknowledged yet.
 type hint struct {
 	to             string
 	instances      []*message.Instance
 	createdAt      time.Duration
 	sentAt         time.Duration
-	onAcknowledged func(reachesMajority bool) // nil where nobody waits for it
+	onAcknowledged func(reachesMajority bool) // nil if no caller waits
 }
 
-// replicate hands a record that must not be lost to other routers. It calls done once one of them
-// has it, and that one or this one reaches a majority of the register. A router that has never
-// known of another is enough by itself.
+// replicate hands off a record that must not be lost to other routers. It calls done once one of
+// them has acknowledged the record and either that router or this one reaches a majority of the
+// register. A router that has never known any other calls done at once.
 func (h *hub) replicate(in *message.Instance, done func()) {
 	if h.isStandalone() {
 		done()
@@ -51,8 +53,8 @@
 	}
 }
 
-// handoffTargets are the routers that have to know a host: the owner of its service in each zone,
-// and the first backup owner in its own zone.
+// handoffTargets returns the other routers that must have a host's record: the owner of its
+// service in each zone, and the first backup owner in the host's own zone.
 func (h *hub) handoffTargets(in *message.Instance) (all []string) {
 	add := func(r router) {
 		if r.address != h.node.self.address && !slices.Contains(all, r.internal()) {
@@ -69,8 +71,8 @@
 	return all
 }
 
-// handOff begins a handoff. The callback is called at most once, when it is acknowledged; nil means
-// that nobody waits for it.
+// handOff starts a handoff. It calls onAcknowledged at most once, when the target acknowledges the
+// handoff; nil means that no caller waits.
 func (h *hub) handOff(to string, in *message.Instance, onAcknowledged func(reachesMajority bool)) {
 	if len(h.hints) >= maxHints {
 		return
@@ -87,7 +89,8 @@
 	h.node.send(x.to, &message.Envelope{Body: &message.Envelope_Handoff{Handoff: m}})
 }
 
-// resendHints sends handoffs again that are not acknowledged, and gives up those that are too old.
+// resendHints resends the handoffs that have not been acknowledged and drops those that have
+// expired.
 func (h *hub) resendHints() {
 	for nonce, x := range h.hints {
 		switch {
@@ -104,7 +107,7 @@
 	return age >= handoffTimeout || x.onAcknowledged == nil && age >= heartbeatHandoffTimeout
 }
 
-// receiveHandoff takes over the records of another router's handoff, and acknowledges it.
+// receiveHandoff stores the records of another router's handoff and acknowledges it.
 func (h *hub) receiveHandoff(m *message.Handoff) {
 	var changed []*instances.Record
 	for _, in := range m.Instances {
@@ -121,7 +124,8 @@
 	h.node.send(m.From, &message.Envelope{Body: &message.Envelope_Taken{Taken: acknowledgement}})
 }
 
-// handoffAcknowledged ends a handoff.
+// handoffAcknowledged completes the handoff that an acknowledgement belongs to and notifies its
+// caller.
 func (h *hub) handoffAcknowledged(m *message.Taken) {
 	x := h.hints[m.Nonce]
 	if x == nil {
@@ -133,8 +137,8 @@
 	}
 }
 
-// handoffPending reports whether a handoff of a host that somebody waits for is not acknowledged
-// yet.
+// handoffPending reports whether a handoff of a host still waits for an acknowledgement on behalf
+// of a caller.
 func (h *hub) handoffPending(id string) bool {
 	for _, hint := range h.hints {
 		if hint.onAcknowledged == nil {
--- a/internal/system/roles/node/membership.go
+++ b/internal/system/roles/node/membership.go
@@ -13,18 +13,19 @@
 	"reachspread/internal/router/peering"
 )
 
-// What a router says of itself in the version field of the membership.
+// A router describes itself in the version field of its membership entry: the format version,
+// followed by flags.
 const (
 	cardFormatVersion = "1"
-	eligibleFlag      = "c" // it may be a member of the register
+	eligibleFlag      = "c" // the router may be a member of the register
 )
 
-// maxDatagramBytes bounds a datagram of the membership or of peer reports. What is longer is
-// truncated, and so not valid.
+// maxDatagramBytes is the largest datagram of the membership or of peer reports, in bytes. A
+// longer one is truncated on receipt and therefore invalid.
 const maxDatagramBytes = 2048
 
-// openMembership opens the socket for datagrams and makes the membership, which knows this router
-// alone until its loop runs.
+// openMembership opens the socket for datagrams and creates the membership. Until its loop runs,
+// the membership knows only this router.
 func (n *Node) openMembership() error {
 	udp, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(n.self.address))
 	if err != nil {
@@ -57,15 +58,15 @@
 	}
 }
 
-// sendDatagram sends one to another router. It may be lost.
+// sendDatagram sends a datagram to another router. The datagram may be lost.
 func (n *Node) sendDatagram(to netip.AddrPort, data []byte) {
 	if !failpoint.DropMessage(to.String()) {
 		n.udp.WriteToUDPAddrPort(data, to)
 	}
 }
 
-// receiveDatagrams delivers datagrams to the peer reports and the membership until the socket is
-// closed.
+// receiveDatagrams passes received datagrams to the peer reports or the membership, until the
+// socket is closed.
 func (n *Node) receiveDatagrams() {
 	var buffer [maxDatagramBytes]byte
 	for {
@@ -84,8 +85,8 @@
 	}
 }
 
-// zoneLabel is a zone's name as the membership and the register have it. A name that is too long
-// for the membership is truncated, with a hash at the end that keeps it distinct.
+// zoneLabel returns the name of a zone in the form that the membership and the register use. A
+// name that is too long for the membership is truncated and ends in a hash, which keeps it unique.
 func zoneLabel(zone string) string {
 	const hashDigits = 8
 	if len(zone) <= members.MaxZoneLen {
@@ -94,7 +95,7 @@
 	return zone[:members.MaxZoneLen-hashDigits] + fmt.Sprintf("%0*x", hashDigits, uint32(hashString(zone)))
 }
 
-// hashString is the 64-bit FNV-1a hash of a text, the same in every process.
+// hashString returns the 64-bit FNV-1a hash of a text. It is the same in every process.
 func hashString(text string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(text))
--- a/internal/system/roles/node/messages.go
+++ b/internal/system/roles/node/messages.go
@@ -8,13 +8,13 @@
 	"reachspread/internal/system/message"
 )
 
-// The kinds of messages on the link between routers.
+// Kinds of messages on the link between routers.
 const (
-	registerMessages link.Kind = 1 // of the replicated register
-	routerMessages   link.Kind = 2 // envelopes: all others
+	registerMessages link.Kind = 1 // messages of the replicated register
+	routerMessages   link.Kind = 2 // all other messages, as envelopes
 )
 
-// receiveLink dispatches a message of the link. One that can't be decoded is dropped.
+// receiveLink dispatches a message from the link. It drops a message that it can't decode.
 func (n *Node) receiveLink(kind link.Kind, data []byte) {
 	switch kind {
 	case registerMessages:
@@ -30,15 +30,16 @@
 	}
 }
 
-// deliverToRegister hands a message to the client of the register, or else to the replica.
+// deliverToRegister passes a message to the register client, or to the replica if the client does
+// not accept it.
 func (n *Node) deliverToRegister(m *coordpb.Message) {
 	if !n.client.Receive(m) && n.replica != nil {
 		n.replica.Receive(m)
 	}
 }
 
-// sendToRegister sends a message of the register to an address, which may be this router's own. It
-// does not block, and the message may be lost.
+// sendToRegister sends a register message to an address, which may be this router's own. It does
+// not block. The message may be lost.
 func (n *Node) sendToRegister(to string, m *coordpb.Message) {
 	if to == n.self.internal() {
 		n.deliverToRegister(proto.Clone(m).(*coordpb.Message))
@@ -50,7 +51,7 @@
 	}
 }
 
-// send sends a message to another router. It does not block, and the message may be lost.
+// send sends a message to another router. It does not block. The message may be lost.
 func (n *Node) send(to string, m *message.Envelope) {
 	n.link.Send(to, routerMessages, marshalEnvelope(m))
 }
--- a/internal/system/roles/node/node.go
+++ b/internal/system/roles/node/node.go
@@ -23,24 +23,25 @@
 	"reachspread/internal/transport"
 )
 
-// logger writes one line for on-call staff. docs/oncall.md has every event.
+// logger writes log lines for on-call staff, one for each event. docs/oncall.md describes every
+// event.
 type logger interface {
 	Info(event string, fields ...any)
 	Warn(event string, fields ...any)
 }
 
-// Node is one router of the fleet. It is used once: New, then Run.
+// Node is one router of the fleet. Each Node runs once: call New, then Run.
 type Node struct {
 	activeSettings atomic.Pointer[settings.Settings]
 	log            logger
 	self           router
-	incarnation    uint64 // of this process; drawn at random
+	incarnation    uint64 // identifies this run of the process; random
 
 	link        *link.Link
 	udp         *net.UDPConn
 	members     *peering.ViewDriver
 	client      *register.Client
-	replica     *register.Replica // nil for a router that may not be a member of the register
+	replica     *register.Replica // nil unless this router may be a register member or is a seed
 	plane       *dataplane.Plane
 	front       *transport.Front
 	servers     *transport.Servers
@@ -49,23 +50,24 @@
 	peerReports *peerReporter
 	pins        *pinTracker
 	draining    drainPhase
-	latency     *schedlatency.Monitor // how late this process runs, once the loops have started
+	latency     *schedlatency.Monitor // scheduling delays of this process; set when the loops start
 
-	crash      context.CancelFunc // ends all loops at once, without draining; for tests
-	background sync.WaitGroup     // the loops, and what has to be closed before Run returns
+	crash      context.CancelFunc // for tests: ends all loops at once, without draining
+	background sync.WaitGroup     // the loops and the closers that Run waits for
 	started    chan struct{}      // closed once all listeners are open
 }
 
-// heapFraction is the fraction of the memory limit that is the soft limit of the run-time's heap.
+// heapFraction is the fraction of the process's memory limit that the Go runtime gets as its soft
+// memory limit.
 const heapFraction = 0.6
 
-// ApplyLimits has the run-time keep to what the process may use. It holds for the whole process.
+// ApplyLimits sets the CPU and memory limits of the Go runtime for the whole process.
 func ApplyLimits(l settings.Limits) {
 	runtime.GOMAXPROCS(l.CPUCores)
 	debug.SetMemoryLimit(int64(heapFraction * float64(l.MemoryMb) * (1 << 20)))
 }
 
-// New returns a router that does nothing until Run.
+// New returns a router that does nothing until Run is called.
 func New(s *settings.Settings, log logger) *Node {
 	n := &Node{log: log, incarnation: rand.Uint64(), started: make(chan struct{})}
 	n.pins = &pinTracker{node: n}
@@ -74,18 +76,19 @@
 	return n
 }
 
-// settings are those in force. They must not be changed.
+// settings returns the settings in force. The caller must not change them.
 func (n *Node) settings() *settings.Settings { return n.activeSettings.Load() }
 
-// errCrashed ends a router that a test stopped without draining.
-var errCrashed = errors.New("crashed")
+// errCrashed is the result of Run after a test ended the router without draining.
+var errCrashed = errors.New("router stopped without draining")
 
-// maxFailures is the number of listeners whose failure ends the router.
+// maxFailures is the capacity of the channel on which the listeners report that they have failed:
+// one entry for each listener. The first failure ends the router.
 const maxFailures = 3
 
-// Run serves until ctx ends, and then drains. What arrives on reload are settings that were read
-// again. The error names the field of the settings whose socket or folder could not be used; it is
-// nil after a router has drained.
+// Run runs the router until ctx ends, and then drains it. Settings that arrive on reload are
+// applied as far as a running process can. The error names the settings field whose socket or
+// folder could not be used; it is nil after a normal drain.
 func (n *Node) Run(ctx context.Context, reload <-chan *settings.Settings) error {
 	work, stop := context.WithCancel(context.Background())
 	defer n.background.Wait()
@@ -100,7 +103,7 @@
 		return err
 	}
 	close(n.started)
-	n.log.Info("started", "node", n.settings().NodeName, "address", n.self.internal(), "core", n.self.eligible)
+	n.log.Info("router started", "node", n.settings().NodeName, "address", n.self.internal(), "core", n.self.eligible)
 	for {
 		select {
 		case <-work.Done():
@@ -115,8 +118,8 @@
 	}
 }
 
-// open makes the parts, reads the disk and opens the sockets for other routers. The link delivers
-// messages from then on; the loops that act on them start later.
+// open creates the components, reads the disk and opens the sockets for other routers. From then
+// on the link delivers messages; the loops that process them start later.
 func (n *Node) open(work context.Context) error {
 	n.link = link.New(n.self.address, n.receiveLink)
 	self := &coordpb.Member{Address: n.self.internal(), Identity: rand.Uint64(), Label: zoneLabel(n.settings().Zone)}
@@ -139,8 +142,8 @@
 	return nil
 }
 
-// startLoops starts the goroutines that drive the parts. Run waits for all of them but the one that
-// saves state: a disk that hangs must not hold up the end of the process.
+// startLoops starts the goroutines that drive the components. Run waits for all of them except the
+// one that saves state, so that a disk that hangs does not delay the end of the process.
 func (n *Node) startLoops(work context.Context) {
 	if n.settings().HasDisk() {
 		file := n.newStateFile()
@@ -162,7 +165,7 @@
 	}
 }
 
-// closeAtEnd has closer called once ctx ends, and Run wait for it.
+// closeAtEnd arranges that closer is called once ctx ends and that Run waits for it to return.
 func (n *Node) closeAtEnd(ctx context.Context, closer func()) {
 	n.background.Add(1)
 	context.AfterFunc(ctx, func() {
@@ -171,7 +174,8 @@
 	})
 }
 
-// reload applies what a running process can of settings that were read again.
+// reload applies the changes in newly read settings that can take effect in a running process. It
+// logs which changes it applied and which wait for the next start.
 func (n *Node) reload(ctx context.Context, read *settings.Settings) {
 	next, applied, deferred := n.settings().Reload(read)
 	n.activeSettings.Store(next)
--- a/internal/system/roles/node/ownership.go
+++ b/internal/system/roles/node/ownership.go
@@ -9,7 +9,7 @@
 	"reachspread/internal/system/deciders/instances"
 )
 
-// owner is the router responsible for the hosts of a service in a zone.
+// owner returns the router that is responsible for the hosts of a service in a zone.
 func (h *hub) owner(service, zone string) router {
 	return h.fleet.owners(hostsTopicPrefix+service, zoneLabel(zone))[0]
 }
@@ -18,8 +18,8 @@
 	return h.owner(r.Service, r.Zone).address == h.node.self.address
 }
 
-// updateOwnership computes for which services and zones this router is the owner. Of those that are
-// new it waits for heartbeats from now on.
+// updateOwnership computes the services and zones that this router owns. For newly owned ones it
+// restarts the heartbeat timeouts of their hosts, whose heartbeats went to another router before.
 func (h *hub) updateOwnership(services []string) {
 	before := h.owned
 	h.owned = mapset.NewThreadUnsafeSet[ownerKey]()
@@ -36,7 +36,7 @@
 	})
 }
 
-// zones are those that have routers and those of the settings.
+// zones returns the zones that have routers and those that the settings list.
 func (h *hub) zones() []string {
 	all := h.fleet.zones()
 	for name := range h.node.settings().Zones {
@@ -47,8 +47,8 @@
 	return all
 }
 
-// randomRelay is a router that may reach an owner which this one does not reach, empty for none. It
-// may be called by any goroutine.
+// randomRelay returns a random router that may reach an owner which this router does not reach, or
+// an empty string if there is none. Any goroutine may call it.
 func (h *hub) randomRelay() string {
 	all := h.relays.Load()
 	if all == nil || len(*all) == 0 {
@@ -57,7 +57,8 @@
 	return (*all)[rand.IntN(len(*all))]
 }
 
-// standsAlone reports whether this router has never known of any other.
+// isStandalone reports whether this router has never known any other router: no other seed, no
+// other live router and no other register member.
 func (h *hub) isStandalone() bool {
 	for _, seed := range h.node.settings().Seeds() {
 		if seed != h.node.self.address {
--- a/internal/system/roles/node/replica.go
+++ b/internal/system/roles/node/replica.go
@@ -14,11 +14,11 @@
 	"reachspread/internal/system/settings"
 )
 
-// registerFolder is the folder of the register within the data directory.
+// registerFolder is the name of the register's folder within the data directory.
 const registerFolder = "register"
 
-// mayJoinRegister reports whether the process may be a member of the register. One without a disk
-// keeps its replica in memory, and is another member in each incarnation.
+// mayJoinRegister reports whether the process may be a member of the register. A process without a
+// disk has its replica in memory only and joins as a new member in each incarnation.
 func mayJoinRegister(s *settings.Settings) bool {
 	return s.ServesRole(settings.ServesControl) && s.CountsForQuorum
 }
@@ -26,8 +26,9 @@
 // isSeed reports whether this router's own address is among the seeds.
 func (n *Node) isSeed() bool { return slices.Contains(n.settings().Seeds(), n.self.address) }
 
-// openReplica makes the replica of a router that may be a member of the register or is a seed, with
-// what the disk has of it. Self gets the identity that the disk has; nothing is sent yet.
+// openReplica creates the replica if this router may be a member of the register or is a seed. It
+// restores the replica's state from the disk and sets the identity of self to the stored one. It
+// sends nothing yet.
 func (n *Node) openReplica(self *coordpb.Member) error {
 	if !n.self.eligible && !n.isSeed() {
 		return nil
@@ -73,8 +74,8 @@
 	return config
 }
 
-// loadRegister reads the register from the disk into the store and config.Persisted. Without a disk
-// all that it returns is nil.
+// loadRegister reads the register from the disk into store and config.Persisted. It returns only
+// nil values if this router may not be a member of the register or has no disk.
 func (n *Node) loadRegister(config *register.Config, store *configuration.Store) (*storage.Store, storage.Files, error) {
 	s := n.settings()
 	if !n.self.eligible || !s.HasDisk() {
--- a/internal/system/roles/roles.go
+++ b/internal/system/roles/roles.go
@@ -13,21 +13,22 @@
 	"reachspread/internal/system/settings"
 )
 
-// The log has at most maxLinesPerEvent lines of an event within logPeriod.
+// The log writes at most maxLinesPerEvent lines of each event within logPeriod.
 const (
 	maxLinesPerEvent = 10
 	logPeriod        = 10 * time.Second
 )
 
-// Run serves as a router until SIGTERM or an interrupt, or until ctx ends, and then drains. At
-// SIGHUP the settings are read again. The error is that of the settings or of the router's Run.
+// Run runs a router until SIGTERM or an interrupt arrives or ctx ends, and then drains it. On
+// SIGHUP it loads the settings again. It returns an error if the settings can't be loaded or if
+// the router's Run fails.
 func Run(ctx context.Context) error {
-	// Before all else: a SIGHUP that nobody handles ends the process.
+	// Handle SIGHUP before anything else: an unhandled one ends the process.
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
 	var background sync.WaitGroup
-	defer background.Wait() // after stop
+	defer background.Wait() // runs after stop, which ends the goroutine
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	s, err := settings.Load(os.Getenv)
@@ -41,8 +42,8 @@
 	return node.New(s, log).Run(ctx, reload)
 }
 
-// reloadOnSignal reads the settings file at each signal until ctx ends. A file that can't be used
-// changes nothing.
+// reloadOnSignal loads the settings at each signal and sends them on read, until ctx ends. If
+// loading fails, it logs the cause and the current settings stay in force.
 func reloadOnSignal(ctx context.Context, signals <-chan os.Signal, read chan<- *settings.Settings, log logging.Lines) {
 	for {
 		select {
@@ -52,7 +53,7 @@
 		}
 		s, err := settings.Load(os.Getenv)
 		if err != nil {
-			log.Warn("settings unusable", "cause", err)
+			log.Warn("settings not reloaded", "cause", err)
 			continue
 		}
 		select {
