--- a/internal/system/roles/node/configurationfeed.go
+++ b/internal/system/roles/node/configurationfeed.go
@@ -14,37 +14,40 @@
 )
 
 const (
-	// maxPastDocuments is how many documents before the present one are retained, so that a
-	// subscriber that has one of them gets only what changed since. They share most items.
+	// maxPastDocuments is the number of documents before the current one that are retained. A
+	// subscriber that has one of them receives only what changed since. The documents share most
+	// of their items.
 	maxPastDocuments = 16
-	// maxDocumentBytes bounds a document of another router.
+	// maxDocumentBytes is the largest uncompressed document, in bytes, that is accepted from
+	// another router.
 	maxDocumentBytes = 64 << 20
 )
 
-// configurationFeed is the topic of the configuration. Its revisions are the sequence numbers of
-// the register, the same at all routers. It implements feed.Topic and belongs to the hub.
+// configurationFeed is the topic of the configuration. Its revisions are sequence numbers of the
+// register, which are the same on all routers. It implements feed.Topic. Only the hub uses it.
 type configurationFeed struct {
 	sequence    uint64
-	state       *configuration.State // nil for none
-	confirmedAt time.Duration        // no newer one was committed by then; below 0 for never
-	activeSince time.Duration        // the state is in force here
+	state       *configuration.State // nil before the first one
+	confirmedAt time.Duration        // no newer state had been committed by this time; negative for never
+	activeSince time.Duration        // when the state came into force on this router
 
 	clock    func() time.Duration
 	onChange func(*configuration.State)
-	onError  func(error) // of another router's update
+	onError  func(error) // called if another router's update can't be decoded
 
-	past   []installedDocument     // before the present one, the oldest first
-	deltas map[uint64]encodedDelta // of the present state, by the revision that the receiver has
+	past   []installedDocument     // before the current one, oldest first
+	deltas map[uint64]encodedDelta // that lead to the current state, by the receiver's revision
 }
 
-// installedDocument is one that was in force here.
+// installedDocument is a document that is or was in force on this router.
 type installedDocument struct {
 	sequence    uint64
 	document    *configuration.Document
 	activeSince time.Duration
 }
 
-// encodedDelta is a payload with the revision that it builds on, 0 for none.
+// encodedDelta is an encoded update and the revision that it applies to, or 0 for a complete
+// document.
 type encodedDelta struct {
 	payload []byte
 	base    uint64
@@ -56,8 +59,8 @@
 // Shared implements feed.Topic.
 func (c *configurationFeed) Shared() bool { return true }
 
-// Delta implements feed.Topic: what changed since a revision where that is known and shorter, or
-// else the complete document.
+// Delta implements feed.Topic. It returns the changes since a revision if that revision is
+// retained and the changes are shorter than the document, or else the complete document.
 func (c *configurationFeed) Delta(after uint64) (payload []byte, since uint64) {
 	if c.state == nil {
 		return nil, 0
@@ -73,8 +76,9 @@
 	return d.payload, d.base
 }
 
-// patchSince encodes what changed since a revision; ok is false where the revision is not retained,
-// no patch leads from it to the present document, or the patch is longer than the document.
+// patchSince encodes the changes since a revision. It returns false if the revision is not
+// retained, if no patch leads from it to the current document, or if the patch is longer than the
+// document.
 func (c *configurationFeed) patchSince(revision uint64) (d encodedDelta, ok bool) {
 	at := slices.IndexFunc(c.past, func(p installedDocument) bool { return p.sequence == revision })
 	if at < 0 {
@@ -88,7 +92,7 @@
 	return encodedDelta{payload, revision}, err == nil
 }
 
-// fullDocument encodes the complete document.
+// fullDocument returns the encoded complete document.
 func (c *configurationFeed) fullDocument() encodedDelta {
 	if d, ok := c.deltas[0]; ok {
 		return d
@@ -98,7 +102,7 @@
 	return c.deltas[0]
 }
 
-// pins are the version pins of the state, nil where there never were any.
+// pins returns the version pins of the current state, or nil if no pin was ever set.
 func (c *configurationFeed) pins() *message.Pins {
 	set := c.state.Pins()
 	if set.Revision == 0 {
@@ -107,7 +111,7 @@
 	return set.Message()
 }
 
-// Merge implements feed.Topic: it installs another router's update if that is newer.
+// Merge implements feed.Topic. It installs another router's update if the update is newer.
 func (c *configurationFeed) Merge(d *coordpb.Delta) {
 	if d.Revision <= c.sequence {
 		return
@@ -120,8 +124,8 @@
 	c.install(d.Revision, state)
 }
 
-// decode is the state that an update leads to; nil where it builds on another revision than this
-// router has.
+// decode returns the state that an update leads to, or nil if the update is a patch to another
+// revision than the current one.
 func (c *configurationFeed) decode(d *coordpb.Delta) (*configuration.State, error) {
 	published := &message.Published{}
 	if err := proto.Unmarshal(d.Payload, published); err != nil {
@@ -138,8 +142,8 @@
 	return next.WithPins(pins.FromMessage(published.Pins)), nil
 }
 
-// decodeOrder is an update as the order that makes it; nil where it builds on another revision than
-// this router has.
+// decodeOrder converts an update to the order that produces it. The result is nil if the update is
+// a patch to another revision than the current one.
 func (c *configurationFeed) decodeOrder(d *coordpb.Delta, published *message.Published) (*message.Order, error) {
 	if len(published.Patch) > 0 {
 		if d.Since != c.sequence || c.state == nil {
@@ -158,7 +162,7 @@
 	return &message.Order{Kind: message.Order_PUT, Body: text}, err
 }
 
-// install replaces the state by a committed one that is newer. Others are ignored.
+// install replaces the current state by a committed one that is newer. It ignores any other state.
 func (c *configurationFeed) install(sequence uint64, state *configuration.State) {
 	if sequence <= c.sequence || state == nil {
 		return
@@ -176,8 +180,7 @@
 	return installedDocument{c.sequence, c.state.Document, c.activeSince}
 }
 
-// installedDocuments are the present document and those before it that are retained, the newest
-// first.
+// installedDocuments returns the current document and the retained earlier ones, newest first.
 func (c *configurationFeed) installedDocuments() []installedDocument {
 	if c.state == nil {
 		return nil
@@ -195,7 +198,8 @@
 // Confirm implements feed.Topic.
 func (c *configurationFeed) Confirm(at time.Duration, d *coordpb.Delta) { c.confirmAt(at, d.Revision) }
 
-// confirmAt records that nothing newer than a sequence was committed at a time.
+// confirmAt records that no state newer than the given sequence number had been committed at a
+// time.
 func (c *configurationFeed) confirmAt(at time.Duration, sequence uint64) {
 	if c.sequence >= sequence {
 		c.confirmedAt = max(c.confirmedAt, at)
--- a/internal/system/roles/node/dataplane.go
+++ b/internal/system/roles/node/dataplane.go
@@ -16,23 +16,25 @@
 // Limits of the connections to hosts.
 const (
 	hostConnectTimeout   = 200 * time.Millisecond
-	hostKeepaliveTimeout = 40 * time.Second // of an idle connection, where the host does not say
-	hostIdleTimeout      = 5 * time.Second  // without a byte of an answer
+	hostKeepaliveTimeout = 40 * time.Second // of an idle connection, if the host does not state a time
+	hostIdleTimeout      = 5 * time.Second  // without a byte of the answer
 )
 
 // Limits of the connections and requests of clients.
 const (
-	bodyFraction           = 0.2 // of the memory limit, for the bodies of all requests in flight
+	bodyFraction           = 0.2 // share of the memory limit for the bodies of all requests in flight
 	maxHeaderBytes         = 16 << 10
-	maxRejectedConnections = 8 // beyond the limit of connections, each read and answered with 503
+	maxRejectedConnections = 8 // above the connection limit; each is read and answered with 503
 	minRetryAfter          = time.Second
 )
 
-// reservedDescriptors are for the disk, other routers, the control plane and the run-time. Clients
-// and hosts share the rest of the limit, which is at least half of it.
+// reservedDescriptors is the number of file descriptors set aside for the disk, other routers, the
+// control plane and the runtime. Clients and hosts share the rest of the limit, but at least half
+// of it.
 const reservedDescriptors = 400
 
-// openDataPlane makes the data plane with its front and the connections to hosts. It listens later.
+// openDataPlane creates the data plane, its front and the connection pools for hosts. The front
+// starts to listen later.
 func (n *Node) openDataPlane(ctx context.Context) {
 	s := n.settings()
 	free := max(s.Limits.FileDescriptors-reservedDescriptors, s.Limits.FileDescriptors/2)
@@ -65,7 +67,7 @@
 	n.front.SetKeepAlive(true)
 }
 
-// logUnanswered logs a client's connection that was closed with a request and without an answer.
+// logUnanswered logs that a client's connection was closed before a request on it was answered.
 func (n *Node) logUnanswered(closed transport.ConnectionClosed) {
 	if closed.Unanswered {
 		go n.log.Warn("connection closed unanswered", "client", closed.Client, "reason", closed.Reason, "unread", closed.Unread,
@@ -73,14 +75,14 @@
 	}
 }
 
-// The least time-outs of clients; the configuration may set longer ones.
+// Lower bounds of the clients' timeouts. The configuration may set longer ones.
 const (
 	minIdleTimeout   = 10 * time.Second
 	minHeaderTimeout = 3 * time.Second
 )
 
-// clientTimeout is how long a client may send nothing: within a request that has begun, or before
-// one. It implements transport.Patience.
+// clientTimeout returns how long a client may send nothing, either within a request that has begun
+// or before one begins. It implements transport.Patience.
 func (n *Node) clientTimeout(begun bool) time.Duration {
 	limits := configuration.Limits{}
 	if state := n.plane.State(); state != nil {
@@ -92,11 +94,11 @@
 	return max(settings.Milliseconds(limits.IdleTimeoutMs), minIdleTimeout)
 }
 
-// revocationMargin is what is left of bounds.revocationMs for a request that is in flight.
+// revocationMargin is the part of bounds.revocationMs that is left for a request in flight.
 const revocationMargin = 300 * time.Millisecond
 
-// honoursKeys reports whether the configuration was confirmed so recently that requests may be
-// accepted by the API keys and version pins in it.
+// honoursKeys reports whether the configuration was confirmed recently enough that requests may be
+// accepted by its API keys and version pins.
 func (n *Node) honoursKeys() bool {
 	bounds := n.settings().Bounds
 	if !bounds.RevocationClosed {
@@ -105,8 +107,9 @@
 	return n.hub.confirmedWithin(settings.Milliseconds(bounds.RevocationMs) - revocationMargin)
 }
 
-// configurationIsNewest reports whether the configuration was confirmed so recently that every
-// change which has to be in force by now is in it. Only then a request may be rejected by it.
+// configurationIsNewest reports whether the configuration was confirmed so recently that it has
+// every change that must be in force by now. The router may reject a request because of the
+// configuration only if this is true.
 func (n *Node) configurationIsNewest() bool {
 	bound := settings.Milliseconds(n.settings().Bounds.ConfigurationApplyMs)
 	return bound == 0 || n.hub.confirmedWithin(bound)
--- a/internal/system/roles/node/draining.go
+++ b/internal/system/roles/node/draining.go
@@ -11,38 +11,41 @@
 )
 
 const (
-	// lameDuckDuration is how long clients may still arrive after the router has begun to drain:
-	// the platform has to notice that it is not ready.
+	// lameDuckDuration is how long the router still accepts clients after it has begun to drain:
+	// the platform needs time to notice that the router is not ready.
 	lameDuckDuration = 1200 * time.Millisecond
-	// minGraceMargin is what is left of the platform's grace, at the least, when draining is given up:
-	// last answers have to be written, by a process that may wait for a processor.
+	// minGraceMargin is the least time before the end of the platform's grace period at which
+	// draining is given up. The process, which may have to wait for a processor, must still write
+	// the last answers in this time.
 	minGraceMargin = 600 * time.Millisecond
-	// maxLatencyMargin bounds what is left more where the process has run late.
+	// maxLatencyMargin is the most time added to minGraceMargin if the process has been running
+	// late.
 	maxLatencyMargin = 600 * time.Millisecond
-	// finalAnswersInterval is the time between two looks at whether these are written.
+	// finalAnswersInterval is the time between two checks whether the last answers are written.
 	finalAnswersInterval = 10 * time.Millisecond
-	// handOverPollInterval is the time between two questions whether the register was handed over.
+	// handOverPollInterval is the time between two checks whether the register was handed over.
 	handOverPollInterval = 50 * time.Millisecond
 )
 
-// The phases of draining, in their order, as the status and the log name them.
+// The phases of draining, in order, under the names that the status and the log use.
 const (
 	phaseNotified  = "told"         // clients may still arrive
 	phaseFinishing = "finishing"    // no new requests; those in flight are answered
-	phaseHandOver  = "handing over" // until the other members can do without this replica
+	phaseHandOver  = "handing over" // wait until the other members can do without this replica
 	phaseEnded     = "ended"
 )
 
-// Why draining ended, as the log names it.
+// The causes for the end of draining, under the names that the log uses.
 const (
 	causeCompleted  = "completed"
 	causeEndOfGrace = "end of grace"
 )
 
-// drainPhase is the phase of draining that a router has reached. It may be read at any time.
+// drainPhase is the phase of draining that a router has reached. Any goroutine may read it at any
+// time.
 type drainPhase struct{ now atomic.Pointer[string] }
 
-// name is the phase, empty before the router drains.
+// name returns the phase, or an empty string before the router drains.
 func (p *drainPhase) name() string {
 	if now := p.now.Load(); now != nil {
 		return *now
@@ -52,9 +55,9 @@
 
 func (p *drainPhase) enter(name string) { p.now.Store(&name) }
 
-// drain finishes the requests in flight, and stays until the other members of the register can do
-// without this one, at most for the grace that the platform gives. The error is that of closing the
-// clients' listener.
+// drain finishes the requests in flight and waits until the other members of the register can do
+// without this one, at most until the end of the platform's grace period. It returns the error
+// from closing the clients' listener.
 func (n *Node) drain() error {
 	began := time.Now()
 	end, cancel := context.WithTimeout(context.Background(), max(n.drainTimeout(began), lameDuckDuration))
@@ -75,19 +78,21 @@
 	if end.Err() != nil {
 		cause = causeEndOfGrace
 	}
-	n.log.Info("drained", append([]any{"cause", cause}, n.drainFields(began)...)...)
+	n.log.Info("router drained", append([]any{"cause", cause}, n.drainFields(began)...)...)
 	return err
 }
 
-// drainTimeout returns how long a router may drain that has noticed SIGTERM at noticed. The platform's
-// grace runs from when it sent that, which is earlier where the process ran late.
+// drainTimeout returns how long a router may drain that noticed SIGTERM at the given time. The
+// platform's grace period begins when the platform sends SIGTERM, which is earlier than that if
+// the process ran late.
 func (n *Node) drainTimeout(noticed time.Time) time.Duration {
 	grace := settings.Seconds(n.settings().Bounds.GraceS)
 	margin := minGraceMargin + min(n.latency.Longest(noticed, schedlatency.Window), maxLatencyMargin)
 	return grace - n.latency.SignalDelay(noticed) - margin
 }
 
-// announceDraining tells clients, the register and the other routers that this one drains.
+// announceDraining announces to clients, the register and the other routers that this router
+// drains.
 func (n *Node) announceDraining(ctx context.Context) {
 	n.front.SetKeepAlive(false)
 	if n.replica != nil {
@@ -98,9 +103,10 @@
 	n.members.Leave(ctx, false)
 }
 
-// finishRequests waits until the requests in flight are answered, or ctx ends. Then those that are
-// left are answered at once, and it returns when each has something of its answer: only the platform
-// may end the process before. Streams, and the goroutine that waits for them, end with the process.
+// finishRequests waits until the requests in flight are answered. If ctx ends first, it answers
+// all that are left at once and returns when each has at least the beginning of an answer. Only
+// the platform may end the process before that. Streams, and the goroutine that waits for them,
+// end with the process.
 func (n *Node) finishRequests(ctx context.Context) error {
 	n.front.CloseAfterAnswers()
 	done := make(chan error, 1)
@@ -124,7 +130,7 @@
 	return nil
 }
 
-// handOverRegister waits until the other members of the register can do without this one, or ctx
+// handOverRegister waits until the other members of the register can do without this one or ctx
 // ends.
 func (n *Node) handOverRegister(ctx context.Context) {
 	if n.replica == nil || !n.self.eligible {
@@ -142,14 +148,14 @@
 	}
 }
 
-// enterPhase records and logs a phase.
+// enterPhase records and logs a phase of draining.
 func (n *Node) enterPhase(name string, began time.Time) {
 	n.draining.enter(name)
-	n.log.Info("draining", append([]any{"phase", name}, n.drainFields(began)...)...)
+	n.log.Info("router draining", append([]any{"phase", name}, n.drainFields(began)...)...)
 }
 
-// drainFields are the fields that all lines on draining have: how long it has taken, and what is
-// still in flight or used.
+// drainFields returns the fields common to all log lines on draining: the time since it began, the
+// open client connections and the processor time that the process has used.
 func (n *Node) drainFields(began time.Time) []any {
 	after := time.Since(began).Round(time.Millisecond).String()
 	cpu := processorTime().Round(time.Millisecond).String()
--- a/internal/system/roles/node/hosts.go
+++ b/internal/system/roles/node/hosts.go
@@ -9,8 +9,8 @@
 	"reachspread/internal/system/message"
 )
 
-// heartbeat handles a host's own call. Done is called once the call may be acknowledged, with the
-// address for the host's next heartbeats.
+// heartbeat handles a host's heartbeat. It calls done once the heartbeat may be acknowledged, with
+// the address to which the host is to send its next heartbeats.
 func (h *hub) heartbeat(in *message.Instance, done func(next string)) {
 	changed := h.registry.Heartbeat(h.now(), in)
 	if changed != nil {
@@ -29,9 +29,9 @@
 	acknowledge()
 }
 
-// remove handles a host's call that it ends. Done is called once that may be acknowledged. Other
-// routers may know a host that is unknown here: its end is acknowledged only where this router has
-// had time to learn what they know.
+// remove handles a host's call that it ends. It calls done once the call may be acknowledged.
+// Other routers may know a host that this router does not. The end of such a host is acknowledged
+// only if this router has had time to learn what the others know.
 func (h *hub) remove(id string, done func()) {
 	changed := h.registry.Remove(h.now(), id)
 	if changed != nil {
@@ -48,8 +48,9 @@
 	}
 }
 
-// acknowledgeEnd acknowledges that a host drains or ends, once a router from which others learn of
-// hosts has the record. AlreadyKnown says that the record had that state here before this call.
+// acknowledgeEnd acknowledges that a host drains or ends, once a router from which other routers
+// learn about hosts has the record. alreadyKnown reports whether the record already had that state
+// on this router before the call.
 func (h *hub) acknowledgeEnd(known *instances.Record, alreadyKnown bool, done func()) {
 	if alreadyKnown && h.reachesMajority() && !h.handoffPending(known.Id) {
 		done()
@@ -58,16 +59,16 @@
 	h.replicate(known.Instance, done)
 }
 
-// minPublishInterval, with publishIntervalPerHost for each known host, is the least time between
-// two publications of changed records to the data plane and to other routers. Hundreds of hosts may
-// send heartbeats at once, and each publication costs some microseconds for each known host. A
-// record passes three routers at most: 0.36 s at 810 hosts, 1 s at 3,000.
+// minPublishInterval plus publishIntervalPerHost for each known host is the shortest time between
+// two publications of changed records to the data plane and to other routers. Hundreds of hosts
+// may send heartbeats at once, and each publication costs some microseconds for each known host. A
+// record passes through at most three routers, which takes 0.36 s at 810 hosts and 1 s at 3,000.
 const (
 	minPublishInterval     = 40 * time.Millisecond
 	publishIntervalPerHost = 100 * time.Microsecond
 )
 
-// hostsChanged publishes changed records: now, or once minPublishInterval has passed.
+// hostsChanged publishes changed records: at once, or when the publish interval has passed.
 func (h *hub) hostsChanged(all []*instances.Record) {
 	if len(all) == 0 {
 		return
@@ -84,7 +85,7 @@
 	}
 }
 
-// publishHosts publishes the records that have changed to the data plane and to subscribers.
+// publishHosts publishes the changed records to the data plane and to subscribers.
 func (h *hub) publishHosts() {
 	h.nextPublishAt = h.now() + minPublishInterval + time.Duration(h.registry.Len())*publishIntervalPerHost
 	for service := range mapset.Elements(h.unpublished) {
@@ -95,7 +96,7 @@
 	h.unpublished.Clear()
 }
 
-// updateEndpoints hands the hosts of a service to the data plane.
+// updateEndpoints passes the hosts of a service to the data plane.
 func (h *hub) updateEndpoints(service string) {
 	h.node.plane.SetHosts(service, h.registry.ServiceRevision(service), h.registry.Records(service), h.now())
 }
--- a/internal/system/roles/node/http.go
+++ b/internal/system/roles/node/http.go
@@ -21,15 +21,16 @@
 )
 
 const (
-	callTimeout = 10 * time.Second // for reading a call, and for answering it
-	idleTimeout = 30 * time.Second // of a connection between two calls
+	callTimeout = 10 * time.Second // for reading a call, and again for answering it
+	idleTimeout = 30 * time.Second // for a connection without a call
 )
 
-// readinessPath is where the platform asks whether clients may be sent here.
+// readinessPath is the path at which the platform asks whether it may route clients to this
+// router.
 const readinessPath = "/readiness"
 
-// serve opens the listeners of the roles that the settings give this router. One that fails later
-// reports on failed. The error names the field of the address.
+// serve opens the listeners of the roles that the settings give this router. A listener that fails
+// later sends its error on failed. The returned error names the settings field of the address.
 func (n *Node) serve(ctx context.Context, failed chan<- error) error {
 	s := n.settings()
 	if s.ServesRole(settings.ServesControl) {
@@ -60,8 +61,8 @@
 	})
 }
 
-// listenHTTP serves a handler on an address until ctx ends. What goes wrong on a caller's
-// connection is not logged.
+// listenHTTP serves a handler on an address until ctx ends. Errors on callers' connections are not
+// logged.
 func (n *Node) listenHTTP(ctx context.Context, address string, handler http.Handler, failed chan<- error) error {
 	ln, err := transport.Listen(ctx, "tcp4", address)
 	if err != nil {
@@ -83,7 +84,7 @@
 	return nil
 }
 
-// listenFrontend serves clients on an address until ctx ends.
+// listenFrontend accepts clients on an address until ctx ends.
 func (n *Node) listenFrontend(ctx context.Context, address string, failed chan<- error) error {
 	ln, err := transport.Listen(ctx, "tcp4", address)
 	if err != nil {
@@ -98,7 +99,7 @@
 	return nil
 }
 
-// readinessHandler answers the platform's question whether clients may be sent here, and serves the
+// readinessHandler returns the handler that answers the platform's readiness checks and serves the
 // status and the metrics.
 func (n *Node) readinessHandler() http.Handler {
 	m := mux.NewRouter()
@@ -116,8 +117,9 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// Ready reports whether clients may be sent here: the router is not draining, has a configuration
-// and hosts, and the configuration is confirmed recently enough for keys if it has any.
+// Ready reports whether clients may be routed to this router. It must not be draining and must
+// have a configuration and hosts. If the configuration has API keys, it must also have been
+// confirmed recently enough to honour them.
 func (n *Node) Ready() bool {
 	if n.front.Draining() || !n.plane.Serving() {
 		return false
@@ -125,8 +127,8 @@
 	return n.honoursKeys() || !n.plane.State().Typed.Keyed()
 }
 
-// controlAddress is where hosts reach the control plane of a router: the port is the same on every
-// machine.
+// controlAddress returns the address of a router's control plane for hosts. The port is the same
+// on every machine.
 func (n *Node) controlAddress(r router) string {
 	_, port, err := net.SplitHostPort(n.settings().ListenAddresses.ControlPlane)
 	if err != nil {
@@ -135,7 +137,7 @@
 	return net.JoinHostPort(r.address.Addr().String(), port)
 }
 
-// hostCalls posts the calls of hosts to the hub. It implements controlapi.Hosts.
+// hostCalls forwards hosts' calls to the hub. It implements controlapi.Hosts.
 type hostCalls struct{ node *Node }
 
 // Heartbeat implements controlapi.Hosts.
--- a/internal/system/roles/node/hub.go
+++ b/internal/system/roles/node/hub.go
@@ -15,19 +15,19 @@
 
 const (
 	hubTickInterval = 100 * time.Millisecond
-	// expiryInterval is the time between two searches for hosts whose heartbeats have stopped.
+	// expiryInterval is the time between two checks for hosts whose heartbeats have stopped.
 	expiryInterval = 500 * time.Millisecond
-	// maxQueuedCalls bounds the calls that wait for the hub. Beyond it calls are dropped; all that
-	// matter are retried by whoever made them.
+	// maxQueuedCalls is the most calls that wait for the hub. Further calls are dropped. Callers
+	// retry every call that matters.
 	maxQueuedCalls = 1024
 )
 
-// hub owns what this router knows of the fleet: its routers, the hosts, the configuration, and
-// where each of them is obtained. The goroutine of run alone touches its fields, but for the atomic
-// ones; others post calls.
+// hub owns what this router knows about the fleet: the routers, the hosts, the configuration, and
+// the routers from which it obtains each of them. Only the goroutine of run accesses its fields,
+// except for the atomic ones. Other goroutines post calls.
 type hub struct {
 	node      *Node
-	startedAt time.Time // of the hub's clock, which shows 0 then
+	startedAt time.Time // the zero of the hub's clock
 	calls     chan func()
 
 	feed          *feed.Node
@@ -35,31 +35,31 @@
 	configuration *configurationFeed
 	registerView  *registerViewFeed
 
-	members *fleet // by the membership alone
-	fleet   *fleet // these, and while joining the members of the register
+	members *fleet // the live routers according to the membership
+	fleet   *fleet // members, and during joining also the register's members
 	owned   mapset.Set[ownerKey]
 
-	hints map[uint64]*hint // by nonce
-	nonce uint64           // of the last hint
+	hints map[uint64]*hint // handoffs without an acknowledgement, by nonce
+	nonce uint64           // nonce of the last hint
 
 	nextExpiryAt  time.Duration
-	unpublished   mapset.Set[string] // services with records that other routers were not sent yet
+	unpublished   mapset.Set[string] // services with changed records to publish
 	nextPublishAt time.Duration
-	publishTimer  *time.Timer // runs while unpublished has any
+	publishTimer  *time.Timer // set while unpublished is not empty
 
 	wasJoining        bool
-	wasConfirmed      bool // the configuration was, at the last look
+	wasConfirmed      bool // the configuration was confirmed at the last check
 	unconfirmedLogged bool
 
-	// What other goroutines read.
+	// Fields that other goroutines read.
 	inForce      atomic.Pointer[knownConfiguration]
-	relays       atomic.Pointer[[]string] // routers that may reach an owner which this one does not
-	confirmedAt  atomic.Int64             // of the configuration, by the hub's clock; below 0 for never
+	relays       atomic.Pointer[[]string] // routers that may reach an owner which this router can't reach
+	confirmedAt  atomic.Int64             // configuration confirmed as of this time of the hub's clock; negative for never
 	droppedCalls atomic.Uint64
 	pace         pacing.Meter
 }
 
-// ownerKey is what a router owns: the hosts of a service in a zone.
+// ownerKey identifies a unit of ownership: the hosts of one service in one zone.
 type ownerKey struct{ service, zone string }
 
 func newHub(n *Node) *hub {
@@ -89,11 +89,11 @@
 	return h
 }
 
-// now is the hub's clock.
+// now returns the time of the hub's clock.
 func (h *hub) now() time.Duration { return time.Since(h.startedAt) }
 
-// post queues a call for the hub's goroutine. It does not block: with too many queued, it is
-// dropped.
+// post queues a call for the hub's goroutine. It never blocks: if the queue is full, it drops the
+// call.
 func (h *hub) post(call func()) {
 	select {
 	case h.calls <- call:
@@ -102,8 +102,9 @@
 	}
 }
 
-// query has the hub's goroutine compute something and waits for it; ok is false where ctx ended
-// first. The hub may get to it after that, so f must not use what the caller goes on to change.
+// query runs f on the hub's goroutine and waits for the result. It returns false if ctx ends
+// first. The hub may still run f after that, so f must not access anything that the caller changes
+// later.
 func query[T any](ctx context.Context, h *hub, f func() T) (answer T, ok bool) {
 	done := make(chan T, 1)
 	select {
@@ -140,7 +141,7 @@
 	}
 }
 
-// tick does what is due by time.
+// tick runs the periodic work.
 func (h *hub) tick() {
 	h.confirmFromReplica()
 	h.refreshConfirmation()
@@ -155,7 +156,7 @@
 	}
 }
 
-// receiveEnvelope handles a message of another router.
+// receiveEnvelope handles a message from another router.
 func (h *hub) receiveEnvelope(m *message.Envelope) {
 	switch body := m.Body.(type) {
 	case *message.Envelope_Poll:
@@ -171,7 +172,7 @@
 	}
 }
 
-// sendAll sends the messages that the feed returned.
+// sendAll sends the polls and updates that the feed returned.
 func (h *hub) sendAll(all []feed.Send) {
 	for _, s := range all {
 		if s.Poll != nil {
--- a/internal/system/roles/node/peerreports.go
+++ b/internal/system/roles/node/peerreports.go
@@ -19,27 +19,30 @@
 )
 
 const (
-	// peerReportDatagram is the first byte of a datagram with peer reports; a SentPrompts follows
-	// it. Datagrams of the membership begin otherwise.
+	// peerReportDatagram is the first byte of a datagram with peer reports, before the encoded
+	// SentPrompts. Datagrams of the membership begin with another byte.
 	peerReportDatagram = 0x30
-	// promptDatagramRate is how many datagrams a second a router sends on average to report its
-	// prompts. At some 50 bytes each with headers that is 4.3 kB a second, whatever the number of
-	// routers.
+	// promptDatagramRate is the average number of datagrams per second that a router sends to
+	// report prompts. At some 50 bytes each with headers, that is 4.3 kB a second, whatever the
+	// number of routers.
 	promptDatagramRate = 85
-	// hostDatagramRate is the same for failures and slowness of hosts, with hostDatagramBurst at
-	// once.
+	// hostDatagramRate is the average number of datagrams per second that a router sends to report
+	// failed and slow hosts. It may send hostDatagramBurst of them at once.
 	hostDatagramRate  = 85
 	hostDatagramBurst = 5 * hostDatagramRate
-	// slownessScale is the unit of a host's slowness on the wire: hundredths.
+	// slownessScale is the number of units per 1.0 of a host's latency ratio on the wire, which
+	// has hundredths.
 	slownessScale = 100
-	// maxQueuedPeerReports bounds what waits to be sent. What does not fit is dropped.
+	// maxQueuedPeerReports is the most messages with peer reports that wait to be sent. Further
+	// messages are dropped.
 	maxQueuedPeerReports = 64
 )
 
-// peerReporter reports to other routers the prompts that this one sends to hosts and the hosts that
-// it sees fail, and receives their reports: each router sees a fraction of what the hosts have to
-// prefill and of what becomes of it, and the hosts' own load reports are old. A report that is lost
-// is missed for a moment only.
+// peerReporter exchanges reports with the other routers. It reports the prompts that this router
+// sends to hosts and the hosts that it sees fail or be slow, and receives the same from the
+// others. Routers need these reports because each sees only a fraction of the hosts' prefill work
+// and of its results, and the load that hosts report themselves is out of date. A lost report is
+// missed only for a moment.
 type peerReporter struct {
 	node      *Node
 	startedAt time.Time
@@ -53,10 +56,10 @@
 	hostAllowance *sampling.TokenBucket
 }
 
-// peerSet is the other routers that live. It is not changed once it is stored.
+// peerSet is the set of the other live routers. It is immutable once stored.
 type peerSet struct {
 	addresses []netip.AddrPort
-	known     mapset.Set[netip.AddrPort] // the same
+	known     mapset.Set[netip.AddrPort] // the same addresses as a set
 }
 
 func newPeerReporter(n *Node) *peerReporter {
@@ -71,7 +74,7 @@
 	return p
 }
 
-// membershipChanged sets which routers live.
+// membershipChanged replaces the set of live routers.
 func (p *peerReporter) membershipChanged(routers []router) {
 	peers := &peerSet{known: mapset.NewThreadUnsafeSet[netip.AddrPort]()}
 	for _, r := range routers {
@@ -83,7 +86,7 @@
 	p.peers.Store(peers)
 }
 
-// report queues reports on hosts of a service, as far as the rates allow. It does not block.
+// report queues reports on the hosts of a service, as far as the rates allow. It does not block.
 func (p *peerReporter) report(service string, reports []balance.PeerReport) {
 	m := &message.SentPrompts{Service: service}
 	for _, r := range reports {
@@ -101,7 +104,7 @@
 	}
 }
 
-// encode is a report as it goes on the wire, nil where the rates do not allow it.
+// encode returns the wire form of a report, or nil if the rates do not allow it.
 func (p *peerReporter) encode(r balance.PeerReport) *message.SentPrompt {
 	switch {
 	case r.Failed && p.mayReportHost():
@@ -114,7 +117,7 @@
 	return nil
 }
 
-// sample reports whether a prompt of so many tokens is to be reported.
+// sample reports whether to report a prompt with this number of tokens.
 func (p *peerReporter) sample(tokens float64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -122,14 +125,14 @@
 	return p.sampler.Sample(time.Since(p.startedAt), tokens, peers, rand.Float64())
 }
 
-// mayReportHost reports whether the rate allows one more report on a host.
+// mayReportHost reports whether the rate allows another report on a host, and counts that report.
 func (p *peerReporter) mayReportHost() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.hostAllowance.Take(time.Since(p.startedAt), len(p.peers.Load().addresses))
 }
 
-// run sends what is queued until ctx ends.
+// run sends the queued reports until ctx ends.
 func (p *peerReporter) run(ctx context.Context) {
 	for {
 		select {
@@ -155,8 +158,9 @@
 	}
 }
 
-// receive hands another router's reports to the data plane; ok is false where the datagram is of
-// another kind. One from an unknown address, or that can't be decoded, is dropped.
+// receive passes another router's reports to the data plane. It returns false if the datagram is
+// of another kind. It drops a datagram of peer reports that comes from an unknown address or that
+// it can't decode.
 func (p *peerReporter) receive(from netip.AddrPort, data []byte) (ok bool) {
 	if len(data) == 0 || data[0] != peerReportDatagram {
 		return false
@@ -181,10 +185,11 @@
 	return true
 }
 
-// witnessID is a number that distinguishes a router from others.
+// reporterID derives a number from the address of a router that distinguishes it from other
+// routers.
 func reporterID(from netip.AddrPort) int { return int(hashString(from.String()) >> 1) }
 
-// figures count the datagrams since the start.
+// stats returns how many datagrams were sent, received and dropped since the start.
 func (p *peerReporter) stats() status.PromptReports {
 	return status.PromptReports{Sent: p.sent.Load(), Received: p.received.Load(), Dropped: p.dropped.Load()}
 }
--- a/internal/system/roles/node/pins.go
+++ b/internal/system/roles/node/pins.go
@@ -8,28 +8,28 @@
 	"reachspread/internal/system/settings"
 )
 
-// pinTracker reports to the control API when changes of the version pins are in force everywhere.
+// pinTracker tells the control API when changes of the version pins are in force on all routers.
 // It implements controlapi.Pins.
 //
-// A router honours keys only while its configuration, and so its pins, was confirmed within
-// bounds.revocationMs by its own steady clock (Node.honoursKeys). Once that time has passed since a
-// change was committed, no router serves by the pins before it: each has learnt of the change, or
-// rejects requests with keys until it has.
+// A router honours API keys only if its configuration, which includes the pins, was confirmed
+// within bounds.revocationMs by its own monotonic clock (Node.honoursKeys). Once that time has
+// passed since a change was committed, no router serves requests by the older pins: each router
+// has learned of the change, or rejects requests with keys until it has.
 type pinTracker struct {
 	node *Node
 
 	mu        sync.Mutex
-	revisions []pinRevision // the oldest first
+	revisions []pinRevision // oldest first
 }
 
-// pinRevision is when this process first knew that a revision of the pins was committed.
+// pinRevision records when this process first knew that a revision of the pins was committed.
 type pinRevision struct {
 	revision int64
 	knownAt  time.Time
 }
 
-// maxPinRevisions bounds the revisions that are remembered. Of an older one the oldest that is
-// remembered tells when it was committed at the latest.
+// maxPinRevisions is the number of revisions that are retained. The time of the oldest retained
+// one serves as an upper bound for the commit time of earlier revisions.
 const maxPinRevisions = 64
 
 // Fenced implements controlapi.Pins.
@@ -38,7 +38,7 @@
 	return b.RevocationClosed && settings.Milliseconds(b.RevocationMs) > revocationMargin
 }
 
-// observe records that a revision is committed, and in force here.
+// observe records that a revision is committed and in force on this router.
 func (p *pinTracker) observe(revision int64, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -52,8 +52,8 @@
 	p.node.log.Info("pins in force", "revision", revision)
 }
 
-// committedBy is a time by which a revision was committed: the first at which this process knew of
-// it, or of a later one. It is now where this process does not know.
+// committedBy returns a time by which a revision was committed: when this process first knew of it
+// or of a later one, or now if the process knows neither.
 func (p *pinTracker) committedBy(revision int64, now time.Time) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/system/roles/node/quotaowner.go
+++ b/internal/system/roles/node/quotaowner.go
@@ -13,41 +13,43 @@
 )
 
 const (
-	// usageReportInterval is the time between two reports of grants to the other members.
+	// usageReportInterval is the time between two reports of grants to the other members of the
+	// register.
 	usageReportInterval = 100 * time.Millisecond
-	// maxUsageReportInterval is the same where nothing was granted: the others have to know that.
+	// maxUsageReportInterval is the time between two reports if nothing was granted: the other
+	// members need to know that as well.
 	maxUsageReportInterval = time.Second
 )
 
 const (
-	// unsavedFraction is the fraction of a second's units of a tenant after which its usage is
-	// saved at once.
+	// unsavedFraction is the amount of unsaved usage of a tenant, as a fraction of its units per
+	// second, from which on a save is due at once.
 	unsavedFraction = 0.5
-	// maxUnsavedAge bounds the time until a save that is due is on the disk.
+	// maxUnsavedAge is the longest time until a save that is due is on the disk.
 	maxUnsavedAge = 350 * time.Millisecond
 )
 
-// quotaOwner is what this router owns of the tenants' limits: the shards that the register's view
-// assigns to it as a member. It reports each grant to the other members, so that one of them can
-// take over a shard, and grants little that not all of the chain have acknowledged. The lock of its
-// quotas guards it.
+// quotaOwner manages the tenants' limits that this router owns: those in the shards that the
+// register's view assigns to it as a member. It reports each grant to the other members, so that
+// one of them can take over a shard. It grants few units while members of the chain have not
+// acknowledged earlier grants. The lock of its quotas guards it.
 type quotaOwner struct {
 	quotas *quotas
 
-	view             *coordpb.View // the last one, nil for none
-	missedViewsUntil time.Duration // views that were in force until then may not be known here
-	pastViews        []pastView    // of a window, the oldest first
+	view             *coordpb.View // the last one, nil before the first
+	missedViewsUntil time.Duration // this router may not know all views that were in force before this time
+	pastViews        []pastView    // those replaced within the last window, oldest first
 	shards           map[int]*shard
 
 	tracker     quota.Tracker
-	outstanding quota.Outstanding // what the others of the chain have not acknowledged
+	outstanding quota.Outstanding // grants that other members of the chain have not acknowledged
 	reportedAt  time.Duration
 
-	unsaved map[string]float64      // units since the last save, by tenant
-	saved   map[string]*quota.Usage // by an earlier incarnation, nil for nothing
+	unsaved map[string]float64      // units granted since the last save, by tenant
+	saved   map[string]*quota.Usage // usage that an earlier incarnation saved, by tenant; nil for none
 }
 
-// pastView is a view that was replaced within a window.
+// pastView is a view that was replaced within the last window.
 type pastView struct {
 	view       *coordpb.View
 	replacedAt time.Duration
@@ -55,13 +57,13 @@
 
 // shard is a shard of tenants that this router owns.
 type shard struct {
-	epoch      uint64        // of the view that assigned it; the fencing token of its owner
-	servesFrom time.Duration // before, an earlier owner may still grant units
+	epoch      uint64        // of the view that assigned the shard; the owner's fencing token
+	servesFrom time.Duration // an earlier owner may still grant units before this time
 	owner      *quota.Owner
 }
 
-// viewChanged handles a view of the register: it takes over the shards that are new to this router
-// and drops those that are another's.
+// viewChanged handles a view of the register. It takes over the shards that the view newly assigns
+// to this router, and drops those that it assigns to other routers.
 func (o *quotaOwner) viewChanged(v *coordpb.View) {
 	now := o.quotas.now()
 	o.rememberView(now, v)
@@ -77,9 +79,9 @@
 	}
 }
 
-// rememberView makes v the last view, and the one before a past one.
+// rememberView makes v the last view and adds the previous one to the past views.
 func (o *quotaOwner) rememberView(now time.Duration, v *coordpb.View) {
-	const founding = 1 // the epoch before which nobody owned a shard
+	const founding = 1 // the first epoch: no router owned a shard before it
 	if o.view == nil || v.Epoch != o.view.Epoch+1 {
 		o.missedViewsUntil = now
 		if v.Epoch == founding {
@@ -95,13 +97,13 @@
 	o.view = v
 }
 
-// otherChainMembers are the members of a view's chain without this router.
+// otherChainMembers returns the identities in a view's chain, without this router's own.
 func (o *quotaOwner) otherChainMembers(v *coordpb.View) []uint64 {
 	isSelf := func(identity uint64) bool { return o.isSelf(v, identity) }
 	return slices.DeleteFunc(slices.Clone(v.Chain), isSelf)
 }
 
-// isSelf reports whether a member of a view is this router.
+// isSelf reports whether the member of a view with this identity is this router.
 func (o *quotaOwner) isSelf(v *coordpb.View, identity uint64) bool {
 	m := view.MemberOf(v, identity)
 	return m != nil && m.Address == o.quotas.node.self.internal()
@@ -112,7 +114,8 @@
 	return slices.ContainsFunc(v.Chain, func(identity uint64) bool { return o.isSelf(v, identity) })
 }
 
-// takeOver begins to own a shard, with what is known of the grants of its owners within the window.
+// takeOver returns the state of a shard that this router newly owns, with the known grants of
+// earlier owners within the window.
 func (o *quotaOwner) takeOver(now time.Duration, i int, duty *coordpb.Duty) *shard {
 	known, completeFrom := o.usageOfPastOwners(now, i)
 	if len(o.pastViews) == 0 && o.saved != nil {
@@ -123,8 +126,8 @@
 	return &shard{epoch: duty.Since, servesFrom: servesFrom, owner: owner}
 }
 
-// usageOfPastOwners is what the owners of a shard in the past views have reported, by tenant, and
-// the time from which on that is complete.
+// usageOfPastOwners returns the usage that the owners of a shard in the past views have reported,
+// by tenant, and the time from which on it is complete.
 func (o *quotaOwner) usageOfPastOwners(now time.Duration, i int) (known map[string]*quota.Usage, completeFrom time.Duration) {
 	known, completeFrom = map[string]*quota.Usage{}, o.missedViewsUntil
 	seen := mapset.NewThreadUnsafeSet[uint64]()
@@ -151,8 +154,9 @@
 	return known, completeFrom
 }
 
-// usageBeforeRestart is what may have been granted before this process began: what an earlier
-// incarnation has saved, and as much as can have been granted after the save.
+// usageBeforeRestart returns an upper bound on what was granted before this process started, by
+// tenant: the usage that an earlier incarnation saved, plus as much as can have been granted after
+// the save.
 func (o *quotaOwner) usageBeforeRestart(now time.Duration) map[string]*quota.Usage {
 	all := map[string]*quota.Usage{}
 	for tenant, usage := range o.saved {
@@ -171,7 +175,7 @@
 	return all
 }
 
-// saveUsage is what a later incarnation is to know.
+// saveUsage returns the usage that a later incarnation has to know.
 func (o *quotaOwner) saveUsage(now time.Duration) map[string]*message.UsageParts {
 	clear(o.unsaved)
 	out := map[string]*message.UsageParts{}
@@ -183,7 +187,7 @@
 	return out
 }
 
-// restoreUsage restores what an earlier incarnation has saved.
+// restoreUsage restores the usage that an earlier incarnation saved.
 func (o *quotaOwner) restoreUsage(now time.Duration, saved map[string]*message.UsageParts) {
 	o.saved = map[string]*quota.Usage{}
 	for tenant, parts := range saved {
@@ -205,8 +209,9 @@
 	return false
 }
 
-// serveRequest answers an ask. It answers as one who is not the owner unless this router is for
-// certain, and where too many grants are not acknowledged: it may be isolated.
+// serveRequest answers an ask. It answers as a router that is not the owner if this router does
+// not certainly own the shard. It does the same if too many grants have not been acknowledged,
+// because this router may be isolated.
 func (o *quotaOwner) serveRequest(m *message.QuotaAsk) *message.QuotaAnswer {
 	answer := &message.QuotaAnswer{Nonce: m.Nonce}
 	node, now := o.quotas.node, o.quotas.now()
@@ -235,8 +240,8 @@
 	return answer
 }
 
-// reportIfDue reports to the other members where there is anything to report, and now and then that
-// there is nothing.
+// reportIfDue reports to the other members if grants are pending, or if the last report is at
+// least maxUsageReportInterval old.
 func (o *quotaOwner) reportIfDue(now time.Duration) {
 	if len(o.shards) == 0 {
 		return
@@ -247,7 +252,7 @@
 }
 
 // report sends the grants since the last report to the other members. This router records them as
-// well, for when it gets a shard back.
+// well, in case it takes over a shard again later.
 func (o *quotaOwner) report(now time.Duration) {
 	self := o.identity()
 	number, grants := o.outstanding.NextUpdate()
@@ -261,7 +266,7 @@
 	}
 }
 
-// receiveUsage records another owner's report, and acknowledges it.
+// receiveUsage records another owner's report and acknowledges it.
 func (o *quotaOwner) receiveUsage(m *message.QuotaUsage) {
 	o.recordUsage(m)
 	if o.view == nil || o.quotas.node.replica == nil {
@@ -275,7 +280,7 @@
 	o.quotas.node.send(owner.Address, &message.Envelope{Body: &message.Envelope_QuotaHeard{QuotaHeard: acknowledgement}})
 }
 
-// recordUsage records an owner's report.
+// recordUsage records the grants that an owner, possibly this router, reports.
 func (o *quotaOwner) recordUsage(m *message.QuotaUsage) {
 	learningTime := time.Duration(m.BlindUs) * time.Microsecond
 	o.tracker.Update(o.quotas.now(), m.Owner, m.Number, m.Grants, learningTime)
@@ -291,10 +296,11 @@
 	}
 }
 
-// identity is this router's own in the register.
+// identity returns this router's identity in the register.
 func (o *quotaOwner) identity() uint64 { return o.quotas.node.replica.Status().Identity }
 
-// blindTime is for how long this router still does not know all that was granted before it.
+// learningTimeLeft returns for how much longer earlier grants that this router does not know may
+// be in the window of one of its shards.
 func (o *quotaOwner) learningTimeLeft(now time.Duration) time.Duration {
 	left := time.Duration(0)
 	for _, s := range o.shards {
--- a/internal/system/roles/node/quotas.go
+++ b/internal/system/roles/node/quotas.go
@@ -15,25 +15,27 @@
 )
 
 const (
-	// quotaAnswerTimeout is how long an owner has to answer before it is asked again.
+	// quotaAnswerTimeout is how long a router waits for an owner's answer before it asks again.
 	quotaAnswerTimeout = 100 * time.Millisecond
-	// notOwnerDelay is the wait after an answer of a router that is not the owner (any more).
+	// notOwnerDelay is the wait before the next ask after a router answered that it is not the
+	// owner, or no longer is.
 	notOwnerDelay = quotaAnswerTimeout / 4
-	// quotaWaitTimeout is how long a request waits for its units.
+	// quotaWaitTimeout is the longest time that a request waits for its units.
 	quotaWaitTimeout = 400 * time.Millisecond
-	// quotaRetryDelay is when a client may come back where no owner has answered.
+	// quotaRetryDelay is the wait after which a client may retry if no owner has answered in time.
 	quotaRetryDelay = 300 * time.Millisecond
-	// pendingAskTTL is the age at which an ask that was not answered is dropped.
+	// pendingAskTTL is the age above which an unanswered ask may be dropped.
 	pendingAskTTL = 2 * quotaWaitTimeout
 
 	maxLessees = 65_536
-	// maxPendingAsks is the number of asks in flight from which on expired ones are searched for.
+	// maxPendingAsks is the number of pending asks at which each new one causes a search for
+	// expired ones.
 	maxPendingAsks = 64
 )
 
-// quotas enforces the tenants' limits on this router: it spends units that the owner of a tenant's
-// shard has granted, and asks the owner for more. What this router owns itself is quotaOwner's.
-// It implements dataplane.Quotas.
+// quotas enforces the tenants' limits on this router. It spends units that the owner of a tenant's
+// shard has granted, and asks the owner for more. The shards that this router owns itself are the
+// responsibility of quotaOwner. quotas implements dataplane.Quotas.
 type quotas struct {
 	node      *Node
 	startedAt time.Time
@@ -45,13 +47,13 @@
 	owner   quotaOwner
 }
 
-// pendingAsk is a request for units that is not answered yet.
+// pendingAsk is a request for units that has not been answered yet.
 type pendingAsk struct {
 	tenant     string
 	sentAt     time.Duration
-	borrowed   float64 // units that it reports
+	borrowed   float64 // borrowed units that the request reports to the owner
 	answered   chan *message.QuotaAnswer
-	relayedFor *message.QuotaAsk // of another router, which gets the answer; nil for this one's own
+	relayedFor *message.QuotaAsk // the ask of another router, which gets the answer; nil for this router's own
 }
 
 func newQuotas(n *Node) *quotas {
@@ -72,10 +74,11 @@
 	return q
 }
 
-// clockOffset is what the quotas' clock shows at the start, so that it has times before that.
+// clockOffset is the time that the quotas' clock shows at the start, so that earlier times are
+// positive too.
 const clockOffset = time.Hour
 
-// now is the quotas' clock.
+// now returns the time of the quotas' clock.
 func (q *quotas) now() time.Duration { return clockOffset + time.Since(q.startedAt) }
 
 // run reports grants to the other members of the register until ctx ends.
@@ -101,28 +104,29 @@
 	q.owner.viewChanged(v)
 }
 
-// saveDue reports whether tenants have used so much that their usage has to be saved now.
+// saveDue reports whether tenants have used so much since the last save that their usage must be
+// saved now.
 func (q *quotas) saveDue() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.owner.saveDue()
 }
 
-// saveUsage is what to save of the tenants' usage.
+// saveUsage returns the tenants' usage in the form in which it is saved.
 func (q *quotas) saveUsage() map[string]*message.UsageParts {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.owner.saveUsage(q.now())
 }
 
-// restoreUsage restores what an earlier incarnation has saved.
+// restoreUsage restores the usage that an earlier incarnation saved.
 func (q *quotas) restoreUsage(saved map[string]*message.UsageParts) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.owner.restoreUsage(q.now(), saved)
 }
 
-// plan divides the bound on a tenant's usage among owner and lessees.
+// plan returns how the bound on a tenant's usage is divided between the owner and the lessees.
 func (q *quotas) plan(t *configuration.Tenant) quota.Plan {
 	b := q.node.settings().Bounds
 	slack := b.QuotaSlack
@@ -133,7 +137,8 @@
 	return quota.NewPlan(limit, settings.Seconds(b.QuotaWindowS), b.QuotaOvershoot, slack)
 }
 
-// lessee is what this router has of a tenant's quota. The lock is held.
+// lessee returns this router's part of a tenant's quota, and creates it if necessary. The caller
+// holds the lock.
 func (q *quotas) lessee(t *configuration.Tenant) *quota.Lessee {
 	l := q.lessees[t.Name]
 	if l == nil {
@@ -147,8 +152,9 @@
 	return l
 }
 
-// Take implements dataplane.Quotas. Where this router has too few units, it waits for the owner for
-// quotaWaitTimeout at most. Wait says when to come back if ok is false.
+// Take implements dataplane.Quotas. If this router has too few units, it asks the owner for more,
+// for at most quotaWaitTimeout. If ok is false, wait is the time after which the client is to
+// retry.
 func (q *quotas) Take(t *configuration.Tenant, units float64) (ok bool, wait time.Duration) {
 	deadline, ownerMissing := q.now()+quotaWaitTimeout, false
 	for attempt := 0; ; attempt++ {
@@ -173,15 +179,15 @@
 	}
 }
 
-// Put implements dataplane.Quotas: it gives back units that were taken at a time and not used.
+// Put implements dataplane.Quotas. It returns unused units that were taken at the given time.
 func (q *quotas) Put(t *configuration.Tenant, units float64, taken time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.lessee(t).AddGrant(clockOffset+taken.Sub(q.startedAt), units)
 }
 
-// await waits for the answer to an ask, nil where none arrives in time. After the answer of a
-// router that is not the owner it waits a moment, as a new view may be on its way.
+// await returns the answer to an ask, or nil if none arrives in time. After the answer of a router
+// that is not the owner it waits for notOwnerDelay, because a new view may be on its way.
 func (q *quotas) await(nonce uint64, answered <-chan *message.QuotaAnswer) *message.QuotaAnswer {
 	timer := time.NewTimer(quotaAnswerTimeout)
 	defer timer.Stop()
@@ -199,7 +205,7 @@
 	}
 }
 
-// sendAsk asks the owner for units, directly or through a relay. The lock is held.
+// sendAsk asks the owner for units, directly or through a relay. The caller holds the lock.
 func (q *quotas) sendAsk(tenant string, ask quota.Request, byRelay bool) (nonce uint64, answered chan *message.QuotaAnswer) {
 	answered = make(chan *message.QuotaAnswer, 1)
 	m := q.newAsk(&pendingAsk{tenant: tenant, answered: answered, borrowed: ask.Borrowed}, ask.Need, ask.Borrowed)
@@ -212,7 +218,7 @@
 	return m.Nonce, answered
 }
 
-// newAsk records a pending ask and returns its message. The lock is held.
+// newAsk records a pending ask and returns its message. The caller holds the lock.
 func (q *quotas) newAsk(a *pendingAsk, need, borrowed float64) *message.QuotaAsk {
 	q.nonce++
 	a.sentAt = q.now()
@@ -221,7 +227,7 @@
 	return &message.QuotaAsk{From: q.node.self.internal(), Nonce: q.nonce, Tenant: a.tenant, Need: need, Borrowed: borrowed}
 }
 
-// sendToOwner sends an ask to the owner, which may be this router. The lock is held.
+// sendToOwner sends an ask to the owner, which may be this router. The caller holds the lock.
 func (q *quotas) sendToOwner(m *message.QuotaAsk) {
 	owner, _ := view.Owner(q.node.client.View(), m.Tenant)
 	switch {
@@ -234,12 +240,13 @@
 	}
 }
 
-// relay asks the owner on behalf of another router. The lock is held.
+// relay asks the owner on behalf of another router. The caller holds the lock.
 func (q *quotas) relay(m *message.QuotaAsk) {
 	q.sendToOwner(q.newAsk(&pendingAsk{tenant: m.Tenant, relayedFor: m}, m.Need, m.Borrowed))
 }
 
-// dropExpired drops asks that were not answered. The lock is held.
+// dropExpired drops expired asks if at least maxPendingAsks are pending. The caller holds the
+// lock.
 func (q *quotas) dropExpired() {
 	if len(q.pending) < maxPendingAsks {
 		return
@@ -251,8 +258,8 @@
 	}
 }
 
-// receive handles a message of another router; ok is false where it is not about quotas. It does
-// not block.
+// receive handles a message from another router. It returns false if the message is not about
+// quotas. It does not block.
 func (q *quotas) receive(m *message.Envelope) (ok bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -271,7 +278,7 @@
 	return true
 }
 
-// receiveAsk answers or relays another router's ask. The lock is held.
+// receiveAsk answers or relays another router's ask. The caller holds the lock.
 func (q *quotas) receiveAsk(m *message.QuotaAsk) {
 	if m.Relay {
 		q.relay(m)
@@ -281,8 +288,9 @@
 	q.node.send(m.From, &message.Envelope{Body: &message.Envelope_QuotaAnswer{QuotaAnswer: answer}})
 }
 
-// receiveAnswer grants what an answer brings, or passes it on to the router that it was asked for.
-// An answer that is too late is dropped: what it grants is not used. The lock is held.
+// receiveAnswer adds the units that an answer grants, or forwards the answer to the router on
+// whose behalf this one asked. It drops an answer that arrives too late, so its grant is not used.
+// The caller holds the lock.
 func (q *quotas) receiveAnswer(answer *message.QuotaAnswer) {
 	ask := q.pending[answer.Nonce]
 	if ask == nil {
--- a/internal/system/roles/node/registerstatus.go
+++ b/internal/system/roles/node/registerstatus.go
@@ -11,12 +11,13 @@
 	"reachspread/internal/system/status"
 )
 
-// viewStatus is the register by its view, as a router without a replica knows it.
+// viewStatus returns the status of the register as its view describes it. A router without a
+// replica knows no more than that.
 func viewStatus(v *coordpb.View) status.Register {
 	return status.Register{Epoch: v.GetEpoch(), Machines: machineStatus(v), Shards: shardStatus(v)}
 }
 
-// machineStatus is the members of a view: the chain in its order, then the others.
+// machineStatus returns the members of a view: the chain in its order, then the others.
 func machineStatus(v *coordpb.View) (all []status.Machine) {
 	for i, identity := range v.GetChain() {
 		address := view.MemberOf(v, identity).GetAddress()
@@ -30,7 +31,7 @@
 	return all
 }
 
-// shardStatus is the owners of the shards by a view.
+// shardStatus returns the owners of the shards in a view.
 func shardStatus(v *coordpb.View) (all []status.Shard) {
 	for i, duty := range v.GetDuties() {
 		owner := view.MemberOf(v, duty.Owner)
@@ -44,8 +45,8 @@
 	return all
 }
 
-// addReplicaStatus replaces what is known by the view alone by what a replica knows: its own state
-// and what it has heard of the other machines.
+// addReplicaStatus replaces the status that is based on the view alone by what a replica knows:
+// its own state and what it has received from the other machines.
 func addReplicaStatus(s *status.Register, in register.Inspection) {
 	*s = viewStatus(in.View)
 	s.Replica = replicaStatus(in)
@@ -83,7 +84,7 @@
 	return s
 }
 
-// selfAsPeer is the replica as it would see itself from outside, heard of just now.
+// selfAsPeer returns the replica's own state in the form of a peer's, with an age of 0.
 func selfAsPeer(in register.Inspection) view.Peer {
 	justNow := time.Duration(0)
 	return view.Peer{
@@ -94,7 +95,7 @@
 	}
 }
 
-// machineOf is the entry of a peer, which is added for one that is not a member.
+// machineOf returns the status entry of a peer. It adds an entry for a peer that is not a member.
 func machineOf(s *status.Register, p view.Peer) *status.Machine {
 	identity := identityText(p.Member.Identity)
 	at := slices.IndexFunc(s.Machines, func(m status.Machine) bool { return m.Identity == identity })
--- a/internal/system/roles/node/statefile.go
+++ b/internal/system/roles/node/statefile.go
@@ -16,32 +16,34 @@
 )
 
 const (
-	// saveInterval is the time between two saves of what has changed.
+	// saveInterval is the time between two saves of changed state.
 	saveInterval = time.Second
-	// minSaveInterval is the same while tenants use so much that waiting longer would lose count.
+	// minSaveInterval is the shortest time between two saves. It applies while tenants use so much
+	// that a longer wait would lose track of their usage.
 	minSaveInterval = 200 * time.Millisecond
-	// stateFileName is the file's name within the data directory.
+	// stateFileName is the name of the file within the data directory.
 	stateFileName = "kept"
 )
 
-// stateFile saves to the disk of a router which hosts are known and what tenants have used of late.
-// A fleet that has lost all power so serves before every host has sent a heartbeat, and without
-// rejecting tenants for what they may have used.
+// stateFile saves the known hosts and the recent usage of tenants to the router's disk. After a
+// power failure of the whole fleet, routers can thus serve before every host has sent a heartbeat,
+// and need not reject tenants for usage that they can't rule out.
 //
-// What it has may be old: a host of it is tried, and removed where it neither answers nor sends
-// heartbeats; of a tenant, as much as could be is taken to be used since the last save. A crash
-// leaves the last complete save.
+// The saved state may be out of date. The router tries a host from the file and removes it if it
+// neither answers nor sends heartbeats. For each tenant it assumes the largest possible usage
+// since the last save. After a crash the file has the last complete save.
 type stateFile struct {
 	node *Node
 	path string
 }
 
-// newStateFile returns the file of a router with a disk.
+// newStateFile returns the state file of a router that has a disk.
 func (n *Node) newStateFile() *stateFile {
 	return &stateFile{node: n, path: filepath.Join(n.settings().DataDirectory, stateFileName)}
 }
 
-// load restores what was saved. It is called before the loops start. No file is no error.
+// load restores the saved state. It is called before the loops start. A missing file is not an
+// error.
 func (f *stateFile) load() error {
 	data, err := os.ReadFile(f.path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -60,7 +62,7 @@
 	return nil
 }
 
-// saveLoop saves what has changed, until ctx ends. Nothing waits for it.
+// saveLoop saves changed state until ctx ends. No other goroutine waits for it.
 func (f *stateFile) saveLoop(ctx context.Context) {
 	tick := time.NewTicker(minSaveInterval)
 	defer tick.Stop()
@@ -80,14 +82,14 @@
 	}
 }
 
-// stateSaver remembers the last save, to write only what has changed and log only the first of
-// several failures.
+// stateSaver remembers the last save, so that only changes are written and only the first of
+// several failures in a row is logged.
 type stateSaver struct {
-	last   []byte // what the file has; nil for unknown
+	last   []byte // the content of the file; nil if unknown
 	failed bool
 }
 
-// save writes the state, unless the file has it already or ctx has ended.
+// save writes the state unless the file already has it or ctx has ended.
 func (s *stateSaver) save(ctx context.Context, f *stateFile) {
 	data, err := f.marshal(ctx)
 	if ctx.Err() != nil {
@@ -107,7 +109,7 @@
 	}
 }
 
-// marshal encodes the state. The same state gives the same bytes.
+// marshal encodes the state. Equal states result in equal bytes.
 func (f *stateFile) marshal(ctx context.Context) ([]byte, error) {
 	hub := f.node.hub
 	active, ok := query(ctx, hub, hub.registry.Active)
--- a/internal/system/roles/node/status.go
+++ b/internal/system/roles/node/status.go
@@ -18,10 +18,10 @@
 	"reachspread/internal/system/status"
 )
 
-// statusTimeout bounds the time in which the parts of a status are collected.
+// statusTimeout is the most time that collecting a status may take.
 const statusTimeout = 2 * time.Second
 
-// serveStatus answers with this router's status.
+// serveStatus responds with this router's status.
 func (n *Node) serveStatus(w http.ResponseWriter, r *http.Request) {
 	s, ok := n.statusInTime(w, r)
 	if !ok {
@@ -31,7 +31,7 @@
 	json.NewEncoder(w).Encode(s)
 }
 
-// serveMetrics answers with the same as figures for a scraper.
+// serveMetrics responds with this router's status as metrics for a scraper.
 func (n *Node) serveMetrics(w http.ResponseWriter, r *http.Request) {
 	s, ok := n.statusInTime(w, r)
 	if !ok {
@@ -41,7 +41,8 @@
 	metrics.Write(w, s)
 }
 
-// statusInTime collects the status for a call, or answers that it took too long.
+// statusInTime collects the status within statusTimeout. If that fails, it responds with an error
+// and returns false.
 func (n *Node) statusInTime(w http.ResponseWriter, r *http.Request) (s *status.Router, ok bool) {
 	ctx, cancel := context.WithTimeout(r.Context(), statusTimeout)
 	defer cancel()
@@ -52,8 +53,8 @@
 	return s, ok
 }
 
-// Status collects the status of this router from those who own its parts; ok is false where ctx
-// ended first.
+// Status collects the status of this router from the owners of its parts. It returns false if ctx
+// ends first.
 func (n *Node) Status(ctx context.Context) (s *status.Router, ok bool) {
 	in := n.settings()
 	s = &status.Router{
@@ -90,7 +91,7 @@
 	return s, true
 }
 
-// connectionStatus is the counts of closed client connections.
+// connectionStatus returns the counts of closed client connections by reason.
 func (n *Node) connectionStatus() (all []status.Connections) {
 	for _, c := range n.front.ClosedConnections() {
 		all = append(all, status.Connections{Reason: c.Reason.String(), Closed: c.Closed, Unread: c.Unread, Unanswered: c.Unanswered})
@@ -98,7 +99,8 @@
 	return all
 }
 
-// processorTime is what the process has used since its start; 0 where the system does not say.
+// processorTime returns the processor time that the process has used since its start, or 0 if the
+// operating system does not report it.
 func processorTime() time.Duration {
 	var used unix.Rusage
 	if unix.Getrusage(unix.RUSAGE_SELF, &used) != nil {
@@ -115,7 +117,7 @@
 	return status.Process{CPUSeconds: &used}
 }
 
-// loopStatus is the counters of the loops that pace themselves.
+// loopStatus returns the counters of the loops that measure their own pace.
 func (n *Node) loopStatus() []status.Loop {
 	loop := func(name string, f pacing.Stats) status.Loop {
 		return status.Loop{Name: name, Steps: f.Steps, Stalled: f.Stalled}
@@ -135,7 +137,7 @@
 	return s
 }
 
-// hubStatus is the part of the status that the hub owns.
+// hubStatus is the part of the status that the hub collects.
 type hubStatus struct {
 	uptimeSeconds float64
 	configuration status.Configuration
@@ -171,7 +173,8 @@
 	return c
 }
 
-// revisions are configurations, the newest first, each with what it changed of the one before.
+// revisions converts the installed documents, newest first, to status entries. Each entry has the
+// changes from the document before it.
 func revisions(history []installedDocument, now time.Duration) (all []status.Revision) {
 	for i, installed := range history {
 		r := status.Revision{Version: installed.document.Version, ActiveSeconds: (now - installed.activeSince).Seconds()}
@@ -183,7 +186,7 @@
 	return all
 }
 
-// pinStatus is the pins in force, with the outcomes of the requests in their scopes.
+// pinStatus returns the pins in force, with the outcomes of the requests in their scopes.
 func (n *Node) pinStatus() status.Pins {
 	in := n.plane.State().Pins()
 	out := status.Pins{Revision: in.Revision, Pins: []status.Pin{}}
@@ -209,7 +212,7 @@
 	return out
 }
 
-// memberStatus is the fleet by a view of the membership.
+// memberStatus returns the routers in a view of the membership.
 func memberStatus(v *members.View) (all []status.Member) {
 	for _, m := range v.Members {
 		all = append(all, status.Member{
@@ -222,7 +225,7 @@
 	return all
 }
 
-// serviceStatus is the hosts of a service without those that have ended.
+// serviceStatus returns the hosts of a service, except those that have ended.
 func serviceStatus(name string, all []*instances.Record, now time.Duration) status.Service {
 	s := status.Service{Name: name, Hosts: []status.Host{}}
 	for _, r := range all {
@@ -248,7 +251,7 @@
 	return host
 }
 
-// secondsOf is a time in seconds, for fields that may be null.
+// secondsOf converts a duration to seconds, for status fields that may be null.
 func secondsOf(d time.Duration) *float64 {
 	s := d.Seconds()
 	return &s
--- a/internal/system/roles/node/subscriptions.go
+++ b/internal/system/roles/node/subscriptions.go
@@ -12,14 +12,14 @@
 	"reachspread/coord/members"
 )
 
-// joinTimeout is how long a router may take to learn from the membership which others live. Until
-// then the members of the register are assumed to live.
+// joinTimeout is how long after its start a router may need to learn the live routers from the
+// membership. Until then it assumes that all members of the register are live.
 const joinTimeout = 3 * time.Second
 
 // joining reports whether the membership may not know all routers yet.
 func (h *hub) joining() bool { return h.now() < joinTimeout }
 
-// resetMembership makes this router the only one that lives.
+// resetMembership makes this router the only live one.
 func (h *hub) resetMembership() {
 	h.members = &fleet{self: h.node.self, routers: []router{h.node.self}}
 	h.fleet = h.members
@@ -39,7 +39,7 @@
 	h.resubscribe()
 }
 
-// registerViewChanged handles a new view of the register, and publishes it to subscribers.
+// registerViewChanged handles a new view of the register and publishes it to subscribers.
 func (h *hub) registerViewChanged(v *coordpb.View) {
 	h.node.client.LearnView(v)
 	h.node.client.SetKnownAddresses(h.registerAddresses())
@@ -47,7 +47,7 @@
 	h.resubscribe()
 }
 
-// resubscribe computes from which routers each topic is obtained, and what this router owns. It is
+// resubscribe computes from which routers each topic is obtained and what this router owns. It is
 // called whenever the routers, the register's view, the configuration or the services change.
 func (h *hub) resubscribe() {
 	h.fleet = h.members
@@ -62,7 +62,7 @@
 	h.updateOwnership(services)
 }
 
-// addRequestedTopics adds the topics of services that another router polls for.
+// addRequestedTopics adds the topics of the services that another router polls for.
 func (h *hub) addRequestedTopics(p *coordpb.Poll) {
 	for _, c := range p.Cursors {
 		service, ok := strings.CutPrefix(c.Topic, hostsTopicPrefix)
@@ -72,14 +72,15 @@
 	}
 }
 
-// addHostsTopic adds the topic of a service's hosts, and subscribes to it, unless it is there.
+// addHostsTopic adds the topic of a service's hosts and subscribes to it, unless the topic exists.
 func (h *hub) addHostsTopic(service string) {
 	if h.ensureHostsTopic(service) {
 		h.resubscribe()
 	}
 }
 
-// ensureHostsTopic adds the topic of a service's hosts, and reports whether it was missing.
+// ensureHostsTopic adds the topic of a service's hosts unless it exists. It reports whether it
+// added the topic.
 func (h *hub) ensureHostsTopic(service string) (added bool) {
 	topic := hostsTopicPrefix + service
 	if h.feed.Topic(topic) != nil {
@@ -89,7 +90,7 @@
 	return true
 }
 
-// services are those of the configuration and those that have hosts.
+// services returns the services of the configuration and those that have hosts.
 func (h *hub) services() []string {
 	seen := mapset.NewThreadUnsafeSet[string]()
 	var all []string
@@ -109,8 +110,8 @@
 	return all
 }
 
-// registerAddresses are the routers to ask about the register: the tail, the other members, those
-// that may be members, and before the first view the seeds.
+// registerAddresses returns the routers to ask about the register, in this order: the tail, the
+// other members, the routers that may be members and, before the first view, the seeds.
 func (h *hub) registerAddresses() []string {
 	var all []string
 	add := func(address string) {
