--- a/internal/system/roles/node/configurationfeed.go
+++ b/internal/system/roles/node/configurationfeed.go
@@ -36,7 +36,7 @@
 	onError  func(error) // called if another router's update can't be decoded
 
 	past   []installedDocument     // before the current one, oldest first
-	deltas map[uint64]encodedDelta // that lead to the current state, by the receiver's revision
+	deltas map[uint64]encodedDelta // updates to the current state, by the receiver's revision
 }
 
 // installedDocument is a document that is or was in force on this router.
--- a/internal/system/roles/node/confirmation.go
+++ b/internal/system/roles/node/confirmation.go
@@ -11,8 +11,8 @@
 // configuration topic.
 
 // confirmationTTL is how long the configuration counts as confirmed on this router after a
-// confirmation. When it is confirmed again later than that, the data plane and the subscribers are
-// notified, because requests may wait for it.
+// confirmation. If the next confirmation comes later than that, the hub notifies the data plane
+// and the subscribers, because requests may wait for it.
 const confirmationTTL = time.Second
 
 // majorityContactTTL is the maximum age of a confirmation for this router to count as reaching a
--- a/internal/system/roles/node/dataplane.go
+++ b/internal/system/roles/node/dataplane.go
@@ -28,9 +28,9 @@
 	minRetryAfter          = time.Second
 )
 
-// reservedDescriptors is the number of file descriptors set aside for the disk, other routers, the
-// control plane and the runtime. Clients and hosts share the rest of the limit, but at least half
-// of it.
+// reservedDescriptors is the number of file descriptors reserved for the disk, other routers, the
+// control plane and the runtime. Clients and hosts share the rest of the limit, or half of the
+// limit if that is more.
 const reservedDescriptors = 400
 
 // openDataPlane creates the data plane, its front and the connection pools for hosts. The front
@@ -94,7 +94,7 @@
 	return max(settings.Milliseconds(limits.IdleTimeoutMs), minIdleTimeout)
 }
 
-// revocationMargin is the part of bounds.revocationMs that is left for a request in flight.
+// revocationMargin is the part of bounds.revocationMs that is reserved for requests in flight.
 const revocationMargin = 300 * time.Millisecond
 
 // honoursKeys reports whether the configuration was confirmed recently enough that requests may be
--- a/internal/system/roles/node/draining.go
+++ b/internal/system/roles/node/draining.go
@@ -14,9 +14,9 @@
 	// lameDuckDuration is how long the router still accepts clients after it has begun to drain:
 	// the platform needs time to notice that the router is not ready.
 	lameDuckDuration = 1200 * time.Millisecond
-	// minGraceMargin is the least time before the end of the platform's grace period at which
-	// draining is given up. The process, which may have to wait for a processor, must still write
-	// the last answers in this time.
+	// minGraceMargin is the least time that must remain of the platform's grace period when
+	// draining is given up. The process needs it to write the last answers, and may have to wait
+	// for a processor.
 	minGraceMargin = 600 * time.Millisecond
 	// maxLatencyMargin is the most time added to minGraceMargin if the process has been running
 	// late.
@@ -82,8 +82,8 @@
 	return err
 }
 
-// drainTimeout returns how long a router may drain that noticed SIGTERM at the given time. The
-// platform's grace period begins when the platform sends SIGTERM, which is earlier than that if
+// drainTimeout returns how long the router may drain after it noticed SIGTERM at noticed. The
+// platform's grace period begins when the platform sends SIGTERM, which is earlier than noticed if
 // the process ran late.
 func (n *Node) drainTimeout(noticed time.Time) time.Duration {
 	grace := settings.Seconds(n.settings().Bounds.GraceS)
--- a/internal/system/roles/node/hub.go
+++ b/internal/system/roles/node/hub.go
@@ -17,8 +17,8 @@
 	hubTickInterval = 100 * time.Millisecond
 	// expiryInterval is the time between two checks for hosts whose heartbeats have stopped.
 	expiryInterval = 500 * time.Millisecond
-	// maxQueuedCalls is the most calls that wait for the hub. Further calls are dropped. Callers
-	// retry every call that matters.
+	// maxQueuedCalls is the maximum number of calls that wait for the hub. hub.post drops further
+	// calls. Callers retry every call that matters.
 	maxQueuedCalls = 1024
 )
 
@@ -27,7 +27,7 @@
 // except for the atomic ones. Other goroutines post calls.
 type hub struct {
 	node      *Node
-	startedAt time.Time // the zero of the hub's clock
+	startedAt time.Time // the hub's clock is 0 at this time
 	calls     chan func()
 
 	feed          *feed.Node
--- a/internal/system/roles/node/quotaowner.go
+++ b/internal/system/roles/node/quotaowner.go
@@ -22,8 +22,8 @@
 )
 
 const (
-	// unsavedFraction is the amount of unsaved usage of a tenant, as a fraction of its units per
-	// second, from which on a save is due at once.
+	// unsavedFraction is a fraction of the units that a tenant may use per second. A save is due
+	// at once when the tenant's unsaved usage reaches it.
 	unsavedFraction = 0.5
 	// maxUnsavedAge is the longest time until a save that is due is on the disk.
 	maxUnsavedAge = 350 * time.Millisecond
@@ -38,7 +38,7 @@
 
 	view             *coordpb.View // the last one, nil before the first
 	missedViewsUntil time.Duration // this router may not know all views that were in force before this time
-	pastViews        []pastView    // those replaced within the last window, oldest first
+	pastViews        []pastView    // those replaced within the last quota window, oldest first
 	shards           map[int]*shard
 
 	tracker     quota.Tracker
@@ -49,7 +49,7 @@
 	saved   map[string]*quota.Usage // usage that an earlier incarnation saved, by tenant; nil for none
 }
 
-// pastView is a view that was replaced within the last window.
+// pastView is a view that was replaced within the last quota window.
 type pastView struct {
 	view       *coordpb.View
 	replacedAt time.Duration
@@ -209,8 +209,8 @@
 	return false
 }
 
-// serveRequest answers an ask. It answers as a router that is not the owner if this router does
-// not certainly own the shard. It does the same if too many grants have not been acknowledged,
+// serveRequest answers an ask. It answers as a router that is not the owner unless it is certain
+// that this router owns the shard. It does the same if too many grants have not been acknowledged,
 // because this router may be isolated.
 func (o *quotaOwner) serveRequest(m *message.QuotaAsk) *message.QuotaAnswer {
 	answer := &message.QuotaAnswer{Nonce: m.Nonce}
