--- a/internal/system/roles/node/node_test.go
+++ b/internal/system/roles/node/node_test.go
@@ -81,7 +81,7 @@
 	one := f.host("one")
 	for i, id := range []string{"i-1", "i-2", "i-3"} {
 		f.eventually("a host is taken on", func() bool { status, _ := f.heartbeat(3, id, "s", one, "ready", 1); return status == 200 })
-		f.eventually("it is known at the first router", func() bool { return f.knows(0, id) })
+		f.eventually("it is known at the first router", func() bool { return f.knowsHost(0, id) })
 		if i == 0 {
 			f.eventually("its leaving is acknowledged", func() bool { status, _ := f.heartbeat(3, id, "s", one, "draining", 2); return status == 200 })
 		}
@@ -104,7 +104,7 @@
 		is.Equal(status, http.StatusServiceUnavailable)
 		status, _ = f.call(0, http.MethodPut, "/configuration", strings.Replace(firstConfiguration, `"version":1`, `"version":2`, 1), map[string]string{"If-Match": "0"})
 		is.Equal(status, http.StatusServiceUnavailable) // not rejected either
-		f.eventually("the others count as gone", func() bool { return f.sees(0) == 2 })
+		f.eventually("the others count as gone", func() bool { return f.liveRouters(0) == 2 })
 	}
 	f.start(1, filepath.Dir(f.nodes[0].settings().DataDirectory), false)
 	f.eventually("the leaving is acknowledged once a majority is back", func() bool { status, _ := f.heartbeat(0, "i-2", "s", one, "draining", 4); return status == 200 })
@@ -309,7 +309,7 @@
 // one for each host and router.
 func TestSimultaneousHeartbeatsAreBatched(t *testing.T) {
 	is := is.New(t)
-	const many = 300
+	const hosts = 300
 	f := newFleet(t, 4, 3)
 	is.Equal(f.changeConfiguration(http.MethodPut, firstConfiguration, 0, 0), 200)
 	address := f.host("one")
@@ -322,14 +322,14 @@
 		return true
 	})
 	// At the owner of the service in their zone, as hosts do after their first call.
-	home := slices.IndexFunc(f.nodes, func(n *runningNode) bool {
+	owner := slices.IndexFunc(f.nodes, func(n *runningNode) bool {
 		at, ok := query(t.Context(), n.hub, func() router { return n.hub.owner("s", "z0") })
 		return ok && at.address == n.self.address
 	})
-	before := f.nodes[home].link.Stats().Sent
-	hub := f.nodes[home].hub
+	before := f.nodes[owner].link.Stats().Sent
+	hub := f.nodes[owner].hub
 	_, ok := query(t.Context(), hub, func() bool { // all of them before anything else, however slow the machine is
-		for i := range many {
+		for i := range hosts {
 			hub.heartbeat(&message.Instance{Id: fmt.Sprint("i-", i), Service: "s", Address: address, Zone: "z0", Sequence: 1}, func(string) {})
 		}
 		return true
@@ -338,12 +338,12 @@
 	for i := range f.nodes {
 		f.eventually(fmt.Sprint("router ", i, " knows all hosts"), func() bool {
 			known, ok := query(t.Context(), f.nodes[i].hub, func() int { return len(f.nodes[i].hub.registry.Records("s")) })
-			return ok && known == many
+			return ok && known == hosts
 		})
 	}
-	sent := f.nodes[home].link.Stats().Sent - before
-	t.Logf("%d messages for %d hosts", sent, many)
-	is.True(sent < many)
+	sent := f.nodes[owner].link.Stats().Sent - before
+	t.Logf("%d messages for %d hosts", sent, hosts)
+	is.True(sent < hosts)
 }
 
 // A large configuration is read at any router, and is not transferred there again for it.
--- a/internal/system/roles/node/pins_explore_test.go
+++ b/internal/system/roles/node/pins_explore_test.go
@@ -34,10 +34,10 @@
 	dropMessage     pinFaultKind = iota
 	cutLink                      // from the sender to the receiver, for longer than the bound
 	cutReceiver                  // from all others, for longer than the bound
-	cutFromSources               // the receiver hears nobody, and is heard
+	cutIncoming                  // the receiver hears nobody, and is heard
 	stallShort                   // the receiver stalls for less than the bound
 	stallLong                    // and for longer
-	suspend                      // and for longer, and what comes meanwhile is lost
+	stallAndLose                 // and for longer, and what comes meanwhile is lost
 	restartReceiver              // of the receiver
 	pinFaultKinds
 )
@@ -70,7 +70,7 @@
 func explorePins(t *testing.T, plan faultplan.Plan[pinFaultKind], plant plantedFault) (points int, w *pinSimulation) {
 	e := &exploredSchedule{pinSimulation: newPinSimulation(t, exploredRouters, exploredSeed, plant), plan: plan}
 	e.intercept = e.injectFaults
-	for e.now < exploredLength && e.fault == nil {
+	for e.now < exploredLength && e.violation == nil {
 		e.step(func() {
 			if e.now == firstChange || e.now == secondChange {
 				e.change()
@@ -103,7 +103,7 @@
 	case cutLink:
 		e.cutUntil(m.from, m.to)
 		return true
-	case cutReceiver, cutFromSources:
+	case cutReceiver, cutIncoming:
 		for i := range e.routers {
 			e.cutUntil(i, m.to)
 			if kind == cutReceiver {
@@ -115,7 +115,7 @@
 		e.stall(m.to, shortStall)
 	case stallLong:
 		e.stall(m.to, longStall)
-	case suspend:
+	case stallAndLose:
 		e.stall(m.to, longStall)
 		for i := range e.routers {
 			e.cutUntil(i, m.to)
@@ -157,7 +157,7 @@
 	found = faultplan.Explorer[pinFaultKind]{Kinds: pinFaultKinds, MaxFaults: faults, Simulate: func(plan faultplan.Plan[pinFaultKind]) faultplan.Outcome {
 		points, w := explorePins(t, plan, plant)
 		answered.Add(int64(w.served))
-		return faultplan.Outcome{Points: points, Violation: w.fault}
+		return faultplan.Outcome{Points: points, Violation: w.violation}
 	}}.Explore()
 	return found, answered.Load()
 }
--- a/internal/system/roles/node/pins_schedules_test.go
+++ b/internal/system/roles/node/pins_schedules_test.go
@@ -49,7 +49,7 @@
 	changes   []pinChange
 	served    int
 	rejected  int
-	fault     error
+	violation error
 	intercept func(m simulatedMessage) (lost bool) // called before each message arrives, nil for nothing
 }
 
@@ -103,7 +103,7 @@
 func (w *pinSimulation) startIncarnation(i int) {
 	r := w.routers[i]
 	r.feed = feed.New(routerName(i), w.rng.Uint64(), w.now)
-	r.config = &configurationFeed{confirmedAt: -1, clock: func() time.Duration { return w.now }, onError: func(err error) { w.fault = err }}
+	r.config = &configurationFeed{confirmedAt: -1, clock: func() time.Duration { return w.now }, onError: func(err error) { w.violation = err }}
 	r.config.onChange = func(*configuration.State) { w.post(i, r.feed.Publish(w.now, configurationTopic)) }
 	r.feed.Add(configurationTopic, r.config)
 	r.fresh, r.stalledUntil, r.waiting = false, 0, nil
@@ -164,7 +164,7 @@
 	revision := int64(len(w.changes) + 1)
 	set, err := (&pins.Set{Revision: revision - 1}).Add(&message.Pin{Name: "p", Tenant: "x", Model: "m", Version: revision, By: "ann", Why: "trial"})
 	if err != nil {
-		w.fault = err
+		w.violation = err
 		return
 	}
 	w.state = w.state.WithPins(set)
@@ -200,13 +200,13 @@
 	revision := r.config.state.Pins().Revision
 	for i, c := range w.changes {
 		if int64(i+1) > revision && c.acked <= arrived {
-			w.fault = fmt.Errorf("%v: router %d serves by revision %d a request of %v; %d was acknowledged at %v", w.now, r.number, revision, arrived, i+1, c.acked)
+			w.violation = fmt.Errorf("%v: router %d serves by revision %d a request of %v; %d was acknowledged at %v", w.now, r.number, revision, arrived, i+1, c.acked)
 		}
 	}
 }
 
 // drawFault draws a partition, a stall or a restart.
-func (w *pinSimulation) drawFault() {
+func (w *pinSimulation) injectRandomFault() {
 	a, b := w.rng.IntN(len(w.routers)), w.rng.IntN(len(w.routers))
 	switch w.rng.IntN(7) {
 	case 0:
@@ -230,13 +230,13 @@
 }
 
 func (w *pinSimulation) run() {
-	for w.now < randomScheduleLength && w.fault == nil {
+	for w.now < randomScheduleLength && w.violation == nil {
 		w.step(func() {
 			if w.rng.IntN(60) == 0 {
 				w.change()
 			}
 			if w.rng.IntN(30) == 0 {
-				w.drawFault()
+				w.injectRandomFault()
 			}
 		})
 	}
@@ -263,8 +263,8 @@
 	for seed := range uint64(*pinSchedules) {
 		w := newPinSimulation(t, randomScheduleRouters, seed, noPlantedFault)
 		w.run()
-		if w.fault != nil {
-			t.Errorf("seed %d: %v", seed, w.fault)
+		if w.violation != nil {
+			t.Errorf("seed %d: %v", seed, w.violation)
 		}
 		served, rejected = served+w.served, rejected+w.rejected
 	}
@@ -281,8 +281,8 @@
 			for seed := range uint64(*pinSchedules) {
 				w := newPinSimulation(t, randomScheduleRouters, seed, plant)
 				w.run()
-				if w.fault != nil {
-					t.Logf("seed %d: %v", seed, w.fault)
+				if w.violation != nil {
+					t.Logf("seed %d: %v", seed, w.violation)
 					return
 				}
 			}
--- a/internal/system/roles/node/stored_test.go
+++ b/internal/system/roles/node/stored_test.go
@@ -31,13 +31,13 @@
 // A router's state file is read as it was written, and written the same.
 func TestGoldenKept(t *testing.T) {
 	want := goldenKept()
-	made, err := proto.MarshalOptions{Deterministic: true}.Marshal(want)
+	encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(want)
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Same(t, "kept", made)
+	golden.Same(t, "kept", encoded)
 	got := &message.Kept{}
-	err = proto.Unmarshal(golden.File(t, "kept", made), got)
+	err = proto.Unmarshal(golden.File(t, "kept", encoded), got)
 	if diff := cmp.Diff(want, got, protocmp.Transform()); err != nil || diff != "" {
 		t.Errorf("%v\n%s", err, diff)
 	}
--- a/internal/system/roles/node/testfleet_test.go
+++ b/internal/system/roles/node/testfleet_test.go
@@ -285,7 +285,7 @@
 	`"services":[{"name":"s"},{"name":"t"}],"tenants":[{"name":"x","apiKeys":["k"],"ratePerS":1000,"burst":1000}]}`
 
 // knows reports whether a router knows a host.
-func (f *testFleet) knows(i int, id string) bool {
+func (f *testFleet) knowsHost(i int, id string) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	h := f.nodes[i].hub
@@ -294,7 +294,7 @@
 }
 
 // sees is how many routers one sees live, itself among them.
-func (f *testFleet) sees(i int) int {
+func (f *testFleet) liveRouters(i int) int {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	h := f.nodes[i].hub
