--- a/internal/system/roles/node/decode_test.go
+++ b/internal/system/roles/node/decode_test.go
@@ -17,14 +17,14 @@
 	"reachspread/internal/system/settings"
 )
 
-// ended is a context that is over.
+// canceledContext returns a context that has been canceled.
 func canceledContext() context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	return ctx
 }
 
-// idleNode is a router that listens nowhere.
+// idleNode returns a router without open sockets or running loops.
 func idleNode() *Node {
 	n := New(&settings.Settings{IPAddress: "127.0.0.1", Zone: "z", InternalPortRange: []int{1, 1}, Bounds: settings.Bounds{QuotaWindowS: 8}}, discardLog{})
 	n.link = link.New(n.self.address, n.receiveLink)
@@ -35,8 +35,8 @@
 	return n
 }
 
-// Whatever another router sends, the process goes on, and the records of hosts and the
-// configuration can be encoded for others.
+// FuzzReceive checks that a router survives every message that another router may send, and that
+// it can still encode the records of hosts afterwards.
 func FuzzReceive(f *testing.F) {
 	host := &message.Instance{Id: "i", Service: "s", Address: "a", State: message.Instance_DRAINING}
 	hosts, _ := proto.Marshal(&message.Instances{Instances: []*message.Instance{host}})
@@ -66,8 +66,8 @@
 	})
 }
 
-// Bytes that are no message of the register are dropped, and so are messages where there is no
-// replica.
+// Bytes that are not a message of the register are dropped. So are register messages on a router
+// without a replica.
 func TestInvalidRegisterMessagesAreDropped(t *testing.T) {
 	n := idleNode()
 	whole, _ := proto.Marshal(&coordpb.Message{From: &coordpb.Member{Identity: 1}, Body: &coordpb.Message_Reply{Reply: &coordpb.Reply{Id: 7}}})
@@ -76,7 +76,7 @@
 	}
 }
 
-// The page for on-call staff has each event that the fleet's code logs.
+// docs/oncall.md, the page for on-call staff, has every event that the fleet's code logs.
 func TestEventsAreDocumented(t *testing.T) {
 	page, err := os.ReadFile("../../../../docs/oncall.md")
 	if err != nil {
@@ -99,11 +99,11 @@
 		for _, m := range regexp.MustCompile(`[lL]og\.(?:Info|Warn)\("([^"]+)"`).FindAllSubmatch(code, -1) {
 			events++
 			if !strings.Contains(string(page), "`"+string(m[1])+"`") {
-				t.Errorf("%s logs %q, which docs/oncall.md lacks", file, m[1])
+				t.Errorf("%s logs %q, which docs/oncall.md does not describe", file, m[1])
 			}
 		}
 	}
 	if events == 0 {
-		t.Error("no event found")
+		t.Error("no logged event found in the source files")
 	}
 }
--- a/internal/system/roles/node/finalanswers_test.go
+++ b/internal/system/roles/node/finalanswers_test.go
@@ -20,7 +20,7 @@
 	"reachspread/internal/transport"
 )
 
-// slowIntake answers requests itself, once it is resumed.
+// slowIntake answers requests itself. It holds each request until resume is closed.
 type slowIntake struct {
 	transport.Intake
 	reached, resume chan struct{}
@@ -32,8 +32,9 @@
 	return true
 }
 
-// Guards against requests that end with their process: at the end of the grace it waited 150 ms for
-// the last answers and ended, though a goroutine that lost its processor was still about to write one.
+// Guards against requests that are lost because the process ends. At the end of the grace period
+// the process used to wait 150 ms for the last answers and then end, even if a goroutine without a
+// processor had yet to write one.
 func TestProcessStaysUntilLastAnswerIsWritten(t *testing.T) {
 	is := is.New(t)
 	intake := &slowIntake{reached: make(chan struct{}), resume: make(chan struct{})}
@@ -55,7 +56,7 @@
 	go func() { finished <- n.finishRequests(grace) }()
 	select {
 	case <-finished:
-		t.Error("the process ends with a request that it has read")
+		t.Error("the process ended before it answered a request that it had read")
 	case <-time.After(300 * time.Millisecond):
 	}
 	close(intake.resume)
@@ -63,14 +64,14 @@
 	is.NoErr(err)
 }
 
-// Guards against requests that SIGKILL finds without an answer, as the process did not run when
-// SIGTERM came: the platform's grace runs from SIGTERM on.
+// Guards against unanswered requests when SIGKILL arrives. The platform's grace period begins with
+// SIGTERM, but the process may notice SIGTERM late because it was not running when it arrived.
 func TestDrainingEndsBeforeKill(t *testing.T) {
 	const grace, noticed = 8 * time.Second, time.Minute
 	start := time.Now()
 	for _, x := range []struct {
 		name               string
-		lastTick, tickLate time.Duration // before SIGTERM was noticed; of the tick
+		lastTick, tickLate time.Duration // time from the last tick to the notice of SIGTERM; delay of that tick
 		want               time.Duration
 	}{
 		{"in time", 50 * time.Millisecond, 0, grace - minGraceMargin},
--- a/internal/system/roles/node/golden_test.go
+++ b/internal/system/roles/node/golden_test.go
@@ -14,15 +14,14 @@
 	"reachspread/internal/testbed/golden"
 )
 
-// Peer reports have the bytes that they had at commit 5bfcc27,
-// and is read from them.
+// Peer reports are encoded to the same bytes as at commit 5bfcc27, and decoded from these bytes.
 func TestPromptDatagramsKeepTheirBytes(t *testing.T) {
 	receiver, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer receiver.Close()
-	receiver.SetReadDeadline(time.Now().Add(10 * time.Second)) // nothing is lost on the way
+	receiver.SetReadDeadline(time.Now().Add(10 * time.Second)) // never reached unless a datagram is lost
 	n := idleNode()
 	if n.udp, err = net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}); err != nil {
 		t.Fatal(err)
@@ -51,24 +50,24 @@
 	}
 	data := golden.Check(t, "prompts", records)
 	if want := (&message.SentPrompts{Service: "chat", Prompts: []*message.SentPrompt{{Host: 0xabcdef, Failed: true}, {Host: 1, Slow: 275}}}); !proto.Equal(reported, want) {
-		t.Errorf("what is told of hosts is %v, not %v", reported, want)
+		t.Errorf("the queued report on hosts is %v, want %v", reported, want)
 	}
 	for i, want := range messages {
 		got := &message.SentPrompts{}
 		if err := proto.Unmarshal(data[names[i]][1:], got); err != nil || !proto.Equal(got, want) {
-			t.Errorf("%s are read as %v, not %v (%v)", names[i], got, want, err)
+			t.Errorf("datagram %s is decoded as %v, want %v (error: %v)", names[i], got, want, err)
 		}
 		if !p.receive(peer, data[names[i]]) {
-			t.Errorf("%s are not taken as a datagram of prompts", names[i])
+			t.Errorf("datagram %s is not accepted as a peer report", names[i])
 		}
 	}
 	if got := p.stats().Received; got != uint64(len(messages)) {
-		t.Errorf("%d datagrams were taken in, not %d", got, len(messages))
+		t.Errorf("%d datagrams were received, want %d", got, len(messages))
 	}
 }
 
-// The kinds of messages on the link between routers, and how a router's zone goes into the
-// membership, are as at commit 5bfcc27.
+// The message kinds on the link between routers, and the zone labels in the membership, are the
+// same as at commit 5bfcc27.
 func TestKindsOnTheLinkStay(t *testing.T) {
 	golden.CheckText(t, "kinds", fmt.Sprintf("register %d\nrouter %d\nzone %s\nlong zone %s\n", registerMessages, routerMessages, zoneLabel("north"), zoneLabel("a-zone-with-a-very-long-name")))
 }
--- a/internal/system/roles/node/holdinghost_test.go
+++ b/internal/system/roles/node/holdinghost_test.go
@@ -8,14 +8,16 @@
 	"github.com/matryer/is"
 )
 
-// holdingHost is a host that holds its one request until it is told to answer, or to end.
+// holdingHost is a model host that holds its only request until the test lets it answer or stops
+// it.
 type holdingHost struct {
-	received chan struct{} // closed once it has the request
+	received chan struct{} // closed once the host has the request
 	answer   chan struct{}
 	stopped  chan struct{}
 }
 
-// startHoldingHost starts one of a fleet of one router, which is ready for it when this returns.
+// startHoldingHost starts a holdingHost for a fleet of one router. When it returns, the router is
+// ready to send requests to the host.
 func startHoldingHost(t *testing.T, f *testFleet) *holdingHost {
 	t.Helper()
 	is := is.New(t)
@@ -30,7 +32,7 @@
 	go http.Serve(ln, h)
 	status, _ := f.heartbeat(0, "i-1", "s", ln.Addr().String(), "ready", 1)
 	is.Equal(status, 200)
-	f.eventually("it is ready", func() bool { return f.ready(0) })
+	f.eventually("the router is ready", func() bool { return f.ready(0) })
 	return h
 }
 
@@ -43,18 +45,18 @@
 		return
 	}
 	w.Header().Set("Response-Seal", "seal")
-	w.Header().Set("Request-Id", r.Header.Get("Request-Id")) // as each answer of a host has it
+	w.Header().Set("Request-Id", r.Header.Get("Request-Id")) // every answer of a host repeats the request's ID
 	w.Write([]byte("late"))
 }
 
-// heldAnswer is what a client gets in the end.
+// heldAnswer is the answer that the client finally receives.
 type heldAnswer struct {
 	status int
 	text   string
 }
 
-// ask sends the host a request by the router, and returns where its answer comes, once the host has
-// the request.
+// sendRequest sends a request to the host through the router and waits until the host has it. The
+// answer arrives on the returned channel.
 func (h *holdingHost) sendRequest(f *testFleet) <-chan heldAnswer {
 	answered := make(chan heldAnswer, 1)
 	go func() {
--- a/internal/system/roles/node/many_measure_test.go
+++ b/internal/system/roles/node/many_measure_test.go
@@ -9,16 +9,16 @@
 )
 
 var (
-	manyRouters = flag.Int("many-routers", 60, "routers that hosts tell of themselves to at once")
-	manyHosts   = flag.Int("many-hosts", 1500, "those hosts")
+	manyRouters = flag.Int("many-routers", 60, "number of routers to which the hosts send heartbeats at once")
+	manyHosts   = flag.Int("many-hosts", 1500, "number of hosts that send heartbeats at once")
 )
 
-// TestMeasureManyHosts has many hosts send heartbeats at once, to all routers of a fleet in one
-// process, until all know all. What it costs is the processor time of the test (go test -run
-// MeasureManyHosts -measure).
+// TestMeasureManyHosts has many hosts send heartbeats at once to all routers of a fleet in one
+// process, and waits until every router knows every host. The result is the processor time of the
+// test (go test -run MeasureManyHosts -measure).
 func TestMeasureManyHosts(t *testing.T) {
 	if !*measure {
-		t.Skip("a measurement; see docs/measurements/")
+		t.Skip("measurement, runs only with -measure; see docs/measurements/")
 	}
 	f := newFleet(t, *manyRouters, 3)
 	f.changeConfiguration(http.MethodPut, firstConfiguration, 0, 0)
--- a/internal/system/roles/node/measure_test.go
+++ b/internal/system/roles/node/measure_test.go
@@ -15,7 +15,8 @@
 
 var measure = flag.Bool("measure", false, "run the measurements")
 
-// manyRoutes is a configuration of a size that a grown deployment has.
+// configurationWithRoutes returns a configuration with the given version and number of routes, to
+// match the size of a grown deployment's.
 func configurationWithRoutes(version, routes int) string {
 	c := configuration.Configuration{Version: int64(version), Services: []*configuration.Service{{Name: "s"}, {Name: "t"}}}
 	for i := range routes {
@@ -30,11 +31,11 @@
 		TimeoutMs: 3000, TargetLatencyMs: 500, Service: service, MaxAttempts: 2}
 }
 
-// use is what the process has used so far.
+// resourceUsage is what the process has used since its start.
 type resourceUsage struct {
 	processor time.Duration
-	bytes     uint64 // sent between routers
-	allocated uint64
+	bytes     uint64 // sent on the links between routers
+	allocated uint64 // heap bytes allocated in total
 }
 
 func (f *testFleet) resourceUsage() (u resourceUsage) {
@@ -50,11 +51,11 @@
 	return u
 }
 
-// What a fleet uses to form, to take up a large configuration and to follow its changes. Played
-// with -measure.
+// Measures the resources that a fleet uses to form, to apply a large configuration and to apply
+// changes to it. It runs only with -measure.
 func TestMeasureConfiguration(t *testing.T) {
 	if !*measure {
-		t.Skip("a measurement: -measure")
+		t.Skip("measurement, runs only with -measure")
 	}
 	const routers, routes, changes = 40, 2000, 20
 	began := time.Now()
@@ -67,7 +68,7 @@
 		began, last = time.Now(), now
 	}
 	everywhere := func(version int64) {
-		f.eventually("it is in force everywhere", func() bool {
+		f.eventually("the configuration is in force on all routers", func() bool {
 			for _, n := range f.nodes {
 				if n.plane.State().Version() != version {
 					return false
@@ -76,7 +77,7 @@
 			return true
 		})
 	}
-	f.eventually("all know of each other", func() bool {
+	f.eventually("all routers know each other", func() bool {
 		for _, n := range f.nodes {
 			if n.plane.Routers() < routers {
 				return false
--- a/internal/system/roles/node/peerreports_test.go
+++ b/internal/system/roles/node/peerreports_test.go
@@ -13,12 +13,12 @@
 	"reachspread/internal/system/status"
 )
 
-// A router's peer reports reach each other router that lives, and no others.
+// A router sends its peer reports to each other live router, and to no others.
 func TestPeerReportsReachAllRouters(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 3, 1)
 	first := f.nodes[0]
-	f.eventually("all know of all", func() bool {
+	f.eventually("all routers know each other", func() bool {
 		for _, n := range f.nodes {
 			if len(n.peerReports.peers.Load().addresses) != 2 {
 				return false
@@ -27,16 +27,16 @@
 		return true
 	})
 	first.peerReports.report("chat", []balance.PeerReport{{ReplicaTag: 7, PrefillTokens: 900, PrefixTag: 3}})
-	f.eventually("both others were told", func() bool {
+	f.eventually("both other routers received the report", func() bool {
 		return f.nodes[1].peerReports.stats().Received == 1 && f.nodes[2].peerReports.stats().Received == 1
 	})
 	is.Equal(first.peerReports.stats(), status.PromptReports{Sent: 2})
 }
 
-// knowsPeer reports whether a router of two has the other among those that it reports to.
+// knowsPeer reports whether a router in a fleet of two sends its reports to the other one.
 func knowsPeer(n *runningNode) bool { return len(n.peerReports.peers.Load().addresses) == 1 }
 
-// A datagram that is lost is not sent again, and nothing waits for it.
+// A lost datagram is not sent again, and later reports do not wait for it.
 func TestLostPeerReportIsNotRetried(t *testing.T) {
 	f := newFleet(t, 2, 1)
 	f.eventually("both know of each other", func() bool { return knowsPeer(f.nodes[0]) && knowsPeer(f.nodes[1]) })
@@ -56,10 +56,10 @@
 	<-lost
 	failpoint.Set(nil)
 	f.nodes[0].peerReports.report("chat", []balance.PeerReport{{ReplicaTag: 7, PrefillTokens: 900}})
-	f.eventually("the next one comes", func() bool { return f.nodes[1].peerReports.stats().Received >= 1 })
+	f.eventually("the next report arrives", func() bool { return f.nodes[1].peerReports.stats().Received >= 1 })
 }
 
-// Only datagrams of peer reports are received, only from routers that live, and only valid ones.
+// A router accepts only valid datagrams of peer reports, and only from live routers.
 func TestPeerReportsFromStrangersAreDropped(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	peer, stranger := netip.MustParseAddrPort("127.77.9.9:7680"), netip.MustParseAddrPort("127.77.9.8:7680")
@@ -75,8 +75,8 @@
 		ours  bool
 		count status.PromptReports
 	}{
-		{"from a router that lives", peer, text, true, status.PromptReports{Received: 1}},
-		{"from elsewhere", stranger, text, true, status.PromptReports{Dropped: 1}},
+		{"from a live router", peer, text, true, status.PromptReports{Received: 1}},
+		{"from an unknown address", stranger, text, true, status.PromptReports{Dropped: 1}},
 		{"unreadable", peer, []byte{peerReportDatagram, 0xff}, true, status.PromptReports{Dropped: 1}},
 		{"empty", peer, nil, false, status.PromptReports{}},
 		{"of the membership", peer, []byte{0x20, 1, 2}, false, status.PromptReports{}},
@@ -91,11 +91,11 @@
 	}
 }
 
-// Reporting does not block: what the queue has no capacity for is dropped, and counted.
+// Reporting does not block: reports that do not fit in the queue are dropped and counted.
 func TestPeerReportsBeyondTheQueueAreDropped(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 1, 1)
-	p := newPeerReporter(f.nodes[0].Node) // nobody sends what waits
+	p := newPeerReporter(f.nodes[0].Node) // its run loop, which would empty the queue, is not started
 	p.membershipChanged([]router{{address: netip.MustParseAddrPort("127.77.9.9:7680")}})
 	for range maxQueuedPeerReports + 5 {
 		p.report("chat", []balance.PeerReport{{ReplicaTag: 7, PrefillTokens: 900}})
@@ -104,8 +104,8 @@
 	is.Equal(len(p.queue), maxQueuedPeerReports)
 }
 
-// Failures and slowness of hosts are reported at a rate of their own, whatever the prompts have
-// used up.
+// Reports of failed and slow hosts have a rate limit of their own, which reports of prompts do not
+// use up.
 func TestHostReportsHaveTheirOwnRate(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 2, 1)
@@ -121,6 +121,6 @@
 	is.True(allowed < 2*hostDatagramBurst)
 	before := first.stats().Sent
 	f.nodes[1].peerReports.report("chat", []balance.PeerReport{{ReplicaTag: 7, Failed: true}})
-	f.eventually("a failure is told", func() bool { return first.stats().Received > 0 })
-	is.Equal(first.stats().Sent, before) // and passed on by nobody
+	f.eventually("the report of a failure arrives", func() bool { return first.stats().Received > 0 })
+	is.Equal(first.stats().Sent, before) // the receiver does not forward it
 }
--- a/internal/system/roles/node/pins_explore_test.go
+++ b/internal/system/roles/node/pins_explore_test.go
@@ -9,14 +9,15 @@
 	"reachspread/coord/faultplan"
 )
 
-// pinFaults is how many faults an explored schedule of pins has at most. With 2 there are some ten
-// thousand schedules.
-var pinFaults = flag.Int("pin-faults", 1, "faults of an explored schedule of pins")
-
-// The explorer plays four routers in virtual time: the tail, the homes of two zones and one that is
-// none. A pin is set, and changed a while later. It places faults in all ways: each kind at each
-// message that arrives around the first change, and a second one at each message after that until
-// the changes are over.
+// pinFaults is the maximum number of faults in an explored schedule of pin changes. With 2 there
+// are some ten thousand schedules.
+var pinFaults = flag.Int("pin-faults", 1, "maximum number of faults in an explored schedule of pin changes")
+
+// The explorer simulates four routers in virtual time: the tail, the configuration's owners in two
+// zones, and one router that owns nothing. A pin is set and is changed 4 s later. The explorer tries
+// every placement of faults: each kind of fault at each message that arrives within pointsFor of
+// pointsFrom, which is around the first change. With more than one fault, each further one strikes
+// at a later message within the same time.
 const (
 	exploredRouters = 4
 	exploredSeed    = 1
@@ -27,23 +28,23 @@
 	pointsFor       = time.Second
 )
 
-// pinFaultKind is a kind of fault, at a message that arrives.
+// pinFaultKind is a kind of fault that is injected when a message arrives.
 type pinFaultKind int
 
 const (
 	dropMessage     pinFaultKind = iota
-	cutLink                      // from the sender to the receiver, for longer than the bound
-	cutReceiver                  // from all others, for longer than the bound
-	cutIncoming                  // the receiver hears nobody, and is heard
-	stallShort                   // the receiver stalls for less than the bound
-	stallLong                    // and for longer
-	stallAndLose                 // and for longer, and what comes meanwhile is lost
-	restartReceiver              // of the receiver
+	cutLink                      // block messages from the sender to the receiver for longer than the bound
+	cutReceiver                  // block messages between the receiver and all others for longer than the bound
+	cutIncoming                  // block only the messages to the receiver
+	stallShort                   // stall the receiver for less than the bound
+	stallLong                    // stall the receiver for longer than the bound
+	stallAndLose                 // as stallLong, and drop the messages that arrive during the stall
+	restartReceiver              // start a new incarnation of the receiver
 	pinFaultKinds
 )
 
 func (f pinFaultKind) String() string {
-	return [...]string{"lose", "cut the link", "cut the receiver", "deafen the receiver", "freeze briefly", "freeze for long", "suspend", "new life"}[f]
+	return [...]string{"drop the message", "cut the link", "isolate the receiver", "block messages to the receiver", "short stall", "long stall", "long stall with message loss", "restart the receiver"}[f]
 }
 
 const (
@@ -52,7 +53,7 @@
 	longStall  = simulatedRevocation + time.Second
 )
 
-// exploredSchedule is one schedule.
+// exploredSchedule is the simulation of one plan of faults.
 type exploredSchedule struct {
 	*pinSimulation
 	plan   faultplan.Plan[pinFaultKind]
@@ -60,13 +61,14 @@
 	heals  []heal
 }
 
-// heal ends a cut.
+// heal is the scheduled end of a cut.
 type heal struct {
 	at   time.Duration
 	link [2]int
 }
 
-// explorePins plays a plan, and returns how many points there were for one more fault.
+// explorePins simulates a plan of faults. It returns the number of points at which one more fault
+// could strike, and the simulation.
 func explorePins(t *testing.T, plan faultplan.Plan[pinFaultKind], plant plantedFault) (points int, w *pinSimulation) {
 	e := &exploredSchedule{pinSimulation: newPinSimulation(t, exploredRouters, exploredSeed, plant), plan: plan}
 	e.intercept = e.injectFaults
@@ -81,8 +83,8 @@
 	return e.points, e.pinSimulation
 }
 
-// place has the faults of the plan strike. The first one does near the first change, others at any
-// time behind it.
+// injectFaults injects the faults that the plan has for an arriving message, and reports whether
+// the message is lost. Only messages that arrive within pointsFor of pointsFrom count as points.
 func (e *exploredSchedule) injectFaults(m simulatedMessage) (lost bool) {
 	if e.now < pointsFrom || e.now > pointsFrom+pointsFor {
 		return false
@@ -130,8 +132,8 @@
 	return false
 }
 
-// freeze has a router stand still. The tail's own part is the register's, which has an explorer of
-// its own.
+// stall stops a router for a time. It never stops the tail: the tail's own behaviour belongs to
+// the register, which has an explorer of its own.
 func (e *exploredSchedule) stall(router int, span time.Duration) {
 	if router > 0 {
 		e.routers[router].stalledUntil = e.now + span
@@ -151,7 +153,8 @@
 	}
 }
 
-// exploreAllPins plays all plans with so many faults, until one finds something that does not hold.
+// exploreAllPins simulates all plans with at most this number of faults, until one of them
+// violates the check.
 func exploreAllPins(t *testing.T, faults int, plant plantedFault) (found faultplan.Result[pinFaultKind], served int64) {
 	var answered atomic.Int64
 	found = faultplan.Explorer[pinFaultKind]{Kinds: pinFaultKinds, MaxFaults: faults, Simulate: func(plan faultplan.Plan[pinFaultKind]) faultplan.Outcome {
@@ -163,7 +166,7 @@
 }
 
 // Wherever a fault strikes around a change of the pins, each request that arrives after a change
-// was acknowledged is served by it, or rejected.
+// was acknowledged is served by that change or a later one, or is rejected.
 func TestPinsHoldInExploredSchedules(t *testing.T) {
 	found, served := exploreAllPins(t, *pinFaults, noPlantedFault)
 	if found.Violation != nil {
@@ -171,17 +174,17 @@
 	}
 	t.Logf("%d schedules with at most %d faults, %d requests served", found.Runs, *pinFaults, served)
 	if found.Runs < 100 || served/found.Runs < 1000 {
-		t.Error("too little is played to tell")
+		t.Error("fewer than 100 schedules, or fewer than 1000 requests served per schedule: too few for a result")
 	}
 }
 
-// The explorer finds each planted fault with one fault of the network or a router.
+// The explorer finds each planted program fault with a single fault of the network or a router.
 func TestExplorerFindsPlantedPinFaults(t *testing.T) {
-	for name, plant := range map[string]plantedFault{"acknowledged too early": ackedTooEarly, "stale after a thaw": staleAfterStall, "never runs out": neverExpires} {
+	for name, plant := range map[string]plantedFault{"acknowledged too early": ackedTooEarly, "stale after a stall": staleAfterStall, "never expires": neverExpires} {
 		t.Run(name, func(t *testing.T) {
 			found, _ := exploreAllPins(t, 1, plant)
 			if found.Violation == nil {
-				t.Fatal("not found")
+				t.Fatal("no schedule with one fault violates the check despite the planted fault")
 			}
 			t.Logf("%d schedules; %v: %v", found.Runs, found.Plan, found.Violation)
 		})
--- a/internal/system/roles/node/pins_schedules_test.go
+++ b/internal/system/roles/node/pins_schedules_test.go
@@ -16,28 +16,28 @@
 	"reachspread/internal/testbed/pintest"
 )
 
-// pinSchedules is how many drawn schedules are played. Each takes 20 ms, and ten times that under
-// the race detector.
-var pinSchedules = flag.Int("pin-schedules", 100, "drawn schedules of pins that are played")
+// pinSchedules is the number of random schedules to simulate. Each takes 20 ms, and ten times that
+// under the race detector.
+var pinSchedules = flag.Int("pin-schedules", 100, "number of random schedules of pin changes to simulate")
 
 const (
-	simulatedRevocation  = 3 * time.Second // on the age of what keys are honoured by
+	simulatedRevocation  = 3 * time.Second // maximum age of a configuration by which keys are honoured
 	randomScheduleLength = 30 * time.Second
 	simulatedTick        = 20 * time.Millisecond
 )
 
-// pinPlant is a fault in the program, which the judge is to find.
+// plantedFault is a fault of the program that the test plants and the check must find.
 type plantedFault int
 
 const (
 	noPlantedFault  plantedFault = iota
-	ackedTooEarly                // a change is acknowledged as soon as the router that took it has it
-	staleAfterStall              // a router that stood still goes by what it found young before
-	neverExpires                 // an isolated router goes on honouring keys
+	ackedTooEarly                // a change is acknowledged one tick after the tail committed it
+	staleAfterStall              // after a stall, a router uses its last result of the freshness check
+	neverExpires                 // an isolated router honours keys forever
 )
 
-// pinWorld is routers that bring each other the configuration, with pins that change, in virtual
-// time. The first is the register's tail.
+// pinSimulation is a group of routers that exchange the configuration in virtual time while the
+// pins in it change. The first router is the register's tail.
 type pinSimulation struct {
 	rng       *rand.Rand
 	now       time.Duration
@@ -50,10 +50,11 @@
 	served    int
 	rejected  int
 	violation error
-	intercept func(m simulatedMessage) (lost bool) // called before each message arrives, nil for nothing
+	intercept func(m simulatedMessage) (lost bool) // called before each message is delivered, reports whether it is lost; nil for no faults
 }
 
-// drawnChange is a change of the pins: the number of its revision is its place, from 1 on.
+// pinChange is a change of the pins. The first change makes revision 1, the next one revision 2,
+// and so on.
 type pinChange struct {
 	committed, acked time.Duration
 }
@@ -63,9 +64,9 @@
 	number       int
 	feed         *feed.Node
 	config       *configurationFeed
-	stalledUntil time.Duration // until then it does nothing
-	waiting      []func()      // for the end of that
-	fresh        bool          // as it last found
+	stalledUntil time.Duration // the router does nothing before this time
+	waiting      []func()      // actions that wait for the end of the stall
+	fresh        bool          // the last result of the freshness check
 }
 
 type simulatedMessage struct {
@@ -75,7 +76,7 @@
 	send feed.Send
 }
 
-// drawnRouters is how many routers a drawn schedule has.
+// randomScheduleRouters is the number of routers in a random schedule.
 const randomScheduleRouters = 8
 
 func newPinSimulation(t *testing.T, routers int, seed uint64, plant plantedFault) *pinSimulation {
@@ -98,8 +99,8 @@
 
 func routerName(i int) string { return fmt.Sprintf("r%d", i) }
 
-// startIncarnation begins an incarnation of a router: the first two are the owners in their zones,
-// and ask the tail.
+// startIncarnation starts a new incarnation of a router. Routers 1 and 2 are the owners of the
+// configuration in their zones and ask only the tail. Routers from 3 on ask these owners first.
 func (w *pinSimulation) startIncarnation(i int) {
 	r := w.routers[i]
 	r.feed = feed.New(routerName(i), w.rng.Uint64(), w.now)
@@ -126,7 +127,8 @@
 	}
 }
 
-// do has a router do something, once it does anything.
+// do runs an action of a router, after those that wait. If the router is stalled, the action waits
+// for the end of the stall.
 func (r *simulatedRouter) do(f func()) {
 	if r.simulation.now < r.stalledUntil {
 		r.waiting = append(r.waiting, f)
@@ -159,7 +161,7 @@
 	}
 }
 
-// change commits a change of the pins, and acknowledges it once it is in force.
+// change commits a change of the pins and records when it is acknowledged.
 func (w *pinSimulation) change() {
 	revision := int64(len(w.changes) + 1)
 	set, err := (&pins.Set{Revision: revision - 1}).Add(&message.Pin{Name: "p", Tenant: "x", Model: "m", Version: revision, By: "ann", Why: "trial"})
@@ -176,7 +178,7 @@
 	w.changes = append(w.changes, pinChange{w.now, acked})
 }
 
-// request has a client ask a router, which answers by what it knows then.
+// request sends a client's request to a router, which handles it by what it knows when it runs.
 func (r *simulatedRouter) request() {
 	w, arrived := r.simulation, r.simulation.now
 	frozen := w.now < r.stalledUntil
@@ -194,18 +196,18 @@
 	})
 }
 
-// check looks at a request that a router serves: it goes by all changes that were acknowledged when
-// it arrived.
+// check checks a request that a router serves: every change that had been acknowledged when the
+// request arrived must be in force on the router.
 func (w *pinSimulation) check(r *simulatedRouter, arrived time.Duration) {
 	revision := r.config.state.Pins().Revision
 	for i, c := range w.changes {
 		if int64(i+1) > revision && c.acked <= arrived {
-			w.violation = fmt.Errorf("%v: router %d serves by revision %d a request of %v; %d was acknowledged at %v", w.now, r.number, revision, arrived, i+1, c.acked)
+			w.violation = fmt.Errorf("%v: router %d serves by revision %d a request that arrived at %v; revision %d was acknowledged at %v", w.now, r.number, revision, arrived, i+1, c.acked)
 		}
 	}
 }
 
-// drawFault draws a partition, a stall or a restart.
+// injectRandomFault injects or heals a partition, or stalls or restarts a router, at random.
 func (w *pinSimulation) injectRandomFault() {
 	a, b := w.rng.IntN(len(w.routers)), w.rng.IntN(len(w.routers))
 	switch w.rng.IntN(7) {
@@ -242,7 +244,7 @@
 	}
 }
 
-// step has a tick pass. What happens besides does so before the clients ask.
+// step simulates one tick. It runs the given actions before the clients send their requests.
 func (w *pinSimulation) step(actions func()) {
 	w.tail().config.confirmAt(w.now, w.tail().config.sequence)
 	for i, r := range w.routers {
@@ -256,8 +258,8 @@
 	w.now += simulatedTick
 }
 
-// Whatever is drawn of partitions, stalls and restarts of routers, each request that arrives after
-// a change of the pins was acknowledged is served by it, or rejected.
+// Under random partitions, stalls and restarts of routers, each request that arrives after a
+// change of the pins was acknowledged is served by that change or a later one, or is rejected.
 func TestPinsHoldInDrawnSchedules(t *testing.T) {
 	served, rejected := 0, 0
 	for seed := range uint64(*pinSchedules) {
@@ -268,15 +270,15 @@
 		}
 		served, rejected = served+w.served, rejected+w.rejected
 	}
-	t.Logf("%d schedules: %d requests served, %d refused", *pinSchedules, served, rejected)
+	t.Logf("%d schedules: %d requests served, %d rejected", *pinSchedules, served, rejected)
 	if served < rejected {
-		t.Error("too few are served to tell")
+		t.Error("fewer requests are served than rejected: too few for a result")
 	}
 }
 
-// The judge finds each planted fault.
+// The check finds each planted fault in random schedules.
 func TestCheckerFindsPlantedPinFaults(t *testing.T) {
-	for name, plant := range map[string]plantedFault{"acknowledged too early": ackedTooEarly, "stale after a thaw": staleAfterStall, "never runs out": neverExpires} {
+	for name, plant := range map[string]plantedFault{"acknowledged too early": ackedTooEarly, "stale after a stall": staleAfterStall, "never expires": neverExpires} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(*pinSchedules) {
 				w := newPinSimulation(t, randomScheduleRouters, seed, plant)
@@ -286,7 +288,7 @@
 					return
 				}
 			}
-			t.Error("not found")
+			t.Error("no random schedule violates the check despite the planted fault")
 		})
 	}
 }
--- a/internal/system/roles/node/pins_test.go
+++ b/internal/system/roles/node/pins_test.go
@@ -14,12 +14,12 @@
 	"reachspread/internal/testbed/pintest"
 )
 
-// pinRevocationMs is the bound on the age of what keys are honoured by, in ms, where pins are
-// played: each change of theirs takes so long.
+// pinRevocationMs is bounds.revocationMs, in ms, in the tests of pins. Each change of a pin takes
+// this long.
 const pinRevocationMs = 2000
 
-// pinStory is a fleet of five routers, of which three keep the register, with hosts of two
-// versions.
+// pinScenario is a fleet of five routers, three of which are members of the register, with hosts
+// of two model versions.
 type pinScenario struct {
 	*testFleet
 	*pintest.Scenario
@@ -50,7 +50,7 @@
 	s.must(s.Configure(ctx))
 	s.registerAll()
 	for i := range s.nodes {
-		s.eventually("all serve", func() bool { return s.Send(i, pintest.SafePath).Status == http.StatusOK })
+		s.eventually("all routers serve", func() bool { return s.Send(i, pintest.SafePath).Status == http.StatusOK })
 	}
 	return s
 }
@@ -72,18 +72,18 @@
 	s.must(s.ChangePin(s.ctx, version))
 }
 
-// restart has a router that ended come back.
+// restart starts a router again after its crash.
 func (s *pinScenario) restart(i int) { s.start(i, s.folder, false) }
 
-// On live traffic, each request after a pin was set, moved or lifted is answered by the chosen
-// version, whichever router gets it: while hosts roll their weights, tell what is not so, and
-// routers with and without a disk end and come back.
+// On live traffic, each request after a pin was set, moved or lifted is answered by the pinned
+// version, whichever router receives it. Meanwhile a host changes its version without updating its
+// registration, and routers with and without a disk crash and restart.
 func TestPinsOnLiveTraffic(t *testing.T) {
 	s := newPinScenario(t)
 	s.StartTraffic()
 	s.change(1)
 	s.change(2)
-	s.Hosts[2].Version.Store(3) // it rolls, and its registration says otherwise
+	s.Hosts[2].Version.Store(3) // the host changes its version, but its registration still has the old one
 	s.crash(4)
 	s.change(1)
 	s.restart(4)
@@ -102,12 +102,12 @@
 		t.Error(wrong)
 	}
 	if report.Served < report.Requests/2 {
-		t.Error("too few were served to tell")
+		t.Error("fewer than half of the requests were served: too few for a result")
 	}
 }
 
-// After all routers have ended at once, the pins are in force as they were, and their history is
-// there.
+// After all routers have crashed at once and restarted, the same pins are in force and their
+// history is complete.
 func TestPinsSurviveRestartOfAll(t *testing.T) {
 	is := is.New(t)
 	s := newPinScenario(t)
@@ -120,10 +120,10 @@
 	}
 	s.registerAll()
 	for i := range s.nodes {
-		s.eventually("each serves", func() bool {
+		s.eventually("the router serves", func() bool {
 			a := s.Send(i, pintest.SafePath)
 			if a.Status == http.StatusOK && a.Version != 2 {
-				t.Errorf("router %d answers with version %d", i, a.Version)
+				t.Errorf("router %d answers with version %d, not with the pinned version 2", i, a.Version)
 			}
 			return a.Status == http.StatusOK
 		})
--- a/internal/system/roles/node/status_test.go
+++ b/internal/system/roles/node/status_test.go
@@ -17,7 +17,8 @@
 	"reachspread/internal/system/status"
 )
 
-// status reads a router's status at its readiness address; nil where it does not answer.
+// status reads a router's status at its readiness address. It returns nil if the router does not
+// answer.
 func (f *testFleet) status(i int) *status.Router {
 	resp, err := http.Get(fmt.Sprintf("http://%s:%d%s", f.nodes[i].ip, f.ports.ready, status.Path))
 	if err != nil {
@@ -31,7 +32,8 @@
 	return s
 }
 
-// metrics reads a router's figures at its readiness address; empty where it does not answer.
+// metrics reads a router's metrics at its readiness address. It returns an empty string if the
+// router does not answer.
 func (f *testFleet) metrics(i int) string {
 	resp, err := http.Get(fmt.Sprintf("http://%s:%d%s", f.nodes[i].ip, f.ports.ready, metrics.Path))
 	if err != nil {
@@ -42,8 +44,8 @@
 	return string(text)
 }
 
-// Each router's status has the routers it sees, the register's chain with who is behind, the
-// configuration in force, and the hosts.
+// Each router's status has the routers that it sees, the register's chain and how far each member
+// is behind, the configuration in force, and the hosts.
 func TestStatusDescribesTheFleet(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 4, 3)
@@ -51,7 +53,7 @@
 	code, _ := f.heartbeat(0, "i-1", "s", f.host("one"), "ready", 1)
 	is.Equal(code, 200)
 	for i := range f.nodes {
-		f.eventually(fmt.Sprint("router ", i, " tells all of it"), func() bool {
+		f.eventually(fmt.Sprint("router ", i, " has the whole fleet in its status"), func() bool {
 			s := f.status(i)
 			return s != nil && s.Ready && len(s.Members) == 4 && s.Configuration.Version == 1 && s.Configuration.HonoursKeys && hasHost(s, "s", "i-1") && chainLength(s) == 3
 		})
@@ -67,40 +69,40 @@
 		is.True(slices.ContainsFunc(s.Register.Machines, func(m status.Machine) bool { return m.Address == shard.Address && m.ChainPosition > 0 }))
 	}
 	withoutReplica := f.status(3)
-	is.Equal(len(withoutReplica.Register.Shards), view.Shards) // known from the view, also where there is no disk
+	is.Equal(len(withoutReplica.Register.Shards), view.Shards) // the view has the shards, so a router without a disk knows them too
 	is.True(!withoutReplica.Eligible)
-	is.Equal(withoutReplica.Register.Replica, nil) // it has no part in the register
+	is.Equal(withoutReplica.Register.Replica, nil) // the router has no replica
 	is.True(withoutReplica.Configuration.Source != "")
 
 	for id, key := range map[string]string{"q1": "k", "q2": "k", "q3": "nobody's"} {
 		f.request(0, "/a", id, key)
 	}
-	f.eventually("the requests are in the figures", func() bool {
+	f.eventually("the requests are in the metrics", func() bool {
 		text := f.metrics(0)
 		return strings.Contains(text, `reachspread_requests_total{kind="safe",tenant="x",outcome="served"} 2`) &&
 			strings.Contains(text, `reachspread_requests_total{kind="",tenant="",outcome="no_key"} 1`)
 	})
 	is.True(strings.Contains(f.metrics(0), "reachspread_register_chain 3\n"))
 	is.Equal(f.changeConfiguration(http.MethodPatch, `{"version":4,"remove":{"services":["t"]}}`, 1, 2), 200)
-	f.eventually("a change is in the history of every router", func() bool {
+	f.eventually("the change is in the history of a router without a disk", func() bool {
 		history := f.status(3).Configuration.History
 		return len(history) == 2 && history[0].Version == 4 && len(history[0].Changes) == 1 && slices.Equal(history[0].Changes[0].Removed, []string{"t"})
 	})
 
 	f.crash(1)
-	f.eventually("the register's other machines see that one is lost", func() bool {
+	f.eventually("the register's other members notice the loss of one", func() bool {
 		s := f.status(0)
 		return s != nil && chainLength(s) == 2 && s.Register.Epoch > 1
 	})
 	for _, m := range f.status(0).Register.Machines {
-		is.True(m.Member) // until another machine replaces it
+		is.True(m.Member) // the lost machine stays a member until another one replaces it
 		is.Equal(m.ChainPosition == 0, m.Address == f.nodes[1].self.internal())
 	}
 }
 
-// A router whose hub is blocked goes on after those that queried it meanwhile have given up: the
-// hub executes their queries later, when nobody waits, and the state on the disk is not overwritten
-// by an empty one.
+// The hub survives queries whose callers have given up. If the hub is blocked and the callers'
+// contexts end, it executes the queries later, when no caller waits, and continues. The state on
+// the disk is not overwritten by an empty one.
 func TestAbandonedQueryDoesNotDisturbTheHub(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 1, 1)
@@ -111,7 +113,7 @@
 		ask  func(ctx context.Context) (answered bool)
 	}{
 		{"status", func(ctx context.Context) bool { _, ok := n.Status(ctx); return ok }},
-		{"what is kept", func(ctx context.Context) bool { _, err := n.newStateFile().marshal(ctx); return err == nil }},
+		{"saved state", func(ctx context.Context) bool { _, err := n.newStateFile().marshal(ctx); return err == nil }},
 	} {
 		release := make(chan struct{})
 		blocked := make(chan struct{})
@@ -125,7 +127,7 @@
 		cancel()
 		is.Equal(<-answered, false)
 		close(release)
-		is.True(c.ask(t.Context())) // the hub has come to the call before it by now
+		is.True(c.ask(t.Context())) // by now the hub has executed the abandoned query
 	}
 }
 
@@ -140,7 +142,7 @@
 	return false
 }
 
-// chainLength is how many machines are in the chain.
+// chainLength returns the number of machines in the register's chain.
 func chainLength(s *status.Router) (n int) {
 	for _, m := range s.Register.Machines {
 		if m.ChainPosition > 0 {
@@ -150,7 +152,7 @@
 	return n
 }
 
-// The status can be read by programs: the names of its fields are those of the operators' page.
+// Programs can read the status: its fields have the names on the operators' page.
 func TestStatusHasDocumentedFields(t *testing.T) {
 	is := is.New(t)
 	text, err := json.Marshal(&status.Router{Name: "n", Services: []status.Service{{Name: "s", Hosts: []status.Host{{ID: "i"}}}}})
--- a/internal/system/roles/node/stored_test.go
+++ b/internal/system/roles/node/stored_test.go
@@ -15,10 +15,10 @@
 	"reachspread/internal/testbed/golden"
 )
 
-// The file testdata/kept was written at commit 5bfcc27, by the encoding that stateFile uses:
+// The file testdata/kept was written at commit 5bfcc27 in the encoding that stateFile uses, by
 // WRITE_GOLDEN=1 go test -run Golden.
 
-// goldenKept is hosts in every state and the use of two tenants.
+// goldenKept returns a saved state with a host in every state and the usage of two tenants.
 func goldenKept() *message.Kept {
 	kept := &message.Kept{Usage: map[string]*message.UsageParts{"kaje80": {Units: []float64{0, 1.5, 300}}, "ann": {Units: []float64{12.25}}}}
 	for i, state := range []message.Instance_State{message.Instance_READY, message.Instance_LOST, message.Instance_DRAINING, message.Instance_GONE} {
@@ -28,7 +28,7 @@
 	return kept
 }
 
-// A router's state file is read as it was written, and written the same.
+// A router reads the golden state file correctly and encodes the same state to the same bytes.
 func TestGoldenKept(t *testing.T) {
 	want := goldenKept()
 	encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(want)
@@ -43,7 +43,8 @@
 	}
 }
 
-// A router that finds the file knows the hosts in it that have not ended, and the tenants' usage.
+// A router that starts with the golden state file knows the hosts in it that have not ended, and
+// the tenants' usage.
 func TestGoldenKeptIsTakenUp(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 1, 1)
--- a/internal/system/roles/node/testfleet_test.go
+++ b/internal/system/roles/node/testfleet_test.go
@@ -17,41 +17,44 @@
 	"reachspread/internal/system/settings"
 )
 
-// testTimeout bounds what a test waits for; where all is well it never elapses.
+// testTimeout is the longest wait of a test for one condition. It does not elapse in a successful
+// test.
 const testTimeout = 30 * time.Second
 
-// discardLog drops log lines.
+// discardLog discards all log lines.
 type discardLog struct{}
 
 func (discardLog) Info(string, ...any) {}
 func (discardLog) Warn(string, ...any) {}
 
-// testFleet is routers on addresses of the loopback. The first ones have disks.
+// testFleet is a fleet of routers on loopback addresses, for tests. The first routers have disks.
 type testFleet struct {
 	t      *testing.T
 	subnet byte // the third byte of all addresses
 	ports  struct{ internal, front, ready, control int }
 	nodes  []*runningNode
 
-	disks           int     // routers with a disk, which may be members of the register
-	disklessMembers int     // routers after those that may be members without a disk
-	revocationMs    float64 // bounds.revocationMs of all
+	disks           int     // number of routers with a disk; these may be members of the register
+	disklessMembers int     // number of further routers that may be members without a disk
+	revocationMs    float64 // bounds.revocationMs of all routers
 }
 
-// running is a router of the fleet, in its present incarnation.
+// runningNode is a router of a testFleet in its current incarnation.
 type runningNode struct {
 	*Node
 	ip      string
-	ended   chan error         // gets the result of Run
-	cancel  context.CancelFunc // has the router drain
+	ended   chan error         // receives the result of Run
+	cancel  context.CancelFunc // makes the router drain
 	reloads chan *settings.Settings
 }
 
-// nextNet is the net to try next, the third byte of the addresses of a fleet.
+// nextSubnet is a counter from which reserveSubnet derives the next subnet to try: the third byte
+// of the addresses of a fleet.
 var nextSubnet atomic.Uint32
 
-// reserveNet returns a net that no other fleet has, of this process or of others that play these
-// tests at the same time. It holds the net by a socket on an address that no router has.
+// reserveSubnet returns a subnet that no other fleet uses, in this process or in another one that
+// runs these tests at the same time. It reserves the subnet by a listener on an address in it that
+// no router uses.
 func reserveSubnet(t *testing.T) byte {
 	t.Helper()
 	const subnets, reservation = 256, 250
@@ -63,7 +66,7 @@
 			return number
 		}
 	}
-	t.Fatal("all nets of the loopback are taken")
+	t.Fatal("no free subnet of 127.77.0.0/16 for the fleet")
 	return 0
 }
 
@@ -77,8 +80,8 @@
 	return startFleetOf(t, &testFleet{disks: disks, disklessMembers: disklessMembers, revocationMs: 5000}, routers)
 }
 
-// startWithRevocation starts a fleet whose routers honour keys while their configuration was
-// confirmed within a time.
+// startWithRevocation starts a fleet with the given bounds.revocationMs: its routers honour keys
+// only while their configuration was confirmed within that time.
 func startWithRevocation(t *testing.T, routers, disks int, revocationMs float64) *testFleet {
 	t.Helper()
 	return startFleetOf(t, &testFleet{disks: disks, revocationMs: revocationMs}, routers)
@@ -104,13 +107,15 @@
 	return f
 }
 
-// applyMs is how soon a change is to be in force on all routers, in ms.
+// applyMs is bounds.configurationApplyMs of all routers: the time, in ms, within which a change
+// must be in force on all of them.
 const applyMs = 2000
 
 // seeds is how many of the first routers are seeds.
 const seeds = 3
 
-// settingsOf are the settings of a router whose data is in a folder.
+// settingsOf returns the settings of a router. The folder argument is the parent of the routers'
+// data directories.
 func (f *testFleet) settingsOf(i int, folder string, firstStart bool) *settings.Settings {
 	ip := f.nodes[i].ip
 	s := &settings.Settings{
@@ -150,7 +155,7 @@
 	return s
 }
 
-// start begins an incarnation of a router, and waits until it serves.
+// start starts a new incarnation of a router and waits until it serves.
 func (f *testFleet) start(i int, folder string, firstStart bool) {
 	n := f.nodes[i]
 	ctx, cancel := context.WithCancel(context.Background())
@@ -161,29 +166,29 @@
 	select {
 	case <-node.started:
 	case err := <-n.ended:
-		n.ended <- err // for whoever waits for its end
+		n.ended <- err // the cleanup of the fleet reads it again
 		f.t.Fatal(err)
 	}
 }
 
-// crash ends a router at once.
+// crash ends a router at once, without draining.
 func (f *testFleet) crash(i int) {
 	f.nodes[i].crash()
 	err := <-f.nodes[i].ended
-	f.nodes[i].ended <- err // for whoever waits for its end
+	f.nodes[i].ended <- err // the cleanup of the fleet reads it again
 }
 
 func (f *testFleet) control(i int) string {
 	return fmt.Sprintf("http://%s:%d", f.nodes[i].ip, f.ports.control)
 }
 
-// call calls the control plane of a router.
+// call calls the control plane of a router with a timeout of 2 s.
 func (f *testFleet) call(i int, method, path, body string, header map[string]string) (int, string) {
 	f.t.Helper()
 	return f.callFor(2*time.Second, i, method, path, body, header)
 }
 
-// callFor calls the control plane of a router, which has a time to answer.
+// callFor calls the control plane of a router with a timeout. The status is 0 if the call fails.
 func (f *testFleet) callFor(timeout time.Duration, i int, method, path, body string, header map[string]string) (int, string) {
 	f.t.Helper()
 	r, err := http.NewRequest(method, f.control(i)+path, strings.NewReader(body))
@@ -203,7 +208,8 @@
 	return resp.StatusCode, string(text)
 }
 
-// order brings an order to routers by turns until it is answered for certain, as operators do.
+// changeConfiguration sends a configuration change to the given routers in turn until one of them
+// gives a definite answer (no 5xx), as operators do. It returns the status of that answer.
 func (f *testFleet) changeConfiguration(method, body string, on int64, routers ...int) int {
 	f.t.Helper()
 	until := time.Now().Add(testTimeout)
@@ -213,11 +219,11 @@
 			return status
 		}
 	}
-	f.t.Fatal("no answer to an order")
+	f.t.Fatal("no answer to an order: no router gave a definite answer to the configuration change")
 	return 0
 }
 
-// eventually waits until something holds.
+// eventually waits until a condition holds, at most for testTimeout.
 func (f *testFleet) eventually(what string, holds func() bool) {
 	f.t.Helper()
 	tick := time.NewTicker(10 * time.Millisecond)
@@ -227,7 +233,7 @@
 			return
 		}
 	}
-	f.t.Fatalf("not within %v: %s", testTimeout, what)
+	f.t.Fatalf("condition not met within %v: %s", testTimeout, what)
 }
 
 func (f *testFleet) ready(i int) bool {
@@ -239,7 +245,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// request sends a client's request through a router.
+// request sends a client's request through a router. The status is 0 if there is no complete
+// answer.
 func (f *testFleet) request(i int, path, id, key string) (status int, body string) {
 	c, err := net.DialTimeout("tcp", fmt.Sprintf("%s:%d", f.nodes[i].ip, f.ports.front), time.Second)
 	if err != nil {
@@ -259,7 +266,7 @@
 	return resp.StatusCode, string(text)
 }
 
-// host answers each request with its own name.
+// host starts a model host that answers each request with its own name, and returns its address.
 func (f *testFleet) host(name string) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -284,7 +291,7 @@
 const firstConfiguration = `{"version":1,"routes":[{"name":"r","host":"h.example","pathPrefix":"/","kind":"safe","timeoutMs":3000,"targetLatencyMs":500,"service":"s","maxAttempts":2}],` +
 	`"services":[{"name":"s"},{"name":"t"}],"tenants":[{"name":"x","apiKeys":["k"],"ratePerS":1000,"burst":1000}]}`
 
-// knows reports whether a router knows a host.
+// knowsHost reports whether a router knows a host.
 func (f *testFleet) knowsHost(i int, id string) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
@@ -293,7 +300,7 @@
 	return known
 }
 
-// sees is how many routers one sees live, itself among them.
+// liveRouters returns how many live routers a router sees, itself included.
 func (f *testFleet) liveRouters(i int) int {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
