--- a/internal/system/roles/node/node_test.go
+++ b/internal/system/roles/node/node_test.go
@@ -153,9 +153,9 @@
 	})
 }
 
-// Standbys replace members of the register that drain before these end, also two in a row. After
-// the loss of another member right after the first drain, a majority is left: configuration
-// changes are still accepted, and acknowledged ones are not lost.
+// When members of the register drain, standbys replace them before they end, even if two members
+// drain one after the other. If another member is lost right after the first drain, a majority
+// remains: configuration changes are still accepted, and acknowledged ones are not lost.
 func TestDrainingMemberHandsOverItsReplica(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 6, 6)
--- a/internal/system/roles/node/stored_test.go
+++ b/internal/system/roles/node/stored_test.go
@@ -39,7 +39,7 @@
 	got := &message.Kept{}
 	err = proto.Unmarshal(golden.File(t, "kept", encoded), got)
 	if diff := cmp.Diff(want, got, protocmp.Transform()); err != nil || diff != "" {
-		t.Errorf("%v\n%s", err, diff)
+		t.Errorf("the golden state file is not decoded as it was encoded: error %v, difference:\n%s", err, diff)
 	}
 }
 
