--- a/internal/system/roles/node/measure_test.go
+++ b/internal/system/roles/node/measure_test.go
@@ -15,8 +15,9 @@
 
 var measure = flag.Bool("measure", false, "run the measurements")
 
-// manyRoutes is a configuration of a size that a grown deployment has.
-func manyRoutes(version, routes int) string {
+// configurationWithRoutes returns a configuration with the given version and number of routes, to
+// match the size of a grown deployment's.
+func configurationWithRoutes(version, routes int) string {
 	c := configuration.Configuration{Version: int64(version), Services: []*configuration.Service{{Name: "s"}, {Name: "t"}}}
 	for i := range routes {
 		c.Routes = append(c.Routes, idleRoute(i, "s"))
@@ -30,14 +31,14 @@
 		TimeoutMs: 3000, TargetLatencyMs: 500, Service: service, MaxAttempts: 2}
 }
 
-// use is what the process has used so far.
-type use struct {
+// resourceUsage is what the process has used since its start.
+type resourceUsage struct {
 	processor time.Duration
-	bytes     uint64 // sent between routers
-	allocated uint64
+	bytes     uint64 // sent on the links between routers
+	allocated uint64 // heap bytes allocated in total
 }
 
-func (f *testFleet) use() (u use) {
+func (f *testFleet) resourceUsage() (u resourceUsage) {
 	var r syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &r)
 	u.processor = time.Duration(r.Utime.Nano() + r.Stime.Nano())
@@ -50,24 +51,24 @@
 	return u
 }
 
-// What a fleet uses to form, to take up a large configuration and to follow its changes. Played
-// with -measure.
+// Measures the resources that a fleet uses to form, to apply a large configuration and to apply
+// changes to it. It runs only with -measure.
 func TestMeasureConfiguration(t *testing.T) {
 	if !*measure {
-		t.Skip("a measurement: -measure")
+		t.Skip("measurement, runs only with -measure")
 	}
 	const routers, routes, changes = 40, 2000, 20
 	began := time.Now()
 	f := newFleet(t, routers, 3)
-	last := f.use()
+	last := f.resourceUsage()
 	step := func(what string) {
-		now := f.use()
+		now := f.resourceUsage()
 		t.Logf("%-24s %6.2f s, processor %6.2f s, %7.2f MB sent, %7.1f MB allocated", what, time.Since(began).Seconds(), (now.processor - last.processor).Seconds(),
 			float64(now.bytes-last.bytes)/1e6, float64(now.allocated-last.allocated)/1e6)
 		began, last = time.Now(), now
 	}
 	everywhere := func(version int64) {
-		f.eventually("it is in force everywhere", func() bool {
+		f.eventually("the configuration is in force on all routers", func() bool {
 			for _, n := range f.nodes {
 				if n.plane.State().Version() != version {
 					return false
@@ -76,7 +77,7 @@
 			return true
 		})
 	}
-	f.eventually("all know of each other", func() bool {
+	f.eventually("all routers know each other", func() bool {
 		for _, n := range f.nodes {
 			if n.plane.Routers() < routers {
 				return false
@@ -85,12 +86,12 @@
 		return true
 	})
 	step("from the start")
-	f.order(http.MethodPut, manyRoutes(1, routes), 0, 0)
+	f.changeConfiguration(http.MethodPut, configurationWithRoutes(1, routes), 0, 0)
 	everywhere(1)
 	step("a configuration")
 	for i := range changes {
 		text, _ := json.Marshal(map[string]any{"version": i + 2, "upsert": map[string]any{"routes": []any{idleRoute(i, "t")}}})
-		f.order(http.MethodPatch, string(text), int64(i+1), i%routers)
+		f.changeConfiguration(http.MethodPatch, string(text), int64(i+1), i%routers)
 	}
 	everywhere(changes + 1)
 	step("changes")
--- a/internal/system/roles/node/pins_test.go
+++ b/internal/system/roles/node/pins_test.go
@@ -14,20 +14,20 @@
 	"reachspread/internal/testbed/pintest"
 )
 
-// pinRevocationMs is the bound on the age of what keys are honoured by, in ms, where pins are
-// played: each change of theirs takes so long.
+// pinRevocationMs is bounds.revocationMs, in ms, in the tests of pins. Each change of a pin takes
+// this long.
 const pinRevocationMs = 2000
 
-// pinStory is a fleet of five routers, of which three keep the register, with hosts of two
-// versions.
-type pinStory struct {
+// pinScenario is a fleet of five routers, three of which are members of the register, with hosts
+// of two model versions.
+type pinScenario struct {
 	*testFleet
 	*pintest.Scenario
 	ctx    context.Context
 	folder string
 }
 
-func newPinStory(t *testing.T) *pinStory {
+func newPinScenario(t *testing.T) *pinScenario {
 	t.Helper()
 	f := startWithRevocation(t, 5, 3, pinRevocationMs)
 	var fronts, controls []string
@@ -46,44 +46,44 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 3*testTimeout)
 	t.Cleanup(cancel)
-	s := &pinStory{f, pintest.NewScenario(fronts, controls, hosts), ctx, filepath.Dir(f.nodes[0].settings().DataDirectory)}
+	s := &pinScenario{f, pintest.NewScenario(fronts, controls, hosts), ctx, filepath.Dir(f.nodes[0].settings().DataDirectory)}
 	s.must(s.Configure(ctx))
 	s.registerAll()
 	for i := range s.nodes {
-		s.eventually("all serve", func() bool { return s.Send(i, pintest.SafePath).Status == http.StatusOK })
+		s.eventually("all routers serve", func() bool { return s.Send(i, pintest.SafePath).Status == http.StatusOK })
 	}
 	return s
 }
 
-func (s *pinStory) must(err error) {
+func (s *pinScenario) must(err error) {
 	s.t.Helper()
 	if err != nil {
 		s.t.Fatal(err)
 	}
 }
 
-func (s *pinStory) registerAll() {
+func (s *pinScenario) registerAll() {
 	s.t.Helper()
 	s.must(s.Register(s.ctx))
 }
 
-func (s *pinStory) change(version int64) {
+func (s *pinScenario) change(version int64) {
 	s.t.Helper()
 	s.must(s.ChangePin(s.ctx, version))
 }
 
-// restart has a router that ended come back.
-func (s *pinStory) restart(i int) { s.start(i, s.folder, false) }
+// restart starts a router again after its crash.
+func (s *pinScenario) restart(i int) { s.start(i, s.folder, false) }
 
-// On live traffic, each request after a pin was set, moved or lifted is answered by the chosen
-// version, whichever router gets it: while hosts roll their weights, tell what is not so, and
-// routers with and without a disk end and come back.
+// On live traffic, each request after a pin was set, moved or lifted is answered by the pinned
+// version, whichever router receives it. Meanwhile a host changes its version without updating its
+// registration, and routers with and without a disk crash and restart.
 func TestPinsOnLiveTraffic(t *testing.T) {
-	s := newPinStory(t)
+	s := newPinScenario(t)
 	s.StartTraffic()
 	s.change(1)
 	s.change(2)
-	s.Hosts[2].Version.Store(3) // it rolls, and its registration says otherwise
+	s.Hosts[2].Version.Store(3) // the host changes its version, but its registration still has the old one
 	s.crash(4)
 	s.change(1)
 	s.restart(4)
@@ -102,15 +102,15 @@
 		t.Error(wrong)
 	}
 	if report.Served < report.Requests/2 {
-		t.Error("too few were served to tell")
+		t.Error("fewer than half of the requests were served: too few for a result")
 	}
 }
 
-// After all routers have ended at once, the pins are in force as they were, and their history is
-// there.
+// After all routers have crashed at once and restarted, the same pins are in force and their
+// history is complete.
 func TestPinsSurviveRestartOfAll(t *testing.T) {
 	is := is.New(t)
-	s := newPinStory(t)
+	s := newPinScenario(t)
 	s.change(2)
 	for i := range s.nodes {
 		s.crash(i)
@@ -120,10 +120,10 @@
 	}
 	s.registerAll()
 	for i := range s.nodes {
-		s.eventually("each serves", func() bool {
+		s.eventually("the router serves", func() bool {
 			a := s.Send(i, pintest.SafePath)
 			if a.Status == http.StatusOK && a.Version != 2 {
-				t.Errorf("router %d answers with version %d", i, a.Version)
+				t.Errorf("router %d answers with version %d, not with the pinned version 2", i, a.Version)
 			}
 			return a.Status == http.StatusOK
 		})
@@ -137,8 +137,8 @@
 	is.NoErr(json.Unmarshal([]byte(text), &history))
 	is.Equal(history.Changes[0].Pin.Version, int64(2))
 	is.Equal(history.Changes[0].By, "ann")
-	figures := s.status(0).Pins
-	is.Equal(figures.Revision, int64(1))
-	is.Equal(figures.Pins[0].Hosts, 2)
-	is.Equal(figures.Pins[0].WrongVersion, uint64(0))
+	pinStatus := s.status(0).Pins
+	is.Equal(pinStatus.Revision, int64(1))
+	is.Equal(pinStatus.Pins[0].Hosts, 2)
+	is.Equal(pinStatus.Pins[0].WrongVersion, uint64(0))
 }
--- a/internal/system/roles/node/stored_test.go
+++ b/internal/system/roles/node/stored_test.go
@@ -15,10 +15,10 @@
 	"reachspread/internal/testbed/golden"
 )
 
-// The file testdata/kept was written at commit 5bfcc27, by the encoding that stateFile uses:
+// The file testdata/kept was written at commit 5bfcc27 in the encoding that stateFile uses, by
 // WRITE_GOLDEN=1 go test -run Golden.
 
-// goldenKept is hosts in every state and the use of two tenants.
+// goldenKept returns a saved state with a host in every state and the usage of two tenants.
 func goldenKept() *message.Kept {
 	kept := &message.Kept{Usage: map[string]*message.UsageParts{"kaje80": {Units: []float64{0, 1.5, 300}}, "ann": {Units: []float64{12.25}}}}
 	for i, state := range []message.Instance_State{message.Instance_READY, message.Instance_LOST, message.Instance_DRAINING, message.Instance_GONE} {
@@ -28,26 +28,27 @@
 	return kept
 }
 
-// A router's state file is read as it was written, and written the same.
+// A router reads the golden state file correctly and encodes the same state to the same bytes.
 func TestGoldenKept(t *testing.T) {
 	want := goldenKept()
-	made, err := proto.MarshalOptions{Deterministic: true}.Marshal(want)
+	encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(want)
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Same(t, "kept", made)
+	golden.Same(t, "kept", encoded)
 	got := &message.Kept{}
-	err = proto.Unmarshal(golden.File(t, "kept", made), got)
+	err = proto.Unmarshal(golden.File(t, "kept", encoded), got)
 	if diff := cmp.Diff(want, got, protocmp.Transform()); err != nil || diff != "" {
-		t.Errorf("%v\n%s", err, diff)
+		t.Errorf("the golden state file is not decoded as it was encoded: error %v, difference:\n%s", err, diff)
 	}
 }
 
-// A router that finds the file knows the hosts in it that have not ended, and the tenants' usage.
+// A router that starts with the golden state file knows the hosts in it that have not ended, and
+// the tenants' usage.
 func TestGoldenKeptIsTakenUp(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 1, 1)
-	is.Equal(f.order(http.MethodPut, firstConfiguration, 0, 0), 200)
+	is.Equal(f.changeConfiguration(http.MethodPut, firstConfiguration, 0, 0), 200)
 	folder := f.nodes[0].settings().DataDirectory
 	path := filepath.Join(folder, "kept")
 	f.crash(0)
@@ -56,10 +57,10 @@
 	is.NoErr(os.WriteFile(path, text, 0o644))
 	f.start(0, filepath.Dir(folder), false)
 	n := f.nodes[0]
-	living, ok := query(t.Context(), n.hub, n.hub.registry.Active)
+	active, ok := query(t.Context(), n.hub, n.hub.registry.Active)
 	is.True(ok)
 	ids := map[string]bool{}
-	for _, in := range living {
+	for _, in := range active {
 		ids[in.Id] = true
 	}
 	is.Equal(ids, map[string]bool{"i-0": true, "i-1": true, "i-2": true})
