--- a/internal/router/program/recovery.go
+++ b/internal/router/program/recovery.go
@@ -206,7 +206,7 @@
 		p.log.Info("measure of others missing", "rounds", a.Rounds, "alive", a.Alive, "asked", joinNames(a.Asked), "answered", joinNames(a.Answered),
 			"ended", a.Ended)
 	case recovery.OutageClassified:
-		p.log.Info("power lost", "whose", a.Outage, "heard", a.Heard, "asked", a.Asked)
+		p.log.Info("power lost", "whose", a.Outage, "heard", a.Replied, "asked", a.Asked)
 	case recovery.StageEntered:
 		c.stage.Store(int32(a.Stage))
 		if seen.recovered = a.Stage == recovery.Recovered; seen.recovered {
@@ -285,7 +285,7 @@
 	s := <-to
 	underscored := func(s string) string { return field(strings.ReplaceAll(s, " ", "_")) }
 	lines = append(lines, fmt.Sprintf("recovery stage=%s for_ms=%d up_ms=%d loss=%s heard=%d asked=%d waits=%s last_life=%v old_list=%v snapshots=%d", s.Stage, s.StageFor.Milliseconds(),
-		s.Uptime.Milliseconds(), underscored(string(s.Outage)), s.Heard, s.Asked, underscored(s.AwaitedEvent), s.HasSaved, s.SavedListUsed, p.snapshots.written.Load()))
+		s.Uptime.Milliseconds(), underscored(string(s.Outage)), s.Replied, s.Asked, underscored(s.AwaitedEvent), s.HasSaved, s.SavedListUsed, p.snapshots.written.Load()))
 	admits := "all"
 	if fractions := p.gate.admittedFractions.Load(); fractions != nil {
 		var all []string
--- a/internal/router/recovery/decider.go
+++ b/internal/router/recovery/decider.go
@@ -144,7 +144,7 @@
 	StageFor      time.Duration // the time in the stage so far
 	Uptime        time.Duration
 	Outage        Outage
-	Heard         int // routers of the saved membership
+	Replied       int // routers of the saved membership
 	Asked         int
 	SavedListUsed bool
 	Damaged       []string // as in the Config
@@ -154,6 +154,6 @@
 
 // Status returns how things are at a time.
 func (d *Decider) Status(now time.Duration) Status {
-	return Status{Stage: d.stage, StageFor: now - d.stageSince, Uptime: now - d.startedAt, Outage: d.outage, Heard: d.repliesReceived(), Asked: len(d.savedPeers),
+	return Status{Stage: d.stage, StageFor: now - d.stageSince, Uptime: now - d.startedAt, Outage: d.outage, Replied: d.repliesReceived(), Asked: len(d.savedPeers),
 		SavedListUsed: d.savedListUsed, Damaged: slices.Clone(d.config.Damaged), AwaitedEvent: Stages[d.stage].Ends, HasSaved: d.config.Saved != nil}
 }
--- a/internal/router/recovery/events.go
+++ b/internal/router/recovery/events.go
@@ -103,9 +103,9 @@
 
 // OutageClassified says how far the outage reached.
 type OutageClassified struct {
-	Outage Outage
-	Heard  int // routers that have announced themselves,
-	Asked  int // of so many that were asked
+	Outage  Outage
+	Replied int // routers that have announced themselves,
+	Asked   int // of so many that were asked
 }
 
 func (Announce) action()         {}
--- a/internal/router/recovery/gate.go
+++ b/internal/router/recovery/gate.go
@@ -92,11 +92,11 @@
 
 // NewGate returns a Gate for one router. Usual is the work of each class on a usual day, as
 // Baseline.Demand has it from an earlier process; it may be nil.
-func NewGate(config balance.Config, usual map[string]float64, seed uint64) *Gate {
+func NewGate(config balance.Config, baselineDemand map[string]float64, seed uint64) *Gate {
 	g := &Gate{rng: rand.New(rand.NewPCG(seed, gateStream)), hosts: map[string]balance.Member{}, byName: map[string]*demand{},
 		warmFraction: 1, grantedFraction: initialFraction, pending: map[string]time.Duration{}}
 	g.reconfigure(config)
-	for name, work := range usual {
+	for name, work := range baselineDemand {
 		if d := g.byName[name]; d != nil && work > 0 && !math.IsInf(work, 1) {
 			d.work = work
 		}
--- a/internal/router/recovery/gate_test.go
+++ b/internal/router/recovery/gate_test.go
@@ -18,18 +18,18 @@
 }
 
 // listed has hosts that all started at one time, 0 for long ago.
-func listed(n int, born time.Duration) balance.Members {
+func listed(n int, startedAt time.Duration) balance.Members {
 	m := balance.Members{Version: 1, Complete: true}
 	for i := range n {
-		m.Members = append(m.Members, balance.Member{Replica: fmt.Sprint("h", i), State: balance.Serving, StartedAt: born})
+		m.Members = append(m.Members, balance.Member{Replica: fmt.Sprint("h", i), State: balance.Serving, StartedAt: startedAt})
 	}
 	return m
 }
 
 // arrivals plays arrivals of both classes, 20 a second of each, for a while; answer says how a
 // "fill" is answered. It returns how many of each class passed, and came.
-func arrivals(g *Gate, from, length time.Duration, answer func(now time.Duration, id string) []balance.Event) (passed, came map[string]int) {
-	passed, came = map[string]int{}, map[string]int{}
+func arrivals(g *Gate, from, length time.Duration, answer func(now time.Duration, id string) []balance.Event) (passed, arrived map[string]int) {
+	passed, arrived = map[string]int{}, map[string]int{}
 	n := 0
 	for now := from; now < from+length; now += 50 * ms {
 		var events []balance.Event
@@ -37,7 +37,7 @@
 			n++
 			id := fmt.Sprint(c.class.Name, from, n)
 			events = append(events, balance.Arrival{ID: id, Class: c.class.Name, PromptTokens: 1000, TimeLeft: c.class.Deadline})
-			came[c.class.Name]++
+			arrived[c.class.Name]++
 			if answer != nil && c.class.Name == "fill" {
 				events = append(events, answer(now, id)...)
 			}
@@ -49,34 +49,34 @@
 			}
 		}
 	}
-	return passed, came
+	return passed, arrived
 }
 
 // Warm hosts: nothing is rejected. Hosts that are warming up: nothing of the highest value, and of
 // the next as much as it leaves of what hosts can do; more with time, all once they are warm.
 func TestGateAdmitsByValueWhileHostsWarmUp(t *testing.T) {
 	const start = 1000 * s
-	well := func(_ time.Duration, id string) []balance.Event { return []balance.Event{balance.FirstToken{ID: id}} }
+	answerAtOnce := func(_ time.Duration, id string) []balance.Event { return []balance.Event{balance.FirstToken{ID: id}} }
 	g := NewGate(twoClasses(), nil, 1)
 	g.Step(start, []balance.Event{listed(6, 0)})
-	if on, of := arrivals(g, start, 5*s, well); on["fill"] != of["fill"] || on["chat"] != of["chat"] {
-		t.Errorf("warm: %v of %v", on, of)
+	if passed, arrived := arrivals(g, start, 5*s, answerAtOnce); passed["fill"] != arrived["fill"] || passed["chat"] != arrived["chat"] {
+		t.Errorf("warm: %v of %v", passed, arrived)
 	}
-	began := start + 10*s
-	g.Step(began, []balance.Event{listed(6, began)})
-	var parts []float64
+	restartedAt := start + 10*s
+	g.Step(restartedAt, []balance.Event{listed(6, restartedAt)})
+	var chatFractions []float64
 	for i := range 4 {
-		on, of := arrivals(g, began+time.Duration(i)*2*s, 2*s, well)
-		if on["fill"] != of["fill"] {
-			t.Errorf("cold: %v of %v", on, of)
+		passed, arrived := arrivals(g, restartedAt+time.Duration(i)*2*s, 2*s, answerAtOnce)
+		if passed["fill"] != arrived["fill"] {
+			t.Errorf("cold: %v of %v", passed, arrived)
 		}
-		parts = append(parts, float64(on["chat"])/float64(of["chat"]))
+		chatFractions = append(chatFractions, float64(passed["chat"])/float64(arrived["chat"]))
 	}
-	if parts[0] > 0.1 || parts[3] < 0.5 {
-		t.Errorf("chat: %.2f", parts)
+	if chatFractions[0] > 0.1 || chatFractions[3] < 0.5 {
+		t.Errorf("chat: %.2f", chatFractions)
 	}
-	if on, of := arrivals(g, began+8*s, s, well); on["chat"] != of["chat"] {
-		t.Errorf("warm again: %v of %v", on, of)
+	if passed, arrived := arrivals(g, restartedAt+8*s, s, answerAtOnce); passed["chat"] != arrived["chat"] {
+		t.Errorf("warm again: %v of %v", passed, arrived)
 	}
 	if g.Rejected == 0 {
 		t.Error("nothing is counted")
@@ -86,22 +86,22 @@
 	// late.
 	g = NewGate(twoClasses(), nil, 1)
 	release := listed(10, 0)
-	release.Members[3].StartedAt = began
-	g.Step(began, []balance.Event{release})
-	if on, of := arrivals(g, began, 4*s, nil); float64(on["chat"]) < 0.8*float64(of["chat"]) {
-		t.Errorf("a tenth is cold: %v of %v", on, of)
+	release.Members[3].StartedAt = restartedAt
+	g.Step(restartedAt, []balance.Event{release})
+	if passed, arrived := arrivals(g, restartedAt, 4*s, nil); float64(passed["chat"]) < 0.8*float64(arrived["chat"]) {
+		t.Errorf("a tenth is cold: %v of %v", passed, arrived)
 	}
 
 	// The highest worth is late: less of the other goes on than where it is in time.
-	share := func(answer func(time.Duration, string) []balance.Event) float64 {
+	chatFraction := func(answer func(time.Duration, string) []balance.Event) float64 {
 		c := twoClasses()
 		c.Classes[0].LatencyTargetPer1000Tokens = 0
 		g := NewGate(c, map[string]float64{"fill": 1000, "chat": 50000}, 1)
-		g.Step(began, []balance.Event{listed(6, began)})
-		on, of := arrivals(g, began+4*s, 3*s, answer)
-		return float64(on["chat"]) / float64(of["chat"])
+		g.Step(restartedAt, []balance.Event{listed(6, restartedAt)})
+		passed, arrived := arrivals(g, restartedAt+4*s, 3*s, answer)
+		return float64(passed["chat"]) / float64(arrived["chat"])
 	}
-	if a, b := share(well), share(nil); a < 2*b || a == 0 {
+	if a, b := chatFraction(answerAtOnce), chatFraction(nil); a < 2*b || a == 0 {
 		t.Errorf("chat with the others in time %.2f, with them late %.2f", a, b)
 	}
 }
@@ -112,8 +112,8 @@
 	c.Classes[1].Value = 5
 	g := NewGate(c, nil, 1)
 	g.Step(s, []balance.Event{listed(6, s)})
-	if on, of := arrivals(g, s, 4*s, nil); on["chat"] != of["chat"] || on["fill"] != of["fill"] {
-		t.Errorf("one worth: %v of %v", on, of)
+	if passed, arrived := arrivals(g, s, 4*s, nil); passed["chat"] != arrived["chat"] || passed["fill"] != arrived["fill"] {
+		t.Errorf("one worth: %v of %v", passed, arrived)
 	}
 	m := listed(6, 100*s)
 	for i := range 3 {
@@ -132,11 +132,11 @@
 	g := NewGate(twoClasses(), nil, 1)
 	g.Step(s, []balance.Event{listed(6, s)})
 	for _, x := range []struct {
-		left time.Duration
-		on   bool
+		left   time.Duration
+		passes bool
 	}{{1200 * ms, true}, {1100 * ms, true}, {790 * ms, false}, {300 * ms, false}, {1190 * ms, true}} {
 		pass, out := g.Step(s, []balance.Event{balance.Arrival{ID: fmt.Sprint(x.left), Class: "fill", TimeLeft: x.left}})
-		if (len(pass) == 1) != x.on || len(pass)+len(out) != 1 {
+		if (len(pass) == 1) != x.passes || len(pass)+len(out) != 1 {
 			t.Errorf("with %v left: %d go on, %d are answered", x.left, len(pass), len(out))
 		}
 	}
@@ -199,24 +199,24 @@
 
 // What is learned is averaged, goes on from another process, and drops classes that are gone.
 func TestBaselineAveragesAndDropsClasses(t *testing.T) {
-	var u Baseline
-	if _, ok := u.Learned(); ok {
+	var baseline Baseline
+	if _, ok := baseline.Learned(); ok {
 		t.Error("something is there at the start")
 	}
-	u.Update(0, balance.Learned{}, nil)
+	baseline.Update(0, balance.Learned{}, nil)
 	for i := range 30 {
-		u.Update(time.Duration(i)*s, balance.Learned{CompletedWork: float64(1 + i%2), MeanWork: 1, DecodeTimes: map[string]float64{"a": 2}, PrefillByKind: map[string]balance.PrefillLine{"k": {XX: 1, XY: 1}},
+		baseline.Update(time.Duration(i)*s, balance.Learned{CompletedWork: float64(1 + i%2), MeanWork: 1, DecodeTimes: map[string]float64{"a": 2}, PrefillByKind: map[string]balance.PrefillLine{"k": {XX: 1, XY: 1}},
 			Replicas: []balance.LearnedReplica{{Replica: "h", StartedAt: s, ConcurrencyLimit: float64(i), LatencyRatio: 1}}}, map[string]float64{"a": float64(2 * (i % 2)), "b": 1})
 	}
-	l, _ := u.Learned()
-	if d := u.Demand(); l.CompletedWork < 1.4 || l.CompletedWork > 1.6 || d["a"] < 0.9 || d["a"] > 1.1 {
-		t.Errorf("%+v, %v", l, u.Demand())
+	l, _ := baseline.Learned()
+	if d := baseline.Demand(); l.CompletedWork < 1.4 || l.CompletedWork > 1.6 || d["a"] < 0.9 || d["a"] > 1.1 {
+		t.Errorf("%+v, %v", l, baseline.Demand())
 	}
 	if len(l.PrefillByKind) != 1 || len(l.Replicas) != 1 || l.Replicas[0].ConcurrencyLimit != 29 || l.DecodeTimes["a"] != 2 {
 		t.Errorf("of kinds, hosts and classes the last word counts: %+v", l)
 	}
 	var next Baseline
-	next.Restore(l, u.Demand())
+	next.Restore(l, baseline.Demand())
 	next.Update(0, balance.Learned{CompletedWork: 100, MeanWork: 1}, map[string]float64{"a": 1})
 	if x, _ := next.Learned(); x.CompletedWork > 6 || len(next.Demand()) != 1 {
 		t.Errorf("%+v, %v", x, next.Demand())
--- a/internal/router/recovery/measure.go
+++ b/internal/router/recovery/measure.go
@@ -97,7 +97,7 @@
 	q := &d.measureQuery
 	a := MeasureMissing{Rounds: q.rounds, Alive: len(d.alivePeers()), Asked: slices.Sorted(maps.Keys(q.asked)), Ended: ended}
 	for _, name := range a.Asked {
-		if r, heard := d.announcements[name]; heard && r.at >= q.asked[name] {
+		if r, announced := d.announcements[name]; announced && r.at >= q.asked[name] {
 			a.Answered = append(a.Answered, name)
 		}
 	}
--- a/internal/router/recovery/measure_test.go
+++ b/internal/router/recovery/measure_test.go
@@ -15,11 +15,11 @@
 )
 
 // returningRouter is a router of a fleet that comes back, with the times of what it is told.
-type returningRouter struct {
-	startsAt time.Duration
-	saved    *snapshot.State // that its last process left, nil for none
-	viewAt   time.Duration   // when it knows who is alive
-	learnsAt time.Duration   // when it has a measure of its own, 0 for never
+type restartingRouter struct {
+	startsAt     time.Duration
+	saved        *snapshot.State // that its last process left, nil for none
+	membershipAt time.Duration   // when it knows who is alive
+	learnsAt     time.Duration   // when it has a measure of its own, 0 for never
 }
 
 // datagram is an announcement on its way.
@@ -31,8 +31,8 @@
 
 // returningFleet runs the deciders of routers that come back, in virtual time. A datagram that
 // arrives before its receiver has started is lost, and so is one without an address.
-type returningFleet struct {
-	routers  map[string]returningRouter
+type restartingFleet struct {
+	routers  map[string]restartingRouter
 	latency  time.Duration // of a datagram
 	warmAt   time.Duration // when the hosts are warm, for all
 	deciders map[string]*Decider
@@ -43,9 +43,9 @@
 const fleetStep = 10 * ms
 
 // run returns what each router has decided about measures until the hosts are warm.
-func (f *returningFleet) run(t *testing.T) map[string][]string {
+func (f *restartingFleet) run(t *testing.T) map[string][]string {
 	f.deciders, f.lines = map[string]*Decider{}, map[string][]string{}
-	members := Membership{saved(len(f.routers), 0).Routers}
+	members := Membership{savedState(len(f.routers), 0).Routers}
 	for now := time.Duration(0); now <= f.warmAt+s; now += fleetStep {
 		for _, name := range slices.Sorted(maps.Keys(f.routers)) {
 			r := f.routers[name]
@@ -57,7 +57,7 @@
 				}
 				f.deciders[name] = d
 				f.step(name, now, ListReceived{Version: 1})
-			case r.viewAt:
+			case r.membershipAt:
 				f.step(name, now, members)
 			case r.learnsAt:
 				f.step(name, now, MeasureLearned{Measure{5 * s, s}})
@@ -74,7 +74,7 @@
 }
 
 // receive has a router receive the datagrams that have arrived.
-func (f *returningFleet) receive(name string, now time.Duration) {
+func (f *restartingFleet) receive(name string, now time.Duration) {
 	var arrived, later []datagram
 	for _, x := range f.inFlight {
 		if x.to == name && x.at <= now {
@@ -89,7 +89,7 @@
 	}
 }
 
-func (f *returningFleet) step(name string, now time.Duration, e Event) {
+func (f *restartingFleet) step(name string, now time.Duration, e Event) {
 	if f.deciders[name] == nil {
 		return
 	}
@@ -117,33 +117,33 @@
 // has, if anybody has; where nobody has, all are asked and all answer.
 func TestMeasureComesFromWhoeverHasOne(t *testing.T) {
 	withMeasure := func(n int) *snapshot.State {
-		b := saved(6, 1)
+		b := savedState(6, 1)
 		b.Router, b.Learned = fmt.Sprint("r", n), &balance.Learned{CompletedWork: 7, MeanWork: 1}
 		return b
 	}
 	// Those with a snapshot ask all others before these can receive anything, and stop asking.
-	play := func(r3, r5 *snapshot.State) map[string]returningRouter {
-		return map[string]returningRouter{
-			"r0": {startsAt: 4700 * ms, viewAt: 4930 * ms}, "r1": {startsAt: 4600 * ms, viewAt: 4900 * ms}, "r2": {startsAt: 4650 * ms, viewAt: 4900 * ms},
-			"r3": {startsAt: 3400 * ms, saved: r3, viewAt: 4900 * ms}, "r4": {startsAt: 4700 * ms, viewAt: 4950 * ms}, "r5": {startsAt: 3500 * ms, saved: r5, viewAt: 5 * s},
+	restart := func(r3, r5 *snapshot.State) map[string]restartingRouter {
+		return map[string]restartingRouter{
+			"r0": {startsAt: 4700 * ms, membershipAt: 4930 * ms}, "r1": {startsAt: 4600 * ms, membershipAt: 4900 * ms}, "r2": {startsAt: 4650 * ms, membershipAt: 4900 * ms},
+			"r3": {startsAt: 3400 * ms, saved: r3, membershipAt: 4900 * ms}, "r4": {startsAt: 4700 * ms, membershipAt: 4950 * ms}, "r5": {startsAt: 3500 * ms, saved: r5, membershipAt: 5 * s},
 		}
 	}
 	for name, x := range map[string]struct {
-		fleet  returningFleet
-		change func(map[string]returningRouter)
+		fleet  restartingFleet
+		change func(map[string]restartingRouter)
 		want   string // what r0 does
 	}{
-		"nobody has saved one": {returningFleet{routers: play(saved(6, 1), saved(6, 1)), latency: 10 * ms, warmAt: 8330 * ms}, nil,
+		"nobody has saved one": {restartingFleet{routers: restart(savedState(6, 1), savedState(6, 1)), latency: 10 * ms, warmAt: 8330 * ms}, nil,
 			"8.33s: none in 7 rounds, asked r1 r2 r3 r4 r5, answered r1 r2 r3 r4 r5; hosts no longer wait for one"},
-		"one has":                                {returningFleet{routers: play(withMeasure(3), saved(6, 1)), latency: 10 * ms, warmAt: 8330 * ms}, nil, "4.95s: adopts that of r3"},
-		"answers come after the round has ended": {returningFleet{routers: play(withMeasure(3), saved(6, 1)), latency: 400 * ms, warmAt: 8330 * ms}, nil, "5.73s: adopts that of r3"},
-		"the view comes late": {returningFleet{routers: play(withMeasure(3), saved(6, 1)), latency: 10 * ms, warmAt: 8330 * ms}, func(all map[string]returningRouter) {
+		"one has":                                {restartingFleet{routers: restart(withMeasure(3), savedState(6, 1)), latency: 10 * ms, warmAt: 8330 * ms}, nil, "4.95s: adopts that of r3"},
+		"answers come after the round has ended": {restartingFleet{routers: restart(withMeasure(3), savedState(6, 1)), latency: 400 * ms, warmAt: 8330 * ms}, nil, "5.73s: adopts that of r3"},
+		"the view comes late": {restartingFleet{routers: restart(withMeasure(3), savedState(6, 1)), latency: 10 * ms, warmAt: 8330 * ms}, func(all map[string]restartingRouter) {
 			for name, r := range all {
-				r.viewAt += 2500 * ms
+				r.membershipAt += 2500 * ms
 				all[name] = r
 			}
 		}, "7.45s: adopts that of r3"},
-		"a peer gains one later": {returningFleet{routers: play(saved(6, 1), saved(6, 1)), latency: 10 * ms, warmAt: 8330 * ms}, func(all map[string]returningRouter) {
+		"a peer gains one later": {restartingFleet{routers: restart(savedState(6, 1), savedState(6, 1)), latency: 10 * ms, warmAt: 8330 * ms}, func(all map[string]restartingRouter) {
 			r := all["r4"]
 			r.learnsAt = 6500 * ms
 			all["r4"] = r
--- a/internal/router/recovery/outage.go
+++ b/internal/router/recovery/outage.go
@@ -42,9 +42,9 @@
 // others.
 func (d *Decider) countProcesses() (same, restarted int) {
 	for _, r := range d.savedPeers {
-		received, heard := d.announcements[r.Name]
+		received, announced := d.announcements[r.Name]
 		switch {
-		case !heard:
+		case !announced:
 		case r.Boot != 0 && received.announcement.Boot == r.Boot:
 			same++
 		default:
--- a/internal/router/recovery/recovery_test.go
+++ b/internal/router/recovery/recovery_test.go
@@ -22,7 +22,7 @@
 )
 
 // saved is the snapshot of a router with a membership and a list.
-func saved(routers int, version int64) *snapshot.State {
+func savedState(routers int, version int64) *snapshot.State {
 	b := &snapshot.State{Router: "r0", ListSource: "d:1", List: &protocol.List{Version: version}}
 	for i := range routers {
 		b.Routers = append(b.Routers, snapshot.Router{Name: fmt.Sprint("r", i), Addr: fmt.Sprintf("10.0.0.%d:1", i+1), Boot: uint32(100 + i)})
@@ -51,7 +51,7 @@
 		case StageEntered:
 			lines = append(lines, "enter "+a.Stage.String())
 		case OutageClassified:
-			lines = append(lines, fmt.Sprintf("outage of %s, %d of %d", a.Outage, a.Heard, a.Asked))
+			lines = append(lines, fmt.Sprintf("outage of %s, %d of %d", a.Outage, a.Replied, a.Asked))
 		}
 	}
 	return lines
@@ -62,7 +62,7 @@
 	event Event
 }
 
-func from(n int, up time.Duration, version int64) AnnouncementReceived {
+func announcementFrom(n int, up time.Duration, version int64) AnnouncementReceived {
 	boot := uint32(100 + n)
 	if up < 30*s {
 		boot = 7 // another process than before
@@ -79,17 +79,17 @@
 		want   []string
 	}{
 		"first": {Config{Self: "r0", Discovery: "d:1"}, []timedEvent{{0, Tick{}}, {s, ListReceived{Version: 3}}, {s, HostsWarm{true}}}, []string{"enter listing", "outage of first start, 0 of 0", "enter admitting", "enter duties", "enter back"}},
-		"itself": {Config{Self: "r0", Discovery: "d:1", Saved: saved(4, 5)}, []timedEvent{{0, Tick{}}, {10 * ms, from(1, 90*s, 6)}, {20 * ms, from(2, 80*s, 6)}, {30 * ms, ListReceived{Version: 6}}, {40 * ms, HostsWarm{true}}, {s, Tick{}}},
+		"itself": {Config{Self: "r0", Discovery: "d:1", Saved: savedState(4, 5)}, []timedEvent{{0, Tick{}}, {10 * ms, announcementFrom(1, 90*s, 6)}, {20 * ms, announcementFrom(2, 80*s, 6)}, {30 * ms, ListReceived{Version: 6}}, {40 * ms, HostsWarm{true}}, {s, Tick{}}},
 			[]string{"announce to 3, wants replies true", "enter listing", "enter admitting", "enter duties", "enter back", "outage of this router, 2 of 3"}},
-		"some": {Config{Self: "r0", Discovery: "d:1", Saved: saved(4, 5)}, []timedEvent{{0, Tick{}}, {10 * ms, from(1, 90*s, 6)}, {15 * ms, from(2, 90*s, 0)}, {20 * ms, from(3, s, 0)}},
+		"some": {Config{Self: "r0", Discovery: "d:1", Saved: savedState(4, 5)}, []timedEvent{{0, Tick{}}, {10 * ms, announcementFrom(1, 90*s, 6)}, {15 * ms, announcementFrom(2, 90*s, 0)}, {20 * ms, announcementFrom(3, s, 0)}},
 			[]string{"announce to 3, wants replies true", "enter listing", "outage of some routers, 3 of 3"}},
-		"all, discovery too": {Config{Self: "r0", Discovery: "d:1", Saved: saved(4, 5)}, []timedEvent{{0, Tick{}}, {10 * ms, from(1, s, 0)}, {20 * ms, from(2, 2*s, 0)}, {s, Tick{}}, {1999 * ms, Tick{}}, {2 * s, Tick{}}, {22 * s, Tick{}}},
+		"all, discovery too": {Config{Self: "r0", Discovery: "d:1", Saved: savedState(4, 5)}, []timedEvent{{0, Tick{}}, {10 * ms, announcementFrom(1, s, 0)}, {20 * ms, announcementFrom(2, 2*s, 0)}, {s, Tick{}}, {1999 * ms, Tick{}}, {2 * s, Tick{}}, {22 * s, Tick{}}},
 			[]string{"announce to 3, wants replies true", "enter listing", "outage of all routers, 2 of 3", "use saved list", "enter admitting", "enter duties", "enter back"}},
-		"nobody answers": {Config{Self: "r0", Discovery: "d:1", Saved: saved(4, 5)}, []timedEvent{{0, Tick{}}, {300 * ms, Tick{}}, {s, Tick{}}, {2 * s, Tick{}}, {3 * s, HostsWarm{true}}},
+		"nobody answers": {Config{Self: "r0", Discovery: "d:1", Saved: savedState(4, 5)}, []timedEvent{{0, Tick{}}, {300 * ms, Tick{}}, {s, Tick{}}, {2 * s, Tick{}}, {3 * s, HostsWarm{true}}},
 			[]string{"announce to 3, wants replies true", "announce to 3, wants replies true", "enter listing", "outage of unknown, 0 of 3", "use saved list", "enter admitting", "enter duties", "enter back"}},
-		"a peer has a younger list": {Config{Self: "r0", Discovery: "d:1", Saved: saved(3, 5), HasRoles: true}, []timedEvent{{0, Tick{}}, {10 * ms, from(1, 90*s, 6)}, {20 * ms, from(2, 90*s, 5)}, {9 * s, Tick{}}, {10 * s, Tick{}}, {10 * s, HostsWarm{true}}, {11 * s, VotersLed{true}}},
+		"a peer has a younger list": {Config{Self: "r0", Discovery: "d:1", Saved: savedState(3, 5), HasRoles: true}, []timedEvent{{0, Tick{}}, {10 * ms, announcementFrom(1, 90*s, 6)}, {20 * ms, announcementFrom(2, 90*s, 5)}, {9 * s, Tick{}}, {10 * s, Tick{}}, {10 * s, HostsWarm{true}}, {11 * s, VotersLed{true}}},
 			[]string{"announce to 2, wants replies true", "enter listing", "outage of this router, 2 of 2", "use saved list", "enter admitting", "enter duties", "enter back"}},
-		"discovery was changed": {Config{Self: "r0", Discovery: "d:2", Saved: saved(1, 5)}, []timedEvent{{0, Tick{}}, {60 * s, Tick{}}, {61 * s, ListReceived{Version: 1}}, {62 * s, HostsWarm{true}}},
+		"discovery was changed": {Config{Self: "r0", Discovery: "d:2", Saved: savedState(1, 5)}, []timedEvent{{0, Tick{}}, {60 * s, Tick{}}, {61 * s, ListReceived{Version: 1}}, {62 * s, HostsWarm{true}}},
 			[]string{"enter listing", "outage of unknown, 0 of 0", "enter admitting", "enter duties", "enter back"}},
 		"one that is back is asked": {Config{Self: "r0", Discovery: "d:1"}, []timedEvent{{0, Tick{}}, {s, AnnouncementReceived{Announcement{From: "r9", WantsReply: true}}}}, []string{"enter listing", "outage of first start, 0 of 0", "announce to 1, wants replies false"}},
 	} {
@@ -111,20 +111,20 @@
 // never after discovery has sent one, and Next is never in the past.
 func TestStagesOnlyAdvanceAndTheSavedListIsUsedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d, _ := New(Config{Self: "r0", Discovery: "d:1", Saved: saved(rapid.IntRange(0, 5).Draw(t, "view"), 5), HasRoles: rapid.Bool().Draw(t, "duties")}, 0)
+		d, _ := New(Config{Self: "r0", Discovery: "d:1", Saved: savedState(rapid.IntRange(0, 5).Draw(t, "view"), 5), HasRoles: rapid.Bool().Draw(t, "duties")}, 0)
 		now, last, uses, listReceived := time.Duration(0), Querying, 0, false
 		for range rapid.IntRange(1, 30).Draw(t, "events") {
 			now += time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * ms
 			var e Event = Tick{}
 			switch rapid.IntRange(0, 6).Draw(t, "event") {
 			case 0:
-				e = from(rapid.IntRange(0, 5).Draw(t, "who"), time.Duration(rapid.IntRange(0, 60).Draw(t, "up"))*s, int64(rapid.IntRange(0, 8).Draw(t, "version")))
+				e = announcementFrom(rapid.IntRange(0, 5).Draw(t, "who"), time.Duration(rapid.IntRange(0, 60).Draw(t, "up"))*s, int64(rapid.IntRange(0, 8).Draw(t, "version")))
 			case 1:
 				e, listReceived = ListReceived{Version: int64(rapid.IntRange(0, 8).Draw(t, "version"))}, true
 			case 2:
 				e = VotersLed{rapid.Bool().Draw(t, "led")}
 			case 3:
-				e = Membership{saved(rapid.IntRange(0, 5).Draw(t, "alive"), 5).Routers}
+				e = Membership{savedState(rapid.IntRange(0, 5).Draw(t, "alive"), 5).Routers}
 			}
 			for _, a := range d.Step(now, e) {
 				switch a := a.(type) {
@@ -197,8 +197,8 @@
 // requests: before that is used, whose delay ends with the reply, and after. Replies by an older
 // list, of another discovery, to nothing that was asked, or late ones change nothing.
 func TestPeersExcludeHostsWhileDiscoveryIsSilent(t *testing.T) {
-	excluding := func(version int64, from string, chunk []string, ids ...string) ReplyReceived {
-		r := HostReply{From: "r1", ListVersion: version, ListSource: Source(from), TagCount: len(chunk)}
+	replyExcluding := func(version int64, discovery string, chunk []string, ids ...string) ReplyReceived {
+		r := HostReply{From: "r1", ListVersion: version, ListSource: Source(discovery), TagCount: len(chunk)}
 		tags := []uint32{}
 		for _, id := range chunk {
 			tags = append(tags, Tag(id))
@@ -210,16 +210,16 @@
 		return ReplyReceived{r}
 	}
 	ready := []string{"h0", "h1", "h2"}
-	d, err := New(Config{Self: "r0", Discovery: "d:1", Saved: withHosts(saved(3, 5), 4)}, 0)
+	d, err := New(Config{Self: "r0", Discovery: "d:1", Saved: withHosts(savedState(3, 5), 4)}, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var got []string
 	for _, x := range []timedEvent{
-		{0, Tick{}}, {10 * ms, from(1, 90*s, 6)}, {s, Tick{}}, {1020 * ms, excluding(4, "d:1", ready, "h0")}, {1030 * ms, excluding(6, "d:2", ready, "h0")},
-		{1040 * ms, excluding(6, "d:1", ready[:2], "h0")}, {1050 * ms, excluding(6, "d:1", ready, "h1", "h3", "hx")}, {1999 * ms, Tick{}}, {2 * s, Tick{}},
-		{3 * s, HostsWarm{true}}, {4 * s, Tick{}}, {4100 * ms, excluding(7, "d:1", ready, "h1", "h2")}, {5 * s, ListReceived{Version: 8, Serving: []string{"h0"}}},
-		{6 * s, excluding(9, "d:1", ready, "h0")}, {7 * s, QueryReceived{HostQuery{"r2", []uint32{Tag("h0"), Tag("h1")}}}}, {8 * s, QueryReceived{HostQuery{"r2", nil}}}, {60 * s, Tick{}},
+		{0, Tick{}}, {10 * ms, announcementFrom(1, 90*s, 6)}, {s, Tick{}}, {1020 * ms, replyExcluding(4, "d:1", ready, "h0")}, {1030 * ms, replyExcluding(6, "d:2", ready, "h0")},
+		{1040 * ms, replyExcluding(6, "d:1", ready[:2], "h0")}, {1050 * ms, replyExcluding(6, "d:1", ready, "h1", "h3", "hx")}, {1999 * ms, Tick{}}, {2 * s, Tick{}},
+		{3 * s, HostsWarm{true}}, {4 * s, Tick{}}, {4100 * ms, replyExcluding(7, "d:1", ready, "h1", "h2")}, {5 * s, ListReceived{Version: 8, Serving: []string{"h0"}}},
+		{6 * s, replyExcluding(9, "d:1", ready, "h0")}, {7 * s, QueryReceived{HostQuery{"r2", []uint32{Tag("h0"), Tag("h1")}}}}, {8 * s, QueryReceived{HostQuery{"r2", nil}}}, {60 * s, Tick{}},
 	} {
 		got = append(got, describe(d.Step(x.at, x.event))...)
 	}
@@ -234,11 +234,11 @@
 // none.
 func TestMedianMeasureIsAdoptedOnce(t *testing.T) {
 	withMeasure := func(n int, work time.Duration) AnnouncementReceived {
-		w := from(n, 90*s, 0).Announcement
+		w := announcementFrom(n, 90*s, 0).Announcement
 		w.Measure = Measure{work, s}
 		return AnnouncementReceived{w}
 	}
-	d, _ := New(Config{Self: "r0", Discovery: "d:1", Saved: saved(5, 5)}, 0)
+	d, _ := New(Config{Self: "r0", Discovery: "d:1", Saved: savedState(5, 5)}, 0)
 	var got []string
 	for i, x := range []Event{Tick{}, withMeasure(1, 0), withMeasure(2, 7*s), withMeasure(3, 9*s)} {
 		got = append(got, describe(d.Step(time.Duration(i)*ms, x))...)
@@ -246,7 +246,7 @@
 	if !slices.Contains(got, "adopt 7s") || slices.Contains(got, "adopt 9s") {
 		t.Error(got)
 	}
-	withLearned := saved(5, 5)
+	withLearned := savedState(5, 5)
 	withLearned.Learned = &balance.Learned{CompletedWork: 1, MeanWork: 1}
 	for _, c := range []Config{{Self: "r0", Saved: withLearned}, {Self: "r0"}} {
 		d, _ := New(c, 0)
@@ -270,7 +270,7 @@
 // that are alive, a few at a time, until one of them has a measure.
 func TestRouterWithoutMeasureAsksLivingRouters(t *testing.T) {
 	const routers = 6
-	membership := Membership{saved(routers, 0).Routers}
+	membership := Membership{savedState(routers, 0).Routers}
 	asked := map[string]int{}
 	d, _ := New(Config{Self: "r0", Discovery: "d:1"}, 0)
 	now, queries := time.Duration(0), 0
@@ -304,7 +304,7 @@
 	if len(asked) != routers-1 || asked["r0"] > 0 || queries > 6 {
 		t.Errorf("%d queries in 2 s, asked: %v", queries, asked)
 	}
-	reply := from(3, 90*s, 0).Announcement
+	reply := announcementFrom(3, 90*s, 0).Announcement
 	if step(AnnouncementReceived{reply}) {
 		t.Error("it adopts a measure that nobody has")
 	}
@@ -326,7 +326,7 @@
 // however late, after the rounds 1, 2, 4 and 8, and at the end; or whose measure is adopted.
 func TestMissingMeasureIsReported(t *testing.T) {
 	answer := func(n int, work time.Duration) AnnouncementReceived {
-		a := from(n, s, 0).Announcement
+		a := announcementFrom(n, s, 0).Announcement
 		a.Measure = Measure{work, s}
 		return AnnouncementReceived{a}
 	}
@@ -349,7 +349,7 @@
 				}
 			}
 		}
-		for _, e := range []timedEvent{{0, ListReceived{Version: 1}}, {0, Membership{saved(6, 0).Routers}}, {100 * ms, answer(1, 0)}, {500 * ms, Tick{}}, {700 * ms, answer(2, 0)},
+		for _, e := range []timedEvent{{0, ListReceived{Version: 1}}, {0, Membership{savedState(6, 0).Routers}}, {100 * ms, answer(1, 0)}, {500 * ms, Tick{}}, {700 * ms, answer(2, 0)},
 			{s, Tick{}}, {1500 * ms, Tick{}}, {1600 * ms, answer(4, 0)}, {2 * s, Tick{}}, {2500 * ms, Tick{}}, {3 * s, Tick{}}, x.ending, {4 * s, Tick{}}, {5 * s, HostsWarm{true}}} {
 			step(e.at, e.event)
 		}
@@ -382,16 +382,16 @@
 		if err != nil {
 			return
 		}
-		var again []byte
+		var encoded []byte
 		switch e := e.(type) {
 		case AnnouncementReceived:
-			again = e.Announcement.Encode()
+			encoded = e.Announcement.Encode()
 		case QueryReceived:
-			again = e.Query.Encode()
+			encoded = e.Query.Encode()
 		case ReplyReceived:
-			again = e.Reply.Encode()
+			encoded = e.Reply.Encode()
 		}
-		if got, err := Decode(again); err != nil || !cmp.Equal(got, e) {
+		if got, err := Decode(encoded); err != nil || !cmp.Equal(got, e) {
 			t.Fatalf("%+v becomes %+v, %v", e, got, err)
 		}
 	})
--- a/internal/router/recovery/stages.go
+++ b/internal/router/recovery/stages.go
@@ -76,14 +76,14 @@
 		d.enter(Listing, fmt.Sprintf("only %d of %d have answered", n, len(d.savedPeers)))
 	case d.now >= d.nextQueryAt:
 		d.nextQueryAt = d.now + queryInterval
-		d.actions = append(d.actions, Announce{d.unheardPeers(), d.announcement(true)})
+		d.actions = append(d.actions, Announce{d.peersWithoutReply(), d.announcement(true)})
 	}
 }
 
 // unheardPeers are the routers of the saved membership that have not announced themselves.
-func (d *Decider) unheardPeers() (all []snapshot.Router) {
+func (d *Decider) peersWithoutReply() (all []snapshot.Router) {
 	for _, r := range d.savedPeers {
-		if _, heard := d.announcements[r.Name]; !heard {
+		if _, announced := d.announcements[r.Name]; !announced {
 			all = append(all, r)
 		}
 	}
@@ -91,7 +91,7 @@
 }
 
 // repliesReceived counts the routers of the saved membership that have announced themselves.
-func (d *Decider) repliesReceived() int { return len(d.savedPeers) - len(d.unheardPeers()) }
+func (d *Decider) repliesReceived() int { return len(d.savedPeers) - len(d.peersWithoutReply()) }
 
 func (d *Decider) stepListing() {
 	switch {
--- a/internal/router/snapshot/snapshot_test.go
+++ b/internal/router/snapshot/snapshot_test.go
@@ -62,9 +62,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	check := func(what string, at int, text []byte) {
+	check := func(what string, at int, file []byte) {
 		t.Helper()
-		s, g, errs := Newest([2][]byte{older, text})
+		s, g, errs := Newest([2][]byte{older, file})
 		var corrupt *CorruptError
 		if !errors.As(errs[1], &corrupt) || corrupt.Offset < 0 || corrupt.Offset > len(b) {
 			t.Fatalf("%s at %d: %v", what, at, errs[1])
@@ -76,9 +76,9 @@
 	for at := range b {
 		check("cut", at, b[:at:at])
 		for bit := range 8 {
-			text := append([]byte(nil), b...)
-			text[at] ^= 1 << bit
-			check("flip", at, text)
+			file := append([]byte(nil), b...)
+			file[at] ^= 1 << bit
+			check("flip", at, file)
 		}
 	}
 	check("one more", len(b), append(append([]byte(nil), b...), 0))
--- a/internal/router/snapshot/stored_test.go
+++ b/internal/router/snapshot/stored_test.go
@@ -43,32 +43,32 @@
 		generation := uint64(8 + i)
 		want := goldenState(uint32(i))
 		golden.Complete(t, want)
-		made, err := Encode(want, generation)
+		encoded, err := Encode(want, generation)
 		if err != nil {
 			t.Fatal(err)
 		}
-		golden.Same(t, name, made)
-		files[i] = golden.File(t, name, made)
+		golden.Same(t, name, encoded)
+		files[i] = golden.File(t, name, encoded)
 		got, g, err := Decode(files[i])
 		if diff := cmp.Diff(want, got); err != nil || g != generation || diff != "" {
 			t.Errorf("%s: generation %d, %v\n%s", name, g, err, diff)
 		}
 	}
-	got, generation, wrong := Newest(files)
-	if diff := cmp.Diff(goldenState(1), got); generation != 9 || wrong != [2]error{} || diff != "" {
-		t.Errorf("generation %d is the youngest, %v\n%s", generation, wrong, diff)
+	got, generation, errs := Newest(files)
+	if diff := cmp.Diff(goldenState(1), got); generation != 9 || errs != [2]error{} || diff != "" {
+		t.Errorf("generation %d is the youngest, %v\n%s", generation, errs, diff)
 	}
 }
 
 // The file of open requests is a state with nothing else, of no generation.
 func TestGoldenOpenRequests(t *testing.T) {
 	want := &State{Router: "r1", OpenRequests: []OpenRequest{{ID: "x-1", Class: "chat"}, {ID: "x-2", Class: "code"}}, OmittedRequests: 9}
-	made, err := Encode(want, 0)
+	encoded, err := Encode(want, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Same(t, OpenRequestsFile, made)
-	got, generation, err := Decode(golden.File(t, OpenRequestsFile, made))
+	golden.Same(t, OpenRequestsFile, encoded)
+	got, generation, err := Decode(golden.File(t, OpenRequestsFile, encoded))
 	if diff := cmp.Diff(want, got); err != nil || generation != 0 || diff != "" {
 		t.Errorf("generation %d, %v\n%s", generation, err, diff)
 	}
