--- a/internal/router/snapshot/doc.go
+++ b/internal/router/snapshot/doc.go
@@ -1,24 +1,25 @@
-// Package snapshot is what a router stores for its next process: the content, its format, and what
-// is wrong with a file at which byte. docs/design/recovery.md says what of it is trusted. The
-// package is pure: its owner reads and writes the files.
+// Package snapshot encodes and decodes the state that a router stores for its next process. For a
+// damaged file it reports what is wrong and at which byte. docs/design/recovery.md says which parts
+// of the state are trusted. The package does no I/O: its caller reads and writes the files.
 //
 // # Files
 //
-// A state is written to the two GenerationFiles by turns, each replaced atomically, so that one of
-// them is complete whatever happens to the other. Newest picks the younger one. The requests that
-// are open change each second and have a file of their own, OpenRequestsFile, which may be cut or
-// of two writes after a crash; its reader then has none.
+// A router writes its state alternately to the two GenerationFiles and replaces each file
+// atomically, so one of them is complete even if the other is damaged. Newest returns the newer
+// complete one. The open requests change every second and have a file of their own,
+// OpenRequestsFile. After a crash this file may be truncated or contain bytes of two writes; the
+// next process then cannot know the open requests.
 //
 // # Format
 //
-// All numbers have the highest byte first:
+// All numbers are big-endian. The columns are offset, size in bytes and field:
 //
 //	0    4 magic "RSSN"
 //	4    2 version of the format
-//	6    8 generation: the higher one is the younger
-//	14   4 length of the content
+//	6    8 generation: the file with the higher number is the newer one
+//	14   4 length n of the content
 //	18   n content, JSON
-//	18+n 8 checksum (xxHash64) of all before it
+//	18+n 8 checksum (xxHash64) of all bytes before it
 //
-// A file that differs in one bit, or is cut, is rejected as a whole (CorruptError).
+// Decode rejects a whole file with a CorruptError if one bit of it has changed or it is truncated.
 package snapshot
--- a/internal/router/snapshot/snapshot.go
+++ b/internal/router/snapshot/snapshot.go
@@ -12,17 +12,17 @@
 	"reachspread/internal/protocol"
 )
 
-// Version is that of the format. A reader rejects others.
+// Version is the version of the file format. Decode rejects files with any other version.
 const Version = 1
 
-// Bounds.
+// Limits of a file and its content.
 const (
-	MaxBytes        = 1 << 20 // of a file
-	MaxOpenRequests = 2048
-	MaxRouters      = 4096
+	MaxBytes        = 1 << 20 // size of a file
+	MaxOpenRequests = 2048    // open requests in a state
+	MaxRouters      = 4096    // routers in a state
 )
 
-// The parts of a file.
+// Layout of a file: the magic, and offsets and sizes in bytes.
 const (
 	magic            = "RSSN"
 	versionOffset    = 4
@@ -32,44 +32,45 @@
 	checksumSize     = 8
 )
 
-// GenerationFiles are the names of the files of the two generations. A generation is in the one of
-// its number's last bit.
+// GenerationFiles are the names of the files for the two latest generations. The last bit of a
+// generation's number is the index of its file.
 var GenerationFiles = [2]string{"router.0.snap", "router.1.snap"}
 
-// OpenRequestsFile is the name of the file of open requests: a State that has nothing else.
+// OpenRequestsFile is the name of the file of open requests. Its State contains only the router's
+// name, the open requests and the number of omitted ones.
 const OpenRequestsFile = "router.open"
 
-// State is what is stored.
+// State is the content of a file: what a router stores for its next process.
 type State struct {
 	Router     string
-	Zone       string `json:",omitempty"`
-	Boot       uint32
-	SavedAt    time.Time `json:"At"` // for people alone: nothing is decided by it
+	Zone       string    `json:",omitempty"`
+	Boot       uint32    // boot number of the process that saved the state
+	SavedAt    time.Time `json:"At"` // for human readers only; no decision depends on it
 	List       *protocol.List
-	ListSource string             `json:"ListFrom"` // discovery's address
+	ListSource string             `json:"ListFrom"` // discovery address that List came from
 	Learned    *balance.Learned   `json:",omitempty"`
-	Demand     map[string]float64 `json:",omitempty"` // work asked for on a usual day, by class
+	Demand     map[string]float64 `json:",omitempty"` // usual demand for work, by class
 
 	Incarnation     uint32        `json:",omitempty"`
 	HighestToken    uint64        `json:"Token,omitempty"`
 	SettingsDigest  string        `json:"Settings,omitempty"`
-	Routers         []Router      `json:"View,omitempty"` // the membership
-	Drained         bool          `json:",omitempty"`     // an operator sends clients away
+	Routers         []Router      `json:"View,omitempty"` // members of the fleet
+	Drained         bool          `json:",omitempty"`     // an operator has drained this router
 	OpenRequests    []OpenRequest `json:"Open,omitempty"`
-	OmittedRequests int           `json:"OpenMore,omitempty"` // open ones beyond the bounds
+	OmittedRequests int           `json:"OpenMore,omitempty"` // open requests left out because of the limits
 }
 
-// Router is a member, with the process that it was.
+// Router is a member of the fleet. Boot is the boot number of its process when the state was saved.
 type Router struct {
 	Name, Addr string
 	Boot       uint32
 }
 
-// OpenRequest is a request that was accepted and not answered.
+// OpenRequest is a request that the router has accepted but not yet answered.
 type OpenRequest struct{ ID, Class string }
 
-// Encode returns a file's bytes. Requests and routers beyond the bounds are left out; a list that
-// is too long by itself is an error, as it must not be lost.
+// Encode returns the bytes of a file. It omits requests and routers beyond the limits. It returns an
+// error if the state exceeds MaxBytes even without open requests: it never cuts the list of hosts.
 func Encode(s *State, generation uint64) ([]byte, error) {
 	c := *s
 	if n := len(c.OpenRequests); n > MaxOpenRequests {
@@ -87,7 +88,8 @@
 	return binary.BigEndian.AppendUint64(b, xxhash.Sum64(b)), nil
 }
 
-// marshalContent returns the content of a file, without open requests where they don't fit.
+// marshalContent returns the JSON content of a file. It omits all open requests if the file would
+// exceed MaxBytes with them.
 func marshalContent(s *State) ([]byte, error) {
 	for {
 		content, err := json.Marshal(s)
@@ -99,13 +101,13 @@
 			return content, nil
 		}
 		if len(s.OpenRequests) == 0 {
-			return nil, fmt.Errorf("snapshot: %d bytes; there may be %d", size, MaxBytes)
+			return nil, fmt.Errorf("snapshot: encoded file has %d bytes; at most %d are allowed", size, MaxBytes)
 		}
 		s.OmittedRequests, s.OpenRequests = s.OmittedRequests+len(s.OpenRequests), nil
 	}
 }
 
-// CorruptError says what is wrong with a file, and at which byte.
+// CorruptError reports why a file can't be read and the byte offset of the fault.
 type CorruptError struct {
 	Offset int
 	Reason string
@@ -113,14 +115,16 @@
 
 func (e *CorruptError) Error() string { return fmt.Sprintf("byte %d: %s", e.Offset, e.Reason) }
 
-// Decode reads a file completely or not at all. Every error is a *CorruptError.
+// Decode returns the state and the generation of a file. It accepts a file as a whole or rejects it.
+// Every error is a *CorruptError.
 func Decode(b []byte) (*State, uint64, error) {
 	generation, content, err := decodeFrame(b)
 	if err != nil {
 		return nil, 0, err
 	}
 	s := &State{}
-	// The checksum is right, so a program wrote what can't be read.
+	// The checksum matches, so the file is intact; its writer encoded content that this version
+	// can't read.
 	if err := json.Unmarshal(content, s); err != nil {
 		return nil, 0, &CorruptError{headerSize, "the content: " + err.Error()}
 	}
@@ -132,7 +136,7 @@
 	return s, generation, nil
 }
 
-// decodeFrame checks a file's header, length and checksum.
+// decodeFrame checks a file's header, length and checksum, and returns its generation and content.
 func decodeFrame(b []byte) (generation uint64, content []byte, err error) {
 	switch {
 	case len(b) == 0:
@@ -158,8 +162,9 @@
 	return binary.BigEndian.Uint64(b[generationOffset:]), b[headerSize:end], nil
 }
 
-// Newest decodes both generations, nil for a file that does not exist, and returns the younger one
-// that is complete, nil for none. Errs has what is wrong with each.
+// Newest decodes the files of both generations and returns the state of the newer intact one, or nil
+// if neither is intact. A nil element of files stands for a file that does not exist. The element of
+// errs for a damaged file says what is wrong with it.
 func Newest(files [2][]byte) (s *State, generation uint64, errs [2]error) {
 	for i, b := range files {
 		if b == nil {
--- a/internal/router/snapshot/stored_test.go
+++ b/internal/router/snapshot/stored_test.go
@@ -13,10 +13,10 @@
 	"reachspread/internal/testbed/golden"
 )
 
-// The files under testdata were written by Encode at commit 5bfcc27: WRITE_GOLDEN=1 go test -run
-// Golden.
+// Encode wrote the files under testdata at commit 5bfcc27. The command to write them is
+// WRITE_GOLDEN=1 go test -run Golden.
 
-// goldenState has every field of a State.
+// goldenState returns a State with a value in every field.
 func goldenState(generation uint32) *State {
 	return &State{
 		Router: "r1", Zone: "east", Boot: 7 + generation, SavedAt: time.Unix(1_800_000_000, 0).UTC(),
@@ -36,7 +36,8 @@
 	}
 }
 
-// Both generations are read as they were written, and written as they were.
+// Decode and Newest read the stored files of both generations as the states that were written, and
+// Encode still produces the same bytes.
 func TestGoldenFiles(t *testing.T) {
 	var files [2][]byte
 	for i, name := range GenerationFiles {
@@ -51,16 +52,17 @@
 		files[i] = golden.File(t, name, encoded)
 		got, g, err := Decode(files[i])
 		if diff := cmp.Diff(want, got); err != nil || g != generation || diff != "" {
-			t.Errorf("%s: generation %d, %v\n%s", name, g, err, diff)
+			t.Errorf("%s is decoded with generation %d, error %v and this difference:\n%s", name, g, err, diff)
 		}
 	}
 	got, generation, errs := Newest(files)
 	if diff := cmp.Diff(goldenState(1), got); generation != 9 || errs != [2]error{} || diff != "" {
-		t.Errorf("generation %d is the youngest, %v\n%s", generation, errs, diff)
+		t.Errorf("Newest returns generation %d, not 9, errors %v and this difference:\n%s", generation, errs, diff)
 	}
 }
 
-// The file of open requests is a state with nothing else, of no generation.
+// The file of open requests holds a state with only the router's name and its open requests. Its
+// generation is 0.
 func TestGoldenOpenRequests(t *testing.T) {
 	want := &State{Router: "r1", OpenRequests: []OpenRequest{{ID: "x-1", Class: "chat"}, {ID: "x-2", Class: "code"}}, OmittedRequests: 9}
 	encoded, err := Encode(want, 0)
@@ -70,11 +72,11 @@
 	golden.Same(t, OpenRequestsFile, encoded)
 	got, generation, err := Decode(golden.File(t, OpenRequestsFile, encoded))
 	if diff := cmp.Diff(want, got); err != nil || generation != 0 || diff != "" {
-		t.Errorf("generation %d, %v\n%s", generation, err, diff)
+		t.Errorf("the file is decoded with generation %d, error %v and this difference:\n%s", generation, err, diff)
 	}
 }
 
-// The names of the files are those that routers have on their disks.
+// The file names are the ones that deployed routers have on their disks.
 func TestGoldenNames(t *testing.T) {
 	for _, name := range []string{"router.0.snap", "router.1.snap", "router.open"} {
 		if _, err := os.Stat(filepath.Join("testdata", name)); err != nil {
