--- a/internal/router/recovery/baseline.go
+++ b/internal/router/recovery/baseline.go
@@ -7,30 +7,31 @@
 	"reachspread/balance"
 )
 
-// Baseline averages what a router has learned of a usual day, for its next process: of a fleet of
-// many routers each sees a few requests a second, and what it has counted over the last seconds is
-// off by half. Its zero value is ready.
+// Baseline averages a router's learned values and demand under usual load, for its next process. In
+// a fleet of many routers each router sees only a few requests a second, so its counts of the last
+// few seconds are off by half. The zero value is ready to use.
 type Baseline struct {
 	mean      balance.Learned
-	demand    map[string]float64 // by class
+	demand    map[string]float64 // mean work asked for, by class
 	updatedAt time.Duration
-	weight    float64 // of the mean, in seconds; baselineWindow at most
+	weight    float64 // weight of the mean in seconds, at most baselineWindow
 }
 
 const (
-	baselineWindow    = 60.0 // seconds over which it is averaged
-	maxUpdateInterval = 10.0 // seconds that one update counts for at most
+	baselineWindow    = 60.0 // seconds over which values are averaged
+	maxUpdateInterval = 10.0 // maximum weight of one update in seconds
 )
 
-// Restore goes on from the mean of an earlier process. It counts for half of the window.
+// Restore continues from the means of an earlier process. They weigh as much as half of
+// baselineWindow.
 func (b *Baseline) Restore(l balance.Learned, demand map[string]float64) {
 	if l.CompletedWork > 0 && l.MeanWork > 0 {
 		b.mean, b.demand, b.weight = l, maps.Clone(demand), baselineWindow/2
 	}
 }
 
-// Update takes in what was learned by now, and the demand that a Gate has seen. The caller calls it
-// only while hosts are warm: what is asked for during a recovery is no usual day's.
+// Update adds the values learned so far and the demand seen by a Gate to the averages. Call it only
+// while hosts are warm, because demand during a recovery is not the usual demand.
 func (b *Baseline) Update(now time.Duration, l balance.Learned, demand map[string]float64) {
 	if l.CompletedWork <= 0 || l.MeanWork <= 0 {
 		return
@@ -44,7 +45,7 @@
 	fraction := elapsed / b.weight
 	b.mean.CompletedWork += (l.CompletedWork - b.mean.CompletedWork) * fraction
 	b.mean.MeanWork += (l.MeanWork - b.mean.MeanWork) * fraction
-	// These are averages already.
+	// Package balance has already averaged these values.
 	b.mean.DecodeTimes, b.mean.PrefillByKind, b.mean.Replicas = l.DecodeTimes, l.PrefillByKind, l.Replicas
 	if b.demand == nil {
 		b.demand = map[string]float64{}
@@ -55,8 +56,9 @@
 	}
 }
 
-// Learned returns the mean, false before the first Update or Restore.
+// Learned returns the mean of the learned values. It returns false before the first Update or
+// Restore.
 func (b *Baseline) Learned() (balance.Learned, bool) { return b.mean, b.weight > 0 }
 
-// Demand returns the mean work asked for, by class.
+// Demand returns the mean work asked for, by class, in the unit of Gate.Demand.
 func (b *Baseline) Demand() map[string]float64 { return b.demand }
--- a/internal/router/recovery/config.go
+++ b/internal/router/recovery/config.go
@@ -8,25 +8,25 @@
 	"reachspread/internal/router/snapshot"
 )
 
-// Bounds of what comes from outside.
+// Limits of external input and of queries.
 const (
-	MaxDatagramBytes = 256  // the platform's
+	MaxDatagramBytes = 256  // limit that the platform sets for a datagram
 	MaxPeers         = 512  // routers of the saved membership that are asked
-	MaxNameBytes     = 32   // of a router's name
-	MaxHosts         = 4096 // of a list
+	MaxNameBytes     = 32   // bytes of a router's name
+	MaxHosts         = 4096 // hosts of a list
 	MaxTags          = 40   // hosts in a datagram
-	maxQueriedPeers  = 3    // routers that are asked at a time about hosts, or for their measures
+	maxQueriedPeers  = 3    // routers to choose from when asking about hosts, or asked at a time for their measures
 )
 
-// Periods.
+// Intervals between queries.
 const (
-	queryInterval = 250 * time.Millisecond // until who has not replied is asked again
-	// savedListQueryInterval is that of queries on hosts while the saved list is in use.
+	queryInterval = 250 * time.Millisecond // until routers that have not replied are asked again
+	// savedListQueryInterval is the time between queries about hosts while the saved list is in use.
 	savedListQueryInterval = 2 * time.Second
 	measureQueryInterval   = 500 * time.Millisecond // until the next routers are asked for their measures
 )
 
-// Defaults of a Config.
+// Default timeouts of a Config.
 const (
 	defaultQueryTimeout   = time.Second
 	defaultListTimeout    = 2 * time.Second
@@ -34,31 +34,33 @@
 	defaultWarmUpTimeout  = 20 * time.Second
 )
 
-// Config is what a Decider is told at its start. A time-out of 0 counts as its default.
+// Config configures a Decider. A timeout or delay of 0 selects its default.
 type Config struct {
-	Self      string
-	Boot      uint32          // of this process
-	Saved     *snapshot.State // that the last process left, nil for none
-	Damaged   []string        // what is wrong with the files that it left; shown to operators
-	Discovery string          // address
-	// QueryTimeout bounds the wait for other routers. Longer classifies outages better, and delays
-	// a router whose peers are down.
+	Self      string          // name of this router
+	Boot      uint32          // boot number of this process
+	Saved     *snapshot.State // state saved by the previous process, nil for none
+	Damaged   []string        // faults of the files of the previous process; shown to operators
+	Discovery string          // address of discovery
+	// QueryTimeout bounds the wait for replies of other routers. A longer timeout classifies outages
+	// better but delays a router whose peers are down.
 	QueryTimeout time.Duration
-	// ListTimeout bounds the wait for discovery until the saved list is used. Shorter sends
-	// requests to hosts that may be gone, longer sends none.
+	// ListTimeout bounds the wait for discovery's list; after it the router uses the saved list. With
+	// a shorter timeout the router may send requests to hosts that are gone. With a longer one it
+	// sends no requests for longer.
 	ListTimeout time.Duration
-	// StaleListDelay is added to ListTimeout while a peer has a newer list and has not replied
-	// which hosts it has.
+	// StaleListDelay is added to ListTimeout while a peer has a newer list than the saved one and
+	// queries about the saved hosts are unanswered.
 	StaleListDelay time.Duration
-	// WarmUpTimeout bounds the wait for hosts to be warm. Requests are still admitted as hosts go.
+	// WarmUpTimeout bounds the stage that waits for the hosts to be warm. After it, a Gate still
+	// admits only as many requests as the hosts can serve.
 	WarmUpTimeout time.Duration
-	HasRoles      bool // voters of singleton roles are waited for
+	HasRoles      bool // the recovery waits for the voters of singleton roles
 }
 
-// validate returns what is wrong with a configuration, and fills in defaults.
+// validate fills in defaults and returns an error for an invalid configuration.
 func (c *Config) validate() error {
 	if c.Self == "" || len(c.Self) > MaxNameBytes {
-		return fmt.Errorf("router %q: a name has 1 to %d bytes", c.Self, MaxNameBytes)
+		return fmt.Errorf("invalid router name %q: it must have 1 to %d bytes", c.Self, MaxNameBytes)
 	}
 	c.QueryTimeout = cmp.Or(c.QueryTimeout, defaultQueryTimeout)
 	c.ListTimeout = cmp.Or(c.ListTimeout, defaultListTimeout)
--- a/internal/router/recovery/datagram.go
+++ b/internal/router/recovery/datagram.go
@@ -7,19 +7,21 @@
 	"time"
 )
 
-// A datagram begins with a byte whose high half is wireVersion (peer reports have 1 there, the
-// membership 2, leases 3) and whose low half is the kind, and the sender's name with its length
-// before it. A checksum (CRC-32C) of all before it stands at the end. Between them, numbers as
-// varints:
+// wireVersion is the high half of the first byte of a recovery datagram. Datagrams of peer reports
+// have 1 there, those of the membership 2 and those of leases 3. The low half is the kind. The
+// sender's name follows, after one byte for its length. A checksum (CRC-32C) of all bytes before it
+// ends the datagram. The fields between name and checksum depend on the kind; numbers are varints
+// unless a size is given, and fields of a fixed size are big-endian:
 //
-//	announcement, and one that wants a reply: boot, time up in ms, the list's version, the stage, and
-//	       the two parts of the measure in us; eight bytes for the list's source
-//	query: one byte for how many tags, four bytes each
-//	reply: the list's version and how many hosts it was asked about; eight bytes for the list's
-//	       source, four for the query's first tag; how many are excluded, four bytes each
+//	announcement, with or without a request for a reply: boot number, uptime in ms, version of the
+//	       list, stage, and the two parts of the measure in us; eight bytes for the list's source
+//	query: one byte for the number of tags, four bytes for each tag
+//	reply: version of the list, number of hosts in the query; eight bytes for the list's source, four
+//	       for the first tag of the query; one byte for the number of excluded hosts, four for the
+//	       tag of each
 const wireVersion = 4
 
-// The kinds.
+// The kinds of datagrams.
 const (
 	kindAnnouncement = iota
 	kindAnnouncementRequest
@@ -30,16 +32,16 @@
 const (
 	checksumBytes = 4
 	kindMask      = 15
-	maxSpan       = 1 << 40 // ms or us of a span on the wire; 34 years in ms
+	maxSpan       = 1 << 40 // maximum of an encoded duration, in ms or us; 34 years in ms
 	maxVersion    = 1 << 62
 	maxUint32     = 1<<32 - 1
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-var errDatagram = errors.New("the datagram is no word of a router that comes back")
+var errDatagram = errors.New("malformed recovery datagram")
 
-// IsDatagram reports whether a datagram is one of this package's, by its first byte.
+// IsDatagram reports whether the first byte of a datagram marks it as one of this package.
 func IsDatagram(b []byte) bool { return len(b) > 0 && b[0]>>4 == wireVersion }
 
 // Encode returns the datagram of an announcement.
@@ -59,7 +61,7 @@
 	return appendChecksum(b)
 }
 
-// Encode returns the datagram of a query of MaxTags at most.
+// Encode returns the datagram of a query, which has at most MaxTags tags.
 func (q *HostQuery) Encode() []byte {
 	return appendChecksum(appendTags(newDatagram(kindQuery, q.From), q.Tags))
 }
@@ -90,7 +92,8 @@
 	return b
 }
 
-// Decode reads a datagram completely or not at all, as the event that it is.
+// Decode returns the content of a datagram as an event. It returns an error for a datagram that is
+// malformed in any part.
 func Decode(b []byte) (Event, error) {
 	kind, from, d, err := openDatagram(b)
 	if err != nil {
@@ -117,8 +120,8 @@
 	return e, nil
 }
 
-// openDatagram checks a datagram's frame, and returns its kind, its sender and a decoder of the
-// rest.
+// openDatagram checks the size, checksum and sender's name of a datagram. It returns the kind, the
+// sender's name and a decoder for the remaining fields.
 func openDatagram(b []byte) (kind byte, from string, d *decoder, err error) {
 	if len(b) < 2+checksumBytes || len(b) > MaxDatagramBytes || !IsDatagram(b) {
 		return 0, "", nil, errDatagram
@@ -134,8 +137,8 @@
 	return body[0] & kindMask, string(body[2 : 2+n]), &decoder{rest: body[2+n:]}, nil
 }
 
-// decoder takes fields off the front of a datagram. Once one is not there, failed is true and later
-// fields are zero.
+// decoder reads the fields of a datagram in their order. After a field that is missing or out of
+// range, failed is true and later fields are zero.
 type decoder struct {
 	rest   []byte
 	failed bool
--- a/internal/router/recovery/decider.go
+++ b/internal/router/recovery/decider.go
@@ -7,52 +7,53 @@
 	"reachspread/internal/router/snapshot"
 )
 
-// Decider is one router's recovery.
+// Decider is the state machine for the recovery of one router after its start.
 type Decider struct {
 	config     Config
 	startedAt  time.Duration
 	now        time.Duration
 	stage      Stage
 	stageSince time.Duration
-	actions    []Action // of the present Step
+	actions    []Action // actions of the current Step so far
 
 	// Other routers.
-	savedPeers    []snapshot.Router // of the saved membership without this router, MaxPeers at most
-	alive         []snapshot.Router
-	announcements map[string]receivedAnnouncement // by router, 2*MaxPeers at most
+	savedPeers    []snapshot.Router               // saved membership without this router, at most MaxPeers
+	alive         []snapshot.Router               // latest Membership event
+	announcements map[string]receivedAnnouncement // latest of each router, at most 2*MaxPeers routers
 	nextQueryAt   time.Duration
 	outage        Outage // empty until it is classified
 
 	// Hosts.
-	listVersion     int64 // of discovery's
-	listReceived    bool
+	listVersion     int64 // version of the list from discovery
+	listReceived    bool  // discovery has sent a list
 	savedListUsed   bool
-	serving         map[uint32]bool   // hosts of discovery's list, by tag
-	byTag           map[uint32]string // hosts of the saved list that got requests
-	chunks          []tagChunk        // of these, as queries have them
+	serving         map[uint32]bool   // hosts that get requests according to discovery's list, by tag
+	byTag           map[uint32]string // ready hosts of the saved list: IDs by tag
+	chunks          []tagChunk        // the tags of byTag, divided among queries
 	nextHostQueryAt time.Duration
-	excluded        map[string]bool // hosts of the saved list
-	warm            bool
-	votersLed       bool
+	excluded        map[string]bool // hosts of the saved list that get no requests, by ID
+	warm            bool            // the listed hosts are warm
+	votersLed       bool            // the voters of roles have a leader
 
-	// What a warm host does.
-	measure      Measure // own, of this process or the last one
-	adopted      bool    // another router's measure was
+	// Measures of a warm host's work.
+	measure      Measure // measured by this process or the previous one
+	adopted      bool    // the measure of another router was adopted
 	measureQuery measureQuery
 }
 
-// tagChunk is the hosts of one query.
+// tagChunk contains the tags of the hosts in one query.
 type tagChunk struct {
 	tags     []uint32
-	answered bool // since it was sent last
+	answered bool // a router has replied to the query; reset when all chunks are queried again
 }
 
+// receivedAnnouncement is an announcement of another router and the time of its receipt.
 type receivedAnnouncement struct {
 	announcement Announcement
 	at           time.Duration
 }
 
-// New returns a Decider that starts now. Its first actions are those of the first Step.
+// New returns a Decider whose recovery starts now. The first Step returns its first actions.
 func New(c Config, now time.Duration) (*Decider, error) {
 	if err := c.validate(); err != nil {
 		return nil, err
@@ -72,7 +73,7 @@
 	return d, nil
 }
 
-// Step takes in one event, and returns what is to be done.
+// Step processes one event and returns the actions that the caller must carry out.
 func (d *Decider) Step(now time.Duration, e Event) []Action {
 	d.now = max(now, d.now)
 	switch e := e.(type) {
@@ -99,13 +100,13 @@
 	return out
 }
 
-// announcement is what this router tells of itself.
+// announcement returns the announcement of this router's current state.
 func (d *Decider) announcement(wantsReply bool) Announcement {
 	return Announcement{WantsReply: wantsReply, From: d.config.Self, Boot: d.config.Boot, Uptime: d.now - d.startedAt, ListVersion: d.listVersion,
 		ListSource: Source(d.config.Discovery), Stage: d.stage, Measure: d.measure}
 }
 
-// handleAnnouncement takes in an announcement, and replies to one that wants a reply.
+// handleAnnouncement stores the announcement of another router and replies if it wants a reply.
 func (d *Decider) handleAnnouncement(a Announcement) {
 	if a.From == d.config.Self {
 		return
@@ -118,7 +119,8 @@
 	}
 }
 
-// locate returns where a router is: as the membership has it, or else the saved one.
+// locate returns a router with its address from the current membership, or else from the saved one.
+// The address is empty for a router in neither.
 func (d *Decider) locate(name string) snapshot.Router {
 	for _, routers := range [][]snapshot.Router{d.alive, d.savedPeers} {
 		for _, r := range routers {
@@ -130,6 +132,7 @@
 	return snapshot.Router{Name: name}
 }
 
+// handleList stores which hosts get requests according to discovery's list.
 func (d *Decider) handleList(e ListReceived) {
 	d.listReceived, d.listVersion = true, e.Version
 	d.serving = map[uint32]bool{}
@@ -138,21 +141,21 @@
 	}
 }
 
-// Status is what a Decider shows of itself.
+// Status is the state of a Decider for operators.
 type Status struct {
 	Stage         Stage
-	StageFor      time.Duration // the time in the stage so far
+	StageFor      time.Duration // time spent in the stage so far
 	Uptime        time.Duration
 	Outage        Outage
-	Replied       int // routers of the saved membership
-	Asked         int
+	Replied       int // routers of the saved membership that have announced themselves
+	Asked         int // routers of the saved membership that are asked
 	SavedListUsed bool
-	Damaged       []string // as in the Config
-	AwaitedEvent  string   // what ends the stage
-	HasSaved      bool     // a snapshot was there
+	Damaged       []string // as in Config
+	AwaitedEvent  string   // event that ends the stage
+	HasSaved      bool     // the previous process left a readable snapshot
 }
 
-// Status returns how things are at a time.
+// Status returns the state of the recovery at the given time.
 func (d *Decider) Status(now time.Duration) Status {
 	return Status{Stage: d.stage, StageFor: now - d.stageSince, Uptime: now - d.startedAt, Outage: d.outage, Replied: d.repliesReceived(), Asked: len(d.savedPeers),
 		SavedListUsed: d.savedListUsed, Damaged: slices.Clone(d.config.Damaged), AwaitedEvent: Stages[d.stage].Ends, HasSaved: d.config.Saved != nil}
--- a/internal/router/recovery/events.go
+++ b/internal/router/recovery/events.go
@@ -6,37 +6,37 @@
 	"reachspread/internal/router/snapshot"
 )
 
-// Event is one of the following.
+// Event is an input of Decider.Step: one of the event types below.
 type Event interface{ event() }
 
-// Tick says that time has passed.
+// Tick reports only that time has passed.
 type Tick struct{}
 
-// AnnouncementReceived is another router's.
+// AnnouncementReceived reports an announcement from another router.
 type AnnouncementReceived struct{ Announcement Announcement }
 
-// Membership is the routers that are alive, with their addresses.
+// Membership reports the routers that are alive, with their addresses.
 type Membership struct{ Routers []snapshot.Router }
 
-// QueryReceived is another router's.
+// QueryReceived reports a query from another router.
 type QueryReceived struct{ Query HostQuery }
 
-// ReplyReceived is another router's.
+// ReplyReceived reports a reply from another router.
 type ReplyReceived struct{ Reply HostReply }
 
-// ListReceived says that discovery has sent a list. Serving are the hosts that get requests by it.
+// ListReceived reports a list of hosts from discovery.
 type ListReceived struct {
 	Version int64
-	Serving []string
+	Serving []string // IDs of the hosts that get requests according to the list
 }
 
-// MeasureLearned is what a warm host does for this router by now.
+// MeasureLearned reports what this router has learned of a warm host's work so far.
 type MeasureLearned struct{ Measure Measure }
 
-// HostsWarm says whether the listed hosts are warm.
+// HostsWarm reports whether the listed hosts are warm.
 type HostsWarm struct{ Warm bool }
 
-// VotersLed says whether the voters of roles have a leader.
+// VotersLed reports whether the voters of roles have a leader.
 type VotersLed struct{ Led bool }
 
 func (Tick) event()                 {}
@@ -49,63 +49,64 @@
 func (MeasureLearned) event()       {}
 func (HostsWarm) event()            {}
 
-// Action is one of the following.
+// Action is an output of Decider.Step that the caller carries out: one of the action types below.
 type Action interface{ action() }
 
-// Announce sends an announcement to routers. An address may be empty where a router is not known to
-// be alive.
+// Announce sends an announcement to routers. The address of a router may be empty if the router is
+// in neither the current nor the saved membership.
 type Announce struct {
 	To           []snapshot.Router
 	Announcement Announcement
 }
 
-// SendQuery sends a query to routers.
+// SendQuery sends a query about hosts to routers.
 type SendQuery struct {
 	To    []snapshot.Router
 	Query HostQuery
 }
 
-// SendReply sends a reply to a router.
+// SendReply sends a reply about hosts to a router.
 type SendReply struct {
 	To    snapshot.Router
 	Reply HostReply
 }
 
-// UseSavedList has requests go to the hosts of the saved list, without those that are excluded.
+// UseSavedList starts sending requests to the hosts of the saved list except the excluded ones.
 type UseSavedList struct{ Excluded []string }
 
-// ExcludeHosts has further hosts of the saved list get no requests.
+// ExcludeHosts stops sending requests to more hosts of the saved list.
 type ExcludeHosts struct{ Hosts []string }
 
-// AdoptMeasure gives package balance the measure of another router, as this one has none.
+// AdoptMeasure gives package balance the measure of another router because this router has none.
 type AdoptMeasure struct {
 	Measure Measure
-	From    string // the router whose it is
-	Known   int    // measures that it is the median of
+	From    string // name of the router that reported the measure
+	Known   int    // number of reported measures, of which Measure is the median
 }
 
-// MeasureMissing says that routers were asked for their measures, and none of those that answered
-// has any. After the rounds 1, 2, 4, 8 and so on there is one, and another at the end.
+// MeasureMissing reports that this router has asked others for their measures and that no router
+// that answered has one. It follows the rounds 1, 2, 4, 8 and so on while the queries continue, and
+// the end of the queries unless a measure is adopted.
 type MeasureMissing struct {
-	Rounds   int      // of queries so far
-	Alive    int      // routers by the membership, without this one
-	Asked    []string // routers so far, sorted,
-	Answered []string // and those of them that have announced themselves since
-	Ended    string   // why nobody is asked any more, empty while the queries go on
+	Rounds   int      // rounds of queries so far
+	Alive    int      // routers in the membership without this one
+	Asked    []string // routers asked so far, sorted
+	Answered []string // routers of Asked that have announced themselves since they were first asked
+	Ended    string   // why the queries have ended, empty while they continue
 }
 
-// StageEntered says that a stage has begun.
+// StageEntered reports that a stage has begun.
 type StageEntered struct {
 	Stage  Stage
-	After  time.Duration // since the start
-	Reason string        // what ended the stage before
+	After  time.Duration // time since the start of the recovery
+	Reason string        // why the previous stage ended
 }
 
-// OutageClassified says how far the outage reached.
+// OutageClassified reports how far the outage reached.
 type OutageClassified struct {
 	Outage  Outage
-	Replied int // routers that have announced themselves,
-	Asked   int // of so many that were asked
+	Replied int // routers of the saved membership that have announced themselves
+	Asked   int // routers of the saved membership that were asked
 }
 
 func (Announce) action()         {}
