--- a/internal/router/recovery/gate.go
+++ b/internal/router/recovery/gate.go
@@ -10,88 +10,91 @@
 	"reachspread/balance"
 )
 
-// Gate admits classes in the order of their value, as far as the hosts' present capacity goes,
-// while most hosts of a fleet are warming up at once. It stands before package balance and takes
-// the same events: a request that it rejects is never seen there, as if it had not been sent. Each
-// router works its fractions out by itself from the list that all of them have, so routers need no
-// messages for it, and its cost does not grow with them.
+// Gate limits admission while most hosts of a fleet are warming up at once. It admits classes in the
+// order of their value, as far as the hosts' current capacity allows. It precedes package balance and
+// gets the same events; package balance never sees a request that the Gate rejects. Each router
+// computes its fractions from the list of hosts that all routers have. The routers therefore need no
+// messages for it, and its cost does not grow with their number.
 //
-// Classes of the highest value are not rejected here, but for stale retries: which of them can be
-// served in time is for package balance to decide.
+// Of the classes with the highest value, a Gate rejects only stale retries. Package balance decides
+// which other requests of these classes can be served in time.
 type Gate struct {
 	config      balance.Config
 	rng         *rand.Rand
-	hosts       map[string]balance.Member
+	hosts       map[string]balance.Member // listed hosts that serve, by ID
 	listVersion int64
-	classes     []*demand // the highest value first
+	classes     []*demand // sorted by value, highest first
 	byName      map[string]*demand
 
-	warmFraction float64       // of their warm capacity that the hosts have, as of allocatedAt
-	allocatedAt  time.Duration // 0 has the next arrival allocate
-	decayedAt    time.Duration // of the demand
+	warmFraction float64       // fraction of their warm capacity that the hosts had at allocatedAt
+	allocatedAt  time.Duration // time of the last allocation; 0 forces one at the next arrival
+	decayedAt    time.Duration // time up to which the demand has decayed
 
-	// How the highest value is served decides which fraction of warmFraction is granted.
+	// grantedFraction is the fraction of the hosts' current capacity that is granted. It grows while
+	// requests of the highest value are served in time and shrinks otherwise.
 	grantedFraction float64
-	// Pending are requests of the highest value, with their latest answer; maxPending at most.
+	// pending has the unanswered requests of the highest value and the time by which each must be
+	// answered to be in time. It has at most maxPending entries.
 	pending      map[string]time.Duration
-	inTime, late float64 // of those that ended, decayed
+	inTime, late float64 // decayed counts of requests that left pending
 	adjustedAt   time.Duration
 
-	Rejected uint64 // requests
+	Rejected uint64 // number of rejected requests
 }
 
-// demand is what is asked for of a class.
+// demand is the recent demand for a class and the fraction of it that is admitted.
 type demand struct {
 	class    balance.Class
-	work     float64 // decayed sum, in prompt tokens
-	admitted float64 // the fraction of requests that is admitted
-	credit   float64 // one request is admitted for each whole unit
-	// maxLeftFraction is the largest fraction of its whole time that a request has had left.
+	work     float64 // decayed sum of work asked for, in prompt tokens
+	admitted float64 // fraction of requests that is admitted
+	credit   float64 // each whole unit admits one request
+	// maxLeftFraction is the largest fraction of its total time that a request still had left at its
+	// arrival. It decays by maxLeftDecay.
 	maxLeftFraction float64
 }
 
-// NearlyWarm is the fraction of the hosts' warm capacity from which on nothing is rejected.
+// NearlyWarm is the fraction of the hosts' warm capacity from which a Gate rejects no requests.
 const NearlyWarm = 0.95
 
 const (
-	demandWindow          = 5 * time.Second // over which demand is averaged
-	allocateInterval      = 50 * time.Millisecond
-	requestOverheadTokens = 500.0 // what a request costs beside its prompt, in prompt tokens
+	demandWindow          = 5 * time.Second       // time constant of the decay of the demand
+	allocateInterval      = 50 * time.Millisecond // minimum time between two allocations
+	requestOverheadTokens = 500.0                 // cost of a request in addition to its prompt, in prompt tokens
 
-	// initialFraction of the hosts' capacity is granted before anything has been observed: caches
-	// are lost with the power, each prompt is read completely, and what package balance grants to
-	// hosts that are warming up leaves it room to be wrong.
+	// initialFraction is the fraction of the hosts' capacity that is granted before any outcome is
+	// known. A power loss empties the caches, so that hosts process each prompt in full, and package
+	// balance leaves a margin for errors in the work it grants to hosts that are warming up.
 	initialFraction = 0.3
-	// partialOutageMargin is how far below NearlyWarm the warm fraction may be until the granted
-	// fraction counts alone: a release has few hosts warm up at a time, and the highest value may
-	// be late for other reasons.
+	// partialOutageMargin is how far the warm fraction must be below NearlyWarm for the granted
+	// fraction alone to limit admission. Closer to NearlyWarm more is granted: during a release few
+	// hosts warm up at a time, and requests of the highest value may be late for other reasons.
 	partialOutageMargin = 0.2
 
-	adjustInterval  = 250 * time.Millisecond
-	outcomeWindow   = time.Second // over which outcomes are counted
-	minOutcomes     = 2.0         // fewer say nothing
-	maxLateFraction = 0.1         // beyond it the granted fraction shrinks, otherwise it grows
+	adjustInterval  = 250 * time.Millisecond // minimum time between two changes of the granted fraction
+	outcomeWindow   = time.Second            // time constant of the decay of outcomes
+	minOutcomes     = 2.0                    // with fewer outcomes the granted fraction stays as it is
+	maxLateFraction = 0.1                    // fraction of late outcomes above which the granted fraction shrinks; otherwise it grows
 	growStep        = 0.05
 	shrinkFactor    = 0.7
 	minFraction     = 0.05
 
 	maxPending = 4096
-	gateStream = 7 // of the seed
+	gateStream = 7 // number of the random stream that the Gate derives from its seed
 )
 
 const (
-	// maxLeftDecay is by how much maxLeftFraction shrinks with each request, so that it follows
-	// clients.
+	// maxLeftDecay is the factor by which maxLeftFraction shrinks with each request, so that it
+	// follows a change in the clients' behavior.
 	maxLeftDecay = 0.9999
-	// firstAttemptFraction of maxLeftFraction is what a first attempt has left at the least.
+	// firstAttemptFraction is the fraction of maxLeftFraction that a first attempt has left at least.
 	firstAttemptFraction = 0.97
-	// maxPlausibleFraction of the whole time is what a client that follows the settings can have
-	// left.
+	// maxPlausibleFraction is the largest fraction of its total time that a request can have left if
+	// its client follows the settings.
 	maxPlausibleFraction = 1.05
 )
 
-// NewGate returns a Gate for one router. Usual is the work of each class on a usual day, as
-// Baseline.Demand has it from an earlier process; it may be nil.
+// NewGate returns a Gate for one router. The baseline is the usual demand for each class, which
+// Baseline.Demand returned in an earlier process; it may be nil.
 func NewGate(config balance.Config, baselineDemand map[string]float64, seed uint64) *Gate {
 	g := &Gate{rng: rand.New(rand.NewPCG(seed, gateStream)), hosts: map[string]balance.Member{}, byName: map[string]*demand{},
 		warmFraction: 1, grantedFraction: initialFraction, pending: map[string]time.Duration{}}
@@ -104,7 +107,8 @@
 	return g
 }
 
-// reconfigure takes over a configuration. Classes that stay keep what is known of them.
+// reconfigure applies a configuration. Classes that exist in both configurations keep their demand
+// and admitted fraction.
 func (g *Gate) reconfigure(config balance.Config) {
 	g.config = config
 	known := g.byName
@@ -121,8 +125,8 @@
 	g.allocatedAt = 0
 }
 
-// Step takes in events, and returns those that package balance is to see, with rejections of the
-// others.
+// Step processes events. It returns the events to pass to package balance, and a rejection for each
+// arrival that it does not admit.
 func (g *Gate) Step(now time.Duration, events []balance.Event) (pass []balance.Event, out []balance.Action) {
 	pass = events[:0:0]
 	for _, e := range events {
@@ -137,7 +141,7 @@
 			if e.Final {
 				g.recordOutcome(now, e.ID)
 			}
-		case balance.Aborted: // by its client: says nothing of how it was served
+		case balance.Aborted: // the client gave up, so the request counts neither as in time nor as late
 			delete(g.pending, e.ID)
 		case balance.Arrival:
 			if !g.admit(now, &e) {
@@ -151,7 +155,7 @@
 	return pass, out
 }
 
-// updateHosts takes in who is listed and when each started.
+// updateHosts applies a change of the list: which hosts serve and when each started.
 func (g *Gate) updateHosts(e balance.Members) {
 	if e.Failed || e.Version < g.listVersion {
 		return
@@ -169,11 +173,11 @@
 	}
 }
 
-// admit decides whether a request goes on to package balance.
+// admit reports whether a request is passed to package balance.
 func (g *Gate) admit(now time.Duration, a *balance.Arrival) bool {
 	d := g.byName[a.Class]
 	if d == nil {
-		return true // package balance rejects what has no class
+		return true // package balance rejects requests of unknown classes
 	}
 	g.allocate(now)
 	warmingUp := g.warmFraction < NearlyWarm
@@ -187,7 +191,8 @@
 	return d.spendCredit()
 }
 
-// spendCredit admits the class's fraction of requests, evenly spread.
+// spendCredit reports whether the next request of the class is admitted. It spreads the admitted
+// fraction evenly over the requests.
 func (d *demand) spendCredit() bool {
 	if d.admitted >= 1 {
 		return true
@@ -200,15 +205,15 @@
 	return true
 }
 
-// extraTime is what a request's latency target has for the length of its prompt.
+// extraTime returns the part of a request's latency target that depends on the length of its prompt.
 func (d *demand) extraTime(a *balance.Arrival) time.Duration {
 	return time.Duration(a.PromptTokens / 1000 * float64(d.class.LatencyTargetPer1000Tokens))
 }
 
-// isStaleRetry reports whether a request is a client's later attempt whose latency target has
-// passed: whatever it gets now is of no value, and takes the place of a request that has just come.
-// A first attempt has the most time left that any of its class has shown; a later one has what is
-// left of its deadline.
+// isStaleRetry reports whether a request is a client's retry whose latency target has passed. An
+// answer to it has no value any more, and serving it would take capacity from new requests. A first
+// attempt has about the largest fraction of its time left that any request of its class has had; a
+// retry has only the rest of its deadline left.
 func (d *demand) isStaleRetry(a *balance.Arrival) bool {
 	extra := d.extraTime(a)
 	totalTime := d.class.Deadline + 2*extra
@@ -226,13 +231,13 @@
 	return totalTime-a.TimeLeft > d.class.LatencyTarget+extra
 }
 
-// retryAfter is how long a rejected client is to stay away: spread, so that not all come back at
-// once.
+// retryAfter returns how long a rejected client must wait before it retries. The time is random, so
+// that clients do not all retry at once.
 func (g *Gate) retryAfter() time.Duration {
 	return time.Duration((0.5 + 0.5*g.rng.Float64()) * float64(g.config.MaxRetryAfter))
 }
 
-// Demand returns the work asked for of late, by class.
+// Demand returns the recent demand by class: a decayed sum of work in prompt tokens.
 func (g *Gate) Demand() map[string]float64 {
 	all := map[string]float64{}
 	for _, d := range g.classes {
@@ -241,7 +246,7 @@
 	return all
 }
 
-// AdmittedFractions returns the fraction of requests that is admitted, by class.
+// AdmittedFractions returns the fraction of requests that the Gate admits, by class.
 func (g *Gate) AdmittedFractions() map[string]float64 {
 	all := map[string]float64{}
 	for _, d := range g.classes {
--- a/internal/router/recovery/gate_allocation.go
+++ b/internal/router/recovery/gate_allocation.go
@@ -7,8 +7,8 @@
 	"reachspread/balance"
 )
 
-// Warmth returns the fraction of its warm capacity that a host has which started at a time, 0 for
-// long ago.
+// Warmth returns the fraction of its warm capacity that a host has at time now if it started at
+// startedAt. A startedAt of 0 means that the host started long ago and is warm.
 func Warmth(config *balance.Config, startedAt, now time.Duration) float64 {
 	age := now - startedAt
 	if startedAt <= 0 || age >= config.SlowStartWindow {
@@ -18,8 +18,8 @@
 	return atStart + (1-atStart)*float64(max(age, 0))/float64(config.SlowStartWindow)
 }
 
-// WarmFraction returns the fraction of their warm capacity that the listed hosts have, 1 without
-// hosts.
+// WarmFraction returns the fraction of their warm capacity that the listed hosts have. It is 1 if no
+// host is listed.
 func (g *Gate) WarmFraction(now time.Duration) float64 {
 	if len(g.hosts) == 0 {
 		return 1
@@ -31,11 +31,11 @@
 	return sum / float64(len(g.hosts))
 }
 
-// Warm reports whether the hosts are warm, so that nothing is rejected.
+// Warm reports whether the hosts are warm enough for the Gate to reject no requests.
 func (g *Gate) Warm(now time.Duration) bool { return g.WarmFraction(now) >= NearlyWarm }
 
-// allocate divides the hosts' present capacity among the classes, the highest value first, each
-// allocateInterval.
+// allocate divides the hosts' current capacity among the classes, the highest value first. It does
+// so at most once per allocateInterval.
 func (g *Gate) allocate(now time.Duration) {
 	if g.allocatedAt != 0 && now < g.allocatedAt+allocateInterval {
 		return
@@ -58,8 +58,8 @@
 	}
 }
 
-// grantedCapacity is how much of the work asked for is granted: without a bound where hosts are
-// nearly warm, which also has the next outage begin with initialFraction.
+// grantedCapacity returns how much of the work asked for is granted. It is unlimited while hosts are
+// nearly warm; the granted fraction is then reset to initialFraction for the next outage.
 func (g *Gate) grantedCapacity(totalWork float64) float64 {
 	if g.warmFraction >= NearlyWarm || totalWork == 0 {
 		g.grantedFraction = initialFraction
@@ -69,7 +69,7 @@
 	return g.warmFraction * fraction * totalWork
 }
 
-// recordOutcome takes in that the answer to a request has begun, or that the request is over.
+// recordOutcome counts a pending request as in time or late when its answer begins or it ends.
 func (g *Gate) recordOutcome(now time.Duration, id string) {
 	latest, pending := g.pending[id]
 	if !pending {
@@ -83,7 +83,8 @@
 	}
 }
 
-// adjust grows or shrinks the granted fraction by how the highest value is served.
+// adjust grows or shrinks the granted fraction, depending on how many requests of the highest value
+// are late. Pending requests past their time count as late.
 func (g *Gate) adjust(now time.Duration) {
 	if now < g.adjustedAt+adjustInterval {
 		return
--- a/internal/router/recovery/host_queries.go
+++ b/internal/router/recovery/host_queries.go
@@ -8,11 +8,11 @@
 	"reachspread/internal/router/snapshot"
 )
 
-// While discovery is silent, routers that have a list of the same discovery are asked which hosts
-// of the saved list still get requests: MaxTags hosts a datagram, to the router with the newest
-// list, by turns with the next ones.
+// Until discovery sends a list, a router asks others that have a list from the same discovery which
+// hosts of the saved list still get requests. A query has at most MaxTags hosts. The queries go in
+// turn to the maxQueriedPeers routers with the newest lists.
 
-// prepareHostQueries divides the hosts of the saved list into chunks.
+// prepareHostQueries divides the ready hosts of the saved list into chunks.
 func (d *Decider) prepareHostQueries() {
 	d.byTag, d.excluded = map[uint32]string{}, map[string]bool{}
 	if !d.hasSavedList() {
@@ -33,8 +33,8 @@
 	}
 }
 
-// informedPeers are the routers that have a list of the same discovery, the newest first,
-// maxQueriedPeers at most.
+// informedPeers returns the names of the routers that have a list from the same discovery: at most
+// maxQueriedPeers, the one with the newest list first.
 func (d *Decider) informedPeers() (names []string) {
 	for name, r := range d.announcements {
 		if r.announcement.ListVersion > 0 && r.announcement.ListSource == Source(d.config.Discovery) {
@@ -46,13 +46,14 @@
 	return names[:min(len(names), maxQueriedPeers)]
 }
 
-// mayQueryHosts reports whether there is anybody to ask about hosts, and anything.
+// mayQueryHosts reports whether discovery has not sent a list yet, there are saved hosts to ask
+// about, and there is a router to ask.
 func (d *Decider) mayQueryHosts() bool {
 	return !d.listReceived && d.stage >= Listing && len(d.chunks) > 0 && len(d.informedPeers()) > 0
 }
 
-// queryHosts asks about the hosts of which nobody has replied. While the saved list is in use it
-// asks about all of them again, once they are all answered, until discovery sends a list.
+// queryHosts sends a query for each chunk of hosts without a reply. While the saved list is in use,
+// it queries all chunks again once all have a reply, until discovery sends a list.
 func (d *Decider) queryHosts() {
 	if !d.mayQueryHosts() || d.now < d.nextHostQueryAt {
 		return
@@ -76,7 +77,7 @@
 	}
 }
 
-// nextHostQuery is when hosts are asked about again, 0 for never.
+// nextHostQuery returns when the next queries about hosts are due, 0 for never.
 func (d *Decider) nextHostQuery() time.Duration {
 	if !d.mayQueryHosts() {
 		return 0
@@ -84,7 +85,7 @@
 	return max(d.nextHostQueryAt, d.now+time.Millisecond)
 }
 
-// answerQuery replies to a query, if discovery has sent this router a list.
+// answerQuery replies to a query of another router if discovery has sent this router a list.
 func (d *Decider) answerQuery(q HostQuery) {
 	if !d.listReceived || len(q.Tags) == 0 || len(q.Tags) > MaxTags || q.From == d.config.Self {
 		return
@@ -98,8 +99,8 @@
 	d.actions = append(d.actions, SendReply{d.locate(q.From), r})
 }
 
-// handleReply takes in a reply to a query of this router. Its exclusions are believed if its list
-// is of the same discovery and not older than the saved one.
+// handleReply excludes the hosts that the reply to a query of this router names. It ignores a reply
+// whose list came from another discovery or is older than the saved one.
 func (d *Decider) handleReply(r HostReply) {
 	if d.listReceived || !d.hasSavedList() || r.ListSource != Source(d.config.Discovery) || r.ListVersion < d.config.Saved.List.Version {
 		return
@@ -122,7 +123,7 @@
 	}
 }
 
-// excludedHosts are the hosts of the saved list that get no requests, sorted.
+// excludedHosts returns the sorted IDs of the hosts of the saved list that other routers exclude.
 func (d *Decider) excludedHosts() (ids []string) {
 	for id := range d.excluded {
 		ids = append(ids, id)
--- a/internal/router/recovery/measure.go
+++ b/internal/router/recovery/measure.go
@@ -9,35 +9,35 @@
 	"reachspread/internal/router/snapshot"
 )
 
-// A router without a measure of what a warm host does sends hosts that are warming up single
-// requests at most, until another router tells it theirs. The announcements of routers that return
-// at the same time may come before this router can receive them, and one that has lost its folder
-// knows nobody to ask as it starts, so it asks the routers that are alive until one of them has a
-// measure.
+// A router without a measure of a warm host's work sends at most single requests to hosts that are
+// warming up, until another router reports a measure. Announcements of routers that restart at the
+// same time may arrive before this router can receive them, and a router that has lost its folder
+// knows no other routers when it starts. It therefore asks the routers that are alive until one of
+// them has a measure.
 
-// lacksMeasure reports whether there is neither an own measure nor another router's.
+// lacksMeasure reports whether this router has neither a measure of its own nor an adopted one.
 func (d *Decider) lacksMeasure() bool { return d.measure.HostWork == 0 && !d.adopted }
 
-// mayQueryMeasure reports whether a measure is of use, and there is anybody to ask for one.
+// mayQueryMeasure reports whether this router still needs a measure and there is a router to ask.
 func (d *Decider) mayQueryMeasure() bool {
 	return d.lacksMeasure() && (d.stage == Listing || d.stage == Admitting) && len(d.alivePeers()) > 0
 }
 
-// alivePeers are the routers that are alive, without this one.
+// alivePeers returns the routers that are alive, without this one.
 func (d *Decider) alivePeers() []snapshot.Router {
 	return slices.DeleteFunc(slices.Clone(d.alive), func(r snapshot.Router) bool { return r.Name == d.config.Self })
 }
 
-// measureQuery is how far a router without a measure has come in asking others for theirs.
+// measureQuery is the progress of a router without a measure in asking other routers for theirs.
 type measureQuery struct {
-	nextAt time.Duration // of the next round
-	sent   int           // queries, to one router each
+	nextAt time.Duration // time of the next round
+	sent   int           // announcements sent, counted for each receiver
 	rounds int
-	asked  map[string]time.Duration // when each router was asked first
+	asked  map[string]time.Duration // time when each router was first asked
 	ended  bool
 }
 
-// queryMeasure asks the next maxQueriedPeers routers for their announcements, which have their
+// queryMeasure asks the next maxQueriedPeers routers for their announcements, which contain their
 // measures.
 func (d *Decider) queryMeasure() {
 	d.endMeasureQuery()
@@ -60,6 +60,7 @@
 	d.actions = append(d.actions, Announce{to, d.announcement(true)})
 }
 
+// recordAsked stores the time for each router that is asked for the first time.
 func (q *measureQuery) recordAsked(to []snapshot.Router, now time.Duration) {
 	if q.asked == nil {
 		q.asked = map[string]time.Duration{}
@@ -71,10 +72,11 @@
 	}
 }
 
-// isPowerOfTwo reports whether n is 1, 2, 4, 8 and so on.
+// isPowerOfTwo reports whether n is one of 1, 2, 4, 8 and so on.
 func isPowerOfTwo(n int) bool { return n > 0 && n&(n-1) == 0 }
 
-// endMeasureQuery reports once that nobody is asked any more, if the queries were in vain.
+// endMeasureQuery ends the queries when this router has a measure or no longer needs one. Unless it
+// adopted a measure, it reports once that the queries found none.
 func (d *Decider) endMeasureQuery() {
 	q := &d.measureQuery
 	if q.rounds == 0 || q.ended {
@@ -92,7 +94,8 @@
 	}
 }
 
-// reportMeasureMissing reports who has answered by now. An answer counts however late it comes.
+// reportMeasureMissing reports which routers were asked and which have answered so far. An answer
+// counts no matter how late it arrives.
 func (d *Decider) reportMeasureMissing(ended string) {
 	q := &d.measureQuery
 	a := MeasureMissing{Rounds: q.rounds, Alive: len(d.alivePeers()), Asked: slices.Sorted(maps.Keys(q.asked)), Ended: ended}
@@ -104,7 +107,7 @@
 	d.actions = append(d.actions, a)
 }
 
-// nextMeasureQuery is when a measure is asked for again, 0 for never.
+// nextMeasureQuery returns when the next round of queries for a measure is due, 0 for never.
 func (d *Decider) nextMeasureQuery() time.Duration {
 	if !d.mayQueryMeasure() {
 		return 0
@@ -112,8 +115,8 @@
 	return max(d.measureQuery.nextAt, d.now+time.Millisecond)
 }
 
-// adoptMeasure takes the median of other routers' measures, once, if this router has none of its
-// own.
+// adoptMeasure adopts the median of other routers' measures if this router has none. It does so at
+// most once.
 func (d *Decider) adoptMeasure() {
 	if !d.lacksMeasure() {
 		return
--- a/internal/router/recovery/messages.go
+++ b/internal/router/recovery/messages.go
@@ -8,33 +8,33 @@
 	"reachspread/balance"
 )
 
-// Announcement is what routers tell each other of themselves.
+// Announcement is a router's description of itself for other routers.
 type Announcement struct {
-	WantsReply  bool
+	WantsReply  bool // asks the receiver for its announcement
 	From        string
-	Boot        uint32
+	Boot        uint32 // boot number of the sender's process
 	Uptime      time.Duration
-	ListVersion int64  // of the list in force, 0 for none
-	ListSource  uint64 // by Source
+	ListVersion int64  // version of discovery's list, 0 for none
+	ListSource  uint64 // Source of the discovery's address
 	Stage       Stage
 	Measure     Measure // zero for none
 }
 
-// Measure is what a warm host does for one router, by what package balance has learned.
+// Measure is the work of a warm host for one router, as package balance has learned it.
 type Measure struct {
-	HostWork    time.Duration // that a host completed of late
-	RequestWork time.Duration // of a mean request
+	HostWork    time.Duration // work that a host completed recently
+	RequestWork time.Duration // work of a mean request
 }
 
-// MeasureOf is the part of what was learned that routers tell each other.
+// MeasureOf returns the part of the learned values that routers tell each other.
 func MeasureOf(l balance.Learned) Measure {
 	return Measure{learnedSpan(l.CompletedWork), learnedSpan(l.MeanWork)}
 }
 
-// maxLearnedSeconds is beyond what package balance can have learned.
+// maxLearnedSeconds is more than any time that package balance can learn.
 const maxLearnedSeconds = 1e6
 
-// learnedSpan is a time that package balance counts in seconds, 0 for one that can't be.
+// learnedSpan converts a learned time in seconds to a duration. It returns 0 for an implausible time.
 func learnedSpan(seconds float64) time.Duration {
 	if !(seconds > 0 && seconds < maxLearnedSeconds) {
 		return 0
@@ -42,24 +42,24 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// HostQuery asks which of some hosts get requests.
+// HostQuery asks another router which of some hosts get requests.
 type HostQuery struct {
 	From string
-	Tags []uint32 // of hosts, MaxTags at most
+	Tags []uint32 // tags of the hosts, at most MaxTags
 }
 
-// HostReply says which hosts of a query get no requests: they drain, or are not listed.
+// HostReply reports which hosts of a query get no requests because they drain or are not listed.
 type HostReply struct {
 	From        string
-	ListVersion int64 // of the list that it is by
-	ListSource  uint64
-	FirstTag    uint32 // of the query; with TagCount it says which one
-	TagCount    int
-	Excluded    []uint32
+	ListVersion int64    // version of the sender's list, which the reply is based on
+	ListSource  uint64   // Source of the address of the sender's discovery
+	FirstTag    uint32   // first tag of the query; identifies the query together with TagCount
+	TagCount    int      // number of tags in the query
+	Excluded    []uint32 // tags of the hosts that get no requests
 }
 
-// Tag is the short name of a host in queries and replies.
+// Tag returns a hash of a host's ID that identifies the host in queries and replies.
 func Tag(hostID string) uint32 { return uint32(xxhash.Sum64String(hostID) >> 32) }
 
-// Source stands for a discovery's address in messages.
+// Source returns a hash of a discovery's address that identifies the discovery in messages.
 func Source(address string) uint64 { return xxhash.Sum64String(address) }
--- a/internal/router/recovery/outage.go
+++ b/internal/router/recovery/outage.go
@@ -2,21 +2,20 @@
 
 import "time"
 
-// Outage is how far the outage reached that this router comes back from. It is in the log and in
-// figures.
+// Outage says how far the outage reached before this router's start. The log and the status show it.
 type Outage string
 
-// The outages.
+// The outages, by the boot numbers of the other routers of the saved membership that replied.
 const (
-	FirstStart    Outage = "first start"  // nothing was saved
-	ThisRouter    Outage = "this router"  // all others that are heard are the processes that they were
-	SomeRouters   Outage = "some routers" // some of them are
-	AllRouters    Outage = "all routers"  // none of them is, and most are heard
-	UnknownOutage Outage = "unknown"      // fewer than half of the saved membership are heard
+	FirstStart    Outage = "first start"  // there is no saved state
+	ThisRouter    Outage = "this router"  // none of them has restarted since the state was saved
+	SomeRouters   Outage = "some routers" // some of them have restarted, some have not
+	AllRouters    Outage = "all routers"  // all of them have restarted
+	UnknownOutage Outage = "unknown"      // fewer than half of the others replied, or there are no others
 )
 
-// classifyOutage says how far the outage reached, once all have replied or the time-out has passed.
-// Later announcements change nothing.
+// classifyOutage classifies the outage once all routers of the saved membership have replied or
+// QueryTimeout has passed. Later announcements do not change the result.
 func (d *Decider) classifyOutage() {
 	n := d.repliesReceived()
 	if d.outage != "" || n < len(d.savedPeers) && d.now < d.startedAt+d.config.QueryTimeout {
@@ -38,8 +37,9 @@
 	d.actions = append(d.actions, OutageClassified{d.outage, n, len(d.savedPeers)})
 }
 
-// countProcesses counts the routers that are the processes that they were, and those that are
-// others.
+// countProcesses counts the routers of the saved membership that have replied: those that run the
+// same process as when the state was saved, and those that have restarted since. A router counts as
+// restarted if its saved boot number is 0.
 func (d *Decider) countProcesses() (same, restarted int) {
 	for _, r := range d.savedPeers {
 		received, announced := d.announcements[r.Name]
@@ -54,7 +54,7 @@
 	return same, restarted
 }
 
-// nextClassification is when the outage is classified at the latest, 0 once it is.
+// nextClassification returns when the outage is classified at the latest, 0 once it is classified.
 func (d *Decider) nextClassification() time.Duration {
 	if d.outage != "" {
 		return 0
--- a/internal/router/recovery/saved_items.go
+++ b/internal/router/recovery/saved_items.go
@@ -2,13 +2,13 @@
 
 import "strings"
 
-// SavedItem is a row of the table of what a router saves, as the operators' page has it.
+// SavedItem is a row of the table of saved items on the operators' page.
 type SavedItem struct {
 	Name, Trusted, Verified, Asked, Otherwise string
-	Used                                      string // by the program as it stands
+	Used                                      string // whether the program uses the item or only shows it
 }
 
-// SavedItems has what a router saves, and what of it its next process goes by.
+// SavedItems lists the items that a router saves and how its next process uses each.
 var SavedItems = []SavedItem{
 	{"list", "naming hosts until discovery speaks; each counts as just started", "discovery, under whatever version", "peers, for the version of theirs", "a younger one at a peer under the same discovery, which does not say what hosts it has: 8 s more are waited; nobody answers: it is used", "yes"},
 	{"hosts that drain or are gone", "for as long as the list", "discovery", "peers with a list of the same discovery that is not older, while discovery is silent", "one that says so is believed: they get nothing; nobody answers: as the list has it", "yes"},
@@ -24,7 +24,7 @@
 	{"requests taken and not answered", "for nothing: none is sent again", "", "nobody", "counted on the log: their clients ask again", "shown"},
 }
 
-// Table returns the saved items and the stages as tables of Markdown.
+// Table returns the saved items and the stages as Markdown tables.
 func Table() string {
 	var b strings.Builder
 	b.WriteString("| item | trusted for | verified by | who is asked | if answers differ, or nobody answers | used |\n| --- | --- | --- | --- | --- | --- |\n")
--- a/internal/router/recovery/stages.go
+++ b/internal/router/recovery/stages.go
@@ -8,20 +8,20 @@
 	"reachspread/internal/router/snapshot"
 )
 
-// Stage is how far the recovery is. It is on the wire and in figures.
+// Stage is a stage of the recovery. Its number is sent to other routers and exported as a metric.
 type Stage uint8
 
 // The stages, in their order.
 const (
-	Querying       Stage = iota // other routers, for what they know
+	Querying       Stage = iota // asking other routers for their announcements
 	Listing                     // waiting for discovery's list
-	Admitting                   // hosts are warming up: classes are admitted as far as they go
-	AwaitingVoters              // for a leader of the voters
-	Recovered                   // nothing more is waited for
+	Admitting                   // hosts are warming up; classes are admitted as far as capacity allows
+	AwaitingVoters              // waiting until the voters of roles have a leader
+	Recovered                   // waiting for nothing more
 )
 
-// Stages has each stage's name, what ends it, the bound, and what happens when that passes, as the
-// operators' page and figures have them.
+// Stages contains, for each stage, its name, the event that ends it, its time limit, and what
+// happens after that limit. The status and the operators' page show these texts.
 var Stages = []struct{ Name, Ends, Bound, Past string }{
 	{"asking", "half of the last view has answered", "1 s", "goes on with what is known"},
 	{"listing", "discovery has spoken", "2 s; 10 s while a peer has a younger list and has not said which hosts it has", "the list of the last life is used, if there is one, but for hosts that get nothing by a peer's"},
@@ -32,7 +32,8 @@
 
 func (s Stage) String() string { return Stages[s].Name }
 
-// advance does what is due, stage after stage.
+// advance steps the current stage until no further stage begins. Then it classifies the outage,
+// queries other routers about hosts, and adopts or queries a measure, as far as each of these is due.
 func (d *Decider) advance() {
 	for {
 		before := d.stage
@@ -58,13 +59,15 @@
 	d.queryMeasure()
 }
 
+// enter starts a stage. The reason says why the previous one ended.
 func (d *Decider) enter(s Stage, reason string) {
 	d.stage, d.stageSince = s, d.now
 	d.actions = append(d.actions, StageEntered{s, d.now - d.startedAt, reason})
 }
 
-// stepQuerying asks the saved membership until half of it has replied, this router included, or the
-// time-out passes.
+// stepQuerying asks the routers of the saved membership for their announcements. The stage ends when
+// the replies are at least half of the size of the membership, this router included in the size, when
+// all others have replied, or when QueryTimeout has passed.
 func (d *Decider) stepQuerying() {
 	n := d.repliesReceived()
 	switch {
@@ -80,7 +83,7 @@
 	}
 }
 
-// unheardPeers are the routers of the saved membership that have not announced themselves.
+// peersWithoutReply returns the routers of the saved membership that have not announced themselves.
 func (d *Decider) peersWithoutReply() (all []snapshot.Router) {
 	for _, r := range d.savedPeers {
 		if _, announced := d.announcements[r.Name]; !announced {
@@ -90,9 +93,10 @@
 	return all
 }
 
-// repliesReceived counts the routers of the saved membership that have announced themselves.
+// repliesReceived returns how many routers of the saved membership have announced themselves.
 func (d *Decider) repliesReceived() int { return len(d.savedPeers) - len(d.peersWithoutReply()) }
 
+// stepListing ends the stage when discovery has sent a list, or when the saved list is due for use.
 func (d *Decider) stepListing() {
 	switch {
 	case d.listReceived:
@@ -104,13 +108,13 @@
 	}
 }
 
-// hasSavedList reports whether there is a saved list of the discovery that is asked now.
+// hasSavedList reports whether there is a saved list that came from the configured discovery.
 func (d *Decider) hasSavedList() bool {
 	s := d.config.Saved
 	return s != nil && s.List != nil && s.ListSource == d.config.Discovery
 }
 
-// savedListDeadline is when the saved list is used if discovery sends none.
+// savedListDeadline returns when the router starts to use the saved list if discovery sends none.
 func (d *Decider) savedListDeadline() time.Duration {
 	at := d.startedAt + d.config.ListTimeout
 	if d.peerHasNewerList() && slices.ContainsFunc(d.chunks, func(c tagChunk) bool { return !c.answered }) {
@@ -119,8 +123,8 @@
 	return at
 }
 
-// peerHasNewerList reports whether a router has a newer list of the same discovery than the saved
-// one.
+// peerHasNewerList reports whether another router has announced a newer list from the same discovery
+// than the saved one.
 func (d *Decider) peerHasNewerList() bool {
 	for _, r := range d.announcements {
 		if r.announcement.ListSource == Source(d.config.Discovery) && r.announcement.ListVersion > d.config.Saved.List.Version {
@@ -130,6 +134,7 @@
 	return false
 }
 
+// stepAdmitting ends the stage when the hosts are warm or WarmUpTimeout has passed.
 func (d *Decider) stepAdmitting() {
 	switch {
 	case d.warm:
@@ -139,7 +144,7 @@
 	}
 }
 
-// Next returns when Step is to be called at the latest, 0 for never.
+// Next returns the latest time for the next call of Step, or 0 if only an event needs a call.
 func (d *Decider) Next() time.Duration {
 	next := earliest(d.nextClassification(), earliest(d.nextHostQuery(), d.nextMeasureQuery()))
 	switch d.stage {
@@ -155,7 +160,7 @@
 	return next
 }
 
-// earliest is the earlier of two times, of which 0 is never.
+// earliest returns the earlier of two times; 0 means never.
 func earliest(a, b time.Duration) time.Duration {
 	if a == 0 || b != 0 && b < a {
 		return b
