--- a/internal/router/recovery/config.go
+++ b/internal/router/recovery/config.go
@@ -15,7 +15,7 @@
 	MaxNameBytes     = 32   // bytes of a router's name
 	MaxHosts         = 4096 // hosts of a list
 	MaxTags          = 40   // hosts in a datagram
-	maxQueriedPeers  = 3    // routers to choose from when asking about hosts, or asked at a time for their measures
+	maxQueriedPeers  = 3    // routers that take turns in answering about hosts; routers per round of queries for a measure
 )
 
 // Intervals between queries.
--- a/internal/router/recovery/gate_test.go
+++ b/internal/router/recovery/gate_test.go
@@ -17,7 +17,7 @@
 	}}
 }
 
-// listed has hosts that all started at one time, 0 for long ago.
+// listed returns a list of n hosts that all started at startedAt; 0 means long ago.
 func listed(n int, startedAt time.Duration) balance.Members {
 	m := balance.Members{Version: 1, Complete: true}
 	for i := range n {
@@ -26,8 +26,9 @@
 	return m
 }
 
-// arrivals plays arrivals of both classes, 20 a second of each, for a while; answer says how a
-// "fill" is answered. It returns how many of each class passed, and came.
+// arrivals passes 20 arrivals a second of each class to a Gate for the given length of time. The
+// function answer returns the events that answer a request of class "fill"; nil means no answers. The
+// results count by class how many requests passed the Gate and how many arrived.
 func arrivals(g *Gate, from, length time.Duration, answer func(now time.Duration, id string) []balance.Event) (passed, arrived map[string]int) {
 	passed, arrived = map[string]int{}, map[string]int{}
 	n := 0
@@ -52,15 +53,16 @@
 	return passed, arrived
 }
 
-// Warm hosts: nothing is rejected. Hosts that are warming up: nothing of the highest value, and of
-// the next as much as it leaves of what hosts can do; more with time, all once they are warm.
+// While hosts are warm, a Gate rejects nothing. While they are warming up, it admits all requests of
+// the highest value, and requests of the next class as far as the remaining capacity allows. It
+// admits more of them with time, and all once the hosts are warm.
 func TestGateAdmitsByValueWhileHostsWarmUp(t *testing.T) {
 	const start = 1000 * s
 	answerAtOnce := func(_ time.Duration, id string) []balance.Event { return []balance.Event{balance.FirstToken{ID: id}} }
 	g := NewGate(twoClasses(), nil, 1)
 	g.Step(start, []balance.Event{listed(6, 0)})
 	if passed, arrived := arrivals(g, start, 5*s, answerAtOnce); passed["fill"] != arrived["fill"] || passed["chat"] != arrived["chat"] {
-		t.Errorf("warm: %v of %v", passed, arrived)
+		t.Errorf("warm hosts: %v of %v arrivals pass; want all", passed, arrived)
 	}
 	restartedAt := start + 10*s
 	g.Step(restartedAt, []balance.Event{listed(6, restartedAt)})
@@ -68,31 +70,31 @@
 	for i := range 4 {
 		passed, arrived := arrivals(g, restartedAt+time.Duration(i)*2*s, 2*s, answerAtOnce)
 		if passed["fill"] != arrived["fill"] {
-			t.Errorf("cold: %v of %v", passed, arrived)
+			t.Errorf("hosts warming up: %v of %v arrivals pass; want all of the class fill", passed, arrived)
 		}
 		chatFractions = append(chatFractions, float64(passed["chat"])/float64(arrived["chat"]))
 	}
 	if chatFractions[0] > 0.1 || chatFractions[3] < 0.5 {
-		t.Errorf("chat: %.2f", chatFractions)
+		t.Errorf("the fractions of the class chat that pass while hosts warm up are %.2f; want at most 0.1 first and at least 0.5 last", chatFractions)
 	}
 	if passed, arrived := arrivals(g, restartedAt+8*s, s, answerAtOnce); passed["chat"] != arrived["chat"] {
-		t.Errorf("warm again: %v of %v", passed, arrived)
+		t.Errorf("hosts warm again: %v of %v arrivals pass; want all of the class chat", passed, arrived)
 	}
 	if g.Rejected == 0 {
-		t.Error("nothing is counted")
+		t.Error("the Gate counts no rejected requests")
 	}
 
-	// A release makes a tenth of the hosts cold: nearly all goes on, though the highest worth is
-	// late.
+	// A release restarts a tenth of the hosts. Nearly all requests must pass although those of the
+	// highest value get no answers.
 	g = NewGate(twoClasses(), nil, 1)
 	release := listed(10, 0)
 	release.Members[3].StartedAt = restartedAt
 	g.Step(restartedAt, []balance.Event{release})
 	if passed, arrived := arrivals(g, restartedAt, 4*s, nil); float64(passed["chat"]) < 0.8*float64(arrived["chat"]) {
-		t.Errorf("a tenth is cold: %v of %v", passed, arrived)
+		t.Errorf("a tenth of the hosts is cold: %v of %v arrivals pass; want 0.8 of the class chat or more", passed, arrived)
 	}
 
-	// The highest worth is late: less of the other goes on than where it is in time.
+	// Fewer requests of the other class pass if requests of the highest value are late.
 	chatFraction := func(answer func(time.Duration, string) []balance.Event) float64 {
 		c := twoClasses()
 		c.Classes[0].LatencyTargetPer1000Tokens = 0
@@ -102,18 +104,19 @@
 		return float64(passed["chat"]) / float64(arrived["chat"])
 	}
 	if a, b := chatFraction(answerAtOnce), chatFraction(nil); a < 2*b || a == 0 {
-		t.Errorf("chat with the others in time %.2f, with them late %.2f", a, b)
+		t.Errorf("%.2f of the class chat pass with the class fill in time, %.2f with it late; want some, and at least twice as many in time", a, b)
 	}
 }
 
-// Classes of one value are alike, and half the hosts warm is a fraction like another.
+// A Gate treats classes with equal values alike. The warm fraction is the mean over the hosts that
+// serve, whether they are warm or cold.
 func TestClassesOfOneValueAreAlike(t *testing.T) {
 	c := twoClasses()
 	c.Classes[1].Value = 5
 	g := NewGate(c, nil, 1)
 	g.Step(s, []balance.Event{listed(6, s)})
 	if passed, arrived := arrivals(g, s, 4*s, nil); passed["chat"] != arrived["chat"] || passed["fill"] != arrived["fill"] {
-		t.Errorf("one worth: %v of %v", passed, arrived)
+		t.Errorf("classes with equal values: %v of %v arrivals pass; want all", passed, arrived)
 	}
 	m := listed(6, 100*s)
 	for i := range 3 {
@@ -122,12 +125,12 @@
 	m.Members[5].State = balance.Draining
 	g.Step(100*s, []balance.Event{m})
 	if x := g.WarmFraction(100 * s); x < (3+2*0.3)/5-1e-9 || x > (3+2*0.3)/5+1e-9 {
-		t.Errorf("share %v", x)
+		t.Errorf("the warm fraction of three warm and two cold hosts is %v; want 0.72", x)
 	}
 }
 
-// An attempt whose latency target has passed takes nobody's place; one whose time has an unknown
-// beginning is taken for a first.
+// A Gate rejects a retry whose latency target has passed. It recognizes a first attempt by its time
+// left, which is about the most that any request of the class has had.
 func TestStaleRetriesAreRejected(t *testing.T) {
 	g := NewGate(twoClasses(), nil, 1)
 	g.Step(s, []balance.Event{listed(6, s)})
@@ -137,21 +140,22 @@
 	}{{1200 * ms, true}, {1100 * ms, true}, {790 * ms, false}, {300 * ms, false}, {1190 * ms, true}} {
 		pass, out := g.Step(s, []balance.Event{balance.Arrival{ID: fmt.Sprint(x.left), Class: "fill", TimeLeft: x.left}})
 		if (len(pass) == 1) != x.passes || len(pass)+len(out) != 1 {
-			t.Errorf("with %v left: %d go on, %d are answered", x.left, len(pass), len(out))
+			t.Errorf("an arrival with %v left: %d events pass and %d are rejected", x.left, len(pass), len(out))
 		}
 	}
-	g = NewGate(twoClasses(), nil, 1) // tries wait for half of the deadline at most
+	g = NewGate(twoClasses(), nil, 1) // clients allow only half of the deadline for an attempt
 	g.Step(s, []balance.Event{listed(6, s)})
 	for i, left := range []time.Duration{600 * ms, 600 * ms, 590 * ms, 500 * ms} {
 		pass, _ := g.Step(s, []balance.Event{balance.Arrival{ID: fmt.Sprint(i), Class: "fill", TimeLeft: left}})
 		if (len(pass) == 1) != (i < 3) {
-			t.Errorf("with %v of 600ms left: %d go on", left, len(pass))
+			t.Errorf("an arrival with %v of 600ms left: %d events pass", left, len(pass))
 		}
 	}
 }
 
-// Whatever comes: an arrival passes or is rejected, each once; what is no arrival passes; nothing
-// of the highest value is rejected that is not stale; what is pending is bounded.
+// For any events, each arrival either passes or is rejected once, and all other events pass. No
+// request here is stale, so the Gate rejects only requests of the lower value. The number of pending
+// requests stays within maxPending.
 func TestGatePassesOrRejectsEachArrivalOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := twoClasses()
@@ -181,27 +185,28 @@
 			}
 			pass, out := g.Step(now, events)
 			if len(pass)+len(out) != len(events) {
-				t.Fatalf("%d of %d go on, %d are answered", len(pass), len(events), len(out))
+				t.Fatalf("%d of %d events pass and %d are rejected; the sum is wrong", len(pass), len(events), len(out))
 			}
 			for _, a := range out {
 				r := a.(balance.Reject)
 				if class := arrivals[r.ID]; class != "chat" || r.RetryAfter < 0 || r.RetryAfter > c.MaxRetryAfter {
-					t.Fatalf("%q is refused for %v", class, r.RetryAfter)
+					t.Fatalf("a request of class %q is rejected with RetryAfter %v; only class chat may be, with 0 to MaxRetryAfter", class, r.RetryAfter)
 				}
 				delete(arrivals, r.ID)
 			}
 			if len(g.pending) > maxPending {
-				t.Fatalf("%d open", len(g.pending))
+				t.Fatalf("%d requests are pending, more than maxPending", len(g.pending))
 			}
 		}
 	})
 }
 
-// What is learned is averaged, goes on from another process, and drops classes that are gone.
+// A Baseline averages learned values and demand, continues from the values of another process, and
+// drops classes that no longer exist.
 func TestBaselineAveragesAndDropsClasses(t *testing.T) {
 	var baseline Baseline
 	if _, ok := baseline.Learned(); ok {
-		t.Error("something is there at the start")
+		t.Error("an empty Baseline returns learned values")
 	}
 	baseline.Update(0, balance.Learned{}, nil)
 	for i := range 30 {
@@ -210,15 +215,15 @@
 	}
 	l, _ := baseline.Learned()
 	if d := baseline.Demand(); l.CompletedWork < 1.4 || l.CompletedWork > 1.6 || d["a"] < 0.9 || d["a"] > 1.1 {
-		t.Errorf("%+v, %v", l, baseline.Demand())
+		t.Errorf("learned values %+v and demand %v are not averaged", l, baseline.Demand())
 	}
 	if len(l.PrefillByKind) != 1 || len(l.Replicas) != 1 || l.Replicas[0].ConcurrencyLimit != 29 || l.DecodeTimes["a"] != 2 {
-		t.Errorf("of kinds, hosts and classes the last word counts: %+v", l)
+		t.Errorf("kinds, hosts or classes are not those of the last update: %+v", l)
 	}
 	var next Baseline
 	next.Restore(l, baseline.Demand())
 	next.Update(0, balance.Learned{CompletedWork: 100, MeanWork: 1}, map[string]float64{"a": 1})
 	if x, _ := next.Learned(); x.CompletedWork > 6 || len(next.Demand()) != 1 {
-		t.Errorf("%+v, %v", x, next.Demand())
+		t.Errorf("after Restore and Update: learned values %+v and demand %v; want CompletedWork of at most 6 and one class", x, next.Demand())
 	}
 }
--- a/internal/router/recovery/golden_test.go
+++ b/internal/router/recovery/golden_test.go
@@ -8,8 +8,8 @@
 	"reachspread/internal/testbed/golden"
 )
 
-// Announcements, queries and replies have the bytes that they had at commit 5bfcc27, and are read
-// from them.
+// Announcements, queries and replies are encoded to the same bytes as at commit 5bfcc27 and are
+// decoded from them.
 func TestDatagramsKeepTheirBytes(t *testing.T) {
 	announcement := Announcement{From: "router-1", Boot: 0xfedcba98, Uptime: 90 * time.Minute, ListVersion: 1 << 40, ListSource: 0x0123456789abcdef, Stage: Admitting,
 		Measure: Measure{HostWork: 17 * time.Millisecond, RequestWork: 2500 * time.Microsecond}}
@@ -24,7 +24,7 @@
 	})
 	for name, want := range map[string]Event{"word": AnnouncementReceived{announcement}, "word-that-asks": AnnouncementReceived{request}, "question": QueryReceived{query}, "reply": ReplyReceived{reply}} {
 		if got, err := Decode(data[name]); err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("%s is read as %+v, not %+v (%v)", name, got, want, err)
+			t.Errorf("%s is decoded as %+v, not %+v (error: %v)", name, got, want, err)
 		}
 	}
 }
--- a/internal/router/recovery/host_queries.go
+++ b/internal/router/recovery/host_queries.go
@@ -46,8 +46,9 @@
 	return names[:min(len(names), maxQueriedPeers)]
 }
 
-// mayQueryHosts reports whether discovery has not sent a list yet, there are saved hosts to ask
-// about, and there is a router to ask.
+// mayQueryHosts reports whether queries about hosts are possible and needed: the stage Querying is
+// over, discovery has not sent a list, and there are both saved hosts to ask about and a router to
+// ask.
 func (d *Decider) mayQueryHosts() bool {
 	return !d.listReceived && d.stage >= Listing && len(d.chunks) > 0 && len(d.informedPeers()) > 0
 }
--- a/internal/router/recovery/measure_test.go
+++ b/internal/router/recovery/measure_test.go
@@ -14,35 +14,36 @@
 	"reachspread/internal/router/snapshot"
 )
 
-// returningRouter is a router of a fleet that comes back, with the times of what it is told.
+// restartingRouter is a router that restarts together with its fleet, and the times of its events.
 type restartingRouter struct {
 	startsAt     time.Duration
-	saved        *snapshot.State // that its last process left, nil for none
-	membershipAt time.Duration   // when it knows who is alive
-	learnsAt     time.Duration   // when it has a measure of its own, 0 for never
+	saved        *snapshot.State // state saved by its previous process, nil for none
+	membershipAt time.Duration   // time when it gets to know which routers are alive
+	learnsAt     time.Duration   // time when it learns a measure of its own, 0 for never
 }
 
-// datagram is an announcement on its way.
+// datagram is an announcement in flight.
 type datagram struct {
-	at           time.Duration // of its arrival
+	at           time.Duration // time of arrival
 	to           string
 	announcement Announcement
 }
 
-// returningFleet runs the deciders of routers that come back, in virtual time. A datagram that
-// arrives before its receiver has started is lost, and so is one without an address.
+// restartingFleet runs the deciders of restarting routers in virtual time. A datagram is lost if it
+// has no address or arrives before its receiver has started.
 type restartingFleet struct {
 	routers  map[string]restartingRouter
-	latency  time.Duration // of a datagram
-	warmAt   time.Duration // when the hosts are warm, for all
+	latency  time.Duration // time that a datagram takes
+	warmAt   time.Duration // time when the hosts are warm, the same for all routers
 	deciders map[string]*Decider
 	inFlight []datagram
-	lines    map[string][]string // what each has decided about measures, with the time
+	lines    map[string][]string // decisions of each router about measures, with their times
 }
 
 const fleetStep = 10 * ms
 
-// run returns what each router has decided about measures until the hosts are warm.
+// run plays the restart until a second after the hosts are warm. It returns what each router has
+// decided about measures.
 func (f *restartingFleet) run(t *testing.T) map[string][]string {
 	f.deciders, f.lines = map[string]*Decider{}, map[string][]string{}
 	members := Membership{savedState(len(f.routers), 0).Routers}
@@ -73,7 +74,7 @@
 	return f.lines
 }
 
-// receive has a router receive the datagrams that have arrived.
+// receive delivers to a router the datagrams that have arrived for it by now.
 func (f *restartingFleet) receive(name string, now time.Duration) {
 	var arrived, later []datagram
 	for _, x := range f.inFlight {
@@ -89,6 +90,7 @@
 	}
 }
 
+// step passes an event to a router that has started, and sends the datagrams of its actions.
 func (f *restartingFleet) step(name string, now time.Duration, e Event) {
 	if f.deciders[name] == nil {
 		return
@@ -112,16 +114,18 @@
 	}
 }
 
-// A fleet of six loses power, and two have a snapshot that can be read (TestRecovery's "half with
-// their disks"). Whatever comes late, a router without a measure has one a second after another
-// has, if anybody has; where nobody has, all are asked and all answer.
+// A fleet of six routers loses power, and two routers have a readable snapshot, as in TestRecovery's
+// "half with their disks". Guards against a router that stays without a measure because datagrams or
+// its membership arrive late. The router must adopt a measure within a second after it knows the
+// membership and another router has a measure. If no router has one, it asks all and all answer.
 func TestMeasureComesFromWhoeverHasOne(t *testing.T) {
 	withMeasure := func(n int) *snapshot.State {
 		b := savedState(6, 1)
 		b.Router, b.Learned = fmt.Sprint("r", n), &balance.Learned{CompletedWork: 7, MeanWork: 1}
 		return b
 	}
-	// Those with a snapshot ask all others before these can receive anything, and stop asking.
+	// The routers with a snapshot ask all others before these can receive anything, and then stop
+	// asking.
 	restart := func(r3, r5 *snapshot.State) map[string]restartingRouter {
 		return map[string]restartingRouter{
 			"r0": {startsAt: 4700 * ms, membershipAt: 4930 * ms}, "r1": {startsAt: 4600 * ms, membershipAt: 4900 * ms}, "r2": {startsAt: 4650 * ms, membershipAt: 4900 * ms},
@@ -131,19 +135,19 @@
 	for name, x := range map[string]struct {
 		fleet  restartingFleet
 		change func(map[string]restartingRouter)
-		want   string // what r0 does
+		want   string // the decision of r0
 	}{
-		"nobody has saved one": {restartingFleet{routers: restart(savedState(6, 1), savedState(6, 1)), latency: 10 * ms, warmAt: 8330 * ms}, nil,
+		"no router has saved a measure": {restartingFleet{routers: restart(savedState(6, 1), savedState(6, 1)), latency: 10 * ms, warmAt: 8330 * ms}, nil,
 			"8.33s: none in 7 rounds, asked r1 r2 r3 r4 r5, answered r1 r2 r3 r4 r5; hosts no longer wait for one"},
-		"one has":                                {restartingFleet{routers: restart(withMeasure(3), savedState(6, 1)), latency: 10 * ms, warmAt: 8330 * ms}, nil, "4.95s: adopts that of r3"},
-		"answers come after the round has ended": {restartingFleet{routers: restart(withMeasure(3), savedState(6, 1)), latency: 400 * ms, warmAt: 8330 * ms}, nil, "5.73s: adopts that of r3"},
-		"the view comes late": {restartingFleet{routers: restart(withMeasure(3), savedState(6, 1)), latency: 10 * ms, warmAt: 8330 * ms}, func(all map[string]restartingRouter) {
+		"one router has saved a measure":           {restartingFleet{routers: restart(withMeasure(3), savedState(6, 1)), latency: 10 * ms, warmAt: 8330 * ms}, nil, "4.95s: adopts that of r3"},
+		"answers arrive after the round has ended": {restartingFleet{routers: restart(withMeasure(3), savedState(6, 1)), latency: 400 * ms, warmAt: 8330 * ms}, nil, "5.73s: adopts that of r3"},
+		"the membership arrives late": {restartingFleet{routers: restart(withMeasure(3), savedState(6, 1)), latency: 10 * ms, warmAt: 8330 * ms}, func(all map[string]restartingRouter) {
 			for name, r := range all {
 				r.membershipAt += 2500 * ms
 				all[name] = r
 			}
 		}, "7.45s: adopts that of r3"},
-		"a peer gains one later": {restartingFleet{routers: restart(savedState(6, 1), savedState(6, 1)), latency: 10 * ms, warmAt: 8330 * ms}, func(all map[string]restartingRouter) {
+		"a peer learns a measure later": {restartingFleet{routers: restart(savedState(6, 1), savedState(6, 1)), latency: 10 * ms, warmAt: 8330 * ms}, func(all map[string]restartingRouter) {
 			r := all["r4"]
 			r.learnsAt = 6500 * ms
 			all["r4"] = r
--- a/internal/router/recovery/recovery_test.go
+++ b/internal/router/recovery/recovery_test.go
@@ -21,7 +21,8 @@
 	s  = time.Second
 )
 
-// saved is the snapshot of a router with a membership and a list.
+// savedState returns the snapshot of router r0 with a membership of the given size and an empty list
+// of the given version.
 func savedState(routers int, version int64) *snapshot.State {
 	b := &snapshot.State{Router: "r0", ListSource: "d:1", List: &protocol.List{Version: version}}
 	for i := range routers {
@@ -30,7 +31,7 @@
 	return b
 }
 
-// describe returns a decider's actions as lines.
+// describe returns the actions of a Decider as lines of text.
 func describe(all []Action) (lines []string) {
 	for _, a := range all {
 		switch a := a.(type) {
@@ -57,41 +58,44 @@
 	return lines
 }
 
+// timedEvent is an event and the time at which a Decider gets it.
 type timedEvent struct {
 	at    time.Duration
 	event Event
 }
 
+// announcementFrom returns an announcement of router n. A router that is up for less than 30 s has
+// another boot number than the one in savedState.
 func announcementFrom(n int, up time.Duration, version int64) AnnouncementReceived {
 	boot := uint32(100 + n)
 	if up < 30*s {
-		boot = 7 // another process than before
+		boot = 7 // the router has restarted since the state was saved
 	}
 	return AnnouncementReceived{Announcement{From: fmt.Sprint("r", n), Boot: boot, Uptime: up, ListVersion: version, ListSource: Source("d:1")}}
 }
 
-// Each kind of outage, by who replies and how long they have been up; the list by who sends one
-// first.
+// The outage is classified by which routers reply and whether they have restarted. The router uses
+// the list from discovery, or the saved list if discovery sends none in time.
 func TestStagesAndOutageByWhoReplies(t *testing.T) {
 	for name, x := range map[string]struct {
 		c      Config
 		events []timedEvent
 		want   []string
 	}{
-		"first": {Config{Self: "r0", Discovery: "d:1"}, []timedEvent{{0, Tick{}}, {s, ListReceived{Version: 3}}, {s, HostsWarm{true}}}, []string{"enter listing", "outage of first start, 0 of 0", "enter admitting", "enter duties", "enter back"}},
-		"itself": {Config{Self: "r0", Discovery: "d:1", Saved: savedState(4, 5)}, []timedEvent{{0, Tick{}}, {10 * ms, announcementFrom(1, 90*s, 6)}, {20 * ms, announcementFrom(2, 80*s, 6)}, {30 * ms, ListReceived{Version: 6}}, {40 * ms, HostsWarm{true}}, {s, Tick{}}},
+		"first start": {Config{Self: "r0", Discovery: "d:1"}, []timedEvent{{0, Tick{}}, {s, ListReceived{Version: 3}}, {s, HostsWarm{true}}}, []string{"enter listing", "outage of first start, 0 of 0", "enter admitting", "enter duties", "enter back"}},
+		"only this router restarts": {Config{Self: "r0", Discovery: "d:1", Saved: savedState(4, 5)}, []timedEvent{{0, Tick{}}, {10 * ms, announcementFrom(1, 90*s, 6)}, {20 * ms, announcementFrom(2, 80*s, 6)}, {30 * ms, ListReceived{Version: 6}}, {40 * ms, HostsWarm{true}}, {s, Tick{}}},
 			[]string{"announce to 3, wants replies true", "enter listing", "enter admitting", "enter duties", "enter back", "outage of this router, 2 of 3"}},
-		"some": {Config{Self: "r0", Discovery: "d:1", Saved: savedState(4, 5)}, []timedEvent{{0, Tick{}}, {10 * ms, announcementFrom(1, 90*s, 6)}, {15 * ms, announcementFrom(2, 90*s, 0)}, {20 * ms, announcementFrom(3, s, 0)}},
+		"some routers restart": {Config{Self: "r0", Discovery: "d:1", Saved: savedState(4, 5)}, []timedEvent{{0, Tick{}}, {10 * ms, announcementFrom(1, 90*s, 6)}, {15 * ms, announcementFrom(2, 90*s, 0)}, {20 * ms, announcementFrom(3, s, 0)}},
 			[]string{"announce to 3, wants replies true", "enter listing", "outage of some routers, 3 of 3"}},
-		"all, discovery too": {Config{Self: "r0", Discovery: "d:1", Saved: savedState(4, 5)}, []timedEvent{{0, Tick{}}, {10 * ms, announcementFrom(1, s, 0)}, {20 * ms, announcementFrom(2, 2*s, 0)}, {s, Tick{}}, {1999 * ms, Tick{}}, {2 * s, Tick{}}, {22 * s, Tick{}}},
+		"all routers restart and discovery is silent": {Config{Self: "r0", Discovery: "d:1", Saved: savedState(4, 5)}, []timedEvent{{0, Tick{}}, {10 * ms, announcementFrom(1, s, 0)}, {20 * ms, announcementFrom(2, 2*s, 0)}, {s, Tick{}}, {1999 * ms, Tick{}}, {2 * s, Tick{}}, {22 * s, Tick{}}},
 			[]string{"announce to 3, wants replies true", "enter listing", "outage of all routers, 2 of 3", "use saved list", "enter admitting", "enter duties", "enter back"}},
-		"nobody answers": {Config{Self: "r0", Discovery: "d:1", Saved: savedState(4, 5)}, []timedEvent{{0, Tick{}}, {300 * ms, Tick{}}, {s, Tick{}}, {2 * s, Tick{}}, {3 * s, HostsWarm{true}}},
+		"no router replies": {Config{Self: "r0", Discovery: "d:1", Saved: savedState(4, 5)}, []timedEvent{{0, Tick{}}, {300 * ms, Tick{}}, {s, Tick{}}, {2 * s, Tick{}}, {3 * s, HostsWarm{true}}},
 			[]string{"announce to 3, wants replies true", "announce to 3, wants replies true", "enter listing", "outage of unknown, 0 of 3", "use saved list", "enter admitting", "enter duties", "enter back"}},
-		"a peer has a younger list": {Config{Self: "r0", Discovery: "d:1", Saved: savedState(3, 5), HasRoles: true}, []timedEvent{{0, Tick{}}, {10 * ms, announcementFrom(1, 90*s, 6)}, {20 * ms, announcementFrom(2, 90*s, 5)}, {9 * s, Tick{}}, {10 * s, Tick{}}, {10 * s, HostsWarm{true}}, {11 * s, VotersLed{true}}},
+		"a peer has a newer list": {Config{Self: "r0", Discovery: "d:1", Saved: savedState(3, 5), HasRoles: true}, []timedEvent{{0, Tick{}}, {10 * ms, announcementFrom(1, 90*s, 6)}, {20 * ms, announcementFrom(2, 90*s, 5)}, {9 * s, Tick{}}, {10 * s, Tick{}}, {10 * s, HostsWarm{true}}, {11 * s, VotersLed{true}}},
 			[]string{"announce to 2, wants replies true", "enter listing", "outage of this router, 2 of 2", "use saved list", "enter admitting", "enter duties", "enter back"}},
-		"discovery was changed": {Config{Self: "r0", Discovery: "d:2", Saved: savedState(1, 5)}, []timedEvent{{0, Tick{}}, {60 * s, Tick{}}, {61 * s, ListReceived{Version: 1}}, {62 * s, HostsWarm{true}}},
+		"the address of discovery has changed": {Config{Self: "r0", Discovery: "d:2", Saved: savedState(1, 5)}, []timedEvent{{0, Tick{}}, {60 * s, Tick{}}, {61 * s, ListReceived{Version: 1}}, {62 * s, HostsWarm{true}}},
 			[]string{"enter listing", "outage of unknown, 0 of 0", "enter admitting", "enter duties", "enter back"}},
-		"one that is back is asked": {Config{Self: "r0", Discovery: "d:1"}, []timedEvent{{0, Tick{}}, {s, AnnouncementReceived{Announcement{From: "r9", WantsReply: true}}}}, []string{"enter listing", "outage of first start, 0 of 0", "announce to 1, wants replies false"}},
+		"another router asks for an announcement": {Config{Self: "r0", Discovery: "d:1"}, []timedEvent{{0, Tick{}}, {s, AnnouncementReceived{Announcement{From: "r9", WantsReply: true}}}}, []string{"enter listing", "outage of first start, 0 of 0", "announce to 1, wants replies false"}},
 	} {
 		d, err := New(x.c, 0)
 		if err != nil {
@@ -107,8 +111,8 @@
 	}
 }
 
-// Whatever comes in whatever order: stages only advance, the saved list is used once at most and
-// never after discovery has sent one, and Next is never in the past.
+// For any events in any order, stages only advance, the saved list is used at most once and never
+// after discovery has sent a list, and Next is never in the past.
 func TestStagesOnlyAdvanceAndTheSavedListIsUsedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d, _ := New(Config{Self: "r0", Discovery: "d:1", Saved: savedState(rapid.IntRange(0, 5).Draw(t, "view"), 5), HasRoles: rapid.Bool().Draw(t, "duties")}, 0)
@@ -130,7 +134,7 @@
 				switch a := a.(type) {
 				case StageEntered:
 					if a.Stage <= last {
-						t.Fatalf("%v after %v", a.Stage, last)
+						t.Fatalf("stage %v begins after stage %v", a.Stage, last)
 					}
 					last = a.Stage
 				case UseSavedList:
@@ -146,7 +150,7 @@
 	})
 }
 
-// A datagram that is cut or has a bit flipped is rejected, whatever it is.
+// Decode rejects a datagram of any kind that is truncated or has a bit flipped.
 func TestDamagedDatagramsAreRejected(t *testing.T) {
 	name := strings.Repeat("n", MaxNameBytes)
 	announcement := Announcement{WantsReply: true, From: name, Boot: 1<<32 - 1, Uptime: 99 * s, ListVersion: 1 << 50, ListSource: 1<<64 - 1, Stage: Recovered, Measure: Measure{40 * s, 300 * ms}}
@@ -161,27 +165,27 @@
 	}{{announcement.Encode(), AnnouncementReceived{announcement}}, {query.Encode(), QueryReceived{query}}, {reply.Encode(), ReplyReceived{reply}}} {
 		b := x.b
 		if len(b) > MaxDatagramBytes {
-			t.Errorf("%T: %d bytes", x.want, len(b))
+			t.Errorf("the datagram of %T has %d bytes, more than MaxDatagramBytes", x.want, len(b))
 		}
 		if got, err := Decode(b); err != nil || !cmp.Equal(got, x.want) {
-			t.Errorf("got %+v, %v", got, err)
+			t.Errorf("an intact datagram is decoded as %+v with error %v", got, err)
 		}
 		for at := range b {
 			for bit := range 8 {
 				x := append([]byte(nil), b...)
 				x[at] ^= 1 << bit
 				if _, err := Decode(x); err == nil {
-					t.Errorf("bit %d of byte %d flipped is read", bit, at)
+					t.Errorf("Decode accepts a datagram with bit %d of byte %d flipped", bit, at)
 				}
 			}
 			if _, err := Decode(b[:at]); err == nil {
-				t.Errorf("cut at %d is read", at)
+				t.Errorf("Decode accepts a datagram that is truncated to %d bytes", at)
 			}
 		}
 	}
 }
 
-// withHosts gives a snapshot the hosts h0 to hn-1, of which the last one drained.
+// withHosts adds the hosts h0 to hn-1 to the list of a snapshot. The last one is terminating.
 func withHosts(b *snapshot.State, n int) *snapshot.State {
 	for i := range n {
 		e := protocol.ListedServer{ID: fmt.Sprint("h", i), State: "Ready", Addr: "a"}
@@ -193,9 +197,10 @@
 	return b
 }
 
-// While discovery is silent, a router that has a list is asked which hosts of the saved one get
-// requests: before that is used, whose delay ends with the reply, and after. Replies by an older
-// list, of another discovery, to nothing that was asked, or late ones change nothing.
+// While discovery is silent, the router asks a router that has a list which hosts of the saved list
+// get requests, both before and after the saved list is used. The reply ends the delay before its
+// use. The router ignores a reply that is based on an older list, comes from a router with another
+// discovery, matches no query, or arrives after discovery's list.
 func TestPeersExcludeHostsWhileDiscoveryIsSilent(t *testing.T) {
 	replyExcluding := func(version int64, discovery string, chunk []string, ids ...string) ReplyReceived {
 		r := HostReply{From: "r1", ListVersion: version, ListSource: Source(discovery), TagCount: len(chunk)}
@@ -230,8 +235,8 @@
 	}
 }
 
-// Without a measure of its own a router adopts the median of others', once; with one it adopts
-// none.
+// A router without a measure adopts the median of other routers' measures once. A router with a
+// measure adopts none.
 func TestMedianMeasureIsAdoptedOnce(t *testing.T) {
 	withMeasure := func(n int, work time.Duration) AnnouncementReceived {
 		w := announcementFrom(n, 90*s, 0).Announcement
@@ -257,17 +262,17 @@
 			t.Error(got)
 		}
 	}
-	d, _ = New(Config{Self: "r0", Saved: withLearned}, 0) // and announces its own from the start on
+	d, _ = New(Config{Self: "r0", Saved: withLearned}, 0) // it announces its saved measure from the start
 	for _, a := range d.Step(0, Tick{}) {
 		if x, ok := a.(Announce); ok && x.Announcement.Measure != (Measure{s, s}) {
-			t.Errorf("it announces %+v", x.Announcement.Measure)
+			t.Errorf("the router announces the measure %+v, not its saved one", x.Announcement.Measure)
 		}
 	}
 }
 
-// Guards against a router that lost its folder and never has a measure: it knows nobody to ask as it
-// starts, and the announcements of others may have come before it could receive them. It asks all
-// that are alive, a few at a time, until one of them has a measure.
+// Guards against a router that has lost its folder and never gets a measure. It knows no other
+// routers when it starts, and their announcements may have arrived before it could receive them. It
+// must ask all routers that are alive, a few at a time, until one of them has a measure.
 func TestRouterWithoutMeasureAsksLivingRouters(t *testing.T) {
 	const routers = 6
 	membership := Membership{savedState(routers, 0).Routers}
@@ -280,7 +285,7 @@
 			case Announce:
 				queries++
 				if !a.Announcement.WantsReply || len(a.To) > maxQueriedPeers {
-					t.Errorf("it announces itself to %d routers, wants replies: %v", len(a.To), a.Announcement.WantsReply)
+					t.Errorf("the router announces itself to %d routers and wants replies: %v; want at most maxQueriedPeers, true", len(a.To), a.Announcement.WantsReply)
 				}
 				for _, r := range a.To {
 					asked[r.Name]++
@@ -294,7 +299,7 @@
 	step(Tick{})
 	step(ListReceived{Version: 1})
 	if queries > 0 {
-		t.Errorf("%d queries before anybody is known to be alive", queries)
+		t.Errorf("the router sends %d queries before it knows any living router", queries)
 	}
 	step(membership)
 	for now < 2*s {
@@ -302,15 +307,15 @@
 		step(Tick{})
 	}
 	if len(asked) != routers-1 || asked["r0"] > 0 || queries > 6 {
-		t.Errorf("%d queries in 2 s, asked: %v", queries, asked)
+		t.Errorf("%d queries in 2 s ask these routers (with counts): %v; want at most 6 queries that ask all others", queries, asked)
 	}
 	reply := announcementFrom(3, 90*s, 0).Announcement
 	if step(AnnouncementReceived{reply}) {
-		t.Error("it adopts a measure that nobody has")
+		t.Error("the router adopts a measure although no router has one")
 	}
 	reply.Measure = Measure{7 * s, s}
 	if !step(AnnouncementReceived{reply}) {
-		t.Error("it adopts no measure")
+		t.Error("the router does not adopt the measure in an announcement")
 	}
 	sent := queries
 	for range 5 {
@@ -318,12 +323,13 @@
 		step(Tick{})
 	}
 	if queries != sent {
-		t.Errorf("it goes on asking once it has a measure")
+		t.Errorf("the router sends more queries after it has adopted a measure")
 	}
 }
 
-// What is reported of queries for a measure that nobody has: who was asked and who has answered,
-// however late, after the rounds 1, 2, 4 and 8, and at the end; or whose measure is adopted.
+// While no router has a measure, a report follows the rounds 1, 2, 4 and 8 and the end of the
+// queries. It names the routers that were asked and those that have answered, however late. If a
+// measure is adopted at the end, the adoption takes the place of the last report.
 func TestMissingMeasureIsReported(t *testing.T) {
 	answer := func(n int, work time.Duration) AnnouncementReceived {
 		a := announcementFrom(n, s, 0).Announcement
@@ -338,7 +344,7 @@
 	}{
 		"hosts are warm":     {timedEvent{3100 * ms, HostsWarm{true}}, "no measure in 7 rounds: 5 alive, asked r1 r2 r3 r4 r5, answered r1 r2 r4; hosts no longer wait for one"},
 		"own measure":        {timedEvent{3100 * ms, MeasureLearned{Measure{s, s}}}, "no measure in 7 rounds: 5 alive, asked r1 r2 r3 r4 r5, answered r1 r2 r4; this router has its own"},
-		"another's is there": {timedEvent{3100 * ms, answer(4, 9*s)}, "adopt 9s"},
+		"measure of another": {timedEvent{3100 * ms, answer(4, 9*s)}, "adopt 9s"},
 	} {
 		d, _ := New(Config{Self: "r0", Discovery: "d:1"}, 0)
 		var got []string
@@ -359,19 +365,19 @@
 	}
 }
 
-// The operators' page has the tables as they are made here.
+// The operators' page contains the tables that Table returns.
 func TestOperatorsPageHasTheTables(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/operators/recovery.md")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !strings.Contains(string(page), Table()) {
-		t.Errorf("docs/operators/recovery.md lacks:\n%s", Table())
+		t.Errorf("docs/operators/recovery.md does not contain these tables:\n%s", Table())
 	}
 }
 
-// Whatever comes as a datagram is decoded completely or rejected, and what is decoded is encoded
-// the same.
+// Decode returns an event or an error for any input. An event that is encoded again is decoded as the
+// same event.
 func FuzzDecode(f *testing.F) {
 	announcement, query, reply := Announcement{From: "r1", Boot: 3, ListVersion: 7, Measure: Measure{s, ms}}, HostQuery{"r1", []uint32{1, 2}}, HostReply{From: "r2", ListVersion: 9, FirstTag: 1, TagCount: 2, Excluded: []uint32{2}}
 	for _, b := range [][]byte{announcement.Encode(), query.Encode(), reply.Encode(), nil, {wireVersion << 4}} {
@@ -392,7 +398,7 @@
 			encoded = e.Reply.Encode()
 		}
 		if got, err := Decode(encoded); err != nil || !cmp.Equal(got, e) {
-			t.Fatalf("%+v becomes %+v, %v", e, got, err)
+			t.Fatalf("%+v is encoded and decoded as %+v with error %v", e, got, err)
 		}
 	})
 }
