--- a/internal/router/recovery/config.go
+++ b/internal/router/recovery/config.go
@@ -45,8 +45,8 @@
 	// better but delays a router whose peers are down.
 	QueryTimeout time.Duration
 	// ListTimeout bounds the wait for discovery's list; after it the router uses the saved list. With
-	// a shorter timeout the router may send requests to hosts that are gone. With a longer one it
-	// sends no requests for longer.
+	// a shorter timeout the router may send requests to hosts that are gone. A longer timeout delays
+	// its first requests if discovery is silent.
 	ListTimeout time.Duration
 	// StaleListDelay is added to ListTimeout while a peer has a newer list than the saved one and
 	// queries about the saved hosts are unanswered.
--- a/internal/router/recovery/gate.go
+++ b/internal/router/recovery/gate.go
@@ -49,7 +49,7 @@
 	admitted float64 // fraction of requests that is admitted
 	credit   float64 // each whole unit admits one request
 	// maxLeftFraction is the largest fraction of its total time that a request still had left at its
-	// arrival. It decays by maxLeftDecay.
+	// arrival. It shrinks by the factor maxLeftDecay with each request.
 	maxLeftFraction float64
 }
 
@@ -93,8 +93,8 @@
 	maxPlausibleFraction = 1.05
 )
 
-// NewGate returns a Gate for one router. The baseline is the usual demand for each class, which
-// Baseline.Demand returned in an earlier process; it may be nil.
+// NewGate returns a Gate for one router. The argument baselineDemand is the usual demand for each
+// class, which Baseline.Demand returned in an earlier process; it may be nil.
 func NewGate(config balance.Config, baselineDemand map[string]float64, seed uint64) *Gate {
 	g := &Gate{rng: rand.New(rand.NewPCG(seed, gateStream)), hosts: map[string]balance.Member{}, byName: map[string]*demand{},
 		warmFraction: 1, grantedFraction: initialFraction, pending: map[string]time.Duration{}}
--- a/internal/router/recovery/stages.go
+++ b/internal/router/recovery/stages.go
@@ -66,7 +66,7 @@
 }
 
 // stepQuerying asks the routers of the saved membership for their announcements. The stage ends when
-// the replies are at least half of the size of the membership, this router included in the size, when
+// the number of replies is at least half the size of the membership, which includes this router, when
 // all others have replied, or when QueryTimeout has passed.
 func (d *Decider) stepQuerying() {
 	n := d.repliesReceived()
