--- a/internal/router/recovery/recovery_test.go
+++ b/internal/router/recovery/recovery_test.go
@@ -21,8 +21,9 @@
 	s  = time.Second
 )
 
-// saved is the snapshot of a router with a membership and a list.
-func saved(routers int, version int64) *snapshot.State {
+// savedState returns the snapshot of router r0 with a membership of the given size and an empty list
+// of the given version.
+func savedState(routers int, version int64) *snapshot.State {
 	b := &snapshot.State{Router: "r0", ListSource: "d:1", List: &protocol.List{Version: version}}
 	for i := range routers {
 		b.Routers = append(b.Routers, snapshot.Router{Name: fmt.Sprint("r", i), Addr: fmt.Sprintf("10.0.0.%d:1", i+1), Boot: uint32(100 + i)})
@@ -30,7 +31,7 @@
 	return b
 }
 
-// describe returns a decider's actions as lines.
+// describe returns the actions of a Decider as lines of text.
 func describe(all []Action) (lines []string) {
 	for _, a := range all {
 		switch a := a.(type) {
@@ -51,47 +52,50 @@
 		case StageEntered:
 			lines = append(lines, "enter "+a.Stage.String())
 		case OutageClassified:
-			lines = append(lines, fmt.Sprintf("outage of %s, %d of %d", a.Outage, a.Heard, a.Asked))
+			lines = append(lines, fmt.Sprintf("outage of %s, %d of %d", a.Outage, a.Replied, a.Asked))
 		}
 	}
 	return lines
 }
 
+// timedEvent is an event and the time at which a Decider gets it.
 type timedEvent struct {
 	at    time.Duration
 	event Event
 }
 
-func from(n int, up time.Duration, version int64) AnnouncementReceived {
+// announcementFrom returns an announcement of router n. A router that is up for less than 30 s has
+// another boot number than the one in savedState.
+func announcementFrom(n int, up time.Duration, version int64) AnnouncementReceived {
 	boot := uint32(100 + n)
 	if up < 30*s {
-		boot = 7 // another process than before
+		boot = 7 // the router has restarted since the state was saved
 	}
 	return AnnouncementReceived{Announcement{From: fmt.Sprint("r", n), Boot: boot, Uptime: up, ListVersion: version, ListSource: Source("d:1")}}
 }
 
-// Each kind of outage, by who replies and how long they have been up; the list by who sends one
-// first.
+// The outage is classified by which routers reply and whether they have restarted. The router uses
+// the list from discovery, or the saved list if discovery sends none in time.
 func TestStagesAndOutageByWhoReplies(t *testing.T) {
 	for name, x := range map[string]struct {
 		c      Config
 		events []timedEvent
 		want   []string
 	}{
-		"first": {Config{Self: "r0", Discovery: "d:1"}, []timedEvent{{0, Tick{}}, {s, ListReceived{Version: 3}}, {s, HostsWarm{true}}}, []string{"enter listing", "outage of first start, 0 of 0", "enter admitting", "enter duties", "enter back"}},
-		"itself": {Config{Self: "r0", Discovery: "d:1", Saved: saved(4, 5)}, []timedEvent{{0, Tick{}}, {10 * ms, from(1, 90*s, 6)}, {20 * ms, from(2, 80*s, 6)}, {30 * ms, ListReceived{Version: 6}}, {40 * ms, HostsWarm{true}}, {s, Tick{}}},
+		"first start": {Config{Self: "r0", Discovery: "d:1"}, []timedEvent{{0, Tick{}}, {s, ListReceived{Version: 3}}, {s, HostsWarm{true}}}, []string{"enter listing", "outage of first start, 0 of 0", "enter admitting", "enter duties", "enter back"}},
+		"only this router restarts": {Config{Self: "r0", Discovery: "d:1", Saved: savedState(4, 5)}, []timedEvent{{0, Tick{}}, {10 * ms, announcementFrom(1, 90*s, 6)}, {20 * ms, announcementFrom(2, 80*s, 6)}, {30 * ms, ListReceived{Version: 6}}, {40 * ms, HostsWarm{true}}, {s, Tick{}}},
 			[]string{"announce to 3, wants replies true", "enter listing", "enter admitting", "enter duties", "enter back", "outage of this router, 2 of 3"}},
-		"some": {Config{Self: "r0", Discovery: "d:1", Saved: saved(4, 5)}, []timedEvent{{0, Tick{}}, {10 * ms, from(1, 90*s, 6)}, {15 * ms, from(2, 90*s, 0)}, {20 * ms, from(3, s, 0)}},
+		"some routers restart": {Config{Self: "r0", Discovery: "d:1", Saved: savedState(4, 5)}, []timedEvent{{0, Tick{}}, {10 * ms, announcementFrom(1, 90*s, 6)}, {15 * ms, announcementFrom(2, 90*s, 0)}, {20 * ms, announcementFrom(3, s, 0)}},
 			[]string{"announce to 3, wants replies true", "enter listing", "outage of some routers, 3 of 3"}},
-		"all, discovery too": {Config{Self: "r0", Discovery: "d:1", Saved: saved(4, 5)}, []timedEvent{{0, Tick{}}, {10 * ms, from(1, s, 0)}, {20 * ms, from(2, 2*s, 0)}, {s, Tick{}}, {1999 * ms, Tick{}}, {2 * s, Tick{}}, {22 * s, Tick{}}},
+		"all routers restart and discovery is silent": {Config{Self: "r0", Discovery: "d:1", Saved: savedState(4, 5)}, []timedEvent{{0, Tick{}}, {10 * ms, announcementFrom(1, s, 0)}, {20 * ms, announcementFrom(2, 2*s, 0)}, {s, Tick{}}, {1999 * ms, Tick{}}, {2 * s, Tick{}}, {22 * s, Tick{}}},
 			[]string{"announce to 3, wants replies true", "enter listing", "outage of all routers, 2 of 3", "use saved list", "enter admitting", "enter duties", "enter back"}},
-		"nobody answers": {Config{Self: "r0", Discovery: "d:1", Saved: saved(4, 5)}, []timedEvent{{0, Tick{}}, {300 * ms, Tick{}}, {s, Tick{}}, {2 * s, Tick{}}, {3 * s, HostsWarm{true}}},
+		"no router replies": {Config{Self: "r0", Discovery: "d:1", Saved: savedState(4, 5)}, []timedEvent{{0, Tick{}}, {300 * ms, Tick{}}, {s, Tick{}}, {2 * s, Tick{}}, {3 * s, HostsWarm{true}}},
 			[]string{"announce to 3, wants replies true", "announce to 3, wants replies true", "enter listing", "outage of unknown, 0 of 3", "use saved list", "enter admitting", "enter duties", "enter back"}},
-		"a peer has a younger list": {Config{Self: "r0", Discovery: "d:1", Saved: saved(3, 5), HasRoles: true}, []timedEvent{{0, Tick{}}, {10 * ms, from(1, 90*s, 6)}, {20 * ms, from(2, 90*s, 5)}, {9 * s, Tick{}}, {10 * s, Tick{}}, {10 * s, HostsWarm{true}}, {11 * s, VotersLed{true}}},
+		"a peer has a newer list": {Config{Self: "r0", Discovery: "d:1", Saved: savedState(3, 5), HasRoles: true}, []timedEvent{{0, Tick{}}, {10 * ms, announcementFrom(1, 90*s, 6)}, {20 * ms, announcementFrom(2, 90*s, 5)}, {9 * s, Tick{}}, {10 * s, Tick{}}, {10 * s, HostsWarm{true}}, {11 * s, VotersLed{true}}},
 			[]string{"announce to 2, wants replies true", "enter listing", "outage of this router, 2 of 2", "use saved list", "enter admitting", "enter duties", "enter back"}},
-		"discovery was changed": {Config{Self: "r0", Discovery: "d:2", Saved: saved(1, 5)}, []timedEvent{{0, Tick{}}, {60 * s, Tick{}}, {61 * s, ListReceived{Version: 1}}, {62 * s, HostsWarm{true}}},
+		"the address of discovery has changed": {Config{Self: "r0", Discovery: "d:2", Saved: savedState(1, 5)}, []timedEvent{{0, Tick{}}, {60 * s, Tick{}}, {61 * s, ListReceived{Version: 1}}, {62 * s, HostsWarm{true}}},
 			[]string{"enter listing", "outage of unknown, 0 of 0", "enter admitting", "enter duties", "enter back"}},
-		"one that is back is asked": {Config{Self: "r0", Discovery: "d:1"}, []timedEvent{{0, Tick{}}, {s, AnnouncementReceived{Announcement{From: "r9", WantsReply: true}}}}, []string{"enter listing", "outage of first start, 0 of 0", "announce to 1, wants replies false"}},
+		"another router asks for an announcement": {Config{Self: "r0", Discovery: "d:1"}, []timedEvent{{0, Tick{}}, {s, AnnouncementReceived{Announcement{From: "r9", WantsReply: true}}}}, []string{"enter listing", "outage of first start, 0 of 0", "announce to 1, wants replies false"}},
 	} {
 		d, err := New(x.c, 0)
 		if err != nil {
@@ -107,30 +111,30 @@
 	}
 }
 
-// Whatever comes in whatever order: stages only advance, the saved list is used once at most and
-// never after discovery has sent one, and Next is never in the past.
+// For any events in any order, stages only advance, the saved list is used at most once and never
+// after discovery has sent a list, and Next is never in the past.
 func TestStagesOnlyAdvanceAndTheSavedListIsUsedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d, _ := New(Config{Self: "r0", Discovery: "d:1", Saved: saved(rapid.IntRange(0, 5).Draw(t, "view"), 5), HasRoles: rapid.Bool().Draw(t, "duties")}, 0)
+		d, _ := New(Config{Self: "r0", Discovery: "d:1", Saved: savedState(rapid.IntRange(0, 5).Draw(t, "view"), 5), HasRoles: rapid.Bool().Draw(t, "duties")}, 0)
 		now, last, uses, listReceived := time.Duration(0), Querying, 0, false
 		for range rapid.IntRange(1, 30).Draw(t, "events") {
 			now += time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * ms
 			var e Event = Tick{}
 			switch rapid.IntRange(0, 6).Draw(t, "event") {
 			case 0:
-				e = from(rapid.IntRange(0, 5).Draw(t, "who"), time.Duration(rapid.IntRange(0, 60).Draw(t, "up"))*s, int64(rapid.IntRange(0, 8).Draw(t, "version")))
+				e = announcementFrom(rapid.IntRange(0, 5).Draw(t, "who"), time.Duration(rapid.IntRange(0, 60).Draw(t, "up"))*s, int64(rapid.IntRange(0, 8).Draw(t, "version")))
 			case 1:
 				e, listReceived = ListReceived{Version: int64(rapid.IntRange(0, 8).Draw(t, "version"))}, true
 			case 2:
 				e = VotersLed{rapid.Bool().Draw(t, "led")}
 			case 3:
-				e = Membership{saved(rapid.IntRange(0, 5).Draw(t, "alive"), 5).Routers}
+				e = Membership{savedState(rapid.IntRange(0, 5).Draw(t, "alive"), 5).Routers}
 			}
 			for _, a := range d.Step(now, e) {
 				switch a := a.(type) {
 				case StageEntered:
 					if a.Stage <= last {
-						t.Fatalf("%v after %v", a.Stage, last)
+						t.Fatalf("stage %v begins after stage %v", a.Stage, last)
 					}
 					last = a.Stage
 				case UseSavedList:
@@ -146,7 +150,7 @@
 	})
 }
 
-// A datagram that is cut or has a bit flipped is rejected, whatever it is.
+// Decode rejects a datagram of any kind that is truncated or has a bit flipped.
 func TestDamagedDatagramsAreRejected(t *testing.T) {
 	name := strings.Repeat("n", MaxNameBytes)
 	announcement := Announcement{WantsReply: true, From: name, Boot: 1<<32 - 1, Uptime: 99 * s, ListVersion: 1 << 50, ListSource: 1<<64 - 1, Stage: Recovered, Measure: Measure{40 * s, 300 * ms}}
@@ -161,27 +165,27 @@
 	}{{announcement.Encode(), AnnouncementReceived{announcement}}, {query.Encode(), QueryReceived{query}}, {reply.Encode(), ReplyReceived{reply}}} {
 		b := x.b
 		if len(b) > MaxDatagramBytes {
-			t.Errorf("%T: %d bytes", x.want, len(b))
+			t.Errorf("the datagram of %T has %d bytes, more than MaxDatagramBytes", x.want, len(b))
 		}
 		if got, err := Decode(b); err != nil || !cmp.Equal(got, x.want) {
-			t.Errorf("got %+v, %v", got, err)
+			t.Errorf("an intact datagram is decoded as %+v with error %v", got, err)
 		}
 		for at := range b {
 			for bit := range 8 {
 				x := append([]byte(nil), b...)
 				x[at] ^= 1 << bit
 				if _, err := Decode(x); err == nil {
-					t.Errorf("bit %d of byte %d flipped is read", bit, at)
+					t.Errorf("Decode accepts a datagram with bit %d of byte %d flipped", bit, at)
 				}
 			}
 			if _, err := Decode(b[:at]); err == nil {
-				t.Errorf("cut at %d is read", at)
+				t.Errorf("Decode accepts a datagram that is truncated to %d bytes", at)
 			}
 		}
 	}
 }
 
-// withHosts gives a snapshot the hosts h0 to hn-1, of which the last one drained.
+// withHosts adds the hosts h0 to hn-1 to the list of a snapshot. The last one is terminating.
 func withHosts(b *snapshot.State, n int) *snapshot.State {
 	for i := range n {
 		e := protocol.ListedServer{ID: fmt.Sprint("h", i), State: "Ready", Addr: "a"}
@@ -193,12 +197,13 @@
 	return b
 }
 
-// While discovery is silent, a router that has a list is asked which hosts of the saved one get
-// requests: before that is used, whose delay ends with the reply, and after. Replies by an older
-// list, of another discovery, to nothing that was asked, or late ones change nothing.
+// While discovery is silent, the router asks a router that has a list which hosts of the saved list
+// get requests, both before and after the saved list is used. The reply ends the delay before its
+// use. The router ignores a reply that is based on an older list, comes from a router with another
+// discovery, matches no query, or arrives after discovery's list.
 func TestPeersExcludeHostsWhileDiscoveryIsSilent(t *testing.T) {
-	excluding := func(version int64, from string, chunk []string, ids ...string) ReplyReceived {
-		r := HostReply{From: "r1", ListVersion: version, ListSource: Source(from), TagCount: len(chunk)}
+	replyExcluding := func(version int64, discovery string, chunk []string, ids ...string) ReplyReceived {
+		r := HostReply{From: "r1", ListVersion: version, ListSource: Source(discovery), TagCount: len(chunk)}
 		tags := []uint32{}
 		for _, id := range chunk {
 			tags = append(tags, Tag(id))
@@ -210,16 +215,16 @@
 		return ReplyReceived{r}
 	}
 	ready := []string{"h0", "h1", "h2"}
-	d, err := New(Config{Self: "r0", Discovery: "d:1", Saved: withHosts(saved(3, 5), 4)}, 0)
+	d, err := New(Config{Self: "r0", Discovery: "d:1", Saved: withHosts(savedState(3, 5), 4)}, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var got []string
 	for _, x := range []timedEvent{
-		{0, Tick{}}, {10 * ms, from(1, 90*s, 6)}, {s, Tick{}}, {1020 * ms, excluding(4, "d:1", ready, "h0")}, {1030 * ms, excluding(6, "d:2", ready, "h0")},
-		{1040 * ms, excluding(6, "d:1", ready[:2], "h0")}, {1050 * ms, excluding(6, "d:1", ready, "h1", "h3", "hx")}, {1999 * ms, Tick{}}, {2 * s, Tick{}},
-		{3 * s, HostsWarm{true}}, {4 * s, Tick{}}, {4100 * ms, excluding(7, "d:1", ready, "h1", "h2")}, {5 * s, ListReceived{Version: 8, Serving: []string{"h0"}}},
-		{6 * s, excluding(9, "d:1", ready, "h0")}, {7 * s, QueryReceived{HostQuery{"r2", []uint32{Tag("h0"), Tag("h1")}}}}, {8 * s, QueryReceived{HostQuery{"r2", nil}}}, {60 * s, Tick{}},
+		{0, Tick{}}, {10 * ms, announcementFrom(1, 90*s, 6)}, {s, Tick{}}, {1020 * ms, replyExcluding(4, "d:1", ready, "h0")}, {1030 * ms, replyExcluding(6, "d:2", ready, "h0")},
+		{1040 * ms, replyExcluding(6, "d:1", ready[:2], "h0")}, {1050 * ms, replyExcluding(6, "d:1", ready, "h1", "h3", "hx")}, {1999 * ms, Tick{}}, {2 * s, Tick{}},
+		{3 * s, HostsWarm{true}}, {4 * s, Tick{}}, {4100 * ms, replyExcluding(7, "d:1", ready, "h1", "h2")}, {5 * s, ListReceived{Version: 8, Serving: []string{"h0"}}},
+		{6 * s, replyExcluding(9, "d:1", ready, "h0")}, {7 * s, QueryReceived{HostQuery{"r2", []uint32{Tag("h0"), Tag("h1")}}}}, {8 * s, QueryReceived{HostQuery{"r2", nil}}}, {60 * s, Tick{}},
 	} {
 		got = append(got, describe(d.Step(x.at, x.event))...)
 	}
@@ -230,15 +235,15 @@
 	}
 }
 
-// Without a measure of its own a router adopts the median of others', once; with one it adopts
-// none.
+// A router without a measure adopts the median of other routers' measures once. A router with a
+// measure adopts none.
 func TestMedianMeasureIsAdoptedOnce(t *testing.T) {
 	withMeasure := func(n int, work time.Duration) AnnouncementReceived {
-		w := from(n, 90*s, 0).Announcement
+		w := announcementFrom(n, 90*s, 0).Announcement
 		w.Measure = Measure{work, s}
 		return AnnouncementReceived{w}
 	}
-	d, _ := New(Config{Self: "r0", Discovery: "d:1", Saved: saved(5, 5)}, 0)
+	d, _ := New(Config{Self: "r0", Discovery: "d:1", Saved: savedState(5, 5)}, 0)
 	var got []string
 	for i, x := range []Event{Tick{}, withMeasure(1, 0), withMeasure(2, 7*s), withMeasure(3, 9*s)} {
 		got = append(got, describe(d.Step(time.Duration(i)*ms, x))...)
@@ -246,7 +251,7 @@
 	if !slices.Contains(got, "adopt 7s") || slices.Contains(got, "adopt 9s") {
 		t.Error(got)
 	}
-	withLearned := saved(5, 5)
+	withLearned := savedState(5, 5)
 	withLearned.Learned = &balance.Learned{CompletedWork: 1, MeanWork: 1}
 	for _, c := range []Config{{Self: "r0", Saved: withLearned}, {Self: "r0"}} {
 		d, _ := New(c, 0)
@@ -257,20 +262,20 @@
 			t.Error(got)
 		}
 	}
-	d, _ = New(Config{Self: "r0", Saved: withLearned}, 0) // and announces its own from the start on
+	d, _ = New(Config{Self: "r0", Saved: withLearned}, 0) // it announces its saved measure from the start
 	for _, a := range d.Step(0, Tick{}) {
 		if x, ok := a.(Announce); ok && x.Announcement.Measure != (Measure{s, s}) {
-			t.Errorf("it announces %+v", x.Announcement.Measure)
+			t.Errorf("the router announces the measure %+v, not its saved one", x.Announcement.Measure)
 		}
 	}
 }
 
-// Guards against a router that lost its folder and never has a measure: it knows nobody to ask as it
-// starts, and the announcements of others may have come before it could receive them. It asks all
-// that are alive, a few at a time, until one of them has a measure.
+// Guards against a router that has lost its folder and never gets a measure. It knows no other
+// routers when it starts, and their announcements may have arrived before it could receive them. It
+// must ask all routers that are alive, a few at a time, until one of them has a measure.
 func TestRouterWithoutMeasureAsksLivingRouters(t *testing.T) {
 	const routers = 6
-	membership := Membership{saved(routers, 0).Routers}
+	membership := Membership{savedState(routers, 0).Routers}
 	asked := map[string]int{}
 	d, _ := New(Config{Self: "r0", Discovery: "d:1"}, 0)
 	now, queries := time.Duration(0), 0
@@ -280,7 +285,7 @@
 			case Announce:
 				queries++
 				if !a.Announcement.WantsReply || len(a.To) > maxQueriedPeers {
-					t.Errorf("it announces itself to %d routers, wants replies: %v", len(a.To), a.Announcement.WantsReply)
+					t.Errorf("the router announces itself to %d routers and wants replies: %v; want at most maxQueriedPeers, true", len(a.To), a.Announcement.WantsReply)
 				}
 				for _, r := range a.To {
 					asked[r.Name]++
@@ -294,7 +299,7 @@
 	step(Tick{})
 	step(ListReceived{Version: 1})
 	if queries > 0 {
-		t.Errorf("%d queries before anybody is known to be alive", queries)
+		t.Errorf("the router sends %d queries before it knows any living router", queries)
 	}
 	step(membership)
 	for now < 2*s {
@@ -302,15 +307,15 @@
 		step(Tick{})
 	}
 	if len(asked) != routers-1 || asked["r0"] > 0 || queries > 6 {
-		t.Errorf("%d queries in 2 s, asked: %v", queries, asked)
+		t.Errorf("%d queries in 2 s ask these routers (with counts): %v; want at most 6 queries that ask all others", queries, asked)
 	}
-	reply := from(3, 90*s, 0).Announcement
+	reply := announcementFrom(3, 90*s, 0).Announcement
 	if step(AnnouncementReceived{reply}) {
-		t.Error("it adopts a measure that nobody has")
+		t.Error("the router adopts a measure although no router has one")
 	}
 	reply.Measure = Measure{7 * s, s}
 	if !step(AnnouncementReceived{reply}) {
-		t.Error("it adopts no measure")
+		t.Error("the router does not adopt the measure in an announcement")
 	}
 	sent := queries
 	for range 5 {
@@ -318,15 +323,16 @@
 		step(Tick{})
 	}
 	if queries != sent {
-		t.Errorf("it goes on asking once it has a measure")
+		t.Errorf("the router sends more queries after it has adopted a measure")
 	}
 }
 
-// What is reported of queries for a measure that nobody has: who was asked and who has answered,
-// however late, after the rounds 1, 2, 4 and 8, and at the end; or whose measure is adopted.
+// While no router has a measure, a report follows the rounds 1, 2, 4 and 8 and the end of the
+// queries. It names the routers that were asked and those that have answered, however late. If a
+// measure is adopted at the end, the adoption takes the place of the last report.
 func TestMissingMeasureIsReported(t *testing.T) {
 	answer := func(n int, work time.Duration) AnnouncementReceived {
-		a := from(n, s, 0).Announcement
+		a := announcementFrom(n, s, 0).Announcement
 		a.Measure = Measure{work, s}
 		return AnnouncementReceived{a}
 	}
@@ -338,7 +344,7 @@
 	}{
 		"hosts are warm":     {timedEvent{3100 * ms, HostsWarm{true}}, "no measure in 7 rounds: 5 alive, asked r1 r2 r3 r4 r5, answered r1 r2 r4; hosts no longer wait for one"},
 		"own measure":        {timedEvent{3100 * ms, MeasureLearned{Measure{s, s}}}, "no measure in 7 rounds: 5 alive, asked r1 r2 r3 r4 r5, answered r1 r2 r4; this router has its own"},
-		"another's is there": {timedEvent{3100 * ms, answer(4, 9*s)}, "adopt 9s"},
+		"measure of another": {timedEvent{3100 * ms, answer(4, 9*s)}, "adopt 9s"},
 	} {
 		d, _ := New(Config{Self: "r0", Discovery: "d:1"}, 0)
 		var got []string
@@ -349,7 +355,7 @@
 				}
 			}
 		}
-		for _, e := range []timedEvent{{0, ListReceived{Version: 1}}, {0, Membership{saved(6, 0).Routers}}, {100 * ms, answer(1, 0)}, {500 * ms, Tick{}}, {700 * ms, answer(2, 0)},
+		for _, e := range []timedEvent{{0, ListReceived{Version: 1}}, {0, Membership{savedState(6, 0).Routers}}, {100 * ms, answer(1, 0)}, {500 * ms, Tick{}}, {700 * ms, answer(2, 0)},
 			{s, Tick{}}, {1500 * ms, Tick{}}, {1600 * ms, answer(4, 0)}, {2 * s, Tick{}}, {2500 * ms, Tick{}}, {3 * s, Tick{}}, x.ending, {4 * s, Tick{}}, {5 * s, HostsWarm{true}}} {
 			step(e.at, e.event)
 		}
@@ -359,19 +365,19 @@
 	}
 }
 
-// The operators' page has the tables as they are made here.
+// The operators' page contains the tables that Table returns.
 func TestOperatorsPageHasTheTables(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/operators/recovery.md")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !strings.Contains(string(page), Table()) {
-		t.Errorf("docs/operators/recovery.md lacks:\n%s", Table())
+		t.Errorf("docs/operators/recovery.md does not contain these tables:\n%s", Table())
 	}
 }
 
-// Whatever comes as a datagram is decoded completely or rejected, and what is decoded is encoded
-// the same.
+// Decode returns an event or an error for any input. An event that is encoded again is decoded as the
+// same event.
 func FuzzDecode(f *testing.F) {
 	announcement, query, reply := Announcement{From: "r1", Boot: 3, ListVersion: 7, Measure: Measure{s, ms}}, HostQuery{"r1", []uint32{1, 2}}, HostReply{From: "r2", ListVersion: 9, FirstTag: 1, TagCount: 2, Excluded: []uint32{2}}
 	for _, b := range [][]byte{announcement.Encode(), query.Encode(), reply.Encode(), nil, {wireVersion << 4}} {
@@ -382,17 +388,17 @@
 		if err != nil {
 			return
 		}
-		var again []byte
+		var encoded []byte
 		switch e := e.(type) {
 		case AnnouncementReceived:
-			again = e.Announcement.Encode()
+			encoded = e.Announcement.Encode()
 		case QueryReceived:
-			again = e.Query.Encode()
+			encoded = e.Query.Encode()
 		case ReplyReceived:
-			again = e.Reply.Encode()
+			encoded = e.Reply.Encode()
 		}
-		if got, err := Decode(again); err != nil || !cmp.Equal(got, e) {
-			t.Fatalf("%+v becomes %+v, %v", e, got, err)
+		if got, err := Decode(encoded); err != nil || !cmp.Equal(got, e) {
+			t.Fatalf("%+v is encoded and decoded as %+v with error %v", e, got, err)
 		}
 	})
 }
