--- a/internal/system/deciders/configuration/changes.go
+++ b/internal/system/deciders/configuration/changes.go
@@ -53,11 +53,11 @@
 		old[it.name] = it
 	}
 	for _, it := range after.items {
-		had, ok := old[it.name]
+		previous, ok := old[it.name]
 		switch {
 		case !ok:
 			c.Added = append(c.Added, it.name)
-		case !equalText(had.raw, it.raw):
+		case !equalText(previous.raw, it.raw):
 			c.Changed = append(c.Changed, it.name)
 		}
 		delete(old, it.name)
--- a/internal/system/deciders/configuration/compile.go
+++ b/internal/system/deciders/configuration/compile.go
@@ -18,12 +18,12 @@
 	Limits   Limits     `json:"limits"`
 	Tenants  []*Tenant  `json:"tenants" validate:"dive"`
 
-	keyed          bool                 // requests need keys
-	lowestPriority int                  // the largest Priority of any route
-	hosts          map[string]*prefixes // by host in lower case
-	services       map[string]*Service
-	keys           map[string]*Tenant
-	tenants        map[string]*Tenant
+	requiresAPIKeys bool                    // requests need keys
+	lowestPriority  int                     // the largest Priority of any route
+	routesByHost    map[string]*prefixIndex // by host in lower case
+	services        map[string]*Service
+	tenantsByKey    map[string]*Tenant
+	tenants         map[string]*Tenant
 }
 
 // Compile returns the typed form of a document, or an *InvalidError or *SyntaxError for the first
@@ -33,13 +33,13 @@
 // compileAfter is Compile for a document derived from that of another configuration, nil for none.
 func compileAfter(before *Configuration, d *Document) (*Configuration, error) {
 	c := &Configuration{
-		Version:  d.Version,
-		Routes:   typedItems[Route](d, "routes"),
-		Services: typedItems[Service](d, "services"),
-		Tenants:  typedItems[Tenant](d, "tenants"),
-		services: map[string]*Service{},
-		keys:     map[string]*Tenant{},
-		tenants:  map[string]*Tenant{},
+		Version:      d.Version,
+		Routes:       typedItems[Route](d, "routes"),
+		Services:     typedItems[Service](d, "services"),
+		Tenants:      typedItems[Tenant](d, "tenants"),
+		services:     map[string]*Service{},
+		tenantsByKey: map[string]*Tenant{},
+		tenants:      map[string]*Tenant{},
 	}
 	if limits := d.find("limits"); limits != nil && !limits.list {
 		if err := json.Unmarshal(limits.value, &c.Limits); err != nil {
@@ -56,7 +56,7 @@
 		return nil, err
 	}
 	tenants := d.find("tenants")
-	c.keyed = tenants != nil && tenants.list
+	c.requiresAPIKeys = tenants != nil && tenants.list
 	return c, nil
 }
 
@@ -76,28 +76,28 @@
 // addRoutes validates the routes and indexes them by host and prefix. The index of the
 // configuration before, nil for none, is reused if the services are the same.
 func (c *Configuration) addRoutes(before *Configuration) error {
-	c.hosts = map[string]*prefixes{}
+	c.routesByHost = map[string]*prefixIndex{}
 	added, removed := c.Routes, []*Route(nil)
 	if before != nil && slices.Equal(c.Services, before.Services) {
 		added, removed = notIn(c.Routes, before.Routes), notIn(before.Routes, c.Routes)
-		c.hosts = maps.Clone(before.hosts)
+		c.routesByHost = maps.Clone(before.routesByHost)
 	}
-	touched := mapset.NewThreadUnsafeSet[string]()
-	at := func(r *Route) *prefixes {
+	cloned := mapset.NewThreadUnsafeSet[string]()
+	indexOf := func(r *Route) *prefixIndex {
 		host := strings.ToLower(r.Host)
-		if touched.Add(host) {
-			c.hosts[host] = c.hosts[host].clone()
+		if cloned.Add(host) {
+			c.routesByHost[host] = c.routesByHost[host].clone()
 		}
-		return c.hosts[host]
+		return c.routesByHost[host]
 	}
 	for _, r := range removed {
-		at(r).remove(r)
+		indexOf(r).remove(r)
 	}
 	for _, r := range added {
 		if err := c.checkShares(r); err != nil {
 			return err
 		}
-		if other := at(r).add(r); other != nil {
+		if other := indexOf(r).add(r); other != nil {
 			return invalidRoute(r, "pathPrefix", fmt.Sprintf("route %q has the same host and prefix", other.Name))
 		}
 	}
@@ -148,35 +148,35 @@
 	for _, t := range c.Tenants {
 		c.tenants[t.Name] = t
 		for _, key := range t.APIKeys {
-			if other := c.keys[key]; other != nil && other != t {
+			if other := c.tenantsByKey[key]; other != nil && other != t {
 				reason := fmt.Sprintf("tenant %q has one of the keys as well", other.Name)
 				return &InvalidError{fmt.Sprintf("tenant %q", t.Name), "apiKeys", reason}
 			}
-			c.keys[key] = t
+			c.tenantsByKey[key] = t
 		}
 	}
 	return nil
 }
 
 // Keyed reports whether requests need API keys, except on public routes.
-func (c *Configuration) Keyed() bool { return c.keyed }
+func (c *Configuration) Keyed() bool { return c.requiresAPIKeys }
 
 // LowestPriority returns the Priority of the least urgent route: the largest number.
 func (c *Configuration) LowestPriority() int { return c.lowestPriority }
 
 // Tenant returns the owner of an API key, nil for none.
-func (c *Configuration) Tenant(key string) *Tenant { return c.keys[key] }
+func (c *Configuration) Tenant(key string) *Tenant { return c.tenantsByKey[key] }
 
 // TenantNamed returns the tenant of a name, nil for none.
 func (c *Configuration) TenantNamed(name string) *Tenant { return c.tenants[name] }
 
 // RouteNamed returns the route of a name, nil for none. It takes time linear in the routes.
 func (c *Configuration) RouteNamed(name string) *Route {
-	at := slices.IndexFunc(c.Routes, func(r *Route) bool { return r.Name == name })
-	if at < 0 {
+	i := slices.IndexFunc(c.Routes, func(r *Route) bool { return r.Name == name })
+	if i < 0 {
 		return nil
 	}
-	return c.Routes[at]
+	return c.Routes[i]
 }
 
 // Service returns the service of a name, nil for none.
@@ -184,5 +184,5 @@
 
 // Route returns the route of a host with the longest prefix of a path, nil for none.
 func (c *Configuration) Route(host, path string) *Route {
-	return c.hosts[strings.ToLower(host)].longest(path)
+	return c.routesByHost[strings.ToLower(host)].longest(path)
 }
--- a/internal/system/deciders/configuration/configuration_test.go
+++ b/internal/system/deciders/configuration/configuration_test.go
@@ -32,7 +32,7 @@
 }
 
 // same returns the difference of two JSON texts.
-func same(t *testing.T, a, b []byte) string {
+func jsonDiff(t *testing.T, a, b []byte) string {
 	t.Helper()
 	var x, y any
 	if err := json.Unmarshal(a, &x); err != nil {
@@ -47,19 +47,19 @@
 // What is read back is what was sent, unknown fields included.
 func TestDocumentRoundTrip(t *testing.T) {
 	d := parse(t, small)
-	if diff := same(t, []byte(small), d.JSON()); diff != "" {
+	if diff := jsonDiff(t, []byte(small), d.JSON()); diff != "" {
 		t.Error(diff)
 	}
-	again := parse(t, string(d.JSON()))
-	if string(again.JSON()) != string(d.JSON()) {
+	reparsed := parse(t, string(d.JSON()))
+	if string(reparsed.JSON()) != string(d.JSON()) {
 		t.Error("written twice it differs")
 	}
 }
 
 // Each fault that a configuration is rejected for is reported with the item or field, in one line.
 func TestRejectionNamesItemAndField(t *testing.T) {
-	change := func(old, build string) string { return strings.Replace(small, old, build, 1) }
-	for name, c := range map[string]struct{ text, says string }{
+	change := func(old, replacement string) string { return strings.Replace(small, old, replacement, 1) }
+	for name, c := range map[string]struct{ text, wantText string }{
 		"cut short":           {small[:100], "whole JSON"},
 		"no object":           {`[1]`, "not a JSON object"},
 		"no version":          {`{"routes":[]}`, "version: is missing"},
@@ -79,8 +79,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := Next(nil, &message.Order{Kind: message.Order_PUT, Body: []byte(c.text)})
-			if err == nil || !strings.Contains(err.Error(), c.says) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("got %v; it should say %q in one line", err, c.says)
+			if err == nil || !strings.Contains(err.Error(), c.wantText) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("got %v; it should say %q in one line", err, c.wantText)
 			}
 		})
 	}
@@ -165,8 +165,8 @@
 }
 
 // order returns an encoded order.
-func order(kind message.Order_Kind, on int64, body string) []byte {
-	text, _ := proto.Marshal(&message.Order{Kind: kind, IfMatch: on, Body: []byte(body)})
+func order(kind message.Order_Kind, base int64, body string) []byte {
+	text, _ := proto.Marshal(&message.Order{Kind: kind, IfMatch: base, Body: []byte(body)})
 	return text
 }
 
@@ -216,11 +216,11 @@
 	for v := int64(7); v < 507; v++ {
 		is.Equal(decide(t, s, order(message.Order_PATCH, v, fmt.Sprintf(`{"version":%d}`, v+1))).Status, int32(http.StatusOK))
 	}
-	again := NewStore()
-	is.NoErr(again.Restore(s.Snapshot()))
-	is.Equal(again.state.Version(), int64(507))
-	is.Equal(decide(t, again, first).Status, int32(http.StatusOK))
-	is.Equal(string(again.Snapshot()), string(s.Snapshot()))
+	restored := NewStore()
+	is.NoErr(restored.Restore(s.Snapshot()))
+	is.Equal(restored.state.Version(), int64(507))
+	is.Equal(decide(t, restored, first).Status, int32(http.StatusOK))
+	is.Equal(string(restored.Snapshot()), string(s.Snapshot()))
 }
 
 // The digests of orders are bounded.
@@ -229,7 +229,7 @@
 	for i := range MaxDigests + 100 {
 		var d [digestLen]byte
 		copy(d[:], fmt.Sprint(i))
-		s.remember(d)
+		s.addDigest(d)
 	}
 	if len(s.digestOrder) != MaxDigests || len(s.digests) != MaxDigests {
 		t.Errorf("%d and %d digests", len(s.digestOrder), len(s.digests))
@@ -338,7 +338,7 @@
 
 // The index finds the same routes as a search over all of them.
 func TestPrefixIndexEqualsLinearSearch(t *testing.T) {
-	var p prefixes
+	var p prefixIndex
 	prefixes := []string{"/", "/a/", "/a/b/", "/a/b/c/d/", "/a", "/ab", "x", ""}
 	for _, prefix := range prefixes {
 		if other := p.add(&Route{Name: prefix, PathPrefix: prefix}); other != nil {
--- a/internal/system/deciders/configuration/decode.go
+++ b/internal/system/deciders/configuration/decode.go
@@ -47,12 +47,12 @@
 }
 
 // typeError names the field whose value has the wrong JSON type.
-func typeError(what string, err error) error {
-	var wrong *json.UnmarshalTypeError
-	if errors.As(err, &wrong) {
-		return &SyntaxError{what + ": " + wrong.Field, "is a " + wrong.Value + " where another kind of value belongs"}
+func typeError(subject string, err error) error {
+	var mismatch *json.UnmarshalTypeError
+	if errors.As(err, &mismatch) {
+		return &SyntaxError{subject + ": " + mismatch.Field, "is a " + mismatch.Value + " where another kind of value belongs"}
 	}
-	return &SyntaxError{what, err.Error()}
+	return &SyntaxError{subject, err.Error()}
 }
 
 var validate = newValidator()
--- a/internal/system/deciders/configuration/difference.go
+++ b/internal/system/deciders/configuration/difference.go
@@ -7,7 +7,7 @@
 )
 
 // patchText is the JSON form of a patch.
-type patchText struct {
+type patchJSON struct {
 	Version int64                      `json:"version"`
 	Upsert  map[string]json.RawMessage `json:"upsert,omitempty"`
 	Remove  map[string][]string        `json:"remove,omitempty"`
@@ -16,7 +16,7 @@
 // Difference returns the patch that turns one document into another; ok is false where no patch
 // does, as fields were removed or items reordered.
 func Difference(before, after *Document) (text []byte, ok bool) {
-	out := patchText{Version: after.Version, Upsert: map[string]json.RawMessage{}, Remove: map[string][]string{}}
+	out := patchJSON{Version: after.Version, Upsert: map[string]json.RawMessage{}, Remove: map[string][]string{}}
 	for _, f := range before.fields {
 		if g := after.find(f.name); g == nil || g.list != f.list {
 			return nil, false
@@ -36,12 +36,12 @@
 	if err != nil {
 		return nil, false
 	}
-	made, err := before.Apply(patch)
-	return text, err == nil && made.equal(after)
+	patched, err := before.Apply(patch)
+	return text, err == nil && patched.equal(after)
 }
 
 // add adds the difference of one field. Before is nil for a new one.
-func (c *patchText) add(before, after *field) {
+func (c *patchJSON) add(before, after *field) {
 	if !after.list {
 		if before == nil || !bytes.Equal(before.value, after.value) {
 			c.Upsert[after.name] = after.value
@@ -56,7 +56,7 @@
 	}
 	var changed []json.RawMessage
 	for _, it := range after.items {
-		if had, ok := old[it.name]; !ok || !equalText(had.raw, it.raw) {
+		if previous, ok := old[it.name]; !ok || !equalText(previous.raw, it.raw) {
 			changed = append(changed, it.raw)
 		}
 		delete(old, it.name)
--- a/internal/system/deciders/configuration/forms_test.go
+++ b/internal/system/deciders/configuration/forms_test.go
@@ -10,6 +10,6 @@
 // with the same types.
 func TestDocumentFormIsUnchanged(t *testing.T) {
 	formtest.Compare(t, "document.txt", formtest.Document([2]string{"configuration", formtest.Fields(Configuration{}, "json")},
-		[2]string{"patch", formtest.Fields(patchText{}, "json")},
+		[2]string{"patch", formtest.Fields(patchJSON{}, "json")},
 		[2]string{"change of a list", formtest.Fields(ListChange{}, "json")}))
 }
--- a/internal/system/deciders/configuration/parse.go
+++ b/internal/system/deciders/configuration/parse.go
@@ -50,19 +50,19 @@
 }
 
 // readObject returns the members of a JSON object in their order. A duplicate name is an error.
-func readObject(text []byte, what string) ([]member, error) {
+func readObject(text []byte, subject string) ([]member, error) {
 	if !json.Valid(text) {
-		return nil, &SyntaxError{what, "is not whole JSON"}
+		return nil, &SyntaxError{subject, "is not whole JSON"}
 	}
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	if t, err := decoder.Token(); err != nil || t != json.Delim('{') {
-		return nil, &SyntaxError{what, "is not a JSON object"}
+		return nil, &SyntaxError{subject, "is not a JSON object"}
 	}
 	var members []member
 	for decoder.More() {
 		t, err := decoder.Token()
 		if err != nil {
-			return nil, &SyntaxError{what, err.Error()}
+			return nil, &SyntaxError{subject, err.Error()}
 		}
 		m := member{name: t.(string)}
 		if err := decoder.Decode(&m.value); err != nil {
--- a/internal/system/deciders/configuration/patch.go
+++ b/internal/system/deciders/configuration/patch.go
@@ -117,18 +117,18 @@
 
 // upsert replaces items by name and appends new ones.
 func upsert(items, changed []item) []item {
-	fresh := make(map[string]item, len(changed))
+	pending := make(map[string]item, len(changed))
 	for _, it := range changed {
-		fresh[it.name] = it
+		pending[it.name] = it
 	}
 	for i := range items {
-		if it, ok := fresh[items[i].name]; ok {
+		if it, ok := pending[items[i].name]; ok {
 			items[i] = it
-			delete(fresh, it.name)
+			delete(pending, it.name)
 		}
 	}
 	for _, it := range changed {
-		if _, ok := fresh[it.name]; ok {
+		if _, ok := pending[it.name]; ok {
 			items = append(items, it)
 		}
 	}
--- a/internal/system/deciders/configuration/pinorders.go
+++ b/internal/system/deciders/configuration/pinorders.go
@@ -19,14 +19,14 @@
 
 // decidePin is Decide for an order that changes pins.
 func (s *Store) decidePin(order *message.Order) (change, reply []byte) {
-	in := s.state.Pins()
-	if order.IfMatch != in.Revision {
-		text := fmt.Sprintf("revision %d of the pins is in force, not %d", in.Revision, order.IfMatch)
-		return nil, s.pinReply(rejectionStatus(order.IfMatch, in.Revision), text)
+	current := s.state.Pins()
+	if order.IfMatch != current.Revision {
+		text := fmt.Sprintf("revision %d of the pins is in force, not %d", current.Revision, order.IfMatch)
+		return nil, s.pinReply(rejectionStatus(order.IfMatch, current.Revision), text)
 	}
 	next, _, err := s.nextPins(order)
 	if err != nil {
-		return nil, s.pinReply(pinStatus(err), err.Error())
+		return nil, s.pinReply(pinErrorStatus(err), err.Error())
 	}
 	d := digest(order)
 	change, err = proto.Marshal(&message.Change{Order: order, Digest: d[:]})
@@ -41,7 +41,7 @@
 }
 
 // pinStatus is the HTTP status for an order that is rejected.
-func pinStatus(err error) int {
+func pinErrorStatus(err error) int {
 	var overlap *pins.OverlapError
 	var unknown *pins.UnknownError
 	switch {
@@ -59,29 +59,29 @@
 	if err := proto.Unmarshal(order.Body, pin); err != nil {
 		return nil, nil, &pins.FieldError{Field: "body", Reason: err.Error()}
 	}
-	in := s.state.Pins()
-	changed := &message.PinChange{By: pin.By, Why: pin.Why, AtMs: order.AtMs}
+	current := s.state.Pins()
+	entry := &message.PinChange{By: pin.By, Why: pin.Why, AtMs: order.AtMs}
 	if order.Kind == message.Order_PIN_LIFT {
 		if err := pins.CheckLift(pin); err != nil {
 			return nil, nil, err
 		}
-		next, err := in.Remove(pin.Name)
+		next, err := current.Remove(pin.Name)
 		if err != nil {
 			return nil, nil, err
 		}
-		changed.Lifted, changed.Pin, changed.Revision = true, in.ByName(pin.Name), next.Revision
-		return next, changed, nil
+		entry.Lifted, entry.Pin, entry.Revision = true, current.ByName(pin.Name), next.Revision
+		return next, entry, nil
 	}
 	if err := s.checkScope(pin); err != nil {
 		return nil, nil, err
 	}
 	pin.SetAtMs = order.AtMs
-	next, err := in.Add(pin)
+	next, err := current.Add(pin)
 	if err != nil {
 		return nil, nil, err
 	}
-	changed.Pin, changed.Revision = next.ByName(pin.Name), next.Revision
-	return next, changed, nil
+	entry.Pin, entry.Revision = next.ByName(pin.Name), next.Revision
+	return next, entry, nil
 }
 
 // checkScope validates that a pin's requests can be bound to it at all routers: they need API keys,
@@ -108,14 +108,14 @@
 
 // applyPin is Apply for an order that changes pins. It reports whether it did.
 func (s *Store) applyPin(order *message.Order) (ok bool) {
-	next, changed, err := s.nextPins(order)
+	next, entry, err := s.nextPins(order)
 	if err != nil {
 		return false // Decide has checked it; whatever fails here fails on all members alike
 	}
 	s.state = s.state.WithPins(next)
-	s.pinHistory = append(s.pinHistory, changed)
-	if over := len(s.pinHistory) - pins.MaxChanges; over > 0 {
-		s.pinHistory = slices.Delete(s.pinHistory, 0, over)
+	s.pinHistory = append(s.pinHistory, entry)
+	if excess := len(s.pinHistory) - pins.MaxChanges; excess > 0 {
+		s.pinHistory = slices.Delete(s.pinHistory, 0, excess)
 	}
 	return true
 }
--- a/internal/system/deciders/configuration/replicated_test.go
+++ b/internal/system/deciders/configuration/replicated_test.go
@@ -26,22 +26,22 @@
 )
 
 // replicated runs the store in a simulation. Each order is a complete configuration or a patch.
-type replicated struct {
+type storeApplication struct {
 	routes int // that each configuration has beside the one that names its order
 }
 
 // New implements simulation.Application.
-func (replicated) New() chain.Machine { return configuration.NewStore() }
+func (storeApplication) New() chain.Machine { return configuration.NewStore() }
 
 // Version implements simulation.Application.
-func (replicated) Version(m chain.Machine) int {
+func (storeApplication) Version(m chain.Machine) int {
 	state, _ := m.Value().(*configuration.State)
 	return int(state.Version())
 }
 
 // Encode implements simulation.Application: a PATCH where the version is odd and there is something
 // to change.
-func (r replicated) Encode(o simulation.Command) []byte {
+func (r storeApplication) Encode(o simulation.Command) []byte {
 	order := &message.Order{Kind: message.Order_PUT, IfMatch: int64(o.Base), Body: r.document(o)}
 	if o.Base > 0 && o.Next%2 == 1 {
 		order.Kind = message.Order_PATCH
@@ -68,7 +68,7 @@
 }
 
 // document is a complete configuration with the name of an order.
-func (r replicated) document(o simulation.Command) []byte {
+func (r storeApplication) document(o simulation.Command) []byte {
 	routes := []string{routeOf(o.Name)}
 	for i := range r.routes {
 		routes = append(routes, fmt.Sprintf(`{"name":"r%d","host":"h%d.example","pathPrefix":"/p%d/","kind":"safe","timeoutMs":1000,"service":%q,"maxAttempts":2}`, i, i, i, serviceName))
@@ -78,7 +78,7 @@
 }
 
 // NameOf implements simulation.Application.
-func (replicated) NameOf(change []byte) string {
+func (storeApplication) NameOf(change []byte) string {
 	in := &message.Change{}
 	if proto.Unmarshal(change, in) != nil {
 		return ""
@@ -91,7 +91,7 @@
 }
 
 // Outcome implements simulation.Application, as the control API answers an operator.
-func (replicated) Outcome(reply []byte) (simulation.Outcome, error) {
+func (storeApplication) Outcome(reply []byte) (simulation.Outcome, error) {
 	out := &message.OrderReply{}
 	if err := proto.Unmarshal(reply, out); err != nil {
 		return simulation.Outcome{}, err
@@ -109,34 +109,34 @@
 }
 
 const (
-	storeFaultsFor = 30 * time.Second
-	storeRecovery  = 17 * time.Second
-	storeCalls     = 150 * time.Millisecond
-	largeCalls     = time.Second // each read of 170 kB takes 0.14 s of the tail's link
+	storeFaultDuration = 30 * time.Second
+	storeRecoveryTime  = 17 * time.Second
+	storeCallInterval  = 150 * time.Millisecond
+	largeCallInterval  = time.Second // each read of 170 kB takes 0.14 s of the tail's link
 )
 
 // playStore runs the store under random faults, on links of a bandwidth.
-func playStore(seed uint64, machines, tolerance, routes, bandwidth int, overlap bool, trace func(string, ...any)) *simulation.World {
-	w := simulation.New(simulation.Options{Seed: seed, Machines: machines, Tolerance: tolerance, Application: replicated{routes}, Bandwidth: bandwidth, Trace: trace})
+func simulateStore(seed uint64, machines, tolerance, routes, bandwidth int, overlap bool, trace func(string, ...any)) *simulation.World {
+	w := simulation.New(simulation.Options{Seed: seed, Machines: machines, Tolerance: tolerance, Application: storeApplication{routes}, Bandwidth: bandwidth, Trace: trace})
 	w.StartAll()
-	d := w.InjectFaults(simulation.Kinds(), storeFaultsFor, overlap)
+	d := w.InjectFaults(simulation.Kinds(), storeFaultDuration, overlap)
 	for i := range 2 {
 		c := w.NewClient(seed%2 == 0)
 		if seed%2 == 1 && i == 0 {
 			c.BuildAhead()
 		}
 		if bandwidth > 0 {
-			c.Loop(largeCalls)
+			c.Loop(largeCallInterval)
 		} else {
-			c.Loop(storeCalls)
+			c.Loop(storeCallInterval)
 		}
 	}
-	w.Run(storeFaultsFor)
+	w.Run(storeFaultDuration)
 	for w.Violation == nil && w.Now < d.EndsAt() {
 		w.Run(d.EndsAt())
 	}
-	w.Run(w.Now + storeRecovery)
-	if w.Violation == nil && w.Now-w.History.LastAcknowledged > storeRecovery/2 {
+	w.Run(w.Now + storeRecoveryTime)
+	if w.Violation == nil && w.Now-w.History.LastAcknowledged > storeRecoveryTime/2 {
 		w.Fail("no order was acknowledged since %v", w.History.LastAcknowledged)
 	}
 	w.CheckEnd()
@@ -166,7 +166,7 @@
 				trace = t.Logf
 			}
 			faultplan.ForEachParallel(c.schedules, func(i int) {
-				w := playStore(uint64(i+1), c.machines, c.tolerance, c.routes, c.bandwidth, c.overlap, trace)
+				w := simulateStore(uint64(i+1), c.machines, c.tolerance, c.routes, c.bandwidth, c.overlap, trace)
 				if w.Violation != nil {
 					t.Errorf("seed %d: %v", i+1, w.Violation)
 				}
@@ -184,53 +184,53 @@
 // snapshot, or without its disk.
 func TestMemberCatchesUpInTime(t *testing.T) {
 	const (
-		routes  = 1200 // 170 kB
-		changes = 300
-		away    = 20 * time.Second
-		inTime  = 4 * time.Second
+		routes       = 1200 // 170 kB
+		changes      = 300
+		downtime     = 20 * time.Second
+		catchUpLimit = 4 * time.Second
 	)
 	for _, c := range []struct {
 		name   string
 		faults func(w *simulation.World, back *simulation.Process)
 		within time.Duration
 	}{
-		{"nothing else", func(*simulation.World, *simulation.Process) {}, inTime},
-		{"a slow disk", func(_ *simulation.World, back *simulation.Process) { back.SlowDisk(30*time.Millisecond, time.Minute) }, inTime},
+		{"nothing else", func(*simulation.World, *simulation.Process) {}, catchUpLimit},
+		{"a slow disk", func(_ *simulation.World, back *simulation.Process) { back.SlowDisk(30*time.Millisecond, time.Minute) }, catchUpLimit},
 		{"killed again and again", func(w *simulation.World, back *simulation.Process) {
 			for i := range 3 {
 				w.After(time.Duration(i+1)*150*time.Millisecond, back.Crash)
 				w.After(time.Duration(i+1)*150*time.Millisecond+50*time.Millisecond, back.Start)
 			}
-		}, inTime + time.Second},
-		{"its disk is gone", func(_ *simulation.World, back *simulation.Process) {}, inTime},
+		}, catchUpLimit + time.Second},
+		{"its disk is gone", func(_ *simulation.World, back *simulation.Process) {}, catchUpLimit},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			w := simulation.New(simulation.Options{Seed: 3, Machines: 3, Tolerance: 1, Application: replicated{routes}, Bandwidth: 10_000_000 / 8, Sync: time.Millisecond})
+			w := simulation.New(simulation.Options{Seed: 3, Machines: 3, Tolerance: 1, Application: storeApplication{routes}, Bandwidth: 10_000_000 / 8, Sync: time.Millisecond})
 			w.StartAll()
 			w.NewClient(true).Loop(20 * time.Millisecond)
 			w.Run(3 * time.Second)
-			back := w.Processes[0]
-			back.Crash()
-			w.Run(3*time.Second + away)
+			restarted := w.Processes[0]
+			restarted.Crash()
+			w.Run(3*time.Second + downtime)
 			for w.Violation == nil && w.History.Commands < changes && w.Now < 5*time.Minute {
 				w.Run(w.Now + time.Second)
 			}
 			is.True(w.History.Commands >= changes)
 			if c.name == "its disk is gone" {
-				back.Wipe()
+				restarted.Wipe()
 			}
-			began := w.Now
-			back.Start()
-			c.faults(w, back)
-			for w.Violation == nil && w.Now < began+2*c.within && !inChain(w.Processes[1], back) {
+			restartedAt := w.Now
+			restarted.Start()
+			c.faults(w, restarted)
+			for w.Violation == nil && w.Now < restartedAt+2*c.within && !inChain(w.Processes[1], restarted) {
 				w.Run(w.Now + 20*time.Millisecond)
 			}
 			is.NoErr(w.Violation)
-			t.Logf("in the chain after %v", w.Now-began)
-			is.True(inChain(w.Processes[1], back))
-			is.True(w.Now-began <= c.within)
+			t.Logf("in the chain after %v", w.Now-restartedAt)
+			is.True(inChain(w.Processes[1], restarted))
+			is.True(w.Now-restartedAt <= c.within)
 			w.CheckEnd()
 			is.NoErr(w.Violation)
 		})
@@ -258,9 +258,9 @@
 }
 
 // orderOn is an order of one operator for a version.
-func orderOn(on, next int64, name string) []byte {
-	text, _ := proto.Marshal(&message.Order{Kind: message.Order_PUT, IfMatch: on,
-		Body: replicated{1}.document(simulation.Command{Name: name, Base: int(on), Next: int(next)})})
+func orderOn(base, next int64, name string) []byte {
+	text, _ := proto.Marshal(&message.Order{Kind: message.Order_PUT, IfMatch: base,
+		Body: storeApplication{1}.document(simulation.Command{Name: name, Base: int(base), Next: int(next)})})
 	return text
 }
 
--- a/internal/system/deciders/configuration/store.go
+++ b/internal/system/deciders/configuration/store.go
@@ -45,9 +45,9 @@
 
 // Decide implements chain.Machine for orders and changes of package message. It runs at the head
 // only; an order that is rejected has no change.
-func (s *Store) Decide(text []byte) (change, reply []byte) {
+func (s *Store) Decide(command []byte) (change, reply []byte) {
 	order := &message.Order{}
-	if err := proto.Unmarshal(text, order); err != nil {
+	if err := proto.Unmarshal(command, order); err != nil {
 		return nil, s.reply(http.StatusBadRequest, err.Error())
 	}
 	d := digest(order)
@@ -108,14 +108,14 @@
 }
 
 // Apply implements chain.Machine. It runs on all members in the same order.
-func (s *Store) Apply(text []byte) {
+func (s *Store) Apply(encoded []byte) {
 	change := &message.Change{}
-	if proto.Unmarshal(text, change) != nil || len(change.Digest) != digestLen {
+	if proto.Unmarshal(encoded, change) != nil || len(change.Digest) != digestLen {
 		return
 	}
 	if isPinOrder(change.Order) {
 		if s.applyPin(change.Order) {
-			s.remember([digestLen]byte(change.Digest))
+			s.addDigest([digestLen]byte(change.Digest))
 		}
 		return
 	}
@@ -124,11 +124,11 @@
 		return // Decide has checked it; whatever fails here fails on all members alike
 	}
 	s.state = next
-	s.remember([digestLen]byte(change.Digest))
+	s.addDigest([digestLen]byte(change.Digest))
 }
 
 // remember adds a digest and forgets the oldest beyond MaxDigests.
-func (s *Store) remember(d [digestLen]byte) {
+func (s *Store) addDigest(d [digestLen]byte) {
 	if s.digests[d] {
 		return
 	}
@@ -156,9 +156,9 @@
 }
 
 // Restore implements chain.Machine. After an error the store is unchanged.
-func (s *Store) Restore(text []byte) error {
+func (s *Store) Restore(snapshot []byte) error {
 	stored := &message.Stored{}
-	if err := proto.Unmarshal(text, stored); err != nil {
+	if err := proto.Unmarshal(snapshot, stored); err != nil {
 		return err
 	}
 	next := NewStore()
@@ -176,7 +176,7 @@
 	}
 	next.pinHistory = stored.PinHistory
 	for chunk := range bytesChunks(stored.Digests, digestLen) {
-		next.remember([digestLen]byte(chunk))
+		next.addDigest([digestLen]byte(chunk))
 	}
 	*s = *next
 	return nil
--- a/internal/system/deciders/configuration/stored_test.go
+++ b/internal/system/deciders/configuration/stored_test.go
@@ -16,8 +16,8 @@
 
 // storedOrders are the orders that lead to it.
 func storedOrders() [][]byte {
-	order := func(kind message.Order_Kind, on int64, body string) []byte {
-		text, _ := proto.Marshal(&message.Order{Kind: kind, IfMatch: on, Body: []byte(body), AtMs: 1})
+	order := func(kind message.Order_Kind, base int64, body string) []byte {
+		text, _ := proto.Marshal(&message.Order{Kind: kind, IfMatch: base, Body: []byte(body), AtMs: 1})
 		return text
 	}
 	return [][]byte{
@@ -34,15 +34,15 @@
 // and encoded to the same bytes.
 func TestStoredStateOfEarlierVersion(t *testing.T) {
 	is := is.New(t)
-	made := NewStore()
+	written := NewStore()
 	for _, text := range storedOrders() {
-		if r := decide(t, made, text); r.Status != 200 {
+		if r := decide(t, written, text); r.Status != 200 {
 			t.Fatal(r.Text)
 		}
 	}
-	golden.Same(t, "stored", made.Snapshot())
+	golden.Same(t, "stored", written.Snapshot())
 	s := NewStore()
-	is.NoErr(s.Restore(golden.File(t, "stored", made.Snapshot())))
+	is.NoErr(s.Restore(golden.File(t, "stored", written.Snapshot())))
 	is.Equal(string(s.state.JSON()), `{"version":5,"routes":[{"name":"r","host":"h","pathPrefix":"/","kind":"safe","timeoutMs":1000,"service":"s"}],"services":[{"name":"s"},{"name":"t"}],`+
 		`"tenants":[{"name":"x","apiKeys":["k"],"ratePerS":2.50,"burst":3}],"unknown":{"n":[1e3]}}`)
 	a := &message.Pin{Name: "a", Tenant: "x", Model: "m", Version: 2, By: "ann", Why: "trial", SetAtMs: 7, Revision: 1}
@@ -54,5 +54,5 @@
 	for _, text := range storedOrders() {
 		is.Equal(decide(t, s, text).Status, int32(200)) // taken before
 	}
-	is.Equal(s.Snapshot(), made.Snapshot())
+	is.Equal(s.Snapshot(), written.Snapshot())
 }
--- a/internal/system/deciders/instances/instances.go
+++ b/internal/system/deciders/instances/instances.go
@@ -150,8 +150,8 @@
 		return nil
 	}
 	old.lastHeartbeat = r.now
-	undrains := old.State == message.Instance_DRAINING && in.State == message.Instance_READY
-	if undrains || equalContent(old.Instance, in) || !supersedes(in, old.Instance) {
+	endsDrain := old.State == message.Instance_DRAINING && in.State == message.Instance_READY
+	if endsDrain || equalContent(old.Instance, in) || !supersedes(in, old.Instance) {
 		return nil
 	}
 	return r.store(in)
--- a/internal/system/deciders/instances/instances_test.go
+++ b/internal/system/deciders/instances/instances_test.go
@@ -31,7 +31,7 @@
 func TestRecordsSupersedeByStateAndSequence(t *testing.T) {
 	for _, c := range []struct {
 		have, new *message.Instance
-		taken     bool
+		merged    bool
 	}{
 		{nil, instance("i", ready, 1), true},
 		{instance("i", ready, 1), instance("i", ready, 1), false},
@@ -51,7 +51,7 @@
 		if c.have != nil {
 			r.Merge(0, []*message.Instance{c.have})
 		}
-		if got := len(r.Merge(0, []*message.Instance{c.new})) > 0; got != c.taken {
+		if got := len(r.Merge(0, []*message.Instance{c.new})) > 0; got != c.merged {
 			t.Errorf("%v, then %v: taken %v", c.have, c.new, got)
 		}
 	}
@@ -69,8 +69,8 @@
 		one.Merge(0, records)
 		shuffled := append(slices.Clone(records), records[:10]...)
 		rng.Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
-		for _, w := range shuffled {
-			other.Merge(0, []*message.Instance{w})
+		for _, record := range shuffled {
+			other.Merge(0, []*message.Instance{record})
 		}
 		if diff := cmp.Diff(one.ChangedSince("s", 0), other.ChangedSince("s", 0), protocmp.Transform()); diff != "" {
 			t.Fatalf("seed %d: %s", seed, diff)
--- a/internal/system/deciders/pins/pins.go
+++ b/internal/system/deciders/pins/pins.go
@@ -91,8 +91,8 @@
 
 // overlap reports whether a request can be in the scopes of both pins.
 func overlap(p, o *message.Pin) bool {
-	meet := func(a, b string) bool { return a == "" || b == "" || a == b }
-	return p.Model == o.Model && meet(p.Tenant, o.Tenant) && meet(p.Route, o.Route)
+	intersect := func(a, b string) bool { return a == "" || b == "" || a == b }
+	return p.Model == o.Model && intersect(p.Tenant, o.Tenant) && intersect(p.Route, o.Route)
 }
 
 // Remove returns a set without the pin of a name. It returns an *UnknownError.
--- a/internal/system/deciders/pins/pins_test.go
+++ b/internal/system/deciders/pins/pins_test.go
@@ -40,10 +40,10 @@
 			p := pin("p", "x", "", 1)
 			c.change(p)
 			err := Check(p)
-			var wrong *FieldError
-			is.Equal(errors.As(err, &wrong), c.field != "")
-			if wrong != nil {
-				is.Equal(wrong.Field, c.field)
+			var fieldErr *FieldError
+			is.Equal(errors.As(err, &fieldErr), c.field != "")
+			if fieldErr != nil {
+				is.Equal(fieldErr.Field, c.field)
 			}
 		})
 	}
@@ -77,7 +77,7 @@
 func TestOverlapIsRejected(t *testing.T) {
 	for _, c := range []struct {
 		tenant, route string
-		meets         bool
+		overlaps      bool
 	}{
 		{"x", "", true}, {"x", "r", true}, {"", "r", true}, {"", "q", false}, {"y", "", false}, {"x", "q", false}, {"y", "r", false},
 	} {
@@ -86,8 +86,8 @@
 		is.NoErr(err)
 		_, err = s.Add(pin("new", c.tenant, c.route, 2))
 		var overlap *OverlapError
-		is.Equal(errors.As(err, &overlap), c.meets)
-		if c.meets {
+		is.Equal(errors.As(err, &overlap), c.overlaps)
+		if c.overlaps {
 			is.True(strings.Contains(err.Error(), "old") && strings.Contains(err.Error(), "new"))
 		}
 		other := pin("new", c.tenant, c.route, 2)
@@ -129,8 +129,8 @@
 		s = next
 	}
 	_, err := s.Add(pin("more", "y", "", 1))
-	var wrong *FieldError
-	is.True(errors.As(err, &wrong))
+	var fieldErr *FieldError
+	is.True(errors.As(err, &fieldErr))
 	_, err = s.Add(pin("p3", "x3", "", 2)) // replaces one
 	is.NoErr(err)
 }
--- a/internal/system/deciders/sampling/sampling_test.go
+++ b/internal/system/deciders/sampling/sampling_test.go
@@ -15,13 +15,13 @@
 func TestLargestPromptsWithinRate(t *testing.T) {
 	const (
 		perSecond = 100.0
-		length    = 2_000 * time.Second
+		duration  = 2_000 * time.Second
 	)
 	lognormal := func(r *rand.Rand) float64 { return 1500 * math.Exp(r.NormFloat64()) }
 	for _, c := range []struct {
 		name        string
 		recipients  int
-		every       time.Duration // between prompts
+		interval    time.Duration // between prompts
 		tokens      func(*rand.Rand) float64
 		minSelected float64 // fraction of the tokens
 	}{
@@ -38,29 +38,29 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			drawn := rand.New(rand.NewPCG(1, 2))
+			rng := rand.New(rand.NewPCG(1, 2))
 			s := New(perSecond)
 			sent, selected, messages, prompts := 0.0, 0.0, 0, 0
-			var sizes, of []float64 // of all, and of those that are selected
-			for now := time.Duration(0); now < length; now += c.every {
-				tokens := c.tokens(drawn)
+			var sizes, selectedSizes []float64 // of all, and of those that are selected
+			for now := time.Duration(0); now < duration; now += c.interval {
+				tokens := c.tokens(rng)
 				sent += tokens
 				prompts++
 				sizes = append(sizes, tokens)
-				if s.Sample(now, tokens, c.recipients, drawn.Float64()) {
+				if s.Sample(now, tokens, c.recipients, rng.Float64()) {
 					selected += tokens
 					messages += c.recipients
-					of = append(of, tokens)
+					selectedSizes = append(selectedSizes, tokens)
 				}
 			}
-			rate := float64(messages) / length.Seconds()
+			rate := float64(messages) / duration.Seconds()
 			is.True(rate <= perSecond*1.1)                                          // the average of the last seconds is not that of all
 			is.True(rate >= perSecond*0.8 || messages >= prompts*c.recipients*9/10) // and is made use of
 			is.True(selected >= c.minSelected*sent)                                 // the largest are selected first
 			slices.Sort(sizes)
-			slices.Sort(of)
-			threshold := sizes[len(sizes)-len(of)]   // from which on all would be selected if all sizes were known before
-			is.True(of[len(of)/10] >= threshold*0.8) // nine in ten of those that are selected are among these, or nearly
+			slices.Sort(selectedSizes)
+			threshold := sizes[len(sizes)-len(selectedSizes)]              // from which on all would be selected if all sizes were known before
+			is.True(selectedSizes[len(selectedSizes)/10] >= threshold*0.8) // nine in ten of those that are selected are among these, or nearly
 			t.Logf("%.0f messages a second, %.2f of the tokens selected", rate, selected/sent)
 		})
 	}
@@ -85,12 +85,12 @@
 
 // BenchmarkPick is what a prompt costs a router of the planned size, before anything is sent.
 func BenchmarkPick(b *testing.B) {
-	drawn := rand.New(rand.NewPCG(1, 2))
+	rng := rand.New(rand.NewPCG(1, 2))
 	s := New(85)
 	now := time.Duration(0)
 	b.ReportAllocs()
 	for b.Loop() {
 		now += 95 * time.Millisecond
-		s.Sample(now, 1500*math.Exp(drawn.NormFloat64()), 329, drawn.Float64())
+		s.Sample(now, 1500*math.Exp(rng.NormFloat64()), 329, rng.Float64())
 	}
 }
--- a/internal/system/deciders/sampling/tokenbucket_test.go
+++ b/internal/system/deciders/sampling/tokenbucket_test.go
@@ -10,16 +10,16 @@
 // Under constant demand as many messages are allowed as the rate and the burst.
 func TestTokenBucketAllowsRateAndBurst(t *testing.T) {
 	is := is.New(t)
-	a := NewTokenBucket(100, 300)
+	bucket := NewTokenBucket(100, 300)
 	sent := 0
 	for now := time.Duration(0); now <= 10*time.Second; now += time.Millisecond {
-		if a.Take(now, 71) {
+		if bucket.Take(now, 71) {
 			sent += 71
 		}
 	}
 	is.True(sent <= 1300)
 	is.True(sent > 1300-2*71)
-	is.True(!a.Take(10*time.Second, 71))
-	is.True(a.Take(20*time.Second, 300)) // no more than the burst is saved up
-	is.True(!a.Take(20*time.Second, 1))
+	is.True(!bucket.Take(10*time.Second, 71))
+	is.True(bucket.Take(20*time.Second, 300)) // no more than the burst is saved up
+	is.True(!bucket.Take(20*time.Second, 1))
 }
