--- a/internal/system/deciders/configuration/configuration_test.go
+++ b/internal/system/deciders/configuration/configuration_test.go
@@ -284,7 +284,7 @@
 
 // Difference returns a patch that turns one document into the other, or none.
 func TestDifferenceIsAPatch(t *testing.T) {
-	change := func(old, build string) string { return strings.Replace(small, old, build, 1) }
+	change := func(old, replacement string) string { return strings.Replace(small, old, replacement, 1) }
 	for name, c := range map[string]struct {
 		before, after string
 		ok            bool
@@ -316,9 +316,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			made, err := before.Apply(patch)
-			if err != nil || string(made.JSON()) != string(after.JSON()) {
-				t.Errorf("it makes %s, %v", made.JSON(), err)
+			patched, err := before.Apply(patch)
+			if err != nil || string(patched.JSON()) != string(after.JSON()) {
+				t.Errorf("it makes %s, %v", patched.JSON(), err)
 			}
 		})
 	}
--- a/internal/system/deciders/configuration/pinorders_test.go
+++ b/internal/system/deciders/configuration/pinorders_test.go
@@ -17,10 +17,10 @@
  "services":[{"name":"s"}],"tenants":[{"name":"x","apiKeys":["k"]},{"name":"y","apiKeys":["l"]}]}`
 
 // pinOrder is an order to set or lift a pin, as the control API makes them.
-func pinOrder(kind message.Order_Kind, on int64, pin *message.Pin, at int64) []byte {
+func pinOrder(kind message.Order_Kind, base int64, pin *message.Pin, atMs int64) []byte {
 	pin.By, pin.Why = "ann", "trial"
 	body, _ := proto.Marshal(pin)
-	text, _ := proto.Marshal(&message.Order{Kind: kind, IfMatch: on, Body: body, AtMs: at})
+	text, _ := proto.Marshal(&message.Order{Kind: kind, IfMatch: base, Body: body, AtMs: atMs})
 	return text
 }
 
