--- a/internal/system/dataplane/intake.go
+++ b/internal/system/dataplane/intake.go
@@ -66,7 +66,7 @@
 	if a.route == nil {
 		return nil, p.deny(http.StatusNotFound, "no such route")
 	}
-	if state.Typed.Keyed() && !a.route.Public {
+	if state.Typed.RequiresAPIKeys() && !a.route.Public {
 		if !p.o.Fresh() {
 			return nil, &transport.Rejection{Code: http.StatusServiceUnavailable, Text: "keys can not be checked now", RetryAfter: startupRetryAfter()}
 		}
--- a/internal/system/deciders/configuration/compile.go
+++ b/internal/system/deciders/configuration/compile.go
@@ -159,7 +159,7 @@
 }
 
 // Keyed reports whether requests need API keys, except on public routes.
-func (c *Configuration) Keyed() bool { return c.requiresAPIKeys }
+func (c *Configuration) RequiresAPIKeys() bool { return c.requiresAPIKeys }
 
 // LowestPriority returns the Priority of the least urgent route: the largest number.
 func (c *Configuration) LowestPriority() int { return c.lowestPriority }
--- a/internal/system/deciders/configuration/configuration_test.go
+++ b/internal/system/deciders/configuration/configuration_test.go
@@ -105,7 +105,7 @@
 		}
 		is.Equal(name, x.route)
 	}
-	is.True(c.Keyed())
+	is.True(c.RequiresAPIKeys())
 	is.Equal(c.Tenant("k2").Name, "x")
 	is.Equal(c.Tenant("k3"), nil)
 	is.True(c.Routes[0].Idempotent())
@@ -118,7 +118,7 @@
 	for text, keyed := range map[string]bool{`{"version":1}`: false, `{"version":1,"tenants":[]}`: true} {
 		c, err := Compile(parse(t, text))
 		is.NoErr(err)
-		is.Equal(c.Keyed(), keyed)
+		is.Equal(c.RequiresAPIKeys(), keyed)
 	}
 }
 
--- a/internal/system/deciders/configuration/pinorders.go
+++ b/internal/system/deciders/configuration/pinorders.go
@@ -87,7 +87,7 @@
 // checkScope validates that a pin's requests can be bound to it at all routers: they need API keys,
 // which an isolated router stops accepting.
 func (s *Store) checkScope(pin *message.Pin) error {
-	if s.state == nil || !s.state.Typed.Keyed() {
+	if s.state == nil || !s.state.Typed.RequiresAPIKeys() {
 		return &pins.FieldError{Field: "tenant", Reason: "the configuration has no tenants; only requests with keys can be pinned"}
 	}
 	if pin.Tenant != "" && s.state.Typed.TenantNamed(pin.Tenant) == nil {
--- a/internal/system/roles/node/http.go
+++ b/internal/system/roles/node/http.go
@@ -122,7 +122,7 @@
 	if n.front.Draining() || !n.plane.Serving() {
 		return false
 	}
-	return n.honoursKeys() || !n.plane.State().Typed.Keyed()
+	return n.honoursKeys() || !n.plane.State().Typed.RequiresAPIKeys()
 }
 
 // controlAddress is where hosts reach the control plane of a router: the port is the same on every
