--- a/internal/system/deciders/configuration/pinorders_test.go
+++ b/internal/system/deciders/configuration/pinorders_test.go
@@ -39,7 +39,7 @@
 	for _, c := range []struct {
 		name   string
 		kind   message.Order_Kind
-		on     int64
+		base   int64
 		pin    *message.Pin
 		status int32
 	}{
@@ -58,7 +58,7 @@
 			is := is.New(t)
 			s := pinnableStore(t)
 			is.Equal(decide(t, s, pinOrder(message.Order_PIN_SET, 0, &message.Pin{Name: "a", Tenant: "x", Model: "m", Version: 2}, 7)).Status, int32(200))
-			got := decide(t, s, pinOrder(c.kind, c.on, c.pin, 8))
+			got := decide(t, s, pinOrder(c.kind, c.base, c.pin, 8))
 			is.Equal(got.Status, c.status)
 			is.Equal(got.Version, s.state.Pins().Revision)
 			is.Equal(got.Text == "", c.status == 200) // a rejection has a reason
@@ -154,8 +154,8 @@
 			if err := next.Restore(s.Snapshot()); err != nil {
 				t.Fatal(err)
 			}
-			if got, kept := s.state.Pins().Revision, next.state.Pins().Revision; got != int64(i+1) || kept != got {
-				t.Fatalf("revision %d, kept as %d, after %d orders", got, kept, i+1)
+			if got, restored := s.state.Pins().Revision, next.state.Pins().Revision; got != int64(i+1) || restored != got {
+				t.Fatalf("revision %d, kept as %d, after %d orders", got, restored, i+1)
 			}
 		}
 	})
--- a/internal/system/deciders/configuration/replicated_test.go
+++ b/internal/system/deciders/configuration/replicated_test.go
@@ -52,8 +52,8 @@
 }
 
 const (
-	serviceName = "s"
-	nameMark    = "|"
+	serviceName   = "s"
+	nameDelimiter = "|"
 )
 
 // patchOf is a patch of the route that names its order.
@@ -64,7 +64,7 @@
 // routeOf is the route that carries the name of an order.
 func routeOf(name string) string {
 	return fmt.Sprintf(`{"name":"maker","host":"maker.example","pathPrefix":"/%s%s%s/","kind":"safe","timeoutMs":1000,"service":%q,"maxAttempts":1}`,
-		nameMark, name, nameMark, serviceName)
+		nameDelimiter, name, nameDelimiter, serviceName)
 }
 
 // document is a complete configuration with the name of an order.
@@ -83,7 +83,7 @@
 	if proto.Unmarshal(change, in) != nil {
 		return ""
 	}
-	parts := strings.SplitN(string(in.Order.GetBody()), nameMark, 3)
+	parts := strings.SplitN(string(in.Order.GetBody()), nameDelimiter, 3)
 	if len(parts) < 3 {
 		return ""
 	}
