--- a/internal/system/deciders/instances/instances.go
+++ b/internal/system/deciders/instances/instances.go
@@ -1,9 +1,12 @@
-// Package instances is the registry of model hosts: which exist and in which state each is, by
-// their own heartbeats and by what other routers report. It is pure.
+// Package instances implements the registry of model hosts. The registry holds the state of each
+// host, which it learns from the host's heartbeats and from records of other routers. The package
+// does no I/O and reads no clock: callers pass the current time.
 //
-// Records are merged by a total order, so routers that have exchanged the same records, in any
-// order and however often, agree. Removed supersedes draining, which supersedes ready and lost; of
-// two records in the same of these groups the later heartbeat does.
+// The records of a host have a total order, and the registry keeps the greatest. Routers that have
+// exchanged the same records therefore agree, in whatever order and however often the records
+// arrived. The state removed (GONE in messages) supersedes draining, and draining supersedes both
+// ready and lost. Between two records of the same state, or between ready and lost, the record of
+// the later heartbeat supersedes the other. For the same heartbeat, lost supersedes ready.
 package instances
 
 import (
@@ -18,40 +21,43 @@
 )
 
 const (
-	// MaxInstances bounds the hosts that are known, removed ones included.
+	// MaxInstances is the maximum number of hosts in a registry, including removed hosts.
 	MaxInstances = 20_000
-	// removedTTL is how long a removed host is remembered, so that no late record brings it back.
+	// removedTTL is how long the record of a removed host is retained, so that no late record of
+	// the host adds it again.
 	removedTTL = 10 * time.Minute
-	// missedHeartbeats is how many heartbeats may be missing before a host is lost.
+	// missedHeartbeats is the number of heartbeat intervals without a heartbeat after which a host
+	// is considered lost.
 	missedHeartbeats = 3.5
-	// minSweepSize is the number of records below which none is forgotten.
+	// minSweepSize is the number of records below which no removed host is deleted.
 	minSweepSize = 256
-	// sweepInterval is the time between two sweeps of removed hosts.
+	// sweepInterval is the shortest time between two sweeps, which delete old records of removed
+	// hosts.
 	sweepInterval = 10 * time.Second
 )
 
-// Record is a host as this router knows it. It must not be changed.
+// Record is what this router knows about a host. Callers must not change it.
 type Record struct {
 	*message.Instance
-	SlowStartUntil time.Duration // on this router's clock; 0 for a host that is warm
-	revision       uint64
-	lastHeartbeat  time.Duration // as far as this router knows
-	stateSince     time.Duration
+	SlowStartUntil time.Duration // end of the slow start, on this router's clock; 0 for a warm host
+	revision       uint64        // of the registry, when the record was stored
+	lastHeartbeat  time.Duration // as far as this router knows; DetectLost measures from it
+	stateSince     time.Duration // when the record was stored
 }
 
-// Registry is the hosts that one router knows.
+// Registry holds the hosts that one router knows, including lost and removed hosts.
 type Registry struct {
-	now              time.Duration
+	now              time.Duration // the latest time that a caller passed
 	interval         time.Duration // between two heartbeats of a host
 	revision         uint64
-	records          map[string]*Record            // by id
-	byService        map[string]map[string]*Record // by id
-	serviceRevisions map[string]uint64
-	sorted           map[string][]*Record // by service; a cache that a change of the service clears
+	records          map[string]*Record            // by host id
+	byService        map[string]map[string]*Record // by service, then by host id
+	serviceRevisions map[string]uint64             // by service
+	sorted           map[string][]*Record          // by service; a cache, cleared by changes of the service
 	nextSweepAt      time.Duration
 }
 
-// New returns an empty registry at revision 1, for hosts that send a heartbeat at an interval.
+// New returns an empty registry at revision 1 for hosts that send heartbeats at the given interval.
 func New(interval time.Duration) *Registry {
 	return &Registry{
 		interval:         interval,
@@ -63,20 +69,21 @@
 	}
 }
 
-// Revision grows with each change.
+// Revision returns the revision of the registry, which increases with each change.
 func (r *Registry) Revision() uint64 { return r.revision }
 
-// ServiceRevision grows with each change of a service's hosts; 0 for none.
+// ServiceRevision returns the revision of the latest change to a host of the service, or 0 if there
+// was none.
 func (r *Registry) ServiceRevision(service string) uint64 { return r.serviceRevisions[service] }
 
-// Get returns the record of a host, nil for none.
+// Get returns the record of a host, or nil.
 func (r *Registry) Get(id string) *Record { return r.records[id] }
 
 // Services returns the names of all services that have or had hosts, sorted.
 func (r *Registry) Services() []string { return slices.Sorted(maps.Keys(r.byService)) }
 
-// Records returns the hosts of a service sorted by id, removed ones included. The slice must not be
-// changed.
+// Records returns the records of a service sorted by host id, including those of removed hosts.
+// Callers must not change the slice.
 func (r *Registry) Records(service string) []*Record {
 	if all, ok := r.sorted[service]; ok {
 		return all
@@ -87,10 +94,10 @@
 	return all
 }
 
-// Len returns how many hosts are known, removed ones included.
+// Len returns the number of hosts in the registry, including removed hosts.
 func (r *Registry) Len() int { return len(r.records) }
 
-// Active returns all hosts that are not removed.
+// Active returns all hosts that are not removed, including draining and lost hosts.
 func (r *Registry) Active() (all []*message.Instance) {
 	for _, service := range r.Services() {
 		for _, rec := range r.Records(service) {
@@ -102,8 +109,8 @@
 	return all
 }
 
-// ChangedSince returns the hosts of a service that changed after a revision, with the rest of their
-// slow start.
+// ChangedSince returns the hosts of a service that changed after a revision. Their ColdRemainingMs
+// is the remaining time of their slow start at present.
 func (r *Registry) ChangedSince(service string, after uint64) (all []*message.Instance) {
 	for _, rec := range r.Records(service) {
 		if rec.revision <= after {
@@ -119,7 +126,8 @@
 	return all
 }
 
-// Merge applies records of another router and returns those that were new here.
+// Merge applies records of another router and returns the records that superseded those in the
+// registry or added a host.
 func (r *Registry) Merge(now time.Duration, all []*message.Instance) (changed []*Record) {
 	r.now = max(r.now, now)
 	for _, in := range all {
@@ -135,8 +143,8 @@
 	return changed
 }
 
-// Heartbeat applies a heartbeat of a host. It returns the record if the host is new, or if the
-// heartbeat changed what other routers have to know; nil otherwise.
+// Heartbeat applies a heartbeat of a host. It returns the new record if other routers have to learn
+// of it, because the host is new or its content changed. Otherwise it returns nil.
 func (r *Registry) Heartbeat(now time.Duration, in *message.Instance) *Record {
 	r.now = max(r.now, now)
 	old := r.records[in.Id]
@@ -157,8 +165,8 @@
 	return r.store(in)
 }
 
-// Remove records that a host says it ends. It returns nil if the host is unknown or removed
-// already.
+// Remove records that a host announced its shutdown. It returns the new record, or nil if the host
+// is unknown or already removed.
 func (r *Registry) Remove(now time.Duration, id string) *Record {
 	r.now = max(r.now, now)
 	old := r.records[id]
@@ -170,8 +178,8 @@
 	return r.store(removed)
 }
 
-// TakeOwnership restarts the heartbeat time-outs of the hosts that this router has become
-// responsible for: their heartbeats went to another one before.
+// TakeOwnership restarts the heartbeat timeouts of the hosts for which this router has become
+// responsible, because their earlier heartbeats went to another router.
 func (r *Registry) TakeOwnership(now time.Duration, isOwned func(*Record) bool) {
 	r.now = max(r.now, now)
 	for _, rec := range r.records {
@@ -181,8 +189,9 @@
 	}
 }
 
-// DetectLost finds the hosts, of those that this router is responsible for, whose heartbeats are
-// missing. They become lost, those that drained removed.
+// DetectLost checks the hosts for which this router is responsible. Of those whose heartbeats have
+// been missing for missedHeartbeats intervals, it marks draining hosts as removed and ready hosts
+// as lost. It returns the changed records.
 func (r *Registry) DetectLost(now time.Duration, isOwned func(*Record) bool) (changed []*Record) {
 	r.now = max(r.now, now)
 	timeout := time.Duration(missedHeartbeats * float64(r.interval))
@@ -204,21 +213,22 @@
 	return changed
 }
 
-// supersedes reports whether a record of a host replaces another one.
+// supersedes reports whether record a of a host replaces record b of the same host. The package
+// comment states the order.
 func supersedes(a, b *message.Instance) bool {
 	rank := func(i *message.Instance) int { return max(int(i.State)-int(message.Instance_LOST), 0) }
 	return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a.Sequence, b.Sequence), cmp.Compare(a.State, b.State)) > 0
 }
 
-// equalContent reports whether two records of a host are equal but for their sequence and slow
-// start.
+// equalContent reports whether two records of a host are equal except for their sequence number and
+// remaining slow start.
 func equalContent(a, b *message.Instance) bool {
 	return a.State == b.State && a.Service == b.Service && a.Address == b.Address && a.Zone == b.Zone && a.Slots == b.Slots &&
 		a.Software == b.Software && a.Stage == b.Stage &&
 		slices.EqualFunc(a.Models, b.Models, func(x, y *message.Model) bool { return proto.Equal(x, y) })
 }
 
-// store replaces the record of a host.
+// store adds or replaces the record of a host and increments the revision.
 func (r *Registry) store(in *message.Instance) *Record {
 	r.revision++
 	rec := &Record{Instance: in, revision: r.revision, lastHeartbeat: r.now, stateSince: r.now}
@@ -243,7 +253,8 @@
 	return rec
 }
 
-// sweepRemoved forgets hosts that were removed longer than removedTTL ago.
+// sweepRemoved deletes the records of hosts that were removed at least removedTTL ago. It does
+// nothing if the registry is small or the last sweep was less than sweepInterval ago.
 func (r *Registry) sweepRemoved() {
 	if len(r.records) < minSweepSize || r.now < r.nextSweepAt {
 		return
--- a/internal/system/deciders/pins/doc.go
+++ b/internal/system/deciders/pins/doc.go
@@ -1,4 +1,4 @@
-// Package pins has the rules of version pins: a pin makes the requests of a tenant, of a route, or
-// of a tenant on a route be served by one version of a model. It is pure, and a Set never changes.
-// docs/design/pins.md has the design.
+// Package pins implements version pins. A pin makes routers serve the requests of a tenant, of a
+// route, or of a tenant on a route with one version of a model. The package does no I/O, and a Set
+// is immutable. The design is described in docs/design/pins.md.
 package pins
--- a/internal/system/deciders/pins/validate.go
+++ b/internal/system/deciders/pins/validate.go
@@ -8,12 +8,13 @@
 	"reachspread/internal/system/message"
 )
 
-// maxTextLen bounds each text of a pin, in bytes.
+// maxTextLen is the maximum length of each text field of a pin except its name, in bytes.
 const maxTextLen = 256
 
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
 
-// Check validates a pin that is to be set, by itself. It returns a *FieldError.
+// Check validates a pin that is to be set. It considers neither other pins nor the configuration.
+// The error is a *FieldError.
 func Check(p *message.Pin) error {
 	switch {
 	case !namePattern.MatchString(p.Name):
@@ -29,7 +30,7 @@
 	return checkTexts(p)
 }
 
-// CheckLift validates the request to lift a pin. It returns a *FieldError.
+// CheckLift validates a request to lift a pin, that is, to remove it. The error is a *FieldError.
 func CheckLift(p *message.Pin) error {
 	if !namePattern.MatchString(p.Name) {
 		return &FieldError{"name", fmt.Sprintf("%q is no pin's", p.Name)}
@@ -37,8 +38,9 @@
 	return checkTexts(p)
 }
 
-// checkTexts validates the length of all texts, and that who asks and why is given, for the
-// history.
+// checkTexts validates that the fields By and Why are set, because the pin history records who
+// requested each change and for what reason. It also validates the length of all text fields except
+// the name.
 func checkTexts(p *message.Pin) error {
 	required := []struct{ name, text string }{{"by", p.By}, {"why", p.Why}}
 	for _, field := range required {
--- a/internal/system/deciders/sampling/sampling.go
+++ b/internal/system/deciders/sampling/sampling.go
@@ -1,6 +1,6 @@
-// Package sampling selects which prompts a router reports to the other routers, so that the
-// messages per second stay bounded however many routers there are. It is pure: the caller passes
-// the time.
+// Package sampling selects the prompts that a router reports to the other routers, so that the rate
+// of messages stays bounded however many routers there are. The package does no I/O and reads no
+// clock: the caller passes the current time.
 package sampling
 
 import (
@@ -11,33 +11,34 @@
 )
 
 const (
-	// maxRecent is over how many prompts the threshold is computed. More of them follow a change of
-	// the sizes later.
+	// maxRecent is the number of recent prompts from which the threshold is computed. With a larger
+	// number, the threshold would follow a change of the prompt sizes later.
 	maxRecent = 128
-	// minSpan is the shortest time in which these are taken to have been sent.
+	// minSpan is the shortest period in which the recent prompts are assumed to have been sent.
 	minSpan = time.Second
 )
 
-// Sampler selects the prompts of one router.
+// Sampler selects which prompts of one router are reported.
 type Sampler struct {
-	perSecond float64  // messages to single recipients, on average
-	recent    []prompt // the oldest first
+	perSecond float64  // average number of messages; a report is one message to each recipient
+	recent    []prompt // the last maxRecent prompts, oldest first
 }
 
-// prompt is one that was sent.
+// prompt is a prompt that the router sent to a host.
 type prompt struct {
 	at     time.Duration
-	tokens float64 // to prefill
+	tokens float64 // number of tokens to prefill
 }
 
-// New returns a Sampler for a rate of messages per second, on average, one to each recipient of a
-// prompt that is reported.
+// New returns a Sampler that limits the average rate of messages, in messages per second. The
+// report of a prompt is one message to each recipient.
 func New(perSecond float64) *Sampler { return &Sampler{perSecond: perSecond} }
 
-// Sample records that a prompt with so many tokens to prefill is sent, and reports whether to
-// report it to the recipients. The largest prompts are selected, as many as the rate allows: a
-// prompt waits long behind a few large ones, and hardly behind many small ones. Random, drawn from
-// [0, 1), decides among prompts of exactly the threshold. Now must not go back.
+// Sample records that the router sends a prompt with the given number of tokens to prefill, and
+// returns whether to report the prompt to the recipients. Sample selects the largest prompts, as
+// many as the rate allows, because a prompt waits long behind a few large prompts and hardly behind
+// many small ones. The caller draws random from [0, 1); it decides on prompts whose size equals the
+// threshold. The argument now must not decrease from call to call.
 func (s *Sampler) Sample(now time.Duration, tokens float64, recipients int, random float64) bool {
 	if recipients <= 0 || tokens <= 0 {
 		return false
@@ -50,11 +51,12 @@
 	return tokens > threshold || tokens == threshold && random < chance
 }
 
-// threshold returns from how many tokens on prompts are selected, and with which chance one of
-// exactly as many is, so that of the recent prompts as many are selected as the rate allows.
+// threshold returns the number of tokens above which prompts are selected, and the probability of
+// selecting a prompt with exactly this number of tokens. Together they select as many of the recent
+// prompts as the rate allows.
 func (s *Sampler) threshold(now time.Duration, recipients int) (tokens, chance float64) {
 	span := max(now-s.recent[0].at, minSpan)
-	allowed := s.perSecond * span.Seconds() / float64(recipients) // of the recent prompts
+	allowed := s.perSecond * span.Seconds() / float64(recipients) // how many of the recent prompts
 	if allowed >= float64(len(s.recent)) {
 		return 0, 1
 	}
--- a/internal/system/deciders/sampling/tokenbucket.go
+++ b/internal/system/deciders/sampling/tokenbucket.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// TokenBucket limits the rate of messages, with a burst. It is full at first and is used by one
-// goroutine at a time.
+// TokenBucket limits the rate of messages and permits bursts up to a limit. A new bucket is full. A
+// TokenBucket is not safe for concurrent use.
 type TokenBucket struct {
 	perSecond  float64
 	burst      float64
@@ -11,13 +11,15 @@
 	refilledAt time.Duration
 }
 
-// NewTokenBucket returns a bucket for a rate, in messages per second, and a burst, in messages.
+// NewTokenBucket returns a full bucket with a rate, in messages per second, and a maximum burst, in
+// messages.
 func NewTokenBucket(perSecond, burst float64) *TokenBucket {
 	return &TokenBucket{perSecond: perSecond, burst: burst, tokens: burst}
 }
 
-// Take takes tokens for messages and reports whether there were as many; otherwise it takes none.
-// Now must not go back.
+// Take removes one token for each message and returns true if the bucket has enough tokens.
+// Otherwise it removes none and returns false. The argument now must not decrease from call to
+// call.
 func (b *TokenBucket) Take(now time.Duration, messages int) bool {
 	b.tokens = min(b.tokens+b.perSecond*(now-b.refilledAt).Seconds(), b.burst)
 	b.refilledAt = now
