--- a/internal/system/deciders/configuration/state.go
+++ b/internal/system/deciders/configuration/state.go
@@ -8,19 +8,20 @@
 	"reachspread/internal/system/message"
 )
 
-// State is a configuration in force, as document and typed, with the version pins. It never
-// changes. A nil *State is that before the first configuration.
+// State is a configuration in force, both as a document and in typed form, with the version pins in
+// force. It is immutable. A nil *State is the state before the first configuration.
 type State struct {
 	Document *Document
 	Typed    *Configuration
 	text     func() []byte
-	pins     *pins.Set // nil for none
+	pins     *pins.Set // nil if no pins were ever set
 }
 
-// JSON returns the configuration as text, encoded on first use. It must not be changed.
+// JSON returns the configuration as JSON text. The first call encodes the text, and later calls
+// return the same slice, which callers must not change.
 func (s *State) JSON() []byte { return s.text() }
 
-// Version returns the version of the configuration, 0 for none.
+// Version returns the version of the configuration, or 0 for a nil state.
 func (s *State) Version() int64 {
 	if s == nil {
 		return 0
@@ -28,7 +29,7 @@
 	return s.Document.Version
 }
 
-// document returns the document, nil for none.
+// document returns the document of the state, or nil for a nil state.
 func (s *State) document() *Document {
 	if s == nil {
 		return nil
@@ -36,7 +37,7 @@
 	return s.Document
 }
 
-// Pins returns the version pins in force, an empty set for none.
+// Pins returns the version pins in force. The set is empty if there are none.
 func (s *State) Pins() *pins.Set {
 	if s == nil || s.pins == nil {
 		return &pins.Set{}
@@ -44,15 +45,16 @@
 	return s.pins
 }
 
-// WithPins returns the state with other pins.
+// WithPins returns a copy of the state with other pins.
 func (s *State) WithPins(set *pins.Set) *State {
 	next := *s
 	next.pins = set
 	return &next
 }
 
-// Next returns the state after an order that replaces or patches the configuration of a state, nil
-// for none. It returns ErrNoConfiguration, a *SyntaxError or an *InvalidError.
+// Next returns the state after an order that replaces or patches the configuration. The given state
+// is nil before the first configuration. The error is ErrNoConfiguration, a *SyntaxError or an
+// *InvalidError.
 func Next(state *State, order *message.Order) (*State, error) {
 	var document *Document
 	var err error
@@ -77,10 +79,12 @@
 	return newState(state, document)
 }
 
-// NewState returns the state of a document, without pins. Its errors are those of Compile.
+// NewState compiles a document and returns its state, without pins. It returns the errors of
+// Compile.
 func NewState(d *Document) (*State, error) { return newState(nil, d) }
 
-// newState returns the state of a document that replaces that of another state, nil for none.
+// newState returns the state of a document that replaces the document of an earlier state, which may
+// be nil. The new state has the pins of the earlier one.
 func newState(before *State, d *Document) (*State, error) {
 	var typed *Configuration
 	var pinSet *pins.Set
--- a/internal/system/deciders/configuration/store.go
+++ b/internal/system/deciders/configuration/store.go
@@ -13,28 +13,29 @@
 )
 
 const (
-	digestLen = 16
-	// MaxDigests is how many applied orders are remembered, to acknowledge each again when it is
-	// sent again.
+	digestLen = 16 // bytes
+	// MaxDigests is the maximum number of applied orders whose digests the store retains. An order
+	// that is sent again is acknowledged again as long as its digest is retained.
 	MaxDigests = 8192
 )
 
-// Store is the replicated state: configuration, version pins with their history, and digests of
-// applied orders. It implements chain.Machine.
+// Store is the replicated state machine. It holds the configuration, the version pins with their
+// history, and the digests of applied orders. It implements chain.Machine.
 type Store struct {
 	state       *State // nil before the first configuration
 	digests     map[[digestLen]byte]bool
-	digestOrder [][digestLen]byte    // the oldest first
-	pinHistory  []*message.PinChange // the last pins.MaxChanges, the oldest first
+	digestOrder [][digestLen]byte    // the same digests, oldest first
+	pinHistory  []*message.PinChange // the last pins.MaxChanges changes, oldest first
 }
 
 // NewStore returns a store without a configuration.
 func NewStore() *Store { return &Store{digests: map[[digestLen]byte]bool{}} }
 
-// Value implements chain.Machine: it returns a *State, nil for none.
+// Value implements chain.Machine. It returns a *State, which is nil before the first configuration.
 func (s *Store) Value() any { return s.state }
 
-// digest identifies an order: the same bytes for the same version are the same order.
+// digest returns the hash by which the store recognizes an order that is sent again. Orders of the
+// same kind, for the same version and with the same body are the same order.
 func digest(o *message.Order) (d [digestLen]byte) {
 	h := sha256.New()
 	fmt.Fprintf(h, "%d %d ", o.Kind, o.IfMatch)
@@ -43,8 +44,9 @@
 	return d
 }
 
-// Decide implements chain.Machine for orders and changes of package message. It runs at the head
-// only; an order that is rejected has no change.
+// Decide implements chain.Machine. The command is an encoded message.Order, the change an encoded
+// message.Change and the reply an encoded message.OrderReply. Decide runs only at the head of the
+// chain. For an order that is rejected or already applied it returns no change.
 func (s *Store) Decide(command []byte) (change, reply []byte) {
 	order := &message.Order{}
 	if err := proto.Unmarshal(command, order); err != nil {
@@ -75,9 +77,10 @@
 	return change, marshalReply(&message.OrderReply{Status: http.StatusOK, Version: next.Version()})
 }
 
-// rejectionStatus is the HTTP status for an order that is not for the version in force. Versions
-// only grow, so one for an older version can never be applied. One for a later version may be,
-// perhaps by a retry that is still in flight, so its sender may try again.
+// rejectionStatus returns the HTTP status for an order that is based on another version than the
+// one in force. Versions only increase, so an order for an older version can never be applied. An
+// order for a later version may still be applied, for example by a retry that is in flight, so its
+// sender may retry.
 func rejectionStatus(base, inForce int64) int {
 	if base > inForce {
 		return http.StatusServiceUnavailable
@@ -94,7 +97,7 @@
 	return out
 }
 
-// next returns the state after an order, or why it is rejected.
+// next returns the state after an order, or an error that states why the order is rejected.
 func (s *Store) next(order *message.Order) (*State, error) {
 	next, err := Next(s.state, order)
 	if err != nil {
@@ -107,7 +110,7 @@
 	return next, nil
 }
 
-// Apply implements chain.Machine. It runs on all members in the same order.
+// Apply implements chain.Machine. All members apply the same changes in the same sequence.
 func (s *Store) Apply(encoded []byte) {
 	change := &message.Change{}
 	if proto.Unmarshal(encoded, change) != nil || len(change.Digest) != digestLen {
@@ -121,7 +124,7 @@
 	}
 	next, err := Next(s.state, change.Order)
 	if err != nil {
-		return // Decide has checked it; whatever fails here fails on all members alike
+		return // Decide has checked the order; a failure here occurs on all members alike
 	}
 	s.state = next
 	s.addDigest([digestLen]byte(change.Digest))
@@ -139,7 +142,7 @@
 	}
 }
 
-// Snapshot implements chain.Machine: it returns an encoded message.Stored.
+// Snapshot implements chain.Machine. It returns an encoded message.Stored.
 func (s *Store) Snapshot() []byte {
 	out := &message.Stored{PinHistory: s.pinHistory}
 	if s.state != nil {
@@ -155,7 +158,7 @@
 	return text
 }
 
-// Restore implements chain.Machine. After an error the store is unchanged.
+// Restore implements chain.Machine. If it returns an error, the store is unchanged.
 func (s *Store) Restore(snapshot []byte) error {
 	stored := &message.Stored{}
 	if err := proto.Unmarshal(snapshot, stored); err != nil {
@@ -182,7 +185,8 @@
 	return nil
 }
 
-// bytesChunks iterates over the complete chunks of a length.
+// bytesChunks iterates over copies of the consecutive chunks of the given length. It drops an
+// incomplete chunk at the end.
 func bytesChunks(text []byte, length int) func(yield func([]byte) bool) {
 	return func(yield func([]byte) bool) {
 		for len(text) >= length {
