--- a/internal/system/deciders/configuration/changes.go
+++ b/internal/system/deciders/configuration/changes.go
@@ -4,8 +4,8 @@
 	"slices"
 )
 
-// ListChange is the difference of one list in two documents, by the names of its items. A field
-// that is no list has its own name as the only item.
+// ListChange describes how one list differs between two documents, by the names of its items. A
+// field that is not a list counts as a list whose only item has the name of the field.
 type ListChange struct {
 	List    string   `json:"list"`
 	Added   []string `json:"added,omitempty"`
@@ -13,8 +13,9 @@
 	Removed []string `json:"removed,omitempty"`
 }
 
-// Changes returns the difference of two documents, in the order of the fields of the later one.
-// Before may be nil. Reordered items count as unchanged.
+// Changes returns the differences between two documents. They have the order of the fields in the
+// later document, followed by the fields that it lacks. The earlier document may be nil. Reordered
+// items count as unchanged.
 func Changes(before, after *Document) (all []ListChange) {
 	if before == nil {
 		before = &Document{}
@@ -35,7 +36,7 @@
 
 func (c *ListChange) empty() bool { return len(c.Added)+len(c.Changed)+len(c.Removed) == 0 }
 
-// listChange returns the difference of one field; before is nil for a new one.
+// listChange returns the difference of one field. The argument before is nil for a new field.
 func listChange(before, after *field) ListChange {
 	c := ListChange{List: after.name}
 	switch {
--- a/internal/system/deciders/configuration/compile.go
+++ b/internal/system/deciders/configuration/compile.go
@@ -10,7 +10,8 @@
 	mapset "github.com/deckarep/golang-set/v2"
 )
 
-// Configuration is the typed form of a document, with indexes for lookups. It must not be changed.
+// Configuration is the typed form of a document, with indexes for lookups. Callers must not change
+// it.
 type Configuration struct {
 	Version  int64      `json:"version"`
 	Routes   []*Route   `json:"routes" validate:"dive"`
@@ -18,19 +19,20 @@
 	Limits   Limits     `json:"limits"`
 	Tenants  []*Tenant  `json:"tenants" validate:"dive"`
 
-	requiresAPIKeys bool                    // requests need keys
-	lowestPriority  int                     // the largest Priority of any route
-	routesByHost    map[string]*prefixIndex // by host in lower case
-	services        map[string]*Service
-	tenantsByKey    map[string]*Tenant
-	tenants         map[string]*Tenant
+	requiresAPIKeys bool                    // the document has a list of tenants
+	lowestPriority  int                     // the largest Priority of any route, at least 0
+	routesByHost    map[string]*prefixIndex // by host name in lower case
+	services        map[string]*Service     // by name
+	tenantsByKey    map[string]*Tenant      // by API key
+	tenants         map[string]*Tenant      // by name
 }
 
-// Compile returns the typed form of a document, or an *InvalidError or *SyntaxError for the first
-// fault.
+// Compile returns the typed form of a document. For an invalid document it returns an *InvalidError
+// or a *SyntaxError that describes the first fault.
 func Compile(d *Document) (*Configuration, error) { return compileAfter(nil, d) }
 
-// compileAfter is Compile for a document derived from that of another configuration, nil for none.
+// compileAfter compiles a document that replaces the document of another configuration, which may be
+// nil. It returns the same as Compile, but it can reuse the route index of that configuration.
 func compileAfter(before *Configuration, d *Document) (*Configuration, error) {
 	c := &Configuration{
 		Version:      d.Version,
@@ -60,7 +62,7 @@
 	return c, nil
 }
 
-// typedItems returns the typed forms of a list's items.
+// typedItems returns the typed forms of the items of a list.
 func typedItems[T any](d *Document, list string) []*T {
 	f := d.find(list)
 	if f == nil {
@@ -73,8 +75,9 @@
 	return all
 }
 
-// addRoutes validates the routes and indexes them by host and prefix. The index of the
-// configuration before, nil for none, is reused if the services are the same.
+// addRoutes validates the routes and indexes them by host and prefix. The argument before is the
+// replaced configuration, which may be nil. If it has the same services, addRoutes starts from its
+// index and validates only the routes that are not in it.
 func (c *Configuration) addRoutes(before *Configuration) error {
 	c.routesByHost = map[string]*prefixIndex{}
 	added, removed := c.Routes, []*Route(nil)
@@ -107,7 +110,7 @@
 	return nil
 }
 
-// notIn returns the routes that are not among existing ones, by identity.
+// notIn returns the routes that are not among the existing routes. It compares pointers.
 func notIn(routes, existing []*Route) (all []*Route) {
 	if slices.Equal(routes, existing) {
 		return nil
@@ -124,7 +127,8 @@
 	return all
 }
 
-// checkShares validates that the services of a route exist and have a weight.
+// checkShares validates that the services of a route exist and that their weights add up to more
+// than 0.
 func (c *Configuration) checkShares(r *Route) error {
 	total := 0.0
 	for _, s := range r.Shares() {
@@ -143,7 +147,8 @@
 	return &InvalidError{fmt.Sprintf("route %q", r.Name), field, reason}
 }
 
-// addTenants indexes the tenants by name and key. A key has one tenant.
+// addTenants indexes the tenants by name and API key. It returns an error if two tenants have the
+// same key.
 func (c *Configuration) addTenants() error {
 	for _, t := range c.Tenants {
 		c.tenants[t.Name] = t
@@ -158,19 +163,20 @@
 	return nil
 }
 
-// Keyed reports whether requests need API keys, except on public routes.
+// RequiresAPIKeys reports whether requests need API keys, except on public routes.
 func (c *Configuration) RequiresAPIKeys() bool { return c.requiresAPIKeys }
 
-// LowestPriority returns the Priority of the least urgent route: the largest number.
+// LowestPriority returns the Priority of the least urgent route, which is the largest number.
 func (c *Configuration) LowestPriority() int { return c.lowestPriority }
 
-// Tenant returns the owner of an API key, nil for none.
+// Tenant returns the owner of an API key, or nil.
 func (c *Configuration) Tenant(key string) *Tenant { return c.tenantsByKey[key] }
 
-// TenantNamed returns the tenant of a name, nil for none.
+// TenantNamed returns the tenant with the given name, or nil.
 func (c *Configuration) TenantNamed(name string) *Tenant { return c.tenants[name] }
 
-// RouteNamed returns the route of a name, nil for none. It takes time linear in the routes.
+// RouteNamed returns the route with the given name, or nil. Its running time is linear in the number
+// of routes.
 func (c *Configuration) RouteNamed(name string) *Route {
 	i := slices.IndexFunc(c.Routes, func(r *Route) bool { return r.Name == name })
 	if i < 0 {
@@ -179,10 +185,11 @@
 	return c.Routes[i]
 }
 
-// Service returns the service of a name, nil for none.
+// Service returns the service with the given name, or nil.
 func (c *Configuration) Service(name string) *Service { return c.services[name] }
 
-// Route returns the route of a host with the longest prefix of a path, nil for none.
+// Route returns the route of a host with the longest prefix of a path, or nil. The case of the host
+// name does not matter.
 func (c *Configuration) Route(host, path string) *Route {
 	return c.routesByHost[strings.ToLower(host)].longest(path)
 }
--- a/internal/system/deciders/configuration/decode.go
+++ b/internal/system/deciders/configuration/decode.go
@@ -10,15 +10,15 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// decoders return the typed forms of items by the names of their lists. Name is the item's, for
-// errors.
+// decoders maps the name of a list to the function that decodes and validates an item of the list.
+// The argument name describes the item in errors.
 var decoders = map[string]func(name string, raw json.RawMessage) (any, error){
 	"routes":   decodeRoute,
 	"services": decode[Service],
 	"tenants":  decode[Tenant],
 }
 
-// decodeRoute decodes a route and sets its class.
+// decodeRoute decodes and validates a route and sets the name of its request class.
 func decodeRoute(name string, raw json.RawMessage) (any, error) {
 	v, err := decode[Route](name, raw)
 	if err != nil {
@@ -34,7 +34,7 @@
 	return r, nil
 }
 
-// decode decodes one item and validates it by itself.
+// decode decodes one item and validates it regardless of the other items.
 func decode[T any](name string, raw json.RawMessage) (any, error) {
 	v := new(T)
 	if err := json.Unmarshal(raw, v); err != nil {
@@ -46,7 +46,8 @@
 	return v, nil
 }
 
-// typeError names the field whose value has the wrong JSON type.
+// typeError converts an error of json.Unmarshal to a *SyntaxError. If a value has the wrong JSON
+// type, the error names its field.
 func typeError(subject string, err error) error {
 	var mismatch *json.UnmarshalTypeError
 	if errors.As(err, &mismatch) {
@@ -66,7 +67,8 @@
 	return v
 }
 
-// validationError names the first field of an item that breaks a rule.
+// validationError converts an error of the validator to an *InvalidError, which names the first
+// field of the item that breaks a rule.
 func validationError(item string, err error) error {
 	var fields validator.ValidationErrors
 	if !errors.As(err, &fields) || len(fields) == 0 {
--- a/internal/system/deciders/configuration/difference.go
+++ b/internal/system/deciders/configuration/difference.go
@@ -6,15 +6,15 @@
 	"slices"
 )
 
-// patchText is the JSON form of a patch.
+// patchJSON is the JSON form of a patch.
 type patchJSON struct {
 	Version int64                      `json:"version"`
 	Upsert  map[string]json.RawMessage `json:"upsert,omitempty"`
 	Remove  map[string][]string        `json:"remove,omitempty"`
 }
 
-// Difference returns the patch that turns one document into another; ok is false where no patch
-// does, as fields were removed or items reordered.
+// Difference returns the text of a patch that turns one document into another. It returns false if
+// no patch can do so, for example because fields were removed or items were reordered.
 func Difference(before, after *Document) (text []byte, ok bool) {
 	out := patchJSON{Version: after.Version, Upsert: map[string]json.RawMessage{}, Remove: map[string][]string{}}
 	for _, f := range before.fields {
@@ -27,7 +27,7 @@
 	}
 	var buffer bytes.Buffer
 	encoder := json.NewEncoder(&buffer)
-	encoder.SetEscapeHTML(false) // items are sent as they were written
+	encoder.SetEscapeHTML(false) // send the items as the operator wrote them
 	if err := encoder.Encode(out); err != nil {
 		return nil, false
 	}
@@ -40,7 +40,7 @@
 	return text, err == nil && patched.equal(after)
 }
 
-// add adds the difference of one field. Before is nil for a new one.
+// add adds the difference of one field to the patch. The argument before is nil for a new field.
 func (c *patchJSON) add(before, after *field) {
 	if !after.list {
 		if before == nil || !bytes.Equal(before.value, after.value) {
--- a/internal/system/deciders/configuration/document.go
+++ b/internal/system/deciders/configuration/document.go
@@ -7,30 +7,31 @@
 	"slices"
 )
 
-// Document is a configuration as the operator wrote it. It never changes once it is returned.
+// Document is a configuration as the operator wrote it, including unknown fields. It is immutable
+// once a function of this package has returned it.
 type Document struct {
 	Version int64
-	fields  []field // in the operator's order, without version
+	fields  []field // in the operator's order; excludes the field version
 }
 
-// field is one member of the document: a list of named items, or any other value.
+// field is a top-level member of the document: either a list of named items or any other value.
 type field struct {
 	name  string
-	list  bool
-	items []item
-	value json.RawMessage // unless it is a list
+	list  bool            // whether the field is a list of named items
+	items []item          // of a list
+	value json.RawMessage // of a field that is not a list
 }
 
-// item is one item of a list. It never changes.
+// item is a named item of a list. It is immutable.
 type item struct {
 	name  string
-	raw   json.RawMessage
-	typed any // a valid *Route, *Service or *Tenant; nil in unknown lists
+	raw   json.RawMessage // the item as the operator wrote it, without insignificant white space
+	typed any             // a valid *Route, *Service or *Tenant; nil in lists unknown to this package
 }
 
 const versionField = "version"
 
-// JSON returns the document as text.
+// JSON returns the document as JSON text.
 func (d *Document) JSON() []byte {
 	out := make([]byte, 0, d.size())
 	out = fmt.Appendf(out, `{"version":%d`, d.Version)
@@ -53,13 +54,14 @@
 	return append(out, '}')
 }
 
-// Bounds, in bytes, of what the version takes, and of what a field takes beside its name and value.
+// Upper bounds of sizes in the JSON text, in bytes.
 const (
-	documentOverhead = 64
-	fieldOverhead    = 8
+	documentOverhead = 64 // the version with its name, and the enclosing braces
+	fieldOverhead    = 8  // a field without its name and value
 )
 
-// size returns an upper bound of the length of JSON.
+// size returns an estimate of the length of the JSON text, for allocation. It is an upper bound
+// unless the name of a field needs escapes.
 func (d *Document) size() int {
 	n := documentOverhead
 	for _, f := range d.fields {
@@ -76,7 +78,7 @@
 	return append(append(out, text...), ':')
 }
 
-// find returns the field of a name, nil if there is none.
+// find returns the field with the given name, or nil. It returns nil for a nil document.
 func (d *Document) find(name string) *field {
 	if d == nil {
 		return nil
@@ -89,7 +91,7 @@
 	return nil
 }
 
-// byText returns the items of a field by what the operator wrote.
+// byText returns the items of a field by their JSON text. It returns nil for a nil field.
 func (f *field) byText() map[string]item {
 	if f == nil {
 		return nil
@@ -101,7 +103,7 @@
 	return all
 }
 
-// clone returns a copy whose fields and lists may be changed.
+// clone returns a copy of the document whose fields and lists may be changed.
 func (d *Document) clone() *Document {
 	c := &Document{Version: d.Version, fields: slices.Clone(d.fields)}
 	for i := range c.fields {
@@ -110,7 +112,8 @@
 	return c
 }
 
-// equal reports whether two documents have the same items in the same order.
+// equal reports whether two documents have the same version and the same fields and items in the
+// same order.
 func (d *Document) equal(o *Document) bool {
 	return d.Version == o.Version && slices.EqualFunc(d.fields, o.fields, func(f, g field) bool {
 		return f.name == g.name && f.list == g.list && equalText(f.value, g.value) &&
@@ -118,8 +121,8 @@
 	})
 }
 
-// equalText reports whether two texts are equal. Documents of which one was derived from the other
-// share most of their texts.
+// equalText reports whether two texts are equal. It compares the addresses first, because documents
+// share most of their texts if one was derived from the other.
 func equalText(a, b json.RawMessage) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0] || bytes.Equal(a, b))
 }
--- a/internal/system/deciders/configuration/parse.go
+++ b/internal/system/deciders/configuration/parse.go
@@ -10,12 +10,13 @@
 	mapset "github.com/deckarep/golang-set/v2"
 )
 
-// Parse parses a complete configuration. It returns a *SyntaxError, or an *InvalidError for an item
-// that is invalid by itself.
+// Parse parses a complete configuration. It returns a *SyntaxError if the text can't be parsed, and
+// an *InvalidError if an item is invalid regardless of the other items.
 func Parse(text []byte) (*Document, error) { return ParseAfter(nil, text) }
 
-// ParseAfter is Parse for a configuration that replaces another one, nil for none. Items that are
-// equal in both are parsed once.
+// ParseAfter parses a complete configuration that replaces another one, which may be nil. It returns
+// the same as Parse, but it reuses an item of the replaced document instead of parsing an item with
+// the same text again.
 func ParseAfter(before *Document, text []byte) (*Document, error) {
 	members, err := readObject(text, "the configuration")
 	if err != nil {
@@ -49,7 +50,8 @@
 	value json.RawMessage
 }
 
-// readObject returns the members of a JSON object in their order. A duplicate name is an error.
+// readObject returns the members of a JSON object in their order. A duplicate name is an error. The
+// subject names the object in errors.
 func readObject(text []byte, subject string) ([]member, error) {
 	if !json.Valid(text) {
 		return nil, &SyntaxError{subject, "is not whole JSON"}
@@ -76,8 +78,8 @@
 	return members, nil
 }
 
-// readField parses a member as a list of named items or as any other value. Before is the field of
-// that name in the earlier document, nil for none.
+// readField parses a member of the document as a list of named items or as any other value. The
+// argument before is the field of the same name in the replaced document, or nil.
 func readField(m member, before *field) (field, error) {
 	var raws []json.RawMessage
 	if json.Unmarshal(m.value, &raws) != nil || raws == nil {
@@ -90,7 +92,8 @@
 	return field{name: m.name, list: true, items: items}, err
 }
 
-// readItems parses the items of a list, whose names must be unique.
+// readItems parses the items of a list, whose names must be unique. It reuses items with the same
+// text from the argument before, which may be nil.
 func readItems(list string, raws []json.RawMessage, before *field) ([]item, error) {
 	known := before.byText()
 	items := make([]item, 0, len(raws))
@@ -111,7 +114,7 @@
 	return items, nil
 }
 
-// readItem parses one item of a list and validates it by itself.
+// readItem parses one item of a list and validates it regardless of the other items.
 func readItem(list string, i int, raw json.RawMessage) (item, error) {
 	var named struct {
 		Name string `json:"name"`
--- a/internal/system/deciders/configuration/patch.go
+++ b/internal/system/deciders/configuration/patch.go
@@ -8,20 +8,21 @@
 	mapset "github.com/deckarep/golang-set/v2"
 )
 
-// Patch changes items of a document by name.
+// Patch describes changes of a document: fields and named items to set, and named items to remove.
 type Patch struct {
-	Version int64
-	upsert  []field
-	remove  []removal
+	Version int64     // of the changed document
+	upsert  []field   // fields to set, and items to replace or append
+	remove  []removal // items to remove
 }
 
-// removal names items of a list to remove.
+// removal names the items to remove from one list.
 type removal struct {
 	list  string
 	names []string
 }
 
-// ParsePatch parses a patch. It returns a *SyntaxError, or an *InvalidError for an invalid item.
+// ParsePatch parses a patch. It returns a *SyntaxError if the text can't be parsed, and an
+// *InvalidError if an item is invalid.
 func ParsePatch(text []byte) (*Patch, error) {
 	members, err := readObject(text, "the change")
 	if err != nil {
@@ -86,8 +87,8 @@
 	return all, nil
 }
 
-// Apply returns the document with a patch applied, and leaves its receiver unchanged. Removing what
-// does not exist has no effect.
+// Apply returns a copy of the document with a patch applied. It applies removals first. Removing an
+// item that does not exist has no effect.
 func (d *Document) Apply(p *Patch) (*Document, error) {
 	next := d.clone()
 	next.Version = p.Version
@@ -115,7 +116,7 @@
 	return next, nil
 }
 
-// upsert replaces items by name and appends new ones.
+// upsert replaces items that have the name of a changed item and appends the other changed items.
 func upsert(items, changed []item) []item {
 	pending := make(map[string]item, len(changed))
 	for _, it := range changed {
--- a/internal/system/deciders/configuration/pinorders.go
+++ b/internal/system/deciders/configuration/pinorders.go
@@ -12,12 +12,12 @@
 	"reachspread/internal/system/message"
 )
 
-// isPinOrder reports whether an order changes pins and not the configuration.
+// isPinOrder reports whether an order changes the pins instead of the configuration.
 func isPinOrder(o *message.Order) bool {
 	return o.Kind == message.Order_PIN_SET || o.Kind == message.Order_PIN_LIFT
 }
 
-// decidePin is Decide for an order that changes pins.
+// decidePin implements Decide for an order that changes the pins.
 func (s *Store) decidePin(order *message.Order) (change, reply []byte) {
 	current := s.state.Pins()
 	if order.IfMatch != current.Revision {
@@ -40,7 +40,8 @@
 	return marshalReply(&message.OrderReply{Status: int32(status), Text: text, Version: s.state.Pins().Revision})
 }
 
-// pinStatus is the HTTP status for an order that is rejected.
+// pinErrorStatus returns the HTTP status for an order that is rejected because of an error of
+// nextPins.
 func pinErrorStatus(err error) int {
 	var overlap *pins.OverlapError
 	var unknown *pins.UnknownError
@@ -53,7 +54,7 @@
 	return http.StatusBadRequest
 }
 
-// nextPins returns the pins after an order, and the change for the history.
+// nextPins returns the pins after an order and the entry for the pin history.
 func (s *Store) nextPins(order *message.Order) (*pins.Set, *message.PinChange, error) {
 	pin := &message.Pin{}
 	if err := proto.Unmarshal(order.Body, pin); err != nil {
@@ -84,8 +85,9 @@
 	return next, entry, nil
 }
 
-// checkScope validates that a pin's requests can be bound to it at all routers: they need API keys,
-// which an isolated router stops accepting.
+// checkScope validates that all routers can enforce a pin. The requests in its scope must need API
+// keys, because an isolated router stops accepting API keys and therefore serves no such request by
+// outdated pins.
 func (s *Store) checkScope(pin *message.Pin) error {
 	if s.state == nil || !s.state.Typed.RequiresAPIKeys() {
 		return &pins.FieldError{Field: "tenant", Reason: "the configuration has no tenants; only requests with keys can be pinned"}
@@ -106,11 +108,12 @@
 	return nil
 }
 
-// applyPin is Apply for an order that changes pins. It reports whether it did.
+// applyPin implements Apply for an order that changes the pins. It reports whether it applied the
+// order.
 func (s *Store) applyPin(order *message.Order) (ok bool) {
 	next, entry, err := s.nextPins(order)
 	if err != nil {
-		return false // Decide has checked it; whatever fails here fails on all members alike
+		return false // Decide has checked the order; a failure here occurs on all members alike
 	}
 	s.state = s.state.WithPins(next)
 	s.pinHistory = append(s.pinHistory, entry)
--- a/internal/system/deciders/configuration/prefixes.go
+++ b/internal/system/deciders/configuration/prefixes.go
@@ -6,13 +6,14 @@
 	"strings"
 )
 
-// prefixes indexes the routes of one host by their path prefixes. nil is an index without routes.
+// prefixIndex indexes the routes of one host by their path prefixes. A nil index has no routes.
 type prefixIndex struct {
-	withSlash    map[string]*Route // whose prefixes end with a slash, as they should
-	withoutSlash []*Route          // all others
+	withSlash    map[string]*Route // by prefix: routes whose prefixes end with a slash, as they should
+	withoutSlash []*Route          // routes whose prefixes don't end with a slash
 }
 
-// add adds a route, unless another one has the same prefix: then it returns that one.
+// add adds a route and returns nil. If another route has the same prefix, add returns that route and
+// leaves the index unchanged.
 func (p *prefixIndex) add(r *Route) *Route {
 	if !strings.HasSuffix(r.PathPrefix, "/") {
 		for _, o := range p.withoutSlash {
@@ -33,7 +34,7 @@
 	return nil
 }
 
-// remove removes a route.
+// remove removes a route, if the index has it.
 func (p *prefixIndex) remove(r *Route) {
 	if p.withSlash[r.PathPrefix] == r {
 		delete(p.withSlash, r.PathPrefix)
@@ -41,7 +42,7 @@
 	p.withoutSlash = slices.DeleteFunc(p.withoutSlash, func(o *Route) bool { return o == r })
 }
 
-// clone returns a copy that may be changed.
+// clone returns a copy of the index, which the caller may change.
 func (p *prefixIndex) clone() *prefixIndex {
 	if p == nil {
 		return &prefixIndex{}
@@ -49,8 +50,9 @@
 	return &prefixIndex{withSlash: maps.Clone(p.withSlash), withoutSlash: slices.Clone(p.withoutSlash)}
 }
 
-// longest returns the route with the longest prefix of a path, nil for none. It takes one lookup
-// for each slash of the path, however many routes there are.
+// longest returns the route with the longest prefix of a path, or nil. It takes at most one map
+// lookup for each slash in the path, however many routes with a final slash there are. It searches
+// the other routes linearly.
 func (p *prefixIndex) longest(path string) *Route {
 	if p == nil {
 		return nil
--- a/internal/system/deciders/configuration/state.go
+++ b/internal/system/deciders/configuration/state.go
@@ -14,7 +14,7 @@
 	Document *Document
 	Typed    *Configuration
 	text     func() []byte
-	pins     *pins.Set // nil if no pins were ever set
+	pins     *pins.Set // nil before the first change of the pins
 }
 
 // JSON returns the configuration as JSON text. The first call encodes the text, and later calls
--- a/internal/system/deciders/configuration/store.go
+++ b/internal/system/deciders/configuration/store.go
@@ -130,7 +130,8 @@
 	s.addDigest([digestLen]byte(change.Digest))
 }
 
-// remember adds a digest and forgets the oldest beyond MaxDigests.
+// addDigest records the digest of an applied order. If the store then holds more than MaxDigests, it
+// removes the oldest.
 func (s *Store) addDigest(d [digestLen]byte) {
 	if s.digests[d] {
 		return
