--- a/internal/system/deciders/configuration/compile.go
+++ b/internal/system/deciders/configuration/compile.go
@@ -31,8 +31,8 @@
 // or a *SyntaxError that describes the first fault.
 func Compile(d *Document) (*Configuration, error) { return compileAfter(nil, d) }
 
-// compileAfter compiles a document that replaces the document of another configuration, which may be
-// nil. It returns the same as Compile, but it can reuse the route index of that configuration.
+// compileAfter compiles a document that replaces the document of another configuration, which may
+// be nil. It returns the same as Compile, but it can reuse the route index of that configuration.
 func compileAfter(before *Configuration, d *Document) (*Configuration, error) {
 	c := &Configuration{
 		Version:      d.Version,
@@ -175,8 +175,8 @@
 // TenantNamed returns the tenant with the given name, or nil.
 func (c *Configuration) TenantNamed(name string) *Tenant { return c.tenants[name] }
 
-// RouteNamed returns the route with the given name, or nil. Its running time is linear in the number
-// of routes.
+// RouteNamed returns the route with the given name, or nil. Its running time is linear in the
+// number of routes.
 func (c *Configuration) RouteNamed(name string) *Route {
 	i := slices.IndexFunc(c.Routes, func(r *Route) bool { return r.Name == name })
 	if i < 0 {
--- a/internal/system/deciders/configuration/errors.go
+++ b/internal/system/deciders/configuration/errors.go
@@ -14,8 +14,8 @@
 // Error implements error.
 func (e *SyntaxError) Error() string { return e.Field + ": " + e.Reason }
 
-// InvalidError reports that a configuration can be parsed but breaks a rule. The control API answers
-// with status 400.
+// InvalidError reports that a configuration can be parsed but breaks a rule. The control API
+// answers with status 400.
 type InvalidError struct {
 	Item   string // kind and name of the item at fault, such as route "a"
 	Field  string
--- a/internal/system/deciders/configuration/parse.go
+++ b/internal/system/deciders/configuration/parse.go
@@ -14,9 +14,9 @@
 // an *InvalidError if an item is invalid regardless of the other items.
 func Parse(text []byte) (*Document, error) { return ParseAfter(nil, text) }
 
-// ParseAfter parses a complete configuration that replaces another one, which may be nil. It returns
-// the same as Parse, but it reuses an item of the replaced document instead of parsing an item with
-// the same text again.
+// ParseAfter parses a complete configuration that replaces another one, which may be nil. It
+// returns the same as Parse, but it reuses an item of the replaced document instead of parsing an
+// item with the same text again.
 func ParseAfter(before *Document, text []byte) (*Document, error) {
 	members, err := readObject(text, "the configuration")
 	if err != nil {
--- a/internal/system/deciders/configuration/prefixes.go
+++ b/internal/system/deciders/configuration/prefixes.go
@@ -12,8 +12,8 @@
 	withoutSlash []*Route          // routes whose prefixes don't end with a slash
 }
 
-// add adds a route and returns nil. If another route has the same prefix, add returns that route and
-// leaves the index unchanged.
+// add adds a route and returns nil. If another route has the same prefix, add returns that route
+// and leaves the index unchanged.
 func (p *prefixIndex) add(r *Route) *Route {
 	if !strings.HasSuffix(r.PathPrefix, "/") {
 		for _, o := range p.withoutSlash {
--- a/internal/system/deciders/configuration/state.go
+++ b/internal/system/deciders/configuration/state.go
@@ -83,8 +83,8 @@
 // Compile.
 func NewState(d *Document) (*State, error) { return newState(nil, d) }
 
-// newState returns the state of a document that replaces the document of an earlier state, which may
-// be nil. The new state has the pins of the earlier one.
+// newState returns the state of a document that replaces the document of an earlier state, which
+// may be nil. The new state has the pins of the earlier state.
 func newState(before *State, d *Document) (*State, error) {
 	var typed *Configuration
 	var pinSet *pins.Set
--- a/internal/system/deciders/configuration/store.go
+++ b/internal/system/deciders/configuration/store.go
@@ -130,8 +130,8 @@
 	s.addDigest([digestLen]byte(change.Digest))
 }
 
-// addDigest records the digest of an applied order. If the store then holds more than MaxDigests, it
-// removes the oldest.
+// addDigest records the digest of an applied order. If the store then holds more than MaxDigests
+// digests, addDigest removes the oldest.
 func (s *Store) addDigest(d [digestLen]byte) {
 	if s.digests[d] {
 		return
--- a/internal/system/deciders/instances/instances_test.go
+++ b/internal/system/deciders/instances/instances_test.go
@@ -26,8 +26,8 @@
 	return &message.Instance{Id: id, Service: "s", Address: "10.0.0.1:80", Zone: "a", State: state, Sequence: sequence}
 }
 
-// A record replaces another only if it supersedes it: removed over draining over ready or lost,
-// among the last two the later heartbeat.
+// Merge replaces a record only by one that supersedes it. Removed supersedes draining, draining
+// supersedes ready and lost, and between ready and lost the later heartbeat decides.
 func TestRecordsSupersedeByStateAndSequence(t *testing.T) {
 	for _, c := range []struct {
 		have, new *message.Instance
@@ -52,12 +52,13 @@
 			r.Merge(0, []*message.Instance{c.have})
 		}
 		if got := len(r.Merge(0, []*message.Instance{c.new})) > 0; got != c.merged {
-			t.Errorf("%v, then %v: taken %v", c.have, c.new, got)
+			t.Errorf("record %v, then record %v: the second one was merged: %v", c.have, c.new, got)
 		}
 	}
 }
 
-// Records merged in any order, twice or in parts lead to the same registry.
+// The registry does not depend on the order in which records are merged, nor on duplicates, nor on
+// how the records are divided among calls of Merge.
 func TestMergeInAnyOrderConverges(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 0))
@@ -78,7 +79,7 @@
 	}
 }
 
-// Only heartbeats that change a host return a record, and a drain is never undone.
+// Heartbeat returns a record only if the heartbeat changes the host, and no heartbeat ends a drain.
 func TestHeartbeatReturnsChanges(t *testing.T) {
 	is := is.New(t)
 	r := New(time.Second)
@@ -87,7 +88,7 @@
 	moved := instance("i", ready, 3)
 	moved.Address = "10.0.0.2:80"
 	is.True(r.Heartbeat(time.Second, moved) != nil)
-	is.Equal(r.Heartbeat(time.Second, instance("i", ready, 1)), nil) // late
+	is.Equal(r.Heartbeat(time.Second, instance("i", ready, 1)), nil) // a late heartbeat
 	is.Equal(r.Get("i").Address, "10.0.0.2:80")
 	is.True(r.Heartbeat(time.Second, instance("i", draining, 4)) != nil)
 	is.Equal(r.Heartbeat(time.Second, instance("i", ready, 5)), nil)
@@ -96,22 +97,22 @@
 	is.Equal(r.Remove(time.Second, "i"), nil)
 	is.Equal(r.Heartbeat(time.Second, instance("i", ready, 6)), nil)
 	is.Equal(r.Get("i").State, removed)
-	is.Equal(r.Remove(0, "nobody"), nil)
+	is.Equal(r.Remove(0, "unknown"), nil)
 }
 
-// A host without a heartbeat for three and a half intervals is lost at its owner, and ready again
-// with its next one.
+// The owner of a host marks it as lost after three and a half intervals without a heartbeat, and as
+// ready again after its next heartbeat.
 func TestMissingHeartbeatsAreDetected(t *testing.T) {
 	is := is.New(t)
 	all := func(*Record) bool { return true }
 	r := New(time.Second)
 	r.Heartbeat(0, instance("i", ready, 1))
 	r.Heartbeat(0, instance("d", draining, 1))
-	r.Heartbeat(2*time.Second, instance("i", ready, 2)) // changes nothing, but is a heartbeat
+	r.Heartbeat(2*time.Second, instance("i", ready, 2)) // changes no content, but restarts the timeout
 	is.Equal(len(r.DetectLost(3*time.Second, all)), 0)
 	is.Equal(len(r.DetectLost(4*time.Second, all)), 1)
 	is.Equal(r.Get("d").State, removed)
-	is.Equal(len(r.DetectLost(6*time.Second, func(*Record) bool { return false })), 0) // not its owner
+	is.Equal(len(r.DetectLost(6*time.Second, func(*Record) bool { return false })), 0) // another router is the owner
 	is.Equal(len(r.DetectLost(6*time.Second, all)), 1)
 	is.Equal(r.Get("i").State, lost)
 	is.Equal(len(r.DetectLost(9*time.Second, all)), 0)
@@ -119,7 +120,7 @@
 	is.Equal(r.Get("i").State, ready)
 }
 
-// A router that becomes the owner restarts the time-outs.
+// A router that becomes the owner of hosts restarts their heartbeat timeouts.
 func TestTakeOwnershipRestartsTimeouts(t *testing.T) {
 	is := is.New(t)
 	all := func(*Record) bool { return true }
@@ -130,7 +131,8 @@
 	is.Equal(len(r.DetectLost(14*time.Second, all)), 1)
 }
 
-// ChangedSince returns what changed after a revision, with the rest of the slow start.
+// ChangedSince returns the hosts that changed after a revision, with the remaining time of their
+// slow start.
 func TestChangedSince(t *testing.T) {
 	is := is.New(t)
 	r := New(time.Second)
@@ -144,12 +146,12 @@
 	all := r.ChangedSince("s", 0)
 	is.Equal(len(all), 2)
 	is.Equal(all[0].ColdRemainingMs, uint32(600))
-	is.Equal(cold.ColdRemainingMs, uint32(1000)) // the record itself stays
+	is.Equal(cold.ColdRemainingMs, uint32(1000)) // the merged message is unchanged
 	is.Equal(r.Services(), []string{"s"})
 	is.Equal(r.ServiceRevision("other"), uint64(0))
 }
 
-// Memory is bounded, and removed hosts are forgotten after removedTTL.
+// The registry deletes removed hosts after removedTTL and adds no host beyond MaxInstances.
 func TestRegistryIsBounded(t *testing.T) {
 	is := is.New(t)
 	r := New(time.Second)
@@ -168,7 +170,7 @@
 	is.Equal(full.Heartbeat(0, instance("one more", ready, 1)), nil)
 }
 
-// A host may change its service.
+// A host that changes its service is listed only in its new service.
 func TestHostChangesService(t *testing.T) {
 	is := is.New(t)
 	r := New(time.Second)
@@ -180,7 +182,8 @@
 	is.Equal(len(r.Records("t")), 1)
 }
 
-// The hosts of a service are sorted by id after each change, also where they were read before it.
+// Records returns the hosts of a service sorted by id after each change, even if an earlier call
+// cached the list.
 func TestRecordsStaySorted(t *testing.T) {
 	is := is.New(t)
 	r := New(time.Second)
@@ -199,7 +202,7 @@
 	r.Merge(0, []*message.Instance{instance("c", "s", 1), instance("a", "s", 1)})
 	is.Equal(ids("s"), []string{"a", "b", "c"})
 	is.True(r.ServiceRevision("s") > before)
-	r.Merge(0, []*message.Instance{instance("b", "t", 2)}) // a host that changed its service
+	r.Merge(0, []*message.Instance{instance("b", "t", 2)}) // the host changes its service
 	is.Equal(ids("s"), []string{"a", "c"})
 	is.Equal(ids("t"), []string{"b"})
 	r.Remove(0, "a")
--- a/internal/system/deciders/pins/pins_test.go
+++ b/internal/system/deciders/pins/pins_test.go
@@ -15,25 +15,25 @@
 	return &message.Pin{Name: name, Tenant: tenant, Route: route, Model: "m", Version: version, By: "ann", Why: "trial"}
 }
 
-// Check names the first field of a pin that is invalid.
+// Check returns an error that names the first invalid field of a pin.
 func TestCheckNamesInvalidField(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(p *message.Pin)
-		field  string // that is wrong, empty for none
+		field  string // name of the invalid field, empty for a valid pin
 	}{
-		{"good", func(*message.Pin) {}, ""},
-		{"of a route alone", func(p *message.Pin) { p.Tenant, p.Route = "", "r" }, ""},
+		{"valid", func(*message.Pin) {}, ""},
+		{"route without tenant", func(p *message.Pin) { p.Tenant, p.Route = "", "r" }, ""},
 		{"no name", func(p *message.Pin) { p.Name = "" }, "name"},
 		{"a name that is a path", func(p *message.Pin) { p.Name = "a/b" }, "name"},
 		{"a long name", func(p *message.Pin) { p.Name = strings.Repeat("a", 65) }, "name"},
-		{"of everything", func(p *message.Pin) { p.Tenant = "" }, "tenant"},
+		{"neither tenant nor route", func(p *message.Pin) { p.Tenant = "" }, "tenant"},
 		{"no model", func(p *message.Pin) { p.Model = "" }, "model"},
 		{"no version", func(p *message.Pin) { p.Version = 0 }, "version"},
-		{"a version below none", func(p *message.Pin) { p.Version = -3 }, "version"},
-		{"nobody", func(p *message.Pin) { p.By = " " }, "by"},
+		{"a negative version", func(p *message.Pin) { p.Version = -3 }, "version"},
+		{"blank author", func(p *message.Pin) { p.By = " " }, "by"},
 		{"no reason", func(p *message.Pin) { p.Why = "" }, "why"},
-		{"a novel", func(p *message.Pin) { p.Why = strings.Repeat("a", maxTextLen+1) }, "why"},
+		{"a reason that is too long", func(p *message.Pin) { p.Why = strings.Repeat("a", maxTextLen+1) }, "why"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -49,13 +49,13 @@
 	}
 }
 
-// A request matches the pin whose scope it is in.
+// Match returns the pin whose scope includes the request.
 func TestMatchByScope(t *testing.T) {
 	is := is.New(t)
 	s := &Set{}
 	for _, p := range []*message.Pin{pin("all-of-x", "x", "", 1), pin("y-on-r", "y", "r", 2), pin("all-on-q", "", "q", 3)} {
 		if p.Name == "all-on-q" {
-			p.Model = "n" // else it would overlap
+			p.Model = "n" // with model m the scope would overlap with the others
 		}
 		next, err := s.Add(p)
 		is.NoErr(err)
@@ -73,7 +73,7 @@
 	is.Equal((*Set)(nil).Match("x", "r", "m"), nil)
 }
 
-// A pin whose scope overlaps with another one's is rejected; the error names both.
+// Add rejects a pin whose scope overlaps with that of another pin. The error names both pins.
 func TestOverlapIsRejected(t *testing.T) {
 	for _, c := range []struct {
 		tenant, route string
@@ -93,11 +93,11 @@
 		other := pin("new", c.tenant, c.route, 2)
 		other.Model = "n"
 		_, err = s.Add(other)
-		is.NoErr(err) // another model's
+		is.NoErr(err) // pins of different models don't overlap
 	}
 }
 
-// Add and Remove return another set and leave theirs unchanged.
+// Add and Remove return a new set and leave their receiver unchanged.
 func TestAddAndRemoveLeaveSetUnchanged(t *testing.T) {
 	is := is.New(t)
 	one, err := (&Set{}).Add(pin("a", "x", "", 1))
@@ -119,7 +119,7 @@
 	is.Equal(FromMessage(nil).Revision, int64(0))
 }
 
-// The pins in force are bounded; one may still be replaced.
+// Add rejects a new pin if MaxPins pins are in force, but still replaces an existing pin.
 func TestPinsAreBounded(t *testing.T) {
 	is := is.New(t)
 	s := &Set{}
@@ -131,11 +131,11 @@
 	_, err := s.Add(pin("more", "y", "", 1))
 	var fieldErr *FieldError
 	is.True(errors.As(err, &fieldErr))
-	_, err = s.Add(pin("p3", "x3", "", 2)) // replaces one
+	_, err = s.Add(pin("p3", "x3", "", 2)) // replaces the pin p3
 	is.NoErr(err)
 }
 
-// Pins are equivalent where they serve requests by the same version.
+// Pins are equivalent if they require the same version of the same model.
 func TestEquivalent(t *testing.T) {
 	is := is.New(t)
 	is.True(Equivalent(nil, nil))
--- a/internal/system/deciders/sampling/sampling_test.go
+++ b/internal/system/deciders/sampling/sampling_test.go
@@ -10,8 +10,8 @@
 	"github.com/matryer/is"
 )
 
-// However many routers there are and whatever the sizes of prompts, as many messages are sent as
-// the rate allows, and hardly any prompt that is not selected is larger than one that is.
+// For any number of routers and any distribution of prompt sizes, a router sends as many messages
+// as the rate allows, and hardly any unselected prompt is larger than a selected one.
 func TestLargestPromptsWithinRate(t *testing.T) {
 	const (
 		perSecond = 100.0
@@ -21,9 +21,9 @@
 	for _, c := range []struct {
 		name        string
 		recipients  int
-		interval    time.Duration // between prompts
+		interval    time.Duration // between two prompts
 		tokens      func(*rand.Rand) float64
-		minSelected float64 // fraction of the tokens
+		minSelected float64 // as a fraction of all tokens
 	}{
 		{"a small fleet", 11, 80 * time.Millisecond, lognormal, 0.9},
 		{"ninety routers", 89, 160 * time.Millisecond, lognormal, 0.4},
@@ -41,7 +41,7 @@
 			rng := rand.New(rand.NewPCG(1, 2))
 			s := New(perSecond)
 			sent, selected, messages, prompts := 0.0, 0.0, 0, 0
-			var sizes, selectedSizes []float64 // of all, and of those that are selected
+			var sizes, selectedSizes []float64 // in tokens, of all prompts and of the selected ones
 			for now := time.Duration(0); now < duration; now += c.interval {
 				tokens := c.tokens(rng)
 				sent += tokens
@@ -54,19 +54,19 @@
 				}
 			}
 			rate := float64(messages) / duration.Seconds()
-			is.True(rate <= perSecond*1.1)                                          // the average of the last seconds is not that of all
-			is.True(rate >= perSecond*0.8 || messages >= prompts*c.recipients*9/10) // and is made use of
-			is.True(selected >= c.minSelected*sent)                                 // the largest are selected first
+			is.True(rate <= perSecond*1.1)                                          // the recent average may differ from the overall average
+			is.True(rate >= perSecond*0.8 || messages >= prompts*c.recipients*9/10) // the rate is used, unless nearly all prompts are selected
+			is.True(selected >= c.minSelected*sent)                                 // the largest prompts are selected first
 			slices.Sort(sizes)
 			slices.Sort(selectedSizes)
-			threshold := sizes[len(sizes)-len(selectedSizes)]              // from which on all would be selected if all sizes were known before
-			is.True(selectedSizes[len(selectedSizes)/10] >= threshold*0.8) // nine in ten of those that are selected are among these, or nearly
+			threshold := sizes[len(sizes)-len(selectedSizes)]              // the smallest selected size if all sizes were known in advance
+			is.True(selectedSizes[len(selectedSizes)/10] >= threshold*0.8) // nine in ten selected prompts reach the threshold, or nearly do
 			t.Logf("%.0f messages a second, %.2f of the tokens selected", rate, selected/sent)
 		})
 	}
 }
 
-// A router that sends few prompts reports each of them.
+// If the rate allows a message for each prompt to each recipient, all prompts are selected.
 func TestFewPromptsAreAllSelected(t *testing.T) {
 	is := is.New(t)
 	s := New(100)
@@ -83,7 +83,7 @@
 	is.True(!s.Sample(0, 0, 11, 0))
 }
 
-// BenchmarkPick is what a prompt costs a router of the planned size, before anything is sent.
+// BenchmarkPick measures the cost of Sample for one prompt, in a fleet of the planned size.
 func BenchmarkPick(b *testing.B) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	s := New(85)
--- a/internal/system/deciders/sampling/tokenbucket_test.go
+++ b/internal/system/deciders/sampling/tokenbucket_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-// Under constant demand as many messages are allowed as the rate and the burst.
+// Under constant demand, a bucket allows as many messages as the rate and the burst add up to.
 func TestTokenBucketAllowsRateAndBurst(t *testing.T) {
 	is := is.New(t)
 	bucket := NewTokenBucket(100, 300)
@@ -20,6 +20,6 @@
 	is.True(sent <= 1300)
 	is.True(sent > 1300-2*71)
 	is.True(!bucket.Take(10*time.Second, 71))
-	is.True(bucket.Take(20*time.Second, 300)) // no more than the burst is saved up
+	is.True(bucket.Take(20*time.Second, 300)) // an idle bucket holds at most the burst
 	is.True(!bucket.Take(20*time.Second, 1))
 }
