--- a/internal/system/deciders/configuration/changes_test.go
+++ b/internal/system/deciders/configuration/changes_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-// Changes names the items that were added, changed or removed.
+// Changes returns the names of the items that were added, changed or removed.
 func TestChangesNameItems(t *testing.T) {
 	parse := func(text string) *Document {
 		t.Helper()
@@ -24,13 +24,13 @@
 		before, after *Document
 		want          []ListChange
 	}{
-		{"nothing", old, old, nil},
-		{"places", old, parse(`{"version":2,"routes":[{"name":"c","path":"/c/"},{"name":"a","path":"/a/"},{"name":"b","path":"/b/"}],"services":[{"name":"s"}],"limits":{"maxBodyBytes":1}}`), nil},
+		{"no change", old, old, nil},
+		{"reordered items", old, parse(`{"version":2,"routes":[{"name":"c","path":"/c/"},{"name":"a","path":"/a/"},{"name":"b","path":"/b/"}],"services":[{"name":"s"}],"limits":{"maxBodyBytes":1}}`), nil},
 		{"items", old, parse(`{"version":2,"routes":[{"name":"a","path":"/a/"},{"name":"b","path":"/b/","priority":1},{"name":"d","path":"/d/"}],"services":[{"name":"s"}],"limits":{"maxBodyBytes":2}}`),
 			[]ListChange{{List: "routes", Added: []string{"d"}, Changed: []string{"b"}, Removed: []string{"c"}}, {List: "limits", Changed: []string{"limits"}}}},
-		{"a list went", old, parse(`{"version":2,"routes":[{"name":"a","path":"/a/"},{"name":"b","path":"/b/"},{"name":"c","path":"/c/"}],"limits":{"maxBodyBytes":1}}`),
+		{"removed list", old, parse(`{"version":2,"routes":[{"name":"a","path":"/a/"},{"name":"b","path":"/b/"},{"name":"c","path":"/c/"}],"limits":{"maxBodyBytes":1}}`),
 			[]ListChange{{List: "services", Removed: []string{"s"}}}},
-		{"the first", nil, parse(`{"version":1,"services":[{"name":"s"}]}`), []ListChange{{List: "services", Added: []string{"s"}}}},
+		{"first document", nil, parse(`{"version":1,"services":[{"name":"s"}]}`), []ListChange{{List: "services", Added: []string{"s"}}}},
 	} {
 		t.Run(c.name, func(t *testing.T) { is.New(t).Equal(Changes(c.before, c.after), c.want) })
 	}
--- a/internal/system/deciders/configuration/configuration_test.go
+++ b/internal/system/deciders/configuration/configuration_test.go
@@ -16,7 +16,7 @@
 	"reachspread/internal/system/message"
 )
 
-// small is a configuration with unknown fields in each list.
+// small is a small configuration with unknown fields, at the top level and in items.
 const small = `{"version":7,"routes":[{"name":"a","host":"h.example","pathPrefix":"/a/","kind":"safe","timeoutMs":500,"targetLatencyMs":100,"service":"s","future":[1,2]},` +
 	`{"name":"b","host":"h.example","pathPrefix":"/a/b/","kind":"streaming","timeoutMs":3000,"trafficSplit":[{"service":"s","weight":90},{"service":"t","weight":10}],"streamResumption":true}],` +
 	`"services":[{"name":"s","healthCheckPath":"/health","connectionLimit":650},{"name":"t","healthCheckPath":"/health"}],` +
@@ -31,7 +31,7 @@
 	return d
 }
 
-// same returns the difference of two JSON texts.
+// jsonDiff returns the difference between the values of two JSON texts, or an empty text.
 func jsonDiff(t *testing.T, a, b []byte) string {
 	t.Helper()
 	var x, y any
@@ -44,7 +44,7 @@
 	return cmp.Diff(x, y)
 }
 
-// What is read back is what was sent, unknown fields included.
+// The JSON text of a parsed document equals the text that was sent, including unknown fields.
 func TestDocumentRoundTrip(t *testing.T) {
 	d := parse(t, small)
 	if diff := jsonDiff(t, []byte(small), d.JSON()); diff != "" {
@@ -52,24 +52,24 @@
 	}
 	reparsed := parse(t, string(d.JSON()))
 	if string(reparsed.JSON()) != string(d.JSON()) {
-		t.Error("written twice it differs")
+		t.Error("the JSON text differs after a second round trip")
 	}
 }
 
-// Each fault that a configuration is rejected for is reported with the item or field, in one line.
+// The error for a rejected configuration names the faulty item or field, in one line.
 func TestRejectionNamesItemAndField(t *testing.T) {
 	change := func(old, replacement string) string { return strings.Replace(small, old, replacement, 1) }
 	for name, c := range map[string]struct{ text, wantText string }{
 		"cut short":           {small[:100], "whole JSON"},
-		"no object":           {`[1]`, "not a JSON object"},
+		"not an object":       {`[1]`, "not a JSON object"},
 		"no version":          {`{"routes":[]}`, "version: is missing"},
 		"version is a text":   {change(`"version":7`, `"version":"7"`), "version"},
-		"a member twice":      {change(`"later"`, `"limits"`), "limits: is there twice"},
+		"duplicate member":    {change(`"later"`, `"limits"`), "limits: is there twice"},
 		"item without a name": {change(`"name":"s",`, ``), "services[0].name"},
-		"a name twice":        {change(`"name":"b"`, `"name":"a"`), `"a" is there twice`},
+		"duplicate name":      {change(`"name":"b"`, `"name":"a"`), `"a" is there twice`},
 		"unknown service":     {change(`"service":"s","future"`, `"service":"z","future"`), `"z" is not among the services`},
 		"unknown in a split":  {change(`{"service":"t","weight":10}`, `{"service":"z","weight":10}`), `"z" is not among`},
-		"same place":          {change(`"pathPrefix":"/a/b/"`, `"pathPrefix":"/a/"`), "same host and prefix"},
+		"same host and path":  {change(`"pathPrefix":"/a/b/"`, `"pathPrefix":"/a/"`), "same host and prefix"},
 		"weights add up to 0": {change(`"weight":90},{"service":"t","weight":10`, `"weight":0},{"service":"t","weight":0`), "add up to 0"},
 		"a weight below 0":    {change(`"weight":10`, `"weight":-1`), "weight"},
 		"time-out of 0":       {change(`"timeoutMs":500`, `"timeoutMs":0`), "timeoutMs"},
@@ -80,14 +80,14 @@
 		t.Run(name, func(t *testing.T) {
 			_, err := Next(nil, &message.Order{Kind: message.Order_PUT, Body: []byte(c.text)})
 			if err == nil || !strings.Contains(err.Error(), c.wantText) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("got %v; it should say %q in one line", err, c.wantText)
+				t.Errorf("got error %v; it must contain %q and have one line", err, c.wantText)
 			}
 		})
 	}
 }
 
-// A request's route has the longest prefix among those of its host; hosts are compared without
-// case.
+// Route returns the route with the longest matching prefix on the host of the request. The case of
+// the host name does not matter.
 func TestRouteHasLongestPrefix(t *testing.T) {
 	is := is.New(t)
 	c, err := Compile(parse(t, small))
@@ -112,7 +112,7 @@
 	is.True(c.Routes[1].Idempotent())
 }
 
-// Requests need keys once the configuration has a list of tenants, even an empty one.
+// Requests need API keys if the configuration has a list of tenants, even an empty list.
 func TestTenantsRequireKeys(t *testing.T) {
 	is := is.New(t)
 	for text, keyed := range map[string]bool{`{"version":1}`: false, `{"version":1,"tenants":[]}`: true} {
@@ -122,13 +122,13 @@
 	}
 }
 
-// A patch replaces, adds and removes items by name, and leaves all others unchanged.
+// A patch replaces, adds and removes items by name, and leaves all other items unchanged.
 func TestPatchChangesItemsByName(t *testing.T) {
 	is := is.New(t)
 	before := parse(t, small)
 	text := before.JSON()
 	p, err := ParsePatch([]byte(`{"version":9,"upsert":{"routes":[{"name":"c","host":"h.example","pathPrefix":"/c/","timeoutMs":5,"service":"s"},` +
-		`{"name":"a","host":"h.example","pathPrefix":"/z/","timeoutMs":6,"service":"s"}],"limits":{"maxBodyBytes":5}},"remove":{"routes":["b","nobody"],"nothing":["x"]}}`))
+		`{"name":"a","host":"h.example","pathPrefix":"/z/","timeoutMs":6,"service":"s"}],"limits":{"maxBodyBytes":5}},"remove":{"routes":["b","unknown"],"nothing":["x"]}}`))
 	is.NoErr(err)
 	after, err := before.Apply(p)
 	is.NoErr(err)
@@ -143,34 +143,35 @@
 	is.Equal(len(c.Tenants), 1)
 }
 
-// A patch that can't be parsed is rejected.
+// ParsePatch rejects malformed patches, and Apply rejects a patch that replaces a list by another
+// value.
 func TestMalformedPatchIsRejected(t *testing.T) {
 	for name, text := range map[string]string{
 		"no version":        `{"upsert":{}}`,
-		"a foreign member":  `{"version":1,"routes":[]}`,
+		"unknown member":    `{"version":1,"routes":[]}`,
 		"remove is a list":  `{"version":1,"remove":["a"]}`,
 		"names are numbers": `{"version":1,"remove":{"routes":[1]}}`,
 		"no name":           `{"version":1,"upsert":{"routes":[{"host":"h"}]}}`,
-		"cut":               `{"version":1,"upsert":{`,
+		"truncated":         `{"version":1,"upsert":{`,
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := ParsePatch([]byte(text)); err == nil {
-				t.Error("it was read")
+				t.Error("ParsePatch accepted a malformed patch")
 			}
 		})
 	}
 	if _, err := parse(t, small).Apply(&Patch{Version: 8, upsert: []field{{name: "routes"}}}); err == nil {
-		t.Error("a list became a value")
+		t.Error("Apply accepted a patch that replaces the list routes by another value")
 	}
 }
 
-// order returns an encoded order.
+// order returns an encoded order for the version base.
 func order(kind message.Order_Kind, base int64, body string) []byte {
 	text, _ := proto.Marshal(&message.Order{Kind: kind, IfMatch: base, Body: []byte(body)})
 	return text
 }
 
-// decide runs an order through Decide and Apply.
+// decide passes an encoded order to Decide and a resulting change to Apply. It returns the reply.
 func decide(t *testing.T, s *Store, text []byte) *message.OrderReply {
 	t.Helper()
 	change, reply := s.Decide(text)
@@ -184,30 +185,31 @@
 	return out
 }
 
-// An order is applied only for the version in force and acknowledged whenever it is sent again; of
-// two orders for one version one wins.
+// An order is applied only if it is for the version in force, and it is acknowledged again whenever
+// it is sent again. Of two orders for the same version, the first is applied.
 func TestOrderOnlyForVersionInForce(t *testing.T) {
 	is := is.New(t)
 	s := NewStore()
 	first := order(message.Order_PUT, 0, small)
-	is.Equal(decide(t, s, order(message.Order_PATCH, 0, `{"version":1}`)).Status, int32(http.StatusBadRequest)) // nothing to be changed
+	is.Equal(decide(t, s, order(message.Order_PATCH, 0, `{"version":1}`)).Status, int32(http.StatusBadRequest)) // no configuration to patch
 	is.Equal(decide(t, s, first).Status, int32(http.StatusOK))
 	is.Equal(s.state.Version(), int64(7))
 	one := order(message.Order_PATCH, 7, `{"version":9,"remove":{"routes":["a"]}}`)
 	other := order(message.Order_PATCH, 7, `{"version":9,"remove":{"routes":["b"]}}`)
 	is.Equal(decide(t, s, one).Status, int32(http.StatusOK))
 	is.Equal(decide(t, s, other).Status, int32(http.StatusPreconditionFailed))
-	is.Equal(decide(t, s, one).Status, int32(http.StatusOK)) // again
+	is.Equal(decide(t, s, one).Status, int32(http.StatusOK)) // sent again
 	is.Equal(decide(t, s, first).Status, int32(http.StatusOK))
 	is.Equal(s.state.Version(), int64(9))
 	is.Equal(len(s.state.Typed.Routes), 1)
-	is.Equal(decide(t, s, order(message.Order_PATCH, 9, `{"version":9}`)).Status, int32(http.StatusBadRequest)) // not above
+	is.Equal(decide(t, s, order(message.Order_PATCH, 9, `{"version":9}`)).Status, int32(http.StatusBadRequest)) // not above the version in force
 	is.Equal(decide(t, s, order(message.Order_PATCH, 9, `{"version":10,"remove":{"services":["t"]}}`)).Status, int32(http.StatusBadRequest))
 	is.Equal(decide(t, s, []byte{0xff}).Status, int32(http.StatusBadRequest))
 	is.Equal(s.state.Version(), int64(9))
 }
 
-// An order is remembered after hundreds of others, and after a snapshot was restored.
+// An applied order that is sent again is recognized after hundreds of later orders and after a
+// snapshot is restored.
 func TestOrderIsRememberedAcrossSnapshot(t *testing.T) {
 	is := is.New(t)
 	s := NewStore()
@@ -223,7 +225,7 @@
 	is.Equal(string(restored.Snapshot()), string(s.Snapshot()))
 }
 
-// The digests of orders are bounded.
+// The store retains at most MaxDigests digests of orders.
 func TestDigestsAreBounded(t *testing.T) {
 	s := NewStore()
 	for i := range MaxDigests + 100 {
@@ -232,11 +234,11 @@
 		s.addDigest(d)
 	}
 	if len(s.digestOrder) != MaxDigests || len(s.digests) != MaxDigests {
-		t.Errorf("%d and %d digests", len(s.digestOrder), len(s.digests))
+		t.Errorf("digestOrder has %d digests and digests has %d; both must have MaxDigests", len(s.digestOrder), len(s.digests))
 	}
 }
 
-// A snapshot that can't be decoded leaves the store unchanged.
+// Restore leaves the store unchanged if the snapshot can't be decoded.
 func TestMalformedSnapshotChangesNothing(t *testing.T) {
 	is := is.New(t)
 	s := NewStore()
@@ -247,7 +249,8 @@
 	is.Equal(s.state.Version(), int64(7))
 }
 
-// Parse returns a *SyntaxError, Next and Compile an *InvalidError.
+// Malformed JSON leads to a *SyntaxError, and a configuration that breaks a rule to an
+// *InvalidError.
 func TestErrorsAreTyped(t *testing.T) {
 	is := is.New(t)
 	var syntax *SyntaxError
@@ -260,7 +263,8 @@
 	is.True(errors.As(err, &invalid))
 }
 
-// Whatever is sent as a configuration or patch is rejected, or its JSON can be parsed again.
+// Any text that is sent as a configuration or patch is either rejected or leads to a document whose
+// JSON text can be parsed again.
 func FuzzOrders(f *testing.F) {
 	f.Add([]byte(small), []byte(`{"version":9,"upsert":{"routes":[{"name":"a"}]},"remove":{"routes":["b"]}}`))
 	f.Add([]byte(`{"version":1,"routes":null}`), []byte(`{"version":2,"upsert":{"routes":[]}}`))
@@ -270,44 +274,44 @@
 			return
 		}
 		if _, err := Parse(state.JSON()); err != nil {
-			t.Fatalf("what was written can not be read: %v", err)
+			t.Fatalf("the JSON text of the configuration can not be parsed: %v", err)
 		}
 		next, err := Next(state, &message.Order{Kind: message.Order_PATCH, Body: change})
 		if err != nil {
 			return
 		}
 		if _, err := Parse(next.JSON()); err != nil {
-			t.Fatalf("what was written can not be read: %v", err)
+			t.Fatalf("the JSON text of the patched configuration can not be parsed: %v", err)
 		}
 	})
 }
 
-// Difference returns a patch that turns one document into the other, or none.
+// Difference returns a patch that turns one document into the other, or false if there is none.
 func TestDifferenceIsAPatch(t *testing.T) {
 	change := func(old, replacement string) string { return strings.Replace(small, old, replacement, 1) }
 	for name, c := range map[string]struct {
 		before, after string
 		ok            bool
 	}{
-		"nothing":            {small, small, true},
-		"version":            {small, change(`"version":7`, `"version":8`), true},
-		"an item":            {small, change(`"weight":90`, `"weight":80`), true},
-		"signs of markup":    {small, change(`"weight":90`, `"weight":80,"note":"<&>"`), true},
-		"an item more":       {small, change(`],"limits"`, `,{"name":"u"}],"limits"`), true},
-		"an item less":       {small, change(`,{"name":"t","healthCheckPath":"/health"}`, ``), true},
-		"a value":            {small, change(`"other":true`, `"other":false`), true},
-		"a value more":       {small, change(`"later"`, `"z":1,"later"`), false}, // not at the end
-		"a list more":        {small, change(`{"y":1}`, `{"y":1},"more":[{"name":"m"}]`), true},
-		"an empty list more": {small, change(`{"y":1}`, `{"y":1},"more":[]`), true},
-		"a field less":       {small, change(`,"later":{"y":1}`, ``), false},
-		"items change place": {change(`"tenants":[`, `"tenants":[{"name":"y"},`), change(`],"later"`, `,{"name":"y"}],"later"`), false},
-		"a list made value":  {change(`{"y":1}`, `[{"name":"y"}]`), small, false},
+		"no change":        {small, small, true},
+		"version":          {small, change(`"version":7`, `"version":8`), true},
+		"an item":          {small, change(`"weight":90`, `"weight":80`), true},
+		"HTML characters":  {small, change(`"weight":90`, `"weight":80,"note":"<&>"`), true},
+		"added item":       {small, change(`],"limits"`, `,{"name":"u"}],"limits"`), true},
+		"removed item":     {small, change(`,{"name":"t","healthCheckPath":"/health"}`, ``), true},
+		"a value":          {small, change(`"other":true`, `"other":false`), true},
+		"added value":      {small, change(`"later"`, `"z":1,"later"`), false}, // a patch adds fields only at the end
+		"added list":       {small, change(`{"y":1}`, `{"y":1},"more":[{"name":"m"}]`), true},
+		"added empty list": {small, change(`{"y":1}`, `{"y":1},"more":[]`), true},
+		"removed field":    {small, change(`,"later":{"y":1}`, ``), false},
+		"reordered items":  {change(`"tenants":[`, `"tenants":[{"name":"y"},`), change(`],"later"`, `,{"name":"y"}],"later"`), false},
+		"list to value":    {change(`{"y":1}`, `[{"name":"y"}]`), small, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			before, after := parse(t, c.before), parse(t, c.after)
 			text, ok := Difference(before, after)
 			if ok != c.ok {
-				t.Fatalf("ok is %v, the change is %s", ok, text)
+				t.Fatalf("Difference returned ok = %v and the patch %s", ok, text)
 			}
 			if !ok {
 				return
@@ -318,13 +322,14 @@
 			}
 			patched, err := before.Apply(patch)
 			if err != nil || string(patched.JSON()) != string(after.JSON()) {
-				t.Errorf("it makes %s, %v", patched.JSON(), err)
+				t.Errorf("the patch leads to %s, error %v", patched.JSON(), err)
 			}
 		})
 	}
 }
 
-// ParseAfter reuses equal items of the earlier document, and its result equals that of Parse.
+// ParseAfter reuses items of the replaced document that have the same text, and its result equals
+// that of Parse.
 func TestParseAfterReusesEqualItems(t *testing.T) {
 	is := is.New(t)
 	before := parse(t, small)
@@ -336,18 +341,18 @@
 	is.True(after.find("routes").items[1].typed != before.find("routes").items[1].typed)
 }
 
-// The index finds the same routes as a search over all of them.
+// The prefix index finds the same route as a linear search over all prefixes.
 func TestPrefixIndexEqualsLinearSearch(t *testing.T) {
 	var p prefixIndex
 	prefixes := []string{"/", "/a/", "/a/b/", "/a/b/c/d/", "/a", "/ab", "x", ""}
 	for _, prefix := range prefixes {
 		if other := p.add(&Route{Name: prefix, PathPrefix: prefix}); other != nil {
-			t.Fatalf("%q has the prefix of %q", prefix, other.Name)
+			t.Fatalf("the index rejected the prefix %q as equal to that of route %q", prefix, other.Name)
 		}
 	}
 	for _, prefix := range prefixes {
 		if p.add(&Route{PathPrefix: prefix}) == nil {
-			t.Errorf("%q was taken twice", prefix)
+			t.Errorf("the index accepted the prefix %q twice", prefix)
 		}
 	}
 	for _, path := range []string{"", "/", "//", "/a", "/a/", "/a/b", "/a/b/", "/a/b/c", "/a/b/c/d/e/f", "/ab/c", "/c/d", "xy", "y", "/a//"} {
@@ -358,14 +363,15 @@
 			}
 		}
 		if got := p.longest(path); got == nil || got.PathPrefix != want {
-			t.Errorf("%q has the route %v, want %q", path, got, want)
+			t.Errorf("path %q has the route %v, want the prefix %q", path, got, want)
 		}
 	}
 }
 
-// benchmarkRoutes is the size of a large configuration.
+// benchmarkRoutes is the number of routes in a large configuration.
 const benchmarkRoutes = 2000
 
+// manyRoutes returns the state of a configuration with benchmarkRoutes routes on 40 hosts.
 func manyRoutes(tb testing.TB) *State {
 	tb.Helper()
 	text := []byte(`{"version":1,"services":[{"name":"s"},{"name":"t"}],"routes":[`)
@@ -382,7 +388,8 @@
 	return state
 }
 
-// BenchmarkChange changes one route of many, by a patch and by a complete configuration.
+// BenchmarkChange measures a change of one route among many, by a patch and by a complete
+// configuration, and the computation of the patch.
 func BenchmarkChange(b *testing.B) {
 	before := manyRoutes(b)
 	patch := []byte(`{"version":2,"upsert":{"routes":[{"name":"r7","host":"h7.example","pathPrefix":"/p7/","timeoutMs":600,"service":"t"}]}}`)
@@ -408,7 +415,8 @@
 	})
 }
 
-// A configuration derived from another one equals one that was compiled alone.
+// A configuration that is compiled with the index of the replaced one has the same routes as a
+// configuration that is compiled without it.
 func TestCompileAfterEqualsCompile(t *testing.T) {
 	state, err := Next(nil, &message.Order{Kind: message.Order_PUT, Body: []byte(small)})
 	if err != nil {
@@ -419,19 +427,19 @@
 	}
 	for i, change := range []string{
 		`"upsert":{"routes":[` + route("a", "/z/", "s") + `]}`,
-		`"upsert":{"routes":[` + route("b", "/z/", "s") + `]}`, // refused: a has it
+		`"upsert":{"routes":[` + route("b", "/z/", "s") + `]}`, // rejected: route a has the prefix
 		`"upsert":{"routes":[` + route("a", "/y/", "s") + `,` + route("b", "/z/", "s") + `]}`,
-		`"upsert":{"routes":[` + route("a", "/z/", "s") + `,` + route("b", "/y/", "s") + `]}`, // they change places
+		`"upsert":{"routes":[` + route("a", "/z/", "s") + `,` + route("b", "/y/", "s") + `]}`, // a and b exchange their prefixes
 		`"remove":{"routes":["a"]}`,
-		`"remove":{"services":["s"]}`, // refused: b is there
+		`"remove":{"services":["s"]}`, // rejected: route b uses service s
 		`"upsert":{"routes":[` + route("b", "/a", "t") + `]},"remove":{"services":["s"]}`,
-		`"upsert":{"routes":[` + route("c", "/a", "t") + `]}`, // refused: b has it
+		`"upsert":{"routes":[` + route("c", "/a", "t") + `]}`, // rejected: route b has the prefix
 	} {
 		order := &message.Order{Kind: message.Order_PATCH, Body: fmt.Appendf(nil, `{"version":%d,%s}`, 8+i, change)}
 		next, err := Next(state, order)
 		alone, aloneErr := Next(&State{Document: state.Document}, order)
 		if fmt.Sprint(err) != fmt.Sprint(aloneErr) {
-			t.Fatalf("change %d: %v, made alone %v", i, err, aloneErr)
+			t.Fatalf("change %d: error %v, without the index %v", i, err, aloneErr)
 		}
 		if err != nil {
 			continue
@@ -439,7 +447,7 @@
 		state = next
 		for _, path := range []string{"/a/1", "/a/b/1", "/a/", "/z/1", "/y/1", "/ab"} {
 			if got, want := next.Typed.Route("h.example", path), alone.Typed.Route("h.example", path); !reflect.DeepEqual(got, want) {
-				t.Errorf("change %d: %s has the route %v, made alone %v", i, path, got, want)
+				t.Errorf("change %d: path %s has the route %v, without the index %v", i, path, got, want)
 			}
 		}
 	}
--- a/internal/system/deciders/configuration/forms_test.go
+++ b/internal/system/deciders/configuration/forms_test.go
@@ -6,8 +6,8 @@
 	"reachspread/internal/testbed/formtest"
 )
 
-// The operators' configuration document, the patch and the list of changes have the same fields,
-// with the same types.
+// The JSON fields of the configuration document, of patches and of list changes, and the types of
+// these fields, equal those in testdata/document.txt.
 func TestDocumentFormIsUnchanged(t *testing.T) {
 	formtest.Compare(t, "document.txt", formtest.Document([2]string{"configuration", formtest.Fields(Configuration{}, "json")},
 		[2]string{"patch", formtest.Fields(patchJSON{}, "json")},
--- a/internal/system/deciders/configuration/pinorders_test.go
+++ b/internal/system/deciders/configuration/pinorders_test.go
@@ -11,12 +11,14 @@
 	"reachspread/internal/system/message"
 )
 
+// pinnable is a configuration with tenants, a route that needs API keys and a public route.
 const pinnable = `{"version":1,"routes":[
  {"name":"r","host":"h","pathPrefix":"/r/","kind":"safe","timeoutMs":500,"service":"s"},
  {"name":"open","host":"h","pathPrefix":"/open/","kind":"safe","timeoutMs":500,"service":"s","public":true}],
  "services":[{"name":"s"}],"tenants":[{"name":"x","apiKeys":["k"]},{"name":"y","apiKeys":["l"]}]}`
 
-// pinOrder is an order to set or lift a pin, as the control API makes them.
+// pinOrder returns an encoded order to set or lift a pin, as the control API creates it. The order
+// is for the revision base of the pins and has the time atMs, in milliseconds.
 func pinOrder(kind message.Order_Kind, base int64, pin *message.Pin, atMs int64) []byte {
 	pin.By, pin.Why = "ann", "trial"
 	body, _ := proto.Marshal(pin)
@@ -34,7 +36,7 @@
 	return s
 }
 
-// Which orders for pins are applied, and with which status others are rejected.
+// Decide accepts valid pin orders and rejects each invalid one with the right status and a reason.
 func TestPinOrdersAreValidated(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -44,15 +46,15 @@
 		status int32
 	}{
 		{"of a tenant", message.Order_PIN_SET, 1, &message.Pin{Name: "b", Tenant: "y", Model: "m", Version: 2}, 200},
-		{"in place of itself", message.Order_PIN_SET, 1, &message.Pin{Name: "a", Tenant: "x", Model: "m", Version: 3}, 200},
+		{"replacing the pin of the same name", message.Order_PIN_SET, 1, &message.Pin{Name: "a", Tenant: "x", Model: "m", Version: 3}, 200},
 		{"on an old revision", message.Order_PIN_SET, 0, &message.Pin{Name: "b", Tenant: "y", Model: "m", Version: 2}, 412},
-		{"that overlaps", message.Order_PIN_SET, 1, &message.Pin{Name: "b", Route: "r", Model: "m", Version: 2}, 409},
-		{"of a tenant that is not there", message.Order_PIN_SET, 1, &message.Pin{Name: "b", Tenant: "z", Model: "m", Version: 2}, 400},
-		{"of a route that is not there", message.Order_PIN_SET, 1, &message.Pin{Name: "b", Tenant: "y", Route: "q", Model: "m", Version: 2}, 400},
+		{"overlapping with another pin", message.Order_PIN_SET, 1, &message.Pin{Name: "b", Route: "r", Model: "m", Version: 2}, 409},
+		{"of an unknown tenant", message.Order_PIN_SET, 1, &message.Pin{Name: "b", Tenant: "z", Model: "m", Version: 2}, 400},
+		{"of an unknown route", message.Order_PIN_SET, 1, &message.Pin{Name: "b", Tenant: "y", Route: "q", Model: "m", Version: 2}, 400},
 		{"of a public route", message.Order_PIN_SET, 1, &message.Pin{Name: "b", Tenant: "y", Route: "open", Model: "m", Version: 2}, 400},
 		{"without a version", message.Order_PIN_SET, 1, &message.Pin{Name: "b", Tenant: "y", Model: "m"}, 400},
-		{"lifted", message.Order_PIN_LIFT, 1, &message.Pin{Name: "a"}, 200},
-		{"lifted, and never set", message.Order_PIN_LIFT, 1, &message.Pin{Name: "b"}, 404},
+		{"lifting a pin", message.Order_PIN_LIFT, 1, &message.Pin{Name: "a"}, 200},
+		{"lifting a pin that was never set", message.Order_PIN_LIFT, 1, &message.Pin{Name: "b"}, 404},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -61,12 +63,13 @@
 			got := decide(t, s, pinOrder(c.kind, c.base, c.pin, 8))
 			is.Equal(got.Status, c.status)
 			is.Equal(got.Version, s.state.Pins().Revision)
-			is.Equal(got.Text == "", c.status == 200) // a rejection has a reason
+			is.Equal(got.Text == "", c.status == 200) // a rejection states a reason
 		})
 	}
 }
 
-// A pin order that is sent again, even with another time, is acknowledged and applied once.
+// A pin order that is sent again, even with another time, is acknowledged again but applied only
+// once.
 func TestPinOrderSentAgainIsAcknowledged(t *testing.T) {
 	is := is.New(t)
 	s := pinnableStore(t)
@@ -79,7 +82,7 @@
 	is.Equal(s.state.Pins().ByName("a").SetAtMs, int64(7))
 }
 
-// A new configuration leaves the pins in force, even one that lacks their tenant.
+// A new configuration leaves the pins in force, even if the configuration lacks their tenant.
 func TestConfigurationKeepsPins(t *testing.T) {
 	is := is.New(t)
 	s := pinnableStore(t)
@@ -90,7 +93,7 @@
 	is.Equal(s.state.Pins().ByName("a").Version, int64(2))
 }
 
-// Pins and their history are in the snapshot, and the restored store continues from them.
+// The snapshot has the pins, their history and the digests of applied pin orders.
 func TestSnapshotHasPinsAndHistory(t *testing.T) {
 	is := is.New(t)
 	s := pinnableStore(t)
@@ -103,12 +106,12 @@
 	is.Equal(next.state.Pins().ByName("b").Version, int64(4))
 	is.Equal(len(next.pinHistory), 3)
 	is.True(next.pinHistory[1].Lifted)
-	is.Equal(next.pinHistory[1].Pin.Version, int64(2)) // what it was
+	is.Equal(next.pinHistory[1].Pin.Version, int64(2)) // the history has the lifted pin
 	is.Equal(next.pinHistory[1].By, "ann")
-	is.Equal(decide(t, next, pinOrder(message.Order_PIN_LIFT, 1, &message.Pin{Name: "a"}, 10)).Status, int32(200)) // taken before
+	is.Equal(decide(t, next, pinOrder(message.Order_PIN_LIFT, 1, &message.Pin{Name: "a"}, 10)).Status, int32(200)) // applied before the snapshot
 }
 
-// The history of the pins is bounded.
+// The pin history retains only the last pins.MaxChanges changes.
 func TestPinHistoryIsBounded(t *testing.T) {
 	is := is.New(t)
 	s := pinnableStore(t)
@@ -119,7 +122,8 @@
 	is.Equal(s.pinHistory[len(s.pinHistory)-1].Revision, int64(pins.MaxChanges+10))
 }
 
-// Without tenants no pin can be set: an isolated router could not be bound to it.
+// No pin can be set before a configuration with tenants is in force, because an isolated router
+// would not enforce the pin. Nor can a pin be set for a route that the configuration lacks.
 func TestPinsRequireTenants(t *testing.T) {
 	is := is.New(t)
 	s := NewStore()
@@ -129,8 +133,8 @@
 	is.Equal(decide(t, s, pinOrder(message.Order_PIN_SET, 0, &message.Pin{Name: "a", Route: "r", Model: "m", Version: 2}, 7)).Status, int32(400))
 }
 
-// Whatever the body of an order is, a change that Decide returns can be applied, raises the
-// revision by one, and is in the snapshot.
+// For any body of a pin order, a change that Decide returns can be applied, increases the revision
+// of the pins by one, and is in the snapshot.
 func FuzzPinOrders(f *testing.F) {
 	seed, _ := proto.Marshal(&message.Pin{Name: "a", Tenant: "x", Model: "m", Version: 2, By: "ann", Why: "trial"})
 	f.Add(seed, seed)
@@ -155,7 +159,7 @@
 				t.Fatal(err)
 			}
 			if got, restored := s.state.Pins().Revision, next.state.Pins().Revision; got != int64(i+1) || restored != got {
-				t.Fatalf("revision %d, kept as %d, after %d orders", got, restored, i+1)
+				t.Fatalf("revision %d, restored as %d, after %d orders", got, restored, i+1)
 			}
 		}
 	})
--- a/internal/system/deciders/configuration/replicated_test.go
+++ b/internal/system/deciders/configuration/replicated_test.go
@@ -21,13 +21,14 @@
 )
 
 var (
-	replicatedSchedules = flag.Int("replicated", 8, "drawn schedules of the configuration's store that are played of each kind")
-	showReplicated      = flag.Bool("replicated-show", false, "tell what happens")
+	replicatedSchedules = flag.Int("replicated", 8, "number of random fault schedules of the configuration store to simulate for each case")
+	showReplicated      = flag.Bool("replicated-show", false, "log the events of the simulation")
 )
 
-// replicated runs the store in a simulation. Each order is a complete configuration or a patch.
+// storeApplication lets a simulation run the store. Each order is a complete configuration or a
+// patch.
 type storeApplication struct {
-	routes int // that each configuration has beside the one that names its order
+	routes int // number of routes of a configuration, besides the route that has the name of the order
 }
 
 // New implements simulation.Application.
@@ -39,8 +40,8 @@
 	return int(state.Version())
 }
 
-// Encode implements simulation.Application: a PATCH where the version is odd and there is something
-// to change.
+// Encode implements simulation.Application. The order is a PATCH if the next version is odd and a
+// configuration is in force, and otherwise a PUT.
 func (r storeApplication) Encode(o simulation.Command) []byte {
 	order := &message.Order{Kind: message.Order_PUT, IfMatch: int64(o.Base), Body: r.document(o)}
 	if o.Base > 0 && o.Next%2 == 1 {
@@ -56,18 +57,18 @@
 	nameDelimiter = "|"
 )
 
-// patchOf is a patch of the route that names its order.
+// patchOf returns a patch of the route that has the name of the order.
 func patchOf(o simulation.Command) []byte {
 	return fmt.Appendf(nil, `{"version":%d,"upsert":{"routes":[%s]}}`, o.Next, routeOf(o.Name))
 }
 
-// routeOf is the route that carries the name of an order.
+// routeOf returns the route that has the name of an order in its path prefix, between delimiters.
 func routeOf(name string) string {
 	return fmt.Sprintf(`{"name":"maker","host":"maker.example","pathPrefix":"/%s%s%s/","kind":"safe","timeoutMs":1000,"service":%q,"maxAttempts":1}`,
 		nameDelimiter, name, nameDelimiter, serviceName)
 }
 
-// document is a complete configuration with the name of an order.
+// document returns a complete configuration with the name of an order.
 func (r storeApplication) document(o simulation.Command) []byte {
 	routes := []string{routeOf(o.Name)}
 	for i := range r.routes {
@@ -77,7 +78,7 @@
 		`"limits":{"maxHeaderBytes":16384,"maxBodyBytes":4096,"headerTimeoutMs":3000,"idleTimeoutMs":15000}}`, o.Next, strings.Join(routes, ","), serviceName)
 }
 
-// NameOf implements simulation.Application.
+// NameOf implements simulation.Application. It finds the name of the order between the delimiters.
 func (storeApplication) NameOf(change []byte) string {
 	in := &message.Change{}
 	if proto.Unmarshal(change, in) != nil {
@@ -90,7 +91,8 @@
 	return parts[1]
 }
 
-// Outcome implements simulation.Application, as the control API answers an operator.
+// Outcome implements simulation.Application. It interprets the status as the control API reports it
+// to an operator.
 func (storeApplication) Outcome(reply []byte) (simulation.Outcome, error) {
 	out := &message.OrderReply{}
 	if err := proto.Unmarshal(reply, out); err != nil {
@@ -103,7 +105,7 @@
 	case out.Status == http.StatusPreconditionFailed:
 		o.Verdict = simulation.Rejected
 	case out.Status < http.StatusInternalServerError:
-		return o, fmt.Errorf("a proper order is answered %d: %s", out.Status, out.Text)
+		return o, fmt.Errorf("a valid order was answered with status %d: %s", out.Status, out.Text)
 	}
 	return o, nil
 }
@@ -112,10 +114,12 @@
 	storeFaultDuration = 30 * time.Second
 	storeRecoveryTime  = 17 * time.Second
 	storeCallInterval  = 150 * time.Millisecond
-	largeCallInterval  = time.Second // each read of 170 kB takes 0.14 s of the tail's link
+	largeCallInterval  = time.Second // each read of 170 kB occupies the tail's link for 0.14 s
 )
 
-// playStore runs the store under random faults, on links of a bandwidth.
+// simulateStore simulates the store under random faults, checks that it recovers, and checks the
+// history of orders and reads. The bandwidth of each machine is in bytes per second; 0 means
+// unlimited.
 func simulateStore(seed uint64, machines, tolerance, routes, bandwidth int, overlap bool, trace func(string, ...any)) *simulation.World {
 	w := simulation.New(simulation.Options{Seed: seed, Machines: machines, Tolerance: tolerance, Application: storeApplication{routes}, Bandwidth: bandwidth, Trace: trace})
 	w.StartAll()
@@ -137,15 +141,16 @@
 	}
 	w.Run(w.Now + storeRecoveryTime)
 	if w.Violation == nil && w.Now-w.History.LastAcknowledged > storeRecoveryTime/2 {
-		w.Fail("no order was acknowledged since %v", w.History.LastAcknowledged)
+		w.Fail("no order was acknowledged after %v", w.History.LastAcknowledged)
 	}
 	w.CheckEnd()
 	w.CheckHistory()
 	return w
 }
 
-// The store under random faults of the kinds that the operators' bench has: complete configurations
-// and patches, small ones and some of 170 kB over links of 10 Mbit/s.
+// The store stays consistent and recovers under random faults of the kinds that the operators'
+// bench injects. The orders are complete configurations and patches. Most cases have small
+// configurations; one has configurations of 170 kB over links of 10 Mbit/s.
 func TestReplicatedStoreUnderFaults(t *testing.T) {
 	for _, c := range []struct {
 		name                         string
@@ -179,9 +184,9 @@
 	}
 }
 
-// A member that missed hundreds of changes to a large configuration is back in the chain within the
-// time that the operators give it, over a link of 10 Mbit/s, with a slow disk, killed during the
-// snapshot, or without its disk.
+// A restarted member that missed hundreds of changes to a large configuration rejoins the chain
+// within the operators' time limit. Its link has 10 Mbit/s. In the further cases its disk is slow,
+// it is killed repeatedly during the snapshot transfer, or its disk is wiped.
 func TestMemberCatchesUpInTime(t *testing.T) {
 	const (
 		routes       = 1200 // 170 kB
@@ -191,18 +196,18 @@
 	)
 	for _, c := range []struct {
 		name   string
-		faults func(w *simulation.World, back *simulation.Process)
+		faults func(w *simulation.World, restarted *simulation.Process)
 		within time.Duration
 	}{
 		{"nothing else", func(*simulation.World, *simulation.Process) {}, catchUpLimit},
-		{"a slow disk", func(_ *simulation.World, back *simulation.Process) { back.SlowDisk(30*time.Millisecond, time.Minute) }, catchUpLimit},
-		{"killed again and again", func(w *simulation.World, back *simulation.Process) {
+		{"a slow disk", func(_ *simulation.World, restarted *simulation.Process) { restarted.SlowDisk(30*time.Millisecond, time.Minute) }, catchUpLimit},
+		{"killed again and again", func(w *simulation.World, restarted *simulation.Process) {
 			for i := range 3 {
-				w.After(time.Duration(i+1)*150*time.Millisecond, back.Crash)
-				w.After(time.Duration(i+1)*150*time.Millisecond+50*time.Millisecond, back.Start)
+				w.After(time.Duration(i+1)*150*time.Millisecond, restarted.Crash)
+				w.After(time.Duration(i+1)*150*time.Millisecond+50*time.Millisecond, restarted.Start)
 			}
 		}, catchUpLimit + time.Second},
-		{"its disk is gone", func(_ *simulation.World, back *simulation.Process) {}, catchUpLimit},
+		{"its disk is gone", func(_ *simulation.World, restarted *simulation.Process) {}, catchUpLimit},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -237,8 +242,8 @@
 	}
 }
 
-// inChain reports whether a process is in the chain of the latest view that another one knows, with
-// its complete state.
+// inChain reports whether a process is in the chain, with the complete state, by the latest view
+// that another process knows.
 func inChain(other, p *simulation.Process) bool {
 	v := other.Core.View()
 	if !p.Up() || p.Core.View().Epoch != v.Epoch {
@@ -257,7 +262,8 @@
 	return false
 }
 
-// orderOn is an order of one operator for a version.
+// orderOn returns an encoded order that replaces the configuration of version base by one of
+// version next.
 func orderOn(base, next int64, name string) []byte {
 	text, _ := proto.Marshal(&message.Order{Kind: message.Order_PUT, IfMatch: base,
 		Body: storeApplication{1}.document(simulation.Command{Name: name, Base: int(base), Next: int(next)})})
@@ -278,14 +284,15 @@
 	return out
 }
 
-// An applied order is acknowledged again after hundreds of later ones, after a snapshot, and up to
-// the bound on what is remembered. Two operators who send the same bytes are both acknowledged; of
-// two different orders for one version one is rejected.
+// An applied order that is sent again is acknowledged again: after hundreds of later orders, after
+// a snapshot is restored, and until MaxDigests later orders have displaced its digest. If two
+// operators send the same bytes, both are acknowledged. Of two different orders for the same
+// version, one is rejected.
 func TestOrderSentAgainIsAcknowledged(t *testing.T) {
 	is := is.New(t)
 	s := configuration.NewStore()
 	is.Equal(decide(t, s, orderOn(0, 1, "first")).Status, int32(http.StatusOK))
-	// The other operator.
+	// Another operator sends the same bytes.
 	is.Equal(decide(t, s, orderOn(0, 1, "first")).Status, int32(http.StatusOK))
 	is.Equal(decide(t, s, orderOn(0, 1, "rival")).Status, int32(http.StatusPreconditionFailed))
 	for v := int64(1); v < 700; v++ {
@@ -299,19 +306,19 @@
 	for v := int64(700); v < configuration.MaxDigests; v++ {
 		decide(t, restored, orderOn(v, v+1, "later"))
 	}
-	// The last one that is remembered.
+	// MaxDigests orders are applied, so the digest of the first one is still retained.
 	is.Equal(decide(t, restored, orderOn(0, 1, "first")).Status, int32(http.StatusOK))
-	// And now it is not.
+	// One more order displaces the digest of the first one.
 	is.Equal(decide(t, restored, orderOn(configuration.MaxDigests, configuration.MaxDigests+1, "one more")).Status, int32(http.StatusOK))
-	// As for any old version.
+	// The first order is now rejected like any order for an old version.
 	is.Equal(decide(t, restored, orderOn(0, 1, "first")).Status, int32(http.StatusPreconditionFailed))
-	// The next one still is.
+	// The digest of the second order is still retained.
 	is.Equal(decide(t, restored, orderOn(1, 2, "later")).Status, int32(http.StatusOK))
 	is.True(json.Valid(restored.Value().(*configuration.State).JSON()))
 }
 
-// An order for a later version is neither applied nor rejected for good: a retry may still be
-// applied.
+// An order for a later version than the one in force is not applied, but it may be retried. The
+// retry is applied once that version is in force.
 func TestOrderForLaterVersionMayBeRetried(t *testing.T) {
 	is := is.New(t)
 	s := configuration.NewStore()
--- a/internal/system/deciders/configuration/stored_test.go
+++ b/internal/system/deciders/configuration/stored_test.go
@@ -10,11 +10,11 @@
 	"reachspread/internal/testbed/golden"
 )
 
-// The file testdata/stored was written at commit 5bfcc27: WRITE_GOLDEN=1 go test -run
-// TestStoredStateOfEarlierVersion. It is the state that a replica of the register persists and
-// sends to others.
+// The file testdata/stored was written at commit 5bfcc27 by WRITE_GOLDEN=1 go test -run
+// TestStoredStateOfEarlierVersion. It holds a state in the form in which a replica of the register
+// persists it and sends it to other replicas.
 
-// storedOrders are the orders that lead to it.
+// storedOrders returns the orders that lead to the state in testdata/stored.
 func storedOrders() [][]byte {
 	order := func(kind message.Order_Kind, base int64, body string) []byte {
 		text, _ := proto.Marshal(&message.Order{Kind: kind, IfMatch: base, Body: []byte(body), AtMs: 1})
@@ -30,8 +30,8 @@
 	}
 }
 
-// A state of an earlier version is restored to the same configuration, pins, history and orders,
-// and encoded to the same bytes.
+// A state that an earlier version of the program stored is restored with the same configuration,
+// pins, pin history and applied orders. The restored state is encoded to the same bytes.
 func TestStoredStateOfEarlierVersion(t *testing.T) {
 	is := is.New(t)
 	written := NewStore()
@@ -52,7 +52,7 @@
 		{Revision: 1, Pin: a, By: "ann", Why: "trial", AtMs: 7}, {Revision: 2, Pin: b, By: "ann", Why: "trial", AtMs: 8},
 		{Revision: 3, Lifted: true, Pin: a, By: "ann", Why: "trial", AtMs: 9}}}))
 	for _, text := range storedOrders() {
-		is.Equal(decide(t, s, text).Status, int32(200)) // taken before
+		is.Equal(decide(t, s, text).Status, int32(200)) // the order is in the restored digests
 	}
 	is.Equal(s.Snapshot(), written.Snapshot())
 }
