--- a/internal/system/deciders/configuration/replicated_test.go
+++ b/internal/system/deciders/configuration/replicated_test.go
@@ -200,7 +200,9 @@
 		within time.Duration
 	}{
 		{"nothing else", func(*simulation.World, *simulation.Process) {}, catchUpLimit},
-		{"a slow disk", func(_ *simulation.World, restarted *simulation.Process) { restarted.SlowDisk(30*time.Millisecond, time.Minute) }, catchUpLimit},
+		{"a slow disk", func(_ *simulation.World, restarted *simulation.Process) {
+			restarted.SlowDisk(30*time.Millisecond, time.Minute)
+		}, catchUpLimit},
 		{"killed again and again", func(w *simulation.World, restarted *simulation.Process) {
 			for i := range 3 {
 				w.After(time.Duration(i+1)*150*time.Millisecond, restarted.Crash)
