--- a/internal/system/deciders/configuration/replicated_test.go
+++ b/internal/system/deciders/configuration/replicated_test.go
@@ -186,7 +186,7 @@
 
 // A restarted member that missed hundreds of changes to a large configuration rejoins the chain
 // within the operators' time limit. Its link has 10 Mbit/s. In the further cases its disk is slow,
-// it is killed repeatedly during the snapshot transfer, or its disk is wiped.
+// it is killed repeatedly while it receives the snapshot, or its disk is wiped.
 func TestMemberCatchesUpInTime(t *testing.T) {
 	const (
 		routes       = 1200 // 170 kB
@@ -196,20 +196,18 @@
 	)
 	for _, c := range []struct {
 		name   string
-		faults func(w *simulation.World, restarted *simulation.Process)
+		faults func(w *simulation.World, p *simulation.Process)
 		within time.Duration
 	}{
 		{"nothing else", func(*simulation.World, *simulation.Process) {}, catchUpLimit},
-		{"a slow disk", func(_ *simulation.World, restarted *simulation.Process) {
-			restarted.SlowDisk(30*time.Millisecond, time.Minute)
-		}, catchUpLimit},
-		{"killed again and again", func(w *simulation.World, restarted *simulation.Process) {
+		{"a slow disk", func(_ *simulation.World, p *simulation.Process) { p.SlowDisk(30*time.Millisecond, time.Minute) }, catchUpLimit},
+		{"killed again and again", func(w *simulation.World, p *simulation.Process) {
 			for i := range 3 {
-				w.After(time.Duration(i+1)*150*time.Millisecond, restarted.Crash)
-				w.After(time.Duration(i+1)*150*time.Millisecond+50*time.Millisecond, restarted.Start)
+				w.After(time.Duration(i+1)*150*time.Millisecond, p.Crash)
+				w.After(time.Duration(i+1)*150*time.Millisecond+50*time.Millisecond, p.Start)
 			}
 		}, catchUpLimit + time.Second},
-		{"its disk is gone", func(_ *simulation.World, restarted *simulation.Process) {}, catchUpLimit},
+		{"its disk is gone", func(_ *simulation.World, p *simulation.Process) {}, catchUpLimit},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/system/deciders/configuration/types.go
+++ b/internal/system/deciders/configuration/types.go
@@ -36,7 +36,8 @@
 	// TargetLatencyMs is the time, in milliseconds, within which an answer has its full value. For
 	// a stream it applies to the first event. 0 means no target.
 	TargetLatencyMs float64 `json:"targetLatencyMs" validate:"gte=0"`
-	// Priority orders requests of tenants with equal priority at a host. 0 is the most urgent.
+	// Priority orders requests at a host if their tenants have equal priority. 0 is the most
+	// urgent.
 	Priority int `json:"priority"`
 	// Service receives all requests, unless TrafficSplit divides the requests by weight.
 	Service      string  `json:"service"`
@@ -49,8 +50,7 @@
 	// SessionAffinity is accepted but has no effect, because routers choose hosts by the prefix of
 	// the prompt.
 	SessionAffinity bool `json:"sessionAffinity"`
-	// StreamResumption allows another host to resume an interrupted stream after the last event
-	// that was sent.
+	// StreamResumption allows another host to resume an interrupted stream after its last event.
 	StreamResumption bool `json:"streamResumption"`
 	// GapTargetMs is the maximum time between two events of a stream for the stream to be on time,
 	// in milliseconds. 0 means no target.
--- a/internal/system/deciders/instances/instances.go
+++ b/internal/system/deciders/instances/instances.go
@@ -26,8 +26,8 @@
 	// removedTTL is how long the record of a removed host is retained, so that no late record of
 	// the host adds it again.
 	removedTTL = 10 * time.Minute
-	// missedHeartbeats is the number of heartbeat intervals without a heartbeat after which a host
-	// is considered lost.
+	// missedHeartbeats is the number of heartbeat intervals without a heartbeat after which
+	// DetectLost considers a host lost.
 	missedHeartbeats = 3.5
 	// minSweepSize is the number of records below which no removed host is deleted.
 	minSweepSize = 256
@@ -109,8 +109,8 @@
 	return all
 }
 
-// ChangedSince returns the hosts of a service that changed after a revision. Their ColdRemainingMs
-// is the remaining time of their slow start at present.
+// ChangedSince returns the hosts of a service that changed after a revision. The field
+// ColdRemainingMs of each host is what remains of the host's slow start at present.
 func (r *Registry) ChangedSince(service string, after uint64) (all []*message.Instance) {
 	for _, rec := range r.Records(service) {
 		if rec.revision <= after {
@@ -126,8 +126,8 @@
 	return all
 }
 
-// Merge applies records of another router and returns the records that superseded those in the
-// registry or added a host.
+// Merge applies records of another router and returns those that it stored: records of new hosts,
+// and records that superseded the existing record of their host.
 func (r *Registry) Merge(now time.Duration, all []*message.Instance) (changed []*Record) {
 	r.now = max(r.now, now)
 	for _, in := range all {
@@ -220,15 +220,15 @@
 	return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a.Sequence, b.Sequence), cmp.Compare(a.State, b.State)) > 0
 }
 
-// equalContent reports whether two records of a host are equal except for their sequence number and
-// remaining slow start.
+// equalContent reports whether two records of a host are equal except for their sequence numbers
+// and the remaining times of their slow starts.
 func equalContent(a, b *message.Instance) bool {
 	return a.State == b.State && a.Service == b.Service && a.Address == b.Address && a.Zone == b.Zone && a.Slots == b.Slots &&
 		a.Software == b.Software && a.Stage == b.Stage &&
 		slices.EqualFunc(a.Models, b.Models, func(x, y *message.Model) bool { return proto.Equal(x, y) })
 }
 
-// store adds or replaces the record of a host and increments the revision.
+// store adds or replaces the record of a host and increments the revision of the registry.
 func (r *Registry) store(in *message.Instance) *Record {
 	r.revision++
 	rec := &Record{Instance: in, revision: r.revision, lastHeartbeat: r.now, stateSince: r.now}
--- a/internal/system/deciders/sampling/sampling.go
+++ b/internal/system/deciders/sampling/sampling.go
@@ -36,9 +36,10 @@
 
 // Sample records that the router sends a prompt with the given number of tokens to prefill, and
 // returns whether to report the prompt to the recipients. Sample selects the largest prompts, as
-// many as the rate allows, because a prompt waits long behind a few large prompts and hardly behind
-// many small ones. The caller draws random from [0, 1); it decides on prompts whose size equals the
-// threshold. The argument now must not decrease from call to call.
+// many as the rate allows, because a prompt waits long behind a few large prompts and hardly at all
+// behind many small ones. The caller draws random from [0, 1). Its value decides whether Sample
+// selects a prompt whose size equals the threshold. The argument now must not decrease from call to
+// call.
 func (s *Sampler) Sample(now time.Duration, tokens float64, recipients int, random float64) bool {
 	if recipients <= 0 || tokens <= 0 {
 		return false
