--- a/internal/system/deciders/configuration/types.go
+++ b/internal/system/deciders/configuration/types.go
@@ -33,8 +33,9 @@
 	// TimeoutMs is the maximum time for queueing and serving a request, in milliseconds. The client
 	// gives up after this time.
 	TimeoutMs float64 `json:"timeoutMs" validate:"gt=0"`
-	// TargetLatencyMs is the time, in milliseconds, within which an answer has its full value. For
-	// a stream it applies to the first event. 0 means no target.
+	// TargetLatencyMs is the time, in milliseconds, within which an answer has its full value; a
+	// later answer has a fraction of it. For a stream the target applies to the first event. 0
+	// means no target.
 	TargetLatencyMs float64 `json:"targetLatencyMs" validate:"gte=0"`
 	// Priority orders requests at a host if their tenants have equal priority. 0 is the most
 	// urgent.
