--- a/internal/system/deciders/configuration/difference.go
+++ b/internal/system/deciders/configuration/difference.go
@@ -6,17 +6,17 @@
 	"slices"
 )
 
-// patchText is the JSON form of a patch.
-type patchText struct {
+// patchJSON is the JSON form of a patch.
+type patchJSON struct {
 	Version int64                      `json:"version"`
 	Upsert  map[string]json.RawMessage `json:"upsert,omitempty"`
 	Remove  map[string][]string        `json:"remove,omitempty"`
 }
 
-// Difference returns the patch that turns one document into another; ok is false where no patch
-// does, as fields were removed or items reordered.
+// Difference returns the text of a patch that turns one document into another. It returns false if
+// no patch can do so, for example because fields were removed or items were reordered.
 func Difference(before, after *Document) (text []byte, ok bool) {
-	out := patchText{Version: after.Version, Upsert: map[string]json.RawMessage{}, Remove: map[string][]string{}}
+	out := patchJSON{Version: after.Version, Upsert: map[string]json.RawMessage{}, Remove: map[string][]string{}}
 	for _, f := range before.fields {
 		if g := after.find(f.name); g == nil || g.list != f.list {
 			return nil, false
@@ -27,7 +27,7 @@
 	}
 	var buffer bytes.Buffer
 	encoder := json.NewEncoder(&buffer)
-	encoder.SetEscapeHTML(false) // items are sent as they were written
+	encoder.SetEscapeHTML(false) // send the items as the operator wrote them
 	if err := encoder.Encode(out); err != nil {
 		return nil, false
 	}
@@ -36,12 +36,12 @@
 	if err != nil {
 		return nil, false
 	}
-	made, err := before.Apply(patch)
-	return text, err == nil && made.equal(after)
+	patched, err := before.Apply(patch)
+	return text, err == nil && patched.equal(after)
 }
 
-// add adds the difference of one field. Before is nil for a new one.
-func (c *patchText) add(before, after *field) {
+// add adds the difference of one field to the patch. The argument before is nil for a new field.
+func (c *patchJSON) add(before, after *field) {
 	if !after.list {
 		if before == nil || !bytes.Equal(before.value, after.value) {
 			c.Upsert[after.name] = after.value
@@ -56,7 +56,7 @@
 	}
 	var changed []json.RawMessage
 	for _, it := range after.items {
-		if had, ok := old[it.name]; !ok || !equalText(had.raw, it.raw) {
+		if previous, ok := old[it.name]; !ok || !equalText(previous.raw, it.raw) {
 			changed = append(changed, it.raw)
 		}
 		delete(old, it.name)
--- a/internal/system/deciders/configuration/replicated_test.go
+++ b/internal/system/deciders/configuration/replicated_test.go
@@ -21,27 +21,28 @@
 )
 
 var (
-	replicatedSchedules = flag.Int("replicated", 8, "drawn schedules of the configuration's store that are played of each kind")
-	showReplicated      = flag.Bool("replicated-show", false, "tell what happens")
+	replicatedSchedules = flag.Int("replicated", 8, "number of random fault schedules of the configuration store to simulate for each case")
+	showReplicated      = flag.Bool("replicated-show", false, "log the events of the simulation")
 )
 
-// replicated runs the store in a simulation. Each order is a complete configuration or a patch.
-type replicated struct {
-	routes int // that each configuration has beside the one that names its order
+// storeApplication lets a simulation run the store. Each order is a complete configuration or a
+// patch.
+type storeApplication struct {
+	routes int // number of routes of a configuration, besides the route that has the name of the order
 }
 
 // New implements simulation.Application.
-func (replicated) New() chain.Machine { return configuration.NewStore() }
+func (storeApplication) New() chain.Machine { return configuration.NewStore() }
 
 // Version implements simulation.Application.
-func (replicated) Version(m chain.Machine) int {
+func (storeApplication) Version(m chain.Machine) int {
 	state, _ := m.Value().(*configuration.State)
 	return int(state.Version())
 }
 
-// Encode implements simulation.Application: a PATCH where the version is odd and there is something
-// to change.
-func (r replicated) Encode(o simulation.Command) []byte {
+// Encode implements simulation.Application. The order is a PATCH if the next version is odd and a
+// configuration is in force, and otherwise a PUT.
+func (r storeApplication) Encode(o simulation.Command) []byte {
 	order := &message.Order{Kind: message.Order_PUT, IfMatch: int64(o.Base), Body: r.document(o)}
 	if o.Base > 0 && o.Next%2 == 1 {
 		order.Kind = message.Order_PATCH
@@ -52,23 +53,23 @@
 }
 
 const (
-	serviceName = "s"
-	nameMark    = "|"
+	serviceName   = "s"
+	nameDelimiter = "|"
 )
 
-// patchOf is a patch of the route that names its order.
+// patchOf returns a patch of the route that has the name of the order.
 func patchOf(o simulation.Command) []byte {
 	return fmt.Appendf(nil, `{"version":%d,"upsert":{"routes":[%s]}}`, o.Next, routeOf(o.Name))
 }
 
-// routeOf is the route that carries the name of an order.
+// routeOf returns the route that has the name of an order in its path prefix, between delimiters.
 func routeOf(name string) string {
 	return fmt.Sprintf(`{"name":"maker","host":"maker.example","pathPrefix":"/%s%s%s/","kind":"safe","timeoutMs":1000,"service":%q,"maxAttempts":1}`,
-		nameMark, name, nameMark, serviceName)
+		nameDelimiter, name, nameDelimiter, serviceName)
 }
 
-// document is a complete configuration with the name of an order.
-func (r replicated) document(o simulation.Command) []byte {
+// document returns a complete configuration with the name of an order.
+func (r storeApplication) document(o simulation.Command) []byte {
 	routes := []string{routeOf(o.Name)}
 	for i := range r.routes {
 		routes = append(routes, fmt.Sprintf(`{"name":"r%d","host":"h%d.example","pathPrefix":"/p%d/","kind":"safe","timeoutMs":1000,"service":%q,"maxAttempts":2}`, i, i, i, serviceName))
@@ -77,21 +78,22 @@
 		`"limits":{"maxHeaderBytes":16384,"maxBodyBytes":4096,"headerTimeoutMs":3000,"idleTimeoutMs":15000}}`, o.Next, strings.Join(routes, ","), serviceName)
 }
 
-// NameOf implements simulation.Application.
-func (replicated) NameOf(change []byte) string {
+// NameOf implements simulation.Application. It finds the name of the order between the delimiters.
+func (storeApplication) NameOf(change []byte) string {
 	in := &message.Change{}
 	if proto.Unmarshal(change, in) != nil {
 		return ""
 	}
-	parts := strings.SplitN(string(in.Order.GetBody()), nameMark, 3)
+	parts := strings.SplitN(string(in.Order.GetBody()), nameDelimiter, 3)
 	if len(parts) < 3 {
 		return ""
 	}
 	return parts[1]
 }
 
-// Outcome implements simulation.Application, as the control API answers an operator.
-func (replicated) Outcome(reply []byte) (simulation.Outcome, error) {
+// Outcome implements simulation.Application. It interprets the status as the control API reports it
+// to an operator.
+func (storeApplication) Outcome(reply []byte) (simulation.Outcome, error) {
 	out := &message.OrderReply{}
 	if err := proto.Unmarshal(reply, out); err != nil {
 		return simulation.Outcome{}, err
@@ -103,49 +105,52 @@
 	case out.Status == http.StatusPreconditionFailed:
 		o.Verdict = simulation.Rejected
 	case out.Status < http.StatusInternalServerError:
-		return o, fmt.Errorf("a proper order is answered %d: %s", out.Status, out.Text)
+		return o, fmt.Errorf("a valid order was answered with status %d: %s", out.Status, out.Text)
 	}
 	return o, nil
 }
 
 const (
-	storeFaultsFor = 30 * time.Second
-	storeRecovery  = 17 * time.Second
-	storeCalls     = 150 * time.Millisecond
-	largeCalls     = time.Second // each read of 170 kB takes 0.14 s of the tail's link
+	storeFaultDuration = 30 * time.Second
+	storeRecoveryTime  = 17 * time.Second
+	storeCallInterval  = 150 * time.Millisecond
+	largeCallInterval  = time.Second // each read of 170 kB occupies the tail's link for 0.14 s
 )
 
-// playStore runs the store under random faults, on links of a bandwidth.
-func playStore(seed uint64, machines, tolerance, routes, bandwidth int, overlap bool, trace func(string, ...any)) *simulation.World {
-	w := simulation.New(simulation.Options{Seed: seed, Machines: machines, Tolerance: tolerance, Application: replicated{routes}, Bandwidth: bandwidth, Trace: trace})
+// simulateStore simulates the store under random faults, checks that it recovers, and checks the
+// history of orders and reads. The bandwidth of each machine is in bytes per second; 0 means
+// unlimited.
+func simulateStore(seed uint64, machines, tolerance, routes, bandwidth int, overlap bool, trace func(string, ...any)) *simulation.World {
+	w := simulation.New(simulation.Options{Seed: seed, Machines: machines, Tolerance: tolerance, Application: storeApplication{routes}, Bandwidth: bandwidth, Trace: trace})
 	w.StartAll()
-	d := w.InjectFaults(simulation.Kinds(), storeFaultsFor, overlap)
+	d := w.InjectFaults(simulation.Kinds(), storeFaultDuration, overlap)
 	for i := range 2 {
 		c := w.NewClient(seed%2 == 0)
 		if seed%2 == 1 && i == 0 {
 			c.BuildAhead()
 		}
 		if bandwidth > 0 {
-			c.Loop(largeCalls)
+			c.Loop(largeCallInterval)
 		} else {
-			c.Loop(storeCalls)
+			c.Loop(storeCallInterval)
 		}
 	}
-	w.Run(storeFaultsFor)
+	w.Run(storeFaultDuration)
 	for w.Violation == nil && w.Now < d.EndsAt() {
 		w.Run(d.EndsAt())
 	}
-	w.Run(w.Now + storeRecovery)
-	if w.Violation == nil && w.Now-w.History.LastAcknowledged > storeRecovery/2 {
-		w.Fail("no order was acknowledged since %v", w.History.LastAcknowledged)
+	w.Run(w.Now + storeRecoveryTime)
+	if w.Violation == nil && w.Now-w.History.LastAcknowledged > storeRecoveryTime/2 {
+		w.Fail("no order was acknowledged after %v", w.History.LastAcknowledged)
 	}
 	w.CheckEnd()
 	w.CheckHistory()
 	return w
 }
 
-// The store under random faults of the kinds that the operators' bench has: complete configurations
-// and patches, small ones and some of 170 kB over links of 10 Mbit/s.
+// The store stays consistent and recovers under random faults of the kinds that the operators'
+// bench injects. The orders are complete configurations and patches. Most cases have small
+// configurations; one has configurations of 170 kB over links of 10 Mbit/s.
 func TestReplicatedStoreUnderFaults(t *testing.T) {
 	for _, c := range []struct {
 		name                         string
@@ -166,7 +171,7 @@
 				trace = t.Logf
 			}
 			faultplan.ForEachParallel(c.schedules, func(i int) {
-				w := playStore(uint64(i+1), c.machines, c.tolerance, c.routes, c.bandwidth, c.overlap, trace)
+				w := simulateStore(uint64(i+1), c.machines, c.tolerance, c.routes, c.bandwidth, c.overlap, trace)
 				if w.Violation != nil {
 					t.Errorf("seed %d: %v", i+1, w.Violation)
 				}
@@ -179,66 +184,66 @@
 	}
 }
 
-// A member that missed hundreds of changes to a large configuration is back in the chain within the
-// time that the operators give it, over a link of 10 Mbit/s, with a slow disk, killed during the
-// snapshot, or without its disk.
+// A restarted member that missed hundreds of changes to a large configuration rejoins the chain
+// within the operators' time limit. Its link has 10 Mbit/s. In the further cases its disk is slow,
+// it is killed repeatedly while it receives the snapshot, or its disk is wiped.
 func TestMemberCatchesUpInTime(t *testing.T) {
 	const (
-		routes  = 1200 // 170 kB
-		changes = 300
-		away    = 20 * time.Second
-		inTime  = 4 * time.Second
+		routes       = 1200 // 170 kB
+		changes      = 300
+		downtime     = 20 * time.Second
+		catchUpLimit = 4 * time.Second
 	)
 	for _, c := range []struct {
 		name   string
-		faults func(w *simulation.World, back *simulation.Process)
+		faults func(w *simulation.World, p *simulation.Process)
 		within time.Duration
 	}{
-		{"nothing else", func(*simulation.World, *simulation.Process) {}, inTime},
-		{"a slow disk", func(_ *simulation.World, back *simulation.Process) { back.SlowDisk(30*time.Millisecond, time.Minute) }, inTime},
-		{"killed again and again", func(w *simulation.World, back *simulation.Process) {
+		{"nothing else", func(*simulation.World, *simulation.Process) {}, catchUpLimit},
+		{"a slow disk", func(_ *simulation.World, p *simulation.Process) { p.SlowDisk(30*time.Millisecond, time.Minute) }, catchUpLimit},
+		{"killed again and again", func(w *simulation.World, p *simulation.Process) {
 			for i := range 3 {
-				w.After(time.Duration(i+1)*150*time.Millisecond, back.Crash)
-				w.After(time.Duration(i+1)*150*time.Millisecond+50*time.Millisecond, back.Start)
+				w.After(time.Duration(i+1)*150*time.Millisecond, p.Crash)
+				w.After(time.Duration(i+1)*150*time.Millisecond+50*time.Millisecond, p.Start)
 			}
-		}, inTime + time.Second},
-		{"its disk is gone", func(_ *simulation.World, back *simulation.Process) {}, inTime},
+		}, catchUpLimit + time.Second},
+		{"its disk is gone", func(_ *simulation.World, p *simulation.Process) {}, catchUpLimit},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			w := simulation.New(simulation.Options{Seed: 3, Machines: 3, Tolerance: 1, Application: replicated{routes}, Bandwidth: 10_000_000 / 8, Sync: time.Millisecond})
+			w := simulation.New(simulation.Options{Seed: 3, Machines: 3, Tolerance: 1, Application: storeApplication{routes}, Bandwidth: 10_000_000 / 8, Sync: time.Millisecond})
 			w.StartAll()
 			w.NewClient(true).Loop(20 * time.Millisecond)
 			w.Run(3 * time.Second)
-			back := w.Processes[0]
-			back.Crash()
-			w.Run(3*time.Second + away)
+			restarted := w.Processes[0]
+			restarted.Crash()
+			w.Run(3*time.Second + downtime)
 			for w.Violation == nil && w.History.Commands < changes && w.Now < 5*time.Minute {
 				w.Run(w.Now + time.Second)
 			}
 			is.True(w.History.Commands >= changes)
 			if c.name == "its disk is gone" {
-				back.Wipe()
+				restarted.Wipe()
 			}
-			began := w.Now
-			back.Start()
-			c.faults(w, back)
-			for w.Violation == nil && w.Now < began+2*c.within && !inChain(w.Processes[1], back) {
+			restartedAt := w.Now
+			restarted.Start()
+			c.faults(w, restarted)
+			for w.Violation == nil && w.Now < restartedAt+2*c.within && !inChain(w.Processes[1], restarted) {
 				w.Run(w.Now + 20*time.Millisecond)
 			}
 			is.NoErr(w.Violation)
-			t.Logf("in the chain after %v", w.Now-began)
-			is.True(inChain(w.Processes[1], back))
-			is.True(w.Now-began <= c.within)
+			t.Logf("in the chain after %v", w.Now-restartedAt)
+			is.True(inChain(w.Processes[1], restarted))
+			is.True(w.Now-restartedAt <= c.within)
 			w.CheckEnd()
 			is.NoErr(w.Violation)
 		})
 	}
 }
 
-// inChain reports whether a process is in the chain of the latest view that another one knows, with
-// its complete state.
+// inChain reports whether a process is in the chain, with the complete state, by the latest view
+// that another process knows.
 func inChain(other, p *simulation.Process) bool {
 	v := other.Core.View()
 	if !p.Up() || p.Core.View().Epoch != v.Epoch {
@@ -257,10 +262,11 @@
 	return false
 }
 
-// orderOn is an order of one operator for a version.
-func orderOn(on, next int64, name string) []byte {
-	text, _ := proto.Marshal(&message.Order{Kind: message.Order_PUT, IfMatch: on,
-		Body: replicated{1}.document(simulation.Command{Name: name, Base: int(on), Next: int(next)})})
+// orderOn returns an encoded order that replaces the configuration of version base by one of
+// version next.
+func orderOn(base, next int64, name string) []byte {
+	text, _ := proto.Marshal(&message.Order{Kind: message.Order_PUT, IfMatch: base,
+		Body: storeApplication{1}.document(simulation.Command{Name: name, Base: int(base), Next: int(next)})})
 	return text
 }
 
@@ -278,14 +284,15 @@
 	return out
 }
 
-// An applied order is acknowledged again after hundreds of later ones, after a snapshot, and up to
-// the bound on what is remembered. Two operators who send the same bytes are both acknowledged; of
-// two different orders for one version one is rejected.
+// An applied order that is sent again is acknowledged again: after hundreds of later orders, after
+// a snapshot is restored, and until MaxDigests later orders have displaced its digest. If two
+// operators send the same bytes, both are acknowledged. Of two different orders for the same
+// version, one is rejected.
 func TestOrderSentAgainIsAcknowledged(t *testing.T) {
 	is := is.New(t)
 	s := configuration.NewStore()
 	is.Equal(decide(t, s, orderOn(0, 1, "first")).Status, int32(http.StatusOK))
-	// The other operator.
+	// Another operator sends the same bytes.
 	is.Equal(decide(t, s, orderOn(0, 1, "first")).Status, int32(http.StatusOK))
 	is.Equal(decide(t, s, orderOn(0, 1, "rival")).Status, int32(http.StatusPreconditionFailed))
 	for v := int64(1); v < 700; v++ {
@@ -299,19 +306,19 @@
 	for v := int64(700); v < configuration.MaxDigests; v++ {
 		decide(t, restored, orderOn(v, v+1, "later"))
 	}
-	// The last one that is remembered.
+	// MaxDigests orders are applied, so the digest of the first one is still retained.
 	is.Equal(decide(t, restored, orderOn(0, 1, "first")).Status, int32(http.StatusOK))
-	// And now it is not.
+	// One more order displaces the digest of the first one.
 	is.Equal(decide(t, restored, orderOn(configuration.MaxDigests, configuration.MaxDigests+1, "one more")).Status, int32(http.StatusOK))
-	// As for any old version.
+	// The first order is now rejected like any order for an old version.
 	is.Equal(decide(t, restored, orderOn(0, 1, "first")).Status, int32(http.StatusPreconditionFailed))
-	// The next one still is.
+	// The digest of the second order is still retained.
 	is.Equal(decide(t, restored, orderOn(1, 2, "later")).Status, int32(http.StatusOK))
 	is.True(json.Valid(restored.Value().(*configuration.State).JSON()))
 }
 
-// An order for a later version is neither applied nor rejected for good: a retry may still be
-// applied.
+// An order for a later version than the one in force is not applied, but it may be retried. The
+// retry is applied once that version is in force.
 func TestOrderForLaterVersionMayBeRetried(t *testing.T) {
 	is := is.New(t)
 	s := configuration.NewStore()
--- a/internal/system/deciders/configuration/stored_test.go
+++ b/internal/system/deciders/configuration/stored_test.go
@@ -10,14 +10,14 @@
 	"reachspread/internal/testbed/golden"
 )
 
-// The file testdata/stored was written at commit 5bfcc27: WRITE_GOLDEN=1 go test -run
-// TestStoredStateOfEarlierVersion. It is the state that a replica of the register persists and
-// sends to others.
+// The file testdata/stored was written at commit 5bfcc27 by WRITE_GOLDEN=1 go test -run
+// TestStoredStateOfEarlierVersion. It holds a state in the form in which a replica of the register
+// persists it and sends it to other replicas.
 
-// storedOrders are the orders that lead to it.
+// storedOrders returns the orders that lead to the state in testdata/stored.
 func storedOrders() [][]byte {
-	order := func(kind message.Order_Kind, on int64, body string) []byte {
-		text, _ := proto.Marshal(&message.Order{Kind: kind, IfMatch: on, Body: []byte(body), AtMs: 1})
+	order := func(kind message.Order_Kind, base int64, body string) []byte {
+		text, _ := proto.Marshal(&message.Order{Kind: kind, IfMatch: base, Body: []byte(body), AtMs: 1})
 		return text
 	}
 	return [][]byte{
@@ -30,19 +30,19 @@
 	}
 }
 
-// A state of an earlier version is restored to the same configuration, pins, history and orders,
-// and encoded to the same bytes.
+// A state that an earlier version of the program stored is restored with the same configuration,
+// pins, pin history and applied orders. The restored state is encoded to the same bytes.
 func TestStoredStateOfEarlierVersion(t *testing.T) {
 	is := is.New(t)
-	made := NewStore()
+	written := NewStore()
 	for _, text := range storedOrders() {
-		if r := decide(t, made, text); r.Status != 200 {
+		if r := decide(t, written, text); r.Status != 200 {
 			t.Fatal(r.Text)
 		}
 	}
-	golden.Same(t, "stored", made.Snapshot())
+	golden.Same(t, "stored", written.Snapshot())
 	s := NewStore()
-	is.NoErr(s.Restore(golden.File(t, "stored", made.Snapshot())))
+	is.NoErr(s.Restore(golden.File(t, "stored", written.Snapshot())))
 	is.Equal(string(s.state.JSON()), `{"version":5,"routes":[{"name":"r","host":"h","pathPrefix":"/","kind":"safe","timeoutMs":1000,"service":"s"}],"services":[{"name":"s"},{"name":"t"}],`+
 		`"tenants":[{"name":"x","apiKeys":["k"],"ratePerS":2.50,"burst":3}],"unknown":{"n":[1e3]}}`)
 	a := &message.Pin{Name: "a", Tenant: "x", Model: "m", Version: 2, By: "ann", Why: "trial", SetAtMs: 7, Revision: 1}
@@ -52,7 +52,7 @@
 		{Revision: 1, Pin: a, By: "ann", Why: "trial", AtMs: 7}, {Revision: 2, Pin: b, By: "ann", Why: "trial", AtMs: 8},
 		{Revision: 3, Lifted: true, Pin: a, By: "ann", Why: "trial", AtMs: 9}}}))
 	for _, text := range storedOrders() {
-		is.Equal(decide(t, s, text).Status, int32(200)) // taken before
+		is.Equal(decide(t, s, text).Status, int32(200)) // the order is in the restored digests
 	}
-	is.Equal(s.Snapshot(), made.Snapshot())
+	is.Equal(s.Snapshot(), written.Snapshot())
 }
--- a/internal/system/roles/node/http.go
+++ b/internal/system/roles/node/http.go
@@ -124,7 +124,7 @@
 	if n.front.Draining() || !n.plane.Serving() {
 		return false
 	}
-	return n.honoursKeys() || !n.plane.State().Typed.Keyed()
+	return n.honoursKeys() || !n.plane.State().Typed.RequiresAPIKeys()
 }
 
 // controlAddress returns the address of a router's control plane for hosts. The port is the same
