--- a/internal/router/lease/apply.go
+++ b/internal/router/lease/apply.go
@@ -46,12 +46,12 @@
 // acquire grants a role to a router, or queues it. Seen is the largest token that the router has
 // been told of: voters that do not know of it have lost what others remember, and begin a new block
 // of tokens.
-func (t *Table) acquire(s *roleSlots, index, seen uint64, router Router) (Result, []Change) {
+func (t *Table) acquire(s *roleSlots, index, seenToken uint64, router Router) (Result, []Change) {
 	if router.Name == "" || len(router.Name) > MaxNameBytes {
 		return Result{Refusal: RefusedRouterName}, nil
 	}
-	if seen > t.token && seen < maxSeenToken {
-		t.token = NextTokenBlock(seen)
+	if seenToken > t.token && seenToken < maxSeenToken {
+		t.token = NextTokenBlock(seenToken)
 	}
 	for i, g := range s.grants {
 		// It has not heard of the grant, and will count its lease from this request.
--- a/internal/router/lease/lease_test.go
+++ b/internal/router/lease/lease_test.go
@@ -14,10 +14,10 @@
 	"reachspread/internal/testbed/explorer"
 )
 
-func a(n string) Router { return Router{Name: n, Boot: 1} }
+func routerNamed(n string) Router { return Router{Name: n, Boot: 1} }
 
 // story applies commands and tells what became of them, a line each.
-func story(t *testing.T, table *Table, all ...Command) (lines []string) {
+func applyAll(t *testing.T, table *Table, all ...Command) (lines []string) {
 	t.Helper()
 	for i, c := range all {
 		answer, changes := table.Apply(uint64(10*(i+1)), c)
@@ -41,26 +41,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := story(t, table,
-		Command{Kind: Acquire, Role: "scribe", Router: a("r1")},
-		Command{Kind: Acquire, Role: "scribe", Router: a("r2")}, // waits
-		Command{Kind: Acquire, Role: "scribe", Router: a("r3")}, // waits
-		Command{Kind: Acquire, Role: "scribe", Router: a("r1")}, // has not heard
-		Command{Kind: Renew, Role: "scribe", Router: a("r1"), Token: 10},
+	got := applyAll(t, table,
+		Command{Kind: Acquire, Role: "scribe", Router: routerNamed("r1")},
+		Command{Kind: Acquire, Role: "scribe", Router: routerNamed("r2")}, // waits
+		Command{Kind: Acquire, Role: "scribe", Router: routerNamed("r3")}, // waits
+		Command{Kind: Acquire, Role: "scribe", Router: routerNamed("r1")}, // has not heard
+		Command{Kind: Renew, Role: "scribe", Router: routerNamed("r1"), Token: 10},
 		Command{Kind: Expire, Role: "scribe", Token: 10}, // renewed since
-		Command{Kind: Renew, Role: "scribe", Router: a("r2"), Token: 10},
-		Command{Kind: Transfer, Role: "scribe", Router: a("r1"), Token: 10, To: "r3"},
-		Command{Kind: Release, Role: "scribe", Router: a("r1"), Token: 10}, // came twice
+		Command{Kind: Renew, Role: "scribe", Router: routerNamed("r2"), Token: 10},
+		Command{Kind: Transfer, Role: "scribe", Router: routerNamed("r1"), Token: 10, To: "r3"},
+		Command{Kind: Release, Role: "scribe", Router: routerNamed("r1"), Token: 10}, // came twice
 		Command{Kind: Expire, Role: "scribe", Token: 80},
 		Command{Kind: Acquire, Role: "scribe", Router: Router{Name: "r2", Boot: 2}}, // another life
-		Command{Kind: Renew, Role: "scribe", Router: a("r2"), Token: 100},
+		Command{Kind: Renew, Role: "scribe", Router: routerNamed("r2"), Token: 100},
 		Command{Kind: Transfer, Role: "scribe", Router: Router{Name: "r2", Boot: 2}, Token: 110, To: "r9"}, // who is not there
-		Command{Kind: Acquire, Role: "scribe", Router: a("r4")},
+		Command{Kind: Acquire, Role: "scribe", Router: routerNamed("r4")},
 		Command{Kind: Dequeue, Role: "scribe", To: "r9"},
-		Command{Kind: Acquire, Role: "drain", Router: a("r1")},
-		Command{Kind: Acquire, Role: "drain", Router: a("r2")},
-		Command{Kind: Acquire, Role: "drain", Router: a("r3")},
-		Command{Kind: Acquire, Role: "nothing", Router: a("r3")},
+		Command{Kind: Acquire, Role: "drain", Router: routerNamed("r1")},
+		Command{Kind: Acquire, Role: "drain", Router: routerNamed("r2")},
+		Command{Kind: Acquire, Role: "drain", Router: routerNamed("r3")},
+		Command{Kind: Acquire, Role: "nothing", Router: routerNamed("r3")},
 	)
 	want := []string{
 		"true; scribe to 1 r1 10 (asked)", "false", "false", "true", "true", "false", "false",
@@ -187,9 +187,9 @@
 
 const (
 	none        flaw = iota
-	noWait           // the sequencer grants a role anew before a lease has passed
-	fromReply        // the holder counts from the reply
-	noAllowance      // clocks are taken to be the same
+	expiresEarly           // the sequencer grants a role anew before a lease has passed
+	countsFromReply        // the holder counts from the reply
+	noClockAllowance      // clocks are taken to be the same
 )
 
 // sequencer applies commands in the order in which they come, and expires grants by its own clock.
@@ -200,7 +200,7 @@
 	flaw      flaw
 }
 
-var exploring = Timing{Duration: 2 * time.Second, ClockAllowance: 12 * time.Millisecond}
+var exploredTiming = Timing{Duration: 2 * time.Second, ClockAllowance: 12 * time.Millisecond}
 
 func (s *sequencer) Start(time.Duration) explorer.Out[message] { return explorer.Out[message]{} }
 
@@ -221,8 +221,8 @@
 }
 
 func (s *sequencer) out(o explorer.Out[message]) explorer.Out[message] {
-	lease := exploring.Duration
-	if s.flaw == noWait {
+	lease := exploredTiming.Duration
+	if s.flaw == expiresEarly {
 		lease /= 2
 	}
 	for _, g := range s.t.Grants() {
@@ -239,8 +239,8 @@
 }
 
 func (s *sequencer) Wake(now time.Duration) explorer.Out[message] {
-	lease := exploring.Duration
-	if s.flaw == noWait {
+	lease := exploredTiming.Duration
+	if s.flaw == expiresEarly {
 		lease /= 2
 	}
 	for _, g := range s.t.Grants() {
@@ -267,7 +267,7 @@
 func (c *client) request(now time.Duration, kind CommandKind, g Grant) explorer.Out[message] {
 	c.nth++
 	c.sent[c.nth] = now
-	return explorer.Out[message]{Send: []explorer.Send[message]{{To: 0, Msg: message{Kind: kind, Nth: c.nth, Grant: g}}}, Wake: now + exploring.Duration}
+	return explorer.Out[message]{Send: []explorer.Send[message]{{To: 0, Msg: message{Kind: kind, Nth: c.nth, Grant: g}}}, Wake: now + exploredTiming.Duration}
 }
 
 func (c *client) Start(now time.Duration) explorer.Out[message] {
@@ -281,7 +281,7 @@
 }
 func (c *client) Receive(now time.Duration, _ int, m message) explorer.Out[message] {
 	sent := c.sent[m.Nth]
-	if c.flaw == fromReply {
+	if c.flaw == countsFromReply {
 		sent = now
 	}
 	g, _ := c.lease.Grant()
@@ -291,7 +291,7 @@
 	case m.Kind == Renew:
 		c.lease.Revoke(g.Token)
 	}
-	return explorer.Out[message]{Wake: now + exploring.Duration}
+	return explorer.Out[message]{Wake: now + exploredTiming.Duration}
 }
 func (c *client) Write(h hash.Hash64) { fmt.Fprint(h, *c.lease, c.nth, c.sent) }
 
@@ -303,9 +303,9 @@
 	for _, x := range []struct {
 		flaw  flaw
 		depth int
-	}{{none, 6}, {noWait, 7}, {fromReply, 7}, {noAllowance, 7}} {
-		timing := exploring
-		if x.flaw == noAllowance {
+	}{{none, 6}, {expiresEarly, 7}, {countsFromReply, 7}, {noClockAllowance, 7}} {
+		timing := exploredTiming
+		if x.flaw == noClockAllowance {
 			timing.ClockAllowance = 0
 		}
 		q := explorer.Question[message]{Nodes: 3, Depth: x.depth, MaxSkew: 5 * time.Millisecond, Budget: explorer.Budget{Losses: 1, Duplicates: 1, Pauses: 1}, MaxStates: 600_000,
--- a/internal/router/lease/table.go
+++ b/internal/router/lease/table.go
@@ -140,10 +140,10 @@
 
 // ForEach calls do for each role, by name, with its grants, who is queued, and what is reserved.
 // The slices are the table's own: do must neither change nor keep them.
-func (t *Table) ForEach(do func(r *Role, grants []Grant, queue []Router, reservations []Reservation)) {
+func (t *Table) ForEach(visit func(r *Role, grants []Grant, queue []Router, reservations []Reservation)) {
 	for _, name := range t.roleNames() {
 		s := t.roles[name]
-		do(&s.Role, s.grants, s.queue, s.reservations)
+		visit(&s.Role, s.grants, s.queue, s.reservations)
 	}
 }
 
--- a/internal/router/quorum/explore_test.go
+++ b/internal/router/quorum/explore_test.go
@@ -25,7 +25,7 @@
 const (
 	toVoter  = "voter"
 	toClient = "client"
-	between  = "between"
+	toPeer  = "between"
 )
 
 var (
@@ -39,12 +39,12 @@
 	n       int
 	v       *Voter
 	disk    StoredState
-	past    *xxhash.Digest // all that it was told: two that were told the same are the same
+	inputDigest    *xxhash.Digest // all that it was told: two that were told the same are the same
 	applied map[uint64]string
 }
 
 // founded is a disk of a group of three.
-func founded(n int) StoredState {
+func foundedDisk(n int) StoredState {
 	one := uint64(1)
 	var nodes []Node
 	for i := range 3 {
@@ -61,7 +61,7 @@
 func newExplored(n, process int, disk StoredState, leaseTime time.Duration) *exploredVoter {
 	timing := exploreTiming
 	timing.Duration = leaseTime
-	x := &exploredVoter{n: n, disk: disk, past: xxhash.New(), applied: map[uint64]string{}}
+	x := &exploredVoter{n: n, disk: disk, inputDigest: xxhash.New(), applied: map[uint64]string{}}
 	var err error
 	x.v, err = New(Config{Self: fmt.Sprint(n), Candidates: []string{"0", "1", "2"}, Voters: 3, Roles: []lease.Role{{Name: "d"}}, Timing: timing, ReplaceTimeout: time.Hour,
 		Boot: uint32(10*process + n + 1), TickInterval: time.Second, TrustStore: true}, disk.Clone(), 0)
@@ -81,7 +81,7 @@
 		case Persist:
 			x.disk = *x.disk.Apply(&a)
 		case Send:
-			o.Send = append(o.Send, explorer.Send[packet]{To: int(a.To[0] - '0'), Msg: packet{between, string(a.Data)}})
+			o.Send = append(o.Send, explorer.Send[packet]{To: int(a.To[0] - '0'), Msg: packet{toPeer, string(a.Data)}})
 		case SendReply:
 			o.Send = append(o.Send, explorer.Send[packet]{To: int(a.To[0] - '0'), Msg: packet{toClient, string(a.Reply.Encode())}})
 		case Applied:
@@ -94,13 +94,13 @@
 
 func (x *exploredVoter) Start(now time.Duration) explorer.Out[packet] { return x.step(now, Tick{}) }
 func (x *exploredVoter) Wake(now time.Duration) explorer.Out[packet] {
-	fmt.Fprint(x.past, "wake", now)
+	fmt.Fprint(x.inputDigest, "wake", now)
 	return x.step(now, Tick{})
 }
 func (x *exploredVoter) Receive(now time.Duration, from int, m packet) explorer.Out[packet] {
-	fmt.Fprint(x.past, m.kind, now, from)
-	io.WriteString(x.past, m.data)
-	if m.kind == between {
+	fmt.Fprint(x.inputDigest, m.kind, now, from)
+	io.WriteString(x.inputDigest, m.data)
+	if m.kind == toPeer {
 		return x.step(now, MessageReceived{Data: []byte(m.data)})
 	}
 	q, _, err := lease.Decode([]byte(m.data))
@@ -109,13 +109,13 @@
 	}
 	return x.step(now, RequestReceived{From: fmt.Sprint(from), Request: q})
 }
-func (x *exploredVoter) Write(h hash.Hash64) { fmt.Fprint(h, x.past.Sum64()) }
+func (x *exploredVoter) Write(h hash.Hash64) { fmt.Fprint(h, x.inputDigest.Sum64()) }
 
 // exploredClient is an agent that wants the role.
 type exploredClient struct {
 	n    int
 	a    *lease.Agent
-	past *xxhash.Digest
+	inputDigest *xxhash.Digest
 }
 
 func newExploredClient(n, process int) *exploredClient {
@@ -128,8 +128,8 @@
 
 func (c *exploredClient) out(all []lease.Action) (o explorer.Out[packet]) {
 	for _, a := range all {
-		if ask, ok := a.(lease.SendRequest); ok {
-			o.Send = append(o.Send, explorer.Send[packet]{To: int(ask.To[0] - '0'), Msg: packet{toVoter, string(ask.Request.Encode())}})
+		if send, ok := a.(lease.SendRequest); ok {
+			o.Send = append(o.Send, explorer.Send[packet]{To: int(send.To[0] - '0'), Msg: packet{toVoter, string(send.Request.Encode())}})
 		}
 	}
 	o.Wake = c.a.Next()
@@ -139,72 +139,72 @@
 	return c.out(c.a.Acquire(now, "d"))
 }
 func (c *exploredClient) Wake(now time.Duration) explorer.Out[packet] {
-	fmt.Fprint(c.past, "wake", now)
+	fmt.Fprint(c.inputDigest, "wake", now)
 	return c.out(c.a.Tick(now))
 }
 func (c *exploredClient) Receive(now time.Duration, from int, m packet) explorer.Out[packet] {
-	fmt.Fprint(c.past, now, from)
-	io.WriteString(c.past, m.data)
+	fmt.Fprint(c.inputDigest, now, from)
+	io.WriteString(c.inputDigest, m.data)
 	if _, r, err := lease.Decode([]byte(m.data)); err == nil && r != nil {
 		return c.out(c.a.HandleReply(now, fmt.Sprint(from), r))
 	}
 	return c.out(nil)
 }
-func (c *exploredClient) Write(h hash.Hash64) { fmt.Fprint(h, c.past.Sum64()) }
+func (c *exploredClient) Write(h hash.Hash64) { fmt.Fprint(h, c.inputDigest.Sum64()) }
 
 // begun has three voters of which the first leads, and two clients of which the first has the role
 // and the second is queued, each as it is then. If woken, the leader has woken once since, and what
 // it sent to the second client is still in flight.
-func begun(lease time.Duration, woken bool) (all []explorer.Node[packet], inFlight []explorer.Send[packet]) {
-	nodes := []explorer.Node[packet]{newExplored(0, 0, founded(0), lease), newExplored(1, 0, founded(1), lease), newExplored(2, 0, founded(2), lease), newExploredClient(3, 0), newExploredClient(4, 0)}
+func initialNodes(lease time.Duration, woken bool) (all []explorer.Node[packet], inFlight []explorer.Send[packet]) {
+	nodes := []explorer.Node[packet]{newExplored(0, 0, foundedDisk(0), lease), newExplored(1, 0, foundedDisk(1), lease), newExplored(2, 0, foundedDisk(2), lease), newExploredClient(3, 0), newExploredClient(4, 0)}
 	type flying struct {
 		from int
 		s    explorer.Send[packet]
 	}
-	var air []flying
-	second := false
-	take := func(n int, o explorer.Out[packet]) {
+	var undelivered []flying
+	withholdForSecondClient := false
+	enqueue := func(n int, o explorer.Out[packet]) {
 		for _, s := range o.Send {
-			air = append(air, flying{n, s})
+			undelivered = append(undelivered, flying{n, s})
 		}
 	}
 	deliver := func() {
-		for len(air) > 0 {
-			m := air[0]
-			air = air[1:]
-			if second && m.s.To == 4 {
+		for len(undelivered) > 0 {
+			m := undelivered[0]
+			undelivered = undelivered[1:]
+			if withholdForSecondClient && m.s.To == 4 {
 				inFlight = append(inFlight, m.s)
 				continue
 			}
-			take(m.s.To, nodes[m.s.To].Receive(0, m.from, m.s.Msg))
+			enqueue(m.s.To, nodes[m.s.To].Receive(0, m.from, m.s.Msg))
 		}
 	}
 	for n := range 3 {
-		take(n, nodes[n].Start(0))
+		enqueue(n, nodes[n].Start(0))
 	}
-	first := nodes[0].(*exploredVoter)
-	first.v.nextElectionAt = 0
-	take(0, first.step(0, Tick{}))
+	leader := nodes[0].(*exploredVoter)
+	leader.v.nextElectionAt = 0
+	enqueue(0, leader.step(0, Tick{}))
 	deliver()
 	for n := 3; n < 5; n++ {
-		take(n, nodes[n].Start(0))
+		enqueue(n, nodes[n].Start(0))
 		deliver()
 	}
 	if woken {
-		second = true
-		take(0, first.Wake(first.v.Next()))
+		withholdForSecondClient = true
+		enqueue(0, leader.Wake(leader.v.Next()))
 		deliver()
 	}
 	return nodes, inFlight
 }
 
 // started makes an explorer start a node where begun has left it, with what it had sent.
-type started struct {
+type resumedNode struct {
 	explorer.Node[packet]
 	sent []explorer.Send[packet]
 }
 
-func (s started) Start(now time.Duration) explorer.Out[packet] {
+func (s resumedNode) Start(now time.Duration) explorer.Out[packet] {
 	switch x := s.Node.(type) {
 	case *exploredVoter:
 		return explorer.Out[packet]{Wake: x.v.Next(), Send: s.sent}
@@ -214,14 +214,14 @@
 	return explorer.Out[packet]{}
 }
 
-func inner(n explorer.Node[packet]) explorer.Node[packet] {
-	if s, ok := n.(started); ok {
+func unwrapNode(n explorer.Node[packet]) explorer.Node[packet] {
+	if s, ok := n.(resumedNode); ok {
 		return s.Node
 	}
 	return n
 }
 
-func exploring(lease time.Duration, woken bool, depth int, budget explorer.Budget) explorer.Question[packet] {
+func newQuestion(lease time.Duration, woken bool, depth int, budget explorer.Budget) explorer.Question[packet] {
 	var fresh []explorer.Node[packet]
 	var inFlight []explorer.Send[packet]
 	return explorer.Question[packet]{Nodes: 5, Depth: depth, MaxSkew: time.Millisecond, Budget: budget, Ordered: true,
@@ -230,19 +230,19 @@
 			switch {
 			case process == 0:
 				if n == 0 { // a new path begins
-					fresh, inFlight = begun(lease, woken)
-					return started{fresh[n], inFlight}
+					fresh, inFlight = initialNodes(lease, woken)
+					return resumedNode{fresh[n], inFlight}
 				}
-				return started{fresh[n], nil}
+				return resumedNode{fresh[n], nil}
 			case n < 3:
-				return newExplored(n, process, *inner(last).(*exploredVoter).disk.Clone(), lease)
+				return newExplored(n, process, *unwrapNode(last).(*exploredVoter).disk.Clone(), lease)
 			}
 			return newExploredClient(n, process)
 		},
 		Invariant: func(nodes []explorer.Node[packet], now []time.Duration) error {
 			acts, all := 0, map[uint64]string{}
 			for i, n := range nodes {
-				switch x := inner(n).(type) {
+				switch x := unwrapNode(n).(type) {
 				case *exploredClient:
 					if _, _, may := x.a.Check(now[i], "d"); may {
 						acts++
@@ -271,7 +271,7 @@
 	if *measure {
 		depth, states = 6, 600_000
 	}
-	q := exploring(exploreTiming.Duration, false, depth, explorer.Budget{Losses: 1, Duplicates: 1, Crashes: 1, Pauses: 1})
+	q := newQuestion(exploreTiming.Duration, false, depth, explorer.Budget{Losses: 1, Duplicates: 1, Crashes: 1, Pauses: 1})
 	q.MaxStates = states
 	answer, err := explorer.Explore(q)
 	if err != nil {
@@ -280,7 +280,7 @@
 	if t.Logf("%s", answer); answer.Violation != nil {
 		t.Error(answer)
 	}
-	q = exploring(500*time.Millisecond, true, 9, explorer.Budget{})
+	q = newQuestion(500*time.Millisecond, true, 9, explorer.Budget{})
 	q.MaxStates = 60_000
 	if answer, err = explorer.Explore(q); err != nil {
 		t.Fatal(err)
--- a/internal/router/quorum/join.go
+++ b/internal/router/quorum/join.go
@@ -52,13 +52,13 @@
 // foundAgain founds a group in place of one whose founder lost its disk before any other candidate
 // had its first command: all candidates know of that group, and none can add the others to it. Only
 // the first candidate does so, once all have said for foundAgainDelay that their logs are empty.
-func (v *Voter) foundAgain() {
+func (v *Voter) foundGroupAgain() {
 	founders, ok := v.emptyCandidates()
 	if !ok {
 		v.allEmptySince = v.now
 		return
 	}
-	if v.now >= v.allEmptySince+v.foundAgainDelay() {
+	if v.now >= v.allEmptySince+v.foundGroupAgainDelay() {
 		// What stores showed in the last group counts for nothing in this one, and an operator's
 		// rebuild may have taken the next number meanwhile.
 		clear(v.meta.StoreRecords)
@@ -69,7 +69,7 @@
 // foundAgainDelay is for how long all logs must be empty until there is a new group. Whoever has
 // entries says so within helloTTL. A lease of a group whose disks were all lost, which this can't
 // be told from, has ended by then.
-func (v *Voter) foundAgainDelay() time.Duration { return helloTTL + v.config.Timing.Duration }
+func (v *Voter) foundGroupAgainDelay() time.Duration { return helloTTL + v.config.Timing.Duration }
 
 // emptyCandidates returns the other founders if this router is the first candidate, knows of a
 // group, and no log has an entry: neither its own nor, as all others say, theirs.
@@ -196,8 +196,8 @@
 		return 0, fmt.Sprintf("no router that can be reached has a record of duties: they are founded by themselves once %s live",
 			strings.Join(v.config.Candidates[:v.config.Voters], ", "))
 	}
-	if able := v.possiblyAble(members, voters, lostRouters); 2*len(able) > len(voters) {
-		return 0, fmt.Sprintf("a majority of the voters may live: %s; name with --gone those whose disks will never come back", strings.Join(able, ", "))
+	if intact := v.possiblyIntactVoters(members, voters, lostRouters); 2*len(intact) > len(voters) {
+		return 0, fmt.Sprintf("a majority of the voters may live: %s; name with --gone those whose disks will never come back", strings.Join(intact, ", "))
 	}
 	return group, ""
 }
@@ -208,15 +208,15 @@
 
 // possiblyAble are the voters that may still have their stores: one that can't be reached counts as
 // one, unless it is named as lost.
-func (v *Voter) possiblyAble(members []Node, voters []uint64, lostRouters []string) (names []string) {
+func (v *Voter) possiblyIntactVoters(members []Node, voters []uint64, lostRouters []string) (names []string) {
 	for _, n := range members {
 		if !slices.Contains(voters, n.ID) || slices.Contains(lostRouters, n.Name) {
 			continue
 		}
-		m, heard := v.recentHello(n.Name)
+		m, hasHello := v.recentHello(n.Name)
 		isSelf := n.Name == v.config.Self
 		switch {
-		case isSelf && v.meta.ID == n.ID, heard && m.From.ID == n.ID, !heard && !isSelf:
+		case isSelf && v.meta.ID == n.ID, hasHello && m.From.ID == n.ID, !hasHello && !isSelf:
 			names = append(names, n.Name)
 		}
 	}
--- a/internal/router/quorum/leader.go
+++ b/internal/router/quorum/leader.go
@@ -66,14 +66,14 @@
 
 // handleRequest proposes what a router requests, or tells it who leads.
 func (v *Voter) handleRequest(e RequestReceived) {
-	q := e.Request
-	if q.Command.Kind == lease.Acquire && v.meta.Group == 0 {
-		v.observeToken(q.Command.Token) // a group that is founded here begins above it
+	request := e.Request
+	if request.Command.Kind == lease.Acquire && v.meta.Group == 0 {
+		v.observeToken(request.Command.Token) // a group that is founded here begins above it
 	}
-	reply := &lease.Reply{ID: q.ID, Boot: q.Command.Router.Boot, Leader: v.Leader(), NotLeader: true}
+	reply := &lease.Reply{ID: request.ID, Boot: request.Command.Router.Boot, Leader: v.Leader(), NotLeader: true}
 	if v.isLeader() && len(v.pending) < maxPendingRequests {
-		if number, ok := v.propose(q.Command); ok {
-			v.pending[number] = pendingRequest{e.From, q.ID, q.Command.Router.Boot}
+		if number, ok := v.propose(request.Command); ok {
+			v.pending[number] = pendingRequest{e.From, request.ID, request.Command.Router.Boot}
 			return
 		}
 	}
--- a/internal/router/quorum/reconfigure.go
+++ b/internal/router/quorum/reconfigure.go
@@ -99,10 +99,10 @@
 		return Node{}, false
 	}
 	zones := votersByZone(voters)
-	most := voterOfLargestZone(voters, v.meta.ID)
+	fromLargestZone := voterOfLargestZone(voters, v.meta.ID)
 	for _, name := range v.config.Candidates {
-		if m, ok := v.candidate(name); ok && zones[m.From.Zone]+2 <= zones[most.Zone] {
-			return most, false
+		if m, ok := v.candidate(name); ok && zones[m.From.Zone]+2 <= zones[fromLargestZone.Zone] {
+			return fromLargestZone, false
 		}
 	}
 	return Node{}, false
--- a/internal/router/quorum/stored_test.go
+++ b/internal/router/quorum/stored_test.go
@@ -13,7 +13,7 @@
 // The files under testdata were written at commit 5bfcc27: WRITE_GOLDEN=1 go test -run Golden.
 
 // pin has a value in JSON be what a file has, and be read from it to the same value.
-func pin[T any](t *testing.T, name string, want T, except ...string) {
+func checkGolden[T any](t *testing.T, name string, want T, except ...string) {
 	t.Helper()
 	golden.Complete(t, want, except...)
 	made, err := json.Marshal(want)
@@ -34,13 +34,13 @@
 
 // A store's description is read and written as it was.
 func TestGoldenMeta(t *testing.T) {
-	pin(t, "meta.json", Meta{Version: 1, ID: 9, Name: "r1", Group: 3, Starts: 2, Members: goldenNodes, Voters: []uint64{9, 11}, HighestToken: 77,
+	checkGolden(t, "meta.json", Meta{Version: 1, ID: 9, Name: "r1", Group: 3, Starts: 2, Members: goldenNodes, Voters: []uint64{9, 11}, HighestToken: 77,
 		StoreRecords: map[uint64]StoreRecord{11: {Starts: 4, Term: 5, Boot: 6, LastTerm: 5, LastIndex: 300}}})
 }
 
 // The content of a snapshot of the log is read and written as it was.
 func TestGoldenSnapshotContent(t *testing.T) {
-	pin(t, "snapshot.json", snapshotContent{Members: goldenNodes, Table: lease.State{Token: 77, Roles: []lease.RoleState{{
+	checkGolden(t, "snapshot.json", snapshotContent{Members: goldenNodes, Table: lease.State{Token: 77, Roles: []lease.RoleState{{
 		Role:         lease.Role{Name: "copier", MaxHolders: 2, PreferredZones: []string{"east"}, ByZone: true},
 		Grants:       []lease.Grant{{Role: "copier", Holder: lease.Router{Name: "r1", Boot: 5, Zone: "east"}, Token: 76, Renewals: 12, TransferTo: "r3", Reason: lease.ReasonQueued, Unconfirmed: true}},
 		Queue:        []lease.Router{{Name: "r4", Boot: 8, Zone: "west"}},
@@ -49,7 +49,7 @@
 
 // An entry of the log is read and written as it was.
 func TestGoldenProposal(t *testing.T) {
-	pin(t, "proposal.json", proposal{Number: 300, Command: lease.Command{Kind: lease.Transfer, Role: "copier", Router: lease.Router{Name: "r1", Boot: 5, Zone: "east"},
+	checkGolden(t, "proposal.json", proposal{Number: 300, Command: lease.Command{Kind: lease.Transfer, Role: "copier", Router: lease.Router{Name: "r1", Boot: 5, Zone: "east"},
 		Token: 76, Renewals: 12, To: "r2", Definition: &lease.Role{Name: "copier", MaxHolders: 2, PreferredZones: []string{"east"}, ByZone: true}}})
 }
 
@@ -61,7 +61,7 @@
 			Hello: &hello{Stage: stage, Term: 5, LastTerm: 4, LastIndex: 300, HighestToken: 77, Members: goldenNodes, Voters: []uint64{9, 11}, Applied: 299,
 				Leader: "r2", WantsReply: true, ReplyToStore: 11, ReplyToBoot: 6, ReplyToStarts: 4, Stale: "an older copy"}})
 	}
-	pin(t, "messages.json", all)
+	checkGolden(t, "messages.json", all)
 	text, err := json.Marshal(all[0])
 	if err != nil {
 		t.Fatal(err)
--- a/internal/router/quorum/voter.go
+++ b/internal/router/quorum/voter.go
@@ -198,7 +198,7 @@
 	if v.now >= v.nextHelloAt {
 		v.sendHellos(v.raft == nil || v.stage() == Joining || v.Leader() == "")
 	}
-	v.foundAgain()
+	v.foundGroupAgain()
 	switch {
 	case v.raft == nil:
 		v.join()
