--- a/internal/router/lease/apply.go
+++ b/internal/router/lease/apply.go
@@ -2,8 +2,9 @@
 
 import "slices"
 
-// Apply applies a command at its index in the sequence, which must grow. A command whose condition
-// holds no more, as it came twice or late, changes nothing.
+// Apply applies command c, which has the given index in the sequence. The index must grow from call
+// to call. A command whose condition no longer holds, because the command is late or a duplicate,
+// changes nothing.
 func (t *Table) Apply(index uint64, c Command) (Result, []Change) {
 	switch c.Kind {
 	case DefineRole:
@@ -43,9 +44,9 @@
 	return Result{OK: true}
 }
 
-// acquire grants a role to a router, or queues it. Seen is the largest token that the router has
-// been told of: voters that do not know of it have lost what others remember, and begin a new block
-// of tokens.
+// acquire grants a role to a router, or puts the router into the queue. SeenToken is the largest
+// token that the router has seen. If it is larger than the table's token, the voters have lost state
+// that other routers remember, and acquire starts a new block of tokens.
 func (t *Table) acquire(s *roleSlots, index, seenToken uint64, router Router) (Result, []Change) {
 	if router.Name == "" || len(router.Name) > MaxNameBytes {
 		return Result{Refusal: RefusedRouterName}, nil
@@ -54,7 +55,7 @@
 		t.token = NextTokenBlock(seenToken)
 	}
 	for i, g := range s.grants {
-		// It has not heard of the grant, and will count its lease from this request.
+		// The router did not receive the grant. It counts its lease from this request.
 		if g.Holder == router {
 			return s.confirm(i), nil
 		}
@@ -74,8 +75,8 @@
 	return Result{Queued: true, Refusal: RefusedQueued}, changes
 }
 
-// replaceProcess gives the grant of an earlier process of a router to its present one, under a new
-// token.
+// replaceProcess ends grant i, which an earlier process of the router holds, and grants the role to
+// the router's present process under a new token.
 func (t *Table) replaceProcess(s *roleSlots, index uint64, i int, router Router) (Result, []Change) {
 	ended := Change{s.grants[i], false, ReasonRestarted}
 	s.grants = slices.Delete(s.grants, i, i+1)
@@ -83,8 +84,8 @@
 	return Result{OK: true, Grant: g}, []Change{ended, {g, true, ReasonRestarted}}
 }
 
-// enqueue puts a router at the end of the queue unless it is queued, in place of an earlier
-// process.
+// enqueue puts a router at the end of the queue, unless it is already in the queue. It first removes
+// earlier processes of the router from the queue.
 func (s *roleSlots) enqueue(router Router) Refusal {
 	s.queue = slices.DeleteFunc(s.queue, func(r Router) bool { return r.Name == router.Name && r != router })
 	if slices.Contains(s.queue, router) {
@@ -97,8 +98,8 @@
 	return ""
 }
 
-// grantAtOnce turns a grant that the queue has just made into the reply to its router's request:
-// the router knows of it by that.
+// grantAtOnce returns the result for a router that Acquire has queued and that was granted the role
+// at once. The grant is confirmed, because the reply tells the router of it.
 func (s *roleSlots) grantAtOnce(c *Change) Result {
 	if c.Reason == ReasonQueued {
 		c.Reason = ReasonAvailable
@@ -119,7 +120,8 @@
 	return Result{Refusal: RefusedNoSuchGrant}
 }
 
-// confirm counts a renewal: the holder knows of its grant.
+// confirm counts a renewal of grant i and marks the grant as confirmed, because the holder either
+// knows of the grant or learns of it from the reply.
 func (s *roleSlots) confirm(i int) Result {
 	s.grants[i].Renewals++
 	s.grants[i].Unconfirmed = false
@@ -162,18 +164,19 @@
 	return Result{OK: true}, t.fillFreeSlots(s, index)
 }
 
-// Tokens are in blocks: a group of voters that follows another which has lost what it knew begins a
-// new one, as nobody can tell how far the last one was used.
+// Tokens are divided into blocks of 2^TokenBlockBits tokens. When a group of voters has lost its
+// state, the group that replaces it starts a new block, because no router knows which tokens of the
+// last block were granted.
 const (
 	TokenBlockBits = 40
-	maxSeenToken   = 1 << 62 // that a router may claim to have been told of
+	maxSeenToken   = 1 << 62 // Acquire ignores a seen token from here on
 )
 
-// NextTokenBlock returns the beginning of the block after the one that a token is of.
+// NextTokenBlock returns the first token of the block after the one that contains token.
 func NextTokenBlock(token uint64) uint64 { return (token>>TokenBlockBits + 1) << TokenBlockBits }
 
-// grant gives a free slot to a router, under the next token. A restarted router learns of it by the
-// reply to its request; every other one has to confirm it.
+// grant grants a free slot to a router, under the next token. A restarted router learns of the grant
+// from the reply to its request, so only the grants of other routers begin as unconfirmed.
 func (t *Table) grant(s *roleSlots, index uint64, router Router, reason Reason) Grant {
 	t.token = max(t.token+1, index)
 	g := Grant{Role: s.Name, Holder: router, Token: t.token, Reason: reason, Unconfirmed: reason != ReasonRestarted}
@@ -181,7 +184,7 @@
 	return g
 }
 
-// endGrant takes a grant back and gives the slot to who is queued.
+// endGrant ends grant i and grants the free slot to a queued router, if there is one.
 func (t *Table) endGrant(s *roleSlots, index uint64, i int, reason Reason) (Result, []Change) {
 	ended := Change{s.grants[i], false, reason}
 	s.grants = slices.Delete(s.grants, i, i+1)
@@ -206,8 +209,10 @@
 	return changes
 }
 
-// nextInQueue returns whose turn it is, -1 for nobody's: a router with a reservation, or else,
-// while there are more free slots than reservations, the first of the most preferred zone.
+// nextInQueue returns the index in the queue of the router that gets the next free slot, or -1 for
+// none, and the reason for the grant. It chooses a router with a reservation. If there is none, and
+// there are more free slots than reservations, it chooses the first router of the most preferred
+// zone.
 func (s *roleSlots) nextInQueue() (next int, reason Reason) {
 	next = -1
 	for i, router := range s.queue {
@@ -222,7 +227,8 @@
 	return next, ReasonQueued
 }
 
-// zoneRank is the position of a router's zone among the preferred ones.
+// zoneRank returns the position of a router's zone in PreferredZones. Zones that are not listed come
+// last.
 func (s *roleSlots) zoneRank(router Router) int {
 	if i := slices.Index(s.PreferredZones, router.Zone); i >= 0 {
 		return i
--- a/internal/router/lease/lease_test.go
+++ b/internal/router/lease/lease_test.go
@@ -186,9 +186,9 @@
 type flaw int
 
 const (
-	none        flaw = iota
-	expiresEarly           // the sequencer grants a role anew before a lease has passed
-	countsFromReply        // the holder counts from the reply
+	none             flaw = iota
+	expiresEarly          // the sequencer grants a role anew before a lease has passed
+	countsFromReply       // the holder counts from the reply
 	noClockAllowance      // clocks are taken to be the same
 )
 
--- a/internal/router/lease/role.go
+++ b/internal/router/lease/role.go
@@ -6,28 +6,29 @@
 	"time"
 )
 
-// Bounds of what comes from outside.
+// Limits on settings and on requests of other routers.
 const (
-	MaxRoles     = 64   // roles of a table; each zone of a role by zone counts
-	MaxHolders   = 64   // of one role at a time
+	MaxRoles     = 64   // roles of a table; each zone of a role with ByZone counts as one
+	MaxHolders   = 64   // holders of one role at a time
 	MaxVoters    = 16   // routers that may vote
-	MaxQueued    = 1024 // routers that wait for one role
-	MaxNameBytes = 48   // of the name of a role, a router or a zone
+	MaxQueued    = 1024 // routers in the queue of one role
+	MaxNameBytes = 48   // bytes of the name of a role, a router or a zone
 )
 
-// AnyRouter stands in place of a router's name for whoever is first in the queue.
+// AnyRouter is used instead of a router's name and means the next router in the queue.
 const AnyRouter = "*"
 
-// Role is one kind of work that only so many routers may do at a time. It is stored in the voters'
-// log and snapshots.
+// Role is one kind of work that only a limited number of routers may do at a time. The voters store
+// it in their log and snapshots.
 type Role struct {
 	Name           string
-	MaxHolders     int      `json:"Holders"` // at a time; 0 counts as 1
-	PreferredZones []string `json:"Zones"`   // routers of these come first in the queue, in this order
-	ByZone         bool     // each zone has holders of its own: routers ask for "name@zone"
+	MaxHolders     int      `json:"Holders"` // holders at a time; 0 counts as 1
+	PreferredZones []string `json:"Zones"`   // queued routers in these zones come first, in this order of zones
+	ByZone         bool     // each zone has its own holders: routers acquire "name@zone"
 }
 
-// Validate returns what is wrong with a role, as the settings' block duties names it.
+// Validate returns an error if the role is invalid. The error uses the terms of the block duties in
+// the settings.
 func (r *Role) Validate() error {
 	switch {
 	case r.Name == "" || len(r.Name) > MaxNameBytes || strings.ContainsAny(r.Name, "@ \t\n"):
@@ -40,7 +41,7 @@
 	return nil
 }
 
-// NameIn returns the name under which a router of a zone asks for the role.
+// NameIn returns the name under which a router in a zone acquires the role.
 func (r *Role) NameIn(zone string) string {
 	if r.ByZone {
 		return r.Name + "@" + zone
@@ -48,39 +49,41 @@
 	return r.Name
 }
 
-// Router identifies who asks: the name, and by its boot number the process, so that what an earlier
-// process asked for is not taken for this one's.
+// Router identifies a process of a router. The boot number distinguishes the process from earlier
+// processes of the same router, so that their requests are not attributed to it.
 type Router struct {
 	Name string
 	Boot uint32
 	Zone string
 }
 
-// Timing is how long leases last.
+// Timing defines how long leases last.
 type Timing struct {
-	Duration time.Duration // on the voters' side
-	// ClockAllowance is what the holder counts less, for clocks that run at different rates and for
-	// rounding.
+	Duration time.Duration // of a lease at the voters
+	// ClockAllowance is how much shorter the lease is at the holder, because clocks run at different
+	// rates and because of rounding.
 	ClockAllowance time.Duration
-	// Margin is the time before a lease's end in which no work begins and what is under way ends.
+	// Margin is the time before the end of a lease at the holder in which no work may begin and work
+	// in progress must end.
 	Margin time.Duration
 }
 
-// MaxClockDrift is by how much the rates of two clocks may differ. Crystals differ by a tenth of
-// it; the rest is for virtual machines.
+// MaxClockDrift is the largest relative difference between the rates of two clocks that leases
+// tolerate. Crystals differ by a tenth of it; the rest allows for virtual machines.
 const MaxClockDrift = 0.001
 
-// DefaultTiming is a lease of 2 s. MaxClockDrift makes 2 ms of it, and five times that is allowed
-// for.
+// DefaultTiming is the timing of leases of 2 s. Within 2 s, two clocks drift apart by up to 2 ms
+// (MaxClockDrift). The clock allowance is five times as long.
 var DefaultTiming = Timing{Duration: 2 * time.Second, ClockAllowance: 10 * time.Millisecond, Margin: 100 * time.Millisecond}
 
-// The bounds of a lease's duration.
+// Limits on the duration of a lease.
 const (
 	minLease = 500 * time.Millisecond
 	maxLease = time.Minute
 )
 
-// Validate returns what is wrong with a timing, as the settings' block duties names it.
+// Validate returns an error if the timing is invalid. The error uses the terms of the block duties
+// in the settings.
 func (t *Timing) Validate() error {
 	switch {
 	case t.Duration < minLease || t.Duration > maxLease:
--- a/internal/router/lease/table.go
+++ b/internal/router/lease/table.go
@@ -9,14 +9,14 @@
 	"strings"
 )
 
-// Table is the grants that voters agree on. Voters that apply the same commands in the same order
-// to tables of the same roles have the same grants.
+// Table holds the roles and grants that the voters agree on. Voters that apply the same commands in
+// the same order to tables with the same roles have the same grants.
 type Table struct {
-	roles map[string]*roleSlots // MaxRoles at most
-	token uint64                // the largest so far
+	roles map[string]*roleSlots // by name, at most MaxRoles
+	token uint64                // the largest token so far
 }
 
-// roleSlots is one role with who has it and who waits.
+// roleSlots is one role with its grants, its queue and its reservations.
 type roleSlots struct {
 	Role
 	grants       []Grant
@@ -24,19 +24,20 @@
 	reservations []Reservation
 }
 
-// Reservation is a slot that was given back for a router which has not taken it up yet.
+// Reservation reserves a slot that a holder has transferred to a named router until that router
+// acquires it.
 type Reservation struct {
-	For   string `json:"To"` // a router's name
-	Token uint64 // of the grant that was given back
+	For   string `json:"To"` // the router's name
+	Token uint64 // of the grant that the holder released
 }
 
-// State is the content of a Table, as it is stored in snapshots and sent to other voters.
+// State is the content of a Table. It is stored in snapshots and sent to other voters.
 type State struct {
-	Token uint64
+	Token uint64      // the largest token so far
 	Roles []RoleState `json:"Duties"`
 }
 
-// RoleState is one role of a State.
+// RoleState is the content of one role in a State.
 type RoleState struct {
 	Role         Role          `json:"Duty"`
 	Grants       []Grant       `json:",omitempty"`
@@ -44,7 +45,7 @@
 	Reservations []Reservation `json:"Kept,omitempty"`
 }
 
-// NewTable returns a table of roles without grants. Tokens begin above floor.
+// NewTable returns a table of roles without grants. All tokens that it grants are above floor.
 func NewTable(roles []Role, floor uint64) (*Table, error) {
 	if len(roles) > MaxRoles {
 		return nil, fmt.Errorf("there are %d duties; there may be %d", len(roles), MaxRoles)
@@ -61,7 +62,7 @@
 	return t, nil
 }
 
-// RestoreTable returns the table of a state.
+// RestoreTable returns a table with the content of a state.
 func RestoreTable(s State) *Table {
 	t := &Table{roles: map[string]*roleSlots{}, token: s.Token}
 	for _, r := range s.Roles {
@@ -80,7 +81,7 @@
 	return s
 }
 
-// define adds a role, or changes the one of that name and its zones.
+// define adds a role. If a role of that name exists, define changes it and the slots of its zones.
 func (t *Table) define(r Role) error {
 	if err := r.Validate(); err != nil {
 		return err
@@ -98,7 +99,7 @@
 	return nil
 }
 
-// redefineZones has the zones of a role that is changed follow it.
+// redefineZones updates the slots of r's zones after r has changed.
 func (t *Table) redefineZones(r *Role) {
 	for name, s := range t.roles {
 		if role, _, ok := strings.Cut(name, "@"); ok && role == r.Name {
@@ -107,8 +108,8 @@
 	}
 }
 
-// slotsOf returns the slots of a role, nil for a role that does not exist. Those of a zone are made
-// when they are first asked for.
+// slotsOf returns the slots of a role. The first call for a zone of a role with ByZone creates the
+// slots of that zone. slotsOf returns nil if the role does not exist or cannot be created.
 func (t *Table) slotsOf(name string) *roleSlots {
 	if s := t.roles[name]; s != nil && !s.ByZone {
 		return s
@@ -126,10 +127,10 @@
 	return s
 }
 
-// roleNames are the names of all roles, sorted.
+// roleNames returns the names of all roles, sorted.
 func (t *Table) roleNames() []string { return slices.Sorted(maps.Keys(t.roles)) }
 
-// Grants returns all grants, by role and token.
+// Grants returns all grants, sorted by role and token.
 func (t *Table) Grants() (all []Grant) {
 	for _, name := range t.roleNames() {
 		all = append(all, t.roles[name].grants...)
@@ -138,8 +139,8 @@
 	return all
 }
 
-// ForEach calls do for each role, by name, with its grants, who is queued, and what is reserved.
-// The slices are the table's own: do must neither change nor keep them.
+// ForEach calls visit for each role in the order of the names, with the role's grants, queue and
+// reservations. The slices belong to the table: visit must neither change nor retain them.
 func (t *Table) ForEach(visit func(r *Role, grants []Grant, queue []Router, reservations []Reservation)) {
 	for _, name := range t.roleNames() {
 		s := t.roles[name]
@@ -147,11 +148,12 @@
 	}
 }
 
-// Token returns the largest token so far.
+// Token returns the largest token that the table has granted or raised its tokens to.
 func (t *Table) Token() uint64 { return t.token }
 
-// WriteState writes all that the table's behaviour depends on: two tables that write the same are
-// the same. Explorers hash it.
+// WriteState writes everything that the table's behaviour depends on besides the definitions of its
+// roles. Tables with the same roles that write the same bytes behave the same. State space explorers
+// hash these bytes.
 func (t *Table) WriteState(w io.Writer) {
 	fmt.Fprint(w, t.token)
 	for _, name := range t.roleNames() {
--- a/internal/router/quorum/explore_test.go
+++ b/internal/router/quorum/explore_test.go
@@ -25,7 +25,7 @@
 const (
 	toVoter  = "voter"
 	toClient = "client"
-	toPeer  = "between"
+	toPeer   = "between"
 )
 
 var (
@@ -36,11 +36,11 @@
 
 // exploredVoter is a voter whose store is trusted, with its disk.
 type exploredVoter struct {
-	n       int
-	v       *Voter
-	disk    StoredState
-	inputDigest    *xxhash.Digest // all that it was told: two that were told the same are the same
-	applied map[uint64]string
+	n           int
+	v           *Voter
+	disk        StoredState
+	inputDigest *xxhash.Digest // all that it was told: two that were told the same are the same
+	applied     map[uint64]string
 }
 
 // founded is a disk of a group of three.
@@ -113,8 +113,8 @@
 
 // exploredClient is an agent that wants the role.
 type exploredClient struct {
-	n    int
-	a    *lease.Agent
+	n           int
+	a           *lease.Agent
 	inputDigest *xxhash.Digest
 }
 
