--- a/internal/router/lease/agent.go
+++ b/internal/router/lease/agent.go
@@ -9,89 +9,91 @@
 	"time"
 )
 
-// Periods and bounds of an agent.
+// Intervals and limits of an agent.
 const (
-	replyTimeout = 150 * time.Millisecond // then another voter is asked
-	// queuedRetryInterval is that of a queued router, in case it was forgotten; up to a half
-	// longer.
+	replyTimeout = 150 * time.Millisecond // after a request, until the agent sends the next one to another voter
+	// queuedRetryInterval is the time until a queued router sends Acquire again, in case the voters
+	// have lost its position in the queue. Jitter makes the time up to half as long again.
 	queuedRetryInterval = 10 * time.Second
-	maxRetryDelay       = 2 * time.Second // between two attempts while no voter replies
-	maxOutstanding      = 8               // requests of one role whose reply still counts
+	maxRetryDelay       = 2 * time.Second // limit, before jitter, on the delay between attempts while no voter replies
+	maxOutstanding      = 8               // limit on the requests of one role whose replies the agent still accepts
 
-	// ReacquireDelay is the least time until a role that was given back is acquired anew.
+	// ReacquireDelay is the minimum time between the release of a role and the next attempt to
+	// acquire it.
 	ReacquireDelay = replyTimeout
 )
 
-// AgentConfig is what an Agent is told at its start.
+// AgentConfig is the configuration of an Agent.
 type AgentConfig struct {
 	Self   Router
 	Timing Timing
-	Voters []string // who may be asked, MaxVoters at most: routers that may be voters
-	Seed   uint64
+	Voters []string // names of the routers that may vote, at most MaxVoters; the agent sends its requests to these
+	Seed   uint64   // of the random numbers for jitter and for the first voter
 }
 
-// Agent is a router's side of all its roles: what it asks, whom and when, and under which token it
-// may work. Its owner calls its methods with the time of one monotonic clock, carries out the
-// actions, and calls Tick at Next.
+// Agent acquires, renews and releases roles for one router. It decides when to send which request to
+// which voter, and under which tokens its owner may work. The owner calls its methods with the time
+// of one monotonic clock, carries out the returned actions, and calls Tick at the time that Next
+// returns.
 type Agent struct {
 	config       AgentConfig
 	rng          *rand.Rand
-	source       *rand.PCG // of rng
+	source       *rand.PCG // the source of rng
 	roles        map[string]*managedRole
-	leader       int // who is asked first, in Voters
-	lastID       uint32
-	highestToken uint64 // of any reply
+	leader       int    // index in Voters of the voter that gets the next request
+	lastID       uint32 // of the last request
+	highestToken uint64 // the largest token in any reply or rejection
 
-	RequestsSent, RepliesReceived uint64 // datagrams
+	RequestsSent, RepliesReceived uint64 // numbers of datagrams
 }
 
-// managedRole is a role that the owner wants, works under, or gives back.
+// managedRole is a role that the owner wants, works under or is releasing.
 type managedRole struct {
 	role             string
 	lease            *Lease
-	active           bool          // the owner has been told Granted, and not Ended yet
-	outstanding      []sentRequest // maxOutstanding at most
+	active           bool          // the last of Granted and Ended that the owner got was Granted
+	outstanding      []sentRequest // at most maxOutstanding
 	nextRequestAt    time.Duration
-	attempts         int // since the last reply
-	queued           bool
-	release          *Command      // by which it is being given back, nil where it isn't
-	reacquireAfter   time.Duration // it was given back, 0 for never
-	releaseDeadline  time.Duration // the lease is over by then, whether or not a voter replies
-	notifiedTransfer uint64        // the token for which the owner has been told TransferRequested
+	attempts         int           // requests since the last one that the leader served, or since a redirect to the leader
+	queued           bool          // the voters have put this router into the queue
+	release          *Command      // the command that releases the role; nil while the role is not being released
+	reacquireAfter   time.Duration // delay after the release until the agent acquires the role again; 0 for never
+	releaseDeadline  time.Duration // the lease has ended by then, even if no voter has replied
+	notifiedTransfer uint64        // the token for which the owner has got TransferRequested
 }
 
-// sentRequest is a request whose reply still counts.
+// sentRequest is a request whose reply the agent still accepts.
 type sentRequest struct {
 	id uint32
 	at time.Duration
 }
 
-// Action is one of the following: what the owner is to do.
+// Action is something that the owner must do: SendRequest, Granted, Ended or TransferRequested.
 type Action interface{ action() }
 
-// SendRequest is to be sent to a router by its name.
+// SendRequest tells the owner to send a request to a router.
 type SendRequest struct {
-	To      string
+	To      string // the router's name
 	Request *Request
 }
 
-// Granted has the owner work under a role with a token until a time, unless it is told again with a
-// later one. Each act still calls Check first.
+// Granted tells the owner that it may work under a role with Token until a time. A later Granted
+// extends the time. The owner must still call Check before each piece of work.
 type Granted struct {
 	Role  string
 	Token uint64
-	Until time.Duration // by the own clock
-	New   bool          // the owner did not have it the moment before
+	Until time.Duration // on the owner's clock
+	New   bool          // the owner did not have the role right before
 }
 
-// Ended has the owner stop all work under a role.
+// Ended tells the owner to stop all work under a role.
 type Ended struct {
 	Role   string
 	Token  uint64
 	Reason string
 }
 
-// The reasons of Ended that are not the voters' own.
+// The reasons of Ended that the agent itself gives. Other reasons are refusals of the voters.
 const (
 	EndedReleased   = "given back"
 	endedExpired    = "the lease ran out"
@@ -99,8 +101,8 @@
 	endedByVoters   = "the voters say so"
 )
 
-// TransferRequested says that operators want another router to have the role: the owner ends its
-// work and then calls Release with To.
+// TransferRequested tells the owner that operators want another router to have the role. The owner
+// ends its work and then calls Release with To.
 type TransferRequested struct {
 	Role  string
 	Token uint64
@@ -112,7 +114,7 @@
 func (Ended) action()             {}
 func (TransferRequested) action() {}
 
-// NewAgent returns an Agent that wants no role yet.
+// NewAgent returns an Agent that manages no role yet, or an error if the configuration is invalid.
 func NewAgent(c AgentConfig) (*Agent, error) {
 	if err := c.Timing.Validate(); err != nil {
 		return nil, err
@@ -129,7 +131,9 @@
 	return a, nil
 }
 
-// Acquire has the agent get a role and keep it, until Release. It may be called again at any time.
+// Acquire makes the agent acquire a role and renew it until the owner calls Release. The owner may
+// call Acquire again at any time. If the role is being released, the agent acquires it again
+// afterwards.
 func (a *Agent) Acquire(now time.Duration, role string) []Action {
 	m := a.roles[role]
 	if m == nil {
@@ -145,9 +149,10 @@
 	return a.Tick(now)
 }
 
-// Release gives a role or its position in the queue back: to the router that is named, or to
-// whoever is next. The work under it has ended before. ReacquireAfter is after how long it is
-// acquired anew, 0 for never.
+// Release gives up a role or this router's position in its queue. The owner must have ended its work
+// under the role. To is the router that gets the role; if to is empty or AnyRouter, the next router
+// in the queue gets it. ReacquireAfter is the delay until the agent acquires the role again, or 0
+// for never.
 func (a *Agent) Release(now time.Duration, role, to string, reacquireAfter time.Duration) (out []Action) {
 	m := a.roles[role]
 	if m == nil || m.release != nil {
@@ -167,8 +172,10 @@
 	return append(out, a.Tick(now)...)
 }
 
-// TokenRejected takes in that a receiver knows of a higher token than the one that it was shown:
-// another router has the role by now, or the voters have lost what they knew.
+// TokenRejected records that a receiver of work has rejected this router's token, because it has
+// accepted the larger token highest. Either another router has got the role, or the voters have lost
+// their state. If the grant's token is lower than highest, the agent releases the role and acquires
+// it again.
 func (a *Agent) TokenRejected(now time.Duration, role string, highest uint64) []Action {
 	a.highestToken = max(a.highestToken, highest)
 	m := a.roles[role]
@@ -181,7 +188,8 @@
 	return nil
 }
 
-// Check is to be called right before each act under a role, as Lease.Check.
+// Check reports whether work under a role may begin now, like Lease.Check. The owner calls it right
+// before each piece of work.
 func (a *Agent) Check(now time.Duration, role string) (token uint64, remaining time.Duration, ok bool) {
 	if m := a.roles[role]; m != nil && m.release == nil {
 		return m.lease.Check(now)
@@ -189,8 +197,8 @@
 	return 0, 0, false
 }
 
-// Remaining returns under which token the owner works under a role, and how long yet; 0 where it
-// doesn't.
+// Remaining returns the token under which the owner works under a role and the remaining time until
+// the lease ends on the owner's clock. Both are 0 if the owner does not work under the role.
 func (a *Agent) Remaining(now time.Duration, role string) (token uint64, left time.Duration) {
 	if m := a.roles[role]; m != nil && m.active {
 		g, _ := m.lease.Grant()
@@ -199,22 +207,22 @@
 	return 0, 0
 }
 
-// Queued reports whether the voters have put this router in the queue for a role.
+// Queued reports whether the voters have put this router into the queue for a role.
 func (a *Agent) Queued(role string) bool {
 	m := a.roles[role]
 	return m != nil && m.queued && !m.active
 }
 
-// Roles returns the names of the roles that the owner wants, works under or gives back, sorted.
+// Roles returns the names of the roles that the owner wants, works under or is releasing, sorted.
 func (a *Agent) Roles() []string { return slices.Sorted(maps.Keys(a.roles)) }
 
-// HighestToken returns the largest token that any reply had.
+// HighestToken returns the largest token in any reply of a voter or rejection by a receiver of work.
 func (a *Agent) HighestToken() uint64 { return a.highestToken }
 
-// Leader returns the voter that is asked first.
+// Leader returns the name of the voter that the agent takes for the leader.
 func (a *Agent) Leader() string { return a.config.Voters[a.leader] }
 
-// Next returns when Tick is to be called, 0 for never.
+// Next returns when the owner must call Tick next, or 0 for never.
 func (a *Agent) Next() (next time.Duration) {
 	consider := func(t time.Duration) {
 		if next == 0 || t < next {
@@ -230,7 +238,7 @@
 	return next
 }
 
-// Tick does what is due: it ends leases that have run out, and sends requests.
+// Tick ends the leases that have run out and returns the requests that are due.
 func (a *Agent) Tick(now time.Duration) (out []Action) {
 	for _, name := range a.Roles() {
 		m := a.roles[name]
@@ -251,7 +259,8 @@
 	return out
 }
 
-// WriteState writes all that the agent's behaviour from now on depends on. Explorers hash it.
+// WriteState writes the state on which the agent's further behaviour depends. State space explorers
+// hash these bytes.
 func (a *Agent) WriteState(w io.Writer) {
 	random, _ := a.source.MarshalBinary()
 	fmt.Fprintf(w, "%x %d %d|", random, a.leader, a.lastID)
--- a/internal/router/lease/agent_requests.go
+++ b/internal/router/lease/agent_requests.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// maxDoublings bounds by how often the delay between two attempts doubles.
+// maxDoublings limits how many times the delay between two attempts doubles.
 const maxDoublings = 5
 
-// sendRequest sends what the state of a role calls for.
+// sendRequest sends the request that the state of a role requires.
 func (a *Agent) sendRequest(m *managedRole, now time.Duration) []Action {
-	if m.attempts > 0 { // the voter that was asked last has not replied
+	if m.attempts > 0 { // the last voter did not answer the request, so try the next one
 		a.leader = (a.leader + 1) % len(a.config.Voters)
 	}
 	command := a.nextCommand(m)
-	if a.lastID++; a.lastID == 0 { // 0 is for notifications
+	if a.lastID++; a.lastID == 0 { // ID 0 marks notifications
 		a.lastID = 1
 	}
 	if len(m.outstanding) >= maxOutstanding {
@@ -28,7 +28,7 @@
 	return []Action{SendRequest{a.Leader(), &Request{a.lastID, command}}}
 }
 
-// nextCommand is what is asked of the voters for a role now.
+// nextCommand returns the command to request from the voters for a role now.
 func (a *Agent) nextCommand(m *managedRole) Command {
 	if m.release != nil {
 		return *m.release
@@ -39,8 +39,9 @@
 	return Command{Kind: Acquire, Role: m.role, Router: a.config.Self, Token: a.highestToken}
 }
 
-// retryDelay is the time until the next attempt. Once each voter has been asked in vain it doubles,
-// with jitter, unless a lease is running out meanwhile.
+// retryDelay returns the delay until the next attempt. After an attempt at each voter without a
+// reply, the delay doubles per attempt and has jitter. While the router holds a lease, the delay
+// stays at replyTimeout, because the lease would run out.
 func (a *Agent) retryDelay(m *managedRole) time.Duration {
 	_, granted := m.lease.Grant()
 	if m.attempts <= len(a.config.Voters) || granted {
@@ -50,7 +51,8 @@
 	return delay/2 + time.Duration(a.rng.Int64N(int64(delay)))
 }
 
-// endLease tells the owner to stop its work under a role, if there is any.
+// endLease returns the action that tells the owner to stop its work under a role, or nil if the
+// owner does not work under it.
 func (a *Agent) endLease(m *managedRole, reason string) []Action {
 	if !m.active {
 		return nil
@@ -60,7 +62,7 @@
 	return []Action{Ended{m.role, g.Token, reason}}
 }
 
-// expireLease ends a lease that has run out by the own clock.
+// expireLease ends a lease that has run out on the agent's clock. The next request is due at once.
 func (a *Agent) expireLease(m *managedRole, now time.Duration) []Action {
 	out := a.endLease(m, endedExpired)
 	m.lease.Revoke(maxUint64)
@@ -68,7 +70,8 @@
 	return out
 }
 
-// finishRelease ends the giving back of a role.
+// finishRelease completes the release of a role. The agent forgets the role or schedules the next
+// attempt to acquire it.
 func (a *Agent) finishRelease(m *managedRole, now time.Duration) {
 	if m.reacquireAfter == 0 {
 		delete(a.roles, m.role)
@@ -78,9 +81,9 @@
 	m.nextRequestAt, m.reacquireAfter = now+m.reacquireAfter, 0
 }
 
-// HandleReply takes in a reply or a notification of a voter.
+// HandleReply processes a reply or a notification of the voter named from.
 func (a *Agent) HandleReply(now time.Duration, from string, r *Reply) []Action {
-	if r.Boot != a.config.Self.Boot { // to an earlier process of this router
+	if r.Boot != a.config.Self.Boot { // for an earlier process of this router
 		return nil
 	}
 	a.RepliesReceived++
@@ -99,7 +102,7 @@
 		}
 		a.setLeader(from)
 		sentAt := m.outstanding[i].at
-		// Replies to earlier ones count no more.
+		// Replies to earlier requests are ignored from here on.
 		m.outstanding = slices.Delete(m.outstanding, 0, i+1)
 		m.attempts = 0
 		return a.handleResult(m, now, sentAt, &r.Result)
@@ -107,21 +110,24 @@
 	return nil
 }
 
-// setLeader has a voter be asked first.
+// setLeader makes the named voter the one to which the agent sends its next request.
 func (a *Agent) setLeader(name string) {
 	if i := slices.Index(a.config.Voters, name); i >= 0 {
 		a.leader = i
 	}
 }
 
-// maxRedirects is how many requests may be open when a redirection is followed at once: two voters
-// that each take the other for the leader are asked at the usual interval.
+// maxRedirects limits the outstanding requests of a role with which the agent follows a redirect to
+// the leader. Without the limit, two voters that each report the other one as the leader would cause
+// requests without a pause between them.
 const maxRedirects = 3
 
-// redirect asks the voter that is said to lead, or the next one where nobody is: each once, at
-// once. I is the request in outstanding that was not served.
+// redirect handles the reply of a voter that is not the leader, to the request with index i in
+// outstanding. If the reply names another voter as the leader and maxRedirects allows it, redirect
+// sends a request to that voter at once. Otherwise it sends a request to the next voter at once,
+// until each voter has been tried. Further attempts wait for the retry delay.
 func (a *Agent) redirect(m *managedRole, now time.Duration, i int, from, leader string) []Action {
-	if i < len(m.outstanding)-1 { // of an earlier request than the last
+	if i < len(m.outstanding)-1 { // the reply is not to the last request
 		return nil
 	}
 	at := slices.Index(a.config.Voters, leader)
@@ -134,9 +140,10 @@
 	return a.sendRequest(m, now)
 }
 
-// handleResult takes in what the voters' leader did with a request that was sent at sentAt.
+// handleResult processes the result of a request that the agent sent at sentAt and that the voters'
+// leader has served.
 func (a *Agent) handleResult(m *managedRole, now, sentAt time.Duration, r *Result) (out []Action) {
-	if m.release != nil { // it is given back, or there was nothing to be given back
+	if m.release != nil { // the release is complete, or there was no grant to release
 		a.finishRelease(m, now)
 		return nil
 	}
@@ -156,7 +163,7 @@
 	return nil
 }
 
-// handleGrant takes in a grant or a renewal that was asked for at sentAt.
+// handleGrant processes a grant or a renewal that the agent requested at sentAt.
 func (a *Agent) handleGrant(m *managedRole, now, sentAt time.Duration, g Grant) (out []Action) {
 	if old, granted := m.lease.Grant(); m.active && granted && g.Token > old.Token {
 		out = a.endLease(m, endedSuperseded)
@@ -177,8 +184,9 @@
 	return out
 }
 
-// handleNotification takes in that a grant was made in turn, or that operators want it transferred.
-// The lease counts only from a renewal that is requested now.
+// handleNotification processes a voter's notification that this router was granted a role from the
+// queue, or that operators want the router to transfer a role. In both cases the agent sends a
+// renewal. The owner may work under a new grant only after a voter has answered this renewal.
 func (a *Agent) handleNotification(now time.Duration, r *Reply) []Action {
 	g := r.Result.Grant
 	m := a.roles[g.Role]
--- a/internal/router/lease/datagram.go
+++ b/internal/router/lease/datagram.go
@@ -7,23 +7,24 @@
 	"math"
 )
 
-// A datagram begins with a byte whose high half is wireVersion (peer reports have 1 there, the
-// membership 2) and whose low half is the kind. All numbers are varints, names have their length
-// before them as a byte, and a checksum (CRC-32C) of all before it stands at the end.
+// wireVersion is the upper half of the first byte of a datagram. Peer reports have 1 there, and
+// datagrams of the membership have 2. The lower half of the byte is the kind. The fields of the kind
+// follow: the command kind and the flags are a byte, other numbers are varints, and each name
+// follows a byte with its length. The last 4 bytes are the CRC-32C checksum of all bytes before them.
 //
-//	request:      number, command kind, role, router (name, boot, zone), token, renewals, to
-//	reply:        number, boot, flags, leader, grant (role, token, renewals, transfer to, reason),
+//	request:      ID, command kind, role, router (name, boot, zone), token, renewals, to
+//	reply:        ID, boot, flags, leader, grant (role, token, renewals, transfer to, reason),
 //	              refusal
-//	notification: as a reply, with number 0
+//	notification: the fields of a reply, with ID 0
 const wireVersion = 3
 
-// MaxDatagramBytes is the platform's bound.
+// MaxDatagramBytes is the platform's limit on the size of a datagram.
 const MaxDatagramBytes = 256
 
 const (
 	checksumBytes          = 4
 	kindMask               = 15
-	typicalDatagram        = 96 // bytes, for which there is capacity at once
+	typicalDatagram        = 96 // initial capacity, in bytes, of an encoded datagram
 	maxUint32              = math.MaxUint32
 	maxUint64       uint64 = math.MaxUint64
 )
@@ -34,10 +35,10 @@
 	requestDatagram datagramKind = iota
 	replyDatagram
 	notificationDatagram
-	datagramKinds // how many
+	datagramKinds // number of kinds
 )
 
-// The flags of a reply.
+// The flags of a reply or notification.
 const (
 	flagOK = 1 << iota
 	flagQueued
@@ -45,33 +46,33 @@
 	flagUnconfirmed
 )
 
-// Request is what a router asks the voters.
+// Request is a router's request to the voters to agree on a command.
 type Request struct {
 	ID      uint32 // never 0
 	Command Command
 }
 
-// Reply is what a voter replies to a request, or tells a router of a grant without having been
-// asked: then ID is 0.
+// Reply is a voter's reply to a request. A reply with ID 0 is a notification: a voter sends it
+// without a request, to tell a router of its grant.
 type Reply struct {
-	ID        uint32
-	Boot      uint32 // of the process that asked
-	NotLeader bool   // the voter decides nothing; Leader does
-	Leader    string // as far as known
-	Result    Result // Grant without its holder
+	ID        uint32 // of the request; 0 for a notification
+	Boot      uint32 // boot number of the process that the reply is for
+	NotLeader bool   // the voter is not the leader, or is overloaded, and did not serve the request
+	Leader    string // the leader's name; empty if the voter does not know it
+	Result    Result // its Grant has no Holder
 }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // The errors of Decode.
 var (
-	errTruncated = errors.New("the datagram is cut")
-	errChecksum  = errors.New("the datagram's sum is wrong")
-	errVersion   = errors.New("the datagram is of another version")
-	errField     = errors.New("the datagram has a field out of bounds")
+	errTruncated = errors.New("datagram is truncated")
+	errChecksum  = errors.New("datagram has a wrong checksum")
+	errVersion   = errors.New("datagram has an unknown version or kind")
+	errField     = errors.New("datagram is too long or has an invalid field")
 )
 
-// IsDatagram reports whether a datagram is one of this package's, by its first byte.
+// IsDatagram reports whether the first byte of a datagram has this package's wireVersion.
 func IsDatagram(b []byte) bool { return len(b) > 0 && b[0]>>4 == wireVersion }
 
 func newDatagram(kind datagramKind) []byte {
@@ -84,7 +85,7 @@
 
 func appendName(b []byte, s string) []byte { return append(append(b, byte(len(s))), s...) }
 
-// Encode returns the datagram of a request whose names have MaxNameBytes at most.
+// Encode returns the datagram of a request. The names in the request must have at most MaxNameBytes.
 func (r *Request) Encode() []byte {
 	c := &r.Command
 	b := binary.AppendUvarint(newDatagram(requestDatagram), uint64(r.ID))
@@ -99,7 +100,7 @@
 	return appendChecksum(b)
 }
 
-// Encode returns the datagram of a reply. A refusal is cut to MaxNameBytes.
+// Encode returns the datagram of a reply. It truncates a refusal to MaxNameBytes.
 func (r *Reply) Encode() []byte {
 	kind := replyDatagram
 	if r.ID == 0 {
@@ -136,7 +137,8 @@
 	return flags
 }
 
-// Decode reads a datagram completely or not at all: a request or a reply.
+// Decode decodes a datagram and returns either its request or its reply. If it returns an error, the
+// caller must not use the request or reply.
 func Decode(b []byte) (*Request, *Reply, error) {
 	kind, d, err := openDatagram(b)
 	if err != nil {
@@ -153,7 +155,8 @@
 	return nil, reply, d.finish()
 }
 
-// openDatagram checks a datagram's frame, and returns its kind and a decoder of what it has.
+// openDatagram checks the length, version, kind and checksum of a datagram. It returns the kind and
+// a decoder of the fields.
 func openDatagram(b []byte) (datagramKind, *decoder, error) {
 	switch {
 	case len(b) < 2+checksumBytes:
@@ -181,7 +184,7 @@
 	c.Token = d.uvarint(maxUint64)
 	c.Renewals = d.uvarint(maxUint64)
 	c.To = d.name()
-	if c.Kind > RequestTransfer || r.ID == 0 { // kinds above are the voters' own
+	if c.Kind > RequestTransfer || r.ID == 0 { // only voters propose the kinds above RequestTransfer
 		d.err = errField
 	}
 	return r
@@ -205,7 +208,8 @@
 	return r
 }
 
-// decoder takes fields off a datagram. The first error stays, and later fields are zero.
+// decoder decodes the fields of a datagram in order. After a field that is out of bounds, err is set
+// and further fields are zero.
 type decoder struct {
 	rest []byte
 	err  error
@@ -242,7 +246,7 @@
 	return s
 }
 
-// finish returns what was wrong; a datagram that goes on after its last field is.
+// finish returns the error of the decoded fields, or an error if bytes follow the last field.
 func (d *decoder) finish() error {
 	if d.err == nil && len(d.rest) > 0 {
 		d.err = errField
