--- a/internal/router/lease/golden_test.go
+++ b/internal/router/lease/golden_test.go
@@ -7,7 +7,8 @@
 	"reachspread/internal/testbed/golden"
 )
 
-// goldenRequests are requests of every kind that goes on the wire.
+// goldenRequests returns requests of every kind that routers send, and one with only the smallest
+// fields.
 func goldenRequests() []*Request {
 	var all []*Request
 	for kind := Acquire; kind <= RequestTransfer; kind++ {
@@ -17,7 +18,7 @@
 	return append(all, &Request{ID: 1, Command: Command{Role: "d", Router: Router{Name: "r", Boot: 1}}})
 }
 
-// goldenReplies are replies with each flag, and a push.
+// goldenReplies returns replies with each flag, and a notification.
 func goldenReplies() []*Reply {
 	grant := Grant{Role: "reports@south", Token: 1<<40 + 7, Renewals: 70_000, TransferTo: AnyRouter, Reason: ReasonTransferred}
 	pushed := grant
@@ -31,7 +32,7 @@
 	}
 }
 
-// Requests and replies have the bytes that they had at commit 5bfcc27, and are read from them.
+// Requests and replies are encoded to the same bytes as at commit 5bfcc27, and decoded from them.
 func TestDatagramsKeepTheirBytes(t *testing.T) {
 	names := []string{"acquire", "renew", "yield", "hand-over", "expire", "forget", "wish", "least"}
 	var records []golden.Record
@@ -45,12 +46,12 @@
 	data := golden.Check(t, "datagrams", records)
 	for i, want := range goldenRequests() {
 		if q, _, err := Decode(data["request-"+names[i]]); err != nil || !reflect.DeepEqual(q, want) {
-			t.Errorf("request %s is read as %+v, not %+v (%v)", names[i], q, want, err)
+			t.Errorf("request %s decodes to %+v, want %+v (error: %v)", names[i], q, want, err)
 		}
 	}
 	for i, want := range goldenReplies() {
 		if _, p, err := Decode(data["reply-"+replies[i]]); err != nil || !reflect.DeepEqual(p, want) {
-			t.Errorf("reply %s is read as %+v, not %+v (%v)", replies[i], p, want, err)
+			t.Errorf("reply %s decodes to %+v, want %+v (error: %v)", replies[i], p, want, err)
 		}
 	}
 }
--- a/internal/router/lease/lease_test.go
+++ b/internal/router/lease/lease_test.go
@@ -16,7 +16,8 @@
 
 func routerNamed(n string) Router { return Router{Name: n, Boot: 1} }
 
-// story applies commands and tells what became of them, a line each.
+// applyAll applies commands at indexes that are 10 apart. It returns one line per command, with the
+// result and the grants that the command made or ended.
 func applyAll(t *testing.T, table *Table, all ...Command) (lines []string) {
 	t.Helper()
 	for i, c := range all {
@@ -34,8 +35,9 @@
 	return lines
 }
 
-// A role passes from router to router: acquired, queued for, released, transferred to the router
-// that was named past those that are queued, expired, and acquired anew by a later process.
+// A role passes from router to router: routers acquire it, wait in its queue, release it, transfer
+// it to a named router ahead of the other queued routers, let it expire, and acquire it again in a
+// later process.
 func TestRolePassesBetweenRouters(t *testing.T) {
 	table, err := NewTable([]Role{{Name: "scribe"}, {Name: "drain", MaxHolders: 2}}, 5)
 	if err != nil {
@@ -43,18 +45,18 @@
 	}
 	got := applyAll(t, table,
 		Command{Kind: Acquire, Role: "scribe", Router: routerNamed("r1")},
-		Command{Kind: Acquire, Role: "scribe", Router: routerNamed("r2")}, // waits
-		Command{Kind: Acquire, Role: "scribe", Router: routerNamed("r3")}, // waits
-		Command{Kind: Acquire, Role: "scribe", Router: routerNamed("r1")}, // has not heard
+		Command{Kind: Acquire, Role: "scribe", Router: routerNamed("r2")}, // is queued
+		Command{Kind: Acquire, Role: "scribe", Router: routerNamed("r3")}, // is queued
+		Command{Kind: Acquire, Role: "scribe", Router: routerNamed("r1")}, // did not receive the grant
 		Command{Kind: Renew, Role: "scribe", Router: routerNamed("r1"), Token: 10},
-		Command{Kind: Expire, Role: "scribe", Token: 10}, // renewed since
+		Command{Kind: Expire, Role: "scribe", Token: 10}, // the grant has been renewed since
 		Command{Kind: Renew, Role: "scribe", Router: routerNamed("r2"), Token: 10},
 		Command{Kind: Transfer, Role: "scribe", Router: routerNamed("r1"), Token: 10, To: "r3"},
-		Command{Kind: Release, Role: "scribe", Router: routerNamed("r1"), Token: 10}, // came twice
+		Command{Kind: Release, Role: "scribe", Router: routerNamed("r1"), Token: 10}, // a duplicate
 		Command{Kind: Expire, Role: "scribe", Token: 80},
-		Command{Kind: Acquire, Role: "scribe", Router: Router{Name: "r2", Boot: 2}}, // another life
+		Command{Kind: Acquire, Role: "scribe", Router: Router{Name: "r2", Boot: 2}}, // a later process
 		Command{Kind: Renew, Role: "scribe", Router: routerNamed("r2"), Token: 100},
-		Command{Kind: Transfer, Role: "scribe", Router: Router{Name: "r2", Boot: 2}, Token: 110, To: "r9"}, // who is not there
+		Command{Kind: Transfer, Role: "scribe", Router: Router{Name: "r2", Boot: 2}, Token: 110, To: "r9"}, // r9 is not queued
 		Command{Kind: Acquire, Role: "scribe", Router: routerNamed("r4")},
 		Command{Kind: Dequeue, Role: "scribe", To: "r9"},
 		Command{Kind: Acquire, Role: "drain", Router: routerNamed("r1")},
@@ -73,19 +75,19 @@
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
-	// A requested transfer is for the holder with its token, or else for the first.
+	// RequestTransfer applies to the grant with its token, or with token 0 to the first grant.
 	for i, x := range []struct {
 		token, of uint64
 	}{{170, 170}, {0, 160}, {999, 0}} {
 		answer, _ := table.Apply(uint64(1000+i), Command{Kind: RequestTransfer, Role: "drain", Token: x.token, To: "r3"})
 		if answer.OK != (x.of > 0) || answer.Grant.Token != x.of || answer.OK && answer.Grant.TransferTo != "r3" {
-			t.Errorf("a transfer of token %d: %+v", x.token, answer)
+			t.Errorf("RequestTransfer for token %d: unexpected result %+v", x.token, answer)
 		}
 	}
 }
 
-// Whatever is applied in whatever order: no role has more holders than it allows, no router two
-// grants of it, tokens only grow, and two tables that apply the same commands are the same.
+// For any commands in any order: no role has more than MaxHolders grants, no router has two grants
+// of a role, tokens only grow, and two tables that apply the same commands have the same state.
 func TestTableStaysConsistentUnderAnyCommands(t *testing.T) {
 	roles := []Role{{Name: "one"}, {Name: "two", MaxHolders: 2}}
 	rapid.Check(t, func(t *rapid.T) {
@@ -103,7 +105,7 @@
 			for _, ch := range changes {
 				if ch.Granted {
 					if ch.Grant.Token <= last {
-						t.Fatalf("token %d after %d", ch.Grant.Token, last)
+						t.Fatalf("granted token %d after token %d", ch.Grant.Token, last)
 					}
 					last = ch.Grant.Token
 				}
@@ -112,26 +114,26 @@
 			for _, g := range x.Grants() {
 				count[g.Role]++
 				if key := g.Role + g.Holder.Name; granted[key] {
-					t.Fatalf("%s holds %s twice", g.Holder.Name, g.Role)
+					t.Fatalf("router %s has two grants of role %s", g.Holder.Name, g.Role)
 				} else {
 					granted[key] = true
 				}
 			}
 			if count["one"] > 1 || count["two"] > 2 {
-				t.Fatalf("%v holders", count)
+				t.Fatalf("grants by role: %v, want at most 1 of one and 2 of two", count)
 			}
 			var sx, sy strings.Builder
 			x.WriteState(&sx)
 			y.WriteState(&sy)
 			if sx.String() != sy.String() {
-				t.Fatal("two tables differ")
+				t.Fatal("two tables that applied the same commands have different states")
 			}
 		}
 	})
 }
 
-// A lease counts from before the request, is not extended by old replies, and ends where the clock
-// is behind its beginning.
+// A lease counts from the time of the request. Replies to older requests or for older grants do not
+// change it. Check fails while the clock shows a time before the start of the lease.
 func TestLeaseCountsFromBeforeTheRequest(t *testing.T) {
 	l := NewLease(DefaultTiming)
 	s := time.Second
@@ -139,18 +141,18 @@
 		t.Helper()
 		got, left, ok := l.Check(now)
 		if got != token || left != within || ok != (token > 0) {
-			t.Errorf("at %v: %d, %v, %v; want %d, %v", now, got, left, ok, token, within)
+			t.Errorf("Check at %v: token %d, remaining %v, ok %v; want token %d, remaining %v", now, got, left, ok, token, within)
 		}
 	}
 	check(5*s, 0, 0)
 	l.Extend(5*s, Grant{Token: 7})
 	check(5*s+50*time.Millisecond, 7, 1940*time.Millisecond)
-	check(4*s, 0, 0) // its clock is behind where the lease began
+	check(4*s, 0, 0) // the clock shows a time before the start of the lease
 	check(6*s+889*time.Millisecond, 7, 101*time.Millisecond)
-	check(6*s+890*time.Millisecond, 0, 0) // the margin
+	check(6*s+890*time.Millisecond, 0, 0) // the margin has begun
 	l.Extend(6*s, Grant{Token: 7, Renewals: 1})
-	l.Extend(5*s, Grant{Token: 7}) // an old reply
-	l.Extend(9*s, Grant{Token: 3}) // of an old grant
+	l.Extend(5*s, Grant{Token: 7}) // a reply to an older request
+	l.Extend(9*s, Grant{Token: 3}) // a reply for an older grant
 	check(7*s, 7, 990*time.Millisecond)
 	l.Revoke(6)
 	check(7*s, 7, 990*time.Millisecond)
@@ -160,7 +162,7 @@
 	check(8*s, 9, 1990*time.Millisecond)
 }
 
-// A receiver accepts no token of a role that is lower than one before.
+// A TokenGuard rejects a token that is lower than an accepted token of the same role.
 func TestTokenGuardRejectsLowerTokens(t *testing.T) {
 	var guard TokenGuard
 	for i, x := range []struct {
@@ -169,34 +171,35 @@
 		accept bool
 	}{{"a", 7, true}, {"a", 7, true}, {"b", 3, true}, {"a", 9, true}, {"a", 8, false}, {"b", 0, false}, {"b", 4, true}} {
 		if got := guard.Accept(x.role, x.token); got != x.accept {
-			t.Errorf("%d: %+v: got %v", i, x, got)
+			t.Errorf("case %d, %+v: Accept returned %v", i, x, got)
 		}
 	}
 }
 
-// message goes between the sequencer and a client in the explorer.
+// message is a request or a reply between the sequencer and a client in the explorer.
 type message struct {
 	Kind  CommandKind
-	Nth   int // of the holder's requests
+	Nth   int // number of the request among the client's requests
 	OK    bool
 	Grant Grant
 }
 
-// flaw is what is done wrong in the explorer.
+// flaw is a fault that a test plants in the protocol, to check that the explorer finds it.
 type flaw int
 
 const (
 	none             flaw = iota
-	expiresEarly          // the sequencer grants a role anew before a lease has passed
-	countsFromReply       // the holder counts from the reply
-	noClockAllowance      // clocks are taken to be the same
+	expiresEarly          // the sequencer expires a grant after half of its lease
+	countsFromReply       // the client counts its lease from the reply instead of the request
+	noClockAllowance      // the client allows for no difference between clocks
 )
 
-// sequencer applies commands in the order in which they come, and expires grants by its own clock.
+// sequencer stands in for the voters: it applies commands to a table in the order of their arrival,
+// and expires grants on its own clock.
 type sequencer struct {
 	t         *Table
 	index     uint64
-	renewedAt map[uint64]time.Duration // by token
+	renewedAt map[uint64]time.Duration // time of the grant or its last renewal, by token
 	flaw      flaw
 }
 
@@ -256,7 +259,8 @@
 	fmt.Fprint(h, s.index, s.renewedAt)
 }
 
-// client acquires the role, renews it a lease later, and asks again while it does not have it.
+// client acquires the role. Once per lease duration after its last message, it renews the role if it
+// holds the role, and otherwise tries to acquire the role again.
 type client struct {
 	lease *Lease
 	nth   int
@@ -295,10 +299,12 @@
 }
 func (c *client) Write(h hash.Hash64) { fmt.Fprint(h, *c.lease, c.nth, c.sent) }
 
-var errTwo = errors.New("two act under the role")
+var errTwo = errors.New("two clients may work under the role at the same time")
 
-// All orders of a sequencer and two holders whose clocks differ by 5 ms at most, with a lost
-// message, a duplicate and a pause: no two may act at one moment. Each flaw is found.
+// The explorer tries the event orders of a sequencer and two clients up to a depth. Their clocks
+// differ by at most 5 ms, and one message may be lost, one may be duplicated and one node may pause.
+// The two clients must never hold the role at the same time. The explorer must find each planted
+// flaw.
 func TestNoTwoActUnderOneRoleInAnyOrder(t *testing.T) {
 	for _, x := range []struct {
 		flaw  flaw
@@ -336,7 +342,7 @@
 		}
 		t.Logf("flaw %d: %s", x.flaw, answer)
 		if found := errors.Is(answer.Violation, errTwo); found != (x.flaw != none) {
-			t.Errorf("flaw %d: %s", x.flaw, answer)
+			t.Errorf("flaw %d: unexpected result: %s", x.flaw, answer)
 		}
 	}
 }
--- a/internal/router/lease/stored_test.go
+++ b/internal/router/lease/stored_test.go
@@ -9,9 +9,9 @@
 	"reachspread/internal/testbed/golden"
 )
 
-// The files under testdata were written at commit 5bfcc27: WRITE_GOLDEN=1 go test -run Golden.
+// The JSON files in testdata were written at commit 5bfcc27 by WRITE_GOLDEN=1 go test -run Golden.
 
-// goldenState has every field of a State.
+// goldenState returns a State in which every field is set.
 func goldenState() State {
 	return State{Token: 77, Roles: []RoleState{
 		{
@@ -25,7 +25,8 @@
 	}}
 }
 
-// A table's state is read as it was written, and a table that is made of it has the same state.
+// The stored state of a table keeps its encoding, and a table that is restored from the state has
+// the same state.
 func TestGoldenTableState(t *testing.T) {
 	want := goldenState()
 	golden.Complete(t, want, "Role.ByZone", "RoleState.Grants", "RoleState.Queue", "RoleState.Reservations")
@@ -46,7 +47,7 @@
 	}
 }
 
-// Commands of every kind, as they stand in the log, are read as they were written.
+// Commands of every kind keep the encoding that they have in the voters' log.
 func TestGoldenCommands(t *testing.T) {
 	var want []Command
 	for _, kind := range []CommandKind{Acquire, Renew, Release, Transfer, Expire, Dequeue, RequestTransfer, DefineRole, RaiseToken} {
@@ -68,7 +69,7 @@
 	}
 }
 
-// The reasons that stand in grants stay as they are.
+// The reasons keep the texts that stored grants have.
 func TestGoldenReasons(t *testing.T) {
 	made, err := json.Marshal([]Reason{ReasonAvailable, ReasonQueued, ReasonReleased, ReasonTransferred, ReasonExpired, ReasonRestarted, ReasonFailed})
 	if err != nil {
