--- a/internal/router/quorum/config.go
+++ b/internal/router/quorum/config.go
@@ -10,51 +10,54 @@
 
 // Timing of elections and hellos.
 const (
-	// TickInterval is the leader's; it sends heartbeats each heartbeatTicks.
+	// TickInterval is the default time between two ticks of the leader's engine. The leader sends
+	// heartbeats every heartbeatTicks.
 	TickInterval         = 50 * time.Millisecond
 	heartbeatTicks       = 2
-	electionTimeoutTicks = 8 // without the leader, after which a voter campaigns
-	electionJitterTicks  = 4 // over which the campaigns of several voters are spread
-	maxTicksAtOnce       = 4 // after a pause of the process
+	electionTimeoutTicks = 8 // minimum time without messages of the leader before a voter campaigns
+	electionJitterTicks  = 4 // range of the random time that separates the campaigns of several voters
+	maxTicksAtOnce       = 4 // limit on the ticks that the leader makes up for after a pause of the process
 
-	// helloInterval is that of a candidate that is no member, or knows no leader.
+	// helloInterval is the time between hellos of a candidate that is not a member or knows no
+	// leader.
 	helloInterval       = 200 * time.Millisecond
-	memberHelloInterval = 2 * time.Second // of a member
-	helloTTL            = 3 * time.Second // for how long a hello counts
+	memberHelloInterval = 2 * time.Second // time between hellos of other candidates
+	helloTTL            = 3 * time.Second // time after which a received hello is ignored
 
-	// storeCheckTimeout bounds the wait for all that are alive to say what they know of the own
-	// store. A voter whose peers are down must not wait for them for ever.
+	// storeCheckTimeout limits how long a starting voter waits until all live members have said what
+	// they know of its store. Without the limit it would wait forever for members that are down.
 	storeCheckTimeout = 2 * time.Second
-	// leaderlessNoticeDelay is the time without a leader after which operators are told.
+	// leaderlessNoticeDelay is the time without a leader after which the voter notifies operators.
 	leaderlessNoticeDelay = 5 * time.Second
 )
 
 // Timing of the leader's work on leases and on the group.
 const (
 	reconfigureInterval = 300 * time.Millisecond
-	notifyInterval      = 50 * time.Millisecond // between two notifications of one grant
-	// confirmTimeout is after what a grant made in turn is taken back unless its holder renews it.
+	notifyInterval      = 50 * time.Millisecond // between two notifications of one unconfirmed grant
+	// confirmTimeout is the time within which the holder of a grant from the queue must renew it.
+	// After that the leader expires the grant.
 	confirmTimeout = 300 * time.Millisecond
-	// queueCheckInterval is between two looks for queued routers that are dead.
+	// queueCheckInterval is the time between two checks of the queues and reservations.
 	queueCheckInterval    = time.Second
-	proposalRetryInterval = 200 * time.Millisecond // until a proposal that was lost is made again
-	learnerTimeout        = 10 * time.Second       // a learner that is lost for so long is removed
+	proposalRetryInterval = 200 * time.Millisecond // until the leader repeats a proposal that may be lost, or a notification of a requested transfer
+	learnerTimeout        = 10 * time.Second       // the leader removes a learner that has been lost for this long
 )
 
-// Bounds.
+// Limits.
 const (
 	MaxCandidates      = lease.MaxVoters
-	MaxMessageBytes    = 4 << 20
-	maxPendingRequests = 4096              // that wait for agreement
-	entriesPerSnapshot = 1000              // log entries after which a snapshot is taken
-	retainedEntries    = 200               // that stay in the log behind a snapshot
-	maxLearnerBacklog  = 64                // entries that a learner may lack when it is promoted
-	maxDequeues        = 16                // proposed at a time
-	maxStoreRecords    = 4 * MaxCandidates // beyond that those of former members are dropped
-	firstGroupRange    = 1 << 20           // of which the first group's number is drawn
+	MaxMessageBytes    = 4 << 20           // of an encoded message between candidates
+	maxPendingRequests = 4096              // requests whose commands are proposed and not committed yet
+	entriesPerSnapshot = 1000              // applied log entries after which a voter takes a snapshot
+	retainedEntries    = 200               // applied log entries that are kept when the log is compacted
+	maxLearnerBacklog  = 64                // log entries that a learner may still lack when it is promoted
+	maxDequeues        = 16                // dead routers that one check removes from the queues
+	maxStoreRecords    = 4 * MaxCandidates // number of store records from which the records of former members are dropped
+	firstGroupRange    = 1 << 20           // the first group's number is drawn from 1 to this
 )
 
-// Bounds of the engine.
+// Limits of the engine.
 const (
 	maxEngineMessageBytes = 256 << 10
 	maxInflightMessages   = 64
@@ -62,35 +65,37 @@
 )
 
 const (
-	storeFormat = 1 // of Meta
-	firstStart  = 1 // of a store that no process has begun with before
+	storeFormat = 1 // Meta.Version of the stores that this code writes
+	firstStart  = 1 // Meta.Starts of a new store
 )
 
-// Config is what a Voter is told at its start.
+// Config is the configuration of a Voter.
 type Config struct {
-	Self, Zone string
-	// Candidates are the names of those that may vote, the same at all of them; the first Voters of
-	// them found the group.
+	Self, Zone string // names of this router and of its zone
+	// Candidates are the names of the routers that may vote, in the same order at all candidates.
+	// The first Voters of them are the founders of the group.
 	Candidates []string
-	Voters     int // 1, 3, 5 or 7
+	Voters     int // number of voters in the group: 1, 3, 5 or 7
 	Roles      []lease.Role
 	Timing     lease.Timing
-	// ReplaceTimeout is for how long a voter must have been lost until another takes its place.
-	// Shorter replaces a restarting router for nothing, longer leaves the group with less to spare.
+	// ReplaceTimeout is how long a voter must have been lost before the leader replaces it by
+	// another candidate. A shorter time replaces restarting routers unnecessarily. During a longer
+	// time the group tolerates fewer further failures.
 	ReplaceTimeout time.Duration
-	Boot           uint32 // of this process
-	Seed           uint64
-	// TickInterval is the leader's, 0 counts as the constant. Election time-outs are multiples of
-	// it.
+	Boot           uint32 // boot number of this process
+	Seed           uint64 // of the random numbers, together with Boot
+	// TickInterval is the time between two ticks of the leader's engine; 0 means the constant
+	// TickInterval. Election time-outs are multiples of it.
 	TickInterval time.Duration
-	// SkipLeaseWait has a new leader not wait a whole lease. It is a fault planted for checkers.
+	// SkipLeaseWait makes a new leader expire leases without the wait of a whole lease duration. It
+	// is a planted fault: tests check that their checkers find it.
 	SkipLeaseWait bool
-	// TrustStore has the store be believed without asking others. It is for explorers, whose depth
-	// is short.
+	// TrustStore makes the voter use its store without asking others about it. State space explorers
+	// set it because they explore only a few steps.
 	TrustStore bool
 }
 
-// validate returns what is wrong with a configuration, and fills in defaults.
+// validate returns an error if the configuration is invalid, and sets defaults.
 func (c *Config) validate() error {
 	switch {
 	case len(c.Candidates) == 0 || len(c.Candidates) > MaxCandidates:
@@ -98,9 +103,9 @@
 	case !slices.Contains([]int{1, 3, 5, 7}, c.Voters):
 		return fmt.Errorf("%d voters; there must be 1, 3, 5 or 7", c.Voters)
 	case c.Voters > len(c.Candidates):
-		return fmt.Errorf("%d voters of %d routers that may vote", c.Voters, len(c.Candidates))
+		return fmt.Errorf("%d voters; there must be at most %d, the number of routers that may vote", c.Voters, len(c.Candidates))
 	case !slices.Contains(c.Candidates, c.Self):
-		return fmt.Errorf("%s is not among those that may vote", c.Self)
+		return fmt.Errorf("router %s is not among the routers that may vote", c.Self)
 	}
 	if err := c.Timing.Validate(); err != nil {
 		return err
@@ -114,5 +119,5 @@
 	return nil
 }
 
-// electionTimeout is the time without the leader after which a voter campaigns, at the least.
+// electionTimeout returns the minimum time without messages of the leader before a voter campaigns.
 func (c *Config) electionTimeout() time.Duration { return electionTimeoutTicks * c.TickInterval }
--- a/internal/router/quorum/doc.go
+++ b/internal/router/quorum/doc.go
@@ -1,45 +1,52 @@
-// Package quorum is one voter of the few routers that agree, by raft, on the commands of package
-// lease. The agreement itself is go.etcd.io/raft/v3's. This package has what stands around it: who
-// founds the group, who votes, what a voter must know before its store counts, the leader's clock
-// for leases, snapshots, and replies to requests. docs/design/duties.md weighs the alternatives.
+// Package quorum implements a voter: one of the few routers that agree, through raft, on the
+// commands of package lease. The raft implementation is go.etcd.io/raft/v3, called the engine here.
+// This package decides what the engine does not: which router founds the group, which routers vote,
+// and what a voter must learn from others before it may use its store. It also expires leases on the
+// leader's clock, takes snapshots and replies to requests. docs/design/duties.md compares the
+// alternatives.
 //
 // # Protocol
 //
-// Routers that may vote are candidates, named in the same order in all settings. Each has a store
-// with an ID of its own, which is its identity in the raft group. Candidates send each other hellos
-// that describe their stores.
+// The routers that may vote are called candidates. The settings of all routers list them in the same
+// order. Each candidate has a store with its own ID, and this ID identifies it in the raft group.
+// Candidates send each other hellos that describe their stores.
 //
 //   - The first candidate founds the group once all founders have said that their stores are empty.
-//     Where a group is known and nobody has an entry of it, as its founder lost its disk too early,
-//     the first candidate founds another once all candidates have said so for longer than a lease.
-//   - A candidate with a new store joins as a learner and is promoted by the leader once it has
-//     caught up; a voter that is lost for ReplaceTimeout, or whose store is another one by now,
-//     makes room for it by one joint configuration change.
-//   - A candidate with a store that has voted takes part once enough others for a majority with
-//     itself have found nothing newer of that store (StoreRecord), and all that are alive have
-//     replied, or storeCheckTimeout has passed. A store that others have seen further along is an
-//     older copy: the candidate begins a new one.
-//   - Where a majority of the disks is lost for good, an operator has one router found a new group
-//     (Rebuild). A higher group number supersedes a lower one. Its tokens are in a later block.
-//
-// The leader applies its own clock to leases: it proposes lease.Expire for a grant that it has seen
-// no renewal of for a whole lease. A new leader begins every lease anew, as it can't know what the
-// last one granted a moment ago.
-//
-// # Promises
-//
-// A command for which SendReply says OK is committed: every later table has it. What the caller
-// sees of order is that of raft. The package promises nothing about how soon a request is served;
-// clients ask again.
+//     If the candidates know of a group but none has a log entry of it, its founder lost its disk too
+//     early. The first candidate then founds another group, once all candidates have said for longer
+//     than a lease that they have no entry.
+//   - A candidate with a new store joins as a learner. The leader promotes it once it has caught up.
+//     If a voter has been lost for ReplaceTimeout, or its router has another store by now, the same
+//     joint configuration change promotes the learner and removes that voter.
+//   - A candidate whose store was used before takes part only after a majority of the voters, which
+//     may include itself, knows of nothing newer in that store (StoreRecord). It also waits until
+//     all live members have replied, or until storeCheckTimeout has passed. If another candidate has
+//     seen a later state of the store, the store is an older copy, and the candidate begins a new
+//     store.
+//   - If a majority of the disks is lost permanently, an operator tells one router to found a new
+//     group (Rebuild). A group with a higher number supersedes one with a lower number, and its
+//     tokens are in a later block.
+//
+// The leader uses its own clock for leases: it proposes lease.Expire for a grant if it has seen no
+// renewal of the grant for a whole lease duration. A new leader restarts the wait for every lease,
+// because it cannot know which renewals the last leader granted just before.
+//
+// # Guarantees
+//
+// A command for which SendReply says OK is committed: every later table includes it. Commands are
+// ordered as raft orders them. The package does not guarantee how soon a request is served; clients
+// send a request again if they get no reply.
 //
 // # After a crash
 //
-// Nothing that follows a Persist in the actions of one Step may be carried out before it is on the
-// disk, and after a Persist that fails the Voter must not be called again. A Voter that is made of
-// the StoredState is then the voter that it was. What was not persisted was promised to nobody.
+// The owner must not carry out an action that follows a Persist in the actions of one Step until the
+// Persist is on the disk. After a Persist fails, the owner must not call the Voter again. A Voter
+// that is made from the StoredState has the same state as the Voter that wrote it. No other router
+// was promised anything that was not persisted.
 //
-// A Voter is a state machine without I/O, clock or goroutine. Its owner calls Step with the time of
-// one monotonic clock and one event, carries out the actions in order, and calls again at Next. The
-// same seed and events give the same actions: followers' election timers are this package's, as the
-// engine draws its own from a source that can't be seeded, so only leaders tick the engine.
+// A Voter is a state machine without I/O, clock or goroutine. Its owner calls Step with one event
+// and the time of one monotonic clock, carries out the actions in order, and calls Step again at the
+// time that Next returns. The same seed and events give the same actions. For this reason the
+// package implements the election timers of followers itself, and only a leader calls the engine's
+// Tick: the engine draws its election time-outs from a random source that cannot be seeded.
 package quorum
