--- a/internal/router/quorum/hello.go
+++ b/internal/router/quorum/hello.go
@@ -9,11 +9,11 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// newHello describes the own store to others.
+// newHello returns a hello that describes this router's store.
 func (v *Voter) newHello() *hello {
 	h := &hello{Stage: v.stage(), LastTerm: v.lastEntry.term, LastIndex: v.lastEntry.index, HighestToken: v.meta.HighestToken,
 		Members: v.meta.Members, Voters: v.meta.Voters, Applied: v.applied}
-	// What is only reported to this router is not passed on.
+	// Only members name the leader. Other candidates know it only from the hellos of others.
 	if h.Stage == Voting || h.Stage == Learning {
 		h.Leader = v.Leader()
 	}
@@ -27,7 +27,8 @@
 	return h
 }
 
-// sendHellos asks all candidates what they know.
+// sendHellos sends hellos that want a reply to all other candidates. Often selects the shorter of
+// the two intervals until the next hellos.
 func (v *Voter) sendHellos(often bool) {
 	v.nextHelloAt = v.now + memberHelloInterval
 	if often {
@@ -42,13 +43,14 @@
 	}
 }
 
-// recentHello returns the last message with a hello of a candidate, if it still counts.
+// recentHello returns the last message with a hello of a candidate. Ok is false if there is none or
+// it is older than helloTTL.
 func (v *Voter) recentHello(name string) (*message, bool) {
 	h, ok := v.hellos[name]
 	return h.message, ok && v.now < h.at+helloTTL
 }
 
-// handleMessage takes in a message of another candidate.
+// handleMessage processes a message of another candidate.
 func (v *Voter) handleMessage(m *message) {
 	stale := v.checkStoreRecord(m)
 	v.storeIDs[m.From.Name] = m.From.ID
@@ -66,19 +68,19 @@
 	}
 }
 
-// followGroup goes over to a group that was founded after the own one.
+// followGroup changes to the group of a message if that group was founded after this router's group.
 func (v *Voter) followGroup(m *message) {
 	if m.Group <= v.meta.Group {
 		return
 	}
-	if v.meta.Group == 0 { // whoever founded it may count on this store
+	if v.meta.Group == 0 { // keep the store, because the founder may have made it a voter of the group
 		v.meta.Group = m.Group
 		v.actions = append(v.actions, Persist{Meta: v.cloneMeta()})
 		return
 	}
-	clear(v.meta.StoreRecords) // of stores of the last group
+	clear(v.meta.StoreRecords) // they describe stores of the last group
 	if v.meta.Starts == firstStart && v.isLogEmpty() {
-		// Whoever founded the new group may count on this store as well.
+		// Keep the store's ID, because the founder may have made the store a voter of the new group.
 		v.resetStore(m.Group, v.meta.ID)
 		return
 	}
@@ -86,7 +88,8 @@
 	v.newStore(m.Group)
 }
 
-// handleRaft takes in a message of another voter's engine.
+// handleRaft passes a message of another member's engine to this router's engine. It drops messages
+// with a wrong sender or receiver and messages that only the local engine may produce.
 func (v *Voter) handleRaft(m *message) {
 	r, err := decodeRaft(m.Raft)
 	if err != nil || r.GetFrom() != m.From.ID || r.GetTo() != v.meta.ID {
@@ -96,7 +99,7 @@
 	term := v.raft.BasicStatus().GetTerm()
 	switch r.GetType() {
 	case raftpb.MsgHup, raftpb.MsgBeat, raftpb.MsgProp, raftpb.MsgCheckQuorum, raftpb.MsgUnreachable, raftpb.MsgSnapStatus, raftpb.MsgForgetLeader, raftpb.MsgTransferLeader:
-		return // only the own engine may be told those
+		return // these are local messages of an engine and must not come from another router
 	case raftpb.MsgApp, raftpb.MsgHeartbeat, raftpb.MsgSnap:
 		if r.GetTerm() >= term {
 			v.resetElectionTimer()
@@ -109,8 +112,9 @@
 	v.raft.Step(r)
 }
 
-// handleHello replies to a hello, and takes in what one that replies says of the own store. Stale
-// is why the sender's store is an older copy, empty if it isn't.
+// handleHello replies to a hello that wants a reply. If the hello itself is a reply, handleHello
+// processes what the sender says of this router's store. Stale says why the sender's store is an
+// older copy, and is empty if it is not.
 func (v *Voter) handleHello(m *message, stale string) {
 	h := m.Hello
 	if h.WantsReply {
@@ -134,7 +138,8 @@
 	}
 }
 
-// wasRemoved reports whether a member that is further along has no member with the own store.
+// wasRemoved reports whether the group has removed this router's store: a member that knows the
+// leader and has applied more of the log does not list the store among the members.
 func (v *Voter) wasRemoved(h *hello) bool {
 	if v.stage() == Joining || h.Leader == "" || h.Applied < v.newHello().LastIndex || h.Applied <= v.applied {
 		return false
@@ -142,8 +147,8 @@
 	return !slices.ContainsFunc(h.Members, func(n Node) bool { return n.ID == v.meta.ID })
 }
 
-// checkStoreRecord compares what a store shows with what is known of it, and records what is new.
-// It returns why the store is an older copy, empty if it isn't.
+// checkStoreRecord compares the state of the sender's store with the record of that store, and
+// records a new start of it. It returns why the store is an older copy, or "" if it is not.
 func (v *Voter) checkStoreRecord(m *message) (stale string) {
 	if m.Group != v.meta.Group {
 		return ""
@@ -163,13 +168,14 @@
 	if m.Starts != r.Starts || m.Boot != r.Boot {
 		r.Starts, r.Boot = m.Starts, m.Boot
 		v.meta.StoreRecords[m.From.ID] = r
-		// It is persisted before anybody is told that the store is complete.
+		// This must be on the disk before a reply tells the sender that its store is up to date.
 		v.actions = append(v.actions, Persist{Meta: v.cloneMeta()})
 	}
 	return ""
 }
 
-// staleness says by what a store falls short of its record, empty if it doesn't.
+// staleness returns in what the store that h describes is behind its record, or "" if it is not
+// behind.
 func (r *StoreRecord) staleness(h *hello) string {
 	if h.Term < r.Term {
 		return fmt.Sprintf("it was in term %d, not %d", r.Term, h.Term)
@@ -180,18 +186,20 @@
 	return ""
 }
 
-// dropStoreRecords drops those of stores that are no members any more.
+// dropStoreRecords drops the records of stores that are not members.
 func (v *Voter) dropStoreRecords() {
 	maps.DeleteFunc(v.meta.StoreRecords, func(id uint64, _ StoreRecord) bool {
 		return !slices.ContainsFunc(v.meta.Members, func(n Node) bool { return n.ID == id })
 	})
 }
 
-// recordProgress records what a store has acknowledged: later it must show no less.
+// recordProgress updates the record of a sender's store from a raft message: the store has reached
+// the message's term and, if it acknowledges log entries, their index. If the store later shows
+// less, it is an older copy.
 func (v *Voter) recordProgress(r *raftpb.Message) {
 	record := v.meta.StoreRecords[r.GetFrom()]
 	switch r.GetType() {
-	case raftpb.MsgPreVote, raftpb.MsgPreVoteResp: // of a term that may never be
+	case raftpb.MsgPreVote, raftpb.MsgPreVoteResp: // their term may never begin
 		return
 	case raftpb.MsgAppResp:
 		if !r.GetReject() {
@@ -202,7 +210,8 @@
 	v.meta.StoreRecords[r.GetFrom()] = record
 }
 
-// advance takes in that the store has an entry, by its index and the own log's term of it.
+// advance records that the store has the log entry with an index. TermOf returns the term of an
+// entry in this router's log.
 func (r *StoreRecord) advance(index uint64, termOf func(uint64) (uint64, error)) {
 	term, err := termOf(index)
 	if err == nil && (term > r.LastTerm || term == r.LastTerm && index > r.LastIndex) {
@@ -210,7 +219,8 @@
 	}
 }
 
-// handleMembership takes in which routers are alive.
+// handleMembership replaces the set of live routers, and records since when each candidate has been
+// lost.
 func (v *Voter) handleMembership(alive map[string]bool) {
 	v.alive = maps.Clone(alive)
 	for _, name := range v.config.Candidates {
--- a/internal/router/quorum/join.go
+++ b/internal/router/quorum/join.go
@@ -12,17 +12,19 @@
 	"reachspread/internal/router/lease"
 )
 
-// join begins to take part once that is right.
+// join founds a group or starts the engine once this router may do so. It is called while the engine
+// is not running.
 func (v *Voter) join() {
 	switch {
 	case v.meta.Group == 0:
 		if founders, ok := v.emptyFounders(); ok {
-			// A random number: were all disks lost, no token is to be granted a second time.
+			// The group's number is random and decides the block of its tokens. If all disks are
+			// lost, the next first group thus does not grant the same tokens again.
 			v.foundGroup(1+v.rng.Uint64N(firstGroupRange), founders)
 		}
 	case v.meta.Starts == firstStart, v.config.TrustStore:
 		v.startRaft()
-	case v.lastEntry.index == 0: // it was to be added, and got nothing yet
+	case v.lastEntry.index == 0: // the store was used before but never received a log entry
 		v.newStore(v.meta.Group)
 		v.startRaft()
 	case v.isStoreConfirmed():
@@ -30,8 +32,9 @@
 	}
 }
 
-// emptyFounders returns the other founders, if this router is the first and all have said that
-// their stores are empty.
+// emptyFounders returns the other founders. Ok is false unless this router is the first candidate
+// and the recent hellos of all other founders show stores without a group. It stays false for two
+// hello intervals after the start.
 func (v *Voter) emptyFounders() (peers []Node, ok bool) {
 	if v.config.Candidates[0] != v.config.Self || v.now < v.startedAt+2*helloInterval {
 		return nil, false
@@ -49,9 +52,10 @@
 	return peers, true
 }
 
-// foundAgain founds a group in place of one whose founder lost its disk before any other candidate
-// had its first command: all candidates know of that group, and none can add the others to it. Only
-// the first candidate does so, once all have said for foundAgainDelay that their logs are empty.
+// foundGroupAgain replaces a group whose founder lost its disk before any other candidate had
+// received a log entry. All candidates know of that group, but none can add the others to it. Only
+// the first candidate founds the new group, once the logs of all candidates have been empty for
+// foundGroupAgainDelay.
 func (v *Voter) foundGroupAgain() {
 	founders, ok := v.emptyCandidates()
 	if !ok {
@@ -59,20 +63,21 @@
 		return
 	}
 	if v.now >= v.allEmptySince+v.foundGroupAgainDelay() {
-		// What stores showed in the last group counts for nothing in this one, and an operator's
-		// rebuild may have taken the next number meanwhile.
+		// The records describe stores of the last group. The next group number is skipped because
+		// an operator's Rebuild may have used it at the same time.
 		clear(v.meta.StoreRecords)
 		v.foundGroup(v.meta.Group+2, founders)
 	}
 }
 
-// foundAgainDelay is for how long all logs must be empty until there is a new group. Whoever has
-// entries says so within helloTTL. A lease of a group whose disks were all lost, which this can't
-// be told from, has ended by then.
+// foundGroupAgainDelay returns how long all logs must be empty before foundGroupAgain founds a group.
+// A candidate with log entries says so within helloTTL. The lease duration is added because a group
+// whose disks were all lost looks the same: its leases must have ended by then.
 func (v *Voter) foundGroupAgainDelay() time.Duration { return helloTTL + v.config.Timing.Duration }
 
-// emptyCandidates returns the other founders if this router is the first candidate, knows of a
-// group, and no log has an entry: neither its own nor, as all others say, theirs.
+// emptyCandidates returns the other founders. Ok is true only if this router is the first candidate,
+// knows of a group and has an empty log, and the recent hellos of all other candidates show an empty
+// log and no leader.
 func (v *Voter) emptyCandidates() (founders []Node, ok bool) {
 	if v.config.Candidates[0] != v.config.Self || v.meta.Group == 0 || !v.isLogEmpty() {
 		return nil, false
@@ -89,17 +94,18 @@
 	return founders, true
 }
 
-// isLogEmpty reports whether nothing of a group has come to the own store yet.
+// isLogEmpty reports whether this router's store has neither a log entry nor a snapshot.
 func (v *Voter) isLogEmpty() bool {
 	if v.raft == nil {
 		return v.lastEntry.index == 0
 	}
-	last, _ := v.storage.LastIndex() // in memory it can't fail
+	last, _ := v.storage.LastIndex() // cannot fail in memory
 	return last == 0
 }
 
-// isStoreConfirmed reports whether a majority, with this router, knows of nothing newer of its
-// store, and all that are alive have replied or have had the time to.
+// isStoreConfirmed reports whether this router may use its store: it and the voters that know of no
+// newer state of its store are a majority, and all live members have replied or storeCheckTimeout
+// has passed.
 func (v *Voter) isStoreConfirmed() bool {
 	confirmed := 0
 	for _, id := range v.meta.Voters {
@@ -113,8 +119,8 @@
 	return v.now >= v.startedAt+storeCheckTimeout || !v.awaitsConfirmation()
 }
 
-// awaitsConfirmation reports whether a member that is alive has not said yet what it knows of the
-// own store.
+// awaitsConfirmation reports whether a live member has not said yet what it knows of this router's
+// store. A member whose router has another store by now is not awaited.
 func (v *Voter) awaitsConfirmation() bool {
 	for _, n := range v.meta.Members {
 		if n.ID == v.meta.ID || v.confirmedBy[n.ID] || v.alive != nil && !v.alive[n.Name] {
@@ -127,13 +133,13 @@
 	return false
 }
 
-// foundGroup founds a group of this router and peers whose stores are empty, which are all voters
-// from the first command on. Further candidates join as they say hello. Tokens are above all that
-// were seen, and above all of any group before.
+// foundGroup founds a group whose first voters are this router and peers, whose stores are empty.
+// Further candidates join after they have sent a hello. The group's tokens are larger than all
+// tokens that this router has seen, and than the token blocks of all groups with lower numbers.
 func (v *Voter) foundGroup(group uint64, peers []Node) {
 	floor := max(lease.NextTokenBlock(v.meta.HighestToken), lease.NextTokenBlock(group<<lease.TokenBlockBits))
 	v.newStore(group)
-	v.actions = v.actions[:len(v.actions)-1] // one write has both
+	v.actions = v.actions[:len(v.actions)-1] // drop newStore's Persist: the Persist below includes it
 	members := append([]Node{{v.meta.ID, v.config.Self, v.config.Zone}}, peers...)
 	v.hardState, v.lastEntry = firstHardState(), entryID{1, 1}
 	s := firstSnapshot(members, floor)
@@ -146,13 +152,13 @@
 	v.raft.Campaign()
 }
 
-// firstSnapshot is what a group begins with, at index 1 of term 1.
+// firstSnapshot returns the snapshot with which a group begins, at index 1 of term 1.
 func firstSnapshot(members []Node, tokenFloor uint64) *raftpb.Snapshot {
 	var voters []uint64
 	for _, n := range members {
 		voters = append(voters, n.ID)
 	}
-	// It can't fail: all fields are plain.
+	// Marshal cannot fail: all fields have types that JSON can encode.
 	data, _ := json.Marshal(snapshotContent{members, lease.State{Token: tokenFloor}})
 	one := uint64(1)
 	return &raftpb.Snapshot{Data: data, Metadata: &raftpb.SnapshotMetadata{Index: &one, Term: &one, ConfState: &raftpb.ConfState{Voters: voters}}}
@@ -163,7 +169,8 @@
 	return &raftpb.HardState{Term: &one, Commit: &one, Vote: new(uint64)}
 }
 
-// rebuild founds a new group where a majority of the last one's disks is lost for good.
+// rebuild founds a new group if a majority of the last group's disks is lost permanently, and
+// reports the outcome to the owner.
 func (v *Voter) rebuild(lostRouters []string) {
 	group, refusal := v.rebuildableGroup(lostRouters)
 	if refusal == "" {
@@ -172,8 +179,8 @@
 	v.actions = append(v.actions, RebuildFinished{refusal})
 }
 
-// rebuildableGroup returns the highest group that any candidate knows of, or why it must not be
-// rebuilt.
+// rebuildableGroup returns the highest group number that any candidate knows of, or the refusal that
+// says why an operator must not rebuild that group.
 func (v *Voter) rebuildableGroup(lostRouters []string) (group uint64, refusal string) {
 	members, voters, group := v.meta.Members, v.meta.Voters, v.meta.Group
 	for _, name := range v.config.Candidates {
@@ -206,8 +213,8 @@
 	return fmt.Sprintf("the duties have a leader, %s: nothing is to be rebuilt", leader)
 }
 
-// possiblyAble are the voters that may still have their stores: one that can't be reached counts as
-// one, unless it is named as lost.
+// possiblyIntactVoters returns the names of the voters that may still have their stores. A voter
+// that cannot be reached is included unless the operator has named it as lost.
 func (v *Voter) possiblyIntactVoters(members []Node, voters []uint64, lostRouters []string) (names []string) {
 	for _, n := range members {
 		if !slices.Contains(voters, n.ID) || slices.Contains(lostRouters, n.Name) {
--- a/internal/router/quorum/leader.go
+++ b/internal/router/quorum/leader.go
@@ -7,14 +7,14 @@
 	"reachspread/internal/router/lease"
 )
 
-// checkLeadership takes in that this voter has become the leader, or no longer is.
+// checkLeadership updates the voter's state if it has become the leader or has lost leadership.
 func (v *Voter) checkLeadership() {
 	leads := v.isLeader()
 	if leads == v.wasLeader {
 		return
 	}
 	v.wasLeader = leads
-	clear(v.pending) // their routers ask again
+	clear(v.pending) // routers without a reply send their requests again
 	clear(v.notifications)
 	clear(v.reservedAt)
 	if leads {
@@ -24,8 +24,8 @@
 	}
 }
 
-// becomeLeader begins every lease anew: nothing is known of what the last leader granted a moment
-// ago.
+// becomeLeader starts the leader's timers. It restarts the wait for every lease, because this voter
+// does not know which renewals the last leader granted just before.
 func (v *Voter) becomeLeader() {
 	v.nextTickAt = v.now + v.config.TickInterval
 	v.nextReconfigureAt = v.now + reconfigureInterval
@@ -40,7 +40,7 @@
 	v.defineRoles()
 }
 
-// defineRoles proposes the configured roles that the table lacks or has otherwise.
+// defineRoles proposes the configured roles that the table lacks or defines differently.
 func (v *Voter) defineRoles() {
 	known := map[string]lease.Role{}
 	v.table.ForEach(func(r *lease.Role, _ []lease.Grant, _ []lease.Router, _ []lease.Reservation) { known[r.Name] = *r })
@@ -52,23 +52,24 @@
 	}
 }
 
-// bootBits is how many bits of a proposal's number are the proposer's boot number.
+// bootBits is the number of low bits of a proposal's number that contain the proposer's boot number.
 const bootBits = 32
 
-// propose brings a command into the log. It reports whether the engine has taken it; it may still
-// be lost with the leadership.
+// propose proposes a command as a log entry. It returns the proposal's number and whether the engine
+// has accepted the proposal. An accepted proposal may still be lost if this voter loses leadership.
 func (v *Voter) propose(c lease.Command) (number uint64, ok bool) {
 	v.proposals++
 	number = v.proposals<<bootBits | uint64(v.config.Boot)
-	data, _ := json.Marshal(proposal{number, c}) // of plain fields
+	data, _ := json.Marshal(proposal{number, c}) // cannot fail: all fields have types that JSON can encode
 	return number, v.raft.Propose(data) == nil
 }
 
-// handleRequest proposes what a router requests, or tells it who leads.
+// handleRequest proposes the command that a router requests. If this voter is not the leader or has
+// too many pending requests, it rejects the request with a reply that names the leader.
 func (v *Voter) handleRequest(e RequestReceived) {
 	request := e.Request
 	if request.Command.Kind == lease.Acquire && v.meta.Group == 0 {
-		v.observeToken(request.Command.Token) // a group that is founded here begins above it
+		v.observeToken(request.Command.Token) // a group that this router founds grants only larger tokens
 	}
 	reply := &lease.Reply{ID: request.ID, Boot: request.Command.Router.Boot, Leader: v.Leader(), NotLeader: true}
 	if v.isLeader() && len(v.pending) < maxPendingRequests {
--- a/internal/router/quorum/leases.go
+++ b/internal/router/quorum/leases.go
@@ -6,7 +6,8 @@
 	"reachspread/internal/router/lease"
 )
 
-// trackLeases follows what a command did to leases. Each voter does; the leader's times count.
+// trackLeases updates the renewal times and notifications after a command has been applied. All
+// voters update the renewal times, but only the leader's times decide when leases expire.
 func (v *Voter) trackLeases(c lease.Command, result lease.Result, changes []lease.Change) {
 	for _, change := range changes {
 		if change.Granted {
@@ -48,14 +49,15 @@
 	}
 }
 
-// notifyHolder tells a lease holder of its grant without having been asked.
+// notifyHolder sends the holder of a grant a notification of it, without a request of the holder.
 func (v *Voter) notifyHolder(g lease.Grant) {
 	reply := &lease.Reply{Boot: g.Holder.Boot, Leader: v.config.Self, Result: lease.Result{OK: true, Grant: g}}
 	v.actions = append(v.actions, SendReply{To: g.Holder.Name, Notification: true, Reply: reply})
 }
 
-// expireLeases proposes the end of leases that the leader has waited out, and notifies holders that
-// may not know of their grants.
+// expireLeases proposes to expire the grants whose lease duration, or confirmTimeout, has passed at
+// the leader. It notifies holders again that may not know of their grants or of a requested
+// transfer, and checks the queues when that is due.
 func (v *Voter) expireLeases() {
 	for _, g := range v.table.Grants() {
 		renewedAt, known := v.renewedAt[g.Token]
@@ -67,7 +69,7 @@
 		switch {
 		case v.now >= renewedAt+v.config.Timing.Duration, g.Unconfirmed && v.now >= renewedAt+confirmTimeout:
 			v.propose(lease.Command{Kind: lease.Expire, Role: g.Role, Token: g.Token, Renewals: g.Renewals})
-			// It is proposed again if it is lost.
+			// Propose it again after proposalRetryInterval, in case the proposal is lost.
 			v.renewedAt[g.Token] = v.now - v.config.Timing.Duration + proposalRetryInterval
 		case notified && v.now >= notification.nextAt, g.Unconfirmed && !notified:
 			v.notifyHolder(g)
@@ -84,8 +86,8 @@
 	}
 }
 
-// checkQueues proposes the end of reservations that nobody has taken up, and of queued routers that
-// are dead. MaxDequeues bounds the latter.
+// checkQueues proposes to remove reservations that no router has used for a lease duration, and
+// queued routers that are not alive. It removes at most maxDequeues routers per call.
 func (v *Voter) checkQueues() {
 	reservedAt, left := map[uint64]time.Duration{}, maxDequeues
 	v.table.ForEach(func(role *lease.Role, _ []lease.Grant, queue []lease.Router, reservations []lease.Reservation) {
--- a/internal/router/quorum/message.go
+++ b/internal/router/quorum/message.go
@@ -10,62 +10,63 @@
 	"reachspread/internal/router/lease"
 )
 
-// wireVersion is that of messages between candidates.
+// wireVersion is the version of the messages between candidates.
 const wireVersion = 1
 
-// message goes between candidates: a hello or a message of the engine.
+// message is a message between candidates. It contains either a hello or a message of the engine.
 type message struct {
 	V      int    `json:"v"`
 	Group  uint64 `json:"g"`
 	From   Node   `json:"f"`
-	To     uint64 `json:"t,omitempty"` // a store
-	Starts uint64 `json:"s"`           // of the sender's store
-	Boot   uint32 `json:"b"`           // of the sender's process
+	To     uint64 `json:"t,omitempty"` // ID of the receiver's store
+	Starts uint64 `json:"s"`           // number of processes that have used the sender's store
+	Boot   uint32 `json:"b"`           // boot number of the sender's process
 	Raft   []byte `json:"r,omitempty"`
 	Hello  *hello `json:"h,omitempty"`
 }
 
-// hello describes a candidate's store and, in a reply, says what it knows of the store that the
-// reply is to.
+// hello describes a candidate's store. In a reply it also says what the candidate knows of the
+// store whose hello it answers.
 type hello struct {
 	Stage               Stage
 	Term                uint64
-	LastTerm, LastIndex uint64   // of its log
+	LastTerm, LastIndex uint64   // of the last entry of the store's log
 	HighestToken        uint64   `json:"Token"`
 	Members             []Node   `json:"Nodes,omitempty"`
 	Voters              []uint64 `json:",omitempty"`
 	Applied             uint64
 	Leader              string `json:",omitempty"`
 	WantsReply          bool   `json:"Wants,omitempty"`
-	// The store, the process and the start of the store that a reply is to: one to an earlier
-	// process says nothing.
+	// The store, the process and the start of the store that sent the hello which this hello
+	// answers. A receiver ignores a reply to an earlier process.
 	ReplyToStore  uint64 `json:"Of,omitempty"`
 	ReplyToBoot   uint32 `json:"OfBoot,omitempty"`
 	ReplyToStarts uint64 `json:"OfStart,omitempty"`
-	Stale         string `json:"Older,omitempty"` // why that store is an older copy; empty if it isn't
+	Stale         string `json:"Older,omitempty"` // why the store ReplyToStore is an older copy; empty if it is not
 }
 
 func (m *message) encode() []byte {
 	m.V = wireVersion
-	b, _ := json.Marshal(m) // of plain fields
+	b, _ := json.Marshal(m) // cannot fail: all fields have types that JSON can encode
 	return b
 }
 
 func decode(b []byte) (*message, error) {
 	if len(b) > MaxMessageBytes {
-		return nil, fmt.Errorf("%d bytes; there may be %d", len(b), MaxMessageBytes)
+		return nil, fmt.Errorf("message of %d bytes; the limit is %d", len(b), MaxMessageBytes)
 	}
 	m := &message{}
 	if err := json.Unmarshal(b, m); err != nil {
 		return nil, err
 	}
 	if m.V != wireVersion {
-		return nil, fmt.Errorf("version %d, not %d", m.V, wireVersion)
+		return nil, fmt.Errorf("message has version %d, want %d", m.V, wireVersion)
 	}
 	return m, nil
 }
 
-// SenderOf returns the name of the candidate that sent a message, as it says itself.
+// SenderOf returns the name of the candidate that sent a message. The name is the sender's claim and
+// is not verified.
 func SenderOf(b []byte) (string, error) {
 	m, err := decode(b)
 	if err != nil {
@@ -74,9 +75,9 @@
 	return m.From.Name, nil
 }
 
-// proposal is the content of a log entry.
+// proposal is the content of a log entry that contains a command.
 type proposal struct {
-	Number  uint64        `json:"N"` // by which the leader finds the pending request
+	Number  uint64        `json:"N"` // key of the request in the leader's pending requests
 	Command lease.Command `json:"C"`
 }
 
@@ -87,7 +88,7 @@
 }
 
 func marshal(m proto.Message) []byte {
-	b, _ := proto.Marshal(m) // of messages that the engine made
+	b, _ := proto.Marshal(m) // cannot fail for messages that the engine made
 	return b
 }
 
