--- a/internal/router/quorum/raft.go
+++ b/internal/router/quorum/raft.go
@@ -13,10 +13,11 @@
 	"reachspread/internal/router/lease"
 )
 
-// load fills the engine's storage with what was stored, and checks that it has no gaps.
+// load fills the engine's storage and the table from a stored state. It returns an error if the
+// stored log has a gap or ends before the commit index.
 func (v *Voter) load(s *StoredState) error {
 	v.storage = raft.NewMemoryStorage()
-	v.table, _ = lease.NewTable(nil, 0) // without roles it can't fail
+	v.table, _ = lease.NewTable(nil, 0) // cannot fail without roles
 	if s.Snapshot != nil && s.Snapshot.GetMetadata().GetIndex() > 0 {
 		if err := v.storage.ApplySnapshot(s.Snapshot); err != nil {
 			return fmt.Errorf("the store's snapshot: %w", err)
@@ -42,7 +43,8 @@
 	return err
 }
 
-// loadEntries appends stored entries behind the snapshot, and returns the last one's index.
+// loadEntries appends the stored entries that follow the snapshot to the engine's storage, and
+// returns the index of the last one.
 func (v *Voter) loadEntries(entries []*raftpb.Entry) (last uint64, err error) {
 	last = v.applied
 	for _, e := range entries {
@@ -59,7 +61,7 @@
 	return last, nil
 }
 
-// restore takes over a snapshot's content.
+// restore replaces the table and the members by the content of a snapshot.
 func (v *Voter) restore(s *raftpb.Snapshot) error {
 	var c snapshotContent
 	if err := json.Unmarshal(s.GetData(), &c); err != nil {
@@ -72,7 +74,7 @@
 	return nil
 }
 
-// setConfState takes in who takes part from here on.
+// setConfState replaces the group's configuration and members.
 func (v *Voter) setConfState(c *raftpb.ConfState, members []Node) {
 	v.confState = c
 	v.meta.Voters = slices.Clone(c.GetVoters())
@@ -82,7 +84,8 @@
 
 func (v *Voter) observeToken(t uint64) { v.meta.HighestToken = max(v.meta.HighestToken, t) }
 
-// startRaft starts the engine with the storage as it is.
+// startRaft starts the engine with the present storage, and resets the state that only a running
+// engine needs.
 func (v *Voter) startRaft() {
 	node, err := raft.NewRawNode(&raft.Config{
 		ID: v.meta.ID, Storage: snapshotStorage{v.storage, v}, Applied: v.applied,
@@ -92,7 +95,7 @@
 		Logger: discardLogger{},
 	})
 	if err != nil {
-		panic(err) // of a configuration that is written above
+		panic(err) // the configuration above is invalid, which is a bug
 	}
 	v.raft = node
 	v.pending, v.renewedAt = map[uint64]pendingRequest{}, map[uint64]time.Duration{}
@@ -101,7 +104,7 @@
 	v.nextTickAt = v.now
 }
 
-// processReady carries out what the engine has ready, until there is no more.
+// processReady processes the engine's Ready values until the engine has no more.
 func (v *Voter) processReady() {
 	for v.raft != nil && v.raft.HasReady() {
 		ready := v.raft.Ready()
@@ -119,7 +122,8 @@
 	}
 }
 
-// persistReady has what the engine made be persisted before the messages leave.
+// persistReady adds a Persist action for the entries, hard state and snapshot in ready. It must come
+// before the actions that send ready's messages.
 func (v *Voter) persistReady(ready *raft.Ready) {
 	p := Persist{Entries: ready.Entries}
 	if ready.Snapshot != nil && ready.Snapshot.GetMetadata().GetIndex() > 0 {
@@ -143,18 +147,18 @@
 	v.actions = append(v.actions, p)
 }
 
-// applySnapshot takes over a snapshot that the leader has sent.
+// applySnapshot installs a snapshot that the leader has sent.
 func (v *Voter) applySnapshot(s *raftpb.Snapshot) {
 	if v.storage.ApplySnapshot(s) != nil {
-		return // it is older than the log at hand
+		return // the snapshot is older than the present one
 	}
 	if err := v.restore(s); err != nil {
-		panic(err) // a voter wrote it so: nothing that is known goes on from here
+		panic(err) // the leader wrote an invalid snapshot, and there is no valid state to continue from
 	}
 	clear(v.renewedAt)
 }
 
-// sendRaft sends a message of the engine's.
+// sendRaft sends a message of the engine to the candidate whose store it is for.
 func (v *Voter) sendRaft(m *raftpb.Message) {
 	for _, name := range v.config.Candidates {
 		if v.storeIDs[name] == m.GetTo() {
@@ -163,7 +167,8 @@
 		}
 	}
 	if m.GetType() == raftpb.MsgSnap {
-		// The next reply shows whether it came.
+		// Report success at once, because the engine sends the receiver no entries before a report.
+		// The receiver's next reply shows whether the snapshot has arrived.
 		v.raft.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
 	}
 }
@@ -184,11 +189,12 @@
 	}
 }
 
-// applyCommand applies a command to the table, and replies to whoever asked this voter for it.
+// applyCommand applies the command of an entry to the table, and replies to the router if this voter
+// has its request pending.
 func (v *Voter) applyCommand(e *raftpb.Entry) {
 	var p proposal
 	if len(e.Data) == 0 || json.Unmarshal(e.Data, &p) != nil {
-		return // the first entry of a leader is empty
+		return // not a command: each new leader first appends an empty entry
 	}
 	result, changes := v.table.Apply(e.GetIndex(), p.Command)
 	v.counters.Commands++
@@ -201,7 +207,8 @@
 	}
 }
 
-// applyConfChange changes who takes part. The change's context has the nodes that it adds.
+// applyConfChange applies a configuration change of the group. The change's context contains the
+// nodes that the change adds.
 func (v *Voter) applyConfChange(e *raftpb.Entry) {
 	change := &raftpb.ConfChangeV2{}
 	if proto.Unmarshal(e.Data, change) != nil {
@@ -209,7 +216,7 @@
 	}
 	members := slices.Clone(v.meta.Members)
 	var added []Node
-	json.Unmarshal(change.Context, &added) // of a removal it is empty
+	json.Unmarshal(change.Context, &added) // no nodes if the change adds none
 	c := v.raft.ApplyConfChange(change)
 	for _, n := range added {
 		if !slices.Contains(members, n) {
@@ -224,7 +231,8 @@
 	return slices.Contains(c.Voters, id) || slices.Contains(c.Learners, id) || slices.Contains(c.VotersOutgoing, id) || slices.Contains(c.LearnersNext, id)
 }
 
-// compactLog takes a snapshot once the log has grown by entriesPerSnapshot, and drops entries.
+// compactLog takes a snapshot once entriesPerSnapshot entries have been applied since the last one.
+// It then drops the applied log entries except the last retainedEntries.
 func (v *Voter) compactLog() {
 	if v.applied < v.snapshotIndex+entriesPerSnapshot || v.confState == nil {
 		return
@@ -240,8 +248,9 @@
 	v.actions = append(v.actions, Persist{Snapshot: s, Compact: compact})
 }
 
-// snapshotStorage is the engine's storage. It makes snapshots of the present: the engine would
-// refuse one from before a router joined.
+// snapshotStorage is the engine's storage. Its Snapshot method makes a snapshot of the present state
+// instead of returning an older one, because the engine would refuse to send a snapshot from before
+// the receiver joined.
 type snapshotStorage struct {
 	*raft.MemoryStorage
 	voter *Voter
@@ -253,12 +262,13 @@
 	if err != nil || last.GetMetadata().GetIndex() >= s.voter.applied || s.voter.confState == nil {
 		return last, err
 	}
-	// It can't fail: all fields are plain.
+	// Marshal cannot fail: all fields have types that JSON can encode.
 	data, _ := json.Marshal(snapshotContent{s.voter.meta.Members, s.voter.table.State()})
 	return s.MemoryStorage.CreateSnapshot(s.voter.applied, s.voter.confState, data)
 }
 
-// discardLogger has the engine write nothing; what it finds impossible ends the process.
+// discardLogger discards the engine's log messages. Fatal and panic messages, which report an
+// inconsistent state, panic.
 type discardLogger struct{}
 
 func (discardLogger) Debug(...any)              {}
--- a/internal/router/quorum/reconfigure.go
+++ b/internal/router/quorum/reconfigure.go
@@ -11,16 +11,16 @@
 	"go.etcd.io/raft/v3/tracker"
 )
 
-// reconfigure changes who votes, one step at a time: it removes learners that are lost, promotes
-// those that have caught up, removes voters beyond the configured number, and adds learners where
-// voters lack or one is to be replaced.
+// reconfigure proposes changes of the group's members, at most one at a time. It removes learners
+// that are lost, promotes learners that have caught up, and removes voters beyond the configured
+// number. If there are too few voters or one must be replaced, it adds a learner.
 func (v *Voter) reconfigure() {
 	if v.now < v.nextReconfigureAt || v.confState == nil {
 		return
 	}
 	v.nextReconfigureAt = v.now + reconfigureInterval
 	if len(v.confState.VotersOutgoing) > 0 || v.raft.Status().Config.Voters[1] != nil {
-		return // a joint change is under way
+		return // a joint configuration change is in progress
 	}
 	voters, learners := v.votersAndLearners()
 	replaced, mustReplace := v.voterToReplace(voters)
@@ -50,9 +50,10 @@
 	return voters, learners
 }
 
-// reconfigureLearners proposes the first change that a learner calls for, and reports whether there
-// is one. A learner that has caught up is promoted, in place of the voter that is to be replaced
-// where that must not wait or all voters are there.
+// reconfigureLearners proposes the first change that a learner requires, and reports whether there
+// is one. It removes a learner that is lost or whose router has another store, and promotes a
+// learner that has caught up. If mustReplace is set or the group has enough voters, the promotion
+// also removes the voter replaced.
 func (v *Voter) reconfigureLearners(voters, learners []Node, replaced Node, mustReplace bool) bool {
 	progress := map[uint64]tracker.Progress{}
 	v.raft.WithProgress(func(id uint64, _ raft.ProgressType, p tracker.Progress) { progress[id] = p })
@@ -75,15 +76,18 @@
 	return false
 }
 
-// hasOtherStore reports whether a member's router has shown another store than the member's.
+// hasOtherStore reports whether the last recent hello of a member's router describes a store with
+// another ID than the member's.
 func (v *Voter) hasOtherStore(n Node) bool {
 	m, ok := v.recentHello(n.Name)
 	return ok && m.From.ID != n.ID
 }
 
-// voterToReplace finds a voter that should not be one any more, with ID 0 for none. MustReplace
-// says that its store is lost, so that it counts for a majority and never answers. Otherwise it is
-// one of a zone that has at least two voters more than that of a candidate.
+// voterToReplace returns a voter that should no longer be one, or a Node with ID 0 for none. It first
+// looks for a voter whose router has another store or has been lost for ReplaceTimeout. MustReplace
+// is then true, because the voter counts towards the majority but does not reply. Otherwise it
+// returns a voter of the zone with the most voters, if that zone has at least two voters more than
+// the zone of a candidate.
 func (v *Voter) voterToReplace(voters []Node) (replaced Node, mustReplace bool) {
 	for _, n := range voters {
 		if v.hasOtherStore(n) {
@@ -108,13 +112,14 @@
 	return Node{}, false
 }
 
-// lostFor reports whether a candidate has not been alive for so long.
+// lostFor reports whether a candidate has been lost for at least d.
 func (v *Voter) lostFor(name string, d time.Duration) bool {
 	at, lost := v.lostSince[name]
 	return lost && v.now >= at+d
 }
 
-// candidate returns the hello of a candidate that is alive and no member.
+// candidate returns the recent hello of a candidate. Ok is false unless the candidate is alive,
+// belongs to this voter's group, is not a member and is at stage Joining.
 func (v *Voter) candidate(name string) (*message, bool) {
 	m, ok := v.recentHello(name)
 	if !ok || m.Group != v.meta.Group || v.alive != nil && !v.alive[name] {
@@ -124,8 +129,8 @@
 	return m, !isMember && m.Hello.Stage == Joining
 }
 
-// nextLearner chooses who is to learn next: from the zone with the fewest voters, in the order of
-// the candidates.
+// nextLearner returns the candidate to add as a learner: the first one, in the order of Candidates,
+// of the zone with the fewest voters. The voter replaced does not count. Ok is false for none.
 func (v *Voter) nextLearner(voters []Node, replaced Node) (best Node, ok bool) {
 	remaining := slices.DeleteFunc(slices.Clone(voters), func(n Node) bool { return n.ID == replaced.ID })
 	zones := votersByZone(remaining)
@@ -147,8 +152,8 @@
 	return zones
 }
 
-// voterOfLargestZone is a voter of the zone with the most, not the one with the store self if there
-// is another.
+// voterOfLargestZone returns a voter of the zone with the most voters. It does not return the voter
+// with the store self if there is another one in such a zone.
 func voterOfLargestZone(voters []Node, self uint64) Node {
 	zones := votersByZone(voters)
 	isOther := func(n Node) int {
@@ -170,8 +175,9 @@
 	return confChange(raftpb.ConfChangeRemoveNode, id)
 }
 
-// proposeConfChange proposes changes that take effect at once; added are the nodes that they add.
+// proposeConfChange proposes changes as a single configuration change. Added are the nodes that the
+// changes add.
 func (v *Voter) proposeConfChange(added []Node, changes ...*raftpb.ConfChangeSingle) {
-	context, _ := json.Marshal(added) // of plain fields
+	context, _ := json.Marshal(added) // cannot fail: all fields have types that JSON can encode
 	v.raft.ProposeConfChange(&raftpb.ConfChangeV2{Changes: changes, Context: context})
 }
--- a/internal/router/quorum/status.go
+++ b/internal/router/quorum/status.go
@@ -10,27 +10,28 @@
 	"reachspread/internal/router/lease"
 )
 
-// Counters are of a Voter since its start.
+// Counters counts events since the start of a Voter: commands that it has applied, elections in
+// which it has campaigned, snapshots that it has taken and requests that it has rejected.
 type Counters struct {
 	Commands, Elections, Snapshots, Rejected uint64
 }
 
-// Status is what a Voter shows of itself.
+// Status is a snapshot of a Voter's state for operators.
 type Status struct {
 	Stage           Stage
-	Leader          string // empty for nobody known
-	Term, Index     uint64
-	Group           uint64
-	Leaderless      bool     // for a while: roles are neither granted nor renewed
+	Leader          string   // the leader's name; empty if this voter knows none
+	Term, Index     uint64   // present term, and index of the last applied entry
+	Group           uint64   // the group's number; 0 for none
+	Leaderless      bool     // no leader has been known for leaderlessNoticeDelay, so roles are neither granted nor renewed
 	Voters          []string // names
-	Learners        []string
+	Learners        []string // names
 	HighestToken    uint64
-	RemainingLeases map[uint64]time.Duration // by token; nil unless this voter leads
+	RemainingLeases map[uint64]time.Duration // remaining lease durations by token; nil unless this voter is the leader
 	Counters        Counters
-	LogEntries      uint64 // that are stored
+	LogEntries      uint64 // number of stored log entries
 }
 
-// Status returns how things are now.
+// Status returns the present status.
 func (v *Voter) Status() Status {
 	s := Status{Stage: v.stage(), Leader: v.Leader(), Group: v.meta.Group, Leaderless: v.leaderless,
 		HighestToken: v.meta.HighestToken, Index: v.applied, Counters: v.counters}
@@ -56,11 +57,12 @@
 	return s
 }
 
-// Table returns what has been committed so far. The caller must neither keep nor change it.
+// Table returns the table with all commands applied so far. The caller must neither retain nor
+// change it.
 func (v *Voter) Table() *lease.Table { return v.table }
 
-// Leader returns the name of the leader, empty for nobody known. A candidate that takes no part yet
-// goes by what others say.
+// Leader returns the name of the leader, or "" if none is known. A candidate at stage Joining or
+// Verifying returns the leader that others report.
 func (v *Voter) Leader() string {
 	if v.stage() == Joining || v.stage() == Verifying {
 		return v.reportedLeader()
@@ -74,7 +76,8 @@
 	return ""
 }
 
-// reportedLeader is the leader of the own group as the last hellos have it.
+// reportedLeader returns the leader of this router's group according to the recent hellos of other
+// candidates, or "" if none names one.
 func (v *Voter) reportedLeader() string {
 	for _, name := range v.config.Candidates {
 		if m, ok := v.recentHello(name); ok && m.Hello.Leader != "" && m.Group == v.meta.Group {
@@ -102,8 +105,8 @@
 	return Joining
 }
 
-// reportLeadership gives notice once there has been no leader for a while, and once there is one
-// again.
+// reportLeadership adds a Notice once no leader has been known for leaderlessNoticeDelay, and another
+// Notice once a leader is known again.
 func (v *Voter) reportLeadership() {
 	if leader := v.Leader(); leader != "" {
 		v.leaderlessSince = v.now
@@ -119,7 +122,7 @@
 	}
 }
 
-// leaderlessCause says why there may be no leader.
+// leaderlessCause returns the probable reason why there is no leader.
 func (v *Voter) leaderlessCause() string {
 	lost := v.votersWithLostStore()
 	if len(lost) == 0 {
@@ -132,7 +135,7 @@
 	return cause
 }
 
-// votersWithLostStore are the voters that have shown another store since.
+// votersWithLostStore returns the names of the voters whose last hello describes another store.
 func (v *Voter) votersWithLostStore() (names []string) {
 	for _, n := range v.meta.Members {
 		if h, ok := v.hellos[n.Name]; ok && slices.Contains(v.meta.Voters, n.ID) && h.message.From.ID != n.ID {
--- a/internal/router/quorum/stored_state.go
+++ b/internal/router/quorum/stored_state.go
@@ -7,36 +7,36 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// Node is a member of the group.
+// Node identifies a candidate and its store, for example a member of the group.
 type Node struct {
-	ID   uint64 // of its store
+	ID   uint64 // ID of the store
 	Name string
 	Zone string
 }
 
-// StoreRecord is the furthest that a router has seen another's store: a store that shows less is an
-// older copy of it.
+// StoreRecord is the latest state in which a router has seen the store of another router. If the
+// store later shows an earlier state, it is an older copy.
 type StoreRecord struct {
-	Starts              uint64 `json:"Start"` // processes that have begun with it
-	Term                uint64
-	Boot                uint32
-	LastTerm, LastIndex uint64 // of its log
+	Starts              uint64 `json:"Start"` // number of processes that have used the store
+	Term                uint64 // the latest term that the store has shown
+	Boot                uint32 // boot number of the last process that used the store
+	LastTerm, LastIndex uint64 // of the last entry that the store's log is known to have
 }
 
-// Meta is the part of a store that is no log.
+// Meta is the part of a store besides the raft hard state, snapshot and log.
 type Meta struct {
 	Version      int
-	ID           uint64 // of the store, drawn when it is made
-	Name         string // of the router whose store it is
-	Group        uint64 // 0 for none yet
-	Starts       uint64 `json:"Start"` // processes that have begun with it
-	Members      []Node `json:"Nodes"` // of the group, as of the last applied entry
-	Voters       []uint64
-	HighestToken uint64                 `json:"Token"` // that was seen
-	StoreRecords map[uint64]StoreRecord `json:"Seals"` // by store, maxStoreRecords at most
+	ID           uint64                 // of the store: a random number drawn when the store is created
+	Name         string                 // name of the router that owns the store
+	Group        uint64                 // number of the group; 0 for none yet
+	Starts       uint64                 `json:"Start"` // number of processes that have used the store
+	Members      []Node                 `json:"Nodes"` // members of the group as of the last applied entry
+	Voters       []uint64               // store IDs of the voters as of the last applied entry
+	HighestToken uint64                 `json:"Token"` // the largest token that the router has seen
+	StoreRecords map[uint64]StoreRecord `json:"Seals"` // by store ID; from maxStoreRecords on, records of former members are dropped
 }
 
-// StoredState is all that a voter has on its disk.
+// StoredState is everything that a voter stores on its disk.
 type StoredState struct {
 	Meta      Meta
 	HardState *raftpb.HardState
@@ -44,8 +44,8 @@
 	Entries   []*raftpb.Entry
 }
 
-// Apply returns what a store has once a Persist is carried out; a nil store is empty. It is for
-// owners whose disk is memory.
+// Apply returns the stored state after a Persist. A nil StoredState is an empty store. Apply is for
+// owners that keep the store in memory.
 func (s *StoredState) Apply(p *Persist) *StoredState {
 	out := &StoredState{}
 	if s != nil && !p.Reset {
@@ -76,7 +76,7 @@
 	return out
 }
 
-// Clone returns a copy that shares nothing that is changed later.
+// Clone returns a copy that is not affected by later changes of s.
 func (s *StoredState) Clone() *StoredState {
 	if s == nil {
 		return nil
--- a/internal/router/quorum/voter.go
+++ b/internal/router/quorum/voter.go
@@ -11,34 +11,34 @@
 	"reachspread/internal/router/lease"
 )
 
-// Voter is a candidate: a router that may vote.
+// Voter is the state machine of a candidate, a router that may vote.
 type Voter struct {
 	config    Config
 	rng       *rand.Rand
 	now       time.Duration
-	actions   []Action // of the present Step
+	actions   []Action // actions that the present Step will return
 	startedAt time.Duration
 
-	// What is stored.
+	// State of the store.
 	meta      Meta
-	metaDirty bool // meta is to be persisted with the next write
+	metaDirty bool // meta has changed and must be persisted by the end of the Step
 	hardState *raftpb.HardState
-	lastEntry entryID // of the log, as found at the start
+	lastEntry entryID // last log entry when the store was opened
 
-	// The engine, and what it has committed.
-	raft          *raft.RawNode // nil until this candidate takes part
+	// The engine and the state that it has committed.
+	raft          *raft.RawNode // nil until this candidate takes part in the group
 	storage       *raft.MemoryStorage
 	confState     *raftpb.ConfState
 	table         *lease.Table
-	applied       uint64 // index
-	snapshotIndex uint64
+	applied       uint64 // index of the last applied entry
+	snapshotIndex uint64 // index of the last snapshot
 
-	// What is known of the others.
+	// State of the other routers.
 	alive       map[string]bool          // nil until the first Membership
-	lostSince   map[string]time.Duration // candidates that are not alive
-	hellos      map[string]receivedHello // by candidate, the last one
-	confirmedBy map[uint64]bool          // stores that found nothing newer of the own store
-	storeIDs    map[string]uint64        // by candidate, as shown last
+	lostSince   map[string]time.Duration // for candidates that are not alive
+	hellos      map[string]receivedHello // last hello by candidate
+	confirmedBy map[uint64]bool          // IDs of the stores whose routers know of no newer state of this store
+	storeIDs    map[string]uint64        // last store ID by candidate
 
 	// Timers.
 	nextHelloAt       time.Duration
@@ -51,39 +51,41 @@
 	// Leadership.
 	allEmptySince   time.Duration // since when all candidates' logs are known to be empty
 	leaderlessSince time.Duration
-	leaderless      bool // operators have been told
-	wasLeader       bool
+	leaderless      bool // NoticeNoLeader has been sent since the last leader
+	wasLeader       bool // leadership as of the last checkLeadership
 
-	// The leader's, and cleared when leadership changes; renewedAt is also kept by followers.
-	proposals     uint64                    // made so far
-	pending       map[uint64]pendingRequest // by proposal
-	renewedAt     map[uint64]time.Duration  // by token
-	notifications map[uint64]grantNotification
-	reservedAt    map[uint64]time.Duration // by token of the grant that was given back
+	// State of the leader, which is cleared when leadership changes. Followers also update renewedAt.
+	proposals     uint64                       // number of proposals so far; never cleared
+	pending       map[uint64]pendingRequest    // by number of the proposal
+	renewedAt     map[uint64]time.Duration     // time of the grant or its last renewal, by token
+	notifications map[uint64]grantNotification // by token
+	reservedAt    map[uint64]time.Duration     // time of the reservation, by token of the released grant
 
 	counters Counters
 }
 
-// entryID is the term and the index of a log entry.
+// entryID identifies a log entry by its term and index.
 type entryID struct{ term, index uint64 }
 
-// pendingRequest is a request whose command is not committed yet.
+// pendingRequest is a request whose command has been proposed and is not committed yet.
 type pendingRequest struct {
 	router string
 	id     uint32
 	boot   uint32
 }
 
-// grantNotification is a grant whose holder is told of it until it renews.
+// grantNotification is the schedule of notifications of a grant, which are repeated until the holder
+// renews the grant.
 type grantNotification struct{ since, nextAt time.Duration }
 
+// receivedHello is the last message with a hello of a candidate, and the time of its arrival.
 type receivedHello struct {
 	at      time.Duration
 	message *message
 }
 
-// New returns a Voter that starts now with what its disk has, nil for an empty one. Its first
-// actions are those of the first Step.
+// New returns a Voter that starts at the time now with the stored state s. A nil s is an empty disk.
+// The first call of Step also returns the actions of the start.
 func New(c Config, s *StoredState, now time.Duration) (*Voter, error) {
 	if err := c.validate(); err != nil {
 		return nil, err
@@ -98,7 +100,7 @@
 	return v, nil
 }
 
-// openStore takes over what the disk has, or begins a new store where that can't be used.
+// openStore loads the stored state, or begins a new store if the stored state cannot be used.
 func (v *Voter) openStore(s *StoredState) {
 	if s == nil {
 		v.newStore(0)
@@ -123,10 +125,11 @@
 	v.actions = append(v.actions, Persist{Meta: v.cloneMeta()})
 }
 
-// newStore begins a store that nobody has seen, of a group or, with 0, of none yet.
+// newStore begins an empty store with a new random ID, for a group or, with 0, for no group yet.
 func (v *Voter) newStore(group uint64) { v.resetStore(group, v.rng.Uint64()>>1|1) }
 
-// resetStore drops all that was stored of a group, and begins a store of another with an ID.
+// resetStore begins an empty store with an ID for a group. It keeps the highest token and the store
+// records, and drops everything else that was stored.
 func (v *Voter) resetStore(group, id uint64) {
 	token, records := v.meta.HighestToken, v.meta.StoreRecords
 	if records == nil {
@@ -136,11 +139,11 @@
 	v.raft, v.storage, v.hardState, v.confState = nil, raft.NewMemoryStorage(), nil, nil
 	v.applied, v.lastEntry = 0, entryID{}
 	v.confirmedBy, v.wasLeader = map[uint64]bool{}, false
-	v.table, _ = lease.NewTable(nil, 0) // without roles it can't fail
+	v.table, _ = lease.NewTable(nil, 0) // cannot fail without roles
 	v.actions = append(v.actions, Persist{Reset: true, Meta: v.cloneMeta()})
 }
 
-// cloneMeta returns a copy of meta that may be persisted.
+// cloneMeta returns a copy of meta for a Persist, and clears metaDirty.
 func (v *Voter) cloneMeta() *Meta {
 	m := v.meta.clone()
 	v.metaDirty = false
@@ -151,8 +154,8 @@
 	v.actions = append(v.actions, Notice{kind, cause})
 }
 
-// Step takes in one event at a time, and returns what is to be done, in order. Now must not go
-// back.
+// Step processes one event and the timers that are due. It returns the actions that the owner must
+// carry out, in order. Now must not go back from call to call.
 func (v *Voter) Step(now time.Duration, e Event) []Action {
 	v.now = max(now, v.now)
 	switch e := e.(type) {
@@ -181,7 +184,7 @@
 	return out
 }
 
-// Next returns when Step is to be called at the latest.
+// Next returns the time by which the owner must call Step again.
 func (v *Voter) Next() time.Duration {
 	next := v.nextHelloAt
 	if v.raft == nil {
@@ -193,7 +196,7 @@
 	return min(next, v.nextElectionAt)
 }
 
-// runTimers does what the time calls for.
+// runTimers does the work that is due at the present time.
 func (v *Voter) runTimers() {
 	if v.now >= v.nextHelloAt {
 		v.sendHellos(v.raft == nil || v.stage() == Joining || v.Leader() == "")
@@ -227,7 +230,7 @@
 
 func (v *Voter) runFollowerTimers() {
 	if v.now >= v.leaderSeenAt+v.config.electionTimeout() && v.raft.BasicStatus().Lead != raft.None {
-		v.raft.ForgetLeader() // so that it may vote for another
+		v.raft.ForgetLeader() // while the engine knows a leader, it does not vote for another voter
 	}
 	if v.now >= v.nextElectionAt {
 		if v.stage() == Voting {
@@ -238,7 +241,8 @@
 	}
 }
 
-// resetElectionTimer puts the next election off, as the leader was heard.
+// resetElectionTimer restarts the election time-out. It is called when a message of the leader has
+// arrived, and when this voter starts its engine or loses leadership.
 func (v *Voter) resetElectionTimer() {
 	v.leaderSeenAt = v.now
 	v.nextElectionAt = v.now + v.config.electionTimeout() + v.electionJitter()
