--- a/internal/router/lease/golden_test.go
+++ b/internal/router/lease/golden_test.go
@@ -21,14 +21,14 @@
 // goldenReplies returns replies with each flag, and a notification.
 func goldenReplies() []*Reply {
 	grant := Grant{Role: "reports@south", Token: 1<<40 + 7, Renewals: 70_000, TransferTo: AnyRouter, Reason: ReasonTransferred}
-	pushed := grant
-	pushed.Unconfirmed = true
+	unconfirmed := grant
+	unconfirmed.Unconfirmed = true
 	return []*Reply{
 		{ID: 300, Boot: 0xfedcba98, Leader: "router-3", Result: Result{OK: true, Grant: grant}},
 		{ID: 301, Boot: 2, Result: Result{Queued: true}},
 		{ID: 302, Boot: 3, NotLeader: true, Leader: "router-1"},
 		{ID: 303, Boot: 4, Result: Result{Refusal: "another router has it"}},
-		{ID: 0, Boot: 5, Leader: "router-3", Result: Result{OK: true, Grant: pushed}},
+		{ID: 0, Boot: 5, Leader: "router-3", Result: Result{OK: true, Grant: unconfirmed}},
 	}
 }
 
--- a/internal/router/quorum/explore_test.go
+++ b/internal/router/quorum/explore_test.go
@@ -19,7 +19,8 @@
 
 var measure = flag.Bool("measure", false, "run the measurements")
 
-// packet goes between voters and clients in the explorer.
+// packet is a message between voters and clients in the explorer. Its data is an encoded message or
+// datagram.
 type packet struct{ kind, data string }
 
 const (
@@ -30,20 +31,20 @@
 
 var (
 	exploreTiming = lease.Timing{Duration: 2 * time.Second, ClockAllowance: 10 * time.Millisecond, Margin: 100 * time.Millisecond}
-	errOverlap    = errors.New("two act under the role")
-	errApplied    = errors.New("two voters apply different commands")
+	errOverlap    = errors.New("two clients may work under the role at the same time")
+	errApplied    = errors.New("two voters applied different commands at the same index")
 )
 
-// exploredVoter is a voter whose store is trusted, with its disk.
+// exploredVoter is a voter with TrustStore set, and its disk in memory.
 type exploredVoter struct {
 	n           int
 	v           *Voter
 	disk        StoredState
-	inputDigest *xxhash.Digest // all that it was told: two that were told the same are the same
+	inputDigest *xxhash.Digest // digest of all inputs; voters with the same inputs have the same state
 	applied     map[uint64]string
 }
 
-// founded is a disk of a group of three.
+// foundedDisk returns the disk of voter n in a new group of three voters.
 func foundedDisk(n int) StoredState {
 	one := uint64(1)
 	var nodes []Node
@@ -68,7 +69,7 @@
 	if err != nil {
 		panic(err)
 	}
-	x.v.nextHelloAt, x.v.nextReconfigureAt = 1<<62, 1<<62 // who takes part is not what is explored
+	x.v.nextHelloAt, x.v.nextReconfigureAt = 1<<62, 1<<62 // hellos and configuration changes are not explored
 	for name := range 3 {
 		x.v.storeIDs[fmt.Sprint(name)] = uint64(name + 1)
 	}
@@ -111,7 +112,7 @@
 }
 func (x *exploredVoter) Write(h hash.Hash64) { fmt.Fprint(h, x.inputDigest.Sum64()) }
 
-// exploredClient is an agent that wants the role.
+// exploredClient is an agent that acquires the role d.
 type exploredClient struct {
 	n           int
 	a           *lease.Agent
@@ -152,20 +153,21 @@
 }
 func (c *exploredClient) Write(h hash.Hash64) { fmt.Fprint(h, c.inputDigest.Sum64()) }
 
-// begun has three voters of which the first leads, and two clients of which the first has the role
-// and the second is queued, each as it is then. If woken, the leader has woken once since, and what
-// it sent to the second client is still in flight.
+// initialNodes returns the nodes with which each path starts: three voters, of which the first is the
+// leader, and two clients, of which the first holds the role and the second is queued. If woken is
+// true, the leader's timer has then fired once, and inFlight has the messages that the leader has
+// sent to the second client since and that have not arrived yet.
 func initialNodes(lease time.Duration, woken bool) (all []explorer.Node[packet], inFlight []explorer.Send[packet]) {
 	nodes := []explorer.Node[packet]{newExplored(0, 0, foundedDisk(0), lease), newExplored(1, 0, foundedDisk(1), lease), newExplored(2, 0, foundedDisk(2), lease), newExploredClient(3, 0), newExploredClient(4, 0)}
-	type flying struct {
+	type sentMessage struct {
 		from int
 		s    explorer.Send[packet]
 	}
-	var undelivered []flying
+	var undelivered []sentMessage
 	withholdForSecondClient := false
 	enqueue := func(n int, o explorer.Out[packet]) {
 		for _, s := range o.Send {
-			undelivered = append(undelivered, flying{n, s})
+			undelivered = append(undelivered, sentMessage{n, s})
 		}
 	}
 	deliver := func() {
@@ -198,7 +200,8 @@
 	return nodes, inFlight
 }
 
-// started makes an explorer start a node where begun has left it, with what it had sent.
+// resumedNode makes the explorer start a node in the state from initialNodes. Sent are the messages
+// in flight, which the node sends at its start.
 type resumedNode struct {
 	explorer.Node[packet]
 	sent []explorer.Send[packet]
@@ -222,7 +225,7 @@
 }
 
 func newQuestion(lease time.Duration, woken bool, depth int, budget explorer.Budget) explorer.Question[packet] {
-	var fresh []explorer.Node[packet]
+	var initial []explorer.Node[packet]
 	var inFlight []explorer.Send[packet]
 	return explorer.Question[packet]{Nodes: 5, Depth: depth, MaxSkew: time.Millisecond, Budget: budget, Ordered: true,
 		Show: func(m packet) string { return m.kind },
@@ -230,10 +233,10 @@
 			switch {
 			case process == 0:
 				if n == 0 { // a new path begins
-					fresh, inFlight = initialNodes(lease, woken)
-					return resumedNode{fresh[n], inFlight}
+					initial, inFlight = initialNodes(lease, woken)
+					return resumedNode{initial[n], inFlight}
 				}
-				return resumedNode{fresh[n], nil}
+				return resumedNode{initial[n], nil}
 			case n < 3:
 				return newExplored(n, process, *unwrapNode(last).(*exploredVoter).disk.Clone(), lease)
 			}
@@ -263,9 +266,10 @@
 		}}
 }
 
-// All orders of three voters and two clients, from the moment at which one of them has the role and
-// the other is queued, with a lost message, a duplicate, a crash and a pause. Voters that count a
-// shorter lease than holders do are found.
+// The explorer tries the event orders of three voters and two clients up to a depth. At the start,
+// one client holds the role and the other is queued. One message may be lost, one may be duplicated,
+// and one node may crash and one may pause. The two clients must never hold the role at the same
+// time. The explorer must find the fault of voters that count a shorter lease than the holders.
 func TestNoTwoActInAnyOrderOfThreeVoters(t *testing.T) {
 	depth, states := 4, 20_000
 	if *measure {
@@ -285,7 +289,7 @@
 	if answer, err = explorer.Explore(q); err != nil {
 		t.Fatal(err)
 	}
-	if t.Logf("a lease of a quarter: %s", answer); !errors.Is(answer.Violation, errOverlap) {
-		t.Error("voters that count a shorter lease were not found")
+	if t.Logf("voters with a quarter of the holders' lease: %s", answer); !errors.Is(answer.Violation, errOverlap) {
+		t.Error("explorer did not find the fault of voters that count a shorter lease than the holders")
 	}
 }
--- a/internal/router/quorum/forms_test.go
+++ b/internal/router/quorum/forms_test.go
@@ -6,8 +6,8 @@
 	"reachspread/internal/testbed/formtest"
 )
 
-// What voters send to each other, agree on and keep has the same fields: voters of two versions
-// work together.
+// The encoded fields of messages, proposals and snapshots must not change, because voters of two
+// versions work together.
 func TestWireFormsAreUnchanged(t *testing.T) {
 	formtest.Compare(t, "forms.txt", formtest.Document([2]string{"message", formtest.Fields(message{}, "json")},
 		[2]string{"greeting", formtest.Fields(hello{}, "json")},
--- a/internal/router/quorum/golden_test.go
+++ b/internal/router/quorum/golden_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// Messages between voters have the bytes that they had at commit 5bfcc27, and are read from them.
+// Messages between voters are encoded to the same bytes as at commit 5bfcc27, and decoded from them.
 func TestMessagesKeepTheirBytes(t *testing.T) {
 	names := []string{"raft", "hello", "least"}
 	messages := goldenMessages()
@@ -35,20 +35,20 @@
 	data := golden.Check(t, "messages", records)
 	for _, name := range names {
 		if got, err := decode(data[name]); err != nil || !reflect.DeepEqual(got, messages[name]) {
-			t.Errorf("%s is read as %+v, not %+v (%v)", name, got, messages[name], err)
+			t.Errorf("message %s decodes to %+v, want %+v (error: %v)", name, got, messages[name], err)
 		}
 		if from, err := SenderOf(data[name]); err != nil || from != messages[name].From.Name {
-			t.Errorf("%s is from %q, not %q (%v)", name, from, messages[name].From.Name, err)
+			t.Errorf("message %s has sender %q, want %q (error: %v)", name, from, messages[name].From.Name, err)
 		}
 	}
 	m, err := decodeRaft(messages["raft"].Raft)
 	if err != nil || m.GetTerm() != 7 || m.GetIndex() != 300 || len(m.GetEntries()) != 1 || string(m.GetEntries()[0].GetData()) != "text" {
-		t.Errorf("the engine's message is read as %v (%v)", m, err)
+		t.Errorf("the engine's message decodes to unexpected %v (error: %v)", m, err)
 	}
 }
 
-// What voters agree on and keep, and send each other as entries and snapshots, has the bytes that
-// it had at commit 5bfcc27.
+// Proposals, the content of snapshots, and Meta are encoded to the same bytes as at commit 5bfcc27,
+// and decoded from them. Voters store these values and send proposals and snapshots to each other.
 func TestProposalsAndSnapshotsKeepTheirBytes(t *testing.T) {
 	with := lease.Role{Name: "reports", MaxHolders: 2, PreferredZones: []string{"north", "south"}, ByZone: true}
 	p := proposal{Number: 1 << 40, Command: lease.Command{Kind: lease.DefineRole, Role: "reports@south", Router: lease.Router{Name: "router-1", Boot: 0xfedcba98, Zone: "south"}, Token: 9, Renewals: 10,
@@ -67,7 +67,7 @@
 		{Kind: lease.RequestTransfer, Role: "scribe", Token: 1<<40 + 1, To: lease.AnyRouter},
 	} {
 		if a, _ := table.Apply(uint64(i+1), c); !a.OK && !a.Queued {
-			t.Errorf("command %d is refused: %s", i, a.Refusal)
+			t.Errorf("command %d was refused: %s", i, a.Refusal)
 		}
 	}
 	snapshot := snapshotContent{Members: []Node{{ID: 1 << 50, Name: "router-1", Zone: "north"}}, Table: table.State()}
@@ -93,11 +93,11 @@
 			t.Fatal(err)
 		}
 		if again, err := json.Marshal(x.read); err != nil || string(again) != string(data[x.name]) {
-			t.Errorf("%s is read as %+v, not %+v (%v)", x.name, x.read, x.want, err)
+			t.Errorf("%s decodes to %+v, want %+v (error: %v)", x.name, x.read, x.want, err)
 		}
 	}
 	var got proposal
 	if err := json.Unmarshal(data["proposal"], &got); err != nil || !reflect.DeepEqual(got, p) {
-		t.Errorf("the proposal is read as %+v, not %+v (%v)", got, p, err)
+		t.Errorf("the proposal decodes to %+v, want %+v (error: %v)", got, p, err)
 	}
 }
--- a/internal/router/quorum/join_test.go
+++ b/internal/router/quorum/join_test.go
@@ -8,16 +8,17 @@
 	"reachspread/internal/router/lease"
 )
 
-// Where all candidates know of a group and none has an entry of it, the first one founds another
-// with the other founders, once they have said so for longer than a lease; not while one of them has
-// an entry, knows a leader or is away, and no other candidate does.
+// If all candidates know of a group and none has a log entry of it, the first candidate founds
+// another group with the other founders. It does so once all candidates have said for longer than a
+// lease that they have no entry, and not while one of them has an entry, knows a leader or sends no
+// hellos. A candidate other than the first never founds a group.
 func TestEmptyGroupIsFoundedAgain(t *testing.T) {
 	const group, length = 7, 12 * time.Second
 	empty := func(time.Duration) *hello { return &hello{Stage: Joining} }
 	for name, x := range map[string]struct {
 		self    string
-		third   func(now time.Duration) *hello // of the last candidate, nil where it is away
-		founded time.Duration                  // 0 for never
+		third   func(now time.Duration) *hello // returns the hello of candidate 3; nil while it sends none
+		founded time.Duration                  // when the group is founded; 0 for never
 	}{
 		"all are empty":     {"0", empty, helloTTL + exploreTiming.Duration},
 		"not the first one": {"1", empty, 0},
@@ -61,10 +62,10 @@
 				}
 			}
 			if founded != x.founded {
-				t.Errorf("founded at %v, want %v", founded, x.founded)
+				t.Errorf("group founded at %v, want %v", founded, x.founded)
 			}
 			if got := v.Status().Voters; founded > 0 && !slices.Equal(got, []string{"0", "1", "2"}) {
-				t.Errorf("voters %v", got)
+				t.Errorf("the new group has voters %v, want 0, 1 and 2", got)
 			}
 		})
 	}
--- a/internal/router/quorum/stored_test.go
+++ b/internal/router/quorum/stored_test.go
@@ -10,9 +10,10 @@
 	"reachspread/internal/testbed/golden"
 )
 
-// The files under testdata were written at commit 5bfcc27: WRITE_GOLDEN=1 go test -run Golden.
+// The JSON files in testdata were written at commit 5bfcc27 by WRITE_GOLDEN=1 go test -run Golden.
 
-// pin has a value in JSON be what a file has, and be read from it to the same value.
+// checkGolden fails the test unless the JSON of want is the content of the golden file name and
+// decodes to want. Except lists the fields of want that may be zero, as Type.Field.
 func checkGolden[T any](t *testing.T, name string, want T, except ...string) {
 	t.Helper()
 	golden.Complete(t, want, except...)
@@ -26,19 +27,19 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Errorf("%s: %s", name, diff)
+		t.Errorf("golden file %s decodes to another value: %s", name, diff)
 	}
 }
 
 var goldenNodes = []Node{{ID: 9, Name: "r1", Zone: "east"}, {ID: 11, Name: "r2", Zone: "west"}}
 
-// A store's description is read and written as it was.
+// The stored Meta keeps its encoding.
 func TestGoldenMeta(t *testing.T) {
 	checkGolden(t, "meta.json", Meta{Version: 1, ID: 9, Name: "r1", Group: 3, Starts: 2, Members: goldenNodes, Voters: []uint64{9, 11}, HighestToken: 77,
 		StoreRecords: map[uint64]StoreRecord{11: {Starts: 4, Term: 5, Boot: 6, LastTerm: 5, LastIndex: 300}}})
 }
 
-// The content of a snapshot of the log is read and written as it was.
+// The content of a snapshot keeps its encoding.
 func TestGoldenSnapshotContent(t *testing.T) {
 	checkGolden(t, "snapshot.json", snapshotContent{Members: goldenNodes, Table: lease.State{Token: 77, Roles: []lease.RoleState{{
 		Role:         lease.Role{Name: "copier", MaxHolders: 2, PreferredZones: []string{"east"}, ByZone: true},
@@ -47,13 +48,13 @@
 		Reservations: []lease.Reservation{{For: "r3", Token: 74}}}}}})
 }
 
-// An entry of the log is read and written as it was.
+// The content of a log entry keeps its encoding.
 func TestGoldenProposal(t *testing.T) {
 	checkGolden(t, "proposal.json", proposal{Number: 300, Command: lease.Command{Kind: lease.Transfer, Role: "copier", Router: lease.Router{Name: "r1", Boot: 5, Zone: "east"},
 		Token: 76, Renewals: 12, To: "r2", Definition: &lease.Role{Name: "copier", MaxHolders: 2, PreferredZones: []string{"east"}, ByZone: true}}})
 }
 
-// Messages between voters are read and written as they were.
+// Messages between voters keep their encoding.
 func TestGoldenMessages(t *testing.T) {
 	var all []*message
 	for _, stage := range []Stage{Verifying, Joining, Learning, Voting, Standby} {
@@ -68,6 +69,6 @@
 	}
 	got, err := decode(all[0].encode())
 	if diff := cmp.Diff(all[0], got); err != nil || diff != "" || string(all[0].encode()) != string(text) {
-		t.Errorf("%v %s", err, diff)
+		t.Errorf("decode returned error %v; difference to the encoded message: %s", err, diff)
 	}
 }
