--- a/internal/router/lease/agent_requests.go
+++ b/internal/router/lease/agent_requests.go
@@ -41,7 +41,7 @@
 
 // retryDelay returns the delay until the next attempt. After an attempt at each voter without a
 // reply, the delay doubles per attempt and has jitter. While the router holds a lease, the delay
-// stays at replyTimeout, because the lease would run out.
+// stays at replyTimeout, because the lease could run out during a longer delay.
 func (a *Agent) retryDelay(m *managedRole) time.Duration {
 	_, granted := m.lease.Grant()
 	if m.attempts <= len(a.config.Voters) || granted {
@@ -117,15 +117,15 @@
 	}
 }
 
-// maxRedirects limits the outstanding requests of a role with which the agent follows a redirect to
-// the leader. Without the limit, two voters that each report the other one as the leader would cause
-// requests without a pause between them.
+// maxRedirects is the largest number of outstanding requests of a role at which the agent follows a
+// redirect at once. Without this limit, two voters that each report the other one as the leader
+// would cause requests without a pause between them.
 const maxRedirects = 3
 
 // redirect handles the reply of a voter that is not the leader, to the request with index i in
 // outstanding. If the reply names another voter as the leader and maxRedirects allows it, redirect
-// sends a request to that voter at once. Otherwise it sends a request to the next voter at once,
-// until each voter has been tried. Further attempts wait for the retry delay.
+// sends a request to that voter at once. Otherwise it sends a request to the next voter at once, up
+// to one attempt per voter. Further attempts wait for the retry delay.
 func (a *Agent) redirect(m *managedRole, now time.Duration, i int, from, leader string) []Action {
 	if i < len(m.outstanding)-1 { // the reply is not to the last request
 		return nil
@@ -196,7 +196,7 @@
 	a.setLeader(r.Leader)
 	old, granted := m.lease.Grant()
 	if granted && (old.Token > g.Token || old.Token == g.Token && g.TransferTo == old.TransferTo) {
-		return nil // nothing new
+		return nil // the notification is late or a duplicate
 	}
 	m.attempts = 0
 	if granted && old.Token == g.Token {
--- a/internal/router/lease/apply.go
+++ b/internal/router/lease/apply.go
@@ -98,8 +98,8 @@
 	return ""
 }
 
-// grantAtOnce returns the result for a router that Acquire has queued and that was granted the role
-// at once. The grant is confirmed, because the reply tells the router of it.
+// grantAtOnce returns the result for a router whose Acquire was granted at once. It marks the grant
+// as confirmed, because the reply to Acquire tells the router of it.
 func (s *roleSlots) grantAtOnce(c *Change) Result {
 	if c.Reason == ReasonQueued {
 		c.Reason = ReasonAvailable
--- a/internal/router/lease/datagram.go
+++ b/internal/router/lease/datagram.go
@@ -9,8 +9,9 @@
 
 // wireVersion is the upper half of the first byte of a datagram. Peer reports have 1 there, and
 // datagrams of the membership have 2. The lower half of the byte is the kind. The fields of the kind
-// follow: the command kind and the flags are a byte, other numbers are varints, and each name
-// follows a byte with its length. The last 4 bytes are the CRC-32C checksum of all bytes before them.
+// follow: the command kind and the flags are one byte each, other numbers are varints, and a byte
+// with its length precedes each name. The last 4 bytes are the CRC-32C checksum of all bytes before
+// them.
 //
 //	request:      ID, command kind, role, router (name, boot, zone), token, renewals, to
 //	reply:        ID, boot, flags, leader, grant (role, token, renewals, transfer to, reason),
--- a/internal/router/lease/doc.go
+++ b/internal/router/lease/doc.go
@@ -11,11 +11,11 @@
 // it applied. The token of a grant is larger than the token of every earlier grant of any role.
 //
 // Each router has an Agent. The Agent sends datagrams (Request, Reply) to the voters to acquire,
-// renew and release the roles that its owner wants. It counts a lease from a time before it sent the
-// request that the voters granted, and subtracts an allowance for clocks that run at different
-// rates, so the lease ends at the holder before it ends at the voters. When the voters grant a role
-// to a queued router, they notify the router, which did not send a request for this. The router may
-// work under the grant only after it has renewed it.
+// renew and release the roles that its owner wants. It counts a lease from a time that it read
+// before it sent the request that the voters granted, and subtracts an allowance for clocks that run
+// at different rates. The lease thus ends at the holder before it ends at the voters. When the
+// voters grant a role to a queued router, they send the router a notification without a request. The
+// router may work under the grant only after it has renewed the grant.
 //
 // # Guarantees
 //
--- a/internal/router/lease/golden_test.go
+++ b/internal/router/lease/golden_test.go
@@ -7,8 +7,8 @@
 	"reachspread/internal/testbed/golden"
 )
 
-// goldenRequests returns requests of every kind that routers send, and one with only the smallest
-// fields.
+// goldenRequests returns requests of every kind that routers send, and one whose optional fields are
+// empty.
 func goldenRequests() []*Request {
 	var all []*Request
 	for kind := Acquire; kind <= RequestTransfer; kind++ {
--- a/internal/router/lease/role.go
+++ b/internal/router/lease/role.go
@@ -89,9 +89,9 @@
 	case t.Duration < minLease || t.Duration > maxLease:
 		return fmt.Errorf("a lease of %v; it must be from 500ms to 1m", t.Duration)
 	case float64(t.ClockAllowance) < 2*MaxClockDrift*float64(t.Duration):
-		return fmt.Errorf("an allowance of %v is less than twice what clocks may differ by in a lease", t.ClockAllowance)
+		return fmt.Errorf("a clock allowance of %v; it must be at least twice the clock drift in a lease", t.ClockAllowance)
 	case t.Margin <= 0 || t.Margin > t.Duration/4:
-		return fmt.Errorf("a margin of %v; it must be more than nothing and at most a quarter of the lease", t.Margin)
+		return fmt.Errorf("a margin of %v; it must be above 0 and at most a quarter of the lease", t.Margin)
 	}
 	return nil
 }
--- a/internal/router/lease/stored_test.go
+++ b/internal/router/lease/stored_test.go
@@ -11,7 +11,7 @@
 
 // The JSON files in testdata were written at commit 5bfcc27 by WRITE_GOLDEN=1 go test -run Golden.
 
-// goldenState returns a State in which every field is set.
+// goldenState returns a State that sets every field at least once.
 func goldenState() State {
 	return State{Token: 77, Roles: []RoleState{
 		{
--- a/internal/router/quorum/config.go
+++ b/internal/router/quorum/config.go
@@ -10,8 +10,8 @@
 
 // Timing of elections and hellos.
 const (
-	// TickInterval is the default time between two ticks of the leader's engine. The leader sends
-	// heartbeats every heartbeatTicks.
+	// TickInterval is the default time between two ticks of the leader's engine. The leader sends a
+	// heartbeat every heartbeatTicks ticks.
 	TickInterval         = 50 * time.Millisecond
 	heartbeatTicks       = 2
 	electionTimeoutTicks = 8 // minimum time without messages of the leader before a voter campaigns
@@ -21,7 +21,7 @@
 	// helloInterval is the time between hellos of a candidate that is not a member or knows no
 	// leader.
 	helloInterval       = 200 * time.Millisecond
-	memberHelloInterval = 2 * time.Second // time between hellos of other candidates
+	memberHelloInterval = 2 * time.Second // time between hellos of a member that knows the leader
 	helloTTL            = 3 * time.Second // time after which a received hello is ignored
 
 	// storeCheckTimeout limits how long a starting voter waits until all live members have said what
--- a/internal/router/quorum/hello.go
+++ b/internal/router/quorum/hello.go
@@ -174,8 +174,7 @@
 	return ""
 }
 
-// staleness returns in what the store that h describes is behind its record, or "" if it is not
-// behind.
+// staleness describes how the store in h is behind its record r, or returns "" if it is not behind.
 func (r *StoreRecord) staleness(h *hello) string {
 	if h.Term < r.Term {
 		return fmt.Sprintf("it was in term %d, not %d", r.Term, h.Term)
--- a/internal/router/quorum/join.go
+++ b/internal/router/quorum/join.go
@@ -135,7 +135,7 @@
 
 // foundGroup founds a group whose first voters are this router and peers, whose stores are empty.
 // Further candidates join after they have sent a hello. The group's tokens are larger than all
-// tokens that this router has seen, and than the token blocks of all groups with lower numbers.
+// tokens that this router has seen, and than all tokens in the blocks of groups with lower numbers.
 func (v *Voter) foundGroup(group uint64, peers []Node) {
 	floor := max(lease.NextTokenBlock(v.meta.HighestToken), lease.NextTokenBlock(group<<lease.TokenBlockBits))
 	v.newStore(group)
--- a/internal/router/quorum/leases.go
+++ b/internal/router/quorum/leases.go
@@ -56,8 +56,8 @@
 }
 
 // expireLeases proposes to expire the grants whose lease duration, or confirmTimeout, has passed at
-// the leader. It notifies holders again that may not know of their grants or of a requested
-// transfer, and checks the queues when that is due.
+// the leader. It repeats the notifications of holders that may not know of their grants or of a
+// requested transfer, and checks the queues when that is due.
 func (v *Voter) expireLeases() {
 	for _, g := range v.table.Grants() {
 		renewedAt, known := v.renewedAt[g.Token]
--- a/internal/router/quorum/message.go
+++ b/internal/router/quorum/message.go
@@ -37,8 +37,8 @@
 	Applied             uint64
 	Leader              string `json:",omitempty"`
 	WantsReply          bool   `json:"Wants,omitempty"`
-	// The store, the process and the start of the store that sent the hello which this hello
-	// answers. A receiver ignores a reply to an earlier process.
+	// ReplyToStore, ReplyToBoot and ReplyToStarts identify the store, the process and the start of
+	// the store to which this hello replies. A process ignores replies to an earlier process.
 	ReplyToStore  uint64 `json:"Of,omitempty"`
 	ReplyToBoot   uint32 `json:"OfBoot,omitempty"`
 	ReplyToStarts uint64 `json:"OfStart,omitempty"`
