--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -186,17 +186,17 @@
 }
 
 // countState counts a connection in its state: 1 more or, with -1, fewer.
-func (d *Controller) countState(c *conn, by int) {
+func (d *Controller) countState(c *conn, delta int) {
 	switch c.state {
 	case awaitingRequest:
-		d.awaitingRequests += by
-		d.unknown += by
+		d.awaitingRequests += delta
+		d.unknown += delta
 	case unknownClient:
-		d.unknown += by
+		d.unknown += delta
 	case knownClient:
-		d.known += by
+		d.known += delta
 	case overflow:
-		d.overflows += by
+		d.overflows += delta
 	}
 }
 
@@ -234,15 +234,15 @@
 }
 
 // mayEvict reports whether the connection that evictOne would evict was idle for long enough.
-func (d *Controller) mayEvict(among int) bool {
-	c := d.evictionCandidate(among)
+func (d *Controller) mayEvict(group int) bool {
+	c := d.evictionCandidate(group)
 	return c != nil && d.now-c.since >= minEvictionAge
 }
 
 // evictionCandidate returns the connection to be evicted next, of the unknown (0) or the known
 // clients (1); nil if none is idle.
-func (d *Controller) evictionCandidate(among int) *conn {
-	if !d.config.EvictFromLargest && among == 0 {
+func (d *Controller) evictionCandidate(group int) *conn {
+	if !d.config.EvictFromLargest && group == 0 {
 		var oldest *conn
 		for _, l := range d.timeouts {
 			c := l.head
@@ -255,7 +255,7 @@
 		}
 		return oldest
 	}
-	if h := d.ranked[among].top(); h != nil {
+	if h := d.ranked[group].top(); h != nil {
 		return h.idle.head
 	}
 	return nil
@@ -263,8 +263,8 @@
 
 // evictOne evicts an idle connection of the unknown (0) or the known clients (1), and reports
 // whether there was one.
-func (d *Controller) evictOne(among int) bool {
-	c := d.evictionCandidate(among)
+func (d *Controller) evictOne(group int) bool {
+	c := d.evictionCandidate(group)
 	if c == nil {
 		return false
 	}
@@ -310,12 +310,12 @@
 }
 
 // countOpen counts one more open request of a connection or, with -1, one fewer.
-func (d *Controller) countOpen(c *conn, by int) {
-	d.open += by
-	c.addr.open += by
-	c.net.open += by
+func (d *Controller) countOpen(c *conn, delta int) {
+	d.open += delta
+	c.addr.open += delta
+	c.net.open += delta
 	if c.owner != c.addr {
-		c.owner.open += by
+		c.owner.open += delta
 	}
 }
 
@@ -357,8 +357,8 @@
 	c.requestOpen, c.used = true, true
 	d.countOpen(c, 1)
 	d.counts.Served++
-	closes := d.config.CloseAfterAnswer && d.level == Critical && c.state != knownClient
-	d.emit(Action{Kind: Serve, Conn: c.id, CloseAfterAnswer: closes})
+	closeAfterAnswer := d.config.CloseAfterAnswer && d.level == Critical && c.state != knownClient
+	d.emit(Action{Kind: Serve, Conn: c.id, CloseAfterAnswer: closeAfterAnswer})
 }
 
 // hasTooManyOpen reports whether the client of a connection has as many open requests as it may.
@@ -394,9 +394,9 @@
 }
 
 // changeState changes the state and the owner of a connection that is in no list.
-func (d *Controller) changeState(c *conn, to connState, owner *client) {
+func (d *Controller) changeState(c *conn, state connState, owner *client) {
 	d.countState(c, -1)
-	c.state, c.owner = to, owner
+	c.state, c.owner = state, owner
 	d.countState(c, 1)
 }
 
@@ -410,9 +410,9 @@
 // at once.
 func (d *Controller) emitRejection(conn int32, code int, cause Cause) {
 	d.counts.Rejected[cause]++
-	least := d.config.MinRetryAfter
-	advice := least + time.Duration(d.rng.Float64()*float64(least))
-	d.emit(Action{Kind: Reject, Conn: conn, Code: code, Cause: cause, RetryAfter: advice})
+	minimum := d.config.MinRetryAfter
+	retryAfter := minimum + time.Duration(d.rng.Float64()*float64(minimum))
+	d.emit(Action{Kind: Reject, Conn: conn, Code: code, Cause: cause, RetryAfter: retryAfter})
 }
 
 // handleDone makes a connection idle again. Its request may have been answered without a decision
@@ -477,14 +477,14 @@
 
 // updateLevel updates the level. Each ends lower than it begins, so that it does not flap.
 func (d *Controller) updateLevel() {
-	use := float64(d.total()+d.overflows) / float64(max(d.config.MaxConnections, 1))
+	usedFraction := float64(d.total()+d.overflows) / float64(max(d.config.MaxConnections, 1))
 	if d.now < d.shortageUntil {
-		use = 1
+		usedFraction = 1
 	}
-	for d.level < Critical && use >= levels[d.level+1].from {
+	for d.level < Critical && usedFraction >= levels[d.level+1].from {
 		d.level++
 	}
-	for d.level > Calm && use < levels[d.level].to {
+	for d.level > Calm && usedFraction < levels[d.level].to {
 		d.level--
 	}
 }
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -19,21 +19,21 @@
 }
 
 // world plays the host and checks the promises; it counts by itself.
-type world struct {
-	t       *rapid.T
-	d       *Controller
-	c       Config
-	now     time.Duration
-	place   map[int32]string // lobby, guest, known or step, of those that are in
-	busy    map[int32]bool
-	refused map[int32]bool
-	ready   map[int32]bool // the request was there as it opened
-	gone    map[int32]bool // shut, to be closed by the host
+type model struct {
+	t        *rapid.T
+	d        *Controller
+	c        Config
+	now      time.Duration
+	states   map[int32]string // lobby, guest, known or step, of those that are in
+	open     map[int32]bool
+	rejected map[int32]bool
+	ready    map[int32]bool // the request was there as it opened
+	evicted  map[int32]bool // shut, to be closed by the host
 }
 
-func (w *world) count(place string) (n int) {
-	for _, p := range w.place {
-		if p == place {
+func (w *model) count(state string) (n int) {
+	for _, s := range w.states {
+		if s == state {
 			n++
 		}
 	}
@@ -41,49 +41,49 @@
 }
 
 // step gives admission one event and returns the action that answers it.
-func (w *world) step(e Event) (answer Action, answered int) {
-	lobbies := 0 // of whom nothing is due: a request that was refused ends its connection, one that is there is asked next
-	for id, p := range w.place {
-		if p == "lobby" && !w.refused[id] && !w.ready[id] {
-			lobbies++
+func (w *model) step(e Event) (answer Action, answered int) {
+	awaiting := 0 // of whom nothing is due: a request that was refused ends its connection, one that is there is asked next
+	for id, state := range w.states {
+		if state == "lobby" && !w.rejected[id] && !w.ready[id] {
+			awaiting++
 		}
 	}
 	for _, a := range w.d.Step(w.now, e) {
 		switch a.Kind {
 		case Evict:
-			if w.busy[a.Conn] || w.ready[a.Conn] || w.place[a.Conn] == "" {
-				w.t.Fatalf("%d was shut, busy: %v, ready: %v", a.Conn, w.busy[a.Conn], w.ready[a.Conn])
+			if w.open[a.Conn] || w.ready[a.Conn] || w.states[a.Conn] == "" {
+				w.t.Fatalf("%d was shut, busy: %v, ready: %v", a.Conn, w.open[a.Conn], w.ready[a.Conn])
 			}
-			delete(w.place, a.Conn)
-			w.gone[a.Conn] = true
+			delete(w.states, a.Conn)
+			w.evicted[a.Conn] = true
 		case Expire:
-			if w.busy[a.Conn] || w.ready[a.Conn] || w.place[a.Conn] == "known" {
-				w.t.Fatalf("%d, %s, was hurried", a.Conn, w.place[a.Conn])
+			if w.open[a.Conn] || w.ready[a.Conn] || w.states[a.Conn] == "known" {
+				w.t.Fatalf("%d, %s, was hurried", a.Conn, w.states[a.Conn])
 			}
 		default:
 			answer, answered = a, answered+1
 		}
 	}
-	if (e.Kind == RequestRead || e.Kind == Opened) && answer.Kind == Reject && answer.Code == 503 && e.Identity != "" && lobbies > 0 {
+	if (e.Kind == RequestRead || e.Kind == Opened) && answer.Kind == Reject && answer.Code == 503 && e.Identity != "" && awaiting > 0 {
 		w.t.Fatal("a known client was refused for capacity while somebody stood in the lobby")
 	}
 	return answer, answered
 }
 
-func (w *world) check() {
-	unknown, known, step := w.count("lobby")+w.count("guest"), w.count("known"), w.count("step")
-	if unknown > w.c.MaxConnections-w.c.ReservedForKnown || unknown+known > w.c.MaxConnections || step > w.c.MaxOverflow {
-		w.t.Fatalf("%d unknown, %d known, %d on the step", unknown, known, step)
+func (w *model) check() {
+	unknown, known, overflows := w.count("lobby")+w.count("guest"), w.count("known"), w.count("step")
+	if unknown > w.c.MaxConnections-w.c.ReservedForKnown || unknown+known > w.c.MaxConnections || overflows > w.c.MaxOverflow {
+		w.t.Fatalf("%d unknown, %d known, %d on the step", unknown, known, overflows)
 	}
 	c := w.d.Counts()
-	if c.Unknown != unknown || c.Known != known || c.Overflow != step || c.Open != len(w.busy) || c.AwaitingRequest != w.count("lobby") {
-		w.t.Fatalf("%+v, want %d, %d, %d, %d", c, unknown, known, step, len(w.busy))
+	if c.Unknown != unknown || c.Known != known || c.Overflow != overflows || c.Open != len(w.open) || c.AwaitingRequest != w.count("lobby") {
+		w.t.Fatalf("%+v, want %d, %d, %d, %d", c, unknown, known, overflows, len(w.open))
 	}
-	if most := 2*w.c.RememberedAddresses + 2*(len(w.place)+len(w.gone)+len(w.refused)); c.Addresses > most+2 {
-		w.t.Fatalf("%d addresses remembered, %d would do", c.Addresses, most)
+	if maxAddresses := 2*w.c.RememberedAddresses + 2*(len(w.states)+len(w.evicted)+len(w.rejected)); c.Addresses > maxAddresses+2 {
+		w.t.Fatalf("%d addresses remembered, %d would do", c.Addresses, maxAddresses)
 	}
-	if len(w.d.conns) > w.c.MaxConnections+w.c.MaxOverflow+len(w.gone)+30 {
-		w.t.Fatalf("%d names for %d connections", len(w.d.conns), len(w.place))
+	if len(w.d.conns) > w.c.MaxConnections+w.c.MaxOverflow+len(w.evicted)+30 {
+		w.t.Fatalf("%d names for %d connections", len(w.d.conns), len(w.states))
 	}
 }
 
@@ -100,11 +100,11 @@
 			c.KnownRanges = []netip.Prefix{netip.MustParsePrefix("10.9.0.0/16")}
 		}
 		c.PerAddress.Connections = rapid.IntRange(0, 3).Draw(t, "perAddress")
-		w := &world{t: t, d: New(c, 1), c: c, now: time.Second, place: map[int32]string{}, busy: map[int32]bool{}, refused: map[int32]bool{}, gone: map[int32]bool{}, ready: map[int32]bool{}}
-		some := func(ok func(int32) bool) (int32, bool) {
+		w := &model{t: t, d: New(c, 1), c: c, now: time.Second, states: map[int32]string{}, open: map[int32]bool{}, rejected: map[int32]bool{}, evicted: map[int32]bool{}, ready: map[int32]bool{}}
+		drawConn := func(ok func(int32) bool) (int32, bool) {
 			var ids []int32
 			for id := range int32(40) {
-				if w.place[id] != "" && ok(id) {
+				if w.states[id] != "" && ok(id) {
 					ids = append(ids, id)
 				}
 			}
@@ -113,12 +113,12 @@
 			}
 			return rapid.SampledFrom(ids).Draw(t, "conn"), true
 		}
-		from := []string{"10.0.0.1", "10.0.0.2", "10.0.1.1", "10.9.0.1", "10.9.0.2", "2001:db8::1", "2001:db8::2", "2001:db8:0:1::1", "::ffff:10.0.0.1"}
+		addresses := []string{"10.0.0.1", "10.0.0.2", "10.0.1.1", "10.9.0.1", "10.9.0.2", "2001:db8::1", "2001:db8::2", "2001:db8:0:1::1", "::ffff:10.0.0.1"}
 		t.Repeat(map[string]func(*rapid.T){
 			"": func(*rapid.T) { w.check() },
 			"open": func(t *rapid.T) {
 				w.now += rapid.SampledFrom([]time.Duration{0, ms, 6 * ms, 300 * ms}).Draw(t, "after")
-				a := addr(rapid.SampledFrom(from).Draw(t, "from"))
+				a := addr(rapid.SampledFrom(addresses).Draw(t, "from"))
 				before := w.count("step")
 				e := Event{Kind: Opened, Addr: a, HeadComplete: rapid.Bool().Draw(t, "said")}
 				if e.HeadComplete {
@@ -142,47 +142,47 @@
 				}
 				switch {
 				case e.Identity != "":
-					w.place[got.Conn] = "known"
+					w.states[got.Conn] = "known"
 				case w.d.Counts().Overflow > before || w.d.conns[got.Conn].state == overflow:
-					w.place[got.Conn] = "step"
+					w.states[got.Conn] = "step"
 				case len(c.KnownRanges) > 0 && c.KnownRanges[0].Contains(a.Unmap()):
-					w.place[got.Conn] = "known"
+					w.states[got.Conn] = "known"
 				default:
-					w.place[got.Conn] = "lobby"
+					w.states[got.Conn] = "lobby"
 				}
-				delete(w.gone, got.Conn)
+				delete(w.evicted, got.Conn)
 			},
 			"crowd": func(t *rapid.T) { // from very many addresses
 				for i := range rapid.IntRange(1, 40).Draw(t, "crowd") {
 					w.now += 6 * ms
 					got, _ := w.step(Event{Kind: Opened, Addr: netip.AddrFrom4([4]byte{172, 16, byte(i), byte(w.now)})})
 					if got.Kind == Admit {
-						w.place[got.Conn] = "lobby"
+						w.states[got.Conn] = "lobby"
 						if w.d.conns[got.Conn].state == overflow {
-							w.place[got.Conn] = "step"
+							w.states[got.Conn] = "step"
 						}
 						w.step(Event{Kind: Closed, Conn: got.Conn})
-						delete(w.place, got.Conn)
+						delete(w.states, got.Conn)
 					}
-					for id := range w.gone {
+					for id := range w.evicted {
 						w.step(Event{Kind: Closed, Conn: id})
-						delete(w.gone, id)
+						delete(w.evicted, id)
 					}
 				}
 			},
 			"began": func(t *rapid.T) {
-				if id, ok := some(func(id int32) bool { return !w.busy[id] && !w.refused[id] }); ok {
+				if id, ok := drawConn(func(id int32) bool { return !w.open[id] && !w.rejected[id] }); ok {
 					w.step(Event{Kind: RequestBegan, Conn: id})
 				}
 			},
 			"ask": func(t *rapid.T) {
-				id, ok := some(func(id int32) bool { return !w.busy[id] && !w.refused[id] })
+				id, ok := drawConn(func(id int32) bool { return !w.open[id] && !w.rejected[id] })
 				if !ok {
 					t.Skip()
 				}
-				who := rapid.SampledFrom([]string{"", "", "tool", "mad", "stranger"}).Draw(t, "who")
-				e := Event{Kind: RequestRead, Conn: id, Identity: who}
-				if who == "stranger" {
+				identity := rapid.SampledFrom([]string{"", "", "tool", "mad", "stranger"}).Draw(t, "who")
+				e := Event{Kind: RequestRead, Conn: id, Identity: identity}
+				if identity == "stranger" {
 					e.Identity = ""
 				}
 				got, n := w.step(e)
@@ -191,41 +191,41 @@
 					t.Fatalf("%d answers to a request: %+v", n, got)
 				}
 				if got.Kind == Reject {
-					w.refused[id] = true
+					w.rejected[id] = true
 					if got.Code != 429 && got.Code != 503 || got.RetryAfter < c.MinRetryAfter || got.RetryAfter > 2*c.MinRetryAfter {
 						t.Fatalf("%+v", got)
 					}
 					return
 				}
-				w.busy[id] = true
+				w.open[id] = true
 				switch {
 				case e.Identity != "":
-					w.place[id] = "known"
-				case w.place[id] == "lobby":
-					w.place[id] = "guest"
-				case w.place[id] == "step":
+					w.states[id] = "known"
+				case w.states[id] == "lobby":
+					w.states[id] = "guest"
+				case w.states[id] == "step":
 					t.Fatal("an unknown client was served on the step")
 				}
 			},
 			"done": func(t *rapid.T) {
-				if id, ok := some(func(id int32) bool { return w.busy[id] }); ok {
+				if id, ok := drawConn(func(id int32) bool { return w.open[id] }); ok {
 					w.step(Event{Kind: RequestDone, Conn: id})
-					delete(w.busy, id)
+					delete(w.open, id)
 				}
 			},
 			"close": func(t *rapid.T) {
-				if id, ok := some(func(int32) bool { return true }); ok {
-					delete(w.place, id)
-					delete(w.busy, id)
-					delete(w.refused, id)
+				if id, ok := drawConn(func(int32) bool { return true }); ok {
+					delete(w.states, id)
+					delete(w.open, id)
+					delete(w.rejected, id)
 					delete(w.ready, id)
 					w.step(Event{Kind: Closed, Conn: id})
 				}
 			},
 			"host": func(t *rapid.T) {
-				for id := range w.gone {
+				for id := range w.evicted {
 					w.step(Event{Kind: Closed, Conn: id})
-					delete(w.gone, id)
+					delete(w.evicted, id)
 				}
 			},
 		})
@@ -254,11 +254,11 @@
 			t.Fatalf("%+v", got)
 		}
 	}
-	stranger := do(Event{Kind: Opened, Addr: addr("10.0.0.3")})
-	if got := do(Event{Kind: RequestRead, Conn: stranger.Conn}); got.Kind != Reject || got.Code != 503 {
+	unknown := do(Event{Kind: Opened, Addr: addr("10.0.0.3")})
+	if got := do(Event{Kind: RequestRead, Conn: unknown.Conn}); got.Kind != Reject || got.Code != 503 {
 		t.Errorf("a stranger on the step: %+v", got)
 	}
-	do(Event{Kind: Closed, Conn: stranger.Conn})
+	do(Event{Kind: Closed, Conn: unknown.Conn})
 	tool := do(Event{Kind: Opened, Addr: addr("10.0.0.2")})
 	if got := do(Event{Kind: RequestRead, Conn: tool.Conn, Identity: "tool"}); got.Kind != Serve || got.CloseAfterAnswer {
 		t.Errorf("a known client on the step: %+v", got)
@@ -381,21 +381,21 @@
 		for range busy {
 			d.Step(now, Event{Kind: RequestRead, Conn: open()})
 		}
-		silent, sending := open(), open()
+		idle, sending := open(), open()
 		d.Step(now, Event{Kind: RequestBegan, Conn: sending})
 		if d.Level() != Level(level) {
 			t.Fatalf("%v, want %v", d.Level(), Level(level))
 		}
-		hurried := map[int32]time.Duration{}
+		expired := map[int32]time.Duration{}
 		for end := now + time.Second; now < end; now += 10 * ms {
 			for _, a := range d.Step(now, Event{Kind: TimePassed}) {
-				if a.Kind != Expire || a.Cause != TimedOut || hurried[a.Conn] != 0 {
+				if a.Kind != Expire || a.Cause != TimedOut || expired[a.Conn] != 0 {
 					t.Fatalf("%+v", a)
 				}
-				hurried[a.Conn] = now - time.Second
+				expired[a.Conn] = now - time.Second
 			}
 		}
-		if diff := cmp.Diff(map[int32]time.Duration{silent: c.IdleTimeout[level], sending: c.RequestTimeout[level]}, hurried); diff != "" {
+		if diff := cmp.Diff(map[int32]time.Duration{idle: c.IdleTimeout[level], sending: c.RequestTimeout[level]}, expired); diff != "" {
 			t.Errorf("%v: %s", Level(level), diff)
 		}
 	}
@@ -419,27 +419,27 @@
 		open("10.0.0.2")
 	}
 	c.MaxConnections, c.ReservedForKnown = 6, 3
-	shut := 0
+	evicted := 0
 	for _, a := range d.Step(now, Event{Kind: ConfigChanged, Config: &c}) {
 		if a.Kind == Evict {
-			shut++
+			evicted++
 		}
 	}
-	if got := d.Counts(); shut != 5 || got.Unknown != 5 || got.Open != 5 {
-		t.Errorf("%d shut, %+v", shut, got)
+	if got := d.Counts(); evicted != 5 || got.Unknown != 5 || got.Open != 5 {
+		t.Errorf("%d shut, %+v", evicted, got)
 	}
-	refuse := func(e Event) bool {
+	rejects := func(e Event) bool {
 		e.Kind, e.Addr, e.HeadComplete = Opened, addr("10.0.0.3"), true
 		got := d.Step(now, e)
 		return got[0].Kind == Reject && got[0].Code == 503
 	}
 	for conn := range int32(3) {
-		if !refuse(Event{}) {
+		if !rejects(Event{}) {
 			t.Error("a stranger was let in over the bound")
 		}
 		d.Step(now, Event{Kind: Closed, Conn: conn})
 	}
-	if refuse(Event{}) || refuse(Event{Identity: "tool"}) {
+	if rejects(Event{}) || rejects(Event{Identity: "tool"}) {
 		t.Error("nobody is let in under the bound")
 	}
 }
@@ -450,22 +450,22 @@
 	c.MaxConnections = 100
 	d := New(c, 1)
 	now := time.Second
-	visit := func() {
+	connectOnce := func() {
 		now += 10 * ms
 		open := d.Step(now, Event{Kind: Opened, Addr: addr("10.0.0.9")})[0].Conn
 		d.Step(now, Event{Kind: RequestRead, Conn: open, Identity: "tool"})
 		d.Step(now, Event{Kind: RequestDone, Conn: open})
 		d.Step(now, Event{Kind: Closed, Conn: open})
 	}
-	visit()
+	connectOnce()
 	for i := range 1000 {
 		open := d.Step(now, Event{Kind: Opened, Addr: netip.AddrFrom4([4]byte{172, byte(i >> 8), byte(i), 1})})[0].Conn
 		d.Step(now, Event{Kind: Closed, Conn: open})
 	}
-	if own, _ := d.config.Prefixes.keys(addr("10.0.0.9")); d.table.clients[own] == nil || len(d.table.clients) > 2*c.RememberedAddresses {
-		t.Errorf("%d addresses, the known one among them: %v", len(d.table.clients), d.table.clients[own] != nil)
+	if key, _ := d.config.Prefixes.keys(addr("10.0.0.9")); d.table.clients[key] == nil || len(d.table.clients) > 2*c.RememberedAddresses {
+		t.Errorf("%d addresses, the known one among them: %v", len(d.table.clients), d.table.clients[key] != nil)
 	}
-	if n := testing.AllocsPerRun(1000, visit); n != 0 {
+	if n := testing.AllocsPerRun(1000, connectOnce); n != 0 {
 		t.Errorf("%v allocations", n)
 	}
 }
--- a/internal/protocol/chunks.go
+++ b/internal/protocol/chunks.go
@@ -64,7 +64,7 @@
 	case b == '\n':
 		return c.endLine()
 	case c.At == AtSize:
-		digit, ok := hex(b)
+		digit, ok := hexDigit(b)
 		if !ok && c.HasDigit {
 			c.At = AtSizeExtension
 			return nil
@@ -109,7 +109,7 @@
 }
 
 // hex returns the value of a hexadecimal digit.
-func hex(b byte) (uint64, bool) {
+func hexDigit(b byte) (uint64, bool) {
 	switch {
 	case '0' <= b && b <= '9':
 		return uint64(b - '0'), true
--- a/internal/protocol/fleet_test.go
+++ b/internal/protocol/fleet_test.go
@@ -17,8 +17,8 @@
 // what is sealed is the host's word.
 func TestFleetJudge(t *testing.T) {
 	seal := map[string]string{HeaderSeal: "s", HeaderRequestID: "r"}
-	nameless := map[string]string{HeaderSeal: "s"}
-	refused := map[string]string{HeaderNotExecuted: "1"}
+	withoutID := map[string]string{HeaderSeal: "s"}
+	notExecuted := map[string]string{HeaderNotExecuted: "1"}
 	for _, c := range []struct {
 		status int
 		head   map[string]string
@@ -27,8 +27,8 @@
 		{200, seal, AttemptJudgement{Result: balance.OK, Forwardable: true}},
 		{204, seal, AttemptJudgement{Result: balance.OK, Forwardable: true}},
 		{200, nil, AttemptJudgement{Result: balance.Error}},
-		{200, nameless, AttemptJudgement{Result: balance.Error}}, // it may be anybody's
-		{500, nameless, AttemptJudgement{Result: balance.Error, Forwardable: true}},
+		{200, withoutID, AttemptJudgement{Result: balance.Error}}, // it may be anybody's
+		{500, withoutID, AttemptJudgement{Result: balance.Error, Forwardable: true}},
 		{500, seal, AttemptJudgement{Result: balance.Error, Forwardable: true}},
 		{504, seal, AttemptJudgement{Result: balance.Error, Forwardable: true}},
 		{429, seal, AttemptJudgement{Result: balance.Error}}, // it has run, and these would promise that it has not
@@ -36,10 +36,10 @@
 		{408, seal, AttemptJudgement{Result: balance.Error}},
 		{404, seal, AttemptJudgement{Result: balance.Cancelled, RequestInvalid: true, Forwardable: true}},
 		{500, nil, AttemptJudgement{Result: balance.Error}},
-		{503, refused, AttemptJudgement{Result: balance.Full}},
-		{504, refused, AttemptJudgement{Result: balance.Full}},
-		{429, refused, AttemptJudgement{Result: balance.Full}},
-		{400, refused, AttemptJudgement{Result: balance.NotSent, RequestInvalid: true, Forwardable: true}},
+		{503, notExecuted, AttemptJudgement{Result: balance.Full}},
+		{504, notExecuted, AttemptJudgement{Result: balance.Full}},
+		{429, notExecuted, AttemptJudgement{Result: balance.Full}},
+		{400, notExecuted, AttemptJudgement{Result: balance.NotSent, RequestInvalid: true, Forwardable: true}},
 		{503, nil, AttemptJudgement{Result: balance.Error}},
 		{421, nil, AttemptJudgement{Result: balance.NoConnection}},
 	} {
--- a/internal/protocol/peerreport.go
+++ b/internal/protocol/peerreport.go
@@ -61,26 +61,26 @@
 	if len(b) < peerReportHead {
 		return 0, nil, fmt.Errorf("peer reports: %d bytes, fewer than a head has", len(b))
 	}
-	item := peerReportSize
+	reportSize := peerReportSize
 	switch v := b[0] >> 4; v {
 	case peerReportVersion:
 	case peerReportVersionPrefixes:
-		item += peerReportPrefix
+		reportSize += peerReportPrefix
 	default:
 		return 0, nil, fmt.Errorf("peer reports: version %d, not %d or %d", v, peerReportVersion, peerReportVersionPrefixes)
 	}
 	n := int(b[0] & 0x0f)
-	if want := peerReportHead + n*item; len(b) != want {
+	if want := peerReportHead + n*reportSize; len(b) != want {
 		return 0, nil, fmt.Errorf("peer reports: %d bytes for %d reports, not %d", len(b), n, want)
 	}
-	for i := peerReportHead; i < len(b); i += item {
+	for i := peerReportHead; i < len(b); i += reportSize {
 		report := balance.PeerReport{ReplicaTag: uint32(b[i])<<16 | uint32(b[i+1])<<8 | uint32(b[i+2])}
 		if value := b[i+3]; value&ratioFlag != 0 {
 			report.LatencyRatio = minRatio * math.Exp2(float64(value&maxStep)/stepsPerRatioDoubling)
 		} else {
 			report.PrefillTokens = math.Exp2(float64(value) / stepsPerTokenDoubling)
 		}
-		if item > peerReportSize {
+		if reportSize > peerReportSize {
 			report.PrefixTag = uint16(b[i+4])<<8 | uint16(b[i+5])
 		}
 		reports = append(reports, report)
--- a/internal/protocol/peerreport_test.go
+++ b/internal/protocol/peerreport_test.go
@@ -14,7 +14,7 @@
 func TestPeerReportsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zone := rapid.Byte().Draw(t, "zone")
-		var told []balance.PeerReport
+		var sent []balance.PeerReport
 		for range rapid.IntRange(0, MaxPeerReports).Draw(t, "words") {
 			n := balance.PeerReport{ReplicaTag: rapid.Uint32Max(1<<24-1).Draw(t, "tag"), PrefixTag: rapid.SampledFrom([]uint16{0, 0, 1, 0x1234, 0xffff}).Draw(t, "prefix")}
 			if rapid.Bool().Draw(t, "slow") {
@@ -22,20 +22,20 @@
 			} else {
 				n.PrefillTokens = rapid.Float64Range(1, 32000).Draw(t, "tokens")
 			}
-			told = append(told, n)
+			sent = append(sent, n)
 		}
-		text := AppendPeerReports(nil, zone, told)
+		text := AppendPeerReports(nil, zone, sent)
 		if len(text) > 256 {
 			t.Fatalf("%d bytes", len(text))
 		}
-		got, heard, err := ParsePeerReports(text)
-		if err != nil || got != zone || len(heard) != len(told) {
-			t.Fatalf("got zone %d, %d words, %v", got, len(heard), err)
+		gotZone, received, err := ParsePeerReports(text)
+		if err != nil || gotZone != zone || len(received) != len(sent) {
+			t.Fatalf("got zone %d, %d words, %v", gotZone, len(received), err)
 		}
-		for i, n := range told {
+		for i, n := range sent {
 			near := func(a, b, ratio float64) bool { return a == b || math.Abs(math.Log(a/b)) < math.Log(ratio) }
-			if heard[i].ReplicaTag != n.ReplicaTag || heard[i].PrefixTag != n.PrefixTag || !near(heard[i].PrefillTokens, n.PrefillTokens, 1.05) || !near(heard[i].LatencyRatio, n.LatencyRatio, 1.03) {
-				t.Fatalf("told %v, heard %v", n, heard[i])
+			if received[i].ReplicaTag != n.ReplicaTag || received[i].PrefixTag != n.PrefixTag || !near(received[i].PrefillTokens, n.PrefillTokens, 1.05) || !near(received[i].LatencyRatio, n.LatencyRatio, 1.03) {
+				t.Fatalf("told %v, heard %v", n, received[i])
 			}
 		}
 		for n := range text {
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -13,17 +13,17 @@
 func TestParseArrival(t *testing.T) {
 	good := map[string]string{HeaderID: "9b1f", HeaderClass: "chat", HeaderSession: "7f3a", HeaderTimeLeft: "4800m",
 		HeaderHint: "1500", HeaderFacts: "prefix=5c0f,prompt_len=5120,prefix_len=2048,max_out=800"}
-	whole := balance.Arrival{ID: "9b1f", Class: "chat", Session: "7f3a", Prefix: "5c0f", TimeLeft: 4800 * time.Millisecond,
+	complete := balance.Arrival{ID: "9b1f", Class: "chat", Session: "7f3a", Prefix: "5c0f", TimeLeft: 4800 * time.Millisecond,
 		WorkEstimate: 1500 * time.Microsecond, PromptTokens: 5120, PrefixTokens: 2048}
-	bare := whole
-	bare.Prefix, bare.PromptTokens, bare.PrefixTokens = "", 100, 0
+	withoutFacts := complete
+	withoutFacts.Prefix, withoutFacts.PromptTokens, withoutFacts.PrefixTokens = "", 100, 0
 	for _, tt := range []struct {
 		name, header, value string
 		want                balance.Arrival
 		fault               string
 	}{
-		{name: "all there", want: whole},
-		{name: "no facts: the body tells the length", header: HeaderFacts, want: bare},
+		{name: "all there", want: complete},
+		{name: "no facts: the body tells the length", header: HeaderFacts, want: withoutFacts},
 		{name: "no id", header: HeaderID, fault: "X-Correlation-Id is missing"},
 		{name: "no class", header: HeaderClass, fault: "X-Service-Class is missing"},
 		{name: "no time", header: HeaderTimeLeft, fault: `X-Time-Left: "" is not a time`},
@@ -101,10 +101,10 @@
 			t.Errorf("pieces of %d: %s", size, diff)
 		}
 	}
-	var odd StreamReader
-	odd.Feed([]byte(": X-Backend-Load: {\n"))
-	if odd.Err == nil || odd.Load != nil {
-		t.Errorf("a malformed report: got %+v, want an error and no load", odd)
+	var malformed StreamReader
+	malformed.Feed([]byte(": X-Backend-Load: {\n"))
+	if malformed.Err == nil || malformed.Load != nil {
+		t.Errorf("a malformed report: got %+v, want an error and no load", malformed)
 	}
 }
 
--- a/internal/protocol/requestframing.go
+++ b/internal/protocol/requestframing.go
@@ -12,11 +12,11 @@
 type framingState int
 
 const (
-	inHead     framingState = iota
-	inBody                  // of a length that the head states
-	inChunks                // a chunked body
-	pastEnd                 // of the request
-	unreadable              // the framing is malformed: where the request ends is not known
+	inHead       framingState = iota
+	inBody                    // of a length that the head states
+	inChunks                  // a chunked body
+	requestEnded              // of the request
+	unreadable                // the framing is malformed: where the request ends is not known
 )
 
 // RequestFraming finds where a request of HTTP/1.1 ends, as its bytes come, split anywhere. Its zero
@@ -41,7 +41,7 @@
 		f.remaining -= n
 		used += n
 		if f.remaining == 0 {
-			f.state = pastEnd
+			f.state = requestEnded
 		}
 	case inChunks:
 		n, err := f.chunks.Feed(rest, func([]byte) {})
@@ -50,7 +50,7 @@
 		case err != nil:
 			f.state = unreadable
 		case f.chunks.At == AtComplete:
-			f.state = pastEnd
+			f.state = requestEnded
 		}
 	}
 	if f.state == unreadable {
@@ -63,7 +63,7 @@
 func (f *RequestFraming) HeadComplete() bool { return f.state != inHead && f.state != unreadable }
 
 // Complete reports whether the whole request has come.
-func (f *RequestFraming) Complete() bool { return f.state == pastEnd }
+func (f *RequestFraming) Complete() bool { return f.state == requestEnded }
 
 // BodyRemaining returns how many bytes of a body of a stated length have not come, 0 where no such
 // body is read.
@@ -142,6 +142,6 @@
 	case f.remaining > 0:
 		f.state = inBody
 	default:
-		f.state = pastEnd
+		f.state = requestEnded
 	}
 }
--- a/internal/protocol/requesthead_test.go
+++ b/internal/protocol/requesthead_test.go
@@ -13,8 +13,8 @@
 func TestParseRequestHead(t *testing.T) {
 	const first = "POST /v1/chat/completions HTTP/1.1\r\n"
 	for sent, want := range map[string]struct {
-		g  RequestHead
-		ok bool
+		head RequestHead
+		ok   bool
 	}{
 		first + "X-Client: tool-1\r\nContent-Length: 5\r\n\r\nhe": {RequestHead{"tool-1", len(first) + 18 + 19 + 2 + 5}, true},
 		first + "x-cLIENT:\t tool 1 \r\n\r\n":                     {RequestHead{"tool 1", -1}, true},
@@ -33,8 +33,8 @@
 		"": {},
 	} {
 		g, ok := ParseRequestHead([]byte(sent), "X-Client")
-		if ok != want.ok || ok && g != want.g {
-			t.Errorf("%q: %+v, %v; want %+v, %v", sent, g, ok, want.g, want.ok)
+		if ok != want.ok || ok && g != want.head {
+			t.Errorf("%q: %+v, %v; want %+v, %v", sent, g, ok, want.head, want.ok)
 		}
 	}
 }
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -102,7 +102,7 @@
 		if err != nil {
 			t.Fatalf("%s: %v", line, err)
 		}
-		again, err := json.Marshal(batch.Msgs[0])
+		encoded, err := json.Marshal(batch.Msgs[0])
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -110,7 +110,7 @@
 		if err := json.Unmarshal([]byte(line), &want); err != nil {
 			t.Fatal(err)
 		}
-		if err := json.Unmarshal(again, &got); err != nil {
+		if err := json.Unmarshal(encoded, &got); err != nil {
 			t.Fatal(err)
 		}
 		for kind, fields := range want {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -248,22 +248,22 @@
 		return s.I, balance.FirstToken{ID: s.Txn, Attempt: s.Attempt}, nil
 	case m.Verdict != nil:
 		v := m.Verdict
-		how, ok := results[v.Result]
+		result, ok := results[v.Result]
 		if !ok {
 			return v.I, nil, fmt.Errorf("verdict.how is %q; it must be one of S E F T C R X N", v.Result)
 		}
-		return v.I, balance.Outcome{ID: v.Txn, Attempt: v.Attempt, Result: how, Final: v.Final,
+		return v.I, balance.Outcome{ID: v.Txn, Attempt: v.Attempt, Result: result, Final: v.Final,
 			CachedTokens: v.CachedTokens, Load: load(v.Load)}, nil
 	case m.Aborted != nil:
 		return m.Aborted.I, balance.Aborted{ID: m.Aborted.Txn}, nil
 	case m.Timer != nil:
 		return m.Timer.I, balance.TimerExpired{Token: m.Timer.Ctx}, nil
 	case m.Health != nil:
-		how, ok := results[m.Health.Result]
+		result, ok := results[m.Health.Result]
 		if !ok {
 			return m.Health.I, nil, fmt.Errorf("health.how is %q; it must be one of S E F T C R X N", m.Health.Result)
 		}
-		return m.Health.I, balance.ProbeResult{Replica: m.Health.Replica, Result: how,
+		return m.Health.I, balance.ProbeResult{Replica: m.Health.Replica, Result: result,
 			Load: load(m.Health.Load)}, nil
 	case m.Datagram != nil:
 		return m.Datagram.I, m.Datagram.event(), nil
@@ -413,7 +413,7 @@
 }
 
 // Die reports a crash of instance i.
-func Die(i int, why string) any { return tagged{"die": text{i, why}} }
+func Die(i int, cause string) any { return tagged{"die": text{i, cause}} }
 
 // Decode reads one line of input.
 func Decode(line []byte) (*Batch, error) {
