--- a/internal/admission/clienttable.go
+++ b/internal/admission/clienttable.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// client is what has connections: an address, a network or an identity.
+// client is the unit that limits apply to: an address, a network or an identity.
 type client struct {
-	key           netip.Prefix // zero for an identity
-	name          string       // of an identity
-	conns         int
-	open          int
-	nextArrivalAt time.Duration // of the rate limit: when its next connection would be due
-	trustedUntil  time.Duration // as an address of known clients
-	known         bool          // in which list of unused clients it belongs
-	inUse         bool          // by the event that is being handled
+	key           netip.Prefix  // zero for an identity
+	name          string        // of an identity, otherwise empty
+	conns         int           // number of connections
+	open          int           // number of connections with an open request
+	nextArrivalAt time.Duration // state of the rate limit: when the next connection is due
+	trustedUntil  time.Duration // until when the address counts as one of known clients
+	known         bool          // selects the list of unused clients that the client belongs to
+	inUse         bool          // the event that is being handled refers to the client
 	idle          list[conn]    // its connections without an open request, the longest idle first
 
 	rankLinks   links[client] // in its bucket of the ranking
@@ -23,16 +23,16 @@
 	nextFree    *client       // in the list of free entries
 }
 
-// links link an element to its neighbours in one list.
+// links connects an element to its neighbours in one list.
 type links[T any] struct {
 	prev, next *T
-	in         bool
+	in         bool // the element is in the list
 }
 
-// list is an intrusive list: its elements have their own links, so that it allocates nothing. Of
-// returns the links of an element in this list.
+// list is an intrusive doubly linked list: each element stores its own links, so that list
+// operations allocate nothing.
 type list[T any] struct {
-	of         func(*T) *links[T]
+	of         func(*T) *links[T] // returns the links of an element in this list
 	head, tail *T
 	n          int
 }
@@ -50,7 +50,7 @@
 	l.n++
 }
 
-// remove removes an element, if it is in the list.
+// remove removes an element if it is in the list.
 func (l *list[T]) remove(x *T) {
 	at := l.of(x)
 	if !at.in {
@@ -70,17 +70,17 @@
 	l.n--
 }
 
-// The links of elements in the lists that they may be in.
+// The following functions return the links of an element in each list that the element may be in.
 func connIdleLinks(c *conn) *links[conn]         { return &c.idleLinks }
 func connTimeoutLinks(c *conn) *links[conn]      { return &c.timeoutLinks }
 func clientRankLinks(h *client) *links[client]   { return &h.rankLinks }
 func clientUnusedLinks(h *client) *links[client] { return &h.unusedLinks }
 
-// ranking orders clients by how many idle connections they have, so that the largest is found at
-// once.
+// ranking groups clients by their number of idle connections, so that the client with the most is
+// found in constant time.
 type ranking struct {
-	buckets []list[client]
-	largest int // no bucket above has a client
+	buckets []list[client] // indexed by number of idle connections
+	largest int            // every bucket above this index is empty
 }
 
 // add adds a client with n idle connections.
@@ -106,7 +106,8 @@
 	}
 }
 
-// top returns the client with the most, and of these the one that had as many first.
+// top returns the client with the most idle connections, or nil if no client has one. Among equals
+// it returns the client that reached that number first.
 func (r *ranking) top() *client {
 	if r.largest == 0 {
 		return nil
@@ -114,22 +115,23 @@
 	return r.buckets[r.largest].head
 }
 
-// clientTable has the addresses and networks: all with a connection, and of the others the last
-// ones seen, known and unknown ones each with a bound of its own, so that no crowd of unknown
-// clients evicts a known one.
+// clientTable has the addresses and networks that have a connection, and the most recently used of
+// those without one. Known and unknown clients without a connection have separate bounds, so that
+// no number of unknown clients evicts a known client from the table.
 type clientTable struct {
 	clients   map[netip.Prefix]*client
-	unused    [2]list[client] // unknown and known; see index
-	free      *client         // entries to be used again
-	maxUnused int
+	unused    [2]list[client] // clients without a connection, unknown and known; see index
+	free      *client         // list of entries for reuse
+	maxUnused int             // bound of each list in unused
 }
 
-// newTable returns an empty table.
+// newTable returns an empty client table.
 func newTable() clientTable {
 	return clientTable{clients: map[netip.Prefix]*client{}, unused: [2]list[client]{{of: clientUnusedLinks}, {of: clientUnusedLinks}}}
 }
 
-// index returns the index of lists by whether clients are known, or requests have begun.
+// index returns the index for a condition in a pair of lists: 1 if the condition is true, otherwise
+// 0. The pairs distinguish known from unknown clients, or begun requests from none.
 func index(known bool) int {
 	if known {
 		return 1
@@ -137,7 +139,8 @@
 	return 0
 }
 
-// acquire returns the client of a key, a new one if need be. It stays in use until release.
+// acquire returns the client of a key, and adds the client to the table if it is missing. The table
+// does not drop the client before the caller passes it to release.
 func (t *clientTable) acquire(key netip.Prefix) *client {
 	h := t.clients[key]
 	if h == nil {
@@ -154,8 +157,8 @@
 	return h
 }
 
-// release remembers a client without a connection as unused, and forgets the one that is unused for
-// longest if there are too many.
+// release adds a client without a connection to the unused clients. If there are more than
+// maxUnused, release drops the client that has been unused for the longest time.
 func (t *clientTable) release(h *client) {
 	if h.conns > 0 || h.inUse || h.unusedLinks.in || t.clients[h.key] != h {
 		return
@@ -170,19 +173,19 @@
 	}
 }
 
-// withDefaults returns the lengths with defaults for zero fields.
+// withDefaults returns a copy of l with defaults in place of zero fields.
 func (l PrefixLengths) withDefaults() PrefixLengths {
 	return PrefixLengths{cmp.Or(l.Address4, 32), cmp.Or(l.Network4, 24), cmp.Or(l.Address6, 64), cmp.Or(l.Network6, 48)}
 }
 
-// keys returns the keys of an address and its network.
+// keys returns the client table's keys of an IP address and of its network.
 func (l PrefixLengths) keys(a netip.Addr) (address, net netip.Prefix) {
 	a = a.Unmap()
 	addressBits, networkBits := l.Address4, l.Network4
 	if a.Is6() {
 		addressBits, networkBits = l.Address6, l.Network6
 	}
-	address, _ = a.WithZone("").Prefix(addressBits) // within their lengths these can't fail
+	address, _ = a.WithZone("").Prefix(addressBits) // no error: the number of bits is in the valid range
 	net, _ = a.WithZone("").Prefix(networkBits)
 	return address, net
 }
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -8,13 +8,14 @@
 )
 
 const (
-	// trustTime is how long an address of a known client counts as one of known clients.
+	// trustTime is how long an address counts as one of known clients after a known client was
+	// admitted from it.
 	trustTime = 10 * time.Minute
-	// shortageTime is how long a lack of descriptors keeps the level at Critical, and further ones
-	// are not counted.
+	// shortageTime is how long a shortage of file descriptors keeps the level at Critical. Further
+	// shortages within this time are not counted.
 	shortageTime = time.Second
-	// minEvictionAge is how long a connection must be idle before it may be evicted: its request
-	// may have come already, and only the caller is late.
+	// minEvictionAge is how long a connection must be idle before it may be evicted. Its request may
+	// have arrived already without the caller having reported it yet.
 	minEvictionAge = 5 * time.Millisecond
 )
 
@@ -22,47 +23,47 @@
 type connState int
 
 const (
-	unusedConn      connState = iota
-	awaitingRequest           // of an unknown client, no request read yet
-	unknownClient             // of an unknown client
-	knownClient               // of a known one
-	overflow                  // beyond MaxConnections: its request is rejected unless its identity is known
+	unusedConn      connState = iota // closed; the ID may be reused
+	awaitingRequest                  // of an unknown client that has not sent a request yet
+	unknownClient                    // of an unknown client that has sent a request
+	knownClient                      // of a known client
+	overflow                         // beyond MaxConnections; its request is rejected unless its identity is known
 )
 
 // conn is one connection. Its ID is its index in Controller.conns.
 type conn struct {
 	id           int32
 	state        connState
-	requestOpen  bool // its request is open
-	requestBegun bool // and was not read to its end
-	requestReady bool // its request is complete, and is not handled yet: it is not evicted
-	rejected     bool // its request was: it only waits for Closed
-	evicted      bool // it only waits for Closed
-	drainExpired bool // it was expired as the router is draining
-	used         bool // a request has begun on it
-	since        time.Duration
+	requestOpen  bool          // a request was served and has no final answer yet
+	requestBegun bool          // a request has begun and was not read to its end
+	requestReady bool          // a request is complete but not handled yet, so the connection must not be evicted
+	rejected     bool          // its request was rejected; only Closed is expected
+	evicted      bool          // it was evicted; only Closed is expected
+	drainExpired bool          // it was expired because the router is draining
+	used         bool          // at least one request has begun on it
+	since        time.Duration // when it became idle or its request began
 	addr, net    *client
-	owner        *client // the address, or the identity of a known client
-	rejectCode   int     // of the overflow: the status of its rejection
-	cause        Cause
+	owner        *client     // the client that the connection counts for: its address or the identity of a known client
+	rejectCode   int         // status of the rejection, for a connection of the overflow
+	cause        Cause       // cause of the rejection, for a connection of the overflow
 	idleLinks    links[conn] // in owner.idle, or in Controller.idleOverflow
 	timeoutLinks links[conn] // in one of Controller.timeouts
 }
 
-// Controller decides for one listener. It is not safe for concurrent use.
+// Controller makes the admission decisions of one listener. It is not safe for concurrent use.
 type Controller struct {
 	config  Config
 	rng     *rand.Rand
 	now     time.Duration
 	actions []Action
 	conns   []*conn
-	freeIDs []int32 // IDs of connections that are closed
+	freeIDs []int32 // IDs of closed connections, for reuse
 
 	table        clientTable
 	identities   map[string]*client
-	ranked       [2]ranking    // unknown and known clients with idle connections
-	idleOverflow list[conn]    // the longest idle first
-	timeouts     [2]list[conn] // of unknown clients without an open request, by whether one has begun, the oldest first
+	ranked       [2]ranking    // unknown and known clients with idle connections; see rankingIndex
+	idleOverflow list[conn]    // connections of the overflow without an open request, the longest idle first
+	timeouts     [2]list[conn] // connections of unknown clients: idle ones, and ones whose request has begun; the oldest first
 
 	known, unknown, awaitingRequests, overflows, open int
 	lent                                              int
@@ -71,7 +72,7 @@
 	counts                                            Counts
 }
 
-// New returns a Controller without connections.
+// New returns a Controller without connections. The seed determines the random part of Retry-After.
 func New(c Config, seed uint64) *Controller {
 	d := &Controller{rng: rand.New(rand.NewPCG(seed, 1)), table: newTable(), identities: map[string]*client{},
 		idleOverflow: list[conn]{of: connIdleLinks}, timeouts: [2]list[conn]{{of: connTimeoutLinks}, {of: connTimeoutLinks}}}
@@ -79,8 +80,8 @@
 	return d
 }
 
-// applyConfig puts a configuration in force. Identities that are not known any more stay while they
-// have connections.
+// applyConfig replaces the configuration. Identities that the new configuration lacks stay in the
+// table of identities while they have connections.
 func (d *Controller) applyConfig(c Config) {
 	d.config, d.table.maxUnused = c, max(c.RememberedAddresses, 1)
 	d.config.Prefixes = c.Prefixes.withDefaults()
@@ -96,7 +97,8 @@
 	}
 }
 
-// Step handles one event and returns the actions, in a slice that the next call reuses.
+// Step handles one event at the time now and returns the actions that the caller must carry out.
+// The next call reuses the returned slice.
 func (d *Controller) Step(now time.Duration, e Event) []Action {
 	d.now, d.actions = max(now, d.now), d.actions[:0]
 	switch e.Kind {
@@ -136,7 +138,7 @@
 	return d.actions
 }
 
-// conn returns a connection by its ID, nil if it is not open.
+// conn returns the connection with an ID, or nil if no such connection is open.
 func (d *Controller) conn(id int32) *conn {
 	if id < 0 || int(id) >= len(d.conns) || d.conns[id].state == unusedConn {
 		return nil
@@ -144,10 +146,10 @@
 	return d.conns[id]
 }
 
-// emit adds an action to those of the current Step.
+// emit appends an action to those that the current Step returns.
 func (d *Controller) emit(a Action) { d.actions = append(d.actions, a) }
 
-// admit adds a connection in a state.
+// admit adds a connection with the given state and owner, and emits an Admit action.
 func (d *Controller) admit(event *Event, address, network *client, state connState, owner *client) *conn {
 	var c *conn
 	if k := len(d.freeIDs); k > 0 {
@@ -185,7 +187,7 @@
 	return c
 }
 
-// countState counts a connection in its state: 1 more or, with -1, fewer.
+// countState adds delta, 1 or -1, to the number of connections in the state of c.
 func (d *Controller) countState(c *conn, delta int) {
 	switch c.state {
 	case awaitingRequest:
@@ -200,7 +202,7 @@
 	}
 }
 
-// setIdle adds a connection to the idle ones, at the end.
+// setIdle appends a connection to the lists of idle connections that apply to it.
 func (d *Controller) setIdle(c *conn) {
 	if c.state == overflow {
 		d.idleOverflow.push(c)
@@ -210,12 +212,12 @@
 		h.idle.push(c)
 		r.add(h, h.idle.n)
 	}
-	if c.state != knownClient { // admission does not time out known clients
+	if c.state != knownClient { // known clients have no timeout here
 		d.timeouts[index(c.requestBegun)].push(c)
 	}
 }
 
-// setActive removes a connection from the idle ones.
+// setActive removes a connection from the lists of idle connections.
 func (d *Controller) setActive(c *conn) {
 	if c.state == overflow {
 		d.idleOverflow.remove(c)
@@ -228,25 +230,26 @@
 	d.timeouts[index(c.requestBegun)].remove(c)
 }
 
-// rankingIndex returns the index of a connection's ranking.
+// rankingIndex returns the index in Controller.ranked of the ranking that a connection counts in.
 func rankingIndex(c *conn) int {
 	return index(c.state == knownClient)
 }
 
-// mayEvict reports whether the connection that evictOne would evict was idle for long enough.
+// mayEvict reports whether evictOne would find a connection, and that connection has been idle for
+// at least minEvictionAge.
 func (d *Controller) mayEvict(group int) bool {
 	c := d.evictionCandidate(group)
 	return c != nil && d.now-c.since >= minEvictionAge
 }
 
-// evictionCandidate returns the connection to be evicted next, of the unknown (0) or the known
-// clients (1); nil if none is idle.
+// evictionCandidate returns the connection that is evicted next from a group of clients: 0 for
+// unknown and 1 for known clients. It returns nil if the group has no idle connection.
 func (d *Controller) evictionCandidate(group int) *conn {
 	if !d.config.EvictFromLargest && group == 0 {
 		var oldest *conn
 		for _, l := range d.timeouts {
 			c := l.head
-			for c != nil && c.state == overflow { // these are few
+			for c != nil && c.state == overflow { // at most MaxOverflow connections are skipped
 				c = c.timeoutLinks.next
 			}
 			if oldest == nil || c != nil && c.since < oldest.since {
@@ -261,8 +264,8 @@
 	return nil
 }
 
-// evictOne evicts an idle connection of the unknown (0) or the known clients (1), and reports
-// whether there was one.
+// evictOne evicts an idle connection from a group of clients, 0 for unknown and 1 for known ones,
+// and reports whether the group had an idle connection.
 func (d *Controller) evictOne(group int) bool {
 	c := d.evictionCandidate(group)
 	if c == nil {
@@ -272,8 +275,8 @@
 	return true
 }
 
-// evict closes an idle connection. It does not count any more: the caller closes it before anything
-// else.
+// evict emits the eviction of an idle connection and removes the connection from all counts at
+// once, because the caller closes it before it carries out any further action.
 func (d *Controller) evict(c *conn, cause Cause) {
 	d.counts.Closed[cause]++
 	d.emit(Action{Kind: Evict, Conn: c.id, Cause: cause})
@@ -281,7 +284,7 @@
 	c.evicted = true
 }
 
-// uncount removes a connection from all counts; its ID stays in use until Closed.
+// uncount removes a connection from all counts and lists. Its ID stays in use until Closed.
 func (d *Controller) uncount(c *conn) {
 	if c.state == unusedConn || c.evicted {
 		return
@@ -301,7 +304,7 @@
 	d.table.release(c.net)
 }
 
-// handleClosed frees the ID of a connection.
+// handleClosed removes a closed connection and frees its ID.
 func (d *Controller) handleClosed(c *conn) {
 	d.uncount(c)
 	c.state = unusedConn
@@ -309,7 +312,7 @@
 	d.freeIDs = append(d.freeIDs, c.id)
 }
 
-// countOpen counts one more open request of a connection or, with -1, one fewer.
+// countOpen adds delta, 1 or -1, to the numbers of open requests that a connection counts in.
 func (d *Controller) countOpen(c *conn, delta int) {
 	d.open += delta
 	c.addr.open += delta
@@ -319,8 +322,10 @@
 	}
 }
 
-// handleBegan keeps a connection among the idle ones while its request comes: half a request must not
-// keep others out. One that is complete is not evicted any more, as the router has read it.
+// handleBegan marks a connection whose next request has begun. While the request is incomplete, the
+// connection stays in the idle lists and may be evicted, so that clients can't block others by
+// sending half a request. Once the request is complete, the connection is not evicted, because the
+// router has read the request.
 func (d *Controller) handleBegan(c *conn, complete bool) {
 	d.setActive(c)
 	c.since, c.requestBegun, c.used, c.drainExpired = d.now, true, true, false
@@ -330,8 +335,8 @@
 	}
 }
 
-// handleRequest serves or rejects a request that was read. A known identity makes its connection
-// one of a known client.
+// handleRequest serves or rejects a request that was read. If the identity is known, the connection
+// becomes one of a known client.
 func (d *Controller) handleRequest(c *conn, identity string) {
 	if c.requestOpen || c.rejected || c.evicted {
 		return
@@ -361,7 +366,7 @@
 	d.emit(Action{Kind: Serve, Conn: c.id, CloseAfterAnswer: closeAfterAnswer})
 }
 
-// hasTooManyOpen reports whether the client of a connection has as many open requests as it may.
+// hasTooManyOpen reports whether the client of a connection has reached its limit of open requests.
 func (d *Controller) hasTooManyOpen(c *conn) bool {
 	limits := &d.config
 	switch {
@@ -373,7 +378,8 @@
 	return atLimit(c.owner.open, limits.PerIdentity.OpenRequests)
 }
 
-// promote makes a connection one of a known client. It returns the code of a rejection, 0 for none.
+// promote makes a connection one of the known client h. If the limits of h do not allow that, it
+// returns the status and the cause of a rejection; otherwise the returned code is 0.
 func (d *Controller) promote(c *conn, h *client) (code int, cause Cause) {
 	if c.owner == h {
 		return 0, NoCause
@@ -393,21 +399,21 @@
 	return 0, NoCause
 }
 
-// changeState changes the state and the owner of a connection that is in no list.
+// changeState changes the state and the owner of a connection that is in none of the idle lists.
 func (d *Controller) changeState(c *conn, state connState, owner *client) {
 	d.countState(c, -1)
 	c.state, c.owner = state, owner
 	d.countState(c, 1)
 }
 
-// rejectConn rejects a connection's request.
+// rejectConn rejects the request of an admitted connection.
 func (d *Controller) rejectConn(c *conn, code int, cause Cause) {
 	c.rejected = true
 	d.emitRejection(c.id, code, cause)
 }
 
-// emitRejection rejects a request. Its advice is spread, so that rejected clients don't come back
-// at once.
+// emitRejection emits the rejection of a request. Its Retry-After has a random part, so that
+// rejected clients do not all retry at the same time.
 func (d *Controller) emitRejection(conn int32, code int, cause Cause) {
 	d.counts.Rejected[cause]++
 	minimum := d.config.MinRetryAfter
@@ -415,8 +421,8 @@
 	d.emit(Action{Kind: Reject, Conn: conn, Code: code, Cause: cause, RetryAfter: retryAfter})
 }
 
-// handleDone makes a connection idle again. Its request may have been answered without a decision
-// on it, as those for the router itself are.
+// handleDone makes a connection idle again after its request was answered. The request may have
+// been answered without an admission decision, as requests to the router itself are.
 func (d *Controller) handleDone(c *conn) {
 	switch {
 	case c.rejected || c.evicted:
@@ -432,7 +438,7 @@
 	d.setIdle(c)
 }
 
-// evictExcess evicts idle connections until the limits hold again.
+// evictExcess evicts idle connections until the limits hold or no idle connection is left to evict.
 func (d *Controller) evictExcess() {
 	for d.total() > d.config.MaxConnections+d.lent || d.unknown > d.config.MaxConnections-d.config.ReservedForKnown {
 		if !d.evictOne(0) && (d.unknown > d.config.MaxConnections-d.config.ReservedForKnown || !d.evictOne(1)) {
@@ -441,12 +447,13 @@
 	}
 }
 
-// firstRequestTime is how long a new connection is left open for its first request by a router that
-// is draining: the time to send it across a region, and once more where it is lost.
+// firstRequestTime is how long a draining router leaves a new connection open for its first request.
+// It suffices to send the request across a region and to send it once more if it is lost.
 const firstRequestTime = 300 * time.Millisecond
 
-// expireAll expires all connections that are idle for so long, of known clients as well. One whose
-// request has begun has its own timeout, and a new one is given firstRequestTime.
+// expireAll expires all connections that have been idle for at least idleTime, including those of
+// known clients. A connection whose request has begun has its own timeout, and a connection without
+// a first request is left open for at least firstRequestTime.
 func (d *Controller) expireAll(idleTime time.Duration) {
 	for _, c := range d.conns {
 		if !c.isIdle() || d.now-c.since < c.minIdleTime(idleTime) {
@@ -460,14 +467,14 @@
 	}
 }
 
-// isIdle reports whether a connection is open and nothing of a request has come on it since the
+// isIdle reports whether a connection is open and no byte of a request has arrived on it since the
 // last answer.
 func (c *conn) isIdle() bool {
 	return c.state != unusedConn && !c.requestOpen && !c.requestBegun && !c.requestReady && !c.rejected && !c.evicted
 }
 
-// minIdleTime returns how long a connection must have been idle to be closed where others must have
-// been for idleTime.
+// minIdleTime returns how long the connection must be idle before a draining router closes it:
+// idleTime, or at least firstRequestTime if no request has begun on the connection.
 func (c *conn) minIdleTime(idleTime time.Duration) time.Duration {
 	if c.used {
 		return idleTime
@@ -475,7 +482,8 @@
 	return max(idleTime, firstRequestTime)
 }
 
-// updateLevel updates the level. Each ends lower than it begins, so that it does not flap.
+// updateLevel computes the level from the fraction of connections in use. A level ends at a lower
+// fraction than it begins, so that the level does not oscillate.
 func (d *Controller) updateLevel() {
 	usedFraction := float64(d.total()+d.overflows) / float64(max(d.config.MaxConnections, 1))
 	if d.now < d.shortageUntil {
@@ -489,8 +497,8 @@
 	}
 }
 
-// expireIdle expires the connections of unknown clients that were idle, or sending a request, for
-// too long.
+// expireIdle expires the connections of unknown clients that have been idle, or have been sending a
+// request, for longer than the current level allows.
 func (d *Controller) expireIdle() {
 	for i, timeout := range [2]time.Duration{d.config.IdleTimeout[d.level], d.config.RequestTimeout[d.level]} {
 		l := &d.timeouts[i]
@@ -502,7 +510,7 @@
 	}
 }
 
-// Counts returns the counters and the state.
+// Counts returns the Controller's counters and current state.
 func (d *Controller) Counts() Counts {
 	c := d.counts
 	c.Level = d.level
@@ -512,20 +520,21 @@
 	return c
 }
 
-// WriteTimeout returns how long a client may take to read what one write sent, 0 for no bound.
+// WriteTimeout returns how long an unknown client may take, at the current level, to read the data
+// of one write; 0 means no bound.
 func (d *Controller) WriteTimeout() time.Duration { return d.config.WriteTimeout[d.level] }
 
-// Level returns the level.
+// Level returns the current level.
 func (d *Controller) Level() Level { return d.level }
 
-// UsedFraction returns the fraction of MaxConnections that is in use; with lent ones it may be
-// above 1.
+// UsedFraction returns the number of connections in use, without the overflow, as a fraction of
+// MaxConnections. The fraction exceeds 1 if connections beyond MaxConnections are lent and in use.
 func (d *Controller) UsedFraction() float64 {
 	return float64(d.total()) / float64(max(d.config.MaxConnections, 1))
 }
 
-// LargestClients returns the addresses and identities with the most connections. It looks at all of
-// them.
+// LargestClients returns up to limit addresses and identities with the most connections, the largest
+// first. It sorts all clients with a connection, so it is too slow to be called for each event.
 func (d *Controller) LargestClients(limit int) []ClientUsage {
 	var all []ClientUsage
 	for key, h := range d.table.clients {
