--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -24,8 +24,8 @@
 
 const (
 	unusedConn      connState = iota // closed; the ID may be reused
-	awaitingRequest                  // of an unknown client that has not sent a request yet
-	unknownClient                    // of an unknown client that has sent a request
+	awaitingRequest                  // of an unknown client; no request was read yet
+	unknownClient                    // of an unknown client; at least one request was read
 	knownClient                      // of a known client
 	overflow                         // beyond MaxConnections; its request is rejected unless its identity is known
 )
@@ -520,8 +520,8 @@
 	return c
 }
 
-// WriteTimeout returns how long an unknown client may take, at the current level, to read the data
-// of one write; 0 means no bound.
+// WriteTimeout returns how long a client may take, at the current level, to read the data of one
+// write; 0 means no bound.
 func (d *Controller) WriteTimeout() time.Duration { return d.config.WriteTimeout[d.level] }
 
 // Level returns the current level.
@@ -534,7 +534,7 @@
 }
 
 // LargestClients returns up to limit addresses and identities with the most connections, the largest
-// first. It sorts all clients with a connection, so it is too slow to be called for each event.
+// first. Its cost grows with the number of all clients.
 func (d *Controller) LargestClients(limit int) []ClientUsage {
 	var all []ClientUsage
 	for key, h := range d.table.clients {
--- a/internal/admission/descriptors.go
+++ b/internal/admission/descriptors.go
@@ -1,13 +1,13 @@
 package admission
 
-// Owner is a part of the process that uses descriptors. The names are those of the status.
+// Owner is a part of the process that uses file descriptors. Its value is the name in the status.
 type Owner string
 
-// The owners. Clients have their connections and the overflow, servers as many connections as
-// clients. What mirrored requests don't use is lent to known clients, and none starts before it is
-// returned.
+// The owners. The descriptors of clients are their connections and those of the overflow; servers
+// may have as many connections as clients. Descriptors that mirrored requests do not use are lent to
+// known clients, and no mirrored request starts before the descriptors that it needs are returned.
 const (
-	Listeners       Owner = "listeners" // with the descriptor in reserve
+	Listeners       Owner = "listeners" // including the spare descriptor
 	KnownClients    Owner = "known clients"
 	UnknownClients  Owner = "unknown clients"
 	OverflowClients Owner = "clients on the step"
@@ -17,24 +17,24 @@
 	StatusClients   Owner = "status"
 	Files           Owner = "files"
 	Operators       Owner = "operators" // the management address
-	Runtime         Owner = "run-time"  // standard streams, the poller, probes, connections that are ending
+	Runtime         Owner = "run-time"  // standard streams, the network poller, probes, connections that are being closed
 )
 
-// OwnerUse is one owner's row of the table.
+// OwnerUse is the row of one owner in a DescriptorTable.
 type OwnerUse struct {
 	Owner Owner `json:"owner"`
-	Limit int   `json:"share"` // as many as it may have
+	Limit int   `json:"share"` // maximum number of descriptors
 	Used  int   `json:"used"`
 }
 
-// DescriptorTable says which owner may have and which has the descriptors of the process.
+// DescriptorTable has the number of file descriptors that each owner may use and uses.
 type DescriptorTable struct {
-	Limit  int        `json:"limit"`
+	Limit  int        `json:"limit"` // of the process
 	Owners []OwnerUse `json:"lines"`
-	Open   int        `json:"open"` // as the process counts them
+	Open   int        `json:"open"` // number of descriptors that are open in the process
 }
 
-// Used returns the sum over all owners.
+// Used returns the number of descriptors in use, summed over all owners.
 func (l *DescriptorTable) Used() (n int) {
 	for _, x := range l.Owners {
 		n += x.Used
@@ -42,7 +42,7 @@
 	return n
 }
 
-// RuntimeUsed returns how many descriptors the run-time has.
+// RuntimeUsed returns the number of descriptors that the owner Runtime uses.
 func (l *DescriptorTable) RuntimeUsed() (n int) {
 	for _, x := range l.Owners {
 		if x.Owner == Runtime {
@@ -52,7 +52,7 @@
 	return n
 }
 
-// TotalLimit returns the sum of what owners may have; it must not be over Limit.
+// TotalLimit returns the sum of the owners' limits, which must not exceed Limit.
 func (l *DescriptorTable) TotalLimit() (n int) {
 	for _, x := range l.Owners {
 		n += x.Limit
@@ -60,5 +60,6 @@
 	return n
 }
 
-// LendableConnections returns how many connections the mirror's descriptors leave to known clients.
+// LendableConnections returns the number of connections that can be lent to known clients, given the
+// limit of the owner Mirror and the number of its descriptors in use.
 func LendableConnections(limit, used int) int { return max(limit-used, 0) }
--- a/internal/admission/newconn.go
+++ b/internal/admission/newconn.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// nextArrival returns when the next connection of a client would be due after this one, and whether
-// this one conforms to the rate: the generic cell rate algorithm of ATM Forum TM 4.0, a leaky
-// bucket kept as one time. A library's limiter would cost an allocation and a lock for each client.
+// nextArrival reports whether a new connection of a client conforms to a rate limit, and returns
+// when the connection after it is due. It implements the generic cell rate algorithm of ATM Forum
+// TM 4.0, a leaky bucket whose state is a single time. A rate limiter from a library would cost an
+// allocation and a lock for each client.
 func (d *Controller) nextArrival(h *client, perSecond float64) (time.Duration, bool) {
 	if perSecond <= 0 {
 		return h.nextArrivalAt, true
@@ -18,13 +19,14 @@
 	return due, due-d.now <= max(time.Second, interval)
 }
 
-// isFull reports whether there is no free connection for an unknown client.
+// isFull reports whether no connection is free for an unknown client.
 func (d *Controller) isFull() bool {
 	return d.total() >= d.config.MaxConnections || d.unknown >= d.config.MaxConnections-d.config.ReservedForKnown
 }
 
-// mustRetryLater reports whether no connection is free and none, of the overflow neither, was idle
-// for long enough to be evicted. That passes in moments: idle ones grow older, and the overflow is
+// mustRetryLater reports whether the decision on a new connection of an unknown client must wait: no
+// connection is free, and no idle one, in the overflow either, has been idle for minEvictionAge. The
+// wait is short, because idle connections soon reach minEvictionAge and requests in the overflow are
 // answered at once.
 func (d *Controller) mustRetryLater() bool {
 	switch {
@@ -36,13 +38,13 @@
 	return d.overflows >= d.config.MaxOverflow && !d.mayEvictOverflow()
 }
 
-// mayEvictOverflow reports whether a connection of the overflow was idle for long enough to be
-// evicted.
+// mayEvictOverflow reports whether a connection of the overflow has been idle for at least
+// minEvictionAge.
 func (d *Controller) mayEvictOverflow() bool {
 	return d.idleOverflow.head != nil && d.now-d.idleOverflow.head.since >= minEvictionAge
 }
 
-// identity returns the known client of that name, nil if there is none.
+// identity returns the known client with an identity, or nil if the identity is empty or not known.
 func (d *Controller) identity(name string) *client {
 	if name == "" || !d.config.KnownIdentities[name] {
 		return nil
@@ -50,11 +52,12 @@
 	return d.identities[name]
 }
 
-// handleOpened admits a new connection or not.
+// handleOpened decides whether a new connection is admitted, rejected, dropped or retried later.
 func (d *Controller) handleOpened(event *Event) {
 	addressKey, networkKey := d.config.Prefixes.keys(event.Addr)
 	address, network := d.table.acquire(addressKey), d.table.acquire(networkKey)
-	address.inUse, network.inUse = true, true // an eviction may close their last connection
+	// inUse keeps both in the table if an eviction closes their last connection.
+	address.inUse, network.inUse = true, true
 	if h := d.identity(event.Identity); h != nil && event.HeadComplete {
 		d.admitIdentity(event, address, network, h)
 	} else {
@@ -65,8 +68,9 @@
 	d.table.release(network)
 }
 
-// admitIdentity admits a known client whose request was read already. Limits on addresses are not
-// for it: others may flood from the same address.
+// admitIdentity admits or rejects a connection of a known client whose request was already read.
+// The limits of its address and network do not apply, because other clients may flood the router
+// from the same address.
 func (d *Controller) admitIdentity(event *Event, address, network, identity *client) {
 	if code, cause := d.identityFits(identity, true); code != 0 {
 		d.emitRejection(NoConnection, code, cause)
@@ -77,13 +81,14 @@
 	d.counts.Promoted++
 }
 
-// trustAddress treats an address as one of known clients for a while.
+// trustAddress makes an address count as one of known clients for trustTime.
 func (d *Controller) trustAddress(address *client) {
 	address.trustedUntil, address.known = d.now+trustTime, true
 }
 
-// identityFits checks whether a known client may have one more connection, and evicts another one
-// if need be. It returns the code of a rejection, 0 for none.
+// identityFits checks whether a known client may have one more connection. If needs is set, the
+// connection must also fit into the capacity, and identityFits evicts an unknown client's idle
+// connection if none is free. It returns the status and the cause of a rejection, or the code 0.
 func (d *Controller) identityFits(h *client, needs bool) (code int, cause Cause) {
 	due, ok := d.nextArrival(h, d.config.PerIdentity.ConnectionsPerSecond)
 	switch {
@@ -98,8 +103,9 @@
 	return 0, NoCause
 }
 
-// admitByAddress admits a client that is not known by a request, if its address may have one more
-// connection and one is free or can be evicted.
+// admitByAddress decides on a connection on which no request with a known identity was read. It
+// admits the connection if the limits of its address and network allow one more, and a connection is
+// free or can be evicted.
 func (d *Controller) admitByAddress(event *Event, address, network *client) {
 	inKnownRange := slices.ContainsFunc(d.config.KnownRanges, func(p netip.Prefix) bool { return p.Contains(event.Addr.Unmap()) })
 	trusted := inKnownRange || d.now < address.trustedUntil
@@ -107,7 +113,8 @@
 	if trusted {
 		limit, networkLimit = d.config.PerKnownAddress, ClientLimit{}
 	}
-	// The address comes first: what it may not have takes nothing from its network.
+	// The address's rate is checked first, so that connections over it do not use up the rate of
+	// the network.
 	due, ok := d.nextArrival(address, limit.ConnectionsPerSecond)
 	if !ok {
 		d.deny(event, address, network, tooManyRequests, RateExceeded)
@@ -131,7 +138,7 @@
 	case event.HeadComplete && (atLimit(address.open, limit.OpenRequests) || atLimit(network.open, networkLimit.OpenRequests)):
 		d.deny(event, address, network, tooManyRequests, TooManyOpenRequests)
 	case inKnownRange && d.total() >= d.config.MaxConnections+d.lent && !d.evictOne(0) && !(d.mayEvict(1) && d.evictOne(1)),
-		// A trusted address need not wait until an idle connection is old enough.
+		// For a trusted address, an idle connection is evicted even before minEvictionAge.
 		!inKnownRange && d.isFull() && !((trusted || d.mayEvict(0)) && d.evictOne(0)):
 		d.deny(event, address, network, unavailable, CapacityReached)
 	case inKnownRange:
@@ -141,21 +148,23 @@
 	}
 }
 
-// atLimit reports whether n has reached a limit, 0 for none.
+// atLimit reports whether n has reached a limit. A limit of 0 is no limit.
 func atLimit(n, limit int) bool { return limit > 0 && n >= limit }
 
-// total returns how many connections are in use, without the overflow.
+// total returns the number of connections in use, without the overflow.
 func (d *Controller) total() int { return d.known + d.unknown }
 
-// drop closes a connection without an answer.
+// drop emits the close of a new connection without an answer.
 func (d *Controller) drop(cause Cause) {
 	d.counts.Dropped[cause]++
 	d.emit(Action{Kind: Drop, Cause: cause})
 }
 
-// deny does not admit a connection. A request that was read is rejected; without one the connection
-// goes to the overflow until it has a request, unless its client came too often. If the overflow is
-// full, the one there that is idle for longest is evicted.
+// deny turns away a new connection that must not be served. If a request was read, deny rejects the
+// request. Otherwise it admits the connection to the overflow, where its first request can be
+// rejected; if the overflow is full, deny first evicts the overflow connection that has been idle
+// for the longest time. It drops the connection if the client exceeded its rate, or if no overflow
+// connection may be evicted yet.
 func (d *Controller) deny(event *Event, address, network *client, code int, cause Cause) {
 	switch {
 	case event.ClientLeft:
