--- a/internal/admission/newconn.go
+++ b/internal/admission/newconn.go
@@ -163,8 +163,8 @@
 // deny turns away a new connection that must not be served. If a request was read, deny rejects the
 // request. Otherwise it admits the connection to the overflow, where its first request can be
 // rejected; if the overflow is full, deny first evicts the overflow connection that has been idle
-// for the longest time. It drops the connection if the client exceeded its rate, or if no overflow
-// connection may be evicted yet.
+// for the longest time. It drops the connection if the client has left or exceeded its rate, or if
+// no overflow connection may be evicted yet.
 func (d *Controller) deny(event *Event, address, network *client, code int, cause Cause) {
 	switch {
 	case event.ClientLeft:
--- a/internal/protocol/answer.go
+++ b/internal/protocol/answer.go
@@ -5,16 +5,16 @@
 	"encoding/json"
 )
 
-// Answer is the joined content of a stream of events.
+// Answer is the content of a streamed answer, joined from the events of its stream.
 type Answer struct {
 	Text             string
-	FinishReason     string // finish_reason, empty if none came
+	FinishReason     string // the last finish_reason, empty if there was none
 	CompletionTokens int    // completion_tokens, -1 if not given
 	CachedTokens     int    // cached_tokens, -1 if not given
 }
 
-// ReadAnswer joins the events of a stream, or of the retained part of one. Lines that it can't read
-// are skipped.
+// ReadAnswer joins the events of a stream, or of the part of a stream that was retained. It skips
+// lines that it can't parse.
 func ReadAnswer(stream []byte) Answer {
 	a := Answer{CompletionTokens: -1, CachedTokens: -1}
 	var text bytes.Buffer
--- a/internal/protocol/chunks.go
+++ b/internal/protocol/chunks.go
@@ -5,35 +5,37 @@
 	"fmt"
 )
 
-// ChunkParser parses a chunked body as its bytes come, split anywhere. Its zero value is at the
-// body's start. Its JSON form is all that another process needs to go on from there.
+// ChunkParser parses an HTTP body in chunked coding incrementally; the body may be split at any
+// byte. The zero value is ready to parse the start of a body. Another process can continue at the
+// same byte with a ChunkParser that it decodes from the JSON form.
 type ChunkParser struct {
 	At         ChunkState `json:"at"`
-	Remaining  uint64     `json:"left"` // of the chunk's data; while its size is read, the size so far
-	LineLength int        `json:"long"` // bytes of the line that is being read
-	HasDigit   bool       `json:"any"`  // of the size
+	Remaining  uint64     `json:"left"` // bytes left of the chunk's data, or the size as far as its digits were read
+	LineLength int        `json:"long"` // bytes read of the current line of framing
+	HasDigit   bool       `json:"any"`  // a digit of the current chunk's size was read
 }
 
-// ChunkState says what the next byte of a chunked body is part of.
+// ChunkState says which part of a chunked body the next byte belongs to.
 type ChunkState string
 
-// The states.
+// The states of a ChunkParser, and its limits.
 const (
-	AtSize          ChunkState = ""        // digits of a chunk's size
-	AtSizeExtension ChunkState = "rest"    // what follows these on their line
-	AtData          ChunkState = "data"    // the chunk's own bytes
-	AtDataEnd       ChunkState = "end"     // the line end after the data
-	AtTrailer       ChunkState = "trailer" // lines after the last chunk
-	AtComplete      ChunkState = "whole"   // the body is complete
-	maxChunkSize               = 1 << 40   // bytes of one chunk, far beyond any body
-	maxFramingLine             = 8 << 10   // bytes of a line of framing
+	AtSize          ChunkState = ""        // the hexadecimal digits of a chunk's size
+	AtSizeExtension ChunkState = "rest"    // the rest of the line with the size
+	AtData          ChunkState = "data"    // the data of a chunk
+	AtDataEnd       ChunkState = "end"     // the line end after a chunk's data
+	AtTrailer       ChunkState = "trailer" // the lines after the last chunk
+	AtComplete      ChunkState = "whole"   // none: the body is complete
+	maxChunkSize               = 1 << 40   // maximum size of a chunk in bytes, far more than any body has
+	maxFramingLine             = 8 << 10   // maximum length of a line of framing in bytes
 )
 
-// errChunk says that the framing of a chunked body is malformed.
+// errChunk is wrapped by all errors about malformed framing of a chunked body.
 var errChunk = errors.New("malformed chunk")
 
-// Feed parses the next bytes and calls data with each run of chunk data in them. It returns how
-// many of the bytes belong to the body: fewer than there are once it is complete.
+// Feed parses the next bytes of the body and calls data with each piece of chunk data in them. It
+// returns the number of bytes that belong to the body, which is less than len(p) if the body ends
+// within p.
 func (c *ChunkParser) Feed(p []byte, data func(chunk []byte)) (used int, err error) {
 	for used < len(p) && c.At != AtComplete {
 		if c.At == AtData {
@@ -54,7 +56,7 @@
 	return used, nil
 }
 
-// feedFraming parses one byte of framing.
+// feedFraming parses one byte that is not chunk data.
 func (c *ChunkParser) feedFraming(b byte) error {
 	c.LineLength++
 	if c.LineLength > maxFramingLine {
@@ -108,7 +110,7 @@
 	return nil
 }
 
-// hex returns the value of a hexadecimal digit.
+// hexDigit returns the value of a hexadecimal digit, and reports whether b is one.
 func hexDigit(b byte) (uint64, bool) {
 	switch {
 	case '0' <= b && b <= '9':
--- a/internal/protocol/completions.go
+++ b/internal/protocol/completions.go
@@ -7,10 +7,11 @@
 	"reachspread/balance"
 )
 
-// Completions is the dialect of the router in service: one path, streams of chat completions.
+// Completions is the dialect of the router in service: clients post to a single path and receive
+// streams of chat completions.
 type Completions struct{}
 
-// TimeLeft implements Dialect.
+// TimeLeft implements Dialect. It gives the time in microseconds.
 func (Completions) TimeLeft(left time.Duration) Field {
 	return Field{HeaderTimeLeft, FormatDuration(left)}
 }
@@ -18,14 +19,14 @@
 // RequestID implements Dialect.
 func (Completions) RequestID() string { return HeaderID }
 
-// Expects implements Dialect: no header names the server that a request is for.
+// Expects implements Dialect. No header of this dialect names the server that a request is for.
 func (Completions) Expects(string) (Field, bool) { return Field{}, false }
 
-// AnswersOther implements Dialect: answers carry no ID.
+// AnswersOther implements Dialect. It returns false, because answers carry no request ID.
 func (Completions) AnswersOther(string, HeaderReader) bool { return false }
 
-// Judge implements Dialect. An answer that finds the request at fault is no failure of the server:
-// otherwise one client's bad requests would eject the whole fleet.
+// Judge implements Dialect. An answer that blames the request does not count as a failure of the
+// server. Otherwise the invalid requests of a single client would eject all servers.
 func (Completions) Judge(status int, get HeaderReader) AttemptJudgement {
 	if status == http.StatusOK {
 		return AttemptJudgement{Result: balance.OK}
@@ -39,7 +40,7 @@
 	return AttemptJudgement{Result: balance.Error}
 }
 
-// Load implements Dialect.
+// Load implements Dialect. It reads the header HeaderLoad.
 func (Completions) Load(get HeaderReader) (*balance.Load, error) {
 	text := get(HeaderLoad)
 	if text == "" {
@@ -51,7 +52,7 @@
 // ProbePath implements Dialect.
 func (Completions) ProbePath() string { return PathLoad }
 
-// ProbeLoad implements Dialect.
+// ProbeLoad implements Dialect. It returns nil for an empty body.
 func (Completions) ProbeLoad(text []byte) (*balance.Load, error) {
 	if len(text) == 0 {
 		return nil, nil
@@ -59,5 +60,5 @@
 	return ParseLoad(text)
 }
 
-// KeepAlive implements Dialect: the settings have it.
+// KeepAlive implements Dialect. It returns 0, because the idle time is in the router's settings.
 func (Completions) KeepAlive(HeaderReader) time.Duration { return 0 }
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -9,8 +9,8 @@
 	"reachspread/balance"
 )
 
-// ListedServer is a server as discovery lists it. The decisions know it by its ID, which is the
-// same for all routers; only the network uses the address.
+// ListedServer is a server in a discovery list. Package balance identifies the server by its ID,
+// which is the same in all routers; the address is only used to connect to the server.
 type ListedServer struct {
 	ID        string  `json:"id"`
 	Addr      string  `json:"addr"`
@@ -21,14 +21,14 @@
 	StartedMs float64 `json:"started_ms"`
 }
 
-// List is an answer of discovery: the full list, or the servers that changed.
+// List is an answer of discovery: either the full list of servers, or the servers that changed.
 type List struct {
 	Version int64          `json:"version"`
 	Full    bool           `json:"full"`
 	Servers []ListedServer `json:"servers"`
 }
 
-// ParseList parses and validates a list. A malformed one is rejected as a whole.
+// ParseList parses and validates a list. It rejects a malformed list as a whole.
 func ParseList(text []byte) (*List, error) {
 	l := new(List)
 	if err := json.Unmarshal(text, l); err != nil {
@@ -37,7 +37,7 @@
 	return l, l.Validate()
 }
 
-// Validate returns the first fault of a list, with the field at fault.
+// Validate returns an error that names the first invalid field of a list, or nil.
 func (l *List) Validate() error {
 	for i, e := range l.Servers {
 		state, known := stateOf(e.State)
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// stateOf returns the state that discovery names so.
+// stateOf returns the state for a name that discovery uses, and reports whether the name is known.
 func stateOf(name string) (state balance.State, known bool) {
 	switch name {
 	case "Ready":
@@ -66,8 +66,8 @@
 	return balance.Removed, false
 }
 
-// Members returns a valid list as an event for the decisions, whose clock counts from the start of
-// Unix time.
+// Members converts a valid list to an event of package balance. Times in the event count from the
+// Unix epoch, as in the list.
 func (l *List) Members() balance.Members {
 	ev := balance.Members{Version: l.Version, Complete: l.Full}
 	for _, e := range l.Servers {
@@ -78,7 +78,7 @@
 	return ev
 }
 
-// Addrs returns the address of each server of the list.
+// Addrs returns the address of each server in the list by the server's ID.
 func (l *List) Addrs() map[string]string {
 	addrs := make(map[string]string, len(l.Servers))
 	for _, e := range l.Servers {
@@ -87,10 +87,11 @@
 	return addrs
 }
 
-// ListPath is the path of the full list.
+// ListPath is the path at which discovery serves the full list.
 const ListPath = "/api/targets"
 
-// WatchPath returns the path of a call that waits for a list newer than a version.
+// WatchPath returns the path of a long poll that discovery answers once it has a list newer than
+// version, or after the wait.
 func WatchPath(version int64, wait time.Duration) string {
 	return ListPath + "?index=" + strconv.FormatInt(version, 10) + "&wait=" + strconv.FormatInt(wait.Milliseconds(), 10)
 }
--- a/internal/protocol/events.go
+++ b/internal/protocol/events.go
@@ -8,36 +8,37 @@
 	"reachspread/balance"
 )
 
-// maxStreamLine bounds the bytes of a line that are buffered. Longer lines are text for the client,
-// and never of use to the decisions.
+// maxStreamLine is the maximum number of bytes of a line that are buffered. Longer lines are text
+// for the client and have nothing that routing decisions need.
 const maxStreamLine = 4096
 
-// StreamReader reads what the decisions need from a stream of events as it is forwarded. Its zero
-// value is ready.
+// StreamReader extracts what routing decisions need from a stream of events while the stream is
+// forwarded. The zero value is ready to use.
 type StreamReader struct {
-	CachedTokens float64       // of the prompt, from the usage event
-	Load         *balance.Load // the report at the stream's end, nil for none
-	Err          error         // of the last line that could not be read
+	CachedTokens float64       // cached tokens of the prompt, from the usage event
+	Load         *balance.Load // load report at the end of the stream, nil for none
+	Err          error         // error of the last line that could not be parsed
 
-	line        []byte
-	lineTooLong bool // for a line that is read
+	line        []byte // the current line as far as it was received and buffered
+	lineTooLong bool   // the current line exceeds maxStreamLine and is not parsed
 }
 
-// ResumeStreamReader returns a StreamReader that goes on with the line that Unfinished returned.
+// ResumeStreamReader returns a StreamReader that continues the line that Unfinished returned.
 func ResumeStreamReader(line []byte, tooLong bool) StreamReader {
 	return StreamReader{line: line, lineTooLong: tooLong}
 }
 
-// Unfinished returns what has come of the present line, and whether it is too long to be read.
+// Unfinished returns the buffered part of the current line, and reports whether the line is too long
+// to be parsed.
 func (n *StreamReader) Unfinished() (line []byte, tooLong bool) { return n.line, n.lineTooLong }
 
-// HasEvent reports whether a stream's beginning has a complete event: a line of data, and the empty
-// line that ends it.
+// HasEvent reports whether p, the beginning of a stream, has a complete event: a line of data and
+// the empty line that ends the event.
 func HasEvent(p []byte) bool {
 	data := false
 	for line := range bytes.Lines(p) {
 		switch bare := bytes.TrimRight(line, "\r\n"); {
-		case len(bare) == len(line): // incomplete
+		case len(bare) == len(line): // the line has no end yet
 			return false
 		case len(bare) == 0 && data:
 			return true
@@ -48,11 +49,11 @@
 	return false
 }
 
-// lineFields are what a line of a stream may begin with; the first begins a comment.
+// lineFields are the prefixes that a line of a stream may have. The first one begins a comment.
 var lineFields = []string{":", "data:", "event:", "id:", "retry:"}
 
-// Feed reads the next bytes of the stream, split anywhere. It reports whether they are lines of
-// events.
+// Feed parses the next bytes of the stream, which may be split at any byte. It returns false if a
+// line is not one of an event stream.
 func (n *StreamReader) Feed(p []byte) bool {
 	for len(p) > 0 {
 		text, rest, ended := bytes.Cut(p, []byte("\n"))
@@ -74,7 +75,8 @@
 	return true
 }
 
-// isField reports whether a line, or what has come of it, is empty or begins with a field.
+// isField reports whether a line is empty or begins with one of lineFields. If the line is not
+// complete, isField reports whether it may still become such a line.
 func isField(line []byte, complete bool) bool {
 	if len(line) == 0 || string(line) == "\r" {
 		return true
@@ -87,7 +89,7 @@
 	return false
 }
 
-// readLine reads a complete line: a load report in a comment, or the usage event.
+// readLine parses a complete line if it is a comment with a load report or a usage event.
 func (n *StreamReader) readLine(line []byte) {
 	if comment, ok := bytes.CutPrefix(line, []byte(": "+HeaderLoad+":")); ok {
 		load, err := ParseLoad(comment)
@@ -113,7 +115,7 @@
 		n.Err = fmt.Errorf("usage event: %w", err)
 		return
 	}
-	// A model's own text may contain the field's name, in an event without usage, which changes
-	// nothing.
+	// The text that a model generates may contain the field's name. Such an event has no usage, so
+	// the value stays as it is.
 	n.CachedTokens = max(n.CachedTokens, usage.Usage.Details.Cached)
 }
--- a/internal/protocol/fleet.go
+++ b/internal/protocol/fleet.go
@@ -12,7 +12,7 @@
 	"reachspread/balance"
 )
 
-// The headers of the router fleet's protocol.
+// The headers and the report path of the router fleet's protocol.
 const (
 	HeaderRequestID        = "Request-Id"
 	HeaderDeadline         = "Request-Deadline"
@@ -30,15 +30,15 @@
 	HeaderVersions         = "Versions"
 	HeaderLastEventID      = "Last-Event-Id"
 
-	// PathReport is the path of a server's load report.
+	// PathReport is the path at which a server answers with its load report.
 	PathReport = "/report"
 )
 
-// Fleet is the dialect of the router fleet: any method and path, answers under a seal that are
-// forwarded as they are.
+// Fleet is the dialect of the router fleet. Requests may have any method and path. Servers mark
+// their answers with the header Response-Seal, and the router forwards these answers unchanged.
 type Fleet struct{}
 
-// TimeLeft implements Dialect: integral milliseconds, rounded down.
+// TimeLeft implements Dialect. It gives whole milliseconds, rounded down.
 func (Fleet) TimeLeft(left time.Duration) Field {
 	return Field{HeaderDeadline, strconv.FormatInt(max(left.Milliseconds(), 0), 10)}
 }
@@ -49,37 +49,38 @@
 // Expects implements Dialect.
 func (Fleet) Expects(server string) (Field, bool) { return Field{HeaderExpectedInstance, server}, true }
 
-// AnswersOther implements Dialect: an answer carries the ID of its request.
+// AnswersOther implements Dialect. It compares the ID with the one that the answer carries; an
+// answer without an ID does not count as one to another request.
 func (Fleet) AnswersOther(id string, get HeaderReader) bool {
 	answered := get(HeaderRequestID)
 	return answered != "" && answered != id
 }
 
-// Judge implements Dialect. Only an answer with Not-Executed, or a 421, says that the request has
-// not executed, so that any request may be retried.
+// Judge implements Dialect. Only an answer with Not-Executed or the status 421 says that the server
+// has not executed the request, so that even an unsafe request may be retried.
 func (Fleet) Judge(status int, get HeaderReader) AttemptJudgement {
 	switch {
 	case status == http.StatusMisdirectedRequest:
-		// Another server has the address by now, or the server has another version of the model.
+		// The address now belongs to another server, or the server has another version of the model.
 		return AttemptJudgement{Result: balance.NoConnection}
 	case get(HeaderNotExecuted) != "" && status == http.StatusBadRequest:
 		return AttemptJudgement{Result: balance.NotSent, RequestInvalid: true, Forwardable: true}
 	case get(HeaderNotExecuted) != "":
 		return AttemptJudgement{Result: balance.Full}
 	case get(HeaderSeal) == "" || status/100 == 2 && get(HeaderRequestID) == "":
-		return AttemptJudgement{Result: balance.Error} // not a server's answer, or not known to be this request's
+		return AttemptJudgement{Result: balance.Error} // no server's answer, or possibly the answer to another request
 	case status/100 == 2:
 		return AttemptJudgement{Result: balance.OK, Forwardable: true}
 	case status/100 == 4 && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests:
 		return AttemptJudgement{Result: balance.Cancelled, RequestInvalid: true, Forwardable: true}
 	}
-	// To a client these statuses would say that the request has not executed, which only
-	// Not-Executed says.
+	// A client would take these statuses to mean that the request was not executed, which only
+	// Not-Executed guarantees.
 	impliesNotExecuted := status == http.StatusRequestTimeout || status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
 	return AttemptJudgement{Result: balance.Error, Forwardable: !impliesNotExecuted}
 }
 
-// Load implements Dialect.
+// Load implements Dialect. It parses the header HeaderServerLoad.
 func (Fleet) Load(get HeaderReader) (*balance.Load, error) {
 	text := get(HeaderServerLoad)
 	if text == "" {
@@ -88,7 +89,8 @@
 	return ParseServerLoad(text)
 }
 
-// ParseServerLoad parses requests running, requests waiting and slots, separated by commas.
+// ParseServerLoad parses the value of the header Server-Load: the number of running requests, of
+// waiting requests and of slots, separated by commas.
 func ParseServerLoad(text string) (*balance.Load, error) {
 	fields := strings.Split(text, ",")
 	if len(fields) != 3 {
@@ -112,7 +114,7 @@
 // ProbePath implements Dialect.
 func (Fleet) ProbePath() string { return PathReport }
 
-// ProbeLoad implements Dialect.
+// ProbeLoad implements Dialect. It parses the numbers of waiting and running requests from JSON.
 func (Fleet) ProbeLoad(text []byte) (*balance.Load, error) {
 	var report struct {
 		Waiting *float64 `json:"waiting"`
@@ -127,7 +129,8 @@
 	return &balance.Load{InFlight: *report.Running + *report.Waiting, Utilization: -1, PrefillTokens: -1}, nil
 }
 
-// KeepAlive implements Dialect: the timeout in Keep-Alive, in seconds.
+// KeepAlive implements Dialect. It returns the timeout in the header Keep-Alive, which is in
+// seconds.
 func (Fleet) KeepAlive(get HeaderReader) time.Duration {
 	for field := range strings.SplitSeq(get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
@@ -141,7 +144,8 @@
 	return 0
 }
 
-// ConnectionField reports whether a header concerns one connection only, and is not forwarded.
+// ConnectionField reports whether a header applies to a single connection (a hop-by-hop header) and
+// therefore must not be forwarded.
 func ConnectionField(name string) bool {
 	switch http.CanonicalHeaderKey(name) {
 	case "Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
--- a/internal/protocol/load.go
+++ b/internal/protocol/load.go
@@ -7,10 +7,10 @@
 	"reachspread/balance"
 )
 
-// ParseLoad parses a load report. Its fields have the names that the settings give them, or the
-// short names of the platform's pages: by the short ones alone, every report of a site that keeps
-// to its settings would silently be empty. Unknown fields are ignored, and missing ones are
-// negative.
+// ParseLoad parses a load report. A field may have the name from the settings or the short name from
+// the platform's documentation. If only the short names were accepted, all reports of a site that
+// uses the names from its settings would silently be read as empty. ParseLoad ignores unknown fields
+// and sets missing ones to -1.
 func ParseLoad(text []byte) (*balance.Load, error) {
 	var report map[string]any
 	if err := json.Unmarshal(text, &report); err != nil {
--- a/internal/protocol/peerreport.go
+++ b/internal/protocol/peerreport.go
@@ -8,34 +8,36 @@
 	"reachspread/balance"
 )
 
-// A datagram between routers, of a head and n reports:
+// A datagram of peer reports between routers has a head of two bytes and n reports:
 //
-//	byte 0       version in the high half, n in the low one; version 5 if reports have prefixes
+//	byte 0       version in the high 4 bits, n in the low 4 bits; version 5 if reports have prefixes
 //	byte 1       tag of the sender's zone
-//	per report:  tag of the server, 3 bytes, high one first
-//	             value: top bit 0 for tokens, 1 for a latency ratio; the rest is a logarithm
-//	             in version 5, the tag of a prefix, 2 bytes, high one first; 0 for none
+//	per report:  tag of the server, 3 bytes, big-endian
+//	             value, 1 byte: the top bit is 0 for tokens and 1 for a latency ratio; the other 7
+//	             bits are a logarithm
+//	             in version 5 only, tag of a prefix, 2 bytes, big-endian; 0 for none
 //
-// Delivered bytes have a price, so a value has 7 bits: tokens within 5%, latency ratios within 3%.
+// Delivered bytes are billed, so a value has only 7 bits. They give tokens within 5% and latency
+// ratios within 3%.
 const (
-	peerReportVersion         = 1
-	peerReportVersionPrefixes = 5 // versions between are the fleet view's, roles' and recovery's
-	peerReportHead            = 2
-	peerReportSize            = 4
-	peerReportPrefix          = 2 // bytes more, with a prefix
+	peerReportVersion         = 1 // without prefixes
+	peerReportVersionPrefixes = 5 // the versions 2 to 4 belong to datagrams of the fleet view, the roles and the recovery
+	peerReportHead            = 2 // bytes of the head
+	peerReportSize            = 4 // bytes of a report without a prefix
+	peerReportPrefix          = 2 // additional bytes of a report with a prefix
 
-	// MaxPeerReports is how many reports a datagram may have.
+	// MaxPeerReports is the maximum number of reports in a datagram.
 	MaxPeerReports = 15
 
-	stepsPerTokenDoubling = 8.0  // from 1 on
-	stepsPerRatioDoubling = 16.0 // from minRatio on
-	minRatio              = 1.0 / 8
-	ratioFlag             = 0x80
-	maxStep               = 0x7f
+	stepsPerTokenDoubling = 8.0     // step 0 is 1 token
+	stepsPerRatioDoubling = 16.0    // step 0 is minRatio
+	minRatio              = 1.0 / 8 // smallest latency ratio that can be encoded
+	ratioFlag             = 0x80    // bit of a value that is a latency ratio
+	maxStep               = 0x7f    // mask and maximum of a value's logarithm
 )
 
-// AppendPeerReports appends a datagram to b. Reports beyond MaxPeerReports are left out: they are
-// only hints.
+// AppendPeerReports appends a datagram with the reports to b. It omits reports beyond
+// MaxPeerReports, which is harmless because reports are only hints.
 func AppendPeerReports(b []byte, zone uint8, reports []balance.PeerReport) []byte {
 	reports = reports[:min(len(reports), MaxPeerReports)]
 	version := peerReportVersion
@@ -56,7 +58,8 @@
 	return b
 }
 
-// ParsePeerReports parses a datagram, all of it or nothing.
+// ParsePeerReports parses a datagram of peer reports. It returns no reports if any part of the
+// datagram is malformed.
 func ParsePeerReports(b []byte) (zone uint8, reports []balance.PeerReport, err error) {
 	if len(b) < peerReportHead {
 		return 0, nil, fmt.Errorf("peer reports: %d bytes, fewer than a head has", len(b))
@@ -88,7 +91,8 @@
 	return b[1], reports, nil
 }
 
-// logStep returns the nearest step to a value on a logarithmic scale.
+// logStep returns the step, from 0 to maxStep, that is nearest to a value on a logarithmic scale
+// that begins at 1.
 func logStep(value, stepsPerDoubling float64) byte {
 	return byte(min(max(math.Round(math.Log2(max(value, 1))*stepsPerDoubling), 0), maxStep))
 }
