--- a/internal/protocol/prompt.go
+++ b/internal/protocol/prompt.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// maxPromptSegments bounds the segments of a prompt.
+// maxPromptSegments is the maximum number of segments in a prompt.
 const maxPromptSegments = 64
 
-// PromptSegment is a segment of a prompt that may be shared with other prompts.
+// PromptSegment is a segment of a prompt that other prompts may share.
 type PromptSegment struct {
 	ID     string
 	Tokens float64
 }
 
-// ParsePrompt parses the segments of a prompt in their order, as Prompt-Prefix lists them. An empty
-// text is a prompt without segments.
+// ParsePrompt parses the value of the header Prompt-Prefix, which lists the segments of a prompt in
+// their order. An empty text stands for a prompt without segments.
 func ParsePrompt(text string) ([]PromptSegment, error) {
 	if text == "" {
 		return nil, nil
@@ -37,10 +37,10 @@
 	return segments, nil
 }
 
-// TokenUsage is how many tokens a request has, and how many its answer may have.
+// TokenUsage has the number of tokens of a request's prompt, and the maximum number of its answer.
 type TokenUsage struct{ PromptTokens, AnswerTokens float64 }
 
-// ParseUsage parses Token-Usage. An empty text is no usage.
+// ParseUsage parses the value of the header Token-Usage. It returns false for ok if the text is empty.
 func ParseUsage(text string) (u TokenUsage, ok bool, err error) {
 	if text == "" {
 		return u, false, nil
@@ -57,7 +57,8 @@
 	return TokenUsage{float64(prompt), float64(answer)}, true, nil
 }
 
-// ParseDeadline parses a Request-Deadline in milliseconds. An empty text is none.
+// ParseDeadline parses the value of the header Request-Deadline: the time left in milliseconds. It
+// returns false for ok if the text is empty.
 func ParseDeadline(text string) (left time.Duration, ok bool, err error) {
 	if text == "" {
 		return 0, false, nil
@@ -69,7 +70,8 @@
 	return time.Duration(ms * float64(time.Millisecond)), true, nil
 }
 
-// BearerKey returns the key in an Authorization header, empty for none.
+// BearerKey returns the key in an Authorization header of the scheme Bearer. It returns "" for a
+// missing key or another scheme.
 func BearerKey(text string) string {
 	scheme, key, ok := strings.Cut(text, " ")
 	if !ok || !strings.EqualFold(scheme, "Bearer") {
--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -1,6 +1,6 @@
-// Package protocol parses and writes what clients, routers, servers and discovery send each other:
-// headers, durations, prompts, load reports, discovery lists, event streams and peer reports. Its
-// functions are pure.
+// Package protocol parses and formats what clients, routers, servers and discovery send each other:
+// headers, durations, prompts, load reports, discovery lists, event streams and peer reports. The
+// package does no I/O and has no mutable global state.
 package protocol
 
 import (
@@ -13,11 +13,12 @@
 	"reachspread/balance"
 )
 
-// The headers and paths of the platform.
+// The headers and paths of the Completions dialect.
 const (
 	HeaderID = "X-Correlation-Id"
-	// HeaderFencingToken is on mirrored requests alone: the role under which one is sent, and its
-	// fencing token. A 409 has the highest token that was seen.
+	// HeaderFencingToken has the role under which a mirrored request is sent and the role's fencing
+	// token. Other requests do not have the header. In an answer with the status 409, the header has
+	// the highest token that the server has seen.
 	HeaderFencingToken = "X-Duty"
 	HeaderClass        = "X-Service-Class"
 	HeaderSession      = "X-Session-Key"
@@ -32,11 +33,13 @@
 	PathLoad        = "/-/load"
 )
 
-// charsPerToken is the platform's length of a token, for a prompt that comes without facts.
+// charsPerToken is the length of a token in characters that the platform assumes. It serves to
+// estimate the tokens of a prompt whose request has no prompt_len in the header HeaderFacts.
 const charsPerToken = 4
 
-// ParseArrival parses what the decisions need of a request from its headers; get returns a header's
-// value or "". The error is one line for the client.
+// ParseArrival parses the headers of a request that routing decisions need. The function get returns
+// the value of a header, or "" if it is missing. The text of the returned error is a single line for
+// the client.
 func ParseArrival(get func(name string) string, bodyLen int) (balance.Arrival, error) {
 	a := balance.Arrival{ID: get(HeaderID), Class: get(HeaderClass), Session: get(HeaderSession)}
 	switch {
@@ -65,9 +68,10 @@
 	return a, nil
 }
 
-// CheckFraming rejects a head that is ambiguous on where its body ends: what one reader takes for a
-// body may be a second request to the next (request smuggling). What the HTTP server rejects by
-// itself, such as repeated or signed lengths and other codings, is not checked.
+// CheckFraming rejects a request head that does not define unambiguously where the body ends. Bytes
+// that one HTTP parser takes for a body may be a second request for the next parser (request
+// smuggling). CheckFraming does not check what the HTTP server rejects itself, such as repeated or
+// signed lengths and codings other than chunked.
 func CheckFraming(head []byte) error {
 	lengths, codings := false, false
 	for line := range bytes.Lines(head) {
@@ -84,7 +88,7 @@
 	return nil
 }
 
-// parseFacts parses name=value pairs; unknown names are ignored.
+// parseFacts parses the name=value pairs of the header HeaderFacts into a. It ignores unknown names.
 func parseFacts(facts string, a *balance.Arrival) error {
 	for _, pair := range strings.Split(facts, ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(pair), "=")
@@ -115,7 +119,8 @@
 	return nil
 }
 
-// ParseDuration parses a number with its unit, m for milliseconds or u for microseconds.
+// ParseDuration parses a number with a unit: m for milliseconds or u for microseconds. The duration
+// must be below 24 hours.
 func ParseDuration(s string) (time.Duration, error) {
 	unit := time.Millisecond
 	digits, ok := strings.CutSuffix(s, "m")
@@ -130,12 +135,13 @@
 	return time.Duration(n * float64(unit)), nil
 }
 
-// FormatDuration formats a time left in microseconds.
+// FormatDuration formats a duration in microseconds with the unit u; a negative one becomes 0.
 func FormatDuration(d time.Duration) string {
 	return strconv.FormatInt(max(d.Microseconds(), 0), 10) + "u"
 }
 
-// FormatRetryAfter formats a time in decimal seconds.
+// FormatRetryAfter formats a duration in seconds with three decimals, as the header Retry-After has
+// it.
 func FormatRetryAfter(d time.Duration) string {
 	return strconv.FormatFloat(d.Seconds(), 'f', 3, 64)
 }
--- a/internal/protocol/requestframing.go
+++ b/internal/protocol/requestframing.go
@@ -5,31 +5,33 @@
 	"strconv"
 )
 
-// maxFramedHead bounds the head of a request, in bytes. It is above what any HTTP server here takes.
+// maxFramedHead is the maximum size of a request's head in bytes. No HTTP server of the router
+// accepts a head of this size.
 const maxFramedHead = 64 << 10
 
-// framingState says what the next byte of a request is part of.
+// framingState says which part of a request the next byte belongs to.
 type framingState int
 
 const (
 	inHead       framingState = iota
-	inBody                    // of a length that the head states
+	inBody                    // a body whose length the head states
 	inChunks                  // a chunked body
-	requestEnded              // of the request
-	unreadable                // the framing is malformed: where the request ends is not known
+	requestEnded              // none: the request is complete
+	unreadable                // unknown: the framing is malformed, so the end of the request can't be determined
 )
 
-// RequestFraming finds where a request of HTTP/1.1 ends, as its bytes come, split anywhere. Its zero
-// value is at the request's start.
+// RequestFraming determines incrementally where an HTTP/1.1 request ends. The request may be split
+// at any byte. The zero value is ready to parse the start of a request.
 type RequestFraming struct {
 	state     framingState
-	head      []byte // what has come of a head that is not complete
-	remaining int    // bytes of a body of a stated length
+	head      []byte // the received part of an incomplete head
+	remaining int    // bytes not received yet of a body whose length the head states
 	chunks    ChunkParser
 }
 
-// Feed parses the next bytes. It returns how many of them belong to the request: fewer than there are
-// once that is complete. Of a request whose framing is malformed it returns all.
+// Feed parses the next bytes and returns the number of them that belong to the request, which is
+// less than len(p) if the request ends within p. If the framing is malformed, all bytes count as
+// part of the request.
 func (f *RequestFraming) Feed(p []byte) (used int) {
 	if f.state == inHead {
 		used = f.feedHead(p)
@@ -59,17 +61,17 @@
 	return used
 }
 
-// HeadComplete reports whether the head has come, and says how the body is framed.
+// HeadComplete reports whether the whole head was received and defines how the body is framed.
 func (f *RequestFraming) HeadComplete() bool { return f.state != inHead && f.state != unreadable }
 
-// Complete reports whether the whole request has come.
+// Complete reports whether the whole request was received.
 func (f *RequestFraming) Complete() bool { return f.state == requestEnded }
 
-// BodyRemaining returns how many bytes of a body of a stated length have not come, 0 where no such
-// body is read.
+// BodyRemaining returns the number of bytes that were not received yet of a body whose length the
+// head states. It returns 0 if there is no such body.
 func (f *RequestFraming) BodyRemaining() int { return f.remaining }
 
-// feedHead parses the next bytes of the head, and returns how many of them belong to it.
+// feedHead parses the next bytes of the head and returns the number of them that belong to it.
 func (f *RequestFraming) feedHead(p []byte) (used int) {
 	head, seen := p, len(f.head)
 	if seen > 0 {
@@ -91,10 +93,10 @@
 	return length - seen
 }
 
-// headLength returns the length of the head that some bytes begin with, up to the empty line that
-// ends it, and 0 if that has not come. Of the bytes, the first seen were looked through before.
+// headLength returns the length of the head at the start of b, including the empty line that ends
+// it, or 0 if b does not have that line. An earlier call has already searched the first seen bytes.
 func headLength(b []byte, seen int) int {
-	start := len(b) - len(bytes.TrimLeft(b, "\r\n")) // empty lines before a request are passed over
+	start := len(b) - len(bytes.TrimLeft(b, "\r\n")) // skip empty lines before the request
 	for at := max(start, seen-len("\n\r")); ; {
 		i := bytes.IndexByte(b[at:], '\n')
 		if i < 0 {
@@ -110,7 +112,7 @@
 	}
 }
 
-// parseHead parses a complete head for how its body is framed.
+// parseHead determines from a complete head how the body is framed, and sets the state accordingly.
 func (f *RequestFraming) parseHead(head []byte) {
 	lengths, codings := 0, 0
 	_, lines, _ := bytes.Cut(bytes.TrimLeft(head, "\r\n"), []byte("\n"))
--- a/internal/protocol/requesthead.go
+++ b/internal/protocol/requesthead.go
@@ -7,10 +7,11 @@
 	"time"
 )
 
-// RequestHead is what admission needs of the head of a request, before an HTTP server reads it.
+// RequestHead has the parts of a request's head that admission needs before an HTTP server parses
+// the request.
 type RequestHead struct {
-	HeaderValue string // of the header that was asked for; empty if it is not there
-	Length      int    // bytes of head and body; -1 if the head does not say it plainly
+	HeaderValue string // value of the header given to ParseRequestHead; empty if it is missing
+	Length      int    // bytes of head and body together; -1 unless the head has one Content-Length and no Transfer-Encoding
 }
 
 var (
@@ -18,9 +19,10 @@
 	headEnd                = []byte("\r\n\r\n")
 )
 
-// ParseRequestHead parses the head at the start of what a client has sent. It is ok only for a
-// complete and plain one that asks for a completion; all else is left to the HTTP server. The
-// header's name may be empty for none.
+// ParseRequestHead parses the request head at the start of the bytes that a client has sent. It
+// returns false for ok unless the head is complete, requests a completion and has none of the forms
+// that HTTP parsers may read differently; the caller leaves such requests to the HTTP server. The
+// header names the one whose value is returned; it may be empty.
 func ParseRequestHead(sent []byte, header string) (g RequestHead, ok bool) {
 	rest, ok := bytes.CutPrefix(sent, completionsRequestLine)
 	if !ok {
@@ -65,8 +67,7 @@
 	return g, true
 }
 
-// equalFold reports whether two names of headers are equal, without regard to case, for ASCII
-// alone.
+// equalFold reports whether two header names are equal regardless of the case of ASCII letters.
 func equalFold(b []byte, s string) bool {
 	if len(b) != len(s) {
 		return false
@@ -79,7 +80,7 @@
 	return true
 }
 
-// lower returns the lower case of an ASCII letter.
+// lower returns the lower case of an ASCII letter, and any other byte unchanged.
 func lower(c byte) byte {
 	if 'A' <= c && c <= 'Z' {
 		return c + 'a' - 'A'
@@ -87,8 +88,8 @@
 	return c
 }
 
-// AppendRejection appends an answer that ends its connection, with one line of text. A wait of 0 is
-// left out.
+// AppendRejection appends to a buffer an HTTP answer that closes its connection and has one line of
+// text. The answer has a Retry-After unless the wait is 0.
 func AppendRejection(to []byte, code int, wait time.Duration, line string) []byte {
 	to = append(to, "HTTP/1.1 "...)
 	to = strconv.AppendInt(to, int64(code), 10)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,6 +1,6 @@
-// Package wire has the JSON messages of the simulator and converts them to the events and actions
-// of package balance. The names of the JSON fields are the simulator's; the Go fields have the
-// terms of this module.
+// Package wire defines the JSON messages between the simulator and the router, and converts them to
+// and from the events and actions of package balance. The JSON fields have the simulator's names,
+// the Go fields the terms of this module.
 package wire
 
 import (
@@ -13,13 +13,13 @@
 	"reachspread/internal/protocol"
 )
 
-// Batch is one line of input.
+// Batch is one line of input: the messages that the simulator sends at one point of simulated time.
 type Batch struct {
-	Now  int64     `json:"simTimeNs"`
+	Now  int64     `json:"simTimeNs"` // simulated time in nanoseconds
 	Msgs []Message `json:"msgs"`
 }
 
-// Message is one event: exactly one of its fields is set.
+// Message is one message of the simulator. Exactly one of its fields is set.
 type Message struct {
 	Launch     *Launch        `json:"launch"`
 	Killed     *InstanceOnly  `json:"killed"`
@@ -33,19 +33,20 @@
 	Datagram   *Datagram      `json:"datagram"`
 }
 
-// InstanceOnly is a message of which only the instance matters.
+// InstanceOnly is a message that has only the number of a router instance.
 type InstanceOnly struct {
 	I int `json:"i"`
 }
 
-// Launch starts an instance of the router.
+// Launch tells the process to start an instance of the router. In all messages, I is the number of
+// the instance.
 type Launch struct {
 	I       int     `json:"i"`
-	Entropy uint64  `json:"entropy"`
+	Entropy uint64  `json:"entropy"` // random seed
 	Options Options `json:"options"`
 }
 
-// Options are the settings of an instance. Unknown keys are ignored.
+// Options are the settings of a router instance. Unknown JSON keys are ignored.
 type Options struct {
 	Zone           string  `json:"az"`
 	Discovery      string  `json:"discovery"`
@@ -78,7 +79,7 @@
 	} `json:"rules"`
 }
 
-// Class is a class of requests, one entry of services.
+// Class has the settings of one class of requests. Each entry of the option services is a Class.
 type Class struct {
 	Name                    string  `json:"name"`
 	LatencyTargetNs         int64   `json:"aimNs"`
@@ -92,7 +93,7 @@
 	Value                   float64 `json:"gain"`
 }
 
-// MembersUpdate is an update from discovery.
+// MembersUpdate is an update of the replicas from discovery.
 type MembersUpdate struct {
 	I       int      `json:"i"`
 	Mode    string   `json:"mode"`
@@ -100,7 +101,7 @@
 	Members []Member `json:"members"`
 }
 
-// Member is a replica in an update from discovery.
+// Member is a replica in a MembersUpdate.
 type Member struct {
 	StartedAtNs int64  `json:"bornNs"`
 	Cell        int    `json:"pack"`
@@ -110,7 +111,7 @@
 	Replica     string `json:"replica"`
 }
 
-// Arrival is a new request.
+// Arrival reports a new request of a client.
 type Arrival struct {
 	I              int     `json:"i"`
 	Txn            string  `json:"txn"`
@@ -123,14 +124,14 @@
 	PrefixTokens   float64 `json:"prefixTokens"`
 }
 
-// FirstToken says that an answer has begun.
+// FirstToken reports that the answer of an attempt has begun.
 type FirstToken struct {
 	I       int    `json:"i"`
 	Txn     string `json:"txn"`
 	Attempt int    `json:"try"`
 }
 
-// Outcome ends an attempt.
+// Outcome reports the result with which an attempt ended.
 type Outcome struct {
 	I            int                `json:"i"`
 	Txn          string             `json:"txn"`
@@ -141,19 +142,19 @@
 	Load         map[string]float64 `json:"pressure"`
 }
 
-// Aborted says that a client has gone.
+// Aborted reports that the client of a request has disconnected.
 type Aborted struct {
 	I   int    `json:"i"`
 	Txn string `json:"txn"`
 }
 
-// Timer says that the time of a timer has passed.
+// Timer reports that a timer has expired.
 type Timer struct {
 	I   int   `json:"i"`
 	Ctx int64 `json:"ctx"`
 }
 
-// ProbeResult is the result of a load probe.
+// ProbeResult reports the result of a load probe.
 type ProbeResult struct {
 	I       int                `json:"i"`
 	Replica string             `json:"replica"`
@@ -161,14 +162,15 @@
 	Load    map[string]float64 `json:"pressure"`
 }
 
-// Datagram is a message of reports from another instance, in base64.
+// Datagram is a datagram of peer reports that another instance sent.
 type Datagram struct {
 	I    int    `json:"i"`
-	From int    `json:"from"`
-	Body string `json:"body"`
+	From int    `json:"from"` // number of the sending instance
+	Body string `json:"body"` // base64 without padding
 }
 
-// Config returns the configuration of the decisions, or an error that names the option at fault.
+// Config converts the options to a configuration of package balance. The error names the invalid
+// option.
 func (o *Options) Config() (balance.Config, error) {
 	c := balance.Config{
 		Zone:                 o.Zone,
@@ -231,8 +233,8 @@
 		"DELETED": balance.Removed}
 )
 
-// Event returns the instance and the event of a message other than launch and killed. The event is
-// nil for a datagram that can't be read.
+// Event converts a message other than launch and killed. It returns the number of the instance and
+// the event, which is nil for a datagram that can't be parsed.
 func (m *Message) Event() (int, balance.Event, error) {
 	switch {
 	case m.PeersKnown != nil:
@@ -268,10 +270,11 @@
 	case m.Datagram != nil:
 		return m.Datagram.I, m.Datagram.event(), nil
 	}
-	return 0, nil, fmt.Errorf("unknown event; see the wire's list of received messages")
+	return 0, nil, fmt.Errorf("message has no known event; want one of peersKnown, arrival, streaming, verdict, aborted, timer, health and datagram")
 }
 
-// event returns nil for a datagram that can't be read: datagrams are only hints.
+// event converts a datagram to an event. It returns nil for a datagram that can't be parsed, because
+// the reports in datagrams are only hints.
 func (d *Datagram) event() balance.Event {
 	text, err := base64.RawStdEncoding.DecodeString(d.Body)
 	if err != nil {
@@ -284,7 +287,7 @@
 	return balance.ReportsReceived{From: d.From, Zone: zone, Reports: reports}
 }
 
-// event returns the event of an update.
+// event converts an update to an event.
 func (p *MembersUpdate) event() (balance.Event, error) {
 	ev := balance.Members{Version: p.Epoch}
 	switch p.Mode {
@@ -308,7 +311,8 @@
 	return ev, nil
 }
 
-// load returns the fields that the decisions use; one that is not reported is negative.
+// load converts a load report, or returns nil if there is none. A field that is missing from the
+// report is set to -1.
 func load(p map[string]float64) *balance.Load {
 	if p == nil {
 		return nil
@@ -323,61 +327,68 @@
 		PrefillTokens: get("x1", 1000)}
 }
 
-// Reply is one line of output.
+// Reply is one line of output: the messages that answer a Batch.
 type Reply struct {
 	Outbox []any `json:"outbox"`
 }
 
-// The messages of the actions, one type for each.
+// send tells the simulator to send a request to a replica.
 type send struct {
 	I       int    `json:"i"`
 	Txn     string `json:"txn"`
 	Replica string `json:"replica"`
 }
 
+// reject tells the simulator to reject a request, with a Retry-After unless RetryAfterNs is 0.
 type reject struct {
 	I            int    `json:"i"`
 	Txn          string `json:"txn"`
 	RetryAfterNs int64  `json:"pauseNs,omitempty"`
 }
 
+// fail tells the simulator to answer a request with an error.
 type fail struct {
 	I   int    `json:"i"`
 	Txn string `json:"txn"`
 }
 
+// probe tells the simulator to request a load report from a replica.
 type probe struct {
 	I       int    `json:"i"`
 	Replica string `json:"replica"`
 }
 
+// peerMessage tells the simulator to send a datagram of peer reports, in base64, to instance Dest.
 type peerMessage struct {
 	I    int    `json:"i"`
 	Dest int    `json:"dest"`
 	Body string `json:"body"`
 }
 
+// setTimer tells the simulator to send a Timer with the same Ctx after a delay.
 type setTimer struct {
 	I       int   `json:"i"`
 	Ctx     int64 `json:"ctx"`
 	DelayNs int64 `json:"delayNs"`
 }
 
+// subscribe tells the simulator to stream changes from discovery.
 type subscribe struct {
 	I      int  `json:"i"`
 	Active bool `json:"active"`
 }
 
+// text is a log line or the cause of a crash.
 type text struct {
 	I   int    `json:"i"`
 	Msg string `json:"msg"`
 }
 
-// tagged is a message under its name.
+// tagged maps the name of a message to the message.
 type tagged map[string]any
 
-// Actions returns the messages of an action of instance i: one, or one for each router that a
-// report goes to.
+// Actions returns the messages for an action of instance i: one for each destination of a
+// balance.SendReports, and one for any other action.
 func Actions(i int, a balance.Action) []any {
 	t, ok := a.(balance.SendReports)
 	if !ok {
@@ -391,7 +402,7 @@
 	return all
 }
 
-// action returns the message of an action other than balance.SendReports.
+// action returns the message for an action other than balance.SendReports.
 func action(i int, a balance.Action) any {
 	switch a := a.(type) {
 	case balance.Send:
@@ -412,10 +423,10 @@
 	return Die(i, fmt.Sprintf("action %T has no message; add it to wire.action", a))
 }
 
-// Die reports a crash of instance i.
+// Die returns the message that reports a crash of instance i and its cause.
 func Die(i int, cause string) any { return tagged{"die": text{i, cause}} }
 
-// Decode reads one line of input.
+// Decode parses one line of input.
 func Decode(line []byte) (*Batch, error) {
 	b := new(Batch)
 	if err := json.Unmarshal(line, b); err != nil {
