--- a/internal/protocol/chunks_test.go
+++ b/internal/protocol/chunks_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// However a chunked body is cut, and wherever another process goes on with it, its data come out as
-// they went in, and its end is found to the byte.
+// The parser returns the exact data and finds the exact end of a chunked body, regardless of how the
+// body is split and of where another process continues with the parser's JSON form.
 func TestChunksSplitAnywhere(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var body, want []byte
@@ -47,7 +47,7 @@
 	for _, text := range []string{"\r\n", "g\r\n", ";\r\n", "-1\r\n", "1\r\nab\r\n", "fffffffffff\r\n", string(bytes.Repeat([]byte("0"), maxFramingLine+1))} {
 		var c ChunkParser
 		if _, err := c.Feed([]byte(text), func([]byte) {}); err == nil {
-			t.Errorf("%.20q was taken", text)
+			t.Errorf("%.20q was accepted", text)
 		}
 	}
 }
--- a/internal/protocol/fleet_test.go
+++ b/internal/protocol/fleet_test.go
@@ -10,11 +10,11 @@
 	"reachspread/balance"
 )
 
-// headers reads from a map.
+// headers returns a HeaderReader that reads from a map.
 func headers(m map[string]string) HeaderReader { return func(name string) string { return m[name] } }
 
-// What the head of a host's answer says: only Not-Executed and 421 say that nothing ran, and only
-// what is sealed is the host's word.
+// Only Not-Executed and the status 421 say that a request was not executed, and only an answer with
+// a seal comes from the host itself.
 func TestFleetJudge(t *testing.T) {
 	seal := map[string]string{HeaderSeal: "s", HeaderRequestID: "r"}
 	withoutID := map[string]string{HeaderSeal: "s"}
@@ -27,11 +27,11 @@
 		{200, seal, AttemptJudgement{Result: balance.OK, Forwardable: true}},
 		{204, seal, AttemptJudgement{Result: balance.OK, Forwardable: true}},
 		{200, nil, AttemptJudgement{Result: balance.Error}},
-		{200, withoutID, AttemptJudgement{Result: balance.Error}}, // it may be anybody's
+		{200, withoutID, AttemptJudgement{Result: balance.Error}}, // possibly the answer to another request
 		{500, withoutID, AttemptJudgement{Result: balance.Error, Forwardable: true}},
 		{500, seal, AttemptJudgement{Result: balance.Error, Forwardable: true}},
 		{504, seal, AttemptJudgement{Result: balance.Error, Forwardable: true}},
-		{429, seal, AttemptJudgement{Result: balance.Error}}, // it has run, and these would promise that it has not
+		{429, seal, AttemptJudgement{Result: balance.Error}}, // executed, so this status and the next two, which say that it was not, are not forwarded
 		{503, seal, AttemptJudgement{Result: balance.Error}},
 		{408, seal, AttemptJudgement{Result: balance.Error}},
 		{404, seal, AttemptJudgement{Result: balance.Cancelled, RequestInvalid: true, Forwardable: true}},
@@ -49,7 +49,7 @@
 	}
 }
 
-// The words of the fleet's wire.
+// The headers of the Fleet dialect have the expected names and forms, and are parsed correctly.
 func TestFleetHeaders(t *testing.T) {
 	is := is.New(t)
 	f := Fleet{}
@@ -70,7 +70,7 @@
 	is.Equal(BearerKey("k"), "")
 }
 
-// Load reports, in answers' heads and as asked for.
+// Load reports in headers and in answers to probes are parsed; malformed ones are rejected.
 func TestFleetLoad(t *testing.T) {
 	is := is.New(t)
 	load, err := ParseServerLoad("3, 1,8")
@@ -78,7 +78,7 @@
 	is.Equal(*load, balance.Load{InFlight: 4, Utilization: 0.375, PrefillTokens: -1})
 	for _, text := range []string{"3,1", "3,1,8,9", "a,1,8", "-1,0,8", ""} {
 		if _, err := ParseServerLoad(text); err == nil {
-			t.Errorf("%q was read", text)
+			t.Errorf("malformed load %q was accepted", text)
 		}
 	}
 	load, err = (Fleet{}).ProbeLoad([]byte(`{"waiting":1,"running":12}`))
@@ -90,7 +90,8 @@
 	is.True(none == nil && err == nil)
 }
 
-// A prompt's parts, its usage and its deadline.
+// The headers with a prompt's segments, token usage and deadline are parsed; malformed ones are
+// rejected.
 func TestParsePrompt(t *testing.T) {
 	is := is.New(t)
 	parts, err := ParsePrompt("5c1e:800, 91bd:410,e440:250")
@@ -98,7 +99,7 @@
 	is.Equal(parts, []PromptSegment{{"5c1e", 800}, {"91bd", 410}, {"e440", 250}})
 	for _, text := range []string{"5c1e", "5c1e:", ":5", "5c1e:-1", "5c1e:1,", strings.Repeat("a:1,", maxPromptSegments) + "a:1"} {
 		if _, err := ParsePrompt(text); err == nil {
-			t.Errorf("%q was read", text)
+			t.Errorf("malformed prompt %q was accepted", text)
 		}
 	}
 	usage, ok, err := ParseUsage("1460,80")
@@ -107,31 +108,31 @@
 	is.True(!ok && err == nil)
 	for _, text := range []string{"1460", "a,1", "1,a"} {
 		if _, _, err := ParseUsage(text); err == nil {
-			t.Errorf("%q was read", text)
+			t.Errorf("malformed usage %q was accepted", text)
 		}
 	}
 	left, ok, err := ParseDeadline("1500.5")
 	is.True(ok && err == nil && left == 1500500*time.Microsecond)
 	for _, text := range []string{"soon", "-1", "1e12", "NaN"} {
 		if _, _, err := ParseDeadline(text); err == nil {
-			t.Errorf("%q was read", text)
+			t.Errorf("malformed deadline %q was accepted", text)
 		}
 	}
 }
 
-// Whatever a head holds, it is read or refused.
+// Header values are either parsed to valid values or rejected, whatever they contain.
 func FuzzFleetHeads(f *testing.F) {
 	f.Add("5c1e:800,91bd:410", "1460,80", "1500", "3,0,8", "timeout=5")
 	f.Fuzz(func(t *testing.T, prompt, usage, deadline, load, keep string) {
 		if parts, err := ParsePrompt(prompt); err == nil && len(parts) > maxPromptSegments {
-			t.Error("too many parts")
+			t.Error("a prompt with more segments than maxPromptSegments was accepted")
 		}
 		ParseUsage(usage)
 		if left, _, err := ParseDeadline(deadline); err == nil && left < 0 {
-			t.Error("a deadline below 0")
+			t.Error("a deadline below 0 was accepted")
 		}
 		if l, err := ParseServerLoad(load); err == nil && l.InFlight < 0 {
-			t.Error("a load below 0")
+			t.Error("a load below 0 was accepted")
 		}
 		(Fleet{}).KeepAlive(headers(map[string]string{"Keep-Alive": keep}))
 	})
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -22,17 +22,17 @@
 		want                balance.Arrival
 		fault               string
 	}{
-		{name: "all there", want: complete},
-		{name: "no facts: the body tells the length", header: HeaderFacts, want: withoutFacts},
+		{name: "all headers", want: complete},
+		{name: "no facts: tokens estimated from the body's length", header: HeaderFacts, want: withoutFacts},
 		{name: "no id", header: HeaderID, fault: "X-Correlation-Id is missing"},
 		{name: "no class", header: HeaderClass, fault: "X-Service-Class is missing"},
 		{name: "no time", header: HeaderTimeLeft, fault: `X-Time-Left: "" is not a time`},
 		{name: "no unit", header: HeaderTimeLeft, value: "4800", fault: `X-Time-Left: "4800" is not a time`},
 		{name: "negative time", header: HeaderTimeLeft, value: "-1m", fault: `X-Time-Left: "-1m" is not a time`},
 		{name: "no number", header: HeaderTimeLeft, value: "NaNm", fault: `X-Time-Left: "NaNm" is not a time`},
-		{name: "odd hint", header: HeaderHint, value: "big", fault: `X-Weight-Hint: "big"`},
-		{name: "odd length", header: HeaderFacts, value: "prompt_len=-3", fault: `X-Facts: prompt_len is "-3"`},
-		{name: "no pair", header: HeaderFacts, value: "prompt_len", fault: `X-Facts: "prompt_len" is not of the form`},
+		{name: "malformed hint", header: HeaderHint, value: "big", fault: `X-Weight-Hint: "big"`},
+		{name: "negative length", header: HeaderFacts, value: "prompt_len=-3", fault: `X-Facts: prompt_len is "-3"`},
+		{name: "fact without a value", header: HeaderFacts, value: "prompt_len", fault: `X-Facts: "prompt_len" is not of the form`},
 	} {
 		got, err := ParseArrival(func(name string) string {
 			if name == tt.header {
@@ -60,14 +60,16 @@
 		}
 	}
 	if got := FormatDuration(-time.Second); got != "0u" {
-		t.Errorf("a time that is over: got %s, want 0u", got)
+		t.Errorf("a negative duration: got %s, want 0u", got)
 	}
 	if got := FormatRetryAfter(131 * time.Millisecond); got != "0.131" {
 		t.Errorf("got Retry-After %s, want decimal seconds", got)
 	}
 }
 
-// On the first calm day every report was read as empty: it came under the settings' names.
+// Reports may use the names from the settings or the short names. Guards against a parser that knows
+// only the short names: it read every report of a site as empty, because they used the names from
+// the settings.
 func TestLoadReportsByEitherName(t *testing.T) {
 	for text, want := range map[string]*balance.Load{
 		`{"cpu_share":0.061,"x0":0.116}`:                         {InFlight: -1, Utilization: 0.061, PrefillTokens: -1},
--- a/internal/protocol/requestframing_test.go
+++ b/internal/protocol/requestframing_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// Where a request ends is found in whatever pieces it comes: bytes of the next one that are taken with
-// it are lost with a connection that has to end.
+// The end of a request is found regardless of how the request is split. Bytes of the next request
+// that were counted as part of this one would be lost if the connection has to be closed.
 func TestRequestFramingEndsWithTheRequest(t *testing.T) {
 	const post = "POST /v1/chat/completions HTTP/1.1\r\nHost: r\r\n"
 	for _, request := range []string{
@@ -36,25 +36,27 @@
 	}
 }
 
-// A request that is not framed plainly is the HTTP server's to reject: nothing of it is held back.
+// If the framing of a request is malformed, all its bytes count as part of the request, so that the
+// HTTP server receives and rejects it.
 func TestMalformedFramingTakesAllBytes(t *testing.T) {
 	const post = "POST / HTTP/1.1\r\nHost: r\r\n"
 	for name, request := range map[string]string{
-		"no length":             post + "Content-Length: x\r\n\r\nhello",
-		"two lengths":           post + "Content-Length: 1\r\nContent-Length: 1\r\n\r\nhello",
-		"a length and chunks":   post + "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\nhello",
-		"an unknown coding":     post + "Transfer-Encoding: gzip\r\n\r\nhello",
-		"a chunk of no size":    post + "Transfer-Encoding: chunked\r\n\r\nhello",
-		"a head without an end": post + strings.Repeat("X: y\r\n", maxFramedHead/6+1),
+		"no length":              post + "Content-Length: x\r\n\r\nhello",
+		"two lengths":            post + "Content-Length: 1\r\nContent-Length: 1\r\n\r\nhello",
+		"a length and chunks":    post + "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\nhello",
+		"an unknown coding":      post + "Transfer-Encoding: gzip\r\n\r\nhello",
+		"a chunk without a size": post + "Transfer-Encoding: chunked\r\n\r\nhello",
+		"a head without an end":  post + strings.Repeat("X: y\r\n", maxFramedHead/6+1),
 	} {
 		var framing RequestFraming
 		if used := framing.Feed([]byte(request)); used != len(request) || framing.Complete() {
-			t.Errorf("%s: took %d of %d bytes, complete %v; want all, and no end", name, used, len(request), framing.Complete())
+			t.Errorf("%s: %d of %d bytes counted as part of the request, complete %v; want all bytes, not complete", name, used, len(request), framing.Complete())
 		}
 	}
 }
 
-// A request that a full reader of HTTP takes ends for both at the same byte.
+// RequestFraming and net/http find the end of a request at the same byte, for every request that both
+// accept.
 func FuzzRequestFraming(f *testing.F) {
 	f.Add([]byte("POST / HTTP/1.1\r\nHost: r\r\nContent-Length: 2\r\n\r\nhiGET"), uint8(3))
 	f.Add([]byte("POST / HTTP/1.1\r\nHost: r\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\nGET"), uint8(1))
--- a/internal/protocol/requesthead_test.go
+++ b/internal/protocol/requesthead_test.go
@@ -19,14 +19,14 @@
 		first + "X-Client: tool-1\r\nContent-Length: 5\r\n\r\nhe": {RequestHead{"tool-1", len(first) + 18 + 19 + 2 + 5}, true},
 		first + "x-cLIENT:\t tool 1 \r\n\r\n":                     {RequestHead{"tool 1", -1}, true},
 		first + "Host: r\r\nTransfer-Encoding: chunked\r\n\r\n":   {RequestHead{"", -1}, true},
-		first + "X-Client: a\r\nX-Client: a\r\n\r\n":              {}, // two opinions
+		first + "X-Client: a\r\nX-Client: a\r\n\r\n":              {}, // two values
 		first + "Content-Length: 1\r\nContent-Length: 1\r\n\r\n":  {RequestHead{"", -1}, true},
 		first + "Content-Length: -1\r\n\r\n":                      {},
 		first + "Content-Length: +1\r\n\r\n":                      {},
 		first + "X-Client: a\r\n b\r\n\r\n":                       {}, // folded
 		first + "X-Client : a\r\n\r\n":                            {},
 		first + "X-Client: a\nX: b\r\n\r\n":                       {},
-		first + "X-Client: tool-1\r\nContent-Length: 5\r\n":       {}, // not whole
+		first + "X-Client: tool-1\r\nContent-Length: 5\r\n":       {}, // incomplete head
 		first:                           {},
 		"GET /-/ready HTTP/1.1\r\n\r\n": {},
 		"POST /v1/chat/completions HTTP/1.0\r\n\r\n": {},
@@ -39,7 +39,8 @@
 	}
 }
 
-// What Look takes for the name of a client is what a full reader of HTTP takes for it.
+// For every head that ParseRequestHead accepts, it and net/http find the same header value and the
+// same length.
 func FuzzLook(f *testing.F) {
 	f.Add([]byte("POST /v1/chat/completions HTTP/1.1\r\nHost: r\r\nX-Client: tool-1\r\nContent-Length: 2\r\n\r\nhi"))
 	f.Add([]byte("POST /v1/chat/completions HTTP/1.1\r\nHost: r\r\nx-client:\tx\r\nTransfer-Encoding: chunked\r\n\r\n"))
@@ -50,13 +51,13 @@
 		}
 		r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(sent)))
 		if err != nil {
-			return // refused by both, or by the one that reads it whole
+			return // net/http rejects the request, so there is nothing to compare
 		}
 		if got := r.Header.Get("X-Client"); got != g.HeaderValue || r.Method != "POST" || r.URL.Path != PathCompletions {
-			t.Errorf("%q: named %q, not %q", sent, g.HeaderValue, got)
+			t.Errorf("%q: got header value %q; net/http has %q", sent, g.HeaderValue, got)
 		}
 		if g.Length > 0 && r.ContentLength >= 0 && g.Length != bytes.Index(sent, headEnd)+4+int(r.ContentLength) {
-			t.Errorf("%q: %d bytes, with a body of %d", sent, g.Length, r.ContentLength)
+			t.Errorf("%q: got a length of %d bytes; net/http has a body of %d", sent, g.Length, r.ContentLength)
 		}
 	})
 }
@@ -69,9 +70,9 @@
 	}
 	body, err := io.ReadAll(resp.Body)
 	if err != nil || string(body) != "too many\n" || resp.StatusCode != 429 || !resp.Close || resp.Header.Get("Retry-After") != "1.500" {
-		t.Errorf("%q: %v, %+v", body, err, resp)
+		t.Errorf("got body %q, error %v, response %+v; want 429 with Retry-After 1.500 that closes the connection", body, err, resp)
 	}
 	if text := AppendRejection(nil, 503, 0, "x"); strings.Contains(string(text), "Retry-After") {
-		t.Errorf("%q", text)
+		t.Errorf("a rejection without a wait has a Retry-After: %q", text)
 	}
 }
--- a/internal/wire/forms_test.go
+++ b/internal/wire/forms_test.go
@@ -6,7 +6,8 @@
 	"reachspread/internal/testbed/formtest"
 )
 
-// The simulator's messages and settings have the same fields, with the same types.
+// The simulator's messages and settings have the same JSON fields, with the same types, as in
+// testdata/messages.txt.
 func TestMessageFormsAreUnchanged(t *testing.T) {
 	formtest.Compare(t, "messages.txt", formtest.Document([2]string{"batch", formtest.Fields(Batch{}, "json")},
 		[2]string{"reply", formtest.Fields(Reply{}, "json")},
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -13,8 +13,8 @@
 	"reachspread/balance"
 )
 
-// golden compares a text with a file of testdata. The files were taken from the landed code, and
-// are never renewed.
+// golden compares a text with a file in testdata. The files were written by an earlier, merged
+// version of the code and are never updated.
 func golden(t *testing.T, path, got string) {
 	t.Helper()
 	want, err := os.ReadFile(path)
@@ -33,8 +33,8 @@
 	}
 }
 
-// values lists what a value holds, without any name of a field or type: these may change, what the
-// messages mean may not.
+// values formats the values in v without the names of fields and types. Names may change, but the
+// meaning of the messages must not.
 func values(v reflect.Value) string {
 	switch v.Kind() {
 	case reflect.Interface, reflect.Pointer:
@@ -60,8 +60,8 @@
 	return fmt.Sprint(v.Interface())
 }
 
-// examples are one message of each kind that the simulator sends, and of each form that a field
-// has.
+// examples returns at least one message of each kind that the simulator sends, and one for each form
+// that a field may have.
 func examples(t *testing.T) []string {
 	t.Helper()
 	text, err := os.ReadFile("testdata/messages.in.jsonl")
@@ -71,8 +71,8 @@
 	return strings.Split(strings.TrimSpace(string(text)), "\n")
 }
 
-// Each message of the simulator, its settings included, means to the module what it meant when the
-// golden file was written.
+// Each message of the simulator, including its settings, is converted to the same event or
+// configuration as when the golden file was written.
 func TestMessagesMeanTheSame(t *testing.T) {
 	var got strings.Builder
 	for _, line := range examples(t) {
@@ -95,7 +95,7 @@
 	golden(t, "testdata/messages.meaning.txt", got.String())
 }
 
-// All fields of the examples are read under the names that the simulator gives them.
+// All fields of the examples are decoded under the names that the simulator gives them.
 func TestMessagesKeepTheirFields(t *testing.T) {
 	for _, line := range examples(t) {
 		batch, err := Decode([]byte(`{"simTimeNs":12,"msgs":[` + line + `]}`))
@@ -115,13 +115,14 @@
 		}
 		for kind, fields := range want {
 			if !reflect.DeepEqual(got[kind], fields) {
-				t.Errorf("%s is read as %v, not as %v", kind, got[kind], fields)
+				t.Errorf("%s is decoded as %v; want %v", kind, got[kind], fields)
 			}
 		}
 	}
 }
 
-// Each action is written as the simulator reads it, with each field set and with none.
+// Each action is encoded to the same message as when the golden file was written, both with all
+// fields set and with none set.
 func TestActionsAreWrittenTheSame(t *testing.T) {
 	actions := []balance.Action{
 		balance.Send{ID: "q1", Replica: "10.0.0.1:80"}, balance.Send{},
