--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -14,21 +14,22 @@
 func addr(s string) netip.Addr { return netip.MustParseAddr(s) }
 
 func config() Config {
-	return Config{MaxConnections: 4, ReservedForKnown: 1, MaxOverflow: 2, RememberedAddresses: 8, MinRetryAfter: time.Second, KnownIdentities: map[string]bool{"tool": true, "mad": true},
+	return Config{MaxConnections: 4, ReservedForKnown: 1, MaxOverflow: 2, RememberedAddresses: 8, MinRetryAfter: time.Second, KnownIdentities: map[string]bool{"tool": true, "noisy": true},
 		PerIdentity: ClientLimit{Connections: 2}, IdleTimeout: [3]time.Duration{time.Second, 200 * ms, 100 * ms}, CloseAfterAnswer: true, EvictFromLargest: true}
 }
 
-// world plays the host and checks the promises; it counts by itself.
+// model plays the caller of a Controller and checks the guarantees of package admission. It keeps
+// its own record of all connections to compare with the Controller's counts.
 type model struct {
 	t        *rapid.T
 	d        *Controller
 	c        Config
 	now      time.Duration
-	states   map[int32]string // lobby, guest, known or step, of those that are in
-	open     map[int32]bool
-	rejected map[int32]bool
-	ready    map[int32]bool // the request was there as it opened
-	evicted  map[int32]bool // shut, to be closed by the host
+	states   map[int32]string // awaiting, unknown, known or overflow, for each connection that is admitted and not evicted
+	open     map[int32]bool   // connections with an open request
+	rejected map[int32]bool   // connections whose request was rejected
+	ready    map[int32]bool   // the request was complete when the connection opened, and is not decided yet
+	evicted  map[int32]bool   // evicted connections for which the caller has not reported Closed yet
 }
 
 func (w *model) count(state string) (n int) {
@@ -40,11 +41,14 @@
 	return n
 }
 
-// step gives admission one event and returns the action that answers it.
+// step passes one event to the Controller and returns the action that answers the event, and the
+// number of such actions.
 func (w *model) step(e Event) (answer Action, answered int) {
-	awaiting := 0 // of whom nothing is due: a request that was refused ends its connection, one that is there is asked next
+	// awaiting counts the connections that may be evicted because no request was read on them. A
+	// rejected connection is about to close, and a complete request is about to be decided.
+	awaiting := 0
 	for id, state := range w.states {
-		if state == "lobby" && !w.rejected[id] && !w.ready[id] {
+		if state == "awaiting" && !w.rejected[id] && !w.ready[id] {
 			awaiting++
 		}
 	}
@@ -52,46 +56,46 @@
 		switch a.Kind {
 		case Evict:
 			if w.open[a.Conn] || w.ready[a.Conn] || w.states[a.Conn] == "" {
-				w.t.Fatalf("%d was shut, busy: %v, ready: %v", a.Conn, w.open[a.Conn], w.ready[a.Conn])
+				w.t.Fatalf("connection %d was evicted with a request: open %v, complete %v", a.Conn, w.open[a.Conn], w.ready[a.Conn])
 			}
 			delete(w.states, a.Conn)
 			w.evicted[a.Conn] = true
 		case Expire:
 			if w.open[a.Conn] || w.ready[a.Conn] || w.states[a.Conn] == "known" {
-				w.t.Fatalf("%d, %s, was hurried", a.Conn, w.states[a.Conn])
+				w.t.Fatalf("connection %d in the state %s was expired; want none of a known client or with a request", a.Conn, w.states[a.Conn])
 			}
 		default:
 			answer, answered = a, answered+1
 		}
 	}
 	if (e.Kind == RequestRead || e.Kind == Opened) && answer.Kind == Reject && answer.Code == 503 && e.Identity != "" && awaiting > 0 {
-		w.t.Fatal("a known client was refused for capacity while somebody stood in the lobby")
+		w.t.Fatal("a known client was rejected for capacity while an unknown client had a connection without a request")
 	}
 	return answer, answered
 }
 
 func (w *model) check() {
-	unknown, known, overflows := w.count("lobby")+w.count("guest"), w.count("known"), w.count("step")
+	unknown, known, overflows := w.count("awaiting")+w.count("unknown"), w.count("known"), w.count("overflow")
 	if unknown > w.c.MaxConnections-w.c.ReservedForKnown || unknown+known > w.c.MaxConnections || overflows > w.c.MaxOverflow {
-		w.t.Fatalf("%d unknown, %d known, %d on the step", unknown, known, overflows)
+		w.t.Fatalf("%d unknown, %d known and %d overflow connections exceed the limits", unknown, known, overflows)
 	}
 	c := w.d.Counts()
-	if c.Unknown != unknown || c.Known != known || c.Overflow != overflows || c.Open != len(w.open) || c.AwaitingRequest != w.count("lobby") {
-		w.t.Fatalf("%+v, want %d, %d, %d, %d", c, unknown, known, overflows, len(w.open))
+	if c.Unknown != unknown || c.Known != known || c.Overflow != overflows || c.Open != len(w.open) || c.AwaitingRequest != w.count("awaiting") {
+		w.t.Fatalf("got counts %+v; want %d unknown, %d known, %d overflow, %d open", c, unknown, known, overflows, len(w.open))
 	}
 	if maxAddresses := 2*w.c.RememberedAddresses + 2*(len(w.states)+len(w.evicted)+len(w.rejected)); c.Addresses > maxAddresses+2 {
-		w.t.Fatalf("%d addresses remembered, %d would do", c.Addresses, maxAddresses)
+		w.t.Fatalf("%d addresses in the table; want at most %d, and 2 more", c.Addresses, maxAddresses)
 	}
 	if len(w.d.conns) > w.c.MaxConnections+w.c.MaxOverflow+len(w.evicted)+30 {
-		w.t.Fatalf("%d names for %d connections", len(w.d.conns), len(w.states))
+		w.t.Fatalf("%d connection IDs for %d connections", len(w.d.conns), len(w.states))
 	}
 }
 
 func TestLimitsHoldForAnyEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := config()
-		c.MaxConnections = rapid.IntRange(2, 8).Draw(t, "places")
-		c.EvictFromLargest = rapid.Bool().Draw(t, "fair")
+		c.MaxConnections = rapid.IntRange(2, 8).Draw(t, "maxConnections")
+		c.EvictFromLargest = rapid.Bool().Draw(t, "evictFromLargest")
 		if !c.EvictFromLargest {
 			c.IdleTimeout = [3]time.Duration{}
 		}
@@ -119,20 +123,20 @@
 			"open": func(t *rapid.T) {
 				w.now += rapid.SampledFrom([]time.Duration{0, ms, 6 * ms, 300 * ms}).Draw(t, "after")
 				a := addr(rapid.SampledFrom(addresses).Draw(t, "from"))
-				before := w.count("step")
-				e := Event{Kind: Opened, Addr: a, HeadComplete: rapid.Bool().Draw(t, "said")}
+				before := w.count("overflow")
+				e := Event{Kind: Opened, Addr: a, HeadComplete: rapid.Bool().Draw(t, "headComplete")}
 				if e.HeadComplete {
-					e.Identity = rapid.SampledFrom([]string{"", "tool", "mad"}).Draw(t, "who")
-					e.RequestComplete = rapid.Bool().Draw(t, "whole")
+					e.Identity = rapid.SampledFrom([]string{"", "tool", "noisy"}).Draw(t, "identity")
+					e.RequestComplete = rapid.Bool().Draw(t, "requestComplete")
 				} else {
-					e.ClientLeft = rapid.Bool().Draw(t, "left")
+					e.ClientLeft = rapid.Bool().Draw(t, "clientLeft")
 				}
 				got, n := w.step(e)
 				if n != 1 {
-					t.Fatalf("%d answers to a connection", n)
+					t.Fatalf("%d actions answer a new connection; want 1", n)
 				}
 				if got.Kind == Reject && (!e.HeadComplete || got.Conn != NoConnection) || got.Kind == Drop && e.HeadComplete || got.Kind == Admit && e.ClientLeft && c.EvictFromLargest && w.d.isFull() {
-					t.Fatalf("%+v to %+v", got, e)
+					t.Fatalf("action %+v does not fit the event %+v", got, e)
 				}
 				if got.Kind != Admit {
 					return
@@ -144,22 +148,22 @@
 				case e.Identity != "":
 					w.states[got.Conn] = "known"
 				case w.d.Counts().Overflow > before || w.d.conns[got.Conn].state == overflow:
-					w.states[got.Conn] = "step"
+					w.states[got.Conn] = "overflow"
 				case len(c.KnownRanges) > 0 && c.KnownRanges[0].Contains(a.Unmap()):
 					w.states[got.Conn] = "known"
 				default:
-					w.states[got.Conn] = "lobby"
+					w.states[got.Conn] = "awaiting"
 				}
 				delete(w.evicted, got.Conn)
 			},
-			"crowd": func(t *rapid.T) { // from very many addresses
-				for i := range rapid.IntRange(1, 40).Draw(t, "crowd") {
+			"many addresses": func(t *rapid.T) { // a connection from each of many addresses
+				for i := range rapid.IntRange(1, 40).Draw(t, "addresses") {
 					w.now += 6 * ms
 					got, _ := w.step(Event{Kind: Opened, Addr: netip.AddrFrom4([4]byte{172, 16, byte(i), byte(w.now)})})
 					if got.Kind == Admit {
-						w.states[got.Conn] = "lobby"
+						w.states[got.Conn] = "awaiting"
 						if w.d.conns[got.Conn].state == overflow {
-							w.states[got.Conn] = "step"
+							w.states[got.Conn] = "overflow"
 						}
 						w.step(Event{Kind: Closed, Conn: got.Conn})
 						delete(w.states, got.Conn)
@@ -175,25 +179,25 @@
 					w.step(Event{Kind: RequestBegan, Conn: id})
 				}
 			},
-			"ask": func(t *rapid.T) {
+			"read": func(t *rapid.T) {
 				id, ok := drawConn(func(id int32) bool { return !w.open[id] && !w.rejected[id] })
 				if !ok {
 					t.Skip()
 				}
-				identity := rapid.SampledFrom([]string{"", "", "tool", "mad", "stranger"}).Draw(t, "who")
+				identity := rapid.SampledFrom([]string{"", "", "tool", "noisy", "unlisted"}).Draw(t, "identity")
 				e := Event{Kind: RequestRead, Conn: id, Identity: identity}
-				if identity == "stranger" {
+				if identity == "unlisted" {
 					e.Identity = ""
 				}
 				got, n := w.step(e)
 				delete(w.ready, id)
 				if n != 1 || got.Kind != Serve && got.Kind != Reject {
-					t.Fatalf("%d answers to a request: %+v", n, got)
+					t.Fatalf("%d actions answer a request, the last one %+v; want one Serve or Reject", n, got)
 				}
 				if got.Kind == Reject {
 					w.rejected[id] = true
 					if got.Code != 429 && got.Code != 503 || got.RetryAfter < c.MinRetryAfter || got.RetryAfter > 2*c.MinRetryAfter {
-						t.Fatalf("%+v", got)
+						t.Fatalf("rejected with %+v; want 429 or 503 and a Retry-After from MinRetryAfter to twice that", got)
 					}
 					return
 				}
@@ -201,10 +205,10 @@
 				switch {
 				case e.Identity != "":
 					w.states[id] = "known"
-				case w.states[id] == "lobby":
-					w.states[id] = "guest"
-				case w.states[id] == "step":
-					t.Fatal("an unknown client was served on the step")
+				case w.states[id] == "awaiting":
+					w.states[id] = "unknown"
+				case w.states[id] == "overflow":
+					t.Fatal("an unknown client was served on an overflow connection")
 				}
 			},
 			"done": func(t *rapid.T) {
@@ -222,7 +226,7 @@
 					w.step(Event{Kind: Closed, Conn: id})
 				}
 			},
-			"host": func(t *rapid.T) {
+			"close evicted": func(t *rapid.T) {
 				for id := range w.evicted {
 					w.step(Event{Kind: Closed, Conn: id})
 					delete(w.evicted, id)
@@ -232,8 +236,8 @@
 	})
 }
 
-// A flood of silent connections from one address makes room for others, and a known client walks
-// through it into the reserve, even when all places of the unknown are busy.
+// While unknown clients have open requests on all connections that they may use, another unknown
+// client is rejected with 503, and a known client is admitted from the overflow to the reserve.
 func TestKnownClientsAreAdmittedInAFlood(t *testing.T) {
 	d := New(config(), 1)
 	now := time.Second
@@ -248,32 +252,33 @@
 		}
 		return answer
 	}
-	for range 3 { // the unknown's places, all busy
+	for range 3 { // all connections that unknown clients may use, each with an open request
 		c := do(Event{Kind: Opened, Addr: addr("10.0.0.1")})
 		if got := do(Event{Kind: RequestRead, Conn: c.Conn}); got.Kind != Serve {
-			t.Fatalf("%+v", got)
+			t.Fatalf("request of an unknown client: got %+v; want it served", got)
 		}
 	}
 	unknown := do(Event{Kind: Opened, Addr: addr("10.0.0.3")})
 	if got := do(Event{Kind: RequestRead, Conn: unknown.Conn}); got.Kind != Reject || got.Code != 503 {
-		t.Errorf("a stranger on the step: %+v", got)
+		t.Errorf("request of an unknown client in the overflow: got %+v; want a rejection with 503", got)
 	}
 	do(Event{Kind: Closed, Conn: unknown.Conn})
 	tool := do(Event{Kind: Opened, Addr: addr("10.0.0.2")})
 	if got := do(Event{Kind: RequestRead, Conn: tool.Conn, Identity: "tool"}); got.Kind != Serve || got.CloseAfterAnswer {
-		t.Errorf("a known client on the step: %+v", got)
+		t.Errorf("request of a known client in the overflow: got %+v; want it served", got)
 	}
 	if c := d.Counts(); c.Known != 1 || c.Promoted != 1 || c.Overflow != 0 || c.Level != Critical {
-		t.Errorf("%+v", c)
+		t.Errorf("got counts %+v; want 1 known, 1 promoted, no overflow, level critical", c)
 	}
-	// The reserve is full: the next known one is refused, as nobody stands in the lobby.
+	// The reserve is full. The next known client is rejected, because no connection can be evicted.
 	tool = do(Event{Kind: Opened, Addr: addr("10.0.0.2")})
 	if got := do(Event{Kind: RequestRead, Conn: tool.Conn, Identity: "tool"}); got.Kind != Reject || got.Code != 503 || got.Cause != CapacityReached {
-		t.Errorf("beyond the reserve: %+v", got)
+		t.Errorf("request of a known client beyond the reserve: got %+v; want a rejection with 503", got)
 	}
 }
 
-// A known client gone mad is held by its own cap, and an address by its rate.
+// A known client can't exceed its own limit of connections, and an address can't exceed its rate of
+// new connections.
 func TestKnownClientsKeepTheirLimits(t *testing.T) {
 	c := config()
 	c.MaxConnections, c.PerAddress.ConnectionsPerSecond = 20, 2
@@ -281,23 +286,24 @@
 	now := time.Second
 	for i, want := range []ActionKind{Admit, Admit, Drop, Drop} {
 		if got := d.Step(now, Event{Kind: Opened, Addr: addr("10.0.0.1")}); got[0].Kind != want {
-			t.Errorf("connection %d: %+v", i, got)
+			t.Errorf("connection %d: got actions %+v; want 2 connections admitted, the others dropped", i, got)
 		}
 	}
 	if got := d.Step(now+500*ms, Event{Kind: Opened, Addr: addr("10.0.0.1")}); got[0].Kind != Admit {
-		t.Errorf("half a second later: %+v", got)
+		t.Errorf("connection half a second later: got actions %+v; want it admitted", got)
 	}
 	for i := range 3 {
 		open := d.Step(now, Event{Kind: Opened, Addr: netip.AddrFrom4([4]byte{10, 1, byte(i), 1})})[0]
-		got := d.Step(now, Event{Kind: RequestRead, Conn: open.Conn, Identity: "mad"})[0]
+		got := d.Step(now, Event{Kind: RequestRead, Conn: open.Conn, Identity: "noisy"})[0]
 		if want := i < 2; (got.Kind == Serve) != want || !want && (got.Code != 429 || got.Cause != TooManyConnections) {
-			t.Errorf("connection %d of one identity: %+v", i, got)
+			t.Errorf("connection %d of one identity: got %+v; want 2 requests served, the third rejected with 429", i, got)
 		}
 	}
 }
 
-// A known client whose request is there as it connects is let in past its own address's bounds; one
-// that is not known is answered without a place, and with the word that fits.
+// If a known client's request is read before its connection is admitted, the connection is admitted
+// regardless of the limits of its address. A request of an unknown client over a limit is rejected
+// without an admitted connection, with the status and the cause of that limit.
 func TestRequestReadBeforeAdmission(t *testing.T) {
 	c := config()
 	c.PerAddress = ClientLimit{Connections: 1, OpenRequests: 1, ConnectionsPerSecond: 4}
@@ -313,27 +319,28 @@
 	}{
 		{Event{HeadComplete: true}, Admit, 0, NoCause},
 		{Event{HeadComplete: true}, Reject, 429, TooManyConnections},
-		{Event{}, Admit, 0, NoCause}, // on the step: it has said nothing that could be answered
+		{Event{}, Admit, 0, NoCause}, // in the overflow, because there is no request to reject yet
 		{Event{ClientLeft: true}, Drop, 0, ClientLeft},
 		{Event{HeadComplete: true}, Reject, 429, RateExceeded},
 		{Event{}, Drop, 0, RateExceeded},
 		{Event{HeadComplete: true, Identity: "tool"}, Admit, 0, NoCause},
 		{Event{HeadComplete: true, Identity: "tool"}, Admit, 0, NoCause},
 		{Event{HeadComplete: true, Identity: "tool"}, Reject, 429, RateExceeded},
-		{Event{HeadComplete: true, Identity: "stranger"}, Admit, 0, NoCause}, // from an address of known clients by now
+		{Event{HeadComplete: true, Identity: "unlisted"}, Admit, 0, NoCause}, // the address counts as one of known clients now
 	} {
 		tt.e.Kind, tt.e.Addr = Opened, from
 		got := d.Step(now, tt.e)
 		if len(got) != 1 || got[0].Kind != tt.kind || got[0].Code != tt.code || got[0].Cause != tt.cause {
-			t.Errorf("%d: %+v, want %v %d %v", i, got, tt.kind, tt.code, tt.cause)
+			t.Errorf("event %d: got %+v; want kind %v, code %d, cause %v", i, got, tt.kind, tt.code, tt.cause)
 		}
 	}
 	if c := d.Counts(); c.Known != 2 || c.Unknown != 2 || c.Overflow != 1 || c.Rejected[RateExceeded] != 2 || c.Dropped[RateExceeded] != 1 {
-		t.Errorf("%+v", c)
+		t.Errorf("got counts %+v; want 2 known, 2 unknown, 1 overflow, 2 rejected and 1 dropped for the rate", c)
 	}
 }
 
-// An IPv6 client with a new address each time is one client, and its whole net is one, too.
+// Connections from different addresses of an IPv6 /64 count as one client, and all clients of a /48
+// count towards the limits of one network.
 func TestNewAddressesOfOneNetAreOneClient(t *testing.T) {
 	c := config()
 	c.MaxConnections, c.MaxOverflow, c.PerAddress.Connections, c.PerNetwork.Connections = 50, 5, 3, 7
@@ -341,12 +348,12 @@
 	admitted := map[byte]int{}
 	for i := range 60 {
 		a := addr("2001:db8::").As16()
-		a[7], a[8], a[15] = byte(i%4), byte(i), byte(i) // 4 networks of one /48
+		a[7], a[8], a[15] = byte(i%4), byte(i), byte(i) // four /64 prefixes in one /48
 		for _, got := range d.Step(time.Second, Event{Kind: Opened, Addr: netip.AddrFrom16(a), HeadComplete: true}) {
 			if got.Kind == Admit {
 				admitted[a[7]]++
 			} else if got.Code != 429 || got.Cause != TooManyConnections {
-				t.Fatalf("%+v", got)
+				t.Fatalf("got %+v; want Admit, or a rejection with 429 for too many connections", got)
 			}
 		}
 	}
@@ -354,22 +361,22 @@
 		t.Error(diff)
 	}
 	if n := d.Counts().Addresses; n > 5+2*c.RememberedAddresses {
-		t.Errorf("%d addresses remembered", n)
+		t.Errorf("the table has %d addresses, more than are remembered and in use", n)
 	}
-	// Where the settings have it so, a /128 is a client.
+	// With an address length of 128 bits, each single IPv6 address is a client.
 	c.Prefixes, c.PerNetwork = PrefixLengths{Address6: 128, Network6: 64}, ClientLimit{}
 	d = New(c, 1)
 	for i := range 10 {
 		a := addr("2001:db8::").As16()
 		a[15] = byte(i)
 		if got := d.Step(time.Second, Event{Kind: Opened, Addr: netip.AddrFrom16(a)}); got[0].Kind != Admit || d.Counts().Overflow > 0 {
-			t.Fatalf("address %d: %+v", i, got)
+			t.Fatalf("address %d: got actions %+v; want it admitted outside the overflow", i, got)
 		}
 	}
 }
 
-// Who is silent and who sends too slowly has a bound of its own at each level; who waits for an
-// answer has none.
+// Each level has its own timeouts for idle connections and for connections that are sending a
+// request. A connection that waits for its answer has no timeout.
 func TestTimeoutsByLevel(t *testing.T) {
 	c := config()
 	c.MaxConnections, c.ReservedForKnown = 20, 0
@@ -384,25 +391,25 @@
 		idle, sending := open(), open()
 		d.Step(now, Event{Kind: RequestBegan, Conn: sending})
 		if d.Level() != Level(level) {
-			t.Fatalf("%v, want %v", d.Level(), Level(level))
+			t.Fatalf("level is %v; want %v", d.Level(), Level(level))
 		}
 		expired := map[int32]time.Duration{}
 		for end := now + time.Second; now < end; now += 10 * ms {
 			for _, a := range d.Step(now, Event{Kind: TimePassed}) {
 				if a.Kind != Expire || a.Cause != TimedOut || expired[a.Conn] != 0 {
-					t.Fatalf("%+v", a)
+					t.Fatalf("got %+v; want one Expire for each connection, caused by its timeout", a)
 				}
 				expired[a.Conn] = now - time.Second
 			}
 		}
 		if diff := cmp.Diff(map[int32]time.Duration{idle: c.IdleTimeout[level], sending: c.RequestTimeout[level]}, expired); diff != "" {
-			t.Errorf("%v: %s", Level(level), diff)
+			t.Errorf("expired connections at the level %v: %s", Level(level), diff)
 		}
 	}
 }
 
-// Bounds lowered below what is in use: silent ones go at once, the reserve opens as the rest is
-// answered, and nobody is let in before.
+// If the limits are lowered below the number of connections in use, idle connections are evicted at
+// once. No client is admitted before enough of the connections with an open request are closed.
 func TestLoweredLimits(t *testing.T) {
 	c := config()
 	c.MaxConnections, c.ReservedForKnown = 10, 0
@@ -426,7 +433,7 @@
 		}
 	}
 	if got := d.Counts(); evicted != 5 || got.Unknown != 5 || got.Open != 5 {
-		t.Errorf("%d shut, %+v", evicted, got)
+		t.Errorf("%d connections evicted, counts %+v; want 5 evicted, 5 unknown, 5 open", evicted, got)
 	}
 	rejects := func(e Event) bool {
 		e.Kind, e.Addr, e.HeadComplete = Opened, addr("10.0.0.3"), true
@@ -435,16 +442,17 @@
 	}
 	for conn := range int32(3) {
 		if !rejects(Event{}) {
-			t.Error("a stranger was let in over the bound")
+			t.Error("an unknown client was admitted over the lowered limit")
 		}
 		d.Step(now, Event{Kind: Closed, Conn: conn})
 	}
 	if rejects(Event{}) || rejects(Event{Identity: "tool"}) {
-		t.Error("nobody is let in under the bound")
+		t.Error("a client was rejected under the lowered limit")
 	}
 }
 
-// An address of the known costs no allocation, and no crowd pushes it out.
+// A connection from the address of a known client causes no allocation, and connections from many
+// other addresses do not evict that address from the table.
 func TestKnownAddressAllocatesNothing(t *testing.T) {
 	c := config()
 	c.MaxConnections = 100
@@ -463,15 +471,15 @@
 		d.Step(now, Event{Kind: Closed, Conn: open})
 	}
 	if key, _ := d.config.Prefixes.keys(addr("10.0.0.9")); d.table.clients[key] == nil || len(d.table.clients) > 2*c.RememberedAddresses {
-		t.Errorf("%d addresses, the known one among them: %v", len(d.table.clients), d.table.clients[key] != nil)
+		t.Errorf("%d addresses in the table, the known one among them: %v", len(d.table.clients), d.table.clients[key] != nil)
 	}
 	if n := testing.AllocsPerRun(1000, connectOnce); n != 0 {
-		t.Errorf("%v allocations", n)
+		t.Errorf("%v allocations for a connection from a known address; want 0", n)
 	}
 }
 
-// BenchmarkStep is a flood of silent connections from 4,096 addresses at a full house, three events
-// a connection.
+// BenchmarkStep measures Step for a flood of connections without requests from 4,096 addresses while
+// all connections are in use, with three events for each connection.
 func BenchmarkStep(b *testing.B) {
 	c := config()
 	c.MaxConnections, c.MaxOverflow, c.RememberedAddresses = 500, 16, 4096
@@ -493,8 +501,8 @@
 	b.ReportMetric(float64(events)/b.Elapsed().Seconds(), "events/s")
 }
 
-// A router that is draining closes connections that were used as soon as they are idle, and gives a
-// new one the time for its first request.
+// A draining router closes a used connection as soon as it is idle for long enough, and leaves a new
+// connection open for at least firstRequestTime.
 func TestDrainingLeavesTimeForFirstRequest(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -505,7 +513,7 @@
 	}{
 		{"new", false, 0, firstRequestTime - 1, false},
 		{"new for long enough", false, 0, firstRequestTime, true},
-		{"new, where others must be idle for longer", false, 2 * firstRequestTime, firstRequestTime, false},
+		{"new, with an idle time longer than firstRequestTime", false, 2 * firstRequestTime, firstRequestTime, false},
 		{"used", true, 0, 0, true},
 		{"used, not idle for long enough", true, 100 * ms, 99 * ms, false},
 		{"used, idle for long enough", true, 100 * ms, 100 * ms, true},
@@ -514,7 +522,7 @@
 			d := New(config(), 1)
 			opened := d.Step(time.Second, Event{Kind: Opened, Addr: addr("10.0.0.1")})
 			if len(opened) != 1 || opened[0].Kind != Admit {
-				t.Fatalf("%+v", opened)
+				t.Fatalf("new connection: got actions %+v; want one Admit", opened)
 			}
 			id := opened[0].Conn
 			if c.used {
@@ -524,7 +532,7 @@
 			}
 			got := d.Step(time.Second+c.age, Event{Kind: CloseIdle, IdleTime: c.idleTime})
 			if closed := len(got) == 1 && got[0].Kind == Expire && got[0].Cause == RouterDraining; closed != c.closed {
-				t.Errorf("%+v", got)
+				t.Errorf("got actions %+v; want an Expire by the draining router only if the connection is to be closed", got)
 			}
 		})
 	}
--- a/internal/admission/decision_test.go
+++ b/internal/admission/decision_test.go
@@ -7,15 +7,16 @@
 	"time"
 )
 
-// Guards against a request that was read and gets no decision, as its connection was evicted before
-// its goroutine went on: nobody answers it.
+// Guards against a request that is read but gets neither a Serve nor a Reject and is therefore never
+// answered. That happened when the connection was evicted after the request was complete, before
+// the connection's goroutine reported the request.
 func TestRequestThatHasBegunGetsDecision(t *testing.T) {
 	newConfig := Config{MaxConnections: 0}
 	for _, test := range []struct {
 		name   string
-		busy   bool          // another request is open, so the connection is of the overflow
-		after  time.Duration // its last byte
-		evicts Event
+		busy   bool          // another connection has an open request, so this one is in the overflow
+		after  time.Duration // time from the request's last byte to the event evicts
+		evicts Event         // an event that would evict the connection if it were idle
 	}{
 		{"another client, later than the minimum age", false, 2 * minEvictionAge, Event{Kind: Opened, Addr: addr("10.0.0.2")}},
 		{"another client in the overflow", true, 2 * minEvictionAge, Event{Kind: Opened, Addr: addr("10.0.0.2")}},
--- a/internal/admission/newconn.go
+++ b/internal/admission/newconn.go
@@ -86,17 +86,17 @@
 	address.trustedUntil, address.known = d.now+trustTime, true
 }
 
-// identityFits checks whether a known client may have one more connection. If needs is set, the
-// connection must also fit into the capacity, and identityFits evicts an unknown client's idle
-// connection if none is free. It returns the status and the cause of a rejection, or the code 0.
-func (d *Controller) identityFits(h *client, needs bool) (code int, cause Cause) {
+// identityFits checks whether a known client may have one more connection. If needsCapacity is set,
+// a connection must also be free, and identityFits evicts an idle one of an unknown client if none
+// is. It returns the status and the cause of a rejection, or the code 0.
+func (d *Controller) identityFits(h *client, needsCapacity bool) (code int, cause Cause) {
 	due, ok := d.nextArrival(h, d.config.PerIdentity.ConnectionsPerSecond)
 	switch {
 	case !ok:
 		return tooManyRequests, RateExceeded
 	case atLimit(h.conns, d.config.PerIdentity.Connections):
 		return tooManyRequests, TooManyConnections
-	case needs && d.total() >= d.config.MaxConnections+d.lent && !d.evictOne(0):
+	case needsCapacity && d.total() >= d.config.MaxConnections+d.lent && !d.evictOne(0):
 		return unavailable, CapacityReached
 	}
 	h.nextArrivalAt = due
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -47,7 +47,7 @@
 			continue
 		}
 		if diff := cmp.Diff(tt.want, got); diff != "" || err != nil {
-			t.Errorf("%s: %v %s", tt.name, err, diff)
+			t.Errorf("%s: error %v, difference %s", tt.name, err, diff)
 		}
 	}
 }
@@ -80,7 +80,7 @@
 	} {
 		got, err := ParseLoad([]byte(text))
 		if diff := cmp.Diff(want, got); diff != "" || (err == nil) != (want != nil) {
-			t.Errorf("%s: %v %s", text, err, diff)
+			t.Errorf("%s: error %v, difference %s", text, err, diff)
 		}
 	}
 }
