--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -30,7 +30,7 @@
 	overflow                         // beyond MaxConnections; its request is rejected unless its identity is known
 )
 
-// conn is one connection. Its ID is its index in Controller.conns.
+// conn is the state of one client connection. Its ID is its index in Controller.conns.
 type conn struct {
 	id           int32
 	state        connState
@@ -63,7 +63,7 @@
 	identities   map[string]*client
 	ranked       [2]ranking    // unknown and known clients with idle connections; see rankingIndex
 	idleOverflow list[conn]    // connections of the overflow without an open request, the longest idle first
-	timeouts     [2]list[conn] // connections of unknown clients: idle ones, and ones whose request has begun; the oldest first
+	timeouts     [2]list[conn] // connections of unknown clients, with the overflow: idle ones, and ones whose request has begun; the oldest first
 
 	known, unknown, awaitingRequests, overflows, open int
 	lent                                              int
@@ -482,7 +482,8 @@
 	return max(idleTime, firstRequestTime)
 }
 
-// updateLevel computes the level from the fraction of connections in use. A level ends at a lower
+// updateLevel computes the level from the fraction of connections in use, including the overflow. A
+// recent shortage of descriptors counts as if all connections were in use. A level ends at a lower
 // fraction than it begins, so that the level does not oscillate.
 func (d *Controller) updateLevel() {
 	usedFraction := float64(d.total()+d.overflows) / float64(max(d.config.MaxConnections, 1))
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -348,7 +348,7 @@
 	admitted := map[byte]int{}
 	for i := range 60 {
 		a := addr("2001:db8::").As16()
-		a[7], a[8], a[15] = byte(i%4), byte(i), byte(i) // four /64 prefixes in one /48
+		a[7], a[8], a[15] = byte(i%4), byte(i), byte(i) // 4 prefixes of /64 in one /48
 		for _, got := range d.Step(time.Second, Event{Kind: Opened, Addr: netip.AddrFrom16(a), HeadComplete: true}) {
 			if got.Kind == Admit {
 				admitted[a[7]]++
@@ -409,7 +409,8 @@
 }
 
 // If the limits are lowered below the number of connections in use, idle connections are evicted at
-// once. No client is admitted before enough of the connections with an open request are closed.
+// once. The reserve becomes available as connections with an open request are closed, and no client
+// is admitted before enough of them are.
 func TestLoweredLimits(t *testing.T) {
 	c := config()
 	c.MaxConnections, c.ReservedForKnown = 10, 0
--- a/internal/admission/descriptors.go
+++ b/internal/admission/descriptors.go
@@ -3,9 +3,10 @@
 // Owner is a part of the process that uses file descriptors. Its value is the name in the status.
 type Owner string
 
-// The owners. The descriptors of clients are their connections and those of the overflow; servers
-// may have as many connections as clients. Descriptors that mirrored requests do not use are lent to
-// known clients, and no mirrored request starts before the descriptors that it needs are returned.
+// The owners. KnownClients, UnknownClients and OverflowClients use one descriptor for each client
+// connection, and Servers may use as many descriptors as the clients. Descriptors that mirrored
+// requests do not use are lent to known clients. A mirrored request does not start before known
+// clients have returned the descriptor that it needs.
 const (
 	Listeners       Owner = "listeners" // including the spare descriptor
 	KnownClients    Owner = "known clients"
--- a/internal/admission/types.go
+++ b/internal/admission/types.go
@@ -140,9 +140,9 @@
 	RequestRead                         // Conn, Identity (empty for none): the router has read a request to its end
 	RequestDone                         // Conn: the connection's request has its final answer
 	Closed                              // Conn: the connection is closed, by either side
-	CapacityLent                        // Lent: number of connections that known clients may use in addition, with descriptors that their owner does not use
+	CapacityLent                        // Lent: number of connections that known clients may use in addition, because mirrored requests do not use their descriptors
 	DescriptorShortage                  // the process had no free file descriptor
-	TimePassed                          // time has passed without another event
+	TimePassed                          // no event but the passing of time, which may expire connections
 	ConfigChanged                       // Config: there is a new configuration; connections over a lowered limit stay unless they are idle
 	CloseIdle                           // IdleTime: the router is draining and closes connections that have been idle for at least IdleTime
 )
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -270,7 +270,7 @@
 	case m.Datagram != nil:
 		return m.Datagram.I, m.Datagram.event(), nil
 	}
-	return 0, nil, fmt.Errorf("message has no known event; want one of peersKnown, arrival, streaming, verdict, aborted, timer, health and datagram")
+	return 0, nil, fmt.Errorf("unknown event; want one of peersKnown, arrival, streaming, verdict, aborted, timer, health and datagram")
 }
 
 // event converts a datagram to an event. It returns nil for a datagram that can't be parsed, because
