--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -27,13 +27,13 @@
 	now      time.Duration
 	states   map[int32]string // awaiting, unknown, known or overflow, for each connection that is admitted and not evicted
 	open     map[int32]bool   // connections with an open request
-	rejected map[int32]bool   // connections whose request was rejected
+	rejected map[int32]bool   // connections whose request was rejected, and that are not closed yet
 	ready    map[int32]bool   // the request was complete when the connection opened, and is not decided yet
 	evicted  map[int32]bool   // evicted connections for which the caller has not reported Closed yet
 }
 
-func (w *model) count(state string) (n int) {
-	for _, s := range w.states {
+func (m *model) count(state string) (n int) {
+	for _, s := range m.states {
 		if s == state {
 			n++
 		}
@@ -43,51 +43,51 @@
 
 // step passes one event to the Controller and returns the action that answers the event, and the
 // number of such actions.
-func (w *model) step(e Event) (answer Action, answered int) {
+func (m *model) step(e Event) (answer Action, answered int) {
 	// awaiting counts the connections that may be evicted because no request was read on them. A
 	// rejected connection is about to close, and a complete request is about to be decided.
 	awaiting := 0
-	for id, state := range w.states {
-		if state == "awaiting" && !w.rejected[id] && !w.ready[id] {
+	for id, state := range m.states {
+		if state == "awaiting" && !m.rejected[id] && !m.ready[id] {
 			awaiting++
 		}
 	}
-	for _, a := range w.d.Step(w.now, e) {
+	for _, a := range m.d.Step(m.now, e) {
 		switch a.Kind {
 		case Evict:
-			if w.open[a.Conn] || w.ready[a.Conn] || w.states[a.Conn] == "" {
-				w.t.Fatalf("connection %d was evicted with a request: open %v, complete %v", a.Conn, w.open[a.Conn], w.ready[a.Conn])
+			if m.open[a.Conn] || m.ready[a.Conn] || m.states[a.Conn] == "" {
+				m.t.Fatalf("connection %d was evicted, but has a request (open %v, complete %v) or was not admitted", a.Conn, m.open[a.Conn], m.ready[a.Conn])
 			}
-			delete(w.states, a.Conn)
-			w.evicted[a.Conn] = true
+			delete(m.states, a.Conn)
+			m.evicted[a.Conn] = true
 		case Expire:
-			if w.open[a.Conn] || w.ready[a.Conn] || w.states[a.Conn] == "known" {
-				w.t.Fatalf("connection %d in the state %s was expired; want none of a known client or with a request", a.Conn, w.states[a.Conn])
+			if m.open[a.Conn] || m.ready[a.Conn] || m.states[a.Conn] == "known" {
+				m.t.Fatalf("connection %d in the state %s was expired; want none of a known client or with a request", a.Conn, m.states[a.Conn])
 			}
 		default:
 			answer, answered = a, answered+1
 		}
 	}
 	if (e.Kind == RequestRead || e.Kind == Opened) && answer.Kind == Reject && answer.Code == 503 && e.Identity != "" && awaiting > 0 {
-		w.t.Fatal("a known client was rejected for capacity while an unknown client had a connection without a request")
+		m.t.Fatal("a known client was rejected for capacity while an unknown client had a connection without a request")
 	}
 	return answer, answered
 }
 
-func (w *model) check() {
-	unknown, known, overflows := w.count("awaiting")+w.count("unknown"), w.count("known"), w.count("overflow")
-	if unknown > w.c.MaxConnections-w.c.ReservedForKnown || unknown+known > w.c.MaxConnections || overflows > w.c.MaxOverflow {
-		w.t.Fatalf("%d unknown, %d known and %d overflow connections exceed the limits", unknown, known, overflows)
+func (m *model) check() {
+	unknown, known, overflows := m.count("awaiting")+m.count("unknown"), m.count("known"), m.count("overflow")
+	if unknown > m.c.MaxConnections-m.c.ReservedForKnown || unknown+known > m.c.MaxConnections || overflows > m.c.MaxOverflow {
+		m.t.Fatalf("%d unknown, %d known and %d overflow connections exceed the limits", unknown, known, overflows)
 	}
-	c := w.d.Counts()
-	if c.Unknown != unknown || c.Known != known || c.Overflow != overflows || c.Open != len(w.open) || c.AwaitingRequest != w.count("awaiting") {
-		w.t.Fatalf("got counts %+v; want %d unknown, %d known, %d overflow, %d open", c, unknown, known, overflows, len(w.open))
+	c := m.d.Counts()
+	if c.Unknown != unknown || c.Known != known || c.Overflow != overflows || c.Open != len(m.open) || c.AwaitingRequest != m.count("awaiting") {
+		m.t.Fatalf("got counts %+v; want %d unknown, %d known, %d overflow, %d open", c, unknown, known, overflows, len(m.open))
 	}
-	if maxAddresses := 2*w.c.RememberedAddresses + 2*(len(w.states)+len(w.evicted)+len(w.rejected)); c.Addresses > maxAddresses+2 {
-		w.t.Fatalf("%d addresses in the table; want at most %d, and 2 more", c.Addresses, maxAddresses)
+	if maxAddresses := 2*m.c.RememberedAddresses + 2*(len(m.states)+len(m.evicted)+len(m.rejected)); c.Addresses > maxAddresses+2 {
+		m.t.Fatalf("%d addresses in the table; want at most %d, and 2 more", c.Addresses, maxAddresses)
 	}
-	if len(w.d.conns) > w.c.MaxConnections+w.c.MaxOverflow+len(w.evicted)+30 {
-		w.t.Fatalf("%d connection IDs for %d connections", len(w.d.conns), len(w.states))
+	if len(m.d.conns) > m.c.MaxConnections+m.c.MaxOverflow+len(m.evicted)+30 {
+		m.t.Fatalf("%d connection IDs for %d connections", len(m.d.conns), len(m.states))
 	}
 }
 
@@ -104,11 +104,11 @@
 			c.KnownRanges = []netip.Prefix{netip.MustParsePrefix("10.9.0.0/16")}
 		}
 		c.PerAddress.Connections = rapid.IntRange(0, 3).Draw(t, "perAddress")
-		w := &model{t: t, d: New(c, 1), c: c, now: time.Second, states: map[int32]string{}, open: map[int32]bool{}, rejected: map[int32]bool{}, evicted: map[int32]bool{}, ready: map[int32]bool{}}
+		m := &model{t: t, d: New(c, 1), c: c, now: time.Second, states: map[int32]string{}, open: map[int32]bool{}, rejected: map[int32]bool{}, evicted: map[int32]bool{}, ready: map[int32]bool{}}
 		drawConn := func(ok func(int32) bool) (int32, bool) {
 			var ids []int32
 			for id := range int32(40) {
-				if w.states[id] != "" && ok(id) {
+				if m.states[id] != "" && ok(id) {
 					ids = append(ids, id)
 				}
 			}
@@ -119,11 +119,11 @@
 		}
 		addresses := []string{"10.0.0.1", "10.0.0.2", "10.0.1.1", "10.9.0.1", "10.9.0.2", "2001:db8::1", "2001:db8::2", "2001:db8:0:1::1", "::ffff:10.0.0.1"}
 		t.Repeat(map[string]func(*rapid.T){
-			"": func(*rapid.T) { w.check() },
+			"": func(*rapid.T) { m.check() },
 			"open": func(t *rapid.T) {
-				w.now += rapid.SampledFrom([]time.Duration{0, ms, 6 * ms, 300 * ms}).Draw(t, "after")
+				m.now += rapid.SampledFrom([]time.Duration{0, ms, 6 * ms, 300 * ms}).Draw(t, "after")
 				a := addr(rapid.SampledFrom(addresses).Draw(t, "from"))
-				before := w.count("overflow")
+				before := m.count("overflow")
 				e := Event{Kind: Opened, Addr: a, HeadComplete: rapid.Bool().Draw(t, "headComplete")}
 				if e.HeadComplete {
 					e.Identity = rapid.SampledFrom([]string{"", "tool", "noisy"}).Draw(t, "identity")
@@ -131,56 +131,56 @@
 				} else {
 					e.ClientLeft = rapid.Bool().Draw(t, "clientLeft")
 				}
-				got, n := w.step(e)
+				got, n := m.step(e)
 				if n != 1 {
 					t.Fatalf("%d actions answer a new connection; want 1", n)
 				}
-				if got.Kind == Reject && (!e.HeadComplete || got.Conn != NoConnection) || got.Kind == Drop && e.HeadComplete || got.Kind == Admit && e.ClientLeft && c.EvictFromLargest && w.d.isFull() {
+				if got.Kind == Reject && (!e.HeadComplete || got.Conn != NoConnection) || got.Kind == Drop && e.HeadComplete || got.Kind == Admit && e.ClientLeft && c.EvictFromLargest && m.d.isFull() {
 					t.Fatalf("action %+v does not fit the event %+v", got, e)
 				}
 				if got.Kind != Admit {
 					return
 				}
 				if e.RequestComplete {
-					w.ready[got.Conn] = true
+					m.ready[got.Conn] = true
 				}
 				switch {
 				case e.Identity != "":
-					w.states[got.Conn] = "known"
-				case w.d.Counts().Overflow > before || w.d.conns[got.Conn].state == overflow:
-					w.states[got.Conn] = "overflow"
+					m.states[got.Conn] = "known"
+				case m.d.Counts().Overflow > before || m.d.conns[got.Conn].state == overflow:
+					m.states[got.Conn] = "overflow"
 				case len(c.KnownRanges) > 0 && c.KnownRanges[0].Contains(a.Unmap()):
-					w.states[got.Conn] = "known"
+					m.states[got.Conn] = "known"
 				default:
-					w.states[got.Conn] = "awaiting"
+					m.states[got.Conn] = "awaiting"
 				}
-				delete(w.evicted, got.Conn)
+				delete(m.evicted, got.Conn)
 			},
 			"many addresses": func(t *rapid.T) { // a connection from each of many addresses
 				for i := range rapid.IntRange(1, 40).Draw(t, "addresses") {
-					w.now += 6 * ms
-					got, _ := w.step(Event{Kind: Opened, Addr: netip.AddrFrom4([4]byte{172, 16, byte(i), byte(w.now)})})
+					m.now += 6 * ms
+					got, _ := m.step(Event{Kind: Opened, Addr: netip.AddrFrom4([4]byte{172, 16, byte(i), byte(m.now)})})
 					if got.Kind == Admit {
-						w.states[got.Conn] = "awaiting"
-						if w.d.conns[got.Conn].state == overflow {
-							w.states[got.Conn] = "overflow"
+						m.states[got.Conn] = "awaiting"
+						if m.d.conns[got.Conn].state == overflow {
+							m.states[got.Conn] = "overflow"
 						}
-						w.step(Event{Kind: Closed, Conn: got.Conn})
-						delete(w.states, got.Conn)
+						m.step(Event{Kind: Closed, Conn: got.Conn})
+						delete(m.states, got.Conn)
 					}
-					for id := range w.evicted {
-						w.step(Event{Kind: Closed, Conn: id})
-						delete(w.evicted, id)
+					for id := range m.evicted {
+						m.step(Event{Kind: Closed, Conn: id})
+						delete(m.evicted, id)
 					}
 				}
 			},
 			"began": func(t *rapid.T) {
-				if id, ok := drawConn(func(id int32) bool { return !w.open[id] && !w.rejected[id] }); ok {
-					w.step(Event{Kind: RequestBegan, Conn: id})
+				if id, ok := drawConn(func(id int32) bool { return !m.open[id] && !m.rejected[id] }); ok {
+					m.step(Event{Kind: RequestBegan, Conn: id})
 				}
 			},
 			"read": func(t *rapid.T) {
-				id, ok := drawConn(func(id int32) bool { return !w.open[id] && !w.rejected[id] })
+				id, ok := drawConn(func(id int32) bool { return !m.open[id] && !m.rejected[id] })
 				if !ok {
 					t.Skip()
 				}
@@ -189,47 +189,47 @@
 				if identity == "unlisted" {
 					e.Identity = ""
 				}
-				got, n := w.step(e)
-				delete(w.ready, id)
+				got, n := m.step(e)
+				delete(m.ready, id)
 				if n != 1 || got.Kind != Serve && got.Kind != Reject {
 					t.Fatalf("%d actions answer a request, the last one %+v; want one Serve or Reject", n, got)
 				}
 				if got.Kind == Reject {
-					w.rejected[id] = true
+					m.rejected[id] = true
 					if got.Code != 429 && got.Code != 503 || got.RetryAfter < c.MinRetryAfter || got.RetryAfter > 2*c.MinRetryAfter {
 						t.Fatalf("rejected with %+v; want 429 or 503 and a Retry-After from MinRetryAfter to twice that", got)
 					}
 					return
 				}
-				w.open[id] = true
+				m.open[id] = true
 				switch {
 				case e.Identity != "":
-					w.states[id] = "known"
-				case w.states[id] == "awaiting":
-					w.states[id] = "unknown"
-				case w.states[id] == "overflow":
+					m.states[id] = "known"
+				case m.states[id] == "awaiting":
+					m.states[id] = "unknown"
+				case m.states[id] == "overflow":
 					t.Fatal("an unknown client was served on an overflow connection")
 				}
 			},
 			"done": func(t *rapid.T) {
-				if id, ok := drawConn(func(id int32) bool { return w.open[id] }); ok {
-					w.step(Event{Kind: RequestDone, Conn: id})
-					delete(w.open, id)
+				if id, ok := drawConn(func(id int32) bool { return m.open[id] }); ok {
+					m.step(Event{Kind: RequestDone, Conn: id})
+					delete(m.open, id)
 				}
 			},
 			"close": func(t *rapid.T) {
 				if id, ok := drawConn(func(int32) bool { return true }); ok {
-					delete(w.states, id)
-					delete(w.open, id)
-					delete(w.rejected, id)
-					delete(w.ready, id)
-					w.step(Event{Kind: Closed, Conn: id})
+					delete(m.states, id)
+					delete(m.open, id)
+					delete(m.rejected, id)
+					delete(m.ready, id)
+					m.step(Event{Kind: Closed, Conn: id})
 				}
 			},
 			"close evicted": func(t *rapid.T) {
-				for id := range w.evicted {
-					w.step(Event{Kind: Closed, Conn: id})
-					delete(w.evicted, id)
+				for id := range m.evicted {
+					m.step(Event{Kind: Closed, Conn: id})
+					delete(m.evicted, id)
 				}
 			},
 		})
