--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -13,26 +13,26 @@
 func TestParseArrival(t *testing.T) {
 	good := map[string]string{HeaderID: "9b1f", HeaderClass: "chat", HeaderSession: "7f3a", HeaderTimeLeft: "4800m",
 		HeaderHint: "1500", HeaderFacts: "prefix=5c0f,prompt_len=5120,prefix_len=2048,max_out=800"}
-	whole := balance.Arrival{ID: "9b1f", Class: "chat", Session: "7f3a", Prefix: "5c0f", TimeLeft: 4800 * time.Millisecond,
+	complete := balance.Arrival{ID: "9b1f", Class: "chat", Session: "7f3a", Prefix: "5c0f", TimeLeft: 4800 * time.Millisecond,
 		WorkEstimate: 1500 * time.Microsecond, PromptTokens: 5120, PrefixTokens: 2048}
-	bare := whole
-	bare.Prefix, bare.PromptTokens, bare.PrefixTokens = "", 100, 0
+	withoutFacts := complete
+	withoutFacts.Prefix, withoutFacts.PromptTokens, withoutFacts.PrefixTokens = "", 100, 0
 	for _, tt := range []struct {
 		name, header, value string
 		want                balance.Arrival
 		fault               string
 	}{
-		{name: "all there", want: whole},
-		{name: "no facts: the body tells the length", header: HeaderFacts, want: bare},
+		{name: "all headers", want: complete},
+		{name: "no facts: tokens estimated from the body's length", header: HeaderFacts, want: withoutFacts},
 		{name: "no id", header: HeaderID, fault: "X-Correlation-Id is missing"},
 		{name: "no class", header: HeaderClass, fault: "X-Service-Class is missing"},
 		{name: "no time", header: HeaderTimeLeft, fault: `X-Time-Left: "" is not a time`},
 		{name: "no unit", header: HeaderTimeLeft, value: "4800", fault: `X-Time-Left: "4800" is not a time`},
 		{name: "negative time", header: HeaderTimeLeft, value: "-1m", fault: `X-Time-Left: "-1m" is not a time`},
 		{name: "no number", header: HeaderTimeLeft, value: "NaNm", fault: `X-Time-Left: "NaNm" is not a time`},
-		{name: "odd hint", header: HeaderHint, value: "big", fault: `X-Weight-Hint: "big"`},
-		{name: "odd length", header: HeaderFacts, value: "prompt_len=-3", fault: `X-Facts: prompt_len is "-3"`},
-		{name: "no pair", header: HeaderFacts, value: "prompt_len", fault: `X-Facts: "prompt_len" is not of the form`},
+		{name: "malformed hint", header: HeaderHint, value: "big", fault: `X-Weight-Hint: "big"`},
+		{name: "negative length", header: HeaderFacts, value: "prompt_len=-3", fault: `X-Facts: prompt_len is "-3"`},
+		{name: "fact without a value", header: HeaderFacts, value: "prompt_len", fault: `X-Facts: "prompt_len" is not of the form`},
 	} {
 		got, err := ParseArrival(func(name string) string {
 			if name == tt.header {
@@ -47,7 +47,7 @@
 			continue
 		}
 		if diff := cmp.Diff(tt.want, got); diff != "" || err != nil {
-			t.Errorf("%s: %v %s", tt.name, err, diff)
+			t.Errorf("%s: error %v, difference %s", tt.name, err, diff)
 		}
 	}
 }
@@ -60,14 +60,16 @@
 		}
 	}
 	if got := FormatDuration(-time.Second); got != "0u" {
-		t.Errorf("a time that is over: got %s, want 0u", got)
+		t.Errorf("a negative duration: got %s, want 0u", got)
 	}
 	if got := FormatRetryAfter(131 * time.Millisecond); got != "0.131" {
 		t.Errorf("got Retry-After %s, want decimal seconds", got)
 	}
 }
 
-// On the first calm day every report was read as empty: it came under the settings' names.
+// Reports may use the names from the settings or the short names. Guards against a parser that knows
+// only the short names: it read every report of a site as empty, because they used the names from
+// the settings.
 func TestLoadReportsByEitherName(t *testing.T) {
 	for text, want := range map[string]*balance.Load{
 		`{"cpu_share":0.061,"x0":0.116}`:                         {InFlight: -1, Utilization: 0.061, PrefillTokens: -1},
@@ -78,7 +80,7 @@
 	} {
 		got, err := ParseLoad([]byte(text))
 		if diff := cmp.Diff(want, got); diff != "" || (err == nil) != (want != nil) {
-			t.Errorf("%s: %v %s", text, err, diff)
+			t.Errorf("%s: error %v, difference %s", text, err, diff)
 		}
 	}
 }
@@ -101,10 +103,10 @@
 			t.Errorf("pieces of %d: %s", size, diff)
 		}
 	}
-	var odd StreamReader
-	odd.Feed([]byte(": X-Backend-Load: {\n"))
-	if odd.Err == nil || odd.Load != nil {
-		t.Errorf("a malformed report: got %+v, want an error and no load", odd)
+	var malformed StreamReader
+	malformed.Feed([]byte(": X-Backend-Load: {\n"))
+	if malformed.Err == nil || malformed.Load != nil {
+		t.Errorf("a malformed report: got %+v, want an error and no load", malformed)
 	}
 }
 
