--- a/internal/system/controlapi/forms_test.go
+++ b/internal/system/controlapi/forms_test.go
@@ -24,7 +24,7 @@
 
 // play makes a call and writes it with its answer. The wording of an error is left out where this
 // package chose it.
-func (e exchange) play(out *strings.Builder) {
+func (e exchange) record(out *strings.Builder) {
 	f := &fakeRouter{reply: e.reply, stored: e.stored, unacknowledged: e.unacknowledged, neverInForce: e.neverInForce, unfenced: e.notFenced}
 	ifMatch := []string{}
 	if e.ifMatch != "" {
@@ -112,7 +112,7 @@
 func TestCallsAreUnchanged(t *testing.T) {
 	var out strings.Builder
 	for _, e := range exchanges() {
-		e.play(&out)
+		e.record(&out)
 	}
 	formtest.Compare(t, "calls.txt", formtest.Document([2]string{"calls and answers", out.String()},
 		[2]string{"host's call", formtest.Fields(registration{}, "json")},
--- a/internal/system/controlapi/handler_test.go
+++ b/internal/system/controlapi/handler_test.go
@@ -47,7 +47,7 @@
 	return !f.unacknowledged
 }
 
-var errSilent = errors.New("nobody answers")
+var errNoReply = errors.New("nobody answers")
 
 func (f *fakeRouter) Submit(_ context.Context, text []byte) (*coordpb.Reply, error) {
 	order := &message.Order{}
@@ -56,7 +56,7 @@
 	}
 	f.orders = append(f.orders, order)
 	if f.reply == nil {
-		return nil, errSilent
+		return nil, errNoReply
 	}
 	out, err := proto.Marshal(f.reply)
 	return &coordpb.Reply{Reply: out}, err
@@ -67,7 +67,7 @@
 		return &coordpb.Reply{Unchanged: true}, nil
 	}
 	if f.stored == nil {
-		return nil, errSilent
+		return nil, errNoReply
 	}
 	out, err := proto.Marshal(f.stored)
 	return &coordpb.Reply{Reply: out}, err
@@ -119,7 +119,7 @@
 
 // A call that can't be used is rejected with a line that names the field, and changes nothing.
 func TestInvalidHeartbeatNamesTheField(t *testing.T) {
-	for name, c := range map[string]struct{ body, says string }{
+	for name, c := range map[string]struct{ body, want string }{
 		"cut":              {heartbeatBody[:50], "registration"},
 		"no service":       {strings.Replace(heartbeatBody, `"service":"s",`, "", 1), "service"},
 		"no address":       {strings.Replace(heartbeatBody, `"address":"10.0.0.9:80",`, "", 1), "address"},
@@ -131,7 +131,7 @@
 			f := &fakeRouter{}
 			w := f.call(http.MethodPut, "/instances/i-1", c.body)
 			is.Equal(w.Code, 400)
-			is.True(strings.Contains(w.Body.String(), c.says))
+			is.True(strings.Contains(w.Body.String(), c.want))
 			is.Equal(len(f.heartbeats), 0)
 		})
 	}
--- a/internal/system/controlapi/pins_test.go
+++ b/internal/system/controlapi/pins_test.go
@@ -69,7 +69,7 @@
 // Calls that can't be used are rejected with a line that names the field, before the register is
 // asked.
 func TestInvalidPinIsRejectedWithoutTheRegister(t *testing.T) {
-	for name, c := range map[string]struct{ method, path, body, ifMatch, says string }{
+	for name, c := range map[string]struct{ method, path, body, ifMatch, want string }{
 		"no JSON":            {http.MethodPut, "/pins/p", `{"tenant":`, "0", "not a pin"},
 		"version is text":    {http.MethodPut, "/pins/p", strings.Replace(pinBody, "3", `"3"`, 1), "0", "version"},
 		"no version":         {http.MethodPut, "/pins/p", strings.Replace(pinBody, `"version":3,`, "", 1), "0", "version"},
@@ -84,7 +84,7 @@
 			f := &fakeRouter{reply: &message.OrderReply{Status: 200}}
 			w := f.call(c.method, c.path, c.body, c.ifMatch)
 			is.Equal(w.Code, 400)
-			is.True(strings.Contains(w.Body.String(), c.says))
+			is.True(strings.Contains(w.Body.String(), c.want))
 			is.Equal(len(f.orders), 0)
 		})
 	}
--- a/internal/system/dataplane/callers_test.go
+++ b/internal/system/dataplane/callers_test.go
@@ -20,22 +20,22 @@
 
 // callerPlays is how many drawn plays there are. Each takes two seconds, most of them waiting, and
 // several run at once.
-var callerPlays = flag.Int("caller-plays", 8, "drawn plays of clients before hosts in trouble")
+var trialCount = flag.Int("caller-plays", 8, "drawn plays of clients before hosts in trouble")
 
 const (
-	drawnClients  = 6
-	drawnCalls    = 10 // of each client, one after the other or some at once
-	drawnDeadline = 700 * time.Millisecond
-	lateAfter     = 500 * time.Millisecond // a request may reach a host so long after its client has left
-	settleFor     = 900 * time.Millisecond // after the last answer, for what still runs
+	clientsPerTrial      = 6
+	requestsPerClient    = 10 // of each client, one after the other or some at once
+	requestDeadline      = 700 * time.Millisecond
+	maxArrivalAfterLeave = 500 * time.Millisecond // a request may reach a host so long after its client has left
+	settleTime           = 900 * time.Millisecond // after the last answer, for what still runs
 )
 
 // trouble is what a host does with one request.
-type trouble int
+type fault int
 
 // The troubles of a host.
 const (
-	well trouble = iota
+	noFault fault = iota
 	inPieces
 	interim
 	extraAnswer   // the answer again, behind itself
@@ -48,60 +48,60 @@
 	noLength
 	noLengthReset
 	garbage
-	nameless
+	missingRequestID
 	notExecuted
 	misdirected
 	ownError
-	falsePromise // 503 of one that has run it
+	falseRejection // 503 of one that has run it
 	silent
 	closesAfter
 	earlyAnswer // before it has read the body, the rest of which it reads later
-	troubles
+	faultCount
 )
 
 // caseOf is one request, as it went.
-type caseOf struct {
+type requestRecord struct {
 	id       string
 	path     string
 	left     time.Time // its client left, zero for never
 	status   int       // 0 for no whole head
 	body     string
-	whole    bool // the answer was complete
+	complete bool // the answer was complete
 	seal     string
 	answered string // the id that the answer carries
 }
 
 // ledger is what hosts did and clients saw.
-type ledger struct {
-	mu       sync.Mutex
-	runs     map[string]int // by request: how often a host began work on it
-	arrivals map[string][]time.Time
-	bodies   map[string]string // as they reached a host
-	cases    []*caseOf
+type recorder struct {
+	mu         sync.Mutex
+	executions map[string]int // by request: how often a host began work on it
+	arrivals   map[string][]time.Time
+	bodies     map[string]string // as they reached a host
+	requests   []*requestRecord
 }
 
-func newLedger() *ledger {
-	return &ledger{runs: map[string]int{}, arrivals: map[string][]time.Time{}, bodies: map[string]string{}}
+func newRecorder() *recorder {
+	return &recorder{executions: map[string]int{}, arrivals: map[string][]time.Time{}, bodies: map[string]string{}}
 }
 
-func (l *ledger) arrived(id, body string, runs bool) {
+func (l *recorder) arrived(id, body string, runs bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.arrivals[id] = append(l.arrivals[id], time.Now())
 	l.bodies[id] = body
 	if runs {
-		l.runs[id]++
+		l.executions[id]++
 	}
 }
 
-func (l *ledger) add(c *caseOf) {
+func (l *recorder) add(c *requestRecord) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.cases = append(l.cases, c)
+	l.requests = append(l.requests, c)
 }
 
 // once tells that a request may run no more than once.
-func (c *caseOf) once() bool { return strings.HasPrefix(c.path, "/unsafe/") }
+func (c *requestRecord) atMostOnce() bool { return strings.HasPrefix(c.path, "/unsafe/") }
 
 // bodyFor is what a host answers to a request.
 func bodyFor(id string) string { return "for " + id + strings.Repeat(" .", 40) }
@@ -110,18 +110,18 @@
 func requestBody(id string) string { return "body of " + id + strings.Repeat("-", 300) }
 
 // promises tells that a status says that a request has not run and never will.
-func promises(status int) bool {
+func promisesNotExecuted(status int) bool {
 	return slices.Contains([]int{http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable}, status)
 }
 
 // judge tells what must not be.
-func (l *ledger) judge() error {
+func (l *recorder) check() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	asked := map[string]bool{}
-	for _, c := range l.cases {
+	for _, c := range l.requests {
 		asked[c.id] = true
-		if err := l.judgeCase(c); err != nil {
+		if err := l.checkRequest(c); err != nil {
 			return fmt.Errorf("%s %s: %w", c.path, c.id, err)
 		}
 	}
@@ -136,24 +136,24 @@
 	return nil
 }
 
-func (l *ledger) judgeCase(c *caseOf) error {
-	runs := l.runs[c.id]
+func (l *recorder) checkRequest(c *requestRecord) error {
+	runs := l.executions[c.id]
 	switch {
-	case c.once() && runs > 1:
+	case c.atMostOnce() && runs > 1:
 		return fmt.Errorf("it ran %d times", runs)
-	case c.once() && promises(c.status) && runs > 0:
+	case c.atMostOnce() && promisesNotExecuted(c.status) && runs > 0:
 		return fmt.Errorf("its client was told %d, and it ran", c.status)
 	case c.answered != "" && c.answered != c.id:
 		return fmt.Errorf("its client got the answer to %s", c.answered)
 	}
-	if c.status/100 == 2 && c.whole && (c.body != bodyFor(c.id) || c.seal == "") {
+	if c.status/100 == 2 && c.complete && (c.body != bodyFor(c.id) || c.seal == "") {
 		return fmt.Errorf("its client got %q with the seal %q as a complete answer", c.body, c.seal)
 	}
 	if c.left.IsZero() {
 		return nil
 	}
 	for _, at := range l.arrivals[c.id] {
-		if late := at.Sub(c.left); late > lateAfter {
+		if late := at.Sub(c.left); late > maxArrivalAfterLeave {
 			return fmt.Errorf("it reached a host %v after its client had left", late)
 		}
 	}
@@ -161,22 +161,22 @@
 }
 
 // drawnHost misbehaves as it is drawn.
-type drawnHost struct {
-	id     string
-	ledger *ledger
-	mu     sync.Mutex
-	rng    *rand.Rand
-	before string // the request before, on any connection
+type faultyHost struct {
+	id         string
+	recorder   *recorder
+	mu         sync.Mutex
+	rng        *rand.Rand
+	previousID string // the request before, on any connection
 }
 
-func (h *drawnHost) draw(n int) int {
+func (h *faultyHost) randN(n int) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.rng.IntN(n)
 }
 
 // listen serves until the test ends.
-func (h *drawnHost) listen(t *testing.T) *host {
+func (h *faultyHost) listen(t *testing.T) *host {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -198,7 +198,7 @@
 // idleTime is how long a host keeps an idle connection.
 const idleTime = 150 * time.Millisecond
 
-func (h *drawnHost) serve(c *net.TCPConn) {
+func (h *faultyHost) serve(c *net.TCPConn) {
 	defer c.Close()
 	in := bufio.NewReader(c)
 	for {
@@ -208,9 +208,9 @@
 			return
 		}
 		c.SetReadDeadline(time.Now().Add(time.Second))
-		kind := trouble(0)
-		if h.draw(2) == 0 {
-			kind = trouble(h.draw(int(troubles)))
+		kind := fault(0)
+		if h.randN(2) == 0 {
+			kind = fault(h.randN(int(faultCount)))
 		}
 		id := r.Header.Get("Request-Id")
 		if kind == earlyAnswer {
@@ -221,37 +221,37 @@
 			return
 		}
 		runs := kind != notExecuted && kind != misdirected && kind != earlyAnswer
-		h.ledger.arrived(id, string(text), runs)
+		h.recorder.arrived(id, string(text), runs)
 		if kind != earlyAnswer && !h.answer(c, id, kind) {
 			return
 		}
 		h.mu.Lock()
-		h.before = id
+		h.previousID = id
 		h.mu.Unlock()
 	}
 }
 
 // head is a whole answer.
-func (h *drawnHost) head(id string, status int, extra, body string) string {
+func (h *faultyHost) head(id string, status int, extra, body string) string {
 	return fmt.Sprintf("HTTP/1.1 %d X\r\nRequest-Id: %s\r\nResponse-Seal: seal-%s\r\n%sContent-Length: %d\r\n\r\n%s", status, id, h.id, extra, len(body), body)
 }
 
-func (h *drawnHost) send(c net.Conn, text string) { io.WriteString(c, text) }
+func (h *faultyHost) send(c net.Conn, text string) { io.WriteString(c, text) }
 
 // answer answers a request; it tells whether the connection goes on.
-func (h *drawnHost) answer(c *net.TCPConn, id string, kind trouble) (goesOn bool) {
+func (h *faultyHost) answer(c *net.TCPConn, id string, kind fault) (keepOpen bool) {
 	whole := h.head(id, http.StatusOK, "", bodyFor(id))
 	unframed := fmt.Sprintf("HTTP/1.1 200 X\r\nRequest-Id: %s\r\nResponse-Seal: seal-%s\r\n\r\n%s", id, h.id, bodyFor(id))
 	h.mu.Lock()
-	before := h.before
+	before := h.previousID
 	h.mu.Unlock()
 	switch kind {
 	case inPieces:
 		for len(whole) > 0 {
-			n := 1 + h.draw(len(whole))
+			n := 1 + h.randN(len(whole))
 			h.send(c, whole[:n])
 			whole = whole[n:]
-			time.Sleep(time.Duration(h.draw(3)) * time.Millisecond) // so that the pieces travel apart
+			time.Sleep(time.Duration(h.randN(3)) * time.Millisecond) // so that the pieces travel apart
 		}
 	case interim:
 		h.send(c, "HTTP/1.1 102 Processing\r\n\r\n"+whole)
@@ -264,7 +264,7 @@
 		h.send(c, whole)
 	case lateAnswer:
 		h.send(c, whole)
-		time.Sleep(time.Duration(h.draw(20)) * time.Millisecond)
+		time.Sleep(time.Duration(h.randN(20)) * time.Millisecond)
 		h.send(c, whole)
 	case resetUnanswered:
 		c.SetLinger(0)
@@ -272,7 +272,7 @@
 	case closedUnanswered:
 		return false
 	case cutByClose, cutByReset:
-		h.send(c, whole[:h.draw(len(whole))])
+		h.send(c, whole[:h.randN(len(whole))])
 		if kind == cutByReset {
 			c.SetLinger(0)
 		}
@@ -281,13 +281,13 @@
 		h.send(c, unframed)
 		return false
 	case noLengthReset:
-		h.send(c, unframed[:len(unframed)-1-h.draw(40)])
+		h.send(c, unframed[:len(unframed)-1-h.randN(40)])
 		c.SetLinger(0)
 		return false
 	case garbage:
 		h.send(c, "nothing that is known\r\n\r\n")
 		return false
-	case nameless:
+	case missingRequestID:
 		h.send(c, "HTTP/1.1 200 X\r\nResponse-Seal: s\r\nContent-Length: 3\r\n\r\nfor")
 		return false
 	case notExecuted:
@@ -296,10 +296,10 @@
 		h.send(c, h.head(id, http.StatusMisdirectedRequest, "", ""))
 	case ownError:
 		h.send(c, h.head(id, http.StatusInternalServerError, "", "failed"))
-	case falsePromise:
+	case falseRejection:
 		h.send(c, h.head(id, http.StatusServiceUnavailable, "", "failed"))
 	case silent:
-		time.Sleep(drawnDeadline + 100*time.Millisecond)
+		time.Sleep(requestDeadline + 100*time.Millisecond)
 		return false
 	case closesAfter:
 		h.send(c, h.head(id, http.StatusOK, "Connection: close\r\n", bodyFor(id)))
@@ -311,45 +311,45 @@
 }
 
 // drawnClient sends requests, some of them at once on one connection, and sometimes leaves.
-type drawnClient struct {
-	name   string
-	addr   string
-	rng    *rand.Rand
-	ledger *ledger
+type randomClient struct {
+	name     string
+	addr     string
+	rng      *rand.Rand
+	recorder *recorder
 }
 
-func (c *drawnClient) run() {
-	for sent := 0; sent < drawnCalls; {
+func (c *randomClient) run() {
+	for sent := 0; sent < requestsPerClient; {
 		n := 1
 		if c.rng.IntN(3) == 0 {
 			n += c.rng.IntN(3)
 		}
-		var batch []*caseOf
+		var batch []*requestRecord
 		for range n {
 			path := []string{"/safe/x", "/unsafe/x", "/unsafe/y"}[c.rng.IntN(3)]
-			batch = append(batch, &caseOf{id: fmt.Sprintf("%s-%d", c.name, sent), path: path})
+			batch = append(batch, &requestRecord{id: fmt.Sprintf("%s-%d", c.name, sent), path: path})
 			sent++
 		}
 		c.exchange(batch)
 		for _, x := range batch {
-			c.ledger.add(x)
+			c.recorder.add(x)
 		}
 	}
 }
 
 // exchange sends requests on one connection, one behind the other, and reads the answers.
-func (c *drawnClient) exchange(batch []*caseOf) {
+func (c *randomClient) exchange(batch []*requestRecord) {
 	nc, err := net.Dial("tcp", c.addr)
 	if err != nil {
 		return
 	}
 	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(patience))
+	nc.SetDeadline(time.Now().Add(testTimeout))
 	var out strings.Builder
 	for _, x := range batch {
 		body := requestBody(x.id)
 		fmt.Fprintf(&out, "POST %s HTTP/1.1\r\nHost: h.example\r\nRequest-Id: %s\r\nRequest-Deadline: %d\r\nContent-Length: %d\r\n\r\n%s",
-			x.path, x.id, drawnDeadline.Milliseconds(), len(body), body)
+			x.path, x.id, requestDeadline.Milliseconds(), len(body), body)
 	}
 	io.WriteString(nc, out.String())
 	if c.rng.IntN(8) == 0 {
@@ -367,7 +367,7 @@
 			return
 		}
 		text, err := io.ReadAll(resp.Body)
-		x.status, x.body, x.whole = resp.StatusCode, string(text), err == nil && resp.ContentLength >= 0
+		x.status, x.body, x.complete = resp.StatusCode, string(text), err == nil && resp.ContentLength >= 0
 		x.seal, x.answered = resp.Header.Get("Response-Seal"), resp.Header.Get("Request-Id")
 		if err != nil || resp.Close {
 			return
@@ -377,23 +377,23 @@
 
 // playCallers has clients before a router whose hosts are in all kinds of trouble, and judges what
 // came of it.
-func playCallers(t *testing.T, seed uint64) (*ledger, error) {
+func runTrial(t *testing.T, seed uint64) (*recorder, error) {
 	t.Helper()
-	l := newLedger()
+	l := newRecorder()
 	var hosts []*host
 	for i := range 3 {
-		h := &drawnHost{id: fmt.Sprintf("i-%d", i), ledger: l, rng: rand.New(rand.NewPCG(seed, uint64(100+i)))}
+		h := &faultyHost{id: fmt.Sprintf("i-%d", i), recorder: l, rng: rand.New(rand.NewPCG(seed, uint64(100+i)))}
 		hosts = append(hosts, h.listen(t))
 	}
 	f := newFleet(t, "", hosts...)
 	var clients sync.WaitGroup
-	for i := range drawnClients {
-		c := &drawnClient{name: fmt.Sprintf("s%dc%d", seed, i), addr: f.addr, rng: rand.New(rand.NewPCG(seed, uint64(i))), ledger: l}
+	for i := range clientsPerTrial {
+		c := &randomClient{name: fmt.Sprintf("s%dc%d", seed, i), addr: f.addr, rng: rand.New(rand.NewPCG(seed, uint64(i))), recorder: l}
 		clients.Go(c.run)
 	}
 	clients.Wait()
-	time.Sleep(settleFor) // for requests that would run later than they may
-	return l, l.judge()
+	time.Sleep(settleTime) // for requests that would run later than they may
+	return l, l.check()
 }
 
 // Hosts break off, answer twice, answer early, say nothing, and forget connections, with bytes cut
@@ -402,14 +402,14 @@
 // for long after a client has gone.
 func TestFaultyHostsAndClients(t *testing.T) {
 	var served atomic.Int64
-	for seed := range uint64(*callerPlays) {
+	for seed := range uint64(*trialCount) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			l, err := playCallers(t, seed)
+			l, err := runTrial(t, seed)
 			if err != nil {
 				t.Error(err)
 			}
-			for _, c := range l.cases {
+			for _, c := range l.requests {
 				if c.status == http.StatusOK {
 					served.Add(1)
 				}
@@ -417,7 +417,7 @@
 		})
 	}
 	t.Cleanup(func() {
-		if n := served.Load(); n < int64(10**callerPlays) {
+		if n := served.Load(); n < int64(10**trialCount) {
 			t.Errorf("%d requests were served", n)
 		}
 	})
@@ -426,34 +426,34 @@
 // The judge finds what must not be.
 func TestCheckerFindsWrongAnswers(t *testing.T) {
 	now := time.Now()
-	fine := func() (*ledger, *caseOf) {
-		l := newLedger()
-		c := &caseOf{id: "a", path: "/unsafe/x", status: 200, body: bodyFor("a"), whole: true, seal: "s", answered: "a"}
-		l.runs["a"], l.arrivals["a"], l.bodies["a"], l.cases = 1, []time.Time{now}, requestBody("a"), []*caseOf{c}
+	valid := func() (*recorder, *requestRecord) {
+		l := newRecorder()
+		c := &requestRecord{id: "a", path: "/unsafe/x", status: 200, body: bodyFor("a"), complete: true, seal: "s", answered: "a"}
+		l.executions["a"], l.arrivals["a"], l.bodies["a"], l.requests = 1, []time.Time{now}, requestBody("a"), []*requestRecord{c}
 		return l, c
 	}
-	for name, spoil := range map[string]func(l *ledger, c *caseOf){
+	for name, corrupt := range map[string]func(l *recorder, c *requestRecord){
 		"nothing":                      nil,
-		"an unsafe one ran twice":      func(l *ledger, _ *caseOf) { l.runs["a"] = 2 },
-		"503, and it ran":              func(_ *ledger, c *caseOf) { c.status = http.StatusServiceUnavailable },
-		"another's answer":             func(_ *ledger, c *caseOf) { c.answered = "b" },
-		"another's body":               func(_ *ledger, c *caseOf) { c.body = bodyFor("b") },
-		"a short answer looks whole":   func(_ *ledger, c *caseOf) { c.body = c.body[:5] },
-		"no seal":                      func(_ *ledger, c *caseOf) { c.seal = "" },
-		"sent long after it was left":  func(_ *ledger, c *caseOf) { c.left = now.Add(-time.Second) },
-		"a request that nobody sent":   func(l *ledger, _ *caseOf) { l.bodies["b"] = requestBody("b") },
-		"a body that was changed":      func(l *ledger, _ *caseOf) { l.bodies["a"] = "x" },
-		"the body of another's client": func(l *ledger, _ *caseOf) { l.bodies["a"] = requestBody("b") },
+		"an unsafe one ran twice":      func(l *recorder, _ *requestRecord) { l.executions["a"] = 2 },
+		"503, and it ran":              func(_ *recorder, c *requestRecord) { c.status = http.StatusServiceUnavailable },
+		"another's answer":             func(_ *recorder, c *requestRecord) { c.answered = "b" },
+		"another's body":               func(_ *recorder, c *requestRecord) { c.body = bodyFor("b") },
+		"a short answer looks whole":   func(_ *recorder, c *requestRecord) { c.body = c.body[:5] },
+		"no seal":                      func(_ *recorder, c *requestRecord) { c.seal = "" },
+		"sent long after it was left":  func(_ *recorder, c *requestRecord) { c.left = now.Add(-time.Second) },
+		"a request that nobody sent":   func(l *recorder, _ *requestRecord) { l.bodies["b"] = requestBody("b") },
+		"a body that was changed":      func(l *recorder, _ *requestRecord) { l.bodies["a"] = "x" },
+		"the body of another's client": func(l *recorder, _ *requestRecord) { l.bodies["a"] = requestBody("b") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			l, c := fine()
-			if spoil == nil {
-				is.NoErr(l.judge())
+			l, c := valid()
+			if corrupt == nil {
+				is.NoErr(l.check())
 				return
 			}
-			spoil(l, c)
-			is.True(l.judge() != nil)
+			corrupt(l, c)
+			is.True(l.check() != nil)
 		})
 	}
 }
--- a/internal/system/dataplane/intake.go
+++ b/internal/system/dataplane/intake.go
@@ -80,11 +80,11 @@
 
 // deny rejects a request that the configuration does not allow. A configuration that may not be the
 // newest denies nothing for good: a route or a key may have been added since.
-func (p *Plane) deny(code int, line string) *transport.Rejection {
+func (p *Plane) deny(code int, text string) *transport.Rejection {
 	if !p.o.Newest() {
 		return &transport.Rejection{Code: http.StatusServiceUnavailable, Text: "the configuration may not be the newest", RetryAfter: startupRetryAfter()}
 	}
-	return &transport.Rejection{Code: code, Text: line}
+	return &transport.Rejection{Code: code, Text: text}
 }
 
 // routeMatchOf returns what admit found for a request when its head came, or finds now, as soon as
--- a/internal/system/dataplane/outcomes.go
+++ b/internal/system/dataplane/outcomes.go
@@ -64,13 +64,13 @@
 	counts := e.all[key]
 	e.mu.RUnlock()
 	if counts == nil {
-		counts = e.list(key)
+		counts = e.addKey(key)
 	}
 	counts[o].Add(1)
 }
 
 // list has a key counted by itself, unless there are too many.
-func (e *outcomeCounts) list(key requestKey) *[outcomes]atomic.Uint64 {
+func (e *outcomeCounts) addKey(key requestKey) *[outcomes]atomic.Uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.all[key] == nil && len(e.all) >= maxCountedKeys {
@@ -115,13 +115,13 @@
 }
 
 // outcomeOf returns the outcome of a request that got as far as the decisions.
-func outcomeOf(end routing.Answer) Outcome {
+func outcomeOf(answer routing.Answer) Outcome {
 	switch {
-	case end.Verdict == routing.Served && end.Stream != nil:
+	case answer.Verdict == routing.Served && answer.Stream != nil:
 		return OutcomeServed
-	case end.Verdict == routing.Rejected:
+	case answer.Verdict == routing.Rejected:
 		return OutcomeRejected
-	case end.Verdict == routing.Served, end.Verdict == routing.Abandoned, end.Verdict == routing.HandedOver:
+	case answer.Verdict == routing.Served, answer.Verdict == routing.Abandoned, answer.Verdict == routing.HandedOver:
 		return OutcomeAbandoned
 	}
 	return OutcomeFailed
--- a/internal/system/dataplane/peerreports_test.go
+++ b/internal/system/dataplane/peerreports_test.go
@@ -10,17 +10,17 @@
 )
 
 // told is what a plane told others of its prompts.
-type told struct {
+type sentReports struct {
 	service string
 	reports []balance.PeerReport
 }
 
 // talkingFleet is a plane that tells others of its prompts; what it tells comes on the channel.
-func talkingFleet(t *testing.T, hosts ...*host) (*fleet, <-chan told) {
+func newReportingFleet(t *testing.T, hosts ...*host) (*fleet, <-chan sentReports) {
 	t.Helper()
-	all := make(chan told, 100)
+	all := make(chan sentReports, 100)
 	f := newFleet(t, "none")
-	f.plane.o.ReportPrompts = func(service string, reports []balance.PeerReport) { all <- told{service, reports} }
+	f.plane.o.ReportPrompts = func(service string, reports []balance.PeerReport) { all <- sentReports{service, reports} }
 	f.configure(t, fmt.Sprintf(routes, ""))
 	f.hosts(hosts...)
 	return f, all
@@ -28,7 +28,7 @@
 
 // prompt sends one with a prefix of 300 tokens and 200 of its own, and returns what others were
 // told of it.
-func (f *fleet) prompt(t *testing.T, all <-chan told, n int) told {
+func (f *fleet) prompt(t *testing.T, all <-chan sentReports, n int) sentReports {
 	t.Helper()
 	is := is.New(t)
 	a := f.call(t, "/stream/", "", fmt.Sprint("Request-Id: p", n), "Token-Usage: 500,10", fmt.Sprintf("Prompt-Prefix: aa:300,b%d:200", n))
@@ -37,13 +37,13 @@
 	return <-all
 }
 
-func events(r seen) string { return stream(r, event(1, "x"), "") }
+func events(r hostRequest) string { return stream(r, event(1, "x"), "") }
 
 // Others are told of each prompt: its service, its host, the tokens that are to be read there, and
 // a mark of its prefix.
 func TestPromptIsReported(t *testing.T) {
 	is := is.New(t)
-	f, all := talkingFleet(t, newHost(t, "i-1", events))
+	f, all := newReportingFleet(t, newHost(t, "i-1", events))
 	first, second := f.prompt(t, all, 1), f.prompt(t, all, 2)
 	is.Equal(first.service, "s")
 	is.Equal(len(first.reports), 1)
@@ -57,7 +57,7 @@
 func TestReportedPromptsMoveTheNextOne(t *testing.T) {
 	is := is.New(t)
 	a, b := newHost(t, "i-1", events), newHost(t, "i-2", events)
-	f, all := talkingFleet(t, a, b)
+	f, all := newReportingFleet(t, a, b)
 	home := f.prompt(t, all, 1).reports[0].ReplicaTag
 	is.Equal(f.prompt(t, all, 2).reports[0].ReplicaTag, home)
 	f.plane.ReceiveReports("s", balance.ReportsReceived{Reports: []balance.PeerReport{{ReplicaTag: home, PrefillTokens: 1e6}}})
@@ -67,7 +67,7 @@
 // What is heard of a service that is not known, or of a host that is not, changes nothing.
 func TestReportsOnUnknownServices(t *testing.T) {
 	is := is.New(t)
-	f, all := talkingFleet(t, newHost(t, "i-1", events))
+	f, all := newReportingFleet(t, newHost(t, "i-1", events))
 	home := f.prompt(t, all, 1).reports[0].ReplicaTag
 	f.plane.ReceiveReports("unknown", balance.ReportsReceived{Reports: []balance.PeerReport{{ReplicaTag: home, PrefillTokens: 1e6}}})
 	f.plane.ReceiveReports("s", balance.ReportsReceived{Reports: []balance.PeerReport{{ReplicaTag: home + 1, PrefillTokens: 1e6}}})
--- a/internal/system/dataplane/pins.go
+++ b/internal/system/dataplane/pins.go
@@ -58,24 +58,24 @@
 }
 
 // request finds the pin of a request that is about to be planned.
-func (p *pinTracker) request(in *pins.Set, a *routeMatch, r *request, s *service) *pinnedRequest {
+func (p *pinTracker) request(set *pins.Set, a *routeMatch, r *request, s *service) *pinnedRequest {
 	h := &pinnedRequest{tracker: p, match: a, model: r.model, service: s, id: r.arrival.ID}
-	if h.pin = h.matchingPin(in); h.pin != nil {
+	if h.pin = h.matchingPin(set); h.pin != nil {
 		h.requiredFeature = h.requiredVersion().String()
 	}
 	return h
 }
 
 // matchingPin returns the request's pin in a set, nil for none.
-func (h *pinnedRequest) matchingPin(in *pins.Set) *message.Pin {
-	if len(in.Pins) == 0 {
+func (h *pinnedRequest) matchingPin(set *pins.Set) *message.Pin {
+	if len(set.Pins) == 0 {
 		return nil
 	}
 	tenant := ""
 	if h.match.tenant != nil {
 		tenant = h.match.tenant.Name
 	}
-	return in.Match(tenant, h.match.route.Name, h.model)
+	return set.Match(tenant, h.match.route.Name, h.model)
 }
 
 // requiredVersion returns the version that the pin demands.
@@ -101,8 +101,8 @@
 	if !missing {
 		return nil
 	}
-	line := fmt.Sprintf("no host has version %d of model %s, to which pin %s holds this request", h.pin.Version, h.pin.Model, h.pin.Name)
-	return &transport.Rejection{Code: http.StatusServiceUnavailable, Text: line, RetryAfter: startupRetryAfter(), KeepAlive: true}
+	text := fmt.Sprintf("no host has version %d of model %s, to which pin %s holds this request", h.pin.Version, h.pin.Model, h.pin.Name)
+	return &transport.Rejection{Code: http.StatusServiceUnavailable, Text: text, RetryAfter: startupRetryAfter(), KeepAlive: true}
 }
 
 // begin counts a request, and tracks it unless it is rejected.
@@ -133,12 +133,12 @@
 // admit returns what allows an attempt: the pin under which the request was planned must be in
 // force. After an attempt that may have executed the request goes on under the pin with which it
 // began.
-func (h *pinnedRequest) admit(units *quotaCharge) func(retry bool) (ok bool, wait time.Duration) {
+func (h *pinnedRequest) admit(charge *quotaCharge) func(retry bool) (ok bool, wait time.Duration) {
 	return func(retry bool) (ok bool, wait time.Duration) {
 		if !retry && !h.isCurrent() {
 			return false, 0
 		}
-		return units.admit(retry)
+		return charge.admit(retry)
 	}
 }
 
@@ -153,7 +153,7 @@
 
 // resumed returns what a broken stream goes on with: the version of its first host. If the request
 // has or had a pin, that version must be known, and a host must have it.
-func (h *pinnedRequest) resumed(first *transport.Final) (version int64, requiredFeature string, ok bool) {
+func (h *pinnedRequest) resumeVersion(first *transport.Final) (version int64, requiredFeature string, ok bool) {
 	pin := h.pin
 	if pin == nil {
 		pin = h.matchingPin(h.tracker.plane.state.Load().Pins())
@@ -166,7 +166,7 @@
 }
 
 // ended counts how a request ended.
-func (h *pinnedRequest) ended(end routing.Answer) {
+func (h *pinnedRequest) ended(answer routing.Answer) {
 	if h.pin == nil {
 		return
 	}
@@ -175,17 +175,17 @@
 	defer p.mu.Unlock()
 	delete(p.tracked, h)
 	c := p.metricsOf(h.pin)
-	abandoned := end.Verdict == routing.Served && end.Stream == nil
+	abandoned := answer.Verdict == routing.Served && answer.Stream == nil
 	switch {
 	case c == nil || abandoned:
-	case end.Verdict == routing.Rejected && h.outdated.Load():
+	case answer.Verdict == routing.Rejected && h.outdated.Load():
 		c.Requests-- // it is planned again
-	case end.Verdict == routing.Rejected:
+	case answer.Verdict == routing.Rejected:
 		c.Rejected++
-	case end.Verdict != routing.Served || !end.Stream.Complete():
+	case answer.Verdict != routing.Served || !answer.Stream.Complete():
 		c.Failed++
 	default:
-		version := transport.FinalOf(end.Stream).Version()
+		version := transport.FinalOf(answer.Stream).Version()
 		c.Answered[version]++
 		if version != h.pin.Version {
 			c.WrongVersion++
@@ -195,15 +195,15 @@
 
 // pinsChanged takes up the pins that are in force now: requests that are queued under another one
 // are planned again.
-func (p *pinTracker) pinsChanged(in *pins.Set) {
+func (p *pinTracker) pinsChanged(set *pins.Set) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for name := range p.counts {
-		if in.ByName(name) == nil {
+		if set.ByName(name) == nil {
 			delete(p.counts, name)
 		}
 	}
-	for _, pin := range in.Pins {
+	for _, pin := range set.Pins {
 		if p.metricsOf(pin) == nil { // it is in force from now on
 			p.counts[pin.Name] = &pinCounts{revision: pin.Revision, metrics: PinMetrics{Since: time.Now(), Answered: map[int64]uint64{}}}
 		}
--- a/internal/system/dataplane/pins_test.go
+++ b/internal/system/dataplane/pins_test.go
@@ -22,15 +22,15 @@
 )
 
 // versioned is a host that serves a version of model m, and registers another one if it lies.
-type versioned struct {
+type versionedHost struct {
 	*host
-	registers int64
+	registered int64
 }
 
 // newVersioned is a host of a version; it heeds Expect-Version.
-func newVersioned(t *testing.T, id string, version, registers int64) versioned {
+func newVersionedHost(t *testing.T, id string, version, registers int64) versionedHost {
 	t.Helper()
-	return versioned{newHost(t, id, func(r seen) string {
+	return versionedHost{newHost(t, id, func(r hostRequest) string {
 		if want := r.Header.Get("Expect-Version"); want != "" && want != fmt.Sprint(version) {
 			return answer(r, http.StatusMisdirectedRequest, "Not-Executed: true\r\n", "")
 		}
@@ -39,11 +39,11 @@
 }
 
 // register tells the plane of hosts with their versions.
-func (f *fleet) register(hosts ...versioned) {
+func (f *fleet) register(hosts ...versionedHost) {
 	registry := instances.New(time.Second)
 	var all []*message.Instance
 	for _, h := range hosts {
-		all = append(all, &message.Instance{Id: h.id, Service: "s", Address: h.addr, Zone: "a", Models: []*message.Model{{Name: "m", Version: h.registers}}})
+		all = append(all, &message.Instance{Id: h.id, Service: "s", Address: h.addr, Zone: "a", Models: []*message.Model{{Name: "m", Version: h.registered}}})
 	}
 	registry.Merge(0, all)
 	f.revision += 1000 // of another registry
@@ -78,7 +78,7 @@
 // any.
 func TestPinnedRequestGoesToItsVersion(t *testing.T) {
 	is := is.New(t)
-	one, two := newVersioned(t, "i-1", 1, 1), newVersioned(t, "i-2", 2, 2)
+	one, two := newVersionedHost(t, "i-1", 1, 1), newVersionedHost(t, "i-2", 2, 2)
 	f := newFleet(t, keyed)
 	f.register(one, two)
 	f.pin(t, pinOf("x", "safe", 2))
@@ -94,7 +94,7 @@
 	for i := range 20 {
 		is.Equal(f.call(t, "/unsafe/", "", keyOne, modelM, fmt.Sprint("Request-Id: b", i)).StatusCode, 200)
 	}
-	is.Equal(held(one, two), 20) // another route
+	is.Equal(countPinned(one, two), 20) // another route
 	a := f.call(t, "/safe/", "", keyOne, "Model: other", "Request-Id: c")
 	is.Equal(a.StatusCode, 200) // another model
 	figures := f.plane.Pins()["p"]
@@ -106,7 +106,7 @@
 // From the moment on that a pin is set, moved or lifted, requests go by it.
 func TestChangedPinPlansQueuedRequestsAgain(t *testing.T) {
 	is := is.New(t)
-	one, two := newVersioned(t, "i-1", 1, 1), newVersioned(t, "i-2", 2, 2)
+	one, two := newVersionedHost(t, "i-1", 1, 1), newVersionedHost(t, "i-2", 2, 2)
 	f := newFleet(t, keyed)
 	f.register(one, two)
 	for round := range 10 {
@@ -119,16 +119,16 @@
 		}
 	}
 	f.pin(t)
-	before := held(one, two)
+	before := countPinned(one, two)
 	for i := range 20 {
 		is.Equal(f.call(t, "/unsafe/", "", keyOne, modelM, fmt.Sprint("Request-Id: e", i)).StatusCode, 200)
 	}
-	is.Equal(held(one, two), before) // to no version any more
+	is.Equal(countPinned(one, two), before) // to no version any more
 	is.Equal(len(f.plane.Pins()), 0)
 }
 
 // held is how many requests came to hosts with a version that they were to have.
-func held(hosts ...versioned) (n int) {
+func countPinned(hosts ...versionedHost) (n int) {
 	for _, h := range hosts {
 		for _, r := range h.requests() {
 			if r.Header.Get("Expect-Version") != "" {
@@ -144,7 +144,7 @@
 func TestRejectedWithoutAHostOfTheVersion(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, keyed)
-	f.register(newVersioned(t, "i-1", 1, 1))
+	f.register(newVersionedHost(t, "i-1", 1, 1))
 	f.pin(t, pinOf("x", "safe", 2))
 	a := f.call(t, "/safe/", "", keyOne, modelM)
 	is.Equal(a.StatusCode, 503)
@@ -163,38 +163,38 @@
 func TestAnotherHostServesWhereARegistrationIsWrong(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, keyed)
-	liar, honest := newVersioned(t, "i-1", 1, 2), newVersioned(t, "i-2", 2, 2)
-	f.register(liar, honest)
+	wrong, right := newVersionedHost(t, "i-1", 1, 2), newVersionedHost(t, "i-2", 2, 2)
+	f.register(wrong, right)
 	f.pin(t, pinOf("x", "", 2))
 	for i := range 20 {
 		a := f.call(t, "/unsafe/", "", keyOne, modelM, fmt.Sprint("Request-Id: a", i))
 		is.NoErr(a.err)
 		is.Equal(a.body, "v2")
 	}
-	is.True(len(liar.requests()) > 0)
+	is.True(len(wrong.requests()) > 0)
 }
 
 // Hosts that turn pinned requests away, answer them with another version, or roll in their streams
 // are not in trouble: traffic out of scope has them as before.
 func TestPinsLeaveOtherRequestsAlone(t *testing.T) {
-	head := func(r seen, versions string, events ...string) string {
+	head := func(r hostRequest, versions string, events ...string) string {
 		return strings.Replace(stream(r, events...), "Content-Type:", versions+"Content-Type:", 1)
 	}
 	for _, c := range []struct {
 		name, path string
-		pinned     func(r seen) string // what a host answers to a pinned request
+		pinned     func(r hostRequest) string // what a host answers to a pinned request
 	}{
-		{"turned away", "/unsafe/", func(r seen) string { return answer(r, 421, "Not-Executed: true\r\n", "") }},
-		{"another version", "/safe/", func(r seen) string { return answer(r, 200, "Versions: 1\r\n", "v1") }},
-		{"a stream of another version", "/stream/", func(r seen) string { return head(r, "Versions: 1\r\n", event(1, "a"), "") }},
-		{"rolled in the stream", "/stream/", func(r seen) string {
+		{"turned away", "/unsafe/", func(r hostRequest) string { return answer(r, 421, "Not-Executed: true\r\n", "") }},
+		{"another version", "/safe/", func(r hostRequest) string { return answer(r, 200, "Versions: 1\r\n", "v1") }},
+		{"a stream of another version", "/stream/", func(r hostRequest) string { return head(r, "Versions: 1\r\n", event(1, "a"), "") }},
+		{"rolled in the stream", "/stream/", func(r hostRequest) string {
 			return head(r, "Versions: 2\r\n", event(1, "a"), "versions: 3\n"+event(2, "b"), "")
 		}},
-		{"rolled in the first event", "/stream/", func(r seen) string { return head(r, "Versions: 2\r\n", "versions: 3\n"+event(1, "b"), "") }},
+		{"rolled in the first event", "/stream/", func(r hostRequest) string { return head(r, "Versions: 2\r\n", "versions: 3\n"+event(1, "b"), "") }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			h := versioned{newHost(t, "i-1", func(r seen) string {
+			h := versionedHost{newHost(t, "i-1", func(r hostRequest) string {
 				if r.Header.Get("Expect-Version") != "" {
 					return c.pinned(r)
 				}
@@ -220,8 +220,8 @@
 	for _, c := range []struct{ name, header string }{{"none", ""}, {"another", "Versions: 1\r\n"}, {"no number", "Versions: two\r\n"}} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			wrong := versioned{newHost(t, "i-1", func(r seen) string { return answer(r, 200, c.header, "wrong") }), 2}
-			right := newVersioned(t, "i-2", 2, 2)
+			wrong := versionedHost{newHost(t, "i-1", func(r hostRequest) string { return answer(r, 200, c.header, "wrong") }), 2}
+			right := newVersionedHost(t, "i-2", 2, 2)
 			f := newFleet(t, keyed)
 			f.register(wrong, right)
 			f.pin(t, pinOf("x", "", 2))
@@ -242,38 +242,38 @@
 // version alone, to the end from another host where the route allows it, and else a visible end.
 func TestHostRolledDuringAStream(t *testing.T) {
 	rolled := func(id int) string { return fmt.Sprintf("versions: 3\nid: %d\ndata: new\n\n", id) }
-	head := func(r seen, events ...string) string {
+	head := func(r hostRequest, events ...string) string {
 		return strings.Replace(stream(r, events...), "Content-Type:", "Versions: 2\r\nContent-Type:", 1)
 	}
 	for _, c := range []struct {
 		path, body string
-		whole      bool
+		complete   bool
 	}{
 		{"/stream/", event(1, "a"), false},
 		{"/resumed/", event(1, "a") + event(2, "b") + event(3, "c"), true},
 	} {
 		t.Run(c.path, func(t *testing.T) {
 			is := is.New(t)
-			rolls := versioned{newHost(t, "i-1", func(r seen) string { return head(r, event(1, "a"), rolled(2), event(3, "new"), "") }), 2}
+			changing := versionedHost{newHost(t, "i-1", func(r hostRequest) string { return head(r, event(1, "a"), rolled(2), event(3, "new"), "") }), 2}
 			f := newFleet(t, keyed)
-			f.register(rolls)
+			f.register(changing)
 			f.pin(t, pinOf("x", "", 2))
-			goesOn := versioned{newHost(t, "i-2", func(r seen) string {
+			resuming := versionedHost{newHost(t, "i-2", func(r hostRequest) string {
 				if r.Header.Get("Expect-Version") != "2" || r.Header.Get("Last-Event-Id") != "1" {
 					return answer(r, http.StatusMisdirectedRequest, "Not-Executed: true\r\n", "")
 				}
 				return head(r, event(2, "b"), event(3, "c"), "")
 			}), 2}
-			f.register(rolls, goesOn)
-			a := f.untilFrom(t, "i-1", c.path)
+			f.register(changing, resuming)
+			a := f.callUntilServedBy(t, "i-1", c.path)
 			is.Equal(a.body, c.body)
-			is.Equal(a.err == nil, c.whole)
+			is.Equal(a.err == nil, c.complete)
 		})
 	}
 }
 
 // untilFrom calls until the answer begins at a host.
-func (f *fleet) untilFrom(t *testing.T, id, path string) got {
+func (f *fleet) callUntilServedBy(t *testing.T, id, path string) clientAnswer {
 	t.Helper()
 	for i := range 100 {
 		a := f.call(t, path, "", keyOne, modelM, fmt.Sprint("Request-Id: u", i))
@@ -282,7 +282,7 @@
 		}
 	}
 	t.Fatal("never")
-	return got{}
+	return clientAnswer{}
 }
 
 // A stream that began under no pin, and breaks after one was set, goes on with the version of its
@@ -290,32 +290,32 @@
 func TestStreamResumesAcrossAPinChange(t *testing.T) {
 	for _, c := range []struct {
 		name, versions string
-		whole          bool
+		complete       bool
 	}{{"known", "Versions: 1\r\n", true}, {"unknown", "", false}} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			f := newFleet(t, keyed)
-			breaks := versioned{newHost(t, "i-1", func(r seen) string {
+			breaking := versionedHost{newHost(t, "i-1", func(r hostRequest) string {
 				if r.Header.Get("Last-Event-Id") != "" {
 					return answer(r, 503, "Not-Executed: true\r\n", "")
 				}
 				f.pin(t, pinOf("x", "", 2)) // it comes in force while the stream is on its way
 				return strings.Replace(stream(r, event(1, "a")), "Content-Type:", c.versions+"Content-Type:", 1) + hangUp
 			}), 1}
-			f.register(breaks)
-			goesOn := func(id string, version int64) versioned {
-				return versioned{newHost(t, id, func(r seen) string {
+			f.register(breaking)
+			newResumingHost := func(id string, version int64) versionedHost {
+				return versionedHost{newHost(t, id, func(r hostRequest) string {
 					if r.Header.Get("Expect-Version") != fmt.Sprint(version) {
 						return answer(r, http.StatusMisdirectedRequest, "Not-Executed: true\r\n", "")
 					}
 					return strings.Replace(stream(r, event(2, fmt.Sprint("v", version)), ""), "Content-Type:", fmt.Sprintf("Versions: %d\r\nContent-Type:", version), 1)
 				}), version}
 			}
-			first, second := goesOn("i-2", 1), goesOn("i-3", 2)
-			f.register(breaks, first, second)
-			a := f.untilFrom(t, "i-1", "/resumed/")
-			is.Equal(a.err == nil, c.whole)
-			if c.whole {
+			first, second := newResumingHost("i-2", 1), newResumingHost("i-3", 2)
+			f.register(breaking, first, second)
+			a := f.callUntilServedBy(t, "i-1", "/resumed/")
+			is.Equal(a.err == nil, c.complete)
+			if c.complete {
 				is.Equal(a.body, event(1, "a")+event(2, "v1"))
 			}
 			is.Equal(len(second.requests()), 0)
@@ -329,28 +329,28 @@
 func TestQueuedRequestAcrossAPinChange(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		change func(t *testing.T, f *fleet, busy, free versioned)
+		change func(t *testing.T, f *fleet, busy, free versionedHost)
 		status int
 		body   string
 	}{
-		{"moved", func(t *testing.T, f *fleet, _, _ versioned) { f.pin(t, pinOf("x", "", 2)) }, 200, "v2"},
-		{"lifted", func(t *testing.T, f *fleet, _, _ versioned) { f.pin(t) }, 200, "v2"},
-		{"its hosts have gone", func(_ *testing.T, f *fleet, _, free versioned) { f.register(free) }, 503, ""},
+		{"moved", func(t *testing.T, f *fleet, _, _ versionedHost) { f.pin(t, pinOf("x", "", 2)) }, 200, "v2"},
+		{"lifted", func(t *testing.T, f *fleet, _, _ versionedHost) { f.pin(t) }, 200, "v2"},
+		{"its hosts have gone", func(_ *testing.T, f *fleet, _, free versionedHost) { f.register(free) }, 503, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			let := make(chan struct{})
-			busy := versioned{newHost(t, "i-1", func(r seen) string {
-				<-let
+			release := make(chan struct{})
+			busy := versionedHost{newHost(t, "i-1", func(r hostRequest) string {
+				<-release
 				return answer(r, 200, "Versions: 1\r\n", "v1")
 			}), 1}
-			defer close(let)
-			free := newVersioned(t, "i-2", 2, 2)
+			defer close(release)
+			free := newVersionedHost(t, "i-2", 2, 2)
 			f := newFleet(t, keyed)
 			f.register(busy, free)
 			f.pin(t, pinOf("x", "", 1))
 			const many = 40 // more than a host has room for
-			answers := make(chan got, many)
+			answers := make(chan clientAnswer, many)
 			for i := range many {
 				go func() { answers <- f.call(t, "/unsafe/", "", keyOne, modelM, fmt.Sprint("Request-Id: h", i)) }()
 			}
@@ -359,22 +359,22 @@
 				return f.plane.Metrics()["s"].Open == many && sent > 0 && sent < many
 			})
 			c.change(t, f, busy, free)
-			var came []got
+			var received []clientAnswer
 			eventually(t, "all that are not at the busy host are answered", func() bool {
 				for len(answers) > 0 {
-					came = append(came, <-answers)
+					received = append(received, <-answers)
 				}
-				return len(came)+len(busy.requests()) == many
+				return len(received)+len(busy.requests()) == many
 			})
-			for _, a := range came {
+			for _, a := range received {
 				is.NoErr(a.err)
 				is.Equal(a.StatusCode, c.status)
 				is.True(c.status != 200 || a.body == c.body)
 			}
-			once := map[string]bool{}
+			seen := map[string]bool{}
 			for _, r := range append(busy.requests(), free.requests()...) {
-				is.True(!once[r.Header.Get("Request-Id")])
-				once[r.Header.Get("Request-Id")] = true
+				is.True(!seen[r.Header.Get("Request-Id")])
+				seen[r.Header.Get("Request-Id")] = true
 			}
 		})
 	}
@@ -383,20 +383,20 @@
 // A client that leaves while its request is at a host ends it, and does not count as served.
 func TestPinnedClientLeaves(t *testing.T) {
 	is := is.New(t)
-	came, let := make(chan struct{}), make(chan struct{})
-	slow := versioned{newHost(t, "i-1", func(r seen) string {
-		close(came)
-		<-let
+	arrived, release := make(chan struct{}), make(chan struct{})
+	slow := versionedHost{newHost(t, "i-1", func(r hostRequest) string {
+		close(arrived)
+		<-release
 		return answer(r, 200, "Versions: 1\r\n", "v1")
 	}), 1}
-	defer close(let)
+	defer close(release)
 	f := newFleet(t, keyed)
 	f.register(slow)
 	f.pin(t, pinOf("x", "", 1))
 	c, err := net.Dial("tcp", f.addr)
 	is.NoErr(err)
 	fmt.Fprintf(c, "POST /unsafe/ HTTP/1.1\r\nHost: h.example\r\n%s\r\n%s\r\nRequest-Id: q\r\nContent-Length: 0\r\n\r\n", keyOne, modelM)
-	<-came
+	<-arrived
 	c.Close()
 	eventually(t, "it has ended", func() bool { return f.plane.Metrics()["s"].Open == 0 })
 	figures := f.plane.Pins()["p"]
@@ -406,16 +406,16 @@
 }
 
 // eventually waits until something holds.
-func eventually(t *testing.T, what string, holds func() bool) {
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	tick := time.NewTicker(time.Millisecond)
 	defer tick.Stop()
-	for until := time.Now().Add(patience); time.Now().Before(until); <-tick.C {
-		if holds() {
+	for until := time.Now().Add(testTimeout); time.Now().Before(until); <-tick.C {
+		if condition() {
 			return
 		}
 	}
-	t.Fatalf("not within %v: %s", patience, what)
+	t.Fatalf("not within %v: %s", testTimeout, what)
 }
 
 // A configuration that is put beside pins does not touch them, and neither does it have held
@@ -423,7 +423,7 @@
 func TestPinWithAConfigurationChange(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, keyed)
-	f.register(newVersioned(t, "i-1", 1, 1), newVersioned(t, "i-2", 2, 2))
+	f.register(newVersionedHost(t, "i-1", 1, 1), newVersionedHost(t, "i-2", 2, 2))
 	f.pin(t, pinOf("x", "", 2))
 	text := strings.Replace(fmt.Sprintf(routes, keyed), `"version":1`, `"version":2`, 1)
 	state, err := configuration.Next(f.plane.State(), &message.Order{Kind: message.Order_PUT, Body: []byte(text)})
--- a/internal/system/dataplane/plan.go
+++ b/internal/system/dataplane/plan.go
@@ -69,9 +69,9 @@
 	for _, share := range r.Shares() {
 		total += share.Weight
 	}
-	at := rand.Float64() * total
+	remaining := rand.Float64() * total
 	for _, share := range r.Shares() {
-		if at -= share.Weight; at < 0 && share.Weight > 0 {
+		if remaining -= share.Weight; remaining < 0 && share.Weight > 0 {
 			return services[share.Service]
 		}
 	}
@@ -87,7 +87,7 @@
 	attempts := 1
 	return func(message *transport.Message, first *transport.Final, after string) (*transport.Plan, bool) {
 		left := r.arrival.TimeLeft - time.Since(began)
-		version, requiredFeature, ok := pinned.resumed(first)
+		version, requiredFeature, ok := pinned.resumeVersion(first)
 		if !ok || attempts >= max(r.route.MaxAttempts, 1) || left <= 0 || !s.retries.Take() {
 			return nil, false
 		}
--- a/internal/system/dataplane/plane.go
+++ b/internal/system/dataplane/plane.go
@@ -89,7 +89,7 @@
 	serviceMap    atomic.Pointer[map[string]*service] // replaced, never changed
 	counts        Counts
 	outcomeCounts outcomeCounts
-	changes       changes
+	changes       changeNotifier
 	pins          *pinTracker
 }
 
--- a/internal/system/dataplane/plane_test.go
+++ b/internal/system/dataplane/plane_test.go
@@ -27,29 +27,29 @@
 )
 
 // patience bounds what a story waits for; it is never waited for where all is well.
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
 // lines drops log lines.
-type lines struct{}
+type discardLogger struct{}
 
-func (lines) Info(string, ...any) {}
-func (lines) Warn(string, ...any) {}
+func (discardLogger) Info(string, ...any) {}
+func (discardLogger) Warn(string, ...any) {}
 
 // warnings keeps those that somebody may have to act on.
-type warnings struct {
+type warningLog struct {
 	mu  sync.Mutex
 	all []string
 }
 
-func (w *warnings) Info(string, ...any) {}
+func (w *warningLog) Info(string, ...any) {}
 
-func (w *warnings) Warn(event string, fields ...any) {
+func (w *warningLog) Warn(event string, fields ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.all = append(w.all, fmt.Sprint(event, fields))
 }
 
-func (w *warnings) text() string {
+func (w *warningLog) text() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return strings.Join(w.all, "; ")
@@ -79,7 +79,7 @@
 }
 
 // seen is a request as a host got it.
-type seen struct {
+type hostRequest struct {
 	*http.Request
 	text string // its body
 	n    int    // of the host, from 0
@@ -91,14 +91,14 @@
 	id     string
 	addr   string
 	mu     sync.Mutex
-	served []seen
-	script func(r seen) string
+	served []hostRequest
+	script func(r hostRequest) string
 }
 
 // hangUp ends a script's bytes where the host closes the connection.
 const hangUp = "\x00"
 
-func newHost(t *testing.T, id string, script func(r seen) string) *host {
+func newHost(t *testing.T, id string, script func(r hostRequest) string) *host {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -131,32 +131,32 @@
 			return
 		}
 		h.mu.Lock()
-		s := seen{r, string(text), len(h.served)}
+		s := hostRequest{r, string(text), len(h.served)}
 		h.served = append(h.served, s)
 		h.mu.Unlock()
-		out, over := strings.CutSuffix(h.script(s), hangUp)
+		out, hangsUp := strings.CutSuffix(h.script(s), hangUp)
 		io.WriteString(c, out)
-		if over {
+		if hangsUp {
 			return
 		}
 	}
 }
 
-func (h *host) requests() []seen {
+func (h *host) requests() []hostRequest {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return append([]seen(nil), h.served...)
+	return append([]hostRequest(nil), h.served...)
 }
 
 // answer is a whole answer of a host to a request.
-func answer(r seen, status int, extra, body string) string {
+func answer(r hostRequest, status int, extra, body string) string {
 	return fmt.Sprintf("HTTP/1.1 %d X\r\nRequest-Id: %s\r\nResponse-Seal: seal-%s\r\n%sContent-Length: %d\r\n\r\n%s",
 		status, r.Header.Get("Request-Id"), r.Header.Get("Expected-Instance"), extra, len(body), body)
 }
 
 // stream is the head of a stream, and its events; each event is a chunk, and an empty one ends the
 // stream.
-func stream(r seen, events ...string) string {
+func stream(r hostRequest, events ...string) string {
 	out := fmt.Sprintf("HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nResponse-Seal: seal-%s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n",
 		r.Header.Get("Request-Id"), r.Header.Get("Expected-Instance"))
 	for _, e := range events {
@@ -177,7 +177,7 @@
 	newest atomic.Bool
 
 	revision uint64 // of the hosts that were registered last
-	log      warnings
+	log      warningLog
 }
 
 const routes = `{"version":1,"routes":[
@@ -194,10 +194,10 @@
 // newFleet is one whose router has begun long ago.
 func newFleet(t *testing.T, extra string, hosts ...*host) *fleet {
 	t.Helper()
-	return fleetSince(t, time.Now().Add(-time.Hour), extra, hosts...)
+	return newFleetStartedAt(t, time.Now().Add(-time.Hour), extra, hosts...)
 }
 
-func fleetSince(t *testing.T, began time.Time, extra string, hosts ...*host) *fleet {
+func newFleetStartedAt(t *testing.T, startedAt time.Time, extra string, hosts ...*host) *fleet {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
@@ -206,8 +206,8 @@
 	f.newest.Store(true)
 	s := &settings.Settings{Zone: "a", Bounds: settings.Bounds{RetryBudgetRatio: 5, RetryBudgetSlack: 100}}
 	servers := transport.NewServers(transport.ServerLimits{ConnectTimeout: time.Second, Keepalive: time.Minute, StreamIdleTimeout: time.Second, Connections: 50,
-		Dialect: protocol.Fleet{}}, lines{})
-	f.plane = New(ctx, Options{Settings: func() *settings.Settings { return s }, Servers: servers, Quotas: f.quotas, Fresh: func() bool { return f.fresh.Load() }, Newest: func() bool { return f.newest.Load() }, Log: &f.log, StartedAt: began})
+		Dialect: protocol.Fleet{}}, discardLogger{})
+	f.plane = New(ctx, Options{Settings: func() *settings.Settings { return s }, Servers: servers, Quotas: f.quotas, Fresh: func() bool { return f.fresh.Load() }, Newest: func() bool { return f.newest.Load() }, Log: &f.log, StartedAt: startedAt})
 	f.front = transport.NewIntakeFront(f.plane, transport.FrontLimits{BodyBytes: 1 << 20, Admission: admission.Config{MaxConnections: 100, MaxOverflow: 8}})
 	f.front.SetKeepAlive(true)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -246,14 +246,14 @@
 }
 
 // got is an answer as a client got it; err tells that it was cut.
-type got struct {
+type clientAnswer struct {
 	*http.Response
 	body string
 	err  error
 }
 
 // call sends one request on a connection of its own.
-func (f *fleet) call(t *testing.T, path, body string, header ...string) got {
+func (f *fleet) call(t *testing.T, path, body string, header ...string) clientAnswer {
 	t.Helper()
 	c, err := net.Dial("tcp", f.addr)
 	if err != nil {
@@ -263,9 +263,9 @@
 	return f.on(t, c, path, body, header...)
 }
 
-func (f *fleet) on(t *testing.T, c net.Conn, path, body string, header ...string) got {
+func (f *fleet) on(t *testing.T, c net.Conn, path, body string, header ...string) clientAnswer {
 	t.Helper()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	head := "POST " + path + " HTTP/1.1\r\nHost: h.example\r\n"
 	named := false
 	for _, h := range header {
@@ -278,17 +278,19 @@
 	fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n%s", head, len(body), body)
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
-		return got{&http.Response{Header: http.Header{}}, "", err}
+		return clientAnswer{&http.Response{Header: http.Header{}}, "", err}
 	}
 	text, err := io.ReadAll(resp.Body)
-	return got{resp, string(text), err}
+	return clientAnswer{resp, string(text), err}
 }
 
 // A request reaches a host with method, path, query, body and headers as they came, but for what
 // the router sets; the answer comes back as it was, whatever its status.
 func TestRequestIsForwarded(t *testing.T) {
 	is := is.New(t)
-	h := newHost(t, "i-1", func(r seen) string { return answer(r, 202, "X-Own: 1\r\nContent-Type: a/b\r\n", "hello "+r.text) })
+	h := newHost(t, "i-1", func(r hostRequest) string {
+		return answer(r, 202, "X-Own: 1\r\nContent-Type: a/b\r\n", "hello "+r.text)
+	})
 	f := newFleet(t, keyed, h)
 	a := f.call(t, "/safe/x?y=1", "body", "Authorization: Bearer k1", "Tenant: forged", "Model: m", "Connection: X-Hop", "X-Hop: 1", "X-Kept: 2",
 		"Request-Deadline: 3000", "Expected-Instance: forged", "Priority: 0", "Request-Id: abc")
@@ -315,12 +317,12 @@
 // A chunked body reaches the host whole.
 func TestChunkedBodyIsForwarded(t *testing.T) {
 	is := is.New(t)
-	h := newHost(t, "i-1", func(r seen) string { return answer(r, 200, "", r.text) })
+	h := newHost(t, "i-1", func(r hostRequest) string { return answer(r, 200, "", r.text) })
 	f := newFleet(t, "", h)
 	c, err := net.Dial("tcp", f.addr)
 	is.NoErr(err)
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	io.WriteString(c, "POST /safe/ HTTP/1.1\r\nHost: h.example\r\nRequest-Id: q\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	is.NoErr(err)
@@ -331,7 +333,7 @@
 
 // What the router answers by itself, each only where the configuration says so.
 func TestAnswersOfTheRouter(t *testing.T) {
-	h := newHost(t, "i-1", func(r seen) string { return answer(r, 200, "", "ok") })
+	h := newHost(t, "i-1", func(r hostRequest) string { return answer(r, 200, "", "ok") })
 	f := newFleet(t, keyed, h)
 	for name, c := range map[string]struct {
 		path, body string
@@ -362,7 +364,7 @@
 // public routes go on.
 func TestRejectedWhileTooLittleIsKnown(t *testing.T) {
 	is := is.New(t)
-	h := newHost(t, "i-1", func(r seen) string { return answer(r, 200, "", "ok") })
+	h := newHost(t, "i-1", func(r hostRequest) string { return answer(r, 200, "", "ok") })
 	f := newFleet(t, "none", h)
 	is.Equal(f.call(t, "/nothing/", "").StatusCode, 503)
 	f.configure(t, fmt.Sprintf(routes, keyed))
@@ -391,7 +393,7 @@
 // is given back.
 func TestQuotaRejectsAndRefunds(t *testing.T) {
 	is := is.New(t)
-	h := newHost(t, "i-1", func(r seen) string {
+	h := newHost(t, "i-1", func(r hostRequest) string {
 		if r.n == 0 {
 			return answer(r, 200, "", "ok")
 		}
@@ -416,14 +418,14 @@
 // request is tried elsewhere.
 func TestFailures(t *testing.T) {
 	is := is.New(t)
-	bad := newHost(t, "i-bad", func(r seen) string { return answer(r, 500, "", "broken") })
+	bad := newHost(t, "i-bad", func(r hostRequest) string { return answer(r, 500, "", "broken") })
 	f := newFleet(t, "", bad)
 	a := f.call(t, "/unsafe/", "x")
 	is.Equal(a.StatusCode, 500)
 	is.Equal(a.Header.Get("Response-Seal"), "seal-i-bad")
 	is.Equal(a.body, "broken")
 	is.Equal(len(bad.requests()), 1)
-	good := newHost(t, "i-good", func(r seen) string { return answer(r, 200, "", "fine") })
+	good := newHost(t, "i-good", func(r hostRequest) string { return answer(r, 200, "", "fine") })
 	f = newFleet(t, "", bad, good)
 	for range 10 {
 		a := f.call(t, "/safe/", "x")
@@ -437,16 +439,16 @@
 func TestUnsafeRequestExecutesOnce(t *testing.T) {
 	is := is.New(t)
 	for _, script := range []string{hangUp, "HTTP/1.1 200 OK\r\nResponse-Seal: s\r\nContent-Length: 10\r\n\r\nhalf" + hangUp, "nonsense\r\n\r\n" + hangUp} {
-		one := newHost(t, "i-1", func(seen) string { return script })
-		two := newHost(t, "i-2", func(seen) string { return script })
+		one := newHost(t, "i-1", func(hostRequest) string { return script })
+		two := newHost(t, "i-2", func(hostRequest) string { return script })
 		f := newFleet(t, "", one, two)
 		a := f.call(t, "/unsafe/", "x")
 		is.True(a.StatusCode == 502)
 		is.Equal(len(one.requests())+len(two.requests()), 1)
 	}
 	for _, script := range []string{"HTTP/1.1 503 X\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 421 X\r\nInstance-Id: other\r\nContent-Length: 0\r\n\r\n"} {
-		one := newHost(t, "i-1", func(seen) string { return script })
-		two := newHost(t, "i-2", func(r seen) string { return answer(r, 200, "", "ok") })
+		one := newHost(t, "i-1", func(hostRequest) string { return script })
+		two := newHost(t, "i-2", func(r hostRequest) string { return answer(r, 200, "", "ok") })
 		f := newFleet(t, "", one, two)
 		for i := range 4 {
 			is.Equal(f.call(t, "/unsafe/", "x", fmt.Sprint("Request-Id: q", i)).StatusCode, 200)
@@ -457,8 +459,8 @@
 // A surplus answer to an earlier request that comes where the next one is due belongs to nobody.
 func TestSurplusBytesAfterAnAnswer(t *testing.T) {
 	is := is.New(t)
-	var before seen
-	h := newHost(t, "i-1", func(r seen) string {
+	var before hostRequest
+	h := newHost(t, "i-1", func(r hostRequest) string {
 		if r.n == 0 {
 			before = r
 			return answer(r, 200, "", "first")
@@ -474,17 +476,17 @@
 // complete.
 func TestStream(t *testing.T) {
 	is := is.New(t)
-	whole := newHost(t, "i-1", func(r seen) string { return stream(r, event(1, "a"), event(2, "b"), "") })
+	whole := newHost(t, "i-1", func(r hostRequest) string { return stream(r, event(1, "a"), event(2, "b"), "") })
 	a := newFleet(t, "", whole).call(t, "/stream/", "x")
 	is.NoErr(a.err)
 	is.Equal(a.body, event(1, "a")+event(2, "b"))
 	is.Equal(a.Header.Get("Content-Type"), "text/event-stream")
-	cut := newHost(t, "i-1", func(r seen) string { return stream(r, event(1, "a"), "id: 2\ndata: hal") + hangUp })
+	cut := newHost(t, "i-1", func(r hostRequest) string { return stream(r, event(1, "a"), "id: 2\ndata: hal") + hangUp })
 	a = newFleet(t, "", cut).call(t, "/stream/", "x")
 	is.True(a.err != nil)
 	is.Equal(a.body, event(1, "a"))
 	is.Equal(len(cut.requests()), 1)
-	back := newHost(t, "i-1", func(r seen) string { return stream(r, event(2, "a"), event(1, "b"), "") })
+	back := newHost(t, "i-1", func(r hostRequest) string { return stream(r, event(2, "a"), event(1, "b"), "") })
 	a = newFleet(t, "", back).call(t, "/stream/", "x")
 	is.True(a.err != nil) // ids rise
 }
@@ -493,7 +495,7 @@
 // answer and with its head.
 func TestBrokenStreamResumes(t *testing.T) {
 	is := is.New(t)
-	script := func(r seen) string {
+	script := func(r hostRequest) string {
 		switch r.Header.Get("Last-Event-Id") {
 		case "":
 			return stream(r, event(1, "a"), event(2, "b"), "id: 3\ndata: hal") + hangUp
@@ -523,7 +525,7 @@
 // A stream is resumed no more often than its route has attempts, and then ends visibly.
 func TestStreamResumesWithinItsAttempts(t *testing.T) {
 	is := is.New(t)
-	script := func(r seen) string {
+	script := func(r hostRequest) string {
 		var last int
 		fmt.Sscan(r.Header.Get("Last-Event-Id"), &last)
 		return stream(r, event(last+1, "x"), "id") + hangUp
@@ -540,11 +542,13 @@
 func TestLargeAnswer(t *testing.T) {
 	is := is.New(t)
 	large := strings.Repeat("0123456789abcdef", 16<<10)
-	h := newHost(t, "i-1", func(r seen) string { return answer(r, 200, "", large) })
+	h := newHost(t, "i-1", func(r hostRequest) string { return answer(r, 200, "", large) })
 	a := newFleet(t, "", h).call(t, "/unsafe/", "x")
 	is.NoErr(a.err)
 	is.True(a.body == large)
-	h = newHost(t, "i-1", func(r seen) string { return strings.TrimSuffix(answer(r, 200, "", large), "abcdef") + hangUp })
+	h = newHost(t, "i-1", func(r hostRequest) string {
+		return strings.TrimSuffix(answer(r, 200, "", large), "abcdef") + hangUp
+	})
 	a = newFleet(t, "", h).call(t, "/unsafe/", "x")
 	is.True(a.err != nil)
 }
@@ -552,7 +556,7 @@
 // Hosts that drain or are gone get nothing new.
 func TestDraining(t *testing.T) {
 	is := is.New(t)
-	ok := func(r seen) string { return answer(r, 200, "", "ok") }
+	ok := func(r hostRequest) string { return answer(r, 200, "", "ok") }
 	one, two := newHost(t, "i-1", ok), newHost(t, "i-2", ok)
 	f := newFleet(t, "", one, two)
 	registry := instances.New(time.Second)
@@ -581,7 +585,7 @@
 // Requests that came before others on a connection are answered first, and one that is idle stays.
 func TestConnectionIsReused(t *testing.T) {
 	is := is.New(t)
-	h := newHost(t, "i-1", func(r seen) string { return answer(r, 200, "", r.RequestURI) })
+	h := newHost(t, "i-1", func(r hostRequest) string { return answer(r, 200, "", r.RequestURI) })
 	f := newFleet(t, "", h)
 	c, err := net.Dial("tcp", f.addr)
 	is.NoErr(err)
@@ -590,7 +594,7 @@
 	for i := range 3 {
 		fmt.Fprintf(&all, "POST /safe/%d HTTP/1.1\r\nHost: h.example\r\nRequest-Id: q%d\r\nContent-Length: 0\r\n\r\n", i, i)
 	}
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	c.Write(all.Bytes())
 	in := bufio.NewReader(c)
 	for i := range 3 {
@@ -607,8 +611,8 @@
 // what does not come.
 func TestRequestsWaitForAStartingRouter(t *testing.T) {
 	is := is.New(t)
-	h := newHost(t, "i-1", func(r seen) string { return answer(r, 200, "", "whole") })
-	f := fleetSince(t, time.Now(), "none")
+	h := newHost(t, "i-1", func(r hostRequest) string { return answer(r, 200, "", "whole") })
+	f := newFleetStartedAt(t, time.Now(), "none")
 	f.fresh.Store(false)
 	const key = "Authorization: Bearer k1"
 	answered := make(chan string, 1)
--- a/internal/system/dataplane/quota.go
+++ b/internal/system/dataplane/quota.go
@@ -48,8 +48,8 @@
 }
 
 // ended gives the units back if the request has not executed.
-func (a *quotaCharge) ended(end routing.Answer) {
-	if end.Verdict == routing.Rejected && !end.MayHaveExecuted {
+func (a *quotaCharge) ended(answer routing.Answer) {
+	if answer.Verdict == routing.Rejected && !answer.MayHaveExecuted {
 		a.refund()
 	}
 }
--- a/internal/system/dataplane/startup.go
+++ b/internal/system/dataplane/startup.go
@@ -23,14 +23,14 @@
 )
 
 // changes wakes goroutines that wait for a change. The zero value is ready.
-type changes struct {
+type changeNotifier struct {
 	mu      sync.Mutex
 	next    chan struct{} // closed with the next change
 	waiters int
 }
 
 // notify wakes all that wait.
-func (c *changes) notify() {
+func (c *changeNotifier) notify() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.next != nil {
@@ -41,8 +41,8 @@
 
 // waitUntil waits until a condition holds, which is checked after each change, or a time has
 // passed. It reports whether the condition holds.
-func (c *changes) waitUntil(isTrue func() bool, timeout time.Duration) bool {
-	if isTrue() {
+func (c *changeNotifier) waitUntil(condition func() bool, timeout time.Duration) bool {
+	if condition() {
 		return true
 	}
 	if !c.addWaiter() {
@@ -53,19 +53,19 @@
 	defer timer.Stop()
 	for {
 		next := c.nextChange()
-		if isTrue() {
+		if condition() {
 			return true
 		}
 		select {
 		case <-next:
 		case <-timer.C:
-			return isTrue()
+			return condition()
 		}
 	}
 }
 
 // addWaiter counts a waiter, and reports whether it may wait.
-func (c *changes) addWaiter() bool {
+func (c *changeNotifier) addWaiter() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.waiters >= maxWaiters {
@@ -76,21 +76,21 @@
 }
 
 // removeWaiter ends what addWaiter began.
-func (c *changes) removeWaiter() {
+func (c *changeNotifier) removeWaiter() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.waiters--
 }
 
 // count returns how many wait.
-func (c *changes) count() int {
+func (c *changeNotifier) count() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.waiters
 }
 
 // nextChange returns a channel that is closed with the next change.
-func (c *changes) nextChange() <-chan struct{} {
+func (c *changeNotifier) nextChange() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.next == nil {
@@ -108,8 +108,8 @@
 
 // awaitStartup waits, while this router is starting, until what it needs for a request is there. It
 // reports whether it is.
-func (p *Plane) awaitStartup(ctx *fasthttp.RequestCtx, isThere func() bool) bool {
-	if isThere() {
+func (p *Plane) awaitStartup(ctx *fasthttp.RequestCtx, condition func() bool) bool {
+	if condition() {
 		return true
 	}
 	timeout := min(maxStartupWait, startupTime-time.Since(p.o.StartedAt))
@@ -117,5 +117,5 @@
 	if deadline, given, err := protocol.ParseDeadline(header); err == nil && given {
 		timeout = min(timeout, time.Duration(maxWaitFraction*float64(deadline)))
 	}
-	return timeout > 0 && p.changes.waitUntil(isThere, timeout)
+	return timeout > 0 && p.changes.waitUntil(condition, timeout)
 }
--- a/internal/system/settings/settings_test.go
+++ b/internal/system/settings/settings_test.go
@@ -118,21 +118,21 @@
 	is := is.New(t)
 	before, err := Parse([]byte(validFile))
 	is.NoErr(err)
-	same, taken, later := before.Reload(before)
+	same, applied, deferred := before.Reload(before)
 	is.Equal(same, before)
-	is.Equal(len(taken)+len(later), 0)
+	is.Equal(len(applied)+len(deferred), 0)
 	text := validFile
-	for old, new := range map[string]string{`"10.2.0.32:8665"`: `"10.9.0.32:8665"`, `drainMs = 2000`: `drainMs = 2500`, `quotaWindowS = 8`: `quotaWindowS = 9`,
+	for old, replacement := range map[string]string{`"10.2.0.32:8665"`: `"10.9.0.32:8665"`, `drainMs = 2000`: `drainMs = 2500`, `quotaWindowS = 8`: `quotaWindowS = 9`,
 		`zone = "a"`: `zone = "b"`, `memoryMb = 284`: `memoryMb = 300`} {
-		changed := strings.Replace(text, old, new, 1)
+		changed := strings.Replace(text, old, replacement, 1)
 		is.True(changed != text) // the file has that field
 		text = changed
 	}
 	read, err := Parse([]byte(text))
 	is.NoErr(err)
-	next, taken, later := before.Reload(read)
-	is.Equal(taken, []string{"seedNodes", "bounds.drainMs"})
-	is.Equal(later, []string{"zone", "limits", "bounds.quotaWindowS"})
+	next, applied, deferred := before.Reload(read)
+	is.Equal(applied, []string{"seedNodes", "bounds.drainMs"})
+	is.Equal(deferred, []string{"zone", "limits", "bounds.quotaWindowS"})
 	is.Equal(next.Seeds()[1].String(), "10.9.0.32:7680")
 	is.Equal(next.Bounds.DrainMs, 2500.0)
 	is.Equal(next.Bounds.QuotaWindowS, 8.0)
