--- a/internal/system/dataplane/peerreports_test.go
+++ b/internal/system/dataplane/peerreports_test.go
@@ -37,7 +37,7 @@
 	return <-all
 }
 
-func events(r hostRequest) string { return stream(r, event(1, "x"), "") }
+func events(r received) string { return stream(r, event(1, "x"), "") }
 
 // Others are told of each prompt: its service, its host, the tokens that are to be read there, and
 // a mark of its prefix.
--- a/internal/system/dataplane/pins_test.go
+++ b/internal/system/dataplane/pins_test.go
@@ -30,7 +30,7 @@
 // newVersioned is a host of a version; it heeds Expect-Version.
 func newVersionedHost(t *testing.T, id string, version, registers int64) versionedHost {
 	t.Helper()
-	return versionedHost{newHost(t, id, func(r hostRequest) string {
+	return versionedHost{newHost(t, id, func(r received) string {
 		if want := r.Header.Get("Expect-Version"); want != "" && want != fmt.Sprint(version) {
 			return answer(r, http.StatusMisdirectedRequest, "Not-Executed: true\r\n", "")
 		}
@@ -177,24 +177,24 @@
 // Hosts that turn pinned requests away, answer them with another version, or roll in their streams
 // are not in trouble: traffic out of scope has them as before.
 func TestPinsLeaveOtherRequestsAlone(t *testing.T) {
-	head := func(r hostRequest, versions string, events ...string) string {
+	head := func(r received, versions string, events ...string) string {
 		return strings.Replace(stream(r, events...), "Content-Type:", versions+"Content-Type:", 1)
 	}
 	for _, c := range []struct {
 		name, path string
-		pinned     func(r hostRequest) string // what a host answers to a pinned request
+		pinned     func(r received) string // what a host answers to a pinned request
 	}{
-		{"turned away", "/unsafe/", func(r hostRequest) string { return answer(r, 421, "Not-Executed: true\r\n", "") }},
-		{"another version", "/safe/", func(r hostRequest) string { return answer(r, 200, "Versions: 1\r\n", "v1") }},
-		{"a stream of another version", "/stream/", func(r hostRequest) string { return head(r, "Versions: 1\r\n", event(1, "a"), "") }},
-		{"rolled in the stream", "/stream/", func(r hostRequest) string {
+		{"turned away", "/unsafe/", func(r received) string { return answer(r, 421, "Not-Executed: true\r\n", "") }},
+		{"another version", "/safe/", func(r received) string { return answer(r, 200, "Versions: 1\r\n", "v1") }},
+		{"a stream of another version", "/stream/", func(r received) string { return head(r, "Versions: 1\r\n", event(1, "a"), "") }},
+		{"rolled in the stream", "/stream/", func(r received) string {
 			return head(r, "Versions: 2\r\n", event(1, "a"), "versions: 3\n"+event(2, "b"), "")
 		}},
-		{"rolled in the first event", "/stream/", func(r hostRequest) string { return head(r, "Versions: 2\r\n", "versions: 3\n"+event(1, "b"), "") }},
+		{"rolled in the first event", "/stream/", func(r received) string { return head(r, "Versions: 2\r\n", "versions: 3\n"+event(1, "b"), "") }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			h := versionedHost{newHost(t, "i-1", func(r hostRequest) string {
+			h := versionedHost{newHost(t, "i-1", func(r received) string {
 				if r.Header.Get("Expect-Version") != "" {
 					return c.pinned(r)
 				}
@@ -220,7 +220,7 @@
 	for _, c := range []struct{ name, header string }{{"none", ""}, {"another", "Versions: 1\r\n"}, {"no number", "Versions: two\r\n"}} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			wrong := versionedHost{newHost(t, "i-1", func(r hostRequest) string { return answer(r, 200, c.header, "wrong") }), 2}
+			wrong := versionedHost{newHost(t, "i-1", func(r received) string { return answer(r, 200, c.header, "wrong") }), 2}
 			right := newVersionedHost(t, "i-2", 2, 2)
 			f := newFleet(t, keyed)
 			f.register(wrong, right)
@@ -242,7 +242,7 @@
 // version alone, to the end from another host where the route allows it, and else a visible end.
 func TestHostRolledDuringAStream(t *testing.T) {
 	rolled := func(id int) string { return fmt.Sprintf("versions: 3\nid: %d\ndata: new\n\n", id) }
-	head := func(r hostRequest, events ...string) string {
+	head := func(r received, events ...string) string {
 		return strings.Replace(stream(r, events...), "Content-Type:", "Versions: 2\r\nContent-Type:", 1)
 	}
 	for _, c := range []struct {
@@ -254,11 +254,11 @@
 	} {
 		t.Run(c.path, func(t *testing.T) {
 			is := is.New(t)
-			changing := versionedHost{newHost(t, "i-1", func(r hostRequest) string { return head(r, event(1, "a"), rolled(2), event(3, "new"), "") }), 2}
+			changing := versionedHost{newHost(t, "i-1", func(r received) string { return head(r, event(1, "a"), rolled(2), event(3, "new"), "") }), 2}
 			f := newFleet(t, keyed)
 			f.register(changing)
 			f.pin(t, pinOf("x", "", 2))
-			resuming := versionedHost{newHost(t, "i-2", func(r hostRequest) string {
+			resuming := versionedHost{newHost(t, "i-2", func(r received) string {
 				if r.Header.Get("Expect-Version") != "2" || r.Header.Get("Last-Event-Id") != "1" {
 					return answer(r, http.StatusMisdirectedRequest, "Not-Executed: true\r\n", "")
 				}
@@ -295,7 +295,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			f := newFleet(t, keyed)
-			breaking := versionedHost{newHost(t, "i-1", func(r hostRequest) string {
+			breaking := versionedHost{newHost(t, "i-1", func(r received) string {
 				if r.Header.Get("Last-Event-Id") != "" {
 					return answer(r, 503, "Not-Executed: true\r\n", "")
 				}
@@ -304,7 +304,7 @@
 			}), 1}
 			f.register(breaking)
 			newResumingHost := func(id string, version int64) versionedHost {
-				return versionedHost{newHost(t, id, func(r hostRequest) string {
+				return versionedHost{newHost(t, id, func(r received) string {
 					if r.Header.Get("Expect-Version") != fmt.Sprint(version) {
 						return answer(r, http.StatusMisdirectedRequest, "Not-Executed: true\r\n", "")
 					}
@@ -340,7 +340,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			release := make(chan struct{})
-			busy := versionedHost{newHost(t, "i-1", func(r hostRequest) string {
+			busy := versionedHost{newHost(t, "i-1", func(r received) string {
 				<-release
 				return answer(r, 200, "Versions: 1\r\n", "v1")
 			}), 1}
@@ -359,14 +359,14 @@
 				return f.plane.Metrics()["s"].Open == many && sent > 0 && sent < many
 			})
 			c.change(t, f, busy, free)
-			var received []clientAnswer
+			var answered []clientAnswer
 			eventually(t, "all that are not at the busy host are answered", func() bool {
 				for len(answers) > 0 {
-					received = append(received, <-answers)
+					answered = append(answered, <-answers)
 				}
-				return len(received)+len(busy.requests()) == many
+				return len(answered)+len(busy.requests()) == many
 			})
-			for _, a := range received {
+			for _, a := range answered {
 				is.NoErr(a.err)
 				is.Equal(a.StatusCode, c.status)
 				is.True(c.status != 200 || a.body == c.body)
@@ -384,7 +384,7 @@
 func TestPinnedClientLeaves(t *testing.T) {
 	is := is.New(t)
 	arrived, release := make(chan struct{}), make(chan struct{})
-	slow := versionedHost{newHost(t, "i-1", func(r hostRequest) string {
+	slow := versionedHost{newHost(t, "i-1", func(r received) string {
 		close(arrived)
 		<-release
 		return answer(r, 200, "Versions: 1\r\n", "v1")
--- a/internal/system/dataplane/plane_test.go
+++ b/internal/system/dataplane/plane_test.go
@@ -79,7 +79,7 @@
 }
 
 // seen is a request as a host got it.
-type hostRequest struct {
+type received struct {
 	*http.Request
 	text string // its body
 	n    int    // of the host, from 0
@@ -91,14 +91,14 @@
 	id     string
 	addr   string
 	mu     sync.Mutex
-	served []hostRequest
-	script func(r hostRequest) string
+	served []received
+	script func(r received) string
 }
 
 // hangUp ends a script's bytes where the host closes the connection.
 const hangUp = "\x00"
 
-func newHost(t *testing.T, id string, script func(r hostRequest) string) *host {
+func newHost(t *testing.T, id string, script func(r received) string) *host {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -131,7 +131,7 @@
 			return
 		}
 		h.mu.Lock()
-		s := hostRequest{r, string(text), len(h.served)}
+		s := received{r, string(text), len(h.served)}
 		h.served = append(h.served, s)
 		h.mu.Unlock()
 		out, hangsUp := strings.CutSuffix(h.script(s), hangUp)
@@ -142,21 +142,21 @@
 	}
 }
 
-func (h *host) requests() []hostRequest {
+func (h *host) requests() []received {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return append([]hostRequest(nil), h.served...)
+	return append([]received(nil), h.served...)
 }
 
 // answer is a whole answer of a host to a request.
-func answer(r hostRequest, status int, extra, body string) string {
+func answer(r received, status int, extra, body string) string {
 	return fmt.Sprintf("HTTP/1.1 %d X\r\nRequest-Id: %s\r\nResponse-Seal: seal-%s\r\n%sContent-Length: %d\r\n\r\n%s",
 		status, r.Header.Get("Request-Id"), r.Header.Get("Expected-Instance"), extra, len(body), body)
 }
 
 // stream is the head of a stream, and its events; each event is a chunk, and an empty one ends the
 // stream.
-func stream(r hostRequest, events ...string) string {
+func stream(r received, events ...string) string {
 	out := fmt.Sprintf("HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nResponse-Seal: seal-%s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n",
 		r.Header.Get("Request-Id"), r.Header.Get("Expected-Instance"))
 	for _, e := range events {
@@ -288,9 +288,7 @@
 // the router sets; the answer comes back as it was, whatever its status.
 func TestRequestIsForwarded(t *testing.T) {
 	is := is.New(t)
-	h := newHost(t, "i-1", func(r hostRequest) string {
-		return answer(r, 202, "X-Own: 1\r\nContent-Type: a/b\r\n", "hello "+r.text)
-	})
+	h := newHost(t, "i-1", func(r received) string { return answer(r, 202, "X-Own: 1\r\nContent-Type: a/b\r\n", "hello "+r.text) })
 	f := newFleet(t, keyed, h)
 	a := f.call(t, "/safe/x?y=1", "body", "Authorization: Bearer k1", "Tenant: forged", "Model: m", "Connection: X-Hop", "X-Hop: 1", "X-Kept: 2",
 		"Request-Deadline: 3000", "Expected-Instance: forged", "Priority: 0", "Request-Id: abc")
@@ -317,7 +315,7 @@
 // A chunked body reaches the host whole.
 func TestChunkedBodyIsForwarded(t *testing.T) {
 	is := is.New(t)
-	h := newHost(t, "i-1", func(r hostRequest) string { return answer(r, 200, "", r.text) })
+	h := newHost(t, "i-1", func(r received) string { return answer(r, 200, "", r.text) })
 	f := newFleet(t, "", h)
 	c, err := net.Dial("tcp", f.addr)
 	is.NoErr(err)
@@ -333,7 +331,7 @@
 
 // What the router answers by itself, each only where the configuration says so.
 func TestAnswersOfTheRouter(t *testing.T) {
-	h := newHost(t, "i-1", func(r hostRequest) string { return answer(r, 200, "", "ok") })
+	h := newHost(t, "i-1", func(r received) string { return answer(r, 200, "", "ok") })
 	f := newFleet(t, keyed, h)
 	for name, c := range map[string]struct {
 		path, body string
@@ -364,7 +362,7 @@
 // public routes go on.
 func TestRejectedWhileTooLittleIsKnown(t *testing.T) {
 	is := is.New(t)
-	h := newHost(t, "i-1", func(r hostRequest) string { return answer(r, 200, "", "ok") })
+	h := newHost(t, "i-1", func(r received) string { return answer(r, 200, "", "ok") })
 	f := newFleet(t, "none", h)
 	is.Equal(f.call(t, "/nothing/", "").StatusCode, 503)
 	f.configure(t, fmt.Sprintf(routes, keyed))
@@ -393,7 +391,7 @@
 // is given back.
 func TestQuotaRejectsAndRefunds(t *testing.T) {
 	is := is.New(t)
-	h := newHost(t, "i-1", func(r hostRequest) string {
+	h := newHost(t, "i-1", func(r received) string {
 		if r.n == 0 {
 			return answer(r, 200, "", "ok")
 		}
@@ -418,14 +416,14 @@
 // request is tried elsewhere.
 func TestFailures(t *testing.T) {
 	is := is.New(t)
-	bad := newHost(t, "i-bad", func(r hostRequest) string { return answer(r, 500, "", "broken") })
+	bad := newHost(t, "i-bad", func(r received) string { return answer(r, 500, "", "broken") })
 	f := newFleet(t, "", bad)
 	a := f.call(t, "/unsafe/", "x")
 	is.Equal(a.StatusCode, 500)
 	is.Equal(a.Header.Get("Response-Seal"), "seal-i-bad")
 	is.Equal(a.body, "broken")
 	is.Equal(len(bad.requests()), 1)
-	good := newHost(t, "i-good", func(r hostRequest) string { return answer(r, 200, "", "fine") })
+	good := newHost(t, "i-good", func(r received) string { return answer(r, 200, "", "fine") })
 	f = newFleet(t, "", bad, good)
 	for range 10 {
 		a := f.call(t, "/safe/", "x")
@@ -439,16 +437,16 @@
 func TestUnsafeRequestExecutesOnce(t *testing.T) {
 	is := is.New(t)
 	for _, script := range []string{hangUp, "HTTP/1.1 200 OK\r\nResponse-Seal: s\r\nContent-Length: 10\r\n\r\nhalf" + hangUp, "nonsense\r\n\r\n" + hangUp} {
-		one := newHost(t, "i-1", func(hostRequest) string { return script })
-		two := newHost(t, "i-2", func(hostRequest) string { return script })
+		one := newHost(t, "i-1", func(received) string { return script })
+		two := newHost(t, "i-2", func(received) string { return script })
 		f := newFleet(t, "", one, two)
 		a := f.call(t, "/unsafe/", "x")
 		is.True(a.StatusCode == 502)
 		is.Equal(len(one.requests())+len(two.requests()), 1)
 	}
 	for _, script := range []string{"HTTP/1.1 503 X\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 421 X\r\nInstance-Id: other\r\nContent-Length: 0\r\n\r\n"} {
-		one := newHost(t, "i-1", func(hostRequest) string { return script })
-		two := newHost(t, "i-2", func(r hostRequest) string { return answer(r, 200, "", "ok") })
+		one := newHost(t, "i-1", func(received) string { return script })
+		two := newHost(t, "i-2", func(r received) string { return answer(r, 200, "", "ok") })
 		f := newFleet(t, "", one, two)
 		for i := range 4 {
 			is.Equal(f.call(t, "/unsafe/", "x", fmt.Sprint("Request-Id: q", i)).StatusCode, 200)
@@ -459,8 +457,8 @@
 // A surplus answer to an earlier request that comes where the next one is due belongs to nobody.
 func TestSurplusBytesAfterAnAnswer(t *testing.T) {
 	is := is.New(t)
-	var before hostRequest
-	h := newHost(t, "i-1", func(r hostRequest) string {
+	var before received
+	h := newHost(t, "i-1", func(r received) string {
 		if r.n == 0 {
 			before = r
 			return answer(r, 200, "", "first")
@@ -476,17 +474,17 @@
 // complete.
 func TestStream(t *testing.T) {
 	is := is.New(t)
-	whole := newHost(t, "i-1", func(r hostRequest) string { return stream(r, event(1, "a"), event(2, "b"), "") })
+	whole := newHost(t, "i-1", func(r received) string { return stream(r, event(1, "a"), event(2, "b"), "") })
 	a := newFleet(t, "", whole).call(t, "/stream/", "x")
 	is.NoErr(a.err)
 	is.Equal(a.body, event(1, "a")+event(2, "b"))
 	is.Equal(a.Header.Get("Content-Type"), "text/event-stream")
-	cut := newHost(t, "i-1", func(r hostRequest) string { return stream(r, event(1, "a"), "id: 2\ndata: hal") + hangUp })
+	cut := newHost(t, "i-1", func(r received) string { return stream(r, event(1, "a"), "id: 2\ndata: hal") + hangUp })
 	a = newFleet(t, "", cut).call(t, "/stream/", "x")
 	is.True(a.err != nil)
 	is.Equal(a.body, event(1, "a"))
 	is.Equal(len(cut.requests()), 1)
-	back := newHost(t, "i-1", func(r hostRequest) string { return stream(r, event(2, "a"), event(1, "b"), "") })
+	back := newHost(t, "i-1", func(r received) string { return stream(r, event(2, "a"), event(1, "b"), "") })
 	a = newFleet(t, "", back).call(t, "/stream/", "x")
 	is.True(a.err != nil) // ids rise
 }
@@ -495,7 +493,7 @@
 // answer and with its head.
 func TestBrokenStreamResumes(t *testing.T) {
 	is := is.New(t)
-	script := func(r hostRequest) string {
+	script := func(r received) string {
 		switch r.Header.Get("Last-Event-Id") {
 		case "":
 			return stream(r, event(1, "a"), event(2, "b"), "id: 3\ndata: hal") + hangUp
@@ -525,7 +523,7 @@
 // A stream is resumed no more often than its route has attempts, and then ends visibly.
 func TestStreamResumesWithinItsAttempts(t *testing.T) {
 	is := is.New(t)
-	script := func(r hostRequest) string {
+	script := func(r received) string {
 		var last int
 		fmt.Sscan(r.Header.Get("Last-Event-Id"), &last)
 		return stream(r, event(last+1, "x"), "id") + hangUp
@@ -542,13 +540,11 @@
 func TestLargeAnswer(t *testing.T) {
 	is := is.New(t)
 	large := strings.Repeat("0123456789abcdef", 16<<10)
-	h := newHost(t, "i-1", func(r hostRequest) string { return answer(r, 200, "", large) })
+	h := newHost(t, "i-1", func(r received) string { return answer(r, 200, "", large) })
 	a := newFleet(t, "", h).call(t, "/unsafe/", "x")
 	is.NoErr(a.err)
 	is.True(a.body == large)
-	h = newHost(t, "i-1", func(r hostRequest) string {
-		return strings.TrimSuffix(answer(r, 200, "", large), "abcdef") + hangUp
-	})
+	h = newHost(t, "i-1", func(r received) string { return strings.TrimSuffix(answer(r, 200, "", large), "abcdef") + hangUp })
 	a = newFleet(t, "", h).call(t, "/unsafe/", "x")
 	is.True(a.err != nil)
 }
@@ -556,7 +552,7 @@
 // Hosts that drain or are gone get nothing new.
 func TestDraining(t *testing.T) {
 	is := is.New(t)
-	ok := func(r hostRequest) string { return answer(r, 200, "", "ok") }
+	ok := func(r received) string { return answer(r, 200, "", "ok") }
 	one, two := newHost(t, "i-1", ok), newHost(t, "i-2", ok)
 	f := newFleet(t, "", one, two)
 	registry := instances.New(time.Second)
@@ -585,7 +581,7 @@
 // Requests that came before others on a connection are answered first, and one that is idle stays.
 func TestConnectionIsReused(t *testing.T) {
 	is := is.New(t)
-	h := newHost(t, "i-1", func(r hostRequest) string { return answer(r, 200, "", r.RequestURI) })
+	h := newHost(t, "i-1", func(r received) string { return answer(r, 200, "", r.RequestURI) })
 	f := newFleet(t, "", h)
 	c, err := net.Dial("tcp", f.addr)
 	is.NoErr(err)
@@ -611,7 +607,7 @@
 // what does not come.
 func TestRequestsWaitForAStartingRouter(t *testing.T) {
 	is := is.New(t)
-	h := newHost(t, "i-1", func(r hostRequest) string { return answer(r, 200, "", "whole") })
+	h := newHost(t, "i-1", func(r received) string { return answer(r, 200, "", "whole") })
 	f := newFleetStartedAt(t, time.Now(), "none")
 	f.fresh.Store(false)
 	const key = "Authorization: Bearer k1"
