--- a/internal/system/dataplane/classes.go
+++ b/internal/system/dataplane/classes.go
@@ -11,12 +11,14 @@
 )
 
 const (
-	lateValueFraction    = 0.3 // of an answer after its latency target, as no setting says it
+	// lateValueFraction is the value of an answer after its latency target, as a fraction of the
+	// value of one in time. No setting states it.
+	lateValueFraction    = 0.3
 	minStreamIdleTimeout = 2 * time.Second
 )
 
-// classesOf returns the classes of each service, sorted by name: one for all routes to it with the
-// same demands, however many there are.
+// classesOf returns the request classes of each service, sorted by name. Routes to one service that
+// have the same requirements share a class.
 func classesOf(c *configuration.Configuration) map[string][]balance.Class {
 	found := map[string]map[string]balance.Class{}
 	for _, r := range c.Routes {
@@ -41,14 +43,15 @@
 // byName compares classes by name.
 func byName(a, b balance.Class) int { return cmp.Compare(a.Name, b.Name) }
 
-// unionOfClasses returns the classes of two lists, sorted by name.
+// unionOfClasses returns the classes that are in at least one of two lists, sorted by name.
 func unionOfClasses(a, b []balance.Class) []balance.Class {
 	both := slices.Concat(a, b)
 	slices.SortFunc(both, byName)
 	return slices.CompactFunc(both, func(x, y balance.Class) bool { return x.Name == y.Name })
 }
 
-// classOf returns what the decisions know of a route. All of it is in the name of the class.
+// classOf returns the class of a route, which tells the balancer the route's requirements. The name
+// of the class encodes all of them.
 func classOf(r *configuration.Route) balance.Class {
 	c := balance.Class{
 		Name:               r.ClassName(),
--- a/internal/system/dataplane/forward.go
+++ b/internal/system/dataplane/forward.go
@@ -14,7 +14,8 @@
 	"reachspread/internal/transport"
 )
 
-// forward returns how the request is forwarded: without its key, under its tenant's name.
+// forward returns how the request is forwarded to a host: without the client's API key, and with
+// the name of its tenant and its priority in headers.
 func (r *request) forward(ctx *fasthttp.RequestCtx, a *routeMatch) *transport.Forward {
 	f := &transport.Forward{Events: r.route.Kind == configuration.Streaming, IdleTimeout: streamIdleTimeout(r.route)}
 	named := connectionNames(ctx.Request.Header.Peek("Connection"))
@@ -32,11 +33,11 @@
 	return f
 }
 
-// maxPriorityRank is the least urgent rank that a host knows.
+// maxPriorityRank is the least urgent rank that hosts accept.
 const maxPriorityRank = 9
 
-// priorityRank returns how urgent a request is to its host, 0 being first: by its tenant, and for
-// tenants of one priority by its route.
+// priorityRank returns the rank by which the host orders requests; 0 is the most urgent. The
+// tenant's priority decides first, then the route's.
 func priorityRank(a *routeMatch) int {
 	rank := a.route.Priority
 	if a.tenant != nil && a.tenant.Priority != nil {
@@ -45,7 +46,8 @@
 	return min(max(rank, 0), maxPriorityRank)
 }
 
-// isRouterHeader reports whether a header is set by the router, whatever the client has sent.
+// isRouterHeader reports whether the router sets or removes a header itself. Such a header of the
+// client is not forwarded.
 func isRouterHeader(name string) bool {
 	switch http.CanonicalHeaderKey(name) {
 	case "Authorization", protocol.HeaderTenant, protocol.HeaderRequestID, protocol.HeaderDeadline, protocol.HeaderExpectedInstance, protocol.HeaderPriority:
@@ -54,7 +56,8 @@
 	return false
 }
 
-// connectionNames returns the headers that a client's Connection header names, in lower case.
+// connectionNames returns the names, in lower case, of the headers that a client's Connection
+// header lists.
 func connectionNames(value []byte) map[string]bool {
 	named := map[string]bool{}
 	for field := range bytes.SplitSeq(value, []byte(",")) {
@@ -65,8 +68,8 @@
 	return named
 }
 
-// streamIdleTimeout returns how long a stream of a route may send nothing: a client gives up then
-// as well.
+// streamIdleTimeout returns how long a host may send nothing on a stream of a route before the
+// stream counts as broken. A client gives up after that time as well.
 func streamIdleTimeout(r *configuration.Route) time.Duration {
 	return max(minStreamIdleTimeout, 4*r.LatencyTarget(), 8*r.GapTarget())
 }
--- a/internal/system/dataplane/hosts.go
+++ b/internal/system/dataplane/hosts.go
@@ -8,8 +8,8 @@
 	"reachspread/internal/system/message"
 )
 
-// SetHosts gives the decisions the hosts of a service. A revision that was given already changes
-// nothing. It is called by one goroutine.
+// SetHosts passes the hosts of a service to its balancer. It does nothing if the revision is the
+// one of the previous call. Only one goroutine may call it.
 func (p *Plane) SetHosts(name string, revision uint64, all []*instances.Record, now time.Duration) {
 	p.mu.Lock()
 	s := p.services[name]
@@ -42,7 +42,7 @@
 	p.pins.hostsChanged(s)
 }
 
-// stateOf returns the state of a host for the decisions.
+// stateOf returns the state of a host as the balancer names it.
 func stateOf(r *instances.Record) balance.State {
 	switch r.State {
 	case message.Instance_READY:
@@ -53,7 +53,8 @@
 	return balance.Removed
 }
 
-// ReceiveReports takes up another router's reports on hosts of a service.
+// ReceiveReports passes another router's reports on hosts of a service to its balancer. It ignores
+// reports on an unknown service.
 func (p *Plane) ReceiveReports(name string, reports balance.ReportsReceived) {
 	if s := (*p.serviceMap.Load())[name]; s != nil {
 		s.router.ReceiveReports(reports)
--- a/internal/system/dataplane/intake.go
+++ b/internal/system/dataplane/intake.go
@@ -16,29 +16,33 @@
 )
 
 const (
-	// defaultMaxBody bounds a request's body, in bytes, where the configuration has no bound.
+	// defaultMaxBody is the maximum length of a request's body, in bytes, if the configuration sets
+	// none.
 	defaultMaxBody = 4 << 20
-	// minStartupRetryAfter and maxStartupRetryAfter bound when a client is told to come back to a
-	// router that can serve nothing yet.
+	// minStartupRetryAfter and maxStartupRetryAfter bound the Retry-After of an answer from a router
+	// that can't serve requests yet.
 	minStartupRetryAfter = 500 * time.Millisecond
 	maxStartupRetryAfter = 900 * time.Millisecond
 )
 
-// routeMatch is what the configuration says of a request by its head.
+// routeMatch is the route and the tenant that the configuration assigns to a request by its head.
 type routeMatch struct {
 	state  *configuration.State
 	route  *configuration.Route
 	tenant *configuration.Tenant // nil for none
 }
 
-// routeMatchKey is the user value that keeps it between the head and the body.
+// routeMatchKey is the key of the user value that holds a request's routeMatch while its body is
+// read.
 const routeMatchKey = "admitted"
 
-// Local implements transport.Intake: nothing on the clients' address is for the router itself.
+// Local implements transport.Intake. It returns false because the router serves no requests of its
+// own on the clients' address.
 func (p *Plane) Local(*fasthttp.RequestCtx) bool { return false }
 
-// Head implements transport.Intake: route, key and tenant decide whether a body is to be read. A
-// router that is starting reads it without them, and looks again in Plan.
+// Head implements transport.Intake. It rejects a request by its route, key and tenant before the
+// body is read. A router that is starting and lacks the data for that check reads the body anyway,
+// and Plan checks again.
 func (p *Plane) Head(ctx *fasthttp.RequestCtx) *transport.Rejection {
 	p.counts.Accepted.Add(1)
 	a, rejection := p.admit(ctx)
@@ -51,7 +55,8 @@
 	return rejection
 }
 
-// isUncertain reports whether a request is rejected only because too little is known here.
+// isUncertain reports whether a request is rejected only because this router does not know enough
+// to decide on it.
 func isUncertain(rejection *transport.Rejection) bool {
 	return rejection != nil && rejection.Code == http.StatusServiceUnavailable
 }
@@ -78,8 +83,8 @@
 	return a, nil
 }
 
-// deny rejects a request that the configuration does not allow. A configuration that may not be the
-// newest denies nothing for good: a route or a key may have been added since.
+// deny rejects a request that the configuration does not allow. If the configuration may not be the
+// newest, the answer is 503 instead, because a newer one may have added the route or the key.
 func (p *Plane) deny(code int, text string) *transport.Rejection {
 	if !p.o.Newest() {
 		return &transport.Rejection{Code: http.StatusServiceUnavailable, Text: "the configuration may not be the newest", RetryAfter: startupRetryAfter()}
@@ -87,8 +92,8 @@
 	return &transport.Rejection{Code: code, Text: text}
 }
 
-// routeMatchOf returns what admit found for a request when its head came, or finds now, as soon as
-// the router knows enough.
+// routeMatchOf returns the match that Head found for a request. If Head found none because the
+// router was starting, routeMatchOf calls admit again until the router knows enough.
 func (p *Plane) routeMatchOf(ctx *fasthttp.RequestCtx) (*routeMatch, *transport.Rejection) {
 	if a, ok := ctx.UserValue(routeMatchKey).(*routeMatch); ok {
 		return a, nil
@@ -102,13 +107,13 @@
 	return a, rejection
 }
 
-// startupRetryAfter is when a client should come back to a router that can serve nothing yet. It
-// differs from client to client, so that they do not come all at once.
+// startupRetryAfter returns the time after which a client should retry at a router that can't serve
+// requests yet. It is random, so that not all clients retry at once.
 func startupRetryAfter() time.Duration {
 	return minStartupRetryAfter + rand.N(maxStartupRetryAfter-minStartupRetryAfter)
 }
 
-// hostOf returns the host that a request names, without a port.
+// hostOf returns the value of a request's Host header without the port.
 func hostOf(ctx *fasthttp.RequestCtx) string {
 	host := string(ctx.Request.Header.Host())
 	if name, _, err := net.SplitHostPort(host); err == nil {
@@ -117,7 +122,7 @@
 	return host
 }
 
-// pathOf returns the path of a request as it came, without a query.
+// pathOf returns the path of a request as the client sent it, without the query.
 func pathOf(ctx *fasthttp.RequestCtx) string {
 	path, _, _ := strings.Cut(string(ctx.RequestURI()), "?")
 	return path
--- a/internal/system/dataplane/models.go
+++ b/internal/system/dataplane/models.go
@@ -13,17 +13,17 @@
 	version int64
 }
 
-// String returns its name for the decisions; see balance.Arrival.RequiredFeature.
+// String returns the name by which the balancer knows the version; see
+// balance.Arrival.RequiredFeature.
 func (m modelVersion) String() string { return m.model + ":" + strconv.FormatInt(m.version, 10) }
 
-// models counts the versions of models that the ready hosts of a service have, by their
-// registrations.
+// models counts the ready hosts of a service for each version of a model that they have registered.
 type models struct {
-	hostCounts atomic.Pointer[map[modelVersion]int] // replaced, never changed
-	names      map[modelVersion]string              // one text for all hosts; the caller of recount's
+	hostCounts atomic.Pointer[map[modelVersion]int] // replaced with a new map, never modified
+	names      map[modelVersion]string              // caches String for all hosts; only the goroutine that calls recount uses it
 }
 
-// ready returns how many ready hosts have a version.
+// ready returns how many ready hosts have a version of a model.
 func (m *models) ready(v modelVersion) int {
 	hosts := m.hostCounts.Load()
 	if hosts == nil {
@@ -32,8 +32,8 @@
 	return (*hosts)[v]
 }
 
-// otherVersions returns how many ready hosts have a model in other versions than one. A host with
-// several counts for each.
+// otherVersions returns how many ready hosts have other versions of v's model. A host that has
+// several other versions counts once for each of them.
 func (m *models) otherVersions(v modelVersion) (n int) {
 	hosts := m.hostCounts.Load()
 	if hosts == nil {
@@ -47,13 +47,13 @@
 	return n
 }
 
-// modelCount is a count under way.
+// modelCount is a count of the hosts per version that is not published yet.
 type modelCount struct {
 	of    *models
 	hosts map[modelVersion]int
 }
 
-// recount begins a count. There is one at a time.
+// recount begins a new count. Only one count may be in progress at a time.
 func (m *models) recount() *modelCount {
 	if m.names == nil || len(m.names) > maxModelNames {
 		m.names = map[modelVersion]string{}
@@ -61,10 +61,11 @@
 	return &modelCount{of: m, hosts: map[modelVersion]int{}}
 }
 
-// maxModelNames bounds the names that are cached, of versions that may have been removed.
+// maxModelNames is the size above which recount clears the cache of names, because the cache also
+// holds the names of removed versions.
 const maxModelNames = 4096
 
-// add counts a host with its models, and returns their names for the decisions.
+// add counts a host for each of its models, and returns the names of the models for the balancer.
 func (c *modelCount) add(all []*message.Model) (features []string) {
 	for _, m := range all {
 		v := modelVersion{m.Name, m.Version}
@@ -79,5 +80,5 @@
 	return features
 }
 
-// publish puts a count in force.
+// publish replaces the current counts with c.
 func (m *models) publish(c *modelCount) { m.hostCounts.Store(&c.hosts) }
--- a/internal/system/dataplane/outcomes.go
+++ b/internal/system/dataplane/outcomes.go
@@ -13,19 +13,19 @@
 	"reachspread/internal/transport"
 )
 
-// Outcome is how a request ended, for the metrics.
+// Outcome is how a request ended. The status and the metrics count requests by it.
 type Outcome int
 
-// The outcomes.
+// The outcomes of requests.
 const (
 	OutcomeServed    Outcome = iota // a host's answer was forwarded, whatever its status
-	OutcomeRejected                 // it has not executed and may come again
-	OutcomeFailed                   // it may have executed, or no host can use it
-	OutcomeAbandoned                // its client left
-	OutcomeOverQuota                // its tenant had no units left
-	OutcomeNoKey                    // it had no key that is known
-	OutcomeNoRoute                  // no route fits it
-	OutcomeMalformed                // it could not be read
+	OutcomeRejected                 // the request has not executed, and the client may retry
+	OutcomeFailed                   // the request may have executed, or no host can use it
+	OutcomeAbandoned                // the client disconnected
+	OutcomeOverQuota                // the tenant had too few units of its quota left
+	OutcomeNoKey                    // the request had no known API key
+	OutcomeNoRoute                  // no route matches the request
+	OutcomeMalformed                // the request could not be parsed
 	outcomes
 )
 
@@ -35,21 +35,22 @@
 }
 
 const (
-	// maxCountedKeys bounds the tenants and kinds that are counted by their names; further ones are
-	// counted together.
+	// maxCountedKeys is the maximum number of pairs of kind and tenant that are counted separately.
+	// All further pairs are counted together under otherTenant.
 	maxCountedKeys = 1024
 	otherTenant    = "(other)"
 )
 
-// RequestCount is how many requests of a kind and a tenant ended so, since the start.
+// RequestCount is the number of requests of a kind and a tenant that ended with an outcome since
+// the process started.
 type RequestCount struct {
-	Kind    string // of the route; empty where none was found
-	Tenant  string // empty where none was found
+	Kind    string // kind of the route; empty if no route was found
+	Tenant  string // empty if no tenant was found
 	Outcome Outcome
 	Count   uint64
 }
 
-// requestKey names the requests that are counted together.
+// requestKey identifies the requests that are counted together.
 type requestKey struct{ kind, tenant string }
 
 // outcomeCounts counts requests by their outcomes. The zero value is ready.
@@ -58,7 +59,7 @@
 	all map[requestKey]*[outcomes]atomic.Uint64
 }
 
-// add counts one request.
+// add counts one request with its outcome.
 func (e *outcomeCounts) add(key requestKey, o Outcome) {
 	e.mu.RLock()
 	counts := e.all[key]
@@ -69,7 +70,8 @@
 	counts[o].Add(1)
 }
 
-// list has a key counted by itself, unless there are too many.
+// addKey returns the counters of a key, which it creates if they are missing. Once there are
+// maxCountedKeys keys, it returns the shared counters of otherTenant for a new key.
 func (e *outcomeCounts) addKey(key requestKey) *[outcomes]atomic.Uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -85,7 +87,7 @@
 	return e.all[key]
 }
 
-// counts returns those that are not 0, sorted by kind, tenant and outcome.
+// counts returns all counts above 0, sorted by kind, tenant and outcome.
 func (e *outcomeCounts) counts() (all []RequestCount) {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
@@ -102,7 +104,8 @@
 	return all
 }
 
-// keyOf returns the key that a request is counted by. The match is nil if its route is not known.
+// keyOf returns the key under which a request is counted. The match is nil if the request's route
+// is not known.
 func keyOf(a *routeMatch) (key requestKey) {
 	if a == nil {
 		return key
@@ -114,7 +117,7 @@
 	return key
 }
 
-// outcomeOf returns the outcome of a request that got as far as the decisions.
+// outcomeOf returns the outcome of a request that was passed to the balancer.
 func outcomeOf(answer routing.Answer) Outcome {
 	switch {
 	case answer.Verdict == routing.Served && answer.Stream != nil:
@@ -127,7 +130,8 @@
 	return OutcomeFailed
 }
 
-// outcomeOfCode returns the outcome of a request that was answered before that.
+// outcomeOfCode returns the outcome of a request that was rejected with a status code before it was
+// passed to the balancer.
 func outcomeOfCode(code int) Outcome {
 	switch code {
 	case http.StatusTooManyRequests:
@@ -142,12 +146,13 @@
 	return OutcomeMalformed
 }
 
-// Count implements transport.Intake.
+// Count implements transport.Intake. It counts a request that was rejected before it was passed to
+// the balancer.
 func (p *Plane) Count(ctx *fasthttp.RequestCtx, rejection transport.Rejection) {
 	p.counts.Rejected.Add(1)
 	a, _ := ctx.UserValue(routeMatchKey).(*routeMatch)
 	p.outcomeCounts.add(keyOf(a), outcomeOfCode(rejection.Code))
 }
 
-// Outcomes returns the requests since the start, by their outcomes.
+// Outcomes returns the counts of the requests that ended since the process started.
 func (p *Plane) Outcomes() []RequestCount { return p.outcomeCounts.counts() }
--- a/internal/system/dataplane/pins.go
+++ b/internal/system/dataplane/pins.go
@@ -13,14 +13,15 @@
 	"reachspread/internal/transport"
 )
 
-// pinTracker enforces version pins in the data plane: requests in a pin's scope are served by hosts
-// of its version, and counted. docs/design/pins.md has the design.
+// pinTracker enforces version pins in the data plane. It makes sure that only hosts of a pin's
+// version serve the requests in the pin's scope, and counts these requests. See
+// docs/design/pins.md for the design.
 type pinTracker struct {
 	plane *Plane
 
 	mu      sync.Mutex
-	tracked map[*pinnedRequest]bool // requests under a pin that have not ended
-	counts  map[string]*pinCounts
+	tracked map[*pinnedRequest]bool // requests with a pin that have not ended
+	counts  map[string]*pinCounts   // by the pin's name
 }
 
 // newPinTracker returns a tracker without pins.
@@ -28,36 +29,36 @@
 	return &pinTracker{plane: p, tracked: map[*pinnedRequest]bool{}, counts: map[string]*pinCounts{}}
 }
 
-// pinCounts are a pin's requests since it came in force here.
+// pinCounts counts the requests in a pin's scope since this router began to enforce the pin.
 type pinCounts struct {
 	revision int64
 	metrics  PinMetrics
 }
 
-// PinMetrics are counts of requests in a pin's scope.
+// PinMetrics counts the requests in a pin's scope by their outcomes.
 type PinMetrics struct {
-	Since        time.Time
+	Since        time.Time // when this router began to enforce the pin
 	Requests     uint64
-	Answered     map[int64]uint64 // by the version in the answer, 0 for none
-	WrongVersion uint64           // of these, answers of another version than the pin's
+	Answered     map[int64]uint64 // complete answers by the version that they state, 0 for none
+	WrongVersion uint64           // answers, also counted in Answered, of another version than the pin's
 	Rejected     uint64
-	Failed       uint64 // without a complete answer, for another reason
+	Failed       uint64 // requests that were not rejected and got no complete answer
 }
 
-// pinnedRequest is a request with the pin that it is served under. A request without a pin is one
-// as well: a pin may come while it is queued.
+// pinnedRequest is a request with the pin that applies to it. There is one for each request, even
+// if no pin applies, because a pin may come into force while the request is queued.
 type pinnedRequest struct {
 	tracker         *pinTracker
 	pin             *message.Pin // nil for none
 	match           *routeMatch
 	model           string
 	service         *service
-	id              string      // of the request in the decisions
-	requiredFeature string      // what a host must have, empty for nothing
-	outdated        atomic.Bool // the pin is not in force any more, or no host has its version
+	id              string      // ID of the request in the balancer
+	requiredFeature string      // feature that a host must have, empty for none
+	outdated        atomic.Bool // another pin or none is in force for the request, or no host has the pin's version
 }
 
-// request finds the pin of a request that is about to be planned.
+// request looks up the pin that applies to a request that is about to be planned.
 func (p *pinTracker) request(set *pins.Set, a *routeMatch, r *request, s *service) *pinnedRequest {
 	h := &pinnedRequest{tracker: p, match: a, model: r.model, service: s, id: r.arrival.ID}
 	if h.pin = h.matchingPin(set); h.pin != nil {
@@ -66,7 +67,7 @@
 	return h
 }
 
-// matchingPin returns the request's pin in a set, nil for none.
+// matchingPin returns the pin of a set that applies to the request, nil for none.
 func (h *pinnedRequest) matchingPin(set *pins.Set) *message.Pin {
 	if len(set.Pins) == 0 {
 		return nil
@@ -83,7 +84,7 @@
 	return modelVersion{h.pin.GetModel(), h.pin.GetVersion()}
 }
 
-// version returns the only version whose answer counts, 0 for any.
+// version returns the only version whose answers may go to the client, 0 for any version.
 func (h *pinnedRequest) version() int64 { return h.pin.GetVersion() }
 
 // versionMissing reports whether no host has the version that the pin demands.
@@ -91,7 +92,8 @@
 	return h.pin != nil && h.service.models.ready(h.requiredVersion()) == 0
 }
 
-// begin counts a request under its pin. It is rejected at once if no host has the version.
+// begin counts the request for its pin. If no host has the pin's version, begin returns a
+// rejection.
 func (h *pinnedRequest) begin() *transport.Rejection {
 	if h.pin == nil {
 		return nil
@@ -105,7 +107,7 @@
 	return &transport.Rejection{Code: http.StatusServiceUnavailable, Text: text, RetryAfter: startupRetryAfter(), KeepAlive: true}
 }
 
-// begin counts a request, and tracks it unless it is rejected.
+// begin counts a request for its pin, and tracks the request unless it is rejected.
 func (p *pinTracker) begin(h *pinnedRequest, rejected bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -120,8 +122,8 @@
 	}
 }
 
-// metricsOf returns a pin's metrics, nil if the pin is not in force any more or was changed. The
-// caller has the lock.
+// metricsOf returns a pin's metrics, nil if that revision of the pin is no longer in force. The
+// caller holds p.mu.
 func (p *pinTracker) metricsOf(pin *message.Pin) *PinMetrics {
 	c := p.counts[pin.Name]
 	if c == nil || c.revision != pin.Revision {
@@ -130,9 +132,9 @@
 	return &c.metrics
 }
 
-// admit returns what allows an attempt: the pin under which the request was planned must be in
-// force. After an attempt that may have executed the request goes on under the pin with which it
-// began.
+// admit returns the function that decides whether an attempt may be sent. It allows an attempt only
+// while the pin with which the request was planned is in force. After an attempt that may have
+// executed, the request keeps its pin, and retries are allowed even if the pin has changed.
 func (h *pinnedRequest) admit(charge *quotaCharge) func(retry bool) (ok bool, wait time.Duration) {
 	return func(retry bool) (ok bool, wait time.Duration) {
 		if !retry && !h.isCurrent() {
@@ -142,8 +144,8 @@
 	}
 }
 
-// isCurrent reports whether the request is planned by the pins in force. If not, it has to be
-// planned again.
+// isCurrent reports whether the request was planned with the pin that is in force for it. If not,
+// isCurrent marks the request as outdated, and the request has to be planned again.
 func (h *pinnedRequest) isCurrent() bool {
 	if !pins.Equivalent(h.matchingPin(h.tracker.plane.state.Load().Pins()), h.pin) {
 		h.outdated.Store(true)
@@ -151,8 +153,10 @@
 	return !h.outdated.Load()
 }
 
-// resumed returns what a broken stream goes on with: the version of its first host. If the request
-// has or had a pin, that version must be known, and a host must have it.
+// resumeVersion returns the version with which a broken stream is resumed, and the feature that its
+// host must have. If a pin applied to the request when it was planned, or applies now, the version
+// is that of the stream's first host, and ok is false if that version is unknown or no host has it.
+// Without a pin any version will do.
 func (h *pinnedRequest) resumeVersion(first *transport.Final) (version int64, requiredFeature string, ok bool) {
 	pin := h.pin
 	if pin == nil {
@@ -165,7 +169,7 @@
 	return v.version, v.String(), v.version > 0 && h.service.models.ready(v) > 0
 }
 
-// ended counts how a request ended.
+// ended counts the outcome of a request for its pin, and stops tracking the request.
 func (h *pinnedRequest) ended(answer routing.Answer) {
 	if h.pin == nil {
 		return
@@ -179,7 +183,7 @@
 	switch {
 	case c == nil || abandoned:
 	case answer.Verdict == routing.Rejected && h.outdated.Load():
-		c.Requests-- // it is planned again
+		c.Requests-- // the request is planned again, which counts it again
 	case answer.Verdict == routing.Rejected:
 		c.Rejected++
 	case answer.Verdict != routing.Served || !answer.Stream.Complete():
@@ -193,8 +197,8 @@
 	}
 }
 
-// pinsChanged takes up the pins that are in force now: requests that are queued under another one
-// are planned again.
+// pinsChanged applies the set of pins that is now in force. Queued requests to which another pin
+// applies now are withdrawn and planned again.
 func (p *pinTracker) pinsChanged(set *pins.Set) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -204,7 +208,7 @@
 		}
 	}
 	for _, pin := range set.Pins {
-		if p.metricsOf(pin) == nil { // it is in force from now on
+		if p.metricsOf(pin) == nil { // this revision of the pin comes into force now
 			p.counts[pin.Name] = &pinCounts{revision: pin.Revision, metrics: PinMetrics{Since: time.Now(), Answered: map[int64]uint64{}}}
 		}
 	}
@@ -215,8 +219,8 @@
 	}
 }
 
-// hostsChanged says that the hosts of a service have changed: requests that are queued for a
-// version that none has are planned again, and so rejected.
+// hostsChanged is called after the hosts of a service have changed. It withdraws the queued
+// requests whose version no host has any more. They are planned again and so rejected.
 func (p *pinTracker) hostsChanged(s *service) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -228,7 +232,7 @@
 	}
 }
 
-// Pins returns the metrics of each pin in force, by its name.
+// Pins returns the metrics of all pins in force, by the pin's name.
 func (p *Plane) Pins() map[string]PinMetrics {
 	p.pins.mu.Lock()
 	defer p.pins.mu.Unlock()
@@ -244,8 +248,8 @@
 	return all
 }
 
-// Ready returns how many hosts that are ready have a version of a model, and how many have others
-// of it, over all services.
+// Ready returns how many ready hosts of all services have a version of a model, and how many have
+// other versions of the model. A host counts once for each other version that it has.
 func (p *Plane) Ready(model string, version int64) (with, without int) {
 	v := modelVersion{model, version}
 	for _, s := range *p.serviceMap.Load() {
--- a/internal/system/dataplane/plan.go
+++ b/internal/system/dataplane/plan.go
@@ -14,10 +14,12 @@
 	"reachspread/internal/transport"
 )
 
-// resumeSuffix is appended to the ID of a request that goes on with a stream.
+// resumeSuffix is appended to a request's ID in the balancer each time that its stream is resumed,
+// so that each resumption has an ID of its own.
 const resumeSuffix = "+"
 
-// Plan implements transport.Intake: quota, service and version pin decide how a request is served.
+// Plan implements transport.Intake. It charges the tenant's quota, picks a service and looks up the
+// version pin of a request, and returns how the request is served.
 func (p *Plane) Plan(ctx *fasthttp.RequestCtx, body []byte, began time.Time) (*transport.Plan, *transport.Rejection) {
 	match, rejection := p.routeMatchOf(ctx)
 	if rejection != nil {
@@ -62,7 +64,7 @@
 	}, nil
 }
 
-// pickService draws one of a route's services by their weights.
+// pickService picks one of a route's services at random, weighted by their shares.
 func (p *Plane) pickService(r *configuration.Route) *service {
 	services := *p.serviceMap.Load()
 	total := 0.0
@@ -78,8 +80,9 @@
 	return nil
 }
 
-// resume returns how a broken stream goes on at another host, nil if the route does not allow it.
-// That costs a retry and the tenant's units once more.
+// resume returns the function that plans how a broken stream is resumed at another host, nil if the
+// route does not allow resumption. Each resumption takes a retry from the retry budget and charges
+// the tenant's quota again.
 func (p *Plane) resume(s *service, r *request, charge *quotaCharge, pinned *pinnedRequest, began time.Time) func(*transport.Message, *transport.Final, string) (*transport.Plan, bool) {
 	if r.route.Kind != configuration.Streaming || !r.route.StreamResumption {
 		return nil
--- a/internal/system/dataplane/plane.go
+++ b/internal/system/dataplane/plane.go
@@ -1,8 +1,10 @@
-// Package dataplane is the data plane of the router fleet: it admits clients' requests by the
-// configuration in force and has them served by the hosts of their services. A request is admitted
-// by its head (intake.go), planned with its body (plan.go): charged to its tenant's quota
-// (quota.go), held to a version pin (pins.go), and forwarded (forward.go). Which request goes where
-// and when is decided by package balance, once for each service.
+// Package dataplane is the data plane of the router fleet. It admits clients' requests according to
+// the configuration in force and forwards them to hosts of their services.
+//
+// A request is admitted by its head (intake.go) and planned once its body was read (plan.go). The
+// plan charges the request to its tenant's quota (quota.go), applies a version pin (pins.go) and
+// determines the headers that are forwarded (forward.go). Each service has a balancer of package
+// balance, which decides to which host and when a request is sent.
 package dataplane
 
 import (
@@ -23,55 +25,55 @@
 	"reachspread/internal/transport"
 )
 
-// MaxRetryAfter is the longest time after which a rejected client is advised to come back.
+// MaxRetryAfter is the maximum Retry-After of the balancer's rejections.
 const MaxRetryAfter = 2 * time.Second
 
 const (
-	maxAttempts  = 4 // of a request, those that were rejected among them
+	maxAttempts  = 4 // per request, including attempts that a host rejected
 	stepInterval = time.Millisecond
 	probeTimeout = time.Second
 
-	// The decisions take a host to have half of its capacity at its start and all of it a second
-	// later, and to fail where it gets four times its capacity for a second.
+	// The balancer assumes that a host has half of its capacity when it starts and all of it one
+	// second later, and that a host fails if it receives four times its capacity for one second.
 	slowStartMinCapacity = 0.5
 	slowStartWindow      = time.Second
 	overloadFactor       = 4
 	overloadWindow       = time.Second
-	// crossZonePenalty is what crossing zones counts in the decisions, as a fraction of the value
-	// of all requests.
+	// crossZonePenalty is the fraction of the value of all requests that the balancer counts as lost
+	// if every request is sent to another zone.
 	crossZonePenalty = 0.01
 
 	// retrySlackFraction is the fraction of the retry budget's slack that all routers together may
-	// save up, as the view of how many live is late.
+	// save up. It is below 1 because a router learns late how many routers are alive.
 	retrySlackFraction = 0.7
 )
 
-// Quotas says whether a tenant may have so many units now. It is called for each request of a
-// tenant with a limit, and blocks for a moment at most.
+// Quotas accounts for the units that tenants use. The data plane calls it for each request of a
+// tenant with a limit. Its methods must return within moments.
 type Quotas interface {
-	// Take takes units of a tenant's quota. If there are too few, wait is when to ask again.
+	// Take takes units of a tenant's quota. If too few are left, ok is false, and wait is the time
+	// after which to try again.
 	Take(t *configuration.Tenant, units float64) (ok bool, wait time.Duration)
-	// Put gives back units that were taken at a time for a request that did not execute.
+	// Put returns units of a request that did not execute. Taken is when they were taken.
 	Put(t *configuration.Tenant, units float64, taken time.Time)
 }
 
-// Options are what a Plane is made with.
+// Options are the settings and dependencies of a Plane.
 type Options struct {
-	Settings func() *settings.Settings // in force; not to be changed
+	Settings func() *settings.Settings // returns the settings in force, which must not be modified
 	Servers  *transport.Servers
 	Quotas   Quotas
-	// Fresh reports whether what is known of the configuration is fresh enough to honour keys by
-	// it.
+	// Fresh reports whether the configuration was confirmed recently enough to honour API keys.
 	Fresh func() bool
-	// Newest reports whether it was the newest for certain so short a time ago that it may deny a
-	// request.
+	// Newest reports whether the configuration was confirmed to be the newest recently enough to
+	// deny requests by it.
 	Newest func() bool
-	// ReportPrompts reports prompts that were sent to hosts of a service to other routers; nil for
-	// none. It must not block.
+	// ReportPrompts sends other routers reports on the prompts that this router sent to hosts of a
+	// service. It must not block. If it is nil, no reports are sent.
 	ReportPrompts func(service string, reports []balance.PeerReport)
 	Log           routing.Logger
 	Seed          uint64
-	StartedAt     time.Time // the router
+	StartedAt     time.Time // when the router started
 }
 
 // Plane is the data plane of one router. It implements transport.Intake.
@@ -80,46 +82,46 @@
 	ctx    context.Context
 	state  atomic.Pointer[configuration.State] // nil before the first configuration
 	hash   maphash.Seed
-	nextID atomic.Uint64 // the last request ID in the decisions
+	nextID atomic.Uint64 // the last request ID that was assigned for the balancers
 
 	mu       sync.Mutex
 	services map[string]*service
-	routers  int // that live, this one among them
+	routers  int // routers that are alive, including this one
 
-	serviceMap    atomic.Pointer[map[string]*service] // replaced, never changed
+	serviceMap    atomic.Pointer[map[string]*service] // replaced with a new map, never modified
 	counts        Counts
 	outcomeCounts outcomeCounts
 	changes       changeNotifier
 	pins          *pinTracker
 }
 
-// service is a service with its decisions.
+// service is a service with the router that runs its balancer.
 type service struct {
 	name            string
 	router          *routing.Router
 	retries         *retrybudget.Budget
 	stop            context.CancelFunc
-	hostsRevision   uint64          // the last that SetHosts was given
-	classes         []balance.Class // of the configuration in force
-	decisionClasses []balance.Class // that the decisions have
+	hostsRevision   uint64          // the revision of the last call of SetHosts
+	classes         []balance.Class // classes of the configuration in force
+	decisionClasses []balance.Class // classes that the balancer has, those of the previous configuration among them
 	servingHosts    atomic.Int64
-	models          models // of its hosts
+	models          models // models of the service's hosts
 }
 
-// Counts are the heads of requests, and the requests that were rejected before a host was looked
-// for.
+// Counts counts the requests whose heads were received, and the requests that were rejected before
+// the balancer looked for a host.
 type Counts struct {
 	Accepted, Rejected atomic.Uint64
 }
 
-// Requests returns how many heads of requests came since the start, and how many requests were
-// rejected before a host was looked for.
+// Requests returns how many heads of requests were received since the process started, and how many
+// requests were rejected before the balancer looked for a host.
 func (p *Plane) Requests() (accepted, rejected uint64) {
 	return p.counts.Accepted.Load(), p.counts.Rejected.Load()
 }
 
-// New returns a plane that serves nothing before the first configuration. Its decisions run until
-// ctx ends.
+// New returns a plane, which serves no requests before the first call of Configure. Its balancers
+// run until ctx ends.
 func New(ctx context.Context, o Options) *Plane {
 	p := &Plane{o: o, ctx: ctx, hash: maphash.MakeSeed(), services: map[string]*service{}, routers: 1}
 	p.serviceMap.Store(&map[string]*service{})
@@ -130,7 +132,7 @@
 // State returns the configuration in force, nil for none.
 func (p *Plane) State() *configuration.State { return p.state.Load() }
 
-// Configure puts a configuration in force.
+// Configure puts a configuration with its pins in force.
 func (p *Plane) Configure(state *configuration.State) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -150,9 +152,9 @@
 	return nil
 }
 
-// configureService makes the decisions of a service, or gives them other classes if these have
-// changed. Those of the configuration before stay, for requests whose head came under it. The
-// caller has the lock.
+// configureService creates the balancer of a service, or reconfigures it if the service's classes
+// have changed. The balancer keeps the classes of the previous configuration for requests whose
+// head was admitted by it. The caller holds p.mu.
 func (p *Plane) configureService(name string, classes []balance.Class) error {
 	s := p.services[name]
 	if s != nil {
@@ -185,7 +187,7 @@
 	return retrySlackFraction * p.o.Settings().Bounds.RetryBudgetSlack / float64(max(p.routers, 1))
 }
 
-// ReloadBudgets applies the retry budget of settings that were read again.
+// ReloadBudgets applies the retry budget of the settings in force, after they were reloaded.
 func (p *Plane) ReloadBudgets() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -194,7 +196,8 @@
 	}
 }
 
-// SetRouters sets how many routers live, this one among them.
+// SetRouters sets how many routers are alive, including this one. The routers share the slack of
+// the retry budget.
 func (p *Plane) SetRouters(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -204,14 +207,14 @@
 	}
 }
 
-// Routers returns how many routers live, as was set last.
+// Routers returns the number of routers of the last call of SetRouters, 1 before the first call.
 func (p *Plane) Routers() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.routers
 }
 
-// config returns the configuration of a service's decisions.
+// config returns the configuration of a service's balancer.
 func (p *Plane) config(s *service, classes []balance.Class) balance.Config {
 	return balance.Config{
 		Zone:                 p.o.Settings().Zone,
@@ -230,7 +233,7 @@
 	}
 }
 
-// Serving reports whether there is a configuration, and a host for at least one service of it.
+// Serving reports whether a configuration is in force and at least one service has a serving host.
 func (p *Plane) Serving() bool {
 	if p.state.Load() == nil {
 		return false
@@ -246,8 +249,8 @@
 // ServiceMetrics are the metrics of one service.
 type ServiceMetrics struct {
 	Open          int64   // requests that were accepted and have not ended
-	Retries       float64 // that the budget allows now
-	OutOfRotation int64   // hosts out of rotation for their failures
+	Retries       float64 // retries that the budget allows now
+	OutOfRotation int64   // hosts that are ejected because of their failures
 }
 
 // Metrics returns the metrics of all services, by name.
@@ -260,8 +263,8 @@
 	return all
 }
 
-// AnswerOpen gives all requests without an answer their final one, as the process is about to be
-// killed.
+// AnswerOpen sends a final answer to all requests that have none yet. It is called when the process
+// is about to be killed.
 func (p *Plane) AnswerOpen() {
 	for _, s := range *p.serviceMap.Load() {
 		s.router.AnswerOpen(MaxRetryAfter)
--- a/internal/system/dataplane/request.go
+++ b/internal/system/dataplane/request.go
@@ -10,22 +10,23 @@
 	"reachspread/internal/system/deciders/configuration"
 )
 
-// charsPerToken is the assumed length of a token where a request does not say how many it has.
+// charsPerToken is the assumed length of a token, in bytes of the body, for a request that does not
+// state its number of tokens.
 const charsPerToken = 4
 
-// request is what a request's headers say of it.
+// request is the data from a request's headers that planning needs.
 type request struct {
 	route   *configuration.Route
 	arrival balance.Arrival
 	usage   protocol.TokenUsage
-	counted bool   // usage is what the request says
-	model   string // that it names, empty for none
+	counted bool   // the request states its usage
+	model   string // the model that the request names, empty for none
 }
 
-// errNoID says that a request has no ID.
+// errNoID is returned for a request without an ID.
 var errNoID = errors.New(protocol.HeaderRequestID + " is missing")
 
-// readRequest reads what the decisions need.
+// readRequest parses the headers that the balancer and the quota need.
 func readRequest(h *fasthttp.RequestHeader, route *configuration.Route, bodyLen int) (*request, error) {
 	get := func(name string) string { return string(h.Peek(name)) }
 	if get(protocol.HeaderRequestID) == "" {
--- a/internal/system/dataplane/startup.go
+++ b/internal/system/dataplane/startup.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	// startupTime is how long a router counts as starting: what it lacks comes within moments, so
-	// requests wait for it. Later it lacks something because it is partitioned, and its clients do
-	// better elsewhere.
+	// startupTime is how long a router counts as starting. Data that a starting router lacks
+	// arrives within moments, so requests wait for it. If data is missing later, the router is
+	// partitioned, and a client is better served by another router.
 	startupTime = 3 * time.Second
-	// maxStartupWait bounds how long a request waits for that, and maxWaitFraction the fraction of
-	// its deadline.
+	// maxStartupWait is how long a request waits at most for a starting router to receive its data,
+	// and maxWaitFraction is the fraction of the request's deadline that it waits at most.
 	maxStartupWait  = 1200 * time.Millisecond
 	maxWaitFraction = 0.4
-	// maxWaiters bounds the requests that wait. Further ones are rejected.
+	// maxWaiters is the maximum number of requests that wait. Further requests are rejected.
 	maxWaiters = 512
 )
 
-// changes wakes goroutines that wait for a change. The zero value is ready.
+// changeNotifier wakes goroutines that wait for a change. The zero value is ready to use.
 type changeNotifier struct {
 	mu      sync.Mutex
-	next    chan struct{} // closed with the next change
+	next    chan struct{} // closed at the next change
 	waiters int
 }
 
-// notify wakes all that wait.
+// notify wakes all waiting goroutines.
 func (c *changeNotifier) notify() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -39,8 +39,9 @@
 	}
 }
 
-// waitUntil waits until a condition holds, which is checked after each change, or a time has
-// passed. It reports whether the condition holds.
+// waitUntil waits until a condition holds or the timeout ends, and reports whether the condition
+// holds. It checks the condition after each change. If too many goroutines wait already, it does
+// not wait.
 func (c *changeNotifier) waitUntil(condition func() bool, timeout time.Duration) bool {
 	if condition() {
 		return true
@@ -64,7 +65,7 @@
 	}
 }
 
-// addWaiter counts a waiter, and reports whether it may wait.
+// addWaiter counts a waiting goroutine, and reports whether it may wait.
 func (c *changeNotifier) addWaiter() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -75,21 +76,21 @@
 	return true
 }
 
-// removeWaiter ends what addWaiter began.
+// removeWaiter reverses a successful call of addWaiter.
 func (c *changeNotifier) removeWaiter() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.waiters--
 }
 
-// count returns how many wait.
+// count returns how many goroutines wait.
 func (c *changeNotifier) count() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.waiters
 }
 
-// nextChange returns a channel that is closed with the next change.
+// nextChange returns a channel that is closed at the next change.
 func (c *changeNotifier) nextChange() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -99,15 +100,16 @@
 	return c.next
 }
 
-// Refreshed says that what is known of the configuration is fresh again.
+// Refreshed must be called when the configuration has become fresh again. It wakes the requests
+// that wait for that.
 func (p *Plane) Refreshed() { p.changes.notify() }
 
-// isStarting reports whether this router started so short a time ago that what it lacks comes
-// within moments.
+// isStarting reports whether this router started so recently that requests may wait for data that
+// it lacks.
 func (p *Plane) isStarting() bool { return time.Since(p.o.StartedAt) < startupTime }
 
-// awaitStartup waits, while this router is starting, until what it needs for a request is there. It
-// reports whether it is.
+// awaitStartup waits while this router is starting until a condition for serving a request holds.
+// It reports whether the condition holds.
 func (p *Plane) awaitStartup(ctx *fasthttp.RequestCtx, condition func() bool) bool {
 	if condition() {
 		return true
