--- a/internal/system/dataplane/callers_test.go
+++ b/internal/system/dataplane/callers_test.go
@@ -18,29 +18,29 @@
 	"github.com/matryer/is"
 )
 
-// callerPlays is how many drawn plays there are. Each takes two seconds, most of them waiting, and
-// several run at once.
-var trialCount = flag.Int("caller-plays", 8, "drawn plays of clients before hosts in trouble")
+// trialCount is the number of random trials. Each takes two seconds, most of which it waits, and
+// several run in parallel.
+var trialCount = flag.Int("caller-plays", 8, "`number` of random trials with clients and faulty hosts")
 
 const (
 	clientsPerTrial      = 6
-	requestsPerClient    = 10 // of each client, one after the other or some at once
+	requestsPerClient    = 10 // per client, sent one after the other or several at once
 	requestDeadline      = 700 * time.Millisecond
-	maxArrivalAfterLeave = 500 * time.Millisecond // a request may reach a host so long after its client has left
-	settleTime           = 900 * time.Millisecond // after the last answer, for what still runs
+	maxArrivalAfterLeave = 500 * time.Millisecond // a request may reach a host until so long after its client disconnected
+	settleTime           = 900 * time.Millisecond // wait after the last answer, for requests that are still running
 )
 
-// trouble is what a host does with one request.
+// fault is what a host does with one request.
 type fault int
 
-// The troubles of a host.
+// The faults of a host.
 const (
 	noFault fault = iota
 	inPieces
 	interim
-	extraAnswer   // the answer again, behind itself
-	earlierAnswer // one that belongs to the request before, in front
-	lateAnswer    // one that belongs to this request, again, while the connection is idle
+	extraAnswer   // the answer is sent twice in a row
+	earlierAnswer // an answer to the previous request is sent before the answer
+	lateAnswer    // the answer is sent again while the connection is idle
 	resetUnanswered
 	closedUnanswered
 	cutByClose
@@ -52,31 +52,31 @@
 	notExecuted
 	misdirected
 	ownError
-	falseRejection // 503 of one that has run it
+	falseRejection // the host answers 503 although it has executed the request
 	silent
 	closesAfter
-	earlyAnswer // before it has read the body, the rest of which it reads later
+	earlyAnswer // the host answers before it reads the rest of the body
 	faultCount
 )
 
-// caseOf is one request, as it went.
+// requestRecord is a request with what its client received.
 type requestRecord struct {
 	id       string
 	path     string
-	left     time.Time // its client left, zero for never
-	status   int       // 0 for no whole head
+	left     time.Time // when the client disconnected, zero if it did not
+	status   int       // 0 if the client received no complete head
 	body     string
 	complete bool // the answer was complete
 	seal     string
-	answered string // the id that the answer carries
+	answered string // the request ID in the answer
 }
 
-// ledger is what hosts did and clients saw.
+// recorder records which requests hosts received and executed, and what clients received.
 type recorder struct {
 	mu         sync.Mutex
-	executions map[string]int // by request: how often a host began work on it
+	executions map[string]int // by request ID: how often a host began to execute it
 	arrivals   map[string][]time.Time
-	bodies     map[string]string // as they reached a host
+	bodies     map[string]string // as hosts received them
 	requests   []*requestRecord
 }
 
@@ -100,21 +100,22 @@
 	l.requests = append(l.requests, c)
 }
 
-// once tells that a request may run no more than once.
+// atMostOnce reports whether a request may execute at most once.
 func (c *requestRecord) atMostOnce() bool { return strings.HasPrefix(c.path, "/unsafe/") }
 
-// bodyFor is what a host answers to a request.
+// bodyFor returns the body of a host's answer to a request.
 func bodyFor(id string) string { return "for " + id + strings.Repeat(" .", 40) }
 
-// requestBody is the body of a request.
+// requestBody returns the body of a request.
 func requestBody(id string) string { return "body of " + id + strings.Repeat("-", 300) }
 
-// promises tells that a status says that a request has not run and never will.
+// promisesNotExecuted reports whether a status states that a request was not executed and never
+// will be.
 func promisesNotExecuted(status int) bool {
 	return slices.Contains([]int{http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable}, status)
 }
 
-// judge tells what must not be.
+// check returns an error for the first violation that it finds in the records.
 func (l *recorder) check() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -127,10 +128,10 @@
 	}
 	for id, body := range l.bodies {
 		if !asked[id] {
-			return fmt.Errorf("a host got %s, which nobody sent", id)
+			return fmt.Errorf("a host received request %s, which no client sent", id)
 		}
 		if body != requestBody(id) {
-			return fmt.Errorf("a host got %q as the body of %s", body, id)
+			return fmt.Errorf("a host received the wrong body %q for request %s", body, id)
 		}
 	}
 	return nil
@@ -140,33 +141,33 @@
 	runs := l.executions[c.id]
 	switch {
 	case c.atMostOnce() && runs > 1:
-		return fmt.Errorf("it ran %d times", runs)
+		return fmt.Errorf("it executed %d times, at most 1 is allowed", runs)
 	case c.atMostOnce() && promisesNotExecuted(c.status) && runs > 0:
-		return fmt.Errorf("its client was told %d, and it ran", c.status)
+		return fmt.Errorf("its client received status %d although it executed", c.status)
 	case c.answered != "" && c.answered != c.id:
-		return fmt.Errorf("its client got the answer to %s", c.answered)
+		return fmt.Errorf("its client received the answer to request %s", c.answered)
 	}
 	if c.status/100 == 2 && c.complete && (c.body != bodyFor(c.id) || c.seal == "") {
-		return fmt.Errorf("its client got %q with the seal %q as a complete answer", c.body, c.seal)
+		return fmt.Errorf("its client received body %q with seal %q as a complete answer", c.body, c.seal)
 	}
 	if c.left.IsZero() {
 		return nil
 	}
 	for _, at := range l.arrivals[c.id] {
 		if late := at.Sub(c.left); late > maxArrivalAfterLeave {
-			return fmt.Errorf("it reached a host %v after its client had left", late)
+			return fmt.Errorf("it reached a host %v after its client disconnected", late)
 		}
 	}
 	return nil
 }
 
-// drawnHost misbehaves as it is drawn.
+// faultyHost is a host that answers half of its requests with random faults.
 type faultyHost struct {
 	id         string
 	recorder   *recorder
 	mu         sync.Mutex
 	rng        *rand.Rand
-	previousID string // the request before, on any connection
+	previousID string // ID of the previous request, on any connection
 }
 
 func (h *faultyHost) randN(n int) int {
@@ -175,7 +176,7 @@
 	return h.rng.IntN(n)
 }
 
-// listen serves until the test ends.
+// listen starts the host, which serves until the test ends.
 func (h *faultyHost) listen(t *testing.T) *host {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -195,7 +196,7 @@
 	return &host{id: h.id, addr: ln.Addr().String()}
 }
 
-// idleTime is how long a host keeps an idle connection.
+// idleTime is how long a host keeps an idle connection open.
 const idleTime = 150 * time.Millisecond
 
 func (h *faultyHost) serve(c *net.TCPConn) {
@@ -214,7 +215,7 @@
 		}
 		id := r.Header.Get("Request-Id")
 		if kind == earlyAnswer {
-			h.send(c, h.head(id, http.StatusServiceUnavailable, "Not-Executed: 1\r\n", "")) // it turns it away
+			h.send(c, h.head(id, http.StatusServiceUnavailable, "Not-Executed: 1\r\n", "")) // rejects the request before it reads the body
 		}
 		text, err := io.ReadAll(r.Body)
 		if err != nil {
@@ -231,14 +232,14 @@
 	}
 }
 
-// head is a whole answer.
+// head returns a complete answer, with its body.
 func (h *faultyHost) head(id string, status int, extra, body string) string {
 	return fmt.Sprintf("HTTP/1.1 %d X\r\nRequest-Id: %s\r\nResponse-Seal: seal-%s\r\n%sContent-Length: %d\r\n\r\n%s", status, id, h.id, extra, len(body), body)
 }
 
 func (h *faultyHost) send(c net.Conn, text string) { io.WriteString(c, text) }
 
-// answer answers a request; it tells whether the connection goes on.
+// answer answers a request with a fault, and reports whether the connection stays open.
 func (h *faultyHost) answer(c *net.TCPConn, id string, kind fault) (keepOpen bool) {
 	whole := h.head(id, http.StatusOK, "", bodyFor(id))
 	unframed := fmt.Sprintf("HTTP/1.1 200 X\r\nRequest-Id: %s\r\nResponse-Seal: seal-%s\r\n\r\n%s", id, h.id, bodyFor(id))
@@ -251,7 +252,7 @@
 			n := 1 + h.randN(len(whole))
 			h.send(c, whole[:n])
 			whole = whole[n:]
-			time.Sleep(time.Duration(h.randN(3)) * time.Millisecond) // so that the pieces travel apart
+			time.Sleep(time.Duration(h.randN(3)) * time.Millisecond) // so that the pieces are sent in separate packets
 		}
 	case interim:
 		h.send(c, "HTTP/1.1 102 Processing\r\n\r\n"+whole)
@@ -310,7 +311,8 @@
 	return true
 }
 
-// drawnClient sends requests, some of them at once on one connection, and sometimes leaves.
+// randomClient sends requests, sometimes several at once on one connection, and sometimes
+// disconnects before the answers.
 type randomClient struct {
 	name     string
 	addr     string
@@ -337,7 +339,8 @@
 	}
 }
 
-// exchange sends requests on one connection, one behind the other, and reads the answers.
+// exchange sends requests on one connection without waiting for answers in between, and then reads
+// the answers.
 func (c *randomClient) exchange(batch []*requestRecord) {
 	nc, err := net.Dial("tcp", c.addr)
 	if err != nil {
@@ -353,7 +356,7 @@
 	}
 	io.WriteString(nc, out.String())
 	if c.rng.IntN(8) == 0 {
-		time.Sleep(time.Duration(c.rng.IntN(30)) * time.Millisecond) // the client gives up after a while
+		time.Sleep(time.Duration(c.rng.IntN(30)) * time.Millisecond) // the client disconnects after a short time
 		nc.Close()
 		for _, x := range batch {
 			x.left = time.Now()
@@ -375,8 +378,7 @@
 	}
 }
 
-// playCallers has clients before a router whose hosts are in all kinds of trouble, and judges what
-// came of it.
+// runTrial lets clients send requests to a router with faulty hosts, and checks the records.
 func runTrial(t *testing.T, seed uint64) (*recorder, error) {
 	t.Helper()
 	l := newRecorder()
@@ -392,14 +394,14 @@
 		clients.Go(c.run)
 	}
 	clients.Wait()
-	time.Sleep(settleTime) // for requests that would run later than they may
+	time.Sleep(settleTime) // to detect requests that execute later than allowed
 	return l, l.check()
 }
 
-// Hosts break off, answer twice, answer early, say nothing, and forget connections, with bytes cut
-// anywhere; clients send several requests at once and leave. Each answer belongs to its request,
-// what may run once does, a promise is kept, no short answer looks complete, and nothing is sent
-// for long after a client has gone.
+// Hosts cut answers at any byte, answer twice or early, send nothing, and close or reset
+// connections. Clients send several requests at once and disconnect. Each answer must belong to its
+// request, an unsafe request executes at most once and not at all if its client was told so, no
+// short answer looks complete, and no request is sent to a host long after its client disconnected.
 func TestFaultyHostsAndClients(t *testing.T) {
 	var served atomic.Int64
 	for seed := range uint64(*trialCount) {
@@ -418,12 +420,12 @@
 	}
 	t.Cleanup(func() {
 		if n := served.Load(); n < int64(10**trialCount) {
-			t.Errorf("%d requests were served", n)
+			t.Errorf("only %d requests were served", n)
 		}
 	})
 }
 
-// The judge finds what must not be.
+// The checker detects each kind of violation.
 func TestCheckerFindsWrongAnswers(t *testing.T) {
 	now := time.Now()
 	valid := func() (*recorder, *requestRecord) {
--- a/internal/system/dataplane/outcomes_test.go
+++ b/internal/system/dataplane/outcomes_test.go
@@ -11,8 +11,8 @@
 	"reachspread/internal/routing"
 )
 
-// Requests are counted by kind, tenant and end, by many at once; beyond a bound of names they are
-// counted together.
+// Several goroutines count requests by kind, tenant and outcome at once. Tenants beyond the maximum
+// number of keys are counted together.
 func TestOutcomesAreCountedByKindAndTenant(t *testing.T) {
 	is := is.New(t)
 	var e outcomeCounts
@@ -43,7 +43,7 @@
 		want Outcome
 	}{
 		{routing.Answer{Verdict: routing.Served, Stream: stream}, OutcomeServed},
-		{routing.Answer{}, OutcomeAbandoned}, // its client left before an answer
+		{routing.Answer{}, OutcomeAbandoned}, // the client disconnected before an answer
 		{routing.Answer{Verdict: routing.Rejected}, OutcomeRejected},
 		{routing.Answer{Verdict: routing.Failed}, OutcomeFailed},
 		{routing.Answer{Verdict: routing.Invalid}, OutcomeFailed},
--- a/internal/system/dataplane/peerreports_test.go
+++ b/internal/system/dataplane/peerreports_test.go
@@ -9,13 +9,14 @@
 	"reachspread/balance"
 )
 
-// told is what a plane told others of its prompts.
+// sentReports are the prompt reports that a plane sent to other routers in one call.
 type sentReports struct {
 	service string
 	reports []balance.PeerReport
 }
 
-// talkingFleet is a plane that tells others of its prompts; what it tells comes on the channel.
+// newReportingFleet returns a fleet whose plane reports its prompts to other routers. The reports
+// arrive on the channel.
 func newReportingFleet(t *testing.T, hosts ...*host) (*fleet, <-chan sentReports) {
 	t.Helper()
 	all := make(chan sentReports, 100)
@@ -26,8 +27,8 @@
 	return f, all
 }
 
-// prompt sends one with a prefix of 300 tokens and 200 of its own, and returns what others were
-// told of it.
+// prompt sends a prompt with a prefix of 300 tokens and 200 further tokens, and returns the reports
+// that the plane sent about it.
 func (f *fleet) prompt(t *testing.T, all <-chan sentReports, n int) sentReports {
 	t.Helper()
 	is := is.New(t)
@@ -39,21 +40,21 @@
 
 func events(r received) string { return stream(r, event(1, "x"), "") }
 
-// Others are told of each prompt: its service, its host, the tokens that are to be read there, and
-// a mark of its prefix.
+// The plane reports each prompt to other routers: its service, its host, the number of tokens to
+// prefill there, and a tag of its prefix.
 func TestPromptIsReported(t *testing.T) {
 	is := is.New(t)
 	f, all := newReportingFleet(t, newHost(t, "i-1", events))
 	first, second := f.prompt(t, all, 1), f.prompt(t, all, 2)
 	is.Equal(first.service, "s")
 	is.Equal(len(first.reports), 1)
-	is.Equal(first.reports[0].PrefillTokens, 200.0) // a prefix's home is taken to keep it
+	is.Equal(first.reports[0].PrefillTokens, 200.0) // reports assume that the home host of a prefix has the prefix cached
 	is.True(first.reports[0].PrefixTag != 0)
 	is.Equal(second.reports[0], balance.PeerReport{ReplicaTag: first.reports[0].ReplicaTag, PrefillTokens: 200, PrefixTag: first.reports[0].PrefixTag})
 }
 
-// A host that others have sent long prompts to gets none of those that another one can begin
-// sooner.
+// If other routers report that they sent long prompts to a host, the plane sends the next prompt to
+// another host that can start it sooner.
 func TestReportedPromptsMoveTheNextOne(t *testing.T) {
 	is := is.New(t)
 	a, b := newHost(t, "i-1", events), newHost(t, "i-2", events)
@@ -64,7 +65,7 @@
 	is.True(f.prompt(t, all, 3).reports[0].ReplicaTag != home)
 }
 
-// What is heard of a service that is not known, or of a host that is not, changes nothing.
+// Reports on an unknown service or an unknown host have no effect.
 func TestReportsOnUnknownServices(t *testing.T) {
 	is := is.New(t)
 	f, all := newReportingFleet(t, newHost(t, "i-1", events))
@@ -74,7 +75,7 @@
 	is.Equal(f.prompt(t, all, 2).reports[0].ReplicaTag, home)
 }
 
-// A plane that has nobody to tell serves as well.
+// A plane without ReportPrompts serves requests.
 func TestNoReportsWithoutAReporter(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, "", newHost(t, "i-1", events))
--- a/internal/system/dataplane/pins_test.go
+++ b/internal/system/dataplane/pins_test.go
@@ -21,13 +21,15 @@
 	modelM = "Model: m"
 )
 
-// versioned is a host that serves a version of model m, and registers another one if it lies.
+// versionedHost is a host that serves a version of model m. It may register another version than
+// the one it serves.
 type versionedHost struct {
 	*host
 	registered int64
 }
 
-// newVersioned is a host of a version; it heeds Expect-Version.
+// newVersionedHost returns a host that serves a version and registers a possibly different one. The
+// host rejects a request whose Expect-Version header names another version than the one it serves.
 func newVersionedHost(t *testing.T, id string, version, registers int64) versionedHost {
 	t.Helper()
 	return versionedHost{newHost(t, id, func(r received) string {
@@ -38,7 +40,7 @@
 	}), registers}
 }
 
-// register tells the plane of hosts with their versions.
+// register passes the plane the hosts with the versions that they register.
 func (f *fleet) register(hosts ...versionedHost) {
 	registry := instances.New(time.Second)
 	var all []*message.Instance
@@ -46,11 +48,11 @@
 		all = append(all, &message.Instance{Id: h.id, Service: "s", Address: h.addr, Zone: "a", Models: []*message.Model{{Name: "m", Version: h.registered}}})
 	}
 	registry.Merge(0, all)
-	f.revision += 1000 // of another registry
+	f.revision += 1000 // the revisions of the new registry must differ from those of earlier ones
 	f.plane.SetHosts("s", registry.Revision()+f.revision, registry.Records("s"), 0)
 }
 
-// pin puts pins in force, in place of those before.
+// pin replaces the pins in force.
 func (f *fleet) pin(t *testing.T, all ...*message.Pin) {
 	t.Helper()
 	set := &pins.Set{Revision: f.plane.State().Pins().Revision}
@@ -74,8 +76,8 @@
 	return &message.Pin{Name: "p", Tenant: tenant, Route: route, Model: "m", Version: version}
 }
 
-// Requests in a pin's scope are answered by hosts of its version, and are told of it; others by
-// any.
+// A request in a pin's scope goes to a host of the pin's version, with the version in its
+// Expect-Version header. Other requests go to any host.
 func TestPinnedRequestGoesToItsVersion(t *testing.T) {
 	is := is.New(t)
 	one, two := newVersionedHost(t, "i-1", 1, 1), newVersionedHost(t, "i-2", 2, 2)
@@ -89,21 +91,21 @@
 		is.Equal(a.Header.Get("Versions"), "2")
 	}
 	for _, r := range two.requests() {
-		is.Equal(r.Header.Values("Expect-Version"), []string{"2"}) // the client's own has no say
+		is.Equal(r.Header.Values("Expect-Version"), []string{"2"}) // the client's own header is replaced
 	}
 	for i := range 20 {
 		is.Equal(f.call(t, "/unsafe/", "", keyOne, modelM, fmt.Sprint("Request-Id: b", i)).StatusCode, 200)
 	}
-	is.Equal(countPinned(one, two), 20) // another route
+	is.Equal(countPinned(one, two), 20) // the pin does not apply to another route
 	a := f.call(t, "/safe/", "", keyOne, "Model: other", "Request-Id: c")
-	is.Equal(a.StatusCode, 200) // another model
+	is.Equal(a.StatusCode, 200) // the pin does not apply to another model
 	figures := f.plane.Pins()["p"]
 	is.Equal(figures.Requests, uint64(20))
 	is.Equal(figures.Answered[2], uint64(20))
 	is.Equal(figures.WrongVersion, uint64(0))
 }
 
-// From the moment on that a pin is set, moved or lifted, requests go by it.
+// As soon as a pin is set, changed or lifted, new requests follow the change.
 func TestChangedPinPlansQueuedRequestsAgain(t *testing.T) {
 	is := is.New(t)
 	one, two := newVersionedHost(t, "i-1", 1, 1), newVersionedHost(t, "i-2", 2, 2)
@@ -123,11 +125,11 @@
 	for i := range 20 {
 		is.Equal(f.call(t, "/unsafe/", "", keyOne, modelM, fmt.Sprint("Request-Id: e", i)).StatusCode, 200)
 	}
-	is.Equal(countPinned(one, two), before) // to no version any more
+	is.Equal(countPinned(one, two), before) // the requests after the pin was lifted name no version
 	is.Equal(len(f.plane.Pins()), 0)
 }
 
-// held is how many requests came to hosts with a version that they were to have.
+// countPinned returns how many requests hosts received with an Expect-Version header.
 func countPinned(hosts ...versionedHost) (n int) {
 	for _, h := range hosts {
 		for _, r := range h.requests() {
@@ -139,8 +141,8 @@
 	return n
 }
 
-// Where no host has the version, requests are refused at once, with a time to return and a reason;
-// others are served.
+// If no host has the pin's version, requests in the pin's scope are rejected at once, with a
+// Retry-After and a reason. Other requests are served.
 func TestRejectedWithoutAHostOfTheVersion(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, keyed)
@@ -155,11 +157,11 @@
 	is.Equal(with, 0)
 	is.Equal(without, 1)
 	is.Equal(f.plane.Pins()["p"].Rejected, uint64(1))
-	is.Equal(f.quotas.put > 0, true) // what was refused takes nothing of the tenant's quota
+	is.Equal(f.quotas.put > 0, true) // the units of the rejected request are returned to the tenant's quota
 }
 
-// A host that registers a version which it does not have has not run the request, and another one
-// serves it.
+// A host that registers a version which it does not serve rejects the request without executing it,
+// and another host serves the request.
 func TestAnotherHostServesWhereARegistrationIsWrong(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, keyed)
@@ -174,15 +176,15 @@
 	is.True(len(wrong.requests()) > 0)
 }
 
-// Hosts that turn pinned requests away, answer them with another version, or roll in their streams
-// are not in trouble: traffic out of scope has them as before.
+// A host that rejects pinned requests, answers them with another version, or changes its version
+// during a stream does not count as failing. It still gets the requests outside the pin's scope.
 func TestPinsLeaveOtherRequestsAlone(t *testing.T) {
 	head := func(r received, versions string, events ...string) string {
 		return strings.Replace(stream(r, events...), "Content-Type:", versions+"Content-Type:", 1)
 	}
 	for _, c := range []struct {
 		name, path string
-		pinned     func(r received) string // what a host answers to a pinned request
+		pinned     func(r received) string // returns a host's answer to a pinned request
 	}{
 		{"turned away", "/unsafe/", func(r received) string { return answer(r, 421, "Not-Executed: true\r\n", "") }},
 		{"another version", "/safe/", func(r received) string { return answer(r, 200, "Versions: 1\r\n", "v1") }},
@@ -209,13 +211,14 @@
 				is.Equal(a.body, "served")
 			}
 			if log := f.log.text(); log != "" {
-				t.Errorf("staff are told: %s", log)
+				t.Errorf("warnings were logged: %s; want none", log)
 			}
 		})
 	}
 }
 
-// An answer that does not say its version, or says another one, never reaches the client.
+// An answer that does not state its version, or states another version than the pin's, never
+// reaches the client.
 func TestAnswerOfAnotherVersion(t *testing.T) {
 	for _, c := range []struct{ name, header string }{{"none", ""}, {"another", "Versions: 1\r\n"}, {"no number", "Versions: two\r\n"}} {
 		t.Run(c.name, func(t *testing.T) {
@@ -228,18 +231,19 @@
 			for i := range 10 {
 				a := f.call(t, "/safe/", "", keyOne, modelM, fmt.Sprint("Request-Id: a", i))
 				is.NoErr(a.err)
-				is.Equal(a.body, "v2") // another host is asked
+				is.Equal(a.body, "v2") // the request is sent to another host
 			}
 			f.register(wrong)
 			a := f.call(t, "/unsafe/", "", keyOne, modelM, "Request-Id: b")
-			is.Equal(a.StatusCode, 502) // it has run, and may run once
+			is.Equal(a.StatusCode, 502) // the request was executed, and may be executed only once
 			is.Equal(f.plane.Pins()["p"].WrongVersion, uint64(0))
 		})
 	}
 }
 
-// A host that rolls its weights in the middle of a stream: the client gets events of the chosen
-// version alone, to the end from another host where the route allows it, and else a visible end.
+// A host loads another version during a stream. The client gets only events of the pinned version.
+// If the route allows resumption, another host completes the stream; otherwise the client sees that
+// the stream was cut.
 func TestHostRolledDuringAStream(t *testing.T) {
 	rolled := func(id int) string { return fmt.Sprintf("versions: 3\nid: %d\ndata: new\n\n", id) }
 	head := func(r received, events ...string) string {
@@ -272,7 +276,7 @@
 	}
 }
 
-// untilFrom calls until the answer begins at a host.
+// callUntilServedBy sends requests until one is answered by a host, and returns that answer.
 func (f *fleet) callUntilServedBy(t *testing.T, id, path string) clientAnswer {
 	t.Helper()
 	for i := range 100 {
@@ -281,12 +285,12 @@
 			return a
 		}
 	}
-	t.Fatal("never")
+	t.Fatal("none of 100 requests was answered by the host")
 	return clientAnswer{}
 }
 
-// A stream that began under no pin, and breaks after one was set, goes on with the version of its
-// first part, or ends visibly where that is not known.
+// A stream starts without a pin and breaks after a pin was set. It is resumed with the version of
+// its first part. If that version is unknown, the client sees that the stream was cut.
 func TestStreamResumesAcrossAPinChange(t *testing.T) {
 	for _, c := range []struct {
 		name, versions string
@@ -299,7 +303,7 @@
 				if r.Header.Get("Last-Event-Id") != "" {
 					return answer(r, 503, "Not-Executed: true\r\n", "")
 				}
-				f.pin(t, pinOf("x", "", 2)) // it comes in force while the stream is on its way
+				f.pin(t, pinOf("x", "", 2)) // the pin comes into force during the stream
 				return strings.Replace(stream(r, event(1, "a")), "Content-Type:", c.versions+"Content-Type:", 1) + hangUp
 			}), 1}
 			f.register(breaking)
@@ -323,9 +327,9 @@
 	}
 }
 
-// Requests that are held when a pin changes are decided anew, and run once: one that waits for a
-// busy host of the old version goes to the new one at once, and one for whose version the last host
-// goes is refused at once.
+// Requests that are queued when a pin changes are planned again and execute once. A request that
+// waits for a busy host of the old version goes to a host of the new version at once. A request for
+// whose version the last host is removed is rejected at once.
 func TestQueuedRequestAcrossAPinChange(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -349,18 +353,18 @@
 			f := newFleet(t, keyed)
 			f.register(busy, free)
 			f.pin(t, pinOf("x", "", 1))
-			const many = 40 // more than a host has room for
+			const many = 40 // more than a host accepts at once
 			answers := make(chan clientAnswer, many)
 			for i := range many {
 				go func() { answers <- f.call(t, "/unsafe/", "", keyOne, modelM, fmt.Sprint("Request-Id: h", i)) }()
 			}
-			eventually(t, "some are held", func() bool {
+			eventually(t, "some requests are at the busy host and the others are queued", func() bool {
 				sent := len(busy.requests())
 				return f.plane.Metrics()["s"].Open == many && sent > 0 && sent < many
 			})
 			c.change(t, f, busy, free)
 			var answered []clientAnswer
-			eventually(t, "all that are not at the busy host are answered", func() bool {
+			eventually(t, "all requests that are not at the busy host are answered", func() bool {
 				for len(answers) > 0 {
 					answered = append(answered, <-answers)
 				}
@@ -380,7 +384,8 @@
 	}
 }
 
-// A client that leaves while its request is at a host ends it, and does not count as served.
+// A client that disconnects while a host processes its request ends the request. The request is not
+// counted as answered or failed.
 func TestPinnedClientLeaves(t *testing.T) {
 	is := is.New(t)
 	arrived, release := make(chan struct{}), make(chan struct{})
@@ -398,14 +403,14 @@
 	fmt.Fprintf(c, "POST /unsafe/ HTTP/1.1\r\nHost: h.example\r\n%s\r\n%s\r\nRequest-Id: q\r\nContent-Length: 0\r\n\r\n", keyOne, modelM)
 	<-arrived
 	c.Close()
-	eventually(t, "it has ended", func() bool { return f.plane.Metrics()["s"].Open == 0 })
+	eventually(t, "the request has ended", func() bool { return f.plane.Metrics()["s"].Open == 0 })
 	figures := f.plane.Pins()["p"]
 	is.Equal(figures.Requests, uint64(1))
 	is.Equal(len(figures.Answered), 0)
 	is.Equal(figures.Failed, uint64(0))
 }
 
-// eventually waits until something holds.
+// eventually waits until a condition holds, and fails the test after testTimeout.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	tick := time.NewTicker(time.Millisecond)
@@ -415,11 +420,11 @@
 			return
 		}
 	}
-	t.Fatalf("not within %v: %s", testTimeout, what)
+	t.Fatalf("condition not reached within %v: %s", testTimeout, what)
 }
 
-// A configuration that is put beside pins does not touch them, and neither does it have held
-// requests planned anew.
+// A new configuration leaves the pins in force unchanged, and does not cause queued requests to be
+// planned again.
 func TestPinWithAConfigurationChange(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, keyed)
--- a/internal/system/dataplane/plane.go
+++ b/internal/system/dataplane/plane.go
@@ -25,7 +25,7 @@
 	"reachspread/internal/transport"
 )
 
-// MaxRetryAfter is the maximum Retry-After of the balancer's rejections.
+// MaxRetryAfter is the longest time after which a rejected client is told to retry.
 const MaxRetryAfter = 2 * time.Second
 
 const (
--- a/internal/system/dataplane/plane_test.go
+++ b/internal/system/dataplane/plane_test.go
@@ -26,16 +26,16 @@
 	"reachspread/internal/transport"
 )
 
-// patience bounds what a story waits for; it is never waited for where all is well.
+// testTimeout bounds each wait of a test. A passing test never waits that long.
 const testTimeout = 10 * time.Second
 
-// lines drops log lines.
+// discardLogger discards log lines.
 type discardLogger struct{}
 
 func (discardLogger) Info(string, ...any) {}
 func (discardLogger) Warn(string, ...any) {}
 
-// warnings keeps those that somebody may have to act on.
+// warningLog keeps log lines of level warn and discards the others.
 type warningLog struct {
 	mu  sync.Mutex
 	all []string
@@ -55,7 +55,7 @@
 	return strings.Join(w.all, "; ")
 }
 
-// quotas lets tenants have what is left.
+// quotas is a quota with units that are left, shared by all tenants.
 type quotas struct {
 	mu   sync.Mutex
 	left float64
@@ -78,15 +78,15 @@
 	q.put += units
 }
 
-// seen is a request as a host got it.
+// received is a request as a host received it.
 type received struct {
 	*http.Request
-	text string // its body
-	n    int    // of the host, from 0
+	text string // body
+	n    int    // position among the host's requests, from 0
 }
 
-// host is a scripted one: it answers each request with the bytes that script gives, and closes the
-// connection where they end in nothing.
+// host is a scripted host. It answers each request with the bytes that script returns, and closes
+// the connection if they end with hangUp.
 type host struct {
 	id     string
 	addr   string
@@ -95,7 +95,7 @@
 	script func(r received) string
 }
 
-// hangUp ends a script's bytes where the host closes the connection.
+// hangUp at the end of a script's bytes tells the host to close the connection.
 const hangUp = "\x00"
 
 func newHost(t *testing.T, id string, script func(r received) string) *host {
@@ -148,14 +148,14 @@
 	return append([]received(nil), h.served...)
 }
 
-// answer is a whole answer of a host to a request.
+// answer returns a complete answer of a host to a request.
 func answer(r received, status int, extra, body string) string {
 	return fmt.Sprintf("HTTP/1.1 %d X\r\nRequest-Id: %s\r\nResponse-Seal: seal-%s\r\n%sContent-Length: %d\r\n\r\n%s",
 		status, r.Header.Get("Request-Id"), r.Header.Get("Expected-Instance"), extra, len(body), body)
 }
 
-// stream is the head of a stream, and its events; each event is a chunk, and an empty one ends the
-// stream.
+// stream returns the head of a stream and its events. Each event is a chunk; an empty event ends
+// the stream.
 func stream(r received, events ...string) string {
 	out := fmt.Sprintf("HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nResponse-Seal: seal-%s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n",
 		r.Header.Get("Request-Id"), r.Header.Get("Expected-Instance"))
@@ -167,7 +167,7 @@
 
 func event(id int, text string) string { return fmt.Sprintf("id: %d\ndata: %s\n\n", id, text) }
 
-// fleet is a plane with a front and hosts of the service s.
+// fleet is a plane with a front for clients and hosts of service s.
 type fleet struct {
 	plane  *Plane
 	front  *transport.Front
@@ -176,7 +176,7 @@
 	fresh  atomic.Bool
 	newest atomic.Bool
 
-	revision uint64 // of the hosts that were registered last
+	revision uint64 // added to the registry's revision in the last call of register
 	log      warningLog
 }
 
@@ -191,7 +191,7 @@
 
 const keyed = `,"tenants":[{"name":"x","apiKeys":["k1"],"priority":1,"unit":"tokens","uncachedTokens":200,"ratePerS":1000,"burst":1000}]`
 
-// newFleet is one whose router has begun long ago.
+// newFleet returns a fleet whose router started an hour ago and so does not count as starting.
 func newFleet(t *testing.T, extra string, hosts ...*host) *fleet {
 	t.Helper()
 	return newFleetStartedAt(t, time.Now().Add(-time.Hour), extra, hosts...)
@@ -245,14 +245,14 @@
 	f.plane.SetHosts("s", registry.Revision(), registry.Records("s"), 0)
 }
 
-// got is an answer as a client got it; err tells that it was cut.
+// clientAnswer is an answer as a client received it. If the answer was cut, err is not nil.
 type clientAnswer struct {
 	*http.Response
 	body string
 	err  error
 }
 
-// call sends one request on a connection of its own.
+// call sends one request on a new connection.
 func (f *fleet) call(t *testing.T, path, body string, header ...string) clientAnswer {
 	t.Helper()
 	c, err := net.Dial("tcp", f.addr)
@@ -284,8 +284,8 @@
 	return clientAnswer{resp, string(text), err}
 }
 
-// A request reaches a host with method, path, query, body and headers as they came, but for what
-// the router sets; the answer comes back as it was, whatever its status.
+// The router forwards a request's method, path, query, body and headers unchanged, except for the
+// headers that it sets itself. It forwards the answer unchanged, whatever its status.
 func TestRequestIsForwarded(t *testing.T) {
 	is := is.New(t)
 	h := newHost(t, "i-1", func(r received) string { return answer(r, 202, "X-Own: 1\r\nContent-Type: a/b\r\n", "hello "+r.text) })
@@ -312,7 +312,7 @@
 	is.True(left > 1000 && left <= 3000)
 }
 
-// A chunked body reaches the host whole.
+// A chunked body reaches the host complete.
 func TestChunkedBodyIsForwarded(t *testing.T) {
 	is := is.New(t)
 	h := newHost(t, "i-1", func(r received) string { return answer(r, 200, "", r.text) })
@@ -329,7 +329,7 @@
 	is.Equal(string(text), "abcde")
 }
 
-// What the router answers by itself, each only where the configuration says so.
+// The router itself answers requests that the configuration does not allow or that it can't use.
 func TestAnswersOfTheRouter(t *testing.T) {
 	h := newHost(t, "i-1", func(r received) string { return answer(r, 200, "", "ok") })
 	f := newFleet(t, keyed, h)
@@ -345,7 +345,7 @@
 		"too long":            {"/safe/", strings.Repeat("x", 1001), []string{"Authorization: Bearer k1"}, 413},
 		"no id":               {"/safe/", "", []string{"Authorization: Bearer k1", "Request-Id:"}, 400},
 		"a broken usage":      {"/safe/", "", []string{"Authorization: Bearer k1", "Token-Usage: many"}, 400},
-		"a service of nobody": {"/empty/", "", []string{"Authorization: Bearer k1"}, 503},
+		"no host of a service": {"/empty/", "", []string{"Authorization: Bearer k1"}, 503},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -358,8 +358,8 @@
 	}
 }
 
-// Without a configuration nobody is told 401, 403 or 404; with an old one no key is honoured, and
-// public routes go on.
+// Without a configuration the router never answers 401, 403 or 404. With an old configuration it
+// honours no API key, but still serves public routes.
 func TestRejectedWhileTooLittleIsKnown(t *testing.T) {
 	is := is.New(t)
 	h := newHost(t, "i-1", func(r received) string { return answer(r, 200, "", "ok") })
@@ -382,13 +382,13 @@
 		return all
 	}
 	is.Equal(refusals(), []int{404, 401})
-	f.newest.Store(false) // as long as keys are honoured by it, a key that came since is not known
+	f.newest.Store(false) // keys are still honoured, but a newer configuration may have added the unknown key
 	is.Equal(refusals(), []int{503, 503})
 	is.Equal(f.call(t, "/safe/", "", "Authorization: Bearer k1").StatusCode, 200)
 }
 
-// A tenant beyond its quota is told when to come back, and its connection stays. What did not run
-// is given back.
+// A tenant over its quota gets a Retry-After, and its connection stays open. The units of a request
+// that was not executed are returned.
 func TestQuotaRejectsAndRefunds(t *testing.T) {
 	is := is.New(t)
 	h := newHost(t, "i-1", func(r received) string {
@@ -407,13 +407,13 @@
 	over := f.on(t, c, "/safe/", "", key, "Token-Usage: 1000,500", "Request-Id: q2")
 	is.Equal(over.StatusCode, 429)
 	is.Equal(over.Header.Get("Retry-After"), "0.250")
-	is.Equal(f.on(t, c, "/unsafe/", "", key, "Request-Id: q3", "Request-Deadline: 300").StatusCode, 503) // 200 by default, and no run
+	is.Equal(f.on(t, c, "/unsafe/", "", key, "Request-Id: q3", "Request-Deadline: 300").StatusCode, 503) // takes 200 units by default, and is not executed
 	is.Equal(f.quotas.put, 200.0)
 	is.Equal(len(h.requests()) >= 2, true)
 }
 
-// A host's own failure goes to the client as it is where nobody else may try, and an idempotent
-// request is tried elsewhere.
+// A host's error is forwarded to the client if the request may not be retried. An idempotent request
+// is retried at another host.
 func TestFailures(t *testing.T) {
 	is := is.New(t)
 	bad := newHost(t, "i-bad", func(r received) string { return answer(r, 500, "", "broken") })
@@ -432,8 +432,8 @@
 	}
 }
 
-// An unsafe request that may have run gets an answer that promises nothing, once; one that did not
-// run is sent on.
+// An unsafe request that may have executed is not retried, and its answer does not promise that it
+// was not executed. An unsafe request that was not executed is sent to another host.
 func TestUnsafeRequestExecutesOnce(t *testing.T) {
 	is := is.New(t)
 	for _, script := range []string{hangUp, "HTTP/1.1 200 OK\r\nResponse-Seal: s\r\nContent-Length: 10\r\n\r\nhalf" + hangUp, "nonsense\r\n\r\n" + hangUp} {
@@ -454,7 +454,8 @@
 	}
 }
 
-// A surplus answer to an earlier request that comes where the next one is due belongs to nobody.
+// A second answer to an earlier request, which arrives before the answer to the next request, is
+// not forwarded to any client.
 func TestSurplusBytesAfterAnAnswer(t *testing.T) {
 	is := is.New(t)
 	var before received
@@ -470,8 +471,8 @@
 	is.Equal(f.call(t, "/unsafe/", "x", "Request-Id: q2").body, "second")
 }
 
-// Events are passed on as they are, whole ones alone, and a stream that breaks never looks
-// complete.
+// Only complete events are forwarded, unchanged, and a stream that breaks never looks complete to
+// the client.
 func TestStream(t *testing.T) {
 	is := is.New(t)
 	whole := newHost(t, "i-1", func(r received) string { return stream(r, event(1, "a"), event(2, "b"), "") })
@@ -486,11 +487,11 @@
 	is.Equal(len(cut.requests()), 1)
 	back := newHost(t, "i-1", func(r received) string { return stream(r, event(2, "a"), event(1, "b"), "") })
 	a = newFleet(t, "", back).call(t, "/stream/", "x")
-	is.True(a.err != nil) // ids rise
+	is.True(a.err != nil) // the stream is cut because event IDs must increase
 }
 
-// A stream that may be resumed goes on at another host behind the last whole event, within the same
-// answer and with its head.
+// A broken stream is resumed at another host after the last complete event, within the same answer.
+// The client sees only the first head.
 func TestBrokenStreamResumes(t *testing.T) {
 	is := is.New(t)
 	script := func(r received) string {
@@ -520,7 +521,8 @@
 	is.Equal(a.Header.Get("Response-Seal"), "seal-"+first.id)
 }
 
-// A stream is resumed no more often than its route has attempts, and then ends visibly.
+// A stream uses at most as many attempts as its route allows. After that the client sees that the
+// stream was cut.
 func TestStreamResumesWithinItsAttempts(t *testing.T) {
 	is := is.New(t)
 	script := func(r received) string {
@@ -536,7 +538,7 @@
 	is.Equal(strings.Count(a.body, "data"), 3)
 }
 
-// A large answer is passed on as it comes, and one that ends early is cut.
+// A large answer is forwarded complete. If the host cuts it, the client sees that it was cut.
 func TestLargeAnswer(t *testing.T) {
 	is := is.New(t)
 	large := strings.Repeat("0123456789abcdef", 16<<10)
@@ -549,7 +551,7 @@
 	is.True(a.err != nil)
 }
 
-// Hosts that drain or are gone get nothing new.
+// A draining host gets no new requests.
 func TestDraining(t *testing.T) {
 	is := is.New(t)
 	ok := func(r received) string { return answer(r, 200, "", "ok") }
@@ -564,7 +566,7 @@
 	is.Equal(len(one.requests()), 0)
 }
 
-// A route whose traffic is split goes to its services by their weights.
+// Requests of a route with a traffic split go to its services in proportion to their weights.
 func TestRouteIsSplitByWeight(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, "none")
@@ -578,7 +580,7 @@
 	is.Equal(counts["u"], 0)
 }
 
-// Requests that came before others on a connection are answered first, and one that is idle stays.
+// Requests on one connection are answered in the order in which they were sent.
 func TestConnectionIsReused(t *testing.T) {
 	is := is.New(t)
 	h := newHost(t, "i-1", func(r received) string { return answer(r, 200, "", r.RequestURI) })
@@ -602,9 +604,9 @@
 	}
 }
 
-// What comes while a router starts waits for what is needed to serve it: a configuration, its being
-// the newest, a host. Nothing waits where the router has been there for long, and nothing waits for
-// what does not come.
+// A request that arrives while the router is starting waits for a configuration, for the
+// confirmation that the configuration is the newest, and for a host. If one of them does not arrive
+// in time, the request is rejected.
 func TestRequestsWaitForAStartingRouter(t *testing.T) {
 	is := is.New(t)
 	h := newHost(t, "i-1", func(r received) string { return answer(r, 200, "", "whole") })
@@ -623,13 +625,13 @@
 		}
 		select {
 		case got := <-answered:
-			t.Fatalf("it was answered too early: %s", got)
+			t.Fatalf("the request was answered before the router could serve it: %s", got)
 		default:
 		}
 	}
 	waits()
 	f.newest.Store(false)
-	f.configure(t, fmt.Sprintf(strings.Replace(routes, `"pathPrefix":"/safe/"`, `"pathPrefix":"/before/"`, 1), keyed)) // what its disk has
+	f.configure(t, fmt.Sprintf(strings.Replace(routes, `"pathPrefix":"/safe/"`, `"pathPrefix":"/before/"`, 1), keyed)) // the old configuration from the router's disk
 	waits()
 	f.configure(t, fmt.Sprintf(strings.Replace(routes, `"version":1`, `"version":2`, 1), keyed))
 	waits()
