--- a/internal/system/dataplane/callers_test.go
+++ b/internal/system/dataplane/callers_test.go
@@ -20,7 +20,7 @@
 
 // trialCount is the number of random trials. Each takes two seconds, most of which it waits, and
 // several run in parallel.
-var trialCount = flag.Int("caller-plays", 8, "`number` of random trials with clients and faulty hosts")
+var trialCount = flag.Int("caller-plays", 8, "number of random trials with clients and faulty hosts")
 
 const (
 	clientsPerTrial      = 6
@@ -435,17 +435,17 @@
 		return l, c
 	}
 	for name, corrupt := range map[string]func(l *recorder, c *requestRecord){
-		"nothing":                      nil,
-		"an unsafe one ran twice":      func(l *recorder, _ *requestRecord) { l.executions["a"] = 2 },
-		"503, and it ran":              func(_ *recorder, c *requestRecord) { c.status = http.StatusServiceUnavailable },
-		"another's answer":             func(_ *recorder, c *requestRecord) { c.answered = "b" },
-		"another's body":               func(_ *recorder, c *requestRecord) { c.body = bodyFor("b") },
-		"a short answer looks whole":   func(_ *recorder, c *requestRecord) { c.body = c.body[:5] },
-		"no seal":                      func(_ *recorder, c *requestRecord) { c.seal = "" },
-		"sent long after it was left":  func(_ *recorder, c *requestRecord) { c.left = now.Add(-time.Second) },
-		"a request that nobody sent":   func(l *recorder, _ *requestRecord) { l.bodies["b"] = requestBody("b") },
-		"a body that was changed":      func(l *recorder, _ *requestRecord) { l.bodies["a"] = "x" },
-		"the body of another's client": func(l *recorder, _ *requestRecord) { l.bodies["a"] = requestBody("b") },
+		"no violation":                            nil,
+		"unsafe request executed twice":           func(l *recorder, _ *requestRecord) { l.executions["a"] = 2 },
+		"503 although it executed":                func(_ *recorder, c *requestRecord) { c.status = http.StatusServiceUnavailable },
+		"answer to another request":               func(_ *recorder, c *requestRecord) { c.answered = "b" },
+		"answer with the body of another request": func(_ *recorder, c *requestRecord) { c.body = bodyFor("b") },
+		"short answer looks complete":             func(_ *recorder, c *requestRecord) { c.body = c.body[:5] },
+		"no seal":                                 func(_ *recorder, c *requestRecord) { c.seal = "" },
+		"sent long after the client disconnected": func(_ *recorder, c *requestRecord) { c.left = now.Add(-time.Second) },
+		"request that no client sent":             func(l *recorder, _ *requestRecord) { l.bodies["b"] = requestBody("b") },
+		"changed request body":                    func(l *recorder, _ *requestRecord) { l.bodies["a"] = "x" },
+		"request with the body of another one":    func(l *recorder, _ *requestRecord) { l.bodies["a"] = requestBody("b") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
--- a/internal/system/dataplane/pins_test.go
+++ b/internal/system/dataplane/pins_test.go
@@ -99,10 +99,10 @@
 	is.Equal(countPinned(one, two), 20) // the pin does not apply to another route
 	a := f.call(t, "/safe/", "", keyOne, "Model: other", "Request-Id: c")
 	is.Equal(a.StatusCode, 200) // the pin does not apply to another model
-	figures := f.plane.Pins()["p"]
-	is.Equal(figures.Requests, uint64(20))
-	is.Equal(figures.Answered[2], uint64(20))
-	is.Equal(figures.WrongVersion, uint64(0))
+	metrics := f.plane.Pins()["p"]
+	is.Equal(metrics.Requests, uint64(20))
+	is.Equal(metrics.Answered[2], uint64(20))
+	is.Equal(metrics.WrongVersion, uint64(0))
 }
 
 // As soon as a pin is set, changed or lifted, new requests follow the change.
@@ -186,13 +186,13 @@
 		name, path string
 		pinned     func(r received) string // returns a host's answer to a pinned request
 	}{
-		{"turned away", "/unsafe/", func(r received) string { return answer(r, 421, "Not-Executed: true\r\n", "") }},
+		{"rejected", "/unsafe/", func(r received) string { return answer(r, 421, "Not-Executed: true\r\n", "") }},
 		{"another version", "/safe/", func(r received) string { return answer(r, 200, "Versions: 1\r\n", "v1") }},
 		{"a stream of another version", "/stream/", func(r received) string { return head(r, "Versions: 1\r\n", event(1, "a"), "") }},
-		{"rolled in the stream", "/stream/", func(r received) string {
+		{"another version during the stream", "/stream/", func(r received) string {
 			return head(r, "Versions: 2\r\n", event(1, "a"), "versions: 3\n"+event(2, "b"), "")
 		}},
-		{"rolled in the first event", "/stream/", func(r received) string { return head(r, "Versions: 2\r\n", "versions: 3\n"+event(1, "b"), "") }},
+		{"another version in the first event", "/stream/", func(r received) string { return head(r, "Versions: 2\r\n", "versions: 3\n"+event(1, "b"), "") }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -220,7 +220,7 @@
 // An answer that does not state its version, or states another version than the pin's, never
 // reaches the client.
 func TestAnswerOfAnotherVersion(t *testing.T) {
-	for _, c := range []struct{ name, header string }{{"none", ""}, {"another", "Versions: 1\r\n"}, {"no number", "Versions: two\r\n"}} {
+	for _, c := range []struct{ name, header string }{{"none", ""}, {"another", "Versions: 1\r\n"}, {"not a number", "Versions: two\r\n"}} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			wrong := versionedHost{newHost(t, "i-1", func(r received) string { return answer(r, 200, c.header, "wrong") }), 2}
@@ -337,9 +337,9 @@
 		status int
 		body   string
 	}{
-		{"moved", func(t *testing.T, f *fleet, _, _ versionedHost) { f.pin(t, pinOf("x", "", 2)) }, 200, "v2"},
+		{"changed", func(t *testing.T, f *fleet, _, _ versionedHost) { f.pin(t, pinOf("x", "", 2)) }, 200, "v2"},
 		{"lifted", func(t *testing.T, f *fleet, _, _ versionedHost) { f.pin(t) }, 200, "v2"},
-		{"its hosts have gone", func(_ *testing.T, f *fleet, _, free versionedHost) { f.register(free) }, 503, ""},
+		{"its hosts are removed", func(_ *testing.T, f *fleet, _, free versionedHost) { f.register(free) }, 503, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -404,10 +404,10 @@
 	<-arrived
 	c.Close()
 	eventually(t, "the request has ended", func() bool { return f.plane.Metrics()["s"].Open == 0 })
-	figures := f.plane.Pins()["p"]
-	is.Equal(figures.Requests, uint64(1))
-	is.Equal(len(figures.Answered), 0)
-	is.Equal(figures.Failed, uint64(0))
+	metrics := f.plane.Pins()["p"]
+	is.Equal(metrics.Requests, uint64(1))
+	is.Equal(len(metrics.Answered), 0)
+	is.Equal(metrics.Failed, uint64(0))
 }
 
 // eventually waits until a condition holds, and fails the test after testTimeout.
--- a/internal/system/dataplane/plane.go
+++ b/internal/system/dataplane/plane.go
@@ -103,7 +103,7 @@
 	stop            context.CancelFunc
 	hostsRevision   uint64          // the revision of the last call of SetHosts
 	classes         []balance.Class // classes of the configuration in force
-	decisionClasses []balance.Class // classes that the balancer has, those of the previous configuration among them
+	balancerClasses []balance.Class // classes that the balancer has, those of the previous configuration among them
 	servingHosts    atomic.Int64
 	models          models // models of the service's hosts
 }
@@ -160,13 +160,13 @@
 	if s != nil {
 		both := unionOfClasses(classes, s.classes)
 		s.classes = classes
-		if !slices.Equal(both, s.decisionClasses) {
-			s.decisionClasses = both
+		if !slices.Equal(both, s.balancerClasses) {
+			s.balancerClasses = both
 			s.router.Reconfigure(p.config(s, both))
 		}
 		return nil
 	}
-	s = &service{name: name, classes: classes, decisionClasses: classes, retries: retrybudget.New(p.o.Settings().Bounds.RetryBudgetRatio, p.retrySlack())}
+	s = &service{name: name, classes: classes, balancerClasses: classes, retries: retrybudget.New(p.o.Settings().Bounds.RetryBudgetRatio, p.retrySlack())}
 	b, err := balance.New(p.config(s, classes), p.o.Seed^rand.Uint64())
 	if err != nil {
 		return err
--- a/internal/system/dataplane/plane_test.go
+++ b/internal/system/dataplane/plane_test.go
@@ -338,13 +338,13 @@
 		header     []string
 		status     int
 	}{
-		"no route":            {"/nothing/", "", nil, 404},
-		"no key":              {"/safe/", "", nil, 401},
-		"a foreign key":       {"/safe/", "", []string{"Authorization: Bearer k2"}, 401},
-		"public without key":  {"/open/", "", nil, 200},
-		"too long":            {"/safe/", strings.Repeat("x", 1001), []string{"Authorization: Bearer k1"}, 413},
-		"no id":               {"/safe/", "", []string{"Authorization: Bearer k1", "Request-Id:"}, 400},
-		"a broken usage":      {"/safe/", "", []string{"Authorization: Bearer k1", "Token-Usage: many"}, 400},
+		"no route":             {"/nothing/", "", nil, 404},
+		"no key":               {"/safe/", "", nil, 401},
+		"a foreign key":        {"/safe/", "", []string{"Authorization: Bearer k2"}, 401},
+		"public without key":   {"/open/", "", nil, 200},
+		"too long":             {"/safe/", strings.Repeat("x", 1001), []string{"Authorization: Bearer k1"}, 413},
+		"no id":                {"/safe/", "", []string{"Authorization: Bearer k1", "Request-Id:"}, 400},
+		"invalid usage":        {"/safe/", "", []string{"Authorization: Bearer k1", "Token-Usage: many"}, 400},
 		"no host of a service": {"/empty/", "", []string{"Authorization: Bearer k1"}, 503},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -606,7 +606,7 @@
 
 // A request that arrives while the router is starting waits for a configuration, for the
 // confirmation that the configuration is the newest, and for a host. If one of them does not arrive
-// in time, the request is rejected.
+// in time, the request is rejected. At a router that started long ago no request waits.
 func TestRequestsWaitForAStartingRouter(t *testing.T) {
 	is := is.New(t)
 	h := newHost(t, "i-1", func(r received) string { return answer(r, 200, "", "whole") })
