--- a/internal/system/controlapi/answers.go
+++ b/internal/system/controlapi/answers.go
@@ -12,16 +12,16 @@
 	Error string `json:"error"`
 }
 
-// FieldError is a field of a call that can't be used.
+// FieldError reports a field or a header of a call that has an invalid value.
 type FieldError struct {
-	Field  string // as it is written in the body, or the header's name
-	Reason string // what is wrong, and what it must be
+	Field  string // name of the field in the body, or of the header
+	Reason string // what is wrong with the value, and which values are allowed
 }
 
-// Error implements error, in one line.
+// Error implements error. The text is one line.
 func (e *FieldError) Error() string { return e.Field + " " + e.Reason }
 
-// writeJSON answers with a status and a body.
+// writeJSON answers with a status and a body, which it encodes as JSON.
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	text, err := json.Marshal(body)
 	if err != nil {
@@ -32,12 +32,13 @@
 	w.Write(text)
 }
 
-// writeError answers with a status that is not a success, and a line that says why.
+// writeError answers with an error status and a line that states the reason.
 func writeError(w http.ResponseWriter, status int, format string, args ...any) {
 	writeJSON(w, status, errorBody{fmt.Sprintf(format, args...)})
 }
 
-// readBody reads a body of at most maxBytes. A longer one is an *http.MaxBytesError.
+// readBody reads the body of a call. If it is longer than maxBytes, the error wraps an
+// *http.MaxBytesError.
 func readBody(w http.ResponseWriter, r *http.Request, maxBytes int64) ([]byte, error) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBytes))
 	if err != nil {
--- a/internal/system/controlapi/configuration.go
+++ b/internal/system/controlapi/configuration.go
@@ -11,21 +11,22 @@
 	"reachspread/internal/system/message"
 )
 
-// maxConfigurationBytes bounds the body of an order that changes the configuration.
+// maxConfigurationBytes is the maximum length of the body of an order that changes the
+// configuration.
 const maxConfigurationBytes = 16 << 20
 
-// baseHeader names the version that an order builds on.
+// baseHeader is the header with the version that an order builds on.
 const baseHeader = "If-Match"
 
-// orderOutcome is the answer to an order on which the register has decided.
+// orderOutcome is the body of the answer to an order on which the register has decided.
 type orderOutcome struct {
-	Version int64  `json:"version"` // in force after it
+	Version int64  `json:"version"` // version that is in force after the decision
 	Text    string `json:"text,omitempty"`
 }
 
-// readConfiguration handles GET /configuration: it answers with the newest one. Where this router
-// has that, the register only has to confirm it: a large one would take longer to transfer than the
-// caller waits.
+// readConfiguration handles GET /configuration. It answers with the newest configuration. If this
+// router has the newest one, the register only confirms that and does not send it, because the
+// transfer of a large configuration would take longer than the caller waits.
 func (a *api) readConfiguration(w http.ResponseWriter, r *http.Request) {
 	sequence, document := a.knownConfiguration()
 	reply, ok := a.readRegister(w, r, sequence)
@@ -47,8 +48,8 @@
 	w.Write(document)
 }
 
-// knownConfiguration is the newest configuration that this router has, with the sequence of its
-// state; 0 for none.
+// knownConfiguration returns the newest configuration that this router has, with the sequence
+// number of its state in the register. The number is 0 if the router has none.
 func (a *api) knownConfiguration() (sequence uint64, document []byte) {
 	if a.Known == nil {
 		return 0, nil
@@ -56,7 +57,8 @@
 	return a.Known()
 }
 
-// changeConfiguration handles PUT and PATCH /configuration: the register decides on the order.
+// changeConfiguration handles PUT and PATCH /configuration. It submits the order to the register,
+// which decides on it.
 func (a *api) changeConfiguration(kind message.Order_Kind) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, err := readBody(w, r, maxConfigurationBytes)
@@ -83,8 +85,8 @@
 	}
 }
 
-// readBase reads the version, or the revision of the pins, that an order builds on. The error is a
-// *FieldError.
+// readBase reads the version of the configuration, or the revision of the pins, that an order
+// builds on. The error is a *FieldError.
 func readBase(r *http.Request) (int64, error) {
 	text := r.Header.Get(baseHeader)
 	base, err := strconv.ParseInt(strings.Trim(text, `" `), 10, 64)
@@ -95,8 +97,8 @@
 	return base, nil
 }
 
-// checkOrder finds faults that make an order invalid whatever is in force: no register has accepted
-// such a one, so it is rejected without asking.
+// checkOrder returns an error if an order is invalid whichever configuration is in force. The
+// register can't have accepted such an order, so it is rejected without asking the register.
 func checkOrder(order *message.Order) error {
 	if order.Kind == message.Order_PATCH {
 		_, err := configuration.ParsePatch(order.Body)
@@ -106,7 +108,7 @@
 	return err
 }
 
-// answerOrder has the register decide on an order, and answers with the outcome.
+// answerOrder submits an order to the register, and answers with the register's decision.
 func (a *api) answerOrder(w http.ResponseWriter, r *http.Request, order *message.Order) {
 	if outcome, ok := a.submitOrder(w, r, order); ok {
 		writeJSON(w, int(outcome.Status), orderOutcome{outcome.Version, outcome.Text})
--- a/internal/system/controlapi/doc.go
+++ b/internal/system/controlapi/doc.go
@@ -1,11 +1,12 @@
 // Package controlapi is the HTTP interface of the control plane, which every router serves: hosts
 // register here, and operators read and change the configuration and the version pins.
 //
-// The package owns no state. A host's call goes to Hosts, which the router's hub implements; an
-// operator's order goes to the Register, which decides on it. All bodies are JSON. An answer that
-// is not a success has a body with the field error, and says by its status what the caller may do:
+// The package has no state. It passes the calls of hosts to Hosts, which the router's hub
+// implements, and the orders of operators to the Register, which decides on them. All bodies are
+// JSON. The body of an answer that is not a success has the field error. The status of such an
+// answer tells the caller what to do:
 //
-//   - 400, 409, 412, 413: the call was not accepted and never will be as it is.
-//   - 202, 503 and a connection that breaks: the outcome is unknown. The same call may be made
-//     again, here or at another router: the register recognizes an order that it has accepted.
+//   - 400, 409, 412, 413: the call was not accepted, and the same call never will be.
+//   - 202, 503 and a broken connection: the outcome is unknown. The caller may repeat the same call
+//     at this or another router, because the register recognizes an order that it has accepted.
 package controlapi
--- a/internal/system/controlapi/forms_test.go
+++ b/internal/system/controlapi/forms_test.go
@@ -10,7 +10,7 @@
 	"reachspread/internal/testbed/formtest"
 )
 
-// exchange is a call and the state in which it is made.
+// exchange is a call to the API and the state of the router that answers it.
 type exchange struct {
 	method, path, body, ifMatch string
 
@@ -19,11 +19,12 @@
 	unacknowledged, neverInForce, notFenced bool
 }
 
-// longBody is the length from which on a body is not written out.
+// longBody is the maximum length of a body that is written out. Only the length of a longer one is
+// written.
 const longBody = 1000
 
-// play makes a call and writes it with its answer. The wording of an error is left out where this
-// package chose it.
+// record makes a call, and writes the call and its answer to out. It omits the texts of errors that
+// come from this package, because they may change.
 func (e exchange) record(out *strings.Builder) {
 	f := &fakeRouter{reply: e.reply, stored: e.stored, unacknowledged: e.unacknowledged, neverInForce: e.neverInForce, unfenced: e.notFenced}
 	ifMatch := []string{}
@@ -50,7 +51,7 @@
 	fmt.Fprintf(out, "  %d %s retry-after=%q %s\n", w.Code, w.Header().Get("Content-Type"), w.Header().Get("Retry-After"), strings.TrimSpace(body))
 }
 
-// exchanges are calls of each kind with each of their answers.
+// exchanges returns calls of each kind, with each kind of answer.
 func exchanges() []exchange {
 	const put, get, patch, remove = http.MethodPut, http.MethodGet, http.MethodPatch, http.MethodDelete
 	const order = `{"tenant":"t","route":"r","model":"m","version":6,"by":"ann","why":"test"}`
@@ -108,7 +109,8 @@
 	}
 }
 
-// Each call has the same path, body and answer: hosts and operators of earlier versions go on.
+// The paths, bodies and answers of all calls are unchanged, so that hosts and operators' tools of
+// earlier versions still work.
 func TestCallsAreUnchanged(t *testing.T) {
 	var out strings.Builder
 	for _, e := range exchanges() {
--- a/internal/system/controlapi/handler.go
+++ b/internal/system/controlapi/handler.go
@@ -11,7 +11,8 @@
 	"reachspread/internal/system/message"
 )
 
-// A caller goes on to another router after a second without an answer.
+// The timeouts of calls are below one second because a caller without an answer tries another router
+// after one second.
 const (
 	hostCallTimeout     = 800 * time.Millisecond
 	operatorCallTimeout = 900 * time.Millisecond
@@ -19,21 +20,21 @@
 
 // Hosts handles the calls of hosts.
 type Hosts interface {
-	// Heartbeat takes over a host's registration; next is the address for its later ones. Ok is
-	// false where the call can't be acknowledged before ctx ends.
+	// Heartbeat registers a host or renews its registration. Next is the address for the host's
+	// later heartbeats. Ok is false if the call can't be acknowledged before ctx ends.
 	Heartbeat(ctx context.Context, in *message.Instance) (next string, ok bool)
-	// Remove records that a host ends. Ok is false where that can't be acknowledged before ctx
-	// ends.
+	// Remove records that a host shuts down. Ok is false if the call can't be acknowledged before
+	// ctx ends.
 	Remove(ctx context.Context, id string) (ok bool)
 }
 
-// Register decides on orders and gives the state.
+// Register is the replicated state of the control plane. It decides on orders.
 type Register interface {
-	// Submit has the register decide on an order. After an error the outcome is unknown, and the
-	// order may be submitted again.
+	// Submit submits an order and returns the register's decision. After an error the outcome is
+	// unknown, and the order may be submitted again.
 	Submit(ctx context.Context, order []byte) (*coordpb.Reply, error)
-	// ReadAfter returns the state. Where known is the sequence of the newest one, the reply says
-	// Unchanged and has no state.
+	// ReadAfter returns the newest state. If known is the sequence number of that state, the reply
+	// has Unchanged set and contains no state.
 	ReadAfter(ctx context.Context, known uint64) (*coordpb.Reply, error)
 }
 
@@ -47,17 +48,17 @@
 type Options struct {
 	Hosts    Hosts
 	Register Register
-	// Known is the newest configuration that this router has, with the sequence of its state in the
-	// register; 0 for none. It may be nil.
+	// Known returns the newest configuration that this router has, with the sequence number of its
+	// state in the register, 0 for none. Known may be nil.
 	Known func() (sequence uint64, document []byte)
 	Pins  Pins
 	Log   Logger
 }
 
-// api has the handlers of all calls.
+// api holds the handlers of all calls.
 type api struct{ Options }
 
-// New returns the handler of the control plane's calls. It may be used by several goroutines.
+// New returns the handler of the control plane's calls. It is safe for concurrent use.
 func New(o Options) http.Handler {
 	a := &api{o}
 	m := mux.NewRouter()
--- a/internal/system/controlapi/handler_test.go
+++ b/internal/system/controlapi/handler_test.go
@@ -21,20 +21,20 @@
 func (discardLog) Info(string, ...any) {}
 func (discardLog) Warn(string, ...any) {}
 
-// fakeRouter stands in for what the API calls.
+// fakeRouter implements Hosts, Register and Pins for tests.
 type fakeRouter struct {
 	heartbeats     []*message.Instance
 	removed        []string
 	unacknowledged bool // nothing can be acknowledged
 
-	unfenced     bool  // an isolated router goes on honouring keys
-	neverInForce bool  // nothing is in force in time
-	waitedFor    int64 // the revision whose being in force was waited for last
+	unfenced     bool  // an isolated router continues to honour keys
+	neverInForce bool  // no change comes into force in time
+	waitedFor    int64 // the revision in the last call of InForce
 	orders       []*message.Order
-	reply        *message.OrderReply // nil for no answer
+	reply        *message.OrderReply // nil if the register does not answer
 	stored       *message.Stored
 
-	sequence uint64 // of what is stored
+	sequence uint64 // sequence number of the stored state
 }
 
 func (f *fakeRouter) Heartbeat(_ context.Context, in *message.Instance) (string, bool) {
@@ -47,7 +47,7 @@
 	return !f.unacknowledged
 }
 
-var errNoReply = errors.New("nobody answers")
+var errNoReply = errors.New("the register does not answer")
 
 func (f *fakeRouter) Submit(_ context.Context, text []byte) (*coordpb.Reply, error) {
 	order := &message.Order{}
@@ -94,8 +94,8 @@
 
 const heartbeatBody = `{"service":"s","address":"10.0.0.9:80","zone":"a","version":"v1","slots":64,"state":"ready","coldRemainingMs":12.5,"stage":"both","models":[{"name":"m","version":3}],"sequence":4,"later":1}`
 
-// A host's call is passed on with all of its fields, and answered with the address for the next
-// one.
+// A host's call is passed to Hosts with all of its fields, and answered with the address for the
+// host's next call.
 func TestHeartbeatIsRegistered(t *testing.T) {
 	is := is.New(t)
 	f := &fakeRouter{}
@@ -117,7 +117,7 @@
 	is.Equal(f.call(http.MethodDelete, "/instances/i-1", "").Code, 503)
 }
 
-// A call that can't be used is rejected with a line that names the field, and changes nothing.
+// An invalid call is rejected with a line that names the invalid field, and is not passed to Hosts.
 func TestInvalidHeartbeatNamesTheField(t *testing.T) {
 	for name, c := range map[string]struct{ body, want string }{
 		"cut":              {heartbeatBody[:50], "registration"},
@@ -137,7 +137,8 @@
 	}
 }
 
-// Orders go to the register with the version that they build on, and its outcome is the answer.
+// An order is submitted to the register with the version that it builds on, and answered with the
+// register's decision.
 func TestOrderIsDecidedByTheRegister(t *testing.T) {
 	is := is.New(t)
 	f := &fakeRouter{reply: &message.OrderReply{Status: 200, Version: 7}}
@@ -154,7 +155,7 @@
 	is.Equal(f.call(http.MethodPut, "/configuration", `{"version":11}`, "7").Code, 503)
 }
 
-// An order that can never be accepted is rejected here, without asking the register.
+// An order that the register can never accept is rejected without asking the register.
 func TestInvalidOrderIsRejectedWithoutTheRegister(t *testing.T) {
 	is := is.New(t)
 	f := &fakeRouter{reply: &message.OrderReply{Status: 200}}
@@ -169,7 +170,8 @@
 	is.Equal(len(f.orders), 0)
 }
 
-// The configuration is read completely, or not at all.
+// The answer to a read is the complete configuration, or an error if the register does not answer
+// or has none.
 func TestConfigurationIsReadFromTheRegister(t *testing.T) {
 	is := is.New(t)
 	f := &fakeRouter{}
@@ -182,7 +184,7 @@
 	is.Equal(w.Body.String(), `{"version":7}`)
 }
 
-// Whatever a host sends, it is accepted or rejected.
+// The API answers any body of a heartbeat with status 200 or 400.
 func FuzzHeartbeat(f *testing.F) {
 	f.Add([]byte(heartbeatBody))
 	f.Add([]byte(`{"service":"s","address":"a","state":"ready","sequence":1e300,"slots":-1}`))
@@ -194,8 +196,8 @@
 	})
 }
 
-// A router that has the newest configuration answers with its own, once the register has confirmed
-// that it is the newest; otherwise with what the register sends.
+// A router answers with its own copy of the configuration only after the register has confirmed that
+// it is the newest. Otherwise it answers with the configuration that the register sends.
 func TestKnownConfigurationIsConfirmedBeforeItIsServed(t *testing.T) {
 	is := is.New(t)
 	f := &fakeRouter{stored: &message.Stored{Document: []byte(`{"version":7}`)}, sequence: 3}
@@ -209,14 +211,14 @@
 	code, text := get()
 	is.Equal(code, 200)
 	is.Equal(text, string(known))
-	sequence = 2 // it is behind
+	sequence = 2 // the router's copy is outdated
 	code, text = get()
 	is.Equal(code, 200)
 	is.Equal(text, `{"version":7}`)
-	sequence = 0 // it knows nothing yet
+	sequence = 0 // the router has no configuration yet
 	_, text = get()
 	is.Equal(text, `{"version":7}`)
 	f.stored, sequence = nil, 2
 	code, _ = get()
-	is.Equal(code, 503) // what it has may be old
+	is.Equal(code, 503) // the router's copy may be outdated
 }
--- a/internal/system/controlapi/instances.go
+++ b/internal/system/controlapi/instances.go
@@ -11,21 +11,21 @@
 	"reachspread/internal/system/message"
 )
 
-// maxInstanceBytes bounds the body of a host's call.
+// maxInstanceBytes is the maximum length of the body of a host's call.
 const maxInstanceBytes = 64 << 10
 
-// registration is the body of a host's call. Numbers may have a fraction, which is dropped; one
-// below 0 counts as 0.
+// registration is the body of a host's call. Fractions of numbers are dropped, and the numbers of
+// the host itself count as 0 if they are negative.
 type registration struct {
 	Service              string            `json:"service"`
 	Address              string            `json:"address"`
 	Zone                 string            `json:"zone"`
-	Version              string            `json:"version"` // of the host's software
+	Version              string            `json:"version"` // version of the host's software
 	Slots                float64           `json:"slots"`
 	State                string            `json:"state"` // ready or draining
 	SlowStartRemainingMs float64           `json:"coldRemainingMs"`
 	Sequence             float64           `json:"sequence"` // orders the calls of a host
-	Stage                string            `json:"stage"`    // of serving, passed on as it is
+	Stage                string            `json:"stage"`    // stage of serving, passed to Hosts unchanged
 	Models               []registeredModel `json:"models"`
 }
 
@@ -35,9 +35,9 @@
 	Version float64 `json:"version"`
 }
 
-// registrationAnswer is the answer to a host's call.
+// registrationAnswer is the body of the answer to a host's call.
 type registrationAnswer struct {
-	HeartbeatAddress string `json:"heartbeatAddress,omitempty"` // for the host's later calls
+	HeartbeatAddress string `json:"heartbeatAddress,omitempty"` // address for the host's later calls
 }
 
 // The states that a host may report.
@@ -46,7 +46,7 @@
 	stateDraining = "draining"
 )
 
-// instance validates a registration. The error is a *FieldError.
+// instance validates a registration and converts it. The error is a *FieldError.
 func (r *registration) instance(id string) (*message.Instance, error) {
 	if r.Service == "" {
 		return nil, &FieldError{"service", "is missing"}
@@ -86,7 +86,7 @@
 	return 0, &FieldError{"state", fmt.Sprintf("is %q; it must be %s or %s", r.State, stateReady, stateDraining)}
 }
 
-// heartbeat handles PUT /instances/{id}: a host registers, and renews that with each heartbeat.
+// heartbeat handles PUT /instances/{id}, with which a host registers and renews its registration.
 func (a *api) heartbeat(w http.ResponseWriter, r *http.Request) {
 	in, err := readInstance(w, r)
 	if err != nil {
@@ -115,7 +115,7 @@
 	return call.instance(mux.Vars(r)["id"])
 }
 
-// remove handles DELETE /instances/{id}: a host ends.
+// remove handles DELETE /instances/{id}, with which a host deregisters before it shuts down.
 func (a *api) remove(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), hostCallTimeout)
 	defer cancel()
@@ -126,7 +126,8 @@
 	writeJSON(w, http.StatusOK, struct{}{})
 }
 
-// writeNotReplicated answers a host's call that could not be acknowledged in time.
+// writeNotReplicated answers a host's call that was not replicated to another router in time and so
+// can't be acknowledged.
 func writeNotReplicated(w http.ResponseWriter) {
 	writeError(w, http.StatusServiceUnavailable, "no other router has it yet")
 }
--- a/internal/system/controlapi/pins.go
+++ b/internal/system/controlapi/pins.go
@@ -15,31 +15,32 @@
 )
 
 const (
-	// maxPinBytes bounds the body of an order that changes a pin.
+	// maxPinBytes is the maximum length of the body of an order that changes a pin.
 	maxPinBytes = 16 << 10
-	// pinWaitTimeout is how long a call waits until a change of the pins is in force everywhere.
-	// Then it is answered with 202, and the same order may be sent again after pinRetryAfter.
+	// pinWaitTimeout is how long a call waits for a change of the pins to come into force on all
+	// routers. After that the call is answered with 202, and the caller may send the same order
+	// again after pinRetryAfter.
 	pinWaitTimeout = 8 * time.Second
 	pinRetryAfter  = "0.1" // seconds
 )
 
 // Pins reports when changes of the version pins are in force.
 type Pins interface {
-	// Fenced reports whether an isolated router stops honouring keys. Otherwise a change can't be
-	// in force everywhere.
+	// Fenced reports whether an isolated router stops honouring API keys and pins. If it does not,
+	// a change of the pins can't be known to be in force on every router.
 	Fenced() bool
-	// InForce waits until no router serves by pins from before a revision, which was committed
-	// before a time; ok is false where ctx ended first.
+	// InForce waits until no router applies pins older than a revision. The revision was committed
+	// before the given time. Ok is false if ctx ends first.
 	InForce(ctx context.Context, revision int64, committed time.Time) (ok bool)
-	// Ready counts the hosts that are ready, by what this router knows: those with a version of a
-	// model, and those with other versions of it only.
+	// Ready returns how many ready hosts have a version of a model, and how many have other versions
+	// of it, as far as this router knows.
 	Ready(model string, version int64) (with, without int)
 }
 
 // PinOrder is the body of a call that sets or lifts a pin.
 type PinOrder struct {
-	Tenant  string `json:"tenant,omitempty"` // empty for all
-	Route   string `json:"route,omitempty"`  // empty for all
+	Tenant  string `json:"tenant,omitempty"` // empty for all tenants
+	Route   string `json:"route,omitempty"`  // empty for all routes
 	Model   string `json:"model,omitempty"`
 	Version int64  `json:"version,omitempty"`
 	By      string `json:"by"`
@@ -48,20 +49,20 @@
 
 // PinOutcome is the answer to a call that sets or lifts a pin.
 type PinOutcome struct {
-	Revision int64 `json:"revision"` // of the pins, with the order in it
-	// InForce says that every router serves by the order. Without it the order was accepted and is
-	// to be sent again.
+	Revision int64 `json:"revision"` // revision of the pins that contains the order
+	// InForce reports whether the order is in force on every router. If it is false in a 202 answer,
+	// the order was accepted, and the caller should send it again.
 	InForce bool   `json:"inForce"`
 	Text    string `json:"text,omitempty"`
 }
 
-// rejectedPin is the answer to an order of a pin that the register has rejected.
+// rejectedPin is the body of the answer to an order on a pin that the register has rejected.
 type rejectedPin struct {
 	errorBody
 	PinOutcome
 }
 
-// Pin is a pin in force, or one that was.
+// Pin is a version pin that is or was in force.
 type Pin struct {
 	Name     string    `json:"name"`
 	Tenant   string    `json:"tenant,omitempty"`
@@ -72,22 +73,22 @@
 	Why      string    `json:"why"`
 	SetAt    time.Time `json:"setAt"`
 	Revision int64     `json:"revision"`
-	Hosts    *PinHosts `json:"hosts,omitempty"` // of a pin in force
+	Hosts    *PinHosts `json:"hosts,omitempty"` // only for a pin in force
 }
 
-// PinHosts counts the ready hosts of a pin's model, by what the router knows that answers.
+// PinHosts counts the ready hosts of a pin's model, as far as the answering router knows them.
 type PinHosts struct {
-	Ready         int `json:"ready"`  // with the version
-	OtherVersions int `json:"others"` // with other versions of the model only
+	Ready         int `json:"ready"`  // hosts with the pin's version
+	OtherVersions int `json:"others"` // hosts with other versions of the model
 }
 
-// PinList is the answer to GET /pins.
+// PinList is the body of the answer to GET /pins.
 type PinList struct {
 	Revision int64 `json:"revision"`
 	Pins     []Pin `json:"pins"`
 }
 
-// PinChange is a pin that was set or lifted.
+// PinChange records that a pin was set or lifted, by whom and why.
 type PinChange struct {
 	Revision int64     `json:"revision"`
 	Lifted   bool      `json:"lifted"`
@@ -97,7 +98,7 @@
 	At       time.Time `json:"at"`
 }
 
-// PinHistory is the answer to GET /pins/history, the oldest change first.
+// PinHistory is the body of the answer to GET /pins/history. The oldest change is first.
 type PinHistory struct {
 	Changes []PinChange `json:"changes"`
 }
@@ -116,7 +117,7 @@
 	}
 }
 
-// listPins handles GET /pins.
+// listPins handles GET /pins. It answers with the pins in force and counts of their hosts.
 func (a *api) listPins(w http.ResponseWriter, r *http.Request) {
 	stored, ok := a.readStored(w, r)
 	if !ok {
@@ -132,7 +133,7 @@
 	writeJSON(w, http.StatusOK, list)
 }
 
-// pinHistory handles GET /pins/history.
+// pinHistory handles GET /pins/history. It answers with the changes of pins that the register keeps.
 func (a *api) pinHistory(w http.ResponseWriter, r *http.Request) {
 	stored, ok := a.readStored(w, r)
 	if !ok {
@@ -152,8 +153,8 @@
 	writeJSON(w, http.StatusOK, history)
 }
 
-// changePin handles PUT and DELETE /pins/{name}. The order is acknowledged with 200 once it is in
-// force on every router.
+// changePin handles PUT and DELETE /pins/{name}. It answers 200 only once the order is in force on
+// every router.
 func (a *api) changePin(kind message.Order_Kind) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		order, err := readPinOrder(w, r, kind)
@@ -173,7 +174,8 @@
 	}
 }
 
-// readPinOrder reads a call and checks all that can be checked without the configuration.
+// readPinOrder reads the order of a call. It validates everything that can be validated without the
+// configuration.
 func readPinOrder(w http.ResponseWriter, r *http.Request, kind message.Order_Kind) (*message.Order, error) {
 	text, err := readBody(w, r, maxPinBytes)
 	if err != nil {
@@ -217,7 +219,9 @@
 	return pins.Check(pin)
 }
 
-// answerPinOrder answers an order that the register has decided on by a time, once it is in force.
+// answerPinOrder answers an order after the register's decision. If the register has accepted the
+// order, answerPinOrder waits until it is in force on every router, for at most pinWaitTimeout. The
+// register decided before the time committed.
 func (a *api) answerPinOrder(w http.ResponseWriter, r *http.Request, outcome *message.OrderReply, committed time.Time) {
 	out := PinOutcome{Revision: outcome.Version, Text: outcome.Text}
 	if outcome.Status != http.StatusOK {
--- a/internal/system/controlapi/pins_test.go
+++ b/internal/system/controlapi/pins_test.go
@@ -37,8 +37,8 @@
 	is.Equal(f.orders[1].Kind, message.Order_PIN_LIFT)
 }
 
-// An order that is accepted and not in force yet is not acknowledged: the caller is to send it
-// again.
+// An order that was accepted but does not come into force in time is answered with 202 and a
+// Retry-After, because the caller should send it again.
 func TestPinNotYetInForceIsAccepted(t *testing.T) {
 	is := is.New(t)
 	f := &fakeRouter{reply: &message.OrderReply{Status: 200, Version: 5}, neverInForce: true}
@@ -48,7 +48,7 @@
 	is.Equal(w.Body.String(), `{"revision":5,"inForce":false}`)
 }
 
-// A rejection of the register is passed on with the reason; nothing is waited for.
+// A rejection by the register is answered at once with the register's reason.
 func TestRejectedPinKeepsTheReason(t *testing.T) {
 	for _, status := range []int32{400, 404, 409, 412} {
 		is := is.New(t)
@@ -66,8 +66,7 @@
 	}
 }
 
-// Calls that can't be used are rejected with a line that names the field, before the register is
-// asked.
+// An invalid call is rejected with a line that names the invalid field, without asking the register.
 func TestInvalidPinIsRejectedWithoutTheRegister(t *testing.T) {
 	for name, c := range map[string]struct{ method, path, body, ifMatch, want string }{
 		"no JSON":            {http.MethodPut, "/pins/p", `{"tenant":`, "0", "not a pin"},
@@ -90,7 +89,7 @@
 	}
 }
 
-// Where an isolated router would go on honouring keys, pins are rejected.
+// Orders on pins are rejected if an isolated router would continue to honour keys and pins.
 func TestPinsNeedTheRevocationFence(t *testing.T) {
 	is := is.New(t)
 	f := &fakeRouter{reply: &message.OrderReply{Status: 200}, unfenced: true}
@@ -100,7 +99,7 @@
 	is.Equal(len(f.orders), 0)
 }
 
-// The pins in force, and what became of pins before.
+// The pins in force and the history of changes are read from the register.
 func TestPinsAndTheirHistoryAreRead(t *testing.T) {
 	is := is.New(t)
 	pin := &message.Pin{Name: "p", Tenant: "x", Model: "m", Version: 3, By: "ann", Why: "trial", SetAtMs: 1000, Revision: 1}
--- a/internal/system/controlapi/register.go
+++ b/internal/system/controlapi/register.go
@@ -10,8 +10,8 @@
 	"reachspread/internal/system/message"
 )
 
-// submitOrder has the register decide on an order. Where it has not within operatorCallTimeout, the
-// call is answered here and ok is false.
+// submitOrder submits an order to the register and returns its decision. If there is none within
+// operatorCallTimeout, submitOrder answers the call with an error and ok is false.
 func (a *api) submitOrder(w http.ResponseWriter, r *http.Request, order *message.Order) (outcome *message.OrderReply, ok bool) {
 	data, err := proto.Marshal(order)
 	if err != nil {
@@ -33,8 +33,9 @@
 	return outcome, true
 }
 
-// readRegister reads the register's state unless it is that of a known sequence. Where that fails,
-// the call is answered here and ok is false.
+// readRegister reads the register's state. If known is the sequence number of the newest state, the
+// reply has Unchanged set and contains no state. If the read fails, readRegister answers the call
+// with an error and ok is false.
 func (a *api) readRegister(w http.ResponseWriter, r *http.Request, known uint64) (reply *coordpb.Reply, ok bool) {
 	ctx, cancel := context.WithTimeout(r.Context(), operatorCallTimeout)
 	defer cancel()
@@ -46,8 +47,8 @@
 	return reply, true
 }
 
-// readStored reads the register's complete state. Where that fails, the call is answered here and
-// ok is false.
+// readStored reads the register's complete state. If the read fails, readStored answers the call
+// with an error and ok is false.
 func (a *api) readStored(w http.ResponseWriter, r *http.Request) (stored *message.Stored, ok bool) {
 	const none = 0
 	reply, ok := a.readRegister(w, r, none)
@@ -57,8 +58,8 @@
 	return decodeStored(w, reply)
 }
 
-// decodeStored decodes the state of a reply. Where that fails, the call is answered here and ok is
-// false.
+// decodeStored decodes the state in a reply. If that fails, decodeStored answers the call with an
+// error and ok is false.
 func decodeStored(w http.ResponseWriter, reply *coordpb.Reply) (stored *message.Stored, ok bool) {
 	stored = &message.Stored{}
 	if err := proto.Unmarshal(reply.Reply, stored); err != nil {
--- a/internal/system/controlclient/controlclient.go
+++ b/internal/system/controlclient/controlclient.go
@@ -7,30 +7,31 @@
 	"net/http"
 )
 
-// Call is one call.
+// Call is one call of the control plane's API.
 type Call struct {
-	Address string // of a router's control plane
+	Address string // address of a router's control plane
 	Method  string
 	Path    string
 	IfMatch string // the version that an order builds on, empty for none
 	Body    []byte
 }
 
-// Answer is what a router answered, with whatever status.
+// Answer is a router's answer to a call, whatever its status.
 type Answer struct {
 	Code   int
 	Status string // code and text
-	Text   []byte // maxAnswerBytes at most
+	Text   []byte // body, cut after maxAnswerBytes
 }
 
-// maxAnswerBytes bounds what is read of an answer. The rest is dropped.
+// maxAnswerBytes is how many bytes of an answer's body are read. The rest is dropped.
 const maxAnswerBytes = 64 << 20
 
-// client keeps no connection: the next call may go to another incarnation at the same address.
+// client keeps no connections open between calls, because the next call may reach another
+// incarnation of the router at the same address.
 var client = http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
-// Do makes the call once, until ctx ends. An error says that there was no complete answer: the call
-// may have had its effect.
+// Do makes the call once and returns the answer. It gives up when ctx ends. After an error there was
+// no complete answer, but the call may have taken effect.
 func Do(ctx context.Context, c Call) (*Answer, error) {
 	request, err := http.NewRequestWithContext(ctx, c.Method, "http://"+c.Address+c.Path, bytes.NewReader(c.Body))
 	if err != nil {
--- a/internal/system/controlclient/controlclient_test.go
+++ b/internal/system/controlclient/controlclient_test.go
@@ -26,7 +26,7 @@
 	is.Equal(string(answer.Text), "PUT /configuration 5 x")
 }
 
-// An answer that breaks off is none.
+// Do returns an error if the connection breaks during the answer.
 func TestInterruptedAnswerIsAnError(t *testing.T) {
 	is := is.New(t)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/system/controlclient/doc.go
+++ b/internal/system/controlclient/doc.go
@@ -1,5 +1,6 @@
-// Package controlclient makes one call of the control plane's HTTP API, as hosts and operators do.
+// Package controlclient makes single calls of the control plane's HTTP API, as hosts and operators
+// do.
 //
-// It has no state and retries nothing: whether and where a call whose outcome is unknown is made
-// again is the caller's decision (see package controlapi for when that is safe).
+// It has no state and does not retry. The caller decides whether and where to repeat a call whose
+// outcome is unknown. Package controlapi describes when that is safe.
 package controlclient
