--- a/internal/system/controlapi/instances.go
+++ b/internal/system/controlapi/instances.go
@@ -115,7 +115,7 @@
 	return call.instance(mux.Vars(r)["id"])
 }
 
-// remove handles DELETE /instances/{id}, with which a host deregisters before it shuts down.
+// remove handles DELETE /instances/{id}, with which a host reports that it shuts down.
 func (a *api) remove(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), hostCallTimeout)
 	defer cancel()
--- a/internal/system/metrics/doc.go
+++ b/internal/system/metrics/doc.go
@@ -1,7 +1,7 @@
-// Package metrics writes a router's status as figures in the text format that Prometheus and its
-// likes scrape.
+// Package metrics writes a router's status as metrics in the text format that Prometheus and
+// compatible tools scrape.
 //
-// It has no state and costs nothing until somebody scrapes: each scrape converts the status that it
-// is given. The names, units and meanings of the figures are in their help texts, and in
-// docs/operators/control.md.
+// It has no state and costs nothing between scrapes, because each scrape converts the current
+// status. The help texts and docs/operators/control.md state the names, units and meanings of the
+// metrics.
 package metrics
--- a/internal/system/metrics/families.go
+++ b/internal/system/metrics/families.go
@@ -5,13 +5,13 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// label is a label of a sample.
+// label is the name and the value of a label of a sample.
 type label struct{ name, value string }
 
-// families collects the figures of a scrape, in the order in which they are written.
+// families collects the metric families of a scrape, in the order in which they are written.
 type families struct{ all []*dto.MetricFamily }
 
-// family is a figure with a sample for each set of labels.
+// family is a metric with one sample for each set of labels.
 type family struct {
 	out  *dto.MetricFamily
 	kind dto.MetricType
@@ -23,15 +23,15 @@
 	return &family{out, kind}
 }
 
-// counter is a figure that only grows while the process lives; its name ends with _total.
+// counter adds a metric that only increases while the process runs. Its name must end with _total.
 func (f *families) counter(name, help string) *family {
 	return f.add(name, help, dto.MetricType_COUNTER)
 }
 
-// gauge is a figure that goes up and down.
+// gauge adds a metric whose value may increase and decrease.
 func (f *families) gauge(name, help string) *family { return f.add(name, help, dto.MetricType_GAUGE) }
 
-// sample adds a value.
+// sample adds a sample with a value and its labels.
 func (f *family) sample(value float64, labels ...label) {
 	m := &dto.Metric{}
 	for _, l := range labels {
@@ -45,14 +45,14 @@
 	f.out.Metric = append(f.out.Metric, m)
 }
 
-// age adds a time in seconds unless that is unknown.
+// age adds a sample with a time in seconds, or none if the time is unknown (nil).
 func (f *family) age(seconds *float64, labels ...label) {
 	if seconds != nil {
 		f.sample(*seconds, labels...)
 	}
 }
 
-// oneIf is 1 for true and 0 for false.
+// oneIf returns 1 if a condition is true and 0 if it is false.
 func oneIf(condition bool) float64 {
 	if condition {
 		return 1
@@ -60,5 +60,5 @@
 	return 0
 }
 
-// prefix begins all names.
+// prefix is the prefix of the names of all metrics.
 const prefix = "reachspread_"
--- a/internal/system/metrics/forms_test.go
+++ b/internal/system/metrics/forms_test.go
@@ -14,8 +14,8 @@
 	"reachspread/internal/testbed/formtest"
 )
 
-// fill gives each field of a value something to tell: one item in lists and maps, a number for
-// numbers, a word for texts.
+// fill sets each field of a value, so that each metric has a sample. Slices and maps get one
+// element, numbers the value 2 and strings a word.
 func fill(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Pointer:
@@ -45,11 +45,12 @@
 	case reflect.Float64:
 		v.SetFloat(2)
 	default:
-		panic("no value for " + v.Kind().String())
+		panic("fill supports no values of kind " + v.Kind().String())
 	}
 }
 
-// The figures that a scraper reads have the same names, types and labels, in the same order.
+// The names, types, labels and order of the metrics are unchanged, so that dashboards and alerts
+// still work.
 func TestFiguresAreUnchanged(t *testing.T) {
 	s := &status.Router{}
 	fill(reflect.ValueOf(s).Elem())
--- a/internal/system/metrics/metrics.go
+++ b/internal/system/metrics/metrics.go
@@ -10,14 +10,14 @@
 	"reachspread/internal/system/status"
 )
 
-// Path is where a router serves its figures, on its readiness address.
+// Path is the HTTP path of the metrics on a router's readiness address.
 const Path = "/metrics"
 
-// ContentType is the content type of the text.
+// ContentType is the content type of the text that Write writes.
 const ContentType = "text/plain; version=0.0.4; charset=utf-8"
 
-// Write writes the figures of a router. A figure without a sample is left out. The error is that of
-// w.
+// Write writes the metrics of a router's status to w. It omits metrics without samples. The error is
+// that of w.
 func Write(w io.Writer, s *status.Router) error {
 	f := &families{}
 	f.router(s)
--- a/internal/system/metrics/metrics_test.go
+++ b/internal/system/metrics/metrics_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// What is written can be read by the format's own parser, and has the status' figures.
+// The Prometheus parser can parse the output, and the output contains the values of the status.
 func TestFiguresAreParsedByThePrometheusParser(t *testing.T) {
 	is := is.New(t)
 	var text bytes.Buffer
@@ -56,12 +56,12 @@
 		`reachspread_pin_requests_total{pin="p",version="6",outcome="wrong"} 0`,
 	} {
 		if !strings.Contains(text.String(), line+"\n") {
-			t.Errorf("missing: %s", line)
+			t.Errorf("the output lacks the line: %s", line)
 		}
 	}
 }
 
-// A router that keeps no part of the register, and knows nothing yet, has figures as well.
+// The status of a router that has no replica of the register and knows nothing yet is written too.
 func TestEmptyStatusHasFigures(t *testing.T) {
 	is := is.New(t)
 	var text bytes.Buffer
@@ -70,8 +70,8 @@
 	is.True(!strings.Contains(text.String(), "storage_healthy"))
 }
 
-// BenchmarkWrite is what a scrape costs a router that sees 330 others and 810 hosts, and counts 300
-// kinds and tenants.
+// BenchmarkWrite measures the cost of a scrape of a router that knows 330 other routers and 810 hosts
+// and counts 300 pairs of kind and tenant.
 func BenchmarkWrite(b *testing.B) {
 	s := sample()
 	for i := range 300 {
--- a/internal/system/settings/doc.go
+++ b/internal/system/settings/doc.go
@@ -1,7 +1,8 @@
-// Package settings reads the settings file of a router of the fleet: TOML, whose path is in the
-// environment variable REACHSPREAD_CONFIG.
+// Package settings reads the settings file of a router of the fleet. The file is in TOML, and the
+// environment variable REACHSPREAD_CONFIG holds its path.
 //
-// Load reads and validates the file. Fields that it does not know are ignored, so that a file of a
-// later version can be used; a value that can't be used is a *FieldError in one line. Settings are
-// not changed once they are read: Reload returns new ones, for a process whose file was read again.
+// Load reads and validates the file. It ignores unknown fields, so that a router can read a file for
+// a later version. For an invalid value it returns a *FieldError, whose text is one line. Settings
+// are immutable once they are read. When a process reads the file again, Reload returns new
+// settings.
 package settings
--- a/internal/system/settings/forms_test.go
+++ b/internal/system/settings/forms_test.go
@@ -6,7 +6,7 @@
 	"reachspread/internal/testbed/formtest"
 )
 
-// The settings file of a router has the same fields, with the same types.
+// The fields of the settings file and their types are unchanged, so that existing files still work.
 func TestSettingsFileFormIsUnchanged(t *testing.T) {
 	formtest.Compare(t, "settings-file.txt", formtest.Fields(Settings{}, "toml"))
 	if PathVariable != "REACHSPREAD_CONFIG" {
--- a/internal/system/settings/reload.go
+++ b/internal/system/settings/reload.go
@@ -5,18 +5,18 @@
 	"slices"
 )
 
-// reloadable are the fields that a running process applies when its settings are read again. The
-// others count from its next start: addresses and files are in use, and one machine of the register
-// must not change what all of them have to have alike.
+// reloadable are the fields that a running process applies when it reloads its settings. The other
+// fields take effect at the next start, because addresses and files are in use, and because one
+// machine of the register must not change a setting that has to be the same on all of them.
 var reloadable = []string{"SeedNodes", "Bounds", "Contracts"}
 
-// startOnlyBounds are the bounds that count from the next start all the same: usage is being
-// counted in windows of that length.
+// startOnlyBounds are the bounds that take effect only at the next start although Bounds is
+// reloadable. A running process counts usage in windows of QuotaWindowS.
 var startOnlyBounds = []string{"QuotaWindowS"}
 
-// Reload returns the settings in force once a process that had s has read others. Applied and
-// deferred name the changed fields, as the file has them: those in force now, and those that count
-// from the next start.
+// Reload returns the settings that are in force after a process with settings s has read new ones.
+// Applied lists the changed fields that are in force now, and deferred lists the changed fields that
+// take effect at the next start. Both use the names in the file.
 func (s *Settings) Reload(read *Settings) (inForce *Settings, applied, deferred []string) {
 	next := *s
 	from, to := reflect.ValueOf(read).Elem(), reflect.ValueOf(&next).Elem()
@@ -40,7 +40,7 @@
 	return &next, applied, deferred
 }
 
-// reload applies the bounds that were read, but for those that count from the next start.
+// reload applies the bounds that were read, except for those in startOnlyBounds.
 func (b *Bounds) reload(read Bounds) (applied, deferred []string) {
 	from, to := reflect.ValueOf(read), reflect.ValueOf(b).Elem()
 	for i := range to.NumField() {
--- a/internal/system/settings/settings.go
+++ b/internal/system/settings/settings.go
@@ -14,42 +14,44 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// PathVariable is the environment variable that holds the file's path.
+// PathVariable is the environment variable that holds the path of the settings file.
 const PathVariable = "REACHSPREAD_CONFIG"
 
-// What a role may serve.
+// The kinds of callers that a role may serve.
 const (
 	ServesClients = "frontend"
 	ServesControl = "control_plane"
 )
 
-// Settings is what a process is told at its start. A process that does not use a field ignores it.
+// Settings are the contents of the settings file. Roles ignore the fields that they do not use.
 type Settings struct {
-	// NodeName names the process for people, in the log and the status.
+	// NodeName is the name of the process in its log and status.
 	NodeName     string `toml:"nodeName" validate:"required,max=64"`
 	Role         string `toml:"role"`
 	MachineClass string `toml:"machineClass"`
-	// Serves is whom the role serves: ServesClients, ServesControl or both.
+	// Serves lists the kinds of callers that the role serves: ServesClients, ServesControl or both.
 	Serves []string `toml:"serves" validate:"dive,required"`
-	// IPAddress is the machine's, under which other routers and hosts reach it.
+	// IPAddress is the address at which other routers and hosts reach the machine.
 	IPAddress string `toml:"ipAddress" validate:"required,ipv4"`
 	Zone      string `toml:"zone" validate:"required,max=64"`
 	Region    string `toml:"region"`
-	// InternalPortRange is the first and the last port for other routers; the first is used.
+	// InternalPortRange is the first and the last of the ports for calls between routers. Only the
+	// first port is used.
 	InternalPortRange []int `toml:"internalPortRange" validate:"len=2,dive,min=1,max=65535"`
-	// SeedNodes are routers to ask for the fleet, by their control plane's addresses. The port for
-	// other routers is InternalPort, as it is everywhere.
+	// SeedNodes are the control plane addresses of routers from which this router discovers the
+	// fleet. Their port for other routers is InternalPort, which is the same on all machines.
 	SeedNodes []string `toml:"seedNodes" validate:"max=64,dive,hostname_port"`
-	// FirstStart says that the fleet is founded with this start: the register may begin empty.
+	// FirstStart reports whether this is the first start of the fleet, so that the register may
+	// start empty.
 	FirstStart bool `toml:"firstStart"`
-	// CountsForQuorum says that the machine may be a member of the register.
+	// CountsForQuorum reports whether the machine may be a member of the register.
 	CountsForQuorum bool `toml:"countsForQuorum"`
-	// DataDirectory is a folder on a disk that outlives the process; empty for none.
+	// DataDirectory is a folder on a disk that outlives the process. It is empty if there is none.
 	DataDirectory string `toml:"dataDirectory"`
-	// HeartbeatIntervalMs is the time between two heartbeats of a host, in ms; 0 for a second.
+	// HeartbeatIntervalMs is the time between two heartbeats of a host, in ms. 0 means one second.
 	HeartbeatIntervalMs int      `toml:"heartbeatIntervalMs" validate:"min=0,max=3600000"`
 	Contracts           []string `toml:"contracts"`
-	// Zones are all zones that may have routers or hosts, each with its region.
+	// Zones maps each zone that may have routers or hosts to its region.
 	Zones           map[string]string `toml:"zones"`
 	ListenAddresses ListenAddresses   `toml:"listenAddresses"`
 	Limits          Limits            `toml:"limits"`
@@ -57,33 +59,34 @@
 	Bounds          Bounds            `toml:"bounds"`
 }
 
-// ListenAddresses are the addresses of what a role serves, each empty where it does not.
+// ListenAddresses are the addresses on which a role listens. An address is empty if the role does
+// not serve its callers.
 type ListenAddresses struct {
-	Frontend     string `toml:"frontend" validate:"omitempty,hostname_port"`     // for clients
-	Readiness    string `toml:"readiness" validate:"omitempty,hostname_port"`    // with status and metrics
-	ControlPlane string `toml:"controlPlane" validate:"omitempty,hostname_port"` // for hosts and operators
+	Frontend     string `toml:"frontend" validate:"omitempty,hostname_port"`     // requests of clients
+	Readiness    string `toml:"readiness" validate:"omitempty,hostname_port"`    // readiness, status and metrics
+	ControlPlane string `toml:"controlPlane" validate:"omitempty,hostname_port"` // calls of hosts and operators
 }
 
-// Limits is what the process may use.
+// Limits are the resources that the process may use.
 type Limits struct {
-	CPUShare        float64 `toml:"cpuShare" validate:"gt=0,lte=1024"`  // of a core
-	CPUCores        int     `toml:"cpuCores" validate:"min=0,max=1024"` // threads at a time; 0 for 1
+	CPUShare        float64 `toml:"cpuShare" validate:"gt=0,lte=1024"`  // processor time in cores
+	CPUCores        int     `toml:"cpuCores" validate:"min=0,max=1024"` // threads that run at a time; 0 means 1
 	MemoryMb        int     `toml:"memoryMb" validate:"min=32"`         // MiB
-	FileDescriptors int     `toml:"fileDescriptors" validate:"min=256"` // files and sockets
-	LinkMbps        float64 `toml:"linkMbps" validate:"gte=0"`          // 10^6 bits a second
+	FileDescriptors int     `toml:"fileDescriptors" validate:"min=256"` // open files and sockets
+	LinkMbps        float64 `toml:"linkMbps" validate:"gte=0"`          // 10^6 bits per second
 	DiskMb          int     `toml:"diskMb" validate:"min=0"`            // MiB
 }
 
-// FaultTolerance is how many of each may be lost at once.
+// FaultTolerance is how many machines, zones and regions may fail at once.
 type FaultTolerance struct {
 	Machines int `toml:"machines" validate:"min=0,max=64"`
 	Zones    int `toml:"zones" validate:"min=0,max=64"`
 	Regions  int `toml:"regions" validate:"min=0,max=64"`
 }
 
-// Bounds are the objectives of the service. Times are in the unit that their names end in, and 0 is
-// no bound. docs/design/system.md says what meets each; those without a comment are met without
-// being read.
+// Bounds are the objectives that the service has to meet. The name of a time ends with its unit.
+// 0 means no bound. docs/design/system.md describes how the fleet meets each bound. It meets those
+// without a comment without reading them.
 type Bounds struct {
 	SeedDelayS    float64 `toml:"seedLagS" validate:"gte=0"`
 	ReuseAfterS   float64 `toml:"reuseAfterS" validate:"gte=0"`
@@ -94,47 +97,48 @@
 	// GraceS is the time from SIGTERM until the platform kills the process.
 	GraceS      float64 `toml:"graceS" validate:"gte=0"`
 	LossSlackMs float64 `toml:"lossSlackMs" validate:"gte=0"`
-	// ConfigurationApplyMs is the time within which a committed configuration is in force on every
-	// router. One whose configuration was not confirmed for so long rejects nothing by it.
+	// ConfigurationApplyMs is the time within which a committed configuration has to be in force on
+	// every router. A router whose configuration was not confirmed for that long does not deny
+	// requests by it.
 	ConfigurationApplyMs float64 `toml:"configurationApplyMs" validate:"gte=0"`
 	RollbackSlackMs      float64 `toml:"rollbackSlackMs" validate:"gte=0"`
 	MaxStretchMs         float64 `toml:"maxStretchMs" validate:"gte=0"`
-	// RevocationClosed says that a router stops honouring API keys and version pins when its
-	// configuration was not confirmed for RevocationMs. That makes a revoked key invalid
-	// everywhere, at the price that an isolated router rejects all requests with keys.
+	// RevocationClosed makes a router stop honouring API keys and version pins when its
+	// configuration was not confirmed for RevocationMs. A revoked key is then invalid on every
+	// router, but an isolated router rejects all requests with keys.
 	RevocationClosed bool    `toml:"revocationClosed"`
 	RevocationMs     float64 `toml:"revocationMs" validate:"gte=0"`
-	// RetryBudgetRatio is how many retries a first attempt allows; RetryBudgetSlack is how many the
-	// whole fleet may make beyond that.
+	// RetryBudgetRatio is the number of retries that each first attempt allows. RetryBudgetSlack is
+	// the number of retries that the whole fleet may make beyond that.
 	RetryBudgetRatio float64 `toml:"retryBudgetRatio" validate:"gte=0"`
 	RetryWindowS     float64 `toml:"retryWindowS" validate:"gte=0"`
 	RetryBudgetSlack float64 `toml:"retryBudgetSlack" validate:"gte=0"`
-	// QuotaWindowS is the window in which tenants' usage is bounded. QuotaOvershoot is the fraction
-	// of the limit by which usage may exceed it, and QuotaSlack tokens that may be used beyond
-	// that.
+	// QuotaWindowS is the length of the window in which tenants' usage is limited. QuotaOvershoot is
+	// the fraction of the limit by which usage may exceed the limit, and QuotaSlack is the number of
+	// tokens that may be used beyond that.
 	QuotaWindowS   float64 `toml:"quotaWindowS" validate:"gte=0"`
 	QuotaOvershoot float64 `toml:"quotaOvershoot" validate:"gte=0"`
 	QuotaSlack     float64 `toml:"quotaSlack" validate:"gte=0"`
 	RecoveryS      float64 `toml:"recoveryS" validate:"gte=0"`
 }
 
-// FieldError is a field that can't be used.
+// FieldError reports a field that has an invalid value.
 type FieldError struct {
-	Field  string // as it is written in the file
-	Reason string // what is wrong with it, and what it must be
+	Field  string // name of the field in the file
+	Reason string // what is wrong with the value, and which values are allowed
 }
 
-// Error implements error, in one line.
+// Error implements error. The text is one line.
 func (e *FieldError) Error() string { return "settings: " + e.Field + ": " + e.Reason }
 
-// ErrNoPath says that the environment names no settings file.
+// ErrNoPath is returned by Load if PathVariable is not set.
 var ErrNoPath = errors.New("settings: " + PathVariable + " is not set; it must hold the path of the settings file")
 
-// defaultCPUCores is that of a file that has none.
+// defaultCPUCores is the value of cpuCores if the file does not set it.
 const defaultCPUCores = 1
 
-// Load reads and validates the file that the environment names. The error is ErrNoPath, of reading
-// the file, or a *FieldError.
+// Load reads and validates the file at the path in PathVariable. The error is ErrNoPath, a wrapped
+// error of os.ReadFile, or a *FieldError.
 func Load(getenv func(string) string) (*Settings, error) {
 	path := getenv(PathVariable)
 	if path == "" {
@@ -159,7 +163,8 @@
 	return s, s.check()
 }
 
-// parseError names the line, the column and the field that could not be decoded.
+// parseError returns a *FieldError with the line, the column and the field that could not be
+// decoded.
 func parseError(err error) error {
 	var decode *toml.DecodeError
 	if errors.As(err, &decode) {
@@ -189,24 +194,24 @@
 		return validationError(err)
 	}
 	if s.InternalPortRange[0] > s.InternalPortRange[1] {
-		reason := fmt.Sprintf("begins at %d, behind its end %d", s.InternalPortRange[0], s.InternalPortRange[1])
+		reason := fmt.Sprintf("begins at %d, after its end %d", s.InternalPortRange[0], s.InternalPortRange[1])
 		return &FieldError{"internalPortRange", reason}
 	}
 	if s.ServesRole(ServesClients) && s.ListenAddresses.Frontend == "" {
-		return &FieldError{"listenAddresses.frontend", "is empty, and the role serves " + ServesClients}
+		return &FieldError{"listenAddresses.frontend", "is empty; it must be set because the role serves " + ServesClients}
 	}
 	if s.ServesRole(ServesControl) && s.ListenAddresses.ControlPlane == "" {
-		return &FieldError{"listenAddresses.controlPlane", "is empty, and the role serves " + ServesControl}
+		return &FieldError{"listenAddresses.controlPlane", "is empty; it must be set because the role serves " + ServesControl}
 	}
 	for i, seed := range s.SeedNodes {
 		if _, err := netip.ParseAddrPort(seed); err != nil {
-			return &FieldError{fmt.Sprintf("seedNodes[%d]", i), fmt.Sprintf("%q is not an IPv4 address with a port", seed)}
+			return &FieldError{fmt.Sprintf("seedNodes[%d]", i), fmt.Sprintf("is %q; it must be an IPv4 address with a port", seed)}
 		}
 	}
 	return nil
 }
 
-// validationError names the first field that breaks a rule.
+// validationError returns a *FieldError for the first field that violates a rule.
 func validationError(err error) error {
 	var fields validator.ValidationErrors
 	if !errors.As(err, &fields) || len(fields) == 0 {
@@ -221,24 +226,26 @@
 	return &FieldError{field, fmt.Sprintf("is %v; it must satisfy %s", first.Value(), rule)}
 }
 
-// ServesRole reports whether the role serves callers of a kind.
+// ServesRole reports whether the role serves callers of a kind, which is ServesClients or
+// ServesControl.
 func (s *Settings) ServesRole(kind string) bool { return slices.Contains(s.Serves, kind) }
 
 // HasDisk reports whether the process may store state on a disk.
 func (s *Settings) HasDisk() bool { return s.DataDirectory != "" }
 
-// IP is the machine's address.
+// IP returns the machine's address.
 func (s *Settings) IP() netip.Addr { return netip.MustParseAddr(s.IPAddress) }
 
-// InternalPort is the port for other routers, the same on every machine of a fleet.
+// InternalPort returns the port for calls between routers, which is the same on every machine of a
+// fleet.
 func (s *Settings) InternalPort() uint16 { return uint16(s.InternalPortRange[0]) }
 
-// Internal is where the router of a machine is reached by others.
+// Internal returns the address at which other routers reach the router of a machine.
 func (s *Settings) Internal(ip netip.Addr) netip.AddrPort {
 	return netip.AddrPortFrom(ip, s.InternalPort())
 }
 
-// Seeds are the internal addresses of the seed nodes, in their order.
+// Seeds returns the internal addresses of the seed nodes, in the order of SeedNodes.
 func (s *Settings) Seeds() []netip.AddrPort {
 	var all []netip.AddrPort
 	for _, seed := range s.SeedNodes {
@@ -247,7 +254,7 @@
 	return all
 }
 
-// HeartbeatInterval is the time between two heartbeats of a host.
+// HeartbeatInterval returns the time between two heartbeats of a host.
 func (s *Settings) HeartbeatInterval() time.Duration {
 	if s.HeartbeatIntervalMs == 0 {
 		return defaultHeartbeatInterval
@@ -255,11 +262,11 @@
 	return time.Duration(s.HeartbeatIntervalMs) * time.Millisecond
 }
 
-// defaultHeartbeatInterval is that of a file that has none.
+// defaultHeartbeatInterval is the heartbeat interval if the file does not set it.
 const defaultHeartbeatInterval = time.Second
 
-// Milliseconds is a bound in ms as a duration.
+// Milliseconds converts a bound in milliseconds to a duration.
 func Milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// Seconds is a bound in s as a duration.
+// Seconds converts a bound in seconds to a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/system/settings/settings_test.go
+++ b/internal/system/settings/settings_test.go
@@ -52,7 +52,7 @@
 x = 1
 `
 
-// The file is read, and unknown fields are ignored.
+// Parse reads a file and ignores its unknown fields.
 func TestParseIgnoresUnknownFields(t *testing.T) {
 	is := is.New(t)
 	s, err := Parse([]byte(validFile))
@@ -65,14 +65,14 @@
 	is.Equal(Milliseconds(s.Bounds.DrainMs), 2*time.Second)
 }
 
-// A value that can't be used is one line that names its field.
+// The error for an invalid value is one line that names the field.
 func TestInvalidValueNamesTheField(t *testing.T) {
 	for name, c := range map[string]struct{ old, new, field string }{
 		"no name":             {`nodeName = "frontend-a-1"`, ``, "nodeName"},
 		"no address":          {`ipAddress = "10.1.0.14"`, ``, "ipAddress"},
 		"an address of IPv6":  {`ipAddress = "10.1.0.14"`, `ipAddress = "::1"`, "ipAddress"},
 		"one port":            {`[7680,7695]`, `[7680]`, "internalPortRange"},
-		"ports turned round":  {`[7680,7695]`, `[7695,7680]`, "internalPortRange"},
+		"ports in reverse":    {`[7680,7695]`, `[7695,7680]`, "internalPortRange"},
 		"port of 0":           {`[7680,7695]`, `[0,7695]`, "internalPortRange[0]"},
 		"seed without a port": {`"10.2.0.32:8665"`, `"10.2.0.32"`, "seedNodes[1]"},
 		"seed by name":        {`"10.2.0.32:8665"`, `"seed.example:8665"`, "seedNodes[1]"},
@@ -92,13 +92,14 @@
 			var field *FieldError
 			is.True(errors.As(err, &field))
 			if !strings.Contains(err.Error(), c.field) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("got %q; it should name %q in one line", err, c.field)
+				t.Errorf("error %q; it should name field %q in one line", err, c.field)
 			}
 		})
 	}
 }
 
-// The environment names the file.
+// Load reads the file at the path in the environment variable, and reports a missing variable or
+// file.
 func TestLoadReadsTheFileOfTheEnvironment(t *testing.T) {
 	is := is.New(t)
 	_, err := Load(func(string) string { return "" })
@@ -113,7 +114,8 @@
 	is.Equal(s.NodeName, "frontend-a-1")
 }
 
-// Of settings that are read again a running process applies what it can, and names the rest.
+// A reload applies the changed fields that a running process can apply, and lists the fields that
+// are deferred to the next start.
 func TestReloadAppliesWhatARunningProcessCan(t *testing.T) {
 	is := is.New(t)
 	before, err := Parse([]byte(validFile))
@@ -125,7 +127,7 @@
 	for old, replacement := range map[string]string{`"10.2.0.32:8665"`: `"10.9.0.32:8665"`, `drainMs = 2000`: `drainMs = 2500`, `quotaWindowS = 8`: `quotaWindowS = 9`,
 		`zone = "a"`: `zone = "b"`, `memoryMb = 284`: `memoryMb = 300`} {
 		changed := strings.Replace(text, old, replacement, 1)
-		is.True(changed != text) // the file has that field
+		is.True(changed != text) // validFile contains the old text
 		text = changed
 	}
 	read, err := Parse([]byte(text))
@@ -140,7 +142,7 @@
 	is.Equal(before.Bounds.DrainMs, 2000.0)
 }
 
-// Whatever the file has, it is read or rejected in one line.
+// Parse either reads a file or returns an error in one line, whatever the file contains.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(validFile))
 	f.Add([]byte("seedNodes = [\"a:1\"]\ninternalPortRange=[1,2]"))
--- a/internal/system/status/doc.go
+++ b/internal/system/status/doc.go
@@ -1,8 +1,8 @@
-// Package status has the types of a router's status, which the router serves at Path on its
-// readiness address and the command line reads. The JSON names are part of the interface to
-// operators and stay; the Go fields have the terms of the code.
+// Package status defines the types of a router's status. The router serves its status at Path on its
+// readiness address, and the command line reads it. The JSON names are part of the interface to
+// operators and must not change; the Go fields have the terms of the code.
 //
-// The package has no state. Times are in seconds, ages are as of the moment of the answer, and
-// counts are since the start of the process. A pointer is nil, and null in JSON, where a router
-// does not know.
+// The package has no state. Times are in seconds. Ages are measured at the time of the answer.
+// Counts start when the process starts. A pointer is nil, and null in JSON, if the router does not
+// know the value.
 package status
--- a/internal/system/status/forms_test.go
+++ b/internal/system/status/forms_test.go
@@ -6,7 +6,8 @@
 	"reachspread/internal/testbed/formtest"
 )
 
-// A router's status has the same fields at the same path, with the same types.
+// The path of a router's status, its fields and their types are unchanged, so that operators' tools
+// still work.
 func TestStatusFormIsUnchanged(t *testing.T) {
 	formtest.Compare(t, "status.txt", formtest.Document([2]string{Path, formtest.Fields(Router{}, "json")}))
 }
