--- a/internal/system/dataplane/callers_test.go
+++ b/internal/system/dataplane/callers_test.go
@@ -66,7 +66,7 @@
 	left     time.Time // when the client disconnected, zero if it did not
 	status   int       // 0 if the client received no complete head
 	body     string
-	complete bool // the answer was complete
+	complete bool // whether the client received the complete answer
 	seal     string
 	answered string // the request ID in the answer
 }
@@ -161,7 +161,7 @@
 	return nil
 }
 
-// faultyHost is a host that answers half of its requests with random faults.
+// faultyHost is a host that treats about half of its requests with a random fault.
 type faultyHost struct {
 	id         string
 	recorder   *recorder
--- a/internal/system/dataplane/intake.go
+++ b/internal/system/dataplane/intake.go
@@ -128,12 +128,13 @@
 	return path
 }
 
-// Served implements transport.Intake.
+// Served implements transport.Intake. It writes the head of a host's answer.
 func (p *Plane) Served(ctx *fasthttp.RequestCtx, s *routing.Stream) {
 	transport.WriteFinal(ctx, transport.FinalOf(s))
 }
 
-// Unserved implements transport.Intake.
+// Unserved implements transport.Intake. It answers a request that no host has served. The router's
+// own answer is 503 only if the request was rejected and can't have executed.
 func (p *Plane) Unserved(ctx *fasthttp.RequestCtx, a routing.Answer) {
 	final, _ := a.ServerAnswer.(*transport.Final)
 	switch {
@@ -148,7 +149,7 @@
 	}
 }
 
-// MaxBody implements transport.Intake.
+// MaxBody implements transport.Intake. It returns the maximum length of a request's body, in bytes.
 func (p *Plane) MaxBody() int {
 	if state := p.state.Load(); state != nil && state.Typed.Limits.MaxBodyBytes > 0 {
 		return state.Typed.Limits.MaxBodyBytes
@@ -156,7 +157,7 @@
 	return defaultMaxBody
 }
 
-// LongHead implements transport.Intake.
+// LongHead implements transport.Intake. It returns the answer to a request whose head is too long.
 func (p *Plane) LongHead() transport.Rejection {
 	return transport.Rejection{Code: http.StatusRequestHeaderFieldsTooLarge, Text: "the head is too long"}
 }
--- a/internal/system/dataplane/pins.go
+++ b/internal/system/dataplane/pins.go
@@ -13,8 +13,8 @@
 	"reachspread/internal/transport"
 )
 
-// pinTracker enforces version pins in the data plane. It makes sure that only hosts of a pin's
-// version serve the requests in the pin's scope, and counts these requests. See
+// pinTracker enforces version pins in the data plane. It ensures that only hosts with a pin's
+// version serve the requests in the pin's scope, and counts those requests. See
 // docs/design/pins.md for the design.
 type pinTracker struct {
 	plane *Plane
@@ -156,7 +156,7 @@
 // resumeVersion returns the version with which a broken stream is resumed, and the feature that its
 // host must have. If a pin applied to the request when it was planned, or applies now, the version
 // is that of the stream's first host, and ok is false if that version is unknown or no host has it.
-// Without a pin any version will do.
+// If no pin applies, the stream may be resumed with any version.
 func (h *pinnedRequest) resumeVersion(first *transport.Final) (version int64, requiredFeature string, ok bool) {
 	pin := h.pin
 	if pin == nil {
--- a/internal/system/metrics/metrics_test.go
+++ b/internal/system/metrics/metrics_test.go
@@ -70,8 +70,8 @@
 	is.True(!strings.Contains(text.String(), "storage_healthy"))
 }
 
-// BenchmarkWrite measures the cost of a scrape of a router that knows 330 other routers and 810 hosts
-// and counts 300 pairs of kind and tenant.
+// BenchmarkWrite measures the cost of a scrape of a router that knows 330 other routers and 810
+// hosts, and counts 300 pairs of kind and tenant.
 func BenchmarkWrite(b *testing.B) {
 	s := sample()
 	for i := range 300 {
--- a/internal/system/settings/settings.go
+++ b/internal/system/settings/settings.go
@@ -198,10 +198,10 @@
 		return &FieldError{"internalPortRange", reason}
 	}
 	if s.ServesRole(ServesClients) && s.ListenAddresses.Frontend == "" {
-		return &FieldError{"listenAddresses.frontend", "is empty; it must be set because the role serves " + ServesClients}
+		return &FieldError{"listenAddresses.frontend", "is empty, and the role serves " + ServesClients}
 	}
 	if s.ServesRole(ServesControl) && s.ListenAddresses.ControlPlane == "" {
-		return &FieldError{"listenAddresses.controlPlane", "is empty; it must be set because the role serves " + ServesControl}
+		return &FieldError{"listenAddresses.controlPlane", "is empty, and the role serves " + ServesControl}
 	}
 	for i, seed := range s.SeedNodes {
 		if _, err := netip.ParseAddrPort(seed); err != nil {
