--- a/internal/system/dataplane/pins_test.go
+++ b/internal/system/dataplane/pins_test.go
@@ -21,16 +21,18 @@
 	modelM = "Model: m"
 )
 
-// versioned is a host that serves a version of model m, and registers another one if it lies.
-type versioned struct {
+// versionedHost is a host that serves a version of model m. It may register another version than
+// the one it serves.
+type versionedHost struct {
 	*host
-	registers int64
+	registered int64
 }
 
-// newVersioned is a host of a version; it heeds Expect-Version.
-func newVersioned(t *testing.T, id string, version, registers int64) versioned {
+// newVersionedHost returns a host that serves a version and registers a possibly different one. The
+// host rejects a request whose Expect-Version header names another version than the one it serves.
+func newVersionedHost(t *testing.T, id string, version, registers int64) versionedHost {
 	t.Helper()
-	return versioned{newHost(t, id, func(r seen) string {
+	return versionedHost{newHost(t, id, func(r received) string {
 		if want := r.Header.Get("Expect-Version"); want != "" && want != fmt.Sprint(version) {
 			return answer(r, http.StatusMisdirectedRequest, "Not-Executed: true\r\n", "")
 		}
@@ -38,19 +40,19 @@
 	}), registers}
 }
 
-// register tells the plane of hosts with their versions.
-func (f *fleet) register(hosts ...versioned) {
+// register passes the plane the hosts with the versions that they register.
+func (f *fleet) register(hosts ...versionedHost) {
 	registry := instances.New(time.Second)
 	var all []*message.Instance
 	for _, h := range hosts {
-		all = append(all, &message.Instance{Id: h.id, Service: "s", Address: h.addr, Zone: "a", Models: []*message.Model{{Name: "m", Version: h.registers}}})
+		all = append(all, &message.Instance{Id: h.id, Service: "s", Address: h.addr, Zone: "a", Models: []*message.Model{{Name: "m", Version: h.registered}}})
 	}
 	registry.Merge(0, all)
-	f.revision += 1000 // of another registry
+	f.revision += 1000 // the revisions of the new registry must differ from those of earlier ones
 	f.plane.SetHosts("s", registry.Revision()+f.revision, registry.Records("s"), 0)
 }
 
-// pin puts pins in force, in place of those before.
+// pin replaces the pins in force.
 func (f *fleet) pin(t *testing.T, all ...*message.Pin) {
 	t.Helper()
 	set := &pins.Set{Revision: f.plane.State().Pins().Revision}
@@ -74,11 +76,11 @@
 	return &message.Pin{Name: "p", Tenant: tenant, Route: route, Model: "m", Version: version}
 }
 
-// Requests in a pin's scope are answered by hosts of its version, and are told of it; others by
-// any.
+// A request in a pin's scope goes to a host of the pin's version, with the version in its
+// Expect-Version header. Other requests go to any host.
 func TestPinnedRequestGoesToItsVersion(t *testing.T) {
 	is := is.New(t)
-	one, two := newVersioned(t, "i-1", 1, 1), newVersioned(t, "i-2", 2, 2)
+	one, two := newVersionedHost(t, "i-1", 1, 1), newVersionedHost(t, "i-2", 2, 2)
 	f := newFleet(t, keyed)
 	f.register(one, two)
 	f.pin(t, pinOf("x", "safe", 2))
@@ -89,24 +91,24 @@
 		is.Equal(a.Header.Get("Versions"), "2")
 	}
 	for _, r := range two.requests() {
-		is.Equal(r.Header.Values("Expect-Version"), []string{"2"}) // the client's own has no say
+		is.Equal(r.Header.Values("Expect-Version"), []string{"2"}) // the client's own header is replaced
 	}
 	for i := range 20 {
 		is.Equal(f.call(t, "/unsafe/", "", keyOne, modelM, fmt.Sprint("Request-Id: b", i)).StatusCode, 200)
 	}
-	is.Equal(held(one, two), 20) // another route
+	is.Equal(countPinned(one, two), 20) // the pin does not apply to another route
 	a := f.call(t, "/safe/", "", keyOne, "Model: other", "Request-Id: c")
-	is.Equal(a.StatusCode, 200) // another model
-	figures := f.plane.Pins()["p"]
-	is.Equal(figures.Requests, uint64(20))
-	is.Equal(figures.Answered[2], uint64(20))
-	is.Equal(figures.WrongVersion, uint64(0))
+	is.Equal(a.StatusCode, 200) // the pin does not apply to another model
+	metrics := f.plane.Pins()["p"]
+	is.Equal(metrics.Requests, uint64(20))
+	is.Equal(metrics.Answered[2], uint64(20))
+	is.Equal(metrics.WrongVersion, uint64(0))
 }
 
-// From the moment on that a pin is set, moved or lifted, requests go by it.
+// As soon as a pin is set, changed or lifted, new requests follow the change.
 func TestChangedPinPlansQueuedRequestsAgain(t *testing.T) {
 	is := is.New(t)
-	one, two := newVersioned(t, "i-1", 1, 1), newVersioned(t, "i-2", 2, 2)
+	one, two := newVersionedHost(t, "i-1", 1, 1), newVersionedHost(t, "i-2", 2, 2)
 	f := newFleet(t, keyed)
 	f.register(one, two)
 	for round := range 10 {
@@ -119,16 +121,16 @@
 		}
 	}
 	f.pin(t)
-	before := held(one, two)
+	before := countPinned(one, two)
 	for i := range 20 {
 		is.Equal(f.call(t, "/unsafe/", "", keyOne, modelM, fmt.Sprint("Request-Id: e", i)).StatusCode, 200)
 	}
-	is.Equal(held(one, two), before) // to no version any more
+	is.Equal(countPinned(one, two), before) // the requests after the pin was lifted name no version
 	is.Equal(len(f.plane.Pins()), 0)
 }
 
-// held is how many requests came to hosts with a version that they were to have.
-func held(hosts ...versioned) (n int) {
+// countPinned returns how many requests hosts received with an Expect-Version header.
+func countPinned(hosts ...versionedHost) (n int) {
 	for _, h := range hosts {
 		for _, r := range h.requests() {
 			if r.Header.Get("Expect-Version") != "" {
@@ -139,12 +141,12 @@
 	return n
 }
 
-// Where no host has the version, requests are refused at once, with a time to return and a reason;
-// others are served.
+// If no host has the pin's version, requests in the pin's scope are rejected at once, with a
+// Retry-After and a reason. Other requests are served.
 func TestRejectedWithoutAHostOfTheVersion(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, keyed)
-	f.register(newVersioned(t, "i-1", 1, 1))
+	f.register(newVersionedHost(t, "i-1", 1, 1))
 	f.pin(t, pinOf("x", "safe", 2))
 	a := f.call(t, "/safe/", "", keyOne, modelM)
 	is.Equal(a.StatusCode, 503)
@@ -155,46 +157,46 @@
 	is.Equal(with, 0)
 	is.Equal(without, 1)
 	is.Equal(f.plane.Pins()["p"].Rejected, uint64(1))
-	is.Equal(f.quotas.put > 0, true) // what was refused takes nothing of the tenant's quota
+	is.Equal(f.quotas.put > 0, true) // the units of the rejected request are returned to the tenant's quota
 }
 
-// A host that registers a version which it does not have has not run the request, and another one
-// serves it.
+// A host that registers a version which it does not serve rejects the request without executing it,
+// and another host serves the request.
 func TestAnotherHostServesWhereARegistrationIsWrong(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, keyed)
-	liar, honest := newVersioned(t, "i-1", 1, 2), newVersioned(t, "i-2", 2, 2)
-	f.register(liar, honest)
+	wrong, right := newVersionedHost(t, "i-1", 1, 2), newVersionedHost(t, "i-2", 2, 2)
+	f.register(wrong, right)
 	f.pin(t, pinOf("x", "", 2))
 	for i := range 20 {
 		a := f.call(t, "/unsafe/", "", keyOne, modelM, fmt.Sprint("Request-Id: a", i))
 		is.NoErr(a.err)
 		is.Equal(a.body, "v2")
 	}
-	is.True(len(liar.requests()) > 0)
+	is.True(len(wrong.requests()) > 0)
 }
 
-// Hosts that turn pinned requests away, answer them with another version, or roll in their streams
-// are not in trouble: traffic out of scope has them as before.
+// A host that rejects pinned requests, answers them with another version, or changes its version
+// during a stream does not count as failing. It still gets the requests outside the pin's scope.
 func TestPinsLeaveOtherRequestsAlone(t *testing.T) {
-	head := func(r seen, versions string, events ...string) string {
+	head := func(r received, versions string, events ...string) string {
 		return strings.Replace(stream(r, events...), "Content-Type:", versions+"Content-Type:", 1)
 	}
 	for _, c := range []struct {
 		name, path string
-		pinned     func(r seen) string // what a host answers to a pinned request
+		pinned     func(r received) string // returns a host's answer to a pinned request
 	}{
-		{"turned away", "/unsafe/", func(r seen) string { return answer(r, 421, "Not-Executed: true\r\n", "") }},
-		{"another version", "/safe/", func(r seen) string { return answer(r, 200, "Versions: 1\r\n", "v1") }},
-		{"a stream of another version", "/stream/", func(r seen) string { return head(r, "Versions: 1\r\n", event(1, "a"), "") }},
-		{"rolled in the stream", "/stream/", func(r seen) string {
+		{"rejected", "/unsafe/", func(r received) string { return answer(r, 421, "Not-Executed: true\r\n", "") }},
+		{"another version", "/safe/", func(r received) string { return answer(r, 200, "Versions: 1\r\n", "v1") }},
+		{"a stream of another version", "/stream/", func(r received) string { return head(r, "Versions: 1\r\n", event(1, "a"), "") }},
+		{"another version during the stream", "/stream/", func(r received) string {
 			return head(r, "Versions: 2\r\n", event(1, "a"), "versions: 3\n"+event(2, "b"), "")
 		}},
-		{"rolled in the first event", "/stream/", func(r seen) string { return head(r, "Versions: 2\r\n", "versions: 3\n"+event(1, "b"), "") }},
+		{"another version in the first event", "/stream/", func(r received) string { return head(r, "Versions: 2\r\n", "versions: 3\n"+event(1, "b"), "") }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			h := versioned{newHost(t, "i-1", func(r seen) string {
+			h := versionedHost{newHost(t, "i-1", func(r received) string {
 				if r.Header.Get("Expect-Version") != "" {
 					return c.pinned(r)
 				}
@@ -209,71 +211,73 @@
 				is.Equal(a.body, "served")
 			}
 			if log := f.log.text(); log != "" {
-				t.Errorf("staff are told: %s", log)
+				t.Errorf("warnings were logged: %s; want none", log)
 			}
 		})
 	}
 }
 
-// An answer that does not say its version, or says another one, never reaches the client.
+// An answer that does not state its version, or states another version than the pin's, never
+// reaches the client.
 func TestAnswerOfAnotherVersion(t *testing.T) {
-	for _, c := range []struct{ name, header string }{{"none", ""}, {"another", "Versions: 1\r\n"}, {"no number", "Versions: two\r\n"}} {
+	for _, c := range []struct{ name, header string }{{"none", ""}, {"another", "Versions: 1\r\n"}, {"not a number", "Versions: two\r\n"}} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			wrong := versioned{newHost(t, "i-1", func(r seen) string { return answer(r, 200, c.header, "wrong") }), 2}
-			right := newVersioned(t, "i-2", 2, 2)
+			wrong := versionedHost{newHost(t, "i-1", func(r received) string { return answer(r, 200, c.header, "wrong") }), 2}
+			right := newVersionedHost(t, "i-2", 2, 2)
 			f := newFleet(t, keyed)
 			f.register(wrong, right)
 			f.pin(t, pinOf("x", "", 2))
 			for i := range 10 {
 				a := f.call(t, "/safe/", "", keyOne, modelM, fmt.Sprint("Request-Id: a", i))
 				is.NoErr(a.err)
-				is.Equal(a.body, "v2") // another host is asked
+				is.Equal(a.body, "v2") // the request is sent to another host
 			}
 			f.register(wrong)
 			a := f.call(t, "/unsafe/", "", keyOne, modelM, "Request-Id: b")
-			is.Equal(a.StatusCode, 502) // it has run, and may run once
+			is.Equal(a.StatusCode, 502) // the request was executed, and may be executed only once
 			is.Equal(f.plane.Pins()["p"].WrongVersion, uint64(0))
 		})
 	}
 }
 
-// A host that rolls its weights in the middle of a stream: the client gets events of the chosen
-// version alone, to the end from another host where the route allows it, and else a visible end.
+// A host loads another version during a stream. The client gets only events of the pinned version.
+// If the route allows resumption, another host completes the stream; otherwise the client sees that
+// the stream was cut.
 func TestHostRolledDuringAStream(t *testing.T) {
 	rolled := func(id int) string { return fmt.Sprintf("versions: 3\nid: %d\ndata: new\n\n", id) }
-	head := func(r seen, events ...string) string {
+	head := func(r received, events ...string) string {
 		return strings.Replace(stream(r, events...), "Content-Type:", "Versions: 2\r\nContent-Type:", 1)
 	}
 	for _, c := range []struct {
 		path, body string
-		whole      bool
+		complete   bool
 	}{
 		{"/stream/", event(1, "a"), false},
 		{"/resumed/", event(1, "a") + event(2, "b") + event(3, "c"), true},
 	} {
 		t.Run(c.path, func(t *testing.T) {
 			is := is.New(t)
-			rolls := versioned{newHost(t, "i-1", func(r seen) string { return head(r, event(1, "a"), rolled(2), event(3, "new"), "") }), 2}
+			changing := versionedHost{newHost(t, "i-1", func(r received) string { return head(r, event(1, "a"), rolled(2), event(3, "new"), "") }), 2}
 			f := newFleet(t, keyed)
-			f.register(rolls)
+			f.register(changing)
 			f.pin(t, pinOf("x", "", 2))
-			goesOn := versioned{newHost(t, "i-2", func(r seen) string {
+			resuming := versionedHost{newHost(t, "i-2", func(r received) string {
 				if r.Header.Get("Expect-Version") != "2" || r.Header.Get("Last-Event-Id") != "1" {
 					return answer(r, http.StatusMisdirectedRequest, "Not-Executed: true\r\n", "")
 				}
 				return head(r, event(2, "b"), event(3, "c"), "")
 			}), 2}
-			f.register(rolls, goesOn)
-			a := f.untilFrom(t, "i-1", c.path)
+			f.register(changing, resuming)
+			a := f.callUntilServedBy(t, "i-1", c.path)
 			is.Equal(a.body, c.body)
-			is.Equal(a.err == nil, c.whole)
+			is.Equal(a.err == nil, c.complete)
 		})
 	}
 }
 
-// untilFrom calls until the answer begins at a host.
-func (f *fleet) untilFrom(t *testing.T, id, path string) got {
+// callUntilServedBy sends requests until one is answered by a host, and returns that answer.
+func (f *fleet) callUntilServedBy(t *testing.T, id, path string) clientAnswer {
 	t.Helper()
 	for i := range 100 {
 		a := f.call(t, path, "", keyOne, modelM, fmt.Sprint("Request-Id: u", i))
@@ -281,41 +285,41 @@
 			return a
 		}
 	}
-	t.Fatal("never")
-	return got{}
+	t.Fatal("none of 100 requests was answered by the host")
+	return clientAnswer{}
 }
 
-// A stream that began under no pin, and breaks after one was set, goes on with the version of its
-// first part, or ends visibly where that is not known.
+// A stream starts without a pin and breaks after a pin was set. It is resumed with the version of
+// its first part. If that version is unknown, the client sees that the stream was cut.
 func TestStreamResumesAcrossAPinChange(t *testing.T) {
 	for _, c := range []struct {
 		name, versions string
-		whole          bool
+		complete       bool
 	}{{"known", "Versions: 1\r\n", true}, {"unknown", "", false}} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			f := newFleet(t, keyed)
-			breaks := versioned{newHost(t, "i-1", func(r seen) string {
+			breaking := versionedHost{newHost(t, "i-1", func(r received) string {
 				if r.Header.Get("Last-Event-Id") != "" {
 					return answer(r, 503, "Not-Executed: true\r\n", "")
 				}
-				f.pin(t, pinOf("x", "", 2)) // it comes in force while the stream is on its way
+				f.pin(t, pinOf("x", "", 2)) // the pin comes into force during the stream
 				return strings.Replace(stream(r, event(1, "a")), "Content-Type:", c.versions+"Content-Type:", 1) + hangUp
 			}), 1}
-			f.register(breaks)
-			goesOn := func(id string, version int64) versioned {
-				return versioned{newHost(t, id, func(r seen) string {
+			f.register(breaking)
+			newResumingHost := func(id string, version int64) versionedHost {
+				return versionedHost{newHost(t, id, func(r received) string {
 					if r.Header.Get("Expect-Version") != fmt.Sprint(version) {
 						return answer(r, http.StatusMisdirectedRequest, "Not-Executed: true\r\n", "")
 					}
 					return strings.Replace(stream(r, event(2, fmt.Sprint("v", version)), ""), "Content-Type:", fmt.Sprintf("Versions: %d\r\nContent-Type:", version), 1)
 				}), version}
 			}
-			first, second := goesOn("i-2", 1), goesOn("i-3", 2)
-			f.register(breaks, first, second)
-			a := f.untilFrom(t, "i-1", "/resumed/")
-			is.Equal(a.err == nil, c.whole)
-			if c.whole {
+			first, second := newResumingHost("i-2", 1), newResumingHost("i-3", 2)
+			f.register(breaking, first, second)
+			a := f.callUntilServedBy(t, "i-1", "/resumed/")
+			is.Equal(a.err == nil, c.complete)
+			if c.complete {
 				is.Equal(a.body, event(1, "a")+event(2, "v1"))
 			}
 			is.Equal(len(second.requests()), 0)
@@ -323,107 +327,108 @@
 	}
 }
 
-// Requests that are held when a pin changes are decided anew, and run once: one that waits for a
-// busy host of the old version goes to the new one at once, and one for whose version the last host
-// goes is refused at once.
+// Requests that are queued when a pin changes are planned again and execute once. A request that
+// waits for a busy host of the old version goes to a host of the new version at once. A request for
+// whose version the last host is removed is rejected at once.
 func TestQueuedRequestAcrossAPinChange(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		change func(t *testing.T, f *fleet, busy, free versioned)
+		change func(t *testing.T, f *fleet, busy, free versionedHost)
 		status int
 		body   string
 	}{
-		{"moved", func(t *testing.T, f *fleet, _, _ versioned) { f.pin(t, pinOf("x", "", 2)) }, 200, "v2"},
-		{"lifted", func(t *testing.T, f *fleet, _, _ versioned) { f.pin(t) }, 200, "v2"},
-		{"its hosts have gone", func(_ *testing.T, f *fleet, _, free versioned) { f.register(free) }, 503, ""},
+		{"changed", func(t *testing.T, f *fleet, _, _ versionedHost) { f.pin(t, pinOf("x", "", 2)) }, 200, "v2"},
+		{"lifted", func(t *testing.T, f *fleet, _, _ versionedHost) { f.pin(t) }, 200, "v2"},
+		{"its hosts are removed", func(_ *testing.T, f *fleet, _, free versionedHost) { f.register(free) }, 503, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			let := make(chan struct{})
-			busy := versioned{newHost(t, "i-1", func(r seen) string {
-				<-let
+			release := make(chan struct{})
+			busy := versionedHost{newHost(t, "i-1", func(r received) string {
+				<-release
 				return answer(r, 200, "Versions: 1\r\n", "v1")
 			}), 1}
-			defer close(let)
-			free := newVersioned(t, "i-2", 2, 2)
+			defer close(release)
+			free := newVersionedHost(t, "i-2", 2, 2)
 			f := newFleet(t, keyed)
 			f.register(busy, free)
 			f.pin(t, pinOf("x", "", 1))
-			const many = 40 // more than a host has room for
-			answers := make(chan got, many)
+			const many = 40 // more than a host accepts at once
+			answers := make(chan clientAnswer, many)
 			for i := range many {
 				go func() { answers <- f.call(t, "/unsafe/", "", keyOne, modelM, fmt.Sprint("Request-Id: h", i)) }()
 			}
-			eventually(t, "some are held", func() bool {
+			eventually(t, "some requests are at the busy host and the others are queued", func() bool {
 				sent := len(busy.requests())
 				return f.plane.Metrics()["s"].Open == many && sent > 0 && sent < many
 			})
 			c.change(t, f, busy, free)
-			var came []got
-			eventually(t, "all that are not at the busy host are answered", func() bool {
+			var answered []clientAnswer
+			eventually(t, "all requests that are not at the busy host are answered", func() bool {
 				for len(answers) > 0 {
-					came = append(came, <-answers)
+					answered = append(answered, <-answers)
 				}
-				return len(came)+len(busy.requests()) == many
+				return len(answered)+len(busy.requests()) == many
 			})
-			for _, a := range came {
+			for _, a := range answered {
 				is.NoErr(a.err)
 				is.Equal(a.StatusCode, c.status)
 				is.True(c.status != 200 || a.body == c.body)
 			}
-			once := map[string]bool{}
+			seen := map[string]bool{}
 			for _, r := range append(busy.requests(), free.requests()...) {
-				is.True(!once[r.Header.Get("Request-Id")])
-				once[r.Header.Get("Request-Id")] = true
+				is.True(!seen[r.Header.Get("Request-Id")])
+				seen[r.Header.Get("Request-Id")] = true
 			}
 		})
 	}
 }
 
-// A client that leaves while its request is at a host ends it, and does not count as served.
+// A client that disconnects while a host processes its request ends the request. The request is not
+// counted as answered or failed.
 func TestPinnedClientLeaves(t *testing.T) {
 	is := is.New(t)
-	came, let := make(chan struct{}), make(chan struct{})
-	slow := versioned{newHost(t, "i-1", func(r seen) string {
-		close(came)
-		<-let
+	arrived, release := make(chan struct{}), make(chan struct{})
+	slow := versionedHost{newHost(t, "i-1", func(r received) string {
+		close(arrived)
+		<-release
 		return answer(r, 200, "Versions: 1\r\n", "v1")
 	}), 1}
-	defer close(let)
+	defer close(release)
 	f := newFleet(t, keyed)
 	f.register(slow)
 	f.pin(t, pinOf("x", "", 1))
 	c, err := net.Dial("tcp", f.addr)
 	is.NoErr(err)
 	fmt.Fprintf(c, "POST /unsafe/ HTTP/1.1\r\nHost: h.example\r\n%s\r\n%s\r\nRequest-Id: q\r\nContent-Length: 0\r\n\r\n", keyOne, modelM)
-	<-came
+	<-arrived
 	c.Close()
-	eventually(t, "it has ended", func() bool { return f.plane.Metrics()["s"].Open == 0 })
-	figures := f.plane.Pins()["p"]
-	is.Equal(figures.Requests, uint64(1))
-	is.Equal(len(figures.Answered), 0)
-	is.Equal(figures.Failed, uint64(0))
+	eventually(t, "the request has ended", func() bool { return f.plane.Metrics()["s"].Open == 0 })
+	metrics := f.plane.Pins()["p"]
+	is.Equal(metrics.Requests, uint64(1))
+	is.Equal(len(metrics.Answered), 0)
+	is.Equal(metrics.Failed, uint64(0))
 }
 
-// eventually waits until something holds.
-func eventually(t *testing.T, what string, holds func() bool) {
+// eventually waits until a condition holds, and fails the test after testTimeout.
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	tick := time.NewTicker(time.Millisecond)
 	defer tick.Stop()
-	for until := time.Now().Add(patience); time.Now().Before(until); <-tick.C {
-		if holds() {
+	for until := time.Now().Add(testTimeout); time.Now().Before(until); <-tick.C {
+		if condition() {
 			return
 		}
 	}
-	t.Fatalf("not within %v: %s", patience, what)
+	t.Fatalf("condition not reached within %v: %s", testTimeout, what)
 }
 
-// A configuration that is put beside pins does not touch them, and neither does it have held
-// requests planned anew.
+// A new configuration leaves the pins in force unchanged, and does not cause queued requests to be
+// planned again.
 func TestPinWithAConfigurationChange(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, keyed)
-	f.register(newVersioned(t, "i-1", 1, 1), newVersioned(t, "i-2", 2, 2))
+	f.register(newVersionedHost(t, "i-1", 1, 1), newVersionedHost(t, "i-2", 2, 2))
 	f.pin(t, pinOf("x", "", 2))
 	text := strings.Replace(fmt.Sprintf(routes, keyed), `"version":1`, `"version":2`, 1)
 	state, err := configuration.Next(f.plane.State(), &message.Order{Kind: message.Order_PUT, Body: []byte(text)})
--- a/internal/system/dataplane/plane_test.go
+++ b/internal/system/dataplane/plane_test.go
@@ -26,36 +26,36 @@
 	"reachspread/internal/transport"
 )
 
-// patience bounds what a story waits for; it is never waited for where all is well.
-const patience = 10 * time.Second
+// testTimeout bounds each wait of a test. A passing test never waits that long.
+const testTimeout = 10 * time.Second
 
-// lines drops log lines.
-type lines struct{}
+// discardLogger discards log lines.
+type discardLogger struct{}
 
-func (lines) Info(string, ...any) {}
-func (lines) Warn(string, ...any) {}
+func (discardLogger) Info(string, ...any) {}
+func (discardLogger) Warn(string, ...any) {}
 
-// warnings keeps those that somebody may have to act on.
-type warnings struct {
+// warningLog keeps log lines of level warn and discards the others.
+type warningLog struct {
 	mu  sync.Mutex
 	all []string
 }
 
-func (w *warnings) Info(string, ...any) {}
+func (w *warningLog) Info(string, ...any) {}
 
-func (w *warnings) Warn(event string, fields ...any) {
+func (w *warningLog) Warn(event string, fields ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.all = append(w.all, fmt.Sprint(event, fields))
 }
 
-func (w *warnings) text() string {
+func (w *warningLog) text() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return strings.Join(w.all, "; ")
 }
 
-// quotas lets tenants have what is left.
+// quotas is a quota with units that are left, shared by all tenants.
 type quotas struct {
 	mu   sync.Mutex
 	left float64
@@ -78,27 +78,27 @@
 	q.put += units
 }
 
-// seen is a request as a host got it.
-type seen struct {
+// received is a request as a host received it.
+type received struct {
 	*http.Request
-	text string // its body
-	n    int    // of the host, from 0
+	text string // body
+	n    int    // position among the host's requests, from 0
 }
 
-// host is a scripted one: it answers each request with the bytes that script gives, and closes the
-// connection where they end in nothing.
+// host is a scripted host. It answers each request with the bytes that script returns, and closes
+// the connection if they end with hangUp.
 type host struct {
 	id     string
 	addr   string
 	mu     sync.Mutex
-	served []seen
-	script func(r seen) string
+	served []received
+	script func(r received) string
 }
 
-// hangUp ends a script's bytes where the host closes the connection.
+// hangUp at the end of a script's bytes tells the host to close the connection.
 const hangUp = "\x00"
 
-func newHost(t *testing.T, id string, script func(r seen) string) *host {
+func newHost(t *testing.T, id string, script func(r received) string) *host {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -131,32 +131,32 @@
 			return
 		}
 		h.mu.Lock()
-		s := seen{r, string(text), len(h.served)}
+		s := received{r, string(text), len(h.served)}
 		h.served = append(h.served, s)
 		h.mu.Unlock()
-		out, over := strings.CutSuffix(h.script(s), hangUp)
+		out, hangsUp := strings.CutSuffix(h.script(s), hangUp)
 		io.WriteString(c, out)
-		if over {
+		if hangsUp {
 			return
 		}
 	}
 }
 
-func (h *host) requests() []seen {
+func (h *host) requests() []received {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return append([]seen(nil), h.served...)
+	return append([]received(nil), h.served...)
 }
 
-// answer is a whole answer of a host to a request.
-func answer(r seen, status int, extra, body string) string {
+// answer returns a complete answer of a host to a request.
+func answer(r received, status int, extra, body string) string {
 	return fmt.Sprintf("HTTP/1.1 %d X\r\nRequest-Id: %s\r\nResponse-Seal: seal-%s\r\n%sContent-Length: %d\r\n\r\n%s",
 		status, r.Header.Get("Request-Id"), r.Header.Get("Expected-Instance"), extra, len(body), body)
 }
 
-// stream is the head of a stream, and its events; each event is a chunk, and an empty one ends the
-// stream.
-func stream(r seen, events ...string) string {
+// stream returns the head of a stream and its events. Each event is a chunk; an empty event ends
+// the stream.
+func stream(r received, events ...string) string {
 	out := fmt.Sprintf("HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nResponse-Seal: seal-%s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n",
 		r.Header.Get("Request-Id"), r.Header.Get("Expected-Instance"))
 	for _, e := range events {
@@ -167,7 +167,7 @@
 
 func event(id int, text string) string { return fmt.Sprintf("id: %d\ndata: %s\n\n", id, text) }
 
-// fleet is a plane with a front and hosts of the service s.
+// fleet is a plane with a front for clients and hosts of service s.
 type fleet struct {
 	plane  *Plane
 	front  *transport.Front
@@ -176,8 +176,8 @@
 	fresh  atomic.Bool
 	newest atomic.Bool
 
-	revision uint64 // of the hosts that were registered last
-	log      warnings
+	revision uint64 // added to the registry's revision in the last call of register
+	log      warningLog
 }
 
 const routes = `{"version":1,"routes":[
@@ -191,13 +191,13 @@
 
 const keyed = `,"tenants":[{"name":"x","apiKeys":["k1"],"priority":1,"unit":"tokens","uncachedTokens":200,"ratePerS":1000,"burst":1000}]`
 
-// newFleet is one whose router has begun long ago.
+// newFleet returns a fleet whose router started an hour ago and so does not count as starting.
 func newFleet(t *testing.T, extra string, hosts ...*host) *fleet {
 	t.Helper()
-	return fleetSince(t, time.Now().Add(-time.Hour), extra, hosts...)
+	return newFleetStartedAt(t, time.Now().Add(-time.Hour), extra, hosts...)
 }
 
-func fleetSince(t *testing.T, began time.Time, extra string, hosts ...*host) *fleet {
+func newFleetStartedAt(t *testing.T, startedAt time.Time, extra string, hosts ...*host) *fleet {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
@@ -206,8 +206,8 @@
 	f.newest.Store(true)
 	s := &settings.Settings{Zone: "a", Bounds: settings.Bounds{RetryBudgetRatio: 5, RetryBudgetSlack: 100}}
 	servers := transport.NewServers(transport.ServerLimits{ConnectTimeout: time.Second, Keepalive: time.Minute, StreamIdleTimeout: time.Second, Connections: 50,
-		Dialect: protocol.Fleet{}}, lines{})
-	f.plane = New(ctx, Options{Settings: func() *settings.Settings { return s }, Servers: servers, Quotas: f.quotas, Fresh: func() bool { return f.fresh.Load() }, Newest: func() bool { return f.newest.Load() }, Log: &f.log, StartedAt: began})
+		Dialect: protocol.Fleet{}}, discardLogger{})
+	f.plane = New(ctx, Options{Settings: func() *settings.Settings { return s }, Servers: servers, Quotas: f.quotas, Fresh: func() bool { return f.fresh.Load() }, Newest: func() bool { return f.newest.Load() }, Log: &f.log, StartedAt: startedAt})
 	f.front = transport.NewIntakeFront(f.plane, transport.FrontLimits{BodyBytes: 1 << 20, Admission: admission.Config{MaxConnections: 100, MaxOverflow: 8}})
 	f.front.SetKeepAlive(true)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -245,15 +245,15 @@
 	f.plane.SetHosts("s", registry.Revision(), registry.Records("s"), 0)
 }
 
-// got is an answer as a client got it; err tells that it was cut.
-type got struct {
+// clientAnswer is an answer as a client received it. If the answer was cut, err is not nil.
+type clientAnswer struct {
 	*http.Response
 	body string
 	err  error
 }
 
-// call sends one request on a connection of its own.
-func (f *fleet) call(t *testing.T, path, body string, header ...string) got {
+// call sends one request on a new connection.
+func (f *fleet) call(t *testing.T, path, body string, header ...string) clientAnswer {
 	t.Helper()
 	c, err := net.Dial("tcp", f.addr)
 	if err != nil {
@@ -263,9 +263,9 @@
 	return f.on(t, c, path, body, header...)
 }
 
-func (f *fleet) on(t *testing.T, c net.Conn, path, body string, header ...string) got {
+func (f *fleet) on(t *testing.T, c net.Conn, path, body string, header ...string) clientAnswer {
 	t.Helper()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	head := "POST " + path + " HTTP/1.1\r\nHost: h.example\r\n"
 	named := false
 	for _, h := range header {
@@ -278,17 +278,17 @@
 	fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n%s", head, len(body), body)
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
-		return got{&http.Response{Header: http.Header{}}, "", err}
+		return clientAnswer{&http.Response{Header: http.Header{}}, "", err}
 	}
 	text, err := io.ReadAll(resp.Body)
-	return got{resp, string(text), err}
+	return clientAnswer{resp, string(text), err}
 }
 
-// A request reaches a host with method, path, query, body and headers as they came, but for what
-// the router sets; the answer comes back as it was, whatever its status.
+// The router forwards a request's method, path, query, body and headers unchanged, except for the
+// headers that it sets itself. It forwards the answer unchanged, whatever its status.
 func TestRequestIsForwarded(t *testing.T) {
 	is := is.New(t)
-	h := newHost(t, "i-1", func(r seen) string { return answer(r, 202, "X-Own: 1\r\nContent-Type: a/b\r\n", "hello "+r.text) })
+	h := newHost(t, "i-1", func(r received) string { return answer(r, 202, "X-Own: 1\r\nContent-Type: a/b\r\n", "hello "+r.text) })
 	f := newFleet(t, keyed, h)
 	a := f.call(t, "/safe/x?y=1", "body", "Authorization: Bearer k1", "Tenant: forged", "Model: m", "Connection: X-Hop", "X-Hop: 1", "X-Kept: 2",
 		"Request-Deadline: 3000", "Expected-Instance: forged", "Priority: 0", "Request-Id: abc")
@@ -312,15 +312,15 @@
 	is.True(left > 1000 && left <= 3000)
 }
 
-// A chunked body reaches the host whole.
+// A chunked body reaches the host complete.
 func TestChunkedBodyIsForwarded(t *testing.T) {
 	is := is.New(t)
-	h := newHost(t, "i-1", func(r seen) string { return answer(r, 200, "", r.text) })
+	h := newHost(t, "i-1", func(r received) string { return answer(r, 200, "", r.text) })
 	f := newFleet(t, "", h)
 	c, err := net.Dial("tcp", f.addr)
 	is.NoErr(err)
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	io.WriteString(c, "POST /safe/ HTTP/1.1\r\nHost: h.example\r\nRequest-Id: q\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	is.NoErr(err)
@@ -329,23 +329,23 @@
 	is.Equal(string(text), "abcde")
 }
 
-// What the router answers by itself, each only where the configuration says so.
+// The router itself answers requests that the configuration does not allow or that it can't use.
 func TestAnswersOfTheRouter(t *testing.T) {
-	h := newHost(t, "i-1", func(r seen) string { return answer(r, 200, "", "ok") })
+	h := newHost(t, "i-1", func(r received) string { return answer(r, 200, "", "ok") })
 	f := newFleet(t, keyed, h)
 	for name, c := range map[string]struct {
 		path, body string
 		header     []string
 		status     int
 	}{
-		"no route":            {"/nothing/", "", nil, 404},
-		"no key":              {"/safe/", "", nil, 401},
-		"a foreign key":       {"/safe/", "", []string{"Authorization: Bearer k2"}, 401},
-		"public without key":  {"/open/", "", nil, 200},
-		"too long":            {"/safe/", strings.Repeat("x", 1001), []string{"Authorization: Bearer k1"}, 413},
-		"no id":               {"/safe/", "", []string{"Authorization: Bearer k1", "Request-Id:"}, 400},
-		"a broken usage":      {"/safe/", "", []string{"Authorization: Bearer k1", "Token-Usage: many"}, 400},
-		"a service of nobody": {"/empty/", "", []string{"Authorization: Bearer k1"}, 503},
+		"no route":             {"/nothing/", "", nil, 404},
+		"no key":               {"/safe/", "", nil, 401},
+		"a foreign key":        {"/safe/", "", []string{"Authorization: Bearer k2"}, 401},
+		"public without key":   {"/open/", "", nil, 200},
+		"too long":             {"/safe/", strings.Repeat("x", 1001), []string{"Authorization: Bearer k1"}, 413},
+		"no id":                {"/safe/", "", []string{"Authorization: Bearer k1", "Request-Id:"}, 400},
+		"invalid usage":        {"/safe/", "", []string{"Authorization: Bearer k1", "Token-Usage: many"}, 400},
+		"no host of a service": {"/empty/", "", []string{"Authorization: Bearer k1"}, 503},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -358,11 +358,11 @@
 	}
 }
 
-// Without a configuration nobody is told 401, 403 or 404; with an old one no key is honoured, and
-// public routes go on.
+// Without a configuration the router never answers 401, 403 or 404. With an old configuration it
+// honours no API key, but still serves public routes.
 func TestRejectedWhileTooLittleIsKnown(t *testing.T) {
 	is := is.New(t)
-	h := newHost(t, "i-1", func(r seen) string { return answer(r, 200, "", "ok") })
+	h := newHost(t, "i-1", func(r received) string { return answer(r, 200, "", "ok") })
 	f := newFleet(t, "none", h)
 	is.Equal(f.call(t, "/nothing/", "").StatusCode, 503)
 	f.configure(t, fmt.Sprintf(routes, keyed))
@@ -382,16 +382,16 @@
 		return all
 	}
 	is.Equal(refusals(), []int{404, 401})
-	f.newest.Store(false) // as long as keys are honoured by it, a key that came since is not known
+	f.newest.Store(false) // keys are still honoured, but a newer configuration may have added the unknown key
 	is.Equal(refusals(), []int{503, 503})
 	is.Equal(f.call(t, "/safe/", "", "Authorization: Bearer k1").StatusCode, 200)
 }
 
-// A tenant beyond its quota is told when to come back, and its connection stays. What did not run
-// is given back.
+// A tenant over its quota gets a Retry-After, and its connection stays open. The units of a request
+// that was not executed are returned.
 func TestQuotaRejectsAndRefunds(t *testing.T) {
 	is := is.New(t)
-	h := newHost(t, "i-1", func(r seen) string {
+	h := newHost(t, "i-1", func(r received) string {
 		if r.n == 0 {
 			return answer(r, 200, "", "ok")
 		}
@@ -407,23 +407,23 @@
 	over := f.on(t, c, "/safe/", "", key, "Token-Usage: 1000,500", "Request-Id: q2")
 	is.Equal(over.StatusCode, 429)
 	is.Equal(over.Header.Get("Retry-After"), "0.250")
-	is.Equal(f.on(t, c, "/unsafe/", "", key, "Request-Id: q3", "Request-Deadline: 300").StatusCode, 503) // 200 by default, and no run
+	is.Equal(f.on(t, c, "/unsafe/", "", key, "Request-Id: q3", "Request-Deadline: 300").StatusCode, 503) // takes 200 units by default, and is not executed
 	is.Equal(f.quotas.put, 200.0)
 	is.Equal(len(h.requests()) >= 2, true)
 }
 
-// A host's own failure goes to the client as it is where nobody else may try, and an idempotent
-// request is tried elsewhere.
+// A host's error is forwarded to the client if the request may not be retried. An idempotent request
+// is retried at another host.
 func TestFailures(t *testing.T) {
 	is := is.New(t)
-	bad := newHost(t, "i-bad", func(r seen) string { return answer(r, 500, "", "broken") })
+	bad := newHost(t, "i-bad", func(r received) string { return answer(r, 500, "", "broken") })
 	f := newFleet(t, "", bad)
 	a := f.call(t, "/unsafe/", "x")
 	is.Equal(a.StatusCode, 500)
 	is.Equal(a.Header.Get("Response-Seal"), "seal-i-bad")
 	is.Equal(a.body, "broken")
 	is.Equal(len(bad.requests()), 1)
-	good := newHost(t, "i-good", func(r seen) string { return answer(r, 200, "", "fine") })
+	good := newHost(t, "i-good", func(r received) string { return answer(r, 200, "", "fine") })
 	f = newFleet(t, "", bad, good)
 	for range 10 {
 		a := f.call(t, "/safe/", "x")
@@ -432,21 +432,21 @@
 	}
 }
 
-// An unsafe request that may have run gets an answer that promises nothing, once; one that did not
-// run is sent on.
+// An unsafe request that may have executed is not retried, and its answer does not promise that it
+// was not executed. An unsafe request that was not executed is sent to another host.
 func TestUnsafeRequestExecutesOnce(t *testing.T) {
 	is := is.New(t)
 	for _, script := range []string{hangUp, "HTTP/1.1 200 OK\r\nResponse-Seal: s\r\nContent-Length: 10\r\n\r\nhalf" + hangUp, "nonsense\r\n\r\n" + hangUp} {
-		one := newHost(t, "i-1", func(seen) string { return script })
-		two := newHost(t, "i-2", func(seen) string { return script })
+		one := newHost(t, "i-1", func(received) string { return script })
+		two := newHost(t, "i-2", func(received) string { return script })
 		f := newFleet(t, "", one, two)
 		a := f.call(t, "/unsafe/", "x")
 		is.True(a.StatusCode == 502)
 		is.Equal(len(one.requests())+len(two.requests()), 1)
 	}
 	for _, script := range []string{"HTTP/1.1 503 X\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 421 X\r\nInstance-Id: other\r\nContent-Length: 0\r\n\r\n"} {
-		one := newHost(t, "i-1", func(seen) string { return script })
-		two := newHost(t, "i-2", func(r seen) string { return answer(r, 200, "", "ok") })
+		one := newHost(t, "i-1", func(received) string { return script })
+		two := newHost(t, "i-2", func(r received) string { return answer(r, 200, "", "ok") })
 		f := newFleet(t, "", one, two)
 		for i := range 4 {
 			is.Equal(f.call(t, "/unsafe/", "x", fmt.Sprint("Request-Id: q", i)).StatusCode, 200)
@@ -454,11 +454,12 @@
 	}
 }
 
-// A surplus answer to an earlier request that comes where the next one is due belongs to nobody.
+// A second answer to an earlier request, which arrives before the answer to the next request, is
+// not forwarded to any client.
 func TestSurplusBytesAfterAnAnswer(t *testing.T) {
 	is := is.New(t)
-	var before seen
-	h := newHost(t, "i-1", func(r seen) string {
+	var before received
+	h := newHost(t, "i-1", func(r received) string {
 		if r.n == 0 {
 			before = r
 			return answer(r, 200, "", "first")
@@ -470,30 +471,30 @@
 	is.Equal(f.call(t, "/unsafe/", "x", "Request-Id: q2").body, "second")
 }
 
-// Events are passed on as they are, whole ones alone, and a stream that breaks never looks
-// complete.
+// Only complete events are forwarded, unchanged, and a stream that breaks never looks complete to
+// the client.
 func TestStream(t *testing.T) {
 	is := is.New(t)
-	whole := newHost(t, "i-1", func(r seen) string { return stream(r, event(1, "a"), event(2, "b"), "") })
+	whole := newHost(t, "i-1", func(r received) string { return stream(r, event(1, "a"), event(2, "b"), "") })
 	a := newFleet(t, "", whole).call(t, "/stream/", "x")
 	is.NoErr(a.err)
 	is.Equal(a.body, event(1, "a")+event(2, "b"))
 	is.Equal(a.Header.Get("Content-Type"), "text/event-stream")
-	cut := newHost(t, "i-1", func(r seen) string { return stream(r, event(1, "a"), "id: 2\ndata: hal") + hangUp })
+	cut := newHost(t, "i-1", func(r received) string { return stream(r, event(1, "a"), "id: 2\ndata: hal") + hangUp })
 	a = newFleet(t, "", cut).call(t, "/stream/", "x")
 	is.True(a.err != nil)
 	is.Equal(a.body, event(1, "a"))
 	is.Equal(len(cut.requests()), 1)
-	back := newHost(t, "i-1", func(r seen) string { return stream(r, event(2, "a"), event(1, "b"), "") })
+	back := newHost(t, "i-1", func(r received) string { return stream(r, event(2, "a"), event(1, "b"), "") })
 	a = newFleet(t, "", back).call(t, "/stream/", "x")
-	is.True(a.err != nil) // ids rise
+	is.True(a.err != nil) // the stream is cut because event IDs must increase
 }
 
-// A stream that may be resumed goes on at another host behind the last whole event, within the same
-// answer and with its head.
+// A broken stream is resumed at another host after the last complete event, within the same answer.
+// The client sees only the first head.
 func TestBrokenStreamResumes(t *testing.T) {
 	is := is.New(t)
-	script := func(r seen) string {
+	script := func(r received) string {
 		switch r.Header.Get("Last-Event-Id") {
 		case "":
 			return stream(r, event(1, "a"), event(2, "b"), "id: 3\ndata: hal") + hangUp
@@ -520,10 +521,11 @@
 	is.Equal(a.Header.Get("Response-Seal"), "seal-"+first.id)
 }
 
-// A stream is resumed no more often than its route has attempts, and then ends visibly.
+// A stream uses at most as many attempts as its route allows. After that the client sees that the
+// stream was cut.
 func TestStreamResumesWithinItsAttempts(t *testing.T) {
 	is := is.New(t)
-	script := func(r seen) string {
+	script := func(r received) string {
 		var last int
 		fmt.Sscan(r.Header.Get("Last-Event-Id"), &last)
 		return stream(r, event(last+1, "x"), "id") + hangUp
@@ -536,23 +538,23 @@
 	is.Equal(strings.Count(a.body, "data"), 3)
 }
 
-// A large answer is passed on as it comes, and one that ends early is cut.
+// A large answer is forwarded complete. If the host cuts it, the client sees that it was cut.
 func TestLargeAnswer(t *testing.T) {
 	is := is.New(t)
 	large := strings.Repeat("0123456789abcdef", 16<<10)
-	h := newHost(t, "i-1", func(r seen) string { return answer(r, 200, "", large) })
+	h := newHost(t, "i-1", func(r received) string { return answer(r, 200, "", large) })
 	a := newFleet(t, "", h).call(t, "/unsafe/", "x")
 	is.NoErr(a.err)
 	is.True(a.body == large)
-	h = newHost(t, "i-1", func(r seen) string { return strings.TrimSuffix(answer(r, 200, "", large), "abcdef") + hangUp })
+	h = newHost(t, "i-1", func(r received) string { return strings.TrimSuffix(answer(r, 200, "", large), "abcdef") + hangUp })
 	a = newFleet(t, "", h).call(t, "/unsafe/", "x")
 	is.True(a.err != nil)
 }
 
-// Hosts that drain or are gone get nothing new.
+// A draining host gets no new requests.
 func TestDraining(t *testing.T) {
 	is := is.New(t)
-	ok := func(r seen) string { return answer(r, 200, "", "ok") }
+	ok := func(r received) string { return answer(r, 200, "", "ok") }
 	one, two := newHost(t, "i-1", ok), newHost(t, "i-2", ok)
 	f := newFleet(t, "", one, two)
 	registry := instances.New(time.Second)
@@ -564,7 +566,7 @@
 	is.Equal(len(one.requests()), 0)
 }
 
-// A route whose traffic is split goes to its services by their weights.
+// Requests of a route with a traffic split go to its services in proportion to their weights.
 func TestRouteIsSplitByWeight(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, "none")
@@ -578,10 +580,10 @@
 	is.Equal(counts["u"], 0)
 }
 
-// Requests that came before others on a connection are answered first, and one that is idle stays.
+// Requests on one connection are answered in the order in which they were sent.
 func TestConnectionIsReused(t *testing.T) {
 	is := is.New(t)
-	h := newHost(t, "i-1", func(r seen) string { return answer(r, 200, "", r.RequestURI) })
+	h := newHost(t, "i-1", func(r received) string { return answer(r, 200, "", r.RequestURI) })
 	f := newFleet(t, "", h)
 	c, err := net.Dial("tcp", f.addr)
 	is.NoErr(err)
@@ -590,7 +592,7 @@
 	for i := range 3 {
 		fmt.Fprintf(&all, "POST /safe/%d HTTP/1.1\r\nHost: h.example\r\nRequest-Id: q%d\r\nContent-Length: 0\r\n\r\n", i, i)
 	}
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	c.Write(all.Bytes())
 	in := bufio.NewReader(c)
 	for i := range 3 {
@@ -602,13 +604,13 @@
 	}
 }
 
-// What comes while a router starts waits for what is needed to serve it: a configuration, its being
-// the newest, a host. Nothing waits where the router has been there for long, and nothing waits for
-// what does not come.
+// A request that arrives while the router is starting waits for a configuration, for the
+// confirmation that the configuration is the newest, and for a host. If one of them does not arrive
+// in time, the request is rejected. At a router that started long ago no request waits.
 func TestRequestsWaitForAStartingRouter(t *testing.T) {
 	is := is.New(t)
-	h := newHost(t, "i-1", func(r seen) string { return answer(r, 200, "", "whole") })
-	f := fleetSince(t, time.Now(), "none")
+	h := newHost(t, "i-1", func(r received) string { return answer(r, 200, "", "whole") })
+	f := newFleetStartedAt(t, time.Now(), "none")
 	f.fresh.Store(false)
 	const key = "Authorization: Bearer k1"
 	answered := make(chan string, 1)
@@ -623,13 +625,13 @@
 		}
 		select {
 		case got := <-answered:
-			t.Fatalf("it was answered too early: %s", got)
+			t.Fatalf("the request was answered before the router could serve it: %s", got)
 		default:
 		}
 	}
 	waits()
 	f.newest.Store(false)
-	f.configure(t, fmt.Sprintf(strings.Replace(routes, `"pathPrefix":"/safe/"`, `"pathPrefix":"/before/"`, 1), keyed)) // what its disk has
+	f.configure(t, fmt.Sprintf(strings.Replace(routes, `"pathPrefix":"/safe/"`, `"pathPrefix":"/before/"`, 1), keyed)) // the old configuration from the router's disk
 	waits()
 	f.configure(t, fmt.Sprintf(strings.Replace(routes, `"version":1`, `"version":2`, 1), keyed))
 	waits()
