--- a/internal/router/mirror/pool.go
+++ b/internal/router/mirror/pool.go
@@ -96,7 +96,7 @@
 	p.stop = stop
 	go p.router.Run(ctx)
 	if set.Discovery != "" {
-		discovery := transport.NewDiscovery(set.Discovery, transport.Pushed, transport.FullList, log, p.applyList)
+		discovery := transport.NewDiscovery(set.Discovery, transport.PushSchedule, transport.FullList, log, p.applyList)
 		go discovery.Run(ctx)
 	}
 	go p.run()
--- a/internal/router/program/handover.go
+++ b/internal/router/program/handover.go
@@ -39,7 +39,7 @@
 	p.mu.Unlock()
 	p.front.MoveTo(mover)
 	p.servers.Move(mover)
-	p.receiver.MoveOn()
+	p.receiver.MoveStreams()
 }
 
 // finishMoves waits for connections that came from another process.
--- a/internal/router/program/program.go
+++ b/internal/router/program/program.go
@@ -199,10 +199,10 @@
 // names by then; all else goes on as it was. The old watch has ended before the new one begins, so
 // no older list can come last.
 func (p *Program) watchDiscovery(ctx context.Context, reload <-chan os.Signal) {
-	pace, since := transport.Pushed, int64(transport.FullList)
+	pace, since := transport.PushSchedule, int64(transport.FullList)
 	if p.cfg.balance.MustSubscribe {
 		o := p.cfg.Settings
-		pace = transport.Asked(o.Routers, time.Duration(o.Rules.SubscribeWithinNs))
+		pace = transport.PollSchedule(o.Routers, time.Duration(o.Rules.SubscribeWithinNs))
 		if len(p.cfg.Known.Servers) > 0 {
 			since = p.cfg.Known.Version
 		}
--- a/internal/system/roles/node/dataplane.go
+++ b/internal/system/roles/node/dataplane.go
@@ -55,12 +55,12 @@
 		StartedAt:     time.Now(),
 	})
 	n.front = transport.NewIntakeFront(n.plane, transport.FrontLimits{
-		BodyBytes: int(bodyFraction * float64(s.Limits.MemoryMb) * (1 << 20)),
-		MaxHead:   maxHeaderBytes,
-		Patience:  n.clientTimeout,
-		Seed:      rand.Uint64(),
-		Admission: admission.Config{MaxConnections: free / 2, MaxOverflow: maxRejectedConnections, MinRetryAfter: sendAwayTime},
-		OnClose:   n.logUnanswered,
+		BodyBytes:   int(bodyFraction * float64(s.Limits.MemoryMb) * (1 << 20)),
+		MaxHead:     maxHeaderBytes,
+		ReadTimeout: n.clientTimeout,
+		Seed:        rand.Uint64(),
+		Admission:   admission.Config{MaxConnections: free / 2, MaxOverflow: maxRejectedConnections, MinRetryAfter: sendAwayTime},
+		OnClose:     n.logUnanswered,
 	})
 	n.front.SetKeepAlive(true)
 }
--- a/internal/transport/discovery.go
+++ b/internal/transport/discovery.go
@@ -21,26 +21,26 @@
 // Pace says when a watch is begun, and begun again after a failure: with a backoff that doubles
 // from First to Longest, and varies by half of it either way, so that routers which failed together
 // do not come back together.
-type Pace struct {
-	StartSpread    time.Duration // the first call goes out within this, if a list is known
-	First, Longest time.Duration
+type RetrySchedule struct {
+	StartSpread          time.Duration // the first call goes out within this, if a list is known
+	FirstDelay, MaxDelay time.Duration
 	// Answer is the timeout of a connection attempt, and of an answer that waits for nothing to
 	// begin; 0 counts as answerTimeout. A slower discovery is heard by the first
 	// attempt, which has patientTimeout and goes on beside the others.
-	Answer time.Duration
+	AnswerTimeout time.Duration
 }
 
 // Pushed is the pace for a discovery that pushes: an agent on this machine, which costs nothing to
 // ask and answers at once. While discovery is down the agent does not answer. A router must apply
 // what it has after that within 500 ms: an attempt that began before, the wait after it and the
 // next attempt have to end within that.
-var Pushed = Pace{First: 20 * time.Millisecond, Longest: 80 * time.Millisecond, Answer: 250 * time.Millisecond}
+var PushSchedule = RetrySchedule{FirstDelay: 20 * time.Millisecond, MaxDelay: 80 * time.Millisecond, AnswerTimeout: 250 * time.Millisecond}
 
 // patientTimeout is the timeout of the attempt that goes on beside hasty ones.
 const patientTimeout = 3 * time.Second
 
 // answerTimeout returns how long a call that waits for nothing may take.
-func (p Pace) answerTimeout() time.Duration { return cmp.Or(p.Answer, answerTimeout) }
+func (p RetrySchedule) answerTimeout() time.Duration { return cmp.Or(p.AnswerTimeout, answerTimeout) }
 
 // callCost is the time of a discovery that one call is assumed to take.
 const callCost = 100 * time.Millisecond
@@ -50,12 +50,12 @@
 // fast as it can answer, a queue that once was too long stays so, and no router gets an answer. So
 // the calls of all routers are spread over the time that they take together, or most of that within
 // which each must have asked.
-func Asked(routers int, within time.Duration) Pace {
+func PollSchedule(routers int, within time.Duration) RetrySchedule {
 	spread := time.Duration(max(routers, 1)) * callCost
 	if within > 0 {
 		spread = min(spread, within*4/5)
 	}
-	return Pace{StartSpread: spread, First: min(spread, maxRetryDelay), Longest: min(3*spread, maxRetryDelay)}
+	return RetrySchedule{StartSpread: spread, FirstDelay: min(spread, maxRetryDelay), MaxDelay: min(3*spread, maxRetryDelay)}
 }
 
 // maxRetryDelay bounds the usual wait after a failure. A router must have a change 6 s after
@@ -66,7 +66,7 @@
 // Discovery watches the list of servers.
 type Discovery struct {
 	addr   string
-	pace   Pace
+	pace   RetrySchedule
 	log    routing.Logger
 	onList func(*protocol.List)
 	down   bool  // the loss was logged
@@ -75,9 +75,9 @@
 }
 
 // Wait returns how long to wait after a failure that so many came before, one after the other.
-func (p Pace) Wait(before int) time.Duration {
-	usual := p.Longest
-	if doubled := p.First << min(before, 20); doubled < usual {
+func (p RetrySchedule) Wait(before int) time.Duration {
+	usual := p.MaxDelay
+	if doubled := p.FirstDelay << min(before, 20); doubled < usual {
 		usual = doubled
 	}
 	return usual/2 + rand.N(usual)
@@ -87,8 +87,8 @@
 // missed 2 s after the time that its call could wait, and the time-out was noticed answerTimeout
 // after that. When watches time out together, their calls still began at different times, so the
 // next ones are spread.
-func (p Pace) WaitAfterTimeout() time.Duration {
-	usual := min(p.First, maxTimeoutRetryDelay)
+func (p RetrySchedule) WaitAfterTimeout() time.Duration {
+	usual := min(p.FirstDelay, maxTimeoutRetryDelay)
 	return usual/2 + rand.N(usual)
 }
 
@@ -101,7 +101,7 @@
 // NewDiscovery returns a watch that gives each list to onList. The next call goes out when onList
 // returns. The first call asks for what is newer than the version since: full lists for all routers
 // at once would overload a discovery.
-func NewDiscovery(addr string, pace Pace, since int64, log routing.Logger, onList func(*protocol.List)) *Discovery {
+func NewDiscovery(addr string, pace RetrySchedule, since int64, log routing.Logger, onList func(*protocol.List)) *Discovery {
 	return &Discovery{addr: addr, pace: pace, since: since, log: log, onList: onList}
 }
 
--- a/internal/transport/discovery_test.go
+++ b/internal/transport/discovery_test.go
@@ -23,7 +23,7 @@
 // never gets short and nobody has one.
 func TestRoutersThatStartTogetherAllGetTheList(t *testing.T) {
 	const routers, service, patience, within = 80, time.Second / 11, 2 * time.Second, 10 * time.Second
-	ask := func(pace transport.Pace) (served int) {
+	ask := func(pace transport.RetrySchedule) (served int) {
 		var due queue
 		for range routers {
 			c := call{}
@@ -45,10 +45,10 @@
 		}
 		return served
 	}
-	if n := ask(transport.Asked(routers, within)); n != routers {
+	if n := ask(transport.PollSchedule(routers, within)); n != routers {
 		t.Errorf("%d of %d have their list after %v", n, routers, within)
 	}
-	if n := ask(transport.Pushed); n > routers/2 {
+	if n := ask(transport.PushSchedule); n > routers/2 {
 		t.Errorf("%d have it where all ask at once and again within a second: this discovery is too good", n)
 	}
 }
@@ -58,13 +58,13 @@
 // the longest wait.
 func TestPushedListIsAppliedInTime(t *testing.T) {
 	const grace, decided = 500 * time.Millisecond, 100 * time.Millisecond
-	p := transport.Pushed
+	p := transport.PushSchedule
 	longest := time.Duration(0)
 	for before := range 1000 {
 		longest = max(longest, p.Wait(before%20))
 	}
-	if p.Answer == 0 || p.Answer+longest > grace-decided {
-		t.Errorf("a try lasts %v and the wait after it %v", p.Answer, longest)
+	if p.AnswerTimeout == 0 || p.AnswerTimeout+longest > grace-decided {
+		t.Errorf("a try lasts %v and the wait after it %v", p.AnswerTimeout, longest)
 	}
 }
 
@@ -73,7 +73,7 @@
 func TestFailedCallIsRetriedInTime(t *testing.T) {
 	const told, answer = 6 * time.Second, time.Second
 	for _, routers := range []int{1, 3, 30, 300, 3000} {
-		pace := transport.Asked(routers, 10*time.Second)
+		pace := transport.PollSchedule(routers, 10*time.Second)
 		shortest, longest := time.Hour, time.Duration(0)
 		for before := range 1000 {
 			wait := pace.Wait(before % 20)
@@ -121,7 +121,7 @@
 	lines, lists := make(chan string, 10), make(chan *protocol.List, 10)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	go transport.NewDiscovery(ln.Addr().String(), transport.Pushed, transport.FullList, scripted.LogLines(lines), func(l *protocol.List) { lists <- l }).Run(ctx)
+	go transport.NewDiscovery(ln.Addr().String(), transport.PushSchedule, transport.FullList, scripted.LogLines(lines), func(l *protocol.List) { lists <- l }).Run(ctx)
 	if l := scripted.Receive(t, lists, "a list"); l.Version != 7 {
 		t.Errorf("version %d", l.Version)
 	}
@@ -142,7 +142,7 @@
 	lines, lists := make(chan string, 100), make(chan *protocol.List, 10)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	go transport.NewDiscovery(server.Listener.Addr().String(), transport.Pushed, transport.FullList, scripted.LogLines(lines), func(l *protocol.List) { lists <- l }).Run(ctx)
+	go transport.NewDiscovery(server.Listener.Addr().String(), transport.PushSchedule, transport.FullList, scripted.LogLines(lines), func(l *protocol.List) { lists <- l }).Run(ctx)
 	if l := scripted.Receive(t, lists, "a list"); l.Version != 7 {
 		t.Errorf("version %d", l.Version)
 	}
@@ -171,7 +171,7 @@
 	lines, lists := make(chan string, 10), make(chan *protocol.List, 10)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	pace := transport.Pace{First: time.Millisecond, Longest: time.Millisecond}
+	pace := transport.RetrySchedule{FirstDelay: time.Millisecond, MaxDelay: time.Millisecond}
 	go transport.NewDiscovery(d.Addr, pace, 40, scripted.LogLines(lines), func(l *protocol.List) { lists <- l }).Run(ctx)
 	for _, step := range []struct{ tell, call string }{
 		{scripted.List(42, false, scripted.ListEntry("s0", "127.0.0.1:1", "Gone")), "/api/targets?index=40&wait=5000"},
--- a/internal/transport/discoverywatch.go
+++ b/internal/transport/discoverywatch.go
@@ -67,10 +67,10 @@
 // start begins the attempt that is due.
 func (a *openAttempts) start() {
 	pace := a.discovery.pace
-	if pace.Answer > 0 && !a.patient {
+	if pace.AnswerTimeout > 0 && !a.patient {
 		a.patient = true
 		go attemptOpen(a.race, a.discovery.addr, a.discovery.firstCall(patientTimeout), true, a.outcomes)
-		a.next.Reset(pace.Answer)
+		a.next.Reset(pace.AnswerTimeout)
 		return
 	}
 	a.hasty = true
--- a/internal/transport/front.go
+++ b/internal/transport/front.go
@@ -52,14 +52,14 @@
 	Seed                 uint64           // of admission's random draws
 	Identity             string           // the header that names a client, empty for none
 	MaxHead              int              // bytes, 0 for the usual
-	Patience             Patience         // with clients; nil for that of the server
+	ReadTimeout          ReadTimeout      // with clients; nil for that of the server
 	OnDescriptorShortage func()           // called when the process had no descriptor left; nil for nothing
 	// OnClose is called as a client's connection has ended, and must not block; nil for nothing.
 	OnClose func(ConnectionClosed)
 }
 
 // Patience returns how long a client may send nothing, before a request has begun or within one.
-type Patience func(begun bool) time.Duration
+type ReadTimeout func(begun bool) time.Duration
 
 // NewFront returns the front end of the router in service. A tap may be nil.
 func NewFront(r *routing.Router, limits FrontLimits, tap Tap) *Front {
--- a/internal/transport/handover.go
+++ b/internal/transport/handover.go
@@ -154,7 +154,7 @@
 }
 
 // MoveOn has the streams move to the next process, too.
-func (r *Receiver) MoveOn() {
+func (r *Receiver) MoveStreams() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for host := range r.hosts {
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -35,7 +35,7 @@
 	header   string // with a client's identity, empty for none
 	log      func() // called when the process had no descriptor left
 	onClose  func(ConnectionClosed)
-	patience Patience
+	patience ReadTimeout
 
 	draining            atomic.Bool           // answers say that their connections end
 	mover               atomic.Pointer[Mover] // to a process that takes over, nil for none
@@ -76,7 +76,7 @@
 		strict:    c.IdleTimeout != [3]time.Duration{},
 		header:    limits.Identity,
 		burst:     minAcceptBurst,
-		patience:  limits.Patience,
+		patience:  limits.ReadTimeout,
 	}
 	l.aliveDropped = sync.NewCond(&l.mu)
 	return l
--- a/internal/transport/servers_test.go
+++ b/internal/transport/servers_test.go
@@ -398,7 +398,7 @@
 	lines, lists := make(chan string, 10), make(chan *protocol.List, 10)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	watch := transport.NewDiscovery(d.Addr, transport.Pushed, transport.FullList, scripted.LogLines(lines), func(l *protocol.List) { lists <- l })
+	watch := transport.NewDiscovery(d.Addr, transport.PushSchedule, transport.FullList, scripted.LogLines(lines), func(l *protocol.List) { lists <- l })
 	go watch.Run(ctx)
 	expect := func(version int64, uris ...string) {
 		t.Helper()
--- a/internal/transport/splitbytes_test.go
+++ b/internal/transport/splitbytes_test.go
@@ -49,7 +49,7 @@
 	})
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	go transport.NewDiscovery(d.Addr, transport.Pushed, transport.FullList, lines, func(l *protocol.List) {
+	go transport.NewDiscovery(d.Addr, transport.PushSchedule, transport.FullList, lines, func(l *protocol.List) {
 		r.core.ApplyUpdate(l.Members(), l.Addrs())
 		told <- l
 	}).Run(ctx)
