--- a/internal/transport/accept.go
+++ b/internal/transport/accept.go
@@ -18,7 +18,7 @@
 	// grow up to maxAcceptBurst: the clients that are served next are in that backlog, too.
 	minAcceptBurst   = 64
 	maxAcceptBurst   = 256
-	acceptRest       = 200 * time.Microsecond
+	acceptPause      = 200 * time.Microsecond
 	acceptRetryDelay = time.Millisecond // where no connection can be closed for another yet
 )
 
@@ -78,7 +78,7 @@
 		if l.rejectedInBurst >= l.burst {
 			l.rejectedInBurst = 0
 			l.burst = min(2*l.burst, maxAcceptBurst)
-			time.Sleep(acceptRest)
+			time.Sleep(acceptPause)
 		}
 		fd, from, err := l.accept()
 		switch {
@@ -178,12 +178,12 @@
 }
 
 // admit adds a connection under its ID at admission. The caller has the lock.
-func (l *listener) admit(name int32, nc net.Conn) *clientConn {
-	c := &clientConn{Conn: nc, listener: l, admissionID: name, openedAt: time.Now()}
-	for int(name) >= len(l.conns) {
+func (l *listener) admit(id int32, nc net.Conn) *clientConn {
+	c := &clientConn{Conn: nc, listener: l, admissionID: id, openedAt: time.Now()}
+	for int(id) >= len(l.conns) {
 		l.conns = append(l.conns, nil)
 	}
-	l.conns[name] = c
+	l.conns[id] = c
 	l.alive++
 	return c
 }
--- a/internal/transport/clientconn.go
+++ b/internal/transport/clientconn.go
@@ -46,11 +46,11 @@
 	closed        bool
 
 	// The listener's lock guards these:
-	hurried       bool            // admission has shortened its read deadline
-	expiryCause   admission.Cause // why it has
-	closeReason   CloseReason
-	unreadAtClose int  // bytes
-	answerDue     bool // a request has come to its end, and nothing of its answer was written
+	deadlineShortened bool            // admission has shortened its read deadline
+	expiryCause       admission.Cause // why it has
+	closeReason       CloseReason
+	unreadAtClose     int  // bytes
+	answerDue         bool // a request has come to its end, and nothing of its answer was written
 
 	openedAt time.Time
 	readAt   time.Time // when Read last returned bytes
@@ -69,8 +69,8 @@
 func (c *clientConn) SetReadDeadline(t time.Time) error {
 	switch {
 	case t.IsZero():
-	case c.listener.patience != nil:
-		t = time.Now().Add(c.listener.patience(c.requestBegun && !c.requestOpen))
+	case c.listener.readTimeout != nil:
+		t = time.Now().Add(c.listener.readTimeout(c.requestBegun && !c.requestOpen))
 	case c.adoptedIdle && !c.everRead:
 		t = time.Now().Add(clientIdleTimeout) // to the server it is a new one
 	}
@@ -102,8 +102,8 @@
 // restoreDeadline gives a request that came as its connection's deadline was shortened the time
 // that any has. The caller has the listener's lock.
 func (c *clientConn) restoreDeadline() {
-	if c.hurried {
-		c.hurried = false
+	if c.deadlineShortened {
+		c.deadlineShortened = false
 		c.Conn.SetReadDeadline(time.Now().Add(requestReadTimeout))
 	}
 }
@@ -191,25 +191,25 @@
 	if err != nil {
 		return false
 	}
-	over := false
+	closed := false
 	err = raw.Read(func(fd uintptr) bool { // is called whenever something comes
-		over = hungUp(fd)
-		return over
+		closed = hungUp(fd)
+		return closed
 	})
-	return err == nil && over
+	return err == nil && closed
 }
 
 // hungUp reports whether the other side has ended a connection, or only its sending, whatever is
 // unread of it.
 func hungUp(fd uintptr) bool {
 	const ended = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR
-	look := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-	n, err := unix.Poll(look, 0)
-	return err == nil && n > 0 && look[0].Revents&ended != 0
+	fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
+	n, err := unix.Poll(fds, 0)
+	return err == nil && n > 0 && fds[0].Revents&ended != 0
 }
 
 // hasFurther reports whether anything of a further request has come while one is open.
-func (c *clientConn) hasFurther() bool {
+func (c *clientConn) hasNextRequest() bool {
 	if c.nextBegun.Load() {
 		return true
 	}
--- a/internal/transport/clientread.go
+++ b/internal/transport/clientread.go
@@ -30,27 +30,27 @@
 // connection goes there, with what is on its way. Otherwise a request that has come but was not
 // read, as the router was short of processor time, is read now. Without one the close follows at
 // once, so that hardly any request can cross it.
-func (c *clientConn) lastRead(p []byte, over error, reason CloseReason) (n int, err error) {
+func (c *clientConn) lastRead(p []byte, closeErr error, reason CloseReason) (n int, err error) {
 	m := c.listener.mover.Load()
 	if m != nil && m.move(movedConn{Used: c.everRead || c.adoptedIdle}, c.Conn) == nil {
 		c.closeAs(ClosedMoved)
-		return 0, over
+		return 0, closeErr
 	}
 	raw, err := c.Conn.(syscall.Conn).SyscallConn()
 	if err != nil {
-		return 0, over
+		return 0, closeErr
 	}
-	var came int
-	raw.Control(func(fd uintptr) { came, err = c.peekRequest(int(fd), p) })
+	var available int
+	raw.Control(func(fd uintptr) { available, err = c.peekRequest(int(fd), p) })
 	if err == nil {
-		n, err = c.take(raw, p, came)
+		n, err = c.take(raw, p, available)
 	}
 	if n > 0 {
 		c.Conn.SetReadDeadline(time.Now().Add(requestReadTimeout))
 		return n, nil
 	}
 	c.closeAs(reason)
-	return 0, over
+	return 0, closeErr
 }
 
 // readRequest reads what has come of a request, nothing of the next one, and waits until something
@@ -60,44 +60,44 @@
 	if err != nil {
 		return 0, err
 	}
-	var came int
+	var available int
 	var failed error
-	look := func(fd uintptr) (done bool) {
-		came, failed = c.peekRequest(int(fd), p)
+	tryPeek := func(fd uintptr) (done bool) {
+		available, failed = c.peekRequest(int(fd), p)
 		return failed != syscall.EAGAIN
 	}
 	if len(c.readAhead) > 0 { // there is nothing to wait for
-		err = raw.Control(func(fd uintptr) { look(fd) })
+		err = raw.Control(func(fd uintptr) { tryPeek(fd) })
 	} else {
-		err = raw.Read(look)
+		err = raw.Read(tryPeek)
 	}
 	if err = cmp.Or(err, failed); err != nil {
 		return 0, err
 	}
-	return c.take(raw, p, came)
+	return c.take(raw, p, available)
 }
 
 // peekRequest copies what was read elsewhere, and what has come behind it, and leaves it there. Of a
 // body of a stated length it looks at no more than whether anything has come. It returns how many
 // bytes have come, and the error is EAGAIN for nothing and io.EOF at the end of the connection.
-func (c *clientConn) peekRequest(fd int, p []byte) (came int, err error) {
+func (c *clientConn) peekRequest(fd int, p []byte) (available int, err error) {
 	ahead := copy(p, c.readAhead)
 	rest := p[ahead:]
 	if c.bodyRemaining() > 0 {
 		rest = rest[:min(len(rest), 1)]
 	}
-	came, _, err = syscall.Recvfrom(fd, rest, syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	available, _, err = syscall.Recvfrom(fd, rest, syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	switch {
 	case ahead > 0:
-		return max(came, 0), nil
+		return max(available, 0), nil
 	case err == syscall.EINTR:
 		return 0, syscall.EAGAIN
 	case err != nil:
 		return 0, err
-	case came == 0:
+	case available == 0:
 		return 0, io.EOF
 	}
-	return came, nil
+	return available, nil
 }
 
 // bodyRemaining returns how many bytes of the present request's body have not been read, 0 where that
@@ -113,7 +113,7 @@
 // and that it is complete, admission knows in the same step: it would take the connection for an idle
 // one that it may evict, and what was read would be lost. The listener's lock comes before any use of
 // the socket, as an eviction closes it with the lock, and the close waits until nobody uses it.
-func (c *clientConn) take(raw syscall.RawConn, p []byte, came int) (n int, err error) {
+func (c *clientConn) take(raw syscall.RawConn, p []byte, available int) (n int, err error) {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
 	if !c.requestBegun {
@@ -123,7 +123,7 @@
 		n, err = readNow(raw, p[:min(len(p), c.bodyRemaining())])
 		c.framing.Feed(p[:n])
 	} else {
-		n, err = c.takeFramed(raw, p, came)
+		n, err = c.takeFramed(raw, p, available)
 	}
 	if n == 0 {
 		return 0, err
@@ -134,9 +134,9 @@
 }
 
 // takeFramed reads as many of the bytes that peekRequest has copied as the request has.
-func (c *clientConn) takeFramed(raw syscall.RawConn, p []byte, came int) (n int, err error) {
+func (c *clientConn) takeFramed(raw syscall.RawConn, p []byte, available int) (n int, err error) {
 	ahead := min(len(p), len(c.readAhead))
-	n = ahead + came
+	n = ahead + available
 	if !c.framing.Complete() { // otherwise the HTTP server sees no end where it is
 		n = c.framing.Feed(p[:n])
 	}
--- a/internal/transport/closereason.go
+++ b/internal/transport/closereason.go
@@ -155,9 +155,9 @@
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
 	switch {
-	case c.hurried && c.expiryCause == admission.RouterDraining:
+	case c.deadlineShortened && c.expiryCause == admission.RouterDraining:
 		return ClosedDraining
-	case c.hurried:
+	case c.deadlineShortened:
 		return ClosedExpired
 	case !c.everRead && !c.adoptedIdle:
 		return ClosedUnused
--- a/internal/transport/discovery.go
+++ b/internal/transport/discovery.go
@@ -37,13 +37,13 @@
 var PushSchedule = RetrySchedule{FirstDelay: 20 * time.Millisecond, MaxDelay: 80 * time.Millisecond, AnswerTimeout: 250 * time.Millisecond}
 
 // patientTimeout is the timeout of the attempt that goes on beside hasty ones.
-const patientTimeout = 3 * time.Second
+const longAttemptTimeout = 3 * time.Second
 
 // answerTimeout returns how long a call that waits for nothing may take.
-func (p RetrySchedule) answerTimeout() time.Duration { return cmp.Or(p.AnswerTimeout, answerTimeout) }
+func (s RetrySchedule) answerTimeout() time.Duration { return cmp.Or(s.AnswerTimeout, answerTimeout) }
 
 // callCost is the time of a discovery that one call is assumed to take.
-const callCost = 100 * time.Millisecond
+const assumedCallDuration = 100 * time.Millisecond
 
 // Asked returns the pace for a discovery that must be asked: one service for so many routers. Each
 // call takes some of its time, also one that is queued for too long and fails; if calls come as
@@ -51,7 +51,7 @@
 // the calls of all routers are spread over the time that they take together, or most of that within
 // which each must have asked.
 func PollSchedule(routers int, within time.Duration) RetrySchedule {
-	spread := time.Duration(max(routers, 1)) * callCost
+	spread := time.Duration(max(routers, 1)) * assumedCallDuration
 	if within > 0 {
 		spread = min(spread, within*4/5)
 	}
@@ -65,31 +65,31 @@
 
 // Discovery watches the list of servers.
 type Discovery struct {
-	addr   string
-	pace   RetrySchedule
-	log    routing.Logger
-	onList func(*protocol.List)
-	down   bool  // the loss was logged
-	since  int64 // version of the last list, below 0 if only a full list will do
-	failed int   // attempts since the last list
+	addr     string
+	schedule RetrySchedule
+	log      routing.Logger
+	onList   func(*protocol.List)
+	down     bool  // the loss was logged
+	since    int64 // version of the last list, below 0 if only a full list will do
+	failures int   // attempts since the last list
 }
 
 // Wait returns how long to wait after a failure that so many came before, one after the other.
-func (p RetrySchedule) Wait(before int) time.Duration {
-	usual := p.MaxDelay
-	if doubled := p.FirstDelay << min(before, 20); doubled < usual {
-		usual = doubled
+func (s RetrySchedule) Wait(previousFailures int) time.Duration {
+	base := s.MaxDelay
+	if doubled := s.FirstDelay << min(previousFailures, 20); doubled < base {
+		base = doubled
 	}
-	return usual/2 + rand.N(usual)
+	return base/2 + rand.N(base)
 }
 
 // WaitAfterTimeout returns how long to wait after a watch has timed out. A router must have what it
 // missed 2 s after the time that its call could wait, and the time-out was noticed answerTimeout
 // after that. When watches time out together, their calls still began at different times, so the
 // next ones are spread.
-func (p RetrySchedule) WaitAfterTimeout() time.Duration {
-	usual := min(p.FirstDelay, maxTimeoutRetryDelay)
-	return usual/2 + rand.N(usual)
+func (s RetrySchedule) WaitAfterTimeout() time.Duration {
+	base := min(s.FirstDelay, maxTimeoutRetryDelay)
+	return base/2 + rand.N(base)
 }
 
 // maxTimeoutRetryDelay bounds the usual wait after a watch that timed out.
@@ -101,19 +101,19 @@
 // NewDiscovery returns a watch that gives each list to onList. The next call goes out when onList
 // returns. The first call asks for what is newer than the version since: full lists for all routers
 // at once would overload a discovery.
-func NewDiscovery(addr string, pace RetrySchedule, since int64, log routing.Logger, onList func(*protocol.List)) *Discovery {
-	return &Discovery{addr: addr, pace: pace, since: since, log: log, onList: onList}
+func NewDiscovery(addr string, schedule RetrySchedule, since int64, log routing.Logger, onList func(*protocol.List)) *Discovery {
+	return &Discovery{addr: addr, schedule: schedule, since: since, log: log, onList: onList}
 }
 
 // Run watches until ctx ends. Whatever fails, the last good list stays in force and a new watch
 // begins.
 func (d *Discovery) Run(ctx context.Context) {
 	wait := time.Duration(0)
-	if d.since >= 0 && d.pace.StartSpread > 0 {
-		wait = rand.N(d.pace.StartSpread)
+	if d.since >= 0 && d.schedule.StartSpread > 0 {
+		wait = rand.N(d.schedule.StartSpread)
 	}
 	for {
-		w, ok := d.reach(ctx, wait)
+		w, ok := d.connect(ctx, wait)
 		if !ok {
 			return
 		}
@@ -122,11 +122,11 @@
 			return
 		}
 		d.recordLoss(err)
-		wait = d.pace.Wait(0)
+		wait = d.schedule.Wait(0)
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			wait = d.pace.WaitAfterTimeout()
+			wait = d.schedule.WaitAfterTimeout()
 		}
-		d.failed = 1
+		d.failures = 1
 	}
 }
 
--- a/internal/transport/discoverywatch.go
+++ b/internal/transport/discoverywatch.go
@@ -22,14 +22,14 @@
 
 // openOutcome is how an attempt to open a watch ended.
 type openOutcome struct {
-	watch   *watch
-	err     error
-	patient bool // the attempt was the one beside hasty ones
+	watch *watch
+	err   error
+	long  bool // the attempt was the one beside hasty ones
 }
 
 // reach attempts to open a watch until one is open, the first time after a wait; ok is false if ctx
 // ended before.
-func (d *Discovery) reach(ctx context.Context, wait time.Duration) (w *watch, ok bool) {
+func (d *Discovery) connect(ctx context.Context, wait time.Duration) (w *watch, ok bool) {
 	race, end := context.WithCancel(ctx)
 	defer end()
 	attempts := &openAttempts{discovery: d, race: race, outcomes: make(chan openOutcome), next: time.NewTimer(wait)}
@@ -48,7 +48,7 @@
 				return o.watch, true
 			}
 			d.recordLoss(o.err)
-			attempts.recordFailure(o.patient)
+			attempts.recordFailure(o.long)
 		}
 	}
 }
@@ -57,39 +57,39 @@
 // the first one is patient, and hasty ones go on beside it: they find a discovery that comes back
 // soon, the patient one hears a slow one.
 type openAttempts struct {
-	discovery      *Discovery
-	race           context.Context // ends all attempts
-	outcomes       chan openOutcome
-	next           *time.Timer // until the next attempt
-	patient, hasty bool        // whether such an attempt is under way
+	discovery                 *Discovery
+	race                      context.Context // ends all attempts
+	outcomes                  chan openOutcome
+	next                      *time.Timer // until the next attempt
+	longRunning, shortRunning bool        // whether such an attempt is under way
 }
 
 // start begins the attempt that is due.
 func (a *openAttempts) start() {
-	pace := a.discovery.pace
-	if pace.AnswerTimeout > 0 && !a.patient {
-		a.patient = true
-		go attemptOpen(a.race, a.discovery.addr, a.discovery.firstCall(patientTimeout), true, a.outcomes)
-		a.next.Reset(pace.AnswerTimeout)
+	schedule := a.discovery.schedule
+	if schedule.AnswerTimeout > 0 && !a.longRunning {
+		a.longRunning = true
+		go attemptOpen(a.race, a.discovery.addr, a.discovery.firstCall(longAttemptTimeout), true, a.outcomes)
+		a.next.Reset(schedule.AnswerTimeout)
 		return
 	}
-	a.hasty = true
-	go attemptOpen(a.race, a.discovery.addr, a.discovery.firstCall(pace.answerTimeout()), false, a.outcomes)
+	a.shortRunning = true
+	go attemptOpen(a.race, a.discovery.addr, a.discovery.firstCall(schedule.answerTimeout()), false, a.outcomes)
 }
 
 // recordFailure says that an attempt has failed. Unless a hasty one is under way the next one is due
 // after the pace's wait.
-func (a *openAttempts) recordFailure(patient bool) {
-	if patient {
-		a.patient = false
+func (a *openAttempts) recordFailure(long bool) {
+	if long {
+		a.longRunning = false
 	} else {
-		a.hasty = false
+		a.shortRunning = false
 	}
-	if a.hasty {
+	if a.shortRunning {
 		return
 	}
-	a.next.Reset(a.discovery.pace.Wait(a.discovery.failed))
-	a.discovery.failed++
+	a.next.Reset(a.discovery.schedule.Wait(a.discovery.failures))
+	a.discovery.failures++
 }
 
 // firstCall is the first call of a watch: for the full list, or for what is newer than the last one.
@@ -99,18 +99,18 @@
 	connect, answer time.Duration
 }
 
-func (d *Discovery) firstCall(within time.Duration) firstCall {
+func (d *Discovery) firstCall(timeout time.Duration) firstCall {
 	if d.since >= 0 {
-		return firstCall{protocol.WatchPath(d.since, watchTimeout), within, watchTimeout + answerTimeout}
+		return firstCall{protocol.WatchPath(d.since, watchTimeout), timeout, watchTimeout + answerTimeout}
 	}
-	return firstCall{protocol.ListPath, within, within}
+	return firstCall{protocol.ListPath, timeout, timeout}
 }
 
 // attemptOpen opens a watch and tells its outcome, unless the race has ended.
-func attemptOpen(race context.Context, addr string, call firstCall, patient bool, outcomes chan<- openOutcome) {
+func attemptOpen(race context.Context, addr string, call firstCall, long bool, outcomes chan<- openOutcome) {
 	w, err := openWatch(race, addr, call)
 	select {
-	case outcomes <- openOutcome{w, err, patient}:
+	case outcomes <- openOutcome{w, err, long}:
 	case <-race.Done():
 		if w != nil {
 			w.conn.Close()
@@ -135,8 +135,8 @@
 }
 
 // call makes one call, whose answer must begin within a time.
-func (w *watch) call(path string, within time.Duration) (*protocol.List, error) {
-	if err := w.conn.SetDeadline(time.Now().Add(within)); err != nil {
+func (w *watch) call(path string, timeout time.Duration) (*protocol.List, error) {
+	if err := w.conn.SetDeadline(time.Now().Add(timeout)); err != nil {
 		return nil, err
 	}
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
--- a/internal/transport/exchange.go
+++ b/internal/transport/exchange.go
@@ -87,7 +87,7 @@
 		if errors.Is(err, errNoSocket) {
 			return nil, balance.NotSent
 		}
-		return nil, ended(ctx, balance.NotSent, balance.NoConnection)
+		return nil, failureResult(ctx, balance.NotSent, balance.NoConnection)
 	}
 	x := &exchange{servers: s, conn: c, resp: fasthttp.AcquireResponse()}
 	x.stop = context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
@@ -98,7 +98,7 @@
 		if unsent {
 			return nil, balance.NotSent
 		}
-		return nil, ended(ctx, balance.NotSent, balance.NoConnection)
+		return nil, failureResult(ctx, balance.NotSent, balance.NoConnection)
 	}
 	o.hooks.Written()
 	if err := x.readAnswer(ctx, o.id); err != nil {
@@ -169,12 +169,12 @@
 
 // failed returns the result of an answer that broke off: by the end of ctx, with the connection, or
 // else because it was malformed, which its server outlives.
-func (x *exchange) failed(ctx context.Context, over balance.Result) balance.Result {
-	broke := balance.Error
+func (x *exchange) failed(ctx context.Context, onTimeout balance.Result) balance.Result {
+	onBroken := balance.Error
 	if x.conn.err != nil && !errors.Is(x.conn.err, os.ErrDeadlineExceeded) {
-		broke = balance.Reset
+		onBroken = balance.Reset
 	}
-	return ended(ctx, over, broke)
+	return failureResult(ctx, onTimeout, onBroken)
 }
 
 // commit takes off the deadline: the answer has begun, so only the end of ctx may end it. It
@@ -218,12 +218,12 @@
 // ended returns the result of an exchange that broke off: because its client left, because its time
 // was over, or else because the connection broke. What the last two mean depends on whether the
 // request was sent.
-func ended(ctx context.Context, over, broke balance.Result) balance.Result {
+func failureResult(ctx context.Context, onTimeout, onBroken balance.Result) balance.Result {
 	switch ctx.Err() {
 	case context.Canceled:
 		return balance.Cancelled
 	case context.DeadlineExceeded:
-		return over
+		return onTimeout
 	}
-	return broke
+	return onBroken
 }
--- a/internal/transport/forward.go
+++ b/internal/transport/forward.go
@@ -118,7 +118,7 @@
 
 // FinalOf returns the head of an answer that has begun.
 func FinalOf(s *routing.Stream) *Final {
-	if h, ok := s.Body().(headed); ok {
+	if h, ok := s.Body().(hasFinal); ok {
 		return h.Final()
 	}
 	return &Final{Status: fasthttp.StatusOK, Length: -1}
@@ -210,7 +210,7 @@
 }
 
 // headed is a body with a head of its own.
-type headed interface{ Final() *Final }
+type hasFinal interface{ Final() *Final }
 
 // bufferedAnswer is an answer that is no stream.
 type bufferedAnswer struct {
--- a/internal/transport/front.go
+++ b/internal/transport/front.go
@@ -120,7 +120,7 @@
 
 // Capture takes each request that is accepted, and never blocks.
 type Capture interface {
-	Take(a balance.Arrival, came time.Time)
+	Take(a balance.Arrival, receivedAt time.Time)
 }
 
 // SetCapture has requests captured. It is called before Serve.
@@ -198,7 +198,7 @@
 	if ok && conn.isEvicted() {
 		ctx.SetConnectionClose()
 	}
-	if f.listener.draining.Load() && !(ok && conn.hasFurther()) {
+	if f.listener.draining.Load() && !(ok && conn.hasNextRequest()) {
 		ctx.SetConnectionClose()
 	}
 }
@@ -228,13 +228,13 @@
 	// Until here its connection counts as idle: half a request must not keep others out.
 	conn := ctx.Conn().(*clientConn)
 	conn.requestRead()
-	came := time.Now()
+	receivedAt := time.Now()
 	if !f.admit(ctx, conn) {
 		return
 	}
 	for {
 		var planAgain bool
-		needed, planAgain = f.serveOnce(ctx, conn, body, came)
+		needed, planAgain = f.serveOnce(ctx, conn, body, receivedAt)
 		if !planAgain {
 			return
 		}
@@ -244,7 +244,7 @@
 // serveOnce plans a request that was read, has it routed and answers it. Needed says that its body
 // is needed after the answer has begun; planAgain, that the request has to be planned again, as
 // nothing of it was sent.
-func (f *Front) serveOnce(ctx *fasthttp.RequestCtx, conn *clientConn, body []byte, came time.Time) (needed, planAgain bool) {
+func (f *Front) serveOnce(ctx *fasthttp.RequestCtx, conn *clientConn, body []byte, receivedAt time.Time) (needed, planAgain bool) {
 	plan, rejection := f.intake.Plan(ctx, body, conn.beganAt)
 	if rejection != nil {
 		f.rejectAndCount(ctx, *rejection)
@@ -259,11 +259,11 @@
 		return false, false
 	}
 	if f.capture != nil {
-		f.capture.Take(plan.Arrival, came)
+		f.capture.Take(plan.Arrival, receivedAt)
 	}
 	var observer AnswerObserver
 	if f.tap != nil {
-		observer = f.offerCopy(&ctx.Request.Header, &plan.Arrival, came, plan.Message)
+		observer = f.offerCopy(&ctx.Request.Header, &plan.Arrival, receivedAt, plan.Message)
 	}
 	e := &clientRequest{front: f, plan: plan, conn: conn, request: request, began: conn.beganAt}
 	conn.watch(e.abandon)
@@ -299,7 +299,7 @@
 
 // bodyLength returns the length of an answer for its head, -1 if it is not known.
 func bodyLength(s *routing.Stream) int {
-	if h, ok := s.Body().(headed); ok {
+	if h, ok := s.Body().(hasFinal); ok {
 		if final := h.Final(); final.Length >= 0 {
 			return final.Length
 		}
--- a/internal/transport/handover.go
+++ b/internal/transport/handover.go
@@ -125,7 +125,7 @@
 
 	activeStreams atomic.Int64 // streams that were taken over and go on
 	mu            sync.Mutex
-	hosts         map[net.Conn]bool // the connections to their servers
+	serverConns   map[net.Conn]bool // the connections to their servers
 }
 
 // NewReceiver listens at a path, in place of any process that did before.
@@ -135,7 +135,7 @@
 		return nil, err
 	}
 	servers.tracksStreams = true
-	r := &Receiver{front: front, servers: servers, ln: ln, log: log, hosts: map[net.Conn]bool{}}
+	r := &Receiver{front: front, servers: servers, ln: ln, log: log, serverConns: map[net.Conn]bool{}}
 	go r.serve()
 	return r, nil
 }
@@ -157,8 +157,8 @@
 func (r *Receiver) MoveStreams() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for host := range r.hosts {
-		host.SetReadDeadline(time.Unix(1, 0))
+	for conn := range r.serverConns {
+		conn.SetReadDeadline(time.Unix(1, 0))
 	}
 }
 
@@ -223,7 +223,7 @@
 		}
 		r.activeStreams.Add(1)
 		r.mu.Lock()
-		r.hosts[conns[1]] = true
+		r.serverConns[conns[1]] = true
 		r.mu.Unlock()
 		go r.continueStream(m, conns[0], conns[1])
 		return nil
@@ -267,17 +267,17 @@
 }
 
 // continueStream forwards the rest of a stream, and then serves its client.
-func (r *Receiver) continueStream(m movedConn, client, host net.Conn) {
+func (r *Receiver) continueStream(m movedConn, client, server net.Conn) {
 	ended := r.front.router.CountTakenOver(m.Class)
 	watch := &clientConn{Conn: client, listener: r.front.listener}
-	watch.watch(func() { host.Close() })
-	verdict, next := r.relay(&m, watch, host)
+	watch.watch(func() { server.Close() })
+	verdict, next := r.relay(&m, watch, server)
 	watch.unwatch()
 	r.mu.Lock()
-	delete(r.hosts, host)
+	delete(r.serverConns, server)
 	r.mu.Unlock()
-	if verdict != routing.Served || !m.Keep || !r.servers.pool.adopt(host, *m.Server, 0) {
-		host.Close()
+	if verdict != routing.Served || !m.Keep || !r.servers.pool.adopt(server, *m.Server, 0) {
+		server.Close()
 	}
 	ended(verdict)
 	defer r.activeStreams.Add(-1) // the process stays until its client has its next answer, or is another's
@@ -302,7 +302,7 @@
 }
 
 // relay forwards the rest of a stream; next reports whether the client may send further requests.
-func (r *Receiver) relay(m *movedConn, client *clientConn, host net.Conn) (end routing.Verdict, next bool) {
+func (r *Receiver) relay(m *movedConn, client *clientConn, server net.Conn) (end routing.Verdict, next bool) {
 	events := protocol.ResumeStreamReader(m.Line, m.Long)
 	raw := make([]byte, readBuffer)
 	out := make([]byte, 0, readBuffer+64)
@@ -312,14 +312,14 @@
 			client.unwatch()
 			m.Line, m.Long = events.Unfinished()
 			m.Idle = time.Since(last)
-			if len(client.readAhead) == 0 && !client.hasLeft.Load() && mover.move(*m, client.Conn, host) == nil {
+			if len(client.readAhead) == 0 && !client.hasLeft.Load() && mover.move(*m, client.Conn, server) == nil {
 				return routing.Abandoned, false
 			}
 			stays = true
 			client.watch(client.onLeave)
 		}
-		host.SetReadDeadline(last.Add(r.servers.streamIdleTimeout))
-		n, err := host.Read(raw)
+		server.SetReadDeadline(last.Add(r.servers.streamIdleTimeout))
+		n, err := server.Read(raw)
 		if n > 0 {
 			last = time.Now()
 		}
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -27,15 +27,15 @@
 // listener carries out what package admission decides on client connections.
 type listener struct {
 	net.Listener
-	socket   *os.File // the listener's, as a listener gives no access to its descriptor
-	raw      syscall.RawConn
-	start    time.Time
-	strict   bool   // slow clients are bounded by level, and first bytes are read before a client is admitted
-	shared   bool   // other processes have the socket; one that starts may make it block, for all
-	header   string // with a client's identity, empty for none
-	log      func() // called when the process had no descriptor left
-	onClose  func(ConnectionClosed)
-	patience ReadTimeout
+	socket      *os.File // the listener's, as a listener gives no access to its descriptor
+	raw         syscall.RawConn
+	start       time.Time
+	strict      bool   // slow clients are bounded by level, and first bytes are read before a client is admitted
+	shared      bool   // other processes have the socket; one that starts may make it block, for all
+	header      string // with a client's identity, empty for none
+	log         func() // called when the process had no descriptor left
+	onClose     func(ConnectionClosed)
+	readTimeout ReadTimeout
 
 	draining            atomic.Bool           // answers say that their connections end
 	mover               atomic.Pointer[Mover] // to a process that takes over, nil for none
@@ -68,15 +68,15 @@
 func newListener(limits *FrontLimits) *listener {
 	c := limits.Admission
 	l := &listener{
-		start:     time.Now(),
-		admission: admission.New(c, limits.Seed),
-		maxAlive:  c.MaxConnections + c.MaxOverflow + maxClosingConns,
-		log:       limits.OnDescriptorShortage,
-		onClose:   limits.OnClose,
-		strict:    c.IdleTimeout != [3]time.Duration{},
-		header:    limits.Identity,
-		burst:     minAcceptBurst,
-		patience:  limits.ReadTimeout,
+		start:       time.Now(),
+		admission:   admission.New(c, limits.Seed),
+		maxAlive:    c.MaxConnections + c.MaxOverflow + maxClosingConns,
+		log:         limits.OnDescriptorShortage,
+		onClose:     limits.OnClose,
+		strict:      c.IdleTimeout != [3]time.Duration{},
+		header:      limits.Identity,
+		burst:       minAcceptBurst,
+		readTimeout: limits.ReadTimeout,
 	}
 	l.aliveDropped = sync.NewCond(&l.mu)
 	return l
@@ -170,7 +170,7 @@
 	case admission.Evict:
 		l.conns[a.Conn].evict()
 	case admission.Expire:
-		l.conns[a.Conn].hurried, l.conns[a.Conn].expiryCause = true, a.Cause
+		l.conns[a.Conn].deadlineShortened, l.conns[a.Conn].expiryCause = true, a.Cause
 		l.conns[a.Conn].Conn.SetReadDeadline(time.Unix(1, 0))
 	}
 }
--- a/internal/transport/listenerclose.go
+++ b/internal/transport/listenerclose.go
@@ -47,8 +47,8 @@
 // hasBacklog reports whether a client waits to be accepted.
 func (l *listener) hasBacklog() (waiting bool) {
 	l.raw.Control(func(fd uintptr) {
-		look := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
-		n, err := unix.Poll(look, 0)
+		fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
+		n, err := unix.Poll(fds, 0)
 		waiting = err == nil && n > 0
 	})
 	return waiting
--- a/internal/transport/movedconn_test.go
+++ b/internal/transport/movedconn_test.go
@@ -19,7 +19,7 @@
 func movedStream(t *testing.T, front *Front) (r *Receiver, client net.Conn, conn *pausedConn, end func()) {
 	t.Helper()
 	r = &Receiver{front: front, servers: NewServers(ServerLimits{StreamIdleTimeout: time.Minute}, make(scripted.LogLines, 10)),
-		log: make(scripted.LogLines, 10), hosts: map[net.Conn]bool{}}
+		log: make(scripted.LogLines, 10), serverConns: map[net.Conn]bool{}}
 	clientSide, accepted := pair(t)
 	host, server := pair(t)
 	conn = &pausedConn{TCPConn: accepted}
--- a/internal/transport/tap.go
+++ b/internal/transport/tap.go
@@ -50,7 +50,7 @@
 }
 
 // offerCopy lets the tap have a copy.
-func (f *Front) offerCopy(header *fasthttp.RequestHeader, a *balance.Arrival, came time.Time, m *Message) AnswerObserver {
+func (f *Front) offerCopy(header *fasthttp.RequestHeader, a *balance.Arrival, receivedAt time.Time, m *Message) AnswerObserver {
 	var tenant []byte
 	if name := f.tap.TenantHeader(); name != "" {
 		tenant = header.Peek(name)
@@ -59,7 +59,7 @@
 	if copier == nil {
 		return nil
 	}
-	return copier.Copy(pools, AcceptedRequest{Arrival: *a, Tenant: string(tenant), ArrivedAt: came, Message: m})
+	return copier.Copy(pools, AcceptedRequest{Arrival: *a, Tenant: string(tenant), ArrivedAt: receivedAt, Message: m})
 }
 
 // observedStream is a stream that ends its request and has an observer.
--- a/internal/transport/unsent_test.go
+++ b/internal/transport/unsent_test.go
@@ -139,8 +139,8 @@
 	conn.watch(func() { left <- true })
 	scripted.AwaitCondition(t, "the watch has read a byte", func() bool { return conn.nextBegun.Load() })
 	conn.unwatch()
-	if n := unread(); n != len(second+third)-1 || !conn.hasFurther() || conn.clientLeft() {
-		t.Errorf("%d bytes are unread, further %v, left %v", n, conn.hasFurther(), conn.clientLeft())
+	if n := unread(); n != len(second+third)-1 || !conn.hasNextRequest() || conn.clientLeft() {
+		t.Errorf("%d bytes are unread, further %v, left %v", n, conn.hasNextRequest(), conn.clientLeft())
 	}
 	read(second)
 	conn.watch(func() { left <- true })
