--- a/internal/transport/accept.go
+++ b/internal/transport/accept.go
@@ -13,17 +13,18 @@
 )
 
 const (
-	// A flood is accepted in bursts: after so many connections that were rejected the listener
-	// rests, so that the poller gets to those that are served. While the backlog grows, its bursts
-	// grow up to maxAcceptBurst: the clients that are served next are in that backlog, too.
+	// During a flood of connections, the listener pauses after each burst of rejected connections,
+	// so that the network poller also gets to the connections that are served. While the backlog is
+	// not empty, the burst size doubles up to maxAcceptBurst, because the backlog also holds the
+	// clients that will be served next.
 	minAcceptBurst   = 64
 	maxAcceptBurst   = 256
 	acceptPause      = 200 * time.Microsecond
-	acceptRetryDelay = time.Millisecond // where no connection can be closed for another yet
+	acceptRetryDelay = time.Millisecond // pause after a connection error, and before asking admission again when it can't make room yet
 )
 
-// accept returns the descriptor of the next connection. A net.Conn is made only of those that are
-// admitted: making one costs as much as all else that is done for a connection.
+// accept returns the descriptor of the next connection. Only admitted connections get a net.Conn,
+// because creating one costs as much as everything else that is done for a connection.
 func (l *listener) accept() (fd int, from netip.Addr, err error) {
 	var failed error
 	err = l.raw.Read(func(socket uintptr) bool {
@@ -58,22 +59,22 @@
 	return fd, from, err
 }
 
-// connOf makes a connection of a descriptor, which it takes over.
+// connOf returns a connection for the descriptor fd and takes ownership of fd.
 func connOf(fd int) (net.Conn, error) {
 	f := os.NewFile(uintptr(fd), "client")
 	defer f.Close()
-	c, err := net.FileConn(f) // has a second descriptor until f is closed
+	c, err := net.FileConn(f) // duplicates the descriptor; f.Close closes the original
 	if isDescriptorShortage(err) {
 		rejectForShortage(fd)
 	}
 	return c, err
 }
 
-// Accept returns the next connection that is admitted. Others are rejected here.
+// Accept returns the next connection that admission accepts. It rejects all others itself.
 func (l *listener) Accept() (net.Conn, error) {
 	for {
 		if l.reservedDescriptor == nil {
-			l.reservedDescriptor, _ = os.Open(os.DevNull) // without one there is nothing to do now
+			l.reservedDescriptor, _ = os.Open(os.DevNull) // if this fails, the listener runs without a reserved descriptor
 		}
 		if l.rejectedInBurst >= l.burst {
 			l.rejectedInBurst = 0
@@ -88,7 +89,7 @@
 			}
 		case isDescriptorShortage(err):
 			l.rejectNextForShortage()
-		case errors.Is(err, syscall.ECONNABORTED): // by its client, before it was accepted
+		case errors.Is(err, syscall.ECONNABORTED): // the client aborted the connection before it was accepted
 		case isConnectionError(err):
 			time.Sleep(acceptRetryDelay)
 		default:
@@ -98,8 +99,9 @@
 	}
 }
 
-// readEarly looks at what a client has sent by now, if admission is strict. It returns admission's
-// event and how many bytes are in l.readAhead; they stay unread, as the connection may be dropped.
+// readEarly peeks at the bytes that a client has sent so far, if admission is strict. It returns
+// the event for admission and the number of bytes copied to l.readAhead. The bytes stay unread in
+// the socket, because the connection may still be dropped.
 func (l *listener) readEarly(fd int, from netip.Addr) (e admission.Event, got int) {
 	e = admission.Event{Kind: admission.Opened, Addr: from}
 	if !l.strict {
@@ -120,8 +122,8 @@
 	return e, max(got, 0)
 }
 
-// admitOpened has admission decide on a connection, nil for one that is not admitted. It waits
-// while too many connections have not left the HTTP server.
+// admitOpened asks admission whether to accept a connection and returns nil if the connection is
+// not admitted. It blocks while the HTTP server still holds too many connections.
 func (l *listener) admitOpened(fd int, from netip.Addr) (c *clientConn) {
 	e, got := l.readEarly(fd, from)
 	l.mu.Lock()
@@ -138,25 +140,25 @@
 		switch a.Kind {
 		case admission.Admit:
 			nc, err := connOf(fd)
-			if err != nil { // it is closed already, or there is no second descriptor
+			if err != nil { // the connection is closed already, or no descriptor is left for the duplicate
 				l.admission.Step(l.now(), admission.Event{Kind: admission.Closed, Conn: a.Conn})
 				if isDescriptorShortage(err) {
 					l.admission.Step(l.now(), admission.Event{Kind: admission.DescriptorShortage})
-					l.rejectedInBurst = maxAcceptBurst // rest before the next one
-					go l.log()                         // asks for the counts, which the lock guards
+					l.rejectedInBurst = maxAcceptBurst // pause before the next accept
+					go l.log()                         // in a goroutine: the callback asks for counts, which need the lock
 				}
 				return nil
 			}
 			c = l.admit(a.Conn, nc)
 		case admission.Drop:
 			l.rejectedInBurst++
-			if !e.ClientLeft { // no request was read to its end, so no answer is owed
+			if !e.ClientLeft { // no complete request was read, so the client is not owed an answer
 				syscall.SetsockoptLinger(fd, syscall.SOL_SOCKET, syscall.SO_LINGER, &syscall.Linger{Onoff: 1})
 			}
 			syscall.Close(fd)
 		case admission.Reject:
 			l.rejectedInBurst++
-			syscall.Read(fd, l.readAhead[:got]) // a close with bytes unread would take back the answer
+			syscall.Read(fd, l.readAhead[:got]) // closing with unread bytes would reset the connection, and the client could lose the answer
 			l.reject(fd, e.RequestComplete && got < len(l.readAhead), a)
 		case admission.RetryLater:
 			if l.noWait != nil {
@@ -177,7 +179,7 @@
 	return c
 }
 
-// admit adds a connection under its ID at admission. The caller has the lock.
+// admit registers a connection under its admission ID. The caller holds l.mu.
 func (l *listener) admit(id int32, nc net.Conn) *clientConn {
 	c := &clientConn{Conn: nc, listener: l, admissionID: id, openedAt: time.Now()}
 	for int(id) >= len(l.conns) {
--- a/internal/transport/body.go
+++ b/internal/transport/body.go
@@ -12,8 +12,9 @@
 )
 
 const (
-	// maxFirstEvent bounds a stream's first event, in bytes, and maxStream all of it, by the
-	// platform's bound for any body: a chunk that is said to have gigabytes would go on for ever.
+	// maxFirstEvent bounds the first event of a stream and maxStream the whole stream, both in
+	// bytes. maxStream is the platform's bound for any body. Without it, a chunk with an announced
+	// size of gigabytes would never end.
 	maxFirstEvent = 64 << 10
 	maxStream     = MaxBody
 )
@@ -23,13 +24,13 @@
 	*exchange
 	ctx        context.Context
 	text       io.Reader
-	firstEvent []byte // read by open, for the next Read
-	endErr     error  // of open, for the Read after that
+	firstEvent []byte // read by open, and returned by the next calls of Read
+	endErr     error  // error found by open, and returned by Read after firstEvent
 	size       int    // bytes read so far
 	events     protocol.StreamReader
 
 	message      *Message
-	readDeadline time.Time // of the next read after a stopped move, 0 for the usual
+	readDeadline time.Time // deadline of the next read after a cancelled move; zero for the usual one
 }
 
 // open waits for the first complete event. Until then another server may still serve the request.
@@ -49,8 +50,8 @@
 	return errMalformedAnswer
 }
 
-// Read returns what has come. A stream that breaks, times out or is malformed gives an error other
-// than io.EOF.
+// Read returns the bytes received so far. If the stream breaks, times out or is malformed, the
+// error is not io.EOF.
 func (b *body) Read(p []byte) (int, error) {
 	if len(b.firstEvent) > 0 {
 		n := copy(p, b.firstEvent)
@@ -63,8 +64,8 @@
 	return b.readNext(p)
 }
 
-// readNext reads from the connection. What is no stream of events is not forwarded: a chunk of a
-// wrong size has the framing of the next one in its text.
+// readNext reads from the connection. It does not forward data that is not an event stream: if a
+// chunk has a wrong size, the framing of the next chunk ends up in its text.
 func (b *body) readNext(p []byte) (int, error) {
 	if b.stoppedForMove() {
 		if b.move() {
@@ -72,20 +73,20 @@
 		}
 	}
 	deadline := time.Now().Add(b.servers.streamIdleTimeout)
-	if !b.readDeadline.IsZero() { // the time before a stop counts
+	if !b.readDeadline.IsZero() { // the time before the cancelled move counts
 		deadline, b.readDeadline = b.readDeadline, time.Time{}
 	}
 	b.conn.SetReadDeadline(deadline)
-	if err := b.ctx.Err(); err != nil { // after the line above, lest it undo the end of ctx
+	if err := b.ctx.Err(); err != nil { // checked after setting the deadline, which would otherwise override the one set when ctx ended
 		return 0, err
 	}
 	n, err := b.text.Read(p)
 	if b.stoppedForMove() {
-		err = nil // the next call sees to it
+		err = nil // the next call handles the move
 	}
 	if err == io.EOF && b.resp.Header.ContentLength() < -1 {
-		// Neither length nor chunks: an end of the connection does not say that the stream was
-		// complete.
+		// Without a length or chunked framing, the end of the connection does not show that the
+		// stream was complete.
 		err = io.ErrUnexpectedEOF
 	}
 	b.size += n
--- a/internal/transport/clientconn.go
+++ b/internal/transport/clientconn.go
@@ -16,69 +16,71 @@
 )
 
 const (
-	// lingerTimeout and lingerBytes bound what is read of a request that was rejected before its
-	// end, overloadLingerTimeout the time where connections are scarce.
+	// lingerTimeout and lingerBytes bound how long and how much the router reads of the rest of a
+	// request that it rejected early. overloadLingerTimeout replaces lingerTimeout when connections
+	// are scarce.
 	lingerTimeout         = time.Second
-	strictLingerTimeout   = 500 * time.Millisecond // where the client may have been accepted late
+	strictLingerTimeout   = 500 * time.Millisecond // with strict admission, when the client may have been accepted late
 	overloadLingerTimeout = 100 * time.Millisecond
 	lingerBytes           = 4 << 20
 )
 
-// clientWriteTimeout is how long a client may take to read what one write sent, where admission has
-// no bound of its own.
+// clientWriteTimeout is how long a client may take to read the bytes of one write, if admission
+// sets no bound of its own.
 const clientWriteTimeout = 10 * time.Second
 
-// clientConn is a client's connection. Of pipelined requests it reads only the first: what was read
-// of others would be lost with a connection that has to end. While a request is open the HTTP
-// server does not read, so a watch notices whether the client leaves.
+// clientConn is a connection from a client. Of pipelined requests, it reads only the first one,
+// because any bytes read of the later ones would be lost if the connection had to be closed. The
+// HTTP server does not read while a request is open, so a watch goroutine detects whether the
+// client disconnects.
 type clientConn struct {
 	net.Conn
 	listener      *listener
 	admissionID   int32                   // its ID at admission
-	readAhead     []byte                  // read elsewhere, for the next calls of Read
+	readAhead     []byte                  // bytes that were read elsewhere and that the next calls of Read return
 	framing       protocol.RequestFraming // of the request that is being read
-	everRead      bool                    // anything was read
-	requestBegun  bool                    // anything of the next request was read
-	requestUnread bool                    // more of a rejected request may come
-	requestOpen   bool                    // a request was read to its end and is not answered
-	answerBegun   bool                    // something of the request's final answer was written
-	adoptedIdle   bool                    // of another process, and a request came on it there
+	everRead      bool                    // at least one byte was read
+	requestBegun  bool                    // at least one byte of the next request was read
+	requestUnread bool                    // the rest of a rejected request may still arrive
+	requestOpen   bool                    // a request was read completely and is not answered yet
+	answerBegun   bool                    // part of the request's final answer was written
+	adoptedIdle   bool                    // taken over from another process, which received a request on it
 	closed        bool
 
-	// The listener's lock guards these:
-	deadlineShortened bool            // admission has shortened its read deadline
-	expiryCause       admission.Cause // why it has
+	// The listener's mu guards these fields:
+	deadlineShortened bool            // admission has shortened the read deadline
+	expiryCause       admission.Cause // why admission has shortened it
 	closeReason       CloseReason
-	unreadAtClose     int  // bytes
-	answerDue         bool // a request has come to its end, and nothing of its answer was written
+	unreadAtClose     int  // unread bytes in the socket when it was closed
+	answerDue         bool // a complete request has arrived, and nothing of its answer was written
 
 	openedAt time.Time
 	readAt   time.Time // when Read last returned bytes
-	beganAt  time.Time // when the first byte of the present request came
+	beganAt  time.Time // when the first byte of the current request arrived
 
-	// Of the watch, for its user alone:
+	// Used by the watch. Only the goroutine that serves the connection starts and ends the watch:
 	onLeave     func()
 	watchDone   chan struct{} // closed when the watch ends, nil without one
 	hasLeft     atomic.Bool   // the client ended the connection
 	nextBegun   atomic.Bool   // the watch has read the first byte of the next request
-	nextBegunAt time.Time     // when
+	nextBegunAt time.Time     // when the watch read that byte
 }
 
-// SetReadDeadline is called by the HTTP server before it reads. A Patience replaces the deadline of
-// the server.
+// SetReadDeadline is called by the HTTP server before it reads. If the front end has a ReadTimeout,
+// it replaces the deadline of the HTTP server.
 func (c *clientConn) SetReadDeadline(t time.Time) error {
 	switch {
 	case t.IsZero():
 	case c.listener.readTimeout != nil:
 		t = time.Now().Add(c.listener.readTimeout(c.requestBegun && !c.requestOpen))
 	case c.adoptedIdle && !c.everRead:
-		t = time.Now().Add(clientIdleTimeout) // to the server it is a new one
+		t = time.Now().Add(clientIdleTimeout) // the HTTP server treats the connection as new
 	}
 	return c.Conn.SetReadDeadline(t)
 }
 
-// requestRead says that a request was read to its end. If its bytes came along with those of the
-// one before, no Read has said that it began.
+// requestRead records that a request was read completely. If its bytes arrived together with those
+// of the previous request, no Read has recorded its beginning yet.
 func (c *clientConn) requestRead() {
 	c.requestAnswered()
 	c.listener.mu.Lock()
@@ -89,8 +91,8 @@
 	c.setAnswerDue(true)
 }
 
-// requestAnswered says that the open request, if there is one, has its final answer. Only the
-// goroutine that serves the connection calls it.
+// requestAnswered records that the open request, if any, has its final answer. Only the goroutine
+// that serves the connection calls it.
 func (c *clientConn) requestAnswered() {
 	if !c.requestOpen {
 		return
@@ -99,8 +101,8 @@
 	c.listener.notifyAdmission(admission.Event{Kind: admission.RequestDone, Conn: c.admissionID})
 }
 
-// restoreDeadline gives a request that came as its connection's deadline was shortened the time
-// that any has. The caller has the listener's lock.
+// restoreDeadline gives a request that arrived while its connection's deadline was shortened the
+// usual time to be read. The caller holds the listener's mu.
 func (c *clientConn) restoreDeadline() {
 	if c.deadlineShortened {
 		c.deadlineShortened = false
@@ -108,8 +110,8 @@
 	}
 }
 
-// Write gives up on a client that reads no more: its stream would occupy a server's connection for
-// ever.
+// Write implements net.Conn. It times out if the client stops reading, because the client's stream
+// would otherwise occupy a connection to a server forever.
 func (c *clientConn) Write(p []byte) (int, error) {
 	c.Conn.SetWriteDeadline(time.Now().Add(c.listener.writeTimeout()))
 	n, err := c.Conn.Write(p)
@@ -119,10 +121,10 @@
 	return n, err
 }
 
-// interimAnswer begins an answer that is followed by another one.
+// interimAnswer is the beginning of an interim answer, which another answer follows.
 var interimAnswer = []byte("HTTP/1.1 100 ")
 
-// beginAnswer says that something of the final answer was written.
+// beginAnswer records that part of the final answer was written.
 func (c *clientConn) beginAnswer() {
 	if c.answerBegun {
 		return
@@ -133,8 +135,8 @@
 	c.setAnswerDue(false)
 }
 
-// setAnswerDue says whether a request has come to its end and nothing of its answer was written. The
-// caller has the listener's lock.
+// setAnswerDue records whether a complete request has arrived and nothing of its answer was
+// written. The caller holds the listener's mu.
 func (c *clientConn) setAnswerDue(due bool) {
 	if due == c.answerDue {
 		return
@@ -147,8 +149,8 @@
 	}
 }
 
-// watch calls onLeave if the client ends the connection, or only its sending, before unwatch is
-// called. Nothing else may read meanwhile.
+// watch calls onLeave if, before unwatch is called, the client closes the connection or only its
+// sending side. Nothing else may read from the connection meanwhile.
 func (c *clientConn) watch(onLeave func()) {
 	c.Conn.SetReadDeadline(time.Time{})
 	done := make(chan struct{})
@@ -162,9 +164,9 @@
 	}()
 }
 
-// awaitClose returns an error when the client leaves, net.ErrClosed when this side has closed the
-// connection, and nil at the end of the watch. It reads the first byte of a further request, and
-// nothing more of it: behind unread bytes the system still reports that the client has ended the
+// awaitClose returns an error when the client disconnects, net.ErrClosed when the router has closed
+// the connection, and nil when the watch ends. It reads at most the first byte of a further
+// request. With the other bytes unread, the system still reports that the client has closed the
 // connection.
 func (c *clientConn) awaitClose() error {
 	var one [1]byte
@@ -184,23 +186,23 @@
 	return err
 }
 
-// awaitHangUp waits until the client has ended the connection, and returns true, or until the watch
-// ends.
+// awaitHangUp waits until the client closes the connection or the watch ends. It returns true if
+// the client has closed the connection.
 func (c *clientConn) awaitHangUp() bool {
 	raw, err := c.Conn.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return false
 	}
 	closed := false
-	err = raw.Read(func(fd uintptr) bool { // is called whenever something comes
+	err = raw.Read(func(fd uintptr) bool { // called whenever the socket becomes readable
 		closed = hungUp(fd)
 		return closed
 	})
 	return err == nil && closed
 }
 
-// hungUp reports whether the other side has ended a connection, or only its sending, whatever is
-// unread of it.
+// hungUp reports whether the other side has closed the connection or its sending side, even if
+// unread bytes remain.
 func hungUp(fd uintptr) bool {
 	const ended = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR
 	fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
@@ -208,7 +210,7 @@
 	return err == nil && n > 0 && fds[0].Revents&ended != 0
 }
 
-// hasFurther reports whether anything of a further request has come while one is open.
+// hasNextRequest reports whether any byte of a further request has arrived while a request is open.
 func (c *clientConn) hasNextRequest() bool {
 	if c.nextBegun.Load() {
 		return true
@@ -217,8 +219,8 @@
 	return n > 0 && err == nil
 }
 
-// peek returns whether anything is unread, and leaves it so. At the end of the connection it
-// returns 0 and no error.
+// peek returns the number of unread bytes, at most 1, and leaves them unread. At the end of the
+// connection it returns 0 and no error.
 func (c *clientConn) peek() (n int, err error) {
 	raw, err := c.Conn.(syscall.Conn).SyscallConn()
 	if err != nil {
@@ -234,8 +236,8 @@
 	return n, err
 }
 
-// clientLeft reports whether the client has gone. It asks the system, as the watch may be late
-// where the router is short of processor time.
+// clientLeft reports whether the client has disconnected. It asks the system, because the watch may
+// be late when the router is short of processor time.
 func (c *clientConn) clientLeft() bool {
 	if c == nil { // no client waits for the answer
 		return false
@@ -253,7 +255,7 @@
 	return false
 }
 
-// hungUp reports whether the client has ended the connection behind what is unread.
+// hungUp reports whether the client has closed the connection, even if unread bytes remain.
 func (c *clientConn) hungUp() (ended bool) {
 	raw, err := c.Conn.(syscall.Conn).SyscallConn()
 	if err != nil {
@@ -274,8 +276,8 @@
 	c.Conn.SetReadDeadline(time.Time{})
 }
 
-// Close reads on for a moment after a request that was rejected before its end: closed with bytes
-// unread, the connection would be reset and the client might lose the answer.
+// Close keeps reading for a moment if a request was rejected before it was read completely. Closing
+// with unread bytes would reset the connection, and the client might lose the answer.
 func (c *clientConn) Close() error {
 	if c.closed {
 		return net.ErrClosed
--- a/internal/transport/clientread.go
+++ b/internal/transport/clientread.go
@@ -11,8 +11,8 @@
 	"reachspread/internal/protocol"
 )
 
-// Read is called by the HTTP server between requests and for what is left of one, never while one
-// is open.
+// Read is called by the HTTP server between requests and for the rest of a request, but never while
+// a request is open.
 func (c *clientConn) Read(p []byte) (n int, err error) {
 	c.requestAnswered()
 	if !c.requestBegun && len(c.readAhead) == 0 && c.everRead && c.listener.closingAfterAnswers.Load() {
@@ -26,10 +26,10 @@
 	return n, err
 }
 
-// lastRead is for an idle connection whose time is over. If another process takes over, the
-// connection goes there, with what is on its way. Otherwise a request that has come but was not
-// read, as the router was short of processor time, is read now. Without one the close follows at
-// once, so that hardly any request can cross it.
+// lastRead handles an idle connection whose idle time has ended. If another process takes over, the
+// connection moves there together with any bytes in transit. Otherwise lastRead reads a request
+// that has arrived but was not read because the router was short of processor time. Without such a
+// request it closes the connection at once, so that a new request is unlikely to cross the close.
 func (c *clientConn) lastRead(p []byte, closeErr error, reason CloseReason) (n int, err error) {
 	m := c.listener.mover.Load()
 	if m != nil && m.move(movedConn{Used: c.everRead || c.adoptedIdle}, c.Conn) == nil {
@@ -53,8 +53,8 @@
 	return 0, closeErr
 }
 
-// readRequest reads what has come of a request, nothing of the next one, and waits until something
-// has.
+// readRequest waits until bytes of a request have arrived and reads them, but nothing of the next
+// request.
 func (c *clientConn) readRequest(p []byte) (n int, err error) {
 	raw, err := c.Conn.(syscall.Conn).SyscallConn()
 	if err != nil {
@@ -66,7 +66,7 @@
 		available, failed = c.peekRequest(int(fd), p)
 		return failed != syscall.EAGAIN
 	}
-	if len(c.readAhead) > 0 { // there is nothing to wait for
+	if len(c.readAhead) > 0 { // no need to wait: some bytes are there already
 		err = raw.Control(func(fd uintptr) { tryPeek(fd) })
 	} else {
 		err = raw.Read(tryPeek)
@@ -77,9 +77,10 @@
 	return c.take(raw, p, available)
 }
 
-// peekRequest copies what was read elsewhere, and what has come behind it, and leaves it there. Of a
-// body of a stated length it looks at no more than whether anything has come. It returns how many
-// bytes have come, and the error is EAGAIN for nothing and io.EOF at the end of the connection.
+// peekRequest copies the bytes of readAhead and the bytes that are unread in the socket, and
+// consumes neither. If the body has a stated length, it copies at most one byte from the socket, to
+// find out whether any have arrived. It returns the number of bytes copied from the socket. The
+// error is EAGAIN if there are none and io.EOF at the end of the connection.
 func (c *clientConn) peekRequest(fd int, p []byte) (available int, err error) {
 	ahead := copy(p, c.readAhead)
 	rest := p[ahead:]
@@ -100,8 +101,8 @@
 	return available, nil
 }
 
-// bodyRemaining returns how many bytes of the present request's body have not been read, 0 where that
-// is not known or there is no body.
+// bodyRemaining returns how many bytes of the current request's body have not been read. It returns
+// 0 if that is not known or there is no body.
 func (c *clientConn) bodyRemaining() int {
 	if !c.requestBegun {
 		return 0
@@ -109,10 +110,11 @@
 	return c.framing.BodyRemaining()
 }
 
-// take reads what peekRequest has seen, as far as it belongs to the request. That a request has begun,
-// and that it is complete, admission knows in the same step: it would take the connection for an idle
-// one that it may evict, and what was read would be lost. The listener's lock comes before any use of
-// the socket, as an eviction closes it with the lock, and the close waits until nobody uses it.
+// take consumes the bytes that peekRequest has seen and that belong to the request. In the same
+// step, it tells admission that a request has begun and whether it is complete. Otherwise admission
+// could evict the connection as idle, and the bytes read would be lost. take locks the listener's
+// mu before it uses the socket: an eviction closes the socket with mu locked, and that close waits
+// until nothing else uses the socket.
 func (c *clientConn) take(raw syscall.RawConn, p []byte, available int) (n int, err error) {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -133,11 +135,11 @@
 	return n, nil
 }
 
-// takeFramed reads as many of the bytes that peekRequest has copied as the request has.
+// takeFramed consumes those bytes copied by peekRequest that belong to the request.
 func (c *clientConn) takeFramed(raw syscall.RawConn, p []byte, available int) (n int, err error) {
 	ahead := min(len(p), len(c.readAhead))
 	n = ahead + available
-	if !c.framing.Complete() { // otherwise the HTTP server sees no end where it is
+	if !c.framing.Complete() { // else the HTTP server reads on behind the end that framing found: give it all bytes
 		n = c.framing.Feed(p[:n])
 	}
 	c.readAhead = c.readAhead[min(n, ahead):]
@@ -156,9 +158,9 @@
 	return max(n, 0), cmp.Or(failed, err)
 }
 
-// recordRead records that bytes of a request were read. Admission has to know of a request as it
-// begins and as it is complete; other bytes gain a slow sender no time. The caller has the listener's
-// lock.
+// recordRead records that bytes of a request were read. It informs admission when a request begins
+// and when it is complete; other bytes do not extend the time of a slow sender. The caller holds
+// the listener's mu.
 func (c *clientConn) recordRead() {
 	begins := !c.requestBegun
 	if begins {
@@ -173,16 +175,16 @@
 	c.restoreDeadline()
 }
 
-// requestHasCome reports whether all of the request has come, also where the end of its body was not
+// requestHasCome reports whether the whole request has arrived, even if the end of its body is not
 // read yet.
 func (c *clientConn) requestHasCome() bool {
 	rest := c.framing.BodyRemaining()
 	return c.framing.Complete() || rest > 0 && c.unreadBytes() >= rest
 }
 
-// beginRequest says that the first bytes of a request were read.
+// beginRequest records that the first bytes of a request were read.
 func (c *clientConn) beginRequest() {
-	if c.adoptedIdle && !c.everRead { // the server took the wait for it for a part of it
+	if c.adoptedIdle && !c.everRead { // the HTTP server counted the wait for the request as part of the request
 		c.Conn.SetReadDeadline(time.Now().Add(requestReadTimeout))
 	}
 	c.everRead, c.requestBegun, c.answerBegun = true, true, false
--- a/internal/transport/clientrequest.go
+++ b/internal/transport/clientrequest.go
@@ -8,13 +8,14 @@
 	"reachspread/internal/routing"
 )
 
-// clientRequest is a client's request that is under way, from its acceptance until its answer has
-// gone out. It outlives the attempts: a broken stream goes on under another request of the router.
+// clientRequest is a client's request in progress, from its acceptance until its answer is sent. It
+// may span several router requests: if the answer's stream breaks, another request of the router
+// continues it.
 type clientRequest struct {
 	front     *Front
 	conn      *clientConn
 	began     time.Time
-	bodyBytes int // reserved for its body until the end
+	bodyBytes int // bytes reserved for its body until it ends
 
 	mu        sync.Mutex
 	plan      *Plan
@@ -23,7 +24,7 @@
 	ended     bool
 }
 
-// abandon says that the client has gone.
+// abandon records that the client has disconnected.
 func (r *clientRequest) abandon() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -33,7 +34,7 @@
 	}
 }
 
-// end ends the request, whose client has its answer or has gone.
+// end ends the request after its client got the answer or disconnected.
 func (r *clientRequest) end(a routing.Answer) {
 	r.conn.unwatch()
 	r.mu.Lock()
@@ -47,12 +48,13 @@
 	r.front.memory.release(r.bodyBytes)
 }
 
-// outdated reports whether a request was rejected, unsent, because it has to be planned again.
+// outdated reports whether a request was rejected without being sent and has to be planned again.
 func (r *clientRequest) outdated(a routing.Answer) bool {
 	return a.Verdict == routing.Rejected && !a.MayHaveExecuted && r.plan.Outdated != nil && r.plan.Outdated()
 }
 
-// resume has a broken answer go on after an event, by a request of its own; nil if it can't.
+// resume continues a broken answer after the event with the ID after, by a new request. It returns
+// nil if the answer can't be continued.
 func (r *clientRequest) resume(first *Final, after string) *routing.Stream {
 	request := r.acceptResumed(first, after)
 	if request == nil {
@@ -65,8 +67,8 @@
 	return answer.Stream
 }
 
-// acceptResumed accepts the request that goes on with a broken answer, in place of the one before;
-// nil if there may be none.
+// acceptResumed accepts the request that continues a broken answer and replaces the previous one.
+// It returns nil if continuing is not allowed.
 func (r *clientRequest) acceptResumed(first *Final, after string) *routing.Request {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -87,11 +89,11 @@
 	return request
 }
 
-// resumable is a body that knows the last event that was forwarded.
+// resumable is a body that knows the ID of the last event that was forwarded.
 type resumable interface{ LastEvent() string }
 
-// resumingStream is the answer that a client reads. It ends the client's request with its own end.
-// A stream that breaks goes on from another server where that is allowed.
+// resumingStream is the answer that a client reads. When it is closed, it ends the client's
+// request. If the stream breaks, it continues from another server where that is allowed.
 type resumingStream struct {
 	*routing.Stream
 	request *clientRequest
--- a/internal/transport/closereason.go
+++ b/internal/transport/closereason.go
@@ -17,42 +17,42 @@
 
 // The reasons.
 const (
-	ClosedAfterAnswer CloseReason = iota // the answer said so, or the request could not be read to its end
-	ClosedByClient                       // or lost
-	ClosedUnused                         // no request came in time after it was opened
-	ClosedIdle                           // no further request came in time
-	ClosedDraining                       // it was idle while the router drained
-	ClosedExpired                        // it was idle for longer than admission allows at its level
-	ClosedEvicted                        // it was idle, and another client needed its place
-	ClosedMoved                          // another process has it
+	ClosedAfterAnswer CloseReason = iota // the answer announced the close, or the request could not be read completely
+	ClosedByClient                       // the client closed the connection, or the connection was lost
+	ClosedUnused                         // no request arrived in time after the connection was opened
+	ClosedIdle                           // no further request arrived in time
+	ClosedDraining                       // the connection was idle while the router was draining
+	ClosedExpired                        // the connection was idle for longer than admission allows at its level
+	ClosedEvicted                        // the connection was idle, and another client needed its place
+	ClosedMoved                          // another process has taken over the connection
 	closeReasons
 )
 
-// String returns the reason as figures and log lines name it.
+// String returns the reason's name in metrics and log lines.
 func (r CloseReason) String() string {
 	return [...]string{"answered", "client", "unused", "idle", "draining", "expired", "evicted", "moved"}[r]
 }
 
-// ConnectionClosed is the end of a client's connection.
+// ConnectionClosed describes the closing of a client's connection.
 type ConnectionClosed struct {
 	Client     netip.AddrPort
 	Reason     CloseReason
-	Unread     int           // bytes that had come and were not read
-	Unanswered bool          // something of a request was read, and nothing of an answer was written
-	IdleTime   time.Duration // since the last byte was read, or since it was opened
+	Unread     int           // bytes that had arrived and were not read
+	Unanswered bool          // part of a request was read, and nothing of an answer was written
+	IdleTime   time.Duration // since the last byte was read, or since the connection was opened
 }
 
-// CloseCounts counts the closed connections of one reason.
+// CloseCounts holds the counts of closed connections for one reason.
 type CloseCounts struct {
 	Reason             CloseReason
 	Closed             uint64
-	Unread, Unanswered uint64 // of them: with unread bytes; with a request but no answer
+	Unread, Unanswered uint64 // of these: with unread bytes; with a request but no answer
 }
 
 // closeCounter counts closed connections by their reason.
 type closeCounter [closeReasons]CloseCounts
 
-// add counts one.
+// add counts one closed connection.
 func (c *closeCounter) add(closed *ConnectionClosed) {
 	counts := &c[closed.Reason]
 	counts.Closed++
@@ -81,7 +81,7 @@
 	return f.listener.closed.all()
 }
 
-// recordClose counts a connection that is closed, and reports it. The caller has the lock.
+// recordClose counts a closed connection and reports it to onClose. The caller holds l.mu.
 func (l *listener) recordClose(c *clientConn) {
 	closed := c.describeClose()
 	l.closed.add(&closed)
@@ -97,8 +97,9 @@
 	c.closeLocked(reason)
 }
 
-// evict closes the socket as another client needs its place. A request that has come, and that its
-// goroutine was late to read, is left for that to reject. The caller has the listener's lock.
+// evict closes the socket because another client needs its place. If a request has arrived that the
+// connection's goroutine has not read yet, evict leaves the socket open, and that goroutine rejects
+// the request. The caller holds the listener's mu.
 func (c *clientConn) evict() {
 	if c.unreadBytes() > 0 {
 		c.closeReason = ClosedEvicted
@@ -114,8 +115,8 @@
 	return c.closeReason == ClosedEvicted
 }
 
-// closeLocked closes the socket for a reason, unless it has another by now. The caller has the
-// listener's lock.
+// closeLocked closes the socket and records the reason, unless another reason is recorded already.
+// The caller holds the listener's mu.
 func (c *clientConn) closeLocked(reason CloseReason) {
 	if c.closeReason == ClosedAfterAnswer {
 		c.closeReason, c.unreadAtClose = reason, c.unreadBytes()
@@ -123,7 +124,8 @@
 	c.Conn.Close()
 }
 
-// recordClientClose records that a read has found the end of the connection.
+// recordClientClose records that the client has closed the connection, if a read returned that
+// error.
 func (c *clientConn) recordClientClose(n int, err error) {
 	timeout, ok := err.(net.Error)
 	if n > 0 || err == nil || ok && timeout.Timeout() || errors.Is(err, net.ErrClosed) {
@@ -136,7 +138,7 @@
 	}
 }
 
-// unreadBytes returns how many bytes have come that were not read, 0 for a socket that is closed.
+// unreadBytes returns how many received bytes are unread, 0 for a closed socket.
 func (c *clientConn) unreadBytes() (n int) {
 	socket, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -150,7 +152,7 @@
 	return n
 }
 
-// idleReason says why a connection that is idle is closed by its read deadline.
+// idleReason returns why an idle connection is closed when its read deadline passes.
 func (c *clientConn) idleReason() CloseReason {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -165,7 +167,7 @@
 	return ClosedIdle
 }
 
-// describeClose describes the connection as it is closed. The caller has the listener's lock.
+// describeClose describes the connection at its close. The caller holds the listener's mu.
 func (c *clientConn) describeClose() ConnectionClosed {
 	answered := !c.requestBegun || c.answerBegun
 	left := c.hasLeft.Load() || c.closeReason == ClosedByClient
