--- a/internal/transport/descriptorshortage.go
+++ b/internal/transport/descriptorshortage.go
@@ -9,12 +9,12 @@
 	"reachspread/internal/admission"
 )
 
-// descriptorRetryDelay is the wait for another descriptor, or for the request that is rejected for
-// want of one.
+// descriptorRetryDelay is how long the listener waits for a descriptor to become free, and for the
+// request of a client that it rejects because no descriptor is free.
 const descriptorRetryDelay = 2 * time.Millisecond
 
-// rejectNextForShortage uses the reserved descriptor to tell one client that there is no other, and
-// reserves a new one.
+// rejectNextForShortage uses the reserved descriptor to accept one client and reject it, because no
+// other descriptor is free. Accept then reserves a descriptor again.
 func (l *listener) rejectNextForShortage() {
 	l.notifyAdmission(admission.Event{Kind: admission.DescriptorShortage})
 	l.log()
@@ -29,32 +29,33 @@
 		time.Sleep(descriptorRetryDelay)
 		return
 	}
-	time.Sleep(descriptorRetryDelay) // for its request to come
+	time.Sleep(descriptorRetryDelay) // for the client's request to arrive
 	rejectForShortage(fd)
 	syscall.Close(fd)
 }
 
-// shortageAnswer is the answer of a process without descriptors.
+// shortageAnswer is the answer of a process that has no free descriptor.
 const shortageAnswer = "HTTP/1.1 503 Service Unavailable\r\n" +
 	"Retry-After: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
-// connectionErrors are what accept returns for a fault of the new connection or of the network, or for
-// want of the system's memory: the listener is as good as before.
+// connectionErrors are the errors that accept returns for a fault of the new connection or of the
+// network, or because the system is short of memory. The listener itself still works after them.
 var connectionErrors = []syscall.Errno{syscall.ENETDOWN, syscall.EPROTO, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH,
 	syscall.ENETUNREACH, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPERM, syscall.ETIMEDOUT}
 
-// isConnectionError reports whether accepting failed for a reason that is not the listener's.
+// isConnectionError reports whether accept failed for a reason other than a fault of the listener.
 func isConnectionError(err error) bool {
 	return slices.ContainsFunc(connectionErrors, func(cause syscall.Errno) bool { return errors.Is(err, cause) })
 }
 
-// isDescriptorShortage reports whether an error is the lack of a descriptor.
+// isDescriptorShortage reports whether an error says that no descriptor is free.
 func isDescriptorShortage(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
 }
 
-// rejectForShortage rejects a client on its bare descriptor. What it has sent must be read, or the
-// close would take back the answer.
+// rejectForShortage rejects a client directly on its descriptor. It reads what the client has sent,
+// because a close with unread bytes would reset the connection and the client could lose the
+// answer.
 func rejectForShortage(fd int) {
 	syscall.Read(fd, make([]byte, 4096))
 	syscall.Write(fd, []byte(shortageAnswer))
--- a/internal/transport/discovery.go
+++ b/internal/transport/discovery.go
@@ -13,43 +13,44 @@
 )
 
 const (
-	watchTimeout  = 5 * time.Second // of one call for changes
-	answerTimeout = time.Second     // beyond that; longer means that discovery is down
+	watchTimeout  = 5 * time.Second // how long discovery may hold one call while it waits for changes
+	answerTimeout = time.Second     // on top of that; if an answer takes longer, discovery counts as down
 	maxList       = 4 << 20
 )
 
-// Pace says when a watch is begun, and begun again after a failure: with a backoff that doubles
-// from First to Longest, and varies by half of it either way, so that routers which failed together
-// do not come back together.
+// RetrySchedule says when a watch starts and when it restarts after a failure. The backoff doubles
+// from FirstDelay to MaxDelay. A jitter of half the delay either way keeps routers that failed
+// together from retrying together.
 type RetrySchedule struct {
-	StartSpread          time.Duration // the first call goes out within this, if a list is known
+	StartSpread          time.Duration // the first call starts within this time, if a list is known
 	FirstDelay, MaxDelay time.Duration
-	// Answer is the timeout of a connection attempt, and of an answer that waits for nothing to
-	// begin; 0 counts as answerTimeout. A slower discovery is heard by the first
-	// attempt, which has patientTimeout and goes on beside the others.
+	// AnswerTimeout bounds a connection attempt and the wait for an answer that discovery does not
+	// hold; 0 means answerTimeout. A discovery that answers more slowly is reached by the first
+	// attempt, which has the timeout longAttemptTimeout and runs in parallel with the others.
 	AnswerTimeout time.Duration
 }
 
-// Pushed is the pace for a discovery that pushes: an agent on this machine, which costs nothing to
-// ask and answers at once. While discovery is down the agent does not answer. A router must apply
-// what it has after that within 500 ms: an attempt that began before, the wait after it and the
-// next attempt have to end within that.
+// PushSchedule is the schedule for a discovery that pushes changes: an agent on this machine, which
+// is cheap to ask and answers at once. While discovery is down, the agent does not answer. Once it
+// answers again, a router must apply the agent's list within 500 ms. An attempt that began before,
+// the delay after it and the next attempt must all fit into that time.
 var PushSchedule = RetrySchedule{FirstDelay: 20 * time.Millisecond, MaxDelay: 80 * time.Millisecond, AnswerTimeout: 250 * time.Millisecond}
 
-// patientTimeout is the timeout of the attempt that goes on beside hasty ones.
+// longAttemptTimeout is the timeout of the attempt that runs in parallel with the short attempts.
 const longAttemptTimeout = 3 * time.Second
 
-// answerTimeout returns how long a call that waits for nothing may take.
+// answerTimeout returns how long discovery may take to answer a call that it does not hold.
 func (s RetrySchedule) answerTimeout() time.Duration { return cmp.Or(s.AnswerTimeout, answerTimeout) }
 
-// callCost is the time of a discovery that one call is assumed to take.
+// assumedCallDuration is how long discovery is assumed to be busy with one call.
 const assumedCallDuration = 100 * time.Millisecond
 
-// Asked returns the pace for a discovery that must be asked: one service for so many routers. Each
-// call takes some of its time, also one that is queued for too long and fails; if calls come as
-// fast as it can answer, a queue that once was too long stays so, and no router gets an answer. So
-// the calls of all routers are spread over the time that they take together, or most of that within
-// which each must have asked.
+// PollSchedule returns the schedule for a discovery that must be polled: one service for the given
+// number of routers. Each call takes some of the service's time, even a call that waits in its
+// queue for too long and fails. If calls arrive as fast as the service can answer them, a queue
+// that was once too long stays too long, and no router gets an answer. PollSchedule therefore
+// spreads the calls of all routers over the time that they take in total, or over 4/5 of within,
+// the time by which each router must have called, if that is shorter.
 func PollSchedule(routers int, within time.Duration) RetrySchedule {
 	spread := time.Duration(max(routers, 1)) * assumedCallDuration
 	if within > 0 {
@@ -58,9 +59,9 @@
 	return RetrySchedule{StartSpread: spread, FirstDelay: min(spread, maxRetryDelay), MaxDelay: min(3*spread, maxRetryDelay)}
 }
 
-// maxRetryDelay bounds the usual wait after a failure. A router must have a change 6 s after
-// discovery had it and could be reached, whatever call failed: the longest wait, which is half as
-// much again, and the call after it have to end within that.
+// maxRetryDelay bounds the delay after a failure, before jitter. A router must have a change 6 s
+// after discovery had it and was reachable, whichever call failed. The longest delay, which is 1.5
+// times maxRetryDelay, and the call after it must fit into that time.
 const maxRetryDelay = 3 * time.Second
 
 // Discovery watches the list of servers.
@@ -69,12 +70,12 @@
 	schedule RetrySchedule
 	log      routing.Logger
 	onList   func(*protocol.List)
-	down     bool  // the loss was logged
-	since    int64 // version of the last list, below 0 if only a full list will do
-	failures int   // attempts since the last list
+	down     bool  // the loss is already logged
+	since    int64 // version of the last list; below 0, only a full list will do
+	failures int   // failed attempts since the last list
 }
 
-// Wait returns how long to wait after a failure that so many came before, one after the other.
+// Wait returns the delay after a failure that follows previousFailures failures in a row.
 func (s RetrySchedule) Wait(previousFailures int) time.Duration {
 	base := s.MaxDelay
 	if doubled := s.FirstDelay << min(previousFailures, 20); doubled < base {
@@ -83,30 +84,30 @@
 	return base/2 + rand.N(base)
 }
 
-// WaitAfterTimeout returns how long to wait after a watch has timed out. A router must have what it
-// missed 2 s after the time that its call could wait, and the time-out was noticed answerTimeout
-// after that. When watches time out together, their calls still began at different times, so the
-// next ones are spread.
+// WaitAfterTimeout returns the delay after a watch has timed out. A router must have a change that
+// it missed 2 s after the time for which its call could be held, and it notices the timeout
+// answerTimeout after that time. The calls of watches that time out together still started at
+// different times, so their next calls are spread as well.
 func (s RetrySchedule) WaitAfterTimeout() time.Duration {
 	base := min(s.FirstDelay, maxTimeoutRetryDelay)
 	return base/2 + rand.N(base)
 }
 
-// maxTimeoutRetryDelay bounds the usual wait after a watch that timed out.
+// maxTimeoutRetryDelay bounds the delay after a watch that timed out, before jitter.
 const maxTimeoutRetryDelay = 800 * time.Millisecond
 
 // FullList is the version to start from if no list of this discovery is known.
 const FullList = -1
 
-// NewDiscovery returns a watch that gives each list to onList. The next call goes out when onList
-// returns. The first call asks for what is newer than the version since: full lists for all routers
-// at once would overload a discovery.
+// NewDiscovery returns a watch that passes each list to onList and makes the next call when onList
+// returns. The first call asks only for changes since the version since, because sending full lists
+// to all routers at once would overload discovery.
 func NewDiscovery(addr string, schedule RetrySchedule, since int64, log routing.Logger, onList func(*protocol.List)) *Discovery {
 	return &Discovery{addr: addr, schedule: schedule, since: since, log: log, onList: onList}
 }
 
-// Run watches until ctx ends. Whatever fails, the last good list stays in force and a new watch
-// begins.
+// Run watches until ctx ends. After any failure, the last good list stays in force and Run starts a
+// new watch.
 func (d *Discovery) Run(ctx context.Context) {
 	wait := time.Duration(0)
 	if d.since >= 0 && d.schedule.StartSpread > 0 {
@@ -130,7 +131,7 @@
 	}
 }
 
-// recordLoss logs once that discovery is lost.
+// recordLoss logs that discovery is lost, unless it has logged that already.
 func (d *Discovery) recordLoss(cause error) {
 	if !d.down {
 		d.down = true
@@ -138,7 +139,7 @@
 	}
 }
 
-// apply hands on a list, and logs that discovery is back if it was lost.
+// apply passes a list to onList, and logs that discovery is reachable again if it was lost.
 func (d *Discovery) apply(list *protocol.List) {
 	d.onList(list)
 	if d.since >= 0 {
@@ -150,8 +151,8 @@
 	}
 }
 
-// follow asks for what is newer than the first list of a watch, again and again on its connection,
-// and returns the first error.
+// follow repeatedly asks for changes since the last list on the watch's connection, and returns the
+// first error. It applies the watch's first list before that.
 func (d *Discovery) follow(ctx context.Context, w *watch) error {
 	defer w.conn.Close()
 	defer context.AfterFunc(ctx, func() { w.conn.Close() })()
--- a/internal/transport/discoverywatch.go
+++ b/internal/transport/discoverywatch.go
@@ -12,7 +12,7 @@
 	"reachspread/internal/protocol"
 )
 
-// watch is a connection to discovery, with the first list that came on it.
+// watch is a connection to discovery, with the first list received on it.
 type watch struct {
 	conn  net.Conn
 	in    *bufio.Reader
@@ -20,15 +20,15 @@
 	first *protocol.List
 }
 
-// openOutcome is how an attempt to open a watch ended.
+// openOutcome is the result of one attempt to open a watch.
 type openOutcome struct {
 	watch *watch
 	err   error
-	long  bool // the attempt was the one beside hasty ones
+	long  bool // it is the result of the long attempt
 }
 
-// reach attempts to open a watch until one is open, the first time after a wait; ok is false if ctx
-// ended before.
+// connect tries to open a watch until one attempt succeeds; the first attempt starts after wait.
+// The result ok is false if ctx ended first.
 func (d *Discovery) connect(ctx context.Context, wait time.Duration) (w *watch, ok bool) {
 	race, end := context.WithCancel(ctx)
 	defer end()
@@ -53,18 +53,19 @@
 	}
 }
 
-// openAttempts are the attempts to open a watch, one at a time. Where the pace has hasty attempts,
-// the first one is patient, and hasty ones go on beside it: they find a discovery that comes back
-// soon, the patient one hears a slow one.
+// openAttempts are the attempts to open a watch. Without an AnswerTimeout in the schedule, there is
+// one attempt at a time. With one, a long attempt runs in parallel with a series of short attempts:
+// the short ones notice early that discovery is reachable again, and the long one reaches a
+// discovery that answers slowly.
 type openAttempts struct {
 	discovery                 *Discovery
-	race                      context.Context // ends all attempts
+	race                      context.Context // its end cancels all attempts
 	outcomes                  chan openOutcome
-	next                      *time.Timer // until the next attempt
-	longRunning, shortRunning bool        // whether such an attempt is under way
+	next                      *time.Timer // fires when the next attempt is due
+	longRunning, shortRunning bool        // whether such an attempt is in progress
 }
 
-// start begins the attempt that is due.
+// start starts the attempt that is due.
 func (a *openAttempts) start() {
 	schedule := a.discovery.schedule
 	if schedule.AnswerTimeout > 0 && !a.longRunning {
@@ -77,8 +78,8 @@
 	go attemptOpen(a.race, a.discovery.addr, a.discovery.firstCall(schedule.answerTimeout()), false, a.outcomes)
 }
 
-// recordFailure says that an attempt has failed. Unless a hasty one is under way the next one is due
-// after the pace's wait.
+// recordFailure records that an attempt has failed. Unless a short attempt is in progress, the next
+// attempt is due after the delay of the schedule.
 func (a *openAttempts) recordFailure(long bool) {
 	if long {
 		a.longRunning = false
@@ -92,8 +93,9 @@
 	a.discovery.failures++
 }
 
-// firstCall is the first call of a watch: for the full list, or for what is newer than the last one.
-// The connection attempt, and the beginning of an answer that waits for nothing, may take so long.
+// firstCall is the first call of a watch. It asks for the full list, or for changes since the last
+// one. connect is the timeout of the connection attempt, and answer that of the wait for the first
+// byte of the answer.
 type firstCall struct {
 	path            string
 	connect, answer time.Duration
@@ -106,7 +108,7 @@
 	return firstCall{protocol.ListPath, timeout, timeout}
 }
 
-// attemptOpen opens a watch and tells its outcome, unless the race has ended.
+// attemptOpen opens a watch and sends the outcome to outcomes, unless race has ended.
 func attemptOpen(race context.Context, addr string, call firstCall, long bool, outcomes chan<- openOutcome) {
 	w, err := openWatch(race, addr, call)
 	select {
@@ -118,7 +120,7 @@
 	}
 }
 
-// openWatch connects and makes the first call.
+// openWatch connects to discovery and makes the first call.
 func openWatch(ctx context.Context, addr string, call firstCall) (*watch, error) {
 	dialer := net.Dialer{Timeout: call.connect}
 	conn, err := dialer.DialContext(ctx, "tcp", addr)
@@ -134,7 +136,7 @@
 	return w, nil
 }
 
-// call makes one call, whose answer must begin within a time.
+// call makes one call. The answer must begin within timeout.
 func (w *watch) call(path string, timeout time.Duration) (*protocol.List, error) {
 	if err := w.conn.SetDeadline(time.Now().Add(timeout)); err != nil {
 		return nil, err
@@ -147,7 +149,7 @@
 	if _, err := req.WriteTo(w.conn); err != nil {
 		return nil, err
 	}
-	if _, err := w.in.Peek(1); err != nil { // an answer that has begun may take longer
+	if _, err := w.in.Peek(1); err != nil { // the rest of an answer that has begun gets a new deadline
 		return nil, err
 	}
 	if err := w.conn.SetDeadline(time.Now().Add(answerTimeout)); err != nil {
--- a/internal/transport/events.go
+++ b/internal/transport/events.go
@@ -15,13 +15,13 @@
 // maxEvent bounds one event of a stream, in bytes.
 const maxEvent = 1 << 20
 
-// eventID is the ID of an event. Those of a stream rise.
+// eventID is the ID of an event. IDs increase within a stream.
 type eventID struct {
 	value uint64
 	known bool
 }
 
-// Set parses an ID. An empty text is no ID.
+// Set parses an ID. An empty text means no ID.
 func (e *eventID) Set(text string) error {
 	if text == "" {
 		return nil
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// String returns the ID as it was, empty for none.
+// String returns the ID in decimal, or the empty string if there is none.
 func (e eventID) String() string {
 	if !e.known {
 		return ""
@@ -42,19 +42,19 @@
 	return strconv.FormatUint(e.value, 10)
 }
 
-// events is a stream of events from a server. Only complete events are forwarded, so that another
-// server can go on with a stream that breaks. It implements routing.Body.
+// events is a stream of events from a server. It forwards only complete events, so that another
+// server can continue a stream that breaks. It implements routing.Body.
 type events struct {
 	*exchange
 	ctx         context.Context
 	final       *Final
 	idleTimeout time.Duration
-	buffered    []byte  // read, and not forwarded
-	ready       int     // bytes of complete events at its start
-	last        eventID // of the events that were forwarded or are ready
-	// version checks the version that an event is of.
+	buffered    []byte  // read but not forwarded yet
+	ready       int     // length of the complete events at the start of buffered
+	last        eventID // ID of the last event that was forwarded or is ready
+	// version checks the version of an event.
 	version func(version string) error
-	endErr  error // of the last read
+	endErr  error // error of the last read
 }
 
 // open waits for the first complete event. Until then another server may still serve the request.
@@ -68,14 +68,14 @@
 	return nil
 }
 
-// Final implements headed.
+// Final implements hasFinal.
 func (b *events) Final() *Final { return b.final }
 
 // LastEvent returns the ID of the last event that was forwarded, empty for none.
 func (b *events) LastEvent() string { return b.last.String() }
 
-// Read returns complete events. A stream that breaks, times out or is malformed gives an error
-// other than io.EOF.
+// Read returns complete events. If the stream breaks, times out or is malformed, the error is not
+// io.EOF.
 func (b *events) Read(p []byte) (int, error) {
 	for b.ready == 0 {
 		if b.endErr != nil {
@@ -88,10 +88,10 @@
 	return n, nil
 }
 
-// fill reads what comes next and finds the complete events in it.
+// fill reads the next bytes and finds the complete events in them.
 func (b *events) fill() {
 	b.conn.SetReadDeadline(time.Now().Add(b.idleTimeout))
-	if err := b.ctx.Err(); err != nil { // after the line above, lest it undo the end of ctx
+	if err := b.ctx.Err(); err != nil { // checked after setting the deadline, which would otherwise override the one set when ctx ended
 		b.endErr = err
 		return
 	}
@@ -112,8 +112,8 @@
 	}
 	b.endErr = err
 	if err == io.EOF && (b.resp.Header.ContentLength() < -1 || b.ready < len(b.buffered)) {
-		// An end of the connection does not say that the stream was complete, and half an event
-		// says that it was not.
+		// Without a length or chunked framing, the end of the connection does not show that the
+		// stream was complete, and an unfinished event shows that it was not.
 		b.endErr = io.ErrUnexpectedEOF
 		return
 	}
@@ -128,7 +128,7 @@
 	versionsField = []byte("versions:")
 )
 
-// scan moves ready behind the last complete event that is buffered.
+// scan moves ready to the end of the last complete event in buffered.
 func (b *events) scan() error {
 	for {
 		rest := b.buffered[b.ready:]
@@ -149,8 +149,8 @@
 	}
 }
 
-// checkEvent checks a complete event: its ID must be above that of the one before, and its version
-// one that counts.
+// checkEvent checks a complete event: its ID must be greater than the previous one, and its version
+// must be acceptable.
 func (b *events) checkEvent(event []byte) error {
 	if err := b.checkVersion(event); err != nil {
 		return err
@@ -172,7 +172,7 @@
 	return nil
 }
 
-// checkVersion checks the version that an event is of, if it has any.
+// checkVersion checks the version of an event, if the event states one.
 func (b *events) checkVersion(event []byte) error {
 	for line := range bytes.Lines(event) {
 		if version, ok := bytes.CutPrefix(line, versionsField); ok {
--- a/internal/transport/exchange.go
+++ b/internal/transport/exchange.go
@@ -17,44 +17,45 @@
 )
 
 const (
-	// maxErrorBody bounds the body of an answer that is not forwarded as it comes, in bytes.
+	// maxErrorBody bounds, in bytes, the body of an answer that is read completely before it is
+	// used.
 	maxErrorBody = 64 << 10
-	// headTimeout is how long each read of a head that has begun may take. A server writes a head
-	// at once, however it is split on its way.
+	// headTimeout is how long each read of the rest of an answer's head may take. A server writes a
+	// head at once, however the network splits it.
 	headTimeout = time.Second
-	// maxInterimAnswers bounds the 1xx answers, and those to other requests, before the answer
-	// itself.
+	// maxInterimAnswers bounds the number of 1xx answers, and of answers to other requests, before
+	// the answer itself.
 	maxInterimAnswers = 100
 )
 
-// exchange is one request on a connection, and its answer from the head on.
+// exchange is one request on a connection and its answer, from the answer's head on.
 type exchange struct {
 	servers  *Servers
 	conn     *conn
 	resp     *fasthttp.Response
-	stop     func() bool // ends the effect of the context
-	complete bool        // the answer was read to its end
+	stop     func() bool // detaches the exchange from the context
+	complete bool        // the answer was read completely
 }
 
-// outgoing is a request on its way to a server.
+// outgoing is a request to be sent to a server.
 type outgoing struct {
 	request  *fasthttp.Request
-	deadline time.Time   // that the server is given, none if zero
-	client   *clientConn // that waits for the answer, nil for none in particular
+	deadline time.Time   // sent to the server as the time left; zero for none
+	client   *clientConn // the client that waits for the answer, nil for no particular client
 	hooks    routing.SendHooks
 
 	dialect   protocol.Dialect
-	id        string // answers to requests of other IDs are skipped; empty for none
+	id        string // answers to requests with other IDs are skipped; empty for no check
 	fixedHost bool   // the Host header is the client's
 }
 
-// errUnsent says that nothing of a request was written, so that it may be retried as if there had
-// been no attempt.
+// errUnsent says that nothing of a request was written, so it may be retried as if there had been
+// no attempt.
 var errUnsent = errors.New("nobody waits for the answer any more, or the server gets nothing new")
 
-// write writes a request, unless nobody waits for its answer any more or the server gets nothing
-// new. That is checked, and the time left worked out, at the last moment: the connection may have
-// taken a while to come up.
+// write writes a request, unless its client has left, its time is over, or the server is not to get
+// new requests. It checks this and computes the time left at the last moment, because establishing
+// the connection may have taken a while.
 func (o *outgoing) write(ctx context.Context, c *conn) error {
 	if !o.fixedHost {
 		o.request.Header.SetHost(c.to.Addr)
@@ -77,9 +78,9 @@
 	return out.Flush()
 }
 
-// exchange writes a request and reads the head of its answer. Without one it returns the result.
-// Until the last byte was written no server can have executed the request, so the result is one
-// that allows any retry; after it the request may have executed.
+// exchange writes a request and reads the head of its answer. If that fails, it returns a nil
+// exchange and the result of the attempt. Before the last byte is written, no server can have
+// executed the request, so the result allows any retry. After that, the request may have executed.
 func (s *Servers) exchange(ctx context.Context, to routing.Server, o outgoing) (*exchange, balance.Result) {
 	o.dialect = s.dialect
 	c, err := s.pool.take(ctx, to)
@@ -93,7 +94,7 @@
 	x.stop = context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
 	if err := o.write(ctx, c); err != nil {
 		unsent := errors.Is(err, errUnsent)
-		x.complete = unsent // the connection can be used again
+		x.complete = unsent // the connection can be reused
 		x.close()
 		if unsent {
 			return nil, balance.NotSent
@@ -112,8 +113,8 @@
 // header returns a header of the answer.
 func (x *exchange) header(name string) string { return string(x.resp.Header.Peek(name)) }
 
-// readAnswer reads the head of the answer to the request with the ID, and skips surplus answers to
-// earlier requests before it.
+// readAnswer reads the head of the answer to the request with the given ID. It skips surplus
+// answers to earlier requests.
 func (x *exchange) readAnswer(ctx context.Context, id string) error {
 	for range maxInterimAnswers {
 		if err := x.readHead(ctx); err != nil {
@@ -132,9 +133,9 @@
 	return errMalformedAnswer
 }
 
-// readHead reads the head of the answer, after any 1xx. It waits for the first byte of each as long
-// as ctx lasts, but not for the rest: a head that stops half-way would take all the time that
-// another server might use.
+// readHead reads the head of the answer and skips any 1xx answers before it. It waits for the first
+// byte of each head until ctx ends, but no longer than headTimeout for each further read. Otherwise
+// a head that stops halfway would use up the time in which another server could answer.
 func (x *exchange) readHead(ctx context.Context) error {
 	for range maxInterimAnswers {
 		if _, err := x.conn.in.Peek(1); err != nil {
@@ -164,11 +165,12 @@
 	return errMalformedAnswer
 }
 
-// errMalformedAnswer says that an answer can't be read although its connection is well.
+// errMalformedAnswer says that an answer can't be read although its connection works.
 var errMalformedAnswer = fmt.Errorf("%w: the answer can not be read", routing.ErrMalformedAnswer)
 
-// failed returns the result of an answer that broke off: by the end of ctx, with the connection, or
-// else because it was malformed, which its server outlives.
+// failed returns the result of an answer that broke off: onTimeout or a cancellation if ctx has
+// ended, a reset if the connection failed, and an error otherwise, because the answer was malformed
+// while its server still works.
 func (x *exchange) failed(ctx context.Context, onTimeout balance.Result) balance.Result {
 	onBroken := balance.Error
 	if x.conn.err != nil && !errors.Is(x.conn.err, os.ErrDeadlineExceeded) {
@@ -177,8 +179,8 @@
 	return failureResult(ctx, onTimeout, onBroken)
 }
 
-// commit takes off the deadline: the answer has begun, so only the end of ctx may end it. It
-// returns false if the deadline was first.
+// commit removes the deadline: the answer has begun, so from now on only the end of ctx may stop
+// it. It returns false if the deadline passed first.
 func (x *exchange) commit(ctx context.Context) bool {
 	if !x.stop() {
 		return false
@@ -187,9 +189,9 @@
 	return true
 }
 
-// readBody reads the body of an answer that is no stream.
+// readBody reads the body of an answer that is not a stream.
 func (x *exchange) readBody() ([]byte, error) {
-	if x.resp.BodyStream() == nil { // a status that has no body, such as 204
+	if x.resp.BodyStream() == nil { // a status without a body, such as 204
 		return nil, nil
 	}
 	text, err := io.ReadAll(io.LimitReader(x.resp.BodyStream(), maxErrorBody))
@@ -199,8 +201,8 @@
 	return text, err
 }
 
-// close returns the connection to the pool if the answer was read to its end, and closes it
-// otherwise.
+// close returns the connection to the pool if the answer was read completely, and closes the
+// connection otherwise.
 func (x *exchange) close() {
 	reuse := x.stop() && x.complete && !x.resp.ConnectionClose()
 	if keep := x.servers.dialect.KeepAlive(x.header); keep > 0 {
@@ -215,9 +217,9 @@
 	}
 }
 
-// ended returns the result of an exchange that broke off: because its client left, because its time
-// was over, or else because the connection broke. What the last two mean depends on whether the
-// request was sent.
+// failureResult returns the result of an exchange that broke off: cancelled if its client has left,
+// onTimeout if its time is over, and onBroken if the connection broke. The caller chooses onTimeout
+// and onBroken, because they depend on whether the request was sent.
 func failureResult(ctx context.Context, onTimeout, onBroken balance.Result) balance.Result {
 	switch ctx.Err() {
 	case context.Canceled:
--- a/internal/transport/forward.go
+++ b/internal/transport/forward.go
@@ -17,18 +17,19 @@
 	"reachspread/internal/routing"
 )
 
-// Forward says how a request of the fleet's dialect is forwarded: with the headers of its client,
-// to be answered as the server answers.
+// Forward says how a request in the fleet's dialect is forwarded: with the headers of its client,
+// and with the server's answer passed back unchanged.
 type Forward struct {
-	Header            []protocol.Field // as they are forwarded, Host among them
+	Header            []protocol.Field // headers to send, including Host
 	Events            bool             // the answer is a stream of events
-	FirstEventTimeout time.Duration    // until the answer, or a stream's first event; 0 for the deadline alone
-	IdleTimeout       time.Duration    // of a stream, 0 for that of Servers
-	// Admit allows an attempt right before it is sent, nil for all; see routing.Readmitter.
+	FirstEventTimeout time.Duration    // until the answer, or a stream's first event; 0 means that only the deadline applies
+	IdleTimeout       time.Duration    // of a stream; 0 for the timeout of Servers
+	// Admit allows or delays an attempt right before it is sent; nil allows all. See
+	// routing.Readmitter.
 	Admit       func(again bool) (ok bool, wait time.Duration)
-	LastEventID string // of a resumed stream, what the client has; empty for none
-	// Version is the only one whose answers count, 0 for all: the server is asked for it, and must
-	// confirm that it has it.
+	LastEventID string // of a resumed stream: the last event that the client has; empty for none
+	// Version is the only acceptable version of an answer, 0 for any. The request asks the server
+	// for this version, and the server must confirm it.
 	Version int64
 }
 
@@ -49,16 +50,17 @@
 	}
 }
 
-// errVersion says that an answer, or its rest, is not of the only version that counts.
+// errVersion says that an answer, or the rest of it, has another version than the request asked
+// for.
 var errVersion = fmt.Errorf("%w: the answer is of another version", routing.ErrUnacceptable)
 
-// rejectedForVersion reports whether a server has not executed a request as it has another version.
-// Any request may be retried after that.
+// rejectedForVersion reports whether a server did not execute a request because the server has
+// another version. Any request may be retried after that.
 func (f *Forward) rejectedForVersion(status int) bool {
 	return f != nil && f.Version > 0 && status == fasthttp.StatusMisdirectedRequest
 }
 
-// checkVersion returns errVersion unless an answer of a version counts.
+// checkVersion returns errVersion unless the version is acceptable.
 func (f *Forward) checkVersion(version string) error {
 	if f.Version == 0 {
 		return nil
@@ -73,11 +75,11 @@
 type Final struct {
 	Status int
 	Header []protocol.Field
-	Body   []byte // complete; nil for a body that is read from elsewhere
-	Length int    // of a body that is read, as the server announced it; -1 for chunks
+	Body   []byte // the complete body; nil if the body is read from elsewhere
+	Length int    // of a body that is read from elsewhere, as the server announced it; -1 for chunked
 }
 
-// answer copies the head of an answer, except for what concerns one connection.
+// answer copies the head of an answer, without the headers that concern only one connection.
 func (f *Forward) answer(resp *fasthttp.Response) *Final {
 	final := &Final{Status: resp.StatusCode(), Length: resp.Header.ContentLength()}
 	for name, value := range resp.Header.All() {
@@ -100,8 +102,8 @@
 	}
 }
 
-// ResumeAfter returns a copy that goes on with a stream after an event, with an answer of a version
-// alone, 0 for any. Admit replaces the one before.
+// ResumeAfter returns a copy of m that continues a stream after an event and accepts only answers
+// with the given version, 0 for any. The function admit replaces the previous one.
 func (m *Message) ResumeAfter(event string, version int64, admit func(retry bool) (ok bool, wait time.Duration)) *Message {
 	c, f := *m, *m.forward
 	f.LastEventID, f.Version, f.Admit, c.forward = event, version, admit, &f
@@ -124,7 +126,7 @@
 	return &Final{Status: fasthttp.StatusOK, Length: -1}
 }
 
-// WriteFinal writes a server's own answer; a body that is read from elsewhere is not written.
+// WriteFinal writes a server's own answer. It does not write a body that is read from elsewhere.
 func WriteFinal(ctx *fasthttp.RequestCtx, final *Final) {
 	ctx.SetStatusCode(final.Status)
 	ctx.Response.Header.SetNoDefaultContentType(true)
@@ -152,15 +154,18 @@
 	answerLine(ctx, rejection.Code, rejection.Text)
 }
 
-// maxBufferedAnswer bounds the answers, in bytes, that are read to their end before any of them
-// goes to the client, so that another server may still serve a request whose answer breaks off.
+// maxBufferedAnswer bounds the size, in bytes, of an answer that is read completely before any of
+// it goes to the client. Until then another server may still serve the request if the answer breaks
+// off.
 const maxBufferedAnswer = 64 << 10
 
-// errPartial says that an answer ended before its announced length.
+// errPartial says that an answer ended before its announced length, or without a sign that it was
+// complete.
 var errPartial = errors.New("the answer ended early")
 
-// forwardAnswer returns the body of an answer of the fleet's dialect after its first event, or all
-// of it, has come.
+// forwardAnswer returns the body of an answer in the fleet's dialect once the first event of a
+// stream, or the complete answer, has arrived. An answer that is not a stream may be returned after
+// its first maxBufferedAnswer bytes.
 func (s *Servers) forwardAnswer(ctx, headCtx context.Context, x *exchange, msg *Message) routing.AttemptResult {
 	var body routing.Body
 	err := msg.forward.checkVersion(x.header(protocol.HeaderVersions))
@@ -198,7 +203,7 @@
 	return routing.AttemptResult{Result: result, Load: load}
 }
 
-// Version returns the version that the answer is of, 0 if it has none.
+// Version returns the version that the answer states, 0 if it states none.
 func (f *Final) Version() int64 {
 	for _, h := range f.Header {
 		if strings.EqualFold(h.Name, protocol.HeaderVersions) {
@@ -209,18 +214,18 @@
 	return 0
 }
 
-// headed is a body with a head of its own.
+// hasFinal is implemented by a body that has a head of its own.
 type hasFinal interface{ Final() *Final }
 
-// bufferedAnswer is an answer that is no stream.
+// bufferedAnswer is an answer that is not a stream.
 type bufferedAnswer struct {
 	*exchange
 	final    *Final
-	buffered []byte // read by open, for the next reads
-	endErr   error  // after these, nil for more to be read
+	buffered []byte // read by open, and returned by the next calls of Read
+	endErr   error  // returned after buffered; nil if there is more to read
 }
 
-// open reads the answer, to its end if it is not too long.
+// open reads the answer up to maxBufferedAnswer bytes, which includes its end if it is shorter.
 func (b *bufferedAnswer) open() error {
 	if b.resp.BodyStream() == nil {
 		b.final.Body, b.complete, b.endErr = []byte{}, true, io.EOF
