--- a/internal/transport/front.go
+++ b/internal/transport/front.go
@@ -19,56 +19,57 @@
 )
 
 const (
-	// MaxBody is the longest body that the platform allows.
+	// MaxBody is the longest body that the platform allows, in bytes.
 	MaxBody = 256 << 10
-	// A client gets an answer or a close within 3 s of connecting, whatever it holds back.
-	requestReadTimeout       = 2 * time.Second         // for one request, the first one from connecting on
-	strictRequestReadTimeout = 1500 * time.Millisecond // the same, accepted up to deferAcceptTime after connecting
-	// clientIdleTimeout is between requests. Where connections run short, admission evicts the one
-	// that has been idle longest.
+	// A client must get an answer or a close within 3 s of connecting, whatever it fails to send.
+	requestReadTimeout       = 2 * time.Second         // for one request; for the first one, counted from connecting
+	strictRequestReadTimeout = 1500 * time.Millisecond // the same where a client may be accepted up to deferAcceptTime after connecting
+	// clientIdleTimeout is how long a connection may be idle between requests. When connections run
+	// short, admission evicts the one that has been idle longest.
 	clientIdleTimeout = 30 * time.Second
-	minBodyBuffer     = 8 << 10 // bytes of a body's buffer, which then doubles
+	minBodyBuffer     = 8 << 10 // initial size of a body's buffer, in bytes; the size doubles when the buffer is full
 	defaultMaxHead    = 8 << 10 // bytes
 )
 
-// Front is the front end: it listens for clients and has their requests routed.
+// Front is the front end: it listens for clients and routes their requests.
 type Front struct {
 	intake   Intake
-	router   *routing.Router // of the router in service, which may take over streams of another process; nil otherwise
+	router   *routing.Router // router in service, which may take over streams of another process; nil for an intake front end
 	server   *fasthttp.Server
 	limits   FrontLimits
 	listener *listener
 	tap      Tap        // nil for none
 	capture  Capture    // nil for none
-	memory   byteBudget // of all bodies of requests that are under way
+	memory   byteBudget // of the bodies of all requests in progress
 	ready    atomic.Bool
 	served   chan struct{} // closed once Serve has accepted the last client
 }
 
 // FrontLimits bounds what clients may use.
 type FrontLimits struct {
-	BodyBytes            int              // of the bodies of all requests together
+	BodyBytes            int              // bound on the bodies of all requests together
 	Admission            admission.Config // which connections and requests are admitted
-	Seed                 uint64           // of admission's random draws
-	Identity             string           // the header that names a client, empty for none
-	MaxHead              int              // bytes, 0 for the usual
-	ReadTimeout          ReadTimeout      // with clients; nil for that of the server
-	OnDescriptorShortage func()           // called when the process had no descriptor left; nil for nothing
-	// OnClose is called as a client's connection has ended, and must not block; nil for nothing.
+	Seed                 uint64           // seed of admission's random draws
+	Identity             string           // the header that identifies a client, empty for none
+	MaxHead              int              // bytes of a request's head, 0 for the default
+	ReadTimeout          ReadTimeout      // how long to wait for a client's bytes; nil for the HTTP server's timeouts
+	OnDescriptorShortage func()           // called when the process has no descriptor left; nil for nothing
+	// OnClose is called when a client's connection has ended and must not block; nil for nothing.
 	OnClose func(ConnectionClosed)
 }
 
-// Patience returns how long a client may send nothing, before a request has begun or within one.
+// ReadTimeout returns how long a client may send nothing. The argument begun says whether a request
+// has begun.
 type ReadTimeout func(begun bool) time.Duration
 
-// NewFront returns the front end of the router in service. A tap may be nil.
+// NewFront returns the front end of the router in service. The tap may be nil.
 func NewFront(r *routing.Router, limits FrontLimits, tap Tap) *Front {
 	f := newFront(limits)
 	f.intake, f.router, f.tap = &completions{front: f, router: r}, r, tap
 	return f
 }
 
-// NewIntakeFront returns a front end whose requests go through an intake of the caller's.
+// NewIntakeFront returns a front end that passes its requests to the given intake.
 func NewIntakeFront(in Intake, limits FrontLimits) *Front {
 	f := newFront(limits)
 	f.intake = in
@@ -90,8 +91,8 @@
 	f.server = &fasthttp.Server{
 		Handler:                      f.handle,
 		ErrorHandler:                 f.rejectUnread,
-		Concurrency:                  f.listener.maxAlive + 1, // never reached: the listener waits before
-		StreamRequestBody:            true,                    // a body is read here, so that what it takes up is bounded
+		Concurrency:                  f.listener.maxAlive + 1, // never reached, because the listener waits before that
+		StreamRequestBody:            true,                    // readBody reads the body, to bound the memory it uses
 		MaxRequestBodySize:           MaxBody,
 		ReadBufferSize:               cmp.Or(limits.MaxHead, defaultMaxHead),
 		IdleTimeout:                  clientIdleTimeout,
@@ -100,15 +101,15 @@
 		NoDefaultDate:                true,
 		CloseOnShutdown:              true,
 		DisablePreParseMultipartForm: true,
-		// What goes wrong on a client's connection is the client's to see; on-call can not act on
-		// it.
+		// Errors on a client's connection concern only the client; the on-call operator can't act
+		// on them.
 		Logger: log.New(io.Discard, "", 0),
 	}
 	return f
 }
 
-// Serve answers the clients that connect to ln until Shutdown. Other processes have a shared one,
-// too; the address of another is free when Serve returns.
+// Serve answers the clients that connect to ln until Shutdown. shared says that other processes
+// have the listening socket, too. If it is not shared, its address is free when Serve returns.
 func (f *Front) Serve(ln net.Listener, shared bool) error {
 	if err := f.listener.listen(ln, shared); err != nil || f.listener.socket == nil {
 		return err
@@ -118,22 +119,22 @@
 	return f.server.Serve(f.listener)
 }
 
-// Capture takes each request that is accepted, and never blocks.
+// Capture receives each accepted request. It must not block.
 type Capture interface {
 	Take(a balance.Arrival, receivedAt time.Time)
 }
 
-// SetCapture has requests captured. It is called before Serve.
+// SetCapture sets the capture that receives the requests. It must be called before Serve.
 func (f *Front) SetCapture(c Capture) { f.capture = c }
 
-// SetReady sets what /-/ready answers.
+// SetReady sets the readiness that /-/ready reports.
 func (f *Front) SetReady(ready bool) { f.ready.Store(ready) }
 
 // SetBodyBytes bounds the bytes of the bodies of all requests together.
 func (f *Front) SetBodyBytes(most int) { f.memory.limit.Store(int64(most)) }
 
-// SetKeepAlive says whether a connection outlives its answer. Answers that begin from then on say
-// so to their clients.
+// SetKeepAlive says whether connections stay open after their answers. Answers that begin after the
+// call announce it to their clients.
 func (f *Front) SetKeepAlive(keeps bool) {
 	f.listener.draining.Store(!keeps)
 	f.listener.closingAfterAnswers.Store(false)
@@ -142,22 +143,23 @@
 // Draining reports whether connections end with their answers.
 func (f *Front) Draining() bool { return f.listener.draining.Load() }
 
-// CloseAfterAnswers ends connections with their answers, also with answers that could not say so.
-// The close may cross the client's next request.
+// CloseAfterAnswers closes connections after their answers, including answers that began too early
+// to announce it. Such a close may cross the client's next request.
 func (f *Front) CloseAfterAnswers() { f.listener.closingAfterAnswers.Store(true) }
 
-// CloseIdle closes the connections that have been idle for so long. One whose next request has come
-// by then is served.
+// CloseIdle closes the connections that have been idle for at least idleTime. A connection whose
+// next request has arrived by then is served.
 func (f *Front) CloseIdle(idleTime time.Duration) {
 	f.listener.notifyAdmission(admission.Event{Kind: admission.CloseIdle, IdleTime: idleTime})
 }
 
-// StopAccepting ends Serve, once clients that have connected by now are accepted. Connections stay,
-// and so does an inherited listener for the other processes that have it.
+// StopAccepting ends Serve once the clients that have connected by now are accepted. Existing
+// connections stay open. An inherited listening socket stays open for the other processes that have
+// it.
 func (f *Front) StopAccepting() { f.listener.Close() }
 
-// AnswersDue returns how many requests have come to their ends and have nothing of an answer yet. The
-// backlog of a listener that ends counts as one.
+// AnswersDue returns how many requests have arrived completely without any byte of an answer
+// written. The backlog of a listener that is closing counts as one.
 func (f *Front) AnswersDue() int {
 	f.listener.mu.Lock()
 	defer f.listener.mu.Unlock()
@@ -168,8 +170,8 @@
 	return due
 }
 
-// Shutdown waits until all accepted requests are answered. Each idle connection is read once more
-// before it is closed, which the HTTP server does not do.
+// Shutdown waits until all accepted requests are answered. It reads each idle connection once more
+// before it closes it, which the HTTP server does not do.
 func (f *Front) Shutdown() error {
 	f.StopAccepting()
 	if f.listener.exclusive() {
@@ -187,12 +189,12 @@
 		return
 	}
 	if c, ok := ctx.Conn().(*clientConn); ok {
-		c.requestOpen = true // it is answered with the next read
+		c.requestOpen = true // the next read records it as answered
 	}
 }
 
-// closeIfDraining ends a connection with its answer while the router is draining, unless further
-// requests on it have come already: those are answered first. It ends one that was evicted, too.
+// closeIfDraining closes a connection after its answer while the router is draining, unless further
+// requests have arrived on it: they are answered first. It also closes an evicted connection.
 func (f *Front) closeIfDraining(ctx *fasthttp.RequestCtx) {
 	conn, ok := ctx.Conn().(*clientConn)
 	if ok && conn.isEvicted() {
@@ -203,7 +205,7 @@
 	}
 }
 
-// serve reads a request, has it routed and answers it.
+// serve reads a request, routes it and answers it.
 func (f *Front) serve(ctx *fasthttp.RequestCtx) {
 	header := &ctx.Request.Header
 	if err := protocol.CheckFraming(header.RawHeaders()); err != nil {
@@ -215,7 +217,7 @@
 		return
 	}
 	body, err := f.readBody(ctx)
-	needed := false // the body, after the answer has begun
+	needed := false // whether the body is still needed after the answer has begun
 	defer func() {
 		if !needed {
 			f.memory.release(cap(body))
@@ -225,7 +227,8 @@
 		f.rejectUnread(ctx, err)
 		return
 	}
-	// Until here its connection counts as idle: half a request must not keep others out.
+	// Until here the connection counts as idle, so that half a request can't keep other clients
+	// out.
 	conn := ctx.Conn().(*clientConn)
 	conn.requestRead()
 	receivedAt := time.Now()
@@ -241,9 +244,9 @@
 	}
 }
 
-// serveOnce plans a request that was read, has it routed and answers it. Needed says that its body
-// is needed after the answer has begun; planAgain, that the request has to be planned again, as
-// nothing of it was sent.
+// serveOnce plans a request that was read, routes it and answers it. The result needed says that
+// the body is still needed after the answer has begun. The result planAgain says that the request
+// has to be planned again, because nothing of it was sent.
 func (f *Front) serveOnce(ctx *fasthttp.RequestCtx, conn *clientConn, body []byte, receivedAt time.Time) (needed, planAgain bool) {
 	plan, rejection := f.intake.Plan(ctx, body, conn.beganAt)
 	if rejection != nil {
@@ -288,7 +291,7 @@
 	if observer != nil {
 		observer.Refused(ok, answer.Verdict)
 	}
-	if !ok { // a client that has ended only its sending reads this
+	if !ok { // a client that has closed only its sending side reads this
 		answerLine(ctx, fasthttp.StatusBadGateway, "given up, as the client ended its sending")
 		ctx.SetConnectionClose()
 		return needed, false
@@ -307,7 +310,8 @@
 	return -1
 }
 
-// admit has admission decide on a request that was read, and rejects it if it is not admitted.
+// admit asks admission about a request that was read, and rejects the request if it is not
+// admitted.
 func (f *Front) admit(ctx *fasthttp.RequestCtx, conn *clientConn) bool {
 	identity := ""
 	if f.limits.Identity != "" {
@@ -322,21 +326,21 @@
 		return true
 	}
 	rejection := Rejection{Code: answer.Code, Text: rejectionText(answer), RetryAfter: answer.RetryAfter}
-	if rejection.Code == 0 { // its connection was evicted as the request came
+	if rejection.Code == 0 { // its connection was evicted when the request arrived
 		rejection.Code, rejection.RetryAfter = fasthttp.StatusServiceUnavailable, f.limits.Admission.MinRetryAfter
 	}
 	f.rejectAndCount(ctx, rejection)
 	return false
 }
 
-// errBodyMemory says that the bodies of other requests use all memory for bodies.
+// errBodyMemory says that the bodies of other requests use all of the memory for bodies.
 var errBodyMemory = errors.New("no room for the body")
 
-// readBody reads a request's body. Its buffer grows with what comes, not with what was announced,
-// and is reserved in f.memory, whatever the error. A client that closes half-way ends fasthttp's
-// stream like a complete body, so the length is compared.
+// readBody reads a request's body. Its buffer grows with the bytes received, not with the announced
+// length. The buffer is reserved in f.memory, even if readBody fails. If a client disconnects
+// halfway, fasthttp's stream ends as for a complete body, so readBody compares the length.
 func (f *Front) readBody(ctx *fasthttp.RequestCtx) ([]byte, error) {
-	length := ctx.Request.Header.ContentLength() // negative where it was not announced
+	length := ctx.Request.Header.ContentLength() // negative if it was not announced
 	limit := f.intake.MaxBody()
 	if length > limit {
 		return nil, fasthttp.ErrBodyTooLarge
@@ -373,8 +377,8 @@
 	ctx.SetBodyString(line + "\n")
 }
 
-// reject answers a request whose client is at fault, and ends the connection: what follows on it
-// can't be trusted, and a client that retries must connect again.
+// reject answers a request whose client is at fault and closes the connection: later bytes on it
+// can't be trusted, and a client that retries must reconnect.
 func reject(ctx *fasthttp.RequestCtx, code int, line string) {
 	answerLine(ctx, code, line)
 	ctx.SetConnectionClose()
@@ -388,7 +392,8 @@
 func (f *Front) rejectUnread(ctx *fasthttp.RequestCtx, err error) {
 	c, ok := ctx.Conn().(*clientConn)
 	if ok && !c.requestBegun {
-		// There was no request. An answer that crosses the first one would be taken for its answer.
+		// There was no request. An answer that crosses the first request would be taken for its
+		// answer.
 		c.closeAs(ClosedUnused)
 		return
 	}
@@ -409,11 +414,11 @@
 	f.rejectAndCount(ctx, rejection)
 }
 
-// rejectAndCount rejects a request that the router never gets, and counts it.
+// rejectAndCount rejects and counts a request that does not reach the router.
 func (f *Front) rejectAndCount(ctx *fasthttp.RequestCtx, rejection Rejection) {
 	f.intake.Count(ctx, rejection)
 	if c, ok := ctx.Conn().(*clientConn); ok && rejection.KeepAlive {
-		c.requestOpen = true // it is answered with the next read
+		c.requestOpen = true // the next read records it as answered
 	}
 	WriteRejection(ctx, rejection)
 }
--- a/internal/transport/handover.go
+++ b/internal/transport/handover.go
@@ -24,36 +24,37 @@
 	maxHandoverMessage = 32 << 10
 	handoverSockets    = 2
 	// handoverTimeout is how long the process that takes over may take to answer one message. If it
-	// has the message after that, it is alive and has the connection.
+	// is later than that, the sender assumes that it is alive and has the connection.
 	handoverTimeout = time.Second
 	accepted        = 'y'
 	declined        = 'n'
 )
 
-// movedConn is the message that goes with a connection to the process that takes over: for a
-// stream, what of it is half read; for an idle connection to a server, how long it is idle; nothing
-// for a client's idle connection.
+// movedConn is the message that accompanies a connection to the process that takes over. For a
+// stream, it holds the parser state in the middle of the stream. For an idle connection to a
+// server, it holds how long the connection has been idle. For an idle connection to a client, it
+// holds only Used.
 type movedConn struct {
 	Version int                  `json:"version"`
 	Stream  bool                 `json:"stream"`
-	Server  *routing.Server      `json:"server,omitempty"` // of a stream, or of an idle connection, which has no client
-	Keep    bool                 `json:"keep,omitempty"`   // the connection to it outlives the stream
-	Idle    time.Duration        `json:"idle,omitempty"`   // or, of a stream, how long its server has sent nothing
+	Server  *routing.Server      `json:"server,omitempty"` // of a stream, or of an idle connection to a server, which has no client
+	Keep    bool                 `json:"keep,omitempty"`   // the connection to the server can be reused after the stream
+	Idle    time.Duration        `json:"idle,omitempty"`   // how long the connection has been idle or, for a stream, how long its server has sent nothing
 	Class   string               `json:"class,omitempty"`
-	Used    bool                 `json:"used,omitempty"` // of a client's idle connection: a request came on it before
+	Used    bool                 `json:"used,omitempty"` // of an idle connection to a client: a request arrived on it before
 	Chunks  protocol.ChunkParser `json:"chunks"`
-	Line    []byte               `json:"line,omitempty"` // of the event that is being read
+	Line    []byte               `json:"line,omitempty"` // the part received of the event that is being read
 	Long    bool                 `json:"long,omitempty"`
-	Size    int                  `json:"size"` // of the stream so far
+	Size    int                  `json:"size"` // bytes of the stream so far
 }
 
-// Mover hands connections to the process that takes over.
+// Mover moves connections to the process that takes over.
 type Mover struct {
 	mu sync.Mutex
 	c  *net.UnixConn
 }
 
-// DialMover connects to the process that takes over. It fails if nobody listens at the path.
+// DialMover connects to the process that takes over. It fails if no process listens at path.
 func DialMover(path string) (*Mover, error) {
 	c, err := dialUnix("unixpacket", path, handoverTimeout)
 	if err != nil {
@@ -62,13 +63,14 @@
 	return &Mover{c: c.(*net.UnixConn)}, nil
 }
 
-// Close closes the connection to that process.
+// Close closes the connection to the process that takes over.
 func (m *Mover) Close() { m.c.Close() }
 
 var errDeclined = errors.New("the other process has no room for it")
 
-// move hands a connection over, with the one to a server if it has a stream. Without an error the
-// other process has it: the caller must close its own copy, without reading or writing.
+// move moves a client's connection, together with the connection to the server if it carries a
+// stream, or an idle connection to a server. If it returns nil, the other process has the
+// connections: the caller must close its copies without reading from or writing to them.
 func (m *Mover) move(what movedConn, conns ...net.Conn) error {
 	what.Version = handoverVersion
 	text, err := json.Marshal(what)
@@ -87,7 +89,7 @@
 	var answer [1]byte
 	switch n, err := m.c.Read(answer[:]); {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		m.c.Close() // a late answer would be taken for that to the next message
+		m.c.Close() // a late answer would be taken for the answer to the next message
 		return nil
 	case err != nil:
 		return err
@@ -97,7 +99,8 @@
 	return nil
 }
 
-// withDescriptors calls f with the descriptors of connections, which stay theirs.
+// withDescriptors calls f with the descriptors of the connections. The connections keep their
+// descriptors.
 func withDescriptors(conns []net.Conn, fds []int, f func([]int) error) (err error) {
 	if len(conns) == 0 {
 		return f(fds)
@@ -116,19 +119,19 @@
 	return err
 }
 
-// Receiver takes over connections from a process that ends.
+// Receiver takes over connections from a process that is ending.
 type Receiver struct {
 	front   *Front
 	servers *Servers
 	ln      *net.UnixListener
 	log     routing.Logger
 
-	activeStreams atomic.Int64 // streams that were taken over and go on
+	activeStreams atomic.Int64 // streams that were taken over and are still running
 	mu            sync.Mutex
-	serverConns   map[net.Conn]bool // the connections to their servers
+	serverConns   map[net.Conn]bool // connections to the servers of these streams
 }
 
-// NewReceiver listens at a path, in place of any process that did before.
+// NewReceiver listens at path and replaces the socket of any earlier process.
 func NewReceiver(path string, front *Front, servers *Servers, log routing.Logger) (*Receiver, error) {
 	ln, err := listenUnix("unixpacket", path)
 	if err != nil {
@@ -140,20 +143,20 @@
 	return r, nil
 }
 
-// ActiveStreams returns how many streams that were taken over go on.
+// ActiveStreams returns how many streams that were taken over are still running.
 func (r *Receiver) ActiveStreams() int { return int(r.activeStreams.Load()) }
 
-// Stop takes over no more connections. Streams go on.
+// Stop ends the taking over of connections. Streams continue.
 func (r *Receiver) Stop() { r.ln.Close() }
 
-// Wait returns after the last stream has ended.
+// Wait returns after the last stream that was taken over has ended.
 func (r *Receiver) Wait() {
 	for r.ActiveStreams() > 0 {
 		time.Sleep(drainCheckInterval)
 	}
 }
 
-// MoveOn has the streams move to the next process, too.
+// MoveStreams makes the streams that were taken over move on to the next process.
 func (r *Receiver) MoveStreams() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -162,7 +165,7 @@
 	}
 }
 
-// serve accepts processes until Stop.
+// serve accepts connections from ending processes until Stop.
 func (r *Receiver) serve() {
 	for {
 		c, err := r.ln.AcceptUnix()
@@ -177,7 +180,7 @@
 	}
 }
 
-// receive takes the messages of one process, one after the other.
+// receive handles the messages of one process in sequence.
 func (r *Receiver) receive(c *net.UnixConn) {
 	defer c.Close()
 	text, rights := make([]byte, maxHandoverMessage), make([]byte, syscall.CmsgSpace(4*handoverSockets))
@@ -197,7 +200,7 @@
 	}
 }
 
-// receiveOne takes over one connection.
+// receiveOne takes over the connections of one message.
 func (r *Receiver) receiveOne(text, rights []byte) (err error) {
 	conns, err := connsOf(rights)
 	defer func() {
@@ -266,7 +269,7 @@
 	return conns, nil
 }
 
-// continueStream forwards the rest of a stream, and then serves its client.
+// continueStream forwards the rest of a stream and then serves its client.
 func (r *Receiver) continueStream(m movedConn, client, server net.Conn) {
 	ended := r.front.router.CountTakenOver(m.Class)
 	watch := &clientConn{Conn: client, listener: r.front.listener}
@@ -280,7 +283,7 @@
 		server.Close()
 	}
 	ended(verdict)
-	defer r.activeStreams.Add(-1) // the process stays until its client has its next answer, or is another's
+	defer r.activeStreams.Add(-1) // the process must stay until the client has its next answer or another process has the client
 	if next && r.front.adopt(client, watch.readAhead, true) == nil {
 		return
 	}
@@ -290,23 +293,24 @@
 	client.Close()
 }
 
-// rejectBehindStream rejects a request whose first byte was read behind a stream, where its connection
-// can't be served here.
+// rejectBehindStream rejects a request whose first byte was read while a stream ran, when this
+// process can't serve its connection.
 func rejectBehindStream(client net.Conn) {
 	text := protocol.AppendRejection(nil, http.StatusServiceUnavailable, time.Second, "no place for this request; trying again is harmless")
 	client.SetDeadline(time.Now().Add(overloadLingerTimeout))
 	client.Write(text)
 	if tcp, ok := client.(interface{ CloseWrite() error }); ok && tcp.CloseWrite() == nil {
-		io.CopyN(io.Discard, client, lingerBytes) // a close with bytes unread would take back the answer
+		io.CopyN(io.Discard, client, lingerBytes) // closing with unread bytes would reset the connection, and the client could lose the answer
 	}
 }
 
-// relay forwards the rest of a stream; next reports whether the client may send further requests.
+// relay forwards the rest of a stream. The result next reports whether the client may send further
+// requests.
 func (r *Receiver) relay(m *movedConn, client *clientConn, server net.Conn) (end routing.Verdict, next bool) {
 	events := protocol.ResumeStreamReader(m.Line, m.Long)
 	raw := make([]byte, readBuffer)
 	out := make([]byte, 0, readBuffer+64)
-	last := time.Now().Add(-m.Idle) // a move gives a server no more time
+	last := time.Now().Add(-m.Idle) // a move does not give the server more time
 	for stays := false; m.Chunks.At != protocol.AtComplete; {
 		if mover := r.front.listener.mover.Load(); mover != nil && !stays {
 			client.unwatch()
@@ -324,7 +328,7 @@
 			last = time.Now()
 		}
 		if n == 0 && !stays && errors.Is(err, os.ErrDeadlineExceeded) && r.front.listener.mover.Load() != nil {
-			continue // it is to move
+			continue // MoveStreams ended the read: try to move the stream
 		}
 		if n == 0 && err != nil {
 			if client.hasLeft.Load() {
@@ -356,8 +360,8 @@
 	return routing.Served, true
 }
 
-// adopt serves a client on a connection of another process, which was used if a request came on it
-// there. What was read of its next request comes first.
+// adopt serves a client on a connection from another process. used says that a request arrived on
+// it there. ahead holds the bytes already read of the next request, which are parsed first.
 func (f *Front) adopt(c net.Conn, ahead []byte, used bool) error {
 	conn := f.listener.adopt(c, ahead, used)
 	if conn == nil {
@@ -367,8 +371,8 @@
 	return nil
 }
 
-// adopt admits a connection that was not accepted here; nil where there is no room, or where the last
-// connection of a listener that ends has gone.
+// adopt admits a connection that was not accepted here. It returns nil if there is no capacity, or
+// if the listener is closing and its last connection has gone.
 func (l *listener) adopt(nc net.Conn, ahead []byte, used bool) (c *clientConn) {
 	from, _ := netip.ParseAddrPort(nc.RemoteAddr().String())
 	l.mu.Lock()
@@ -395,5 +399,5 @@
 	return l.admission.Counts().MaxConnections
 }
 
-// MoveTo has idle connections, and from the next read on all streams, move to another process.
+// MoveTo makes idle connections, and each stream at its next read, move to another process.
 func (f *Front) MoveTo(m *Mover) { f.listener.mover.Store(m) }
--- a/internal/transport/inherit.go
+++ b/internal/transport/inherit.go
@@ -10,18 +10,19 @@
 
 // Listen opens a listener for clients, on the network "tcp" or "tcp4".
 func Listen(ctx context.Context, network, address string) (net.Listener, error) {
-	// Keep-alive of TCP finds no client that the front's own bounds don't. A socket of Multipath TCP
-	// would take no filter as it closes.
+	// TCP keep-alive detects no dead client that the front end's own timeouts don't detect. A
+	// Multipath TCP socket would not accept the packet filter that is attached when the listener
+	// closes.
 	config := net.ListenConfig{KeepAlive: -1}
 	config.SetMultipathTCP(false)
 	return config.Listen(ctx, network, address)
 }
 
-// Inherit returns the listener that this process has as a descriptor from its parent. Closing it
-// leaves the socket, with its backlog, to the other processes that have it.
+// Inherit returns the listener that this process has as a descriptor from its parent. Closing the
+// listener leaves the socket and its backlog open for the other processes that have it.
 func Inherit(fd int) (net.Listener, error) {
-	// Asked before the descriptor is taken: a wrong one may be anything's, the run-time's own
-	// poller among them.
+	// Check before taking the descriptor over: a wrong one may belong to anything, such as the Go
+	// runtime's own poller.
 	listens, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN)
 	if err == nil && listens == 0 {
 		err = fmt.Errorf("it does not listen")
@@ -30,7 +31,7 @@
 		return nil, fmt.Errorf("descriptor %d is no listening socket: %w", fd, err)
 	}
 	f := os.NewFile(uintptr(fd), "clients")
-	defer f.Close() // the listener has a copy of its own
+	defer f.Close() // the listener has a duplicate
 	ln, err := net.FileListener(f)
 	if err != nil {
 		return nil, fmt.Errorf("descriptor %d: %w", fd, err)
--- a/internal/transport/intake.go
+++ b/internal/transport/intake.go
@@ -10,56 +10,59 @@
 	"reachspread/internal/routing"
 )
 
-// Intake is what one deployment makes of its clients' requests. The front end reads requests and
-// writes answers; the intake says which router gets a request, under which ID, and how an answer
-// reads. Its methods are called by many goroutines.
+// Intake adapts the front end to one deployment. The front end reads requests and writes answers;
+// the intake decides which router gets a request and under which ID, and formats the answers. Its
+// methods are called from many goroutines.
 type Intake interface {
 	// Local answers a request that is for the router itself, and reports whether it did.
 	Local(ctx *fasthttp.RequestCtx) bool
-	// Head checks a request by its head, before its body is read. Nil admits it.
+	// Head checks a request by its head, before its body is read. It returns nil to admit the
+	// request.
 	Head(ctx *fasthttp.RequestCtx) *Rejection
-	// Plan says where a request goes whose body was read. Its first byte came at the time given.
+	// Plan decides where a request goes after its body was read. The first byte of the request
+	// arrived at began.
 	Plan(ctx *fasthttp.RequestCtx, body []byte, began time.Time) (*Plan, *Rejection)
 	// Served writes the head of an answer whose body follows.
 	Served(ctx *fasthttp.RequestCtx, s *routing.Stream)
 	// Unserved writes the answer to a request that no server has served.
 	Unserved(ctx *fasthttp.RequestCtx, a routing.Answer)
-	// Count counts a request that is answered before it got to a router.
+	// Count counts a request that is answered before it reaches a router.
 	Count(ctx *fasthttp.RequestCtx, rejection Rejection)
-	// MaxBody bounds a request's body, in bytes.
+	// MaxBody returns the longest allowed body of a request, in bytes.
 	MaxBody() int
-	// LongHead is the answer to a head beyond the bound.
+	// LongHead returns the answer to a request whose head is too long.
 	LongHead() Rejection
 }
 
-// Plan is where a request goes.
+// Plan says where a request goes.
 type Plan struct {
 	Router  *routing.Router
 	Arrival balance.Arrival
 	Message *Message
-	// Resume says how an answer that broke off after an event goes on, nil if that is not allowed;
-	// ok is false if it can't. First is the head of the answer so far.
+	// Resume returns the plan that continues an answer that broke off after the event with the ID
+	// after; ok is false if the answer can't be continued. first is the head of the answer so far.
+	// Resume is nil if continuing is not allowed.
 	Resume func(m *Message, first *Final, after string) (next *Plan, ok bool)
 	// Outdated reports whether a request that was rejected before it executed has to be planned
-	// again; it may be nil.
+	// again. It may be nil.
 	Outdated func() bool
-	// Ended is called once with the request's end; it may be nil.
+	// Ended is called once when the request ends. It may be nil.
 	Ended func(routing.Answer)
 }
 
-// end calls Ended.
+// end calls Ended, if it is set.
 func (p *Plan) end(a routing.Answer) {
 	if p.Ended != nil {
 		p.Ended(a)
 	}
 }
 
-// Rejection is an answer of the router's own to a request that it does not accept.
+// Rejection is the router's own answer to a request that it does not accept.
 type Rejection struct {
 	Code       int
 	Text       string        // one line for the client
-	RetryAfter time.Duration // when to come back, 0 for no advice
-	KeepAlive  bool          // the connection stays, as the request was read to its end
+	RetryAfter time.Duration // when to retry, 0 for no advice
+	KeepAlive  bool          // the connection stays open, because the request was read completely
 }
 
 // completions is the intake of the router in service.
@@ -70,7 +73,7 @@
 
 // Local implements Intake.
 func (c *completions) Local(ctx *fasthttp.RequestCtx) bool {
-	switch path := string(ctx.URI().PathOriginal()); { // as it came, as it is passed on
+	switch path := string(ctx.URI().PathOriginal()); { // as received, because it is forwarded unchanged
 	case path == protocol.PathReady:
 		if !c.front.ready.Load() {
 			answerLine(ctx, fasthttp.StatusServiceUnavailable, "not ready")
