--- a/internal/router/program/exchange_test.go
+++ b/internal/router/program/exchange_test.go
@@ -229,7 +229,7 @@
 // A descriptor that is no listener is one line and no start.
 func TestNoListenerInherited(t *testing.T) {
 	p := newPlatform(t)
-	for fd, want := range map[string]string{"3": "ROUTER_ACCEPT_FD: descriptor 3 is no listening socket", "77": "ROUTER_ACCEPT_FD: descriptor 77 is no listening socket", "five": `ROUTER_ACCEPT_FD is "five"`} {
+	for fd, want := range map[string]string{"3": "ROUTER_ACCEPT_FD: descriptor 3 is not a listening socket", "77": "ROUTER_ACCEPT_FD: descriptor 77 is not a listening socket", "five": `ROUTER_ACCEPT_FD is "five"`} {
 		o := p.start("ROUTER_ACCEPT_FD=" + fd)
 		if line := scripted.Receive(t, o.log, "a line"); !strings.Contains(line, want) {
 			t.Errorf("%s: got %q, want %q", fd, line, want)
--- a/internal/transport/discovery.go
+++ b/internal/transport/discovery.go
@@ -147,7 +147,7 @@
 	}
 	if d.down {
 		d.down = false
-		d.log.Info("discovery back", "version", list.Version)
+		d.log.Info("discovery reachable again", "version", list.Version)
 	}
 }
 
--- a/internal/transport/discoverywatch.go
+++ b/internal/transport/discoverywatch.go
@@ -159,7 +159,7 @@
 		return nil, err
 	}
 	if resp.StatusCode() != fasthttp.StatusOK {
-		return nil, fmt.Errorf("status %d", resp.StatusCode())
+		return nil, fmt.Errorf("discovery answered with status %d, want 200", resp.StatusCode())
 	}
 	return protocol.ParseList(resp.Body())
 }
--- a/internal/transport/exchange.go
+++ b/internal/transport/exchange.go
@@ -51,7 +51,7 @@
 
 // errUnsent says that nothing of a request was written, so it may be retried as if there had been
 // no attempt.
-var errUnsent = errors.New("nobody waits for the answer any more, or the server gets nothing new")
+var errUnsent = errors.New("request not sent: its client has left, its time is over, or the server gets no new requests")
 
 // write writes a request, unless its client has left, its time is over, or the server is not to get
 // new requests. It checks this and computes the time left at the last moment, because establishing
@@ -196,7 +196,7 @@
 	}
 	text, err := io.ReadAll(io.LimitReader(x.resp.BodyStream(), maxErrorBody))
 	if err == nil && len(text) == maxErrorBody {
-		return nil, fmt.Errorf("more than %d bytes", maxErrorBody)
+		return nil, fmt.Errorf("answer body has more than %d bytes", maxErrorBody)
 	}
 	return text, err
 }
--- a/internal/transport/forward.go
+++ b/internal/transport/forward.go
@@ -24,9 +24,9 @@
 	Events            bool             // the answer is a stream of events
 	FirstEventTimeout time.Duration    // until the answer, or a stream's first event; 0 means that only the deadline applies
 	IdleTimeout       time.Duration    // of a stream; 0 for the timeout of Servers
-	// Admit allows or delays an attempt right before it is sent; nil allows all. See
-	// routing.Readmitter.
-	Admit       func(again bool) (ok bool, wait time.Duration)
+	// Admit reports, right before an attempt is sent, whether it may be sent; if not, wait is when
+	// the client should retry. Nil allows all attempts. See routing.Readmitter.
+	Admit       func(retry bool) (ok bool, wait time.Duration)
 	LastEventID string // of a resumed stream: the last event that the client has; empty for none
 	// Version is the only acceptable version of an answer, 0 for any. The request asks the server
 	// for this version, and the server must confirm it.
--- a/internal/transport/handover.go
+++ b/internal/transport/handover.go
@@ -66,7 +66,7 @@
 // Close closes the connection to the process that takes over.
 func (m *Mover) Close() { m.c.Close() }
 
-var errDeclined = errors.New("the other process has no room for it")
+var errDeclined = errors.New("no capacity for another moved connection")
 
 // move moves a client's connection, together with the connection to the server if it carries a
 // stream, or an idle connection to a server. If it returns nil, the other process has the
@@ -107,7 +107,7 @@
 	}
 	sc, ok := conns[0].(syscall.Conn)
 	if !ok {
-		return fmt.Errorf("%T has no descriptor", conns[0])
+		return fmt.Errorf("connection of type %T has no descriptor", conns[0])
 	}
 	raw, err := sc.SyscallConn()
 	if err != nil {
@@ -192,7 +192,7 @@
 		answer := byte(accepted)
 		if err := r.receiveOne(text[:n], rights[:nr]); err != nil {
 			answer = declined
-			r.log.Warn("connection declined", "cause", err)
+			r.log.Warn("moved connection declined", "cause", err)
 		}
 		if _, err := c.Write([]byte{answer}); err != nil {
 			return
@@ -219,7 +219,7 @@
 	}
 	switch {
 	case m.Version != handoverVersion:
-		return fmt.Errorf("version %d; this process knows %d", m.Version, handoverVersion)
+		return fmt.Errorf("handover message has version %d, want %d", m.Version, handoverVersion)
 	case m.Stream && len(conns) == 2 && m.Server != nil:
 		if 2*r.ActiveStreams() >= r.front.listener.capacity() {
 			return errDeclined
@@ -238,7 +238,7 @@
 	case !m.Stream && len(conns) == 1:
 		return r.front.adopt(conns[0], nil, m.Used)
 	}
-	return fmt.Errorf("%d sockets", len(conns))
+	return fmt.Errorf("handover message came with %d sockets; want 1, or 2 for a stream", len(conns))
 }
 
 // connsOf makes connections of the descriptors that came with a message.
--- a/internal/transport/inherit.go
+++ b/internal/transport/inherit.go
@@ -25,10 +25,10 @@
 	// runtime's own poller.
 	listens, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN)
 	if err == nil && listens == 0 {
-		err = fmt.Errorf("it does not listen")
+		err = fmt.Errorf("SO_ACCEPTCONN is 0")
 	}
 	if err != nil {
-		return nil, fmt.Errorf("descriptor %d is no listening socket: %w", fd, err)
+		return nil, fmt.Errorf("descriptor %d is not a listening socket: %w", fd, err)
 	}
 	f := os.NewFile(uintptr(fd), "clients")
 	defer f.Close() // the listener has a duplicate
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -15,53 +15,53 @@
 )
 
 const (
-	// maxClosingConns is how many connections that were shut may not have left the HTTP server yet;
-	// with more, nothing is accepted. Its workers end slower than new connections come, and it
-	// rejects beyond its own bound.
+	// maxClosingConns is how many closed connections the HTTP server may still hold; with more,
+	// nothing is accepted. The server's workers end more slowly than new connections arrive, and
+	// the server rejects connections beyond its own bound.
 	maxClosingConns = 32
-	// deferAcceptTime is how long the system waits for a client's first bytes, where admission
-	// reads them.
+	// deferAcceptTime is how long the system waits for a client's first bytes before it hands the
+	// connection over, if admission reads those bytes.
 	deferAcceptTime = time.Second
 )
 
-// listener carries out what package admission decides on client connections.
+// listener accepts client connections and carries out the decisions of package admission on them.
 type listener struct {
 	net.Listener
-	socket      *os.File // the listener's, as a listener gives no access to its descriptor
+	socket      *os.File // duplicate of the Listener's socket, because a Listener gives no access to its descriptor
 	raw         syscall.RawConn
 	start       time.Time
-	strict      bool   // slow clients are bounded by level, and first bytes are read before a client is admitted
-	shared      bool   // other processes have the socket; one that starts may make it block, for all
-	header      string // with a client's identity, empty for none
-	log         func() // called when the process had no descriptor left
+	strict      bool   // limits on slow clients depend on admission's level, and the first bytes are read before a client is admitted
+	shared      bool   // other processes have the socket; a process that starts may set it to blocking mode, which affects all of them
+	header      string // name of the header with a client's identity, empty for none
+	log         func() // called when the process has no descriptor left
 	onClose     func(ConnectionClosed)
 	readTimeout ReadTimeout
 
-	draining            atomic.Bool           // answers say that their connections end
-	mover               atomic.Pointer[Mover] // to a process that takes over, nil for none
-	closingAfterAnswers atomic.Bool           // connections end with their answers, also where those could not say so
-	acceptFailed        atomic.Bool           // for good
+	draining            atomic.Bool           // answers announce that their connections end
+	mover               atomic.Pointer[Mover] // moves connections to the process that takes over, nil for none
+	closingAfterAnswers atomic.Bool           // connections end with their answers, even with answers that could not announce it
+	acceptFailed        atomic.Bool           // accept has failed permanently
 
 	mu           sync.Mutex
 	admission    *admission.Controller
-	conns        []*clientConn  // by their IDs at admission
-	ended        bool           // nothing is accepted any more
-	alive        int            // connections that the HTTP server has
-	maxAlive     int            // of alive
-	aliveDropped *sync.Cond     // alive was lowered, or nobody waits for a place any more
+	conns        []*clientConn  // indexed by admission ID
+	ended        bool           // no further connection is accepted
+	alive        int            // connections that the HTTP server holds
+	maxAlive     int            // upper bound of alive
+	aliveDropped *sync.Cond     // signals that alive was lowered, or that noWait was set
 	closed       closeCounter   // of client connections
-	backlogOpen  bool           // the listener ends, and clients may be in its backlog
-	noWait       *waitRejection // what clients without a place get, nil while they wait for one
-	emptied      bool           // the last connection of a listener that ends has gone
-	answersDue   int            // requests that have come to their ends, and have nothing of an answer
-	closing      sync.WaitGroup // until its sockets are closed: Accept may fail before that
-
-	// Accept's alone:
-	rejectedInBurst    int           // connections that were rejected since the last rest
-	burst              int           // the number after which a rest is due
-	reservedDescriptor *os.File      // for when there is no other descriptor
-	readAhead          [8 << 10]byte // what a client has sent before it is admitted
-	text               []byte        // of a rejection
+	backlogOpen  bool           // the listener is closing, and clients may be in its backlog
+	noWait       *waitRejection // answer to clients without a place, nil while they wait for one
+	emptied      bool           // the listener is closing, and its last connection has gone
+	answersDue   int            // complete requests of whose answers nothing was written
+	closing      sync.WaitGroup // waits until the sockets are closed: Accept may fail before that
+
+	// Only Accept uses these fields:
+	rejectedInBurst    int           // connections rejected since the last pause
+	burst              int           // number of rejections after which a pause is due
+	reservedDescriptor *os.File      // released when no other descriptor is free
+	readAhead          [8 << 10]byte // bytes that a client has sent before it is admitted
+	text               []byte        // buffer for the text of a rejection
 }
 
 // newListener returns a listener that does not listen yet.
@@ -82,10 +82,10 @@
 	return l
 }
 
-// now is admission's clock. It begins at a second, as 0 means never.
+// now returns the time of admission's clock. The clock starts at one second, because 0 means never.
 func (l *listener) now() time.Duration { return time.Second + time.Since(l.start) }
 
-// listen has l listen on ln, which must be a TCP socket.
+// listen makes l listen on ln, which must be a TCP socket.
 func (l *listener) listen(ln net.Listener, shared bool) (err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -95,7 +95,7 @@
 	l.Listener, l.shared = ln, shared
 	socket, ok := ln.(interface{ File() (*os.File, error) })
 	if !ok {
-		return fmt.Errorf("%s is no socket", ln.Addr())
+		return fmt.Errorf("listener on %s is not a socket", ln.Addr())
 	}
 	if l.socket, err = socket.File(); err != nil {
 		return err
@@ -104,16 +104,17 @@
 	if err != nil || !l.strict {
 		return err
 	}
-	// The system accepts a silent client after a second only, others when their first bytes have
-	// come.
+	// The system hands over a silent client only after a second, and other clients when their first
+	// bytes have arrived.
 	failed := l.raw.Control(func(fd uintptr) {
 		err = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_DEFER_ACCEPT, int(deferAcceptTime/time.Second))
 	})
 	return errors.Join(failed, err)
 }
 
-// Close ends the listener, also one that is about to listen; connections stay. One that no other
-// process has goes on accepting for a moment: Accept fails once it is closed.
+// Close ends the listener, even if it does not listen yet. Existing connections stay open. If no
+// other process has the socket, the listener keeps accepting until its backlog is empty; Accept
+// fails when the socket is closed after that.
 func (l *listener) Close() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -128,7 +129,7 @@
 		return nil
 	}
 	err := l.Listener.Close()
-	go l.socket.Close() // made to block by another process, it would block the close, too, until one more client comes
+	go l.socket.Close() // asynchronous: if another process has set the socket to blocking mode, this close waits until one more client connects
 	return err
 }
 
@@ -142,7 +143,8 @@
 	return l.socket != nil && !l.shared
 }
 
-// drainCheckInterval is how often the last connections are closed if they are idle.
+// drainCheckInterval is the interval at which a drain closes the remaining connections that are
+// idle.
 const drainCheckInterval = 20 * time.Millisecond
 
 // closeUntilEmpty calls closeIdle until no connection is left.
@@ -156,7 +158,8 @@
 	}
 }
 
-// isEmpty reports whether no connection is left. From then on none is taken over from another process.
+// isEmpty reports whether no connection is left. After it has returned true, the listener takes
+// over no connection from another process.
 func (l *listener) isEmpty() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -164,7 +167,7 @@
 	return l.emptied
 }
 
-// carryOut carries out an action on a connection. The caller has the lock.
+// carryOut carries out an action of admission on a connection. The caller holds l.mu.
 func (l *listener) carryOut(a admission.Action) {
 	switch a.Kind {
 	case admission.Evict:
@@ -175,14 +178,14 @@
 	}
 }
 
-// notifyAdmission has admission handle an event, and returns its answer to a request that was read.
+// notifyAdmission passes an event to admission, and returns its answer to a request that was read.
 func (l *listener) notifyAdmission(e admission.Event) (answer admission.Action) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.step(e)
 }
 
-// step is notifyAdmission for a caller that has the lock.
+// step does what notifyAdmission does, for a caller that holds l.mu.
 func (l *listener) step(e admission.Event) (answer admission.Action) {
 	for _, a := range l.admission.Step(l.now(), e) {
 		if a.Kind == admission.Serve || a.Kind == admission.Reject {
@@ -201,7 +204,7 @@
 	return l.admission.Level()
 }
 
-// writeTimeout returns how long a client may take to read what one write sent.
+// writeTimeout returns how long a client may take to read the bytes of one write.
 func (l *listener) writeTimeout() time.Duration {
 	if !l.strict {
 		return clientWriteTimeout
@@ -211,7 +214,7 @@
 	return cmp.Or(l.admission.WriteTimeout(), clientWriteTimeout)
 }
 
-// usedFraction returns the fraction of the connections that is used.
+// usedFraction returns the fraction of the allowed connections that are in use.
 func (l *listener) usedFraction() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/transport/listenerclose.go
+++ b/internal/transport/listenerclose.go
@@ -8,20 +8,21 @@
 )
 
 const (
-	// handshakeTime is how long a handshake that has begun may take to end as the listener closes: a
-	// round trip to the client, and the system's delay.
+	// handshakeTime is how long a started handshake may take to complete while the listener closes:
+	// a round trip to the client plus the system's delay.
 	handshakeTime = 100 * time.Millisecond
-	// backlogInterval is between two looks at the backlog.
+	// backlogInterval is the interval between two checks of the backlog.
 	backlogInterval = time.Millisecond
 )
 
 // closeAfterBacklog closes a listener that no other process has, once all clients that have
-// connected are accepted: a close would reset those that wait in the backlog, or whose handshakes
-// the system has not ended, with requests that they may have written by then. New clients are kept
-// out meanwhile, and refused afterwards.
+// connected are accepted. Closing it at once would reset the clients that wait in the backlog or
+// whose handshakes the system has not completed, together with requests that they may have written
+// by then. Packets of new clients are dropped meanwhile, and new clients are refused after the
+// close.
 //
-// Clients in the backlog have to wait while all places are taken. Only the end of the process bounds
-// that, as it does for requests that were read.
+// Clients in the backlog have to wait while all places are taken. Only the end of the process
+// bounds this wait, as it does for requests that were read.
 func (l *listener) closeAfterBacklog() error {
 	l.raw.Control(func(fd uintptr) { dropNewConnections(int(fd)) })
 	time.Sleep(l.handshakeTimeout())
@@ -35,8 +36,8 @@
 	return err
 }
 
-// handshakeTimeout returns how long a client that takes its connection for open may not be in the
-// backlog yet.
+// handshakeTimeout returns how long a client that considers its connection open may still be
+// missing from the backlog.
 func (l *listener) handshakeTimeout() time.Duration {
 	if l.strict {
 		return deferAcceptTime + handshakeTime
@@ -54,7 +55,8 @@
 	return waiting
 }
 
-// The flags of a TCP header, which the system's filter of a socket sees from its first byte on.
+// These constants describe the flags of a TCP header, which a socket's packet filter sees from its
+// first byte on.
 const (
 	tcpFlagsOffset = 13
 	tcpSyn         = 0x02
@@ -63,8 +65,8 @@
 	dropPacket     = 0
 )
 
-// dropNewConnections has the system drop what would begin a connection to a listening socket. Where
-// it can't, clients that connect in the last moment are reset.
+// dropNewConnections makes the system drop packets that would open a connection to a listening
+// socket. If attaching the filter fails, clients that connect just before the close are reset.
 func dropNewConnections(fd int) {
 	filter := []unix.SockFilter{
 		{Code: unix.BPF_LD | unix.BPF_B | unix.BPF_ABS, K: tcpFlagsOffset},
--- a/internal/transport/management.go
+++ b/internal/transport/management.go
@@ -14,28 +14,29 @@
 )
 
 const (
-	// MaxCallers bounds the callers of the management address that are connected at one time. One
-	// more replaces the one that was connected first, so that silent callers keep nobody out.
+	// MaxCallers bounds the number of callers connected to the management address at one time. A
+	// further caller replaces the one that connected first, so that silent callers can't keep
+	// others out.
 	MaxCallers = 16
-	// ManagementSockets are the descriptors that a Management may use: callers, the listener, and
-	// one in reserve for when the process has no other.
+	// ManagementSockets is the number of descriptors that a Management may use: its callers, its
+	// listener, and one in reserve for when no other descriptor is free.
 	ManagementSockets = MaxCallers + 2
-	// callTimeout is how long a caller may take for all of its call.
+	// callTimeout bounds the whole call of one caller.
 	callTimeout = 10 * time.Second
 )
 
-// Management is the operators' management address: a connection carries one line and gets one
-// answer.
+// Management serves the operators' management address: each connection carries one line and gets
+// one answer.
 type Management struct {
 	ln     net.Listener
 	answer func(line string) string
 
 	mu                 sync.Mutex
-	callers            []net.Conn // the longest connected first
+	callers            []net.Conn // the one that connected first comes first
 	reservedDescriptor *os.File
 }
 
-// NewManagement listens at an address for operators.
+// NewManagement listens for operators at an address.
 func NewManagement(addr string, answer func(line string) string) (*Management, error) {
 	listen := net.ListenConfig{KeepAlive: -1}
 	ln, err := listen.Listen(context.Background(), "tcp", addr)
@@ -47,10 +48,10 @@
 	return m, nil
 }
 
-// Addr returns where it listens.
+// Addr returns the address on which m listens.
 func (m *Management) Addr() net.Addr { return m.ln.Addr() }
 
-// Close ends it; calls under way end with their answers.
+// Close stops accepting callers. Calls in progress end with their answers.
 func (m *Management) Close() { m.ln.Close() }
 
 // Serve answers callers until Close.
@@ -69,8 +70,8 @@
 	}
 }
 
-// releaseReserved releases the descriptor in reserve, so that the next caller has one, or waits for
-// another's.
+// releaseReserved releases the reserved descriptor for the next caller. If it is already in use, it
+// waits for another descriptor to become free.
 func (m *Management) releaseReserved() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -82,7 +83,8 @@
 	m.reservedDescriptor = nil
 }
 
-// addCaller adds a caller. If there are too many, the one that was connected first ends.
+// addCaller registers a caller. If there are too many, it closes the connection of the caller that
+// connected first.
 func (m *Management) addCaller(c net.Conn) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -93,7 +95,7 @@
 	}
 }
 
-// removeCaller removes a caller.
+// removeCaller closes a caller's connection and removes it from the list.
 func (m *Management) removeCaller(c net.Conn) {
 	c.Close()
 	m.mu.Lock()
@@ -124,12 +126,12 @@
 	case err == io.EOF && len(line) > 0:
 		text = management.Refusal("the line was cut off")
 	default:
-		return // nobody asked anything
+		return // the caller sent nothing
 	}
 	if _, err := io.WriteString(c, text); err != nil {
 		return
 	}
-	// Closed with bytes unread, the connection would be reset and the caller might lose the answer.
+	// Closing with unread bytes would reset the connection, and the caller might lose the answer.
 	if c.(*net.TCPConn).CloseWrite() == nil {
 		c.SetReadDeadline(time.Now().Add(lingerTimeout))
 		io.CopyN(io.Discard, in, maxErrorBody)
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -1,7 +1,7 @@
-// Package transport has all that touches sockets: the front end for clients (front.go, listener.go,
-// clientconn.go), the connections to servers (servers.go, pool.go, exchange.go), the watch on
-// discovery, and the handover of connections to a process that takes over (handover.go). The HTTP
-// on them is fasthttp's.
+// Package transport contains everything that uses sockets: the front end for clients (front.go,
+// listener.go, clientconn.go), the connections to servers (servers.go, pool.go, exchange.go), the
+// watch on discovery, and the handover of connections to a process that takes over (handover.go).
+// Its HTTP implementation is fasthttp.
 package transport
 
 import (
@@ -22,36 +22,36 @@
 	readBuffer    = 4096
 )
 
-// errNoSocket says that all connections to servers are in use. Nothing was sent.
-var errNoSocket = errors.New("no socket left for servers")
+// errNoSocket says that all allowed connections to servers are in use. Nothing was sent.
+var errNoSocket = errors.New("all allowed connections to servers are in use")
 
-// pool keeps connections to servers, for each the most recently used first, and bounds their
-// number.
+// pool holds connections to servers and bounds their number. It reuses a server's most recently
+// used connection first.
 type pool struct {
 	connectTimeout time.Duration
-	idleTimeout    time.Duration // safely under the time after which the other side closes
-	limit          int           // connections in all
+	idleTimeout    time.Duration // shorter than the time after which the server closes the connection, by a margin
+	limit          int           // of all connections, in use or idle
 
 	mu     sync.Mutex
-	idle   map[routing.Server][]*conn // by server and address, the oldest first; none is empty
+	idle   map[routing.Server][]*conn // by server and address, the longest idle first; no entry is empty
 	open   int
 	closed bool
 	swept  time.Time
 }
 
-// conn is a connection to a server. Its user has it alone.
+// conn is a connection to a server. Only one user has it at a time.
 type conn struct {
 	net.Conn
-	err         error // the last of the socket; without one, an answer that fails was malformed
+	err         error // last error of the socket; if it is nil, an answer that fails was malformed
 	to          routing.Server
 	in          *bufio.Reader
-	idleSince   time.Time       // in the pool
-	idleTimeout time.Duration   // for which its server keeps it, with a margin; 0 for that of the pool
-	track       *streamTracker  // of the stream that it carries, nil if that can't move
-	head        context.Context // of the head that is being read, nil for none
+	idleSince   time.Time       // when it was returned to the pool
+	idleTimeout time.Duration   // for how long the server keeps it open, less a margin; 0 for the pool's idleTimeout
+	track       *streamTracker  // tracker of the stream on it, nil if the stream can't be moved
+	head        context.Context // context of the head that is being read, nil for none
 }
 
-// take returns an idle connection to a server, or a new one.
+// take returns an idle connection to a server, or opens a new one.
 func (p *pool) take(ctx context.Context, to routing.Server) (*conn, error) {
 	p.mu.Lock()
 	idle := p.idleTimeout
@@ -67,7 +67,7 @@
 		if time.Since(c.idleSince) < c.idleLimit(idle) && c.isQuiet() {
 			return c, nil
 		}
-		p.discard(c) // closed by the other side while idle: nothing was sent on it
+		p.discard(c) // the server has closed it, or its idle time is over; nothing was sent on it
 	}
 	p.mu.Lock()
 	dialer := net.Dialer{Timeout: p.connectTimeout, KeepAlive: -1}
@@ -82,8 +82,9 @@
 	return c, nil
 }
 
-// pop returns the most recently used idle connection. Without one it returns nil and counts a new
-// one, if need be in place of the longest idle connection to any server.
+// pop returns the most recently used idle connection to a server. If there is none, it returns nil
+// and counts a new connection. At the limit it first closes the longest idle connection to any
+// server.
 func (p *pool) pop(to routing.Server) (*conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -99,7 +100,7 @@
 	return nil, nil
 }
 
-// evict closes the longest idle connection.
+// evict closes the connection that has been idle longest, and reports whether there was one.
 func (p *pool) evict() bool {
 	var oldest *conn
 	for _, l := range p.idle {
@@ -116,8 +117,8 @@
 	return true
 }
 
-// setLimit sets how many connections there may be. Idle ones beyond it are closed; those in use end
-// with their users.
+// setLimit sets the maximum number of connections. It closes idle connections beyond the limit;
+// connections in use end with their users.
 func (p *pool) setLimit(limit int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -126,8 +127,8 @@
 	}
 }
 
-// setIdle sets a server's idle connections. Without any its entry is deleted: over a long day there
-// are thousands of servers.
+// setIdle sets a server's idle connections. It deletes the entry of a server without any, because
+// thousands of servers come and go during a long day.
 func (p *pool) setIdle(to routing.Server, l []*conn) {
 	if len(l) == 0 {
 		delete(p.idle, to)
@@ -136,7 +137,8 @@
 	p.idle[to] = l
 }
 
-// sweep closes what has been idle for too long: a later write might cross the other side's close.
+// sweep closes connections that have been idle for too long: a later write could cross the server's
+// close.
 func (p *pool) sweep() {
 	now := time.Now()
 	if now.Sub(p.swept) < sweepInterval {
@@ -158,7 +160,7 @@
 	}
 }
 
-// idleLimit returns how long the connection may be idle.
+// idleLimit returns how long the connection may be idle; usual is the pool's limit.
 func (c *conn) idleLimit(usual time.Duration) time.Duration {
 	if c.idleTimeout > 0 {
 		return min(c.idleTimeout, usual)
@@ -166,7 +168,7 @@
 	return usual
 }
 
-// takeIdle takes all idle connections out.
+// takeIdle removes all idle connections from the pool and returns them.
 func (p *pool) takeIdle() (all []*conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -177,8 +179,8 @@
 	return all
 }
 
-// adopt takes over a connection of another process that has been idle for so long, unless there are
-// too many.
+// adopt takes over a connection from another process that has been idle for the given time. It
+// returns false if there are too many connections or the pool is closed.
 func (p *pool) adopt(nc net.Conn, to routing.Server, idle time.Duration) bool {
 	p.mu.Lock()
 	if p.closed || p.open >= p.limit {
@@ -193,10 +195,10 @@
 	return true
 }
 
-// put returns a connection that is ready for the next request.
+// put returns a connection that is ready for the next request to the pool.
 func (p *pool) put(c *conn) { p.putSince(c, time.Now()) }
 
-// putSince returns a connection that is idle since a time.
+// putSince returns a connection to the pool that has been idle since the given time.
 func (p *pool) putSince(c *conn, since time.Time) {
 	if c.in.Buffered() > 0 || c.SetDeadline(time.Time{}) != nil {
 		p.discard(c)
@@ -214,13 +216,13 @@
 	p.sweep()
 }
 
-// discard closes a connection that was taken.
+// discard closes a connection that was taken from the pool.
 func (p *pool) discard(c *conn) {
 	c.Close()
 	p.count(-1)
 }
 
-// count counts n more connections and returns how many there are.
+// count adds n to the number of connections and returns the new number.
 func (p *pool) count(n int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -228,7 +230,7 @@
 	return p.open
 }
 
-// closeIdle closes the idle connections to a server.
+// closeIdle closes the idle connections to the server with the given ID.
 func (p *pool) closeIdle(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -244,7 +246,7 @@
 	}
 }
 
-// load returns the fraction of the connections that is in use.
+// load returns the fraction of the allowed connections that are in use.
 func (p *pool) load() float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -255,8 +257,8 @@
 	return float64(used) / float64(p.limit)
 }
 
-// keepIdle says whether idle connections may stay open. If not, the idle ones are closed, and each
-// other one as soon as it would become idle.
+// keepIdle says whether idle connections may stay open. If not, it closes the idle ones now, and
+// each other one as soon as it would become idle.
 func (p *pool) keepIdle(may bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -273,11 +275,11 @@
 	}
 }
 
-// Read implements net.Conn. Each read of a head has a timeout of its own.
+// Read implements net.Conn. Each read of a head has its own timeout.
 func (c *conn) Read(p []byte) (int, error) {
 	if c.head != nil {
 		c.SetReadDeadline(time.Now().Add(headTimeout))
-		if c.head.Err() != nil { // after the line above, lest it undo the end of the context
+		if c.head.Err() != nil { // checked after setting the deadline, which would otherwise override the one set when the context ended
 			return 0, os.ErrDeadlineExceeded
 		}
 	}
@@ -291,8 +293,7 @@
 	return n, err
 }
 
-// isQuiet reports whether the other side has neither closed an idle connection nor sent anything on
-// it.
+// isQuiet reports whether the server has neither closed an idle connection nor sent anything on it.
 func (c *conn) isQuiet() bool {
 	raw, err := c.Conn.(syscall.Conn).SyscallConn()
 	if err != nil {
--- a/internal/transport/rejection.go
+++ b/internal/transport/rejection.go
@@ -9,11 +9,12 @@
 	"reachspread/internal/protocol"
 )
 
-// reject answers a request that was read, complete or not, before its connection was admitted. The
-// caller has the lock.
+// reject answers a request that was read, completely or in part, before its connection was
+// admitted. The caller holds l.mu.
 func (l *listener) reject(fd int, complete bool, a admission.Action) {
 	l.text = protocol.AppendRejection(l.text[:0], a.Code, a.RetryAfter, rejectionText(a))
-	// All of it goes out, in one packet with the end, or the client is gone.
+	// Either the whole text is sent, in one packet with the end of the connection, or the client
+	// has left.
 	syscall.SendmsgN(fd, l.text, nil, nil, syscall.MSG_MORE|syscall.MSG_DONTWAIT|syscall.MSG_NOSIGNAL)
 	if complete || l.alive >= l.maxAlive {
 		syscall.Close(fd)
@@ -22,8 +23,9 @@
 	l.closeAfterLinger(fd)
 }
 
-// closeAfterLinger closes a rejected connection once more of its request has been read for a moment:
-// a close with bytes unread would take back the answer. The caller has the lock.
+// closeAfterLinger reads more of a rejected request for a moment and then closes its connection,
+// because closing with unread bytes would reset the connection, and the client could lose the
+// answer. The caller holds l.mu.
 func (l *listener) closeAfterLinger(fd int) {
 	syscall.Shutdown(fd, syscall.SHUT_WR)
 	l.alive++
@@ -40,7 +42,7 @@
 	})
 }
 
-// noCapacityText is for a client for which no connection is free.
+// noCapacityText is the text for a client for which no connection is free.
 const noCapacityText = "no place for this request; trying again is harmless"
 
 // rejectionText returns the text of a rejection.
@@ -54,11 +56,11 @@
 	return noCapacityText
 }
 
-// waitRejection is the answer to clients that have connected and for which no place is free.
+// waitRejection is the answer to clients that have connected but have no place.
 type waitRejection struct{ retryAfter time.Duration }
 
-// RejectWaiting rejects clients that have connected and wait for a place, now and from then on, with
-// the advice when to come back. It is for a process that is about to be killed.
+// RejectWaiting rejects the clients that have connected and wait for a place, now and from then on,
+// and advises them to retry after retryAfter. It is for a process that is about to be killed.
 func (f *Front) RejectWaiting(retryAfter time.Duration) {
 	l := f.listener
 	l.mu.Lock()
@@ -67,9 +69,9 @@
 	l.aliveDropped.Broadcast()
 }
 
-// rejectWaiting rejects a client that was accepted and has no place. The caller has the lock.
+// rejectWaiting rejects a client that was accepted and has no place. The caller holds l.mu.
 func (l *listener) rejectWaiting(fd int) {
-	syscall.Read(fd, l.readAhead[:]) // a close with bytes unread would take back the answer
+	syscall.Read(fd, l.readAhead[:]) // closing with unread bytes would reset the connection, and the client could lose the answer
 	l.text = protocol.AppendRejection(l.text[:0], http.StatusServiceUnavailable, l.noWait.retryAfter, noCapacityText)
 	syscall.SendmsgN(fd, l.text, nil, nil, syscall.MSG_DONTWAIT|syscall.MSG_NOSIGNAL)
 	l.closeAfterLinger(fd)
--- a/internal/transport/servers.go
+++ b/internal/transport/servers.go
@@ -15,21 +15,21 @@
 	"reachspread/internal/routing"
 )
 
-// Message is a client's request as it came. It is a routing.Message.
+// Message is a client's request as received. It implements routing.Message.
 type Message struct {
 	method, uri, contentType, id, body []byte
 
 	class  string
-	client *clientConn // whose answer may move to another process; nil if it may not
+	client *clientConn // the client, if its answer may move to another process; otherwise nil
 
-	fencingToken  string // a role and its token, under which it is sent; empty for none
+	fencingToken  string // a role and its fencing token, sent with the request; empty for none
 	tokenRejected func(highest uint64)
 
-	forward *Forward // how it is forwarded; nil in the completions dialect, which has a few headers only
+	forward *Forward // how to forward the message; nil in the completions dialect, which sends only a few headers
 }
 
-// WithFencingToken returns a copy that carries the fencing token of a role. Rejected is called if a
-// server has seen a higher one.
+// WithFencingToken returns a copy of m that carries the fencing token of a role. The function
+// rejected is called if a server has seen a higher token.
 func (m *Message) WithFencingToken(role string, token uint64, rejected func(highest uint64)) *Message {
 	c := *m
 	c.fencingToken = role + " " + strconv.FormatUint(token, 10)
@@ -44,7 +44,7 @@
 	return &c
 }
 
-// Body returns the body as it came, to be read only.
+// Body returns the body as received. The caller must not change it.
 func (m *Message) Body() []byte { return m.body }
 
 // Servers sends requests to servers. It implements routing.Network.
@@ -56,20 +56,20 @@
 	streamIdleTimeout time.Duration
 
 	mu              sync.Mutex
-	unreadableLoads map[string]bool // servers whose last load report could not be read; mu guards it
+	unreadableLoads map[string]bool // servers whose last load report could not be read; guarded by mu
 
 	tracksStreams bool // streams may move to another process
 	moving        atomic.Bool
-	movable       map[*conn]bool // whose streams may; mu guards it
+	movable       map[*conn]bool // connections whose streams may move; guarded by mu
 }
 
 // ServerLimits bounds the connections to servers.
 type ServerLimits struct {
-	ConnectTimeout    time.Duration // to a server
+	ConnectTimeout    time.Duration // timeout of a connection attempt
 	Keepalive         time.Duration // after which a server closes an idle connection
-	StreamIdleTimeout time.Duration // for a stream, after which it counts as broken
+	StreamIdleTimeout time.Duration // after which a silent stream counts as broken
 	Connections       int
-	Dialect           protocol.Dialect // nil for Completions
+	Dialect           protocol.Dialect // nil for protocol.Completions
 }
 
 // NewServers returns a Servers without connections.
@@ -81,13 +81,13 @@
 		pool: &pool{connectTimeout: l.ConnectTimeout, idleTimeout: safeIdleTime(l.Keepalive), limit: l.Connections, idle: map[routing.Server][]*conn{}}}
 }
 
-// Load returns the fraction of the connections that is in use.
+// Load returns the fraction of the allowed connections that are in use.
 func (s *Servers) Load() float64 { return s.pool.load() }
 
-// Open returns the connections that are open, idle ones among them.
+// Open returns the number of open connections, including idle ones.
 func (s *Servers) Open() int { return s.pool.count(0) }
 
-// Close closes the idle connections. Those in use close with their users.
+// Close closes the idle connections. The connections in use close when their users are done.
 func (s *Servers) Close() { s.pool.keepIdle(false) }
 
 // SetTimeouts sets the timeout of a connection attempt, and the time after which a server closes an
@@ -98,13 +98,14 @@
 	s.pool.connectTimeout, s.pool.idleTimeout = connect, safeIdleTime(keepalive)
 }
 
-// safeIdleTime returns how long a connection is kept that a server closes after keepalive.
+// safeIdleTime returns how long to keep an idle connection that the server closes after keepalive.
 func safeIdleTime(keepalive time.Duration) time.Duration { return keepalive * 3 / 4 }
 
-// SetLimit bounds the connections from now on.
+// SetLimit sets the maximum number of connections.
 func (s *Servers) SetLimit(connections int) { s.pool.setLimit(connections) }
 
-// KeepIdle says whether idle connections may stay open. If not, their descriptors are free at once.
+// KeepIdle says whether idle connections may stay open. If not, their descriptors are freed at
+// once.
 func (s *Servers) KeepIdle(may bool) { s.pool.keepIdle(may) }
 
 // CloseIdle implements routing.Network.
@@ -113,8 +114,8 @@
 	s.pool.closeIdle(id)
 }
 
-// Send implements routing.Network. Nothing is ever sent a second time here: retries are decided by
-// package balance.
+// Send implements routing.Network. It never sends a request twice: package balance decides about
+// retries.
 func (s *Servers) Send(ctx context.Context, deadline time.Time, to routing.Server, m routing.Message, hooks routing.SendHooks) routing.AttemptResult {
 	msg := m.(*Message)
 	req := fasthttp.AcquireRequest()
@@ -139,7 +140,7 @@
 	return s.unserved(x, msg, judged)
 }
 
-// head writes the head of a request to a server, except for the time left.
+// head writes the head of a request to a server, except for the header with the time left.
 func (m *Message) head(to *fasthttp.RequestHeader, d protocol.Dialect, server routing.Server) {
 	to.SetMethodBytes(m.method)
 	to.SetRequestURIBytes(m.uri)
@@ -159,7 +160,7 @@
 	}
 }
 
-// headDeadline returns when an answer must have begun.
+// headDeadline returns the time by which the answer must have begun.
 func (m *Message) headDeadline(deadline time.Time) time.Time {
 	if m.forward == nil || m.forward.FirstEventTimeout == 0 {
 		return deadline
@@ -170,7 +171,7 @@
 	return deadline
 }
 
-// streamAnswer returns the body of a stream of completions after its first event has come.
+// streamAnswer returns the body of a stream of completions once its first event has arrived.
 func (s *Servers) streamAnswer(ctx, headCtx context.Context, x *exchange, msg *Message) routing.AttemptResult {
 	b := &body{exchange: x, ctx: headCtx, text: x.resp.BodyStream(), message: msg}
 	b.beginTracking()
@@ -186,12 +187,12 @@
 	return routing.AttemptResult{Result: result, Load: load}
 }
 
-// unserved reads an answer that does not serve the request. If the dialect says so it is kept, for
-// the client in the end.
+// unserved reads an answer that does not serve the request. If the dialect says that the answer is
+// forwardable, unserved keeps it, so that the client can get it in the end.
 func (s *Servers) unserved(x *exchange, msg *Message, judged protocol.AttemptJudgement) routing.AttemptResult {
 	head := routing.AttemptResult{Result: judged.Result, RequestInvalid: judged.RequestInvalid}
 	if msg.forward.rejectedForVersion(x.resp.StatusCode()) {
-		head.Result = balance.NotSent // the server is as well as before for others
+		head.Result = balance.NotSent // the server still works for other requests
 	}
 	if msg.fencingToken != "" && x.resp.StatusCode() == fasthttp.StatusConflict {
 		if highest, err := strconv.ParseUint(x.header(protocol.HeaderFencingToken), 10, 64); err == nil {
@@ -210,7 +211,7 @@
 	return head
 }
 
-// probeHooks are those of a health check, which any listed server gets.
+// probeHooks are the hooks of a health check, which may be sent to any listed server.
 var probeHooks = routing.SendHooks{MaySend: func() bool { return true }, Written: func() {}}
 
 // Probe implements routing.Network.
@@ -244,7 +245,7 @@
 	return balance.Error, nil
 }
 
-// readLoad reads the load report in an answer's head, nil for none.
+// readLoad reads the load report in an answer's head. It returns nil if there is none.
 func (s *Servers) readLoad(x *exchange) *balance.Load {
 	load, err := s.dialect.Load(x.header)
 	if load != nil || err != nil {
@@ -253,7 +254,8 @@
 	return load
 }
 
-// recordLoadReport logs the first of a server's load reports in a row that can't be read.
+// recordLoadReport records whether a server's load report was readable. It logs only the first
+// unreadable one in a row.
 func (s *Servers) recordLoadReport(id string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/transport/servers_test.go
+++ b/internal/transport/servers_test.go
@@ -416,7 +416,7 @@
 	expect(42, "/api/targets?index=42&wait=5000")
 	d.Send(t, `{"version":43,"servers":[{"id":"s0","state":"Odd"}]}`)
 	expect(41, "/api/targets", "/api/targets?index=41&wait=5000")
-	for _, want := range []string{"discovery lost cause=servers[0].state", "discovery back version=41"} {
+	for _, want := range []string{"discovery lost cause=servers[0].state", "discovery reachable again version=41"} {
 		if got := scripted.Receive(t, lines, "a log line"); !strings.HasPrefix(got, want) {
 			t.Errorf("got the line %q, want %q", got, want)
 		}
--- a/internal/transport/status.go
+++ b/internal/transport/status.go
@@ -14,26 +14,26 @@
 )
 
 const (
-	statusTimeout   = 2 * time.Second // for each side of one question
+	statusTimeout   = 2 * time.Second // for each direction of one call
 	maxStatusAnswer = 4 << 20
 )
 
-// Status answers questions about the running router on a Unix socket, which only its own user may
-// open.
+// Status answers questions about the running router on a Unix socket that only the router's own
+// user may open.
 type Status struct {
 	path   string
 	server *fasthttp.Server
 	ln     net.Listener
 }
 
-// NewStatus listens on the socket name.sock in a folder that must exist. Each topic is asked for as
-// a path and answered as JSON. A socket that a dead process left is replaced; one that answers is
-// an error.
+// NewStatus listens on the socket name.sock in an existing folder. A client requests a topic as an
+// HTTP path and gets JSON. NewStatus replaces a socket left over by a dead process, and returns an
+// error if another process answers on the socket.
 func NewStatus(folder, name string, clients int, topics map[string]func() (any, error)) (*Status, error) {
 	s := &Status{path: filepath.Join(folder, name+".sock")}
 	if c, err := dialUnix("unix", s.path, statusTimeout); err == nil {
 		c.Close()
-		return nil, fmt.Errorf("%s is another router's", s.path)
+		return nil, fmt.Errorf("status socket %s is in use by another router", s.path)
 	}
 	ln, err := listenUnix("unix", s.path)
 	if err != nil {
@@ -67,13 +67,13 @@
 	return s, nil
 }
 
-// Close ends it and removes the socket.
+// Close stops listening and removes the socket.
 func (s *Status) Close() {
 	os.Remove(s.path)
 	s.ln.Close()
 }
 
-// AskStatus asks the router on a socket about a topic.
+// AskStatus requests a topic from the router that listens on a socket.
 func AskStatus(socket, topic string) ([]byte, error) {
 	client := fasthttp.Client{
 		Dial:        func(string) (net.Conn, error) { return dialUnix("unix", socket, statusTimeout) },
@@ -89,7 +89,8 @@
 	return text, nil
 }
 
-// StatusSocket returns the only socket in a folder, or that of the router named.
+// StatusSocket returns the path of the named router's socket, or of the only socket in a folder if
+// name is empty.
 func StatusSocket(folder, name string) (string, error) {
 	if name != "" {
 		return filepath.Join(folder, name+".sock"), nil
@@ -99,7 +100,7 @@
 		return "", err
 	}
 	if len(found) != 1 {
-		return "", fmt.Errorf("%s holds %d sockets; name the router", folder, len(found))
+		return "", fmt.Errorf("%s contains %d status sockets, want 1; give the router's name", folder, len(found))
 	}
 	return found[0], nil
 }
--- a/internal/transport/streamtracker.go
+++ b/internal/transport/streamtracker.go
@@ -10,22 +10,22 @@
 	"reachspread/internal/protocol"
 )
 
-// streamTracker follows the chunks of a stream as they come from a server, so that another process
-// can go on with it at any byte. It sits below the reader of the stream, and stops it between two
-// reads.
+// streamTracker parses the chunks of a stream as they arrive from a server, so that another process
+// can continue the stream at any byte. It is called below the reader of the stream and can stop
+// that reader between two reads.
 type streamTracker struct {
 	chunks     protocol.ChunkParser
-	unmovable  bool         // its chunks are malformed: it stays here
-	begun      bool         // its answer has begun, so it is its client's alone
-	moving     *atomic.Bool // of all streams
-	stopped    bool         // all that came was forwarded, and nothing more is read
-	lastReadAt time.Time    // anything
+	unmovable  bool         // its chunks are malformed, so it must stay in this process
+	begun      bool         // its answer has begun, so the stream is committed to its client
+	moving     *atomic.Bool // the flag of Servers: all streams are to move
+	stopped    bool         // all received bytes were forwarded, and nothing more is read
+	lastReadAt time.Time    // when bytes were last read
 }
 
-// errStopped ends a read that gives way to the move.
-var errStopped = errors.New("stopped")
+// errStopped ends a read so that the stream can move.
+var errStopped = errors.New("read stopped so that the stream can move")
 
-// read reads for the reader of the stream.
+// read reads from the connection on behalf of the stream's reader.
 func (t *streamTracker) read(c *conn, p []byte) (int, error) {
 	movable := t.begun && !t.unmovable && t.chunks.At != protocol.AtComplete
 	if t.stopped || movable && t.moving.Load() {
@@ -47,14 +47,14 @@
 	return n, err
 }
 
-// feed follows bytes that came.
+// feed parses received bytes.
 func (t *streamTracker) feed(p []byte) {
 	if used, err := t.chunks.Feed(p, func([]byte) {}); err != nil || used < len(p) {
 		t.unmovable = true
 	}
 }
 
-// beginTracking tracks a stream whose head was just read, if it may move.
+// beginTracking tracks a stream whose head was just read, if the stream may move.
 func (b *body) beginTracking() {
 	if !b.servers.tracksStreams || b.message.client == nil || b.resp.Header.ContentLength() != -1 {
 		return
@@ -76,7 +76,7 @@
 	b.servers.movable[b.conn] = true
 }
 
-// endTracking ends the tracking with the stream.
+// endTracking stops the tracking when the stream ends.
 func (s *Servers) endTracking(c *conn) {
 	if c.track == nil {
 		return
@@ -87,12 +87,13 @@
 	delete(s.movable, c)
 }
 
-// Move has all streams move to another process, as far as the front end lets them, and the idle
-// connections with them: each new one would cost a server work, and the first request on it time.
+// Move moves all streams to another process, as far as the front end allows it, and the idle
+// connections as well: each new connection would cost a server work and delay the first request on
+// it.
 func (s *Servers) Move(m *Mover) {
 	s.moving.Store(true)
 	for _, c := range s.pool.takeIdle() {
-		m.move(movedConn{Server: &c.to, Idle: time.Since(c.idleSince)}, c.Conn) // one that is declined is closed all the same
+		m.move(movedConn{Server: &c.to, Idle: time.Since(c.idleSince)}, c.Conn) // a connection that is declined is closed as well
 		s.pool.discard(c)
 	}
 	s.mu.Lock()
@@ -105,8 +106,8 @@
 // stoppedForMove reports whether reading was stopped for a move.
 func (b *body) stoppedForMove() bool { return b.conn.track != nil && b.conn.track.stopped }
 
-// move hands the stream to the process that takes over. If that can't be, it goes on here, from
-// where it was stopped.
+// move moves the stream to the process that takes over. If that fails, the stream continues here
+// from where it was stopped.
 func (b *body) move() bool {
 	t, client := b.conn.track, b.message.client
 	mover := client.listener.mover.Load()
--- a/internal/transport/tap.go
+++ b/internal/transport/tap.go
@@ -11,19 +11,20 @@
 	"reachspread/internal/routing"
 )
 
-// Tap may ask for a copy of each request that is accepted, and never blocks. A request that is not
+// Tap selects accepted requests and gets copies of them. It must not block. A request that is not
 // copied costs one call of TenantHeader and one of Choose, which take no lock and allocate nothing.
 type Tap interface {
-	// TenantHeader names the header that holds a request's tenant, empty for none.
+	// TenantHeader returns the name of the header that holds a request's tenant, empty for none.
 	TenantHeader() string
-	// Choose returns what takes a copy of a request, and for which pools. Nil means none.
+	// Choose returns the receiver for a copy of a request, nil for none, and the pools that it is
+	// for.
 	Choose(class, session, id string, tenant []byte) (Copier, uint64)
 }
 
-// Copier takes copies.
+// Copier receives copies of requests.
 type Copier interface {
-	// Copy takes a request, whose bytes it shares from now on, and returns what observes its
-	// answer; nil for nothing.
+	// Copy receives a request, whose bytes it shares from now on. It returns the observer of the
+	// answer, nil for none.
 	Copy(pools uint64, r AcceptedRequest) AnswerObserver
 }
 
@@ -31,25 +32,26 @@
 type AcceptedRequest struct {
 	Arrival   balance.Arrival
 	Tenant    string
-	ArrivedAt time.Time // its last byte
+	ArrivedAt time.Time // when its last byte arrived
 	Message   *Message
 }
 
-// AnswerObserver observes the answer to one request on its way to the client. It is used by one
-// goroutine and never blocks.
+// AnswerObserver observes the answer to one request on its way to the client. Only one goroutine
+// uses it. Its methods must not block.
 type AnswerObserver interface {
 	// Begun is called with the source of an answer that has begun.
 	Begun(from routing.Source)
 	// Feed is called with each chunk before it goes to the client, and must not keep it.
 	Feed(p []byte)
-	// Ended ends an answer that had begun: io.EOF says that it was complete, nil that its client
-	// left, another error that it broke.
+	// Ended is called at the end of an answer that had begun. The error is io.EOF if the answer was
+	// complete, nil if its client disconnected, and another error if it broke.
 	Ended(err error)
-	// Refused ends a request that got no answer: ok is false if its client had left.
+	// Refused is called at the end of a request without an answer. ok is false if its client had
+	// disconnected.
 	Refused(ok bool, v routing.Verdict)
 }
 
-// offerCopy lets the tap have a copy.
+// offerCopy offers a copy of the request to the tap.
 func (f *Front) offerCopy(header *fasthttp.RequestHeader, a *balance.Arrival, receivedAt time.Time, m *Message) AnswerObserver {
 	var tenant []byte
 	if name := f.tap.TenantHeader(); name != "" {
@@ -62,13 +64,14 @@
 	return copier.Copy(pools, AcceptedRequest{Arrival: *a, Tenant: string(tenant), ArrivedAt: receivedAt, Message: m})
 }
 
-// observedStream is a stream that ends its request and has an observer.
+// observedStream is an answer's stream that reports to an observer and ends its request when it is
+// closed.
 type observedStream struct {
 	*routing.Stream
 	observer AnswerObserver
 	end      func()
 	begun    bool
-	err      error // the one that ended it
+	err      error // the error that ended the stream
 }
 
 // Read implements io.Reader.
@@ -95,7 +98,7 @@
 	return err
 }
 
-// AdmissionStatus returns what admission has done, its state, and the clients with the most
+// AdmissionStatus returns the counts and the state of admission, and the clients with the most
 // connections.
 func (f *Front) AdmissionStatus(most int) (admission.Counts, []admission.ClientUsage) {
 	f.listener.mu.Lock()
@@ -103,20 +106,21 @@
 	return f.listener.admission.Counts(), f.listener.admission.LargestClients(most)
 }
 
-// Alive returns the connections that the HTTP server has, those on their way out among them.
+// Alive returns the number of connections that the HTTP server holds, including those that are
+// closing.
 func (f *Front) Alive() int {
 	f.listener.mu.Lock()
 	defer f.listener.mu.Unlock()
 	return f.listener.alive
 }
 
-// Lend tells admission that time has passed, and how many connections it may have from others'
-// capacity.
+// Lend informs admission that time has passed, and how many connections it may borrow from the
+// capacity of others.
 func (f *Front) Lend(lent int) {
 	f.listener.notifyAdmission(admission.Event{Kind: admission.CapacityLent, Lent: lent})
 }
 
-// SetAdmission gives admission another configuration.
+// SetAdmission sets a new configuration for admission.
 func (f *Front) SetAdmission(c admission.Config) {
 	f.listener.notifyAdmission(admission.Event{Kind: admission.ConfigChanged, Config: &c})
 }
--- a/internal/transport/unixsocket.go
+++ b/internal/transport/unixsocket.go
@@ -8,11 +8,12 @@
 	"time"
 )
 
-// maxSocketPath is how long the address of a Unix socket may be, in bytes.
+// maxSocketPath is the maximum length of a Unix socket's address, in bytes.
 const maxSocketPath = 107
 
-// withSocketAddress calls use with the address of the Unix socket at a path. A path that is too long
-// for one is reached through a descriptor of its folder, which is open meanwhile.
+// withSocketAddress calls use with the address of the Unix socket at a path. If the path is too
+// long for an address, the address goes through a descriptor of the folder, which stays open during
+// the call.
 func withSocketAddress(path string, use func(address string) error) error {
 	if len(path) <= maxSocketPath {
 		return use(path)
@@ -25,8 +26,9 @@
 	return use(fmt.Sprintf("/proc/self/fd/%d/%s", folder.Fd(), filepath.Base(path)))
 }
 
-// listenUnix listens on a Unix socket at a path, in place of any process that did before. Its owner
-// alone may connect. Closing the listener leaves the path, which may be another's by then.
+// listenUnix listens on a Unix socket at a path and replaces the socket of any earlier process.
+// Only the owner may connect. Closing the listener does not remove the path, because another
+// process may use it by then.
 func listenUnix(network, path string) (ln *net.UnixListener, err error) {
 	if err := os.Remove(path); err != nil && !os.IsNotExist(err) {
 		return nil, err
