--- a/internal/transport/clientconn_test.go
+++ b/internal/transport/clientconn_test.go
@@ -72,19 +72,19 @@
 		"closed behind many requests": {strings.Repeat(scripted.RequestText("further", ""), 50), func(c *net.TCPConn) { c.Close() }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			gone := make(chan bool, 1)
+			closed := make(chan bool, 1)
 			server := scripted.NewServer(t, func(c net.Conn) bool {
 				io.Copy(io.Discard, c)
-				gone <- true
+				closed <- true
 				return false
 			})
 			conn := dial(t, newRouter(t, server).addr)
-			patient := strings.Replace(scripted.RequestText("id", ""), "X-Time-Left: 8000m", "X-Time-Left: 600000m", 1)
-			io.WriteString(conn, patient) // the attempt is not over by itself within the test
+			text := strings.Replace(scripted.RequestText("id", ""), "X-Time-Left: 8000m", "X-Time-Left: 600000m", 1)
+			io.WriteString(conn, text) // the attempt is not over by itself within the test
 			scripted.Receive(t, server.Requests, "an attempt")
 			io.WriteString(conn, tt.further)
 			tt.leave(conn)
-			scripted.Receive(t, gone, "the attempt's connection closed")
+			scripted.Receive(t, closed, "the attempt's connection closed")
 			if n := len(server.Requests); n > 0 {
 				t.Errorf("%d more attempts", n)
 			}
@@ -220,11 +220,11 @@
 // has kept it since: its client's slow writing, or a request before it on the connection.
 func TestTimeLeftIsCountedFromTheFirstByte(t *testing.T) {
 	const (
-		asked = 8 * time.Second
-		kept  = 200 * time.Millisecond
+		requested = 8 * time.Second
+		delay     = 200 * time.Millisecond
 	)
-	slow := func(c net.Conn) bool {
-		time.Sleep(kept)
+	delayed := func(c net.Conn) bool {
+		time.Sleep(delay)
 		io.WriteString(c, scripted.CompleteAnswer())
 		return true
 	}
@@ -236,13 +236,13 @@
 		"written slowly": {scripted.Answer(scripted.CompleteAnswer()), func(conn net.Conn) {
 			text := scripted.RequestText("1", "")
 			io.WriteString(conn, text[:len(text)-1])
-			time.Sleep(kept)
+			time.Sleep(delay)
 			io.WriteString(conn, text[len(text)-1:])
 		}, 0},
-		"in one piece with another": {slow, func(conn net.Conn) {
+		"in one piece with another": {delayed, func(conn net.Conn) {
 			io.WriteString(conn, scripted.RequestText("1", "")+scripted.RequestText("2", ""))
 		}, 1},
-		"behind another that is open": {slow, func(conn net.Conn) {
+		"behind another that is open": {delayed, func(conn net.Conn) {
 			io.WriteString(conn, scripted.RequestText("1", ""))
 			io.WriteString(conn, scripted.RequestText("2", ""))
 		}, 1},
@@ -254,10 +254,10 @@
 			for range tt.before {
 				scripted.Receive(t, server.Requests, "an attempt")
 			}
-			told := scripted.Receive(t, server.Requests, "an attempt").Header.Get(protocol.HeaderTimeLeft)
-			left, err := protocol.ParseDuration(told)
-			if err != nil || left > asked-kept || left < asked/2 {
-				t.Errorf("told %s, %v; want at most %v", told, err, asked-kept)
+			sent := scripted.Receive(t, server.Requests, "an attempt").Header.Get(protocol.HeaderTimeLeft)
+			left, err := protocol.ParseDuration(sent)
+			if err != nil || left > requested-delay || left < requested/2 {
+				t.Errorf("told %s, %v; want at most %v", sent, err, requested-delay)
 			}
 		})
 	}
--- a/internal/transport/discovery_test.go
+++ b/internal/transport/discovery_test.go
@@ -22,33 +22,33 @@
 // within the 10 s in which each must have asked; where each asks again within a second, the queue
 // never gets short and nobody has one.
 func TestRoutersThatStartTogetherAllGetTheList(t *testing.T) {
-	const routers, service, patience, within = 80, time.Second / 11, 2 * time.Second, 10 * time.Second
-	ask := func(pace transport.RetrySchedule) (served int) {
+	const routers, serviceTime, callTimeout, within = 80, time.Second / 11, 2 * time.Second, 10 * time.Second
+	simulate := func(schedule transport.RetrySchedule) (served int) {
 		var due queue
 		for range routers {
 			c := call{}
-			if pace.StartSpread > 0 {
-				c.at = rand.N(pace.StartSpread)
+			if schedule.StartSpread > 0 {
+				c.at = rand.N(schedule.StartSpread)
 			}
 			heap.Push(&due, c)
 		}
-		free := time.Duration(0) // when it has done all that it took
+		idleAt := time.Duration(0) // when it has done all that it took
 		for due.Len() > 0 && due[0].at < within {
 			c := heap.Pop(&due).(call)
-			begin := max(free, c.at)
-			free = begin + service
-			if begin-c.at < patience {
+			begin := max(idleAt, c.at)
+			idleAt = begin + serviceTime
+			if begin-c.at < callTimeout {
 				served++
 				continue
 			}
-			heap.Push(&due, call{c.at + patience + pace.Wait(c.failed), c.failed + 1})
+			heap.Push(&due, call{c.at + callTimeout + schedule.Wait(c.failed), c.failed + 1})
 		}
 		return served
 	}
-	if n := ask(transport.PollSchedule(routers, within)); n != routers {
+	if n := simulate(transport.PollSchedule(routers, within)); n != routers {
 		t.Errorf("%d of %d have their list after %v", n, routers, within)
 	}
-	if n := ask(transport.PushSchedule); n > routers/2 {
+	if n := simulate(transport.PushSchedule); n > routers/2 {
 		t.Errorf("%d have it where all ask at once and again within a second: this discovery is too good", n)
 	}
 }
@@ -57,34 +57,34 @@
 // was told, less what a decision takes: a call that began before is given up, another is made after
 // the longest wait.
 func TestPushedListIsAppliedInTime(t *testing.T) {
-	const grace, decided = 500 * time.Millisecond, 100 * time.Millisecond
-	p := transport.PushSchedule
+	const grace, decisionTime = 500 * time.Millisecond, 100 * time.Millisecond
+	schedule := transport.PushSchedule
 	longest := time.Duration(0)
-	for before := range 1000 {
-		longest = max(longest, p.Wait(before%20))
+	for previousFailures := range 1000 {
+		longest = max(longest, schedule.Wait(previousFailures%20))
 	}
-	if p.AnswerTimeout == 0 || p.AnswerTimeout+longest > grace-decided {
-		t.Errorf("a try lasts %v and the wait after it %v", p.AnswerTimeout, longest)
+	if schedule.AnswerTimeout == 0 || schedule.AnswerTimeout+longest > grace-decisionTime {
+		t.Errorf("a try lasts %v and the wait after it %v", schedule.AnswerTimeout, longest)
 	}
 }
 
 // However many routers share a discovery, each has made its next call and can have heard of it 6 s
 // after discovery could be reached again, and their calls are spread.
 func TestFailedCallIsRetriedInTime(t *testing.T) {
-	const told, answer = 6 * time.Second, time.Second
+	const maxDelivery, answerTime = 6 * time.Second, time.Second
 	for _, routers := range []int{1, 3, 30, 300, 3000} {
-		pace := transport.PollSchedule(routers, 10*time.Second)
+		schedule := transport.PollSchedule(routers, 10*time.Second)
 		shortest, longest := time.Hour, time.Duration(0)
-		for before := range 1000 {
-			wait := pace.Wait(before % 20)
+		for previousFailures := range 1000 {
+			wait := schedule.Wait(previousFailures % 20)
 			shortest, longest = min(shortest, wait), max(longest, wait)
 		}
-		if longest+answer > told {
-			t.Errorf("%d routers: a wait of %v and an answer that takes %v", routers, longest, answer)
+		if longest+answerTime > maxDelivery {
+			t.Errorf("%d routers: a wait of %v and an answer that takes %v", routers, longest, answerTime)
 		}
 		longestSilence := time.Duration(0)
 		for range 1000 {
-			longestSilence = max(longestSilence, pace.WaitAfterTimeout())
+			longestSilence = max(longestSilence, schedule.WaitAfterTimeout())
 		}
 		const noticed, missed, grace = time.Second, 2 * time.Second, 500 * time.Millisecond // after the call's own wait
 		if noticed+longestSilence > missed+grace {
@@ -129,7 +129,7 @@
 
 // Guards against a router that never hears a discovery which takes longer for each answer than an
 // attempt may take, as on a busy machine: it was not ready for half a minute.
-func TestSlowDiscoveryIsHeard(t *testing.T) {
+func TestSlowDiscoveryIsReached(t *testing.T) {
 	const slow = 3 * 250 * time.Millisecond // an answer of three times Pushed's timeout
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
@@ -171,8 +171,8 @@
 	lines, lists := make(chan string, 10), make(chan *protocol.List, 10)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	pace := transport.RetrySchedule{FirstDelay: time.Millisecond, MaxDelay: time.Millisecond}
-	go transport.NewDiscovery(d.Addr, pace, 40, scripted.LogLines(lines), func(l *protocol.List) { lists <- l }).Run(ctx)
+	schedule := transport.RetrySchedule{FirstDelay: time.Millisecond, MaxDelay: time.Millisecond}
+	go transport.NewDiscovery(d.Addr, schedule, 40, scripted.LogLines(lines), func(l *protocol.List) { lists <- l }).Run(ctx)
 	for _, step := range []struct{ tell, call string }{
 		{scripted.List(42, false, scripted.ListEntry("s0", "127.0.0.1:1", "Gone")), "/api/targets?index=40&wait=5000"},
 		{`{"version":43,"servers":[{"id":"s0","state":"Odd"}]}`, "/api/targets?index=42&wait=5000"},
--- a/internal/transport/handover_test.go
+++ b/internal/transport/handover_test.go
@@ -21,24 +21,24 @@
 )
 
 // half is one of two processes of a router, here in one.
-type half struct {
+type process struct {
 	front   *transport.Front
 	servers *transport.Servers
 	core    *routing.Router
 	addr    string
 }
 
-func newHalf(t *testing.T, path string, silent time.Duration, lines scripted.LogLines) *half {
+func newProcess(t *testing.T, path string, silent time.Duration, lines scripted.LogLines) *process {
 	t.Helper()
 	b, err := balance.New(balance.Config{Zone: "a", MaxAttempts: 3, StepInterval: time.Millisecond,
 		Classes: []balance.Class{{Name: "chat", LatencyTarget: 8 * time.Second, Deadline: 8 * time.Second, Streamed: true}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &half{servers: transport.NewServers(transport.ServerLimits{ConnectTimeout: time.Second, Keepalive: time.Minute, Connections: 10, StreamIdleTimeout: silent}, lines)}
-	h.core = routing.New(b, h.servers, lines, time.Second)
-	h.front = transport.NewFront(h.core, transport.FrontLimits{Admission: admission.Config{MaxConnections: 100, MaxOverflow: 8}, BodyBytes: 1 << 20}, nil)
-	r, err := transport.NewReceiver(path, h.front, h.servers, lines)
+	p := &process{servers: transport.NewServers(transport.ServerLimits{ConnectTimeout: time.Second, Keepalive: time.Minute, Connections: 10, StreamIdleTimeout: silent}, lines)}
+	p.core = routing.New(b, p.servers, lines, time.Second)
+	p.front = transport.NewFront(p.core, transport.FrontLimits{Admission: admission.Config{MaxConnections: 100, MaxOverflow: 8}, BodyBytes: 1 << 20}, nil)
+	r, err := transport.NewReceiver(path, p.front, p.servers, lines)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,12 +46,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h.addr = ln.Addr().String()
+	p.addr = ln.Addr().String()
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(func() { r.Stop(); stop(); ln.Close() })
-	go h.core.Run(ctx)
-	go h.front.Serve(ln, false)
-	return h
+	go p.core.Run(ctx)
+	go p.front.Serve(ln, false)
+	return p
 }
 
 // A server that has fallen silent gets no more time by a move, nor by one that fails: its client is
@@ -62,13 +62,13 @@
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
 			lines := make(scripted.LogLines, 100)
-			old, next := newHalf(t, filepath.Join(dir, "old"), silent, lines), newHalf(t, filepath.Join(dir, "taken"), silent, lines)
+			old, next := newProcess(t, filepath.Join(dir, "old"), silent, lines), newProcess(t, filepath.Join(dir, "taken"), silent, lines)
 			s := scripted.NewServer(t, func(c net.Conn) bool {
 				io.WriteString(c, scripted.Head+scripted.Chunk(scripted.Event))
 				io.Copy(io.Discard, c)
 				return false
 			})
-			(&router{core: old.core}).tell(t, scripted.List(1, true, scripted.ListEntry("s0", s.Addr, "Ready")))
+			(&router{core: old.core}).applyList(t, scripted.List(1, true, scripted.ListEntry("s0", s.Addr, "Ready")))
 			resp, err := http.DefaultClient.Do(scripted.NewRequest(t, old.addr, "q", nil))
 			if err != nil {
 				t.Fatal(err)
@@ -89,15 +89,15 @@
 			if took := time.Since(begun); err == nil || string(text) != scripted.Event || took > silent*3/2 {
 				t.Errorf("%q, %v after %v; want it cut off after %v", text, err, took, silent)
 			}
-			for who, h := range map[string]*half{"taken": next, "gone": old} {
+			for key, p := range map[string]*process{"taken": next, "gone": old} {
 				for end := time.Now().Add(scripted.EventTimeout); ; time.Sleep(5 * time.Millisecond) {
-					f := h.core.Metrics()
+					f := p.core.Metrics()
 					got := fmt.Sprint(f.Open, f.Classes["chat"].Failed)
-					if who == path && got == "0 1" || who != path && got == "0 0" {
+					if key == path && got == "0 1" || key != path && got == "0 0" {
 						break
 					}
 					if time.Now().After(end) {
-						t.Fatalf("where it is %s: %s open and failed", who, got)
+						t.Fatalf("where it is %s: %s open and failed", key, got)
 					}
 				}
 			}
@@ -113,7 +113,7 @@
 		t.Fatal(err)
 	}
 	lines := make(scripted.LogLines, 100)
-	old, next := newHalf(t, filepath.Join(folder, "old"), time.Second, lines), newHalf(t, filepath.Join(folder, "next"), time.Second, lines)
+	old, next := newProcess(t, filepath.Join(folder, "old"), time.Second, lines), newProcess(t, filepath.Join(folder, "next"), time.Second, lines)
 	next.front.SetReady(true)
 	c, err := net.Dial("tcp", old.addr)
 	if err != nil {
--- a/internal/transport/movedconn_test.go
+++ b/internal/transport/movedconn_test.go
@@ -21,10 +21,10 @@
 	r = &Receiver{front: front, servers: NewServers(ServerLimits{StreamIdleTimeout: time.Minute}, make(scripted.LogLines, 10)),
 		log: make(scripted.LogLines, 10), serverConns: map[net.Conn]bool{}}
 	clientSide, accepted := pair(t)
-	host, server := pair(t)
+	serverConn, server := pair(t)
 	conn = &pausedConn{TCPConn: accepted}
 	r.activeStreams.Add(1)
-	go r.continueStream(movedConn{Stream: true, Class: "chat", Server: &routing.Server{ID: "s0"}}, conn, host)
+	go r.continueStream(movedConn{Stream: true, Class: "chat", Server: &routing.Server{ID: "s0"}}, conn, serverConn)
 	return r, clientSide, conn, func() { io.WriteString(server, scripted.Chunk(scripted.Done)+scripted.End) }
 }
 
--- a/internal/transport/pausedconn_test.go
+++ b/internal/transport/pausedconn_test.go
@@ -129,9 +129,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	log := make(scripted.LogLines, 100)
-	network := NewServers(ServerLimits{ConnectTimeout: time.Second, Keepalive: time.Minute, Connections: 10, StreamIdleTimeout: time.Minute}, log)
-	core := routing.New(b, network, log, time.Second)
+	lines := make(scripted.LogLines, 100)
+	network := NewServers(ServerLimits{ConnectTimeout: time.Second, Keepalive: time.Minute, Connections: 10, StreamIdleTimeout: time.Minute}, lines)
+	core := routing.New(b, network, lines, time.Second)
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
 	go core.Run(ctx)
--- a/internal/transport/servers_test.go
+++ b/internal/transport/servers_test.go
@@ -57,11 +57,11 @@
 	for i, s := range servers {
 		entries = append(entries, scripted.ListEntry(fmt.Sprint("s", i), s.Addr, "Ready"))
 	}
-	r.tell(t, scripted.List(1, true, entries...))
+	r.applyList(t, scripted.List(1, true, entries...))
 	return r
 }
 
-func (r *router) tell(t *testing.T, text string) {
+func (r *router) applyList(t *testing.T, text string) {
 	t.Helper()
 	l, err := protocol.ParseList([]byte(text))
 	if err != nil {
@@ -197,10 +197,10 @@
 // A refusal comes at once and tells when to come back; a deadline ends an attempt that got no
 // answer.
 func TestDeadlineIsAnsweredInTime(t *testing.T) {
-	gone := make(chan bool, 1)
+	closed := make(chan bool, 1)
 	s := scripted.NewServer(t, func(c net.Conn) bool {
 		io.Copy(io.Discard, c)
-		gone <- true
+		closed <- true
 		return false
 	})
 	resp, err := http.DefaultClient.Do(scripted.NewRequest(t, newRouter(t, s).addr, "q", map[string]string{"X-Time-Left": "200m"}))
@@ -211,18 +211,18 @@
 	if resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("got %d, Retry-After %q; want a refusal with a time", resp.StatusCode, resp.Header.Get("Retry-After"))
 	}
-	scripted.Receive(t, gone, "the attempt's connection closed")
+	scripted.Receive(t, closed, "the attempt's connection closed")
 }
 
 // A client that leaves frees the server at once, whether its answer has begun or not.
 func TestClientLeaves(t *testing.T) {
-	for name, begun := range map[string]string{"before an answer": "", "in a stream": scripted.Head + scripted.Chunk(scripted.Event)} {
+	for name, answerStart := range map[string]string{"before an answer": "", "in a stream": scripted.Head + scripted.Chunk(scripted.Event)} {
 		t.Run(name, func(t *testing.T) {
-			gone := make(chan bool, 1)
+			closed := make(chan bool, 1)
 			s := scripted.NewServer(t, func(c net.Conn) bool {
-				io.WriteString(c, begun)
+				io.WriteString(c, answerStart)
 				io.Copy(io.Discard, c)
-				gone <- true
+				closed <- true
 				return false
 			})
 			r := newRouter(t, s)
@@ -233,7 +233,7 @@
 			scripted.NewRequest(t, r.addr, "q", nil).Write(c)
 			scripted.Receive(t, s.Requests, "an attempt")
 			c.Close()
-			scripted.Receive(t, gone, "the attempt's connection closed")
+			scripted.Receive(t, closed, "the attempt's connection closed")
 		})
 	}
 }
@@ -241,9 +241,9 @@
 func TestRequestsRejectedBeforeTheDecisions(t *testing.T) {
 	s := scripted.NewServer(t, scripted.Answer(scripted.CompleteAnswer()))
 	r := newRouter(t, s)
-	long := strings.Repeat("x", transport.MaxBody+1)
+	tooLong := strings.Repeat("x", transport.MaxBody+1)
 	head := "POST /v1/chat/completions HTTP/1.1\r\nHost: r\r\n"
-	good := head + "X-Correlation-Id: q\r\nX-Service-Class: chat\r\nX-Time-Left: 900m\r\n"
+	validHead := head + "X-Correlation-Id: q\r\nX-Service-Class: chat\r\nX-Time-Left: 900m\r\n"
 	for _, tt := range []struct {
 		name, text string
 		status     int
@@ -251,16 +251,16 @@
 		{"no id", head + "Content-Length: 2\r\n\r\n{}", 400},
 		{"no HTTP", "hello\r\n\r\n", 400},
 		{"odd length", head + "Content-Length: x\r\n\r\n", 400},
-		{"two ways to tell the end", good + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n" + scripted.End, 400},
-		{"two ways, one of no effect", good + "Transfer-Encoding: identity\r\ncontent-length: 2\r\n\r\n{}", 400},
-		{"two lengths", good + "Content-Length: 2\r\nContent-Length: 2\r\n\r\n{}", 400},
-		{"signed length", good + "Content-Length: +2\r\n\r\n{}", 400},
-		{"negative length", good + "Content-Length: -2\r\n\r\n{}", 400},
-		{"folded header", good + "X: y\r\n Content-Length: 2\r\n\r\n{}", 400},
-		{"head without end", good + strings.Repeat("X-More: y\r\n", 2000), 400},
-		{"bad chunk size", good + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", 400},
-		{"too long", head + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(long), long), 413},
-		{"too long in chunks", head + "Transfer-Encoding: chunked\r\n\r\n" + scripted.Chunk(long) + scripted.End, 413},
+		{"two ways to tell the end", validHead + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n" + scripted.End, 400},
+		{"two ways, one of no effect", validHead + "Transfer-Encoding: identity\r\ncontent-length: 2\r\n\r\n{}", 400},
+		{"two lengths", validHead + "Content-Length: 2\r\nContent-Length: 2\r\n\r\n{}", 400},
+		{"signed length", validHead + "Content-Length: +2\r\n\r\n{}", 400},
+		{"negative length", validHead + "Content-Length: -2\r\n\r\n{}", 400},
+		{"folded header", validHead + "X: y\r\n Content-Length: 2\r\n\r\n{}", 400},
+		{"head without end", validHead + strings.Repeat("X-More: y\r\n", 2000), 400},
+		{"bad chunk size", validHead + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", 400},
+		{"too long", head + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(tooLong), tooLong), 413},
+		{"too long in chunks", head + "Transfer-Encoding: chunked\r\n\r\n" + scripted.Chunk(tooLong) + scripted.End, 413},
 		{"unknown path", "GET /v1/models HTTP/1.1\r\nHost: r\r\n\r\n", 404},
 		{"path that only looks like ours once tidied", strings.Replace(head, "/v1/", "/v1//", 1) + "Content-Length: 2\r\n\r\n{}", 404},
 		{"wrong method", "GET /v1/chat/completions HTTP/1.1\r\nHost: r\r\n\r\n", 405},
@@ -364,12 +364,12 @@
 
 // A load report that can not be read costs its stream nothing, and on-call one line.
 func TestMalformedLoadReport(t *testing.T) {
-	odd := "data: [DONE]\n\n: X-Backend-Load: {\n\n"
-	s := scripted.NewServer(t, scripted.Answer(scripted.Head+scripted.Chunk(odd)+scripted.End))
+	malformed := "data: [DONE]\n\n: X-Backend-Load: {\n\n"
+	s := scripted.NewServer(t, scripted.Answer(scripted.Head+scripted.Chunk(malformed)+scripted.End))
 	lines := make(scripted.LogLines, 10)
 	r := newLoggingRouter(t, lines, s)
 	for i := range 2 { // ids are fresh, by the platform's word
-		if status, body, err := scripted.Do(t, scripted.NewRequest(t, r.addr, fmt.Sprint("q", i), nil)); status != 200 || body != odd || err != nil {
+		if status, body, err := scripted.Do(t, scripted.NewRequest(t, r.addr, fmt.Sprint("q", i), nil)); status != 200 || body != malformed || err != nil {
 			t.Errorf("got %d %q, %v; want it unchanged", status, body, err)
 		}
 	}
@@ -382,7 +382,7 @@
 func TestDrainingServersGetNothingNew(t *testing.T) {
 	a, b := scripted.NewServer(t, scripted.Answer(scripted.CompleteAnswer())), scripted.NewServer(t, scripted.Answer(scripted.CompleteAnswer()))
 	r := newRouter(t, a, b)
-	r.tell(t, scripted.List(2, false, scripted.ListEntry("s0", a.Addr, "Terminating")))
+	r.applyList(t, scripted.List(2, false, scripted.ListEntry("s0", a.Addr, "Terminating")))
 	for i := range 20 {
 		scripted.Do(t, scripted.NewRequest(t, r.addr, fmt.Sprint("q", i), map[string]string{"X-Session-Key": fmt.Sprint(i)}))
 	}
@@ -429,7 +429,7 @@
 	const timeLeft = 300 * time.Millisecond
 	r := newRouter(t)
 	s := scripted.NewServer(t, scripted.Answer(scripted.CompleteAnswer()))
-	r.tell(t, scripted.List(1, true, scripted.ListEntry("s0", s.Addr, "Ready")))
+	r.applyList(t, scripted.List(1, true, scripted.ListEntry("s0", s.Addr, "Ready")))
 	client := &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1}, Timeout: scripted.EventTimeout}
 	defer client.CloseIdleConnections()
 	check, err := client.Get("http://" + r.addr + "/-/ready")
--- a/internal/transport/splitbytes_test.go
+++ b/internal/transport/splitbytes_test.go
@@ -33,7 +33,7 @@
 // Whatever pieces a good exchange comes in, from the client, the server and discovery, the same
 // bytes come out.
 func TestBytesSplitAnywhere(t *testing.T) {
-	lists, answers, told := make(chan []int, 1), make(chan []int, 1), make(chan *protocol.List, 1)
+	lists, answers, applied := make(chan []int, 1), make(chan []int, 1), make(chan *protocol.List, 1)
 	defer close(lists)
 	s := scripted.NewServer(t, func(c net.Conn) bool {
 		write(c, scripted.CompleteAnswer(), <-answers)
@@ -51,13 +51,13 @@
 	defer stop()
 	go transport.NewDiscovery(d.Addr, transport.PushSchedule, transport.FullList, lines, func(l *protocol.List) {
 		r.core.ApplyUpdate(l.Members(), l.Addrs())
-		told <- l
+		applied <- l
 	}).Run(ctx)
-	asked := 0
+	requests := 0
 	pieces := rapid.SliceOfN(rapid.SampledFrom([]int{1, 1, 1, 2, 5, 17, 80}), 0, 60)
 	rapid.Check(t, func(rt *rapid.T) {
 		lists <- pieces.Draw(rt, "list")
-		if got := scripted.Receive(t, told, "a list"); len(got.Servers) != 1 || got.Servers[0].Addr != s.Addr {
+		if got := scripted.Receive(t, applied, "a list"); len(got.Servers) != 1 || got.Servers[0].Addr != s.Addr {
 			rt.Fatalf("got the list %+v", got)
 		}
 		scripted.Receive(t, d.Requests, "a call")
@@ -68,8 +68,8 @@
 		}
 		defer c.Close()
 		c.SetDeadline(time.Now().Add(scripted.EventTimeout))
-		asked++
-		id := fmt.Sprint("q", asked)
+		requests++
+		id := fmt.Sprint("q", requests)
 		write(c, scripted.RequestText(id, ""), pieces.Draw(rt, "request"))
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil {
