--- a/internal/transport/acceptdrop_test.go
+++ b/internal/transport/acceptdrop_test.go
@@ -10,8 +10,8 @@
 	"reachspread/internal/admission"
 )
 
-// Guards against a request that the listener has read and then drops: what admission can't parse by
-// itself, such as another path, counts as no request.
+// Guards against dropping a request that the listener has read from the socket. Admission must not
+// treat a request with another path as no request, although its own parser does not know that path.
 func TestRequestReadByListenerIsAnswered(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/transport/clientconn_test.go
+++ b/internal/transport/clientconn_test.go
@@ -17,7 +17,7 @@
 	"reachspread/internal/testbed/scripted"
 )
 
-// dial connects to a router; the connection ends with the test.
+// dial connects to a router. The connection is closed at the end of the test.
 func dial(t *testing.T, addr string) *net.TCPConn {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -29,7 +29,7 @@
 	return conn.(*net.TCPConn)
 }
 
-// Requests that are sent without waiting for answers are served one after the other, each whole.
+// Pipelined requests are served in order, and each gets its complete answer.
 func TestPipelinedRequestsAreServedInOrder(t *testing.T) {
 	server := scripted.NewServer(t, scripted.Answer(scripted.CompleteAnswer()))
 	conn := dial(t, newRouter(t, server).addr)
@@ -55,8 +55,8 @@
 	}
 }
 
-// A client that ends its connection, or only its sending, has its attempt given up, also where more
-// bytes of it came behind the open request than one.
+// When a client closes its connection or only its sending side, its attempt is cancelled, even if
+// more than one byte of further requests was received behind the open request.
 func TestClientThatLeavesIsNoticed(t *testing.T) {
 	for name, tt := range map[string]struct {
 		further string
@@ -80,7 +80,7 @@
 			})
 			conn := dial(t, newRouter(t, server).addr)
 			text := strings.Replace(scripted.RequestText("id", ""), "X-Time-Left: 8000m", "X-Time-Left: 600000m", 1)
-			io.WriteString(conn, text) // the attempt is not over by itself within the test
+			io.WriteString(conn, text) // the attempt must not time out during the test
 			scripted.Receive(t, server.Requests, "an attempt")
 			io.WriteString(conn, tt.further)
 			tt.leave(conn)
@@ -92,8 +92,8 @@
 	}
 }
 
-// Every request that is taken ends in one way: taken = served + refused + failed + abandoned +
-// moved + open, whatever clients and servers do.
+// Every accepted request has exactly one outcome: accepted = served + rejected + failed + abandoned
+// + handed over + open, whatever clients and servers do.
 func TestEveryRequestIsAccountedFor(t *testing.T) {
 	answer := func(text string) func(chan bool) func(net.Conn) bool {
 		return func(chan bool) func(net.Conn) bool { return scripted.Answer(text) }
@@ -158,7 +158,7 @@
 			io.WriteString(conn, strings.TrimSuffix(scripted.RequestText("1", ""), "}"))
 			conn.CloseWrite()
 			io.Copy(io.Discard, conn)
-		}, routing.Counts{}}, // it was never a request
+		}, routing.Counts{}}, // it was not a complete request
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			more := make(chan bool)
@@ -174,8 +174,8 @@
 	}
 }
 
-// Requests that came together are all answered where the router sends its clients away meanwhile;
-// the last answer ends the connection.
+// All requests that were received together are answered, even if the router starts to drain
+// meanwhile. The last answer closes the connection.
 func TestPipelinedRequestsAreAnsweredInADrain(t *testing.T) {
 	for name, apart := range map[string]bool{"in one piece": false, "the others behind the open one": true} {
 		t.Run(name, func(t *testing.T) {
@@ -216,8 +216,8 @@
 	}
 }
 
-// What a server is told of the time left is counted from the first byte of the request, whatever
-// has kept it since: its client's slow writing, or a request before it on the connection.
+// The time left that a server is sent is counted from the first byte of the request, even if the
+// client writes slowly or an earlier request on the connection delays it.
 func TestTimeLeftIsCountedFromTheFirstByte(t *testing.T) {
 	const (
 		requested = 8 * time.Second
@@ -231,7 +231,7 @@
 	for name, tt := range map[string]struct {
 		script func(net.Conn) bool
 		send   func(conn net.Conn)
-		before int // attempts before the one in question
+		before int // attempts before the one under test
 	}{
 		"written slowly": {scripted.Answer(scripted.CompleteAnswer()), func(conn net.Conn) {
 			text := scripted.RequestText("1", "")
--- a/internal/transport/closereason_test.go
+++ b/internal/transport/closereason_test.go
@@ -8,8 +8,8 @@
 	"reachspread/internal/testbed/scripted"
 )
 
-// The figures say why each client connection was closed: without them a close that crossed a request
-// can't be told from one that lost it.
+// The metrics state why each client connection was closed. Without the reason, a close that merely
+// crossed a request could not be told from a close that lost the request.
 func TestClosedConnectionsAreCountedByReason(t *testing.T) {
 	const ready = "GET /-/ready HTTP/1.1\r\nHost: r\r\n\r\n"
 	for _, test := range []struct {
@@ -34,7 +34,7 @@
 			front, addr := newServedFront(t, FrontLimits{Admission: test.limits, OnClose: func(c ConnectionClosed) { closed <- c }})
 			client := dial(t, addr, test.text)
 			if test.text != "" {
-				client.Read(make([]byte, 1<<10)) // the answer
+				client.Read(make([]byte, 1<<10)) // of the answer
 			}
 			if test.end != nil {
 				test.end(front, client, addr)
--- a/internal/transport/descriptorshortage_test.go
+++ b/internal/transport/descriptorshortage_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Guards against a process that ends, with all requests in flight, as accept returned a fault of a new
-// connection or of the network.
+// Guards against a process that exits, with all its requests in flight, because accept returned an
+// error caused by a new connection or by the network.
 func TestListenerOutlivesFaultsOfNewConnections(t *testing.T) {
 	for cause, want := range map[error]bool{
 		syscall.EPROTO: true, syscall.ENETDOWN: true, syscall.EHOSTUNREACH: true, syscall.ENOBUFS: true, syscall.ENOMEM: true,
--- a/internal/transport/discovery_test.go
+++ b/internal/transport/discovery_test.go
@@ -17,10 +17,10 @@
 	"reachspread/internal/transport"
 )
 
-// Eighty routers start at once against a discovery that answers eleven calls in a second, in turn,
-// and spends as much on one that has waited 2 s and fails. Asked at the pace all have their list
-// within the 10 s in which each must have asked; where each asks again within a second, the queue
-// never gets short and nobody has one.
+// Eighty routers start at once. Discovery answers eleven calls per second, one at a time, and
+// spends as much time on a call that has already failed after waiting for 2 s. With PollSchedule,
+// all routers have their list within 10 s, the time by which each must have called. If each router
+// retries within a second, the queue never gets shorter and no router has a list.
 func TestRoutersThatStartTogetherAllGetTheList(t *testing.T) {
 	const routers, serviceTime, callTimeout, within = 80, time.Second / 11, 2 * time.Second, 10 * time.Second
 	simulate := func(schedule transport.RetrySchedule) (served int) {
@@ -32,7 +32,7 @@
 			}
 			heap.Push(&due, c)
 		}
-		idleAt := time.Duration(0) // when it has done all that it took
+		idleAt := time.Duration(0) // when discovery has finished all calls taken so far
 		for due.Len() > 0 && due[0].at < within {
 			c := heap.Pop(&due).(call)
 			begin := max(idleAt, c.at)
@@ -53,9 +53,9 @@
 	}
 }
 
-// An agent that was silent and answers again is heard within what the platform leaves a router that
-// was told, less what a decision takes: a call that began before is given up, another is made after
-// the longest wait.
+// When a silent agent answers again, a router gets its list within the time that the platform
+// allows, less the time for a decision. The worst case is a call that began before and times out,
+// followed by the longest delay and another call.
 func TestPushedListIsAppliedInTime(t *testing.T) {
 	const grace, decisionTime = 500 * time.Millisecond, 100 * time.Millisecond
 	schedule := transport.PushSchedule
@@ -68,8 +68,8 @@
 	}
 }
 
-// However many routers share a discovery, each has made its next call and can have heard of it 6 s
-// after discovery could be reached again, and their calls are spread.
+// However many routers share a discovery, each makes its next call and can have its answer within 6
+// s after discovery is reachable again. The calls of the routers are spread.
 func TestFailedCallIsRetriedInTime(t *testing.T) {
 	const maxDelivery, answerTime = 6 * time.Second, time.Second
 	for _, routers := range []int{1, 3, 30, 300, 3000} {
@@ -86,7 +86,7 @@
 		for range 1000 {
 			longestSilence = max(longestSilence, schedule.WaitAfterTimeout())
 		}
-		const noticed, missed, grace = time.Second, 2 * time.Second, 500 * time.Millisecond // after the call's own wait
+		const noticed, missed, grace = time.Second, 2 * time.Second, 500 * time.Millisecond // after the time for which the call could be held
 		if noticed+longestSilence > missed+grace {
 			t.Errorf("%d routers: a wait of %v after a silent watch", routers, longestSilence)
 		}
@@ -96,8 +96,8 @@
 	}
 }
 
-// An agent that takes connections and says nothing is asked again, each time anew, until it
-// answers.
+// If an agent accepts connections but sends nothing, the router opens a new connection and calls
+// again until the agent answers.
 func TestAgentThatTimesOut(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -127,10 +127,11 @@
 	}
 }
 
-// Guards against a router that never hears a discovery which takes longer for each answer than an
-// attempt may take, as on a busy machine: it was not ready for half a minute.
+// Guards against a router that never gets a list because discovery takes longer for each answer
+// than the timeout of a short attempt, as on a busy machine. Such a router was not ready for half a
+// minute.
 func TestSlowDiscoveryIsReached(t *testing.T) {
-	const slow = 3 * 250 * time.Millisecond // an answer of three times Pushed's timeout
+	const slow = 3 * 250 * time.Millisecond // three times the answer timeout of PushSchedule
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case <-time.After(slow):
@@ -165,7 +166,7 @@
 	return c
 }
 
-// A list that is held is not asked for again whole, neither at the start nor after a failure.
+// A router that has a list asks only for changes, both at the start and after a failure.
 func TestAskedDiscoveryIsAskedForChanges(t *testing.T) {
 	d := scripted.NewDiscovery(t, scripted.List(41, true, scripted.ListEntry("s0", "127.0.0.1:1", "Ready")))
 	lines, lists := make(chan string, 10), make(chan *protocol.List, 10)
--- a/internal/transport/drainread_test.go
+++ b/internal/transport/drainread_test.go
@@ -11,8 +11,9 @@
 	"reachspread/internal/testbed/scripted"
 )
 
-// Guards against further requests that a draining router reads and never answers: they lie in the
-// HTTP server's buffer, where the answer that ends the connection does not look.
+// Guards against further requests that a draining router reads but never answers. They were in the
+// HTTP server's buffer, which the router did not check before it closed the connection with an
+// answer.
 func TestDrainAnswersAllThatItHasRead(t *testing.T) {
 	request, further := scripted.RequestText("1", ""), scripted.RequestText("2", "")
 	chunked := strings.Replace(request, "Content-Length: 16", "Transfer-Encoding: chunked", 1)
@@ -44,7 +45,7 @@
 			in := bufio.NewReader(client)
 			for i := range 2 {
 				answer, err := http.ReadResponse(in, nil)
-				if err == io.EOF || err == io.ErrUnexpectedEOF { // a reset would say that it is unread
+				if err == io.EOF || err == io.ErrUnexpectedEOF { // a reset would tell the client that the request was not read
 					t.Fatalf("answer %d: %v; want it, or a reset", i+1, err)
 				}
 				if err != nil {
--- a/internal/transport/eviction_test.go
+++ b/internal/transport/eviction_test.go
@@ -10,8 +10,8 @@
 	"reachspread/internal/testbed/scripted"
 )
 
-// Guards against a request that was read and got no answer: its goroutine lost its processor, and
-// its connection was evicted as idle meanwhile.
+// Guards against a request that was read but not answered: its goroutine was descheduled, and its
+// connection was evicted as idle meanwhile.
 func TestRequestThatWasReadIsAnsweredDespiteEviction(t *testing.T) {
 	for _, test := range []struct {
 		name, text string
@@ -41,15 +41,15 @@
 			scripted.Receive(t, point.reached, "the pause")
 			passTime(front.listener, time.Second)
 			_, other := pair(t)
-			front.adopt(other, nil, false) // it is for admission whether this one gets a place
+			front.adopt(other, nil, false) // admission decides whether this connection gets a place
 			close(point.resume)
 			wantAnswer(t, client)
 		})
 	}
 }
 
-// Guards against a request whose body came after its head, and that another client's eviction ended
-// between the read of its last byte and admission's knowledge of that.
+// Guards against the eviction of a request whose body arrived after its head. Another client's
+// connection caused the eviction after the last byte was read and before admission was informed.
 func TestRequestIsNotEvictedAsItsLastByteIsRead(t *testing.T) {
 	front, _ := newRoutedFront(t, oneConnection, scripted.Answer(scripted.CompleteAnswer()))
 	client, accepted := pair(t)
@@ -68,7 +68,7 @@
 			go func() { adopted <- front.adopt(other, nil, false) }()
 			select {
 			case <-adopted:
-			case <-time.After(100 * time.Millisecond): // it has to wait until admission knows
+			case <-time.After(100 * time.Millisecond): // the eviction has to wait until admission is informed
 			}
 		})
 	}
@@ -77,7 +77,7 @@
 	wantAnswer(t, client)
 }
 
-// longRequest is a request whose body has so many spaces behind it.
+// longRequest returns a request whose body is followed by the given number of spaces.
 func longRequest(spaces int) string {
 	head, body, _ := strings.Cut(scripted.RequestText("q", ""), "\r\n\r\n")
 	length := fmt.Sprint("Content-Length: ", len(body))
--- a/internal/transport/evictionlock_test.go
+++ b/internal/transport/evictionlock_test.go
@@ -9,8 +9,9 @@
 	"reachspread/internal/testbed/scripted"
 )
 
-// An eviction of a connection whose goroutine is about to take its request must not stop the router:
-// the close of a socket waits for those that use it, and these wait for the lock of who closes it.
+// Guards against a deadlock when a connection is evicted while its goroutine is about to read a
+// request: closing the socket waits for the goroutines that use it, and they wait for the
+// listener's lock, which the evicting goroutine holds.
 func TestEvictionOfConnectionThatIsReadDoesNotBlock(t *testing.T) {
 	front, _ := newRoutedFront(t, oneConnection, nil)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -25,12 +26,13 @@
 	defer client.Close()
 	l := front.listener
 	scripted.AwaitCondition(t, "the connection", func() bool { return front.Alive() == 1 })
-	time.Sleep(50 * time.Millisecond) // its goroutine waits for a request
+	time.Sleep(50 * time.Millisecond) // until the connection's goroutine waits for a request
 
-	// Another connection comes: Accept has the lock as the first one's request arrives.
+	// Another connection arrives: Accept holds the lock when the first connection's request
+	// arrives.
 	l.mu.Lock()
 	client.Write([]byte(readyText))
-	time.Sleep(100 * time.Millisecond) // it has looked, and waits for the lock
+	time.Sleep(100 * time.Millisecond) // until the reader has peeked at the request and waits for the lock
 	evicted := make(chan struct{})
 	go func() {
 		l.carryOut(admission.Action{Kind: admission.Evict, Conn: 0, Cause: admission.Evicted})
--- a/internal/transport/evictionunread_test.go
+++ b/internal/transport/evictionunread_test.go
@@ -7,8 +7,8 @@
 	"reachspread/internal/testbed/scripted"
 )
 
-// Guards against a request that is reset although it came before its connection was evicted: only
-// the goroutine that reads it was late.
+// Guards against a reset of a request that arrived before its connection was evicted, but that the
+// connection's goroutine had not read yet.
 func TestEvictionLeavesConnectionsWithUnreadRequest(t *testing.T) {
 	front, _ := newRoutedFront(t, oneConnection, scripted.Answer(scripted.CompleteAnswer()))
 	client, accepted := pair(t)
--- a/internal/transport/front_test.go
+++ b/internal/transport/front_test.go
@@ -15,14 +15,15 @@
 	"reachspread/internal/testbed/scripted"
 )
 
-// serve starts a front with short times, without a core behind it, and returns its address.
+// serve starts a front end with a short read timeout and without a working router behind it. It
+// returns the address.
 func serve(t *testing.T, limits FrontLimits) string {
 	t.Helper()
 	_, addr := newServedFront(t, limits)
 	return addr
 }
 
-// newServedFront is serve, and returns the front as well.
+// newServedFront does what serve does, and returns the front end as well.
 func newServedFront(t *testing.T, limits FrontLimits) (*Front, string) {
 	t.Helper()
 	front := NewFront(new(routing.Router), limits, nil)
@@ -52,8 +53,9 @@
 	return c
 }
 
-// Whatever a client holds back, it gets an error or a close in time. Clients open connections ahead
-// of need, too: one that is closed unused must not carry an answer to nothing.
+// Whatever a client fails to send, it gets an error or a close in time. Clients also open
+// connections in advance: such a connection must be closed without an answer if no request was sent
+// on it.
 func TestSlowClientsAreClosedInTime(t *testing.T) {
 	post := "POST /v1/chat/completions HTTP/1.1\r\nHost: r\r\n"
 	addr := serve(t, FrontLimits{Admission: admission.Config{MaxConnections: 10, MaxOverflow: 4}, BodyBytes: 100 << 10})
@@ -62,7 +64,7 @@
 		post:                                  "HTTP/1.1 408 ",
 		post + "Content-Length: 100\r\n\r\n{": "HTTP/1.1 408 ",
 		post + "Transfer-Encoding: chunked\r\n\r\n9\r\n":                      "HTTP/1.1 408 ",
-		post + "Content-Length: 150000\r\n\r\n" + strings.Repeat(" ", 120000): "HTTP/1.1 503 ", // more than all may hold
+		post + "Content-Length: 150000\r\n\r\n" + strings.Repeat(" ", 120000): "HTTP/1.1 503 ", // more bytes than BodyBytes allows for all bodies
 	} {
 		got, err := io.ReadAll(dial(t, addr, text))
 		if err != nil || !strings.HasPrefix(string(got), want) || want == "" && len(got) > 0 {
@@ -76,8 +78,8 @@
 	}
 }
 
-// Clients that connect and say nothing take up no place that another needs: the oldest of them
-// goes.
+// Clients that connect and send nothing do not take places that other clients need: the oldest of
+// them is evicted.
 func TestIdleClientsAreReplaced(t *testing.T) {
 	addr := serve(t, FrontLimits{Admission: admission.Config{MaxConnections: 3, MaxOverflow: 1}})
 	var silent []net.Conn
@@ -97,9 +99,9 @@
 	}
 }
 
-// An IPv6 client that comes from a new address each time, of one net: on loopback there is one such
-// address, so the listener is told others. What it sends in small pieces is read and answered as
-// what it sends at once.
+// An IPv6 client uses a new address of its network for each connection. Loopback has only one such
+// address, so the test passes other addresses to the listener. The requests of admitted clients can
+// be read in small pieces.
 func TestClientWithNewAddressesOfOneNet(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -139,8 +141,8 @@
 	}
 }
 
-// A request whose body is still on its way is refused at once, and the rest of it does not take
-// back the answer.
+// A request whose body is still being sent is rejected at once, and the rest of the body does not
+// make the client lose the answer.
 func TestRejectionOfAHalfSentRequestArrives(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/transport/halfclosed_test.go
+++ b/internal/transport/halfclosed_test.go
@@ -10,8 +10,8 @@
 	"reachspread/internal/testbed/scripted"
 )
 
-// Guards against an empty answer with status 200 to a client that has ended its sending and still
-// reads: it takes that for what a server made.
+// Guards against an empty answer with status 200 to a client that has closed its sending side and
+// still reads. The client would take it for the answer of a server.
 func TestHalfClosedClientIsNotToldOfSuccess(t *testing.T) {
 	front, server := newRoutedFront(t, oneConnection, func(c net.Conn) bool {
 		c.Read(make([]byte, 1))
--- a/internal/transport/handover_test.go
+++ b/internal/transport/handover_test.go
@@ -20,7 +20,7 @@
 	"reachspread/internal/transport"
 )
 
-// half is one of two processes of a router, here in one.
+// process is one of the two processes of a router. The test runs both in one process.
 type process struct {
 	front   *transport.Front
 	servers *transport.Servers
@@ -54,8 +54,8 @@
 	return p
 }
 
-// A server that has fallen silent gets no more time by a move, nor by one that fails: its client is
-// told in time.
+// A silent server does not get more time when its stream moves or when the move fails: the client's
+// stream is cut off in time.
 func TestMovedStreamKeepsItsTimeout(t *testing.T) {
 	const silent = time.Second
 	for name, path := range map[string]string{"moved": "taken", "nobody takes it": "gone"} {
@@ -75,7 +75,7 @@
 			}
 			defer resp.Body.Close()
 			begun := time.Now()
-			time.Sleep(silent * 7 / 10) // of its silence, before the move
+			time.Sleep(silent * 7 / 10) // part of the server's silence passes before the move
 			mover, err := transport.DialMover(filepath.Join(dir, "taken"))
 			if err != nil {
 				t.Fatal(err)
@@ -105,8 +105,8 @@
 	}
 }
 
-// Guards against connections that end with their process as the folder that both processes share has
-// a long path: no Unix socket can be opened by it.
+// Guards against connections that are lost with their process because the path of the shared folder
+// is too long for the address of a Unix socket.
 func TestConnectionMovesUnderLongPath(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), strings.Repeat("long-", 30))
 	if err := os.Mkdir(folder, 0o700); err != nil {
@@ -138,7 +138,7 @@
 	}
 	old.front.MoveTo(mover)
 	scripted.AwaitCondition(t, "the connection has moved", func() bool {
-		old.front.CloseIdle(0) // passes over a connection whose answer is just being ended
+		old.front.CloseIdle(0) // skips a connection whose answer is just being completed
 		return next.front.Alive() > 0
 	})
 	ready(http.StatusOK)
--- a/internal/transport/handoverform_test.go
+++ b/internal/transport/handoverform_test.go
@@ -6,8 +6,8 @@
 	"reachspread/internal/testbed/formtest"
 )
 
-// What goes with a connection that moves to another process has the same fields: the two may be of
-// different versions.
+// The message that accompanies a moved connection must keep its fields, because the two processes
+// may have different versions.
 func TestHandoverMessageIsUnchanged(t *testing.T) {
 	formtest.Compare(t, "moved.txt", formtest.Fields(movedConn{}, "json"))
 }
--- a/internal/transport/listenerclose_test.go
+++ b/internal/transport/listenerclose_test.go
@@ -16,7 +16,8 @@
 	"reachspread/internal/testbed/scripted"
 )
 
-// askReady connects and asks whether the router is ready; connected is false where it refuses.
+// askReady connects and asks whether the router is ready. The result connected is false if the
+// connection is refused.
 func askReady(addr string) (connected bool, err error) {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -30,8 +31,8 @@
 	return true, err
 }
 
-// Guards against requests that are reset as a listener closes: who has connected is answered, who
-// comes later is refused.
+// Guards against requests that are reset when a listener closes. Clients that have connected get an
+// answer; clients that come later are refused.
 func TestClosingListenerServesItsBacklog(t *testing.T) {
 	const clients, rounds = 64, 4
 	for range rounds {
@@ -71,8 +72,8 @@
 	}
 }
 
-// Guards against requests in the backlog that were reset as a listener closed before a place was
-// free for them.
+// Guards against requests in the backlog that are reset because the listener closes before there is
+// a free place for them.
 func TestClosingListenerWaitsForPlaces(t *testing.T) {
 	const waiting = 4
 	finish := make(chan bool)
@@ -96,7 +97,8 @@
 	}
 }
 
-// Guards against clients in the backlog that SIGKILL finds there, as streams have all places.
+// Guards against clients that are still in the backlog when SIGKILL ends the process, because
+// streams occupy all places.
 func TestWaitingClientsAreRejectedBeforeKill(t *testing.T) {
 	const waiting = 4
 	finish := make(chan bool)
@@ -120,8 +122,9 @@
 	scripted.AwaitCondition(t, "an empty backlog", func() bool { return front.AnswersDue() == 0 })
 }
 
-// Guards against requests that were reset as a listener closed before the system had handed their
-// connections over: its handshake ends with the first bytes where admission is strict.
+// Guards against requests that are reset because the listener closes before the system has handed
+// over their connections. With strict admission, the system hands over a connection only when the
+// first bytes arrive.
 func TestClosingListenerWaitsForHandshakes(t *testing.T) {
 	idle := time.Minute
 	limits := FrontLimits{Admission: admission.Config{MaxConnections: 10, MaxOverflow: 4, IdleTimeout: [3]time.Duration{idle, idle, idle}}}
@@ -146,8 +149,8 @@
 	}
 }
 
-// Guards against a client that connects between the last look at the backlog and the close, however
-// long that takes: it does not come so far.
+// Guards against a client that connects between the last check of the backlog and the close,
+// however long that takes: the packet filter must keep the client from connecting.
 func TestNobodyConnectsToClosingListener(t *testing.T) {
 	ln, err := Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -170,7 +173,7 @@
 	}
 }
 
-// listenAndServe has a front serve at an address of its own.
+// listenAndServe makes a front end serve at an address of its own.
 func listenAndServe(t *testing.T, front *Front) (addr string, ln net.Listener) {
 	t.Helper()
 	ln, err := Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -183,8 +186,8 @@
 	return ln.Addr().String(), ln
 }
 
-// Guards against an address that is in use by the listener that was just closed: Accept fails a
-// moment before the socket is closed, and a router that starts again in that moment could not listen.
+// Guards against an address that is still in use by a listener that was just closed. Accept fails a
+// moment before the socket is closed, and a router that restarted in that moment could not listen.
 func TestAddressIsFreeOnceServeReturns(t *testing.T) {
 	const rounds, fleets = 50, 16 // so many at once that some have to wait for a processor
 	var all sync.WaitGroup
--- a/internal/transport/movedconn_test.go
+++ b/internal/transport/movedconn_test.go
@@ -14,8 +14,8 @@
 	"reachspread/internal/testbed/scripted"
 )
 
-// movedStream has a receiver go on with a stream of another process, up to before its end, and
-// returns its client, the conn of that client and a function that ends the stream.
+// movedStream makes a receiver continue a stream of another process. It returns the receiver, the
+// client's side of the connection, the router's side of it, and a function that ends the stream.
 func movedStream(t *testing.T, front *Front) (r *Receiver, client net.Conn, conn *pausedConn, end func()) {
 	t.Helper()
 	r = &Receiver{front: front, servers: NewServers(ServerLimits{StreamIdleTimeout: time.Minute}, make(scripted.LogLines, 10)),
@@ -28,7 +28,7 @@
 	return r, clientSide, conn, func() { io.WriteString(server, scripted.Chunk(scripted.Done)+scripted.End) }
 }
 
-// awaitStreamEnd reads a stream of another process to its end.
+// awaitStreamEnd reads a moved stream to its end.
 func awaitStreamEnd(t *testing.T, client net.Conn) {
 	t.Helper()
 	client.SetDeadline(time.Now().Add(scripted.EventTimeout))
@@ -43,8 +43,8 @@
 	}
 }
 
-// readNextRequestBehindStream has the write that ends a stream return only once the client's next
-// request has come, and its first byte was read with the stream's end.
+// readNextRequestBehindStream delays the return of the write that ends a stream until the next
+// request of the client has arrived and its first byte was read while the stream still ran.
 func readNextRequestBehindStream(t *testing.T, conn *pausedConn, request string) {
 	var streamEnded sync.Once
 	conn.afterWrite = func([]byte) {
@@ -52,8 +52,9 @@
 	}
 }
 
-// Guards against the next request of a client whose stream was moved: its first byte was read with
-// the stream's end, and the connection closed as there was no room for it.
+// Guards against a lost request of a client whose stream was moved. The first byte of the request
+// was read at the end of the stream, and the connection was closed because there was no capacity
+// for it.
 func TestRequestBehindMovedStreamIsAnswered(t *testing.T) {
 	for name, full := range map[string]bool{"room": false, "no room": true} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/transport/movedlate_test.go
+++ b/internal/transport/movedlate_test.go
@@ -6,8 +6,8 @@
 	"reachspread/internal/testbed/scripted"
 )
 
-// Guards against a connection that a process takes over after it has waited for its last one: the
-// process before takes it to be served.
+// Guards against a process that takes over a connection after its Shutdown has found no connection
+// left. The previous process would rely on the connection being served.
 func TestNothingIsTakenOverAfterShutdown(t *testing.T) {
 	front, _ := newRoutedFront(t, oneConnection, scripted.Answer(scripted.CompleteAnswer()))
 	if err := front.Shutdown(); err != nil {
--- a/internal/transport/movedused_test.go
+++ b/internal/transport/movedused_test.go
@@ -10,8 +10,9 @@
 	"reachspread/internal/testbed/scripted"
 )
 
-// A connection that was used in the process before is kept as long as any used one: closed as if it
-// were new, the close crosses its client's next request.
+// A moved connection that was used in the previous process stays open as long as any used
+// connection. If it were closed as early as a new one, the close would cross the client's next
+// request.
 func TestMovedConnectionCountsAsUsed(t *testing.T) {
 	closed := make(chan ConnectionClosed, 1)
 	limits := FrontLimits{Admission: admission.Config{MaxConnections: 1}, OnClose: func(c ConnectionClosed) { closed <- c }}
@@ -27,15 +28,15 @@
 	}
 }
 
-// Guards against a request on a connection that has moved, and that had only the rest of the time for
-// which the connection may be idle: it has as long to come as any.
+// Guards against a request on a moved connection that must arrive within the rest of the
+// connection's idle time. It must have as much time as any other request.
 func TestRequestOnMovedConnectionHasItsOwnTime(t *testing.T) {
 	l := newListener(&FrontLimits{Admission: admission.Config{MaxConnections: 1}})
 	client, accepted := pair(t)
 	c := l.adopt(accepted, nil, true)
 	head, _, _ := strings.Cut(scripted.RequestText("q", ""), "\r\n\r\n")
 	client.Write([]byte(head))
-	c.Conn.SetReadDeadline(time.Now().Add(50 * time.Millisecond)) // what is left of the idle time
+	c.Conn.SetReadDeadline(time.Now().Add(50 * time.Millisecond)) // the rest of the idle time
 	buffer := make([]byte, defaultMaxHead)
 	if _, err := c.Read(buffer); err != nil {
 		t.Fatal(err)
--- a/internal/transport/movedwait_test.go
+++ b/internal/transport/movedwait_test.go
@@ -8,8 +8,9 @@
 	"reachspread/internal/testbed/scripted"
 )
 
-// Guards against a request that ends with its process: a stream of another process ended after the
-// last connection of this one, and its client's next request was read while nobody waited for it.
+// Guards against a request that is lost when its process exits. A moved stream ended after the last
+// connection of this process was closed, and the client's next request was read after Wait had
+// returned.
 func TestWaitLastsUntilClientsOfMovedStreamsAreAnswered(t *testing.T) {
 	front, _ := newRoutedFront(t, oneConnection, scripted.Answer(scripted.CompleteAnswer()))
 	r, client, conn, end := movedStream(t, front)
--- a/internal/transport/pausedconn_test.go
+++ b/internal/transport/pausedconn_test.go
@@ -19,8 +19,8 @@
 	"reachspread/internal/testbed/scripted"
 )
 
-// pausePoint stops the first goroutine that reaches it until the test resumes it, as a thread stops
-// that loses its processor there.
+// pausePoint stops the first goroutine that reaches it until the test resumes the goroutine. This
+// simulates a thread that loses its processor at that point.
 type pausePoint struct {
 	used            atomic.Bool
 	reached, resume chan struct{}
@@ -37,16 +37,16 @@
 	}
 }
 
-// pausedConn is an accepted connection with a function before or after some calls of the system;
-// nil for none. Each runs on the goroutine that makes the call.
+// pausedConn is an accepted connection that calls test functions before or after some system calls;
+// nil functions are skipped. Each function runs on the goroutine that makes the system call.
 type pausedConn struct {
 	*net.TCPConn
-	beforeRead, afterRead func()                 // of a request's first bytes
-	beforeRest            func()                 // before any read but the first
+	beforeRead, afterRead func()                 // around the read of a request's first bytes
+	beforeRest            func()                 // before each read except the first
 	afterBody             atomic.Pointer[func()] // after bytes of a body were read
 	beforeClose           func()
 	afterWrite            func(p []byte)
-	read                  atomic.Bool // the first read was called
+	read                  atomic.Bool // the first read was started
 }
 
 func (c *pausedConn) SyscallConn() (syscall.RawConn, error) {
@@ -105,7 +105,7 @@
 	}
 }
 
-// pausedIntake calls functions before the steps of an intake; nil for none.
+// pausedIntake calls test functions before some methods of an intake; nil functions are skipped.
 type pausedIntake struct {
 	Intake
 	local, head func()
@@ -121,7 +121,7 @@
 	return i.Intake.Head(ctx)
 }
 
-// newRoutedFront returns a ready front that serves no listener yet, with a core and one server.
+// newRoutedFront returns a ready front end with a router and one server. It does not listen yet.
 func newRoutedFront(t *testing.T, limits FrontLimits, script func(net.Conn) bool) (*Front, *scripted.Server) {
 	t.Helper()
 	b, err := balance.New(balance.Config{Zone: "a", MaxAttempts: 3, MaxRetryAfter: time.Second, StepInterval: time.Millisecond,
@@ -147,21 +147,21 @@
 	return front, server
 }
 
-// passTime has admission's clock go on.
+// passTime advances admission's clock.
 func passTime(l *listener, d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.start = l.start.Add(-d)
 }
 
-// awaitUnread waits until so many bytes have come on a connection that were not read.
+// awaitUnread waits until exactly n received bytes of a connection are unread.
 func awaitUnread(t *testing.T, c net.Conn, n int) {
 	t.Helper()
 	counted := &clientConn{Conn: c}
 	scripted.AwaitCondition(t, "the bytes of a request", func() bool { return counted.unreadBytes() == n })
 }
 
-// wantAnswer fails the test unless the head of an answer comes.
+// wantAnswer fails the test unless the head of an answer arrives.
 func wantAnswer(t *testing.T, client net.Conn) {
 	t.Helper()
 	client.SetDeadline(time.Now().Add(scripted.EventTimeout))
--- a/internal/transport/pool_test.go
+++ b/internal/transport/pool_test.go
@@ -9,9 +9,9 @@
 	"reachspread/internal/testbed/scripted"
 )
 
-// On the long day every server is replaced, some at the address of one that has gone. Neither id
-// nor connection of the old ones may stay, and a connection given back after its server moved must
-// not lead to the old address.
+// During a long day every server is replaced, some by a server at the same address. No ID and no
+// connection of a removed server may remain, and a connection that is returned to the pool after
+// its server moved must not lead to the old address.
 func TestRemovedServersLeaveNoState(t *testing.T) {
 	a, b := scripted.NewServer(t, nil), scripted.NewServer(t, nil)
 	s := NewServers(ServerLimits{ConnectTimeout: scripted.EventTimeout, Keepalive: time.Minute, Connections: 2}, make(scripted.LogLines, 10))
--- a/internal/transport/readbounds_test.go
+++ b/internal/transport/readbounds_test.go
@@ -9,15 +9,16 @@
 	"reachspread/internal/testbed/scripted"
 )
 
-// Guards against further requests that are lost with a connection that ends: what was read of them
-// is neither unread, so that their clients could send them again, nor answered.
+// Guards against further requests that are lost when their connection is closed. Bytes that the
+// router has read of them are not answered, and the clients can't tell that it is safe to send the
+// requests again.
 func TestReadTakesNothingOfFurtherRequests(t *testing.T) {
 	request, further := scripted.RequestText("1", ""), scripted.RequestText("2", "")
 	chunked := strings.Replace(request, "Content-Length: 16", "Transfer-Encoding: chunked", 1)
 	chunked = strings.Replace(chunked, `{"stream": true}`, "10\r\n{\"stream\": true}\r\n0\r\n\r\n", 1)
 	for _, test := range []struct {
 		name   string
-		pieces []string // of the first request, each read by itself
+		pieces []string // of the first request, each read separately
 		state  func(*clientConn)
 	}{
 		{"as it comes", []string{request}, nil},
--- a/internal/transport/servers_test.go
+++ b/internal/transport/servers_test.go
@@ -21,7 +21,7 @@
 	"reachspread/internal/transport"
 )
 
-// router is a front, a core and connections to the servers s0, s1 and so on.
+// router is a front end, a router and connections to the servers s0, s1 and so on.
 type router struct {
 	addr  string
 	core  *routing.Router
@@ -74,7 +74,7 @@
 	more := make(chan bool)
 	s := scripted.NewServer(t, scripted.GatedAnswer(more))
 	r := newRouter(t, s)
-	for i := range 2 { // the second on the same connections
+	for i := range 2 { // the second request uses the same connections
 		resp, err := http.DefaultClient.Do(scripted.NewRequest(t, r.addr, fmt.Sprint("id-Ab", i), nil))
 		if err != nil {
 			t.Fatal(err)
@@ -106,7 +106,8 @@
 	}
 }
 
-// Each way in which an attempt may end leads to one answer, and never to two attempts at once.
+// Each way in which an attempt may end leads to exactly one answer and never to two attempts at the
+// same time.
 func TestFailedAttempts(t *testing.T) {
 	torn := scripted.Head + scripted.Chunk(scripted.Event)
 	for _, tt := range []struct {
@@ -153,7 +154,7 @@
 	}
 }
 
-// What a server sends beyond its answer harms nobody: not this client, and not the next one on the
+// Bytes that a server sends beyond its answer affect neither this client nor the next one on the
 // connection.
 func TestSurplusBytesAfterAnAnswer(t *testing.T) {
 	interim := "HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n"
@@ -170,8 +171,8 @@
 	}
 }
 
-// A connection that was refused or closed while idle proves that nothing ran: the request goes on
-// elsewhere.
+// If a connection was refused, or closed while idle, no server has executed the request, so the
+// request is retried elsewhere.
 func TestRetryAfterARefusedOrClosedConnection(t *testing.T) {
 	closed := make(chan bool, 1)
 	s := scripted.NewServer(t, func(c net.Conn) bool {
@@ -181,7 +182,7 @@
 		return false
 	})
 	r := newRouter(t, s)
-	for i := range 2 { // ids are fresh, by the platform's word
+	for i := range 2 { // the platform guarantees that request IDs are unique
 		if status, body, err := scripted.Do(t, scripted.NewRequest(t, r.addr, fmt.Sprint("q", i), nil)); status != 200 || err != nil {
 			t.Errorf("got %d %q, %v; want it served", status, body, err)
 		}
@@ -194,8 +195,8 @@
 	}
 }
 
-// A refusal comes at once and tells when to come back; a deadline ends an attempt that got no
-// answer.
+// At the deadline, the client gets a rejection with a Retry-After header, and the attempt that got
+// no answer is cancelled.
 func TestDeadlineIsAnsweredInTime(t *testing.T) {
 	closed := make(chan bool, 1)
 	s := scripted.NewServer(t, func(c net.Conn) bool {
@@ -214,7 +215,7 @@
 	scripted.Receive(t, closed, "the attempt's connection closed")
 }
 
-// A client that leaves frees the server at once, whether its answer has begun or not.
+// When a client disconnects, its server is freed at once, whether the answer has begun or not.
 func TestClientLeaves(t *testing.T) {
 	for name, answerStart := range map[string]string{"before an answer": "", "in a stream": scripted.Head + scripted.Chunk(scripted.Event)} {
 		t.Run(name, func(t *testing.T) {
@@ -298,8 +299,8 @@
 	}
 }
 
-// A client that closes before its request's last byte must not have the rest of it sent, however
-// long that is.
+// If a client closes the connection before the last byte of its request, the router must not
+// forward the incomplete request, however long it is.
 func TestIncompleteRequestIsNotForwarded(t *testing.T) {
 	s := scripted.NewServer(t, scripted.Answer(scripted.CompleteAnswer()))
 	r := newRouter(t, s)
@@ -325,8 +326,8 @@
 	}
 }
 
-// Ids are fresh by the platform's word. Who uses that of an open request gets an error; the first
-// one is unharmed.
+// The platform guarantees that request IDs are unique. A request with the ID of an open request
+// gets an error, and the open request is not affected.
 func TestTwoRequestsOfOneID(t *testing.T) {
 	more := make(chan bool)
 	s := scripted.NewServer(t, scripted.GatedAnswer(more))
@@ -346,8 +347,8 @@
 	}
 }
 
-// A request that a server finds at fault is answered so at once. Tried elsewhere and held against
-// each, one client's bad requests would have the whole fleet ejected.
+// A request that a server declares invalid is answered with an error at once. If it were retried
+// elsewhere and counted against each server, one client's bad requests could eject the whole fleet.
 func TestInvalidRequestEjectsNoServer(t *testing.T) {
 	s := scripted.NewServer(t, scripted.Answer("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"))
 	lines := make(scripted.LogLines, 10)
@@ -362,13 +363,14 @@
 	}
 }
 
-// A load report that can not be read costs its stream nothing, and on-call one line.
+// An unreadable load report does not affect its stream and causes one log line for the on-call
+// operator.
 func TestMalformedLoadReport(t *testing.T) {
 	malformed := "data: [DONE]\n\n: X-Backend-Load: {\n\n"
 	s := scripted.NewServer(t, scripted.Answer(scripted.Head+scripted.Chunk(malformed)+scripted.End))
 	lines := make(scripted.LogLines, 10)
 	r := newLoggingRouter(t, lines, s)
-	for i := range 2 { // ids are fresh, by the platform's word
+	for i := range 2 { // the platform guarantees that request IDs are unique
 		if status, body, err := scripted.Do(t, scripted.NewRequest(t, r.addr, fmt.Sprint("q", i), nil)); status != 200 || body != malformed || err != nil {
 			t.Errorf("got %d %q, %v; want it unchanged", status, body, err)
 		}
@@ -378,7 +380,7 @@
 	}
 }
 
-// What drains or is gone gets nothing new from the moment that discovery told so.
+// A server that is draining or gone gets no new requests once discovery has reported its state.
 func TestDrainingServersGetNothingNew(t *testing.T) {
 	a, b := scripted.NewServer(t, scripted.Answer(scripted.CompleteAnswer())), scripted.NewServer(t, scripted.Answer(scripted.CompleteAnswer()))
 	r := newRouter(t, a, b)
@@ -391,8 +393,8 @@
 	}
 }
 
-// The watch goes on from the version told, outlives a bad list and a lost connection, and logs each
-// once.
+// The watch continues from the version of the last list. It survives a malformed list and a lost
+// connection, and logs each once.
 func TestDiscoveryWatch(t *testing.T) {
 	d := scripted.NewDiscovery(t, scripted.List(41, true, scripted.ListEntry("s0", "127.0.0.1:1", "Ready")))
 	lines, lists := make(chan string, 10), make(chan *protocol.List, 10)
@@ -423,8 +425,9 @@
 	}
 }
 
-// Guards against a request that is taken to be older than it is, as the one before on its connection
-// was for the router itself: it was refused, its time being over before it came.
+// Guards against a request that is considered older than it is because the previous request on its
+// connection was answered by the router itself. It was rejected, because its time seemed to be over
+// before it arrived.
 func TestRequestAfterHealthCheckHasItsOwnTime(t *testing.T) {
 	const timeLeft = 300 * time.Millisecond
 	r := newRouter(t)
--- a/internal/transport/splitbytes_test.go
+++ b/internal/transport/splitbytes_test.go
@@ -18,20 +18,19 @@
 	"reachspread/internal/transport"
 )
 
-// write writes a text in pieces that end at the cuts, each a packet of its own.
+// write writes a text in pieces that end at the cuts, normally each in a packet of its own.
 func write(c net.Conn, text string, cuts []int) {
 	c.(*net.TCPConn).SetNoDelay(true)
 	for _, n := range cuts {
 		n = min(n, len(text))
 		io.WriteString(c, text[:n])
 		text = text[n:]
-		time.Sleep(50 * time.Microsecond) // so that it is read by itself as a rule; the verdict does not hang on it
+		time.Sleep(50 * time.Microsecond) // so that each piece is usually read separately; the test's result does not depend on it
 	}
 	io.WriteString(c, text)
 }
 
-// Whatever pieces a good exchange comes in, from the client, the server and discovery, the same
-// bytes come out.
+// However the bytes from the client, the server and discovery are split, the result is the same.
 func TestBytesSplitAnywhere(t *testing.T) {
 	lists, answers, applied := make(chan []int, 1), make(chan []int, 1), make(chan *protocol.List, 1)
 	defer close(lists)
@@ -87,8 +86,7 @@
 	}
 }
 
-// A good server that writes its head slowly, a byte at a time, is not taken for one that has fallen
-// silent.
+// A server that writes its head slowly, one byte at a time, does not count as silent.
 func TestSlowHeadIsNoTimeout(t *testing.T) {
 	s := scripted.NewServer(t, func(c net.Conn) bool {
 		for _, b := range []byte(scripted.Head) {
--- a/internal/transport/unansweredcount_test.go
+++ b/internal/transport/unansweredcount_test.go
@@ -9,14 +9,14 @@
 	"reachspread/internal/testbed/scripted"
 )
 
-// Guards against requests that are lost and not counted as unanswered: an answer that could not be
-// written, and an interim one, counted as answers.
+// Guards against lost requests that are not counted as unanswered because an answer that could not
+// be written, or an interim answer, counted as an answer.
 func TestRequestWithoutAnswerIsCounted(t *testing.T) {
 	text := scripted.RequestText("q", "")
 	expects := scripted.RequestText("q", "Expect: 100-continue\r\n")
 	for _, test := range []struct {
 		name, text string
-		interim    string // read by the client before
+		interim    string // read by the client first
 	}{
 		{"its answer could not be written", text, ""},
 		{"it had an interim answer", strings.TrimSuffix(expects, "}"), "HTTP/1.1 100 Continue\r\n\r\n"},
@@ -54,8 +54,8 @@
 	}
 }
 
-// Guards against a process that ends with a request of which it has read a part, while the rest waits
-// in the socket: its client has written all of it, so an answer is due.
+// Guards against a process that exits while it has read only part of a request and the rest waits
+// in the socket. The client has written all of the request, so an answer is due.
 func TestAnswerIsDueToRequestThatHasCome(t *testing.T) {
 	front, _ := newRoutedFront(t, oneConnection, scripted.Answer(scripted.CompleteAnswer()))
 	client, accepted := pair(t)
--- a/internal/transport/unsent_test.go
+++ b/internal/transport/unsent_test.go
@@ -35,7 +35,7 @@
 	return c.(*net.TCPConn), a.(*net.TCPConn)
 }
 
-// awaitPeek waits until a connection has something to tell: bytes, its end or a reset.
+// awaitPeek waits until the client's close or reset has reached the connection.
 func awaitPeek(t *testing.T, c *clientConn) {
 	t.Helper()
 	raw, err := c.Conn.(*net.TCPConn).SyscallConn()
@@ -47,9 +47,9 @@
 	}
 }
 
-// The watch on a client may be late where the router is short of processor time. Nothing is sent
-// for one that has left by the moment of sending, whatever the watch has noticed, and the server's
-// connection is as good as before.
+// The watch on a client may be late when the router is short of processor time. Nothing is sent for
+// a client that has disconnected by the moment of sending, whether or not the watch has noticed,
+// and the connection to the server can be reused.
 func TestNothingIsSentForAClientThatLeft(t *testing.T) {
 	for name, leave := range map[string]func(*net.TCPConn){
 		"closed": func(c *net.TCPConn) { c.Close() },
@@ -73,14 +73,13 @@
 	}
 }
 
-// noSend are hooks that say whether the server may be sent to. The test fails if anything is
-// written.
+// noSend returns hooks whose MaySend returns maySend. The test fails if anything is written.
 func noSend(t *testing.T, maySend bool) routing.SendHooks {
 	return routing.SendHooks{MaySend: func() bool { return maySend }, Written: func() { t.Error("written") }}
 }
 
-// A server that began to drain while the connection to it came up gets nothing, and the connection
-// is as good as before.
+// A server that began to drain while the connection to it was being opened gets no request, and the
+// connection can be reused.
 func TestNothingIsSentToServerThatDrainedMeanwhile(t *testing.T) {
 	server := scripted.NewServer(t, scripted.Answer(scripted.CompleteAnswer()))
 	servers := NewServers(ServerLimits{ConnectTimeout: time.Second, Keepalive: time.Minute, Connections: 1, StreamIdleTimeout: time.Second}, make(scripted.LogLines, 1))
@@ -94,7 +93,7 @@
 	}
 }
 
-// Where the connection took all the time that was left, nothing is sent.
+// If opening the connection took all of the time left, nothing is sent.
 func TestNothingIsSentOnceTheTimeIsOver(t *testing.T) {
 	o := outgoing{request: fasthttp.AcquireRequest(), deadline: time.Now().Add(-time.Millisecond)}
 	_, accepted := pair(t)
@@ -103,9 +102,10 @@
 	}
 }
 
-// Of requests that came together one is read: a connection that has to end with its answer, as
-// where a stream breaks, takes none of the others with it that were read and not answered. The
-// watch reads a byte, and still notices that the client leaves.
+// The router reads only the first of several requests that arrived together. If the connection has
+// to be closed with its answer, for example because a stream breaks, no other request is lost that
+// was read and not answered. The watch reads one byte of the next request and still notices that
+// the client disconnects.
 func TestFurtherRequestsStayUnread(t *testing.T) {
 	client, accepted := pair(t)
 	conn := &clientConn{Conn: accepted, listener: newListener(&FrontLimits{Admission: admission.Config{MaxConnections: 1, MaxOverflow: 1}})}
