--- a/internal/transport/acceptdrop_test.go
+++ b/internal/transport/acceptdrop_test.go
@@ -10,8 +10,8 @@
 	"reachspread/internal/admission"
 )
 
-// Guards against dropping a request that the listener has read from the socket. Admission must not
-// treat a request with another path as no request, although its own parser does not know that path.
+// Guards against dropping a request that the listener has read from the socket. A request that
+// admission's own parser does not accept, such as one for another path, must still count as a request.
 func TestRequestReadByListenerIsAnswered(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/transport/clientconn_test.go
+++ b/internal/transport/clientconn_test.go
@@ -50,7 +50,7 @@
 			t.Fatalf("request %d: got %d %q, %v; want its answer", i, response.StatusCode, body, err)
 		}
 		if id := scripted.Receive(t, server.Requests, "an attempt").Header.Get(protocol.HeaderID); id != fmt.Sprint("id-", i) {
-			t.Errorf("attempt %d is for %s", i, id)
+			t.Errorf("attempt %d has request ID %s, want the IDs in order", i, id)
 		}
 	}
 }
@@ -62,14 +62,14 @@
 		further string
 		leave   func(*net.TCPConn)
 	}{
-		"closed":                      {"", func(c *net.TCPConn) { c.Close() }},
-		"reset":                       {"", func(c *net.TCPConn) { c.SetLinger(0); c.Close() }},
-		"only its sending":            {"", func(c *net.TCPConn) { c.CloseWrite() }},
-		"closed behind another":       {scripted.RequestText("further", ""), func(c *net.TCPConn) { c.Close() }},
-		"reset behind another":        {scripted.RequestText("further", ""), func(c *net.TCPConn) { c.SetLinger(0); c.Close() }},
-		"its sending behind another":  {scripted.RequestText("further", ""), func(c *net.TCPConn) { c.CloseWrite() }},
-		"closed behind half a one":    {scripted.RequestText("further", "")[:50], func(c *net.TCPConn) { c.Close() }},
-		"closed behind many requests": {strings.Repeat(scripted.RequestText("further", ""), 50), func(c *net.TCPConn) { c.Close() }},
+		"closed":                             {"", func(c *net.TCPConn) { c.Close() }},
+		"reset":                              {"", func(c *net.TCPConn) { c.SetLinger(0); c.Close() }},
+		"sending side closed":                {"", func(c *net.TCPConn) { c.CloseWrite() }},
+		"closed behind another":              {scripted.RequestText("further", ""), func(c *net.TCPConn) { c.Close() }},
+		"reset behind another":               {scripted.RequestText("further", ""), func(c *net.TCPConn) { c.SetLinger(0); c.Close() }},
+		"sending side closed behind another": {scripted.RequestText("further", ""), func(c *net.TCPConn) { c.CloseWrite() }},
+		"closed behind half a request":       {scripted.RequestText("further", "")[:50], func(c *net.TCPConn) { c.Close() }},
+		"closed behind many requests":        {strings.Repeat(scripted.RequestText("further", ""), 50), func(c *net.TCPConn) { c.Close() }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			closed := make(chan bool, 1)
@@ -86,7 +86,7 @@
 			tt.leave(conn)
 			scripted.Receive(t, closed, "the attempt's connection closed")
 			if n := len(server.Requests); n > 0 {
-				t.Errorf("%d more attempts", n)
+				t.Errorf("the server got %d more attempts, want none", n)
 			}
 		})
 	}
@@ -101,7 +101,7 @@
 	scripts := map[string]func(more chan bool) func(net.Conn) bool{
 		"served":  answer(scripted.CompleteAnswer()),
 		"refused": answer(scripted.Rejection),
-		"unfit":   answer("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"),
+		"invalid": answer("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"),
 		"broken":  answer(scripted.Head + scripted.Chunk(scripted.Event) + "z\r\n"),
 		"held":    func(more chan bool) func(net.Conn) bool { return scripted.GatedAnswer(more) },
 		"silent": func(chan bool) func(net.Conn) bool {
@@ -121,13 +121,13 @@
 		{"refused", "refused", func(t *testing.T, r *router, s *scripted.Server, more chan bool) {
 			scripted.Do(t, scripted.NewRequest(t, r.addr, "q", nil))
 		}, routing.Counts{Accepted: 1, Rejected: 1}},
-		{"at fault", "unfit", func(t *testing.T, r *router, s *scripted.Server, more chan bool) {
+		{"invalid request", "invalid", func(t *testing.T, r *router, s *scripted.Server, more chan bool) {
 			scripted.Do(t, scripted.NewRequest(t, r.addr, "q", nil))
 		}, routing.Counts{Accepted: 1, Failed: 1}},
 		{"a stream that breaks", "broken", func(t *testing.T, r *router, s *scripted.Server, more chan bool) {
 			scripted.Do(t, scripted.NewRequest(t, r.addr, "q", nil))
 		}, routing.Counts{Accepted: 1, Failed: 1}},
-		{"out of time", "silent", func(t *testing.T, r *router, s *scripted.Server, more chan bool) {
+		{"timed out", "silent", func(t *testing.T, r *router, s *scripted.Server, more chan bool) {
 			scripted.Do(t, scripted.NewRequest(t, r.addr, "q", map[string]string{"X-Time-Left": "100m"}))
 		}, routing.Counts{Accepted: 1, Rejected: 1}},
 		{"left before the first attempt's answer", "silent", func(t *testing.T, r *router, s *scripted.Server, more chan bool) {
@@ -153,7 +153,7 @@
 			more <- true
 			io.Copy(io.Discard, conn)
 		}, routing.Counts{Accepted: 2, Served: 1, Failed: 1}},
-		{"not whole", "served", func(t *testing.T, r *router, s *scripted.Server, more chan bool) {
+		{"incomplete request", "served", func(t *testing.T, r *router, s *scripted.Server, more chan bool) {
 			conn := dial(t, r.addr)
 			io.WriteString(conn, strings.TrimSuffix(scripted.RequestText("1", ""), "}"))
 			conn.CloseWrite()
@@ -168,7 +168,7 @@
 			scripted.AwaitCondition(t, "nothing is open", func() bool { return r.core.Metrics().Open == 0 })
 			got := r.core.Metrics().Classes["chat"]
 			if diff := cmp.Diff(tt.want, got); diff != "" || got.Open() != 0 {
-				t.Errorf("%d open %s", got.Open(), diff)
+				t.Errorf("%d requests are open, want 0; counts (-want +got): %s", got.Open(), diff)
 			}
 		})
 	}
@@ -210,7 +210,7 @@
 				}
 			}
 			if _, err := in.ReadByte(); err != io.EOF {
-				t.Errorf("after the last answer: %v, want the end", err)
+				t.Errorf("after the last answer: got %v, want the end of the connection", err)
 			}
 		})
 	}
@@ -257,7 +257,7 @@
 			sent := scripted.Receive(t, server.Requests, "an attempt").Header.Get(protocol.HeaderTimeLeft)
 			left, err := protocol.ParseDuration(sent)
 			if err != nil || left > requested-delay || left < requested/2 {
-				t.Errorf("told %s, %v; want at most %v", sent, err, requested-delay)
+				t.Errorf("the server was sent the time left %s, %v; want at most %v", sent, err, requested-delay)
 			}
 		})
 	}
--- a/internal/transport/closereason_test.go
+++ b/internal/transport/closereason_test.go
@@ -18,9 +18,9 @@
 		end        func(front *Front, client net.Conn, addr string)
 		want       CloseReason
 	}{
-		{name: "it said nothing", want: ClosedUnused},
-		{name: "its client left", want: ClosedByClient, end: func(_ *Front, c net.Conn, _ string) { c.Close() }},
-		{name: "its request was malformed", text: "nonsense\r\n\r\n", want: ClosedAfterAnswer},
+		{name: "no request", want: ClosedUnused},
+		{name: "client left", want: ClosedByClient, end: func(_ *Front, c net.Conn, _ string) { c.Close() }},
+		{name: "malformed request", text: "nonsense\r\n\r\n", want: ClosedAfterAnswer},
 		{name: "idle while the router drains", text: ready, want: ClosedDraining,
 			end: func(f *Front, _ net.Conn, _ string) { f.listener.closeUntilEmpty(func() { f.CloseIdle(0) }) }},
 		{name: "another client came", text: ready, want: ClosedEvicted, limits: admission.Config{MaxConnections: 1},
@@ -41,10 +41,10 @@
 			}
 			got := scripted.Receive(t, closed, "the end of the connection")
 			if got.Reason != test.want || got.Unanswered || got.Client.String() != client.LocalAddr().String() {
-				t.Errorf("got %+v; want %v of %v", got, test.want, client.LocalAddr())
+				t.Errorf("closed with %+v; want reason %v for client %v", got, test.want, client.LocalAddr())
 			}
 			if counts := front.ClosedConnections()[test.want]; counts != (CloseCounts{Reason: test.want, Closed: 1}) {
-				t.Errorf("counted %+v; want 1 close", counts)
+				t.Errorf("counts are %+v; want 1 close", counts)
 			}
 		})
 	}
--- a/internal/transport/descriptorshortage_test.go
+++ b/internal/transport/descriptorshortage_test.go
@@ -14,7 +14,7 @@
 		syscall.EBADF: false, syscall.EINVAL: false, net.ErrClosed: false,
 	} {
 		if got := isConnectionError(&net.OpError{Op: "accept", Err: cause}); got != want {
-			t.Errorf("%v: goes on %t; want %t", cause, got, want)
+			t.Errorf("%v: counts as a connection error: %t; want %t", cause, got, want)
 		}
 	}
 }
--- a/internal/transport/discovery_test.go
+++ b/internal/transport/discovery_test.go
@@ -46,10 +46,10 @@
 		return served
 	}
 	if n := simulate(transport.PollSchedule(routers, within)); n != routers {
-		t.Errorf("%d of %d have their list after %v", n, routers, within)
+		t.Errorf("%d of %d routers have their list after %v", n, routers, within)
 	}
 	if n := simulate(transport.PushSchedule); n > routers/2 {
-		t.Errorf("%d have it where all ask at once and again within a second: this discovery is too good", n)
+		t.Errorf("%d routers have the list although all call at once and retry within a second: the simulated discovery is too fast", n)
 	}
 }
 
@@ -64,7 +64,7 @@
 		longest = max(longest, schedule.Wait(previousFailures%20))
 	}
 	if schedule.AnswerTimeout == 0 || schedule.AnswerTimeout+longest > grace-decisionTime {
-		t.Errorf("a try lasts %v and the wait after it %v", schedule.AnswerTimeout, longest)
+		t.Errorf("a call times out after %v and the delay after it is up to %v", schedule.AnswerTimeout, longest)
 	}
 }
 
@@ -80,7 +80,7 @@
 			shortest, longest = min(shortest, wait), max(longest, wait)
 		}
 		if longest+answerTime > maxDelivery {
-			t.Errorf("%d routers: a wait of %v and an answer that takes %v", routers, longest, answerTime)
+			t.Errorf("%d routers: the delay is up to %v and the answer takes %v", routers, longest, answerTime)
 		}
 		longestSilence := time.Duration(0)
 		for range 1000 {
@@ -88,10 +88,10 @@
 		}
 		const noticed, missed, grace = time.Second, 2 * time.Second, 500 * time.Millisecond // after the time for which the call could be held
 		if noticed+longestSilence > missed+grace {
-			t.Errorf("%d routers: a wait of %v after a silent watch", routers, longestSilence)
+			t.Errorf("%d routers: the delay after a watch timed out is up to %v", routers, longestSilence)
 		}
 		if longest < 2*shortest {
-			t.Errorf("%d routers: all waits are from %v to %v", routers, shortest, longest)
+			t.Errorf("%d routers: the delays are only spread from %v to %v", routers, shortest, longest)
 		}
 	}
 }
@@ -123,7 +123,7 @@
 	defer stop()
 	go transport.NewDiscovery(ln.Addr().String(), transport.PushSchedule, transport.FullList, scripted.LogLines(lines), func(l *protocol.List) { lists <- l }).Run(ctx)
 	if l := scripted.Receive(t, lists, "a list"); l.Version != 7 {
-		t.Errorf("version %d", l.Version)
+		t.Errorf("got a list of version %d, want 7", l.Version)
 	}
 }
 
@@ -145,7 +145,7 @@
 	defer stop()
 	go transport.NewDiscovery(server.Listener.Addr().String(), transport.PushSchedule, transport.FullList, scripted.LogLines(lines), func(l *protocol.List) { lists <- l }).Run(ctx)
 	if l := scripted.Receive(t, lists, "a list"); l.Version != 7 {
-		t.Errorf("version %d", l.Version)
+		t.Errorf("got a list of version %d, want 7", l.Version)
 	}
 }
 
@@ -181,7 +181,7 @@
 	} {
 		d.Send(t, step.tell)
 		if got := scripted.Receive(t, d.Calls, "a call"); got != step.call {
-			t.Errorf("got a call of %s, want %s", got, step.call)
+			t.Errorf("discovery was called with %s, want %s", got, step.call)
 		}
 	}
 }
--- a/internal/transport/drainread_test.go
+++ b/internal/transport/drainread_test.go
@@ -46,7 +46,7 @@
 			for i := range 2 {
 				answer, err := http.ReadResponse(in, nil)
 				if err == io.EOF || err == io.ErrUnexpectedEOF { // a reset would tell the client that the request was not read
-					t.Fatalf("answer %d: %v; want it, or a reset", i+1, err)
+					t.Fatalf("answer %d: %v; want the answer or a reset", i+1, err)
 				}
 				if err != nil {
 					return
--- a/internal/transport/eviction_test.go
+++ b/internal/transport/eviction_test.go
@@ -17,16 +17,16 @@
 		name, text string
 		pause      func(*Front, *pausedConn, func())
 	}{
-		{"before admission is told that it began", scripted.RequestText("q", ""), func(_ *Front, c *pausedConn, pause func()) {
+		{"before admission is informed of the request", scripted.RequestText("q", ""), func(_ *Front, c *pausedConn, pause func()) {
 			c.afterRead = pause
 		}},
-		{"before admission decides on it", scripted.RequestText("q", ""), func(f *Front, _ *pausedConn, pause func()) {
+		{"before admission decides on the request", scripted.RequestText("q", ""), func(f *Front, _ *pausedConn, pause func()) {
 			f.intake = &pausedIntake{Intake: f.intake, head: pause}
 		}},
 		{"while the rest of its body is read", longRequest(20 << 10), func(_ *Front, c *pausedConn, pause func()) {
 			c.beforeRest = pause
 		}},
-		{"while the router answers by itself", readyText, func(f *Front, _ *pausedConn, pause func()) {
+		{"while the router itself answers", readyText, func(f *Front, _ *pausedConn, pause func()) {
 			f.intake = &pausedIntake{Intake: f.intake, local: pause}
 		}},
 	} {
--- a/internal/transport/evictionlock_test.go
+++ b/internal/transport/evictionlock_test.go
@@ -42,6 +42,6 @@
 	select {
 	case <-evicted:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the eviction waits for the reader, and the reader for the lock of the eviction: the listener is dead")
+		t.Fatal("deadlock: the eviction waits for the reader, and the reader for the lock that the eviction holds")
 	}
 }
--- a/internal/transport/front_test.go
+++ b/internal/transport/front_test.go
@@ -68,12 +68,12 @@
 	} {
 		got, err := io.ReadAll(dial(t, addr, text))
 		if err != nil || !strings.HasPrefix(string(got), want) || want == "" && len(got) > 0 {
-			t.Errorf("after %.90q: got %q, %v; want %q and the end", text, got, err, want)
+			t.Errorf("after %.90q: got %q, %v; want %q and the end of the connection", text, got, err, want)
 		}
 	}
 	for _, whole := range []time.Duration{requestReadTimeout + lingerTimeout, deferAcceptTime + strictRequestReadTimeout + strictLingerTimeout} {
 		if whole > 3*time.Second {
-			t.Errorf("%v to send and to linger; the platform grants 3 s from connecting to the end", whole)
+			t.Errorf("reading a request and lingering take up to %v; the platform allows 3 s from connecting to the close", whole)
 		}
 	}
 }
@@ -94,7 +94,7 @@
 		resp.Body.Close()
 		http.DefaultClient.CloseIdleConnections()
 		if got, err := io.ReadAll(c); len(got) > 0 || err != nil {
-			t.Errorf("silent client %d: got %q, %v; want the end", i, got, err)
+			t.Errorf("silent client %d: got %q, %v; want the end of the connection", i, got, err)
 		}
 	}
 }
@@ -127,17 +127,17 @@
 			defer cc.Close()
 			head := make([]byte, 4)
 			if _, err := io.ReadFull(cc, head); err != nil || string(head) != "POST" {
-				t.Errorf("client %d: its request begins with %q, %v", i, head, err)
+				t.Errorf("client %d: the request begins with %q, %v; want POST", i, head, err)
 			}
 			continue
 		}
 		if got, err := io.ReadAll(c); err != nil || !strings.HasPrefix(string(got), "HTTP/1.1 429 ") {
-			t.Errorf("client %d got %q, %v", i, got, err)
+			t.Errorf("client %d got %q, %v; want status 429", i, got, err)
 		}
 		refused++
 	}
 	if admitted != 5 || refused != 7 {
-		t.Errorf("%d let in, %d refused", admitted, refused)
+		t.Errorf("%d clients admitted, %d rejected; want 5 and 7", admitted, refused)
 	}
 }
 
@@ -161,14 +161,14 @@
 			t.Fatal(err)
 		}
 		if cc := l.admitOpened(fd, from); (cc != nil) != (i == 0) {
-			t.Fatalf("client %d: let in: %v", i, cc != nil)
+			t.Fatalf("client %d: admitted: %v; want only client 0 admitted", i, cc != nil)
 		} else if cc != nil {
 			defer cc.Close()
 			continue
 		}
 		io.WriteString(c, strings.Repeat(" ", 59999))
 		if got, err := io.ReadAll(c); err != nil || !strings.HasPrefix(string(got), "HTTP/1.1 429 ") {
-			t.Errorf("client %d got %q, %v", i, got, err)
+			t.Errorf("client %d got %q, %v; want status 429", i, got, err)
 		}
 	}
 }
--- a/internal/transport/halfclosed_test.go
+++ b/internal/transport/halfclosed_test.go
@@ -25,7 +25,7 @@
 	client.SetDeadline(time.Now().Add(scripted.EventTimeout))
 	answer, err := http.ReadResponse(bufio.NewReader(client), nil)
 	if err != nil {
-		t.Fatalf("%v; want an answer", err)
+		t.Fatalf("got %v; want an answer", err)
 	}
 	if answer.StatusCode == http.StatusOK {
 		t.Errorf("got status 200, length %d, for a request that no server has answered", answer.ContentLength)
--- a/internal/transport/handover_test.go
+++ b/internal/transport/handover_test.go
@@ -58,7 +58,7 @@
 // stream is cut off in time.
 func TestMovedStreamKeepsItsTimeout(t *testing.T) {
 	const silent = time.Second
-	for name, path := range map[string]string{"moved": "taken", "nobody takes it": "gone"} {
+	for name, path := range map[string]string{"moved": "taken", "move fails": "gone"} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
 			lines := make(scripted.LogLines, 100)
@@ -87,7 +87,7 @@
 			old.servers.Move(mover)
 			text, err := io.ReadAll(resp.Body)
 			if took := time.Since(begun); err == nil || string(text) != scripted.Event || took > silent*3/2 {
-				t.Errorf("%q, %v after %v; want it cut off after %v", text, err, took, silent)
+				t.Errorf("the stream ended with %q, %v after %v; want it cut off after %v", text, err, took, silent)
 			}
 			for key, p := range map[string]*process{"taken": next, "gone": old} {
 				for end := time.Now().Add(scripted.EventTimeout); ; time.Sleep(5 * time.Millisecond) {
@@ -97,7 +97,7 @@
 						break
 					}
 					if time.Now().After(end) {
-						t.Fatalf("where it is %s: %s open and failed", key, got)
+						t.Fatalf("process %s: open and failed requests are %s", key, got)
 					}
 				}
 			}
--- a/internal/transport/listenerclose_test.go
+++ b/internal/transport/listenerclose_test.go
@@ -54,7 +54,7 @@
 						return
 					case err != nil:
 						lost.Add(1)
-						t.Logf("connected, and got %v", err)
+						t.Logf("a client connected and got %v", err)
 					default:
 						answered.Add(1)
 					}
@@ -163,10 +163,10 @@
 	l.raw.Control(func(fd uintptr) { dropNewConnections(int(fd)) })
 	if c, err := net.DialTimeout("tcp", ln.Addr().String(), 200*time.Millisecond); err == nil {
 		c.Close()
-		t.Error("a client has connected, and would be reset")
+		t.Error("a client has connected; the close would reset it")
 	}
 	if l.hasBacklog() {
-		t.Error("a client is in the backlog")
+		t.Error("a client is in the backlog; want none")
 	}
 	if err := l.closeSockets(); err != nil {
 		t.Error(err)
--- a/internal/transport/movedconn_test.go
+++ b/internal/transport/movedconn_test.go
@@ -56,7 +56,7 @@
 // was read at the end of the stream, and the connection was closed because there was no capacity
 // for it.
 func TestRequestBehindMovedStreamIsAnswered(t *testing.T) {
-	for name, full := range map[string]bool{"room": false, "no room": true} {
+	for name, full := range map[string]bool{"capacity left": false, "no capacity": true} {
 		t.Run(name, func(t *testing.T) {
 			limits := FrontLimits{Admission: admission.Config{MaxConnections: 1}}
 			front, server := newRoutedFront(t, limits, scripted.GatedAnswer(make(chan bool)))
--- a/internal/transport/movedlate_test.go
+++ b/internal/transport/movedlate_test.go
@@ -15,6 +15,6 @@
 	}
 	_, accepted := pair(t)
 	if err := front.adopt(accepted, nil, false); err == nil {
-		t.Error("taken over; want it declined, so that the process before serves it")
+		t.Error("the connection was taken over; want it declined, so that the previous process serves it")
 	}
 }
--- a/internal/transport/movedused_test.go
+++ b/internal/transport/movedused_test.go
@@ -24,7 +24,7 @@
 	client.SetReadDeadline(time.Now().Add(100 * front.server.ReadTimeout))
 	if _, err := client.Read(make([]byte, 1)); err == io.EOF {
 		got := scripted.Receive(t, closed, "the end of the connection")
-		t.Errorf("closed as %v after %v; want it open, as it was used before", got.Reason, got.IdleTime)
+		t.Errorf("the connection was closed as %v after %v; want it open, because it was used before", got.Reason, got.IdleTime)
 	}
 }
 
--- a/internal/transport/pool_test.go
+++ b/internal/transport/pool_test.go
@@ -29,6 +29,6 @@
 	s.pool.put(c)
 	s.CloseIdle("s0")
 	if len(s.pool.idle) > 0 || s.pool.open != 0 || len(s.unreadableLoads) > 0 {
-		t.Errorf("%d lists, %d connections, %d ids stay", len(s.pool.idle), s.pool.open, len(s.unreadableLoads))
+		t.Errorf("%d idle lists, %d connections and %d server IDs remain; want none", len(s.pool.idle), s.pool.open, len(s.unreadableLoads))
 	}
 }
--- a/internal/transport/readbounds_test.go
+++ b/internal/transport/readbounds_test.go
@@ -21,25 +21,25 @@
 		pieces []string // of the first request, each read separately
 		state  func(*clientConn)
 	}{
-		{"as it comes", []string{request}, nil},
+		{"in one piece", []string{request}, nil},
 		{"its head in two pieces", []string{request[:40], request[40:]}, nil},
-		{"its body by itself", []string{request[:len(request)-16], request[len(request)-16:]}, nil},
+		{"its body separately", []string{request[:len(request)-16], request[len(request)-16:]}, nil},
 		{"a body of chunks", []string{chunked}, nil},
 		{"another path", []string{readyText}, nil},
 		{"a query", []string{strings.Replace(request, "completions", "completions?a=b", 1)}, nil},
-		{"behind a byte of the watch", []string{request}, func(c *clientConn) {
+		{"behind a byte that the watch read", []string{request}, func(c *clientConn) {
 			c.readAhead = make([]byte, 1)
 			c.Conn.Read(c.readAhead)
 		}},
-		{"the last look of a drain", []string{request}, func(c *clientConn) {
+		{"the last read of a drain", []string{request}, func(c *clientConn) {
 			c.everRead = true
 			c.listener.closingAfterAnswers.Store(true)
 		}},
-		{"the last look of an idle connection", []string{request}, func(c *clientConn) {
+		{"the last read of an idle connection", []string{request}, func(c *clientConn) {
 			c.everRead = true
 			c.Conn.SetReadDeadline(time.Unix(1, 0))
 		}},
-		{"the last look before the first request", []string{request}, func(c *clientConn) {
+		{"the last read before the first request", []string{request}, func(c *clientConn) {
 			c.Conn.SetReadDeadline(time.Unix(1, 0))
 		}},
 	} {
--- a/internal/transport/servers_test.go
+++ b/internal/transport/servers_test.go
@@ -81,18 +81,18 @@
 		}
 		first := make([]byte, len(scripted.Event))
 		if _, err := io.ReadFull(resp.Body, first); err != nil || string(first) != scripted.Event {
-			t.Fatalf("before the second event was made: got %q, %v", first, err)
+			t.Fatalf("before the second event was sent: got %q, %v; want the first event", first, err)
 		}
 		more <- true
 		rest, err := io.ReadAll(resp.Body)
 		resp.Body.Close()
 		if diff := cmp.Diff(scripted.Done, string(rest)); diff != "" || err != nil {
-			t.Errorf("request %d: %v %s", i, err, diff)
+			t.Errorf("request %d: error %v, rest of the answer (-want +got): %s", i, err, diff)
 		}
 		got := scripted.Receive(t, s.Requests, "an attempt")
 		left, err := protocol.ParseDuration(got.Header.Get("X-Time-Left"))
 		if err != nil || left <= 0 || left > 8*time.Second {
-			t.Errorf("X-Time-Left is %q, %v", got.Header.Get("X-Time-Left"), err)
+			t.Errorf("X-Time-Left is %q, %v; want more than 0 and at most 8 s", got.Header.Get("X-Time-Left"), err)
 		}
 		got.Header = http.Header{"X-Correlation-Id": got.Header["X-Correlation-Id"]}
 		want := scripted.Request{Method: "POST", URI: "/v1/chat/completions?a=%20b", Body: `{"stream": true}`,
@@ -119,24 +119,24 @@
 	}{
 		{"reset before an answer", scripted.Drop, 503, 2, false},
 		{"error", scripted.Answer(scripted.ServerError), 503, 2, false},
-		{"turned away", scripted.Answer(scripted.Rejection), 503, 2, false},
+		{"rejected", scripted.Answer(scripted.Rejection), 503, 2, false},
 		{"status without a body", scripted.Answer("HTTP/1.1 204 No Content\r\n\r\n"), 503, 2, false},
-		{"noise", scripted.Answer("\x01\x02noise\r\n\r\n"), 503, 2, false},
+		{"not HTTP", scripted.Answer("\x01\x02noise\r\n\r\n"), 503, 2, false},
 		{"head without a status", scripted.Answer(strings.Replace(scripted.CompleteAnswer(), "200 OK", "OK 200", 1)), 503, 2, false},
 		{"head that stops", scripted.Answer("HTTP/1.1 200 OK\r\nX-Pa"), 503, 2, false},
 		{"head without end", scripted.Answer("HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Pad: y\r\n", 1000)), 503, 2, false},
 		{"interim answers without end", scripted.Answer(strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 1000)), 503, 2, false},
-		{"spoilt before its first event", scripted.Answer(scripted.Head + "z\r\nabcde\r\n" + scripted.End), 503, 2, false},
-		{"spoilt in its first event", scripted.Answer(scripted.Head + "4\r\n" + scripted.Event + "\r\n" + scripted.End), 503, 2, false},
+		{"malformed before its first event", scripted.Answer(scripted.Head + "z\r\nabcde\r\n" + scripted.End), 503, 2, false},
+		{"malformed in its first event", scripted.Answer(scripted.Head + "4\r\n" + scripted.Event + "\r\n" + scripted.End), 503, 2, false},
 		{"no event at all", scripted.Answer(scripted.Head + scripted.End), 503, 2, false},
-		{"spoilt later", scripted.Answer(torn + "z\r\nabcde\r\n" + scripted.End), 200, 1, true},
-		{"a chunk that has the next one in it", scripted.Answer(torn + "80\r\n" + scripted.Event + "\r\n" + scripted.Chunk(scripted.Event)), 200, 1, true},
+		{"malformed later", scripted.Answer(torn + "z\r\nabcde\r\n" + scripted.End), 200, 1, true},
+		{"a chunk that contains the next one", scripted.Answer(torn + "80\r\n" + scripted.Event + "\r\n" + scripted.Chunk(scripted.Event)), 200, 1, true},
 		{"a chunk of gigabytes", scripted.Answer(torn + "c0000000\r\n" + strings.Repeat("x", 1<<12)), 200, 1, true},
 		{"a stream without end", scripted.Answer(torn + strings.Repeat(scripted.Chunk(scripted.Event), 2*transport.MaxBody/len(scripted.Event))), 200, 1, true},
 		{"broken stream", func(c net.Conn) bool { io.WriteString(c, torn); return false }, 200, 1, true},
 		{"stream reset in a chunk", func(c net.Conn) bool { io.WriteString(c, torn+"20\r\nhalf"); return false }, 200, 1, true},
 		{"silent stream", scripted.Answer(torn), 200, 1, true},
-		{"no framing to tell the end", func(c net.Conn) bool {
+		{"no framing that marks the end", func(c net.Conn) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"+scripted.Event)
 			return false
 		}, 200, 1, true},
@@ -148,7 +148,7 @@
 				t.Errorf("got %d, %v; want %d, torn %v", status, err, tt.status, tt.torn)
 			}
 			if n := len(a.Requests) + len(b.Requests); n != tt.sent {
-				t.Errorf("%d attempts, want %d", n, tt.sent)
+				t.Errorf("the servers got %d attempts, want %d", n, tt.sent)
 			}
 		})
 	}
@@ -210,7 +210,7 @@
 	}
 	resp.Body.Close()
 	if resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
-		t.Errorf("got %d, Retry-After %q; want a refusal with a time", resp.StatusCode, resp.Header.Get("Retry-After"))
+		t.Errorf("got %d, Retry-After %q; want 503 with a Retry-After", resp.StatusCode, resp.Header.Get("Retry-After"))
 	}
 	scripted.Receive(t, closed, "the attempt's connection closed")
 }
@@ -249,11 +249,11 @@
 		name, text string
 		status     int
 	}{
-		{"no id", head + "Content-Length: 2\r\n\r\n{}", 400},
+		{"no ID", head + "Content-Length: 2\r\n\r\n{}", 400},
 		{"no HTTP", "hello\r\n\r\n", 400},
-		{"odd length", head + "Content-Length: x\r\n\r\n", 400},
-		{"two ways to tell the end", validHead + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n" + scripted.End, 400},
-		{"two ways, one of no effect", validHead + "Transfer-Encoding: identity\r\ncontent-length: 2\r\n\r\n{}", 400},
+		{"malformed length", head + "Content-Length: x\r\n\r\n", 400},
+		{"length and chunked framing", validHead + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n" + scripted.End, 400},
+		{"length and identity framing", validHead + "Transfer-Encoding: identity\r\ncontent-length: 2\r\n\r\n{}", 400},
 		{"two lengths", validHead + "Content-Length: 2\r\nContent-Length: 2\r\n\r\n{}", 400},
 		{"signed length", validHead + "Content-Length: +2\r\n\r\n{}", 400},
 		{"negative length", validHead + "Content-Length: -2\r\n\r\n{}", 400},
@@ -263,10 +263,10 @@
 		{"too long", head + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(tooLong), tooLong), 413},
 		{"too long in chunks", head + "Transfer-Encoding: chunked\r\n\r\n" + scripted.Chunk(tooLong) + scripted.End, 413},
 		{"unknown path", "GET /v1/models HTTP/1.1\r\nHost: r\r\n\r\n", 404},
-		{"path that only looks like ours once tidied", strings.Replace(head, "/v1/", "/v1//", 1) + "Content-Length: 2\r\n\r\n{}", 404},
+		{"path that is known only after normalization", strings.Replace(head, "/v1/", "/v1//", 1) + "Content-Length: 2\r\n\r\n{}", 404},
 		{"wrong method", "GET /v1/chat/completions HTTP/1.1\r\nHost: r\r\n\r\n", 405},
 		{"not ready", "GET /-/ready HTTP/1.1\r\nHost: r\r\n\r\n", 503},
-		{"unknown class, which the module refuses", head + "X-Correlation-Id: q\r\nX-Service-Class: odd\r\n" +
+		{"unknown class, which package balance rejects", head + "X-Correlation-Id: q\r\nX-Service-Class: odd\r\n" +
 			"X-Time-Left: 900m\r\nContent-Length: 2\r\n\r\n{}", 503},
 	} {
 		c, err := net.Dial("tcp", r.addr)
@@ -295,7 +295,7 @@
 		}
 	}
 	if n := len(s.Requests); n != 0 {
-		t.Errorf("%d requests reached the server", n)
+		t.Errorf("%d requests reached the server, want none", n)
 	}
 }
 
@@ -339,11 +339,11 @@
 	}()
 	scripted.Receive(t, s.Requests, "an attempt")
 	if status, body, err := scripted.Do(t, scripted.NewRequest(t, r.addr, "same", nil)); status != 409 || err != nil {
-		t.Errorf("the second: got %d %q, %v; want 409", status, body, err)
+		t.Errorf("the second request: got %d %q, %v; want 409", status, body, err)
 	}
 	more <- true
 	if got := scripted.Receive(t, end, "an answer"); got != fmt.Sprint(200, scripted.Event+scripted.Done, nil) || len(s.Requests) > 0 {
-		t.Errorf("the first: got %s and %d more attempts; want it whole", got, len(s.Requests))
+		t.Errorf("the first request: got %s and %d more attempts; want the complete answer", got, len(s.Requests))
 	}
 }
 
@@ -358,7 +358,7 @@
 			t.Errorf("got %d %q, %v; want 400", status, body, err)
 		}
 		if n := len(s.Requests); n != i+1 || len(lines) > 0 {
-			t.Errorf("%d attempts for %d requests, %d log lines", n, i+1, len(lines))
+			t.Errorf("%d attempts for %d requests, %d log lines; want one attempt each and no log line", n, i+1, len(lines))
 		}
 	}
 }
@@ -376,7 +376,7 @@
 		}
 	}
 	if got := scripted.Receive(t, lines, "a log line"); !strings.HasPrefix(got, "load report unreadable server=s0 cause=") || len(lines) > 0 {
-		t.Errorf("got %q and %d more lines, want one on s0", got, len(lines))
+		t.Errorf("got the log line %q and %d more, want only one about s0", got, len(lines))
 	}
 }
 
@@ -389,7 +389,7 @@
 		scripted.Do(t, scripted.NewRequest(t, r.addr, fmt.Sprint("q", i), map[string]string{"X-Session-Key": fmt.Sprint(i)}))
 	}
 	if len(a.Requests) != 0 || len(b.Requests) != 20 {
-		t.Errorf("%d sent to the one that drains, %d to the other; want 0 and 20", len(a.Requests), len(b.Requests))
+		t.Errorf("%d requests sent to the draining server, %d to the other; want 0 and 20", len(a.Requests), len(b.Requests))
 	}
 }
 
@@ -409,7 +409,7 @@
 		}
 		for _, uri := range uris {
 			if got := scripted.Receive(t, d.Calls, "a call"); got != uri {
-				t.Errorf("got a call of %s, want %s", got, uri)
+				t.Errorf("discovery was called with %s, want %s", got, uri)
 			}
 		}
 	}
@@ -420,7 +420,7 @@
 	expect(41, "/api/targets", "/api/targets?index=41&wait=5000")
 	for _, want := range []string{"discovery lost cause=servers[0].state", "discovery reachable again version=41"} {
 		if got := scripted.Receive(t, lines, "a log line"); !strings.HasPrefix(got, want) {
-			t.Errorf("got the line %q, want %q", got, want)
+			t.Errorf("got the log line %q, want %q", got, want)
 		}
 	}
 }
@@ -448,6 +448,6 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		t.Errorf("status %d", resp.StatusCode)
+		t.Errorf("got status %d, want 200", resp.StatusCode)
 	}
 }
--- a/internal/transport/splitbytes_test.go
+++ b/internal/transport/splitbytes_test.go
@@ -57,7 +57,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		lists <- pieces.Draw(rt, "list")
 		if got := scripted.Receive(t, applied, "a list"); len(got.Servers) != 1 || got.Servers[0].Addr != s.Addr {
-			rt.Fatalf("got the list %+v", got)
+			rt.Fatalf("got the list %+v, want one with the server s0", got)
 		}
 		scripted.Receive(t, d.Requests, "a call")
 		answers <- pieces.Draw(rt, "answer")
@@ -75,14 +75,14 @@
 			rt.Fatal(err)
 		}
 		if body, err := io.ReadAll(resp.Body); err != nil || resp.StatusCode != 200 || string(body) != scripted.Event+scripted.Done {
-			rt.Fatalf("got %d %q, %v", resp.StatusCode, body, err)
+			rt.Fatalf("got %d %q, %v; want status 200 and the complete answer", resp.StatusCode, body, err)
 		}
 		if got := scripted.Receive(t, s.Requests, "an attempt"); got.Header.Get("X-Correlation-Id") != id || !strings.HasSuffix(scripted.RequestText(id, ""), got.Body) {
-			rt.Fatalf("the server got %+v", got)
+			rt.Fatalf("the server got %+v, want the request unchanged", got)
 		}
 	})
 	if len(lines) > 0 {
-		t.Errorf("a line: %s", <-lines)
+		t.Errorf("unexpected log line: %s", <-lines)
 	}
 }
 
@@ -100,6 +100,6 @@
 	})
 	r := newRouter(t, s)
 	if status, body, err := scripted.Do(t, scripted.NewRequest(t, r.addr, "q", nil)); status != 200 || err != nil || body != scripted.Event+scripted.Done {
-		t.Errorf("got %d %q, %v", status, body, err)
+		t.Errorf("got %d %q, %v; want status 200 and the complete answer", status, body, err)
 	}
 }
--- a/internal/transport/unansweredcount_test.go
+++ b/internal/transport/unansweredcount_test.go
@@ -18,8 +18,8 @@
 		name, text string
 		interim    string // read by the client first
 	}{
-		{"its answer could not be written", text, ""},
-		{"it had an interim answer", strings.TrimSuffix(expects, "}"), "HTTP/1.1 100 Continue\r\n\r\n"},
+		{"answer could not be written", text, ""},
+		{"interim answer only", strings.TrimSuffix(expects, "}"), "HTTP/1.1 100 Continue\r\n\r\n"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			closed := make(chan ConnectionClosed, 4)
@@ -66,7 +66,7 @@
 	front.adopt(&pausedConn{TCPConn: accepted, beforeRest: point.pause}, nil, false)
 	scripted.Receive(t, point.reached, "the pause")
 	if n := front.AnswersDue(); n != 1 {
-		t.Errorf("%d answers are due; want 1", n)
+		t.Errorf("AnswersDue returned %d; want 1", n)
 	}
 	close(point.resume)
 	wantAnswer(t, client)
--- a/internal/transport/unsent_test.go
+++ b/internal/transport/unsent_test.go
@@ -64,7 +64,7 @@
 			awaitPeek(t, m.client)
 			head := servers.Send(context.Background(), time.Now().Add(time.Second), routing.Server{ID: "s", Addr: server.Addr}, m, noSend(t, true))
 			if head.Result != balance.NotSent || !head.ClientLeft {
-				t.Errorf("got %+v, want nothing sent as the client has left", head)
+				t.Errorf("got %+v, want nothing sent, because the client has left", head)
 			}
 			if len(server.Requests) > 0 || servers.Open() != 1 || servers.Load() != 0 {
 				t.Errorf("%d requests, %d connections, %v of them in use; want one idle connection", len(server.Requests), servers.Open(), servers.Load())
@@ -75,7 +75,7 @@
 
 // noSend returns hooks whose MaySend returns maySend. The test fails if anything is written.
 func noSend(t *testing.T, maySend bool) routing.SendHooks {
-	return routing.SendHooks{MaySend: func() bool { return maySend }, Written: func() { t.Error("written") }}
+	return routing.SendHooks{MaySend: func() bool { return maySend }, Written: func() { t.Error("a request was written") }}
 }
 
 // A server that began to drain while the connection to it was being opened gets no request, and the
@@ -98,7 +98,7 @@
 	o := outgoing{request: fasthttp.AcquireRequest(), deadline: time.Now().Add(-time.Millisecond)}
 	_, accepted := pair(t)
 	if err := o.write(context.Background(), &conn{Conn: accepted, to: routing.Server{Addr: "s:1"}}); err != errUnsent {
-		t.Errorf("got %v, want it unsent", err)
+		t.Errorf("got %v, want errUnsent", err)
 	}
 }
 
@@ -140,14 +140,14 @@
 	scripted.AwaitCondition(t, "the watch has read a byte", func() bool { return conn.nextBegun.Load() })
 	conn.unwatch()
 	if n := unread(); n != len(second+third)-1 || !conn.hasNextRequest() || conn.clientLeft() {
-		t.Errorf("%d bytes are unread, further %v, left %v", n, conn.hasNextRequest(), conn.clientLeft())
+		t.Errorf("%d bytes are unread, next request %v, client left %v", n, conn.hasNextRequest(), conn.clientLeft())
 	}
 	read(second)
 	conn.watch(func() { left <- true })
 	client.Close()
 	scripted.Receive(t, left, "the client's end is noticed")
 	if n := unread(); n != len(third)-1 || !conn.clientLeft() {
-		t.Errorf("%d bytes are unread, left %v", n, conn.clientLeft())
+		t.Errorf("%d bytes are unread, client left %v", n, conn.clientLeft())
 	}
 	conn.unwatch()
 }
