--- a/internal/transport/body.go
+++ b/internal/transport/body.go
@@ -30,7 +30,7 @@
 	events     protocol.StreamReader
 
 	message      *Message
-	readDeadline time.Time // deadline of the next read after a cancelled move; zero for the usual one
+	readDeadline time.Time // deadline of the next read after a failed move; zero for the usual one
 }
 
 // open waits for the first complete event. Until then another server may still serve the request.
@@ -73,7 +73,7 @@
 		}
 	}
 	deadline := time.Now().Add(b.servers.streamIdleTimeout)
-	if !b.readDeadline.IsZero() { // the time before the cancelled move counts
+	if !b.readDeadline.IsZero() { // the time before the failed move counts
 		deadline, b.readDeadline = b.readDeadline, time.Time{}
 	}
 	b.conn.SetReadDeadline(deadline)
--- a/internal/transport/clientconn.go
+++ b/internal/transport/clientconn.go
@@ -66,8 +66,8 @@
 	nextBegunAt time.Time     // when the watch read that byte
 }
 
-// SetReadDeadline is called by the HTTP server before it reads. If the front end has a ReadTimeout,
-// it replaces the deadline of the HTTP server.
+// SetReadDeadline is called by the HTTP server before it reads. A ReadTimeout of the
+// front end replaces the deadline of the HTTP server.
 func (c *clientConn) SetReadDeadline(t time.Time) error {
 	switch {
 	case t.IsZero():
--- a/internal/transport/clientread.go
+++ b/internal/transport/clientread.go
@@ -166,7 +166,7 @@
 	if begins {
 		c.beginRequest()
 	}
-	complete := c.requestHasCome()
+	complete := c.requestArrived()
 	if !begins && !complete {
 		return
 	}
@@ -175,9 +175,9 @@
 	c.restoreDeadline()
 }
 
-// requestHasCome reports whether the whole request has arrived, even if the end of its body is not
+// requestArrived reports whether the whole request has arrived, even if the end of its body is not
 // read yet.
-func (c *clientConn) requestHasCome() bool {
+func (c *clientConn) requestArrived() bool {
 	rest := c.framing.BodyRemaining()
 	return c.framing.Complete() || rest > 0 && c.unreadBytes() >= rest
 }
--- a/internal/transport/forward.go
+++ b/internal/transport/forward.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// errVersion says that an answer, or the rest of it, has another version than the request asked
-// for.
+// errVersion says that an answer, or the rest of it, does not have the version that the request
+// requires.
 var errVersion = fmt.Errorf("%w: the answer is of another version", routing.ErrUnacceptable)
 
 // rejectedForVersion reports whether a server did not execute a request because the server has
@@ -248,7 +248,7 @@
 	return nil
 }
 
-// Final implements headed.
+// Final implements hasFinal.
 func (b *bufferedAnswer) Final() *Final { return b.final }
 
 // Read implements routing.Body.
--- a/internal/transport/front.go
+++ b/internal/transport/front.go
@@ -171,7 +171,7 @@
 }
 
 // Shutdown waits until all accepted requests are answered. It reads each idle connection once more
-// before it closes it, which the HTTP server does not do.
+// before closing it, which the HTTP server's own shutdown does not do.
 func (f *Front) Shutdown() error {
 	f.StopAccepting()
 	if f.listener.exclusive() {
--- a/internal/transport/handover.go
+++ b/internal/transport/handover.go
@@ -23,8 +23,8 @@
 	handoverVersion    = 1
 	maxHandoverMessage = 32 << 10
 	handoverSockets    = 2
-	// handoverTimeout is how long the process that takes over may take to answer one message. If it
-	// is later than that, the sender assumes that it is alive and has the connection.
+	// handoverTimeout is how long the process that takes over may take to answer one message. After
+	// that, the sender assumes that the other process is alive and has the connection.
 	handoverTimeout = time.Second
 	accepted        = 'y'
 	declined        = 'n'
@@ -33,7 +33,7 @@
 // movedConn is the message that accompanies a connection to the process that takes over. For a
 // stream, it holds the parser state in the middle of the stream. For an idle connection to a
 // server, it holds how long the connection has been idle. For an idle connection to a client, it
-// holds only Used.
+// holds only Version and Used.
 type movedConn struct {
 	Version int                  `json:"version"`
 	Stream  bool                 `json:"stream"`
@@ -68,9 +68,9 @@
 
 var errDeclined = errors.New("no capacity for another moved connection")
 
-// move moves a client's connection, together with the connection to the server if it carries a
-// stream, or an idle connection to a server. If it returns nil, the other process has the
-// connections: the caller must close its copies without reading from or writing to them.
+// move moves connections to the other process: an idle connection to a client or to a server, or
+// the two connections of a stream. If it returns nil, the other process has the connections, and
+// the caller must close its copies without reading from them or writing to them.
 func (m *Mover) move(what movedConn, conns ...net.Conn) error {
 	what.Version = handoverVersion
 	text, err := json.Marshal(what)
@@ -146,10 +146,10 @@
 // ActiveStreams returns how many streams that were taken over are still running.
 func (r *Receiver) ActiveStreams() int { return int(r.activeStreams.Load()) }
 
-// Stop ends the taking over of connections. Streams continue.
+// Stop makes the receiver accept no more connections. Streams that it has taken over continue.
 func (r *Receiver) Stop() { r.ln.Close() }
 
-// Wait returns after the last stream that was taken over has ended.
+// Wait returns when no stream that was taken over is still running.
 func (r *Receiver) Wait() {
 	for r.ActiveStreams() > 0 {
 		time.Sleep(drainCheckInterval)
@@ -293,8 +293,8 @@
 	client.Close()
 }
 
-// rejectBehindStream rejects a request whose first byte was read while a stream ran, when this
-// process can't serve its connection.
+// rejectBehindStream rejects a request whose first byte was read before a moved stream ended, if
+// this process can't serve its connection.
 func rejectBehindStream(client net.Conn) {
 	text := protocol.AppendRejection(nil, http.StatusServiceUnavailable, time.Second, "no place for this request; trying again is harmless")
 	client.SetDeadline(time.Now().Add(overloadLingerTimeout))
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -46,7 +46,7 @@
 	admission    *admission.Controller
 	conns        []*clientConn  // indexed by admission ID
 	ended        bool           // no further connection is accepted
-	alive        int            // connections that the HTTP server holds
+	alive        int            // connections that the HTTP server holds, and rejected ones that are still read from
 	maxAlive     int            // upper bound of alive
 	aliveDropped *sync.Cond     // signals that alive was lowered, or that noWait was set
 	closed       closeCounter   // of client connections
