--- a/internal/transport/closereason_test.go
+++ b/internal/transport/closereason_test.go
@@ -34,7 +34,7 @@
 			front, addr := newServedFront(t, FrontLimits{Admission: test.limits, OnClose: func(c ConnectionClosed) { closed <- c }})
 			client := dial(t, addr, test.text)
 			if test.text != "" {
-				client.Read(make([]byte, 1<<10)) // of the answer
+				client.Read(make([]byte, 1<<10)) // wait for the answer
 			}
 			if test.end != nil {
 				test.end(front, client, addr)
--- a/internal/transport/pausedconn_test.go
+++ b/internal/transport/pausedconn_test.go
@@ -121,7 +121,7 @@
 	return i.Intake.Head(ctx)
 }
 
-// newRoutedFront returns a ready front end with a router and one server. It does not listen yet.
+// newRoutedFront returns a ready front end with a routing core and one server. It does not listen yet.
 func newRoutedFront(t *testing.T, limits FrontLimits, script func(net.Conn) bool) (*Front, *scripted.Server) {
 	t.Helper()
 	b, err := balance.New(balance.Config{Zone: "a", MaxAttempts: 3, MaxRetryAfter: time.Second, StepInterval: time.Millisecond,
--- a/internal/transport/readbounds_test.go
+++ b/internal/transport/readbounds_test.go
@@ -9,9 +9,9 @@
 	"reachspread/internal/testbed/scripted"
 )
 
-// Guards against further requests that are lost when their connection is closed. Bytes that the
-// router has read of them are not answered, and the clients can't tell that it is safe to send the
-// requests again.
+// Guards against further requests that are lost when their connection is closed. A request of
+// which the router has read bytes gets no answer, and its client gets no reset that would show that
+// the request may be sent again.
 func TestReadTakesNothingOfFurtherRequests(t *testing.T) {
 	request, further := scripted.RequestText("1", ""), scripted.RequestText("2", "")
 	chunked := strings.Replace(request, "Content-Length: 16", "Transfer-Encoding: chunked", 1)
--- a/internal/transport/servers_test.go
+++ b/internal/transport/servers_test.go
@@ -21,7 +21,7 @@
 	"reachspread/internal/transport"
 )
 
-// router is a front end, a router and connections to the servers s0, s1 and so on.
+// router is a front end with a routing core and connections to the servers s0, s1 and so on.
 type router struct {
 	addr  string
 	core  *routing.Router
--- a/internal/transport/unsent_test.go
+++ b/internal/transport/unsent_test.go
@@ -103,9 +103,9 @@
 }
 
 // The router reads only the first of several requests that arrived together. If the connection has
-// to be closed with its answer, for example because a stream breaks, no other request is lost that
-// was read and not answered. The watch reads one byte of the next request and still notices that
-// the client disconnects.
+// to be closed with its answer, for example because a stream breaks, the other requests were not
+// read, so none of them is lost. The watch reads one byte of the next request and still notices
+// that the client disconnects.
 func TestFurtherRequestsStayUnread(t *testing.T) {
 	client, accepted := pair(t)
 	conn := &clientConn{Conn: accepted, listener: newListener(&FrontLimits{Admission: admission.Config{MaxConnections: 1, MaxOverflow: 1}})}
