--- a/internal/system/roles/node/dataplane.go
+++ b/internal/system/roles/node/dataplane.go
@@ -80,7 +80,7 @@
 )
 
 // clientTimeout is how long a client may send nothing: within a request that has begun, or before
-// one. It implements transport.Patience.
+// one. It implements transport.ReadTimeout.
 func (n *Node) clientTimeout(begun bool) time.Duration {
 	limits := configuration.Limits{}
 	if state := n.plane.State(); state != nil {
