--- a/internal/router/program/shadow_test.go
+++ b/internal/router/program/shadow_test.go
@@ -459,7 +459,7 @@
 	if err := cfg.ReadSettings(s.path()); err != nil {
 		t.Fatal(err)
 	}
-	if err := New(cfg, env, s.path(), make(scripted.LogLines, 10)).Run(context.Background(), nil); err == nil || !strings.Contains(err.Error(), "another router's") {
+	if err := New(cfg, env, s.path(), make(scripted.LogLines, 10)).Run(context.Background(), nil); err == nil || !strings.Contains(err.Error(), "is in use by another router") {
 		t.Errorf("a second router on the socket: %v", err)
 	}
 }
