--- a/internal/system/roles/node/dataplane.go
+++ b/internal/system/roles/node/dataplane.go
@@ -57,12 +57,12 @@
 		StartedAt:     time.Now(),
 	})
 	n.front = transport.NewIntakeFront(n.plane, transport.FrontLimits{
-		BodyBytes: int(bodyFraction * float64(s.Limits.MemoryMb) * (1 << 20)),
-		MaxHead:   maxHeaderBytes,
-		Patience:  n.clientTimeout,
-		Seed:      rand.Uint64(),
-		Admission: admission.Config{MaxConnections: free / 2, MaxOverflow: maxRejectedConnections, MinRetryAfter: minRetryAfter},
-		OnClose:   n.logUnanswered,
+		BodyBytes:   int(bodyFraction * float64(s.Limits.MemoryMb) * (1 << 20)),
+		MaxHead:     maxHeaderBytes,
+		ReadTimeout: n.clientTimeout,
+		Seed:        rand.Uint64(),
+		Admission:   admission.Config{MaxConnections: free / 2, MaxOverflow: maxRejectedConnections, MinRetryAfter: minRetryAfter},
+		OnClose:     n.logUnanswered,
 	})
 	n.front.SetKeepAlive(true)
 }
@@ -81,8 +81,8 @@
 	minHeaderTimeout = 3 * time.Second
 )
 
-// clientTimeout returns how long a client may send nothing, either within a request that has begun
-// or before one begins. It implements transport.Patience.
+// clientTimeout is how long a client may send nothing: within a request that has begun, or before
+// one. It implements transport.ReadTimeout.
 func (n *Node) clientTimeout(begun bool) time.Duration {
 	limits := configuration.Limits{}
 	if state := n.plane.State(); state != nil {
--- a/internal/transport/clientconn_test.go
+++ b/internal/transport/clientconn_test.go
@@ -17,7 +17,7 @@
 	"reachspread/internal/testbed/scripted"
 )
 
-// dial connects to a router; the connection ends with the test.
+// dial connects to a router. The connection is closed at the end of the test.
 func dial(t *testing.T, addr string) *net.TCPConn {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -29,7 +29,7 @@
 	return conn.(*net.TCPConn)
 }
 
-// Requests that are sent without waiting for answers are served one after the other, each whole.
+// Pipelined requests are served in order, and each gets its complete answer.
 func TestPipelinedRequestsAreServedInOrder(t *testing.T) {
 	server := scripted.NewServer(t, scripted.Answer(scripted.CompleteAnswer()))
 	conn := dial(t, newRouter(t, server).addr)
@@ -50,50 +50,50 @@
 			t.Fatalf("request %d: got %d %q, %v; want its answer", i, response.StatusCode, body, err)
 		}
 		if id := scripted.Receive(t, server.Requests, "an attempt").Header.Get(protocol.HeaderID); id != fmt.Sprint("id-", i) {
-			t.Errorf("attempt %d is for %s", i, id)
+			t.Errorf("attempt %d has request ID %s, want the IDs in order", i, id)
 		}
 	}
 }
 
-// A client that ends its connection, or only its sending, has its attempt given up, also where more
-// bytes of it came behind the open request than one.
+// When a client closes its connection or only its sending side, its attempt is cancelled, even if
+// more than one byte of further requests was received behind the open request.
 func TestClientThatLeavesIsNoticed(t *testing.T) {
 	for name, tt := range map[string]struct {
 		further string
 		leave   func(*net.TCPConn)
 	}{
-		"closed":                      {"", func(c *net.TCPConn) { c.Close() }},
-		"reset":                       {"", func(c *net.TCPConn) { c.SetLinger(0); c.Close() }},
-		"only its sending":            {"", func(c *net.TCPConn) { c.CloseWrite() }},
-		"closed behind another":       {scripted.RequestText("further", ""), func(c *net.TCPConn) { c.Close() }},
-		"reset behind another":        {scripted.RequestText("further", ""), func(c *net.TCPConn) { c.SetLinger(0); c.Close() }},
-		"its sending behind another":  {scripted.RequestText("further", ""), func(c *net.TCPConn) { c.CloseWrite() }},
-		"closed behind half a one":    {scripted.RequestText("further", "")[:50], func(c *net.TCPConn) { c.Close() }},
-		"closed behind many requests": {strings.Repeat(scripted.RequestText("further", ""), 50), func(c *net.TCPConn) { c.Close() }},
+		"closed":                             {"", func(c *net.TCPConn) { c.Close() }},
+		"reset":                              {"", func(c *net.TCPConn) { c.SetLinger(0); c.Close() }},
+		"sending side closed":                {"", func(c *net.TCPConn) { c.CloseWrite() }},
+		"closed behind another":              {scripted.RequestText("further", ""), func(c *net.TCPConn) { c.Close() }},
+		"reset behind another":               {scripted.RequestText("further", ""), func(c *net.TCPConn) { c.SetLinger(0); c.Close() }},
+		"sending side closed behind another": {scripted.RequestText("further", ""), func(c *net.TCPConn) { c.CloseWrite() }},
+		"closed behind half a request":       {scripted.RequestText("further", "")[:50], func(c *net.TCPConn) { c.Close() }},
+		"closed behind many requests":        {strings.Repeat(scripted.RequestText("further", ""), 50), func(c *net.TCPConn) { c.Close() }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			gone := make(chan bool, 1)
+			closed := make(chan bool, 1)
 			server := scripted.NewServer(t, func(c net.Conn) bool {
 				io.Copy(io.Discard, c)
-				gone <- true
+				closed <- true
 				return false
 			})
 			conn := dial(t, newRouter(t, server).addr)
-			patient := strings.Replace(scripted.RequestText("id", ""), "X-Time-Left: 8000m", "X-Time-Left: 600000m", 1)
-			io.WriteString(conn, patient) // the attempt is not over by itself within the test
+			text := strings.Replace(scripted.RequestText("id", ""), "X-Time-Left: 8000m", "X-Time-Left: 600000m", 1)
+			io.WriteString(conn, text) // the attempt must not time out during the test
 			scripted.Receive(t, server.Requests, "an attempt")
 			io.WriteString(conn, tt.further)
 			tt.leave(conn)
-			scripted.Receive(t, gone, "the attempt's connection closed")
+			scripted.Receive(t, closed, "the attempt's connection closed")
 			if n := len(server.Requests); n > 0 {
-				t.Errorf("%d more attempts", n)
+				t.Errorf("the server got %d more attempts, want none", n)
 			}
 		})
 	}
 }
 
-// Every request that is taken ends in one way: taken = served + refused + failed + abandoned +
-// moved + open, whatever clients and servers do.
+// Every accepted request has exactly one outcome: accepted = served + rejected + failed + abandoned
+// + handed over + open, whatever clients and servers do.
 func TestEveryRequestIsAccountedFor(t *testing.T) {
 	answer := func(text string) func(chan bool) func(net.Conn) bool {
 		return func(chan bool) func(net.Conn) bool { return scripted.Answer(text) }
@@ -101,7 +101,7 @@
 	scripts := map[string]func(more chan bool) func(net.Conn) bool{
 		"served":  answer(scripted.CompleteAnswer()),
 		"refused": answer(scripted.Rejection),
-		"unfit":   answer("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"),
+		"invalid": answer("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"),
 		"broken":  answer(scripted.Head + scripted.Chunk(scripted.Event) + "z\r\n"),
 		"held":    func(more chan bool) func(net.Conn) bool { return scripted.GatedAnswer(more) },
 		"silent": func(chan bool) func(net.Conn) bool {
@@ -121,13 +121,13 @@
 		{"refused", "refused", func(t *testing.T, r *router, s *scripted.Server, more chan bool) {
 			scripted.Do(t, scripted.NewRequest(t, r.addr, "q", nil))
 		}, routing.Counts{Accepted: 1, Rejected: 1}},
-		{"at fault", "unfit", func(t *testing.T, r *router, s *scripted.Server, more chan bool) {
+		{"invalid request", "invalid", func(t *testing.T, r *router, s *scripted.Server, more chan bool) {
 			scripted.Do(t, scripted.NewRequest(t, r.addr, "q", nil))
 		}, routing.Counts{Accepted: 1, Failed: 1}},
 		{"a stream that breaks", "broken", func(t *testing.T, r *router, s *scripted.Server, more chan bool) {
 			scripted.Do(t, scripted.NewRequest(t, r.addr, "q", nil))
 		}, routing.Counts{Accepted: 1, Failed: 1}},
-		{"out of time", "silent", func(t *testing.T, r *router, s *scripted.Server, more chan bool) {
+		{"timed out", "silent", func(t *testing.T, r *router, s *scripted.Server, more chan bool) {
 			scripted.Do(t, scripted.NewRequest(t, r.addr, "q", map[string]string{"X-Time-Left": "100m"}))
 		}, routing.Counts{Accepted: 1, Rejected: 1}},
 		{"left before the first attempt's answer", "silent", func(t *testing.T, r *router, s *scripted.Server, more chan bool) {
@@ -153,12 +153,12 @@
 			more <- true
 			io.Copy(io.Discard, conn)
 		}, routing.Counts{Accepted: 2, Served: 1, Failed: 1}},
-		{"not whole", "served", func(t *testing.T, r *router, s *scripted.Server, more chan bool) {
+		{"incomplete request", "served", func(t *testing.T, r *router, s *scripted.Server, more chan bool) {
 			conn := dial(t, r.addr)
 			io.WriteString(conn, strings.TrimSuffix(scripted.RequestText("1", ""), "}"))
 			conn.CloseWrite()
 			io.Copy(io.Discard, conn)
-		}, routing.Counts{}}, // it was never a request
+		}, routing.Counts{}}, // it was not a complete request
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			more := make(chan bool)
@@ -168,14 +168,14 @@
 			scripted.AwaitCondition(t, "nothing is open", func() bool { return r.core.Metrics().Open == 0 })
 			got := r.core.Metrics().Classes["chat"]
 			if diff := cmp.Diff(tt.want, got); diff != "" || got.Open() != 0 {
-				t.Errorf("%d open %s", got.Open(), diff)
+				t.Errorf("%d requests are open, want 0; counts (-want +got): %s", got.Open(), diff)
 			}
 		})
 	}
 }
 
-// Requests that came together are all answered where the router sends its clients away meanwhile;
-// the last answer ends the connection.
+// All requests that were received together are answered, even if the router starts to drain
+// meanwhile. The last answer closes the connection.
 func TestPipelinedRequestsAreAnsweredInADrain(t *testing.T) {
 	for name, apart := range map[string]bool{"in one piece": false, "the others behind the open one": true} {
 		t.Run(name, func(t *testing.T) {
@@ -210,39 +210,39 @@
 				}
 			}
 			if _, err := in.ReadByte(); err != io.EOF {
-				t.Errorf("after the last answer: %v, want the end", err)
+				t.Errorf("after the last answer: got %v, want the end of the connection", err)
 			}
 		})
 	}
 }
 
-// What a server is told of the time left is counted from the first byte of the request, whatever
-// has kept it since: its client's slow writing, or a request before it on the connection.
+// The time left that a server is sent is counted from the first byte of the request, even if the
+// client writes slowly or an earlier request on the connection delays it.
 func TestTimeLeftIsCountedFromTheFirstByte(t *testing.T) {
 	const (
-		asked = 8 * time.Second
-		kept  = 200 * time.Millisecond
+		requested = 8 * time.Second
+		delay     = 200 * time.Millisecond
 	)
-	slow := func(c net.Conn) bool {
-		time.Sleep(kept)
+	delayed := func(c net.Conn) bool {
+		time.Sleep(delay)
 		io.WriteString(c, scripted.CompleteAnswer())
 		return true
 	}
 	for name, tt := range map[string]struct {
 		script func(net.Conn) bool
 		send   func(conn net.Conn)
-		before int // attempts before the one in question
+		before int // attempts before the one under test
 	}{
 		"written slowly": {scripted.Answer(scripted.CompleteAnswer()), func(conn net.Conn) {
 			text := scripted.RequestText("1", "")
 			io.WriteString(conn, text[:len(text)-1])
-			time.Sleep(kept)
+			time.Sleep(delay)
 			io.WriteString(conn, text[len(text)-1:])
 		}, 0},
-		"in one piece with another": {slow, func(conn net.Conn) {
+		"in one piece with another": {delayed, func(conn net.Conn) {
 			io.WriteString(conn, scripted.RequestText("1", "")+scripted.RequestText("2", ""))
 		}, 1},
-		"behind another that is open": {slow, func(conn net.Conn) {
+		"behind another that is open": {delayed, func(conn net.Conn) {
 			io.WriteString(conn, scripted.RequestText("1", ""))
 			io.WriteString(conn, scripted.RequestText("2", ""))
 		}, 1},
@@ -254,10 +254,10 @@
 			for range tt.before {
 				scripted.Receive(t, server.Requests, "an attempt")
 			}
-			told := scripted.Receive(t, server.Requests, "an attempt").Header.Get(protocol.HeaderTimeLeft)
-			left, err := protocol.ParseDuration(told)
-			if err != nil || left > asked-kept || left < asked/2 {
-				t.Errorf("told %s, %v; want at most %v", told, err, asked-kept)
+			sent := scripted.Receive(t, server.Requests, "an attempt").Header.Get(protocol.HeaderTimeLeft)
+			left, err := protocol.ParseDuration(sent)
+			if err != nil || left > requested-delay || left < requested/2 {
+				t.Errorf("the server was sent the time left %s, %v; want at most %v", sent, err, requested-delay)
 			}
 		})
 	}
--- a/internal/transport/discovery_test.go
+++ b/internal/transport/discovery_test.go
@@ -17,87 +17,87 @@
 	"reachspread/internal/transport"
 )
 
-// Eighty routers start at once against a discovery that answers eleven calls in a second, in turn,
-// and spends as much on one that has waited 2 s and fails. Asked at the pace all have their list
-// within the 10 s in which each must have asked; where each asks again within a second, the queue
-// never gets short and nobody has one.
+// Eighty routers start at once. Discovery answers eleven calls per second, one at a time, and
+// spends as much time on a call that has already failed after waiting for 2 s. With PollSchedule,
+// all routers have their list within 10 s, the time by which each must have called. If each router
+// retries within a second, the queue never gets shorter and no router has a list.
 func TestRoutersThatStartTogetherAllGetTheList(t *testing.T) {
-	const routers, service, patience, within = 80, time.Second / 11, 2 * time.Second, 10 * time.Second
-	ask := func(pace transport.Pace) (served int) {
+	const routers, serviceTime, callTimeout, within = 80, time.Second / 11, 2 * time.Second, 10 * time.Second
+	simulate := func(schedule transport.RetrySchedule) (served int) {
 		var due queue
 		for range routers {
 			c := call{}
-			if pace.StartSpread > 0 {
-				c.at = rand.N(pace.StartSpread)
+			if schedule.StartSpread > 0 {
+				c.at = rand.N(schedule.StartSpread)
 			}
 			heap.Push(&due, c)
 		}
-		free := time.Duration(0) // when it has done all that it took
+		idleAt := time.Duration(0) // when discovery has finished all calls taken so far
 		for due.Len() > 0 && due[0].at < within {
 			c := heap.Pop(&due).(call)
-			begin := max(free, c.at)
-			free = begin + service
-			if begin-c.at < patience {
+			begin := max(idleAt, c.at)
+			idleAt = begin + serviceTime
+			if begin-c.at < callTimeout {
 				served++
 				continue
 			}
-			heap.Push(&due, call{c.at + patience + pace.Wait(c.failed), c.failed + 1})
+			heap.Push(&due, call{c.at + callTimeout + schedule.Wait(c.failed), c.failed + 1})
 		}
 		return served
 	}
-	if n := ask(transport.Asked(routers, within)); n != routers {
-		t.Errorf("%d of %d have their list after %v", n, routers, within)
+	if n := simulate(transport.PollSchedule(routers, within)); n != routers {
+		t.Errorf("%d of %d routers have their list after %v", n, routers, within)
 	}
-	if n := ask(transport.Pushed); n > routers/2 {
-		t.Errorf("%d have it where all ask at once and again within a second: this discovery is too good", n)
+	if n := simulate(transport.PushSchedule); n > routers/2 {
+		t.Errorf("%d routers have the list although all call at once and retry within a second: the simulated discovery is too fast", n)
 	}
 }
 
-// An agent that was silent and answers again is heard within what the platform leaves a router that
-// was told, less what a decision takes: a call that began before is given up, another is made after
-// the longest wait.
+// When a silent agent answers again, a router gets its list within the time that the platform
+// allows, less the time for a decision. The worst case is a call that began before and times out,
+// followed by the longest delay and another call.
 func TestPushedListIsAppliedInTime(t *testing.T) {
-	const grace, decided = 500 * time.Millisecond, 100 * time.Millisecond
-	p := transport.Pushed
+	const grace, decisionTime = 500 * time.Millisecond, 100 * time.Millisecond
+	schedule := transport.PushSchedule
 	longest := time.Duration(0)
-	for before := range 1000 {
-		longest = max(longest, p.Wait(before%20))
+	for previousFailures := range 1000 {
+		longest = max(longest, schedule.Wait(previousFailures%20))
 	}
-	if p.Answer == 0 || p.Answer+longest > grace-decided {
-		t.Errorf("a try lasts %v and the wait after it %v", p.Answer, longest)
+	if schedule.AnswerTimeout == 0 || schedule.AnswerTimeout+longest > grace-decisionTime {
+		t.Errorf("a call times out after %v and the delay after it is up to %v", schedule.AnswerTimeout, longest)
 	}
 }
 
-// However many routers share a discovery, each has made its next call and can have heard of it 6 s
-// after discovery could be reached again, and their calls are spread.
+// However many routers share a discovery, each makes its next call and can have its answer within 6
+// s after discovery is reachable again. The calls of the routers are spread.
 func TestFailedCallIsRetriedInTime(t *testing.T) {
-	const told, answer = 6 * time.Second, time.Second
+	const maxDelivery, answerTime = 6 * time.Second, time.Second
 	for _, routers := range []int{1, 3, 30, 300, 3000} {
-		pace := transport.Asked(routers, 10*time.Second)
+		schedule := transport.PollSchedule(routers, 10*time.Second)
 		shortest, longest := time.Hour, time.Duration(0)
-		for before := range 1000 {
-			wait := pace.Wait(before % 20)
+		for previousFailures := range 1000 {
+			wait := schedule.Wait(previousFailures % 20)
 			shortest, longest = min(shortest, wait), max(longest, wait)
 		}
-		if longest+answer > told {
-			t.Errorf("%d routers: a wait of %v and an answer that takes %v", routers, longest, answer)
+		if longest+answerTime > maxDelivery {
+			t.Errorf("%d routers: the delay is up to %v and the answer takes %v", routers, longest, answerTime)
 		}
 		longestSilence := time.Duration(0)
 		for range 1000 {
-			longestSilence = max(longestSilence, pace.WaitAfterTimeout())
+			longestSilence = max(longestSilence, schedule.WaitAfterTimeout())
 		}
-		const noticed, missed, grace = time.Second, 2 * time.Second, 500 * time.Millisecond // after the call's own wait
+		const noticed, missed, grace = time.Second, 2 * time.Second, 500 * time.Millisecond // after the time for which the call could be held
 		if noticed+longestSilence > missed+grace {
-			t.Errorf("%d routers: a wait of %v after a silent watch", routers, longestSilence)
+			t.Errorf("%d routers: the delay after a watch timed out is up to %v", routers, longestSilence)
 		}
 		if longest < 2*shortest {
-			t.Errorf("%d routers: all waits are from %v to %v", routers, shortest, longest)
+			t.Errorf("%d routers: the delays are only spread from %v to %v", routers, shortest, longest)
 		}
 	}
 }
 
-// An agent that takes connections and says nothing is asked again, each time anew, until it
-// answers.
+// If an agent accepts connections but sends nothing, the router opens a new connection and calls
+// again until the agent answers.
 func TestAgentThatTimesOut(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -121,16 +121,17 @@
 	lines, lists := make(chan string, 10), make(chan *protocol.List, 10)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	go transport.NewDiscovery(ln.Addr().String(), transport.Pushed, transport.FullList, scripted.LogLines(lines), func(l *protocol.List) { lists <- l }).Run(ctx)
+	go transport.NewDiscovery(ln.Addr().String(), transport.PushSchedule, transport.FullList, scripted.LogLines(lines), func(l *protocol.List) { lists <- l }).Run(ctx)
 	if l := scripted.Receive(t, lists, "a list"); l.Version != 7 {
-		t.Errorf("version %d", l.Version)
+		t.Errorf("got a list of version %d, want 7", l.Version)
 	}
 }
 
-// Guards against a router that never hears a discovery which takes longer for each answer than an
-// attempt may take, as on a busy machine: it was not ready for half a minute.
-func TestSlowDiscoveryIsHeard(t *testing.T) {
-	const slow = 3 * 250 * time.Millisecond // an answer of three times Pushed's timeout
+// Guards against a router that never gets a list because discovery takes longer for each answer
+// than the timeout of a short attempt, as on a busy machine. Such a router was not ready for half a
+// minute.
+func TestSlowDiscoveryIsReached(t *testing.T) {
+	const slow = 3 * 250 * time.Millisecond // three times the answer timeout of PushSchedule
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case <-time.After(slow):
@@ -142,9 +143,9 @@
 	lines, lists := make(chan string, 100), make(chan *protocol.List, 10)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	go transport.NewDiscovery(server.Listener.Addr().String(), transport.Pushed, transport.FullList, scripted.LogLines(lines), func(l *protocol.List) { lists <- l }).Run(ctx)
+	go transport.NewDiscovery(server.Listener.Addr().String(), transport.PushSchedule, transport.FullList, scripted.LogLines(lines), func(l *protocol.List) { lists <- l }).Run(ctx)
 	if l := scripted.Receive(t, lists, "a list"); l.Version != 7 {
-		t.Errorf("version %d", l.Version)
+		t.Errorf("got a list of version %d, want 7", l.Version)
 	}
 }
 
@@ -165,14 +166,14 @@
 	return c
 }
 
-// A list that is held is not asked for again whole, neither at the start nor after a failure.
+// A router that has a list asks only for changes, both at the start and after a failure.
 func TestAskedDiscoveryIsAskedForChanges(t *testing.T) {
 	d := scripted.NewDiscovery(t, scripted.List(41, true, scripted.ListEntry("s0", "127.0.0.1:1", "Ready")))
 	lines, lists := make(chan string, 10), make(chan *protocol.List, 10)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	pace := transport.Pace{First: time.Millisecond, Longest: time.Millisecond}
-	go transport.NewDiscovery(d.Addr, pace, 40, scripted.LogLines(lines), func(l *protocol.List) { lists <- l }).Run(ctx)
+	schedule := transport.RetrySchedule{FirstDelay: time.Millisecond, MaxDelay: time.Millisecond}
+	go transport.NewDiscovery(d.Addr, schedule, 40, scripted.LogLines(lines), func(l *protocol.List) { lists <- l }).Run(ctx)
 	for _, step := range []struct{ tell, call string }{
 		{scripted.List(42, false, scripted.ListEntry("s0", "127.0.0.1:1", "Gone")), "/api/targets?index=40&wait=5000"},
 		{`{"version":43,"servers":[{"id":"s0","state":"Odd"}]}`, "/api/targets?index=42&wait=5000"},
@@ -180,7 +181,7 @@
 	} {
 		d.Send(t, step.tell)
 		if got := scripted.Receive(t, d.Calls, "a call"); got != step.call {
-			t.Errorf("got a call of %s, want %s", got, step.call)
+			t.Errorf("discovery was called with %s, want %s", got, step.call)
 		}
 	}
 }
--- a/internal/transport/discoverywatch.go
+++ b/internal/transport/discoverywatch.go
@@ -12,7 +12,7 @@
 	"reachspread/internal/protocol"
 )
 
-// watch is a connection to discovery, with the first list that came on it.
+// watch is a connection to discovery, with the first list received on it.
 type watch struct {
 	conn  net.Conn
 	in    *bufio.Reader
@@ -20,16 +20,16 @@
 	first *protocol.List
 }
 
-// openOutcome is how an attempt to open a watch ended.
+// openOutcome is the result of one attempt to open a watch.
 type openOutcome struct {
-	watch   *watch
-	err     error
-	patient bool // the attempt was the one beside hasty ones
+	watch *watch
+	err   error
+	long  bool // it is the result of the long attempt
 }
 
-// reach attempts to open a watch until one is open, the first time after a wait; ok is false if ctx
-// ended before.
-func (d *Discovery) reach(ctx context.Context, wait time.Duration) (w *watch, ok bool) {
+// connect tries to open a watch until one attempt succeeds; the first attempt starts after wait.
+// The result ok is false if ctx ended first.
+func (d *Discovery) connect(ctx context.Context, wait time.Duration) (w *watch, ok bool) {
 	race, end := context.WithCancel(ctx)
 	defer end()
 	attempts := &openAttempts{discovery: d, race: race, outcomes: make(chan openOutcome), next: time.NewTimer(wait)}
@@ -48,69 +48,71 @@
 				return o.watch, true
 			}
 			d.recordLoss(o.err)
-			attempts.recordFailure(o.patient)
+			attempts.recordFailure(o.long)
 		}
 	}
 }
 
-// openAttempts are the attempts to open a watch, one at a time. Where the pace has hasty attempts,
-// the first one is patient, and hasty ones go on beside it: they find a discovery that comes back
-// soon, the patient one hears a slow one.
+// openAttempts are the attempts to open a watch. Without an AnswerTimeout in the schedule, there is
+// one attempt at a time. With one, a long attempt runs in parallel with a series of short attempts:
+// the short ones notice early that discovery is reachable again, and the long one reaches a
+// discovery that answers slowly.
 type openAttempts struct {
-	discovery      *Discovery
-	race           context.Context // ends all attempts
-	outcomes       chan openOutcome
-	next           *time.Timer // until the next attempt
-	patient, hasty bool        // whether such an attempt is under way
+	discovery                 *Discovery
+	race                      context.Context // its end cancels all attempts
+	outcomes                  chan openOutcome
+	next                      *time.Timer // fires when the next attempt is due
+	longRunning, shortRunning bool        // whether such an attempt is in progress
 }
 
-// start begins the attempt that is due.
+// start starts the attempt that is due.
 func (a *openAttempts) start() {
-	pace := a.discovery.pace
-	if pace.Answer > 0 && !a.patient {
-		a.patient = true
-		go attemptOpen(a.race, a.discovery.addr, a.discovery.firstCall(patientTimeout), true, a.outcomes)
-		a.next.Reset(pace.Answer)
+	schedule := a.discovery.schedule
+	if schedule.AnswerTimeout > 0 && !a.longRunning {
+		a.longRunning = true
+		go attemptOpen(a.race, a.discovery.addr, a.discovery.firstCall(longAttemptTimeout), true, a.outcomes)
+		a.next.Reset(schedule.AnswerTimeout)
 		return
 	}
-	a.hasty = true
-	go attemptOpen(a.race, a.discovery.addr, a.discovery.firstCall(pace.answerTimeout()), false, a.outcomes)
+	a.shortRunning = true
+	go attemptOpen(a.race, a.discovery.addr, a.discovery.firstCall(schedule.answerTimeout()), false, a.outcomes)
 }
 
-// recordFailure says that an attempt has failed. Unless a hasty one is under way the next one is due
-// after the pace's wait.
-func (a *openAttempts) recordFailure(patient bool) {
-	if patient {
-		a.patient = false
+// recordFailure records that an attempt has failed. Unless a short attempt is in progress, the next
+// attempt is due after the delay of the schedule.
+func (a *openAttempts) recordFailure(long bool) {
+	if long {
+		a.longRunning = false
 	} else {
-		a.hasty = false
+		a.shortRunning = false
 	}
-	if a.hasty {
+	if a.shortRunning {
 		return
 	}
-	a.next.Reset(a.discovery.pace.Wait(a.discovery.failed))
-	a.discovery.failed++
+	a.next.Reset(a.discovery.schedule.Wait(a.discovery.failures))
+	a.discovery.failures++
 }
 
-// firstCall is the first call of a watch: for the full list, or for what is newer than the last one.
-// The connection attempt, and the beginning of an answer that waits for nothing, may take so long.
+// firstCall is the first call of a watch. It asks for the full list, or for changes since the last
+// one. connect is the timeout of the connection attempt, and answer that of the wait for the first
+// byte of the answer.
 type firstCall struct {
 	path            string
 	connect, answer time.Duration
 }
 
-func (d *Discovery) firstCall(within time.Duration) firstCall {
+func (d *Discovery) firstCall(timeout time.Duration) firstCall {
 	if d.since >= 0 {
-		return firstCall{protocol.WatchPath(d.since, watchTimeout), within, watchTimeout + answerTimeout}
+		return firstCall{protocol.WatchPath(d.since, watchTimeout), timeout, watchTimeout + answerTimeout}
 	}
-	return firstCall{protocol.ListPath, within, within}
+	return firstCall{protocol.ListPath, timeout, timeout}
 }
 
-// attemptOpen opens a watch and tells its outcome, unless the race has ended.
-func attemptOpen(race context.Context, addr string, call firstCall, patient bool, outcomes chan<- openOutcome) {
+// attemptOpen opens a watch and sends the outcome to outcomes, unless race has ended.
+func attemptOpen(race context.Context, addr string, call firstCall, long bool, outcomes chan<- openOutcome) {
 	w, err := openWatch(race, addr, call)
 	select {
-	case outcomes <- openOutcome{w, err, patient}:
+	case outcomes <- openOutcome{w, err, long}:
 	case <-race.Done():
 		if w != nil {
 			w.conn.Close()
@@ -118,7 +120,7 @@
 	}
 }
 
-// openWatch connects and makes the first call.
+// openWatch connects to discovery and makes the first call.
 func openWatch(ctx context.Context, addr string, call firstCall) (*watch, error) {
 	dialer := net.Dialer{Timeout: call.connect}
 	conn, err := dialer.DialContext(ctx, "tcp", addr)
@@ -134,9 +136,9 @@
 	return w, nil
 }
 
-// call makes one call, whose answer must begin within a time.
-func (w *watch) call(path string, within time.Duration) (*protocol.List, error) {
-	if err := w.conn.SetDeadline(time.Now().Add(within)); err != nil {
+// call makes one call. The answer must begin within timeout.
+func (w *watch) call(path string, timeout time.Duration) (*protocol.List, error) {
+	if err := w.conn.SetDeadline(time.Now().Add(timeout)); err != nil {
 		return nil, err
 	}
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
@@ -147,7 +149,7 @@
 	if _, err := req.WriteTo(w.conn); err != nil {
 		return nil, err
 	}
-	if _, err := w.in.Peek(1); err != nil { // an answer that has begun may take longer
+	if _, err := w.in.Peek(1); err != nil { // the rest of an answer that has begun gets a new deadline
 		return nil, err
 	}
 	if err := w.conn.SetDeadline(time.Now().Add(answerTimeout)); err != nil {
@@ -157,7 +159,7 @@
 		return nil, err
 	}
 	if resp.StatusCode() != fasthttp.StatusOK {
-		return nil, fmt.Errorf("status %d", resp.StatusCode())
+		return nil, fmt.Errorf("discovery answered with status %d, want 200", resp.StatusCode())
 	}
 	return protocol.ParseList(resp.Body())
 }
--- a/internal/transport/front_test.go
+++ b/internal/transport/front_test.go
@@ -15,14 +15,15 @@
 	"reachspread/internal/testbed/scripted"
 )
 
-// serve starts a front with short times, without a core behind it, and returns its address.
+// serve starts a front end with a short read timeout and without a working router behind it. It
+// returns the address.
 func serve(t *testing.T, limits FrontLimits) string {
 	t.Helper()
 	_, addr := newServedFront(t, limits)
 	return addr
 }
 
-// newServedFront is serve, and returns the front as well.
+// newServedFront does what serve does, and returns the front end as well.
 func newServedFront(t *testing.T, limits FrontLimits) (*Front, string) {
 	t.Helper()
 	front := NewFront(new(routing.Router), limits, nil)
@@ -52,8 +53,9 @@
 	return c
 }
 
-// Whatever a client holds back, it gets an error or a close in time. Clients open connections ahead
-// of need, too: one that is closed unused must not carry an answer to nothing.
+// Whatever a client fails to send, it gets an error or a close in time. Clients also open
+// connections in advance: such a connection must be closed without an answer if no request was sent
+// on it.
 func TestSlowClientsAreClosedInTime(t *testing.T) {
 	post := "POST /v1/chat/completions HTTP/1.1\r\nHost: r\r\n"
 	addr := serve(t, FrontLimits{Admission: admission.Config{MaxConnections: 10, MaxOverflow: 4}, BodyBytes: 100 << 10})
@@ -62,22 +64,22 @@
 		post:                                  "HTTP/1.1 408 ",
 		post + "Content-Length: 100\r\n\r\n{": "HTTP/1.1 408 ",
 		post + "Transfer-Encoding: chunked\r\n\r\n9\r\n":                      "HTTP/1.1 408 ",
-		post + "Content-Length: 150000\r\n\r\n" + strings.Repeat(" ", 120000): "HTTP/1.1 503 ", // more than all may hold
+		post + "Content-Length: 150000\r\n\r\n" + strings.Repeat(" ", 120000): "HTTP/1.1 503 ", // more bytes than BodyBytes allows for all bodies
 	} {
 		got, err := io.ReadAll(dial(t, addr, text))
 		if err != nil || !strings.HasPrefix(string(got), want) || want == "" && len(got) > 0 {
-			t.Errorf("after %.90q: got %q, %v; want %q and the end", text, got, err, want)
+			t.Errorf("after %.90q: got %q, %v; want %q and the end of the connection", text, got, err, want)
 		}
 	}
 	for _, whole := range []time.Duration{requestReadTimeout + lingerTimeout, deferAcceptTime + strictRequestReadTimeout + strictLingerTimeout} {
 		if whole > 3*time.Second {
-			t.Errorf("%v to send and to linger; the platform grants 3 s from connecting to the end", whole)
+			t.Errorf("reading a request and lingering take up to %v; the platform allows 3 s from connecting to the close", whole)
 		}
 	}
 }
 
-// Clients that connect and say nothing take up no place that another needs: the oldest of them
-// goes.
+// Clients that connect and send nothing do not take places that other clients need: the oldest of
+// them is evicted.
 func TestIdleClientsAreReplaced(t *testing.T) {
 	addr := serve(t, FrontLimits{Admission: admission.Config{MaxConnections: 3, MaxOverflow: 1}})
 	var silent []net.Conn
@@ -92,14 +94,14 @@
 		resp.Body.Close()
 		http.DefaultClient.CloseIdleConnections()
 		if got, err := io.ReadAll(c); len(got) > 0 || err != nil {
-			t.Errorf("silent client %d: got %q, %v; want the end", i, got, err)
+			t.Errorf("silent client %d: got %q, %v; want the end of the connection", i, got, err)
 		}
 	}
 }
 
-// An IPv6 client that comes from a new address each time, of one net: on loopback there is one such
-// address, so the listener is told others. What it sends in small pieces is read and answered as
-// what it sends at once.
+// An IPv6 client uses a new address of its network for each connection. Loopback has only one such
+// address, so the test passes other addresses to the listener. The requests of admitted clients can
+// be read in small pieces.
 func TestClientWithNewAddressesOfOneNet(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -125,22 +127,22 @@
 			defer cc.Close()
 			head := make([]byte, 4)
 			if _, err := io.ReadFull(cc, head); err != nil || string(head) != "POST" {
-				t.Errorf("client %d: its request begins with %q, %v", i, head, err)
+				t.Errorf("client %d: the request begins with %q, %v; want POST", i, head, err)
 			}
 			continue
 		}
 		if got, err := io.ReadAll(c); err != nil || !strings.HasPrefix(string(got), "HTTP/1.1 429 ") {
-			t.Errorf("client %d got %q, %v", i, got, err)
+			t.Errorf("client %d got %q, %v; want status 429", i, got, err)
 		}
 		refused++
 	}
 	if admitted != 5 || refused != 7 {
-		t.Errorf("%d let in, %d refused", admitted, refused)
+		t.Errorf("%d clients admitted, %d rejected; want 5 and 7", admitted, refused)
 	}
 }
 
-// A request whose body is still on its way is refused at once, and the rest of it does not take
-// back the answer.
+// A request whose body is still being sent is rejected at once, and the rest of the body does not
+// make the client lose the answer.
 func TestRejectionOfAHalfSentRequestArrives(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -159,14 +161,14 @@
 			t.Fatal(err)
 		}
 		if cc := l.admitOpened(fd, from); (cc != nil) != (i == 0) {
-			t.Fatalf("client %d: let in: %v", i, cc != nil)
+			t.Fatalf("client %d: admitted: %v; want only client 0 admitted", i, cc != nil)
 		} else if cc != nil {
 			defer cc.Close()
 			continue
 		}
 		io.WriteString(c, strings.Repeat(" ", 59999))
 		if got, err := io.ReadAll(c); err != nil || !strings.HasPrefix(string(got), "HTTP/1.1 429 ") {
-			t.Errorf("client %d got %q, %v", i, got, err)
+			t.Errorf("client %d got %q, %v; want status 429", i, got, err)
 		}
 	}
 }
--- a/internal/transport/movedlate_test.go
+++ b/internal/transport/movedlate_test.go
@@ -6,8 +6,8 @@
 	"reachspread/internal/testbed/scripted"
 )
 
-// Guards against a connection that a process takes over after it has waited for its last one: the
-// process before takes it to be served.
+// Guards against a process that takes over a connection after its Shutdown has found no connection
+// left. The previous process would rely on the connection being served.
 func TestNothingIsTakenOverAfterShutdown(t *testing.T) {
 	front, _ := newRoutedFront(t, oneConnection, scripted.Answer(scripted.CompleteAnswer()))
 	if err := front.Shutdown(); err != nil {
@@ -15,6 +15,6 @@
 	}
 	_, accepted := pair(t)
 	if err := front.adopt(accepted, nil, false); err == nil {
-		t.Error("taken over; want it declined, so that the process before serves it")
+		t.Error("the connection was taken over; want it declined, so that the previous process serves it")
 	}
 }
--- a/internal/transport/splitbytes_test.go
+++ b/internal/transport/splitbytes_test.go
@@ -18,22 +18,21 @@
 	"reachspread/internal/transport"
 )
 
-// write writes a text in pieces that end at the cuts, each a packet of its own.
+// write writes a text in pieces that end at the cuts, normally each in a packet of its own.
 func write(c net.Conn, text string, cuts []int) {
 	c.(*net.TCPConn).SetNoDelay(true)
 	for _, n := range cuts {
 		n = min(n, len(text))
 		io.WriteString(c, text[:n])
 		text = text[n:]
-		time.Sleep(50 * time.Microsecond) // so that it is read by itself as a rule; the verdict does not hang on it
+		time.Sleep(50 * time.Microsecond) // so that each piece is usually read separately; the test's result does not depend on it
 	}
 	io.WriteString(c, text)
 }
 
-// Whatever pieces a good exchange comes in, from the client, the server and discovery, the same
-// bytes come out.
+// However the bytes from the client, the server and discovery are split, the result is the same.
 func TestBytesSplitAnywhere(t *testing.T) {
-	lists, answers, told := make(chan []int, 1), make(chan []int, 1), make(chan *protocol.List, 1)
+	lists, answers, applied := make(chan []int, 1), make(chan []int, 1), make(chan *protocol.List, 1)
 	defer close(lists)
 	s := scripted.NewServer(t, func(c net.Conn) bool {
 		write(c, scripted.CompleteAnswer(), <-answers)
@@ -49,16 +48,16 @@
 	})
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	go transport.NewDiscovery(d.Addr, transport.Pushed, transport.FullList, lines, func(l *protocol.List) {
+	go transport.NewDiscovery(d.Addr, transport.PushSchedule, transport.FullList, lines, func(l *protocol.List) {
 		r.core.ApplyUpdate(l.Members(), l.Addrs())
-		told <- l
+		applied <- l
 	}).Run(ctx)
-	asked := 0
+	requests := 0
 	pieces := rapid.SliceOfN(rapid.SampledFrom([]int{1, 1, 1, 2, 5, 17, 80}), 0, 60)
 	rapid.Check(t, func(rt *rapid.T) {
 		lists <- pieces.Draw(rt, "list")
-		if got := scripted.Receive(t, told, "a list"); len(got.Servers) != 1 || got.Servers[0].Addr != s.Addr {
-			rt.Fatalf("got the list %+v", got)
+		if got := scripted.Receive(t, applied, "a list"); len(got.Servers) != 1 || got.Servers[0].Addr != s.Addr {
+			rt.Fatalf("got the list %+v, want one with the server s0", got)
 		}
 		scripted.Receive(t, d.Requests, "a call")
 		answers <- pieces.Draw(rt, "answer")
@@ -68,27 +67,26 @@
 		}
 		defer c.Close()
 		c.SetDeadline(time.Now().Add(scripted.EventTimeout))
-		asked++
-		id := fmt.Sprint("q", asked)
+		requests++
+		id := fmt.Sprint("q", requests)
 		write(c, scripted.RequestText(id, ""), pieces.Draw(rt, "request"))
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil {
 			rt.Fatal(err)
 		}
 		if body, err := io.ReadAll(resp.Body); err != nil || resp.StatusCode != 200 || string(body) != scripted.Event+scripted.Done {
-			rt.Fatalf("got %d %q, %v", resp.StatusCode, body, err)
+			rt.Fatalf("got %d %q, %v; want status 200 and the complete answer", resp.StatusCode, body, err)
 		}
 		if got := scripted.Receive(t, s.Requests, "an attempt"); got.Header.Get("X-Correlation-Id") != id || !strings.HasSuffix(scripted.RequestText(id, ""), got.Body) {
-			rt.Fatalf("the server got %+v", got)
+			rt.Fatalf("the server got %+v, want the request unchanged", got)
 		}
 	})
 	if len(lines) > 0 {
-		t.Errorf("a line: %s", <-lines)
+		t.Errorf("unexpected log line: %s", <-lines)
 	}
 }
 
-// A good server that writes its head slowly, a byte at a time, is not taken for one that has fallen
-// silent.
+// A server that writes its head slowly, one byte at a time, does not count as silent.
 func TestSlowHeadIsNoTimeout(t *testing.T) {
 	s := scripted.NewServer(t, func(c net.Conn) bool {
 		for _, b := range []byte(scripted.Head) {
@@ -102,6 +100,6 @@
 	})
 	r := newRouter(t, s)
 	if status, body, err := scripted.Do(t, scripted.NewRequest(t, r.addr, "q", nil)); status != 200 || err != nil || body != scripted.Event+scripted.Done {
-		t.Errorf("got %d %q, %v", status, body, err)
+		t.Errorf("got %d %q, %v; want status 200 and the complete answer", status, body, err)
 	}
 }
