--- a/internal/router/management/management_test.go
+++ b/internal/router/management/management_test.go
@@ -32,8 +32,8 @@
 	}
 	return s.err
 }
-func (s *scripted) RebuildRoles(gone []string) error {
-	if len(gone) == 0 {
+func (s *scripted) RebuildRoles(lost []string) error {
+	if len(lost) == 0 {
 		return errors.New("a majority may live")
 	}
 	return nil
--- a/internal/router/peering/golden_test.go
+++ b/internal/router/peering/golden_test.go
@@ -15,7 +15,7 @@
 )
 
 // goldenPatience bounds a wait for bytes that are on their way.
-const goldenPatience = 10 * time.Second
+const goldenTimeout = 10 * time.Second
 
 // Messages between routers that may vote, and a scribe's records among them, have the bytes that
 // they had at commit 5bfcc27.
@@ -50,7 +50,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(goldenPatience))
+	c.SetDeadline(time.Now().Add(goldenTimeout))
 	var records []golden.Record
 	for _, name := range []string{"record", "refusal", "message"} {
 		head := make([]byte, 5)
@@ -65,13 +65,13 @@
 	}
 	data := golden.Check(t, "lines", records)
 
-	type kept struct {
+	type storedRecord struct {
 		token uint64
 		text  string
 	}
-	came := make(chan kept, 1)
+	received := make(chan storedRecord, 1)
 	d.OnRecord(func(token uint64, text []byte) uint64 {
-		came <- kept{token, string(text)}
+		received <- storedRecord{token, string(text)}
 		return token
 	})
 	out, err := net.Dial("tcp4", own)
@@ -83,11 +83,11 @@
 		t.Fatal(err)
 	}
 	select {
-	case got := <-came:
-		if want := (kept{1 << 40, `{"a":[1,2]}`}); got != want {
+	case got := <-received:
+		if want := (storedRecord{1 << 40, `{"a":[1,2]}`}); got != want {
 			t.Errorf("the record is read as %+v, not %+v", got, want)
 		}
-	case <-time.After(goldenPatience):
+	case <-time.After(goldenTimeout):
 		t.Error("the record did not come")
 	}
 }
--- a/internal/router/peering/gossip.go
+++ b/internal/router/peering/gossip.go
@@ -85,15 +85,15 @@
 func (g *Gossip) takeOver(ctx context.Context) {
 	ticker := time.NewTicker(takeOverInterval)
 	defer ticker.Stop()
-	late := time.Now().Add(takeOverTimeout)
+	warnAt := time.Now().Add(takeOverTimeout)
 	for g.conn.Load() == nil {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
 		}
-		if err := g.open(); err != nil && !late.IsZero() && time.Now().After(late) {
-			late = time.Time{}
+		if err := g.open(); err != nil && !warnAt.IsZero() && time.Now().After(warnAt) {
+			warnAt = time.Time{}
 			g.log.Warn("peer address in use", "cause", err)
 		}
 	}
--- a/internal/router/peering/gossip_test.go
+++ b/internal/router/peering/gossip_test.go
@@ -38,8 +38,8 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	heard := make(chan balance.ReportsReceived, 10)
-	go g.Run(ctx, func(h balance.ReportsReceived) { heard <- h })
+	received := make(chan balance.ReportsReceived, 10)
+	go g.Run(ctx, func(h balance.ReportsReceived) { received <- h })
 
 	reports := []balance.PeerReport{{ReplicaTag: 7, PrefillTokens: 1024}}
 	good := protocol.AppendPeerReports(nil, 3, reports)
@@ -56,7 +56,7 @@
 	send(peer, make([]byte, 300))
 	send(peer, nil)
 	send(peer, good)
-	if diff := cmp.Diff(balance.ReportsReceived{From: 1, Zone: 3, Reports: reports}, scripted.Receive(t, heard, "reports")); diff != "" {
+	if diff := cmp.Diff(balance.ReportsReceived{From: 1, Zone: 3, Reports: reports}, scripted.Receive(t, received, "reports")); diff != "" {
 		t.Error(diff)
 	}
 	if line := scripted.Receive(t, lines, "a line"); !strings.HasPrefix(line, "datagram dropped") || len(lines) > 0 {
@@ -107,8 +107,8 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	heard := make(chan balance.ReportsReceived, 10)
-	go g.Run(ctx, func(h balance.ReportsReceived) { heard <- h })
+	received := make(chan balance.ReportsReceived, 10)
+	go g.Run(ctx, func(h balance.ReportsReceived) { received <- h })
 	g.SendReports(balance.SendReports{To: []int{1}})
 	if _, unsent := g.Dropped(); unsent != 1 {
 		t.Errorf("%d words unsent while the address is another's, want 1", unsent)
@@ -117,8 +117,8 @@
 	to, _ := net.ResolveUDPAddr("udp4", own)
 	for end := time.Now().Add(scripted.EventTimeout); ; time.Sleep(5 * time.Millisecond) {
 		peer.WriteToUDP(protocol.AppendPeerReports(nil, 7, nil), to)
-		if len(heard) > 0 {
-			if got := <-heard; got.From != 1 || got.Zone != 7 {
+		if len(received) > 0 {
+			if got := <-received; got.From != 1 || got.Zone != 7 {
 				t.Errorf("heard %+v", got)
 			}
 			return
--- a/internal/router/peering/roles_test.go
+++ b/internal/router/peering/roles_test.go
@@ -27,11 +27,11 @@
 // cluster is routers with roles on real sockets and disks, in one process; the test says which are
 // members.
 type cluster struct {
-	t       *testing.T
-	routers []*testRouter
-	may     int
-	duties  []lease.Role
-	lease   time.Duration
+	t          *testing.T
+	routers    []*testRouter
+	candidates int
+	roles      []lease.Role
+	lease      time.Duration
 
 	mu    sync.Mutex
 	spans []span
@@ -64,7 +64,7 @@
 
 func newCluster(t *testing.T, routers, may int, leaseTime time.Duration) *cluster {
 	t.Helper()
-	s := &cluster{t: t, may: may, lease: leaseTime, duties: []lease.Role{{Name: "work"}}}
+	s := &cluster{t: t, candidates: may, lease: leaseTime, roles: []lease.Role{{Name: "work"}}}
 	ip := net.IPv4(127, 79, 0, byte(clusters.Add(1)))
 	for i := range routers {
 		p := &testRouter{n: i, folder: filepath.Join(t.TempDir(), "disk"), lines: make(scripted.LogLines, 10_000)}
@@ -108,14 +108,14 @@
 func (s *cluster) start(p *testRouter, wants bool) {
 	s.t.Helper()
 	p.boot++
-	c := RolesConfig{Self: lease.Router{Name: fmt.Sprint("r", p.n), Boot: uint32(p.n)<<16 | p.boot, Zone: string(rune('a' + p.n%2))}, Timing: lease.DefaultTiming, Roles: s.duties, Voters: 3,
+	c := RolesConfig{Self: lease.Router{Name: fmt.Sprint("r", p.n), Boot: uint32(p.n)<<16 | p.boot, Zone: string(rune('a' + p.n%2))}, Timing: lease.DefaultTiming, Roles: s.roles, Voters: 3,
 		ReplaceTimeout: 2 * time.Second, CandidateAddresses: map[string]string{}, Seed: uint64(p.n) + 1}
 	c.Timing.Duration = s.lease
-	for _, x := range s.routers[:s.may] {
+	for _, x := range s.routers[:s.candidates] {
 		c.Candidates = append(c.Candidates, fmt.Sprint("r", x.n))
 		c.CandidateAddresses[fmt.Sprint("r", x.n)] = x.listen
 	}
-	if p.n < s.may {
+	if p.n < s.candidates {
 		c.Listen, c.Folder = p.listen, p.folder
 	}
 	var err error
@@ -177,13 +177,13 @@
 }
 
 // open waits until so many spans are open, and returns them in the order of their tokens.
-func (s *cluster) open(n int, fits func([]span) bool) []span {
+func (s *cluster) awaitOpenSpans(n int, accept func([]span) bool) []span {
 	s.t.Helper()
 	for end := time.Now().Add(4 * scripted.EventTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		s.mu.Lock()
 		all := slices.DeleteFunc(slices.Clone(s.spans), func(x span) bool { return !x.to.IsZero() })
 		s.mu.Unlock()
-		if slices.SortFunc(all, func(a, b span) int { return int(a.token - b.token) }); len(all) == n && fits(all) {
+		if slices.SortFunc(all, func(a, b span) int { return int(a.token - b.token) }); len(all) == n && accept(all) {
 			return all
 		}
 	}
@@ -196,11 +196,11 @@
 func TestTransferByToken(t *testing.T) {
 	t.Parallel()
 	s := newCluster(t, 4, 3, 2*time.Second)
-	s.duties = []lease.Role{{Name: "work", MaxHolders: 2}}
+	s.roles = []lease.Role{{Name: "work", MaxHolders: 2}}
 	for _, p := range s.routers {
 		s.start(p, true)
 	}
-	held := s.open(2, func([]span) bool { return true })
+	held := s.awaitOpenSpans(2, func([]span) bool { return true })
 	to := 0
 	for to == held[0].who || to == held[1].who {
 		to++
@@ -210,7 +210,7 @@
 	if err := s.routers[0].d.RequestTransfer(ctx, "work", fmt.Sprint("r", to), held[1].token); err != nil {
 		t.Fatal(err)
 	}
-	s.open(2, func(now []span) bool { return now[0] == held[0] && now[1].who == to })
+	s.awaitOpenSpans(2, func(now []span) bool { return now[0] == held[0] && now[1].who == to })
 	if err := s.routers[0].d.RequestTransfer(ctx, "work", fmt.Sprint("r", to), 1); err == nil || !strings.Contains(err.Error(), "nobody holds it") {
 		t.Errorf("a wish for a token that nobody has: %v", err)
 	}
@@ -226,7 +226,7 @@
 		return nil
 	})
 	for _, p := range s.routers {
-		if err := p.d.Define(append(slices.Clone(s.duties), lease.Role{Name: "later"})); err != nil {
+		if err := p.d.Define(append(slices.Clone(s.roles), lease.Role{Name: "later"})); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -265,13 +265,13 @@
 
 // holder waits until one router alone works under the role, other than one, and returns it with its
 // span.
-func (s *cluster) holder(not int) (int, span) {
+func (s *cluster) awaitHolder(except int) (int, span) {
 	s.t.Helper()
 	for end := time.Now().Add(4 * scripted.EventTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		s.mu.Lock()
 		n, at := 0, span{}
 		for _, x := range s.spans {
-			if x.to.IsZero() && s.routers[x.who].d != nil && x.who != not {
+			if x.to.IsZero() && s.routers[x.who].d != nil && x.who != except {
 				n, at = n+1, x
 			}
 		}
@@ -293,19 +293,19 @@
 }
 
 // leader waits for a leader of the voters that most agree on.
-func (s *cluster) leader() int {
+func (s *cluster) awaitLeader() int {
 	s.t.Helper()
 	for end := time.Now().Add(4 * scripted.EventTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		said := map[string]int{}
-		for _, p := range s.routers[:s.may] {
+		votes := map[string]int{}
+		for _, p := range s.routers[:s.candidates] {
 			if p.d == nil {
 				continue
 			}
 			if st := p.d.VoterStatus(); st != nil && st.Leader != "" {
-				said[st.Leader]++
+				votes[st.Leader]++
 			}
 		}
-		for name, n := range said {
+		for name, n := range votes {
 			var i int
 			if fmt.Sscanf(name, "r%d", &i); n >= 2 && s.routers[i].d != nil {
 				return i
@@ -317,7 +317,7 @@
 }
 
 // ordered checks that works came one after another, under tokens that grew.
-func (s *cluster) ordered() {
+func (s *cluster) checkOrder() {
 	s.t.Helper()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -341,37 +341,37 @@
 	for _, p := range s.routers {
 		s.start(p, true)
 	}
-	first, _ := s.holder(-1)
+	first, _ := s.awaitHolder(-1)
 	to := (first + 2) % 5
 	s.transfer(s.routers[(first+1)%5], to)
-	if got, _ := s.holder(first); got != to {
+	if got, _ := s.awaitHolder(first); got != to {
 		t.Errorf("r%d holds it, not r%d", got, to)
 	}
 	s.kill(s.routers[to])
 	s.updateViews()
-	next, at := s.holder(to)
+	next, at := s.awaitHolder(to)
 	s.start(s.routers[to], true)
-	if lead := s.leader(); lead != next {
+	if lead := s.awaitLeader(); lead != next {
 		s.kill(s.routers[lead])
 		s.updateViews()
-		s.leader()
+		s.awaitLeader()
 		time.Sleep(s.lease) // a holder that had not renewed would have ended by now
-		if now, same := s.holder(-1); now != next || same.token != at.token {
+		if now, same := s.awaitHolder(-1); now != next || same.token != at.token {
 			t.Errorf("r%d lost it as the leader died", next)
 		}
 		s.start(s.routers[lead], true)
 	}
-	_, before := s.holder(-1)
+	_, before := s.awaitHolder(-1)
 	for _, p := range s.routers {
 		s.kill(p)
 	}
 	for _, p := range s.routers {
 		s.start(p, true)
 	}
-	if _, after := s.holder(-1); after.token <= before.token {
+	if _, after := s.awaitHolder(-1); after.token <= before.token {
 		t.Errorf("after the end of all token %d follows %d", after.token, before.token)
 	}
-	s.ordered()
+	s.checkOrder()
 }
 
 // With a majority of the disks lost there is no leader, a line says so, and a group is founded anew
@@ -382,14 +382,14 @@
 	for _, p := range s.routers {
 		s.start(p, p.n == 3)
 	}
-	_, before := s.holder(-1)
-	s.leader()
-	ask := func(n int, gone ...string) error {
+	_, before := s.awaitHolder(-1)
+	s.awaitLeader()
+	rebuild := func(n int, lost ...string) error {
 		ctx, cancel := context.WithTimeout(context.Background(), scripted.EventTimeout) // as long as operators wait
 		defer cancel()
-		return s.routers[n].d.Rebuild(ctx, gone)
+		return s.routers[n].d.Rebuild(ctx, lost)
 	}
-	if err := ask(0); err == nil || !strings.Contains(err.Error(), "leader") {
+	if err := rebuild(0); err == nil || !strings.Contains(err.Error(), "leader") {
 		t.Errorf("duties with a leader: %v", err)
 	}
 	for _, p := range s.routers[:2] {
@@ -397,11 +397,11 @@
 		os.RemoveAll(p.folder)
 	}
 	s.updateViews()
-	for said := ""; !strings.HasPrefix(said, "voters without leader"); said = scripted.Receive(t, s.routers[2].lines, "that duties have stopped") {
+	for line := ""; !strings.HasPrefix(line, "voters without leader"); line = scripted.Receive(t, s.routers[2].lines, "that duties have stopped") {
 	}
 	// The dead may have named a leader a moment ago, which is a reason, too.
 	for end := time.Now().Add(scripted.EventTimeout); ; time.Sleep(20 * time.Millisecond) {
-		err := ask(2)
+		err := rebuild(2)
 		if err != nil && strings.Contains(err.Error(), "may live") {
 			break
 		}
@@ -412,7 +412,7 @@
 	s.start(s.routers[0], false) // with another disk, which is seen
 	var err error
 	for end := time.Now().Add(scripted.EventTimeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		if err = ask(2, "r1"); err == nil {
+		if err = rebuild(2, "r1"); err == nil {
 			break
 		}
 	}
@@ -430,7 +430,7 @@
 			t.Fatal("nobody has the duty of the new group")
 		}
 	}
-	s.ordered()
+	s.checkOrder()
 }
 
 // 10,000 changes: the memory and the store of a voter stay in bounds.
@@ -442,9 +442,9 @@
 		t.Parallel()
 	}
 	s := newCluster(t, 3, 3, 2*time.Second)
-	s.duties = nil
+	s.roles = nil
 	for i := range 16 {
-		s.duties = append(s.duties, lease.Role{Name: fmt.Sprint("work-", i)})
+		s.roles = append(s.roles, lease.Role{Name: fmt.Sprint("work-", i)})
 	}
 	for _, p := range s.routers {
 		s.start(p, false)
@@ -455,7 +455,7 @@
 			}
 		}()
 	}
-	s.leader()
+	s.awaitLeader()
 	d, begun := s.routers[0].d, time.Now()
 	for i := range n {
 		name := fmt.Sprint("work-", i%16) // one that was given back is not asked for at once
@@ -467,7 +467,7 @@
 		d.Release(name)
 	}
 	took := time.Since(begun)
-	lead := s.routers[s.leader()]
+	lead := s.routers[s.awaitLeader()]
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
@@ -498,13 +498,13 @@
 			for _, p := range s.routers {
 				s.start(p, p.n >= 3) // voters alone do not hold, so that one thing dies at a time
 			}
-			s.holder(-1)
+			s.awaitHolder(-1)
 			for range 50 {
-				who, _ := s.holder(-1)
+				who, _ := s.awaitHolder(-1)
 				to := 7 - who
 				s.awaitQueued(to) // what is handed to somebody who has not asked yet waits for that
 				s.transfer(s.routers[0], to)
-				_, at := s.holder(who)
+				_, at := s.awaitHolder(who)
 				gap := s.gap(who, at)
 				mu.Lock()
 				planned = append(planned, gap)
@@ -514,12 +514,12 @@
 				if os.Getenv("DUTY_PLANNED") != "" {
 					break
 				}
-				who, _ := s.holder(-1)
+				who, _ := s.awaitHolder(-1)
 				time.Sleep(time.Duration(37*i%1000) * time.Millisecond)
 				died := time.Now()
 				s.kill(s.routers[who])
 				s.updateViews()
-				_, at := s.holder(who)
+				_, at := s.awaitHolder(who)
 				mu.Lock()
 				killed = append(killed, at.from.Sub(died))
 				mu.Unlock()
--- a/internal/router/peering/store_test.go
+++ b/internal/router/peering/store_test.go
@@ -22,12 +22,12 @@
 }
 
 // filled is a folder with a store of 300 commands, and what it has.
-func filled(t *testing.T) (folder string, had *quorum.StoredState) {
+func newFilledStore(t *testing.T) (folder string, had *quorum.StoredState) {
 	t.Helper()
 	folder = t.TempDir()
-	s, had, aside, err := openStore(folder)
-	if err != nil || had != nil || aside != nil {
-		t.Fatalf("%v, %v, %v", had, aside, err)
+	s, had, unread, err := openStore(folder)
+	if err != nil || had != nil || unread != nil {
+		t.Fatalf("%v, %v, %v", had, unread, err)
 	}
 	meta := quorum.Meta{Version: 1, ID: 7, Name: "r1", Group: 3, Starts: 2, StoreRecords: map[uint64]quorum.StoreRecord{9: {Starts: 4}}}
 	for _, k := range []quorum.Persist{
@@ -41,9 +41,9 @@
 		}
 	}
 	s.close()
-	s, had, aside, err = openStore(folder)
-	if err != nil || aside != nil {
-		t.Fatal(aside, err)
+	s, had, unread, err = openStore(folder)
+	if err != nil || unread != nil {
+		t.Fatal(unread, err)
 	}
 	if _, _, _, err := openStore(folder); err == nil {
 		t.Error("two processes have one store")
@@ -54,7 +54,7 @@
 
 // A store has what was persisted, entries replaced and compacted.
 func TestStoreHasWhatWasPersisted(t *testing.T) {
-	_, had := filled(t)
+	_, had := newFilledStore(t)
 	if diff := cmp.Diff(entries(151, 300), had.Entries, protocmp.Transform()); diff != "" {
 		t.Error(diff)
 	}
@@ -66,27 +66,27 @@
 // A store that is cut anywhere, or has a bit flipped, is read as it was or set aside; it is never
 // read as something else, and never ends the process.
 func TestDamagedStoreIsSetAside(t *testing.T) {
-	folder, want := filled(t)
+	folder, want := newFilledStore(t)
 	complete, err := os.ReadFile(filepath.Join(folder, storeFileName))
 	if err != nil {
 		t.Fatal(err)
 	}
-	asides := 0
+	unreadStores := 0
 	check := func(what string, at int, text []byte) {
 		t.Helper()
 		dir := t.TempDir()
 		if err := os.WriteFile(filepath.Join(dir, storeFileName), text, 0o644); err != nil {
 			t.Fatal(err)
 		}
-		s, had, aside, err := openStore(dir)
+		s, had, unread, err := openStore(dir)
 		if err != nil {
 			t.Fatalf("%s at %d: %v", what, at, err)
 		}
 		defer s.close()
-		if aside != nil {
-			asides++
+		if unread != nil {
+			unreadStores++
 		}
-		if aside == nil && len(text) > 0 && had != nil {
+		if unread == nil && len(text) > 0 && had != nil {
 			if diff := cmp.Diff(want, had, protocmp.Transform()); diff != "" {
 				t.Errorf("%s at %d is read as something else: %s", what, at, diff)
 			}
@@ -103,7 +103,7 @@
 		text[at] ^= 1 << (at % 8)
 		check("flip", at, text)
 	}
-	if t.Log(asides, "set aside"); asides < 30 {
-		t.Errorf("%d set aside", asides)
+	if t.Log(unreadStores, "set aside"); unreadStores < 30 {
+		t.Errorf("%d set aside", unreadStores)
 	}
 }
--- a/internal/router/peering/stored_test.go
+++ b/internal/router/peering/stored_test.go
@@ -68,7 +68,7 @@
 }
 
 // values are all buckets of a store's file with all that is in them.
-func values(t *testing.T, path string) string {
+func dumpValues(t *testing.T, path string) string {
 	t.Helper()
 	db, err := bbolt.Open(path, 0o644, &bbolt.Options{ReadOnly: true})
 	if err != nil {
@@ -101,28 +101,28 @@
 		t.Fatal(err)
 	}
 	s.close()
-	made, err := os.ReadFile(filepath.Join(folder, "voter.db"))
+	written, err := os.ReadFile(filepath.Join(folder, "voter.db"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	text := golden.File(t, "voter.db", made)
-	golden.Same(t, "voter.txt", []byte(values(t, filepath.Join(folder, "voter.db"))))
-	golden.Same(t, "voter.txt", []byte(values(t, filepath.Join("testdata", "voter.db"))))
+	text := golden.File(t, "voter.db", written)
+	golden.Same(t, "voter.txt", []byte(dumpValues(t, filepath.Join(folder, "voter.db"))))
+	golden.Same(t, "voter.txt", []byte(dumpValues(t, filepath.Join("testdata", "voter.db"))))
 
-	kept := t.TempDir()
-	if err := os.WriteFile(filepath.Join(kept, "voter.db"), text, 0o644); err != nil {
+	copied := t.TempDir()
+	if err := os.WriteFile(filepath.Join(copied, "voter.db"), text, 0o644); err != nil {
 		t.Fatal(err)
 	}
-	s, had, aside, err := openStore(kept)
-	if err != nil || aside != nil {
-		t.Fatalf("set aside: %v, %v", aside, err)
+	s, had, unread, err := openStore(copied)
+	if err != nil || unread != nil {
+		t.Fatalf("set aside: %v, %v", unread, err)
 	}
 	s.close()
 	if diff := cmp.Diff(want, had, protocmp.Transform()); diff != "" {
 		t.Error(diff)
 	}
-	golden.Same(t, "voter.txt", []byte(values(t, filepath.Join(kept, "voter.db"))))
-	if _, err := os.Stat(filepath.Join(kept, "voter.lock")); err != nil {
+	golden.Same(t, "voter.txt", []byte(dumpValues(t, filepath.Join(copied, "voter.db"))))
+	if _, err := os.Stat(filepath.Join(copied, "voter.lock")); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/router/peering/view_driver_test.go
+++ b/internal/router/peering/view_driver_test.go
@@ -62,7 +62,7 @@
 }
 
 // sees waits until a driver's view has so many members.
-func (x *driver) sees(t *testing.T, n int) {
+func (x *driver) awaitMembers(t *testing.T, n int) {
 	t.Helper()
 	for len(x.Now().Members) != n {
 		scripted.Receive(t, x.changes, fmt.Sprintf("a view of %d", n))
@@ -85,8 +85,8 @@
 	const longerThanAJoin = 2 * time.Second
 	addrs := freeAddresses(t, 2)
 	other, old := startDriver(t, addrs, 0, 1, false), startDriver(t, addrs, 1, 2, false)
-	other.sees(t, 2)
-	old.sees(t, 2)
+	other.awaitMembers(t, 2)
+	old.awaitMembers(t, 2)
 	before := other.incarnationOf("r1")
 	next := startDriver(t, addrs, 1, 3, true)
 	time.Sleep(longerThanAJoin)
@@ -95,7 +95,7 @@
 	}
 	old.Leave(t.Context(), true)
 	old.end()
-	next.sees(t, 2)
+	next.awaitMembers(t, 2)
 	if got := next.incarnationOf("r1"); got <= before {
 		t.Errorf("its incarnation is %d, was %d", got, before)
 	}
@@ -110,12 +110,12 @@
 		all = append(all, startDriver(t, addrs, i, uint32(i+1), false))
 	}
 	for _, x := range all {
-		x.sees(t, 3)
+		x.awaitMembers(t, 3)
 	}
 	all[2].Leave(t.Context(), false)
 	all[2].end()
 	for _, x := range all[:2] {
-		x.sees(t, 2)
+		x.awaitMembers(t, 2)
 	}
 	// The figures are published right after the view of the same step.
 	for until := time.Now().Add(scripted.EventTimeout); all[0].Stats().Alive != 2 && time.Now().Before(until); {
@@ -125,7 +125,7 @@
 		t.Errorf("after a leaving: %+v", f)
 	}
 	all[1].end()
-	all[0].sees(t, 1)
+	all[0].awaitMembers(t, 1)
 	if line := scripted.Receive(t, all[0].lines, "a line"); !strings.HasPrefix(line, "routers lost why=crashed count=1 names=r1") {
 		t.Errorf("got %q", line)
 	}
--- a/internal/router/records/records_test.go
+++ b/internal/router/records/records_test.go
@@ -15,13 +15,13 @@
 		Cause: "broken", Live: Answer{Outcome: "whole"}, Copy: Answer{Outcome: "broken"}}
 }
 
-func ids(t *testing.T, folder string) (found string, cut int) {
+func readIDs(t *testing.T, folder string) (found string, truncated int) {
 	t.Helper()
-	cut, err := Read(folder, func(_ []byte, r *Record) error { found += r.ID + " "; return nil })
+	truncated, err := Read(folder, func(_ []byte, r *Record) error { found += r.ID + " "; return nil })
 	if err != nil {
 		t.Fatal(err)
 	}
-	return found, cut
+	return found, truncated
 }
 
 // Files keep to their size and number, and the oldest go first, also those of an earlier process.
@@ -36,7 +36,7 @@
 		}
 		time.Sleep(2 * time.Millisecond) // names count milliseconds
 	}
-	if got, _ := ids(t, folder); got != "d2 e1 e2 " {
+	if got, _ := readIDs(t, folder); got != "d2 e1 e2 " {
 		t.Errorf("left: %s", got)
 	}
 	w := &Writer{Folder: folder, FileBytes: 1 << 20, Files: 3}
@@ -45,24 +45,24 @@
 			t.Fatal(err)
 		}
 	}
-	if got, _ := ids(t, folder); got != "e1 e2 x x x " {
+	if got, _ := readIDs(t, folder); got != "e1 e2 x x x " {
 		t.Errorf("left: %s", got)
 	}
 }
 
 // full takes so many bytes, as a disk does.
-type full struct {
+type limitedWriter struct {
 	io.WriteCloser
-	room int
+	remaining int
 }
 
-func (f *full) Write(p []byte) (int, error) {
-	if len(p) <= f.room {
-		f.room -= len(p)
+func (f *limitedWriter) Write(p []byte) (int, error) {
+	if len(p) <= f.remaining {
+		f.remaining -= len(p)
 		return f.WriteCloser.Write(p)
 	}
-	n, _ := f.WriteCloser.Write(p[:f.room])
-	f.room = 0
+	n, _ := f.WriteCloser.Write(p[:f.remaining])
+	f.remaining = 0
 	return n, errors.New("no space left")
 }
 
@@ -72,15 +72,15 @@
 	folder := t.TempDir()
 	w := &Writer{Folder: folder, FileBytes: 1 << 20, Files: 9, Open: func(path string) (io.WriteCloser, error) {
 		f, err := create(path)
-		return &full{f, 450}, err
+		return &limitedWriter{f, 450}, err
 	}}
 	for _, id := range []string{"a", "b", "c"} {
 		if err := w.Append(record(id)); (err != nil) != (id == "b") {
 			t.Fatalf("%s: %v", id, err)
 		}
 	}
-	if got, cut := ids(t, folder); got != "a c " || cut != 1 {
-		t.Errorf("read %s, %d cut off", got, cut)
+	if got, truncated := readIDs(t, folder); got != "a c " || truncated != 1 {
+		t.Errorf("read %s, %d cut off", got, truncated)
 	}
 }
 
--- a/internal/router/records/stored_test.go
+++ b/internal/router/records/stored_test.go
@@ -51,22 +51,22 @@
 	if err != nil || len(files) != 1 || len(filepath.Base(files[0])) != len(goldenFile) {
 		t.Fatalf("files %q, %v", files, err)
 	}
-	made, err := os.ReadFile(files[0])
+	written, err := os.ReadFile(files[0])
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Same(t, goldenFile, made)
+	golden.Same(t, goldenFile, written)
 	var got []*Record
 	var lines []byte
-	cut, err := Read("testdata", func(line []byte, r *Record) error {
+	truncated, err := Read("testdata", func(line []byte, r *Record) error {
 		got = append(got, r)
 		lines = append(append(lines, line...), '\n')
 		return nil
 	})
-	if diff := cmp.Diff(want, got); err != nil || cut != 0 || diff != "" {
-		t.Errorf("%d cut, %v\n%s", cut, err, diff)
+	if diff := cmp.Diff(want, got); err != nil || truncated != 0 || diff != "" {
+		t.Errorf("%d cut, %v\n%s", truncated, err, diff)
 	}
-	if !bytes.Equal(lines, made) {
+	if !bytes.Equal(lines, written) {
 		t.Errorf("lines %q", lines)
 	}
 }
