--- a/internal/router/peering/role_calls.go
+++ b/internal/router/peering/role_calls.go
@@ -11,35 +11,36 @@
 	"reachspread/internal/router/quorum"
 )
 
-// VoterStatus is what the local voter knows.
+// VoterStatus is a snapshot of the local voter's state, taken at TakenAt.
 type VoterStatus struct {
 	quorum.Status
 	Roles   []RoleStatus
 	TakenAt time.Time
 }
 
-// RoleStatus is one role as a voter has it.
+// RoleStatus is the state of one role in a voter's table.
 type RoleStatus struct {
 	Role       string
 	MaxHolders int
 	Grants     []lease.Grant
-	Queued     int    // routers
-	LastChange string // and why; empty for none since the voter's start
+	Queued     int    // number of routers in the role's queue
+	LastChange string // the last grant or loss and its reason; empty if there was none since the voter started
 }
 
-// VoterStatus returns what the local voter knew of late, nil where there is none.
+// VoterStatus returns the last published status of the local voter, nil if no voter runs here.
 func (r *Roles) VoterStatus() *VoterStatus { return r.voterStatus.Load() }
 
-// LocalRole is a role that this router wants or works under.
+// LocalRole is the state of a role that this router holds, has requested or is releasing.
 type LocalRole struct {
 	Role          string
-	Token         uint64 // 0 while it is only wanted
+	Token         uint64 // fencing token of the lease; 0 while the router does not hold the role
 	Remaining     time.Duration
-	Queued        bool   // as the voters have said
-	LastEndReason string // of the last lease
+	Queued        bool   // the voters have put this router in the role's queue
+	LastEndReason string // why the router's last lease of the role ended
 }
 
-// LocalRoles returns this router's roles, by name.
+// LocalRoles returns the roles that this router holds, has requested or is releasing, sorted by
+// name.
 func (r *Roles) LocalRoles() (all []LocalRole) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -54,7 +55,7 @@
 	return all
 }
 
-// Candidates returns the routers that may vote.
+// Candidates returns the names of the routers that may vote.
 func (r *Roles) Candidates() []string { return r.config.Candidates }
 
 // Leader returns the candidate that the agent asks first.
@@ -64,28 +65,30 @@
 	return r.agent.Leader()
 }
 
-// HighestToken returns the largest token that this router has been told of.
+// HighestToken returns the largest token that any reply to this router's agent has carried.
 func (r *Roles) HighestToken() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.agent.HighestToken()
 }
 
-// RoleCounters are since the start, but for Leased, Requested, Leaderless and what a store has.
+// RoleCounters counts events since the start of the process. Leased, Requested, Leaderless and the
+// values that come from the voter's store (Term, Index, LogEntries, Token) are current values.
 type RoleCounters struct {
-	// Leased are the roles that this router works under, Requested those and the ones that it waits
-	// for.
+	// Leased counts the roles that this router holds. Requested counts the roles that it holds or
+	// waits for.
 	Leased, Requested      int
 	Begun, Ended, Rejected uint64
-	Sent, Received         uint64 // datagrams of the agent
+	Sent, Received         uint64 // the agent's requests and the replies to them
 
-	// Of the local voter, zero where there is none.
+	// The values of the local voter. They are zero where no voter runs, except Token, which is then
+	// the highest token that the agent knows.
 	Leaderless                     bool
 	Commands, Elections            uint64
 	Term, Index, LogEntries, Token uint64
 }
 
-// Counters returns the counters.
+// Counters returns the present counters of the agent and, if there is one, of the local voter.
 func (r *Roles) Counters() RoleCounters {
 	c := RoleCounters{Begun: r.begun.Load(), Ended: r.ended.Load(), Rejected: r.rejected.Load()}
 	for _, role := range r.LocalRoles() {
@@ -105,14 +108,15 @@
 	return c
 }
 
-// voterQuery is an event for the voter that operators wait for.
+// voterQuery is an event for the voter on whose outcome a caller waits.
 type voterQuery struct {
 	event   quorum.Event
 	refusal string
-	done    chan struct{} // closed once refusal is set
+	done    chan struct{} // closed once the voter has handled the event and refusal is set
 }
 
-// askVoter has the local voter take in an event, and returns why it refused, empty if it did not.
+// askVoter passes an event to the local voter and waits for the outcome. The refusal is the voter's
+// reason for refusing the event, empty if the voter accepted it.
 func (r *Roles) askVoter(ctx context.Context, e quorum.Event) (refusal string, err error) {
 	if !r.voterRunning.Load() {
 		return "", ErrNoVoter
@@ -129,8 +133,8 @@
 	}
 }
 
-// Rebuild founds a new group of voters. LostRouters are those whose disks will not come back. It
-// returns ErrNoVoter at a router that is no candidate.
+// Rebuild founds a new group of voters. LostRouters names the routers whose disks are lost for
+// good. Rebuild returns ErrNoVoter at a router without a running voter.
 func (r *Roles) Rebuild(ctx context.Context, lostRouters []string) error {
 	refusal, err := r.askVoter(ctx, quorum.Rebuild{LostRouters: lostRouters})
 	if err == nil && refusal != "" {
@@ -139,18 +143,21 @@
 	return err
 }
 
-// Requests of operators have IDs of their own, above those that agents use in practice.
+// transferRequestBit is set in the IDs of operators' requests, so that they don't collide with the
+// IDs of agents, which in practice stay below it.
 const transferRequestBit = 1 << 31
 
-// transferRequests numbers the operators' requests of this process.
+// transferRequests counts the operators' requests of this process, to number them.
 var transferRequests atomic.Uint32
 
-// transferRetryInterval is how long a request waits for its reply before it is sent again.
+// transferRetryInterval is how long RequestTransfer waits for a reply before it sends its request
+// again.
 const transferRetryInterval = 200 * time.Millisecond
 
-// RequestTransfer has the holder of a role give it to another router, or to whoever is queued: of
-// several holders the one with that token, 0 for the first. It asks all candidates until their
-// leader has had it committed, which returns nil or a lease.Refusal, or until ctx ends.
+// RequestTransfer asks the holder of a role to transfer it to another router, or to the first
+// router in the role's queue. If several routers hold the role, token selects the holder; 0 selects
+// the first. RequestTransfer sends its request to all candidates until their leader has committed
+// the command or refused it, or until ctx ends. A refusal is returned as a lease.Refusal.
 func (r *Roles) RequestTransfer(ctx context.Context, role, to string, token uint64) error {
 	if len(role) > lease.MaxNameBytes || len(to) > lease.MaxNameBytes {
 		return fmt.Errorf("a duty's and a router's name have %d bytes at most", lease.MaxNameBytes)
--- a/internal/router/peering/roles.go
+++ b/internal/router/peering/roles.go
@@ -17,52 +17,53 @@
 	"reachspread/internal/routing"
 )
 
-// The errors of calls that only a router with a voter can serve.
+// Errors of calls that need a local voter.
 var (
 	ErrNoVoter = errors.New("this router does not vote")
 	errBusy    = errors.New("the voter has too much to do")
 )
 
-// RolesConfig is what a router's Roles are told at their start.
+// RolesConfig configures a router's Roles.
 type RolesConfig struct {
 	Self   lease.Router
 	Timing lease.Timing
 	Roles  []lease.Role
 	Voters int // 1, 3, 5 or 7
-	// ReplaceTimeout is as in quorum.Config.
+	// ReplaceTimeout is passed to quorum.Config.
 	ReplaceTimeout time.Duration
-	// Candidates are the names of the routers that may vote, the same at all; CandidateAddresses
-	// are where they reach each other over TCP.
+	// Candidates lists the names of the routers that may vote; all routers have the same list.
+	// CandidateAddresses maps each name to the TCP address where other candidates reach it.
 	Candidates         []string
 	CandidateAddresses map[string]string
-	// Listen and Folder are this candidate's address and the directory of its store, empty for a
-	// router that only asks the voters.
+	// Listen is this candidate's TCP address, and Folder is the directory of its store. Both are
+	// empty at a router that is no candidate and only asks the voters.
 	Listen string
 	Folder string
 	Seed   uint64
 }
 
-// Roles are the singleton roles of one router: its agent and, at a candidate, its voter.
+// Roles manages the singleton roles of one router. It runs the router's lease agent and, at a
+// candidate, its voter.
 type Roles struct {
 	config    RolesConfig
 	send      func(to netip.AddrPort, data []byte)
 	log       routing.Logger
-	startedAt time.Time // of the deciders' time, by the monotonic clock
+	startedAt time.Time // origin of the time that the agent and the voter use, by the monotonic clock
 	defined   atomic.Pointer[[]lease.Role]
 	view      atomic.Pointer[members.View]
-	wake      chan struct{} // has Run look at the agent's next time
+	wake      chan struct{} // makes Run recompute when the agent is due
 
-	mu             sync.Mutex // guards all up to workContext
+	mu             sync.Mutex // guards the fields up to workContext
 	agent          *lease.Agent
 	works          map[string]*roleWork         // by role
-	awaitedResults map[uint32]chan lease.Result // of operators' requests, by ID
+	awaitedResults map[uint32]chan lease.Result // results of operators' requests, by request ID
 	workContext    context.Context
 
-	running sync.WaitGroup // works
+	running sync.WaitGroup // counts the running works
 
-	// Of the voter. Its goroutine alone uses voter and store.
+	// The fields of the voter. Only the voter's goroutine uses voter and store.
 	isCandidate  bool
-	voterRunning atomic.Bool // its store is open, and has not failed
+	voterRunning atomic.Bool // the voter's store is open and no write has failed
 	voter        *quorum.Voter
 	store        *store
 	loopPace     pacing.Meter
@@ -70,16 +71,17 @@
 	voterEvents  chan any // quorum.Event or *voterQuery, maxVoterEvents at most
 	voterStatus  atomic.Pointer[VoterStatus]
 
-	recordMu   sync.Mutex // one record at a time
+	recordMu   sync.Mutex // serializes calls of keepRecord
 	keepRecord func(token uint64, text []byte) uint64
 
 	begun, ended, rejected atomic.Uint64
 }
 
-// maxVoterEvents bounds what waits for the voter; further messages are lost.
+// maxVoterEvents is the length of the voter's event queue. Events that arrive while it is full are
+// dropped.
 const maxVoterEvents = 512
 
-// NewRoles returns the roles of a router, which do nothing before Run.
+// NewRoles returns the Roles of a router. The caller starts it with Run.
 func NewRoles(c RolesConfig, send func(netip.AddrPort, []byte), log routing.Logger) (*Roles, error) {
 	r := &Roles{config: c, send: send, log: log, startedAt: time.Now(), wake: make(chan struct{}, 1),
 		works: map[string]*roleWork{}, awaitedResults: map[uint32]chan lease.Result{}, voterEvents: make(chan any, maxVoterEvents)}
@@ -100,7 +102,8 @@
 	return r, nil
 }
 
-// handleVoterMessage takes in a message of another candidate: a record or one for the voter.
+// handleVoterMessage handles a message from another candidate: a fleet record or a message for the
+// voter.
 func (r *Roles) handleVoterMessage(data []byte) {
 	if data[0] == recordPrefix {
 		r.handleRecord(data[1:])
@@ -109,8 +112,9 @@
 	r.post(quorum.MessageReceived{Data: data})
 }
 
-// Define replaces the roles that exist. The voters agree on new ones once their leader is told of
-// them: until then a router that wants one is told that there is no such role, and asks again.
+// Define replaces the set of roles that exist. The voters agree on a new role once their leader has
+// it defined. Until then they refuse a router's request for that role, because the role does not
+// exist, and the router retries.
 func (r *Roles) Define(roles []lease.Role) error {
 	if _, err := lease.NewTable(roles, 0); err != nil {
 		return err
@@ -119,10 +123,10 @@
 	return nil
 }
 
-// now is the deciders' time.
+// now returns the time that the agent and the voter use: the time since startedAt.
 func (r *Roles) now() time.Duration { return time.Since(r.startedAt) }
 
-// post queues an event for the voter, and reports whether there was capacity.
+// post queues an event for the voter, and reports whether the queue had capacity.
 func (r *Roles) post(e any) bool {
 	select {
 	case r.voterEvents <- e:
@@ -132,12 +136,12 @@
 	}
 }
 
-// SetWorkContext sets the context of all works. It is to be called before anything else but
-// NewRoles.
+// SetWorkContext sets the parent context of all works. The caller must call it right after
+// NewRoles, before any other method.
 func (r *Roles) SetWorkContext(ctx context.Context) { r.workContext = ctx }
 
 // Run drives the agent and, at a candidate, the voter until ctx ends. It returns once the voter has
-// ended. It gives nothing back: see ReleaseAll.
+// ended. It does not release the router's roles: ReleaseAll does.
 func (r *Roles) Run(ctx context.Context) {
 	if r.isCandidate {
 		var voter sync.WaitGroup
@@ -159,7 +163,7 @@
 	}
 }
 
-// tickAgent does what is due, and returns when something is due next, 0 for never.
+// tickAgent ticks the agent if it is due, and returns when it is due next, 0 for never.
 func (r *Roles) tickAgent() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -169,7 +173,7 @@
 	return r.agent.Next()
 }
 
-// carryOut carries out the agent's actions. The caller holds mu.
+// carryOut carries out the agent's actions and wakes Run. The caller holds mu.
 func (r *Roles) carryOut(actions []lease.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -189,10 +193,12 @@
 	}
 }
 
-// localAgent is whom the local voter replies to, in place of an address.
+// localAgent stands for the local agent where a request to the local voter states the sender's
+// address.
 const localAgent = "self"
 
-// sendRequest sends a request to a candidate, or to the local voter.
+// sendRequest sends a request to a candidate. A request to this router goes to the local voter
+// while that runs.
 func (r *Roles) sendRequest(to string, q *lease.Request) {
 	if to == r.config.Self.Name && r.voterRunning.Load() {
 		r.post(quorum.RequestReceived{From: localAgent, Request: q})
@@ -203,12 +209,12 @@
 	}
 }
 
-// HandleDatagram takes in a datagram of roles: a request for the local voter, or a reply. It never
-// waits.
+// HandleDatagram handles a role datagram: a request to the local voter, or a reply. It never
+// blocks.
 func (r *Roles) HandleDatagram(from netip.AddrPort, data []byte) {
 	request, reply, err := lease.Decode(data)
 	switch {
-	case err != nil: // as good as lost
+	case err != nil: // drop it; the protocol tolerates lost datagrams
 	case request != nil:
 		if r.voterRunning.Load() {
 			r.post(quorum.RequestReceived{From: from.String(), Request: request})
@@ -218,7 +224,7 @@
 	}
 }
 
-// handleReply takes in a voter's reply to an operator's request or to the agent's.
+// handleReply handles a voter's reply to an operator's request or to a request of the agent.
 func (r *Roles) handleReply(from string, reply *lease.Reply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -232,7 +238,8 @@
 	r.carryOut(r.agent.HandleReply(r.now(), from, reply))
 }
 
-// UpdateView takes in the membership. It never waits.
+// UpdateView sets the current membership view and tells the local voter which routers are alive. It
+// never blocks.
 func (r *Roles) UpdateView(v *members.View) {
 	r.view.Store(v)
 	if !r.voterRunning.Load() {
@@ -245,7 +252,8 @@
 	r.post(quorum.Membership{Alive: alive})
 }
 
-// addressOf returns where the membership has a router.
+// addressOf returns the address of a router according to the membership. It reports false for a
+// router that is no member.
 func (r *Roles) addressOf(name string) (netip.AddrPort, bool) {
 	m := r.findMember(func(m *members.Member) bool { return m.Name == name })
 	if m == nil {
@@ -254,7 +262,7 @@
 	return m.Addr, true
 }
 
-// nameAt returns the router at an address, empty for one that is no member.
+// nameAt returns the name of the member at an address, empty if no member has that address.
 func (r *Roles) nameAt(address netip.AddrPort) string {
 	m := r.findMember(func(m *members.Member) bool { return m.Addr == address })
 	if m == nil {
--- a/internal/router/peering/store.go
+++ b/internal/router/peering/store.go
@@ -20,21 +20,22 @@
 // The files of a voter's directory.
 const (
 	storeFileName       = "voter.db"
-	unreadStoreFileName = "voter.db.unread" // the last one that could not be read
+	unreadStoreFileName = "voter.db.unread" // the last store file that could not be read
 	storeLockName       = "voter.lock"
 	freshStoreSuffix    = ".new"
 )
 
 const (
-	storeOpenTimeout = time.Second // for the lock that the engine takes itself
-	storeAllocBytes  = 64 << 10    // by which the file grows
-	// maxStoredEntries is far more than a voter keeps between two snapshots: broken pages may lead
-	// in circles.
+	storeOpenTimeout = time.Second // how long bbolt waits for its own file lock
+	storeAllocBytes  = 64 << 10    // the file grows in steps of this size
+	// maxStoredEntries bounds how many log entries are read from a store, because broken pages may
+	// refer to each other in a cycle. It is far above what a voter keeps between two snapshots.
 	maxStoredEntries = 20_000
-	storeFormat      = 1 // of quorum.Meta
+	storeFormat      = 1 // quorum.Meta.Version of the stores that this version reads
 )
 
-// The buckets of a store, and the keys of metaBucket; logBucket has entries by their index.
+// The buckets of a store and the keys in metaBucket. The keys in logBucket are the indexes of the
+// log entries.
 var (
 	metaBucket   = []byte("meta")
 	logBucket    = []byte("log")
@@ -43,21 +44,24 @@
 	snapshotKey  = []byte("snapshot")
 )
 
-// store is a voter's quorum.StoredState on disk, in a bbolt file. Each value has a checksum: the
-// engine guards its own pages, not what is in them.
+// store keeps a voter's quorum.StoredState on disk, in a bbolt file. Each value has a checksum,
+// because bbolt's own checksums do not cover the values.
 type store struct {
 	db   *bbolt.DB
 	path string
 	lock *os.File
 }
 
-// openStore opens a directory's store and returns what it has, nil for nothing. A file that can't
-// be read is set aside, and unread says why. Of one that has a broken log entry, what was read
-// before it is returned all the same: a log that ends before what was committed is rejected by
-// quorum.New, one that ends before what was acknowledged by the records of other candidates. A file
-// that can be read is written anew: pages that are broken and were not read would be met later, and
-// the file is no longer than it must be. Another process's store is an error that wraps
-// durable.ErrLocked.
+// openStore opens the store in a directory and returns its content, nil if it is empty. If another
+// process uses the store, the error wraps durable.ErrLocked.
+//
+// A file that can't be read is renamed to unreadStoreFileName, and unread is the reason. If a log
+// entry is broken, openStore still returns what was read before that entry. This is safe: quorum.New
+// rejects a log that ends before the commit index, and the records that other candidates keep of
+// this store reveal a log that ends before the last acknowledged entry.
+//
+// openStore copies the content of a readable file into a new file. The copy has no broken pages
+// that were not read now and would cause errors later, and it is no larger than necessary.
 func openStore(directory string) (s *store, stored *quorum.StoredState, unread error, err error) {
 	if err := os.MkdirAll(directory, 0o755); err != nil {
 		return nil, nil, nil, err
@@ -86,7 +90,8 @@
 	return s, stored, unread, nil
 }
 
-// create writes a new file beside the old one, and puts it in its place.
+// create writes a new file with the stored state in the same directory and renames it over the old
+// file.
 func (s *store) create(stored *quorum.StoredState) (err error) {
 	fresh := s.path + freshStoreSuffix
 	os.Remove(fresh)
@@ -114,8 +119,9 @@
 	s.lock.Close()
 }
 
-// persist carries out a quorum.Persist in one transaction, and returns once it is on the disk. The
-// engine maps its file: a page beyond its end is a fault, which must not end the process.
+// persist carries out a quorum.Persist in one transaction, and returns once the transaction is
+// synced to disk. It turns memory faults into errors: bbolt maps its file into memory, and access to
+// a page beyond the end of the file would otherwise crash the process.
 func (s *store) persist(p *quorum.Persist) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -153,7 +159,7 @@
 	return nil
 }
 
-// putMeta writes what is no log.
+// putMeta writes all parts of a quorum.Persist except the log entries.
 func putMeta(meta *bbolt.Bucket, p *quorum.Persist) error {
 	if p.Meta != nil {
 		if err := putJSON(meta, metaKey, p.Meta); err != nil {
@@ -171,9 +177,10 @@
 	return nil
 }
 
-// putLog writes the log's entries and deletes those that are replaced or compacted.
+// putLog writes the log entries of a quorum.Persist and deletes the entries that it replaces or
+// compacts.
 func putLog(log *bbolt.Bucket, p *quorum.Persist) error {
-	if p.Snapshot != nil && p.Compact == 0 { // it replaces the log
+	if p.Snapshot != nil && p.Compact == 0 { // the snapshot replaces the log
 		if err := deleteEntries(log, 0, maxIndex); err != nil {
 			return err
 		}
@@ -194,12 +201,13 @@
 	return nil
 }
 
-// readStore reads all that a file has, nil for an empty store.
+// readStore reads the complete content of a store file, nil for an empty store. After a broken log
+// entry it returns both an error and what was read before that entry.
 func readStore(path string) (stored *quorum.StoredState, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if x := recover(); x != nil {
-			stored, err = nil, fmt.Errorf("%s: %v", path, x) // the file stays open, and is set aside
+			stored, err = nil, fmt.Errorf("%s: %v", path, x) // the caller renames the file
 		}
 	}()
 	db, err := bbolt.Open(path, 0o644, &bbolt.Options{Timeout: storeOpenTimeout, ReadOnly: true})
@@ -213,7 +221,7 @@
 			return err
 		}
 		if info.Size() < tx.Size() {
-			return fmt.Errorf("%s has %d bytes, and says %d", path, info.Size(), tx.Size())
+			return fmt.Errorf("store file %s is truncated: it has %d bytes, its header states %d", path, info.Size(), tx.Size())
 		}
 		stored, err = readBuckets(tx)
 		return err
@@ -232,7 +240,7 @@
 		return nil, err
 	}
 	if stored.Meta.Version != storeFormat {
-		return nil, fmt.Errorf("the store has version %d, not %d", stored.Meta.Version, storeFormat)
+		return nil, fmt.Errorf("the store has format version %d; only version %d is supported", stored.Meta.Version, storeFormat)
 	}
 	hardState, snapshot := &raftpb.HardState{}, &raftpb.Snapshot{}
 	if exists, err = getMessage(meta, hardStateKey, hardState); err != nil {
@@ -256,7 +264,7 @@
 			return err
 		}
 		if len(entries) >= maxStoredEntries {
-			return fmt.Errorf("the store has more than %d commands", maxStoredEntries)
+			return fmt.Errorf("the store has more than %d log entries", maxStoredEntries)
 		}
 		e := &raftpb.Entry{}
 		entries = append(entries, e)
--- a/internal/router/peering/store_values.go
+++ b/internal/router/peering/store_values.go
@@ -14,20 +14,21 @@
 	"reachspread/internal/router/quorum"
 )
 
-// A value of a store is JSON or a protobuf message with a checksum (CRC-32C) behind it.
-
+// checksumBytes is the length of the CRC-32C checksum that follows each value of a store. The value
+// itself is JSON or a protobuf message.
 const checksumBytes = 4
 
 var (
 	castagnoli  = crc32.MakeTable(crc32.Castagnoli)
-	errChecksum = errors.New("a sum is wrong")
+	errChecksum = errors.New("a stored value has a wrong checksum")
 )
 
 func appendChecksum(b []byte) []byte {
 	return binary.BigEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
 }
 
-// stripChecksum returns a copy of what is before the checksum, nil for nil.
+// stripChecksum verifies the checksum at the end of b and returns a copy of the bytes before it. It
+// returns nil for nil.
 func stripChecksum(b []byte) ([]byte, error) {
 	if b == nil {
 		return nil, nil
@@ -55,19 +56,19 @@
 	return bucket.Put(key, appendChecksum(text))
 }
 
-// getMeta reads a store's description, and reports whether it exists.
+// getMeta reads a store's quorum.Meta into m, and reports whether the store has one.
 func getMeta(bucket *bbolt.Bucket, m *quorum.Meta) (exists bool, err error) {
 	text, err := stripChecksum(bucket.Get(metaKey))
 	if err != nil || text == nil {
 		return false, err
 	}
 	if err := json.Unmarshal(text, m); err != nil {
-		return false, fmt.Errorf("the store's description: %w", err)
+		return false, fmt.Errorf("metadata of the voter's store: %w", err)
 	}
 	return true, nil
 }
 
-// getMessage reads a value, and reports whether it exists.
+// getMessage reads the protobuf message under a key into m, and reports whether the key exists.
 func getMessage(bucket *bbolt.Bucket, key []byte, m proto.Message) (exists bool, err error) {
 	text, err := stripChecksum(bucket.Get(key))
 	if err != nil || text == nil {
@@ -76,12 +77,12 @@
 	return true, proto.Unmarshal(text, m)
 }
 
-const maxIndex = math.MaxUint64 // of an entry
+const maxIndex = math.MaxUint64 // the largest index of a log entry
 
-// indexKey is the key of an entry: keys are in the order of indexes.
+// indexKey returns the key of a log entry. Big-endian keys sort in the order of the indexes.
 func indexKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
-// deleteEntries deletes the entries from one index to another, both included.
+// deleteEntries deletes the log entries with indexes from through to, both inclusive.
 func deleteEntries(log *bbolt.Bucket, from, to uint64) error {
 	c := log.Cursor()
 	for key, _ := c.Seek(indexKey(from)); key != nil && binary.BigEndian.Uint64(key) <= to; key, _ = c.Next() {
--- a/internal/router/peering/view_driver.go
+++ b/internal/router/peering/view_driver.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	// maxQueuedDatagrams bounds the datagrams that wait for the decider; further ones are lost, as
-	// on any network.
+	// maxQueuedDatagrams is the length of the queue of datagrams for the decider. Datagrams that
+	// arrive while it is full are dropped, which the protocol tolerates like any network loss.
 	maxQueuedDatagrams = 512
-	// maxLoggedNames bounds the members that a log line names.
+	// maxLoggedNames is how many members a log line names at most.
 	maxLoggedNames = 8
 )
 
-// ViewDriver drives the membership: the goroutine of Run owns the decider, and everybody may read
-// the view.
+// ViewDriver drives the membership decider of a router. Run's goroutine owns the decider; any
+// goroutine may read the view.
 type ViewDriver struct {
 	decider       *members.Decider
 	send          func(to netip.AddrPort, data []byte)
-	changed       func(*members.View, *members.Changed) // called by Run's goroutine; must not wait
+	changed       func(*members.View, *members.Changed) // called by Run's goroutine; must not block
 	log           routing.Logger
-	start         time.Time // of the decider's time, by the monotonic clock
+	start         time.Time // origin of the decider's time, by the monotonic clock
 	datagrams     chan datagram
 	leaveRequests chan leaveRequest
 	seeds         chan []netip.AddrPort
@@ -36,29 +36,29 @@
 
 	view     atomic.Pointer[members.View]
 	stats    atomic.Pointer[members.Stats]
-	dropped  atomic.Uint64 // datagrams for which the queue had no capacity
+	dropped  atomic.Uint64 // datagrams that were too long or did not fit into the queue
 	loopPace pacing.Meter
 
-	incarnation     uint32 // the local member's so far
-	invariantBroken bool   // it was logged that an invariant does not hold
+	incarnation     uint32 // highest incarnation of the local member so far
+	invariantBroken bool   // a broken invariant was already logged
 }
 
-// datagram is one of the queue, in a buffer of the pool.
+// datagram is a queued datagram: the first n bytes of data, a buffer from the pool.
 type datagram struct {
 	from netip.AddrPort
 	n    int
 	data *[members.MaxDatagramLen]byte
 }
 
-// leaveRequest asks Run's goroutine to leave the membership; done is closed once others are
-// notified.
+// leaveRequest asks Run's goroutine to leave the membership. Run closes done once it has sent the
+// notifications to the other members.
 type leaveRequest struct {
 	replaced bool
 	done     chan bool
 }
 
-// NewViewDriver returns the driver of a router that starts with Run. Changed is called with each change,
-// in order.
+// NewViewDriver returns the membership driver of a router. The caller starts it with Run or RunOn.
+// Run calls changed for each change of the view, in order.
 func NewViewDriver(c members.Config, send func(netip.AddrPort, []byte), changed func(*members.View, *members.Changed),
 	log routing.Logger) (*ViewDriver, error) {
 	d, err := members.New(c, 0)
@@ -79,7 +79,7 @@
 	return v, nil
 }
 
-// HandleDatagram queues a copy of a datagram. It never waits.
+// HandleDatagram queues a copy of a datagram for Run. It never blocks.
 func (v *ViewDriver) HandleDatagram(from netip.AddrPort, data []byte) {
 	if len(data) > members.MaxDatagramLen {
 		v.dropped.Add(1)
@@ -94,9 +94,10 @@
 	}
 }
 
-// RunOn is Run from when the gossip has its address on. A process that takes over waits for the one
-// before to give the address up; a member that joined meanwhile would find nobody who knows its
-// earlier incarnation, and begin with the first.
+// RunOn waits until g has opened its address, and then runs Run. A process that replaces another
+// one can open the address only after the earlier process has closed it. If the member joined
+// before that, it would receive no reply that states its earlier incarnation, and would start again
+// with the first incarnation.
 func (v *ViewDriver) RunOn(ctx context.Context, g *Gossip) {
 	select {
 	case <-g.Opened():
@@ -105,7 +106,7 @@
 	}
 }
 
-// Run steps the decider until ctx ends. The decider's time begins with it.
+// Run steps the decider until ctx ends. The decider's time starts at 0 when Run is called.
 func (v *ViewDriver) Run(ctx context.Context) {
 	v.start = time.Now()
 	timer := time.NewTimer(0)
@@ -134,11 +135,12 @@
 	}
 }
 
-// Pace returns the counters of the loop. It never waits.
+// Pace returns the step and stall counters of Run's loop. It never blocks.
 func (v *ViewDriver) Pace() pacing.Stats { return v.loopPace.Stats() }
 
-// Leave notifies the other members that this router ends; replaced says that another process of it
-// takes over. It returns once the notifications are sent, or ctx has ended.
+// Leave notifies the other members that this router ends. If replaced is set, another process of
+// the same router takes over, and nothing is announced. Leave returns once the decider has handled
+// the request, or ctx has ended.
 func (v *ViewDriver) Leave(ctx context.Context, replaced bool) {
 	l := leaveRequest{replaced, make(chan bool)}
 	select {
@@ -148,7 +150,7 @@
 	}
 }
 
-// SetSeeds replaces the addresses that are asked for the membership.
+// SetSeeds replaces the addresses that the router contacts to join the membership.
 func (v *ViewDriver) SetSeeds(ctx context.Context, all []netip.AddrPort) {
 	select {
 	case v.seeds <- all:
@@ -156,13 +158,13 @@
 	}
 }
 
-// Now returns the present view. It never waits, and the caller must not change the view.
+// Now returns the current view. It never blocks, and the caller must not change the view.
 func (v *ViewDriver) Now() *members.View { return v.view.Load() }
 
-// Stats returns the counters as of the last step. It never waits.
+// Stats returns the counters as of the last step. It never blocks.
 func (v *ViewDriver) Stats() members.Stats { return *v.stats.Load() }
 
-// publish has everybody see the present view and counters.
+// publish makes the decider's current view and counters visible to Now and Stats.
 func (v *ViewDriver) publish() {
 	v.view.Store(v.decider.View())
 	v.publishStats()
@@ -173,7 +175,8 @@
 	v.stats.Store(&s)
 }
 
-// step steps the decider with an event now, carries out its actions, and returns that time.
+// step steps the decider with an event at the current time, carries out the actions, and returns
+// that time.
 func (v *ViewDriver) step(e members.Event) time.Duration {
 	at := time.Since(v.start)
 	for _, a := range v.decider.Step(at, e) {
@@ -186,9 +189,9 @@
 			v.changed(now, &a)
 			v.logChange(&a)
 		case members.NameConflict:
-			v.log.Warn("name conflict", "name", a.Name, "claimed_by", a.Addr)
+			v.log.Warn("name of a live member claimed by another process", "name", a.Name, "claimed_by", a.Addr)
 		case members.LocalNameTaken:
-			v.log.Warn("name taken", "told_by", a.By)
+			v.log.Warn("local router name already used by a live member", "told_by", a.By)
 		}
 	}
 	v.publishStats()
@@ -196,8 +199,8 @@
 	return at
 }
 
-// checkInvariants logs once that something does not hold which always must of the local member: a
-// bug of this program.
+// checkInvariants logs, once, that an invariant of the local member is broken: its incarnation
+// decreased, or its state is Dead or Suspected. Either is a bug of this program.
 func (v *ViewDriver) checkInvariants() {
 	incarnation, state := v.decider.Incarnation(), v.decider.State()
 	broken := incarnation < v.incarnation || state == members.Dead || state == members.Suspected
@@ -208,8 +211,8 @@
 	v.incarnation = max(v.incarnation, incarnation)
 }
 
-// logChange logs members that were lost, by reason, and members that are back. Who joins, restarts
-// or leaves as intended is not logged.
+// logChange logs the members that were lost, grouped by reason, and the members that returned.
+// Joins, restarts and intended leaves are not logged.
 func (v *ViewDriver) logChange(c *members.Changed) {
 	byReason := map[members.Reason][]string{}
 	for _, x := range c.Changes {
@@ -221,7 +224,7 @@
 		}
 	}
 	if names := byReason[members.ReasonReturned]; len(names) > 0 {
-		v.log.Info("routers back", "count", len(names), "names", joinNames(names), "view", c.Version)
+		v.log.Info("lost routers returned", "count", len(names), "names", joinNames(names), "view", c.Version)
 	}
 }
 
