--- a/internal/router/peering/fleet_records.go
+++ b/internal/router/peering/fleet_records.go
@@ -5,25 +5,29 @@
 	"slices"
 )
 
-// ScribeRole is the role under which fleet records are sent.
+// ScribeRole is the name of the role whose holder sends fleet records.
 const ScribeRole = "scribe"
 
-// fleetRecord is the scribe's record on its way to another candidate, or that one's rejection of
-// it. Its frame has recordPrefix before it.
+// fleetRecord is the message that carries a fleet record from the holder of ScribeRole to another
+// candidate. A message without Text is that candidate's rejection of the record. In a frame,
+// recordPrefix precedes the JSON.
 type fleetRecord struct {
 	From  string          `json:"from"`
 	Token uint64          `json:"token"`
-	Text  json.RawMessage `json:"text,omitempty"` // without it, Token is higher than the record's, which is rejected
+	Text  json.RawMessage `json:"text,omitempty"` // absent in a rejection, whose Token is higher than that of the rejected record
 }
 
-// recordPrefix tells a record from a voter's message, which is a JSON object.
+// recordPrefix is the first byte of a fleet record's frame. It distinguishes records from messages
+// of voters, which are JSON objects.
 const recordPrefix = 'R'
 
-// OnRecord has keep be called with records of other routers, one at a time. It returns a higher
-// token that it knows of, 0 for none.
+// OnRecord sets the function that stores the fleet records of other routers. Keep is called with
+// one record at a time, and returns a token that it knows of and that is higher than the record's,
+// 0 for none.
 func (r *Roles) OnRecord(keep func(token uint64, text []byte) uint64) { r.keepRecord = keep }
 
-// SendRecord sends a scribe's record to the next candidate that is alive. It never waits.
+// SendRecord sends a fleet record to the next live candidate after this one in the list of
+// candidates. It never blocks.
 func (r *Roles) SendRecord(token uint64, text []byte) {
 	if r.voterLink == nil {
 		return
@@ -45,7 +49,8 @@
 	}
 }
 
-// handleRecord takes in another router's record, or that the local one was rejected.
+// handleRecord handles another router's record, or the rejection of a record that this router sent.
+// It answers a record that has an outdated token with a rejection.
 func (r *Roles) handleRecord(data []byte) {
 	var record fleetRecord
 	if json.Unmarshal(data, &record) != nil || r.config.CandidateAddresses[record.From] == "" {
--- a/internal/router/peering/gossip.go
+++ b/internal/router/peering/gossip.go
@@ -17,33 +17,34 @@
 	"reachspread/internal/routing"
 )
 
-// maxDatagramBytes is the platform's bound. One byte more is read, so that a longer datagram is not
-// taken for a complete one.
+// maxDatagramBytes is the longest datagram that the platform allows. Run reads one byte more, so
+// that it can tell a longer datagram, which the kernel truncates, from a complete one.
 const maxDatagramBytes = 256
 
-// Gossip exchanges datagrams with the other routers. What to send and what to believe is not
-// decided here.
+// Gossip exchanges datagrams with the other routers. Its users decide what to send and how to act
+// on received datagrams.
 type Gossip struct {
 	listen      *net.UDPAddr
-	conn        atomic.Pointer[net.UDPConn] // nil while the address is another's
+	conn        atomic.Pointer[net.UDPConn] // nil while another process has the address
 	opened      chan struct{}               // closed once conn is set
 	peers       []netip.AddrPort
 	peerNumbers map[netip.AddrPort]int
 	log         routing.Logger
 
-	// The owners of datagrams of other kinds than peer reports, nil where there is none. They must
-	// neither wait nor keep the datagram.
+	// The handlers of datagrams that are no peer reports, nil where no handler is set. They must
+	// neither block nor retain the datagram.
 	handleMembers  func(from netip.AddrPort, data []byte)
 	handleRoles    func(from netip.AddrPort, data []byte)
 	handleRecovery func(from netip.AddrPort, data []byte)
 
-	dropped atomic.Uint64 // datagrams that were cut, of another version, or from a stranger
-	notSent atomic.Uint64
+	dropped atomic.Uint64 // received datagrams that were truncated, of another version, or not from a peer
+	notSent atomic.Uint64 // datagrams that could not be sent
 }
 
-// NewGossip listens at an address for datagrams of the peers, which are in the order of their
-// numbers. TakesOver says that a process which is being replaced may still have the address: that
-// is no error, and Run takes the address over.
+// NewGossip returns a Gossip that listens at an address. Peers lists the addresses of the routers;
+// the index of an address is the number of that peer. TakesOver states that this process replaces
+// another one, which may still have the address. An address in use is then no error: Run waits
+// until the address is free.
 func NewGossip(listen string, peers []string, takesOver bool, log routing.Logger) (*Gossip, error) {
 	g := &Gossip{peerNumbers: map[netip.AddrPort]int{}, opened: make(chan struct{}), log: log}
 	for i, p := range peers {
@@ -73,15 +74,17 @@
 	return err
 }
 
-// Opened is closed once the address is this process's. Until then nothing is sent or heard.
+// Opened returns a channel that is closed once this process has opened the address. Until then
+// Gossip neither sends nor receives datagrams.
 func (g *Gossip) Opened() <-chan struct{} { return g.opened }
 
 const (
 	takeOverInterval = 50 * time.Millisecond
-	takeOverTimeout  = 10 * time.Second // a process that is replaced has ended by then
+	takeOverTimeout  = 10 * time.Second // the process that is being replaced normally ends within this time
 )
 
-// takeOver waits for the address, and logs once if that takes too long.
+// takeOver retries to open the address until it succeeds or ctx ends. It logs a warning once if the
+// address is still in use after takeOverTimeout.
 func (g *Gossip) takeOver(ctx context.Context) {
 	ticker := time.NewTicker(takeOverInterval)
 	defer ticker.Stop()
@@ -99,7 +102,8 @@
 	}
 }
 
-// Run receives datagrams until ctx ends, and gives peer reports to received.
+// Run receives datagrams until ctx ends. It passes peer reports to received, and other datagrams to
+// the handlers for their kinds.
 func (g *Gossip) Run(ctx context.Context, received func(balance.ReportsReceived)) {
 	g.takeOver(ctx)
 	conn := g.conn.Load()
@@ -131,8 +135,8 @@
 	}
 }
 
-// ownerOf returns who handles a datagram by its first byte, nil for peer reports and for what has
-// no owner here.
+// ownerOf returns the handler for a datagram's kind, which its first byte states. It returns nil
+// for peer reports and for kinds without a handler.
 func (g *Gossip) ownerOf(data []byte) func(from netip.AddrPort, data []byte) {
 	switch {
 	case members.IsDatagram(data):
@@ -156,16 +160,16 @@
 	return balance.ReportsReceived{From: number, Zone: zone, Reports: reports}, err
 }
 
-// drop counts a datagram that can't be used, and logs the first: routers of other versions would
-// send many.
+// drop counts an unusable datagram. It logs only the first one, because a router of another version
+// may send many.
 func (g *Gossip) drop(from netip.AddrPort, cause error) {
 	if g.dropped.Add(1) == 1 {
-		g.log.Warn("datagram dropped", "from", from, "cause", cause)
+		g.log.Warn("peer datagram dropped", "from", from, "cause", cause)
 	}
 }
 
-// SendReports sends reports to peers by their numbers. It never waits: what can't be sent now is
-// lost.
+// SendReports sends reports to the peers with the numbers in r.To. It never blocks: a datagram that
+// can't be sent immediately is dropped and counted.
 func (g *Gossip) SendReports(r balance.SendReports) {
 	conn := g.conn.Load()
 	if conn == nil {
@@ -184,23 +188,24 @@
 	}
 }
 
-// OnMembersDatagram has handle be called with datagrams of the membership; it must neither wait nor
-// keep them. It is to be called before Run.
+// OnMembersDatagram sets the handler of membership datagrams, which must neither block nor retain
+// them. The caller must call OnMembersDatagram before Run.
 func (g *Gossip) OnMembersDatagram(handle func(from netip.AddrPort, data []byte)) {
 	g.handleMembers = handle
 }
 
-// OnRolesDatagram has handle be called with datagrams of roles, as OnMembersDatagram.
+// OnRolesDatagram sets the handler of role datagrams. The rules of OnMembersDatagram apply.
 func (g *Gossip) OnRolesDatagram(handle func(from netip.AddrPort, data []byte)) {
 	g.handleRoles = handle
 }
 
-// OnRecoveryDatagram has handle be called with datagrams of recovery, as OnMembersDatagram.
+// OnRecoveryDatagram sets the handler of recovery datagrams. The rules of OnMembersDatagram apply.
 func (g *Gossip) OnRecoveryDatagram(handle func(from netip.AddrPort, data []byte)) {
 	g.handleRecovery = handle
 }
 
-// Send sends a datagram to an address. What can't be sent now is lost.
+// Send sends a datagram to an address. A datagram that can't be sent immediately is dropped and
+// counted.
 func (g *Gossip) Send(to netip.AddrPort, data []byte) {
 	conn := g.conn.Load()
 	if conn == nil {
@@ -212,5 +217,6 @@
 	}
 }
 
-// Dropped returns how many datagrams could not be used, and how many could not be sent.
+// Dropped returns how many received datagrams were unusable, and how many datagrams could not be
+// sent.
 func (g *Gossip) Dropped() (unusable, notSent uint64) { return g.dropped.Load(), g.notSent.Load() }
--- a/internal/router/peering/gossip_test.go
+++ b/internal/router/peering/gossip_test.go
@@ -59,7 +59,7 @@
 	if diff := cmp.Diff(balance.ReportsReceived{From: 1, Zone: 3, Reports: reports}, scripted.Receive(t, received, "reports")); diff != "" {
 		t.Error(diff)
 	}
-	if line := scripted.Receive(t, lines, "a line"); !strings.HasPrefix(line, "datagram dropped") || len(lines) > 0 {
+	if line := scripted.Receive(t, lines, "a line"); !strings.HasPrefix(line, "peer datagram dropped") || len(lines) > 0 {
 		t.Errorf("got the line %q and %d more, want one for the first dropped", line, len(lines))
 	}
 	if unread, _ := g.Dropped(); unread != 5 {
--- a/internal/router/peering/voter.go
+++ b/internal/router/peering/voter.go
@@ -14,12 +14,13 @@
 )
 
 const (
-	voterRetryDelay = time.Second            // until a voter that has failed is begun anew
-	statusInterval  = 200 * time.Millisecond // how old VoterStatus may be
+	voterRetryDelay = time.Second            // delay before a failed voter is restarted
+	statusInterval  = 200 * time.Millisecond // minimum time between two publications of VoterStatus by steps without a query
 )
 
-// runVoter runs this candidate's voter until ctx ends. One whose store can't be used, or fails, is
-// begun anew as after a crash: the router serves meanwhile, and asks the other voters.
+// runVoter runs this candidate's voter until ctx ends. If the voter's store can't be opened or a
+// write to it fails, runVoter restarts the voter as after a crash. Meanwhile the router serves, and
+// asks the other voters.
 func (r *Roles) runVoter(ctx context.Context) {
 	linkContext, closeLink := context.WithCancel(ctx)
 	defer closeLink()
@@ -31,7 +32,7 @@
 			logged = ""
 		}
 		if errors.Is(err, durable.ErrLocked) {
-			delay = takeOverInterval // of the process that is being replaced
+			delay = takeOverInterval // the process that is being replaced still holds the lock
 		} else if err != nil && logged != err.Error() {
 			logged = err.Error()
 			r.log.Warn("voter stopped", "cause", err, "again", voterRetryDelay)
@@ -43,8 +44,8 @@
 	}
 }
 
-// runVoterOnce opens the store and steps a voter until ctx ends, or the store fails. Started says
-// that the voter has run.
+// runVoterOnce opens the store and steps a voter until ctx ends or a write to the store fails. It
+// reports in started whether the voter ran.
 func (r *Roles) runVoterOnce(ctx, linkContext context.Context) (started bool, err error) {
 	if err := r.openVoter(); err != nil {
 		return false, err
@@ -58,7 +59,7 @@
 	return true, r.stepVoter(ctx)
 }
 
-// openVoter opens the store and makes the voter of what it has.
+// openVoter opens the store and creates the voter from the stored state.
 func (r *Roles) openVoter() error {
 	s, stored, unread, err := openStore(r.config.Folder)
 	if err != nil {
@@ -78,7 +79,7 @@
 	return nil
 }
 
-// stepVoter steps the voter until ctx ends, or the store fails.
+// stepVoter steps the voter until ctx ends or a write to the store fails.
 func (r *Roles) stepVoter(ctx context.Context) error {
 	r.voterRunning.Store(true)
 	defer r.voterRunning.Store(false)
@@ -116,15 +117,16 @@
 	}
 }
 
-// voterLoop is what the voter's goroutine knows from step to step.
+// voterLoop is the state that the voter's goroutine keeps between steps.
 type voterLoop struct {
 	roles       *Roles
-	lastChanges map[string]string // by role, for operators
-	defined     *[]lease.Role     // as the voter was told last
+	lastChanges map[string]string // description of the last grant or loss, by role; shown to operators
+	defined     *[]lease.Role     // the role definitions that the voter has
 	publishedAt time.Time
 }
 
-// updateRoles tells the voter of roles that were defined since; it looks each tick at the latest.
+// updateRoles passes the role definitions to the voter if Define has changed them. stepVoter calls
+// it before each step, so the voter has new definitions after one tick at the latest.
 func (l *voterLoop) updateRoles() error {
 	r := l.roles
 	defined := r.defined.Load()
@@ -135,7 +137,8 @@
 	return l.carryOut(r.voter.Step(r.now(), quorum.DefineRoles{Roles: *defined}), nil)
 }
 
-// step steps the voter with one event. A query is told its result, after the status has it.
+// step steps the voter with one event. If the event comes from a query, step publishes the status
+// first and then completes the query, so the status shows the query's effect.
 func (l *voterLoop) step(e quorum.Event, query *voterQuery, byTimer bool) error {
 	r := l.roles
 	now := r.now()
@@ -155,8 +158,8 @@
 	return nil
 }
 
-// carryOut carries out the voter's actions in order: nothing after a Persist is done before that is
-// on the disk.
+// carryOut carries out the voter's actions in order. No action after a Persist is carried out until
+// the Persist is synced to disk.
 func (l *voterLoop) carryOut(actions []quorum.Action, query *voterQuery) error {
 	r := l.roles
 	for _, a := range actions {
@@ -192,18 +195,18 @@
 	}
 }
 
-// publishStatus has everybody see how things are.
+// publishStatus stores a snapshot of the voter's state for VoterStatus.
 func (l *voterLoop) publishStatus() {
 	s := &VoterStatus{Status: l.roles.voter.Status(), TakenAt: time.Now()}
 	l.roles.voter.Table().ForEach(func(role *lease.Role, grants []lease.Grant, queue []lease.Router, _ []lease.Reservation) {
-		if !role.ByZone { // its zones are roles of their own
+		if !role.ByZone { // each zone of a ByZone role is listed as a separate role
 			s.Roles = append(s.Roles, RoleStatus{role.Name, role.MaxHolders, slices.Clone(grants), len(queue), l.lastChanges[role.Name]})
 		}
 	})
 	l.roles.voterStatus.Store(s)
 }
 
-// logNotice logs a notice of the voter.
+// logNotice logs a notice of the voter, at a level that depends on its kind.
 func (r *Roles) logNotice(n *quorum.Notice) {
 	switch n.Kind {
 	case quorum.NoticeNoLeader, quorum.NoticeRejoining:
@@ -213,8 +216,8 @@
 	}
 }
 
-// sendReply sends a reply to where the request came from, or a notification to a router by its
-// name.
+// sendReply sends a reply to the address that the request came from, or a notification to the
+// router that it names.
 func (r *Roles) sendReply(a *quorum.SendReply) {
 	self := r.config.Self.Name
 	switch {
--- a/internal/router/peering/voter_link.go
+++ b/internal/router/peering/voter_link.go
@@ -11,13 +11,13 @@
 	"reachspread/internal/router/quorum"
 )
 
-// voterMessage is the kind of all frames between candidates.
+// voterMessage is the link.Kind of every frame between candidates.
 const voterMessage link.Kind = 1
 
 // voterLink carries messages between candidates over TCP.
 type voterLink struct {
-	link      atomic.Pointer[link.Link] // nil until it listens
-	addresses map[string]string         // of the other candidates, by name
+	link      atomic.Pointer[link.Link] // nil until listen succeeds
+	addresses map[string]string         // TCP addresses of the other candidates, by name
 	receive   func(data []byte)
 }
 
@@ -27,11 +27,11 @@
 
 func (l *voterLink) isListening() bool { return l.link.Load() != nil }
 
-// listen opens the address, and carries messages until ctx ends.
+// listen starts listening at address, and accepts and sends messages until ctx ends.
 func (l *voterLink) listen(ctx context.Context, address string) error {
 	at, err := net.ResolveTCPAddr("tcp4", address)
 	if err != nil {
-		return fmt.Errorf("the address for voters: %w", err)
+		return fmt.Errorf("listen address for voters: %w", err)
 	}
 	carrier := link.New(at.AddrPort(), l.handleFrame)
 	if err := carrier.Start(ctx); err != nil {
@@ -41,14 +41,16 @@
 	return nil
 }
 
-// handleFrame takes in a message of another candidate.
+// handleFrame passes a copy of another candidate's message to receive. It drops frames of another
+// kind, empty frames and frames that are too long.
 func (l *voterLink) handleFrame(kind link.Kind, data []byte) {
 	if kind == voterMessage && len(data) > 0 && len(data) <= quorum.MaxMessageBytes {
 		l.receive(bytes.Clone(data))
 	}
 }
 
-// send sends a message to another candidate. It never waits: what can't be queued is lost.
+// send sends a message to another candidate. It never blocks: a message that can't be queued is
+// dropped.
 func (l *voterLink) send(to string, data []byte) {
 	carrier := l.link.Load()
 	if address, known := l.addresses[to]; known && carrier != nil {
--- a/internal/router/peering/work.go
+++ b/internal/router/peering/work.go
@@ -7,34 +7,36 @@
 	"reachspread/internal/router/lease"
 )
 
-// Work is done under a role. Its context ends before the lease does, at the latest, and the work is
-// over when it returns; what it starts meanwhile calls Check before each act. After an error the
-// role is given back and acquired anew later.
+// Work is a function that a router runs while it holds a role; token is the fencing token of its
+// lease. The context ends no later than the lease. All work under the role must have ended when the
+// function returns. Work must call Check before each act under the role. When the function returns,
+// the router releases the role and acquires it again later, after an error with a longer delay.
 type Work func(ctx context.Context, token uint64) error
 
-// roleWork is the work of one role that this router wants.
+// roleWork is the work of one role that this router has requested.
 type roleWork struct {
 	do                Work
-	cancel            context.CancelFunc // nil while it does not run
-	expiry            *time.Timer        // cancels it
-	transferTo        string             // where operators want the role to go
-	transferRequested bool               // during this run
+	cancel            context.CancelFunc // nil while the work does not run
+	expiry            *time.Timer        // cancels the work when the lease expires
+	transferTo        string             // the router to which operators want to transfer the role
+	transferRequested bool               // operators requested a transfer during the current run
 	lastEndReason     string
-	runs              int             // so far
-	retryDelay        time.Duration   // after the last run
-	waiters           []chan struct{} // closed once the role is granted
+	runs              int             // number of runs started
+	retryDelay        time.Duration   // delay before the role was acquired again after the last run
+	waiters           []chan struct{} // each is closed once the role is granted
 }
 
-// Work that fails is tried again after a delay that doubles from the least to the most.
+// Work that fails is retried after a delay that doubles from minWorkRetryDelay up to
+// maxWorkRetryDelay.
 const (
 	minWorkRetryDelay = time.Second
 	maxWorkRetryDelay = time.Minute
 )
 
-// releasePollInterval is between two looks at what ReleaseAll has not given back yet.
+// releasePollInterval is the interval at which ReleaseAll checks whether all roles are released.
 const releasePollInterval = 5 * time.Millisecond
 
-// Acquire has this router get a role and do the work under it, until Release.
+// Acquire requests a role, and runs the work do whenever this router holds it, until Release.
 func (r *Roles) Acquire(role string, do Work) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -44,8 +46,8 @@
 	r.carryOut(r.agent.Acquire(r.now(), role))
 }
 
-// AcquireAndWait acquires a role and returns once it is granted. If ctx ends before, it returns
-// ctx's error, and the role is still wanted: the caller releases it.
+// AcquireAndWait requests a role and returns once it is granted. If ctx ends first, AcquireAndWait
+// returns ctx's error, and the request stays pending until the caller calls Release.
 func (r *Roles) AcquireAndWait(ctx context.Context, role string) error {
 	granted := make(chan struct{})
 	r.mu.Lock()
@@ -69,21 +71,21 @@
 	}
 }
 
-// waitForEnd is the work of a role that only permits something.
+// waitForEnd is the work of a role that only grants a permission: it waits for the end of the lease.
 func waitForEnd(ctx context.Context, _ uint64) error {
 	<-ctx.Done()
 	return nil
 }
 
-// Release ends the work of a role, and gives the role or the position in its queue back.
+// Release stops the work of a role, and releases the role or leaves its queue.
 func (r *Roles) Release(role string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.release(role, "", 0)
 }
 
-// release gives a role back, to the router that is named or to whoever is next. ReacquireAfter is
-// after how long it is acquired anew, 0 for never. The caller holds mu.
+// release releases a role to the named router, or to the next one in the queue if to is empty. The
+// agent acquires the role again after reacquireAfter, never if that is 0. The caller holds mu.
 func (r *Roles) release(role, to string, reacquireAfter time.Duration) {
 	r.carryOut(r.agent.Release(r.now(), role, to, reacquireAfter))
 	if r.works[role] != nil && reacquireAfter == 0 {
@@ -91,8 +93,8 @@
 	}
 }
 
-// ReleaseAll gives back all roles and ends their work. It returns once the voters have taken all
-// back and the work has ended, or ctx has ended.
+// ReleaseAll releases all roles and stops their work. It returns once the agent has no roles left
+// and all work has ended, or ctx has ended.
 func (r *Roles) ReleaseAll(ctx context.Context) {
 	r.mu.Lock()
 	for _, role := range r.agent.Roles() {
@@ -100,7 +102,7 @@
 	}
 	r.mu.Unlock()
 	ended := make(chan struct{})
-	go func() { // until all work has ended, which the contexts of works bound
+	go func() { // ends once all work has ended; the contexts of the works bound that
 		r.running.Wait()
 		close(ended)
 	}()
@@ -123,15 +125,16 @@
 	return len(r.agent.Roles()) > 0
 }
 
-// Check is to be called right before each act under a role: it returns the token that the act must
-// carry, and how long it may take.
+// Check returns the token that an act under a role must carry, and how long the act may take. The
+// caller must call it right before each act. Check reports false if the act is not allowed now.
 func (r *Roles) Check(role string) (token uint64, remaining time.Duration, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.agent.Check(r.now(), role)
 }
 
-// TokenRejected takes in that the receiver of an act knows of a higher token than the act carried.
+// TokenRejected tells the agent that the receiver of an act under a role knows a higher token than
+// the act carried.
 func (r *Roles) TokenRejected(role string, highest uint64) {
 	r.rejected.Add(1)
 	r.mu.Lock()
@@ -139,8 +142,8 @@
 	r.carryOut(r.agent.TokenRejected(r.now(), role, highest))
 }
 
-// startWork starts the work of a role that was granted, or lets it go on for longer. The caller
-// holds mu.
+// startWork starts the work of a role that was granted. If the lease was renewed and the work still
+// runs, startWork only extends its expiry. The caller holds mu.
 func (r *Roles) startWork(g *lease.Granted) {
 	w := r.works[g.Role]
 	if w == nil {
@@ -168,20 +171,20 @@
 	})
 }
 
-// finishWork gives a role back whose work has returned by itself, as far as it was not stopped
+// finishWork releases a role after its work has returned, unless stopWork has stopped that run
 // before.
 func (r *Roles) finishWork(role string, w *roleWork, run int, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.works[role] != w || w.runs != run || w.cancel == nil {
-		return // it was stopped
+		return // this run was stopped
 	}
 	to := ""
 	if w.transferRequested {
 		to = w.transferTo
 	}
 	delay := lease.ReacquireDelay
-	if err != nil { // another router may do better
+	if err != nil { // release the role for longer, because the work may succeed on another router
 		delay = min(max(2*w.retryDelay, minWorkRetryDelay), maxWorkRetryDelay)
 		r.log.Warn("role work failed", "duty", role, "again", delay, "cause", err)
 	}
@@ -204,8 +207,8 @@
 	}
 }
 
-// requestWorkTransfer cancels the work of a role that operators want another router to have; it is
-// given to that one once the work has returned. The caller holds mu.
+// requestWorkTransfer cancels the work of a role that operators want to transfer to another router.
+// Once the work has returned, finishWork transfers the role. The caller holds mu.
 func (r *Roles) requestWorkTransfer(t *lease.TransferRequested) {
 	r.log.Info("lease transfer requested", "duty", t.Role, "to", t.To)
 	w := r.works[t.Role]
--- a/internal/router/processgroup/processgroup.go
+++ b/internal/router/processgroup/processgroup.go
@@ -1,7 +1,7 @@
 // Package processgroup finds the other processes of the same router on this machine, and counts
-// their descriptors. Each process locks a byte of one file for as long as it runs. Nothing is ever
-// written to the file, so its content, of an earlier process or another version, does not matter;
-// and a process that ends in any way, a crash included, has lost its lock.
+// their file descriptors. Each process locks one byte of a shared file for as long as it runs. No
+// process reads or writes the file's content, so content of an earlier process or another version
+// does not matter. The kernel releases the lock when the process ends in any way, including a crash.
 package processgroup
 
 import (
@@ -14,19 +14,20 @@
 
 const (
 	fileName = "reachspread.beside"
-	// maxProcesses bounds the processes that find each other; a replacement needs two, and one more
-	// while the earlier one drains.
+	// maxProcesses is how many processes can join one group. A replacement needs two, and a third
+	// while an earlier process still drains.
 	maxProcesses = 8
 )
 
-// Slot is this process's lock among those of one router.
+// Slot is the byte of the shared file that this process has locked.
 type Slot struct {
 	file   *os.File
 	offset int64
 }
 
-// Join locks a byte of the file in a folder that the processes of one router share. The caller must
-// Leave. It fails where maxProcesses have joined, or the file can't be opened or locked.
+// Join locks a byte of the group's file in a folder that the processes of one router share. The
+// caller must call Leave on the returned Slot. Join fails if maxProcesses processes have joined, or
+// if the file can't be opened or locked.
 func Join(folder string) (*Slot, error) {
 	f, err := os.OpenFile(filepath.Join(folder, fileName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -41,10 +42,10 @@
 		}
 	}
 	f.Close()
-	return nil, fmt.Errorf("%s: no place: %w", f.Name(), err)
+	return nil, fmt.Errorf("%s: no byte could be locked: %w", f.Name(), err)
 }
 
-// lockOfByte describes a write lock of one byte.
+// lockOfByte returns the fcntl description of a write lock on one byte of the file.
 func lockOfByte(at int64) *syscall.Flock_t {
 	return &syscall.Flock_t{Type: syscall.F_WRLCK, Whence: 0, Start: at, Len: 1}
 }
@@ -52,11 +53,11 @@
 // Siblings describes the other processes of the router.
 type Siblings struct {
 	Processes   int
-	Descriptors int  // open in all of them together
-	Uncounted   bool // the descriptors of some could not be counted
+	Descriptors int  // total of open file descriptors
+	Uncounted   bool // the descriptors of at least one process could not be counted
 }
 
-// Siblings returns the other processes at present.
+// Siblings counts the other processes that run now, and their open descriptors.
 func (p *Slot) Siblings() (o Siblings) {
 	for at := range int64(maxProcesses) {
 		l := lockOfByte(at)
--- a/internal/router/records/forms_test.go
+++ b/internal/router/records/forms_test.go
@@ -6,7 +6,7 @@
 	"reachspread/internal/testbed/formtest"
 )
 
-// The lines of compared answers have the same fields.
+// Record must keep the JSON fields that testdata lists, because stored files contain them.
 func TestFileFormIsUnchanged(t *testing.T) {
 	formtest.Compare(t, "lines.txt", formtest.Fields(Record{}, "json"))
 }
--- a/internal/router/records/reader.go
+++ b/internal/router/records/reader.go
@@ -12,7 +12,7 @@
 	"slices"
 )
 
-// Files lists the record files of a folder, the oldest first.
+// Files returns the paths of the record files in a folder, oldest first.
 func Files(folder string) ([]string, error) {
 	if _, err := os.ReadDir(folder); err != nil {
 		return nil, err
@@ -22,9 +22,10 @@
 	return files, err
 }
 
-// Read calls each with every record of a folder, the oldest first, and with its line. It skips and
-// counts truncated last lines of files. Any other line that is no record, and an error of each, end
-// it with an error that names file and line.
+// Read calls each for every record in a folder, oldest first, with the record and its line. Read
+// skips a truncated last line of a file, and returns how many it skipped. At any other line that is
+// no record, and when each returns an error, Read stops with an error that names the file and the
+// line.
 func Read(folder string, each func(line []byte, r *Record) error) (truncated int, err error) {
 	files, err := Files(folder)
 	if err != nil {
--- a/internal/router/records/records_test.go
+++ b/internal/router/records/records_test.go
@@ -24,7 +24,8 @@
 	return found, truncated
 }
 
-// Files keep to their size and number, and the oldest go first, also those of an earlier process.
+// The writer bounds the size and number of files. It removes the oldest files first, including the
+// files of an earlier process.
 func TestWriterRotatesFiles(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "made")
 	for _, id := range []string{"a", "b", "c", "d", "e"} {
@@ -34,7 +35,7 @@
 				t.Fatal(err)
 			}
 		}
-		time.Sleep(2 * time.Millisecond) // names count milliseconds
+		time.Sleep(2 * time.Millisecond) // file names state the time in milliseconds and must differ
 	}
 	if got, _ := readIDs(t, folder); got != "d2 e1 e2 " {
 		t.Errorf("left: %s", got)
@@ -66,8 +67,8 @@
 	return n, errors.New("no space left")
 }
 
-// A disk that fills up cuts a line off. It stays the last of its file, is passed over when read,
-// and writing goes on in the next file.
+// A disk that becomes full truncates a line. The truncated line stays the last line of its file,
+// Read skips it, and the writer continues in the next file.
 func TestTruncatedLineStaysTheLastOfItsFile(t *testing.T) {
 	folder := t.TempDir()
 	w := &Writer{Folder: folder, FileBytes: 1 << 20, Files: 9, Open: func(path string) (io.WriteCloser, error) {
@@ -80,11 +81,11 @@
 		}
 	}
 	if got, truncated := readIDs(t, folder); got != "a c " || truncated != 1 {
-		t.Errorf("read %s, %d cut off", got, truncated)
+		t.Errorf("read %s, %d truncated lines, want \"a c \" and 1", got, truncated)
 	}
 }
 
-// What can't be read is told with file and line; only a last line may be cut off.
+// Read's errors name the file and the line. Only the last line of a file may be truncated.
 func TestReaderNamesFileAndLine(t *testing.T) {
 	for text, want := range map[string]string{
 		"{}\n":                           ":1: version is 0",
@@ -101,6 +102,6 @@
 		}
 	}
 	if _, err := Read("nowhere", nil); err == nil {
-		t.Error("a folder that is not there was read")
+		t.Error("Read returned no error for a folder that does not exist")
 	}
 }
--- a/internal/router/records/stored_test.go
+++ b/internal/router/records/stored_test.go
@@ -12,11 +12,11 @@
 	"reachspread/internal/testbed/golden"
 )
 
-// The file under testdata was written by a Writer at commit 5bfcc27: WRITE_GOLDEN=1 go test -run
-// Golden.
+// goldenFile is the file under testdata that a Writer of commit 5bfcc27 wrote, by
+// WRITE_GOLDEN=1 go test -run Golden.
 const goldenFile = "shadow-20261203T045000.000-000001.ndjson"
 
-// goldenRecords have between them every field.
+// goldenRecords returns records that, taken together, have a value in every field.
 func goldenRecords() []*Record {
 	number := func(n int) *int { return &n }
 	span := func(ms float64) *float64 { return &ms }
@@ -33,7 +33,8 @@
 	}
 }
 
-// A folder of records is read as it was written, and a Writer writes the same lines.
+// Read reads the stored records with unchanged content, and a Writer writes the same lines as the
+// stored file has.
 func TestGoldenRecords(t *testing.T) {
 	want := goldenRecords()
 	golden.Complete(t, want[0])
@@ -64,9 +65,9 @@
 		return nil
 	})
 	if diff := cmp.Diff(want, got); err != nil || truncated != 0 || diff != "" {
-		t.Errorf("%d cut, %v\n%s", truncated, err, diff)
+		t.Errorf("%d truncated lines, %v\n%s", truncated, err, diff)
 	}
 	if !bytes.Equal(lines, written) {
-		t.Errorf("lines %q", lines)
+		t.Errorf("Read passed the lines %q, which differ from the written file", lines)
 	}
 }
--- a/internal/router/records/writer.go
+++ b/internal/router/records/writer.go
@@ -11,20 +11,20 @@
 	"time"
 )
 
-// Writer appends records to the files of a folder. It is not safe for concurrent use. After an
-// error the next Append begins a new file, so that a truncated line stays the last of its file.
+// Writer appends records to files in a folder. It is not safe for concurrent use. After an error
+// the next Append starts a new file, so that a truncated line is always the last line of its file.
 type Writer struct {
 	Folder    string
-	FileBytes int64                                     // a file is closed once it has as many
-	Files     int                                       // the oldest are removed beyond that
-	Open      func(path string) (io.WriteCloser, error) // nil for a new file
+	FileBytes int64                                     // Append closes a file that has reached this size
+	Files     int                                       // maximum number of files; the oldest are removed
+	Open      func(path string) (io.WriteCloser, error) // creates a file for tests; if nil, the writer creates one on disk
 
 	file   io.WriteCloser
 	size   int64
 	number int
 }
 
-// Append writes one record as a line. After an error it may have written a part of it.
+// Append writes one record as a line. After an error the file may contain a part of the line.
 func (w *Writer) Append(r *Record) error {
 	line, err := json.Marshal(r)
 	if err != nil {
@@ -44,7 +44,8 @@
 	return err
 }
 
-// openNext removes the oldest files beyond the bound and opens the next one.
+// openNext creates the next file. It first removes the oldest files, so that the new file does not
+// exceed the maximum number of files.
 func (w *Writer) openNext() error {
 	if err := os.MkdirAll(w.Folder, 0o700); err != nil {
 		return err
@@ -74,12 +75,12 @@
 func create(path string) (io.WriteCloser, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 	if err != nil {
-		return nil, err // not a nil *os.File in an interface
+		return nil, err // returning f would make the interface value non-nil
 	}
 	return f, nil
 }
 
-// Close closes the file that is open; Append may follow.
+// Close closes the open file, if there is one. A later Append starts a new file.
 func (w *Writer) Close() error {
 	if w.file == nil {
 		return nil
