--- a/internal/router/management/calls.go
+++ b/internal/router/management/calls.go
@@ -5,14 +5,15 @@
 	"strings"
 )
 
-// Call is one line that the management API answers.
+// Call is a command of the management API. Name is the command line, and Meaning is its description
+// on the operators' page.
 type Call struct {
 	Name, Meaning string
 	answer        func(Router) string
-	withArguments func(Router, []string) string // of a call that has arguments
+	withArguments func(Router, []string) string // replaces answer for a call with arguments
 }
 
-// Calls has every call.
+// Calls lists every call.
 var Calls = []Call{
 	{"check", "whether this process takes clients: `+OK`, or `-ERR` with the phase that it is in", check, nil},
 	{"vars", "the figures, a line each, and a line `.` at the end", vars, nil},
@@ -25,7 +26,7 @@
 	{"duties-rebuild [ROUTER...]", "founds duties anew where a majority of the voters' disks is gone; the routers that are named will not come back with theirs. `-ERR` while a majority may live", nil, rebuildRoles},
 }
 
-// callNames lists the names of the calls for an error text.
+// callNames returns the names of all calls, formatted for an error text.
 func callNames() string {
 	var all []string
 	for _, c := range Calls {
@@ -36,7 +37,7 @@
 	return strings.Join(all[:last], ", ") + " or " + all[last]
 }
 
-// check answers whether this process accepts clients.
+// check answers +OK if this process accepts clients, and otherwise an error that names its phase.
 func check(r Router) string {
 	if takes, phase := r.Accepting(); !takes {
 		return Refusal(phase)
--- a/internal/router/management/figures.go
+++ b/internal/router/management/figures.go
@@ -7,16 +7,17 @@
 	"strings"
 )
 
-// Figure is a value under a name; one that counts by class, or by the reason of a close, has a line
-// for each. One of its functions is set.
+// Figure is a named value in the output of the call vars. A figure that counts by class, or by the
+// reason why connections were closed, has one output line for each class or reason. Exactly one of
+// the functions is set.
 type Figure struct {
 	Name, Meaning string
 	class         func(*Class) uint64
 	value         func(*Values) int64
 	closed        func(*ClosedConnections) uint64
-	fleet         func(*Fleet) uint64    // only while the router has a view of the fleet
-	roles         func(*Roles) uint64    // only where it has roles
-	recovery      func(*Recovery) uint64 // only where it stores state for its next incarnation
+	fleet         func(*Fleet) uint64    // output only while the router has a view of the fleet
+	roles         func(*Roles) uint64    // output only if the router has singleton roles
+	recovery      func(*Recovery) uint64 // output only if the router stores state for its next incarnation
 }
 
 const (
@@ -25,7 +26,7 @@
 	reasonLabel = "reason"
 )
 
-// Figures has every figure, in the order of the output.
+// Figures lists every figure, in the order of the output.
 var Figures = []Figure{
 	{Name: "fulfilled_total", Meaning: "requests served to their end", class: func(c *Class) uint64 { return c.Fulfilled }},
 	{Name: "throttled_total", Meaning: "requests refused; repeating them is harmless", class: func(c *Class) uint64 { return c.Throttled }},
@@ -71,7 +72,8 @@
 	{Name: "recovery_snapshots_total", Meaning: "snapshots written", recovery: func(r *Recovery) uint64 { return r.Snapshots }},
 }
 
-// vars answers with each figure that has a value, a line each.
+// vars answers with one line for each value of each figure that the router has. The classes are
+// sorted by name.
 func vars(r Router) string {
 	v := r.Values()
 	slices.SortFunc(v.Classes, func(a, b Class) int { return cmp.Compare(a.Name, b.Name) })
@@ -98,8 +100,8 @@
 	return string(append(text, ".\n"...))
 }
 
-// single returns the value of a figure that has no classes. It reports false where the router does
-// not have what the figure is about.
+// single returns the value of a figure that does not count by class or reason. It reports false if
+// the router lacks the feature that the figure describes.
 func (f *Figure) single(v *Values) (n int64, ok bool) {
 	switch {
 	case f.fleet != nil:
@@ -128,7 +130,7 @@
 	return 0
 }
 
-// quote quotes the value of a label.
+// quote returns a label value in quotes, with backslashes, quotes and newlines escaped.
 func quote(s string) string {
 	return `"` + strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`).Replace(s) + `"`
 }
--- a/internal/router/management/forms_test.go
+++ b/internal/router/management/forms_test.go
@@ -7,7 +7,8 @@
 	"reachspread/internal/testbed/formtest"
 )
 
-// The calls and figures of the management address have the same names, in the same order.
+// The calls and figures of the management API must keep their names and order, because operators'
+// tools depend on them.
 func TestCallsAndFiguresAreUnchanged(t *testing.T) {
 	var calls, figures strings.Builder
 	for _, call := range Calls {
--- a/internal/router/management/management.go
+++ b/internal/router/management/management.go
@@ -1,6 +1,7 @@
-// Package management is the operators' management API without its socket: the calls, the figures,
-// and the answer to one line. Its two tables, Calls and Figures, are the only place where they are
-// named; the output and the operators' page are made from them. It has no state.
+// Package management implements the operators' management API without its socket: the calls, the
+// figures, and the answer to one line. The tables Calls and Figures are the only place that defines
+// the names of calls and figures; the output and the operators' page are generated from them. The
+// package has no state.
 package management
 
 import (
@@ -10,34 +11,36 @@
 	"strings"
 )
 
-// MaxLineBytes is the length of the longest line that is a call.
+// MaxLineBytes is the maximum length of a line that contains a call, in bytes.
 const MaxLineBytes = 256
 
-// Router is the process that the management API reports on and controls. No method may block: a
-// caller has a second, however busy the router is.
+// Router is the router process that the management API reports on and controls. No method may
+// block, because a caller must receive its answer within a second, however busy the router is.
 type Router interface {
-	// Accepting reports whether this process accepts clients, and the name of its phase.
+	// Accepting reports whether this process accepts clients, and returns the name of its phase.
 	Accepting() (accepting bool, phase string)
 	// Values returns the values of the figures.
 	Values() Values
-	// View returns the routers in this one's view of the fleet, a line each; on is false where it
+	// View returns one line for each router in this router's view of the fleet; on is false if it
 	// has no view.
 	View() (lines []string, on bool)
-	// Drain starts draining or ends it, and returns the name of the phase that follows.
+	// Drain starts draining if on is set and otherwise ends it. It returns the name of the phase
+	// that the router is in afterwards.
 	Drain(on bool) (phase string, err error)
-	// Recovery returns the state of the recovery from the last incarnation, a line and one for each
-	// part of its state that was discarded; on is false where no state is stored.
+	// Recovery returns one line with the stage of the recovery of the last incarnation's state, and
+	// one line for each part of that state that was discarded; on is false if the router stores no
+	// state.
 	Recovery() (lines []string, on bool)
-	// Roles returns the singleton roles, a line each; on is false where there are none.
+	// Roles returns one line for each singleton role; on is false if there are none.
 	Roles() (lines []string, on bool)
-	// TransferRole transfers the lease of a role to a router, or to the first in its queue. Of
-	// several lease holders it names the one with that token, 0 for the first.
+	// TransferRole transfers the lease of a role to a router, or to the first router in the role's
+	// queue. If several routers hold the role, token selects the holder; 0 selects the first.
 	TransferRole(name, to string, token uint64) error
-	// RebuildRoles founds the voters' state anew where the named routers have lost their disks.
+	// RebuildRoles founds a new group of voters after the named routers have lost their disks.
 	RebuildRoles(lost []string) error
 }
 
-// Values are the values of the figures.
+// Values holds the values of the figures.
 type Values struct {
 	Classes                         []Class
 	AttemptsWritten                 uint64
@@ -46,26 +49,26 @@
 	ExcludedHosts                   int64
 	ConfigsAccepted, ConfigsInvalid uint64
 	ClosedConnections               []ClosedConnections
-	Fleet                           *Fleet    // nil where the router has no view of the fleet
-	Roles                           *Roles    // nil where it has none
-	Recovery                        *Recovery // nil where no state is stored for the next incarnation
+	Fleet                           *Fleet    // nil if the router has no view of the fleet
+	Roles                           *Roles    // nil if the router has no singleton roles
+	Recovery                        *Recovery // nil if the router stores no state for its next incarnation
 }
 
 // ClosedConnections counts the client connections that were closed for one reason.
 type ClosedConnections struct {
 	Reason             string
 	Closed             uint64
-	Unread, Unanswered uint64 // of them: with unread bytes; with a request that was begun and has no answer
+	Unread, Unanswered uint64 // subsets of Closed: connections with unread bytes; with a started request without an answer
 }
 
-// Recovery is the values of the figures of the recovery.
+// Recovery holds the values of the recovery figures.
 type Recovery struct {
-	Stage                                      int     // from 0 on
-	WarmFraction                               float64 // of the listed hosts' warm capacity
+	Stage                                      int     // number of the stage, from 0; the figure recovery_stage lists the stages
+	WarmFraction                               float64 // present capacity of the listed hosts as a fraction of their capacity when warm
 	RejectedRequests, Snapshots, ExcludedHosts uint64
 }
 
-// Roles is the values of the figures of the singleton roles.
+// Roles holds the values of the figures about singleton roles.
 type Roles struct {
 	Leases, Requested                  int
 	Begun, Ended, TokensRejected, Sent uint64
@@ -74,10 +77,10 @@
 	Token                              uint64
 }
 
-// Fleet is the values of the figures of the view of the fleet.
+// Fleet holds the values of the figures about the router's view of the fleet.
 type Fleet struct {
 	Members, Suspected, Dead            int
-	View                                uint64 // the number of the view in force
+	View                                uint64 // version number of the view that is in use
 	Deaths, Suspicions, Refuted, Pauses uint64
 	Sent, SentBytes, Dropped            uint64
 }
@@ -85,12 +88,12 @@
 // Class counts how the requests of one class ended.
 type Class struct {
 	Name                          string
-	Accepted                      uint64 // the sum of all others and of the open requests
+	Accepted                      uint64 // the sum of the other counters and the number of open requests
 	Fulfilled, Throttled, Faulted uint64
 	Abandoned, Moved              uint64
 }
 
-// Answer returns the answer to a line, which has no line end.
+// Answer returns the answer to a line. The line is passed without its line end.
 func Answer(line string, r Router) string {
 	command := strings.TrimSpace(line)
 	arguments := strings.Fields(command)
@@ -109,10 +112,10 @@
 	return Refusal(fmt.Sprintf("%q is no call; say %s", command, callNames()))
 }
 
-// Refusal is the answer to a call that failed, or to a line that is no call.
+// Refusal returns the answer to a call that failed, or to a line that is no call.
 func Refusal(why string) string { return "-ERR " + why + "\n" }
 
-// Page returns the two tables in the form of the operators' page.
+// Page returns the tables of calls and figures in Markdown, as the operators' page contains them.
 func Page() string {
 	var b strings.Builder
 	b.WriteString("| call | answer |\n| --- | --- |\n")
--- a/internal/router/management/management_test.go
+++ b/internal/router/management/management_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// scripted is a router that says what it is told to.
+// scripted is a Router that returns the values and errors that the test has set.
 type scripted struct {
 	phase  string
 	values Values
@@ -75,8 +75,8 @@
 	}
 }
 
-// Each figure is there under its name from the first call on, by class in the classes' order, and a
-// line ends it.
+// The first answer to vars already contains every figure, with the classes sorted by name and a
+// final line ".".
 func TestVarsHasEachFigureInOrder(t *testing.T) {
 	s := &scripted{values: Values{AttemptsWritten: 9, OpenRequests: 4, ListedHosts: 10, ExcludedHosts: 2, ConfigsAccepted: 1, ConfigsInvalid: 3,
 		Classes: []Class{{Name: `o"dd\`, Accepted: 8, Throttled: 8}, {Name: "C", Accepted: 834, Fulfilled: 812, Throttled: 5, Faulted: 6, Abandoned: 7, Moved: 2}}}}
@@ -106,8 +106,7 @@
 	}
 }
 
-// Whatever the line, there is one answer, it begins with one of the two words, and a refusal is one
-// line.
+// Any line gets exactly one answer, which begins with either +OK or -ERR. A refusal has one line.
 func TestAnyLineGetsOneAnswer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		got := Answer(rapid.String().Draw(t, "line"), &scripted{phase: "serving"})
@@ -118,7 +117,7 @@
 	})
 }
 
-// The operators' page has the tables as they are made here.
+// The operators' page contains the tables exactly as Page generates them.
 func TestOperatorsPageHasTheTables(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/operators/service.md")
 	if err != nil {
--- a/internal/router/records/records_test.go
+++ b/internal/router/records/records_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// full takes so many bytes, as a disk does.
+// limitedWriter accepts a limited number of bytes and then fails, like a full disk.
 type limitedWriter struct {
 	io.WriteCloser
 	remaining int
