--- a/internal/router/management/forms_test.go
+++ b/internal/router/management/forms_test.go
@@ -7,8 +7,7 @@
 	"reachspread/internal/testbed/formtest"
 )
 
-// The calls and figures of the management API must keep their names and order, because operators'
-// tools depend on them.
+// The calls and figures of the management API must keep their names and order.
 func TestCallsAndFiguresAreUnchanged(t *testing.T) {
 	var calls, figures strings.Builder
 	for _, call := range Calls {
--- a/internal/router/peering/golden_test.go
+++ b/internal/router/peering/golden_test.go
@@ -17,8 +17,8 @@
 // goldenPatience bounds a wait for bytes that are on their way.
 const goldenTimeout = 10 * time.Second
 
-// Messages between routers that may vote, and a scribe's records among them, have the bytes that
-// they had at commit 5bfcc27.
+// Messages between candidates, including fleet records and rejections of them, must have the same
+// bytes as at commit 5bfcc27.
 func TestLinesKeepTheirBytes(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -85,9 +85,9 @@
 	select {
 	case got := <-received:
 		if want := (storedRecord{1 << 40, `{"a":[1,2]}`}); got != want {
-			t.Errorf("the record is read as %+v, not %+v", got, want)
+			t.Errorf("the handler received the record %+v, want %+v", got, want)
 		}
 	case <-time.After(goldenTimeout):
-		t.Error("the record did not come")
+		t.Error("the handler did not receive the record in time")
 	}
 }
--- a/internal/router/peering/gossip_test.go
+++ b/internal/router/peering/gossip_test.go
@@ -16,8 +16,8 @@
 	"reachspread/internal/testbed/scripted"
 )
 
-// Datagrams of strangers, cut ones and those of another version are dropped and counted; what comes
-// after them is received.
+// Gossip drops and counts datagrams from addresses that are no peers, truncated or too long
+// datagrams, and datagrams of another version. It still receives the datagrams that follow.
 func TestUnusableDatagramsAreDropped(t *testing.T) {
 	socket := func() *net.UDPConn {
 		t.Helper()
@@ -60,10 +60,10 @@
 		t.Error(diff)
 	}
 	if line := scripted.Receive(t, lines, "a line"); !strings.HasPrefix(line, "peer datagram dropped") || len(lines) > 0 {
-		t.Errorf("got the line %q and %d more, want one for the first dropped", line, len(lines))
+		t.Errorf("got the log line %q and %d more, want only one for the first dropped datagram", line, len(lines))
 	}
 	if unread, _ := g.Dropped(); unread != 5 {
-		t.Errorf("%d dropped and counted, want 5", unread)
+		t.Errorf("%d datagrams counted as dropped, want 5", unread)
 	}
 
 	g.SendReports(balance.SendReports{To: []int{1, 9, -1}, Zone: 3, Reports: reports})
@@ -83,8 +83,9 @@
 	return a
 }
 
-// A process that takes over starts while the address is still another's, sends nothing until then,
-// and receives once it is free; without the right to take over, an address in use is an error.
+// A process that replaces another one starts while the other process still has the address. It
+// sends nothing until the address is free, and then receives. Without takesOver an address in use
+// is an error.
 func TestAddressIsTakenOver(t *testing.T) {
 	peer, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -99,7 +100,7 @@
 	own := free.LocalAddr().String()
 	all := []string{own, peer.LocalAddr().String()}
 	if _, err := peering.NewGossip(own, all, false, lines); err == nil {
-		t.Error("an address in use was taken")
+		t.Error("NewGossip returned no error for an address in use")
 	}
 	g, err := peering.NewGossip(own, all, true, lines)
 	if err != nil {
@@ -111,7 +112,7 @@
 	go g.Run(ctx, func(h balance.ReportsReceived) { received <- h })
 	g.SendReports(balance.SendReports{To: []int{1}})
 	if _, unsent := g.Dropped(); unsent != 1 {
-		t.Errorf("%d words unsent while the address is another's, want 1", unsent)
+		t.Errorf("%d datagrams counted as not sent while another process has the address, want 1", unsent)
 	}
 	free.Close()
 	to, _ := net.ResolveUDPAddr("udp4", own)
@@ -119,12 +120,12 @@
 		peer.WriteToUDP(protocol.AppendPeerReports(nil, 7, nil), to)
 		if len(received) > 0 {
 			if got := <-received; got.From != 1 || got.Zone != 7 {
-				t.Errorf("heard %+v", got)
+				t.Errorf("received %+v, want a report from peer 1 in zone 7", got)
 			}
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatal("nothing is heard at the free address")
+			t.Fatal("no datagram was received after the address became free")
 		}
 	}
 }
--- a/internal/router/peering/roles_test.go
+++ b/internal/router/peering/roles_test.go
@@ -24,8 +24,8 @@
 
 var measure = flag.Bool("measure", false, "run the measurements")
 
-// cluster is routers with roles on real sockets and disks, in one process; the test says which are
-// members.
+// cluster runs the Roles of several routers in one process, with real sockets and disks. The test
+// sets the membership.
 type cluster struct {
 	t          *testing.T
 	routers    []*testRouter
@@ -38,7 +38,7 @@
 	sent  atomic.Uint64
 }
 
-// span is a time in which a router worked under the role.
+// span is a period in which a router ran the work of the role.
 type span struct {
 	who      int
 	token    uint64
@@ -57,9 +57,9 @@
 	lines  scripted.LogLines
 }
 
-// clusters counts those that there were. Each has a loopback address of its own: a port that a
-// cluster has closed, to be opened when a router starts, might go meanwhile to whoever asks for any
-// port.
+// clusters counts the clusters of this test process, to give each its own loopback address. A
+// cluster closes its ports and opens them again when its routers start. On a shared address the
+// kernel could assign such a port to another socket in between.
 var clusters atomic.Uint32
 
 func newCluster(t *testing.T, routers, may int, leaseTime time.Duration) *cluster {
@@ -90,7 +90,7 @@
 	return s
 }
 
-// updateViews has all that are alive see who is.
+// updateViews gives all live routers a view that contains exactly the live routers.
 func (s *cluster) updateViews() {
 	v := &members.View{}
 	for _, p := range s.routers {
@@ -150,7 +150,7 @@
 	}
 }
 
-// work notes when a router worked, by the contexts that it was given.
+// work returns a Work that records a span for each run, from its start until its context ends.
 func (s *cluster) work(p *testRouter) Work {
 	return func(ctx context.Context, token uint64) error {
 		from := time.Now()
@@ -166,7 +166,7 @@
 	}
 }
 
-// transfer has the role go to a router.
+// transfer requests, through one router, that the role be transferred to router to.
 func (s *cluster) transfer(at *testRouter, to int) {
 	s.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), scripted.EventTimeout)
@@ -187,12 +187,12 @@
 			return all
 		}
 	}
-	s.t.Fatal("other routers have the role")
+	s.t.Fatal("the role is not held by the expected routers")
 	return nil
 }
 
-// Of two holders the one whose token is named transfers the role, the other goes on. Roles that are
-// defined later are agreed on while all run.
+// A transfer request with a token affects only the holder with that token; the other holder keeps
+// its work. The voters also accept a role that is defined while all routers run.
 func TestTransferByToken(t *testing.T) {
 	t.Parallel()
 	s := newCluster(t, 4, 3, 2*time.Second)
@@ -212,12 +212,12 @@
 	}
 	s.awaitOpenSpans(2, func(now []span) bool { return now[0] == held[0] && now[1].who == to })
 	if err := s.routers[0].d.RequestTransfer(ctx, "work", fmt.Sprint("r", to), 1); err == nil || !strings.Contains(err.Error(), "nobody holds it") {
-		t.Errorf("a wish for a token that nobody has: %v", err)
+		t.Errorf("transfer request with a token that no router holds: %v", err)
 	}
 
 	last := s.routers[3].d
 	if err := last.RequestTransfer(ctx, "later", "r0", 0); err == nil || !strings.Contains(err.Error(), "no such duty") {
-		t.Errorf("a duty that is not there yet: %v", err)
+		t.Errorf("transfer request for a role that is not defined yet: %v", err)
 	}
 	begun := make(chan uint64, 8)
 	last.Acquire("later", func(ctx context.Context, token uint64) error {
@@ -233,22 +233,22 @@
 	select {
 	case token := <-begun:
 		if token <= held[1].token {
-			t.Errorf("token %d after %d", token, held[1].token)
+			t.Errorf("the new role got token %d, want more than %d", token, held[1].token)
 		}
 	case <-ctx.Done():
-		t.Error("the duty that came later is not begun")
+		t.Error("no work was started for the role that was defined later")
 	}
 	if err := last.Define([]lease.Role{{Name: "a b"}}); err == nil {
-		t.Error("a duty whose name has a space was taken")
+		t.Error("Define accepted a role whose name contains a space")
 	}
 }
 
-// kill ends a router at once.
+// kill stops a router abruptly: its socket is closed before its work ends.
 func (s *cluster) kill(p *testRouter) {
 	if p.d == nil {
 		return
 	}
-	p.conn.Close() // nothing more goes out: what it holds, it holds no more for anybody
+	p.conn.Close() // first, so that the router can't release its roles
 	p.stop()
 	d := p.d
 	p.d = nil
@@ -288,7 +288,7 @@
 			s.t.Logf("r%d: %+v", p.n, p.d.LocalRoles())
 		}
 	}
-	s.t.Fatal("nobody has the role")
+	s.t.Fatal("no router, or more than one, has the role")
 	return 0, span{}
 }
 
@@ -312,7 +312,7 @@
 			}
 		}
 	}
-	s.t.Fatal("there is no leader")
+	s.t.Fatal("the voters have not agreed on a leader in time")
 	return -1
 }
 
@@ -325,7 +325,7 @@
 	slices.SortFunc(all, func(a, b span) int { return a.from.Compare(b.from) })
 	for i := 1; i < len(all); i++ {
 		if all[i].token <= all[i-1].token {
-			s.t.Errorf("token %d after %d", all[i].token, all[i-1].token)
+			s.t.Errorf("a span with token %d follows one with token %d", all[i].token, all[i-1].token)
 		}
 		if to := all[i-1].to; !to.IsZero() && to.After(all[i].from) && s.routers[all[i-1].who].d != nil {
 			s.t.Errorf("r%d worked until %v after r%d had begun", all[i-1].who, to.Sub(all[i].from), all[i].who)
@@ -333,8 +333,9 @@
 	}
 }
 
-// A role on sockets and disks: transferred on request, taken over from a holder that dies, kept by
-// one whose voters' leader dies; and the tables survive the end of all.
+// A role, on sockets and disks, is transferred on request and taken over when its holder dies. Its
+// holder keeps it when the leader of the voters dies. The voters' tables survive a restart of all
+// routers.
 func TestRolesOnSockets(t *testing.T) {
 	t.Parallel()
 	s := newCluster(t, 5, 4, 2*time.Second)
@@ -345,7 +346,7 @@
 	to := (first + 2) % 5
 	s.transfer(s.routers[(first+1)%5], to)
 	if got, _ := s.awaitHolder(first); got != to {
-		t.Errorf("r%d holds it, not r%d", got, to)
+		t.Errorf("r%d holds the role, want r%d", got, to)
 	}
 	s.kill(s.routers[to])
 	s.updateViews()
@@ -355,9 +356,9 @@
 		s.kill(s.routers[lead])
 		s.updateViews()
 		s.awaitLeader()
-		time.Sleep(s.lease) // a holder that had not renewed would have ended by now
+		time.Sleep(s.lease) // if the holder had not renewed its lease, its work would have ended by now
 		if now, same := s.awaitHolder(-1); now != next || same.token != at.token {
-			t.Errorf("r%d lost it as the leader died", next)
+			t.Errorf("r%d lost the role when the leader died", next)
 		}
 		s.start(s.routers[lead], true)
 	}
@@ -369,13 +370,13 @@
 		s.start(p, true)
 	}
 	if _, after := s.awaitHolder(-1); after.token <= before.token {
-		t.Errorf("after the end of all token %d follows %d", after.token, before.token)
+		t.Errorf("after a restart of all routers token %d follows %d, want a larger one", after.token, before.token)
 	}
 	s.checkOrder()
 }
 
-// With a majority of the disks lost there is no leader, a line says so, and a group is founded anew
-// only where no majority may have its disks.
+// After a majority of the disks is lost, the voters have no leader, and a log line says so. Rebuild
+// founds a new group only if no majority of the voters may still have their disks.
 func TestRebuildAfterALostMajority(t *testing.T) {
 	t.Parallel()
 	s := newCluster(t, 4, 3, 500*time.Millisecond)
@@ -390,7 +391,7 @@
 		return s.routers[n].d.Rebuild(ctx, lost)
 	}
 	if err := rebuild(0); err == nil || !strings.Contains(err.Error(), "leader") {
-		t.Errorf("duties with a leader: %v", err)
+		t.Errorf("Rebuild while the voters have a leader: %v", err)
 	}
 	for _, p := range s.routers[:2] {
 		s.kill(p)
@@ -399,17 +400,18 @@
 	s.updateViews()
 	for line := ""; !strings.HasPrefix(line, "voters without leader"); line = scripted.Receive(t, s.routers[2].lines, "that duties have stopped") {
 	}
-	// The dead may have named a leader a moment ago, which is a reason, too.
+	// Rebuild may first be refused for another reason: a dead voter may have named a leader a moment
+	// ago.
 	for end := time.Now().Add(scripted.EventTimeout); ; time.Sleep(20 * time.Millisecond) {
 		err := rebuild(2)
 		if err != nil && strings.Contains(err.Error(), "may live") {
 			break
 		}
 		if err == nil || time.Now().After(end) {
-			t.Fatalf("two that may come back: %v", err)
+			t.Fatalf("Rebuild while two voters may still have their disks: %v", err)
 		}
 	}
-	s.start(s.routers[0], false) // with another disk, which is seen
+	s.start(s.routers[0], false) // with an empty disk, which the other voters detect
 	var err error
 	for end := time.Now().Add(scripted.EventTimeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		if err = rebuild(2, "r1"); err == nil {
@@ -427,13 +429,14 @@
 		}
 		s.mu.Unlock()
 		if time.Now().After(end) {
-			t.Fatal("nobody has the duty of the new group")
+			t.Fatal("no router got the role from the new group")
 		}
 	}
 	s.checkOrder()
 }
 
-// 10,000 changes: the memory and the store of a voter stay in bounds.
+// The memory and the store of a voter stay within bounds during many changes: 300, or 10,000 with
+// -measure.
 func TestVoterStaysInBounds(t *testing.T) {
 	n := 300
 	if *measure {
@@ -450,7 +453,7 @@
 		s.start(p, false)
 	}
 	for _, p := range s.routers {
-		go func() { // nobody reads them here, and they are bounded
+		go func() { // drain the bounded channel of log lines, which this test does not read
 			for range p.lines {
 			}
 		}()
@@ -458,7 +461,7 @@
 	s.awaitLeader()
 	d, begun := s.routers[0].d, time.Now()
 	for i := range n {
-		name := fmt.Sprint("work-", i%16) // one that was given back is not asked for at once
+		name := fmt.Sprint("work-", i%16) // 16 roles in turn, because a released role is not acquired again at once
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		if err := d.AcquireAndWait(ctx, name); err != nil {
 			t.Fatalf("change %d: %v", i, err)
@@ -476,18 +479,18 @@
 		t.Fatal(err)
 	}
 	st := lead.d.VoterStatus()
-	t.Logf("%d times taken and given back in %v: three voters in one process hold %d kB, the leader's file has %d kB, %d commands in its log, %d snapshots", n,
+	t.Logf("%d times acquired and released in %v: three voters in one process use %d kB, the leader's file has %d kB, %d entries in its log, %d snapshots", n,
 		took.Round(time.Millisecond), m.HeapAlloc>>10, info.Size()>>10, st.LogEntries, st.Counters.Snapshots)
 	if st.LogEntries > 2500 || info.Size() > 4<<20 || m.HeapAlloc > 32<<20 {
-		t.Error("more than is allowed")
+		t.Error("the log has more than 2500 entries, the file more than 4 MiB, or the heap more than 32 MiB")
 	}
 }
 
-// The times without a holder on sockets and disks, 200 of each: transferred on request, and the
-// holder killed.
+// Measures how long the role has no holder, on sockets and disks: 200 times after a requested
+// transfer, and 200 times after its holder was killed.
 func TestTimesWithoutHolder(t *testing.T) {
 	if !*measure {
-		t.Skip("a measurement")
+		t.Skip("this measurement runs only with -measure")
 	}
 	var planned, killed []time.Duration
 	var mu sync.Mutex
@@ -496,13 +499,13 @@
 		all.Go(func() {
 			s := newCluster(t, 5, 3, 2*time.Second)
 			for _, p := range s.routers {
-				s.start(p, p.n >= 3) // voters alone do not hold, so that one thing dies at a time
+				s.start(p, p.n >= 3) // voters do not hold the role, so that a kill ends either a voter or the holder
 			}
 			s.awaitHolder(-1)
 			for range 50 {
 				who, _ := s.awaitHolder(-1)
 				to := 7 - who
-				s.awaitQueued(to) // what is handed to somebody who has not asked yet waits for that
+				s.awaitQueued(to) // a transfer to a router that has not requested the role would wait for its request
 				s.transfer(s.routers[0], to)
 				_, at := s.awaitHolder(who)
 				gap := s.gap(who, at)
@@ -529,7 +532,7 @@
 		})
 	}
 	all.Wait()
-	for name, x := range map[string][]time.Duration{"handed over as planned": planned, "holder killed": killed} {
+	for name, x := range map[string][]time.Duration{"transferred on request": planned, "holder killed": killed} {
 		if len(x) == 0 {
 			continue
 		}
@@ -537,11 +540,11 @@
 		at := func(p float64) time.Duration {
 			return x[min(int(p*float64(len(x))), len(x)-1)].Round(100 * time.Microsecond)
 		}
-		t.Logf("%s, %d times, without a holder: p50 %v, p90 %v, p99 %v, most %v", name, len(x), at(0.5), at(0.9), at(0.99), at(1))
+		t.Logf("%s, %d times, time without a holder: p50 %v, p90 %v, p99 %v, maximum %v", name, len(x), at(0.5), at(0.9), at(0.99), at(1))
 	}
 }
 
-// awaitQueued waits until a router is queued.
+// awaitQueued waits until router n is in the role's queue.
 func (s *cluster) awaitQueued(n int) {
 	s.t.Helper()
 	for end := time.Now().Add(4 * scripted.EventTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -552,7 +555,7 @@
 	s.t.Fatalf("r%d is not queued for the role", n)
 }
 
-// gap is the time between the end of a router's last work and another's beginning.
+// gap returns the time between the end of router who's last span and the start of the span next.
 func (s *cluster) gap(who int, next span) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/router/peering/store_test.go
+++ b/internal/router/peering/store_test.go
@@ -33,7 +33,7 @@
 	for _, k := range []quorum.Persist{
 		{Reset: true, Meta: &meta},
 		{Entries: entries(2, 250), HardState: &raftpb.HardState{Term: number(3), Vote: number(9), Commit: number(200)}},
-		{Entries: entries(240, 300)}, // another leader's
+		{Entries: entries(240, 300)}, // overwrites entries, as after a change of leader
 		{Snapshot: &raftpb.Snapshot{Data: []byte("{}"), Metadata: &raftpb.SnapshotMetadata{Index: number(200), Term: number(3)}}, Compact: 150},
 	} {
 		if err := s.persist(&k); err != nil {
@@ -46,13 +46,14 @@
 		t.Fatal(unread, err)
 	}
 	if _, _, _, err := openStore(folder); err == nil {
-		t.Error("two processes have one store")
+		t.Error("openStore opened a store that is already open")
 	}
 	s.close()
 	return folder, had
 }
 
-// A store has what was persisted, entries replaced and compacted.
+// A reopened store contains what was persisted: later entries replace earlier ones, and compacted
+// entries are gone.
 func TestStoreHasWhatWasPersisted(t *testing.T) {
 	_, had := newFilledStore(t)
 	if diff := cmp.Diff(entries(151, 300), had.Entries, protocmp.Transform()); diff != "" {
@@ -63,8 +64,9 @@
 	}
 }
 
-// A store that is cut anywhere, or has a bit flipped, is read as it was or set aside; it is never
-// read as something else, and never ends the process.
+// A store file that is truncated at any position, or has a flipped bit, is either read with its
+// original content or renamed as unreadable. It must never be read with other content, and never
+// crash the process.
 func TestDamagedStoreIsSetAside(t *testing.T) {
 	folder, want := newFilledStore(t)
 	complete, err := os.ReadFile(filepath.Join(folder, storeFileName))
@@ -88,7 +90,7 @@
 		}
 		if unread == nil && len(text) > 0 && had != nil {
 			if diff := cmp.Diff(want, had, protocmp.Transform()); diff != "" {
-				t.Errorf("%s at %d is read as something else: %s", what, at, diff)
+				t.Errorf("%s at %d: the store is read with other content: %s", what, at, diff)
 			}
 		}
 		if err := s.persist(&quorum.Persist{Reset: true, Meta: &quorum.Meta{Version: 1, ID: 8}}); err != nil {
@@ -103,7 +105,7 @@
 		text[at] ^= 1 << (at % 8)
 		check("flip", at, text)
 	}
-	if t.Log(unreadStores, "set aside"); unreadStores < 30 {
-		t.Errorf("%d set aside", unreadStores)
+	if t.Log(unreadStores, "stores renamed as unreadable"); unreadStores < 30 {
+		t.Errorf("%d damaged stores were renamed as unreadable, want at least 30", unreadStores)
 	}
 }
--- a/internal/router/peering/stored_test.go
+++ b/internal/router/peering/stored_test.go
@@ -19,11 +19,11 @@
 	"reachspread/internal/testbed/golden"
 )
 
-// The files under testdata were written by a store at commit 5bfcc27: WRITE_GOLDEN=1 go test -run
-// Golden. voter.db is the file that it left, voter.txt every value in it, bucket by bucket, as the
-// pages of the file itself may lie in another order.
+// The files under testdata were written by a store of commit 5bfcc27, by
+// WRITE_GOLDEN=1 go test -run Golden. The file voter.db is the store itself. The file voter.txt
+// lists every value in it by bucket, because the pages of a store file may be in another order.
 
-// goldenStored is all that a store may have.
+// goldenStored returns a state that has a value in every field that a store can contain.
 func goldenStored(t *testing.T) *quorum.StoredState {
 	t.Helper()
 	nodes := []quorum.Node{{ID: 9, Name: "r1", Zone: "east"}, {ID: 11, Name: "r2", Zone: "west"}}
@@ -32,7 +32,7 @@
 		Grants:       []lease.Grant{{Role: "copier", Holder: lease.Router{Name: "r1", Boot: 5, Zone: "east"}, Token: 76, Renewals: 12, TransferTo: "r3", Reason: lease.ReasonQueued, Unconfirmed: true}},
 		Queue:        []lease.Router{{Name: "r4", Boot: 8, Zone: "west"}},
 		Reservations: []lease.Reservation{{For: "r3", Token: 74}}}}}
-	content, err := json.Marshal(struct { // as package quorum has it
+	content, err := json.Marshal(struct { // the format that package quorum uses for snapshots
 		Nodes []quorum.Node
 		Table lease.State
 	}{nodes, table})
@@ -87,8 +87,8 @@
 	return out.String()
 }
 
-// A voter's file is read as it was written, every value in it is written as it was, and it is whole
-// after it was opened.
+// The store file of an earlier version is read with unchanged content. Writing the same state
+// produces the same values, and opening the file keeps all of them.
 func TestGoldenStore(t *testing.T) {
 	want := goldenStored(t)
 	golden.Complete(t, want.Meta)
@@ -115,7 +115,7 @@
 	}
 	s, had, unread, err := openStore(copied)
 	if err != nil || unread != nil {
-		t.Fatalf("set aside: %v, %v", unread, err)
+		t.Fatalf("the golden store was not read: unread %v, error %v", unread, err)
 	}
 	s.close()
 	if diff := cmp.Diff(want, had, protocmp.Transform()); diff != "" {
--- a/internal/router/peering/view_driver_test.go
+++ b/internal/router/peering/view_driver_test.go
@@ -15,7 +15,7 @@
 	"reachspread/internal/testbed/scripted"
 )
 
-// driver is the membership of one process on a socket.
+// driver is the ViewDriver of one router process, with its Gossip on a real socket.
 type driver struct {
 	*peering.ViewDriver
 	end     context.CancelFunc
@@ -23,7 +23,7 @@
 	changes chan *members.Changed
 }
 
-// freeAddresses returns addresses that nobody has.
+// freeAddresses returns n local UDP addresses that are not in use.
 func freeAddresses(t *testing.T, n int) (addrs []string) {
 	t.Helper()
 	for range n {
@@ -37,7 +37,8 @@
 	return addrs
 }
 
-// startDriver starts the membership of a process of router i, of those at the addresses.
+// startDriver starts the membership of a process of router i. Addrs has the addresses of all
+// routers; takesOver is set for a process that replaces another one.
 func startDriver(t *testing.T, addrs []string, i int, boot uint32, takesOver bool) *driver {
 	t.Helper()
 	x := &driver{lines: make(scripted.LogLines, 100), changes: make(chan *members.Changed, 100)}
@@ -69,7 +70,8 @@
 	}
 }
 
-// incarnationOf is a router's in a driver's view, 0 where it has none.
+// incarnationOf returns the incarnation of a router in the driver's view, 0 if the router is not in
+// the view.
 func (x *driver) incarnationOf(name string) uint32 {
 	for _, m := range x.Now().Members {
 		if m.Name == name {
@@ -79,8 +81,9 @@
 	return 0
 }
 
-// Guards against a router whose incarnation falls when its process is replaced: the new one waits
-// for the address for longer than a join takes, and joins only then.
+// Guards against a router whose incarnation decreases when its process is replaced. The new process
+// has to wait for the address for longer than a join takes, and must not join before it has the
+// address.
 func TestReplacedProcessJoinsOnceItHasTheAddress(t *testing.T) {
 	const longerThanAJoin = 2 * time.Second
 	addrs := freeAddresses(t, 2)
@@ -91,18 +94,18 @@
 	next := startDriver(t, addrs, 1, 3, true)
 	time.Sleep(longerThanAJoin)
 	if got := next.incarnationOf("r1"); got != 0 {
-		t.Errorf("it joined as %d without the address", got)
+		t.Errorf("the new process joined with incarnation %d before it had the address", got)
 	}
 	old.Leave(t.Context(), true)
 	old.end()
 	next.awaitMembers(t, 2)
 	if got := next.incarnationOf("r1"); got <= before {
-		t.Errorf("its incarnation is %d, was %d", got, before)
+		t.Errorf("the new process has incarnation %d, want more than %d, which the old one had", got, before)
 	}
 }
 
-// Three drivers on sockets find each other; one that leaves is removed, one that ends without
-// leaving is lost, with a log line.
+// Three drivers on sockets find each other. A router that leaves is removed from the view. A router
+// that ends without leaving is removed as crashed, and a log line reports it.
 func TestMembershipOnSockets(t *testing.T) {
 	addrs := freeAddresses(t, 3)
 	var all []*driver
@@ -117,12 +120,12 @@
 	for _, x := range all[:2] {
 		x.awaitMembers(t, 2)
 	}
-	// The figures are published right after the view of the same step.
+	// Run publishes the counters of a step only after the view of that step, so wait for them.
 	for until := time.Now().Add(scripted.EventTimeout); all[0].Stats().Alive != 2 && time.Now().Before(until); {
 		runtime.Gosched()
 	}
 	if f := all[0].Stats(); f.Deaths != 0 || f.Alive != 2 {
-		t.Errorf("after a leaving: %+v", f)
+		t.Errorf("after one of three routers left: %+v, want 2 alive and no deaths", f)
 	}
 	all[1].end()
 	all[0].awaitMembers(t, 1)
