--- a/internal/router/peering/golden_test.go
+++ b/internal/router/peering/golden_test.go
@@ -14,7 +14,7 @@
 	"reachspread/internal/testbed/scripted"
 )
 
-// goldenPatience bounds a wait for bytes that are on their way.
+// goldenTimeout bounds the waits for bytes that were sent to or from the tested router.
 const goldenTimeout = 10 * time.Second
 
 // Messages between candidates, including fleet records and rejections of them, must have the same
--- a/internal/router/peering/roles_test.go
+++ b/internal/router/peering/roles_test.go
@@ -62,9 +62,9 @@
 // kernel could assign such a port to another socket in between.
 var clusters atomic.Uint32
 
-func newCluster(t *testing.T, routers, may int, leaseTime time.Duration) *cluster {
+func newCluster(t *testing.T, routers, candidates int, leaseTime time.Duration) *cluster {
 	t.Helper()
-	s := &cluster{t: t, candidates: may, lease: leaseTime, roles: []lease.Role{{Name: "work"}}}
+	s := &cluster{t: t, candidates: candidates, lease: leaseTime, roles: []lease.Role{{Name: "work"}}}
 	ip := net.IPv4(127, 79, 0, byte(clusters.Add(1)))
 	for i := range routers {
 		p := &testRouter{n: i, folder: filepath.Join(t.TempDir(), "disk"), lines: make(scripted.LogLines, 10_000)}
@@ -105,7 +105,7 @@
 	}
 }
 
-func (s *cluster) start(p *testRouter, wants bool) {
+func (s *cluster) start(p *testRouter, acquire bool) {
 	s.t.Helper()
 	p.boot++
 	c := RolesConfig{Self: lease.Router{Name: fmt.Sprint("r", p.n), Boot: uint32(p.n)<<16 | p.boot, Zone: string(rune('a' + p.n%2))}, Timing: lease.DefaultTiming, Roles: s.roles, Voters: 3,
@@ -145,7 +145,7 @@
 	}()
 	s.updateViews()
 	go d.Run(ctx)
-	if wants {
+	if acquire {
 		d.Acquire("work", s.work(p))
 	}
 }
@@ -176,7 +176,8 @@
 	}
 }
 
-// open waits until so many spans are open, and returns them in the order of their tokens.
+// awaitOpenSpans waits until exactly n spans are open and accept returns true for them. It returns
+// them in the order of their tokens.
 func (s *cluster) awaitOpenSpans(n int, accept func([]span) bool) []span {
 	s.t.Helper()
 	for end := time.Now().Add(4 * scripted.EventTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -219,9 +220,9 @@
 	if err := last.RequestTransfer(ctx, "later", "r0", 0); err == nil || !strings.Contains(err.Error(), "no such duty") {
 		t.Errorf("transfer request for a role that is not defined yet: %v", err)
 	}
-	begun := make(chan uint64, 8)
+	started := make(chan uint64, 8)
 	last.Acquire("later", func(ctx context.Context, token uint64) error {
-		begun <- token
+		started <- token
 		<-ctx.Done()
 		return nil
 	})
@@ -231,7 +232,7 @@
 		}
 	}
 	select {
-	case token := <-begun:
+	case token := <-started:
 		if token <= held[1].token {
 			t.Errorf("the new role got token %d, want more than %d", token, held[1].token)
 		}
@@ -263,8 +264,8 @@
 	}
 }
 
-// holder waits until one router alone works under the role, other than one, and returns it with its
-// span.
+// awaitHolder waits until exactly one live router other than except runs the work of the role. It
+// returns that router's number and its span. An except of -1 excludes no router.
 func (s *cluster) awaitHolder(except int) (int, span) {
 	s.t.Helper()
 	for end := time.Now().Add(4 * scripted.EventTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -292,7 +293,8 @@
 	return 0, span{}
 }
 
-// leader waits for a leader of the voters that most agree on.
+// awaitLeader waits until at least two voters name the same live router as their leader, and
+// returns its number.
 func (s *cluster) awaitLeader() int {
 	s.t.Helper()
 	for end := time.Now().Add(4 * scripted.EventTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -316,7 +318,7 @@
 	return -1
 }
 
-// ordered checks that works came one after another, under tokens that grew.
+// checkOrder checks that the spans of live routers did not overlap and that their tokens increased.
 func (s *cluster) checkOrder() {
 	s.t.Helper()
 	s.mu.Lock()
@@ -328,7 +330,7 @@
 			s.t.Errorf("a span with token %d follows one with token %d", all[i].token, all[i-1].token)
 		}
 		if to := all[i-1].to; !to.IsZero() && to.After(all[i].from) && s.routers[all[i-1].who].d != nil {
-			s.t.Errorf("r%d worked until %v after r%d had begun", all[i-1].who, to.Sub(all[i].from), all[i].who)
+			s.t.Errorf("r%d worked until %v after r%d had started", all[i-1].who, to.Sub(all[i].from), all[i].who)
 		}
 	}
 }
@@ -398,7 +400,7 @@
 		os.RemoveAll(p.folder)
 	}
 	s.updateViews()
-	for line := ""; !strings.HasPrefix(line, "voters without leader"); line = scripted.Receive(t, s.routers[2].lines, "that duties have stopped") {
+	for line := ""; !strings.HasPrefix(line, "voters without leader"); line = scripted.Receive(t, s.routers[2].lines, "the log line that the voters have no leader") {
 	}
 	// Rebuild may first be refused for another reason: a dead voter may have named a leader a moment
 	// ago.
@@ -499,7 +501,7 @@
 		all.Go(func() {
 			s := newCluster(t, 5, 3, 2*time.Second)
 			for _, p := range s.routers {
-				s.start(p, p.n >= 3) // voters do not hold the role, so that a kill ends either a voter or the holder
+				s.start(p, p.n >= 3) // candidates do not request the role, so that killing its holder never kills a voter
 			}
 			s.awaitHolder(-1)
 			for range 50 {
--- a/internal/router/peering/store_test.go
+++ b/internal/router/peering/store_test.go
@@ -21,7 +21,8 @@
 	return all
 }
 
-// filled is a folder with a store of 300 commands, and what it has.
+// newFilledStore writes a store with log entries up to index 300. It returns the store's folder and
+// the state that openStore reads from it.
 func newFilledStore(t *testing.T) (folder string, had *quorum.StoredState) {
 	t.Helper()
 	folder = t.TempDir()
--- a/internal/router/peering/stored_test.go
+++ b/internal/router/peering/stored_test.go
@@ -67,7 +67,7 @@
 	return had
 }
 
-// values are all buckets of a store's file with all that is in them.
+// dumpValues returns the keys and values in all buckets of a store file, as text.
 func dumpValues(t *testing.T, path string) string {
 	t.Helper()
 	db, err := bbolt.Open(path, 0o644, &bbolt.Options{ReadOnly: true})
--- a/internal/router/peering/view_driver_test.go
+++ b/internal/router/peering/view_driver_test.go
@@ -62,7 +62,7 @@
 	return x
 }
 
-// sees waits until a driver's view has so many members.
+// awaitMembers waits until the driver's view has n members.
 func (x *driver) awaitMembers(t *testing.T, n int) {
 	t.Helper()
 	for len(x.Now().Members) != n {
