--- a/internal/router/management/management.go
+++ b/internal/router/management/management.go
@@ -27,11 +27,12 @@
 	// Drain starts draining if on is set and otherwise ends it. It returns the name of the phase
 	// that the router is in afterwards.
 	Drain(on bool) (phase string, err error)
-	// Recovery returns one line with the stage of the recovery of the last incarnation's state, and
-	// one line for each part of that state that was discarded; on is false if the router stores no
+	// Recovery returns lines on the recovery of the last incarnation's state and its stage, and one
+	// line for each part of that state that was discarded; on is false if the router stores no
 	// state.
 	Recovery() (lines []string, on bool)
-	// Roles returns one line for each singleton role; on is false if there are none.
+	// Roles returns lines on the voters, on each singleton role and on the roles of this router; on
+	// is false if there are no singleton roles.
 	Roles() (lines []string, on bool)
 	// TransferRole transfers the lease of a role to a router, or to the first router in the role's
 	// queue. If several routers hold the role, token selects the holder; 0 selects the first.
--- a/internal/router/peering/roles.go
+++ b/internal/router/peering/roles.go
@@ -68,7 +68,7 @@
 	store        *store
 	loopPace     pacing.Meter
 	voterLink    *voterLink
-	voterEvents  chan any // quorum.Event or *voterQuery, maxVoterEvents at most
+	voterEvents  chan any // queue of quorum.Event and *voterQuery values; its capacity is maxVoterEvents
 	voterStatus  atomic.Pointer[VoterStatus]
 
 	recordMu   sync.Mutex // serializes calls of keepRecord
--- a/internal/router/peering/roles_test.go
+++ b/internal/router/peering/roles_test.go
@@ -256,7 +256,7 @@
 	d.running.Wait()
 	if d.isCandidate {
 		for end := time.Now().Add(scripted.EventTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-			if f, err := durable.Lock(p.folder, storeLockName); err == nil { // its voter has ended
+			if f, err := durable.Lock(p.folder, storeLockName); err == nil { // the voter has ended and released its store
 				f.Close()
 				break
 			}
@@ -388,7 +388,7 @@
 	_, before := s.awaitHolder(-1)
 	s.awaitLeader()
 	rebuild := func(n int, lost ...string) error {
-		ctx, cancel := context.WithTimeout(context.Background(), scripted.EventTimeout) // as long as operators wait
+		ctx, cancel := context.WithTimeout(context.Background(), scripted.EventTimeout) // Rebuild waits until its context ends
 		defer cancel()
 		return s.routers[n].d.Rebuild(ctx, lost)
 	}
--- a/internal/router/peering/store.go
+++ b/internal/router/peering/store.go
@@ -17,7 +17,8 @@
 	"reachspread/internal/router/quorum"
 )
 
-// The files of a voter's directory.
+// The names of the files in a voter's directory. A new store file has freshStoreSuffix until it
+// replaces the old one.
 const (
 	storeFileName       = "voter.db"
 	unreadStoreFileName = "voter.db.unread" // the last store file that could not be read
--- a/internal/router/peering/work.go
+++ b/internal/router/peering/work.go
@@ -102,7 +102,7 @@
 	}
 	r.mu.Unlock()
 	ended := make(chan struct{})
-	go func() { // ends once all work has ended; the contexts of the works bound that
+	go func() { // does not leak, because the contexts of the works end
 		r.running.Wait()
 		close(ended)
 	}()
