--- a/internal/router/peering/gossip.go
+++ b/internal/router/peering/gossip.go
@@ -149,12 +149,12 @@
 	return nil
 }
 
-var errStranger = errors.New("not the address of a peer")
+var errNotPeer = errors.New("not the address of a peer")
 
 func (g *Gossip) parseReports(from netip.AddrPort, data []byte) (balance.ReportsReceived, error) {
 	number, known := g.peerNumbers[from]
 	if !known {
-		return balance.ReportsReceived{}, errStranger
+		return balance.ReportsReceived{}, errNotPeer
 	}
 	zone, reports, err := protocol.ParsePeerReports(data)
 	return balance.ReportsReceived{From: number, Zone: zone, Reports: reports}, err
--- a/internal/router/peering/gossip_test.go
+++ b/internal/router/peering/gossip_test.go
@@ -28,7 +28,7 @@
 		t.Cleanup(func() { c.Close() })
 		return c
 	}
-	peer, stranger, spare := socket(), socket(), socket()
+	peer, unknownSender, spare := socket(), socket(), socket()
 	own := spare.LocalAddr().String()
 	spare.Close()
 	lines := make(chan string, 10)
@@ -50,7 +50,7 @@
 			t.Fatal(err)
 		}
 	}
-	send(stranger, good)
+	send(unknownSender, good)
 	send(peer, good[:4])
 	send(peer, append([]byte{0x70}, good[1:]...))
 	send(peer, make([]byte, 300))
--- a/internal/router/peering/roles.go
+++ b/internal/router/peering/roles.go
@@ -193,7 +193,7 @@
 	}
 }
 
-// localAgent stands for the local agent where a request to the local voter states the sender's
+// localAgent is the sender that the local agent's requests to the local voter state, in place of an
 // address.
 const localAgent = "self"
 
--- a/internal/router/peering/roles_test.go
+++ b/internal/router/peering/roles_test.go
@@ -51,7 +51,7 @@
 	listen string
 	folder string
 	boot   uint32
-	d      *Roles
+	roles  *Roles
 	stop   context.CancelFunc
 	conn   *net.UDPConn
 	lines  scripted.LogLines
@@ -94,13 +94,13 @@
 func (s *cluster) updateViews() {
 	v := &members.View{}
 	for _, p := range s.routers {
-		if p.d != nil {
+		if p.roles != nil {
 			v.Members = append(v.Members, members.Member{Name: fmt.Sprint("r", p.n), Addr: p.addr})
 		}
 	}
 	for _, p := range s.routers {
-		if p.d != nil {
-			p.d.UpdateView(v)
+		if p.roles != nil {
+			p.roles.UpdateView(v)
 		}
 	}
 }
@@ -123,7 +123,7 @@
 		s.t.Fatal(err)
 	}
 	conn := p.conn
-	if p.d, err = NewRoles(c, func(to netip.AddrPort, data []byte) {
+	if p.roles, err = NewRoles(c, func(to netip.AddrPort, data []byte) {
 		s.sent.Add(1)
 		conn.WriteToUDPAddrPort(data, to)
 	}, p.lines); err != nil {
@@ -131,7 +131,7 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	p.stop = stop
-	d := p.d
+	d := p.roles
 	d.SetWorkContext(ctx)
 	go func() {
 		var buf [300]byte
@@ -171,7 +171,7 @@
 	s.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), scripted.EventTimeout)
 	defer cancel()
-	if err := at.d.RequestTransfer(ctx, "work", fmt.Sprint("r", to), 0); err != nil {
+	if err := at.roles.RequestTransfer(ctx, "work", fmt.Sprint("r", to), 0); err != nil {
 		s.t.Error(err)
 	}
 }
@@ -208,15 +208,15 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 4*scripted.EventTimeout)
 	defer cancel()
-	if err := s.routers[0].d.RequestTransfer(ctx, "work", fmt.Sprint("r", to), held[1].token); err != nil {
+	if err := s.routers[0].roles.RequestTransfer(ctx, "work", fmt.Sprint("r", to), held[1].token); err != nil {
 		t.Fatal(err)
 	}
 	s.awaitOpenSpans(2, func(now []span) bool { return now[0] == held[0] && now[1].who == to })
-	if err := s.routers[0].d.RequestTransfer(ctx, "work", fmt.Sprint("r", to), 1); err == nil || !strings.Contains(err.Error(), "nobody holds it") {
+	if err := s.routers[0].roles.RequestTransfer(ctx, "work", fmt.Sprint("r", to), 1); err == nil || !strings.Contains(err.Error(), "nobody holds it") {
 		t.Errorf("transfer request with a token that no router holds: %v", err)
 	}
 
-	last := s.routers[3].d
+	last := s.routers[3].roles
 	if err := last.RequestTransfer(ctx, "later", "r0", 0); err == nil || !strings.Contains(err.Error(), "no such duty") {
 		t.Errorf("transfer request for a role that is not defined yet: %v", err)
 	}
@@ -227,7 +227,7 @@
 		return nil
 	})
 	for _, p := range s.routers {
-		if err := p.d.Define(append(slices.Clone(s.roles), lease.Role{Name: "later"})); err != nil {
+		if err := p.roles.Define(append(slices.Clone(s.roles), lease.Role{Name: "later"})); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -246,13 +246,13 @@
 
 // kill stops a router abruptly: its socket is closed before its work ends.
 func (s *cluster) kill(p *testRouter) {
-	if p.d == nil {
+	if p.roles == nil {
 		return
 	}
 	p.conn.Close() // first, so that the router can't release its roles
 	p.stop()
-	d := p.d
-	p.d = nil
+	d := p.roles
+	p.roles = nil
 	d.running.Wait()
 	if d.isCandidate {
 		for end := time.Now().Add(scripted.EventTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -272,7 +272,7 @@
 		s.mu.Lock()
 		n, at := 0, span{}
 		for _, x := range s.spans {
-			if x.to.IsZero() && s.routers[x.who].d != nil && x.who != except {
+			if x.to.IsZero() && s.routers[x.who].roles != nil && x.who != except {
 				n, at = n+1, x
 			}
 		}
@@ -282,11 +282,11 @@
 		}
 	}
 	for _, p := range s.routers {
-		if p.d != nil {
-			if st := p.d.VoterStatus(); st != nil {
+		if p.roles != nil {
+			if st := p.roles.VoterStatus(); st != nil {
 				s.t.Logf("r%d: %+v", p.n, st.Roles)
 			}
-			s.t.Logf("r%d: %+v", p.n, p.d.LocalRoles())
+			s.t.Logf("r%d: %+v", p.n, p.roles.LocalRoles())
 		}
 	}
 	s.t.Fatal("no router, or more than one, has the role")
@@ -300,16 +300,16 @@
 	for end := time.Now().Add(4 * scripted.EventTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		votes := map[string]int{}
 		for _, p := range s.routers[:s.candidates] {
-			if p.d == nil {
+			if p.roles == nil {
 				continue
 			}
-			if st := p.d.VoterStatus(); st != nil && st.Leader != "" {
+			if st := p.roles.VoterStatus(); st != nil && st.Leader != "" {
 				votes[st.Leader]++
 			}
 		}
 		for name, n := range votes {
 			var i int
-			if fmt.Sscanf(name, "r%d", &i); n >= 2 && s.routers[i].d != nil {
+			if fmt.Sscanf(name, "r%d", &i); n >= 2 && s.routers[i].roles != nil {
 				return i
 			}
 		}
@@ -329,7 +329,7 @@
 		if all[i].token <= all[i-1].token {
 			s.t.Errorf("a span with token %d follows one with token %d", all[i].token, all[i-1].token)
 		}
-		if to := all[i-1].to; !to.IsZero() && to.After(all[i].from) && s.routers[all[i-1].who].d != nil {
+		if to := all[i-1].to; !to.IsZero() && to.After(all[i].from) && s.routers[all[i-1].who].roles != nil {
 			s.t.Errorf("r%d worked until %v after r%d had started", all[i-1].who, to.Sub(all[i].from), all[i].who)
 		}
 	}
@@ -390,7 +390,7 @@
 	rebuild := func(n int, lost ...string) error {
 		ctx, cancel := context.WithTimeout(context.Background(), scripted.EventTimeout) // Rebuild waits until its context ends
 		defer cancel()
-		return s.routers[n].d.Rebuild(ctx, lost)
+		return s.routers[n].roles.Rebuild(ctx, lost)
 	}
 	if err := rebuild(0); err == nil || !strings.Contains(err.Error(), "leader") {
 		t.Errorf("Rebuild while the voters have a leader: %v", err)
@@ -461,7 +461,7 @@
 		}()
 	}
 	s.awaitLeader()
-	d, begun := s.routers[0].d, time.Now()
+	d, begun := s.routers[0].roles, time.Now()
 	for i := range n {
 		name := fmt.Sprint("work-", i%16) // 16 roles in turn, because a released role is not acquired again at once
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
@@ -480,7 +480,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	st := lead.d.VoterStatus()
+	st := lead.roles.VoterStatus()
 	t.Logf("%d times acquired and released in %v: three voters in one process use %d kB, the leader's file has %d kB, %d entries in its log, %d snapshots", n,
 		took.Round(time.Millisecond), m.HeapAlloc>>10, info.Size()>>10, st.LogEntries, st.Counters.Snapshots)
 	if st.LogEntries > 2500 || info.Size() > 4<<20 || m.HeapAlloc > 32<<20 {
@@ -550,7 +550,7 @@
 func (s *cluster) awaitQueued(n int) {
 	s.t.Helper()
 	for end := time.Now().Add(4 * scripted.EventTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if roles := s.routers[n].d.LocalRoles(); len(roles) > 0 && roles[0].Queued {
+		if roles := s.routers[n].roles.LocalRoles(); len(roles) > 0 && roles[0].Queued {
 			return
 		}
 	}
--- a/internal/router/peering/store_test.go
+++ b/internal/router/peering/store_test.go
@@ -23,12 +23,12 @@
 
 // newFilledStore writes a store with log entries up to index 300. It returns the store's folder and
 // the state that openStore reads from it.
-func newFilledStore(t *testing.T) (folder string, had *quorum.StoredState) {
+func newFilledStore(t *testing.T) (folder string, stored *quorum.StoredState) {
 	t.Helper()
 	folder = t.TempDir()
-	s, had, unread, err := openStore(folder)
-	if err != nil || had != nil || unread != nil {
-		t.Fatalf("%v, %v, %v", had, unread, err)
+	s, stored, unread, err := openStore(folder)
+	if err != nil || stored != nil || unread != nil {
+		t.Fatalf("%v, %v, %v", stored, unread, err)
 	}
 	meta := quorum.Meta{Version: 1, ID: 7, Name: "r1", Group: 3, Starts: 2, StoreRecords: map[uint64]quorum.StoreRecord{9: {Starts: 4}}}
 	for _, k := range []quorum.Persist{
@@ -42,7 +42,7 @@
 		}
 	}
 	s.close()
-	s, had, unread, err = openStore(folder)
+	s, stored, unread, err = openStore(folder)
 	if err != nil || unread != nil {
 		t.Fatal(unread, err)
 	}
@@ -50,18 +50,18 @@
 		t.Error("openStore opened a store that is already open")
 	}
 	s.close()
-	return folder, had
+	return folder, stored
 }
 
 // A reopened store contains what was persisted: later entries replace earlier ones, and compacted
 // entries are gone.
 func TestStoreHasWhatWasPersisted(t *testing.T) {
-	_, had := newFilledStore(t)
-	if diff := cmp.Diff(entries(151, 300), had.Entries, protocmp.Transform()); diff != "" {
+	_, stored := newFilledStore(t)
+	if diff := cmp.Diff(entries(151, 300), stored.Entries, protocmp.Transform()); diff != "" {
 		t.Error(diff)
 	}
-	if had.Meta.ID != 7 || had.Meta.StoreRecords[9].Starts != 4 || had.HardState.GetVote() != 9 || had.Snapshot.GetMetadata().GetIndex() != 200 {
-		t.Errorf("got %+v", had)
+	if stored.Meta.ID != 7 || stored.Meta.StoreRecords[9].Starts != 4 || stored.HardState.GetVote() != 9 || stored.Snapshot.GetMetadata().GetIndex() != 200 {
+		t.Errorf("got %+v", stored)
 	}
 }
 
@@ -81,7 +81,7 @@
 		if err := os.WriteFile(filepath.Join(dir, storeFileName), text, 0o644); err != nil {
 			t.Fatal(err)
 		}
-		s, had, unread, err := openStore(dir)
+		s, stored, unread, err := openStore(dir)
 		if err != nil {
 			t.Fatalf("%s at %d: %v", what, at, err)
 		}
@@ -89,8 +89,8 @@
 		if unread != nil {
 			unreadStores++
 		}
-		if unread == nil && len(text) > 0 && had != nil {
-			if diff := cmp.Diff(want, had, protocmp.Transform()); diff != "" {
+		if unread == nil && len(text) > 0 && stored != nil {
+			if diff := cmp.Diff(want, stored, protocmp.Transform()); diff != "" {
 				t.Errorf("%s at %d: the store is read with other content: %s", what, at, diff)
 			}
 		}
--- a/internal/router/peering/stored_test.go
+++ b/internal/router/peering/stored_test.go
@@ -50,7 +50,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	had := &quorum.StoredState{
+	stored := &quorum.StoredState{
 		Meta: quorum.Meta{Version: 1, ID: 9, Name: "r1", Group: 3, Starts: 2, Members: nodes, Voters: []uint64{9, 11}, HighestToken: 77,
 			StoreRecords: map[uint64]quorum.StoreRecord{11: {Starts: 4, Term: 5, Boot: 6, LastTerm: 5, LastIndex: 300}}},
 		HardState: &raftpb.HardState{Term: number(5), Vote: number(11), Commit: number(302)},
@@ -62,9 +62,9 @@
 		if i == 1 {
 			e.Type = raftpb.EntryConfChangeV2.Enum()
 		}
-		had.Entries = append(had.Entries, e)
+		stored.Entries = append(stored.Entries, e)
 	}
-	return had
+	return stored
 }
 
 // dumpValues returns the keys and values in all buckets of a store file, as text.
@@ -113,12 +113,12 @@
 	if err := os.WriteFile(filepath.Join(copied, "voter.db"), text, 0o644); err != nil {
 		t.Fatal(err)
 	}
-	s, had, unread, err := openStore(copied)
+	s, stored, unread, err := openStore(copied)
 	if err != nil || unread != nil {
 		t.Fatalf("the golden store was not read: unread %v, error %v", unread, err)
 	}
 	s.close()
-	if diff := cmp.Diff(want, had, protocmp.Transform()); diff != "" {
+	if diff := cmp.Diff(want, stored, protocmp.Transform()); diff != "" {
 		t.Error(diff)
 	}
 	golden.Same(t, "voter.txt", []byte(dumpValues(t, filepath.Join(copied, "voter.db"))))
