--- a/internal/router/peering/stored_test.go
+++ b/internal/router/peering/stored_test.go
@@ -19,11 +19,11 @@
 	"reachspread/internal/testbed/golden"
 )
 
-// The files under testdata were written by a store at commit 5bfcc27: WRITE_GOLDEN=1 go test -run
-// Golden. voter.db is the file that it left, voter.txt every value in it, bucket by bucket, as the
-// pages of the file itself may lie in another order.
+// The files under testdata were written by a store of commit 5bfcc27, by
+// WRITE_GOLDEN=1 go test -run Golden. The file voter.db is the store itself. The file voter.txt
+// lists every value in it by bucket, because the pages of a store file may be in another order.
 
-// goldenStored is all that a store may have.
+// goldenStored returns a state that has a value in every field that a store can contain.
 func goldenStored(t *testing.T) *quorum.StoredState {
 	t.Helper()
 	nodes := []quorum.Node{{ID: 9, Name: "r1", Zone: "east"}, {ID: 11, Name: "r2", Zone: "west"}}
@@ -32,7 +32,7 @@
 		Grants:       []lease.Grant{{Role: "copier", Holder: lease.Router{Name: "r1", Boot: 5, Zone: "east"}, Token: 76, Renewals: 12, TransferTo: "r3", Reason: lease.ReasonQueued, Unconfirmed: true}},
 		Queue:        []lease.Router{{Name: "r4", Boot: 8, Zone: "west"}},
 		Reservations: []lease.Reservation{{For: "r3", Token: 74}}}}}
-	content, err := json.Marshal(struct { // as package quorum has it
+	content, err := json.Marshal(struct { // the format that package quorum uses for snapshots
 		Nodes []quorum.Node
 		Table lease.State
 	}{nodes, table})
@@ -50,7 +50,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	had := &quorum.StoredState{
+	stored := &quorum.StoredState{
 		Meta: quorum.Meta{Version: 1, ID: 9, Name: "r1", Group: 3, Starts: 2, Members: nodes, Voters: []uint64{9, 11}, HighestToken: 77,
 			StoreRecords: map[uint64]quorum.StoreRecord{11: {Starts: 4, Term: 5, Boot: 6, LastTerm: 5, LastIndex: 300}}},
 		HardState: &raftpb.HardState{Term: number(5), Vote: number(11), Commit: number(302)},
@@ -62,13 +62,13 @@
 		if i == 1 {
 			e.Type = raftpb.EntryConfChangeV2.Enum()
 		}
-		had.Entries = append(had.Entries, e)
+		stored.Entries = append(stored.Entries, e)
 	}
-	return had
+	return stored
 }
 
-// values are all buckets of a store's file with all that is in them.
-func values(t *testing.T, path string) string {
+// dumpValues returns the keys and values in all buckets of a store file, as text.
+func dumpValues(t *testing.T, path string) string {
 	t.Helper()
 	db, err := bbolt.Open(path, 0o644, &bbolt.Options{ReadOnly: true})
 	if err != nil {
@@ -87,8 +87,8 @@
 	return out.String()
 }
 
-// A voter's file is read as it was written, every value in it is written as it was, and it is whole
-// after it was opened.
+// The store file of an earlier version is read with unchanged content. Writing the same state
+// produces the same values, and opening the file keeps all of them.
 func TestGoldenStore(t *testing.T) {
 	want := goldenStored(t)
 	golden.Complete(t, want.Meta)
@@ -101,28 +101,28 @@
 		t.Fatal(err)
 	}
 	s.close()
-	made, err := os.ReadFile(filepath.Join(folder, "voter.db"))
+	written, err := os.ReadFile(filepath.Join(folder, "voter.db"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	text := golden.File(t, "voter.db", made)
-	golden.Same(t, "voter.txt", []byte(values(t, filepath.Join(folder, "voter.db"))))
-	golden.Same(t, "voter.txt", []byte(values(t, filepath.Join("testdata", "voter.db"))))
+	text := golden.File(t, "voter.db", written)
+	golden.Same(t, "voter.txt", []byte(dumpValues(t, filepath.Join(folder, "voter.db"))))
+	golden.Same(t, "voter.txt", []byte(dumpValues(t, filepath.Join("testdata", "voter.db"))))
 
-	kept := t.TempDir()
-	if err := os.WriteFile(filepath.Join(kept, "voter.db"), text, 0o644); err != nil {
+	copied := t.TempDir()
+	if err := os.WriteFile(filepath.Join(copied, "voter.db"), text, 0o644); err != nil {
 		t.Fatal(err)
 	}
-	s, had, aside, err := openStore(kept)
-	if err != nil || aside != nil {
-		t.Fatalf("set aside: %v, %v", aside, err)
+	s, stored, unread, err := openStore(copied)
+	if err != nil || unread != nil {
+		t.Fatalf("the golden store was not read: unread %v, error %v", unread, err)
 	}
 	s.close()
-	if diff := cmp.Diff(want, had, protocmp.Transform()); diff != "" {
+	if diff := cmp.Diff(want, stored, protocmp.Transform()); diff != "" {
 		t.Error(diff)
 	}
-	golden.Same(t, "voter.txt", []byte(values(t, filepath.Join(kept, "voter.db"))))
-	if _, err := os.Stat(filepath.Join(kept, "voter.lock")); err != nil {
+	golden.Same(t, "voter.txt", []byte(dumpValues(t, filepath.Join(copied, "voter.db"))))
+	if _, err := os.Stat(filepath.Join(copied, "voter.lock")); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/router/records/records_test.go
+++ b/internal/router/records/records_test.go
@@ -15,16 +15,17 @@
 		Cause: "broken", Live: Answer{Outcome: "whole"}, Copy: Answer{Outcome: "broken"}}
 }
 
-func ids(t *testing.T, folder string) (found string, cut int) {
+func readIDs(t *testing.T, folder string) (found string, truncated int) {
 	t.Helper()
-	cut, err := Read(folder, func(_ []byte, r *Record) error { found += r.ID + " "; return nil })
+	truncated, err := Read(folder, func(_ []byte, r *Record) error { found += r.ID + " "; return nil })
 	if err != nil {
 		t.Fatal(err)
 	}
-	return found, cut
+	return found, truncated
 }
 
-// Files keep to their size and number, and the oldest go first, also those of an earlier process.
+// The writer bounds the size and number of files. It removes the oldest files first, including the
+// files of an earlier process.
 func TestWriterRotatesFiles(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "made")
 	for _, id := range []string{"a", "b", "c", "d", "e"} {
@@ -34,9 +35,9 @@
 				t.Fatal(err)
 			}
 		}
-		time.Sleep(2 * time.Millisecond) // names count milliseconds
+		time.Sleep(2 * time.Millisecond) // file names state the time in milliseconds and must differ
 	}
-	if got, _ := ids(t, folder); got != "d2 e1 e2 " {
+	if got, _ := readIDs(t, folder); got != "d2 e1 e2 " {
 		t.Errorf("left: %s", got)
 	}
 	w := &Writer{Folder: folder, FileBytes: 1 << 20, Files: 3}
@@ -45,46 +46,46 @@
 			t.Fatal(err)
 		}
 	}
-	if got, _ := ids(t, folder); got != "e1 e2 x x x " {
+	if got, _ := readIDs(t, folder); got != "e1 e2 x x x " {
 		t.Errorf("left: %s", got)
 	}
 }
 
-// full takes so many bytes, as a disk does.
-type full struct {
+// limitedWriter accepts a limited number of bytes and then fails, like a full disk.
+type limitedWriter struct {
 	io.WriteCloser
-	room int
+	remaining int
 }
 
-func (f *full) Write(p []byte) (int, error) {
-	if len(p) <= f.room {
-		f.room -= len(p)
+func (f *limitedWriter) Write(p []byte) (int, error) {
+	if len(p) <= f.remaining {
+		f.remaining -= len(p)
 		return f.WriteCloser.Write(p)
 	}
-	n, _ := f.WriteCloser.Write(p[:f.room])
-	f.room = 0
+	n, _ := f.WriteCloser.Write(p[:f.remaining])
+	f.remaining = 0
 	return n, errors.New("no space left")
 }
 
-// A disk that fills up cuts a line off. It stays the last of its file, is passed over when read,
-// and writing goes on in the next file.
+// A disk that becomes full truncates a line. The truncated line stays the last line of its file,
+// Read skips it, and the writer continues in the next file.
 func TestTruncatedLineStaysTheLastOfItsFile(t *testing.T) {
 	folder := t.TempDir()
 	w := &Writer{Folder: folder, FileBytes: 1 << 20, Files: 9, Open: func(path string) (io.WriteCloser, error) {
 		f, err := create(path)
-		return &full{f, 450}, err
+		return &limitedWriter{f, 450}, err
 	}}
 	for _, id := range []string{"a", "b", "c"} {
 		if err := w.Append(record(id)); (err != nil) != (id == "b") {
 			t.Fatalf("%s: %v", id, err)
 		}
 	}
-	if got, cut := ids(t, folder); got != "a c " || cut != 1 {
-		t.Errorf("read %s, %d cut off", got, cut)
+	if got, truncated := readIDs(t, folder); got != "a c " || truncated != 1 {
+		t.Errorf("read %s, %d truncated lines, want \"a c \" and 1", got, truncated)
 	}
 }
 
-// What can't be read is told with file and line; only a last line may be cut off.
+// Read's errors name the file and the line. Only the last line of a file may be truncated.
 func TestReaderNamesFileAndLine(t *testing.T) {
 	for text, want := range map[string]string{
 		"{}\n":                           ":1: version is 0",
@@ -101,6 +102,6 @@
 		}
 	}
 	if _, err := Read("nowhere", nil); err == nil {
-		t.Error("a folder that is not there was read")
+		t.Error("Read returned no error for a folder that does not exist")
 	}
 }
--- a/internal/router/records/stored_test.go
+++ b/internal/router/records/stored_test.go
@@ -12,11 +12,11 @@
 	"reachspread/internal/testbed/golden"
 )
 
-// The file under testdata was written by a Writer at commit 5bfcc27: WRITE_GOLDEN=1 go test -run
-// Golden.
+// goldenFile is the file under testdata that a Writer of commit 5bfcc27 wrote, by
+// WRITE_GOLDEN=1 go test -run Golden.
 const goldenFile = "shadow-20261203T045000.000-000001.ndjson"
 
-// goldenRecords have between them every field.
+// goldenRecords returns records that, taken together, have a value in every field.
 func goldenRecords() []*Record {
 	number := func(n int) *int { return &n }
 	span := func(ms float64) *float64 { return &ms }
@@ -33,7 +33,8 @@
 	}
 }
 
-// A folder of records is read as it was written, and a Writer writes the same lines.
+// Read reads the stored records with unchanged content, and a Writer writes the same lines as the
+// stored file has.
 func TestGoldenRecords(t *testing.T) {
 	want := goldenRecords()
 	golden.Complete(t, want[0])
@@ -51,22 +52,22 @@
 	if err != nil || len(files) != 1 || len(filepath.Base(files[0])) != len(goldenFile) {
 		t.Fatalf("files %q, %v", files, err)
 	}
-	made, err := os.ReadFile(files[0])
+	written, err := os.ReadFile(files[0])
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Same(t, goldenFile, made)
+	golden.Same(t, goldenFile, written)
 	var got []*Record
 	var lines []byte
-	cut, err := Read("testdata", func(line []byte, r *Record) error {
+	truncated, err := Read("testdata", func(line []byte, r *Record) error {
 		got = append(got, r)
 		lines = append(append(lines, line...), '\n')
 		return nil
 	})
-	if diff := cmp.Diff(want, got); err != nil || cut != 0 || diff != "" {
-		t.Errorf("%d cut, %v\n%s", cut, err, diff)
+	if diff := cmp.Diff(want, got); err != nil || truncated != 0 || diff != "" {
+		t.Errorf("%d truncated lines, %v\n%s", truncated, err, diff)
 	}
-	if !bytes.Equal(lines, made) {
-		t.Errorf("lines %q", lines)
+	if !bytes.Equal(lines, written) {
+		t.Errorf("Read passed the lines %q, which differ from the written file", lines)
 	}
 }
