--- a/internal/router/program/admission.go
+++ b/internal/router/program/admission.go
@@ -12,23 +12,28 @@
 )
 
 const (
-	defaultStep = 8 // connections beyond the places that are read and refused, without settings
-	// admissionInterval is between two updates of admission on the time and on descriptors lent to
-	// it.
+	// defaultStep is the default for the number of connections beyond the connection limit whose
+	// request is read and refused.
+	defaultStep = 8
+	// admissionInterval is the time between two calls that advance admission's clock and update how
+	// many connections it may borrow from the mirror.
 	admissionInterval = 25 * time.Millisecond
-	// reloadCheckInterval is between two checks whether a reload has brought a use for that.
+	// reloadCheckInterval is the time between two checks whether a reload has made these calls
+	// necessary.
 	reloadCheckInterval = time.Second
-	// shortageLogInterval is the least time between two lines of a lack of descriptors: one for
-	// each episode, whoever makes it.
+	// shortageLogInterval is the minimum time between two log lines about exhausted descriptors, so
+	// that each shortage is logged about once, whatever causes it.
 	shortageLogInterval = time.Minute
-	maxHoldings         = 10
-	// listenerDescriptors are the listener's two descriptors and the one held back.
+	// maxHoldings is how many of the clients with the most connections the status lists.
+	maxHoldings = 10
+	// listenerDescriptors is the listener's two descriptors and the one that it holds in reserve to
+	// refuse clients when the process has no other descriptor left.
 	listenerDescriptors = 3
-	// AdmissionTopic is the path of admission's state on the status socket.
+	// AdmissionTopic is the path of the admission state on the status socket.
 	AdmissionTopic = "/door"
 )
 
-// frontLimits is what clients may take up.
+// frontLimits returns the limits on the resources that clients may use.
 func (p *Program) frontLimits(r processLimits) transport.FrontLimits {
 	l := transport.FrontLimits{BodyBytes: r.bodies, Seed: p.cfg.seed, Admission: p.cfg.admission(r.clients), OnDescriptorShortage: p.onShortage(),
 		OnClose: p.logUnanswered}
@@ -38,8 +43,8 @@
 	return l
 }
 
-// admission returns admission's settings: those of the operators, or as many places as fit and
-// nothing more.
+// admission returns the admission configuration for a number of client connections. Without a block
+// "door" in the operators' settings it only limits the number of connections.
 func (c *Config) admission(clients int) admission.Config {
 	if c.set == nil || c.set.Admission == nil {
 		return admission.Config{MaxConnections: clients, MaxOverflow: defaultStep, MinRetryAfter: min(c.balance.MaxRetryAfter, time.Second)}
@@ -50,10 +55,10 @@
 	return d
 }
 
-// admission returns admission's settings by what is in force.
+// admission returns the admission configuration according to the configuration in force.
 func (p *Program) admission(clients int) admission.Config { return p.inForce.Load().admission(clients) }
 
-// logUnanswered logs a client's connection that was closed with a request and without an answer.
+// logUnanswered logs that a client connection was closed although its request had no answer yet.
 func (p *Program) logUnanswered(closed transport.ConnectionClosed) {
 	if closed.Unanswered {
 		go p.log.Warn("connection closed unanswered", "client", closed.Client, "reason", closed.Reason, "unread", closed.Unread,
@@ -61,7 +66,7 @@
 	}
 }
 
-// onShortage returns what the listener calls when the process has no descriptor left.
+// onShortage returns the callback that the listener calls when the process has no descriptor left.
 func (p *Program) onShortage() func() {
 	var mu sync.Mutex
 	var last time.Time
@@ -81,9 +86,9 @@
 	}
 }
 
-// runAdmission lets admission know of the time and of what copies lend it, until ctx ends. Without
-// a block "door" and without pools there is nothing of either; then it looks once a second whether
-// a reload has brought any.
+// runAdmission advances admission's clock and updates how many connections the mirror lends to
+// admission, until ctx ends. Neither is needed without a block "door" and without shadow pools. In
+// that case runAdmission checks once a second whether a reload has added one of them.
 func (p *Program) runAdmission(ctx context.Context) {
 	timer := time.NewTimer(admissionInterval)
 	defer timer.Stop()
@@ -102,7 +107,7 @@
 	}
 }
 
-// copies returns how many descriptors are set aside for copies.
+// copies returns how many descriptors are reserved for copying requests to shadow pools.
 func (c *Config) copies() (n int) {
 	if c.set == nil {
 		return 0
@@ -113,8 +118,8 @@
 	return n
 }
 
-// descriptorShares is the descriptor table as the configuration divides it, before anybody holds a
-// descriptor.
+// descriptorShares returns the descriptor table with the share that the configuration gives each
+// owner. It does not fill in how many descriptors the owners use.
 func (c *Config) descriptorShares(r processLimits) admission.DescriptorTable {
 	clients, reserve, step := r.clients, c.admission(r.clients).ReservedForKnown, c.admission(r.clients).MaxOverflow
 	return admission.DescriptorTable{Limit: c.Limits.Sockets, Owners: []admission.OwnerUse{
@@ -125,13 +130,13 @@
 		{Owner: admission.Servers, Limit: r.servers},
 		{Owner: admission.Discovery, Limit: 1},
 		{Owner: admission.Mirror, Limit: c.copies()},
-		{Owner: admission.StatusClients, Limit: c.descriptorsForSettings() - c.copies()}, // with the files of the records
+		{Owner: admission.StatusClients, Limit: c.descriptorsForSettings() - c.copies()}, // includes the record files
 		{Owner: admission.Operators, Limit: transport.ManagementSockets},
 		{Owner: admission.Runtime, Limit: reservedDescriptors - listenerDescriptors - transport.ManagementSockets - 1 - step},
 	}}
 }
 
-// descriptorTable is who may hold and who holds the descriptors of the process.
+// descriptorTable returns how many descriptors each owner may use and uses in this process.
 func (p *Program) descriptorTable() admission.DescriptorTable {
 	counts, _ := p.front.AdmissionStatus(0)
 	used := map[admission.Owner]int{admission.Listeners: 3, admission.Discovery: 1, admission.KnownClients: counts.Known, admission.UnknownClients: counts.Unknown,
@@ -148,12 +153,12 @@
 		l.Owners[i].Used = used[l.Owners[i].Owner]
 	}
 	if open, err := os.ReadDir("/proc/self/fd"); err == nil {
-		l.Open = len(open) - 1 // without the one that reads it
+		l.Open = len(open) - 1 // without the descriptor that ReadDir itself uses
 	}
 	return l
 }
 
-// AdmissionStatus is the state of admission, as `admission` prints it.
+// AdmissionStatus is the state of admission that the command `admission` prints.
 type AdmissionStatus struct {
 	Level       string                    `json:"level"`
 	Slots       int                       `json:"places"`
@@ -167,9 +172,9 @@
 	Admitted    uint64                    `json:"admitted"`
 	Promoted    uint64                    `json:"promoted"`
 	Served      uint64                    `json:"served"`
-	Refused     map[string]uint64         `json:"refused"` // requests that were answered
-	Turned      map[string]uint64         `json:"turned"`  // connections closed before a byte was read
-	Shut        map[string]uint64         `json:"shut"`    // silent connections
+	Refused     map[string]uint64         `json:"refused"` // requests answered with a refusal, by cause
+	Turned      map[string]uint64         `json:"turned"`  // connections closed before a byte was read, by cause
+	Shut        map[string]uint64         `json:"shut"`    // silent connections that were closed, by cause
 	Shorts      uint64                    `json:"shorts"`
 	Holdings    []admission.ClientUsage   `json:"holdings"`
 	Descriptors admission.DescriptorTable `json:"ledger"`
@@ -186,7 +191,7 @@
 	return s, nil
 }
 
-// byCause names what was counted.
+// byCause stores each count that is not 0 under the name of its cause.
 func byCause(to map[string]uint64, counts []uint64) {
 	for i, n := range counts {
 		if n > 0 {
@@ -195,13 +200,14 @@
 	}
 }
 
-// reloadAdmission takes up admission's settings anew. Whether there are any counts from the start.
+// reloadAdmission checks the admission settings of a reload. It returns an error for a change that
+// only a restart can apply: adding or removing the block "door", and another identity_header.
 func (p *Program) reloadAdmission(cfg *Config) error {
 	if (p.cfg.set.Admission == nil) != (cfg.set.Admission == nil) {
-		return fmt.Errorf("%s: the block \"door\" counts from the next start", p.file)
+		return fmt.Errorf("%s: adding or removing the block \"door\" needs a restart", p.file)
 	}
 	if cfg.set.Admission != nil && cfg.set.Admission.IdentityHeader != p.cfg.set.Admission.IdentityHeader {
-		return fmt.Errorf("%s: identity_header counts from the next start", p.file)
+		return fmt.Errorf("%s: changing identity_header needs a restart", p.file)
 	}
 	return nil
 }
--- a/internal/router/program/capture.go
+++ b/internal/router/program/capture.go
@@ -2,9 +2,9 @@
 
 import "reachspread/internal/router/capture"
 
-// startCapture begins the file that the operators' settings name. It counts from the start: a
-// reload changes nothing of it. A file that can't be begun, as one is there from before a restart,
-// keeps nobody from being served.
+// startCapture creates the capture file that the operators' settings name. A reload does not change
+// the capture. If the file cannot be created, for example because a previous process has left one,
+// the router serves without a capture.
 func (p *Program) startCapture() {
 	if p.cfg.set == nil || p.cfg.set.Capture.Path == "" {
 		return
@@ -12,14 +12,14 @@
 	set := p.cfg.set.Capture
 	w, err := capture.NewWriter(set.Path, set.MaxBytes, p.log)
 	if err != nil {
-		p.log.Warn("capture lost", "file", set.Path, "cause", err)
+		p.log.Warn("capture file not created", "file", set.Path, "cause", err)
 		return
 	}
 	p.capture = w
 	p.front.SetCapture(w)
 }
 
-// stopCapture writes the last of it.
+// stopCapture writes the rest of the capture and closes its file.
 func (p *Program) stopCapture() {
 	if p.capture != nil {
 		p.capture.Close()
--- a/internal/router/program/components.go
+++ b/internal/router/program/components.go
@@ -5,18 +5,19 @@
 // component is a part of the program outside its core. Any of its functions may be nil.
 type component struct {
 	name           string
-	start          func(work context.Context) error // before anything is served; work ends with the last request
-	beforeShutdown func()                           // SIGTERM came; the phase is still the one before
-	stop           func(clean bool)                 // clean: the last request was answered; otherwise something failed
+	start          func(work context.Context) error // called before the router serves; work ends after the last request
+	beforeShutdown func()                           // called after SIGTERM, before the router enters the phase Terminating
+	stop           func(clean bool)                 // clean reports whether the last request was answered; otherwise the program failed
 }
 
-// components are all of them, in the order of their start. They shut down and stop in reverse: the
-// handover of connections first, as others ask whether another process takes over.
+// components returns all components in the order in which they start. They shut down and stop in
+// reverse order. The handover of connections shuts down first, because other components check
+// whether another process takes over.
 func (p *Program) components() []component {
 	return []component{
 		{name: "management", start: func(context.Context) error { return p.startManagement() }, stop: func(bool) { p.stopManagement() }},
 		{name: "capture", start: func(context.Context) error { p.startCapture(); return nil }, stop: func(bool) { p.stopCapture() }},
-		{name: "mirror", stop: func(clean bool) { // it was started with the front, whose answers it watches
+		{name: "mirror", stop: func(clean bool) { // build starts the mirror together with the front, whose answers the mirror reads
 			if clean {
 				p.stopMirror()
 			}
@@ -33,8 +34,8 @@
 	}
 }
 
-// startComponents starts all components. Those that were started are stopped by stopComponents,
-// also where one fails.
+// startComponents starts all components. If one fails to start, stopComponents still stops those
+// that were started before it.
 func (p *Program) startComponents(work context.Context) error {
 	for _, x := range p.components() {
 		if x.start != nil {
@@ -47,7 +48,7 @@
 	return nil
 }
 
-// prepareShutdown notifies all components that the program is about to shut down.
+// prepareShutdown notifies the started components that the program is about to shut down.
 func (p *Program) prepareShutdown() {
 	for i := len(p.started) - 1; i >= 0; i-- {
 		if leave := p.started[i].beforeShutdown; leave != nil {
@@ -56,7 +57,7 @@
 	}
 }
 
-// stopComponents stops the started components, once.
+// stopComponents stops the started components. A second call does nothing.
 func (p *Program) stopComponents(clean bool) {
 	for i := len(p.started) - 1; i >= 0; i-- {
 		if stop := p.started[i].stop; stop != nil {
--- a/internal/router/program/config.go
+++ b/internal/router/program/config.go
@@ -1,4 +1,5 @@
-// Package program is the router as a process: its configuration and its phases from start to exit.
+// Package program implements the router process: its configuration and its phases from start to
+// exit.
 package program
 
 import (
@@ -17,33 +18,33 @@
 	"reachspread/internal/wire"
 )
 
-// Config is the configuration that the platform gives a router, in the file that ROUTER_CONFIG
-// names.
+// Config is the configuration that the platform gives a router. It is read from the file that
+// ROUTER_CONFIG names.
 type Config struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
 	Discovery string `json:"discovery"`
-	// Management is the address of the management address, empty for none.
+	// Management is the management address, empty for none.
 	Management string        `json:"management"`
 	Seed       string        `json:"seed"`
 	Limits     Limits        `json:"limits"`
 	Known      protocol.List `json:"known"`
 
 	PeerListen string   `json:"peer_listen"`
-	Peers      []string `json:"peers"` // every router's address, its own included, by their numbers
+	Peers      []string `json:"peers"` // the addresses of all routers including this one, indexed by router number
 
 	Settings wire.Options `json:"settings"`
 
-	text      []byte // of the file
+	text      []byte // the content of the file
 	seed      uint64
 	balance   balance.Config
-	acceptFD  int                // the clients' listener as inherited, 0 for an own one
-	boot      uint32             // of this process in the fleet view, drawn as it is first asked for
-	discovery string             // as the file says it, whatever the environment does
-	set       *settings.Settings // the operators' file, nil for none
+	acceptFD  int                // the inherited descriptor of the clients' listener, 0 if the router opens its own listener
+	boot      uint32             // identifies this process in the fleet view, drawn at random when member first needs it
+	discovery string             // the discovery address in the file, without the override of ROUTER_DISCOVERY
+	set       *settings.Settings // the operators' settings, nil without a settings file
 }
 
-// Limits is what a router may use.
+// Limits are the resources that a router may use.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
@@ -51,12 +52,12 @@
 }
 
 const (
-	reservedDescriptors  = 64 // descriptors for discovery, the listener, probes and the run-time
+	reservedDescriptors  = 64 // descriptors for discovery, the listener, probes and the Go runtime
 	minClientConnections = 16
 )
 
-// Load reads the file that ROUTER_CONFIG names; the other variables of the platform go before what
-// it says. An error is one line that names the field at fault.
+// Load reads the configuration file that ROUTER_CONFIG names. The other environment variables of the
+// platform override fields of the file. An error is one line that names the invalid field.
 func Load(getenv func(string) string) (*Config, error) {
 	path := getenv("ROUTER_CONFIG")
 	if path == "" {
@@ -128,8 +129,8 @@
 	return nil
 }
 
-// checkPeers looks at the addresses of the other routers, where the settings allow datagrams at
-// all.
+// checkPeers checks the addresses of the routers. It checks nothing if the settings do not allow
+// datagrams between routers.
 func (c *Config) checkPeers() error {
 	if c.balance.Routers == 0 {
 		return nil
@@ -148,8 +149,8 @@
 	return nil
 }
 
-// descriptorsForSettings returns how many descriptors are set aside for what the operators'
-// settings turn on.
+// descriptorsForSettings returns how many descriptors are reserved for the features that the
+// operators' settings turn on.
 func (c *Config) descriptorsForSettings() int {
 	if c.set == nil {
 		return 0
@@ -157,11 +158,12 @@
 	return c.set.Descriptors()
 }
 
-// settingsMemoryDivisor divides the memory limit: so much of it the operators' settings may use for
-// copies and their answers.
+// settingsMemoryDivisor is the divisor of the memory limit that gives the memory that the operators'
+// settings may use for copies of requests and their answers.
 const settingsMemoryDivisor = 8
 
-// ReadSettings reads the operators' settings file, which must fit the limits.
+// ReadSettings reads the operators' settings file. It returns an error if the settings need more
+// descriptors or memory than the limits allow.
 func (c *Config) ReadSettings(path string) error {
 	set, err := settings.Read(path)
 	if err != nil {
@@ -180,12 +182,12 @@
 	return c.checkRoles(path)
 }
 
-// connectTimeout is the time for a connection to a server to come up.
+// connectTimeout returns the timeout for establishing a connection to a server.
 func (c *Config) connectTimeout() time.Duration {
 	return time.Duration(c.Settings.Limits.ConnectTimeoutNs)
 }
 
-// LogFormat returns how log lines are written.
+// LogFormat returns the format of log lines.
 func (c *Config) LogFormat() logging.Format {
 	if c.set == nil {
 		return logging.Text
--- a/internal/router/program/handover.go
+++ b/internal/router/program/handover.go
@@ -6,21 +6,22 @@
 	"reachspread/internal/transport"
 )
 
-// moveSocketName is the socket, in the folder that the processes of a router share, on which the
-// one that takes over is given the connections of the one that leaves.
+// moveSocketName is the name of the socket over which a process that shuts down hands its
+// connections to the process that replaces it. The socket is in the folder that the processes of a
+// router share.
 const moveSocketName = "reachspread.moves"
 
 func (p *Program) moveSocketPath() string { return filepath.Join(p.getenv("TMPDIR"), moveSocketName) }
 
-// startReceiver opens the socket for connections of a process that will leave. Without it they end
-// where they are.
+// startReceiver opens the socket on which this process receives the connections of a process that
+// it replaces. Without the socket, those connections end in the process that has them.
 func (p *Program) startReceiver() {
 	if p.processGroup == nil {
 		return
 	}
 	var err error
 	if p.receiver, err = transport.NewReceiver(p.moveSocketPath(), p.front, p.servers, p.log); err != nil {
-		p.log.Warn("connections stay", "cause", err)
+		p.log.Warn("socket for connection handover not opened", "cause", err)
 	}
 }
 
@@ -29,10 +30,10 @@
 	if p.receiver == nil {
 		return
 	}
-	p.receiver.Stop() // or else this process might find itself there
+	p.receiver.Stop() // otherwise DialMover might connect to this process's own socket
 	mover, err := transport.DialMover(p.moveSocketPath())
 	if err != nil {
-		return // nobody takes over: this is an end, not a replacement
+		return // no other process takes over: the router ends without a replacement
 	}
 	p.mu.Lock()
 	p.mover = mover
@@ -42,7 +43,8 @@
 	p.receiver.MoveOn()
 }
 
-// finishMoves waits for connections that came from another process.
+// finishMoves waits for the connections that another process has handed over to this one, and
+// closes the connection to the process that takes over.
 func (p *Program) finishMoves() {
 	if p.receiver != nil {
 		p.receiver.Wait()
@@ -52,7 +54,7 @@
 	}
 }
 
-// carriedStreams returns how many streams of another process this one carries.
+// carriedStreams returns how many streams this process relays that another process accepted.
 func (p *Program) carriedStreams() int {
 	if p.receiver == nil {
 		return 0
--- a/internal/router/program/management.go
+++ b/internal/router/program/management.go
@@ -7,7 +7,7 @@
 	"reachspread/internal/transport"
 )
 
-// startManagement opens the management address, if there is to be one.
+// startManagement opens the management address, if the configuration has one.
 func (p *Program) startManagement() (err error) {
 	if p.cfg.Management == "" {
 		return nil
--- a/internal/router/program/management_test.go
+++ b/internal/router/program/management_test.go
@@ -228,7 +228,7 @@
 	s.figures(map[string]string{`throttled_total{priority="chat"}`: "1", "cfg_invalid_total": "0"})
 	write(t, s.path, "{")
 	s.reload <- syscall.SIGHUP
-	s.until("reload refused")
+	s.until("configuration reload refused")
 	s.write()
 	s.reload <- syscall.SIGHUP
 	s.until("reloaded")
--- a/internal/router/program/membership.go
+++ b/internal/router/program/membership.go
@@ -18,8 +18,8 @@
 	"reachspread/internal/routing"
 )
 
-// checkFleet looks at the block fleet of the operators' settings, which may need what only the
-// configuration says.
+// checkFleet checks the block fleet of the operators' settings against the configuration, which
+// supplies the addresses that the block omits.
 func (c *Config) checkFleet(path string) error {
 	f := c.set.Fleet
 	if f == nil {
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// member is this router as the others are to know it.
+// member returns the description of this router that it announces to the other members of the fleet.
 func (c *Config) member() members.Config {
 	f := c.set.Fleet
 	if c.boot == 0 {
@@ -69,7 +69,7 @@
 	return m
 }
 
-// version is the program's own, as short as a member's may be.
+// version returns the version of this program, cut to the maximum length of a member's version.
 func version() string {
 	v := "unknown"
 	if info, ok := debug.ReadBuildInfo(); ok && info.Main.Version != "" {
@@ -78,7 +78,8 @@
 	return v[:min(len(v), members.MaxVersionLen)]
 }
 
-// startPeers opens the socket for what goes between routers, if anything does.
+// startPeers opens the socket for datagrams between routers. It does nothing if there is neither
+// another router in the configuration nor a block fleet in the settings.
 func (p *Program) startPeers(work context.Context) error {
 	fleet := p.cfg.set != nil && p.cfg.set.Fleet != nil
 	if p.cfg.balance.Routers <= 1 && !fleet {
@@ -104,7 +105,7 @@
 		}
 		numbers := map[netip.AddrPort]int{}
 		for i, peer := range p.cfg.Peers {
-			a, _ := netip.ParseAddrPort(peer) // checked with the configuration
+			a, _ := netip.ParseAddrPort(peer) // checkPeers has checked that it parses
 			numbers[a] = i
 		}
 		p.view, err = peering.NewViewDriver(m, gossip.Send, func(v *members.View, _ *members.Changed) {
@@ -126,8 +127,9 @@
 	return nil
 }
 
-// numbered returns the living routers of a view by their numbers in the configuration, or nil where
-// it does not have this one: then the module counts all as living, as it does without a view.
+// numbered returns the live routers of a view with their numbers in the configuration. It returns
+// nil if the view lacks this router. Package balance then counts all routers as live, as it does
+// without a view.
 func (p *Program) numbered(v *members.View, numbers map[netip.AddrPort]int) (peers []balance.Peer) {
 	self := false
 	for i := range v.Members {
@@ -143,11 +145,13 @@
 	return peers
 }
 
-// announceLeaveTimeout bounds the wait until other routers were notified that this one leaves.
+// announceLeaveTimeout is how long the shutdown waits for the announcement to other routers that
+// this one leaves.
 const announceLeaveTimeout = 100 * time.Millisecond
 
-// announceLeave notifies other routers that this one leaves. Where another process takes over,
-// which waits for the address, it says so.
+// announceLeave announces to the other routers that this one leaves, and whether another process
+// takes over. A process with an inherited listener then also closes its socket for datagrams,
+// because the process that takes over waits for that address.
 func (p *Program) announceLeave() {
 	if p.view != nil {
 		ctx, cancel := context.WithTimeout(context.Background(), announceLeaveTimeout)
@@ -174,7 +178,7 @@
 	return lines, true
 }
 
-// field keeps an empty word from vanishing.
+// field returns s, or "-" for an empty string, so that the value of a field is never empty.
 func field(s string) string {
 	if s == "" {
 		return "-"
@@ -182,7 +186,7 @@
 	return s
 }
 
-// fleetValues are the figures of the view, nil where there is none.
+// fleetValues returns the metrics of the fleet view, nil without a view.
 func (p *Program) fleetValues() *management.Fleet {
 	if p.view == nil {
 		return nil
@@ -203,17 +207,18 @@
 	}
 }
 
-// Line is a line of the calls view and duties, apart.
+// Line is one parsed line of the answer to a management call such as view or duties.
 type Line struct {
-	What   string            `json:"what"` // its first word: view, router, duties, duty or own
+	What   string            `json:"what"` // the first word of the line, such as view, router, duties, duty or own
 	Fields map[string]string `json:"fields"`
 }
 
-// ParseLines reads the answer to a call whose first line has what for its first word.
+// ParseLines parses the answer to a management call. It returns an error if no line of the answer
+// begins with the word what.
 func ParseLines(answer, what string) (all []Line, err error) {
 	lines := strings.Split(strings.TrimSpace(answer), "\n")
 	if lines[0] != "+OK" || lines[len(lines)-1] != "." {
-		return nil, fmt.Errorf("the router says %q", lines[0])
+		return nil, fmt.Errorf("the router answered %q; an answer with \"+OK\" in its first line and \".\" in its last was expected", lines[0])
 	}
 	for _, line := range lines[1 : len(lines)-1] {
 		tokens := strings.Fields(line)
--- a/internal/router/program/memory.go
+++ b/internal/router/program/memory.go
@@ -10,15 +10,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// smallMemory is the limit, in megabytes, up to which the program's own pages count for much.
+// smallMemory is the memory limit, in megabytes, up to which the program releases the pages of its
+// own file, because they take a large part of such a limit.
 const smallMemory = 64
 
-// mapping is a range of the process's addresses.
+// mapping is a mapped range of the process's address space.
 type mapping struct{ from, to uintptr }
 
-// releasePages gives back the pages of the program's file that were needed at its start: code and
-// tables of libraries that this process uses once or never. What is needed again comes back from
-// the file. A process that can't do so goes on with them.
+// releasePages gives the resident pages of the program's file back to the system. Many of them are
+// code and tables of libraries that the process uses only at its start or never. The system reads a
+// page from the file again when the process needs it. If releasePages fails, the pages stay
+// resident.
 func releasePages() {
 	self, err := os.Executable()
 	if err != nil {
@@ -34,8 +36,8 @@
 	}
 }
 
-// unchangedMappings are those of a file that can't be written and have no page that differs from
-// the file, by the text of smaps (proc(5)).
+// unchangedMappings returns the read-only mappings of a file none of whose pages differ from the
+// file. It reads them from the text of smaps; see proc(5).
 func unchangedMappings(smaps io.Reader, file string) (all []mapping) {
 	var m mapping
 	lines := bufio.NewScanner(smaps)
@@ -55,8 +57,8 @@
 	return all
 }
 
-// readOnlyMapping reads the first line of a mapping; it is empty where the mapping isn't of the
-// file or can be written.
+// readOnlyMapping parses the fields of the first line of a mapping. It returns an empty mapping if
+// the mapping is writable or belongs to another file.
 func readOnlyMapping(fields []string, file string) (m mapping) {
 	if len(fields) < 6 || fields[5] != file || strings.Contains(fields[1], "w") {
 		return mapping{}
--- a/internal/router/program/openrequests.go
+++ b/internal/router/program/openrequests.go
@@ -7,8 +7,8 @@
 	"reachspread/internal/router/snapshot"
 )
 
-// countUnanswered is how many requests the previous incarnation had accepted and not answered, as
-// far as that was persisted. Nothing is sent again for them.
+// countUnanswered returns how many requests the previous incarnation had accepted and not answered
+// when it last wrote the file of open requests. The router does not send these requests again.
 func (p *Program) countUnanswered(folder string) int {
 	text, err := os.ReadFile(filepath.Join(folder, snapshot.OpenRequestsFile))
 	if err != nil {
@@ -16,7 +16,7 @@
 	}
 	open, _, err := snapshot.Decode(text)
 	if err != nil {
-		p.log.Warn("snapshot broken", "file", snapshot.OpenRequestsFile, "cause", err)
+		p.log.Warn("snapshot file damaged", "file", snapshot.OpenRequestsFile, "cause", err)
 		return 0
 	}
 	if open.Router != p.cfg.Name {
@@ -25,7 +25,8 @@
 	return len(open.OpenRequests) + open.OmittedRequests
 }
 
-// writeOpenRequests writes which requests are open, if there are any or were.
+// writeOpenRequests writes the file of open requests, or removes the file after the last open
+// request has ended.
 func (p *Program) writeOpenRequests(folder string) {
 	k := &p.snapshots
 	s := &snapshot.State{Router: p.cfg.Name}
@@ -42,6 +43,6 @@
 		return
 	}
 	if text, err := snapshot.Encode(s, 0); err == nil {
-		p.reportWrite(k.openRequests.Write(text)) // for people alone: not worth a wait for the disk each second
+		p.reportWrite(k.openRequests.Write(text)) // without a sync to disk each second, because only people read this file
 	}
 }
--- a/internal/router/program/phases.go
+++ b/internal/router/program/phases.go
@@ -10,36 +10,36 @@
 
 // The phases.
 const (
-	Starting    Phase = "starting"  // resources are set up, nothing is answered
-	Listing     Phase = "listing"   // not ready: no server is listed
-	Withheld    Phase = "withheld"  // the same, and clients are to be sent away once there is one
-	Serving     Phase = "serving"   // ready
-	Draining    Phase = "draining"  // clients are sent away, until they are taken again
-	Terminating Phase = "leaving"   // SIGTERM came: each answer ends its connection
-	Finishing   Phase = "finishing" // accepting no more, answering what was taken
+	Starting    Phase = "starting"  // the router sets up its resources and answers no request
+	Listing     Phase = "listing"   // the router is not ready because no server is listed
+	Withheld    Phase = "withheld"  // as Listing, but the router drains as soon as a server is listed
+	Serving     Phase = "serving"   // the router is ready
+	Draining    Phase = "draining"  // the router is not ready, and each answer ends its connection, until the drain is lifted
+	Terminating Phase = "leaving"   // after SIGTERM: the router still accepts clients, and each answer ends its connection
+	Finishing   Phase = "finishing" // the router accepts no clients and answers the requests that it has accepted
 	Stopped     Phase = "stopped"
 )
 
-// acceptSource is the listener from which a phase accepts connections.
+// acceptSource says from which kinds of listener a phase accepts connections.
 type acceptSource int
 
 const (
 	acceptNone      acceptSource = iota
-	acceptExclusive              // one that this process alone has: nobody else would answer there
-	acceptShared                 // also an inherited one: the other process takes what this one can't
+	acceptExclusive              // only from a listener that no other process has: no other process could accept there
+	acceptShared                 // also from an inherited listener: another process accepts the clients that this one cannot
 )
 
-// phasePolicy is how a phase treats clients. Nothing else decides on any of it.
+// phasePolicy is how a phase treats clients. No other code decides any of this.
 type phasePolicy struct {
-	ready                  bool          // /-/ready and the management call check answer yes
-	acceptFrom             acceptSource  // new connections
-	keepAlive              bool          // a connection outlives its answer
-	closeIdleAfter         time.Duration // into the phase, from when on idle connections are closed; 0 for never
-	closeIdleAfterHandover time.Duration // the same where another process takes clients meanwhile
-	endAfterAnswer         bool          // from then on no connection outlives its answer, also where the client could not be notified
+	ready                  bool          // whether /-/ready and the management call check report that the router is ready
+	acceptFrom             acceptSource  // the listeners from which new connections are accepted
+	keepAlive              bool          // whether a connection stays open after an answer
+	closeIdleAfter         time.Duration // the time into the phase from which idle connections are closed; 0 for never
+	closeIdleAfterHandover time.Duration // replaces closeIdleAfter if the listener is inherited, so that another process may accept clients
+	endAfterAnswer         bool          // whether, from that time on, every connection closes after its answer, even if the answer did not announce it
 }
 
-// immediately is for phases that close silent connections from their beginning on.
+// immediately makes a phase close idle connections from its beginning; 0 would mean never.
 const immediately = time.Nanosecond
 
 var policies = map[Phase]phasePolicy{
@@ -54,16 +54,16 @@
 }
 
 const (
-	// closeIdleDelay gives clients the time to go by themselves, with an answer that ends their
-	// connection. A close from this side may cross a request.
+	// closeIdleDelay is the time that clients get to end their connections after an answer that
+	// announces the end. If the router closes a connection, a request may already be on its way.
 	closeIdleDelay = 500 * time.Millisecond
-	// minIdleTime is how long a connection must have been silent to be closed then, and lookEvery
-	// how often that is seen to.
-	minIdleTime       = 150 * time.Millisecond
+	// minIdleTime is how long a connection must have been silent before the router closes it as idle.
+	minIdleTime = 150 * time.Millisecond
+	// idleCheckInterval is the time between two checks for idle connections.
 	idleCheckInterval = 100 * time.Millisecond
 )
 
-// phaseEvent leads from one phase to another. Its text is part of error messages.
+// phaseEvent is an event that leads from one phase to another. Error messages contain its text.
 type phaseEvent string
 
 const (
@@ -76,7 +76,7 @@
 	requestsDone   phaseEvent = "emptied"
 )
 
-// transitions has the events that each phase allows, and the phase that each leads to.
+// transitions maps each phase to the events that it allows, and each event to the next phase.
 var transitions = map[Phase]map[phaseEvent]Phase{
 	Starting:    {listenerOpened: Listing},
 	Listing:     {serversListed: Serving, drainRequested: Withheld, drainLifted: Listing, terminated: Terminating},
@@ -87,8 +87,8 @@
 	Finishing:   {requestsDone: Stopped},
 }
 
-// advance enters the phase that an event leads to. An event that the present phase does not allow
-// is an error and changes nothing. It waits for no client and no log line.
+// advance enters the phase that an event leads to. If the current phase does not allow the event,
+// advance returns an error and changes nothing. It does not wait for clients or for log lines.
 func (p *Program) advance(what phaseEvent) (Phase, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -102,7 +102,8 @@
 	return next, nil
 }
 
-// enterPhase applies the policy of a phase before the phase is logged. The caller holds the lock.
+// enterPhase applies the policy of a phase and then queues the phase for the log. The caller must
+// hold p.mu.
 func (p *Program) enterPhase(next Phase) {
 	p.phase = next
 	d := policies[next]
@@ -129,7 +130,7 @@
 		leftPhase := make(chan struct{})
 		p.leavePhase = func() { close(leftPhase) }
 		quiet := minIdleTime
-		if p.mover != nil { // nothing is closed that could cross a request
+		if p.mover != nil { // connections move to another process, so a close cannot cross a request
 			quiet = 0
 		}
 		go p.closeIdleConnections(after, quiet, d.endAfterAnswer, leftPhase)
@@ -137,7 +138,8 @@
 	p.enteredPhases <- next
 }
 
-// closeIdleConnections closes idle connections, after a delay, until the phase is left.
+// closeIdleConnections closes connections that were silent for the time quiet. It starts after a
+// delay and repeats the check until the phase ends.
 func (p *Program) closeIdleConnections(after, quiet time.Duration, endAfterAnswer bool, left <-chan struct{}) {
 	timer := time.NewTimer(after)
 	defer timer.Stop()
@@ -149,7 +151,7 @@
 		}
 		p.mu.Lock()
 		select {
-		case <-left: // and another phase says otherwise
+		case <-left: // the phase has ended meanwhile, so its policy no longer applies
 		default:
 			if endAfterAnswer {
 				p.front.CloseAfterAnswers()
@@ -161,10 +163,11 @@
 	}
 }
 
-// maxQueuedPhases bounds the phases whose log lines wait to be written; beyond it the caller waits.
+// maxQueuedPhases is the maximum number of entered phases that wait to be logged. If the queue is
+// full, enterPhase blocks.
 const maxQueuedPhases = 64
 
-// logPhases writes a log line for each phase, in their order, until no more come.
+// logPhases logs each entered phase in order, until the channel enteredPhases is closed.
 func (p *Program) logPhases(done chan<- struct{}) {
 	defer close(done)
 	for phase := range p.enteredPhases {
@@ -172,7 +175,7 @@
 	}
 }
 
-// Phase returns the state that the program is in.
+// Phase returns the current phase of the program.
 func (p *Program) Phase() Phase {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/router/program/previous.go
+++ b/internal/router/program/previous.go
@@ -10,9 +10,10 @@
 	"reachspread/internal/router/recovery"
 )
 
-// usePreviousList uses the hosts of the previous incarnation's list, but for those that other
-// routers excluded. Whether they have restarted since is not known, so they count as warming up.
-// Any list of discovery, whatever its version, replaces it.
+// usePreviousList puts the server list that the previous incarnation saved in use, without the hosts
+// that other routers have excluded. This router does not know whether the hosts have restarted since
+// the list was saved, so it treats them as if they had started now and were warming up. The first
+// list from discovery replaces the saved list, whatever its version.
 func (p *Program) usePreviousList(not []string) {
 	p.snapshots.applying.Lock()
 	defer p.snapshots.applying.Unlock()
@@ -31,14 +32,14 @@
 	p.snapshots.previousList = l
 	p.snapshots.mu.Unlock()
 	p.recovery.excludedHosts.Add(uint64(len(not)))
-	p.log.Warn("list of the last life used", "hosts", len(l.Servers), "version", old.Version, "shunned", len(not))
+	p.log.Warn("saved server list used", "hosts", len(l.Servers), "version", old.Version, "shunned", len(not))
 	p.router.ApplyUpdate(l.Members(), l.Addrs())
 	if len(l.Servers) > 0 {
 		p.firstList.Do(func() { p.advance(serversListed) })
 	}
 }
 
-// excludeHosts ends the use of hosts of the previous incarnation's list, while that is in use.
+// excludeHosts removes hosts from the saved list of the previous incarnation, if that list is in use.
 func (p *Program) excludeHosts(not []string) {
 	p.snapshots.applying.Lock()
 	defer p.snapshots.applying.Unlock()
@@ -54,14 +55,15 @@
 		}
 	}
 	p.recovery.excludedHosts.Add(uint64(len(l.Servers)))
-	p.log.Warn("hosts of the last life's list shunned", "hosts", strings.Join(not[:min(len(not), maxNamedHosts)], ","), "count", len(not))
+	p.log.Warn("hosts of saved server list excluded", "hosts", strings.Join(not[:min(len(not), maxNamedHosts)], ","), "count", len(not))
 	p.router.ApplyUpdate(l.Members(), l.Addrs())
 }
 
-// maxNamedHosts bounds the hosts that a line names.
+// maxNamedHosts is the maximum number of hosts that a log line names.
 const maxNamedHosts = 8
 
-// warmFraction is what the listed hosts can do by now, of what they do when warm.
+// warmFraction returns the mean warmth of the listed hosts that are ready: the fraction of its
+// capacity when warm that a host has now. It returns 1 if no host is ready.
 func (k *snapshotWriter) warmFraction(c *balance.Config) float64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -86,7 +88,7 @@
 	return sum / float64(n)
 }
 
-// restoreDrain starts a router as draining that was draining in its previous incarnation.
+// restoreDrain requests the drain again if the previous incarnation of this router was draining.
 func (p *Program) restoreDrain() {
 	if b := p.snapshots.previous; b != nil && b.Drained {
 		if _, err := p.advance(drainRequested); err == nil {
--- a/internal/router/program/processlimits.go
+++ b/internal/router/program/processlimits.go
@@ -8,35 +8,39 @@
 	"reachspread/internal/router/processgroup"
 )
 
-// processLimits is what this process may use now, of the limits of its router.
+// processLimits is the part of the router's limits that this process may use now.
 type processLimits struct {
-	clients, servers int   // connections
-	bodies           int   // bytes
-	heap             int64 // bytes
+	clients, servers int   // connections from clients and to servers
+	bodies           int   // bytes of request bodies
+	heap             int64 // bytes of heap
 }
 
 const (
-	// heapFraction of the memory limit is for the heap; stacks and socket buffers need the rest.
+	// heapFraction is the fraction of the memory limit that a single process may use as heap. Stacks
+	// and socket buffers need the rest.
 	heapFraction = 0.6
-	// siblingHeapFraction is the same for each of two processes.
+	// siblingHeapFraction is the fraction of the memory limit that each of two processes of one
+	// router may use as heap.
 	siblingHeapFraction = 0.35
-	// programBytes of the program itself are resident, once for two processes. Heaps get most of
-	// what small limits leave; with less, garbage collection takes so much of a core that
-	// connections are closed late.
-	programBytes       = 13 << 20
+	// programBytes is the resident size of the program's own file. Two processes share these pages.
+	programBytes = 13 << 20
+	// usableHeapFraction is the fraction of the memory limit without programBytes that heaps may use
+	// at most. It matters at small limits. With a smaller heap, garbage collection takes so much of a
+	// core that connections are closed late.
 	usableHeapFraction = 0.97
-	// siblingDescriptors are those of a process with a sibling that are neither clients' nor
-	// servers'.
+	// siblingDescriptors is how many descriptors a process with a sibling reserves for uses other
+	// than connections to clients and servers.
 	siblingDescriptors = 32
-	// successorDescriptors are those that a process which may be replaced leaves for the one to
-	// come.
+	// successorDescriptors is how many descriptors a process that may be replaced leaves for its
+	// successor.
 	successorDescriptors = siblingDescriptors + 2*minClientConnections
-	// siblingCheckInterval is between two checks of how much a sibling still holds.
+	// siblingCheckInterval is the time between two checks of how many descriptors siblings hold.
 	siblingCheckInterval = 50 * time.Millisecond
 )
 
-// processLimits divides the limits, with what the operators' settings need set aside first. Each
-// client may need a second connection to a server.
+// processLimits returns the part of the router's limits that this process may use beside its
+// siblings. It first reserves the descriptors that the operators' settings need. The rest is split
+// evenly between clients and servers, because each client connection may need one to a server.
 func (c *Config) processLimits(o processgroup.Siblings) processLimits {
 	memory := int64(c.Limits.MemoryMB) << 20
 	usable := usableHeapFraction * float64(memory-programBytes)
@@ -58,11 +62,11 @@
 	return r
 }
 
-// clients returns how many client connections fit a process that is alone.
+// clients returns how many client connections fit the limits of a process without siblings.
 func (c *Config) clients() int { return c.processLimits(processgroup.Siblings{}).clients }
 
-// joinProcessGroup finds out whether another process of this router runs, as one does while it is
-// being replaced.
+// joinProcessGroup registers this process in the group of processes of its router and returns the
+// other processes of the group. Another process runs while one replaces the other.
 func (p *Program) joinProcessGroup() (o processgroup.Siblings) {
 	folder := p.getenv("TMPDIR")
 	if p.cfg.acceptFD == 0 || folder == "" {
@@ -70,13 +74,14 @@
 	}
 	var err error
 	if p.processGroup, err = processgroup.Join(folder); err != nil {
-		p.log.Warn("limits not shared", "cause", err)
+		p.log.Warn("process group not joined, limits not shared with other processes", "cause", err)
 		return o
 	}
 	return p.processGroup.Siblings()
 }
 
-// adjustLimits keeps to what siblings leave until this process is alone, or ctx ends.
+// adjustLimits repeatedly sets the limits of this process to what its siblings leave, until it has
+// no sibling and no stream of another process, or until ctx ends.
 func (p *Program) adjustLimits(ctx context.Context, o processgroup.Siblings) {
 	ticker := time.NewTicker(siblingCheckInterval)
 	defer ticker.Stop()
@@ -96,7 +101,7 @@
 	}
 }
 
-// applyLimits puts the limits in force in every component.
+// applyLimits puts the limits in force in all parts of the program that they concern.
 func (p *Program) applyLimits(r processLimits) {
 	if old := p.processLimits.Swap(&r); old != nil && *old == r {
 		return
@@ -107,7 +112,8 @@
 	p.front.SetAdmission(p.admission(r.clients))
 }
 
-// yieldLimits leaves half of the limits to the process that takes over.
+// yieldLimits lowers the limits for heap and server connections of this process to those of one of
+// two processes. The other half is for the process that takes over.
 func (p *Program) yieldLimits() {
 	half := p.cfg.processLimits(processgroup.Siblings{Processes: 1, Uncounted: true})
 	debug.SetMemoryLimit(half.heap)
--- a/internal/router/program/program.go
+++ b/internal/router/program/program.go
@@ -24,62 +24,62 @@
 )
 
 const (
-	probeAnswerTimeout = 60 * time.Millisecond // for a health check, beyond the time to connect
-	// streamIdleTimeout is how long a stream may be silent. From 5 s on its client is taken to be
-	// kept waiting for nothing.
+	probeAnswerTimeout = 60 * time.Millisecond // how long a health check may take beyond the time to connect
+	// streamIdleTimeout is how long a server may send nothing on a stream. If a stream is silent for
+	// 5 s or more, its client counts as waiting in vain.
 	streamIdleTimeout = 4500 * time.Millisecond
 )
 
-// Program is one router from start to exit.
+// Program is one router process from start to exit.
 type Program struct {
 	cfg       *Config
 	getenv    func(string) string
-	file      string // the operators' settings, empty for none
+	file      string // the path of the operators' settings file, empty for none
 	log       routing.Logger
 	servers   *transport.Servers
-	mirror    *mirror.Mirror      // nil without a file
-	status    *transport.Status   // nil where the settings name no folder
-	capture   *capture.Writer     // nil where they name no file
-	view      *peering.ViewDriver // of the fleet, nil where they have no such block
-	gate      *recoveryGate       // admits requests before the decisions see them
-	recovery  *recoveryDriver     // how this router comes back, nil where nothing is persisted
-	gossip    *peering.Gossip     // the socket between routers, nil where there is none
-	balancer  *balance.Balancer   // the router's, once it runs
-	snapshots snapshotWriter      // what the next incarnation reads
-	roles     *peering.Roles      // nil where the settings have no such block
-	started   []component         // the started components
+	mirror    *mirror.Mirror      // nil without a settings file
+	status    *transport.Status   // nil if the settings name no status folder
+	capture   *capture.Writer     // nil if the settings name no capture file
+	view      *peering.ViewDriver // the fleet view, nil if the settings have no block fleet
+	gate      *recoveryGate       // rejects part of the requests before the balancer sees them, while hosts warm up
+	recovery  *recoveryDriver     // nil if the settings have no block recovery
+	gossip    *peering.Gossip     // the socket for datagrams between routers, nil without one
+	balancer  *balance.Balancer   // set when the program is built
+	snapshots snapshotWriter      // persists the state that the next incarnation reads
+	roles     *peering.Roles      // nil if the settings have no block duties
+	started   []component         // the components that were started and not yet stopped
 	router    *routing.Router
 	front     *transport.Front
 	ln        net.Listener
-	latency   *schedlatency.Monitor // how late this process runs, once it serves
+	latency   *schedlatency.Monitor // measures how late this process is scheduled; nil before it serves
 
-	management      *transport.Management         // the management address, nil without an address
-	inherited       bool                          // another process has ln as well
-	processGroup    *processgroup.Slot            // among the processes of this router, nil where there is but one
-	receiver        *transport.Receiver           // of another process's connections, nil without a folder to share
-	mover           *transport.Mover              // of this one's, nil while it stays
-	processLimits   atomic.Pointer[processLimits] // that this process takes up
-	inForce         atomic.Pointer[Config]        // the configuration of the last good file
-	serveResult     chan error                    // the error with which accepting ended
-	enteredPhases   chan Phase                    // phases whose log lines are due
-	listVersion     atomic.Int64                  // of the list that was applied last
-	zone            string                        // this router's, as the fleet view has it
-	copiedToken     uint64                        // the token of another's record that is kept; Duties asks for one at a time
-	acceptedReloads atomic.Uint64                 // files that SIGHUP put in force
-	refusedReloads  atomic.Uint64                 // files refused
+	management      *transport.Management         // serves the management address, nil without one
+	inherited       bool                          // whether ln is inherited, so that another process may have it too
+	processGroup    *processgroup.Slot            // this process's slot in the group of the router's processes, nil without a group
+	receiver        *transport.Receiver           // receives connections that another process hands over, nil without a process group
+	mover           *transport.Mover              // hands this process's connections over, nil unless another process takes over
+	processLimits   atomic.Pointer[processLimits] // the limits in force for this process
+	inForce         atomic.Pointer[Config]        // the configuration from the last valid file
+	serveResult     chan error                    // receives the error with which accepting connections ended
+	enteredPhases   chan Phase                    // phases that are still to be logged
+	listVersion     atomic.Int64                  // the version of the list that was applied last
+	zone            string                        // this router's zone in the fleet view
+	copiedToken     uint64                        // the token of the stored copy of another router's record, 0 before it is read; package peering stores one copy at a time
+	acceptedReloads atomic.Uint64                 // the number of configuration files that SIGHUP put in force
+	refusedReloads  atomic.Uint64                 // the number of configuration files that a reload refused
 
 	mu              sync.Mutex
 	phase           Phase
-	accepting       bool     // has begun
-	leavePhase      func()   // ends the timers of the phase
-	copiers         []string // pools to which one router copies, which this one wants
-	cancelDrainWait func()   // ends the wait for leave to drain, nil where none is asked for
-	releaseAddress  func()   // gives the routers' address up, nil where there is none
+	accepting       bool     // whether accepting connections has begun
+	leavePhase      func()   // stops the timers of the current phase
+	copiers         []string // the pools with a single copier whose copier role this router has requested
+	cancelDrainWait func()   // cancels the request for the drain lease, nil without a request
+	releaseAddress  func()   // closes the socket for datagrams between routers, nil without one
 	firstList       sync.Once
 }
 
-// New returns a program that has done nothing yet with its configuration, which Load and
-// ReadSettings gave; file names the operators' settings, and is empty where there are none.
+// New returns a program that is not started. Load and ReadSettings must have filled cfg. The path
+// of the operators' settings file is file, empty for none.
 func New(cfg *Config, getenv func(string) string, file string, log routing.Logger) *Program {
 	p := &Program{cfg: cfg, getenv: getenv, file: file, log: log, phase: Starting,
 		serveResult: make(chan error, 1), enteredPhases: make(chan Phase, maxQueuedPhases), leavePhase: func() {}}
@@ -87,8 +87,8 @@
 	return p
 }
 
-// Run serves until ctx ends, then shuts down in order. Whenever a signal comes from reload, it
-// reads the configuration anew, in any phase. It returns nil after an orderly shutdown.
+// Run serves until ctx ends, then shuts down in order. Whenever it receives a signal from reload, it
+// reloads the configuration, in any phase. It returns nil after an orderly shutdown.
 func (p *Program) Run(ctx context.Context, reload <-chan os.Signal) error {
 	runtime.GOMAXPROCS(max(int(math.Ceil(p.cfg.Limits.Cores)), 1))
 	siblings := p.joinProcessGroup()
@@ -102,14 +102,14 @@
 		return err
 	}
 
-	// The core and discovery work on until the last request is answered.
+	// The core and discovery keep working until the last request is answered.
 	work, stop := context.WithCancel(context.Background())
 	defer stop()
 	written := make(chan struct{})
 	go p.logPhases(written)
 	defer func() {
 		p.mu.Lock()
-		p.phase = Stopped // no event leads on from here, whatever ended the program
+		p.phase = Stopped // for whatever reason the program ends, no event may lead to another phase
 		p.mu.Unlock()
 		close(p.enteredPhases)
 		<-written
@@ -128,7 +128,7 @@
 	return p.shutdown()
 }
 
-// build makes the core, the connections to servers, the shadow pools and the front, within the
+// build creates the core, the connections to servers, the shadow pools and the front, within the
 // limits that the other processes of this router leave.
 func (p *Program) build(siblings processgroup.Siblings) error {
 	balancer, err := balance.New(p.cfg.balance, p.cfg.seed)
@@ -164,7 +164,7 @@
 	return nil
 }
 
-// serve starts the goroutines that serve; work ends them.
+// serve starts the goroutines that serve requests. They end when work ends.
 func (p *Program) serve(work context.Context, siblings processgroup.Siblings, reload <-chan os.Signal) {
 	go p.router.Run(work)
 	p.latency = schedlatency.NewMonitor(time.Now())
@@ -181,7 +181,7 @@
 	go p.watchDiscovery(work, reload)
 }
 
-// listen opens the clients' listener, or takes the inherited one.
+// listen opens the clients' listener, or uses the inherited one.
 func (p *Program) listen(ctx context.Context) (err error) {
 	if p.inherited = p.cfg.acceptFD > 0; p.inherited {
 		if p.ln, err = transport.Inherit(p.cfg.acceptFD); err != nil {
@@ -195,9 +195,9 @@
 	return nil
 }
 
-// watchDiscovery follows discovery until ctx ends. A reload moves it to the address that the file
-// names by then; all else goes on as it was. The old watch has ended before the new one begins, so
-// no older list can come last.
+// watchDiscovery applies the lists of discovery until ctx ends. If a reload changes the address of
+// discovery, watchDiscovery ends the watch and starts one at the new address. It waits for the end
+// of the old watch first, so that no list of the old watch is applied after one of the new watch.
 func (p *Program) watchDiscovery(ctx context.Context, reload <-chan os.Signal) {
 	pace, since := transport.Pushed, int64(transport.FullList)
 	if p.cfg.balance.MustSubscribe {
@@ -217,13 +217,13 @@
 		addr, moved = p.awaitDiscoveryChange(ctx, reload)
 		move()
 		<-ended
-		since = transport.FullList // another discovery counts versions of its own
+		since = transport.FullList // another discovery service numbers its versions independently
 	}
 }
 
-// awaitDiscoveryChange waits until a reload names another address of discovery; moved is false if
-// ctx ended first. The environment still has the address of the start, so the file is compared with
-// what it said before.
+// awaitDiscoveryChange handles reloads until one changes the address of discovery, and returns the
+// new address; moved is false if ctx ended first. The environment does not change after the start,
+// so the function compares the address in the file with the previous address in the file.
 func (p *Program) awaitDiscoveryChange(ctx context.Context, reload <-chan os.Signal) (addr string, moved bool) {
 	for {
 		select {
@@ -250,19 +250,19 @@
 	}
 }
 
-// refuseReload counts and logs that a file was refused.
+// refuseReload counts and logs that a reload was refused.
 func (p *Program) refuseReload(cause error) {
 	p.refusedReloads.Add(1)
-	p.log.Warn("reload refused", "cause", cause)
+	p.log.Warn("configuration reload refused", "cause", cause)
 }
 
-// applyServerList hands a list of discovery to the core.
+// applyServerList applies a list of servers, which is from discovery or from the configuration.
 func (p *Program) applyServerList(l *protocol.List) {
 	p.snapshots.applying.Lock()
 	defer p.snapshots.applying.Unlock()
 	p.router.ApplyUpdate(l.Members(), l.Addrs())
 	p.listVersion.Store(l.Version)
-	if l != &p.cfg.Known || len(l.Servers) > 0 { // a configuration without servers says nothing about them
+	if l != &p.cfg.Known || len(l.Servers) > 0 { // a configuration without servers does not mean that there are none
 		p.snapshots.mergeList(l)
 	}
 	if len(l.Servers) > 0 {
--- a/internal/router/program/program_test.go
+++ b/internal/router/program/program_test.go
@@ -274,7 +274,7 @@
 	for _, bad := range []string{"{", strings.Replace(string(text), d.Addr, "nowhere", 1)} {
 		write(t, path, bad)
 		sighup <- syscall.SIGHUP
-		expect("reload refused cause=")
+		expect("configuration reload refused cause=")
 	}
 	write(t, path, strings.Replace(string(text), d.Addr, d2.Addr, 1))
 	sighup <- syscall.SIGHUP
--- a/internal/router/program/recovery.go
+++ b/internal/router/program/recovery.go
@@ -16,26 +16,28 @@
 	"reachspread/internal/router/snapshot"
 )
 
-// recoveryDriver drives how this router comes back: one goroutine owns the decider.
+// recoveryDriver runs the recovery of this router after a restart. The goroutine of runRecovery owns
+// the decider.
 type recoveryDriver struct {
 	decider     *recovery.Decider
-	start       time.Time // with the monotonic clock
+	start       time.Time // the origin of the decider's times, with a monotonic clock reading
 	events      chan recovery.Event
 	statusCalls chan chan recovery.Status
 
 	stage         atomic.Int32
-	excludedHosts atomic.Uint64 // hosts of the previous incarnation's list
+	excludedHosts atomic.Uint64 // the number of hosts excluded from the previous incarnation's list
 }
 
-// recoveryGate admits requests before the decisions see them, and publishes what it admits.
+// recoveryGate admits or rejects requests before the balancer sees them. It publishes which fraction
+// of the requests of each class it admits.
 type recoveryGate struct {
 	gate              *recovery.Gate
 	rejected          atomic.Uint64
-	admittedFractions atomic.Pointer[map[string]float64] // admitted, by class; nil while all is
-	reportedAt        time.Duration
+	admittedFractions atomic.Pointer[map[string]float64] // the admitted fraction by class; nil while all requests are admitted
+	reportedAt        time.Duration                      // when the fractions were last published
 }
 
-// fractionsInterval is how old the published fractions may be.
+// fractionsInterval is the minimum time between two updates of the published fractions.
 const fractionsInterval = 200 * time.Millisecond
 
 // Step implements routing.Gate.
@@ -55,11 +57,12 @@
 }
 
 const (
-	maxQueuedMessages = 64                     // beyond these, datagrams are dropped
-	pollInterval      = 200 * time.Millisecond // between two polls of what the rest of the program knows
+	maxQueuedMessages = 64                     // the maximum number of queued datagrams; more are dropped
+	pollInterval      = 200 * time.Millisecond // the time between two polls of the state of the rest of the program
 )
 
-// prepareRecovery makes the decider from what the previous incarnation persisted.
+// prepareRecovery creates the decider from the state that the previous incarnation persisted. The
+// argument broken describes the snapshot files that could not be read.
 func (p *Program) prepareRecovery(before *snapshot.State, broken []string) (err error) {
 	c := &recoveryDriver{start: time.Now(), events: make(chan recovery.Event, maxQueuedMessages), statusCalls: make(chan chan recovery.Status)}
 	duties := p.cfg.set.Roles != nil
@@ -76,14 +79,15 @@
 	return nil
 }
 
-// receiveRecoveryMessage takes a datagram of another router that comes back, or answers. It waits
-// for nobody.
+// receiveRecoveryMessage queues a datagram of the recovery protocol from another router. It does not
+// block, and drops a datagram that it cannot decode.
 func (p *Program) receiveRecoveryMessage(_ netip.AddrPort, data []byte) {
 	if e, err := recovery.Decode(data); err == nil {
 		p.recovery.post(e)
 	}
 }
 
+// post queues an event for the decider, or drops it if the queue is full.
 func (c *recoveryDriver) post(e recovery.Event) {
 	select {
 	case c.events <- e:
@@ -91,8 +95,9 @@
 	}
 }
 
-// startRecovery starts the recovery and the writing of snapshots, once the socket is open over
-// which other routers are queried; without one nobody is.
+// startRecovery starts the recovery and the writing of snapshots. It runs after the component peers
+// has opened the socket for datagrams between routers. Without this socket, the recovery does not
+// query other routers.
 func (p *Program) startRecovery(work context.Context) error {
 	if p.recovery == nil {
 		return nil
@@ -103,8 +108,8 @@
 	return nil
 }
 
-// suspendCopies suspends copies to candidate pools and captures, or resumes them: what is not live
-// service comes last.
+// suspendCopies suspends the copying of requests to shadow pools and the capture, or resumes both.
+// They are suspended during recovery, because live requests have priority.
 func (p *Program) suspendCopies(on bool) {
 	if p.mirror != nil {
 		p.mirror.Suspend(on)
@@ -114,8 +119,8 @@
 	}
 }
 
-// runRecovery owns the decider of the recovery until ctx ends: it feeds it with what the rest of
-// the program knows and carries out what it decides.
+// runRecovery owns the decider of the recovery until ctx ends. It passes events and the state of the
+// rest of the program to the decider and carries out the decider's actions.
 func (p *Program) runRecovery(ctx context.Context, c *recoveryDriver) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -147,15 +152,15 @@
 	}
 }
 
-// recoveryInputs is how much of what the rest of the program knows the decider has got already.
+// recoveryInputs records which state of the rest of the program the decider has already received.
 type recoveryInputs struct {
-	listChanges uint64 // the count of changes of the server list
-	viewVersion uint64 // of the fleet view
-	recovered   bool   // the last stage was entered
+	listChanges uint64 // the number of changes of the server list
+	viewVersion uint64 // the version of the fleet view
+	recovered   bool   // whether the last stage was entered
 }
 
-// pollRecoveryInputs steps the decider with what the rest of the program has learnt since the last
-// poll.
+// pollRecoveryInputs passes the state of the rest of the program that has changed since the last
+// poll to the decider.
 func (p *Program) pollRecoveryInputs(seen *recoveryInputs, step func(recovery.Event)) {
 	if version, serving, changes := p.snapshots.changedList(seen.listChanges); changes != seen.listChanges {
 		seen.listChanges = changes
@@ -185,7 +190,7 @@
 	}
 }
 
-// carryOutRecovery does what the decider asks for.
+// carryOutRecovery carries out one action of the decider.
 func (p *Program) carryOutRecovery(c *recoveryDriver, seen *recoveryInputs, action recovery.Action) {
 	switch a := action.(type) {
 	case recovery.Announce:
@@ -199,27 +204,27 @@
 	case recovery.SendReply:
 		p.sendTo([]snapshot.Router{a.To}, a.Reply.Encode())
 	case recovery.AdoptMeasure:
-		p.log.Info("measure of others taken", "work", a.Measure.HostWork.Round(time.Millisecond), "mean_work", a.Measure.RequestWork.Round(time.Millisecond),
+		p.log.Info("host measure of another router adopted", "work", a.Measure.HostWork.Round(time.Millisecond), "mean_work", a.Measure.RequestWork.Round(time.Millisecond),
 			"from", a.From, "known", a.Known)
 		p.router.Restore(balance.Learned{CompletedWork: a.Measure.HostWork.Seconds(), MeanWork: a.Measure.RequestWork.Seconds()})
 	case recovery.MeasureMissing:
-		p.log.Info("measure of others missing", "rounds", a.Rounds, "alive", a.Alive, "asked", joinNames(a.Asked), "answered", joinNames(a.Answered),
+		p.log.Info("no queried router has a host measure", "rounds", a.Rounds, "alive", a.Alive, "asked", joinNames(a.Asked), "answered", joinNames(a.Answered),
 			"ended", a.Ended)
 	case recovery.OutageClassified:
-		p.log.Info("power lost", "whose", a.Outage, "heard", a.Heard, "asked", a.Asked)
+		p.log.Info("outage scope determined", "whose", a.Outage, "heard", a.Heard, "asked", a.Asked)
 	case recovery.StageEntered:
 		c.stage.Store(int32(a.Stage))
 		if seen.recovered = a.Stage == recovery.Recovered; seen.recovered {
 			p.suspendCopies(false)
 		}
-		p.log.Info("comes back", "stage", a.Stage, "after", a.After.Round(time.Millisecond), "why", a.Reason)
+		p.log.Info("recovery stage entered", "stage", a.Stage, "after", a.After.Round(time.Millisecond), "why", a.Reason)
 	}
 }
 
-// maxLoggedNames bounds the routers that a log line names.
+// maxLoggedNames is the maximum number of routers that a field of a log line names.
 const maxLoggedNames = 8
 
-// joinNames returns names as a field of a log line.
+// joinNames returns names joined by commas, as the value of a field of a log line.
 func joinNames(names []string) string {
 	if len(names) > maxLoggedNames {
 		return strings.Join(names[:maxLoggedNames], ",") + ",..."
@@ -227,7 +232,7 @@
 	return strings.Join(names, ",")
 }
 
-// sendTo sends a datagram to routers, as far as there is a socket.
+// sendTo sends a datagram to each of the routers. It sends nothing without a socket.
 func (p *Program) sendTo(to []snapshot.Router, data []byte) {
 	if p.gossip == nil {
 		return
@@ -239,15 +244,16 @@
 	}
 }
 
-// hasList reports whether discovery has sent a list, and how often the list has changed.
+// hasList returns how often the server list has changed, and reports whether there is one, from
+// discovery or from the configuration.
 func (k *snapshotWriter) hasList() (changes uint64, spoke bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.changes, k.list != nil
 }
 
-// changedList returns discovery's list if it has changed since a count of changes: its version, the
-// hosts that serve, and the count by now.
+// changedList returns the version and the ready hosts of the list from discovery, and the number of
+// its changes so far. If that number is still since, it returns no list.
 func (k *snapshotWriter) changedList(since uint64) (version int64, serving []string, changes uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -262,7 +268,7 @@
 	return k.listVersion, serving, k.changes
 }
 
-// recoveryValues are the figures of the recovery, nil where there is none.
+// recoveryValues returns the metrics of the recovery, nil without a recovery.
 func (p *Program) recoveryValues() *management.Recovery {
 	if p.recovery == nil {
 		return nil
@@ -302,7 +308,7 @@
 	return lines, true
 }
 
-// receiveRecoveryMessages registers the handler for datagrams of routers that come back.
+// receiveRecoveryMessages registers the handler for datagrams of the recovery protocol.
 func (p *Program) receiveRecoveryMessages(g *peering.Gossip) {
 	p.gossip = g
 	if p.recovery != nil {
--- a/internal/router/program/recovery_test.go
+++ b/internal/router/program/recovery_test.go
@@ -76,7 +76,7 @@
 	}{{0, 1}, {100 * time.Millisecond, 1}, {1050 * time.Millisecond, 3}, {2050 * time.Millisecond, 4}, {3050 * time.Millisecond, 4}, {4050 * time.Millisecond, 6}, {7 * time.Second, 6},
 		{8050 * time.Millisecond, 8}, {time.Hour, 8}} {
 		work++
-		k.usual = recovery.Baseline{}
+		k.baseline = recovery.Baseline{}
 		p.recordLearned(time.Second, balance.Learned{CompletedWork: work, MeanWork: 1})
 		l := *k.learned.Load()
 		l.since = time.Now().Add(-x.age)
@@ -111,7 +111,7 @@
 		asked = append(asked, fmt.Sprint("r", i))
 	}
 	p.carryOutRecovery(nil, nil, recovery.MeasureMissing{Rounds: 3, Alive: 11, Asked: asked, Answered: asked[:2], Ended: "this router has its own"})
-	const want = "measure of others missing rounds=3 alive=11 asked=r0,r1,r2,r3,r4,r5,r6,r7,... answered=r0,r1 ended=this router has its own"
+	const want = "no queried router has a host measure rounds=3 alive=11 asked=r0,r1,r2,r3,r4,r5,r6,r7,... answered=r0,r1 ended=this router has its own"
 	if got := scripted.Receive(t, lines, "a line"); got != want {
 		t.Errorf("got %q", got)
 	}
--- a/internal/router/program/reload.go
+++ b/internal/router/program/reload.go
@@ -9,9 +9,10 @@
 	"time"
 )
 
-// Reload reads the file anew. It may name another discovery than the environment, which is as it
-// was at the start. The file must have every key of the one in force: nothing is taken of one that
-// lacks a key.
+// Reload reads the configuration file again and returns the new configuration. ROUTER_DISCOVERY does
+// not override the file here, because the environment does not change after the start and a reload
+// may change the address of discovery. The file must have every key of the file in force; otherwise
+// Reload returns an error.
 func Reload(getenv func(string) string, force *Config) (*Config, error) {
 	c, err := Load(func(name string) string {
 		if name == "ROUTER_DISCOVERY" {
@@ -24,7 +25,7 @@
 	}
 	var was, is any
 	if err := errors.Join(json.Unmarshal(force.text, &was), json.Unmarshal(c.text, &is)); err != nil {
-		return nil, err // Load has read both before
+		return nil, err // not expected, because Load has parsed both texts
 	}
 	if err := checkComplete("", was, is); err != nil {
 		return nil, err
@@ -41,8 +42,9 @@
 	return c, nil
 }
 
-// checkComplete returns an error for the first key that was in force and that a file lacks, or has
-// with a value of another kind. Each element of a list must have what all elements had.
+// checkComplete returns an error for the first key of was that is lacks, or has with a value of
+// another kind. Each element of a list in is must have the keys that all elements of the list in was
+// have in common.
 func checkComplete(path string, was, is any) error {
 	if fmt.Sprintf("%T", was) != fmt.Sprintf("%T", is) && was != nil {
 		return fmt.Errorf("%s is %s; it was %s", path, kindOf(is), kindOf(was))
@@ -76,8 +78,8 @@
 	return nil
 }
 
-// commonKeys is what all elements of a list have: the keys of objects, with what the first one has
-// there, or else the first.
+// commonKeys returns the keys that all elements of a list have, with their values in the first
+// element. If the first element is not an object, commonKeys returns that element.
 func commonKeys(values []any) any {
 	first, ok := values[0].(map[string]any)
 	if !ok {
@@ -91,7 +93,7 @@
 	return keys
 }
 
-// kindOf names what a value is.
+// kindOf names the kind of a JSON value in error messages.
 func kindOf(v any) string {
 	switch v.(type) {
 	case nil:
@@ -108,7 +110,8 @@
 	return "a number"
 }
 
-// applySettings puts the settings of a good file in force, in one event to the core.
+// applySettings puts the settings of a valid configuration in force. The core receives them in a
+// single event.
 func (p *Program) applySettings(c *Config) {
 	p.inForce.Store(c)
 	p.router.Reconfigure(c.balance)
--- a/internal/router/program/reload_test.go
+++ b/internal/router/program/reload_test.go
@@ -138,7 +138,7 @@
 		s.until(want)
 	}
 	for i, broken := range [][]string{{`"maxAttempts":3`, `"maxAttempts":0`}, {`"effect":"safe"`, `"effect":""`, `"aimNs":8000000000,`, ``}} {
-		reload("reload refused cause=", broken...)
+		reload("configuration reload refused cause=", broken...)
 		s.figures(map[string]string{"cfg_invalid_total": fmt.Sprint(i + 1), "cfg_accepted_total": "0"})
 	}
 	if got := ask("early", "chat-v2"); got != 503 {
--- a/internal/router/program/roles.go
+++ b/internal/router/program/roles.go
@@ -14,11 +14,11 @@
 	"reachspread/internal/router/settings"
 )
 
-// drainRole is the role whose lease a router needs to drain, one by zone.
+// drainRole is the name of the role whose lease a router needs to drain. Each zone has its own.
 const drainRole = "drain"
 
-// rolesConfig is the configuration that the block duties describes. Every router derives the same
-// from the same file.
+// rolesConfig returns the configuration of roles that the block duties describes. Every router
+// derives the same roles and candidates from the same file.
 func (c *Config) rolesConfig(self lease.Router) peering.RolesConfig {
 	s := c.set.Roles
 	d := peering.RolesConfig{Self: self, Timing: s.LeaseTiming, Voters: s.Voters, ReplaceTimeout: s.ReplaceDelay, Listen: s.Listen, Folder: s.Folder, Seed: c.seed, CandidateAddresses: map[string]string{}}
@@ -38,7 +38,8 @@
 	return d
 }
 
-// checkRoles checks what needs both the settings and the configuration.
+// checkRoles checks the block duties against the name of this router: exactly the routers that may
+// vote must have the settings listen and folder.
 func (c *Config) checkRoles(path string) error {
 	s := c.set.Roles
 	if s == nil {
@@ -47,14 +48,15 @@
 	name := c.member().Name
 	if votes := slices.ContainsFunc(s.Routers, func(r settings.VoterRouter) bool { return r.Name == name }); votes != (s.Folder != "") {
 		if votes {
-			return fmt.Errorf("%s: duties: router %q may vote, and needs listen and folder", path, name)
+			return fmt.Errorf("%s: duties: router %q may vote, so the block needs listen and folder", path, name)
 		}
-		return fmt.Errorf("%s: duties: %q is none of the routers that may vote; listen and folder are theirs", path, name)
+		return fmt.Errorf("%s: duties: router %q may not vote; only routers that may vote have listen and folder", path, name)
 	}
 	return nil
 }
 
-// prepareRoles opens what roles need, before the fleet view that they follow is there.
+// prepareRoles creates the part of the program that holds roles and connects it to the socket for
+// datagrams and to the mirror. It must run before the fleet view exists, whose updates roles receive.
 func (p *Program) prepareRoles(member lease.Router, send *peering.Gossip) (err error) {
 	if p.cfg.set.Roles == nil {
 		return nil
@@ -69,7 +71,8 @@
 	return nil
 }
 
-// startRoles requests the roles that this router is to take.
+// startRoles starts the goroutine for roles and requests the roles that this router can take: the
+// scribe and the copiers of pools with a single copier.
 func (p *Program) startRoles(work context.Context) error {
 	if p.roles == nil {
 		return nil
@@ -84,8 +87,8 @@
 	return nil
 }
 
-// requestCopierRoles requests the copier roles of the pools that settings have, and gives up those
-// of other pools.
+// requestCopierRoles requests the copier roles of the pools with a single copier in c, and releases
+// the copier roles of pools that are no longer among them.
 func (p *Program) requestCopierRoles(c *Config) {
 	names := c.set.SingleCopierPools()
 	for _, name := range p.copiers {
@@ -99,12 +102,12 @@
 	p.copiers = names
 }
 
-// defineCopierRoles defines the copier roles of the pools that a reload brings, before they are in
-// force. All else in the block duties counts from the next start.
+// defineCopierRoles defines the copier roles of the pools in a reloaded configuration, before the
+// pools are in force. Other changes of the block duties need a restart.
 func (p *Program) defineCopierRoles(c *Config) error {
 	if p.roles == nil {
 		if names := c.set.SingleCopierPools(); len(names) > 0 {
-			return fmt.Errorf("%s: shadow pool %q has one copier; the block duties that it needs counts from the next start", p.file, names[0])
+			return fmt.Errorf("%s: shadow pool %q has one copier and needs the block duties; adding that block needs a restart", p.file, names[0])
 		}
 		return nil
 	}
@@ -118,11 +121,12 @@
 	return nil
 }
 
-// returnLeasesTimeout bounds how long other routers are notified of returned leases. Nothing waits
-// for it.
+// returnLeasesTimeout is how long the router tries to return its leases at shutdown. The shutdown
+// does not wait for this.
 const returnLeasesTimeout = 500 * time.Millisecond
 
-// returnLeases returns the leases that this router holds. A planned end does not wait for it.
+// returnLeases starts returning the leases that this router holds. A planned shutdown does not wait
+// for the result.
 func (p *Program) returnLeases() {
 	if p.roles == nil {
 		return
@@ -134,11 +138,11 @@
 	}()
 }
 
-// needsDrainLease reports whether a router needs a lease to drain.
+// needsDrainLease reports whether this router needs a lease to drain.
 func (p *Program) needsDrainLease() bool { return p.roles != nil && p.cfg.set.Roles.MaxDraining > 0 }
 
-// drainWithLease drains once this router has leave, and answers at once: with the phase, or that it
-// waits.
+// drainWithLease requests the lease to drain and starts the drain once this router holds the lease.
+// It returns at once, with the phase or with the text that the router waits for the lease.
 func (p *Program) drainWithLease() (string, error) {
 	name := drainRole + "@" + p.zone
 	p.mu.Lock()
@@ -146,7 +150,7 @@
 	if transitions[p.phase][drainRequested] == "" {
 		return string(p.phase), fmt.Errorf("%s is not possible while the router is %s", drainRequested, p.phase)
 	}
-	if p.cancelDrainWait != nil { // it waits already, or has it
+	if p.cancelDrainWait != nil { // the router already waits for the lease, or holds it
 		if p.phase == Draining || p.phase == Withheld {
 			return string(p.phase), nil
 		}
@@ -160,21 +164,22 @@
 			return
 		}
 		if phase, err := p.advance(drainRequested); err != nil {
-			p.log.Warn("leave came too late", "phase", phase)
+			p.log.Warn("drain lease released, drain not possible in this phase", "phase", phase)
 			p.roles.Release(name)
 			return
 		}
 		p.snapshots.drained.Store(true)
-		p.log.Info("drains with leave", "duty", name, "waited", time.Since(asked).Round(time.Millisecond))
+		p.log.Info("drain lease acquired, drain started", "duty", name, "waited", time.Since(asked).Round(time.Millisecond))
 	}()
 	return waitingText(p.phase, name), nil
 }
 
+// waitingText returns the answer to a request to drain while the router waits for the lease.
 func waitingText(phase Phase, name string) string {
 	return string(phase) + ", waits for leave to drain: " + name
 }
 
-// releaseDrainLease returns the lease to drain, or stops waiting for it.
+// releaseDrainLease releases the lease to drain, or cancels the request for it.
 func (p *Program) releaseDrainLease() {
 	p.mu.Lock()
 	cancel := p.cancelDrainWait
@@ -219,6 +224,7 @@
 	return lines, true
 }
 
+// names joins names by commas as the value of a field; the result is never empty.
 func names(all []string) string { return field(strings.Join(all, ",")) }
 
 var errNoDuties = errors.New("this router has no duties; the settings have no block duties")
@@ -233,7 +239,7 @@
 	return p.roles.RequestTransfer(ctx, name, to, token)
 }
 
-// votersTimeout is how long the management address waits for voters.
+// votersTimeout is how long a management call waits for voters, or for the recovery's status.
 const votersTimeout = 800 * time.Millisecond
 
 // RebuildRoles implements management.Router.
@@ -246,7 +252,7 @@
 	return p.roles.Rebuild(ctx, lost)
 }
 
-// roleValues are the figures of duties, nil where there are none.
+// roleValues returns the metrics of roles, nil if the settings have no block duties.
 func (p *Program) roleValues() *management.Roles {
 	if p.roles == nil {
 		return nil
--- a/internal/router/program/scribe.go
+++ b/internal/router/program/scribe.go
@@ -14,31 +14,32 @@
 	"reachspread/internal/router/peering"
 )
 
-// Record is what the scribe keeps of the fleet, for whoever comes back from a power loss.
+// Record is the fleet's record: the state of the fleet that the scribe persists for routers that
+// restart after a power loss.
 type Record struct {
-	Version  int
-	Token    uint64 // under which it was written
-	Scribe   string
-	At       time.Time // for people; nothing is decided by it
-	List     int64     // the version of the list that was seen last
-	Settings string    // a digest of the operators' file
-	View     uint64
-	Digest   string
-	Routers  []string
-	Largest  uint64 // token that the scribe was told of
+	Version  int       // of the format
+	Token    uint64    // the fencing token of the lease under which the scribe wrote the record
+	Scribe   string    // the name of the router that wrote the record
+	At       time.Time // when it was written, for people only; no decision depends on it
+	List     int64     // the version of the server list that the scribe applied last
+	Settings string    // a digest of the operators' settings file
+	View     uint64    // the version of the fleet view
+	Digest   string    // the digest of the fleet view
+	Routers  []string  // the names of the members of the fleet view
+	Largest  uint64    // the highest token that the scribe knows of
 }
 
 const (
 	recordVersion       = 1
 	recordFile          = "fleet-record.json"
-	recordCopyFile      = "fleet-record.copy.json" // another router's
-	recordInterval      = time.Second              // between two looks; what has not changed is written each tenth time
-	recordRewriteRounds = 10
-	maxRecordBytes      = 1 << 20 // bytes
+	recordCopyFile      = "fleet-record.copy.json" // the copy of another router's record
+	recordInterval      = time.Second              // the time between two checks whether the record has changed
+	recordRewriteRounds = 10                       // an unchanged record is written again at every tenth check
+	maxRecordBytes      = 1 << 20                  // records of more bytes are not stored
 )
 
-// scribe writes the fleet's record while it holds the lease of the role, with a replica at one more
-// router that may vote.
+// scribe writes the fleet's record while this router holds the lease of the scribe role. It also
+// sends each record to one other router that may vote, which stores a copy.
 func (p *Program) scribe(ctx context.Context, token uint64) error {
 	ticker := time.NewTicker(recordInterval)
 	defer ticker.Stop()
@@ -54,7 +55,7 @@
 				err = durable.WriteFileAtomic(filepath.Join(p.cfg.set.Roles.Folder, recordFile), text)
 			}
 			if err != nil {
-				return fmt.Errorf("the fleet's record: %w", err)
+				return fmt.Errorf("writing the fleet's record: %w", err)
 			}
 			p.roles.SendRecord(token, text)
 			last = key
@@ -67,7 +68,7 @@
 	}
 }
 
-// record is the fleet's as this router knows it.
+// record returns the fleet's record according to the current state of this router.
 func (p *Program) record(token uint64) *Record {
 	v := p.view.Now()
 	r := &Record{Version: recordVersion, Token: token, Scribe: p.cfg.member().Name, At: time.Now().UTC().Truncate(time.Second), List: p.listVersion.Load(),
@@ -81,8 +82,8 @@
 	return r
 }
 
-// storeCopy keeps another router's record, unless it is of an older token than the one at hand. It
-// returns that one.
+// storeCopy stores a copy of another router's record. If the stored copy has a higher token,
+// storeCopy does not replace the copy and returns that token; otherwise it returns 0.
 func (p *Program) storeCopy(token uint64, text []byte) (highest uint64) {
 	var r Record
 	if len(text) > maxRecordBytes || json.Unmarshal(text, &r) != nil || r.Version != recordVersion {
@@ -99,7 +100,7 @@
 		return p.copiedToken
 	}
 	if err := durable.WriteFileAtomic(path, text); err != nil {
-		p.log.Warn("fleet's record not kept", "cause", err)
+		p.log.Warn("copy of the fleet's record not written", "cause", err)
 		return 0
 	}
 	p.copiedToken = token
--- a/internal/router/program/shadow.go
+++ b/internal/router/program/shadow.go
@@ -12,10 +12,11 @@
 	"reachspread/internal/transport"
 )
 
-// mirrorCloseTimeout is how long the end of the program may wait for the last records.
+// mirrorCloseTimeout is how long the shutdown may wait until the last records are written.
 const mirrorCloseTimeout = 200 * time.Millisecond
 
-// startMirror turns on what the operators' settings say.
+// startMirror creates the mirror, which copies requests to shadow pools. If the operators' settings
+// name a status folder, startMirror also opens the status socket there.
 func (p *Program) startMirror(servers *transport.Servers) error {
 	var refused uint64
 	p.mirror = mirror.New(mirror.Options{Balance: p.cfg.balance, Seed: p.cfg.seed, ConnectTimeout: p.cfg.connectTimeout(),
@@ -40,10 +41,11 @@
 	return nil
 }
 
-// ShadowTopic is the path of the shadow pools' state on the status socket.
+// ShadowTopic is the path of the state of the shadow pools on the status socket.
 const ShadowTopic = "/shadow"
 
-// stopMirror waits a moment for the records of the last copies.
+// stopMirror closes the mirror, waits up to mirrorCloseTimeout for the records of the last copies,
+// and closes the status socket.
 func (p *Program) stopMirror() {
 	if p.mirror == nil {
 		return
@@ -56,8 +58,8 @@
 	}
 }
 
-// reloadSettings reads the operators' settings anew and puts the pools in force. The log's format,
-// the status folder and the descriptors set aside count from the start.
+// reloadSettings reads the operators' settings again and puts the shadow pools in force. Changes of
+// the log format, of the status folder and of the number of reserved descriptors need a restart.
 func (p *Program) reloadSettings(cfg *Config) error {
 	if p.file == "" {
 		return nil
@@ -66,7 +68,7 @@
 		return err
 	}
 	if got, most := cfg.descriptorsForSettings(), p.cfg.descriptorsForSettings(); got > most {
-		return fmt.Errorf("%s: shadow and status may use %d descriptors; %d were set aside at the start", p.file, got, most)
+		return fmt.Errorf("%s: shadow and status may use %d descriptors; %d were reserved at the start", p.file, got, most)
 	}
 	if err := p.reloadAdmission(cfg); err != nil {
 		return err
--- a/internal/router/program/shadow_test.go
+++ b/internal/router/program/shadow_test.go
@@ -475,7 +475,7 @@
 	for _, bad := range [][]string{{"share = 1", "share = 2"}, {"share = 1", "share = 1\n sockets = 500"}} {
 		s.settings(host(candidate.Addr), bad...)
 		s.reload <- syscall.SIGHUP
-		s.line("reload refused cause=" + s.path())
+		s.line("configuration reload refused cause=" + s.path())
 	}
 	s.settings(host(candidate.Addr), "share = 1", "share = 0", "copies_out = 50", "copies_out = 7")
 	s.reload <- syscall.SIGHUP
--- a/internal/router/program/shutdown.go
+++ b/internal/router/program/shutdown.go
@@ -8,26 +8,26 @@
 	"reachspread/internal/schedlatency"
 )
 
-// The times after SIGTERM, as the platform's protocol has them.
+// The platform's protocol defines the times after SIGTERM.
 const (
 	// shutdownGrace is how long new clients are accepted after SIGTERM.
 	shutdownGrace = 700 * time.Millisecond
-	// maxCountedDeadline is the most that a request's deadline puts off SIGKILL.
+	// maxCountedDeadline is the longest time by which the deadline of a request delays SIGKILL.
 	maxCountedDeadline = 3 * time.Second
-	// minFinalAnswerMargin is how long before SIGKILL, at the least, all requests have their final
-	// answers: these have to be written, by a process that may wait for a processor.
+	// minFinalAnswerMargin is the minimum time between the final answers of all requests and
+	// SIGKILL. The process still has to write these answers, and may have to wait for a processor.
 	minFinalAnswerMargin = 300 * time.Millisecond
-	// maxMarginShare is the divisor for the share of the counted deadline that the margin takes, and
-	// that it takes once more where the process has run late.
+	// maxMarginShare is the divisor of the counted deadline that gives the margin before SIGKILL. If
+	// the process has been scheduled late, the margin grows by the delay, up to the same share.
 	maxMarginShare = 5
-	// finalAnswersInterval is the time between two looks at whether the process runs late.
+	// finalAnswersInterval is the time between two checks of how late the process is scheduled.
 	finalAnswersInterval = 50 * time.Millisecond
 )
 
-// shutdown goes through the phases from SIGTERM to the last answer.
+// shutdown leads the program through the phases from SIGTERM to the last answer.
 func (p *Program) shutdown() error {
 	noticed := time.Now()
-	signalled := noticed.Add(-p.latency.SignalDelay(noticed)) // or later
+	signalled := noticed.Add(-p.latency.SignalDelay(noticed)) // the earliest time at which SIGTERM may have been sent
 	work, stop := context.WithCancel(context.Background())
 	defer stop()
 	go p.answerBeforeKill(work, signalled)
@@ -46,9 +46,9 @@
 	return nil
 }
 
-// answerBeforeKill answers the requests that are open shortly before the platform kills this process,
-// the earlier the later the process has run. Until then requests are served as usual. It returns once
-// it has, or when ctx ends.
+// answerBeforeKill gives all open requests their final answers shortly before the platform kills this
+// process. The later the process has been scheduled, the earlier it does so. Until then requests are
+// served as usual. It returns after these answers, or when ctx ends.
 func (p *Program) answerBeforeKill(ctx context.Context, signalled time.Time) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -69,9 +69,10 @@
 	}
 }
 
-// finalAnswersDelay returns how long after SIGTERM all requests that are open get their final
-// answers, in a process that has run late by so much. The platform sends SIGKILL once the longest
-// deadline, counted up to maxCountedDeadline, has passed since the last client could come.
+// finalAnswersDelay returns how long after SIGTERM all open requests get their final answers, if the
+// process has been scheduled late by the given time. New clients are accepted until shutdownGrace
+// after SIGTERM. The platform sends SIGKILL when the longest deadline, but at most
+// maxCountedDeadline, has passed since then.
 func (c *Config) finalAnswersDelay(late time.Duration) time.Duration {
 	longest := time.Duration(0)
 	for i := range c.balance.Classes {
@@ -83,8 +84,8 @@
 	return shutdownGrace + max(counted-margin, 0)
 }
 
-// answerOpenRequests answers all requests that the platform would find open when it kills this
-// process, those of clients that wait for a place too.
+// answerOpenRequests gives final answers to all open requests and to the clients that wait for
+// admission.
 func (p *Program) answerOpenRequests() {
 	retryAfter := p.inForce.Load().balance.MaxRetryAfter
 	p.router.AnswerOpen(retryAfter)
--- a/internal/router/program/snapshot.go
+++ b/internal/router/program/snapshot.go
@@ -24,50 +24,52 @@
 )
 
 const (
-	snapshotInterval = time.Second // the least time between two writes; what has not changed is not written
+	snapshotInterval = time.Second // the minimum time between two writes; an unchanged state is not written again
 	lockFile         = "router.lock"
-	// learnedInterval is between two writes of what the decisions have learned although nothing
-	// else has changed. Those of the first measure are closer, by its savedAge.
+	// learnedInterval is the time between two writes if nothing has changed but what the balancer
+	// has learned. While the first measure is young, savedAge makes writes more frequent.
 	learnedInterval = 10 * time.Second
 )
 
-// snapshotWriter persists what the next incarnation of this router reads.
+// snapshotWriter persists the state that the next incarnation of this router reads.
 type snapshotWriter struct {
-	applying    sync.Mutex // locked while hosts are handed to the core: the previous list must not come after discovery's. Locked before mu
+	applying    sync.Mutex // held while a list is applied to the core, so that the previous incarnation's list is never applied after one from discovery; locked before mu
 	mu          sync.Mutex
-	list        map[string]protocol.ListedServer // as merged so far; nil until discovery has sent one
-	listVersion int64
-	changes     uint64 // of the list
-	enabled     bool   // snapshots are configured
+	list        map[string]protocol.ListedServer // the merged server list by host; nil until the first list is merged
+	listVersion int64                            // the version of the last merged list
+	changes     uint64                           // the number of changes of the list
+	enabled     bool                             // whether snapshots are configured
 
-	previous     *snapshot.State // of the previous incarnation, nil for none
-	generation   uint64
-	lock         *os.File
-	closed       bool
-	written      atomic.Uint64
+	previous     *snapshot.State // the state of the previous incarnation, nil for none
+	generation   uint64          // the generation of the newest snapshot file
+	lock         *os.File        // the lock of the folder, nil while this process does not hold the lock
+	closed       bool            // whether the lock was released for the next process
+	written      atomic.Uint64   // the number of snapshots written
 	startedAt    time.Time
-	lastFailure  string            // the kind of the last failure that was logged
-	usual        recovery.Baseline // owned by the goroutine that decides
-	learned      atomic.Pointer[learned]
-	drained      atomic.Bool
-	openRequests durable.ScratchFile // the file of open requests
-	hadOpen      bool                // the last write found some
-	previousList *protocol.List      // of the previous incarnation, once it is used
+	lastFailure  string                  // the kind of the last failure that was logged
+	baseline     recovery.Baseline       // owned by the goroutine that runs the balancer
+	learned      atomic.Pointer[learned] // the baseline as last recorded, nil before
+	drained      atomic.Bool             // whether the operators have drained the router
+	openRequests durable.ScratchFile     // the file of open requests
+	hadOpen      bool                    // whether the last write of that file found open requests
+	previousList *protocol.List          // the previous incarnation's list, nil until it is used
 }
 
-// previousViewTTL is how long members of the previous incarnation's view stay in the snapshot
-// although they are not in the present view: power may be lost again before all are back.
+// previousViewTTL is how long the snapshot retains members of the previous incarnation's view that
+// are not in the current view. Power may fail again before all members have restarted.
 const previousViewTTL = 30 * time.Second
 
-// learned is what the decisions knew of an ordinary day when they were asked last.
+// learned is what the balancer had learned under normal conditions, with all hosts warm, when it was
+// last recorded.
 type learned struct {
 	mean   balance.Learned
-	demand map[string]float64
-	since  time.Time // when this process first had any
+	demand map[string]float64 // the mean demand for work, by class
+	since  time.Time          // when this process first recorded a value
 }
 
-// savedAge is 0 for nil, and grows whenever what is learned is twice as old as before, up to
-// learnedInterval: what a router has learned in its first second is off by much.
+// savedAge returns a number that changes whenever the snapshot should be written again because of l.
+// It is 0 for nil and grows each time the age of l has doubled, up to learnedInterval. Values from
+// the first second after the start are inaccurate, so they are soon replaced.
 func (l *learned) savedAge() int {
 	if l == nil {
 		return 0
@@ -75,12 +77,12 @@
 	return 1 + bits.Len(uint(min(time.Since(l.since), learnedInterval)/snapshotInterval))
 }
 
-// recordLearned records what the decisions have learned, while hosts are warm.
+// recordLearned records what the balancer has learned, if the hosts are warm.
 func (p *Program) recordLearned(now time.Duration, l balance.Learned) {
 	if !p.gate.gate.Warm(now) {
 		return
 	}
-	u := &p.snapshots.usual
+	u := &p.snapshots.baseline
 	u.Update(now, l, p.gate.gate.Demand())
 	if mean, ok := u.Learned(); ok {
 		since := time.Now()
@@ -91,7 +93,8 @@
 	}
 }
 
-// mergeList merges a list.
+// mergeList merges a server list, which is complete or has only changes, into the list that the
+// snapshot saves.
 func (k *snapshotWriter) mergeList(l *protocol.List) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -115,7 +118,8 @@
 	}
 }
 
-// incarnation is the least that this process may have in the fleet view, 0 for any.
+// incarnation returns the lowest incarnation number that this process may use in the fleet view, 0
+// for any.
 func (k *snapshotWriter) incarnation() uint32 {
 	if k.previous == nil || k.previous.Incarnation == 0 {
 		return 0
@@ -123,8 +127,8 @@
 	return k.previous.Incarnation + 1
 }
 
-// startSnapshot reads what the previous incarnation persisted. Writing begins once all components
-// run.
+// startSnapshot reads the state that the previous incarnation persisted. Writing begins later, when
+// the component that runs the recovery starts.
 func (p *Program) startSnapshot(context.Context) error {
 	if p.cfg.set == nil || p.cfg.set.Recovery == nil {
 		return nil
@@ -134,7 +138,7 @@
 	k.enabled, k.startedAt = true, time.Now()
 	k.mu.Unlock()
 	if err := os.MkdirAll(folder, 0o755); err != nil {
-		p.log.Warn("snapshot not kept", "cause", err)
+		p.log.Warn("snapshot folder not created", "cause", err)
 	} else if k.lock, err = durable.Lock(folder, lockFile); errors.Is(err, durable.ErrLocked) && !p.inherited {
 		return fmt.Errorf("recovery: %w", err)
 	}
@@ -146,19 +150,19 @@
 	var broken []string
 	for i, err := range wrong {
 		if err != nil {
-			p.log.Warn("snapshot broken", "file", snapshot.GenerationFiles[i], "cause", err)
+			p.log.Warn("snapshot file damaged", "file", snapshot.GenerationFiles[i], "cause", err)
 			broken = append(broken, snapshot.GenerationFiles[i]+": "+err.Error())
 		}
 	}
 	if before != nil && before.Router != p.cfg.Name {
-		p.log.Warn("snapshot of another router", "router", before.Router)
+		p.log.Warn("snapshot of another router ignored", "router", before.Router)
 		before = nil
 	}
 	k.previous, k.generation = before, generation
 	var demand map[string]float64
 	if before != nil && before.Learned != nil {
 		demand = before.Demand
-		k.usual.Restore(*before.Learned, demand)
+		k.baseline.Restore(*before.Learned, demand)
 		p.balancer.Restore(*before.Learned)
 	}
 	p.gate.gate = recovery.NewGate(p.cfg.balance, demand, p.cfg.seed)
@@ -178,7 +182,8 @@
 	return p.prepareRecovery(before, broken)
 }
 
-// savedMeasure is what a warm host did for the previous incarnation, zero where it had no measure.
+// savedMeasure returns the measure of a warm host that the previous incarnation saved, zero without
+// one.
 func savedMeasure(s *snapshot.State) recovery.Measure {
 	if s.Learned == nil {
 		return recovery.Measure{}
@@ -186,7 +191,8 @@
 	return recovery.MeasureOf(*s.Learned)
 }
 
-// listSource names whose list it is.
+// listSource names the discovery service that the server list is from: the name in the operators'
+// settings, or else its address.
 func (p *Program) listSource() string {
 	if name := p.cfg.set.Recovery.Discovery; name != "" {
 		return name
@@ -199,7 +205,8 @@
 	return fmt.Sprintf("%016x", xxhash.Sum64(p.inForce.Load().text))
 }
 
-// writeSnapshots writes what has changed, once a second at most, until ctx ends.
+// writeSnapshots writes the snapshot when it has changed, at most once a second, until ctx ends. It
+// writes the file of open requests at the same times.
 func (p *Program) writeSnapshots(ctx context.Context, folder string) {
 	ticker := time.NewTicker(snapshotInterval)
 	defer ticker.Stop()
@@ -218,8 +225,8 @@
 	}
 }
 
-// lockFolder locks the folder, unless a process that is being replaced still has it, and reports
-// whether this process has the lock.
+// lockFolder tries to lock the folder and reports whether this process holds the lock. It fails while
+// a process that is being replaced still holds the lock.
 func (k *snapshotWriter) lockFolder(folder string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -229,8 +236,9 @@
 	return k.lock != nil
 }
 
-// writeSnapshot writes the present state, unless it is as before: what it depends on is compared
-// first, as putting it together costs some milliseconds at 1,000 hosts.
+// writeSnapshot writes the current state, unless its key still equals last, and returns the key of
+// the state that was written last. It compares the keys first, because building the state takes some
+// milliseconds with 1,000 hosts.
 func (p *Program) writeSnapshot(folder, last string) string {
 	k := &p.snapshots
 	key := p.snapshotKey()
@@ -254,18 +262,19 @@
 	return key
 }
 
-// reportWrite logs once that something could not be written; nil is for a write that succeeded.
+// reportWrite logs a failed write, once for consecutive failures of the same kind. A nil error means
+// that a write succeeded.
 func (p *Program) reportWrite(err error) {
 	switch {
 	case err == nil:
 		p.snapshots.lastFailure = ""
 	case errorKind(err) != p.snapshots.lastFailure:
 		p.snapshots.lastFailure = errorKind(err)
-		p.log.Warn("snapshot not kept", "cause", err)
+		p.log.Warn("snapshot not written", "cause", err)
 	}
 }
 
-// snapshotKey changes whenever the state that is to be persisted does.
+// snapshotKey returns a text that changes whenever the state to persist changes.
 func (p *Program) snapshotKey() string {
 	k := &p.snapshots
 	k.mu.Lock()
@@ -282,14 +291,15 @@
 	return fmt.Sprint(changes, view, token, k.drained.Load(), k.learned.Load().savedAge(), time.Since(k.startedAt)/learnedInterval)
 }
 
-// errorKind is an error's text without the names that change each time.
+// errorKind returns the text of an error after its last colon. It omits names that differ each time,
+// such as those of temporary files.
 func errorKind(err error) string {
 	text := err.Error()
 	return text[strings.LastIndex(text, ":")+1:]
 }
 
-// snapshot is what this router knows now, nil while that is less than what the previous incarnation
-// knew.
+// snapshot returns the state to persist. It uses values of the previous incarnation where this
+// process has none yet. It returns nil if there is neither a server list nor a previous incarnation.
 func (p *Program) snapshot() *snapshot.State {
 	k := &p.snapshots
 	k.mu.Lock()
@@ -318,7 +328,7 @@
 		}
 	}
 	if k.previous != nil && p.recovery != nil && (p.recovery.stage.Load() < int32(recovery.Recovered) || time.Since(k.startedAt) < previousViewTTL) {
-		for _, r := range k.previous.Routers { // who has not been heard yet may be as late as this one
+		for _, r := range k.previous.Routers { // a member that is still missing may restart as late as this router
 			if !slices.ContainsFunc(s.Routers, func(x snapshot.Router) bool { return x.Name == r.Name }) {
 				s.Routers = append(s.Routers, r)
 			}
--- a/internal/testbed/chaos/recovery_test.go
+++ b/internal/testbed/chaos/recovery_test.go
@@ -20,8 +20,8 @@
 }
 
 // words are what of log lines is looked for.
-var words = []string{"list of the last life", "snapshot broken", "snapshot of another router", "snapshot read", `whose="this router"`, `whose="some routers"`, `whose="all routers"`,
-	"measure of others taken", "shunned=1", "settings=same", "stage=admitting", "stage=duties", "stage=back"}
+var words = []string{"saved server list used", "snapshot file damaged", "snapshot of another router ignored", "snapshot read", `whose="this router"`, `whose="some routers"`, `whose="all routers"`,
+	"host measure of another router adopted", "shunned=1", "settings=same", "stage=admitting", "stage=duties", "stage=back"}
 
 // returnCases have routers of two zones by turns: even ones east, odd ones west.
 var returnCases = map[string]returnCase{
@@ -61,7 +61,7 @@
 }
 `, map[string][2]float64{
 		`r1/2 whose="this router"`: {4, 7}, "r1/2 withheld": {4, 6}, "r1/2 draining": {4, 6}, "r1/2 serving": {13, 14.5}, "r1/2 settings=same": {4, 6},
-		"r0/2 list of the last life": {8, 10}, "r0/2 serving": {8, 10}, "r2/2 snapshot broken": {6, 9},
+		"r0/2 saved server list used": {8, 10}, "r0/2 serving": {8, 10}, "r2/2 snapshot file damaged": {6, 9},
 		`r0/3 whose="all routers"`: {15, 18}, `r1/3 whose="all routers"`: {15, 18}, `r2/3 whose="all routers"`: {15, 18}, "r0/3 stage=admitting": {15, 20},
 	}},
 	"hosts before routers, then routers before hosts": {"22s", 3, "", `
@@ -121,7 +121,7 @@
   at = "13200ms"
   length = "1s"
 }
-`, map[string][2]float64{"r0/2 list of the last life": {6, 8}, "r1/2 list of the last life": {6, 8}, `r2/3 whose="all routers"`: {13, 16}}},
+`, map[string][2]float64{"r0/2 saved server list used": {6, 8}, "r1/2 saved server list used": {6, 8}, `r2/3 whose="all routers"`: {13, 16}}},
 	"one has a list, and says what drains": {"18s", 3, "", `
 fault "cut" {
   at = "2500ms"
@@ -139,7 +139,7 @@
   length = "500ms"
   routers = [0]
 }
-`, map[string][2]float64{"r0/2 list of the last life": {7, 10}, "r0/2 shunned=1": {7, 10}, `r0/2 whose="this router"`: {5, 7}}},
+`, map[string][2]float64{"r0/2 saved server list used": {7, 10}, "r0/2 shunned=1": {7, 10}, `r0/2 whose="this router"`: {5, 7}}},
 	"half with their disks, two swapped, newer, flipped, ahead": {"26s", 6, "", `
 fault "kill" {
   at = "3s"
@@ -186,7 +186,7 @@
   length = "5s"
   routers = [0]
 }
-`, map[string][2]float64{"r2/2 snapshot of another router": {3, 6}, "r1/2 snapshot broken": {3, 6}, "r3/2 settings=same": {3, 6}, "r4/2 snapshot broken": {3, 6}, "r5/2 snapshot read": {3, 6}, "r0/2 measure of others taken": {3, 10}}},
+`, map[string][2]float64{"r2/2 snapshot of another router ignored": {3, 6}, "r1/2 snapshot file damaged": {3, 6}, "r3/2 settings=same": {3, 6}, "r4/2 snapshot file damaged": {3, 6}, "r5/2 snapshot read": {3, 6}, "r0/2 host measure of another router adopted": {3, 10}}},
 	"power lost five times in a row": {"24s", 3, "", strings.Join([]string{
 		power("2s", "700ms", ""), power("4s", "700ms", ""), power("5500ms", "700ms", ""), power("7s", "700ms", ""), power("9s", "1s", "")}, ""),
 		map[string][2]float64{`r0/6 whose="all routers"`: {9, 13}, "r1/6 stage=duties": {9, 24}}},
--- a/internal/testbed/chaos/returns.go
+++ b/internal/testbed/chaos/returns.go
@@ -41,7 +41,7 @@
 			continue
 		}
 		for _, s := range returnSteps {
-			if s.phase != "" && e.What == history.Phase && e.Text == s.phase || s.stage != "" && e.What == history.Log && strings.Contains(e.Text, "comes back ") && strings.Contains(e.Text, "stage="+s.stage+" ") {
+			if s.phase != "" && e.What == history.Phase && e.Text == s.phase || s.stage != "" && e.What == history.Log && strings.Contains(e.Text, "recovery stage entered ") && strings.Contains(e.Text, "stage="+s.stage+" ") {
 				r.of[s.name] = append(r.of[s.name], time.Duration(e.T-at))
 			}
 		}
--- a/internal/testbed/chaos/returns_test.go
+++ b/internal/testbed/chaos/returns_test.go
@@ -19,7 +19,7 @@
 			at(0, history.Start, "r0", ""), at(time.Second, history.Phase, "r0", "serving"),
 			at(5*time.Second, history.Start, "r0/2", againStart), at(5*time.Second, history.Start, "r1/2", replaceStart),
 			at(5200*time.Millisecond+late, history.Phase, "r0/2", "serving"), at(6*time.Second, history.Phase, "r1/2", "serving"),
-			at(5300*time.Millisecond, history.Log, "r0/2", `INF comes back after=300ms stage=admitting why="x"`),
+			at(5300*time.Millisecond, history.Log, "r0/2", `INF recovery stage entered after=300ms stage=admitting why="x"`),
 		})
 	}
 	var b strings.Builder
