--- a/internal/router/program/scribe.go
+++ b/internal/router/program/scribe.go
@@ -55,7 +55,7 @@
 				err = durable.WriteFileAtomic(filepath.Join(p.cfg.set.Roles.Folder, recordFile), text)
 			}
 			if err != nil {
-				return fmt.Errorf("writing the fleet's record: %w", err)
+				return fmt.Errorf("the fleet's record: %w", err)
 			}
 			p.roles.SendRecord(token, text)
 			last = key
