--- a/internal/router/program/admission.go
+++ b/internal/router/program/admission.go
@@ -98,17 +98,17 @@
 			return
 		case <-timer.C:
 		}
-		if set := p.inForce.Load().set; (set == nil || set.Admission == nil) && p.cfg.copies() == 0 {
+		if set := p.inForce.Load().set; (set == nil || set.Admission == nil) && p.cfg.copyDescriptors() == 0 {
 			timer.Reset(reloadCheckInterval)
 			continue
 		}
-		p.front.Lend(admission.LendableConnections(p.cfg.copies(), p.mirror.Sockets()))
+		p.front.Lend(admission.LendableConnections(p.cfg.copyDescriptors(), p.mirror.Sockets()))
 		timer.Reset(admissionInterval)
 	}
 }
 
 // copies returns how many descriptors are reserved for copying requests to shadow pools.
-func (c *Config) copies() (n int) {
+func (c *Config) copyDescriptors() (n int) {
 	if c.set == nil {
 		return 0
 	}
@@ -129,8 +129,8 @@
 		{Owner: admission.OverflowClients, Limit: step},
 		{Owner: admission.Servers, Limit: r.servers},
 		{Owner: admission.Discovery, Limit: 1},
-		{Owner: admission.Mirror, Limit: c.copies()},
-		{Owner: admission.StatusClients, Limit: c.descriptorsForSettings() - c.copies()}, // includes the record files
+		{Owner: admission.Mirror, Limit: c.copyDescriptors()},
+		{Owner: admission.StatusClients, Limit: c.descriptorsForSettings() - c.copyDescriptors()}, // includes the record files
 		{Owner: admission.Operators, Limit: transport.ManagementSockets},
 		{Owner: admission.Runtime, Limit: reservedDescriptors - listenerDescriptors - transport.ManagementSockets - 1 - step},
 	}}
--- a/internal/router/program/admission_test.go
+++ b/internal/router/program/admission_test.go
@@ -19,10 +19,10 @@
 )
 
 // houseSockets is the limit of descriptors of the next house by its configuration.
-var houseSockets = 256
+var configuredSockets = 256
 
 // house is a router process with admission control that can be asked for its state.
-type house struct {
+type admissionRouter struct {
 	*process
 	dir, path, binary string
 	hosts             []*scripted.Model
@@ -30,38 +30,38 @@
 
 // startWithAdmission starts a router process with admission control: 256 descriptors by the
 // configuration, and limit by the system. Without hosts it gets two that answer at once.
-func startWithAdmission(t *testing.T, limit int, settings string, hosts ...*scripted.Model) *house {
+func startWithAdmission(t *testing.T, limit int, settings string, hosts ...*scripted.Model) *admissionRouter {
 	t.Helper()
-	h := &house{dir: t.TempDir(), hosts: hosts}
+	h := &admissionRouter{dir: t.TempDir(), hosts: hosts}
 	if len(hosts) == 0 {
 		h.hosts = models(t, 2, scripted.ModelBehavior{Events: 2})
 	}
 	h.path = filepath.Join(h.dir, "settings.hcl")
-	h.set(t, settings)
+	h.writeSettings(t, settings)
 	h.binary = filepath.Join(h.dir, "limited")
 	script := fmt.Sprintf("#!/bin/sh\nulimit -n %d\nexec %s \"$@\"\n", limit, buildRouter(t))
 	if err := os.WriteFile(h.binary, []byte(script), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	sockets = houseSockets
+	sockets = configuredSockets
 	defer func() { sockets = 1024 }()
 	h.process = startRouter(t, h.binary, h.hosts, "--settings", h.path)
 	return h
 }
 
-func (h *house) set(t *testing.T, settings string) {
+func (h *admissionRouter) writeSettings(t *testing.T, settings string) {
 	write(t, h.path, fmt.Sprintf("status {\n folder = %q\n}\n", h.dir)+settings)
 }
 
 // again starts the router once more at the same address.
-func (h *house) again(t *testing.T) {
+func (h *admissionRouter) restart(t *testing.T) {
 	t.Helper()
-	sockets = houseSockets
+	sockets = configuredSockets
 	defer func() { sockets = 1024 }()
 	h.process = startRouterAt(t, h.addr, h.binary, h.hosts, "--settings", h.path)
 }
 
-func (h *house) status() (s AdmissionStatus) {
+func (h *admissionRouter) status() (s AdmissionStatus) {
 	h.t.Helper()
 	socket, err := transport.StatusSocket(h.dir, "")
 	if err != nil {
@@ -78,7 +78,7 @@
 }
 
 // wait asks for the state until it is as wanted.
-func (h *house) wait(what string, ok func(*AdmissionStatus) bool) AdmissionStatus {
+func (h *admissionRouter) awaitStatus(what string, ok func(*AdmissionStatus) bool) AdmissionStatus {
 	h.t.Helper()
 	for end := time.Now().Add(scripted.EventTimeout); ; time.Sleep(10 * time.Millisecond) {
 		s := h.status()
@@ -92,7 +92,7 @@
 }
 
 // dial connects and sends a text; the connection ends with the test.
-func (h *house) dial(text string) net.Conn {
+func (h *admissionRouter) dial(text string) net.Conn {
 	h.t.Helper()
 	c, err := net.DialTimeout("tcp", h.addr, scripted.EventTimeout)
 	if err != nil {
@@ -125,7 +125,7 @@
 
 // askOften asks as a known client, each time on a new connection, and returns how often it was
 // served.
-func askOften(p *process, name string, times int) (served int) {
+func askRepeatedly(p *process, name string, times int) (served int) {
 	p.t.Helper()
 	for i := range times {
 		begun := time.Now()
@@ -143,14 +143,14 @@
 // afterwards no descriptor is lost.
 func TestKnownClientsGetThroughFloods(t *testing.T) {
 	h := startWithAdmission(t, 256, admissionBlock)
-	if n := askOften(h.process, "before", 5); n != 5 {
+	if n := askRepeatedly(h.process, "before", 5); n != 5 {
 		t.Fatalf("%d of 5 served without a flood", n)
 	}
 	for _, f := range []struct {
-		name    string
-		clients int
-		harm    scripted.Misbehavior
-		from    func(int) string
+		name     string
+		clients  int
+		behavior scripted.Misbehavior
+		from     func(int) string
 	}{
 		{"silent", 300, scripted.SendNothing, oneAddress},
 		{"asking", 150, scripted.SendRequests, oneAddress},
@@ -159,14 +159,14 @@
 		{"flapping", 50, scripted.CloseAtOnce, oneAddress},
 		{"trickling", 100, scripted.TrickleRequest, manyAddresses},
 	} {
-		flood := scripted.NewFlood(h.addr, f.clients, f.harm, f.from, time.Minute)
-		served := askOften(h.process, f.name, 40)
+		flood := scripted.NewFlood(h.addr, f.clients, f.behavior, f.from, time.Minute)
+		served := askRepeatedly(h.process, f.name, 40)
 		flood.Stop()
 		if served < 39 { // one may be held up by the machine that plays the flood, too
 			t.Errorf("%s: %d of 40 served; the flood: %s", f.name, served, flood.Summary())
 		}
 	}
-	s := h.wait("end of the floods", func(s *AdmissionStatus) bool {
+	s := h.awaitStatus("end of the floods", func(s *AdmissionStatus) bool {
 		return s.Known+s.Unknown+s.Step == 0 && s.Descriptors.RuntimeUsed() == 0
 	})
 	// What the ledger counts is what the process has; probes, the poller and the standard streams
@@ -182,8 +182,8 @@
 // Where every place has an open request, the next one is read and refused at once, whatever else
 // was sent with it, and who is known gets in still.
 func TestFullHouseAnswers(t *testing.T) {
-	houseSockets = 130 // few places, so that all is done before a stream has been silent for too long
-	defer func() { houseSockets = 256 }()
+	configuredSockets = 130 // few places, so that all is done before a stream has been silent for too long
+	defer func() { configuredSockets = 256 }()
 	for _, settings := range []string{"", admissionBlock + "\n"} {
 		hold := make(chan bool)
 		h := startWithAdmission(t, 256, strings.Replace(settings, "}", " patience {\n critical = \"2s\"\n }\n address {\n connections = 0\n open = 0\n per_second = 0\n }\n net {\n connections = 0\n open = 0\n per_second = 0\n }\n}", 1),
@@ -192,7 +192,7 @@
 		for i := range places {
 			h.dial(scripted.RequestText(fmt.Sprint("q", i), ""))
 		}
-		h.wait("full house", func(s *AdmissionStatus) bool { return s.Open == places })
+		h.awaitStatus("full house", func(s *AdmissionStatus) bool { return s.Open == places })
 		for i := range 10 {
 			// Three requests in one go have one answer: what follows on a connection that ends was
 			// not taken.
@@ -207,16 +207,16 @@
 		}
 		if settings != "" {
 			c := h.dial(scripted.RequestText("known", "X-Client: tool-1\r\n"))
-			h.wait("known client", func(s *AdmissionStatus) bool { return s.Known == 1 && s.Open == places+1 })
+			h.awaitStatus("known client", func(s *AdmissionStatus) bool { return s.Known == 1 && s.Open == places+1 })
 			// One whose word comes later stands on the step until it does.
 			late := h.dial("")
-			h.wait("client on the step", func(s *AdmissionStatus) bool { return s.Step == 1 })
+			h.awaitStatus("client on the step", func(s *AdmissionStatus) bool { return s.Step == 1 })
 			io.WriteString(late, scripted.RequestText("late", "X-Client: tool-1\r\n"))
-			h.wait("known client from the step", func(s *AdmissionStatus) bool { return s.Known == 2 && s.Step == 0 && s.Open == places+2 })
+			h.awaitStatus("known client from the step", func(s *AdmissionStatus) bool { return s.Known == 2 && s.Step == 0 && s.Open == places+2 })
 			c.Close()
 		}
 		close(hold)
-		h.wait("end", func(s *AdmissionStatus) bool { return s.Open == 0 })
+		h.awaitStatus("end", func(s *AdmissionStatus) bool { return s.Open == 0 })
 	}
 }
 
@@ -229,10 +229,10 @@
 	for i := range 12 {
 		asked = append(asked, h.dial(scripted.RequestText(fmt.Sprint("q", i), "")))
 	}
-	h.wait("open requests", func(s *AdmissionStatus) bool { return s.Open == 12 })
-	h.set(t, strings.Replace(admissionBlock, "}", " address {\n connections = 3\n per_second = 0\n }\n reserve = 0.9\n}", 1))
+	h.awaitStatus("open requests", func(s *AdmissionStatus) bool { return s.Open == 12 })
+	h.writeSettings(t, strings.Replace(admissionBlock, "}", " address {\n connections = 3\n per_second = 0\n }\n reserve = 0.9\n}", 1))
 	h.cmd.Process.Signal(syscall.SIGHUP)
-	h.until("reloaded")
+	h.awaitLog("reloaded")
 	if got := read(t, h.dial(scripted.RequestText("more", ""))); !strings.HasPrefix(got, "HTTP/1.1 429 ") {
 		t.Errorf("over the lowered bound: %q", got)
 	}
@@ -247,7 +247,7 @@
 		}
 		c.Close()
 	}
-	h.wait("room", func(s *AdmissionStatus) bool { return s.Unknown < 3 })
+	h.awaitStatus("room", func(s *AdmissionStatus) bool { return s.Unknown < 3 })
 	if got, _ := askOnce(h.addr, "after", time.Now()); got != 200 {
 		t.Errorf("after the rest was answered: %d", got)
 	}
@@ -259,10 +259,10 @@
 	hold := make(chan bool)
 	h := startWithAdmission(t, 256, admissionBlock, scripted.NewModel(t, scripted.ModelBehavior{Events: 2, Gate: hold}))
 	open := h.dial(scripted.RequestText("open", "X-Client: tool-1\r\n"))
-	h.wait("open request", func(s *AdmissionStatus) bool { return s.Known == 1 && s.Open == 1 })
+	h.awaitStatus("open request", func(s *AdmissionStatus) bool { return s.Known == 1 && s.Open == 1 })
 	flood := scripted.NewFlood(h.addr, 100, scripted.SendRequests, manyAddresses, time.Minute)
 	defer flood.Stop()
-	h.wait("flood", func(s *AdmissionStatus) bool { return s.Admitted > 20 })
+	h.awaitStatus("flood", func(s *AdmissionStatus) bool { return s.Admitted > 20 })
 	h.cmd.Process.Signal(syscall.SIGTERM)
 	close(hold)
 	if got := read(t, open); !strings.HasPrefix(got, "HTTP/1.1 200 ") || !strings.HasSuffix(got, "0\r\n\r\n") {
@@ -271,8 +271,8 @@
 	if err := h.cmd.Wait(); err != nil {
 		t.Errorf("the router ended with %v", err)
 	}
-	h.again(t)
-	if n := askOften(h.process, "again", 20); n != 20 {
+	h.restart(t)
+	if n := askRepeatedly(h.process, "again", 20); n != 20 {
 		t.Errorf("%d of 20 known requests served after the restart", n)
 	}
 }
@@ -287,8 +287,8 @@
   calm = "400ms"
  }
 }`, 1), scripted.NewModel(t, scripted.ModelBehavior{Events: 100000}))
-	deaf := h.dial(scripted.RequestText("deaf", ""))
-	h.wait("open request", func(s *AdmissionStatus) bool { return s.Open == 1 })
+	unread := h.dial(scripted.RequestText("deaf", ""))
+	h.awaitStatus("open request", func(s *AdmissionStatus) bool { return s.Open == 1 })
 	slow := h.dial("POST /v1/chat/completions HTTP/1.1\r\nHost: r\r\nContent-Length: 100\r\n\r\n")
 	go func() {
 		for i := 0; i < 100 && slow != nil; i++ {
@@ -302,8 +302,8 @@
 	if _, err := io.ReadFull(slow, answer); err != nil || string(answer) != "HTTP/1.1 408" {
 		t.Errorf("a trickled body got %q, %v", answer, err)
 	}
-	h.wait("end of the request that nobody reads", func(s *AdmissionStatus) bool { return s.Open == 0 })
-	if text, err := io.ReadAll(deaf); err == nil && strings.HasSuffix(string(text), "0\r\n\r\n") {
+	h.awaitStatus("end of the request that nobody reads", func(s *AdmissionStatus) bool { return s.Open == 0 })
+	if text, err := io.ReadAll(unread); err == nil && strings.HasSuffix(string(text), "0\r\n\r\n") {
 		t.Error("an answer that nobody read is said whole")
 	}
 	if s := h.status(); s.Shut["too slow"] != 1 {
@@ -324,7 +324,7 @@
 		}
 		held = append(held, c)
 	}
-	p.until("descriptors exhausted")
+	p.awaitLog("descriptors exhausted")
 	// The management address has one held back, too: a call is answered in time all the same.
 	for range 3 {
 		begun := time.Now()
@@ -341,7 +341,7 @@
 	for _, c := range held {
 		c.Close()
 	}
-	for end := time.Now().Add(scripted.EventTimeout); askOften(p, fmt.Sprint("after", time.Now().UnixNano()), 1) == 0; {
+	for end := time.Now().Add(scripted.EventTimeout); askRepeatedly(p, fmt.Sprint("after", time.Now().UnixNano()), 1) == 0; {
 		if time.Now().After(end) {
 			t.Fatal("no service after the shortage")
 		}
--- a/internal/router/program/components.go
+++ b/internal/router/program/components.go
@@ -51,8 +51,8 @@
 // prepareShutdown notifies the started components that the program is about to shut down.
 func (p *Program) prepareShutdown() {
 	for i := len(p.started) - 1; i >= 0; i-- {
-		if leave := p.started[i].beforeShutdown; leave != nil {
-			leave()
+		if notify := p.started[i].beforeShutdown; notify != nil {
+			notify()
 		}
 	}
 }
--- a/internal/router/program/exchange_test.go
+++ b/internal/router/program/exchange_test.go
@@ -24,7 +24,7 @@
 
 // platformOf is what starts and ends processes of one router: it holds the clients' listener, and
 // the folder and the configuration that they share.
-type platformOf struct {
+type supervisor struct {
 	t      *testing.T
 	binary string
 	ln     *os.File
@@ -34,7 +34,7 @@
 }
 
 // one is a process of the router.
-type one struct {
+type routerProcess struct {
 	t          *testing.T
 	cmd        *exec.Cmd
 	management string
@@ -43,7 +43,7 @@
 	status     int       // with which it ended, -1 for a signal; known once ended is closed
 }
 
-func newPlatform(t *testing.T, hosts ...*scripted.Model) *platformOf {
+func newSupervisor(t *testing.T, hosts ...*scripted.Model) *supervisor {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -53,7 +53,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &platformOf{t: t, binary: buildRouter(t), ln: f, addr: ln.Addr().String(), folder: t.TempDir()}
+	p := &supervisor{t: t, binary: buildRouter(t), ln: f, addr: ln.Addr().String(), folder: t.TempDir()}
 	ln.Close()
 	t.Cleanup(func() { f.Close() })
 	var entries []string
@@ -66,13 +66,13 @@
 }
 
 // start starts a process with the listener as descriptor 5, and does not wait for it.
-func (p *platformOf) start(env ...string) *one {
+func (p *supervisor) start(env ...string) *routerProcess {
 	p.t.Helper()
 	management, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	o := &one{t: p.t, management: management.Addr().String(), log: make(chan string, 1000), ended: make(chan bool)}
+	o := &routerProcess{t: p.t, management: management.Addr().String(), log: make(chan string, 1000), ended: make(chan bool)}
 	management.Close()
 	o.cmd = exec.Command(p.binary, "serve")
 	o.cmd.Env = append(append(os.Environ(), "ROUTER_CONFIG="+p.config, "ROUTER_LISTEN="+p.addr, "ROUTER_ACCEPT_FD=5",
@@ -91,7 +91,7 @@
 		p.t.Fatal(err)
 	}
 	reaped := make(chan bool)
-	go o.awaitEnd()
+	go o.recordExit()
 	go func() {
 		for lines := bufio.NewScanner(errs); lines.Scan(); {
 			o.log <- lines.Text()
@@ -106,7 +106,7 @@
 }
 
 // awaitEnd notes the process's end, which its reaping tells late on a busy machine.
-func (o *one) awaitEnd() {
+func (o *routerProcess) recordExit() {
 	status, _, err := processexit.Await(o.cmd.Process.Pid)
 	if err != nil {
 		o.t.Error(err)
@@ -116,7 +116,7 @@
 }
 
 // yes waits until the process takes clients.
-func (o *one) yes() *one {
+func (o *routerProcess) awaitReady() *routerProcess {
 	o.t.Helper()
 	for end := time.Now().Add(scripted.EventTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		c, err := net.Dial("tcp", o.management)
@@ -135,13 +135,13 @@
 }
 
 // leaves sends SIGTERM and waits for the exit with status 0.
-func (o *one) leaves() {
+func (o *routerProcess) terminateCleanly() {
 	o.t.Helper()
 	o.cmd.Process.Signal(syscall.SIGTERM)
-	o.exit(true)
+	o.awaitExit(true)
 }
 
-func (o *one) exit(well bool) {
+func (o *routerProcess) awaitExit(well bool) {
 	o.t.Helper()
 	select {
 	case <-o.ended:
@@ -155,7 +155,7 @@
 
 // crowd are clients that ask all the time on connections that they keep, until stopped; what went
 // wrong is returned.
-func crowd(addr string, clients int) (stop func() (asked int, wrong []string)) {
+func startClients(addr string, clients int) (stop func() (asked int, wrong []string)) {
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	asked, wrong, end := 0, []string(nil), make(chan bool)
@@ -199,20 +199,20 @@
 // and each process ends well.
 func TestProcessIsReplaced(t *testing.T) {
 	hosts := []*scripted.Model{scripted.NewModel(t, scripted.ModelBehavior{Events: 3, EventInterval: 5 * time.Millisecond}), scripted.NewModel(t, scripted.ModelBehavior{Events: 3, EventInterval: 5 * time.Millisecond})}
-	p := newPlatform(t, hosts...)
+	p := newSupervisor(t, hosts...)
 	write(t, filepath.Join(p.folder, "reachspread.beside"), "cut off leftov")
-	first := p.start().yes()
-	stop := crowd(p.addr, 8)
-	p.start("ROUTER_DISCOVERY=nowhere").exit(false)
+	first := p.start().awaitReady()
+	stop := startClients(p.addr, 8)
+	p.start("ROUTER_DISCOVERY=nowhere").awaitExit(false)
 	dying := p.start()
 	dying.cmd.Process.Kill()
-	dying.exit(false)
-	second := p.start().yes()
-	first.leaves()
-	third := p.start().yes()
-	fourth := p.start().yes()
-	second.leaves()
-	third.leaves()
+	dying.awaitExit(false)
+	second := p.start().awaitReady()
+	first.terminateCleanly()
+	third := p.start().awaitReady()
+	fourth := p.start().awaitReady()
+	second.terminateCleanly()
+	third.terminateCleanly()
 	time.Sleep(50 * time.Millisecond) // of load on the last one
 	asked, wrong := stop()
 	if len(wrong) > 0 || asked < 50 {
@@ -223,18 +223,18 @@
 			t.Errorf("%v had two attempts out", counts.Duplicated)
 		}
 	}
-	fourth.leaves()
+	fourth.terminateCleanly()
 }
 
 // A descriptor that is no listener is one line and no start.
 func TestNoListenerInherited(t *testing.T) {
-	p := newPlatform(t)
+	p := newSupervisor(t)
 	for fd, want := range map[string]string{"3": "ROUTER_ACCEPT_FD: descriptor 3 is no listening socket", "77": "ROUTER_ACCEPT_FD: descriptor 77 is no listening socket", "five": `ROUTER_ACCEPT_FD is "five"`} {
 		o := p.start("ROUTER_ACCEPT_FD=" + fd)
 		if line := scripted.Receive(t, o.log, "a line"); !strings.Contains(line, want) {
 			t.Errorf("%s: got %q, want %q", fd, line, want)
 		}
-		o.exit(false)
+		o.awaitExit(false)
 	}
 }
 
@@ -251,13 +251,13 @@
 		c := make(chan bool)
 		stages, waits = append(stages, c), append(waits, c)
 	}
-	on := func() {
+	nextStage := func() {
 		close(stages[0])
 		stages = stages[1:]
 	}
 	host := scripted.NewModel(t, scripted.ModelBehavior{Events: 5, Stages: waits})
-	p := newPlatform(t, host)
-	first := p.start().yes()
+	p := newSupervisor(t, host)
+	first := p.start().awaitReady()
 	client := &http.Client{Transport: &http.Transport{}, Timeout: scripted.EventTimeout}
 	open := func(id string) *http.Response {
 		t.Helper()
@@ -271,14 +271,14 @@
 	for i := range 5 {
 		streams = append(streams, open(fmt.Sprint("q", i)))
 	}
-	second := p.start().yes()
-	on()
-	first.leaves()
-	on()
-	third := p.start().yes()
-	on()
-	second.leaves()
-	on()
+	second := p.start().awaitReady()
+	nextStage()
+	first.terminateCleanly()
+	nextStage()
+	third := p.start().awaitReady()
+	nextStage()
+	second.terminateCleanly()
+	nextStage()
 	want := scripted.NewModel(t, scripted.ModelBehavior{Events: 5})
 	whole := answerOf(t, p, want)
 	for i, resp := range streams {
@@ -307,16 +307,16 @@
 	host.Set(scripted.ModelBehavior{Events: 5, Gate: hold})
 	last := open("last")
 	third.cmd.Process.Signal(syscall.SIGTERM)
-	third.until("phase name=finishing")
+	third.awaitLog("phase name=finishing")
 	scripted.Send(t, hold, true)
 	if text, err := io.ReadAll(last.Body); err != nil || string(text) != whole {
 		t.Errorf("with nobody to go to: %q, %v", text, err)
 	}
-	third.exit(true)
+	third.awaitExit(true)
 }
 
 // answerOf returns what a server's answer to the clients' usual prompt is.
-func answerOf(t *testing.T, p *platformOf, host *scripted.Model) string {
+func answerOf(t *testing.T, p *supervisor, host *scripted.Model) string {
 	t.Helper()
 	r := scripted.NewRequest(t, host.Addr, "as it is", nil)
 	_, text, err := scripted.Do(t, r)
@@ -326,14 +326,14 @@
 	return text
 }
 
-func (o *one) until(words string) {
+func (o *routerProcess) awaitLog(words string) {
 	o.t.Helper()
 	for !strings.Contains(scripted.Receive(o.t, o.log, words), words) {
 	}
 }
 
 // limit has the next processes keep to small limits, and the system hold them to the descriptors.
-func (p *platformOf) limit(memory, sockets int) {
+func (p *supervisor) setLimits(memory, sockets int) {
 	p.t.Helper()
 	text, err := os.ReadFile(p.config)
 	if err != nil {
@@ -351,7 +351,7 @@
 // long it held them still; pages that they share count once. The processes stand still while their descriptors are counted: one after
 // the other, a connection that moves from the first to the second between the two counts would be
 // in both (242 were counted so where 227 were open).
-func uses(t *testing.T, all ...*one) (descriptors, kilobytes int, held time.Duration) {
+func resourceUse(t *testing.T, all ...*routerProcess) (descriptors, kilobytes int, held time.Duration) {
 	t.Helper()
 	begun := time.Now()
 	for _, o := range all {
@@ -377,17 +377,17 @@
 }
 
 // pause has a process stand still, and returns once it does or has ended.
-func (o *one) pause() {
+func (o *routerProcess) pause() {
 	if o.cmd.Process.Signal(syscall.SIGSTOP) != nil {
 		return
 	}
-	for !stands(o.cmd.Process.Pid) {
+	for !allThreadsStopped(o.cmd.Process.Pid) {
 		runtime.Gosched()
 	}
 }
 
 // stands tells that every thread of a process is stopped, or has ended.
-func stands(pid int) bool { return strings.Trim(threadStates(pid), "TZX") == "" }
+func allThreadsStopped(pid int) bool { return strings.Trim(threadStates(pid), "TZX") == "" }
 
 // threadStates has a letter for each thread of a process, as the kernel names states: R runs or
 // would, S and D wait, T is stopped, Z has ended.
@@ -410,12 +410,12 @@
 // keeps both limits for the two together.
 func TestCrowdsAtSmallLimits(t *testing.T) {
 	host := scripted.NewModel(t, scripted.ModelBehavior{Events: 3})
-	p := newPlatform(t, host)
-	p.limit(32, 256)
-	first := p.start().yes()
+	p := newSupervisor(t, host)
+	p.setLimits(32, 256)
+	first := p.start().awaitReady()
 	from := func(int) string { return "127.0.0.1" }
-	mute := scripted.NewFlood(p.addr, 200, scripted.SendNothing, from, time.Minute)
-	defer mute.Stop()
+	silent := scripted.NewFlood(p.addr, 200, scripted.SendNothing, from, time.Minute)
+	defer silent.Stop()
 	asking := scripted.NewFlood(p.addr, 20, scripted.SendRequests, from, time.Minute)
 	defer asking.Stop()
 	for i := range 2 * transport.MaxCallers {
@@ -426,7 +426,7 @@
 		defer c.Close()
 		io.WriteString(c, []string{"", "var", "vars\nvars\n"}[i%3])
 	}
-	scrape := func(o *one) {
+	scrape := func(o *routerProcess) {
 		t.Helper()
 		begun := time.Now()
 		c, err := net.Dial("tcp", o.management)
@@ -443,14 +443,14 @@
 	}
 	most, memory := 0, 0
 	var heldFor atomic.Int64 // nanoseconds
-	look := func(all ...*one) {
-		descriptors, kilobytes, held := uses(t, all...)
+	sample := func(all ...*routerProcess) {
+		descriptors, kilobytes, held := resourceUse(t, all...)
 		most, memory = max(most, descriptors), max(memory, kilobytes)
 		heldFor.Add(held.Nanoseconds())
 	}
 	for range 50 {
 		scrape(first)
-		look(first)
+		sample(first)
 	}
 	second := p.start()
 	begun, heldAlone := time.Now(), heldFor.Load()
@@ -459,30 +459,30 @@
 			t.Logf("since the second process's start the looks held both still for %v of %v", time.Duration(heldFor.Load()-heldAlone), time.Since(begun))
 		}
 	}()
-	looked := make(chan bool)
+	sampled := make(chan bool)
 	go func() {
-		defer close(looked)
+		defer close(sampled)
 		for {
 			select {
 			case <-first.ended:
 				return
 			default:
 				begun := time.Now()
-				look(first, second)
+				sample(first, second)
 				time.Sleep(time.Since(begun)) // the processes run for as long as they stood still
 			}
 		}
 	}()
-	second.yes()
+	second.awaitReady()
 	scrape(second)
-	first.leaves()
-	<-looked
+	first.terminateCleanly()
+	<-sampled
 	scrape(second)
 	if most > 256 || memory > 32<<10 {
 		t.Errorf("the two together had %d descriptors of 256, and %d kB of 32 MB", most, memory)
 	}
 	t.Logf("%d descriptors, %d kB at the most", most, memory)
-	second.leaves()
+	second.terminateCleanly()
 }
 
 // A replacement during a drain serves though the old process sends clients away. One that is killed
@@ -491,8 +491,8 @@
 func TestReplacementThatDies(t *testing.T) {
 	hold := make(chan bool)
 	host := scripted.NewModel(t, scripted.ModelBehavior{Events: 5, Gate: hold})
-	p := newPlatform(t, host)
-	first := p.start().yes()
+	p := newSupervisor(t, host)
+	first := p.start().awaitReady()
 	resp, err := http.DefaultClient.Do(scripted.NewRequest(t, p.addr, "q", nil))
 	if err != nil {
 		t.Fatal(err)
@@ -500,15 +500,15 @@
 	if got := first.call("drain-on"); got != "+OK draining\n" {
 		t.Errorf("drain-on: %q", got)
 	}
-	second := p.start().yes()
+	second := p.start().awaitReady()
 	if got := second.call("check"); got != "+OK\n" {
 		t.Errorf("the new process while the old one drains: %q", got)
 	}
 	second.cmd.Process.Kill()
-	second.exit(false)
+	second.awaitExit(false)
 	first.cmd.Process.Signal(syscall.SIGTERM)
-	first.until("phase name=finishing")
-	third := p.start().yes()
+	first.awaitLog("phase name=finishing")
+	third := p.start().awaitReady()
 	host.Set(scripted.ModelBehavior{Events: 5})
 	if status, _, err := scripted.Do(t, scripted.NewRequest(t, p.addr, "next", nil)); status != 200 || err != nil {
 		t.Errorf("the third process: %d, %v", status, err)
@@ -517,12 +517,12 @@
 	if text, err := io.ReadAll(resp.Body); err != nil || !strings.Contains(string(text), "[DONE]") {
 		t.Errorf("the stream that was out: %q, %v", text, err)
 	}
-	first.exit(true)
-	third.leaves()
+	first.awaitExit(true)
+	third.terminateCleanly()
 }
 
 // call makes one call at the process's management address.
-func (o *one) call(line string) string {
+func (o *routerProcess) call(line string) string {
 	o.t.Helper()
 	return callManagement(o.t, o.management, line)
 }
--- a/internal/router/program/management_test.go
+++ b/internal/router/program/management_test.go
@@ -20,7 +20,7 @@
 )
 
 // served is a program with an management address, and all that a story about one day needs.
-type served struct {
+type testProgram struct {
 	*Program
 	t      *testing.T
 	path   string // of the configuration
@@ -34,9 +34,9 @@
 
 // startServed starts a program whose discovery lists the entries; the configuration is that of
 // configFile, with the changes given as old and new by turns.
-func startServed(t *testing.T, entries []string, changes ...string) *served {
+func startServed(t *testing.T, entries []string, changes ...string) *testProgram {
 	t.Helper()
-	s := &served{t: t, lines: make(scripted.LogLines, 1000), reload: make(chan os.Signal, 10), exit: make(chan error, 1),
+	s := &testProgram{t: t, lines: make(scripted.LogLines, 1000), reload: make(chan os.Signal, 10), exit: make(chan error, 1),
 		d: scripted.NewDiscovery(t, scripted.List(1, true, entries...))}
 	file := configFile(t, "127.0.0.1:1", s.d.Addr)
 	s.path = file("ROUTER_CONFIG")
@@ -62,7 +62,7 @@
 }
 
 // write writes the configuration with some text replaced.
-func (s *served) write(changes ...string) {
+func (s *testProgram) write(changes ...string) {
 	s.t.Helper()
 	text := s.text
 	for i := 0; i < len(changes); i += 2 {
@@ -75,17 +75,17 @@
 }
 
 // until waits for a log line that begins so.
-func (s *served) until(begin string) {
+func (s *testProgram) awaitLog(begin string) {
 	s.t.Helper()
 	for !strings.HasPrefix(scripted.Receive(s.t, s.lines, begin), begin) {
 	}
 }
 
 // addr is where clients connect, from the phase listing on.
-func (s *served) addr() string { return s.ln.Addr().String() }
+func (s *testProgram) addr() string { return s.ln.Addr().String() }
 
 // dial connects to the management address.
-func (s *served) dial(text string) net.Conn {
+func (s *testProgram) dial(text string) net.Conn {
 	s.t.Helper()
 	c, err := net.DialTimeout("tcp", s.management.Addr().String(), scripted.EventTimeout)
 	if err != nil {
@@ -98,13 +98,13 @@
 }
 
 // call makes one call and returns the whole answer.
-func (s *served) call(line string) string {
+func (s *testProgram) call(line string) string {
 	s.t.Helper()
 	return callManagement(s.t, s.management.Addr().String(), line)
 }
 
 // figures waits until the figures named are as wanted.
-func (s *served) figures(want map[string]string) {
+func (s *testProgram) awaitMetrics(want map[string]string) {
 	s.t.Helper()
 	var diff string
 	for end := time.Now().Add(scripted.EventTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -122,7 +122,7 @@
 	s.t.Errorf("figures (-want +got):\n%s", diff)
 }
 
-func (s *served) ready() int {
+func (s *testProgram) ready() int {
 	s.t.Helper()
 	r, _ := http.NewRequest("GET", "http://"+s.addr()+"/-/ready", nil)
 	status, _, _ := scripted.Do(s.t, r)
@@ -133,7 +133,7 @@
 // that it has.
 func TestManagementUnderSilentCallers(t *testing.T) {
 	s := startServed(t, nil)
-	s.until("phase name=listing")
+	s.awaitLog("phase name=listing")
 	if got := s.call("check"); got != "-ERR listing\n" {
 		t.Errorf("without an entry: %q", got)
 	}
@@ -145,11 +145,11 @@
 	}
 	s.call("drain-on")
 	s.d.Send(t, scripted.List(2, true, scripted.ListEntry("s0", "127.0.0.1:1", "Ready")))
-	s.until("phase name=draining")
+	s.awaitLog("phase name=draining")
 	if got := s.call("drain-off"); got != "+OK serving\n" {
 		t.Errorf("drain-off: %q", got)
 	}
-	s.until("phase name=serving")
+	s.awaitLog("phase name=serving")
 	for i := range 3 * transport.MaxCallers {
 		s.dial([]string{"", "che", "vars\nvars\n"}[i%3])
 	}
@@ -172,7 +172,7 @@
 	hold := make(chan bool)
 	well, bad := scripted.NewModel(t, scripted.ModelBehavior{Events: 2}), scripted.NewModel(t, scripted.ModelBehavior{Status: 500})
 	s := startServed(t, []string{scripted.ListEntry("s0", well.Addr, "Ready")}, `"services":[`, `"services":[{"name":"un/safe","effect":"unsafe","streaming":true,"aimNs":8000000000,"hardLimitNs":8000000000},`)
-	s.until("phase name=serving")
+	s.awaitLog("phase name=serving")
 	ask := func(id string, set map[string]string) int {
 		status, _, _ := scripted.Do(t, scripted.NewRequest(t, s.addr(), id, set))
 		return status
@@ -188,7 +188,7 @@
 	if got := ask("unlisted", map[string]string{"X-Service-Class": "none"}); got != 503 {
 		t.Errorf("a class that nobody listed: got %d", got)
 	}
-	s.figures(map[string]string{`fulfilled_total{priority="chat"}`: "3", `throttled_total{priority="chat"}`: "0",
+	s.awaitMetrics(map[string]string{`fulfilled_total{priority="chat"}`: "3", `throttled_total{priority="chat"}`: "0",
 		`faulted_total{priority="chat"}`: "1", "relayed_total": "3", "open_requests": "0", "registry_entries": "1", "out_of_rotation": "0"})
 
 	// One that breaks after its first event, and one whose client leaves.
@@ -202,37 +202,37 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.figures(map[string]string{"open_requests": "1", "relayed_total": "5"})
+	s.awaitMetrics(map[string]string{"open_requests": "1", "relayed_total": "5"})
 	leave()
 	resp.Body.Close()
-	s.figures(map[string]string{`fulfilled_total{priority="chat"}`: "3", `faulted_total{priority="chat"}`: "2", "open_requests": "0"})
+	s.awaitMetrics(map[string]string{`fulfilled_total{priority="chat"}`: "3", `faulted_total{priority="chat"}`: "2", "open_requests": "0"})
 
 	// What may have run and must not run again fails; what may, is tried elsewhere. Two failures
 	// eject.
 	s.d.Send(t, scripted.List(2, true, scripted.ListEntry("s1", bad.Addr, "Ready")))
-	s.figures(map[string]string{"registry_entries": "1"})
+	s.awaitMetrics(map[string]string{"registry_entries": "1"})
 	for i := range 2 {
 		if got := ask(fmt.Sprint("bad", i), map[string]string{"X-Service-Class": "un/safe"}); got != 502 {
 			t.Errorf("an unsafe request to a bad server: got %d", got)
 		}
 	}
-	s.figures(map[string]string{`faulted_total{priority="un/safe"}`: "2", "relayed_total": "7", "out_of_rotation": "1"})
+	s.awaitMetrics(map[string]string{`faulted_total{priority="un/safe"}`: "2", "relayed_total": "7", "out_of_rotation": "1"})
 	s.d.Send(t, scripted.List(3, false, scripted.ListEntry("s2", well.Addr, "Ready"), scripted.ListEntry("s3", well.Addr, "Terminating")))
-	s.figures(map[string]string{"registry_entries": "3", "out_of_rotation": "2"})
+	s.awaitMetrics(map[string]string{"registry_entries": "3", "out_of_rotation": "2"})
 	s.d.Send(t, scripted.List(4, false, scripted.ListEntry("s3", well.Addr, "Gone"), scripted.ListEntry("s1", bad.Addr, "Gone")))
-	s.figures(map[string]string{"registry_entries": "1", "out_of_rotation": "0"})
+	s.awaitMetrics(map[string]string{"registry_entries": "1", "out_of_rotation": "0"})
 	bad.Set(scripted.ModelBehavior{Status: 500})
 	if got := ask("refused", map[string]string{"X-Time-Left": "0m"}); got != 503 {
 		t.Errorf("no time left: got %d", got)
 	}
-	s.figures(map[string]string{`throttled_total{priority="chat"}`: "1", "cfg_invalid_total": "0"})
+	s.awaitMetrics(map[string]string{`throttled_total{priority="chat"}`: "1", "cfg_invalid_total": "0"})
 	write(t, s.path, "{")
 	s.reload <- syscall.SIGHUP
-	s.until("configuration reload refused")
+	s.awaitLog("configuration reload refused")
 	s.write()
 	s.reload <- syscall.SIGHUP
-	s.until("reloaded")
-	s.figures(map[string]string{"cfg_accepted_total": "1", "cfg_invalid_total": "1"})
+	s.awaitLog("reloaded")
+	s.awaitMetrics(map[string]string{"cfg_accepted_total": "1", "cfg_invalid_total": "1"})
 }
 
 // After the word to drain readiness says no at once, who connects or keeps a connection is served
@@ -242,7 +242,7 @@
 	hold := make(chan bool)
 	long := scripted.NewModel(t, scripted.ModelBehavior{Events: 2, Gate: hold})
 	s := startServed(t, []string{scripted.ListEntry("s0", long.Addr, "Ready")})
-	s.until("phase name=serving")
+	s.awaitLog("phase name=serving")
 	streams := make(chan string, 1)
 	go func() {
 		_, body, err := scripted.Do(t, scripted.NewRequest(t, s.addr(), "long", nil))
@@ -293,7 +293,7 @@
 	}
 	s.write()
 	s.reload <- syscall.SIGHUP // changes nothing of it
-	s.until("reloaded")
+	s.awaitLog("reloaded")
 	if got := s.Phase(); got != Draining {
 		t.Errorf("after a reload: %s", got)
 	}
@@ -308,7 +308,7 @@
 	}
 	s.call("drain-on")
 	s.term()
-	s.until("phase name=leaving")
+	s.awaitLog("phase name=leaving")
 	if got := s.call("drain-off"); !strings.HasPrefix(got, "-ERR ") {
 		t.Errorf("drain-off while leaving: %q", got)
 	}
@@ -319,7 +319,7 @@
 func TestNoCloseCrossesARequest(t *testing.T) {
 	host := scripted.NewModel(t, scripted.ModelBehavior{Events: 2})
 	s := startServed(t, []string{scripted.ListEntry("s0", host.Addr, "Ready")})
-	s.until("phase name=serving")
+	s.awaitLog("phase name=serving")
 	for i := range 30 {
 		c, err := net.Dial("tcp", s.addr())
 		if err != nil {
--- a/internal/router/program/measure_test.go
+++ b/internal/router/program/measure_test.go
@@ -28,13 +28,13 @@
 // The measurements run the program as a process of its own, on one core, against stand-ins in this
 // one. They are not for CI: docs/measurements/ has the commands and what came of them.
 var (
-	measure  = flag.Bool("measure", false, "run the measurements")
-	seconds  = flag.Int("seconds", 10, "of each turn of a measurement")
-	rounds   = flag.Int("rounds", 3, "of a measurement's turns")
-	rate     = flag.Float64("rate", 60, "requests a second")
-	hostsNo  = flag.Int("hosts", 4, "stand-in hosts of TestMeasureBinaries")
-	binaries = flag.String("binaries", "", "programs to compare without settings, by comma")
-	keep     = flag.String("keep", "", "folder to leave the records of the measurement in")
+	measure   = flag.Bool("measure", false, "run the measurements")
+	seconds   = flag.Int("seconds", 10, "of each turn of a measurement")
+	rounds    = flag.Int("rounds", 3, "of a measurement's turns")
+	rate      = flag.Float64("rate", 60, "requests a second")
+	hostCount = flag.Int("hosts", 4, "stand-in hosts of TestMeasureBinaries")
+	binaries  = flag.String("binaries", "", "programs to compare without settings, by comma")
+	keep      = flag.String("keep", "", "folder to leave the records of the measurement in")
 )
 
 // process is a router under measurement.
@@ -53,7 +53,7 @@
 // the time and a prompt goes to each of them once at most, so the bound is far above what a loaded
 // machine takes for a connection on loopback: with 50 ms, a prompt before a single host was refused
 // now and then for the machine's load alone.
-const connectFor = 10 * time.Second
+const connectTimeout = 10 * time.Second
 
 func buildRouter(t *testing.T) string {
 	t.Helper()
@@ -88,7 +88,7 @@
 		entries = append(entries, scripted.ListEntry(fmt.Sprint("s", i), h.Addr, "Ready"))
 	}
 	p := launchRouter(t, addr, binary, entries, args...)
-	p.until("serving")
+	p.awaitLog("serving")
 	return p
 }
 
@@ -97,7 +97,7 @@
 	t.Helper()
 	d := scripted.NewDiscovery(t, scripted.List(1, true, entries...))
 	env := configFile(t, `"sockets":1024`, fmt.Sprintf(`"sockets":%d`, sockets),
-		`"connectTimeoutNs":50000000`, fmt.Sprintf(`"connectTimeoutNs":%d`, connectFor.Nanoseconds()))
+		`"connectTimeoutNs":50000000`, fmt.Sprintf(`"connectTimeoutNs":%d`, connectTimeout.Nanoseconds()))
 	management, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -123,7 +123,7 @@
 	return p
 }
 
-func (p *process) until(words string) {
+func (p *process) awaitLog(words string) {
 	p.t.Helper()
 	for {
 		line := scripted.Receive(p.t, p.log, words)
@@ -137,7 +137,7 @@
 }
 
 // used returns the CPU time and the most memory that the process has used.
-func (p *process) used() (cpu time.Duration, peakKB int) {
+func (p *process) resourceUse() (cpu time.Duration, peakKB int) {
 	p.t.Helper()
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	if err != nil {
@@ -159,7 +159,7 @@
 }
 
 // parts returns how much of the memory is the process's own, and how much is pages of its file.
-func (p *process) parts() string {
+func (p *process) residentMemory() string {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
 	if err != nil {
 		p.t.Fatal(err)
@@ -175,7 +175,7 @@
 
 // load200 sends requests in an open loop, at times drawn beforehand, and returns when the first
 // event of each came after its time, in microseconds. What is not answered by 200 is counted.
-func load200(t *testing.T, client *http.Client, addr, name string, forSeconds int, perSecond float64) (first *hdrhistogram.Histogram, failed int) {
+func openLoopLoad(t *testing.T, client *http.Client, addr, name string, forSeconds int, perSecond float64) (first *hdrhistogram.Histogram, failed int) {
 	t.Helper()
 	first = hdrhistogram.New(1, 60e6, 3)
 	rng := rand.New(rand.NewPCG(1, uint64(len(name))))
@@ -230,9 +230,9 @@
 	if !*measure {
 		t.Skip("a measurement; see docs/measurements/")
 	}
-	manner := scripted.ModelBehavior{FirstDelay: 10 * time.Millisecond, EventInterval: 3 * time.Millisecond, Events: 20}
+	behavior := scripted.ModelBehavior{FirstDelay: 10 * time.Millisecond, EventInterval: 3 * time.Millisecond, Events: 20}
 	slow := scripted.ModelBehavior{FirstDelay: 200 * time.Millisecond, EventInterval: 60 * time.Millisecond, Events: 20}
-	live, candidates := models(t, 4, manner), models(t, 2, manner)
+	live, candidates := models(t, 4, behavior), models(t, 2, behavior)
 	dir := t.TempDir()
 	records := filepath.Join(dir, "records")
 	if *keep != "" {
@@ -265,14 +265,14 @@
 	share("0")
 	p := startRouter(t, buildRouter(t), live, "--settings", path)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 200}}
-	load200(t, client, p.addr, "warm-up", 3, *rate)
-	turn := func(name, s string, manner scripted.ModelBehavior) *hdrhistogram.Histogram {
+	openLoopLoad(t, client, p.addr, "warm-up", 3, *rate)
+	turn := func(name, s string, behavior scripted.ModelBehavior) *hdrhistogram.Histogram {
 		share(s)
 		for _, c := range candidates {
-			c.Set(manner)
+			c.Set(behavior)
 		}
 		p.cmd.Process.Signal(syscall.SIGHUP)
-		p.until("reloaded")
+		p.awaitLog("reloaded")
 		stop := make(chan bool)
 		var killer sync.WaitGroup
 		if strings.HasPrefix(name, "killed") {
@@ -296,9 +296,9 @@
 				}
 			})
 		}
-		before, _ := p.used()
-		h, failed := load200(t, client, p.addr, name, *seconds, *rate)
-		after, _ := p.used()
+		before, _ := p.resourceUse()
+		h, failed := openLoopLoad(t, client, p.addr, name, *seconds, *rate)
+		after, _ := p.resourceUse()
 		close(stop)
 		killer.Wait()
 		t.Logf("%-22s %5d requests, %d failed, p50 %6.2f ms, p99 %6.2f ms, CPU %5.2f ms a request", name, h.TotalCount(), failed,
@@ -306,7 +306,7 @@
 		return h
 	}
 	kinds := []string{"on", "killed and revived", "slow", "silent"}
-	manners := map[string]scripted.ModelBehavior{"on": manner, "killed and revived": manner, "slow": slow, "silent": {Stalls: true}}
+	behaviors := map[string]scripted.ModelBehavior{"on": behavior, "killed and revived": behavior, "slow": slow, "silent": {Stalls: true}}
 	sums := map[string]*hdrhistogram.Histogram{}
 	sum := func(kind string, h *hdrhistogram.Histogram) {
 		if sums[kind] == nil {
@@ -317,10 +317,10 @@
 	var offs []*hdrhistogram.Histogram
 	for round := range *rounds {
 		for _, kind := range kinds {
-			h := turn(fmt.Sprintf("off %d", len(offs)), "0", manner)
+			h := turn(fmt.Sprintf("off %d", len(offs)), "0", behavior)
 			offs = append(offs, h)
 			sum("off", h)
-			sum(kind, turn(fmt.Sprintf("%s %d", kind, round), "0.5", manners[kind]))
+			sum(kind, turn(fmt.Sprintf("%s %d", kind, round), "0.5", behaviors[kind]))
 		}
 	}
 	out, err := exec.Command(p.cmd.Path, "shadow", "status", "--settings", path).CombinedOutput()
@@ -358,18 +358,18 @@
 	if !*measure || *binaries == "" {
 		t.Skip("a measurement; see docs/measurements/")
 	}
-	live := models(t, *hostsNo, scripted.ModelBehavior{FirstDelay: 10 * time.Millisecond, EventInterval: 3 * time.Millisecond, Events: 20})
+	live := models(t, *hostCount, scripted.ModelBehavior{FirstDelay: 10 * time.Millisecond, EventInterval: 3 * time.Millisecond, Events: 20})
 	for range *rounds {
 		for _, binary := range strings.Split(*binaries, ",") {
 			p := startRouter(t, binary, live)
-			begun, idle := p.used()
+			begun, idle := p.resourceUse()
 			client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 200}}
-			h, failed := load200(t, client, p.addr, "q", *seconds, *rate)
-			cpu, peak := p.used()
+			h, failed := openLoopLoad(t, client, p.addr, "q", *seconds, *rate)
+			cpu, peak := p.resourceUse()
 			cpu -= begun
 			t.Logf("%s: %d requests, %d failed, p50 %.2f ms, p99 %.2f ms, CPU %.3f ms a request, memory %d kB at the start and %d at most, %s", binary,
 				h.TotalCount(), failed, float64(h.ValueAtQuantile(50))/1000, float64(h.ValueAtQuantile(99))/1000,
-				float64(cpu.Microseconds())/1000/float64(h.TotalCount()), idle, peak, p.parts())
+				float64(cpu.Microseconds())/1000/float64(h.TotalCount()), idle, peak, p.residentMemory())
 			client.CloseIdleConnections()
 			p.cmd.Process.Signal(syscall.SIGTERM)
 			p.cmd.Wait()
@@ -379,10 +379,10 @@
 
 // floods are what TestMeasureAdmission plays: how many bad clients, what they do and from where.
 var floods = []struct {
-	name    string
-	clients int
-	harm    scripted.Misbehavior
-	from    func(i int) string
+	name     string
+	clients  int
+	behavior scripted.Misbehavior
+	from     func(i int) string
 }{
 	{"no flood", 0, scripted.SendNothing, nil},
 	{"500 silent, one address", 500, scripted.SendNothing, oneAddress},
@@ -428,15 +428,15 @@
 				stop = floodProcess(t, p.addr, i)
 				time.Sleep(500 * time.Millisecond)
 			}
-			before, _ := p.used()
+			before, _ := p.resourceUse()
 			// The flood takes from the machine, too: what it does to those who ask a host without
 			// the router.
 			var direct *hdrhistogram.Histogram
 			var beside sync.WaitGroup
-			beside.Go(func() { direct, _, _ = known(t, live[0].Addr, *seconds, 40) })
-			h, refused, silent := known(t, p.addr, *seconds, 40)
+			beside.Go(func() { direct, _, _ = knownClientLoad(t, live[0].Addr, *seconds, 40) })
+			h, refused, silent := knownClientLoad(t, p.addr, *seconds, 40)
 			beside.Wait()
-			after, _ := p.used()
+			after, _ := p.resourceUse()
 			summary := stop()
 			all := int(h.TotalCount()) + refused + silent
 			t.Logf("| %s | %.2f of %d | %.1f | %.1f | %.1f | %d | %d | %.0f | %s |", fl.name, float64(h.TotalCount())/float64(all), all,
@@ -485,7 +485,7 @@
 		t.Fatal(err)
 	}
 	f := floods[which]
-	flood := scripted.NewFlood(words[0], f.clients, f.harm, f.from, time.Minute)
+	flood := scripted.NewFlood(words[0], f.clients, f.behavior, f.from, time.Minute)
 	io.Copy(io.Discard, os.Stdin) // until the measurement ends it
 	flood.Stop()
 	fmt.Println("flood:", flood.Summary())
@@ -500,7 +500,7 @@
 	live := models(t, 4, scripted.ModelBehavior{Events: 2})
 	p := startRouter(t, buildRouter(t), live, "--settings", *admissionFile)
 	ask := func(times int, more string, want int) time.Duration {
-		before, _ := p.used()
+		before, _ := p.resourceUse()
 		var all sync.WaitGroup
 		var odd atomic.Int64
 		for worker := range 8 {
@@ -513,7 +513,7 @@
 			})
 		}
 		all.Wait()
-		after, _ := p.used()
+		after, _ := p.resourceUse()
 		if odd := odd.Load(); odd > int64(times/100) {
 			t.Errorf("%d of %d were not answered with %d", odd, times, want)
 		}
@@ -551,7 +551,7 @@
 }
 
 // known sends requests of a known client, each on a connection of its own.
-func known(t *testing.T, addr string, forSeconds int, perSecond float64) (first *hdrhistogram.Histogram, refused, silent int) {
+func knownClientLoad(t *testing.T, addr string, forSeconds int, perSecond float64) (first *hdrhistogram.Histogram, refused, silent int) {
 	first = hdrhistogram.New(1, 60e6, 3)
 	rng := rand.New(rand.NewPCG(2, 2))
 	var mu sync.Mutex
--- a/internal/router/program/membership.go
+++ b/internal/router/program/membership.go
@@ -94,7 +94,7 @@
 		return fmt.Errorf("peer_listen: %w", err)
 	}
 	p.receiveRecoveryMessages(gossip)
-	hearing, release := context.WithCancel(work)
+	receiving, release := context.WithCancel(work)
 	p.releaseAddress = release
 	if fleet {
 		m := p.cfg.member()
@@ -123,7 +123,7 @@
 	if p.cfg.balance.Routers > 1 {
 		p.router.SendReportsBy(gossip.SendReports)
 	}
-	go gossip.Run(hearing, p.router.ReceiveReports)
+	go gossip.Run(receiving, p.router.ReceiveReports)
 	return nil
 }
 
--- a/internal/router/program/phases.go
+++ b/internal/router/program/phases.go
@@ -89,13 +89,13 @@
 
 // advance enters the phase that an event leads to. If the current phase does not allow the event,
 // advance returns an error and changes nothing. It does not wait for clients or for log lines.
-func (p *Program) advance(what phaseEvent) (Phase, error) {
+func (p *Program) advance(event phaseEvent) (Phase, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	next, ok := transitions[p.phase][what]
+	next, ok := transitions[p.phase][event]
 	switch {
 	case !ok:
-		return p.phase, fmt.Errorf("%s is not possible while the router is %s", what, p.phase)
+		return p.phase, fmt.Errorf("%s is not possible while the router is %s", event, p.phase)
 	case next != p.phase:
 		p.enterPhase(next)
 	}
@@ -129,18 +129,18 @@
 	if after > 0 {
 		leftPhase := make(chan struct{})
 		p.leavePhase = func() { close(leftPhase) }
-		quiet := minIdleTime
+		idleTime := minIdleTime
 		if p.mover != nil { // connections move to another process, so a close cannot cross a request
-			quiet = 0
+			idleTime = 0
 		}
-		go p.closeIdleConnections(after, quiet, d.endAfterAnswer, leftPhase)
+		go p.closeIdleConnections(after, idleTime, d.endAfterAnswer, leftPhase)
 	}
 	p.enteredPhases <- next
 }
 
 // closeIdleConnections closes connections that were silent for the time quiet. It starts after a
 // delay and repeats the check until the phase ends.
-func (p *Program) closeIdleConnections(after, quiet time.Duration, endAfterAnswer bool, left <-chan struct{}) {
+func (p *Program) closeIdleConnections(after, idleTime time.Duration, endAfterAnswer bool, left <-chan struct{}) {
 	timer := time.NewTimer(after)
 	defer timer.Stop()
 	for {
@@ -156,7 +156,7 @@
 			if endAfterAnswer {
 				p.front.CloseAfterAnswers()
 			}
-			p.front.CloseIdle(quiet)
+			p.front.CloseIdle(idleTime)
 		}
 		p.mu.Unlock()
 		timer.Reset(idleCheckInterval)
--- a/internal/router/program/phases_test.go
+++ b/internal/router/program/phases_test.go
@@ -40,19 +40,19 @@
 func TestTransitions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		phase, drained, known, ended := Listing, false, false, false
-		for _, what := range rapid.SliceOf(rapid.SampledFrom([]phaseEvent{serversListed, drainRequested, drainLifted, terminated, graceElapsed, requestsDone})).Draw(t, "happenings") {
-			if what == serversListed && known {
+		for _, event := range rapid.SliceOf(rapid.SampledFrom([]phaseEvent{serversListed, drainRequested, drainLifted, terminated, graceElapsed, requestsDone})).Draw(t, "happenings") {
+			if event == serversListed && known {
 				continue // is told once
 			}
-			next, ok := transitions[phase][what]
+			next, ok := transitions[phase][event]
 			if ok {
 				phase = next
 			}
-			known = known || what == serversListed
-			if !ended && (what == drainRequested || what == drainLifted) {
-				drained = what == drainRequested
+			known = known || event == serversListed
+			if !ended && (event == drainRequested || event == drainLifted) {
+				drained = event == drainRequested
 			}
-			ended = ended || what == terminated
+			ended = ended || event == terminated
 			if ready := policies[phase].ready; ready != (known && !drained && !ended) {
 				t.Fatalf("%s: ready is %t with an entry %t, drained %t, ended %t", phase, ready, known, drained, ended)
 			}
--- a/internal/router/program/previous.go
+++ b/internal/router/program/previous.go
@@ -14,25 +14,25 @@
 // that other routers have excluded. This router does not know whether the hosts have restarted since
 // the list was saved, so it treats them as if they had started now and were warming up. The first
 // list from discovery replaces the saved list, whatever its version.
-func (p *Program) usePreviousList(not []string) {
+func (p *Program) usePreviousList(excluded []string) {
 	p.snapshots.applying.Lock()
 	defer p.snapshots.applying.Unlock()
-	if _, spoke := p.snapshots.hasList(); spoke {
+	if _, listed := p.snapshots.hasList(); listed {
 		return
 	}
 	old := p.snapshots.previous.List
 	l := &protocol.List{Full: true}
 	now := float64(time.Now().UnixMilli())
 	for _, e := range old.Servers {
-		if e.StartedMs = now; !slices.Contains(not, e.ID) {
+		if e.StartedMs = now; !slices.Contains(excluded, e.ID) {
 			l.Servers = append(l.Servers, e)
 		}
 	}
 	p.snapshots.mu.Lock()
 	p.snapshots.previousList = l
 	p.snapshots.mu.Unlock()
-	p.recovery.excludedHosts.Add(uint64(len(not)))
-	p.log.Warn("saved server list used", "hosts", len(l.Servers), "version", old.Version, "shunned", len(not))
+	p.recovery.excludedHosts.Add(uint64(len(excluded)))
+	p.log.Warn("saved server list used", "hosts", len(l.Servers), "version", old.Version, "shunned", len(excluded))
 	p.router.ApplyUpdate(l.Members(), l.Addrs())
 	if len(l.Servers) > 0 {
 		p.firstList.Do(func() { p.advance(serversListed) })
@@ -40,22 +40,22 @@
 }
 
 // excludeHosts removes hosts from the saved list of the previous incarnation, if that list is in use.
-func (p *Program) excludeHosts(not []string) {
+func (p *Program) excludeHosts(excluded []string) {
 	p.snapshots.applying.Lock()
 	defer p.snapshots.applying.Unlock()
 	old := p.snapshots.previousList
-	if _, spoke := p.snapshots.hasList(); old == nil || spoke {
+	if _, listed := p.snapshots.hasList(); old == nil || listed {
 		return
 	}
 	l := &protocol.List{}
 	for _, e := range old.Servers {
-		if slices.Contains(not, e.ID) {
+		if slices.Contains(excluded, e.ID) {
 			e.State = "Terminating"
 			l.Servers = append(l.Servers, e)
 		}
 	}
 	p.recovery.excludedHosts.Add(uint64(len(l.Servers)))
-	p.log.Warn("hosts of saved server list excluded", "hosts", strings.Join(not[:min(len(not), maxNamedHosts)], ","), "count", len(not))
+	p.log.Warn("hosts of saved server list excluded", "hosts", strings.Join(excluded[:min(len(excluded), maxNamedHosts)], ","), "count", len(excluded))
 	p.router.ApplyUpdate(l.Members(), l.Addrs())
 }
 
--- a/internal/router/program/program_test.go
+++ b/internal/router/program/program_test.go
@@ -136,14 +136,14 @@
 			}
 			return // they do not fit, and it is said
 		}
-		ledger := c.descriptorShares(c.processLimits(processgroup.Siblings{}))
-		if ledger.TotalLimit() > ledger.Limit || ledger.Limit != c.Limits.Sockets {
-			t.Errorf("shares of %d under a limit of %d: %+v", ledger.TotalLimit(), ledger.Limit, ledger)
+		table := c.descriptorShares(c.processLimits(processgroup.Siblings{}))
+		if table.TotalLimit() > table.Limit || table.Limit != c.Limits.Sockets {
+			t.Errorf("shares of %d under a limit of %d: %+v", table.TotalLimit(), table.Limit, table)
 		}
-		for _, line := range ledger.Owners {
+		for _, line := range table.Owners {
 			needs := line.Owner == admission.UnknownClients || line.Owner == admission.OverflowClients || line.Owner == admission.Servers || line.Owner == admission.Runtime
 			if line.Limit < 0 || needs && line.Limit == 0 {
-				t.Errorf("%s has a share of %d under a limit of %d", line.Owner, line.Limit, ledger.Limit)
+				t.Errorf("%s has a share of %d under a limit of %d", line.Owner, line.Limit, table.Limit)
 			}
 		}
 	})
--- a/internal/router/program/recovery.go
+++ b/internal/router/program/recovery.go
@@ -167,8 +167,8 @@
 		step(recovery.ListReceived{Version: version, Serving: serving})
 	}
 	if !seen.recovered {
-		_, spoke := p.snapshots.hasList()
-		step(recovery.HostsWarm{Warm: spoke && p.snapshots.warmFraction(&p.inForce.Load().balance) >= recovery.NearlyWarm})
+		_, listed := p.snapshots.hasList()
+		step(recovery.HostsWarm{Warm: listed && p.snapshots.warmFraction(&p.inForce.Load().balance) >= recovery.NearlyWarm})
 	}
 	if l := p.snapshots.learned.Load(); l != nil {
 		step(recovery.MeasureLearned{Measure: recovery.MeasureOf(l.mean)})
@@ -246,7 +246,7 @@
 
 // hasList returns how often the server list has changed, and reports whether there is one, from
 // discovery or from the configuration.
-func (k *snapshotWriter) hasList() (changes uint64, spoke bool) {
+func (k *snapshotWriter) hasList() (changes uint64, listed bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.changes, k.list != nil
--- a/internal/router/program/recovery_test.go
+++ b/internal/router/program/recovery_test.go
@@ -46,7 +46,7 @@
 	settings := recoverySettings(t, folder)
 	first := startRouter(t, binary, []*scripted.Model{host}, "--settings", settings)
 	second := launchRouter(t, freeAddr(t), binary, []string{scripted.ListEntry("s0", host.Addr, "Ready")}, "--settings", settings)
-	second.until(fmt.Sprintf("another process has it: number %d", first.cmd.Process.Pid))
+	second.awaitLog(fmt.Sprintf("another process has it: number %d", first.cmd.Process.Pid))
 	if err := second.cmd.Wait(); err == nil || second.cmd.ProcessState.ExitCode() != 1 {
 		t.Errorf("the second ended with %v", second.cmd.ProcessState)
 	}
@@ -136,16 +136,16 @@
 	routers := map[string]*process{}
 	for name, args := range map[string][]string{"without": nil, "with": {"--settings", recoverySettings(t, folder)}} {
 		routers[name] = launchRouter(t, freeAddr(t), binary, entries, args...)
-		routers[name].until("serving")
+		routers[name].awaitLog("serving")
 	}
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 200}}
 	sums, cpu, idle := map[string]*hdrhistogram.Histogram{}, map[string]time.Duration{}, map[string]time.Duration{}
 	for round := range *rounds {
 		for _, name := range []string{"without", "with"} {
 			p := routers[name]
-			before, _ := p.used()
-			h, failed := load200(t, client, p.addr, fmt.Sprint(name, round), *seconds, *rate)
-			after, _ := p.used()
+			before, _ := p.resourceUse()
+			h, failed := openLoopLoad(t, client, p.addr, fmt.Sprint(name, round), *seconds, *rate)
+			after, _ := p.resourceUse()
 			cpu[name] += after - before
 			if sums[name] == nil {
 				sums[name] = hdrhistogram.New(1, 60e6, 3)
@@ -156,9 +156,9 @@
 		}
 	}
 	for name, p := range routers {
-		before, _ := p.used()
+		before, _ := p.resourceUse()
 		time.Sleep(time.Duration(*seconds) * time.Second) // idle, for a measure
-		after, _ := p.used()
+		after, _ := p.resourceUse()
 		idle[name] = after - before
 	}
 	for _, name := range []string{"without", "with"} {
--- a/internal/router/program/reload_test.go
+++ b/internal/router/program/reload_test.go
@@ -15,7 +15,7 @@
 )
 
 // second is a class more for the configuration.
-const second = `{"name":"chat-v2","effect":"unsafe","streaming":true,"aimNs":8000000000,"hardLimitNs":8000000000}`
+const secondClass = `{"name":"chat-v2","effect":"unsafe","streaming":true,"aimNs":8000000000,"hardLimitNs":8000000000}`
 
 // A file that is broken in any of these ways is refused in one line that names the field and the
 // cause.
@@ -45,7 +45,7 @@
 		{`"maxAttempts":3`, `"maxAttempts":-2`, "settings.limits.maxAttempts is -2"},
 		{`"effect":"safe"`, `"effect":"odd"`, "settings.services[0].effect"},
 		{`"services":[`, `"services":[{"name":"chat-v2","hardLimitNs":1},`, "settings.services[0].aimNs is missing"},
-		{`"services":[`, `"services":[` + second + "," + second + ",", `Classes[1].Name is "chat-v2" a second time`},
+		{`"services":[`, `"services":[` + secondClass + "," + secondClass + ",", `Classes[1].Name is "chat-v2" a second time`},
 		{`"streaming":true`, `"streaming":1`, "streaming"},
 	} {
 		write(t, path, strings.Replace(string(good), tt.old, tt.new, 1))
@@ -54,7 +54,7 @@
 			t.Errorf("%.60s: got %v, want one line with %q", tt.new, err, tt.want)
 		}
 	}
-	write(t, path, strings.Replace(string(good), `"services":[`, `"more":{},"services":[`+second+",", 1))
+	write(t, path, strings.Replace(string(good), `"services":[`, `"more":{},"services":[`+secondClass+",", 1))
 	if _, err := Reload(env, force); err != nil {
 		t.Errorf("a class and a key more: %v", err)
 	}
@@ -62,7 +62,7 @@
 
 // A good file cut at any byte, or without any one of its keys, is refused.
 func TestCutReloads(t *testing.T) {
-	env := configFile(t, `"services":[`, `"services":[`+second+",")
+	env := configFile(t, `"services":[`, `"services":[`+secondClass+",")
 	path := env("ROUTER_CONFIG")
 	good, err := os.ReadFile(path)
 	if err != nil {
@@ -77,7 +77,7 @@
 			if err := json.Unmarshal(good, &tree); err != nil {
 				t.Fatal(err)
 			}
-			without = drop(t, tree)
+			without = dropKey(t, tree)
 			if text, err = json.Marshal(tree); err != nil {
 				t.Fatal(err)
 			}
@@ -92,11 +92,11 @@
 }
 
 // drop takes one key, of any depth, out of a tree.
-func drop(t *rapid.T, tree any) string {
+func dropKey(t *rapid.T, tree any) string {
 	object, ok := tree.(map[string]any)
 	if !ok {
 		if list, ok := tree.([]any); ok && len(list) > 0 {
-			return drop(t, list[rapid.IntRange(0, len(list)-1).Draw(t, "part")])
+			return dropKey(t, list[rapid.IntRange(0, len(list)-1).Draw(t, "part")])
 		}
 		return ""
 	}
@@ -106,7 +106,7 @@
 	}
 	key := rapid.SampledFrom(keys).Draw(t, "key")
 	if _, deep := object[key].(string); !deep && rapid.Bool().Draw(t, "deeper") {
-		if below := drop(t, object[key]); below != "" {
+		if below := dropKey(t, object[key]); below != "" {
 			return key + "." + below
 		}
 	}
@@ -121,7 +121,7 @@
 	hold := make(chan bool)
 	host := scripted.NewModel(t, scripted.ModelBehavior{Events: 2, Gate: hold})
 	s := startServed(t, []string{scripted.ListEntry("s0", host.Addr, "Ready")})
-	s.until("phase name=serving")
+	s.awaitLog("phase name=serving")
 	ends := make(chan string, 1)
 	go func() {
 		status, body, err := scripted.Do(t, scripted.NewRequest(t, s.addr(), "before", nil))
@@ -135,16 +135,16 @@
 	reload := func(want string, changes ...string) {
 		s.write(changes...)
 		s.reload <- syscall.SIGHUP
-		s.until(want)
+		s.awaitLog(want)
 	}
 	for i, broken := range [][]string{{`"maxAttempts":3`, `"maxAttempts":0`}, {`"effect":"safe"`, `"effect":""`, `"aimNs":8000000000,`, ``}} {
 		reload("configuration reload refused cause=", broken...)
-		s.figures(map[string]string{"cfg_invalid_total": fmt.Sprint(i + 1), "cfg_accepted_total": "0"})
+		s.awaitMetrics(map[string]string{"cfg_invalid_total": fmt.Sprint(i + 1), "cfg_accepted_total": "0"})
 	}
 	if got := ask("early", "chat-v2"); got != 503 {
 		t.Errorf("a class that is not there yet: got %d", got)
 	}
-	reload("reloaded", `"services":[`, `"services":[`+second+`,`)
+	reload("reloaded", `"services":[`, `"services":[`+secondClass+`,`)
 	host.Set(scripted.ModelBehavior{Events: 2})
 	if got := ask("new", "chat-v2"); got != 200 {
 		t.Errorf("a class that appeared: got %d", got)
@@ -166,7 +166,7 @@
 	if got := ask("again", "chat"); got != 200 {
 		t.Errorf("a class that reappeared: got %d", got)
 	}
-	s.figures(map[string]string{`fulfilled_total{priority="chat"}`: "2", `fulfilled_total{priority="chat-v2"}`: "1", `faulted_total{priority="chat-v2"}`: "1",
+	s.awaitMetrics(map[string]string{`fulfilled_total{priority="chat"}`: "2", `fulfilled_total{priority="chat-v2"}`: "1", `faulted_total{priority="chat-v2"}`: "1",
 		`throttled_total{priority="chat"}`: "1", `fulfilled_total{priority="chat-v3"}`: "0", "cfg_invalid_total": "2", "cfg_accepted_total": "3"})
 	if diff := cmp.Diff(0, len(s.reload)); diff != "" {
 		t.Error(diff)
--- a/internal/router/program/shadow_test.go
+++ b/internal/router/program/shadow_test.go
@@ -28,7 +28,7 @@
 )
 
 // shadowed is a running program with one live host and one pool, next.
-type shadowed struct {
+type shadowProgram struct {
 	t       *testing.T
 	p       *Program
 	live    *scripted.Model
@@ -43,7 +43,7 @@
 
 // usual is a pool that gets all there is, under pressure thresholds that no busy test machine
 // reaches.
-const usual = `
+const defaultSettings = `
 status { folder = "DIR" }
 shadow {
   tenant_header = "X-Tenant"
@@ -73,18 +73,18 @@
 func host(addr string) string { return fmt.Sprintf("host \"c0\" {\n addr = %q\n }", addr) }
 
 // startShadow starts it; each pair of replaced words is replaced in the usual settings.
-func startShadow(t *testing.T, hosts string, replaced ...string) *shadowed {
+func startShadow(t *testing.T, hosts string, replaced ...string) *shadowProgram {
 	t.Helper()
-	return startShadowed(t, scripted.NewModel(t, scripted.ModelBehavior{}), hosts, replaced...)
+	return startShadowBeside(t, scripted.NewModel(t, scripted.ModelBehavior{}), hosts, replaced...)
 }
 
-func startShadowed(t *testing.T, live *scripted.Model, hosts string, replaced ...string) *shadowed {
+func startShadowBeside(t *testing.T, live *scripted.Model, hosts string, replaced ...string) *shadowProgram {
 	t.Helper()
 	d := scripted.NewDiscovery(t, scripted.List(1, true, scripted.ListEntry("s0", live.Addr, "Ready")))
 	env := configFile(t, "127.0.0.1:1", d.Addr)
-	s := &shadowed{t: t, live: live, lines: make(scripted.LogLines, 1000), reload: make(chan os.Signal), exit: make(chan error, 1),
+	s := &shadowProgram{t: t, live: live, lines: make(scripted.LogLines, 1000), reload: make(chan os.Signal), exit: make(chan error, 1),
 		dir: t.TempDir(), client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 50}}}
-	s.settings(hosts, replaced...)
+	s.writeSettings(hosts, replaced...)
 	cfg := load(t, env)
 	if err := cfg.ReadSettings(s.path()); err != nil {
 		t.Fatal(err)
@@ -97,19 +97,19 @@
 		stop()
 		s.client.CloseIdleConnections()
 	})
-	s.line("phase name=listing")
-	s.line("phase name=serving")
+	s.expectLog("phase name=listing")
+	s.expectLog("phase name=serving")
 	s.addr = s.p.ln.Addr().String()
 	if !strings.Contains(hosts, "discovery") {
-		s.until("copies may start", func(st mirror.Status) bool { return st.Hosts > 0 && st.Sampled })
+		s.awaitStatus("copies may start", func(st mirror.Status) bool { return st.Hosts > 0 && st.Sampled })
 	}
 	return s
 }
 
-func (s *shadowed) path() string { return filepath.Join(s.dir, "settings.hcl") }
+func (s *shadowProgram) path() string { return filepath.Join(s.dir, "settings.hcl") }
 
-func (s *shadowed) settings(hosts string, replaced ...string) {
-	text := strings.ReplaceAll(strings.Replace(usual, "HOSTS", hosts, 1), "DIR", s.dir)
+func (s *shadowProgram) writeSettings(hosts string, replaced ...string) {
+	text := strings.ReplaceAll(strings.Replace(defaultSettings, "HOSTS", hosts, 1), "DIR", s.dir)
 	for i := 0; i < len(replaced); i += 2 {
 		if !strings.Contains(text, replaced[i]) {
 			s.t.Fatalf("the settings have no %q", replaced[i])
@@ -120,7 +120,7 @@
 }
 
 // line waits for a log line that begins so.
-func (s *shadowed) line(want string) string {
+func (s *shadowProgram) expectLog(want string) string {
 	s.t.Helper()
 	got := scripted.Receive(s.t, s.lines, want)
 	if !strings.HasPrefix(got, want) {
@@ -129,7 +129,7 @@
 	return got
 }
 
-func (s *shadowed) status() mirror.Report {
+func (s *shadowProgram) status() mirror.Report {
 	s.t.Helper()
 	socket, err := transport.StatusSocket(s.dir, "")
 	if err != nil {
@@ -147,7 +147,7 @@
 }
 
 // until waits for a state of the pool.
-func (s *shadowed) until(what string, ok func(mirror.Status) bool) mirror.Status {
+func (s *shadowProgram) awaitStatus(what string, ok func(mirror.Status) bool) mirror.Status {
 	s.t.Helper()
 	var r mirror.Report
 	for end := time.Now().Add(scripted.EventTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -160,7 +160,7 @@
 }
 
 // ask sends one live request with a body of its own and returns the answer.
-func (s *shadowed) ask(id, body string, set map[string]string) (status int, answer string, end error) {
+func (s *shadowProgram) ask(id, body string, set map[string]string) (status int, answer string, end error) {
 	r := scripted.NewRequest(s.t, s.addr, id, set)
 	r.Body, r.ContentLength = io.NopCloser(strings.NewReader(body)), int64(len(body))
 	resp, err := s.client.Do(r)
@@ -173,7 +173,7 @@
 }
 
 // served asks and wants the live host's answer.
-func (s *shadowed) served(id string) {
+func (s *shadowProgram) expectServed(id string) {
 	s.t.Helper()
 	status, text, err := s.ask(id, id, nil)
 	if want := scripted.Tokens(id, scripted.ModelBehavior{}); status != 200 || err != nil || strings.Count(text, `"content":"w`) != len(want) ||
@@ -183,7 +183,7 @@
 }
 
 // records ends the program and returns its records, each checked against the schema.
-func (s *shadowed) records() map[string]*records.Record {
+func (s *shadowProgram) records() map[string]*records.Record {
 	s.t.Helper()
 	s.stop()
 	found := map[string]*records.Record{}
@@ -211,7 +211,7 @@
 	return found
 }
 
-func (s *shadowed) stop() {
+func (s *shadowProgram) stop() {
 	s.t.Helper()
 	s.sigterm()
 	if err := scripted.Receive(s.t, s.exit, "exit"); err != nil {
@@ -238,7 +238,7 @@
 	if r.Body != `{"stream": true}` || r.URI != "/v1/chat/completions?a=%20b" || !strings.HasPrefix(r.Header.Get("X-Correlation-Id"), "q1~next~") {
 		t.Errorf("the copy is %+v", r)
 	}
-	st := s.until("it is recorded", func(st mirror.Status) bool { return st.Recorded == 1 })
+	st := s.awaitStatus("it is recorded", func(st mirror.Status) bool { return st.Recorded == 1 })
 	if st.Times["chat"].Count != 1 || st.BodyBytes != 0 || st.Out != 0 {
 		t.Errorf("%+v", st)
 	}
@@ -263,8 +263,8 @@
 
 func TestShadowKeepsTextsWhereTold(t *testing.T) {
 	s := startShadow(t, host(scripted.NewModel(t, scripted.ModelBehavior{Suffix: "x"}).Addr), "records {", "records {\n texts = true")
-	s.served("prompt")
-	s.until("it is recorded", func(st mirror.Status) bool { return st.Recorded == 1 })
+	s.expectServed("prompt")
+	s.awaitStatus("it is recorded", func(st mirror.Status) bool { return st.Recorded == 1 })
 	r := s.records()["prompt"]
 	words := strings.Join(scripted.Tokens("prompt", scripted.ModelBehavior{}), "")
 	if r.Body != "prompt" || r.Live.Text != words || r.Copy.Text != words+"x" || r.Comparison.Similarity != 0.9 {
@@ -276,11 +276,11 @@
 // cause.
 func TestShadowCandidatesThatFail(t *testing.T) {
 	for _, tt := range []struct {
-		name   string
-		manner scripted.ModelBehavior
-		set    []string
-		cause  shadow.Cause // of the records
-		down   bool
+		name     string
+		behavior scripted.ModelBehavior
+		set      []string
+		cause    shadow.Cause // of the records
+		down     bool
 	}{
 		{"says nothing", scripted.ModelBehavior{Stalls: true}, []string{"share = 1", "share = 1\n patience = \"100ms\""}, shadow.Refused, true},
 		{"a twentieth of the pace", scripted.ModelBehavior{EventInterval: 40 * time.Millisecond}, []string{"share = 1", "share = 1\n patience = \"150ms\"\n longest = \"200ms\""}, shadow.TimedOut, true},
@@ -291,13 +291,13 @@
 		{"a report that can't be read", scripted.ModelBehavior{Report: "{"}, nil, "", false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			candidate := scripted.NewModel(t, tt.manner)
+			candidate := scripted.NewModel(t, tt.behavior)
 			s := startShadow(t, host(candidate.Addr), tt.set...)
 			for i := range 3 {
-				s.served(fmt.Sprint("q", i))
-				s.until("the copy is recorded", func(st mirror.Status) bool { return st.Recorded == uint64(i+1) })
+				s.expectServed(fmt.Sprint("q", i))
+				s.awaitStatus("the copy is recorded", func(st mirror.Status) bool { return st.Recorded == uint64(i+1) })
 			}
-			st := s.until("nothing is out", func(st mirror.Status) bool { return st.Out+st.Pairing == 0 })
+			st := s.awaitStatus("nothing is out", func(st mirror.Status) bool { return st.Out+st.Pairing == 0 })
 			if (st.Health == "down") != tt.down {
 				t.Errorf("%+v", st)
 			}
@@ -325,7 +325,7 @@
 					reports++
 				}
 			}
-			if (downs == 1) != tt.down || (reports == 1) != (tt.manner.Report != "") {
+			if (downs == 1) != tt.down || (reports == 1) != (tt.behavior.Report != "") {
 				t.Errorf("%d lines of a pool that is down, %d of reports", downs, reports)
 			}
 		})
@@ -346,27 +346,27 @@
 			case <-stop:
 				return
 			default:
-				s.served(fmt.Sprint("q", n))
+				s.expectServed(fmt.Sprint("q", n))
 				n++
 			}
 		}
 	})
 	for range 2 {
-		s.until("it is down", func(st mirror.Status) bool {
+		s.awaitStatus("it is down", func(st mirror.Status) bool {
 			return st.Health == "down" && st.RetryIn != "" && st.Dropped[shadow.PoolDown] > 0
 		})
 		candidate.Revive(t)
-		before := s.until("it is back", func(st mirror.Status) bool { return st.Health == "up" })
-		s.until("copies are compared", func(st mirror.Status) bool { return st.Compared > before.Compared+10 })
+		before := s.awaitStatus("it is back", func(st mirror.Status) bool { return st.Health == "up" })
+		s.awaitStatus("copies are compared", func(st mirror.Status) bool { return st.Compared > before.Compared+10 })
 		candidate.Kill()
 	}
-	s.until("it is down again", func(st mirror.Status) bool { return st.Health == "down" })
+	s.awaitStatus("it is down again", func(st mirror.Status) bool { return st.Health == "down" })
 	close(stop)
 	load.Wait()
 	if counts := s.live.Counts(); counts.Total != n || counts.Duplicated != nil {
 		t.Errorf("%d live attempts for %d requests, %v twice", counts.Total, n, counts.Duplicated)
 	}
-	st := s.until("nothing is out", func(st mirror.Status) bool { return st.Out+st.Pairing+st.Waiting == 0 })
+	st := s.awaitStatus("nothing is out", func(st mirror.Status) bool { return st.Out+st.Pairing+st.Waiting == 0 })
 	if got := s.records(); uint64(len(got)) != st.Started {
 		t.Errorf("%d records of %d copies", len(got), st.Started)
 	}
@@ -383,19 +383,19 @@
 	}
 	d := scripted.ServeDiscovery(t, ln, scripted.List(1, true, scripted.ListEntry("c0", c0.Addr, "Ready")))
 	s := startShadow(t, fmt.Sprintf("discovery = %q", d.Addr))
-	s.until("c0 is known", func(st mirror.Status) bool { return st.Hosts == 1 })
-	s.served("q0")
+	s.awaitStatus("c0 is known", func(st mirror.Status) bool { return st.Hosts == 1 })
+	s.expectServed("q0")
 	scripted.Receive(t, c0.Started, "a copy")
 	d.Send(t, scripted.List(2, false, scripted.ListEntry("c0", c0.Addr, "Terminating"), scripted.ListEntry("c1", c1.Addr, "Ready")))
 	for !strings.Contains(scripted.Receive(t, d.Calls, "the call after the list was taken in"), "index=2") {
 	}
 	// Both are told at once, so one serves before and after: what is sent must tell them apart.
 	for i := 1; c1.Attempts(fmt.Sprintf("q%d~next~%d", i-1, i)) == 0 && i < 50; i++ {
-		s.served(fmt.Sprint("q", i))
-		s.until("it has its record", func(st mirror.Status) bool { return st.Recorded == uint64(i) })
+		s.expectServed(fmt.Sprint("q", i))
+		s.awaitStatus("it has its record", func(st mirror.Status) bool { return st.Recorded == uint64(i) })
 	}
 	scripted.Send(t, hold, true)
-	st := s.until("the copy that was out is compared", func(st mirror.Status) bool { return st.Out == 0 && st.Pairing == 0 })
+	st := s.awaitStatus("the copy that was out is compared", func(st mirror.Status) bool { return st.Out == 0 && st.Pairing == 0 })
 	if st.Compared != st.Started {
 		t.Errorf("%+v", st)
 	}
@@ -403,9 +403,9 @@
 		t.Errorf("the host that drains had %d copies, want the first one alone", counts.Total)
 	}
 	d.Stop()
-	s.line("discovery lost pool=next")
-	s.served("alone")
-	s.until("the last list serves", func(next mirror.Status) bool { return next.Compared == st.Compared+1 })
+	s.expectLog("discovery lost pool=next")
+	s.expectServed("alone")
+	s.awaitStatus("the last list serves", func(next mirror.Status) bool { return next.Compared == st.Compared+1 })
 }
 
 // A live answer that fails, or a client that leaves, ends the copy at once: there is nothing to
@@ -415,7 +415,7 @@
 	for name, live := range map[string]scripted.ModelBehavior{"breaks": {Breaks: true, EventInterval: 20 * time.Millisecond}, "client leaves": {Gate: hold}, "fails": {Status: 500, FirstDelay: 50 * time.Millisecond}} {
 		t.Run(name, func(t *testing.T) {
 			candidate := scripted.NewModel(t, scripted.ModelBehavior{Gate: hold})
-			s := startShadowed(t, scripted.NewModel(t, live), host(candidate.Addr))
+			s := startShadowBeside(t, scripted.NewModel(t, live), host(candidate.Addr))
 			ctx, leave := context.WithCancel(context.Background())
 			defer leave()
 			answered := make(chan bool)
@@ -433,7 +433,7 @@
 				leave()
 			}
 			<-answered
-			s.until("the copy was ended", func(st mirror.Status) bool { return st.Recorded == 1 && st.Ended[shadow.NoLiveAnswer] == 1 })
+			s.awaitStatus("the copy was ended", func(st mirror.Status) bool { return st.Recorded == 1 && st.Ended[shadow.NoLiveAnswer] == 1 })
 			if r := s.records()["q"]; r.Cause != string(shadow.NoLiveAnswer) || r.Comparison != nil || r.Live.Outcome == "whole" {
 				t.Errorf("%+v", r)
 			}
@@ -448,12 +448,12 @@
 		{"share = 1", "share = 1\n sockets = 930", "limits.sockets leaves"},
 		{"share = 1", "share = 1\n body_bytes = \"30MiB\"", "an eighth of limits.memory_mb is 25165824"},
 	} {
-		s.settings(host("127.0.0.1:1"), tt.old, tt.new)
+		s.writeSettings(host("127.0.0.1:1"), tt.old, tt.new)
 		if err := load(t, configFile(t, "n1", "n1")).ReadSettings(s.path()); err == nil || !strings.Contains(err.Error(), tt.want) {
 			t.Errorf("%s: got %v", tt.new, err)
 		}
 	}
-	s.settings(host("127.0.0.1:1"))
+	s.writeSettings(host("127.0.0.1:1"))
 	env := configFile(t, "n1", "n1")
 	cfg := load(t, env)
 	if err := cfg.ReadSettings(s.path()); err != nil {
@@ -470,33 +470,33 @@
 	hold := make(chan bool)
 	candidate := scripted.NewModel(t, scripted.ModelBehavior{Gate: hold})
 	s := startShadow(t, host(candidate.Addr))
-	s.served("q0")
+	s.expectServed("q0")
 	scripted.Receive(t, candidate.Started, "a copy")
 	for _, bad := range [][]string{{"share = 1", "share = 2"}, {"share = 1", "share = 1\n sockets = 500"}} {
-		s.settings(host(candidate.Addr), bad...)
+		s.writeSettings(host(candidate.Addr), bad...)
 		s.reload <- syscall.SIGHUP
-		s.line("configuration reload refused cause=" + s.path())
+		s.expectLog("configuration reload refused cause=" + s.path())
 	}
-	s.settings(host(candidate.Addr), "share = 1", "share = 0", "copies_out = 50", "copies_out = 7")
+	s.writeSettings(host(candidate.Addr), "share = 1", "share = 0", "copies_out = 50", "copies_out = 7")
 	s.reload <- syscall.SIGHUP
-	s.line("reloaded")
-	s.served("q1")
-	st := s.until("the share is 0", func(st mirror.Status) bool { return st.Share == 0 && st.Caps.Out == 7 })
+	s.expectLog("reloaded")
+	s.expectServed("q1")
+	st := s.awaitStatus("the share is 0", func(st mirror.Status) bool { return st.Share == 0 && st.Caps.Out == 7 })
 	if st.Offered != 1 || st.Out != 1 {
 		t.Errorf("%+v", st)
 	}
 	scripted.Send(t, hold, true)
-	s.until("the copy went on", func(st mirror.Status) bool { return st.Compared == 1 })
-	s.settings(host(candidate.Addr))
+	s.awaitStatus("the copy went on", func(st mirror.Status) bool { return st.Compared == 1 })
+	s.writeSettings(host(candidate.Addr))
 	s.reload <- syscall.SIGHUP
-	s.line("reloaded")
-	s.served("q2")
+	s.expectLog("reloaded")
+	s.expectServed("q2")
 	scripted.Receive(t, candidate.Started, "a copy")
-	s.settings(host(candidate.Addr), `"next"`, `"other"`)
+	s.writeSettings(host(candidate.Addr), `"next"`, `"other"`)
 	s.reload <- syscall.SIGHUP
-	s.line("reloaded")
-	s.served("q3")
-	s.until("another pool has its place", func(st mirror.Status) bool { return st.Pool == "other" && st.Out == 1 })
+	s.expectLog("reloaded")
+	s.expectServed("q3")
+	s.awaitStatus("another pool has its place", func(st mirror.Status) bool { return st.Pool == "other" && st.Out == 1 })
 	got := s.records()
 	if got["q0"].Cause != "" || got["q2"].Cause != string(shadow.Closing) || got["q3"].Pool != "other" || len(got) != 3 {
 		t.Errorf("%+v", got)
@@ -508,7 +508,7 @@
 func TestShadowSigterm(t *testing.T) {
 	hold := make(chan bool)
 	candidate := scripted.NewModel(t, scripted.ModelBehavior{Stalls: true})
-	s := startShadowed(t, scripted.NewModel(t, scripted.ModelBehavior{Gate: hold}), host(candidate.Addr))
+	s := startShadowBeside(t, scripted.NewModel(t, scripted.ModelBehavior{Gate: hold}), host(candidate.Addr))
 	answered := make(chan error, 1)
 	go func() {
 		status, text, err := s.ask("q", "q", nil)
@@ -551,7 +551,7 @@
 			t.Errorf("got %d, %v", status, err)
 		}
 	}
-	st := s.until("all were offered and four are out", func(st mirror.Status) bool { return st.Offered == 10 && st.Waiting == 0 })
+	st := s.awaitStatus("all were offered and four are out", func(st mirror.Status) bool { return st.Offered == 10 && st.Waiting == 0 })
 	if st.Started != 4 || st.Dropped[shadow.OverBytes] != 6 || st.BodyBytes != 1<<20 {
 		t.Errorf("%+v", st)
 	}
@@ -564,10 +564,10 @@
 	folder := filepath.Join(s.dir, "records")
 	write(t, folder, "a file in its place")
 	for i := range 3 {
-		s.served(fmt.Sprint("q", i))
+		s.expectServed(fmt.Sprint("q", i))
 	}
-	s.until("all are recorded", func(st mirror.Status) bool { return st.Recorded == 3 })
-	s.line("shadow records lost cause=")
+	s.awaitStatus("all are recorded", func(st mirror.Status) bool { return st.Recorded == 3 })
+	s.expectLog("shadow records lost cause=")
 	if r := s.status().Records; r.Failing == "" || r.Written != 0 {
 		t.Errorf("%+v", r)
 	}
@@ -641,7 +641,7 @@
 func TestShadowYieldsToPressure(t *testing.T) {
 	candidate := scripted.NewModel(t, scripted.ModelBehavior{Stalls: true})
 	s := startShadow(t, host(candidate.Addr), "held = 1000", "held = 1\n grace = \"30ms\"")
-	s.served("q0")
+	s.expectServed("q0")
 	scripted.Receive(t, candidate.Started, "a copy")
 	s.live.Set(scripted.ModelBehavior{Status: 503})
 	for _, e := range []string{"Terminating", "Ready"} { // no server: requests are held
@@ -650,12 +650,12 @@
 			break
 		}
 		go s.ask("held", "held", nil)
-		s.until("it yields", func(st mirror.Status) bool {
+		s.awaitStatus("it yields", func(st mirror.Status) bool {
 			return st.Level == "hard" && st.Ended[shadow.UnderPressure] > 0 && st.Out == 0
 		})
 		s.live.Set(scripted.ModelBehavior{})
 	}
-	s.until("it is calm again", func(st mirror.Status) bool { return st.Level == "calm" })
-	s.served("q1")
-	s.until("a copy is out", func(st mirror.Status) bool { return st.Out == 1 })
+	s.awaitStatus("it is calm again", func(st mirror.Status) bool { return st.Level == "calm" })
+	s.expectServed("q1")
+	s.awaitStatus("a copy is out", func(st mirror.Status) bool { return st.Out == 1 })
 }
--- a/internal/router/program/sharedbacklog_test.go
+++ b/internal/router/program/sharedbacklog_test.go
@@ -16,13 +16,13 @@
 // listener, so they wait in its backlog for the next process.
 func TestBacklogOutlivesProcesses(t *testing.T) {
 	t.Parallel()
-	p := newPlatform(t, scripted.NewModel(t, scripted.ModelBehavior{Events: 3}))
-	processes := []*one{p.start().yes(), p.start().yes()}
+	p := newSupervisor(t, scripted.NewModel(t, scripted.ModelBehavior{Events: 3}))
+	processes := []*routerProcess{p.start().awaitReady(), p.start().awaitReady()}
 	for _, o := range processes {
 		o.cmd.Process.Signal(syscall.SIGTERM)
 	}
 	for _, o := range processes {
-		o.until("phase name=finishing")
+		o.awaitLog("phase name=finishing")
 	}
 	client, err := net.Dial("tcp", p.addr)
 	if err != nil {
@@ -34,9 +34,9 @@
 		t.Fatal(err)
 	}
 	for _, o := range processes {
-		o.exit(true)
+		o.awaitExit(true)
 	}
-	p.start().yes()
+	p.start().awaitReady()
 	resp, err := http.ReadResponse(bufio.NewReader(client), nil)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/router/program/stoppedprocess_test.go
+++ b/internal/router/program/stoppedprocess_test.go
@@ -37,9 +37,9 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			host := scripted.NewModel(t, scripted.ModelBehavior{Stalls: true})
-			p := newPlatform(t, host)
+			p := newSupervisor(t, host)
 			p.ln.Close() // the process has a listener of its own
-			o := p.start("ROUTER_ACCEPT_FD=").yes()
+			o := p.start("ROUTER_ACCEPT_FD=").awaitReady()
 			answers := make(chan *http.Response, 1)
 			go func() {
 				defer close(answers)
@@ -62,7 +62,7 @@
 }
 
 // terminate sends SIGTERM, has the process stopped at times around it, and sends SIGKILL.
-func (o *one) terminate(stops []stop, killDelay time.Duration) {
+func (o *routerProcess) terminate(stops []stop, killDelay time.Duration) {
 	begun := time.Now()
 	if len(stops) > 0 {
 		begun = begun.Add(max(-stops[0].from, 0))
