--- a/internal/router/program/admission_test.go
+++ b/internal/router/program/admission_test.go
@@ -18,18 +18,19 @@
 	"reachspread/internal/transport"
 )
 
-// houseSockets is the limit of descriptors of the next house by its configuration.
+// configuredSockets is the descriptor limit in the configuration of the next admissionRouter.
 var configuredSockets = 256
 
-// house is a router process with admission control that can be asked for its state.
+// admissionRouter is a router process with a status socket, whose admission state tests can read.
 type admissionRouter struct {
 	*process
 	dir, path, binary string
 	hosts             []*scripted.Model
 }
 
-// startWithAdmission starts a router process with admission control: 256 descriptors by the
-// configuration, and limit by the system. Without hosts it gets two that answer at once.
+// startWithAdmission starts a router process with the given settings. Its configuration limits it to
+// 256 descriptors, and the system to limit descriptors. Without hosts, it gets two hosts that answer
+// at once.
 func startWithAdmission(t *testing.T, limit int, settings string, hosts ...*scripted.Model) *admissionRouter {
 	t.Helper()
 	h := &admissionRouter{dir: t.TempDir(), hosts: hosts}
@@ -53,7 +54,7 @@
 	write(t, h.path, fmt.Sprintf("status {\n folder = %q\n}\n", h.dir)+settings)
 }
 
-// again starts the router once more at the same address.
+// restart starts a new router process at the same address.
 func (h *admissionRouter) restart(t *testing.T) {
 	t.Helper()
 	sockets = configuredSockets
@@ -77,7 +78,7 @@
 	return s
 }
 
-// wait asks for the state until it is as wanted.
+// awaitStatus polls the admission state until ok accepts it.
 func (h *admissionRouter) awaitStatus(what string, ok func(*AdmissionStatus) bool) AdmissionStatus {
 	h.t.Helper()
 	for end := time.Now().Add(scripted.EventTimeout); ; time.Sleep(10 * time.Millisecond) {
@@ -86,12 +87,12 @@
 			return s
 		}
 		if time.Now().After(end) {
-			h.t.Fatalf("no %s: %+v", what, s)
+			h.t.Fatalf("timeout waiting for %s; admission state: %+v", what, s)
 		}
 	}
 }
 
-// dial connects and sends a text; the connection ends with the test.
+// dial connects to the router and sends a text. The connection is closed at the end of the test.
 func (h *admissionRouter) dial(text string) net.Conn {
 	h.t.Helper()
 	c, err := net.DialTimeout("tcp", h.addr, scripted.EventTimeout)
@@ -106,12 +107,12 @@
 	return c
 }
 
-// read returns what comes on a connection until its end.
+// read returns all data that is received on a connection until its end.
 func read(t *testing.T, c net.Conn) string {
 	t.Helper()
 	text, err := io.ReadAll(c)
 	if err != nil {
-		t.Errorf("no end, after %q: %v", text, err)
+		t.Errorf("connection not closed after %q: %v", text, err)
 	}
 	return string(text)
 }
@@ -123,8 +124,8 @@
 }
 `
 
-// askOften asks as a known client, each time on a new connection, and returns how often it was
-// served.
+// askRepeatedly sends requests as a known client, each on a new connection, and returns how many
+// were served.
 func askRepeatedly(p *process, name string, times int) (served int) {
 	p.t.Helper()
 	for i := range times {
@@ -139,8 +140,8 @@
 	return served
 }
 
-// Known clients get in through floods that take all places; who is refused has an answer, and
-// afterwards no descriptor is lost.
+// Known clients are served during floods that use up all connections. After the floods, no descriptor
+// has leaked.
 func TestKnownClientsGetThroughFloods(t *testing.T) {
 	h := startWithAdmission(t, 256, admissionBlock)
 	if n := askRepeatedly(h.process, "before", 5); n != 5 {
@@ -162,27 +163,28 @@
 		flood := scripted.NewFlood(h.addr, f.clients, f.behavior, f.from, time.Minute)
 		served := askRepeatedly(h.process, f.name, 40)
 		flood.Stop()
-		if served < 39 { // one may be held up by the machine that plays the flood, too
-			t.Errorf("%s: %d of 40 served; the flood: %s", f.name, served, flood.Summary())
+		if served < 39 { // the machine, which also runs the flood, may delay one request
+			t.Errorf("%s: %d of 40 requests served; flood: %s", f.name, served, flood.Summary())
 		}
 	}
 	s := h.awaitStatus("end of the floods", func(s *AdmissionStatus) bool {
 		return s.Known+s.Unknown+s.Step == 0 && s.Descriptors.RuntimeUsed() == 0
 	})
-	// What the ledger counts is what the process has; probes, the poller and the standard streams
-	// stand in the float.
+	// The descriptor table must match the open descriptors of the process. The table does not count
+	// probes, the poller and the standard streams as used; they are in the share of the runtime.
 	if s.Descriptors.Used() > s.Descriptors.Open || s.Descriptors.Open-s.Descriptors.Used() > 20 {
-		t.Errorf("the ledger has %d of %d open descriptors: %+v", s.Descriptors.Used(), s.Descriptors.Open, s.Descriptors)
+		t.Errorf("the descriptor table counts %d of %d open descriptors: %+v", s.Descriptors.Used(), s.Descriptors.Open, s.Descriptors)
 	}
 	if s.Descriptors.TotalLimit() > s.Descriptors.Limit || s.Promoted == 0 {
-		t.Errorf("%+v", s)
+		t.Errorf("limits exceeded or no client promoted: %+v", s)
 	}
 }
 
-// Where every place has an open request, the next one is read and refused at once, whatever else
-// was sent with it, and who is known gets in still.
+// When every connection that unknown clients may use has an open request, the next request of an
+// unknown client is read and refused at once, even if more requests follow on its connection. Known
+// clients are still served.
 func TestFullHouseAnswers(t *testing.T) {
-	configuredSockets = 130 // few places, so that all is done before a stream has been silent for too long
+	configuredSockets = 130 // few connections, so that the test ends before a stream has been silent for too long
 	defer func() { configuredSockets = 256 }()
 	for _, settings := range []string{"", admissionBlock + "\n"} {
 		hold := make(chan bool)
@@ -194,8 +196,8 @@
 		}
 		h.awaitStatus("full house", func(s *AdmissionStatus) bool { return s.Open == places })
 		for i := range 10 {
-			// Three requests in one go have one answer: what follows on a connection that ends was
-			// not taken.
+			// Three requests sent at once get a single answer, because the router closes the connection
+			// after the first request and does not accept the others.
 			text := scripted.RequestText(fmt.Sprint("x", i), "") + scripted.RequestText(fmt.Sprint("y", i), "") + scripted.RequestText(fmt.Sprint("z", i), "")
 			got := read(t, h.dial(text))
 			if strings.Count(got, "HTTP/1.1 ") != 1 || !strings.HasPrefix(got, "HTTP/1.1 503 ") || settings != "" && !strings.Contains(got, "Retry-After: ") {
@@ -203,12 +205,12 @@
 			}
 		}
 		if s := h.status(); s.Refused["full house"] != 10 || s.Open != places {
-			t.Errorf("%+v", s)
+			t.Errorf("want 10 requests refused and one open in each place: %+v", s)
 		}
 		if settings != "" {
 			c := h.dial(scripted.RequestText("known", "X-Client: tool-1\r\n"))
 			h.awaitStatus("known client", func(s *AdmissionStatus) bool { return s.Known == 1 && s.Open == places+1 })
-			// One whose word comes later stands on the step until it does.
+			// A client that sends its request later counts as an overflow connection until then.
 			late := h.dial("")
 			h.awaitStatus("client on the step", func(s *AdmissionStatus) bool { return s.Step == 1 })
 			io.WriteString(late, scripted.RequestText("late", "X-Client: tool-1\r\n"))
@@ -220,8 +222,8 @@
 	}
 }
 
-// Bounds lowered by SIGHUP below what is in use: silent connections go, open requests are finished,
-// and nothing is let in before there is room.
+// A reload can lower limits below the current use. Silent connections are closed, open requests are
+// finished, and new requests are refused until the use is below the new limit.
 func TestLoweredByReload(t *testing.T) {
 	hold := make(chan bool)
 	h := startWithAdmission(t, 256, admissionBlock, scripted.NewModel(t, scripted.ModelBehavior{Gate: hold, Events: 2}))
@@ -234,27 +236,27 @@
 	h.cmd.Process.Signal(syscall.SIGHUP)
 	h.awaitLog("reloaded")
 	if got := read(t, h.dial(scripted.RequestText("more", ""))); !strings.HasPrefix(got, "HTTP/1.1 429 ") {
-		t.Errorf("over the lowered bound: %q", got)
+		t.Errorf("a request over the lowered limit got %q, want status 429", got)
 	}
 	close(hold)
 	for i, c := range asked {
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil || resp.StatusCode != 200 {
-			t.Fatalf("open request %d: %v, %v", i, resp, err)
+			t.Fatalf("open request %d got %v, %v; want status 200", i, resp, err)
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-			t.Errorf("open request %d: %v", i, err)
+			t.Errorf("reading the answer to open request %d: %v", i, err)
 		}
 		c.Close()
 	}
 	h.awaitStatus("room", func(s *AdmissionStatus) bool { return s.Unknown < 3 })
 	if got, _ := askOnce(h.addr, "after", time.Now()); got != 200 {
-		t.Errorf("after the rest was answered: %d", got)
+		t.Errorf("a request after all others were answered got status %d, want 200", got)
 	}
 }
 
-// A restart in the middle of a flood: what is open is finished, the program ends well, and the next
-// one serves known clients though the flood is there before it.
+// A router that is restarted during a flood finishes its open request and exits with status 0. The
+// next process serves known clients although the flood is already running.
 func TestRestartInAFlood(t *testing.T) {
 	hold := make(chan bool)
 	h := startWithAdmission(t, 256, admissionBlock, scripted.NewModel(t, scripted.ModelBehavior{Events: 2, Gate: hold}))
@@ -266,7 +268,7 @@
 	h.cmd.Process.Signal(syscall.SIGTERM)
 	close(hold)
 	if got := read(t, open); !strings.HasPrefix(got, "HTTP/1.1 200 ") || !strings.HasSuffix(got, "0\r\n\r\n") {
-		t.Errorf("the open request got %q", got)
+		t.Errorf("the open request got %q, want a complete answer with status 200", got)
 	}
 	if err := h.cmd.Wait(); err != nil {
 		t.Errorf("the router ended with %v", err)
@@ -277,8 +279,9 @@
 	}
 }
 
-// Who sends a body a byte at a time, and who reads nothing, has a bound of its own; known clients
-// have those of the front.
+// The router ends the request of a client that sends its body too slowly, and that of a client that
+// does not read its answer. Each case has a time limit of its own in the block "door". Known clients
+// have the limits of the front instead.
 func TestSlowClients(t *testing.T) {
 	h := startWithAdmission(t, 256, strings.Replace(admissionBlock, "}", ` sending {
   calm = "300ms"
@@ -302,17 +305,18 @@
 	if _, err := io.ReadFull(slow, answer); err != nil || string(answer) != "HTTP/1.1 408" {
 		t.Errorf("a trickled body got %q, %v", answer, err)
 	}
-	h.awaitStatus("end of the request that nobody reads", func(s *AdmissionStatus) bool { return s.Open == 0 })
+	h.awaitStatus("end of the request whose answer is not read", func(s *AdmissionStatus) bool { return s.Open == 0 })
 	if text, err := io.ReadAll(unread); err == nil && strings.HasSuffix(string(text), "0\r\n\r\n") {
-		t.Error("an answer that nobody read is said whole")
+		t.Error("an answer that its client did not read was completed")
 	}
 	if s := h.status(); s.Shut["too slow"] != 1 {
-		t.Errorf("%+v", s)
+		t.Errorf("want 1 connection closed as too slow: %+v", s)
 	}
 }
 
-// With no descriptor left at all, the one held back refuses clients in turn, on-call gets one line
-// with the owners, and service comes back by itself.
+// When the process has no descriptor left, the listener refuses clients one after another with its
+// reserved descriptor, the router logs one line with the owners of descriptors, and service resumes
+// by itself after the shortage.
 func TestDescriptorsExhausted(t *testing.T) {
 	h := startWithAdmission(t, 40, "")
 	p := h.process
@@ -325,28 +329,28 @@
 		held = append(held, c)
 	}
 	p.awaitLog("descriptors exhausted")
-	// The management address has one held back, too: a call is answered in time all the same.
+	// The management address also has a reserved descriptor, so it still answers calls in time.
 	for range 3 {
 		begun := time.Now()
 		if got := callManagement(t, p.management, "check"); got != "+OK\n" || time.Since(begun) > time.Second {
 			t.Errorf("check without a descriptor: %q after %v", got, time.Since(begun))
 		}
 	}
-	c := held[len(held)-1] // stands in line: it is told, not left alone
+	c := held[len(held)-1] // waits in the backlog and must get an answer or be closed
 	c.SetDeadline(time.Now().Add(scripted.EventTimeout))
 	io.WriteString(c, scripted.RequestText("late", ""))
 	if text, _ := io.ReadAll(c); len(text) > 0 && !strings.Contains(string(text), "HTTP/1.1 503") {
-		t.Errorf("the last one got %q", text)
+		t.Errorf("the last client got %q, want status 503 or nothing", text)
 	}
 	for _, c := range held {
 		c.Close()
 	}
 	for end := time.Now().Add(scripted.EventTimeout); askRepeatedly(p, fmt.Sprint("after", time.Now().UnixNano()), 1) == 0; {
 		if time.Now().After(end) {
-			t.Fatal("no service after the shortage")
+			t.Fatal("no request was served after the shortage of descriptors")
 		}
 	}
 	if s := h.status(); s.Shorts == 0 {
-		t.Errorf("%+v", s)
+		t.Errorf("no descriptor shortage counted: %+v", s)
 	}
 }
--- a/internal/router/program/exchange_test.go
+++ b/internal/router/program/exchange_test.go
@@ -22,8 +22,8 @@
 	"reachspread/internal/transport"
 )
 
-// platformOf is what starts and ends processes of one router: it holds the clients' listener, and
-// the folder and the configuration that they share.
+// supervisor starts processes of one router, as the platform does. It holds the clients' listener,
+// and the folder and the configuration that the processes share.
 type supervisor struct {
 	t      *testing.T
 	binary string
@@ -33,14 +33,14 @@
 	config string
 }
 
-// one is a process of the router.
+// routerProcess is one process of the router that a supervisor has started.
 type routerProcess struct {
 	t          *testing.T
 	cmd        *exec.Cmd
 	management string
 	log        chan string
-	ended      chan bool // closed once the kernel has ended it; it may be reaped later
-	status     int       // with which it ended, -1 for a signal; known once ended is closed
+	ended      chan bool // closed after the kernel has ended the process, which may be before it is reaped
+	status     int       // the exit status, -1 after a signal; set before ended is closed
 }
 
 func newSupervisor(t *testing.T, hosts ...*scripted.Model) *supervisor {
@@ -65,7 +65,7 @@
 	return p
 }
 
-// start starts a process with the listener as descriptor 5, and does not wait for it.
+// start starts a process with the listener as descriptor 5, and does not wait until it is ready.
 func (p *supervisor) start(env ...string) *routerProcess {
 	p.t.Helper()
 	management, err := net.Listen("tcp", "127.0.0.1:0")
@@ -105,7 +105,8 @@
 	return o
 }
 
-// awaitEnd notes the process's end, which its reaping tells late on a busy machine.
+// recordExit records the end of the process. It does not rely on reaping, which is late on a busy
+// machine.
 func (o *routerProcess) recordExit() {
 	status, _, err := processexit.Await(o.cmd.Process.Pid)
 	if err != nil {
@@ -115,7 +116,7 @@
 	close(o.ended)
 }
 
-// yes waits until the process takes clients.
+// awaitReady waits until the process reports at its management address that it is ready.
 func (o *routerProcess) awaitReady() *routerProcess {
 	o.t.Helper()
 	for end := time.Now().Add(scripted.EventTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -130,17 +131,19 @@
 			return o
 		}
 	}
-	o.t.Fatal("no yes")
+	o.t.Fatal("the process did not report ready in time")
 	return nil
 }
 
-// leaves sends SIGTERM and waits for the exit with status 0.
+// terminateCleanly sends SIGTERM and expects the process to exit with status 0.
 func (o *routerProcess) terminateCleanly() {
 	o.t.Helper()
 	o.cmd.Process.Signal(syscall.SIGTERM)
 	o.awaitExit(true)
 }
 
+// awaitExit waits until the process ends. If well is true, it expects status 0, otherwise another
+// status.
 func (o *routerProcess) awaitExit(well bool) {
 	o.t.Helper()
 	select {
@@ -153,8 +156,9 @@
 	}
 }
 
-// crowd are clients that ask all the time on connections that they keep, until stopped; what went
-// wrong is returned.
+// startClients starts clients that send one request after another on keep-alive connections until
+// stop is called. The function stop returns the number of requests and descriptions of those that
+// were not served.
 func startClients(addr string, clients int) (stop func() (asked int, wrong []string)) {
 	var mu sync.Mutex
 	var all sync.WaitGroup
@@ -194,9 +198,10 @@
 	}
 }
 
-// Processes take over from each other under load, two in a row, past one that dies before its yes
-// and leftovers in the folder that they share. No request is refused, closed on or answered twice,
-// and each process ends well.
+// Processes replace each other under load. One replacement dies before it is ready, two replacements
+// follow directly on each other, and the shared folder has a truncated file from an earlier process.
+// Every request is served, none is sent twice at the same time, and each process that is terminated
+// exits with status 0.
 func TestProcessIsReplaced(t *testing.T) {
 	hosts := []*scripted.Model{scripted.NewModel(t, scripted.ModelBehavior{Events: 3, EventInterval: 5 * time.Millisecond}), scripted.NewModel(t, scripted.ModelBehavior{Events: 3, EventInterval: 5 * time.Millisecond})}
 	p := newSupervisor(t, hosts...)
@@ -213,10 +218,10 @@
 	fourth := p.start().awaitReady()
 	second.terminateCleanly()
 	third.terminateCleanly()
-	time.Sleep(50 * time.Millisecond) // of load on the last one
+	time.Sleep(50 * time.Millisecond) // load on the last process
 	asked, wrong := stop()
 	if len(wrong) > 0 || asked < 50 {
-		t.Errorf("of %d requests these went wrong: %s", asked, strings.Join(wrong, "\n"))
+		t.Errorf("%d requests sent, want at least 50; not served: %s", asked, strings.Join(wrong, "\n"))
 	}
 	for _, h := range hosts {
 		if counts := h.Counts(); counts.Duplicated != nil {
@@ -226,7 +231,7 @@
 	fourth.terminateCleanly()
 }
 
-// A descriptor that is no listener is one line and no start.
+// If ROUTER_ACCEPT_FD does not name a listening socket, the process logs one line and exits.
 func TestNoListenerInherited(t *testing.T) {
 	p := newSupervisor(t)
 	for fd, want := range map[string]string{"3": "ROUTER_ACCEPT_FD: descriptor 3 is no listening socket", "77": "ROUTER_ACCEPT_FD: descriptor 77 is no listening socket", "five": `ROUTER_ACCEPT_FD is "five"`} {
@@ -238,13 +243,13 @@
 	}
 }
 
-// Streams under way, of any class and half read, move to the process that takes over, past a second
-// replacement, and the process that left has ended long before they have. The client's next request
-// goes to the new one without a new connection; whatever has no one to go to ends where it is.
+// Open streams move to the process that takes over, and move again at a second replacement. The old
+// process exits before the streams end. The new process serves the clients' next requests without new
+// connections to the server. A stream that no other process can take over ends in its own process.
 func TestStreamsMove(t *testing.T) {
 	hold := make(chan bool)
-	// A server says something at each stage: one that is silent for longer than 4.5 s is given up,
-	// and on a busy machine all of this takes longer.
+	// The server sends an event at each stage, because the router gives up a server that is silent
+	// for longer than 4.5 s, and on a busy machine the whole test takes longer than that.
 	var stages []chan bool
 	var waits []<-chan bool
 	for range 4 {
@@ -285,21 +290,21 @@
 		text, err := io.ReadAll(resp.Body)
 		resp.Body.Close()
 		if err != nil || string(text) != whole {
-			t.Errorf("q%d: %q, %v; want it whole", i, text, err)
+			t.Errorf("stream q%d: got %q, %v; want the complete answer", i, text, err)
 		}
 	}
 	conns := host.Accepted()
 	host.Set(scripted.ModelBehavior{Events: 5})
 	for i := range streams {
 		if resp := open(fmt.Sprint("next", i)); resp.StatusCode != 200 {
-			t.Errorf("the next request: %d", resp.StatusCode)
+			t.Errorf("a next request got status %d, want 200", resp.StatusCode)
 		} else {
 			io.Copy(io.Discard, resp.Body)
 			resp.Body.Close()
 		}
 	}
 	if got := host.Accepted() - conns; got > 0 {
-		t.Errorf("%d new connections to the server; those of the streams were there", got)
+		t.Errorf("%d new connections to the server, want the connections of the streams to be reused", got)
 	}
 	if counts := host.Counts(); counts.Duplicated != nil {
 		t.Errorf("%v had two attempts out", counts.Duplicated)
@@ -310,12 +315,12 @@
 	third.awaitLog("phase name=finishing")
 	scripted.Send(t, hold, true)
 	if text, err := io.ReadAll(last.Body); err != nil || string(text) != whole {
-		t.Errorf("with nobody to go to: %q, %v", text, err)
+		t.Errorf("stream without another process to take it over: got %q, %v; want the complete answer", text, err)
 	}
 	third.awaitExit(true)
 }
 
-// answerOf returns what a server's answer to the clients' usual prompt is.
+// answerOf returns the answer that a server gives to the prompt of scripted.NewRequest.
 func answerOf(t *testing.T, p *supervisor, host *scripted.Model) string {
 	t.Helper()
 	r := scripted.NewRequest(t, host.Addr, "as it is", nil)
@@ -326,13 +331,15 @@
 	return text
 }
 
+// awaitLog waits for a log line that contains words.
 func (o *routerProcess) awaitLog(words string) {
 	o.t.Helper()
 	for !strings.Contains(scripted.Receive(o.t, o.log, words), words) {
 	}
 }
 
-// limit has the next processes keep to small limits, and the system hold them to the descriptors.
+// setLimits sets the memory and descriptor limits in the configuration of the next processes. The
+// system enforces the descriptor limit.
 func (p *supervisor) setLimits(memory, sockets int) {
 	p.t.Helper()
 	text, err := os.ReadFile(p.config)
@@ -347,10 +354,11 @@
 	p.binary = script
 }
 
-// uses returns the descriptors and the kilobytes of memory that processes have together, and for how
-// long it held them still; pages that they share count once. The processes stand still while their descriptors are counted: one after
-// the other, a connection that moves from the first to the second between the two counts would be
-// in both (242 were counted so where 227 were open).
+// resourceUse returns how many descriptors and kilobytes of memory the processes use together, and
+// for how long it had stopped them. Pages that processes share count once. It stops all processes
+// before it counts their descriptors. Otherwise a connection that moves from one process to another
+// between the two counts would be counted twice; 242 descriptors were once counted where 227 were
+// open.
 func resourceUse(t *testing.T, all ...*routerProcess) (descriptors, kilobytes int, held time.Duration) {
 	t.Helper()
 	begun := time.Now()
@@ -362,7 +370,7 @@
 		descriptors += len(open)
 	}
 	for _, o := range all {
-		o.cmd.Process.Signal(syscall.SIGCONT) // one that has ended needs none
+		o.cmd.Process.Signal(syscall.SIGCONT) // fails for a process that has ended, which does not matter
 	}
 	held = time.Since(begun)
 	for _, o := range all {
@@ -376,7 +384,7 @@
 	return descriptors, kilobytes, held
 }
 
-// pause has a process stand still, and returns once it does or has ended.
+// pause stops the process and returns when all its threads are stopped or have ended.
 func (o *routerProcess) pause() {
 	if o.cmd.Process.Signal(syscall.SIGSTOP) != nil {
 		return
@@ -386,18 +394,18 @@
 	}
 }
 
-// stands tells that every thread of a process is stopped, or has ended.
+// allThreadsStopped reports whether every thread of a process is stopped or has ended.
 func allThreadsStopped(pid int) bool { return strings.Trim(threadStates(pid), "TZX") == "" }
 
-// threadStates has a letter for each thread of a process, as the kernel names states: R runs or
-// would, S and D wait, T is stopped, Z has ended.
+// threadStates returns the state of each thread of a process, as one of the kernel's letters: R for
+// running or runnable, S and D for waiting, T for stopped, Z and X for ended.
 func threadStates(pid int) string {
 	var states []byte
 	threads, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", pid))
 	for _, path := range threads {
 		text, err := os.ReadFile(path)
 		if err != nil {
-			continue // it has ended
+			continue // the thread has ended
 		}
 		behindName := strings.LastIndexByte(string(text), ')')
 		states = append(states, text[behindName+2])
@@ -405,9 +413,10 @@
 	return string(states)
 }
 
-// With 256 descriptors and 32 MB, in a crowd of silent and asking connections and of callers that
-// say nothing or read nothing, the management address answers each call in time, and a replacement
-// keeps both limits for the two together.
+// The router runs with limits of 256 descriptors and 32 MB, under many silent connections and
+// connections with requests, and with callers of the management address that send nothing or read
+// nothing. The management address answers each call in time. During a replacement, both processes
+// together stay within both limits.
 func TestCrowdsAtSmallLimits(t *testing.T) {
 	host := scripted.NewModel(t, scripted.ModelBehavior{Events: 3})
 	p := newSupervisor(t, host)
@@ -438,7 +447,7 @@
 		io.WriteString(c, "vars\n")
 		text, err := io.ReadAll(c)
 		if took := time.Since(begun); err != nil || !strings.HasPrefix(string(text), "+OK\n") || !strings.HasSuffix(string(text), "\n.\n") || took > time.Second {
-			t.Errorf("after %v: %q, %v", took, text, err)
+			t.Errorf("call vars after %v: got %q, %v; want the metrics within 1 s", took, text, err)
 		}
 	}
 	most, memory := 0, 0
@@ -456,7 +465,7 @@
 	begun, heldAlone := time.Now(), heldFor.Load()
 	defer func() {
 		if t.Failed() {
-			t.Logf("since the second process's start the looks held both still for %v of %v", time.Duration(heldFor.Load()-heldAlone), time.Since(begun))
+			t.Logf("since the start of the second process, the samples stopped both processes for %v of %v", time.Duration(heldFor.Load()-heldAlone), time.Since(begun))
 		}
 	}()
 	sampled := make(chan bool)
@@ -469,7 +478,7 @@
 			default:
 				begun := time.Now()
 				sample(first, second)
-				time.Sleep(time.Since(begun)) // the processes run for as long as they stood still
+				time.Sleep(time.Since(begun)) // let the processes run for as long as they were stopped
 			}
 		}
 	}()
@@ -479,15 +488,15 @@
 	<-sampled
 	scrape(second)
 	if most > 256 || memory > 32<<10 {
-		t.Errorf("the two together had %d descriptors of 256, and %d kB of 32 MB", most, memory)
+		t.Errorf("both processes together used %d of 256 descriptors, and %d kB of 32 MB", most, memory)
 	}
-	t.Logf("%d descriptors, %d kB at the most", most, memory)
+	t.Logf("at most %d descriptors and %d kB used", most, memory)
 	second.terminateCleanly()
 }
 
-// A replacement during a drain serves though the old process sends clients away. One that is killed
-// after its yes takes nothing with it that it was not given: streams end where they are, and a
-// third process serves.
+// A process that replaces a draining one is ready and serves although the old process drains. If the
+// replacement is killed before the old process hands over its streams, the streams end in the old
+// process, and a third process serves new requests.
 func TestReplacementThatDies(t *testing.T) {
 	hold := make(chan bool)
 	host := scripted.NewModel(t, scripted.ModelBehavior{Events: 5, Gate: hold})
@@ -502,7 +511,7 @@
 	}
 	second := p.start().awaitReady()
 	if got := second.call("check"); got != "+OK\n" {
-		t.Errorf("the new process while the old one drains: %q", got)
+		t.Errorf("check of the new process while the old one drains: %q", got)
 	}
 	second.cmd.Process.Kill()
 	second.awaitExit(false)
@@ -511,11 +520,11 @@
 	third := p.start().awaitReady()
 	host.Set(scripted.ModelBehavior{Events: 5})
 	if status, _, err := scripted.Do(t, scripted.NewRequest(t, p.addr, "next", nil)); status != 200 || err != nil {
-		t.Errorf("the third process: %d, %v", status, err)
+		t.Errorf("the third process answered %d, %v; want status 200", status, err)
 	}
 	scripted.Send(t, hold, true)
 	if text, err := io.ReadAll(resp.Body); err != nil || !strings.Contains(string(text), "[DONE]") {
-		t.Errorf("the stream that was out: %q, %v", text, err)
+		t.Errorf("the open stream got %q, %v; want the complete answer", text, err)
 	}
 	first.awaitExit(true)
 	third.terminateCleanly()
@@ -527,7 +536,7 @@
 	return callManagement(o.t, o.management, line)
 }
 
-// callManagement makes one call at an management address and returns the whole answer.
+// callManagement makes one call at a management address and returns the whole answer.
 func callManagement(t *testing.T, addr, line string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
--- a/internal/router/program/forms_test.go
+++ b/internal/router/program/forms_test.go
@@ -6,8 +6,8 @@
 	"reachspread/internal/testbed/formtest"
 )
 
-// The file of ROUTER_CONFIG, the lines that commands print as JSON, the status of admission and the
-// fleet's record have the same fields.
+// The fields of the configuration file, of the lines that commands print as JSON, of the admission
+// status and of the fleet's record must not change.
 func TestProgramFormsAreUnchanged(t *testing.T) {
 	formtest.Compare(t, "forms.txt", formtest.Document([2]string{"ROUTER_CONFIG", formtest.Fields(Config{}, "json")},
 		[2]string{"line of the calls view, recovery and duties", formtest.Fields(Line{}, "json")},
--- a/internal/router/program/measure_test.go
+++ b/internal/router/program/measure_test.go
@@ -25,34 +25,35 @@
 	"reachspread/internal/testbed/scripted"
 )
 
-// The measurements run the program as a process of its own, on one core, against stand-ins in this
-// one. They are not for CI: docs/measurements/ has the commands and what came of them.
+// Flags of the measurements. They run the program as a process of its own, on one core, against
+// simulated hosts in the test process. They do not run in CI; docs/measurements/ has the commands and
+// the results.
 var (
 	measure   = flag.Bool("measure", false, "run the measurements")
-	seconds   = flag.Int("seconds", 10, "of each turn of a measurement")
-	rounds    = flag.Int("rounds", 3, "of a measurement's turns")
-	rate      = flag.Float64("rate", 60, "requests a second")
-	hostCount = flag.Int("hosts", 4, "stand-in hosts of TestMeasureBinaries")
-	binaries  = flag.String("binaries", "", "programs to compare without settings, by comma")
-	keep      = flag.String("keep", "", "folder to leave the records of the measurement in")
+	seconds   = flag.Int("seconds", 10, "duration of each run of a measurement, in seconds")
+	rounds    = flag.Int("rounds", 3, "rounds of runs of a measurement")
+	rate      = flag.Float64("rate", 60, "requests per second")
+	hostCount = flag.Int("hosts", 4, "simulated hosts of TestMeasureBinaries")
+	binaries  = flag.String("binaries", "", "comma-separated programs to compare without settings")
+	keep      = flag.String("keep", "", "folder in which the records of the measurement are stored")
 )
 
-// process is a router under measurement.
+// process is a router process that a test or measurement has started.
 type process struct {
 	t          *testing.T
 	cmd        *exec.Cmd
 	addr       string
-	management string // the operators'
+	management string // the management address
 	log        chan string
 }
 
-// sockets is the limit of descriptors of the next router.
+// sockets is the descriptor limit in the configuration of the next router.
 var sockets = 1024
 
-// connectFor is what a router process may take to connect to a stand-in host. The hosts listen all
-// the time and a prompt goes to each of them once at most, so the bound is far above what a loaded
-// machine takes for a connection on loopback: with 50 ms, a prompt before a single host was refused
-// now and then for the machine's load alone.
+// connectTimeout is the timeout of router processes for connecting to a simulated host. The hosts
+// always listen and each prompt is sent to a host at most once, so a connection should never time
+// out, even on a loaded machine. With 50 ms, prompts to a single host were occasionally refused only
+// because of the load.
 const connectTimeout = 10 * time.Second
 
 func buildRouter(t *testing.T) string {
@@ -64,8 +65,8 @@
 	return path
 }
 
-// ownAddress is a loopback address that no other test process listens on: a port that is closed for
-// a restart can't be taken by one of them.
+// ownAddress returns a loopback address that no other test process uses. While a port there is
+// closed for a restart, no other test process can take it.
 func ownAddress() string {
 	id := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 64+id>>16&0x3f, id>>8&0xff, id&0xff)
@@ -92,7 +93,7 @@
 	return p
 }
 
-// launchRouter starts a router before a list, and waits for nothing.
+// launchRouter starts a router whose discovery lists the entries, and does not wait until it serves.
 func launchRouter(t *testing.T, addr, binary string, entries []string, args ...string) *process {
 	t.Helper()
 	d := scripted.NewDiscovery(t, scripted.List(1, true, entries...))
@@ -123,12 +124,13 @@
 	return p
 }
 
+// awaitLog waits for a log line that contains words.
 func (p *process) awaitLog(words string) {
 	p.t.Helper()
 	for {
 		line := scripted.Receive(p.t, p.log, words)
 		if line == "" {
-			p.t.Fatalf("the router ended before %q", words)
+			p.t.Fatalf("the router ended before it logged %q", words)
 		}
 		if strings.Contains(line, words) {
 			return
@@ -136,7 +138,7 @@
 	}
 }
 
-// used returns the CPU time and the most memory that the process has used.
+// resourceUse returns the CPU time and the peak memory that the process has used so far.
 func (p *process) resourceUse() (cpu time.Duration, peakKB int) {
 	p.t.Helper()
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
@@ -158,7 +160,8 @@
 	return cpu, peakKB
 }
 
-// parts returns how much of the memory is the process's own, and how much is pages of its file.
+// residentMemory returns how much of the resident memory is anonymous, and how much is pages of
+// files.
 func (p *process) residentMemory() string {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
 	if err != nil {
@@ -173,8 +176,9 @@
 	return strings.Join(found, ", ")
 }
 
-// load200 sends requests in an open loop, at times drawn beforehand, and returns when the first
-// event of each came after its time, in microseconds. What is not answered by 200 is counted.
+// openLoopLoad sends requests in an open loop with Poisson arrivals. It returns a histogram of the
+// times from when each request was due to its first event, in microseconds, and the number of
+// requests that were not answered completely with status 200.
 func openLoopLoad(t *testing.T, client *http.Client, addr, name string, forSeconds int, perSecond float64) (first *hdrhistogram.Histogram, failed int) {
 	t.Helper()
 	first = hdrhistogram.New(1, 60e6, 3)
@@ -223,12 +227,12 @@
 	return hosts
 }
 
-// TestMeasureShadow measures what shadow pools cost live clients: first-event times with the share
-// at 0 and with half of all conversations copied to a pool that is well, killed and revived, slow,
-// or silent, by turns in one process.
+// TestMeasureShadow measures how shadow pools affect live clients. It compares first-event times with
+// a share of 0 and with half of all conversations copied to a pool that is healthy, killed and
+// revived, slow, or silent. All runs alternate in one router process.
 func TestMeasureShadow(t *testing.T) {
 	if !*measure {
-		t.Skip("a measurement; see docs/measurements/")
+		t.Skip("a measurement that needs -measure; see docs/measurements/")
 	}
 	behavior := scripted.ModelBehavior{FirstDelay: 10 * time.Millisecond, EventInterval: 3 * time.Millisecond, Events: 20}
 	slow := scripted.ModelBehavior{FirstDelay: 200 * time.Millisecond, EventInterval: 60 * time.Millisecond, Events: 20}
@@ -352,8 +356,8 @@
 	}
 }
 
-// TestMeasureBinaries compares programs that run without settings, by turns: CPU time a request and
-// the most memory.
+// TestMeasureBinaries compares the CPU time per request and the peak memory of programs that run
+// without settings. The runs of the programs alternate.
 func TestMeasureBinaries(t *testing.T) {
 	if !*measure || *binaries == "" {
 		t.Skip("a measurement; see docs/measurements/")
@@ -377,7 +381,8 @@
 	}
 }
 
-// floods are what TestMeasureAdmission plays: how many bad clients, what they do and from where.
+// floods are the floods that TestMeasureAdmission runs: the number of misbehaving clients, their
+// behavior and their addresses.
 var floods = []struct {
 	name     string
 	clients  int
@@ -396,9 +401,9 @@
 func oneAddress(int) string      { return "127.0.0.2" }
 func manyAddresses(i int) string { return fmt.Sprintf("127.1.%d.%d", i/250, 1+i%250) }
 
-// TestMeasureAdmission measures what floods do to known clients: 40 new connections a second with
-// one request each, at 256 descriptors, before a host that answers in 30 ms. -settings names a
-// settings file, and -binaries other programs.
+// TestMeasureAdmission measures how floods affect known clients. These open 40 connections per
+// second and send one request on each. The router has 256 descriptors, and its hosts answer in
+// 30 ms. The flag -door names a settings file, and -binaries other programs.
 func TestMeasureAdmission(t *testing.T) {
 	if !*measure {
 		t.Skip("a measurement; see docs/measurements/")
@@ -429,8 +434,8 @@
 				time.Sleep(500 * time.Millisecond)
 			}
 			before, _ := p.resourceUse()
-			// The flood takes from the machine, too: what it does to those who ask a host without
-			// the router.
+			// The flood also slows down the machine. Requests sent directly to a host, without the
+			// router, show how much.
 			var direct *hdrhistogram.Histogram
 			var beside sync.WaitGroup
 			beside.Go(func() { direct, _, _ = knownClientLoad(t, live[0].Addr, *seconds, 40) })
@@ -448,8 +453,8 @@
 	}
 }
 
-// floodProcess plays one of the floods in a process of its own: in this one it would hold up the
-// known clients by itself. Stop returns what came back.
+// floodProcess runs one of the floods in a separate process, because in this process it would slow
+// down the known clients. The function stop ends the flood and returns its summary.
 func floodProcess(t *testing.T, addr string, which int) (stop func() string) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], "-test.run", "^TestFloodProcess$", "-test.v")
@@ -474,11 +479,11 @@
 	}
 }
 
-// TestFloodProcess is what floodProcess starts.
+// TestFloodProcess runs a flood in the process that floodProcess starts.
 func TestFloodProcess(t *testing.T) {
 	words := strings.Fields(os.Getenv("FLOOD"))
 	if len(words) != 2 {
-		t.Skip("a part of the measurement of admission")
+		t.Skip("only TestMeasureAdmission runs this test, with the environment variable FLOOD")
 	}
 	which, err := strconv.Atoi(words[1])
 	if err != nil {
@@ -486,13 +491,13 @@
 	}
 	f := floods[which]
 	flood := scripted.NewFlood(words[0], f.clients, f.behavior, f.from, time.Minute)
-	io.Copy(io.Discard, os.Stdin) // until the measurement ends it
+	io.Copy(io.Discard, os.Stdin) // blocks until floodProcess closes the pipe
 	flood.Stop()
 	fmt.Println("flood:", flood.Summary())
 }
 
-// TestMeasureRefusal measures what a refusal costs beside a served request, each on a connection of
-// its own: CPU time of the router, before hosts that answer at once with two events.
+// TestMeasureRefusal compares the CPU time of the router for a refused and for a served request.
+// Each request has a connection of its own, and the hosts answer at once with two events.
 func TestMeasureRefusal(t *testing.T) {
 	if !*measure {
 		t.Skip("a measurement; see docs/measurements/")
@@ -515,7 +520,7 @@
 		all.Wait()
 		after, _ := p.resourceUse()
 		if odd := odd.Load(); odd > int64(times/100) {
-			t.Errorf("%d of %d were not answered with %d", odd, times, want)
+			t.Errorf("%d of %d requests were not answered with status %d", odd, times, want)
 		}
 		return (after - before) / time.Duration(times)
 	}
@@ -527,8 +532,9 @@
 	}
 }
 
-// askFrom asks once from an address other than that of known clients, unless there is a word of
-// theirs.
+// askFrom sends one request and returns the status, 0 without an answer. The string more contains
+// additional header lines. If it is empty, the request comes from another address than that of known
+// clients.
 func askFrom(addr, id, more string) (status int) {
 	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(oneAddress(0))}, Timeout: 3 * time.Second, Control: scripted.DeferPortChoice}
 	if more != "" {
@@ -550,7 +556,9 @@
 	return resp.StatusCode
 }
 
-// known sends requests of a known client, each on a connection of its own.
+// knownClientLoad sends requests of a known client in an open loop, each on a connection of its own.
+// It returns the first-event times in microseconds, and how many requests were refused and how many
+// had no answer.
 func knownClientLoad(t *testing.T, addr string, forSeconds int, perSecond float64) (first *hdrhistogram.Histogram, refused, silent int) {
 	first = hdrhistogram.New(1, 60e6, 3)
 	rng := rand.New(rand.NewPCG(2, 2))
@@ -578,7 +586,8 @@
 	return first, refused, silent
 }
 
-// askOnce returns the status, 0 for none, and how long after its due time the first event came.
+// askOnce sends one request as a known client. It returns the status, 0 without an answer, and the
+// time from due to the first event.
 func askOnce(addr, id string, due time.Time) (status int, took time.Duration) {
 	c, err := net.DialTimeout("tcp", addr, 10*time.Second)
 	if err != nil {
@@ -608,6 +617,6 @@
 	return 200, took
 }
 
-var floodName = flag.String("flood", "", "a part of the name of the floods to measure")
+var floodName = flag.String("flood", "", "part of the names of the floods that TestMeasureAdmission runs")
 
-var admissionFile = flag.String("door", "", "settings file of the measurement of admission")
+var admissionFile = flag.String("door", "", "settings file of TestMeasureAdmission and TestMeasureRefusal")
--- a/internal/router/program/memory_test.go
+++ b/internal/router/program/memory_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Only mappings of the program's file that can't be written and are as in the file are given back.
+// Only read-only mappings of the program's file whose pages equal the file are released.
 func TestUnchangedMappings(t *testing.T) {
 	const text = `00400000-00402000 r--p 00000000 fe:00 123 /bin/router
 Size:                  8 kB
@@ -30,7 +30,7 @@
 	}
 }
 
-// A process whose pages were given back goes on.
+// A process continues to run after its pages were released.
 func TestReleasePages(t *testing.T) {
 	releasePages()
 	if _, err := os.Executable(); err != nil {
--- a/internal/router/program/phases.go
+++ b/internal/router/program/phases.go
@@ -138,7 +138,7 @@
 	p.enteredPhases <- next
 }
 
-// closeIdleConnections closes connections that were silent for the time quiet. It starts after a
+// closeIdleConnections closes connections that have been silent for idleTime. It starts after a
 // delay and repeats the check until the phase ends.
 func (p *Program) closeIdleConnections(after, idleTime time.Duration, endAfterAnswer bool, left <-chan struct{}) {
 	timer := time.NewTimer(after)
--- a/internal/router/program/phases_test.go
+++ b/internal/router/program/phases_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// What the operators rely on, read off the tables: who is ready, who accepts, and that SIGTERM
-// leads out of every phase in which there is anything to leave.
+// Checks properties of the phase tables on which operators rely: which phases are ready, which accept
+// connections, and that SIGTERM leads out of every phase between Starting and Terminating.
 func TestPhaseTables(t *testing.T) {
 	got := map[string][]Phase{}
 	for _, p := range []Phase{Starting, Listing, Withheld, Serving, Draining, Terminating, Finishing, Stopped} {
@@ -35,14 +35,14 @@
 	}
 }
 
-// Whatever happens in whatever order: the router is ready just when an entry is known, the last
-// word was not to drain, and no SIGTERM came.
+// For any sequence of events, the router is ready exactly if a server is listed, the last drain event
+// was not a request to drain, and there was no SIGTERM.
 func TestTransitions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		phase, drained, known, ended := Listing, false, false, false
 		for _, event := range rapid.SliceOf(rapid.SampledFrom([]phaseEvent{serversListed, drainRequested, drainLifted, terminated, graceElapsed, requestsDone})).Draw(t, "happenings") {
 			if event == serversListed && known {
-				continue // is told once
+				continue // this event occurs only once
 			}
 			next, ok := transitions[phase][event]
 			if ok {
@@ -54,7 +54,7 @@
 			}
 			ended = ended || event == terminated
 			if ready := policies[phase].ready; ready != (known && !drained && !ended) {
-				t.Fatalf("%s: ready is %t with an entry %t, drained %t, ended %t", phase, ready, known, drained, ended)
+				t.Fatalf("phase %s: ready is %t with server listed %t, drained %t, terminated %t", phase, ready, known, drained, ended)
 			}
 		}
 	})
--- a/internal/router/program/program_test.go
+++ b/internal/router/program/program_test.go
@@ -24,8 +24,8 @@
 	`"aimNs":8000000000,"hardLimitNs":8000000000}],"limits":{"maxAttempts":3,"connectTimeoutNs":50000000,` +
 	`"keepaliveNs":15000000000}}`
 
-// configFile writes a good configuration with some texts replaced, each by the one after it, and
-// returns the environment that names it.
+// configFile writes a valid configuration in which, for each pair, the first text is replaced by the
+// second. It returns an environment whose ROUTER_CONFIG names the file.
 func configFile(t testing.TB, pairs ...string) func(string) string {
 	t.Helper()
 	text := `{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",` +
@@ -66,7 +66,7 @@
 	}
 }
 
-// A bad configuration is one line that names the field.
+// The error for an invalid configuration is one line that names the field.
 func TestBadConfig(t *testing.T) {
 	for _, tt := range []struct{ old, new, want string }{
 		{`"127.0.0.1:0"`, `"nowhere"`, "listen: "},
@@ -86,27 +86,28 @@
 	} {
 		_, err := Load(configFile(t, tt.old, tt.new))
 		if err == nil || !strings.Contains(err.Error(), tt.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: got %v, want one line with %q", tt.new, err, tt.want)
+			t.Errorf("configuration with %s: got %v, want one line with %q", tt.new, err, tt.want)
 		}
 	}
 	if _, err := Load(func(string) string { return "" }); err == nil || !strings.Contains(err.Error(), "ROUTER_CONFIG") {
-		t.Errorf("without a file: got %v", err)
+		t.Errorf("without a configuration file: got %v, want an error about ROUTER_CONFIG", err)
 	}
 }
 
-// The sockets of all sides fit the limit, and bodies take a quarter of the memory at most.
+// The connections to clients and servers fit the descriptor limit, and request bodies may use at most
+// a quarter of the memory limit.
 func TestConnectionsFitTheLimits(t *testing.T) {
 	c, err := Load(configFile(t, "n1", "n1"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if n := c.clients(); 2*n+reservedDescriptors > c.Limits.Sockets || 4*c.processLimits(processgroup.Siblings{}).bodies > c.Limits.MemoryMB<<20 {
-		t.Errorf("%d clients with %d bytes do not fit %+v", n, c.processLimits(processgroup.Siblings{}).bodies, c.Limits)
+		t.Errorf("%d clients with %d bytes of bodies do not fit the limits %+v", n, c.processLimits(processgroup.Siblings{}).bodies, c.Limits)
 	}
 }
 
-// However the limits and the settings divide the descriptors, the shares of all owners fit the
-// limit, and none is without any that needs one.
+// For any limits and settings, the descriptor shares of all owners fit the limit, and each owner that
+// needs descriptors has a share.
 func TestSharesFitTheLimit(t *testing.T) {
 	env := configFile(t, "n1", "n1")
 	path := filepath.Join(t.TempDir(), "settings.hcl")
@@ -134,7 +135,7 @@
 			if !strings.Contains(err.Error(), "descriptors") {
 				t.Fatal(err)
 			}
-			return // they do not fit, and it is said
+			return // the settings need too many descriptors and are refused
 		}
 		table := c.descriptorShares(c.processLimits(processgroup.Siblings{}))
 		if table.TotalLimit() > table.Limit || table.Limit != c.Limits.Sockets {
@@ -149,8 +150,9 @@
 	})
 }
 
-// From start to exit: ready once a server is listed; after SIGTERM each answer ends its connection,
-// what was taken is finished, and the program ends by itself.
+// The program passes through all phases from start to exit. It is ready when a server is listed.
+// After SIGTERM each answer ends its connection, accepted requests are finished, and the program
+// exits by itself.
 func TestPhases(t *testing.T) {
 	more := make(chan bool)
 	s := scripted.NewServer(t, scripted.GatedAnswer(more))
@@ -165,7 +167,7 @@
 	enter := func(phase Phase) {
 		t.Helper()
 		if got := scripted.Receive(t, lines, string(phase)); got != fmt.Sprintf("phase name=%s", phase) || p.Phase() != phase {
-			t.Fatalf("got the line %q and phase %s, want %s", got, p.Phase(), phase)
+			t.Fatalf("got the log line %q and phase %s, want phase %s", got, p.Phase(), phase)
 		}
 	}
 	enter(Listing)
@@ -214,14 +216,14 @@
 	for range 2 {
 		e := scripted.Receive(t, ends, "an answer")
 		if e.err != nil || e.body != scripted.Event+scripted.Done {
-			t.Errorf("got %q, %v; want it whole", e.body, e.err)
+			t.Errorf("got the answer %q, %v; want it complete", e.body, e.err)
 		}
 		if e.close {
 			closes++
 		}
 	}
 	if closes == 0 {
-		t.Error("no answer given while leaving ended its connection")
+		t.Error("no answer after SIGTERM ended its connection")
 	}
 	enter(Stopped)
 	if err := scripted.Receive(t, exit, "exit"); err != nil {
@@ -229,9 +231,9 @@
 	}
 }
 
-// A reload moves the watch to the discovery that the file names by then, whatever the environment
-// says, and takes the whole list there although its versions begin lower. A bad file changes
-// nothing, and a stream goes on.
+// After a reload the router watches the discovery service that the file names, whatever the
+// environment says. It requests the complete list there, although that service has lower versions.
+// An invalid file changes nothing, and an open stream continues.
 func TestReload(t *testing.T) {
 	more := make(chan bool)
 	s := scripted.NewServer(t, scripted.GatedAnswer(more))
@@ -259,7 +261,7 @@
 	expect := func(want string) {
 		t.Helper()
 		if got := scripted.Receive(t, lines, want); !strings.HasPrefix(got, want) {
-			t.Fatalf("got the line %q, want %q", got, want)
+			t.Fatalf("got the log line %q, want %q", got, want)
 		}
 	}
 	expect("phase name=listing")
@@ -281,15 +283,15 @@
 	expect("reloaded discovery=" + d2.Addr)
 	for _, want := range []string{"/api/targets", "/api/targets?index=7&wait=5000"} {
 		if got := scripted.Receive(t, d2.Calls, want); got != want {
-			t.Errorf("the new discovery was asked for %s, want %s", got, want)
+			t.Errorf("the new discovery service got the call %s, want %s", got, want)
 		}
 	}
 	if status, body, err := scripted.Do(t, scripted.NewRequest(t, p.ln.Addr().String(), "q", nil)); status != 200 || err != nil {
-		t.Errorf("after the reload: got %d %q, %v; want it served by the new list", status, body, err)
+		t.Errorf("a request after the reload got %d %q, %v; want it served by the server in the new list", status, body, err)
 	}
 	scripted.Send(t, more, true)
 	if got := scripted.Receive(t, ends, "the held answer"); got != scripted.Event+scripted.Done+"<nil>" {
-		t.Errorf("the stream that was out ended with %q", got)
+		t.Errorf("the open stream ended with %q, want a complete answer", got)
 	}
 	sigterm()
 	expect("phase name=leaving")
@@ -298,7 +300,7 @@
 	}
 }
 
-// The page for on-call staff has the words of every line that the network code logs.
+// The page for on-call staff documents every message that the code under internal logs.
 func TestLogLinesAreDocumented(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/oncall.md")
 	if err != nil {
@@ -330,7 +332,8 @@
 	}
 }
 
-// A block fleet that needs what the configuration does not say is one line, and no start.
+// If the block fleet omits addresses that the configuration does not supply, reading the settings
+// fails with a one-line error.
 func TestFleetNeeds(t *testing.T) {
 	for text, want := range map[string]string{
 		"fleet {}\n": "fleet needs seeds and address: the configuration names no peers",
@@ -342,7 +345,7 @@
 		write(t, path, text)
 		err := load(t, configFile(t, "127.0.0.1:1", "127.0.0.1:2")).ReadSettings(path)
 		if want == "" && err != nil || want != "" && (err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n")) {
-			t.Errorf("%s: got %v, want %q", text, err, want)
+			t.Errorf("settings %s: got %v, want %q", text, err, want)
 		}
 	}
 }
