--- a/internal/router/program/recovery_test.go
+++ b/internal/router/program/recovery_test.go
@@ -37,8 +37,8 @@
 	return ln.Addr().String()
 }
 
-// A second router on one folder ends with a line that names the first, which serves on and has the
-// folder still.
+// If a second router starts with the folder of a running one, it exits with status 1 and a line that
+// names the process of the first. The first router continues to serve and holds the folder.
 func TestTwoOnOneFolder(t *testing.T) {
 	t.Parallel()
 	binary, folder := buildRouter(t), t.TempDir()
@@ -48,16 +48,16 @@
 	second := launchRouter(t, freeAddr(t), binary, []string{scripted.ListEntry("s0", host.Addr, "Ready")}, "--settings", settings)
 	second.awaitLog(fmt.Sprintf("another process has it: number %d", first.cmd.Process.Pid))
 	if err := second.cmd.Wait(); err == nil || second.cmd.ProcessState.ExitCode() != 1 {
-		t.Errorf("the second ended with %v", second.cmd.ProcessState)
+		t.Errorf("the second router ended with %v, want exit status 1", second.cmd.ProcessState)
 	}
 	if status, _, _ := scripted.Do(t, scripted.NewRequest(t, first.addr, "q", nil)); status != 200 {
-		t.Errorf("the first answers %d", status)
+		t.Errorf("the first router answers with status %d, want 200", status)
 	}
 }
 
-// A router that loses power a moment after it has learned for the first time what a warm host does
-// has saved that: its next process, and those that ask it, have no other measure while hosts warm
-// up. The first measure is of a few requests, so it is saved again whenever it is twice as old.
+// Guards against routers without a measure of a warm host after a power loss. While hosts warm up,
+// the router and those that query it have no measure but the saved one, so the first measure is saved
+// at once. It comes from few requests, so the measure is saved again each time its age has doubled.
 func TestFirstMeasureIsSavedAtOnce(t *testing.T) {
 	folder := t.TempDir()
 	p := New(&Config{Name: "r0", set: &settings.Settings{Recovery: &settings.Recovery{Folder: folder, Discovery: "d"}}}, func(string) string { return "" }, "", make(scripted.LogLines, 10))
@@ -67,12 +67,12 @@
 	k.mergeList(&protocol.List{Version: 1, Full: true})
 	last := p.writeSnapshot(folder, "")
 	if l := savedLearned(t, folder); l != nil {
-		t.Fatalf("%+v is saved before anything is learned", l)
+		t.Fatalf("%+v was saved before anything was learned", l)
 	}
 	work := 0.0
 	for _, x := range []struct {
 		age  time.Duration // of the first measure
-		want float64       // the mean that is saved
+		want float64       // the saved mean
 	}{{0, 1}, {100 * time.Millisecond, 1}, {1050 * time.Millisecond, 3}, {2050 * time.Millisecond, 4}, {3050 * time.Millisecond, 4}, {4050 * time.Millisecond, 6}, {7 * time.Second, 6},
 		{8050 * time.Millisecond, 8}, {time.Hour, 8}} {
 		work++
@@ -83,12 +83,12 @@
 		k.learned.Store(&l)
 		last = p.writeSnapshot(folder, last)
 		if l := savedLearned(t, folder); l == nil || l.CompletedWork != x.want {
-			t.Errorf("%v after the first measure, what is saved is %+v, not %v", x.age, l, x.want)
+			t.Errorf("%v after the first measure, the saved values are %+v, want completed work %v", x.age, l, x.want)
 		}
 	}
 }
 
-// savedLearned is what the newest snapshot in a folder has of what was learned.
+// savedLearned returns the learned values in the newest snapshot in a folder, nil without any.
 func savedLearned(t *testing.T, folder string) *balance.Learned {
 	t.Helper()
 	var files [2][]byte
@@ -102,7 +102,8 @@
 	return s.Learned
 }
 
-// The log says who was asked for a measure and who has answered, eight names of each at most.
+// If no queried router has a measure, the log line names the routers that were queried and those that
+// answered, at most eight of each.
 func TestMissingMeasureIsLogged(t *testing.T) {
 	lines := make(scripted.LogLines, 10)
 	p := New(&Config{}, func(string) string { return "" }, "", lines)
@@ -113,12 +114,12 @@
 	p.carryOutRecovery(nil, nil, recovery.MeasureMissing{Rounds: 3, Alive: 11, Asked: asked, Answered: asked[:2], Ended: "this router has its own"})
 	const want = "no queried router has a host measure rounds=3 alive=11 asked=r0,r1,r2,r3,r4,r5,r6,r7,... answered=r0,r1 ended=this router has its own"
 	if got := scripted.Receive(t, lines, "a line"); got != want {
-		t.Errorf("got %q", got)
+		t.Errorf("wrong log line for a missing measure: %q", got)
 	}
 }
 
-// TestMeasureSnapshots measures what snapshots cost: two routers before the same hosts and a list
-// of 1,000, one of which keeps what it knows, by turns.
+// TestMeasureSnapshots measures the cost of snapshots. Of two routers with the same hosts and a list
+// of 1,000 servers, only one writes snapshots. The runs of the two alternate.
 func TestMeasureSnapshots(t *testing.T) {
 	if !*measure {
 		t.Skip("a measurement; see docs/measurements/")
@@ -157,7 +158,7 @@
 	}
 	for name, p := range routers {
 		before, _ := p.resourceUse()
-		time.Sleep(time.Duration(*seconds) * time.Second) // idle, for a measure
+		time.Sleep(time.Duration(*seconds) * time.Second) // measures the CPU time of an idle router
 		after, _ := p.resourceUse()
 		idle[name] = after - before
 	}
--- a/internal/router/program/reload_test.go
+++ b/internal/router/program/reload_test.go
@@ -14,10 +14,10 @@
 	"reachspread/internal/testbed/scripted"
 )
 
-// second is a class more for the configuration.
+// secondClass is an additional class for the configuration.
 const secondClass = `{"name":"chat-v2","effect":"unsafe","streaming":true,"aimNs":8000000000,"hardLimitNs":8000000000}`
 
-// A file that is broken in any of these ways is refused in one line that names the field and the
+// A reload refuses each of these invalid files with a one-line error that names the field and the
 // cause.
 func TestBrokenReloads(t *testing.T) {
 	env := configFile(t, `"effect":"safe"`, `"effect":"safe"`)
@@ -51,16 +51,16 @@
 		write(t, path, strings.Replace(string(good), tt.old, tt.new, 1))
 		_, err := Reload(env, force)
 		if err == nil || !strings.Contains(err.Error(), tt.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%.60s: got %v, want one line with %q", tt.new, err, tt.want)
+			t.Errorf("file with %.60s: got %v, want one line with %q", tt.new, err, tt.want)
 		}
 	}
 	write(t, path, strings.Replace(string(good), `"services":[`, `"more":{},"services":[`+secondClass+",", 1))
 	if _, err := Reload(env, force); err != nil {
-		t.Errorf("a class and a key more: %v", err)
+		t.Errorf("a file with an additional class and key was refused: %v", err)
 	}
 }
 
-// A good file cut at any byte, or without any one of its keys, is refused.
+// A reload refuses a valid file that is truncated at any byte or lacks any one of its keys.
 func TestCutReloads(t *testing.T) {
 	env := configFile(t, `"services":[`, `"services":[`+secondClass+",")
 	path := env("ROUTER_CONFIG")
@@ -86,12 +86,12 @@
 			t.Fatal(err)
 		}
 		if _, err := Reload(env, force); err == nil {
-			t.Errorf("without %q: %s was taken", without, text)
+			t.Errorf("the file without key %q was accepted: %s", without, text)
 		}
 	})
 }
 
-// drop takes one key, of any depth, out of a tree.
+// dropKey removes one key at any depth from a JSON tree and returns its path.
 func dropKey(t *rapid.T, tree any) string {
 	object, ok := tree.(map[string]any)
 	if !ok {
@@ -114,9 +114,8 @@
 	return key
 }
 
-// Under way, a request keeps its class with all that it allows, also while the class changes or
-// vanishes; the next one has the new settings, and a broken file changes nothing. Each signal is
-// one count.
+// An open request keeps the settings of its class, even if a reload changes or removes the class. The
+// next request has the new settings. An invalid file changes nothing. Each reload is counted once.
 func TestSettingsChangeUnderWay(t *testing.T) {
 	hold := make(chan bool)
 	host := scripted.NewModel(t, scripted.ModelBehavior{Events: 2, Gate: hold})
@@ -142,29 +141,29 @@
 		s.awaitMetrics(map[string]string{"cfg_invalid_total": fmt.Sprint(i + 1), "cfg_accepted_total": "0"})
 	}
 	if got := ask("early", "chat-v2"); got != 503 {
-		t.Errorf("a class that is not there yet: got %d", got)
+		t.Errorf("a request of a class that does not exist yet: got status %d, want 503", got)
 	}
 	reload("reloaded", `"services":[`, `"services":[`+secondClass+`,`)
 	host.Set(scripted.ModelBehavior{Events: 2})
 	if got := ask("new", "chat-v2"); got != 200 {
-		t.Errorf("a class that appeared: got %d", got)
+		t.Errorf("a request of an added class: got status %d, want 200", got)
 	}
 	host.Set(scripted.ModelBehavior{Status: 500})
 	if got := ask("unsafe", "chat-v2"); got != 502 {
-		t.Errorf("an unsafe class: got %d, want a failure, as it may have run", got)
+		t.Errorf("a failed request of an unsafe class: got status %d, want 502, because the server may have run it", got)
 	}
 	host.Set(scripted.ModelBehavior{Events: 2})
 	reload("reloaded", `"name":"chat"`, `"name":"chat-v3"`)
 	if got := ask("old", "chat"); got != 503 {
-		t.Errorf("a class that vanished: got %d", got)
+		t.Errorf("a request of a removed class: got status %d, want 503", got)
 	}
 	scripted.Send(t, hold, true)
 	if got := scripted.Receive(t, ends, "the answer under way"); got != fmt.Sprintln(200, true, nil) {
-		t.Errorf("under way: %s", got)
+		t.Errorf("the request from before the reloads ended with %s, want status 200 and a complete answer", got)
 	}
 	reload("reloaded")
 	if got := ask("again", "chat"); got != 200 {
-		t.Errorf("a class that reappeared: got %d", got)
+		t.Errorf("a request of a class that was added again: got status %d, want 200", got)
 	}
 	s.awaitMetrics(map[string]string{`fulfilled_total{priority="chat"}`: "2", `fulfilled_total{priority="chat-v2"}`: "1", `faulted_total{priority="chat-v2"}`: "1",
 		`throttled_total{priority="chat"}`: "1", `fulfilled_total{priority="chat-v3"}`: "0", "cfg_invalid_total": "2", "cfg_accepted_total": "3"})
--- a/internal/router/program/shadow_test.go
+++ b/internal/router/program/shadow_test.go
@@ -27,13 +27,13 @@
 	"reachspread/internal/transport"
 )
 
-// shadowed is a running program with one live host and one pool, next.
+// shadowProgram is a running program with one live host and one shadow pool named next.
 type shadowProgram struct {
 	t       *testing.T
 	p       *Program
 	live    *scripted.Model
 	lines   scripted.LogLines
-	dir     string // of the records, the socket and the settings
+	dir     string // the folder of the records, the status socket and the settings
 	reload  chan os.Signal
 	sigterm func()
 	exit    chan error
@@ -41,8 +41,8 @@
 	client  *http.Client
 }
 
-// usual is a pool that gets all there is, under pressure thresholds that no busy test machine
-// reaches.
+// defaultSettings has a shadow pool that gets a copy of every request. Its pressure thresholds are so
+// high that even a busy test machine does not reach them.
 const defaultSettings = `
 status { folder = "DIR" }
 shadow {
@@ -72,12 +72,14 @@
 
 func host(addr string) string { return fmt.Sprintf("host \"c0\" {\n addr = %q\n }", addr) }
 
-// startShadow starts it; each pair of replaced words is replaced in the usual settings.
+// startShadow starts a program with a live host that answers all requests. For each pair in replaced,
+// it replaces the first text by the second in the default settings.
 func startShadow(t *testing.T, hosts string, replaced ...string) *shadowProgram {
 	t.Helper()
 	return startShadowBeside(t, scripted.NewModel(t, scripted.ModelBehavior{}), hosts, replaced...)
 }
 
+// startShadowBeside is startShadow with the given live host.
 func startShadowBeside(t *testing.T, live *scripted.Model, hosts string, replaced ...string) *shadowProgram {
 	t.Helper()
 	d := scripted.NewDiscovery(t, scripted.List(1, true, scripted.ListEntry("s0", live.Addr, "Ready")))
@@ -119,12 +121,12 @@
 	write(s.t, s.path(), text)
 }
 
-// line waits for a log line that begins so.
+// expectLog expects that the next log line begins with want, and returns the line.
 func (s *shadowProgram) expectLog(want string) string {
 	s.t.Helper()
 	got := scripted.Receive(s.t, s.lines, want)
 	if !strings.HasPrefix(got, want) {
-		s.t.Fatalf("got the line %q, want %q", got, want)
+		s.t.Fatalf("got the log line %q, want %q", got, want)
 	}
 	return got
 }
@@ -146,7 +148,7 @@
 	return r
 }
 
-// until waits for a state of the pool.
+// awaitStatus polls the status of the first pool until ok accepts it.
 func (s *shadowProgram) awaitStatus(what string, ok func(mirror.Status) bool) mirror.Status {
 	s.t.Helper()
 	var r mirror.Report
@@ -155,11 +157,11 @@
 			return r.Pools[0]
 		}
 	}
-	s.t.Fatalf("waited in vain until %s: %+v", what, r)
+	s.t.Fatalf("timeout waiting until %s; status: %+v", what, r)
 	panic("unreachable")
 }
 
-// ask sends one live request with a body of its own and returns the answer.
+// ask sends one live request with the given body and returns the answer.
 func (s *shadowProgram) ask(id, body string, set map[string]string) (status int, answer string, end error) {
 	r := scripted.NewRequest(s.t, s.addr, id, set)
 	r.Body, r.ContentLength = io.NopCloser(strings.NewReader(body)), int64(len(body))
@@ -172,17 +174,18 @@
 	return resp.StatusCode, string(text), err
 }
 
-// served asks and wants the live host's answer.
+// expectServed sends a request and expects the answer of the live host.
 func (s *shadowProgram) expectServed(id string) {
 	s.t.Helper()
 	status, text, err := s.ask(id, id, nil)
 	if want := scripted.Tokens(id, scripted.ModelBehavior{}); status != 200 || err != nil || strings.Count(text, `"content":"w`) != len(want) ||
 		!strings.Contains(text, want[len(want)-1]) {
-		s.t.Fatalf("%s: got %d %q, %v; want it served by the live host", id, status, text, err)
+		s.t.Fatalf("request %s: got %d %q, %v; want the answer of the live host", id, status, text, err)
 	}
 }
 
-// records ends the program and returns its records, each checked against the schema.
+// records ends the program and returns its records by request. It checks each record against the
+// schema.
 func (s *shadowProgram) records() map[string]*records.Record {
 	s.t.Helper()
 	s.stop()
@@ -200,7 +203,7 @@
 			return fmt.Errorf("%s: %w", line, err)
 		}
 		if found[r.ID] != nil {
-			return fmt.Errorf("%s has two records", r.ID)
+			return fmt.Errorf("request %s has two records", r.ID)
 		}
 		found[r.ID] = r
 		return nil
@@ -219,8 +222,8 @@
 	}
 }
 
-// A copy carries the bytes that came under an id of its own, and both answers are compared in text
-// and time.
+// A copy has the same URI and body as the request and an id of its own. The text and the times of
+// both answers are compared.
 func TestShadowCopiesAndCompares(t *testing.T) {
 	seen := make(chan scripted.Request, 10)
 	candidate := scripted.NewServer(t, scripted.Answer(scripted.CompleteAnswer()))
@@ -236,14 +239,14 @@
 	}
 	r := scripted.Receive(t, seen, "a copy")
 	if r.Body != `{"stream": true}` || r.URI != "/v1/chat/completions?a=%20b" || !strings.HasPrefix(r.Header.Get("X-Correlation-Id"), "q1~next~") {
-		t.Errorf("the copy is %+v", r)
+		t.Errorf("the copy is %+v, want the request's body and URI and an id of its own", r)
 	}
 	st := s.awaitStatus("it is recorded", func(st mirror.Status) bool { return st.Recorded == 1 })
 	if st.Times["chat"].Count != 1 || st.BodyBytes != 0 || st.Out != 0 {
 		t.Errorf("%+v", st)
 	}
 	if counts := s.live.Counts(); counts.Total != 1 {
-		t.Errorf("the live host had %d attempts", counts.Total)
+		t.Errorf("the live host had %d attempts, want 1", counts.Total)
 	}
 	got := s.records()["q1"]
 	if got == nil || got.Comparison == nil || got.Live.FirstByteMs == nil || got.Live.QueuedMs == nil || *got.Live.QueuedMs > *got.Live.FirstByteMs || got.Copy.TotalMs == nil || got.Live.Digest == got.Copy.Digest {
@@ -257,7 +260,7 @@
 	}
 	text, err := json.Marshal(got)
 	if err != nil || bytes.Contains(text, []byte("oqvh")) || bytes.Contains(text, []byte("stream")) {
-		t.Errorf("a record holds a customer's words: %s %v", text, err)
+		t.Errorf("the record contains text of the request or answer: %s %v", text, err)
 	}
 }
 
@@ -272,15 +275,15 @@
 	}
 }
 
-// Whatever the candidates do, each live request has its answer, and each copy its record with the
-// cause.
+// Whatever fails in a candidate host, each live request gets its answer, and each copy has a record
+// with the cause of the failure.
 func TestShadowCandidatesThatFail(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
 		behavior scripted.ModelBehavior
 		set      []string
-		cause    shadow.Cause // of the records
-		down     bool
+		cause    shadow.Cause // the cause in the records
+		down     bool         // whether the pool is down afterwards
 	}{
 		{"says nothing", scripted.ModelBehavior{Stalls: true}, []string{"share = 1", "share = 1\n patience = \"100ms\""}, shadow.Refused, true},
 		{"a twentieth of the pace", scripted.ModelBehavior{EventInterval: 40 * time.Millisecond}, []string{"share = 1", "share = 1\n patience = \"150ms\"\n longest = \"200ms\""}, shadow.TimedOut, true},
@@ -302,19 +305,19 @@
 				t.Errorf("%+v", st)
 			}
 			if counts := s.live.Counts(); counts.Total != 3 || counts.Duplicated != nil {
-				t.Errorf("%d live attempts, %v twice", counts.Total, counts.Duplicated)
+				t.Errorf("%d live attempts, want 3; requests with two attempts at once: %v", counts.Total, counts.Duplicated)
 			}
 			if counts := candidate.Counts(); counts.InFlight != 0 || counts.Duplicated != nil {
-				t.Errorf("%d candidate attempts are still out, %v twice", counts.InFlight, counts.Duplicated)
+				t.Errorf("%d candidate attempts are still in flight; copies with two attempts at once: %v", counts.InFlight, counts.Duplicated)
 			}
 			got := s.records()
 			for id, r := range got {
 				if shadow.Cause(r.Cause) != tt.cause {
-					t.Errorf("%s: %q, want %q", id, r.Cause, tt.cause)
+					t.Errorf("record of %s has cause %q, want %q", id, r.Cause, tt.cause)
 				}
 			}
 			if len(got) != 3 {
-				t.Errorf("%d records", len(got))
+				t.Errorf("%d records, want 3", len(got))
 			}
 			downs, reports := 0, 0
 			for len(s.lines) > 0 {
@@ -326,14 +329,15 @@
 				}
 			}
 			if (downs == 1) != tt.down || (reports == 1) != (tt.behavior.Report != "") {
-				t.Errorf("%d lines of a pool that is down, %d of reports", downs, reports)
+				t.Errorf("%d log lines about a pool that is down, %d about unreadable reports", downs, reports)
 			}
 		})
 	}
 }
 
-// Down from the start, revived, killed and revived under load: trials find out, on-call gets a line
-// for each turn, and no live request feels it.
+// A candidate host is down from the start, and is then revived and killed twice under load. Trial
+// copies detect each change, the router logs it, and every live request is served with a single
+// attempt.
 func TestShadowPoolKilledAndRevived(t *testing.T) {
 	candidate := scripted.NewModel(t, scripted.ModelBehavior{})
 	candidate.Kill()
@@ -364,16 +368,16 @@
 	close(stop)
 	load.Wait()
 	if counts := s.live.Counts(); counts.Total != n || counts.Duplicated != nil {
-		t.Errorf("%d live attempts for %d requests, %v twice", counts.Total, n, counts.Duplicated)
+		t.Errorf("%d live attempts for %d requests; requests with two attempts at once: %v", counts.Total, n, counts.Duplicated)
 	}
 	st := s.awaitStatus("nothing is out", func(st mirror.Status) bool { return st.Out+st.Pairing+st.Waiting == 0 })
 	if got := s.records(); uint64(len(got)) != st.Started {
-		t.Errorf("%d records of %d copies", len(got), st.Started)
+		t.Errorf("%d records for %d started copies", len(got), st.Started)
 	}
 }
 
-// A host that drains gets nothing new and finishes what it has; with none left copies are dropped.
-// A lost discovery leaves the last good list in force.
+// A candidate host that drains gets no new copies and finishes its open copy. Copies are dropped while
+// no host is left. When discovery is unreachable, the last valid list stays in force.
 func TestShadowDrainsAndLostDiscovery(t *testing.T) {
 	hold := make(chan bool)
 	c0, c1 := scripted.NewModel(t, scripted.ModelBehavior{Gate: hold}), scripted.NewModel(t, scripted.ModelBehavior{})
@@ -389,7 +393,8 @@
 	d.Send(t, scripted.List(2, false, scripted.ListEntry("c0", c0.Addr, "Terminating"), scripted.ListEntry("c1", c1.Addr, "Ready")))
 	for !strings.Contains(scripted.Receive(t, d.Calls, "the call after the list was taken in"), "index=2") {
 	}
-	// Both are told at once, so one serves before and after: what is sent must tell them apart.
+	// The list drains one host and adds the other at the same time, and the number of hosts stays 1.
+	// So the test sends requests until the new host has a copy.
 	for i := 1; c1.Attempts(fmt.Sprintf("q%d~next~%d", i-1, i)) == 0 && i < 50; i++ {
 		s.expectServed(fmt.Sprint("q", i))
 		s.awaitStatus("it has its record", func(st mirror.Status) bool { return st.Recorded == uint64(i) })
@@ -400,7 +405,7 @@
 		t.Errorf("%+v", st)
 	}
 	if counts := c0.Counts(); counts.Total != 1 {
-		t.Errorf("the host that drains had %d copies, want the first one alone", counts.Total)
+		t.Errorf("the draining host had %d copies, want only the first one", counts.Total)
 	}
 	d.Stop()
 	s.expectLog("discovery lost pool=next")
@@ -408,8 +413,8 @@
 	s.awaitStatus("the last list serves", func(next mirror.Status) bool { return next.Compared == st.Compared+1 })
 }
 
-// A live answer that fails, or a client that leaves, ends the copy at once: there is nothing to
-// compare it with.
+// When the live answer fails or the client disconnects, the copy is canceled at once, because there is
+// no answer to compare it with.
 func TestShadowWithoutALiveAnswer(t *testing.T) {
 	hold := make(chan bool)
 	for name, live := range map[string]scripted.ModelBehavior{"breaks": {Breaks: true, EventInterval: 20 * time.Millisecond}, "client leaves": {Gate: hold}, "fails": {Status: 500, FirstDelay: 50 * time.Millisecond}} {
@@ -441,7 +446,8 @@
 	}
 }
 
-// What the settings may take must fit the limits, and a status socket in use is another router's.
+// The resources that the settings need must fit the limits. A router does not start if another
+// router uses its status socket.
 func TestShadowSettingsFitTheLimits(t *testing.T) {
 	s := startShadow(t, host("127.0.0.1:1"))
 	for _, tt := range []struct{ old, new, want string }{
@@ -450,7 +456,7 @@
 	} {
 		s.writeSettings(host("127.0.0.1:1"), tt.old, tt.new)
 		if err := load(t, configFile(t, "n1", "n1")).ReadSettings(s.path()); err == nil || !strings.Contains(err.Error(), tt.want) {
-			t.Errorf("%s: got %v", tt.new, err)
+			t.Errorf("settings with %s: got error %v", tt.new, err)
 		}
 	}
 	s.writeSettings(host("127.0.0.1:1"))
@@ -460,12 +466,13 @@
 		t.Fatal(err)
 	}
 	if err := New(cfg, env, s.path(), make(scripted.LogLines, 10)).Run(context.Background(), nil); err == nil || !strings.Contains(err.Error(), "another router's") {
-		t.Errorf("a second router on the socket: %v", err)
+		t.Errorf("a second router on the same status socket ended with %v", err)
 	}
 }
 
-// A reload takes up another share with copies out, which go on; a pool that is gone ends its own; a
-// bad file changes nothing, nor does one for which too few descriptors were set aside.
+// A reload can change the share of a pool while copies are in flight, and these continue. Removing a
+// pool cancels its copies. An invalid file changes nothing, and neither does a file that needs more
+// descriptors than were reserved at the start.
 func TestShadowReload(t *testing.T) {
 	hold := make(chan bool)
 	candidate := scripted.NewModel(t, scripted.ModelBehavior{Gate: hold})
@@ -503,8 +510,8 @@
 	}
 }
 
-// SIGTERM ends copies at once and delays nothing: the live stream that is out is finished, and so
-// is the program once it is.
+// SIGTERM cancels copies at once. The open live stream is finished, and then the program ends without
+// waiting for copies.
 func TestShadowSigterm(t *testing.T) {
 	hold := make(chan bool)
 	candidate := scripted.NewModel(t, scripted.ModelBehavior{Stalls: true})
@@ -525,11 +532,11 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal("the copy is still out")
+			t.Fatal("the copy is still in flight after SIGTERM")
 		}
 	}
 	if s.p.Phase() != Terminating {
-		t.Errorf("the copy was out until %s", s.p.Phase())
+		t.Errorf("the copy was in flight until phase %s", s.p.Phase())
 	}
 	scripted.Send(t, hold, true)
 	if err := scripted.Receive(t, answered, "the live answer"); err != nil {
@@ -540,15 +547,15 @@
 	}
 }
 
-// Bodies of 256 KiB under a cap of 1 MiB: four are held, the others dropped, and all live requests
-// served.
+// With bodies of 256 KiB and a limit of 1 MiB for bodies, four copies are held and the others are
+// dropped. All live requests are served.
 func TestShadowBodiesUnderTheirCap(t *testing.T) {
 	candidate := scripted.NewModel(t, scripted.ModelBehavior{Stalls: true})
 	s := startShadow(t, host(candidate.Addr))
 	body := strings.Repeat("x", 256<<10)
-	for i := range 10 { // the copies stay out, so one after another holds as much as all at once
+	for i := range 10 { // the copies stay in flight, so sequential requests hold as many bodies as concurrent ones
 		if status, _, err := s.ask(fmt.Sprint("q", i), body, nil); status != 200 || err != nil {
-			t.Errorf("got %d, %v", status, err)
+			t.Errorf("live request: got status %d, %v; want 200", status, err)
 		}
 	}
 	st := s.awaitStatus("all were offered and four are out", func(st mirror.Status) bool { return st.Offered == 10 && st.Waiting == 0 })
@@ -557,8 +564,8 @@
 	}
 }
 
-// A folder that can't be written costs records and one line, then works again; the router serves
-// on.
+// If the folder of the records cannot be written, the router loses records and logs this once. It
+// continues to serve requests.
 func TestShadowRecordFolderFails(t *testing.T) {
 	s := startShadow(t, host(scripted.NewModel(t, scripted.ModelBehavior{}).Addr))
 	folder := filepath.Join(s.dir, "records")
@@ -572,13 +579,13 @@
 		t.Errorf("%+v", r)
 	}
 	if len(s.lines) > 0 {
-		t.Errorf("one more line: %s", <-s.lines)
+		t.Errorf("unexpected log line: %s", <-s.lines)
 	}
 }
 
-// A day with the pool killed, slow, silent and revived by turns: each live request has one final
-// answer, of the same bytes as on the same day without the pool, and no request ever has two
-// attempts out.
+// The same series of live requests runs once without copies and once with a candidate host that is
+// healthy, silent, killed, slow and revived in turn. Each live request gets the same answer in both
+// runs, and no request has two attempts in flight.
 func TestShadowScriptedDay(t *testing.T) {
 	day := func(hosts string, between func(i int), settings ...string) []string {
 		s := startShadow(t, hosts, settings...)
@@ -601,7 +608,7 @@
 		clients.Wait()
 		counts := s.live.Counts()
 		if counts.Total != len(answers) || counts.InFlight != 0 || counts.Duplicated != nil {
-			t.Errorf("%d attempts for %d requests, %d out, %v twice", counts.Total, len(answers), counts.InFlight, counts.Duplicated)
+			t.Errorf("%d attempts for %d requests, %d in flight; requests with two attempts at once: %v", counts.Total, len(answers), counts.InFlight, counts.Duplicated)
 		}
 		s.stop()
 		return answers
@@ -609,7 +616,7 @@
 	candidate := scripted.NewModel(t, scripted.ModelBehavior{})
 	without := day(host(candidate.Addr), func(int) {}, "share = 1", "share = 0")
 	if counts := candidate.Counts(); counts.Total != 0 {
-		t.Fatalf("%d copies with a share of 0", counts.Total)
+		t.Fatalf("%d copies sent with a share of 0", counts.Total)
 	}
 	with := day(host(candidate.Addr), func(i int) {
 		switch i {
@@ -632,19 +639,19 @@
 		t.Error(diff)
 	}
 	if counts := candidate.Counts(); counts.Total == 0 || counts.Duplicated != nil {
-		t.Errorf("%d copies, %v twice", counts.Total, counts.Duplicated)
+		t.Errorf("%d copies sent; copies with two attempts at once: %v", counts.Total, counts.Duplicated)
 	}
 }
 
-// Pressure on the live path, here by requests that wait for a server, drops copies and lets them
-// back.
+// Copies are canceled while the live path is under pressure, here because requests wait for a server.
+// They start again after the pressure has ended.
 func TestShadowYieldsToPressure(t *testing.T) {
 	candidate := scripted.NewModel(t, scripted.ModelBehavior{Stalls: true})
 	s := startShadow(t, host(candidate.Addr), "held = 1000", "held = 1\n grace = \"30ms\"")
 	s.expectServed("q0")
 	scripted.Receive(t, candidate.Started, "a copy")
 	s.live.Set(scripted.ModelBehavior{Status: 503})
-	for _, e := range []string{"Terminating", "Ready"} { // no server: requests are held
+	for _, e := range []string{"Terminating", "Ready"} { // without a server, requests are held
 		s.p.applyServerList(mustList(t, scripted.List(9, false, scripted.ListEntry("s0", s.live.Addr, e))))
 		if e == "Ready" {
 			break
--- a/internal/router/program/sharedbacklog_test.go
+++ b/internal/router/program/sharedbacklog_test.go
@@ -12,8 +12,8 @@
 	"reachspread/internal/testbed/scripted"
 )
 
-// Guards against clients that are reset as the last process of a router ends: the platform holds the
-// listener, so they wait in its backlog for the next process.
+// Guards against connection resets when the last process of a router ends. The platform holds the
+// listener, so clients that connect meanwhile must wait in its backlog for the next process.
 func TestBacklogOutlivesProcesses(t *testing.T) {
 	t.Parallel()
 	p := newSupervisor(t, scripted.NewModel(t, scripted.ModelBehavior{Events: 3}))
--- a/internal/router/program/shutdown_test.go
+++ b/internal/router/program/shutdown_test.go
@@ -10,8 +10,9 @@
 	"reachspread/internal/testbed/scripted"
 )
 
-// Guards against requests that the platform's SIGKILL found without an answer: whatever is open
-// late in the time after SIGTERM gets one, a request that no server has had the advice to come back.
+// Guards against requests that are unanswered when the platform sends SIGKILL. Every request that is
+// still open shortly before SIGKILL must get an answer. A request that was not sent to any server
+// gets one with Retry-After.
 func TestOpenRequestsAreAnsweredBeforeKill(t *testing.T) {
 	t.Parallel()
 	for _, x := range []struct {
@@ -52,7 +53,7 @@
 			}()
 			scripted.AwaitCondition(t, "an accepted request", func() bool { return p.router.Metrics().Open == 1 })
 			sigterm()
-			kill := time.AfterFunc(shutdownGrace+maxCountedDeadline, func() { t.Error("SIGKILL would have come before the exit") })
+			kill := time.AfterFunc(shutdownGrace+maxCountedDeadline, func() { t.Error("the program had not ended when the platform would have sent SIGKILL") })
 			defer kill.Stop()
 			resp := scripted.Receive(t, answers, "an answer")
 			if resp == nil || resp.StatusCode != x.status || resp.Header.Get("Retry-After") != x.retryAfter {
--- a/internal/router/program/stoppedprocess_test.go
+++ b/internal/router/program/stoppedprocess_test.go
@@ -9,10 +9,10 @@
 	"reachspread/internal/testbed/scripted"
 )
 
-// stop is a time for which a process is stopped. Both ends are times after SIGTERM.
+// stop is an interval during which a process is stopped. Both ends are relative to SIGTERM.
 type stop struct{ from, until time.Duration }
 
-// stopsInBursts are stops one after another, for four fifths of the time until the end.
+// stopsInBursts returns periodic stops that together take four fifths of the time until end.
 func stopsInBursts(end time.Duration) (stops []stop) {
 	const period = 500 * time.Millisecond
 	for from := time.Duration(0); from < end; from += period {
@@ -21,8 +21,8 @@
 	return stops
 }
 
-// Guards against requests that SIGKILL finds without an answer, as the process did not run when
-// their last answers were due, or when SIGTERM came.
+// Guards against requests that are unanswered when the platform sends SIGKILL, because the process
+// was not running when the final answers were due or when SIGTERM arrived.
 func TestOpenRequestsAreAnsweredByStoppedProcess(t *testing.T) {
 	t.Parallel()
 	const killDelay = shutdownGrace + maxCountedDeadline
@@ -38,7 +38,7 @@
 			t.Parallel()
 			host := scripted.NewModel(t, scripted.ModelBehavior{Stalls: true})
 			p := newSupervisor(t, host)
-			p.ln.Close() // the process has a listener of its own
+			p.ln.Close() // the process opens its own listener
 			o := p.start("ROUTER_ACCEPT_FD=").awaitReady()
 			answers := make(chan *http.Response, 1)
 			go func() {
@@ -61,7 +61,8 @@
 	}
 }
 
-// terminate sends SIGTERM, has the process stopped at times around it, and sends SIGKILL.
+// terminate sends SIGTERM, stops and continues the process at the given times, and sends SIGKILL
+// after killDelay.
 func (o *routerProcess) terminate(stops []stop, killDelay time.Duration) {
 	begun := time.Now()
 	if len(stops) > 0 {
--- a/internal/router/program/stored_test.go
+++ b/internal/router/program/stored_test.go
@@ -20,11 +20,11 @@
 	"reachspread/internal/testbed/scripted"
 )
 
-// The files under testdata were written by the code of commit 5bfcc27: WRITE_GOLDEN=1 go test -run
-// Golden. The folder kept is one of a router that was killed: two generations, the requests that
-// were open, its lock, and a file in the making.
+// The code of commit 5bfcc27 wrote the files under testdata, with WRITE_GOLDEN=1 go test -run Golden.
+// The folder testdata/kept is that of a router that was killed: two generations of the snapshot, the
+// open requests, the lock, and an incomplete temporary file.
 
-// goldenSnapshot is what the router of configFile has left in a generation.
+// goldenSnapshot returns the state that the router of configFile saved in a generation.
 func goldenSnapshot(generation int) *snapshot.State {
 	return &snapshot.State{
 		Router: "n1", Zone: "east", Boot: 7, SavedAt: time.Unix(1_800_000_000, 0).UTC(),
@@ -40,7 +40,7 @@
 	}
 }
 
-// goldenFolder copies the folder that was kept, and returns the copy.
+// goldenFolder copies the folder testdata/kept and returns the path of the copy.
 func goldenFolder(t *testing.T) string {
 	t.Helper()
 	encoded := func(s *snapshot.State, generation uint64) []byte {
@@ -64,8 +64,8 @@
 	return folder
 }
 
-// A router takes up what the folder of a life before has, and keeps the next generation beside the
-// younger one, with all that it has learned nothing newer of.
+// A router reads the state in the folder of its previous incarnation. It writes the next generation
+// over the older file, and retains those values for which it has learned nothing newer.
 func TestGoldenFolder(t *testing.T) {
 	folder := goldenFolder(t)
 	d := scripted.NewDiscovery(t, scripted.List(1, true, scripted.ListEntry("s0", "127.0.0.1:9", "Ready")))
@@ -93,7 +93,7 @@
 			break
 		}
 		if time.Now().After(deadline) {
-			t.Fatal("no younger generation is kept")
+			t.Fatal("no newer generation was written in time")
 		}
 	}
 	stop()
@@ -101,33 +101,34 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(goldenSnapshot(41), p.snapshots.previous); diff != "" {
-		t.Errorf("what was there is read as\n%s", diff)
+		t.Errorf("state of the previous incarnation (-want +got):\n%s", diff)
 	}
 	for line := ""; !strings.HasPrefix(line, "snapshot read"); {
 		if line = scripted.Receive(t, lines, "the line of the snapshot"); strings.HasPrefix(line, "snapshot read") && !strings.HasSuffix(line, " work=1.5s") {
-			t.Errorf("what a warm host did is not in %q", line)
+			t.Errorf("the log line %q lacks the measure of a warm host", line)
 		}
 	}
 	if n := p.countUnanswered(goldenFolder(t)); n != 7 {
-		t.Errorf("%d requests count as unanswered", n)
+		t.Errorf("%d requests count as unanswered, want 7", n)
 	}
 	want := goldenSnapshot(41)
-	want.List, want.SavedAt, want.SettingsDigest = got.List, got.SavedAt, got.SettingsDigest // anew
+	want.List, want.SavedAt, want.SettingsDigest = got.List, got.SavedAt, got.SettingsDigest // values of the new process
 	want.Boot, want.Zone, want.Routers = 0, "", got.Routers                                  // there is no fleet view
-	want.Learned.Replicas = got.Learned.Replicas                                             // of hosts that are listed, once the module was asked
+	want.Learned.Replicas = got.Learned.Replicas                                             // depends on whether the balancer was asked before the write; it has only listed hosts
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Errorf("the next generation has\n%s", diff)
+		t.Errorf("next generation (-want +got):\n%s", diff)
 	}
 	if got.SavedAt.IsZero() || len(got.SettingsDigest) != 16 || len(got.List.Servers) != 1 {
-		t.Errorf("the next generation has %+v", got)
+		t.Errorf("the next generation has no time, no settings digest, or not 1 server: %+v", got)
 	}
 	if _, err := os.Stat(filepath.Join(folder, "router.open")); err != nil {
 		t.Error(err)
 	}
 }
 
-// The scribe's record is read as it was written, written the same, and a copy of it is kept unless
-// it is older than the one at hand.
+// The format of the fleet's record does not change: the golden file decodes to the same record, and
+// the record encodes to the same bytes. A router stores a copy of a record unless its token is lower
+// than that of the stored copy.
 func TestGoldenFleetRecord(t *testing.T) {
 	want := Record{Version: 1, Token: 77, Scribe: "r1", At: time.Unix(1_800_000_000, 0).UTC(), List: 12, Settings: "00c0ffee00c0ffee", View: 9, Digest: "0123456789abcdef",
 		Routers: []string{"r1", "r2"}, Largest: 78}
@@ -150,12 +151,12 @@
 		return New(&Config{set: &settings.Settings{Roles: &settings.Roles{Folder: folder}}}, func(string) string { return "" }, "", make(scripted.LogLines, 10))
 	}
 	if highest := newProgram().storeCopy(77, text); highest != 0 {
-		t.Errorf("a record of token %d is at hand", highest)
+		t.Errorf("storing the first copy returned token %d, want 0", highest)
 	}
 	if kept, err := os.ReadFile(filepath.Join(folder, "fleet-record.copy.json")); err != nil || string(kept) != string(text) {
-		t.Errorf("%q, %v", kept, err)
+		t.Errorf("the stored copy is %q, %v; want the record unchanged", kept, err)
 	}
-	if highest := newProgram().storeCopy(76, text); highest != 77 { // another process: what it knows is in the file
-		t.Errorf("an older record is answered with %d", highest)
+	if highest := newProgram().storeCopy(76, text); highest != 77 { // a new process reads the token from the file
+		t.Errorf("storing a record with a lower token returned %d, want 77", highest)
 	}
 }
