--- a/internal/router/program/admission.go
+++ b/internal/router/program/admission.go
@@ -107,7 +107,7 @@
 	}
 }
 
-// copies returns how many descriptors are reserved for copying requests to shadow pools.
+// copyDescriptors returns how many descriptors are reserved for copying requests to shadow pools.
 func (c *Config) copyDescriptors() (n int) {
 	if c.set == nil {
 		return 0
--- a/internal/router/program/exchange_test.go
+++ b/internal/router/program/exchange_test.go
@@ -149,10 +149,10 @@
 	select {
 	case <-o.ended:
 	case <-time.After(scripted.EventTimeout):
-		o.t.Fatalf("waited %v in vain: the exit; its threads are %s", scripted.EventTimeout, threadStates(o.cmd.Process.Pid))
+		o.t.Fatalf("the process has not exited after %v; the states of its threads are %s", scripted.EventTimeout, threadStates(o.cmd.Process.Pid))
 	}
 	if (o.status == 0) != well {
-		o.t.Errorf("the process ended with status %d", o.status)
+		o.t.Errorf("the process ended with unexpected status %d", o.status)
 	}
 }
 
@@ -198,10 +198,10 @@
 	}
 }
 
-// Processes replace each other under load. One replacement dies before it is ready, two replacements
+// Processes replace each other under load. Two replacements end before they are ready, two others
 // follow directly on each other, and the shared folder has a truncated file from an earlier process.
-// Every request is served, none is sent twice at the same time, and each process that is terminated
-// exits with status 0.
+// Every request is served, none has two attempts at the same time, and each process that is
+// terminated exits with status 0.
 func TestProcessIsReplaced(t *testing.T) {
 	hosts := []*scripted.Model{scripted.NewModel(t, scripted.ModelBehavior{Events: 3, EventInterval: 5 * time.Millisecond}), scripted.NewModel(t, scripted.ModelBehavior{Events: 3, EventInterval: 5 * time.Millisecond})}
 	p := newSupervisor(t, hosts...)
@@ -225,7 +225,7 @@
 	}
 	for _, h := range hosts {
 		if counts := h.Counts(); counts.Duplicated != nil {
-			t.Errorf("%v had two attempts out", counts.Duplicated)
+			t.Errorf("requests with two attempts at once: %v", counts.Duplicated)
 		}
 	}
 	fourth.terminateCleanly()
@@ -237,7 +237,7 @@
 	for fd, want := range map[string]string{"3": "ROUTER_ACCEPT_FD: descriptor 3 is no listening socket", "77": "ROUTER_ACCEPT_FD: descriptor 77 is no listening socket", "five": `ROUTER_ACCEPT_FD is "five"`} {
 		o := p.start("ROUTER_ACCEPT_FD=" + fd)
 		if line := scripted.Receive(t, o.log, "a line"); !strings.Contains(line, want) {
-			t.Errorf("%s: got %q, want %q", fd, line, want)
+			t.Errorf("ROUTER_ACCEPT_FD=%s: got the log line %q, want %q", fd, line, want)
 		}
 		o.awaitExit(false)
 	}
@@ -307,7 +307,7 @@
 		t.Errorf("%d new connections to the server, want the connections of the streams to be reused", got)
 	}
 	if counts := host.Counts(); counts.Duplicated != nil {
-		t.Errorf("%v had two attempts out", counts.Duplicated)
+		t.Errorf("requests with two attempts at once: %v", counts.Duplicated)
 	}
 	host.Set(scripted.ModelBehavior{Events: 5, Gate: hold})
 	last := open("last")
@@ -548,7 +548,7 @@
 	io.WriteString(c, line+"\n")
 	text, err := io.ReadAll(c)
 	if err != nil {
-		t.Fatalf("%q: %v", line, err)
+		t.Fatalf("management call %q: %v", line, err)
 	}
 	return string(text)
 }
--- a/internal/router/program/measure_test.go
+++ b/internal/router/program/measure_test.go
@@ -60,7 +60,7 @@
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "reachspread")
 	if out, err := exec.Command("go", "build", "-o", path, "reachspread/cmd/reachspread").CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, out)
+		t.Fatalf("building the router: %v: %s", err, out)
 	}
 	return path
 }
--- a/internal/router/program/phases.go
+++ b/internal/router/program/phases.go
@@ -26,7 +26,7 @@
 const (
 	acceptNone      acceptSource = iota
 	acceptExclusive              // only from a listener that no other process has: no other process could accept there
-	acceptShared                 // also from an inherited listener: another process accepts the clients that this one cannot
+	acceptShared                 // also from an inherited listener: another process accepts the clients that this one cannot accept
 )
 
 // phasePolicy is how a phase treats clients. No other code decides any of this.
--- a/internal/router/program/shadow_test.go
+++ b/internal/router/program/shadow_test.go
@@ -200,7 +200,7 @@
 			return err
 		}
 		if err := schema.Validate(doc); err != nil {
-			return fmt.Errorf("%s: %w", line, err)
+			return fmt.Errorf("record %s does not match the schema: %w", line, err)
 		}
 		if found[r.ID] != nil {
 			return fmt.Errorf("request %s has two records", r.ID)
@@ -243,20 +243,20 @@
 	}
 	st := s.awaitStatus("it is recorded", func(st mirror.Status) bool { return st.Recorded == 1 })
 	if st.Times["chat"].Count != 1 || st.BodyBytes != 0 || st.Out != 0 {
-		t.Errorf("%+v", st)
+		t.Errorf("wrong pool status after one copy: %+v", st)
 	}
 	if counts := s.live.Counts(); counts.Total != 1 {
 		t.Errorf("the live host had %d attempts, want 1", counts.Total)
 	}
 	got := s.records()["q1"]
 	if got == nil || got.Comparison == nil || got.Live.FirstByteMs == nil || got.Live.QueuedMs == nil || *got.Live.QueuedMs > *got.Live.FirstByteMs || got.Copy.TotalMs == nil || got.Live.Digest == got.Copy.Digest {
-		t.Fatalf("%+v", got)
+		t.Fatalf("the record lacks its comparison, or has wrong times or digests: %+v", got)
 	}
 	if diff := cmp.Diff(&records.Comparison{Text: "differs", Similarity: 0, SameFinish: false}, got.Comparison); diff != "" {
 		t.Error(diff)
 	}
 	if got.Tenant != "partner" || got.Live.Host != "s0" || got.Copy.Host != "c0" || *got.Live.Tokens != 10 || got.Copy.Tokens != nil || *got.Live.CachedTokens != 3 {
-		t.Errorf("%+v", got)
+		t.Errorf("the record has a wrong tenant, host or token count: %+v", got)
 	}
 	text, err := json.Marshal(got)
 	if err != nil || bytes.Contains(text, []byte("oqvh")) || bytes.Contains(text, []byte("stream")) {
@@ -271,7 +271,7 @@
 	r := s.records()["prompt"]
 	words := strings.Join(scripted.Tokens("prompt", scripted.ModelBehavior{}), "")
 	if r.Body != "prompt" || r.Live.Text != words || r.Copy.Text != words+"x" || r.Comparison.Similarity != 0.9 {
-		t.Errorf("%+v %+v", r, r.Comparison)
+		t.Errorf("wrong texts in record %+v with comparison %+v", r, r.Comparison)
 	}
 }
 
@@ -302,7 +302,7 @@
 			}
 			st := s.awaitStatus("nothing is out", func(st mirror.Status) bool { return st.Out+st.Pairing == 0 })
 			if (st.Health == "down") != tt.down {
-				t.Errorf("%+v", st)
+				t.Errorf("wrong health in pool status %+v", st)
 			}
 			if counts := s.live.Counts(); counts.Total != 3 || counts.Duplicated != nil {
 				t.Errorf("%d live attempts, want 3; requests with two attempts at once: %v", counts.Total, counts.Duplicated)
@@ -402,7 +402,7 @@
 	scripted.Send(t, hold, true)
 	st := s.awaitStatus("the copy that was out is compared", func(st mirror.Status) bool { return st.Out == 0 && st.Pairing == 0 })
 	if st.Compared != st.Started {
-		t.Errorf("%+v", st)
+		t.Errorf("not all started copies were compared: %+v", st)
 	}
 	if counts := c0.Counts(); counts.Total != 1 {
 		t.Errorf("the draining host had %d copies, want only the first one", counts.Total)
@@ -440,7 +440,7 @@
 			<-answered
 			s.awaitStatus("the copy was ended", func(st mirror.Status) bool { return st.Recorded == 1 && st.Ended[shadow.NoLiveAnswer] == 1 })
 			if r := s.records()["q"]; r.Cause != string(shadow.NoLiveAnswer) || r.Comparison != nil || r.Live.Outcome == "whole" {
-				t.Errorf("%+v", r)
+				t.Errorf("wrong record of a copy without a live answer: %+v", r)
 			}
 		})
 	}
@@ -490,7 +490,7 @@
 	s.expectServed("q1")
 	st := s.awaitStatus("the share is 0", func(st mirror.Status) bool { return st.Share == 0 && st.Caps.Out == 7 })
 	if st.Offered != 1 || st.Out != 1 {
-		t.Errorf("%+v", st)
+		t.Errorf("want 1 copy offered and in flight with a share of 0: %+v", st)
 	}
 	scripted.Send(t, hold, true)
 	s.awaitStatus("the copy went on", func(st mirror.Status) bool { return st.Compared == 1 })
@@ -506,7 +506,7 @@
 	s.awaitStatus("another pool has its place", func(st mirror.Status) bool { return st.Pool == "other" && st.Out == 1 })
 	got := s.records()
 	if got["q0"].Cause != "" || got["q2"].Cause != string(shadow.Closing) || got["q3"].Pool != "other" || len(got) != 3 {
-		t.Errorf("%+v", got)
+		t.Errorf("wrong records after the reloads: %+v", got)
 	}
 }
 
@@ -543,7 +543,7 @@
 		t.Error(err)
 	}
 	if r := s.records()["q"]; r.Cause != string(shadow.Closing) || r.Live.Outcome != "open" {
-		t.Errorf("%+v", r)
+		t.Errorf("wrong record of a copy canceled by SIGTERM: %+v", r)
 	}
 }
 
@@ -560,12 +560,12 @@
 	}
 	st := s.awaitStatus("all were offered and four are out", func(st mirror.Status) bool { return st.Offered == 10 && st.Waiting == 0 })
 	if st.Started != 4 || st.Dropped[shadow.OverBytes] != 6 || st.BodyBytes != 1<<20 {
-		t.Errorf("%+v", st)
+		t.Errorf("want 4 copies started, 6 dropped and 1 MiB of bodies held: %+v", st)
 	}
 }
 
 // If the folder of the records cannot be written, the router loses records and logs this once. It
-// continues to serve requests.
+// continues to serve requests, and writes records again when the folder is writable.
 func TestShadowRecordFolderFails(t *testing.T) {
 	s := startShadow(t, host(scripted.NewModel(t, scripted.ModelBehavior{}).Addr))
 	folder := filepath.Join(s.dir, "records")
@@ -576,7 +576,7 @@
 	s.awaitStatus("all are recorded", func(st mirror.Status) bool { return st.Recorded == 3 })
 	s.expectLog("shadow records lost cause=")
 	if r := s.status().Records; r.Failing == "" || r.Written != 0 {
-		t.Errorf("%+v", r)
+		t.Errorf("want a failure and no record written: %+v", r)
 	}
 	if len(s.lines) > 0 {
 		t.Errorf("unexpected log line: %s", <-s.lines)
--- a/internal/router/program/stored_test.go
+++ b/internal/router/program/stored_test.go
@@ -114,7 +114,7 @@
 	want := goldenSnapshot(41)
 	want.List, want.SavedAt, want.SettingsDigest = got.List, got.SavedAt, got.SettingsDigest // values of the new process
 	want.Boot, want.Zone, want.Routers = 0, "", got.Routers                                  // there is no fleet view
-	want.Learned.Replicas = got.Learned.Replicas                                             // depends on whether the balancer was asked before the write; it has only listed hosts
+	want.Learned.Replicas = got.Learned.Replicas                                             // values of listed hosts, present only after the balancer was asked for what it learned
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("next generation (-want +got):\n%s", diff)
 	}
