--- a/internal/router/program/reload.go
+++ b/internal/router/program/reload.go
@@ -23,11 +23,11 @@
 	if err != nil {
 		return nil, err
 	}
-	var was, is any
-	if err := errors.Join(json.Unmarshal(force.text, &was), json.Unmarshal(c.text, &is)); err != nil {
+	var oldValue, newValue any
+	if err := errors.Join(json.Unmarshal(force.text, &oldValue), json.Unmarshal(c.text, &newValue)); err != nil {
 		return nil, err // not expected, because Load has parsed both texts
 	}
-	if err := checkComplete("", was, is); err != nil {
+	if err := checkComplete("", oldValue, newValue); err != nil {
 		return nil, err
 	}
 	limits := c.Settings.Limits
@@ -42,35 +42,35 @@
 	return c, nil
 }
 
-// checkComplete returns an error for the first key of was that is lacks, or has with a value of
-// another kind. Each element of a list in is must have the keys that all elements of the list in was
-// have in common.
-func checkComplete(path string, was, is any) error {
-	if fmt.Sprintf("%T", was) != fmt.Sprintf("%T", is) && was != nil {
-		return fmt.Errorf("%s is %s; it was %s", path, kindOf(is), kindOf(was))
+// checkComplete compares two JSON values. It returns an error for the first key of the old value that
+// the new value lacks, or has with a value of another kind. Each element of a new list must have the
+// keys that all elements of the old list have in common.
+func checkComplete(path string, oldValue, newValue any) error {
+	if fmt.Sprintf("%T", oldValue) != fmt.Sprintf("%T", newValue) && oldValue != nil {
+		return fmt.Errorf("%s is %s; it was %s", path, kindOf(newValue), kindOf(oldValue))
 	}
-	switch was := was.(type) {
+	switch oldValue := oldValue.(type) {
 	case map[string]any:
-		is := is.(map[string]any)
-		for _, key := range slices.Sorted(maps.Keys(was)) {
+		newValue := newValue.(map[string]any)
+		for _, key := range slices.Sorted(maps.Keys(oldValue)) {
 			at := key
 			if path != "" {
 				at = path + "." + key
 			}
-			value, ok := is[key]
+			value, ok := newValue[key]
 			if !ok {
 				return fmt.Errorf("%s is missing", at)
 			}
-			if err := checkComplete(at, was[key], value); err != nil {
+			if err := checkComplete(at, oldValue[key], value); err != nil {
 				return err
 			}
 		}
 	case []any:
-		if len(was) == 0 {
+		if len(oldValue) == 0 {
 			return nil
 		}
-		for i, part := range is.([]any) {
-			if err := checkComplete(fmt.Sprintf("%s[%d]", path, i), commonKeys(was), part); err != nil {
+		for i, part := range newValue.([]any) {
+			if err := checkComplete(fmt.Sprintf("%s[%d]", path, i), commonKeys(oldValue), part); err != nil {
 				return err
 			}
 		}
--- a/internal/router/program/shutdown.go
+++ b/internal/router/program/shutdown.go
@@ -17,9 +17,9 @@
 	// minFinalAnswerMargin is the minimum time between the final answers of all requests and
 	// SIGKILL. The process still has to write these answers, and may have to wait for a processor.
 	minFinalAnswerMargin = 300 * time.Millisecond
-	// maxMarginShare is the divisor of the counted deadline that gives the margin before SIGKILL. If
+	// marginDivisor is the divisor of the counted deadline that gives the margin before SIGKILL. If
 	// the process has been scheduled late, the margin grows by the delay, up to the same share.
-	maxMarginShare = 5
+	marginDivisor = 5
 	// finalAnswersInterval is the time between two checks of how late the process is scheduled.
 	finalAnswersInterval = 50 * time.Millisecond
 )
@@ -79,7 +79,7 @@
 		longest = max(longest, c.balance.Classes[i].Deadline)
 	}
 	counted := min(longest, maxCountedDeadline)
-	share := counted / maxMarginShare
+	share := counted / marginDivisor
 	margin := max(share, minFinalAnswerMargin) + min(late, share)
 	return shutdownGrace + max(counted-margin, 0)
 }
