--- a/internal/router/program/reload.go
+++ b/internal/router/program/reload.go
@@ -9,9 +9,10 @@
 	"time"
 )
 
-// Reload reads the file anew. It may name another discovery than the environment, which is as it
-// was at the start. The file must have every key of the one in force: nothing is taken of one that
-// lacks a key.
+// Reload reads the configuration file again and returns the new configuration. ROUTER_DISCOVERY does
+// not override the file here, because the environment does not change after the start and a reload
+// may change the address of discovery. The file must have every key of the file in force; otherwise
+// Reload returns an error.
 func Reload(getenv func(string) string, force *Config) (*Config, error) {
 	c, err := Load(func(name string) string {
 		if name == "ROUTER_DISCOVERY" {
@@ -22,11 +23,11 @@
 	if err != nil {
 		return nil, err
 	}
-	var was, is any
-	if err := errors.Join(json.Unmarshal(force.text, &was), json.Unmarshal(c.text, &is)); err != nil {
-		return nil, err // Load has read both before
+	var oldValue, newValue any
+	if err := errors.Join(json.Unmarshal(force.text, &oldValue), json.Unmarshal(c.text, &newValue)); err != nil {
+		return nil, err // not expected, because Load has parsed both texts
 	}
-	if err := checkComplete("", was, is); err != nil {
+	if err := checkComplete("", oldValue, newValue); err != nil {
 		return nil, err
 	}
 	limits := c.Settings.Limits
@@ -41,34 +42,35 @@
 	return c, nil
 }
 
-// checkComplete returns an error for the first key that was in force and that a file lacks, or has
-// with a value of another kind. Each element of a list must have what all elements had.
-func checkComplete(path string, was, is any) error {
-	if fmt.Sprintf("%T", was) != fmt.Sprintf("%T", is) && was != nil {
-		return fmt.Errorf("%s is %s; it was %s", path, kindOf(is), kindOf(was))
+// checkComplete compares two JSON values. It returns an error for the first key of the old value that
+// the new value lacks, or has with a value of another kind. Each element of a new list must have the
+// keys that all elements of the old list have in common.
+func checkComplete(path string, oldValue, newValue any) error {
+	if fmt.Sprintf("%T", oldValue) != fmt.Sprintf("%T", newValue) && oldValue != nil {
+		return fmt.Errorf("%s is %s; it was %s", path, kindOf(newValue), kindOf(oldValue))
 	}
-	switch was := was.(type) {
+	switch oldValue := oldValue.(type) {
 	case map[string]any:
-		is := is.(map[string]any)
-		for _, key := range slices.Sorted(maps.Keys(was)) {
+		newValue := newValue.(map[string]any)
+		for _, key := range slices.Sorted(maps.Keys(oldValue)) {
 			at := key
 			if path != "" {
 				at = path + "." + key
 			}
-			value, ok := is[key]
+			value, ok := newValue[key]
 			if !ok {
 				return fmt.Errorf("%s is missing", at)
 			}
-			if err := checkComplete(at, was[key], value); err != nil {
+			if err := checkComplete(at, oldValue[key], value); err != nil {
 				return err
 			}
 		}
 	case []any:
-		if len(was) == 0 {
+		if len(oldValue) == 0 {
 			return nil
 		}
-		for i, part := range is.([]any) {
-			if err := checkComplete(fmt.Sprintf("%s[%d]", path, i), commonKeys(was), part); err != nil {
+		for i, part := range newValue.([]any) {
+			if err := checkComplete(fmt.Sprintf("%s[%d]", path, i), commonKeys(oldValue), part); err != nil {
 				return err
 			}
 		}
@@ -76,8 +78,8 @@
 	return nil
 }
 
-// commonKeys is what all elements of a list have: the keys of objects, with what the first one has
-// there, or else the first.
+// commonKeys returns the keys that all elements of a list have, with their values in the first
+// element. If the first element is not an object, commonKeys returns that element.
 func commonKeys(values []any) any {
 	first, ok := values[0].(map[string]any)
 	if !ok {
@@ -91,7 +93,7 @@
 	return keys
 }
 
-// kindOf names what a value is.
+// kindOf names the kind of a JSON value in error messages.
 func kindOf(v any) string {
 	switch v.(type) {
 	case nil:
@@ -108,7 +110,8 @@
 	return "a number"
 }
 
-// applySettings puts the settings of a good file in force, in one event to the core.
+// applySettings puts the settings of a valid configuration in force. The core receives them in a
+// single event.
 func (p *Program) applySettings(c *Config) {
 	p.inForce.Store(c)
 	p.router.Reconfigure(c.balance)
--- a/internal/router/program/sharedbacklog_test.go
+++ b/internal/router/program/sharedbacklog_test.go
@@ -12,17 +12,17 @@
 	"reachspread/internal/testbed/scripted"
 )
 
-// Guards against clients that are reset as the last process of a router ends: the platform holds the
-// listener, so they wait in its backlog for the next process.
+// Guards against connection resets when the last process of a router ends. The platform holds the
+// listener, so clients that connect meanwhile must wait in its backlog for the next process.
 func TestBacklogOutlivesProcesses(t *testing.T) {
 	t.Parallel()
-	p := newPlatform(t, scripted.NewModel(t, scripted.ModelBehavior{Events: 3}))
-	processes := []*one{p.start().yes(), p.start().yes()}
+	p := newSupervisor(t, scripted.NewModel(t, scripted.ModelBehavior{Events: 3}))
+	processes := []*routerProcess{p.start().awaitReady(), p.start().awaitReady()}
 	for _, o := range processes {
 		o.cmd.Process.Signal(syscall.SIGTERM)
 	}
 	for _, o := range processes {
-		o.until("phase name=finishing")
+		o.awaitLog("phase name=finishing")
 	}
 	client, err := net.Dial("tcp", p.addr)
 	if err != nil {
@@ -34,9 +34,9 @@
 		t.Fatal(err)
 	}
 	for _, o := range processes {
-		o.exit(true)
+		o.awaitExit(true)
 	}
-	p.start().yes()
+	p.start().awaitReady()
 	resp, err := http.ReadResponse(bufio.NewReader(client), nil)
 	if err != nil {
 		t.Fatal(err)
