--- a/internal/transport/accept.go
+++ b/internal/transport/accept.go
@@ -19,7 +19,7 @@
 	// clients that will be served next.
 	minAcceptBurst   = 64
 	maxAcceptBurst   = 256
-	acceptPause      = 200 * time.Microsecond
+	acceptDelay      = 200 * time.Microsecond
 	acceptRetryDelay = time.Millisecond // pause after a connection error, and before asking admission again when it can't make room yet
 )
 
@@ -79,7 +79,7 @@
 		if l.rejectedInBurst >= l.burst {
 			l.rejectedInBurst = 0
 			l.burst = min(2*l.burst, maxAcceptBurst)
-			time.Sleep(acceptPause)
+			time.Sleep(acceptDelay)
 		}
 		fd, from, err := l.accept()
 		switch {
--- a/internal/transport/clientread.go
+++ b/internal/transport/clientread.go
@@ -62,14 +62,14 @@
 	}
 	var available int
 	var failed error
-	tryPeek := func(fd uintptr) (done bool) {
+	peek := func(fd uintptr) (done bool) {
 		available, failed = c.peekRequest(int(fd), p)
 		return failed != syscall.EAGAIN
 	}
 	if len(c.readAhead) > 0 { // no need to wait: some bytes are there already
-		err = raw.Control(func(fd uintptr) { tryPeek(fd) })
+		err = raw.Control(func(fd uintptr) { peek(fd) })
 	} else {
-		err = raw.Read(tryPeek)
+		err = raw.Read(peek)
 	}
 	if err = cmp.Or(err, failed); err != nil {
 		return 0, err
