--- a/cmd/drill/main_test.go
+++ b/cmd/drill/main_test.go
@@ -12,7 +12,7 @@
 	`"streaming":true}],"limits":{"maxAttempts":3},"quantumNs":1000000}}},{"peersKnown":{"i":0,"mode":"disk",` +
 	`"epoch":1,"members":[{"hall":"x","stageState":"SERVING","nominal":1,"machine":"m","replica":"r:1"}]}}]}`
 
-func talk(t *testing.T, lines ...string) ([]string, error) {
+func exchange(t *testing.T, lines ...string) ([]string, error) {
 	t.Helper()
 	var out bytes.Buffer
 	err := serve(strings.NewReader(strings.Join(lines, "\n")+"\n"), &out)
@@ -20,7 +20,7 @@
 }
 
 func TestRequestLife(t *testing.T) {
-	got, err := talk(t,
+	got, err := exchange(t,
 		`{"simTimeNs":1000,"msgs":[]}`,
 		launchLine,
 		`{"simTimeNs":2000,"msgs":[{"arrival":{"i":0,"txn":"q1","service":"s","patienceLeftNs":2000000000,"nPrompt":10}}]}`,
@@ -54,7 +54,7 @@
 			`services[0].group is "odd"`},
 	}
 	for _, tt := range tests {
-		out, err := talk(t, launchLine, tt.line)
+		out, err := exchange(t, launchLine, tt.line)
 		if err == nil || !strings.Contains(err.Error(), tt.want) || !strings.Contains(err.Error(), "line 2") {
 			t.Errorf("%s: want an error with %q and the line, got %v", tt.name, tt.want, err)
 		}
@@ -78,7 +78,7 @@
 	if b.Len() < 2<<20 {
 		t.Fatalf("the batch has only %d bytes", b.Len())
 	}
-	out, err := talk(t, launchLine, b.String())
+	out, err := exchange(t, launchLine, b.String())
 	if err != nil || len(out) != 2 {
 		t.Fatalf("%d replies, error %v", len(out), err)
 	}
@@ -90,7 +90,7 @@
 // An instance that starts again in the batch that killed it has forgotten everything.
 func TestRestartInOneBatch(t *testing.T) {
 	launch := strings.TrimSuffix(strings.TrimPrefix(launchLine, `{"simTimeNs":1000,"msgs":[`), `]}`)
-	got, err := talk(t, launchLine,
+	got, err := exchange(t, launchLine,
 		`{"simTimeNs":2000,"msgs":[{"arrival":{"i":0,"txn":"q1","service":"s","patienceLeftNs":2000000000,"nPrompt":10}},`+
 			`{"killed":{"i":0}},`+launch+`,{"arrival":{"i":0,"txn":"q2","service":"s","patienceLeftNs":2000000000,"nPrompt":10}}]}`)
 	if err != nil || len(got) != 2 || strings.Contains(got[1], "q1") || !strings.Contains(got[1], `"txn":"q2"`) {
@@ -108,7 +108,7 @@
 // The simulator's clients hear from the adapter, too, when to come back.
 func TestRefusalPassesOnItsTime(t *testing.T) {
 	launch := strings.Replace(launchLine, `"maxAttempts":3`, `"maxAttempts":3,"retryAfter":true,"maxRetryAfterNs":30000000`, 1)
-	got, err := talk(t, launch,
+	got, err := exchange(t, launch,
 		`{"simTimeNs":2000,"msgs":[{"arrival":{"i":0,"txn":"q1","service":"unknown","patienceLeftNs":2000000000}}]}`)
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/reachlab/main.go
+++ b/cmd/reachlab/main.go
@@ -51,7 +51,7 @@
 			return err
 		}
 		bar := progressbar.NewOptions(x.Worlds(), progressbar.OptionSetWriter(cmd.ErrOrStderr()), progressbar.OptionSetDescription(x.Name),
-			progressbar.OptionSetVisibility(terminal(cmd.ErrOrStderr())), progressbar.OptionClearOnFinish())
+			progressbar.OptionSetVisibility(isTerminal(cmd.ErrOrStderr())), progressbar.OptionClearOnFinish())
 		started := time.Now()
 		var events uint64
 		runs, err := x.Play(cmd.Context(), *atOnce, func(r *experiment.Run) {
@@ -79,7 +79,7 @@
 }
 
 // terminal tells whether somebody looks at what is written.
-func terminal(w any) bool {
+func isTerminal(w any) bool {
 	f, ok := w.(*os.File)
 	if !ok {
 		return false
@@ -246,7 +246,7 @@
 	keep := c.Flags().Bool("keep", false, "leave all up until Ctrl-C, and print how to ask it with curl")
 	logs := c.Flags().Bool("logs", false, "print the router's log lines, too")
 	c.RunE = func(cmd *cobra.Command, _ []string) error {
-		o := demo.Options{Out: cmd.OutOrStdout(), Live: terminal(cmd.OutOrStdout()) && !*logs, Length: *length, StayUp: *keep}
+		o := demo.Options{Out: cmd.OutOrStdout(), Live: isTerminal(cmd.OutOrStdout()) && !*logs, Length: *length, StayUp: *keep}
 		if *logs {
 			o.Log = cmd.ErrOrStderr()
 		}
--- a/cmd/reachlab/soak.go
+++ b/cmd/reachlab/soak.go
@@ -13,7 +13,7 @@
 
 const (
 	soakNetwork = "127.81.0"
-	mostRouters = 250 // the addresses of a network
+	maxRouters = 250 // the addresses of a network
 )
 
 // errFindings says that a play found something.
@@ -37,8 +37,8 @@
 	c.Flags().StringSliceVar(&o.Executable, "router", nil, "the `program` that runs a router, with its arguments; this one without it")
 	events := c.Flags().Bool("events", false, "print each event")
 	c.RunE = func(cmd *cobra.Command, _ []string) error {
-		if o.Routers > mostRouters || o.Routers < o.Disks || o.Clients < 1 {
-			return fmt.Errorf("soak: routers must be %d at most and not fewer than disks, clients above 0", mostRouters)
+		if o.Routers > maxRouters || o.Routers < o.Disks || o.Clients < 1 {
+			return fmt.Errorf("soak: routers must be %d at most and not fewer than disks, clients above 0", maxRouters)
 		}
 		if len(o.Executable) == 0 {
 			self, err := os.Executable()
--- a/cmd/reachlab/sockets_test.go
+++ b/cmd/reachlab/sockets_test.go
@@ -17,7 +17,7 @@
 	"reachspread/internal/testbed/scripted"
 )
 
-const small = `seeds = 1
+const smallExperiment = `seeds = 1
 length = "2s"
 group "g" {
   hosts = 2
@@ -53,8 +53,8 @@
 func TestFleetRouterAndLoad(t *testing.T) {
 	dir := t.TempDir()
 	in := func(name string) string { return filepath.Join(dir, name) }
-	for name, text := range map[string]string{"x.hcl": small, "settings.hcl": fmt.Sprintf("capture {\n file = %q\n}\n", in("c.ndjson")),
-		"again.hcl": strings.Replace(small, "seeds = 1", "seeds = 2\ncaptured = \"c.ndjson\"", 1)} {
+	for name, text := range map[string]string{"x.hcl": smallExperiment, "settings.hcl": fmt.Sprintf("capture {\n file = %q\n}\n", in("c.ndjson")),
+		"again.hcl": strings.Replace(smallExperiment, "seeds = 1", "seeds = 2\ncaptured = \"c.ndjson\"", 1)} {
 		if err := os.WriteFile(in(name), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -140,7 +140,7 @@
 		return path
 	}
 	head := `{"capture":1,"from":"2026-01-02T03:04:05Z"}` + "\n"
-	x := write("x.hcl", small)
+	x := write("x.hcl", smallExperiment)
 	for _, tt := range []struct {
 		args []string
 		want string
@@ -150,9 +150,9 @@
 		{[]string{"load", x, "--capture", write("a", head)}, "a:1: holds no request"},
 		{[]string{"load", x, "--capture", write("b", head+`{"at_ns":1,"class":"odd","session":"s","prompt":1,"left_ns":1}`+"\n")}, `b:2: class "odd" is none of the experiment's`},
 		{[]string{"load", x, "--capture", write("c", head+`{"at_ns":1,`)}, "c:2: the line is cut off"},
-		{[]string{"run", write("d.hcl", strings.Replace(small, "seeds = 1", "seeds = 1\ncaptured = \"gone\"", 1))}, "gone: no such file"},
-		{[]string{"check", write("e.hcl", strings.Replace(small, `fault "kill"`, `fault "odd"`, 1))}, `e.hcl:14: fault "odd" is unknown`},
-		{[]string{"check", write("f.hcl", strings.Replace(small, `[1]`, `["a"]`, 1))}, "f.hcl:17: hosts must be a list of whole numbers, from 0"},
+		{[]string{"run", write("d.hcl", strings.Replace(smallExperiment, "seeds = 1", "seeds = 1\ncaptured = \"gone\"", 1))}, "gone: no such file"},
+		{[]string{"check", write("e.hcl", strings.Replace(smallExperiment, `fault "kill"`, `fault "odd"`, 1))}, `e.hcl:14: fault "odd" is unknown`},
+		{[]string{"check", write("f.hcl", strings.Replace(smallExperiment, `[1]`, `["a"]`, 1))}, "f.hcl:17: hosts must be a list of whole numbers, from 0"},
 		{[]string{"serve-fleet", x, "--config", x}, "file exists"},
 	} {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
--- a/cmd/reachspread/control_processes_test.go
+++ b/cmd/reachspread/control_processes_test.go
@@ -21,10 +21,10 @@
 
 const (
 	operators     = 3
-	operatorPause = 30 * time.Millisecond // between two calls of one
-	orderFor      = 20 * time.Second      // then an order's outcome counts as unknown
-	callFor       = 1500 * time.Millisecond
-	judgeFor      = 30 * time.Second
+	operatorInterval = 30 * time.Millisecond // between two calls of one
+	orderTimeout      = 20 * time.Second      // then an order's outcome counts as unknown
+	callTimeout       = 1500 * time.Millisecond
+	checkTimeout      = 30 * time.Second
 	manyChanges   = 80
 	versionStep   = 10 // versions on top of one version: each operator has its own
 )
@@ -32,10 +32,10 @@
 // configurationCall is one call of an operator, as a checker of histories has it.
 type configurationCall struct {
 	write         bool
-	on, next      int // of a write: the version it builds on, and its own
+	base, next      int // of a write: the version it builds on, and its own
 	began, ended  time.Duration
 	version       int // of a read: what was read
-	taken, refuse bool
+	accepted, rejected bool
 	operator      int
 }
 
@@ -48,16 +48,16 @@
 		switch {
 		case !c.write:
 			return c.version == version, version
-		case c.taken:
-			return c.on == version, c.next
+		case c.accepted:
+			return c.base == version, c.next
 		}
-		return c.on != version, version
+		return c.base != version, version
 	},
 }
 
 // configurationHistory is what all operators saw.
 type configurationHistory struct {
-	begun time.Time
+	started time.Time
 	mu    sync.Mutex
 	calls []*configurationCall
 	acked int // the newest version that was acknowledged
@@ -67,7 +67,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.calls = append(h.calls, c)
-	if c.taken {
+	if c.accepted {
 		h.acked = max(h.acked, c.next)
 	}
 }
@@ -85,7 +85,7 @@
 	seen := map[int]bool{}
 	for _, c := range h.calls {
 		if c.write {
-			seen[c.on] = true
+			seen[c.base] = true
 		} else {
 			seen[c.version] = true
 		}
@@ -93,15 +93,15 @@
 	var all []porcupine.Operation
 	for _, c := range h.calls {
 		ended := int64(c.ended)
-		if c.write && !c.taken && !c.refuse {
+		if c.write && !c.accepted && !c.rejected {
 			if !seen[c.next] {
 				continue
 			}
-			c.taken, ended = true, math.MaxInt64
+			c.accepted, ended = true, math.MaxInt64
 		}
 		all = append(all, porcupine.Operation{ClientId: c.operator, Input: c, Call: int64(c.began), Return: ended})
 	}
-	return porcupine.CheckOperationsTimeout(configurationModel, all, judgeFor)
+	return porcupine.CheckOperationsTimeout(configurationModel, all, checkTimeout)
 }
 
 // operate calls as one operator until ctx ends: it reads, and writes on top of what it read.
@@ -118,16 +118,16 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(operatorPause):
+		case <-time.After(operatorInterval):
 		}
 	}
 }
 
 // read reads the version in force, nil without a clear answer.
 func (f *processes) read(ctx context.Context, h *configurationHistory, operator int, rng *rand.Rand) *configurationCall {
-	c := &configurationCall{operator: operator, began: time.Since(h.begun)}
+	c := &configurationCall{operator: operator, began: time.Since(h.started)}
 	code, text := f.callControl(ctx, rng.IntN(f.Len()), http.MethodGet, "", -1)
-	c.ended = time.Since(h.begun)
+	c.ended = time.Since(h.started)
 	if code != http.StatusOK {
 		return nil
 	}
@@ -145,26 +145,26 @@
 func (f *processes) write(ctx context.Context, h *configurationHistory, operator, on int, rng *rand.Rand) *configurationCall {
 	next := (on/versionStep+1)*versionStep + operator
 	body := fmt.Sprintf(`{"version":%d,"routes":[{"name":"r","host":"h.example","pathPrefix":"/","kind":"safe","timeoutMs":%d,"service":"s"}],"services":[{"name":"s"}]}`, next, 1000+next)
-	c := &configurationCall{write: true, operator: operator, on: on, next: next, began: time.Since(h.begun)}
-	for until := time.Now().Add(orderFor); time.Now().Before(until) && ctx.Err() == nil; {
+	c := &configurationCall{write: true, operator: operator, base: on, next: next, began: time.Since(h.started)}
+	for until := time.Now().Add(orderTimeout); time.Now().Before(until) && ctx.Err() == nil; {
 		code, _ := f.callControl(ctx, rng.IntN(f.Len()), http.MethodPut, body, on)
 		switch code {
 		case http.StatusOK:
-			c.taken = true
+			c.accepted = true
 		case http.StatusPreconditionFailed:
-			c.refuse = true
+			c.rejected = true
 		default:
 			continue
 		}
 		break
 	}
-	c.ended = time.Since(h.begun)
+	c.ended = time.Since(h.started)
 	return c
 }
 
 // callControl makes one call; the code is 0 without an answer.
 func (f *processes) callControl(ctx context.Context, i int, method, body string, on int) (code int, text []byte) {
-	within, cancel := context.WithTimeout(ctx, callFor)
+	within, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	r, err := http.NewRequestWithContext(within, method, "http://"+f.Control(i)+"/configuration", strings.NewReader(body))
 	if err != nil {
@@ -187,13 +187,13 @@
 
 // untilWhole waits until a process that may act for the register says that so many machines of the
 // chain are healthy and complete.
-func (f *processes) untilWhole(machines int) {
+func (f *processes) untilChainHealthy(machines int) {
 	f.t.Helper()
 	tick := time.NewTicker(50 * time.Millisecond)
 	defer tick.Stop()
-	for until := time.Now().Add(playPatience); time.Now().Before(until); <-tick.C {
+	for until := time.Now().Add(scenarioTimeout); time.Now().Before(until); <-tick.C {
 		for i := range f.Len() {
-			if f.HasDisk(i) && f.wholeChain(i) == machines {
+			if f.HasDisk(i) && f.healthyChainLength(i) == machines {
 				return
 			}
 		}
@@ -216,7 +216,7 @@
 
 // register is the register as a process tells of it, nil where it does not answer.
 func (f *processes) register(i int) *status.Register {
-	client := http.Client{Timeout: callFor, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Get("http://" + f.Readiness(i) + status.Path)
 	if err != nil {
 		return nil
@@ -231,7 +231,7 @@
 
 // wholeChain is how many healthy machines the chain has by one that a majority has confirmed of
 // late, 0 by any other one.
-func (f *processes) wholeChain(i int) (healthy int) {
+func (f *processes) healthyChainLength(i int) (healthy int) {
 	r := f.register(i)
 	if r == nil || r.Replica == nil || r.Replica.ConfirmedAgeSeconds == nil {
 		return 0
@@ -252,45 +252,45 @@
 	f := startProcesses(t, 5, 3)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	h := &configurationHistory{begun: time.Now()}
-	f.untilWhole(3)
-	begun := &configurationCall{write: true, next: 1, ended: time.Since(h.begun), taken: true}
-	f.beginWith(ctx, begun)
+	h := &configurationHistory{started: time.Now()}
+	f.untilChainHealthy(3)
+	begun := &configurationCall{write: true, next: 1, ended: time.Since(h.started), accepted: true}
+	f.putFirstConfiguration(ctx, begun)
 	h.add(begun)
 	var group sync.WaitGroup
 	for operator := range operators {
 		group.Go(func() { f.operate(ctx, h, operator+1) })
 	}
-	for _, trouble := range f.troubles() {
+	for _, trouble := range f.faults() {
 		before := h.newest()
-		t.Logf("%v %s, version %d", time.Since(h.begun).Round(time.Millisecond), trouble.name, before)
+		t.Logf("%v %s, version %d", time.Since(h.started).Round(time.Millisecond), trouble.name, before)
 		trouble.begin()
-		f.untilWhole(trouble.leaves)
-		f.untilAcknowledged(h, h.newest()+trouble.changes*versionStep)
+		f.untilChainHealthy(trouble.healthyMachines)
+		f.untilAcknowledged(h, h.newest()+trouble.minChanges*versionStep)
 		trouble.end()
-		f.untilWhole(3)
+		f.untilChainHealthy(3)
 		f.untilAcknowledged(h, before)
 	}
 	f.KillAll()
 	f.must(f.StartAll())
-	f.untilWhole(3)
+	f.untilChainHealthy(3)
 	f.untilAcknowledged(h, h.newest())
 	cancel()
 	group.Wait()
-	f.judge(h)
+	f.checkHistory(h)
 }
 
 // trouble is one thing that goes wrong for a while.
-type trouble struct {
+type fault struct {
 	name       string
-	leaves     int // healthy machines of the chain
+	healthyMachines     int // healthy machines of the chain
 	begin, end func()
-	changes    int // so many at least are made meanwhile, one for 0
+	minChanges    int // so many at least are made meanwhile, one for 0
 }
 
 // troubles are all kinds, at machines of the register by turns and at a router that is none.
-func (f *processes) troubles() []trouble {
-	return []trouble{
+func (f *processes) faults() []fault {
+	return []fault{
 		{"machine 0 is killed", 2, func() { f.Kill(0) }, func() { f.start(0) }, 0},
 		{"machine 1 stands still", 2, func() { f.Freeze(1) }, func() { f.Thaw(1) }, 0},
 		{"machine 2 loses its disk", 2, func() { f.wipe(2) }, func() { f.start(2) }, 0},
@@ -306,10 +306,10 @@
 }
 
 // beginWith sends the first configuration until it is taken.
-func (f *processes) beginWith(ctx context.Context, first *configurationCall) {
+func (f *processes) putFirstConfiguration(ctx context.Context, first *configurationCall) {
 	f.t.Helper()
 	body := fmt.Sprintf(`{"version":%d,"services":[{"name":"s"}]}`, first.next)
-	for until := time.Now().Add(playPatience); time.Now().Before(until); {
+	for until := time.Now().Add(scenarioTimeout); time.Now().Before(until); {
 		if code, _ := f.callControl(ctx, 0, http.MethodPut, body, 0); code == http.StatusOK {
 			return
 		}
@@ -322,7 +322,7 @@
 	f.t.Helper()
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
-	for until := time.Now().Add(playPatience); time.Now().Before(until); <-tick.C {
+	for until := time.Now().Add(scenarioTimeout); time.Now().Before(until); <-tick.C {
 		if h.newest() > after {
 			return
 		}
@@ -331,9 +331,9 @@
 }
 
 // judge reads the register's last word, and has all that was seen checked.
-func (f *processes) judge(h *configurationHistory) {
+func (f *processes) checkHistory(h *configurationHistory) {
 	f.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), playPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), scenarioTimeout)
 	defer cancel()
 	rng := rand.New(rand.NewPCG(0, 1))
 	var last *configurationCall
@@ -353,16 +353,16 @@
 	taken, refused, unknown := 0, 0, 0
 	for _, c := range h.calls {
 		switch {
-		case c.taken && c.ended > 0:
+		case c.accepted && c.ended > 0:
 			taken++
-		case c.refuse:
+		case c.rejected:
 			refused++
 		case c.write:
 			unknown++
 		}
 	}
 	f.t.Logf("%d calls: %d writes taken, %d refused, %d unknown", len(h.calls), taken, refused, unknown)
-	if taken < len(f.troubles()) {
+	if taken < len(f.faults()) {
 		f.t.Error("too few writes to tell")
 	}
 }
@@ -370,7 +370,7 @@
 // Histories that no one register has are found.
 func TestConfigurationChecker(t *testing.T) {
 	write := func(on, next int, began, ended time.Duration, taken bool) *configurationCall {
-		return &configurationCall{write: true, on: on, next: next, began: began, ended: ended, taken: taken, refuse: !taken}
+		return &configurationCall{write: true, base: on, next: next, began: began, ended: ended, accepted: taken, rejected: !taken}
 	}
 	read := func(version int, began, ended time.Duration) *configurationCall {
 		return &configurationCall{version: version, began: began, ended: ended}
@@ -385,8 +385,8 @@
 		{"two on one version", []*configurationCall{write(0, 1, 1, 2, true), write(0, 2, 1, 2, true)}, false},
 		{"refused on the version in force", []*configurationCall{write(0, 1, 1, 2, false)}, false},
 		{"lost", []*configurationCall{write(0, 1, 1, 2, true), write(1, 10, 3, 4, true), read(1, 5, 6)}, false},
-		{"unknown, and seen", []*configurationCall{{write: true, on: 0, next: 1, began: 1}, read(0, 2, 3), read(1, 4, 5)}, true},
-		{"unknown, and gone again", []*configurationCall{{write: true, on: 0, next: 1, began: 1}, read(1, 2, 3), read(0, 4, 5)}, false},
+		{"unknown, and seen", []*configurationCall{{write: true, base: 0, next: 1, began: 1}, read(0, 2, 3), read(1, 4, 5)}, true},
+		{"unknown, and gone again", []*configurationCall{{write: true, base: 0, next: 1, began: 1}, read(1, 2, 3), read(0, 4, 5)}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := &configurationHistory{calls: c.calls}
--- a/cmd/reachspread/failures_test.go
+++ b/cmd/reachspread/failures_test.go
@@ -24,7 +24,7 @@
 	fullWord  = "full"
 )
 
-const readFailures = 10 * time.Millisecond
+const failuresPollInterval = 10 * time.Millisecond
 
 // processFailures is what a file says.
 type processFailures struct {
@@ -65,7 +65,7 @@
 var errFull = errors.New("no space left on device")
 
 // failAsTold has this process fail as a file says, from now on.
-func failAsTold(path string) {
+func injectFailures(path string) {
 	var now atomic.Pointer[processFailures]
 	read := func() {
 		text, _ := os.ReadFile(path)
@@ -73,7 +73,7 @@
 	}
 	read()
 	go func() {
-		for range time.Tick(readFailures) {
+		for range time.Tick(failuresPollInterval) {
 			read()
 		}
 	}()
@@ -84,7 +84,7 @@
 		},
 		BeforeWrite: func() error {
 			for now.Load().stall {
-				time.Sleep(readFailures)
+				time.Sleep(failuresPollInterval)
 			}
 			if now.Load().full {
 				return errFull
--- a/cmd/reachspread/fleet.go
+++ b/cmd/reachspread/fleet.go
@@ -45,7 +45,7 @@
 	for _, l := range lines {
 		switch l.What {
 		case "thrown":
-			fmt.Fprintf(w, "thrown away: %s\n", spaced(l.Fields["why"]))
+			fmt.Fprintf(w, "thrown away: %s\n", underscoresToSpaces(l.Fields["why"]))
 		case "admission":
 			printRecoveryAdmission(w, l.Fields)
 		default:
@@ -55,7 +55,7 @@
 }
 
 func printRecoveryAdmission(w io.Writer, f map[string]string) {
-	admitted := strings.NewReplacer(",", ", ", ":", " ").Replace(spaced(f["admits"]))
+	admitted := strings.NewReplacer(",", ", ", ":", " ").Replace(underscoresToSpaces(f["admits"]))
 	fmt.Fprintf(w, "hosts at %s of their warm capacity; admitted: %s; turned away since the start: %s; hosts of the old list shunned: %s\n",
 		f["warm"], admitted, f["turned"], f["shunned"])
 }
@@ -63,8 +63,8 @@
 func printRecoveryStage(w io.Writer, f map[string]string) {
 	fmt.Fprintf(w, "stage %s for %s ms, up for %s ms", f["stage"], f["for_ms"], f["up_ms"])
 	if f["waits"] != noneText {
-		fmt.Fprintf(w, "; waits until %s", spaced(f["waits"]))
+		fmt.Fprintf(w, "; waits until %s", underscoresToSpaces(f["waits"]))
 	}
 	fmt.Fprintf(w, "\npower lost by: %s (%s of %s others heard)\nlast life: %s, its list used: %s, snapshots written since: %s\n",
-		spaced(f["loss"]), f["heard"], f["asked"], f["last_life"], f["old_list"], f["snapshots"])
+		underscoresToSpaces(f["loss"]), f["heard"], f["asked"], f["last_life"], f["old_list"], f["snapshots"])
 }
--- a/cmd/reachspread/fleetduties.go
+++ b/cmd/reachspread/fleetduties.go
@@ -119,10 +119,10 @@
 		case "duty":
 			printHeadingOnce(l.What, "duty\tholder\ttoken\ttime left\tgranted\twish\twaiting\tlast change")
 			fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", f["name"], f["holder"], f["token"], timeLeft(f),
-				spaced(f["why"]), f["wish"], f["waiting"], spaced(f["last"]))
+				underscoresToSpaces(f["why"]), f["wish"], f["waiting"], underscoresToSpaces(f["last"]))
 		case "own":
 			printHeadingOnce(l.What, "own duty\t\ttoken\ttime left\t\t\t\tlost last because")
-			fmt.Fprintf(t, "%s\t\t%s\t%s\t\t\t\t%s\n", f["name"], f["token"], timeLeft(f), spaced(f["lost"]))
+			fmt.Fprintf(t, "%s\t\t%s\t%s\t\t\t\t%s\n", f["name"], f["token"], timeLeft(f), underscoresToSpaces(f["lost"]))
 		}
 	}
 }
--- a/cmd/reachspread/golden_test.go
+++ b/cmd/reachspread/golden_test.go
@@ -35,9 +35,9 @@
 	goldenFleetPath    = "testdata/fleet"
 	goldenFleetNetwork = "127.82.7"
 	goldenRouters      = 3
-	goldenPatience     = 40 * time.Second
-	goldenAgain        = 50 * time.Millisecond
-	goldenCallFor      = 10 * time.Second // a change of the pins waits until it is in force
+	goldenTimeout     = 40 * time.Second
+	goldenPollInterval        = 50 * time.Millisecond
+	goldenCallTimeout      = 10 * time.Second // a change of the pins waits until it is in force
 )
 
 // goldenOrder is an order to the control plane that was acknowledged.
@@ -137,7 +137,7 @@
 // until waits for something.
 func (g *goldenFleet) until(what string, done func() bool) {
 	g.t.Helper()
-	for until := time.Now().Add(goldenPatience); time.Now().Before(until); time.Sleep(goldenAgain) {
+	for until := time.Now().Add(goldenTimeout); time.Now().Before(until); time.Sleep(goldenPollInterval) {
 		if done() {
 			return
 		}
@@ -172,7 +172,7 @@
 
 // call makes one call of the control plane; the code is 0 without an answer.
 func (g *goldenFleet) call(o goldenOrder, router int) (code int, text string) {
-	ctx, cancel := context.WithTimeout(g.t.Context(), goldenCallFor)
+	ctx, cancel := context.WithTimeout(g.t.Context(), goldenCallTimeout)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, o.method, "http://"+g.Control(router)+o.path, strings.NewReader(o.body))
 	g.is.NoErr(err)
@@ -198,7 +198,7 @@
 	want, err := os.ReadFile(filepath.Join(goldenFleetPath, file))
 	g.is.NoErr(err)
 	var got string
-	for until := time.Now().Add(goldenPatience); time.Now().Before(until); time.Sleep(goldenAgain) {
+	for until := time.Now().Add(goldenTimeout); time.Now().Before(until); time.Sleep(goldenPollInterval) {
 		if got = read(); got == string(want) {
 			return
 		}
@@ -282,7 +282,7 @@
 	}
 	g.must(g.Wipe(goldenRouters - 1)) // it gets all of the state in one piece, and reads are answered from that
 	g.start(goldenRouters - 1)
-	g.untilWhole(goldenRouters)
+	g.untilChainHealthy(goldenRouters)
 	g.startHosts()
 	s := pintest.NewScenario([]string{g.Front(0), g.Front(1), g.Front(2)}, nil, nil)
 	for n := range 12 {
--- a/cmd/reachspread/main.go
+++ b/cmd/reachspread/main.go
@@ -69,7 +69,7 @@
 	folder := c.Flags().String("profile", "", "write goroutines and a CPU profile into this `folder` at SIGUSR1")
 	c.RunE = func(cmd *cobra.Command, _ []string) error {
 		if *folder != "" {
-			defer profiles(*folder)()
+			defer writeProfilesOnSignal(*folder)()
 		}
 		reload := make(chan os.Signal, 16) // signals queue up while a file is read
 		signal.Notify(reload, syscall.SIGHUP)
--- a/cmd/reachspread/management.go
+++ b/cmd/reachspread/management.go
@@ -129,4 +129,4 @@
 }
 
 // spaced is a field of an answer with the spaces that its underscores stand for.
-func spaced(field string) string { return strings.ReplaceAll(field, "_", " ") }
+func underscoresToSpaces(field string) string { return strings.ReplaceAll(field, "_", " ") }
--- a/cmd/reachspread/processes_test.go
+++ b/cmd/reachspread/processes_test.go
@@ -19,7 +19,7 @@
 		os.Exit(m.Run())
 	}
 	if path := os.Getenv(failuresFile); path != "" {
-		failAsTold(path)
+		injectFailures(path)
 	}
 	main()
 }
@@ -27,9 +27,9 @@
 const (
 	// boundMs is the bound on the age of what keys are honoured by: each change of the pins takes
 	// so long.
-	boundMs      = 2000
+	revocationMs      = 2000
 	heartbeatMs  = 60_000
-	playPatience = 60 * time.Second
+	scenarioTimeout = 60 * time.Second
 )
 
 // processes is a fleet of router processes of which what fails can be told.
@@ -44,7 +44,7 @@
 	f := &processes{t: t, folder: t.TempDir()}
 	f.Fleet = localfleet.New(localfleet.Options{Folder: f.folder, Network: "127.78.0", Routers: count, Disks: disks, Executable: []string{os.Args[0], "router"},
 		Environment: func(i int) []string { return []string{asRouter + "=1", failuresFile + "=" + f.failuresPath(i)} },
-		HeartbeatMs: heartbeatMs, RevocationMs: boundMs})
+		HeartbeatMs: heartbeatMs, RevocationMs: revocationMs})
 	t.Cleanup(f.KillAll)
 	f.must(f.StartAll())
 	return f
@@ -76,7 +76,7 @@
 }
 
 // story is clients on the processes, and hosts of two versions.
-func (f *processes) story(ctx context.Context) *pintest.Scenario {
+func (f *processes) startScenario(ctx context.Context) *pintest.Scenario {
 	f.t.Helper()
 	var fronts, controls []string
 	for i := range f.Len() {
@@ -105,9 +105,9 @@
 // and all lose their lives at once.
 func TestPinsOnProcesses(t *testing.T) {
 	f := startProcesses(t, 5, 3)
-	ctx, cancel := context.WithTimeout(context.Background(), 3*playPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), 3*scenarioTimeout)
 	defer cancel()
-	s := f.story(ctx)
+	s := f.startScenario(ctx)
 	f.untilReady(0, 1, 2, 3, 4)
 	change := func(version int64) {
 		t.Helper()
@@ -138,15 +138,15 @@
 	change(1)
 	f.heal()
 	f.untilReady(4)
-	f.untilWhole(3)
+	f.untilChainHealthy(3)
 	f.cutOff(0, true) // of the register
 	change(2)
 	f.heal()
-	f.untilWhole(3)
+	f.untilChainHealthy(3)
 	f.fail(1, processFailures{stall: true})
 	change(1)
 	f.heal()
-	f.untilWhole(3)
+	f.untilChainHealthy(3)
 	f.KillAll()
 	f.must(f.StartAll())
 	f.untilReady(0, 1, 2, 3, 4)
--- a/cmd/reachspread/profile.go
+++ b/cmd/reachspread/profile.go
@@ -11,12 +11,12 @@
 )
 
 // profileFor is how long a CPU profile takes.
-const profileFor = time.Second
+const profileDuration = time.Second
 
 // profiles writes, at each SIGUSR1, all goroutines and a CPU profile of the next second into a
 // folder, under names with the process's id. It is for whoever looks for a fault, and off without
 // the folder.
-func profiles(folder string) (stop func()) {
+func writeProfilesOnSignal(folder string) (stop func()) {
 	asked := make(chan os.Signal, 1)
 	signal.Notify(asked, syscall.SIGUSR1)
 	go func() {
@@ -42,7 +42,7 @@
 	}
 	defer f.Close()
 	if pprof.StartCPUProfile(f) == nil {
-		time.Sleep(profileFor)
+		time.Sleep(profileDuration)
 		pprof.StopCPUProfile()
 	}
 }
