--- a/cmd/reachlab/pairs.go
+++ b/cmd/reachlab/pairs.go
@@ -88,9 +88,9 @@
 	partial := report + ".part"
 	run := exec.CommandContext(ctx, b.bench, "run", p.Site, p.Day, "--seed", fmt.Sprint(p.Seed), "--jobs", "1", "--report", partial, "--why", b.why)
 	run.Dir = folder
-	if said, err := run.CombinedOutput(); err != nil {
+	if output, err := run.CombinedOutput(); err != nil {
 		if _, failed := os.Stat(partial); failed != nil { // a day with a broken rule ends with an error, and has a report
-			return nil, fmt.Errorf("%w: %s", err, said)
+			return nil, fmt.Errorf("%w: %s", err, output)
 		}
 	}
 	if err := os.Rename(partial, report); err != nil {
--- a/cmd/reachlab/soak.go
+++ b/cmd/reachlab/soak.go
@@ -13,7 +13,7 @@
 
 const (
 	soakNetwork = "127.81.0"
-	maxRouters = 250 // the addresses of a network
+	maxRouters  = 250 // the addresses of a network
 )
 
 // errFindings says that a play found something.
--- a/cmd/reachspread/admission.go
+++ b/cmd/reachspread/admission.go
@@ -14,8 +14,8 @@
 )
 
 func admissionCommand() *cobra.Command {
-	c := &cobra.Command{Use: "admission", Aliases: []string{"door"}, Short: "Ask which clients get in, and who holds what"}
-	c.AddCommand(statusCommand("Ask the running router for its level, its ledger, refusals by cause and who holds the most",
+	c := &cobra.Command{Use: "admission", Aliases: []string{"door"}, Short: "Query the admission control of a router"}
+	c.AddCommand(statusCommand("Print the running router's admission level, descriptor use, refusals by cause and largest clients",
 		program.AdmissionTopic, func(w io.Writer, text []byte) error {
 			var s program.AdmissionStatus
 			if err := json.Unmarshal(text, &s); err != nil {
@@ -27,7 +27,8 @@
 	return c
 }
 
-// printAdmission prints the levels, the counters and who uses the most.
+// printAdmission prints the admission level, the counters, the use of file descriptors and the
+// clients that hold the most connections and requests.
 func printAdmission(w io.Writer, s *program.AdmissionStatus) {
 	fmt.Fprintf(w, "door: %s, %d places, %d of them for known clients, %d lent\n", s.Level, s.Slots, s.Reserve, s.Lent)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
--- a/cmd/reachspread/configuration.go
+++ b/cmd/reachspread/configuration.go
@@ -17,20 +17,20 @@
 )
 
 const (
-	configurationPath = "/configuration" // of the control plane
-	maxListedNames    = 5                // items of a list that a table names
+	configurationPath = "/configuration" // the path of the configuration on the control plane
+	maxListedNames    = 5                // the most item names that a table cell shows for one list
 	standardInput     = "-"
 )
 
-// configurationCommand shows which configuration is in force where; its subcommands read and change
-// it.
+// configurationCommand returns the command that prints which configuration is in force on which
+// router. Its subcommands read and change the configuration.
 func configurationCommand() *cobra.Command {
-	c := routerStatusCommand("configuration", "Ask routers of the fleet which configuration is in force, and how old their knowledge of it is", printConfiguration)
-	history := routerStatusCommand("history", "Ask a router of the fleet which configurations were in force on it of late, and what each changed", printHistory)
+	c := routerStatusCommand("configuration", "Print which configuration is in force on routers of the fleet, and how long ago each router last confirmed it", printConfiguration)
+	history := routerStatusCommand("history", "Print which configurations were recently in force on a router of the fleet, and what each changed", printHistory)
 	c.AddCommand(
 		configurationGetCommand(),
-		configurationOrderCommand("put FILE", "Put a whole configuration in force", http.MethodPut),
-		configurationOrderCommand("patch FILE", "Change named items of the configuration in force", http.MethodPatch),
+		configurationOrderCommand("put FILE", "Replace the whole configuration", http.MethodPut),
+		configurationOrderCommand("patch FILE", "Change individual items of the configuration in force", http.MethodPatch),
 		configurationDiffCommand(),
 		history,
 	)
@@ -38,7 +38,7 @@
 }
 
 func configurationGetCommand() *cobra.Command {
-	c := &cobra.Command{Use: "get", Short: "Print the newest configuration, whole", Args: cobra.NoArgs}
+	c := &cobra.Command{Use: "get", Short: "Print the complete newest configuration", Args: cobra.NoArgs}
 	to := newControlClient(c)
 	c.RunE = func(cmd *cobra.Command, _ []string) error {
 		text, err := to.call(cmd.Context(), http.MethodGet, configurationPath, "", nil)
@@ -53,7 +53,7 @@
 	return c
 }
 
-// configurationInForce is the newest configuration.
+// configurationInForce fetches the newest configuration from the control plane.
 func (t *controlClient) configurationInForce(cmd *cobra.Command) (*configuration.Document, error) {
 	text, err := t.call(cmd.Context(), http.MethodGet, configurationPath, "", nil)
 	if err != nil {
@@ -62,12 +62,12 @@
 	return configuration.Parse(text)
 }
 
-// configurationOrderCommand submits the order in a file. It is checked here first, by the code that
-// the register checks it with.
+// configurationOrderCommand returns a command that submits the order in a file. The command first
+// checks the order with the same code that the register uses.
 func configurationOrderCommand(use, short, method string) *cobra.Command {
 	c := &cobra.Command{Use: use, Short: short + "; FILE may be - for standard input", Args: cobra.ExactArgs(1)}
 	to := newControlClient(c)
-	base := c.Flags().Int64("if-match", -1, "the `version` that it builds on, 0 for the first; by default the newest")
+	base := c.Flags().Int64("if-match", -1, "the `version` that the change builds on, 0 for the first configuration; by default the newest version")
 	c.RunE = func(cmd *cobra.Command, args []string) error {
 		text, err := readFileOrInput(cmd, args[0])
 		if err != nil {
@@ -79,7 +79,7 @@
 		if *base < 0 {
 			d, err := to.configurationInForce(cmd)
 			if err != nil {
-				return fmt.Errorf("--if-match is not set, and the newest version is not known: %w", err)
+				return fmt.Errorf("--if-match is not set, and reading the newest version failed: %w", err)
 			}
 			*base = d.Version
 		}
@@ -99,7 +99,7 @@
 	return c
 }
 
-// readFileOrInput reads a file, or standard input for -.
+// readFileOrInput reads a file, or standard input if the name is "-".
 func readFileOrInput(cmd *cobra.Command, file string) ([]byte, error) {
 	if file == standardInput {
 		return io.ReadAll(cmd.InOrStdin())
@@ -107,7 +107,8 @@
 	return os.ReadFile(file)
 }
 
-// checkOrder finds what the control plane would reject, whatever is in force.
+// checkOrder returns the error for which the control plane would reject an order no matter which
+// configuration is in force.
 func checkOrder(method string, text []byte) error {
 	if method == http.MethodPatch {
 		_, err := configuration.ParsePatch(text)
@@ -120,11 +121,11 @@
 func configurationDiffCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "diff FILE",
-		Short: "Print what a whole configuration would change of the newest one; FILE may be - for standard input",
+		Short: "Print how a complete configuration differs from the newest one; FILE may be - for standard input",
 		Args:  cobra.ExactArgs(1),
 	}
 	to := newControlClient(c)
-	asPatch := c.Flags().Bool("patch", false, "print the patch that makes the one of the other, for fleet configuration patch")
+	asPatch := c.Flags().Bool("patch", false, "print a patch that turns the newest configuration into FILE, for fleet configuration patch")
 	asJSON := c.Flags().Bool("json", false, "print a line of JSON")
 	c.RunE = func(cmd *cobra.Command, args []string) error {
 		text, err := readFileOrInput(cmd, args[0])
@@ -142,7 +143,7 @@
 		if *asPatch {
 			patch, ok := configuration.Difference(before, after)
 			if !ok {
-				return errors.New("no patch makes the one of the other: a field went, or items changed places; put it whole")
+				return errors.New("no patch turns the newest configuration into this one, because a field was removed or items changed their order; use fleet configuration put instead")
 			}
 			_, err := cmd.OutOrStdout().Write(patch)
 			return err
@@ -185,7 +186,8 @@
 	})
 }
 
-// changesText is what changed, in a line; a dash where the configuration before it is not known.
+// changesText formats the changes of one configuration version on one line. It returns a dash if there
+// are none, as when the router does not know the previous version.
 func changesText(all []configuration.ListChange) string {
 	if len(all) == 0 {
 		return noneText
@@ -197,7 +199,8 @@
 	return strings.Join(lists, "; ")
 }
 
-// namesText is the first few of some names behind a prefix; empty for none.
+// namesText formats a prefix and up to maxListedNames names. It returns an empty string if there are
+// no names.
 func namesText(prefix string, names []string) string {
 	if len(names) == 0 {
 		return ""
--- a/cmd/reachspread/control.go
+++ b/cmd/reachspread/control.go
@@ -15,35 +15,39 @@
 )
 
 const (
-	// controlCallTimeout bounds one call, which may wait until a change is in force everywhere.
+	// controlCallTimeout bounds one call. The router may answer only once a change is in force on all
+	// routers.
 	controlCallTimeout = 12 * time.Second
-	// controlRetryInterval is the time between two calls whose outcome is unknown.
+	// controlRetryInterval is the pause before a call whose outcome is unknown is retried.
 	controlRetryInterval = 200 * time.Millisecond
-	// controlTimeout bounds the time until an outcome is known.
+	// controlTimeout bounds a call including all its retries.
 	controlTimeout = time.Minute
 )
 
-// controlClient calls the control plane at any of several routers.
+// controlClient calls the control plane. Any of the routers at its addresses can answer; it goes to
+// the next one after each call without a known outcome.
 type controlClient struct {
 	addresses []string
-	next      int // the number of the next call; its router follows from that
+	next      int // selects the router of the next call, modulo the number of addresses
 }
 
-// newControlClient adds the flag that says which routers are called.
+// newControlClient returns a client and adds the --control flag, which names its routers, to a
+// command.
 func newControlClient(c *cobra.Command) *controlClient {
 	to := &controlClient{}
-	c.Flags().StringSliceVar(&to.addresses, "control", nil, "the control plane's `address` of a router; several are tried in turn")
+	c.Flags().StringSliceVar(&to.addresses, "control", nil, "the control plane `address` of a router; several addresses are tried in turn")
 	return to
 }
 
-// errOutcomeUnknown says that a call may or may not have had an effect. It is safe to make the same
-// call again: the register recognizes an order that it has accepted.
-var errOutcomeUnknown = errors.New("no clear answer")
+// errOutcomeUnknown reports that a call may or may not have had an effect. Retrying the same call is
+// safe because the register recognizes an order that it has already accepted.
+var errOutcomeUnknown = errors.New("the outcome of the call is unknown")
 
-// call makes a call until its outcome is known, at one router after the other.
+// call repeats a call, at one router after the other, until its outcome is known or controlTimeout
+// has passed.
 func (t *controlClient) call(ctx context.Context, method, path, ifMatch string, body any) (text []byte, err error) {
 	if len(t.addresses) == 0 {
-		return nil, errors.New("--control must name the control plane's address of a router, as its settings file has it under listenAddresses")
+		return nil, errors.New("--control must name the control plane address of a router, which is listenAddresses.controlPlane in the router's settings file")
 	}
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
@@ -61,7 +65,7 @@
 	}
 }
 
-// callOnce makes a call at the router whose turn it is.
+// callOnce makes a call to the router that next selects.
 func (t *controlClient) callOnce(ctx context.Context, method, path, ifMatch string, body any) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, controlCallTimeout)
 	defer cancel()
@@ -74,23 +78,24 @@
 	answer, err := controlclient.Do(ctx, call)
 	switch {
 	case err != nil:
-		return nil, fmt.Errorf("%w from %s: %w", errOutcomeUnknown, address, err)
+		return nil, fmt.Errorf("%w; router %s: %w", errOutcomeUnknown, address, err)
 	case answer.Code == http.StatusOK:
 		return answer.Text, nil
 	case answer.Code == http.StatusAccepted, answer.Code/100 == 5:
-		return nil, fmt.Errorf("%w from %s: %s", errOutcomeUnknown, address, answer.Status)
+		return nil, fmt.Errorf("%w; router %s answered %s", errOutcomeUnknown, address, answer.Status)
 	}
 	return nil, rejection(answer.Status, answer.Text)
 }
 
-// rejection is the error of a call that was rejected.
+// rejection returns the error for a call that the control plane rejected: the reason in the answer's
+// body, or else the HTTP status.
 func rejection(status string, text []byte) error {
 	var body struct {
-		Error string `json:"error"` // of the call itself
-		Text  string `json:"text"`  // of the order
+		Error string `json:"error"` // why the call is invalid
+		Text  string `json:"text"`  // why the register rejected the order
 	}
 	if json.Unmarshal(text, &body) == nil && body.Error+body.Text != "" {
 		return errors.New(cmp.Or(body.Error, body.Text))
 	}
-	return fmt.Errorf("the router answers %s", status)
+	return fmt.Errorf("the router rejected the call with %s", status)
 }
--- a/cmd/reachspread/control_processes_test.go
+++ b/cmd/reachspread/control_processes_test.go
@@ -20,23 +20,23 @@
 )
 
 const (
-	operators     = 3
+	operators        = 3
 	operatorInterval = 30 * time.Millisecond // between two calls of one
-	orderTimeout      = 20 * time.Second      // then an order's outcome counts as unknown
-	callTimeout       = 1500 * time.Millisecond
-	checkTimeout      = 30 * time.Second
-	manyChanges   = 80
-	versionStep   = 10 // versions on top of one version: each operator has its own
+	orderTimeout     = 20 * time.Second      // then an order's outcome counts as unknown
+	callTimeout      = 1500 * time.Millisecond
+	checkTimeout     = 30 * time.Second
+	manyChanges      = 80
+	versionStep      = 10 // versions on top of one version: each operator has its own
 )
 
 // configurationCall is one call of an operator, as a checker of histories has it.
 type configurationCall struct {
-	write         bool
-	base, next      int // of a write: the version it builds on, and its own
-	began, ended  time.Duration
-	version       int // of a read: what was read
+	write              bool
+	base, next         int // of a write: the version it builds on, and its own
+	began, ended       time.Duration
+	version            int // of a read: what was read
 	accepted, rejected bool
-	operator      int
+	operator           int
 }
 
 // configurationModel is what operators of one register may see, whose state is the version in
@@ -58,9 +58,9 @@
 // configurationHistory is what all operators saw.
 type configurationHistory struct {
 	started time.Time
-	mu    sync.Mutex
-	calls []*configurationCall
-	acked int // the newest version that was acknowledged
+	mu      sync.Mutex
+	calls   []*configurationCall
+	acked   int // the newest version that was acknowledged
 }
 
 func (h *configurationHistory) add(c *configurationCall) {
@@ -254,20 +254,20 @@
 	defer cancel()
 	h := &configurationHistory{started: time.Now()}
 	f.untilChainHealthy(3)
-	begun := &configurationCall{write: true, next: 1, ended: time.Since(h.started), accepted: true}
-	f.putFirstConfiguration(ctx, begun)
-	h.add(begun)
+	first := &configurationCall{write: true, next: 1, ended: time.Since(h.started), accepted: true}
+	f.putFirstConfiguration(ctx, first)
+	h.add(first)
 	var group sync.WaitGroup
 	for operator := range operators {
 		group.Go(func() { f.operate(ctx, h, operator+1) })
 	}
-	for _, trouble := range f.faults() {
+	for _, current := range f.faults() {
 		before := h.newest()
-		t.Logf("%v %s, version %d", time.Since(h.started).Round(time.Millisecond), trouble.name, before)
-		trouble.begin()
-		f.untilChainHealthy(trouble.healthyMachines)
-		f.untilAcknowledged(h, h.newest()+trouble.minChanges*versionStep)
-		trouble.end()
+		t.Logf("%v %s, version %d", time.Since(h.started).Round(time.Millisecond), current.name, before)
+		current.begin()
+		f.untilChainHealthy(current.healthyMachines)
+		f.untilAcknowledged(h, h.newest()+current.minChanges*versionStep)
+		current.end()
 		f.untilChainHealthy(3)
 		f.untilAcknowledged(h, before)
 	}
@@ -282,10 +282,10 @@
 
 // trouble is one thing that goes wrong for a while.
 type fault struct {
-	name       string
-	healthyMachines     int // healthy machines of the chain
-	begin, end func()
-	minChanges    int // so many at least are made meanwhile, one for 0
+	name            string
+	healthyMachines int // healthy machines of the chain
+	begin, end      func()
+	minChanges      int // so many at least are made meanwhile, one for 0
 }
 
 // troubles are all kinds, at machines of the register by turns and at a router that is none.
@@ -350,27 +350,27 @@
 	if result := h.linearizable(); result != porcupine.Ok {
 		f.t.Errorf("%d calls are not those of one register: %s", len(h.calls), result)
 	}
-	taken, refused, unknown := 0, 0, 0
+	accepted, rejected, unknown := 0, 0, 0
 	for _, c := range h.calls {
 		switch {
 		case c.accepted && c.ended > 0:
-			taken++
+			accepted++
 		case c.rejected:
-			refused++
+			rejected++
 		case c.write:
 			unknown++
 		}
 	}
-	f.t.Logf("%d calls: %d writes taken, %d refused, %d unknown", len(h.calls), taken, refused, unknown)
-	if taken < len(f.faults()) {
+	f.t.Logf("%d calls: %d writes taken, %d refused, %d unknown", len(h.calls), accepted, rejected, unknown)
+	if accepted < len(f.faults()) {
 		f.t.Error("too few writes to tell")
 	}
 }
 
 // Histories that no one register has are found.
 func TestConfigurationChecker(t *testing.T) {
-	write := func(on, next int, began, ended time.Duration, taken bool) *configurationCall {
-		return &configurationCall{write: true, base: on, next: next, began: began, ended: ended, accepted: taken, rejected: !taken}
+	write := func(base, next int, began, ended time.Duration, accepted bool) *configurationCall {
+		return &configurationCall{write: true, base: base, next: next, began: began, ended: ended, accepted: accepted, rejected: !accepted}
 	}
 	read := func(version int, began, ended time.Duration) *configurationCall {
 		return &configurationCall{version: version, began: began, ended: ended}
--- a/cmd/reachspread/fetchstatus.go
+++ b/cmd/reachspread/fetchstatus.go
@@ -17,20 +17,21 @@
 )
 
 const (
-	// statusTimeout is how long a router has to answer.
+	// statusTimeout bounds one status request to a router.
 	statusTimeout = 3 * time.Second
-	// maxConcurrentCalls bounds the routers that are asked at the same time.
+	// maxConcurrentCalls bounds how many routers are queried at the same time.
 	maxConcurrentCalls = 32
 )
 
-// routerAnswer is what came of asking one router for its status.
+// routerAnswer is the result of querying one router for its status.
 type routerAnswer struct {
-	At     string         `json:"at"` // its readiness address
+	At     string         `json:"at"` // the router's readiness address
 	Error  string         `json:"error,omitempty"`
 	Status *status.Router `json:"status,omitempty"` // nil after an error
 }
 
-// failures is what went wrong with the routers that were asked, nil for nothing.
+// failures joins the errors of the routers whose status could not be fetched. It returns nil if
+// there are none.
 func failures(answers []routerAnswer) error {
 	var all []error
 	for _, a := range answers {
@@ -41,7 +42,7 @@
 	return errors.Join(all...)
 }
 
-// forEachStatus calls a function for each router that answered.
+// forEachStatus calls do for each router that answered with a status.
 func forEachStatus(answers []routerAnswer, do func(a routerAnswer, s *status.Router)) {
 	for _, a := range answers {
 		if a.Status != nil {
@@ -50,8 +51,8 @@
 	}
 }
 
-// fetchStatuses asks routers, and with all set the routers that those see as well. The answers are
-// in the order of the addresses then.
+// fetchStatuses queries the routers at the given addresses. If all is set, it also queries the
+// members that these routers report, and sorts the answers by address.
 func fetchStatuses(ctx context.Context, at []string, all bool) ([]routerAnswer, error) {
 	answers := fetchEach(ctx, at)
 	if !all {
@@ -75,7 +76,9 @@
 	return answers, nil
 }
 
-// peersOf are the readiness addresses of the routers that one sees: they have its port.
+// peersOf returns the readiness addresses of the members that a router reports. All routers of a
+// fleet use the same readiness port, so each address combines the member's host with the port of the
+// router that answered.
 func peersOf(a routerAnswer) (all []string, err error) {
 	if a.Status == nil {
 		return nil, nil
@@ -87,14 +90,15 @@
 	for _, m := range a.Status.Members {
 		host, _, err := net.SplitHostPort(m.Address)
 		if err != nil {
-			continue // of a router of another version
+			continue // a router of another version may report addresses in another form
 		}
 		all = append(all, net.JoinHostPort(host, port))
 	}
 	return all, nil
 }
 
-// fetchEach asks routers, several at a time; the answers are in the order of the addresses.
+// fetchEach queries routers, up to maxConcurrentCalls at a time. It returns the answers in the order
+// of the addresses.
 func fetchEach(ctx context.Context, at []string) []routerAnswer {
 	answers := make([]routerAnswer, len(at))
 	running := make(chan struct{}, maxConcurrentCalls)
@@ -131,7 +135,7 @@
 	}
 	defer answer.Body.Close()
 	if answer.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("the router answers %s", answer.Status)
+		return nil, fmt.Errorf("the router answered the status request with %s", answer.Status)
 	}
 	return status.Read(answer.Body)
 }
--- a/cmd/reachspread/fleet.go
+++ b/cmd/reachspread/fleet.go
@@ -11,15 +11,15 @@
 	"reachspread/internal/router/program"
 )
 
-// fleetCommand has the commands on fleets: view, duties and recovery ask a router in service at its
-// management address, the others a router of the fleet at its readiness address or its control
-// plane.
+// fleetCommand returns the command that groups all commands about the fleet. The commands view,
+// duties and recovery query a router that was started by serve, at its management address. The other
+// commands query a router that was started by router, at its readiness address or its control plane.
 func fleetCommand() *cobra.Command {
-	c := &cobra.Command{Use: "fleet", Short: "Ask about the fleet of routers"}
+	c := &cobra.Command{Use: "fleet", Short: "Query and change the fleet of routers"}
 	c.AddCommand(
-		managementCommand("view", "Ask a running router who of the fleet lives, as it sees it", printView),
+		managementCommand("view", "Print which routers of the fleet a running router sees as alive", printView),
 		fleetDutiesCommand(),
-		managementCommand("recovery", "Ask a running router how it came back: the stage, what it waits for, what was thrown away",
+		managementCommand("recovery", "Print how a running router recovered after its start: its stage, what it waits for, which saved state it discarded",
 			printRecovery),
 	)
 	c.AddCommand(fleetStatusCommands()...)
--- a/cmd/reachspread/fleetstatus.go
+++ b/cmd/reachspread/fleetstatus.go
@@ -13,28 +13,30 @@
 	"reachspread/internal/system/status"
 )
 
-// fleetStatusCommands ask routers of the fleet at their readiness addresses.
+// fleetStatusCommands returns the commands that query routers of the fleet at their readiness
+// addresses.
 func fleetStatusCommands() []*cobra.Command {
 	return []*cobra.Command{
-		routerStatusCommand("status", "Ask routers of the fleet how they stand: ready, configuration in force, requests", printStatus),
-		routerStatusCommand("members", "Ask a router of the fleet which routers live, as it sees it", printMembers),
-		routerStatusCommand("register", "Ask a router of the fleet for the register's view: the chain, who is behind, whose disk is in trouble", printRegister),
+		routerStatusCommand("status", "Print the state of routers of the fleet: readiness, configuration in force, requests", printStatus),
+		routerStatusCommand("members", "Print which routers a router of the fleet sees as alive", printMembers),
+		routerStatusCommand("register", "Print the register as a router of the fleet sees it: the chain, which machines lag behind, which disks are failing", printRegister),
 		shardsCommand(),
 		configurationCommand(),
-		routerStatusCommand("hosts", "Ask a router of the fleet which hosts each service has", printHosts),
+		routerStatusCommand("hosts", "Print the hosts of each service as a router of the fleet sees them", printHosts),
 	}
 }
 
-// routerStatusCommand is a command that prints the status of routers, once or repeatedly.
+// routerStatusCommand returns a command that fetches the status of routers and prints it with
+// render, or as JSON. With --watch the command repeats this.
 func routerStatusCommand(use, short string, render func(io.Writer, []routerAnswer)) *cobra.Command {
 	c := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs}
-	at := c.Flags().StringSlice("at", nil, "the readiness `address` of a router; may be given several times")
-	all := c.Flags().Bool("all", false, "ask all routers that the first one sees, too; they have the readiness port in common")
+	at := c.Flags().StringSlice("at", nil, "the readiness `address` of a router; the flag may be repeated")
+	all := c.Flags().Bool("all", false, "query also all members that the given routers report; they must use the same readiness port")
 	asJSON := c.Flags().Bool("json", false, "print a line of JSON")
-	watch := c.Flags().Duration("watch", 0, "ask again and again, with this `time` in between, until Ctrl-C")
+	watch := c.Flags().Duration("watch", 0, "repeat the query after this `time`, until Ctrl-C")
 	c.RunE = func(cmd *cobra.Command, _ []string) error {
 		if len(*at) == 0 {
-			return errors.New("--at must name the readiness address of a router, as its settings file has it under listenAddresses")
+			return errors.New("--at must name the readiness address of a router, which is under listenAddresses in the router's settings file")
 		}
 		for {
 			answers, err := fetchStatuses(cmd.Context(), *at, *all)
@@ -75,7 +77,8 @@
 	})
 }
 
-// stalledSteps are the steps of all loops whose timer was due again at once.
+// stalledSteps returns the number of steps, over all loops, after which the loop's timer was due
+// again immediately.
 func stalledSteps(all []status.Loop) (stalled uint64) {
 	for _, l := range all {
 		stalled += l.Stalled
--- a/cmd/reachspread/golden_test.go
+++ b/cmd/reachspread/golden_test.go
@@ -35,9 +35,9 @@
 	goldenFleetPath    = "testdata/fleet"
 	goldenFleetNetwork = "127.82.7"
 	goldenRouters      = 3
-	goldenTimeout     = 40 * time.Second
-	goldenPollInterval        = 50 * time.Millisecond
-	goldenCallTimeout      = 10 * time.Second // a change of the pins waits until it is in force
+	goldenTimeout      = 40 * time.Second
+	goldenPollInterval = 50 * time.Millisecond
+	goldenCallTimeout  = 10 * time.Second // a change of the pins waits until it is in force
 )
 
 // goldenOrder is an order to the control plane that was acknowledged.
--- a/cmd/reachspread/main.go
+++ b/cmd/reachspread/main.go
@@ -1,4 +1,5 @@
-// Reachspread routes prompts to the replicas of a language model, over real sockets.
+// Reachspread is the router program: it forwards prompts over network connections to the hosts that
+// run replicas of a language model. Further commands check its files and query running routers.
 package main
 
 import (
@@ -22,7 +23,7 @@
 	}
 }
 
-// command returns the root of the command line.
+// command returns the root command with all subcommands.
 func command() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "reachspread",
@@ -44,12 +45,13 @@
 	return root
 }
 
-// settingsFlag adds the flag of the operators' settings file to a command.
+// settingsFlag adds the --settings flag, which names the operators' settings file, to a command.
 func settingsFlag(c *cobra.Command) *string {
-	return c.Flags().String("settings", "", "the operators' settings `file`, in HCL; without it nothing of it is on")
+	return c.Flags().String("settings", "", "the operators' settings `file`, in HCL; without it, every feature that it configures is off")
 }
 
-// load reads the configuration from the environment, and the settings where a file is given.
+// load reads the configuration from the environment, and also the settings file unless its name is
+// empty.
 func load(file string) (*program.Config, logging.Format, error) {
 	cfg, err := program.Load(os.Getenv)
 	if err != nil || file == "" {
@@ -62,16 +64,16 @@
 func serveCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "serve",
-		Short: "Serve as the environment and the file in ROUTER_CONFIG say, until SIGTERM; SIGHUP reloads",
+		Short: "Run a router, configured by the environment and the file in ROUTER_CONFIG, until SIGTERM; SIGHUP reloads the configuration",
 		Args:  cobra.NoArgs,
 	}
 	file := settingsFlag(c)
-	folder := c.Flags().String("profile", "", "write goroutines and a CPU profile into this `folder` at SIGUSR1")
+	folder := c.Flags().String("profile", "", "on SIGUSR1, write a goroutine dump and a CPU profile into this `folder`")
 	c.RunE = func(cmd *cobra.Command, _ []string) error {
 		if *folder != "" {
 			defer writeProfilesOnSignal(*folder)()
 		}
-		reload := make(chan os.Signal, 16) // signals queue up while a file is read
+		reload := make(chan os.Signal, 16) // buffers signals that arrive while a file is being read
 		signal.Notify(reload, syscall.SIGHUP)
 		defer signal.Stop(reload)
 		ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGTERM, os.Interrupt)
--- a/cmd/reachspread/management.go
+++ b/cmd/reachspread/management.go
@@ -17,18 +17,19 @@
 )
 
 const (
-	// managementTimeout is how long a router has to answer.
+	// managementTimeout bounds connecting to a router, and then the call itself.
 	managementTimeout = 2 * time.Second
-	// maxManagementAnswer bounds what is read of an answer, in bytes.
+	// maxManagementAnswer is the largest part of an answer that is read, in bytes.
 	maxManagementAnswer = 8 << 20
-	// managementError begins an answer that is an error.
+	// managementError is the prefix of an answer that reports an error.
 	managementError = "-ERR "
 )
 
-// formerManagementFlag is what --management was called before; it stays as its other name.
+// formerManagementFlag is the former name of --management. It remains an alias.
 const formerManagementFlag = "door"
 
-// managementFlag is the flag that says which router in service is asked.
+// managementFlag adds the --management flag, which names the management address of the router to
+// query, to a command.
 func managementFlag(c *cobra.Command) *string {
 	c.Flags().SetNormalizeFunc(func(_ *pflag.FlagSet, name string) pflag.NormalizedName {
 		if name == formerManagementFlag {
@@ -36,10 +37,11 @@
 		}
 		return pflag.NormalizedName(name)
 	})
-	return c.Flags().String("management", "", "the management `address` of the router; by default ROUTER_MANAGEMENT, or what ROUTER_CONFIG says")
+	return c.Flags().String("management", "", "the management `address` of the router; by default ROUTER_MANAGEMENT, or the address in the file that ROUTER_CONFIG names")
 }
 
-// managementAddress is the address of the flag, or else of the router's configuration.
+// managementAddress returns the address that the flag gives, or else the management address in the
+// router's configuration.
 func managementAddress(flag string) (string, error) {
 	if flag != "" {
 		return flag, nil
@@ -49,19 +51,19 @@
 		return "", fmt.Errorf("--management is not set: %w", err)
 	}
 	if cfg.Management == "" {
-		return "", errors.New("--management is not set, and the configuration has no management")
+		return "", errors.New("--management is not set, and the router's configuration has no management address")
 	}
 	return cfg.Management, nil
 }
 
-// managementCommand is a command that prints the answer to the call of its name, once or
-// repeatedly. Repeatedly, an error is printed and the next answer awaited: the router may come
-// back.
+// managementCommand returns a command that makes the management call of the same name and prints the
+// answer. With --watch the command repeats the call; it then prints an error and continues, because
+// the router may be restarting.
 func managementCommand(call, short string, render func(io.Writer, []program.Line)) *cobra.Command {
 	c := &cobra.Command{Use: call, Short: short, Args: cobra.NoArgs}
 	management := managementFlag(c)
 	asJSON := c.Flags().Bool("json", false, "print a line of JSON")
-	watch := c.Flags().Duration("watch", 0, "ask again and again, with this `time` in between, until Ctrl-C")
+	watch := c.Flags().Duration("watch", 0, "repeat the query after this `time`, until Ctrl-C")
 	c.RunE = func(cmd *cobra.Command, _ []string) error {
 		address, err := managementAddress(*management)
 		if err != nil {
@@ -101,7 +103,7 @@
 	return nil
 }
 
-// callManagement makes a call and returns the complete answer.
+// callManagement makes a management call and returns the complete answer.
 func callManagement(address, call string) (string, error) {
 	c, err := net.DialTimeout("tcp", address, managementTimeout)
 	if err != nil {
@@ -116,7 +118,8 @@
 	return string(text), err
 }
 
-// commandManagement makes a call that is answered with a line, which says whether it succeeded.
+// commandManagement makes a management call that the router answers with a single line. It returns
+// an error if that line says that the call failed.
 func commandManagement(address, call string) error {
 	text, err := callManagement(address, call)
 	if err != nil {
@@ -128,5 +131,6 @@
 	return nil
 }
 
-// spaced is a field of an answer with the spaces that its underscores stand for.
+// underscoresToSpaces returns a field of a management answer as text: underscores stand for spaces in
+// it.
 func underscoresToSpaces(field string) string { return strings.ReplaceAll(field, "_", " ") }
--- a/cmd/reachspread/processes_test.go
+++ b/cmd/reachspread/processes_test.go
@@ -27,8 +27,8 @@
 const (
 	// boundMs is the bound on the age of what keys are honoured by: each change of the pins takes
 	// so long.
-	revocationMs      = 2000
-	heartbeatMs  = 60_000
+	revocationMs    = 2000
+	heartbeatMs     = 60_000
 	scenarioTimeout = 60 * time.Second
 )
 
--- a/cmd/reachspread/profile.go
+++ b/cmd/reachspread/profile.go
@@ -17,16 +17,16 @@
 // folder, under names with the process's id. It is for whoever looks for a fault, and off without
 // the folder.
 func writeProfilesOnSignal(folder string) (stop func()) {
-	asked := make(chan os.Signal, 1)
-	signal.Notify(asked, syscall.SIGUSR1)
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGUSR1)
 	go func() {
-		for range asked {
+		for range signals {
 			writeProfiles(folder)
 		}
 	}()
 	return func() {
-		signal.Stop(asked)
-		close(asked)
+		signal.Stop(signals)
+		close(signals)
 	}
 }
 
--- a/cmd/reachspread/shadow.go
+++ b/cmd/reachspread/shadow.go
@@ -22,12 +22,12 @@
 	"reachspread/internal/transport"
 )
 
-// reporter is the program that makes reports. It lies in the folder of this one, and is a program
-// of its own so that the router does not carry what draws charts.
+// reporter is the name of the program that makes reports, which is installed in the same folder as
+// this program. It is a separate program so that the router does not link the chart libraries.
 const reporter = "reachreport"
 
 func shadowCommand() *cobra.Command {
-	c := &cobra.Command{Use: "shadow", Short: "Ask about the shadow pools"}
+	c := &cobra.Command{Use: "shadow", Short: "Query the shadow pools"}
 	c.AddCommand(shadowStatusCommand(), shadowReportCommand())
 	return c
 }
@@ -35,7 +35,7 @@
 func shadowReportCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:                "report DIR [--format terminal|markdown|csv|json] [--html FILE]",
-		Short:              "Report on the records in a folder; runs " + reporter + ", which stands beside this program",
+		Short:              "Report on the records in a folder; runs " + reporter + " from the folder of this program",
 		DisableFlagParsing: true,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return runReporter(cmd.OutOrStdout(), cmd.ErrOrStderr(), args)
@@ -43,8 +43,8 @@
 	}
 }
 
-// runReporter runs the reporter. Where that fails, this process exits with its status, as it has
-// printed why.
+// runReporter runs the reporter program. If the reporter exits with an error, it has already printed
+// the reason, and this process exits with the same status.
 func runReporter(stdout, stderr io.Writer, args []string) error {
 	self, err := os.Executable()
 	if err != nil {
@@ -64,7 +64,7 @@
 }
 
 func shadowStatusCommand() *cobra.Command {
-	return statusCommand("Ask the running router for its caps, drops by cause and the health of its pools", program.ShadowTopic,
+	return statusCommand("Print the limits of a running router's shadow pools, dropped copies by cause and the health of each pool", program.ShadowTopic,
 		func(w io.Writer, text []byte) error {
 			var r mirror.Report
 			if err := json.Unmarshal(text, &r); err != nil {
@@ -75,11 +75,12 @@
 		})
 }
 
-// statusCommand asks the router for its status on a topic, and shows the answer.
+// statusCommand returns a command that asks a router for its status on a topic and prints the answer
+// with show, or as JSON.
 func statusCommand(short, topic string, show func(io.Writer, []byte) error) *cobra.Command {
 	c := &cobra.Command{Use: "status", Short: short, Args: cobra.NoArgs}
 	file := settingsFlag(c)
-	name := c.Flags().String("name", "", "the router's `name`, where several share the folder")
+	name := c.Flags().String("name", "", "the router's `name`; needed if several routers share the status folder")
 	asJSON := c.Flags().Bool("json", false, "print JSON")
 	c.RunE = func(cmd *cobra.Command, _ []string) error {
 		text, err := askRouter(*file, *name, topic)
@@ -95,17 +96,18 @@
 	return c
 }
 
-// askRouter asks the router whose status socket is in the folder that the settings name.
+// askRouter asks a router for its status on a topic. It finds the router's status socket in the
+// folder that the settings file names.
 func askRouter(file, name, topic string) ([]byte, error) {
 	if file == "" {
-		return nil, errors.New("--settings must name the file whose status block names the folder")
+		return nil, errors.New("--settings must name a settings file with a status block, which names the folder of the status sockets")
 	}
 	set, err := settings.Read(file)
 	if err != nil {
 		return nil, err
 	}
 	if set.StatusDir == "" {
-		return nil, fmt.Errorf("%s: there is no block status", file)
+		return nil, fmt.Errorf("settings file %s has no status block", file)
 	}
 	socket, err := transport.StatusSocket(set.StatusDir, name)
 	if err != nil {
@@ -114,7 +116,7 @@
 	return transport.AskStatus(socket, topic)
 }
 
-// printShadow prints a table for each pool, and a line on the records.
+// printShadow prints a table for each shadow pool and one line about the stored records.
 func printShadow(w io.Writer, r *mirror.Report) {
 	for i := range r.Pools {
 		printPool(w, &r.Pools[i])
@@ -129,7 +131,7 @@
 	}
 }
 
-// printPool prints the table of a pool.
+// printPool prints the state, the limits and the counters of one shadow pool.
 func printPool(w io.Writer, p *mirror.Status) {
 	fmt.Fprintf(w, "pool %s: %s, %d hosts, pressure %s\n", p.Pool, p.Health, p.Hosts, p.Level)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
@@ -167,7 +169,7 @@
 	t.Flush()
 }
 
-// spreads shows the quantiles of both sides.
+// spreads formats the latency quantiles of live requests and of their copies, in milliseconds.
 func spreads(live, copied mirror.Spread) string {
 	return fmt.Sprintf("live %d/%d/%d, copies %d/%d/%d", live.P50, live.P90, live.P99, copied.P50, copied.P90, copied.P99)
 }
--- a/cmd/reachspread/snapshot.go
+++ b/cmd/reachspread/snapshot.go
@@ -17,14 +17,14 @@
 )
 
 func snapshotCommand() *cobra.Command {
-	c := &cobra.Command{Use: "snapshot", Short: "Look at what a router keeps for its next life"}
+	c := &cobra.Command{Use: "snapshot", Short: "Inspect the state that a router saves for its next start"}
 	c.AddCommand(snapshotShowCommand(), snapshotCheckCommand())
 	return c
 }
 
 func snapshotShowCommand() *cobra.Command {
-	show := &cobra.Command{Use: "show FOLDER", Short: "Show the youngest snapshot that is whole", Args: cobra.ExactArgs(1)}
-	asJSON := show.Flags().Bool("json", false, "print all of it as JSON")
+	show := &cobra.Command{Use: "show FOLDER", Short: "Print the newest valid snapshot", Args: cobra.ExactArgs(1)}
+	asJSON := show.Flags().Bool("json", false, "print the complete snapshot as JSON")
 	show.RunE = func(cmd *cobra.Command, args []string) error {
 		files, err := readSnapshots(args[0])
 		if err != nil {
@@ -32,7 +32,7 @@
 		}
 		s, generation, invalid := snapshot.Newest(files)
 		if s == nil {
-			return errors.Join(fmt.Errorf("%s has no whole snapshot", args[0]), invalid[0], invalid[1])
+			return errors.Join(fmt.Errorf("folder %s has no valid snapshot", args[0]), invalid[0], invalid[1])
 		}
 		if *asJSON {
 			return json.NewEncoder(cmd.OutOrStdout()).Encode(s)
@@ -43,7 +43,8 @@
 	return show
 }
 
-// printSnapshot prints the figures of a snapshot, and a table of its hosts.
+// printSnapshot prints the main values of a snapshot, the number of requests that were open when the
+// router stopped, and a table of the hosts.
 func printSnapshot(out io.Writer, s *snapshot.State, generation uint64, open int) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	defer w.Flush()
@@ -64,21 +65,21 @@
 }
 
 func snapshotCheckCommand() *cobra.Command {
-	check := &cobra.Command{Use: "check FOLDER", Short: "Say of each snapshot whether it is whole, or what is wrong at which byte", Args: cobra.ExactArgs(1)}
+	check := &cobra.Command{Use: "check FOLDER", Short: "Check each snapshot; print its generation, or what is wrong at which byte", Args: cobra.ExactArgs(1)}
 	check.RunE = func(cmd *cobra.Command, args []string) error {
 		files, err := readSnapshots(args[0])
 		if err != nil {
 			return err
 		}
 		if !checkSnapshots(cmd.OutOrStdout(), files) {
-			return errors.New("none is whole")
+			return fmt.Errorf("folder %s has no valid snapshot", args[0])
 		}
 		return nil
 	}
 	return check
 }
 
-// checkSnapshots prints a line for each file, and reports whether one of them is valid.
+// checkSnapshots prints one line for each snapshot file and reports whether at least one is valid.
 func checkSnapshots(out io.Writer, files [2][]byte) (valid bool) {
 	for i, b := range files {
 		name := snapshot.GenerationFiles[i]
@@ -97,8 +98,8 @@
 	return valid
 }
 
-// openRequests returns how many requests were open by the file of a folder, 0 where that is missing
-// or invalid.
+// openRequests returns the number of open requests that the open-requests file of a folder records.
+// It returns 0 if the file is missing or invalid.
 func openRequests(folder string) int {
 	text, err := os.ReadFile(filepath.Join(folder, snapshot.OpenRequestsFile))
 	if err != nil {
@@ -111,7 +112,7 @@
 	return len(open.OpenRequests) + open.OmittedRequests
 }
 
-// readSnapshots reads the two snapshot files of a folder, nil for a missing one.
+// readSnapshots reads the two snapshot files of a folder. A missing file is nil.
 func readSnapshots(folder string) (files [2][]byte, err error) {
 	if _, err := os.Stat(folder); err != nil {
 		return files, err
--- a/cmd/reachspread/table.go
+++ b/cmd/reachspread/table.go
@@ -11,10 +11,11 @@
 	"reachspread/internal/system/status"
 )
 
-// noneText stands in a table for what is not known or does not exist.
+// noneText is printed in a table cell for a value that is unknown or does not exist.
 const noneText = "-"
 
-// writeTable writes rows in columns under a heading, whose columns are separated by |.
+// writeTable writes a table with aligned columns. The heading names the columns, separated by |. The
+// function rows calls its argument once for each row.
 func writeTable(w io.Writer, heading string, rows func(row func(columns ...any))) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	defer t.Flush()
@@ -45,7 +46,7 @@
 	return "no"
 }
 
-// durationText is a time in seconds for people, a dash for nil.
+// durationText formats a duration in seconds, rounded to 10 ms. It returns a dash for nil.
 func durationText(seconds *float64) string {
 	if seconds == nil {
 		return noneText
