--- a/cmd/reachspread/check.go
+++ b/cmd/reachspread/check.go
@@ -12,17 +12,18 @@
 	systemsettings "reachspread/internal/system/settings"
 )
 
-// checkCommand checks files and starts nothing: those of the router in service, the settings of the
-// fleet's router, or a configuration that is to be put.
+// checkCommand returns the command that checks files without starting a router. It checks the files of
+// the command serve, or with --router the settings file of the command router, or with
+// --configuration a configuration for the control plane.
 func checkCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "check",
-		Short: "Check the configuration and the settings, and start nothing",
+		Short: "Check the configuration and the settings without starting a router",
 		Args:  cobra.NoArgs,
 	}
 	file := settingsFlag(c)
-	router := c.Flags().Bool("router", false, "check the settings file of the fleet's router, which "+systemsettings.PathVariable+" names")
-	put := c.Flags().String("configuration", "", "check a `file` as PUT /configuration would, - for standard input")
+	router := c.Flags().Bool("router", false, "check the settings file for the command router, which "+systemsettings.PathVariable+" names")
+	put := c.Flags().String("configuration", "", "check a `file` as PUT /configuration does, - for standard input")
 	c.MarkFlagsMutuallyExclusive("router", "configuration", "settings")
 	c.RunE = func(cmd *cobra.Command, _ []string) error {
 		switch {
@@ -50,7 +51,8 @@
 	return nil
 }
 
-// checkConfiguration reads a configuration with the code by which the control plane takes one.
+// checkConfiguration checks a configuration file with the same code that the control plane uses to
+// accept a configuration.
 func checkConfiguration(out io.Writer, file string) error {
 	text, err := readFile(file)
 	if err != nil {
@@ -65,7 +67,7 @@
 	return nil
 }
 
-// readFile reads a file, or standard input for -.
+// readFile reads a file, or standard input if the name is "-".
 func readFile(name string) ([]byte, error) {
 	if name == "-" {
 		return io.ReadAll(os.Stdin)
--- a/cmd/reachspread/fleetduties.go
+++ b/cmd/reachspread/fleetduties.go
@@ -16,9 +16,10 @@
 	"reachspread/internal/router/program"
 )
 
-// fleetDutiesCommand has the commands on singleton roles, which the command line calls duties.
+// fleetDutiesCommand returns the command that prints the singleton roles, which the command line
+// calls duties. Its subcommands change which router holds a duty.
 func fleetDutiesCommand() *cobra.Command {
-	c := managementCommand("duties", "Ask a running router who holds what only so many may do at a time", printDuties)
+	c := managementCommand("duties", "Print the duties that a running router knows, with their holders; only a limited number of routers may hold a duty at a time", printDuties)
 	c.AddCommand(handOverCommand(), yieldCommand(), rebuildCommand())
 	return c
 }
@@ -26,7 +27,7 @@
 func handOverCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "hand-over DUTY ROUTER",
-		Short: "Have the holder of a duty give it to another router, once its work has ended",
+		Short: "Have the holder of a duty hand it over to another router, once its current work has ended",
 		Args:  cobra.ExactArgs(2),
 	}
 	management, token := managementFlag(c), tokenFlag(c)
@@ -37,7 +38,7 @@
 }
 
 func yieldCommand() *cobra.Command {
-	c := &cobra.Command{Use: "yield DUTY", Short: "Have the holder of a duty give it to whoever waits", Args: cobra.ExactArgs(1)}
+	c := &cobra.Command{Use: "yield DUTY", Short: "Have the holder of a duty hand it over to any router that waits for it", Args: cobra.ExactArgs(1)}
 	management, token := managementFlag(c), tokenFlag(c)
 	c.RunE = func(_ *cobra.Command, args []string) error {
 		return giveDuty(*management, args[0], lease.AnyRouter, *token)
@@ -45,12 +46,13 @@
 	return c
 }
 
-// tokenFlag is the flag that says which of several lease holders is meant.
+// tokenFlag adds the --token flag, which selects one of several lease holders, to a command.
 func tokenFlag(c *cobra.Command) *uint64 {
-	return c.Flags().Uint64("token", 0, "that of the holder who is to give it, where a duty has several; 0 for the first")
+	return c.Flags().Uint64("token", 0, "the token of the holder that is to hand the duty over, if the duty has several holders; 0 for the first")
 }
 
-// giveDuty has the lease holder of a role with a token, 0 for the first, give it to a router.
+// giveDuty asks the lease holder of a role to hand the role over to a router. The token selects one
+// of several holders; 0 selects the first.
 func giveDuty(management, name, to string, token uint64) error {
 	address, err := managementAddress(management)
 	if err != nil {
@@ -63,41 +65,43 @@
 	return commandManagement(address, call)
 }
 
-// rebuildText says what a rebuild gives up, for the help and before the operator confirms it.
+// rebuildText explains what is lost by a rebuild. It is printed in the help and before the operator
+// confirms the rebuild.
 const rebuildText = "Founds duties anew, with this router for the first voter and tokens above all that any router that can be reached has seen.\n" +
 	"What is given up: who held what, and who waited. Should a voter that was named with --gone come back with its disk all the same,\n" +
 	"it joins the new group; while it is cut off, it must not be in a majority with others of the old one: two could act until a\n" +
 	"receiver refuses the older token. It is refused while a majority may live."
 
-// rebuildConfirmation is what the operator has to type.
+// rebuildConfirmation is the word that the operator types to confirm a rebuild.
 const rebuildConfirmation = "rebuild"
 
 func rebuildCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   rebuildConfirmation,
-		Short: "Found duties anew where a majority of the voters' disks is gone",
+		Short: "Create a new voter group for duties after a majority of the voters' disks was lost",
 		Long:  rebuildText,
 		Args:  cobra.NoArgs,
 	}
 	management := managementFlag(c)
-	removed := c.Flags().StringSlice("gone", nil, "the `routers` whose disks will not come back")
-	confirmed := c.Flags().Bool("yes", false, "do not ask")
+	removed := c.Flags().StringSlice("gone", nil, "the `routers` whose disks are permanently lost")
+	confirmed := c.Flags().Bool("yes", false, "do not ask for confirmation")
 	c.RunE = func(cmd *cobra.Command, _ []string) error {
 		address, err := managementAddress(*management)
 		if err != nil {
 			return err
 		}
 		if !*confirmed && !confirmRebuild(cmd) {
-			return errors.New("nothing was done")
+			return errors.New("the rebuild was not confirmed with the word rebuild; nothing was changed")
 		}
 		return commandManagement(address, strings.TrimSpace("duties-rebuild "+strings.Join(*removed, " ")))
 	}
 	return c
 }
 
-// confirmRebuild asks the operator, and reports whether the answer is rebuildConfirmation.
+// confirmRebuild asks the operator for confirmation and reports whether the answer is
+// rebuildConfirmation.
 func confirmRebuild(cmd *cobra.Command) bool {
-	fmt.Fprint(cmd.OutOrStdout(), rebuildText, "\nSay rebuild to go on: ")
+	fmt.Fprint(cmd.OutOrStdout(), rebuildText, "\nType rebuild to continue: ")
 	line, _ := bufio.NewReader(cmd.InOrStdin()).ReadString('\n')
 	return strings.TrimSpace(line) == rebuildConfirmation
 }
@@ -127,7 +131,7 @@
 	}
 }
 
-// printVoter prints the state of the router's voter, or that it has none.
+// printVoter prints the state of the router's voter, or that the router is not a voter.
 func printVoter(w io.Writer, f map[string]string) {
 	if f["stage"] == "asks" {
 		fmt.Fprintf(w, "this router does not vote; it asks %s first, and has been told of token %s\n", f["leader"], f["token"])
@@ -140,7 +144,7 @@
 	}
 }
 
-// timeLeft is the time left of a lease, a dash for none.
+// timeLeft formats the remaining time of a lease. It returns a dash if there is none.
 func timeLeft(f map[string]string) string {
 	ms := f["left_ms"]
 	if ms == noneText || ms == "" {
--- a/cmd/reachspread/fleetregister.go
+++ b/cmd/reachspread/fleetregister.go
@@ -7,7 +7,7 @@
 	"reachspread/internal/system/status"
 )
 
-// outsideText is the position of a machine that is not in the chain.
+// outsideText is printed as the position of a machine that is not in the chain.
 const outsideText = "outside"
 
 func printRegister(w io.Writer, answers []routerAnswer) {
@@ -32,7 +32,8 @@
 	fmt.Fprintf(w, "  may lose %d of %d machines%s\n", r.CurrentTolerance, r.TargetTolerance, shortToleranceText(r))
 }
 
-// shortToleranceText says for how long fewer machines may be lost than have to be tolerable.
+// shortToleranceText says for how long the register has tolerated the loss of fewer machines than its
+// target. It returns an empty string if the target is met.
 func shortToleranceText(r *status.Replica) string {
 	if r.ShortSeconds == nil {
 		return ""
@@ -40,7 +41,7 @@
 	return ", fewer than are to be borne for " + durationText(r.ShortSeconds)
 }
 
-// positionText is a machine's position in the chain.
+// positionText formats a machine's position in the chain, and marks the head and the tail.
 func positionText(m status.Machine, all []status.Machine) string {
 	tail := 0
 	for _, machine := range all {
@@ -57,8 +58,8 @@
 	return fmt.Sprint(m.ChainPosition)
 }
 
-// diskText is the state of a machine's disk as the machine reports it; a dash where it was not
-// heard of.
+// diskText returns the state of a machine's disk as the machine itself reports it. It returns a dash
+// if no report of the machine was received.
 func diskText(m status.Machine) string {
 	if m.HeardAgeSeconds == nil {
 		return noneText
--- a/cmd/reachspread/fleetstatus.go
+++ b/cmd/reachspread/fleetstatus.go
@@ -77,8 +77,8 @@
 	})
 }
 
-// stalledSteps returns the number of steps, over all loops, after which the loop's timer was due
-// again immediately.
+// stalledSteps returns the number of steps, over all loops, that were caused by a timer that was due
+// again immediately. Many such steps indicate a busy loop.
 func stalledSteps(all []status.Loop) (stalled uint64) {
 	for _, l := range all {
 		stalled += l.Stalled
--- a/cmd/reachspread/pin.go
+++ b/cmd/reachspread/pin.go
@@ -19,18 +19,19 @@
 	"reachspread/internal/system/status"
 )
 
-// pinsPath is where the control plane has the version pins.
+// pinsPath is the path of the version pins on the control plane.
 const pinsPath = "/pins"
 
-// pinCommand has the commands on version pins.
+// pinCommand returns the command that groups all commands about version pins.
 func pinCommand() *cobra.Command {
-	c := &cobra.Command{Use: "pin", Short: "Have requests served by a version of a model that you choose, on every router"}
-	watch := routerStatusCommand("watch", "Ask routers of the fleet what became of the requests in the pins' scopes", printPinFigures)
+	c := &cobra.Command{Use: "pin", Short: "Pin requests to a chosen version of a model, on every router"}
+	watch := routerStatusCommand("watch", "Print the outcomes of the requests in the pins' scopes, by router", printPinFigures)
 	c.AddCommand(pinSetCommand(), pinLiftCommand(), pinListCommand(), pinHistoryCommand(), watch)
 	return c
 }
 
-// pinRevision is the revision of the pins to build on: the given one, or else the one in force.
+// pinRevision returns the revision of the pins that a change builds on: the given one, or the one in
+// force if the given one is negative.
 func (t *controlClient) pinRevision(ctx context.Context, given int64) (string, error) {
 	if given >= 0 {
 		return fmt.Sprint(given), nil
@@ -47,7 +48,7 @@
 	return list, json.Unmarshal(text, &list)
 }
 
-// pinFlags are those of commands that change pins.
+// pinFlags holds the flags that all commands that change pins have in common.
 type pinFlags struct {
 	*controlClient
 	order    controlapi.PinOrder
@@ -56,13 +57,13 @@
 
 func newPinFlags(c *cobra.Command) *pinFlags {
 	f := &pinFlags{controlClient: newControlClient(c)}
-	c.Flags().StringVar(&f.order.By, "by", os.Getenv("USER"), "who orders it, for the history")
-	c.Flags().StringVar(&f.order.Why, "why", "", "the reason, for the history")
-	c.Flags().Int64Var(&f.revision, "revision", -1, "the `revision` of the pins that the change builds on; by default the one in force")
+	c.Flags().StringVar(&f.order.By, "by", os.Getenv("USER"), "who makes the change, for the history")
+	c.Flags().StringVar(&f.order.Why, "why", "", "the reason for the change, for the history")
+	c.Flags().Int64Var(&f.revision, "revision", -1, "the `revision` of the pins that the change builds on; by default the revision in force")
 	return f
 }
 
-// send submits an order, and prints the outcome once it is in force on every router.
+// send submits an order and prints the new revision once it is in force on every router.
 func (f *pinFlags) send(cmd *cobra.Command, method, name string) error {
 	base, err := f.controlClient.pinRevision(cmd.Context(), f.revision)
 	if err != nil {
@@ -83,14 +84,14 @@
 func pinSetCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "set NAME",
-		Short: "Set a pin, or put it in place of the one of its name; returns once it is in force on every router",
+		Short: "Set a pin, or replace the pin of the same name; returns once the pin is in force on every router",
 		Args:  cobra.ExactArgs(1),
 	}
 	f := newPinFlags(c)
-	c.Flags().StringVar(&f.order.Tenant, "tenant", "", "whose requests; by default those of all")
-	c.Flags().StringVar(&f.order.Route, "route", "", "the name of the route whose requests; by default those of all")
-	c.Flags().StringVar(&f.order.Model, "model", "", "the model that they name")
-	c.Flags().Int64Var(&f.order.Version, "version", 0, "the version that is to answer them")
+	c.Flags().StringVar(&f.order.Tenant, "tenant", "", "pin only requests of this tenant; by default of all tenants")
+	c.Flags().StringVar(&f.order.Route, "route", "", "pin only requests on the route of this name; by default on all routes")
+	c.Flags().StringVar(&f.order.Model, "model", "", "the model that the pinned requests name")
+	c.Flags().Int64Var(&f.order.Version, "version", 0, "the version of the model that must answer the pinned requests")
 	c.RunE = func(cmd *cobra.Command, args []string) error { return f.send(cmd, http.MethodPut, args[0]) }
 	return c
 }
@@ -98,7 +99,7 @@
 func pinLiftCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "lift NAME",
-		Short: "Lift a pin; returns once no router holds to it any more",
+		Short: "Remove a pin; returns once no router applies it",
 		Args:  cobra.ExactArgs(1),
 	}
 	f := newPinFlags(c)
@@ -107,7 +108,7 @@
 }
 
 func pinListCommand() *cobra.Command {
-	c := &cobra.Command{Use: "list", Short: "List the pins in force, with the hosts that have their versions", Args: cobra.NoArgs}
+	c := &cobra.Command{Use: "list", Short: "List the pins in force, with the number of hosts that can serve them", Args: cobra.NoArgs}
 	to := newControlClient(c)
 	asJSON := c.Flags().Bool("json", false, "print a line of JSON")
 	c.RunE = func(cmd *cobra.Command, _ []string) error {
@@ -127,7 +128,7 @@
 func pinHistoryCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "history",
-		Short: "List the pins that were set and lifted, by whom and why, the oldest first",
+		Short: "List all changes of the pins, with author and reason, the oldest first",
 		Args:  cobra.NoArgs,
 	}
 	to := newControlClient(c)
@@ -160,7 +161,7 @@
 	})
 }
 
-// hostsText says by how many hosts a pin's requests can be served, or why by none.
+// hostsText says how many hosts can serve a pin's requests, or why no host can.
 func hostsText(h *controlapi.PinHosts) string {
 	switch {
 	case h == nil:
@@ -208,7 +209,7 @@
 	})
 }
 
-// answeredText is the complete answers by their versions.
+// answeredText formats the number of complete answers for each model version.
 func answeredText(answered map[int64]uint64) string {
 	var counts []string
 	for _, version := range slices.Sorted(maps.Keys(answered)) {
--- a/cmd/reachspread/profile.go
+++ b/cmd/reachspread/profile.go
@@ -10,12 +10,12 @@
 	"time"
 )
 
-// profileFor is how long a CPU profile takes.
+// profileDuration is the time that a CPU profile covers.
 const profileDuration = time.Second
 
-// profiles writes, at each SIGUSR1, all goroutines and a CPU profile of the next second into a
-// folder, under names with the process's id. It is for whoever looks for a fault, and off without
-// the folder.
+// writeProfilesOnSignal starts a handler that writes, at each SIGUSR1, the stacks of all goroutines
+// and a CPU profile of the next second into a folder. The file names end in the process ID. It serves
+// to debug a running router; serve starts it only if --profile names a folder.
 func writeProfilesOnSignal(folder string) (stop func()) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGUSR1)
--- a/cmd/reachspread/router.go
+++ b/cmd/reachspread/router.go
@@ -7,11 +7,12 @@
 	"reachspread/internal/system/settings"
 )
 
-// routerCommand is the role of the router fleet: data plane and control plane in one process.
+// routerCommand returns the command that runs a router of the fleet, which has its data plane and its
+// control plane in one process.
 func routerCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "router",
-		Short: "Serve as a router of the fleet, as the settings file in " + settings.PathVariable + " says, until SIGTERM",
+		Short: "Run a router of the fleet, configured by the settings file that " + settings.PathVariable + " names, until SIGTERM",
 		Args:  cobra.NoArgs,
 		RunE:  func(cmd *cobra.Command, _ []string) error { return roles.Run(cmd.Context()) },
 	}
--- a/cmd/reachspread/shards.go
+++ b/cmd/reachspread/shards.go
@@ -12,13 +12,14 @@
 	"reachspread/internal/system/status"
 )
 
-// shardsCommand asks which machines own the shards of tenants: all, or that of one tenant.
+// shardsCommand returns the command that prints which machine owns which shard of tenants, for all
+// shards or for the shard of one tenant.
 func shardsCommand() *cobra.Command {
 	var tenant string
-	c := routerStatusCommand("shards", "Ask a router of the fleet which machine counts which tenants' limits", func(w io.Writer, answers []routerAnswer) {
+	c := routerStatusCommand("shards", "Print which machine counts the limits of which shard of tenants", func(w io.Writer, answers []routerAnswer) {
 		printShards(w, answers, tenant)
 	})
-	c.Flags().StringVar(&tenant, "tenant", "", "print only the shard of this tenant's `name`")
+	c.Flags().StringVar(&tenant, "tenant", "", "print only the shard of the tenant with this `name`")
 	return c
 }
 
@@ -33,8 +34,8 @@
 	})
 }
 
-// groupShards groups shards by owner and token, in the order of their first shards. With a tenant
-// only its shard is left.
+// groupShards groups shards by owner and token. The groups are in the order of their first shards. If
+// a tenant is given, the result contains only that tenant's shard.
 func groupShards(all []status.Shard, tenant string) (groups [][]status.Shard) {
 	type key struct {
 		owner string
@@ -56,7 +57,8 @@
 	return groups
 }
 
-// shardNumbers are the numbers of shards in rising order; those in a row are first-last.
+// shardNumbers formats the numbers of shards, which are in ascending order, and writes a run of
+// consecutive numbers as first-last.
 func shardNumbers(shards []status.Shard) string {
 	var runs []string
 	for i := 0; i < len(shards); {
--- a/cmd/reachspread/snapshot.go
+++ b/cmd/reachspread/snapshot.go
@@ -72,7 +72,7 @@
 			return err
 		}
 		if !checkSnapshots(cmd.OutOrStdout(), files) {
-			return fmt.Errorf("folder %s has no valid snapshot", args[0])
+			return errors.New("the folder has no valid snapshot")
 		}
 		return nil
 	}
