--- a/cmd/reachspread/configuration_test.go
+++ b/cmd/reachspread/configuration_test.go
@@ -17,7 +17,9 @@
 
 const inForceConfiguration = `{"version":5,"routes":[{"name":"r","host":"h","pathPrefix":"/","kind":"safe","timeoutMs":1000,"service":"s"}],"services":[{"name":"s"},{"name":"t"}]}`
 
-// configurationServer has a configuration, and answers orders in turn.
+// configurationServer starts a control plane stand-in. It returns the same configuration to each read
+// and answers the nth order with the nth of the given answers, or with the last one if there are
+// fewer. It records the orders.
 func configurationServer(t *testing.T, answers ...func(w http.ResponseWriter)) (at string, orders *[]order) {
 	t.Helper()
 	orders = &[]order{}
@@ -43,7 +45,8 @@
 	return path
 }
 
-// An order builds on the newest version, and goes again as it was until it has a clear answer.
+// An order builds on the newest version unless --if-match gives another one. The command retries the
+// unchanged order until its outcome is known.
 func TestConfigurationOrderIsAcknowledged(t *testing.T) {
 	is := is.New(t)
 	at, orders := configurationServer(t, answers(503, ""), answers(200, `{"version":9}`))
@@ -57,8 +60,8 @@
 	is.Equal((*orders)[2], order{"PATCH", "/configuration", "6", `{"version":7,"remove":{"services":["t"]}}`})
 }
 
-// What the control plane would reject is rejected before it is called, in one line; its own
-// rejections are printed.
+// The command rejects an invalid order with a one-line error and does not call the control plane. If
+// the control plane itself rejects an order, the command returns the reason.
 func TestRejectedConfigurationNamesTheReason(t *testing.T) {
 	is := is.New(t)
 	at, orders := configurationServer(t, answers(412, `{"version":5,"text":"version 5 is in force, not 4"}`))
@@ -71,7 +74,8 @@
 	is.True(err != nil && strings.Contains(err.Error(), "version 5 is in force"))
 }
 
-// What a file would change is printed by the names of items, or as the patch that does it.
+// The diff command prints the names of the items that a file would change, or with --patch a patch
+// that makes the same change.
 func TestConfigurationDiffPrintsChanges(t *testing.T) {
 	is := is.New(t)
 	at, _ := configurationServer(t)
--- a/cmd/reachspread/control_processes_test.go
+++ b/cmd/reachspread/control_processes_test.go
@@ -21,26 +21,26 @@
 
 const (
 	operators        = 3
-	operatorInterval = 30 * time.Millisecond // between two calls of one
-	orderTimeout     = 20 * time.Second      // then an order's outcome counts as unknown
+	operatorInterval = 30 * time.Millisecond // between two calls of one operator
+	orderTimeout     = 20 * time.Second      // after this time, the outcome of an order counts as unknown
 	callTimeout      = 1500 * time.Millisecond
 	checkTimeout     = 30 * time.Second
 	manyChanges      = 80
-	versionStep      = 10 // versions on top of one version: each operator has its own
+	versionStep      = 10 // each version has room for this many successors, so that each operator writes its own
 )
 
-// configurationCall is one call of an operator, as a checker of histories has it.
+// configurationCall is one call of an operator, in the form that the linearizability checker needs.
 type configurationCall struct {
 	write              bool
-	base, next         int // of a write: the version it builds on, and its own
+	base, next         int // of a write: the version that it builds on, and the version that it writes
 	began, ended       time.Duration
-	version            int // of a read: what was read
+	version            int // of a read: the version that was read
 	accepted, rejected bool
 	operator           int
 }
 
-// configurationModel is what operators of one register may see, whose state is the version in
-// force.
+// configurationModel is the sequential specification of the configuration register. Its state is the
+// version in force.
 var configurationModel = porcupine.Model{
 	Init: func() any { return 0 },
 	Step: func(state, input, _ any) (bool, any) {
@@ -55,7 +55,7 @@
 	},
 }
 
-// configurationHistory is what all operators saw.
+// configurationHistory records the calls of all operators and their outcomes.
 type configurationHistory struct {
 	started time.Time
 	mu      sync.Mutex
@@ -72,15 +72,16 @@
 	}
 }
 
-// newest is the newest version that was acknowledged.
+// newest returns the newest version that was acknowledged.
 func (h *configurationHistory) newest() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.acked
 }
 
-// linearizable tells whether there is an order of all calls that one register would have. A write
-// without an answer was taken where its version was seen by anybody, and else is left out.
+// linearizable checks whether the history is linearizable for a single register. A write with an
+// unknown outcome counts as accepted if some call read its version or builds on it; otherwise the
+// check ignores the write.
 func (h *configurationHistory) linearizable() porcupine.CheckResult {
 	seen := map[int]bool{}
 	for _, c := range h.calls {
@@ -104,7 +105,8 @@
 	return porcupine.CheckOperationsTimeout(configurationModel, all, checkTimeout)
 }
 
-// operate calls as one operator until ctx ends: it reads, and writes on top of what it read.
+// operate acts as one operator until ctx ends: it repeatedly reads the configuration and then writes
+// a configuration that builds on the version that it read.
 func (f *processes) operate(ctx context.Context, h *configurationHistory, operator int) {
 	rng := rand.New(rand.NewPCG(uint64(operator), 1))
 	for {
@@ -123,7 +125,7 @@
 	}
 }
 
-// read reads the version in force, nil without a clear answer.
+// read reads the version in force. It returns nil if the read fails.
 func (f *processes) read(ctx context.Context, h *configurationHistory, operator int, rng *rand.Rand) *configurationCall {
 	c := &configurationCall{operator: operator, began: time.Since(h.started)}
 	code, text := f.callControl(ctx, rng.IntN(f.Len()), http.MethodGet, "", -1)
@@ -141,7 +143,8 @@
 	return c
 }
 
-// write sends one order again and again until it has a clear answer.
+// write sends one order repeatedly until its outcome is known, or until orderTimeout has passed or ctx
+// ends.
 func (f *processes) write(ctx context.Context, h *configurationHistory, operator, on int, rng *rand.Rand) *configurationCall {
 	next := (on/versionStep+1)*versionStep + operator
 	body := fmt.Sprintf(`{"version":%d,"routes":[{"name":"r","host":"h.example","pathPrefix":"/","kind":"safe","timeoutMs":%d,"service":"s"}],"services":[{"name":"s"}]}`, next, 1000+next)
@@ -162,7 +165,8 @@
 	return c
 }
 
-// callControl makes one call; the code is 0 without an answer.
+// callControl makes one call to a router's control plane. The code is 0 if there is no complete
+// answer.
 func (f *processes) callControl(ctx context.Context, i int, method, body string, on int) (code int, text []byte) {
 	within, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -185,8 +189,8 @@
 	return resp.StatusCode, text
 }
 
-// untilWhole waits until a process that may act for the register says that so many machines of the
-// chain are healthy and complete.
+// untilChainHealthy waits until a process that may act for the register reports exactly the given
+// number of healthy and complete machines in the chain.
 func (f *processes) untilChainHealthy(machines int) {
 	f.t.Helper()
 	tick := time.NewTicker(50 * time.Millisecond)
@@ -198,10 +202,11 @@
 			}
 		}
 	}
-	f.t.Fatalf("the chain never has %d healthy machines:\n%s", machines, f.registerStatus())
+	f.t.Fatalf("the chain never had %d healthy machines; the register as its machines report it:\n%s", machines, f.registerStatus())
 }
 
-// registerStatus is the register as each of its machines tells of it, a line each.
+// registerStatus returns one line for each machine of the register, with the register's state as this
+// machine reports it.
 func (f *processes) registerStatus() string {
 	var all strings.Builder
 	for i := range f.Len() {
@@ -214,7 +219,8 @@
 	return all.String()
 }
 
-// register is the register as a process tells of it, nil where it does not answer.
+// register returns the register's state as a process reports it, or nil if the process does not
+// answer.
 func (f *processes) register(i int) *status.Register {
 	client := http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Get("http://" + f.Readiness(i) + status.Path)
@@ -229,8 +235,9 @@
 	return &s.Register
 }
 
-// wholeChain is how many healthy machines the chain has by one that a majority has confirmed of
-// late, 0 by any other one.
+// healthyChainLength returns how many healthy and complete machines the chain has according to a
+// process. It returns 0 if no majority has recently confirmed the process's epoch, because its report
+// may then be stale.
 func (f *processes) healthyChainLength(i int) (healthy int) {
 	r := f.register(i)
 	if r == nil || r.Replica == nil || r.Replica.ConfirmedAgeSeconds == nil {
@@ -244,10 +251,10 @@
 	return healthy
 }
 
-// A control plane of real processes, of which one at a time is killed, stands still, loses its
-// disk, is cut off one way or both, or has a disk that stalls or is full, and at last all end at
-// once: operators that read and write meanwhile see one register, and at the end it has what was
-// acknowledged last.
+// The control plane stays linearizable on router processes with faults. One process at a time is
+// killed, frozen, wiped, partitioned in one or both directions, or has a stalled or full disk. At the
+// end, all processes are killed at once. Operators read and write meanwhile. Their history must be
+// linearizable, and the final read must return no version older than the last acknowledged one.
 func TestControlPlaneOnProcesses(t *testing.T) {
 	f := startProcesses(t, 5, 3)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -280,23 +287,24 @@
 	f.checkHistory(h)
 }
 
-// trouble is one thing that goes wrong for a while.
+// fault is a temporary failure of one process.
 type fault struct {
 	name            string
-	healthyMachines int // healthy machines of the chain
+	healthyMachines int // the number of healthy machines in the chain during the fault
 	begin, end      func()
-	minChanges      int // so many at least are made meanwhile, one for 0
+	minChanges      int // the versions advance by at least this many steps during the fault; 0 stands for one change
 }
 
-// troubles are all kinds, at machines of the register by turns and at a router that is none.
+// faults returns faults of all kinds, on each machine of the register in turn and on the routers that
+// are not part of the register.
 func (f *processes) faults() []fault {
 	return []fault{
 		{"machine 0 is killed", 2, func() { f.Kill(0) }, func() { f.start(0) }, 0},
-		{"machine 1 stands still", 2, func() { f.Freeze(1) }, func() { f.Thaw(1) }, 0},
+		{"machine 1 is frozen", 2, func() { f.Freeze(1) }, func() { f.Thaw(1) }, 0},
 		{"machine 2 loses its disk", 2, func() { f.wipe(2) }, func() { f.start(2) }, 0},
 		{"machine 0 is cut off", 2, func() { f.cutOff(0, true) }, f.heal, 0},
 		{"machine 1 is cut off during many changes", 2, func() { f.cutOff(1, true) }, f.heal, manyChanges},
-		{"nobody hears machine 1", 2, func() { f.cutOff(1, false) }, f.heal, 0},
+		{"all messages from machine 1 are lost", 2, func() { f.cutOff(1, false) }, f.heal, 0},
 		{"machine 2 is cut off", 2, func() { f.cutOff(2, true) }, f.heal, 0},
 		{"the disk of machine 0 stalls", 2, func() { f.fail(0, processFailures{stall: true}) }, f.heal, 0},
 		{"the disk of machine 1 is full", 2, func() { f.fail(1, processFailures{full: true}) }, f.heal, 0},
@@ -305,7 +313,7 @@
 	}
 }
 
-// beginWith sends the first configuration until it is taken.
+// putFirstConfiguration sends the first configuration until the control plane accepts it.
 func (f *processes) putFirstConfiguration(ctx context.Context, first *configurationCall) {
 	f.t.Helper()
 	body := fmt.Sprintf(`{"version":%d,"services":[{"name":"s"}]}`, first.next)
@@ -314,10 +322,10 @@
 			return
 		}
 	}
-	f.t.Fatal("the first configuration is never taken")
+	f.t.Fatal("the control plane never accepted the first configuration")
 }
 
-// untilAcknowledged waits until a version after one is acknowledged.
+// untilAcknowledged waits until a version newer than after is acknowledged.
 func (f *processes) untilAcknowledged(h *configurationHistory, after int) {
 	f.t.Helper()
 	tick := time.NewTicker(20 * time.Millisecond)
@@ -327,10 +335,11 @@
 			return
 		}
 	}
-	f.t.Fatalf("nothing after version %d is acknowledged", after)
+	f.t.Fatalf("no version newer than %d was acknowledged", after)
 }
 
-// judge reads the register's last word, and has all that was seen checked.
+// checkHistory reads the final version, and fails the test if the version is older than the newest
+// acknowledged one, if the history is not linearizable, or if too few writes were accepted.
 func (f *processes) checkHistory(h *configurationHistory) {
 	f.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), scenarioTimeout)
@@ -341,14 +350,14 @@
 		last = f.read(ctx, h, 0, rng)
 	}
 	if last == nil {
-		f.t.Fatal("the configuration can not be read at the end")
+		f.t.Fatal("the configuration can't be read at the end")
 	}
 	h.add(last)
 	if last.version < h.newest() {
-		f.t.Errorf("version %d is read at the end; %d was acknowledged", last.version, h.newest())
+		f.t.Errorf("the final read returned version %d, but version %d was acknowledged", last.version, h.newest())
 	}
 	if result := h.linearizable(); result != porcupine.Ok {
-		f.t.Errorf("%d calls are not those of one register: %s", len(h.calls), result)
+		f.t.Errorf("the history of %d calls is not linearizable: %s", len(h.calls), result)
 	}
 	accepted, rejected, unknown := 0, 0, 0
 	for _, c := range h.calls {
@@ -361,13 +370,13 @@
 			unknown++
 		}
 	}
-	f.t.Logf("%d calls: %d writes taken, %d refused, %d unknown", len(h.calls), accepted, rejected, unknown)
+	f.t.Logf("%d calls: %d writes accepted, %d rejected, %d with an unknown outcome", len(h.calls), accepted, rejected, unknown)
 	if accepted < len(f.faults()) {
-		f.t.Error("too few writes to tell")
+		f.t.Error("too few writes were accepted for a verdict")
 	}
 }
 
-// Histories that no one register has are found.
+// The checker detects histories that are not linearizable, and accepts linearizable ones.
 func TestConfigurationChecker(t *testing.T) {
 	write := func(base, next int, began, ended time.Duration, accepted bool) *configurationCall {
 		return &configurationCall{write: true, base: base, next: next, began: began, ended: ended, accepted: accepted, rejected: !accepted}
@@ -380,18 +389,18 @@
 		calls []*configurationCall
 		right bool
 	}{
-		{"one after the other", []*configurationCall{write(0, 1, 1, 2, true), read(1, 3, 4), write(1, 10, 5, 6, true)}, true},
+		{"sequential calls", []*configurationCall{write(0, 1, 1, 2, true), read(1, 3, 4), write(1, 10, 5, 6, true)}, true},
 		{"a stale read", []*configurationCall{write(0, 1, 1, 2, true), read(0, 3, 4)}, false},
-		{"two on one version", []*configurationCall{write(0, 1, 1, 2, true), write(0, 2, 1, 2, true)}, false},
-		{"refused on the version in force", []*configurationCall{write(0, 1, 1, 2, false)}, false},
-		{"lost", []*configurationCall{write(0, 1, 1, 2, true), write(1, 10, 3, 4, true), read(1, 5, 6)}, false},
-		{"unknown, and seen", []*configurationCall{{write: true, base: 0, next: 1, began: 1}, read(0, 2, 3), read(1, 4, 5)}, true},
-		{"unknown, and gone again", []*configurationCall{{write: true, base: 0, next: 1, began: 1}, read(1, 2, 3), read(0, 4, 5)}, false},
+		{"two writes accepted on one version", []*configurationCall{write(0, 1, 1, 2, true), write(0, 2, 1, 2, true)}, false},
+		{"write rejected although it builds on the version in force", []*configurationCall{write(0, 1, 1, 2, false)}, false},
+		{"read of a version that was never written", []*configurationCall{write(0, 1, 1, 2, true), write(1, 10, 3, 4, true), read(1, 5, 6)}, false},
+		{"write with an unknown outcome that a later read returns", []*configurationCall{{write: true, base: 0, next: 1, began: 1}, read(0, 2, 3), read(1, 4, 5)}, true},
+		{"write with an unknown outcome that disappears after a read returned it", []*configurationCall{{write: true, base: 0, next: 1, began: 1}, read(1, 2, 3), read(0, 4, 5)}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := &configurationHistory{calls: c.calls}
 			if got := h.linearizable() == porcupine.Ok; got != c.right {
-				t.Errorf("linearizable: %v", got)
+				t.Errorf("linearizable reports %v for this history", got)
 			}
 		})
 	}
--- a/cmd/reachspread/failures_test.go
+++ b/cmd/reachspread/failures_test.go
@@ -13,11 +13,12 @@
 	"reachspread/coord/failpoint"
 )
 
-// failuresFile names, in a router process that tests start, the file that says what fails in it.
+// failuresFile is the environment variable that names the failures file of a router process under
+// test. The file says which failures the process injects.
 const failuresFile = "REACHSPREAD_TEST_FAILURES"
 
-// The words of that file, one a line. The address of a machine to which messages are lost is behind
-// the first.
+// The keywords of a failures file, one on each line. After loseWord comes the address of a machine;
+// messages to this machine are lost.
 const (
 	loseWord  = "lose "
 	stallWord = "stall"
@@ -26,9 +27,9 @@
 
 const failuresPollInterval = 10 * time.Millisecond
 
-// processFailures is what a file says.
+// processFailures is the content of a failures file.
 type processFailures struct {
-	lose        []string // the addresses of machines, without ports
+	lose        []string // the addresses, without ports, of the machines to which messages are lost
 	stall, full bool
 }
 
@@ -64,7 +65,8 @@
 
 var errFull = errors.New("no space left on device")
 
-// failAsTold has this process fail as a file says, from now on.
+// injectFailures makes this process inject the failures that a file lists. It reads the file every
+// failuresPollInterval.
 func injectFailures(path string) {
 	var now atomic.Pointer[processFailures]
 	read := func() {
@@ -94,15 +96,15 @@
 	})
 }
 
-// failuresPath is the file of a process's failures.
+// failuresPath returns the path of a process's failures file.
 func (f *processes) failuresPath(i int) string {
 	return filepath.Join(f.folder, "failures-"+f.IP(i))
 }
 
-// fail has things fail in a process, in place of those before.
+// fail replaces the failures that a process injects.
 func (f *processes) fail(i int, what processFailures) {
 	f.t.Helper()
-	next := f.failuresPath(i) + ".next" // whoever reads sees all or nothing
+	next := f.failuresPath(i) + ".next" // renamed below, so that the process never reads a partial file
 	if err := os.WriteFile(next, []byte(what.text()), 0o600); err != nil {
 		f.t.Fatal(err)
 	}
@@ -111,8 +113,8 @@
 	}
 }
 
-// cutOff has no message go from a process to any other, and none to it where others are deaf to it
-// as well.
+// cutOff makes a process lose all its messages to the other processes. With bothWays, the other
+// processes also lose their messages to it.
 func (f *processes) cutOff(i int, bothWays bool) {
 	f.t.Helper()
 	var others []string
@@ -128,7 +130,7 @@
 	f.fail(i, processFailures{lose: others})
 }
 
-// heal ends all that fails.
+// heal ends all injected failures.
 func (f *processes) heal() {
 	f.t.Helper()
 	for i := range f.Len() {
--- a/cmd/reachspread/fleetstatus_test.go
+++ b/cmd/reachspread/fleetstatus_test.go
@@ -16,7 +16,7 @@
 	"reachspread/internal/system/status"
 )
 
-// statusServer answers as a router does.
+// statusServer starts a server that answers status requests with s, as a router does.
 func statusServer(t *testing.T, s *status.Router) (at string) {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -30,7 +30,8 @@
 	return server.Listener.Addr().String()
 }
 
-// run runs the command line.
+// run executes a command line and returns its output with each run of white space replaced by one
+// space.
 func run(args ...string) (string, error) {
 	var out bytes.Buffer
 	c := command()
@@ -56,7 +57,7 @@
 	}
 }
 
-// Each command prints its part of what a router tells, for people.
+// Each command prints its part of a router's status as a table, or the complete status as JSON.
 func TestFleetCommandsPrintAndEncodeStatus(t *testing.T) {
 	at := statusServer(t, sampleStatus())
 	for _, c := range []struct {
@@ -88,8 +89,8 @@
 	}
 }
 
-// With --all, the routers that the first one sees are asked as well, at the same port; what does
-// not answer is named, and the command fails.
+// With --all, the command also queries the members that the first router reports, at the same port.
+// If a router does not answer, the command fails with an error that names the router.
 func TestAllAsksTheRoutersThatTheFirstSees(t *testing.T) {
 	is := is.New(t)
 	s := sampleStatus()
@@ -100,13 +101,13 @@
 	text, err := run("fleet", "configuration", "--at", at, "--all")
 	is.True(err != nil)
 	is.True(strings.Contains(err.Error(), "127.0.0.2:"+port))
-	is.True(strings.Contains(text, "n0 "+at)) // once: it sees itself
+	is.True(strings.Contains(text, "n0 "+at)) // only once, although the router also reports itself as a member
 	is.Equal(strings.Count(text, "n0"), 1)
 	_, err = run("fleet", "members")
 	is.True(err != nil && strings.Contains(err.Error(), "--at must name"))
 }
 
-// Of one tenant only its shard is printed.
+// With --tenant, the command prints only the shard of that tenant.
 func TestShardsOfOneTenant(t *testing.T) {
 	is := is.New(t)
 	text, err := run("fleet", "shards", "--tenant", "gold", "--at", statusServer(t, sampleStatus()))
--- a/cmd/reachspread/forms_test.go
+++ b/cmd/reachspread/forms_test.go
@@ -16,23 +16,25 @@
 	"reachspread/internal/testbed/formtest"
 )
 
-// Each command has the same path and flags, with the same types and defaults, hidden ones too.
+// All commands, including hidden ones, have the paths and the flags in testdata, with the same types
+// and defaults.
 func TestCommandLineIsUnchanged(t *testing.T) {
 	t.Setenv("USER", "somebody")
 	t.Setenv("TMPDIR", "/tmp")
 	formtest.Compare(t, "commands.txt", formtest.Commands(command(), nil))
 }
 
-// What a command prints of several routers has the same fields.
+// The JSON answers of the commands that query several routers have the fields in testdata.
 func TestStatusAnswersAreUnchanged(t *testing.T) {
 	formtest.Compare(t, "status-answers.txt", formtest.Fields([]routerAnswer{}, "json"))
 }
 
-// environmentVariable is what a string that names one looks like; with = behind it for one that is
-// set for another process.
+// environmentVariable matches a string that is the name of an environment variable. The name is
+// followed by = where a program sets the variable for another process.
 var environmentVariable = regexp.MustCompile(`^[A-Z][A-Z0-9]*(_[A-Z0-9]+)+=?$`)
 
-// environmentNames adds the names of environment variables that a file of Go has.
+// environmentNames adds the names of the environment variables in the string literals of a Go file to
+// names.
 func environmentNames(t *testing.T, path string, names map[string]bool) {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
@@ -51,17 +53,17 @@
 	})
 }
 
-// isProgramSource reports whether a file is written for the programs: neither generated nor for
-// tests.
+// isProgramSource reports whether a file is Go source that is part of a program: it is neither
+// generated nor used only by tests.
 func isProgramSource(path string) bool {
 	if !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") || strings.HasSuffix(path, ".pb.go") {
 		return false
 	}
-	return !strings.Contains(path, "/formtest/") && !strings.Contains(path, "/golden/") // packages for tests alone
+	return !strings.Contains(path, "/formtest/") && !strings.Contains(path, "/golden/") // packages that only tests use
 }
 
-// The programs read the same environment variables, and set the same ones for processes that they
-// start.
+// The environment variables that the programs read, or set for processes that they start, are those
+// in testdata.
 func TestEnvironmentVariablesAreUnchanged(t *testing.T) {
 	names := map[string]bool{}
 	for _, top := range []string{"balance", "cmd", "coord", "internal"} {
--- a/cmd/reachspread/golden_test.go
+++ b/cmd/reachspread/golden_test.go
@@ -22,14 +22,14 @@
 	"reachspread/internal/testbed/pintest"
 )
 
-// The data directories below testdata/fleet are those of three routers on 127.82.7.1 to 127.82.7.3,
-// written and stopped by the program of commit 5bfcc27:
+// testdata/fleet contains the data directories of three routers on 127.82.7.1 to 127.82.7.3. The
+// program of commit 5bfcc27 wrote them and was then stopped:
 //
 //	go test ./cmd/reachspread -run TestGoldenFleet -write-golden
 //
-// They are never written again: a later version has to go on from them as they are. They hold
-// addresses, so a fleet on them needs the same ones.
-var writeGolden = flag.Bool("write-golden", false, "write testdata/fleet in place of a start on it")
+// The directories are never written again, because every later version must be able to start on them
+// unchanged. They contain addresses, so a fleet that starts on them needs the same addresses.
+var writeGolden = flag.Bool("write-golden", false, "write testdata/fleet instead of starting a fleet on it")
 
 const (
 	goldenFleetPath    = "testdata/fleet"
@@ -37,13 +37,14 @@
 	goldenRouters      = 3
 	goldenTimeout      = 40 * time.Second
 	goldenPollInterval = 50 * time.Millisecond
-	goldenCallTimeout  = 10 * time.Second // a change of the pins waits until it is in force
+	goldenCallTimeout  = 10 * time.Second // long, because a change of the pins is answered only once it is in force
 )
 
-// goldenOrder is an order to the control plane that was acknowledged.
+// goldenOrder is a call to the control plane, mostly an order that the golden fleet acknowledged.
 type goldenOrder struct{ method, path, ifMatch, body string }
 
-// The orders of the golden fleet, in their order.
+// goldenOrders are the orders that the golden fleet acknowledged, in the sequence in which they were
+// sent.
 var goldenOrders = []goldenOrder{
 	{http.MethodPut, "/configuration", "0", `{"version":3,"services":[{"name":"s"}]}`},
 	{http.MethodPut, "/configuration", "3", `{"version":7,"routes":[` +
@@ -59,26 +60,26 @@
 	{http.MethodDelete, "/pins/all", "3", `{"by":"bob","why":"over"}`},
 }
 
-// A fleet starts on the data directories of an earlier version: the configuration, the pins, their
-// history, the hosts that were known and the identities are as they were; orders that were
-// acknowledged then are known again, and new ones go on from there.
+// A fleet can start on the data directories of an earlier version. The configuration, the pins and
+// their history, the known hosts and the identities are unchanged. The fleet acknowledges again each
+// order that it acknowledged before, without executing it twice. New orders build on the old state.
 func TestGoldenFleet(t *testing.T) {
 	if *writeGolden {
 		writeGoldenFleet(t)
 		return
 	}
 	g := startGoldenFleet(t)
-	g.until("the configuration is read", func() bool { return g.get("/configuration") != "" })
+	g.until("the configuration can be read", func() bool { return g.get("/configuration") != "" })
 	for file, read := range g.content() {
 		g.compare(file, read)
 	}
 	for _, o := range goldenOrders {
 		code, text := g.order(o)
 		if code != http.StatusOK {
-			t.Errorf("%s %s that was acknowledged before: %d %s", o.method, o.path, code, text)
+			t.Errorf("%s %s, which was acknowledged before, is answered with %d %s", o.method, o.path, code, text)
 		}
 	}
-	g.compare(historyFile, g.content()[historyFile]) // none of them was made again
+	g.compare(historyFile, g.content()[historyFile]) // no order was executed a second time
 	for _, o := range []struct {
 		order goldenOrder
 		code  int
@@ -90,12 +91,12 @@
 	} {
 		code, text := g.order(o.order)
 		if code != o.code {
-			t.Errorf("%s %s: %d %s, not %d", o.order.method, o.order.path, code, text, o.code)
+			t.Errorf("%s %s: got %d %s, want %d", o.order.method, o.order.path, code, text, o.code)
 		}
 	}
 }
 
-// goldenFleet is a fleet of the golden directories.
+// goldenFleet is a fleet that runs on a copy of the golden directories, or that writes them.
 type goldenFleet struct {
 	*processes
 	is *is.I
@@ -121,7 +122,7 @@
 
 const historyFile = "history.json"
 
-// content is what is compared, by the golden file that has it.
+// content returns, for each golden file, the function that reads its content from the fleet.
 func (g *goldenFleet) content() map[string]func() string {
 	return map[string]func() string{
 		"configuration.json": func() string { return g.get("/configuration") },
@@ -131,10 +132,10 @@
 	}
 }
 
-// goldenRevocationMs bounds how long a change of the pins takes.
+// goldenRevocationMs is the setting that bounds how long a change of the pins takes, in milliseconds.
 const goldenRevocationMs = 1000
 
-// until waits for something.
+// until waits until done reports true. It fails the test after goldenTimeout.
 func (g *goldenFleet) until(what string, done func() bool) {
 	g.t.Helper()
 	for until := time.Now().Add(goldenTimeout); time.Now().Before(until); time.Sleep(goldenPollInterval) {
@@ -143,13 +144,14 @@
 		}
 	}
 	logs, _ := os.ReadFile(g.Log(0))
-	g.t.Fatalf("never: %s; the log of the first router:\n%s", what, logs)
+	g.t.Fatalf("condition never reached: %s; the log of the first router:\n%s", what, logs)
 }
 
-// pinHosts is how many hosts a pin has, which is counted anew in each life.
+// pinHosts matches the number of hosts of a pin, which a router counts anew after each start.
 var pinHosts = regexp.MustCompile(`,"hosts":\{[^}]*\}`)
 
-// get reads a path of the control plane, empty without an answer. Counts of hosts are left out.
+// get reads a path of the control plane, without the host counts of pins. It returns an empty string
+// unless the router answers with 200.
 func (g *goldenFleet) get(path string) string {
 	code, text := g.call(goldenOrder{http.MethodGet, path, "", ""}, 0)
 	if code != http.StatusOK {
@@ -158,11 +160,11 @@
 	return pinHosts.ReplaceAllString(text, "")
 }
 
-// order sends an order until it has a clear answer.
+// order sends an order to one router after the other until its outcome is known.
 func (g *goldenFleet) order(o goldenOrder) (code int, text string) {
 	g.t.Helper()
 	router := 0
-	g.until(o.method+" "+o.path+" has a clear answer", func() bool {
+	g.until(o.method+" "+o.path+" has a known outcome", func() bool {
 		code, text = g.call(o, router%goldenRouters)
 		router++
 		return code != 0 && code != http.StatusAccepted && code/100 != 5
@@ -170,7 +172,7 @@
 	return code, text
 }
 
-// call makes one call of the control plane; the code is 0 without an answer.
+// call makes one call to a router's control plane. The code is 0 if there is no complete answer.
 func (g *goldenFleet) call(o goldenOrder, router int) (code int, text string) {
 	ctx, cancel := context.WithTimeout(g.t.Context(), goldenCallTimeout)
 	defer cancel()
@@ -192,7 +194,8 @@
 	return answer.StatusCode, string(body)
 }
 
-// compare reads something again and again until it is what a golden file says.
+// compare calls read repeatedly until it returns the content of a golden file. It reports an error
+// after goldenTimeout.
 func (g *goldenFleet) compare(file string, read func() string) {
 	g.t.Helper()
 	want, err := os.ReadFile(filepath.Join(goldenFleetPath, file))
@@ -203,10 +206,10 @@
 			return
 		}
 	}
-	g.t.Errorf("%s would be\n%s\nand was\n%s", file, got, want)
+	g.t.Errorf("%s: the fleet returns\n%s\nthe golden file has\n%s", file, got, want)
 }
 
-// goldenStatus is the part of a router's status that has to be as it was.
+// goldenStatus is the part of a router's status that must equal the golden file.
 type goldenStatus struct {
 	Register struct {
 		Replica struct {
@@ -229,8 +232,8 @@
 	} `json:"hosts"`
 }
 
-// statuses is a line for each router: its identity as a machine of the register, and the hosts that
-// it knows.
+// statuses returns one line for each router, with its identity as a machine of the register and the
+// hosts that it knows.
 func (g *goldenFleet) statuses() string {
 	var all strings.Builder
 	for i := range goldenRouters {
@@ -249,7 +252,7 @@
 	return all.String()
 }
 
-// startHosts starts two hosts of model m, and waits until all routers know them.
+// startHosts starts two hosts that serve model m, and waits until all routers know both.
 func (g *goldenFleet) startHosts() {
 	for i, version := range []int64{1, 2} {
 		h, err := pintest.NewHost(fmt.Sprint("i-", i), version)
@@ -267,11 +270,11 @@
 			g.t.Fatal(code, text)
 		}
 	}
-	g.until("all know the hosts", func() bool { return strings.Count(g.statuses(), "i-1") == goldenRouters })
+	g.until("all routers know the hosts", func() bool { return strings.Count(g.statuses(), "i-1") == goldenRouters })
 }
 
-// writeGoldenFleet makes the golden directories: orders, hosts, requests under a tenant's limit,
-// and a stop of all routers.
+// writeGoldenFleet writes the golden directories. It sends the orders, starts hosts, sends requests
+// under a tenant's limit and then terminates all routers.
 func writeGoldenFleet(t *testing.T) {
 	g := startGoldenFleet(t)
 	g.until("the control plane answers", func() bool { code, _ := g.call(goldenOrders[0], 0); return code == http.StatusOK })
@@ -280,7 +283,7 @@
 		t.Log(o.method, o.path, code, text)
 		g.is.Equal(code, http.StatusOK)
 	}
-	g.must(g.Wipe(goldenRouters - 1)) // it gets all of the state in one piece, and reads are answered from that
+	g.must(g.Wipe(goldenRouters - 1)) // this router then receives the complete state at once and answers reads from it
 	g.start(goldenRouters - 1)
 	g.untilChainHealthy(goldenRouters)
 	g.startHosts()
@@ -296,7 +299,7 @@
 		}
 		return usage
 	}
-	g.until("the use is kept", kept)
+	g.until("a router has stored the tenant's usage", kept)
 	for file, read := range g.content() {
 		g.is.NoErr(os.WriteFile(filepath.Join(goldenFleetPath, file), []byte(read()), 0o644))
 	}
@@ -307,7 +310,7 @@
 		e, ok := g.AwaitExit(t.Context(), i)
 		t.Log(e, ok)
 	}
-	t.Log("kept at the end:", kept())
+	t.Log("tenant usage still stored at the end:", kept())
 	for i := range goldenRouters {
 		g.is.NoErr(os.CopyFS(filepath.Join(goldenFleetPath, "data", g.Name(i)), os.DirFS(filepath.Join(g.folder, g.Name(i)))))
 	}
--- a/cmd/reachspread/main_test.go
+++ b/cmd/reachspread/main_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// The status names each drop by its cause, and what is wrong with the records.
+// The printed status lists dropped copies by cause and says why records can't be written.
 func TestShadowStatusIsPrinted(t *testing.T) {
 	var out bytes.Buffer
 	printShadow(&out, &mirror.Report{Pools: []mirror.Status{{Pool: "next", Health: "down", RetryIn: "2s", Level: "tense", Hosts: 2,
@@ -63,7 +63,8 @@
 	}
 }
 
-// The state of admission names each cause, each owner and who holds the most.
+// The printed admission status lists refusals by cause, descriptors by owner, and the clients that
+// hold the most connections.
 func TestAdmissionStatusIsPrinted(t *testing.T) {
 	var out bytes.Buffer
 	printAdmission(&out, &program.AdmissionStatus{Level: "critical", Slots: 96, Reserve: 24, Lent: 3, Known: 5, Unknown: 60, Lobby: 2, Step: 1, Open: 40,
@@ -81,19 +82,20 @@
 	}
 }
 
-// --management has its former name as well, which is in operators' scripts.
+// The flag --management and the command admission also work under their former name, door, because
+// operators' scripts use it.
 func TestManagementFlagByBothNames(t *testing.T) {
 	for _, name := range []string{"management", "door"} {
 		c := &cobra.Command{Use: "asks"}
 		at := managementFlag(c)
 		if err := c.ParseFlags([]string{"--" + name, "10.0.0.1:9001"}); err != nil || *at != "10.0.0.1:9001" {
-			t.Errorf("--%s: %q, %v", name, *at, err)
+			t.Errorf("--%s: the flag has the value %q, error %v", name, *at, err)
 		}
 	}
 	root := command()
 	for _, name := range []string{"admission", "door"} {
 		if c, _, err := root.Find([]string{name}); err != nil || c.Name() != "admission" {
-			t.Errorf("reachspread %s: %v, %v", name, c, err)
+			t.Errorf("reachspread %s: found the command %v, error %v", name, c, err)
 		}
 	}
 }
--- a/cmd/reachspread/pin_test.go
+++ b/cmd/reachspread/pin_test.go
@@ -14,11 +14,12 @@
 	"reachspread/internal/system/status"
 )
 
-// order is a call that the stand-in for the control API got.
+// order is a call that the stand-in for the control API received.
 type order struct{ method, path, ifMatch, body string }
 
-// controlServer answers calls that change pins with the answers given, one after the other, and the
-// list of pins at any time.
+// controlServer starts a stand-in for the control API. It answers the nth call that changes pins with
+// the nth of the given answers, or with the last one if there are fewer. It answers reads with a fixed
+// list of pins or a fixed history.
 func controlServer(t *testing.T, answers ...func(w http.ResponseWriter)) (at string, orders *[]order) {
 	t.Helper()
 	orders = &[]order{}
@@ -49,8 +50,8 @@
 
 const inForce = `{"revision":5,"inForce":true}`
 
-// An order builds on the revision in force, and is sent again as it was until it is in force
-// everywhere.
+// An order builds on the revision in force. The command retries the unchanged order until the new
+// revision is in force on all routers.
 func TestPinSetReturnsOnceInForce(t *testing.T) {
 	is := is.New(t)
 	at, orders := controlServer(t, answers(503, ""), answers(202, `{"revision":5}`), answers(200, inForce))
@@ -63,8 +64,8 @@
 	}
 }
 
-// A pin is lifted on the revision that is given; a rejection is printed, and the order is not sent
-// again.
+// The lift command builds on the revision that --revision gives. If the control plane rejects the
+// order, the command returns the reason and does not retry.
 func TestRejectedPinLiftIsNotRetried(t *testing.T) {
 	is := is.New(t)
 	at, orders := controlServer(t, answers(412, `{"error":"revision 4 of the pins is in force, not 2"}`))
@@ -73,7 +74,7 @@
 	is.Equal(*orders, []order{{"DELETE", "/pins/p", "2", `{"by":"ann","why":"done"}`}})
 }
 
-// A router that is not there is passed over.
+// If a router can't be reached, the command tries the next router.
 func TestPinOrderGoesToTheNextRouter(t *testing.T) {
 	is := is.New(t)
 	at, orders := controlServer(t, answers(200, inForce))
@@ -84,7 +85,8 @@
 	is.True(err != nil && strings.Contains(err.Error(), "--control must name"))
 }
 
-// The pins in force, why their requests are rejected, and the changes before them are printed.
+// The list command prints the pins in force and why requests in their scope are refused. The history
+// command prints the earlier changes.
 func TestPinsAndHistoryArePrinted(t *testing.T) {
 	is := is.New(t)
 	at, _ := controlServer(t)
@@ -100,7 +102,7 @@
 	is.True(strings.HasPrefix(text, `{"revision":4,`))
 }
 
-// The outcomes of the requests in a pin's scope are printed by router.
+// The watch command prints the outcomes of the requests in a pin's scope, one row for each router.
 func TestPinWatchCountsOutcomes(t *testing.T) {
 	is := is.New(t)
 	s := sampleStatus()
--- a/cmd/reachspread/processes_test.go
+++ b/cmd/reachspread/processes_test.go
@@ -11,7 +11,8 @@
 	"reachspread/internal/testbed/pintest"
 )
 
-// asRouter has the test's own program be a router: a process of a fleet that tests start.
+// asRouter is the environment variable that makes the test binary run as a router, so that tests can
+// start a fleet of router processes.
 const asRouter = "REACHSPREAD_TEST_IS_ROUTER"
 
 func TestMain(m *testing.M) {
@@ -25,14 +26,14 @@
 }
 
 const (
-	// boundMs is the bound on the age of what keys are honoured by: each change of the pins takes
-	// so long.
+	// revocationMs bounds the age of the state by which routers honour API keys, in milliseconds.
+	// Each change of the pins takes this long.
 	revocationMs    = 2000
 	heartbeatMs     = 60_000
 	scenarioTimeout = 60 * time.Second
 )
 
-// processes is a fleet of router processes of which what fails can be told.
+// processes is a fleet of router processes in which tests can inject failures.
 type processes struct {
 	*localfleet.Fleet
 	t      *testing.T
@@ -57,25 +58,26 @@
 	}
 }
 
-// start begins a life of a process.
+// start starts a router's process.
 func (f *processes) start(i int) {
 	f.t.Helper()
 	f.must(f.Start(i))
 }
 
-// wipe ends a process and takes its disk.
+// wipe kills a process and removes the data on its disk.
 func (f *processes) wipe(i int) {
 	f.t.Helper()
 	f.must(f.Wipe(i))
 }
 
-// untilReady waits until processes say that clients may come.
+// untilReady waits until the given processes report that they accept clients.
 func (f *processes) untilReady(which ...int) {
 	f.t.Helper()
 	f.must(f.AwaitReady(f.t.Context(), which...))
 }
 
-// story is clients on the processes, and hosts of two versions.
+// startScenario starts two hosts of model version 1 and two of version 2, registers them with the
+// fleet, and returns a scenario whose clients send requests to all routers.
 func (f *processes) startScenario(ctx context.Context) *pintest.Scenario {
 	f.t.Helper()
 	var fronts, controls []string
@@ -100,9 +102,9 @@
 	return s
 }
 
-// Real processes: pins are honoured on live traffic while processes are killed, stand still for
-// longer than a change of the pins takes, lose their disks, are cut off, have a disk that stalls,
-// and all lose their lives at once.
+// Router processes honour pins under live traffic while processes are killed, frozen for longer than
+// a change of the pins takes, partitioned, lose their disks or have a stalled disk, and finally while
+// all of them are killed at once.
 func TestPinsOnProcesses(t *testing.T) {
 	f := startProcesses(t, 5, 3)
 	ctx, cancel := context.WithTimeout(context.Background(), 3*scenarioTimeout)
@@ -117,14 +119,14 @@
 	}
 	s.StartTraffic()
 	change(1)
-	f.Freeze(3) // without a disk: it learns of nothing
+	f.Freeze(3) // a router without a disk, which misses the following changes
 	change(2)
 	change(1)
 	f.Thaw(3)
 	f.Kill(4)
 	change(2)
 	f.start(4)
-	f.Freeze(1) // of the register
+	f.Freeze(1) // a machine of the register
 	change(1)
 	change(2)
 	f.Thaw(1)
@@ -133,13 +135,13 @@
 	f.start(2)
 	change(1)
 	f.untilReady(2)
-	f.cutOff(4, true) // without a disk: it refuses what it can't know
+	f.cutOff(4, true) // a router without a disk, which must refuse requests because its state may be stale
 	change(2)
 	change(1)
 	f.heal()
 	f.untilReady(4)
 	f.untilChainHealthy(3)
-	f.cutOff(0, true) // of the register
+	f.cutOff(0, true) // a machine of the register
 	change(2)
 	f.heal()
 	f.untilChainHealthy(3)
@@ -158,6 +160,6 @@
 		t.Error(wrong)
 	}
 	if report.Served < report.Requests/4 {
-		t.Error("too few were served to tell")
+		t.Error("fewer than a quarter of the requests were served, which is too few for a verdict")
 	}
 }
--- a/cmd/reachspread/readme_test.go
+++ b/cmd/reachspread/readme_test.go
@@ -11,7 +11,8 @@
 	"github.com/spf13/cobra"
 )
 
-// readmeCommands are the lines of the README that call a program, without its path.
+// readmeCommands returns the calls of a program in the README, each as its arguments without the path
+// of the program.
 func readmeCommands(t *testing.T, program string) (all [][]string) {
 	t.Helper()
 	text, err := os.ReadFile("../../README.md")
@@ -30,7 +31,8 @@
 	return all
 }
 
-// flagsOf are the flags that a line names, without brackets around what may be left out.
+// flagsOf returns the names of the flags in a call. It ignores the brackets around optional
+// arguments.
 func flagsOf(words []string) (all []string) {
 	for _, w := range words {
 		w = strings.Trim(w, "[]")
@@ -42,11 +44,11 @@
 	return all
 }
 
-// Each call of the program in the README is of a command that there is, with flags that it has.
+// Each call of the program in the README uses an existing command and only flags that the command has.
 func TestReadmeCommands(t *testing.T) {
 	calls := readmeCommands(t, "bin/reachspread")
 	if len(calls) < 10 {
-		t.Fatalf("only %d are found", len(calls))
+		t.Fatalf("found only %d calls in the README, want at least 10", len(calls))
 	}
 	for _, words := range calls {
 		checkCall(t, command(), words)
@@ -61,7 +63,7 @@
 		return
 	}
 	if c.DisableFlagParsing {
-		return // another program reads them
+		return // the command passes its flags on to another program
 	}
 	for _, name := range flagsOf(words) {
 		if c.Flags().Lookup(name) == nil {
@@ -70,7 +72,7 @@
 	}
 }
 
-// The README's table of packages has each package once, and no other.
+// The README's table of packages lists each package exactly once and nothing else.
 func TestReadmePackages(t *testing.T) {
 	text, err := os.ReadFile("../../README.md")
 	if err != nil {
@@ -92,10 +94,10 @@
 			name := strings.TrimPrefix(path, "../../")
 			files, err := filepath.Glob(path + "/*.go")
 			if len(files) > 0 && listed[name] != 1 {
-				t.Errorf("README: the table has %s %d times", name, listed[name])
+				t.Errorf("README: the table lists package %s %d times, want once", name, listed[name])
 			}
 			if len(files) == 0 && listed[name] > 0 {
-				t.Errorf("README: %s is no package", name)
+				t.Errorf("README: the table lists %s, which is not a package", name)
 			}
 			delete(listed, name)
 			return err
@@ -106,7 +108,7 @@
 	}
 	for name := range listed {
 		if strings.HasPrefix(name, "internal/") || strings.HasPrefix(name, "coord/") || strings.HasPrefix(name, "cmd/") {
-			t.Errorf("README: there is no %s", name)
+			t.Errorf("README: the table lists %s, which does not exist", name)
 		}
 	}
 }
--- a/cmd/reachspread/tour_test.go
+++ b/cmd/reachspread/tour_test.go
@@ -7,14 +7,15 @@
 	"testing"
 )
 
-// tourFile is a Go file that the tour names, and tourFunctions are the functions behind it in
-// brackets.
+// tourFile matches a Go file that the tour names, and the list of its functions that may follow the
+// file name. tourFunctions matches each function in that list.
 var (
 	tourFile      = regexp.MustCompile("`((?:[a-z]+/)+[a-z]+\\.go)`(?:\\s*(?:,\\s*|\\()((?:`[A-Za-z]+`(?:,\\s*)?)+))?")
 	tourFunctions = regexp.MustCompile("`([A-Za-z]+)`")
 )
 
-// Each file that the tour of the code names is there, and has the functions that are named with it.
+// Each file that the tour of the code names exists and declares the functions that the tour names
+// with it.
 func TestTour(t *testing.T) {
 	page, err := os.ReadFile("../../docs/tour.md")
 	if err != nil {
@@ -35,9 +36,9 @@
 		}
 	}
 	if named < 40 {
-		t.Errorf("only %d functions are found on the page", named)
+		t.Errorf("found only %d functions on the page, want at least 40", named)
 	}
 	if lines := strings.Count(string(page), "\n"); lines > 80 {
-		t.Errorf("the tour has %d lines; it is to be read in ten minutes", lines)
+		t.Errorf("the tour has %d lines, want at most 80, so that it can be read in ten minutes", lines)
 	}
 }
