--- a/cmd/drill/golden_test.go
+++ b/cmd/drill/golden_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// A session with each message of the simulator's protocol, in and out, is answered to the byte as
-// it was when the golden file was written. The file was taken from the landed program, and is never
-// renewed.
+// The replies to a session that uses each message of the simulator's protocol, in both directions, are
+// byte for byte those of the golden file. The released program wrote the golden file, which is never
+// written again.
 func TestSessionIsAnsweredTheSame(t *testing.T) {
 	in, err := os.ReadFile("testdata/session.in.jsonl")
 	if err != nil {
@@ -25,7 +25,7 @@
 	}
 	gotLines, wantLines := strings.Split(got.String(), "\n"), strings.Split(string(want), "\n")
 	if len(gotLines) != len(wantLines) {
-		t.Fatalf("%d lines, not %d", len(gotLines), len(wantLines))
+		t.Fatalf("got %d reply lines, want %d", len(gotLines), len(wantLines))
 	}
 	for i := range wantLines {
 		if gotLines[i] != wantLines[i] {
@@ -34,12 +34,12 @@
 	}
 	for _, kind := range []string{"launch", "killed", "peersKnown", "arrival", "streaming", "verdict", "aborted", "timer", "health", "datagram"} {
 		if !bytes.Contains(in, []byte(`{"`+kind+`":{`)) {
-			t.Errorf("the session has no %s", kind)
+			t.Errorf("the session has no %s event", kind)
 		}
 	}
 	for _, kind := range []string{"handOff", "decline", "respondError", "askLoad", "post", "defer", "streamChanges", "trace"} {
 		if !bytes.Contains(want, []byte(`{"`+kind+`":{`)) {
-			t.Errorf("no %s among the answers", kind)
+			t.Errorf("the golden replies have no %s action", kind)
 		}
 	}
 }
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,5 +1,6 @@
-// Drill puts the decisions of package balance on the simulator's wire: batches of events on
-// standard input, one reply to each on standard output, many instances in one process.
+// Drill connects the decision code of package balance to the simulator. It reads batches of events
+// from standard input and writes one reply for each batch to standard output. One process runs many
+// balancer instances.
 package main
 
 import (
@@ -21,7 +22,7 @@
 	}
 }
 
-// serve answers each line of in with one line on out, until in ends.
+// serve answers each line of in, which is a batch of events, with one line on out until in ends.
 func serve(in io.Reader, out io.Writer) error {
 	r := bufio.NewReaderSize(in, 1<<20)
 	w := bufio.NewWriterSize(out, 1<<20)
@@ -43,20 +44,21 @@
 			return fmt.Errorf("line %d: %w", n, err)
 		}
 		if err := json.NewEncoder(w).Encode(reply); err != nil {
-			return fmt.Errorf("line %d: cannot reply: %w", n, err)
+			return fmt.Errorf("line %d: encoding the reply failed: %w", n, err)
 		}
 		if err := w.Flush(); err != nil {
-			return fmt.Errorf("line %d: cannot reply: %w", n, err)
+			return fmt.Errorf("line %d: writing the reply failed: %w", n, err)
 		}
 	}
 }
 
-// host keeps the instances of one process. They share nothing.
+// host holds the balancer instances of one process by their number. The instances share no state.
 type host struct {
 	instances map[int]*balance.Balancer
 }
 
-// answer gives each instance of a batch its events at once, in the order of their first event.
+// answer runs each instance that occurs in a batch once, with all its events of the batch, and
+// collects the actions into a reply. The instances run in the order in which they first occur.
 func (h *host) answer(batch *wire.Batch) (*wire.Reply, error) {
 	reply := &wire.Reply{Outbox: []any{}}
 	events := map[int][]balance.Event{}
@@ -78,7 +80,7 @@
 			h.instances[m.Launch.I] = b
 			touch(m.Launch.I)
 		case m.Killed != nil:
-			// The events before it die with the instance: nobody would hear its answers.
+			// Discard the earlier events of the batch as well: a killed instance can't answer them.
 			delete(h.instances, m.Killed.I)
 			touch(m.Killed.I)
 			events[m.Killed.I] = nil
@@ -112,7 +114,8 @@
 	return balance.New(cfg, l.Entropy)
 }
 
-// step runs one instance and turns a panic of the decision code into the wire's report of a crash.
+// step runs one instance and returns its actions in the simulator's format. If the decision code
+// panics, step returns the message that reports a crash.
 func step(i int, b *balance.Balancer, now time.Duration, events []balance.Event) (out []any) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/cmd/drill/main_test.go
+++ b/cmd/drill/main_test.go
@@ -56,10 +56,10 @@
 	for _, tt := range tests {
 		out, err := exchange(t, launchLine, tt.line)
 		if err == nil || !strings.Contains(err.Error(), tt.want) || !strings.Contains(err.Error(), "line 2") {
-			t.Errorf("%s: want an error with %q and the line, got %v", tt.name, tt.want, err)
+			t.Errorf("%s: want an error that contains %q and line 2, got %v", tt.name, tt.want, err)
 		}
 		if len(out) != 1 {
-			t.Errorf("%s: want nothing on the wire but the first reply, got %q", tt.name, out)
+			t.Errorf("%s: want only the first reply on the output, got %q", tt.name, out)
 		}
 	}
 }
@@ -76,18 +76,19 @@
 	}
 	b.WriteString(`]}`)
 	if b.Len() < 2<<20 {
-		t.Fatalf("the batch has only %d bytes", b.Len())
+		t.Fatalf("the batch has only %d bytes, want at least 2 MiB", b.Len())
 	}
 	out, err := exchange(t, launchLine, b.String())
 	if err != nil || len(out) != 2 {
-		t.Fatalf("%d replies, error %v", len(out), err)
+		t.Fatalf("got %d replies, want 2; error %v", len(out), err)
 	}
 	if answers := strings.Count(out[1], `"handOff"`) + strings.Count(out[1], `"decline"`); answers != n {
-		t.Errorf("%d of %d requests answered", answers, n)
+		t.Errorf("%d of %d requests were answered", answers, n)
 	}
 }
 
-// An instance that starts again in the batch that killed it has forgotten everything.
+// An instance that is killed and launched again within one batch starts without any state, so it does
+// not answer the requests from before the kill.
 func TestRestartInOneBatch(t *testing.T) {
 	launch := strings.TrimSuffix(strings.TrimPrefix(launchLine, `{"simTimeNs":1000,"msgs":[`), `]}`)
 	got, err := exchange(t, launchLine,
@@ -105,7 +106,7 @@
 	}
 }
 
-// The simulator's clients hear from the adapter, too, when to come back.
+// A rejection passes on to the simulator's client how long it should wait before a retry.
 func TestRefusalPassesOnItsTime(t *testing.T) {
 	launch := strings.Replace(launchLine, `"maxAttempts":3`, `"maxAttempts":3,"retryAfter":true,"maxRetryAfterNs":30000000`, 1)
 	got, err := exchange(t, launch,
--- a/cmd/reachlab/account.go
+++ b/cmd/reachlab/account.go
@@ -12,15 +12,16 @@
 	"reachspread/internal/testbed/scoreanalysis"
 )
 
-// accountCommand prints what played days of the fleet's bench lost.
+// accountCommand returns the command that prints how much of their worth the simulated days of the
+// fleet's benchmark lost, and to what.
 func accountCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "account FILE|ID",
-		Short: "Print what the days of a journal entry, or the day of a bench's report, lost by part and by price",
+		Short: "Print the losses, by part of the day and by price, of the days in a journal entry or of the day in a benchmark report",
 		Args:  cobra.ExactArgs(1),
 	}
-	beside := c.Flags().String("beside", "", "another `file or id` whose days are set beside these: figures come with differences")
-	journal := c.Flags().String("journal", "journal", "the `folder` in which entries are looked for by their ids")
+	beside := c.Flags().String("beside", "", "another `file or id` to compare with; each figure is printed with its difference")
+	journal := c.Flags().String("journal", "journal", "the `folder` that contains the journal entries, which are found by their ids")
 	c.RunE = func(cmd *cobra.Command, args []string) error {
 		this, err := readAccount(*journal, args[0])
 		if err != nil {
@@ -38,11 +39,11 @@
 	return c
 }
 
-// requestsCommand prints why requests were late or not served.
+// requestsCommand returns the command that prints why requests were late or not served.
 func requestsCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "requests LOG",
-		Short: "Print why requests of a played day were late or not served, from the log of a build of the trial (docs/measurements/deciding.md)",
+		Short: "Print why requests of a simulated day were late or not served, from the log of a trial build (docs/measurements/deciding.md)",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			file, err := os.Open(args[0])
@@ -59,7 +60,7 @@
 	}
 }
 
-// readAccount reads a file, or the journal entry of an id.
+// readAccount reads the account in the file called name, or else in the journal entry with this ID.
 func readAccount(journal, name string) (*scoreanalysis.Account, error) {
 	file, err := os.Open(name)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -76,14 +77,14 @@
 	return a, nil
 }
 
-// openEntry opens the last journal entry of an id.
+// openEntry opens the newest journal entry with an ID.
 func openEntry(journal, id string) (*os.File, error) {
 	found, err := filepath.Glob(filepath.Join(journal, "*-"+id+".json"))
 	if err != nil {
 		return nil, err
 	}
 	if len(found) == 0 {
-		return nil, fmt.Errorf("%s: no such file, and no such entry in %s", id, journal)
+		return nil, fmt.Errorf("%s: no such file, and no such entry in journal folder %s", id, journal)
 	}
 	return os.Open(found[len(found)-1])
 }
--- a/cmd/reachlab/account_test.go
+++ b/cmd/reachlab/account_test.go
@@ -10,7 +10,8 @@
 	"github.com/matryer/is"
 )
 
-// An entry is found by its file or by its id in the journal, and set beside another one.
+// The account command finds an entry by its file name or by its ID in the journal, and compares it
+// with another entry.
 func TestAccount(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
--- a/cmd/reachlab/capacity.go
+++ b/cmd/reachlab/capacity.go
@@ -12,7 +12,7 @@
 func capacityCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "capacity FILE",
-		Short: "Print the tables of docs/CAPACITY.md from kept results, such as docs/measurements/capacity.csv",
+		Short: "Print the tables of docs/CAPACITY.md from saved results, such as docs/measurements/capacity.csv",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			file, err := os.Open(args[0])
--- a/cmd/reachlab/fleetdemo.go
+++ b/cmd/reachlab/fleetdemo.go
@@ -11,7 +11,8 @@
 	"reachspread/internal/testbed/fleetdemo"
 )
 
-// asRouter is the hidden command by which the demo's processes are routers.
+// asRouter is the hidden command that makes this program run as a router of the fleet. The commands
+// demo-fleet and soak start their routers with it.
 const asRouter = "as-router"
 
 const (
@@ -22,11 +23,11 @@
 func fleetDemoCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "demo-fleet",
-		Short: "Start a whole router fleet on the loopback with hosts, an operator and load, kill one of each, and show what comes of it",
+		Short: "Run a complete router fleet on loopback with hosts, an operator and load, inject failures, and show the effects",
 		Args:  cobra.NoArgs,
 	}
-	length := c.Flags().Duration("length", 40*time.Second, "of the load")
-	page := c.Flags().String("page", filepath.Join(os.TempDir(), "reachlab-fleet.html"), "`file` that the chart is written to")
+	length := c.Flags().Duration("length", 40*time.Second, "duration of the load")
+	page := c.Flags().String("page", filepath.Join(os.TempDir(), "reachlab-fleet.html"), "write the chart to this `file`")
 	c.RunE = func(cmd *cobra.Command, _ []string) error {
 		self, err := os.Executable()
 		if err != nil {
--- a/cmd/reachlab/forms_test.go
+++ b/cmd/reachlab/forms_test.go
@@ -6,7 +6,8 @@
 	"reachspread/internal/testbed/formtest"
 )
 
-// Each command has the same path and flags, with the same types and defaults, hidden ones too.
+// All commands, including hidden ones, have the paths and the flags in testdata, with the same types
+// and defaults.
 func TestCommandLineIsUnchanged(t *testing.T) {
 	t.Setenv("USER", "somebody")
 	t.Setenv("TMPDIR", "/tmp")
--- a/cmd/reachlab/main.go
+++ b/cmd/reachlab/main.go
@@ -1,4 +1,5 @@
-// Reachlab plays experiments on a model of the fleet.
+// Reachlab runs experiments on a simulated fleet and on real router processes, and evaluates the
+// results.
 package main
 
 import (
@@ -31,7 +32,7 @@
 }
 
 func command() *cobra.Command {
-	root := &cobra.Command{Use: "reachlab", Short: "Plays experiments on a model of the fleet", SilenceUsage: true, SilenceErrors: true}
+	root := &cobra.Command{Use: "reachlab", Short: "Runs experiments on a simulated fleet and on real router processes", SilenceUsage: true, SilenceErrors: true}
 	root.AddCommand(runCommand(), checkCommand(), replayCommand(), compareCommand(), chartCommand(), scaleCommand(), demoCommand(), fleetDemoCommand(), soakCommand(), asRouterCommand(), serveFleetCommand(), loadCommand(),
 		rigCommand(), judgeCommand(), returnsCommand(), faultsCommand(), membershipCommand(), capacityCommand(), accountCommand(), requestsCommand(), pairsCommand())
 	return root
@@ -40,11 +41,11 @@
 func runCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "run FILE",
-		Short: "Play all worlds of an experiment and print its table",
+		Short: "Simulate all worlds of an experiment and print its table",
 		Args:  cobra.ExactArgs(1),
 	}
-	atOnce := c.Flags().Int("at-once", runtime.NumCPU(), "worlds that are played side by side")
-	folder := c.Flags().String("keep", "", "leave experiment, runs and tables in this new `folder`")
+	atOnce := c.Flags().Int("at-once", runtime.NumCPU(), "number of worlds that are simulated in parallel")
+	folder := c.Flags().String("keep", "", "save the experiment, the runs and the tables in this new `folder`")
 	c.RunE = func(cmd *cobra.Command, args []string) error {
 		x, err := experiment.Read(args[0])
 		if err != nil {
@@ -78,7 +79,8 @@
 	return c
 }
 
-// terminal tells whether somebody looks at what is written.
+// isTerminal reports whether a writer is a terminal, so that a user sees the output while it is
+// written.
 func isTerminal(w any) bool {
 	f, ok := w.(*os.File)
 	if !ok {
@@ -91,7 +93,7 @@
 func compareCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "compare FOLDER FOLDER",
-		Short: "Compare two kept runs, variant by variant, in pairs by seed",
+		Short: "Compare two saved runs by variant, in pairs of worlds with the same seed",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			_, from, err := experiment.Open(args[0])
@@ -104,7 +106,7 @@
 			}
 			all := experiment.CompareFolders(from, to)
 			if len(all) == 0 {
-				return fmt.Errorf("%s and %s have no variant of one name", args[0], args[1])
+				return fmt.Errorf("the runs in %s and %s have no variant name in common", args[0], args[1])
 			}
 			for _, d := range all {
 				fmt.Fprintln(cmd.OutOrStdout(), d.String())
@@ -117,7 +119,7 @@
 func chartCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "chart FOLDER FILE",
-		Short: "Write a page with the charts of a kept run, which opens without a network",
+		Short: "Write a page with the charts of a saved run; the page needs no network access",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
 			x, kept, err := experiment.Open(args[0])
@@ -133,7 +135,7 @@
 	var page string
 	c := &cobra.Command{
 		Use:   "scale FOLDER [BEFORE]",
-		Short: "Print what a kept run served by its routers and load, and with BEFORE what another run did",
+		Short: "Print how much a saved run served, by number of routers and load; with BEFORE, also print it for an earlier run",
 		Args:  cobra.RangeArgs(1, 2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var scales [2]*experiment.Scale
@@ -165,7 +167,7 @@
 func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE",
-		Short: "Read an experiment, or a folder that run has kept, and say what it is",
+		Short: "Check an experiment file, or a folder that run --keep wrote, and summarize it",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			info, err := os.Stat(args[0])
@@ -193,11 +195,11 @@
 func replayCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "replay FILE",
-		Short: "Play one world of an experiment again, and print its broken rule with what came before, or its seconds",
+		Short: "Simulate one world of an experiment, and print the rule that it violates with the preceding events, or else a row for each second",
 		Args:  cobra.ExactArgs(1),
 	}
-	seed := c.Flags().Uint64("seed", 1, "of the world")
-	name := c.Flags().String("variant", "", "of the experiment; the first one by itself")
+	seed := c.Flags().Uint64("seed", 1, "seed of the world")
+	name := c.Flags().String("variant", "", "name of a variant of the experiment; by default the first one")
 	c.RunE = func(cmd *cobra.Command, args []string) error {
 		x, err := experiment.Read(args[0])
 		if err != nil {
@@ -210,7 +212,7 @@
 			}
 		}
 		if *name != "" && x.Variants[variant].Name != *name {
-			return fmt.Errorf("%s has no variant %q", args[0], *name)
+			return fmt.Errorf("experiment %s has no variant %q", args[0], *name)
 		}
 		if err := x.CheckFor(faults.Simulation); err != nil {
 			return err
@@ -239,12 +241,12 @@
 func demoCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "demo",
-		Short: "Start three stand-in hosts, discovery and the router, send them a minute of requests, and show what comes of it",
+		Short: "Start three stand-in hosts, discovery and the router, send a minute of requests, and show the results",
 		Args:  cobra.NoArgs,
 	}
-	length := c.Flags().Duration("length", time.Minute, "of the load")
-	keep := c.Flags().Bool("keep", false, "leave all up until Ctrl-C, and print how to ask it with curl")
-	logs := c.Flags().Bool("logs", false, "print the router's log lines, too")
+	length := c.Flags().Duration("length", time.Minute, "duration of the load")
+	keep := c.Flags().Bool("keep", false, "keep everything running until Ctrl-C, and print how to query it with curl")
+	logs := c.Flags().Bool("logs", false, "also print the router's log lines")
 	c.RunE = func(cmd *cobra.Command, _ []string) error {
 		o := demo.Options{Out: cmd.OutOrStdout(), Live: isTerminal(cmd.OutOrStdout()) && !*logs, Length: *length, StayUp: *keep}
 		if *logs {
--- a/cmd/reachlab/membership.go
+++ b/cmd/reachlab/membership.go
@@ -13,22 +13,22 @@
 func membershipCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "membership",
-		Short: "Measure the membership protocol on real routers beside hollow members that carry no traffic",
+		Short: "Measure the membership protocol on real routers together with hollow members, which carry no traffic",
 		Args:  cobra.NoArgs,
 	}
 	var p scaletest.Plan
 	flags := c.Flags()
-	flags.IntVar(&p.Real, "real", 2, "router processes")
-	flags.IntVar(&p.Hollow, "hollow", 30, "members without traffic, all in this process")
-	flags.IntVar(&p.Zones, "zones", 3, "zones that members stand in by turns")
-	flags.Float64Var(&p.Loss, "loss", 0, "share of the datagrams from and to hollow members that is lost")
+	flags.IntVar(&p.Real, "real", 2, "number of router processes")
+	flags.IntVar(&p.Hollow, "hollow", 30, "number of members without traffic, which all run in this process")
+	flags.IntVar(&p.Zones, "zones", 3, "number of zones, to which the members are assigned in turn")
+	flags.Float64Var(&p.Loss, "loss", 0, "fraction of the datagrams from and to hollow members that is lost")
 	flags.Float64Var(&p.Churn, "churn", 0, "restarts of hollow members a minute, while traffic is measured")
 	flags.DurationVar(&p.Quiesce, "settle", 10*time.Second, "time after the joins, before traffic is measured")
 	flags.DurationVar(&p.Length, "length", 20*time.Second, "time for which traffic is measured")
-	flags.DurationVar(&p.Apart, "apart", 5*time.Second, "time for which half of the hollow members stay cut off, once that is known")
-	flags.DurationVar(&p.Within, "within", time.Minute, "time for a change to be known to all, before it is given up")
-	flags.Uint64Var(&p.Seed, "seed", 1, "seed of all chance of the run")
-	flags.StringVar(&p.Program, "program", "", "the router's `binary`; by itself the reachspread beside this program")
+	flags.DurationVar(&p.Apart, "apart", 5*time.Second, "time for which half of the hollow members stay partitioned after the partition is detected")
+	flags.DurationVar(&p.Within, "within", time.Minute, "time limit for all members to learn of a change")
+	flags.Uint64Var(&p.Seed, "seed", 1, "seed of all random choices of the run")
+	flags.StringVar(&p.Program, "program", "", "the router's `binary`; by default reachspread in the folder of this program")
 	asJSON := flags.Bool("json", false, "print the result as JSON")
 	c.RunE = func(cmd *cobra.Command, _ []string) (err error) {
 		if p.Real > 0 {
@@ -45,7 +45,7 @@
 		}
 		result, err := scaletest.Run(cmd.Context(), p)
 		if err != nil {
-			return fmt.Errorf("run ended: %w", err)
+			return fmt.Errorf("the membership run failed: %w", err)
 		}
 		if *asJSON {
 			return json.NewEncoder(cmd.OutOrStdout()).Encode(result)
--- a/cmd/reachlab/pairs.go
+++ b/cmd/reachlab/pairs.go
@@ -16,23 +16,24 @@
 	"reachspread/internal/testbed/scoreanalysis"
 )
 
-// pairsCommand plays a change against the code before it.
+// pairsCommand returns the command that compares a change with the code before it, by running the same
+// days of the benchmark on both.
 func pairsCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "pairs BEFORE AFTER",
-		Short: "Play days of the fleet's bench in two checkouts, the same seeds in both, and print mean differences of worth with their standard errors",
+		Short: "Run days of the fleet's benchmark in two checkouts, with the same seeds in both, and print mean differences of worth with their standard errors",
 		Args:  cobra.ExactArgs(2),
 	}
 	b := &benchPlayer{}
 	plan := &pairedruns.Plan{}
-	seeds := c.Flags().Int("seeds", 6, "`number` of seeds, from --first on")
+	seeds := c.Flags().Int("seeds", 6, "`number` of seeds, which start at --first")
 	first := c.Flags().Uint64("first", 1, "the first `seed`")
 	c.Flags().StringSliceVar(&plan.Sites, "site", nil, "site `files` of deployments")
-	c.Flags().StringSliceVar(&plan.Days, "day", nil, "`names` of days, or files")
-	c.Flags().IntVar(&plan.AtOnce, "at-once", 4, "`plays` side by side")
-	c.Flags().StringVar(&b.bench, "bench", "", "the bench's `program`")
-	c.Flags().StringVar(&b.reports, "reports", "", "`folder` of reports: those that are there are used, so that a version is played once; empty for a new one")
-	c.Flags().StringVar(&b.why, "why", "", "a `line` for the journals")
+	c.Flags().StringSliceVar(&plan.Days, "day", nil, "`names` of days, or the files that describe them")
+	c.Flags().IntVar(&plan.AtOnce, "at-once", 4, "number of `plays` that run in parallel")
+	c.Flags().StringVar(&b.bench, "bench", "", "the benchmark's `program`")
+	c.Flags().StringVar(&b.reports, "reports", "", "`folder` of reports, whose existing reports are reused so that each play runs only once; by default a new folder")
+	c.Flags().StringVar(&b.why, "why", "", "a `line` for the journals that says why the plays run")
 	for _, name := range []string{"site", "day", "bench"} {
 		c.MarkFlagRequired(name)
 	}
@@ -57,26 +58,27 @@
 	return c
 }
 
-// checkouts are the folders of the two versions, as whole paths.
+// checkouts returns the absolute paths of the two checkouts. It fails if a folder is not a checkout.
 func checkouts(args []string) (folders [2]string, err error) {
 	for i, folder := range args {
 		if folders[i], err = filepath.Abs(folder); err != nil {
 			return folders, err
 		}
 		if _, err := os.Stat(filepath.Join(folder, "deploy", "system.toml")); err != nil {
-			return folders, fmt.Errorf("%s is no checkout: %w", folder, err)
+			return folders, fmt.Errorf("folder %s is not a checkout: %w", folder, err)
 		}
 	}
 	return folders, nil
 }
 
-// benchPlayer plays days by the bench's program.
+// benchPlayer runs days by starting the benchmark's program.
 type benchPlayer struct {
 	bench, reports, why string
-	folders             [2]string // of the versions
+	folders             [2]string // the checkouts of the two versions
 }
 
-// play is a pairs.Player.
+// play is a pairedruns.Player. It runs one day in the checkout of its version, unless the folder of
+// reports already has the report of this play.
 func (b *benchPlayer) play(ctx context.Context, p pairedruns.Play) (*scoreanalysis.Day, error) {
 	folder := b.folders[p.Version]
 	name := func(path string) string { return strings.TrimSuffix(filepath.Base(path), ".toml") }
@@ -89,7 +91,7 @@
 	run := exec.CommandContext(ctx, b.bench, "run", p.Site, p.Day, "--seed", fmt.Sprint(p.Seed), "--jobs", "1", "--report", partial, "--why", b.why)
 	run.Dir = folder
 	if output, err := run.CombinedOutput(); err != nil {
-		if _, failed := os.Stat(partial); failed != nil { // a day with a broken rule ends with an error, and has a report
+		if _, failed := os.Stat(partial); failed != nil { // a day that violates a rule exits with an error but has a report
 			return nil, fmt.Errorf("%w: %s", err, output)
 		}
 	}
@@ -99,7 +101,7 @@
 	return readReport(report)
 }
 
-// readReport reads the one day of a report.
+// readReport reads the single day of a report.
 func readReport(path string) (*scoreanalysis.Day, error) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/cmd/reachlab/rig.go
+++ b/cmd/reachlab/rig.go
@@ -22,21 +22,21 @@
 func rigCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "rig FILE",
-		Short: "Play an experiment on processes of the router with its faults, and judge what happened",
+		Short: "Run an experiment with its faults on router processes, and check the recorded history",
 		Args:  cobra.ExactArgs(1),
 	}
 	var s chaos.Series
-	program := c.Flags().String("program", "", "the router's `binary`; by itself the reachspread beside this program")
-	c.Flags().Uint64Var(&s.Seed, "seed", 0, "draw a schedule from this seed, in place of the file's")
-	c.Flags().DurationVar(&s.Until, "until", 0, "play one after another, from the seed on, for so long")
-	c.Flags().IntVar(&s.Plays, "plays", 0, "play so many, one after another")
-	c.Flags().IntVar(&s.Shrink, "shrink", 0, "make a schedule that fails smaller, with so many plays at most")
-	c.Flags().IntVar(&s.Faults, "faults", 0, "of a drawn schedule, at most")
-	kinds := c.Flags().StringSlice("kinds", nil, "the `kinds` of faults that schedules are drawn from; by itself all")
-	c.Flags().BoolVar(&s.Beside, "beside", false, "draw schedules beside the file's own faults, which are played in each")
-	folder := c.Flags().String("keep", "", "leave histories, logs and pages in this new `folder`")
-	profile := c.Flags().Bool("profile", false, "have a process that hangs write a CPU profile, too")
-	asJSON := c.Flags().Bool("json", false, "print a line of JSON for each play")
+	program := c.Flags().String("program", "", "the router's `binary`; by default reachspread in the folder of this program")
+	c.Flags().Uint64Var(&s.Seed, "seed", 0, "generate the schedule of faults from this seed instead of using the schedule in the file")
+	c.Flags().DurationVar(&s.Until, "until", 0, "start runs one after another, with ascending seeds, until this time has passed")
+	c.Flags().IntVar(&s.Plays, "plays", 0, "number of runs, one after another")
+	c.Flags().IntVar(&s.Shrink, "shrink", 0, "reduce a failing schedule, using at most this many runs")
+	c.Flags().IntVar(&s.Faults, "faults", 0, "maximum number of faults in a generated schedule")
+	kinds := c.Flags().StringSlice("kinds", nil, "the `kinds` of faults in generated schedules; by default all")
+	c.Flags().BoolVar(&s.Beside, "beside", false, "add generated faults to those in the file, which are part of each run")
+	folder := c.Flags().String("keep", "", "save histories, logs and pages in this new `folder`")
+	profile := c.Flags().Bool("profile", false, "make a process that hangs also write a CPU profile")
+	asJSON := c.Flags().Bool("json", false, "print a line of JSON for each run")
 	c.RunE = func(cmd *cobra.Command, args []string) error {
 		x, err := experiment.Read(args[0])
 		if err != nil {
@@ -47,7 +47,7 @@
 		}
 		seeded := cmd.Flags().Changed("seed")
 		repeated := s.Until > 0 || s.Plays > 1
-		s.Drawn = seeded || repeated && len(x.Faults) == 0 // else the file's own, over and over
+		s.Drawn = seeded || repeated && len(x.Faults) == 0 // otherwise each run uses the faults in the file
 		s.Experiment, s.Profile = x, *profile
 		if s.Program, err = routerBinary(*program); err != nil {
 			return err
@@ -66,19 +66,19 @@
 	return c
 }
 
-// chaosKinds returns the kinds of faults of those names. It fails at one that does not exist for
-// processes.
+// chaosKinds returns the kinds of faults with the given names. It fails if a kind does not exist or
+// can't be injected into processes.
 func chaosKinds(names []string) (kinds []faults.Kind, err error) {
 	for _, k := range names {
 		if m := faults.Of(faults.Kind(k)); m == nil || !m.In(faults.RealProcesses) {
-			return nil, fmt.Errorf("--kinds has %q, which is no fault of the rig: reachlab faults lists them", k)
+			return nil, fmt.Errorf("--kinds has %q, which is not a fault that rig can inject; reachlab faults lists all faults", k)
 		}
 		kinds = append(kinds, faults.Kind(k))
 	}
 	return kinds, nil
 }
 
-// runSeries runs a series and prints each run. It fails where a run did.
+// runSeries performs a series of runs and prints each one. It returns an error if any run failed.
 func runSeries(cmd *cobra.Command, s *chaos.Series, asJSON bool) error {
 	failed := 0
 	out := cmd.OutOrStdout()
@@ -97,12 +97,13 @@
 		return err
 	}
 	if failed > 0 {
-		return fmt.Errorf("%d plays failed", failed)
+		return fmt.Errorf("%d runs failed; see the output above", failed)
 	}
 	return nil
 }
 
-// routerBinary finds the router's program.
+// routerBinary returns the absolute path of the router's program. An empty path stands for reachspread
+// in the folder of this program.
 func routerBinary(path string) (string, error) {
 	if path == "" {
 		own, err := os.Executable()
@@ -112,7 +113,7 @@
 		path = filepath.Join(filepath.Dir(own), "reachspread")
 	}
 	if _, err := os.Stat(path); err != nil {
-		return "", fmt.Errorf("no router to start: %w (go build -o bin/ ./cmd/..., or --program)", err)
+		return "", fmt.Errorf("the router's program was not found: %w (build it with go build -o bin/ ./cmd/..., or set --program)", err)
 	}
 	return filepath.Abs(path)
 }
@@ -120,7 +121,7 @@
 func returnsCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "returns HISTORY...",
-		Short: "Print how long routers took to come back, by phase and stage, over the histories of plays",
+		Short: "Print how long restarted routers took to reach each phase and stage, over several histories",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var all chaos.Returns
@@ -145,11 +146,11 @@
 func judgeCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "judge HISTORY",
-		Short: "Judge a history again, and draw its page",
+		Short: "Check a history again, and write its page",
 		Args:  cobra.ExactArgs(1),
 	}
-	page := c.Flags().String("page", "", "write lanes of processes, faults and answers to this `file`")
-	around := c.Flags().Duration("around", 0, "print the events of the second around this time, too")
+	page := c.Flags().String("page", "", "write a page with the timelines of processes, faults and answers to this `file`")
+	around := c.Flags().Duration("around", 0, "also print the events within half a second of this time")
 	c.RunE = func(cmd *cobra.Command, args []string) error {
 		f, err := os.Open(args[0])
 		if err != nil {
@@ -178,7 +179,7 @@
 			}
 		}
 		if len(verdicts) > 0 {
-			return errors.New("the history breaks rules")
+			return errors.New("the history violates the rules printed above")
 		}
 		fmt.Fprintf(out, "%d events, nothing found by %d checkers\n", len(events), len(checker.Checkers))
 		return nil
@@ -189,7 +190,7 @@
 func faultsCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "faults",
-		Short: "Print the table of faults, and where each exists",
+		Short: "Print the table of faults, and where each can be injected",
 		Args:  cobra.NoArgs,
 		Run:   func(cmd *cobra.Command, _ []string) { io.WriteString(cmd.OutOrStdout(), faults.Table()) },
 	}
--- a/cmd/reachlab/soak.go
+++ b/cmd/reachlab/soak.go
@@ -13,32 +13,32 @@
 
 const (
 	soakNetwork = "127.81.0"
-	maxRouters  = 250 // the addresses of a network
+	maxRouters  = 250 // bounded by the addresses of one network, which has three fixed bytes
 )
 
-// errFindings says that a play found something.
-var errFindings = errors.New("soak: something was found, see above")
+// errFindings reports that a soak run found violations. The command has printed them before.
+var errFindings = errors.New("soak: violations were found; they are printed above")
 
 func soakCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "soak",
-		Short: "Play router processes on the loopback under signals, restarts and changes in series that overlap, and judge what clients, hosts and operators saw",
+		Short: "Run router processes on loopback with overlapping signals, restarts and changes, and check what clients, hosts and operators observed",
 		Args:  cobra.NoArgs,
 	}
 	o := soak.Options{Network: soakNetwork}
-	c.Flags().Uint64Var(&o.Seed, "seed", 1, "of the first schedule")
-	seeds := c.Flags().Int("seeds", 1, "schedules, one after the other")
-	c.Flags().IntVar(&o.Routers, "routers", 8, "processes")
-	c.Flags().IntVar(&o.Disks, "disks", 3, "of them keep the register")
-	c.Flags().IntVar(&o.Hosts, "hosts", 4, "stand-ins for hosts")
-	c.Flags().IntVar(&o.Clients, "clients", 32, "on all routers together")
-	c.Flags().DurationVar(&o.Length, "length", 40*time.Second, "of each schedule")
+	c.Flags().Uint64Var(&o.Seed, "seed", 1, "seed of the first schedule")
+	seeds := c.Flags().Int("seeds", 1, "number of schedules, which run one after the other")
+	c.Flags().IntVar(&o.Routers, "routers", 8, "number of router processes")
+	c.Flags().IntVar(&o.Disks, "disks", 3, "number of routers that have a disk and store the register")
+	c.Flags().IntVar(&o.Hosts, "hosts", 4, "number of stand-in hosts")
+	c.Flags().IntVar(&o.Clients, "clients", 32, "number of clients, for all routers together")
+	c.Flags().DurationVar(&o.Length, "length", 40*time.Second, "duration of each schedule")
 	c.Flags().StringVar(&o.Network, "network", soakNetwork, "the first three `bytes` of all addresses")
-	c.Flags().StringSliceVar(&o.Executable, "router", nil, "the `program` that runs a router, with its arguments; this one without it")
+	c.Flags().StringSliceVar(&o.Executable, "router", nil, "the `program` that runs a router, with its arguments; by default this program")
 	events := c.Flags().Bool("events", false, "print each event")
 	c.RunE = func(cmd *cobra.Command, _ []string) error {
 		if o.Routers > maxRouters || o.Routers < o.Disks || o.Clients < 1 {
-			return fmt.Errorf("soak: routers must be %d at most and not fewer than disks, clients above 0", maxRouters)
+			return fmt.Errorf("soak: --routers must be %d at most and not below --disks, and --clients must be above 0", maxRouters)
 		}
 		if len(o.Executable) == 0 {
 			self, err := os.Executable()
--- a/cmd/reachlab/sockets.go
+++ b/cmd/reachlab/sockets.go
@@ -19,11 +19,11 @@
 func serveFleetCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "serve-fleet FILE",
-		Short: "Start an experiment's hosts and their list on loopback, with its faults in their time, until Ctrl-C",
+		Short: "Run an experiment's hosts and their discovery on loopback, with its faults on schedule, until Ctrl-C",
 		Args:  cobra.ExactArgs(1),
 	}
-	config := c.Flags().String("config", "", "write a router's configuration before this fleet to this `file`; it must not be there yet")
-	listen := c.Flags().String("listen", "127.0.0.1:9000", "the address in it for clients")
+	config := c.Flags().String("config", "", "write the configuration of a router for this fleet to this `file`, which must not exist yet")
+	listen := c.Flags().String("listen", "127.0.0.1:9000", "the address for clients in that configuration")
 	c.RunE = func(cmd *cobra.Command, args []string) error {
 		x, err := experiment.Read(args[0])
 		if err != nil {
@@ -65,11 +65,11 @@
 func loadCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "load FILE",
-		Short: "Ask a router by an experiment's plan, in an open loop, and print what came of it",
+		Short: "Send an experiment's requests to a router, in an open loop, and print the outcomes",
 		Args:  cobra.ExactArgs(1),
 	}
-	router := c.Flags().String("router", "127.0.0.1:9000", "`address` for clients, on loopback")
-	captured := c.Flags().String("capture", "", "ask what this capture holds, in place of the experiment's load")
+	router := c.Flags().String("router", "127.0.0.1:9000", "the router's `address` for clients, which must be on loopback")
+	captured := c.Flags().String("capture", "", "send the requests of this capture file instead of the experiment's load")
 	c.RunE = func(cmd *cobra.Command, args []string) error {
 		x, err := experiment.Read(args[0])
 		if err != nil {
@@ -98,7 +98,8 @@
 	return c
 }
 
-// writeTallies prints a row for each class. Times are from when a request was due.
+// writeTallies prints a row for each class of requests. Latencies count from the time at which a
+// request was due.
 func writeTallies(w io.Writer, all []fakes.Tally, took time.Duration) {
 	fmt.Fprintf(w, "%-16s %7s %7s %6s %8s %7s %7s %9s %9s %9s\n", "class", "asked", "good", "late", "refused", "failed", "broken", "p50 ms", "p99 ms", "p99.9 ms")
 	for _, t := range all {
@@ -109,7 +110,7 @@
 	fmt.Fprintf(w, "in %v\n", took.Round(time.Millisecond))
 }
 
-// writeNew writes a file that is not there yet.
+// writeNew creates a file and writes it. It fails if the file already exists.
 func writeNew(path string, text []byte) error {
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
 	if err != nil {
@@ -122,14 +123,15 @@
 	return f.Close()
 }
 
-// loopback refuses to load anything but this machine.
+// loopback returns an error unless an address is on loopback, so that load is sent only to this
+// machine.
 func loopback(addr string) error {
 	a, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return fmt.Errorf("--router: %w", err)
 	}
 	if !a.Addr().IsLoopback() {
-		return fmt.Errorf("--router is %s; the load goes to loopback addresses only", addr)
+		return fmt.Errorf("--router is %s, but load is sent to loopback addresses only", addr)
 	}
 	return nil
 }
--- a/cmd/reachlab/sockets_test.go
+++ b/cmd/reachlab/sockets_test.go
@@ -37,7 +37,7 @@
 }
 `
 
-// run runs a command and returns what it prints.
+// run executes a command line, whose output goes to out, until it ends or ctx ends.
 func run(ctx context.Context, t *testing.T, out *scripted.Output, args ...string) error {
 	t.Helper()
 	c := command()
@@ -47,9 +47,9 @@
 	return c.ExecuteContext(ctx)
 }
 
-// The fleet of a file, the real router before it, and the load of the same file: through a host
-// that is killed and comes back. What the router captured then loads the same fleet again, on
-// sockets and in virtual time.
+// The real router serves the load of an experiment on the fleet of the same experiment while a host is
+// killed and restarted. A simulated run of the fleet then accepts the requests that the router
+// captured as its load.
 func TestFleetRouterAndLoad(t *testing.T) {
 	dir := t.TempDir()
 	in := func(name string) string { return filepath.Join(dir, name) }
@@ -95,7 +95,7 @@
 	}
 	asked, good := tally(t, table.String())
 	if asked < 20 || good < asked/2 {
-		t.Errorf("%d asked, %d good:\n%s", asked, good, table.String())
+		t.Errorf("%d requests were sent and %d succeeded in time, want at least 20 and half of them:\n%s", asked, good, table.String())
 	}
 	term()
 	if err := scripted.Receive(t, exit, "the router's end"); err != nil {
@@ -103,7 +103,7 @@
 	}
 	_, all, err := capture.Read(in("c.ndjson"))
 	if err != nil || len(all) < asked {
-		t.Fatalf("%d requests captured of %d, %v", len(all), asked, err)
+		t.Fatalf("the router captured %d of %d requests, error %v", len(all), asked, err)
 	}
 	var again scripted.Output
 	if err := run(ctx, t, &again, "run", in("again.hcl")); err != nil {
@@ -116,20 +116,21 @@
 	}
 }
 
-// tally reads a table of load.
+// tally reads how many requests were sent, and how many were served in time, from a table of the load
+// command.
 func tally(t *testing.T, text string) (asked, good int) {
 	t.Helper()
 	m := regexp.MustCompile(`(?m)^chat +(\d+) +(\d+)`).FindStringSubmatch(text)
 	if m == nil {
-		t.Fatalf("no row:\n%s", text)
+		t.Fatalf("the table has no row for class chat:\n%s", text)
 	}
 	fmt.Sscan(m[1], &asked)
 	fmt.Sscan(m[2], &good)
 	return asked, good
 }
 
-// What can't be used is one line that names file, line and field, and nothing is loaded but this
-// machine.
+// Unusable arguments and files are reported in one line that names the file, the line and the field.
+// The load command refuses addresses that are not on this machine.
 func TestBadCalls(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
--- a/cmd/reachreport/main.go
+++ b/cmd/reachreport/main.go
@@ -1,4 +1,4 @@
-// Reachreport makes tables and charts of what the router records.
+// Reachreport makes tables and charts from the records that a router writes.
 package main
 
 import (
@@ -19,14 +19,14 @@
 }
 
 func command() *cobra.Command {
-	root := &cobra.Command{Use: "reachreport", Short: "Makes reports of what the router records", SilenceUsage: true, SilenceErrors: true}
+	root := &cobra.Command{Use: "reachreport", Short: "Makes reports from the records of a router", SilenceUsage: true, SilenceErrors: true}
 	c := &cobra.Command{
 		Use:   "shadow DIR",
 		Short: "Report on the records of shadow pools in a folder",
 		Args:  cobra.ExactArgs(1),
 	}
-	format := c.Flags().String("format", "terminal", "how to print: "+strings.Join(report.Formats, ", "))
-	page := c.Flags().String("html", "", "write one page with charts to this `file`, too")
+	format := c.Flags().String("format", "terminal", "the output format: "+strings.Join(report.Formats, ", "))
+	page := c.Flags().String("html", "", "also write a page with charts to this `file`")
 	c.RunE = func(cmd *cobra.Command, args []string) error {
 		r, err := report.Read(args[0])
 		if err != nil {
