--- a/cmd/reachlab/fleetdemo.go
+++ b/cmd/reachlab/fleetdemo.go
@@ -23,7 +23,7 @@
 func fleetDemoCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "demo-fleet",
-		Short: "Run a complete router fleet on loopback with hosts, an operator and load, inject failures, and show the effects",
+		Short: "Run a complete router fleet on loopback with hosts, an operator and load, kill one process of each kind, and show the outcomes of the requests",
 		Args:  cobra.NoArgs,
 	}
 	length := c.Flags().Duration("length", 40*time.Second, "duration of the load")
--- a/cmd/reachspread/control_processes_test.go
+++ b/cmd/reachspread/control_processes_test.go
@@ -145,12 +145,12 @@
 
 // write sends one order repeatedly until its outcome is known, or until orderTimeout has passed or ctx
 // ends.
-func (f *processes) write(ctx context.Context, h *configurationHistory, operator, on int, rng *rand.Rand) *configurationCall {
-	next := (on/versionStep+1)*versionStep + operator
+func (f *processes) write(ctx context.Context, h *configurationHistory, operator, base int, rng *rand.Rand) *configurationCall {
+	next := (base/versionStep+1)*versionStep + operator
 	body := fmt.Sprintf(`{"version":%d,"routes":[{"name":"r","host":"h.example","pathPrefix":"/","kind":"safe","timeoutMs":%d,"service":"s"}],"services":[{"name":"s"}]}`, next, 1000+next)
-	c := &configurationCall{write: true, operator: operator, base: on, next: next, began: time.Since(h.started)}
+	c := &configurationCall{write: true, operator: operator, base: base, next: next, began: time.Since(h.started)}
 	for until := time.Now().Add(orderTimeout); time.Now().Before(until) && ctx.Err() == nil; {
-		code, _ := f.callControl(ctx, rng.IntN(f.Len()), http.MethodPut, body, on)
+		code, _ := f.callControl(ctx, rng.IntN(f.Len()), http.MethodPut, body, base)
 		switch code {
 		case http.StatusOK:
 			c.accepted = true
@@ -167,15 +167,15 @@
 
 // callControl makes one call to a router's control plane. The code is 0 if there is no complete
 // answer.
-func (f *processes) callControl(ctx context.Context, i int, method, body string, on int) (code int, text []byte) {
+func (f *processes) callControl(ctx context.Context, i int, method, body string, base int) (code int, text []byte) {
 	within, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	r, err := http.NewRequestWithContext(within, method, "http://"+f.Control(i)+"/configuration", strings.NewReader(body))
 	if err != nil {
 		return 0, nil
 	}
-	if on >= 0 {
-		r.Header.Set("If-Match", strconv.Itoa(on))
+	if base >= 0 {
+		r.Header.Set("If-Match", strconv.Itoa(base))
 	}
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Do(r)
--- a/cmd/reachspread/fleet.go
+++ b/cmd/reachspread/fleet.go
@@ -19,7 +19,7 @@
 	c.AddCommand(
 		managementCommand("view", "Print which routers of the fleet a running router sees as alive", printView),
 		fleetDutiesCommand(),
-		managementCommand("recovery", "Print how a running router recovered after its start: its stage, what it waits for, which saved state it discarded",
+		managementCommand("recovery", "Print how a running router recovered after its start: its stage, what it waits for, which damaged state it discarded",
 			printRecovery),
 	)
 	c.AddCommand(fleetStatusCommands()...)
