--- a/cmd/drill/main_test.go
+++ b/cmd/drill/main_test.go
@@ -12,7 +12,7 @@
 	`"streaming":true}],"limits":{"maxAttempts":3},"quantumNs":1000000}}},{"peersKnown":{"i":0,"mode":"disk",` +
 	`"epoch":1,"members":[{"hall":"x","stageState":"SERVING","nominal":1,"machine":"m","replica":"r:1"}]}}]}`
 
-func talk(t *testing.T, lines ...string) ([]string, error) {
+func exchange(t *testing.T, lines ...string) ([]string, error) {
 	t.Helper()
 	var out bytes.Buffer
 	err := serve(strings.NewReader(strings.Join(lines, "\n")+"\n"), &out)
@@ -20,7 +20,7 @@
 }
 
 func TestRequestLife(t *testing.T) {
-	got, err := talk(t,
+	got, err := exchange(t,
 		`{"simTimeNs":1000,"msgs":[]}`,
 		launchLine,
 		`{"simTimeNs":2000,"msgs":[{"arrival":{"i":0,"txn":"q1","service":"s","patienceLeftNs":2000000000,"nPrompt":10}}]}`,
@@ -54,12 +54,12 @@
 			`services[0].group is "odd"`},
 	}
 	for _, tt := range tests {
-		out, err := talk(t, launchLine, tt.line)
+		out, err := exchange(t, launchLine, tt.line)
 		if err == nil || !strings.Contains(err.Error(), tt.want) || !strings.Contains(err.Error(), "line 2") {
-			t.Errorf("%s: want an error with %q and the line, got %v", tt.name, tt.want, err)
+			t.Errorf("%s: want an error that contains %q and line 2, got %v", tt.name, tt.want, err)
 		}
 		if len(out) != 1 {
-			t.Errorf("%s: want nothing on the wire but the first reply, got %q", tt.name, out)
+			t.Errorf("%s: want only the first reply on the output, got %q", tt.name, out)
 		}
 	}
 }
@@ -76,21 +76,22 @@
 	}
 	b.WriteString(`]}`)
 	if b.Len() < 2<<20 {
-		t.Fatalf("the batch has only %d bytes", b.Len())
+		t.Fatalf("the batch has only %d bytes, want at least 2 MiB", b.Len())
 	}
-	out, err := talk(t, launchLine, b.String())
+	out, err := exchange(t, launchLine, b.String())
 	if err != nil || len(out) != 2 {
-		t.Fatalf("%d replies, error %v", len(out), err)
+		t.Fatalf("got %d replies, want 2; error %v", len(out), err)
 	}
 	if answers := strings.Count(out[1], `"handOff"`) + strings.Count(out[1], `"decline"`); answers != n {
-		t.Errorf("%d of %d requests answered", answers, n)
+		t.Errorf("%d of %d requests were answered", answers, n)
 	}
 }
 
-// An instance that starts again in the batch that killed it has forgotten everything.
+// An instance that is killed and launched again within one batch starts without any state, so it does
+// not answer the requests from before the kill.
 func TestRestartInOneBatch(t *testing.T) {
 	launch := strings.TrimSuffix(strings.TrimPrefix(launchLine, `{"simTimeNs":1000,"msgs":[`), `]}`)
-	got, err := talk(t, launchLine,
+	got, err := exchange(t, launchLine,
 		`{"simTimeNs":2000,"msgs":[{"arrival":{"i":0,"txn":"q1","service":"s","patienceLeftNs":2000000000,"nPrompt":10}},`+
 			`{"killed":{"i":0}},`+launch+`,{"arrival":{"i":0,"txn":"q2","service":"s","patienceLeftNs":2000000000,"nPrompt":10}}]}`)
 	if err != nil || len(got) != 2 || strings.Contains(got[1], "q1") || !strings.Contains(got[1], `"txn":"q2"`) {
@@ -105,10 +106,10 @@
 	}
 }
 
-// The simulator's clients hear from the adapter, too, when to come back.
+// A rejection passes on to the simulator's client how long it should wait before a retry.
 func TestRefusalPassesOnItsTime(t *testing.T) {
 	launch := strings.Replace(launchLine, `"maxAttempts":3`, `"maxAttempts":3,"retryAfter":true,"maxRetryAfterNs":30000000`, 1)
-	got, err := talk(t, launch,
+	got, err := exchange(t, launch,
 		`{"simTimeNs":2000,"msgs":[{"arrival":{"i":0,"txn":"q1","service":"unknown","patienceLeftNs":2000000000}}]}`)
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/reachspread/fleet.go
+++ b/cmd/reachspread/fleet.go
@@ -11,15 +11,15 @@
 	"reachspread/internal/router/program"
 )
 
-// fleetCommand has the commands on fleets: view, duties and recovery ask a router in service at its
-// management address, the others a router of the fleet at its readiness address or its control
-// plane.
+// fleetCommand returns the command that groups all commands about the fleet. The commands view,
+// duties and recovery query a router that was started by serve, at its management address. The other
+// commands query a router that was started by router, at its readiness address or its control plane.
 func fleetCommand() *cobra.Command {
-	c := &cobra.Command{Use: "fleet", Short: "Ask about the fleet of routers"}
+	c := &cobra.Command{Use: "fleet", Short: "Query and change the fleet of routers"}
 	c.AddCommand(
-		managementCommand("view", "Ask a running router who of the fleet lives, as it sees it", printView),
+		managementCommand("view", "Print which routers of the fleet a running router sees as alive", printView),
 		fleetDutiesCommand(),
-		managementCommand("recovery", "Ask a running router how it came back: the stage, what it waits for, what was thrown away",
+		managementCommand("recovery", "Print how a running router recovered after its start: its stage, what it waits for, which damaged state it discarded",
 			printRecovery),
 	)
 	c.AddCommand(fleetStatusCommands()...)
@@ -45,7 +45,7 @@
 	for _, l := range lines {
 		switch l.What {
 		case "thrown":
-			fmt.Fprintf(w, "thrown away: %s\n", spaced(l.Fields["why"]))
+			fmt.Fprintf(w, "thrown away: %s\n", underscoresToSpaces(l.Fields["why"]))
 		case "admission":
 			printRecoveryAdmission(w, l.Fields)
 		default:
@@ -55,7 +55,7 @@
 }
 
 func printRecoveryAdmission(w io.Writer, f map[string]string) {
-	admitted := strings.NewReplacer(",", ", ", ":", " ").Replace(spaced(f["admits"]))
+	admitted := strings.NewReplacer(",", ", ", ":", " ").Replace(underscoresToSpaces(f["admits"]))
 	fmt.Fprintf(w, "hosts at %s of their warm capacity; admitted: %s; turned away since the start: %s; hosts of the old list shunned: %s\n",
 		f["warm"], admitted, f["turned"], f["shunned"])
 }
@@ -63,8 +63,8 @@
 func printRecoveryStage(w io.Writer, f map[string]string) {
 	fmt.Fprintf(w, "stage %s for %s ms, up for %s ms", f["stage"], f["for_ms"], f["up_ms"])
 	if f["waits"] != noneText {
-		fmt.Fprintf(w, "; waits until %s", spaced(f["waits"]))
+		fmt.Fprintf(w, "; waits until %s", underscoresToSpaces(f["waits"]))
 	}
 	fmt.Fprintf(w, "\npower lost by: %s (%s of %s others heard)\nlast life: %s, its list used: %s, snapshots written since: %s\n",
-		spaced(f["loss"]), f["heard"], f["asked"], f["last_life"], f["old_list"], f["snapshots"])
+		underscoresToSpaces(f["loss"]), f["heard"], f["asked"], f["last_life"], f["old_list"], f["snapshots"])
 }
--- a/cmd/reachspread/profile.go
+++ b/cmd/reachspread/profile.go
@@ -10,23 +10,23 @@
 	"time"
 )
 
-// profileFor is how long a CPU profile takes.
-const profileFor = time.Second
+// profileDuration is the time that a CPU profile covers.
+const profileDuration = time.Second
 
-// profiles writes, at each SIGUSR1, all goroutines and a CPU profile of the next second into a
-// folder, under names with the process's id. It is for whoever looks for a fault, and off without
-// the folder.
-func profiles(folder string) (stop func()) {
-	asked := make(chan os.Signal, 1)
-	signal.Notify(asked, syscall.SIGUSR1)
+// writeProfilesOnSignal starts a handler that writes, at each SIGUSR1, the stacks of all goroutines
+// and a CPU profile of the next second into a folder. The file names end in the process ID. It serves
+// to debug a running router; serve starts it only if --profile names a folder.
+func writeProfilesOnSignal(folder string) (stop func()) {
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGUSR1)
 	go func() {
-		for range asked {
+		for range signals {
 			writeProfiles(folder)
 		}
 	}()
 	return func() {
-		signal.Stop(asked)
-		close(asked)
+		signal.Stop(signals)
+		close(signals)
 	}
 }
 
@@ -42,7 +42,7 @@
 	}
 	defer f.Close()
 	if pprof.StartCPUProfile(f) == nil {
-		time.Sleep(profileFor)
+		time.Sleep(profileDuration)
 		pprof.StopCPUProfile()
 	}
 }
