--- a/cmd/reachspread/main_test.go
+++ b/cmd/reachspread/main_test.go
@@ -51,7 +51,7 @@
 func TestShadowStatusIsPrinted(t *testing.T) {
 	var out bytes.Buffer
 	printShadow(&out, &mirror.Report{Pools: []mirror.Status{{Pool: "next", Health: "down", RetryIn: "2s", Level: "tense", Hosts: 2,
-		Dropped: map[shadow.Cause]uint64{shadow.PoolDown: 7}, Pressed: map[string]uint64{"held": 3},
+		Dropped: map[shadow.Cause]uint64{shadow.PoolDown: 7}, PressureSignals: map[string]uint64{"held": 3},
 		Times: map[string]mirror.Times{"chat": {Count: 1, CopyFirst: mirror.Spread{P50: 5, P90: 6, P99: 7}}}}},
 		Records: mirror.RecordsStatus{Folder: "f", Lost: 4, Failing: "no space"}})
 	got := strings.Join(strings.Fields(out.String()), " ")
--- a/cmd/reachspread/shadow.go
+++ b/cmd/reachspread/shadow.go
@@ -139,7 +139,7 @@
 	}
 	row("share", strconv.FormatFloat(p.Share, 'g', -1, 64))
 	row("copies a second, at most", p.Caps.PerSecond)
-	row("copies out", fmt.Sprintf("%d of %d, %d a host", p.Out, p.Caps.Out, p.Caps.PerHost))
+	row("copies out", fmt.Sprintf("%d of %d, %d a host", p.InFlight, p.Caps.InFlight, p.Caps.PerHost))
 	row("copies waiting", fmt.Sprintf("%d of %d", p.Waiting, p.Caps.Waiting))
 	row("waiting for the live answer", p.Pairing)
 	row("bytes of bodies", fmt.Sprintf("%d of %d", p.BodyBytes, p.Caps.BodyBytes))
@@ -156,8 +156,8 @@
 			row(m.name+": "+string(cause), m.counts[cause])
 		}
 	}
-	for _, signal := range slices.Sorted(maps.Keys(p.Pressed)) {
-		row("pressure by "+signal, p.Pressed[signal])
+	for _, signal := range slices.Sorted(maps.Keys(p.PressureSignals)) {
+		row("pressure by "+signal, p.PressureSignals[signal])
 	}
 	for _, class := range slices.Sorted(maps.Keys(p.Times)) {
 		x := p.Times[class]
--- a/internal/router/capture/capture_test.go
+++ b/internal/router/capture/capture_test.go
@@ -61,12 +61,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		cut := rapid.IntRange(1, len(text)-1).Draw(t, "cut")
 		_, all, err := Parse(bytes.NewReader(text[:cut]), "c")
-		n := bytes.Count(text[:cut], []byte("\n"))
+		completeLines := bytes.Count(text[:cut], []byte("\n"))
 		if text[cut-1] == '\n' {
-			if err != nil || len(all) != n-1 {
+			if err != nil || len(all) != completeLines-1 {
 				t.Fatalf("cut between lines: %d requests, %v", len(all), err)
 			}
-		} else if err == nil || err.Error() != fmt.Sprintf("c:%d: the line is cut off", n+1) {
+		} else if err == nil || err.Error() != fmt.Sprintf("c:%d: the line is cut off", completeLines+1) {
 			t.Fatalf("cut at %d: %v", cut, err)
 		}
 	})
--- a/internal/router/mirror/copier_test.go
+++ b/internal/router/mirror/copier_test.go
@@ -14,18 +14,18 @@
 // A copier ends where its pool is removed and where the mirror shuts down. Where settings replace
 // its pool, it goes on with the new one.
 func TestCopierFollowsItsPoolAndEndsWithIt(t *testing.T) {
-	for _, leaves := range []bool{false, true} {
-		m, one := newMirrorWithoutPool(t, 1, func() shadow.Sample { return shadow.Sample{} })
-		one.Pools[0].SingleCopier = true
-		if err := m.Apply(one); err != nil {
+	for _, shutdown := range []bool{false, true} {
+		m, onePool := newMirrorWithoutPool(t, 1, func() shadow.Sample { return shadow.Sample{} })
+		onePool.Pools[0].SingleCopier = true
+		if err := m.Apply(onePool); err != nil {
 			t.Fatal(err)
 		}
-		over := make(chan error, 1)
-		go func() { over <- m.RunCopier(context.Background(), "next") }()
-		again := one
-		again.Pools = slices.Clone(one.Pools)
-		again.Pools[0].StreamIdleTimeout++
-		if err := m.Apply(again); err != nil {
+		ended := make(chan error, 1)
+		go func() { ended <- m.RunCopier(context.Background(), "next") }()
+		changed := onePool
+		changed.Pools = slices.Clone(onePool.Pools)
+		changed.Pools[0].StreamIdleTimeout++
+		if err := m.Apply(changed); err != nil {
 			t.Fatal(err)
 		}
 		for end := time.Now().Add(scripted.EventTimeout); !m.pools[0].hasLease.Load(); time.Sleep(time.Millisecond) {
@@ -33,13 +33,13 @@
 				t.Fatal("the pool that was made anew has no copier")
 			}
 		}
-		if leaves {
+		if shutdown {
 			m.Shutdown()
 		} else if err := m.Apply(settings.Shadow{}); err != nil {
 			t.Fatal(err)
 		}
 		select {
-		case err := <-over:
+		case err := <-ended:
 			if err != nil {
 				t.Error(err)
 			}
--- a/internal/router/mirror/copy.go
+++ b/internal/router/mirror/copy.go
@@ -109,10 +109,10 @@
 	if !a.LiveEnded { // still written by the live path: not ours to read
 		r.Live = records.Answer{Outcome: "open"}
 	} else {
-		answered := c.live.answer.answer(p.mirror.digestKey[:])
-		r.Live = side(answered, c.live.answer.outcome, texts)
+		liveAnswer := c.live.answer.answer(p.mirror.digestKey[:])
+		r.Live = side(liveAnswer, c.live.answer.outcome, texts)
 		if a.Cause == "" {
-			cmp := shadow.Compare(answered, answer)
+			cmp := shadow.Compare(liveAnswer, answer)
 			r.Comparison = &records.Comparison{
 				Text:             string(cmp.Text),
 				Similarity:       cmp.Similarity,
@@ -121,7 +121,7 @@
 				TokenDelta:       cmp.TokenDelta,
 				CachedTokenDelta: cmp.CachedTokenDelta,
 			}
-			p.times.add(request.Arrival.Class, answered, answer)
+			p.latencies.add(request.Arrival.Class, liveAnswer, answer)
 		}
 	}
 	p.sink.put(r)
--- a/internal/router/mirror/latencies.go
+++ b/internal/router/mirror/latencies.go
@@ -20,7 +20,7 @@
 	classes map[string]*[4]*hdrhistogram.Histogram
 }
 
-func newTimes() *latencies { return &latencies{map[string]*[4]*hdrhistogram.Histogram{}} }
+func newLatencies() *latencies { return &latencies{map[string]*[4]*hdrhistogram.Histogram{}} }
 
 func (t *latencies) add(class string, live, copied shadow.Answer) {
 	h := t.classes[class]
--- a/internal/router/mirror/mirror_test.go
+++ b/internal/router/mirror/mirror_test.go
@@ -14,8 +14,8 @@
 // newMirror returns a Mirror with one pool of that share, whose host does not answer.
 func newMirror(t testing.TB, share float64) *Mirror {
 	t.Helper()
-	m, one := newMirrorWithoutPool(t, share, func() shadow.Sample { return shadow.Sample{} })
-	if err := m.Apply(one); err != nil {
+	m, onePool := newMirrorWithoutPool(t, share, func() shadow.Sample { return shadow.Sample{} })
+	if err := m.Apply(onePool); err != nil {
 		t.Fatal(err)
 	}
 	return m
@@ -29,7 +29,7 @@
 		ConnectTimeout: time.Second, KeepAlive: time.Minute, Log: make(scripted.LogLines, 100), Sample: sample})
 	host := scripted.NewModel(t, scripted.ModelBehavior{Stalls: true})
 	caps := shadow.Caps{PerSecond: 1000, InFlight: 4, InFlightPerHost: 4, Bytes: 1 << 20, Waiting: 4, MaxWait: time.Second, MaxDuration: time.Minute}
-	one := settings.Shadow{Pools: []settings.Pool{{Choice: shadow.Choice{Pool: "next", Share: share},
+	onePool := settings.Shadow{Pools: []settings.Pool{{Choice: shadow.Choice{Pool: "next", Share: share},
 		Hosts: []settings.Host{{ID: "c0", Addr: host.Addr}}, Sockets: 10, FirstEventTimeout: time.Minute, StreamIdleTimeout: time.Minute, AnswerBytes: 32 << 10,
 		Decider: shadow.Config{Caps: caps, Health: shadow.Health{Failures: 5, MinBackoff: time.Second, MaxBackoff: time.Minute},
 			Pressure: shadow.Pressure{Queued: 8, BodyFraction: 0.5, SocketFraction: 0.7, Delay: time.Hour, Rejections: 2, HardFactor: 2, GracePeriod: time.Second, CalmPeriod: time.Second}},
@@ -42,5 +42,5 @@
 			t.Error("it did not close")
 		}
 	})
-	return m, one
+	return m, onePool
 }
--- a/internal/router/mirror/pool.go
+++ b/internal/router/mirror/pool.go
@@ -56,7 +56,7 @@
 	copies        map[uint64]*shadowCopy
 	closing       bool
 	underPressure bool // the decider's level is not calm
-	times         *latencies
+	latencies     *latencies
 	hosts         map[string]protocol.ListedServer // of the settings, by id
 	version       int64                            // of that list
 }
@@ -70,19 +70,19 @@
 	}
 	log := withPool(m.options.Log, set.Choice.Pool)
 	p := &pool{
-		name:     set.Choice.Pool,
-		role:     set.Role(),
-		mirror:   m,
-		start:    time.Now(),
-		log:      log,
-		done:     make(chan struct{}),
-		settings: set,
-		wake:     make(chan struct{}, 1),
-		decider:  shadow.New(set.Decider, m.options.Seed),
-		inForce:  set,
-		copies:   map[uint64]*shadowCopy{},
-		times:    newTimes(),
-		hosts:    map[string]protocol.ListedServer{},
+		name:      set.Choice.Pool,
+		role:      set.Role(),
+		mirror:    m,
+		start:     time.Now(),
+		log:       log,
+		done:      make(chan struct{}),
+		settings:  set,
+		wake:      make(chan struct{}, 1),
+		decider:   shadow.New(set.Decider, m.options.Seed),
+		inForce:   set,
+		copies:    map[uint64]*shadowCopy{},
+		latencies: newLatencies(),
+		hosts:     map[string]protocol.ListedServer{},
 	}
 	limits := transport.ServerLimits{
 		ConnectTimeout:    m.options.ConnectTimeout,
--- a/internal/router/mirror/poolmessages.go
+++ b/internal/router/mirror/poolmessages.go
@@ -142,10 +142,10 @@
 
 // requestStatus asks the goroutine for the pool's state. It fails after statusTimeout.
 func (p *pool) requestStatus() (Status, error) {
-	answer := make(chan Status, 1)
-	p.post(message{statusReply: answer})
+	reply := make(chan Status, 1)
+	p.post(message{statusReply: reply})
 	select {
-	case s := <-answer:
+	case s := <-reply:
 		return s, nil
 	case <-time.After(statusTimeout):
 		return Status{}, errors.New("the pool " + p.name + " does not answer")
--- a/internal/router/mirror/sampler_test.go
+++ b/internal/router/mirror/sampler_test.go
@@ -24,22 +24,22 @@
 		time.Sleep(time.Minute) // of the bubble's clock
 		m.Close(t.Context())
 	})
-	seen := make(chan bool, 1)
-	m, one := newMirrorWithoutPool(t, 1, func() shadow.Sample {
+	sampled := make(chan bool, 1)
+	m, onePool := newMirrorWithoutPool(t, 1, func() shadow.Sample {
 		select {
-		case seen <- true:
+		case sampled <- true:
 		default:
 		}
 		return shadow.Sample{}
 	})
-	for _, s := range []settings.Shadow{{}, one, {}, one} {
+	for _, s := range []settings.Shadow{{}, onePool, {}, onePool} {
 		if err := m.Apply(s); err != nil {
 			t.Fatal(err)
 		}
 		if len(s.Pools) > 0 {
 			for range 3 {
 				select {
-				case <-seen:
+				case <-sampled:
 				case <-time.After(scripted.EventTimeout):
 					t.Fatal("not sampled")
 				}
--- a/internal/router/mirror/selection_test.go
+++ b/internal/router/mirror/selection_test.go
@@ -55,17 +55,17 @@
 	tap := newMirror(b, share)
 	var header fasthttp.RequestHeader
 	message := new(transport.Message)
-	piece := []byte(scripted.Event)
+	chunk := []byte(scripted.Event)
 	b.ReportAllocs()
 	for b.Loop() {
-		w := offerRequest(tap, &header, message)
-		if w == nil {
+		observer := offerRequest(tap, &header, message)
+		if observer == nil {
 			continue
 		}
-		w.Begun(routing.Source{Server: "s0"})
+		observer.Begun(routing.Source{Server: "s0"})
 		for range 20 {
-			w.Feed(piece)
+			observer.Feed(chunk)
 		}
-		w.Ended(io.EOF)
+		observer.Ended(io.EOF)
 	}
 }
--- a/internal/router/mirror/status.go
+++ b/internal/router/mirror/status.go
@@ -23,37 +23,37 @@
 
 // Status is the state of a pool. Counters count from the pool's start.
 type Status struct {
-	Pool         string                  `json:"pool"`
-	Share        float64                 `json:"share"`
-	Classes      []string                `json:"classes,omitempty"`
-	Tenants      []string                `json:"tenants,omitempty"`
-	Caps         Caps                    `json:"caps"`
-	Hosts        int                     `json:"hosts"`
-	Health       string                  `json:"health"` // up, down or no hosts
-	RetryIn      string                  `json:"retry_in,omitempty"`
-	Level        string                  `json:"level"`
-	Sampled      bool                    `json:"sampled"` // before the first sample of the live path no copy starts
-	Offered      uint64                  `json:"offered"`
-	Busy         uint64                  `json:"busy"` // passed over: the pool's goroutine was behind
-	Started      uint64                  `json:"started"`
-	Recorded     uint64                  `json:"recorded"`
-	Compared     uint64                  `json:"compared"`
-	Waiting      int                     `json:"waiting"`
-	Out          int                     `json:"out"`
-	Pairing      int                     `json:"pairing"`
-	BodyBytes    int64                   `json:"body_bytes"`
-	Dropped      map[shadow.Cause]uint64 `json:"dropped"`
-	Ended        map[shadow.Cause]uint64 `json:"ended"`
-	Incomparable map[shadow.Cause]uint64 `json:"incomparable"`
-	Pressed      map[string]uint64       `json:"pressed"`
-	HostFull     uint64                  `json:"host_full"`
-	Times        map[string]Times        `json:"times"` // by class
+	Pool            string                  `json:"pool"`
+	Share           float64                 `json:"share"`
+	Classes         []string                `json:"classes,omitempty"`
+	Tenants         []string                `json:"tenants,omitempty"`
+	Caps            Caps                    `json:"caps"`
+	Hosts           int                     `json:"hosts"`
+	Health          string                  `json:"health"` // up, down or no hosts
+	RetryIn         string                  `json:"retry_in,omitempty"`
+	Level           string                  `json:"level"`
+	Sampled         bool                    `json:"sampled"` // before the first sample of the live path no copy starts
+	Offered         uint64                  `json:"offered"`
+	Busy            uint64                  `json:"busy"` // passed over: the pool's goroutine was behind
+	Started         uint64                  `json:"started"`
+	Recorded        uint64                  `json:"recorded"`
+	Compared        uint64                  `json:"compared"`
+	Waiting         int                     `json:"waiting"`
+	InFlight        int                     `json:"out"`
+	Pairing         int                     `json:"pairing"`
+	BodyBytes       int64                   `json:"body_bytes"`
+	Dropped         map[shadow.Cause]uint64 `json:"dropped"`
+	Ended           map[shadow.Cause]uint64 `json:"ended"`
+	Incomparable    map[shadow.Cause]uint64 `json:"incomparable"`
+	PressureSignals map[string]uint64       `json:"pressed"`
+	HostFull        uint64                  `json:"host_full"`
+	Times           map[string]Times        `json:"times"` // by class
 }
 
 // Caps is the caps in force, see shadow.Caps.
 type Caps struct {
 	PerSecond float64 `json:"copies_per_second"`
-	Out       int     `json:"copies_out"`
+	InFlight  int     `json:"copies_out"`
 	PerHost   int     `json:"copies_per_host"`
 	Waiting   int     `json:"copies_waiting"`
 	BodyBytes int64   `json:"body_bytes"`
@@ -110,31 +110,31 @@
 		Tenants: set.Choice.Tenants,
 		Caps: Caps{
 			PerSecond: caps.PerSecond,
-			Out:       caps.InFlight,
+			InFlight:  caps.InFlight,
 			PerHost:   caps.InFlightPerHost,
 			Waiting:   caps.Waiting,
 			BodyBytes: caps.Bytes,
 			Sockets:   set.Sockets,
 		},
-		Hosts:        c.Hosts,
-		Health:       "up",
-		Level:        c.PressureLevel.String(),
-		Sampled:      c.Sampled,
-		Offered:      c.Offered,
-		Busy:         p.busy.Load(),
-		Started:      c.Started,
-		Recorded:     c.Recorded,
-		Compared:     c.Compared,
-		Waiting:      c.Waiting,
-		Out:          c.InFlight,
-		Pairing:      c.Pairing,
-		BodyBytes:    c.Bytes,
-		Dropped:      c.Dropped,
-		Ended:        c.Ended,
-		Incomparable: c.Incomparable,
-		Pressed:      c.PressureSignals,
-		HostFull:     c.HostFull,
-		Times:        p.times.report(),
+		Hosts:           c.Hosts,
+		Health:          "up",
+		Level:           c.PressureLevel.String(),
+		Sampled:         c.Sampled,
+		Offered:         c.Offered,
+		Busy:            p.busy.Load(),
+		Started:         c.Started,
+		Recorded:        c.Recorded,
+		Compared:        c.Compared,
+		Waiting:         c.Waiting,
+		InFlight:        c.InFlight,
+		Pairing:         c.Pairing,
+		BodyBytes:       c.Bytes,
+		Dropped:         c.Dropped,
+		Ended:           c.Ended,
+		Incomparable:    c.Incomparable,
+		PressureSignals: c.PressureSignals,
+		HostFull:        c.HostFull,
+		Times:           p.latencies.report(),
 	}
 	switch {
 	case c.Hosts == 0:
--- a/internal/router/program/shadow_test.go
+++ b/internal/router/program/shadow_test.go
@@ -239,7 +239,7 @@
 		t.Errorf("the copy is %+v", r)
 	}
 	st := s.until("it is recorded", func(st mirror.Status) bool { return st.Recorded == 1 })
-	if st.Times["chat"].Count != 1 || st.BodyBytes != 0 || st.Out != 0 {
+	if st.Times["chat"].Count != 1 || st.BodyBytes != 0 || st.InFlight != 0 {
 		t.Errorf("%+v", st)
 	}
 	if counts := s.live.Counts(); counts.Total != 1 {
@@ -297,7 +297,7 @@
 				s.served(fmt.Sprint("q", i))
 				s.until("the copy is recorded", func(st mirror.Status) bool { return st.Recorded == uint64(i+1) })
 			}
-			st := s.until("nothing is out", func(st mirror.Status) bool { return st.Out+st.Pairing == 0 })
+			st := s.until("nothing is out", func(st mirror.Status) bool { return st.InFlight+st.Pairing == 0 })
 			if (st.Health == "down") != tt.down {
 				t.Errorf("%+v", st)
 			}
@@ -366,7 +366,7 @@
 	if counts := s.live.Counts(); counts.Total != n || counts.Duplicated != nil {
 		t.Errorf("%d live attempts for %d requests, %v twice", counts.Total, n, counts.Duplicated)
 	}
-	st := s.until("nothing is out", func(st mirror.Status) bool { return st.Out+st.Pairing+st.Waiting == 0 })
+	st := s.until("nothing is out", func(st mirror.Status) bool { return st.InFlight+st.Pairing+st.Waiting == 0 })
 	if got := s.records(); uint64(len(got)) != st.Started {
 		t.Errorf("%d records of %d copies", len(got), st.Started)
 	}
@@ -395,7 +395,7 @@
 		s.until("it has its record", func(st mirror.Status) bool { return st.Recorded == uint64(i) })
 	}
 	scripted.Send(t, hold, true)
-	st := s.until("the copy that was out is compared", func(st mirror.Status) bool { return st.Out == 0 && st.Pairing == 0 })
+	st := s.until("the copy that was out is compared", func(st mirror.Status) bool { return st.InFlight == 0 && st.Pairing == 0 })
 	if st.Compared != st.Started {
 		t.Errorf("%+v", st)
 	}
@@ -481,8 +481,8 @@
 	s.reload <- syscall.SIGHUP
 	s.line("reloaded")
 	s.served("q1")
-	st := s.until("the share is 0", func(st mirror.Status) bool { return st.Share == 0 && st.Caps.Out == 7 })
-	if st.Offered != 1 || st.Out != 1 {
+	st := s.until("the share is 0", func(st mirror.Status) bool { return st.Share == 0 && st.Caps.InFlight == 7 })
+	if st.Offered != 1 || st.InFlight != 1 {
 		t.Errorf("%+v", st)
 	}
 	scripted.Send(t, hold, true)
@@ -496,7 +496,7 @@
 	s.reload <- syscall.SIGHUP
 	s.line("reloaded")
 	s.served("q3")
-	s.until("another pool has its place", func(st mirror.Status) bool { return st.Pool == "other" && st.Out == 1 })
+	s.until("another pool has its place", func(st mirror.Status) bool { return st.Pool == "other" && st.InFlight == 1 })
 	got := s.records()
 	if got["q0"].Cause != "" || got["q2"].Cause != string(shadow.Closing) || got["q3"].Pool != "other" || len(got) != 3 {
 		t.Errorf("%+v", got)
@@ -651,11 +651,11 @@
 		}
 		go s.ask("held", "held", nil)
 		s.until("it yields", func(st mirror.Status) bool {
-			return st.Level == "hard" && st.Ended[shadow.UnderPressure] > 0 && st.Out == 0
+			return st.Level == "hard" && st.Ended[shadow.UnderPressure] > 0 && st.InFlight == 0
 		})
 		s.live.Set(scripted.ModelBehavior{})
 	}
 	s.until("it is calm again", func(st mirror.Status) bool { return st.Level == "calm" })
 	s.served("q1")
-	s.until("a copy is out", func(st mirror.Status) bool { return st.Out == 1 })
+	s.until("a copy is out", func(st mirror.Status) bool { return st.InFlight == 1 })
 }
--- a/internal/router/report/csv.go
+++ b/internal/router/report/csv.go
@@ -12,17 +12,17 @@
 	t := table.NewWriter()
 	t.AppendHeader(table.Row{"pool", "class", "host", "figure", "side", "place", "value"})
 	for _, p := range r.Pools {
-		one := func(figure string, v any) { t.AppendRow(table.Row{p.Name, "", "", figure, "", "", v}) }
-		one("records", p.Records)
-		one("compared", p.Compared)
-		one("compared after a gap", p.Gaps)
-		one("same finish", p.SameFinish)
-		one("similarity of a part", p.Partial)
+		addCount := func(figure string, v any) { t.AppendRow(table.Row{p.Name, "", "", figure, "", "", v}) }
+		addCount("records", p.Records)
+		addCount("compared", p.Compared)
+		addCount("compared after a gap", p.Gaps)
+		addCount("same finish", p.SameFinish)
+		addCount("similarity of a part", p.Partial)
 		for _, cause := range slices.Sorted(maps.Keys(p.Causes)) {
-			one("not comparable: "+cause, p.Causes[cause])
+			addCount("not comparable: "+cause, p.Causes[cause])
 		}
 		for _, kind := range slices.Sorted(maps.Keys(p.Texts)) {
-			one("text: "+kind, p.Texts[kind])
+			addCount("text: "+kind, p.Texts[kind])
 		}
 		spread := func(class, host, figure, side string, s Spread) {
 			for _, x := range []struct {
--- a/internal/router/report/report.go
+++ b/internal/router/report/report.go
@@ -217,13 +217,13 @@
 
 // record adds the times of an answer to the histograms.
 func record(to map[string]*hdrhistogram.Histogram, s *records.Answer) {
-	add := func(name string, ms *float64, less *float64) {
+	add := func(name string, ms *float64, subtract *float64) {
 		if ms == nil {
 			return
 		}
 		v := *ms
-		if less != nil {
-			v -= *less
+		if subtract != nil {
+			v -= *subtract
 		}
 		to[name].RecordValue(int64(min(max(v*1000, 1), maxLatencyUs))) // within its range, it can't fail
 	}
--- a/internal/router/report/report_test.go
+++ b/internal/router/report/report_test.go
@@ -20,7 +20,7 @@
 
 // fill writes a folder of 100 records: 90 compared, 10 broken. Live answers take i ms, copies twice
 // that at a host of two that is found by turns.
-func fill(t testing.TB) string {
+func writeRecords(t testing.TB) string {
 	t.Helper()
 	folder := t.TempDir()
 	w := &records.Writer{Folder: folder, FileBytes: 1 << 20, Files: 9}
@@ -45,7 +45,7 @@
 func near(got, want float64) bool { return math.Abs(got-want) <= 0.01*want+0.01 }
 
 func TestReadSumsUpRecords(t *testing.T) {
-	r, err := Read(fill(t))
+	r, err := Read(writeRecords(t))
 	if err != nil || len(r.Pools) != 1 {
 		t.Fatal(r, err)
 	}
@@ -69,7 +69,7 @@
 }
 
 func TestWriteInEachFormat(t *testing.T) {
-	folder := fill(t)
+	folder := writeRecords(t)
 	r, err := Read(folder)
 	if err != nil {
 		t.Fatal(err)
@@ -93,9 +93,9 @@
 	if err != nil || len(rows) != 1+7+3*6+6*4*2*6 {
 		t.Errorf("csv: %d rows, %v", len(rows), err)
 	}
-	var back Report
-	if err := json.Unmarshal([]byte(out["json"]), &back); err != nil || back.Pools[0].Compared != 90 {
-		t.Errorf("json: %v %+v", err, back)
+	var decoded Report
+	if err := json.Unmarshal([]byte(out["json"]), &decoded); err != nil || decoded.Pools[0].Compared != 90 {
+		t.Errorf("json: %v %+v", err, decoded)
 	}
 	if err := r.Write(&bytes.Buffer{}, "odd"); err == nil {
 		t.Error("an odd format was taken")
@@ -104,7 +104,7 @@
 
 // The page stands alone: nothing in it is fetched, and its charts are whole drawings.
 func TestHTMLPageIsSelfContained(t *testing.T) {
-	folder := fill(t)
+	folder := writeRecords(t)
 	r, err := Read(folder)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/router/settings/admission.go
+++ b/internal/router/settings/admission.go
@@ -40,10 +40,10 @@
 	case slices.Contains(b.Identities, ""):
 		c.fault(b.Body, "identities", "holds an empty name")
 	}
-	for _, word := range b.Ranges {
-		p, err := netip.ParsePrefix(word)
+	for _, text := range b.Ranges {
+		p, err := netip.ParsePrefix(text)
 		if err != nil || p != p.Masked() {
-			c.fault(b.Body, "ranges", "holds %q; it must be the first address of a net and its length, such as 10.0.0.0/8", word)
+			c.fault(b.Body, "ranges", "holds %q; it must be the first address of a net and its length, such as 10.0.0.0/8", text)
 		}
 		d.Config.KnownRanges = append(d.Config.KnownRanges, p)
 	}
@@ -57,12 +57,12 @@
 }
 
 // byLevel reads a time for each level.
-func (c *checker) byLevel(b *timeoutBlock, usual ...time.Duration) (times [3]time.Duration) {
+func (c *checker) byLevel(b *timeoutBlock, fallbacks ...time.Duration) (times [3]time.Duration) {
 	if b == nil {
 		b = new(timeoutBlock)
 	}
-	for i, word := range []string{b.Calm, b.Tight, b.Critical} {
-		times[i] = c.duration(b.Body, [...]string{"calm", "tight", "critical"}[i], word, usual[i])
+	for i, text := range []string{b.Calm, b.Tight, b.Critical} {
+		times[i] = c.duration(b.Body, [...]string{"calm", "tight", "critical"}[i], text, fallbacks[i])
 	}
 	return times
 }
@@ -70,12 +70,12 @@
 // prefixLengths reads how long the prefixes are that count as one address and as one net.
 func (c *checker) prefixLengths(b *admissionBlock) admission.PrefixLengths {
 	l := admission.PrefixLengths{Address4: 32, Network4: 24, Address6: 64, Network6: 48}
-	read := func(b *netBlock, field string, length *int, to *int, most int) {
+	read := func(b *netBlock, field string, length *int, to *int, maximum int) {
 		if length == nil {
 			return
 		}
-		if *to = *length; *length < 1 || *length > most {
-			c.fault(b.Body, field, "is %d; a prefix has from 1 to %d bits", *length, most)
+		if *to = *length; *length < 1 || *length > maximum {
+			c.fault(b.Body, field, "is %d; a prefix has from 1 to %d bits", *length, maximum)
 		}
 	}
 	if a := b.Address; a != nil {
@@ -86,11 +86,11 @@
 		read(n, "ipv4", n.IPv4, &l.Network4, 32)
 		read(n, "ipv6", n.IPv6, &l.Network6, 128)
 	}
-	for _, both := range []struct {
+	for _, lengths := range []struct {
 		field        string
 		address, net int
 	}{{"ipv4", l.Address4, l.Network4}, {"ipv6", l.Address6, l.Network6}} {
-		if both.net < both.address {
+		if lengths.net < lengths.address {
 			continue
 		}
 		at, block := b.Body, ""
@@ -100,29 +100,29 @@
 		if b.Net != nil {
 			at, block = b.Net.Body, "net"
 		}
-		c.fault(at, both.field, "(%s) makes an address /%d and its net /%d; a net must be the shorter one", block, both.address, both.net)
+		c.fault(at, lengths.field, "(%s) makes an address /%d and its net /%d; a net must be the shorter one", block, lengths.address, lengths.net)
 	}
 	return l
 }
 
 // clientLimit reads the bounds of one holder; 0 is no bound.
-func (c *checker) clientLimit(b *limitBlock, usual admission.ClientLimit) admission.ClientLimit {
+func (c *checker) clientLimit(b *limitBlock, fallback admission.ClientLimit) admission.ClientLimit {
 	if b == nil {
-		return usual
+		return fallback
 	}
-	count := func(field string, n *int, usual int) int {
+	count := func(field string, n *int, fallback int) int {
 		if n == nil {
-			return usual
+			return fallback
 		}
 		if *n < 0 || *n > 1e6 {
 			c.fault(b.Body, field, "is %d; it must be from 0, for no bound, to 1000000", *n)
 		}
 		return *n
 	}
-	bound := admission.ClientLimit{Connections: count("connections", b.Connections, usual.Connections), OpenRequests: count("open", b.OpenRequests, usual.OpenRequests),
-		ConnectionsPerSecond: c.number(b.Body, "per_second", b.PerSecond, usual.ConnectionsPerSecond, 0, 1e6)}
-	if bound.Connections > 0 && bound.OpenRequests > bound.Connections && b.OpenRequests != nil {
-		c.fault(b.Body, "open", "is %d; one connection carries one request, and connections is %d", bound.OpenRequests, bound.Connections)
+	limit := admission.ClientLimit{Connections: count("connections", b.Connections, fallback.Connections), OpenRequests: count("open", b.OpenRequests, fallback.OpenRequests),
+		ConnectionsPerSecond: c.number(b.Body, "per_second", b.PerSecond, fallback.ConnectionsPerSecond, 0, 1e6)}
+	if limit.Connections > 0 && limit.OpenRequests > limit.Connections && b.OpenRequests != nil {
+		c.fault(b.Body, "open", "is %d; one connection carries one request, and connections is %d", limit.OpenRequests, limit.Connections)
 	}
-	return bound
+	return limit
 }
--- a/internal/router/settings/fleet.go
+++ b/internal/router/settings/fleet.go
@@ -25,8 +25,8 @@
 	if b.Listen != "" {
 		c.addr(b.Body, "listen", b.Listen)
 	}
-	for _, word := range b.Seeds {
-		s.Seeds = append(s.Seeds, c.addr(b.Body, "seeds", word))
+	for _, text := range b.Seeds {
+		s.Seeds = append(s.Seeds, c.addr(b.Body, "seeds", text))
 	}
 	switch {
 	case len(b.Seeds) > maxSeeds:
--- a/internal/router/settings/settings_test.go
+++ b/internal/router/settings/settings_test.go
@@ -67,11 +67,11 @@
 }
 
 // bad is a fault put into a good file, and what is to be said about it.
-type bad struct{ old, new, want string }
+type badCase struct{ old, new, want string }
 
-func badFiles(t *testing.T, good string, faults []bad) {
+func expectParseErrors(t *testing.T, good string, tests []badCase) {
 	t.Helper()
-	for _, tt := range faults {
+	for _, tt := range tests {
 		if !strings.Contains(good, tt.old) {
 			t.Fatalf("the good file has no %q", tt.old)
 		}
@@ -84,7 +84,7 @@
 
 // Each fault is one line with file, line and field.
 func TestParseNamesFileLineAndField(t *testing.T) {
-	badFiles(t, good, []bad{
+	expectParseErrors(t, good, []badCase{
 		{`status {`, `statue {`, `f.hcl:4: Unsupported block type: Blocks of type "statue"`},
 		{`late = "5ms"`, `later = "5ms"`, `f.hcl:15: Unsupported argument: An argument named "later"`},
 		{`share = 0.25`, `share = 1.5`, "f.hcl:18: share is 1.5; it must be from 0 to 1"},
@@ -174,7 +174,7 @@
 }
 
 func TestParseRejectsBadAdmission(t *testing.T) {
-	badFiles(t, goodAdmission, []bad{
+	expectParseErrors(t, goodAdmission, []badCase{
 		{`reserve = 0.5`, `reserve = 1.5`, "f.hcl:5: reserve is 1.5; it must be from 0 to 0.9"},
 		{`reserve = 0.5`, `reserve = -1`, "f.hcl:5: reserve is -1"},
 		{`step = 8`, `step = 0`, "f.hcl:6: step is 0; it must be from 1 to 20"},
@@ -249,7 +249,7 @@
 	if s, err := Parse([]byte("fleet {}\n"), "f.hcl"); err != nil || s.Fleet == nil || s.Fleet.Address.IsValid() {
 		t.Errorf("an empty block: %+v, %v", s, err)
 	}
-	badFiles(t, goodFleet, []bad{
+	expectParseErrors(t, goodFleet, []badCase{
 		{`"router-7"`, `"router 7"`, `f.hcl:2: name is "router 7"`},
 		{`"router-7"`, `"a-name-that-is-longer-than-thirty-two"`, "f.hcl:2: name is"},
 		{`listen = "10.0.0.4:7946"`, `listen = "10.0.0.4"`, `f.hcl:3: listen has "10.0.0.4"; it must be an IPv4 address with a port`},
--- a/internal/router/shadow/compare.go
+++ b/internal/router/shadow/compare.go
@@ -102,9 +102,9 @@
 // text. By words it costs a hundredth of what it costs by characters, and one reworded sentence
 // counts alike wherever it stands.
 func similarity(a, b string) (fraction float64, truncated bool) {
-	names := map[string]rune{}
-	x, truncatedA := encodeTokens(a, names)
-	y, truncatedB := encodeTokens(b, names)
+	codes := map[string]rune{}
+	x, truncatedA := encodeTokens(a, codes)
+	y, truncatedB := encodeTokens(b, codes)
 	longest := max(len([]rune(x)), len([]rune(y)))
 	if longest == 0 {
 		return 1, truncatedA || truncatedB
@@ -115,13 +115,13 @@
 
 // encodeTokens maps each distinct word to one rune, so that the edit distance between strings
 // counts words. Both texts share names. The result is truncated after maxComparedTokens.
-func encodeTokens(text string, names map[string]rune) (spelled string, truncated bool) {
+func encodeTokens(text string, codes map[string]rune) (encoded string, truncated bool) {
 	var out []rune
 	add := func(w string) {
-		r, ok := names[w]
+		r, ok := codes[w]
 		if !ok {
-			r = rune(0x10000 + len(names)) // beyond the reserved runes of the basic plane
-			names[w] = r
+			r = rune(0x10000 + len(codes)) // beyond the reserved runes of the basic plane
+			codes[w] = r
 		}
 		out = append(out, r)
 	}
--- a/internal/router/shadow/compare_test.go
+++ b/internal/router/shadow/compare_test.go
@@ -43,9 +43,9 @@
 }
 
 func BenchmarkCompare(b *testing.B) {
-	text := func(odd string) (s string) {
+	text := func(suffix string) (s string) {
 		for i := range 200 {
-			s += fmt.Sprint("word", i, odd, " ")
+			s += fmt.Sprint("word", i, suffix, " ")
 		}
 		return s
 	}
--- a/internal/router/shadow/decider_test.go
+++ b/internal/router/shadow/decider_test.go
@@ -33,16 +33,16 @@
 }
 
 // moment is a step of a test: a time, the events at it, and the actions that must follow.
-type moment struct {
+type testStep struct {
 	at     time.Duration
 	events []Event
 	want   []Action
 }
 
-func play(t *testing.T, c Config, story []moment) *Decider {
+func runSteps(t *testing.T, c Config, steps []testStep) *Decider {
 	t.Helper()
 	d := New(c, 1)
-	for i, m := range story {
+	for i, m := range steps {
 		got := d.Step(m.at, m.events)
 		if diff := cmp.Diff(m.want, got); diff != "" {
 			t.Fatalf("moment %d, at %v: %s", i, m.at, diff)
@@ -55,7 +55,7 @@
 func ready(more ...Event) []Event { return append([]Event{Sample{}, HostsChanged{2}}, more...) }
 
 func TestRecordFollowsBothAnswers(t *testing.T) {
-	play(t, config(), []moment{
+	runSteps(t, config(), []testStep{
 		{ms, ready(Offer{1, 7, 10}, Offer{2, 7, 10}, Offer{3, 7, 10}, Offer{4, 7, 10}),
 			[]Action{Start{1, false}, Start{2, false}, Start{3, false}, Start{4, false}}},
 		{2 * ms, []Event{CopyEnded{1, ""}}, nil},
@@ -73,7 +73,7 @@
 func TestCapsQueueOrDropCopies(t *testing.T) {
 	c := config()
 	c.Caps.InFlight, c.Caps.Waiting, c.Caps.Bytes = 1, 2, 100
-	d := play(t, c, []moment{
+	d := runSteps(t, c, []testStep{
 		{ms, ready(Offer{1, 1, 30}, Offer{2, 2, 30}, Offer{3, 3, 50}), []Action{Start{1, false}, Drop{3, OverBytes}}},
 		{2 * ms, []Event{Offer{4, 4, 10}, Offer{5, 5, 10}}, []Action{Drop{5, OverQueue}}},
 		{3 * ms, []Event{AttemptRequest{1, "a"}, CopyEnded{1, ""}, LiveEnded{1, true}},
@@ -95,7 +95,7 @@
 func TestRateCapCountsEachAttemptThatMayReachAHost(t *testing.T) {
 	c := config()
 	c.Caps.PerSecond, c.Caps.InFlight, c.Caps.MaxWait = 2, 100, 5*time.Second
-	play(t, c, []moment{
+	runSteps(t, c, []testStep{
 		{700 * ms, ready(Offer{1, 1, 1}, AttemptRequest{1, "a"}), []Action{Start{1, false}, AttemptGranted{1, "a", true}}},
 		{900 * ms, []Event{AttemptReached{1}}, nil},
 		{950 * ms, []Event{Offer{2, 2, 1}, Offer{3, 3, 1}, AttemptRequest{2, "a"}}, []Action{Start{2, false}, AttemptGranted{2, "a", true}}},
@@ -110,7 +110,7 @@
 		{3500 * ms, nil, []Action{Start{4, false}}},
 	})
 	c.Caps.PerSecond = 0.5
-	play(t, c, []moment{
+	runSteps(t, c, []testStep{
 		{ms, ready(Offer{1, 1, 1}, Offer{2, 2, 1}, AttemptRequest{1, "a"}, AttemptReached{1}), []Action{Start{1, false}, AttemptGranted{1, "a", true}}},
 		{2000 * ms, []Event{Sample{}}, nil},
 		{2001 * ms, nil, []Action{Start{2, false}}},
@@ -124,7 +124,7 @@
 	c.Caps.PerSecond = 2
 	lower := c
 	lower.Caps.PerSecond = 1
-	play(t, c, []moment{
+	runSteps(t, c, []testStep{
 		{ms, ready(Offer{1, 7, 10}, Offer{2, 7, 10}), []Action{Start{1, false}, Start{2, false}}},
 		{2 * ms, []Event{Reconfigure{lower}}, nil},
 		{3 * ms, []Event{AttemptRequest{1, "h"}}, []Action{AttemptGranted{1, "h", true}}},
@@ -135,7 +135,7 @@
 }
 
 func TestAttemptsPerHostAreCapped(t *testing.T) {
-	d := play(t, config(), []moment{
+	d := runSteps(t, config(), []testStep{
 		{ms, ready(Offer{1, 1, 1}, Offer{2, 2, 1}, Offer{3, 3, 1}), []Action{Start{1, false}, Start{2, false}, Start{3, false}}},
 		{2 * ms, []Event{AttemptRequest{1, "a"}, AttemptRequest{2, "a"}, AttemptRequest{3, "a"}, AttemptRequest{3, "b"}},
 			[]Action{AttemptGranted{1, "a", true}, AttemptGranted{2, "a", true}, AttemptGranted{3, "a", false}, AttemptGranted{3, "b", true}}},
@@ -154,30 +154,30 @@
 func TestPressureDropsThenCancelsCopies(t *testing.T) {
 	c := config()
 	c.Caps.InFlight = 1
-	hot, warm, cool := Sample{Queued: 8}, Sample{Queued: 5}, Sample{Queued: 4}
-	d := play(t, c, []moment{
+	atThreshold, aboveHalf, atHalf := Sample{Queued: 8}, Sample{Queued: 5}, Sample{Queued: 4}
+	d := runSteps(t, c, []testStep{
 		{ms, ready(Offer{1, 1, 1}, Offer{2, 2, 1}), []Action{Start{1, false}}},
-		{100 * ms, []Event{hot}, []Action{Drop{2, UnderPressure}}},
-		{200 * ms, []Event{warm, Offer{3, 3, 1}}, []Action{Drop{3, UnderPressure}}},
-		{600 * ms, []Event{warm}, []Action{Cancel{1, UnderPressure}}},
+		{100 * ms, []Event{atThreshold}, []Action{Drop{2, UnderPressure}}},
+		{200 * ms, []Event{aboveHalf, Offer{3, 3, 1}}, []Action{Drop{3, UnderPressure}}},
+		{600 * ms, []Event{aboveHalf}, []Action{Cancel{1, UnderPressure}}},
 		{601 * ms, []Event{CopyEnded{1, StreamFailed}, LiveEnded{1, true}}, []Action{Record{1, UnderPressure, true}}},
-		{1000 * ms, []Event{cool}, nil},
-		{1400 * ms, []Event{cool}, nil},
-		{1800 * ms, []Event{cool}, nil},
-		{2200 * ms, []Event{cool}, nil},
-		{2599 * ms, []Event{cool, Offer{4, 4, 1}}, []Action{Drop{4, UnderPressure}}},
-		{2600 * ms, []Event{cool}, nil},
-		{2601 * ms, []Event{cool, Offer{5, 5, 1}}, []Action{Start{5, false}}},
+		{1000 * ms, []Event{atHalf}, nil},
+		{1400 * ms, []Event{atHalf}, nil},
+		{1800 * ms, []Event{atHalf}, nil},
+		{2200 * ms, []Event{atHalf}, nil},
+		{2599 * ms, []Event{atHalf, Offer{4, 4, 1}}, []Action{Drop{4, UnderPressure}}},
+		{2600 * ms, []Event{atHalf}, nil},
+		{2601 * ms, []Event{atHalf, Offer{5, 5, 1}}, []Action{Start{5, false}}},
 		// Twice the threshold cancels copies in flight at once.
 		{2700 * ms, []Event{Sample{Delay: 20 * ms}}, []Action{Cancel{5, UnderPressure}}},
 		{2800 * ms, []Event{CopyEnded{5, StreamFailed}, LiveEnded{5, true}}, []Action{Record{5, UnderPressure, true}}},
 	})
 	for at := 3000 * ms; at < 6700*ms; at += 100 * ms { // twice as long as the first time
-		if got := d.Step(at, []Event{cool}); d.level == LevelCalm || got != nil {
+		if got := d.Step(at, []Event{atHalf}); d.level == LevelCalm || got != nil {
 			t.Fatalf("calm again at %v", at)
 		}
 	}
-	if d.Step(6700*ms, []Event{cool}); d.level != LevelCalm {
+	if d.Step(6700*ms, []Event{atHalf}); d.level != LevelCalm {
 		t.Error("no calm after twice the time")
 	}
 	if d.failures != 0 || !maps.Equal(d.Counts().PressureSignals, map[string]uint64{"held": 1, "late": 1}) {
@@ -185,14 +185,14 @@
 	}
 	// Further attempts of copies in flight are denied, and the copies canceled.
 	d.Step(6800*ms, []Event{Offer{6, 6, 1}})
-	if got := d.Step(6900*ms, []Event{hot, AttemptRequest{6, "a"}}); !cmp.Equal(got, []Action{Cancel{6, UnderPressure}, AttemptGranted{6, "a", false}}) {
+	if got := d.Step(6900*ms, []Event{atThreshold, AttemptRequest{6, "a"}}); !cmp.Equal(got, []Action{Cancel{6, UnderPressure}, AttemptGranted{6, "a", false}}) {
 		t.Error(got)
 	}
 }
 
 // Without a fresh sample of the live path nothing starts: the goroutine that samples may be stuck.
 func TestNothingStartsWithoutFreshSample(t *testing.T) {
-	d := play(t, config(), []moment{
+	d := runSteps(t, config(), []testStep{
 		{ms, []Event{HostsChanged{1}, Offer{1, 1, 1}}, nil},
 		{2 * ms, []Event{Sample{}}, []Action{Start{1, false}}},
 		{600 * ms, []Event{Offer{2, 2, 1}}, []Action{Drop{2, UnderPressure}}},
@@ -208,7 +208,7 @@
 	c.Pressure.CalmPeriod = ms
 	d := New(c, 1)
 	at, id := ms, uint64(0)
-	try := func(after time.Duration, how Cause) []Action {
+	offerAndEnd := func(after time.Duration, cause Cause) []Action {
 		for end := at + after; at < end; {
 			at = min(at+400*ms, end)
 			d.Step(at, ready())
@@ -216,36 +216,36 @@
 		id++
 		got := d.Step(at, ready(Offer{id, id, 1}))
 		if len(got) > 0 && got[0] == (Start{id, slices.Contains([]uint64{}, id)}) {
-			got = append(got, d.Step(at, []Event{Offer{id + 1000, id, 1}, CopyEnded{id, how}, LiveEnded{id, true}, LiveEnded{id + 1000, false}})...)
+			got = append(got, d.Step(at, []Event{Offer{id + 1000, id, 1}, CopyEnded{id, cause}, LiveEnded{id, true}, LiveEnded{id + 1000, false}})...)
 		}
 		return got
 	}
-	kinds := func(actions []Action) (s string) {
+	typeNames := func(actions []Action) (s string) {
 		for _, a := range actions {
 			s += fmt.Sprintf("%T ", a)[len("shadow."):]
 		}
 		return s
 	}
 	for range 2 {
-		if got := kinds(try(0, Failed)); got != "Start Start Record Cancel " {
+		if got := typeNames(offerAndEnd(0, Failed)); got != "Start Start Record Cancel " {
 			t.Fatal(got)
 		}
 	}
 	d.Step(at, []Event{CopyEnded{1001, Failed}, CopyEnded{1002, Failed}}) // canceled by us: says nothing about the pool
-	if got := kinds(try(0, StreamFailed)); got != "Start Start PoolEjected Record Cancel " {
+	if got := typeNames(offerAndEnd(0, StreamFailed)); got != "Start Start PoolEjected Record Cancel " {
 		t.Fatal(got)
 	}
 	d.Step(at, []Event{CopyEnded{1003, Failed}})
 	for _, wait := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, 8 * time.Second, 8 * time.Second} {
-		if got := kinds(try(wait-ms, Failed)); got != "Drop " {
+		if got := typeNames(offerAndEnd(wait-ms, Failed)); got != "Drop " {
 			t.Fatalf("before %v: %s", wait, got)
 		}
 		// The second offer finds the trial in flight. Its failure doubles the backoff.
-		if got := kinds(try(wait/5+2*ms, Failed)); got != "Start Drop Record " {
+		if got := typeNames(offerAndEnd(wait/5+2*ms, Failed)); got != "Start Drop Record " {
 			t.Fatalf("after %v: %s", wait, got)
 		}
 	}
-	if got := kinds(try(10*time.Second, "")); got != "Start Drop PoolRecovered Record " {
+	if got := typeNames(offerAndEnd(10*time.Second, "")); got != "Start Drop PoolRecovered Record " {
 		t.Fatal(got)
 	}
 	if d.Counts().Down {
@@ -260,7 +260,7 @@
 func TestMaxDurationAndCloseCancelCopies(t *testing.T) {
 	c := config()
 	c.Caps.InFlight = 2
-	d := play(t, c, []moment{
+	d := runSteps(t, c, []testStep{
 		{ms, ready(Offer{1, 1, 1}, Offer{2, 2, 1}, Offer{3, 3, 1}), []Action{Start{1, false}, Start{2, false}}},
 		{2 * ms, []Event{CopyEnded{2, ""}, Offer{4, 4, 1}}, []Action{Start{3, false}}},
 	})
