--- a/internal/router/shadow/compare.go
+++ b/internal/router/shadow/compare.go
@@ -11,14 +11,16 @@
 )
 
 const (
-	// maxComparedTokens bounds what the similarity is taken over; its cost grows with the square.
+	// maxComparedTokens is the number of tokens of each text that the similarity covers. The cost
+	// of computing the similarity grows with the square of this number.
 	maxComparedTokens = 1000
-	// maxTokenLength is the length in characters from which a word is split into tokens of
-	// splitLength: a text of a script without spaces would otherwise be one word.
+	// A word of more than maxTokenLength characters is split into tokens of splitLength characters.
+	// Otherwise, a text in a script without spaces would be a single token.
 	maxTokenLength, splitLength = 16, 4
 )
 
-// TextMatch says how two answers' texts compare. Its values are part of the record files.
+// TextMatch is the result of comparing the texts of two answers. The values are part of the record
+// files.
 type TextMatch string
 
 // The values of TextMatch.
@@ -26,16 +28,17 @@
 	Equal       TextMatch = "equal"
 	Spacing     TextMatch = "equal but for space and case"
 	Differs     TextMatch = "differs"
-	NotRetained TextMatch = "not kept" // one was longer than what is retained, and size and digest differ
+	NotRetained TextMatch = "not kept" // a text was not retained completely, and the sizes or the digests differ
 )
 
-// Answer is what is known of one side's answer. Times count from when its request was accepted;
-// those that are not known are negative, as are unknown token counts.
+// Answer describes the live answer or the copy's answer to a request. Queued, FirstByte and Total
+// count from the time at which the request was accepted. A duration or token count that is not
+// known is negative.
 type Answer struct {
-	Text          string // the beginning that was retained
-	Truncated     bool   // more came than was retained
-	Bytes         int64  // of the complete stream
-	Digest        string // of the complete stream
+	Text          string // the retained beginning of the text
+	Truncated     bool   // the stream was longer than its retained beginning
+	Bytes         int64  // size of the complete stream
+	Digest        string // hash of the complete text, or of the complete stream if Truncated
 	Finish        string // the finish reason that the host gave
 	Tokens        int
 	CachedTokens  int           // prompt tokens that the host had in its prefix cache
@@ -47,14 +50,14 @@
 	Attempts      int
 }
 
-// Comparison is how a copy's answer compares with the live one.
+// Comparison is the result of comparing a copy's answer with the live answer.
 type Comparison struct {
 	Text             TextMatch
-	Similarity       float64 // of the texts, from 0 to 1: 1 less the fraction of words to be changed
-	Partial          bool    // Similarity covers only the beginning of a text
+	Similarity       float64 // of the texts, from 0 to 1: 1 minus the fraction of the words that must be changed
+	Partial          bool    // Similarity covers only the beginning of at least one text
 	SameFinish       bool    // both have the same finish reason
-	TokenDelta       int     // the copy's tokens less the live answer's, 0 if either is unknown
-	CachedTokenDelta int     // likewise for the cached tokens
+	TokenDelta       int     // the copy's token count minus the live answer's; 0 if either is unknown
+	CachedTokenDelta int     // the same difference for CachedTokens
 }
 
 // Compare compares two complete answers.
@@ -88,7 +91,7 @@
 	return c
 }
 
-// foldSpaceAndCase converts to lower case and drops all space.
+// foldSpaceAndCase converts s to lower case and removes all white space.
 func foldSpaceAndCase(s string) string {
 	return strings.Map(func(r rune) rune {
 		if unicode.IsSpace(r) {
@@ -98,9 +101,10 @@
 	}, s)
 }
 
-// similarity is 1 less the edit distance between the two texts' words, as a fraction of the longer
-// text. By words it costs a hundredth of what it costs by characters, and one reworded sentence
-// counts alike wherever it stands.
+// similarity returns 1 minus the edit distance between the words of a and b, as a fraction of the
+// longer text. It also reports whether a or b was truncated for that. An edit distance over words
+// costs a hundredth of one over characters, and a reworded sentence has the same effect anywhere in
+// the text.
 func similarity(a, b string) (fraction float64, truncated bool) {
 	codes := map[string]rune{}
 	x, truncatedA := encodeTokens(a, codes)
@@ -113,14 +117,15 @@
 	return math.Max(fraction, 0), truncatedA || truncatedB
 }
 
-// encodeTokens maps each distinct word to one rune, so that the edit distance between strings
-// counts words. Both texts share names. The result is truncated after maxComparedTokens.
+// encodeTokens encodes each distinct word of a text as one rune, so that the edit distance between
+// two encoded texts counts words. Both texts must be encoded with the same codes. The result is
+// truncated after maxComparedTokens runes.
 func encodeTokens(text string, codes map[string]rune) (encoded string, truncated bool) {
 	var out []rune
 	add := func(w string) {
 		r, ok := codes[w]
 		if !ok {
-			r = rune(0x10000 + len(codes)) // beyond the reserved runes of the basic plane
+			r = rune(0x10000 + len(codes)) // above the basic plane, whose surrogates are not valid runes
 			codes[w] = r
 		}
 		out = append(out, r)
--- a/internal/router/shadow/compare_test.go
+++ b/internal/router/shadow/compare_test.go
@@ -23,9 +23,9 @@
 		{"one is empty", Answer{Text: ""}, Answer{Text: "c d"}, Comparison{Text: Differs, SameFinish: true}},
 		{"no spaces", Answer{Text: "港口订单已经完成请核对客户记录然后继续下一步"}, Answer{Text: "港口订单已经完成请核对客户记录然后继续下一页"},
 			Comparison{Text: Differs, Similarity: 1 - 1.0/6, SameFinish: true}},
-		{"cut, the same", Answer{Text: "a", Truncated: true, Bytes: 9, Digest: "d"}, Answer{Text: "a", Truncated: true, Bytes: 9, Digest: "d"},
+		{"truncated, equal", Answer{Text: "a", Truncated: true, Bytes: 9, Digest: "d"}, Answer{Text: "a", Truncated: true, Bytes: 9, Digest: "d"},
 			Comparison{Text: Equal, Similarity: 1, SameFinish: true}},
-		{"cut, not the same", Answer{Text: "a b", Truncated: true, Bytes: 9, Digest: "d"}, Answer{Text: "a c", Bytes: 9, Digest: "e"},
+		{"truncated, different", Answer{Text: "a b", Truncated: true, Bytes: 9, Digest: "d"}, Answer{Text: "a c", Bytes: 9, Digest: "e"},
 			Comparison{Text: NotRetained, Similarity: 0.5, Partial: true, SameFinish: true}},
 	} {
 		got := Compare(tt.live, tt.copied)
@@ -37,7 +37,7 @@
 		a, b := Answer{Text: rapid.String().Draw(t, "a")}, Answer{Text: rapid.String().Draw(t, "b")}
 		x, y := Compare(a, b), Compare(b, a)
 		if x != y || !(x.Similarity >= 0 && x.Similarity <= 1) || Compare(a, a).Text != Equal {
-			t.Fatalf("%+v and %+v", x, y)
+			t.Fatalf("Compare gives %+v and in reverse %+v; want the same, a similarity from 0 to 1, and a text that equals itself", x, y)
 		}
 	})
 }
--- a/internal/router/shadow/counts.go
+++ b/internal/router/shadow/counts.go
@@ -5,40 +5,40 @@
 	"time"
 )
 
-// PressureLevel is how much the live path leaves to copies.
+// PressureLevel is how strongly copying is restricted in favor of the live path.
 type PressureLevel int
 
-// The levels.
+// The pressure levels, from no restriction to the strongest.
 const (
-	LevelCalm  PressureLevel = iota // copies start
-	LevelTense                      // waiting copies are dropped and none starts
-	LevelHard                       // copies in flight are canceled too
+	LevelCalm  PressureLevel = iota // copies are started
+	LevelTense                      // waiting copies are dropped, and no copy is started
+	LevelHard                       // as LevelTense, and copies in flight are canceled
 )
 
 // String returns the level's name.
 func (l PressureLevel) String() string { return [...]string{"calm", "tense", "hard"}[l] }
 
-// Counts is the counters of a Decider since New, and its present state.
+// Counts holds the counters of a Decider since New and its current state.
 type Counts struct {
 	Offered, Started, Recorded, Compared uint64
 
-	Dropped         map[Cause]uint64  // never started
-	Ended           map[Cause]uint64  // started and canceled
-	Incomparable    map[Cause]uint64  // records with a cause
-	PressureSignals map[string]uint64 // by the signal that began the pressure
+	Dropped         map[Cause]uint64  // copies that were never started
+	Ended           map[Cause]uint64  // copies that were started and canceled
+	Incomparable    map[Cause]uint64  // records whose answers can't be compared
+	PressureSignals map[string]uint64 // how often pressure began, by the signal that caused it
 	HostFull        uint64            // attempts denied by Caps.InFlightPerHost
 
 	Waiting, InFlight int
-	Pairing           int   // copies that have ended before their live answer
-	Bytes             int64 // of the bodies of all copies
+	Pairing           int   // copies that ended and wait for the end of their live answer
+	Bytes             int64 // total size of the request bodies of all copies
 	PressureLevel     PressureLevel
-	Sampled           bool // there was a sample
-	Hosts             int  // that serve
-	Down              bool
-	Retry             time.Duration // the time of the next trial, while Down
+	Sampled           bool          // at least one Sample was applied
+	Hosts             int           // hosts that are serving
+	Down              bool          // the pool is ejected
+	Retry             time.Duration // when the next trial may start, on the clock of Step; only if Down
 }
 
-// Counts returns the counters and the present state. The maps are copies.
+// Counts returns the counters and the current state. The maps are copies.
 func (d *Decider) Counts() Counts {
 	c := d.count
 	c.Dropped = maps.Clone(c.Dropped)
@@ -55,5 +55,5 @@
 	return c
 }
 
-// Level returns the present level.
+// Level returns the current pressure level.
 func (d *Decider) Level() PressureLevel { return d.level }
--- a/internal/router/shadow/decider.go
+++ b/internal/router/shadow/decider.go
@@ -7,78 +7,81 @@
 )
 
 const (
-	// maxGaps bounds the conversations known to have a gap; the oldest is forgotten first.
+	// maxGaps is the maximum number of conversations remembered to have a gap. A new conversation
+	// replaces the oldest.
 	maxGaps = 1024
-	// maxPairingFactor bounds the copies that have ended before their live answer, as a multiple of
-	// Caps.InFlight.
+	// maxPairingFactor limits the number of copies that have ended before their live answer, as a
+	// multiple of Caps.InFlight.
 	maxPairingFactor = 2
 )
 
-// copyState is how far a copy has come.
+// copyState is the stage of a copy between its Offer and its Drop or Record.
 type copyState int
 
 const (
 	waiting copyState = iota
 	inFlight
-	pairing // the copy has ended, its live answer has not
+	pairing // the copy has ended, but its live answer has not
 )
 
-// copyRecord is the state of one copy. It is forgotten with the copy's Drop or Record.
+// copyRecord is the state of one copy. The Decider deletes it with the copy's Drop or Record.
 type copyRecord struct {
 	id           uint64
 	session      uint64
 	bytes        int64
 	state        copyState
-	since        time.Duration // offered, then started
-	cause        Cause         // why it is not comparable, so far
+	since        time.Duration // when the copy was offered or, once it is in flight, started
+	cause        Cause         // why the answers can't be compared; empty if no reason is known yet
 	canceled     bool          // Cancel was emitted
 	denied       bool          // an attempt was denied by a cap
-	waitCause    Cause         // the cap that kept it waiting last
+	waitCause    Cause         // the cap that last prevented the start
 	live         bool          // the live answer has ended
-	liveComplete bool          // and is complete
+	liveComplete bool          // the live answer has ended and is complete
 }
 
-// Decider decides for one pool. It is not safe for concurrent use.
+// Decider decides which copies to one pool are started, dropped and canceled. It is not safe for
+// concurrent use.
 type Decider struct {
 	config  Config
 	rng     *rand.Rand
 	now     time.Duration
-	actions []Action // of the present Step
+	actions []Action // of the current Step
 	count   Counts
 
-	copies       map[uint64]*copyRecord // all of them, by id
-	queue        []*copyRecord          // waiting, in the order of their offers
-	inFlight     []*copyRecord          // in the order of their start
-	pairing      []*copyRecord          // ended before their live answer
-	bytes        int64                  // of the bodies of all copies
-	hostAttempts map[string]int         // in flight, by host
-	rateSlots    []rateSlot             // see rateSlot
+	copies       map[uint64]*copyRecord // all copies, by ID
+	queue        []*copyRecord          // waiting copies, in the order of their offers
+	inFlight     []*copyRecord          // in the order of their starts
+	pairing      []*copyRecord          // copies that ended before their live answer
+	bytes        int64                  // total size of the request bodies of all copies
+	hostAttempts map[string]int         // attempts in flight, by host
+	rateSlots    []rateSlot             // attempts that count against Caps.PerSecond
 	closed       bool
-	hosts        int // that serve
+	hosts        int // hosts that are serving
 
-	// Conversations of which a request was dropped, and the same in a ring of maxGaps.
+	// gaps is the set of conversations with a dropped request. gapRing holds the same conversations
+	// in a ring of maxGaps entries. Once the ring is full, gapNext is the index of the oldest.
 	gaps    map[uint64]bool
 	gapRing []uint64
 	gapNext int
 
 	level         PressureLevel
-	sampledAt     time.Duration // the last sample, 0 for none
-	rejections    float64       // decays over a second
-	pressureSince time.Duration // level left LevelCalm
-	lastPressure  time.Duration // a signal was last above half of its threshold
-	calmSince     time.Duration // level returned to LevelCalm
-	calmPeriod    time.Duration // in force, see Pressure.CalmPeriod
+	sampledAt     time.Duration // time of the last sample; 0 if there was none
+	rejections    float64       // decays with a time constant of one second
+	pressureSince time.Duration // when level last left LevelCalm
+	lastPressure  time.Duration // when a signal last exceeded half of its threshold
+	calmSince     time.Duration // when level last returned to LevelCalm
+	calmPeriod    time.Duration // Pressure.CalmPeriod, doubled if pressure returned early
 
 	ejected  bool
-	failures int           // consecutive ones
-	backoff  time.Duration // until the next trial
-	retryAt  time.Duration // of the next trial
-	upSince  time.Duration // the pool recovered
-	trial    *copyRecord   // in flight
+	failures int           // consecutive failed copies
+	backoff  time.Duration // delay before the next trial, without jitter
+	retryAt  time.Duration // when the next trial may start
+	upSince  time.Duration // when the pool last recovered
+	trial    *copyRecord   // the trial copy in flight, or nil
 }
 
-// New returns a Decider for a pool without hosts. It starts nothing before its first Sample and
-// HostsChanged. The seed determines the jitter of its trials.
+// New returns a Decider for a pool without hosts. It starts no copy before its first Sample and
+// HostsChanged. The seed determines the jitter of the trial times.
 func New(c Config, seed uint64) *Decider {
 	return &Decider{
 		config:       c,
@@ -97,8 +100,8 @@
 	}
 }
 
-// Step applies events at the time now, which counts from any fixed instant, and returns the actions
-// that follow. Without events it lets time pass.
+// Step applies events at the time now and returns the resulting actions. The caller may count now
+// from any fixed instant. A call without events only advances the time.
 func (d *Decider) Step(now time.Duration, events []Event) []Action {
 	d.now, d.actions = max(now, d.now), nil
 	for _, event := range events {
@@ -135,10 +138,11 @@
 	}
 }
 
-// emit adds an action to those of the present Step.
+// emit appends an action to those of the current Step.
 func (d *Decider) emit(a Action) { d.actions = append(d.actions, a) }
 
-// grantAttempt grants an attempt unless a cap denies it, or the copy was canceled or is now.
+// grantAttempt grants an attempt unless a cap denies it or the copy is not in flight any more. Under
+// pressure, it cancels the copy and denies the attempt.
 func (d *Decider) grantAttempt(e AttemptRequest) {
 	c := d.copies[e.Copy]
 	ok := c != nil && c.state == inFlight && !c.canceled
@@ -164,7 +168,8 @@
 	}
 }
 
-// copyEnded records the copy if its live answer has ended, and otherwise lets it wait for that.
+// copyEnded records the copy if its live answer has ended. Otherwise the copy waits for that end in
+// the list pairing.
 func (d *Decider) copyEnded(e CopyEnded) {
 	c := d.copies[e.Copy]
 	if c == nil || c.state != inFlight {
@@ -185,8 +190,9 @@
 	d.pairing = append(d.pairing, c)
 }
 
-// liveEnded records a copy that has ended. Without a complete live answer there is nothing to
-// compare with, so a copy that waits is dropped and one in flight is canceled.
+// liveEnded applies the end of a live answer. A copy that has ended is recorded. If the live answer
+// is incomplete, there is nothing to compare with: a waiting copy is dropped, and a copy in flight
+// is canceled.
 func (d *Decider) liveEnded(e LiveEnded) {
 	c := d.copies[e.Copy]
 	if c == nil || c.live {
@@ -204,8 +210,8 @@
 	}
 }
 
-// record closes a copy that was started. Without a cause so far, it is comparable only where the
-// live answer is complete.
+// record closes a copy that was started. If the copy has no cause yet, the answers can be compared
+// only if the live answer is complete.
 func (d *Decider) record(c *copyRecord) {
 	if c.cause == "" && !c.live {
 		c.cause = Closing
@@ -224,7 +230,7 @@
 	d.emit(Record{c.id, c.cause, c.live})
 }
 
-// cancel gives up a copy in flight. The first cause stays.
+// cancel cancels a copy in flight. Only the first call for a copy has an effect.
 func (d *Decider) cancel(c *copyRecord, cause Cause) {
 	if c.canceled {
 		return
@@ -234,8 +240,8 @@
 	d.emit(Cancel{c.id, cause})
 }
 
-// reconcile brings all copies in line with the time and the level: waiting ones are dropped first,
-// then others started, then those in flight canceled.
+// reconcile applies the current time and the pressure level to all copies: it drops waiting copies,
+// then starts the remaining ones as far as the caps allow, then cancels copies in flight.
 func (d *Decider) reconcile() {
 	d.updateLevel()
 	for _, c := range slices.Clone(d.queue) {
@@ -259,7 +265,7 @@
 	}
 }
 
-// recordPairing records the copies whose live answer nobody waits for any more.
+// recordPairing records all copies that have ended, without waiting for their live answers.
 func (d *Decider) recordPairing() {
 	for len(d.pairing) > 0 {
 		c := d.pairing[0]
@@ -268,7 +274,7 @@
 	}
 }
 
-// remove returns the list without c, in an array of its own where c was in it.
+// remove returns l without c. It leaves the elements of l unchanged.
 func remove(l []*copyRecord, c *copyRecord) []*copyRecord {
 	for i := range l {
 		if l[i] == c {
--- a/internal/router/shadow/health.go
+++ b/internal/router/shadow/health.go
@@ -3,16 +3,17 @@
 import "time"
 
 const (
-	// stableFactor is how long the pool must have been up, as a multiple of Health.MaxBackoff, for
-	// its backoff to begin again at Health.MinBackoff.
+	// stableFactor is how long the pool must stay up after a recovery, as a multiple of
+	// Health.MaxBackoff, before the next ejection restarts the backoff at Health.MinBackoff.
 	stableFactor = 1
-	// jitterDivisor spreads trials over this part of the backoff, so that routers do not try a pool
-	// at the same time.
+	// jitterDivisor sets the jitter of trials: up to backoff/jitterDivisor is added to the backoff,
+	// so that routers do not try a pool at the same time.
 	jitterDivisor = 5
 )
 
-// updateHealth applies the end of a copy to the pool's health. A canceled copy says nothing about
-// the pool, except by its time-out; nor does an invalid request, or one that a cap kept from hosts.
+// updateHealth applies the end of a copy to the pool's health. It ignores copies that say nothing
+// about the pool: canceled copies other than those that timed out, invalid requests, and copies that
+// were refused after a cap had denied an attempt.
 func (d *Decider) updateHealth(c *copyRecord, cause Cause) {
 	trial := c == d.trial
 	if trial {
@@ -32,8 +33,8 @@
 	}
 }
 
-// copyFailed ejects the pool after Health.Failures in a row. A trial that failed doubles the
-// backoff.
+// copyFailed counts a failure and ejects the pool after Health.Failures consecutive failures. A
+// failed trial doubles the backoff.
 func (d *Decider) copyFailed(trial bool) {
 	d.failures++
 	if d.ejected && trial {
@@ -50,8 +51,8 @@
 	}
 }
 
-// copySucceeded ends an ejection. The backoff increases in case the pool is ejected again before it
-// was stable; copyFailed resets it otherwise.
+// copySucceeded ends an ejection. It also doubles the backoff in case the pool is soon ejected
+// again. If the pool stays up for long enough, copyFailed resets the backoff.
 func (d *Decider) copySucceeded() {
 	d.failures = 0
 	if !d.ejected {
@@ -66,13 +67,14 @@
 	d.backoff = min(2*d.backoff, d.config.Health.MaxBackoff)
 }
 
-// scheduleTrial sets the time of the next trial.
+// scheduleTrial sets the time from which the next trial may start.
 func (d *Decider) scheduleTrial() {
 	jitter := d.rng.Float64() * float64(d.backoff) / jitterDivisor
 	d.retryAt = d.now + d.backoff + time.Duration(jitter)
 }
 
-// awaitsTrial reports whether the pool is ejected and no trial may start by now.
+// awaitsTrial reports whether the pool is ejected and no trial may start now: a trial is in flight,
+// or the backoff has not passed.
 func (d *Decider) awaitsTrial() bool {
 	return d.ejected && (d.trial != nil || d.now < d.retryAt)
 }
--- a/internal/router/shadow/invariants_test.go
+++ b/internal/router/shadow/invariants_test.go
@@ -9,34 +9,35 @@
 	"pgregory.net/rapid"
 )
 
-// world is a random caller of a Decider that checks its invariants by counters of its own.
+// invariantChecker calls a Decider with random events and checks its guarantees with counters of its
+// own.
 type invariantChecker struct {
 	t            *rapid.T
 	d, duplicate *Decider
 	config       Config
 	now          time.Duration
-	next         uint64
-	bytes        map[uint64]int64 // copies not yet closed
+	next         uint64           // ID of the last offered copy
+	bytes        map[uint64]int64 // body sizes of the copies that have no Drop or Record yet
 	inFlight     []uint64
-	openLive     []uint64 // live answers not yet ended
+	openLive     []uint64 // copies whose live answer has not ended
 	attempts     []attempt
 	hostAttempts map[string]int
-	closed       map[uint64]bool // that had their Drop or Record
+	closed       map[uint64]bool // copies that had their Drop or Record
 	started      map[uint64]bool
 	canceled     map[uint64]bool
-	lastPressure time.Duration // a signal was last at its bound
-	sampleAt     time.Duration
+	lastPressure time.Duration // when a signal last reached its threshold
+	sampleAt     time.Duration // time of the last sample; 0 if there was none
 	closing      bool
 }
 
-// sending is an attempt that reaches its host at some time between at and reached.
+// attempt is a granted attempt, which reaches its host at some time between sentAt and reachedAt.
 type attempt struct {
 	copy      uint64
 	sentAt    time.Duration
-	reachedAt time.Duration // 0: not yet
+	reachedAt time.Duration // 0 until AttemptReached or CopyEnded
 }
 
-// attemptReached ends a copy's sendings.
+// attemptReached sets reachedAt of the copy's attempts that have not reached their host yet.
 func (w *invariantChecker) attemptReached(id uint64) {
 	for i := range w.attempts {
 		if s := &w.attempts[i]; s.copy == id && s.reachedAt == 0 {
@@ -45,8 +46,8 @@
 	}
 }
 
-// checkRate checks that a host that gets each earlier sending as late as possible, and this one at
-// once, gets no more than the cap in a second.
+// checkRate checks that no host gets more attempts in a second than the cap allows, even if it gets
+// each earlier attempt as late as possible and the new one at once.
 func (w *invariantChecker) checkRate(id uint64) {
 	recent := 0
 	for _, s := range w.attempts {
@@ -86,7 +87,7 @@
 	}
 	actions := w.d.Step(w.now, events)
 	if diff := cmp.Diff(actions, w.duplicate.Step(w.now, events)); diff != "" {
-		w.t.Fatalf("the same events gave other actions: %s", diff)
+		w.t.Fatalf("two Deciders returned different actions for the same events: %s", diff)
 	}
 	for _, action := range actions {
 		switch a := action.(type) {
@@ -94,30 +95,30 @@
 			w.startedOne(a.Copy)
 		case Drop:
 			if w.started[a.Copy] {
-				w.t.Fatalf("%d was dropped after its start", a.Copy)
+				w.t.Fatalf("copy %d was dropped after its start", a.Copy)
 			}
 			w.closeOne(a.Copy)
 		case Cancel:
 			if !slices.Contains(w.inFlight, a.Copy) || w.canceled[a.Copy] {
-				w.t.Fatalf("%d was ended twice, or is not out", a.Copy)
+				w.t.Fatalf("copy %d was canceled twice, or canceled while not in flight", a.Copy)
 			}
 			w.canceled[a.Copy] = true
 		case Record:
 			if !w.started[a.Copy] || slices.Contains(w.inFlight, a.Copy) {
-				w.t.Fatalf("%d was recorded while out or never started", a.Copy)
+				w.t.Fatalf("copy %d was recorded while in flight, or was never started", a.Copy)
 			}
 			if a.LiveEnded == slices.Contains(w.openLive, a.Copy) {
-				w.t.Fatalf("%d: live answer ended: %v", a.Copy, a.LiveEnded)
+				w.t.Fatalf("the Record of copy %d has a wrong LiveEnded, %v", a.Copy, a.LiveEnded)
 			}
 			w.closeOne(a.Copy)
 		case AttemptGranted:
 			if a.OK {
 				w.checkRate(a.Copy)
 				if w.hostAttempts[a.Host]++; w.hostAttempts[a.Host] > w.config.Caps.InFlightPerHost {
-					w.t.Fatalf("%d seats at %s", w.hostAttempts[a.Host], a.Host)
+					w.t.Fatalf("%d attempts are in flight to host %s, more than its cap", w.hostAttempts[a.Host], a.Host)
 				}
 				if w.lastPressure > 0 && w.now-w.lastPressure < w.config.Pressure.CalmPeriod {
-					w.t.Fatal("an attempt under pressure")
+					w.t.Fatal("an attempt was granted under pressure")
 				}
 			}
 		}
@@ -129,10 +130,10 @@
 	if c := w.d.Counts(); c.Bytes != bytes || c.Waiting+c.InFlight+c.Pairing != len(w.bytes) ||
 		c.Offered != c.Started+sum(c.Dropped)+uint64(c.Waiting) || c.Started != c.Recorded+uint64(c.InFlight+c.Pairing) ||
 		c.Recorded != c.Compared+sum(c.Incomparable) || c.Waiting > w.config.Caps.Waiting+1 {
-		w.t.Fatalf("%d bytes of %d copies, but %+v", bytes, len(w.bytes), c)
+		w.t.Fatalf("the counts do not match %d bytes of %d copies: %+v", bytes, len(w.bytes), c)
 	}
 	if len(w.d.gaps) > maxGaps || len(w.d.rateSlots) > 1000 {
-		w.t.Fatal("the state grows")
+		w.t.Fatal("more than maxGaps gaps or more than 1000 rate slots are stored")
 	}
 }
 
@@ -145,24 +146,24 @@
 
 func (w *invariantChecker) startedOne(id uint64) {
 	if w.inFlight = append(w.inFlight, id); len(w.inFlight) > w.config.Caps.InFlight {
-		w.t.Fatalf("%d copies out", len(w.inFlight))
+		w.t.Fatalf("%d copies are in flight, more than the cap", len(w.inFlight))
 	}
 	switch {
 	case w.closing:
-		w.t.Fatal("a start after the close")
+		w.t.Fatal("a copy started after Close")
 	case w.now-w.sampleAt > minSampleTTL || w.sampleAt == 0:
-		w.t.Fatal("a start without a sample")
+		w.t.Fatal("a copy started without a recent sample")
 	case w.lastPressure > 0 && w.now-w.lastPressure < w.config.Pressure.CalmPeriod:
-		w.t.Fatal("a start under pressure")
+		w.t.Fatal("a copy started under pressure")
 	case w.started[id]:
-		w.t.Fatalf("%d started twice", id)
+		w.t.Fatalf("copy %d started twice", id)
 	}
 	w.started[id] = true
 }
 
 func (w *invariantChecker) closeOne(id uint64) {
 	if w.closed[id] {
-		w.t.Fatalf("%d was closed twice", id)
+		w.t.Fatalf("copy %d had a second Drop or Record", id)
 	}
 	w.closed[id] = true
 	delete(w.bytes, id)
@@ -192,7 +193,7 @@
 				w.now += time.Duration(rapid.IntRange(1, 300).Draw(t, "ms")) * ms
 				w.step(Sample{})
 			},
-			"silence": func(t *rapid.T) {
+			"time without sample": func(t *rapid.T) {
 				w.now += time.Duration(rapid.IntRange(1, 2000).Draw(t, "ms")) * ms
 				w.step()
 			},
@@ -217,63 +218,63 @@
 					}
 					w.bytes[w.next], w.openLive = int64(n), append(w.openLive, w.next)
 					events = append(events, Offer{w.next, w.next % 5, n})
-					w.step(events...) // one at a time, so that the cap can be checked against what is held
+					w.step(events...) // one offer at a time, so that the cap can be checked against the bytes of each copy
 					events = nil
 					if held > w.config.Caps.Bytes && !w.closed[w.next] {
-						w.t.Fatalf("%d bytes held", held)
+						w.t.Fatalf("a copy was queued although all bodies have %d bytes, more than the cap", held)
 					}
 				}
 			},
-			"seat": func(t *rapid.T) {
+			"attempt request": func(t *rapid.T) {
 				if len(w.inFlight) == 0 {
 					t.Skip()
 				}
 				w.step(AttemptRequest{pick(w.inFlight), rapid.SampledFrom(hosts).Draw(t, "host")})
 			},
-			"heard": func(t *rapid.T) {
+			"attempt reached": func(t *rapid.T) {
 				if len(w.inFlight) == 0 {
 					t.Skip()
 				}
 				w.step(AttemptReached{pick(w.inFlight)})
 			},
-			"left": func(t *rapid.T) {
+			"attempt ended": func(t *rapid.T) {
 				if len(granted()) == 0 {
 					t.Skip()
 				}
 				w.step(AttemptEnded{rapid.SampledFrom(granted()).Draw(t, "host")})
 			},
-			"ended": func(t *rapid.T) {
+			"copy ended": func(t *rapid.T) {
 				if len(w.inFlight) == 0 {
 					t.Skip()
 				}
-				w.step(CopyEnded{pick(w.inFlight), rapid.SampledFrom([]Cause{"", "", "", Failed, Refused, StreamFailed, InvalidRequest}).Draw(t, "how")})
+				w.step(CopyEnded{pick(w.inFlight), rapid.SampledFrom([]Cause{"", "", "", Failed, Refused, StreamFailed, InvalidRequest}).Draw(t, "cause")})
 			},
-			"live": func(t *rapid.T) {
+			"live ended": func(t *rapid.T) {
 				if len(w.openLive) == 0 {
 					t.Skip()
 				}
-				w.step(LiveEnded{pick(w.openLive), rapid.Bool().Draw(t, "whole")})
+				w.step(LiveEnded{pick(w.openLive), rapid.Bool().Draw(t, "complete")})
 			},
-			"retune": func(t *rapid.T) {
+			"reconfigure": func(t *rapid.T) {
 				c := w.config
 				c.Caps.InFlight, c.Caps.InFlightPerHost = rapid.IntRange(1, 6).Draw(t, "out"), rapid.IntRange(1, 3).Draw(t, "perHost")
 				c.Caps.PerSecond = float64(rapid.IntRange(1, 20).Draw(t, "rate"))
 				w.step(Reconfigure{c})
 			},
 			"close": func(t *rapid.T) {
-				if rapid.IntRange(0, 9).Draw(t, "rarely") > 0 {
+				if rapid.IntRange(0, 9).Draw(t, "one in ten closes") > 0 {
 					t.Skip()
 				}
 				w.step(Close{})
 			},
 		})
-		// After Close, each copy in flight ends in one Record once its CopyEnded has come.
+		// After Close, each copy in flight ends in one Record as soon as its CopyEnded is reported.
 		w.step(Close{})
 		for len(w.inFlight) > 0 {
 			w.step(CopyEnded{w.inFlight[0], StreamFailed})
 		}
 		if len(w.bytes) > 0 || len(w.d.copies) > 0 || len(w.d.queue)+len(w.d.inFlight)+len(w.d.pairing) > 0 {
-			t.Fatalf("%d copies are left", len(w.bytes))
+			t.Fatalf("after Close, %d copies had no Drop or Record, or the Decider still has copies", len(w.bytes))
 		}
 	})
 }
--- a/internal/router/shadow/pressure.go
+++ b/internal/router/shadow/pressure.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	// minSampleTTL is how old a sample may get before the live path counts as under pressure: the
-	// goroutine that samples does not run. It is twice Pressure.Delay where that is more.
+	// minSampleTTL is the minimum of sampleTTL, the age after which a sample is stale.
 	minSampleTTL = 500 * time.Millisecond
-	// maxCalmFactor bounds the doubling of Pressure.CalmPeriod, as a multiple.
+	// maxCalmFactor limits the doubled calm period, as a multiple of Pressure.CalmPeriod.
 	maxCalmFactor = 16
-	// clearFraction of its threshold is where a signal ends, so that it does not flap.
+	// clearFraction is the fraction of its threshold that a signal must not exceed for pressure to
+	// end. It is below 1 so that the level does not flap.
 	clearFraction = 0.5
 )
 
@@ -34,8 +34,8 @@
 	}
 }
 
-// worstSignal returns the signal that is highest relative to its threshold, and that ratio. The
-// names are part of the status.
+// worstSignal returns the name of the signal that is highest relative to its threshold, and the
+// ratio of the signal to the threshold. The names are part of the status.
 func (d *Decider) worstSignal(e Sample) (signal string, ratio float64) {
 	p := &d.config.Pressure
 	for _, s := range []struct {
@@ -55,16 +55,17 @@
 	return signal, ratio
 }
 
-// sampleTTL is how old a sample may get.
+// sampleTTL returns the age after which a sample is stale. A stale sample counts as pressure on the
+// live path, because the goroutine that samples appears not to run.
 func (d *Decider) sampleTTL() time.Duration {
 	return max(minSampleTTL, 2*d.config.Pressure.Delay)
 }
 
-// sampleStale reports whether the last sample is too old to go by.
+// sampleStale reports whether the last sample is too old to be used.
 func (d *Decider) sampleStale() bool { return d.now-d.sampledAt > d.sampleTTL() }
 
-// enterPressure leaves LevelCalm. Pressure that returns within the calm period doubles the next
-// one.
+// enterPressure raises the level from LevelCalm to LevelTense. If the level was calm for less than
+// the calm period, the period doubles; otherwise it returns to its configured value.
 func (d *Decider) enterPressure(signal string) {
 	d.count.PressureSignals[signal]++
 	configured := d.config.Pressure.CalmPeriod
@@ -76,8 +77,9 @@
 	d.level, d.pressureSince, d.lastPressure = LevelTense, d.now, d.now
 }
 
-// updateLevel applies the passing of time: a stale sample begins pressure, the calm period ends it,
-// and the grace period raises it.
+// updateLevel applies the current time to the level: a stale sample begins pressure, a calm period
+// without pressure ends it, and pressure that outlasts the grace period raises the level to
+// LevelHard.
 func (d *Decider) updateLevel() {
 	grace := d.config.Pressure.GracePeriod
 	sincePressure := d.now - d.lastPressure
--- a/internal/router/shadow/queue.go
+++ b/internal/router/shadow/queue.go
@@ -1,7 +1,7 @@
 package shadow
 
-// offer queues a copy, or drops it at once. An id that is in use is a mistake of the caller and
-// ignored.
+// offer queues a copy or drops it at once. It ignores an ID that is in use, which is an error of the
+// caller.
 func (d *Decider) offer(e Offer) {
 	if d.copies[e.Copy] != nil {
 		return
@@ -25,18 +25,20 @@
 		d.copies[c.id] = c
 		d.bytes += c.bytes
 		d.queue = append(d.queue, c)
-		d.startWaiting() // so that the queue has room for the next one
+		d.startWaiting() // makes room in the queue for the next offer
 	}
 }
 
-// drop drops a copy that is in no list, and remembers its conversation.
+// drop drops a copy that is in none of the Decider's lists, and remembers that its conversation has
+// a gap.
 func (d *Decider) drop(c *copyRecord, cause Cause) {
 	d.count.Dropped[cause]++
 	d.emit(Drop{c.id, cause})
 	d.rememberGap(c.session)
 }
 
-// rememberGap remembers that a request of a conversation was dropped, in place of the oldest gap.
+// rememberGap remembers that a request of a conversation was dropped. If maxGaps conversations are
+// remembered already, it replaces the oldest.
 func (d *Decider) rememberGap(session uint64) {
 	if d.gaps[session] {
 		return
@@ -59,7 +61,7 @@
 	d.drop(c, cause)
 }
 
-// dropCause returns why a copy must not wait any longer, or "" where it may.
+// dropCause returns why a waiting copy must be dropped, or "" if it may continue to wait.
 func (d *Decider) dropCause(c *copyRecord) Cause {
 	switch {
 	case d.closed:
@@ -72,14 +74,14 @@
 		return PoolDown
 	case d.now-c.since > d.config.Caps.MaxWait:
 		if c.waitCause == "" {
-			return UnderPressure // only the lack of a sample kept it waiting
+			return UnderPressure // no cap prevented the start; the copy waited for a sample
 		}
 		return c.waitCause
 	}
 	return ""
 }
 
-// startWaiting starts copies of the queue in their order, as far as the caps allow.
+// startWaiting starts waiting copies in the order of the queue until one of them may not start.
 func (d *Decider) startWaiting() {
 	for len(d.queue) > 0 && d.startable(d.queue[0]) {
 		c := d.queue[0]
@@ -88,8 +90,8 @@
 	}
 }
 
-// startable reports whether a copy may start now. A cap that keeps it waiting becomes its
-// waitCause.
+// startable reports whether a copy may start now. If a cap prevents the start, startable stores the
+// cap in waitCause.
 func (d *Decider) startable(c *copyRecord) bool {
 	if d.closed || d.level != LevelCalm || d.hosts == 0 {
 		return false
@@ -109,7 +111,7 @@
 	return true
 }
 
-// start sends a copy; the first one to an ejected pool is its trial.
+// start starts a copy. A copy that starts while the pool is ejected is the trial.
 func (d *Decider) start(c *copyRecord) {
 	d.rateSlots = append(d.rateSlots, rateSlot{copy: c.id})
 	c.state, c.since = inFlight, d.now
--- a/internal/router/shadow/selector.go
+++ b/internal/router/shadow/selector.go
@@ -7,33 +7,34 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MaxPools is how many pools a Selector can distinguish: Pools has a bit for each.
+// MaxPools is the maximum number of pools of a Selector: Pools has one bit for each pool.
 const MaxPools = 64
 
-// Choice says which requests a pool gets copies of.
+// Choice configures which requests are copied to a pool.
 type Choice struct {
 	Pool    string
-	Share   float64  // of conversations, from 0 to 1
-	Classes []string // none for all
-	Tenants []string // none for all
+	Share   float64  // fraction of the conversations, from 0 to 1
+	Classes []string // empty for all classes
+	Tenants []string // empty for all tenants
 }
 
-// Pools is a set of pools, by their index in the choices of NewSelector.
+// Pools is a set of pools. Bit i stands for the pool at index i of the choices of NewSelector.
 type Pools uint64
 
-// Has reports whether the pool with that index is in the set.
+// Has reports whether the pool at index i is in the set.
 func (p Pools) Has(i int) bool { return p&(1<<i) != 0 }
 
-// Selector chooses requests. It is immutable, and safe for use by many goroutines.
+// Selector chooses the requests that are copied to each pool. It is immutable and safe for
+// concurrent use.
 type Selector struct {
 	choices []choice
 }
 
 type choice struct {
 	Choice
-	salt      uint64 // pools choose independently of one another
-	hashLimit uint64 // hashes below it are chosen
-	all       bool
+	salt      uint64 // makes the choice independent of those of other pools
+	hashLimit uint64 // a conversation whose mixed hash is below hashLimit is chosen
+	all       bool   // every conversation is chosen
 }
 
 // NewSelector returns a Selector for up to MaxPools choices.
@@ -46,8 +47,8 @@
 	return s
 }
 
-// Session returns the hash that stands for a conversation; a request that names none is one of its
-// own.
+// Session returns the hash that identifies a conversation. A request without a session counts as a
+// conversation of its own, identified by the request's ID.
 func Session(session, id string) uint64 {
 	if session == "" {
 		return xxhash.Sum64String(id)
@@ -55,9 +56,10 @@
 	return xxhash.Sum64String(session)
 }
 
-// Choose returns the pools that get a copy. The share is taken by the hash of the conversation, so
-// that each pool gets a conversation whole or not at all, at every router alike and after every
-// restart; a larger share keeps what a smaller one chose. It allocates nothing.
+// Choose returns the pools that get a copy of a request. It applies the share to the hash of the
+// conversation, so that a pool gets either all requests of a conversation or none, on every router
+// and after every restart. A larger share includes all conversations of a smaller share. Choose does
+// not allocate.
 func (s *Selector) Choose(class string, tenant []byte, session uint64) Pools {
 	var chosen Pools
 	for i := range s.choices {
@@ -72,12 +74,12 @@
 	return chosen
 }
 
-// Idle reports whether nothing is ever chosen.
+// Idle reports whether Choose never chooses a pool.
 func (s *Selector) Idle() bool {
 	return !slices.ContainsFunc(s.choices, func(c choice) bool { return c.all || c.hashLimit > 0 })
 }
 
-// mix is the finalizer of xxHash64, which spreads a difference in any bit over all of them.
+// mix is the finalizer of xxHash64. A difference in any input bit affects all output bits.
 func mix(h uint64) uint64 {
 	h ^= h >> 33
 	h *= 14029467366897019727
--- a/internal/router/shadow/selector_test.go
+++ b/internal/router/shadow/selector_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// All requests of a conversation are chosen or none, a larger share keeps what a smaller one chose,
-// and about the configured share is chosen.
+// The Selector chooses all requests of a conversation or none. A larger share includes all
+// conversations of a smaller share, and about the configured share of the conversations is chosen.
 func TestSelectorChoosesShareOfConversations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		small := rapid.Float64Range(0, 1).Draw(t, "small")
@@ -26,7 +26,7 @@
 			}
 		}
 		if off := float64(got)/2000 - small; off < -0.06 || off > 0.06 {
-			t.Fatalf("%d of 2000 with a share of %v", got, small)
+			t.Fatalf("%d of 2000 conversations were chosen with a share of %v", got, small)
 		}
 	})
 	s := NewSelector([]Choice{{Pool: "a", Share: 1, Classes: []string{"chat"}}, {Pool: "b", Share: 1, Tenants: []string{"t"}}, {Pool: "c"}})
@@ -35,11 +35,11 @@
 		want          Pools
 	}{{"chat", "", 1}, {"chat", "t", 3}, {"other", "t", 2}, {"other", "u", 0}} {
 		if got := s.Choose(tt.class, []byte(tt.tenant), 1); got != tt.want {
-			t.Errorf("%+v: got %b", tt, got)
+			t.Errorf("%+v: got the pool set %b", tt, got)
 		}
 	}
 	if s.Idle() || !NewSelector([]Choice{{Pool: "c"}}).Idle() {
-		t.Error("idle")
+		t.Error("Idle is true for a selector with shares, or false for one without")
 	}
 }
 
@@ -48,7 +48,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if s.Choose("chat", nil, Session("7f3a9c21e0b4d655", "")) != 0 {
-			b.Fatal("chosen")
+			b.Fatal("a pool was chosen for a request that no choice matches")
 		}
 	}
 }
