--- a/internal/router/mirror/capture.go
+++ b/internal/router/mirror/capture.go
@@ -16,34 +16,36 @@
 	"reachspread/internal/routing"
 )
 
-// Outcomes of an answer beside the values of shadow.Cause. They are part of the record files.
+// Outcomes of an answer, in addition to the values of shadow.Cause. They are part of the record
+// files.
 const (
-	outcomeComplete  = "whole" // it came to its end
-	outcomeAbandoned = "left"  // its client left, or the copy was canceled
+	outcomeComplete  = "whole" // the answer was received to its end
+	outcomeAbandoned = "left"  // the client left, or the copy was canceled
 )
 
-// digestBytes is how much of a digest is kept.
+// digestBytes is the length to which a digest is truncated.
 const digestBytes = 16
 
-// capture retains the beginning of an answer as it passes, and of the rest only length and hash.
-// One goroutine feeds it; another may read it only after it was passed on.
+// capture retains the beginning of an answer while the answer is streamed, and only the length and
+// the hash of the rest. It is not safe for concurrent use: the goroutine that feeds it must pass it
+// on before another goroutine reads it.
 type capture struct {
-	maxPrefix  int       // bytes that are retained
-	since      time.Time // the request was accepted
+	maxPrefix  int       // maximum length of prefix
+	since      time.Time // when the request was accepted
 	prefix     []byte
-	size       int64          // of all that was fed
-	restDigest *xxhash.Digest // of what came beyond the prefix, nil for nothing
-	firstAt    time.Time
-	lastTextAt time.Time // the last chunk with text came
+	size       int64          // length of all chunks
+	restDigest *xxhash.Digest // hash of the bytes after the prefix, nil if there are none
+	firstAt    time.Time      // when the first chunk came
+	lastTextAt time.Time      // when the last chunk with text came
 	endedAt    time.Time
 	source     routing.Source
 	outcome    string
 }
 
-// contentField is in the chunks that have text; the usage figures at the end of a stream have none.
+// contentField occurs in each chunk with text, but not in the usage figures at the end of a stream.
 var contentField = []byte(`"content"`)
 
-// feed takes the next chunk of the answer. It retains no reference to it.
+// feed adds the next chunk of the answer. It does not retain p.
 func (c *capture) feed(p []byte) {
 	now := time.Now()
 	if c.size == 0 {
@@ -64,10 +66,11 @@
 	c.restDigest.Write(p[n:])
 }
 
-// finish sets how the answer ended, and when.
+// finish sets the outcome of the answer, and the current time as its end.
 func (c *capture) finish(outcome string) { c.outcome, c.endedAt = outcome, time.Now() }
 
-// answer parses what was captured. The digest is keyed with key.
+// answer parses the retained beginning and returns the description of the answer. The digest is
+// keyed with key.
 func (c *capture) answer(key []byte) shadow.Answer {
 	read := protocol.ReadAnswer(c.prefix)
 	a := shadow.Answer{
@@ -99,7 +102,7 @@
 	return a
 }
 
-// digest is the keyed hash of the text, or of the stream where not all of it was retained.
+// digest returns the keyed hash of the text, or of the stream if it was not retained completely.
 func (c *capture) digest(key []byte, text string) string {
 	h := hmac.New(sha256.New, key)
 	if c.restDigest == nil {
@@ -111,7 +114,8 @@
 	return hex.EncodeToString(h.Sum(nil)[:digestBytes])
 }
 
-// side returns an answer in the form of a record, with its text only where texts are recorded.
+// side converts an answer to the form of the record files. It includes the text only if texts is
+// set.
 func side(a shadow.Answer, outcome string, texts bool) records.Answer {
 	s := records.Answer{
 		Outcome:         outcome,
@@ -134,7 +138,7 @@
 	return s
 }
 
-// nonNegative returns nil for a number that is not known.
+// nonNegative returns nil for a negative number, which stands for an unknown one.
 func nonNegative(n int) *int {
 	if n < 0 {
 		return nil
@@ -142,7 +146,7 @@
 	return &n
 }
 
-// milliseconds returns nil for a time that is not known.
+// milliseconds returns nil for a negative duration, which stands for an unknown one.
 func milliseconds(d time.Duration) *float64 {
 	if d < 0 {
 		return nil
--- a/internal/router/mirror/capture_test.go
+++ b/internal/router/mirror/capture_test.go
@@ -9,7 +9,7 @@
 	"reachspread/internal/testbed/scripted"
 )
 
-// The part of an answer that is not retained still counts in its length and its digest.
+// The part of an answer that is not retained still contributes to the length and the digest.
 func TestCaptureCountsWhatIsNotRetained(t *testing.T) {
 	captureChunks := func(maxPrefix int, chunks ...string) shadow.Answer {
 		c := &capture{maxPrefix: maxPrefix, since: time.Now()}
@@ -25,9 +25,9 @@
 		t.Errorf("%+v\n%+v", complete, truncated)
 	}
 	if again := captureChunks(len(scripted.Event), scripted.Event, scripted.Event[:3], scripted.Event[3:], scripted.Event); again.Digest != truncated.Digest {
-		t.Error("the digest depends on how the answer came")
+		t.Error("the digest depends on how the answer is split into chunks")
 	}
 	if other := captureChunks(len(scripted.Event), scripted.Event+strings.ToUpper(scripted.Event)+scripted.Event); other.Digest == truncated.Digest {
-		t.Error("what was not kept is not in the digest")
+		t.Error("the part that was not retained does not change the digest")
 	}
 }
--- a/internal/router/mirror/copier.go
+++ b/internal/router/mirror/copier.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// drainTimeout is how long a copier waits for attempts in flight before it gives its lease back: it
-// is the margin of a lease in which nothing new is begun.
+// drainTimeout is how long a copier waits for attempts in flight before it releases its lease. It
+// equals the margin at the end of a lease in which the holder begins nothing new.
 const drainTimeout = 100 * time.Millisecond
 
-// Leases says which router copies to a pool with a single copier. Its methods do not block.
+// Leases knows which router holds the lease for copying to a pool with a single copier. Its methods
+// do not block.
 type Leases interface {
-	// Check is called right before each copy is sent. Where this router holds the lease of the
-	// role, it returns the fencing token that the copy carries.
+	// Check is called right before each attempt of a copy is sent. It reports whether this router
+	// holds the lease of the role, and returns the fencing token that the attempt must carry.
 	Check(role string) (token uint64, within time.Duration, ok bool)
 	// TokenRejected reports that a host has seen a higher token.
 	TokenRejected(role string, highest uint64)
@@ -23,12 +24,12 @@
 func (m *Mirror) UseLeases(l Leases) { m.options.Leases = l }
 
 // RunCopier lets this router copy to a pool with a single copier until ctx ends, the pool is
-// removed or the mirror shuts down. The caller holds the lease of the pool's role and gives it back
-// after RunCopier returns. It fails where there is no such pool.
+// removed or the mirror shuts down. The caller must hold the lease of the pool's role, and must
+// release it after RunCopier returns. RunCopier fails if there is no such pool.
 //
-// An earlier copier may have used up the pool's rate cap, so copying begins one window of the cap
-// later, and again so where other settings replace the pool. In the end it waits until the attempts
-// in flight have reached their host, for at most drainTimeout.
+// An earlier copier may have used up the pool's rate cap, so RunCopier waits for one window of the
+// cap before copying begins. It waits again when other settings replace the pool. When ctx ends,
+// it waits for at most drainTimeout until the attempts in flight have reached their hosts.
 func (m *Mirror) RunCopier(ctx context.Context, name string) error {
 	for previous := (*pool)(nil); ; {
 		p, window := m.poolAndWindow(name)
@@ -51,12 +52,13 @@
 		case <-ctx.Done():
 			p.drainCopies()
 			return nil
-		case <-p.done: // it sends nothing more
+		case <-p.done: // the pool sends no more copies
 		}
 	}
 }
 
-// poolAndWindow returns the pool of that name, or nil, and the window of its rate cap.
+// poolAndWindow returns the pool with that name and the window of its rate cap, or nil if there is
+// no such pool.
 func (m *Mirror) poolAndWindow(name string) (*pool, time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -70,7 +72,8 @@
 	return p, time.Second
 }
 
-// drainCopies stops copying and waits for the attempts in flight.
+// drainCopies stops copying under the lease and waits for at most drainTimeout until the attempts in
+// flight have reached their hosts.
 func (p *pool) drainCopies() {
 	p.hasLease.Store(false)
 	deadline := time.Now().Add(drainTimeout)
--- a/internal/router/mirror/copier_test.go
+++ b/internal/router/mirror/copier_test.go
@@ -11,8 +11,8 @@
 	"reachspread/internal/testbed/scripted"
 )
 
-// A copier ends where its pool is removed and where the mirror shuts down. Where settings replace
-// its pool, it goes on with the new one.
+// A copier ends when its pool is removed and when the mirror shuts down. When new settings replace
+// its pool, it continues with the new pool.
 func TestCopierFollowsItsPoolAndEndsWithIt(t *testing.T) {
 	for _, shutdown := range []bool{false, true} {
 		m, onePool := newMirrorWithoutPool(t, 1, func() shadow.Sample { return shadow.Sample{} })
@@ -30,7 +30,7 @@
 		}
 		for end := time.Now().Add(scripted.EventTimeout); !m.pools[0].hasLease.Load(); time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatal("the pool that was made anew has no copier")
+				t.Fatal("the pool that replaced the first one has no copier")
 			}
 		}
 		if shutdown {
@@ -44,7 +44,7 @@
 				t.Error(err)
 			}
 		case <-time.After(scripted.EventTimeout):
-			t.Fatal("the copier goes on without a pool")
+			t.Fatal("the copier still runs after its pool was removed")
 		}
 	}
 }
--- a/internal/router/mirror/copy.go
+++ b/internal/router/mirror/copy.go
@@ -14,30 +14,31 @@
 	"reachspread/internal/transport"
 )
 
-// readBytes is the size of the buffer that a copy's answer is read with.
+// readBytes is the size of the buffer for reading a copy's answer.
 const readBytes = 4096
 
-// shadowCopy is one copy, from its offer to its Drop or Record.
+// shadowCopy is one copy of a live request, from its Offer to its Drop or Record.
 type shadowCopy struct {
 	id      uint64
 	session uint64
 	live    *liveAnswer
 	request transport.AcceptedRequest
 
-	ctx        context.Context // from its start on; ends when it is canceled
+	ctx        context.Context // set when the copy is started; ends when the copy is over or canceled
 	cancel     context.CancelFunc
 	historyGap bool
 	answer     capture
 }
 
-// startCopy sends a copy. Until its CopyEnded it belongs to a goroutine of its own.
+// startCopy starts a goroutine that sends a copy, reads its answer and reports CopyEnded. Until then
+// the copy belongs to that goroutine.
 func (p *pool) startCopy(c *shadowCopy, gap bool) {
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	c.historyGap = gap
 	c.answer = capture{maxPrefix: p.answerBytes(), since: time.Now()}
 	arrival := c.request.Arrival
-	// An id of its own keeps a host from taking a copy for an attempt of the live request or of
-	// another copy.
+	// The copy has an ID of its own. Otherwise a host could mistake the copy for an attempt of the
+	// live request or of another copy.
 	arrival.ID += "~" + p.name + "~" + strconv.FormatUint(c.id, 10)
 	arrival.TimeLeft = p.inForce.FirstEventTimeout
 	go func() {
@@ -47,8 +48,8 @@
 	}()
 }
 
-// runCopy routes a copy as a front routes a request, and reads its answer to the end. It returns ""
-// where the answer is complete.
+// runCopy routes a copy in the same way as the front routes a live request, and reads the answer to
+// its end. It returns "" if the answer is complete.
 func (p *pool) runCopy(c *shadowCopy, arrival balance.Arrival) shadow.Cause {
 	request, err := p.router.Accept(arrival, time.Now(), copyMessage{c.request.Message.WithID(arrival.ID), c})
 	if err != nil {
@@ -86,7 +87,8 @@
 	}
 }
 
-// record compares a copy's answer with the live one and passes the record to the sink.
+// record passes the record of a copy to the sink. If a has no cause, it compares the copy's answer
+// with the live answer.
 func (p *pool) record(c *shadowCopy, a shadow.Record) {
 	request, texts := c.request, p.recordTexts
 	answer := c.answer.answer(p.mirror.digestKey[:])
@@ -106,7 +108,7 @@
 	if texts {
 		r.Body = string(request.Message.Body())
 	}
-	if !a.LiveEnded { // still written by the live path: not ours to read
+	if !a.LiveEnded { // the live path may still write the live answer, so it must not be read here
 		r.Live = records.Answer{Outcome: "open"}
 	} else {
 		liveAnswer := c.live.answer.answer(p.mirror.digestKey[:])
--- a/internal/router/mirror/forms_test.go
+++ b/internal/router/mirror/forms_test.go
@@ -6,7 +6,7 @@
 	"reachspread/internal/testbed/formtest"
 )
 
-// The status of the shadow pools has the same fields.
+// The fields of the shadow pools' status, which leaves the process, must not change.
 func TestStatusFormIsUnchanged(t *testing.T) {
 	formtest.Compare(t, "status.txt", formtest.Fields(Report{}, "json"))
 }
--- a/internal/router/mirror/hosts.go
+++ b/internal/router/mirror/hosts.go
@@ -8,15 +8,16 @@
 	"reachspread/internal/router/shadow"
 )
 
-// applyList applies a list of the discovery.
+// applyList applies a host list of the discovery service to the pool's router.
 func (p *pool) applyList(l *protocol.List) {
 	p.router.ApplyUpdate(l.Members(), l.Addrs())
 	p.post(message{event: shadow.HostsChanged{Serving: p.router.ServingCount()}})
 }
 
-// applyHosts applies the hosts of the settings, and reports false where a discovery lists them. A
-// host that is named for the first time counts as started now: its start is not known, and too slow
-// a slow start costs only copies.
+// applyHosts applies the hosts of the settings to the pool's router. It reports false and does
+// nothing if a discovery service lists the hosts. A new host, or one with a new address, counts as
+// started now, because its start time is not known. If the host was warm already, its unnecessary
+// slow start costs only copies.
 func (p *pool) applyHosts(set settings.Pool) bool {
 	if set.Discovery != "" {
 		return false
--- a/internal/router/mirror/latencies.go
+++ b/internal/router/mirror/latencies.go
@@ -9,13 +9,14 @@
 )
 
 const (
-	maxLatencyMs = 10 * 60 * 1000 // the longest time that a histogram distinguishes
-	maxClasses   = 16             // with histograms of their own: clients send the names
-	otherClass   = "other"
+	maxLatencyMs = 10 * 60 * 1000 // the upper limit of a histogram; longer times count as this one
+	maxClasses   = 16             // classes with their own histograms; limited because clients send the names
+	otherClass   = "other"        // the class that counts the answers of all further classes
 )
 
-// latencies has the distributions of the times of comparable answers, by class: of the live and the
-// copied answers' first byte, and of their totals.
+// latencies holds histograms of the times of comparable answers, in milliseconds and by class. Each
+// class has four: the time to the first byte of the live answer and of the copy's answer, and the
+// total time of the live answer and of the copy's answer.
 type latencies struct {
 	classes map[string]*[4]*hdrhistogram.Histogram
 }
@@ -36,7 +37,7 @@
 		t.classes[class] = h
 	}
 	for i, d := range []time.Duration{live.FirstByte, copied.FirstByte, live.Total, copied.Total} {
-		h[i].RecordValue(min(max(d.Milliseconds(), 1), maxLatencyMs)) // within its range, it can't fail
+		h[i].RecordValue(min(max(d.Milliseconds(), 1), maxLatencyMs)) // fails only for values out of the histogram's range
 	}
 }
 
--- a/internal/router/mirror/live.go
+++ b/internal/router/mirror/live.go
@@ -8,15 +8,16 @@
 	"reachspread/internal/routing"
 )
 
-// liveAnswer observes the answer to a live request that is copied. It implements
-// transport.AnswerObserver. Once no copy needs the answer, a chunk costs the live path one load.
+// liveAnswer captures the answer to a live request that is copied. It implements
+// transport.AnswerObserver. Once no copy needs the answer, each chunk costs the live path only one
+// atomic load.
 type liveAnswer struct {
-	copies        []liveCopy   // ids, not copies, so that the request's body is freed with the copies
-	copiesWaiting atomic.Int32 // those without a Drop or Record
+	copies        []liveCopy   // holds IDs, not *shadowCopy, so that the request's body can be freed with the copies
+	copiesWaiting atomic.Int32 // number of copies without a Drop or Record
 	answer        capture
 }
 
-// liveCopy names a copy.
+// liveCopy identifies a copy by its pool and ID.
 type liveCopy struct {
 	pool *pool
 	id   uint64
@@ -53,7 +54,8 @@
 	l.end(string(verdictCause(v)))
 }
 
-// verdictCause returns why a request with that verdict got no stream.
+// verdictCause returns the cause for a verdict other than routing.Served, with which a request gets
+// no stream.
 func verdictCause(v routing.Verdict) shadow.Cause {
 	switch v {
 	case routing.Rejected:
@@ -64,7 +66,7 @@
 	return shadow.Failed
 }
 
-// end passes the end of the answer to the pools of the copies.
+// end ends the capture and reports LiveEnded to the pool of each copy.
 func (l *liveAnswer) end(outcome string) {
 	l.answer.finish(outcome)
 	for _, c := range l.copies {
--- a/internal/router/mirror/mirror.go
+++ b/internal/router/mirror/mirror.go
@@ -1,10 +1,11 @@
 // Package mirror sends copies of live requests to candidate pools, as package shadow decides. It
-// takes requests from the front, sends copies through a router and a decision module of each pool's
-// own, observes both answers, and writes the compared ones to the files of package records. It owns
-// the goroutines, the clock and the pools' connections.
+// receives requests from the front and sends copies through a router and a balancer that each pool
+// has for itself. It captures both answers, compares them, and writes the results to the files of
+// package records. It owns the goroutines, the clock and the pools' connections.
 //
-// The live path never waits for anything here: what it calls takes a bounded number of steps under
-// a lock that is never held for longer, or passes the request over and counts it.
+// The live path never blocks on this package. The functions that it calls hold locks only for a
+// bounded number of steps. If a pool has too many pending offers, they skip the request and count
+// it.
 package mirror
 
 import (
@@ -26,50 +27,51 @@
 
 // Options configures a Mirror.
 type Options struct {
-	Balance        balance.Config // of the live router; the pools' modules take its rules and classes
-	Seed           uint64         // of the pools' random decisions
-	ConnectTimeout time.Duration  // of connections to candidate hosts
-	KeepAlive      time.Duration  // after which a host closes an idle connection
+	Balance        balance.Config // of the live router; the pools' balancers use its rules and classes
+	Seed           uint64         // seed of the pools' random decisions
+	ConnectTimeout time.Duration  // for connections to candidate hosts
+	KeepAlive      time.Duration  // time after which a host closes an idle connection
 	Log            routing.Logger
-	Sample         func() shadow.Sample // measures the live path; called by one goroutine
-	Leases         Leases               // nil where no pool has a single copier
+	Sample         func() shadow.Sample // measures the load of the live path; called by one goroutine
+	Leases         Leases               // nil if no pool has a single copier
 }
 
-// Mirror owns the pools of the settings in force. It implements transport.Tap. Its methods may be
-// called from any goroutine.
+// Mirror owns the candidate pools of the current settings. It implements transport.Tap. Its methods
+// are safe for concurrent use.
 type Mirror struct {
 	options   Options
-	digestKey [32]byte      // drawn at the start, so that digests of short texts can't be looked up
-	lastCopy  atomic.Uint64 // the id of the last copy
+	digestKey [32]byte      // random for each process, so that the digests of short texts can't be precomputed
+	lastCopy  atomic.Uint64 // ID of the last copy
 	selection atomic.Pointer[selection]
-	suspended atomic.Bool // nothing new is copied
+	suspended atomic.Bool // new requests are not copied
 
-	mu          sync.Mutex // guards the fields below; never taken on the live path
+	mu          sync.Mutex // guards the fields below; never locked on the live path
 	pools       []*pool
 	sink        *sink
 	closing     bool
 	stopSampler context.CancelFunc
-	sampler     sync.WaitGroup // the goroutine that runs sample
+	sampler     sync.WaitGroup // waits for the goroutine that runs sample
 	poolsAdded  chan bool      // wakes the sampler, which sleeps while there is no pool
-	closedPools []*pool        // removed, and possibly still ending
+	closedPools []*pool        // removed pools, which may still have copies in flight
 }
 
-// New returns a Mirror without pools. Nothing is sampled before the first Apply.
+// New returns a Mirror without pools. It takes no samples before the first Apply.
 func New(o Options) *Mirror {
 	m := &Mirror{options: o, poolsAdded: make(chan bool, 1)}
 	if _, err := rand.Read(m.digestKey[:]); err != nil {
-		panic(err) // documented never to fail
+		panic(err) // crypto/rand documents that Read never fails
 	}
 	m.selection.Store(&selection{idle: true})
 	return m
 }
 
-// ErrClosing is the error of Apply after Shutdown or Close.
-var ErrClosing = errors.New("the program is ending")
+// ErrClosing is returned by Apply after Shutdown or Close.
+var ErrClosing = errors.New("shadow settings not applied: the program is shutting down")
 
-// Apply puts settings in force. A pool that stays keeps its copies in flight; one that was removed,
-// or whose connections change, cancels them at once. After an error the earlier settings stay in
-// force; it is ErrClosing after Shutdown, or names the pool that could not be made.
+// Apply replaces the settings. A pool that remains keeps its copies in flight. A pool that is
+// removed, or whose connection settings change, cancels its copies at once. If Apply fails, the
+// earlier settings stay in effect. The error is ErrClosing after Shutdown, or names the pool that
+// could not be created.
 func (m *Mirror) Apply(s settings.Shadow) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -80,7 +82,7 @@
 	if err != nil {
 		return err
 	}
-	// Nothing fails from here on.
+	// Nothing below this line can fail.
 	m.startSampler()
 	previous := m.sink
 	if previous == nil || previous.settings != s.Records {
@@ -106,8 +108,8 @@
 	return nil
 }
 
-// makePools returns a pool for each of the settings: the present one where it is compatible, and
-// otherwise a new one. After an error none of the new ones is left.
+// makePools returns one pool for each element of all: the current pool if it is compatible with the
+// settings, or else a new pool. If it fails, it closes the pools that it created.
 func (m *Mirror) makePools(all []settings.Pool) ([]*pool, error) {
 	var pools, created []*pool
 	for _, set := range all {
@@ -127,7 +129,7 @@
 	return pools, nil
 }
 
-// find returns the present pool of that name, or nil.
+// find returns the current pool with that name, or nil.
 func (m *Mirror) find(name string) *pool {
 	i := slices.IndexFunc(m.pools, func(p *pool) bool { return p.name == name })
 	if i < 0 {
@@ -136,7 +138,7 @@
 	return m.pools[i]
 }
 
-// Reconfigure applies another configuration of the live router to the pools' modules.
+// Reconfigure applies a new configuration of the live router to the pools' balancers.
 func (m *Mirror) Reconfigure(c balance.Config) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -146,10 +148,10 @@
 	}
 }
 
-// Suspend stops copying new requests, or lets it go on.
+// Suspend stops the copying of new requests if on is true, and resumes it otherwise.
 func (m *Mirror) Suspend(on bool) { m.suspended.Store(on) }
 
-// Shutdown cancels all copies without waiting for their end. Apply fails from then on.
+// Shutdown cancels all copies without waiting for their end. Later calls of Apply fail.
 func (m *Mirror) Shutdown() {
 	m.selection.Store(&selection{idle: true})
 	m.mu.Lock()
@@ -188,10 +190,11 @@
 	}
 }
 
-// withPool returns a logger whose lines name a pool.
+// withPool returns a logger that adds the pool's name to each line.
 func withPool(log routing.Logger, name string) routing.Logger { return logging.With(log, "pool", name) }
 
-// Sockets returns how many descriptors copies use, those of removed pools that still end included.
+// Sockets returns how many file descriptors copies use, including those of removed pools whose
+// copies have not ended.
 func (m *Mirror) Sockets() (n int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/router/mirror/mirror_test.go
+++ b/internal/router/mirror/mirror_test.go
@@ -11,7 +11,8 @@
 	"reachspread/internal/testbed/scripted"
 )
 
-// newMirror returns a Mirror with one pool of that share, whose host does not answer.
+// newMirror returns a Mirror with one pool that gets the given share of the conversations. The
+// pool's host never answers.
 func newMirror(t testing.TB, share float64) *Mirror {
 	t.Helper()
 	m, onePool := newMirrorWithoutPool(t, share, func() shadow.Sample { return shadow.Sample{} })
@@ -21,7 +22,7 @@
 	return m
 }
 
-// newMirrorWithoutPool returns a Mirror without a pool, and settings with one.
+// newMirrorWithoutPool returns a Mirror without a pool, and settings with one pool to be applied.
 func newMirrorWithoutPool(t testing.TB, share float64, sample func() shadow.Sample) (*Mirror, settings.Shadow) {
 	t.Helper()
 	m := New(Options{Balance: balance.Config{Zone: "a", MaxAttempts: 3, StepInterval: time.Millisecond,
@@ -39,7 +40,7 @@
 		defer stop()
 		m.Close(ctx)
 		if ctx.Err() != nil {
-			t.Error("it did not close")
+			t.Error("Close of the mirror timed out")
 		}
 	})
 	return m, onePool
--- a/internal/router/mirror/network.go
+++ b/internal/router/mirror/network.go
@@ -10,13 +10,14 @@
 	"reachspread/internal/transport"
 )
 
-// copyMessage is the message of a copy.
+// copyMessage is the message that the pool's router sends for a copy.
 type copyMessage struct {
 	*transport.Message
 	copied *shadowCopy
 }
 
-// cappedNetwork is the pool's network: the decider grants each attempt to a host.
+// cappedNetwork is the network of the pool's router. It sends an attempt to a host only if the
+// decider grants it.
 type cappedNetwork struct {
 	*transport.Servers
 	pool *pool
@@ -55,8 +56,8 @@
 	return result
 }
 
-// withToken returns the message with the fencing token of the pool's role, or false where this
-// router does not hold the lease any more.
+// withToken returns the message with the fencing token of the pool's role. It returns false if this
+// router no longer holds the lease.
 func (p *pool) withToken(m *transport.Message) (*transport.Message, bool) {
 	leases := p.mirror.options.Leases
 	token, _, ok := leases.Check(p.role)
@@ -67,7 +68,8 @@
 	return m.WithFencingToken(p.role, token, rejected), true
 }
 
-// cappedBody ends its attempt with the body.
+// cappedBody is the body of an answer. The end of the body ends the attempt and releases its place
+// under Caps.InFlightPerHost.
 type cappedBody struct {
 	routing.Body
 	release func()
--- a/internal/router/mirror/pool.go
+++ b/internal/router/mirror/pool.go
@@ -16,53 +16,53 @@
 )
 
 const (
-	maxOffers     = 256                    // pending for the pool's goroutine; more are counted as busy
-	probeTimeout  = 100 * time.Millisecond // unused: the pools' modules send no probes
-	statusTimeout = time.Second            // for the pool's goroutine to return its status
+	maxOffers     = 256                    // maximum number of pending offers; further offers are skipped and counted as busy
+	probeTimeout  = 100 * time.Millisecond // has no effect, because the pools' balancers send no probes
+	statusTimeout = time.Second            // how long to wait for the status from the pool's goroutine
 )
 
-// pool sends copies to one candidate pool. Its goroutine, run, owns the decider and ends once the
-// pool is closed and no copy is left; done is closed then.
+// pool sends copies to one candidate pool. Its goroutine, run, owns the decider. When the pool is
+// closed and no copy is left, the goroutine closes done and ends.
 type pool struct {
 	name    string
-	role    string // the singleton role of a pool with a single copier
+	role    string // the role whose lease the router must hold if the pool has a single copier
 	mirror  *Mirror
-	start   time.Time // the decider's times count from here
+	start   time.Time // zero of the decider's clock
 	log     routing.Logger
 	router  *routing.Router
 	servers *transport.Servers
-	stop    context.CancelFunc // of the router's and the discovery's goroutines
+	stop    context.CancelFunc // stops the goroutines of the router and of the discovery client
 	done    chan struct{}
 
 	settings settings.Pool // guarded by the Mirror's lock
 
-	maxAnswerBytes atomic.Int64  // retained of each answer
-	busy           atomic.Uint64 // offers passed over because maxOffers were pending
-	singleCopier   atomic.Bool   // only the router that holds the role's lease copies
-	hasLease       atomic.Bool   // this router holds it
+	maxAnswerBytes atomic.Int64  // maximum number of bytes retained of each answer
+	busy           atomic.Uint64 // offers skipped because maxOffers were pending or the pool had ended
+	singleCopier   atomic.Bool   // only the router that holds the role's lease may copy
+	hasLease       atomic.Bool   // this router may copy under the role's lease
 	unconfirmed    atomic.Int64  // attempts under the lease that may not have reached their host yet
 
 	mu      sync.Mutex // guards the fields up to wake
-	pending []message  // for the goroutine
-	offers  int        // among pending
+	pending []message  // messages that the goroutine has not taken yet
+	offers  int        // number of offers in pending
 	ended   bool       // the goroutine has ended and takes no more messages
 	wake    chan struct{}
 
-	// Owned by the goroutine.
+	// The goroutine owns the fields below.
 	decider       *shadow.Decider
 	inForce       settings.Pool
 	sink          *sink
 	recordTexts   bool
 	copies        map[uint64]*shadowCopy
 	closing       bool
-	underPressure bool // the decider's level is not calm
+	underPressure bool // the decider's level was not LevelCalm after the last step
 	latencies     *latencies
-	hosts         map[string]protocol.ListedServer // of the settings, by id
-	version       int64                            // of that list
+	hosts         map[string]protocol.ListedServer // hosts of the settings, by ID
+	version       int64                            // version of the list made from hosts
 }
 
-// newPool returns a running pool. Its settings come into force with apply, which must follow. It
-// fails where the live configuration can't be used with these settings.
+// newPool returns a running pool. The caller must then call apply, which passes the settings to the
+// pool's goroutine. newPool fails if the live configuration can't be used with these settings.
 func newPool(m *Mirror, set settings.Pool) (*pool, error) {
 	b, err := balance.New(copyConfig(m.options.Balance, set.FirstEventTimeout), m.options.Seed)
 	if err != nil {
@@ -103,8 +103,9 @@
 	return p, nil
 }
 
-// copyConfig returns the live configuration with the deadline of copies, which no client waits for:
-// a late answer is as good as any, and a slow candidate must be measured, not rejected.
+// copyConfig returns the live configuration with the deadline of copies in all classes. No client
+// waits for a copy, so a late answer is as useful as an early one, and a slow candidate must be
+// measured rather than rejected.
 func copyConfig(c balance.Config, deadline time.Duration) balance.Config {
 	c.Classes = slices.Clone(c.Classes)
 	for i := range c.Classes {
@@ -116,11 +117,11 @@
 	}
 	c.MayProbe = false
 	c.MaxRetryAfter = 0
-	c.Routers = 0 // no other router sends to these hosts by this module's knowledge
+	c.Routers = 0 // the pool's balancer gets no reports of other routers that send to these hosts
 	return c
 }
 
-// compatible reports whether other settings can come into force without ending copies in flight.
+// compatible reports whether set can be applied to the pool without canceling copies in flight.
 func (p *pool) compatible(set settings.Pool) bool {
 	return set.Discovery == p.settings.Discovery &&
 		set.Sockets == p.settings.Sockets &&
@@ -128,7 +129,7 @@
 		set.StreamIdleTimeout == p.settings.StreamIdleTimeout
 }
 
-// apply passes settings to the goroutine. Only Mirror.Apply calls it.
+// apply passes settings to the pool's goroutine. Only Mirror.Apply calls it.
 func (p *pool) apply(set settings.Pool, sink *sink, texts bool) {
 	p.settings = set
 	p.singleCopier.Store(set.SingleCopier)
@@ -138,7 +139,7 @@
 
 func (p *pool) answerBytes() int { return int(p.maxAnswerBytes.Load()) }
 
-// close cancels all copies. The pool's goroutine ends once they have ended.
+// close cancels all copies. The pool's goroutine ends after the last copy has ended.
 func (p *pool) close() { p.post(message{event: shadow.Close{}}) }
 
 // hasEnded reports whether the pool's goroutine has ended.
@@ -151,7 +152,7 @@
 	}
 }
 
-// run steps the decider with the pending messages until the pool is closed and no copy is left.
+// run passes the pending messages to step until the pool is closed and no copy is left.
 func (p *pool) run() {
 	defer close(p.done)
 	defer p.servers.Close()
@@ -164,7 +165,8 @@
 		p.mu.Unlock()
 		p.step(batch)
 	}
-	// No message is handled any more: attempts are denied, and a request for the status times out.
+	// The goroutine handles no more messages: pending attempt requests are denied, and requests for
+	// the status time out.
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.ended = true
--- a/internal/router/mirror/poolmessages.go
+++ b/internal/router/mirror/poolmessages.go
@@ -11,20 +11,21 @@
 // message is an event or a request for the pool's goroutine.
 type message struct {
 	event       shadow.Event
-	copied      *shadowCopy      // of an Offer
-	grantReply  chan<- bool      // of an AttemptRequest; has room for the reply
-	statusReply chan<- Status    // in place of an event
-	apply       *appliedSettings // in place of an event
+	copied      *shadowCopy      // the copy, if event is an Offer
+	grantReply  chan<- bool      // for the reply, if event is an AttemptRequest; must have a free buffer slot
+	statusReply chan<- Status    // set in place of event: asks for the status
+	apply       *appliedSettings // set in place of event: applies settings
 }
 
-// appliedSettings is what Mirror.Apply puts in force.
+// appliedSettings holds the settings of a pool that Mirror.Apply applies.
 type appliedSettings struct {
 	pool        settings.Pool
 	sink        *sink
 	recordTexts bool
 }
 
-// offer passes a copy to the goroutine, unless maxOffers are pending. It does not block.
+// offer passes a copy to the pool's goroutine. It reports false if maxOffers are pending or the pool
+// has ended. It does not block.
 func (p *pool) offer(c *shadowCopy) bool {
 	p.mu.Lock()
 	if p.ended || p.offers >= maxOffers {
@@ -40,8 +41,8 @@
 	return true
 }
 
-// post passes a message to the goroutine. After the pool's end an attempt is denied at once, and
-// any other message dropped.
+// post passes a message to the pool's goroutine. After that goroutine has ended, post denies an
+// attempt request at once and drops any other message.
 func (p *pool) post(x message) {
 	p.mu.Lock()
 	ended := p.ended
@@ -64,12 +65,12 @@
 	}
 }
 
-// step handles a batch of messages and carries out what the decider makes of them.
+// step handles a batch of messages and carries out the actions that the decider returns.
 func (p *pool) step(batch []message) {
 	events, grants := p.handle(batch)
 	for _, action := range p.decider.Step(time.Since(p.start), events) {
 		if granted, ok := action.(shadow.AttemptGranted); ok {
-			grants[0] <- granted.OK // grants come in the order of their requests
+			grants[0] <- granted.OK // the decider answers the requests in their order
 			grants = grants[1:]
 			continue
 		}
@@ -78,11 +79,12 @@
 	underPressure := p.decider.Level() != shadow.LevelCalm
 	if underPressure != p.underPressure {
 		p.underPressure = underPressure
-		p.servers.KeepIdle(!underPressure) // their descriptors may be lent to known clients
+		p.servers.KeepIdle(!underPressure) // under pressure, the descriptors of idle connections may be lent to known clients
 	}
 }
 
-// handle returns the events of a batch, and where the replies to its attempt requests go.
+// handle answers the status requests of a batch and applies its settings. It returns the events for
+// the decider and the reply channels of the attempt requests.
 func (p *pool) handle(batch []message) (events []shadow.Event, grants []chan<- bool) {
 	for _, x := range batch {
 		switch {
@@ -105,7 +107,7 @@
 	return events, grants
 }
 
-// putInForce applies settings and returns the events that tell the decider.
+// putInForce applies settings and returns the events that report them to the decider.
 func (p *pool) putInForce(applied *appliedSettings) []shadow.Event {
 	p.inForce, p.sink, p.recordTexts = applied.pool, applied.sink, applied.recordTexts
 	events := []shadow.Event{shadow.Reconfigure{Config: applied.pool.Decider}}
@@ -128,9 +130,9 @@
 		p.record(p.copies[a.Copy], a)
 		p.forget(a.Copy)
 	case shadow.PoolEjected:
-		p.log.Warn("shadow pool down", "failures", a.Failures, "retry", a.Retry.Round(time.Millisecond))
+		p.log.Warn("shadow pool ejected", "failures", a.Failures, "retry", a.Retry.Round(time.Millisecond))
 	case shadow.PoolRecovered:
-		p.log.Info("shadow pool back")
+		p.log.Info("shadow pool recovered")
 	}
 }
 
@@ -140,7 +142,7 @@
 	delete(p.copies, id)
 }
 
-// requestStatus asks the goroutine for the pool's state. It fails after statusTimeout.
+// requestStatus asks the pool's goroutine for the pool's status. It fails after statusTimeout.
 func (p *pool) requestStatus() (Status, error) {
 	reply := make(chan Status, 1)
 	p.post(message{statusReply: reply})
--- a/internal/router/mirror/sampler.go
+++ b/internal/router/mirror/sampler.go
@@ -5,10 +5,12 @@
 	"time"
 )
 
-// sampleInterval is how often the live path is sampled, and each decider gets a step at least.
+// sampleInterval is the time between two samples of the live path. Each sample also makes the
+// decider of each pool take a step, which applies the passage of time.
 const sampleInterval = 25 * time.Millisecond
 
-// startSampler starts the sampler at the first Apply. Close stops it. The caller holds m.mu.
+// startSampler starts the sampler goroutine unless it runs already. Close stops it. The caller must
+// hold m.mu.
 func (m *Mirror) startSampler() {
 	if m.stopSampler != nil {
 		return
@@ -19,7 +21,7 @@
 	go m.sample(ctx)
 }
 
-// wakeSampler lets the sampler go on where there are pools. The caller holds m.mu.
+// wakeSampler wakes the sampler if there are pools. The caller must hold m.mu.
 func (m *Mirror) wakeSampler() {
 	if len(m.pools) == 0 {
 		return
@@ -30,8 +32,8 @@
 	}
 }
 
-// sample samples the live path for the pools until ctx ends, while there are any. Its own delay is
-// part of the sample.
+// sample samples the live path and passes the samples to all pools until ctx ends. It takes no
+// samples while there are no pools. The delay of its own goroutine is part of the sample.
 func (m *Mirror) sample(ctx context.Context) {
 	defer m.sampler.Done()
 	ticker := time.NewTicker(sampleInterval)
@@ -53,7 +55,7 @@
 				return
 			case <-m.poolsAdded:
 			}
-			m.options.Sample() // counters of the sample begin here
+			m.options.Sample() // discarded; the next sample counts rejections from here
 			ticker.Reset(sampleInterval)
 			last = time.Now()
 			continue
--- a/internal/router/mirror/sampler_test.go
+++ b/internal/router/mirror/sampler_test.go
@@ -10,18 +10,17 @@
 	"reachspread/internal/testbed/scripted"
 )
 
-// The live path is sampled while there are pools, and not while there are none, whatever else the
-// settings have.
+// The live path is sampled only while there are pools, whatever else the settings contain.
 func TestLivePathIsSampledOnlyWhileThereArePools(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := New(Options{Log: make(scripted.LogLines, 100), Sample: func() shadow.Sample {
-			t.Error("sampled for nobody")
+			t.Error("the live path was sampled while there are no pools")
 			return shadow.Sample{}
 		}})
 		if err := m.Apply(settings.Shadow{}); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(time.Minute) // of the bubble's clock
+		time.Sleep(time.Minute) // on the fake clock of synctest
 		m.Close(t.Context())
 	})
 	sampled := make(chan bool, 1)
@@ -41,7 +40,7 @@
 				select {
 				case <-sampled:
 				case <-time.After(scripted.EventTimeout):
-					t.Fatal("not sampled")
+					t.Fatal("the live path was not sampled although there is a pool")
 				}
 			}
 		}
--- a/internal/router/mirror/selection.go
+++ b/internal/router/mirror/selection.go
@@ -6,17 +6,18 @@
 	"reachspread/internal/transport"
 )
 
-// selection is the immutable part of a Mirror that the live path uses: which pools get copies. It
-// implements transport.Copier.
+// selection decides for the live path which pools get a copy of a request. It is immutable; each
+// Apply replaces it. It implements transport.Copier.
 type selection struct {
 	mirror       *Mirror
 	selector     *shadow.Selector
 	idle         bool
 	tenantHeader string
-	pools        []*pool // by their index in the selector
+	pools        []*pool // in the order of the selector's choices
 }
 
-// newSelection returns the selection of settings; pools has one pool for each of theirs.
+// newSelection returns the selection for settings. The slice pools must have one pool for each
+// element of s.Pools, in the same order.
 func newSelection(m *Mirror, s settings.Shadow, pools []*pool) *selection {
 	var choices []shadow.Choice
 	for i := range s.Pools {
--- a/internal/router/mirror/sink.go
+++ b/internal/router/mirror/sink.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	maxQueuedRecords = 256             // to be written
-	maxQueuedBytes   = 1 << 20         // of texts in the queued records
-	retryInterval    = 5 * time.Second // after a write failed
+	maxQueuedRecords = 256             // maximum number of queued records
+	maxQueuedBytes   = 1 << 20         // maximum total size of the texts in the queued records
+	retryInterval    = 5 * time.Second // time from a failed write to the next attempt
 )
 
-// sink writes records on a goroutine of its own, which ends after close. A record that it can't
-// queue or write is counted and lost: neither the live path nor the copies wait for a disk.
+// sink writes records in its own goroutine, which ends after close. It counts and discards a record
+// that it can't queue or write, so that neither the live path nor the copies wait for the disk.
 type sink struct {
 	settings settings.Records
 	log      routing.Logger
@@ -27,7 +27,7 @@
 	bytes    atomic.Int64
 	written  atomic.Uint64
 	lost     atomic.Uint64
-	failing  atomic.Pointer[string] // why, nil while it works
+	failing  atomic.Pointer[string] // error of the last write; nil if it succeeded
 }
 
 func newSink(set settings.Records, log routing.Logger) *sink {
@@ -37,7 +37,8 @@
 	return s
 }
 
-// put queues a record, or counts it as lost. It does not block.
+// put queues a record, or counts it as lost if the queue is full. It does nothing if no folder is
+// set. It does not block.
 func (s *sink) put(r *records.Record) {
 	if s.settings.Folder == "" {
 		return
@@ -58,12 +59,12 @@
 	s.lost.Add(1)
 }
 
-// recordBytes is the size of the texts in a record.
+// recordBytes returns the total size of the texts in a record.
 func recordBytes(r *records.Record) int64 {
 	return int64(len(r.Body) + len(r.Live.Text) + len(r.Copy.Text))
 }
 
-// close ends the goroutine once the queued records are written; done is closed then.
+// close makes the goroutine write the queued records, close done and end. It does not wait.
 func (s *sink) close() { close(s.quit) }
 
 func (s *sink) run() {
@@ -87,8 +88,8 @@
 	}
 }
 
-// write appends a record. While writes fail, one is attempted each retryInterval, and only the
-// first failure is logged.
+// write appends a record to the files. While writes fail, it tries one write per retryInterval and
+// counts the other records as lost. It logs only the first failure.
 func (s *sink) write(r *records.Record, retry *time.Time) {
 	s.bytes.Add(-recordBytes(r))
 	if time.Now().Before(*retry) {
@@ -100,12 +101,12 @@
 		*retry = time.Now().Add(retryInterval)
 		why := err.Error()
 		if s.failing.Swap(&why) == nil {
-			s.log.Warn("shadow records lost", "cause", why)
+			s.log.Warn("shadow record not written", "cause", why)
 		}
 		return
 	}
 	s.written.Add(1)
 	if s.failing.Swap(nil) != nil {
-		s.log.Info("shadow records back", "lost", s.lost.Load())
+		s.log.Info("shadow records written again", "lost", s.lost.Load())
 	}
 }
--- a/internal/router/mirror/status.go
+++ b/internal/router/mirror/status.go
@@ -7,21 +7,21 @@
 	"reachspread/internal/router/shadow"
 )
 
-// Report is the state of all pools, as `shadow status` prints it.
+// Report is the status of all pools, which the command `shadow status` prints.
 type Report struct {
 	Pools   []Status      `json:"pools"`
 	Records RecordsStatus `json:"records"`
 }
 
-// RecordsStatus is the state of the record files.
+// RecordsStatus is the status of the writer of record files.
 type RecordsStatus struct {
 	Folder  string `json:"folder"`
 	Written uint64 `json:"written"`
 	Lost    uint64 `json:"lost"`
-	Failing string `json:"failing,omitempty"` // why the last record could not be written
+	Failing string `json:"failing,omitempty"` // error of the last write, empty if it succeeded
 }
 
-// Status is the state of a pool. Counters count from the pool's start.
+// Status is the status of a pool. Its counters start at 0 when the pool is created.
 type Status struct {
 	Pool            string                  `json:"pool"`
 	Share           float64                 `json:"share"`
@@ -32,9 +32,9 @@
 	Health          string                  `json:"health"` // up, down or no hosts
 	RetryIn         string                  `json:"retry_in,omitempty"`
 	Level           string                  `json:"level"`
-	Sampled         bool                    `json:"sampled"` // before the first sample of the live path no copy starts
+	Sampled         bool                    `json:"sampled"` // the live path was sampled; no copy starts before that
 	Offered         uint64                  `json:"offered"`
-	Busy            uint64                  `json:"busy"` // passed over: the pool's goroutine was behind
+	Busy            uint64                  `json:"busy"` // requests skipped because the pool's goroutine had too many pending offers
 	Started         uint64                  `json:"started"`
 	Recorded        uint64                  `json:"recorded"`
 	Compared        uint64                  `json:"compared"`
@@ -50,7 +50,7 @@
 	Times           map[string]Times        `json:"times"` // by class
 }
 
-// Caps is the caps in force, see shadow.Caps.
+// Caps holds the current limits of a pool, see shadow.Caps.
 type Caps struct {
 	PerSecond float64 `json:"copies_per_second"`
 	InFlight  int     `json:"copies_out"`
@@ -60,7 +60,7 @@
 	Sockets   int     `json:"sockets"`
 }
 
-// Times is how long comparable answers took, in milliseconds.
+// Times holds the distributions of the times that comparable answers took.
 type Times struct {
 	Count     int64  `json:"count"`
 	LiveFirst Spread `json:"live_first_ms"`
@@ -69,15 +69,15 @@
 	CopyTotal Spread `json:"copy_whole_ms"`
 }
 
-// Spread is three quantiles of a distribution, in milliseconds.
+// Spread holds three quantiles of a distribution, in milliseconds.
 type Spread struct {
 	P50 int64 `json:"p50"`
 	P90 int64 `json:"p90"`
 	P99 int64 `json:"p99"`
 }
 
-// Status returns a Report, for the status socket. It fails where a pool does not answer within a
-// second.
+// Status returns a Report for the status socket. It fails if a pool does not return its status
+// within a second.
 func (m *Mirror) Status() (any, error) {
 	m.mu.Lock()
 	pools, sink := m.pools, m.sink
@@ -99,7 +99,7 @@
 	return r, nil
 }
 
-// status returns the pool's state. Only its goroutine calls it.
+// status returns the pool's status. Only the pool's goroutine may call it.
 func (p *pool) status(set settings.Pool) Status {
 	c := p.decider.Counts()
 	caps := set.Decider.Caps
--- a/internal/router/program/shadow_test.go
+++ b/internal/router/program/shadow_test.go
@@ -319,7 +319,7 @@
 			downs, reports := 0, 0
 			for len(s.lines) > 0 {
 				switch line := <-s.lines; {
-				case strings.HasPrefix(line, "shadow pool down pool=next failures=3"):
+				case strings.HasPrefix(line, "shadow pool ejected pool=next failures=3"):
 					downs++
 				case strings.HasPrefix(line, "load report unreadable pool=next server=c0"):
 					reports++
@@ -567,7 +567,7 @@
 		s.served(fmt.Sprint("q", i))
 	}
 	s.until("all are recorded", func(st mirror.Status) bool { return st.Recorded == 3 })
-	s.line("shadow records lost cause=")
+	s.line("shadow record not written cause=")
 	if r := s.status().Records; r.Failing == "" || r.Written != 0 {
 		t.Errorf("%+v", r)
 	}
