--- a/internal/router/capture/capture.go
+++ b/internal/router/capture/capture.go
@@ -1,10 +1,11 @@
-// Package capture writes and reads files of the requests that a router accepted, without their
-// text: when each came, its class, its lengths, and its session and prompt prefix under hashed
-// names. The writer never blocks its caller; the reader rejects a file that is not complete.
+// Package capture writes and reads files that describe the requests that a router accepted. A file
+// has no texts of prompts. It has each request's time, class and lengths, and the hashed names of
+// its session and prompt prefix. The writer never blocks its caller. The reader rejects a file that
+// ends within a line.
 //
-// A file is a header line, then a line for each request in the order in which they came, each a
-// JSON object. The names are hashes under a key that is drawn for each file and kept nowhere, so
-// two files can't be joined by them.
+// Each line of a file is a JSON object. The first line is a header. Each further line is a request,
+// in the order in which the requests came. Names are hashed under a random key that is generated for
+// each file and not stored, so that the names of two files can't be matched.
 package capture
 
 import (
@@ -18,30 +19,30 @@
 	"time"
 )
 
-// Version is the version of the format.
+// Version is the version of the file format.
 const Version = 1
 
-// Header is a file's first line.
+// Header is the first line of a file.
 type Header struct {
-	Version   int       `json:"capture"` // of the format
+	Version   int       `json:"capture"` // version of the file format
 	StartedAt time.Time `json:"from"`
 }
 
-// Request is a line of a capture: one accepted request.
+// Request is a line of a file after the first. It describes one accepted request.
 type Request struct {
-	At           time.Duration `json:"at_ns"` // since Header.StartedAt
+	At           time.Duration `json:"at_ns"` // when the request was accepted, counted from Header.StartedAt
 	Class        string        `json:"class"`
 	Session      string        `json:"session"`
 	Prefix       string        `json:"prefix,omitempty"`
 	PromptTokens int           `json:"prompt"`
-	PrefixTokens int           `json:"shared,omitempty"` // of the prompt, in the prefix
-	TimeLeft     time.Duration `json:"left_ns"`          // until its deadline
+	PrefixTokens int           `json:"shared,omitempty"` // number of the prompt's tokens that belong to the prefix
+	TimeLeft     time.Duration `json:"left_ns"`          // time from its acceptance to its deadline
 }
 
-// maxLineBytes bounds a line; those that the writer writes are far shorter.
+// maxLineBytes is the maximum length of a line. The lines that the writer writes are far shorter.
 const maxLineBytes = 64 << 10
 
-// Read reads a file. It fails with a *SyntaxError where the file is not a complete capture.
+// Read reads a file. It fails with a *SyntaxError if the file is not a complete capture.
 func Read(path string) (Header, []Request, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -51,17 +52,18 @@
 	return Parse(f, filepath.Base(path))
 }
 
-// SyntaxError is a line of a capture that can't be used.
+// SyntaxError reports a line of a capture that is not valid.
 type SyntaxError struct {
 	File   string
-	Line   int    // from 1 on
-	Reason string // names the field, and how to mend it
+	Line   int    // counted from 1
+	Reason string // names the field and says how to correct it
 }
 
-// Error returns one line with file, line and reason.
+// Error returns one line with the file, the line number and the reason.
 func (e *SyntaxError) Error() string { return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.Reason) }
 
-// Parse reads a capture; name is the file's name, for errors. Any fault in it is a *SyntaxError.
+// Parse reads a capture from r. It uses name as the file's name in errors. It fails with a
+// *SyntaxError if the content is not valid.
 func Parse(r io.Reader, name string) (h Header, all []Request, err error) {
 	in := bufio.NewReaderSize(r, maxLineBytes)
 	last := time.Duration(0)
@@ -82,7 +84,7 @@
 		}
 		if n == 1 {
 			if err := decodeStrict(line, &h); err != nil || h.Version != Version {
-				return h, nil, invalid("capture is not %d: this is no capture, or one of another version", Version)
+				return h, nil, invalid("capture is not %d: the file is not a capture, or its format has another version", Version)
 			}
 			continue
 		}
@@ -98,7 +100,8 @@
 	}
 }
 
-// invalid returns what is wrong with a request whose predecessor came at last, or "".
+// invalid returns what is wrong with a request, or "" if it is valid. The parameter last is the time
+// of the request on the line before.
 func (q *Request) invalid(last time.Duration) string {
 	switch {
 	case q.Class == "":
@@ -106,7 +109,7 @@
 	case q.Session == "":
 		return "session is missing"
 	case q.At < last:
-		return fmt.Sprintf("at_ns is %d, before the line above", q.At)
+		return fmt.Sprintf("at_ns is %d; it must not be less than on the line above", q.At)
 	case q.PromptTokens < 1:
 		return fmt.Sprintf("prompt is %d; it must be 1 or more", q.PromptTokens)
 	case q.PrefixTokens < 0 || q.PrefixTokens > q.PromptTokens:
@@ -117,7 +120,8 @@
 	return ""
 }
 
-// decodeStrict decodes one JSON object without unknown fields, and with nothing after it.
+// decodeStrict decodes a line with exactly one JSON object. It fails if the object has unknown
+// fields or if another value follows it.
 func decodeStrict(line []byte, to any) error {
 	d := json.NewDecoder(bytes.NewReader(line))
 	d.DisallowUnknownFields()
@@ -125,7 +129,7 @@
 		return err
 	}
 	if d.More() {
-		return fmt.Errorf("more than one object")
+		return fmt.Errorf("the line has more than one JSON value")
 	}
 	return nil
 }
--- a/internal/router/capture/capture_test.go
+++ b/internal/router/capture/capture_test.go
@@ -14,7 +14,7 @@
 	"reachspread/balance"
 )
 
-// lines collects log lines.
+// lines is a Log that collects the log lines.
 type lines []string
 
 func (l *lines) Info(event string, fields ...any) { *l = append(*l, event+fmt.Sprint(fields...)) }
@@ -25,8 +25,9 @@
 		PrefixTokens: 50, TimeLeft: time.Second}
 }
 
-// What was taken can be read again, in its order and with names that tell nothing but who is the
-// same; a file that is cut anywhere within a line is refused by its line.
+// The reader returns the requests that the writer wrote, in their order. Their names are hashed:
+// equal names stay equal, and the file does not contain the original names. A file that ends within
+// a line is rejected with the number of that line.
 func TestReaderReturnsWhatWriterWrote(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "c.ndjson")
 	var log lines
@@ -50,12 +51,12 @@
 		}
 	}
 	if len(log) != 1 || !strings.HasPrefix(log[0], "capture ended") || !strings.Contains(log[0], "requests20") {
-		t.Errorf("lines %q", log)
+		t.Errorf("got log lines %q, want one that the capture ended with 20 requests", log)
 	}
 	text, _ := os.ReadFile(path)
 	for _, secret := range []string{"id1", "session-", "the prefix"} {
 		if bytes.Contains(text, []byte(secret)) {
-			t.Errorf("the file tells %q", secret)
+			t.Errorf("the file contains the name %q", secret)
 		}
 	}
 	rapid.Check(t, func(t *rapid.T) {
@@ -64,19 +65,19 @@
 		completeLines := bytes.Count(text[:cut], []byte("\n"))
 		if text[cut-1] == '\n' {
 			if err != nil || len(all) != completeLines-1 {
-				t.Fatalf("cut between lines: %d requests, %v", len(all), err)
+				t.Fatalf("a file that was cut between lines: read %d requests, error %v", len(all), err)
 			}
 		} else if err == nil || err.Error() != fmt.Sprintf("c:%d: the line is cut off", completeLines+1) {
-			t.Fatalf("cut at %d: %v", cut, err)
+			t.Fatalf("a file that was cut after %d bytes: got error %v, want one for its last line", cut, err)
 		}
 	})
 	if _, err := NewWriter(path, 1<<20, &log); err == nil {
-		t.Error("a file that is there was written over")
+		t.Error("NewWriter overwrote a file that exists")
 	}
 }
 
-// The bound holds to the byte, and ends the capture with one line; closing it then waits for
-// nothing.
+// A file never exceeds its maximum size. A capture that reaches the size ends with one log line, and
+// a later Close returns at once.
 func TestWriterStopsAtItsBound(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "c.ndjson")
 	var log lines
@@ -96,12 +97,12 @@
 	if _, all, err := Read(path); err != nil || len(all) < 3 {
 		t.Errorf("%d requests, %v", len(all), err)
 	}
-	if len(log) != 1 || !strings.HasPrefix(log[0], "capture full") {
-		t.Errorf("lines %q", log)
+	if len(log) != 1 || !strings.HasPrefix(log[0], "capture reached its size limit") {
+		t.Errorf("got log lines %q, want one that the capture reached its size limit", log)
 	}
 }
 
-// A fault is one line with file, line and field.
+// The error for an invalid line is one line with the file, the line number and the field.
 func TestReaderNamesFileLineAndField(t *testing.T) {
 	head := `{"capture":1,"from":"2026-01-02T03:04:05Z"}` + "\n"
 	good := `{"at_ns":5,"class":"c","session":"s","prompt":9,"left_ns":1}` + "\n"
@@ -111,7 +112,7 @@
 		{`{"capture":2}` + "\n", "c:1: capture is not 1"},
 		{head + strings.Replace(good, `"class":"c",`, "", 1), "c:2: class is missing"},
 		{head + good + strings.Replace(good, `"session":"s",`, "", 1), "c:3: session is missing"},
-		{head + good + strings.Replace(good, `5`, "4", 1), "c:3: at_ns is 4, before"},
+		{head + good + strings.Replace(good, `5`, "4", 1), "c:3: at_ns is 4; it must not be less than on the line above"},
 		{head + strings.Replace(good, `9`, "0", 1), "c:2: prompt is 0"},
 		{head + strings.Replace(good, `9`, `9,"shared":10`, 1), "c:2: shared is 10"},
 		{head + strings.Replace(good, `:1}`, `:-1}`, 1), "c:2: left_ns is -1"},
@@ -125,7 +126,7 @@
 	}
 }
 
-// What a request costs the live path while a capture is on.
+// BenchmarkTake measures the cost of a request for the live path while requests are captured.
 func BenchmarkTake(b *testing.B) {
 	var log lines
 	w, err := NewWriter(filepath.Join(b.TempDir(), "c"), 1<<40, &log)
--- a/internal/router/capture/stored_test.go
+++ b/internal/router/capture/stored_test.go
@@ -11,10 +11,12 @@
 	"reachspread/internal/testbed/golden"
 )
 
-// The file under testdata was written at commit 5bfcc27: WRITE_GOLDEN=1 go test -run Golden. Its
-// lines are those of a Writer, whose names are drawn anew for each file, so they are given here.
+// The file under testdata was written at commit 5bfcc27 with WRITE_GOLDEN=1 go test -run Golden. It
+// has the lines of a Writer, but with fixed names: a Writer hashes names under a new random key for
+// each file.
 
-// A capture is read as it was written, and its lines are written the same.
+// The stored capture must still be read correctly, and the same requests must still be encoded as
+// the same lines.
 func TestGoldenCapture(t *testing.T) {
 	wantHeader := Header{Version: Version, StartedAt: time.Unix(1_800_000_000, 5e8).UTC()}
 	want := []Request{
--- a/internal/router/capture/writer.go
+++ b/internal/router/capture/writer.go
@@ -17,19 +17,20 @@
 )
 
 const (
-	maxQueued     = 1024 // requests to be written, of about 200 bytes each
+	maxQueued     = 1024 // maximum number of requests in the queue, of about 200 bytes each
 	flushInterval = time.Second
-	nameBytes     = 8 // of a hash
+	nameBytes     = 8 // length to which the hash of a name is truncated
 )
 
-// Log takes the log lines.
+// Log is the logger that a Writer writes its log lines to.
 type Log interface {
 	Info(event string, fields ...any)
 	Warn(event string, fields ...any)
 }
 
-// Writer writes a capture on a goroutine of its own, which ends with Close, at the file's bound, or
-// after an error. It costs a request one send that never blocks.
+// Writer writes a capture in its own goroutine. The goroutine ends on Close, when the file reaches
+// its maximum size, or after an error. A request costs its caller one channel send that never
+// blocks.
 type Writer struct {
 	file      *os.File
 	maxBytes  int64
@@ -37,13 +38,14 @@
 	start     time.Time
 	requests  chan acceptedRequest
 	done      chan struct{} // closed when the goroutine has ended
-	ended     atomic.Bool   // nothing is taken any more
-	suspended atomic.Bool
+	ended     atomic.Bool   // Take ignores all further requests
+	suspended atomic.Bool   // Take ignores requests until Suspend(false)
 
-	written, skipped atomic.Uint64 // requests
+	written, skipped atomic.Uint64 // numbers of requests
 }
 
-// acceptedRequest is a request and when it was accepted. One without a class ends the capture.
+// acceptedRequest is a request and the time at which it was accepted. An acceptedRequest without a
+// class is not a request; Close queues it to end the capture.
 type acceptedRequest struct {
 	arrival balance.Arrival
 	at      time.Time
@@ -68,8 +70,8 @@
 	return w, nil
 }
 
-// Take queues a request that was accepted at a time. Where the queue is full it is skipped and
-// counted.
+// Take queues a request that was accepted at the time at. If the queue is full, Take skips the
+// request and counts it.
 func (w *Writer) Take(a balance.Arrival, at time.Time) {
 	if w.ended.Load() || w.suspended.Load() {
 		return
@@ -81,13 +83,13 @@
 	}
 }
 
-// Suspend stops taking requests, or goes on with it.
+// Suspend makes Take ignore requests if on is true, and accept them again otherwise.
 func (w *Writer) Suspend(on bool) { w.suspended.Store(on) }
 
-// Counts returns how many requests were written, and how many skipped because the queue was full.
+// Counts returns the number of requests written, and the number skipped because the queue was full.
 func (w *Writer) Counts() (written, skipped uint64) { return w.written.Load(), w.skipped.Load() }
 
-// Close writes the queued requests and closes the file. It returns once that is done.
+// Close writes the queued requests, closes the file, and waits until both are done.
 func (w *Writer) Close() {
 	if w.ended.CompareAndSwap(false, true) {
 		w.requests <- acceptedRequest{}
@@ -95,7 +97,7 @@
 	<-w.done
 }
 
-// run writes requests until Close, the bound, or an error.
+// run writes requests until Close, until the file reaches its maximum size, or until an error.
 func (w *Writer) run() {
 	defer close(w.done)
 	defer w.file.Close()
@@ -114,7 +116,7 @@
 				w.logEnd("capture ended", err)
 				return
 			}
-			last = max(x.at.Sub(w.start), last) // those of two connections may come out of order
+			last = max(x.at.Sub(w.start), last) // requests of different connections may come out of order
 			fits, err = out.put(out.request(&x.arrival, last))
 			if fits && err == nil {
 				w.written.Add(1)
@@ -125,11 +127,12 @@
 	if err == nil {
 		err = out.buffer.Flush()
 	}
-	w.logEnd("capture full", err)
+	w.logEnd("capture reached its size limit", err)
 	w.discardQueued()
 }
 
-// discardQueued empties the queue, so that a Close that has just begun does not block.
+// discardQueued empties the queue, so that a concurrent call of Close does not block on a full
+// queue.
 func (w *Writer) discardQueued() {
 	for {
 		select {
@@ -140,30 +143,31 @@
 	}
 }
 
-// logEnd logs how a capture ended.
+// logEnd logs the end of a capture: the given event or, if err is not nil, a failure.
 func (w *Writer) logEnd(event string, err error) {
 	if err != nil {
-		w.log.Warn("capture lost", "file", w.file.Name(), "cause", err)
+		w.log.Warn("capture failed", "file", w.file.Name(), "cause", err)
 		return
 	}
 	w.log.Info(event, "file", w.file.Name(), "requests", w.written.Load(), "passed_over", w.skipped.Load())
 }
 
-// encoder writes the lines of a capture, with names hashed under a key of its own.
+// encoder writes the lines of one capture. It hashes names under a random key of its own.
 type encoder struct {
 	buffer   *bufio.Writer
 	names    hash.Hash
-	size     int64 // of the lines so far
+	size     int64 // total length of the lines so far
 	maxBytes int64
 }
 
 func newEncoder(w io.Writer, maxBytes int64) *encoder {
 	var key [32]byte
-	rand.Read(key[:]) // documented never to fail
+	rand.Read(key[:]) // crypto/rand documents that Read never fails
 	return &encoder{buffer: bufio.NewWriter(w), names: hmac.New(sha256.New, key[:]), maxBytes: maxBytes}
 }
 
-// put writes a line. It reports false, and writes nothing, where the line exceeds the bound.
+// put writes a line. If the line would exceed the maximum size of the file, put writes nothing and
+// reports that the line does not fit.
 func (e *encoder) put(v any) (fits bool, err error) {
 	line, err := json.Marshal(v)
 	if err != nil {
@@ -176,7 +180,8 @@
 	return true, err
 }
 
-// request returns the line of a request that was accepted at a time since the capture's start.
+// request returns the line of a request that was accepted at the time at, counted from the start of
+// the capture. A request without a session counts as a session of its own.
 func (e *encoder) request(a *balance.Arrival, at time.Duration) Request {
 	session := a.Session
 	if session == "" {
@@ -194,7 +199,7 @@
 	}
 }
 
-// hashName hashes a name; an empty one stays empty.
+// hashName returns the hash of a name, or "" for an empty name.
 func hashName(h hash.Hash, s string) string {
 	if s == "" {
 		return ""
