--- a/internal/router/report/charts.go
+++ b/internal/router/report/charts.go
@@ -11,7 +11,7 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// The two sides keep their colours through all charts; they differ in lightness too.
+// The colors of live answers and of copies in all charts. They also differ in lightness.
 var (
 	liveColor = color.RGBA{R: 0x1f, G: 0x4e, B: 0x79, A: 0xff}
 	copyColor = color.RGBA{R: 0xe0, G: 0x7b, B: 0x00, A: 0xff}
@@ -22,12 +22,13 @@
 	similarityBins          = 20
 )
 
-// charts returns a pool's charts as SVG: the first event and the complete answer of both sides, and
-// the similarity of the texts. A pool of which nothing was compared has none.
+// charts returns a pool's charts as SVG: the times to the first event and to the complete answer,
+// each for live answers and copies, and the similarity of the texts. It returns none if no answers
+// were compared.
 func (p *Pool) charts() ([]string, error) {
 	all := p.groups[groupKey{}]
 	if all == nil {
-		return nil, nil // nothing was compared
+		return nil, nil // no answers were compared
 	}
 	var charts []string
 	for _, name := range []string{FirstEvent, CompleteAnswer} {
@@ -41,7 +42,8 @@
 	return append(charts, c), err
 }
 
-// cumulativeChart draws which fraction of the answers came within a time.
+// cumulativeChart draws the cumulative distribution of a time: the fraction of the live answers and
+// of the copies that came within it.
 func cumulativeChart(name string, live, copied *hdrhistogram.Histogram) (string, error) {
 	c := plot.New()
 	c.Title.Text = name
@@ -69,14 +71,14 @@
 		c.Add(line)
 		c.Legend.Add(side.name, line)
 	}
-	// Complete decades around the data, so that there is a labelled tick at each end.
+	// The axis covers whole decades around the data, so that each end has a labeled tick.
 	c.X.Min = math.Pow(10, math.Floor(math.Log10(c.X.Min)))
 	c.X.Max = math.Pow(10, math.Ceil(math.Log10(c.X.Max*1.0001)))
 	c.Legend.Left, c.Legend.Top = true, true
 	return svg(c)
 }
 
-// similarityChart draws a histogram of the similarities.
+// similarityChart draws a histogram of the similarities of the compared texts.
 func similarityChart(values []float64) (string, error) {
 	c := plot.New()
 	c.Title.Text = "similarity of the texts"
@@ -96,10 +98,10 @@
 	return svg(c)
 }
 
-// svg draws a chart of the report's size.
+// svg draws a chart in the size that the report uses for all charts.
 func svg(c *plot.Plot) (string, error) { return SVG(c, chartWidth, chartHeight) }
 
-// SVG draws a chart as an element of a page: without the XML declaration before it.
+// SVG draws a chart as an SVG element for an HTML page, without an XML declaration.
 func SVG(c *plot.Plot, width, height vg.Length) (string, error) {
 	w, err := c.WriterTo(width, height, "svg")
 	if err != nil {
--- a/internal/router/report/csv.go
+++ b/internal/router/report/csv.go
@@ -7,7 +7,7 @@
 	"github.com/jedib0t/go-pretty/v6/table"
 )
 
-// figures is the report as one table with a line for each figure.
+// figures returns the report as one table with a row for each figure.
 func (r *Report) figures() table.Writer {
 	t := table.NewWriter()
 	t.AppendHeader(table.Row{"pool", "class", "host", "figure", "side", "place", "value"})
--- a/internal/router/report/file.go
+++ b/internal/router/report/file.go
@@ -8,7 +8,7 @@
 	"path/filepath"
 )
 
-// WriteFile writes a file atomically: after an error or a crash, path is what it was before.
+// WriteFile writes a file atomically: after an error or a crash, the file at path is unchanged.
 func WriteFile(path string, write func(io.Writer) error) error {
 	f, err := os.CreateTemp(filepath.Dir(path), ".reach-*")
 	if err != nil {
--- a/internal/router/report/forms_test.go
+++ b/internal/router/report/forms_test.go
@@ -6,7 +6,7 @@
 	"reachspread/internal/testbed/formtest"
 )
 
-// The report as JSON has the same fields.
+// The fields of the report's JSON form must not change.
 func TestReportFormIsUnchanged(t *testing.T) {
 	formtest.Compare(t, "report.txt", formtest.Fields(Report{}, "json"))
 }
--- a/internal/router/report/html.go
+++ b/internal/router/report/html.go
@@ -8,8 +8,8 @@
 	"github.com/jedib0t/go-pretty/v6/table"
 )
 
-// WriteHTML writes one page with the tables and charts. It refers to nothing outside, so it opens
-// without a network.
+// WriteHTML writes one HTML page with the tables and charts. The page refers to no other resource,
+// so that a browser can show it without a network.
 func (r *Report) WriteHTML(w io.Writer) error {
 	fmt.Fprintf(w, "<!doctype html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>Shadow pools</title>\n<style>%s</style></head><body>\n", style)
 	fmt.Fprintf(w, "<h1>Shadow pools</h1>\n<p>%s</p>\n", html.EscapeString(r.heading()))
@@ -32,7 +32,7 @@
 	return err
 }
 
-// style is the style sheet of the page.
+// style is the CSS style sheet of the page.
 const style = `body{font:15px/1.4 sans-serif;margin:2em auto;max-width:70em;padding:0 1em;color:#222}
 table.figures{border-collapse:collapse;margin:1.5em 0;font-variant-numeric:tabular-nums}
 table.figures caption,table.figures .title{text-align:left;font-weight:bold;padding:.3em 0}
--- a/internal/router/report/report.go
+++ b/internal/router/report/report.go
@@ -1,7 +1,7 @@
-// Package report sums up the records of shadow pools: what was compared, what was not and why, how
-// the texts differ, and the times of both sides by pool, class and host. It reads package records
-// and writes tables and charts. Only the program reachreport uses it, so that the router does not
-// carry what draws charts.
+// Package report summarizes the records of shadow pools: how many answers were compared, why others
+// were not, how the texts differ, and the times of live answers and copies by pool, class and host.
+// It reads the files of package records and writes tables and charts. Only the program reachreport
+// uses it, so that the router's program does not include the code that draws charts.
 package report
 
 import (
@@ -18,26 +18,26 @@
 	"reachspread/internal/router/records"
 )
 
-// Report sums up the records of a folder.
+// Report summarizes the records of a folder.
 type Report struct {
 	Folder         string    `json:"folder"`
 	From           time.Time `json:"from"`
 	To             time.Time `json:"to"`
-	TruncatedLines int       `json:"cut_lines"` // skipped last lines of files
+	TruncatedLines int       `json:"cut_lines"` // number of incomplete last lines of files, which were skipped
 	Pools          []*Pool   `json:"pools"`
 }
 
-// Pool sums up the records of one pool.
+// Pool summarizes the records of one pool.
 type Pool struct {
 	Name             string         `json:"pool"`
 	Records          int            `json:"records"`
 	Compared         int            `json:"compared"`
-	Gaps             int            `json:"compared_with_gap"` // of conversations of which an earlier request was dropped
+	Gaps             int            `json:"compared_with_gap"` // compared requests whose conversation had an earlier request dropped
 	Causes           map[string]int `json:"not_comparable"`
 	Texts            map[string]int `json:"texts"`
 	SameFinish       int            `json:"same_finish"`
 	Partial          int            `json:"similarity_of_a_part"`
-	Similarity       Spread         `json:"similarity"` // from 0 to 1
+	Similarity       Spread         `json:"similarity"` // each value is from 0 to 1
 	TokenDelta       Spread         `json:"more_tokens"`
 	CachedTokenDelta Spread         `json:"more_kept_tokens"`
 	Groups           []*Group       `json:"groups"`
@@ -47,33 +47,34 @@
 	groups                         map[groupKey]*Group
 }
 
-// Group is the times of comparable answers of one class at one host; empty names stand for all.
+// Group holds the times of the compared answers of one class at one candidate host. An empty Class
+// or Host stands for all of them.
 type Group struct {
 	Class string          `json:"class"`
 	Host  string          `json:"host"`
 	Count int             `json:"count"`
-	Times map[string]Pair `json:"times"` // by the name of the time
+	Times map[string]Pair `json:"times"` // by the names FirstEvent, HostFirstEvent and so on
 
 	live, copied map[string]*hdrhistogram.Histogram
 }
 
-// groupKey names a Group; empty names stand for all.
+// groupKey identifies a Group. An empty class or host stands for all of them.
 type groupKey struct{ class, host string }
 
-// compare orders keys by class, then by host.
+// compare orders keys by class and then by host.
 func (k groupKey) compare(other groupKey) int {
 	return cmp.Or(cmp.Compare(k.class, other.class), cmp.Compare(k.host, other.host))
 }
 
-// Pair is one time on both sides, in milliseconds, and the copies' median as a multiple of the live
-// one.
+// Pair holds the distributions of one time for live answers and copies, in milliseconds. MedianRatio
+// is the median of the copies divided by the median of the live answers.
 type Pair struct {
 	Live        Spread  `json:"live_ms"`
 	Copy        Spread  `json:"copy_ms"`
 	MedianRatio float64 `json:"ratio_p50"`
 }
 
-// Spread is the mean and quantiles of a distribution.
+// Spread holds the mean and quantiles of a distribution.
 type Spread struct {
 	Count int     `json:"count"`
 	Mean  float64 `json:"mean"`
@@ -83,8 +84,8 @@
 	P99   float64 `json:"p99"`
 }
 
-// The names of the times, in the order in which they are shown. HostFirstEvent leaves out the time
-// until the attempt was sent.
+// Names of the times, in the order of the tables. HostFirstEvent is FirstEvent without the time
+// until the attempt that answered was sent.
 const (
 	FirstEvent     = "first event"
 	HostFirstEvent = "first event, host's own"
@@ -94,11 +95,12 @@
 
 var times = []string{FirstEvent, HostFirstEvent, TokenInterval, CompleteAnswer}
 
-// maxLatencyUs is the longest time that a histogram distinguishes, in microseconds: an hour.
+// maxLatencyUs is the upper limit of a histogram in microseconds, one hour. Longer times count as
+// one hour.
 const maxLatencyUs = 3600 * 1e6
 
-// Read sums up a folder. It fails, with file and line, at a line that is not valid by the schema of
-// the records.
+// Read summarizes the records of a folder. If a line does not conform to the schema of the records,
+// Read fails with an error that names the file and the line.
 func Read(folder string) (*Report, error) {
 	schema, err := Schema()
 	if err != nil {
@@ -135,19 +137,19 @@
 	return r, nil
 }
 
-// validate fails where a line is no record by the schema.
+// validate fails if a line does not conform to the schema.
 func validate(schema *jsonschema.Schema, line []byte) error {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(line))
 	if err != nil {
 		return err
 	}
 	if err := schema.Validate(doc); err != nil {
-		return fmt.Errorf("not a record: %s", oneLine(err))
+		return fmt.Errorf("not a record by the schema: %s", oneLine(err))
 	}
 	return nil
 }
 
-// Schema returns the schema of the records, compiled.
+// Schema returns the compiled JSON schema of the records.
 func Schema() (*jsonschema.Schema, error) {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(records.Schema))
 	if err != nil {
@@ -161,7 +163,7 @@
 	return c.Compile("record.schema.json")
 }
 
-// oneLine joins the lines of an error.
+// oneLine returns the text of an error as one line.
 func oneLine(err error) string {
 	return string(bytes.Join(bytes.Fields([]byte(err.Error())), []byte(" ")))
 }
@@ -170,7 +172,8 @@
 	return &Pool{Name: name, Causes: map[string]int{}, Texts: map[string]int{}, groups: map[groupKey]*Group{}}
 }
 
-// add counts a record.
+// add adds a record to the pool's counts, and its figures to the distributions if the answers were
+// compared.
 func (p *Pool) add(r *records.Record) {
 	p.Records++
 	if r.Comparison == nil {
@@ -225,7 +228,7 @@
 		if subtract != nil {
 			v -= *subtract
 		}
-		to[name].RecordValue(int64(min(max(v*1000, 1), maxLatencyUs))) // within its range, it can't fail
+		to[name].RecordValue(int64(min(max(v*1000, 1), maxLatencyUs))) // fails only for values out of the histogram's range
 	}
 	add(FirstEvent, s.FirstByteMs, nil)
 	add(HostFirstEvent, s.FirstByteMs, s.QueuedMs)
@@ -233,7 +236,7 @@
 	add(CompleteAnswer, s.TotalMs, nil)
 }
 
-// finish computes the figures from what add collected.
+// finish computes the distributions from the values that add collected.
 func (p *Pool) finish() {
 	p.Similarity, p.TokenDelta, p.CachedTokenDelta = valueSpread(p.similarities), valueSpread(p.tokenDeltas), valueSpread(p.cachedTokenDeltas)
 	for _, key := range slices.SortedFunc(maps.Keys(p.groups), groupKey.compare) {
@@ -250,7 +253,7 @@
 	}
 }
 
-// histogramSpread returns the quantiles of a histogram of microseconds, in milliseconds.
+// histogramSpread returns the mean and quantiles, in milliseconds, of a histogram in microseconds.
 func histogramSpread(h *hdrhistogram.Histogram) Spread {
 	at := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 	if h.TotalCount() == 0 {
@@ -259,7 +262,8 @@
 	return Spread{Count: int(h.TotalCount()), Mean: h.Mean() / 1000, P10: at(10), P50: at(50), P90: at(90), P99: at(99)}
 }
 
-// valueSpread returns the quantiles of values that may be negative, which a histogram can't hold.
+// valueSpread returns the mean and quantiles of values. Unlike a histogram, it allows negative
+// values.
 func valueSpread(values []float64) Spread {
 	if len(values) == 0 {
 		return Spread{}
--- a/internal/router/report/report_test.go
+++ b/internal/router/report/report_test.go
@@ -18,8 +18,9 @@
 
 func num[T any](v T) *T { return &v }
 
-// fill writes a folder of 100 records: 90 compared, 10 broken. Live answers take i ms, copies twice
-// that at a host of two that is found by turns.
+// writeRecords writes a folder of 100 records, 90 with compared answers and 10 with a broken copy.
+// The first event of the live answer i comes after i ms, and that of its copy after twice the time.
+// The copies alternate between two hosts.
 func writeRecords(t testing.TB) string {
 	t.Helper()
 	folder := t.TempDir()
@@ -54,10 +55,10 @@
 		t.Errorf("%+v", p)
 	}
 	if p.TokenDelta != (Spread{90, 2, 2, 2, 2, 2}) || p.CachedTokenDelta.Mean != -3 || p.CachedTokenDelta.Count != 89 {
-		t.Errorf("tokens %+v, kept %+v", p.TokenDelta, p.CachedTokenDelta)
+		t.Errorf("got token differences %+v and cached token differences %+v", p.TokenDelta, p.CachedTokenDelta)
 	}
-	if len(p.Groups) != 6 { // all, each host, the class, the class at each host
-		t.Fatalf("%d groups", len(p.Groups))
+	if len(p.Groups) != 6 { // all answers, each of two hosts, the class, and the class at each host
+		t.Fatalf("got %d groups, want 6", len(p.Groups))
 	}
 	first, own := p.Groups[0].Times[FirstEvent], p.Groups[0].Times[HostFirstEvent]
 	if !near(first.Live.P50, 50) && !near(first.Live.P50, 49) || !near(first.MedianRatio, 2) || !near(own.MedianRatio, 4) || first.Live.Count != 90 {
@@ -91,18 +92,18 @@
 	}
 	rows, err := csv.NewReader(strings.NewReader(out["csv"])).ReadAll()
 	if err != nil || len(rows) != 1+7+3*6+6*4*2*6 {
-		t.Errorf("csv: %d rows, %v", len(rows), err)
+		t.Errorf("the report as CSV has %d rows, error %v", len(rows), err)
 	}
 	var decoded Report
 	if err := json.Unmarshal([]byte(out["json"]), &decoded); err != nil || decoded.Pools[0].Compared != 90 {
-		t.Errorf("json: %v %+v", err, decoded)
+		t.Errorf("decoding the report from JSON: error %v, got %+v", err, decoded)
 	}
 	if err := r.Write(&bytes.Buffer{}, "odd"); err == nil {
-		t.Error("an odd format was taken")
+		t.Error("Write accepted an unknown format")
 	}
 }
 
-// The page stands alone: nothing in it is fetched, and its charts are whole drawings.
+// The page is self-contained: it loads no other resource, and its charts are complete SVG elements.
 func TestHTMLPageIsSelfContained(t *testing.T) {
 	folder := writeRecords(t)
 	r, err := Read(folder)
@@ -116,11 +117,11 @@
 	page := b.String()
 	for _, bad := range []string{"src=", "href=", "<script", "@import", "url("} {
 		if strings.Contains(page, bad) {
-			t.Errorf("the page has %q", bad)
+			t.Errorf("the page contains %q, which may refer to another resource", bad)
 		}
 	}
 	if n := strings.Count(page, "<svg"); n != 3 {
-		t.Errorf("%d charts", n)
+		t.Errorf("the page has %d charts, want 3", n)
 	}
 	for _, part := range strings.Split(page, "<figure>")[1:] {
 		drawing, _, _ := strings.Cut(part, "</figure>")
@@ -130,10 +131,10 @@
 		}
 	}
 	if !strings.HasSuffix(page, "</html>\n") {
-		t.Error("the page is cut off")
+		t.Error("the page does not end with </html>")
 	}
-	// For whoever wants to look at it: REPORT_PAGE=FILE go test ./internal/router/report -run
-	// TestPage
+	// To look at the page in a browser, write it to a file with
+	// REPORT_PAGE=FILE go test ./internal/router/report -run TestHTMLPage
 	if path := os.Getenv("REPORT_PAGE"); path != "" {
 		if err := os.WriteFile(path, b.Bytes(), 0o600); err != nil {
 			t.Fatal(err)
@@ -141,8 +142,8 @@
 	}
 }
 
-// A line that is JSON but no record is told with file and line; an empty folder is a report of
-// nothing.
+// A line that is JSON but not a record is reported with its file and line number. An empty folder
+// results in an empty report.
 func TestReadOfBadAndEmptyFolders(t *testing.T) {
 	folder := t.TempDir()
 	r, err := Read(folder)
@@ -159,7 +160,7 @@
 	if err := os.WriteFile(filepath.Join(folder, "shadow-1.ndjson"), []byte("{\"version\":1,\"pool\":\"next\"}\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Read(folder); err == nil || !strings.Contains(err.Error(), "shadow-1.ndjson:1: not a record") || strings.Contains(err.Error(), "\n") {
+	if _, err := Read(folder); err == nil || !strings.Contains(err.Error(), "shadow-1.ndjson:1: not a record by the schema") || strings.Contains(err.Error(), "\n") {
 		t.Errorf("got %v", err)
 	}
 }
--- a/internal/router/report/tables.go
+++ b/internal/router/report/tables.go
@@ -12,11 +12,11 @@
 	"github.com/jedib0t/go-pretty/v6/text"
 )
 
-// Formats are the formats of Write.
+// Formats lists the formats that Write supports.
 var Formats = []string{"terminal", "markdown", "csv", "json"}
 
-// Write writes the report in one of Formats. As CSV it is one table with a line for each figure, as
-// JSON the Report itself.
+// Write writes the report in one of Formats. The CSV form is one table with a row for each figure.
+// The JSON form is the encoded Report.
 func (r *Report) Write(w io.Writer, format string) error {
 	switch format {
 	case "terminal", "markdown":
@@ -38,10 +38,11 @@
 		out.SetIndent("", "  ")
 		return out.Encode(r)
 	}
-	return fmt.Errorf("format %q is none of %v", format, Formats)
+	return fmt.Errorf("format %q is not supported; it must be one of %v", format, Formats)
 }
 
-// heading names the folder and the time of its records.
+// heading returns a line with the folder, the period of its records, and the number of skipped
+// lines.
 func (r *Report) heading() string {
 	if len(r.Pools) == 0 {
 		return fmt.Sprintf("%s: no records", r.Folder)
@@ -54,7 +55,8 @@
 	return fmt.Sprintf("%s: records from %s to %s UTC%s", r.Folder, r.From.UTC().Format(form), r.To.UTC().Format(form), truncated)
 }
 
-// tables returns, for each pool, what was compared, how texts differ, and the times.
+// tables returns three tables for each pool: the counts of the copies, the differences of the texts,
+// and the times.
 func (r *Report) tables() []table.Writer {
 	var all []table.Writer
 	for _, p := range r.Pools {
@@ -78,7 +80,7 @@
 	return fmt.Sprintf("%.1f%%", 100*float64(n)/float64(of))
 }
 
-// counts is the table of how many copies there were, by cause.
+// counts returns the table of the numbers of copies: recorded, compared, and not comparable by cause.
 func (p *Pool) counts() table.Writer {
 	t := titled("Pool "+p.Name+": copies", "copies", "number", "share")
 	add := func(name string, n int) { t.AppendRow(table.Row{name, n, percentage(n, p.Records)}) }
@@ -91,7 +93,7 @@
 	return t
 }
 
-// texts is the table of how the compared answers differ.
+// texts returns the table of how the compared answers differ.
 func (p *Pool) texts() table.Writer {
 	t := titled("Pool "+p.Name+": answers, of those compared", "answers", "number", "share", "mean", "p10", "p50", "p90")
 	add := func(name string, n int) { t.AppendRow(table.Row{name, n, percentage(n, p.Compared), "", "", "", ""}) }
@@ -110,7 +112,7 @@
 	return t
 }
 
-// times is the table of the times of both sides.
+// times returns the table of the times of live answers and copies.
 func (p *Pool) times() table.Writer {
 	t := titled("Pool "+p.Name+": times in ms, p50 / p90 / p99", "class", "host", "answers", "time", "live", "copies", "copies to live, p50")
 	for _, g := range p.Groups {
