--- a/internal/router/capture/capture_test.go
+++ b/internal/router/capture/capture_test.go
@@ -42,12 +42,12 @@
 	w.Take(arrival(99), time.Now())
 	h, all, err := Read(path)
 	if err != nil || h.Version != Version || len(all) != 20 {
-		t.Fatalf("%+v, %d requests, %v", h, len(all), err)
+		t.Fatalf("Read returned header %+v, %d requests and error %v; want 20 requests", h, len(all), err)
 	}
 	for i, q := range all {
 		want := Request{At: time.Duration(i) * time.Millisecond, Class: "desk-chat", Session: all[i%3].Session, Prefix: all[0].Prefix, PromptTokens: 100 + i, PrefixTokens: 50, TimeLeft: time.Second}
 		if q != want || q.Session == all[(i+1)%3].Session {
-			t.Errorf("%d: got %+v, want %+v", i, q, want)
+			t.Errorf("request %d: got %+v, want %+v and a session other than that of the next request", i, q, want)
 		}
 	}
 	if len(log) != 1 || !strings.HasPrefix(log[0], "capture ended") || !strings.Contains(log[0], "requests20") {
@@ -92,10 +92,10 @@
 	w.Close()
 	info, err := os.Stat(path)
 	if err != nil || info.Size() > 1000 {
-		t.Fatalf("%v, %v", info.Size(), err)
+		t.Fatalf("the file has %v bytes, want at most 1000; error %v", info.Size(), err)
 	}
 	if _, all, err := Read(path); err != nil || len(all) < 3 {
-		t.Errorf("%d requests, %v", len(all), err)
+		t.Errorf("Read returned %d requests, want at least 3; error %v", len(all), err)
 	}
 	if len(log) != 1 || !strings.HasPrefix(log[0], "capture reached its size limit") {
 		t.Errorf("got log lines %q, want one that the capture reached its size limit", log)
@@ -121,7 +121,7 @@
 		{head + strings.Repeat("x", maxLineBytes+1), "c:2: the line is longer than"},
 	} {
 		if _, _, err := Parse(strings.NewReader(tt.text), "c"); err == nil || !strings.HasPrefix(err.Error(), tt.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%.80q: got %v, want %q", tt.text, err, tt.want)
+			t.Errorf("Parse of %.80q: got error %v, want one line that begins with %q", tt.text, err, tt.want)
 		}
 	}
 }
--- a/internal/router/capture/stored_test.go
+++ b/internal/router/capture/stored_test.go
@@ -35,6 +35,6 @@
 	golden.Same(t, "capture.ndjson", made)
 	header, got, err := Read(filepath.Join("testdata", "capture.ndjson"))
 	if diff := cmp.Diff(want, got); err != nil || !cmp.Equal(header, wantHeader) || diff != "" {
-		t.Errorf("%v, %v\n%s", header, err, diff)
+		t.Errorf("Read of the stored capture returned header %v and error %v; differences of the requests:\n%s", header, err, diff)
 	}
 }
--- a/internal/router/mirror/capture_test.go
+++ b/internal/router/mirror/capture_test.go
@@ -22,7 +22,7 @@
 	long := strings.Repeat(scripted.Event, 3)
 	complete, truncated := captureChunks(1<<10, long), captureChunks(len(scripted.Event), long)
 	if complete.Truncated || complete.Text != "oqvhoqvhoqvh" || !truncated.Truncated || truncated.Text != "oqvh" || truncated.Bytes != int64(len(long)) {
-		t.Errorf("%+v\n%+v", complete, truncated)
+		t.Errorf("wrong complete or truncated answer:\n%+v\n%+v", complete, truncated)
 	}
 	if again := captureChunks(len(scripted.Event), scripted.Event, scripted.Event[:3], scripted.Event[3:], scripted.Event); again.Digest != truncated.Digest {
 		t.Error("the digest depends on how the answer is split into chunks")
--- a/internal/router/mirror/copy.go
+++ b/internal/router/mirror/copy.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// record passes the record of a copy to the sink. If a has no cause, it compares the copy's answer
-// with the live answer.
+// record passes the record of a copy to the sink. Unless the Record action a has a cause, record
+// also compares the copy's answer with the live answer.
 func (p *pool) record(c *shadowCopy, a shadow.Record) {
 	request, texts := c.request, p.recordTexts
 	answer := c.answer.answer(p.mirror.digestKey[:])
--- a/internal/router/mirror/network.go
+++ b/internal/router/mirror/network.go
@@ -68,8 +68,8 @@
 	return m.WithFencingToken(p.role, token, rejected), true
 }
 
-// cappedBody is the body of an answer. The end of the body ends the attempt and releases its place
-// under Caps.InFlightPerHost.
+// cappedBody is the body of an answer to a granted attempt. End also calls release, which reports
+// the end of the attempt to the decider.
 type cappedBody struct {
 	routing.Body
 	release func()
--- a/internal/router/mirror/pool.go
+++ b/internal/router/mirror/pool.go
@@ -34,7 +34,7 @@
 	stop    context.CancelFunc // stops the goroutines of the router and of the discovery client
 	done    chan struct{}
 
-	settings settings.Pool // guarded by the Mirror's lock
+	settings settings.Pool // the settings of the last apply; guarded by Mirror.mu
 
 	maxAnswerBytes atomic.Int64  // maximum number of bytes retained of each answer
 	busy           atomic.Uint64 // offers skipped because maxOffers were pending or the pool had ended
@@ -50,7 +50,7 @@
 
 	// The goroutine owns the fields below.
 	decider       *shadow.Decider
-	inForce       settings.Pool
+	inForce       settings.Pool // the settings that the goroutine has applied
 	sink          *sink
 	recordTexts   bool
 	copies        map[uint64]*shadowCopy
--- a/internal/router/report/report_test.go
+++ b/internal/router/report/report_test.go
@@ -52,7 +52,7 @@
 	}
 	p := r.Pools[0]
 	if p.Records != 100 || p.Compared != 90 || p.Causes["broken"] != 10 || p.Texts["differs"] != 90 || p.SameFinish != 45 || p.Gaps != 1 {
-		t.Errorf("%+v", p)
+		t.Errorf("wrong counts of pool next: %+v", p)
 	}
 	if p.TokenDelta != (Spread{90, 2, 2, 2, 2, 2}) || p.CachedTokenDelta.Mean != -3 || p.CachedTokenDelta.Count != 89 {
 		t.Errorf("got token differences %+v and cached token differences %+v", p.TokenDelta, p.CachedTokenDelta)
@@ -62,10 +62,10 @@
 	}
 	first, own := p.Groups[0].Times[FirstEvent], p.Groups[0].Times[HostFirstEvent]
 	if !near(first.Live.P50, 50) && !near(first.Live.P50, 49) || !near(first.MedianRatio, 2) || !near(own.MedianRatio, 4) || first.Live.Count != 90 {
-		t.Errorf("%+v %+v", first, own)
+		t.Errorf("wrong times to the first event: %+v, and without the queueing: %+v", first, own)
 	}
 	if g := p.Groups[1]; g.Host != "c0" || g.Count != 40 || g.Times[TokenInterval].Live.Count != 0 {
-		t.Errorf("%+v", g)
+		t.Errorf("wrong group of host c0: %+v", g)
 	}
 }
 
@@ -152,7 +152,7 @@
 	}
 	var b bytes.Buffer
 	if err := r.Write(&b, "terminal"); err != nil || !strings.Contains(b.String(), "no records") {
-		t.Errorf("%q %v", b.String(), err)
+		t.Errorf("the report of an empty folder is %q, error %v; want a line that there are no records", b.String(), err)
 	}
 	if err := r.WriteHTML(&b); err != nil {
 		t.Error(err)
@@ -161,6 +161,6 @@
 		t.Fatal(err)
 	}
 	if _, err := Read(folder); err == nil || !strings.Contains(err.Error(), "shadow-1.ndjson:1: not a record by the schema") || strings.Contains(err.Error(), "\n") {
-		t.Errorf("got %v", err)
+		t.Errorf("Read of a line that is not a record: got error %v, want one line with file and line number", err)
 	}
 }
--- a/internal/router/settings/admission.go
+++ b/internal/router/settings/admission.go
@@ -19,7 +19,7 @@
 func (c *checker) admission(b *admissionBlock) *Admission {
 	d := &Admission{IdentityHeader: b.Header, ReservedFraction: c.number(b.Body, "reserve", b.ReservedFraction, 0.25, 0, 0.9)}
 	d.Config = admission.Config{
-		MaxOverflow:         c.count(b.Body, "step", b.MaxOverflow, 16, 20), // more would not fit what is set aside for them
+		MaxOverflow:         c.count(b.Body, "step", b.MaxOverflow, 16, 20), // more than 20 would not fit in the file descriptors set aside for overflow connections
 		RememberedAddresses: c.count(b.Body, "addresses", b.RememberedAddresses, 4096, 1<<20),
 		MinRetryAfter:       c.duration(b.Body, "away", b.MinRetryAfter, time.Second),
 		PerAddress:          c.clientLimit(b.Address.limit(), admission.ClientLimit{Connections: 16, OpenRequests: 16, ConnectionsPerSecond: 20}),
--- a/internal/router/settings/recovery.go
+++ b/internal/router/settings/recovery.go
@@ -4,5 +4,5 @@
 // restart.
 type Recovery struct {
 	Folder    string // where the router saves its state
-	Discovery string // name of the discovery service whose host list is saved, the same on all routers; if empty, the address of the discovery agent is the name
+	Discovery string // name of the discovery service whose host list is saved, the same on all routers; if empty, the discovery agent's address serves as the name
 }
--- a/internal/router/settings/settings_test.go
+++ b/internal/router/settings/settings_test.go
@@ -53,7 +53,7 @@
 	if s.LogFormat != logging.JSON || s.StatusDir != "run" || p.Choice.Share != 0.25 || p.Decider.Caps.Bytes != 2<<20 ||
 		p.FirstEventTimeout != 10*time.Second || p.Decider.Pressure.Delay != 5*time.Millisecond || p.Decider.Pressure.Queued != 8 ||
 		p.Hosts[0] != (Host{ID: "c0", Addr: "127.0.0.1:9000"}) || s.Shadow.Records.Files != 3 {
-		t.Errorf("%+v", s)
+		t.Errorf("Parse returned wrong settings: %+v", s)
 	}
 	if n := s.Descriptors(); n != 20+2+1+MaxStatusClients {
 		t.Errorf("got %d descriptors", n)
@@ -62,7 +62,7 @@
 		t.Errorf("got a maximum memory of %d bytes", n)
 	}
 	if s, err := Parse(nil, "f.hcl"); err != nil || s.Descriptors() != 0 || s.MaxMemory() != 0 || s.LogFormat != logging.Text {
-		t.Errorf("an empty file: %+v, %v", s, err)
+		t.Errorf("Parse of an empty file returned settings %+v and error %v", s, err)
 	}
 }
 
@@ -224,7 +224,7 @@
 	f.Add(text)
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if _, err := Parse(text, "f.hcl"); err != nil && strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q", err)
+			t.Errorf("the error has more than one line: %q", err)
 		}
 	})
 }
@@ -245,10 +245,10 @@
 	}
 	f := s.Fleet
 	if f == nil || f.Name != "router-7" || f.Address.Port() != 7946 || len(f.Seeds) != 2 || s.Descriptors() != 1 {
-		t.Errorf("%+v, %d descriptors", f, s.Descriptors())
+		t.Errorf("Parse returned wrong fleet settings: %+v, or %d descriptors instead of 1", f, s.Descriptors())
 	}
 	if s, err := Parse([]byte("fleet {}\n"), "f.hcl"); err != nil || s.Fleet == nil || s.Fleet.Address.IsValid() {
-		t.Errorf("an empty block: %+v, %v", s, err)
+		t.Errorf("Parse of an empty block fleet returned settings %+v and error %v", s, err)
 	}
 	expectParseErrors(t, goodFleet, []badCase{
 		{`"router-7"`, `"router 7"`, `f.hcl:2: name is "router 7"`},
--- a/internal/router/shadow/compare_test.go
+++ b/internal/router/shadow/compare_test.go
@@ -30,14 +30,14 @@
 	} {
 		got := Compare(tt.live, tt.copied)
 		if diff := cmp.Diff(tt.want, got); diff != "" {
-			t.Errorf("%s: %s", tt.name, diff)
+			t.Errorf("%s: wrong comparison: %s", tt.name, diff)
 		}
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := Answer{Text: rapid.String().Draw(t, "a")}, Answer{Text: rapid.String().Draw(t, "b")}
 		x, y := Compare(a, b), Compare(b, a)
 		if x != y || !(x.Similarity >= 0 && x.Similarity <= 1) || Compare(a, a).Text != Equal {
-			t.Fatalf("Compare gives %+v and in reverse %+v; want the same, a similarity from 0 to 1, and a text that equals itself", x, y)
+			t.Fatalf("Compare gives %+v and in reverse %+v; want equal results, a similarity from 0 to 1, and a text that equals itself", x, y)
 		}
 	})
 }
--- a/internal/router/shadow/invariants_test.go
+++ b/internal/router/shadow/invariants_test.go
@@ -56,7 +56,7 @@
 		}
 	}
 	if recent >= int(w.config.Caps.PerSecond) {
-		w.t.Fatalf("%d copies may reach a host in a second", recent+1)
+		w.t.Fatalf("%d copies may reach a host in a second, more than the cap", recent+1)
 	}
 	w.attempts = append(w.attempts, attempt{copy: id, sentAt: w.now})
 }
--- a/internal/router/shadow/selector_test.go
+++ b/internal/router/shadow/selector_test.go
@@ -19,7 +19,7 @@
 			session := Session(fmt.Sprint("session", i), "")
 			chosen := a.Choose("chat", nil, session).Has(0)
 			if chosen && !b.Choose("other", nil, session).Has(0) {
-				t.Fatal("a larger share lost a conversation")
+				t.Fatal("a larger share does not include a conversation that a smaller one chose")
 			}
 			if chosen {
 				got++
