--- a/internal/router/capture/capture.go
+++ b/internal/router/capture/capture.go
@@ -69,31 +69,31 @@
 	last := time.Duration(0)
 	for n := 1; ; n++ {
 		line, err := in.ReadSlice('\n')
-		invalid := func(format string, v ...any) error {
+		syntaxError := func(format string, v ...any) error {
 			return &SyntaxError{name, n, fmt.Sprintf(format, v...)}
 		}
 		switch {
 		case err == io.EOF && len(line) == 0 && n > 1:
 			return h, all, nil
 		case err == io.EOF:
-			return h, nil, invalid("the line is cut off")
+			return h, nil, syntaxError("the line is cut off")
 		case err == bufio.ErrBufferFull:
-			return h, nil, invalid("the line is longer than %d bytes", maxLineBytes)
+			return h, nil, syntaxError("the line is longer than %d bytes", maxLineBytes)
 		case err != nil:
 			return h, nil, err
 		}
 		if n == 1 {
 			if err := decodeStrict(line, &h); err != nil || h.Version != Version {
-				return h, nil, invalid("capture is not %d: the file is not a capture, or its format has another version", Version)
+				return h, nil, syntaxError("capture is not %d: the file is not a capture, or its format has another version", Version)
 			}
 			continue
 		}
 		var q Request
 		if err := decodeStrict(line, &q); err != nil {
-			return h, nil, invalid("%v", err)
+			return h, nil, syntaxError("%v", err)
 		}
 		if reason := q.invalid(last); reason != "" {
-			return h, nil, invalid("%s", reason)
+			return h, nil, syntaxError("%s", reason)
 		}
 		last = q.At
 		all = append(all, q)
--- a/internal/router/capture/writer.go
+++ b/internal/router/capture/writer.go
@@ -110,14 +110,14 @@
 		select {
 		case <-ticker.C:
 			err = out.buffer.Flush()
-		case x := <-w.requests:
-			if x.arrival.Class == "" {
+		case request := <-w.requests:
+			if request.arrival.Class == "" {
 				err = out.buffer.Flush()
 				w.logEnd("capture ended", err)
 				return
 			}
-			last = max(x.at.Sub(w.start), last) // requests of different connections may come out of order
-			fits, err = out.put(out.request(&x.arrival, last))
+			last = max(request.at.Sub(w.start), last) // requests of different connections may come out of order
+			fits, err = out.put(out.request(&request.arrival, last))
 			if fits && err == nil {
 				w.written.Add(1)
 			}
--- a/internal/router/mirror/capture.go
+++ b/internal/router/mirror/capture.go
@@ -114,9 +114,9 @@
 	return hex.EncodeToString(h.Sum(nil)[:digestBytes])
 }
 
-// side converts an answer to the form of the record files. It includes the text only if texts is
-// set.
-func side(a shadow.Answer, outcome string, texts bool) records.Answer {
+// toRecordAnswer converts an answer to the form of the record files. It includes the text only if
+// texts is set.
+func toRecordAnswer(a shadow.Answer, outcome string, texts bool) records.Answer {
 	s := records.Answer{
 		Outcome:         outcome,
 		Host:            a.Host,
--- a/internal/router/mirror/copy.go
+++ b/internal/router/mirror/copy.go
@@ -40,7 +40,7 @@
 	// The copy has an ID of its own. Otherwise a host could mistake the copy for an attempt of the
 	// live request or of another copy.
 	arrival.ID += "~" + p.name + "~" + strconv.FormatUint(c.id, 10)
-	arrival.TimeLeft = p.inForce.FirstEventTimeout
+	arrival.TimeLeft = p.activeSettings.FirstEventTimeout
 	go func() {
 		cause := p.runCopy(c, arrival)
 		c.cancel()
@@ -103,7 +103,7 @@
 		HistoryGap: c.historyGap,
 		Cause:      string(a.Cause),
 		BodyBytes:  len(request.Message.Body()),
-		Copy:       side(answer, c.answer.outcome, texts),
+		Copy:       toRecordAnswer(answer, c.answer.outcome, texts),
 	}
 	if texts {
 		r.Body = string(request.Message.Body())
@@ -112,7 +112,7 @@
 		r.Live = records.Answer{Outcome: "open"}
 	} else {
 		liveAnswer := c.live.answer.answer(p.mirror.digestKey[:])
-		r.Live = side(liveAnswer, c.live.answer.outcome, texts)
+		r.Live = toRecordAnswer(liveAnswer, c.live.answer.outcome, texts)
 		if a.Cause == "" {
 			cmp := shadow.Compare(liveAnswer, answer)
 			r.Comparison = &records.Comparison{
--- a/internal/router/mirror/mirror.go
+++ b/internal/router/mirror/mirror.go
@@ -190,8 +190,8 @@
 	}
 }
 
-// withPool returns a logger that adds the pool's name to each line.
-func withPool(log routing.Logger, name string) routing.Logger { return logging.With(log, "pool", name) }
+// poolLog returns a logger that adds the pool's name to each line.
+func poolLog(log routing.Logger, name string) routing.Logger { return logging.With(log, "pool", name) }
 
 // Sockets returns how many file descriptors copies use, including those of removed pools whose
 // copies have not ended.
--- a/internal/router/mirror/pool.go
+++ b/internal/router/mirror/pool.go
@@ -49,16 +49,16 @@
 	wake    chan struct{}
 
 	// The goroutine owns the fields below.
-	decider       *shadow.Decider
-	inForce       settings.Pool // the settings that the goroutine has applied
-	sink          *sink
-	recordTexts   bool
-	copies        map[uint64]*shadowCopy
-	closing       bool
-	underPressure bool // the decider's level was not LevelCalm after the last step
-	latencies     *latencies
-	hosts         map[string]protocol.ListedServer // hosts of the settings, by ID
-	version       int64                            // version of the list made from hosts
+	decider        *shadow.Decider
+	activeSettings settings.Pool // the settings that the goroutine has applied
+	sink           *sink
+	recordTexts    bool
+	copies         map[uint64]*shadowCopy
+	closing        bool
+	underPressure  bool // the decider's level was not LevelCalm after the last step
+	latencies      *latencies
+	hosts          map[string]protocol.ListedServer // hosts of the settings, by ID
+	version        int64                            // version of the list made from hosts
 }
 
 // newPool returns a running pool. The caller must then call apply, which passes the settings to the
@@ -68,21 +68,21 @@
 	if err != nil {
 		return nil, err
 	}
-	log := withPool(m.options.Log, set.Choice.Pool)
+	log := poolLog(m.options.Log, set.Choice.Pool)
 	p := &pool{
-		name:      set.Choice.Pool,
-		role:      set.Role(),
-		mirror:    m,
-		start:     time.Now(),
-		log:       log,
-		done:      make(chan struct{}),
-		settings:  set,
-		wake:      make(chan struct{}, 1),
-		decider:   shadow.New(set.Decider, m.options.Seed),
-		inForce:   set,
-		copies:    map[uint64]*shadowCopy{},
-		latencies: newLatencies(),
-		hosts:     map[string]protocol.ListedServer{},
+		name:           set.Choice.Pool,
+		role:           set.Role(),
+		mirror:         m,
+		start:          time.Now(),
+		log:            log,
+		done:           make(chan struct{}),
+		settings:       set,
+		wake:           make(chan struct{}, 1),
+		decider:        shadow.New(set.Decider, m.options.Seed),
+		activeSettings: set,
+		copies:         map[uint64]*shadowCopy{},
+		latencies:      newLatencies(),
+		hosts:          map[string]protocol.ListedServer{},
 	}
 	limits := transport.ServerLimits{
 		ConnectTimeout:    m.options.ConnectTimeout,
@@ -170,9 +170,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.ended = true
-	for _, x := range p.pending {
-		if x.grantReply != nil {
-			x.grantReply <- false
+	for _, m := range p.pending {
+		if m.grantReply != nil {
+			m.grantReply <- false
 		}
 	}
 }
--- a/internal/router/mirror/poolmessages.go
+++ b/internal/router/mirror/poolmessages.go
@@ -43,18 +43,18 @@
 
 // post passes a message to the pool's goroutine. After that goroutine has ended, post denies an
 // attempt request at once and drops any other message.
-func (p *pool) post(x message) {
+func (p *pool) post(m message) {
 	p.mu.Lock()
 	ended := p.ended
 	if !ended {
-		p.pending = append(p.pending, x)
+		p.pending = append(p.pending, m)
 	}
 	p.mu.Unlock()
 	switch {
 	case !ended:
 		p.wakeUp()
-	case x.grantReply != nil:
-		x.grantReply <- false
+	case m.grantReply != nil:
+		m.grantReply <- false
 	}
 }
 
@@ -86,30 +86,30 @@
 // handle answers the status requests of a batch and applies its settings. It returns the events for
 // the decider and the reply channels of the attempt requests.
 func (p *pool) handle(batch []message) (events []shadow.Event, grants []chan<- bool) {
-	for _, x := range batch {
+	for _, m := range batch {
 		switch {
-		case x.apply != nil:
-			events = append(events, p.putInForce(x.apply)...)
+		case m.apply != nil:
+			events = append(events, p.applySettings(m.apply)...)
 			continue
-		case x.statusReply != nil:
-			x.statusReply <- p.status(p.inForce)
+		case m.statusReply != nil:
+			m.statusReply <- p.status(p.activeSettings)
 			continue
-		case x.copied != nil:
-			p.copies[x.copied.id] = x.copied
-		case x.grantReply != nil:
-			grants = append(grants, x.grantReply)
+		case m.copied != nil:
+			p.copies[m.copied.id] = m.copied
+		case m.grantReply != nil:
+			grants = append(grants, m.grantReply)
 		}
-		if _, ok := x.event.(shadow.Close); ok {
+		if _, ok := m.event.(shadow.Close); ok {
 			p.closing = true
 		}
-		events = append(events, x.event)
+		events = append(events, m.event)
 	}
 	return events, grants
 }
 
-// putInForce applies settings and returns the events that report them to the decider.
-func (p *pool) putInForce(applied *appliedSettings) []shadow.Event {
-	p.inForce, p.sink, p.recordTexts = applied.pool, applied.sink, applied.recordTexts
+// applySettings applies settings and returns the events that report them to the decider.
+func (p *pool) applySettings(applied *appliedSettings) []shadow.Event {
+	p.activeSettings, p.sink, p.recordTexts = applied.pool, applied.sink, applied.recordTexts
 	events := []shadow.Event{shadow.Reconfigure{Config: applied.pool.Decider}}
 	if p.applyHosts(applied.pool) {
 		events = append(events, shadow.HostsChanged{Serving: p.router.ServingCount()})
--- a/internal/router/mirror/sink.go
+++ b/internal/router/mirror/sink.go
@@ -99,9 +99,9 @@
 	if err := s.writer.Append(r); err != nil {
 		s.lost.Add(1)
 		*retry = time.Now().Add(retryInterval)
-		why := err.Error()
-		if s.failing.Swap(&why) == nil {
-			s.log.Warn("shadow record not written", "cause", why)
+		failure := err.Error()
+		if s.failing.Swap(&failure) == nil {
+			s.log.Warn("shadow record not written", "cause", failure)
 		}
 		return
 	}
--- a/internal/router/mirror/status.go
+++ b/internal/router/mirror/status.go
@@ -92,8 +92,8 @@
 	}
 	if sink != nil {
 		r.Records = RecordsStatus{Folder: sink.settings.Folder, Written: sink.written.Load(), Lost: sink.lost.Load()}
-		if why := sink.failing.Load(); why != nil {
-			r.Records.Failing = *why
+		if failure := sink.failing.Load(); failure != nil {
+			r.Records.Failing = *failure
 		}
 	}
 	return r, nil
--- a/internal/router/report/tables.go
+++ b/internal/router/report/tables.go
@@ -73,11 +73,11 @@
 	return t
 }
 
-func percentage(n, of int) string {
-	if of == 0 {
+func percentage(n, total int) string {
+	if total == 0 {
 		return "-"
 	}
-	return fmt.Sprintf("%.1f%%", 100*float64(n)/float64(of))
+	return fmt.Sprintf("%.1f%%", 100*float64(n)/float64(total))
 }
 
 // counts returns the table of the numbers of copies: recorded, compared, and not comparable by cause.
