--- a/internal/router/mirror/status.go
+++ b/internal/router/mirror/status.go
@@ -7,60 +7,60 @@
 	"reachspread/internal/router/shadow"
 )
 
-// Report is the state of all pools, as `shadow status` prints it.
+// Report is the status of all pools, which the command `shadow status` prints.
 type Report struct {
 	Pools   []Status      `json:"pools"`
 	Records RecordsStatus `json:"records"`
 }
 
-// RecordsStatus is the state of the record files.
+// RecordsStatus is the status of the writer of record files.
 type RecordsStatus struct {
 	Folder  string `json:"folder"`
 	Written uint64 `json:"written"`
 	Lost    uint64 `json:"lost"`
-	Failing string `json:"failing,omitempty"` // why the last record could not be written
+	Failing string `json:"failing,omitempty"` // error of the last write, empty if it succeeded
 }
 
-// Status is the state of a pool. Counters count from the pool's start.
+// Status is the status of a pool. Its counters start at 0 when the pool is created.
 type Status struct {
-	Pool         string                  `json:"pool"`
-	Share        float64                 `json:"share"`
-	Classes      []string                `json:"classes,omitempty"`
-	Tenants      []string                `json:"tenants,omitempty"`
-	Caps         Caps                    `json:"caps"`
-	Hosts        int                     `json:"hosts"`
-	Health       string                  `json:"health"` // up, down or no hosts
-	RetryIn      string                  `json:"retry_in,omitempty"`
-	Level        string                  `json:"level"`
-	Sampled      bool                    `json:"sampled"` // before the first sample of the live path no copy starts
-	Offered      uint64                  `json:"offered"`
-	Busy         uint64                  `json:"busy"` // passed over: the pool's goroutine was behind
-	Started      uint64                  `json:"started"`
-	Recorded     uint64                  `json:"recorded"`
-	Compared     uint64                  `json:"compared"`
-	Waiting      int                     `json:"waiting"`
-	Out          int                     `json:"out"`
-	Pairing      int                     `json:"pairing"`
-	BodyBytes    int64                   `json:"body_bytes"`
-	Dropped      map[shadow.Cause]uint64 `json:"dropped"`
-	Ended        map[shadow.Cause]uint64 `json:"ended"`
-	Incomparable map[shadow.Cause]uint64 `json:"incomparable"`
-	Pressed      map[string]uint64       `json:"pressed"`
-	HostFull     uint64                  `json:"host_full"`
-	Times        map[string]Times        `json:"times"` // by class
+	Pool            string                  `json:"pool"`
+	Share           float64                 `json:"share"`
+	Classes         []string                `json:"classes,omitempty"`
+	Tenants         []string                `json:"tenants,omitempty"`
+	Caps            Caps                    `json:"caps"`
+	Hosts           int                     `json:"hosts"`
+	Health          string                  `json:"health"` // up, down or no hosts
+	RetryIn         string                  `json:"retry_in,omitempty"`
+	Level           string                  `json:"level"`
+	Sampled         bool                    `json:"sampled"` // the live path was sampled; no copy starts before that
+	Offered         uint64                  `json:"offered"`
+	Busy            uint64                  `json:"busy"` // requests skipped because the pool's goroutine had too many pending offers
+	Started         uint64                  `json:"started"`
+	Recorded        uint64                  `json:"recorded"`
+	Compared        uint64                  `json:"compared"`
+	Waiting         int                     `json:"waiting"`
+	InFlight        int                     `json:"out"`
+	Pairing         int                     `json:"pairing"`
+	BodyBytes       int64                   `json:"body_bytes"`
+	Dropped         map[shadow.Cause]uint64 `json:"dropped"`
+	Ended           map[shadow.Cause]uint64 `json:"ended"`
+	Incomparable    map[shadow.Cause]uint64 `json:"incomparable"`
+	PressureSignals map[string]uint64       `json:"pressed"`
+	HostFull        uint64                  `json:"host_full"`
+	Times           map[string]Times        `json:"times"` // by class
 }
 
-// Caps is the caps in force, see shadow.Caps.
+// Caps holds the current limits of a pool, see shadow.Caps.
 type Caps struct {
 	PerSecond float64 `json:"copies_per_second"`
-	Out       int     `json:"copies_out"`
+	InFlight  int     `json:"copies_out"`
 	PerHost   int     `json:"copies_per_host"`
 	Waiting   int     `json:"copies_waiting"`
 	BodyBytes int64   `json:"body_bytes"`
 	Sockets   int     `json:"sockets"`
 }
 
-// Times is how long comparable answers took, in milliseconds.
+// Times holds the distributions of the times that comparable answers took.
 type Times struct {
 	Count     int64  `json:"count"`
 	LiveFirst Spread `json:"live_first_ms"`
@@ -69,15 +69,15 @@
 	CopyTotal Spread `json:"copy_whole_ms"`
 }
 
-// Spread is three quantiles of a distribution, in milliseconds.
+// Spread holds three quantiles of a distribution, in milliseconds.
 type Spread struct {
 	P50 int64 `json:"p50"`
 	P90 int64 `json:"p90"`
 	P99 int64 `json:"p99"`
 }
 
-// Status returns a Report, for the status socket. It fails where a pool does not answer within a
-// second.
+// Status returns a Report for the status socket. It fails if a pool does not return its status
+// within a second.
 func (m *Mirror) Status() (any, error) {
 	m.mu.Lock()
 	pools, sink := m.pools, m.sink
@@ -92,14 +92,14 @@
 	}
 	if sink != nil {
 		r.Records = RecordsStatus{Folder: sink.settings.Folder, Written: sink.written.Load(), Lost: sink.lost.Load()}
-		if why := sink.failing.Load(); why != nil {
-			r.Records.Failing = *why
+		if failure := sink.failing.Load(); failure != nil {
+			r.Records.Failing = *failure
 		}
 	}
 	return r, nil
 }
 
-// status returns the pool's state. Only its goroutine calls it.
+// status returns the pool's status. Only the pool's goroutine may call it.
 func (p *pool) status(set settings.Pool) Status {
 	c := p.decider.Counts()
 	caps := set.Decider.Caps
@@ -110,31 +110,31 @@
 		Tenants: set.Choice.Tenants,
 		Caps: Caps{
 			PerSecond: caps.PerSecond,
-			Out:       caps.InFlight,
+			InFlight:  caps.InFlight,
 			PerHost:   caps.InFlightPerHost,
 			Waiting:   caps.Waiting,
 			BodyBytes: caps.Bytes,
 			Sockets:   set.Sockets,
 		},
-		Hosts:        c.Hosts,
-		Health:       "up",
-		Level:        c.PressureLevel.String(),
-		Sampled:      c.Sampled,
-		Offered:      c.Offered,
-		Busy:         p.busy.Load(),
-		Started:      c.Started,
-		Recorded:     c.Recorded,
-		Compared:     c.Compared,
-		Waiting:      c.Waiting,
-		Out:          c.InFlight,
-		Pairing:      c.Pairing,
-		BodyBytes:    c.Bytes,
-		Dropped:      c.Dropped,
-		Ended:        c.Ended,
-		Incomparable: c.Incomparable,
-		Pressed:      c.PressureSignals,
-		HostFull:     c.HostFull,
-		Times:        p.times.report(),
+		Hosts:           c.Hosts,
+		Health:          "up",
+		Level:           c.PressureLevel.String(),
+		Sampled:         c.Sampled,
+		Offered:         c.Offered,
+		Busy:            p.busy.Load(),
+		Started:         c.Started,
+		Recorded:        c.Recorded,
+		Compared:        c.Compared,
+		Waiting:         c.Waiting,
+		InFlight:        c.InFlight,
+		Pairing:         c.Pairing,
+		BodyBytes:       c.Bytes,
+		Dropped:         c.Dropped,
+		Ended:           c.Ended,
+		Incomparable:    c.Incomparable,
+		PressureSignals: c.PressureSignals,
+		HostFull:        c.HostFull,
+		Times:           p.latencies.report(),
 	}
 	switch {
 	case c.Hosts == 0:
--- a/internal/router/program/shadow_test.go
+++ b/internal/router/program/shadow_test.go
@@ -242,7 +242,7 @@
 		t.Errorf("the copy is %+v, want the request's body and URI and an id of its own", r)
 	}
 	st := s.awaitStatus("it is recorded", func(st mirror.Status) bool { return st.Recorded == 1 })
-	if st.Times["chat"].Count != 1 || st.BodyBytes != 0 || st.Out != 0 {
+	if st.Times["chat"].Count != 1 || st.BodyBytes != 0 || st.InFlight != 0 {
 		t.Errorf("wrong pool status after one copy: %+v", st)
 	}
 	if counts := s.live.Counts(); counts.Total != 1 {
@@ -300,7 +300,7 @@
 				s.expectServed(fmt.Sprint("q", i))
 				s.awaitStatus("the copy is recorded", func(st mirror.Status) bool { return st.Recorded == uint64(i+1) })
 			}
-			st := s.awaitStatus("nothing is out", func(st mirror.Status) bool { return st.Out+st.Pairing == 0 })
+			st := s.awaitStatus("nothing is out", func(st mirror.Status) bool { return st.InFlight+st.Pairing == 0 })
 			if (st.Health == "down") != tt.down {
 				t.Errorf("wrong health in pool status %+v", st)
 			}
@@ -322,7 +322,7 @@
 			downs, reports := 0, 0
 			for len(s.lines) > 0 {
 				switch line := <-s.lines; {
-				case strings.HasPrefix(line, "shadow pool down pool=next failures=3"):
+				case strings.HasPrefix(line, "shadow pool ejected pool=next failures=3"):
 					downs++
 				case strings.HasPrefix(line, "load report unreadable pool=next server=c0"):
 					reports++
@@ -370,7 +370,7 @@
 	if counts := s.live.Counts(); counts.Total != n || counts.Duplicated != nil {
 		t.Errorf("%d live attempts for %d requests; requests with two attempts at once: %v", counts.Total, n, counts.Duplicated)
 	}
-	st := s.awaitStatus("nothing is out", func(st mirror.Status) bool { return st.Out+st.Pairing+st.Waiting == 0 })
+	st := s.awaitStatus("nothing is out", func(st mirror.Status) bool { return st.InFlight+st.Pairing+st.Waiting == 0 })
 	if got := s.records(); uint64(len(got)) != st.Started {
 		t.Errorf("%d records for %d started copies", len(got), st.Started)
 	}
@@ -400,7 +400,7 @@
 		s.awaitStatus("it has its record", func(st mirror.Status) bool { return st.Recorded == uint64(i) })
 	}
 	scripted.Send(t, hold, true)
-	st := s.awaitStatus("the copy that was out is compared", func(st mirror.Status) bool { return st.Out == 0 && st.Pairing == 0 })
+	st := s.awaitStatus("the copy that was out is compared", func(st mirror.Status) bool { return st.InFlight == 0 && st.Pairing == 0 })
 	if st.Compared != st.Started {
 		t.Errorf("not all started copies were compared: %+v", st)
 	}
@@ -488,8 +488,8 @@
 	s.reload <- syscall.SIGHUP
 	s.expectLog("reloaded")
 	s.expectServed("q1")
-	st := s.awaitStatus("the share is 0", func(st mirror.Status) bool { return st.Share == 0 && st.Caps.Out == 7 })
-	if st.Offered != 1 || st.Out != 1 {
+	st := s.awaitStatus("the share is 0", func(st mirror.Status) bool { return st.Share == 0 && st.Caps.InFlight == 7 })
+	if st.Offered != 1 || st.InFlight != 1 {
 		t.Errorf("want 1 copy offered and in flight with a share of 0: %+v", st)
 	}
 	scripted.Send(t, hold, true)
@@ -503,7 +503,7 @@
 	s.reload <- syscall.SIGHUP
 	s.expectLog("reloaded")
 	s.expectServed("q3")
-	s.awaitStatus("another pool has its place", func(st mirror.Status) bool { return st.Pool == "other" && st.Out == 1 })
+	s.awaitStatus("another pool has its place", func(st mirror.Status) bool { return st.Pool == "other" && st.InFlight == 1 })
 	got := s.records()
 	if got["q0"].Cause != "" || got["q2"].Cause != string(shadow.Closing) || got["q3"].Pool != "other" || len(got) != 3 {
 		t.Errorf("wrong records after the reloads: %+v", got)
@@ -574,7 +574,7 @@
 		s.expectServed(fmt.Sprint("q", i))
 	}
 	s.awaitStatus("all are recorded", func(st mirror.Status) bool { return st.Recorded == 3 })
-	s.expectLog("shadow records lost cause=")
+	s.expectLog("shadow record not written cause=")
 	if r := s.status().Records; r.Failing == "" || r.Written != 0 {
 		t.Errorf("want a failure and no record written: %+v", r)
 	}
@@ -658,11 +658,11 @@
 		}
 		go s.ask("held", "held", nil)
 		s.awaitStatus("it yields", func(st mirror.Status) bool {
-			return st.Level == "hard" && st.Ended[shadow.UnderPressure] > 0 && st.Out == 0
+			return st.Level == "hard" && st.Ended[shadow.UnderPressure] > 0 && st.InFlight == 0
 		})
 		s.live.Set(scripted.ModelBehavior{})
 	}
 	s.awaitStatus("it is calm again", func(st mirror.Status) bool { return st.Level == "calm" })
 	s.expectServed("q1")
-	s.awaitStatus("a copy is out", func(st mirror.Status) bool { return st.Out == 1 })
+	s.awaitStatus("a copy is out", func(st mirror.Status) bool { return st.InFlight == 1 })
 }
--- a/internal/router/shadow/compare_test.go
+++ b/internal/router/shadow/compare_test.go
@@ -23,29 +23,29 @@
 		{"one is empty", Answer{Text: ""}, Answer{Text: "c d"}, Comparison{Text: Differs, SameFinish: true}},
 		{"no spaces", Answer{Text: "港口订单已经完成请核对客户记录然后继续下一步"}, Answer{Text: "港口订单已经完成请核对客户记录然后继续下一页"},
 			Comparison{Text: Differs, Similarity: 1 - 1.0/6, SameFinish: true}},
-		{"cut, the same", Answer{Text: "a", Truncated: true, Bytes: 9, Digest: "d"}, Answer{Text: "a", Truncated: true, Bytes: 9, Digest: "d"},
+		{"truncated, equal", Answer{Text: "a", Truncated: true, Bytes: 9, Digest: "d"}, Answer{Text: "a", Truncated: true, Bytes: 9, Digest: "d"},
 			Comparison{Text: Equal, Similarity: 1, SameFinish: true}},
-		{"cut, not the same", Answer{Text: "a b", Truncated: true, Bytes: 9, Digest: "d"}, Answer{Text: "a c", Bytes: 9, Digest: "e"},
+		{"truncated, different", Answer{Text: "a b", Truncated: true, Bytes: 9, Digest: "d"}, Answer{Text: "a c", Bytes: 9, Digest: "e"},
 			Comparison{Text: NotRetained, Similarity: 0.5, Partial: true, SameFinish: true}},
 	} {
 		got := Compare(tt.live, tt.copied)
 		if diff := cmp.Diff(tt.want, got); diff != "" {
-			t.Errorf("%s: %s", tt.name, diff)
+			t.Errorf("%s: wrong comparison: %s", tt.name, diff)
 		}
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := Answer{Text: rapid.String().Draw(t, "a")}, Answer{Text: rapid.String().Draw(t, "b")}
 		x, y := Compare(a, b), Compare(b, a)
 		if x != y || !(x.Similarity >= 0 && x.Similarity <= 1) || Compare(a, a).Text != Equal {
-			t.Fatalf("%+v and %+v", x, y)
+			t.Fatalf("Compare gives %+v and in reverse %+v; want equal results, a similarity from 0 to 1, and a text that equals itself", x, y)
 		}
 	})
 }
 
 func BenchmarkCompare(b *testing.B) {
-	text := func(odd string) (s string) {
+	text := func(suffix string) (s string) {
 		for i := range 200 {
-			s += fmt.Sprint("word", i, odd, " ")
+			s += fmt.Sprint("word", i, suffix, " ")
 		}
 		return s
 	}
