--- a/internal/testbed/chaos/chaos.go
+++ b/internal/testbed/chaos/chaos.go
@@ -1,12 +1,14 @@
-// Package chaos runs chaos tests on a fleet of the program's own processes on one machine: routers
-// as in service, fake hosts, lists and clients, all on loopback, with fault proxies in between that
-// carry out a schedule of faults. What happened is a history, which package checker judges. Nothing
-// here decides anything that a checker would have to know.
+// Package chaos runs chaos tests on a fleet of real router processes on one machine. The routers
+// run the production program; hosts, discovery lists and clients are fakes. All of them use
+// loopback addresses. Fault proxies between them carry out a schedule of faults. The package
+// records the events of a run as a history, and package checker judges the history. No decision
+// made here affects a checker's verdict unless it is in the history.
 //
-// chaos.go has a test from its options to its result, run.go its course, network.go the hosts,
-// lists and proxies, layout.go the addresses, record.go the history, process.go a router's
-// processes, player.go the faults, watch.go who looks for processes that hang, page.go the charts,
-// failure.go what a violation leaves, and series.go tests one after another.
+// chaos.go turns the options of a test into its result, and run.go has the steps of one run.
+// network.go starts hosts, lists and proxies; layout.go assigns addresses; record.go writes the
+// history; process.go manages a router's processes; player.go injects the faults; watch.go detects
+// processes that hang; page.go draws the charts; failure.go reports violations; and series.go runs
+// several tests one after another.
 package chaos
 
 import (
@@ -25,37 +27,37 @@
 	"reachspread/internal/testbed/simulator"
 )
 
-// Options are the experiment of a chaos test, its seed and its outputs.
+// Options configure a chaos test: its experiment, its seed and its outputs.
 type Options struct {
 	Experiment *experiment.Experiment
 	Seed       uint64
 	Program    string         // the router's binary
-	Folder     string         // a new one; empty for a temporary one, which is removed after a test without a verdict
-	Faults     []faults.Fault // in place of the experiment's, if Drawn
+	Folder     string         // must not exist yet; empty creates a temporary folder, which is removed after a test without violations
+	Faults     []faults.Fault // replace the experiment's faults if Drawn is set
 	Drawn      bool
-	Routers    int                  // in place of the experiment's; 0 for those
-	Profile    bool                 // routers write profiles when they are caught
-	Print      func(string)         // called with lines of progress; may be nil
+	Routers    int                  // replaces the experiment's number of routers unless it is 0
+	Profile    bool                 // a router that is found unresponsive writes a CPU profile
+	Print      func(string)         // called with progress lines; may be nil
 	Observe    func(*history.Event) // called with each event; may be nil
 }
 
 // Result is the result of a chaos test.
 type Result struct {
-	Folder    string // with the history, the logs and the profiles
+	Folder    string // has the history, the logs and the profiles; empty if the folder was removed
 	Verdicts  []checker.Violation
 	Events    []history.Event
 	Tallies   []fakes.Tally
-	Lost      int // events beyond the bound
+	Lost      int // events that were dropped because the history was full
 	Took      time.Duration
-	Datagrams [16]uint64 // between routers, by the high half of their first byte
-	Stalls    int        // times that the machine stalled this process
+	Datagrams [16]uint64 // counts of datagrams between routers, by the high four bits of their first byte
+	Stalls    int        // how often the machine stalled this process
 }
 
-// maxRouters bounds the routers of a test: the layout has addresses for so many.
+// maxRouters is the largest number of routers in a test. The layout has addresses for no more.
 const maxRouters = 100
 
 const (
-	readyTimeout = 30 * time.Second // the platform's: then clients arrive in any case
+	readyTimeout = 30 * time.Second // the platform's limit, after which clients arrive even if a router is not ready
 	drainTimeout = 3700 * time.Millisecond
 	exitTimeout  = drainTimeout + 2*time.Second
 )
@@ -74,20 +76,21 @@
 	routers  []*router
 	starter  starter
 	player   *player
-	front    *front
+	balancer *loadBalancer
 	stalls   *stalls
 
-	voterLines [][]*faultproxy.ConnProxy // by router and router, nil for itself
-	copyLines  []*faultproxy.ConnProxy   // by router
-	candidate  *fakes.Host               // gets copies; nil without duties
+	voterProxies [][]*faultproxy.ConnProxy // by router and router, nil for itself
+	copyProxies  []*faultproxy.ConnProxy   // by router
+	candidate    *fakes.Host               // gets copies; nil without duties
 
 	settings string // the operators' file of the routers, as it is before each gets its own
 	hasViews bool   // routers keep a view of the fleet
 }
 
-// Run runs an experiment once. All that it started has ended when it returns, also if ctx ends. The
-// error is that of an invalid experiment, of starting the processes, of the history, or of ctx;
-// violations are verdicts of the result.
+// Run runs an experiment once. When it returns, even because ctx has ended, all processes and
+// goroutines that it started have ended. It returns an error if the experiment is invalid, if a
+// process can't be started, if the history can't be written, or if ctx has ended. Violations are
+// not errors: they are the Verdicts of the result.
 func Run(ctx context.Context, o Options) (_ *Result, err error) {
 	start := time.Now()
 	p := &play{options: &o, spec: o.Experiment.World(0, o.Seed), hasViews: o.Experiment.Rig.View}
@@ -122,7 +125,7 @@
 		err = closeErr
 	}
 	if err != nil {
-		keepFolder = keepFolder || p.caught()
+		keepFolder = keepFolder || p.foundUnresponsive()
 		return nil, err
 	}
 	r := p.result(tallies, time.Since(start))
@@ -138,8 +141,8 @@
 	return r, nil
 }
 
-// readSettings composes the operators' settings file of the routers, with placeholders that each
-// router fills in.
+// readSettings builds the template of the routers' settings file. openRouters replaces its
+// placeholders by each router's own values.
 func (p *play) readSettings() error {
 	x := &p.options.Experiment.Rig
 	if x.Settings != "" {
@@ -161,7 +164,7 @@
 	return nil
 }
 
-// result judges the history of a run.
+// result runs the checkers on the history of a run and returns the result.
 func (p *play) result(tallies []fakes.Tally, took time.Duration) *Result {
 	r := &Result{
 		Folder:  p.folder,
@@ -178,7 +181,7 @@
 	return r
 }
 
-// check refuses an invalid experiment before anything is started.
+// check returns an error for an invalid experiment, before anything is started.
 func (p *play) check() error {
 	x := p.options.Experiment
 	if p.spec.Routers > maxRouters {
@@ -197,9 +200,9 @@
 	for _, f := range p.options.Faults {
 		switch {
 		case f.Kind == faults.Replace && !x.Rig.Held:
-			return fmt.Errorf("%s: replace needs held = true in the block rig: the processes of a router share their clients' listener", f.Source)
+			return fmt.Errorf("%s: replace needs held = true in the block rig: the old and the new process of a router share one client listener", f.Source)
 		case f.Kind == faults.Restart && x.Rig.Held:
-			return fmt.Errorf("%s: restart needs held = false in the block rig: nobody answers at a listener that the platform holds until the next process starts", f.Source)
+			return fmt.Errorf("%s: restart needs held = false in the block rig: connections to a listener that the platform holds are not answered until the next process starts", f.Source)
 		}
 	}
 	if _, err := os.Stat(p.options.Program); err != nil {
@@ -208,7 +211,7 @@
 	return enoughDescriptors(p.spec.Routers, len(topology.Hosts))
 }
 
-// open creates the folder and begins the history.
+// open creates the folder and writes the first event of the history.
 func (p *play) open() (err error) {
 	if p.folder = p.options.Folder; p.folder == "" {
 		if p.folder, err = os.MkdirTemp("", "reachlab-rig-"); err != nil {
@@ -227,5 +230,5 @@
 	return nil
 }
 
-// historyFile is the file name of a history.
+// historyFile is the name of the history file in the folder of a run.
 const historyFile = "history.jsonl"
--- a/internal/testbed/chaos/chaos_test.go
+++ b/internal/testbed/chaos/chaos_test.go
@@ -126,7 +126,7 @@
 	return built
 }
 
-const fleetOf = `seeds = 1
+const fleetFormat = `seeds = 1
 length = "%s"
 routers = %d
 group "a" {
@@ -153,7 +153,7 @@
 
 func parse(t testing.TB, length string, routers int, rig, faults string) *experiment.Experiment {
 	t.Helper()
-	x, err := experiment.Parse(fmt.Appendf(nil, fleetOf+faults, length, routers, rig), "x.hcl")
+	x, err := experiment.Parse(fmt.Appendf(nil, fleetFormat+faults, length, routers, rig), "x.hcl")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -168,7 +168,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	noProcesses(t, r.Events)
+	checkNoProcesses(t, r.Events)
 	t.Cleanup(func() {
 		if t.Failed() {
 			t.Log(stallsAndNotes(r.Events))
@@ -184,7 +184,7 @@
 	stalls, longest := 0, time.Duration(0)
 	for i := range events {
 		switch e := &events[i]; {
-		case e.What == history.Fault && e.N > stallNumber:
+		case e.What == history.Fault && e.N > firstStallNumber:
 			length, _ := time.ParseDuration(e.ID)
 			stalls, longest = stalls+1, max(longest, length)
 		case e.What == history.Note:
@@ -195,7 +195,7 @@
 }
 
 // noProcesses checks that every process of a history is gone.
-func noProcesses(t *testing.T, events []history.Event) {
+func checkNoProcesses(t *testing.T, events []history.Event) {
 	t.Helper()
 	for _, e := range events {
 		if e.What == history.Start && alive(e.PID) {
@@ -463,7 +463,7 @@
 				}
 				return
 			}
-			noProcesses(t, r.Events)
+			checkNoProcesses(t, r.Events)
 			found := false
 			for _, v := range r.Verdicts {
 				found = found || strings.HasPrefix(v.String(), want) && want != ""
--- a/internal/testbed/chaos/duties.go
+++ b/internal/testbed/chaos/duties.go
@@ -14,7 +14,8 @@
 	"reachspread/internal/testbed/history"
 )
 
-// eligibleVoters is how many routers may: the voters, and one more where there is one.
+// eligibleVoters returns how many routers may become voters: the number of voters and one spare, if
+// there are that many routers. It returns 0 for an experiment without voters.
 func (p *play) eligibleVoters() int {
 	if n := p.options.Experiment.Rig.Voters; n > 0 {
 		return min(n+1, p.spec.Routers)
@@ -22,11 +23,13 @@
 	return 0
 }
 
-// copies in a second that the fleet may send to the candidate.
+// copiesPerSecond is the limit of copied requests per second from the whole fleet to the candidate
+// host.
 const copiesPerSecond = 8
 
-// dutyFields are a router's blocks duties and shadow: a scribe, and one copier for a pool of one
-// candidate host. Each router reaches the others' voters through relays of its own.
+// dutyFields returns the blocks duties and shadow of router i's settings. They configure a scribe
+// and a single copier for a pool of one candidate host. Each router connects to the voters of other
+// routers through its own proxies.
 func (p *play) dutyFields(i int) string {
 	x := &p.options.Experiment.Rig
 	var b strings.Builder
@@ -38,7 +41,7 @@
 		fmt.Fprintf(&b, "  listen = %q\n  folder = \"@DISK@\"\n  scribe = true\n", p.layout.voter(i))
 	}
 	for j := range p.eligibleVoters() {
-		addr := p.layout.line(i, j)
+		addr := p.layout.voterProxy(i, j)
 		if i == j {
 			addr = p.layout.voter(j)
 		}
@@ -49,17 +52,18 @@
 	return b.String()
 }
 
-// openDuties starts the relays between voters, and the host that gets copies. It takes what comes
-// under a duty with the fence, and every act is in the history.
+// openDuties starts the proxies between routers and voters, and the candidate host, which receives
+// copies. The candidate checks the fencing token of every request that a duty sends. Each such
+// request is recorded in the history as an act, whether it is accepted or not.
 func (p *play) openDuties() (err error) {
 	for i := range p.eligibleVoters() {
 		row := make([]*faultproxy.ConnProxy, p.eligibleVoters())
-		p.voterLines = append(p.voterLines, row)
+		p.voterProxies = append(p.voterProxies, row)
 		for j := range row {
 			if i == j {
 				continue
 			}
-			if row[j], err = faultproxy.NewConnProxy(p.layout.line(i, j), p.layout.voter(j), p.options.Seed, uint64(i)<<20|0xe0000|uint64(j), nil); err != nil {
+			if row[j], err = faultproxy.NewConnProxy(p.layout.voterProxy(i, j), p.layout.voter(j), p.options.Seed, uint64(i)<<20|0xe0000|uint64(j), nil); err != nil {
 				return err
 			}
 		}
@@ -72,7 +76,7 @@
 		if err != nil {
 			return err
 		}
-		p.copyLines = append(p.copyLines, c)
+		p.copyProxies = append(p.copyProxies, c)
 	}
 	var mu sync.Mutex
 	var guard lease.TokenGuard
@@ -91,7 +95,7 @@
 }
 
 func (p *play) closeDuties(all *sync.WaitGroup) {
-	for _, row := range append(p.voterLines, p.copyLines) {
+	for _, row := range append(p.voterProxies, p.copyProxies) {
 		for _, c := range row {
 			if c != nil {
 				all.Go(c.Close)
@@ -103,24 +107,25 @@
 	}
 }
 
-// eachLine calls do for each relay between voters and to the candidate, with its two ends.
-func (p *play) eachLine(do func(c *faultproxy.ConnProxy, near int, far faults.End)) {
-	for i, row := range p.voterLines {
+// eachDutyProxy calls do for each proxy to a voter or to the candidate host. near is the number of
+// the router at its near end.
+func (p *play) eachDutyProxy(do func(c *faultproxy.ConnProxy, near int, far faults.End)) {
+	for i, row := range p.voterProxies {
 		for j, c := range row {
 			if c != nil {
 				do(c, i, faults.End{Kind: faults.AtRouter, N: j})
 			}
 		}
 	}
-	for i, c := range p.copyLines {
+	for i, c := range p.copyProxies {
 		do(c, i, faults.End{Kind: faults.AtHost, N: len(p.fleet.Hosts)})
 	}
 }
 
-// copier is the duty of the pool that dutyFields names.
+// copier is the name of the duty that copies requests to the pool in dutyFields.
 const copier = "copier/candidate"
 
-// handOver has the copier be one router after another.
+// handOver hands the copier duty to the next router in order, once per interval, until ctx ends.
 func (p *play) handOver(ctx context.Context, every time.Duration) {
 	ticker := time.NewTicker(every)
 	defer ticker.Stop()
@@ -133,7 +138,7 @@
 		call := fmt.Sprintf("duty-give %s r%d", copier, n%len(p.routers))
 		if x := p.routers[n%len(p.routers)].newest(); x != nil {
 			p.recorder.add(history.Event{What: history.Call, Who: x.name, ID: call})
-			text, _ := x.call(ctx, call, answerIn)
+			text, _ := x.call(ctx, call, callTimeout)
 			p.recorder.add(history.Event{What: history.Return, Who: x.name, ID: call, Text: strings.TrimSpace(text)})
 		}
 	}
--- a/internal/testbed/chaos/duty_test.go
+++ b/internal/testbed/chaos/duty_test.go
@@ -265,13 +265,13 @@
 			t.Errorf("%s: %d copies", what, copies[what])
 		}
 	}
-	if most, _ := perSecond(r.Events); most > copiesPerSecond {
+	if most, _ := maxActsPerSecond(r.Events); most > copiesPerSecond {
 		t.Errorf("%d copies in a second", most)
 	}
 }
 
 // perSecond is the most acts in any second of a play.
-func perSecond(events []history.Event) (most, all int) {
+func maxActsPerSecond(events []history.Event) (most, all int) {
 	var at []int64
 	for _, e := range events {
 		if e.What == history.Act && e.Status == 200 {
@@ -284,7 +284,7 @@
 }
 
 // firsts are the times from a request's asking to its first event.
-func firsts(events []history.Event) (all []time.Duration) {
+func firstEventLatencies(events []history.Event) (all []time.Duration) {
 	asked := map[string]int64{}
 	for _, e := range events {
 		switch e.What {
@@ -319,7 +319,7 @@
 			if !*measure && rig == "view = true" {
 				continue
 			}
-			x, err := experiment.Parse([]byte(strings.Replace(fmt.Sprintf(fleetOf, length, 5, rig), "= 30", "= 60", 1)), "x.hcl")
+			x, err := experiment.Parse([]byte(strings.Replace(fmt.Sprintf(fleetFormat, length, 5, rig), "= 30", "= 60", 1)), "x.hcl")
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -327,7 +327,7 @@
 			for _, v := range r.Verdicts {
 				t.Error(v.String())
 			}
-			most, acts := perSecond(r.Events)
+			most, acts := maxActsPerSecond(r.Events)
 			holders := map[uint64]bool{}
 			memory := int64(0)
 			for _, e := range r.Events {
@@ -336,7 +336,7 @@
 				}
 				memory = max(memory, e.Memory)
 			}
-			f := firsts(r.Events)
+			f := firstEventLatencies(r.Events)
 			t.Logf("%q: %d copies by %d holders, %d in a second at most (cap %d); first event of %d live requests p50 %v, p99 %v; memory %d MB at most", strings.ReplaceAll(rig, "\n", ", "),
 				acts, len(holders), most, copiesPerSecond, len(f), f[len(f)/2].Round(10*time.Microsecond), f[len(f)*99/100].Round(10*time.Microsecond), memory>>20)
 			if most > copiesPerSecond {
--- a/internal/testbed/chaos/failure.go
+++ b/internal/testbed/chaos/failure.go
@@ -10,8 +10,7 @@
 	"reachspread/internal/testbed/history"
 )
 
-// writeFailure writes the verdicts, the schedule and the last events before the first verdict into
-// the folder.
+// writeFailure writes verdicts.txt to the folder of the run, with the output of WriteFailure.
 func (p *play) writeFailure(r *Result) error {
 	f, err := os.Create(filepath.Join(p.folder, "verdicts.txt"))
 	if err != nil {
@@ -21,11 +20,11 @@
 	return f.Close()
 }
 
-// shownEvents is how many events before a verdict are shown.
+// shownEvents is the maximum number of events that WriteFailure prints.
 const shownEvents = 30
 
-// WriteFailure writes the verdicts with seed, schedule and the events that led to the first of
-// them.
+// WriteFailure writes the verdicts, the seed, the fault schedule, and the last events that concern
+// the first verdict and precede it.
 func WriteFailure(w io.Writer, r *Result, seed uint64) {
 	for i := range r.Verdicts {
 		fmt.Fprintln(w, r.Verdicts[i].String())
--- a/internal/testbed/chaos/layout.go
+++ b/internal/testbed/chaos/layout.go
@@ -10,27 +10,27 @@
 	"syscall"
 )
 
-// layout gives everything an address of its own below the ports that the system hands out, so that
-// whoever comes back finds its own free: 127.A.B.0/24 is one rig's, .2 has the hosts and .10 on the
-// routers.
+// layout assigns loopback addresses to all parts of a run. Each run uses its own block 127.A.B.0/24:
+// hosts listen on .2, and routers on the addresses from .10 up. The ports lie below the range from
+// which the system assigns ephemeral ports, so that a restarted process finds its port free.
 type layout struct {
 	a, b  int
-	guard net.Listener // whoever holds it has the block
+	guard net.Listener // the run that holds this listener owns the block
 }
 
 const (
-	clientPort         = 9000
-	managementPort     = 9001 // and the next ones for further processes of a router
-	peerPort           = 7946
-	listPort           = 8500
-	hostPort           = 10000 // of a router's relay to host 0
-	seenPort           = 20000 // at which a router is reached by the others
-	guardPort          = 9999
-	voterPort          = 7950
-	lineFirst          = 30000 // of a router's relay to the voter of router 0
-	firstCandidatePort = 12000 // of the host that gets copies
-	copyPort           = 9500  // of a router's relay to it
-	firstHost          = 11000
+	clientPort          = 9000
+	managementPort      = 9001 // and the next ones for further processes of a router
+	peerPort            = 7946
+	listPort            = 8500
+	hostPort            = 10000 // of a router's relay to host 0
+	advertisedPort      = 20000 // the proxy's port at which other routers reach a router
+	guardPort           = 9999
+	voterPort           = 7950
+	firstVoterProxyPort = 30000 // of a router's proxy to the voter of router 0
+	firstCandidatePort  = 12000 // of the candidate host, which receives copies
+	copyPort            = 9500  // of a router's proxy to the candidate host
+	firstHost           = 11000
 )
 
 func newLayout() (*layout, error) {
@@ -58,17 +58,19 @@
 func (l *layout) hostOf(i, n int) string { return l.router(i) + ":" + strconv.Itoa(hostPort+n) }
 func (l *layout) host(n int) string      { return l.ip(2) + ":" + strconv.Itoa(firstHost+n) }
 func (l *layout) voter(i int) string     { return l.router(i) + ":" + strconv.Itoa(voterPort) }
-func (l *layout) line(i, to int) string  { return l.router(i) + ":" + strconv.Itoa(lineFirst+to) }
-func (l *layout) copies(i int) string    { return l.router(i) + ":" + strconv.Itoa(copyPort) }
-func (l *layout) candidate() string      { return l.ip(2) + ":" + strconv.Itoa(firstCandidatePort) }
+func (l *layout) voterProxy(i, to int) string {
+	return l.router(i) + ":" + strconv.Itoa(firstVoterProxyPort+to)
+}
+func (l *layout) copies(i int) string { return l.router(i) + ":" + strconv.Itoa(copyPort) }
+func (l *layout) candidate() string   { return l.ip(2) + ":" + strconv.Itoa(firstCandidatePort) }
 func (l *layout) peer(i int) netip.AddrPort {
 	return netip.MustParseAddrPort(l.router(i) + ":" + strconv.Itoa(peerPort))
 }
-func (l *layout) seen(i int) netip.AddrPort {
-	return netip.MustParseAddrPort(l.router(i) + ":" + strconv.Itoa(seenPort))
+func (l *layout) advertised(i int) netip.AddrPort {
+	return netip.MustParseAddrPort(l.router(i) + ":" + strconv.Itoa(advertisedPort))
 }
 
-// addresses are those of all routers, of one kind.
+// addresses returns one address for each of n routers, computed by of.
 func addresses(n int, of func(int) netip.AddrPort) (all []netip.AddrPort) {
 	for i := range n {
 		all = append(all, of(i))
@@ -76,15 +78,16 @@
 	return all
 }
 
-// known are all routers as lists of peers name them.
-func (l *layout) known(n int) (all []string) {
-	for _, a := range addresses(n, l.seen) {
+// advertisedPeers returns the addresses of the first n routers as the peer lists in the
+// configuration name them.
+func (l *layout) advertisedPeers(n int) (all []string) {
+	for _, a := range addresses(n, l.advertised) {
 		all = append(all, a.String())
 	}
 	return all
 }
 
-// routerAt names the router that an address belongs to.
+// routerAt returns the name of the router that an address belongs to, or "" if it is no router's.
 func (l *layout) routerAt(addr string) string {
 	a, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -97,13 +100,16 @@
 	return "r" + strconv.Itoa(int(ip[3])-10)
 }
 
-// What a play holds for each router beside its sockets: pipes of its log, its listener, its
-// management address and its /-/ready.
-const perRouter, perLink, atAll = 24, 6, 200
+// These bound the file descriptors of a run. descriptorsPerRouter allows for the pipes of a
+// router's log, its listener, calls to its management address and polls of its /-/ready, and
+// descriptorsPerLink for one proxy between a router and a host or list. baseDescriptors is
+// independent of the size of the fleet.
+const descriptorsPerRouter, descriptorsPerLink, baseDescriptors = 24, 6, 200
 
-// enoughDescriptors refuses a play that this process could not hold.
+// enoughDescriptors returns an error if this process may not open as many descriptors as a run may
+// need.
 func enoughDescriptors(routers, hosts int) error {
-	need := uint64(routers*(hosts+1)*perLink + routers*perRouter + hosts + atAll)
+	need := uint64(routers*(hosts+1)*descriptorsPerLink + routers*descriptorsPerRouter + hosts + baseDescriptors)
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		return err
@@ -114,5 +120,5 @@
 	return nil
 }
 
-// expand puts a router's own folder into a text.
+// expand replaces the placeholder for a router's durable folder in a text by its path.
 func expand(text, disk string) string { return strings.ReplaceAll(text, "@DISK@", disk) }
--- a/internal/testbed/chaos/network.go
+++ b/internal/testbed/chaos/network.go
@@ -12,7 +12,7 @@
 	"reachspread/internal/testbed/history"
 )
 
-// maxDatagram is the platform's bound between routers, in bytes.
+// maxDatagram is the largest datagram, in bytes, that the platform allows between routers.
 const maxDatagram = 256
 
 // openNetwork starts the hosts, the lists and the proxies between them and the routers.
@@ -46,17 +46,17 @@
 	return nil
 }
 
-// openMesh starts the proxy of datagrams between routers.
+// openMesh starts the proxy that carries the datagrams between routers.
 func (p *play) openMesh() (err error) {
 	recordOversized := func(from, bytes int) {
 		p.recorder.add(history.Event{What: history.OversizedDatagram, Who: fmt.Sprint("r", from), Bytes: bytes})
 	}
-	listen, reached := addresses(p.spec.Routers, p.layout.peer), addresses(p.spec.Routers, p.layout.seen)
+	listen, reached := addresses(p.spec.Routers, p.layout.peer), addresses(p.spec.Routers, p.layout.advertised)
 	p.mesh, err = faultproxy.NewMesh(listen, reached, p.options.Seed, maxDatagram, recordOversized)
 	return err
 }
 
-// openHostProxies starts the proxies between a router and all hosts.
+// openHostProxies starts the proxies from one router to all hosts.
 func (p *play) openHostProxies(router int) (err error) {
 	row := make([]*faultproxy.ConnProxy, len(p.fleet.Hosts))
 	p.hosts = append(p.hosts, row)
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// openList starts the list that a router reads, and the proxy between them.
+// openList starts the discovery list that a router reads, and the proxy between the two.
 func (p *play) openList(router int) error {
 	list, err := p.fleet.AddList("127.0.0.1:0", func(n int) string { return p.layout.hostOf(router, n) })
 	if err != nil {
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// hostName is a host's name in the history, by that of the list.
+// hostName returns the name that the history uses for a host, given the host's id in the list.
 func (p *play) hostName(id string) string {
 	if n := fakes.HostNumber(id); n >= 0 {
 		return fmt.Sprint("h", n)
@@ -116,7 +116,7 @@
 	}
 }
 
-// closings adds to the history that a router closed a connection.
+// closings is an observer of a router's host proxies that records each connection the router closes.
 type closings struct {
 	rec    *recorder
 	router int
@@ -127,7 +127,7 @@
 	c.rec.add(history.Event{What: history.Closed, Who: fmt.Sprint("r", c.router), Conn: conn})
 }
 
-// closeNetwork ends all that openNetwork has started.
+// closeNetwork stops everything that openNetwork has started.
 func (p *play) closeNetwork() {
 	var all sync.WaitGroup
 	for _, row := range append(p.hosts, p.lists) {
@@ -147,7 +147,8 @@
 	}
 }
 
-// setConditions sets the condition of all links by the faults in force.
+// setConditions sets the condition of all links according to the faults in force. listDown also
+// blackholes the links to the discovery lists.
 func (p *play) setConditions(on []*faults.Injection, listDown bool) error {
 	if p.mesh != nil {
 		p.mesh.Set(on)
@@ -173,7 +174,7 @@
 		}
 		set(p.lists[i], i, faults.End{Kind: faults.AtList}, listDown)
 	}
-	p.eachLine(func(c *faultproxy.ConnProxy, near int, far faults.End) { set(c, near, far, false) })
+	p.eachDutyProxy(func(c *faultproxy.ConnProxy, near int, far faults.End) { set(c, near, far, false) })
 	all.Wait()
 	return failed
 }
--- a/internal/testbed/chaos/page.go
+++ b/internal/testbed/chaos/page.go
@@ -11,7 +11,7 @@
 	"reachspread/internal/testbed/history"
 )
 
-// The page's measures, in its own units.
+// The dimensions of the page in SVG units, and the maximum numbers of ticks and bars in a chart.
 const (
 	pageWidth, laneLeft    = 1400, 90
 	laneHeight, bandHeight = 22, 14
@@ -19,18 +19,18 @@
 	mostTicks, mostBars    = 20, 350
 )
 
-// phaseColours are those of the phases of a router.
+// phaseColours maps each phase of a router to its fill colour.
 var phaseColours = map[string]string{"starting": "#d0d0d0", "listing": "#f3d9a4", "withheld": "#f3d9a4", "serving": "#b7dfb9", "draining": "#cfc3e8",
 	"leaving": "#f0b8a0", "finishing": "#e59a8a", "stopped": "#ffffff"}
 
-// howColours are those of answers, the best one first.
+// howColours has the colour of each request outcome, from best to worst.
 var howColours = []struct {
 	how    history.How
 	colour string
 }{{history.Complete, "#4c9f70"}, {history.Refused, "#e0b84c"}, {history.Left, "#b0b0b0"}, {history.Broken, "#d9822b"}, {history.Failed, "#c0504d"},
 	{history.Interrupted, "#a0307d"}, {history.Unreached, "#6f6fa8"}, {history.None, "#000000"}}
 
-// page draws a history.
+// page draws a history as an HTML page. It keeps the first error of writing.
 type page struct {
 	w   io.Writer
 	end int64
@@ -47,8 +47,8 @@
 	return laneLeft + float64(t)/float64(max(p.end, 1))*float64(pageWidth-laneLeft-10)
 }
 
-// WritePage draws lanes of processes with their phases, faults as bands, what clients got over
-// time, and verdicts. The page needs no network.
+// WritePage writes an HTML page with a lane of phases for each router, a band for each fault, a
+// chart of request outcomes over time, and the verdicts. The page loads nothing from the network.
 func WritePage(w io.Writer, events []history.Event, verdicts []checker.Violation) error {
 	if len(events) == 0 || events[0].Play == nil {
 		return fmt.Errorf("the history has no beginning")
@@ -61,7 +61,7 @@
 	about := events[0].Play
 	bands := 0
 	for _, f := range c.Faults {
-		if f.N < stallNumber {
+		if f.N < firstStallNumber {
 			bands++
 		}
 	}
@@ -139,8 +139,8 @@
 	}
 }
 
-// lanes draws a lane for each router: the phases of its processes, one above the other where there
-// are two.
+// lanes draws a lane for each router with the phases of its processes. Where two processes run at
+// the same time, it draws one above the other.
 func (p *page) lanes(events []history.Event, routers, y int) int {
 	type stretch struct {
 		from  int64
@@ -158,7 +158,7 @@
 			return
 		}
 		h, down := laneHeight-6, 0
-		if strings.Contains(who, "/") { // a further process, in the lower half while both live
+		if strings.Contains(who, "/") { // a later process is in the lower half while both run
 			if _, both := now[strings.SplitN(who, "/", 2)[0]]; both {
 				h, down = h/2, h/2
 			}
@@ -198,10 +198,11 @@
 	return y + routers*laneHeight
 }
 
-// faults draws a band for each, and the machine's standstills as grey lines over all.
+// faults draws a band for each fault. It draws each stall of the machine as a grey line across all
+// lanes.
 func (p *page) faults(c *checker.Case, y int) int {
 	for _, f := range c.Faults {
-		if f.N >= stallNumber {
+		if f.N >= firstStallNumber {
 			p.put(`<line x1="%.1f" x2="%.1f" y1="20" y2="%d" stroke="#888" stroke-dasharray="2,2"><title>the machine stood still</title></line>`, p.x(f.From), p.x(f.From), y)
 			continue
 		}
@@ -223,7 +224,7 @@
 	return y
 }
 
-// answers draws what became of the requests that were asked in each stretch of time.
+// answers draws a bar for each interval of time, with the outcomes of the requests sent in it.
 func (p *page) answers(c *checker.Case, events []history.Event, y int) {
 	bars := make([]map[history.How]int, mostBars)
 	at := func(t int64) int { return min(int(float64(t)/float64(max(p.end, 1))*mostBars), mostBars-1) }
--- a/internal/testbed/chaos/player.go
+++ b/internal/testbed/chaos/player.go
@@ -204,9 +204,9 @@
 		wait(ctx, s.Length)
 		return r.revive(func() error { return y.disk(s, r) })
 	case faults.Freeze:
-		r.still(true)
+		r.setFrozen(true)
 		wait(ctx, s.Length)
-		r.still(false)
+		r.setFrozen(false)
 	case faults.Crawl:
 		y.crawl(ctx, s, r)
 	case faults.Restart:
@@ -247,7 +247,7 @@
 	case faults.Withhold:
 		y.call(ctx, r, "drain-on")
 		wait(ctx, s.Length)
-		for !y.call(ctx, r, "drain-off") && wait(ctx, callAgain) { // a router that is down by then would come back drained
+		for !y.call(ctx, r, "drain-off") && wait(ctx, callRetryInterval) { // a router that is down by then would come back drained
 		}
 	default:
 		return fmt.Errorf("the rig does not know it")
@@ -255,7 +255,7 @@
 	return nil
 }
 
-const callAgain = 200 * time.Millisecond
+const callRetryInterval = 200 * time.Millisecond
 
 // call makes a call that the operators would make, into the history, and tells whether the router
 // did it.
@@ -274,14 +274,14 @@
 }
 
 // burst is the length of one standstill with the time until the next one.
-const burst = 200 * time.Millisecond
+const crawlPeriod = 200 * time.Millisecond
 
 func (y *player) crawl(ctx context.Context, s *faults.Injection, r *router) {
 	for end := time.Now().Add(s.Length); time.Now().Before(end) && ctx.Err() == nil; {
-		r.still(true)
-		wait(ctx, time.Duration(s.Share*float64(burst)))
-		r.still(false)
-		wait(ctx, time.Duration((1-s.Share)*float64(burst)))
+		r.setFrozen(true)
+		wait(ctx, time.Duration(s.Share*float64(crawlPeriod)))
+		r.setFrozen(false)
+		wait(ctx, time.Duration((1-s.Share)*float64(crawlPeriod)))
 	}
 }
 
@@ -323,7 +323,7 @@
 }
 
 // takesWithin is the platform's, for a process that takes over.
-const takesWithin = 6 * time.Second
+const takeoverTimeout = 6 * time.Second
 
 // replace starts a second process and ends the first once the second takes clients.
 func (y *player) replace(ctx context.Context, s *faults.Injection, r *router) error {
@@ -353,8 +353,8 @@
 		if text, err := x.call(ctx, "check", time.Second); err == nil && strings.HasPrefix(text, "+OK") {
 			break
 		}
-		if time.Since(began) > takesWithin+y.p.options.Experiment.Rig.Slack && r.runs() {
-			y.p.recorder.add(history.Event{What: history.Unresponsive, Who: x.name, Text: fmt.Sprintf("takes no clients %v after its start beside another", takesWithin)})
+		if time.Since(began) > takeoverTimeout+y.p.options.Experiment.Rig.Slack && r.canRun() {
+			y.p.recorder.add(history.Event{What: history.Unresponsive, Who: x.name, Text: fmt.Sprintf("takes no clients %v after its start beside another", takeoverTimeout)})
 			break
 		}
 	}
@@ -376,10 +376,10 @@
 }
 
 // runs tells that nothing keeps a router from running.
-func (r *router) runs() bool {
+func (r *router) canRun() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.down == 0 && r.paused == 0 && time.Since(r.freed) > 2*time.Second
+	return r.down == 0 && r.paused == 0 && time.Since(r.resumedAt) > 2*time.Second
 }
 
 // noWrite has the durable folder be a file.
@@ -419,7 +419,7 @@
 		return nil
 	}
 	before := folderContents(r.disk())
-	if err := y.spoilDisk(s, r); err != nil {
+	if err := y.corruptDisk(s, r); err != nil {
 		return err
 	}
 	y.p.recorder.add(history.Event{What: history.Note, Who: r.name(), Text: fmt.Sprintf("disk %s: %s, then %s", s.Disk, before, folderContents(r.disk()))})
@@ -443,7 +443,7 @@
 }
 
 // spoilDisk does to a router's folder what a fault says.
-func (y *player) spoilDisk(s *faults.Injection, r *router) error {
+func (y *player) corruptDisk(s *faults.Injection, r *router) error {
 	switch s.Disk {
 	case faults.DiskEmpty:
 		return clearFolder(r.disk())
@@ -483,7 +483,7 @@
 				continue
 			}
 			if err == nil {
-				text, err = spoilt(s.Disk, text)
+				text, err = corruptedSnapshot(s.Disk, text)
 			}
 			if err == nil {
 				err = os.WriteFile(path, text, 0o644)
@@ -497,7 +497,7 @@
 }
 
 // spoilt is a snapshot as another program, another clock or a worn disk would have left it.
-func spoilt(how faults.Disk, text []byte) ([]byte, error) {
+func corruptedSnapshot(how faults.Disk, text []byte) ([]byte, error) {
 	switch how {
 	case faults.DiskNewer:
 		text[5]++
--- a/internal/testbed/chaos/process.go
+++ b/internal/testbed/chaos/process.go
@@ -72,26 +72,26 @@
 	held     *os.File // the clients' listener, nil where processes open their own
 	settings string   // the file that processes are told of, empty for none
 
-	mu     sync.Mutex
-	procs  []*process // that live, the oldest first
-	count  int        // started so far
-	down   int        // faults that keep it from running
-	paused int        // faults that have it stand still
-	ended  bool       // the play is over
-	freed  time.Time  // when it was last made to go on
+	mu        sync.Mutex
+	procs     []*process // that live, the oldest first
+	count     int        // started so far
+	down      int        // faults that keep it from running
+	paused    int        // faults that have it stand still
+	ended     bool       // the play is over
+	resumedAt time.Time  // when it was last made to go on
 }
 
 // process is one process of a router.
 type process struct {
-	name       string
-	r          *router
-	cmd        *exec.Cmd
-	management string
-	done       chan bool // closed once it has ended and all it wrote is read
-	twin       bool
-	terminated atomic.Bool // it was sent SIGTERM
-	spoke      bool        // it has named a phase: its management address answers
-	quiet      bool        // what it writes from now on goes to its file alone
+	name        string
+	r           *router
+	cmd         *exec.Cmd
+	management  string
+	done        chan bool // closed once it has ended and all it wrote is read
+	twin        bool
+	terminated  atomic.Bool // it was sent SIGTERM
+	loggedPhase bool        // it has named a phase: its management address answers
+	logFileOnly bool        // what it writes from now on goes to its file alone
 }
 
 func (r *router) name() string { return "r" + strconv.Itoa(r.n) }
@@ -142,16 +142,16 @@
 		return ""
 	}
 	var seeds []string
-	for _, a := range p.layout.known(min(n, p.spec.Routers)) {
+	for _, a := range p.layout.advertisedPeers(min(n, p.spec.Routers)) {
 		seeds = append(seeds, strconv.Quote(a))
 	}
-	return fmt.Sprintf("  listen = %q\n  address = %q\n  seeds = [%s]\n", p.layout.peer(i), p.layout.seen(i), strings.Join(seeds, ", "))
+	return fmt.Sprintf("  listen = %q\n  address = %q\n  seeds = [%s]\n", p.layout.peer(i), p.layout.advertised(i), strings.Join(seeds, ", "))
 }
 
 // configure writes the configuration that processes read.
 func (r *router) configure() error {
 	p, x := r.p, &r.p.options.Experiment.Rig
-	peers := p.layout.known(p.spec.Routers)
+	peers := p.layout.advertisedPeers(p.spec.Routers)
 	if x.Seeds > 0 {
 		peers = nil
 	}
@@ -233,7 +233,7 @@
 		line, err := lines.ReadString('\n')
 		if line != "" {
 			file.WriteString(line)
-			x.wrote(strings.TrimSpace(line))
+			x.recordLogLine(strings.TrimSpace(line))
 		}
 		if err != nil {
 			break
@@ -267,16 +267,16 @@
 }
 
 // wrote puts a line of its log into the history.
-func (x *process) wrote(line string) {
+func (x *process) recordLogLine(line string) {
 	x.r.mu.Lock()
-	quiet := x.quiet
+	quiet := x.logFileOnly
 	x.r.mu.Unlock()
 	if quiet || line == "" {
 		return
 	}
 	if _, phase, ok := strings.Cut(line, "phase name="); ok {
 		x.r.mu.Lock()
-		x.spoke = true
+		x.loggedPhase = true
 		x.r.mu.Unlock()
 		x.r.p.recorder.add(history.Event{What: history.Phase, Who: x.name, Text: phase})
 		return
@@ -355,14 +355,14 @@
 
 // still has all processes of a router stand still, or go on once nothing has them stand still any
 // more.
-func (r *router) still(on bool) {
+func (r *router) setFrozen(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	signal := syscall.SIGSTOP
 	if on {
 		r.paused++
 	} else if r.paused--; r.paused == 0 {
-		signal, r.freed = syscall.SIGCONT, time.Now()
+		signal, r.resumedAt = syscall.SIGCONT, time.Now()
 	}
 	if on == (r.paused > 0) {
 		for _, x := range r.procs {
--- a/internal/testbed/chaos/record.go
+++ b/internal/testbed/chaos/record.go
@@ -9,7 +9,8 @@
 	"reachspread/internal/testbed/history"
 )
 
-// recorder gives events their times, writes them to the history and lets others wait for them.
+// recorder stamps events with their times, writes them to the history file, and lets callers wait
+// for events.
 type recorder struct {
 	start    time.Time // with the monotonic clock
 	observer func(*history.Event)
@@ -23,7 +24,7 @@
 	closed bool
 }
 
-// newRecorder creates a history. The error is that of the file, which must not exist.
+// newRecorder creates the history file at path, which must not exist yet.
 func newRecorder(path string, report func(*history.Event)) (*recorder, error) {
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644)
 	if err != nil {
@@ -32,10 +33,10 @@
 	return &recorder{start: time.Now(), observer: report, file: f, writer: history.NewWriter(f), more: make(chan bool)}, nil
 }
 
-// at is a time in nanoseconds since the start, as events have it.
+// at converts a time to nanoseconds since the start, which is the unit of event times.
 func (r *recorder) at(t time.Time) int64 { return max(t.Sub(r.start).Nanoseconds(), 0) }
 
-// add adds an event at this time. Events after close are dropped.
+// add stamps an event with the present time and adds it. Events after close are dropped.
 func (r *recorder) add(e history.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -56,12 +57,13 @@
 	r.more = make(chan bool)
 }
 
-// await returns the first event that fits, past or future. The error is that of ctx.
+// await returns the first event for which fits returns true. It waits if there is none yet, and
+// returns the error of ctx if ctx ends first.
 func (r *recorder) await(ctx context.Context, fits func(*history.Event) bool) (history.Event, error) {
 	return r.awaitFrom(ctx, 0, fits)
 }
 
-// awaitFrom is await for events from a number on.
+// awaitFrom is like await, but skips the events with an index below from.
 func (r *recorder) awaitFrom(ctx context.Context, from int, fits func(*history.Event) bool) (history.Event, error) {
 	for {
 		r.mu.Lock()
@@ -82,7 +84,7 @@
 	}
 }
 
-// count is the number of events so far.
+// count returns the number of events so far.
 func (r *recorder) count() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -101,7 +103,7 @@
 	return r.writer.Lost()
 }
 
-// close ends the history and returns the first error of writing it.
+// close closes the history file and returns the first error that writing it had.
 func (r *recorder) close() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/testbed/chaos/recovery_test.go
+++ b/internal/testbed/chaos/recovery_test.go
@@ -20,7 +20,7 @@
 }
 
 // words are what of log lines is looked for.
-var words = []string{"list of the last life", "snapshot broken", "snapshot of another router", "snapshot read", `whose="this router"`, `whose="some routers"`, `whose="all routers"`,
+var logMessages = []string{"list of the last life", "snapshot broken", "snapshot of another router", "snapshot read", `whose="this router"`, `whose="some routers"`, `whose="all routers"`,
 	"measure of others taken", "shunned=1", "settings=same", "stage=admitting", "stage=duties", "stage=back"}
 
 // returnCases have routers of two zones by turns: even ones east, odd ones west.
@@ -232,7 +232,7 @@
     per_made  = "600us"
   }
 }`
-	text := fleetOf
+	text := fleetFormat
 	for _, zone := range []string{"east", "west"} {
 		text = strings.Replace(text, fmt.Sprintf("  zone  = %q\n}", zone), fmt.Sprintf(cold, zone), 1)
 	}
@@ -287,7 +287,7 @@
 				case history.Phase:
 					keys = append(keys, e.Who+" "+e.Text)
 				case history.Log:
-					for _, verdict := range words {
+					for _, verdict := range logMessages {
 						if strings.Contains(e.Text, verdict) {
 							keys = append(keys, e.Who+" "+verdict)
 						}
--- a/internal/testbed/chaos/returns.go
+++ b/internal/testbed/chaos/returns.go
@@ -11,13 +11,13 @@
 )
 
 // Returns collects how long restarted routers took from the start of the process to each phase and
-// stage of their return.
+// stage of their recovery.
 type Returns struct {
 	of map[string][]time.Duration
 }
 
-// returnSteps are the steps of a return in their order: phases of the program, and stages by their
-// log lines.
+// returnSteps are the steps of a recovery in order. A step is a phase of the program, or a stage
+// that a log line reports.
 var returnSteps = []struct{ name, phase, stage string }{
 	{"listening", "listing", ""}, {"asked others", "", "listing"}, {"serves", "serving", ""}, {"has a list", "", "admitting"}, {"hosts warm", "", "duties"}, {"back", "", "back"},
 }
--- a/internal/testbed/chaos/run.go
+++ b/internal/testbed/chaos/run.go
@@ -14,9 +14,9 @@
 	"reachspread/internal/testbed/simulator"
 )
 
-// run starts the network and the routers, runs clients and faults to their end, and ends all
-// processes. The error is that of what could not be started, of a fault that could not be played,
-// or of ctx.
+// run starts the network and the routers, runs clients and faults to their end, and stops all
+// processes. It returns an error if something can't be started, if a fault can't be injected, or if
+// ctx has ended.
 func (p *play) run(ctx context.Context, plan []simulator.Planned) (_ []fakes.Tally, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -43,8 +43,8 @@
 		return nil, err
 	}
 	defer p.endRouters()
-	p.front = newFront(p)
-	background.Go(func() { p.front.watch(backgroundCtx) })
+	p.balancer = newLoadBalancer(p)
+	background.Go(func() { p.balancer.watch(backgroundCtx) })
 	if err := p.startRouters(ctx); err != nil {
 		return nil, err
 	}
@@ -59,7 +59,7 @@
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
-	endBackground() // before the routers end: an ending process is not to be reported as hung
+	endBackground() // before the routers stop, so that a stopping process is not reported as hung
 	background.Wait()
 	p.endRouters()
 	p.recorder.add(history.Event{What: history.End})
@@ -83,7 +83,8 @@
 	return nil
 }
 
-// awaitReady waits until a router is ready. The error has the last line of its log.
+// awaitReady waits until a router is ready. If the router exits or ctx ends first, the error has the
+// last line of the router's log.
 func (p *play) awaitReady(ctx context.Context, r *router) error {
 	e, err := p.recorder.await(ctx, func(e *history.Event) bool {
 		return e.Who == r.name() && (e.What == history.Ready || e.What == history.Exit)
@@ -98,10 +99,11 @@
 		return nil
 	}
 	log, _ := os.ReadFile(filepath.Join(r.folder, "log"))
-	return fmt.Errorf("router %s %s; its last words: %q", r.name(), reason, lastLine(log))
+	return fmt.Errorf("router %s %s; the last line of its log: %q", r.name(), reason, lastLine(log))
 }
 
-// startObservers starts what looks at the routers, and what hands roles over, until ctx ends.
+// startObservers starts the goroutines that observe the routers and, if the experiment asks for it,
+// the one that hands the copier duty over. They run until ctx ends.
 func (p *play) startObservers(ctx context.Context, background *sync.WaitGroup) {
 	x := &p.options.Experiment.Rig
 	w := newWatch(p)
@@ -117,11 +119,11 @@
 	}
 }
 
-// newClients are the clients of the experiment, whose events go into the history.
+// newClients returns the clients of the experiment. Their events are added to the history.
 func (p *play) newClients() *fakes.Clients {
 	x := &p.options.Experiment.Rig
 	clients := fakes.NewClients("", &p.spec)
-	clients.RouterFor = p.front.pick
+	clients.RouterFor = p.balancer.pick
 	clients.Observe = p.recordClientEvent
 	clients.Grace = x.Slack + time.Second
 	clients.Retries = x.Retries
@@ -129,8 +131,8 @@
 	return clients
 }
 
-// recordClientEvent adds an event of a client to the history. Clients know routers by their
-// addresses, the history by their names.
+// recordClientEvent adds an event of a client to the history. It replaces a router's address, which
+// the client uses, by the router's name, which the history uses.
 func (p *play) recordClientEvent(s fakes.ClientEvent) {
 	e := s.Event
 	switch e.What {
@@ -145,7 +147,7 @@
 	p.recorder.add(e)
 }
 
-// lastLine is the last line of a log that says something.
+// lastLine returns the last line of a log that is not blank.
 func lastLine(log []byte) string {
 	lines := strings.Split(strings.TrimSpace(string(log)), "\n")
 	return lines[len(lines)-1]
--- a/internal/testbed/chaos/series.go
+++ b/internal/testbed/chaos/series.go
@@ -17,35 +17,36 @@
 	"reachspread/internal/testbed/history"
 )
 
-// Series is plays one after another.
+// Series configures several plays, that is runs of one experiment, one after another.
 type Series struct {
 	Experiment *experiment.Experiment
 	Program    string
-	Folder     string // for plays that are kept, empty for none
-	Drawn      bool   // schedules are drawn, one seed after another
+	Folder     string // keeps a folder for each play; empty to keep none
+	Drawn      bool   // fault schedules are drawn at random, each play with the next seed
 	Seed       uint64
-	Faults     int           // of a drawn schedule, at most; 0 for the usual
-	Kinds      []faults.Kind // drawn from; none for all
-	Beside     bool          // what is drawn lies beside the file's own faults
-	Until      time.Duration // no play begins after so long; 0 for no bound
-	Plays      int           // so many at most; 0 for one, or with Until for as many as fit
-	Shrink     int           // plays that a failing schedule may be shrunk by
+	Faults     int           // maximum number of faults in a drawn schedule; 0 for the default
+	Kinds      []faults.Kind // kinds of faults to draw from; empty for all
+	Beside     bool          // drawn faults are added to the faults of the experiment's file
+	Until      time.Duration // no play begins after this time; 0 for no limit
+	Plays      int           // maximum number of plays; 0 for one, or for as many as fit if Until is set
+	Shrink     int           // maximum number of plays that are spent to shrink a failing schedule
 	Profile    bool
 }
 
-// Played is one of them.
+// Played is the outcome of one play of a series.
 type Played struct {
 	Seed   uint64
 	Faults []faults.Fault
 	Result *Result
-	Err    error // it could not be played
-	Small  *faults.Trial
-	Again  int // of the plays of Small that failed, in Tries
+	Err    error         // the play could not be run, or its page not written
+	Small  *faults.Trial // the shrunk schedule; nil if none was shrunk
+	Again  int           // how many of the Tries plays of Small failed
 	Tries  int
-	Shown  string // where its page is
+	Shown  string // path of its page
 }
 
-// Run plays them until all are over, and tells of each.
+// Run runs the plays of the series and calls report after each. It returns the error of ctx if ctx
+// ends first.
 func (s *Series) Run(ctx context.Context, report func(*Played)) error {
 	plays := s.Plays
 	if plays == 0 && s.Until == 0 {
@@ -65,7 +66,7 @@
 func (s *Series) options(seed uint64) Options {
 	o := Options{Experiment: s.Experiment, Seed: seed, Program: s.Program, Profile: s.Profile, Drawn: s.Drawn}
 	if !s.Drawn {
-		o.Seed += s.Experiment.Seeds[0] // the file's first, and those after it
+		o.Seed += s.Experiment.Seeds[0] // the first seed of the experiment's file and the seeds after it
 	}
 	return o
 }
@@ -95,7 +96,7 @@
 	return p
 }
 
-// draw draws a schedule that the experiment can play.
+// draw draws a random schedule of faults that the experiment supports.
 func (s *Series) draw(seed uint64) []faults.Fault {
 	var kinds []faults.Kind
 	for _, m := range faults.Kinds {
@@ -110,11 +111,12 @@
 	return all
 }
 
-// maxAttempts is how often a smaller schedule is played until it counts as one that does not fail.
+// maxAttempts is how often a smaller schedule is played without a failure before shrink treats it
+// as one that does not fail.
 const maxAttempts = 2
 
-// shrink makes a schedule that failed smaller, as long as the checker that failed first still
-// fails.
+// shrink reduces a failing schedule as long as the checker of its first violation still finds a
+// violation, and then replays the reduced schedule three times.
 func (s *Series) shrink(ctx context.Context, o Options, p *Played) {
 	checker := p.Result.Verdicts[0].Checker
 	all := o.Faults
@@ -161,7 +163,7 @@
 	return false
 }
 
-// Summary is a play in few figures.
+// Summary has the key figures of a play.
 type Summary struct {
 	Seed     uint64   `json:"seed"`
 	Error    string   `json:"error,omitempty"`
@@ -171,7 +173,7 @@
 	Refused  int      `json:"refused"`
 	Failed   int      `json:"failed"`
 	Broken   int      `json:"broken"`
-	Crossed  int      `json:"crossed"` // by closes between two requests, and sent once more
+	Crossed  int      `json:"crossed"` // requests that crossed the close of an idle connection and were sent again
 	Events   int      `json:"events"`
 	Stalls   int      `json:"stalls"`
 	Seconds  float64  `json:"seconds"`
@@ -179,7 +181,7 @@
 	Shrunk   string   `json:"shrunk,omitempty"`
 }
 
-// Summary is the play in few figures.
+// Summary returns the key figures of the play.
 func (p *Played) Summary() Summary {
 	s := Summary{Seed: p.Seed, Verdicts: []string{}}
 	if p.Small != nil {
@@ -217,8 +219,8 @@
 	return s
 }
 
-// Write prints a play: one line where nothing was found, and all that a person needs where
-// something was.
+// Write prints one line for a play without violations. For a play with violations it also prints
+// the verdicts, the events that led to the first one, and the shrunk schedule.
 func (p *Played) Write(w io.Writer) {
 	s := p.Summary()
 	if p.Err != nil {
@@ -242,10 +244,11 @@
 	}
 }
 
-// faults are those that began.
+// faults returns the events at which the faults of the schedule began, without stalls of the
+// machine.
 func (r *Result) faults() (all []history.Event) {
 	for _, e := range r.Events {
-		if e.What == history.Fault && e.N < stallNumber {
+		if e.What == history.Fault && e.N < firstStallNumber {
 			all = append(all, e)
 		}
 	}
--- a/internal/testbed/chaos/stalls.go
+++ b/internal/testbed/chaos/stalls.go
@@ -10,9 +10,9 @@
 	"reachspread/internal/testbed/history"
 )
 
-// stalls notices that the machine withheld processors from the test itself: what others did then is
-// seen late. It sends requests to a server of its own process, as clients and hosts of the test are
-// as late to see anything as that server and its client.
+// stalls detects the times in which the machine gave the test process itself no processor. The test
+// sees events of those times late. The detector sends requests to a server in its own process,
+// because the clients and hosts of the test are delayed just as much as that server and its client.
 type stalls struct {
 	recorder *recorder
 	mu       sync.Mutex
@@ -21,13 +21,16 @@
 
 const (
 	probeInterval = 50 * time.Millisecond // between two requests
-	// stallOf is what counts: less than half of the least slack of a rule.
-	stallOf = 200 * time.Millisecond
-	// stallNumber is that of the fault that the history has for it, beyond those of a schedule.
-	stallNumber = 1 << 16
+	// minStall is the smallest delay that counts as a stall. It is less than half of the smallest
+	// slack of any rule.
+	minStall = 200 * time.Millisecond
+	// firstStallNumber is the base of the fault numbers of stalls in the history. The faults of a
+	// schedule have smaller numbers.
+	firstStallNumber = 1 << 16
 )
 
-// watch sends requests until ctx ends. The error is that of the server's address.
+// watch starts the server and sends requests to it until ctx ends. It returns an error if the server
+// can't listen.
 func (s *stalls) watch(ctx context.Context) error {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -43,7 +46,7 @@
 	return nil
 }
 
-// probe measures how late each request to an address is answered.
+// probe sends requests to an address and records a stall for each that is answered late.
 func (s *stalls) probe(ctx context.Context, address string) {
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
@@ -61,7 +64,7 @@
 			continue
 		}
 		answer.Body.Close()
-		if late := time.Since(due); late > stallOf {
+		if late := time.Since(due); late > minStall {
 			s.record(late)
 		}
 	}
@@ -71,7 +74,7 @@
 func (s *stalls) record(length time.Duration) {
 	s.mu.Lock()
 	s.n++
-	n := stallNumber + s.n
+	n := firstStallNumber + s.n
 	s.mu.Unlock()
 	s.recorder.add(history.Event{What: history.Fault, N: n, Text: "machine", ID: length.String()})
 	s.recorder.add(history.Event{What: history.Heal, N: n, Text: "machine"})
--- a/internal/testbed/chaos/watch.go
+++ b/internal/testbed/chaos/watch.go
@@ -22,7 +22,7 @@
 
 // front is who spreads clients over routers: it asks each whether it is ready, and notices late
 // that one has died.
-type front struct {
+type loadBalancer struct {
 	p      *play
 	client *http.Client
 
@@ -31,22 +31,22 @@
 }
 
 const (
-	askEvery = 100 * time.Millisecond
+	readyPollInterval = 100 * time.Millisecond
 	// noticeAfter is how long a router may be silent until the front takes it for dead.
-	noticeAfter = 2 * time.Second
+	readyPollTimeout = 2 * time.Second
 )
 
-func newFront(p *play) *front {
-	return &front{p: p, ready: make([]bool, p.spec.Routers),
-		client: &http.Client{Timeout: noticeAfter, Transport: &http.Transport{DisableKeepAlives: true}}}
+func newLoadBalancer(p *play) *loadBalancer {
+	return &loadBalancer{p: p, ready: make([]bool, p.spec.Routers),
+		client: &http.Client{Timeout: readyPollTimeout, Transport: &http.Transport{DisableKeepAlives: true}}}
 }
 
 // watch asks all routers until ctx ends.
-func (f *front) watch(ctx context.Context) {
+func (f *loadBalancer) watch(ctx context.Context) {
 	var all sync.WaitGroup
 	for i, r := range f.p.routers {
 		all.Go(func() {
-			for ticker := time.NewTicker(askEvery); ; {
+			for ticker := time.NewTicker(readyPollInterval); ; {
 				ready := f.ask(ctx, i)
 				if ctx.Err() != nil {
 					ticker.Stop()
@@ -73,7 +73,7 @@
 	all.Wait()
 }
 
-func (f *front) ask(ctx context.Context, i int) bool {
+func (f *loadBalancer) ask(ctx context.Context, i int) bool {
 	r, err := http.NewRequestWithContext(ctx, "GET", "http://"+f.p.layout.client(i)+"/-/ready", nil)
 	if err != nil {
 		return false
@@ -87,7 +87,7 @@
 }
 
 // pick spreads requests over the routers that are ready, by their sessions' and own names.
-func (f *front) pick(p *simulator.Planned) string {
+func (f *loadBalancer) pick(p *simulator.Planned) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var up []int
@@ -114,11 +114,11 @@
 func newWatch(p *play) *watch { return &watch{p} }
 
 const (
-	lookEvery = 500 * time.Millisecond
+	watchInterval = 500 * time.Millisecond
 	// answerIn is how long an operators' caller waits, and idleRounds how many such times in a row
 	// are a process that hangs.
-	answerIn   = time.Second
-	idleRounds = 2
+	callTimeout        = time.Second
+	maxUnansweredCalls = 2
 )
 
 func (w *watch) run(ctx context.Context) {
@@ -130,7 +130,7 @@
 }
 
 func (w *watch) router(ctx context.Context, r *router) {
-	ticker := time.NewTicker(lookEvery)
+	ticker := time.NewTicker(watchInterval)
 	defer ticker.Stop()
 	unanswered := map[*process]*unansweredCalls{}
 	for {
@@ -151,7 +151,7 @@
 				unanswered[x] = &unansweredCalls{}
 			}
 			if err := w.check(ctx, x, unanswered[x]); err != nil {
-				w.p.catch(x, err)
+				w.p.dumpUnresponsive(x, err)
 			}
 		}
 	}
@@ -171,20 +171,20 @@
 	if u.count == 0 {
 		u.stalls, u.withheld = w.p.stalls.count(), withheldFrom(x.pid())
 	}
-	_, err := x.call(ctx, "check", answerIn)
+	_, err := x.call(ctx, "check", callTimeout)
 	if x.hasEnded() {
 		return nil
 	}
 	stalls, withheld := w.p.stalls.count()-u.stalls, withheldFrom(x.pid())-u.withheld
-	stalled := stalls > 0 || withheld > stallOf
+	stalled := stalls > 0 || withheld > minStall
 	if err != nil && ctx.Err() == nil && stalled {
 		w.p.recorder.add(history.Event{What: history.Note, Who: x.name, Text: fmt.Sprintf("no answer to check, not counted: %d stalls of the rig, %v withheld from the process", stalls, withheld)})
 	}
-	if err == nil || ctx.Err() != nil || stalled || !x.r.runs() || !x.hasSpoken() {
+	if err == nil || ctx.Err() != nil || stalled || !x.r.canRun() || !x.hasLoggedPhase() {
 		u.count = 0
 		return nil
 	}
-	if u.count++; u.count != idleRounds {
+	if u.count++; u.count != maxUnansweredCalls {
 		return nil
 	}
 	return err
@@ -199,10 +199,10 @@
 	}
 }
 
-func (x *process) hasSpoken() bool {
+func (x *process) hasLoggedPhase() bool {
 	x.r.mu.Lock()
 	defer x.r.mu.Unlock()
-	return x.spoke
+	return x.loggedPhase
 }
 
 // usage puts into the history what a process holds.
@@ -275,13 +275,13 @@
 }
 
 // caught tells whether a process was.
-func (p *play) caught() bool {
+func (p *play) foundUnresponsive() bool {
 	return slices.ContainsFunc(p.recorder.events(), func(e history.Event) bool { return e.What == history.Unresponsive })
 }
 
 // catch leaves all evidence of a process that answers nobody, before anybody can restart it: its
 // threads, twice, a CPU profile if it can still write one, and all its goroutines, which end it.
-func (p *play) catch(x *process, why error) {
+func (p *play) dumpUnresponsive(x *process, why error) {
 	path := filepath.Join(x.r.folder, "caught")
 	f, err := os.Create(path)
 	if err != nil {
@@ -297,7 +297,7 @@
 		time.Sleep(200 * time.Millisecond) // the time between two looks at its CPU
 	}
 	x.r.mu.Lock()
-	x.quiet = true // its goroutines go to its log alone
+	x.logFileOnly = true // its goroutines go to its log alone
 	x.r.mu.Unlock()
 	if p.options.Profile {
 		x.cmd.Process.Signal(syscall.SIGUSR1)
@@ -331,7 +331,7 @@
 }
 
 // viewLook is how often the rig asks each router for its view of the fleet.
-const viewLook = 250 * time.Millisecond
+const viewPollInterval = 250 * time.Millisecond
 
 // viewsWithin is when all views must be the same after the last fault, as the view's design note
 // derives it, 0 where routers keep none.
@@ -347,7 +347,7 @@
 	var all sync.WaitGroup
 	for _, r := range p.routers {
 		all.Go(func() {
-			ticker := time.NewTicker(viewLook)
+			ticker := time.NewTicker(viewPollInterval)
 			defer ticker.Stop()
 			last := ""
 			for {
@@ -360,7 +360,7 @@
 				if x == nil {
 					continue
 				}
-				answer, err := x.call(ctx, "view", answerIn)
+				answer, err := x.call(ctx, "view", callTimeout)
 				if err != nil || ctx.Err() != nil {
 					continue
 				}
@@ -415,7 +415,7 @@
 		}
 		for _, r := range p.routers {
 			if x := r.newest(); x != nil {
-				x.call(ctx, "vars", answerIn)
+				x.call(ctx, "vars", callTimeout)
 			}
 		}
 	}
--- a/internal/testbed/checker/answer.go
+++ b/internal/testbed/checker/answer.go
@@ -111,7 +111,7 @@
 			termed[e.Who] = e.T
 		case history.Exit:
 			t, ok := termed[e.Who]
-			if ok && e.Text == "killed" && e.T >= at-killSlack.Nanoseconds() && e.T-t >= c.Play.Leave && r.Ask.T <= t+takesFor.Nanoseconds() {
+			if ok && e.Text == "killed" && e.T >= at-killSlack.Nanoseconds() && e.T-t >= c.Play.Leave && r.Ask.T <= t+acceptAfterSIGTERM.Nanoseconds() {
 				return true
 			}
 		}
@@ -125,7 +125,7 @@
 	for _, id := range c.ids {
 		all := c.requests[id].Attempts
 		for i := 1; i < len(all); i++ {
-			if all[i].To-all[i].From < atOnce.Nanoseconds() {
+			if all[i].To-all[i].From < immediateDone.Nanoseconds() {
 				continue // its connection was gone as the host came to look at it: it may be the older one
 			}
 			for _, before := range all[:i] {
@@ -140,7 +140,7 @@
 }
 
 // atOnce is how soon a host is done with a request whose connection was reset before it looked.
-const atOnce = time.Millisecond
+const immediateDone = time.Millisecond
 
 // attemptSlack is the platform's, for all limits of time on sockets.
 const attemptSlack = 50 * time.Millisecond
--- a/internal/testbed/checker/checker_test.go
+++ b/internal/testbed/checker/checker_test.go
@@ -12,7 +12,7 @@
 
 // well is a history that nothing is wrong with: a router, two hosts, requests that are served,
 // refused and sent twice, a host that drains, a process that leaves.
-func well() []history.Event {
+func healthyHistory() []history.Event {
 	all := []history.Event{
 		{What: history.Begin, Play: &history.Play{Version: 1, World: "rig", Routers: 2, Hosts: 2, Slack: 50 * ms, Memory: 32 << 20, Sockets: 256,
 			Leave: 3000 * ms, Settle: 1000 * ms, Views: 3000 * ms}},
@@ -75,7 +75,7 @@
 
 // Nothing is found where nothing is wrong.
 func TestNothingFound(t *testing.T) {
-	for _, v := range CheckAll(well()) {
+	for _, v := range CheckAll(healthyHistory()) {
 		t.Error(v.String())
 	}
 }
@@ -139,7 +139,7 @@
 		"a cas that could not": {"linear", add(history.Event{T: 9070 * ms, What: history.Invoke, Who: "c5", ID: "5", Op: &history.Op{Kind: "cas", Key: "k", Old: "y", Value: "w"}}, history.Event{T: 9080 * ms, What: history.OK, Who: "c5", ID: "5", Op: &history.Op{Kind: "cas", Key: "k", Old: "y", Value: "w", Succeeded: true}}), "fit no order"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			found := CheckAll(x.plant(well()))
+			found := CheckAll(x.plant(healthyHistory()))
 			if len(found) == 0 {
 				t.Fatal("nothing is found")
 			}
@@ -179,7 +179,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			x.fault.What, x.fault.T, x.fault.N = history.Fault, 9050*ms, 5
-			c := NewCase(append(append(well(), x.fault), lost(x.who, x.how)...))
+			c := NewCase(append(append(healthyHistory(), x.fault), lost(x.who, x.how)...))
 			if found := answer(c); len(found) != x.found {
 				t.Errorf("found %v", found)
 			}
--- a/internal/testbed/checker/duties.go
+++ b/internal/testbed/checker/duties.go
@@ -30,7 +30,7 @@
 		if e.LeaseCheckedAt > 0 {
 			begun[e.Text] = append(begun[e.Text], e)
 		}
-		if e.Status != taken {
+		if e.Status != statusAccepted {
 			continue
 		}
 		key := e.Who + " " + e.Text
@@ -59,4 +59,4 @@
 }
 
 // taken is the status of an act that its receiver let pass.
-const taken = 200
+const statusAccepted = 200
--- a/internal/testbed/checker/limits.go
+++ b/internal/testbed/checker/limits.go
@@ -34,7 +34,7 @@
 }
 
 // takesFor is how long after SIGTERM a router still takes requests that it owes a whole answer.
-const takesFor = 700 * time.Millisecond
+const acceptAfterSIGTERM = 700 * time.Millisecond
 
 // leave finds processes that do not end as they should after SIGTERM. One that is killed when its
 // time is over while it still has streams that it took in time has done nothing wrong.
@@ -62,7 +62,7 @@
 				continue
 			}
 			delete(termed, e.Who)
-			if e.Text == "killed" && c.has(e.Who, t+takesFor.Nanoseconds(), e.T) {
+			if e.Text == "killed" && c.hasRequests(e.Who, t+acceptAfterSIGTERM.Nanoseconds(), e.T) {
 				continue
 			}
 			late(e.Who, t, e.T)
@@ -78,7 +78,7 @@
 }
 
 // has reports whether a router had requests at a time that were asked before another.
-func (c *Case) has(who string, asked, at int64) bool {
+func (c *Case) hasRequests(who string, asked, at int64) bool {
 	who, _, _ = strings.Cut(who, "/")
 	for _, r := range c.requests {
 		if r.Ask != nil && r.Ask.Who == who && r.Ask.T <= asked && (len(r.Answers) == 0 || r.Answers[0].T >= at-killSlack.Nanoseconds()) {
--- a/internal/testbed/checker/linear.go
+++ b/internal/testbed/checker/linear.go
@@ -13,7 +13,7 @@
 )
 
 // linearWithin bounds the search, which may take exponential time.
-const linearWithin = 20 * time.Second
+const linearSearchTimeout = 20 * time.Second
 
 // linear finds operations that do not fit any order of single moments between their starts and
 // ends, for each key by itself. One whose end is unknown may have taken effect at any time after
@@ -24,12 +24,12 @@
 		duty := isGrant(o.Input.(history.Op).Kind)
 		of[duty] = append(of[duty], o)
 	}
-	return append(fits(c, registers, of[false]), fits(c, grants, telling(of[true]))...)
+	return append(checkOrder(c, registers, of[false]), checkOrder(c, grants, conclusiveOperations(of[true]))...)
 }
 
 // telling leaves out operations on duties that fit anywhere, so that the search ends: requests for
 // a grant whose end is unknown, and the end of grants that nobody was ever told of.
-func telling(all []porcupine.Operation) []porcupine.Operation {
+func conclusiveOperations(all []porcupine.Operation) []porcupine.Operation {
 	notified := map[uint64]bool{}
 	for _, o := range all {
 		if out := o.Output.(outcome); out.known && out.op.Succeeded && o.Input.(history.Op).Kind != "expire" {
@@ -47,15 +47,15 @@
 	})
 }
 
-func fits(c *Case, m porcupine.Model, ops []porcupine.Operation) []Violation {
+func checkOrder(c *Case, m porcupine.Model, ops []porcupine.Operation) []Violation {
 	if len(ops) == 0 {
 		return nil
 	}
-	switch result := porcupine.CheckOperationsTimeout(m, ops, linearWithin); result {
+	switch result := porcupine.CheckOperationsTimeout(m, ops, linearSearchTimeout); result {
 	case porcupine.Ok:
 		return nil
 	case porcupine.Unknown:
-		return []Violation{{"linear", c.End, "", "", fmt.Sprintf("%d operations could not be ordered within %v", len(ops), linearWithin)}}
+		return []Violation{{"linear", c.End, "", "", fmt.Sprintf("%d operations could not be ordered within %v", len(ops), linearSearchTimeout)}}
 	}
 	return []Violation{{"linear", c.End, "", "", fmt.Sprintf("%d operations fit no order of single moments", len(ops))}}
 }
--- a/internal/testbed/checker/withheld_test.go
+++ b/internal/testbed/checker/withheld_test.go
@@ -10,7 +10,7 @@
 // withheldHistory is the history of a play on a machine that withheld processors: 300 ms from the
 // test itself up to 9.4 s, and 400 ms from r0 between 9 s and 9.5 s.
 func withheldHistory() []history.Event {
-	return append(well(),
+	return append(healthyHistory(),
 		history.Event{T: 9000 * ms, What: history.Usage, Who: "r0", Withheld: 50 * ms},
 		history.Event{T: 9400 * ms, What: history.Fault, N: 1 << 16, Text: machineStall, ID: "300ms"},
 		history.Event{T: 9400 * ms, What: history.Heal, N: 1 << 16, Text: machineStall},
--- a/internal/testbed/soak/mixedfleet_test.go
+++ b/internal/testbed/soak/mixedfleet_test.go
@@ -108,7 +108,7 @@
 		HeartbeatMs: heartbeatMs, RevocationMs: 2000, GraceS: graceS})
 	defer f.KillAll()
 	is.NoErr(f.StartAll())
-	story := newPinStory(t, f)
+	story := newPinScenario(t, f)
 	is.NoErr(story.Configure(ctx))
 	is.NoErr(story.Register(ctx))
 	is.NoErr(f.AwaitReady(ctx, 0, 1, 2, 3))
@@ -132,7 +132,7 @@
 }
 
 // newPinStory is a story with two hosts of each of two versions.
-func newPinStory(t *testing.T, f *localfleet.Fleet) *pintest.Scenario {
+func newPinScenario(t *testing.T, f *localfleet.Fleet) *pintest.Scenario {
 	t.Helper()
 	var fronts, controls []string
 	for i := range f.Len() {
