--- a/internal/testbed/chaos/chaos.go
+++ b/internal/testbed/chaos/chaos.go
@@ -81,10 +81,10 @@
 
 	voterProxies [][]*faultproxy.ConnProxy // by router and router, nil for itself
 	copyProxies  []*faultproxy.ConnProxy   // by router
-	candidate    *fakes.Host               // gets copies; nil without duties
+	candidate    *fakes.Host               // receives copies of requests; nil without duties
 
-	settings string // the operators' file of the routers, as it is before each gets its own
-	hasViews bool   // routers keep a view of the fleet
+	settings string // template of the settings file, before each router's placeholders are filled in
+	hasViews bool   // routers maintain a view of the fleet
 }
 
 // Run runs an experiment once. When it returns, even because ctx has ended, all processes and
--- a/internal/testbed/chaos/chaos_test.go
+++ b/internal/testbed/chaos/chaos_test.go
@@ -32,12 +32,12 @@
 
 var (
 	measure = flag.Bool("measure", false, "run the measurements")
-	rounds  = flag.Int("rounds", 1, "of a test whose verdict must be the same each time")
+	rounds  = flag.Int("rounds", 1, "number of plays of a test whose verdict must be the same each time")
 )
 
 func TestMain(m *testing.M) {
-	// A bad router is started by the rig as a program of its own, so its manner stands in a file
-	// beside that program.
+	// The chaos test starts a misbehaving router as a program of its own. A file beside that program
+	// names the misbehavior.
 	if how, err := os.ReadFile(os.Args[0] + ".how"); err == nil {
 		misbehave(string(how))
 	}
@@ -52,8 +52,8 @@
 		}()
 		runOnFirstThread()
 	}
-	// Plays wait for most of their time: half as many again at once as there are cores keep the
-	// share of CI under two minutes.
+	// Plays spend most of their time waiting. Running 1.5 plays per core at once keeps these tests
+	// under two minutes in CI.
 	if f := flag.Lookup("test.parallel"); f.Value.String() == f.DefValue {
 		flag.Set(f.Name, strconv.Itoa(runtime.GOMAXPROCS(0)*3/2))
 	}
@@ -72,16 +72,17 @@
 	runOnFirstThread()
 }
 
-// runOnFirstThread does what is to run on the program's first thread, for ever.
+// runOnFirstThread runs the functions sent to onFirstThread, and never returns. It must be called on
+// the program's first thread.
 func runOnFirstThread() {
 	for f := range onFirstThread {
 		f()
 	}
 }
 
-// inMemory has all temporary folders be in memory, where the machine has room for them there, and
-// names the folder in which they are. A disk that others keep busy lets whoever writes wait for
-// seconds, routers and rig alike, and the plays are judged by their times.
+// inMemory puts all temporary folders into a new folder in memory and returns its path. It returns
+// "" if the machine has no room there. On a disk that other programs keep busy, a write by a router
+// or by the test may wait for seconds, and the checkers judge plays by their times.
 func inMemory() (string, error) {
 	const memory, room = "/dev/shm", 1 << 30
 	var fs unix.Statfs_t
@@ -95,10 +96,10 @@
 	return dir, os.Setenv("TMPDIR", dir)
 }
 
-// onFirstThread has what is to run on the program's first thread.
+// onFirstThread receives the functions to run on the program's first thread.
 var onFirstThread = make(chan func())
 
-func init() { runtime.LockOSThread() } // of the goroutine that main and TestMain run in
+func init() { runtime.LockOSThread() } // keeps the goroutine of main and TestMain on the first thread
 
 var (
 	buildOnce sync.Once
@@ -106,7 +107,7 @@
 	buildErr  error
 )
 
-// routerBinary builds the real router, once for all tests.
+// routerBinary builds the real router once for all tests, and returns the path of its binary.
 func routerBinary(t testing.TB) string {
 	t.Helper()
 	buildOnce.Do(func() {
@@ -160,7 +161,8 @@
 	return x
 }
 
-// playOnce plays once, in a process of its own, and fails the test for what can't be played.
+// playOnce runs one play in a process of its own. It fails the test if the play can't be run, or if
+// a process of the play still runs afterwards.
 func playOnce(t *testing.T, o Options, edits ...settingsEdit) *Result {
 	t.Helper()
 	o.Folder = filepath.Join(t.TempDir(), "play")
@@ -177,8 +179,8 @@
 	return r
 }
 
-// stallsAndNotes has how often and how long the machine stalled a play's process, and what the play
-// itself has noted.
+// stallsAndNotes describes how often the machine stalled a play's process, the longest stall, and the
+// notes that the play recorded.
 func stallsAndNotes(events []history.Event) string {
 	var notes strings.Builder
 	stalls, longest := 0, time.Duration(0)
@@ -194,7 +196,7 @@
 	return fmt.Sprintf("the play's process had %d stalls, the longest of %v%s", stalls, longest, notes.String())
 }
 
-// noProcesses checks that every process of a history is gone.
+// checkNoProcesses checks that every router process of a history has exited.
 func checkNoProcesses(t *testing.T, events []history.Event) {
 	t.Helper()
 	for _, e := range events {
@@ -204,7 +206,7 @@
 	}
 }
 
-// alive tells whether a process is there and no zombie.
+// alive reports whether a process exists and is not a zombie.
 func alive(pid int) bool {
 	stat, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/stat")
 	if err != nil {
@@ -214,8 +216,9 @@
 	return !strings.HasPrefix(rest, "Z")
 }
 
-// Six routers through a kill, a standstill, cuts of either direction, a reload, a replacement and a
-// lost zone, one over the other: no rule is broken, the fleet serves again, every process is ended.
+// Six routers go through overlapping faults: a kill, a freeze, cut links, a partition, a reload,
+// replacements, packet loss and a zone without power. No checker finds a violation, the fleet serves
+// again, and every process has exited at the end.
 func TestFleetThroughFaults(t *testing.T) {
 	t.Parallel()
 	x := parse(t, "9s", 6, "held = true\nscrape = \"500ms\"", `
@@ -282,7 +285,7 @@
 		}
 		slices.Sort(kinds)
 		if got := strings.Join(kinds, " "); got != "cut kill loss partition pause power reload replace" {
-			t.Errorf("these were played: %s", got)
+			t.Errorf("the injected faults were: %s", got)
 		}
 		serving := map[string]int{}
 		for _, e := range r.Events {
@@ -290,7 +293,8 @@
 				serving[strings.SplitN(e.Who, "/", 2)[0]]++
 			}
 		}
-		// A zone of three was lost, one router killed, two replaced.
+		// The power failure restarts the three routers of one zone, the kill restarts one router, and
+		// the replacements start one more process of two routers.
 		for who, want := range map[string]int{"r0": 3, "r1": 2, "r2": 2, "r3": 1, "r4": 3, "r5": 1} {
 			if serving[who] != want {
 				t.Errorf("%s served %d times, want %d", who, serving[who], want)
@@ -303,8 +307,8 @@
 	}
 }
 
-// What a router's folder goes through is there for the process that comes back: its own, another's,
-// one cut short.
+// A restarted process finds the durable folder that the fault left: another router's, truncated
+// files, or an empty folder. After a no_write fault the folder has its files again.
 func TestDisks(t *testing.T) {
 	t.Parallel()
 	x := parse(t, "2500ms", 3, "", "")
@@ -353,7 +357,7 @@
 	}
 }
 
-// misbehave is a router that does what no router should.
+// misbehave runs as a router with a planted fault, which how names. It never returns.
 func misbehave(how string) {
 	config, _ := os.ReadFile(os.Getenv("ROUTER_CONFIG"))
 	field := func(name string) string {
@@ -385,7 +389,7 @@
 			if how == "hangs" {
 				continue
 			}
-			bufio.NewReader(c).ReadString('\n') // one that closes with the question unread resets the answer
+			bufio.NewReader(c).ReadString('\n') // closing the connection with the command unread would reset it and lose the answer
 			io.WriteString(c, "+OK\n")
 			c.Close()
 		}
@@ -438,7 +442,7 @@
 	os.Exit(0)
 }
 
-// A program with a planted fault is found out, by the checker that is meant for it.
+// The checker that is meant for a planted fault finds each program that has one.
 func TestPlantedPrograms(t *testing.T) {
 	t.Parallel()
 	var all sync.WaitGroup
@@ -476,8 +480,8 @@
 	all.Wait()
 }
 
-// A schedule under which a planted program fails is shrunk to the one fault that matters, at the
-// fewest routers; what is left is kept, read again, and fails again.
+// A schedule under which a planted program fails is shrunk to the one fault that causes the failure,
+// and to one router. The result equals the schedule stored in testdata, and fails again each time.
 func TestShrunkOnProcesses(t *testing.T) {
 	t.Parallel()
 	bad := badProgram(t, "ends at SIGHUP")
@@ -524,7 +528,7 @@
 	}
 }
 
-// badProgram is this test's binary as a router that misbehaves.
+// badProgram returns the path of a copy of this test's binary that runs as a misbehaving router.
 func badProgram(t *testing.T, how string) string {
 	t.Helper()
 	own, err := os.Executable()
@@ -547,7 +551,7 @@
 	return bad
 }
 
-// Bad input is one line that names what is wrong, before anything is started.
+// Invalid input returns an error that names what is wrong, before anything is started.
 func TestRefused(t *testing.T) {
 	for want, o := range map[string]Options{
 		"x.hcl:24: replace needs held = true":           {Experiment: parse(t, "1s", 2, "", "fault \"replace\" {\n at=\"0s\"\n length=\"1s\"\n routers=[0]\n}")},
@@ -565,7 +569,7 @@
 			t.Errorf("got %v, want %s", err, want)
 		}
 		if _, err := os.Stat(dir); err == nil {
-			t.Errorf("%s: something was begun", want)
+			t.Errorf("%s: the play's folder was created", want)
 		}
 	}
 	if err := enoughDescriptors(100, 1000); err == nil || !strings.Contains(err.Error(), "100 routers and 1000 hosts may need") {
@@ -573,7 +577,8 @@
 	}
 }
 
-// An interrupted play ends its processes; a rig that is killed leaves none either.
+// An interrupted play ends its processes. If the test process is killed, the kernel ends the
+// processes that it started.
 func TestNothingLeft(t *testing.T) {
 	t.Parallel()
 	x := parse(t, "30s", 3, "", "")
@@ -612,9 +617,9 @@
 		t.Errorf("%d processes were started", n)
 	}
 
-	// The kernel ends what a thread has started once the thread is gone, as it is when its process
-	// was killed. The program's first thread is gone only with the program, and a goroutine may be
-	// given that one: nothing is started from it.
+	// The kernel kills the processes that a thread has started once the thread has ended, as it does
+	// when its process is killed. The program's first thread ends only with the program. A goroutine
+	// may run on that thread, so no process may be started from it.
 	first := starter{make(chan func())}
 	done := make(chan bool)
 	onFirstThread <- func() {
@@ -630,7 +635,7 @@
 	<-done
 	s := newStarter()
 	cmd := exec.Command(routerBinary(t), "serve")
-	cmd.Env = []string{"ROUTER_CONFIG=/dev/stdin"} // it waits for that
+	cmd.Env = []string{"ROUTER_CONFIG=/dev/stdin"} // the router waits for its configuration
 	in, err := cmd.StdinPipe()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/testbed/chaos/duty_test.go
+++ b/internal/testbed/chaos/duty_test.go
@@ -14,12 +14,12 @@
 	"reachspread/internal/testbed/history"
 )
 
-// dutyCases are schedules for routers with duties, of which four may vote and three do. Whoever
-// holds what is among those that are struck, as all of them are, one after another. The same at
-// many seeds is package dutylab's.
+// dutyCases are schedules for routers with duties. Four routers may become voters, and three are.
+// The faults hit these routers one after another, so they also hit the holder of each duty. Package
+// dutylab runs the same schedules with many seeds.
 var dutyCases = map[string]struct {
 	length, faults string
-	says           string // a line that some router must write
+	says           string // a text that some router must log; a bar separates alternatives
 }{
 	"each stands still for longer than a lease": {"22s", inTurn("pause", "2500ms", 3200, "", 0, 1, 2, 3) + `
 fault "pause" {
@@ -101,7 +101,7 @@
 `, "role work failed"},
 }
 
-// inTurn are faults of one kind one after another.
+// inTurn returns faults of one kind, one for each router, that begin every milliseconds apart.
 func inTurn(kind, length string, every int, more string, routers ...int) string {
 	var b strings.Builder
 	for i, n := range routers {
@@ -110,7 +110,8 @@
 	return b.String()
 }
 
-// Each case on real processes: no rule is broken, and copies go out at its end.
+// Runs each case on real processes. No checker finds a violation, and copies are still sent in the
+// last 3 s.
 func TestDuties(t *testing.T) {
 	t.Parallel()
 	binary := routerBinary(t)
@@ -147,8 +148,9 @@
 	}
 }
 
-// One router of a zone drains at a time: the next waits and says so, one of another zone does not,
-// and what a router that died had is free a lease later. A planned end is never held up.
+// Only one router of a zone drains at a time. The next one of the zone waits and says so, and one of
+// another zone does not wait. When a router with a drain permission dies, the permission is free
+// after one lease. A planned restart never waits.
 func TestLeaveToDrain(t *testing.T) {
 	t.Parallel()
 	r := playOnce(t, Options{Experiment: parse(t, "17s", 5, "view = true\nvoters = 3\ndrains = 1", `
@@ -201,24 +203,24 @@
 			t.Errorf("%s drained at %v, not between %v and %v", who, at, from, to)
 		}
 	}
-	// What would be seen without the wait, or with one too many, is a second and a half away at
-	// least; a busy machine is late by a part of one.
+	// Without the wait, or with one wait too many, the times would differ by at least 1.5 s. A busy
+	// machine delays them by less than 1 s.
 	late := 2 * time.Duration(r.Events[0].Play.Slack)
 	between("r0", 2*time.Second, 2*time.Second+late)
 	between("r1", 3*time.Second, 3*time.Second+late)
 	between("r2", 5*time.Second, 5*time.Second+late)
-	// The voters' leader may be r2 that dies at 7 s, or r0 that is restarted at 8 s: whoever is
-	// elected after that waits a whole lease.
-	elected := 12 * quorum.TickInterval // eight of silence and four of spread
+	// The leader of the voters may be r2, which dies at 7 s, or r0, which restarts at 8 s. The router
+	// that is elected next waits for a whole lease.
+	elected := 12 * quorum.TickInterval // eight ticks without a leader, and up to four of random spread
 	between("r4", 8*time.Second, 8*time.Second+elected+lease.DefaultTiming.Duration+lease.DefaultTiming.ClockAllowance+late)
 	if !waited {
 		t.Error("r2 did not say that it waits")
 	}
 }
 
-// A reload brings a pool in place of another, and then the same pool with other times, which is
-// made anew: there is one copier for each at a time, it copies within seconds, and nothing is
-// copied to a pool that is gone.
+// The first reload replaces a pool by another. The second one changes a time of that pool, so the
+// pool is created again. Each pool has one copier at a time, which starts to copy within seconds. No
+// request is copied to a removed pool.
 func TestPoolsReloaded(t *testing.T) {
 	t.Parallel()
 	edits := []settingsEdit{{`pool "candidate" {`, `pool "next" {`}, {`pool "next" {`, "pool \"next\" {\n    silent = \"3s\""}}
@@ -243,7 +245,7 @@
 			at = append(at, e.T)
 		}
 	}
-	const gone, comes = time.Second, 3 * time.Second // a lease and a second at most until the first copy, and a busy machine
+	const gone, comes = time.Second, 3 * time.Second // the first copy comes after at most a lease and a second; the rest allows for a busy machine
 	copies := map[string]int{}
 	for _, e := range r.Events {
 		if e.What == history.Act {
@@ -270,7 +272,8 @@
 	}
 }
 
-// perSecond is the most acts in any second of a play.
+// maxActsPerSecond returns the largest number of accepted acts in any second of a play, and the
+// number of all accepted acts.
 func maxActsPerSecond(events []history.Event) (most, all int) {
 	var at []int64
 	for _, e := range events {
@@ -283,7 +286,8 @@
 	return most, all
 }
 
-// firsts are the times from a request's asking to its first event.
+// firstEventLatencies returns the times from sending a request to its first event, in ascending
+// order.
 func firstEventLatencies(events []history.Event) (all []time.Duration) {
 	asked := map[string]int64{}
 	for _, e := range events {
@@ -301,8 +305,8 @@
 	return all
 }
 
-// Copies through 50 hand-overs: the fleet's cap holds in every second, and live requests do not
-// feel it.
+// Hands the copier duty over every 2 s, about 50 times with -measure. The fleet's limit on copies
+// holds in every second. The log compares the latency of live requests with and without copies.
 func TestMeasureCopies(t *testing.T) {
 	length, every := "14s", "2s"
 	if *measure {
--- a/internal/testbed/chaos/layout.go
+++ b/internal/testbed/chaos/layout.go
@@ -20,10 +20,10 @@
 
 const (
 	clientPort          = 9000
-	managementPort      = 9001 // and the next ones for further processes of a router
+	managementPort      = 9001 // of a router's first process; its later processes use the ports after it
 	peerPort            = 7946
 	listPort            = 8500
-	hostPort            = 10000 // of a router's relay to host 0
+	hostPort            = 10000 // of a router's proxy to host 0
 	advertisedPort      = 20000 // the proxy's port at which other routers reach a router
 	guardPort           = 9999
 	voterPort           = 7950
--- a/internal/testbed/chaos/page.go
+++ b/internal/testbed/chaos/page.go
@@ -203,7 +203,7 @@
 func (p *page) faults(c *checker.Case, y int) int {
 	for _, f := range c.Faults {
 		if f.N >= firstStallNumber {
-			p.put(`<line x1="%.1f" x2="%.1f" y1="20" y2="%d" stroke="#888" stroke-dasharray="2,2"><title>the machine stood still</title></line>`, p.x(f.From), p.x(f.From), y)
+			p.put(`<line x1="%.1f" x2="%.1f" y1="20" y2="%d" stroke="#888" stroke-dasharray="2,2"><title>the machine stalled</title></line>`, p.x(f.From), p.x(f.From), y)
 			continue
 		}
 		var whom []string
--- a/internal/testbed/chaos/player.go
+++ b/internal/testbed/chaos/player.go
@@ -23,14 +23,14 @@
 	"reachspread/internal/testbed/simulator"
 )
 
-// player carries a schedule out.
+// player injects the faults of a schedule.
 type player struct {
 	p          *play
 	injections []*faults.Injection
 
 	mu   sync.Mutex
-	on   []*faults.Injection // of links, by now
-	list int                 // faults that have the list down
+	on   []*faults.Injection // link faults in force
+	list int                 // number of faults in force that make the list unreachable
 	errs error
 }
 
@@ -38,13 +38,13 @@
 	return &player{p: p, injections: faults.Resolve(p.options.Faults, p.spec.Topology(), p.options.Seed)}
 }
 
-// run plays all faults, each in its own time, and returns once all are over. The play's clock
-// begins now.
+// run injects all faults, each at its own time, and returns once all are over and the length of the
+// play has passed. The times of the schedule count from the call of run.
 func (y *player) run(ctx context.Context) error {
 	y.p.fleet.EachList(func(l *fakes.List) { l.Remember() })
 	begun := time.Now()
 	from := y.p.recorder.count()
-	over, cancel := context.WithDeadline(ctx, begun.Add(y.p.spec.Length)) // what a fault waits for may never happen
+	over, cancel := context.WithDeadline(ctx, begun.Add(y.p.spec.Length)) // the event that a fault waits for may never happen
 	defer cancel()
 	var all sync.WaitGroup
 	for n, s := range y.injections {
@@ -70,7 +70,7 @@
 	return y.errs
 }
 
-// due waits for a fault's time or event, and tells whether it came.
+// due waits for the time or the event at which a fault begins. It reports false if ctx ends first.
 func (y *player) due(ctx context.Context, s *faults.Injection, begun time.Time, from int) bool {
 	at := begun.Add(s.At)
 	if w := s.When; w != nil {
@@ -88,7 +88,7 @@
 	return wait(ctx, time.Until(at))
 }
 
-// wait waits for a time, and tells whether it passed.
+// wait waits for a duration. It reports false if ctx ends first.
 func wait(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -100,8 +100,8 @@
 	}
 }
 
-// play has a fault begin, last and end. One that ctx ends ends as well: what it had stand still
-// goes on.
+// play begins a fault, waits for its length, and ends it. If ctx ends, play ends the fault early, so
+// that frozen processes are resumed.
 func (y *player) play(ctx context.Context, s *faults.Injection) error {
 	if faults.Of(s.Kind).OfLinks() {
 		err := y.links(s, true, 0)
@@ -149,7 +149,8 @@
 	return errs
 }
 
-// links has a fault of links begin or end; list counts it among those that have the list down.
+// links begins or ends a fault of links. list is 1 if the fault also makes the discovery list
+// unreachable, and 0 otherwise.
 func (y *player) links(s *faults.Injection, on bool, list int) error {
 	y.mu.Lock()
 	defer y.mu.Unlock()
@@ -163,8 +164,8 @@
 	return y.p.setConditions(y.on, y.list > 0)
 }
 
-// host plays a fault of a host. One whose process is gone refuses connections, behind its relays,
-// too.
+// host injects a fault of a host, and ends it after its length. While a host's process is down, its
+// proxies refuse connections, as the host itself would.
 func (y *player) host(ctx context.Context, s *faults.Injection, n int) error {
 	refuse := func(on bool) (errs error) {
 		for _, row := range y.p.hosts {
@@ -196,7 +197,7 @@
 	return inject(true)
 }
 
-// router plays a fault of a router.
+// router injects a fault of a router, and ends it after its length.
 func (y *player) router(ctx context.Context, s *faults.Injection, r *router) error {
 	switch s.Kind {
 	case faults.Kill, faults.Power:
@@ -247,18 +248,18 @@
 	case faults.Withhold:
 		y.call(ctx, r, "drain-on")
 		wait(ctx, s.Length)
-		for !y.call(ctx, r, "drain-off") && wait(ctx, callRetryInterval) { // a router that is down by then would come back drained
+		for !y.call(ctx, r, "drain-off") && wait(ctx, callRetryInterval) { // retried, because a router that is down now would otherwise restart drained
 		}
 	default:
-		return fmt.Errorf("the rig does not know it")
+		return fmt.Errorf("the kind of fault is not implemented for routers")
 	}
 	return nil
 }
 
 const callRetryInterval = 200 * time.Millisecond
 
-// call makes a call that the operators would make, into the history, and tells whether the router
-// did it.
+// call makes an operator's call to a router, records the call and its answer in the history, and
+// reports whether the router answered +OK.
 func (y *player) call(ctx context.Context, r *router, what string) bool {
 	x := r.newest()
 	if x == nil {
@@ -273,7 +274,7 @@
 	return strings.HasPrefix(text, "+OK")
 }
 
-// burst is the length of one standstill with the time until the next one.
+// crawlPeriod is the time from one freeze of a crawling router to the next.
 const crawlPeriod = 200 * time.Millisecond
 
 func (y *player) crawl(ctx context.Context, s *faults.Injection, r *router) {
@@ -285,12 +286,13 @@
 	}
 }
 
-// restart is a planned one: SIGTERM, and a start once the old process is gone.
+// restart is a planned restart: it sends SIGTERM, and starts a new process once the old one has
+// exited and the length of the fault has passed.
 func (y *player) restart(ctx context.Context, s *faults.Injection, r *router) error {
 	x := r.newest()
 	if x == nil {
 		wait(ctx, s.Length)
-		return nil // it is down already
+		return nil // the router is already down
 	}
 	x.term()
 	length := time.NewTimer(s.Length)
@@ -300,7 +302,7 @@
 	select {
 	case <-x.done:
 	case <-late.C:
-		x.cmd.Process.Kill() // as the platform does; the checker of leaving tells
+		x.cmd.Process.Kill() // as the platform does; the checker "leave" reports the late exit
 		<-x.done
 	case <-ctx.Done():
 		return nil
@@ -322,10 +324,10 @@
 	return err
 }
 
-// takesWithin is the platform's, for a process that takes over.
+// takeoverTimeout is the platform's limit for a replacing process to become ready for clients.
 const takeoverTimeout = 6 * time.Second
 
-// replace starts a second process and ends the first once the second takes clients.
+// replace starts a second process, and terminates the first once the second accepts clients.
 func (y *player) replace(ctx context.Context, s *faults.Injection, r *router) error {
 	old := r.newest()
 	if old == nil {
@@ -344,7 +346,7 @@
 	defer asked.Stop()
 	for {
 		select {
-		case <-x.done: // the checker of crashes tells, unless it was killed; the old one serves on
+		case <-x.done: // the old process continues to serve; the checker "crash" reports the exit of the new one, unless it was killed
 			return nil
 		case <-ctx.Done():
 			return nil
@@ -375,14 +377,16 @@
 	return nil
 }
 
-// runs tells that nothing keeps a router from running.
+// canRun reports whether no fault stops a router's processes now, and none froze them in the last
+// two seconds.
 func (r *router) canRun() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.down == 0 && r.paused == 0 && time.Since(r.resumedAt) > 2*time.Second
 }
 
-// noWrite has the durable folder be a file.
+// noWrite replaces a router's durable folder by a file for the length of a fault, so that nothing
+// can be written to it.
 func (y *player) noWrite(ctx context.Context, s *faults.Injection, r *router) error {
 	away := r.disk() + ".away"
 	r.mu.Lock()
@@ -392,7 +396,7 @@
 	}
 	r.mu.Unlock()
 	if errors.Is(err, fs.ErrNotExist) || errors.Is(err, syscall.ENOTEMPTY) {
-		wait(ctx, s.Length) // another fault has done it
+		wait(ctx, s.Length) // another fault has already replaced the folder
 		return nil
 	}
 	if err != nil {
@@ -407,13 +411,14 @@
 	return os.Rename(away, r.disk())
 }
 
-// disk does to a router's durable folder what a fault says, while none of its processes lives.
+// disk changes a router's durable folder as a fault specifies, and records the change. The caller
+// ensures that no process of the router runs.
 func (y *player) disk(s *faults.Injection, r *router) error {
 	switch info, err := os.Stat(r.disk()); {
 	case err != nil:
 		return err
 	case !info.IsDir():
-		return nil // it can't be written at the moment, nor read
+		return nil // noWrite has replaced the folder by a file
 	}
 	if s.Disk == "" || s.Disk == faults.DiskUnchanged {
 		return nil
@@ -426,13 +431,13 @@
 	return nil
 }
 
-// folderContents has the number of files in a folder and their bytes: a fault of a disk on which
-// nothing is yet changes nothing.
+// folderContents returns the number of files in a folder and their total size, as a text. It shows
+// whether a disk fault could change anything: on an empty folder it can't.
 func folderContents(path string) string {
 	files, size := 0, int64(0)
 	filepath.WalkDir(path, func(_ string, e fs.DirEntry, err error) error {
 		if err != nil || e.IsDir() {
-			return nil // what can't be read is left out
+			return nil // unreadable entries are not counted
 		}
 		if info, err := e.Info(); err == nil {
 			files, size = files+1, size+info.Size()
@@ -442,7 +447,8 @@
 	return fmt.Sprintf("%d files of %d bytes", files, size)
 }
 
-// spoilDisk does to a router's folder what a fault says.
+// corruptDisk empties, replaces, truncates or corrupts a router's durable folder, as the fault
+// specifies.
 func (y *player) corruptDisk(s *faults.Injection, r *router) error {
 	switch s.Disk {
 	case faults.DiskEmpty:
@@ -496,7 +502,8 @@
 	return nil
 }
 
-// spoilt is a snapshot as another program, another clock or a worn disk would have left it.
+// corruptedSnapshot returns a snapshot as a newer program, a clock that is an hour ahead, or a
+// failing disk would have left it.
 func corruptedSnapshot(how faults.Disk, text []byte) ([]byte, error) {
 	switch how {
 	case faults.DiskNewer:
@@ -518,7 +525,8 @@
 	return snapshot.Encode(state, generation)
 }
 
-// copyFolder copies what another router has by now; it may be writing meanwhile.
+// copyFolder copies a router's folder. The router may be writing to it, so files that disappear
+// meanwhile are skipped.
 func copyFolder(from, to string) error {
 	return filepath.WalkDir(from, func(path string, e fs.DirEntry, err error) error {
 		if err != nil {
--- a/internal/testbed/chaos/playprocess_test.go
+++ b/internal/testbed/chaos/playprocess_test.go
@@ -19,36 +19,38 @@
 	"reachspread/internal/testbed/history"
 )
 
-// A play's clients, hosts and proxies are to disturb no other play, as its routers are judged by
-// their times. So each is played in a process of its own: this test's program, which finds an order
-// in its environment.
+// The checkers judge routers by their times, so the clients, hosts and proxies of one play must not
+// delay another play. Each play therefore runs in a process of its own. That process runs this
+// test's binary, which finds an order in its environment.
 
-// playEnvironment names the variable that has a play's order.
+// playEnvironment is the name of the environment variable that holds a play's order as JSON.
 const playEnvironment = "REACHSPREAD_CHAOS_PLAY"
 
-// playOrder is what a process is to play.
+// playOrder describes the play that a process must run.
 type playOrder struct {
 	Name            string
-	Text            []byte // of the experiment
+	Text            []byte // the text of the experiment's file
 	Seed            uint64
 	Program, Folder string
 	Edits           []settingsEdit
 }
 
-// settingsEdit is a change of every router's settings file, which is made before a reload is carried
-// out: the first one of a play before the first reload, and so on.
+// settingsEdit replaces a text in every router's settings file. The first edit of a play is made
+// before its first reload, the second before its second reload, and so on.
 type settingsEdit struct{ Old, New string }
 
-// playReport is what it has found, beside the history in its folder.
+// playReport is the result of a play as its process prints it. The events are in the history file.
 type playReport struct {
 	Verdicts  []checker.Violation
 	Datagrams [16]uint64
 }
 
-// playProcesses starts processes of plays, which end with this one however that ends.
+// playProcesses starts the processes of plays. They end when this process ends, even if it is
+// killed.
 var playProcesses = sync.OnceValue(newStarter)
 
-// playInProcess plays in a process of its own. The error has what that process said.
+// playInProcess runs a play in a process of its own. If the process fails, the error has its output
+// on standard error.
 func playInProcess(ctx context.Context, o Options, edits ...settingsEdit) (*Result, error) {
 	order, err := json.Marshal(playOrder{Name: o.Experiment.Name, Text: o.Experiment.Text, Seed: o.Seed, Program: o.Program, Folder: o.Folder, Edits: edits})
 	if err != nil {
@@ -77,7 +79,7 @@
 	return &Result{Folder: o.Folder, Verdicts: found.Verdicts, Datagrams: found.Datagrams, Events: events}, err
 }
 
-// playOrdered plays what an order says, in this process, and writes the report.
+// playOrdered runs the play of an order in this process, and writes the report to standard output.
 func playOrdered(text string) error {
 	var order playOrder
 	if err := json.Unmarshal([]byte(text), &order); err != nil {
@@ -95,7 +97,7 @@
 	return json.NewEncoder(os.Stdout).Encode(playReport{Verdicts: r.Verdicts, Datagrams: r.Datagrams})
 }
 
-// settingsEditor makes the edits of an order.
+// settingsEditor makes the edits of an order, one at each reload. It keeps their errors.
 type settingsEditor struct {
 	folder  string
 	routers int
@@ -103,7 +105,8 @@
 	err     error
 }
 
-// observe is told of a fault before that is carried out.
+// observe makes the next edit when a reload begins. The event of a fault is recorded before the
+// fault is injected.
 func (s *settingsEditor) observe(e *history.Event) {
 	if e.What != history.Fault || e.Text != string(faults.Reload) || len(s.left) == 0 {
 		return
@@ -115,19 +118,21 @@
 	}
 }
 
-// apply changes one file, which must have the old text.
+// apply replaces the first occurrence of the old text in a file. It returns an error if there is
+// none.
 func (e settingsEdit) apply(path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return err
 	}
 	if !bytes.Contains(text, []byte(e.Old)) {
-		return fmt.Errorf("%s has no %s", path, e.Old)
+		return fmt.Errorf("%s does not contain the text to replace: %s", path, e.Old)
 	}
 	return os.WriteFile(path, bytes.Replace(text, []byte(e.Old), []byte(e.New), 1), 0o644)
 }
 
-// A play in a process of its own finds what it does in this one.
+// A play in a process of its own returns its events, datagram counts and violations. If it can't be
+// run, it returns an error.
 func TestPlayInProcessOfItsOwn(t *testing.T) {
 	t.Parallel()
 	x := parse(t, "2s", 2, "view = true", "")
@@ -148,7 +153,7 @@
 	}
 }
 
-// An edit of a text that a settings file has not is the play's error.
+// An edit returns an error if the settings file does not contain its old text.
 func TestSettingsEditNeedsItsText(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.hcl")
 	if err := os.WriteFile(path, []byte("pool a, pool a"), 0o600); err != nil {
--- a/internal/testbed/chaos/process.go
+++ b/internal/testbed/chaos/process.go
@@ -25,8 +25,8 @@
 	"reachspread/internal/testbed/processexit"
 )
 
-// starter starts processes from one thread that lives as long as it does. The kernel kills each of
-// them when that thread ends, in whatever way the rig did.
+// starter starts processes from one thread, which exists until the starter is closed. The kernel
+// kills each of these processes when that thread ends, even if the test process was killed.
 type starter struct{ todo chan func() }
 
 func newStarter() starter {
@@ -35,9 +35,10 @@
 	return s
 }
 
-// serve does what there is to do on a thread that ends with it. The program's first thread never
-// ends before the program does: Go parks it. Where this goroutine was given that one it keeps it,
-// so that the next can't be, until that has ended.
+// serve runs the functions of todo on a thread that ends when serve returns. The program's first
+// thread does not end before the program, because Go parks it. If this goroutine runs on that
+// thread, it stays locked to it and lets another goroutine, which then runs on another thread, do
+// the work.
 func (s starter) serve() {
 	runtime.LockOSThread()
 	if unix.Gettid() == unix.Getpid() {
@@ -50,13 +51,13 @@
 		<-over
 		return
 	}
-	for f := range s.todo { // and never unlocked
+	for f := range s.todo { // the thread is never unlocked, so that it ends with the goroutine
 		f()
 	}
 }
 
 func (s starter) start(cmd *exec.Cmd) error {
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true} // Ctrl-C is the rig's to hear
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true} // a group of its own, so that Ctrl-C reaches only the test process
 	done := make(chan error)
 	s.todo <- func() { done <- cmd.Start() }
 	return <-done
@@ -64,21 +65,22 @@
 
 func (s starter) close() { close(s.todo) }
 
-// router is one router's place: its folders, its listener, and the processes that have it by now.
+// router is one router of the fleet: its folders, its listener, and its running processes. A router
+// has more than one process while it is being replaced or has a twin.
 type router struct {
 	p        *play
 	n        int
 	folder   string
-	held     *os.File // the clients' listener, nil where processes open their own
-	settings string   // the file that processes are told of, empty for none
+	held     *os.File // the clients' listener; nil if each process opens its own
+	settings string   // path of the settings file that processes get; empty for none
 
 	mu        sync.Mutex
-	procs     []*process // that live, the oldest first
-	count     int        // started so far
-	down      int        // faults that keep it from running
-	paused    int        // faults that have it stand still
+	procs     []*process // running processes, oldest first
+	count     int        // number of processes started so far
+	down      int        // number of faults in force that keep the router down
+	paused    int        // number of faults in force that freeze the router
 	ended     bool       // the play is over
-	resumedAt time.Time  // when it was last made to go on
+	resumedAt time.Time  // when its processes were last resumed
 }
 
 // process is one process of a router.
@@ -87,11 +89,11 @@
 	r           *router
 	cmd         *exec.Cmd
 	management  string
-	done        chan bool // closed once it has ended and all it wrote is read
+	done        chan bool // closed once the process has exited and all its output was read
 	twin        bool
-	terminated  atomic.Bool // it was sent SIGTERM
-	loggedPhase bool        // it has named a phase: its management address answers
-	logFileOnly bool        // what it writes from now on goes to its file alone
+	terminated  atomic.Bool // SIGTERM was sent
+	loggedPhase bool        // the process has logged a phase, so its management address answers
+	logFileOnly bool        // further output goes only to the log file, not to the history
 }
 
 func (r *router) name() string { return "r" + strconv.Itoa(r.n) }
@@ -100,7 +102,8 @@
 func (r *router) older() string { return filepath.Join(r.folder, "older") }
 func (r *router) tmp() string   { return filepath.Join(r.folder, "tmp") }
 
-// openRouters makes what routers need before they start.
+// openRouters creates the folders, settings, listeners and configurations that routers need before
+// they start.
 func (p *play) openRouters() error {
 	settings := p.settings
 	for i := range p.spec.Routers {
@@ -122,7 +125,7 @@
 				return err
 			}
 			r.held, err = ln.(*net.TCPListener).File()
-			ln.Close() // the file is another descriptor of the same socket
+			ln.Close() // held is another descriptor of the same socket
 			if err != nil {
 				return err
 			}
@@ -135,7 +138,8 @@
 	return nil
 }
 
-// fleetFields are those of a router's block fleet: none where the configuration names its peers.
+// fleetFields returns the fields of a router's block fleet. It returns none if the configuration
+// names the peers.
 func (p *play) fleetFields(i int) string {
 	n := p.options.Experiment.Rig.Seeds
 	if n == 0 {
@@ -148,7 +152,7 @@
 	return fmt.Sprintf("  listen = %q\n  address = %q\n  seeds = [%s]\n", p.layout.peer(i), p.layout.advertised(i), strings.Join(seeds, ", "))
 }
 
-// configure writes the configuration that processes read.
+// configure writes the configuration file that the router's processes read.
 func (r *router) configure() error {
 	p, x := r.p, &r.p.options.Experiment.Rig
 	peers := p.layout.advertisedPeers(p.spec.Routers)
@@ -161,7 +165,7 @@
 	return os.WriteFile(filepath.Join(r.folder, "config.json"), text, 0o644)
 }
 
-// begin starts a process. Why is empty for the first one.
+// begin starts a process. why is the reason for the start, empty for a router's first process.
 func (r *router) begin(why string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -169,12 +173,13 @@
 	return err
 }
 
+// beginLocked is begin for callers that hold mu. It returns errEnded once the play is over.
 func (r *router) beginLocked(why string) (*process, error) {
 	if r.ended {
 		return nil, errEnded
 	}
 	r.count++
-	if r.p.eligibleVoters() > 0 && len(r.procs) == 0 { // for a disk that is older
+	if r.p.eligibleVoters() > 0 && len(r.procs) == 0 { // keep a copy for faults that restore an older disk
 		if err := errors.Join(os.RemoveAll(r.older()), copyFolder(r.disk(), r.older())); err != nil {
 			return nil, err
 		}
@@ -216,7 +221,7 @@
 	return x, nil
 }
 
-// Why processes start.
+// The reasons for which processes are started after a router's first one.
 const (
 	twinStart    = "twin"
 	againStart   = "again"
@@ -225,7 +230,8 @@
 
 var errEnded = errors.New("the play is over")
 
-// follow reads what a process writes until it ends.
+// follow copies a process's output to its log file and to the history until the process exits, and
+// then records the exit.
 func (x *process) follow(out io.Reader, file *os.File) {
 	defer close(x.done)
 	defer file.Close()
@@ -252,7 +258,7 @@
 	x.r.p.recorder.add(e)
 }
 
-// awaitExit waits until the process has ended, and returns the event that says so.
+// awaitExit waits until the process has exited and returns the event that records it.
 func (x *process) awaitExit() history.Event {
 	e := history.Event{What: history.Exit, Who: x.name}
 	status, signal, err := processexit.Await(x.pid())
@@ -266,7 +272,7 @@
 	return e
 }
 
-// wrote puts a line of its log into the history.
+// recordLogLine adds a line of the process's log to the history, as a phase or as another line.
 func (x *process) recordLogLine(line string) {
 	x.r.mu.Lock()
 	quiet := x.logFileOnly
@@ -286,14 +292,14 @@
 
 func (x *process) pid() int { return x.cmd.Process.Pid }
 
-// term tells a process to end.
+// term records a termination and sends SIGTERM to the process.
 func (x *process) term() {
 	x.terminated.Store(true)
 	x.r.p.recorder.add(history.Event{What: history.Term, Who: x.name})
 	x.cmd.Process.Signal(syscall.SIGTERM)
 }
 
-// call makes a call at a process's management address.
+// call sends a command to a process's management address and returns the answer.
 func (x *process) call(ctx context.Context, what string, within time.Duration) (string, error) {
 	d := net.Dialer{Timeout: within}
 	c, err := d.DialContext(ctx, "tcp4", x.management)
@@ -309,7 +315,7 @@
 	return string(text), err
 }
 
-// newest is the process that takes clients last, nil for none.
+// newest returns the process that was started last, twins aside; nil if none runs.
 func (r *router) newest() *process {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -321,7 +327,8 @@
 	return nil
 }
 
-// kill ends all processes of a router at once, and keeps it from starting until as many revives.
+// kill kills all processes of a router at once. The router stays down until revive was called as
+// often as kill.
 func (r *router) kill() {
 	r.mu.Lock()
 	r.down++
@@ -335,8 +342,8 @@
 	}
 }
 
-// revive takes one kill back, and starts a process if it was the last, after prepare has seen to
-// the folder.
+// revive undoes one kill. If no other kill is in force, it calls prepare, which may change the
+// durable folder, and starts a process.
 func (r *router) revive(prepare func() error) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -353,8 +360,8 @@
 	return err
 }
 
-// still has all processes of a router stand still, or go on once nothing has them stand still any
-// more.
+// setFrozen freezes all processes of a router, or ends one freeze. The processes resume once no
+// freeze is in force.
 func (r *router) setFrozen(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -371,7 +378,8 @@
 	}
 }
 
-// fileLimit has no file of the router's processes grow, or lets them.
+// fileLimit sets the limit on file sizes of the router's processes to 0, so that no file can grow, or
+// removes the limit.
 func (r *router) fileLimit(none bool) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -381,13 +389,14 @@
 	}
 	for _, x := range r.procs {
 		if err := unix.Prlimit(x.pid(), unix.RLIMIT_FSIZE, &limit, nil); err != nil && !errors.Is(err, unix.ESRCH) {
-			return fmt.Errorf("%s: a limit on files: %w", x.name, err)
+			return fmt.Errorf("%s: can't set the limit on file sizes: %w", x.name, err)
 		}
 	}
 	return nil
 }
 
-// endRouters tells all processes to end, and kills what has not in time.
+// endRouters resumes and terminates all processes, and kills those that do not exit within
+// exitTimeout.
 func (p *play) endRouters() {
 	var all []*process
 	for _, r := range p.routers {
@@ -422,7 +431,7 @@
 	}
 }
 
-// clearFolder empties a folder.
+// clearFolder removes everything in a folder.
 func clearFolder(path string) error {
 	all, err := os.ReadDir(path)
 	if err != nil {
--- a/internal/testbed/chaos/recovery_test.go
+++ b/internal/testbed/chaos/recovery_test.go
@@ -10,20 +10,21 @@
 	"reachspread/internal/testbed/history"
 )
 
-// returnCase is a schedule for routers with snapshots, and what must have been seen of it.
+// returnCase is a fault schedule for routers with snapshots, and the phases and log lines that must
+// follow from it.
 type returnCase struct {
 	length  string
 	routers int
 	rig     string
 	faults  string
-	within  map[string][2]float64 // first phases and words of the log, by process: not before so many seconds, and at the latest
+	within  map[string][2]float64 // by process and phase or log message: the earliest and the latest time of its first occurrence, in seconds
 }
 
-// words are what of log lines is looked for.
+// logMessages are the texts that returnCase.within may look for in log lines.
 var logMessages = []string{"list of the last life", "snapshot broken", "snapshot of another router", "snapshot read", `whose="this router"`, `whose="some routers"`, `whose="all routers"`,
 	"measure of others taken", "shunned=1", "settings=same", "stage=admitting", "stage=duties", "stage=back"}
 
-// returnCases have routers of two zones by turns: even ones east, odd ones west.
+// returnCases have routers in two zones: even numbers in east, odd numbers in west.
 var returnCases = map[string]returnCase{
 	"drained, discovery away, a generation cut, then all": {"23s", 3, "", `
 fault "withhold" {
@@ -218,8 +219,8 @@
 ` + power("11s", "1s", ""), map[string][2]float64{`r0/2 whose="all routers"`: {3, 6}, "r0/3 serving": {4, 9}, "r1/3 serving": {4, 9}}},
 }
 
-// coldFleet has hosts that start cold and fall over, and two classes, of which the second yields
-// while they are.
+// coldFleet returns an experiment whose hosts start cold and fail if they are overloaded while cold.
+// Of its two classes of requests, "fill" has the lower worth.
 func coldFleet(t testing.TB, length string, routers int, rig, faults string) *experiment.Experiment {
 	t.Helper()
 	const cold = `  zone  = %q
@@ -253,7 +254,7 @@
   worth      = 5
 }
 class "chat"`, 1)
-	text = strings.Replace(text, `settle = "2s"`, `settle = "5s"`, 1) // the hosts' warm-up and a second
+	text = strings.Replace(text, `settle = "2s"`, `settle = "5s"`, 1) // the hosts' warm-up of 4 s and 1 s more
 	x, err := experiment.Parse(fmt.Appendf(nil, text+faults, length, routers, rig), "x.hcl")
 	if err != nil {
 		t.Fatal(err)
@@ -268,8 +269,8 @@
 	return fmt.Sprintf("fault \"power\" {\n  at = %q\n  length = %q\n%s}\n", at, length, zone)
 }
 
-// Each case on real processes: no rule is broken, all serve again, and what must be seen of each
-// return is, in its time.
+// Runs each case on real processes. No checker finds a violation, all routers serve again, and each
+// expected phase and log line of a recovery occurs within its time.
 func TestRecovery(t *testing.T) {
 	t.Parallel()
 	binary := routerBinary(t)
--- a/internal/testbed/chaos/returns_test.go
+++ b/internal/testbed/chaos/returns_test.go
@@ -8,7 +8,8 @@
 	"reachspread/internal/testbed/history"
 )
 
-// Only processes that came back count, each step once, from the start of its own process.
+// Only restarted processes count, not replacing ones. Each step is measured from the start of its own
+// process.
 func TestReturns(t *testing.T) {
 	at := func(x time.Duration, what history.What, who, text string) history.Event {
 		return history.Event{T: x.Nanoseconds(), What: what, Who: who, Text: text}
--- a/internal/testbed/chaos/view_test.go
+++ b/internal/testbed/chaos/view_test.go
@@ -8,9 +8,10 @@
 	"reachspread/internal/testbed/history"
 )
 
-// hardCases are schedules for routers that keep a view of the fleet, each over by 8 s. The same
-// cases at many sizes and seeds are package viewlab's; here the deciders are real processes on
-// sockets. Loss, late, doubled and old datagrams lie under two of them.
+// hardCases are schedules for routers that maintain a view of the fleet. All faults end by 8 s.
+// Package viewlab runs the same cases with many sizes and seeds; these tests run them on real
+// processes and sockets. In two of the cases, datagrams are also lost, delayed, duplicated or
+// corrupted.
 var hardCases = map[string]struct {
 	routers int
 	faults  string
@@ -148,7 +149,7 @@
 `},
 }
 
-// steps are faults of one kind one after another.
+// steps returns faults of one kind, one for each router, that begin 900 ms apart.
 func steps(kind, length string, routers ...int) string {
 	var b strings.Builder
 	for i, n := range routers {
@@ -157,7 +158,8 @@
 	return b.String()
 }
 
-// Each hard case on real processes: no rule is broken, and all views are the same within the bound.
+// Runs each hard case on real processes. No checker finds a violation, and all views are identical
+// within the bound after the last fault.
 func TestViewHardCases(t *testing.T) {
 	t.Parallel()
 	binary := routerBinary(t)
@@ -182,14 +184,14 @@
 				}
 			}
 			if views < x.routers || r.Events[0].Play.Views == 0 {
-				t.Errorf("%d views were told", views)
+				t.Errorf("the history has %d views", views)
 			}
 		})
 	}
 }
 
-// Without the block nothing of the view is on the wire: nine routers send each other reports and
-// nothing else. With it, as many reports beside.
+// Without the fleet block, nine routers send each other load reports and no datagrams of the view.
+// With the block they send both kinds.
 func TestViewOff(t *testing.T) {
 	t.Parallel()
 	binary := routerBinary(t)
--- a/internal/testbed/chaos/watch.go
+++ b/internal/testbed/chaos/watch.go
@@ -20,8 +20,8 @@
 	"reachspread/internal/testbed/simulator"
 )
 
-// front is who spreads clients over routers: it asks each whether it is ready, and notices late
-// that one has died.
+// loadBalancer distributes client requests over the routers. It polls each router's /-/ready, so it
+// notices only after some time that a router has died.
 type loadBalancer struct {
 	p      *play
 	client *http.Client
@@ -32,7 +32,8 @@
 
 const (
 	readyPollInterval = 100 * time.Millisecond
-	// noticeAfter is how long a router may be silent until the front takes it for dead.
+	// readyPollTimeout is how long the load balancer waits for an answer to a poll before it treats
+	// the router as not ready.
 	readyPollTimeout = 2 * time.Second
 )
 
@@ -41,7 +42,8 @@
 		client: &http.Client{Timeout: readyPollTimeout, Transport: &http.Transport{DisableKeepAlives: true}}}
 }
 
-// watch asks all routers until ctx ends.
+// watch polls all routers until ctx ends, and records in the history when one becomes ready or
+// stops being ready.
 func (f *loadBalancer) watch(ctx context.Context) {
 	var all sync.WaitGroup
 	for i, r := range f.p.routers {
@@ -86,7 +88,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// pick spreads requests over the routers that are ready, by their sessions' and own names.
+// pick returns the address of a ready router for a request, chosen by a hash of the request's ID. It
+// returns "" if no router is ready.
 func (f *loadBalancer) pick(p *simulator.Planned) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -106,7 +109,8 @@
 	return f.p.layout.client(up[n%uint64(len(up))])
 }
 
-// watch looks at processes: what they hold, and whether they answer.
+// watch polls the processes of all routers: it records the resources that they use, and detects
+// processes that do not answer.
 type watch struct {
 	p *play
 }
@@ -115,8 +119,8 @@
 
 const (
 	watchInterval = 500 * time.Millisecond
-	// answerIn is how long an operators' caller waits, and idleRounds how many such times in a row
-	// are a process that hangs.
+	// callTimeout is how long an operator's call waits for its answer. A process counts as hung after
+	// maxUnansweredCalls calls without an answer in a row.
 	callTimeout        = time.Second
 	maxUnansweredCalls = 2
 )
@@ -144,7 +148,7 @@
 		r.mu.Unlock()
 		for _, x := range procs {
 			w.usage(x)
-			if x.twin || x.terminated.Load() { // one that ends closes its address, and has its time for that
+			if x.twin || x.terminated.Load() { // a terminating process closes its address, and the checker "leave" judges how long it takes
 				continue
 			}
 			if unanswered[x] == nil {
@@ -157,16 +161,17 @@
 	}
 }
 
-// unansweredCalls is how often in a row a process has not answered, and what the machine had
-// withheld by the first time.
+// unansweredCalls counts the calls in a row that a process has not answered. It also has the stalls
+// and the withheld processor time from before the first of these calls.
 type unansweredCalls struct {
 	count    int
-	stalls   int           // of the test itself
-	withheld time.Duration // from the process
+	stalls   int           // stalls of the test process so far
+	withheld time.Duration // how long the process had waited for a processor so far
 }
 
-// check asks a process whether it is up. It returns an error when that has failed idleRounds times
-// in a row with nothing done to the process and no processors withheld since the first time.
+// check calls a process's management address. It returns an error when maxUnansweredCalls calls in a
+// row have failed although, since the first of them, no fault stopped the process and the machine
+// gave processors to it and to the test.
 func (w *watch) check(ctx context.Context, x *process, u *unansweredCalls) error {
 	if u.count == 0 {
 		u.stalls, u.withheld = w.p.stalls.count(), withheldFrom(x.pid())
@@ -205,18 +210,18 @@
 	return x.loggedPhase
 }
 
-// usage puts into the history what a process holds.
+// usage records in the history the resources that a process uses.
 func (w *watch) usage(x *process) {
 	u, err := usageOf(x.pid())
 	if err != nil {
-		return // it has ended
+		return // the process has exited
 	}
 	u.What, u.Who = history.Usage, x.name
 	w.p.recorder.add(u)
 }
 
-// usageOf reads a process's most memory so far, its descriptors, its CPU time and how long it waited
-// for a processor.
+// usageOf reads a process's peak memory, its number of descriptors, its CPU time, and how long its
+// threads have waited for a processor.
 func usageOf(pid int) (e history.Event, err error) {
 	dir := "/proc/" + strconv.Itoa(pid)
 	status, err := os.ReadFile(dir + "/status")
@@ -242,8 +247,8 @@
 	return e, nil
 }
 
-// withheldFrom returns for how long the threads of a process have been ready to run without a
-// processor so far; 0 where the system does not tell.
+// withheldFrom returns how long the threads of a process, in total, have been ready to run but had
+// no processor. It returns 0 if the system does not report this time.
 func withheldFrom(pid int) (total time.Duration) {
 	files, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil {
@@ -262,7 +267,8 @@
 	return total
 }
 
-// cpuOf reads user and system time, in hundredths of a second, from a line of /proc/PID/stat.
+// cpuOf returns the sum of user and system time from a line of /proc/PID/stat, which has both in
+// hundredths of a second.
 func cpuOf(stat string) (cpu time.Duration) {
 	fields := strings.Fields(stat[strings.LastIndexByte(stat, ')')+1:])
 	for _, i := range []int{11, 12} {
@@ -274,13 +280,14 @@
 	return cpu
 }
 
-// caught tells whether a process was.
+// foundUnresponsive reports whether any process was found unresponsive.
 func (p *play) foundUnresponsive() bool {
 	return slices.ContainsFunc(p.recorder.events(), func(e history.Event) bool { return e.What == history.Unresponsive })
 }
 
-// catch leaves all evidence of a process that answers nobody, before anybody can restart it: its
-// threads, twice, a CPU profile if it can still write one, and all its goroutines, which end it.
+// dumpUnresponsive writes the evidence on a process that does not answer, before the process can be
+// restarted: the state of its threads, twice; a CPU profile, if the process can still write one; and
+// the stacks of all its goroutines. SIGQUIT, which prints the stacks, also ends the process.
 func (p *play) dumpUnresponsive(x *process, why error) {
 	path := filepath.Join(x.r.folder, "caught")
 	f, err := os.Create(path)
@@ -294,16 +301,16 @@
 	fmt.Fprintf(w, "%s: %v\n", x.name, why)
 	for range 2 {
 		threads(w, x.pid())
-		time.Sleep(200 * time.Millisecond) // the time between two looks at its CPU
+		time.Sleep(200 * time.Millisecond) // between the two readings of CPU time
 	}
 	x.r.mu.Lock()
-	x.logFileOnly = true // its goroutines go to its log alone
+	x.logFileOnly = true // its goroutine stacks go only to its log file
 	x.r.mu.Unlock()
 	if p.options.Profile {
 		x.cmd.Process.Signal(syscall.SIGUSR1)
 		select {
 		case <-x.done:
-		case <-time.After(2 * time.Second): // a profile takes one
+		case <-time.After(2 * time.Second): // recording a profile takes one second
 		}
 	}
 	x.cmd.Process.Signal(syscall.SIGQUIT)
@@ -330,11 +337,11 @@
 	}
 }
 
-// viewLook is how often the rig asks each router for its view of the fleet.
+// viewPollInterval is the time between two requests for a router's view of the fleet.
 const viewPollInterval = 250 * time.Millisecond
 
-// viewsWithin is when all views must be the same after the last fault, as the view's design note
-// derives it, 0 where routers keep none.
+// viewsWithin returns how long after the last fault all views must be identical. The design note of
+// the view derives the value. It returns 0 if routers maintain no view.
 func (p *play) viewsWithin() time.Duration {
 	if !p.hasViews {
 		return 0
@@ -342,7 +349,7 @@
 	return 8*time.Second + time.Duration(p.spec.Routers)*30*time.Millisecond
 }
 
-// watchViews puts the routers' views into the history as they change.
+// watchViews polls the routers' views until ctx ends, and records each change in the history.
 func (p *play) watchViews(ctx context.Context) {
 	var all sync.WaitGroup
 	for _, r := range p.routers {
@@ -378,8 +385,8 @@
 	all.Wait()
 }
 
-// viewOf reads the answer to the call view. A view without its own router is one of a process that
-// has not joined yet.
+// viewOf parses the answer to the call "view". It returns false if the answer is malformed or the
+// version of the view is 0, as in a process that has not joined yet.
 func viewOf(who, answer string) (e history.Event, ok bool) {
 	lines, err := program.ParseLines(answer, "view")
 	if err != nil {
@@ -404,7 +411,7 @@
 	return e, e.N > 0
 }
 
-// scrape reads the figures of every process, over and over, as the platform does.
+// scrape reads the metrics of every router's newest process once per interval, as the platform does.
 func (p *play) scrape(ctx context.Context, every time.Duration) {
 	for ticker := time.NewTicker(every); ; {
 		select {
--- a/internal/testbed/chaos/work_test.go
+++ b/internal/testbed/chaos/work_test.go
@@ -6,9 +6,10 @@
 	"reachspread/internal/testbed/history"
 )
 
-// The view at work on real processes: two halves that disagree on who lives, and then a half that
-// is killed, as hosts come back cold. The module of each router has its own view for its budgets
-// and for whom it tells; together they push no host over, and no rule is broken.
+// Tests the view on real processes. A partition makes two halves of the fleet disagree on which
+// routers are alive; then one half is killed while hosts restart cold. Each router's module uses its
+// own view to compute its budgets and to choose the routers it reports to. All routers together
+// overload no host, and no checker finds a violation.
 func TestViewAtWork(t *testing.T) {
 	t.Parallel()
 	binary := routerBinary(t)
