--- a/internal/testbed/chaos/recovery_test.go
+++ b/internal/testbed/chaos/recovery_test.go
@@ -220,7 +220,8 @@
 }
 
 // coldFleet returns an experiment whose hosts start cold and fail if they are overloaded while cold.
-// Of its two classes of requests, "fill" has the lower worth.
+// Of its two classes of requests, "chat" has the lower worth and yields to "fill" while hosts are
+// cold.
 func coldFleet(t testing.TB, length string, routers int, rig, faults string) *experiment.Experiment {
 	t.Helper()
 	const cold = `  zone  = %q
--- a/internal/testbed/checker/answer.go
+++ b/internal/testbed/checker/answer.go
@@ -7,8 +7,8 @@
 	"reachspread/internal/testbed/history"
 )
 
-// answer finds requests with no final answer, with two, with a late one, or with a stream that
-// broke while nothing that was done explains it.
+// answer finds requests with no final answer, with more than one, with a late one, or with a
+// connection or stream that broke although no fault explains it.
 func answer(c *Case) (found []Violation) {
 	for _, id := range c.ids {
 		r := c.requests[id]
@@ -35,16 +35,17 @@
 	return found
 }
 
+// oneAnswer judges a request with exactly one final answer, and calls wrong for each violation.
 func (c *Case) oneAnswer(r *Request, wrong func(int64, string, ...any)) {
 	a := r.Answers[0]
 	if c.excused(r, a.T) {
 		return
 	}
 	due, came := max(r.Ask.Until, r.Due), a.ArrivedAt()
-	if r.First >= 0 { // the deadline stops running with the first event
+	if r.First >= 0 { // the deadline applies to the first event of a stream
 		came = r.First
 	}
-	withheld := c.Withheld(r.Ask.Who, due, came) // before it was due nothing was late
+	withheld := c.Withheld(r.Ask.Who, due, came) // only time after the answer was due can explain lateness
 	late := came - due
 	tooLate := late > c.Play.Slack+withheld.Nanoseconds()
 	switch a.How {
@@ -65,7 +66,7 @@
 	}
 }
 
-// describeCause appends what the client saw, if it said so.
+// describeCause returns the cause that the client reported, as the end of a violation's text.
 func describeCause(cause string) string {
 	if cause == "" {
 		return ""
@@ -73,7 +74,8 @@
 	return ": " + cause
 }
 
-// describeWithheld says for how long the machine withheld processors, if it did for long.
+// describeWithheld returns how long the machine withheld processors, as the end of a violation's text.
+// It returns "" for times up to noticeableStall.
 func describeWithheld(withheld time.Duration) string {
 	if withheld <= noticeableStall {
 		return ""
@@ -81,12 +83,14 @@
 	return fmt.Sprintf("; the machine withheld processors for %v", withheld.Round(time.Millisecond))
 }
 
-// excused reports whether a fault of the router that has a request excuses any end of it.
+// excused reports whether a fault of the router that got a request excuses every outcome of the
+// request.
 func (c *Case) excused(r *Request, to int64) bool {
 	return c.FaultDuring(append(processEnds, processStalls...), r.Ask.T, to, affectsRouter(r.Ask.Who))
 }
 
-// brokenBy reports whether a fault affected a host that had the request, or the link to it.
+// brokenBy reports whether a fault affected a host to which the request was sent, or the link to that
+// host.
 func (c *Case) brokenBy(r *Request, to int64) bool {
 	for _, a := range r.Attempts {
 		if c.FaultDuring(hostFailures, r.Ask.T, to, affectsHost(a.Host)) || c.FaultDuring(linkFaults, r.Ask.T, to, affectsLink(a.Router, "hosts")) {
@@ -96,9 +100,9 @@
 	return false
 }
 
-// killedInTurn reports whether a stream broke as its process was killed, its time after SIGTERM
-// being over: what it took until shortly after SIGTERM it owes, and what it can't finish in that
-// time it does not lose.
+// killedInTurn reports whether a stream broke because its process was killed at the end of the time
+// that it has after SIGTERM. A router still answers the requests that it accepted until shortly after
+// SIGTERM. A request that it can't finish in its time does not count as lost.
 func (c *Case) killedInTurn(r *Request, at int64) bool {
 	termed := map[string]int64{}
 	for i := range c.Events {
@@ -119,14 +123,14 @@
 	return false
 }
 
-// attempt finds requests with two attempts out at the same time. An attempt ends when its host is
-// done with it or when the router closes its connection, whichever the history has first.
+// attempt finds requests with two attempts in progress at the same time. An attempt ends when its host
+// has finished it or when the router closes its connection, whichever the history has first.
 func attempt(c *Case) (found []Violation) {
 	for _, id := range c.ids {
 		all := c.requests[id].Attempts
 		for i := 1; i < len(all); i++ {
 			if all[i].To-all[i].From < immediateDone.Nanoseconds() {
-				continue // its connection was gone as the host came to look at it: it may be the older one
+				continue // the connection was already closed when the host read the request, so this may be the older attempt
 			}
 			for _, before := range all[:i] {
 				if over := before.To - all[i].From; over > attemptSlack.Nanoseconds() && !c.unseen(before) {
@@ -139,14 +143,15 @@
 	return found
 }
 
-// atOnce is how soon a host is done with a request whose connection was reset before it looked.
+// immediateDone is the time within which a host finishes a request whose connection was reset before
+// the host read the request.
 const immediateDone = time.Millisecond
 
-// attemptSlack is the platform's, for all limits of time on sockets.
+// attemptSlack is the tolerance that the platform grants for all time limits on sockets.
 const attemptSlack = 50 * time.Millisecond
 
-// unseen reports whether the end of an attempt could not be seen: its router died or was frozen,
-// and did not close the connection.
+// unseen reports whether the history may lack the end of an attempt because the router died or was
+// frozen and did not close the connection.
 func (c *Case) unseen(a *Attempt) bool {
 	return c.FaultDuring(append(processEnds, processStalls...), a.From, a.To, affectsRouter(a.Router))
 }
--- a/internal/testbed/checker/checker.go
+++ b/internal/testbed/checker/checker.go
@@ -1,9 +1,9 @@
-// Package checker has checkers of histories. Each reads what happened, to processes in chaos tests
-// or in the simulator's virtual time, and returns the violations of one rule; each has a file and a
-// test with a built-in violation that it must find. The package is pure.
+// Package checker has checkers of histories. A history records a chaos test with real processes, or a
+// run in the simulator's virtual time. Each checker returns the violations of one rule, and a test
+// with planted violations shows that it finds them. The package is pure: it has no side effects.
 //
-// A checker knows what a fault excuses, and no more than that: a router that was killed owes no
-// answer to the requests that it had accepted, another router does.
+// A checker excuses only what a fault explains. For example, a router that was killed need not answer
+// the requests that it had accepted, but any other router must.
 package checker
 
 import (
@@ -16,7 +16,8 @@
 	"reachspread/internal/testbed/history"
 )
 
-// Violation is a violation of a rule.
+// Violation is one violation of a checker's rule. Who is the router or host and ID the request that it
+// concerns; each may be empty.
 type Violation struct {
 	Checker string
 	T       int64 // nanoseconds since the run began
@@ -24,7 +25,7 @@
 	Text    string
 }
 
-// String is one line.
+// String returns the violation as one line of text.
 func (v *Violation) String() string {
 	return fmt.Sprintf("%s: %s at %v: %s", v.Checker, strings.TrimSpace(v.Who+" "+v.ID), time.Duration(v.T).Round(time.Millisecond), v.Text)
 }
@@ -78,7 +79,7 @@
 	End    int64 // of the history
 
 	requests    map[string]*Request
-	ids         []string // of requests, in the order of their asking
+	ids         []string // ids of requests, in the order of their first events
 	withholding withholding
 }
 
@@ -86,18 +87,18 @@
 type Fault struct {
 	Kind     string
 	N        int
-	From, To int64 // To is the history's end for one that was never ended
+	From, To int64 // To is the end of the history if the fault never ended
 	Routers  []int
 	Hosts    []int
 	Links    []string
-	All      bool // the links of every router, as in a partition
+	All      bool // the links of every router are affected, as in a partition
 }
 
 // Request is a client's request with its events.
 type Request struct {
 	Ask      *history.Event
-	First    int64 // when its first event came, -1 for none
-	Due      int64 // when an answer was due as the request stated, 0 for as its client waits
+	First    int64 // when the first event of its stream arrived; -1 for none
+	Due      int64 // when an answer was due according to the request; 0 if the client's own timeout applies
 	Answers  []*history.Event
 	Attempts []*Attempt
 }
@@ -106,11 +107,11 @@
 type Attempt struct {
 	Host, Router string
 	Conn         string
-	From, To     int64 // To is the history's end for one that nobody saw end
+	From, To     int64 // To is the end of the history if it has no end of the attempt
 }
 
-// NewCase indexes a history. Events of requests that were never asked are left to the checkers that
-// look for them.
+// NewCase indexes a history. It keeps events of requests that no client sent, so that checkers can
+// report them.
 func NewCase(events []history.Event) *Case {
 	c := &Case{Events: events, requests: map[string]*Request{}, withholding: newWithholding()}
 	if len(events) == 0 {
@@ -135,7 +136,7 @@
 	return c
 }
 
-// request returns the request of an id, which it adds.
+// request returns the request with an id. It adds the request if there is none.
 func (c *Case) request(id string) *Request {
 	r := c.requests[id]
 	if r == nil {
@@ -155,7 +156,7 @@
 	openFaults   map[int]int // index in Case.Faults, by number
 	running      map[attemptKey]*Attempt
 	onConnection map[string]*Attempt
-	closedAt     map[string]int64 // the last close, by connection
+	closedAt     map[string]int64 // time of the last close, by connection
 }
 
 func (x *indexer) add(e *history.Event) {
@@ -205,31 +206,32 @@
 	}
 	x.onConnection[e.Conn] = a
 	if at, closed := x.closedAt[e.Conn]; closed && e.T < at+cancelDelay.Nanoseconds() {
-		a.To = e.T // it was canceled while its last byte was in flight
+		a.To = e.T // the router canceled the attempt while its last byte was in flight
 	}
 }
 
-// cancelDelay is how long after the router's close the host may still receive what was sent before.
+// cancelDelay is how long after the router closed a connection the host may still receive bytes that
+// were sent before.
 const cancelDelay = 50 * time.Millisecond
 
-// faultAftermath is how long a fault may still have effects once it has ended: idle connections are
-// found dead, a process that was frozen catches up.
+// faultAftermath is how long a fault may still have effects after it has ended. For example, routers
+// find idle connections dead, and a process that was frozen has a backlog.
 const faultAftermath = 2 * time.Second
 
-// machineStall is the kind in a history for a time in which the machine did not schedule the test
-// itself. ID is its length, and T its end.
+// machineStall is the kind of the fault events that record a time in which the machine did not
+// schedule the test process. Their ID is the length of the stall, and their T is its end.
 const machineStall = "machine"
 
-// Kinds of faults that excuse something.
+// The kinds of faults that excuse violations.
 var (
-	processEnds   = []string{"kill", "power"}                                                         // a process
-	processStalls = []string{"pause", "crawl"}                                                        // a process
-	hostFailures  = []string{"kill", "power", "rename", "stall", "reset", "garbage", "drain", "slow"} // streams of a host
-	linkFaults    = []string{"cut", "partition", "loss", "delay", "reorder"}                          // a link
+	processEnds   = []string{"kill", "power"}                                                         // end a process
+	processStalls = []string{"pause", "crawl"}                                                        // freeze or slow a process
+	hostFailures  = []string{"kill", "power", "rename", "stall", "reset", "garbage", "drain", "slow"} // break streams of a host
+	linkFaults    = []string{"cut", "partition", "loss", "delay", "reorder"}                          // disturb a link
 )
 
-// FaultDuring reports whether a fault of one of the kinds that fits was on between two times, or
-// shortly before.
+// FaultDuring reports whether a fault of one of the kinds, for which fits returns true, was in force
+// between two times or had ended at most faultAftermath before.
 func (c *Case) FaultDuring(kinds []string, from, to int64, fits func(*Fault) bool) bool {
 	for i := range c.Faults {
 		s := &c.Faults[i]
@@ -240,19 +242,20 @@
 	return false
 }
 
-// affectsRouter fits faults of a router itself.
+// affectsRouter returns a filter for faults of a router itself.
 func affectsRouter(name string) func(*Fault) bool {
 	n := NumberOf(name)
 	return func(s *Fault) bool { return slices.Contains(s.Routers, n) }
 }
 
-// affectsHost fits faults of a host itself.
+// affectsHost returns a filter for faults of a host itself.
 func affectsHost(name string) func(*Fault) bool {
 	n := NumberOf(name)
 	return func(s *Fault) bool { return slices.Contains(s.Hosts, n) }
 }
 
-// affectsLink fits faults of a router's links to hosts or to the list.
+// affectsLink returns a filter for faults of a router's links of one type, such as those to hosts or
+// to the list.
 func affectsLink(name, what string) func(*Fault) bool {
 	n := NumberOf(name)
 	return func(s *Fault) bool {
@@ -260,7 +263,8 @@
 	}
 }
 
-// NumberOf returns the number in the name of a router or host, as in r3, r3/2 or h12; -1 for none.
+// NumberOf returns the number in the name of a router or host, which is 3 for r3 and r3/2, and 12 for
+// h12. It returns -1 if the name has no number.
 func NumberOf(name string) int {
 	name, _, _ = strings.Cut(name, "/")
 	if len(name) < 2 {
@@ -273,7 +277,8 @@
 	return n
 }
 
-// LastHeal returns when the last fault ended, 0 where there was none.
+// LastHeal returns when the last fault ended, or 0 if there was none. Stalls of the machine don't
+// count as faults.
 func (c *Case) LastHeal() (last int64) {
 	for i := range c.Faults {
 		if c.Faults[i].Kind != machineStall {
--- a/internal/testbed/checker/checker_test.go
+++ b/internal/testbed/checker/checker_test.go
@@ -10,8 +10,8 @@
 
 const ms = 1_000_000
 
-// well is a history that nothing is wrong with: a router, two hosts, requests that are served,
-// refused and sent twice, a host that drains, a process that leaves.
+// healthyHistory returns a history without violations. It has two routers, two hosts, requests that are
+// served, refused and retried, a host that drains, and a process that exits after SIGTERM.
 func healthyHistory() []history.Event {
 	all := []history.Event{
 		{What: history.Begin, Play: &history.Play{Version: 1, World: "rig", Routers: 2, Hosts: 2, Slack: 50 * ms, Memory: 32 << 20, Sockets: 256,
@@ -23,7 +23,7 @@
 		{T: 11 * ms, What: history.Attempt, ID: "a", Who: "h0", From: "r0", Conn: "c1"},
 		{T: 20 * ms, What: history.Closed, Conn: "c1"},
 		{T: 21 * ms, What: history.Attempt, ID: "a", Who: "h1", From: "r0", Conn: "c2"},
-		{T: 300 * ms, What: history.Done, ID: "a", Who: "h0"}, // heard of late
+		{T: 300 * ms, What: history.Done, ID: "a", Who: "h0"}, // recorded late
 		{T: 400 * ms, What: history.Done, ID: "a", Who: "h1"},
 		{T: 100 * ms, What: history.First, ID: "a"},
 		{T: 401 * ms, What: history.Answer, ID: "a", How: history.Complete, Status: 200},
@@ -36,7 +36,7 @@
 		{T: 2000 * ms, What: history.Exit, Who: "r1"},
 		{T: 2900 * ms, What: history.Start, Who: "r1", PID: 9},
 	}
-	// The fleet before a fault, meanwhile and after.
+	// Requests before, during and after a fault.
 	for i := range 60 {
 		t := int64(3000+100*i) * ms
 		id := fmt.Sprint("q", i)
@@ -58,14 +58,14 @@
 	op := func(t int64, what history.What, id, kind, value string) {
 		all = append(all, history.Event{T: t * ms, What: what, Who: "c" + id, ID: id, Op: &history.Op{Kind: kind, Key: "k", Value: value}})
 	}
-	op(9000, history.Invoke, "1", "write", "x") // its end is unknown: it took effect late
+	op(9000, history.Invoke, "1", "write", "x") // its end is unknown, and it takes effect late
 	op(9010, history.Invoke, "2", "write", "y")
 	op(9020, history.OK, "2", "write", "y")
 	op(9030, history.Invoke, "3", "read", "")
 	op(9040, history.OK, "3", "read", "y")
 	op(9050, history.Invoke, "4", "read", "")
 	op(9060, history.OK, "4", "read", "x")
-	for i, n := range []int{0, 1} { // views, before the kill and long after it
+	for i, n := range []int{0, 1} { // views before the kill and long after it
 		who := fmt.Sprint("r", n)
 		all = append(all, history.Event{T: int64(2950+i) * ms, What: history.View, Who: who, Text: "d1", N: 1, Incarnation: 1, Routers: []int{0, 1}},
 			history.Event{T: int64(9400+i) * ms, What: history.View, Who: who, Text: "d2", N: 3, Incarnation: 2, Routers: []int{0, 1}})
@@ -73,14 +73,14 @@
 	return append(all, history.Event{T: 10000 * ms, What: history.End})
 }
 
-// Nothing is found where nothing is wrong.
+// The checkers find no violation in a healthy history.
 func TestNothingFound(t *testing.T) {
 	for _, v := range CheckAll(healthyHistory()) {
 		t.Error(v.String())
 	}
 }
 
-// Each checker finds what is planted, and no other does.
+// Each planted violation is found by its own checker and by no other.
 func TestPlanted(t *testing.T) {
 	add := func(more ...history.Event) func([]history.Event) []history.Event {
 		return func(all []history.Event) []history.Event { return append(all, more...) }
@@ -155,7 +155,7 @@
 	}
 }
 
-// A fault excuses what it strikes, and nothing beside it.
+// A fault excuses failures of the routers, hosts and links that it affects, and no others.
 func TestExcuses(t *testing.T) {
 	lost := func(who, how string) []history.Event {
 		return []history.Event{{T: 9100 * ms, What: history.Ask, ID: "z", Who: who, Until: 9200 * ms},
--- a/internal/testbed/checker/crash.go
+++ b/internal/testbed/checker/crash.go
@@ -8,10 +8,10 @@
 	"reachspread/internal/testbed/history"
 )
 
-// crash finds processes that ended by themselves, that did not start, and panics in logs. A second
-// process that a fault started under a name that lives is let fail, but not let crash.
+// crash finds processes that exited by themselves or did not start, and panics in logs. A twin, which
+// a fault starts under the name of a running router, may exit with status 1, but must not panic.
 func crash(c *Case) (found []Violation) {
-	asked := map[string]int64{} // by process, from when on it may end
+	asked := map[string]int64{} // by process, when it got SIGTERM, after which it may exit
 	twin := map[string]bool{}
 	for i := range c.Events {
 		e := &c.Events[i]
@@ -39,8 +39,8 @@
 	return found
 }
 
-// hang passes on what the rig's watch has caught. The rig knows better than a checker could what
-// was done to a process.
+// hang returns the unresponsive processes that the chaos test has recorded. The chaos test knows
+// better than a checker what was done to a process.
 func hang(c *Case) (found []Violation) {
 	for i := range c.Events {
 		if e := &c.Events[i]; e.What == history.Unresponsive {
--- a/internal/testbed/checker/docs_test.go
+++ b/internal/testbed/checker/docs_test.go
@@ -9,7 +9,7 @@
 	"reachspread/internal/testbed/faults"
 )
 
-// The operators' page has the tables of checkers and of faults as the program has them.
+// The operators' page has the same tables of checkers and of faults as the program.
 func TestPage(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/operators/rig.md")
 	if err != nil {
--- a/internal/testbed/checker/drain.go
+++ b/internal/testbed/checker/drain.go
@@ -7,12 +7,13 @@
 	"reachspread/internal/testbed/history"
 )
 
-// drainSlack is how long after it was told a host may still be sent something new, with the
-// platform's slack on sockets.
+// drainSlack is how long a router may still send new requests to a host after the list has reported the
+// host as draining or gone. It includes the platform's slack on sockets.
 const drainSlack = 550 * time.Millisecond
 
-// drain finds attempts that are sent to a host after its router was told that it drains or is gone.
-// One whose router or whose list stood still meanwhile was told only when they went on.
+// drain finds attempts that a router sends to a host more than drainSlack after the list has reported
+// the host as draining or gone. A fault of the router, or of its links to the list or the hosts,
+// excuses such an attempt.
 func drain(c *Case) (found []Violation) {
 	since := map[string]int64{} // by router and host
 	for i := range c.Events {
@@ -39,7 +40,7 @@
 	return found
 }
 
-// slowStart finds hosts that were pushed over before they were warm.
+// slowStart finds hosts that failed from overload while they were still cold.
 func slowStart(c *Case) (found []Violation) {
 	for i := range c.Events {
 		if e := &c.Events[i]; e.What == history.HostOverloaded {
--- a/internal/testbed/checker/duties.go
+++ b/internal/testbed/checker/duties.go
@@ -8,9 +8,9 @@
 	"reachspread/internal/testbed/history"
 )
 
-// duties finds acts that should not have been: accepted under a lower token than one before, of two
-// routers under one token, or begun by a router after another had begun under a higher one. The
-// last is asked only where one clock stamps the beginnings.
+// duties finds three kinds of invalid acts: an act that its receiver accepted with a lower token than
+// an earlier one, acts of two routers with the same token, and an act that began after another had
+// begun with a higher token. It checks the last kind only where one clock stamps the beginnings.
 func duties(c *Case) (found []Violation) {
 	type last struct {
 		token uint64
@@ -58,5 +58,5 @@
 	return found
 }
 
-// taken is the status of an act that its receiver let pass.
+// statusAccepted is the status of an act that its receiver accepted.
 const statusAccepted = 200
--- a/internal/testbed/checker/duties_test.go
+++ b/internal/testbed/checker/duties_test.go
@@ -10,7 +10,8 @@
 	return history.Event{T: t, What: history.Act, Who: "h0", From: from, Text: "scribe", Token: token, Status: status, LeaseCheckedAt: begun}
 }
 
-// Acts that should not have been are found, and such as were refused in time are none.
+// Invalid acts are found. An act that its receiver refused is no violation, unless it began after one
+// with a higher token.
 func TestDutiesPlanted(t *testing.T) {
 	for name, x := range map[string]struct {
 		events []history.Event
@@ -29,15 +30,16 @@
 	}
 }
 
-// op is an operation on a duty, from its call to its end; a token of 0 says that it did nothing.
+// op returns the two events of an operation on a duty, its call and its end. The operation failed if
+// got, the resulting token, is 0.
 func op(from, to int64, who, kind string, token, got uint64) []history.Event {
 	id := who + kind + string(rune('a'+from))
 	return []history.Event{{T: from, What: history.Invoke, Who: who, ID: id, Op: &history.Op{Kind: kind, Key: "scribe", Value: who, Token: token}},
 		{T: to, What: history.OK, Who: who, ID: id, Op: &history.Op{Succeeded: got > 0, Token: got}}}
 }
 
-// Grants that fit no order are found: a renewal after another was granted, two at once, a token
-// that falls.
+// Grants that fit no sequential order are found: a renewal after another router was granted the duty,
+// two holders at once, and a token that decreases.
 func TestGrantsPlanted(t *testing.T) {
 	for name, x := range map[string]struct {
 		ops   [][]history.Event
--- a/internal/testbed/checker/limits.go
+++ b/internal/testbed/checker/limits.go
@@ -8,8 +8,8 @@
 	"reachspread/internal/testbed/history"
 )
 
-// limits finds processes over their memory or their descriptors, and datagrams over the platform's
-// bound. Each process is told of once.
+// limits finds processes that exceed their limits of memory or descriptors, and datagrams larger than
+// the platform allows. It reports each process at most once for each limit.
 func limits(c *Case) (found []Violation) {
 	notified := map[string]bool{}
 	report := func(e *history.Event, text string) {
@@ -33,11 +33,12 @@
 	return found
 }
 
-// takesFor is how long after SIGTERM a router still takes requests that it owes a whole answer.
+// acceptAfterSIGTERM is how long after SIGTERM a router still accepts requests, which it must then
+// answer completely.
 const acceptAfterSIGTERM = 700 * time.Millisecond
 
-// leave finds processes that do not end as they should after SIGTERM. One that is killed when its
-// time is over while it still has streams that it took in time has done nothing wrong.
+// leave finds processes that exit late or with an error after SIGTERM. A process may be killed at the
+// end of its time while it still has requests that it accepted in time.
 func leave(c *Case) (found []Violation) {
 	if c.Play.Leave == 0 {
 		return nil
@@ -71,13 +72,14 @@
 			}
 		}
 	}
-	for who, t := range termed { // that never ended
+	for who, t := range termed { // processes that never exited
 		late(who, t, c.End)
 	}
 	return found
 }
 
-// has reports whether a router had requests at a time that were asked before another.
+// hasRequests reports whether a router still had, at a time, requests that clients had sent by the time
+// asked.
 func (c *Case) hasRequests(who string, asked, at int64) bool {
 	who, _, _ = strings.Cut(who, "/")
 	for _, r := range c.requests {
@@ -88,6 +90,6 @@
 	return false
 }
 
-// killSlack is how far the end of a process and those of its connections may lie apart in the
-// history.
+// killSlack is how far apart the history may record the end of a process and the ends of its
+// connections.
 const killSlack = 100 * time.Millisecond
--- a/internal/testbed/checker/linear.go
+++ b/internal/testbed/checker/linear.go
@@ -12,14 +12,14 @@
 	"reachspread/internal/testbed/history"
 )
 
-// linearWithin bounds the search, which may take exponential time.
+// linearSearchTimeout limits the search for a valid order, which may take exponential time.
 const linearSearchTimeout = 20 * time.Second
 
-// linear finds operations that do not fit any order of single moments between their starts and
-// ends, for each key by itself. One whose end is unknown may have taken effect at any time after
-// its start, or never.
+// linear finds operations that are not linearizable, for each key by itself: there is no order in
+// which each takes effect at one moment between its start and its end. An operation whose end is
+// unknown may have taken effect at any time after its start, or never.
 func linear(c *Case) []Violation {
-	of := map[bool][]porcupine.Operation{} // by whether they are of duties
+	of := map[bool][]porcupine.Operation{} // by whether the operation is one on a duty
 	for _, o := range operations(c.Events) {
 		duty := isGrant(o.Input.(history.Op).Kind)
 		of[duty] = append(of[duty], o)
@@ -27,8 +27,9 @@
 	return append(checkOrder(c, registers, of[false]), checkOrder(c, grants, conclusiveOperations(of[true]))...)
 }
 
-// telling leaves out operations on duties that fit anywhere, so that the search ends: requests for
-// a grant whose end is unknown, and the end of grants that nobody was ever told of.
+// conclusiveOperations removes operations on duties that fit every order, so that the search
+// terminates: requests for a grant whose end is unknown, and the ends of grants that no router
+// learned of.
 func conclusiveOperations(all []porcupine.Operation) []porcupine.Operation {
 	notified := map[uint64]bool{}
 	for _, o := range all {
@@ -60,7 +61,7 @@
 	return []Violation{{"linear", c.End, "", "", fmt.Sprintf("%d operations fit no order of single moments", len(ops))}}
 }
 
-// outcome is what is known of an operation's end.
+// outcome is the result of an operation, if it is known.
 type outcome struct {
 	known bool
 	op    history.Op
@@ -91,7 +92,7 @@
 	return ops
 }
 
-// registers is a store of values by key.
+// registers is the sequential model of a store of values by key, with read, write and compare-and-swap.
 var registers = porcupine.Model{
 	Partition: byKey,
 	Init:      func() any { return "" },
@@ -125,9 +126,9 @@
 	return partitions
 }
 
-// keyValue is the state of a duty that one router has at a time.
+// keyValue is the state of a duty, which at most one router holds at a time.
 type keyValue struct {
-	who         string // empty for nobody
+	who         string // the holder; empty for none
 	token, last uint64
 }
 
@@ -135,22 +136,22 @@
 	return kind == "acquire" || kind == "renew" || kind == "yield" || kind == "expire"
 }
 
-// grants is a duty that one router has at a time, under tokens that only grow. That it was given to
-// somebody is seen as that one hears of it. A request whose end is unknown may have given it back;
-// what it may have got shows later.
+// grants is the sequential model of a duty that at most one router holds at a time, with tokens that
+// only increase. A grant becomes visible when its holder learns of it. A yield whose end is unknown may
+// have released the duty. A grant whose result is unknown shows in later operations.
 var grants = porcupine.Model{
 	Partition: byKey,
 	Init:      func() any { return keyValue{} },
 	Step: func(state, input, output any) (bool, any) {
 		in, out, s := input.(history.Op), output.(outcome), state.(keyValue)
-		if in.Kind == "acquire" { // what it has in it is the largest token that was seen
+		if in.Kind == "acquire" { // the input has the largest token seen so far; the result has the granted one
 			in.Token = out.op.Token
 		}
 		mine := s.who == in.Value && s.token == in.Token
 		got := keyValue{in.Value, in.Token, max(s.last, in.Token)}
 		incarnation, _, _ := strings.Cut(s.who, "/")
 		self, _, _ := strings.Cut(in.Value, "/")
-		free := in.Token > s.last && (s.who == "" || incarnation == self && s.who != in.Value) // its last life's is free to it
+		free := in.Token > s.last && (s.who == "" || incarnation == self && s.who != in.Value) // a router may take over the duty of its own earlier process
 		switch {
 		case in.Kind == "expire", !out.known && in.Kind == "yield":
 			if s.token == in.Token {
--- a/internal/testbed/checker/returned.go
+++ b/internal/testbed/checker/returned.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	// minServedFraction is the share of requests that must be served whole once the fleet has
-	// settled, of those that were before the first fault.
+	// minServedFraction is the smallest allowed ratio of the fraction of completely served requests
+	// after the fleet has settled to the same fraction before the first fault.
 	minServedFraction = 0.9
-	// minRequests is the least number of requests that a share is taken of.
+	// minRequests is the smallest number of requests from which a fraction is computed.
 	minRequests = 20
 )
 
-// returned finds fleets that do not come back: routers that are not ready, or requests that are
-// refused or fail, once so much time has passed since the last fault.
+// returned finds fleets that do not recover: routers that are not ready, or too many requests that are
+// not served completely, after the time that the fleet has to settle after the last fault.
 func returned(c *Case) (found []Violation) {
 	if c.Play.Settle == 0 || c.LastHeal() == 0 {
 		return nil
 	}
 	from := c.LastHeal() + c.Play.Settle
 	if from >= c.End {
-		return nil // it had no time for it
+		return nil // the history ends before the fleet must have settled
 	}
 	found = c.unready(from)
 	before, then := c.servedShares(from)
@@ -34,7 +34,7 @@
 	return found
 }
 
-// unready finds routers that are not ready at a time.
+// unready finds routers that are not ready at a time. It checks only histories of real processes.
 func (c *Case) unready(from int64) (found []Violation) {
 	if c.Play.World != "rig" {
 		return nil
@@ -62,15 +62,15 @@
 	return ready
 }
 
-// servedShare is how many of some requests were served whole.
+// servedShare counts requests, and how many of them were served completely.
 type servedShare struct {
 	requests, complete int
 }
 
 func (s servedShare) fraction() float64 { return float64(s.complete) / float64(s.requests) }
 
-// servedShares counts the requests that ended before the first fault, and those that were asked
-// after a time.
+// servedShares counts the requests that ended before the first fault, and the requests that were sent
+// from a time on.
 func (c *Case) servedShares(from int64) (before, then servedShare) {
 	first := c.firstFault()
 	for _, id := range c.ids {
@@ -93,7 +93,8 @@
 	return before, then
 }
 
-// firstFault returns when the first fault of the schedule began.
+// firstFault returns when the first fault of the schedule began, or the end of the history if there was
+// none.
 func (c *Case) firstFault() int64 {
 	for i := range c.Faults {
 		if c.Faults[i].Kind != machineStall {
--- a/internal/testbed/checker/views.go
+++ b/internal/testbed/checker/views.go
@@ -9,21 +9,22 @@
 )
 
 const (
-	// minHealthyTime is how long a router must have lived, with no fault on, until it may be
-	// missing from nobody's view: as long as a view may take to settle a fault from before.
+	// minHealthyTime is how long a router must have run without any fault before every view must
+	// contain it. It is the longest time that a view may take to converge after an earlier fault.
 	minHealthyTime = 10 * time.Second
-	// viewInterval is how far apart two looks at a view may be.
+	// viewInterval is the longest time between two observations of a router's view.
 	viewInterval = time.Second
 )
 
-// incarnation is the time in which a router had a process.
+// incarnation is a period in which a router had at least one process.
 type incarnation struct {
 	from, to int64
 }
 
-// views finds views of the fleet that are wrong: an incarnation that falls, a router that is
-// missing from its own view, or from that of another though it has been well for long, and views
-// that differ, or do not show who lives, so long after the last fault.
+// views finds wrong views of the fleet: an incarnation that decreases, a router that is missing from
+// its own view, and a router that is missing from another's view although both have long been healthy.
+// Once the time to converge after the last fault is over, it also finds views that differ from each
+// other or do not contain exactly the running routers.
 func views(c *Case) (found []Violation) {
 	inc, at := map[int]uint32{}, map[int]int64{}
 	incarnations := c.incarnations()
@@ -33,7 +34,7 @@
 	for i := range c.Events {
 		e := &c.Events[i]
 		if e.What == history.Term && over == c.End && e.T >= c.LastHeal() && c.Play.Views > 0 {
-			over = e.T // the play ends: who leaves is gone from views
+			over = e.T // the play ends, and routers that leave disappear from views
 		}
 		if e.What != history.View {
 			continue
@@ -44,7 +45,7 @@
 		}
 		inc[n], at[n] = max(inc[n], e.Incarnation), e.T
 		if e.Incarnation < inc[n] {
-			inc[n] = e.Incarnation // nobody was left who knew
+			inc[n] = e.Incarnation // no running router knew the earlier incarnation
 		}
 		if !slices.Contains(e.Routers, n) {
 			found = append(found, Violation{"view", e.T, e.Who, "", "is missing from its own view"})
@@ -81,8 +82,9 @@
 	return found
 }
 
-// remembered reports whether a process of another router lived from before one time to after
-// another, with nothing between it and the router: it knew the router's last incarnation.
+// remembered reports whether some other router must have known the last incarnation of router n. That
+// is so if one of its processes started at least 2 s before from and runs beyond to, and no fault
+// disturbed links or froze processes.
 func (c *Case) remembered(n int, from, to int64) bool {
 	if c.FaultDuring(linkFaults, from, to, func(*Fault) bool { return true }) || c.FaultDuring(append(processEnds, processStalls...), to-int64(time.Second), to, func(s *Fault) bool {
 		return s.Kind == machineStall || s.Kind != "kill" && s.Kind != "power"
@@ -111,7 +113,7 @@
 	return false
 }
 
-// incarnations returns when each router had a process, over all its processes.
+// incarnations returns, by router, the periods in which it had at least one process. Twins don't count.
 func (c *Case) incarnations() map[int][]incarnation {
 	all := map[int][]incarnation{}
 	running := map[string]bool{}
@@ -141,12 +143,12 @@
 	return all
 }
 
-// runsThroughout reports whether a router lived from one time to another.
+// runsThroughout reports whether one of a router's incarnations lasted from one time to another.
 func (c *Case) runsThroughout(all []incarnation, from, to int64) bool {
 	return slices.ContainsFunc(all, func(l incarnation) bool { return l.from <= from && l.to >= to })
 }
 
-// missing finds those that have been well for long and are not in a view.
+// missing finds routers that have been healthy for minHealthyTime and are not in a view.
 func (c *Case) missing(e *history.Event, incarnations map[int][]incarnation) (found []Violation) {
 	since := e.T - minHealthyTime.Nanoseconds()
 	for i := range c.Faults {
--- a/internal/testbed/checker/withheld.go
+++ b/internal/testbed/checker/withheld.go
@@ -7,13 +7,14 @@
 	"reachspread/internal/testbed/history"
 )
 
-// withholding is what a history says of the processor time that the machine withheld: how long the
-// threads of each process have waited for a processor so far.
+// withholding has, for each process, how long its threads had waited for a processor at several times.
+// It shows when the machine withheld processors from the process.
 type withholding struct {
 	samples map[string][]waitSample // by process
 }
 
-// waitSample is how long the threads of a process had waited by a time.
+// waitSample is how long, in nanoseconds, the threads of a process had waited for a processor by a
+// time.
 type waitSample struct {
 	at, waited int64
 }
@@ -22,7 +23,7 @@
 	return withholding{samples: map[string][]waitSample{}}
 }
 
-// add takes in an event.
+// add adds the sample of a usage event, and ignores other events.
 func (w *withholding) add(e *history.Event) {
 	if e.What == history.Usage {
 		w.samples[e.Who] = append(w.samples[e.Who], waitSample{at: e.T, waited: e.Withheld})
@@ -30,9 +31,10 @@
 }
 
 // Withheld returns for how long, between two times, the machine withheld processors from a router's
-// processes. What is late by no more than that says nothing of the router. It excuses late answers
-// alone: a busy machine loses no answer and closes no connection. A test that was late itself
-// excuses nothing: when an answer came its system tells.
+// processes. An answer that is late by no more than that is not the router's fault. Withheld time
+// excuses only late answers, because a busy machine does not lose answers or close connections. A
+// stall of the test process excuses nothing, because its operating system records when an answer
+// arrived.
 func (c *Case) Withheld(router string, from, to int64) time.Duration {
 	longest := int64(0)
 	number := NumberOf(router)
@@ -44,9 +46,10 @@
 	return time.Duration(longest)
 }
 
-// waitedBetween returns how long a process waited for processors between two times, by its samples.
-// Of the time between two samples it counts only what lies between the times, and nothing where the
-// process ran for as long as it waited: the slack of an answer allows for that.
+// waitedBetween returns how long a process waited for processors between two times, according to its
+// samples. It counts the wait between two samples only if it was more than half of the time between
+// them, and at most the part of that time that lies between the two times. The slack of an answer
+// covers shorter waits.
 func waitedBetween(samples []waitSample, from, to int64) (total int64) {
 	before := waitSample{at: from}
 	first := indexAfter(samples, from)
@@ -64,7 +67,7 @@
 	return total
 }
 
-// overlap returns how much of one span of time lies in another.
+// overlap returns how long two periods overlap.
 func overlap(begin, end, from, to int64) int64 {
 	return max(min(end, to)-max(begin, from), 0)
 }
@@ -74,5 +77,5 @@
 	return sort.Search(len(samples), func(i int) bool { return samples[i].at > t })
 }
 
-// noticeableStall is how long the machine may withhold processors until a violation tells of it.
+// noticeableStall is the longest withheld time that the text of a violation does not mention.
 const noticeableStall = 200 * time.Millisecond
--- a/internal/testbed/checker/withheld_test.go
+++ b/internal/testbed/checker/withheld_test.go
@@ -7,8 +7,8 @@
 	"reachspread/internal/testbed/history"
 )
 
-// withheldHistory is the history of a play on a machine that withheld processors: 300 ms from the
-// test itself up to 9.4 s, and 400 ms from r0 between 9 s and 9.5 s.
+// withheldHistory returns the history of a play on a machine that withheld processors: for 300 ms up to
+// 9.4 s from the test process, and for 400 ms between 9 s and 9.5 s from r0.
 func withheldHistory() []history.Event {
 	return append(healthyHistory(),
 		history.Event{T: 9000 * ms, What: history.Usage, Who: "r0", Withheld: 50 * ms},
@@ -18,9 +18,9 @@
 		history.Event{T: 9500 * ms, What: history.Usage, Who: "r1", Withheld: 1})
 }
 
-// What the machine withheld from a process counts as far as it lies between the two times, by the
-// samples around, where the process waited for more than half of the time. What it withheld from the
-// test itself does not count.
+// Withheld counts the wait of a process between two samples as far as it fits between the two times,
+// and only if the process waited for more than half of the time between the samples. Stalls of the
+// test process do not count.
 func TestWithheld(t *testing.T) {
 	c := NewCase(withheldHistory())
 	for _, x := range []struct {
@@ -42,7 +42,7 @@
 	}
 }
 
-// Withheld processors excuse lateness up to their time, and nothing else.
+// The withheld time excuses an answer that is late by at most that time, and nothing else.
 func TestWithheldExcusesLatenessAlone(t *testing.T) {
 	const asked, until = 9100 * ms, 9110 * ms
 	for _, x := range []struct {
@@ -69,8 +69,9 @@
 	}
 }
 
-// An answer counts from when it came to the client's system, and is due as its request stated, when
-// its first byte left: what the test itself was late to see or to send says nothing of the router.
+// An answer is judged by the time at which it arrived at the client's operating system. It is due when
+// its request, whose deadline counts from the departure of its first byte, says so. Delays of the test
+// process in sending or reading are therefore not blamed on the router.
 func TestAnswerIsJudgedByItsArrival(t *testing.T) {
 	const asked, until, slack = 9100 * ms, 9110 * ms, 50 * ms
 	answered := history.Event{T: until + 900*ms, What: history.Answer, ID: "z", How: history.Refused}
--- a/internal/testbed/soak/client.go
+++ b/internal/testbed/soak/client.go
@@ -21,15 +21,15 @@
 const (
 	requestDeadline      = 5 * time.Second
 	maxRedialDelay       = 30 * time.Millisecond
-	maxRequestGap        = 40 * time.Millisecond // between two requests on a connection
+	maxRequestGap        = 40 * time.Millisecond // between an answer and the next request on its connection
 	maxWorkMs            = 60
 	maxLongWorkMs        = 1200
 	maxEvents            = 60
-	ignoresCloseFraction = 0.3 // of the clients go on using a connection whose close was announced
+	ignoresCloseFraction = 0.3 // fraction of clients that continue to use a connection after an answer announced its close
 	streamFraction       = 0.25
 	longFraction         = 0.1
 	dialTimeout          = time.Second
-	answerGrace          = time.Second // beyond the deadline
+	answerGrace          = time.Second // how long after the deadline of a request a client still waits
 )
 
 // Outcome is the outcome of a request.
@@ -40,10 +40,10 @@
 	Complete    Outcome = "whole"   // a complete success
 	Refused     Outcome = "refused" // 429 or 503
 	Failed      Outcome = "failed"  // another complete answer
-	Interrupted Outcome = "cut"     // the connection ended within the answer
+	Interrupted Outcome = "cut"     // the connection ended in the middle of the answer
 	Closed      Outcome = "closed"  // the connection ended without an answer
 	TimedOut    Outcome = "silent"  // no answer by the deadline
-	Wrong       Outcome = "wrong"   // the answer of another request, or none of the protocol
+	Wrong       Outcome = "wrong"   // the answer to another request, or a malformed one
 )
 
 // request is a request that a client sent.
@@ -51,15 +51,15 @@
 	id          string
 	router      int
 	stream      bool
-	afterClose  bool // an earlier answer announced the close of the connection
-	reusedConn  bool // it was not the first on its connection
-	work        int
-	written     time.Duration // its last byte
-	done        time.Duration
+	afterClose  bool          // an earlier answer announced the close of the connection
+	reusedConn  bool          // the request was not the first on its connection
+	work        int           // milliseconds that the host works, or the number of events of a stream
+	written     time.Duration // when the last byte was written, since the start of the run
+	done        time.Duration // when the outcome was known
 	outcome     Outcome
 	status      int
-	detail      string // of an outcome other than Complete
-	writeFailed bool   // its writing failed
+	detail      string // describes an outcome other than Complete
+	writeFailed bool   // writing the request failed
 }
 
 // client sends requests to one router, on one connection at a time.
@@ -88,7 +88,8 @@
 	return c.requests
 }
 
-// use sends requests on one connection until it ends.
+// use sends requests on one connection until the connection or ctx ends. Unless ignoresClose is set,
+// it also stops after an answer that announces the close of the connection.
 func (c *client) use(ctx context.Context, conn net.Conn, ignoresClose bool) {
 	in := bufio.NewReader(conn)
 	closeAnnounced := false
@@ -105,10 +106,11 @@
 	}
 }
 
-// answered reports whether the answer came completely, so that the connection is of further use.
+// answered reports whether the answer was received completely, so that the connection can be used
+// again.
 func (o Outcome) answered() bool { return o == Complete || o == Refused || o == Failed }
 
-// draw draws the next request.
+// draw draws the next request: a stream, a request with long work, or one with short work.
 func (c *client) draw() request {
 	c.next++
 	a := request{id: fmt.Sprintf("c%d-%d", c.number, c.next), router: c.router, work: 1 + c.rng.IntN(maxWorkMs)}
@@ -121,8 +123,8 @@
 	return a
 }
 
-// send sends a request and reads its answer. It reports whether the answer announces
-// the close of the connection, or the connection has ended.
+// send sends a request, reads its answer, and sets the outcome. It reports whether the answer
+// announces the close of the connection or the connection has ended.
 func (c *client) send(conn net.Conn, in *bufio.Reader, a *request) (ends bool) {
 	path := unsafePath
 	if a.stream {
@@ -156,7 +158,8 @@
 	return resp.Close
 }
 
-// outcomeWithoutAnswer is the outcome of a request without a byte of an answer.
+// outcomeWithoutAnswer returns the outcome of a request for which reading failed with err before the
+// first byte of an answer.
 func outcomeWithoutAnswer(err error) Outcome {
 	if timeout, ok := err.(net.Error); ok && timeout.Timeout() {
 		return TimedOut
@@ -164,7 +167,8 @@
 	return Closed
 }
 
-// judgeAnswer is the outcome of a request by its answer, with the detail.
+// judgeAnswer returns the outcome of a request, and its detail, from the answer. err is the error of
+// reading the body.
 func judgeAnswer(a *request, status int, text string, err error) (Outcome, string) {
 	switch {
 	case err != nil:
@@ -179,7 +183,7 @@
 	return Complete, ""
 }
 
-// expectedAnswer is the body that a host answers with.
+// expectedAnswer returns the body with which a host answers the request.
 func (a *request) expectedAnswer() string {
 	if !a.stream {
 		return completeAnswer(a.id)
--- a/internal/testbed/soak/events.go
+++ b/internal/testbed/soak/events.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// roll restarts routers one after the other.
+// roll restarts up to maxRolling routers, whose restarts begin a drawn gap apart and may overlap.
 func (c *scheduler) roll(ctx context.Context, rng *rand.Rand) {
 	gap := time.Duration(rng.IntN(500)) * time.Millisecond
 	var group sync.WaitGroup
@@ -19,7 +19,7 @@
 	group.Wait()
 }
 
-// terminateSome restarts routers at the same time.
+// terminateSome restarts up to maxConcurrent routers at the same time.
 func (c *scheduler) terminateSome(ctx context.Context, rng *rand.Rand) {
 	var group sync.WaitGroup
 	for _, i := range c.reserve(rng, maxConcurrent) {
@@ -39,7 +39,7 @@
 	c.release(ctx, i)
 }
 
-// kill kills a router and starts it again some time later.
+// kill kills a router and starts it again up to 1.5 s later.
 func (c *scheduler) kill(ctx context.Context, rng *rand.Rand) {
 	for _, i := range c.reserve(rng, 1) {
 		ended := c.soak.beginFault(i, false)
@@ -51,7 +51,7 @@
 	}
 }
 
-// freeze stops a router's process for some time.
+// freeze suspends a router's process for 0.2 to 3 s.
 func (c *scheduler) freeze(ctx context.Context, rng *rand.Rand) {
 	for _, i := range c.reserve(rng, 1) {
 		ended := c.soak.beginFault(i, false)
@@ -63,7 +63,7 @@
 	}
 }
 
-// reload has routers read their settings again, some times in a row.
+// reload makes up to maxConcurrent routers reload their settings, one to four times in a row.
 func (c *scheduler) reload(ctx context.Context, rng *rand.Rand) {
 	all := c.reserve(rng, maxConcurrent)
 	for range 1 + rng.IntN(4) {
@@ -77,7 +77,7 @@
 	}
 }
 
-// terminateStarting terminates a router that is just starting, some times in a row.
+// terminateStarting terminates a router, and terminates it again once or twice while it starts.
 func (c *scheduler) terminateStarting(ctx context.Context, rng *rand.Rand) {
 	for _, i := range c.reserve(rng, 1) {
 		ended := c.soak.beginFault(i, true)
@@ -94,7 +94,7 @@
 	}
 }
 
-// awaitSignalHandler waits until a started process handles SIGTERM: one that comes earlier ends it
+// awaitSignalHandler waits until a started process handles SIGTERM. An earlier SIGTERM would end it
 // without a graceful shutdown.
 func (c *scheduler) awaitSignalHandler(ctx context.Context, i int) {
 	within, cancel := context.WithTimeout(ctx, recoveryTimeout)
--- a/internal/testbed/soak/host.go
+++ b/internal/testbed/soak/host.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	drainTime         = 2200 * time.Millisecond // a draining host serves on
+	drainTime         = 2200 * time.Millisecond // how long a draining host still serves
 	heartbeatInterval = heartbeatMs * time.Millisecond
 	hostSlots         = 64
 	eventInterval     = 25 * time.Millisecond // between two events of a stream
-	workHeader        = "X-Work"              // how long the host is to work, in ms, or how many events it is to send
+	workHeader        = "X-Work"              // request header: how long the host works, in ms, or how many events it sends
 )
 
-// hosts are fake hosts of one service, which count how often they executed each request.
+// hosts runs the fake hosts of one service, and counts how often they executed each request.
 type hosts struct {
 	soak *soakRun
 	stop chan struct{}
@@ -59,12 +59,12 @@
 	h.lastNumber++
 	x := &host{hosts: h, id: fmt.Sprint("i-", h.lastNumber), listener: listener}
 	x.server = &http.Server{Handler: x}
-	go x.server.Serve(listener) // until close or drainOldest
+	go x.server.Serve(listener) // returns after close or drainOldest
 	h.all = append(h.all, x)
 	return nil
 }
 
-// close ends all hosts.
+// close stops the heartbeats and all hosts.
 func (h *hosts) close() {
 	close(h.stop)
 	h.mu.Lock()
@@ -74,7 +74,8 @@
 	}
 }
 
-// heartbeats has all hosts register at routers by turns until ctx or the hosts end.
+// heartbeats sends the registration of every host once per heartbeatInterval until close is called.
+// Successive heartbeats of a host go to successive routers. Calls fail once ctx has ended.
 func (h *hosts) heartbeats(ctx context.Context) {
 	tick := time.NewTicker(heartbeatInterval)
 	defer tick.Stop()
@@ -93,8 +94,8 @@
 	}
 }
 
-// drainOldest starts a host, has the oldest one announce that it drains, serve on for drainTime,
-// and end.
+// drainOldest starts a new host and drains the oldest one: that host announces that it drains, serves
+// for another drainTime, and then deregisters and stops.
 func (h *hosts) drainOldest(ctx context.Context) {
 	if h.add() != nil {
 		return
@@ -121,7 +122,7 @@
 	}
 }
 
-// executionCounts are how often each request was executed, by its id.
+// executionCounts returns how often each request was executed, by request id.
 func (h *hosts) executionCounts() map[string]int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -138,7 +139,7 @@
 	Zone     string `json:"zone"`
 }
 
-// registration is the body of the host's next heartbeat.
+// registration returns the body of the host's next heartbeat.
 func (x *host) registration() []byte {
 	x.hosts.mu.Lock()
 	defer x.hosts.mu.Unlock()
@@ -156,19 +157,21 @@
 		Zone:     "z0",
 	})
 	if err != nil {
-		panic(fmt.Sprintf("a registration that JSON lacks: %v", err))
+		panic(fmt.Sprintf("a host's registration can't be encoded as JSON: %v", err))
 	}
 	return text
 }
 
-// call calls the control plane of a router; ok is set if it was acknowledged.
+// call sends a request about the host to the control plane of a router, and reports whether it was
+// acknowledged.
 func (x *host) call(ctx context.Context, method string, body []byte, router int) (ok bool) {
 	f := x.hosts.soak.fleet
 	code, _ := callControl(ctx, f.Control(router%f.Len()), method, "/instances/"+x.id, body, "")
 	return code == http.StatusOK
 }
 
-// ServeHTTP works as long as the request says, or streams as many events.
+// ServeHTTP works for as long as the request's work header says, or streams as many events as it
+// says.
 func (x *host) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	io.Copy(io.Discard, r.Body)
 	id := r.Header.Get(protocol.HeaderRequestID)
@@ -197,7 +200,7 @@
 
 func streamEvent(id string, n int) string { return fmt.Sprintf("id: %d\ndata: %s %d\n\n", n+1, id, n) }
 
-// sleep waits for a time and reports false if ctx ended first.
+// sleep waits for a duration. It reports false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/testbed/soak/judge.go
+++ b/internal/testbed/soak/judge.go
@@ -7,11 +7,12 @@
 	"time"
 )
 
-// closeSlack is how long after its last byte the connection of a request that was not executed may
-// still be closed without an answer: the request may have crossed the close.
+// closeSlack is the time after the last byte of a request in which its connection may be closed
+// without an answer, if the request was not executed. In that time the request may have crossed the
+// close of the connection.
 const closeSlack = 200*time.Millisecond + slack
 
-// judgeRequests counts the outcomes of all requests and finds those that break a rule.
+// judgeRequests counts the outcomes of all requests and adds a finding for each that breaks a rule.
 func (p *soakRun) judgeRequests(all []request) {
 	runs := p.hosts.executionCounts()
 	for _, a := range all {
@@ -24,8 +25,9 @@
 	}
 }
 
-// judgeRequest is the rule that a request's outcome breaks, empty for none, with the detail. runs
-// are its executions at hosts; unplanned says that its router was killed or frozen around it.
+// judgeRequest returns the rule that a request's outcome breaks, and the detail; both are empty if it
+// breaks none. runs is how often hosts executed the request. unplanned says that its router was
+// killed or frozen shortly before or during the request.
 func judgeRequest(a *request, runs int, unplanned bool) (rule, what string) {
 	switch {
 	case runs > 1:
@@ -50,7 +52,7 @@
 	return "", ""
 }
 
-// judgeLogs finds lines in the routers' logs that report a violated invariant.
+// judgeLogs adds a finding for each line in the routers' logs that reports a violated invariant.
 func (p *soakRun) judgeLogs() {
 	for i := range p.fleet.Len() {
 		text, err := os.ReadFile(p.fleet.Log(i))
@@ -58,8 +60,8 @@
 			continue
 		}
 		for line := range strings.Lines(string(text)) {
-			// Mixed fleets also run earlier programs: a changed log line is looked for in both
-			// forms.
+			// Mixed fleets also run earlier programs. If a log message has changed, both its old and
+			// its new text are listed.
 			for _, bad := range []string{"loop stalls", "view broken", "membership invariant broken", "panic", "fatal error", "DATA RACE", "unwritable"} {
 				if strings.Contains(line, bad) {
 					p.addFinding("LOG", p.fleet.Name(i)+": "+strings.TrimSpace(line))
--- a/internal/testbed/soak/mixedfleet_test.go
+++ b/internal/testbed/soak/mixedfleet_test.go
@@ -13,21 +13,22 @@
 	"reachspread/internal/testbed/pintest"
 )
 
-// landedProgram names the environment variable that holds the path of a reachspread binary of an
-// earlier landing.
+// landedProgram is the environment variable that holds the path of a reachspread binary of an earlier
+// release.
 const landedProgram = "REACHSPREAD_LANDED_PROGRAM"
 
 const (
-	mixedTime       = 5 * time.Second // half of the routers run each program: longer than probes of routers without a fault need
+	mixedTime       = 5 * time.Second // how long the fleet runs halfway through and after each upgrade; probes of routers without a fault need less time
 	pinFleetTimeout = 2 * time.Minute
 )
 
-// programs are the two that take turns in a mixed fleet.
+// programs has the commands of the two programs that a mixed fleet runs.
 type programs struct {
 	landed, present []string
 }
 
-// bothPrograms skips the test where the environment names no landed program.
+// bothPrograms returns the landed and the present program. It skips the test if the environment names
+// no landed program.
 func bothPrograms(t *testing.T) programs {
 	t.Helper()
 	path := os.Getenv(landedProgram)
@@ -73,7 +74,7 @@
 				checkProgram(t, p.fleet, i, both.landed)
 			}
 			for _, program := range [][]string{both.present, both.landed} {
-				for step, i := range []int{0, 3, 1, 4, 2, 5} { // a machine of the register, and one that is none, by turns
+				for step, i := range []int{0, 3, 1, 4, 2, 5} { // routers with and without a disk alternate
 					p.fleet.SetExecutable(i, program)
 					c.restart(ctx, c.rng, i)
 					checkProgram(t, p.fleet, i, program)
@@ -96,8 +97,8 @@
 	is.True(report.Probes > 0)
 }
 
-// Version pins hold while a fleet of landed routers is upgraded to the present program one router
-// at a time, and rolled back: no answer is of a version that was not the pinned one between the
+// Version pins hold while a fleet of landed routers is upgraded to the present program one router at
+// a time, and rolled back. Each answer comes from a version that was pinned at some time between the
 // request and its answer, and no unsafe request runs twice.
 func TestPinsOnMixedFleet(t *testing.T) {
 	both := bothPrograms(t)
@@ -131,7 +132,7 @@
 	is.Equal(report.Changes, 10)
 }
 
-// newPinStory is a story with two hosts of each of two versions.
+// newPinScenario returns a scenario with two versions and two hosts of each.
 func newPinScenario(t *testing.T, f *localfleet.Fleet) *pintest.Scenario {
 	t.Helper()
 	var fronts, controls []string
@@ -150,7 +151,7 @@
 	return pintest.NewScenario(fronts, controls, all)
 }
 
-// upgrade terminates a router and starts the other program in its place.
+// upgrade terminates a router and starts the given program in its place.
 func upgrade(ctx context.Context, t *testing.T, f *localfleet.Fleet, i int, program []string) {
 	t.Helper()
 	if err := f.Terminate(i); err != nil {
--- a/internal/testbed/soak/operator.go
+++ b/internal/testbed/soak/operator.go
@@ -16,33 +16,34 @@
 
 const (
 	callTimeout   = 2 * time.Second
-	changeTimeout = 20 * time.Second // then the outcome of a change stays unknown
-	maxRoutes     = 6                // that come and go
+	changeTimeout = 20 * time.Second // without an answer in this time, the outcome of a change stays unknown
+	maxRoutes     = 6                // routes, besides the fixed ones, beyond which a change also removes the oldest
 	calmGap       = 400 * time.Millisecond
 	stormGap      = 40 * time.Millisecond
-	stormFraction = 0.5 // of the time changes come in storms
+	stormFraction = 0.5 // fraction of stormPeriods in which changes follow each other by stormGap instead of calmGap
 	stormPeriod   = 2 * time.Second
-	raceFraction  = 0.4 // of the changes are sent concurrently with another one on the same version
+	raceFraction  = 0.4 // fraction of changes that are sent concurrently with another change of the same base version
 	probeInterval = 30 * time.Millisecond
 	probeTimeout  = 2 * time.Second
-	slack         = time.Second // of real time, on a machine that does other work as well
+	slack         = time.Second // tolerance for a machine that does other work as well
 	neverBefore   = time.Duration(-1)
 )
 
-// route is a route that a change added and another one may have removed.
+// route is a route that one change added and another one may have removed. Times are since the start
+// of the run.
 type route struct {
 	name     string
-	added    time.Duration // acknowledged; below 0 if that is unknown
-	removing time.Duration // the first change that removes it was sent; below 0 for none
-	removed  time.Duration // that was acknowledged
+	added    time.Duration // when the addition was acknowledged; negative if it was not
+	removing time.Duration // when the first change that removes the route was sent; negative for none
+	removed  time.Duration // when the removal was acknowledged; negative if it was not
 }
 
-// operator changes the configuration, at times by two concurrent changes of one version, and probes
-// which one is in force on routers without a fault.
+// operator changes the configuration, sometimes with two concurrent changes of the same base version. It
+// also probes whether routers without a fault use the newest configuration.
 type operator struct {
 	soak    *soakRun
 	rng     *rand.Rand
-	version int // in force, as far as is known
+	version int // the newest version known to be in force
 	number  int
 
 	mu           sync.Mutex
@@ -56,14 +57,15 @@
 type change struct {
 	version, baseVersion int
 	add, remove          *route
-	status               int // of the definite answer, 0 for none
+	status               int // the status code of the definite answer; 0 for none
 }
 
 func newOperator(p *soakRun) *operator {
 	return &operator{soak: p, rng: p.rng(operatorStream), version: 1, acknowledged: 1}
 }
 
-// configure sends the first configuration until it is acknowledged; false if ctx ended first.
+// configure sends the first configuration until it is acknowledged. It reports false if ctx ends
+// first.
 func (o *operator) configure(ctx context.Context) bool {
 	text := fmt.Sprintf(`{"version":1,"routes":[%s,%s],"services":[{"name":%q}]}`, routeText("unsafe", unsafePath, "unsafe"), routeText("stream", streamPath, "streaming"), service)
 	for i := 0; ctx.Err() == nil; i++ {
@@ -76,7 +78,7 @@
 	return false
 }
 
-// routeText is a route in the control plane's form.
+// routeText returns a route as JSON for the control plane.
 func routeText(name, path, kind string) string {
 	return fmt.Sprintf(`{"name":%q,"host":%q,"pathPrefix":%q,"kind":%q,"timeoutMs":5000,"targetLatencyMs":1000,"service":%q,"maxAttempts":1}`, name, clientHost, path, kind, service)
 }
@@ -98,7 +100,8 @@
 	group.Wait()
 }
 
-// sendChanges sends one change, or two of one version, and records the answers.
+// sendChanges sends one change, or two concurrent changes of the same base version, and records the
+// answers. At most one of the two may be acknowledged.
 func (o *operator) sendChanges(ctx context.Context) {
 	all := []*change{o.draw(1)}
 	if o.rng.Float64() < raceFraction {
@@ -129,7 +132,8 @@
 	}
 }
 
-// draw draws the next change: it adds a route, and removes the oldest if there are maxRoutes.
+// draw draws the next change. The change adds a route, and removes the oldest one if there are more
+// than maxRoutes.
 func (o *operator) draw(step int) *change {
 	o.number++
 	x := &change{baseVersion: o.version, version: o.version + step + o.rng.IntN(2)*2, add: &route{name: fmt.Sprint("p", o.number), added: neverBefore, removing: neverBefore, removed: neverBefore}}
@@ -151,7 +155,7 @@
 	return x
 }
 
-// send sends a change to routers by turns until it has a definite answer.
+// send sends a change to one router after another until it gets a definite answer.
 func (o *operator) send(ctx context.Context, x *change, router int) {
 	body := fmt.Sprintf(`{"version":%d,"upsert":{"routes":[%s]}`, x.version, routeText(x.add.name, x.add.path(), "safe"))
 	if x.remove != nil {
@@ -185,7 +189,7 @@
 			x.remove.removed = now
 		}
 	case http.StatusPreconditionFailed:
-		x.add.removing = now // it never was there
+		x.add.removing = now // the change was rejected, so the route was never added
 		if x.remove != nil {
 			x.remove.removing = neverBefore
 		}
@@ -194,7 +198,7 @@
 	}
 }
 
-// read is the version in force, 0 where nobody tells it.
+// read returns the version in force, or 0 if no router reports it.
 func (o *operator) read(ctx context.Context) int {
 	for i := 0; ctx.Err() == nil && i < 200; i++ {
 		code, text := callControl(ctx, o.soak.fleet.Control(i%o.soak.fleet.Len()), http.MethodGet, "/configuration", nil, "")
@@ -236,7 +240,8 @@
 	}
 }
 
-// drawProbe draws a route whose addition (there) or removal has to be in force everywhere.
+// drawProbe draws a route whose addition or removal must be in force on all routers by now. there
+// tells which. It returns nil if there is no such route.
 func (o *operator) drawProbe(rng *rand.Rand, now time.Duration) (r *route, there bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -259,7 +264,7 @@
 	return nil, false
 }
 
-// probeRoute sends one request on a route, and returns the status, 0 without an answer.
+// probeRoute sends one request on a route and returns the status code, or 0 without an answer.
 func (o *operator) probeRoute(router int, r *route, n int) int {
 	request, err := http.NewRequest(http.MethodPost, "http://"+o.soak.fleet.Front(router)+r.path(), bytes.NewReader([]byte("x")))
 	if err != nil {
@@ -278,7 +283,7 @@
 
 func (r *route) path() string { return "/" + r.name + "/" }
 
-// judge reads the configuration back and finds a lost acknowledged change.
+// judge reads the configuration, and adds a finding if an acknowledged change is lost.
 func (o *operator) judge() {
 	ctx, cancel := context.WithTimeout(context.Background(), recoveryTimeout)
 	defer cancel()
@@ -290,13 +295,13 @@
 	}
 }
 
-// isCalm reports whether a router and the register have had no fault since contactTime before a
-// time.
+// isCalm reports whether a router and all routers with a disk, which may be members of the register,
+// have had no fault from contactTime and slack before a time until now.
 func (p *soakRun) isCalm(router int, at time.Duration) bool {
 	return !p.hadFault(at-contactTime-slack, p.now(), func(f fault) bool { return f.router == router || p.fleet.HasDisk(f.router) })
 }
 
-// callControl makes one call; the code is 0 without an answer.
+// callControl makes one call to a control plane. The code is 0 without an answer.
 func callControl(ctx context.Context, address, method, path string, body []byte, ifMatch string) (code int, text []byte) {
 	within, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/internal/testbed/soak/proc.go
+++ b/internal/testbed/soak/proc.go
@@ -12,11 +12,12 @@
 
 const (
 	throttlePeriod      = 100 * time.Millisecond
-	ticksPerSecond      = 100 // of the processor times under /proc, the same on all Linux systems
+	ticksPerSecond      = 100 // the unit of processor times under /proc, the same on all Linux systems
 	handlerPollInterval = 2 * time.Millisecond
 )
 
-// throttle lets a process run for some time of each period until it has exited or ctx has ended.
+// throttle lets a process run for only part of each throttlePeriod, until the process exits or ctx
+// ends.
 func throttle(ctx context.Context, pid int, runs time.Duration) {
 	for syscall.Kill(pid, syscall.SIGSTOP) == nil {
 		sleep(ctx, throttlePeriod-runs)
@@ -33,9 +34,9 @@
 	return len(fields) > 0 && fields[0] != "Z" && fields[0] != "X"
 }
 
-// processorTime is the processor time that a process has used, 0 if it has exited.
+// processorTime returns the processor time that a process has used, or 0 if it has exited.
 func processorTime(pid int) time.Duration {
-	const user, system = 11, 12 // behind the name
+	const user, system = 11, 12 // indexes in processStat
 	fields := processStat(pid)
 	if len(fields) <= system {
 		return 0
@@ -48,7 +49,8 @@
 	return time.Duration(ticks) * time.Second / ticksPerSecond
 }
 
-// processStat are the fields of a process in /proc, from its state on; nil if it has exited.
+// processStat returns the fields of /proc/PID/stat from the state on, or nil if the process has
+// exited.
 func processStat(pid int) []string {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -57,7 +59,8 @@
 	return strings.Fields(string(text[strings.LastIndexByte(string(text), ')')+1:]))
 }
 
-// handlesSIGTERM reports whether a process handles SIGTERM itself, by its mask of caught signals.
+// handlesSIGTERM reports whether a process has a handler for SIGTERM, according to its mask of caught
+// signals.
 func handlesSIGTERM(pid int) bool {
 	const caughtBit = uint64(1) << (int(syscall.SIGTERM) - 1)
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
--- a/internal/testbed/soak/scheduler.go
+++ b/internal/testbed/soak/scheduler.go
@@ -8,29 +8,29 @@
 )
 
 const (
-	meanGap                  = 500 * time.Millisecond // between two events of the schedule
-	quietFraction            = 0.2                    // of the gaps are quietGap, so that routers come into touch
+	meanGap                  = 500 * time.Millisecond // mean time between the starts of two events of the schedule
+	quietFraction            = 0.2                    // fraction of gaps that last quietGap, so that routers get time without faults and can be probed
 	quietGap                 = 8 * time.Second
 	maxRolling               = 4
 	maxConcurrent            = 3
-	registerCalmTime         = 2500 * time.Millisecond // between two faults of the register, from its being ready again
-	defaultThrottledRuntime  = 30 * time.Millisecond   // of each throttlePeriod
-	defaultThrottledFraction = 0.3                     // of the terminating processes are throttled
+	registerCalmTime         = 2500 * time.Millisecond // minimum time from the recovery of a router with a disk to the next fault of such a router
+	defaultThrottledRuntime  = 30 * time.Millisecond   // how long a throttled process runs in each throttlePeriod
+	defaultThrottledFraction = 0.3                     // fraction of terminating processes that are throttled
 )
 
-// scheduler begins drawn events. They run concurrently, but a router is the target of one at a
-// time, and so is the register.
+// scheduler starts randomly drawn events. Events run concurrently, but each router is the target of
+// at most one event at a time, and so is at most one of the routers with a disk.
 type scheduler struct {
 	soak   *soakRun
 	rng    *rand.Rand
 	events sync.WaitGroup
 
 	mu                sync.Mutex
-	throttledFraction float64       // of the terminating processes are throttled
-	throttledRuntime  time.Duration // of a throttled process in each throttlePeriod
+	throttledFraction float64       // fraction of terminating processes that are throttled
+	throttledRuntime  time.Duration // how long a throttled process runs in each throttlePeriod
 	faulted           map[int]bool  // routers that are targets of an event
 	registerFaulted   bool
-	logSizes          map[int]int64 // by router, before its present incarnation, in bytes
+	logSizes          map[int]int64 // by router, the size in bytes of its log before its present incarnation
 }
 
 func newScheduler(p *soakRun) *scheduler {
@@ -44,7 +44,7 @@
 	}
 }
 
-// event is a kind of event with its weight among all kinds.
+// event is a kind of event. Its weight sets how often it is drawn relative to the other kinds.
 type event struct {
 	name   string
 	weight int
@@ -65,7 +65,8 @@
 	}
 }
 
-// run begins events until the length is over, and waits until all routers serve again.
+// run starts events until the length of the test is over, and then waits until all routers serve
+// again.
 func (c *scheduler) run(ctx context.Context) {
 	kinds := c.kinds()
 	for c.soak.now() < c.soak.options.Length && ctx.Err() == nil {
@@ -83,7 +84,7 @@
 	c.awaitAllReady(ctx)
 }
 
-// drawEvent draws a kind of event by the weights.
+// drawEvent draws a kind of event with a probability proportional to its weight.
 func drawEvent(rng *rand.Rand, kinds []event) event {
 	total := 0
 	for _, e := range kinds {
@@ -99,7 +100,8 @@
 	panic("unreachable: the draw is below the sum of the weights")
 }
 
-// awaitAllReady waits until all routers serve again; one that does not is a finding.
+// awaitAllReady waits until all routers serve again. It adds a finding if one does not within
+// recoveryTimeout.
 func (c *scheduler) awaitAllReady(ctx context.Context) {
 	within, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
@@ -108,8 +110,8 @@
 	}
 }
 
-// reserve draws targets for one event. It leaves out the targets of other events, and members of
-// the register while one is a target.
+// reserve draws up to maxTargets routers as targets of one event. It omits targets of other events,
+// and reserves no router with a disk while another one is a target.
 func (c *scheduler) reserve(rng *rand.Rand, maxTargets int) (all []int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -125,7 +127,8 @@
 	return all
 }
 
-// release ends the reservation of a router once it serves again, and of the register a while after.
+// release ends the reservation of a router once it serves again. For a router with a disk it first
+// waits another registerCalmTime.
 func (c *scheduler) release(ctx context.Context, i int) {
 	c.soak.fleet.AwaitReady(ctx, i)
 	core := c.soak.fleet.HasDisk(i)
--- a/internal/testbed/soak/soak.go
+++ b/internal/testbed/soak/soak.go
@@ -1,8 +1,8 @@
-// Package soak plays a fleet of router processes for a long time: clients that use their
-// connections until the process exits, operators that change the configuration in storms, and
-// signals, restarts, frozen processes and draining hosts that come in series and overlap, all drawn
-// from a seed. It judges what clients, hosts and operators saw. The same seed draws the same
-// schedule; its outcomes depend on real time.
+// Package soak runs soak tests on a fleet of router processes. Clients use their connections until
+// the router exits, an operator changes the configuration in bursts, and signals, restarts, frozen
+// processes and draining hosts come in overlapping series. All of these are drawn from a seed. The
+// package judges what clients, hosts and the operator observed. The same seed draws the same
+// schedule, but the outcomes depend on real time.
 package soak
 
 import (
@@ -20,14 +20,14 @@
 
 // Options are the size, length and seed of a soak test.
 type Options struct {
-	Out        io.Writer // a line for each event; nil for none
-	Network    string    // the first three bytes of all addresses
-	Executable []string  // runs a router
+	Out        io.Writer // receives a line for each event; nil for none
+	Network    string    // the first three bytes of all addresses, as in "127.80.0"
+	Executable []string  // the command that runs a router
 	Seed       uint64
 	Routers    int
-	Disks      int // of them keep the register
+	Disks      int // number of routers that have a disk; these are eligible as members of the register
 	Hosts      int
-	Clients    int // on all routers together
+	Clients    int // number of clients of all routers together
 	Length     time.Duration
 }
 
@@ -37,8 +37,8 @@
 	heartbeatMs     = 500
 	revocationMs    = 5000
 	graceS          = 6
-	applyTime       = 2 * time.Second // until a change is in force on all routers, as the settings say
-	contactTime     = 3 * time.Second // without trouble, until a router counts as in touch
+	applyTime       = 2 * time.Second // time from a change until it is in force on all routers, according to the settings
+	contactTime     = 3 * time.Second // how long a router must have no fault before it must meet the rules again
 	recoveryTimeout = 30 * time.Second
 )
 
@@ -52,7 +52,7 @@
 
 // Finding is a violation of a rule.
 type Finding struct {
-	At     time.Duration // since the beginning
+	At     time.Duration // since the start of the run
 	Rule   string
 	Detail string
 }
@@ -66,11 +66,11 @@
 	Seed               uint64
 	Requests           map[Outcome]int
 	Events             map[string]int
-	Changes            int // of the configuration, acknowledged
+	Changes            int // acknowledged changes of the configuration
 	Probes             int
 	Terminations       int           // processes that exited after SIGTERM
-	LongestTermination time.Duration // end
-	MaxTerminationCPU  float64       // of a core, that a process used while it ended
+	LongestTermination time.Duration // longest time from SIGTERM to the exit
+	MaxTerminationCPU  float64       // highest use of a processor after SIGTERM, as a fraction of one core
 	Findings           []Finding
 }
 
@@ -86,21 +86,21 @@
 	faults []fault
 }
 
-// fault is a time in which a router may not do all that it should, or the register, where its
-// machine is one.
+// fault is a period in which a router need not meet all rules. A fault of a router with a disk also
+// affects the register.
 type fault struct {
 	router   int
-	from, to time.Duration // to is below 0 while it goes on
-	planned  bool          // a graceful shutdown: no accepted request may be lost
+	from, to time.Duration // since the start of the run; to is negative while the fault lasts
+	planned  bool          // a graceful shutdown, in which no accepted request may be lost
 }
 
-// Run runs the soak test until its length is over or ctx ends. The error is that of starting the
-// fleet or of ctx; violations are findings of the report.
+// Run runs the soak test until its length is over or ctx ends. It returns an error if the fleet can't
+// be started or ctx ends. Violations are not errors: they are findings of the report.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	return runWith(ctx, o, func(ctx context.Context, p *soakRun) { newScheduler(p).run(ctx) })
 }
 
-// runWith is Run with another schedule.
+// runWith is like Run, but the function schedule decides which events happen and when the test ends.
 func runWith(ctx context.Context, o Options, schedule func(context.Context, *soakRun)) (*Report, error) {
 	folder, err := os.MkdirTemp("", "reachspread-soak")
 	if err != nil {
@@ -118,7 +118,7 @@
 	defer stop()
 	p.hosts = newHosts(p)
 	defer p.hosts.close()
-	heartbeats, stopHeartbeats := context.WithCancel(context.WithoutCancel(ctx)) // until clients have ended
+	heartbeats, stopHeartbeats := context.WithCancel(context.WithoutCancel(ctx)) // hosts send heartbeats until the clients have ended
 	defer stopHeartbeats()
 	if err := p.awaitServing(work, heartbeats); err != nil {
 		return nil, err
@@ -129,25 +129,25 @@
 	return &p.report, ctx.Err()
 }
 
-// awaitServing waits until all routers serve. Hosts send heartbeats until the
-// context heartbeats ends.
+// awaitServing sends the first configuration, starts the hosts, and waits until all routers serve.
+// The hosts send heartbeats with the context heartbeats.
 func (p *soakRun) awaitServing(ctx, heartbeats context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, 2*recoveryTimeout)
 	defer cancel()
 	op := newOperator(p)
 	if !op.configure(ctx) {
-		return fmt.Errorf("soak: the first configuration is never taken: %w", ctx.Err())
+		return fmt.Errorf("soak: no router acknowledged the first configuration: %w", ctx.Err())
 	}
 	for range p.options.Hosts {
 		if err := p.hosts.add(); err != nil {
 			return err
 		}
 	}
-	go p.hosts.heartbeats(heartbeats) // until that context or the hosts end
+	go p.hosts.heartbeats(heartbeats) // returns after the hosts are closed
 	return p.fleet.AwaitReady(ctx, p.allRouters()...)
 }
 
-// allRouters are the numbers of all routers.
+// allRouters returns the numbers of all routers.
 func (p *soakRun) allRouters() (all []int) {
 	for i := range p.fleet.Len() {
 		all = append(all, i)
@@ -155,7 +155,8 @@
 	return all
 }
 
-// runAll runs clients, the operator and the schedule concurrently, and judges once all have ended.
+// runAll runs clients, the operator and the schedule concurrently. Once all have ended, it judges the
+// requests and the configuration.
 func (p *soakRun) runAll(ctx context.Context, stop context.CancelFunc, schedule func(context.Context, *soakRun)) {
 	var clients, background sync.WaitGroup
 	requests := make([][]request, p.options.Clients)
@@ -173,10 +174,10 @@
 	operator.judge()
 }
 
-// rng is the stream of random numbers of one drawing part.
+// rng returns a random number generator for one stream of the test's seed.
 func (p *soakRun) rng(stream uint64) *rand.Rand { return rand.New(rand.NewPCG(p.options.Seed, stream)) }
 
-// now is the time since the beginning.
+// now returns the time since the start of the run.
 func (p *soakRun) now() time.Duration { return time.Since(p.start) }
 
 // log counts an event and prints it.
@@ -189,7 +190,7 @@
 	}
 }
 
-// addFinding adds a violation of a rule at this time.
+// addFinding adds a violation of a rule with the present time.
 func (p *soakRun) addFinding(rule, what string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -209,7 +210,7 @@
 	}
 }
 
-// hadFault reports whether any fault that counts was in force between two times.
+// hadFault reports whether a fault for which counts returns true was in force between two times.
 func (p *soakRun) hadFault(from, to time.Duration, counts func(fault) bool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/testbed/soak/soak_test.go
+++ b/internal/testbed/soak/soak_test.go
@@ -32,11 +32,11 @@
 	}
 }
 
-// Routers terminate, crash, freeze and reload settings in series that overlap, hosts drain, and the
-// configuration changes in storms, while clients use their connections until the process exits. No
-// accepted request is lost, none is executed twice, a router without a fault uses the newest
-// configuration, and each process exits by itself after SIGTERM, within its grace and without
-// wasting its processor.
+// Routers terminate, crash, freeze and reload settings in overlapping series, hosts drain, and the
+// configuration changes in bursts, while clients use their connections until the process exits. No
+// accepted request is lost or executed twice, and a router without a fault uses the newest
+// configuration. After SIGTERM each process exits by itself within its grace period and without
+// busy waiting.
 func TestFleetUnderOverlappingFaultsHasNoFindings(t *testing.T) {
 	seeds := []uint64{1, 2}
 	if *seed != 0 {
@@ -58,9 +58,10 @@
 	}
 }
 
-// Each router gets SIGTERM on a tenth of a core while its clients use their connections to the end
-// and have long answers in flight: accepted requests are answered completely or refused before they
-// are executed, and the process exits by itself within its grace.
+// Each router gets SIGTERM while it is throttled to a tenth of a core, and its clients use their
+// connections until the process exits and have long answers in flight. Accepted requests are answered
+// completely or refused before they are executed, and the process exits by itself within its grace
+// period.
 func TestThrottledRoutersTerminateInOrder(t *testing.T) {
 	is := is.New(t)
 	report, err := runWith(t.Context(), Options{Network: "127.80.1", Executable: []string{os.Args[0]}, Seed: 1, Routers: 4, Disks: 3, Hosts: 2, Clients: 24},
@@ -80,7 +81,7 @@
 	is.True(report.Requests[Complete] > 200)
 }
 
-// Each wrong outcome of a request is found, and each allowed one is passed over.
+// judgeRequest returns the broken rule for each wrong outcome, and none for each allowed outcome.
 func TestJudgeRequestFindsEachWrongOutcome(t *testing.T) {
 	for _, c := range []struct {
 		name      string
--- a/internal/testbed/soak/terminate.go
+++ b/internal/testbed/soak/terminate.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	graceSlack     = 500 * time.Millisecond // of real time, beyond the grace
-	maxDrainingCPU = 0.5                    // of a core, of a shutdown that used at least minMeasuredCPU
+	graceSlack     = 500 * time.Millisecond // tolerance beyond the grace period
+	maxDrainingCPU = 0.5                    // highest fraction of a core that a shutdown may use, if it used at least minMeasuredCPU
 	minMeasuredCPU = 500 * time.Millisecond
 )
 
-// logSizeBefore is the size of a router's log before its present incarnation, in bytes.
+// logSizeBefore returns the size in bytes that a router's log had before its present incarnation.
 func (c *scheduler) logSizeBefore(i int) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.logSizes[i]
 }
 
-// hasStarted reports whether the present incarnation of a router came to serve, by its log, whose
-// line earlier programs word alike. A signal that comes before a process handles any ends it with
-// the default status.
+// hasStarted reports whether the present incarnation of a router has logged that it started; logged
+// is the size of the log before it. Earlier programs log the same word. A process that gets a signal
+// before it handles signals does not exit with status 0, so its status is not judged.
 func (c *scheduler) hasStarted(i int, logged int64) bool {
 	text, err := os.ReadFile(c.soak.fleet.Log(i))
 	return err != nil || strings.Contains(string(text[min(logged, int64(len(text))):]), " started ")
@@ -42,7 +42,8 @@
 	}
 }
 
-// terminate shuts a router down and judges how it does.
+// terminate shuts a router down, and adds findings if it exits late, with an error, or after using too
+// much processor time.
 func (c *scheduler) terminate(ctx context.Context, rng *rand.Rand, i int) {
 	f := c.soak.fleet
 	logged := c.logSizeBefore(i)
@@ -54,7 +55,7 @@
 	graceful, cancel := context.WithTimeout(context.WithoutCancel(ctx), graceS*time.Second+graceSlack)
 	defer cancel()
 	if rng.Float64() < c.throttledFraction {
-		go throttle(graceful, pid, c.throttledRuntime) // until the exit
+		go throttle(graceful, pid, c.throttledRuntime) // until the process exits
 	}
 	c.disturbTermination(graceful, rng, i)
 	exit, ok := f.AwaitExit(graceful, i)
@@ -67,7 +68,8 @@
 	c.judgeTermination(i, logged, exit.Status, exit.CPU-cpuBefore, took)
 }
 
-// disturbTermination sends a router that shuts down a second SIGTERM, or a SIGHUP, by draw.
+// disturbTermination may send a second SIGTERM, a SIGHUP, or both to a router that shuts down, each
+// with a probability of 1/4.
 func (c *scheduler) disturbTermination(ctx context.Context, rng *rand.Rand, i int) {
 	if rng.IntN(4) == 0 {
 		sleep(ctx, time.Duration(rng.IntN(1500))*time.Millisecond)
@@ -78,8 +80,8 @@
 	}
 }
 
-// judgeTermination counts a graceful shutdown, and finds one with a status other than 0 or with too
-// much processor time.
+// judgeTermination counts a graceful shutdown. It adds a finding for a status other than 0, and for
+// too much processor time.
 func (c *scheduler) judgeTermination(i int, logged int64, status int, used, took time.Duration) {
 	name := c.soak.fleet.Name(i)
 	c.soak.countTermination(used, took)
