--- a/internal/testbed/checker/views.go
+++ b/internal/testbed/checker/views.go
@@ -83,8 +83,8 @@
 }
 
 // remembered reports whether some other router must have known the last incarnation of router n. That
-// is so if one of its processes started at least 2 s before from and runs beyond to, and no fault
-// disturbed links or froze processes.
+// is so if one of its processes started at least 2 s before from and runs beyond to, no fault
+// disturbed a link in that time, and none froze a process in the second before to.
 func (c *Case) remembered(n int, from, to int64) bool {
 	if c.FaultDuring(linkFaults, from, to, func(*Fault) bool { return true }) || c.FaultDuring(append(processEnds, processStalls...), to-int64(time.Second), to, func(s *Fault) bool {
 		return s.Kind == machineStall || s.Kind != "kill" && s.Kind != "power"
--- a/internal/testbed/history/history.go
+++ b/internal/testbed/history/history.go
@@ -1,11 +1,11 @@
-// Package history has the format of the history of a run, an event a line: of processes on sockets
-// or of the simulator's virtual time. history.schema.json beside this file describes the same lines
-// for other programs. The package is pure: it writes to what it is given, and its caller stamps the
-// times.
+// Package history reads and writes histories of runs, of real processes or in the simulator's virtual
+// time. A history has one event per line, as JSON. history.schema.json beside this file describes the
+// format for other programs. The package is pure: it writes only to the given writer, and callers set
+// the times of events.
 //
-// Times are nanoseconds since the run began, by one monotonic clock for the whole machine. A
-// client's request, a call of a process and an operation each have a start and an end; the outcome
-// of one without an end is unknown, neither done nor not done.
+// Times are nanoseconds since the run began, by one monotonic clock for the whole machine. A client's
+// request, a call of a process and an operation each have a start and an end. If the history has no
+// end for one of them, its outcome is unknown: it may or may not have taken effect.
 package history
 
 import (
@@ -19,18 +19,18 @@
 	"time"
 )
 
-// Version is the version of the format; a reader rejects others.
+// Version is the version of the format. Read rejects histories of other versions.
 const Version = 1
 
-// MostLine bounds a line in bytes, MostText the text of an event, and MostEvents the events of one
-// history.
+// MaxLineBytes is the largest size of a line, MaxTextBytes the largest size of an event's text, and
+// MaxEvents the largest number of events in one history.
 const (
 	MaxLineBytes = 64 << 10
 	MaxTextBytes = 512
 	MaxEvents    = 2_000_000
 )
 
-// Schema is the JSON schema of a line.
+// Schema is the JSON schema of one line of a history.
 //
 //go:embed history.schema.json
 var Schema []byte
@@ -38,60 +38,60 @@
 // What is the kind of an event.
 type What string
 
-// The events.
+// The kinds of events. After the colon, a comment names the fields that an event of the kind sets.
 const (
-	Begin What = "begin" // the first one: Play
-	Bound What = "bound" // the last one where the history is full
-	End   What = "end"   // of the play
-
-	Start        What = "start"   // a process: Who, PID; Text is why where that is not the play's beginning
-	Phase        What = "phase"   // its log names a phase: Text
-	Ready        What = "ready"   // its clients' address says yes
-	Unready      What = "unready" // and no more
-	Log          What = "log"     // any other line that it wrote: Text
-	Term         What = "term"    // it was told to end
-	Exit         What = "exit"    // it has ended: Status, or Text for a signal
-	Usage        What = "usage"   // what it uses: Memory, Descriptors, CPU, Withheld
-	Unresponsive What = "caught"  // it does not answer, and no fault excuses that: Text is where the evidence is
-	Call         What = "call"    // a call at its management address: ID, Text
-	Return       What = "return"  // the answer: ID, Text; empty for none in time
-
-	Fault What = "fault" // begins: N in the schedule, Text its kind, Routers, Hosts, Links
-	Heal  What = "heal"  // ends
-
-	Ask               What = "ask"     // a client's request goes to a router: ID, Who, Class, Until
-	First             What = "first"   // its first event came
-	Answer            What = "answer"  // its final answer: Status, How
-	Attempt           What = "attempt" // its last byte is at a host: ID, Who the host, From the router, Conn
-	Done              What = "done"    // the host has finished it, in whatever way
+	Begin What = "begin" // the first event: Play
+	Bound What = "bound" // the last event of a history that is full
+	End   What = "end"   // the play has ended
+
+	Start        What = "start"   // a process started: Who, PID; Text is the reason if it is not the first process of its router
+	Phase        What = "phase"   // the process logged that it entered a phase: Text is its name
+	Ready        What = "ready"   // the router's client address reports that it is ready
+	Unready      What = "unready" // the router stopped being ready
+	Log          What = "log"     // the process wrote any other line: Text
+	Term         What = "term"    // SIGTERM was sent to the process
+	Exit         What = "exit"    // the process exited: Status, or Text with the signal that killed it
+	Usage        What = "usage"   // the resources that the process uses: Memory, Descriptors, CPU, Withheld
+	Unresponsive What = "caught"  // the process does not answer, and no fault excuses that: Text has the error and where the evidence is
+	Call         What = "call"    // a call to the process's management address: ID is the command
+	Return       What = "return"  // the answer to a call: ID, Text, which is empty if there was no answer in time
+
+	Fault What = "fault" // a fault begins: N is its number in the schedule, Text its kind; Routers, Hosts, Links
+	Heal  What = "heal"  // a fault ends
+
+	Ask               What = "ask"     // a client sends a request to a router: ID, Who, Class, Until
+	First             What = "first"   // the first event of the request's stream arrived
+	Answer            What = "answer"  // the final answer to the request: Status, How
+	Attempt           What = "attempt" // the last byte of the request reached a host: ID, Conn; Who is the host, From the router
+	Done              What = "done"    // the host has finished the attempt, with any outcome
 	Closed            What = "closed"  // the router closed the connection Conn
-	ListApplied       What = "told"    // the list told router Who of host From: Text is the state
-	HostOverloaded    What = "fell"    // host Who failed from overload in its slow start
-	OversizedDatagram What = "wide"    // router Who sent a datagram of Bytes, more than the platform allows
-
-	View   What = "view"   // a router's view of the fleet: Who, Text its digest, N its number, Routers who is in it, Inc its own incarnation
-	Invoke What = "invoke" // an operation of client Who begins: ID, Op
-	OK     What = "ok"     // it has ended: ID, Op
-	Act    What = "act"    // under a duty, as its receiver Who has it: From the router, Text the duty, Token, Status 200 or 409 where it was refused
-	Note   What = "note"   // of the rig itself: Text
+	ListApplied       What = "told"    // the list reported the state of host From to router Who: Text is the state
+	HostOverloaded    What = "fell"    // host Who failed from overload while it was cold
+	OversizedDatagram What = "wide"    // router Who sent a datagram of Bytes bytes, more than the platform allows
+
+	View   What = "view"   // a router's view of the fleet: Who, Text is the digest, N the version, Routers the routers in it, Incarnation that of Who
+	Invoke What = "invoke" // client Who starts an operation: ID, Op
+	OK     What = "ok"     // the operation has ended: ID, Op
+	Act    What = "act"    // receiver Who got a request that router From sent under a duty: Text is the duty, Token; Status is 200, or 409 if it was refused
+	Note   What = "note"   // a remark of the test itself: Text
 )
 
 // How is the outcome of a client's request.
 type How string
 
-// The outcomes.
+// The outcomes of requests.
 const (
 	Complete    How = "whole"
-	Broken      How = "broken"    // it began, and is not whole
+	Broken      How = "broken"    // the answer began but is incomplete
 	Refused     How = "refused"   // 429 or 503
 	Failed      How = "failed"    // any other status
-	Unreached   How = "unreached" // no connection came up: nobody has taken the request
+	Unreached   How = "unreached" // no connection could be opened, so no router got the request
 	Interrupted How = "cut off"   // the connection ended with no answer
-	None        How = "none"      // nothing came before the client's time-out
+	None        How = "none"      // no answer arrived before the client's timeout
 	Left        How = "left"      // the client canceled
 )
 
-// Event is a line.
+// Event is one event, which is one line of the file. The kind determines which fields are set.
 type Event struct {
 	T    int64  `json:"t"` // nanoseconds since the run began
 	What What   `json:"what"`
@@ -103,9 +103,9 @@
 	N      int   `json:"n,omitempty"`
 	Status int   `json:"status,omitempty"`
 	How    How   `json:"how,omitempty"`
-	Until  int64 `json:"until,omitempty"` // when its client gives up; of what the router sent, when that was due as the request stated
-	// Arrived is when the bytes of a first event or of an answer came to the client's system, or
-	// those of an attempt left its router; 0 where that is not known.
+	Until  int64 `json:"until,omitempty"` // when the client gives up; for an answer or first event, when it was due according to the request
+	// Arrived is when the bytes of a first event or an answer arrived at the client's operating
+	// system, or when the bytes of an attempt left the router. It is 0 if the time is not known.
 	Arrived int64 `json:"arrived,omitempty"`
 
 	Class string `json:"class,omitempty"`
@@ -113,10 +113,10 @@
 	Conn  string `json:"conn,omitempty"`
 	Bytes int    `json:"bytes,omitempty"`
 
-	Memory      int64 `json:"memory,omitempty"` // bytes, most so far
+	Memory      int64 `json:"memory,omitempty"` // peak memory so far, in bytes
 	Descriptors int   `json:"descriptors,omitempty"`
 	CPU         int64 `json:"cpu,omitempty"`      // nanoseconds so far
-	Withheld    int64 `json:"withheld,omitempty"` // nanoseconds so far in which its threads were ready to run and had no processor
+	Withheld    int64 `json:"withheld,omitempty"` // nanoseconds so far in which threads of the process were ready to run but had no processor
 
 	Routers []int    `json:"routers,omitempty"`
 	Hosts   []int    `json:"hosts,omitempty"`
@@ -125,23 +125,23 @@
 
 	Incarnation    uint32 `json:"inc,omitempty"`
 	Token          uint64 `json:"token,omitempty"`
-	LeaseCheckedAt int64  `json:"begun,omitempty"` // when the holder of Token last checked its lease, where both have one clock
+	LeaseCheckedAt int64  `json:"begun,omitempty"` // when the holder of Token last checked its lease; only set if holder and receiver share a clock
 
 	Op   *Op   `json:"op,omitempty"`
 	Play *Play `json:"play,omitempty"`
 }
 
-// Op is what an operation does, for histories that must be linearizable.
+// Op describes an operation of a history that must be linearizable.
 type Op struct {
 	Kind      string `json:"kind"` // read, write or cas of a register; acquire, renew, yield or expire of a duty
 	Key       string `json:"key"`
-	Value     string `json:"value,omitempty"` // of a duty the router, and its process behind a slash
-	Old       string `json:"old,omitempty"`   // of cas
-	Succeeded bool   `json:"did,omitempty"`   // of the end of all but read and write
+	Value     string `json:"value,omitempty"` // for a duty, the router and its process, separated by a slash
+	Old       string `json:"old,omitempty"`   // for cas, the expected value
+	Succeeded bool   `json:"did,omitempty"`   // set at the end of an operation other than read and write that succeeded
 	Token     uint64 `json:"token,omitempty"`
 }
 
-// Play is what was played.
+// Play describes the run: its experiment, its size, and the limits that checkers apply.
 type Play struct {
 	Version  int    `json:"version"`
 	World    string `json:"world"` // rig or lab
@@ -149,23 +149,23 @@
 	Seed     uint64 `json:"seed"`
 	Routers  int    `json:"routers"`
 	Hosts    int    `json:"hosts"`
-	Schedule string `json:"schedule,omitempty"` // as its file has it
-	Slack    int64  `json:"slack"`              // nanoseconds that an answer may be late
-	Memory   int64  `json:"memory,omitempty"`   // bytes that a router may hold, 0 for no bound
+	Schedule string `json:"schedule,omitempty"` // the faults, in the syntax of an experiment's file
+	Slack    int64  `json:"slack"`              // nanoseconds by which an answer may be late
+	Memory   int64  `json:"memory,omitempty"`   // largest memory of a router in bytes; 0 for no limit
 	Sockets  int    `json:"sockets,omitempty"`
-	Leave    int64  `json:"leave,omitempty"`  // nanoseconds that a router has after SIGTERM
-	Views    int64  `json:"views,omitempty"`  // nanoseconds after the last fault until all views are the same; 0 where there are none
-	Settle   int64  `json:"settle,omitempty"` // nanoseconds after the last fault until the fleet serves as before; 0 for no bound
+	Leave    int64  `json:"leave,omitempty"`  // nanoseconds in which a router must exit after SIGTERM
+	Views    int64  `json:"views,omitempty"`  // nanoseconds after the last fault until all views must be identical; 0 if routers maintain no views
+	Settle   int64  `json:"settle,omitempty"` // nanoseconds after the last fault until the fleet must serve as before; 0 for no limit
 }
 
-// At is the time as a span.
+// At returns the time of the event since the run began.
 func (e *Event) At() time.Duration { return time.Duration(e.T) }
 
-// ArrivedAt is when what an event tells of came, in nanoseconds since the run began: T where nothing
-// else is known.
+// ArrivedAt returns Arrived, or T if Arrived is not known. Both are in nanoseconds since the run
+// began.
 func (e *Event) ArrivedAt() int64 { return cmp.Or(e.Arrived, e.T) }
 
-// String is a line for people.
+// String returns the event as one human-readable line.
 func (e *Event) String() string {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "%12v %-8s %s", e.At().Round(time.Microsecond), e.What, e.Who)
@@ -180,18 +180,19 @@
 	return b.String()
 }
 
-// Writer writes events, each with one call of Write, so that what a killed process has written can
-// be read.
+// Writer writes events to an io.Writer. It makes one unbuffered write per event, so that the events of
+// a process that was killed can be read.
 type Writer struct {
 	to     io.Writer
 	events int
 	lost   int
 }
 
-// NewWriter returns a Writer to an io.Writer that it does not buffer.
+// NewWriter returns a Writer that writes to an io.Writer without buffering.
 func NewWriter(to io.Writer) *Writer { return &Writer{to: to} }
 
-// Write writes an event. Beyond MostEvents it writes Bound once, and counts.
+// Write writes an event, and truncates its text to MaxTextBytes. A Bound event replaces the last event
+// that fits into MaxEvents. Later events are dropped and counted.
 func (w *Writer) Write(e *Event) error {
 	switch {
 	case w.events == MaxEvents-1:
@@ -214,17 +215,17 @@
 	return err
 }
 
-// Lost returns how many events came after the bound.
+// Lost returns how many events were dropped after the Bound event.
 func (w *Writer) Lost() int { return w.lost }
 
-// Read reads a history. A last line that was cut is left out; any other fault names its line.
+// Read reads a history. It ignores an incomplete last line. Any other error names its line.
 func Read(from io.Reader) ([]Event, error) {
 	var all []Event
 	lines := bufio.NewReaderSize(from, MaxLineBytes)
 	for n := 1; ; n++ {
 		line, err := lines.ReadSlice('\n')
 		if err == io.EOF {
-			break // with a line that was cut, or with none
+			break // the last line is incomplete or empty
 		}
 		if err != nil {
 			return nil, fmt.Errorf("line %d: %w", n, err)
--- a/internal/testbed/history/history_test.go
+++ b/internal/testbed/history/history_test.go
@@ -10,7 +10,7 @@
 	"github.com/santhosh-tekuri/jsonschema/v6"
 )
 
-// schema is the written one, compiled.
+// schema compiles the JSON schema of the package.
 func schema(t *testing.T) *jsonschema.Schema {
 	t.Helper()
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(Schema))
@@ -30,7 +30,7 @@
 
 var begin = Event{What: Begin, Play: &Play{Version: Version, World: "rig", Seed: 1<<63 - 1, Routers: 3, Hosts: 2, Slack: 5}}
 
-// Every event that the package names fits the written schema, and is read as it was written.
+// Events of every kind fit the schema, and are read as they were written.
 func TestSchemaAndBack(t *testing.T) {
 	all := []Event{begin}
 	for _, w := range []What{Start, Phase, Ready, Unready, Log, Term, Exit, Usage, Unresponsive, Call, Return, Fault, Heal, Ask, First, Answer, Attempt,
@@ -44,7 +44,7 @@
 		if err := w.Write(&all[i]); err != nil {
 			t.Fatal(err)
 		}
-		all[i].Text = strings.ToValidUTF8(all[i].Text, "\ufffd") // as JSON has it
+		all[i].Text = strings.ToValidUTF8(all[i].Text, "\ufffd") // as JSON encodes it
 	}
 	for line := range strings.Lines(file.String()) {
 		v, err := jsonschema.UnmarshalJSON(strings.NewReader(line))
@@ -55,13 +55,13 @@
 			t.Errorf("%s: %v", line, err)
 		}
 	}
-	got, err := Read(strings.NewReader(file.String() + `{"t":8,"what":"as`)) // its writer was killed
+	got, err := Read(strings.NewReader(file.String() + `{"t":8,"what":"as`)) // the last line is incomplete, as after the writer was killed
 	if diff := cmp.Diff(all, got); err != nil || diff != "" {
 		t.Errorf("%v\n%s", err, diff)
 	}
 }
 
-// What is no history is refused, with the line.
+// Read rejects an invalid history with an error that names the line.
 func TestReadRefuses(t *testing.T) {
 	first, _ := json.Marshal(begin)
 	for text, want := range map[string]string{
@@ -76,7 +76,7 @@
 	}
 }
 
-// A text beyond its bound is cut, and a history that is full says so in its last line.
+// A Writer truncates a text that is too long, and ends a full history with a Bound event.
 func TestWriterBounds(t *testing.T) {
 	var file bytes.Buffer
 	w := NewWriter(&file)
--- a/internal/testbed/history/stored_test.go
+++ b/internal/testbed/history/stored_test.go
@@ -9,11 +9,11 @@
 	"reachspread/internal/testbed/golden"
 )
 
-// The file under testdata was written by a Writer at commit 5bfcc27: WRITE_GOLDEN=1 go test -run
-// Golden.
+// A Writer at commit 5bfcc27 wrote the file history.ndjson under testdata, by the command
+// WRITE_GOLDEN=1 go test -run Golden.
 
-// goldenEvents are the beginning of a play and one event of each kind with every field, and for
-// each way in which a request ends one more.
+// goldenEvents returns the beginning of a play, one event of each kind with its fields set, and one
+// event for each outcome of a request.
 func goldenEvents() []Event {
 	all := []Event{{What: Begin, Play: &Play{Version: Version, World: "rig", Name: "upgrade", Seed: 1<<63 - 1, Routers: 3, Hosts: 2, Schedule: "fault \"kill\" {}\n",
 		Slack: 5e8, Memory: 192 << 20, Sockets: 512, Leave: 7e8, Views: 3e9, Settle: 4e9}}}
@@ -31,7 +31,7 @@
 	return all
 }
 
-// A history is read as it was written, and written the same.
+// The stored history is read as it was written, and writing its events again gives the same bytes.
 func TestGoldenHistory(t *testing.T) {
 	want := goldenEvents()
 	golden.Complete(t, want[0].Play)
@@ -39,18 +39,20 @@
 	sameHistory(t, "history.ndjson", want)
 }
 
-// So are those with a field that came later.
+// The same holds for a stored history with the field Withheld, which was added later.
 func TestGoldenHistoryWithWithheld(t *testing.T) {
 	usage := Event{T: 123456789, What: Usage, Who: "r0/2", Memory: 1 << 20, Descriptors: 40, CPU: 5e6, Withheld: 7e6}
 	sameHistory(t, "history-withheld.ndjson", append(goldenEvents()[:1], usage))
 }
 
+// The same holds for a stored history with the field Arrived, which was added later.
 func TestGoldenHistoryWithArrived(t *testing.T) {
 	answer := Event{T: 123456789, What: Answer, ID: "x-2", Status: 503, How: Refused, Until: 9e9, Arrived: 123000000}
 	sameHistory(t, "history-arrived.ndjson", append(goldenEvents()[:1], answer))
 }
 
-// sameHistory checks that events are written as a golden file has them, and read from it.
+// sameHistory checks that writing events gives the bytes of a golden file, and that reading the file
+// gives the events.
 func sameHistory(t *testing.T, file string, want []Event) {
 	t.Helper()
 	var made bytes.Buffer
