--- a/internal/testbed/chaos/chaos_test.go
+++ b/internal/testbed/chaos/chaos_test.go
@@ -201,7 +201,7 @@
 	t.Helper()
 	for _, e := range events {
 		if e.What == history.Start && alive(e.PID) {
-			t.Errorf("process %d of %s lives on", e.PID, e.Who)
+			t.Errorf("process %d of %s still runs after the play", e.PID, e.Who)
 		}
 	}
 }
@@ -302,7 +302,7 @@
 		}
 		var page bytes.Buffer
 		if err := WritePage(&page, r.Events, r.Verdicts); err != nil || strings.Count(page.String(), "<rect") < 50 {
-			t.Errorf("the page: %v, %d bytes", err, page.Len())
+			t.Errorf("the page has too few bars or an error: %v, %d bytes", err, page.Len())
 		}
 	}
 }
@@ -610,11 +610,11 @@
 	for pid := range pids {
 		n++
 		if alive(pid) {
-			t.Errorf("process %d lives on", pid)
+			t.Errorf("process %d still runs after the interrupted play", pid)
 		}
 	}
 	if n != 3 {
-		t.Errorf("%d processes were started", n)
+		t.Errorf("%d processes were started, want 3", n)
 	}
 
 	// The kernel kills the processes that a thread has started once the thread has ended, as it does
@@ -648,6 +648,6 @@
 	err = cmd.Wait()
 	var exit *exec.ExitError
 	if !errors.As(err, &exit) || exit.Sys().(syscall.WaitStatus).Signal() != syscall.SIGKILL {
-		t.Errorf("it ended with %v", err)
+		t.Errorf("the router's process ended with %v, want SIGKILL", err)
 	}
 }
--- a/internal/testbed/chaos/duty_test.go
+++ b/internal/testbed/chaos/duty_test.go
@@ -139,10 +139,10 @@
 			}
 			length, _ := time.ParseDuration(x.length)
 			if t.Log(acts, "acts"); last < (length - 3*time.Second).Nanoseconds() {
-				t.Errorf("the last act was at %v", time.Duration(last))
+				t.Errorf("the last act was at %v, more than 3 s before the end", time.Duration(last))
 			}
 			if !said {
-				t.Errorf("no line has %q", x.says)
+				t.Errorf("no log line has %q", x.says)
 			}
 		})
 	}
@@ -214,7 +214,7 @@
 	elected := 12 * quorum.TickInterval // eight ticks without a leader, and up to four of random spread
 	between("r4", 8*time.Second, 8*time.Second+elected+lease.DefaultTiming.Duration+lease.DefaultTiming.ClockAllowance+late)
 	if !waited {
-		t.Error("r2 did not say that it waits")
+		t.Error("r2 did not answer that it waits for its leave to drain")
 	}
 }
 
@@ -268,7 +268,7 @@
 		}
 	}
 	if most, _ := maxActsPerSecond(r.Events); most > copiesPerSecond {
-		t.Errorf("%d copies in a second", most)
+		t.Errorf("%d copies in a second exceed the limit", most)
 	}
 }
 
@@ -344,10 +344,10 @@
 			t.Logf("%q: %d copies by %d holders, %d in a second at most (cap %d); first event of %d live requests p50 %v, p99 %v; memory %d MB at most", strings.ReplaceAll(rig, "\n", ", "),
 				acts, len(holders), most, copiesPerSecond, len(f), f[len(f)/2].Round(10*time.Microsecond), f[len(f)*99/100].Round(10*time.Microsecond), memory>>20)
 			if most > copiesPerSecond {
-				t.Errorf("%d copies in a second", most)
+				t.Errorf("%d copies in a second exceed the limit", most)
 			}
 			if strings.Contains(rig, "voters") && len(holders) < 4 {
-				t.Errorf("%d holders", len(holders))
+				t.Errorf("the copier duty had %d holders, want at least 4", len(holders))
 			}
 		}
 	}
--- a/internal/testbed/chaos/layout.go
+++ b/internal/testbed/chaos/layout.go
@@ -19,18 +19,18 @@
 }
 
 const (
-	clientPort          = 9000
-	managementPort      = 9001 // of a router's first process; its later processes use the ports after it
-	peerPort            = 7946
-	listPort            = 8500
-	hostPort            = 10000 // of a router's proxy to host 0
-	advertisedPort      = 20000 // the proxy's port at which other routers reach a router
-	guardPort           = 9999
-	voterPort           = 7950
-	firstVoterProxyPort = 30000 // of a router's proxy to the voter of router 0
-	firstCandidatePort  = 12000 // of the candidate host, which receives copies
-	copyPort            = 9500  // of a router's proxy to the candidate host
-	firstHost           = 11000
+	clientPort         = 9000
+	managementPort     = 9001 // of a router's first process; its later processes use the ports after it
+	peerPort           = 7946
+	listPort           = 8500
+	hostPort           = 10000 // of a router's proxy to host 0
+	advertisedPort     = 20000 // the proxy's port at which other routers reach a router
+	guardPort          = 9999
+	voterPort          = 7950
+	proxyPort          = 30000 // of a router's proxy to the voter of router 0
+	firstCandidatePort = 12000 // of the candidate host, which receives copies
+	copyPort           = 9500  // of a router's proxy to the candidate host
+	firstHost          = 11000
 )
 
 func newLayout() (*layout, error) {
@@ -54,15 +54,13 @@
 func (l *layout) management(i, process int) string {
 	return l.router(i) + ":" + strconv.Itoa(managementPort+process)
 }
-func (l *layout) list(i int) string      { return l.router(i) + ":" + strconv.Itoa(listPort) }
-func (l *layout) hostOf(i, n int) string { return l.router(i) + ":" + strconv.Itoa(hostPort+n) }
-func (l *layout) host(n int) string      { return l.ip(2) + ":" + strconv.Itoa(firstHost+n) }
-func (l *layout) voter(i int) string     { return l.router(i) + ":" + strconv.Itoa(voterPort) }
-func (l *layout) voterProxy(i, to int) string {
-	return l.router(i) + ":" + strconv.Itoa(firstVoterProxyPort+to)
-}
-func (l *layout) copies(i int) string { return l.router(i) + ":" + strconv.Itoa(copyPort) }
-func (l *layout) candidate() string   { return l.ip(2) + ":" + strconv.Itoa(firstCandidatePort) }
+func (l *layout) list(i int) string           { return l.router(i) + ":" + strconv.Itoa(listPort) }
+func (l *layout) hostOf(i, n int) string      { return l.router(i) + ":" + strconv.Itoa(hostPort+n) }
+func (l *layout) host(n int) string           { return l.ip(2) + ":" + strconv.Itoa(firstHost+n) }
+func (l *layout) voter(i int) string          { return l.router(i) + ":" + strconv.Itoa(voterPort) }
+func (l *layout) voterProxy(i, to int) string { return l.router(i) + ":" + strconv.Itoa(proxyPort+to) }
+func (l *layout) copies(i int) string         { return l.router(i) + ":" + strconv.Itoa(copyPort) }
+func (l *layout) candidate() string           { return l.ip(2) + ":" + strconv.Itoa(firstCandidatePort) }
 func (l *layout) peer(i int) netip.AddrPort {
 	return netip.MustParseAddrPort(l.router(i) + ":" + strconv.Itoa(peerPort))
 }
--- a/internal/testbed/chaos/page.go
+++ b/internal/testbed/chaos/page.go
@@ -51,7 +51,7 @@
 // chart of request outcomes over time, and the verdicts. The page loads nothing from the network.
 func WritePage(w io.Writer, events []history.Event, verdicts []checker.Violation) error {
 	if len(events) == 0 || events[0].Play == nil {
-		return fmt.Errorf("the history has no beginning")
+		return fmt.Errorf("the first event of the history is not a begin event that describes the play")
 	}
 	p := &page{w: w}
 	for i := range events {
--- a/internal/testbed/chaos/work_test.go
+++ b/internal/testbed/chaos/work_test.go
@@ -46,6 +46,6 @@
 		}
 	}
 	if len(views) < 8 || r.Datagrams[1] == 0 || r.Datagrams[2] == 0 {
-		t.Errorf("views told by %d routers, %v datagrams by kind: want those of the view and of peer reports", len(views), r.Datagrams)
+		t.Errorf("views of %d routers in the history, %v datagrams by kind: want those of the view and of peer reports", len(views), r.Datagrams)
 	}
 }
--- a/internal/testbed/checker/checker_test.go
+++ b/internal/testbed/checker/checker_test.go
@@ -141,14 +141,14 @@
 		t.Run(name, func(t *testing.T) {
 			found := CheckAll(x.plant(healthyHistory()))
 			if len(found) == 0 {
-				t.Fatal("nothing is found")
+				t.Fatal("the planted violation was not found")
 			}
 			if !strings.Contains(found[0].String(), x.text) {
 				t.Errorf("got %q, want %q", found[0].String(), x.text)
 			}
 			for _, v := range found {
 				if v.Checker != x.checker {
-					t.Errorf("%s finds it, too: %s", v.Checker, v.String())
+					t.Errorf("checker %s also found a violation: %s", v.Checker, v.String())
 				}
 			}
 		})
@@ -181,7 +181,7 @@
 			x.fault.What, x.fault.T, x.fault.N = history.Fault, 9050*ms, 5
 			c := NewCase(append(append(healthyHistory(), x.fault), lost(x.who, x.how)...))
 			if found := answer(c); len(found) != x.found {
-				t.Errorf("found %v", found)
+				t.Errorf("wrong number of violations: %v", found)
 			}
 		})
 	}
--- a/internal/testbed/history/history.go
+++ b/internal/testbed/history/history.go
@@ -235,13 +235,13 @@
 			return nil, fmt.Errorf("line %d: %w", n, err)
 		}
 		if n == 1 && (e.What != Begin || e.Play == nil) {
-			return nil, fmt.Errorf("line 1: is no beginning of a history")
+			return nil, fmt.Errorf("line 1: not a begin event that describes the play")
 		}
 		if n == 1 && e.Play.Version != Version {
-			return nil, fmt.Errorf("line 1: is of version %d; this program reads %d", e.Play.Version, Version)
+			return nil, fmt.Errorf("line 1: the history has format version %d; this program reads version %d", e.Play.Version, Version)
 		}
 		if len(all) == MaxEvents {
-			return nil, fmt.Errorf("line %d: is more than the %d events that a history may have", n, MaxEvents)
+			return nil, fmt.Errorf("line %d: the history has more than the %d events allowed", n, MaxEvents)
 		}
 		all = append(all, e)
 	}
--- a/internal/testbed/history/history_test.go
+++ b/internal/testbed/history/history_test.go
@@ -66,8 +66,8 @@
 	first, _ := json.Marshal(begin)
 	for text, want := range map[string]string{
 		"":                               "line 1: the history is empty",
-		"{\"t\":1,\"what\":\"start\"}\n": "line 1: is no beginning of a history",
-		strings.Replace(string(first), `"version":1`, `"version":9`, 1) + "\n": "line 1: is of version 9; this program reads 1",
+		"{\"t\":1,\"what\":\"start\"}\n": "line 1: not a begin event that describes the play",
+		strings.Replace(string(first), `"version":1`, `"version":9`, 1) + "\n": "line 1: the history has format version 9; this program reads version 1",
 		string(first) + "\nxx\n": "line 2: invalid character 'x' looking for beginning of value",
 	} {
 		if _, err := Read(strings.NewReader(text)); err == nil || err.Error() != want {
--- a/internal/testbed/soak/judge.go
+++ b/internal/testbed/soak/judge.go
@@ -19,7 +19,7 @@
 		p.report.Requests[a.outcome]++
 		unplanned := p.hadFault(a.written-contactTime, a.done, func(t fault) bool { return t.router == a.router && !t.planned })
 		if rule, what := judgeRequest(&a, runs[a.id], unplanned); rule != "" {
-			p.report.Findings = append(p.report.Findings, Finding{a.done, rule, fmt.Sprintf("%s at %s, sent at %.3f s, work %d, kept %v, after its end %v: %s",
+			p.report.Findings = append(p.report.Findings, Finding{a.done, rule, fmt.Sprintf("%s at %s, sent at %.3f s, work %d, on a reused connection %v, after an announced close %v: %s",
 				a.id, p.fleet.Name(a.router), a.written.Seconds(), a.work, a.reusedConn, a.afterClose, what)})
 		}
 	}
@@ -31,23 +31,23 @@
 func judgeRequest(a *request, runs int, unplanned bool) (rule, what string) {
 	switch {
 	case runs > 1:
-		return "TWICE", fmt.Sprintf("it ran %d times", runs)
+		return "TWICE", fmt.Sprintf("hosts executed it %d times", runs)
 	case a.outcome == Wrong:
 		return "MIXED", a.detail
 	case a.outcome == Refused && runs > 0:
-		return "REFUSED", fmt.Sprintf("%d, and it has run", a.status)
+		return "REFUSED", fmt.Sprintf("refused with %d although a host executed it", a.status)
 	case a.outcome == Failed && (a.status == 400 || a.status == 401 || a.status == 403 || a.status == 404):
 		return "DENIED", a.detail
 	case unplanned:
 		return "", ""
 	case a.outcome == Interrupted:
-		return "LOST", "cut in the answer: " + a.detail
+		return "LOST", "the connection ended in the middle of the answer: " + a.detail
 	case a.outcome == TimedOut:
-		return "LOST", fmt.Sprintf("no answer; it ran %d times", runs)
+		return "LOST", fmt.Sprintf("no answer by the deadline; hosts executed it %d times", runs)
 	case a.outcome == Closed && runs > 0:
-		return "LOST", "closed without an answer, and it has run: " + a.detail
+		return "LOST", "the connection was closed without an answer although a host executed the request: " + a.detail
 	case a.outcome == Closed && !a.writeFailed && a.done-a.written > closeSlack:
-		return "LOST", fmt.Sprintf("closed without an answer %v after it was sent", (a.done - a.written).Round(time.Millisecond))
+		return "LOST", fmt.Sprintf("the connection was closed without an answer %v after the request was sent", (a.done - a.written).Round(time.Millisecond))
 	}
 	return "", ""
 }
--- a/internal/testbed/soak/operator.go
+++ b/internal/testbed/soak/operator.go
@@ -125,7 +125,7 @@
 		}
 	}
 	if accepted > 1 {
-		o.soak.addFinding("CONFIG", fmt.Sprintf("two changes on version %d were acknowledged", all[0].baseVersion))
+		o.soak.addFinding("CONFIG", fmt.Sprintf("two concurrent changes of version %d were both acknowledged", all[0].baseVersion))
 	}
 	if accepted == 0 && ctx.Err() == nil {
 		o.version = max(o.version, o.read(ctx))
@@ -168,7 +168,7 @@
 			x.status = code
 			return
 		case code/100 == 4:
-			o.soak.addFinding("CONFIG", fmt.Sprintf("a proper order is refused with %d: %s", code, text))
+			o.soak.addFinding("CONFIG", fmt.Sprintf("a valid change was refused with %d: %s", code, text))
 			return
 		}
 		sleep(ctx, 20*time.Millisecond)
@@ -291,7 +291,7 @@
 	o.soak.report.Changes, o.soak.report.Probes = o.changes, o.probes
 	o.soak.mu.Unlock()
 	if read := o.read(ctx); read < o.acknowledged {
-		o.soak.addFinding("LOST", fmt.Sprintf("version %d is read back, %d was acknowledged", read, o.acknowledged))
+		o.soak.addFinding("LOST", fmt.Sprintf("routers report configuration version %d, but version %d was acknowledged", read, o.acknowledged))
 	}
 }
 
--- a/internal/testbed/soak/soak.go
+++ b/internal/testbed/soak/soak.go
@@ -90,7 +90,7 @@
 // affects the register.
 type fault struct {
 	router   int
-	from, to time.Duration // since the start of the run; to is negative while the fault lasts
+	from, to time.Duration // since the start of the run; to is below 0 while the fault lasts
 	planned  bool          // a graceful shutdown, in which no accepted request may be lost
 }
 
--- a/internal/testbed/soak/terminate.go
+++ b/internal/testbed/soak/terminate.go
@@ -62,7 +62,7 @@
 	took := time.Since(start)
 	if !ok {
 		f.Kill(i)
-		c.soak.addFinding("GRACE", fmt.Sprintf("%s was still there %v after SIGTERM", f.Name(i), took.Round(time.Millisecond)))
+		c.soak.addFinding("GRACE", fmt.Sprintf("%s had not exited %v after SIGTERM", f.Name(i), took.Round(time.Millisecond)))
 		return
 	}
 	c.judgeTermination(i, logged, exit.Status, exit.CPU-cpuBefore, took)
@@ -86,10 +86,10 @@
 	name := c.soak.fleet.Name(i)
 	c.soak.countTermination(used, took)
 	if status != 0 && c.hasStarted(i, logged) {
-		c.soak.addFinding("EXIT", fmt.Sprintf("%s ended with %d after SIGTERM", name, status))
+		c.soak.addFinding("EXIT", fmt.Sprintf("%s exited with status %d after SIGTERM", name, status))
 	}
 	if used >= minMeasuredCPU && used.Seconds() > maxDrainingCPU*took.Seconds() {
-		c.soak.addFinding("BUSY", fmt.Sprintf("%s used %v of processor time in %v while it ended",
+		c.soak.addFinding("BUSY", fmt.Sprintf("%s used %v of processor time in the %v from SIGTERM to its exit",
 			name, used.Round(time.Millisecond), took.Round(time.Millisecond)))
 	}
 }
