--- a/internal/testbed/chaos/chaos.go
+++ b/internal/testbed/chaos/chaos.go
@@ -31,7 +31,7 @@
 type Options struct {
 	Experiment *experiment.Experiment
 	Seed       uint64
-	Program    string         // the router's binary
+	Program    string         // path of the router's binary
 	Folder     string         // must not exist yet; empty creates a temporary folder, which is removed after a test without violations
 	Faults     []faults.Fault // replace the experiment's faults if Drawn is set
 	Drawn      bool
@@ -62,7 +62,7 @@
 	exitTimeout  = drainTimeout + 2*time.Second
 )
 
-// play is a running chaos test.
+// play is the state of a running chaos test.
 type play struct {
 	options  *Options
 	spec     simulator.Spec
--- a/internal/testbed/chaos/process.go
+++ b/internal/testbed/chaos/process.go
@@ -83,7 +83,7 @@
 	resumedAt time.Time  // when its processes were last resumed
 }
 
-// process is one process of a router.
+// process is one operating system process of a router.
 type process struct {
 	name        string
 	r           *router
--- a/internal/testbed/chaos/record.go
+++ b/internal/testbed/chaos/record.go
@@ -19,7 +19,7 @@
 	file   *os.File
 	writer *history.Writer
 	all    []history.Event
-	more   chan bool // closed at the next event
+	more   chan bool // closed and replaced when the next event is added
 	err    error
 	closed bool
 }
--- a/internal/testbed/chaos/returns.go
+++ b/internal/testbed/chaos/returns.go
@@ -62,5 +62,5 @@
 	}
 }
 
-// barUnit is the time that a character of a bar stands for.
+// barUnit is the time that one character of a bar represents.
 const barUnit = 200 * time.Millisecond
--- a/internal/testbed/chaos/series.go
+++ b/internal/testbed/chaos/series.go
@@ -231,7 +231,7 @@
 	if len(s.Verdicts) > 0 {
 		verdict = fmt.Sprintf("%d verdicts", len(s.Verdicts))
 	}
-	fmt.Fprintf(w, "seed %d: %s; %d asked, %d whole, %d refused, %d failed, %d broken, %d crossed; %d faults, %d events, the machine stood still %d times, %.0f s\n",
+	fmt.Fprintf(w, "seed %d: %s; %d asked, %d whole, %d refused, %d failed, %d broken, %d crossed; %d faults, %d events, the machine stalled %d times, %.0f s\n",
 		p.Seed, verdict, s.Asked, s.Whole, s.Refused, s.Failed, s.Broken, s.Crossed, len(p.Result.faults()), s.Events, s.Stalls, s.Seconds)
 	if p.Shown != "" {
 		fmt.Fprintf(w, "page: %s\n", p.Shown)
--- a/internal/testbed/checker/checker.go
+++ b/internal/testbed/checker/checker.go
@@ -36,7 +36,7 @@
 	Check      func(*Case) []Violation
 }
 
-// Checkers has all checkers, in the order of reports.
+// Checkers has all checkers, in the order in which CheckAll reports their violations.
 var Checkers = []Checker{
 	{"crash", "no process ends or fails to start by itself", crash},
 	{"hang", "a process answers its management address or its clients, unless something was done to it", hang},
@@ -52,8 +52,8 @@
 	{"linear", "operations take effect at one moment between their start and their end", linear},
 }
 
-// CheckAll runs all checkers on a history and returns the violations, at most maxViolations of each
-// checker.
+// CheckAll runs all checkers on a history and returns the violations. Of each checker it returns at
+// most maxViolations, and one more violation that has the number of the others.
 func CheckAll(events []history.Event) []Violation {
 	c := NewCase(events)
 	var all []Violation
@@ -68,7 +68,7 @@
 	return all
 }
 
-// maxViolations bounds the violations of one checker.
+// maxViolations is the largest number of violations of one checker that CheckAll returns in full.
 const maxViolations = 20
 
 // Case is a history with indexes for the checkers.
@@ -76,14 +76,14 @@
 	Play   history.Play
 	Events []history.Event
 	Faults []Fault
-	End    int64 // of the history
+	End    int64 // time of the last event
 
 	requests    map[string]*Request
 	ids         []string // ids of requests, in the order of their first events
 	withholding withholding
 }
 
-// Fault is a fault as it was injected.
+// Fault is an injected fault, or a stall of the machine, with its time and targets.
 type Fault struct {
 	Kind     string
 	N        int
@@ -147,13 +147,13 @@
 	return r
 }
 
-// attemptKey names an attempt by its request and host.
+// attemptKey identifies an attempt by its request and host.
 type attemptKey struct{ id, host string }
 
 // indexer fills a Case from its events, in their order.
 type indexer struct {
 	c            *Case
-	openFaults   map[int]int // index in Case.Faults, by number
+	openFaults   map[int]int // index in Case.Faults of each fault that has not ended, by its number
 	running      map[attemptKey]*Attempt
 	onConnection map[string]*Attempt
 	closedAt     map[string]int64 // time of the last close, by connection
--- a/internal/testbed/checker/drain.go
+++ b/internal/testbed/checker/drain.go
@@ -15,7 +15,7 @@
 // the host as draining or gone. A fault of the router, or of its links to the list or the hosts,
 // excuses such an attempt.
 func drain(c *Case) (found []Violation) {
-	since := map[string]int64{} // by router and host
+	since := map[string]int64{} // by router and host, when the list first reported that the host drains or is gone
 	for i := range c.Events {
 		e := &c.Events[i]
 		switch e.What {
--- a/internal/testbed/checker/duties.go
+++ b/internal/testbed/checker/duties.go
@@ -16,9 +16,9 @@
 		token uint64
 		at    int64
 	}
-	accepted := map[string]last{}          // by receiver and duty
-	leaseHolder := map[string]string{}     // by duty and token
-	begun := map[string][]*history.Event{} // by duty
+	accepted := map[string]last{}          // the last accepted act, by receiver and duty
+	leaseHolder := map[string]string{}     // the router that used a token, by duty and token
+	begun := map[string][]*history.Event{} // acts whose beginning is known, by duty
 	say := func(e *history.Event, format string, a ...any) {
 		found = append(found, Violation{"duty", e.T, e.From, e.ID, e.Text + ": " + fmt.Sprintf(format, a...)})
 	}
--- a/internal/testbed/checker/withheld.go
+++ b/internal/testbed/checker/withheld.go
@@ -10,7 +10,7 @@
 // withholding has, for each process, how long its threads had waited for a processor at several times.
 // It shows when the machine withheld processors from the process.
 type withholding struct {
-	samples map[string][]waitSample // by process
+	samples map[string][]waitSample // by process, in ascending order of time
 }
 
 // waitSample is how long, in nanoseconds, the threads of a process had waited for a processor by a
--- a/internal/testbed/history/history.go
+++ b/internal/testbed/history/history.go
@@ -83,12 +83,12 @@
 const (
 	Complete    How = "whole"
 	Broken      How = "broken"    // the answer began but is incomplete
-	Refused     How = "refused"   // 429 or 503
-	Failed      How = "failed"    // any other status
+	Refused     How = "refused"   // the answer has status 429 or 503
+	Failed      How = "failed"    // the answer has any other status
 	Unreached   How = "unreached" // no connection could be opened, so no router got the request
 	Interrupted How = "cut off"   // the connection ended with no answer
 	None        How = "none"      // no answer arrived before the client's timeout
-	Left        How = "left"      // the client canceled
+	Left        How = "left"      // the client canceled the request
 )
 
 // Event is one event, which is one line of the file. The kind determines which fields are set.
@@ -115,7 +115,7 @@
 
 	Memory      int64 `json:"memory,omitempty"` // peak memory so far, in bytes
 	Descriptors int   `json:"descriptors,omitempty"`
-	CPU         int64 `json:"cpu,omitempty"`      // nanoseconds so far
+	CPU         int64 `json:"cpu,omitempty"`      // processor time used so far, in nanoseconds
 	Withheld    int64 `json:"withheld,omitempty"` // nanoseconds so far in which threads of the process were ready to run but had no processor
 
 	Routers []int    `json:"routers,omitempty"`
@@ -144,7 +144,7 @@
 // Play describes the run: its experiment, its size, and the limits that checkers apply.
 type Play struct {
 	Version  int    `json:"version"`
-	World    string `json:"world"` // rig or lab
+	World    string `json:"world"` // rig for real processes, lab for the simulator
 	Name     string `json:"name,omitempty"`
 	Seed     uint64 `json:"seed"`
 	Routers  int    `json:"routers"`
--- a/internal/testbed/soak/client.go
+++ b/internal/testbed/soak/client.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// The paths of the routes that never change.
+// The paths of the two routes that exist throughout a run.
 const (
 	unsafePath = "/unsafe/"
 	streamPath = "/stream/"
@@ -32,21 +32,21 @@
 	answerGrace          = time.Second // how long after the deadline of a request a client still waits
 )
 
-// Outcome is the outcome of a request.
+// Outcome says how a request ended from its client's point of view.
 type Outcome string
 
-// The outcomes.
+// The outcomes of requests.
 const (
-	Complete    Outcome = "whole"   // a complete success
-	Refused     Outcome = "refused" // 429 or 503
-	Failed      Outcome = "failed"  // another complete answer
+	Complete    Outcome = "whole"   // a complete answer with status 200
+	Refused     Outcome = "refused" // a complete answer with status 429 or 503
+	Failed      Outcome = "failed"  // a complete answer with any other status
 	Interrupted Outcome = "cut"     // the connection ended in the middle of the answer
 	Closed      Outcome = "closed"  // the connection ended without an answer
 	TimedOut    Outcome = "silent"  // no answer by the deadline
 	Wrong       Outcome = "wrong"   // the answer to another request, or a malformed one
 )
 
-// request is a request that a client sent.
+// request is a request that a client sent, with its outcome.
 type request struct {
 	id          string
 	router      int
--- a/internal/testbed/soak/host.go
+++ b/internal/testbed/soak/host.go
@@ -31,7 +31,7 @@
 	mu         sync.Mutex
 	all        []*host
 	lastNumber int
-	executions map[string]int // by request id
+	executions map[string]int // how often each request was executed, by request id
 }
 
 // host is one incarnation of a fake host.
--- a/internal/testbed/soak/mixedfleet_test.go
+++ b/internal/testbed/soak/mixedfleet_test.go
@@ -60,7 +60,7 @@
 }
 
 // A fleet of landed routers is upgraded to the present program one router at a time, and rolled
-// back, while clients use their connections and the configuration changes in storms. Halfway, the
+// back, while clients use their connections and the configuration changes in bursts. Halfway, the
 // two programs serve together. No accepted request is lost, none is executed twice, and a router of
 // either program without a fault uses the newest configuration.
 func TestMixedFleet(t *testing.T) {
--- a/internal/testbed/soak/scheduler.go
+++ b/internal/testbed/soak/scheduler.go
@@ -51,7 +51,7 @@
 	begin  func(ctx context.Context, rng *rand.Rand)
 }
 
-// kinds are the kinds of events that the schedule draws from.
+// kinds returns the kinds of events that the schedule draws from.
 func (c *scheduler) kinds() []event {
 	drainHost := func(ctx context.Context, _ *rand.Rand) { c.soak.hosts.drainOldest(ctx) }
 	return []event{
--- a/internal/testbed/soak/soak.go
+++ b/internal/testbed/soak/soak.go
@@ -42,7 +42,7 @@
 	recoveryTimeout = 30 * time.Second
 )
 
-// The streams of random numbers.
+// The numbers of the random number streams. Each part of the test draws from a stream of its own.
 const (
 	operatorStream    = 1
 	probeStream       = 2
@@ -74,7 +74,7 @@
 	Findings           []Finding
 }
 
-// soakRun is one run of the soak test.
+// soakRun is the state of one run of the soak test.
 type soakRun struct {
 	options Options
 	fleet   *localfleet.Fleet
--- a/internal/testbed/soak/soak_test.go
+++ b/internal/testbed/soak/soak_test.go
@@ -23,7 +23,7 @@
 
 func TestMain(m *testing.M) {
 	if os.Getenv(isRouter) == "" {
-		os.Setenv(isRouter, "1") // for the processes that the tests start
+		os.Setenv(isRouter, "1") // inherited by the processes that the tests start
 		os.Exit(m.Run())
 	}
 	if err := roles.Run(context.Background()); err != nil {
--- a/internal/testbed/soak/terminate.go
+++ b/internal/testbed/soak/terminate.go
@@ -30,7 +30,7 @@
 	return err != nil || strings.Contains(string(text[min(logged, int64(len(text))):]), " started ")
 }
 
-// start starts a router's process.
+// start starts a router's process, and notes the size of the log that it appends to.
 func (c *scheduler) start(i int) {
 	if file, err := os.Stat(c.soak.fleet.Log(i)); err == nil {
 		c.mu.Lock()
