--- a/internal/testbed/checker/duties.go
+++ b/internal/testbed/checker/duties.go
@@ -8,17 +8,17 @@
 	"reachspread/internal/testbed/history"
 )
 
-// duties finds acts that should not have been: accepted under a lower token than one before, of two
-// routers under one token, or begun by a router after another had begun under a higher one. The
-// last is asked only where one clock stamps the beginnings.
+// duties finds three kinds of invalid acts: an act that its receiver accepted with a lower token than
+// an earlier one, acts of two routers with the same token, and an act that began after another had
+// begun with a higher token. It checks the last kind only where one clock stamps the beginnings.
 func duties(c *Case) (found []Violation) {
 	type last struct {
 		token uint64
 		at    int64
 	}
-	accepted := map[string]last{}          // by receiver and duty
-	leaseHolder := map[string]string{}     // by duty and token
-	begun := map[string][]*history.Event{} // by duty
+	accepted := map[string]last{}          // the last accepted act, by receiver and duty
+	leaseHolder := map[string]string{}     // the router that used a token, by duty and token
+	begun := map[string][]*history.Event{} // acts whose beginning is known, by duty
 	say := func(e *history.Event, format string, a ...any) {
 		found = append(found, Violation{"duty", e.T, e.From, e.ID, e.Text + ": " + fmt.Sprintf(format, a...)})
 	}
@@ -30,7 +30,7 @@
 		if e.LeaseCheckedAt > 0 {
 			begun[e.Text] = append(begun[e.Text], e)
 		}
-		if e.Status != taken {
+		if e.Status != statusAccepted {
 			continue
 		}
 		key := e.Who + " " + e.Text
@@ -58,5 +58,5 @@
 	return found
 }
 
-// taken is the status of an act that its receiver let pass.
-const taken = 200
+// statusAccepted is the status of an act that its receiver accepted.
+const statusAccepted = 200
