--- a/coord/members/explore_test.go
+++ b/coord/members/explore_test.go
@@ -98,7 +98,7 @@
 // No incarnation may fall, and no member may be missing from its own view.
 func TestExploredOrdersKeepInvariants(t *testing.T) {
 	for _, settled := range []bool{false, true} {
-		q := explorer.Question[datagram]{Nodes: 3, Depth: *depth, MaxStates: 400_000, Budget: explorer.Budget{Losses: 1, Crashes: 1, Pauses: 1}, MaxSkew: 100 * time.Millisecond,
+		q := explorer.Config[datagram]{Nodes: 3, Depth: *depth, MaxStates: 400_000, Budget: explorer.Budget{Losses: 1, Crashes: 1, Pauses: 1}, MaxSkew: 100 * time.Millisecond,
 			Make: func(n, restarts int, before explorer.Node[datagram]) explorer.Node[datagram] {
 				return &node{n: n, restarts: restarts, settled: settled && restarts == 0}
 			},
--- a/coord/simulation/checker.go
+++ b/coord/simulation/checker.go
@@ -30,14 +30,14 @@
 
 // step reports whether a call may have an outcome while a version is in force, and the version
 // after it.
-func (x *call) step(version int, a callOutcome) (can bool, after int) {
+func (x *call) step(version int, outcome callOutcome) (ok bool, after int) {
 	switch {
 	case x.command == nil:
-		return a.version == version, version
-	case a.verdict == Accepted:
+		return outcome.version == version, version
+	case outcome.verdict == Accepted:
 		return x.command.Base == version, x.command.Next
 	}
-	return x.command.Base != version && a.version == version, version
+	return x.command.Base != version && outcome.version == version, version
 }
 
 // operations are the calls as porcupine has them. A command without an answer was accepted if a
--- a/coord/simulation/client.go
+++ b/coord/simulation/client.go
@@ -56,16 +56,16 @@
 
 // proceed has the client go on.
 func (x *call) proceed() {
-	if then := x.next; then != nil {
+	if next := x.next; next != nil {
 		x.next = nil
-		then()
+		next()
 	}
 }
 
 // NewClient returns a client. The history of sequential clients can be checked for
 // linearizability.
-func (w *World) NewClient(waits bool) *Client {
-	c := &Client{world: w, address: fmt.Sprintf("c%d", len(w.clients)), number: len(w.clients), calls: map[uint64]*call{}, sequential: waits}
+func (w *World) NewClient(sequential bool) *Client {
+	c := &Client{world: w, address: fmt.Sprintf("c%d", len(w.clients)), number: len(w.clients), calls: map[uint64]*call{}, sequential: sequential}
 	w.clients[c.address] = c
 	return c
 }
@@ -98,14 +98,14 @@
 	if w.rng.IntN(3) == 0 {
 		return nil
 	}
-	on := w.History.inForce
+	base := w.History.inForce
 	switch {
 	case w.rng.IntN(10) == 0:
-		on = w.History.previousAcknowledged // a stale one
-	case c.buildsAhead && c.lastVersion > on:
-		on = c.lastVersion
+		base = w.History.previousAcknowledged // a stale one
+	case c.buildsAhead && c.lastVersion > base:
+		base = c.lastVersion
 	}
-	o := &Command{Name: fmt.Sprintf("%s-%d", c.address, c.lastID+1), Base: on, Next: on + 1 + w.rng.IntN(3)}
+	o := &Command{Name: fmt.Sprintf("%s-%d", c.address, c.lastID+1), Base: base, Next: base + 1 + w.rng.IntN(3)}
 	c.lastVersion = o.Next
 	return o
 }
--- a/coord/simulation/counter.go
+++ b/coord/simulation/counter.go
@@ -52,10 +52,10 @@
 
 // parseCommand parses the text of a command.
 func parseCommand(text []byte) (o Command, err error) {
-	on, rest, _ := strings.Cut(string(text), " ")
+	base, rest, _ := strings.Cut(string(text), " ")
 	next, name, _ := strings.Cut(rest, " ")
 	o.Name = name
-	if o.Base, err = strconv.Atoi(on); err != nil {
+	if o.Base, err = strconv.Atoi(base); err != nil {
 		return o, err
 	}
 	o.Next, err = strconv.Atoi(next)
--- a/coord/simulation/crash.go
+++ b/coord/simulation/crash.go
@@ -56,9 +56,9 @@
 		if p.incarnation != incarnation || !p.up || p.frozenUntil > p.world.Now {
 			return
 		}
-		waiting := p.postponed
+		postponed := p.postponed
 		p.postponed = nil
-		for _, f := range waiting {
+		for _, f := range postponed {
 			p.whenRunning(f)
 		}
 	})
--- a/coord/simulation/disk.go
+++ b/coord/simulation/disk.go
@@ -109,13 +109,13 @@
 
 // losePower leaves each pending write complete, missing or torn.
 func (d *disk) losePower(rng *rand.Rand) {
-	none := rng.IntN(4) == 0 // some losses of power wipe out every one of them
+	loseAll := rng.IntN(4) == 0 // some losses of power wipe out every one of them
 	for _, f := range d.files {
 		text := slices.Clone(f.synced)
 		for _, write := range f.pending {
-			switch fate := rng.IntN(3); {
-			case none || fate == 0:
-			case fate == 1:
+			switch outcome := rng.IntN(3); {
+			case loseAll || outcome == 0:
+			case outcome == 1:
 				text = writeAt(text, write.data, write.offset)
 			default:
 				text = writeAt(text, write.data[:rng.IntN(len(write.data)+1)], write.offset)
--- a/coord/simulation/diskfaults.go
+++ b/coord/simulation/diskfaults.go
@@ -57,8 +57,8 @@
 		return false
 	}
 	d.trace("disk full", p, span)
-	of := p.disk
-	of.full = true
-	d.endAfter(span, func() { of.full = false })
+	affected := p.disk
+	affected.full = true
+	d.endAfter(span, func() { affected.full = false })
 	return true
 }
--- a/coord/simulation/history.go
+++ b/coord/simulation/history.go
@@ -67,7 +67,7 @@
 // checkAcceptor checks a promise or an acceptance: no identity goes back behind what it
 // promised, or forgets what it accepted.
 func (h *History) checkAcceptor(w *World, m *coordpb.Message) {
-	of := func(instance uint64) *acceptorState {
+	stateOf := func(instance uint64) *acceptorState {
 		key := acceptorKey{m.From.Identity, instance}
 		if h.acceptors[key] == nil {
 			h.acceptors[key] = &acceptorState{}
@@ -76,20 +76,20 @@
 	}
 	switch body := m.Body.(type) {
 	case *coordpb.Message_Promise:
-		g := of(body.Promise.Instance)
-		if view.LessProposal(body.Promise.Ballot, g.promised) {
-			w.Fail("%s promises %v for view %d; it has promised %v", m.From.Address, body.Promise.Ballot, body.Promise.Instance, g.promised)
+		state := stateOf(body.Promise.Instance)
+		if view.LessProposal(body.Promise.Ballot, state.promised) {
+			w.Fail("%s promises %v for view %d; it has promised %v", m.From.Address, body.Promise.Ballot, body.Promise.Instance, state.promised)
 		}
-		if view.LessProposal(body.Promise.AcceptedBallot, g.accepted) {
-			w.Fail("%s promises for view %d and reports %v; it has accepted %v", m.From.Address, body.Promise.Instance, body.Promise.AcceptedBallot, g.accepted)
+		if view.LessProposal(body.Promise.AcceptedBallot, state.accepted) {
+			w.Fail("%s promises for view %d and reports %v; it has accepted %v", m.From.Address, body.Promise.Instance, body.Promise.AcceptedBallot, state.accepted)
 		}
-		g.promised = body.Promise.Ballot
+		state.promised = body.Promise.Ballot
 	case *coordpb.Message_Accepted:
-		g := of(body.Accepted.Instance)
-		if view.LessProposal(body.Accepted.Ballot, g.promised) {
-			w.Fail("%s accepts %v for view %d; it has promised %v", m.From.Address, body.Accepted.Ballot, body.Accepted.Instance, g.promised)
+		state := stateOf(body.Accepted.Instance)
+		if view.LessProposal(body.Accepted.Ballot, state.promised) {
+			w.Fail("%s accepts %v for view %d; it has promised %v", m.From.Address, body.Accepted.Ballot, body.Accepted.Instance, state.promised)
 		}
-		g.promised, g.accepted = body.Accepted.Ballot, body.Accepted.Ballot
+		state.promised, state.accepted = body.Accepted.Ballot, body.Accepted.Ballot
 	}
 }
 
--- a/coord/simulation/history_test.go
+++ b/coord/simulation/history_test.go
@@ -11,8 +11,8 @@
 // Histories known to be wrong are rejected, and a command with an unknown outcome may have either.
 func TestCheckerRejectsWrongHistories(t *testing.T) {
 	const unknown = "o" // the command that made version 1, and was never answered
-	command := func(on int, began, ended time.Duration, a callOutcome) *call {
-		return &call{command: &Command{Name: unknown, Base: on, Next: on + 1}, startedAt: began, endedAt: ended, done: ended > 0, verdict: a.verdict, version: a.version}
+	command := func(base int, began, ended time.Duration, a callOutcome) *call {
+		return &call{command: &Command{Name: unknown, Base: base, Next: base + 1}, startedAt: began, endedAt: ended, done: ended > 0, verdict: a.verdict, version: a.version}
 	}
 	read := func(began, ended time.Duration, version int) *call {
 		return &call{startedAt: began, endedAt: ended, done: true, verdict: Accepted, version: version}
--- a/coord/simulation/injector.go
+++ b/coord/simulation/injector.go
@@ -160,9 +160,9 @@
 }
 
 // countLost is the number of machines that count as lost, without one.
-func (d *FaultInjector) countLost(but *Process) (n int) {
+func (d *FaultInjector) countLost(except *Process) (n int) {
 	for p, until := range d.lostUntil {
-		if p != but && until > d.world.Now {
+		if p != except && until > d.world.Now {
 			n++
 		}
 	}
--- a/coord/simulation/pauses.go
+++ b/coord/simulation/pauses.go
@@ -17,20 +17,20 @@
 }
 
 // freezeOnePeriodically suspends a process for a part of each period.
-func (d *FaultInjector) freezeOnePeriodically(period, still time.Duration) bool {
+func (d *FaultInjector) freezeOnePeriodically(period, pause time.Duration) bool {
 	p, span := d.pickProcess(), d.drawDuration()
 	if !d.countAsLost(p, span) {
 		return false
 	}
 	d.trace("freezes", p, span)
-	d.freezePeriodically(p, d.world.Now+span, period, still)
+	d.freezePeriodically(p, d.world.Now+span, period, pause)
 	d.endAfter(span, func() {})
 	return true
 }
 
 // freezeAllPeriodically suspends all processes for a part of each period, as a processor quota
 // does. None counts as lost.
-func (d *FaultInjector) freezeAllPeriodically(period, still time.Duration) bool {
+func (d *FaultInjector) freezeAllPeriodically(period, pause time.Duration) bool {
 	if d.quotaUntil > d.world.Now {
 		return false
 	}
@@ -38,18 +38,18 @@
 	d.quotaUntil = d.world.Now + span
 	d.world.Trace("%v processors as quotas for %v", d.world.Now, span)
 	for _, p := range d.world.Processes {
-		d.world.After(time.Duration(d.world.rng.Int64N(int64(period))), func() { d.freezePeriodically(p, d.world.Now+span, period, still) })
+		d.world.After(time.Duration(d.world.rng.Int64N(int64(period))), func() { d.freezePeriodically(p, d.world.Now+span, period, pause) })
 	}
 	return true
 }
 
 // freezePeriodically suspends a process for a part of each period until a time.
-func (d *FaultInjector) freezePeriodically(p *Process, until, period, still time.Duration) {
+func (d *FaultInjector) freezePeriodically(p *Process, until, period, pause time.Duration) {
 	if d.world.Now >= until {
 		return
 	}
 	if p.up {
-		p.Freeze(still)
+		p.Freeze(pause)
 	}
-	d.world.After(period, func() { d.freezePeriodically(p, until, period, still) })
+	d.world.After(period, func() { d.freezePeriodically(p, until, period, pause) })
 }
--- a/coord/simulation/replacement.go
+++ b/coord/simulation/replacement.go
@@ -9,9 +9,9 @@
 const maxReplacements = 6
 
 // addReplacement adds a machine with an empty disk at a new address.
-func (d *FaultInjector) addReplacement(of *Process) *Process {
+func (d *FaultInjector) addReplacement(replaced *Process) *Process {
 	d.replacements++
-	return d.world.AddProcess(fmt.Sprintf("r%d", d.replacements), of.seeds, false)
+	return d.world.AddProcess(fmt.Sprintf("r%d", d.replacements), replaced.seeds, false)
 }
 
 // announceAddresses has all processes know the addresses of all machines.
--- a/internal/router/lease/lease_test.go
+++ b/internal/router/lease/lease_test.go
@@ -314,7 +314,7 @@
 		if x.flaw == noClockAllowance {
 			timing.ClockAllowance = 0
 		}
-		q := explorer.Question[message]{Nodes: 3, Depth: x.depth, MaxSkew: 5 * time.Millisecond, Budget: explorer.Budget{Losses: 1, Duplicates: 1, Pauses: 1}, MaxStates: 600_000,
+		q := explorer.Config[message]{Nodes: 3, Depth: x.depth, MaxSkew: 5 * time.Millisecond, Budget: explorer.Budget{Losses: 1, Duplicates: 1, Pauses: 1}, MaxStates: 600_000,
 			Make: func(n, process int, _ explorer.Node[message]) explorer.Node[message] {
 				if n == 0 {
 					table, _ := NewTable([]Role{{Name: "d"}}, 0)
--- a/internal/router/quorum/explore_test.go
+++ b/internal/router/quorum/explore_test.go
@@ -224,10 +224,10 @@
 	return n
 }
 
-func newQuestion(lease time.Duration, woken bool, depth int, budget explorer.Budget) explorer.Question[packet] {
+func newQuestion(lease time.Duration, woken bool, depth int, budget explorer.Budget) explorer.Config[packet] {
 	var initial []explorer.Node[packet]
 	var inFlight []explorer.Send[packet]
-	return explorer.Question[packet]{Nodes: 5, Depth: depth, MaxSkew: time.Millisecond, Budget: budget, Ordered: true,
+	return explorer.Config[packet]{Nodes: 5, Depth: depth, MaxSkew: time.Millisecond, Budget: budget, Ordered: true,
 		Show: func(m packet) string { return m.kind },
 		Make: func(n, process int, last explorer.Node[packet]) explorer.Node[packet] {
 			switch {
--- a/internal/testbed/explorer/explorer.go
+++ b/internal/testbed/explorer/explorer.go
@@ -53,7 +53,7 @@
 type Budget struct{ Losses, Duplicates, Crashes, Pauses int }
 
 // Question configures an exploration.
-type Question[M any] struct {
+type Config[M any] struct {
 	Nodes int
 	// Make makes a node's decider. Life counts its starts from 0; what it finds kept is up to the
 	// caller, who may hand the last life's node on through before (nil at first).
@@ -83,12 +83,12 @@
 
 // String is for people.
 func (a *Result) String() string {
-	how := "whole"
+	coverage := "whole"
 	if !a.Complete {
-		how = "not whole"
+		coverage = "not whole"
 	}
 	if a.Violation == nil {
-		return fmt.Sprintf("%d states in %d paths to depth %d, %s: nothing is broken", a.States, a.Paths, a.Depth, how)
+		return fmt.Sprintf("%d states in %d paths to depth %d, %s: nothing is broken", a.States, a.Paths, a.Depth, coverage)
 	}
 	return fmt.Sprintf("after %d states: %v\n  %s", a.States, a.Violation, strings.Join(a.Path, "\n  "))
 }
@@ -99,10 +99,10 @@
 	deliver choiceKind = iota
 	lose
 	duplicate // deliver, and leave a copy
-	wake
+	wakeUp
 	crash
 	start
-	freeze
+	pause
 	resume
 )
 
@@ -121,7 +121,7 @@
 
 // run is the state of a fleet on a path.
 type run[M any] struct {
-	question     *Question[M]
+	config       *Config[M]
 	nodes        []Node[M]
 	previous     []Node[M] // of the last life
 	incarnations []int
@@ -134,9 +134,9 @@
 	logging      bool
 }
 
-func newRun[M any](q *Question[M], tell bool) *run[M] {
-	r := &run[M]{question: q, nodes: make([]Node[M], q.Nodes), previous: make([]Node[M], q.Nodes), incarnations: make([]int, q.Nodes), now: make([]time.Duration, q.Nodes),
-		wakeAt: make([]time.Duration, q.Nodes), paused: make([]bool, q.Nodes), budget: q.Budget, logging: tell}
+func newRun[M any](q *Config[M], logging bool) *run[M] {
+	r := &run[M]{config: q, nodes: make([]Node[M], q.Nodes), previous: make([]Node[M], q.Nodes), incarnations: make([]int, q.Nodes), now: make([]time.Duration, q.Nodes),
+		wakeAt: make([]time.Duration, q.Nodes), paused: make([]bool, q.Nodes), budget: q.Budget, logging: logging}
 	for i := range q.Nodes {
 		r.start(i)
 	}
@@ -150,7 +150,7 @@
 }
 
 func (r *run[M]) start(i int) {
-	r.nodes[i] = r.question.Make(i, r.incarnations[i], r.previous[i])
+	r.nodes[i] = r.config.Make(i, r.incarnations[i], r.previous[i])
 	r.incarnations[i]++
 	r.apply(i, r.nodes[i].Start(r.now[i]))
 }
@@ -165,63 +165,63 @@
 }
 
 // choices lists what may happen next, each message and each node in turn.
-func (r *run[M]) choices(to []choice) []choice {
+func (r *run[M]) choices(appendTo []choice) []choice {
 	for i := range r.inFlight {
 		m := &r.inFlight[i]
-		if r.question.Ordered && slices.ContainsFunc(r.inFlight[:i], func(x inFlightMessage[M]) bool { return x.from == m.from && x.to == m.to }) {
+		if r.config.Ordered && slices.ContainsFunc(r.inFlight[:i], func(x inFlightMessage[M]) bool { return x.from == m.from && x.to == m.to }) {
 			continue
 		}
 		if slices.ContainsFunc(r.inFlight[:i], func(x inFlightMessage[M]) bool { return x.key == m.key }) {
 			continue // one like it stands before it
 		}
 		if r.nodes[m.to] == nil || !r.paused[m.to] {
-			to = append(to, choice{deliver, i}) // to nobody: it is gone
+			appendTo = append(appendTo, choice{deliver, i}) // to nobody: it is gone
 		}
 		if r.nodes[m.to] == nil {
 			continue
 		}
 		if r.budget.Losses > 0 {
-			to = append(to, choice{lose, i})
+			appendTo = append(appendTo, choice{lose, i})
 		}
 		if r.budget.Duplicates > 0 && !r.paused[m.to] {
-			to = append(to, choice{duplicate, i})
+			appendTo = append(appendTo, choice{duplicate, i})
 		}
 	}
 	for i := range r.nodes {
 		switch {
 		case r.nodes[i] == nil:
-			to = append(to, choice{start, i})
+			appendTo = append(appendTo, choice{start, i})
 			continue
 		case r.paused[i]:
-			to = append(to, choice{resume, i})
+			appendTo = append(appendTo, choice{resume, i})
 		case r.wakeAt[i] > 0 && r.clockMayReach(i, r.wakeAt[i]):
-			to = append(to, choice{wake, i})
+			appendTo = append(appendTo, choice{wakeUp, i})
 		}
 		if r.budget.Crashes > 0 {
-			to = append(to, choice{crash, i})
+			appendTo = append(appendTo, choice{crash, i})
 		}
 		if r.budget.Pauses > 0 && !r.paused[i] {
-			to = append(to, choice{freeze, i})
+			appendTo = append(appendTo, choice{pause, i})
 		}
 	}
-	return to
+	return appendTo
 }
 
 // clockMayReach tells whether a node's clock may come to a time while those of the others that run
 // stand where they do. A timer of another one that is due before goes first then.
 func (r *run[M]) clockMayReach(i int, t time.Duration) bool {
-	if r.question.MaxSkew == 0 {
+	if r.config.MaxSkew == 0 {
 		return true
 	}
 	for j := range r.nodes {
-		if j != i && r.nodes[j] != nil && !r.paused[j] && r.wakeAt[j] > 0 && r.wakeAt[j]+r.question.MaxSkew < t {
+		if j != i && r.nodes[j] != nil && !r.paused[j] && r.wakeAt[j] > 0 && r.wakeAt[j]+r.config.MaxSkew < t {
 			return false
 		}
 	}
 	return true
 }
 
-func (r *run[M]) do(c choice) {
+func (r *run[M]) execute(c choice) {
 	switch c.kind {
 	case deliver, duplicate, lose:
 		m := r.inFlight[c.index]
@@ -231,21 +231,21 @@
 		if c.kind == duplicate {
 			r.budget.Duplicates--
 		}
-		action := ""
+		text := ""
 		if r.logging {
-			action = r.show(m.msg)
+			text = r.show(m.msg)
 		}
 		switch {
 		case c.kind == lose:
 			r.budget.Losses--
-			r.logf("lost: %d to %d: %s", m.from, m.to, action)
+			r.logf("lost: %d to %d: %s", m.from, m.to, text)
 		case r.nodes[m.to] == nil:
-			r.logf("to nobody: %d to %d: %s", m.from, m.to, action)
+			r.logf("to nobody: %d to %d: %s", m.from, m.to, text)
 		default:
-			r.logf("%d to %d: %s", m.from, m.to, action)
+			r.logf("%d to %d: %s", m.from, m.to, text)
 			r.apply(m.to, r.nodes[m.to].Receive(r.now[m.to], m.from, m.msg))
 		}
-	case wake:
+	case wakeUp:
 		r.advanceClock(c.index, max(r.now[c.index], r.wakeAt[c.index]))
 		r.logf("%d wakes at %v", c.index, r.now[c.index])
 		r.apply(c.index, r.nodes[c.index].Wake(r.now[c.index]))
@@ -256,7 +256,7 @@
 	case start:
 		r.logf("%d starts at %v", c.index, r.now[c.index])
 		r.start(c.index)
-	case freeze:
+	case pause:
 		r.budget.Pauses--
 		r.logf("%d stands still", c.index)
 		r.paused[c.index] = true
@@ -269,17 +269,17 @@
 // advanceClock moves a node's clock on, and those of all others that would stay too far behind.
 func (r *run[M]) advanceClock(i int, t time.Duration) {
 	r.now[i] = t
-	if r.question.MaxSkew == 0 {
+	if r.config.MaxSkew == 0 {
 		return
 	}
 	for j := range r.now {
-		r.now[j] = max(r.now[j], t-r.question.MaxSkew)
+		r.now[j] = max(r.now[j], t-r.config.MaxSkew)
 	}
 }
 
 func (r *run[M]) show(m M) string {
-	if r.question.Show != nil {
-		return r.question.Show(m)
+	if r.config.Show != nil {
+		return r.config.Show(m)
 	}
 	return fmt.Sprintf("%+v", m)
 }
@@ -287,38 +287,38 @@
 // stateKey returns the hash of the state.
 func (r *run[M]) stateKey() uint64 {
 	h := xxhash.New()
-	var action [8]byte
+	var buf [8]byte
 	put := func(v uint64) {
-		binary.LittleEndian.PutUint64(action[:], v)
-		h.Write(action[:])
+		binary.LittleEndian.PutUint64(buf[:], v)
+		h.Write(buf[:])
 	}
 	for i, n := range r.nodes {
 		put(uint64(r.now[i]))
 		put(uint64(r.wakeAt[i]))
-		what := uint64(0)
+		status := uint64(0)
 		if r.paused[i] {
-			what = 1
+			status = 1
 		}
 		if n == nil {
-			what = 2
+			status = 2
 			n = r.previous[i]
 		}
-		put(what)
+		put(status)
 		if n != nil {
 			n.Write(h)
 		}
 	}
-	air := make([]uint64, 0, len(r.inFlight))
+	messageKeys := make([]uint64, 0, len(r.inFlight))
 	for i := range r.inFlight {
-		air = append(air, r.inFlight[i].key)
+		messageKeys = append(messageKeys, r.inFlight[i].key)
 	}
-	if !r.question.Ordered {
-		slices.Sort(air)
+	if !r.config.Ordered {
+		slices.Sort(messageKeys)
 	}
-	for _, k := range air {
+	for _, k := range messageKeys {
 		put(k)
 	}
-	for _, n := range []int{len(air), r.budget.Losses, r.budget.Duplicates, r.budget.Crashes, r.budget.Pauses} {
+	for _, n := range []int{len(messageKeys), r.budget.Losses, r.budget.Duplicates, r.budget.Crashes, r.budget.Pauses} {
 		put(uint64(n))
 	}
 	return h.Sum64()
@@ -332,11 +332,11 @@
 
 // Explore runs all orders, breadth first, so that a path to a violation is a shortest one. It fails
 // where the question lacks a field that it needs.
-func Explore[M any](q Question[M]) (*Result, error) {
+func Explore[M any](q Config[M]) (*Result, error) {
 	if q.Nodes < 1 || q.Depth < 0 || q.Make == nil || q.Invariant == nil {
 		return nil, errors.New("an exploration needs Nodes, Depth, Make and Holds")
 	}
-	e := &exploration[M]{question: &q, result: &Result{Complete: true}, seen: map[uint64]bool{}, steps: []step{{before: -1}}}
+	e := &exploration[M]{config: &q, result: &Result{Complete: true}, seen: map[uint64]bool{}, steps: []step{{before: -1}}}
 	if e.maxStates = q.MaxStates; e.maxStates <= 0 || e.maxStates > MaxStates {
 		e.maxStates = MaxStates
 	}
@@ -358,7 +358,7 @@
 
 // exploration is the state of one Explore.
 type exploration[M any] struct {
-	question  *Question[M]
+	config    *Config[M]
 	maxStates int
 	result    *Result
 	seen      map[uint64]bool // by the key of the state
@@ -377,7 +377,7 @@
 			if i > 0 {
 				r = e.replay(at, false)
 			}
-			r.do(c)
+			r.execute(c)
 			key := r.stateKey()
 			if e.seen[key] {
 				continue
@@ -404,9 +404,9 @@
 	for i := at; e.steps[i].before >= 0; i = e.steps[i].before {
 		e.path = append(e.path, e.steps[i].choice)
 	}
-	r := newRun(e.question, logging)
+	r := newRun(e.config, logging)
 	for i := len(e.path) - 1; i >= 0; i-- {
-		r.do(e.path[i])
+		r.execute(e.path[i])
 	}
 	e.result.Paths++
 	return r
@@ -414,7 +414,7 @@
 
 // violates checks the invariant in a state, and keeps the path to a violation.
 func (e *exploration[M]) violates(r *run[M], at int32) bool {
-	e.result.Violation = e.question.Invariant(r.nodes, r.now)
+	e.result.Violation = e.config.Invariant(r.nodes, r.now)
 	if e.result.Violation == nil {
 		return false
 	}
--- a/internal/testbed/leasesim/acts.go
+++ b/internal/testbed/leasesim/acts.go
@@ -48,7 +48,7 @@
 	sender := w.routers[e.from]
 	if accepted := w.guard.Accept(e.role, e.token); !accepted && !w.spec.SkipTokenCheck {
 		status = http.StatusConflict
-		w.Refused++
+		w.RejectedActs++
 		if sender.isRunning() {
 			w.carryOutAgent(sender, sender.agent.TokenRejected(sender.clock(w.now), e.role, w.guard.Highest(e.role)))
 			w.scheduleWakeUp(sender)
--- a/internal/testbed/leasesim/founding_test.go
+++ b/internal/testbed/leasesim/founding_test.go
@@ -14,9 +14,9 @@
 func TestFounderWithoutDiskWhileFounding(t *testing.T) {
 	const from, to, step = 350 * time.Millisecond, 1200 * time.Millisecond, 10 * time.Millisecond
 	for at := from; at < to; at += step {
-		s := leasesim.Spec{Seed: 1, Routers: 5, Candidates: 4, Voters: 3, Roles: roles[:1], Latency: 20 * time.Millisecond, Length: 25 * time.Second,
+		s := leasesim.Spec{Seed: 1, Routers: 5, Candidates: 4, Voters: 3, Roles: roles[:1], Latency: 20 * time.Millisecond, Duration: 25 * time.Second,
 			Faults: []faults.Fault{{Kind: faults.Kill, At: at, Length: 500 * time.Millisecond, Disk: faults.DiskEmpty, Routers: faults.Selection{Numbers: []int{0}}}}}
-		p := play(t, s)
+		p := runSpec(t, s)
 		for _, v := range p.verdicts {
 			t.Errorf("killed at %v: %s", at, v.String())
 		}
--- a/internal/testbed/leasesim/leasesim_test.go
+++ b/internal/testbed/leasesim/leasesim_test.go
@@ -19,15 +19,15 @@
 var roles = []lease.Role{{Name: "scribe"}, {Name: "pool", PreferredZones: []string{"b"}}, {Name: "drain", ByZone: true}}
 
 // played is what came of a play.
-type played struct {
+type runResult struct {
 	w        *leasesim.World
 	events   []history.Event
 	verdicts []checker.Violation
 }
 
-func play(t *testing.T, s leasesim.Spec) played {
+func runSpec(t *testing.T, s leasesim.Spec) runResult {
 	t.Helper()
-	p := played{}
+	p := runResult{}
 	p.events = append(p.events, history.Event{What: history.Begin, Play: &history.Play{Version: history.Version, World: "lab", Seed: s.Seed, Routers: s.Routers, Hosts: 1}})
 	s.History = func(e *history.Event) { p.events = append(p.events, *e) }
 	w, err := leasesim.New(s)
@@ -35,7 +35,7 @@
 		t.Fatal(err)
 	}
 	p.w = w
-	if err := w.Run(s.Length); err != nil {
+	if err := w.Run(s.Duration); err != nil {
 		t.Errorf("seed %d: %v\n%s", s.Seed, err, faults.Text(s.Faults))
 	}
 	for _, k := range checker.Checkers {
@@ -47,8 +47,8 @@
 }
 
 // drawn is a play of faults drawn by the seed.
-func drawn(seed uint64) leasesim.Spec {
-	s := leasesim.Spec{Seed: seed, Routers: 5 + int(seed%3), Zones: 1 + int(seed%3), Voters: 3 + 2*int(seed%2), Roles: roles, Length: 50 * time.Second, ClockDrift: lease.MaxClockDrift, ReplaceTimeout: 6 * time.Second}
+func drawnSpec(seed uint64) leasesim.Spec {
+	s := leasesim.Spec{Seed: seed, Routers: 5 + int(seed%3), Zones: 1 + int(seed%3), Voters: 3 + 2*int(seed%2), Roles: roles, Duration: 50 * time.Second, ClockDrift: lease.MaxClockDrift, ReplaceTimeout: 6 * time.Second}
 	s.Candidates = min(s.Voters+1, s.Routers)
 	s.Faults = faults.Draw(faults.Bounds{Length: 30 * time.Second, World: faults.MembershipSimulation}, s.Topology(), seed)
 	older := false
@@ -112,8 +112,8 @@
 		all.Add(1)
 		go func() {
 			defer func() { <-slots; all.Done() }()
-			s := drawn(seed)
-			p := play(t, s)
+			s := drawnSpec(seed)
+			p := runSpec(t, s)
 			for _, v := range p.verdicts[:min(len(p.verdicts), 3)] {
 				// The guard held, and the voters had lost what they knew.
 				if (strings.Contains(v.Text, "begun") || v.Checker == "linear") && losesMajority(&s) {
@@ -146,7 +146,7 @@
 			faults.Fault{Kind: faults.Blackhole, At: at - 900*time.Millisecond, Length: 2 * time.Second, Routers: faults.Selection{Numbers: []int{3, 4}}, Links: []string{faults.LinkPeers}})
 	}
 	slices.SortStableFunc(kills, func(a, b faults.Fault) int { return int(a.At - b.At) })
-	base := leasesim.Spec{Routers: 5, Voters: 3, Roles: roles[:1], Length: 110 * time.Second, ClockDrift: lease.MaxClockDrift, ActInterval: 5 * time.Millisecond}
+	base := leasesim.Spec{Routers: 5, Voters: 3, Roles: roles[:1], Duration: 110 * time.Second, ClockDrift: lease.MaxClockDrift, ActInterval: 5 * time.Millisecond}
 	for _, x := range []struct {
 		name  string
 		plant func(s *leasesim.Spec)
@@ -164,7 +164,7 @@
 			s := base
 			s.Seed = seed
 			x.plant(&s)
-			p := play(t, s)
+			p := runSpec(t, s)
 			verdicts = len(p.verdicts)
 			if verdicts > 0 {
 				t.Logf("%s: seed %d: %s", x.name, seed, p.verdicts[0].String())
--- a/internal/testbed/leasesim/measure_test.go
+++ b/internal/testbed/leasesim/measure_test.go
@@ -70,7 +70,7 @@
 	if *measure {
 		n = 240
 	}
-	base := leasesim.Spec{Routers: 9, Zones: 3, Candidates: 5, Voters: 3, Roles: roles[:1], ClockDrift: lease.MaxClockDrift, SyncDelay: 5 * time.Millisecond, Length: 30 * time.Second}
+	base := leasesim.Spec{Routers: 9, Zones: 3, Candidates: 5, Voters: 3, Roles: roles[:1], ClockDrift: lease.MaxClockDrift, SyncDelay: 5 * time.Millisecond, Duration: 30 * time.Second}
 	var planned, killed, leader []time.Duration
 	for seed := range uint64(n) {
 		s := base
@@ -135,7 +135,7 @@
 		n = 300
 	}
 	all := []lease.Role{{Name: "one"}, {Name: "many", MaxHolders: lease.MaxHolders}}
-	w, err := leasesim.New(leasesim.Spec{Seed: 1, Routers: n, Zones: 3, Candidates: 5, Voters: 3, Roles: all, ClockDrift: lease.MaxClockDrift, SyncDelay: 2 * time.Millisecond, Length: 80 * time.Second,
+	w, err := leasesim.New(leasesim.Spec{Seed: 1, Routers: n, Zones: 3, Candidates: 5, Voters: 3, Roles: all, ClockDrift: lease.MaxClockDrift, SyncDelay: 2 * time.Millisecond, Duration: 80 * time.Second,
 		Faults: []faults.Fault{{Kind: faults.Power, At: 40 * time.Second, Length: time.Second}}})
 	if err != nil {
 		t.Fatal(err)
@@ -148,9 +148,9 @@
 		}
 	}
 	w.Run(20 * time.Second)
-	requests, answers := w.Requests, w.Answers
+	requests, answers := w.Requests, w.Replies
 	w.Run(40*time.Second - time.Millisecond)
-	rate := float64(w.Requests-requests+w.Answers-answers) / 20
+	rate := float64(w.Requests-requests+w.Replies-answers) / 20
 	t.Logf("%d routers ask for two roles at once: granted after %v; then %.1f datagrams a second of all", n, first, rate)
 	w.Run(80 * time.Second)
 	if w.LeaseHolder("one") < 0 {
@@ -163,17 +163,17 @@
 			return nil
 		}
 		return []string{"many"}
-	}, ClockDrift: lease.MaxClockDrift, Length: 60 * time.Second})
+	}, ClockDrift: lease.MaxClockDrift, Duration: 60 * time.Second})
 	if err != nil {
 		t.Fatal(err)
 	}
 	w.Run(20 * time.Second)
-	requests, answers = w.Requests, w.Answers
+	requests, answers = w.Requests, w.Replies
 	w.Run(60 * time.Second)
 	if n < 100 {
 		return
 	}
-	cost := float64(w.Requests-requests+w.Answers-answers) / 40 / lease.MaxHolders
+	cost := float64(w.Requests-requests+w.Replies-answers) / 40 / lease.MaxHolders
 	if t.Logf("%d holders: %.3f datagrams a second for each", lease.MaxHolders, cost); cost > 2 {
 		t.Errorf("%.3f datagrams a second for each holder", cost)
 	}
--- a/internal/testbed/leasesim/router.go
+++ b/internal/testbed/leasesim/router.go
@@ -218,7 +218,7 @@
 			w.Bytes += uint64(len(a.Data))
 			w.send(r, w.byName[a.To], event{kind: toVoters, data: a.Data}, syncing)
 		case quorum.SendReply:
-			w.Answers++
+			w.Replies++
 			w.send(r, w.byName[a.To], event{kind: toAgent, data: a.Reply.Encode()}, syncing)
 		case quorum.Applied:
 			w.checkApplied(r, &a)
--- a/internal/testbed/leasesim/spec.go
+++ b/internal/testbed/leasesim/spec.go
@@ -30,7 +30,7 @@
 	Roles      []lease.Role
 	RolesOf    func(router int) []string // the roles that a router wants, nil for all of its zone
 	Timing     lease.Timing
-	Length     time.Duration
+	Duration   time.Duration
 	Faults     []faults.Fault
 
 	Latency        time.Duration // of a message; each takes up to a half longer
@@ -70,7 +70,7 @@
 	s.Latency = cmp.Or(s.Latency, defaultLatency)
 	s.ActInterval = cmp.Or(s.ActInterval, defaultActInterval)
 	s.ReplaceTimeout = cmp.Or(s.ReplaceTimeout, defaultReplaceTimeout)
-	return faults.Check(s.Faults, s.Topology(), faults.MembershipSimulation, s.Length)
+	return faults.Check(s.Faults, s.Topology(), faults.MembershipSimulation, s.Duration)
 }
 
 // isShared reports whether a role may have several holders: their acts need no token.
--- a/internal/testbed/leasesim/world.go
+++ b/internal/testbed/leasesim/world.go
@@ -45,9 +45,9 @@
 
 	// Spans are who worked under which role when, in the order of their beginnings.
 	Spans                       []Span
-	Messages, Requests, Answers uint64
+	Messages, Requests, Replies uint64
 	Bytes                       uint64 // of messages
-	Acts, Refused               int    // that came to the receiver; of them, with a lower token
+	Acts, RejectedActs          int    // that came to the receiver; of them, with a lower token
 	Notices                     []string
 	AppliedIndex                uint64 // the furthest
 	Err                         error  // ends the play
--- a/internal/testbed/membershipsim/drawn_test.go
+++ b/internal/testbed/membershipsim/drawn_test.go
@@ -9,8 +9,8 @@
 
 // playDrawn plays a schedule that a seed draws, on a fleet that it draws too, and returns what is
 // wrong.
-func playDrawn(t testing.TB, seed uint64) string {
-	s := Spec{Seed: seed, Routers: 2 + int(seed*7%23), Zones: 1 + int(seed%4), Length: 2 * time.Minute}
+func runDrawn(t testing.TB, seed uint64) string {
+	s := Spec{Seed: seed, Routers: 2 + int(seed*7%23), Zones: 1 + int(seed%4), Duration: 2 * time.Minute}
 	if seed%3 == 0 {
 		s.Seeds = 3 + s.Routers/4
 	}
@@ -19,7 +19,7 @@
 		f.Links, f.At = nil, f.At+5*sec
 		s.Faults = append(s.Faults, f)
 	}
-	w := world(t, s)
+	w := newWorld(t, s)
 	last := time.Duration(0)
 	for _, f := range s.Faults {
 		last = max(last, f.At+f.Length)
@@ -28,9 +28,9 @@
 	var why string
 	ok := true
 	if err == nil {
-		if _, ok, why = w.AwaitConvergence(last + settles(s.Routers)); ok {
+		if _, ok, why = w.AwaitConvergence(last + convergenceBound(s.Routers)); ok {
 			err = w.Run(w.now + 5*sec)
-			ok, why = w.Settled()
+			ok, why = w.Converged()
 		}
 	}
 	switch {
@@ -38,7 +38,7 @@
 		return err.Error() + faults.Text(s.Faults)
 	case !ok:
 		return "not settled: " + why + faults.Text(s.Faults)
-	case w.FalseDeaths > 0 && !heavy(s.Faults):
+	case w.FalseDeaths > 0 && !allowsFalseDeaths(s.Faults):
 		return "a living member was taken for dead" + faults.Text(s.Faults)
 	}
 	return ""
@@ -46,7 +46,7 @@
 
 // heavy tells whether so much is lost, or stands still in bursts, that a death is none of the
 // decider's fault.
-func heavy(all []faults.Fault) bool {
+func allowsFalseDeaths(all []faults.Fault) bool {
 	lost := 0.0
 	for _, f := range all {
 		switch f.Kind {
@@ -67,7 +67,7 @@
 		seeds = append(seeds, seed)
 	}
 	for _, seed := range seeds {
-		if why := playDrawn(t, seed); why != "" {
+		if why := runDrawn(t, seed); why != "" {
 			t.Errorf("seed %d: %s", seed, why)
 		}
 	}
@@ -75,13 +75,13 @@
 
 // The same by thousands.
 func TestMeasureDrawn(t *testing.T) {
-	asked(t)
+	requireMeasureFlag(t)
 	failed := 0
-	for seed := *firstOf; seed < *firstOf+uint64(*drawn); seed++ {
-		if why := playDrawn(t, seed); why != "" {
+	for seed := *firstSeed; seed < *firstSeed+uint64(*drawnSchedules); seed++ {
+		if why := runDrawn(t, seed); why != "" {
 			failed++
 			t.Errorf("seed %d: %s", seed, why)
 		}
 	}
-	t.Logf("%d schedules from seed %d on: %d failed", *drawn, *firstOf, failed)
+	t.Logf("%d schedules from seed %d on: %d failed", *drawnSchedules, *firstSeed, failed)
 }
--- a/internal/testbed/membershipsim/measure_test.go
+++ b/internal/testbed/membershipsim/measure_test.go
@@ -14,14 +14,14 @@
 // The measurements run when asked: docs/measurements/members.md has the commands and what came of
 // them.
 var (
-	measure = flag.Bool("measure", false, "run the measurements")
-	hours   = flag.Float64("hours", 100, "of members' time, of TestMeasureFalseDeaths")
-	sizes   = flag.Int("most", 1000, "routers of TestMeasureSizes, at most")
-	drawn   = flag.Int("drawn", 200, "schedules of TestMeasureDrawn")
-	firstOf = flag.Uint64("first", 1, "seed of TestMeasureDrawn")
+	measure        = flag.Bool("measure", false, "run the measurements")
+	hours          = flag.Float64("hours", 100, "of members' time, of TestMeasureFalseDeaths")
+	maxRouters     = flag.Int("most", 1000, "routers of TestMeasureSizes, at most")
+	drawnSchedules = flag.Int("drawn", 200, "schedules of TestMeasureDrawn")
+	firstSeed      = flag.Uint64("first", 1, "seed of TestMeasureDrawn")
 )
 
-func asked(t *testing.T) {
+func requireMeasureFlag(t *testing.T) {
 	t.Helper()
 	if !*measure {
 		t.Skip("a measurement; run with -measure")
@@ -30,13 +30,13 @@
 
 // How long from the first probe that a crashed router missed until 99 of 100 know, at 300 routers.
 func TestMeasureCrash(t *testing.T) {
-	asked(t)
+	requireMeasureFlag(t)
 	var all, whole []time.Duration
 	for seed := range uint64(100) {
 		const n = 300
 		knows := 0
 		var at99, at100 time.Duration
-		w := world(t, Spec{Seed: seed, Routers: n, Zones: 3, Length: time.Minute, StartConverged: true,
+		w := newWorld(t, Spec{Seed: seed, Routers: n, Zones: 3, Duration: time.Minute, StartConverged: true,
 			Changed: func(_ int, now time.Duration, c *members.Changed) {
 				for _, x := range c.Changes {
 					if x.Reason == members.ReasonCrashed {
@@ -63,10 +63,10 @@
 
 // Deaths of routers that lived, with 20% loss and standstills of 1 s once a minute each.
 func TestMeasureFalseDeaths(t *testing.T) {
-	asked(t)
+	requireMeasureFlag(t)
 	const n = 300
 	length := time.Duration(*hours / n * float64(time.Hour)).Round(time.Second)
-	w := world(t, Spec{Seed: *firstOf, Routers: n, Zones: 3, Length: length, StartConverged: true, Pauses: time.Minute, Pause: sec,
+	w := newWorld(t, Spec{Seed: *firstSeed, Routers: n, Zones: 3, Duration: length, StartConverged: true, MeanPauseInterval: time.Minute, PauseDuration: sec,
 		Faults: []faults.Fault{{Kind: faults.Loss, Share: 0.2, Length: length, Routers: faults.Selection{All: true}}}})
 	if err := w.Run(length); err != nil {
 		t.Fatal(err)
@@ -81,15 +81,15 @@
 
 // Bytes, datagrams and memory of a router while nothing happens, and a crash, at growing sizes.
 func TestMeasureSizes(t *testing.T) {
-	asked(t)
+	requireMeasureFlag(t)
 	for _, n := range []int{10, 30, 100, 300, 1000, 3000, 6000, 10000} {
-		if n > *sizes {
+		if n > *maxRouters {
 			break
 		}
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		w := world(t, Spec{Seed: 1, Routers: n, Zones: 3, Length: time.Hour, StartConverged: true, Spread: sec,
+		w := newWorld(t, Spec{Seed: 1, Routers: n, Zones: 3, Duration: time.Hour, StartConverged: true, StartSpread: sec,
 			Faults: []faults.Fault{{Kind: faults.Kill, At: 70 * sec, Length: 60 * sec, Routers: numbers(0)}}})
 		w.Run(10 * sec)
 		b, d := w.Bytes, w.Datagrams
@@ -101,7 +101,7 @@
 		runtime.ReadMemStats(&after)
 		w.Run(70*sec + 1)
 		b = w.Bytes
-		took := w.mustSettle(t, 30*sec)
+		took := w.mustConverge(t, 30*sec)
 		t.Logf("%5d routers: %.1f bytes and %.2f datagrams a second, %.4f%% of a core, %d kB each; a crash settles in %v for %.0f bytes a router, %d false",
 			n, quiet, datagrams, 100*cpu.Seconds()/60/float64(n), (after.HeapAlloc-before.HeapAlloc)/uint64(n)>>10, took, float64(w.Bytes-b)/float64(n), w.FalseDeaths)
 	}
--- a/internal/testbed/membershipsim/membershipsim.go
+++ b/internal/testbed/membershipsim/membershipsim.go
@@ -20,21 +20,21 @@
 
 // Spec describes a run.
 type Spec struct {
-	Seed           uint64
-	Routers        int
-	Zones          int // routers stand in them by turns; 0 counts as 1
-	Seeds          int // addresses that each router knows, drawn; 0 for all, and only they may join
-	Length         time.Duration
-	Same           time.Duration // a datagram's way within a zone
-	Cross          time.Duration // and between two
-	Jitter         float64       // up to this share longer
-	Spread         time.Duration // routers start within this time
-	Faults         []faults.Fault
-	Pauses         time.Duration // mean time between two standstills of a router, 0 for none; each is of
-	Pause          time.Duration
-	StartConverged bool // routers begin with views of all: what is measured is not the joining
-	History        func(*history.Event)
-	Changed        func(router int, now time.Duration, c *members.Changed) // nil for nobody
+	Seed                uint64
+	Routers             int
+	Zones               int // routers stand in them by turns; 0 counts as 1
+	Seeds               int // addresses that each router knows, drawn; 0 for all, and only they may join
+	Duration            time.Duration
+	LatencyWithinZone   time.Duration // a datagram's way within a zone
+	LatencyBetweenZones time.Duration // and between two
+	Jitter              float64       // up to this share longer
+	StartSpread         time.Duration // routers start within this time
+	Faults              []faults.Fault
+	MeanPauseInterval   time.Duration // mean time between two standstills of a router, 0 for none; each is of
+	PauseDuration       time.Duration
+	StartConverged      bool // routers begin with views of all: what is measured is not the joining
+	History             func(*history.Event)
+	Changed             func(router int, now time.Duration, c *members.Changed) // nil for nobody
 }
 
 // Topology returns the fleet in the form that schedules need.
@@ -88,15 +88,15 @@
 type eventKind uint8
 
 const (
-	arrives eventKind = iota
-	wakes
-	starts
-	begins
-	ends
-	freezes
-	thaws
-	stands // a router, for a while, and again later
-	goesOn
+	receiveDatagram eventKind = iota
+	wakeUp
+	startRouter
+	beginFault
+	endFault
+	freezeRouter
+	thawRouter
+	beginPause // a router, for a while, and again later
+	endPause
 )
 
 type event struct {
@@ -113,7 +113,7 @@
 	if s.Routers < 1 || s.Routers > 60000 {
 		return nil, fmt.Errorf("spec: Routers is %d; it must be from 1 to 60000", s.Routers)
 	}
-	if err := faults.Check(s.Faults, s.Topology(), faults.MembershipSimulation, s.Length); err != nil {
+	if err := faults.Check(s.Faults, s.Topology(), faults.MembershipSimulation, s.Duration); err != nil {
 		return nil, err
 	}
 	for _, f := range s.Faults {
@@ -121,8 +121,8 @@
 			return nil, fmt.Errorf("%s: links must be %q: views have neither hosts nor list", f.Source, faults.LinkPeers)
 		}
 	}
-	if s.Same == 0 {
-		s.Same, s.Cross, s.Jitter = 300*time.Microsecond, 2*time.Millisecond, 0.2
+	if s.LatencyWithinZone == 0 {
+		s.LatencyWithinZone, s.LatencyBetweenZones, s.Jitter = 300*time.Microsecond, 2*time.Millisecond, 0.2
 	}
 	w := &World{spec: s, rng: rand.New(rand.NewPCG(s.Seed, 0x71e3)), byAddress: map[netip.AddrPort]*router{}, link: faults.NewLink(s.Seed, 0)}
 	topology := s.Topology()
@@ -141,27 +141,27 @@
 	}
 	for i := range w.routers {
 		at := time.Duration(0)
-		if s.Spread > 0 {
-			at = time.Duration(w.rng.Int64N(int64(s.Spread)))
+		if s.StartSpread > 0 {
+			at = time.Duration(w.rng.Int64N(int64(s.StartSpread)))
 		}
-		w.put(event{at: at, kind: starts, number: i})
+		w.schedule(event{at: at, kind: startRouter, number: i})
 		w.scheduleFreeze(i)
 	}
 	w.injections = faults.Resolve(s.Faults, topology, s.Seed)
 	for i, x := range w.injections {
-		w.put(event{at: x.At, kind: begins, number: i})
+		w.schedule(event{at: x.At, kind: beginFault, number: i})
 	}
 	return w, nil
 }
 
 // scheduleFreeze has a router stand still some time.
 func (w *World) scheduleFreeze(n int) {
-	if w.spec.Pauses > 0 {
-		w.put(event{at: w.now + time.Duration(w.rng.ExpFloat64()*float64(w.spec.Pauses)), kind: stands, number: n})
+	if w.spec.MeanPauseInterval > 0 {
+		w.schedule(event{at: w.now + time.Duration(w.rng.ExpFloat64()*float64(w.spec.MeanPauseInterval)), kind: beginPause, number: n})
 	}
 }
 
-func (w *World) put(e event) {
+func (w *World) schedule(e event) {
 	e.at = max(e.at, w.now)
 	w.events.Add(e.at, e)
 }
@@ -174,7 +174,7 @@
 			break
 		}
 		w.now = at
-		w.play(&e)
+		w.handle(&e)
 	}
 	if w.violation == nil {
 		w.now = max(w.now, until)
@@ -194,51 +194,51 @@
 
 func name(n int) string { return fmt.Sprint("r", n) }
 
-func (w *World) play(e *event) {
+func (w *World) handle(e *event) {
 	switch e.kind {
-	case arrives:
+	case receiveDatagram:
 		r := w.routers[e.number]
 		switch {
 		case r.decider == nil:
 		case r.activeFreezes > 0:
-			if len(r.inbox) < mostInbox {
+			if len(r.inbox) < maxInbox {
 				r.inbox = append(r.inbox, members.Received{From: e.from, Data: e.data})
 			}
 		default:
 			w.step(r, members.Received{From: e.from, Data: e.data})
 		}
-	case wakes:
+	case wakeUp:
 		if r := w.routers[e.number]; r.decider != nil && r.generation == e.generation && r.wakeAt == e.at && r.activeFreezes == 0 {
 			w.step(r, members.Tick{})
 		}
-	case starts:
-		w.start(w.routers[e.number])
-	case begins:
+	case startRouter:
+		w.startProcess(w.routers[e.number])
+	case beginFault:
 		s := w.injections[e.number]
 		w.emit(simulator.FaultEvent(history.Fault, e.number, s))
-		w.put(event{at: w.now + s.Length, kind: ends, number: e.number})
+		w.schedule(event{at: w.now + s.Length, kind: endFault, number: e.number})
 		w.inject(s, true)
-	case ends:
+	case endFault:
 		s := w.injections[e.number]
 		w.inject(s, false)
 		w.emit(simulator.FaultEvent(history.Heal, e.number, s))
-	case freezes, thaws:
-		w.crawl(e)
-	case stands:
-		if w.now < w.spec.Length {
+	case freezeRouter, thawRouter:
+		w.stepCrawl(e)
+	case beginPause:
+		if w.now < w.spec.Duration {
 			w.freeze(w.routers[e.number], true)
-			w.put(event{at: w.now + w.spec.Pause, kind: goesOn, number: e.number})
+			w.schedule(event{at: w.now + w.spec.PauseDuration, kind: endPause, number: e.number})
 		}
-	case goesOn:
+	case endPause:
 		w.freeze(w.routers[e.number], false)
 		w.scheduleFreeze(e.number)
 	}
 }
 
 // mostInbox is what a process's socket holds while it stands still.
-const mostInbox = 1000
+const maxInbox = 1000
 
-func (w *World) start(r *router) {
+func (w *World) startProcess(r *router) {
 	if r.decider != nil || r.activeFaults > 0 {
 		return
 	}
@@ -269,7 +269,7 @@
 func bootOf(n int, gen uint32) uint32 { return (uint32(n)*2654435761 ^ gen*2246822519) | 1 }
 
 // stop ends a router's process.
-func (w *World) stop(r *router) {
+func (w *World) stopProcess(r *router) {
 	if r.decider != nil {
 		r.decider, r.inbox, r.firstMissedPing = nil, nil, 0
 		w.emit(history.Event{What: history.Exit, Who: name(r.number), Status: -1, Text: "killed"})
@@ -284,30 +284,30 @@
 		case members.Send:
 			w.send(r, a)
 		case members.Changed:
-			w.changed(r, &a)
+			w.handleChanged(r, &a)
 		}
 	}
 	if r.decider == nil || r.generation != gen {
 		return
 	}
-	w.invariants(r)
+	w.checkInvariants(r)
 	if due := r.decider.Next(); due != r.wakeAt || due <= w.now {
 		if _, byTimer := e.(members.Tick); byTimer && due <= w.now && w.violation == nil {
 			w.violation = fmt.Errorf("%v: %s was stepped at the time that it named, and names no later one: its loop would turn without pause", w.now, name(r.number))
 		}
 		r.wakeAt = max(due, w.now+time.Microsecond) // what a message has called for follows at once
-		w.put(event{at: r.wakeAt, kind: wakes, number: r.number, generation: r.generation})
+		w.schedule(event{at: r.wakeAt, kind: wakeUp, number: r.number, generation: r.generation})
 	}
 }
 
-func (w *World) changed(r *router, c *members.Changed) {
+func (w *World) handleChanged(r *router, c *members.Changed) {
 	w.Changes++
 	for _, x := range c.Changes {
 		if x.Reason != members.ReasonCrashed && x.Reason != members.ReasonZoneLost {
 			continue
 		}
 		w.Deaths++
-		if of := w.byAddress[x.Member.Addr]; w.well(of) {
+		if of := w.byAddress[x.Member.Addr]; w.isHealthy(of) {
 			w.FalseDeaths++
 			w.emit(history.Event{What: history.Note, Who: name(r.number), Text: "false death of " + x.Member.Name})
 		}
@@ -319,18 +319,18 @@
 
 // wellFor is how long a router must have lived and been reached for its death to be false: what led
 // to it may be from before, and waits for others in doubt.
-const wellFor = 6 * time.Second
+const minHealthyTime = 6 * time.Second
 
 // well tells that a router lives, runs, and is struck by no cut or partition, for long enough.
-func (w *World) well(r *router) bool {
-	if r.decider == nil || r.activeFreezes > 0 || w.now < r.startedAt+wellFor {
+func (w *World) isHealthy(r *router) bool {
+	if r.decider == nil || r.activeFreezes > 0 || w.now < r.startedAt+minHealthyTime {
 		return false
 	}
 	for _, s := range w.injections {
-		if partitioned := s.Kind == faults.Partition || s.Kind == faults.Blackhole && s.Concerns(r.number); partitioned && w.now >= s.At && w.now < s.At+s.Length+wellFor {
+		if partitioned := s.Kind == faults.Partition || s.Kind == faults.Blackhole && s.Concerns(r.number); partitioned && w.now >= s.At && w.now < s.At+s.Length+minHealthyTime {
 			return false
 		}
-		if still := s.Kind == faults.Freeze && slices.Contains(s.Routers, r.number); still && w.now >= s.At && w.now < s.At+s.Length+wellFor && s.Length > maxFreeze {
+		if still := s.Kind == faults.Freeze && slices.Contains(s.Routers, r.number); still && w.now >= s.At && w.now < s.At+s.Length+minHealthyTime && s.Length > maxFreeze {
 			return false
 		}
 	}
@@ -341,7 +341,7 @@
 const maxFreeze = time.Second
 
 // invariants are looked at after each step of a router.
-func (w *World) invariants(r *router) {
+func (w *World) checkInvariants(r *router) {
 	inc := r.decider.Incarnation()
 	switch {
 	case inc < r.incarnation:
@@ -366,13 +366,13 @@
 	if to.decider == nil && to.firstMissedPing == 0 && len(a.Data) > 0 && a.Data[0] == pingByte {
 		to.firstMissedPing = w.now
 	}
-	way := w.spec.Same
+	way := w.spec.LatencyWithinZone
 	if to.zone != r.zone {
-		way = w.spec.Cross
+		way = w.spec.LatencyBetweenZones
 	}
 	way += time.Duration(w.spec.Jitter * w.rng.Float64() * float64(way))
 	if len(w.linkFaults) == 0 {
-		w.put(event{at: w.now + way, kind: arrives, number: to.number, from: r.addr, data: a.Data})
+		w.schedule(event{at: w.now + way, kind: receiveDatagram, number: to.number, from: r.addr, data: a.Data})
 		return
 	}
 	w.link.Condition = faults.ConditionOf(w.linkFaults, faults.End{N: r.number}, faults.End{N: to.number})
@@ -385,7 +385,7 @@
 				data[c.Flip/8] ^= 1 << (c.Flip % 8)
 			}
 		}
-		w.put(event{at: w.now + way + c.After, kind: arrives, number: to.number, from: r.addr, data: data})
+		w.schedule(event{at: w.now + way + c.After, kind: receiveDatagram, number: to.number, from: r.addr, data: data})
 	}
 }
 
@@ -415,22 +415,22 @@
 					w.step(r, members.Leave{})
 				}
 				r.activeFaults++
-				w.stop(r)
+				w.stopProcess(r)
 			} else if r.activeFaults--; r.activeFaults == 0 {
-				w.start(r)
+				w.startProcess(r)
 			}
 		case faults.Replace:
 			if on && r.decider != nil && r.activeFreezes == 0 && r.activeFaults == 0 {
 				r.draining = true
 				w.step(r, members.Leave{Replaced: true})
-				w.stop(r)
-				w.start(r)
+				w.stopProcess(r)
+				w.startProcess(r)
 			}
 		case faults.Freeze:
 			w.freeze(r, on)
 		case faults.Crawl:
 			if on {
-				w.put(event{at: w.now, kind: freezes, number: n, generation: uint32(slices.Index(w.injections, s))})
+				w.schedule(event{at: w.now, kind: freezeRouter, number: n, generation: uint32(slices.Index(w.injections, s))})
 			}
 		}
 	}
@@ -457,25 +457,25 @@
 }
 
 // burst is the length of one standstill of a router that crawls with the time until the next one.
-const burst = 200 * time.Millisecond
+const crawlPeriod = 200 * time.Millisecond
 
-func (w *World) crawl(e *event) {
+func (w *World) stepCrawl(e *event) {
 	s, r := w.injections[e.generation], w.routers[e.number]
-	if e.kind == freezes {
+	if e.kind == freezeRouter {
 		if w.now >= s.At+s.Length {
 			return
 		}
 		w.freeze(r, true)
-		w.put(event{at: w.now + time.Duration(s.Share*float64(burst)), kind: thaws, number: e.number, generation: e.generation})
+		w.schedule(event{at: w.now + time.Duration(s.Share*float64(crawlPeriod)), kind: thawRouter, number: e.number, generation: e.generation})
 		return
 	}
 	w.freeze(r, false)
-	w.put(event{at: w.now + time.Duration((1-s.Share)*float64(burst)), kind: freezes, number: e.number, generation: e.generation})
+	w.schedule(event{at: w.now + time.Duration((1-s.Share)*float64(crawlPeriod)), kind: freezeRouter, number: e.number, generation: e.generation})
 }
 
 // Settled tells whether all routers that live have the same view, in which are they and nobody
 // else; if not, why.
-func (w *World) Settled() (bool, string) {
+func (w *World) Converged() (bool, string) {
 	var digest uint64
 	var first *router
 	live := 0
@@ -511,7 +511,7 @@
 func (w *World) AwaitConvergence(until time.Duration) (at time.Duration, ok bool, why string) {
 	const look = 50 * time.Millisecond
 	for {
-		if ok, why = w.Settled(); ok {
+		if ok, why = w.Converged(); ok {
 			return w.now, true, ""
 		}
 		if w.now >= until || w.violation != nil {
--- a/internal/testbed/membershipsim/membershipsim_test.go
+++ b/internal/testbed/membershipsim/membershipsim_test.go
@@ -14,7 +14,7 @@
 	sec = time.Second
 )
 
-func world(t testing.TB, s Spec) *World {
+func newWorld(t testing.TB, s Spec) *World {
 	t.Helper()
 	w, err := New(s)
 	if err != nil {
@@ -23,7 +23,7 @@
 	return w
 }
 
-func (w *World) mustSettle(t testing.TB, within time.Duration) time.Duration {
+func (w *World) mustConverge(t testing.TB, within time.Duration) time.Duration {
 	t.Helper()
 	from := w.now
 	at, ok, why := w.AwaitConvergence(from + within)
@@ -42,9 +42,9 @@
 		spread         time.Duration
 	}{{1, 0, 0}, {2, 0, 0}, {3, 0, 0}, {9, 0, 0}, {40, 3, 0}, {60, 0, 2 * sec}, {300, 0, 0}, {300, 5, 5 * sec}} {
 		t.Run(fmt.Sprint(x), func(t *testing.T) {
-			w := world(t, Spec{Seed: 1, Routers: x.routers, Zones: 3, Seeds: x.seeds, Length: time.Minute, Spread: x.spread})
+			w := newWorld(t, Spec{Seed: 1, Routers: x.routers, Zones: 3, Seeds: x.seeds, Duration: time.Minute, StartSpread: x.spread})
 			w.Run(x.spread)
-			t.Logf("settled %v after the last start, %d datagrams a router", w.mustSettle(t, 20*sec), w.Datagrams/uint64(x.routers))
+			t.Logf("settled %v after the last start, %d datagrams a router", w.mustConverge(t, 20*sec), w.Datagrams/uint64(x.routers))
 		})
 	}
 }
@@ -52,11 +52,11 @@
 // settles is the bound within which a fleet settles after its last fault; the design note derives
 // it: a greeting a second finds who is held to be dead, a probe and a suspicion who is not there,
 // each with as much again for loss and digests.
-func settles(routers int) time.Duration {
+func convergenceBound(routers int) time.Duration {
 	return 8*sec + time.Duration(routers)*30*ms
 }
 
-func restarts(at time.Duration, length time.Duration, routers ...int) (all []faults.Fault) {
+func restartFaults(at time.Duration, length time.Duration, routers ...int) (all []faults.Fault) {
 	for i, n := range routers {
 		all = append(all, faults.Fault{Kind: faults.Restart, At: at + time.Duration(i)*300*ms, Length: length, Routers: numbers(n)})
 	}
@@ -68,7 +68,7 @@
 // The hard cases: each settles within the bound, breaks no invariant, and takes nobody for dead who
 // lives and can be reached.
 func TestHardCases(t *testing.T) {
-	steps := restarts(4*sec, sec, 1, 2, 4, 5, 7, 8, 10, 11, 13, 14, 16, 17, 19, 20)
+	steps := restartFaults(4*sec, sec, 1, 2, 4, 5, 7, 8, 10, 11, 13, 14, 16, 17, 19, 20)
 	var killed []faults.Fault
 	for i := range 5 {
 		killed = append(killed, faults.Fault{Kind: faults.Kill, At: 5 * sec, Length: time.Duration(2+i) * sec, Routers: faults.Selection{Fraction: 0.14}})
@@ -111,15 +111,15 @@
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(2) {
 				changes := make([]int, x.routers)
-				s := Spec{Seed: seed, Routers: x.routers, Zones: 3, Length: 3 * time.Minute, Faults: x.faults,
+				s := Spec{Seed: seed, Routers: x.routers, Zones: 3, Duration: 3 * time.Minute, Faults: x.faults,
 					Changed: func(r int, now time.Duration, c *members.Changed) {
 						if now > 5*sec {
 							changes[r]++
 						}
 					}}
-				w := world(t, s)
+				w := newWorld(t, s)
 				w.Run(3 * sec)
-				w.mustSettle(t, 2*sec)
+				w.mustConverge(t, 2*sec)
 				last := time.Duration(0)
 				for _, f := range x.faults {
 					last = max(last, f.At+f.Length)
@@ -127,11 +127,11 @@
 				if err := w.Run(last + 1); err != nil {
 					t.Fatal(err)
 				}
-				took := w.mustSettle(t, settles(x.routers))
+				took := w.mustConverge(t, convergenceBound(x.routers))
 				if err := w.Run(w.now + 10*sec); err != nil {
 					t.Fatal(err)
 				}
-				if ok, why := w.Settled(); !ok {
+				if ok, why := w.Converged(); !ok {
 					t.Errorf("seed %d: settled, and not any more: %s", seed, why)
 				}
 				if w.FalseDeaths > 0 {
@@ -153,7 +153,7 @@
 	for _, n := range []int{9, 90} {
 		lost := make([]int, n)
 		other := 0
-		w := world(t, Spec{Seed: 1, Routers: n, Zones: 3, Length: time.Minute, StartConverged: true,
+		w := newWorld(t, Spec{Seed: 1, Routers: n, Zones: 3, Duration: time.Minute, StartConverged: true,
 			Faults: []faults.Fault{{Kind: faults.Power, Zone: "b", At: 5 * sec, Length: 40 * sec}},
 			Changed: func(r int, now time.Duration, c *members.Changed) {
 				if now < 5*sec || now > 45*sec {
@@ -171,7 +171,7 @@
 				}
 			}})
 		w.Run(5*sec + 1)
-		t.Logf("%d routers: settled in %v", n, w.mustSettle(t, settles(n)))
+		t.Logf("%d routers: settled in %v", n, w.mustConverge(t, convergenceBound(n)))
 		w.Run(44 * sec)
 		for r := range lost {
 			if w.Decider(r) != nil && lost[r] != 1 {
