--- a/coord/simulation/application.go
+++ b/coord/simulation/application.go
@@ -4,8 +4,8 @@
 	"reachspread/coord/chain"
 )
 
-// Application is the replicated state machine of a run: one with versions, each of which builds
-// on the one before.
+// Application is the replicated state machine of a run. Its state has a version, and each version
+// builds on the previous one.
 type Application interface {
 	// New returns a machine in its initial state.
 	New() chain.Machine
@@ -19,25 +19,25 @@
 	Outcome(reply []byte) (Outcome, error)
 }
 
-// Command makes version Next of version Base.
+// Command changes version Base of the state into version Next.
 type Command struct {
 	Name string // unique
 	Base int
 	Next int
 }
 
-// Verdict is what became of a command.
+// Verdict is the result of a command.
 type Verdict int
 
 // The verdicts.
 const (
-	Unknown  Verdict = iota // it may have been accepted, or may be later
-	Accepted                // it was committed
-	Rejected                // it wasn't accepted, and never will be
+	Unknown  Verdict = iota // the command may have been accepted, or may still be accepted later
+	Accepted                // the command was committed
+	Rejected                // the command wasn't accepted, and never will be
 )
 
 // Outcome is a reply to a command.
 type Outcome struct {
 	Verdict Verdict
-	Version int // that is in force, if Rejected
+	Version int // if Rejected, the version in force
 }
--- a/coord/simulation/bugs.go
+++ b/coord/simulation/bugs.go
@@ -1,15 +1,15 @@
 package simulation
 
-// Bug is a fault that is built into the program, for tests that the checks find it.
+// Bug is a deliberate error in the simulated program, which tests that the checks find it.
 type Bug int
 
 // The bugs.
 const (
 	NoBug            Bug = iota
-	EarlyWrite           // a write counts as durable at once
-	ReusedIdentity       // a process whose disk was lost keeps its identity, and votes again
-	UnconfirmedReads     // the tail replies to reads without a confirmation
+	EarlyWrite           // a write counts as durable when it starts
+	ReusedIdentity       // a process that lost its disk keeps its identity, and votes again
+	UnconfirmedReads     // a process that can read replies to reads without a confirmation
 	EarlyReply           // the head acknowledges a command before the tail has it
 	IgnoredLease         // owners act on shards without a confirmation
-	StaleRejections      // commands are rejected without a confirmation
+	StaleRejections      // a process rejects commands without a confirmation
 )
--- a/coord/simulation/checker.go
+++ b/coord/simulation/checker.go
@@ -8,12 +8,12 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// checkTimeout bounds the time that a check of a history takes.
+// checkTimeout limits the time that a linearizability check of a history may take.
 const checkTimeout = 20 * time.Second
 
-// registerModel is a register as porcupine checks it: a command that builds on the version in
-// force makes its next version, any other one is rejected with the version in force, and a read
-// returns that.
+// registerModel is the sequential model of a register for porcupine. A command that builds on the
+// version in force puts its next version into force. Any other command is rejected with the version
+// in force. A read returns the version in force.
 var registerModel = porcupine.Model{
 	Init: func() any { return 0 },
 	Step: func(state, input, output any) (bool, any) {
@@ -25,11 +25,11 @@
 // callOutcome is the answer to a call.
 type callOutcome struct {
 	verdict Verdict
-	version int // that was read, or is in force where a command was rejected
+	version int // the version that was read, or the version in force when a command was rejected
 }
 
-// step reports whether a call may have an outcome while a version is in force, and the version
-// after it.
+// step reports whether a call may have an outcome while a version is in force, and returns the
+// version in force after the call.
 func (x *call) step(version int, outcome callOutcome) (ok bool, after int) {
 	switch {
 	case x.command == nil:
@@ -40,8 +40,8 @@
 	return x.command.Base != version && outcome.version == version, version
 }
 
-// operations are the calls as porcupine has them. A command without an answer was accepted if a
-// process has committed it; other calls without an answer are left out.
+// operations returns the calls in porcupine's form. A command without an answer counts as accepted
+// if a process has committed it. Other calls without an answer are omitted.
 func (h *History) operations() (all []porcupine.Operation) {
 	for _, x := range h.calls {
 		ended, a := int64(x.endedAt), callOutcome{x.verdict, x.version}
@@ -56,8 +56,8 @@
 	return all
 }
 
-// linearizable reports whether the calls have an order, each between its start and its end,
-// that a single register would give.
+// linearizable checks whether a single register could have executed the calls one after another,
+// each between its start and its end.
 func (h *History) linearizable() porcupine.CheckResult {
 	return porcupine.CheckOperationsTimeout(registerModel, h.operations(), checkTimeout)
 }
@@ -77,11 +77,11 @@
 	}
 }
 
-// convergenceTime is how long after all faults all processes may take to learn the same view.
+// convergenceTime is how long all processes may take after the last fault to learn the same view.
 const convergenceTime = 2 * time.Second
 
-// CheckEnd checks what holds once all faults are over: one view, and one state in all of its
-// chain.
+// CheckEnd checks the final state after all faults: all processes have the same view, and all
+// members of its chain have the last acknowledged version.
 func (w *World) CheckEnd() {
 	if w.Violation != nil {
 		return
--- a/coord/simulation/client.go
+++ b/coord/simulation/client.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// callTimeout is after how long a client gives up a call.
+	// callTimeout is the time after which a client gives up a call.
 	callTimeout = 5 * time.Second
-	// retryInterval is after how long it sends a message again that wasn't answered.
+	// retryInterval is the time after which a client resends a message that wasn't answered.
 	retryInterval = 300 * time.Millisecond
-	// redirectDelay is how long it waits after a redirect.
+	// redirectDelay is how long a client waits after a redirect before it retries the call.
 	redirectDelay = 20 * time.Millisecond
 )
 
-// Client submits commands and reads.
+// Client submits commands and reads the state.
 type Client struct {
 	world       *World
 	number      int
@@ -26,27 +26,27 @@
 	lastID      uint64
 	calls       map[uint64]*call
 	stopped     bool
-	sequential  bool // it has one call in progress at a time
-	lastVersion int  // that its last command makes
+	sequential  bool // the client has one call in progress at a time
+	lastVersion int  // the version that its last command makes
 	buildsAhead bool // commands build on versions that aren't known to be in force
 }
 
 // call is one submission or read.
 type call struct {
 	id         uint64
-	client     int      // its number
+	client     int      // the number of the client
 	command    *Command // nil for a read
 	startedAt  time.Duration
-	minVersion int // the version that was acknowledged by then
+	minVersion int // the greatest version that was acknowledged at startedAt
 	sentAt     time.Duration
 	done       bool
 	endedAt    time.Duration // if done
-	verdict    Verdict       // of a command
-	version    int           // that was read, or is in force where a command was rejected
-	next       func()        // what the client does once the call is done or given up, nil for nothing
+	verdict    Verdict       // of a command; Accepted for a read
+	version    int           // the version that was read, or the one in the reply to a command
+	next       func()        // called once, after the call is done or given up; may be nil
 }
 
-// complete records the first answer.
+// complete records the first answer to the call, and proceeds.
 func (x *call) complete(now time.Duration, v Verdict, version int) {
 	if !x.done {
 		x.done, x.endedAt, x.verdict, x.version = true, now, v, version
@@ -54,7 +54,7 @@
 	x.proceed()
 }
 
-// proceed has the client go on.
+// proceed calls next, once.
 func (x *call) proceed() {
 	if next := x.next; next != nil {
 		x.next = nil
@@ -62,18 +62,19 @@
 	}
 }
 
-// NewClient returns a client. The history of sequential clients can be checked for
-// linearizability.
+// NewClient returns a client. A sequential client has one call in progress at a time. If all
+// clients are sequential, the history can be checked for linearizability.
 func (w *World) NewClient(sequential bool) *Client {
 	c := &Client{world: w, address: fmt.Sprintf("c%d", len(w.clients)), number: len(w.clients), calls: map[uint64]*call{}, sequential: sequential}
 	w.clients[c.address] = c
 	return c
 }
 
-// BuildAhead has the client submit commands that build on versions it has no answer for yet.
+// BuildAhead makes the client submit commands that build on its own earlier commands before those
+// are answered.
 func (c *Client) BuildAhead() { c.buildsAhead = true }
 
-// Loop has the client call again and again, with random pauses.
+// Loop makes the client start calls repeatedly, with random pauses between them.
 func (c *Client) Loop(meanInterval time.Duration) {
 	if c.stopped || c.world.Violation != nil {
 		return
@@ -101,7 +102,7 @@
 	base := w.History.inForce
 	switch {
 	case w.rng.IntN(10) == 0:
-		base = w.History.previousAcknowledged // a stale one
+		base = w.History.previousAcknowledged // a stale version
 	case c.buildsAhead && c.lastVersion > base:
 		base = c.lastVersion
 	}
@@ -110,7 +111,7 @@
 	return o
 }
 
-// startCall submits a command, or reads for nil.
+// startCall submits a command, or starts a read if the command is nil.
 func (c *Client) startCall(o *Command) *call {
 	c.lastID++
 	x := &call{id: c.lastID, command: o, startedAt: c.world.Now, minVersion: c.world.History.acknowledged, client: c.number}
@@ -120,8 +121,8 @@
 	return x
 }
 
-// attempt sends the message of a call, and again after retryInterval until it is answered or
-// given up.
+// attempt sends the message of a call, and resends it every retryInterval until the call is
+// answered or given up.
 func (c *Client) attempt(x *call) {
 	w := c.world
 	if x.done || c.stopped || w.Now-x.startedAt > callTimeout {
@@ -137,7 +138,8 @@
 	})
 }
 
-// target is whom to ask: the end of the chain, or one time in three any machine.
+// target returns the address to send a call to: the head of the chain for a command, the tail for
+// a read, or one time in three any machine.
 func (c *Client) target(x *call) string {
 	w := c.world
 	to := chain.Head(c.view)
@@ -150,7 +152,7 @@
 	return to
 }
 
-// message is the message of a call.
+// message returns the message of a call.
 func (c *Client) message(x *call) *coordpb.Message {
 	m := &coordpb.Message{From: &coordpb.Member{Address: c.address}}
 	if x.command != nil {
@@ -161,7 +163,7 @@
 	return m
 }
 
-// receive handles an answer.
+// receive handles a reply or a redirect.
 func (c *Client) receive(m *coordpb.Message) {
 	switch body := m.Body.(type) {
 	case *coordpb.Message_Redirect:
--- a/coord/simulation/counter.go
+++ b/coord/simulation/counter.go
@@ -8,11 +8,13 @@
 	"reachspread/coord/chain"
 )
 
-// Counter is an Application with a version alone. Its commands and snapshots are text in fields
-// separated by spaces, as most of the time of a run would go into a richer encoding.
+// Counter is an Application whose state is a version and the names of the last accepted commands.
+// Its commands and snapshots are text fields separated by spaces, because a richer encoding would
+// take most of the time of a run.
 type Counter struct{}
 
-// maxRemembered is how many accepted commands a counter recognizes.
+// maxRemembered is how many of the last accepted commands a counter recognizes when they are
+// submitted again.
 const maxRemembered = 64
 
 // New implements Application.
@@ -21,7 +23,7 @@
 // Version implements Application.
 func (Counter) Version(m chain.Machine) int { return m.(*counter).version }
 
-// Encode implements Application. A name has no space.
+// Encode implements Application. A command's name must not contain a space.
 func (Counter) Encode(o Command) []byte { return fmt.Appendf(nil, "%d %d %s", o.Base, o.Next, o.Name) }
 
 // NameOf implements Application.
@@ -47,7 +49,7 @@
 const (
 	acceptedReply   = "taken"
 	rejectedReply   = "refused"
-	retryLaterReply = "later" // the base version isn't there yet, and may come
+	retryLaterReply = "later" // the base version doesn't exist yet, but may follow
 )
 
 // parseCommand parses the text of a command.
@@ -65,8 +67,8 @@
 // counter is the machine of Counter.
 type counter struct {
 	version  int
-	accepted map[string]bool // the last commands, at most maxRemembered
-	names    []string        // of these, the oldest first
+	accepted map[string]bool // the names of the last accepted commands, at most maxRemembered
+	names    []string        // the same names, the oldest first
 }
 
 // newCounter returns a counter in its initial state.
@@ -95,7 +97,7 @@
 	c.remember(o.Name)
 }
 
-// remember records an accepted command, in place of the oldest one.
+// remember records an accepted command, and forgets the oldest one beyond maxRemembered.
 func (c *counter) remember(name string) {
 	c.accepted[name] = true
 	if c.names = append(c.names, name); len(c.names) > maxRemembered {
@@ -114,7 +116,7 @@
 	*c = *newCounter()
 	fields := strings.Fields(string(text))
 	if len(fields) == 0 {
-		return fmt.Errorf("a counter of no fields")
+		return fmt.Errorf("simulation: the snapshot of a counter has no fields; it needs a version")
 	}
 	c.version, err = strconv.Atoi(fields[0])
 	for _, name := range fields[1:] {
--- a/coord/simulation/crash.go
+++ b/coord/simulation/crash.go
@@ -8,10 +8,10 @@
 )
 
 // Crash ends the process at once, as SIGKILL does. The write in progress is carried out up to a
-// drawn step, and what wasn't synced may be lost later.
+// drawn step. Data that wasn't synced remains, but a later loss of power may destroy it.
 func (p *Process) Crash() { p.crash(p.world.rng.IntN(maxBatchSteps + 1)) }
 
-// crash ends the process after some steps of the write in progress.
+// crash ends the process after a number of steps of the write in progress.
 func (p *Process) crash(steps int) {
 	if p.writing != nil && p.up {
 		p.disk.stepsLeft = steps
@@ -29,16 +29,16 @@
 	p.disk.losePower(p.world.rng)
 }
 
-// LoseUnwritten is LosePower without any step of the write in progress.
+// LoseUnwritten is like LosePower, but no step of the write in progress is carried out.
 func (p *Process) LoseUnwritten() {
 	p.crash(0)
 	p.disk.losePower(p.world.rng)
 }
 
-// Wipe replaces the machine's disk by an empty one.
+// Wipe replaces the machine's disk with an empty one.
 func (p *Process) Wipe() { p.disk = newDisk() }
 
-// SlowDisk delays each write for a while.
+// SlowDisk delays each write by a duration, for a time span.
 func (p *Process) SlowDisk(by, span time.Duration) {
 	p.writeDelay, p.writeDelayEnd = by, p.world.Now+span
 	p.world.After(span, func() {
@@ -48,7 +48,7 @@
 	})
 }
 
-// Freeze suspends the process for a while.
+// Freeze suspends the process for a duration.
 func (p *Process) Freeze(d time.Duration) {
 	p.frozenUntil = max(p.frozenUntil, p.world.Now+d)
 	incarnation := p.incarnation
@@ -64,15 +64,16 @@
 	})
 }
 
-// minDrainTime is the least time from Drain to the end of a process, in which clients see that
-// it isn't ready any more. After maxDrainTime it is killed.
+// minDrainTime is the least time from Drain to the end of a process, so that clients see that the
+// process is no longer ready. A process that still runs after maxDrainTime is killed.
 const (
 	minDrainTime = 1200 * time.Millisecond
 	maxDrainTime = 7700 * time.Millisecond
 )
 
-// Drain shuts the process down gracefully, as SIGTERM does: it runs for serveFor at least, and
-// until the others can do without it. Then it calls then.
+// Drain shuts the process down gracefully, as SIGTERM does. The process runs for serveFor at least,
+// then until its Core can shut down, but no longer than maxDrainTime. Drain calls then after the
+// process has ended.
 func (p *Process) Drain(serveFor time.Duration, then func()) {
 	if !p.up {
 		then()
@@ -82,7 +83,7 @@
 	p.awaitShutdown(p.incarnation, p.world.Now+max(serveFor, minDrainTime), p.world.Now+maxDrainTime, then)
 }
 
-// awaitShutdown ends an incarnation between two times, as soon as it can shut down.
+// awaitShutdown ends an incarnation between two times, as soon as its Core can shut down.
 func (p *Process) awaitShutdown(incarnation int, from, until time.Duration, then func()) {
 	w := p.world
 	if p.incarnation != incarnation {
--- a/coord/simulation/crashfaults.go
+++ b/coord/simulation/crashfaults.go
@@ -6,16 +6,17 @@
 	"time"
 )
 
-// minRestartDelay is the least time from the end of a process to its next start. Some tenths of a
-// second are drawn in addition.
+// minRestartDelay is the least time from the end of a process to its next start. restartDelay adds
+// a random part.
 const minRestartDelay = 300 * time.Millisecond
 
-// restartDelay draws the time from the end of a process to its next start.
+// restartDelay draws the time from the end of a process to its next start: minRestartDelay and some
+// tenths of a second.
 func (d *FaultInjector) restartDelay() time.Duration {
 	return minRestartDelay + time.Duration(d.world.rng.IntN(400))*time.Millisecond
 }
 
-// kill kills a process, with a loss of power or without, and starts it later.
+// kill kills a process, with or without a loss of power, and starts it again later.
 func (d *FaultInjector) kill(power bool) bool {
 	p, span := d.pickProcess(), d.drawDuration()
 	if !d.countAsLost(p, span) {
@@ -31,7 +32,8 @@
 	return true
 }
 
-// killRepeatedly kills a process several times, each time when it has just started.
+// killRepeatedly kills a process several times, at regular intervals, and starts it shortly after
+// each kill.
 func (d *FaultInjector) killRepeatedly() bool {
 	const times = 4
 	p, span := d.pickProcess(), 6*time.Second
@@ -77,8 +79,8 @@
 	return time.Duration(5+d.world.rng.IntN(395)) * time.Millisecond
 }
 
-// losePowerAfterAck has a machine lose power, and its disk with wipe, some time after the next
-// acknowledgement.
+// losePowerAfterAck makes a machine lose power after the next acknowledgement and a delay. With
+// wipe, the machine loses its disk too.
 func (d *FaultInjector) losePowerAfterAck(delay time.Duration, wipe bool) bool {
 	p, span := d.chainEnd(), d.drawDuration()
 	if wipe && !d.diskLossAllowed() || !d.countAsLost(p, span+delay) {
@@ -99,7 +101,7 @@
 	return true
 }
 
-// chainEnd draws a machine, mostly one at an end of the chain.
+// chainEnd draws a machine, mostly the head or the tail of the chain.
 func (d *FaultInjector) chainEnd() *Process {
 	p := d.pickProcess()
 	if p.Core == nil {
@@ -118,13 +120,13 @@
 	return p
 }
 
-// crashMode is what becomes of a process's writes that weren't synced.
+// crashMode says what happens to writes of a crashed process that weren't synced.
 type crashMode int
 
 // The crash modes.
 const (
-	processKill crashMode = iota // they remain
-	powerLoss                    // each may be lost or torn
+	processKill crashMode = iota // the writes remain
+	powerLoss                    // each write may be lost or torn
 )
 
 // crashAll crashes all processes at once.
@@ -136,7 +138,7 @@
 	return true
 }
 
-// crashEach crashes all processes, and starts them later.
+// crashEach crashes all processes, and starts them again after down and a restart delay.
 func (d *FaultInjector) crashEach(mode crashMode, down time.Duration) {
 	d.world.Trace("%v all crash", d.world.Now)
 	d.countAllAsLost(down + time.Second)
@@ -146,7 +148,7 @@
 	}
 }
 
-// crashOne crashes a process.
+// crashOne crashes a process in the given mode.
 func (d *FaultInjector) crashOne(p *Process, mode crashMode) {
 	if mode == powerLoss {
 		p.LosePower()
@@ -155,8 +157,8 @@
 	}
 }
 
-// crashAllAfterAck crashes all processes some time after an acknowledgement, and wipes some of
-// their disks.
+// crashAllAfterAck crashes all processes after the next acknowledgement and a drawn delay, and
+// wipes the disks of a number of machines.
 func (d *FaultInjector) crashAllAfterAck(mode crashMode, wiped int) bool {
 	if d.anyLost() || wiped > 0 && !d.diskLossAllowed() {
 		return false
--- a/coord/simulation/disk.go
+++ b/coord/simulation/disk.go
@@ -12,28 +12,28 @@
 	"reachspread/coord/storage"
 )
 
-// errProcessEnded is the error of a step of the disk after the process has ended.
+// errProcessEnded is returned by a disk operation after the process has ended.
 var errProcessEnded = errors.New("simulation: the process has ended")
 
-// errDiskFull is the error of a write to a full disk.
+// errDiskFull is returned by a write to a full disk.
 var errDiskFull = errors.New("simulation: no space left on device")
 
-// disk is the folder of one machine: storage.Files of which each write may be lost until it is
-// synced.
+// disk is the data folder of one machine. It implements storage.Files; a loss of power may lose or
+// tear each write until it is synced.
 type disk struct {
 	files     map[string]*file
-	stepsLeft int  // that still succeed, below 0 for all
-	full      bool // writes fail
+	stepsLeft int  // how many steps still succeed, below 0 for no limit
+	full      bool // all writes fail with errDiskFull
 }
 
-// file has what a process reads, and what remains after a power failure.
+// file contains what a process reads and what certainly remains after a power failure.
 type file struct {
 	content []byte
 	synced  []byte
-	pending []pendingWrite // since the last sync
+	pending []pendingWrite // the writes since the last sync
 }
 
-// pendingWrite is complete, missing or torn after a power failure.
+// pendingWrite is a write that wasn't synced. After a power failure it is complete, missing or torn.
 type pendingWrite struct {
 	offset int64
 	data   []byte
@@ -41,7 +41,7 @@
 
 func newDisk() *disk { return &disk{files: map[string]*file{}, stepsLeft: -1} }
 
-// step counts an operation. It fails if the process has ended before it.
+// step counts an operation. It returns errProcessEnded if the process ended before the operation.
 func (d *disk) step() error {
 	if d.stepsLeft == 0 {
 		return errProcessEnded
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// writeAt is a text with data written at an offset.
+// writeAt returns a text with data written at an offset.
 func writeAt(text, data []byte, offset int64) []byte {
 	if end := int(offset) + len(data); end > len(text) {
 		text = append(text, make([]byte, end-len(text))...)
@@ -103,13 +103,13 @@
 	return nil
 }
 
-// SyncFolder implements storage.Files. A new file survives through its own sync, so nothing is
-// left to do.
+// SyncFolder implements storage.Files. It only counts a step, because the sync of a new file is
+// enough to preserve it on this disk.
 func (d *disk) SyncFolder() error { return d.step() }
 
 // losePower leaves each pending write complete, missing or torn.
 func (d *disk) losePower(rng *rand.Rand) {
-	loseAll := rng.IntN(4) == 0 // some losses of power wipe out every one of them
+	loseAll := rng.IntN(4) == 0 // one loss of power in four loses all pending writes
 	for _, f := range d.files {
 		text := slices.Clone(f.synced)
 		for _, write := range f.pending {
@@ -125,11 +125,12 @@
 	}
 }
 
-// maxBatchSteps is how many steps of an interrupted batch are considered: a batch of records
-// takes two.
+// maxBatchSteps is the greatest number of steps of an interrupted batch that a crash carries out. A
+// batch of records takes two.
 const maxBatchSteps = 3
 
-// load restores a register from the disk into a machine. The state is nil if there is none.
+// load restores a register from the disk into a machine. The returned durable state is nil if the
+// disk has none.
 func (d *disk) load(m chain.Machine) (*storage.Store, *coordpb.Durable, error) {
 	d.stepsLeft = -1
 	return register.Load(d, m)
--- a/coord/simulation/diskfaults.go
+++ b/coord/simulation/diskfaults.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// wipe has a machine lose its disk and start again.
+// wipe makes a machine lose power and its disk, and starts it again later.
 func (d *FaultInjector) wipe(p *Process) bool {
 	span := d.drawDuration()
 	if !d.diskLossAllowed() || !d.countAsLost(p, span) {
@@ -18,8 +18,8 @@
 	return true
 }
 
-// wipeDuringVote has a machine lose its disk right after its next promise, and another one
-// crash, so that there is a vote.
+// wipeDuringVote makes a machine lose its disk right after its next promise. If the world tolerates
+// another lost machine, it also crashes one, which causes a vote.
 func (d *FaultInjector) wipeDuringVote() bool {
 	p, span := d.pickProcess(), d.drawShortDuration()
 	if !d.diskLossAllowed() || !d.countAsLost(p, span) {
@@ -35,7 +35,8 @@
 	return true
 }
 
-// slowDisk delays the writes of a machine, for the whole duration of the fault if by is 0.
+// slowDisk delays each write of a machine by a duration. If by is 0, a write takes until the end of
+// the fault.
 func (d *FaultInjector) slowDisk(by time.Duration) bool {
 	p, span := d.pickProcess(), d.drawDuration()
 	if !d.countAsLost(p, span) {
@@ -50,7 +51,7 @@
 	return true
 }
 
-// fullDisk has the writes of a machine fail.
+// fullDisk makes all writes of a machine fail because its disk is full.
 func (d *FaultInjector) fullDisk() bool {
 	p, span := d.pickProcess(), d.drawDuration()
 	if !d.countAsLost(p, span) {
--- a/coord/simulation/events.go
+++ b/coord/simulation/events.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// event is something that happens at a time. Events at the same time happen in the order in
-// which they were scheduled.
+// event is a function that runs at a point in virtual time. Events at the same time run in the
+// order in which they were scheduled.
 type event struct {
 	at    time.Duration
 	order int
@@ -33,7 +33,7 @@
 	return last
 }
 
-// After schedules an event.
+// After schedules a function to run after a delay.
 func (w *World) After(d time.Duration, do func()) {
 	w.scheduled++
 	heap.Push(&w.events, event{w.Now + d, w.scheduled, do})
--- a/coord/simulation/history.go
+++ b/coord/simulation/history.go
@@ -8,17 +8,17 @@
 	"reachspread/coord/view"
 )
 
-// History is what clients and processes saw. Its methods check each observation against those
-// before.
+// History records what clients and processes observed. Its methods check each observation against
+// the earlier ones.
 type History struct {
-	Commands, Reads  int           // that were answered
+	Commands, Reads  int           // the number of acknowledged commands and of answered reads
 	LastAcknowledged time.Duration // when a command was last acknowledged
 
 	acknowledged         int            // the greatest acknowledged version
-	previousAcknowledged int            // the one before it
-	inForce              int            // the greatest version that a client was informed of
-	versionOf            map[string]int // acknowledged commands, with their versions
-	commandOf            map[int]string // acknowledged versions, with their commands
+	previousAcknowledged int            // the greatest acknowledged version before that
+	inForce              int            // the greatest version in an answer to a client
+	versionOf            map[string]int // the versions of acknowledged commands
+	commandOf            map[int]string // the commands of acknowledged versions
 	rejected             map[string]bool
 	states               map[stateID]stateRecord
 	committedStates      map[uint64]stateID // by sequence
@@ -36,10 +36,10 @@
 	h.acceptors, h.committedVersions = map[acceptorKey]*acceptorState{}, map[string]int{}
 }
 
-// Acknowledged is the greatest acknowledged version.
+// Acknowledged returns the greatest acknowledged version.
 func (h *History) Acknowledged() int { return h.acknowledged }
 
-// startedBetween is the number of commands that were first sent between two times.
+// startedBetween returns the number of commands that were first sent between two times.
 func (h *History) startedBetween(from, until time.Duration) (n int) {
 	for i := len(h.calls) - 1; i >= 0 && h.calls[i].startedAt > from; i-- {
 		if x := h.calls[i]; x.command != nil && x.startedAt <= until {
@@ -49,7 +49,7 @@
 	return n
 }
 
-// NewestEpoch is the greatest epoch that any process has learned of.
+// NewestEpoch returns the greatest epoch that any process has learned.
 func (h *History) NewestEpoch() uint64 {
 	last := uint64(0)
 	for epoch := range h.views {
@@ -58,14 +58,14 @@
 	return last
 }
 
-// acceptorKey is an acceptor in one instance of the agreement on views.
+// acceptorKey identifies an acceptor in one instance of the consensus on views.
 type acceptorKey struct{ identity, instance uint64 }
 
-// acceptorState is the greatest proposal numbers that an acceptor has promised and accepted.
+// acceptorState contains the last proposal numbers that an acceptor has promised and accepted.
 type acceptorState struct{ promised, accepted *coordpb.Ballot }
 
-// checkAcceptor checks a promise or an acceptance: no identity goes back behind what it
-// promised, or forgets what it accepted.
+// checkAcceptor checks a promise or an acceptance. An acceptor must not promise or accept a lower
+// proposal number than it has promised, and must not forget a proposal that it accepted.
 func (h *History) checkAcceptor(w *World, m *coordpb.Message) {
 	stateOf := func(instance uint64) *acceptorState {
 		key := acceptorKey{m.From.Identity, instance}
@@ -115,8 +115,9 @@
 	x.complete(w.Now, outcome.Verdict, outcome.Version)
 }
 
-// checkRead checks a read: it sees nothing older than what was acknowledged when it started,
-// and no other command under an acknowledged version.
+// checkRead checks the answer to a read. It must not be older than the version that was
+// acknowledged when the read started. If the version read was acknowledged, the command that made it
+// must be the acknowledged one.
 func (h *History) checkRead(w *World, x *call, r *coordpb.Reply) {
 	h.Reads++
 	at, _, err := splitSnapshot(r.Reply)
@@ -134,7 +135,8 @@
 	x.complete(w.Now, Accepted, seen.version)
 }
 
-// recordRejection checks that a rejected command isn't in force.
+// recordRejection records a rejected command, and checks that it was neither acknowledged nor
+// committed.
 func (h *History) recordRejection(w *World, o *Command) {
 	h.rejected[o.Name] = true
 	if v := h.versionOf[o.Name]; v > 0 {
@@ -145,7 +147,8 @@
 	}
 }
 
-// recordAcceptance records an acknowledged command, and checks that its version has no other.
+// recordAcceptance records an acknowledged command. It checks that the command wasn't rejected and
+// that no other command was acknowledged for the same version.
 func (h *History) recordAcceptance(w *World, o *Command) {
 	h.Commands++
 	h.LastAcknowledged = w.Now
@@ -167,8 +170,8 @@
 	}
 }
 
-// checkCommit checks that a process commits the states that others have committed, and no
-// rejected command.
+// checkCommit checks that a process commits the same state as others at each sequence number, and
+// commits no rejected command.
 func (h *History) checkCommit(w *World, p *Process, c chain.Committed) {
 	at := c.Value.(stateID)
 	if other, ok := h.committedStates[c.Position.Sequence]; ok && other != at {
@@ -185,7 +188,7 @@
 	}
 }
 
-// checkView checks that an epoch has one view.
+// checkView checks that all processes learn the same view for an epoch.
 func (h *History) checkView(w *World, p *Process, v *coordpb.View) {
 	text := v.String()
 	if other, ok := h.views[v.Epoch]; ok && other != text {
--- a/coord/simulation/history_test.go
+++ b/coord/simulation/history_test.go
@@ -8,9 +8,10 @@
 	"github.com/matryer/is"
 )
 
-// Histories known to be wrong are rejected, and a command with an unknown outcome may have either.
+// The linearizability check rejects histories that are known to be wrong. A command with an unknown
+// outcome may have been accepted or lost.
 func TestCheckerRejectsWrongHistories(t *testing.T) {
-	const unknown = "o" // the command that made version 1, and was never answered
+	const unknown = "o" // the name of all commands; it counts as committed with version 1
 	command := func(base int, began, ended time.Duration, a callOutcome) *call {
 		return &call{command: &Command{Name: unknown, Base: base, Next: base + 1}, startedAt: began, endedAt: ended, done: ended > 0, verdict: a.verdict, version: a.version}
 	}
--- a/coord/simulation/injector.go
+++ b/coord/simulation/injector.go
@@ -5,14 +5,14 @@
 )
 
 const (
-	// catchUpTime is how long a machine counts as lost after its return.
+	// catchUpTime is how long a machine still counts as lost after its fault has ended.
 	catchUpTime = 4 * time.Second
-	// stabilityTime is how long after the last disruption the register counts as stable, and
-	// acknowledgeTimeout how long an acknowledgement may take from then on.
+	// stabilityTime is how long after the last disruption the register counts as stable.
+	// acknowledgeTimeout is how long an acknowledgement may take from then on.
 	stabilityTime      = 3 * time.Second
 	acknowledgeTimeout = 4 * time.Second
-	// minUnanswered is how many commands have to be unanswered for a violation of liveness: fewer
-	// may all have been rejected.
+	// minUnanswered is how many commands have to be unanswered for a violation of liveness. All of
+	// fewer commands may have been rejected.
 	minUnanswered = 5
 	// meanFaultInterval is the mean time between two faults.
 	meanFaultInterval = 2500 * time.Millisecond
@@ -20,25 +20,26 @@
 	startupTime = 5 * time.Second
 )
 
-// FaultInjector draws faults and injects them. It keeps count of the machines and disks that are
-// lost, so that no more are at once than the world tolerates.
+// FaultInjector draws faults and injects them. It counts the machines and disks that are lost, so
+// that no more of them are lost at once than the world tolerates.
 type FaultInjector struct {
 	world         *World
 	kinds         []Kind
-	overlap       bool          // more machines may be lost than are tolerated, though not their disks
-	until         time.Duration // no fault begins later
+	overlap       bool          // more machines may be lost at once than the world tolerates, but not more disks
+	until         time.Duration // when the injection of new faults stops
 	lostUntil     map[*Process]time.Duration
 	diskLostUntil map[*Process]time.Duration
-	draining      map[*Process]bool // to be shut down for good
-	replacements  int               // machines that were added, at most maxReplacements
-	quotaUntil    time.Duration     // the end of processor quotas
-	counts        map[Kind]int      // faults that were injected
-	quietSince    time.Duration     // the last beginning or end of a disruption
-	endsAt        time.Duration     // of the last fault in progress
+	draining      map[*Process]bool // machines that a planned replacement shuts down permanently
+	replacements  int               // how many machines were added, at most maxReplacements
+	quotaUntil    time.Duration     // when the current processor quotas end
+	counts        map[Kind]int      // how many faults of each kind were injected
+	quietSince    time.Duration     // when a disruption last began or ended
+	endsAt        time.Duration     // when the last fault in progress ends
 }
 
-// InjectFaults injects faults of some kinds until a time: no more at once than the world
-// tolerates, or with overlap any number, as long as no more disks are lost.
+// InjectFaults injects faults of some kinds until a time. Without overlap, no more machines are
+// lost at once than the world tolerates. With overlap, any number of machines may be lost, but no
+// more disks than the world tolerates.
 func (w *World) InjectFaults(kinds []Kind, until time.Duration, overlap bool) *FaultInjector {
 	d := &FaultInjector{
 		world:         w,
@@ -55,10 +56,10 @@
 	return d
 }
 
-// Counts is how often each kind was injected.
+// Counts returns how often each kind was injected.
 func (d *FaultInjector) Counts() map[Kind]int { return d.counts }
 
-// EndsAt is when the last fault that has begun is over.
+// EndsAt returns when the last fault that has begun ends.
 func (d *FaultInjector) EndsAt() time.Duration { return d.endsAt }
 
 // injectNext injects a drawn fault, and schedules the next one.
@@ -80,7 +81,7 @@
 	d.endsAt = max(d.endsAt, d.world.Now)
 }
 
-// endAfter schedules the end of a disruption.
+// endAfter schedules the function that ends a disruption.
 func (d *FaultInjector) endAfter(delay time.Duration, do func()) {
 	d.endsAt = max(d.endsAt, d.world.Now+delay)
 	d.world.After(delay, func() {
@@ -100,8 +101,8 @@
 	w.After(time.Second, d.checkLiveness)
 }
 
-// isStable reports whether the tolerance hasn't been exceeded, and nothing was disrupted for so
-// long that commands have to be acknowledged.
+// isStable reports whether the tolerance isn't exceeded and the last disruption was so long ago
+// that commands have to be acknowledged.
 func (d *FaultInjector) isStable() bool {
 	w := d.world
 	if d.overlap || d.countLost(nil) > w.Tolerance {
@@ -110,7 +111,7 @@
 	return w.Now >= max(d.quietSince, startupTime)+stabilityTime+acknowledgeTimeout
 }
 
-// pickProcess draws a machine, of those that stay.
+// pickProcess draws a machine among those that aren't being removed.
 func (d *FaultInjector) pickProcess() *Process {
 	for {
 		p := d.world.Processes[d.world.rng.IntN(len(d.world.Processes))]
@@ -120,8 +121,8 @@
 	}
 }
 
-// oldestDisk is the machine whose disk has lasted longest: of those that stay, the first that
-// was added and not wiped.
+// oldestDisk returns the machine with the oldest disk: among the machines that aren't being
+// removed, the first one added whose disk was never lost. If there is none, it draws a machine.
 func (d *FaultInjector) oldestDisk() *Process {
 	for _, p := range d.world.Processes {
 		if !d.draining[p] && d.diskLostUntil[p] == 0 {
@@ -131,8 +132,8 @@
 	return d.pickProcess()
 }
 
-// drawDuration draws how long a fault lasts: some seconds, 5 to 25 s one time in four, a minute
-// one time in twenty.
+// drawDuration draws how long a fault lasts: one time in twenty a minute, one time in four 5 to
+// 25 s, otherwise some seconds.
 func (d *FaultInjector) drawDuration() time.Duration {
 	switch draw := d.world.rng.IntN(20); {
 	case draw == 0:
@@ -148,8 +149,8 @@
 	return time.Duration(200+d.world.rng.IntN(4000)) * time.Millisecond
 }
 
-// countAsLost counts a machine as lost for a while, and until it had time to catch up after
-// that. It reports whether that is allowed.
+// countAsLost counts a machine as lost for a duration and the time to catch up after it. It returns
+// false, and counts nothing, if the machine may not be lost now.
 func (d *FaultInjector) countAsLost(p *Process, span time.Duration) bool {
 	if !d.overlap && d.countLost(p) >= d.world.Tolerance || d.lostUntil[p] > d.world.Now || d.draining[p] {
 		return false
@@ -159,7 +160,7 @@
 	return true
 }
 
-// countLost is the number of machines that count as lost, without one.
+// countLost returns the number of machines that count as lost, apart from one.
 func (d *FaultInjector) countLost(except *Process) (n int) {
 	for p, until := range d.lostUntil {
 		if p != except && until > d.world.Now {
@@ -172,7 +173,7 @@
 // anyLost reports whether a machine counts as lost or is draining.
 func (d *FaultInjector) anyLost() bool { return d.countLost(nil) > 0 || len(d.drainingForGood()) > 0 }
 
-// drainingForGood are the machines that are to be removed and still run.
+// drainingForGood returns the machines that are being removed and still run.
 func (d *FaultInjector) drainingForGood() (all []*Process) {
 	for p := range d.draining {
 		if p.up {
@@ -182,8 +183,8 @@
 	return all
 }
 
-// countAllAsLost counts all machines as lost for a while, so that no other fault is injected
-// meanwhile.
+// countAllAsLost counts all machines as lost for a duration, so that no other fault is injected
+// in that time.
 func (d *FaultInjector) countAllAsLost(span time.Duration) {
 	for _, p := range d.world.Processes {
 		d.lostUntil[p] = max(d.lostUntil[p], d.world.Now+span+catchUpTime)
@@ -202,7 +203,7 @@
 	return n < d.world.Tolerance
 }
 
-// countDiskAsLost counts a disk as lost until all machines had time to catch up.
+// countDiskAsLost counts a disk as lost until all machines have had time to catch up.
 func (d *FaultInjector) countDiskAsLost(p *Process) {
 	d.diskLostUntil[p] = max(d.endsAt, d.lostUntil[p]) + catchUpTime
 }
@@ -210,7 +211,7 @@
 // onNextAcknowledgement calls a function at the next acknowledgement.
 func (w *World) onNextAcknowledgement(do func()) { w.onAcknowledged = append(w.onAcknowledged, do) }
 
-// trace writes a line on a fault.
+// trace writes a trace line about a fault of one process.
 func (d *FaultInjector) trace(kind string, p *Process, span time.Duration) {
 	d.world.Trace("%v %s %s for %v", d.world.Now, kind, p.Address, span)
 }
--- a/coord/simulation/kinds.go
+++ b/coord/simulation/kinds.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// Kind is a kind of fault. Its text is the name of the kind and variant on the operators' bench.
+// Kind is a kind of fault. Its text is the kind's name on the operators' test bench, followed by
+// the variant's if there is one.
 type Kind string
 
-// The kinds that concern the machines of the register. Other kinds of the bench concern
-// clients, hosts or routers without state; docs/design/control.md says where each is played.
+// The kinds that concern the machines of the register. Other kinds of the test bench concern
+// clients, hosts or routers without state; docs/design/control.md says where each is run.
 const (
 	NodeKill             Kind = "node_kill"
 	NodeKillPower        Kind = "node_kill power"
@@ -58,7 +59,8 @@
 	return all
 }
 
-// injectors inject the kinds. Each reports whether the fault was possible now.
+// injectors contains a function for each kind that injects a fault of that kind. The function
+// returns false if the fault isn't possible now.
 var injectors map[Kind]func(d *FaultInjector) bool
 
 func init() {
--- a/coord/simulation/network.go
+++ b/coord/simulation/network.go
@@ -9,12 +9,13 @@
 	"reachspread/coord/coordpb"
 )
 
-// maxQueuedBytes is how many bytes may wait for a machine's link. Messages beyond that are lost,
-// as in package link.
+// maxQueuedBytes is how many bytes may be queued for a machine's link. Messages beyond that are
+// lost, as in package link.
 const maxQueuedBytes = 4 << 20
 
 // send sends a message to a machine or a client. Messages from one address to another arrive in
-// order, unless they are partitioned or their connection is reset.
+// order. A message is lost if the addresses are partitioned when it is sent or arrives, or if the
+// connection is reset in between.
 func (w *World) send(from, to string, m *coordpb.Message) {
 	w.History.checkAcceptor(w, m)
 	w.wipeAfterPromise(from, m)
@@ -35,8 +36,8 @@
 	})
 }
 
-// arrivalTime is when a message that is sent now arrives; ok is false if the sender's link has
-// too much queued.
+// arrivalTime returns when a message that is sent now arrives. ok is false if too many bytes are
+// queued for the sender's link.
 func (w *World) arrivalTime(pair [2]string, m *coordpb.Message) (at time.Duration, ok bool) {
 	departure := w.Now
 	if w.Bandwidth > 0 && w.byAddress[pair[0]] != nil {
@@ -53,7 +54,8 @@
 	return at, true
 }
 
-// transmissionTime is how long some bytes take at a bandwidth in bytes a second.
+// transmissionTime returns how long a link with a bandwidth in bytes per second takes to transmit a
+// number of bytes.
 func transmissionTime(bytes, bandwidth int) time.Duration {
 	return time.Duration(float64(bytes) / float64(bandwidth) * float64(time.Second))
 }
@@ -74,8 +76,8 @@
 	p.whenRunning(func() { p.receive(m) })
 }
 
-// wipeAfterPromise wipes the disk of a machine right after it promised, if that was requested
-// or, with ReusedIdentity, drawn.
+// wipeAfterPromise wipes the disk of a machine right after a promise, if wipeOnPromise requests it.
+// With the bug ReusedIdentity, it also wipes the disk after one promise in ten.
 func (w *World) wipeAfterPromise(from string, m *coordpb.Message) {
 	p := w.byAddress[from]
 	if p == nil || m.GetPromise() == nil {
@@ -93,8 +95,8 @@
 	})
 }
 
-// isProtocolStep reports whether a message is a step of the agreement or of the chain, rather
-// than one that is sent periodically.
+// isProtocolStep reports whether a message is a step of the consensus on views or of the chain, and
+// not one that is sent periodically or by a client.
 func isProtocolStep(m *coordpb.Message) bool {
 	switch m.Body.(type) {
 	case *coordpb.Message_Heartbeat, *coordpb.Message_Confirm, *coordpb.Message_Confirmed, *coordpb.Message_Submit, *coordpb.Message_Read:
@@ -103,14 +105,14 @@
 	return true
 }
 
-// Partition is the loss of all messages between two groups of addresses.
+// Partition is a network partition that loses all messages between two groups of addresses.
 type Partition struct {
 	world *World
 	pairs [][2]string
 }
 
-// Partition loses all messages from some addresses to others, and unless oneWay those back, until
-// Heal. Partitions may overlap.
+// Partition loses all messages from one group of addresses to another until Heal. Unless oneWay is
+// true, it also loses the messages in the other direction. Partitions may overlap.
 func (w *World) Partition(from, to []string, oneWay bool) *Partition {
 	p := &Partition{world: w}
 	for _, a := range from {
--- a/coord/simulation/partitions.go
+++ b/coord/simulation/partitions.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// partitionOne isolates one machine, in one direction or both.
+// partitionOne isolates one machine in both directions, or with oneWay in a drawn direction.
 func (d *FaultInjector) partitionOne(oneWay bool) bool {
 	p, span := d.pickProcess(), d.drawDuration()
 	if !d.countAsLost(p, span) {
@@ -22,10 +22,10 @@
 	return true
 }
 
-// half draws half of the machines, rounded down.
+// half draws half of the machines, with their number rounded down.
 func (d *FaultInjector) half() (some []*Process) { return d.sample(len(d.world.Processes) / 2) }
 
-// sample draws some machines.
+// sample draws n different machines.
 func (d *FaultInjector) sample(n int) (drawn []*Process) {
 	for _, i := range d.world.rng.Perm(len(d.world.Processes))[:n] {
 		drawn = append(drawn, d.world.Processes[i])
@@ -33,7 +33,7 @@
 	return drawn
 }
 
-// processAddresses are those of some processes.
+// processAddresses returns the addresses of processes.
 func processAddresses(all []*Process) (addresses []string) {
 	for _, p := range all {
 		addresses = append(addresses, p.Address)
@@ -41,8 +41,8 @@
 	return addresses
 }
 
-// partitionHalves partitions the machines into halves, whatever is tolerated. Nothing else is
-// lost meanwhile.
+// partitionHalves partitions the machines into halves, even if the world tolerates fewer lost
+// machines. All machines count as lost for that time.
 func (d *FaultInjector) partitionHalves() bool {
 	if !d.overlap && d.anyLost() {
 		return false
@@ -55,7 +55,8 @@
 	return true
 }
 
-// minority draws so few machines that the rest can go on, and returns both.
+// minority draws as many machines as the world tolerates to lose, at least one. It returns them and
+// the rest.
 func (d *FaultInjector) minority() (few, rest []*Process) {
 	few = d.sample(max(d.world.Tolerance, 1))
 	for _, p := range d.world.Processes {
@@ -66,11 +67,11 @@
 	return few, rest
 }
 
-// behindTime is for how long a minority misses changes.
+// behindTime is how long leaveMinorityBehind isolates a minority.
 const behindTime = 5 * time.Second
 
-// leaveMinorityBehind has a minority miss changes. Then one of the rest loses its disk, the
-// others lose power for a while, and the partition heals.
+// leaveMinorityBehind isolates a minority, so that it misses changes. Then one machine of the rest
+// loses its disk, the others of the rest lose power for a time, and the partition heals.
 func (d *FaultInjector) leaveMinorityBehind() bool {
 	if d.anyLost() || !d.diskLossAllowed() {
 		return false
@@ -94,7 +95,8 @@
 	return true
 }
 
-// partitionSeeds isolates a minority, makes it the first seeds, and restarts one of the rest.
+// partitionSeeds isolates a minority, makes its machines the first seeds of all processes, and
+// restarts one machine of the rest.
 func (d *FaultInjector) partitionSeeds() bool {
 	if d.anyLost() {
 		return false
@@ -116,7 +118,7 @@
 	return true
 }
 
-// partitionAndRestart isolates a minority, restarts it, then the rest.
+// partitionAndRestart isolates a minority, restarts its machines, then those of the rest.
 func (d *FaultInjector) partitionAndRestart() bool {
 	if d.anyLost() {
 		return false
--- a/coord/simulation/pauses.go
+++ b/coord/simulation/pauses.go
@@ -29,7 +29,7 @@
 }
 
 // freezeAllPeriodically suspends all processes for a part of each period, as a processor quota
-// does. None counts as lost.
+// does. No process counts as lost.
 func (d *FaultInjector) freezeAllPeriodically(period, pause time.Duration) bool {
 	if d.quotaUntil > d.world.Now {
 		return false
@@ -43,7 +43,7 @@
 	return true
 }
 
-// freezePeriodically suspends a process for a part of each period until a time.
+// freezePeriodically suspends a process for the pause in each period, until a time.
 func (d *FaultInjector) freezePeriodically(p *Process, until, period, pause time.Duration) {
 	if d.world.Now >= until {
 		return
--- a/coord/simulation/process.go
+++ b/coord/simulation/process.go
@@ -11,44 +11,45 @@
 
 const (
 	tickInterval = 50 * time.Millisecond
-	// slowWriteThreshold is how much longer a write may take before its process is unhealthy.
+	// slowWriteThreshold is the additional delay of each write from which on a process is unhealthy.
 	slowWriteThreshold = 300 * time.Millisecond
 	// writeRetryDelay is the time from a failed write to the next attempt.
 	writeRetryDelay = 200 * time.Millisecond
-	// maxClockDrift is how much a steady clock may run fast or slow, in parts per million.
+	// maxClockDrift is by how much a monotonic clock may run fast or slow, in parts per million.
 	maxClockDrift = 500
 )
 
-// Process is the process of one machine, over all its incarnations.
+// Process is the process of one machine across all of its incarnations.
 type Process struct {
 	Address string
-	Core    *register.Core // of the present or last incarnation
+	Core    *register.Core // of the current incarnation, or of the last one while the process is down
 
 	world       *World
 	seeds       []string
-	founder     bool // its disk has never been written to
+	founder     bool // the next start is the first one, as part of the first start of the whole system
 	incarnation int
 	up          bool
-	startedAt   time.Duration // this incarnation
-	drift       float64       // of its steady clock
+	startedAt   time.Duration // when the current incarnation started
+	drift       float64       // of the monotonic clock, as a fraction
 	frozenUntil time.Duration
-	postponed   []func() // until it isn't frozen any more
+	postponed   []func() // work to run once the process is no longer frozen
 
 	self           *coordpb.Member
 	machine        *trackedMachine
 	disk           *disk
 	store          *storage.Store
-	needsFullWrite bool            // the next write has to have the complete state
-	writing        *register.Batch // in progress, nil for none
-	nextWrite      time.Duration   // the earliest time of a retry
-	writeDelay     time.Duration   // that each write takes in addition, until writeDelayEnd at most
+	needsFullWrite bool            // the next write has to contain the complete state
+	writing        *register.Batch // the write in progress, nil for none
+	nextWrite      time.Duration   // the earliest time of the next write after a failed one
+	writeDelay     time.Duration   // the additional duration of each write, until writeDelayEnd at the latest
 	writeDelayEnd  time.Duration
-	wipeOnPromise  bool // it loses its disk with its next promise
+	wipeOnPromise  bool // the machine's disk is wiped right after the next promise
 
-	ownedSince map[int]time.Duration // by shard, when it may act on it
+	ownedSince map[int]time.Duration // by owned shard, the time from which the process may act on it
 }
 
-// clock is the process's steady clock. It begins with each incarnation, and drifts.
+// clock returns the time of the process's monotonic clock. The clock starts at 0 with each
+// incarnation, and drifts.
 func (p *Process) clock() time.Duration {
 	return time.Duration(float64(p.world.Now-p.startedAt) * (1 + p.drift))
 }
@@ -56,10 +57,10 @@
 // Up reports whether the process runs.
 func (p *Process) Up() bool { return p.up }
 
-// Version is the version of the process's state.
+// Version returns the version of the process's state.
 func (p *Process) Version() int { return p.machine.version() }
 
-// Start starts the process, unless it is up or its machine was removed.
+// Start starts the process, unless the process is up or its machine was removed.
 func (p *Process) Start() {
 	w := p.world
 	if p.up || w.byAddress[p.Address] != p {
@@ -96,7 +97,7 @@
 	p.tick(p.incarnation)
 }
 
-// beginIncarnation resets what doesn't survive a restart, and draws the drift of the clock.
+// beginIncarnation resets the state that doesn't survive a restart, and draws the clock's drift.
 func (p *Process) beginIncarnation() {
 	w := p.world
 	p.incarnation++
@@ -111,7 +112,8 @@
 	p.machine = newTrackedMachine(w)
 }
 
-// whenRunning has a process do something, once it isn't frozen. A process that is down doesn't.
+// whenRunning runs a function of the process: at once, or after the process thaws if it is frozen.
+// The function is dropped if the process is down.
 func (p *Process) whenRunning(f func()) {
 	if !p.up {
 		return
@@ -125,7 +127,7 @@
 	p.checkShardOwners()
 }
 
-// tick ticks the Core until the incarnation ends.
+// tick ticks the Core periodically until the incarnation ends.
 func (p *Process) tick(incarnation int) {
 	if p.incarnation != incarnation || !p.up || p.world.Violation != nil {
 		return
@@ -162,7 +164,8 @@
 	})
 }
 
-// finishWrite completes the batch in progress.
+// finishWrite writes the batch in progress to the disk and reports it to the Core. After a failed
+// write, the next one writes the complete state.
 func (p *Process) finishWrite(incarnation int) {
 	w := p.world
 	if w.InjectAt != nil && w.InjectAt(Point{From: p}) || p.incarnation != incarnation {
@@ -177,7 +180,7 @@
 	p.whenRunning(func() { p.execute(p.Core.RecordsWritten(b.RecordCount, p.clock())) })
 }
 
-// execute carries out the output of a step.
+// execute carries out the output of a step of the Core.
 func (p *Process) execute(out register.Output) {
 	w := p.world
 	if out.View != nil {
@@ -193,7 +196,7 @@
 	}
 }
 
-// addresses are those of some members.
+// addresses returns the addresses of members.
 func addresses(members []*coordpb.Member) (all []string) {
 	for _, m := range members {
 		all = append(all, m.Address)
@@ -201,7 +204,7 @@
 	return all
 }
 
-// chainAddresses are those of the members of a view's chain.
+// chainAddresses returns the addresses of the members of a view's chain, in the chain's order.
 func chainAddresses(v *coordpb.View) (all []string) {
 	for _, identity := range v.Chain {
 		all = append(all, view.MemberOf(v, identity).GetAddress())
@@ -209,7 +212,7 @@
 	return all
 }
 
-// receive handles a message, with the bugs of the world.
+// receive handles a message, and misbehaves as the world's Bug demands.
 func (p *Process) receive(m *coordpb.Message) {
 	w, before := p.world, p.machine.at
 	if read := m.GetRead(); read != nil && w.Bug == UnconfirmedReads && p.Core.Readable() {
@@ -224,7 +227,7 @@
 	}
 	p.execute(p.Core.Receive(p.clock(), m))
 	if submit := m.GetSubmit(); submit != nil && w.Bug == EarlyReply && p.machine.at != before {
-		_, reply := p.machine.Decide(submit.Order) // taken before
+		_, reply := p.machine.Decide(submit.Order) // the Core has accepted the command already
 		p.reply(m.From.Address, &coordpb.Reply{Id: submit.Id, Reply: reply})
 	}
 }
--- a/coord/simulation/replacement.go
+++ b/coord/simulation/replacement.go
@@ -5,23 +5,24 @@
 	"time"
 )
 
-// maxReplacements bounds the machines that are replaced in a run.
+// maxReplacements limits how many machines are replaced in a run.
 const maxReplacements = 6
 
-// addReplacement adds a machine with an empty disk at a new address.
+// addReplacement adds a machine with an empty disk at a new address, and with the seeds of the
+// machine that it replaces.
 func (d *FaultInjector) addReplacement(replaced *Process) *Process {
 	d.replacements++
 	return d.world.AddProcess(fmt.Sprintf("r%d", d.replacements), replaced.seeds, false)
 }
 
-// announceAddresses has all processes know the addresses of all machines.
+// announceAddresses gives all running processes the addresses of all machines.
 func (d *FaultInjector) announceAddresses() {
 	for _, p := range d.world.Running() {
 		p.Core.SetKnownAddresses(d.world.Addresses())
 	}
 }
 
-// replace removes a machine for good. An empty one starts later.
+// replace removes a machine permanently, and starts a new one with an empty disk later.
 func (d *FaultInjector) replace(p *Process) bool {
 	after := time.Duration(500+d.world.rng.IntN(2000)) * time.Millisecond
 	if d.replacements >= maxReplacements || !d.diskLossAllowed() || !d.countAsLost(p, after) {
@@ -42,8 +43,8 @@
 	return true
 }
 
-// replacePlanned starts a new machine, and drains the old one for good a little later. The new
-// one counts as lost until it had time to catch up.
+// replacePlanned starts a new machine, drains the old one a little later, and then removes it
+// permanently. The new machine counts as lost until it has had time to catch up.
 func (d *FaultInjector) replacePlanned(p *Process) bool {
 	if d.replacements >= maxReplacements || !p.up || d.overlap && !d.diskLossAllowed() || !d.countAsLost(p, 0) {
 		return false
@@ -70,8 +71,8 @@
 	return true
 }
 
-// replaceTwice replaces one machine as planned, and another as soon as the first replacement
-// had time to catch up.
+// replaceTwice replaces one machine as planned, and another one as soon as the first replacement
+// has had time to catch up.
 func (d *FaultInjector) replaceTwice() bool {
 	if !d.replacePlanned(d.pickProcess()) {
 		return false
@@ -80,7 +81,7 @@
 	return true
 }
 
-// changeSeeds draws other seeds, for all incarnations that start from now on.
+// changeSeeds draws new seeds, which all incarnations that start from now on use.
 func (d *FaultInjector) changeSeeds() bool {
 	var seeds []string
 	for _, i := range d.world.rng.Perm(len(d.world.Processes))[:min(seedMachines, len(d.world.Processes))] {
--- a/coord/simulation/shards.go
+++ b/coord/simulation/shards.go
@@ -7,8 +7,8 @@
 	"reachspread/coord/view"
 )
 
-// updateShards records from when on this process may act on the shards that a view assigns to
-// it.
+// updateShards records the shards that a view assigns to this process, each with the time from
+// which the process may act on it.
 func (p *Process) updateShards(v *coordpb.View) {
 	for shard, duty := range v.Duties {
 		if duty.Owner != p.self.Identity {
@@ -31,7 +31,7 @@
 	return p.world.Bug == IgnoredLease || ok && p.clock()-at < view.LeaseDuration
 }
 
-// checkShardOwners checks that no other process acts on a shard that this one acts on.
+// checkShardOwners checks that no other process may act on a shard that this process may act on.
 func (p *Process) checkShardOwners() {
 	for shard := range p.ownedSince {
 		if !p.mayActOn(shard) {
--- a/coord/simulation/tracked.go
+++ b/coord/simulation/tracked.go
@@ -9,13 +9,13 @@
 	"reachspread/coord/chain"
 )
 
-// stateID identifies a state by all the changes that led to it.
+// stateID identifies a state by a hash of all the changes that led to it.
 type stateID uint64
 
-// stateRecord is what the world knows of a state that a process had.
+// stateRecord describes a state that a process had.
 type stateRecord struct {
 	version int
-	command string // the name of the one that led to it
+	command string // the name of the command that led to this state
 	parent  stateID
 }
 
@@ -64,7 +64,7 @@
 // application's snapshot.
 func splitSnapshot(text []byte) (at stateID, rest []byte, err error) {
 	if len(text) < 8 {
-		return 0, nil, fmt.Errorf("simulation: a snapshot of %d bytes", len(text))
+		return 0, nil, fmt.Errorf("simulation: a snapshot has %d bytes; it needs at least 8", len(text))
 	}
 	return stateID(binary.BigEndian.Uint64(text)), text[8:], nil
 }
