--- a/internal/testbed/explorer/explorer.go
+++ b/internal/testbed/explorer/explorer.go
@@ -1,14 +1,14 @@
-// Package explorer is a model checker for a small fleet of deciders: it runs all orders of
-// messages, losses, duplicates, crashes, starts, pauses and timers up to a depth, and returns a
-// shortest path to a violated invariant. It is pure.
+// Package explorer is a model checker for a small fleet of deciders. It runs all orders of messages,
+// losses, duplicates, crashes, starts, pauses and timers up to a depth, and returns a shortest path
+// to a violated invariant. It performs no I/O and reads no clock.
 //
-// Each path is run from the beginning: a decider must be deterministic and need not be copyable.
-// States are distinguished by the hash of what their nodes write of themselves; two nodes that
-// write the same must behave the same from then on, or states are missed.
+// The explorer runs each path from the beginning, so a decider must be deterministic but need not be
+// copyable. It distinguishes states by a hash of what their nodes write. Two nodes that write the
+// same must behave the same from then on; otherwise the explorer misses states.
 //
-// Each node has a clock of its own, which its timers advance. The largest difference between two
-// running clocks is part of the question: a lease is only as safe as the bound that it relies on.
-// The clock of a paused or crashed node advances as well.
+// Each node has its own clock, which its timers advance. The configuration sets the largest
+// difference between the clocks of two nodes, because a lease is only as safe as the bound on the
+// clock skew that it relies on. The clock of a paused or crashed node advances too.
 package explorer
 
 import (
@@ -23,23 +23,24 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Node is one decider. No method keeps its arguments.
+// Node is one decider. Its methods must not retain their arguments.
 type Node[M any] interface {
-	// Start is called once, at the node's present time.
+	// Start is called once, before the other methods. now is the time of the node's clock.
 	Start(now time.Duration) Out[M]
-	// Receive takes a message.
+	// Receive handles a message from a node.
 	Receive(now time.Duration, from int, m M) Out[M]
-	// Wake is called at the time that the last Out asked for, or later.
+	// Wake is called at the Wake time of the last Out, or later.
 	Wake(now time.Duration) Out[M]
-	// Write writes all that the node's behaviour from now on depends on, but for its present time.
+	// Write writes everything that the node's future behaviour depends on, except the time of its
+	// clock.
 	Write(w hash.Hash64)
 }
 
-// Out is the messages and the timer that a node wants.
+// Out is the output of a step of a node: messages to send and a timer.
 type Out[M any] struct {
 	Send []Send[M]
-	// Wake is when the node wants to be woken, on its clock; 0 for not at all. Each Out replaces
-	// the last one's.
+	// Wake is the time on the node's clock at which its timer fires, 0 for no timer. It replaces the
+	// Wake of the node's last Out.
 	Wake time.Duration
 }
 
@@ -49,46 +50,47 @@
 	Msg M
 }
 
-// Budget bounds the faults on one path.
+// Budget limits the number of faults of each kind on one path.
 type Budget struct{ Losses, Duplicates, Crashes, Pauses int }
 
-// Question configures an exploration.
+// Config configures an exploration.
 type Config[M any] struct {
 	Nodes int
-	// Make makes a node's decider. Life counts its starts from 0; what it finds kept is up to the
-	// caller, who may hand the last life's node on through before (nil at first).
-	Make func(node, life int, before Node[M]) Node[M]
-	// Invariant returns the violation in a state, or nil. A crashed node is nil. Now has the clock
-	// of each.
+	// Make returns a node's decider at each start. incarnation counts the starts of the node from 0.
+	// previous is the node's decider before the crash, nil at the first start. Make decides what the
+	// new decider restores from previous, or returns previous itself.
+	Make func(node, incarnation int, previous Node[M]) Node[M]
+	// Invariant returns the violation in a state, or nil. A crashed node is nil in nodes. now has the
+	// clock of each node.
 	Invariant func(nodes []Node[M], now []time.Duration) error
 	Budget    Budget
-	Depth     int           // choices on a path
-	MaxStates int           // that are looked at, at most; 0 for MostStates
-	MaxSkew   time.Duration // the most by which the clocks of two nodes that run may differ; 0 for no bound
-	Ordered   bool          // messages of one node to another come in the order of their sending
-	Show      func(M) string
+	Depth     int            // the most choices on a path
+	MaxStates int            // the most states to visit; 0 for the constant MaxStates
+	MaxSkew   time.Duration  // the most by which the clocks of two running nodes may differ; 0 for no limit
+	Ordered   bool           // whether messages from one node to another arrive in the order in which they were sent
+	Show      func(M) string // formats a message for Result.Path; nil for the format %+v
 }
 
-// MaxStates bounds an exploration whose question does not.
+// MaxStates is the greatest number of states that any exploration visits.
 const MaxStates = 2_000_000
 
 // Result is the result of an exploration.
 type Result struct {
-	States, Paths int      // told apart, and played
-	Depth         int      // reached by all paths
-	Complete      bool     // all states to the depth were seen
+	States, Paths int      // the numbers of distinct states and of paths that were run
+	Depth         int      // the depth up to which all paths were run
+	Complete      bool     // whether all states up to the depth were visited; false if MaxStates was reached
 	Violation     error    // nil for none
-	Path          []string // a shortest one to it
+	Path          []string // the steps of a shortest path to the violation
 }
 
-// String is for people.
+// String returns a summary of the result, with the path to the violation if there is one.
 func (a *Result) String() string {
-	coverage := "whole"
+	coverage := "complete"
 	if !a.Complete {
-		coverage = "not whole"
+		coverage = "incomplete"
 	}
 	if a.Violation == nil {
-		return fmt.Sprintf("%d states in %d paths to depth %d, %s: nothing is broken", a.States, a.Paths, a.Depth, coverage)
+		return fmt.Sprintf("%d states in %d paths to depth %d, %s: no violation", a.States, a.Paths, a.Depth, coverage)
 	}
 	return fmt.Sprintf("after %d states: %v\n  %s", a.States, a.Violation, strings.Join(a.Path, "\n  "))
 }
@@ -98,7 +100,7 @@
 const (
 	deliver choiceKind = iota
 	lose
-	duplicate // deliver, and leave a copy
+	duplicate // deliver a message, and leave a copy in flight
 	wakeUp
 	crash
 	start
@@ -106,8 +108,8 @@
 	resume
 )
 
-// choice is one of the things that may happen next. N is a node, or a message's place among those
-// under way.
+// choice is an event that may happen next. index is the number of a node, or the index of a message
+// in run.inFlight.
 type choice struct {
 	kind  choiceKind
 	index int
@@ -116,21 +118,21 @@
 type inFlightMessage[M any] struct {
 	from, to int
 	msg      M
-	key      uint64 // of its content, for telling states apart
+	key      uint64 // hash of the other fields, to distinguish states
 }
 
-// run is the state of a fleet on a path.
+// run is the state of the fleet after some choices on a path.
 type run[M any] struct {
 	config       *Config[M]
 	nodes        []Node[M]
-	previous     []Node[M] // of the last life
-	incarnations []int
+	previous     []Node[M] // each node's decider before its last crash
+	incarnations []int     // how often each node has started
 	now          []time.Duration
-	wakeAt       []time.Duration // 0 for none
+	wakeAt       []time.Duration // when each node's timer fires, 0 for no timer
 	paused       []bool
 	inFlight     []inFlightMessage[M]
-	budget       Budget
-	log          []string // of what happened, while logging
+	budget       Budget   // the faults that are left
+	log          []string // the events so far, if logging
 	logging      bool
 }
 
@@ -164,7 +166,8 @@
 	}
 }
 
-// choices lists what may happen next, each message and each node in turn.
+// choices appends all choices that are possible next: those for each message, then those for each
+// node.
 func (r *run[M]) choices(appendTo []choice) []choice {
 	for i := range r.inFlight {
 		m := &r.inFlight[i]
@@ -172,10 +175,10 @@
 			continue
 		}
 		if slices.ContainsFunc(r.inFlight[:i], func(x inFlightMessage[M]) bool { return x.key == m.key }) {
-			continue // one like it stands before it
+			continue // an equal message earlier in the list has the same choices
 		}
 		if r.nodes[m.to] == nil || !r.paused[m.to] {
-			appendTo = append(appendTo, choice{deliver, i}) // to nobody: it is gone
+			appendTo = append(appendTo, choice{deliver, i}) // a message to a crashed node is dropped
 		}
 		if r.nodes[m.to] == nil {
 			continue
@@ -207,8 +210,9 @@
 	return appendTo
 }
 
-// clockMayReach tells whether a node's clock may come to a time while those of the others that run
-// stand where they do. A timer of another one that is due before goes first then.
+// clockMayReach reports whether a node's clock may advance to a time before the other nodes take a
+// step. It returns false if the timer of another running node is due more than MaxSkew earlier:
+// that timer has to fire first.
 func (r *run[M]) clockMayReach(i int, t time.Duration) bool {
 	if r.config.MaxSkew == 0 {
 		return true
@@ -240,7 +244,7 @@
 			r.budget.Losses--
 			r.logf("lost: %d to %d: %s", m.from, m.to, text)
 		case r.nodes[m.to] == nil:
-			r.logf("to nobody: %d to %d: %s", m.from, m.to, text)
+			r.logf("dropped, receiver is down: %d to %d: %s", m.from, m.to, text)
 		default:
 			r.logf("%d to %d: %s", m.from, m.to, text)
 			r.apply(m.to, r.nodes[m.to].Receive(r.now[m.to], m.from, m.msg))
@@ -258,15 +262,16 @@
 		r.start(c.index)
 	case pause:
 		r.budget.Pauses--
-		r.logf("%d stands still", c.index)
+		r.logf("%d is paused", c.index)
 		r.paused[c.index] = true
 	case resume:
 		r.paused[c.index] = false
-		r.logf("%d goes on at %v", c.index, r.now[c.index])
+		r.logf("%d resumes at %v", c.index, r.now[c.index])
 	}
 }
 
-// advanceClock moves a node's clock on, and those of all others that would stay too far behind.
+// advanceClock sets a node's clock to a later time. It also advances all clocks that would
+// otherwise be more than MaxSkew behind.
 func (r *run[M]) advanceClock(i int, t time.Duration) {
 	r.now[i] = t
 	if r.config.MaxSkew == 0 {
@@ -284,7 +289,7 @@
 	return fmt.Sprintf("%+v", m)
 }
 
-// stateKey returns the hash of the state.
+// stateKey returns a hash of the state, by which Explore recognizes states.
 func (r *run[M]) stateKey() uint64 {
 	h := xxhash.New()
 	var buf [8]byte
@@ -324,17 +329,17 @@
 	return h.Sum64()
 }
 
-// step is a state that was reached: the choice, and the state before it.
+// step describes how a state was reached: by a choice in an earlier state.
 type step struct {
-	before int32
+	before int32 // the index of the earlier state in exploration.steps, -1 for none
 	choice choice
 }
 
-// Explore runs all orders, breadth first, so that a path to a violation is a shortest one. It fails
-// where the question lacks a field that it needs.
+// Explore runs all orders of events breadth first, so that the first path to a violation is a
+// shortest one. It returns an error if a required field of the configuration is missing or invalid.
 func Explore[M any](q Config[M]) (*Result, error) {
 	if q.Nodes < 1 || q.Depth < 0 || q.Make == nil || q.Invariant == nil {
-		return nil, errors.New("an exploration needs Nodes, Depth, Make and Holds")
+		return nil, errors.New("explorer: the configuration needs Nodes of at least 1, Depth of at least 0, Make and Invariant")
 	}
 	e := &exploration[M]{config: &q, result: &Result{Complete: true}, seen: map[uint64]bool{}, steps: []step{{before: -1}}}
 	if e.maxStates = q.MaxStates; e.maxStates <= 0 || e.maxStates > MaxStates {
@@ -356,19 +361,19 @@
 	return e.result, nil
 }
 
-// exploration is the state of one Explore.
+// exploration is the state of one call of Explore.
 type exploration[M any] struct {
 	config    *Config[M]
 	maxStates int
 	result    *Result
-	seen      map[uint64]bool // by the key of the state
-	steps     []step          // how each state was first reached
+	seen      map[uint64]bool // the stateKeys of all visited states
+	steps     []step          // how each visited state was first reached
 	path      []choice        // reused by replay
 	next      []choice        // reused by expand
 }
 
-// expand makes each choice in each state of the frontier, and returns the new states. It reports
-// done after a violation, or where maxStates is reached.
+// expand makes each choice in each state of the frontier, and returns the new states. done is true
+// after a violation, or if maxStates is reached.
 func (e *exploration[M]) expand(frontier []int32) (reached []int32, done bool) {
 	for _, at := range frontier {
 		r := e.replay(at, false)
@@ -398,7 +403,7 @@
 	return reached, false
 }
 
-// replay runs the choices that lead to a state, from the beginning.
+// replay runs the choices that lead to a state, starting with a new fleet.
 func (e *exploration[M]) replay(at int32, logging bool) *run[M] {
 	e.path = e.path[:0]
 	for i := at; e.steps[i].before >= 0; i = e.steps[i].before {
@@ -412,7 +417,7 @@
 	return r
 }
 
-// violates checks the invariant in a state, and keeps the path to a violation.
+// violates reports whether a state violates the invariant, and records the path to a violation.
 func (e *exploration[M]) violates(r *run[M], at int32) bool {
 	e.result.Violation = e.config.Invariant(r.nodes, r.now)
 	if e.result.Violation == nil {
--- a/internal/testbed/explorer/explorer_test.go
+++ b/internal/testbed/explorer/explorer_test.go
@@ -8,12 +8,13 @@
 	"time"
 )
 
-// The toy: node 0 lends a lock for a time, the others ask for it. The lender counts the time from
-// its grant; a holder must count from before it asked, and take off twice what two clocks may
-// differ by: the one may be ahead as it is asked, and the other at the end.
+// message is a message of a toy lease protocol. Node 0 is a lock server, and the other nodes are
+// clients that request the lock. The server counts the lease from its grant. A client must count
+// the lease from before its request, and must subtract twice the maximum skew of two clocks: one
+// clock may be ahead when the request is sent, and the other one when the lease ends.
 type message struct {
-	Kind      string // ask, grant
-	RequestID int    // of the asker, over all its lives
+	Kind      string // "ask" or "grant"
+	RequestID int    // unique among the requests of a client in all of its incarnations
 }
 
 const (
@@ -38,17 +39,17 @@
 }
 func (l *lockServer) Write(h hash.Hash64) { fmt.Fprint(h, l.until) }
 
-// fault is what the asker gets wrong.
+// bug is an error in the toy protocol.
 type bug int
 
 const (
 	noBug             bug = iota
-	countsFromGrant       // counts from when the grant came
-	ignoresSkew           // takes nothing off
-	subtractsSkewOnce     // takes off the difference once: this was the toy's own fault, until the explorer had seen it
-	forgetsGrants         // the lender does not know after a crash what it has lent
-	reusesRequestIDs      // an asker that comes back asks under the names of its last life; the explorer found this, too
-	acceptsAnyGrant       // takes a grant for what it did not ask by now
+	countsFromGrant       // a client counts the lease from the arrival of the grant
+	ignoresSkew           // a client subtracts nothing for clock skew
+	subtractsSkewOnce     // a client subtracts the maximum skew once; the explorer found this error in the first version of the toy
+	forgetsGrants         // a server does not know its grants after a crash
+	reusesRequestIDs      // a restarted client reuses the request IDs of its last incarnation; the explorer found this error, too
+	acceptsAnyGrant       // a client accepts a grant for an earlier request
 )
 
 type lockClient struct {
@@ -56,7 +57,7 @@
 	sentAt      time.Duration
 	until       time.Duration
 	sent        int
-	incarnation int // its numbers are its own: what an earlier life asked for is not answered to this one
+	incarnation int // part of each request ID, so that the client ignores grants for requests of an earlier incarnation
 }
 
 func (a *lockClient) Start(now time.Duration) Out[message] { return a.ask(now) }
@@ -92,14 +93,14 @@
 }
 func (a *lockClient) Write(h hash.Hash64) { fmt.Fprint(h, a.sentAt, a.until, a.sent, a.incarnation) }
 
-var errTwoHolders = errors.New("two hold the lock")
+var errTwoHolders = errors.New("two clients hold the lock")
 
 func lockConfig(wrong bug, b Budget, depth int) Config[message] {
 	return Config[message]{Nodes: 3, Depth: depth, Budget: b, MaxSkew: skew,
 		Make: func(n, incarnation int, previous Node[message]) Node[message] {
 			switch {
 			case n == 0 && previous != nil && wrong != forgetsGrants:
-				return previous // what it has lent stands on its disk
+				return previous // a server has its grants on disk
 			case n == 0:
 				return &lockServer{}
 			}
@@ -123,14 +124,15 @@
 		}}
 }
 
-// The toy that is right holds to the depth, each of its faults is found by a shortest path.
+// The correct toy protocol has no violation up to the depth. The explorer finds each planted bug by
+// a shortest path of a known length.
 func TestToy(t *testing.T) {
 	for _, x := range []struct {
 		name   string
 		wrong  bug
 		budget Budget
 		depth  int
-		length int // of the path to it, 0 where nothing is broken
+		length int // of the path to the violation, 0 for no violation
 	}{
 		{"right", noBug, Budget{Losses: 1, Duplicates: 1, Pauses: 1, Crashes: 1}, 7, 0},
 		{"counts from the grant", countsFromGrant, Budget{}, 9, 5},
@@ -157,7 +159,8 @@
 	}
 }
 
-// A bound on states is kept, and said.
+// An exploration stops at the maximum number of states and reports that it is incomplete. A
+// configuration without the required fields is an error.
 func TestBound(t *testing.T) {
 	q := lockConfig(noBug, Budget{Losses: 2, Duplicates: 2}, 50)
 	q.MaxStates = 500
@@ -165,6 +168,6 @@
 		t.Errorf("%v, %s", err, a)
 	}
 	if _, err := Explore(Config[message]{}); err == nil {
-		t.Error("nothing to explore is explored")
+		t.Error("Explore accepts an empty configuration")
 	}
 }
