--- a/internal/testbed/leasesim/acts.go
+++ b/internal/testbed/leasesim/acts.go
@@ -8,11 +8,11 @@
 	"reachspread/internal/testbed/history"
 )
 
-// maxActDelay is the time between a holder's look at its lease and the act: it may be frozen in
-// between.
+// maxActDelay is the longest time between a holder's check of its lease and the act. The holder may
+// be frozen in between, which makes the time longer.
 const maxActDelay = 2 * time.Millisecond
 
-// beginAct checks a holder's lease, schedules the act that it permits, and the next check.
+// beginAct checks a holder's lease. If the lease is valid, it schedules an act and the next check.
 func (w *World) beginAct(r *router, role string) {
 	token, _, ok := r.agent.Check(r.clock(w.now), role)
 	if !ok || r.leases[role] == 0 {
@@ -41,7 +41,7 @@
 	}
 }
 
-// handleAct has the receiver accept an act, or reject it and tell the sender of the higher token.
+// handleAct makes the receiver accept an act, or reject it and report the higher token to the sender.
 func (w *World) handleAct(e *event) {
 	w.Acts++
 	status := http.StatusOK
--- a/internal/testbed/leasesim/doc.go
+++ b/internal/testbed/leasesim/doc.go
@@ -1,7 +1,8 @@
-// Package leasesim simulates singleton roles in virtual time: voters of package quorum, agents of
-// package lease, a receiver of their acts, the network between them with the faults of package
-// faults, disks that may be lost, swapped or older, and clocks whose rates differ.
+// Package leasesim simulates singleton roles in virtual time. It runs the voters of package quorum,
+// the agents of package lease, and a receiver of the acts of lease holders. Their network has the
+// faults of package faults. Disks may be lost, swapped or replaced with an older state, and clock
+// rates differ.
 //
-// The same Spec gives the same play, event for event. What routers do and what becomes of it goes
-// to Spec.History, for package checker. The simulation is single-threaded and without I/O.
+// The same Spec gives the same run, event for event. The simulation reports the actions of routers
+// and their results to Spec.History, for package checker. It is single-threaded and performs no I/O.
 package leasesim
--- a/internal/testbed/leasesim/founding_test.go
+++ b/internal/testbed/leasesim/founding_test.go
@@ -9,8 +9,8 @@
 	"reachspread/internal/testbed/leasesim"
 )
 
-// The founder dies at any moment of the founding and comes back without its disk, as one of three:
-// there is a leader again, and the roles have holders.
+// The founder of a group of three voters crashes at some moment during the founding and restarts
+// without its disk. Afterwards, the group must have a leader and the role a holder.
 func TestFounderWithoutDiskWhileFounding(t *testing.T) {
 	const from, to, step = 350 * time.Millisecond, 1200 * time.Millisecond, 10 * time.Millisecond
 	for at := from; at < to; at += step {
--- a/internal/testbed/leasesim/injections.go
+++ b/internal/testbed/leasesim/injections.go
@@ -8,7 +8,7 @@
 	"reachspread/internal/testbed/faults"
 )
 
-// applyFault has a fault begin, or end.
+// applyFault begins a fault, or ends it.
 func (w *World) applyFault(injection *faults.Injection, on bool) {
 	if faults.Of(injection.Kind).OfLinks() {
 		if on {
@@ -44,10 +44,11 @@
 	}
 }
 
-// maxActionsUntilCrash bounds how far a process that crashes comes with a step.
+// maxActionsUntilCrash limits how many actions of its last step a crashing process carries out.
 const maxActionsUntilCrash = 6
 
-// kill ends a process: by itself, giving its roles back, or in the middle of a step.
+// kill ends a process. On a graceful end, the process first releases its roles. Otherwise, the
+// process of a voter ends in the middle of a step. A frozen process ends at once in both cases.
 func (w *World) kill(r *router, graceful bool) {
 	r.downCount++
 	switch {
@@ -63,11 +64,11 @@
 	w.stopProcess(r)
 }
 
-// applyDiskFault does to a disk what a fault says.
+// applyDiskFault changes the disk of a router as a fault demands.
 func (w *World) applyDiskFault(r *router, injection *faults.Injection) {
 	switch injection.Disk {
 	case faults.DiskEmpty, faults.DiskTruncated:
-		r.disk = nil // a truncated store is not read
+		r.disk = nil // a voter cannot read a truncated store
 	case faults.DiskOther:
 		r.disk = w.routers[(r.number+1)%w.spec.Candidates].disk.Clone()
 	case faults.DiskOlder:
@@ -75,7 +76,8 @@
 	}
 }
 
-// freeze freezes a process, or lets it go on: with what has come meanwhile, unless that ends it.
+// freeze freezes a process, or thaws it. A thawed process handles the events that arrived while it
+// was frozen, until one of them ends the process.
 func (w *World) freeze(r *router, on bool) {
 	if on {
 		r.frozenCount++
@@ -96,10 +98,10 @@
 	}
 }
 
-// crawlPeriod is the time of one pause of a crawling process and the time until the next one.
+// crawlPeriod is the length of one pause of a crawling process plus the time until the next pause.
 const crawlPeriod = 200 * time.Millisecond
 
-// stepCrawl freezes or thaws a crawling process, and schedules the other.
+// stepCrawl freezes or thaws a crawling process, and schedules the next change.
 func (w *World) stepCrawl(e *event) {
 	injection, r := w.faults[e.generation], w.routers[e.router]
 	if e.kind == freezeRouter {
--- a/internal/testbed/leasesim/leasesim_test.go
+++ b/internal/testbed/leasesim/leasesim_test.go
@@ -18,7 +18,7 @@
 
 var roles = []lease.Role{{Name: "scribe"}, {Name: "pool", PreferredZones: []string{"b"}}, {Name: "drain", ByZone: true}}
 
-// played is what came of a play.
+// runResult is the result of a run: the final world, its history and the violations found.
 type runResult struct {
 	w        *leasesim.World
 	events   []history.Event
@@ -46,29 +46,30 @@
 	return p
 }
 
-// drawn is a play of faults drawn by the seed.
+// drawnSpec returns a spec whose fleet and faults are drawn from a seed.
 func drawnSpec(seed uint64) leasesim.Spec {
 	s := leasesim.Spec{Seed: seed, Routers: 5 + int(seed%3), Zones: 1 + int(seed%3), Voters: 3 + 2*int(seed%2), Roles: roles, Duration: 50 * time.Second, ClockDrift: lease.MaxClockDrift, ReplaceTimeout: 6 * time.Second}
 	s.Candidates = min(s.Voters+1, s.Routers)
 	s.Faults = faults.Draw(faults.Bounds{Length: 30 * time.Second, World: faults.MembershipSimulation}, s.Topology(), seed)
-	older := false
+	hasOlderDisk := false
 	for i := range s.Faults {
 		f := &s.Faults[i]
 		f.At += 3 * time.Second
-		// One alone: who else knew may have to be there.
-		if f.Disk == faults.DiskTruncated && f.Kind == faults.Kill && !older && len(f.Routers.Numbers) == 1 {
-			f.Disk, f.RemainingFraction, older = faults.DiskOlder, 0, true
+		// Only one router gets an older disk: the others may be needed to know what that disk lacks.
+		if f.Disk == faults.DiskTruncated && f.Kind == faults.Kill && !hasOlderDisk && len(f.Routers.Numbers) == 1 {
+			f.Disk, f.RemainingFraction, hasOlderDisk = faults.DiskOlder, 0, true
 		}
 	}
 	return s
 }
 
-// keepsDisks reports whether a schedule leaves every router its own disk.
+// keepsDisks reports whether a schedule leaves the disk of every router unchanged.
 func keepsDisks(all []faults.Fault) bool {
 	return !slices.ContainsFunc(all, func(f faults.Fault) bool { return f.Disk != "" && f.Disk != faults.DiskUnchanged })
 }
 
-// losesMajority reports whether a schedule takes the disks of a majority.
+// losesMajority reports whether a schedule removes or replaces so many disks of candidates that a
+// majority of the voters may be affected.
 func losesMajority(s *leasesim.Spec) bool {
 	lostDisk := map[int]bool{}
 	for _, x := range faults.Resolve(s.Faults, s.Topology(), s.Seed) {
@@ -79,20 +80,20 @@
 		}
 	}
 	n := 0
-	for _, is := range lostDisk {
-		if is {
+	for _, isCandidate := range lostDisk {
+		if isCandidate {
 			n++
 		}
 	}
 	return 2*n > s.Voters
 }
 
-// regressions are seeds that failed once: a late reply to an earlier process of a store was taken
-// for one to the present process.
+// regressions are seeds that failed once, because a late reply to an earlier process with the same
+// store was mistaken for a reply to the current process.
 var regressions = []uint64{12180, 14362, 16266}
 
-// Whatever is drawn: no two act under one role, all voters apply the same, and once the faults are
-// over each role has a holder, unless disks were lost.
+// For every drawn schedule of faults, no two routers act under the same role, and all voters apply
+// the same commands. After the faults, each role has a holder, unless a fault changed a disk.
 func TestNoTwoActUnderDrawnFaults(t *testing.T) {
 	first, n := uint64(1), uint64(48)
 	if x, err := strconv.ParseUint(os.Getenv("DUTY_SCHEDULES"), 10, 64); err == nil {
@@ -115,7 +116,8 @@
 			s := drawnSpec(seed)
 			p := runSpec(t, s)
 			for _, v := range p.verdicts[:min(len(p.verdicts), 3)] {
-				// The guard held, and the voters had lost what they knew.
+				// After the loss of a majority's disks, the voters may grant old tokens again. The
+				// receiver's token guard still has to reject them.
 				if (strings.Contains(v.Text, "begun") || v.Checker == "linear") && losesMajority(&s) {
 					continue
 				}
@@ -124,9 +126,9 @@
 			if !keepsDisks(s.Faults) {
 				return
 			}
-			for _, d := range []string{"scribe", "pool"} {
-				if p.w.LeaseHolder(d) < 0 {
-					t.Errorf("seed %d: nobody has %s in the end\n%s%s", seed, d, faults.Text(s.Faults), strings.Join(p.w.Notices, "\n"))
+			for _, role := range []string{"scribe", "pool"} {
+				if p.w.LeaseHolder(role) < 0 {
+					t.Errorf("seed %d: role %s has no holder at the end\n%s%s", seed, role, faults.Text(s.Faults), strings.Join(p.w.Notices, "\n"))
 				}
 			}
 		}()
@@ -134,8 +136,9 @@
 	all.Wait()
 }
 
-// What is planted is found: a receiver that accepts every token, a leader that does not wait,
-// clocks whose rates differ by more than is allowed for. Without them nothing is.
+// The checkers find each planted bug: a receiver that accepts every token, a leader that does not
+// wait for old leases, and clock rates that differ by more than the lease allows for. Without a
+// planted bug, the same faults cause no violation.
 func TestPlantedFaultsAreFound(t *testing.T) {
 	var pauses, kills, blackHoles []faults.Fault
 	for i := range 20 {
@@ -171,7 +174,7 @@
 			}
 		}
 		if (verdicts > 0) != x.found {
-			t.Errorf("%s: %d verdicts", x.name, verdicts)
+			t.Errorf("%s: %d violations found", x.name, verdicts)
 		}
 	}
 }
--- a/internal/testbed/leasesim/measure_test.go
+++ b/internal/testbed/leasesim/measure_test.go
@@ -14,8 +14,8 @@
 
 var measure = flag.Bool("measure", false, "run the measurements")
 
-// gaps returns the longest time without a holder of a role between two times, and how many changes
-// of holder there were.
+// gaps returns the longest time without a holder of a role between two times, and the number of
+// changes of the holder in that time.
 func gaps(w *leasesim.World, name string, from, to time.Duration) (longest time.Duration, changes int) {
 	var spans []leasesim.Span
 	for _, s := range w.Spans {
@@ -36,7 +36,7 @@
 	return longest, changes
 }
 
-// histogram shows times as a table of bins, with their median, 99th percentile and maximum.
+// histogram formats durations as a histogram, with their median, 99th percentile and maximum.
 func histogram(all []time.Duration, bin time.Duration) string {
 	slices.Sort(all)
 	at := func(p float64) time.Duration {
@@ -63,8 +63,8 @@
 	return string(b)
 }
 
-// The times without a holder: transferred on request, the holder killed, the voters' leader killed,
-// with 5 ms for each write to disk.
+// The time without a holder of a role is bounded after a requested transfer, after the holder is
+// killed and after the leader of the voters is killed, with 5 ms for each write to disk.
 func TestTimesWithoutHolder(t *testing.T) {
 	n := 20
 	if *measure {
@@ -99,12 +99,12 @@
 				t.Fatal(err)
 			}
 			w.Run(at)
-			who := x.router(w)
-			if other := w.Leader(); x.into == &killed && who == other || x.into == &leader && who == w.LeaseHolder("scribe") {
-				continue // one fault at a time
+			target := x.router(w)
+			if other := w.Leader(); x.into == &killed && target == other || x.into == &leader && target == w.LeaseHolder("scribe") {
+				continue // the holder is the leader too, so that the kill would be two faults
 			}
 			f := s
-			f.Faults = []faults.Fault{{Kind: faults.Kill, At: at, Length: 10 * time.Second, Routers: faults.Selection{Numbers: []int{who}}}}
+			f.Faults = []faults.Fault{{Kind: faults.Kill, At: at, Length: 10 * time.Second, Routers: faults.Selection{Numbers: []int{target}}}}
 			if w, err = leasesim.New(f); err != nil {
 				t.Fatal(err)
 			}
@@ -122,13 +122,14 @@
 	}{{planned, 100 * time.Millisecond}, {killed, lease.DefaultTiming.Duration + 500*time.Millisecond}, {leader, 0}} {
 		slices.Sort(x.all)
 		if p99 := x.all[len(x.all)*99/100]; p99 > x.most {
-			t.Errorf("p99 %v, more than %v", p99, x.most)
+			t.Errorf("99th percentile of the time without a holder is %v, more than %v", p99, x.most)
 		}
 	}
 }
 
-// Many routers ask at the same moment, and one of them gets the role; then the power goes for all,
-// and comes back. What a holder costs.
+// Many routers request a role at the same moment, and one of them gets it. Then all routers lose
+// power, and the role must have a holder again after they restart. The test also measures how many
+// datagrams a holder costs.
 func TestManyRoutersAskAtOnce(t *testing.T) {
 	n := 60
 	if *measure {
@@ -154,10 +155,10 @@
 	t.Logf("%d routers ask for two roles at once: granted after %v; then %.1f datagrams a second of all", n, first, rate)
 	w.Run(80 * time.Second)
 	if w.LeaseHolder("one") < 0 {
-		t.Errorf("nobody holds it after the power came back: %v", w.Notices)
+		t.Errorf("role \"one\" has no holder after the loss of power: %v", w.Notices)
 	}
 
-	// The same with nobody who waits: what a holder costs.
+	// The same without routers that wait for the role, to measure the cost of a holder.
 	w, err = leasesim.New(leasesim.Spec{Seed: 1, Routers: n, Zones: 3, Candidates: 5, Voters: 3, Roles: all[1:], RolesOf: func(i int) []string {
 		if i < n-lease.MaxHolders || n < 100 {
 			return nil
--- a/internal/testbed/leasesim/network.go
+++ b/internal/testbed/leasesim/network.go
@@ -6,12 +6,12 @@
 	"reachspread/internal/testbed/faults"
 )
 
-// latency draws how long a message takes.
+// latency draws the latency of a message.
 func (w *World) latency() time.Duration {
 	return w.spec.Latency + time.Duration(w.rng.Int64N(int64(w.spec.Latency/2+1)))
 }
 
-// send sends a message to another router, nil for none, once it has waited for something.
+// send sends a message to another router after a wait. It does nothing if to is nil.
 func (w *World) send(from, to *router, e event, wait time.Duration) {
 	if to == nil {
 		return
@@ -24,7 +24,7 @@
 		return
 	}
 	w.link.Condition = faults.ConditionOf(w.linkFaults, faults.End{N: from.number}, faults.End{N: to.number})
-	if e.kind == toVoters { // a connection's content comes complete or not at all
+	if e.kind == deliverVoterMessage { // voters use connections, whose content arrives intact or not at all
 		w.link.Clip, w.link.Flip = 0, 0
 	}
 	w.copies = w.link.Pass(len(e.data), w.copies[:0])
@@ -36,7 +36,8 @@
 	}
 }
 
-// damage returns a message's data as a copy of it has them.
+// damage returns the data of a message as they arrive in one copy: possibly truncated and with a
+// flipped bit.
 func damage(data []byte, c *faults.Copy) []byte {
 	if c.Bytes >= len(data) && c.Flip < 0 {
 		return data
--- a/internal/testbed/leasesim/operations.go
+++ b/internal/testbed/leasesim/operations.go
@@ -9,12 +9,11 @@
 	"reachspread/internal/testbed/history"
 )
 
-// Requests for roles of one holder are operations of the history, which must be linearizable.
-
-// operationKinds are the requests' names in the history.
+// operationKinds are the names of requests in the history. Requests for roles with a single holder
+// are operations of the history, which must be linearizable.
 var operationKinds = map[lease.CommandKind]string{lease.Acquire: "acquire", lease.Renew: "renew", lease.Release: "yield", lease.Transfer: "yield"}
 
-// recordInvoke records the beginning of an operation.
+// recordInvoke records the start of an operation in the history.
 func (w *World) recordInvoke(r *router, q *lease.Request) {
 	c := &q.Command
 	kind, isOperation := operationKinds[c.Kind]
@@ -25,7 +24,7 @@
 	w.emit(history.Event{What: history.Invoke, Who: r.process(), ID: r.operationID(q.ID), Op: op})
 }
 
-// recordReturn records the end of an operation, as its router sees it.
+// recordReturn records the end of an operation in the history, when its router receives the reply.
 func (w *World) recordReturn(r *router, reply *lease.Reply) {
 	if reply.ID == 0 || reply.NotLeader {
 		return
@@ -36,7 +35,8 @@
 
 func (r *router) operationID(request uint32) string { return fmt.Sprint(r.process(), " ", request) }
 
-// recordExpiry records the end of a lease by the voters, which came at some time after the grant.
+// recordExpiry records each lease that the voters end, because it expired or its holder restarted.
+// The operation in the history spans the time since the grant.
 func (w *World) recordExpiry(a *quorum.Applied) {
 	for _, c := range a.Changes {
 		token := c.Grant.Token
@@ -53,7 +53,7 @@
 	}
 }
 
-// emitAt emits an event of an earlier time.
+// emitAt adds an event with an earlier time to the history.
 func (w *World) emitAt(at time.Duration, e history.Event) {
 	if w.spec.History != nil {
 		e.T = at.Nanoseconds()
--- a/internal/testbed/leasesim/router.go
+++ b/internal/testbed/leasesim/router.go
@@ -10,10 +10,10 @@
 	"reachspread/internal/testbed/history"
 )
 
-// noCrash is actionsUntilCrash of a process that is not about to crash.
+// noCrash is the value of actionsUntilCrash for a process that is not about to crash.
 const noCrash = -1
 
-// router is one machine and, while it is alive, the process on it.
+// router is one machine and, while alive is true, the process on it.
 type router struct {
 	number    int
 	name      string
@@ -22,15 +22,15 @@
 	disk      *quorum.StoredState
 
 	alive       bool
-	generation  uint32 // of the process
-	downCount   int    // faults that keep it down
-	frozenCount int    // faults that keep it frozen
-	lastSeen    time.Duration
-	diskAtStart *quorum.StoredState // of the process
-	voter       *quorum.Voter       // of a candidate
+	generation  uint32              // how often the process has started
+	downCount   int                 // how many faults keep the process down
+	frozenCount int                 // how many faults keep the process frozen
+	lastSeen    time.Duration       // when the membership last saw the process running
+	diskAtStart *quorum.StoredState // the disk when the process started
+	voter       *quorum.Voter       // nil unless the router is a candidate
 	agent       *lease.Agent
-	leases      map[string]uint64 // by role, the token that it works under
-	inbox       []event           // while it is frozen
+	leases      map[string]uint64 // the tokens of the roles that the router holds
+	inbox       []event           // events that arrived while the process was frozen
 	wakeUpAt    time.Duration
 	// actionsUntilCrash is how many actions a process that is about to crash still carries out.
 	actionsUntilCrash int
@@ -39,20 +39,21 @@
 // isRunning reports whether the process is alive and not frozen.
 func (r *router) isRunning() bool { return r.alive && r.frozenCount == 0 }
 
-// process names the process in the history.
+// process returns the name of the process in the history.
 func (r *router) process() string { return fmt.Sprintf("%s/%d", r.name, r.generation) }
 
-// clockOffset has the clocks of no two routers show the same.
+// clockOffset returns the offset of the machine's clock, which is different for each router.
 func (r *router) clockOffset() time.Duration {
 	return time.Hour + time.Duration(r.number)*time.Minute
 }
 
-// clock is what the machine's clock shows at a time. It goes on while the process is frozen.
+// clock returns the time of the machine's clock at a virtual time. The clock continues while the
+// process is frozen.
 func (r *router) clock(now time.Duration) time.Duration {
 	return r.clockOffset() + time.Duration(float64(now)*r.clockRate)
 }
 
-// simulatorTime is when the machine's clock shows a time.
+// simulatorTime returns the virtual time at which the machine's clock shows a local time.
 func (r *router) simulatorTime(local time.Duration) time.Duration {
 	return time.Duration(float64(local-r.clockOffset()) / r.clockRate)
 }
@@ -65,7 +66,7 @@
 	r.generation++
 	r.alive, r.actionsUntilCrash, r.inbox, r.leases = true, noCrash, nil, map[string]uint64{}
 	r.diskAtStart = r.disk.Clone()
-	// Another one in each process.
+	// The boot number is different for each process.
 	boot := (uint32(r.number)*2654435761 ^ r.generation*2246822519) | 1
 	actions, err := w.makeDeciders(r, boot)
 	if err != nil {
@@ -82,8 +83,8 @@
 	w.scheduleWakeUp(r)
 }
 
-// makeDeciders makes a process's voter, if it is a candidate, and its agent. It returns the voter's
-// first actions.
+// makeDeciders makes a process's voter, if the router is a candidate, and its agent. It returns the
+// voter's first actions.
 func (w *World) makeDeciders(r *router, boot uint32) (actions []quorum.Action, err error) {
 	s := &w.spec
 	if r.number < s.Candidates {
@@ -109,7 +110,7 @@
 	return names
 }
 
-// stopProcess ends a process at once.
+// stopProcess ends a process at once, if one runs.
 func (w *World) stopProcess(r *router) {
 	if !r.alive {
 		return
@@ -128,19 +129,19 @@
 	}
 }
 
-// deliver has a running process handle an event.
+// deliver makes a running process handle an event.
 func (w *World) deliver(r *router, e *event) {
 	now := r.clock(w.now)
 	switch e.kind {
-	case toVoter:
+	case deliverRequest:
 		if request, _, err := lease.Decode(e.data); err == nil && request != nil && r.voter != nil {
 			w.carryOutVoter(r, r.voter.Step(now, quorum.RequestReceived{From: fmt.Sprint("r", e.from), Request: request}))
 		}
-	case toVoters:
+	case deliverVoterMessage:
 		if r.voter != nil {
 			w.carryOutVoter(r, r.voter.Step(now, quorum.MessageReceived{Data: e.data}))
 		}
-	case toAgent:
+	case deliverReply:
 		if _, reply, err := lease.Decode(e.data); err == nil && reply != nil {
 			w.recordReturn(r, reply)
 			w.carryOutAgent(r, r.agent.HandleReply(now, fmt.Sprint("r", e.from), reply))
@@ -155,7 +156,7 @@
 	w.scheduleWakeUp(r)
 }
 
-// tickDeciders steps the deciders whose time has come.
+// tickDeciders steps the deciders whose wake-up time is reached.
 func (w *World) tickDeciders(r *router, now time.Duration) {
 	if r.voter != nil && now >= r.voter.Next() {
 		w.carryOutVoter(r, r.voter.Step(now, quorum.Tick{}))
@@ -171,11 +172,11 @@
 	}
 }
 
-// checkProgress ends the play where a decider that was stepped at the time that it named names no
-// later one: its loop would spin.
+// checkProgress ends the run if a decider that was stepped at its wake-up time requests no later
+// one: a real router would then step it in a busy loop.
 func (w *World) checkProgress(r *router, decider string, stalls bool) {
 	if stalls && w.Err == nil {
-		w.Err = fmt.Errorf("at %v the %s of %s was stepped at the time that it named, and names no later one", w.now, decider, r.name)
+		w.Err = fmt.Errorf("at %v the %s of %s was stepped at its wake-up time and requests no later one", w.now, decider, r.name)
 	}
 }
 
@@ -197,8 +198,8 @@
 	w.schedule(event{at: r.wakeUpAt, kind: wakeUp, router: r.number, generation: r.generation})
 }
 
-// carryOutVoter carries out a voter's actions in order. A process that is about to crash does so in
-// between.
+// carryOutVoter carries out a voter's actions in order. A process that is about to crash ends after
+// actionsUntilCrash more actions.
 func (w *World) carryOutVoter(r *router, actions []quorum.Action) {
 	syncing := time.Duration(0)
 	for _, a := range actions {
@@ -216,10 +217,10 @@
 		case quorum.Send:
 			w.Messages++
 			w.Bytes += uint64(len(a.Data))
-			w.send(r, w.byName[a.To], event{kind: toVoters, data: a.Data}, syncing)
+			w.send(r, w.byName[a.To], event{kind: deliverVoterMessage, data: a.Data}, syncing)
 		case quorum.SendReply:
 			w.Replies++
-			w.send(r, w.byName[a.To], event{kind: toAgent, data: a.Reply.Encode()}, syncing)
+			w.send(r, w.byName[a.To], event{kind: deliverReply, data: a.Reply.Encode()}, syncing)
 		case quorum.Applied:
 			w.checkApplied(r, &a)
 		case quorum.Notice:
@@ -228,16 +229,17 @@
 	}
 }
 
-// groupShift puts a group's number above the indexes of its log.
+// groupShift is how far a group's number is shifted in the keys of World.applied, so that it stands
+// above the bits of the log index.
 const groupShift = 40
 
-// checkApplied ends the play where voters apply different commands at one index.
+// checkApplied ends the run if voters of a group apply different commands at the same index.
 func (w *World) checkApplied(r *router, a *quorum.Applied) {
-	encoded, _ := json.Marshal(a) // of plain fields
+	encoded, _ := json.Marshal(a) // cannot fail: all fields are plain data
 	command := string(encoded)
 	key := r.voter.Status().Group<<groupShift | a.Index
 	if earlier, known := w.applied[key]; known && earlier != command {
-		w.Err = fmt.Errorf("at %v %s applies another command %d than was applied: %s, not %s", w.now, r.name, a.Index, command, earlier)
+		w.Err = fmt.Errorf("at %v %s applies a different command at index %d than was applied before: %s, not %s", w.now, r.name, a.Index, command, earlier)
 	} else if !known && len(w.applied) < maxRecordedIndexes {
 		w.applied[key] = command
 		w.recordExpiry(a)
@@ -255,7 +257,7 @@
 		case lease.SendRequest:
 			w.Requests++
 			w.recordInvoke(r, a.Request)
-			w.send(r, w.byName[a.To], event{kind: toVoter, data: a.Request.Encode()}, 0)
+			w.send(r, w.byName[a.To], event{kind: deliverRequest, data: a.Request.Encode()}, 0)
 		case lease.Granted:
 			w.startSpan(r, &a)
 		case lease.Ended:
@@ -267,7 +269,8 @@
 	}
 }
 
-// startSpan has a router work under a role, unless it does already.
+// startSpan records that a router holds a role, and starts its acts, unless the router already holds
+// the role with the same token.
 func (w *World) startSpan(r *router, g *lease.Granted) {
 	if r.leases[g.Role] == g.Token {
 		return
--- a/internal/testbed/leasesim/spec.go
+++ b/internal/testbed/leasesim/spec.go
@@ -10,7 +10,8 @@
 	"reachspread/internal/testbed/history"
 )
 
-// maxRouters is far more than a voter's leader can serve.
+// maxRouters is the greatest number of routers in a run. It is far more than the leader of the
+// voters can serve.
 const maxRouters = 5000
 
 // Defaults of a Spec.
@@ -20,33 +21,33 @@
 	defaultReplaceTimeout = 10 * time.Second
 )
 
-// Spec describes a play. Zero values count as their defaults.
+// Spec describes a run. A zero value stands for the default.
 type Spec struct {
 	Seed       uint64
 	Routers    int
-	Zones      int // of the routers, by turns; 0 counts as 1
-	Candidates int // the first routers may vote; 0 counts as Voters
+	Zones      int // the number of zones, to which routers are assigned in rotation; 0 counts as 1
+	Candidates int // how many routers, from the first on, may vote; at least Voters
 	Voters     int
 	Roles      []lease.Role
-	RolesOf    func(router int) []string // the roles that a router wants, nil for all of its zone
+	RolesOf    func(router int) []string // returns the roles that a router requests; nil for all roles, each in the router's zone
 	Timing     lease.Timing
 	Duration   time.Duration
 	Faults     []faults.Fault
 
-	Latency        time.Duration // of a message; each takes up to a half longer
-	SyncDelay      time.Duration // of a write to disk; what has to wait for it leaves so much later
-	ClockDrift     float64       // by how much the rates of two clocks differ at most
-	ActInterval    time.Duration // between two acts of a holder
+	Latency        time.Duration // least latency of a message; each message takes up to half as long again
+	SyncDelay      time.Duration // duration of a write to disk, which delays the messages that have to wait for it
+	ClockDrift     float64       // the most by which the rates of two clocks differ, as a fraction
+	ActInterval    time.Duration // mean time between two acts of a holder
 	ReplaceTimeout time.Duration // as in quorum.Config
 
-	// Faults that are planted in the code, for tests of the checkers.
+	// The fields below plant bugs in the code, to test that the checkers find them.
 	SkipTokenCheck bool // the receiver accepts every token
-	SkipLeaseWait  bool // a new leader does not wait a whole lease
+	SkipLeaseWait  bool // a new leader does not wait for a whole lease duration
 
-	History func(*history.Event) // nil for none
+	History func(*history.Event) // receives each event of the run; may be nil
 }
 
-// Topology is the fleet as schedules of faults see it. Its one host is the receiver.
+// Topology returns the fleet in the form that fault schedules need. Its only host is the receiver.
 func (s *Spec) Topology() *faults.Topology {
 	topology := &faults.Topology{Hosts: []string{""}}
 	for i := range s.Routers {
@@ -55,14 +56,14 @@
 	return topology
 }
 
-// validate returns what is wrong with a spec, and fills in defaults.
+// validate fills in defaults, and returns an error if the spec is invalid.
 func (s *Spec) validate() error {
 	if s.Routers < 1 || s.Routers > maxRouters {
 		return fmt.Errorf("spec: Routers is %d; it must be from 1 to %d", s.Routers, maxRouters)
 	}
 	s.Candidates = max(s.Candidates, s.Voters)
 	if s.Candidates > s.Routers {
-		return fmt.Errorf("spec: Candidates is %d of %d routers", s.Candidates, s.Routers)
+		return fmt.Errorf("spec: Candidates (or Voters, if greater) is %d; it must be at most Routers, which is %d", s.Candidates, s.Routers)
 	}
 	if s.Timing == (lease.Timing{}) {
 		s.Timing = lease.DefaultTiming
@@ -73,7 +74,7 @@
 	return faults.Check(s.Faults, s.Topology(), faults.MembershipSimulation, s.Duration)
 }
 
-// isShared reports whether a role may have several holders: their acts need no token.
+// isShared reports whether a role may have several holders. Acts under such a role need no token.
 func (s *Spec) isShared(role string) bool {
 	for i := range s.Roles {
 		if s.Roles[i].Name == role && s.Roles[i].MaxHolders > 1 {
--- a/internal/testbed/leasesim/world.go
+++ b/internal/testbed/leasesim/world.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	membershipInterval = 500 * time.Millisecond // between two Membership events of voters
-	deadTimeout        = 3 * time.Second        // until the membership takes a router for dead
-	maxStartDelay      = 50 * time.Millisecond  // of the first processes
-	maxInbox           = 1000                   // events of a frozen process
-	maxRecordedIndexes = 1 << 20                // of which all voters must apply the same command
+	membershipInterval = 500 * time.Millisecond // time between two Membership events of a voter
+	deadTimeout        = 3 * time.Second        // how long after its last sign of life the membership declares a router dead
+	maxStartDelay      = 50 * time.Millisecond  // longest delay of a router's first start
+	maxInbox           = 1000                   // most events that are queued for a frozen process
+	maxRecordedIndexes = 1 << 20                // most log indexes for which the applied command is recorded and compared
 )
 
-// Streams of the seed.
+// Streams of random numbers that are derived from the seed.
 const (
 	worldStream = 0xd071
 	linkStream  = 7
 )
 
-// World is a play at one moment.
+// World is the state of a run.
 type World struct {
 	spec       Spec
 	now        time.Duration
@@ -35,34 +35,34 @@
 	events     eventqueue.Queue[event]
 	routers    []*router
 	byName     map[string]*router
-	guard      lease.TokenGuard // the receiver's
+	guard      lease.TokenGuard // the receiver's check of tokens
 	faults     []*faults.Injection
-	linkFaults []*faults.Injection // that are active
+	linkFaults []*faults.Injection // the active faults of links
 	link       *faults.Link
-	copies     []faults.Copy            // of the last message, for reuse
-	grantedAt  map[uint64]time.Duration // by token
-	applied    map[uint64]string        // by group and index, the command
+	copies     []faults.Copy            // the copies of the last message, for reuse
+	grantedAt  map[uint64]time.Duration // the time of the grant, by token
+	applied    map[uint64]string        // the applied command, by group and index
 
-	// Spans are who worked under which role when, in the order of their beginnings.
+	// Spans are the times in which routers held roles, ordered by their start.
 	Spans                       []Span
 	Messages, Requests, Replies uint64
-	Bytes                       uint64 // of messages
-	Acts, RejectedActs          int    // that came to the receiver; of them, with a lower token
-	Notices                     []string
-	AppliedIndex                uint64 // the furthest
-	Err                         error  // ends the play
+	Bytes                       uint64   // the size of all Messages
+	Acts, RejectedActs          int      // acts that arrived at the receiver, and acts that it rejected for a lower token
+	Notices                     []string // all notices of voters
+	AppliedIndex                uint64   // the greatest index that a voter has applied
+	Err                         error    // the first error, which ends the run
 }
 
-// Span is a time in which a router worked under a role, by its own account.
+// Span is a time in which a router considered itself the holder of a role.
 type Span struct {
 	Role     string
 	Router   int
 	Token    uint64
-	From, To time.Duration // To is 0 while it lasts
-	Reason   string        // of its end
+	From, To time.Duration // To is 0 while the span lasts
+	Reason   string        // why the span ended
 }
 
-// New returns the world of a spec before its first event.
+// New returns the world of a spec before its first event. It returns an error if the spec is invalid.
 func New(s Spec) (*World, error) {
 	if err := s.validate(); err != nil {
 		return nil, err
@@ -84,7 +84,7 @@
 	return w, nil
 }
 
-// candidates are the names of the routers that may vote.
+// candidates returns the names of the routers that may vote.
 func (w *World) candidates() (names []string) {
 	for _, r := range w.candidateRouters() {
 		names = append(names, r.name)
@@ -99,7 +99,7 @@
 	w.events.Add(e.at, e)
 }
 
-// Run plays until a time, and returns Err.
+// Run runs the simulation until a time or an error, and returns Err.
 func (w *World) Run(until time.Duration) error {
 	for w.Err == nil {
 		e, at, ok := w.events.Next(until)
@@ -113,7 +113,7 @@
 	return w.Err
 }
 
-// Now returns the time of the play.
+// Now returns the virtual time.
 func (w *World) Now() time.Duration { return w.now }
 
 func (w *World) emit(e history.Event) {
@@ -125,7 +125,7 @@
 
 func (w *World) handle(e *event) {
 	switch e.kind {
-	case toVoter, toVoters, toAgent, wakeUp, beginAct, sendAct:
+	case deliverRequest, deliverVoterMessage, deliverReply, wakeUp, beginAct, sendAct:
 		w.handleAtRouter(w.routers[e.router], e)
 	case startRouter:
 		w.startProcess(w.routers[e.router])
@@ -147,8 +147,9 @@
 	}
 }
 
-// handleAtRouter delivers an event of a router, unless it is of an earlier process or out of date.
-// A frozen process has it later.
+// handleAtRouter delivers an event to a router. It drops events of an earlier process and wake-ups
+// that were rescheduled. For a frozen process, it queues other events than wake-ups until the
+// process thaws.
 func (w *World) handleAtRouter(r *router, e *event) {
 	switch {
 	case !r.alive || e.generation != 0 && e.generation != r.generation:
@@ -160,7 +161,7 @@
 	}
 }
 
-// notifyMembership tells voters who is alive.
+// notifyMembership informs all voters which routers are alive.
 func (w *World) notifyMembership() {
 	alive := map[string]bool{}
 	for _, r := range w.routers {
@@ -178,7 +179,7 @@
 	w.schedule(event{at: w.now + membershipInterval, kind: updateMembership})
 }
 
-// LeaseHolder returns the router that works under a role by its own account, -1 for nobody.
+// LeaseHolder returns the number of a router that considers itself the holder of a role, -1 for none.
 func (w *World) LeaseHolder(role string) int {
 	for _, r := range w.routers {
 		if r.alive && r.leases[role] != 0 {
@@ -188,7 +189,7 @@
 	return -1
 }
 
-// Leader returns a running voter that leads, -1 for nobody.
+// Leader returns the number of a running router whose voter is the leader, -1 for none.
 func (w *World) Leader() int {
 	for _, r := range w.candidateRouters() {
 		if r.isRunning() && r.voter.Status().RemainingLeases != nil {
@@ -198,7 +199,7 @@
 	return -1
 }
 
-// VoterStatus returns a router's voter's, false where there is none.
+// VoterStatus returns the status of a router's voter, and false if the router has no voter.
 func (w *World) VoterStatus(n int) (quorum.Status, bool) {
 	if r := w.routers[n]; r.voter != nil {
 		return r.voter.Status(), true
@@ -206,14 +207,15 @@
 	return quorum.Status{}, false
 }
 
-// SendCommand has an operator's request go from a router to all candidates.
+// SendCommand sends an operator's command from a router to all candidates.
 func (w *World) SendCommand(n int, c lease.Command) {
 	for _, r := range w.candidateRouters() {
-		w.send(w.routers[n], r, event{kind: toVoter, data: (&lease.Request{ID: 1, Command: c}).Encode()}, 0)
+		w.send(w.routers[n], r, event{kind: deliverRequest, data: (&lease.Request{ID: 1, Command: c}).Encode()}, 0)
 	}
 }
 
-// Rebuild asks a router for a new group, and returns why that was refused, empty if it was not.
+// Rebuild asks a router's voter to found a new group. It returns the reason for a refusal, empty if
+// the voter founds the group.
 func (w *World) Rebuild(n int, lostRouters ...string) (refusal string) {
 	r := w.routers[n]
 	actions := r.voter.Step(r.clock(w.now), quorum.Rebuild{LostRouters: lostRouters})
@@ -224,5 +226,5 @@
 			return x.Refusal
 		}
 	}
-	return "nothing was said"
+	return "the voter neither founded a group nor refused to"
 }
--- a/internal/testbed/membershipsim/measure_test.go
+++ b/internal/testbed/membershipsim/measure_test.go
@@ -31,16 +31,16 @@
 // How long from the first probe that a crashed router missed until 99 of 100 know, at 300 routers.
 func TestMeasureCrash(t *testing.T) {
 	requireMeasureFlag(t)
-	var all, whole []time.Duration
+	var detection99, detectionAll []time.Duration
 	for seed := range uint64(100) {
 		const n = 300
-		knows := 0
+		informed := 0
 		var at99, at100 time.Duration
 		w := newWorld(t, Spec{Seed: seed, Routers: n, Zones: 3, Duration: time.Minute, StartConverged: true,
 			Changed: func(_ int, now time.Duration, c *members.Changed) {
 				for _, x := range c.Changes {
 					if x.Reason == members.ReasonCrashed {
-						if knows++; knows == (n-1)*99/100+1 {
+						if informed++; informed == (n-1)*99/100+1 {
 							at99 = now
 						}
 						at100 = now
@@ -49,16 +49,16 @@
 			},
 			Faults: []faults.Fault{{Kind: faults.Kill, At: 10 * sec, Length: 40 * sec, Routers: numbers(int(seed) % n)}}})
 		w.Run(30 * sec)
-		all = append(all, at99-w.FirstMiss(int(seed)%n))
-		whole = append(whole, at100-10*sec)
-		if w.FalseDeaths > 0 || knows != n-1 {
-			t.Errorf("seed %d: %d false deaths, %d know", seed, w.FalseDeaths, knows)
+		detection99 = append(detection99, at99-w.FirstMiss(int(seed)%n))
+		detectionAll = append(detectionAll, at100-10*sec)
+		if w.FalseDeaths > 0 || informed != n-1 {
+			t.Errorf("seed %d: %d false deaths, %d know", seed, w.FalseDeaths, informed)
 		}
 	}
-	slices.Sort(all)
-	slices.Sort(whole)
+	slices.Sort(detection99)
+	slices.Sort(detectionAll)
 	t.Logf("99 of 100 know %v (median), %v (p99), %v (most) after the first missed probe; all know %v (median), %v (most) after the crash",
-		all[50], all[98], all[99], whole[50], whole[99])
+		detection99[50], detection99[98], detection99[99], detectionAll[50], detectionAll[99])
 }
 
 // Deaths of routers that lived, with 20% loss and standstills of 1 s once a minute each.
@@ -71,12 +71,12 @@
 	if err := w.Run(length); err != nil {
 		t.Fatal(err)
 	}
-	stood := uint64(0)
+	stalls := uint64(0)
 	for i := range n {
-		stood += w.Decider(i).Stats().Stalls
+		stalls += w.Decider(i).Stats().Stalls
 	}
 	t.Logf("%v of %d routers: %d deaths told, %d of them of routers that lived; %.0f bytes a second; stood still %d times", length, n, w.Deaths, w.FalseDeaths,
-		float64(w.Bytes)/length.Seconds()/n, stood)
+		float64(w.Bytes)/length.Seconds()/n, stalls)
 }
 
 // Bytes, datagrams and memory of a router while nothing happens, and a crash, at growing sizes.
--- a/internal/testbed/membershipsim/membershipsim.go
+++ b/internal/testbed/membershipsim/membershipsim.go
@@ -278,7 +278,7 @@
 
 // step has a decider take an event, and carries out what it wants.
 func (w *World) step(r *router, e members.Event) {
-	gen := r.generation
+	generation := r.generation
 	for _, a := range r.decider.Step(w.now, e) {
 		switch a := a.(type) {
 		case members.Send:
@@ -287,7 +287,7 @@
 			w.handleChanged(r, &a)
 		}
 	}
-	if r.decider == nil || r.generation != gen {
+	if r.decider == nil || r.generation != generation {
 		return
 	}
 	w.checkInvariants(r)
@@ -307,7 +307,7 @@
 			continue
 		}
 		w.Deaths++
-		if of := w.byAddress[x.Member.Addr]; w.isHealthy(of) {
+		if subject := w.byAddress[x.Member.Addr]; w.isHealthy(subject) {
 			w.FalseDeaths++
 			w.emit(history.Event{What: history.Note, Who: name(r.number), Text: "false death of " + x.Member.Name})
 		}
@@ -330,7 +330,7 @@
 		if partitioned := s.Kind == faults.Partition || s.Kind == faults.Blackhole && s.Concerns(r.number); partitioned && w.now >= s.At && w.now < s.At+s.Length+minHealthyTime {
 			return false
 		}
-		if still := s.Kind == faults.Freeze && slices.Contains(s.Routers, r.number); still && w.now >= s.At && w.now < s.At+s.Length+minHealthyTime && s.Length > maxFreeze {
+		if frozen := s.Kind == faults.Freeze && slices.Contains(s.Routers, r.number); frozen && w.now >= s.At && w.now < s.At+s.Length+minHealthyTime && s.Length > maxFreeze {
 			return false
 		}
 	}
@@ -366,13 +366,13 @@
 	if to.decider == nil && to.firstMissedPing == 0 && len(a.Data) > 0 && a.Data[0] == pingByte {
 		to.firstMissedPing = w.now
 	}
-	way := w.spec.LatencyWithinZone
+	latency := w.spec.LatencyWithinZone
 	if to.zone != r.zone {
-		way = w.spec.LatencyBetweenZones
+		latency = w.spec.LatencyBetweenZones
 	}
-	way += time.Duration(w.spec.Jitter * w.rng.Float64() * float64(way))
+	latency += time.Duration(w.spec.Jitter * w.rng.Float64() * float64(latency))
 	if len(w.linkFaults) == 0 {
-		w.schedule(event{at: w.now + way, kind: receiveDatagram, number: to.number, from: r.addr, data: a.Data})
+		w.schedule(event{at: w.now + latency, kind: receiveDatagram, number: to.number, from: r.addr, data: a.Data})
 		return
 	}
 	w.link.Condition = faults.ConditionOf(w.linkFaults, faults.End{N: r.number}, faults.End{N: to.number})
@@ -385,7 +385,7 @@
 				data[c.Flip/8] ^= 1 << (c.Flip % 8)
 			}
 		}
-		w.schedule(event{at: w.now + way + c.After, kind: receiveDatagram, number: to.number, from: r.addr, data: data})
+		w.schedule(event{at: w.now + latency + c.After, kind: receiveDatagram, number: to.number, from: r.addr, data: data})
 	}
 }
 
@@ -508,16 +508,16 @@
 
 // AwaitConvergence plays on until the fleet has settled, and returns when; ok is false where it has
 // not by a time.
-func (w *World) AwaitConvergence(until time.Duration) (at time.Duration, ok bool, why string) {
-	const look = 50 * time.Millisecond
+func (w *World) AwaitConvergence(until time.Duration) (at time.Duration, ok bool, reason string) {
+	const checkInterval = 50 * time.Millisecond
 	for {
-		if ok, why = w.Converged(); ok {
+		if ok, reason = w.Converged(); ok {
 			return w.now, true, ""
 		}
 		if w.now >= until || w.violation != nil {
-			return w.now, false, why
+			return w.now, false, reason
 		}
-		w.Run(min(w.now+look, until))
+		w.Run(min(w.now+checkInterval, until))
 	}
 }
 
--- a/internal/testbed/membershipsim/membershipsim_test.go
+++ b/internal/testbed/membershipsim/membershipsim_test.go
@@ -159,11 +159,11 @@
 				if now < 5*sec || now > 45*sec {
 					return
 				}
-				whole := len(c.Changes) == n/3
+				isZoneLoss := len(c.Changes) == n/3
 				for _, x := range c.Changes {
-					whole = whole && x.Reason == members.ReasonZoneLost && x.Member.Zone == "b"
+					isZoneLoss = isZoneLoss && x.Reason == members.ReasonZoneLost && x.Member.Zone == "b"
 				}
-				if whole {
+				if isZoneLoss {
 					lost[r]++
 				} else {
 					other++
