--- a/internal/testbed/membershipsim/drawn_test.go
+++ b/internal/testbed/membershipsim/drawn_test.go
@@ -7,8 +7,8 @@
 	"reachspread/internal/testbed/faults"
 )
 
-// playDrawn plays a schedule that a seed draws, on a fleet that it draws too, and returns what is
-// wrong.
+// runDrawn runs a schedule of faults on a fleet, both drawn from a seed. It returns a description of
+// the failure, empty if there is none.
 func runDrawn(t testing.TB, seed uint64) string {
 	s := Spec{Seed: seed, Routers: 2 + int(seed*7%23), Zones: 1 + int(seed%4), Duration: 2 * time.Minute}
 	if seed%3 == 0 {
@@ -37,15 +37,15 @@
 	case err != nil:
 		return err.Error() + faults.Text(s.Faults)
 	case !ok:
-		return "not settled: " + why + faults.Text(s.Faults)
+		return "views have not converged: " + why + faults.Text(s.Faults)
 	case w.FalseDeaths > 0 && !allowsFalseDeaths(s.Faults):
-		return "a living member was taken for dead" + faults.Text(s.Faults)
+		return "a healthy router was declared dead" + faults.Text(s.Faults)
 	}
 	return ""
 }
 
-// heavy tells whether so much is lost, or stands still in bursts, that a death is none of the
-// decider's fault.
+// allowsFalseDeaths reports whether a schedule loses so many datagrams, or lets routers crawl, so
+// that a false death is not an error of the deciders.
 func allowsFalseDeaths(all []faults.Fault) bool {
 	lost := 0.0
 	for _, f := range all {
@@ -59,10 +59,10 @@
 	return lost >= 0.5
 }
 
-// Drawn schedules on drawn fleets, of few routers that know each other or not, settle and break
-// nothing.
+// Under drawn schedules of faults, drawn fleets of few routers converge and violate no invariant,
+// whether the routers know each other at the start or only some seeds.
 func TestDrawn(t *testing.T) {
-	seeds := []uint64{2112, 2676, 5972, 6236, 9116, 51539} // that failed once
+	seeds := []uint64{2112, 2676, 5972, 6236, 9116, 51539} // these seeds failed once
 	for seed := range uint64(150) {
 		seeds = append(seeds, seed)
 	}
@@ -73,7 +73,7 @@
 	}
 }
 
-// The same by thousands.
+// The same as TestDrawn, with as many schedules as the flag says.
 func TestMeasureDrawn(t *testing.T) {
 	requireMeasureFlag(t)
 	failed := 0
--- a/internal/testbed/membershipsim/measure_test.go
+++ b/internal/testbed/membershipsim/measure_test.go
@@ -11,14 +11,14 @@
 	"reachspread/internal/testbed/faults"
 )
 
-// The measurements run when asked: docs/measurements/members.md has the commands and what came of
-// them.
+// The measurements run only with the flag -measure. docs/measurements/members.md has the commands
+// and the results.
 var (
 	measure        = flag.Bool("measure", false, "run the measurements")
-	hours          = flag.Float64("hours", 100, "of members' time, of TestMeasureFalseDeaths")
-	maxRouters     = flag.Int("most", 1000, "routers of TestMeasureSizes, at most")
-	drawnSchedules = flag.Int("drawn", 200, "schedules of TestMeasureDrawn")
-	firstSeed      = flag.Uint64("first", 1, "seed of TestMeasureDrawn")
+	hours          = flag.Float64("hours", 100, "router hours that TestMeasureFalseDeaths simulates")
+	maxRouters     = flag.Int("most", 1000, "greatest number of routers in TestMeasureSizes")
+	drawnSchedules = flag.Int("drawn", 200, "number of schedules in TestMeasureDrawn")
+	firstSeed      = flag.Uint64("first", 1, "first seed of TestMeasureDrawn, and seed of TestMeasureFalseDeaths")
 )
 
 func requireMeasureFlag(t *testing.T) {
@@ -28,7 +28,8 @@
 	}
 }
 
-// How long from the first probe that a crashed router missed until 99 of 100 know, at 300 routers.
+// Measures the time from the first probe that a crashed router missed until 99 of 100 routers know
+// of the crash, in a fleet of 300 routers.
 func TestMeasureCrash(t *testing.T) {
 	requireMeasureFlag(t)
 	var detection99, detectionAll []time.Duration
@@ -52,16 +53,16 @@
 		detection99 = append(detection99, at99-w.FirstMiss(int(seed)%n))
 		detectionAll = append(detectionAll, at100-10*sec)
 		if w.FalseDeaths > 0 || informed != n-1 {
-			t.Errorf("seed %d: %d false deaths, %d know", seed, w.FalseDeaths, informed)
+			t.Errorf("seed %d: %d false deaths, %d routers know of the crash", seed, w.FalseDeaths, informed)
 		}
 	}
 	slices.Sort(detection99)
 	slices.Sort(detectionAll)
-	t.Logf("99 of 100 know %v (median), %v (p99), %v (most) after the first missed probe; all know %v (median), %v (most) after the crash",
+	t.Logf("99 of 100 routers know %v (median), %v (p99), %v (most) after the first missed probe; all know %v (median), %v (most) after the crash",
 		detection99[50], detection99[98], detection99[99], detectionAll[50], detectionAll[99])
 }
 
-// Deaths of routers that lived, with 20% loss and standstills of 1 s once a minute each.
+// Measures false deaths with 20% loss and a pause of 1 s about once a minute at each router.
 func TestMeasureFalseDeaths(t *testing.T) {
 	requireMeasureFlag(t)
 	const n = 300
@@ -75,11 +76,12 @@
 	for i := range n {
 		stalls += w.Decider(i).Stats().Stalls
 	}
-	t.Logf("%v of %d routers: %d deaths told, %d of them of routers that lived; %.0f bytes a second; stood still %d times", length, n, w.Deaths, w.FalseDeaths,
+	t.Logf("%v of %d routers: %d deaths reported, %d of them false; %.0f bytes a second for each router; %d stalls", length, n, w.Deaths, w.FalseDeaths,
 		float64(w.Bytes)/length.Seconds()/n, stalls)
 }
 
-// Bytes, datagrams and memory of a router while nothing happens, and a crash, at growing sizes.
+// Measures the bytes, datagrams, processor time and memory of each router in a stable fleet, and the
+// time and bytes until a crash is known, at growing fleet sizes.
 func TestMeasureSizes(t *testing.T) {
 	requireMeasureFlag(t)
 	for _, n := range []int{10, 30, 100, 300, 1000, 3000, 6000, 10000} {
@@ -102,7 +104,7 @@
 		w.Run(70*sec + 1)
 		b = w.Bytes
 		took := w.mustConverge(t, 30*sec)
-		t.Logf("%5d routers: %.1f bytes and %.2f datagrams a second, %.4f%% of a core, %d kB each; a crash settles in %v for %.0f bytes a router, %d false",
+		t.Logf("%5d routers: %.1f bytes and %.2f datagrams a second, %.4f%% of a core, %d kB each; views converge %v after a crash with %.0f bytes a router, %d false deaths",
 			n, quiet, datagrams, 100*cpu.Seconds()/60/float64(n), (after.HeapAlloc-before.HeapAlloc)/uint64(n)>>10, took, float64(w.Bytes-b)/float64(n), w.FalseDeaths)
 	}
 }
--- a/internal/testbed/membershipsim/membershipsim.go
+++ b/internal/testbed/membershipsim/membershipsim.go
@@ -1,7 +1,7 @@
-// Package membershipsim runs the deciders of package members in virtual time: many routers, the
-// network between them with the faults of package faults, and invariants that are checked after
-// each step. The same Spec gives the same run. It is pure and single-threaded; its memory is
-// bounded by the routers and the datagrams in flight.
+// Package membershipsim runs the deciders of package members in virtual time. It simulates many
+// routers and the network between them with the faults of package faults, and checks invariants
+// after each step. The same Spec gives the same run. The package performs no I/O and is
+// single-threaded. Its memory is bounded by the number of routers and of datagrams in flight.
 package membershipsim
 
 import (
@@ -22,22 +22,22 @@
 type Spec struct {
 	Seed                uint64
 	Routers             int
-	Zones               int // routers stand in them by turns; 0 counts as 1
-	Seeds               int // addresses that each router knows, drawn; 0 for all, and only they may join
+	Zones               int // the number of zones, to which routers are assigned in rotation; 0 counts as 1
+	Seeds               int // how many drawn addresses each router knows at its start; 0 for all, and then no other router may join
 	Duration            time.Duration
-	LatencyWithinZone   time.Duration // a datagram's way within a zone
-	LatencyBetweenZones time.Duration // and between two
-	Jitter              float64       // up to this share longer
-	StartSpread         time.Duration // routers start within this time
+	LatencyWithinZone   time.Duration // of a datagram between routers of a zone; 0 selects defaults for both latencies and Jitter
+	LatencyBetweenZones time.Duration // of a datagram between routers of different zones
+	Jitter              float64       // greatest random increase of a latency, as a fraction of it
+	StartSpread         time.Duration // routers start at random times within this time
 	Faults              []faults.Fault
-	MeanPauseInterval   time.Duration // mean time between two standstills of a router, 0 for none; each is of
-	PauseDuration       time.Duration
-	StartConverged      bool // routers begin with views of all: what is measured is not the joining
+	MeanPauseInterval   time.Duration // mean time from the end of a router's random pause to the next one; 0 for no pauses
+	PauseDuration       time.Duration // length of a random pause
+	StartConverged      bool          // routers start with a view of all routers, so that a measurement excludes the joining
 	History             func(*history.Event)
-	Changed             func(router int, now time.Duration, c *members.Changed) // nil for nobody
+	Changed             func(router int, now time.Duration, c *members.Changed) // is called for each change of a router's view; may be nil
 }
 
-// Topology returns the fleet in the form that schedules need.
+// Topology returns the fleet in the form that fault schedules need.
 func (s *Spec) Topology() *faults.Topology {
 	topology := &faults.Topology{}
 	for i := range s.Routers {
@@ -46,21 +46,21 @@
 	return topology
 }
 
-// router is a router, with a decider while its process runs.
+// router is a simulated router. Its decider is nil while its process does not run.
 type router struct {
 	number          int
 	addr            netip.AddrPort
 	zone            string
 	decider         *members.Decider
-	generation      uint32
-	incarnation     uint32 // of this process
-	wakeAt          time.Duration
-	activeFaults    int
-	activeFreezes   int
-	inbox           []members.Received
+	generation      uint32             // how often the process has started
+	incarnation     uint32             // the incarnation in the membership, after the last step
+	wakeAt          time.Duration      // when the decider's timer fires
+	activeFaults    int                // how many faults keep the process down
+	activeFreezes   int                // how many faults keep the process frozen
+	inbox           []members.Received // datagrams that arrived while the process was frozen
 	draining        bool
 	startedAt       time.Duration
-	firstMissedPing time.Duration // the first ping that found it dead, 0 for none yet
+	firstMissedPing time.Duration // when the first ping was sent to the process after its end; 0 for none yet
 }
 
 // World is the state of a run.
@@ -76,13 +76,13 @@
 	link       *faults.Link
 	copies     []faults.Copy
 	violation  error
-	roster     *members.Roster // what all begin with, where they do
+	roster     *members.Roster // the initial view of all routers with StartConverged
 	seeds      []netip.AddrPort
 
-	Datagrams, Bytes uint64 // sent
-	Deaths           int    // of any router, in the view of any other
-	FalseDeaths      int    // of them, of routers that ran and were not frozen
-	Changes          int
+	Datagrams, Bytes uint64 // the number and the size of all datagrams sent
+	Deaths           int    // how often a router declared another one dead
+	FalseDeaths      int    // how many of the Deaths were of routers that were healthy, see isHealthy
+	Changes          int    // how often a router's view changed
 }
 
 type eventKind uint8
@@ -95,20 +95,20 @@
 	endFault
 	freezeRouter
 	thawRouter
-	beginPause // a router, for a while, and again later
-	endPause
+	beginPause // a random pause of a router begins
+	endPause   // a random pause of a router ends
 )
 
 type event struct {
 	at         time.Duration
 	kind       eventKind
-	number     int // of a router or of an injection
-	generation uint32
+	number     int    // of a router or of an injection
+	generation uint32 // for wakeUp, of the router's process; for freezeRouter and thawRouter, the injection's number
 	from       netip.AddrPort
 	data       []byte
 }
 
-// New returns a world at its beginning. It fails where the Spec is invalid.
+// New returns the world of a Spec before its first event. It returns an error if the Spec is invalid.
 func New(s Spec) (*World, error) {
 	if s.Routers < 1 || s.Routers > 60000 {
 		return nil, fmt.Errorf("spec: Routers is %d; it must be from 1 to 60000", s.Routers)
@@ -118,7 +118,7 @@
 	}
 	for _, f := range s.Faults {
 		if len(f.Links) > 0 && (len(f.Links) > 1 || f.Links[0] != faults.LinkPeers) {
-			return nil, fmt.Errorf("%s: links must be %q: views have neither hosts nor list", f.Source, faults.LinkPeers)
+			return nil, fmt.Errorf("%s: links must be only %q: a membership simulation has neither hosts nor a list of routers", f.Source, faults.LinkPeers)
 		}
 	}
 	if s.LatencyWithinZone == 0 {
@@ -154,7 +154,7 @@
 	return w, nil
 }
 
-// scheduleFreeze has a router stand still some time.
+// scheduleFreeze schedules the next random pause of a router.
 func (w *World) scheduleFreeze(n int) {
 	if w.spec.MeanPauseInterval > 0 {
 		w.schedule(event{at: w.now + time.Duration(w.rng.ExpFloat64()*float64(w.spec.MeanPauseInterval)), kind: beginPause, number: n})
@@ -166,7 +166,7 @@
 	w.events.Add(e.at, e)
 }
 
-// Run plays until a time. An invariant that breaks ends it.
+// Run runs the simulation until a time. It stops at a violated invariant and returns the violation.
 func (w *World) Run(until time.Duration) error {
 	for w.violation == nil {
 		e, at, ok := w.events.Next(until)
@@ -182,7 +182,7 @@
 	return w.violation
 }
 
-// Now is the time of the play.
+// Now returns the virtual time.
 func (w *World) Now() time.Duration { return w.now }
 
 func (w *World) emit(e history.Event) {
@@ -235,7 +235,7 @@
 	}
 }
 
-// mostInbox is what a process's socket holds while it stands still.
+// maxInbox is how many datagrams are queued for a frozen process, as in the buffer of its socket.
 const maxInbox = 1000
 
 func (w *World) startProcess(r *router) {
@@ -265,10 +265,10 @@
 	w.step(r, members.Tick{})
 }
 
-// bootOf is as good as drawn.
+// bootOf returns a pseudo-random boot number for a process of a router.
 func bootOf(n int, gen uint32) uint32 { return (uint32(n)*2654435761 ^ gen*2246822519) | 1 }
 
-// stop ends a router's process.
+// stopProcess ends a router's process, if it runs.
 func (w *World) stopProcess(r *router) {
 	if r.decider != nil {
 		r.decider, r.inbox, r.firstMissedPing = nil, nil, 0
@@ -276,7 +276,7 @@
 	}
 }
 
-// step has a decider take an event, and carries out what it wants.
+// step makes a decider handle an event, and carries out the resulting actions.
 func (w *World) step(r *router, e members.Event) {
 	generation := r.generation
 	for _, a := range r.decider.Step(w.now, e) {
@@ -293,9 +293,9 @@
 	w.checkInvariants(r)
 	if due := r.decider.Next(); due != r.wakeAt || due <= w.now {
 		if _, byTimer := e.(members.Tick); byTimer && due <= w.now && w.violation == nil {
-			w.violation = fmt.Errorf("%v: %s was stepped at the time that it named, and names no later one: its loop would turn without pause", w.now, name(r.number))
+			w.violation = fmt.Errorf("%v: %s was stepped at its wake-up time and requests no later one: its loop would spin", w.now, name(r.number))
 		}
-		r.wakeAt = max(due, w.now+time.Microsecond) // what a message has called for follows at once
+		r.wakeAt = max(due, w.now+time.Microsecond) // a step that a message makes due follows at once
 		w.schedule(event{at: r.wakeAt, kind: wakeUp, number: r.number, generation: r.generation})
 	}
 }
@@ -317,11 +317,13 @@
 	}
 }
 
-// wellFor is how long a router must have lived and been reached for its death to be false: what led
-// to it may be from before, and waits for others in doubt.
+// minHealthyTime is how long a router must have run and been reachable before its reported death
+// counts as false. A shorter time is not enough, because the cause of the death may be older, and
+// its report may be delayed while other routers are suspected.
 const minHealthyTime = 6 * time.Second
 
-// well tells that a router lives, runs, and is struck by no cut or partition, for long enough.
+// isHealthy reports whether a router runs, is not frozen, and has run and been reachable for at least
+// minHealthyTime. Freezes of up to maxFreeze do not count against it once they have ended.
 func (w *World) isHealthy(r *router) bool {
 	if r.decider == nil || r.activeFreezes > 0 || w.now < r.startedAt+minHealthyTime {
 		return false
@@ -337,17 +339,17 @@
 	return true
 }
 
-// maxFreeze is the longest standstill that is to be taken for no death.
+// maxFreeze is the longest freeze during which other routers must not declare a router dead.
 const maxFreeze = time.Second
 
-// invariants are looked at after each step of a router.
+// checkInvariants checks the invariants of a router after a step.
 func (w *World) checkInvariants(r *router) {
 	inc := r.decider.Incarnation()
 	switch {
 	case inc < r.incarnation:
-		w.violation = fmt.Errorf("at %v the incarnation of %s went from %d to %d", w.now, name(r.number), r.incarnation, inc)
+		w.violation = fmt.Errorf("at %v the incarnation of %s fell from %d to %d", w.now, name(r.number), r.incarnation, inc)
 	case !r.draining && r.decider.State() != members.Joining && r.decider.State() != members.Alive:
-		w.violation = fmt.Errorf("at %v %s is %v in its own view", w.now, name(r.number), r.decider.State())
+		w.violation = fmt.Errorf("at %v %s is %v in its own view; it must be joining or alive", w.now, name(r.number), r.decider.State())
 	}
 	r.incarnation = inc
 }
@@ -356,7 +358,7 @@
 	w.Datagrams++
 	w.Bytes += uint64(len(a.Data))
 	if len(a.Data) > members.MaxDatagramLen {
-		w.violation = fmt.Errorf("at %v %s sends %d bytes", w.now, name(r.number), len(a.Data))
+		w.violation = fmt.Errorf("at %v %s sends a datagram of %d bytes, which is longer than members.MaxDatagramLen", w.now, name(r.number), len(a.Data))
 		return
 	}
 	to := w.byAddress[a.To]
@@ -389,13 +391,13 @@
 	}
 }
 
-// pingByte is the first of a ping.
+// pingByte is the first byte of a ping datagram.
 const pingByte = 2 << 4
 
-// FirstMiss is when the first ping found a router dead, since it died last; 0 for not yet.
+// FirstMiss returns when the first ping was sent to a router after its last end, 0 for no ping yet.
 func (w *World) FirstMiss(n int) time.Duration { return w.routers[n].firstMissedPing }
 
-// inject has a fault begin or end.
+// inject begins a fault, or ends it.
 func (w *World) inject(s *faults.Injection, on bool) {
 	if faults.Of(s.Kind).OfLinks() {
 		if on {
@@ -456,7 +458,7 @@
 	}
 }
 
-// burst is the length of one standstill of a router that crawls with the time until the next one.
+// crawlPeriod is the length of one pause of a crawling router plus the time until the next pause.
 const crawlPeriod = 200 * time.Millisecond
 
 func (w *World) stepCrawl(e *event) {
@@ -473,8 +475,8 @@
 	w.schedule(event{at: w.now + time.Duration((1-s.Share)*float64(crawlPeriod)), kind: freezeRouter, number: e.number, generation: e.generation})
 }
 
-// Settled tells whether all routers that live have the same view, in which are they and nobody
-// else; if not, why.
+// Converged reports whether all running routers have the same view, whose members are exactly these
+// routers. If not, it also returns the reason.
 func (w *World) Converged() (bool, string) {
 	var digest uint64
 	var first *router
@@ -488,7 +490,7 @@
 			first, digest = r, r.decider.Digest()
 		}
 		if r.decider.Digest() != digest {
-			return false, fmt.Sprintf("%s and %s see different fleets, of %d and %d", name(first.number), name(r.number), first.decider.Stats().Alive, r.decider.Stats().Alive)
+			return false, fmt.Sprintf("%s and %s have different views, with %d and %d alive members", name(first.number), name(r.number), first.decider.Stats().Alive, r.decider.Stats().Alive)
 		}
 	}
 	if first == nil {
@@ -496,18 +498,18 @@
 	}
 	v := first.decider.View()
 	if len(v.Members) != live {
-		return false, fmt.Sprintf("%s sees %d; %d live", name(first.number), len(v.Members), live)
+		return false, fmt.Sprintf("%s has %d members in its view; %d routers run", name(first.number), len(v.Members), live)
 	}
 	for _, m := range v.Members {
 		if r := w.byAddress[m.Addr]; r.decider == nil || name(r.number) != m.Name {
-			return false, m.Name + " is seen, and does not live"
+			return false, m.Name + " is a member of the view, but does not run"
 		}
 	}
 	return true, ""
 }
 
-// AwaitConvergence plays on until the fleet has settled, and returns when; ok is false where it has
-// not by a time.
+// AwaitConvergence runs the simulation until the views have converged, and returns that time. If they
+// have not converged by until, ok is false and reason says why.
 func (w *World) AwaitConvergence(until time.Duration) (at time.Duration, ok bool, reason string) {
 	const checkInterval = 50 * time.Millisecond
 	for {
@@ -521,10 +523,10 @@
 	}
 }
 
-// Decider returns a router's, nil while it is dead.
+// Decider returns the decider of a router, nil while its process does not run.
 func (w *World) Decider(n int) *members.Decider { return w.routers[n].decider }
 
-// Live is how many routers live.
+// Live returns how many routers run.
 func (w *World) Live() (n int) {
 	for _, r := range w.routers {
 		if r.decider != nil {
--- a/internal/testbed/membershipsim/membershipsim_test.go
+++ b/internal/testbed/membershipsim/membershipsim_test.go
@@ -28,14 +28,15 @@
 	from := w.now
 	at, ok, why := w.AwaitConvergence(from + within)
 	if !ok || w.violation != nil {
-		t.Fatalf("not settled %v after %v: %s, %v", at-from, from, why, w.violation)
+		t.Fatalf("views have not converged %v after %v: %s, violation: %v", at-from, from, why, w.violation)
 	}
 	return at - from
 }
 
 func numbers(ns ...int) faults.Selection { return faults.Selection{Numbers: ns} }
 
-// Fleets of any size that all start at once settle on one view, whatever each knows at first.
+// Fleets of any size converge on one view after they start, at once or spread over some seconds, and
+// whether each router knows all addresses at first or only some seeds.
 func TestJoin(t *testing.T) {
 	for _, x := range []struct {
 		routers, seeds int
@@ -44,14 +45,15 @@
 		t.Run(fmt.Sprint(x), func(t *testing.T) {
 			w := newWorld(t, Spec{Seed: 1, Routers: x.routers, Zones: 3, Seeds: x.seeds, Duration: time.Minute, StartSpread: x.spread})
 			w.Run(x.spread)
-			t.Logf("settled %v after the last start, %d datagrams a router", w.mustConverge(t, 20*sec), w.Datagrams/uint64(x.routers))
+			t.Logf("views converged %v after the last start, %d datagrams a router", w.mustConverge(t, 20*sec), w.Datagrams/uint64(x.routers))
 		})
 	}
 }
 
-// settles is the bound within which a fleet settles after its last fault; the design note derives
-// it: a greeting a second finds who is held to be dead, a probe and a suspicion who is not there,
-// each with as much again for loss and digests.
+// convergenceBound returns the time within which the views of a fleet must converge after the last
+// fault. The design note derives it: greetings, sent every second, reach the routers that are
+// considered dead, and a probe and a suspicion detect the routers that are gone. Each takes as long
+// again for loss and digests.
 func convergenceBound(routers int) time.Duration {
 	return 8*sec + time.Duration(routers)*30*ms
 }
@@ -65,8 +67,8 @@
 
 var everyone = faults.Selection{All: true}
 
-// The hard cases: each settles within the bound, breaks no invariant, and takes nobody for dead who
-// lives and can be reached.
+// In each of these difficult cases, the views converge within the bound, no invariant is violated,
+// and no router is declared dead that runs and is reachable.
 func TestHardCases(t *testing.T) {
 	steps := restartFaults(4*sec, sec, 1, 2, 4, 5, 7, 8, 10, 11, 13, 14, 16, 17, 19, 20)
 	var killed []faults.Fault
@@ -85,27 +87,27 @@
 	for name, x := range map[string]struct {
 		routers int
 		faults  []faults.Fault
-		changes int // that any router may tell of at most; 0 for no bound
+		changes int // the most changes that any router may report; 0 for no limit
 	}{
 		"restarts while a zone is cut off": {24, append(steps, faults.Fault{Kind: faults.Blackhole, At: 3 * sec, Length: 12 * sec, Routers: faults.Selection{Zone: "a"}, Peers: faults.Selection{Zone: "b"}},
 			faults.Fault{Kind: faults.Blackhole, At: 3 * sec, Length: 12 * sec, Routers: faults.Selection{Zone: "a"}, Peers: faults.Selection{Zone: "c"}}), 0},
-		"seven in ten killed, back after 2 to 6 s": {60, killed, 0},
-		"stands still for less":                    {9, []faults.Fault{{Kind: faults.Freeze, At: 5 * sec, Length: 1200 * ms, Routers: numbers(3)}}, 1},
-		"stands still for more":                    {9, []faults.Fault{{Kind: faults.Freeze, At: 5 * sec, Length: 20 * sec, Routers: numbers(3)}}, 9},
-		"all stand still":                          {9, []faults.Fault{all(faults.Freeze, 0, 5*sec)}, 1},
-		"all crawl":                                {9, []faults.Fault{all(faults.Crawl, 0.6, 20*sec)}, 1},
-		"all answers take 1.2 s":                   {9, []faults.Fault{slow}, 1},
-		"loss, late, twice, minutes old":           {30, []faults.Fault{all(faults.Loss, 0.2, 20*sec), late, old, all(faults.Duplicate, 0.2, 20*sec)}, 1},
-		"flipped bits and cuts":                    {9, []faults.Fault{all(faults.Flip, 0.2, 20*sec), all(faults.Truncate, 0.1, 20*sec)}, 1},
-		"one way between two":                      {9, []faults.Fault{{Kind: faults.Blackhole, At: 5 * sec, Length: time.Minute, Routers: numbers(0), Peers: numbers(1), Direction: faults.Out}}, 1},
-		"halves with a bridge":                     {9, []faults.Fault{{Kind: faults.Partition, At: 5 * sec, Length: time.Minute, Groups: [][]int{{0, 1, 2, 3}, {4, 5, 6, 7}}, Bridge: []int{8}}}, 2},
-		"one deaf":                                 {9, []faults.Fault{{Kind: faults.Blackhole, At: 5 * sec, Length: 30 * sec, Routers: numbers(2), Direction: faults.In}}, 0},
-		"one mute":                                 {9, []faults.Fault{{Kind: faults.Blackhole, At: 5 * sec, Length: 30 * sec, Routers: numbers(2), Direction: faults.Out}}, 0},
-		"all killed at once":                       {30, []faults.Fault{all(faults.Kill, 0, 2*sec)}, 0},
-		"two, one killed":                          {2, []faults.Fault{{Kind: faults.Kill, At: 5 * sec, Length: 10 * sec, Routers: numbers(1)}}, 3},
-		"two, apart":                               {2, []faults.Fault{{Kind: faults.Partition, At: 5 * sec, Length: 20 * sec, Groups: [][]int{{0}, {1}}}}, 3},
-		"replaced, and stood still then":           {9, []faults.Fault{{Kind: faults.Replace, At: 5 * sec, Routers: numbers(1, 2)}, {Kind: faults.Freeze, At: 5*sec + 10*ms, Length: 900 * ms, Routers: numbers(1)}}, 0},
-		"a zone apart and back, over and over": {30, []faults.Fault{{Kind: faults.Partition, At: 5 * sec, Length: 10 * sec, Zones: true}, {Kind: faults.Partition, At: 17 * sec, Length: 10 * sec, Zones: true},
+		"seven in ten killed, restarted after 2 to 6 s": {60, killed, 0},
+		"paused for 1.2 s":                     {9, []faults.Fault{{Kind: faults.Freeze, At: 5 * sec, Length: 1200 * ms, Routers: numbers(3)}}, 1},
+		"paused for 20 s":                      {9, []faults.Fault{{Kind: faults.Freeze, At: 5 * sec, Length: 20 * sec, Routers: numbers(3)}}, 9},
+		"all paused":                           {9, []faults.Fault{all(faults.Freeze, 0, 5*sec)}, 1},
+		"all crawl":                            {9, []faults.Fault{all(faults.Crawl, 0.6, 20*sec)}, 1},
+		"all answers take 1.2 s":               {9, []faults.Fault{slow}, 1},
+		"loss, delay, duplicates, minutes old": {30, []faults.Fault{all(faults.Loss, 0.2, 20*sec), late, old, all(faults.Duplicate, 0.2, 20*sec)}, 1},
+		"flipped bits and truncation":          {9, []faults.Fault{all(faults.Flip, 0.2, 20*sec), all(faults.Truncate, 0.1, 20*sec)}, 1},
+		"one direction lost between two":       {9, []faults.Fault{{Kind: faults.Blackhole, At: 5 * sec, Length: time.Minute, Routers: numbers(0), Peers: numbers(1), Direction: faults.Out}}, 1},
+		"halves with a bridge":                 {9, []faults.Fault{{Kind: faults.Partition, At: 5 * sec, Length: time.Minute, Groups: [][]int{{0, 1, 2, 3}, {4, 5, 6, 7}}, Bridge: []int{8}}}, 2},
+		"one receives nothing":                 {9, []faults.Fault{{Kind: faults.Blackhole, At: 5 * sec, Length: 30 * sec, Routers: numbers(2), Direction: faults.In}}, 0},
+		"one sends nothing":                    {9, []faults.Fault{{Kind: faults.Blackhole, At: 5 * sec, Length: 30 * sec, Routers: numbers(2), Direction: faults.Out}}, 0},
+		"all killed at once":                   {30, []faults.Fault{all(faults.Kill, 0, 2*sec)}, 0},
+		"two, one killed":                      {2, []faults.Fault{{Kind: faults.Kill, At: 5 * sec, Length: 10 * sec, Routers: numbers(1)}}, 3},
+		"two, partitioned":                     {2, []faults.Fault{{Kind: faults.Partition, At: 5 * sec, Length: 20 * sec, Groups: [][]int{{0}, {1}}}}, 3},
+		"replaced, then paused":                {9, []faults.Fault{{Kind: faults.Replace, At: 5 * sec, Routers: numbers(1, 2)}, {Kind: faults.Freeze, At: 5*sec + 10*ms, Length: 900 * ms, Routers: numbers(1)}}, 0},
+		"zones partitioned and healed three times": {30, []faults.Fault{{Kind: faults.Partition, At: 5 * sec, Length: 10 * sec, Zones: true}, {Kind: faults.Partition, At: 17 * sec, Length: 10 * sec, Zones: true},
 			{Kind: faults.Partition, At: 29 * sec, Length: 10 * sec, Zones: true}}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -132,23 +134,24 @@
 					t.Fatal(err)
 				}
 				if ok, why := w.Converged(); !ok {
-					t.Errorf("seed %d: settled, and not any more: %s", seed, why)
+					t.Errorf("seed %d: views converged and then diverged: %s", seed, why)
 				}
 				if w.FalseDeaths > 0 {
-					t.Errorf("seed %d: %d living members were taken for dead", seed, w.FalseDeaths)
+					t.Errorf("seed %d: %d healthy routers were declared dead", seed, w.FalseDeaths)
 				}
 				for r, n := range changes {
 					if x.changes > 0 && n > x.changes {
-						t.Errorf("seed %d: r%d tells of %d changes, want %d at most", seed, r, n, x.changes)
+						t.Errorf("seed %d: r%d reports %d changes, want %d at most", seed, r, n, x.changes)
 					}
 				}
-				t.Logf("seed %d: settled in %v", seed, took)
+				t.Logf("seed %d: views converged in %v", seed, took)
 			}
 		})
 	}
 }
 
-// A zone that is lost is one change at every router that is left, with that reason.
+// When a zone is lost, every remaining router reports the loss as one change, with the reason
+// ReasonZoneLost for each of its members.
 func TestZoneLost(t *testing.T) {
 	for _, n := range []int{9, 90} {
 		lost := make([]int, n)
@@ -171,15 +174,15 @@
 				}
 			}})
 		w.Run(5*sec + 1)
-		t.Logf("%d routers: settled in %v", n, w.mustConverge(t, convergenceBound(n)))
+		t.Logf("%d routers: views converged in %v", n, w.mustConverge(t, convergenceBound(n)))
 		w.Run(44 * sec)
 		for r := range lost {
 			if w.Decider(r) != nil && lost[r] != 1 {
-				t.Errorf("%d routers: r%d tells of %d lost zones", n, r, lost[r])
+				t.Errorf("%d routers: r%d reports %d lost zones", n, r, lost[r])
 			}
 		}
 		if other > 0 {
-			t.Errorf("%d routers: %d changes that are no lost zone", n, other)
+			t.Errorf("%d routers: %d changes other than the lost zone", n, other)
 		}
 	}
 }
