--- a/coord/simulation/bugs.go
+++ b/coord/simulation/bugs.go
@@ -1,6 +1,7 @@
 package simulation
 
-// Bug is a deliberate error in the simulated program, which tests that the checks find it.
+// Bug is a deliberate error in the simulated program. Tests plant bugs to verify that the checks
+// find them.
 type Bug int
 
 // The bugs.
--- a/coord/simulation/crashfaults.go
+++ b/coord/simulation/crashfaults.go
@@ -61,7 +61,7 @@
 	return true
 }
 
-// restartAll kills and starts some processes.
+// restartAll kills processes, and starts each of them again after a restart delay.
 func (d *FaultInjector) restartAll(all []*Process) {
 	for _, p := range all {
 		p.Crash()
--- a/coord/simulation/doc.go
+++ b/coord/simulation/doc.go
@@ -4,11 +4,11 @@
 //
 // Everything in a World follows from its seed: the same seed gives the same run. A World is
 // used by one goroutine; different Worlds share nothing, so that many can run in parallel. The
-// tests of coord/register replicate a small Counter, those of the configuration the store of
-// the control plane.
+// tests of coord/register replicate a small Counter. The tests of the configuration replicate the
+// store of the control plane.
 //
 // A FaultInjector draws faults and counts the machines and disks that are lost, so that a run
 // either stays within the tolerance of the register or exceeds it on purpose. World.InjectAt
 // places faults at exact points instead, for package faultplan. A Bug is a deliberate error in
-// the simulated program, which tests that the checks find it.
+// the simulated program. Tests plant bugs to verify that the checks find them.
 package simulation
--- a/coord/simulation/history.go
+++ b/coord/simulation/history.go
@@ -101,7 +101,7 @@
 	}
 	outcome, err := w.Application.Outcome(r.Reply)
 	if err != nil {
-		w.Fail("a command was answered %q: %v", r.Reply, err)
+		w.Fail("a command got the invalid reply %q: %v", r.Reply, err)
 	}
 	switch outcome.Verdict {
 	case Rejected:
@@ -123,13 +123,13 @@
 	at, _, err := splitSnapshot(r.Reply)
 	seen, known := h.states[at]
 	if err != nil || !known {
-		w.Fail("a read was answered %q: %v", r.Reply, err)
+		w.Fail("a read got the reply %q, which is invalid or has an unknown state: %v", r.Reply, err)
 	}
 	if seen.version < x.minVersion {
 		w.Fail("a read that began at %v saw version %d; %d was acknowledged by then", x.startedAt, seen.version, x.minVersion)
 	}
 	if acked, ok := h.commandOf[seen.version]; ok && acked != seen.command {
-		w.Fail("version %d was acknowledged for %s, and is read to be of %s", seen.version, acked, seen.command)
+		w.Fail("version %d was acknowledged for command %s, but a read returned it for command %s", seen.version, acked, seen.command)
 	}
 	h.inForce = max(h.inForce, seen.version)
 	x.complete(w.Now, Accepted, seen.version)
@@ -175,7 +175,7 @@
 func (h *History) checkCommit(w *World, p *Process, c chain.Committed) {
 	at := c.Value.(stateID)
 	if other, ok := h.committedStates[c.Position.Sequence]; ok && other != at {
-		w.Fail("%s commits another state %d than was committed before", p.Address, c.Position.Sequence)
+		w.Fail("%s commits a different state at sequence %d than was committed before", p.Address, c.Position.Sequence)
 	}
 	h.committedStates[c.Position.Sequence] = at
 	for ; !h.committedIDs[at]; at = h.states[at].parent {
@@ -192,7 +192,7 @@
 func (h *History) checkView(w *World, p *Process, v *coordpb.View) {
 	text := v.String()
 	if other, ok := h.views[v.Epoch]; ok && other != text {
-		w.Fail("%s learns another view %d than was chosen: %s, before %s", p.Address, v.Epoch, text, other)
+		w.Fail("%s learns a different view %d than was learned before: %s, not %s", p.Address, v.Epoch, text, other)
 	}
 	h.views[v.Epoch] = text
 }
--- a/coord/simulation/injector.go
+++ b/coord/simulation/injector.go
@@ -11,8 +11,8 @@
 	// acknowledgeTimeout is how long an acknowledgement may take from then on.
 	stabilityTime      = 3 * time.Second
 	acknowledgeTimeout = 4 * time.Second
-	// minUnanswered is how many commands have to be unanswered for a violation of liveness. All of
-	// fewer commands may have been rejected.
+	// minUnanswered is how many commands must have been sent since the last acknowledgement for a
+	// violation of liveness. A smaller number of commands may all have been rejected.
 	minUnanswered = 5
 	// meanFaultInterval is the mean time between two faults.
 	meanFaultInterval = 2500 * time.Millisecond
@@ -96,7 +96,7 @@
 	unanswered := w.History.startedBetween(w.History.LastAcknowledged, w.Now-time.Second)
 	overdue := unanswered >= minUnanswered && w.Now-w.History.LastAcknowledged > acknowledgeTimeout
 	if overdue && d.isStable() {
-		w.Fail("no command was acknowledged since %v; nothing has changed since %v", w.History.LastAcknowledged, d.quietSince)
+		w.Fail("no command was acknowledged since %v; no fault has begun or ended since %v", w.History.LastAcknowledged, d.quietSince)
 	}
 	w.After(time.Second, d.checkLiveness)
 }
@@ -160,7 +160,7 @@
 	return true
 }
 
-// countLost returns the number of machines that count as lost, apart from one.
+// countLost returns the number of machines that count as lost, without the given one.
 func (d *FaultInjector) countLost(except *Process) (n int) {
 	for p, until := range d.lostUntil {
 		if p != except && until > d.world.Now {
--- a/coord/simulation/partitions.go
+++ b/coord/simulation/partitions.go
@@ -79,7 +79,7 @@
 	few, rest := d.minority()
 	span := d.drawShortDuration()
 	d.countAllAsLost(behindTime + span)
-	d.world.Trace("%v %v are behind", d.world.Now, processAddresses(few))
+	d.world.Trace("%v %v are isolated and miss changes", d.world.Now, processAddresses(few))
 	partition := d.world.Partition(processAddresses(few), d.world.Addresses(), false)
 	d.endAfter(behindTime, func() {
 		d.countDiskAsLost(rest[0])
@@ -104,7 +104,7 @@
 	few, rest := d.minority()
 	span := d.drawDuration()
 	d.countAllAsLost(span)
-	d.world.Trace("%v %v are isolated, and the first seeds", d.world.Now, processAddresses(few))
+	d.world.Trace("%v %v are isolated and become the first seeds", d.world.Now, processAddresses(few))
 	seeds := processAddresses(append(slices.Clone(few), rest...))[:min(seedMachines, len(d.world.Processes))]
 	for _, p := range d.world.Processes {
 		p.seeds = seeds
--- a/coord/simulation/pauses.go
+++ b/coord/simulation/pauses.go
@@ -22,7 +22,7 @@
 	if !d.countAsLost(p, span) {
 		return false
 	}
-	d.trace("freezes", p, span)
+	d.trace("freeze periodically", p, span)
 	d.freezePeriodically(p, d.world.Now+span, period, pause)
 	d.endAfter(span, func() {})
 	return true
@@ -36,7 +36,7 @@
 	}
 	span := d.drawDuration()
 	d.quotaUntil = d.world.Now + span
-	d.world.Trace("%v processors as quotas for %v", d.world.Now, span)
+	d.world.Trace("%v all processors have quotas for %v", d.world.Now, span)
 	for _, p := range d.world.Processes {
 		d.world.After(time.Duration(d.world.rng.Int64N(int64(period))), func() { d.freezePeriodically(p, d.world.Now+span, period, pause) })
 	}
--- a/coord/simulation/process.go
+++ b/coord/simulation/process.go
@@ -11,7 +11,7 @@
 
 const (
 	tickInterval = 50 * time.Millisecond
-	// slowWriteThreshold is the additional delay of each write from which on a process is unhealthy.
+	// slowWriteThreshold is the additional delay of writes at which a process counts as unhealthy.
 	slowWriteThreshold = 300 * time.Millisecond
 	// writeRetryDelay is the time from a failed write to the next attempt.
 	writeRetryDelay = 200 * time.Millisecond
--- a/coord/simulation/tracked.go
+++ b/coord/simulation/tracked.go
@@ -19,7 +19,8 @@
 	parent  stateID
 }
 
-// trackedMachine is a machine that identifies its states and records them in the History.
+// trackedMachine wraps a machine of the Application. It assigns an ID to each state and records the
+// state in the History.
 type trackedMachine struct {
 	chain.Machine
 	world *World
--- a/internal/testbed/explorer/explorer.go
+++ b/internal/testbed/explorer/explorer.go
@@ -25,7 +25,7 @@
 
 // Node is one decider. Its methods must not retain their arguments.
 type Node[M any] interface {
-	// Start is called once, before the other methods. now is the time of the node's clock.
+	// Start is called once after each call of Config.Make. now is the time of the node's clock.
 	Start(now time.Duration) Out[M]
 	// Receive handles a message from a node.
 	Receive(now time.Duration, from int, m M) Out[M]
@@ -78,7 +78,7 @@
 type Result struct {
 	States, Paths int      // the numbers of distinct states and of paths that were run
 	Depth         int      // the depth up to which all paths were run
-	Complete      bool     // whether all states up to the depth were visited; false if MaxStates was reached
+	Complete      bool     // false if the exploration stopped at the maximum number of states
 	Violation     error    // nil for none
 	Path          []string // the steps of a shortest path to the violation
 }
--- a/internal/testbed/leasesim/acts.go
+++ b/internal/testbed/leasesim/acts.go
@@ -28,7 +28,8 @@
 	w.schedule(next)
 }
 
-// sendAct sends an act to the receiver. Acts under a role with several holders carry no token.
+// sendAct sends an act to the receiver. It sends nothing for a role with several holders, because
+// acts under such a role carry no token that the receiver could check.
 func (w *World) sendAct(r *router, e *event) {
 	if w.spec.isShared(e.role) {
 		return
