--- a/coord/simulation/history.go
+++ b/coord/simulation/history.go
@@ -8,17 +8,17 @@
 	"reachspread/coord/view"
 )
 
-// History is what clients and processes saw. Its methods check each observation against those
-// before.
+// History records what clients and processes observed. Its methods check each observation against
+// the earlier ones.
 type History struct {
-	Commands, Reads  int           // that were answered
+	Commands, Reads  int           // the number of acknowledged commands and of answered reads
 	LastAcknowledged time.Duration // when a command was last acknowledged
 
 	acknowledged         int            // the greatest acknowledged version
-	previousAcknowledged int            // the one before it
-	inForce              int            // the greatest version that a client was informed of
-	versionOf            map[string]int // acknowledged commands, with their versions
-	commandOf            map[int]string // acknowledged versions, with their commands
+	previousAcknowledged int            // the greatest acknowledged version before that
+	inForce              int            // the greatest version in an answer to a client
+	versionOf            map[string]int // the versions of acknowledged commands
+	commandOf            map[int]string // the commands of acknowledged versions
 	rejected             map[string]bool
 	states               map[stateID]stateRecord
 	committedStates      map[uint64]stateID // by sequence
@@ -36,10 +36,10 @@
 	h.acceptors, h.committedVersions = map[acceptorKey]*acceptorState{}, map[string]int{}
 }
 
-// Acknowledged is the greatest acknowledged version.
+// Acknowledged returns the greatest acknowledged version.
 func (h *History) Acknowledged() int { return h.acknowledged }
 
-// startedBetween is the number of commands that were first sent between two times.
+// startedBetween returns the number of commands that were first sent between two times.
 func (h *History) startedBetween(from, until time.Duration) (n int) {
 	for i := len(h.calls) - 1; i >= 0 && h.calls[i].startedAt > from; i-- {
 		if x := h.calls[i]; x.command != nil && x.startedAt <= until {
@@ -49,7 +49,7 @@
 	return n
 }
 
-// NewestEpoch is the greatest epoch that any process has learned of.
+// NewestEpoch returns the greatest epoch that any process has learned.
 func (h *History) NewestEpoch() uint64 {
 	last := uint64(0)
 	for epoch := range h.views {
@@ -58,16 +58,16 @@
 	return last
 }
 
-// acceptorKey is an acceptor in one instance of the agreement on views.
+// acceptorKey identifies an acceptor in one instance of the consensus on views.
 type acceptorKey struct{ identity, instance uint64 }
 
-// acceptorState is the greatest proposal numbers that an acceptor has promised and accepted.
+// acceptorState contains the last proposal numbers that an acceptor has promised and accepted.
 type acceptorState struct{ promised, accepted *coordpb.Ballot }
 
-// checkAcceptor checks a promise or an acceptance: no identity goes back behind what it
-// promised, or forgets what it accepted.
+// checkAcceptor checks a promise or an acceptance. An acceptor must not promise or accept a lower
+// proposal number than it has promised, and must not forget a proposal that it accepted.
 func (h *History) checkAcceptor(w *World, m *coordpb.Message) {
-	of := func(instance uint64) *acceptorState {
+	stateOf := func(instance uint64) *acceptorState {
 		key := acceptorKey{m.From.Identity, instance}
 		if h.acceptors[key] == nil {
 			h.acceptors[key] = &acceptorState{}
@@ -76,20 +76,20 @@
 	}
 	switch body := m.Body.(type) {
 	case *coordpb.Message_Promise:
-		g := of(body.Promise.Instance)
-		if view.LessProposal(body.Promise.Ballot, g.promised) {
-			w.Fail("%s promises %v for view %d; it has promised %v", m.From.Address, body.Promise.Ballot, body.Promise.Instance, g.promised)
+		state := stateOf(body.Promise.Instance)
+		if view.LessProposal(body.Promise.Ballot, state.promised) {
+			w.Fail("%s promises %v for view %d; it has promised %v", m.From.Address, body.Promise.Ballot, body.Promise.Instance, state.promised)
 		}
-		if view.LessProposal(body.Promise.AcceptedBallot, g.accepted) {
-			w.Fail("%s promises for view %d and reports %v; it has accepted %v", m.From.Address, body.Promise.Instance, body.Promise.AcceptedBallot, g.accepted)
+		if view.LessProposal(body.Promise.AcceptedBallot, state.accepted) {
+			w.Fail("%s promises for view %d and reports %v; it has accepted %v", m.From.Address, body.Promise.Instance, body.Promise.AcceptedBallot, state.accepted)
 		}
-		g.promised = body.Promise.Ballot
+		state.promised = body.Promise.Ballot
 	case *coordpb.Message_Accepted:
-		g := of(body.Accepted.Instance)
-		if view.LessProposal(body.Accepted.Ballot, g.promised) {
-			w.Fail("%s accepts %v for view %d; it has promised %v", m.From.Address, body.Accepted.Ballot, body.Accepted.Instance, g.promised)
+		state := stateOf(body.Accepted.Instance)
+		if view.LessProposal(body.Accepted.Ballot, state.promised) {
+			w.Fail("%s accepts %v for view %d; it has promised %v", m.From.Address, body.Accepted.Ballot, body.Accepted.Instance, state.promised)
 		}
-		g.promised, g.accepted = body.Accepted.Ballot, body.Accepted.Ballot
+		state.promised, state.accepted = body.Accepted.Ballot, body.Accepted.Ballot
 	}
 }
 
@@ -101,7 +101,7 @@
 	}
 	outcome, err := w.Application.Outcome(r.Reply)
 	if err != nil {
-		w.Fail("a command was answered %q: %v", r.Reply, err)
+		w.Fail("a command got the invalid reply %q: %v", r.Reply, err)
 	}
 	switch outcome.Verdict {
 	case Rejected:
@@ -115,26 +115,28 @@
 	x.complete(w.Now, outcome.Verdict, outcome.Version)
 }
 
-// checkRead checks a read: it sees nothing older than what was acknowledged when it started,
-// and no other command under an acknowledged version.
+// checkRead checks the answer to a read. It must not be older than the version that was
+// acknowledged when the read started. If the version read was acknowledged, the command that made it
+// must be the acknowledged one.
 func (h *History) checkRead(w *World, x *call, r *coordpb.Reply) {
 	h.Reads++
 	at, _, err := splitSnapshot(r.Reply)
 	seen, known := h.states[at]
 	if err != nil || !known {
-		w.Fail("a read was answered %q: %v", r.Reply, err)
+		w.Fail("a read got the reply %q, which is invalid or has an unknown state: %v", r.Reply, err)
 	}
 	if seen.version < x.minVersion {
 		w.Fail("a read that began at %v saw version %d; %d was acknowledged by then", x.startedAt, seen.version, x.minVersion)
 	}
 	if acked, ok := h.commandOf[seen.version]; ok && acked != seen.command {
-		w.Fail("version %d was acknowledged for %s, and is read to be of %s", seen.version, acked, seen.command)
+		w.Fail("version %d was acknowledged for command %s, but a read returned it for command %s", seen.version, acked, seen.command)
 	}
 	h.inForce = max(h.inForce, seen.version)
 	x.complete(w.Now, Accepted, seen.version)
 }
 
-// recordRejection checks that a rejected command isn't in force.
+// recordRejection records a rejected command, and checks that it was neither acknowledged nor
+// committed.
 func (h *History) recordRejection(w *World, o *Command) {
 	h.rejected[o.Name] = true
 	if v := h.versionOf[o.Name]; v > 0 {
@@ -145,7 +147,8 @@
 	}
 }
 
-// recordAcceptance records an acknowledged command, and checks that its version has no other.
+// recordAcceptance records an acknowledged command. It checks that the command wasn't rejected and
+// that no other command was acknowledged for the same version.
 func (h *History) recordAcceptance(w *World, o *Command) {
 	h.Commands++
 	h.LastAcknowledged = w.Now
@@ -167,12 +170,12 @@
 	}
 }
 
-// checkCommit checks that a process commits the states that others have committed, and no
-// rejected command.
+// checkCommit checks that a process commits the same state as others at each sequence number, and
+// commits no rejected command.
 func (h *History) checkCommit(w *World, p *Process, c chain.Committed) {
 	at := c.Value.(stateID)
 	if other, ok := h.committedStates[c.Position.Sequence]; ok && other != at {
-		w.Fail("%s commits another state %d than was committed before", p.Address, c.Position.Sequence)
+		w.Fail("%s commits a different state at sequence %d than was committed before", p.Address, c.Position.Sequence)
 	}
 	h.committedStates[c.Position.Sequence] = at
 	for ; !h.committedIDs[at]; at = h.states[at].parent {
@@ -185,11 +188,11 @@
 	}
 }
 
-// checkView checks that an epoch has one view.
+// checkView checks that all processes learn the same view for an epoch.
 func (h *History) checkView(w *World, p *Process, v *coordpb.View) {
 	text := v.String()
 	if other, ok := h.views[v.Epoch]; ok && other != text {
-		w.Fail("%s learns another view %d than was chosen: %s, before %s", p.Address, v.Epoch, text, other)
+		w.Fail("%s learns a different view %d than was learned before: %s, not %s", p.Address, v.Epoch, text, other)
 	}
 	h.views[v.Epoch] = text
 }
--- a/internal/testbed/leasesim/acts.go
+++ b/internal/testbed/leasesim/acts.go
@@ -8,11 +8,11 @@
 	"reachspread/internal/testbed/history"
 )
 
-// maxActDelay is the time between a holder's look at its lease and the act: it may be frozen in
-// between.
+// maxActDelay is the longest time between a holder's check of its lease and the act. The holder may
+// be frozen in between, which makes the time longer.
 const maxActDelay = 2 * time.Millisecond
 
-// beginAct checks a holder's lease, schedules the act that it permits, and the next check.
+// beginAct checks a holder's lease. If the lease is valid, it schedules an act and the next check.
 func (w *World) beginAct(r *router, role string) {
 	token, _, ok := r.agent.Check(r.clock(w.now), role)
 	if !ok || r.leases[role] == 0 {
@@ -28,7 +28,8 @@
 	w.schedule(next)
 }
 
-// sendAct sends an act to the receiver. Acts under a role with several holders carry no token.
+// sendAct sends an act to the receiver. It sends nothing for a role with several holders, because
+// acts under such a role carry no token that the receiver could check.
 func (w *World) sendAct(r *router, e *event) {
 	if w.spec.isShared(e.role) {
 		return
@@ -41,14 +42,14 @@
 	}
 }
 
-// handleAct has the receiver accept an act, or reject it and tell the sender of the higher token.
+// handleAct makes the receiver accept an act, or reject it and report the higher token to the sender.
 func (w *World) handleAct(e *event) {
 	w.Acts++
 	status := http.StatusOK
 	sender := w.routers[e.from]
 	if accepted := w.guard.Accept(e.role, e.token); !accepted && !w.spec.SkipTokenCheck {
 		status = http.StatusConflict
-		w.Refused++
+		w.RejectedActs++
 		if sender.isRunning() {
 			w.carryOutAgent(sender, sender.agent.TokenRejected(sender.clock(w.now), e.role, w.guard.Highest(e.role)))
 			w.scheduleWakeUp(sender)
--- a/internal/testbed/membershipsim/measure_test.go
+++ b/internal/testbed/membershipsim/measure_test.go
@@ -11,36 +11,37 @@
 	"reachspread/internal/testbed/faults"
 )
 
-// The measurements run when asked: docs/measurements/members.md has the commands and what came of
-// them.
+// The measurements run only with the flag -measure. docs/measurements/members.md has the commands
+// and the results.
 var (
-	measure = flag.Bool("measure", false, "run the measurements")
-	hours   = flag.Float64("hours", 100, "of members' time, of TestMeasureFalseDeaths")
-	sizes   = flag.Int("most", 1000, "routers of TestMeasureSizes, at most")
-	drawn   = flag.Int("drawn", 200, "schedules of TestMeasureDrawn")
-	firstOf = flag.Uint64("first", 1, "seed of TestMeasureDrawn")
+	measure        = flag.Bool("measure", false, "run the measurements")
+	hours          = flag.Float64("hours", 100, "router hours that TestMeasureFalseDeaths simulates")
+	maxRouters     = flag.Int("most", 1000, "greatest number of routers in TestMeasureSizes")
+	drawnSchedules = flag.Int("drawn", 200, "number of schedules in TestMeasureDrawn")
+	firstSeed      = flag.Uint64("first", 1, "first seed of TestMeasureDrawn, and seed of TestMeasureFalseDeaths")
 )
 
-func asked(t *testing.T) {
+func requireMeasureFlag(t *testing.T) {
 	t.Helper()
 	if !*measure {
 		t.Skip("a measurement; run with -measure")
 	}
 }
 
-// How long from the first probe that a crashed router missed until 99 of 100 know, at 300 routers.
+// Measures the time from the first probe that a crashed router missed until 99 of 100 routers know
+// of the crash, in a fleet of 300 routers.
 func TestMeasureCrash(t *testing.T) {
-	asked(t)
-	var all, whole []time.Duration
+	requireMeasureFlag(t)
+	var detection99, detectionAll []time.Duration
 	for seed := range uint64(100) {
 		const n = 300
-		knows := 0
+		informed := 0
 		var at99, at100 time.Duration
-		w := world(t, Spec{Seed: seed, Routers: n, Zones: 3, Length: time.Minute, StartConverged: true,
+		w := newWorld(t, Spec{Seed: seed, Routers: n, Zones: 3, Duration: time.Minute, StartConverged: true,
 			Changed: func(_ int, now time.Duration, c *members.Changed) {
 				for _, x := range c.Changes {
 					if x.Reason == members.ReasonCrashed {
-						if knows++; knows == (n-1)*99/100+1 {
+						if informed++; informed == (n-1)*99/100+1 {
 							at99 = now
 						}
 						at100 = now
@@ -49,47 +50,48 @@
 			},
 			Faults: []faults.Fault{{Kind: faults.Kill, At: 10 * sec, Length: 40 * sec, Routers: numbers(int(seed) % n)}}})
 		w.Run(30 * sec)
-		all = append(all, at99-w.FirstMiss(int(seed)%n))
-		whole = append(whole, at100-10*sec)
-		if w.FalseDeaths > 0 || knows != n-1 {
-			t.Errorf("seed %d: %d false deaths, %d know", seed, w.FalseDeaths, knows)
+		detection99 = append(detection99, at99-w.FirstMiss(int(seed)%n))
+		detectionAll = append(detectionAll, at100-10*sec)
+		if w.FalseDeaths > 0 || informed != n-1 {
+			t.Errorf("seed %d: %d false deaths, %d routers know of the crash", seed, w.FalseDeaths, informed)
 		}
 	}
-	slices.Sort(all)
-	slices.Sort(whole)
-	t.Logf("99 of 100 know %v (median), %v (p99), %v (most) after the first missed probe; all know %v (median), %v (most) after the crash",
-		all[50], all[98], all[99], whole[50], whole[99])
+	slices.Sort(detection99)
+	slices.Sort(detectionAll)
+	t.Logf("99 of 100 routers know %v (median), %v (p99), %v (most) after the first missed probe; all know %v (median), %v (most) after the crash",
+		detection99[50], detection99[98], detection99[99], detectionAll[50], detectionAll[99])
 }
 
-// Deaths of routers that lived, with 20% loss and standstills of 1 s once a minute each.
+// Measures false deaths with 20% loss and a pause of 1 s about once a minute at each router.
 func TestMeasureFalseDeaths(t *testing.T) {
-	asked(t)
+	requireMeasureFlag(t)
 	const n = 300
 	length := time.Duration(*hours / n * float64(time.Hour)).Round(time.Second)
-	w := world(t, Spec{Seed: *firstOf, Routers: n, Zones: 3, Length: length, StartConverged: true, Pauses: time.Minute, Pause: sec,
+	w := newWorld(t, Spec{Seed: *firstSeed, Routers: n, Zones: 3, Duration: length, StartConverged: true, MeanPauseInterval: time.Minute, PauseDuration: sec,
 		Faults: []faults.Fault{{Kind: faults.Loss, Share: 0.2, Length: length, Routers: faults.Selection{All: true}}}})
 	if err := w.Run(length); err != nil {
 		t.Fatal(err)
 	}
-	stood := uint64(0)
+	stalls := uint64(0)
 	for i := range n {
-		stood += w.Decider(i).Stats().Stalls
+		stalls += w.Decider(i).Stats().Stalls
 	}
-	t.Logf("%v of %d routers: %d deaths told, %d of them of routers that lived; %.0f bytes a second; stood still %d times", length, n, w.Deaths, w.FalseDeaths,
-		float64(w.Bytes)/length.Seconds()/n, stood)
+	t.Logf("%v of %d routers: %d deaths reported, %d of them false; %.0f bytes a second for each router; %d stalls", length, n, w.Deaths, w.FalseDeaths,
+		float64(w.Bytes)/length.Seconds()/n, stalls)
 }
 
-// Bytes, datagrams and memory of a router while nothing happens, and a crash, at growing sizes.
+// Measures the bytes, datagrams, processor time and memory of each router in a stable fleet, and the
+// time and bytes until a crash is known, at growing fleet sizes.
 func TestMeasureSizes(t *testing.T) {
-	asked(t)
+	requireMeasureFlag(t)
 	for _, n := range []int{10, 30, 100, 300, 1000, 3000, 6000, 10000} {
-		if n > *sizes {
+		if n > *maxRouters {
 			break
 		}
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		w := world(t, Spec{Seed: 1, Routers: n, Zones: 3, Length: time.Hour, StartConverged: true, Spread: sec,
+		w := newWorld(t, Spec{Seed: 1, Routers: n, Zones: 3, Duration: time.Hour, StartConverged: true, StartSpread: sec,
 			Faults: []faults.Fault{{Kind: faults.Kill, At: 70 * sec, Length: 60 * sec, Routers: numbers(0)}}})
 		w.Run(10 * sec)
 		b, d := w.Bytes, w.Datagrams
@@ -101,8 +103,8 @@
 		runtime.ReadMemStats(&after)
 		w.Run(70*sec + 1)
 		b = w.Bytes
-		took := w.mustSettle(t, 30*sec)
-		t.Logf("%5d routers: %.1f bytes and %.2f datagrams a second, %.4f%% of a core, %d kB each; a crash settles in %v for %.0f bytes a router, %d false",
+		took := w.mustConverge(t, 30*sec)
+		t.Logf("%5d routers: %.1f bytes and %.2f datagrams a second, %.4f%% of a core, %d kB each; views converge %v after a crash with %.0f bytes a router, %d false deaths",
 			n, quiet, datagrams, 100*cpu.Seconds()/60/float64(n), (after.HeapAlloc-before.HeapAlloc)/uint64(n)>>10, took, float64(w.Bytes-b)/float64(n), w.FalseDeaths)
 	}
 }
