--- a/internal/testbed/fakes/attempt.go
+++ b/internal/testbed/fakes/attempt.go
@@ -20,12 +20,12 @@
 	"reachspread/internal/testbed/simulator"
 )
 
-// maxPromptLength bounds the text of a prompt, in tokens: hosts read its length from a field of its
-// own.
+// maxPromptLength is the largest prompt text that a client sends, in tokens. Hosts read the true
+// length of the prompt from a separate field of the body.
 const maxPromptLength = 60000
 
-// CloseCrossed is the note in a history that a request was sent again because the close of its
-// connection crossed it.
+// CloseCrossed is the text of the history note for a request that was sent again because the router
+// closed the connection while the request was in flight.
 const CloseCrossed = "a close crossed the request"
 
 var (
@@ -35,15 +35,15 @@
 
 // attemptOutcome is the result of one attempt.
 type attemptOutcome struct {
-	first, last time.Duration // of the tokens, from when the request was due
+	first, last time.Duration // when the first and last tokens arrived, measured from the request's due time
 	tokens      int
 	how         history.How
 	status      int
-	retryAfter  time.Duration // that the answer asked to wait
-	cause       string        // of an attempt that ended before an answer
+	retryAfter  time.Duration // how long the answer asks the client to wait before a retry
+	cause       string        // why the attempt ended before an answer, if it did
 }
 
-// retryable reports whether a client may send the request again: no answer of it was begun.
+// retryable reports whether a client may send the request again. It may if no answer has begun.
 func (o *attemptOutcome) retryable() bool {
 	switch o.how {
 	case history.Refused, history.Failed, history.Unreached, history.Interrupted:
@@ -52,7 +52,7 @@
 	return false
 }
 
-// tokenInterval is the mean time between two tokens.
+// tokenInterval returns the mean time between two consecutive tokens.
 func (o *attemptOutcome) tokenInterval() time.Duration {
 	if o.tokens <= 1 {
 		return 0
@@ -65,17 +65,17 @@
 	clients    *Clients
 	id, router string
 	body       string
-	content    io.Reader // how the body is written
+	content    io.Reader // yields body in the chunks and at the pace of this client
 	due, until time.Time
 	gaveUp     *time.Timer // ends the attempt unless the answer has begun
-	begun      atomic.Bool // a part of the answer is there
+	begun      atomic.Bool // the client has read a token of the answer
 
-	conn    atomic.Pointer[clientConn] // the last one that it was sent on
-	reused  atomic.Bool                // conn was idle since another request, or opened for one that did not need it
-	written atomic.Pointer[time.Time]  // when its last byte was given to the system on conn
+	conn    atomic.Pointer[clientConn] // the connection on which the request was last sent
+	reused  atomic.Bool                // conn was idle after another request, or was opened for a request that then used a different one
+	written atomic.Pointer[time.Time]  // when the last byte of the request was handed to the kernel on conn
 }
 
-// attempt sends a request once and observes its beginning and end.
+// attempt sends a request once and reports its start and its outcome to the observer.
 func (c *Clients) attempt(ctx context.Context, p *simulator.Planned, id string, isRetry bool, due, until time.Time) attemptOutcome {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -107,14 +107,14 @@
 }
 
 const (
-	// unreadInterval and maxUnreadChecks bound how long a client whose time is over reads an answer
-	// that has come and that it has had no processor time to read.
+	// unreadInterval and maxUnreadChecks bound how long a client past its deadline may still read an
+	// answer that has already arrived but that the client had no processor time to read.
 	unreadInterval  = 100 * time.Millisecond
 	maxUnreadChecks = 50
 )
 
-// giveUp ends the attempt, unless its answer has begun. While something of it has come and was not
-// read it waits.
+// giveUp ends the attempt, unless its answer has begun. It checks again later if a part of the
+// answer has arrived but is not read yet.
 func (a *attempt) giveUp(cancel context.CancelCauseFunc, checksLeft int) {
 	if a.begun.Load() {
 		return
@@ -126,14 +126,14 @@
 	cancel(errGaveUp)
 }
 
-// observe reports an event of the attempt.
+// observe reports an event of the attempt to the observer.
 func (a *attempt) observe(e history.Event) {
 	a.clients.observe(ClientEvent{Event: e, WaitsUntil: a.until})
 }
 
-// observeAnswer reports the answer or its first event: when it came, and when it was due as the
-// request stated. A request that left late, as its client had no processor time, is due as much
-// later.
+// observeAnswer reports the answer or its first event, with the time it arrived and the time it was
+// due according to the request. If the request left late because its client had no processor time,
+// the answer is due later by the same delay.
 func (a *attempt) observeAnswer(e history.Event) {
 	event := ClientEvent{Event: e, WaitsUntil: a.until}
 	if conn := a.conn.Load(); conn != nil {
@@ -147,7 +147,7 @@
 	a.clients.observe(event)
 }
 
-// answered reports whether an event says that the router has sent something.
+// answered reports whether an event implies that the router has sent a part of an answer.
 func answered(e history.Event) bool {
 	switch e.How {
 	case history.None, history.Unreached, history.Interrupted, history.Left:
@@ -156,14 +156,14 @@
 	return true
 }
 
-// requestBody is the body of a planned request, with the fields that fake hosts read.
+// requestBody returns the body of a planned request, with the fields that fake hosts read.
 func requestBody(p *simulator.Planned) string {
 	prompt := strings.Repeat("word", min(p.Prompt, maxPromptLength))
 	return fmt.Sprintf(`{"stream":true,"max_tokens":%d,"lab_out":%d,"lab_prompt":%d,"lab_session":%q,"lab_prefix":%q,"lab_shared":%d,`+
 		`"messages":[{"role":"user","content":"%s"}]}`, p.MaxOut, p.Out, p.Prompt, p.Session, p.Prefix, p.Shared, prompt)
 }
 
-// newRequest returns the HTTP request of an attempt, in the platform's headers.
+// newRequest returns the HTTP request of an attempt, with the platform's headers.
 func (a *attempt) newRequest(ctx context.Context, p *simulator.Planned, isRetry bool) (*http.Request, error) {
 	r, err := http.NewRequestWithContext(ctx, "POST", "http://"+a.router+protocol.PathCompletions, a.content)
 	if err != nil {
@@ -185,14 +185,14 @@
 	return r, nil
 }
 
-// stateTimeLeft has a request say how long its client waits from now on, which it returns.
+// stateTimeLeft sets the header that states how much longer the client waits, and returns that time.
 func (a *attempt) stateTimeLeft(r *http.Request) time.Duration {
 	timeLeft := max(time.Until(a.until).Truncate(time.Millisecond), time.Millisecond)
 	r.Header.Set(protocol.HeaderTimeLeft, fmt.Sprintf("%dm", timeLeft.Milliseconds()))
 	return timeLeft
 }
 
-// abandoned reports whether the client ended the attempt, or never wrote its request to the end.
+// abandoned reports whether the client left or never finished writing its request.
 func (a *attempt) abandoned(ctx context.Context) bool {
 	if context.Cause(ctx) == errDeparted {
 		return true
@@ -214,8 +214,9 @@
 	return a.readStream(resp)
 }
 
-// send sends a request, and a second time on a new connection if the close of its connection
-// crossed it. The time left is that of when the connection is there: connecting may have taken long.
+// send sends a request. If the router closed the connection before it had read the request, send
+// sends the request once more, on a new connection. The time-left header is set once a connection is
+// available because connecting may take long.
 func (a *attempt) send(ctx context.Context, r *http.Request) (*http.Response, error) {
 	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(i httptrace.GotConnInfo) {
@@ -245,15 +246,15 @@
 	return a.clients.oneShot.Do(r)
 }
 
-// closeCrossed reports whether the attempt failed as the router closed its connection before it had
-// read the request.
+// closeCrossed reports whether the attempt failed because the router closed the connection before it
+// had read the request.
 func (a *attempt) closeCrossed() bool {
 	conn := a.conn.Load()
 	return conn != nil && (a.written.Load() == nil || conn.closedUnread())
 }
 
-// describeSendError says on what connection an attempt ended before an answer, how long after it was
-// written, and whether the router had read it.
+// describeSendError describes an attempt that ended before an answer: whether its connection was new
+// or idle, how long ago the request was written, and whether the router had read it.
 func (a *attempt) describeSendError(err error) string {
 	connection, read := "a new connection", "read"
 	if a.reused.Load() {
@@ -269,7 +270,7 @@
 	return fmt.Sprintf("%s, %s, %s by the router: %v", connection, written, read, err)
 }
 
-// classifySendError names the outcome of an attempt that ended before an answer.
+// classifySendError returns the outcome of an attempt that ended before an answer.
 func (a *attempt) classifySendError(ctx context.Context, err error) history.How {
 	if context.Cause(ctx) == errGaveUp {
 		return history.None
@@ -278,7 +279,7 @@
 		return history.Unreached
 	}
 	if chunked, ok := a.content.(*chunkedBody); ok && chunked.remaining != "" {
-		return history.Unreached // the router never had the last byte of the request
+		return history.Unreached // the client did not send the last byte of the request
 	}
 	return history.Interrupted
 }
@@ -295,8 +296,8 @@
 	return outcome
 }
 
-// readStream reads an answer's events. Its tokens are counted by events until the usage event
-// states their number.
+// readStream reads an answer's events. It counts one token per content event until the usage event
+// states the number of tokens.
 func (a *attempt) readStream(resp *http.Response) attemptOutcome {
 	outcome := attemptOutcome{status: resp.StatusCode}
 	done := false
@@ -304,7 +305,7 @@
 		line, err := lines.ReadBytes('\n')
 		if bytes.Contains(line, []byte(`"content":`)) {
 			if outcome.tokens == 0 {
-				a.begun.Store(true) // a client that has a part of its answer waits for the rest
+				a.begun.Store(true) // a client that has received a token waits for the rest of the answer
 				a.gaveUp.Stop()
 				outcome.first = time.Since(a.due)
 				a.observeAnswer(history.Event{What: history.First, ID: a.id})
--- a/internal/testbed/fakes/behavior.go
+++ b/internal/testbed/fakes/behavior.go
@@ -9,22 +9,23 @@
 	"time"
 )
 
-// Bounds of what misbehaving clients do.
+// Limits on the delays and chunk sizes of misbehaving clients.
 const (
 	maxDepartureDelay = 3 * time.Second
 	maxChunkDelayMs   = 40 // exclusive
-	minLargestChunk   = 64 // bytes; the largest chunk is a third of what remains, and at least this
+	minLargestChunk   = 64 // bytes; the largest chunk is a third of the remaining body, but at least this
 )
 
-// ClientBehavior says which fractions of the requests have a client that behaves badly.
+// ClientBehavior gives the fractions of requests whose clients misbehave, by kind of misbehavior.
 type ClientBehavior struct {
 	Chunked   float64 // writes the request in chunks, with delays between them
-	Stalled   float64 // writes half of it, then nothing, and keeps the connection
-	Departing float64 // closes the connection while it waits or reads
+	Stalled   float64 // writes half of the request, then nothing, and keeps the connection open
+	Departing float64 // closes the connection while it waits for the answer or reads it
 }
 
-// drawBehavior draws how the client of one request behaves, by the request's id: the body that it
-// writes, and after how long it departs (0 for never).
+// drawBehavior draws how the client of one request behaves, seeded by the request's id and the
+// experiment's seed. It returns the reader of the body and the delay after which the client departs
+// (0 for never).
 func (c *Clients) drawBehavior(ctx context.Context, id, body string, wait time.Duration) (io.Reader, time.Duration) {
 	hash := fnv.New64a()
 	io.WriteString(hash, id)
@@ -43,8 +44,8 @@
 	return strings.NewReader(body), 0
 }
 
-// chunkedBody is a request body that comes in chunks of drawn size with drawn delays. One that
-// stalls never ends: its last read waits for ctx.
+// chunkedBody is a request body that yields chunks of random size after random delays. If stalls is
+// set, the body never ends: the read after its last byte blocks until ctx ends.
 type chunkedBody struct {
 	ctx       context.Context
 	rng       *rand.Rand
@@ -52,7 +53,7 @@
 	stalls    bool
 }
 
-// Read implements io.Reader. It returns the error of ctx once that has ended.
+// Read implements io.Reader. It returns the error of ctx once ctx has ended.
 func (b *chunkedBody) Read(to []byte) (int, error) {
 	if b.remaining == "" {
 		if b.stalls {
--- a/internal/testbed/fakes/clientconn.go
+++ b/internal/testbed/fakes/clientconn.go
@@ -14,24 +14,25 @@
 	"reachspread/internal/testbed/tcptime"
 )
 
-// clientConn is a client's connection to a router. As it is closed it asks the system whether the
-// router had read the request that the client sent last. A router may close a connection between two requests: if
-// the close crosses one that it has not read, the platform's clients send that one again. How late
-// a client sees the close says nothing of that, as the client's own process may lack processor time.
+// clientConn is a client's connection to a router. When it closes, it asks the kernel whether the
+// router had read the client's last request. A router may close a connection between two requests.
+// If the client sent a request that the router had not read when it closed, the platform's clients
+// send that request again. The time at which a client sees the close does not tell whether the
+// router had read the request, because the client's own process may lack processor time.
 //
-// For the same reason it asks when the first byte of a request left, and when what was read last had
-// come.
+// For the same reason, clientConn asks the kernel when the first byte of a request left and when the
+// most recently read bytes arrived.
 type clientConn struct {
 	*net.TCPConn
-	afterWrite func()                    // called once bytes were given to the system; nil for nothing
-	writing    atomic.Int32              // writes that have not returned
-	sent       atomic.Int64              // bytes
-	sentSoFar  atomic.Int64              // of sent, before the present request
-	timeLeft   atomic.Int64              // nanoseconds that the present request states
-	began      atomic.Pointer[time.Time] // when the first byte of the present request left; nil before
-	arrived    atomic.Pointer[time.Time] // when what was read last had come; nil before
+	afterWrite func()                    // called after bytes were handed to the kernel; may be nil
+	writing    atomic.Int32              // writes in progress
+	sent       atomic.Int64              // bytes sent over the connection
+	sentSoFar  atomic.Int64              // value of sent at the start of the current request
+	timeLeft   atomic.Int64              // time left that the current request states, in nanoseconds
+	began      atomic.Pointer[time.Time] // when the first byte of the current request left; nil before that
+	arrived    atomic.Pointer[time.Time] // when the most recently read bytes arrived; nil before the first read
 	closing    sync.Once
-	unread     bool // by the router, of the present request; set once closing is done
+	unread     bool // the router had not read all of the current request; valid once closing is done
 }
 
 // dialClient opens a connection to a router.
@@ -64,7 +65,7 @@
 	return n, err
 }
 
-// recordSent counts bytes that were sent, and keeps when the first of the present request left.
+// recordSent counts sent bytes and records when the first byte of the current request left.
 func (c *clientConn) recordSent(n int64) {
 	c.sent.Add(n)
 	if n == 0 || c.began.Load() != nil {
@@ -87,16 +88,17 @@
 	return n, err
 }
 
-// beginRequest says that what is sent from now on is of another request, which states that its
-// client waits for so long.
+// beginRequest marks the start of a new request on the connection. timeLeft is how long its client
+// waits, as the request states it.
 func (c *clientConn) beginRequest(timeLeft time.Duration) {
 	c.sentSoFar.Store(c.sent.Load())
 	c.timeLeft.Store(timeLeft.Nanoseconds())
 	c.began.Store(nil)
 }
 
-// answerDue returns when the answer to the present request is due by what it states: a router counts
-// from the first byte on. ok is false before that has left.
+// answerDue returns when the answer to the current request is due: the stated time left after the
+// first byte of the request, because a router counts from the first byte. ok is false until the
+// first byte has left.
 func (c *clientConn) answerDue() (due time.Time, ok bool) {
 	began := c.began.Load()
 	if began == nil {
@@ -105,7 +107,7 @@
 	return began.Add(time.Duration(c.timeLeft.Load())), true
 }
 
-// answerArrives reports whether something has come since the present request left.
+// answerArrives reports whether any bytes have arrived since the current request left.
 func (c *clientConn) answerArrives() bool {
 	began := c.began.Load()
 	if began == nil {
@@ -124,32 +126,32 @@
 	return c.TCPConn.Close()
 }
 
-// awaitWrites waits until what was written counts as sent: a router may read it and close before the
-// client's write has returned.
+// awaitWrites waits until writes in progress have returned and their bytes are counted as sent. A
+// router may read a request and close the connection before the client's write has returned.
 func (c *clientConn) awaitWrites() {
 	for end := time.Now().Add(deliveryTimeout); c.writing.Load() > 0 && time.Now().Before(end); {
 		time.Sleep(deliveryInterval)
 	}
 }
 
-// closedUnread closes the connection and reports whether the router closed it with anything unread
-// of the present request.
+// closedUnread closes the connection and reports whether the router closed it before it had read all
+// of the current request.
 func (c *clientConn) closedUnread() bool {
 	c.Close()
 	return c.unread
 }
 
 const (
-	// deliveryTimeout bounds how long bytes may be on their way over the loopback.
+	// deliveryTimeout bounds how long bytes may be in transit over the loopback.
 	deliveryTimeout  = time.Second
-	deliveryInterval = time.Millisecond // between two looks at them
+	deliveryInterval = time.Millisecond // between two polls for bytes in transit
 
-	tcpClosed = unix.BPF_TCP_CLOSE // the state of a connection that was reset
+	tcpClosed = unix.BPF_TCP_CLOSE // TCP state of a connection that was reset
 )
 
-// wasReset reports whether the router's system has reset the connection: it does so where its
-// process closed with bytes unread, and where bytes come after the close. A process that had read
-// all before it closed leaves a connection that is only half closed.
+// wasReset reports whether the router's kernel has reset the connection. The kernel does so if the
+// router closed with bytes unread, or if bytes arrive after the close. If the router had read all
+// bytes before it closed, the connection is only half closed.
 func (c *clientConn) wasReset() bool {
 	for end := time.Now().Add(deliveryTimeout); ; time.Sleep(deliveryInterval) {
 		state, onTheWay, err := c.transferState()
@@ -165,8 +167,8 @@
 	}
 }
 
-// transferState returns the state of the connection, and how many bytes the other system has not
-// acknowledged.
+// transferState returns the TCP state of the connection and the number of sent bytes that the peer's
+// kernel has not acknowledged.
 func (c *clientConn) transferState() (state uint8, onTheWay int, err error) {
 	info, err := tcptime.Info(c)
 	if err != nil {
--- a/internal/testbed/fakes/clientconn_test.go
+++ b/internal/testbed/fakes/clientconn_test.go
@@ -12,8 +12,9 @@
 	"reachspread/internal/testbed/simulator"
 )
 
-// A request on a kept connection that the router closes is sent again if the router had not read
-// it, however late the client sees the close. One that was read is lost, however early it does.
+// If the router closes a kept-alive connection, the client sends its request again if the router had
+// not read it, however late the client sees the close. A request that the router had read is lost,
+// however early the client sees the close.
 func TestClientSendsAgainOnlyWhatRouterHasNotRead(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -33,18 +34,18 @@
 			second := &simulator.Planned{ID: "second", Prompt: 1, Out: 1, MaxOut: 1}
 			due := time.Now()
 			if got := clients.attempt(t.Context(), first, "first", false, due, due.Add(time.Minute)); got.how != history.Complete {
-				t.Fatalf("the first request: %+v", got)
+				t.Fatalf("outcome of the first request: %+v, want complete", got)
 			}
 			got := clients.attempt(t.Context(), second, "second", false, due, due.Add(time.Minute))
 			if got.how != c.want || *sentAgain != c.sentAgain {
-				t.Errorf("%+v, sent again: %v", got, *sentAgain)
+				t.Errorf("outcome of the second request: %+v, sent again: %v", got, *sentAgain)
 			}
 		})
 	}
 }
 
-// Guards against a loss that counts as a crossed close: the router reads a request to its end and
-// closes, and the client that wrote it has no processor time for its write to return.
+// Guards against counting a lost request as unread: the router reads the whole request and closes
+// the connection before the client, which has no processor time, returns from its write.
 func TestRequestIsReadBeforeItsWriteReturns(t *testing.T) {
 	router := startClosingRouter(t, readRequest)
 	dialed, err := dialClient(t.Context(), "tcp4", router)
@@ -60,17 +61,18 @@
 	conn.beginRequest(time.Minute)
 	closed := make(chan bool)
 	conn.afterWrite = func() {
-		conn.Read(make([]byte, 1)) // the end
+		conn.Read(make([]byte, 1)) // reads the end of the stream
 		go func() { closed <- conn.closedUnread() }()
 		time.Sleep(50 * time.Millisecond)
 	}
 	conn.Write([]byte(request))
 	if <-closed {
-		t.Error("a request that was read counts as unread")
+		t.Error("a request that the router had read counts as unread")
 	}
 }
 
-// newObservedClients returns clients of a router, and whether one of them has sent a request again.
+// newObservedClients returns clients of a router and a flag that is set once one of them sends a
+// request again.
 func newObservedClients(router string) (*Clients, *bool) {
 	spec := &simulator.Spec{Classes: []simulator.Class{{}}}
 	spec.Classes[0].Class.Name = "chat"
@@ -79,8 +81,8 @@
 	return clients, sentAgain
 }
 
-// startClosingRouter starts a router that answers the first request of each connection, and closes
-// the connection upon the second one. It returns its address.
+// startClosingRouter starts a router that answers the first request of each connection, calls
+// closeSecond for the second request, and then closes the connection. It returns the router's address.
 func startClosingRouter(t *testing.T, closeSecond func(*testing.T, net.Conn, *bufio.Reader)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -106,7 +108,7 @@
 	return listener.Addr().String()
 }
 
-// readRequest reads a request to its end.
+// readRequest reads a whole request.
 func readRequest(t *testing.T, _ net.Conn, reader *bufio.Reader) {
 	r, err := http.ReadRequest(reader)
 	if err != nil {
@@ -122,7 +124,7 @@
 	conn.Read(make([]byte, 1))
 }
 
-// awaitUnread waits until a request has come, and reads nothing of it.
+// awaitUnread waits until bytes of a request have arrived, without reading them.
 func awaitUnread(t *testing.T, conn net.Conn, _ *bufio.Reader) {
 	raw, err := conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -135,8 +137,9 @@
 	})
 }
 
-// A request that leaves late is due as much later, and an answer counts from when it came, however
-// late it is read: a client that has no processor time makes no answer late.
+// If a request leaves late, its answer is due later by the same delay. An answer counts from its
+// arrival, however late the client reads it. A client without processor time therefore makes no
+// answer count as late.
 func TestConnectionTellsWhenRequestLeftAndAnswerCame(t *testing.T) {
 	const standstill, timeLeft, precision, tick = 200 * time.Millisecond, time.Second, 50 * time.Millisecond, 10 * time.Millisecond
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -158,16 +161,16 @@
 	conn.beginRequest(timeLeft)
 	time.Sleep(standstill) // between the statement and the write
 	if _, ok := conn.answerDue(); ok || conn.answerArrives() {
-		t.Error("an answer is due before the request has left")
+		t.Error("an answer is due or has arrived before the request has left")
 	}
 	before := time.Now()
 	conn.Write([]byte("request"))
 	after := time.Now()
 	due, ok := conn.answerDue()
 	if !ok || due.Before(before.Add(timeLeft-precision)) || due.After(after.Add(timeLeft)) {
-		t.Errorf("due %v after the write, %v", due.Sub(before), ok)
+		t.Errorf("the answer is due %v after the write (known: %v)", due.Sub(before), ok)
 	}
-	time.Sleep(tick) // the system's times can't tell what comes sooner
+	time.Sleep(tick) // the kernel's timestamps can't resolve a shorter interval
 	router.Write([]byte("answer"))
 	awaitUnread(t, conn.TCPConn, nil)
 	came := time.Now()
@@ -179,6 +182,6 @@
 		t.Fatal(err)
 	}
 	if arrived := *conn.arrived.Load(); arrived.Before(before.Add(-precision)) || arrived.After(came.Add(precision)) {
-		t.Errorf("the answer came %v before it was read, as noted; it were over %v", time.Since(arrived), standstill)
+		t.Errorf("recorded arrival of the answer is %v ago, want more than %v", time.Since(arrived), standstill)
 	}
 }
--- a/internal/testbed/fakes/clients.go
+++ b/internal/testbed/fakes/clients.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	maxIdleConnections = 256   // to one router
-	maxFirstTokenUs    = 600e6 // the largest time to the first token that a tally distinguishes, in microseconds
-	firstTokenDigits   = 3     // significant digits of these times
+	maxIdleConnections = 256   // per router
+	maxFirstTokenUs    = 600e6 // largest time to first token that the histogram holds, in microseconds
+	firstTokenDigits   = 3     // significant digits of the times in the histogram
 )
 
-// Tally counts the requests of one class by their outcome. Times are from when a request was due,
-// not from when it was sent, so a client that others delay counts that delay, too.
+// Tally counts the requests of one class by their outcome. Times are measured from a request's due
+// time, not from when it was sent, so they include any delay that other clients cause.
 type Tally struct {
 	Class                                                   string
 	Asked, Good, Late, Refused, Failed, Interrupted, Tokens int
 	FirstToken                                              *hdrhistogram.Histogram // microseconds
 }
 
-// ClientEvent is an event of a request, without its time, and until when its client waits for an
-// answer. ArrivedAt is when a first event or an answer came to the client's system, zero where that
-// is not known.
+// ClientEvent is an event of a request, without its time. WaitsUntil is how long the client waits for
+// an answer. ArrivedAt is when a first event or an answer arrived at the client's kernel, or zero if
+// that is unknown.
 type ClientEvent struct {
 	history.Event
 	WaitsUntil, ArrivedAt time.Time
@@ -38,11 +38,11 @@
 // Clients send the requests of a plan to routers and tally the outcomes. The exported fields are
 // set before Run.
 type Clients struct {
-	RouterFor func(p *simulator.Planned) string // the address of a router for a request, empty for none
+	RouterFor func(p *simulator.Planned) string // returns the router's address for a request, empty for none
 	Observe   func(ClientEvent)                 // may be nil; must not block
-	Grace     time.Duration                     // how long after its deadline a client still listens
+	Grace     time.Duration                     // how long after its deadline a client still waits for an answer
 	Behavior  ClientBehavior
-	Retries   bool // rejected and failed requests are retried, as the plan's experiment says
+	Retries   bool // retry rejected and failed requests, with the experiment's limits
 
 	spec    *simulator.Spec
 	client  *http.Client
@@ -77,8 +77,9 @@
 	return all
 }
 
-// Run sends each request of a plan at its time, whether or not earlier ones were answered (an open
-// loop). It returns once all requests it sent have ended; after ctx ends it sends no more.
+// Run sends each request of a plan at its time, whether or not earlier requests were answered (an
+// open loop). It returns once all requests that it sent have ended. After ctx ends, it sends no
+// further requests.
 func (c *Clients) Run(ctx context.Context, plan []simulator.Planned) {
 	defer c.client.CloseIdleConnections()
 	var requests sync.WaitGroup
@@ -118,7 +119,7 @@
 	c.tally(p.Class, &outcome, class.LatencyTarget+promptAllowance)
 }
 
-// sleep waits for a time and reports false if ctx ended first.
+// sleep waits for a duration and returns false if ctx ends first.
 func sleep(ctx context.Context, wait time.Duration) bool {
 	select {
 	case <-time.After(wait):
@@ -128,7 +129,8 @@
 	}
 }
 
-// tally counts the outcome of a request of a class whose first token was to come within a time.
+// tally counts the outcome of a request. firstTokenTarget is the time within which its first token
+// had to arrive.
 func (c *Clients) tally(class int, outcome *attemptOutcome, firstTokenTarget time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -153,7 +155,7 @@
 	}
 }
 
-// observe reports an event of a request.
+// observe reports an event of a request to Observe, if set.
 func (c *Clients) observe(e ClientEvent) {
 	if c.Observe != nil {
 		c.Observe(e)
--- a/internal/testbed/fakes/fakes_test.go
+++ b/internal/testbed/fakes/fakes_test.go
@@ -41,8 +41,8 @@
 	return http.DefaultTransport.RoundTrip(r)
 }
 
-// An answer is a stream of events in the platform's form, which ends with the usage (with the
-// cached tokens of the prompt) and the load report.
+// An answer is a stream of events in the platform's format. The stream ends with the usage, which
+// states the cached tokens of the prompt, and the load report.
 func TestAnswerIsStreamOfPlatform(t *testing.T) {
 	h := startHost(t, config())
 	for i, want := range []string{`"completion_tokens":9,"prompt_tokens_details":{"cached_tokens":0}`, `"cached_tokens":90}`} {
@@ -54,7 +54,7 @@
 		resp.Body.Close()
 		if err != nil || resp.StatusCode != 200 || !strings.Contains(string(body), want) || !strings.HasSuffix(string(body), "data: [DONE]\n\n") ||
 			!strings.Contains(string(body), ": X-Backend-Load: {") || !strings.Contains(string(body), `"t5 t6 t7 t8 "`) {
-			t.Errorf("answer %d: %v, %s", i, err, body)
+			t.Errorf("unexpected answer %d: read error %v, body %s", i, err, body)
 		}
 	}
 	resp, err := http.Get("http://" + h.Addr + protocol.PathLoad)
@@ -64,13 +64,13 @@
 	defer resp.Body.Close()
 	var load map[string]float64
 	if err := json.NewDecoder(resp.Body).Decode(&load); err != nil || resp.StatusCode != 200 || load["inflight"] != 0 {
-		t.Errorf("the load: %v, %v", load, err)
+		t.Errorf("load report of an idle host: %v, decoding error %v", load, err)
 	}
 }
 
-// A host whose slots and queue are full rejects a request and says that nothing was done; a client
-// that departs frees its slot; a killed host resets its connections and refuses new ones; started
-// again it serves.
+// A host whose slots and queue are full rejects a request and marks it as unprocessed. A killed host
+// resets its connections and refuses new ones, and serves again after a restart. A client that
+// departs frees its slot.
 func TestFullHostRejectsDepartureFreesSlotAndKillResets(t *testing.T) {
 	h := startHost(t, config())
 	ends := make(chan error, 3)
@@ -91,12 +91,12 @@
 	}
 	resp.Body.Close()
 	if resp.StatusCode != 503 || resp.Header.Get(protocol.HeaderUnprocessed) != "1" || !strings.Contains(resp.Header.Get(protocol.HeaderLoad), `"queue":1`) {
-		t.Errorf("%d, %v", resp.StatusCode, resp.Header)
+		t.Errorf("answer of a full host: status %d, header %v; want a 503 marked as unprocessed", resp.StatusCode, resp.Header)
 	}
 	h.Kill()
 	for range 3 {
 		if err := scripted.Receive(t, ends, "the end of an attempt"); err == nil {
-			t.Error("a killed host ended a stream well")
+			t.Error("a stream of a killed host ended without an error")
 		}
 	}
 	if _, err := ask(t, h, "dead", 1); err == nil {
@@ -118,12 +118,12 @@
 	t.Helper()
 	for end := time.Now().Add(scripted.EventTimeout); !ok(); time.Sleep(ms) {
 		if time.Now().After(end) {
-			t.Fatalf("no %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
 
-// A read returns the full list, a watch the changes since its version, and no change between two
+// A read returns the full list. A watch returns the changes since its version. No change between two
 // calls is lost.
 func TestListAnswersFullyOrByChange(t *testing.T) {
 	l, err := NewList("127.0.0.1:0")
@@ -150,30 +150,30 @@
 	l.Set(Entry{ID: "a", State: "Ready"})
 	full, ids := get("")
 	if diff := cmp.Diff([]string{"a Ready", "b Ready"}, ids); diff != "" || !full.Full || full.Version != 3 {
-		t.Errorf("%+v %s", full, diff)
+		t.Errorf("full list %+v, hosts: %s", full, diff)
 	}
 	if none, ids := get("?index=3&wait=1"); len(ids) > 0 || none.Full || none.Version != 3 {
-		t.Errorf("%+v", none)
+		t.Errorf("watch without a change returned %+v", none)
 	}
 	go l.Set(Entry{ID: "b", State: "Terminating"})
 	if more, ids := get("?index=3&wait=20000"); len(ids) != 1 || ids[0] != "b Terminating" || more.Full {
-		t.Errorf("%+v", more)
+		t.Errorf("watch after a change returned %+v", more)
 	}
 	l.Set(Entry{ID: "b", State: "Gone"})
 	if _, ids := get(""); len(ids) != 1 {
-		t.Errorf("a host that is gone is listed: %v", ids)
+		t.Errorf("the full list names a removed host: %v", ids)
 	}
 	if _, ids := get("?index=3"); len(ids) != 1 || ids[0] != "b Gone" {
-		t.Errorf("a host that is gone is not told: %v", ids)
+		t.Errorf("the watch does not report the removed host: %v", ids)
 	}
 	resp, err := http.Get("http://" + l.Addr + "/api/targets?index=x")
 	if err != nil || resp.StatusCode != 400 {
-		t.Errorf("a bad index: %v, %v", resp, err)
+		t.Errorf("answer to an invalid index: %v, error %v; want status 400", resp, err)
 	}
 }
 
-// Clients count each request of the plan under exactly one outcome, with its time from when it was
-// due.
+// Clients count each request of the plan under exactly one outcome, with its time measured from its
+// due time.
 func TestClientsCountEachRequestOnce(t *testing.T) {
 	h := startHost(t, config())
 	spec := &simulator.Spec{Classes: []simulator.Class{{}}}
@@ -184,11 +184,11 @@
 	c.Run(t.Context(), plan)
 	got := c.Tallies()[0]
 	if got.Asked != 3 || got.Good != 2 || got.Refused != 1 || got.Tokens != 6 || got.FirstToken.TotalCount() != 2 {
-		t.Errorf("%+v", got)
+		t.Errorf("tally of the plan: %+v", got)
 	}
 	h.Kill()
 	c.Run(t.Context(), plan[:1])
 	if got := c.Tallies()[0]; got.Failed != 1 {
-		t.Errorf("of a dead host: %+v", got)
+		t.Errorf("tally after a request to a killed host: %+v, want one failed", got)
 	}
 }
--- a/internal/testbed/fakes/faults.go
+++ b/internal/testbed/fakes/faults.go
@@ -12,7 +12,7 @@
 	"reachspread/internal/testbed/hostmodel"
 )
 
-// resetInterval is the time between two resets of a host's connections under the fault Reset.
+// resetInterval is the time between two resets of a host's connections during the fault Reset.
 const resetInterval = 5 * time.Millisecond
 
 // transition is the beginning or the end of a fault.
@@ -22,7 +22,7 @@
 	ends      bool
 }
 
-// transitions are the beginnings and ends of faults in the order of their times.
+// transitions returns the beginnings and ends of faults, ordered by time.
 func transitions(injections []*faults.Injection) []transition {
 	var all []transition
 	for _, i := range injections {
@@ -32,9 +32,9 @@
 	return all
 }
 
-// Play begins and ends faults of hosts at their times, until all are over or ctx ends. log is
-// called with a line for each host of each transition. The error is that of a host that can't
-// listen again.
+// Play begins and ends faults of hosts at their times, until all faults have ended or ctx ends. It
+// calls log with a line for each host of each transition. It returns an error if a host can't stop
+// listening or can't listen again.
 func (f *Fleet) Play(ctx context.Context, all []faults.Fault, log func(string)) error {
 	planned := transitions(faults.Resolve(all, f.spec.Topology(), f.spec.Seed))
 	start := time.Now()
@@ -56,8 +56,8 @@
 	return nil
 }
 
-// Inject begins or ends a fault at a host. Faults may overlap: a host that two of them have killed
-// starts as the last one ends.
+// Inject begins or ends a fault at a host. Faults may overlap: a host that two faults have killed
+// starts again when the last of the two ends.
 func (f *Fleet) Inject(n int, x *faults.Fault, ends bool) error {
 	h := f.Hosts[n]
 	switch x.Kind {
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// setMisbehavior begins or ends a fault of the host's sockets, of which its model knows nothing.
+// setMisbehavior begins or ends a fault that affects the host's sockets but not its model.
 func (h *Host) setMisbehavior(how faults.Kind, on bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -142,8 +142,8 @@
 	}
 }
 
-// resetOnce resets all connections, unless the fault is over. Its end is signalled under the lock,
-// so no connection is reset after it.
+// resetOnce resets all connections, unless the fault is over. The end of the fault is signalled under
+// the lock, so no connection is reset afterwards.
 func (h *Host) resetOnce(until <-chan struct{}) (over bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -159,20 +159,21 @@
 	return false
 }
 
-// currentMisbehavior returns the present fault of the host's sockets, and a channel that closes
-// when it ends.
+// currentMisbehavior returns the current fault of the host's sockets and a channel that is closed
+// when that fault ends.
 func (h *Host) currentMisbehavior() (how faults.Kind, until <-chan struct{}) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.misbehavior, h.misbehaviorEnd
 }
 
-// setRefusing stops or resumes listening. The error is that of listening or of the close.
+// setRefusing stops or resumes listening. It returns the error of listening or of closing the
+// listener.
 func (h *Host) setRefusing(on bool) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if on == h.refusing || h.kills > 0 {
-		return nil // a killed host refuses anyway, and listens when it starts
+		return nil // a killed host refuses connections already, and listens again when it starts
 	}
 	h.refusing = on
 	if on {
--- a/internal/testbed/fakes/faults_test.go
+++ b/internal/testbed/fakes/faults_test.go
@@ -16,7 +16,7 @@
 	"reachspread/internal/testbed/simulator"
 )
 
-// Each fault has the effect of its name, only on its hosts, and only while it lasts.
+// Each fault has its expected effect on its own hosts only, and only while it lasts.
 func TestFaultAffectsOnlyItsHostsWhileItLasts(t *testing.T) {
 	spec := &simulator.Spec{Seed: 1, Groups: []simulator.Group{{Count: 2, Kind: "k", Zone: "z", Host: config()}}}
 	for _, tt := range []struct {
@@ -43,23 +43,23 @@
 			}()
 			<-begun
 			if got := askOutcome(t, f.Hosts[0], string(tt.kind)); got != tt.during {
-				t.Errorf("during it: %s, want %s", got, tt.during)
+				t.Errorf("faulty host during the fault: %s, want %s", got, tt.during)
 			}
 			if got := askOutcome(t, f.Hosts[1], "other"); got != "well" {
-				t.Errorf("the other host: %s", got)
+				t.Errorf("other host during the fault: %s, want well", got)
 			}
 			<-ended
 			if err := <-over; err != nil {
 				t.Error(err)
 			}
 			if got := askOutcome(t, f.Hosts[0], "after"); got != "well" {
-				t.Errorf("after it: %s", got)
+				t.Errorf("faulty host after the fault: %s, want well", got)
 			}
 		})
 	}
 }
 
-// askOutcome asks a host once, on a connection of its own, and names what came of it.
+// askOutcome sends a request to a host on a new connection and returns a name for the outcome.
 func askOutcome(t *testing.T, h *Host, id string) string {
 	t.Helper()
 	r := scripted.NewRequest(t, h.Addr, id, nil)
@@ -88,7 +88,7 @@
 	return "well"
 }
 
-// No connection is reset once the end of the fault was signalled.
+// No connection is reset after the end of the fault was signalled.
 func TestNoConnectionIsResetAfterFaultEnds(t *testing.T) {
 	here, there := net.Pipe()
 	defer there.Close()
@@ -96,10 +96,10 @@
 	until := make(chan struct{})
 	close(until)
 	if !h.resetOnce(until) {
-		t.Error("the fault goes on")
+		t.Error("resetOnce reports that the fault has not ended")
 	}
 	go there.Write([]byte("x"))
 	if _, err := here.Read(make([]byte, 1)); err != nil {
-		t.Errorf("a connection was cut: %v", err)
+		t.Errorf("a connection was reset after the fault ended: %v", err)
 	}
 }
--- a/internal/testbed/fakes/fleet.go
+++ b/internal/testbed/fakes/fleet.go
@@ -10,34 +10,36 @@
 	"reachspread/internal/testbed/simulator"
 )
 
-// Fleet is the hosts of an experiment and the lists that name them. It owns both until Close.
+// Fleet runs the hosts of an experiment and the discovery lists that name them. It owns both until
+// Close.
 type Fleet struct {
 	Hosts []*Host // by number, from 0
-	List  *List   // the first one
+	List  *List   // the first list
 	spec  *simulator.Spec
 	sites map[*Host]hostSite
 
 	mu      sync.Mutex
 	lists   []listView
-	entries map[string]Entry // by host id, as the lists have it
+	entries map[string]Entry // by host id, with the latest state; the lists add their own addresses
 }
 
-// hostSite is what the lists say of a host beside its state.
+// hostSite holds the fixed properties of a host in the lists: its zone and its kind.
 type hostSite struct{ zone, kind string }
 
-// listView is a list that names the hosts at addresses of its own.
+// listView is a list with a function that returns the address under which it names each host.
 type listView struct {
 	list *List
 	addr func(host int) string
 }
 
-// anyPort is an address of the loopback with a port that the system chooses.
+// anyPort is a loopback address with a port that the kernel chooses.
 const anyPort = "127.0.0.1:0"
 
 // AnyPort gives each host a free port on the loopback.
 func AnyPort(int) string { return anyPort }
 
-// NewFleet starts the hosts at the addresses given for their numbers, and a list of them.
+// NewFleet starts the hosts of an experiment at the addresses that addr returns for their numbers,
+// and a discovery list of these hosts.
 func NewFleet(spec *simulator.Spec, addr func(host int) string) (f *Fleet, err error) {
 	f = &Fleet{spec: spec, sites: map[*Host]hostSite{}, entries: map[string]Entry{}}
 	defer func() {
@@ -65,8 +67,9 @@
 	return f, nil
 }
 
-// AddList starts a further list at an address, with the present entries. It names each host by the
-// address given for its number: routers on different machines may reach a host by different ones.
+// AddList starts a further list at an address, with the current entries. The list names each host by
+// the address that hosts returns for its number, because routers on different machines may reach a
+// host at different addresses.
 func (f *Fleet) AddList(addr string, hosts func(host int) string) (*List, error) {
 	l, err := NewList(addr)
 	if err != nil {
@@ -94,8 +97,8 @@
 	}
 }
 
-// UpdateList sets the state of a host in all lists. started is the start of its process in
-// milliseconds of Unix time, 0 for long ago.
+// UpdateList sets the state of a host in all lists. started is the start time of the host's process
+// as Unix time in milliseconds; 0 means long ago.
 func (f *Fleet) UpdateList(h *Host, state string, started int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -127,7 +130,7 @@
 	h.ID += "'"
 }
 
-// HostNumber is the number of the host that has or had an id, -1 for none.
+// HostNumber returns the number of the host that has or had an id, or -1 if the id names no host.
 func HostNumber(id string) int {
 	n, err := strconv.Atoi(strings.TrimRight(strings.TrimPrefix(id, "host-"), "'"))
 	if err != nil || !strings.HasPrefix(id, "host-") {
--- a/internal/testbed/fakes/host.go
+++ b/internal/testbed/fakes/host.go
@@ -1,7 +1,7 @@
-// Package fakes puts the model of package hostmodel behind real sockets: hosts that speak the
-// platform's protocol, the discovery that lists them, clients that send the requests of an
-// experiment's plan, and the configuration of a router between them. All of it runs on loopback
-// addresses. What a host does is decided by its model; this package only carries it.
+// Package fakes runs the host model of package hostmodel behind real sockets. It has hosts that speak
+// the platform's protocol, the discovery service that lists them, clients that send the requests of
+// an experiment's plan, and the configuration of a router between them. Everything runs on loopback
+// addresses. The model decides how a host behaves; this package only connects the model to sockets.
 package fakes
 
 import (
@@ -15,17 +15,17 @@
 	"reachspread/internal/testbed/hostmodel"
 )
 
-// maxBufferedResults bounds the results of one attempt that wait for a slow reader; one that is
-// further behind loses its connection.
+// maxBufferedResults bounds the buffered model results of one attempt. If the reader of the answer
+// falls further behind, the host resets its connection.
 const maxBufferedResults = 1 << 12
 
-// bodyTimeout is how long a request's body may take.
+// bodyTimeout bounds the time to receive a request, including its body.
 const bodyTimeout = 10 * time.Second
 
-// idleTimer is the first setting of a host's timer, which each step of the model sets anew.
+// idleTimer is the initial delay of a host's timer. Steps of the model reset the timer.
 const idleTimer = time.Hour
 
-// Host is a model host on a socket. It owns its server's goroutines until Close.
+// Host serves a model host on a socket. It owns its server's goroutines until Close.
 type Host struct {
 	ID, Addr string
 
@@ -35,49 +35,51 @@
 	timer          *time.Timer
 	attempts       map[string]chan hostmodel.Result // by request id
 	server         *http.Server
-	conns          map[net.Conn]bool // those that the model counts
+	conns          map[net.Conn]bool // connections that the model counts
 	probes         int
 	listener       net.Listener
-	misbehavior    faults.Kind     // what its sockets do beside the model
-	misbehaviorEnd chan struct{}   // closed when that ends
-	refusing       bool            // accepts no new connection
-	kills          int             // faults that have killed it; only their player reads it
+	misbehavior    faults.Kind     // active fault of the host's sockets, which the model does not know
+	misbehaviorEnd chan struct{}   // closed when misbehavior ends
+	refusing       bool            // the host accepts no new connections
+	kills          int             // active faults that keep the host killed
 	observer       func(HostEvent) // may be nil
-	checkToken     TokenCheck      // nil where no request has a fencing token
+	checkToken     TokenCheck      // nil if fencing tokens are not checked
 }
 
-// HostEventKind says what happened at a host.
+// HostEventKind is a kind of event at a host.
 type HostEventKind int
 
 // The kinds.
 const (
-	RequestReceived HostEventKind = iota // a request's last byte has come
-	RequestDone                          // the host has ended a request, with whatever outcome
-	Collapsed                            // too much load during its slow start killed the host
+	RequestReceived HostEventKind = iota // the last byte of a request has arrived
+	RequestDone                          // the host has ended a request, whatever its outcome
+	Collapsed                            // too much load during slow start has killed the host
 )
 
-// HostEvent is one thing that happened at a host. Conn is the other end of the request's
+// HostEvent is an event at a host. ID is the request's id and Conn the peer address of its
 // connection.
 type HostEvent struct {
 	Kind     HostEventKind
 	ID, Conn string
 }
 
-// Observe has a function called with each event from now on. It must not block, nor call the host.
+// Observe sets a function that is called with each later event. The function must not block and must
+// not call the host.
 func (h *Host) Observe(observer func(HostEvent)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.observer = observer
 }
 
-// observe reports an event. The lock is held.
+// observe reports an event to the observer. The caller holds the lock.
 func (h *Host) observe(kind HostEventKind, id, conn string) {
 	if h.observer != nil {
 		h.observer(HostEvent{kind, id, conn})
 	}
 }
 
-// NewHost starts a host at an address, which may end with port 0. The error is that of listening.
+// NewHost starts a host at an address, whose port may be 0. It returns an error if it can't listen
+// there.
 func NewHost(id, addr string, c hostmodel.Config, seed uint64) (*Host, error) {
 	h := &Host{
 		ID:       id,
@@ -90,7 +92,7 @@
 	return h, h.listen()
 }
 
-// listen begins to serve at the host's address.
+// listen starts the server at the host's address.
 func (h *Host) listen() error {
 	ln, err := net.Listen("tcp", h.Addr)
 	if err != nil {
@@ -100,7 +102,7 @@
 	defer h.mu.Unlock()
 	h.listener, h.conns, h.refusing = ln, map[net.Conn]bool{}, false
 	if addr := ln.Addr().String(); addr != h.Addr {
-		h.Addr = addr // only at the first start: others read it without the lock
+		h.Addr = addr // changes only at the first start, because callers read it without the lock
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+protocol.PathCompletions, h.handleCompletion)
@@ -111,8 +113,8 @@
 	return nil
 }
 
-// step gives the model an event and passes its results to the attempts that wait for them. The lock
-// is held.
+// step gives the model an event and passes the results to the attempts that wait for them. The
+// caller holds the lock.
 func (h *Host) step(e hostmodel.Event) []hostmodel.Result {
 	now := time.Since(h.start)
 	results := h.model.Step(now, e)
@@ -125,8 +127,8 @@
 	return results
 }
 
-// deliver passes a result to its attempt. One whose reader is too far behind sees its channel
-// closed. The lock is held.
+// deliver passes a result to its attempt. If the attempt's reader is too far behind, deliver closes
+// the attempt's channel instead. The caller holds the lock.
 func (h *Host) deliver(r hostmodel.Result) {
 	if r.Kind == hostmodel.Overloaded {
 		h.observe(Collapsed, "", "")
@@ -143,15 +145,16 @@
 	}
 }
 
-// stepTime gives the model the time that it waits for.
+// stepTime tells the model that time has passed. The host's timer calls it at the time at which the
+// model next changes.
 func (h *Host) stepTime() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.step(hostmodel.TimePassed{})
 }
 
-// trackConnection gives the model each connection's beginning and end. One that the model's table
-// has no capacity for is closed.
+// trackConnection reports the start and end of each connection to the model. It closes a new
+// connection if the model's connection table is full.
 func (h *Host) trackConnection(c net.Conn, s http.ConnState) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -172,7 +175,7 @@
 	}
 }
 
-// Step gives the model an event, such as the begin of a drain or a new speed.
+// Step gives the model an event, such as the start of a drain or a new speed.
 func (h *Host) Step(e hostmodel.Event) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -186,7 +189,7 @@
 	return h.model.Stats(time.Since(h.start))
 }
 
-// Kill ends the host's process: connections are reset, new ones refused.
+// Kill simulates the death of the host's process: it resets all connections and refuses new ones.
 func (h *Host) Kill() {
 	h.mu.Lock()
 	h.step(hostmodel.Crash{})
@@ -197,18 +200,18 @@
 	server, ln := h.server, h.listener
 	h.mu.Unlock()
 	server.Close()
-	ln.Close() // a server that has only just begun does not know it yet
+	ln.Close() // server.Close misses the listener if Serve has not registered it yet
 }
 
-// resetOnClose has the close of a connection send a reset instead of an orderly end.
+// resetOnClose makes the close of a connection send a reset instead of an orderly end.
 func resetOnClose(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
 	}
 }
 
-// Start starts a killed host at its address, with an empty cache and in slow start. The error is
-// that of listening.
+// Start starts a killed host at its address, with an empty cache and in slow start. It returns an
+// error if the host can't listen.
 func (h *Host) Start() error {
 	h.mu.Lock()
 	h.step(hostmodel.Start{})
@@ -216,7 +219,7 @@
 	return h.listen()
 }
 
-// Close ends the host for good.
+// Close ends the host permanently.
 func (h *Host) Close() {
 	h.Kill()
 	h.timer.Stop()
--- a/internal/testbed/fakes/list.go
+++ b/internal/testbed/fakes/list.go
@@ -31,11 +31,11 @@
 	Weight    float64 `json:"weight"`
 	StartedMs int64   `json:"started_ms"`
 
-	version int64 // of the list that changed it
+	version int64 // version of the list in which this entry last changed
 }
 
-// List is the platform's discovery: a versioned list of hosts, which routers read in full once and
-// then watch for changes.
+// List is a fake of the platform's discovery service: a versioned list of hosts that routers read in
+// full once and then watch for changes.
 type List struct {
 	Addr   string
 	server *http.Server
@@ -46,12 +46,12 @@
 	changed          chan bool // closed at the next change
 	observer         func([]Entry)
 	conns            map[net.Conn]bool
-	remembered       *listAnswer // the full list when Remember was called
+	remembered       *listAnswer // the full list at the time of Remember; nil before
 	servesRemembered bool
 }
 
-// Observe has a function called with the entries of each answer once it is written. It must not
-// block.
+// Observe sets a function that is called with the entries of each answer once the answer is written.
+// The function must not block.
 func (l *List) Observe(observer func([]Entry)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -61,7 +61,7 @@
 // maxWait bounds how long a watch waits for a change.
 const maxWait = time.Minute
 
-// NewList starts discovery without hosts at an address. It serves until Close.
+// NewList starts a discovery service at an address, with an empty list. It serves until Close.
 func NewList(addr string) (*List, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -81,7 +81,7 @@
 	return l, nil
 }
 
-// trackConnection keeps the open connections, which a reset closes.
+// trackConnection records the open connections, which resetLocked closes.
 func (l *List) trackConnection(c net.Conn, s http.ConnState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -92,7 +92,7 @@
 	l.conns[c] = true
 }
 
-// Close ends the server and its connections.
+// Close stops the server and closes its connections.
 func (l *List) Close() { l.server.Close() }
 
 // Set adds or replaces a host's entry. The state Gone removes the host from full lists.
@@ -105,7 +105,7 @@
 	l.notifyLocked()
 }
 
-// Remember saves the present list for ServeRemembered.
+// Remember saves the current list for ServeRemembered.
 func (l *List) Remember() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -113,8 +113,8 @@
 	l.remembered = &a
 }
 
-// ServeRemembered answers with the list that Remember saved, under its version, or with the present
-// one again. All connections are reset.
+// ServeRemembered switches between the list that Remember saved, with its version at that time, and
+// the current list. All connections are closed.
 func (l *List) ServeRemembered(on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -124,7 +124,7 @@
 	l.resetLocked()
 }
 
-// Renumber starts the versions at 1 again. All connections are reset.
+// Renumber restarts the versions at 1. All connections are closed.
 func (l *List) Renumber() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -143,14 +143,14 @@
 	l.notifyLocked()
 }
 
-// notifyLocked wakes the watches.
+// notifyLocked wakes the waiting watches.
 func (l *List) notifyLocked() {
 	close(l.changed)
 	l.changed = make(chan bool)
 }
 
-// handleTargets answers a read of the list (index 0) or a watch: the changes after a version, once
-// there are any or the wait in milliseconds is over.
+// handleTargets answers a read of the list (index 0) or a watch. A watch returns the changes after
+// the version index, once there are any or after wait milliseconds.
 func (l *List) handleTargets(w http.ResponseWriter, r *http.Request) {
 	index, indexErr := strconv.ParseInt(cmp.Or(r.FormValue("index"), "0"), 10, 64)
 	wait, waitErr := strconv.ParseInt(cmp.Or(r.FormValue("wait"), "0"), 10, 64)
@@ -172,8 +172,8 @@
 	}
 }
 
-// await returns the answer to a watch of a version once there is a change or ctx ends, and who
-// observes it.
+// await returns the answer to a read or a watch, and the observer to call with it. For a watch, it
+// waits until there is a change after version index or ctx ends.
 func (l *List) await(ctx context.Context, index int64) (listAnswer, func([]Entry)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -189,7 +189,7 @@
 	return l.answerLocked(index), l.observer
 }
 
-// answerLocked is the answer to a read or watch by now.
+// answerLocked returns the current answer to a read or a watch.
 func (l *List) answerLocked(index int64) listAnswer {
 	if !l.servesRemembered {
 		return l.changesSince(index)
@@ -200,19 +200,20 @@
 	return unchangedAnswer(l.remembered.Version)
 }
 
-// listAnswer is discovery's answer. Full is set where it has all hosts, not only changes.
+// listAnswer is discovery's answer. Full is set if it has all hosts rather than only the changes.
 type listAnswer struct {
 	Version int64   `json:"version"`
 	Full    bool    `json:"full"`
 	Servers []Entry `json:"servers"`
 }
 
-// unchangedAnswer is the answer to a watch without a change.
+// unchangedAnswer returns the answer to a watch without a change.
 func unchangedAnswer(version int64) listAnswer {
 	return listAnswer{Version: version, Servers: []Entry{}}
 }
 
-// changesSince returns the changes after a version, or all hosts for version 0. The lock is held.
+// changesSince returns the changes after a version, or all hosts for version 0. The caller holds the
+// lock.
 func (l *List) changesSince(index int64) listAnswer {
 	a := listAnswer{Version: l.version, Full: index == 0, Servers: []Entry{}}
 	for _, id := range slices.Sorted(maps.Keys(l.entries)) {
--- a/internal/testbed/fakes/routerconfig.go
+++ b/internal/testbed/fakes/routerconfig.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// RouterSite is where a router runs and what it may use.
+// RouterSite gives a router's addresses, its location, its resource limits and its peers.
 type RouterSite struct {
 	Name, Listen, Discovery string // Discovery is empty for the fleet's first list
 	Seed                    uint64
-	Zone                    string  // empty for that of the first hosts
-	Memory, Sockets         int     // limits, in MB and descriptors; 0 for the defaults
+	Zone                    string  // empty for the zone of the first group of hosts
+	Memory, Sockets         int     // limits in MB and file descriptors; 0 for the defaults
 	Cores                   float64 // 0 for the default
 
-	Index      int // among Peers
+	Index      int // this router's index in Peers
 	PeerListen string
-	Peers      []string // the addresses of all routers, itself included; none for a router alone
+	Peers      []string // addresses of all routers including this one; empty for a single router
 }
 
-// The limits of a router whose site states none.
+// The default limits of a router.
 const (
 	defaultMemoryMB = 256
 	defaultSockets  = 1024
@@ -31,8 +31,8 @@
 // stopSendingWithin is how long after a host begins to drain a router may still send it requests.
 const stopSendingWithin = 500 * time.Millisecond
 
-// The messages of a router's configuration file, in the platform's names. Their fields stand in the
-// order of these names.
+// The objects of a router's configuration file, with the platform's names in the JSON tags. The
+// fields are ordered by these names.
 type (
 	routerConfig struct {
 		Discovery string       `json:"discovery"`
@@ -111,8 +111,8 @@
 	}
 )
 
-// RouterConfig is the configuration file of a router of this fleet, with the classes of the
-// experiment as its services.
+// RouterConfig returns the configuration file of a router of this fleet. The classes of the
+// experiment become the router's services.
 func (f *Fleet) RouterConfig(at RouterSite) []byte {
 	if at.Zone == "" && len(f.spec.Groups) > 0 {
 		at.Zone = f.spec.Groups[0].Zone
@@ -135,12 +135,12 @@
 	}
 	text, err := json.Marshal(config)
 	if err != nil {
-		panic(fmt.Sprintf("the configuration of router %s has a value that JSON lacks: %v", at.Name, err))
+		panic(fmt.Sprintf("the configuration of router %s can't be encoded as JSON: %v", at.Name, err))
 	}
 	return text
 }
 
-// routerSettings are the settings of a router that the experiment states.
+// routerSettings returns the settings of a router, derived from the experiment and the router's site.
 func (f *Fleet) routerSettings(at *RouterSite) routerSettings {
 	b := &f.spec.Balance
 	return routerSettings{
@@ -172,7 +172,7 @@
 	}
 }
 
-// extraSettings are the latency targets by prompt length and by token.
+// extraSettings returns the latency targets per 1000 prompt tokens and per answer token, by class.
 func (f *Fleet) extraSettings() extraSettings {
 	extra := extraSettings{ReportX1: "thousands of prompt tokens waiting to be read"}
 	for _, c := range f.spec.Classes {
@@ -183,7 +183,7 @@
 	return extra
 }
 
-// services are the experiment's classes.
+// services returns the services of a router, one for each class of the experiment.
 func (f *Fleet) services() (services []serviceSettings) {
 	for _, c := range f.spec.Classes {
 		services = append(services, serviceSettings{
--- a/internal/testbed/fakes/routerconfig_test.go
+++ b/internal/testbed/fakes/routerconfig_test.go
@@ -10,8 +10,8 @@
 	"reachspread/internal/testbed/simulator"
 )
 
-// The configuration files have the bytes that routers of earlier versions were started with. Those
-// under testdata were written by the code of 46689a5.
+// The configuration files are byte for byte the same as those with which routers of earlier versions
+// were started. The files under testdata were written by the code of commit 46689a5.
 func TestRouterConfigKeepsItsBytes(t *testing.T) {
 	spec := &simulator.Spec{Seed: 1, Tick: 5 * ms, Groups: []simulator.Group{{Count: 1, Kind: "k", Zone: "z", Host: config()}}}
 	var c simulator.Class
--- a/internal/testbed/fakes/serve.go
+++ b/internal/testbed/fakes/serve.go
@@ -20,12 +20,13 @@
 const (
 	maxBodyBytes      = 256 << 10
 	tokensPerEvent    = 4
-	bytesPerToken     = 4   // of a prompt whose request does not state its tokens
-	defaultMeanTokens = 100 // of an answer whose request does not state its length
-	defaultMaxTokens  = 800 // the limit of an answer
+	bytesPerToken     = 4   // body bytes per prompt token, if the request does not state its prompt tokens
+	defaultMeanTokens = 100 // mean answer length in tokens, if the request does not state one
+	defaultMaxTokens  = 800 // largest answer in tokens; a request may state a lower limit
 )
 
-// The events of an answer's stream.
+// The formats of the events in an answer's stream. garbageLine is no valid event; the fault Garbage
+// inserts it.
 const (
 	contentEvent = `data: {"choices":[{"index":0,"delta":{"content":%q},"finish_reason":null}]}` + "\n\n"
 	finishEvent  = `data: {"choices":[{"index":0,"delta":{},"finish_reason":"stop"}]}` + "\n\n"
@@ -35,19 +36,20 @@
 	garbageLine  = "\x00\x01 no event at all\n"
 )
 
-// TokenCheck judges a request under a singleton role by its fencing token: accepted is false if a
-// higher token was seen, which the check then returns. conn is the other end of the connection.
+// TokenCheck checks the fencing token of a request under a singleton role. accepted is false if the
+// check has seen a higher token, which it then returns as highest. conn is the peer address of the
+// request's connection.
 type TokenCheck func(role string, token uint64, conn string) (highest uint64, accepted bool)
 
-// CheckFencingTokens has each request under a singleton role pass a check first.
+// CheckFencingTokens sets the check that each later request under a singleton role must pass.
 func (h *Host) CheckFencingTokens(check TokenCheck) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.checkToken = check
 }
 
-// rejectStaleToken answers a request whose fencing token is malformed or older than one seen
-// before, and reports whether it did.
+// rejectStaleToken rejects a request whose fencing token is malformed or lower than one seen before.
+// It reports whether it rejected the request.
 func (h *Host) rejectStaleToken(w http.ResponseWriter, r *http.Request) bool {
 	role, tokenText, hasRole := strings.Cut(r.Header.Get(protocol.HeaderFencingToken), " ")
 	h.mu.Lock()
@@ -70,11 +72,12 @@
 	return true
 }
 
-// completionRequest is what a request's body states for the model. A router passes on the body but
-// few headers, so what a real host would compute from the text stands in fields of its own.
+// completionRequest has the fields of a request's body that the model needs. A real host would
+// compute some of them from the text. They are in the body because a router forwards the body but
+// only few headers.
 type completionRequest struct {
 	MaxTokens int    `json:"max_tokens"`
-	Out       int    `json:"lab_out"` // true length of the answer, in tokens
+	Out       int    `json:"lab_out"` // actual length of the answer, in tokens
 	Prompt    int    `json:"lab_prompt"`
 	Session   string `json:"lab_session"`
 	Prefix    string `json:"lab_prefix"`
@@ -106,7 +109,8 @@
 	h.streamAnswer(r.Context(), w, &request, results)
 }
 
-// begin gives the model a request. ok is false if an attempt of it is in flight here.
+// begin gives the model a request and returns the channel of its results. ok is false if the host
+// already has an attempt of the request in flight.
 func (h *Host) begin(request *hostmodel.Request, conn string) (results chan hostmodel.Result, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -120,7 +124,8 @@
 	return results, true
 }
 
-// end observes the end of an attempt, and cancels it if the model still works on it.
+// end reports the end of an attempt to the observer and cancels the attempt if the model still works
+// on it.
 func (h *Host) end(id, conn string, results chan hostmodel.Result) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -131,8 +136,9 @@
 	}
 }
 
-// parseRequest reads what the model needs from a body. Where the body does not state it, a drawn
-// length by the request's id stands in; a body that isn't JSON states nothing.
+// parseRequest reads the model's request from a body. If the body does not state the prompt length,
+// parseRequest derives it from the size of the body. If the body does not state the answer length,
+// parseRequest draws one, seeded by the request's id. A body that isn't JSON states nothing.
 func parseRequest(id string, body []byte) hostmodel.Request {
 	var stated completionRequest
 	json.Unmarshal(body, &stated)
@@ -161,19 +167,20 @@
 	return request
 }
 
-// answerStream writes the answer of one request, an event for each few tokens.
+// answerStream writes the answer of one request as a stream with up to tokensPerEvent tokens per
+// event.
 type answerStream struct {
 	host    *Host
 	ctx     context.Context
 	w       http.ResponseWriter
 	request *hostmodel.Request
-	made    int // tokens
-	cached  int // tokens of the prompt that the prefix cache had
+	made    int // tokens of the answer so far
+	cached  int // prompt tokens found in the prefix cache
 	pending strings.Builder
 }
 
-// streamAnswer writes the model's results for a request as they come, until its end, its rejection
-// or the end of ctx.
+// streamAnswer writes the model's results for a request as they arrive, until the request ends or is
+// rejected, or ctx ends.
 func (h *Host) streamAnswer(ctx context.Context, w http.ResponseWriter, request *hostmodel.Request, results <-chan hostmodel.Result) {
 	s := &answerStream{host: h, ctx: ctx, w: w, request: request}
 	for {
@@ -200,7 +207,7 @@
 	}
 }
 
-// reject answers that the host had no capacity and did nothing.
+// reject answers that the host had no capacity and did not process the request.
 func (s *answerStream) reject() {
 	s.host.forget(s.request.ID)
 	s.w.Header().Set(protocol.HeaderUnprocessed, "1")
@@ -208,7 +215,7 @@
 	http.Error(s.w, "turned away", http.StatusServiceUnavailable)
 }
 
-// addToken adds a token to the answer. The first one goes out at once.
+// addToken adds a token to the answer. The first token is sent at once.
 func (s *answerStream) addToken(cachedTokens int) {
 	s.made++
 	if s.made == 1 {
@@ -221,7 +228,8 @@
 	}
 }
 
-// flush writes the pending tokens as an event, after what a fault of the host's sockets does to it.
+// flush writes the pending tokens as an event. During the fault Stall it first waits for the end of
+// the fault; during Garbage it first writes an invalid line.
 func (s *answerStream) flush() {
 	if s.pending.Len() == 0 {
 		return
@@ -248,14 +256,14 @@
 		s.request.PromptTokens, s.made, s.cached, protocol.HeaderLoad, s.host.loadReport())
 }
 
-// forget ends an attempt that the model has ended by itself.
+// forget removes an attempt that the model has already ended.
 func (h *Host) forget(id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.attempts, id)
 }
 
-// loadReport is the host's load as it goes over the wire.
+// loadReport returns the host's load in wire format.
 func (h *Host) loadReport() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -267,7 +275,7 @@
 	return fmt.Sprintf(`{"inflight":%d,"queue":%d,"util":%.3f,"x0":%.3f,"x1":%.3f}`, l.Running, l.Waiting, l.Utilization, l.Memory, l.PrefillThousands)
 }
 
-// handleLoad answers a health check, with a load report on the path of reports.
+// handleLoad answers a health check. On the path of load reports, it adds a load report.
 func (h *Host) handleLoad(w http.ResponseWriter, r *http.Request) {
 	status, report := h.checkHealth()
 	w.WriteHeader(status)
@@ -276,7 +284,8 @@
 	}
 }
 
-// checkHealth asks the model whether it answers a health check at once.
+// checkHealth sends the model a health check. It returns status 200 and a load report if the model
+// answers at once, else status 503.
 func (h *Host) checkHealth() (status int, report string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
