--- a/internal/testbed/fakes/attempt.go
+++ b/internal/testbed/fakes/attempt.go
@@ -62,13 +62,13 @@
 
 // attempt is one attempt of a request, from the client's side.
 type attempt struct {
-	clients    *Clients
-	id, router string
-	body       string
-	content    io.Reader // yields body in the chunks and at the pace of this client
-	due, until time.Time
-	gaveUp     *time.Timer // ends the attempt unless the answer has begun
-	begun      atomic.Bool // the client has read a token of the answer
+	clients     *Clients
+	id, router  string
+	body        string
+	content     io.Reader // yields body in the chunks and at the pace of this client
+	due, until  time.Time
+	giveUpTimer *time.Timer // ends the attempt unless the answer has begun
+	begun       atomic.Bool // the client has read a token of the answer
 
 	conn    atomic.Pointer[clientConn] // the connection on which the request was last sent
 	reused  atomic.Bool                // conn was idle after another request, or was opened for a request that then used a different one
@@ -80,8 +80,8 @@
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	a := &attempt{clients: c, id: id, due: due, until: until}
-	a.gaveUp = time.AfterFunc(time.Until(until.Add(c.Grace)), func() { a.giveUp(cancel, maxUnreadChecks) })
-	defer a.gaveUp.Stop()
+	a.giveUpTimer = time.AfterFunc(time.Until(until.Add(c.Grace)), func() { a.giveUp(cancel, maxUnreadChecks) })
+	defer a.giveUpTimer.Stop()
 	a.router = c.RouterFor(p)
 	if a.router == "" {
 		return attemptOutcome{how: history.Unreached}
@@ -306,7 +306,7 @@
 		if bytes.Contains(line, []byte(`"content":`)) {
 			if outcome.tokens == 0 {
 				a.begun.Store(true) // a client that has received a token waits for the rest of the answer
-				a.gaveUp.Stop()
+				a.giveUpTimer.Stop()
 				outcome.first = time.Since(a.due)
 				a.observeAnswer(history.Event{What: history.First, ID: a.id})
 			}
--- a/internal/testbed/fakes/clientconn.go
+++ b/internal/testbed/fakes/clientconn.go
@@ -27,7 +27,7 @@
 	afterWrite func()                    // called after bytes were handed to the kernel; may be nil
 	writing    atomic.Int32              // writes in progress
 	sent       atomic.Int64              // bytes sent over the connection
-	sentSoFar  atomic.Int64              // value of sent at the start of the current request
+	sentBefore atomic.Int64              // value of sent at the start of the current request
 	timeLeft   atomic.Int64              // time left that the current request states, in nanoseconds
 	began      atomic.Pointer[time.Time] // when the first byte of the current request left; nil before that
 	arrived    atomic.Pointer[time.Time] // when the most recently read bytes arrived; nil before the first read
@@ -91,7 +91,7 @@
 // beginRequest marks the start of a new request on the connection. timeLeft is how long its client
 // waits, as the request states it.
 func (c *clientConn) beginRequest(timeLeft time.Duration) {
-	c.sentSoFar.Store(c.sent.Load())
+	c.sentBefore.Store(c.sent.Load())
 	c.timeLeft.Store(timeLeft.Nanoseconds())
 	c.began.Store(nil)
 }
@@ -121,7 +121,7 @@
 func (c *clientConn) Close() error {
 	c.closing.Do(func() {
 		c.awaitWrites()
-		c.unread = c.sent.Load() == c.sentSoFar.Load() || c.wasReset()
+		c.unread = c.sent.Load() == c.sentBefore.Load() || c.wasReset()
 	})
 	return c.TCPConn.Close()
 }
