--- a/internal/testbed/faultproxy/faultproxy_test.go
+++ b/internal/testbed/faultproxy/faultproxy_test.go
@@ -20,20 +20,20 @@
 )
 
 const (
-	ms       = time.Millisecond
-	patience = 10 * time.Second // only a failure waits for it
+	ms           = time.Millisecond
+	eventTimeout = 10 * time.Second // long enough for every expected event; only a failing test waits so long
 )
 
-// routers are sockets in place of routers, and a mesh between them.
+// routers is a set of sockets that stand for routers, and the mesh between them.
 type routers struct {
-	t     *testing.T
-	conns []*net.UDPConn
-	mesh  *Mesh
-	wide  chan int
+	t         *testing.T
+	conns     []*net.UDPConn
+	mesh      *Mesh
+	oversized chan int
 }
 
 func newRouters(t *testing.T, n int) *routers {
-	r := &routers{t: t, wide: make(chan int, 10)}
+	r := &routers{t: t, oversized: make(chan int, 10)}
 	var listen, at []netip.AddrPort
 	for range n {
 		c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -46,7 +46,7 @@
 		at = append(at, netip.MustParseAddrPort("127.0.0.1:0"))
 	}
 	var err error
-	r.mesh, err = NewMesh(listen, at, 1, 256, func(_, n int) { r.wide <- n })
+	r.mesh, err = NewMesh(listen, at, 1, 256, func(_, n int) { r.oversized <- n })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,89 +65,89 @@
 	}
 }
 
-// hear returns the next datagram of a router, and that it came from where the router reaches its
-// sender.
-func (r *routers) hear(j, from int) string {
+// receive returns the next datagram that router j receives. It checks that the source address is the
+// address at which the other routers reach the sender, router from.
+func (r *routers) receive(j, from int) string {
 	r.t.Helper()
-	r.conns[j].SetReadDeadline(time.Now().Add(patience))
+	r.conns[j].SetReadDeadline(time.Now().Add(eventTimeout))
 	var buf [4096]byte
 	n, sender, err := r.conns[j].ReadFromUDPAddrPort(buf[:])
 	if err != nil {
 		r.t.Fatal(err)
 	}
 	if sender != r.addr(from) {
-		r.t.Errorf("from %v, want %v", sender, r.addr(from))
+		r.t.Errorf("datagram has source address %v, want %v", sender, r.addr(from))
 	}
 	return string(buf[:n])
 }
 
-// Datagrams come from the address at which the receiver knows the sender; a blackhole of one
-// direction leaves the other, and a partition its bridge; a corrupted datagram differs in one bit;
-// an oversized one is reported.
+// Datagrams arrive from the address at which the receiver reaches the sender. A blackhole of one
+// direction does not affect the other direction, and a partition does not affect its bridge. A
+// corrupted datagram differs in one bit. An oversized datagram is reported.
 func TestMeshForwardsUnderLinkConditions(t *testing.T) {
 	r := newRouters(t, 3)
 	shape := &faults.Topology{Routers: []string{"", "", ""}}
 	set := func(all ...faults.Fault) { r.mesh.Set(faults.Resolve(all, shape, 1)) }
 	r.send(0, 1, "one")
 	r.send(1, 0, "two")
-	if a, b := r.hear(1, 0), r.hear(0, 1); a != "one" || b != "two" {
-		t.Errorf("got %q and %q", a, b)
+	if a, b := r.receive(1, 0), r.receive(0, 1); a != "one" || b != "two" {
+		t.Errorf("received %q and %q without faults, want one and two", a, b)
 	}
 	set(faults.Fault{Kind: faults.Blackhole, Routers: faults.Selection{Numbers: []int{0}}, Direction: faults.Out})
 	r.send(0, 1, "lost")
 	r.send(1, 0, "comes")
-	if got := r.hear(0, 1); got != "comes" {
-		t.Errorf("against the cut: %q", got)
+	if got := r.receive(0, 1); got != "comes" {
+		t.Errorf("received %q in the direction without a blackhole, want comes", got)
 	}
 	set(faults.Fault{Kind: faults.Partition, Groups: [][]int{{0}, {1}}, Bridge: []int{2}})
 	r.send(0, 1, "lost too")
 	r.send(0, 2, "over the bridge")
 	r.send(2, 1, "and on")
-	if a, b := r.hear(2, 0), r.hear(1, 2); a != "over the bridge" || b != "and on" { // the first that came to 1 at all
-		t.Errorf("got %q and %q", a, b)
+	if a, b := r.receive(2, 0), r.receive(1, 2); a != "over the bridge" || b != "and on" { // the first datagram that router 1 received since the start of the partition
+		t.Errorf("received %q and %q across the bridge", a, b)
 	}
 	set(faults.Fault{Kind: faults.Flip, Share: 1, Routers: faults.Selection{All: true}}, faults.Fault{Kind: faults.Duplicate, Share: 1, Routers: faults.Selection{All: true}})
 	r.send(0, 1, "abcd")
 	for range 2 {
-		got, bits := r.hear(1, 0), 0
+		got, bits := r.receive(1, 0), 0
 		for i := range got {
 			for x := got[i] ^ "abcd"[i]; x != 0; x &= x - 1 {
 				bits++
 			}
 		}
 		if len(got) != 4 || bits != 1 {
-			t.Errorf("got %q", got)
+			t.Errorf("received %q, want abcd with one bit flipped", got)
 		}
 	}
 	set(faults.Fault{Kind: faults.Delay, Delay: 80 * ms, Routers: faults.Selection{All: true}})
 	begun := time.Now()
 	r.send(0, 1, "late")
-	if got := r.hear(1, 0); got != "late" || time.Since(begun) < 80*ms {
-		t.Errorf("%q after %v", got, time.Since(begun))
+	if got := r.receive(1, 0); got != "late" || time.Since(begun) < 80*ms {
+		t.Errorf("%q arrived after %v, want late after 80ms at least", got, time.Since(begun))
 	}
 	set()
 	r.send(0, 1, string(make([]byte, 257)))
-	if got := len(r.hear(1, 0)); got != 257 || <-r.wide != 257 {
-		t.Errorf("%d bytes", got)
+	if got := len(r.receive(1, 0)); got != 257 || <-r.oversized != 257 {
+		t.Errorf("received %d bytes, want 257, reported as oversized", got)
 	}
 }
 
-// closings is an Observer.
-type closings chan string
+// closedConns is an Observer that sends the address of each closed connection on a channel.
+type closedConns chan string
 
-func (c closings) Closed(conn string) { c <- conn }
+func (c closedConns) Closed(conn string) { c <- conn }
 
-// pair is a proxy before an echo server.
-type pair struct {
+// echoProxy is a proxy whose target is an echo server.
+type echoProxy struct {
 	t      *testing.T
-	relay  *ConnProxy
-	closed closings
+	proxy  *ConnProxy
+	closed closedConns
 	mu     sync.Mutex
-	from   []string // who connected
+	from   []string // source addresses of the connections that the echo server accepted
 }
 
-func newPair(t *testing.T) *pair {
-	p := &pair{t: t, closed: make(closings, 100)}
+func newEchoProxy(t *testing.T) *echoProxy {
+	p := &echoProxy{t: t, closed: make(closedConns, 100)}
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -168,23 +168,23 @@
 			}()
 		}
 	}()
-	if p.relay, err = NewConnProxy("127.0.0.1:0", ln.Addr().String(), 1, 1, p.closed); err != nil {
+	if p.proxy, err = NewConnProxy("127.0.0.1:0", ln.Addr().String(), 1, 1, p.closed); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(p.relay.Close)
+	t.Cleanup(p.proxy.Close)
 	return p
 }
 
-func (p *pair) set(c faults.Condition) {
+func (p *echoProxy) set(c faults.Condition) {
 	p.t.Helper()
-	if err := p.relay.Set(c, c); err != nil {
+	if err := p.proxy.Set(c, c); err != nil {
 		p.t.Fatal(err)
 	}
 }
 
-func (p *pair) dial() net.Conn {
+func (p *echoProxy) dial() net.Conn {
 	p.t.Helper()
-	c, err := net.DialTimeout("tcp4", p.relay.Addr(), patience)
+	c, err := net.DialTimeout("tcp4", p.proxy.Addr(), eventTimeout)
 	if err != nil {
 		p.t.Fatal(err)
 	}
@@ -193,7 +193,7 @@
 }
 
 // echo sends a text and reads it back.
-func (p *pair) echo(c net.Conn, text string, within time.Duration) error {
+func (p *echoProxy) echo(c net.Conn, text string, within time.Duration) error {
 	c.SetDeadline(time.Now().Add(within))
 	if _, err := io.WriteString(c, text); err != nil {
 		return err
@@ -203,30 +203,30 @@
 		return err
 	}
 	if string(got) != text {
-		p.t.Errorf("%.20q came back as %.20q", text, got)
+		p.t.Errorf("the echo of %.20q is %.20q", text, got)
 	}
 	return nil
 }
 
-// All bytes come in their order, whatever is delayed; the close of the near side is reported with
-// the address that the far side knows.
+// All bytes arrive in order, even if chunks are delayed. The close of the near side is reported with
+// the address that the far side sees.
 func TestConnProxyKeepsByteOrder(t *testing.T) {
-	p := newPair(t)
+	p := newEchoProxy(t)
 	c := p.dial()
 	big := string(bytes.Repeat([]byte("0123456789"), 50000))
 	go io.WriteString(c, big)
 	got := make([]byte, len(big))
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(eventTimeout))
 	if _, err := io.ReadFull(c, got); err != nil || string(got) != big {
-		t.Fatalf("half a megabyte: %v", err)
+		t.Fatalf("echo of half a megabyte differs or failed: %v", err)
 	}
 	p.set(faults.Condition{Delay: 30 * ms, Jitter: 20 * ms})
 	begun := time.Now()
-	if err := p.echo(c, "late", patience); err != nil || time.Since(begun) < 60*ms {
-		t.Errorf("%v after %v", err, time.Since(begun))
+	if err := p.echo(c, "late", eventTimeout); err != nil || time.Since(begun) < 60*ms {
+		t.Errorf("echo over a delayed link: error %v after %v, want none after 60ms at least", err, time.Since(begun))
 	}
 	p.set(faults.Condition{})
-	if err := p.echo(c, "in time", patience); err != nil {
+	if err := p.echo(c, "in time", eventTimeout); err != nil {
 		t.Error(err)
 	}
 	c.Close()
@@ -235,40 +235,40 @@
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		if !slices.Contains(p.from, conn) {
-			t.Errorf("%s was closed; the far side knows %v", conn, p.from)
+			t.Errorf("closed connection is reported as %s; the far side sees %v", conn, p.from)
 		}
-	case <-time.After(patience):
-		t.Error("no word of the close")
+	case <-time.After(eventTimeout):
+		t.Error("timed out waiting for the report of the close")
 	}
 }
 
-// A blackhole leaves open connections open, and new ones unanswered. When it ends, connections that
-// were open are reset, and new ones are accepted.
+// During a blackhole, open connections stay open and new ones get no answer. When the blackhole ends,
+// the connections that were open are reset and new ones are accepted.
 func TestBlackholeLeavesConnectionsUnanswered(t *testing.T) {
-	p := newPair(t)
+	p := newEchoProxy(t)
 	for round := range 3 {
 		c := p.dial()
-		if err := p.echo(c, "before", patience); err != nil {
+		if err := p.echo(c, "before", eventTimeout); err != nil {
 			t.Fatal(err)
 		}
 		p.set(faults.Condition{Blackholed: true})
 		if err := p.echo(c, "x", 50*ms); !errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("round %d: what is open: %v", round, err)
+			t.Errorf("round %d: echo over an open connection during the blackhole: %v, want a timeout", round, err)
 		}
 		for range 3 {
-			if x, err := net.DialTimeout("tcp4", p.relay.Addr(), 60*ms); !timedOut(err) {
-				t.Errorf("round %d: a new connection: %v", round, err)
+			if x, err := net.DialTimeout("tcp4", p.proxy.Addr(), 60*ms); !timedOut(err) {
+				t.Errorf("round %d: new connection during the blackhole: %v, want a timeout", round, err)
 				if x != nil {
 					x.Close()
 				}
 			}
 		}
 		p.set(faults.Condition{})
-		if err := p.echo(c, "y", patience); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("round %d: open across the cut: %v", round, err)
+		if err := p.echo(c, "y", eventTimeout); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+			t.Errorf("round %d: connection that was open during the blackhole: %v, want a reset", round, err)
 		}
-		if err := p.echo(p.dial(), "after", patience); err != nil {
-			t.Errorf("round %d: after the cut: %v", round, err)
+		if err := p.echo(p.dial(), "after", eventTimeout); err != nil {
+			t.Errorf("round %d: new connection after the blackhole: %v", round, err)
 		}
 	}
 }
@@ -278,41 +278,41 @@
 	return errors.As(err, &e) && e.Timeout()
 }
 
-// A proxy that refuses does so at once, also while a blackhole begins or ends, and accepts again
-// afterwards.
+// A refusing proxy refuses connections at once, even while a blackhole begins or ends, and accepts
+// connections again afterwards.
 func TestRefusingProxyRefusesAtOnce(t *testing.T) {
-	p := newPair(t)
+	p := newEchoProxy(t)
 	refused := func(when string) {
 		t.Helper()
-		if _, err := net.DialTimeout("tcp4", p.relay.Addr(), patience); !errors.Is(err, syscall.ECONNREFUSED) {
-			t.Errorf("%s: %v", when, err)
+		if _, err := net.DialTimeout("tcp4", p.proxy.Addr(), eventTimeout); !errors.Is(err, syscall.ECONNREFUSED) {
+			t.Errorf("%s: dialing a refusing proxy: %v, want connection refused", when, err)
 		}
 	}
 	refuse := func(on bool) {
 		t.Helper()
-		if err := p.relay.Refuse(on); err != nil {
+		if err := p.proxy.Refuse(on); err != nil {
 			t.Fatal(err)
 		}
 	}
 	refuse(true)
-	refused("first")
+	refused("before a blackhole")
 	p.set(faults.Condition{Blackholed: true})
-	refused("in a cut")
+	refused("during a blackhole")
 	refuse(false)
-	if _, err := net.DialTimeout("tcp4", p.relay.Addr(), 60*ms); !timedOut(err) {
-		t.Errorf("cut alone: %v", err)
+	if _, err := net.DialTimeout("tcp4", p.proxy.Addr(), 60*ms); !timedOut(err) {
+		t.Errorf("dialing a blackholed proxy that does not refuse: %v, want a timeout", err)
 	}
 	refuse(true)
-	refused("again in a cut")
+	refused("again during the blackhole")
 	p.set(faults.Condition{})
-	refused("after the cut")
+	refused("after the blackhole")
 	refuse(false)
-	if err := p.echo(p.dial(), "after", patience); err != nil {
+	if err := p.echo(p.dial(), "after", eventTimeout); err != nil {
 		t.Error(err)
 	}
 }
 
-// A connection to an absent far side is accepted, and reset at once.
+// If the far side does not listen, the proxy accepts a connection and resets it at once.
 func TestAbsentTargetResetsConnection(t *testing.T) {
 	r, err := NewConnProxy("127.0.0.1:0", "127.0.0.1:1", 1, 1, nil)
 	if err != nil {
@@ -321,21 +321,22 @@
 	defer r.Close()
 	c, err := net.Dial("tcp4", r.Addr())
 	if errors.Is(err, syscall.ECONNRESET) {
-		return // it was faster than the word that the connection is up
+		return // the reset arrived before Dial had returned
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(eventTimeout))
 	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) && err != io.EOF {
-		t.Errorf("got %v", err)
+		t.Errorf("read from a connection without a far side: %v, want a reset or EOF", err)
 	}
 }
 
 var measure = flag.Bool("measure", false, "run the measurements")
 
-// Measures the round-trip time that a proxy adds to an echo, over a connection and over datagrams.
+// Measures the round-trip times of echoes with and without a proxy, over a connection and over
+// datagrams.
 func TestMeasureDelay(t *testing.T) {
 	if !*measure {
 		t.Skip("a measurement; run with -measure")
@@ -356,14 +357,14 @@
 		}
 		return h
 	}
-	p := newPair(t)
-	plain, err := net.Dial("tcp4", p.relay.target)
+	p := newEchoProxy(t)
+	plain, err := net.Dial("tcp4", p.proxy.target)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer plain.Close()
 	show("connection", echo(plain))
-	show("connection through a relay", echo(p.dial()))
+	show("connection through a proxy", echo(p.dial()))
 
 	r := newRouters(t, 2)
 	go func() {
@@ -381,7 +382,7 @@
 		for range echoes {
 			begun := time.Now()
 			r.conns[0].WriteToUDPAddrPort(buf, to)
-			r.conns[0].SetReadDeadline(time.Now().Add(patience))
+			r.conns[0].SetReadDeadline(time.Now().Add(eventTimeout))
 			if _, _, err := r.conns[0].ReadFromUDPAddrPort(buf); err != nil {
 				t.Fatal(err)
 			}
@@ -393,10 +394,10 @@
 	show("datagram through the mesh", round(r.addr(1)))
 }
 
-// A link whose listener's one place another connection has taken, so that the plug found none, is
-// restored like any other.
+// A link without a plug is restored like any other. The plug is missing if another connection
+// already filled the listener's accept queue.
 func TestLinkWithoutPlugIsRestored(t *testing.T) {
-	target, err := net.Listen("tcp4", "127.0.0.1:0") // a far side that refuses would have the proxy reset its client
+	target, err := net.Listen("tcp4", "127.0.0.1:0") // without a far side, the proxy would reset its client
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -427,7 +428,7 @@
 	far.Close()
 }
 
-// When the near side sent something is told by its system, however late the proxy forwards it.
+// SentAt returns when the near side sent its data, however late the proxy forwards them.
 func TestSentAtIsWhenNearSideSent(t *testing.T) {
 	const delay, precision = 300 * time.Millisecond, 100 * time.Millisecond
 	far, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -455,7 +456,7 @@
 	defer accepted.Close()
 	conn := accepted.RemoteAddr().String()
 	if !proxy.SentAt(conn).IsZero() || !proxy.SentAt("127.0.0.1:1").IsZero() {
-		t.Error("it knows when something was sent before anything was")
+		t.Error("SentAt returns a time before anything was sent, or for an unknown connection")
 	}
 	before := time.Now()
 	near.Write([]byte("x"))
@@ -463,6 +464,6 @@
 	accepted.Read(make([]byte, 1))
 	forwarded := time.Since(before)
 	if at := proxy.SentAt(conn); at.Before(before.Add(-precision)) || at.After(after.Add(precision)) {
-		t.Errorf("sent %v after the write, forwarded after %v", at.Sub(before), forwarded)
+		t.Errorf("SentAt is %v after the write, want about 0; the data were forwarded after %v", at.Sub(before), forwarded)
 	}
 }
--- a/internal/testbed/faultproxy/tcp.go
+++ b/internal/testbed/faultproxy/tcp.go
@@ -14,31 +14,32 @@
 
 const (
 	chunkBytes = 16 << 10
-	// maxQueuedChunks bounds what one direction of a connection queues; a sender of more waits, as
-	// on a wire.
+	// maxQueuedChunks bounds the queued chunks of one direction of a connection. A sender of more
+	// data is blocked, as on a real link.
 	maxQueuedChunks = 16
 	// dialTimeout bounds a connection attempt to the far side.
 	dialTimeout = 2 * time.Second
-	// defaultBacklog is the length of a listener's queue while the link is not blackholed.
+	// defaultBacklog is the length of a listener's accept queue while the link is not blackholed.
 	defaultBacklog = 1024
 )
 
-// Observer observes connections as the near side sees them. Its methods must not block.
+// Observer is notified of events on the near side of proxied connections. Its methods must not block.
 type Observer interface {
-	// Closed is called when the near side has closed a connection, which the far side knows by this
-	// address.
+	// Closed is called when the near side has closed a connection. conn is the address of the
+	// connection that the far side sees.
 	Closed(conn string)
 }
 
-// ConnProxy forwards connections from its address to a target, under the conditions of a link. Its
-// goroutines end with Close.
+// ConnProxy forwards connections from its address to a target and applies the conditions of a link to
+// them. The near side is the process that connects to the proxy; the far side is the target. Close
+// ends the proxy's goroutines.
 type ConnProxy struct {
 	addr, target string
-	dialer       net.Dialer // from its own IP address, so that the far side can tell proxies apart
+	dialer       net.Dialer // dials from the proxy's own IP address, so that the far side can tell proxies apart
 	observer     Observer   // may be nil
 	goroutines   sync.WaitGroup
-	// accepting is held while a connection is accepted. It may be locked with mu held, but mu not
-	// with accepting held.
+	// accepting is held while a connection is accepted. Lock order: accepting may be locked while mu
+	// is held, but mu must not be locked while accepting is held.
 	accepting sync.Mutex
 
 	mu         sync.Mutex
@@ -47,21 +48,22 @@
 	inbound    *faults.Link
 	blackholed bool      // in either direction
 	restored   chan bool // closed once the link is not blackholed
-	plug       net.Conn  // occupies the listener's queue while the link is blackholed
+	plug       net.Conn  // occupies the listener's accept queue while the link is blackholed
 	conns      map[*proxiedConn]bool
 	closed     bool
-	refusing   bool // does not listen
+	refusing   bool // the proxy does not listen, so that connections are refused
 }
 
-// proxiedConn is one connection, of two sockets.
+// proxiedConn is one proxied connection with its two sockets.
 type proxiedConn struct {
 	near, far  *net.TCPConn
-	blackholed bool      // the link was blackholed meanwhile: it is reset when that ends
-	sentAt     time.Time // when what the near side sent last came; mu of the proxy guards it
+	blackholed bool      // the link was blackholed while the connection was open; restoring the link resets it
+	sentAt     time.Time // when the near side's most recent data arrived; guarded by the proxy's mu
 }
 
-// NewConnProxy starts a proxy at an address, which may end with port 0. The links of proxies with
-// different numbers draw different random numbers of the seed. The error is that of listening.
+// NewConnProxy starts a proxy from the address at, whose port may be 0, to the address to. Proxies
+// with the same seed but different numbers draw different random numbers. It returns an error if the
+// proxy can't listen.
 func NewConnProxy(at, to string, seed, number uint64, observer Observer) (*ConnProxy, error) {
 	r := &ConnProxy{
 		addr:     at,
@@ -76,7 +78,7 @@
 	return r, r.listen()
 }
 
-// listen begins to accept connections.
+// listen starts to listen and to accept connections.
 func (r *ConnProxy) listen() error {
 	ln, err := net.Listen("tcp4", r.addr)
 	if err != nil {
@@ -89,11 +91,11 @@
 	return nil
 }
 
-// Addr is the address where the proxy listens.
+// Addr returns the address at which the proxy listens.
 func (r *ConnProxy) Addr() string { return r.addr }
 
-// Refuse refuses new connections, as the address of an exited process does, or accepts them again.
-// The error is that of listening.
+// Refuse makes the proxy refuse new connections, like the address of an exited process, or accept
+// them again. It returns an error if the proxy can't listen again or can't close its listener.
 func (r *ConnProxy) Refuse(on bool) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -114,7 +116,7 @@
 	return nil
 }
 
-// Set sets the conditions of the link towards the far side and from it.
+// Set sets the conditions of the link in both directions: out towards the far side and in from it.
 func (r *ConnProxy) Set(out, in faults.Condition) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -142,11 +144,11 @@
 	return r.restore()
 }
 
-// blackhole leaves new connections without an answer: while a listener's queue has one place, which
-// the plug occupies, the kernel answers no further SYN. The lock is held.
+// blackhole leaves new connections without an answer. It limits the listener's accept queue to one
+// connection and fills it with the plug, so the kernel answers no further SYN. The caller holds mu.
 func (r *ConnProxy) blackhole() error {
 	r.listener.SetDeadline(time.Unix(1, 0)) // wakes accept, which then waits for restored
-	r.accepting.Lock()                      // accept might take the plug otherwise
+	r.accepting.Lock()                      // prevents accept from accepting the plug
 	defer r.accepting.Unlock()
 	if err := r.setBacklog(0); err != nil {
 		return err
@@ -154,7 +156,7 @@
 	plug, err := net.DialTimeout("tcp4", r.Addr(), dialTimeout)
 	var timeout net.Error
 	if errors.As(err, &timeout) && timeout.Timeout() {
-		return nil // another connection has taken the one place, and the kernel answers no further SYN
+		return nil // another connection already fills the queue, and the kernel answers no further SYN
 	}
 	if err != nil {
 		return err
@@ -163,7 +165,7 @@
 	return nil
 }
 
-// closePlug closes the plug, if there is one. The lock is held.
+// closePlug closes the plug, if there is one. The caller holds mu.
 func (r *ConnProxy) closePlug() {
 	if r.plug != nil {
 		r.plug.Close()
@@ -171,9 +173,9 @@
 	}
 }
 
-// SentAt returns when the near side sent what it sent last on a connection that the far side knows by
-// an address; zero where that is not known. It does not count how long this process took to forward
-// that.
+// SentAt returns when the near side sent its most recent data on a connection, or zero if that is
+// unknown. conn is the address of the connection that the far side sees. The time excludes the delay
+// of forwarding in this process.
 func (r *ConnProxy) SentAt(conn string) time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -185,7 +187,7 @@
 	return time.Time{}
 }
 
-// recordSent keeps when the near side sent what was read last.
+// recordSent records when the near side sent the most recently read data.
 func (r *ConnProxy) recordSent(x *proxiedConn) {
 	at, err := tcptime.Received(x.near)
 	if err != nil {
@@ -196,8 +198,8 @@
 	x.sentAt = at
 }
 
-// restore ends a blackhole. Connections in the queue are reset: they may have come before it or
-// during it. The lock is held.
+// restore ends a blackhole. It resets the connections in the accept queue, which may have arrived
+// before or during the blackhole. The caller holds mu.
 func (r *ConnProxy) restore() error {
 	defer close(r.restored)
 	if r.refusing {
@@ -217,7 +219,7 @@
 	return r.setBacklog(defaultBacklog)
 }
 
-// setBacklog changes the length of the listener's queue.
+// setBacklog changes the length of the listener's accept queue.
 func (r *ConnProxy) setBacklog(n int) error {
 	raw, err := r.listener.SyscallConn()
 	if err != nil {
@@ -230,7 +232,7 @@
 	return listenErr
 }
 
-// accept forwards the connections of a listener until it is closed.
+// accept accepts and forwards the connections of a listener until the listener is closed.
 func (r *ConnProxy) accept(ln *net.TCPListener) {
 	for {
 		r.mu.Lock()
@@ -245,10 +247,10 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			continue // a blackhole began
+			continue // blackhole sets a deadline in the past, which ends the accept
 		}
 		r.mu.Lock()
-		if r.blackholed || r.closed { // since acceptNext
+		if r.blackholed || r.closed { // may have changed during acceptNext
 			c.SetLinger(0)
 			c.Close()
 			r.mu.Unlock()
@@ -276,7 +278,7 @@
 		r.mu.Unlock()
 	}()
 	far, err := r.dialer.Dial("tcp4", r.target)
-	if err != nil { // reset as by the far side
+	if err != nil { // the near side sees a reset, as from the far side
 		x.near.SetLinger(0)
 		x.near.Close()
 		return
@@ -292,18 +294,19 @@
 	both.Wait()
 }
 
-// chunk is data with the time when it is due, or the end of a direction.
+// chunk is a piece of data with the time at which it is due, or the end of one direction.
 type chunk struct {
 	data []byte
 	due  time.Time
-	err  error // the end of the side that it came from, in place of data
+	err  error // why reading from the sender ended; set instead of data
 }
 
-// pump forwards one direction until its side ends. near says that it is the near side's.
+// pump forwards one direction of a connection until reading from its sender ends. near reports
+// whether the sender is the near side.
 func (r *ConnProxy) pump(x *proxiedConn, from, to *net.TCPConn, link *faults.Link, near bool) {
 	chunks := make(chan chunk, maxQueuedChunks)
 	written := make(chan bool)
-	go func() { // until the chunks end, which this function awaits
+	go func() { // ends with the chunks; pump waits for it
 		defer close(written)
 		r.writeChunks(x, to, chunks)
 	}()
@@ -312,7 +315,7 @@
 		<-written
 	}()
 	buf := make([]byte, chunkBytes)
-	var last time.Time // when the chunk before is due: chunks do not overtake each other
+	var last time.Time // when the previous chunk is due, because chunks must stay in order
 	for {
 		n, err := from.Read(buf)
 		if n > 0 {
@@ -344,8 +347,9 @@
 	}
 }
 
-// dueTime draws when a chunk that comes now is due, not before the last one; zero for at once, if
-// no chunk was ever late.
+// dueTime draws when a chunk that arrives now is due, which is not before last, the due time of the
+// previous chunk. It returns zero, which means at once, if neither this chunk nor an earlier one is
+// delayed.
 func (r *ConnProxy) dueTime(link *faults.Link, last time.Time) time.Time {
 	r.mu.Lock()
 	delay := link.ChunkDelay()
@@ -360,7 +364,7 @@
 	return due
 }
 
-// writeChunks writes chunks at their time, and queues them while the link is blackholed.
+// writeChunks writes each chunk when it is due. While the link is blackholed, it waits.
 func (r *ConnProxy) writeChunks(x *proxiedConn, to *net.TCPConn, chunks <-chan chunk) {
 	for p := range chunks {
 		if wait := time.Until(p.due); !p.due.IsZero() && wait > 0 {
@@ -375,7 +379,7 @@
 		switch {
 		case p.err == nil:
 			if _, err := to.Write(p.data); err != nil {
-				x.reset() // the side that p came from sees it, too
+				x.reset() // resets the sender's side, too
 				return
 			}
 		case p.err == io.EOF:
@@ -387,7 +391,7 @@
 	}
 }
 
-// reset resets both sides.
+// reset resets both sockets of the connection.
 func (x *proxiedConn) reset() {
 	for _, c := range []*net.TCPConn{x.near, x.far} {
 		if c != nil {
@@ -397,7 +401,7 @@
 	}
 }
 
-// Close ends the proxy, resets all connections and waits for its goroutines.
+// Close stops the proxy, resets all its connections and waits for its goroutines.
 func (r *ConnProxy) Close() {
 	r.mu.Lock()
 	if !r.closed {
--- a/internal/testbed/faultproxy/udp.go
+++ b/internal/testbed/faultproxy/udp.go
@@ -1,7 +1,7 @@
-// Package faultproxy forwards the traffic between a fleet's processes on loopback, datagrams
-// between routers (Mesh) and connections to hosts and lists (ConnProxy), under the present
-// condition of each link, of package faults. It decides nothing itself; its caller sets the
-// conditions.
+// Package faultproxy forwards the traffic between a fleet's processes on loopback: datagrams between
+// routers (Mesh) and connections to hosts and lists (ConnProxy). It applies the current condition of
+// each link, as package faults defines it. The caller sets the conditions; the package itself makes
+// no decisions about faults.
 package faultproxy
 
 import (
@@ -15,23 +15,23 @@
 )
 
 const (
-	// readBytes is the longest datagram that is forwarded, far over the platform's bound, which the
-	// caller checks.
+	// readBytes is the size of the largest datagram that is forwarded whole. It is far above the
+	// platform's limit, which the caller checks.
 	readBytes = 2048
-	// maxDelayed bounds the delayed datagrams of one direction of a link; further ones are dropped
-	// and counted.
+	// maxDelayed bounds the delayed datagrams of one direction of a link. Further datagrams are
+	// dropped and counted.
 	maxDelayed = 1024
-	// socketBufferBytes is the receive buffer of a socket, for datagrams that come while the proxy
-	// waits for a core.
+	// socketBufferBytes is the size of a socket's receive buffer. The buffer holds the datagrams that
+	// arrive while the proxy waits for processor time.
 	socketBufferBytes = 1 << 20
 )
 
-// Mesh forwards the datagrams between routers. Each router has an address here at which all others
-// reach it, and its datagrams come to them from there, so each router sees the others at the
-// addresses that every list of peers has. The source address says whose a datagram is. Its
-// goroutines end with Close.
+// Mesh forwards the datagrams between routers. For each router, the mesh listens at an address at
+// which all other routers reach that router. The mesh also forwards the router's own datagrams from
+// this address, so each router sees the others at the addresses in every list of peers. The mesh
+// identifies the sender of a datagram by its source address. Close ends the mesh's goroutines.
 type Mesh struct {
-	conns        []*net.UDPConn // by router: where the others reach it
+	conns        []*net.UDPConn // by router; the socket at which the other routers reach it
 	routers      []netip.AddrPort
 	routerByAddr map[netip.AddrPort]int
 	links        [][]*link // by sender and receiver
@@ -41,22 +41,22 @@
 
 	closed    atomic.Bool
 	forwarded atomic.Uint64
-	kinds     [16]atomic.Uint64 // datagrams that came, by the high half of their first byte
-	dropped   atomic.Uint64     // beyond maxDelayed
+	kinds     [16]atomic.Uint64 // received datagrams, by the high half of their first byte
+	dropped   atomic.Uint64     // datagrams beyond maxDelayed
 }
 
-// link is one direction between two routers.
+// link is one direction of the link between two routers.
 type link struct {
 	mu      sync.Mutex
 	faults  *faults.Link
-	healthy bool // no fault, which is most of the time
-	delayed int
-	copies  []faults.Copy // reused
+	healthy bool          // the link has no fault; the common case has a fast path
+	delayed int           // datagrams that wait to be sent
+	copies  []faults.Copy // reused for each datagram
 }
 
-// NewMesh returns a mesh between routers that listen at some addresses and are reached at others.
-// onOversized is called with the sender and size of each datagram of more than maxBytes; it must
-// not block. The error is that of listening.
+// NewMesh returns a mesh between routers that listen at the addresses listen and that others reach at
+// the addresses at. It calls onOversized with the sender and the size of each datagram of more than
+// maxBytes; onOversized must not block. It returns an error if the mesh can't listen.
 func NewMesh(listen, at []netip.AddrPort, seed uint64, maxBytes int, onOversized func(from, bytes int)) (*Mesh, error) {
 	m := &Mesh{routers: listen, routerByAddr: map[netip.AddrPort]int{}, onOversized: onOversized, maxBytes: maxBytes}
 	for i := range listen {
@@ -80,7 +80,7 @@
 	return m, nil
 }
 
-// Set sets the condition of each direction of each link by the faults in force.
+// Set sets the condition of each direction of each link according to the active faults.
 func (m *Mesh) Set(on []*faults.Injection) {
 	for i, row := range m.links {
 		for j, l := range row {
@@ -92,7 +92,7 @@
 	}
 }
 
-// receive forwards the datagrams to a router until Close.
+// receive forwards the datagrams addressed to a router until Close.
 func (m *Mesh) receive(to int) {
 	buf := make([]byte, readBytes)
 	for !m.closed.Load() {
@@ -101,7 +101,7 @@
 			if m.closed.Load() {
 				return
 			}
-			continue // an earlier datagram could not be delivered
+			continue // the error reports that an earlier datagram could not be delivered
 		}
 		from, known := m.routerByAddr[netip.AddrPortFrom(sender.Addr().Unmap(), sender.Port())]
 		if known {
@@ -110,7 +110,7 @@
 	}
 }
 
-// forward forwards a datagram as the condition of its link says.
+// forward forwards a datagram and applies the condition of its link.
 func (m *Mesh) forward(from, to int, data []byte) {
 	if len(data) > m.maxBytes {
 		m.onOversized(from, len(data))
@@ -140,8 +140,8 @@
 	}
 }
 
-// sendLater sends a datagram after a delay, or drops it if too many of its link are delayed. The
-// link's lock is held.
+// sendLater sends a datagram after a delay, or drops the datagram if too many datagrams of its link
+// are already delayed. The caller holds the link's lock.
 func (m *Mesh) sendLater(l *link, delay time.Duration, source *net.UDPConn, data []byte, to int) {
 	if l.delayed >= maxDelayed {
 		m.dropped.Add(1)
@@ -156,7 +156,8 @@
 	})
 }
 
-// send sends a datagram to a router and counts it. One that can't be sent is lost, as on a network.
+// send sends a datagram to a router and counts it. A datagram that can't be sent is lost, as on a
+// network.
 func (m *Mesh) send(from *net.UDPConn, data []byte, to int) {
 	if _, err := from.WriteToUDPAddrPort(data, m.routers[to]); err == nil {
 		m.forwarded.Add(1)
@@ -164,10 +165,11 @@
 }
 
 // Forwarded returns how many datagrams were forwarded, and how many were dropped because too many
-// of their link were delayed.
+// datagrams of their link were delayed.
 func (m *Mesh) Forwarded() (carried, dropped uint64) { return m.forwarded.Load(), m.dropped.Load() }
 
-// Kinds returns how many datagrams came, by the high half of their first byte, which is their kind.
+// Kinds returns how many datagrams from known routers the mesh has received, by the high half of
+// their first byte, which is their kind.
 func (m *Mesh) Kinds() (all [16]uint64) {
 	for i := range m.kinds {
 		all[i] = m.kinds[i].Load()
@@ -175,7 +177,7 @@
 	return all
 }
 
-// Close ends the mesh and waits for its goroutines. Delayed datagrams are lost.
+// Close stops the mesh and waits for its goroutines. Delayed datagrams are lost.
 func (m *Mesh) Close() {
 	m.closed.Store(true)
 	for _, c := range m.conns {
