--- a/internal/testbed/faults/check.go
+++ b/internal/testbed/faults/check.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// invalid returns an error that names the place of the fault, the field and how to mend it.
+// invalid returns an error that names the source of the fault, the field and the allowed values.
 func (f *Fault) invalid(field, format string, v ...any) error {
 	where := f.Source
 	if where == "" {
@@ -15,11 +15,11 @@
 	return fmt.Errorf("%s: %s %s", where, field, fmt.Sprintf(format, v...))
 }
 
-// Check returns the first fault of a schedule for a topology, in a world, for a run of a length.
-// The error is one line that names place and field.
+// Check checks a schedule for a topology, a world and a run of the given length. It returns the first
+// error, as one line that names the source and the field, or nil if the schedule is valid.
 func Check(all []Fault, topology *Topology, world World, length time.Duration) error {
 	if len(all) > MaxFaults {
-		return all[MaxFaults].invalid("fault", "is one more than the %d that a schedule may have", MaxFaults)
+		return all[MaxFaults].invalid("fault", "exceeds the limit of %d faults per schedule", MaxFaults)
 	}
 	for i := range all {
 		if err := all[i].check(topology, world, length); err != nil {
@@ -52,13 +52,13 @@
 	return f.checkOptions()
 }
 
-// checkFigures checks the times and numbers of a fault in a run of a length.
+// checkFigures checks the times and numbers of a fault in a run of the given length.
 func (f *Fault) checkFigures(m *KindInfo, length time.Duration) error {
 	switch {
 	case f.When == nil && (f.At < 0 || f.At >= length):
-		return f.invalid("at", "is %v; the play is over after %v", f.At, length)
+		return f.invalid("at", "is %v; the run ends after %v", f.At, length)
 	case f.When == nil && f.At+f.Length > length:
-		return f.invalid("length", "is %v from %v on; the play is over after %v", f.Length, f.At, length)
+		return f.invalid("length", "is %v from %v on; the run ends after %v", f.Length, f.At, length)
 	case f.Length < 0:
 		return f.invalid("length", "is %v; it must not be negative", f.Length)
 	case f.Share < 0 || f.Share > 1:
@@ -75,15 +75,15 @@
 	return nil
 }
 
-// checkZone checks the zone of Power.
+// checkZone checks the zone of the fault Power.
 func (f *Fault) checkZone(topology *Topology) error {
 	if f.Zone != "" && !slices.Contains(topology.Routers, f.Zone) && !slices.Contains(topology.Hosts, f.Zone) {
-		return f.invalid("zone", "%q has neither router nor host", f.Zone)
+		return f.invalid("zone", "%q has neither a router nor a host", f.Zone)
 	}
 	return nil
 }
 
-// checkTargets checks whom a fault affects.
+// checkTargets checks the routers, peers and hosts that a fault selects.
 func (f *Fault) checkTargets(m *KindInfo, topology *Topology) error {
 	for _, x := range []struct {
 		field string
@@ -96,13 +96,13 @@
 			continue
 		}
 		if !x.takes {
-			return f.invalid(x.field, "is nothing that %q strikes", f.Kind)
+			return f.invalid(x.field, "is not a target of %q", f.Kind)
 		}
 		if why := x.sel.check(x.of); why != "" {
 			return f.invalid(x.field, "%s", why)
 		}
 	}
-	if m.targets == 0 { // the list itself
+	if m.targets == 0 { // the fault affects the list itself
 		return nil
 	}
 	if f.Routers.IsEmpty() && (m.targets&hosts == 0 || f.Hosts.IsEmpty()) {
@@ -110,12 +110,12 @@
 		if m.targets == hosts {
 			field = "hosts"
 		}
-		return f.invalid(field, "names no one: a fault needs whom it strikes")
+		return f.invalid(field, "selects nothing; the fault needs a target")
 	}
 	return nil
 }
 
-// checkOptions checks the links, the direction and the disk.
+// checkOptions checks the links, the direction and the disk of a fault.
 func (f *Fault) checkOptions() error {
 	for _, l := range f.Links {
 		if l != LinkPeers && l != LinkHosts && l != LinkList {
@@ -131,7 +131,7 @@
 	return nil
 }
 
-// checkGroups checks the groups and the bridge of Partition.
+// checkGroups checks the groups and the bridge of the fault Partition.
 func (f *Fault) checkGroups(topology *Topology) error {
 	if f.Zones == (len(f.Groups) > 0) {
 		return f.invalid("groups", "must be \"zones\" or lists of routers by number")
@@ -153,12 +153,13 @@
 		}
 	}
 	if !f.Zones && len(f.Groups) < 2 {
-		return f.invalid("groups", "needs two at least")
+		return f.invalid("groups", "must have at least two groups")
 	}
 	return nil
 }
 
-// check returns what is wrong with a selection among those with the zones of, or "".
+// check returns what is wrong with a selection, or "" if it is valid. of has the zone of each router
+// or host that may be selected.
 func (s *Selection) check(of []string) string {
 	for _, n := range s.Numbers {
 		if n < 0 || n >= len(of) {
@@ -167,27 +168,27 @@
 	}
 	switch {
 	case len(of) == 0:
-		return "names no one: there are none"
+		return "selects from an empty set; the fleet has none"
 	case s.Zone != "" && !slices.Contains(of, s.Zone):
-		return fmt.Sprintf("is %q; nobody stands there", s.Zone)
+		return fmt.Sprintf("is %q; the zone is empty", s.Zone)
 	case s.Fraction < 0 || s.Fraction > 1:
 		return fmt.Sprintf("is %v; a share must be from 0 to 1", s.Fraction)
 	}
 	return ""
 }
 
-// where says where the faults of a world are, for an error text.
+// where describes a world in an error text about a fault that does not exist there.
 func (w World) where() string {
 	switch w {
 	case RealProcesses:
 		return "on the rig"
 	case FakeHosts:
-		return "on hosts alone, only on the rig"
+		return "on fake hosts alone, only on the rig"
 	case Simulation:
 		return "in virtual time, only on sockets"
 	}
 	if w == MembershipSimulation {
-		return "in the virtual time of views"
+		return "in the virtual time of the membership simulation"
 	}
 	return "in the explorer"
 }
--- a/internal/testbed/faults/draw.go
+++ b/internal/testbed/faults/draw.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// Bounds limits the schedules that Draw returns.
+// Bounds has the limits of the schedules that Draw returns.
 type Bounds struct {
-	Length time.Duration // every fault ends within four fifths of it, so that the fleet can recover
-	Faults int           // at most; 0 counts as 6
-	Kinds  []Kind        // drawn from; none for all that the world has
+	Length time.Duration // length of the run; every fault ends within four fifths of it, so that the fleet can recover
+	Faults int           // maximum number of faults; 0 means 6
+	Kinds  []Kind        // kinds to draw from; empty for all kinds of the world
 	World  World
 }
 
@@ -41,19 +41,20 @@
 	return all
 }
 
-// defaultFaults bounds the faults of a schedule where Bounds has no number.
+// defaultFaults is the maximum number of faults of a schedule if Bounds states none.
 const defaultFaults = 6
 
-// step is the unit that drawn times are rounded to, so that a schedule is easy to read.
+// step is the unit to which drawn times are rounded, so that a schedule is easy to read.
 const step = 100 * time.Millisecond
 
-// drawer draws one fault. The order of its draws is part of what a seed means.
+// drawer draws random faults. The order of its draws must not change because it determines which
+// schedule a seed gives.
 type drawer struct {
 	topology *Topology
 	rng      *rand.Rand
 }
 
-// between draws a time, rounded to a step.
+// between draws a duration between two limits, rounded to a step.
 func (d *drawer) between(shortest, longest time.Duration) time.Duration {
 	if longest <= shortest {
 		return shortest
@@ -61,7 +62,7 @@
 	return (shortest + time.Duration(d.rng.Int64N(int64(longest-shortest)))).Round(step)
 }
 
-// tenths draws a fraction in tenths.
+// tenths draws a fraction between two limits. The limits are in tenths.
 func (d *drawer) tenths(lowest, highest int) float64 {
 	return float64(lowest+d.rng.IntN(highest-lowest+1)) / 10
 }
@@ -77,7 +78,7 @@
 	return f
 }
 
-// field draws the value of a field. It leaves those that it does not know.
+// field draws the value of a field by its name. It ignores a field that it does not know.
 func (d *drawer) field(f *Fault, field string) {
 	switch field {
 	case "share":
@@ -106,7 +107,7 @@
 	}
 }
 
-// groups draws the sides of a partition: the zones, or two groups of routers.
+// groups draws the groups of a partition: the zones, or two groups of routers.
 func (d *drawer) groups(f *Fault) {
 	f.Zones = d.rng.IntN(2) == 0 && countZones(d.topology.Routers) > 1
 	if f.Zones {
@@ -119,7 +120,8 @@
 	slices.Sort(f.Groups[1])
 }
 
-// selection draws some of those with the zones of: a fraction, a zone or a single one.
+// selection draws a selection of routers or hosts: a fraction of them, a zone or a single one. of has
+// the zone of each router or host.
 func (d *drawer) selection(of []string) (s Selection) {
 	switch d.rng.IntN(4) {
 	case 0:
@@ -138,7 +140,7 @@
 	return s
 }
 
-// targets draws whom a fault affects.
+// targets draws the routers, hosts and links that a fault affects.
 func (d *drawer) targets(f *Fault, m *KindInfo) {
 	switch {
 	case f.Kind == Power || f.Kind == Partition || m.targets == 0:
@@ -155,7 +157,7 @@
 	}
 }
 
-// countZones returns the number of distinct zones.
+// countZones returns the number of distinct zones in of.
 func countZones(of []string) int {
 	all := slices.Clone(of)
 	slices.Sort(all)
--- a/internal/testbed/faults/faults_test.go
+++ b/internal/testbed/faults/faults_test.go
@@ -12,44 +12,44 @@
 
 const ms = time.Millisecond
 
-var shape = &Topology{Routers: []string{"a", "b", "a", "b", "a"}, Hosts: []string{"a", "a", "b"}}
+var testTopology = &Topology{Routers: []string{"a", "b", "a", "b", "a"}, Hosts: []string{"a", "a", "b"}}
 
-// What a schedule may not say, with the field that is at fault.
+// Check rejects each invalid fault with an error that names the source and the invalid field.
 func TestCheck(t *testing.T) {
 	for want, f := range map[string]Fault{
-		`"smoke" is unknown`:                         {Kind: "smoke"},
-		`"flip" does not exist in virtual time`:      {Kind: Flip, Length: 1, Share: 0.1, Routers: Selection{All: true}},
-		`at is 1s; the play is over after 1s`:        {Kind: Kill, At: time.Second, Routers: Selection{All: true}},
-		`length is 500ms from 600ms on`:              {Kind: Kill, At: 600 * ms, Length: 500 * ms, Routers: Selection{All: true}},
-		`share is 1.5; it must be from 0 to 1`:       {Kind: Loss, Share: 1.5, Routers: Selection{All: true}},
-		`share must be more than 0`:                  {Kind: Loss, Routers: Selection{All: true}},
-		`routers names no one`:                       {Kind: Kill},
-		`hosts names no one`:                         {Kind: Slow, Size: 2},
-		`routers has 5; there are 5, from 0`:         {Kind: Kill, Routers: Selection{Numbers: []int{0, 5}}},
-		`hosts is "c"; nobody stands there`:          {Kind: Kill, Hosts: Selection{Zone: "c"}},
-		`links has "walls"`:                          {Kind: Blackhole, Routers: Selection{All: true}, Links: []string{"walls"}},
-		`direction is "up"`:                          {Kind: Blackhole, Routers: Selection{All: true}, Direction: "up"},
-		`groups has router 1 twice`:                  {Kind: Partition, Groups: [][]int{{0, 1}, {1, 2}}},
-		`groups has router 9; there are 5, from 0`:   {Kind: Partition, Groups: [][]int{{0, 1}, {2}}, Bridge: []int{9}},
-		`groups must be "zones" or lists of routers`: {Kind: Partition},
-		`peers has -1`:                               {Kind: Blackhole, Routers: Selection{All: true}, Peers: Selection{Numbers: []int{-1}}},
-		`disk is "wet"`:                              {Kind: Kill, Routers: Selection{All: true}, Disk: "wet"},
+		`"smoke" is unknown`:                                {Kind: "smoke"},
+		`"flip" does not exist in virtual time`:             {Kind: Flip, Length: 1, Share: 0.1, Routers: Selection{All: true}},
+		`at is 1s; the run ends after 1s`:                   {Kind: Kill, At: time.Second, Routers: Selection{All: true}},
+		`length is 500ms from 600ms on`:                     {Kind: Kill, At: 600 * ms, Length: 500 * ms, Routers: Selection{All: true}},
+		`share is 1.5; it must be from 0 to 1`:              {Kind: Loss, Share: 1.5, Routers: Selection{All: true}},
+		`share must be more than 0`:                         {Kind: Loss, Routers: Selection{All: true}},
+		`routers selects nothing; the fault needs a target`: {Kind: Kill},
+		`hosts selects nothing; the fault needs a target`:   {Kind: Slow, Size: 2},
+		`routers has 5; there are 5, from 0`:                {Kind: Kill, Routers: Selection{Numbers: []int{0, 5}}},
+		`hosts is "c"; the zone is empty`:                   {Kind: Kill, Hosts: Selection{Zone: "c"}},
+		`links has "walls"`:                                 {Kind: Blackhole, Routers: Selection{All: true}, Links: []string{"walls"}},
+		`direction is "up"`:                                 {Kind: Blackhole, Routers: Selection{All: true}, Direction: "up"},
+		`groups has router 1 twice`:                         {Kind: Partition, Groups: [][]int{{0, 1}, {1, 2}}},
+		`groups has router 9; there are 5, from 0`:          {Kind: Partition, Groups: [][]int{{0, 1}, {2}}, Bridge: []int{9}},
+		`groups must be "zones" or lists of routers`:        {Kind: Partition},
+		`peers has -1`:                                      {Kind: Blackhole, Routers: Selection{All: true}, Peers: Selection{Numbers: []int{-1}}},
+		`disk is "wet"`:                                     {Kind: Kill, Routers: Selection{All: true}, Disk: "wet"},
 	} {
 		world := RealProcesses
 		if f.Kind == Flip {
 			world = Simulation
 		}
 		f.Source = "x.hcl:7"
-		if err := Check([]Fault{f}, shape, world, time.Second); err == nil || !strings.HasPrefix(err.Error(), "x.hcl:7: ") || !strings.Contains(err.Error(), want) {
-			t.Errorf("got %v, want %s", err, want)
+		if err := Check([]Fault{f}, testTopology, world, time.Second); err == nil || !strings.HasPrefix(err.Error(), "x.hcl:7: ") || !strings.Contains(err.Error(), want) {
+			t.Errorf("Check returned error %v, want one that contains %s", err, want)
 		}
 	}
-	if err := Check(make([]Fault, MaxFaults+1), shape, RealProcesses, time.Second); err == nil {
-		t.Error("a schedule without end is taken")
+	if err := Check(make([]Fault, MaxFaults+1), testTopology, RealProcesses, time.Second); err == nil {
+		t.Error("Check accepts a schedule of more than MaxFaults faults")
 	}
 }
 
-// Which way of which link a fault strikes.
+// A fault affects exactly the expected directions of the expected links.
 func TestHits(t *testing.T) {
 	r, h, list := func(n int) End { return End{AtRouter, n} }, func(n int) End { return End{AtHost, n} }, End{Kind: AtList}
 	for name, x := range map[string]struct {
@@ -73,21 +73,22 @@
 			[][2]End{{r(0), r(1)}, {r(0), h(2)}, {h(0), r(1)}}, [][2]End{{r(0), r(2)}, {r(1), h(2)}, {r(0), list}}},
 		"a kill": {Fault{Kind: Kill, Routers: Selection{All: true}}, nil, [][2]End{{r(0), r(1)}}},
 	} {
-		s := Resolve([]Fault{x.f}, shape, 1)[0]
+		s := Resolve([]Fault{x.f}, testTopology, 1)[0]
 		for i, ends := range append(slices.Clone(x.hit), x.miss...) {
 			if got, want := s.Affects(ends[0], ends[1]), i < len(x.hit); got != want {
-				t.Errorf("%s: %v: got %v", name, ends, got)
+				t.Errorf("%s: Affects for the ends %v returned %v", name, ends, got)
 			}
 		}
 	}
 }
 
-// A link does with so many datagrams what its condition says, the same with the same seed.
+// Over many datagrams, a link applies each effect of its condition with the expected frequency. The
+// same seed gives the same copies.
 func TestLink(t *testing.T) {
 	on := Resolve([]Fault{
 		{Kind: Loss, Share: 0.2, Routers: Selection{All: true}}, {Kind: Duplicate, Share: 0.1, Routers: Selection{All: true}},
 		{Kind: Delay, Delay: 10 * ms, Jitter: 5 * ms, Routers: Selection{All: true}}, {Kind: Truncate, Share: 0.3, Routers: Selection{All: true}},
-		{Kind: Flip, Share: 0.4, Routers: Selection{All: true}}, {Kind: Reorder, Share: 0.5, Delay: 50 * ms, Routers: Selection{All: true}}}, shape, 1)
+		{Kind: Flip, Share: 0.4, Routers: Selection{All: true}}, {Kind: Reorder, Share: 0.5, Delay: 50 * ms, Routers: Selection{All: true}}}, testTopology, 1)
 	pass := func() (all []Copy, none int) {
 		l := NewLink(7, 3)
 		l.Condition = ConditionOf(on, End{N: 0}, End{N: 1})
@@ -102,12 +103,12 @@
 	all, none := pass()
 	again, _ := pass()
 	if !cmp.Equal(all, again) {
-		t.Error("the same seed gives another play")
+		t.Error("the same seed gives different copies")
 	}
 	var clipped, flipped, late int
 	for _, c := range all {
 		if c.After < 10*ms || c.After > 75*ms || c.Bytes > 100 || c.Flip >= 8*c.Bytes && c.Flip >= 0 {
-			t.Fatalf("%+v", c)
+			t.Fatalf("copy outside of the condition's limits: %+v", c)
 		}
 		if c.Bytes < 100 {
 			clipped++
@@ -132,12 +133,12 @@
 	cut := NewLink(7, 3)
 	cut.Blackholed = true
 	if got := cut.Pass(100, nil); got != nil {
-		t.Errorf("through a cut: %v", got)
+		t.Errorf("copies that pass through a blackhole: %v, want none", got)
 	}
 }
 
-// Whatever is drawn passes the check of its world, is over in time, and is the same from the same
-// seed.
+// Each drawn schedule passes the check of its world and ends within four fifths of the run. The same
+// seed gives the same schedule.
 func TestDraw(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		topology := &Topology{}
@@ -155,7 +156,7 @@
 		}
 		for _, f := range all {
 			if f.At+f.Length > 8*time.Second {
-				t.Fatalf("%s ends after %v", f.Kind, f.At+f.Length)
+				t.Fatalf("%s ends after %v, want 8s at most", f.Kind, f.At+f.Length)
 			}
 		}
 		if diff := cmp.Diff(all, Draw(b, topology, seed)); diff != "" {
@@ -164,15 +165,15 @@
 		for _, s := range Resolve(all, topology, seed) {
 			for _, n := range s.Routers {
 				if n < 0 || n >= len(topology.Routers) {
-					t.Fatalf("%s strikes router %d", s.Kind, n)
+					t.Fatalf("%s affects router %d, which does not exist", s.Kind, n)
 				}
 			}
 		}
 	})
 }
 
-// Of many faults, the two that matter are left, with no more routers and no more time than they
-// need.
+// Shrink reduces a schedule of many faults to the two that cause the failure, with only as many
+// routers and as much time as these two need.
 func TestShrink(t *testing.T) {
 	var all []Fault
 	for i := range 20 {
@@ -189,9 +190,9 @@
 	got := Shrink(Trial{Routers: 9, Faults: all}, 200, fails)
 	if len(got.Faults) != 2 || got.Faults[0].Kind != Kill || got.Faults[1].Kind != Blackhole || got.Routers != 3 || got.Faults[0].Length != time.Second ||
 		got.Faults[1].Length > 250*ms || asked > 200 {
-		t.Errorf("%d asked, %d routers, %s", asked, got.Routers, Text(got.Faults))
+		t.Errorf("after %d runs, the shrunk trial has %d routers and the faults %s", asked, got.Routers, Text(got.Faults))
 	}
 	if got := Shrink(Trial{Routers: 9, Faults: all}, 0, fails); len(got.Faults) != 20 {
-		t.Error("it asks more often than it may")
+		t.Error("Shrink runs a trial although no runs are allowed")
 	}
 }
--- a/internal/testbed/faults/injection.go
+++ b/internal/testbed/faults/injection.go
@@ -5,16 +5,17 @@
 	"slices"
 )
 
-// Injection is a fault with the routers and hosts that it affects.
+// Injection is a fault together with the routers and hosts that it affects.
 type Injection struct {
 	*Fault
-	Routers, Hosts []int // by number, ascending
+	Routers, Hosts []int // numbers of the affected routers and hosts, ascending
 	peers          []int
-	listToo        bool // Power of everything: the discovery is down too
+	includesList   bool // the discovery list is down, too, because the fault is Power of all zones
 	topology       *Topology
 }
 
-// Resolve draws whom each fault of a schedule affects. The same seed and topology give the same.
+// Resolve draws the routers and hosts that each fault of a schedule affects. The same schedule, seed
+// and topology give the same result.
 func Resolve(all []Fault, topology *Topology, seed uint64) []*Injection {
 	var out []*Injection
 	for i := range all {
@@ -23,7 +24,7 @@
 		s := &Injection{Fault: f, topology: topology}
 		if f.Kind == Power {
 			zone := Selection{Zone: f.Zone, All: f.Zone == ""}
-			s.listToo = f.Zone == ""
+			s.includesList = f.Zone == ""
 			s.Routers, s.Hosts = zone.draw(topology.Routers, rng), zone.draw(topology.Hosts, rng)
 		} else {
 			s.Routers, s.Hosts = f.Routers.draw(topology.Routers, rng), f.Hosts.draw(topology.Hosts, rng)
@@ -34,7 +35,8 @@
 	return out
 }
 
-// draw returns the selected ones, ascending. A fraction is one at least.
+// draw returns the numbers of the selected routers or hosts, ascending. zones has the zone of each
+// router or host. A fraction selects at least one.
 func (s *Selection) draw(zones []string, rng *rand.Rand) (drawn []int) {
 	switch {
 	case s.IsEmpty():
@@ -57,7 +59,7 @@
 	return drawn
 }
 
-// Affects reports whether the fault affects messages from one end to another.
+// Affects reports whether the fault affects messages from one end of a link to the other.
 func (s *Injection) Affects(from, to End) bool {
 	m := Of(s.Kind)
 	switch {
@@ -69,8 +71,8 @@
 	return s.Direction != In && s.affectsOutgoing(from, to) || s.Direction != Out && s.affectsOutgoing(to, from)
 }
 
-// affectsOutgoing reports whether one end is among the routers of the fault, and the other at the
-// end of one of their affected links.
+// affectsOutgoing reports whether from is one of the fault's routers and the link from it to the end
+// to is affected.
 func (s *Injection) affectsOutgoing(from, to End) bool {
 	if from.Kind != AtRouter || !slices.Contains(s.Routers, from.N) {
 		return false
@@ -100,7 +102,8 @@
 
 func (s *Injection) bridges(e End) bool { return e.Kind == AtRouter && slices.Contains(s.Bridge, e.N) }
 
-// group names the side that an end is on. Routers that no group has are together.
+// group returns the name of the group that an end belongs to. Routers that are in no group form a
+// group of their own.
 func (s *Injection) group(e End) string {
 	if s.Zones {
 		if e.Kind == AtHost {
@@ -111,11 +114,11 @@
 	return string(rune('0' + slices.IndexFunc(s.Groups, func(g []int) bool { return slices.Contains(g, e.N) })))
 }
 
-// StopsList reports whether the discovery is down meanwhile.
-func (s *Injection) StopsList() bool { return s.listToo }
+// StopsList reports whether the discovery list is down during the fault.
+func (s *Injection) StopsList() bool { return s.includesList }
 
-// Concerns reports whether the fault affects a router itself or one of its links: what a checker
-// finds at the router may be the effect of the fault.
+// Concerns reports whether the fault affects a router itself or one of its links. If so, a violation
+// that a checker finds at the router may be an effect of the fault.
 func (s *Injection) Concerns(router int) bool {
 	if slices.Contains(s.Routers, router) {
 		return true
--- a/internal/testbed/faults/kinds.go
+++ b/internal/testbed/faults/kinds.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// The kinds. Those of links affect messages between routers, hosts and the discovery; those of
-// processes affect routers, hosts or both.
+// The kinds. Kinds of link faults affect messages between routers, hosts and the discovery list. Kinds
+// of process faults affect routers, hosts or both.
 const (
 	Loss      Kind = "loss"
 	Delay     Kind = "delay"
@@ -41,7 +41,7 @@
 	Renumber Kind = "renumber"
 )
 
-// targetSet is what a kind is about.
+// targetSet is a set of targets that a kind of fault can affect.
 type targetSet uint8
 
 const (
@@ -50,18 +50,18 @@
 	hosts
 )
 
-// KindInfo is a row of the table of kinds.
+// KindInfo describes a kind of fault. It is a row of the table of kinds.
 type KindInfo struct {
 	Kind     Kind
-	Effect   string // while it lasts, and as it ends
+	Effect   string // effect while the fault lasts and when it ends
 	targets  targetSet
-	required []string // fields
-	optional []string // further ones
+	required []string // required fields of a schedule's block
+	optional []string // optional fields, besides those that Fields adds
 	worlds   World
 }
 
-// Kinds has every kind. The fields that a schedule may have, the kinds that a world rejects and the
-// operators' table are derived from it.
+// Kinds is the table of all kinds. It determines which fields a schedule may have and which kinds a
+// world rejects. The operators' table is printed from it.
 var Kinds = []KindInfo{
 	{Loss, "a share of datagrams never comes; a piece of a connection's comes later by a retransmission's time", links, []string{"share"}, nil, RealProcesses | Simulation | MembershipSimulation | Explorer},
 	{Delay, "everything comes later by delay, and by up to jitter more", links, []string{"delay"}, []string{"jitter"}, RealProcesses | Simulation | MembershipSimulation | Explorer},
@@ -96,7 +96,7 @@
 	{Renumber, "the list counts its versions anew from 1 as it begins, and watches are reset", 0, nil, nil, RealProcesses},
 }
 
-// Of returns the row of a kind, nil for an unknown one.
+// Of returns the row of a kind in Kinds, or nil for an unknown kind.
 func Of(k Kind) *KindInfo {
 	for i := range Kinds {
 		if Kinds[i].Kind == k {
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// In reports whether a world has the kind.
+// In reports whether the kind exists in a world.
 func (m *KindInfo) In(w World) bool { return m.worlds&w != 0 }
 
 // OfLinks reports whether the kind affects links.
@@ -131,7 +131,7 @@
 	return all
 }
 
-// Table returns the kinds as a table in Markdown, for the operators' page.
+// Table returns the kinds as a Markdown table for the operators' page.
 func Table() string {
 	var b strings.Builder
 	b.WriteString("| fault | while it lasts, and as it ends | needs | may have | where |\n| --- | --- | --- | --- | --- |\n")
--- a/internal/testbed/faults/link.go
+++ b/internal/testbed/faults/link.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Condition is the effect of the active faults on a link. The zero value is a link without faults.
+// Condition is the combined effect of the active faults on one direction of a link. Loss, Duplicate,
+// Reorder, Clip and Flip are probabilities. The zero value is a link without faults.
 type Condition struct {
 	Loss, Duplicate, Reorder, Clip, Flip float64
 	Delay, Jitter                        time.Duration
@@ -13,8 +14,9 @@
 	Blackholed                           bool
 }
 
-// usualBy is how much later a second copy comes at most where the schedule does not say.
-const usualBy = 10 * time.Millisecond
+// minDuplicateBy is the smallest value of Condition.DuplicateBy while datagrams are duplicated. It
+// applies if the schedule states no longer delay for a second copy.
+const minDuplicateBy = 10 * time.Millisecond
 
 // ConditionOf combines the active faults that affect messages from one end to another.
 func ConditionOf(on []*Injection, from, to End) (c Condition) {
@@ -31,7 +33,7 @@
 			c.Jitter += s.Jitter
 		case Duplicate:
 			join(&c.Duplicate, s.Share)
-			c.DuplicateBy = max(c.DuplicateBy, s.Fault.Delay, usualBy)
+			c.DuplicateBy = max(c.DuplicateBy, s.Fault.Delay, minDuplicateBy)
 		case Reorder:
 			join(&c.Reorder, s.Share)
 			c.ReorderBy = max(c.ReorderBy, s.Fault.Delay)
@@ -46,25 +48,27 @@
 	return c
 }
 
-// Link decides the fate of the datagrams of one direction of a link.
+// Link draws what happens to the datagrams and chunks of one direction of a link.
 type Link struct {
 	Condition
 	rng *rand.Rand
 }
 
-// NewLink returns a link without faults. Each direction has a number of its own.
+// NewLink returns a link without faults. Each direction of each link needs a different number, so that
+// each draws different random numbers from the seed.
 func NewLink(seed, number uint64) *Link {
 	return &Link{rng: rand.New(rand.NewPCG(seed, 0x117c<<32|number))}
 }
 
-// Copy is one way in which a datagram arrives.
+// Copy is one copy of a datagram that arrives.
 type Copy struct {
-	After time.Duration
-	Bytes int // of the datagram that arrive
-	Flip  int // the bit that is flipped, -1 for none
+	After time.Duration // delay until it arrives
+	Bytes int           // number of the datagram's leading bytes that arrive
+	Flip  int           // index of the flipped bit, -1 for none
 }
 
-// Pass returns what arrives of a datagram of some bytes: nothing, one copy or two.
+// Pass draws which copies of a datagram with the given number of bytes arrive (none, one or two) and
+// appends them to the slice to.
 func (l *Link) Pass(bytes int, to []Copy) []Copy {
 	if l.Blackholed || l.Loss > 0 && l.rng.Float64() < l.Loss {
 		return to
@@ -92,12 +96,11 @@
 	return c
 }
 
-// retransmission is what TCP takes at least to send a lost piece again (RFC 6298 says 1 s; Linux
-// has 200 ms).
+// retransmission is TCP's minimum retransmission timeout. RFC 6298 says 1 s, but Linux uses 200 ms.
 const retransmission = 200 * time.Millisecond
 
-// ChunkDelay returns how much later a piece of a connection comes. A cut is not its matter: the
-// piece waits for the cut's end.
+// ChunkDelay draws the delay of a chunk of a connection. It does not account for a blackhole: the
+// caller holds chunks back until the blackhole ends.
 func (l *Link) ChunkDelay() time.Duration {
 	d := l.Delay + l.upTo(l.Jitter)
 	for n := 0; n < 5 && l.Loss > 0 && l.rng.Float64() < l.Loss; n++ {
--- a/internal/testbed/faults/shrink.go
+++ b/internal/testbed/faults/shrink.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Trial is a fleet and a schedule to run.
+// Trial is the input of a test run: the number of routers and a fault schedule.
 type Trial struct {
 	Routers int
 	Faults  []Fault
 }
 
-// Shrink makes a failing trial smaller as long as it still fails: it removes halves of its faults
-// first, then single ones, then routers, and halves lengths. It calls fails at most so many times,
-// and returns the smallest trial that failed.
+// Shrink reduces a failing trial while the reduced trial still fails. It first removes half of the
+// faults at a time, then ever smaller parts down to single faults, then routers. Finally it halves the
+// lengths of faults. It calls fails at most most times and returns the smallest trial that failed.
 func Shrink(t Trial, most int, fails func(Trial) bool) Trial {
 	asks := func(x Trial) bool {
 		if most <= 0 {
@@ -37,7 +37,7 @@
 		}
 	}
 	for step := t.Routers / 2; step >= 1; step /= 2 {
-		for t.Routers-step >= 1 && !names(t.Faults, t.Routers-step) && asks(Trial{t.Routers - step, t.Faults}) {
+		for t.Routers-step >= 1 && !namesRouterFrom(t.Faults, t.Routers-step) && asks(Trial{t.Routers - step, t.Faults}) {
 			t.Routers -= step
 		}
 	}
@@ -54,8 +54,8 @@
 	return t
 }
 
-// names reports whether a schedule names a router beyond that number.
-func names(all []Fault, routers int) bool {
+// namesRouterFrom reports whether a schedule names a router whose number is at least routers.
+func namesRouterFrom(all []Fault, routers int) bool {
 	over := func(ns []int) bool { return slices.ContainsFunc(ns, func(n int) bool { return n >= routers }) }
 	return slices.ContainsFunc(all, func(f Fault) bool {
 		return over(f.Routers.Numbers) || over(f.Peers.Numbers) || over(f.Bridge) || slices.ContainsFunc(f.Groups, over)
--- a/internal/testbed/faults/stored_test.go
+++ b/internal/testbed/faults/stored_test.go
@@ -7,10 +7,10 @@
 	"reachspread/internal/testbed/golden"
 )
 
-// The files under testdata were written by Text and Table at commit 5bfcc27: WRITE_GOLDEN=1 go test
-// -run Golden. Package experiment reads the schedule.
+// The schedule under testdata was written by Text at commit 5bfcc27. The command
+// WRITE_GOLDEN=1 go test -run Golden rewrites it. Package experiment reads it, too.
 
-// goldenSchedule has every kind, and between them every field and every form of a field.
+// goldenSchedule returns a schedule that has every kind, every field and every form of a field.
 func goldenSchedule() []Fault {
 	length := 300 * time.Millisecond
 	at := func(n int) time.Duration { return time.Duration(n) * 250 * time.Millisecond }
@@ -54,7 +54,7 @@
 	return all
 }
 
-// A schedule is written as it was.
+// Text writes a schedule exactly as the version that wrote the golden file.
 func TestGoldenSchedule(t *testing.T) {
 	all := goldenSchedule()
 	kinds := map[Kind]bool{}
@@ -62,7 +62,7 @@
 		kinds[all[i].Kind] = true
 	}
 	if len(kinds) != len(Kinds) {
-		t.Errorf("%d kinds of %d are pinned", len(kinds), len(Kinds))
+		t.Errorf("the golden schedule has %d of %d kinds", len(kinds), len(Kinds))
 	}
 	golden.Same(t, "schedule.hcl", []byte(Text(all)))
 }
--- a/internal/testbed/faults/text.go
+++ b/internal/testbed/faults/text.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Text writes a schedule as the blocks that it can be read from again.
+// Text returns a schedule as text, one block per fault, from which it can be read again.
 func Text(all []Fault) string {
 	var b strings.Builder
 	for i := range all {
@@ -86,7 +86,7 @@
 	return "[" + strings.Join(texts, ", ") + "]"
 }
 
-// Whom names the affected routers and hosts, for a log line.
+// Whom returns the names of the affected routers and hosts for a log line.
 func (s *Injection) Whom() string {
 	var texts []string
 	for _, n := range s.Routers {
--- a/internal/testbed/faults/types.go
+++ b/internal/testbed/faults/types.go
@@ -1,9 +1,10 @@
-// Package faults is the one vocabulary of faults that tests inject into a fleet: a table of kinds,
-// schedules of them, their effect on each link at each moment, and drawing and shrinking of
-// schedules. Chaos tests play schedules on processes, serve-fleet on fake hosts, the simulator in
-// virtual time and the explorer in all orders; a fault has the same name in all of them.
+// Package faults defines the faults that tests inject into a fleet: a table of the kinds, schedules of
+// faults, and the effect of active faults on each link. It also draws random schedules and shrinks
+// failing ones. Chaos tests run schedules on processes, serve-fleet on fake hosts, the simulator in
+// virtual time and the explorer in all orders. A fault has the same name in all of them.
 //
-// The package is pure: no I/O, no clock, no goroutine, and all random choices from seeds.
+// The package is pure: it has no I/O, no clock and no goroutines, and draws all random choices from
+// seeds.
 package faults
 
 import "time"
@@ -11,16 +12,16 @@
 // Kind names a fault.
 type Kind string
 
-// World is where a fault may be played.
+// World is a set of environments in which a fault can be injected.
 type World uint8
 
 // The worlds.
 const (
-	RealProcesses        World = 1 << iota // processes on loopback
-	FakeHosts                              // fake hosts alone, as serve-fleet starts them
-	Simulation                             // virtual time
-	MembershipSimulation                   // virtual time of the membership protocol
-	Explorer                               // all orders
+	RealProcesses        World = 1 << iota // real processes on loopback
+	FakeHosts                              // only fake hosts, as serve-fleet starts them
+	Simulation                             // simulation in virtual time
+	MembershipSimulation                   // simulation of the membership protocol in virtual time
+	Explorer                               // exploration of all orders of events
 )
 
 // MaxFaults bounds the faults of one schedule.
@@ -29,46 +30,46 @@
 // Fault is one block of a schedule.
 type Fault struct {
 	Kind   Kind
-	At     time.Duration // of the play; with When, after the event
-	When   *When         // nil for a time of the play
+	At     time.Duration // start, since the beginning of the run or, with When, since the event
+	When   *When         // event that the fault waits for; nil if it starts at a fixed time
 	Length time.Duration
 
-	Routers Selection // that it affects, or one end of the links
+	Routers Selection // affected routers or, for a link fault, one end of the affected links
 	Hosts   Selection
-	Zone    string // of Power, empty for all
-
-	Links             []string  // of Routers: to LinkPeers, LinkHosts, LinkList; none counts as LinkPeers
-	Peers             Selection // the other ends among routers; nobody counts as all
-	Direction         Direction // of Cut and the other link kinds, seen from Routers
-	Groups            [][]int   // of Partition, routers by number
-	Zones             bool      // Groups are the zones, hosts included where Links has LinkHosts
-	Bridge            []int     // of Partition: routers that all groups reach
-	Share             float64   // of the datagrams, or of the time (Crawl)
-	Size              float64   // of Slow: times
+	Zone    string // for Power: the affected zone, empty for all
+
+	Links             []string  // affected links of Routers: LinkPeers, LinkHosts, LinkList; empty means LinkPeers
+	Peers             Selection // the routers at the other ends of the links; empty means all
+	Direction         Direction // for Blackhole and the other link kinds: affected direction, seen from Routers
+	Groups            [][]int   // for Partition: groups of routers, by number
+	Zones             bool      // for Partition: the zones are the groups, including hosts if Links has LinkHosts
+	Bridge            []int     // for Partition: routers that can reach all groups
+	Share             float64   // affected fraction of the datagrams or, for Crawl, of the time
+	Size              float64   // for Slow: factor by which the host is slower
 	Delay             time.Duration
 	Jitter            time.Duration
-	Disk              Disk    // that a router restarts with; empty counts as DiskUnchanged
-	File              string  // of DiskTruncated: a pattern below the folder; empty for every file
-	RemainingFraction float64 // of DiskTruncated: of the file's bytes
+	Disk              Disk    // the disk with which a router restarts; empty means DiskUnchanged
+	File              string  // for DiskTruncated: pattern of file names below the data folder; empty for every file
+	RemainingFraction float64 // for DiskTruncated: fraction of the file's bytes that remains
 
-	Source string // file and line, for errors
+	Source string // file and line of the fault, for errors
 }
 
-// When is the event that a fault waits for, as the history has it. Empty fields fit everything.
+// When describes the event of the history that a fault waits for. An empty field matches any event.
 type When struct {
-	What, Who, Text string // Text is any part of the event's
-	Nth             int    // 0 counts as 1
+	What, Who, Text string // Text matches any part of the event's text
+	Nth             int    // which of the matching events, from 1; 0 means 1
 }
 
-// Selection is a number of routers or of hosts. Its zero value is nobody.
+// Selection selects routers or hosts. Its zero value selects nothing.
 type Selection struct {
 	All      bool
-	Numbers  []int   // from 0
-	Zone     string  // all of a zone
-	Fraction float64 // of all, drawn by the schedule's seed
+	Numbers  []int   // the routers or hosts with these numbers, from 0
+	Zone     string  // all routers or hosts of this zone
+	Fraction float64 // a random fraction of all, drawn from the seed given to Resolve
 }
 
-// IsEmpty reports whether it selects nothing.
+// IsEmpty reports whether the selection selects nothing.
 func (s *Selection) IsEmpty() bool {
 	return !s.All && len(s.Numbers) == 0 && s.Zone == "" && s.Fraction == 0
 }
@@ -83,36 +84,36 @@
 // Direction is the affected direction of a link, seen from the routers of the fault.
 type Direction string
 
-// The directions. Empty counts as Both.
+// The directions. An empty direction means Both.
 const (
 	Both Direction = "both"
 	Out  Direction = "out"
 	In   Direction = "in"
 )
 
-// Disk is what a router that was killed finds in its durable folder.
+// Disk is the state of the durable folder in which a killed router restarts.
 type Disk string
 
-// The disks.
+// The states of a durable folder.
 const (
 	DiskUnchanged Disk = "own"
 	DiskEmpty     Disk = "empty"
-	DiskOther     Disk = "other" // that of the router with the next number
-	DiskTruncated Disk = "cut"   // its own, with File cut short
-	DiskOlder     Disk = "older" // its own, as it was when the process began that dies now
-	DiskNewer     Disk = "newer" // its own, with snapshots that a program of a later format wrote
-	DiskFlip      Disk = "flip"  // its own, with a bit of each snapshot flipped
-	DiskAhead     Disk = "ahead" // its own, with snapshots of a clock that was an hour ahead
+	DiskOther     Disk = "other" // the folder of the router with the next number
+	DiskTruncated Disk = "cut"   // the router's own folder, with the files that match File truncated
+	DiskOlder     Disk = "older" // the router's own folder, as it was when the process that is killed had started
+	DiskNewer     Disk = "newer" // the router's own folder, with snapshots in a later format
+	DiskFlip      Disk = "flip"  // the router's own folder, with one bit of each snapshot flipped
+	DiskAhead     Disk = "ahead" // the router's own folder, with snapshots from a clock that was an hour ahead
 )
 
-// Disks has all of them.
+// Disks lists all states of a durable folder.
 var Disks = []Disk{DiskUnchanged, DiskEmpty, DiskOther, DiskTruncated, DiskOlder, DiskNewer, DiskFlip, DiskAhead}
 
-// Topology is a fleet, as far as a schedule needs to know it: the zone of each router and of each
+// Topology is the part of a fleet's layout that a schedule needs: the zone of each router and of each
 // host.
 type Topology struct{ Routers, Hosts []string }
 
-// EndKind is what stands at one end of a link.
+// EndKind is the kind of process at one end of a link: a router, a host or the discovery list.
 type EndKind uint8
 
 // The kinds of ends.
@@ -122,7 +123,7 @@
 	AtList
 )
 
-// End is one end of a link.
+// End is one end of a link: the kind of process and, for routers and hosts, its number.
 type End struct {
 	Kind EndKind
 	N    int
