--- a/internal/testbed/scripted/discovery.go
+++ b/internal/testbed/scripted/discovery.go
@@ -11,13 +11,14 @@
 	"time"
 )
 
-// maxUnreadCalls bounds the calls of a discovery that a test has not read yet.
+// maxUnreadCalls is the capacity of Discovery.Calls.
 const maxUnreadCalls = 100
 
-// Discovery answers each read with its full list, and each watch with what the test sends next.
+// Discovery is a scripted discovery server. It answers each read with its full list and each watch
+// with the next text that the test passes to Send.
 type Discovery struct {
 	Addr  string
-	Calls chan string // the URIs asked for, in their order
+	Calls chan string // the request URIs, in the order of the requests
 
 	server   *http.Server
 	mu       sync.Mutex
@@ -25,7 +26,7 @@
 	updates  chan string
 }
 
-// NewDiscovery starts a discovery with a full list until the end of the test.
+// NewDiscovery starts a discovery server with a full list. The server stops at the end of the test.
 func NewDiscovery(t testing.TB, fullList string) *Discovery {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -35,7 +36,8 @@
 	return ServeDiscovery(t, ln, fullList)
 }
 
-// ServeDiscovery starts a discovery on a listener, which it owns from now on.
+// ServeDiscovery starts a discovery server on a listener. The server owns the listener from then on
+// and stops at the end of the test.
 func ServeDiscovery(t testing.TB, ln net.Listener, fullList string) *Discovery {
 	d := &Discovery{
 		Addr:     ln.Addr().String(),
@@ -49,16 +51,17 @@
 	return d
 }
 
-// Stop ends the server and all its connections.
+// Stop stops the server and closes all its connections.
 func (d *Discovery) Stop() { d.server.Close() }
 
-// Send answers the watch that waits, or the next one. The test fails if there is none in time.
+// Send answers the waiting watch or, if there is none, the next one. The test fails if no watch
+// arrives within EventTimeout.
 func (d *Discovery) Send(t testing.TB, text string) {
 	t.Helper()
 	select {
 	case d.updates <- text:
 	case <-time.After(EventTimeout):
-		t.Fatal("nobody watches discovery")
+		t.Fatal("timed out waiting for a watch of discovery")
 	}
 }
 
@@ -78,12 +81,12 @@
 	}
 }
 
-// ListEntry is a listed server in discovery's form.
+// ListEntry returns the entry of a server in discovery's JSON format.
 func ListEntry(id, addr, state string) string {
 	return fmt.Sprintf(`{"id":%q,"addr":%q,"zone":"a","kind":"k","state":%q}`, id, addr, state)
 }
 
-// List is a list in discovery's form.
+// List returns a list of entries in discovery's JSON format.
 func List(version int, full bool, entries ...string) string {
 	return fmt.Sprintf(`{"version":%d,"full":%t,"servers":[%s]}`, version, full, strings.Join(entries, ","))
 }
--- a/internal/testbed/scripted/flood.go
+++ b/internal/testbed/scripted/flood.go
@@ -20,38 +20,38 @@
 const (
 	dialTimeout       = time.Second
 	redialDelay       = time.Millisecond      // after a failed dial
-	trickleInterval   = 50 * time.Millisecond // between two bytes
-	maxRefusalTimeUs  = 60e6                  // the longest refusal time that a summary distinguishes, in microseconds
-	refusalTimeDigits = 3                     // significant digits of these times
+	trickleInterval   = 50 * time.Millisecond // between two bytes of a request
+	maxRefusalTimeUs  = 60e6                  // longest refusal time that the histogram holds, in microseconds
+	refusalTimeDigits = 3                     // significant digits of the times in the histogram
 )
 
-// Misbehavior is what a bad client does with its connection.
+// Misbehavior is the way in which a bad client misuses its connection.
 type Misbehavior int
 
 // The kinds.
 const (
-	SendNothing    Misbehavior = iota // waits until the other side closes
-	SendRequests                      // one after another, without regard to the answers
-	CloseAtOnce                       // right after connecting
-	TrickleRequest                    // a byte at a time
+	SendNothing    Misbehavior = iota // sends nothing until the router closes the connection
+	SendRequests                      // sends one request after another, whatever the answers say
+	CloseAtOnce                       // closes the connection right after connecting
+	TrickleRequest                    // sends a request one byte at a time
 	ReadNothing                       // sends a request and never reads the answer
 )
 
-// Flood is an overload of bad clients. Each connects from an address of its own, misbehaves, and
-// connects again as soon as its connection has ended. Stop ends its goroutines.
+// Flood overloads a router with bad clients. Each client connects from its own address, misbehaves,
+// and connects again as soon as its connection has ended. Stop ends the flood's goroutines.
 type Flood struct {
-	Conns atomic.Int64 // so far
+	Conns atomic.Int64 // connections opened so far
 
 	mu           sync.Mutex
-	answers      map[int]int64           // by status; 0 for a connection that ended without an answer
-	refusalTimes *hdrhistogram.Histogram // microseconds from connecting, or the request, to the refusal
+	answers      map[int]int64           // number of answers by status; status 0 counts connections that ended without an answer
+	refusalTimes *hdrhistogram.Histogram // in microseconds, from the start of connecting or of a later request to the refusal
 
 	stop    chan bool
 	clients sync.WaitGroup
 }
 
-// NewFlood starts bad clients of a router; from gives the address that each connects from. They end
-// after maxDuration even without Stop.
+// NewFlood starts bad clients of the router at addr. from returns the source address of each client.
+// The clients stop connecting after maxDuration even without Stop.
 func NewFlood(addr string, clients int, kind Misbehavior, from func(i int) string, maxDuration time.Duration) *Flood {
 	f := &Flood{
 		answers:      map[int]int64{},
@@ -65,7 +65,7 @@
 	return f
 }
 
-// runClient connects and misbehaves until the flood is stopped or a time has come.
+// runClient connects and misbehaves repeatedly until the flood is stopped or the time end is reached.
 func (f *Flood) runClient(addr string, client int, kind Misbehavior, from string, end time.Time) {
 	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(from)}, Timeout: dialTimeout, Control: DeferPortChoice}
 	for n := 0; time.Now().Before(end); n++ {
@@ -86,9 +86,10 @@
 	}
 }
 
-// DeferPortChoice has the system choose the local port when it knows the other side: to find one
-// that is free for all takes ever longer with thousands of closed connections, and delays other
-// clients that connect.
+// DeferPortChoice makes the kernel choose the local port at connect time, when it knows the remote
+// address. Without this option, the kernel must find a port that is free for all remote addresses.
+// With thousands of closed connections, this search takes ever longer and delays other clients that
+// connect.
 func DeferPortChoice(_, _ string, c syscall.RawConn) (err error) {
 	const bindAddressNoPort = 24 // IP_BIND_ADDRESS_NO_PORT of ip(7)
 	controlErr := c.Control(func(fd uintptr) {
@@ -97,12 +98,12 @@
 	return errors.Join(controlErr, err)
 }
 
-// misbehave uses a connection badly until it ends or the flood is stopped.
+// misbehave misuses a connection until the connection ends or the flood is stopped.
 func (f *Flood) misbehave(c net.Conn, kind Misbehavior, id string, start time.Time) {
 	c.SetDeadline(time.Now().Add(EventTimeout))
 	done := make(chan bool)
 	defer close(done)
-	go func() { // until this function returns: a stop ends its reads and writes
+	go func() { // runs until misbehave returns; ends pending reads and writes when the flood is stopped
 		select {
 		case <-f.stop:
 			c.SetDeadline(time.Unix(1, 0))
@@ -122,7 +123,7 @@
 	}
 }
 
-// trickleRequest writes a request a byte at a time.
+// trickleRequest writes a request one byte at a time.
 func trickleRequest(c net.Conn, id string) {
 	for _, b := range []byte(RequestText(id, "")) {
 		if _, err := c.Write([]byte{b}); err != nil {
@@ -154,7 +155,8 @@
 	}
 }
 
-// countAnswer counts an answer, and its time if it is a refusal. Status 0 is no answer.
+// countAnswer counts an answer and, if it is a refusal, records its time. Status 0 means that the
+// connection ended without an answer.
 func (f *Flood) countAnswer(status int, took time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -164,13 +166,13 @@
 	}
 }
 
-// Stop ends the flood and waits for all its clients.
+// Stop stops the flood and waits until all its clients have ended.
 func (f *Flood) Stop() {
 	close(f.stop)
 	f.clients.Wait()
 }
 
-// Summary is a line with the number of connections, the answers by status and the refusal times.
+// Summary returns a line with the number of connections, the answers by status and the refusal times.
 func (f *Flood) Summary() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/testbed/scripted/model.go
+++ b/internal/testbed/scripted/model.go
@@ -14,51 +14,51 @@
 )
 
 const (
-	defaultEvents    = 10
-	maxUnreadStarted = 1000
+	defaultEvents    = 10   // token events of an answer, if the behavior states no number
+	maxUnreadStarted = 1000 // capacity of Model.Started
 )
 
-// ModelBehavior is how a Model answers.
+// ModelBehavior describes how a Model answers requests.
 type ModelBehavior struct {
-	FirstDelay    time.Duration // before the head and the first event
-	EventInterval time.Duration // between two events
-	Events        int           // with a token each; 0 for defaultEvents
-	Suffix        string        // of the last token, so that the text differs from that of others
-	Report        string        // load report at the end, none if empty
-	Breaks        bool          // resets the connection halfway
-	Stalls        bool          // sends nothing until the other side closes
-	Status        int           // if not 0: answers with this status alone
-	Gate          <-chan bool   // the last event waits until this is sent to or closed
-	Stages        []<-chan bool // each of the last events waits for one of these, in their order
+	FirstDelay    time.Duration // delay before the head and the first event
+	EventInterval time.Duration // interval between two events
+	Events        int           // number of events with one token each; 0 means defaultEvents
+	Suffix        string        // appended to the last token, so that the text differs from other models' answers
+	Report        string        // load report at the end of the stream; none if empty
+	Breaks        bool          // resets the connection halfway through the stream
+	Stalls        bool          // sends nothing until the client closes the connection or sends more
+	Status        int           // if not 0, answers with this status and no body
+	Gate          <-chan bool   // if not nil, the last event waits for a value or the close of this channel
+	Stages        []<-chan bool // the last len(Stages) events each wait for the channel at their position
 }
 
-// Model is a scripted model host. It answers each prompt with a text made from it, counts the
-// attempts in flight for each request id, and can be killed and revived at its address.
+// Model is a scripted model host. It answers each prompt with a text derived from the prompt, counts
+// the attempts in flight for each request id, and can be killed and restarted at the same address.
 type Model struct {
 	Addr    string
-	Started chan string // the ids of attempts; those that it has no capacity for are dropped
+	Started chan string // request ids of started attempts; ids that exceed the channel's capacity are dropped
 
 	mu           sync.Mutex
 	behavior     ModelBehavior
 	listener     net.Listener
 	conns        map[net.Conn]bool
-	inFlight     map[string]int // attempts by request id
-	attemptsByID map[string]int // so far
+	inFlight     map[string]int // attempts in flight, by request id
+	attemptsByID map[string]int // attempts so far, by request id
 	total        int            // attempts so far
-	duplicated   []string
-	maxInFlight  int
-	accepted     int // connections so far
+	duplicated   []string       // see ModelCounts.Duplicated
+	maxInFlight  int            // largest number of attempts in flight at the same time
+	accepted     int            // connections accepted so far
 }
 
-// ModelCounts are the attempts at a model.
+// ModelCounts counts the attempts that a Model has received.
 type ModelCounts struct {
-	Total       int      // so far
-	MaxInFlight int      // at the same time
-	InFlight    int      // now
-	Duplicated  []string // ids that ever had two attempts in flight at the same time
+	Total       int      // attempts so far
+	MaxInFlight int      // largest number of attempts in flight at the same time
+	InFlight    int      // attempts in flight now
+	Duplicated  []string // request ids that ever had two attempts in flight at the same time
 }
 
-// NewModel starts a model host until the end of the test.
+// NewModel starts a model host. It is killed at the end of the test.
 func NewModel(t testing.TB, b ModelBehavior) *Model {
 	t.Helper()
 	h := &Model{
@@ -73,7 +73,7 @@
 	return h
 }
 
-// Set changes how the model answers from the next request on.
+// Set changes the behavior of the model, starting with the next request.
 func (h *Model) Set(b ModelBehavior) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -91,7 +91,7 @@
 	}
 }
 
-// Revive listens again at the same address.
+// Revive makes a killed model listen again at its address.
 func (h *Model) Revive(t testing.TB) {
 	t.Helper()
 	ln, err := net.Listen("tcp", h.Addr)
@@ -119,7 +119,7 @@
 	}
 }
 
-// Counts returns the attempts so far.
+// Counts returns the current counts of attempts.
 func (h *Model) Counts() ModelCounts {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -131,7 +131,7 @@
 	}
 }
 
-// inFlightLocked is the number of attempts in flight, of all ids.
+// inFlightLocked returns the number of attempts in flight over all request ids. The caller holds mu.
 func (h *Model) inFlightLocked() (n int) {
 	for _, attempts := range h.inFlight {
 		n += attempts
@@ -139,14 +139,14 @@
 	return n
 }
 
-// Accepted returns how many connections there were so far.
+// Accepted returns the number of connections accepted so far.
 func (h *Model) Accepted() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.accepted
 }
 
-// Attempts returns how many attempts a request id had so far.
+// Attempts returns the number of attempts so far for a request id.
 func (h *Model) Attempts(id string) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -177,8 +177,8 @@
 	}
 }
 
-// serve answers the requests of a connection. An attempt is in flight until the other side closes
-// or has the complete answer.
+// serve answers the requests of a connection. An attempt is in flight until its answer is complete or
+// the client closes the connection.
 func (h *Model) serve(c net.Conn) {
 	defer func() {
 		c.Close()
@@ -203,7 +203,7 @@
 		default:
 		}
 		readable := make(chan bool)
-		go func() { // until the next request or the close, for which this function waits
+		go func() { // ends at the next request or the close of the connection; serve waits for it
 			in.Peek(1)
 			close(readable)
 		}()
@@ -221,10 +221,11 @@
 type modelAnswer struct {
 	ModelBehavior
 	conn        net.Conn
-	interrupted <-chan bool // closed when the other side closes or sends more
+	interrupted <-chan bool // closed when the client closes the connection or sends more
 }
 
-// write writes the answer to a prompt and reports whether the connection is of further use.
+// write writes the answer to a prompt and reports whether the connection can be used for further
+// requests.
 func (a *modelAnswer) write(prompt string) bool {
 	if a.Stalls {
 		<-a.interrupted
@@ -243,8 +244,8 @@
 	return a.send(Chunk(a.finalEvents(len(prompt)/4, len(tokens))) + End)
 }
 
-// writeEvents writes the head and an event for each token, as slowly and as far as the behavior
-// says.
+// writeEvents writes the head and one event for each token, with the pauses and the break that the
+// behavior asks for. It reports whether it wrote all events.
 func (a *modelAnswer) writeEvents(tokens []string) bool {
 	for i, token := range tokens {
 		event := Chunk(fmt.Sprintf("data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":%q},\"finish_reason\":null}]}\n\n", token))
@@ -270,7 +271,8 @@
 	return true
 }
 
-// finalEvents are the end of the stream: the finish, the usage and the load report.
+// finalEvents returns the events at the end of the stream: the finish, the usage, the end marker and
+// the load report.
 func (a *modelAnswer) finalEvents(promptTokens, completionTokens int) string {
 	const finish = "data: {\"choices\":[{\"index\":0,\"delta\":{},\"finish_reason\":\"stop\"}]}\n\n"
 	usage := fmt.Sprintf(
@@ -283,13 +285,14 @@
 	return events
 }
 
-// send writes a text and reports whether it could.
+// send writes a text to the connection and reports whether it succeeded.
 func (a *modelAnswer) send(text string) bool {
 	_, err := io.WriteString(a.conn, text)
 	return err == nil
 }
 
-// sleep waits for a time and reports false if the other side interrupted it.
+// sleep waits for a duration. It returns false if the client closes the connection or sends more
+// first.
 func (a *modelAnswer) sleep(d time.Duration) bool {
 	if d <= 0 {
 		return true
@@ -302,7 +305,8 @@
 	}
 }
 
-// await waits for the test to open a gate and reports false if the other side interrupted it.
+// await waits until the test opens a gate. It returns false if the client closes the connection or
+// sends more first.
 func (a *modelAnswer) await(gate <-chan bool) bool {
 	select {
 	case <-gate:
@@ -312,7 +316,7 @@
 	}
 }
 
-// Tokens are the tokens of a model's answer to a prompt.
+// Tokens returns the tokens with which a Model of the given behavior answers a prompt.
 func Tokens(prompt string, b ModelBehavior) []string {
 	n := b.Events
 	if n == 0 {
--- a/internal/testbed/scripted/output.go
+++ b/internal/testbed/scripted/output.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// LogLines receives each log line as its event and fields. It implements routing.Logger.
+// LogLines is a routing.Logger that sends each log line, its event followed by its fields, on a
+// channel.
 type LogLines chan string
 
 // Info implements routing.Logger.
@@ -24,10 +25,10 @@
 	l <- event
 }
 
-// outputPollInterval is the time between two looks at an output.
+// outputPollInterval is the interval at which Output.Wait checks the text.
 const outputPollInterval = 5 * time.Millisecond
 
-// Output collects written text. Its methods may be called from any goroutine.
+// Output collects written text. Its methods are safe for concurrent use.
 type Output struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -40,19 +41,20 @@
 	return o.text.Write(p)
 }
 
-// String returns all text so far.
+// String returns all text written so far.
 func (o *Output) String() string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.text.String()
 }
 
-// Wait waits until a text was written, and fails the test if it is not in time.
+// Wait waits until the output contains a text. It fails the test if this takes longer than
+// EventTimeout.
 func (o *Output) Wait(t testing.TB, expected string) {
 	t.Helper()
 	for end := time.Now().Add(EventTimeout); !strings.Contains(o.String(), expected); time.Sleep(outputPollInterval) {
 		if time.Now().After(end) {
-			t.Fatalf("no %q in:\n%s", expected, o.String())
+			t.Fatalf("timed out waiting for %q in the output:\n%s", expected, o.String())
 		}
 	}
 }
--- a/internal/testbed/scripted/request.go
+++ b/internal/testbed/scripted/request.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// NewRequest returns a well-formed client request; set overrides its headers, and "" removes one.
+// NewRequest returns a well-formed client request to addr. set overrides its headers; an empty value
+// removes a header.
 func NewRequest(t testing.TB, addr, id string, set map[string]string) *http.Request {
 	t.Helper()
 	r, err := http.NewRequest("POST", "http://"+addr+"/v1/chat/completions?a=%20b", strings.NewReader(`{"stream": true}`))
@@ -28,8 +29,8 @@
 	return r
 }
 
-// Do sends a request and returns the status, the body and the error that ended the body. The test
-// fails if there is no answer.
+// Do sends a request and returns the status, the body and the error with which the body ended. It
+// fails the test if there is no answer.
 func Do(t testing.TB, r *http.Request) (status int, body string, end error) {
 	t.Helper()
 	resp, err := http.DefaultClient.Do(r)
@@ -41,8 +42,8 @@
 	return resp.StatusCode, string(text), err
 }
 
-// RequestText is a well-formed client request as it goes over the wire, with further header lines,
-// each with its line end.
+// RequestText returns a well-formed client request in wire format. more has additional header lines,
+// each including its line end.
 func RequestText(id, more string) string {
 	body := `{"stream": true}`
 	return fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: r\r\nX-Correlation-Id: %s\r\nX-Service-Class: chat\r\n"+
--- a/internal/testbed/scripted/server.go
+++ b/internal/testbed/scripted/server.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// The chunks and complete answers that servers send.
+// Parts of answers and complete answers that servers send.
 const (
 	Head        = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 	End         = "0\r\n\r\n"
@@ -20,13 +20,13 @@
 	ServerError = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
 )
 
-// Chunk frames a chunk of a stream.
+// Chunk returns a text as a chunk in HTTP's chunked encoding.
 func Chunk(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
 
-// CompleteAnswer is an answer of one event, to its end.
+// CompleteAnswer returns a complete answer with one content event.
 func CompleteAnswer() string { return Head + Chunk(Event) + Chunk(Done) + End }
 
-// maxUnreadRequests bounds the requests of a server that a test has not read yet.
+// maxUnreadRequests is the capacity of Server.Requests.
 const maxUnreadRequests = 100
 
 // Request is a request as a server received it.
@@ -35,16 +35,16 @@
 	Header            http.Header
 }
 
-// Server answers each request by a script.
+// Server is an HTTP server that answers each request by a script.
 type Server struct {
 	Addr     string
-	Requests chan Request // in their order
-	Conns    atomic.Int32 // accepted so far
+	Requests chan Request // received requests, in order
+	Conns    atomic.Int32 // connections accepted so far
 	listener net.Listener
 }
 
-// NewServer starts a server until the end of the test. script answers one request on c and reports
-// whether to keep c for more.
+// NewServer starts a server that stops at the end of the test. script answers one request on c and
+// reports whether to keep c open for further requests.
 func NewServer(t testing.TB, script func(c net.Conn) (keep bool)) *Server {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -57,7 +57,7 @@
 	return s
 }
 
-// accept serves connections until Stop.
+// accept accepts and serves connections until Stop.
 func (s *Server) accept(script func(net.Conn) bool) {
 	for {
 		c, err := s.listener.Accept()
@@ -69,10 +69,10 @@
 	}
 }
 
-// Stop accepts no more connections.
+// Stop stops accepting connections. Open connections stay open.
 func (s *Server) Stop() { s.listener.Close() }
 
-// serve answers the requests of a connection until it ends or the script drops it.
+// serve answers the requests of a connection until the connection ends or the script drops it.
 func (s *Server) serve(c net.Conn, script func(net.Conn) bool) {
 	defer c.Close()
 	in := bufio.NewReader(c)
@@ -92,7 +92,7 @@
 	}
 }
 
-// Answer is a script that always writes the same and keeps the connection.
+// Answer returns a script that always writes the same text and keeps the connection open.
 func Answer(text string) func(net.Conn) bool {
 	return func(c net.Conn) bool {
 		_, err := io.WriteString(c, text)
@@ -100,7 +100,7 @@
 	}
 }
 
-// GatedAnswer is a script that writes the first event at once and the rest of a complete answer
+// GatedAnswer returns a script that writes the first event at once, and the rest of a complete answer
 // once it receives from more.
 func GatedAnswer(more <-chan bool) func(net.Conn) bool {
 	return func(c net.Conn) bool {
@@ -111,7 +111,7 @@
 	}
 }
 
-// Drop is a script that resets the connection.
+// Drop is a script that resets the connection without an answer.
 func Drop(c net.Conn) bool {
 	c.(*net.TCPConn).SetLinger(0)
 	return false
