--- a/internal/testbed/localfleet/localfleet.go
+++ b/internal/testbed/localfleet/localfleet.go
@@ -1,6 +1,6 @@
-// Package localfleet runs a complete router fleet as processes on addresses of the loopback, for
-// demos and tests. Each process has a settings file and a log in one folder, and can be killed,
-// frozen, or have its disk wiped. The caller owns the folder and ends the processes by KillAll.
+// Package localfleet runs a complete router fleet as processes on loopback addresses, for demos and
+// tests. All settings files and logs of the processes are in one folder. A process can be killed or
+// frozen, and its disk can be wiped. The caller owns the folder and ends the processes with KillAll.
 package localfleet
 
 import (
@@ -10,36 +10,36 @@
 )
 
 const (
-	seedCount     = 3 // the first routers
-	zoneCount     = 3 // to which the routers belong by turns
-	defaultGraceS = 3
+	seedCount     = 3 // number of seed nodes, which are the first routers
+	zoneCount     = 3 // number of zones, to which routers are assigned round-robin
+	defaultGraceS = 3 // default of Options.GraceS
 )
 
-// Options are the size of a fleet and the settings of its routers.
+// Options has the size of a fleet and the settings of its routers.
 type Options struct {
-	Folder     string   // for all files
-	Network    string   // the first three bytes of all addresses, such as 127.78.0; the last one is the router's number, from 1
-	Routers    int      // the first ones are eligible for the register
-	Disks      int      // how many are, and have a disk
-	Executable []string // runs a router by the settings file that the environment names
-	// Environment is what a router's process has in its environment beside this one's; nil for
-	// nothing.
+	Folder     string   // folder of all files of the fleet
+	Network    string   // the first three bytes of all addresses, such as 127.78.0; the last byte is the router's number, from 1
+	Routers    int      // number of routers
+	Disks      int      // number of routers, counted from the first, that have a disk and are eligible for the register
+	Executable []string // program and arguments that run a router with the settings file that the environment names
+	// Environment returns the variables that a router's process has in addition to the environment of
+	// this process. It may be nil.
 	Environment func(router int) []string
-	HeartbeatMs int // between two heartbeats of a host
-	// RevocationMs bounds the age of the state by which keys are honoured: each change of the
-	// version pins takes so long.
+	HeartbeatMs int // interval between two heartbeats of a host, in milliseconds
+	// RevocationMs bounds the age of the configuration with which a router still honours keys, in
+	// milliseconds. Each change of the version pins takes this long.
 	RevocationMs int
-	GraceS       int // for a graceful shutdown; 0 for 3
+	GraceS       int // time for a graceful shutdown, in seconds; 0 means 3
 }
 
-// Fleet is a fleet of router processes, numbered from 0. Its methods are for one goroutine, except
-// those that only return names and addresses.
+// Fleet is a fleet of router processes, numbered from 0. Its methods must be called from one goroutine
+// at a time, except those that only return names and addresses.
 type Fleet struct {
 	options Options
 	routers []*process
 }
 
-// New lays out a fleet without starting a process.
+// New returns a fleet with all its routers down. It starts no process.
 func New(o Options) *Fleet {
 	f := &Fleet{options: o}
 	var seedNodes []string
@@ -56,7 +56,7 @@
 	return f
 }
 
-// newProcess lays out one router.
+// newProcess returns router i of a fleet, without its seed nodes.
 func newProcess(o *Options, i int) *process {
 	p := &process{
 		Name:         fmt.Sprint("router-", i+1),
@@ -76,28 +76,28 @@
 	return p
 }
 
-// Len is the number of routers.
+// Len returns the number of routers.
 func (f *Fleet) Len() int { return len(f.routers) }
 
-// Name is a router's name.
+// Name returns a router's name.
 func (f *Fleet) Name(i int) string { return f.routers[i].Name }
 
-// IP is a router's address, without a port.
+// IP returns a router's IP address.
 func (f *Fleet) IP(i int) string { return f.routers[i].IP }
 
-// HasDisk reports whether a router is eligible for the register.
+// HasDisk reports whether a router has a disk and is therefore eligible for the register.
 func (f *Fleet) HasDisk(i int) bool { return f.routers[i].Eligible }
 
-// Front is the address where clients reach a router.
+// Front returns the address at which clients reach a router.
 func (f *Fleet) Front(i int) string { return f.routers[i].address(routerPorts.Front) }
 
-// Control is the address where hosts and operators reach a router.
+// Control returns the address at which hosts and operators reach a router.
 func (f *Fleet) Control(i int) string { return f.routers[i].address(routerPorts.Control) }
 
-// Readiness is the address of a router's readiness call.
+// Readiness returns the address of a router's readiness check.
 func (f *Fleet) Readiness(i int) string { return f.routers[i].address(routerPorts.Ready) }
 
-// Log is the file that a router's processes log to.
+// Log returns the path of the file to which a router's processes log.
 func (f *Fleet) Log(i int) string {
 	return filepath.Join(f.options.Folder, f.routers[i].Name+".log")
 }
--- a/internal/testbed/localfleet/process.go
+++ b/internal/testbed/localfleet/process.go
@@ -14,15 +14,16 @@
 	"reachspread/internal/system/settings"
 )
 
-// ErrRouterDown says that a router has no process.
+// ErrRouterDown means that a router has no running process.
 var ErrRouterDown = errors.New("the router is down; start it first")
 
-// process is one router, over all its incarnations. The exported fields are those of its settings.
+// process is one router across all its incarnations. The template of its settings file uses the
+// exported fields.
 type process struct {
 	Name, IP      string
 	DataDirectory string // empty for a router without a disk
 	Zone          int
-	Eligible      bool // for the register
+	Eligible      bool // whether the router is eligible for the register
 	FirstStart    bool
 	SeedNodes     []string
 	Ports         ports
@@ -31,14 +32,14 @@
 	GraceS        int
 
 	executable []string
-	cmd        *exec.Cmd // nil while it is down
-	exited     chan struct{}
+	cmd        *exec.Cmd     // nil while the router is down
+	exited     chan struct{} // closed when the process of cmd has exited
 }
 
-// ports are those of a router's addresses.
+// ports has the port numbers of a router's addresses.
 type ports struct{ Internal, Front, Ready, Control int }
 
-// routerPorts are the ports of all routers, which differ in their IP addresses.
+// routerPorts has the ports that all routers use. Routers differ only in their IP addresses.
 var routerPorts = ports{Internal: 7680, Front: 8662, Ready: 8663, Control: 8665}
 
 func (p *process) address(port int) string { return net.JoinHostPort(p.IP, fmt.Sprint(port)) }
@@ -50,11 +51,11 @@
 	return p.cmd.Process.Signal(s)
 }
 
-// SetExecutable changes the program, with its arguments, that a router runs from its next start on.
+// SetExecutable changes the program and arguments that a router runs, beginning with its next start.
 func (f *Fleet) SetExecutable(i int, executable []string) { f.routers[i].executable = executable }
 
-// Start starts a router's process. The error is that of writing its settings, of its log file or of
-// the program.
+// Start starts a router's process. It returns an error if it can't write the settings file, open the
+// log file or start the program.
 func (f *Fleet) Start(i int) error {
 	p := f.routers[i]
 	if err := f.writeSettings(p); err != nil {
@@ -78,7 +79,7 @@
 	}
 	exited := make(chan struct{})
 	p.cmd, p.exited = cmd, exited
-	go func() { // until the process exits
+	go func() { // ends when the process exits
 		cmd.Wait()
 		close(exited)
 	}()
@@ -95,8 +96,8 @@
 	return nil
 }
 
-// Reload rewrites a router's settings, with its seed nodes in another order, and signals the
-// process to read them. It returns ErrRouterDown for a router without a process.
+// Reload rewrites a router's settings file with its seed nodes in another order, and sends the
+// process SIGHUP so that it reads the file. It returns ErrRouterDown for a router without a process.
 func (f *Fleet) Reload(i int) error {
 	p := f.routers[i]
 	p.SeedNodes = append(p.SeedNodes[1:len(p.SeedNodes):len(p.SeedNodes)], p.SeedNodes[0])
@@ -106,18 +107,18 @@
 	return p.signal(syscall.SIGHUP)
 }
 
-// Terminate signals a router to shut down gracefully, and does not wait for it. It returns
-// ErrRouterDown for a router without a process.
+// Terminate sends a router SIGTERM, so that it shuts down gracefully, and does not wait for its exit.
+// It returns ErrRouterDown for a router without a process.
 func (f *Fleet) Terminate(i int) error { return f.routers[i].signal(syscall.SIGTERM) }
 
-// Exit is how a process ended.
+// Exit describes how a process ended.
 type Exit struct {
-	Status int           // -1 where a signal ended it
-	CPU    time.Duration // processor time that it used
+	Status int           // exit status; -1 if a signal ended the process
+	CPU    time.Duration // processor time that the process used
 }
 
-// AwaitExit waits until a router's process has exited; ok is false if ctx ended first. The router
-// is down then.
+// AwaitExit waits until a router's process has exited and marks the router as down. ok is false if ctx
+// ends first.
 func (f *Fleet) AwaitExit(ctx context.Context, i int) (e Exit, ok bool) {
 	p := f.routers[i]
 	select {
@@ -130,7 +131,7 @@
 	return Exit{Status: state.ExitCode(), CPU: state.UserTime() + state.SystemTime()}, true
 }
 
-// Process is the id of a router's process, 0 while it is down.
+// Process returns the process id of a router, or 0 while the router is down.
 func (f *Fleet) Process(i int) int {
 	if cmd := f.routers[i].cmd; cmd != nil {
 		return cmd.Process.Pid
@@ -138,7 +139,7 @@
 	return 0
 }
 
-// Kill kills a router's process and waits for its exit; a router that is down stays so.
+// Kill kills a router's process and waits for its exit. It does nothing if the router is down.
 func (f *Fleet) Kill(i int) {
 	p := f.routers[i]
 	if p.cmd == nil {
@@ -149,7 +150,7 @@
 	p.cmd = nil
 }
 
-// KillAll kills all routers.
+// KillAll kills the processes of all routers and waits for their exit.
 func (f *Fleet) KillAll() {
 	for i := range f.routers {
 		f.Kill(i)
@@ -169,12 +170,12 @@
 func (f *Fleet) Thaw(i int) { f.routers[i].cmd.Process.Signal(syscall.SIGCONT) }
 
 const (
-	readyTimeout      = time.Minute // for a router to become ready
-	readyCallTimeout  = time.Second // for one call
-	readyPollInterval = 20 * time.Millisecond
+	readyTimeout      = time.Minute           // timeout of AwaitReady, for all its routers together
+	readyCallTimeout  = time.Second           // timeout of one readiness check
+	readyPollInterval = 20 * time.Millisecond // interval between two readiness checks
 )
 
-// Ready reports whether a router's readiness call says that clients may come.
+// Ready reports whether a router's readiness check says that the router accepts clients.
 func (f *Fleet) Ready(i int) bool {
 	client := http.Client{Timeout: readyCallTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	answer, err := client.Get("http://" + f.Readiness(i) + "/readiness")
@@ -185,8 +186,8 @@
 	return answer.StatusCode == http.StatusOK
 }
 
-// AwaitReady waits until routers are ready, for readyTimeout at most. The error wraps that of the
-// context and has the log of a router that is not.
+// AwaitReady waits until routers are ready, but at most readyTimeout. Its error wraps the context's
+// error and contains the log of the first router that is not ready.
 func (f *Fleet) AwaitReady(ctx context.Context, routers ...int) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -195,7 +196,7 @@
 			select {
 			case <-ctx.Done():
 				text, _ := os.ReadFile(f.Log(i))
-				return fmt.Errorf("%s is never ready: %w; its log:\n%s", f.Name(i), ctx.Err(), text)
+				return fmt.Errorf("%s did not become ready: %w; its log:\n%s", f.Name(i), ctx.Err(), text)
 			case <-time.After(readyPollInterval):
 			}
 		}
--- a/internal/testbed/localfleet/settings.go
+++ b/internal/testbed/localfleet/settings.go
@@ -7,7 +7,7 @@
 	"text/template"
 )
 
-// settingsText renders the settings file of a process.
+// settingsText is the template of a router's settings file. Its data is a process.
 var settingsText = template.Must(template.New("settings").Parse(`nodeName = "{{.Name}}"
 role = "router"
 machineClass = "frontend"
@@ -55,7 +55,7 @@
 quotaOvershoot = 0.1
 `))
 
-// settingsPath is where a router's settings file lies.
+// settingsPath returns the path of a router's settings file.
 func (f *Fleet) settingsPath(p *process) string {
 	return filepath.Join(f.options.Folder, p.Name+".toml")
 }
