--- a/internal/testbed/experiment/schedule_test.go
+++ b/internal/testbed/experiment/schedule_test.go
@@ -66,9 +66,9 @@
 		"fault \"kill\" {\n length = \"1s\"\n routers = [0]\n}":                                 `x.hcl:20: at is missing from fault kill`,
 		"fault \"loss\" {\n at = \"1s\"\n length = \"1s\"\n routers = [0]\n share = 1.5\n}":     `x.hcl:24: share must be a number from 0 to 1`,
 		"fault \"pause\" {\n at = \"1s\"\n length = \"1s\"\n routers = [0]\n}":                  `x.hcl:20: fault "pause" does not exist in virtual time, only on sockets`,
-		"fault \"kill\" {\n at = \"11s\"\n length = \"1s\"\n routers = [0]\n}":                  `x.hcl:20: at is 11s; the play is over after 10s`,
+		"fault \"kill\" {\n at = \"11s\"\n length = \"1s\"\n routers = [0]\n}":                  `x.hcl:20: at is 11s; the run ends after 10s`,
 		"fault \"kill\" {\n at = \"1s\"\n length = \"1s\"\n routers = [6]\n}":                   `x.hcl:20: routers has 6; there are 6, from 0`,
-		"fault \"kill\" {\n at = \"1s\"\n length = \"1s\"\n}":                                   `x.hcl:20: routers names no one: a fault needs whom it strikes`,
+		"fault \"kill\" {\n at = \"1s\"\n length = \"1s\"\n}":                                   `x.hcl:20: routers selects nothing; the fault needs a target`,
 		"fault \"kill\" {\n length = \"1s\"\n routers = [0]\n when {\n whom = \"r0\"\n}\n}":     `x.hcl:24: whom is not a field of when`,
 		"fault \"cut\" {\n at = \"1s\"\n length = \"1s\"\n routers = [0]\n links=[\"list\"]\n}": `x.hcl:20: links to hosts or to the list do not exist for single routers`,
 	} {
