--- a/internal/testbed/simulator/bound.go
+++ b/internal/testbed/simulator/bound.go
@@ -7,15 +7,17 @@
 	"reachspread/internal/testbed/hostmodel"
 )
 
-// What hosts could serve in time at a moment, whoever asked them: a bound from means, as of a
-// fluid. Each host runs as many requests of a class at once as keep its pace, reads what nobody can
-// have kept, and is never idle; the classes share hosts as fits their worth best. Routers may come
-// near it and not beyond, but for what the means hide: a second whose requests are all short.
+// This file computes an upper bound on the value that the hosts could serve in time, whichever
+// router sends the requests. The bound uses a fluid model with mean request lengths. Each host runs
+// as many requests of a class at once as the class's token latency target allows, prefills only
+// tokens that no host can have cached, and is never idle. The classes share the hosts so that the
+// total value is highest. Routers may approach the bound but can't exceed it, except where the means
+// mislead: in a second in which all requests are short.
 
-// classDemand is what a class asked for within a second.
+// classDemand sums up the requests of a class that clients made within a second.
 type classDemand struct{ requests, prefillTokens, answerTokens, promptTokens float64 }
 
-// countDemand counts a request that is asked for now.
+// countDemand adds a request that a client makes now to the demand of its class.
 func (w *World) countDemand(f *request) {
 	s := f.session
 	unread := f.promptTokens - s.prefixTokens
@@ -51,8 +53,8 @@
 	return at * share / (out * (h.Base.Seconds() + each*at))
 }
 
-// servableValue returns, by class, the most worth that hosts could have given of what was asked for
-// since the last call, and begins to count anew.
+// servableValue returns, by class, the highest value that the hosts could have served out of the
+// demand since the last call. It then resets the demand.
 func (w *World) servableValue() []float64 {
 	value := make([]float64, len(w.spec.Classes))
 	if len(w.demand) == 0 {
@@ -81,7 +83,7 @@
 	}
 	for at, c := range classes {
 		order := make([]int, len(hosts))
-		gain := make([]float64, len(hosts)) // over what the next class would have of the host
+		gain := make([]float64, len(hosts)) // request rate, relative to the rate of the next class on the same host
 		for h := range hosts {
 			order[h], gain[h] = h, rate(h, c)
 			if at+1 < len(classes) {
--- a/internal/testbed/simulator/check.go
+++ b/internal/testbed/simulator/check.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Check returns the first fault of a Spec, with the name of the field, or nil.
+// Check returns an error that names the first invalid field of a Spec, or nil.
 func (s *Spec) Check() error {
 	switch {
 	case s.Length <= 0:
@@ -15,7 +15,7 @@
 	case s.Routers < 1:
 		return fmt.Errorf("spec: Routers is %d; it must be 1 or more", s.Routers)
 	case len(s.Classes) == 0:
-		return fmt.Errorf("spec: Classes is empty; there must be one at least")
+		return fmt.Errorf("spec: Classes is empty; at least one class is needed")
 	}
 	if p := s.Peers; p.Lost < 0 || p.Lost > 1 || p.Least < 0 || p.Most < p.Least {
 		return fmt.Errorf("spec: Peers has Lost %v, Least %v and Most %v; Lost must be from 0 to 1, and Most not below Least", p.Lost, p.Least, p.Most)
@@ -64,9 +64,9 @@
 	for i, p := range s.Captured {
 		switch {
 		case p.Class < 0 || p.Class >= len(s.Classes):
-			return fmt.Errorf("spec: Captured[%d].Class is %d; there are %d", i, p.Class, len(s.Classes))
+			return fmt.Errorf("spec: Captured[%d].Class is %d; there are %d classes", i, p.Class, len(s.Classes))
 		case p.Prompt < 1 || p.Out < 1 || i > 0 && p.At < s.Captured[i-1].At:
-			return fmt.Errorf("spec: Captured[%d] needs a Prompt and an Out of 1 or more, and must not come before the last", i)
+			return fmt.Errorf("spec: Captured[%d] needs a Prompt and an Out of 1 or more, and its At must not be before that of the previous one", i)
 		}
 	}
 	return nil
@@ -96,7 +96,7 @@
 		}
 	case LostZone:
 		if !s.hasZone(t.Zone) {
-			return fmt.Errorf("%s is %q; no host stands there", field("Zone"), t.Zone)
+			return fmt.Errorf("%s is %q; no host is in that zone", field("Zone"), t.Zone)
 		}
 	case RouterCrash, HostsDie, Replace, ListLost:
 	case Release:
--- a/internal/testbed/simulator/client.go
+++ b/internal/testbed/simulator/client.go
@@ -17,8 +17,8 @@
 	config        *Class
 	rng           *rand.Rand
 	sessions      uint64
-	prefixWeights []float64 // of the prefixes, summed up
-	prefixTokens  []int     // of the prefixes
+	prefixWeights []float64 // cumulative weights of the prefixes
+	prefixTokens  []int     // length of each prefix
 }
 
 // heavyTail is an active disruption that makes some prompts long.
@@ -43,29 +43,30 @@
 	return max(int(l.Median*math.Exp(l.Sigma*rng.NormFloat64())), 1)
 }
 
-// AnswerOf draws the length of an answer by the request's number, for requests whose answers are
-// not known.
+// AnswerOf draws the length in tokens of the answer to request n. It is used for requests whose
+// answer length is not known.
 func (c *Class) AnswerOf(n int) int {
 	return min(c.Out.draw(rand.New(rand.NewPCG(uint64(n), forSession))), c.MaxOut)
 }
 
-// nextSessionAt is the time until the next session begins.
+// nextSessionAt draws the time at which the next session begins.
 func (l *load) nextSessionAt() time.Duration {
 	perSecond := l.config.Rate / l.config.Turns * l.world.burstFactor
 	return l.world.now + time.Duration(l.rng.ExpFloat64()/perSecond*float64(time.Second))
 }
 
-// session is one client's conversation. Its requests do not wait for the answers before.
+// session is one client's conversation. A request of a session is sent at its drawn time, whether
+// or not the previous request has been answered.
 type session struct {
 	load          *load
 	name          string
 	rng           *rand.Rand
 	prefix        string
 	prefixTokens  int
-	contextTokens int // of all turns so far, with their whole answers
+	contextTokens int // length of all turns so far, with their complete answers
 
-	askedAt      time.Duration // the last request
-	cachedTokens int           // tokens that a host may have cached since
+	askedAt      time.Duration // time of the last request
+	cachedTokens int           // tokens that a host may have cached since askedAt
 }
 
 func (l *load) begin() {
@@ -91,9 +92,9 @@
 	return s
 }
 
-// beginUnderway begins the sessions that are in the midst of it when the world begins, each at some
-// turn after its first, as many as there are on average: otherwise the load would take minutes to
-// come up.
+// beginUnderway schedules the sessions that are already in progress when the simulation begins: the
+// average number of them, each at a turn after its first. Without them the load would take minutes
+// to reach its configured rate.
 func (l *load) beginUnderway() {
 	gap := float64(l.config.Think+l.config.Class.LatencyTarget)/float64(time.Second) + l.config.Out.mean()*l.config.Class.TokenLatencyTarget.Seconds()
 	for n := l.config.Rate / l.config.Turns * (l.config.Turns - 1) * gap; n > 0 && (n >= 1 || l.rng.Float64() < n); n-- {
@@ -107,7 +108,7 @@
 
 func (l Length) mean() float64 { return l.Median * math.Exp(l.Sigma*l.Sigma/2) }
 
-// request is a client's request, over all its attempts at routers.
+// request is a client's request. A client may make several attempts at routers for it.
 type request struct {
 	session      *session
 	number       int
@@ -118,7 +119,7 @@
 	rng          *rand.Rand
 }
 
-// nextTurn begins a session's next request and draws when the one after it comes.
+// nextTurn makes a session's next request and draws the time of the one after it.
 func (w *World) nextTurn(s *session) {
 	if w.now >= w.spec.Length {
 		return
@@ -134,7 +135,7 @@
 	last := s.rng.Float64() < 1/c.Turns
 	think := time.Duration(s.rng.ExpFloat64()*float64(c.Think)) + c.Class.LatencyTarget + time.Duration(out)*c.Class.TokenLatencyTarget
 	if s.contextTokens+more+out > c.MaxContext && s.contextTokens > s.prefixTokens {
-		return // the conversation is too long to go on
+		return // the session ends: its context would exceed MaxContext
 	}
 	more = min(more, max(c.MaxContext-s.contextTokens-out, 1))
 	w.lastRequest++
@@ -146,7 +147,7 @@
 	w.ask(f)
 }
 
-// ask begins a request, or records it for Plan.
+// ask starts a request, or only records it if the world was created by Plan.
 func (w *World) ask(f *request) {
 	s := f.session
 	if w.planOnly {
@@ -161,7 +162,7 @@
 	w.sendToRouter(f)
 }
 
-// replayCaptured has a request that once was taken in come again, and the one after it in its time.
+// replayCaptured replays captured request n and schedules the next captured request.
 func (w *World) replayCaptured(n int) {
 	p := &w.spec.Captured[n]
 	if w.now >= w.spec.Length {
@@ -175,7 +176,7 @@
 		promptTokens: p.Prompt, answerTokens: p.Out, rng: w.stream(forClientAttempt, uint64(w.lastRequest))})
 }
 
-// Planned is a request that a client will make, whatever comes of those before it.
+// Planned is a request that a client will make, whatever the outcome of earlier requests.
 type Planned struct {
 	At              time.Duration
 	ID              string
@@ -185,7 +186,8 @@
 	Out, MaxOut     int
 }
 
-// Plan returns all requests of a world, in the order of their times, for clients outside of it.
+// Plan returns all requests that the clients of a world would make, in the order of their times.
+// Clients outside of the simulation use the plan.
 func Plan(s Spec) ([]Planned, error) {
 	w, err := New(s)
 	if err != nil {
@@ -201,7 +203,7 @@
 		case sessionBegins, turnBegins, capturedArrives:
 			w.handle(&e)
 		case disruptionBegins, disruptionEnds:
-			if k := w.spec.Disruptions[max(e.number, 0)].Kind; k == Burst || k == HeavyTail { // those that clients make
+			if k := w.spec.Disruptions[max(e.number, 0)].Kind; k == Burst || k == HeavyTail { // the kinds that change what clients ask for
 				w.handle(&e)
 			}
 		}
@@ -217,19 +219,20 @@
 	routerGeneration int
 	sentAt           time.Duration
 	deadline         time.Duration // when its client gives up
-	index            int           // among the router's open ones
+	index            int           // in the router's openAttempts
 	attempts         int
 	inFlight         *attempt // the router's attempt at a host, nil for none
 	answered         bool
 }
 
-// patience is how long a request's client waits, over all attempts.
+// patience returns how long a request's client waits, over all attempts.
 func (f *request) patience() time.Duration {
 	c := &f.session.load.config.Class
 	return c.Deadline + 2*time.Duration(float64(f.promptTokens)/1000*float64(c.LatencyTargetPer1000Tokens))
 }
 
-// sendToRouter sends a request to a router, if the front knows of any.
+// sendToRouter sends a request to a router that the front picks. If the front has no router, the
+// client retries or gives up.
 func (w *World) sendToRouter(f *request) {
 	f.attempts++
 	left := f.startedAt + f.patience() - w.now
@@ -266,7 +269,8 @@
 	w.schedule(t.deadline+answerSlack+w.spec.Tick, event{kind: clientAttemptOverdue, payload: t, number: 1})
 }
 
-// clientTimedOut ends an attempt whose client has given up.
+// clientTimedOut cancels an attempt whose client has given up. With last set it reports a rule
+// violation if the attempt still has no answer, because answerSlack has passed by then.
 func (w *World) clientTimedOut(t *clientAttempt, last bool) {
 	r := t.router
 	if t.answered || r.generation != t.routerGeneration {
@@ -287,11 +291,11 @@
 func (w *World) answer(r *router, id string, away time.Duration, how outcome) {
 	t := r.clientAttempts[id]
 	if t == nil || t.answered {
-		w.violated(ruleOneAnswer, id, r.number, string(how)+" a second time, or of nobody")
+		w.violated(ruleOneAnswer, id, r.number, string(how)+" for an attempt that is already answered or unknown")
 		return
 	}
 	if t.inFlight != nil {
-		w.violated(ruleOneAttempt, id, r.number, string(how)+" while an attempt is out")
+		w.violated(ruleOneAttempt, id, r.number, string(how)+" while an attempt at a host is in flight")
 		return
 	}
 	w.trace(string(how), id, r.number)
@@ -300,7 +304,7 @@
 	w.retryOrGiveUp(t.request, away, how)
 }
 
-// emitAnswer records in the history how an attempt ended.
+// emitAnswer records the outcome of a client's attempt in the history.
 func (w *World) emitAnswer(t *clientAttempt, how outcome) {
 	w.emit(history.Event{What: history.Answer, ID: t.id, How: answerKinds[how]})
 }
--- a/internal/testbed/simulator/connections.go
+++ b/internal/testbed/simulator/connections.go
@@ -1,16 +1,17 @@
 package simulator
 
-// pool is a router's idle connections to one host, the last used at the end.
+// pool holds a router's idle connections to one host, the most recently used one last.
 type pool struct{ idle []*connection }
 
 type connection struct {
 	host             int
-	hostGeneration   int // of the host's process
-	uses             int // how often
-	routerGeneration int // the router's process
+	hostGeneration   int // generation of the host's process
+	uses             int // number of attempts sent on it
+	routerGeneration int // generation of the router's process
 }
 
-// takeIdle takes the connection to a host that was used last, if there is one.
+// takeIdle removes the most recently used idle connection to a host from the pool and returns it,
+// or nil if there is none.
 func (r *router) takeIdle(h int) *connection {
 	if h >= len(r.pools) {
 		return nil
@@ -21,12 +22,12 @@
 		p.idle = p.idle[:len(p.idle)-1]
 		if x := r.world.hosts[h]; c.hostGeneration == x.generation || x.isolated {
 			return c
-		} // its host's process has ended, and with it the connection
+		} // the host's process has ended, which closed the connection
 	}
 	return nil
 }
 
-// putIdle puts a connection back.
+// putIdle puts a connection back into the pool and schedules its idle timeout.
 func (r *router) putIdle(c *connection) {
 	for len(r.pools) <= c.host {
 		r.pools = append(r.pools, pool{})
@@ -35,7 +36,7 @@
 	r.world.schedule(r.world.now+r.world.spec.Net.Idle, event{kind: idleTimeout, number: r.number, generation: c.uses, payload: c})
 }
 
-// closeIdle closes a connection that was not used since it was put back.
+// closeIdle closes an idle connection unless an attempt has used it since it was put back.
 func (r *router) closeIdle(c *connection, used int) {
 	if c.uses != used || c.routerGeneration != r.generation || c.host >= len(r.pools) {
 		return
--- a/internal/testbed/simulator/disruption.go
+++ b/internal/testbed/simulator/disruption.go
@@ -10,8 +10,8 @@
 	"reachspread/internal/testbed/hostmodel"
 )
 
-// drawSome draws a fraction of those of n that are ok, at least one unless the fraction is 0, in
-// the order of their numbers.
+// drawSome draws a fraction of the numbers below n for which ok holds, and returns them in
+// ascending order. It draws at least one number unless the fraction is 0 or ok holds for none.
 func (w *World) drawSome(n int, fraction float64, ok func(int) bool) (drawn []int) {
 	var may []int
 	for i := range n {
@@ -115,8 +115,8 @@
 	w.schedule(w.now+after, event{kind: hostStarts, number: h.number, generation: h.generation})
 }
 
-// endDisruption undoes a disruption. A number below 0 is not one: the front has noticed that the
-// router ^n died.
+// endDisruption undoes disruption n. A negative n is not the number of a disruption: it means that
+// the front has noticed the death of router ^n.
 func (w *World) endDisruption(n int) {
 	if n < 0 {
 		w.frontNotices(^n)
@@ -147,7 +147,7 @@
 	w.emit(history.Event{What: history.Heal, N: firstDisruptionNumber + n, Text: disruptionFault[t.Kind]})
 }
 
-// frontNotices removes a router that died from those that the front sends to.
+// frontNotices removes a router from those that the front sends to, unless it is alive again.
 func (w *World) frontNotices(router int) {
 	if w.routers[router].alive {
 		return
@@ -157,7 +157,7 @@
 	}
 }
 
-// removeActive returns what a disruption has hit, and forgets it.
+// removeActive removes a disruption from the active ones and returns it with its targets.
 func (w *World) removeActive(disruption int) (hit activeDisruption) {
 	i := slices.IndexFunc(w.activeDisruptions, func(x activeDisruption) bool { return x.disruption == disruption })
 	if i < 0 {
@@ -168,8 +168,8 @@
 	return hit
 }
 
-// reconnectZoneHost reconnects a host of a lost zone, with a new process: its attempts are reset
-// now.
+// reconnectZoneHost reconnects a host of a lost zone and restarts its process, which resets its
+// attempts.
 func (w *World) reconnectZoneHost(h *host) {
 	w.reconnectHost(h)
 	if !h.alive {
@@ -210,15 +210,15 @@
 	}
 }
 
-// firstDisruptionNumber is where the numbers of disruptions begin among those of a history's
-// faults.
+// firstDisruptionNumber is the number of the first disruption in a history, which numbers faults and
+// disruptions together.
 const firstDisruptionNumber = faults.MaxFaults
 
-// disruptionFault is the fault that excuses what a disruption does.
+// disruptionFault maps a disruption to the kind of fault as which the history records it.
 var disruptionFault = map[DisruptionKind]string{SlowHosts: "slow", RouterCrash: "kill", HostsDie: "kill", Replace: "kill", Release: "drain", LostZone: "power", ListLost: "cut",
 	Burst: "burst", HeavyTail: "heavy_tail"}
 
-// emitDisruption records in the history that a disruption begins, as the fault that it is like.
+// emitDisruption records the begin of a disruption in the history, as the corresponding fault.
 func (w *World) emitDisruption(n int, t *Disruption, hit []int) {
 	e := history.Event{What: history.Fault, N: firstDisruptionNumber + n, Text: disruptionFault[t.Kind], Hosts: hit}
 	switch t.Kind {
--- a/internal/testbed/simulator/events.go
+++ b/internal/testbed/simulator/events.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// event is due at a time. Two at one time come in the order in which they were scheduled.
+// event is something that happens at a time. Events with equal times are handled in the order in
+// which they were scheduled.
 type event struct {
 	at         time.Duration
 	seq        uint64
 	kind       eventKind
-	number     int // a router's, a host's, a class's or a disruption's number, or another small figure
-	generation int // of the process of what number names: the event is void after its next start
-	payload    any // what it is about
+	number     int // number of a router, host, class or disruption, or another small number, by kind
+	generation int // generation of that router's or host's process; the event is dropped after a restart
+	payload    any // object that the event is about, by kind
 }
 
-// eventKind is what is done with an event.
+// eventKind says what happens, and so how an event is handled.
 type eventKind uint8
 
 const (
 	sessionBegins eventKind = iota
 	turnBegins
-	clientAttemptReaches // its router
+	clientAttemptReaches // a client's attempt reaches its router
 	clientAttemptOverdue
 	retryBegins
 	capturedArrives
@@ -28,9 +29,9 @@
 	peerReportReaches
 	listReaches
 	routerStarts
-	attemptReaches     // its host
-	hostMessageReaches // its router
-	cancelReaches      // its host
+	attemptReaches     // a router's attempt reaches its host
+	hostMessageReaches // a host's message reaches its router
+	cancelReaches      // a router's cancellation reaches the host
 	connectTimeout
 	idleTimeout
 	probeReaches
@@ -46,7 +47,7 @@
 	viewsChange
 )
 
-// queue is a heap of events with four children a node.
+// queue is a heap of events in which each node has up to four children.
 type queue struct {
 	heap []event
 	seq  uint64
--- a/internal/testbed/simulator/faults.go
+++ b/internal/testbed/simulator/faults.go
@@ -12,13 +12,13 @@
 	"reachspread/internal/testbed/hostmodel"
 )
 
-// faultSchedule is the faults of a world.
+// faultSchedule holds the faults of a world and their progress.
 type faultSchedule struct {
 	injections    []*faults.Injection
-	linkFaults    []*faults.Injection // those of links that are on
-	awaitingEvent []int               // indexes of those that wait for an event
-	eventCounts   []int               // how often the event has come, by index
-	link          *faults.Link        // what becomes of routers' words; each pair has the condition of its moment
+	linkFaults    []*faults.Injection // active faults of links
+	awaitingEvent []int               // indexes of the injections that wait for an event
+	eventCounts   []int               // how often the awaited event has occurred, by index
+	link          *faults.Link        // applies link faults to peer messages; its condition is set for each message
 	copies        []faults.Copy
 }
 
@@ -44,8 +44,8 @@
 	return topology
 }
 
-// checkFaults returns the first fault that a world can't inject. A host is isolated from all
-// routers or from none, and so is the list.
+// checkFaults returns an error for the first fault that a simulation can't inject. In a simulation,
+// a host or the list can be isolated only from all routers at once.
 func (s *Spec) checkFaults() error {
 	if err := faults.Check(s.Faults, s.Topology(), faults.Simulation, s.Length); err != nil {
 		return err
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// scheduleFaults puts a world's faults in.
+// scheduleFaults schedules a world's faults. Those that wait for an event are scheduled by emit.
 func (w *World) scheduleFaults() {
 	w.faults.injections = faults.Resolve(w.spec.Faults, w.spec.Topology(), w.spec.Seed)
 	w.faults.eventCounts = make([]int, len(w.faults.injections))
@@ -77,7 +77,7 @@
 	}
 }
 
-// emit records an event in the history, and schedules the faults that wait for it.
+// emit records an event in the history and schedules the faults that wait for it.
 func (w *World) emit(e history.Event) {
 	if w.spec.History == nil && len(w.faults.awaitingEvent) == 0 {
 		return
@@ -104,12 +104,13 @@
 	return string(e.What) == when.What && (when.Who == "" || when.Who == e.Who) && strings.Contains(e.Text, when.Text)
 }
 
-// observed reports whether events are used at all, so that costly ones are only made then.
+// observed reports whether anything reads history events: the history or a fault that waits for an
+// event. Callers skip events that are costly to make otherwise.
 func (w *World) observed() bool { return w.spec.History != nil || len(w.faults.awaitingEvent) > 0 }
 
 func routerName(n int) string { return "r" + strconv.Itoa(n) }
 
-// FaultEvent is the event of a history for the begin or the end of an injection.
+// FaultEvent returns the history event for the begin or the end of an injection.
 func FaultEvent(what history.What, n int, s *faults.Injection) history.Event {
 	e := history.Event{What: what, N: n, Text: string(s.Kind), ID: s.Whom(), Routers: s.Routers, Hosts: s.Hosts}
 	if faults.Of(s.Kind).OfLinks() {
@@ -178,8 +179,8 @@
 	}
 }
 
-// isolate isolates hosts and the list, or reconnects them. Attempts whose messages were lost are
-// reset then; the hosts keep running.
+// isolate isolates the hosts and the list that a link fault names, or reconnects them. The hosts
+// keep running. On reconnection, attempts whose messages were lost are reset.
 func (w *World) isolate(s *faults.Injection, on bool) {
 	if slices.Contains(s.Links, faults.LinkList) {
 		if on {
@@ -203,7 +204,8 @@
 	}
 }
 
-// sendToPeer sends a word to another router as the faults of the moment have it.
+// sendToPeer delivers a message to another router, subject to the link faults that are active now:
+// it may be delayed, duplicated or lost.
 func (w *World) sendToPeer(from, to int, e event) {
 	at := e.at
 	if len(w.faults.linkFaults) == 0 {
--- a/internal/testbed/simulator/handle.go
+++ b/internal/testbed/simulator/handle.go
@@ -2,7 +2,7 @@
 
 import "reachspread/balance"
 
-// handle handles one event, by what it is about.
+// handle dispatches one event by its kind.
 func (w *World) handle(e *event) {
 	switch e.kind {
 	case sessionBegins, turnBegins, capturedArrives, retryBegins, clientAttemptReaches, clientAttemptOverdue:
@@ -55,8 +55,8 @@
 	}
 }
 
-// handleRouterEvent drops an event of a router that is not alive. All but reports of peers are also
-// dropped where its process was started anew since.
+// handleRouterEvent handles an event of a router, and drops it if the router is not alive. Except
+// for peer reports, it also drops events that were scheduled before the router's last restart.
 func (w *World) handleRouterEvent(e *event) {
 	r := w.routers[e.number]
 	if !r.alive || e.kind != peerReportReaches && r.generation != e.generation {
--- a/internal/testbed/simulator/hostattempts.go
+++ b/internal/testbed/simulator/hostattempts.go
@@ -10,7 +10,7 @@
 	"reachspread/internal/testbed/hostmodel"
 )
 
-// hostMessage is a host's message on an attempt: its first token, or its outcome.
+// hostMessage is a host's message about an attempt: the first token or the outcome.
 type hostMessage struct {
 	attempt      *attempt
 	firstToken   bool
@@ -24,7 +24,7 @@
 // sendHostMessage sends a message to the attempt's router. Messages of one attempt do not overtake
 // one another.
 func (w *World) sendHostMessage(h *host, a *attempt, message *hostMessage) {
-	if h.isolated { // the message is lost; the attempt is reset once the host is back
+	if h.isolated { // the message is lost; the attempt is reset when the host is reconnected
 		h.undelivered = append(h.undelivered, a)
 		return
 	}
@@ -37,10 +37,10 @@
 func (w *World) attemptReaches(a *attempt) {
 	h := w.hosts[a.host]
 	if a.ended || a.client.inFlight != a || h.isolated {
-		return // canceled on its way, or lost
+		return // canceled on the way, or lost because the host is isolated
 	}
 	if !h.alive {
-		result := balance.Reset // its idle connection is dead
+		result := balance.Reset // the host's crash has closed the reused connection
 		if a.connecting {
 			result = balance.NoConnection
 		}
@@ -77,7 +77,7 @@
 	}})
 }
 
-// disconnect closes a connection at its host, unless the host was started anew since.
+// disconnect closes a connection at its host, unless the host has restarted since it was opened.
 func (w *World) disconnect(c *connection) {
 	if h := w.hosts[c.host]; h.alive && h.generation == c.hostGeneration {
 		w.stepHost(h, hostmodel.Disconnect{})
@@ -91,8 +91,8 @@
 	}
 }
 
-// endIdleStreams lets routers end the streams of a host that has been isolated since. The tokens
-// that the host made meanwhile are lost.
+// endIdleStreams ends the streams of a host at their routers if the host is still in the given
+// isolation. The tokens that the host has made during the isolation are lost.
 func (w *World) endIdleStreams(h *host, isolation int) {
 	if !h.isolated || h.isolations != isolation {
 		return
@@ -108,8 +108,8 @@
 	}
 }
 
-// cancelAttempt cancels an attempt at its router: its connection closes, which reaches the host
-// later.
+// cancelAttempt cancels an attempt at its router, which closes the connection. The host learns of
+// it after the network delay.
 func (w *World) cancelAttempt(a *attempt) {
 	a.ended = true
 	if w.observed() {
@@ -118,7 +118,7 @@
 	w.schedule(w.now+w.networkDelay(a.client.router.zone, w.hosts[a.host].zone), event{kind: cancelReaches, payload: a})
 }
 
-// cancelReachesHost ends an attempt at its host.
+// cancelReachesHost ends a canceled attempt and its connection at the host.
 func (w *World) cancelReachesHost(a *attempt) {
 	h := w.hosts[a.host]
 	if !h.alive || h.isolated {
--- a/internal/testbed/simulator/hosts.go
+++ b/internal/testbed/simulator/hosts.go
@@ -17,25 +17,25 @@
 	zone       string
 	kind       string
 	group      int
-	startedAt  time.Duration // on the routers' clock, 0 for before the world's beginning
+	startedAt  time.Duration // last start on the routers' clock, 0 if before the simulation began
 	model      *hostmodel.Host
-	generation int           // of its process
-	nextStep   time.Duration // -1 for none
+	generation int           // incremented whenever its process starts or ends
+	nextStep   time.Duration // time of the next step of the model, -1 for none
 	alive      bool
-	removed    bool // for good
+	removed    bool // permanently
 	isolated   bool // from the network
-	isolations int  // how often it was isolated
+	isolations int  // number of times that it was isolated
 	state      balance.State
 
-	activeFaults int // that have killed it
+	activeFaults int // number of active faults that have killed it
 
-	attempts map[string]*attempt // that it runs or queues, by id
-	probes   map[string]*probe   // that it has not answered, by id
+	attempts map[string]*attempt // running or queued attempts, by id
+	probes   map[string]*probe   // unanswered probes, by id
 
-	undelivered []*attempt // whose messages were lost while it was isolated
+	undelivered []*attempt // attempts whose messages were lost while the host was isolated
 }
 
-// addHost adds a host of a group, running.
+// addHost adds a running host to a group.
 func (w *World) addHost(group int) *host {
 	g := &w.spec.Groups[group]
 	n := len(w.hosts)
@@ -45,8 +45,8 @@
 	return h
 }
 
-// stepHost passes an event, or with nil only the time, to a host's model and applies the results.
-// It reports tableFull where a connection was refused.
+// stepHost passes an event to a host's model and applies the results. With a nil event only time
+// passes. It reports whether the model refused a connection because its table is full.
 func (w *World) stepHost(h *host, e hostmodel.Event) (tableFull bool) {
 	if e == nil {
 		e = hostmodel.TimePassed{}
@@ -81,7 +81,7 @@
 			w.result.Preempted++
 		case hostmodel.Overloaded:
 			w.emit(history.Event{What: history.HostOverloaded, Who: h.id})
-			w.violated(ruleSlowStart, h.id, h.number, "fell over")
+			w.violated(ruleSlowStart, h.id, h.number, "failed from overload")
 		}
 	}
 	at, ok := h.model.Next()
@@ -92,7 +92,7 @@
 	return tableFull
 }
 
-// hostMadeToken counts a token of an attempt, and sends the message of the first one.
+// hostMadeToken counts a token of an attempt, and sends a message for the first one.
 func (w *World) hostMadeToken(h *host, id string) {
 	a := h.attempts[id]
 	if a == nil {
@@ -107,7 +107,7 @@
 	}
 }
 
-// attemptDone ends an attempt at its host, if the host still has it, and sends the outcome.
+// attemptDone ends an attempt at its host, if the host still has the attempt, and sends the outcome.
 func (w *World) attemptDone(h *host, id string, outcome func(*attempt) *hostMessage) {
 	a := h.attempts[id]
 	if a == nil {
@@ -119,7 +119,7 @@
 	w.sendHostMessage(h, a, m)
 }
 
-// probeDone sends the result of a probe, and reports whether the host had it.
+// probeDone sends the result of a probe, and reports whether id is an unanswered probe of the host.
 func (w *World) probeDone(h *host, id string, result balance.Result, load *balance.Load) bool {
 	p := h.probes[id]
 	if p == nil {
@@ -130,12 +130,12 @@
 	return true
 }
 
-// loadOf converts a report of load.
+// loadOf converts a load report of the host model to the form that routers receive.
 func loadOf(l *hostmodel.Load) *balance.Load {
 	return &balance.Load{InFlight: float64(l.Running + l.Waiting), Utilization: l.Utilization, PrefillTokens: 1000 * l.PrefillThousands}
 }
 
-// load returns a host's report of load.
+// load returns a host's current load report.
 func (w *World) load(h *host) *balance.Load {
 	l := h.model.Load(w.now)
 	return loadOf(&l)
