--- a/internal/testbed/simulator/hosts.go
+++ b/internal/testbed/simulator/hosts.go
@@ -19,7 +19,7 @@
 	group      int
 	startedAt  time.Duration // last start on the routers' clock, 0 if before the simulation began
 	model      *hostmodel.Host
-	generation int           // incremented whenever its process starts or ends
+	generation int           // identifies its process; a restart increases it
 	nextStep   time.Duration // time of the next step of the model, -1 for none
 	alive      bool
 	removed    bool // permanently
--- a/internal/testbed/simulator/list.go
+++ b/internal/testbed/simulator/list.go
@@ -7,20 +7,20 @@
 	"reachspread/internal/testbed/history"
 )
 
-// list is the state of the discovery that sends routers the list of hosts.
+// list is the state of the discovery service, which sends the list of hosts to the routers.
 type list struct {
 	version      int64
-	outages      int // disruptions and faults that stop its updates
-	updateMissed bool
+	outages      int  // number of active disruptions and faults that stop updates
+	updateMissed bool // an update was lost in the present outage
 }
 
-// listUpdate is a list, complete or of changes, on its way to a router.
+// listUpdate is a message to a router with the complete list of hosts or only the changed hosts.
 type listUpdate struct {
 	members balance.Members
-	hosts   []int
+	hosts   []int // numbers of the hosts in members, in the same order
 }
 
-// member returns a host as a member of the list.
+// member returns the list entry of a host with the given state.
 func (w *World) member(h *host, state balance.State) balance.Member {
 	return balance.Member{Replica: h.id, Zone: h.zone, Kind: h.kind, State: state, StartedAt: h.startedAt}
 }
@@ -37,7 +37,7 @@
 	return x
 }
 
-// publishHost sends all routers the present state of a host.
+// publishHost sends the present state of a host to all routers, unless the list has an outage.
 func (w *World) publishHost(h *host) {
 	w.list.version++
 	if w.list.outages > 0 {
@@ -51,14 +51,15 @@
 	}
 }
 
-// sendFullList sends a router the complete list.
+// sendFullList sends the complete list to a router, unless the list has an outage.
 func (w *World) sendFullList(r *router) {
 	if w.list.outages == 0 {
 		w.sendList(r, w.fullList())
 	}
 }
 
-// sendList sends a list to a router. Lists do not overtake one another.
+// sendList sends a list update to a router. Updates to one router arrive in the order in which they
+// were sent.
 func (w *World) sendList(r *router, x *listUpdate) {
 	if !r.alive {
 		return
@@ -67,14 +68,15 @@
 	w.schedule(r.lastListAt, event{kind: listReaches, number: r.number, generation: r.generation, payload: x})
 }
 
-// applyList applies a list to what the checkers know of the router, and passes it to the decider.
+// applyList passes a list update to the decider, and records for the rule checks which hosts the
+// router knows to be serving or draining.
 func (r *router) applyList(x *listUpdate) {
 	w := r.world
 	w.result.Lines += uint64(len(x.members.Members))
 	for len(r.known) < len(w.hosts) {
 		r.known = append(r.known, hostKnowledge{})
 	}
-	if x.members.Complete { // a host that is not in it was removed
+	if x.members.Complete { // a host that the complete list lacks was removed
 		in := map[int]bool{}
 		for _, h := range x.hosts {
 			in[h] = true
@@ -98,7 +100,8 @@
 	r.enqueue(x.members)
 }
 
-// recordDraining records since when the router has known that a host drains.
+// recordDraining records that the router knows from now on that a host is draining, if it did not
+// know before.
 func (r *router) recordDraining(h int) {
 	if !r.known[h].draining {
 		r.known[h] = hostKnowledge{draining: true, since: r.world.now}
--- a/internal/testbed/simulator/probes.go
+++ b/internal/testbed/simulator/probes.go
@@ -7,13 +7,13 @@
 	"reachspread/internal/testbed/hostmodel"
 )
 
-// sendProbeResult sends the result of a probe to its router.
+// sendProbeResult sends the result of a probe to the router that sent the probe.
 func (w *World) sendProbeResult(h *host, p *probe, how balance.Result, load *balance.Load) {
 	p.result, p.load = how, load
 	w.schedule(w.now+w.networkDelay(h.zone, w.routers[p.router].zone), event{kind: probeResultReaches, number: p.router, generation: p.routerGeneration, payload: p})
 }
 
-// probe is a router's question for a host's load.
+// probe is a router's request for a host's load report.
 type probe struct {
 	router, routerGeneration int
 	host, number             int
--- a/internal/testbed/simulator/result.go
+++ b/internal/testbed/simulator/result.go
@@ -6,7 +6,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// outcome is how a request, or an attempt, came out.
+// outcome is the final result of a request or of one attempt.
 type outcome string
 
 const (
@@ -18,50 +18,50 @@
 	noRouter     outcome = "no router"
 )
 
-// Result is the figures of a world.
+// Result holds the counts and measurements of one simulation.
 type Result struct {
 	Classes     []ClassResult
 	Seconds     []Second
 	Disruptions []DisruptionResult `json:"Troubles"`
 
-	Events, Steps             uint64 // of the world, of routers' modules
+	Events, Steps             uint64 // events of the simulation, steps of the routers' deciders
 	Attempts, Retries, Probes uint64
-	Heard                     uint64 // reports of other routers that came
-	Lines                     uint64 // of lists that came to routers
-	Crossed, Handshakes       uint64
+	Heard                     uint64 // peer reports that routers received
+	Lines                     uint64 // list entries that routers received
+	Crossed, Handshakes       uint64 // attempts at hosts in another zone, new connections
 	TurnedAway, Preempted     uint64
-	Tokens                    uint64 // that hosts made
-	Wasted                    uint64 // of them, for nobody
-	CachedTokens              uint64 `json:"Kept"` // prompt tokens found in the prefix cache
-	MostOpen, MostQueued      int
-	Value                     float64 `json:"Worth"` // of requests answered in time
+	Tokens                    uint64  // answer tokens that hosts made
+	Wasted                    uint64  // answer tokens of attempts that were canceled or interrupted
+	CachedTokens              uint64  `json:"Kept"` // prompt tokens found in the prefix cache
+	MostOpen, MostQueued      int     // peak numbers of open requests and of scheduled events
+	Value                     float64 `json:"Worth"` // value of the served requests; a late answer counts in part
 	Asked                     float64 // the value of all requests
 }
 
-// ClassResult is the figures of one class. Counts are of requests, over all their attempts.
+// ClassResult holds the results of one class. It counts requests, not attempts.
 type ClassResult struct {
 	Name                             string
-	Asked, Good, Late, Slow          uint64                  // Slow are served too late, or at too slow a pace, for any value
-	Refused, Failed, BrokenOff, Lost uint64                  // Lost to a router that died, or to none at all
+	Asked, Good, Late, Slow          uint64                  // Slow requests are served too late or too slowly to have any value
+	Refused, Failed, BrokenOff, Lost uint64                  // Lost requests ended because their router died or the front had none
 	Value                            float64                 `json:"Worth"`
 	First                            *hdrhistogram.Histogram `json:"-"` // microseconds from the first attempt to the first token
 }
 
-// Second is one second of a world.
+// Second holds the figures of one second of a simulation.
 type Second struct {
 	Asked, Good, Other uint64
 	Running, Waiting   int
 	Alive              int
-	Capacity           float64 // of all hosts, in warm ones
+	Capacity           float64 // total of all live hosts; a warm host counts as 1
 
-	Begun []Share   // value by class: of what was asked for in this second, whenever it was answered
-	Able  []float64 // of that, the most that hosts could have given in time: bound.go
+	Begun []Share   // value by class of the requests made in this second, whenever they were answered
+	Able  []float64 // highest part of that value, by class, that hosts could have served in time; see bound.go
 }
 
-// Share is what was got of a value.
+// Share is a value that was requested (Of) and the part of it that was obtained (Got).
 type Share struct{ Of, Got float64 }
 
-// DisruptionResult is a disruption that came, and how many it hit.
+// DisruptionResult is a disruption that occurred, with the number of its targets.
 type DisruptionResult struct {
 	Kind DisruptionKind
 	At   time.Duration
@@ -72,7 +72,7 @@
 	return ClassResult{Name: name, First: hdrhistogram.New(1, 600e6, 3)}
 }
 
-// second returns the present one.
+// second returns the record of the present second.
 func (w *World) second() *Second {
 	n := int(w.now / time.Second)
 	for len(w.result.Seconds) <= n {
@@ -81,7 +81,8 @@
 	return &w.result.Seconds[n]
 }
 
-// sample takes the state of all hosts, once a second until all is over.
+// sample records the state of all hosts and routers. It repeats once a second until the simulation
+// has reached its length and no request is open.
 func (w *World) sample() {
 	s := w.second()
 	for _, h := range w.hosts {
@@ -106,7 +107,8 @@
 	}
 }
 
-// endRequest ends a request. Began and ended are those of its stream.
+// endRequest counts the outcome of a request. For a served request, began and ended are the times of
+// the first token and of the end of the stream, and made is the number of tokens.
 func (w *World) endRequest(f *request, how outcome, began, ended time.Duration, made int) {
 	w.openRequests--
 	c := &f.session.load.config.Class
@@ -153,7 +155,7 @@
 	}
 }
 
-// G is the value of the requests answered in time as a fraction of the value of all.
+// G returns the value obtained from served requests as a fraction of the value of all requests.
 func (r *Result) G() float64 {
 	if r.Asked == 0 {
 		return 0
--- a/internal/testbed/simulator/rollingrestart.go
+++ b/internal/testbed/simulator/rollingrestart.go
@@ -7,16 +7,16 @@
 	"reachspread/internal/testbed/hostmodel"
 )
 
-// rollingRestart is a restart of all hosts, a batch at a time: each is drained, has two thirds of
-// the interval to finish its requests, and is started anew.
+// rollingRestart is the state of a restart of all hosts, a batch at a time. The hosts of a batch are
+// drained, have two thirds of the interval to finish their requests, and are then restarted.
 type rollingRestart struct {
-	remaining []int // not drained yet
-	batch     int   // hosts at a time
-	interval  time.Duration
-	drained   []int // the present batch, until it is restarted
+	remaining []int         // hosts that are not drained yet
+	batch     int           // number of hosts that are restarted at a time
+	interval  time.Duration // time from the drain of one batch to that of the next
+	drained   []int         // hosts of the present batch, nil once they are restarted
 }
 
-// beginRollingRestart restarts all hosts that are alive within the length of a disruption.
+// beginRollingRestart begins a restart of all live hosts that takes the length of the disruption.
 func (w *World) beginRollingRestart(t *Disruption, alive func(int) bool) {
 	var all []int
 	for i := range w.hosts {
@@ -29,7 +29,7 @@
 	w.rollingRestart(&rollingRestart{remaining: all, batch: batch, interval: t.Length / time.Duration(max(batches, 1))})
 }
 
-// rollingRestart restarts the batch that was drained, or drains the next one.
+// rollingRestart restarts the drained batch, or drains the next batch if there is none.
 func (w *World) rollingRestart(x *rollingRestart) {
 	if x.drained != nil {
 		for _, i := range x.drained {
--- a/internal/testbed/simulator/router.go
+++ b/internal/testbed/simulator/router.go
@@ -8,43 +8,43 @@
 	"reachspread/internal/testbed/history"
 )
 
-// router is one router: a decider, its open attempts, its list and its connections.
+// router is a simulated router process: its decider, open attempts, list of hosts and connections.
 type router struct {
 	world         *World
 	number        int
 	zone          string
 	decider       Decider
-	gate          *recovery.Gate    // nil for none
-	baseline      recovery.Baseline // as on its disk
-	weight        float64           // of what the router that gets most gets
+	gate          *recovery.Gate    // nil if Spec.Gate is not set
+	baseline      recovery.Baseline // what the snapshot on its disk holds
+	weight        float64           // its traffic as a fraction of the highest that a router may get
 	alive         bool
-	generation    int // of its process
+	generation    int // identifies its process; each start increases it
 	inbox         []balance.Event
 	stepScheduled bool
 
 	clientAttempts map[string]*clientAttempt
 	openAttempts   []*clientAttempt
 
-	byID         map[string]int  // hosts that its list has named
-	known        []hostKnowledge // of hosts, by number
-	lastListAt   time.Duration   // when the last update comes
-	pools        []pool          // by host
+	byID         map[string]int  // numbers of the hosts that its list has named, by id
+	known        []hostKnowledge // what it knows of each host, by number
+	lastListAt   time.Duration   // arrival time of the last list update
+	pools        []pool          // idle connections, by host
 	probes       int
-	activeFaults int // faults that have killed it
+	activeFaults int // number of active faults that have killed it
 
-	aliveChangedAt time.Duration  // when it last died or came back, 0 for never
-	view           []balance.Peer // its last view
-	viewVersion    uint64         // and that one's number
+	aliveChangedAt time.Duration  // when it last died or restarted, 0 for never
+	view           []balance.Peer // its last view of the live routers
+	viewVersion    uint64         // the version of view
 }
 
-// hostKnowledge is what a router's list says of a host.
+// hostKnowledge is what a router knows of a host from its list.
 type hostKnowledge struct {
 	draining  bool
-	since     time.Duration // it has been draining
-	startedAt time.Duration // its last start
+	since     time.Duration // when the router learned that the host is draining
+	startedAt time.Duration // when the host last started
 }
 
-// startRouter starts a router's process. A restarted one begins with the last list that it had.
+// startRouter starts a router's process. A restarted router begins with the last list that it had.
 func (w *World) startRouter(n int) error {
 	r := w.routers[n]
 	c := w.spec.Balance
@@ -89,7 +89,8 @@
 	return nil
 }
 
-// saveBaseline saves what a router has learned, as in a snapshot.
+// saveBaseline saves what a router has learned, as a real router does in its snapshot. It saves
+// nothing until the recovery gate, if there is one, is warm.
 func (r *router) saveBaseline() {
 	d, ok := r.decider.(interface{ Learned() balance.Learned })
 	if !ok || !r.world.spec.Learned || !r.alive || r.gate != nil && !r.gate.Warm(r.world.clock()) {
@@ -102,7 +103,7 @@
 	r.baseline.Update(r.world.now, d.Learned(), demand)
 }
 
-// enqueue queues an event for the decider's next step.
+// enqueue queues an event for the decider and schedules a step at the next tick.
 func (r *router) enqueue(e balance.Event) {
 	r.inbox = append(r.inbox, e)
 	if !r.stepScheduled {
@@ -151,14 +152,14 @@
 	client         *clientAttempt
 	index          int
 	host           int
-	hostGeneration int // of the host's process that has it
+	hostGeneration int // generation of the host process that received it
 	conn           *connection
-	connecting     bool // its connection is not up yet
+	connecting     bool // its connection is not established yet
 	sentAt         time.Duration
 	firstSent      bool
 	tokens         int
-	firstTokenAt   time.Duration // its first token, at the host
-	lastTokenAt    time.Duration
+	firstTokenAt   time.Duration // when its first token reached the router
+	lastTokenAt    time.Duration // when the host made its last token
 	deliveredAt    time.Duration // when its last message reaches the router
 	ended          bool
 }
@@ -182,14 +183,14 @@
 	if x.conn = r.takeIdle(h); x.conn == nil {
 		x.conn, x.connecting = &connection{host: h, routerGeneration: r.generation}, true
 		w.result.Handshakes++
-		way *= 3 // there, back and there again
+		way *= 3 // the handshake takes a round trip, then the request follows
 		w.schedule(w.now+w.spec.Net.Connect, event{kind: connectTimeout, payload: x})
 	}
 	x.conn.uses++
 	w.schedule(w.now+way, event{kind: attemptReaches, payload: x})
 }
 
-// receiveHostMessage handles a host's message on an attempt.
+// receiveHostMessage handles a host's message about an attempt at the router.
 func (r *router) receiveHostMessage(message *hostMessage) {
 	w := r.world
 	a := message.attempt
@@ -199,7 +200,7 @@
 	}
 	if message.firstToken {
 		if t.inFlight != a {
-			return // given up before
+			return // the attempt was given up before
 		}
 		if !t.answered {
 			w.trace("first token", t.id, r.number)
@@ -237,7 +238,7 @@
 	w.endRequest(t.request, how, a.firstTokenAt, w.now, message.tokens)
 }
 
-// closeClientAttempt forgets an attempt that has its final answer.
+// closeClientAttempt removes an attempt that has its final answer from the open ones.
 func (r *router) closeClientAttempt(t *clientAttempt) {
 	t.answered = true
 	delete(r.clientAttempts, t.id)
@@ -247,7 +248,8 @@
 	r.openAttempts = r.openAttempts[:len(r.openAttempts)-1]
 }
 
-// crashRouter ends a router's process: its connections are reset, and its clients come back.
+// crashRouter ends a router's process. Its connections are reset. Clients retry their requests,
+// except those whose answer was already being streamed: they are interrupted.
 func (w *World) crashRouter(n int) {
 	r := w.routers[n]
 	if !r.alive {
@@ -278,7 +280,7 @@
 	r.openAttempts, r.clientAttempts, r.pools = nil, nil, nil
 }
 
-// sendReports sends reports to other routers, each copy on its own: late, or not at all.
+// sendReports sends reports to other routers. Each copy has its own random delay and may be lost.
 func (r *router) sendReports(a balance.SendReports) {
 	w := r.world
 	heard := balance.ReportsReceived{From: r.number, Zone: a.Zone, Reports: a.Reports}
@@ -290,7 +292,7 @@
 	}
 }
 
-// probe asks a host for its load.
+// probe sends a probe to a host, to ask for its load report.
 func (r *router) probe(to string) {
 	h, listed := r.byID[to]
 	if !listed {
--- a/internal/testbed/simulator/rules.go
+++ b/internal/testbed/simulator/rules.go
@@ -7,31 +7,31 @@
 )
 
 const (
-	// answerSlack is how long after a client's deadline an answer may still come.
+	// answerSlack is how long after a client's deadline an answer may still arrive.
 	answerSlack = 20 * time.Millisecond
-	// drainSlack is how long after the list has marked a host as draining it may still get new
-	// requests.
+	// drainSlack is how long after a router's list has marked a host as draining the router may still
+	// send new requests to that host.
 	drainSlack = 500 * time.Millisecond
 )
 
-// Violation is a rule that was broken.
+// Violation is the error of a simulation in which a rule was broken.
 type Violation struct {
 	Seed uint64
 	At   time.Duration
 	Rule string
 	Text string
-	Last []string // the events before it, the last one at the end
+	Last []string // the events before the violation, the most recent one last
 }
 
-// Error returns one line, without Last.
+// Error returns the violation in one line, without Last.
 func (v *Violation) Error() string {
 	return fmt.Sprintf("rule broken at %v with seed %d: %s: %s", v.At, v.Seed, v.Rule, v.Text)
 }
 
-// Report returns the error and the events before it.
+// Report returns the error and, on the lines after it, the events before the violation.
 func (v *Violation) Report() string { return v.Error() + "\n" + strings.Join(v.Last, "\n") + "\n" }
 
-// violated stops the world with a violation. Only the first one counts.
+// violated stops the simulation with a violation. Only the first violation is kept.
 func (w *World) violated(rule, id string, n int, text string) {
 	if w.violation != nil {
 		return
@@ -55,7 +55,8 @@
 	ruleSlowStart  = "no cold host is pushed over"
 )
 
-// checkSend checks an attempt that a router is about to send.
+// checkSend checks the rules for an attempt that a router is about to send, and reports whether the
+// attempt follows them.
 func (w *World) checkSend(r *router, t *clientAttempt, id, to string) bool {
 	h, listed := r.byID[to]
 	switch {
@@ -66,7 +67,7 @@
 	case !listed:
 		w.violated(ruleListed, id, r.number, "to "+to)
 	case r.known[h].draining && w.now > r.known[h].since+drainSlack:
-		w.violated(ruleDrain, id, r.number, fmt.Sprintf("to %s, %v after the news", to, w.now-r.known[h].since))
+		w.violated(ruleDrain, id, r.number, fmt.Sprintf("to %s, %v after the list marked it as draining", to, w.now-r.known[h].since))
 	default:
 		return true
 	}
--- a/internal/testbed/simulator/spec.go
+++ b/internal/testbed/simulator/spec.go
@@ -1,11 +1,11 @@
 // Package simulator simulates a fleet in virtual time: clients with sessions and retries, a front
-// that spreads them, routers around the real decision module, the discovery's list of hosts, the
-// network, model hosts (package hostmodel), disruptions and faults. Rules of the platform are
-// checked in every world. The same Spec gives the same results, to the byte, on any machine.
+// that spreads clients over routers, routers with the real decision module, the discovery's list of
+// hosts, the network, model hosts (package hostmodel), disruptions and faults. Every simulation
+// checks the rules of the platform. The same Spec gives byte-identical results on any machine.
 //
-// A World is single-threaded, does no I/O and reads no clock; different worlds share nothing and
-// may run at the same time. Its memory is bounded by the requests that are open at once: those that
-// have ended are only counted.
+// A World is one simulation. It is single-threaded, does no I/O and reads no clock. Different worlds
+// share nothing and may run at the same time. The memory of a World is bounded by the number of
+// requests that are open at once, because requests that have ended are only counted.
 package simulator
 
 import (
@@ -17,18 +17,18 @@
 	"reachspread/internal/testbed/hostmodel"
 )
 
-// Spec describes a world.
+// Spec configures a simulation.
 type Spec struct {
 	Seed    uint64
 	Length  time.Duration // sessions begin until then; open requests run to their end
-	Learned bool          // a restarted router has what its last process had learned, as from a snapshot
+	Learned bool          // a restarted router restores what its last process had learned, as from a snapshot
 	Gate    bool          // routers admit classes by the capacity of hosts in slow start, as in package recovery
-	Tick    time.Duration // a router handles its events once in this time
+	Tick    time.Duration // interval at which a router handles its queued events
 
 	Groups  []Group
 	Routers int
 	Classes []Class
-	Balance balance.Config // without Zone, Classes and StepInterval, which the world sets
+	Balance balance.Config // Zone, Classes and StepInterval are set by New
 
 	Net         Network
 	List        List
@@ -37,14 +37,14 @@
 	Peers       Peers
 	View        View
 	Disruptions []Disruption
-	Faults      []faults.Fault // those that exist in virtual time
-	Captured    []Planned      // in the order of their times; if there are any, no load is drawn
+	Faults      []faults.Fault // only kinds that exist in virtual time
+	Captured    []Planned      // requests to replay, in the order of their times, instead of a drawn load
 
-	// History gets each event, in the form that package checker reads; nil for none. It must not
-	// keep the event.
+	// History is called with each event, in the form that package checker reads. It must not retain
+	// the event. It may be nil.
 	History func(*history.Event)
 
-	// New makes a router's decider; nil for that of package balance.
+	// New creates a router's decider; nil means the decider of package balance.
 	New func(balance.Config, uint64) (Decider, error)
 }
 
@@ -53,7 +53,7 @@
 	Step(now time.Duration, events []balance.Event) []balance.Action
 }
 
-// Group is a number of equal hosts.
+// Group is a set of Count identical hosts.
 type Group struct {
 	Count int
 	Kind  string
@@ -65,15 +65,15 @@
 type Class struct {
 	Class balance.Class
 
-	Rate       float64 // requests in a second, over all sessions
-	Turns      float64 // of a session, in the mean
-	Think      time.Duration
-	New        Length // tokens that a turn adds to what went before
-	Out        Length
-	MaxOut     int // that clients ask for; an answer is no longer
-	MaxContext int // a session ends before its prompt is longer
-	Prefixes   int // beginnings that sessions share; 0 for none
-	Zipf       float64
+	Rate       float64       // requests in a second, over all sessions
+	Turns      float64       // mean number of turns of a session
+	Think      time.Duration // mean time between an answer at the target latencies and the next turn
+	New        Length        // tokens that a turn adds to the session's context
+	Out        Length        // tokens of an answer
+	MaxOut     int           // answer limit that clients ask for; no answer is longer
+	MaxContext int           // a session ends before its context is longer
+	Prefixes   int           // number of prompt prefixes that sessions share; 0 for none
+	Zipf       float64       // exponent of the Zipf distribution of the prefixes
 	PrefixLen  Length
 	Patience   float64 // share of the deadline that an attempt waits; 0 counts as 1
 }
@@ -84,64 +84,64 @@
 	Sigma  float64 // of the logarithm
 }
 
-// Network is how long messages take, one way.
+// Network configures the one-way delays of messages and the timeouts of connections.
 type Network struct {
 	Same, Cross       time.Duration // within a zone, and between two
-	Jitter            float64       // each takes up to this share longer
-	Connect           time.Duration // after which a connection that does not come up is given up
-	Idle              time.Duration // after which a host closes one
-	StreamIdleTimeout time.Duration // after which a router ends a stream that says nothing; 0 for never
+	Jitter            float64       // each message takes longer by up to this fraction
+	Connect           time.Duration // timeout for establishing a connection
+	Idle              time.Duration // timeout after which an idle connection is closed
+	StreamIdleTimeout time.Duration // time without a message after which a router ends a stream; 0 for never
 }
 
-// List is how updates on hosts travel to routers.
+// List configures the delay of list updates on their way to routers.
 type List struct {
-	Delay, Spread time.Duration // the least, and up to how much more
+	Delay, Spread time.Duration // least delay, and the most that is added at random
 }
 
 // Front spreads clients over routers.
 type Front struct {
-	Notice time.Duration // until it knows that a router has died
-	Uneven float64       // of the logarithm of the parts that routers get, 0 for alike; 0.5 gives the most loaded 2.7 times the middle one's
+	Notice time.Duration // time until the front notices the death of a router
+	Uneven float64       // standard deviation of the logarithm of the routers' traffic; 0 for equal traffic; with 0.5 the most loaded router gets 2.7 times the median
 }
 
-// Retries is what clients do after a refusal or a failure.
+// Retries configures the clients' retries after a refusal or a failure.
 type Retries struct {
-	Max   int
-	After time.Duration // up to twice that
-	Heed  bool          // Retry-After is kept
+	Max   int           // retries of one request at most
+	After time.Duration // the wait before a retry is drawn from After to twice After
+	Heed  bool          // clients wait at least for the Retry-After of the answer
 }
 
-// Peers is how routers' words reach each other.
+// Peers configures the messages between routers.
 type Peers struct {
 	On          bool
-	Least, Most time.Duration // on their way
-	Lost        float64       // share that never comes
+	Least, Most time.Duration // range of the delay
+	Lost        float64       // fraction of the messages that are lost
 }
 
-// mostUneven bounds Front.Uneven, and mostOff how far from the middle a router's part is, in its
-// multiples.
+// maxUneven is the upper limit of Front.Uneven. maxDeviations limits how far the logarithm of a
+// router's traffic is from the median, in multiples of Front.Uneven.
 const (
 	maxUneven     = 1.0
 	maxDeviations = 2.0
 )
 
-// DisruptionKind names what goes wrong.
+// DisruptionKind is the kind of a Disruption.
 type DisruptionKind string
 
-// The kinds.
+// The kinds of disruptions.
 const (
-	SlowHosts   DisruptionKind = "slow"           // Fraction of the hosts work Size times slower
+	SlowHosts   DisruptionKind = "slow"           // a Fraction of the hosts works Size times slower
 	Burst       DisruptionKind = "burst"          // Size times as many sessions begin
 	HeavyTail   DisruptionKind = "heavy_tail"     // a Fraction of new prompts is Size times as long
-	RouterCrash DisruptionKind = "balancer_crash" // Fraction of the routers die, and come back after Length
-	HostsDie    DisruptionKind = "hosts_die"      // Fraction of the hosts die, and come back cold after Length
-	Replace     DisruptionKind = "replace"        // Fraction of the hosts go for good, and cold ones of other names come
-	Release     DisruptionKind = "release"        // all hosts are drained and started anew, a Fraction at a time, within Length
-	LostZone    DisruptionKind = "lost_zone"      // the hosts of Zone are cut off
-	ListLost    DisruptionKind = "list_lost"      // no updates on hosts
+	RouterCrash DisruptionKind = "balancer_crash" // a Fraction of the routers dies and restarts after Length
+	HostsDie    DisruptionKind = "hosts_die"      // a Fraction of the hosts dies and restarts cold after Length
+	Replace     DisruptionKind = "replace"        // a Fraction of the hosts is removed; after Length, new cold hosts replace them
+	Release     DisruptionKind = "release"        // all hosts are drained and restarted, a Fraction at a time, within Length
+	LostZone    DisruptionKind = "lost_zone"      // the hosts of Zone are isolated from the network
+	ListLost    DisruptionKind = "list_lost"      // routers get no list updates
 )
 
-// Disruption is something that goes wrong for a while.
+// Disruption is a change of load, or a failure of hosts, routers or the list, that lasts for Length.
 type Disruption struct {
 	Kind     DisruptionKind
 	At       time.Duration
--- a/internal/testbed/simulator/view.go
+++ b/internal/testbed/simulator/view.go
@@ -8,19 +8,19 @@
 	"reachspread/internal/rendezvous"
 )
 
-// View configures how routers learn which of them live: each has a view of its own, which it passes
-// to its decider.
+// View configures how routers learn which routers are alive. Each router has its own view and passes
+// it to its decider.
 type View struct {
 	On    bool
-	Late  time.Duration // from a death or a start until the others see it
-	Wrong float64       // fraction of the living that a view misses in every other second, drawn anew for each router
-	Split bool          // two halves, by the routers' numbers, that do not see each other though their words still arrive
+	Late  time.Duration // time from a router's death or start until the other routers' views show it
+	Wrong float64       // fraction of the live routers that a view lacks in every other second, drawn for each pair of routers and second
+	Split bool          // routers with even and odd numbers do not see each other, although their messages still arrive
 }
 
-// viewInterval is how often a router's view is looked at.
+// viewInterval is the interval at which the routers' views are updated.
 const viewInterval = 250 * time.Millisecond
 
-// updateViews gives each living router its view, where it has changed.
+// updateViews sends each live router its view if the view has changed.
 func (w *World) updateViews() {
 	for _, r := range w.routers {
 		if !r.alive {
@@ -43,14 +43,14 @@
 	}
 }
 
-// isVisible reports whether a router is in another's view.
+// isVisible reports whether router o is in the view of router r.
 func (w *World) isVisible(r, o *router) bool {
 	v := &w.spec.View
 	if r == o {
 		return true
 	}
 	if old := w.now >= o.aliveChangedAt+v.Late; o.aliveChangedAt > 0 && o.alive != old {
-		return false // dead for long enough, or back for not as long yet
+		return false // o died at least Late ago, or restarted less than Late ago
 	}
 	if v.Split && r.number%2 != o.number%2 {
 		return false
--- a/internal/testbed/simulator/world.go
+++ b/internal/testbed/simulator/world.go
@@ -11,7 +11,8 @@
 
 const (
 	maxTrace = 64 // events that a Violation reports
-	// epoch is the beginning of a world on the routers' clock: 0 would mean an unknown past there.
+	// epoch is the time on the routers' clock at which a simulation begins. It is not 0 because
+	// routers take the time 0 for an unknown time in the past.
 	epoch = time.Hour
 )
 
@@ -21,7 +22,7 @@
 	queue             queue
 	now               time.Duration // since the beginning
 	networkRand       *rand.Rand    // delays on the network
-	disruptionRand    *rand.Rand    // disruptions and the front
+	disruptionRand    *rand.Rand    // targets of disruptions
 	classes           []*load
 	zones             []string
 	hosts             []*host
@@ -34,8 +35,8 @@
 	heavyTails        []heavyTail
 	activeDisruptions []activeDisruption
 	faults            faultSchedule
-	demand            []classDemand // of the present second, by class
-	noHostsAt         time.Duration // the last time at which no host was alive
+	demand            []classDemand // demand of the present second, by class
+	noHostsAt         time.Duration // when the last live host last died
 
 	planOnly bool // for Plan: requests are recorded, not sent
 	plan     []Planned
@@ -46,7 +47,7 @@
 	violation *Violation
 }
 
-// traceEntry is an event for the report of a Violation.
+// traceEntry is an event that the report of a Violation shows.
 type traceEntry struct {
 	at   time.Duration
 	what string
@@ -54,19 +55,19 @@
 	n    int
 }
 
-// trace records an event in a ring of maxTrace.
+// trace records an event in a ring buffer of maxTrace entries.
 func (w *World) trace(what, id string, n int) {
 	w.traceRing[w.traced%maxTrace] = traceEntry{w.now, what, id, n}
 	w.traced++
 }
 
-// stream returns a source of random numbers of its own for one purpose, so that what one draws
-// moves nothing of another.
+// stream returns a separate source of random numbers for one purpose, so that draws for one purpose
+// do not change those for another.
 func (w *World) stream(purpose, n uint64) *rand.Rand {
 	return rand.New(rand.NewPCG(w.spec.Seed, purpose<<48|n))
 }
 
-// The purposes of random streams. Their values are part of what a seed means.
+// The purposes of random streams. Changing a value changes the results of every seed.
 const (
 	forNet uint64 = iota + 1
 	forChance
@@ -79,7 +80,7 @@
 	forWeight
 )
 
-// New returns a world at its beginning. It fails where the Spec is invalid.
+// New returns a simulation at its beginning, or an error if the Spec is invalid.
 func New(s Spec) (*World, error) {
 	if err := s.Check(); err != nil {
 		return nil, err
@@ -136,7 +137,7 @@
 	return w, nil
 }
 
-// addZone adds a zone, unless it is known.
+// addZone adds a zone unless it was added before.
 func (w *World) addZone(name string) {
 	for _, z := range w.zones {
 		if z == name {
@@ -146,7 +147,7 @@
 	w.zones = append(w.zones, name)
 }
 
-// schedule adds an event at a time, or now if that has passed.
+// schedule adds an event that happens at time t, or now if t has passed.
 func (w *World) schedule(t time.Duration, e event) {
 	e.at = max(t, w.now)
 	w.queue.push(e)
@@ -164,16 +165,16 @@
 	return d + time.Duration(w.spec.Net.Jitter*w.networkRand.Float64()*float64(d))
 }
 
-// Run runs the world to its end, until a rule is broken, or for at most maxEvents events (0 for no
-// bound). The error is a *Violation where a rule was broken. The Result is that of the time until
-// then.
+// Run runs the simulation to its end, until a rule is broken, or for at most maxEvents events (0
+// for no limit). If a rule is broken, the error is a *Violation. The Result covers the time until
+// Run stops.
 func (w *World) Run(maxEvents int) (*Result, error) {
 	for len(w.queue.heap) > 0 && w.violation == nil {
 		if w.now >= w.spec.Length && w.openRequests == 0 {
 			break
 		}
 		if maxEvents > 0 && w.result.Events >= uint64(maxEvents) {
-			return &w.result, fmt.Errorf("the world was not over after %d events, at %v", maxEvents, w.now)
+			return &w.result, fmt.Errorf("the simulation did not end within %d events; it stopped at %v", maxEvents, w.now)
 		}
 		e := w.queue.pop()
 		w.now = e.at
