--- a/internal/testbed/eventqueue/eventqueue.go
+++ b/internal/testbed/eventqueue/eventqueue.go
@@ -1,6 +1,6 @@
-// Package eventqueue orders the events of a play in virtual time: by their time, and those of one
-// time in the order in which they were added, so that a play repeats from its seed. A queue has one
-// owner; it is not safe for concurrent use.
+// Package eventqueue orders the events of a simulation in virtual time. Events are ordered by time;
+// events with equal times are ordered as they were added, so that a run with the same seed repeats
+// exactly. A queue is not safe for concurrent use.
 package eventqueue
 
 import (
@@ -8,19 +8,20 @@
 	"time"
 )
 
-// Queue holds events that are due at a time. Its zero value is empty and ready to use.
+// Queue holds events with the times at which they are due. Its zero value is empty and ready to use.
 type Queue[E any] struct {
 	entries entries[E]
 	added   uint64
 }
 
-// Add puts an event in at a time.
+// Add adds an event that is due at the time at.
 func (q *Queue[E]) Add(at time.Duration, event E) {
 	q.added++
 	heap.Push(&q.entries, entry[E]{at: at, order: q.added, event: event})
 }
 
-// Next takes the first event out, and its time, if it is due by a time.
+// Next removes the first event and returns it with its time, if it is due at until or before.
+// Otherwise ok is false.
 func (q *Queue[E]) Next(until time.Duration) (event E, at time.Duration, ok bool) {
 	if len(q.entries) == 0 || q.entries[0].at > until {
 		return event, 0, false
@@ -35,7 +36,7 @@
 	event E
 }
 
-// entries is a heap for container/heap.
+// entries implements heap.Interface.
 type entries[E any] []entry[E]
 
 func (e entries[E]) Len() int { return len(e) }
--- a/internal/testbed/eventqueue/eventqueue_test.go
+++ b/internal/testbed/eventqueue/eventqueue_test.go
@@ -30,6 +30,6 @@
 		t.Errorf("got %q at %v, %v; want the late event at 3s", event, at, ok)
 	}
 	if _, _, ok := q.Next(time.Hour); ok {
-		t.Error("an empty queue gave an event")
+		t.Error("Next returned an event from an empty queue")
 	}
 }
--- a/internal/testbed/hostmodel/cache.go
+++ b/internal/testbed/hostmodel/cache.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// cachedSequence is a cached part of prompts: a prefix that sessions share, or what a session has
-// beyond its prefix.
+// cachedSequence is a sequence of cached tokens: either a prefix that sessions share, or the part of
+// one session that follows its prefix.
 type cachedSequence struct {
 	key      sequenceKey
-	parent   *cachedSequence // of a session's: the prefix that it extends, nil for none
+	parent   *cachedSequence // the prefix that a session's sequence extends, nil for none
 	tokens   int
-	users    int // running requests
-	children int // sessions' sequences that extend it
+	users    int // number of running requests that use it
+	children int // number of sessions' sequences that extend it
 	lastUsed time.Duration
 
-	evictable  bool // in the list of the evictable ones
+	evictable  bool // it is in the list of evictable sequences
 	prev, next *cachedSequence
 }
 
@@ -21,20 +21,20 @@
 	session bool
 }
 
-// cache has the cached sequences. One that no request uses and none extends is evictable, the least
-// recently used first.
+// cache holds the cached sequences. A sequence is evictable if no request uses it and no other
+// sequence extends it. The least recently used sequence is evicted first.
 type cache struct {
 	sequences       map[sequenceKey]*cachedSequence
-	oldest, newest  *cachedSequence
-	tokens          int // of all
-	evictableTokens int // of those without users, which can go once those that extend them are gone
+	oldest, newest  *cachedSequence // ends of the list of evictable sequences
+	tokens          int             // tokens of all sequences
+	evictableTokens int             // tokens of the sequences without users, even if others extend them: those are evicted first
 	evicted         uint64
 }
 
 func newCache() cache { return cache{sequences: map[sequenceKey]*cachedSequence{}} }
 
-// find returns the sequences that a prompt begins with, and how many of its first tokens, at most
-// limit, they have.
+// find returns the cached sequences with which a prompt begins, and how many of the prompt's first
+// tokens they hold, at most limit.
 func (c *cache) find(r *Request, limit, block int) (path [2]*cachedSequence, found int) {
 	if p := c.sequences[sequenceKey{name: r.Prefix}]; r.Prefix != "" && p != nil {
 		if found = alignToBlock(min(p.tokens, r.PrefixTokens, limit), block); found > 0 {
@@ -45,7 +45,7 @@
 	if r.Session == "" || s == nil {
 		return path, found
 	}
-	if s.parent == nil { // it includes its prefix
+	if s.parent == nil { // the session's sequence includes its prefix
 		if aligned := alignToBlock(min(s.tokens, limit), block); aligned > found {
 			return [2]*cachedSequence{nil, s}, aligned
 		}
@@ -63,7 +63,7 @@
 
 func alignToBlock(n, block int) int { return n - n%max(block, 1) }
 
-// pin protects a sequence from eviction, until unpin.
+// pin adds a user to a sequence, which protects it from eviction until unpin.
 func (c *cache) pin(p *cachedSequence) {
 	if p.users++; p.users == 1 {
 		c.countEvictable(p, -1)
@@ -79,11 +79,11 @@
 	c.updateEvictable(p)
 }
 
-// countEvictable adds the tokens of a sequence to the evictable ones, or with -1 subtracts them.
+// countEvictable adds the tokens of a sequence to evictableTokens, or subtracts them if by is -1.
 func (c *cache) countEvictable(p *cachedSequence, by int) { c.evictableTokens += by * p.tokens }
 
-// updateEvictable adds a sequence to the list of evictable ones or removes it. The list is in the
-// order of last use.
+// updateEvictable adds a sequence to the list of evictable sequences or removes it, as its users and
+// children require. The list is ordered by last use.
 func (c *cache) updateEvictable(p *cachedSequence) {
 	may := p.users == 0 && p.children == 0
 	switch {
@@ -124,7 +124,7 @@
 	p.evictable, p.prev, p.next = false, nil, nil
 }
 
-// add caches a sequence with one user.
+// add adds a sequence with one user to the cache.
 func (c *cache) add(key sequenceKey, parent *cachedSequence, tokens int, now time.Duration) *cachedSequence {
 	p := &cachedSequence{key: key, parent: parent, tokens: tokens, users: 1, lastUsed: now}
 	c.sequences[key] = p
@@ -136,7 +136,7 @@
 	return p
 }
 
-// drop removes a sequence without users that none extends.
+// drop removes a sequence that has no users and no children.
 func (c *cache) drop(p *cachedSequence) {
 	if p.evictable {
 		c.removeEvictable(p)
@@ -150,7 +150,8 @@
 	}
 }
 
-// evict drops sequences until so many tokens are free, or none is evictable.
+// evict drops evictable sequences until they have freed the given number of tokens, or until no
+// sequence is evictable.
 func (c *cache) evict(tokens int) {
 	for tokens > 0 && c.oldest != nil {
 		tokens -= c.oldest.tokens
--- a/internal/testbed/hostmodel/host.go
+++ b/internal/testbed/hostmodel/host.go
@@ -11,19 +11,19 @@
 	request       Request
 	probe         bool
 	arrivedAt     time.Duration
-	cached        [2]*cachedSequence // the cached sequences that it uses: of its prefix, and of its session
-	cacheHit      int                // tokens of them that it uses
-	cachedTokens  int                // of its prompt, when it first ran
+	cached        [2]*cachedSequence // the cached sequences of its prefix and of its session that it uses
+	cacheHit      int                // number of tokens of these sequences that it uses
+	cachedTokens  int                // number of its prompt tokens that were cached when it first ran
 	begun         bool
 	prefillTokens int  // tokens to prefill: the prompt, and the answer tokens made before a preemption or elsewhere
-	prefilled     int  // of them, so far; cacheHit included
+	prefilled     int  // number of prefillTokens that are prefilled so far, including cacheHit
 	answerTokens  int  // tokens of the answer
-	memoryTokens  int  // tokens of memory beside the cached sequences
-	ignoreCache   bool // its cached sequences do not fit the memory together with the rest of it: it prefills everything
+	memoryTokens  int  // tokens of memory that it uses in addition to the cached sequences
+	ignoreCache   bool // it prefills everything, because its cached sequences and its other tokens do not fit the memory together
 	ended         bool
 }
 
-// stepWorkItem is what a step does for one request.
+// stepWorkItem is the work of a step for one request: tokens to prefill and whether to make a token.
 type stepWorkItem struct {
 	run     *run
 	prefill int
@@ -47,16 +47,16 @@
 	cache          cache
 
 	stepping  bool
-	stepEnd   time.Duration // of the present step
-	stepWork  time.Duration // of the present step, as a warm, idle host counts it
-	stepTime  time.Duration
+	stepEnd   time.Duration // end of the present step
+	stepWork  time.Duration // time that a warm, idle host would take for the present step
+	stepTime  time.Duration // time that this host takes for the present step
 	plan      []stepWorkItem
 	extraWork time.Duration // work of handshakes and probes, for the next step
 
-	meanFirstToken time.Duration // to the first token, a decayed mean
+	meanFirstToken time.Duration // exponentially weighted mean time to the first token
 	report         Load
-	nextReport     time.Duration // when the report is refreshed
-	probes         int           // in the second that began at probeSecond
+	nextReport     time.Duration // when the report is refreshed next
+	probes         int           // number of probes in the second that began at probeSecond
 	probeSecond    time.Duration
 	stats          Stats
 }
@@ -67,11 +67,12 @@
 		slowStart: slowStartState{config: c.SlowStart, alwaysWarm: true}}
 }
 
-// Next returns the time of the next Result if no event comes before; ok is false if there is none.
+// Next returns the time at which the present step ends, which is when the owner has to call Step
+// again if no event happens before. If no step is running, ok is false.
 func (h *Host) Next() (at time.Duration, ok bool) { return h.stepEnd, h.stepping }
 
-// Step applies the passing of time and then one event, and returns the results in order. The slice
-// is valid until the next call.
+// Step advances the host to the time now, applies one event, and returns the results in the order of
+// their times. The slice is valid until the next call.
 func (h *Host) Step(now time.Duration, e Event) []Result {
 	h.results = h.results[:0]
 	for h.stepping && h.stepEnd <= now {
@@ -162,7 +163,7 @@
 		h.byID[q.ID] = r
 		h.waiting = append(h.waiting, r)
 	}
-	// What is sent in the slow start counts, whether it is accepted or not.
+	// Work and calls sent during the slow start count even if the request was rejected.
 	if !h.dead && !q.StartUnknown {
 		h.slowStart.countCall(now)
 	}
@@ -172,7 +173,7 @@
 	}
 }
 
-// cancel ends a request. The present step takes as long as planned.
+// cancel ends a request. The present step still takes as long as planned.
 func (h *Host) cancel(r *run, now time.Duration) {
 	r.ended = true
 	delete(h.byID, r.request.ID)
@@ -210,8 +211,8 @@
 	clear(h.byID)
 }
 
-// beginStep starts a step if there is anything to do: it admits waiting requests, plans the step
-// and reserves its memory.
+// beginStep admits waiting requests, plans a step, reserves the step's memory and starts the step.
+// It starts none if there is no request to work on.
 func (h *Host) beginStep(now time.Duration) {
 	h.stepping = false
 	if h.dead {
@@ -228,7 +229,7 @@
 		if len(h.waiting) == 0 {
 			return
 		}
-		h.waiting[0].ignoreCache = true // nothing runs, so without cached sequences this one fits
+		h.waiting[0].ignoreCache = true // nothing runs, so this request fits if it uses no cached sequences
 	}
 	h.stepWork = h.stepLength() + h.extraWork
 	h.extraWork = 0
@@ -236,7 +237,8 @@
 	h.stepping, h.stepEnd = true, now+h.stepTime
 }
 
-// admit runs waiting requests in their order while there are slots and memory for the prompt.
+// admit moves waiting requests to the running ones, in the order of the queue, while there is a slot
+// and enough memory for the next one's prompt.
 func (h *Host) admit(now time.Duration) {
 	for len(h.waiting) > 0 && len(h.running) < h.config.Slots {
 		r := h.waiting[0]
@@ -245,7 +247,7 @@
 		if !r.ignoreCache {
 			path, found = h.cache.find(&r.request, r.prefillTokens-1, h.config.Block)
 		}
-		for _, p := range path { // in use, they do not count as evictable
+		for _, p := range path { // pinned sequences do not count as evictable in the memory check below
 			if p != nil {
 				h.cache.pin(p)
 			}
@@ -268,7 +270,7 @@
 	}
 }
 
-// committedTokens returns the tokens that running requests have yet to prefill.
+// committedTokens returns the number of tokens that running requests have yet to prefill.
 func (h *Host) committedTokens() (n int) {
 	for _, r := range h.running {
 		n += r.prefillTokens - r.prefilled
@@ -276,8 +278,8 @@
 	return n
 }
 
-// planStep plans a step: up to Chunk prompt tokens, the oldest request first, and a token for each
-// request whose prompt is complete by its end.
+// planStep plans a step. It prefills up to Chunk tokens, the oldest request first, and makes a token
+// for each request whose prompt is completely prefilled at the end of the step.
 func (h *Host) planStep() []stepWorkItem {
 	plan, left := h.plan[:0], h.config.Chunk
 	for _, r := range h.running {
@@ -291,8 +293,8 @@
 	return plan
 }
 
-// reserveMemory evicts cached sequences until the step fits the memory, and reports whether it
-// does.
+// reserveMemory evicts cached sequences until the planned step fits the memory. It reports whether
+// the step fits.
 func (h *Host) reserveMemory() bool {
 	more := 0
 	for _, d := range h.plan {
@@ -310,8 +312,8 @@
 	return true
 }
 
-// preempt moves the newest running request to the head of the queue. The tokens that it has made
-// are prefilled again.
+// preempt moves the newest running request to the head of the queue. When the request runs again,
+// it prefills its prompt and the answer tokens that it has made.
 func (h *Host) preempt(now time.Duration) {
 	r := h.running[len(h.running)-1]
 	h.running = h.running[:len(h.running)-1]
@@ -322,7 +324,7 @@
 	h.emit(Result{Kind: Preempted, At: now, ID: r.request.ID})
 }
 
-// stepLength is how long the step takes on a warm, idle host that is not slowed down.
+// stepLength returns how long the planned step takes on a warm, idle host that is not slowed down.
 func (h *Host) stepLength() time.Duration {
 	contexts, read, pairs := 0, 0, 0.0
 	for _, r := range h.running {
@@ -340,7 +342,7 @@
 	return length
 }
 
-// capacity is the speed as a fraction of a warm, idle host's.
+// capacity returns the host's speed as a fraction of the speed of a warm, idle host.
 func (h *Host) capacity(now time.Duration) float64 {
 	share := h.slowStart.capacity(now)
 	if h.config.MaxConnections > 0 {
@@ -349,7 +351,8 @@
 	return max(share, 0.01)
 }
 
-// finishStep completes the present step.
+// finishStep completes the present step: it counts the prefilled tokens, emits the tokens made and
+// completes requests.
 func (h *Host) finishStep(now time.Duration) {
 	h.stats.Steps++
 	h.stats.Busy += h.stepTime
@@ -388,8 +391,8 @@
 	h.plan = h.plan[:0]
 }
 
-// cachePrefix caches the prefix of a prompt once it is prefilled, for the requests of other
-// sessions.
+// cachePrefix adds the prefix of a prompt to the cache once the prefix is prefilled, for use by
+// requests of other sessions.
 func (h *Host) cachePrefix(r *run, now time.Duration) {
 	shared := alignToBlock(min(r.request.PrefixTokens, r.request.PromptTokens), h.config.Block)
 	key := sequenceKey{name: r.request.Prefix}
@@ -401,8 +404,8 @@
 	h.runningTokens -= shared
 }
 
-// completeRequest ends a request with its last token, and caches the sequence for the next one of
-// its session.
+// completeRequest ends a request after its last token, and caches its tokens for the next request of
+// the session.
 func (h *Host) completeRequest(r *run, now time.Duration) {
 	delete(h.byID, r.request.ID)
 	h.running = slices.DeleteFunc(h.running, func(x *run) bool { return x == r })
@@ -441,7 +444,7 @@
 			return
 		}
 		if mine == 1 {
-			r.memoryTokens += old.tokens // it owns what it used of the sequence from here on
+			r.memoryTokens += old.tokens // the tokens of the dropped sequence now count as the request's own
 			h.runningTokens += old.tokens
 			h.cache.unpin(old, now)
 			r.cached[1] = nil
@@ -457,7 +460,7 @@
 	h.runningTokens -= more
 }
 
-// refreshReport refreshes the report if that is due, from the state until then.
+// refreshReport refreshes the load report from the present state, if a refresh is due.
 func (h *Host) refreshReport(now time.Duration) {
 	if h.config.ReportInterval > 0 && now >= h.nextReport {
 		h.report = h.addNoise(h.exactLoad())
@@ -490,7 +493,7 @@
 	return l
 }
 
-// Load returns the last report, which has noise by ReportNoise.
+// Load returns the current load report, which includes noise if ReportNoise is set.
 func (h *Host) Load(now time.Duration) Load {
 	if h.config.ReportInterval <= 0 {
 		return h.addNoise(h.exactLoad())
