--- a/internal/testbed/hostmodel/cold_test.go
+++ b/internal/testbed/hostmodel/cold_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// The most calls in a window are the platform's budget to the call: N + 2 x root of N + 2, and N +
-// 3 x root of N + 3 for N under 30. Calls that have left the window count no more.
+// The largest number of calls in a window is exactly the platform's budget: N + 2*sqrt(N) + 2, or
+// N + 3*sqrt(N) + 3 if N is below 30. Calls from before the window do not count.
 func TestColdBudgetIsCountedToTheCall(t *testing.T) {
 	for _, tt := range []struct {
 		mean time.Duration
@@ -19,7 +19,7 @@
 		{time.Second / 900, 900 + 60 + 2},
 	} {
 		cold := SlowStart{InitialCapacity: 0.5, Duration: time.Hour, MaxLoadFactor: 2, Window: time.Second, MeanRequestWork: tt.mean}
-		now := time.Microsecond // a microsecond of an hour adds nothing that counts
+		now := time.Microsecond // so early that the capacity is practically InitialCapacity
 		w := slowStartState{config: cold}
 		for range tt.most {
 			w.countCall(now)
@@ -31,14 +31,14 @@
 			w.countCall(now)
 		}
 		if w.maxBudgetUsed <= 1.001 {
-			t.Errorf("mean %v: more are %.3f of the budget", tt.mean, w.maxBudgetUsed)
+			t.Errorf("mean %v: more calls than the budget are %.3f of it, want more than 1.001", tt.mean, w.maxBudgetUsed)
 		}
 		before := w.maxBudgetUsed
 		for range tt.most {
 			w.countCall(now + 2*cold.Window)
 		}
 		if w.maxBudgetUsed != before {
-			t.Errorf("mean %v: calls of an earlier window count: %.3f", tt.mean, w.maxBudgetUsed)
+			t.Errorf("mean %v: calls of an earlier window count: %.3f of the budget", tt.mean, w.maxBudgetUsed)
 		}
 	}
 }
--- a/internal/testbed/hostmodel/host_test.go
+++ b/internal/testbed/hostmodel/host_test.go
@@ -12,13 +12,13 @@
 
 const ms = time.Millisecond
 
-// plain is a host whose figures are easy to work out by hand: 10 ms a step, 1 ms for each running
-// request, 10,000 tokens read in a second (0.1 ms each).
+// plain returns the configuration of a host whose times are easy to calculate by hand: 10 ms for a
+// step, 1 ms for each running request, and 10,000 prompt tokens a second (0.1 ms for each).
 func plain() Config {
 	return Config{Slots: 4, Queue: 2, Memory: 10000, Chunk: 100, Block: 10, Base: 10 * ms, PerSeq: ms, ReadPerS: 10000}
 }
 
-// play steps a host until a time, through all that it does, and returns what came of it.
+// play applies events at one time, then steps the host until another time, and returns all results.
 func play(h *Host, from, until time.Duration, events ...Event) (all []Result) {
 	for _, e := range events {
 		all = append(all, h.Step(from, e)...)
@@ -36,7 +36,7 @@
 	return Arrive{Request{ID: id, PromptTokens: prompt, AnswerTokens: out, MaxAnswerTokens: out}}
 }
 
-// times returns when each kind of result came to a request.
+// times returns the times of a request's results of one kind.
 func times(all []Result, kind ResultKind, id string) (at []time.Duration) {
 	for _, r := range all {
 		if r.Kind == kind && r.ID == id {
@@ -46,8 +46,9 @@
 	return at
 }
 
-// A prompt of 250 tokens is read in three steps of up to 100; the third makes the first token. By
-// hand: 10+1+10 ms, again, then 10+1+5 ms; each later step takes 11 ms.
+// A prompt of 250 tokens is prefilled in three steps of up to 100 tokens, and the third step makes
+// the first token. The first two steps take 10+1+10 ms each, the third takes 10+1+5 ms, and each
+// later step takes 11 ms.
 func TestStepTimes(t *testing.T) {
 	all := play(New(plain(), 1), 0, time.Second, ask("a", 250, 3))
 	want := []time.Duration{58 * ms, 69 * ms, 80 * ms}
@@ -59,9 +60,9 @@
 	}
 }
 
-// Contexts and pairs have their price: with 10 ms for each 1,000 tokens of context and 100 ms for a
-// million pairs, the second step of a prompt of 200 begins with 100 tokens read (1 ms) and reads
-// 100 after these (15,000 pairs: 1.5 ms).
+// Contexts and pairs of tokens take time: here 10 ms for each 1,000 tokens of context and 100 ms for
+// each million pairs. The second step of a prompt of 200 tokens begins with a context of 100 tokens
+// (1 ms) and prefills 100 tokens after these (15,000 pairs: 1.5 ms).
 func TestLongContextsTakeLonger(t *testing.T) {
 	c := plain()
 	c.ContextPerK, c.PairsPerM = 10*ms, 100*ms
@@ -72,10 +73,12 @@
 	}
 }
 
-// Two prompts share a step's chunk, first come first: the second reads what the first leaves.
+// Two prompts share the chunk of a step in the order of their arrival: the second one gets the
+// tokens that the first one leaves.
 func TestFirstComeFirstRead(t *testing.T) {
 	all := play(New(plain(), 1), 0, time.Second, ask("a", 150, 1), ask("b", 50, 1))
-	// The first step began with a alone: 21 ms. The second reads 50 of a and 50 of b: 10+2+10 ms.
+	// The first step began with only request a: 21 ms. The second step prefills 50 tokens of a and 50
+	// of b: 10+2+10 ms.
 	for _, id := range []string{"a", "b"} {
 		if diff := cmp.Diff([]time.Duration{43 * ms}, times(all, Token, id)); diff != "" {
 			t.Errorf("%s: %s", id, diff)
@@ -83,7 +86,7 @@
 	}
 }
 
-// At saturation all slots make a token each step: 4 in 14 ms.
+// At saturation each slot makes a token in each step: 4 tokens in 14 ms.
 func TestThroughputAtSaturation(t *testing.T) {
 	c := plain()
 	c.Queue = 100
@@ -128,8 +131,8 @@
 	}
 }
 
-// A beginning that was read is kept for others, and a session goes on from all that went before, in
-// whole blocks.
+// A prefilled prefix is cached for other sessions, and a session's next request reuses all tokens
+// of its previous one. Both are cached in whole blocks.
 func TestWhatIsKept(t *testing.T) {
 	for _, made := range []bool{false, true} {
 		c := plain()
@@ -144,9 +147,9 @@
 			t.Fatalf("%s was not answered", id)
 			return 0
 		}
-		third := 80 // of the first turn's 85, without its answer
+		third := 80 // whole blocks of the first turn's prompt of 85 tokens, without its answer
 		if made {
-			third = 100 // of 105 with it
+			third = 100 // whole blocks of 105 tokens, with the answer
 		}
 		for i, tt := range []struct {
 			id, session string
@@ -154,7 +157,7 @@
 			want        int
 		}{{"a", "s", 85, 20, 0}, {"b", "t", 60, 5, 40}, {"c", "s", 130, 5, third}, {"d", "s", 41, 5, 40}, {"e", "", 47, 1, 40}} {
 			if got := turn(time.Duration(i+1)*time.Second, tt.id, tt.session, tt.prompt, tt.out); got != tt.want {
-				t.Errorf("answers kept: %v; %s found %d tokens, want %d", made, tt.id, got, tt.want)
+				t.Errorf("answers cached: %v; request %s found %d tokens in the cache, want %d", made, tt.id, got, tt.want)
 			}
 		}
 		if s := h.Stats(time.Minute); s.UsedTokens > c.Memory || s.RunningTokens != 0 {
@@ -163,7 +166,8 @@
 	}
 }
 
-// What nobody used for longest goes first, and a beginning never before what goes on from it.
+// The least recently used sequence is evicted first, and a prefix is never evicted before the
+// sequences that extend it.
 func TestEviction(t *testing.T) {
 	c := plain()
 	c.Memory, c.Chunk = 400, 400
@@ -178,21 +182,21 @@
 		}
 		return kept
 	}
-	turn("1", "s", "p", 150) // 50 of the beginning and 100 of the session
+	turn("1", "s", "p", 150) // caches 50 tokens of the prefix and 100 of the session
 	turn("2", "t", "p", 150)
-	turn("3", "u", "", 120) // 370 held
+	turn("3", "u", "", 120) // 370 tokens are cached now
 	if got := turn("4", "s", "p", 160); got != 150 {
-		t.Errorf("found %d of what still fits", got)
+		t.Errorf("found %d cached tokens before any eviction, want 150", got)
 	}
-	turn("5", "v", "", 100)                         // 100 of t go
-	if got := turn("6", "t", "p", 150); got != 50 { // and with it all but the beginning
-		t.Errorf("found %d after eviction, want the beginning", got)
+	turn("5", "v", "", 100)                         // evicts 100 tokens of t
+	if got := turn("6", "t", "p", 150); got != 50 { // only the prefix is left
+		t.Errorf("found %d cached tokens after the eviction, want the 50 of the prefix", got)
 	}
 }
 
-// When memory runs out the newest goes back into the queue, reads its prompt and what it made
-// again, and is answered all the same: no token is lost, none comes twice. Memory may run out twice
-// in a step.
+// When memory runs out, the newest request is put back into the queue. It prefills its prompt and
+// the tokens made so far again, and is still answered completely: no token is lost or repeated.
+// Memory may run out twice in a step.
 func TestPreemption(t *testing.T) {
 	c := plain()
 	c.Memory, c.Chunk = 300, 1000
@@ -202,19 +206,19 @@
 	for _, id := range []string{"a", "b", "c"} {
 		preempted += len(times(all, Preempted, id))
 		if n, aligned := len(times(all, Token, id)), len(times(all, LastToken, id)); n != 120 || aligned != 1 {
-			t.Errorf("%s: %d tokens, %d ends", id, n, aligned)
+			t.Errorf("request %s: %d tokens and %d ends, want 120 and 1", id, n, aligned)
 		}
 	}
 	if len(times(all, Preempted, "a")) > 0 || preempted == 0 || h.Stats(0).Preempted != uint64(preempted) {
-		t.Errorf("%d preempted, of the oldest %d", preempted, len(times(all, Preempted, "a")))
+		t.Errorf("%d preemptions, %d of them of the oldest request; want some, and none of the oldest", preempted, len(times(all, Preempted, "a")))
 	}
 	if a, c := times(all, LastToken, "a"), times(all, LastToken, "c"); a[0] >= c[0] {
-		t.Errorf("the oldest ended at %v, the newest at %v", a, c)
+		t.Errorf("the oldest request ended at %v, the newest at %v; want the oldest first", a, c)
 	}
 }
 
-// A cold host has its share of the capacity and gains evenly; sent more than its budget within the
-// window it falls over and breaks what it has.
+// A cold host starts with its initial capacity, which rises linearly. If it is sent more work than
+// its budget within the window, it fails and interrupts its requests.
 func TestColdStart(t *testing.T) {
 	c := plain()
 	c.SlowStart = SlowStart{InitialCapacity: 0.25, Duration: 10 * time.Second, MaxLoadFactor: 2, Window: time.Second, PerPromptToken: ms}
@@ -227,11 +231,11 @@
 		}
 	}
 	all := play(h, time.Second, 2*time.Second, ask("a", 90, 1))
-	if diff := cmp.Diff([]time.Duration{time.Second + 80*ms}, times(all, Token, "a")); diff != "" { // 20 ms at a quarter
+	if diff := cmp.Diff([]time.Duration{time.Second + 80*ms}, times(all, Token, "a")); diff != "" { // 20 ms of work at a quarter of the capacity
 		t.Error(diff)
 	}
-	// At 2.5 s it has 0.3625: 725 ms of work may come within a second, of which the first took 90
-	// before 1.5 s.
+	// At 2.5 s the capacity is 0.3625, so 725 ms of work may be sent within a second. The 90 ms of the
+	// first request were sent before 1.5 s and do not count.
 	var fell []Result
 	for i := range 8 {
 		got := h.Step(2500*ms, ask(fmt.Sprint("b", i), 100, 500))
@@ -242,19 +246,19 @@
 		}
 	}
 	if len(fell) == 0 || h.Stats(0).Alive {
-		t.Fatal("it stands")
+		t.Fatal("the host did not fail from overload")
 	}
 	kinds := map[ResultKind]int{}
 	for _, r := range fell {
 		kinds[r.Kind]++
 	}
-	// Four ran and two waited; the last two were turned away, and count all the same.
+	// Four requests ran and two waited. The last two were rejected, but their work counts.
 	if diff := cmp.Diff(map[ResultKind]int{Rejected: 1, Overloaded: 1, Interrupted: 6}, kinds); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// Warmed by work, a host stays cold for as long as it has none.
+// A host whose slow start depends on work stays cold for as long as it has no work.
 func TestWarmedByWork(t *testing.T) {
 	c := plain()
 	c.SlowStart = SlowStart{InitialCapacity: 0.5, Duration: time.Second, Work: 110 * ms}
@@ -262,16 +266,16 @@
 	h.Step(0, Crash{})
 	h.Step(0, Start{})
 	if got := h.Stats(time.Hour).Capacity; got != 0.5 {
-		t.Errorf("idle for an hour, its capacity is %v", got)
+		t.Errorf("after an idle hour, the capacity is %v, want 0.5", got)
 	}
-	play(h, time.Hour, 2*time.Hour, ask("a", 1, 10)) // 10 steps of 11 ms, and 0.1 to read
+	play(h, time.Hour, 2*time.Hour, ask("a", 1, 10)) // 10 steps of 11 ms, and 0.1 ms to prefill
 	if got := h.Stats(2 * time.Hour).Capacity; got != 1 {
-		t.Errorf("after its work, its capacity is %v", got)
+		t.Errorf("after the work, the capacity is %v, want 1", got)
 	}
 }
 
-// A full table takes its part of the capacity, a handshake its work, and beyond the table nobody
-// connects.
+// A full connection table reduces the capacity by TableCost, each handshake costs HandshakeWork, and
+// a connection beyond the size of the table fails.
 func TestConnections(t *testing.T) {
 	c := plain()
 	c.MaxConnections, c.TableCost, c.HandshakeWork = 10, 0.5, 2*ms
@@ -285,7 +289,8 @@
 		t.Errorf("%+v", got)
 	}
 	all := play(h, 0, time.Second, ask("a", 10, 2))
-	// 10+1+1 ms and 20 ms of handshakes at half the capacity, then 11 ms at half.
+	// The first token takes 10+1+1 ms and 20 ms of handshakes, the second 11 ms, both at half the
+	// capacity.
 	if diff := cmp.Diff([]time.Duration{64 * ms, 86 * ms}, times(all, Token, "a")); diff != "" {
 		t.Error(diff)
 	}
@@ -297,8 +302,8 @@
 	}
 }
 
-// Reports are as old as the last refresh; a shallow probe is answered beside the queue, a deep one
-// waits in it.
+// A load report shows the state at the last refresh. A shallow probe is answered at once, a deep
+// probe waits in the queue.
 func TestReportsAndProbes(t *testing.T) {
 	c := plain()
 	c.ReportInterval, c.MaxProbesPerSecond = 100*ms, 3
@@ -315,7 +320,7 @@
 		t.Errorf("%+v", got)
 	}
 	deep := play(h, 110*ms, time.Minute, Probe{ID: "deep", Deep: true})
-	if at := times(deep, ProbeAnswered, "deep"); len(at) != 1 || at[0] < 700*ms { // a slot is free when the first are whole
+	if at := times(deep, ProbeAnswered, "deep"); len(at) != 1 || at[0] < 700*ms { // a slot is free only when the first requests are complete
 		t.Errorf("%v", at)
 	}
 	h.Step(59*time.Second, Probe{ID: "q"})
@@ -326,8 +331,8 @@
 	}
 }
 
-// Whatever comes, each request that is taken in ends once, tokens are neither lost nor made twice,
-// memory holds, and the same events give the same results.
+// Whatever the events, each accepted request ends exactly once, no token is lost or made twice, the
+// memory limit holds, and the same events give the same results.
 func TestPromises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := plain()
@@ -365,12 +370,12 @@
 					delete(open, r.ID)
 				case Rejected, Interrupted:
 					if s == nil {
-						t.Fatalf("%+v of nobody", r)
+						t.Fatalf("%+v is for a request that is not open", r)
 					}
 					delete(open, r.ID)
 				case Preempted:
 					if s == nil {
-						t.Fatalf("%+v of nobody", r)
+						t.Fatalf("%+v is for a request that is not open", r)
 					}
 				}
 			}
@@ -379,7 +384,7 @@
 				t.Fatalf("%+v with %d open, memory %d", s, len(open), c.Memory)
 			}
 			if _, busy := h.Next(); !busy && s.Running+s.Waiting > 0 {
-				t.Fatalf("it stands still: %+v", s)
+				t.Fatalf("the host has requests but runs no step: %+v", s)
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
@@ -414,12 +419,12 @@
 		now += time.Hour
 		took(TimePassed{})
 		if len(open) > 0 {
-			t.Fatalf("%d are open after an hour", len(open))
+			t.Fatalf("%d requests are still open after an hour", len(open))
 		}
 	})
 }
 
-// BenchmarkStep is a full host with sessions that come again.
+// BenchmarkStep measures steps of a full host whose sessions send further requests.
 func BenchmarkStep(b *testing.B) {
 	c := Config{Slots: 64, Queue: 64, Memory: 200000, Chunk: 2048, Block: 16, Base: 10 * ms, PerSeq: 100 * time.Microsecond, ReadPerS: 20000}
 	h := New(c, 1)
--- a/internal/testbed/simulator/loss_test.go
+++ b/internal/testbed/simulator/loss_test.go
@@ -13,13 +13,13 @@
 )
 
 var (
-	losses     = flag.Int("losses", 40, "drawn power losses to play")
-	lossesFrom = flag.Uint64("losses-from", 1, "the first one's seed")
+	losses     = flag.Int("losses", 40, "number of random power losses to simulate")
+	lossesFrom = flag.Uint64("losses-from", 1, "seed of the first random power loss")
 )
 
-// drawnLoss is a world in which power is lost: of all or some routers and hosts, which come back in
-// any order, once to five times; discovery is away meanwhile or not, some disks are empty, and
-// hosts drain or slow down beside.
+// drawnLoss draws a simulation in which power is lost once to five times. A loss stops all or some
+// routers and hosts, which restart in any order. Discovery may be unreachable meanwhile, some
+// routers may restart with empty disks, and some hosts may also be replaced or slow.
 func drawnLoss(seed uint64) Spec {
 	rng := rand.New(rand.NewPCG(seed, 0x1055))
 	s := small(seed)
@@ -29,7 +29,7 @@
 	}
 	s.Length = 34 * time.Second
 	for i := range s.Classes {
-		s.Classes[i].Rate *= 0.5 + 2*rng.Float64() // up to far more than the fleet can do
+		s.Classes[i].Rate *= 0.5 + 2*rng.Float64() // up to far more than the fleet can serve
 	}
 	tenths := func(least, most int) time.Duration { return time.Duration(least+rng.IntN(most-least+1)) * 100 * ms }
 	some := func() faults.Selection {
@@ -40,7 +40,7 @@
 	}
 	at := tenths(30, 90)
 	for range 1 + rng.IntN(2)*rng.IntN(5) {
-		for range 1 + rng.IntN(3) { // groups of routers that come back each in its time
+		for range 1 + rng.IntN(3) { // each group of routers restarts at its own time
 			f := faults.Fault{Kind: faults.Kill, At: at + tenths(0, 3), Length: tenths(2, 40), Routers: some()}
 			if rng.IntN(3) == 0 {
 				f.Disk = faults.DiskEmpty
@@ -69,8 +69,8 @@
 	return s
 }
 
-// Drawn power losses: no rule is broken. 10,000 of them: go test ./internal/testbed/simulator -run
-// Losses -losses 10000 (docs/measurements/recovery.md).
+// No rule is broken in random power losses. To simulate 10,000 of them, run: go test
+// ./internal/testbed/simulator -run Losses -losses 10000 (docs/measurements/recovery.md).
 func TestRulesHoldInDrawnPowerLosses(t *testing.T) {
 	t.Parallel()
 	var next atomic.Int64
@@ -94,7 +94,7 @@
 					good += s.Good
 				}
 				if good == 0 {
-					t.Errorf("seed %d: nothing is served 12 s after the last fault", seed)
+					t.Errorf("seed %d: no request is served in time 12 s after the last fault", seed)
 				}
 			}
 		})
@@ -102,8 +102,8 @@
 	all.Wait()
 }
 
-// The checkers find what is planted: routers that take hosts for warm as they start push them over,
-// and the same ones that do not, do not.
+// The rule for slow start finds a planted fault. Routers that take hosts for warm right after their
+// start overload them; the same routers with the right slow start window do not.
 func TestRuleFindsRoutersWithoutSlowStart(t *testing.T) {
 	t.Parallel()
 	over := func(planted bool) (n int) {
@@ -130,6 +130,6 @@
 		return n
 	}
 	if sound, bad := over(false), over(true); sound != 0 || bad == 0 {
-		t.Errorf("hosts are pushed over in %d of 4 worlds, and in %d by routers that take them for warm", sound, bad)
+		t.Errorf("hosts are overloaded in %d of 4 simulations, want none; with routers that take hosts for warm in %d of 4, want some", sound, bad)
 	}
 }
--- a/internal/testbed/simulator/mass_test.go
+++ b/internal/testbed/simulator/mass_test.go
@@ -11,15 +11,16 @@
 	"reachspread/internal/testbed/hostmodel"
 )
 
-var massSeeds = flag.Uint64("mass", 0, "seeds of the worlds of 300 routers to play")
+var massSeeds = flag.Uint64("mass", 0, "number of seeds with which to simulate 300 routers")
 
-// At 300 routers by 100 hosts, with a zone that dies and returns cold, seven in ten routers killed
-// at once, or six in ten hosts replaced: no rule is broken, which the checkers see to, and what
-// grows with routers times hosts stays bounded for each attempt. It takes too long for CI under the
-// race detector: go test ./internal/testbed/simulator -run ThreeHundred -mass 8.
+// With 300 routers and 100 hosts, the rules hold if a third of the hosts dies and restarts cold, if
+// seven in ten routers are killed at once, or if six in ten hosts are replaced. A broken rule ends
+// the simulation with an error. Costs that grow with routers times hosts stay bounded for each
+// attempt. The test takes too long for CI under the race detector. To run it: go test
+// ./internal/testbed/simulator -run ThreeHundred -mass 8.
 func TestThreeHundredRouters(t *testing.T) {
 	if *massSeeds == 0 {
-		t.Skip("played with -mass")
+		t.Skip("runs only with -mass")
 	}
 	for _, trouble := range []Disruption{
 		{Kind: HostsDie, At: 4 * time.Second, Length: 2 * time.Second, Fraction: 0.33},
@@ -32,11 +33,11 @@
 				s := mass(seed)
 				s.Disruptions = []Disruption{trouble}
 				r, _ := run(t, s)
-				t.Logf("seed %d: G %.3f, %d attempts, %.2f handshakes and %.1f words heard for each, %d probes, %.0f list lines for each first try", seed, r.G(),
+				t.Logf("seed %d: G %.3f, %d attempts, %.2f handshakes and %.1f peer reports received for each attempt, %d probes, %.0f list entries for each request", seed, r.G(),
 					r.Attempts, float64(r.Handshakes)/float64(r.Attempts), float64(r.Heard)/float64(r.Attempts), r.Probes,
 					float64(r.Lines)/float64(firstTries(r)))
 				if r.Heard > 40*r.Attempts+300*300*2 || r.Handshakes > 2*r.Attempts || r.Probes != 0 {
-					t.Errorf("seed %d: %d words heard, %d handshakes, %d probes for %d attempts", seed, r.Heard, r.Handshakes, r.Probes, r.Attempts)
+					t.Errorf("seed %d: %d peer reports received, %d handshakes, %d probes for %d attempts", seed, r.Heard, r.Handshakes, r.Probes, r.Attempts)
 				}
 			}
 		})
@@ -50,9 +51,9 @@
 	return n
 }
 
-// TestMeasureTogether counts, in worlds of 300 routers, what is lost by what routers do together:
-// refusals and late answers beside hosts with room, what cold hosts leave unused, and prompts that
-// wait at hosts while others are idle.
+// TestMeasureTogether measures, in simulations of 300 routers, what is lost because routers decide
+// independently: refusals and late answers although hosts have room, unused capacity of cold hosts,
+// and prompts that wait at some hosts while other hosts have none waiting.
 func TestMeasureTogether(t *testing.T) {
 	if !*measure {
 		t.Skip("a measurement; see docs/measurements/")
@@ -65,7 +66,7 @@
 		for seed := range uint64(seeds) {
 			s := mass(seed)
 			for i := range s.Classes {
-				s.Classes[i].New = Length{800, 0.8} // what the fleet can do while its hosts are warm
+				s.Classes[i].New = Length{800, 0.8} // a load that the fleet can serve while its hosts are warm
 			}
 			s.Disruptions = nil
 			if trouble.Kind != "" {
--- a/internal/testbed/simulator/measure_test.go
+++ b/internal/testbed/simulator/measure_test.go
@@ -12,10 +12,10 @@
 
 var (
 	measure = flag.Bool("measure", false, "run the measurements")
-	played  = flag.Duration("played", 2*time.Second, "of the world, in the measurements")
+	played  = flag.Duration("played", 2*time.Second, "simulated time of each measurement")
 )
 
-// clocked measures what a module's decisions take.
+// clocked is a Decider that measures the total and the longest time of its steps.
 type clocked struct {
 	Decider
 	took *time.Duration
@@ -32,8 +32,8 @@
 	return c.Decider.Step(now, events)
 }
 
-// TestMeasureScale grows a fleet from 10 hosts to 1,000, with a router for each 10 and 20 requests
-// a second for each host.
+// TestMeasureScale measures fleets of 10 to 1,000 hosts, with one router for every 10 hosts and 20
+// requests a second for each host.
 func TestMeasureScale(t *testing.T) {
 	if !*measure {
 		t.Skip("a measurement; see docs/measurements/")
@@ -45,7 +45,7 @@
 		s.Length, s.Routers = *played, max(hosts/10, 1)
 		for i := range s.Groups {
 			s.Groups[i].Count = hosts / 2
-			h := &s.Groups[i].Host // one that can do as much
+			h := &s.Groups[i].Host // a host that can serve that load
 			h.Slots, h.Memory, h.Base, h.PerSeq, h.ReadPerS = 128, 400000, 8*ms, 100*time.Microsecond, 80000
 			s.Classes[i].Rate = 10 * float64(hosts)
 		}
@@ -70,9 +70,9 @@
 	}
 }
 
-// TestMeasureWords prints, as lines of docs/measurements/capacity.csv, the words that a router
-// hears for each attempt of the fleet, by the number of routers at the planned number of hosts for
-// each.
+// TestMeasureWords prints the number of peer reports that all routers together receive for each
+// attempt of the fleet, as lines of docs/measurements/capacity.csv. It does so for several numbers
+// of routers, each with the planned number of hosts.
 func TestMeasureWords(t *testing.T) {
 	if !*measure {
 		t.Skip("a measurement; see docs/CAPACITY.md")
--- a/internal/testbed/simulator/simulator_test.go
+++ b/internal/testbed/simulator/simulator_test.go
@@ -19,7 +19,8 @@
 
 const ms = time.Millisecond
 
-// small is a fleet of 6 hosts in two zones with 2 routers, at some two thirds of what it can do.
+// small returns the Spec of a fleet with 6 hosts in two zones and 2 routers, at about two thirds of
+// the load that the fleet can serve.
 func small(seed uint64) Spec {
 	host := hostmodel.Config{Slots: 32, Queue: 32, Memory: 120000, Chunk: 2048, Block: 16, Base: 12 * ms, PerSeq: 200 * time.Microsecond,
 		ContextPerK: 50 * time.Microsecond, PairsPerM: ms, ReadPerS: 20000, CachesAnswers: true, MaxConnections: 200, HandshakeWork: ms, TableCost: 0.1,
@@ -42,7 +43,7 @@
 	}
 }
 
-// run plays a world and returns its result as text, too.
+// run runs a simulation and returns its result, also as text.
 func run(t testing.TB, s Spec) (*Result, string) {
 	t.Helper()
 	w, err := New(s)
@@ -67,13 +68,14 @@
 	return r, text.String()
 }
 
-// Every request comes out in one way, and the counts of all views agree.
+// Without disruptions nearly all requests are served, each request has exactly one outcome, and the
+// counts by class and by second agree.
 func TestQuietWorldServesAll(t *testing.T) {
 	r, _ := run(t, small(1))
 	var asked, seconds uint64
 	for _, c := range r.Classes {
 		if sum := c.Good + c.Late + c.Slow + c.Refused + c.Failed + c.BrokenOff + c.Lost; sum != c.Asked || c.Asked < 100 {
-			t.Errorf("%s: %d asked, %d over", c.Name, c.Asked, sum)
+			t.Errorf("%s: %d requests, %d outcomes", c.Name, c.Asked, sum)
 		}
 		asked += c.Asked
 	}
@@ -81,12 +83,12 @@
 		seconds += s.Good + s.Other
 	}
 	if seconds != asked || r.G() < 0.9 || r.CachedTokens == 0 || r.Attempts < asked || r.MostOpen == 0 {
-		t.Errorf("G %.3f, %d asked, %d in seconds, %+v", r.G(), asked, seconds, r)
+		t.Errorf("G %.3f, %d requests, %d outcomes by second, %+v", r.G(), asked, seconds, r)
 	}
 }
 
-// The same spec and seed give the same bytes, one after another and side by side, and another seed
-// gives others.
+// The same Spec gives byte-identical results in consecutive and in concurrent runs, and another seed
+// gives different results.
 func TestSameSpecGivesSameResult(t *testing.T) {
 	s := small(7)
 	s.Disruptions = []Disruption{{Kind: SlowHosts, At: 3 * time.Second, Length: 5 * time.Second, Fraction: 0.3, Size: 4},
@@ -105,11 +107,11 @@
 	}
 	s.Seed++
 	if _, other := run(t, s); other == want {
-		t.Error("another seed gives the same")
+		t.Error("another seed gives the same result")
 	}
 }
 
-// What clients ask for does not depend on what routers do with it.
+// The requests of the clients do not depend on how routers handle them.
 func TestLoadIsDrawnAhead(t *testing.T) {
 	s := small(3)
 	want, _ := run(t, s)
@@ -117,7 +119,7 @@
 	got, _ := run(t, s)
 	for i := range want.Classes {
 		if got.Classes[i].Asked != want.Classes[i].Asked || got.Classes[i].Refused != got.Classes[i].Asked {
-			t.Errorf("%s: %d asked, %d refused; %d with the module", got.Classes[i].Name, got.Classes[i].Asked, got.Classes[i].Refused, want.Classes[i].Asked)
+			t.Errorf("%s: %d requests and %d refused with a decider that refuses all; %d requests with the real one", got.Classes[i].Name, got.Classes[i].Asked, got.Classes[i].Refused, want.Classes[i].Asked)
 		}
 	}
 	if got.G() != 0 || got.Retries == 0 {
@@ -125,7 +127,7 @@
 	}
 }
 
-// A plan is the load of a world, request by request.
+// Plan returns exactly the requests that clients make in the simulation of the same Spec.
 func TestPlanHasTheRequestsOfTheWorld(t *testing.T) {
 	s := small(3)
 	s.Disruptions = []Disruption{{Kind: Burst, At: 5 * time.Second, Length: 5 * time.Second, Size: 3}, {Kind: HostsDie, At: 5 * time.Second, Fraction: 1, Length: time.Second}}
@@ -143,12 +145,13 @@
 	}
 	for i, c := range r.Classes {
 		if asked[i] != c.Asked {
-			t.Errorf("%s: %d planned, %d asked", c.Name, asked[i], c.Asked)
+			t.Errorf("%s: %d requests planned, %d made in the simulation", c.Name, asked[i], c.Asked)
 		}
 	}
 }
 
-// A connection that comes up just as a step ends takes nothing of what the step has made.
+// A connection that is established at the very time at which a step of the host ends does not make
+// the host lose the results of the step.
 func TestTiesLoseNothing(t *testing.T) {
 	w, err := New(small(1))
 	if err != nil {
@@ -165,11 +168,11 @@
 	first := send("a")
 	w.now = h.nextStep
 	if send("b"); !first.firstSent || first.tokens != 1 {
-		t.Errorf("the first attempt has %d tokens", first.tokens)
+		t.Errorf("the first attempt has %d tokens, want 1, and its first token must be sent", first.tokens)
 	}
 }
 
-// refuser refuses everything.
+// refuser is a Decider that rejects every request.
 type refuser struct{}
 
 func (refuser) Step(_ time.Duration, events []balance.Event) (out []balance.Action) {
@@ -181,7 +184,7 @@
 	return out
 }
 
-// Each trouble does what it says, and none makes the module break a rule.
+// Each kind of disruption has its effect, and none makes the decision module break a rule.
 func TestEachDisruption(t *testing.T) {
 	quiet, _ := run(t, small(5))
 	for _, tt := range []struct {
@@ -203,7 +206,7 @@
 		s.Disruptions = []Disruption{tt.t}
 		r, text := run(t, s)
 		if !tt.seen(r) {
-			t.Errorf("%s left no mark; G %.3f, %.3f without\n%s", tt.t.Kind, r.G(), quiet.G(), text)
+			t.Errorf("%s did not have its effect: G %.3f, without the disruption %.3f\n%s", tt.t.Kind, r.G(), quiet.G(), text)
 		}
 	}
 }
@@ -216,7 +219,7 @@
 	return least
 }
 
-// No host at all, and all hosts cold at once: clients are refused or wait, and no rule is broken.
+// Without any host, and with all hosts cold at once, no rule is broken. Clients are refused or wait.
 func TestWorldsWithoutHostsAndWithAllHostsDead(t *testing.T) {
 	s := small(2)
 	s.Groups = nil
@@ -228,11 +231,12 @@
 	s.Disruptions = []Disruption{{Kind: HostsDie, Fraction: 1, Length: time.Second}}
 	r, _ = run(t, s)
 	if r.G() == 0 || leastAlive(r) > 6 {
-		t.Errorf("all cold: G %v", r.G())
+		t.Errorf("all hosts cold: G %v", r.G())
 	}
 }
 
-// Each rule has a checker that stops the world, with the seed, the time and what came before.
+// Each rule has a check that stops the simulation with a Violation, which has the seed and the
+// preceding events.
 func TestEachRuleFindsItsViolation(t *testing.T) {
 	for _, tt := range []struct {
 		rule string
@@ -310,7 +314,8 @@
 
 func (s scripted) Step(_ time.Duration, events []balance.Event) []balance.Action { return s(events) }
 
-// Events come in the order of their times, and those of one time as they were put in.
+// The queue returns events in the order of their times, and events with equal times in the order in
+// which they were pushed.
 func TestQueueKeepsOrderOfTimeAndInsertion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q queue
@@ -328,7 +333,8 @@
 	})
 }
 
-// Whatever happens to a fleet, the module breaks no rule, and each request comes out once.
+// Whatever disruptions a fleet has, the decision module breaks no rule, and each request has exactly
+// one outcome.
 func TestRulesHoldInRandomWorlds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := small(rapid.Uint64().Draw(t, "seed"))
@@ -361,13 +367,13 @@
 		}
 		for _, c := range r.Classes {
 			if sum := c.Good + c.Late + c.Slow + c.Refused + c.Failed + c.BrokenOff + c.Lost; sum != c.Asked {
-				t.Fatalf("%s: %d asked, %d over", c.Name, c.Asked, sum)
+				t.Fatalf("%s: %d requests, %d outcomes", c.Name, c.Asked, sum)
 			}
 		}
 	})
 }
 
-// Bad specs are one line that names the field.
+// The error for an invalid Spec is one line that names the field.
 func TestCheckNamesTheBadField(t *testing.T) {
 	for want, change := range map[string]func(*Spec){
 		"Length is 0s":                          func(s *Spec) { s.Length = 0 },
@@ -394,7 +400,7 @@
 	}
 }
 
-// BenchmarkWorld is a minute's worth of 200 hosts and 20 routers, in events a second.
+// BenchmarkWorld simulates 5 seconds of 200 hosts and 20 routers, and reports the number of events.
 func BenchmarkWorld(b *testing.B) {
 	for b.Loop() {
 		s := small(1)
@@ -416,8 +422,8 @@
 	}
 }
 
-// A zone that falls silent for longer than a router waits: its streams end while it is silent, not
-// with its return.
+// If a zone is isolated for longer than StreamIdleTimeout, routers end its streams during the
+// isolation, not when the zone is reconnected.
 func TestIdleStreamsOfIsolatedHostEnd(t *testing.T) {
 	ended := func(silent time.Duration) (during, broken uint64) {
 		s := small(2)
@@ -436,6 +442,6 @@
 	during, broken := ended(4500 * ms)
 	never, later := ended(0)
 	if broken == 0 || during < never+broken/2 || later < broken {
-		t.Errorf("with a bound %d end otherwise around it and %d break off; without, %d and %d", during, broken, never, later)
+		t.Errorf("with an idle timeout, %d requests end without success around it and %d are interrupted; without one, %d and %d", during, broken, never, later)
 	}
 }
--- a/internal/testbed/simulator/slowstart_test.go
+++ b/internal/testbed/simulator/slowstart_test.go
@@ -11,11 +11,11 @@
 	"reachspread/internal/testbed/hostmodel"
 )
 
-var slowStartSeeds = flag.Uint64("slowstart", 1, "schedules to draw for each number of routers")
+var slowStartSeeds = flag.Uint64("slowstart", 1, "number of random schedules for each number of routers")
 
-// slowStart draws a world in which many hosts start cold under more load than they can take:
-// routers get uneven parts of it, hear of starts at different times, miss part of what the others
-// tell or all of it, and some of them die and come back.
+// slowStart draws a simulation in which many hosts start cold under more load than they can serve.
+// Routers get uneven parts of the load, learn of starts at different times, lose some or all of the
+// reports of other routers, and some routers may die and restart.
 func slowStart(seed uint64, routers int) Spec {
 	rng := rand.New(rand.NewPCG(seed, uint64(routers)))
 	hosts := []int{2, 4, 8}[rng.IntN(3)]
@@ -40,20 +40,20 @@
 	return s
 }
 
-// meanWork is about the work of the mean request of a world, as a cold host counts it.
+// meanWork returns the approximate work of the mean request of a Spec, as a cold host counts it.
 func meanWork(s *Spec, c hostmodel.SlowStart) time.Duration {
 	var sum, rate float64
 	for i := range s.Classes {
 		x := &s.Classes[i]
-		prompt := x.New.Median*1.4 + x.PrefixLen.Median*1.1 // a log-normal's mean is above its median
+		prompt := x.New.Median*1.4 + x.PrefixLen.Median*1.1 // the mean of a log-normal distribution is above its median
 		work := prompt*float64(c.PerPromptToken) + x.Out.Median*1.2*float64(c.PerAnswerToken)
 		sum, rate = sum+work*x.Rate, rate+x.Rate
 	}
 	return time.Duration(sum / rate)
 }
 
-// coldBudgetUsed plays a world and returns the most that any cold host was sent in a window, as a
-// part of what it may be.
+// coldBudgetUsed runs a simulation and returns the largest fraction of the budget of calls in a
+// window that any cold host has received.
 func coldBudgetUsed(t *testing.T, s Spec) float64 {
 	t.Helper()
 	w, err := New(s)
@@ -72,10 +72,10 @@
 	return worst
 }
 
-// The sum over all routers that were told of a start stays within what the settings allow, in every
-// window: with one router or hundreds, with more routers than calls in the budget, whoever hears of
-// whom. That a share too large is found is shown where hosts are no bound, by balance's
-// TestNoViewOverloadsAReplicaInSlowStart.
+// In every window, the calls of all routers that know of a host's start stay within the budget that
+// the settings allow: with one router or hundreds, with more routers than calls in the budget, and
+// whichever reports routers receive. TestNoViewOverloadsAReplicaInSlowStart of package balance shows,
+// with hosts that set no limit, that a router's share that is too large is detected.
 func TestSlowStartOverDrawnSchedules(t *testing.T) {
 	for _, routers := range []int{1, 3, 30, 300} {
 		t.Run(fmt.Sprint(routers), func(t *testing.T) {
@@ -84,7 +84,7 @@
 				used := coldBudgetUsed(t, slowStart(seed, routers))
 				t.Logf("seed %d: %.2f of the budget", seed, used)
 				if used > 1 {
-					t.Errorf("seed %d: %.2f times what a cold host may be sent", seed, used)
+					t.Errorf("seed %d: a cold host received %.2f times its budget of calls", seed, used)
 				}
 			}
 		})
--- a/internal/testbed/simulator/vast_test.go
+++ b/internal/testbed/simulator/vast_test.go
@@ -7,11 +7,12 @@
 	"reachspread/internal/testbed/faults"
 )
 
-// vast is 80 routers before 60 hosts of three zones, each router under one request a second, with
-// words between routers of which a fifth is lost.
+// vast returns the Spec of a fleet with 80 routers and 60 hosts in three zones. Each router gets less
+// than one request a second, and a fifth of the messages between routers is lost.
 func vast(seed uint64) Spec { return fleetOf(seed, 80, 20, 38) }
 
-// mass is the size of the standing fleet test: 300 routers before 100 hosts, with traffic as thin.
+// mass returns the Spec of a fleet as large as that of the regular fleet test, with 300 routers, 100
+// hosts and equally little traffic for each router.
 func mass(seed uint64) Spec { return fleetOf(seed, 300, 33, 63) }
 
 func fleetOf(seed uint64, routers, hostsOfZone int, rate float64) Spec {
@@ -26,15 +27,15 @@
 	}
 	for i := range s.Classes {
 		s.Classes[i].Rate = rate
-		s.Classes[i].New = Length{2500, 0.8} // more than the fleet can do while hosts are cold
+		s.Classes[i].New = Length{2500, 0.8} // more than the fleet can serve while hosts are cold
 	}
 	s.Peers = Peers{On: true, Least: 3 * ms, Most: 22 * ms, Lost: 0.2}
 	return s
 }
 
-// Six in ten hosts are replaced by cold ones, or a zone dies and comes back cold: no cold host is
-// pushed over by all routers together, whatever the seed, although there is more to do than the
-// fleet can. The checkers end a world in which a rule is broken.
+// If six in ten hosts are replaced by cold ones, or a third of the hosts dies and restarts cold, all
+// routers together overload no cold host, although the load is more than the fleet can serve. A
+// broken rule ends the simulation with an error.
 func TestNoColdHostIsPushedOverByEightyRouters(t *testing.T) {
 	for _, trouble := range []Disruption{
 		{Kind: Replace, At: 4 * time.Second, Length: 5 * time.Second, Fraction: 0.6},
@@ -47,16 +48,16 @@
 				s.Disruptions = []Disruption{trouble}
 				r, _ := run(t, s)
 				if r.Heard == 0 || r.Probes != 0 {
-					t.Errorf("seed %d: %d words heard and %d probes; want some and none", seed, r.Heard, r.Probes)
+					t.Errorf("seed %d: %d peer reports received and %d probes; want some reports and no probes", seed, r.Heard, r.Probes)
 				}
 			}
 		})
 	}
 }
 
-// All routers and hosts lose power and nobody has a disk: no work was ever seen, so hosts that are
-// cold are tried by turns, and what they do is the measure of more. They are not pushed over, and
-// serve before they are warm.
+// All routers and hosts lose power, and no router has a snapshot on its disk, so that routers know
+// nothing of the hosts' capacity. They try cold hosts in turn and admit more by what these hosts
+// serve. No cold host is overloaded, and hosts serve requests before they are warm.
 func TestEightyRoutersBeginFromNothing(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
@@ -70,15 +71,15 @@
 			good += x.Good
 		}
 		if t.Logf("seed %d: %d served while all hosts are cold", seed, good); good < 20 {
-			t.Errorf("seed %d: %d served while all hosts are cold", seed, good)
+			t.Errorf("seed %d: %d served while all hosts are cold, want 20 or more", seed, good)
 		}
 	}
 }
 
-// At half the load, what the large fleet meets costs little: a zone that falls silent and comes
-// back, hosts of which each takes no more connections than a third of the routers want, slow hosts
-// that each router has met once or never, and most routers restarted at once with the list that
-// they held.
+// With shorter prompts, a large fleet loses little value through any of these: a zone that is
+// isolated and reconnected; hosts that each accept connections from only a fraction of the routers;
+// slow hosts to which each router has sent one request or none; and a restart of most routers at
+// once with their last lists.
 func TestEightyRoutersGetOver(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
@@ -102,18 +103,18 @@
 			}
 			s.Disruptions = []Disruption{tt.trouble}
 			r, _ := run(t, s)
-			t.Logf("G %.3f, handshakes %d for %d attempts, %.1f list lines for each first try", r.G(), r.Handshakes, r.Attempts, float64(r.Lines)/float64(firstTries(r)))
+			t.Logf("G %.3f, %d handshakes for %d attempts, %.1f list entries for each request", r.G(), r.Handshakes, r.Attempts, float64(r.Lines)/float64(firstTries(r)))
 			if g := r.G(); g < tt.least {
-				t.Errorf("G %.3f, want %.2f", g, tt.least)
+				t.Errorf("G %.3f, want %.2f or more", g, tt.least)
 			}
 		})
 	}
 }
 
-// All hosts die at once and come back cold: what the whole fleet of routers holds is refused within
-// moments, and its clients come back by what they were told. No cold host is pushed over by them,
-// and within 5 s of the hosts' return the fleet serves most of what it did before (a third less
-// without the measure that fade keeps).
+// All hosts die at once and restart cold. The routers refuse all open requests within moments, and
+// the clients retry after the Retry-After that they got. These retries overload no cold host, and
+// from 5 s after the hosts' restart the fleet serves most of what it served before (a third less
+// without the measure that the balance package's fade keeps).
 func TestAllRefusedAtOnceComeBack(t *testing.T) {
 	for seed := range uint64(3) {
 		s := vast(seed)
@@ -139,7 +140,7 @@
 		}
 		t.Logf("seed %d: %.3f served before, %.3f after, %d retries, %d refused for good", seed, before, after, r.Retries, refused)
 		if after < 0.65*before || r.Retries == 0 {
-			t.Errorf("seed %d: %.3f served before, %.3f after, with %d retries", seed, before, after, r.Retries)
+			t.Errorf("seed %d: a share of %.3f served before, %.3f after, with %d retries; want at least 0.65 times as much, and retries", seed, before, after, r.Retries)
 		}
 	}
 }
--- a/internal/testbed/simulator/view_test.go
+++ b/internal/testbed/simulator/view_test.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-var viewSeeds = flag.Uint64("views", 1, "seeds of the worlds whose routers' views differ")
+var viewSeeds = flag.Uint64("views", 1, "number of seeds with which to simulate differing views of routers")
 
-// Views that are late, wrong for every other second, or of a half each while words still cross:
-// together the routers push no cold host over, though seven in ten of them are killed as a zone
-// comes back cold. The checkers end a world in which a rule is broken.
+// Routers whose views are late, wrong in every other second, or limited to one half of the routers
+// while messages still cross, together overload no cold host. This holds even if seven in ten routers
+// are killed while a third of the hosts restarts cold. A broken rule ends the simulation with an
+// error.
 func TestNoColdHostIsPushedOverWhateverIsSeen(t *testing.T) {
 	for name, view := range map[string]View{
 		"right": {On: true}, "late": {On: true, Late: 3 * time.Second}, "wrong": {On: true, Wrong: 0.5}, "split": {On: true, Split: true},
@@ -18,7 +19,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if *viewSeeds == 1 && (name == "late" || name == "wrong") {
-				t.Skip("a part of all of it; played with -views")
+				t.Skip("covered by the case with all faults of views; runs only with -views 2 or more")
 			}
 			t.Parallel()
 			for seed := range *viewSeeds {
