--- a/cmd/reachlab/sockets_test.go
+++ b/cmd/reachlab/sockets_test.go
@@ -147,8 +147,8 @@
 	}{
 		{[]string{"load", x, "--router", "10.0.0.1:80"}, "loopback addresses only"},
 		{[]string{"load", x, "--router", "nowhere"}, "--router: "},
-		{[]string{"load", x, "--capture", write("a", head)}, "a:1: holds no request"},
-		{[]string{"load", x, "--capture", write("b", head+`{"at_ns":1,"class":"odd","session":"s","prompt":1,"left_ns":1}`+"\n")}, `b:2: class "odd" is none of the experiment's`},
+		{[]string{"load", x, "--capture", write("a", head)}, "a:1: the capture has no requests"},
+		{[]string{"load", x, "--capture", write("b", head+`{"at_ns":1,"class":"odd","session":"s","prompt":1,"left_ns":1}`+"\n")}, `b:2: class "odd" is not a class of the experiment`},
 		{[]string{"load", x, "--capture", write("c", head+`{"at_ns":1,`)}, "c:2: the line is cut off"},
 		{[]string{"run", write("d.hcl", strings.Replace(small, "seeds = 1", "seeds = 1\ncaptured = \"gone\"", 1))}, "gone: no such file"},
 		{[]string{"check", write("e.hcl", strings.Replace(small, `fault "kill"`, `fault "odd"`, 1))}, `e.hcl:14: fault "odd" is unknown`},
--- a/internal/testbed/experiment/charts.go
+++ b/internal/testbed/experiment/charts.go
@@ -15,8 +15,8 @@
 	"reachspread/internal/router/report"
 )
 
-// palette is Okabe and Ito's, which people see apart who see colours differently (Color Universal
-// Design, 2008).
+// palette is the palette of Okabe and Ito (Color Universal Design, 2008), whose colours people with
+// colour vision deficiency can tell apart.
 var palette = []color.Color{
 	color.RGBA{0x00, 0x72, 0xb2, 0xff}, color.RGBA{0xe6, 0x9f, 0x00, 0xff}, color.RGBA{0x00, 0x9e, 0x73, 0xff}, color.RGBA{0xcc, 0x79, 0xa7, 0xff},
 	color.RGBA{0x56, 0xb4, 0xe9, 0xff}, color.RGBA{0xd5, 0x5e, 0x00, 0xff}, color.RGBA{0x00, 0x00, 0x00, 0xff}, color.RGBA{0xf0, 0xe4, 0x42, 0xff},
@@ -24,8 +24,8 @@
 
 const chartWidth, chartHeight = 24 * vg.Centimeter, 9 * vg.Centimeter
 
-// byVariant sorts kept runs, in the order in which variants come. A world in which a rule broke is
-// in no chart.
+// byVariant groups stored runs by variant, and returns the names of the variants in the order of
+// their first run. It leaves out runs in which a rule was broken, so that no chart includes them.
 func byVariant(keptRuns []KeptRun) (names []string, runs map[string][]*KeptRun) {
 	runs = map[string][]*KeptRun{}
 	for i := range keptRuns {
@@ -41,8 +41,9 @@
 	return names, runs
 }
 
-// overTime draws, for each variant and second, which share of the requests that came to an end then
-// ended well, over all seeds, smoothed over five seconds.
+// overTime draws a line for each variant. It shows, for each second, the share of successful
+// requests among those that ended in that second, over all seeds and as a moving mean of five
+// seconds.
 func overTime(keptRuns []KeptRun) (string, error) {
 	c := plot.New()
 	c.Title.Text, c.X.Label.Text, c.Y.Label.Text = "requests that ended well", "second", "share, mean of 5 s"
@@ -78,7 +79,7 @@
 			return "", err
 		}
 		line.Color, line.Width = palette[i%len(palette)], vg.Points(2)
-		if i%2 == 1 { // where two lie on one another, both are seen
+		if i%2 == 1 { // every second line is dashed, so that both of two overlapping lines are visible
 			line.Dashes = []vg.Length{vg.Points(6), vg.Points(6)}
 		}
 		c.Add(line)
@@ -87,7 +88,8 @@
 	return svg(c)
 }
 
-// bySeed draws the G of each world, the seeds of a variant above its name.
+// bySeed draws a point for the G of each run. The points of a variant are above its name, one for
+// each seed.
 func bySeed(keptRuns []KeptRun) (string, error) {
 	c := plot.New()
 	c.Title.Text, c.Y.Label.Text = "G of each world", "G"
@@ -120,7 +122,8 @@
 	return report.SVG(c, chartWidth, chartHeight)
 }
 
-// WritePage writes one page with charts and differences, which opens without a network.
+// WritePage writes an HTML page with charts and the differences between variants. The page loads
+// nothing from the network.
 func (x *Experiment) WritePage(out io.Writer, keptRuns []KeptRun) error {
 	time, err := overTime(keptRuns)
 	if err != nil {
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -67,10 +67,10 @@
 	}
 }
 
-// Each fault is one line with file, line and field.
+// The error for an invalid file is one line with file, line and field.
 func TestBadFiles(t *testing.T) {
 	for _, tt := range []struct{ old, new, want string }{
-		{`[3, 5, 8]`, `[3, 3]`, "day.hcl:1: seeds must be how many seeds"},
+		{`[3, 5, 8]`, `[3, 3]`, "day.hcl:1: seeds must be the number of seeds"},
 		{`[3, 5, 8]`, `0`, "day.hcl:1: seeds must be"},
 		{`seeds = [3, 5, 8]`, ``, "seeds is missing from an experiment"},
 		{`length = "3s"`, `length = 3`, `day.hcl:2: length must be a time`},
@@ -79,7 +79,7 @@
 		{`routers = 2`, `routers = many`, "day.hcl:3: routers has no value"},
 		{`start_capacity = 0.3`, `start_capacity = 3`, "day.hcl:5: start_capacity must be a number from 0 to 1"},
 		{`module {`, `modules {`, "day.hcl:4: modules is not a block of an experiment"},
-		{`group "new" {`, `group {`, "day.hcl:8: group needs one name"},
+		{`group "new" {`, `group {`, "day.hcl:8: group needs exactly one label"},
 		{`hosts = 3`, ``, "hosts is missing from group"},
 		{`zone = "east"`, `zone = ""`, "day.hcl:10: zone must be a word"},
 		{`share = 0.3`, `shares = 0.3`, "day.hcl:12: shares is not a field of cold"},
@@ -88,7 +88,7 @@
 		{`part = 0.5`, `part = 1.5`, "day.hcl:24: part must be a number from 0 to 1"},
 		{`size = 3`, ``, "size is missing from trouble"},
 		{`trouble "slow" {`, "trouble \"lost_zone\" {\n zone = \"west\"", `Troubles[0] (lost_zone).Zone is "west"`},
-		{`variant "single"`, `variant "base"`, `day.hcl:28: variant "base" is there twice`},
+		{`variant "single"`, `variant "base"`, `day.hcl:28: variant "base" is defined twice`},
 		{`max_attempts = 1`, `hosts = 1`, "day.hcl:29: hosts is not a field of variant"},
 		{`module {`, `module {{`, "day.hcl:4: "},
 	} {
@@ -101,11 +101,11 @@
 		}
 	}
 	if _, err := Read("nowhere.hcl"); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("a file that is not there: %v", err)
+		t.Errorf("reading a missing file: got %v, want os.ErrNotExist", err)
 	}
 }
 
-// The file that stands under deploy can be played.
+// The example file in deploy/lab runs without a broken rule and with a G of at least 0.5.
 func TestExample(t *testing.T) {
 	x, err := Read("../../../deploy/lab/example.hcl")
 	if err != nil {
@@ -123,8 +123,9 @@
 	}
 }
 
-// One core or four, the runs are the same to the byte, in the same order; a folder that was left
-// whole is read, one that was cut off is said to be so.
+// Results and their order are byte-identical whether one or four simulations run at a time. A
+// complete folder of stored runs can be read; for an incomplete one, Open returns an error that says
+// so.
 func TestRunsAreKept(t *testing.T) {
 	x, err := Parse([]byte(good), "day.hcl")
 	if err != nil {
@@ -136,7 +137,7 @@
 		told := 0
 		runs, err := x.Play(t.Context(), atOnce, func(*Run) { told++ })
 		if err != nil || told != 6 || len(runs) != 6 || runs[4].Variant != "single" || runs[4].Seed != 5 {
-			t.Fatalf("%d told, %d runs, %v", told, len(runs), err)
+			t.Fatalf("done was called %d times for %d runs, error %v", told, len(runs), err)
 		}
 		var text bytes.Buffer
 		if err := errors.Join(json.NewEncoder(&text).Encode(runs), WriteTable(&text, runs)); err != nil {
@@ -150,7 +151,7 @@
 		}
 	}
 	if texts[0] != texts[1] {
-		t.Error("one core gives other results than four")
+		t.Error("one simulation at a time gives other results than four")
 	}
 	again, keptRuns, err := Open(folder)
 	if err != nil || len(keptRuns) != 6 || again.Worlds() != 6 || keptRuns[5].Variant != "single" || keptRuns[5].Result.Asked == 0 {
@@ -162,27 +163,27 @@
 		t.Errorf("a page of %d bytes, %v", page.Len(), err)
 	}
 	if got := CompareFolders(keptRuns, keptRuns[:5]); len(got) != 2 || got[0].Shown() || got[0].Pairs != 3 || got[1].Pairs != 2 || got[0].Mean != 0 {
-		t.Errorf("a run against itself: %+v", got)
+		t.Errorf("comparing stored runs with themselves: %+v", got)
 	}
 	if err := x.Keep(folder, nil); err == nil || !strings.Contains(err.Error(), "is not empty") {
-		t.Errorf("into a folder that holds a run: %v", err)
+		t.Errorf("Keep into a folder that already holds a run: got %v, want an error", err)
 	}
 	path := filepath.Join(folder, RunsFile)
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for size, want := range map[int]string{len(text) / 2: "run ", bytes.IndexByte(text, '\n') + 1: "has 1 runs; 6 were left"} {
+	for size, want := range map[int]string{len(text) / 2: "run ", bytes.IndexByte(text, '\n') + 1: "has 1 runs; 6 were stored"} {
 		if err := os.WriteFile(path, text[:size], 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if _, _, err := Open(folder); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("cut off at %d: %v, want %q", size, err, want)
+			t.Errorf("runs file truncated at byte %d: got %v, want %q", size, err, want)
 		}
 	}
 	os.Remove(filepath.Join(folder, ExperimentFile))
-	if _, _, err := Open(folder); err == nil || !strings.Contains(err.Error(), "is no whole run") {
-		t.Errorf("without its last file: %v", err)
+	if _, _, err := Open(folder); err == nil || !strings.Contains(err.Error(), "is not a complete run") {
+		t.Errorf("folder without its last file: got %v, want an error", err)
 	}
 }
 
@@ -197,8 +198,8 @@
 	}
 }
 
-// A difference that all seeds show is shown, one that they don't agree on is not, and a broken
-// world counts in no pair.
+// A difference on which all seeds agree is shown, and one on which they disagree is not. A run that
+// broke a rule is in no pair.
 func TestCompare(t *testing.T) {
 	world := func(variant string, seed uint64, g float64) *Run {
 		return &Run{Variant: variant, Seed: seed, Result: &simulator.Result{Value: g, Asked: 1}}
@@ -221,7 +222,7 @@
 		t.Errorf("%+v", got)
 	}
 	if one := Compare(runs[:13]); len(one) != 1 || one[0].Shown() {
-		t.Errorf("one pair shows a difference: %+v", one)
+		t.Errorf("a difference is shown for a single pair: %+v", one)
 	}
 	if rows := Summarize(runs); len(rows) != 3 || rows[2].Broken != 1 || rows[2].Worlds != 12 {
 		t.Errorf("%+v", rows)
--- a/internal/testbed/experiment/file.go
+++ b/internal/testbed/experiment/file.go
@@ -1,6 +1,6 @@
-// Package experiment reads experiments from HCL, plays their worlds side by side, one a core, and
-// keeps and compares what comes of them. The worlds are package lab's; nothing here decides
-// anything in them.
+// Package experiment reads experiments from HCL files, runs their simulations in parallel, and
+// stores and compares the results. The simulations are those of package simulator; this package
+// makes no decisions within them.
 package experiment
 
 import (
@@ -22,31 +22,32 @@
 	"reachspread/internal/testbed/simulator"
 )
 
-// Experiment is worlds that differ by seed and by variant.
+// Experiment is a set of simulations, one for each pair of a seed and a variant.
 type Experiment struct {
 	Name     string
 	Seeds    []uint64
-	Spec     simulator.Spec // of the first variant, but for the seed
+	Spec     simulator.Spec // without a seed and before any variant is applied
 	Variants []Variant
-	Faults   []faults.Fault // by their blocks
-	Text     []byte         // as it was read
+	Faults   []faults.Fault // in the order of their blocks
+	Text     []byte         // content of the file
 
-	Rig Rig // of its processes, if the file has such a block
+	Rig Rig // configures runs on processes; has defaults if the file has no such block
 
-	troubles []string // where they stand
-	captured string   // a capture's file, beside the experiment's; empty for none
+	troubles []string // file and line of each trouble block
+	captured string   // path of the capture, relative to the experiment's file; empty for none
 }
 
-// Variant is a change to the module's settings or to the routers.
+// Variant is a named change to the Spec of an experiment, such as other settings of the decision
+// module or another number of routers.
 type Variant struct {
 	Name  string
 	apply func(*simulator.Spec)
 }
 
-// Worlds returns how many worlds the experiment has.
+// Worlds returns the number of simulations of the experiment.
 func (x *Experiment) Worlds() int { return len(x.Seeds) * len(x.Variants) }
 
-// World returns the spec of one world. It is the caller's own.
+// World returns the Spec for one variant and seed, without the faults. The caller may change it.
 func (x *Experiment) World(variant int, seed uint64) simulator.Spec {
 	s := x.Spec
 	s.Groups, s.Classes, s.Disruptions = slices.Clone(s.Groups), slices.Clone(s.Classes), slices.Clone(s.Disruptions)
@@ -55,7 +56,7 @@
 	return s
 }
 
-// Virtual is World with the schedule of faults, for virtual time.
+// Virtual returns the Spec for one variant and seed, with the faults, for a run in virtual time.
 func (x *Experiment) Virtual(variant int, seed uint64) simulator.Spec {
 	s := x.World(variant, seed)
 	s.Faults = x.Faults
@@ -67,7 +68,8 @@
 	aDay      = 24 * time.Hour
 )
 
-// Read reads an experiment's file. An error is one line with file, line and field.
+// Read reads an experiment from a file, and its capture if it names one. The error for an invalid
+// file is one line with file, line and field.
 func Read(path string) (*Experiment, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -84,7 +86,8 @@
 	return x, err
 }
 
-// Parse is Read for a text; name is that of its file.
+// Parse parses the text of an experiment's file, whose name it uses in errors and for the name of
+// the experiment. It does not read the capture.
 func Parse(text []byte, name string) (*Experiment, error) {
 	f, diags := hclsyntax.ParseConfig(text, name, hcl.InitialPos)
 	if diags.HasErrors() {
@@ -103,7 +106,7 @@
 	return x, nil
 }
 
-// decoder reads blocks by tables of their fields. The first fault counts.
+// decoder decodes blocks by tables of their fields. It keeps the first error.
 type decoder struct{ err error }
 
 func (d *decoder) fault(at hcl.Range, field, format string, v ...any) {
@@ -112,10 +115,11 @@
 	}
 }
 
-// fields is what a block may hold: each takes a value, or says what is wrong with it.
+// fields holds the fields that a block may have, by name. The function of a field stores a value, or
+// returns what is wrong with it.
 type fields map[string]func(cty.Value) string
 
-// blocks are those that a block may hold.
+// blocks holds the inner blocks that a block may have, by type, with the functions that decode them.
 type blocks map[string]func(*hclsyntax.Block)
 
 func (d *decoder) body(b *hclsyntax.Body, what string, f fields, inner blocks, needed ...string) {
@@ -157,10 +161,10 @@
 	}
 }
 
-// label returns a block's one label.
+// label returns the label of a block, which must have exactly one.
 func (d *decoder) label(b *hclsyntax.Block) string {
 	if len(b.Labels) != 1 || b.Labels[0] == "" {
-		d.fault(b.TypeRange, b.Type, "needs one name behind it")
+		d.fault(b.TypeRange, b.Type, "needs exactly one label, which is its name")
 		return ""
 	}
 	return b.Labels[0]
@@ -236,7 +240,7 @@
 	}
 }
 
-// defaultSpec returns the world of a file without fields.
+// defaultSpec returns the Spec with the default value of each field.
 func defaultSpec() simulator.Spec {
 	return simulator.Spec{
 		Length:  time.Minute,
@@ -301,7 +305,7 @@
 		"variant": func(b *hclsyntax.Block) {
 			name := d.label(b)
 			if names[name] {
-				d.fault(b.TypeRange, "variant", "%q is there twice", name)
+				d.fault(b.TypeRange, "variant", "%q is defined twice", name)
 			}
 			names[name] = true
 			x.Variants = append(x.Variants, Variant{name, d.variant(b)})
@@ -311,14 +315,14 @@
 		x.Variants = []Variant{{"base", func(*simulator.Spec) {}}}
 	}
 	if len(s.Classes) == 0 {
-		d.fault(b.SrcRange, "class", "is missing: an experiment needs one at least")
+		d.fault(b.SrcRange, "class", "is missing: an experiment needs at least one")
 	}
 }
 
-// seeds takes a list of whole numbers, or one for as many seeds from 1 on.
+// seeds decodes either a list of seeds, or a number n for the seeds from 1 to n.
 func (d *decoder) seeds(x *Experiment) func(cty.Value) string {
 	return func(v cty.Value) string {
-		const wrong = "must be how many seeds, from 1 to 10000, or a list of them"
+		const wrong = "must be the number of seeds, from 1 to 10000, or a list of seeds"
 		if n, ok := number(v); ok && n == float64(int(n)) && n >= 1 && n <= mostSeeds {
 			for i := range int(n) {
 				x.Seeds = append(x.Seeds, uint64(i+1))
@@ -331,7 +335,7 @@
 		for _, e := range v.AsValueSlice() {
 			n, ok := number(e)
 			if !ok || n != float64(uint64(n)) || slices.Contains(x.Seeds, uint64(n)) {
-				return wrong + ", whole and each once"
+				return wrong + ", which are whole numbers without duplicates"
 			}
 			x.Seeds = append(x.Seeds, uint64(n))
 		}
@@ -360,7 +364,8 @@
 	}
 }
 
-// variant reads a block and returns what it changes. The block is read again for each world.
+// variant checks a block and returns a function that applies the variant to a Spec. The function
+// decodes the block anew for each Spec.
 func (d *decoder) variant(b *hclsyntax.Block) func(*simulator.Spec) {
 	read := func(d *decoder, s *simulator.Spec) {
 		f := d.module(&s.Balance)
@@ -371,7 +376,7 @@
 		load := 1.0
 		f["load"] = num(&load, 0.01, 100)
 		d.body(b.Body, "variant", f, blocks{"view": d.view(s)})
-		for i := range s.Classes { // the world's own copy
+		for i := range s.Classes { // s.Classes is a copy that only this Spec uses
 			s.Classes[i].Rate *= load
 		}
 	}
@@ -441,21 +446,21 @@
 	return t
 }
 
-// Captured reads a capture as the plan of an experiment's clients. A class that the experiment does
-// not have is a fault.
+// Captured reads a capture and returns it as the plan of an experiment's clients. It returns an
+// error if the capture has a class that the experiment lacks.
 func Captured(path string, spec *simulator.Spec) ([]simulator.Planned, error) {
 	_, all, err := capture.Read(path)
 	if err != nil {
 		return nil, err
 	}
 	if len(all) == 0 {
-		return nil, fmt.Errorf("%s:1: holds no request", filepath.Base(path))
+		return nil, fmt.Errorf("%s:1: the capture has no requests", filepath.Base(path))
 	}
 	plan := make([]simulator.Planned, 0, len(all))
 	for i, q := range all {
 		n := slices.IndexFunc(spec.Classes, func(c simulator.Class) bool { return c.Class.Name == q.Class })
 		if n < 0 {
-			return nil, fmt.Errorf("%s:%d: class %q is none of the experiment's", filepath.Base(path), i+2, q.Class)
+			return nil, fmt.Errorf("%s:%d: class %q is not a class of the experiment", filepath.Base(path), i+2, q.Class)
 		}
 		c := &spec.Classes[n]
 		plan = append(plan, simulator.Planned{At: q.At, ID: fmt.Sprint("c", i+1), Class: n, Session: q.Session, Prefix: q.Prefix, Shared: q.PrefixTokens,
--- a/internal/testbed/experiment/forms_test.go
+++ b/internal/testbed/experiment/forms_test.go
@@ -17,8 +17,8 @@
 	"reachspread/internal/testbed/formtest"
 )
 
-// blockHeaders are the blocks of an experiment's file, each with how it begins; %s is what stands
-// in it.
+// blockHeaders returns the blocks of an experiment's file by path, each as a format in which %s is
+// the content of the block.
 func blockHeaders() map[string]string {
 	headers := map[string]string{"an experiment": "%s", "view": "view {\n%s\n}", "group/cold": "group \"g\" {\ncold {\n%s\n}\n}",
 		"variant/view": "variant \"v\" {\nview {\n%s\n}\n}", "group": "group \"g\" {\n%s\n}", "class": "class \"c\" {\n%s\n}",
@@ -33,7 +33,8 @@
 	return headers
 }
 
-// writtenNames are the strings that the package's code has, among them the names of all fields.
+// writtenNames returns the string literals in the package's code, which include the names of all
+// fields.
 func writtenNames(t *testing.T) []string {
 	t.Helper()
 	paths, err := filepath.Glob("*.go")
@@ -61,7 +62,7 @@
 	return slices.Sorted(maps.Keys(names))
 }
 
-// probes are values of each type that a field may take.
+// probes holds sample values of each type that a field may have.
 var probes = []struct {
 	kind   string
 	values []string
@@ -75,8 +76,8 @@
 	{"texts", []string{`["a"]`, `["peer"]`, `["peers"]`}},
 }
 
-// complaint is what the reader says of a field with a value in a block, without the field's name;
-// empty where it takes it.
+// complaint returns the parser's error for a field with a value in a block, without the field's
+// name. It is empty if the parser accepts the value.
 func complaint(header, field, value string) string {
 	body := field + " = " + value
 	text := "seeds = 1\n" + fmt.Sprintf(header, body)
@@ -95,7 +96,7 @@
 	return said
 }
 
-// describeBlock lists the fields of a block, each with the types of the values that it takes.
+// describeBlock lists the fields of a block, each with the types of values that the field accepts.
 func describeBlock(header string, names []string) string {
 	var out strings.Builder
 	unknown := complaint(header, "no_such_field", "1")
@@ -114,7 +115,8 @@
 	return out.String()
 }
 
-// The blocks of an experiment have the fields that kept files use, with the same types.
+// The blocks of an experiment's file have the same fields, with the same types, as before, so that
+// existing files stay valid.
 func TestExperimentFileFormIsUnchanged(t *testing.T) {
 	names := writtenNames(t)
 	var parts [][2]string
@@ -125,7 +127,7 @@
 	formtest.Compare(t, "experiment-file.txt", formtest.Document(parts...))
 }
 
-// Each experiment of the repository can be read.
+// Every experiment's file in deploy/lab can be parsed.
 func TestExperimentsOfTheRepositoryAreRead(t *testing.T) {
 	paths, err := filepath.Glob("../../../deploy/lab/*.hcl")
 	if err != nil || len(paths) == 0 {
@@ -142,7 +144,7 @@
 	}
 }
 
-// The lines of a kept run have the same fields.
+// The lines of the runs file and the columns of the table have the same names as before.
 func TestKeptRunFormIsUnchanged(t *testing.T) {
 	formtest.Compare(t, "kept-run.txt", formtest.Document([2]string{"line of the runs", formtest.Fields(Run{}, "json")},
 		[2]string{"columns of the table", strings.Join(columns, "\n") + "\n"}))
--- a/internal/testbed/experiment/keep.go
+++ b/internal/testbed/experiment/keep.go
@@ -14,7 +14,8 @@
 	"strings"
 )
 
-// The files of a run's folder. The last one is written when all else is there.
+// The files in the folder of a stored run. ExperimentFile is written last, so that its presence
+// shows that the other files are complete.
 const (
 	SpecFile       = "experiment.hcl"
 	RunsFile       = "runs.ndjson"
@@ -23,17 +24,17 @@
 	ExperimentFile = "whole"
 )
 
-// Summary is one variant over all its seeds.
+// Summary holds the results of one variant over all its seeds.
 type Summary struct {
 	Variant                                    string
 	Worlds, Broken                             int
 	G, Least                                   float64 // mean and lowest
 	Asked, Good, Refused, BrokenOff, Lost      uint64
-	P50, P99                                   float64 // ms to the first token, the largest of the classes'
+	P50, P99                                   float64 // milliseconds to the first token, the highest of any class and run
 	AttemptsPerRequest, Wasted, KeptPerRequest float64
 }
 
-// Summarize returns a row for each variant, in their order.
+// Summarize returns a Summary for each variant, in the order of their first runs.
 func Summarize(runs []*Run) (rows []Summary) {
 	for _, r := range runs {
 		i := slices.IndexFunc(rows, func(s Summary) bool { return s.Variant == r.Variant })
@@ -87,7 +88,8 @@
 		fmt.Sprintf("%.1f", s.P99), fmt.Sprintf("%.3f", s.AttemptsPerRequest), fmt.Sprintf("%.4f", s.Wasted), fmt.Sprintf("%.0f", s.KeptPerRequest)}
 }
 
-// WriteTable writes the summary as Markdown, with what the variants differ by.
+// WriteTable writes the summary as Markdown, with the differences between the variants and the
+// broken rules.
 func WriteTable(out io.Writer, runs []*Run) error {
 	w := bufio.NewWriter(out)
 	fmt.Fprintf(w, "| %s |\n|%s\n", strings.Join(columns, " | "), strings.Repeat(" --- |", len(columns)))
@@ -108,7 +110,7 @@
 	return w.Flush()
 }
 
-// Keep leaves an experiment's runs in a folder that must be new or empty.
+// Keep stores an experiment's runs in a folder. The folder must be empty or not exist yet.
 func (x *Experiment) Keep(folder string, runs []*Run) (err error) {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return err
@@ -116,7 +118,7 @@
 	if entries, err := os.ReadDir(folder); err != nil {
 		return err
 	} else if len(entries) > 0 {
-		return fmt.Errorf("%s is not empty; a run is kept in a folder of its own", folder)
+		return fmt.Errorf("%s is not empty; runs can be stored only in a new or empty folder", folder)
 	}
 	file := func(name string, write func(io.Writer) error) {
 		if err != nil {
@@ -154,12 +156,12 @@
 	return err
 }
 
-// Open reads a folder that Keep left: its experiment and the G of each run. One that was not left
-// whole is not read.
+// Open reads the experiment and the runs that Keep stored in a folder. It fails if the folder is not
+// complete.
 func Open(folder string) (*Experiment, []KeptRun, error) {
 	count, err := os.ReadFile(filepath.Join(folder, ExperimentFile))
 	if errors.Is(err, os.ErrNotExist) {
-		return nil, nil, fmt.Errorf("%s: is no whole run: there is no file %q, which is written last", folder, ExperimentFile)
+		return nil, nil, fmt.Errorf("%s: is not a complete run: the file %q, which is written last, does not exist", folder, ExperimentFile)
 	} else if err != nil {
 		return nil, nil, err
 	}
@@ -178,7 +180,7 @@
 		switch err := from.Decode(&k); {
 		case err == io.EOF:
 			if want := strings.TrimSpace(string(count)); strconv.Itoa(len(keptRuns)) != want {
-				return nil, nil, fmt.Errorf("%s: has %d runs; %s were left", filepath.Join(folder, RunsFile), len(keptRuns), want)
+				return nil, nil, fmt.Errorf("%s: has %d runs; %s were stored", filepath.Join(folder, RunsFile), len(keptRuns), want)
 			}
 			return x, keptRuns, nil
 		case err != nil:
@@ -188,7 +190,7 @@
 	}
 }
 
-// KeptRun is a run as a folder has it.
+// KeptRun is the part of a stored run that Open reads from the folder.
 type KeptRun struct {
 	Variant string `json:"variant"`
 	Seed    uint64 `json:"seed"`
--- a/internal/testbed/experiment/measure_test.go
+++ b/internal/testbed/experiment/measure_test.go
@@ -12,9 +12,9 @@
 
 var measure = flags.Bool("measure", false, "run the measurements")
 
-// TestMeasurePowerLoss plays deploy/lab/powerloss.hcl at three sizes, with routers that tell each
-// other reports and without, and prints what was served of what was asked for in the 30 s after the
-// return, against the bound of package lab.
+// TestMeasurePowerLoss runs deploy/lab/powerloss.hcl with three numbers of routers, with and without
+// reports between routers. It prints the value served in the 30 s after power returns, as a fraction
+// of the value requested and of the upper bound that package simulator computes.
 func TestMeasurePowerLoss(t *testing.T) {
 	if !*measure {
 		t.Skip("a measurement; see docs/measurements/")
@@ -49,7 +49,7 @@
 	}
 }
 
-// afterReturn sums up so many seconds, from one on.
+// afterReturn summarizes the results of length seconds, beginning with second from.
 func afterReturn(r *simulator.Result, from, length int) string {
 	var b strings.Builder
 	got, able := 0.0, 0.0
@@ -61,7 +61,7 @@
 		got, able = got+g, able+a
 		fmt.Fprintf(&b, "%s %.3f of the bound, %.3f of what was asked; ", r.Classes[c].Name, g/a, g/of)
 	}
-	lowest := 0 // seconds after the hosts' warm-up in which less than nine tenths of the bound is served
+	lowest := 0 // number of seconds after the hosts' warm-up in which less than nine tenths of the bound is served
 	for _, s := range r.Seconds[from+8 : from+length] {
 		g, a := 0.0, 0.0
 		for c := range s.Begun {
--- a/internal/testbed/experiment/run.go
+++ b/internal/testbed/experiment/run.go
@@ -12,20 +12,20 @@
 	"reachspread/internal/testbed/simulator"
 )
 
-// Run is one world that was played.
+// Run is one finished simulation.
 type Run struct {
 	Variant string            `json:"variant"`
 	Seed    uint64            `json:"seed"`
 	Result  *simulator.Result `json:"result"`
-	Broken  string            `json:"broken,omitempty"` // a rule: one line; the world ended there
+	Broken  string            `json:"broken,omitempty"` // the broken rule in one line, which ended the simulation; empty for none
 
-	Report string `json:"-"` // of a broken rule, with what came before
+	Report string `json:"-"` // the broken rule with the events before it
 	err    error
 }
 
-// Play plays all worlds of an experiment, so many at a time. Done is told of each that is over, by
-// one caller at a time; it may be nil. The runs come by variant, then by seed, however they were
-// played.
+// Play runs all simulations of an experiment, atOnce of them in parallel. It calls done after each
+// run; the calls are not concurrent, and done may be nil. Play returns the runs ordered by variant
+// and then by seed, whatever the order in which they finished.
 func (x *Experiment) Play(ctx context.Context, atOnce int, done func(*Run)) ([]*Run, error) {
 	if err := x.CheckFor(faults.Simulation); err != nil {
 		return nil, err
@@ -87,22 +87,24 @@
 	return r
 }
 
-// Difference is by how much a variant's G is above another's, in pairs by seed.
+// Difference is the amount by which the G of variant To is above that of variant From. Runs of the
+// two variants with the same seed form a pair.
 type Difference struct {
 	From, To  string
 	Pairs     int
 	Mean      float64
-	Low, High float64 // of the mean, 95 in 100
+	Low, High float64 // 95 % confidence interval of the mean
 }
 
-// Shown reports whether the difference is larger than chance explains.
+// Shown reports whether the difference is statistically significant: there is more than one pair,
+// and the confidence interval does not include 0.
 func (d *Difference) Shown() bool { return d.Pairs > 1 && (d.Low > 0 || d.High < 0) }
 
 const resamples = 4000
 
-// Compare compares each further variant with the first. The interval is a percentile bootstrap over
-// seeds (Efron and Tibshirani, An Introduction to the Bootstrap, chapter 13), with a fixed seed of
-// its own.
+// Compare compares each other variant with the first one. The confidence interval is a percentile
+// bootstrap over seeds (Efron and Tibshirani, An Introduction to the Bootstrap, chapter 13), whose
+// random numbers have a fixed seed.
 func Compare(runs []*Run) []Difference {
 	p := pairs{g: map[string]map[uint64]float64{}}
 	for _, r := range runs {
@@ -111,7 +113,7 @@
 	return p.compare()
 }
 
-// CompareRuns is Compare for runs that were kept.
+// CompareRuns compares stored runs as Compare does.
 func CompareRuns(keptRuns []KeptRun) []Difference {
 	p := pairs{g: map[string]map[uint64]float64{}}
 	for i := range keptRuns {
@@ -121,7 +123,7 @@
 	return p.compare()
 }
 
-// CompareFolders compares each variant of one kept experiment with the one of the same name in
+// CompareFolders compares each variant of one stored experiment with the variant of the same name in
 // another.
 func CompareFolders(from, to []KeptRun) (all []Difference) {
 	names, _ := byVariant(from)
@@ -139,7 +141,7 @@
 	return all
 }
 
-// String is one line.
+// String returns the difference as one line.
 func (d *Difference) String() string {
 	how := fmt.Sprintf("%+.4f; 95 in 100: %+.4f to %+.4f, %d pairs", d.Mean, d.Low, d.High, d.Pairs)
 	if d.Shown() {
@@ -148,7 +150,7 @@
 	return fmt.Sprintf("%s against %s: no difference shown (%s).", d.To, d.From, how)
 }
 
-// pairs has the G of each world, by variant and seed.
+// pairs holds the G of each run, by variant and seed.
 type pairs struct {
 	names []string
 	g     map[string]map[uint64]float64
--- a/internal/testbed/experiment/scale.go
+++ b/internal/testbed/experiment/scale.go
@@ -13,17 +13,17 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Scale is what a fleet serves by how many routers stand before it, at several loads: one row of
-// numbers for each load.
+// Scale shows how the results of a fleet depend on its number of routers, at several loads. G and
+// First have a row for each load and a column for each number of routers.
 type Scale struct {
-	Routers []int     // in rising order
-	Loads   []float64 // times the rates of the experiment's text, likewise
+	Routers []int     // in ascending order
+	Loads   []float64 // as multiples of the experiment's rates, in ascending order
 	G       [][]float64
-	First   [][]float64 // share of the best class's requests that ended well
+	First   [][]float64 // share of successful requests of the class with the highest value
 }
 
-// ScaleOf sorts kept runs whose variants differ by routers and load alone. A pair that was not
-// played, or in which a rule broke, is not a number.
+// ScaleOf returns the Scale of stored runs whose variants differ only by routers and load. The value
+// is NaN for a load and number of routers without a run, or only with runs that broke a rule.
 func (x *Experiment) ScaleOf(keptRuns []KeptRun) *Scale {
 	type point struct {
 		routers int
@@ -77,15 +77,15 @@
 		var g, first []float64
 		for _, n := range s.Routers {
 			p := point{n, load}
-			g, first = append(g, sums[p][0]/worlds[p]), append(first, sums[p][1]/worlds[p]) // 0/0 is not a number
+			g, first = append(g, sums[p][0]/worlds[p]), append(first, sums[p][1]/worlds[p]) // NaN if there are no runs
 		}
 		s.G, s.First = append(s.G, g), append(s.First, first)
 	}
 	return s
 }
 
-// WriteTable writes a row for each load: G by routers, and how much the last column has less than
-// the first.
+// WriteTable writes a Markdown table with a row for each load. A row has G for each number of
+// routers, the decrease of G from the first number to the last, and First for these two.
 func (s *Scale) WriteTable(out io.Writer) error {
 	head, rule := "| load |", "| --- |"
 	for _, n := range s.Routers {
@@ -112,7 +112,7 @@
 	return fmt.Sprintf("%.3f", x)
 }
 
-// draw adds a line for each load to a chart.
+// draw adds a line to a chart for each load.
 func (s *Scale) draw(c *plot.Plot, dashed bool) error {
 	for i, load := range s.Loads {
 		var points plotter.XYs
@@ -136,8 +136,8 @@
 	return nil
 }
 
-// WriteScalePage writes one page with the table and a chart of G by routers, and of a run before in
-// dashes if there is one.
+// WriteScalePage writes an HTML page with a chart of G by number of routers and the table. If before
+// is not nil, the page includes that earlier result too, in the chart with dashed lines.
 func WriteScalePage(out io.Writer, title string, s, before *Scale) error {
 	c := plot.New()
 	c.Title.Text, c.X.Label.Text, c.Y.Label.Text = "what is served by how many routers stand before the same hosts", "routers", "G"
@@ -176,7 +176,7 @@
 	return err
 }
 
-// counts marks numbers of routers on an axis.
+// counts is a plot.Ticker that marks the given numbers of routers on an axis.
 type counts []int
 
 // Ticks implements plot.Ticker.
--- a/internal/testbed/experiment/scale_test.go
+++ b/internal/testbed/experiment/scale_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Variants that differ by routers and load make one table; what was not played, or broke a rule, is
-// no number in it.
+// Variants that differ by routers and load make one table. A cell without runs, or only with runs
+// that broke a rule, has no number.
 func TestScale(t *testing.T) {
 	text := strings.ReplaceAll(good, "variant \"base\" {}", "variant \"base\" {\n  routers = 10\n  load = 1.5\n}")
 	x, err := Parse([]byte(text), "day.hcl")
--- a/internal/testbed/experiment/schedule.go
+++ b/internal/testbed/experiment/schedule.go
@@ -12,29 +12,29 @@
 	"reachspread/internal/testbed/simulator"
 )
 
-// Rig is how an experiment is played on processes.
+// Rig configures how an experiment runs on real processes instead of in virtual time.
 type Rig struct {
-	MemoryMB, Sockets int // limits of a router
+	MemoryMB, Sockets int // limits of a router process
 	Cores             float64
-	Held              bool // the clients' listeners are the platform's, and every process of a router inherits them
-	View              bool // routers keep a view of the fleet, and it is judged
-	Seeds             int  // with View: the configuration names no peers, and so many routers are asked for the fleet; 0 for peers
-	Voters            int  // with View: that many routers agree on duties, and one more may vote where there is one; 0 for no duties
-	Drains            int  // with Voters: routers of a zone that may drain at a time; 0 for any
+	Held              bool // the platform holds the clients' listeners, and every process of a router inherits them
+	View              bool // routers maintain a view of the fleet, and the checkers check the view
+	Seeds             int  // with View: number of routers that a router asks for the fleet, because the configuration names no peers; 0 if it names peers
+	Voters            int  // with View: number of routers that vote on duties; one more router may vote if there is one; 0 for no duties
+	Drains            int  // with Voters: number of routers of a zone that may drain at the same time; 0 for no limit
 	Lease             time.Duration
-	Recovery          bool          // routers keep snapshots in their durable folders
-	HandOver          time.Duration // with Voters: between two wishes that the copier be the next router; 0 for none
-	Settings          string        // the operators' file of every router, empty for none
+	Recovery          bool          // routers store snapshots in their durable folders
+	HandOver          time.Duration // with Voters: interval at which the copier duty is requested for the next router; 0 for never
+	Settings          string        // operators' settings file of every router, empty for none
 	Slack             time.Duration
-	Settle            time.Duration // after the last fault until the fleet must serve as before; 0 for no bound
-	Retries           bool          // a client that is refused comes again, as the block retries says
+	Settle            time.Duration // time after the last fault within which the fleet must serve as before; 0 for no limit
+	Retries           bool          // refused clients retry as the retries block configures
 
-	// Manners of clients, as shares of the requests.
+	// Fractions of the requests whose clients send them in pieces, stall, or disconnect early.
 	Pieces, Silent, Leave float64
-	Scrape                time.Duration // between two calls of vars at each management address; 0 for none
+	Scrape                time.Duration // interval between requests for vars at each management address; 0 for never
 }
 
-// usualRig is what a file without the block has.
+// usualRig holds the defaults for fields that the rig block of a file does not set.
 var usualRig = Rig{MemoryMB: 192, Sockets: 512, Cores: 1, Lease: 2 * time.Second, Slack: 500 * time.Millisecond, Settle: 4 * time.Second}
 
 func (d *decoder) rig(r *Rig, b *hclsyntax.Block) {
@@ -43,7 +43,7 @@
 		"pieces": num(&r.Pieces, 0, 1), "silent": num(&r.Silent, 0, 1), "leave": num(&r.Leave, 0, 1), "retries": flag(&r.Retries), "scrape": span(&r.Scrape, 10*time.Millisecond)}, nil)
 }
 
-// faultOf reads a fault. Which fields a kind has is in the table of kinds.
+// faultOf decodes a fault block. The table of fault kinds determines which fields the block has.
 func (d *decoder) faultOf(b *hclsyntax.Block) faults.Fault {
 	f := faults.Fault{Kind: faults.Kind(d.label(b)), Source: fmt.Sprintf("%s:%d", b.TypeRange.Filename, b.TypeRange.Start.Line)}
 	m := faults.Of(f.Kind)
@@ -81,7 +81,7 @@
 	return f
 }
 
-// selected takes a list of numbers, a share, "all" or a zone.
+// selected decodes a selection: a list of numbers, a share, "all" or the name of a zone.
 func selected(s *faults.Selection) func(cty.Value) string {
 	return func(v cty.Value) string {
 		if fraction, ok := number(v); ok {
@@ -152,21 +152,22 @@
 	}
 }
 
-// Topology is the fleet as schedules see it.
+// Topology returns the routers and hosts of the fleet by zone, in the form that fault schedules need.
 func (x *Experiment) Topology() *faults.Topology { return x.Spec.Topology() }
 
-// onSockets has for each trouble of virtual time the fault that means the same. Those that clients
-// make are played everywhere.
+// onSockets maps each kind of disruption that exists only in virtual time to the kind of fault that
+// does the same on sockets. Disruptions of the clients' load are not in it, because they work in
+// both.
 var onSockets = map[simulator.DisruptionKind]string{simulator.SlowHosts: "slow", simulator.RouterCrash: "kill", simulator.HostsDie: "kill", simulator.Replace: "drain",
 	simulator.Release: "drain", simulator.LostZone: "power", simulator.ListLost: "cut"}
 
-// CheckFor returns what of the schedule does not exist in a world, or is wrong with it, as one line
-// with file, line and field.
+// CheckFor checks whether the experiment's disruptions and faults are valid and exist in the given
+// kind of world. The error is one line with file, line and field.
 func (x *Experiment) CheckFor(world faults.World) error {
 	if world != faults.Simulation {
 		for i, t := range x.Spec.Disruptions {
 			if same, ok := onSockets[t.Kind]; ok {
-				return fmt.Errorf("%s: trouble %q is of virtual time alone; fault %q is for sockets", x.troubles[i], t.Kind, same)
+				return fmt.Errorf("%s: trouble %q exists only in virtual time; on sockets, use fault %q", x.troubles[i], t.Kind, same)
 			}
 		}
 	}
--- a/internal/testbed/experiment/schedule_test.go
+++ b/internal/testbed/experiment/schedule_test.go
@@ -35,7 +35,8 @@
 }
 `
 
-// What is drawn for the rig is written and read again as it was.
+// A schedule of faults that is drawn for real processes is the same after it is written as text and
+// parsed again.
 func TestScheduleTextAndBack(t *testing.T) {
 	x, err := Parse([]byte(fleetOf), "x.hcl")
 	if err != nil {
@@ -57,8 +58,8 @@
 	}
 }
 
-// A fault that a world lacks, and one with a field that its kind has not, is one line with file,
-// line and field.
+// A fault that does not exist in virtual time, and one with an invalid field, give an error of one
+// line with file, line and field.
 func TestScheduleRefused(t *testing.T) {
 	for text, want := range map[string]string{
 		`fault "smoke" {}`: `x.hcl:20: fault "smoke" is unknown`,
@@ -87,13 +88,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := x.CheckFor(faults.RealProcesses); err == nil || err.Error() != `x.hcl:20: trouble "lost_zone" is of virtual time alone; fault "power" is for sockets` {
+	if err := x.CheckFor(faults.RealProcesses); err == nil || err.Error() != `x.hcl:20: trouble "lost_zone" exists only in virtual time; on sockets, use fault "power"` {
 		t.Errorf("got %v", err)
 	}
 }
 
-// The rig's checkers judge virtual time: drawn faults there, with routers that tell each other,
-// break no rule. A fault that waits for what happens begins then.
+// The checkers of package checker find no broken rule in simulations with random faults and with
+// reports between routers. A fault that waits for an event begins at that event.
 func TestJudgeVirtualTime(t *testing.T) {
 	x, err := Parse([]byte(fleetOf), "x.hcl")
 	if err != nil {
@@ -102,10 +103,10 @@
 	kinds := map[faults.Kind]int{}
 	for seed := range uint64(24) {
 		spec := x.World(0, seed)
-		spec.Routers = 9 // enough to tell each other
+		spec.Routers = 9 // enough routers to send each other reports
 		spec.Peers = simulator.Peers{On: true, Most: 5 * time.Millisecond}
 		spec.Faults = faults.Draw(faults.Bounds{Length: spec.Length, World: faults.Simulation}, spec.Topology(), seed)
-		for i := range spec.Faults { // as virtual time has them
+		for i := range spec.Faults { // restricts faults to those that exist in virtual time
 			f := &spec.Faults[i]
 			f.Disk, f.File, f.RemainingFraction = "", "", 0
 			if len(f.Links) > 0 && f.Links[0] != faults.LinkPeers || len(f.Links) > 1 {
@@ -139,11 +140,11 @@
 		}
 		last := len(spec.Faults) - 1
 		if begun := faultAt(all, last); begun != killed || answers < 100 {
-			t.Errorf("seed %d: it began at %d, want %d; %d answers", seed, begun, killed, answers)
+			t.Errorf("seed %d: the fault that waits for an event began at %d, want %d; %d answers, want 100 or more", seed, begun, killed, answers)
 		}
 	}
 	if len(kinds) < 7 {
-		t.Errorf("only these were played: %v", kinds)
+		t.Errorf("only these kinds of faults were injected, want 7 or more: %v", kinds)
 	}
 }
 
--- a/internal/testbed/experiment/stored_test.go
+++ b/internal/testbed/experiment/stored_test.go
@@ -14,11 +14,12 @@
 	"reachspread/internal/testbed/golden"
 )
 
-// The folder testdata/kept was left by Keep at commit 5bfcc27 after the small experiment of this
-// package's tests: WRITE_GOLDEN=1 go test -run Golden. The schedule is a copy of that of package
-// faults, written at the same commit.
+// Keep wrote the folder testdata/kept at commit 5bfcc27, for the small experiment of this package's
+// tests: WRITE_GOLDEN=1 go test -run Golden. The file testdata/schedule.hcl is a copy of the schedule
+// of package faults, written at the same commit.
 
-// A kept run is read as it was left, and the same experiment leaves the same files.
+// The files that Keep writes for an experiment are the same as those in testdata/kept, and Open
+// reads them back.
 func TestGoldenKeptRun(t *testing.T) {
 	x, err := Parse([]byte(good), "day.hcl")
 	if err != nil {
@@ -44,13 +45,13 @@
 		t.Fatal(err)
 	}
 	if !cmp.Equal(got.Seeds, x.Seeds) || got.Worlds() != x.Worlds() || len(keptRuns) != len(runs) {
-		t.Fatalf("%d runs of %d worlds", len(keptRuns), got.Worlds())
+		t.Fatalf("Open returned %d runs of an experiment with %d simulations", len(keptRuns), got.Worlds())
 	}
 	for i, k := range keptRuns {
 		r := runs[i]
 		if k.Variant != r.Variant || k.Seed != r.Seed || k.Broken != r.Broken || k.g() != r.Result.G() || len(k.Result.Seconds) != len(r.Result.Seconds) ||
 			len(k.Result.Classes) != 1 || k.Result.Classes[0].Asked != r.Result.Classes[0].Asked || k.Result.Classes[0].Good != r.Result.Classes[0].Good {
-			t.Errorf("run %d is read as %+v", i, k)
+			t.Errorf("run %d was read as %+v, which is not what Keep stored", i, k)
 		}
 	}
 	if diff := cmp.Diff(Compare(runs), CompareRuns(keptRuns)); diff != "" {
@@ -58,7 +59,7 @@
 	}
 }
 
-// A schedule with every kind of fault is read as it was, and written again as it stands.
+// A stored schedule with every kind of fault is parsed correctly and written again unchanged.
 func TestGoldenScheduleIsRead(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "schedule.hcl"))
 	if err != nil {
--- a/internal/testbed/simulator/mass_test.go
+++ b/internal/testbed/simulator/mass_test.go
@@ -51,9 +51,9 @@
 	return n
 }
 
-// TestMeasureTogether measures, in simulations of 300 routers, what is lost because routers decide
-// independently: refusals and late answers although hosts have room, unused capacity of cold hosts,
-// and prompts that wait at some hosts while other hosts have none waiting.
+// TestMeasureTogether measures, in simulations of 300 routers, the losses from the routers' combined
+// decisions: refusals and late answers although hosts have room, unused capacity of cold hosts, and
+// prompts that wait at some hosts while other hosts have none waiting.
 func TestMeasureTogether(t *testing.T) {
 	if !*measure {
 		t.Skip("a measurement; see docs/measurements/")
--- a/internal/testbed/simulator/vast_test.go
+++ b/internal/testbed/simulator/vast_test.go
@@ -76,10 +76,10 @@
 	}
 }
 
-// With shorter prompts, a large fleet loses little value through any of these: a zone that is
-// isolated and reconnected; hosts that each accept connections from only a fraction of the routers;
-// slow hosts to which each router has sent one request or none; and a restart of most routers at
-// once with their last lists.
+// At half the load, a large fleet loses little value through any of these: a zone that is isolated
+// and reconnected; hosts that each accept no more connections than a third of the routers want; slow
+// hosts to which each router has sent one request or none; and a restart of most routers at once
+// with their last lists.
 func TestEightyRoutersGetOver(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
