--- a/internal/testbed/experiment/scale.go
+++ b/internal/testbed/experiment/scale.go
@@ -77,7 +77,7 @@
 		var g, first []float64
 		for _, n := range s.Routers {
 			p := point{n, load}
-			g, first = append(g, sums[p][0]/worlds[p]), append(first, sums[p][1]/worlds[p]) // NaN if there are no runs
+			g, first = append(g, sums[p][0]/worlds[p]), append(first, sums[p][1]/worlds[p]) // 0/0 is NaN: there are no runs
 		}
 		s.G, s.First = append(s.G, g), append(s.First, first)
 	}
--- a/internal/testbed/simulator/vast_test.go
+++ b/internal/testbed/simulator/vast_test.go
@@ -113,8 +113,8 @@
 
 // All hosts die at once and restart cold. The routers refuse all open requests within moments, and
 // the clients retry after the Retry-After that they got. These retries overload no cold host, and
-// from 5 s after the hosts' restart the fleet serves most of what it served before (a third less
-// without the measure that the balance package's fade keeps).
+// from 5 s after the hosts' restart the fleet serves most of what it served before. It serves a third
+// less if decayWork in package balance does not keep the last measure of a warm host.
 func TestAllRefusedAtOnceComeBack(t *testing.T) {
 	for seed := range uint64(3) {
 		s := vast(seed)
