--- a/internal/testbed/pintest/control.go
+++ b/internal/testbed/pintest/control.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	callTimeout    = 10 * time.Second // of one call to a control plane
+	callTimeout    = 10 * time.Second // limit of one call to a control plane
 	callRetryDelay = 50 * time.Millisecond
 	maxReplyBytes  = 1 << 20
 	hostZone       = "z0"
 )
 
-// Configure puts Configuration on a fleet that has none.
+// Configure sends Configuration to a fleet that has no configuration yet.
 func (s *Scenario) Configure(ctx context.Context) error {
 	_, err := s.call(ctx, http.MethodPut, "/configuration", "0", []byte(Configuration))
 	return err
@@ -35,8 +35,8 @@
 	return nil
 }
 
-// Heartbeats registers the hosts that are not closed at each interval, until ctx or the scenario
-// ends. A failed call is ignored.
+// Heartbeats sends a registration for each host that is not closed, once per interval, until ctx
+// ends or Finish is called. It ignores failed calls.
 func (s *Scenario) Heartbeats(ctx context.Context, interval time.Duration) {
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
@@ -56,8 +56,9 @@
 	}
 }
 
-// call calls the control planes by turns until one answers definitely, as operators and hosts do.
-// The error is that of the refusal, or that of the last call where ctx ended first.
+// call sends a request to the control planes in rotation, as operators and hosts do, until one of
+// them answers with status 200 or 4xx. For 4xx, the error holds the status and the answer. If ctx
+// ends first, the error wraps the error of the last call.
 func (s *Scenario) call(ctx context.Context, method, path, ifMatch string, body []byte) (text []byte, err error) {
 	for attempt := 0; ; attempt++ {
 		var status int
@@ -66,17 +67,18 @@
 		case status == http.StatusOK:
 			return text, nil
 		case status/100 == 4:
-			return nil, fmt.Errorf("%s %s is refused with %d: %s", method, path, status, text)
+			return nil, fmt.Errorf("%s %s was refused with status %d: %s", method, path, status, text)
 		}
 		select {
 		case <-ctx.Done():
-			return nil, fmt.Errorf("%s %s: no certain answer, the last %d: %w", method, path, status, err)
+			return nil, fmt.Errorf("%s %s: no answer with status 200 or 4xx before the context ended; the last status is %d: %w", method, path, status, err)
 		case <-time.After(callRetryDelay):
 		}
 	}
 }
 
-// callOne makes one call; the status is 0 without an answer.
+// callOne sends one request to the control plane of one router. The status is 0 if there is no
+// answer.
 func (s *Scenario) callOne(ctx context.Context, router int, method, path, ifMatch string, body []byte) (status int, text []byte, err error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -97,7 +99,7 @@
 	return resp.StatusCode, text, err
 }
 
-// Revision is the revision of the pins in force.
+// Revision returns the revision of the pins in force.
 func (s *Scenario) Revision(ctx context.Context) (int64, error) {
 	text, err := s.call(ctx, http.MethodGet, "/pins", "", nil)
 	if err != nil {
@@ -108,8 +110,8 @@
 	return list.Revision, err
 }
 
-// ChangePin sets the pin p of tenant x to a version, or removes it for 0, and returns once that is
-// acknowledged.
+// ChangePin sets the pin p of tenant x to a version, or removes the pin if the version is 0. It
+// returns after a control plane has acknowledged the change.
 func (s *Scenario) ChangePin(ctx context.Context, version int64) error {
 	revision, err := s.Revision(ctx)
 	if err != nil {
--- a/internal/testbed/pintest/host.go
+++ b/internal/testbed/pintest/host.go
@@ -1,6 +1,7 @@
-// Package pintest tests version pins on a fleet of routers, in one process or many: fake hosts that
-// change the version of their weights and may register another one, clients on each router, and a
-// judge of all answers. It reaches routers only by their addresses.
+// Package pintest tests version pins on a fleet of routers, which may run in one process or in
+// many. It provides fake hosts, clients that send requests to each router, and a check of all
+// answers. A fake host can change the version of its weights, and can register a version other than
+// the one it serves. The package reaches routers only through their addresses.
 package pintest
 
 import (
@@ -16,27 +17,28 @@
 	"reachspread/internal/protocol"
 )
 
-// Model is the model, and Service the service, of all hosts.
+// Model and Service are the model and the service of all hosts.
 const (
 	Model   = "m"
 	Service = "s"
 )
 
-// Host is a fake host of one model. It obeys the header Expect-Version.
+// Host is a fake host of one model. It refuses a request whose Expect-Version header names another
+// version than the host's.
 type Host struct {
 	ID         string
-	Version    atomic.Int64 // of its weights
-	Registered atomic.Int64 // the version that it registers
+	Version    atomic.Int64 // of the weights that the host serves
+	Registered atomic.Int64 // the version that the host registers
 
 	listener   net.Listener
 	server     *http.Server
 	closed     atomic.Bool
 	sequence   atomic.Int64
 	mu         sync.Mutex
-	executions map[string]int // by request id
+	executions map[string]int // number of executions by request ID
 }
 
-// NewHost starts a host on a free port of the loopback. It serves until Close.
+// NewHost starts a host on a free loopback port. The host serves until Close.
 func NewHost(id string, version int64) (*Host, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -50,13 +52,14 @@
 	return h, nil
 }
 
-// Close ends the host and its connections.
+// Close stops the host and closes its connections.
 func (h *Host) Close() {
 	h.closed.Store(true)
 	h.server.Close()
 }
 
-// ServeHTTP implements http.Handler.
+// ServeHTTP executes a request and answers with the version and the request ID. It answers with
+// status 421, without execution, if the request expects another version.
 func (h *Host) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	io.Copy(io.Discard, r.Body)
 	id, version := r.Header.Get(protocol.HeaderRequestID), h.Version.Load()
@@ -74,17 +77,17 @@
 	io.WriteString(w, answerText(version, id))
 }
 
-// answerText is the body of a host's answer.
+// answerText returns the body of a host's answer.
 func answerText(version int64, id string) string { return fmt.Sprintf("%d by %s", version, id) }
 
-// executionCounts are how often each request was executed here, by its id.
+// executionCounts returns how often this host executed each request, by request ID.
 func (h *Host) executionCounts() map[string]int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return maps.Clone(h.executions)
 }
 
-// registration is a host's heartbeat to the control plane.
+// registration is the body of a host's heartbeat to the control plane.
 type registration struct {
 	Service  string              `json:"service"`
 	Address  string              `json:"address"`
@@ -99,7 +102,7 @@
 	Version int64  `json:"version"`
 }
 
-// registration is the body of the host's next heartbeat.
+// registration returns the body of the host's next heartbeat.
 func (h *Host) registration(zone string) []byte {
 	text, err := json.Marshal(registration{
 		Service:  Service,
@@ -110,7 +113,7 @@
 		Models:   []registeredVersion{{Name: Model, Version: h.Registered.Load()}},
 	})
 	if err != nil {
-		panic(fmt.Sprintf("a registration that JSON lacks: %v", err))
+		panic(fmt.Sprintf("encode a registration as JSON: %v", err))
 	}
 	return text
 }
--- a/internal/testbed/pintest/judge.go
+++ b/internal/testbed/pintest/judge.go
@@ -6,23 +6,24 @@
 	"time"
 )
 
-// period is the time in which a version may be the pinned one: from the request for it until the
-// next one was acknowledged.
+// period is the time in which a version may be the pinned one. It starts when the operator requests
+// the version, and ends when the next pin change is acknowledged.
 type period struct {
-	version int64 // 0 for any
+	version int64 // 0 if no version is pinned, so that each version is allowed
 	from    time.Time
-	until   time.Time // zero while it goes on
+	until   time.Time // zero if the period has not ended
 }
 
 // Report is the result of a scenario.
 type Report struct {
 	Requests, Served, Changes int
-	Violations                []string // a line each
+	Violations                []string // one line for each violation
 }
 
-// judge finds violations: answers that are incomplete, another request's, or of a version that was
-// not the pinned one at any time between the request and its answer, and unsafe requests that were
-// executed twice.
+// judge checks all requests and reports the violations. An answer violates the rules if it is
+// incomplete, belongs to another request, or comes from a version that was not pinned at any time
+// between the request and the answer. An unsafe request that was executed more than once is also a
+// violation.
 func (s *Scenario) judge() Report {
 	r := Report{Requests: len(s.requests), Changes: len(s.pins) - 1}
 	path := map[string]string{}
@@ -47,7 +48,7 @@
 	return r
 }
 
-// executionCounts are how often each request was executed, at all hosts together.
+// executionCounts returns how often each request was executed, summed over all hosts.
 func (s *Scenario) executionCounts() map[string]int {
 	all := map[string]int{}
 	for _, h := range s.Hosts {
@@ -58,8 +59,8 @@
 	return all
 }
 
-// allowed reports whether the version that answered was the pinned one at some time between the
-// request and its answer.
+// allowed reports whether the version that answered may have been the pinned one at some time
+// between the request and its answer.
 func (s *Scenario) allowed(a Request) bool {
 	for _, p := range s.pins {
 		began := !p.from.After(a.Answered)
--- a/internal/testbed/pintest/judge_test.go
+++ b/internal/testbed/pintest/judge_test.go
@@ -19,11 +19,11 @@
 		version    int64
 		allowed    bool
 	}{
-		{1, 2, 7, true},    // no pin yet
-		{11, 11, 7, true},  // not acknowledged
-		{13, 14, 7, false}, // acknowledged
+		{1, 2, 7, true},    // no pin was requested yet
+		{11, 11, 7, true},  // the pin was requested, but not acknowledged
+		{13, 14, 7, false}, // the pin was acknowledged
 		{13, 14, 2, true},
-		{19, 21, 1, true}, // the next one came while it was on its way
+		{19, 21, 1, true}, // the next pin was requested while the request was running
 		{19, 19, 1, false},
 		{21, 21, 2, true},
 		{23, 24, 2, false},
@@ -33,8 +33,8 @@
 	}
 }
 
-// The judge finds answers of the wrong version, incomplete ones, those of other requests, and
-// unsafe requests that were executed twice.
+// judge reports answers that come from the wrong version, are incomplete or belong to another
+// request, and unsafe requests that were executed twice.
 func TestJudgeFindsWrongAnswersAndSecondExecutions(t *testing.T) {
 	good := Request{ID: "q1", Path: UnsafePath, Sent: at(13), Answered: at(14), Status: http.StatusOK, Version: 2, Text: "2 by q1", Complete: true}
 	for _, c := range []struct {
--- a/internal/testbed/pintest/scenario.go
+++ b/internal/testbed/pintest/scenario.go
@@ -13,7 +13,8 @@
 	"reachspread/internal/protocol"
 )
 
-// Configuration is the configuration of scenarios, with API keys of two tenants.
+// Configuration is the fleet configuration that scenarios use. It has a safe and an unsafe route,
+// and API keys for two tenants.
 const Configuration = `{"version":1,"routes":[
  {"name":"safe","host":"h.example","pathPrefix":"/safe/","kind":"safe","timeoutMs":3000,"targetLatencyMs":500,"service":"s","maxAttempts":3},
  {"name":"unsafe","host":"h.example","pathPrefix":"/unsafe/","kind":"unsafe","timeoutMs":3000,"targetLatencyMs":500,"service":"s","maxAttempts":1}],
@@ -25,20 +26,21 @@
 
 	connectTimeout  = time.Second
 	requestTimeout  = 5 * time.Second
-	requestInterval = 3 * time.Millisecond // of one client
+	requestInterval = 3 * time.Millisecond // time between two requests of one client
 )
 
-// Paths of the two routes. An unsafe request is executed once at most.
+// SafePath and UnsafePath are the paths of the two routes. An unsafe request must be executed at
+// most once.
 const (
 	SafePath   = "/safe/"
 	UnsafePath = "/unsafe/"
 )
 
-// Scenario runs clients on the routers of a fleet while pins change. Its methods, except Send and
-// Heartbeats, are for one goroutine.
+// Scenario runs clients against the routers of a fleet while pins change. Only Send and Heartbeats
+// may be called concurrently; one goroutine must call all other methods.
 type Scenario struct {
-	Fronts   []string // the routers' addresses for clients
-	Controls []string // and those of their control planes
+	Fronts   []string // addresses of the routers for clients
+	Controls []string // addresses of the routers' control planes
 	Hosts    []*Host
 
 	pins       []period
@@ -49,26 +51,26 @@
 	requests   []Request
 }
 
-// Request is a request of a client with its answer.
+// Request is a client's request with its answer.
 type Request struct {
 	ID, Path       string
 	Router         int
 	Sent, Answered time.Time
-	Status         int // 0 for no answer
+	Status         int // 0 if there was no answer
 	Version        int64
 	Text           string
 	Complete       bool
 }
 
-// NewScenario is a scenario on a fleet in which no pin was ever set.
+// NewScenario returns a scenario for a fleet in which no pin was ever set.
 func NewScenario(fronts, controls []string, hosts []*Host) *Scenario {
 	return &Scenario{Fronts: fronts, Controls: controls, Hosts: hosts, stop: make(chan struct{}), pins: []period{{from: time.Now()}}}
 }
 
-// Requests are the requests of the clients; call it after Finish.
+// Requests returns the requests of the clients. It must be called after Finish.
 func (s *Scenario) Requests() []Request { return s.requests }
 
-// Send sends a request of tenant x through a router and reads the answer.
+// Send sends a request of tenant x to a router and reads the answer.
 func (s *Scenario) Send(router int, path string) (a Request) {
 	a = Request{ID: fmt.Sprint("q", s.lastNumber.Add(1)), Path: path, Router: router, Sent: time.Now()}
 	defer func() { a.Answered = time.Now() }()
@@ -89,7 +91,7 @@
 	return a
 }
 
-// StartTraffic starts clients on all routers, for both routes. Finish ends them.
+// StartTraffic starts two clients for each router, one for each route. Finish stops them.
 func (s *Scenario) StartTraffic() {
 	for i := range s.Fronts {
 		for _, path := range []string{SafePath, UnsafePath} {
@@ -98,7 +100,7 @@
 	}
 }
 
-// runClient sends requests until Finish.
+// runClient sends requests to a router until Finish is called.
 func (s *Scenario) runClient(router int, path string) {
 	timer := time.NewTicker(requestInterval)
 	defer timer.Stop()
@@ -115,7 +117,7 @@
 	}
 }
 
-// Finish ends the clients and judges all their requests.
+// Finish stops the clients and reports the violations among all their requests.
 func (s *Scenario) Finish() Report {
 	close(s.stop)
 	s.clients.Wait()
