--- a/internal/testbed/scaletest/hollow.go
+++ b/internal/testbed/scaletest/hollow.go
@@ -14,12 +14,12 @@
 	"reachspread/internal/router/peering"
 )
 
-// network is what lies between hollow members and all others: it loses datagrams, and may be
-// partitioned.
+// network simulates the network between hollow members and all other members. It drops a fraction
+// of the datagrams and can be partitioned.
 type network struct {
 	loss        float64
 	partitioned atomic.Bool
-	farSide     map[netip.AddrPort]bool // who is on the far side of a partition; fixed before anything starts
+	farSide     map[netip.AddrPort]bool // members on the far side of a partition; fixed before the first member starts
 
 	mu  sync.Mutex
 	rng *rand.Rand
@@ -38,17 +38,17 @@
 	return n.rng.Float64() >= n.loss
 }
 
-// hollow is a member without requests: the router's own driver of the membership protocol, on a
-// socket of its own.
+// hollow is a member that serves no requests. It runs the router's own driver of the membership
+// protocol on its own socket.
 type hollow struct {
 	name, zone string
 	addr       netip.AddrPort
 	network    *network
-	hollows    map[netip.AddrPort]bool // whose datagrams have passed the network at their sender
+	hollows    map[netip.AddrPort]bool // all hollow members; a hollow sender has already applied network to its datagrams
 
 	mu          sync.Mutex
 	incarnation uint32
-	view        *peering.ViewDriver // nil while it is down
+	view        *peering.ViewDriver // nil while the member is down
 	conn        *net.UDPConn
 	stop        context.CancelFunc
 	done        sync.WaitGroup
@@ -56,16 +56,18 @@
 	bytesBefore uint64
 }
 
-// discardLogger is a logger that writes nothing: views of members are counted, not read.
+// discardLogger is a logger that writes nothing. The test reads the members' views instead of their
+// logs.
 type discardLogger struct{}
 
-// Info implements routing.Logger.
+// Info implements routing.Logger and discards the message.
 func (discardLogger) Info(string, ...any) {}
 
-// Warn implements routing.Logger.
+// Warn implements routing.Logger and discards the message.
 func (discardLogger) Warn(string, ...any) {}
 
-// start begins an incarnation, on its socket or a new one at its address.
+// start starts a new incarnation, unless the member is running. It uses the member's open socket,
+// or opens a new one at the same address.
 func (h *hollow) start(seeds []netip.AddrPort) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -85,7 +87,7 @@
 		RandomSeed: uint64(h.addr.Port())<<32 | uint64(h.incarnation)}
 	send := func(to netip.AddrPort, data []byte) {
 		if h.network.delivers(h.addr, to) {
-			conn.WriteToUDPAddrPort(data, to) // one that can't be sent is lost, as on any network
+			conn.WriteToUDPAddrPort(data, to) // a datagram that can't be sent counts as lost
 		}
 	}
 	view, err := peering.NewViewDriver(config, send, func(*members.View, *members.Changed) {}, discardLogger{})
@@ -99,7 +101,7 @@
 	return nil
 }
 
-// receive reads until the socket is closed.
+// receive passes datagrams from the socket to the view until the socket is closed.
 func (h *hollow) receive(conn *net.UDPConn, view *peering.ViewDriver) {
 	var buffer [members.MaxDatagramLen + 1]byte
 	for {
@@ -114,7 +116,7 @@
 	}
 }
 
-// crash ends an incarnation without notice to other members.
+// crash ends the incarnation without notifying other members.
 func (h *hollow) crash() {
 	h.mu.Lock()
 	view := h.view
@@ -133,8 +135,8 @@
 	h.sentBefore, h.bytesBefore = h.sentBefore+f.Sent, h.bytesBefore+f.SentBytes
 }
 
-// livingMembers is how many members it considers alive, itself among them; alive is false while it
-// is down.
+// livingMembers returns how many members this member considers alive, itself included. The result
+// alive is false while this member is down.
 func (h *hollow) livingMembers() (living int, alive bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -144,7 +146,8 @@
 	return len(h.view.Now().Members), true
 }
 
-// traffic is what it has sent in all its incarnations.
+// traffic returns the number of datagrams and bytes that the member has sent in all its
+// incarnations.
 func (h *hollow) traffic() (datagrams, bytes uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/testbed/scaletest/plan.go
+++ b/internal/testbed/scaletest/plan.go
@@ -1,7 +1,7 @@
-// Package scaletest measures the membership protocol on many members at once: real router processes
-// and hollow members, which run the real protocol on real sockets, many in one process, and serve
-// no requests. It starts and ends everything that it needs on loopback. It only measures; its
-// caller judges the figures.
+// Package scaletest measures the membership protocol with many members. The members are real router
+// processes and hollow members. Hollow members run the real protocol on real sockets, many of them
+// in one process, and serve no requests. The package starts and stops all members on loopback. It
+// only measures: the caller decides whether the figures are acceptable.
 package scaletest
 
 import (
@@ -15,7 +15,7 @@
 const (
 	maxReal   = 300
 	maxHollow = 5000
-	// The memory bounds of a member, by which plans that do not fit the machine are refused.
+	// Upper bounds of a member's memory. Check uses them to refuse plans that do not fit the machine.
 	realMemberMB   = 64
 	hollowMemberMB = 1
 )
@@ -23,27 +23,27 @@
 // Plan is the size, faults and times of one run. Its JSON names are part of the output.
 type Plan struct {
 	Real    int // router processes
-	Hollow  int // members without traffic, all in this process
+	Hollow  int // members that serve no requests, all in this process
 	Zones   int
 	Loss    float64       // fraction of the datagrams from and to hollow members that is lost
-	Churn   float64       // restarts of hollow members a minute, while traffic is measured
-	Quiesce time.Duration `json:"Settle"` // after the joins, before traffic is measured
-	Length  time.Duration // for which traffic is measured
-	Apart   time.Duration // for which half of the members are partitioned from the others
-	Within  time.Duration // for a change to be known to all
+	Churn   float64       // mean number of restarts of hollow members per minute while traffic is measured
+	Quiesce time.Duration `json:"Settle"` // wait between the joins and the measurement of traffic
+	Length  time.Duration // how long traffic is measured
+	Apart   time.Duration // how long half of the hollow members are partitioned from the other members
+	Within  time.Duration // how long to wait until all members know of a change
 	Seed    uint64
 	Program string // the router's binary; needed for real members
 }
 
-// Members is the number of members of both kinds.
+// Members returns the number of members, real and hollow.
 func (p *Plan) Members() int { return p.Real + p.Hollow }
 
-// Check returns an error of one line that names an invalid field, or the memory if the plan does
-// not fit a machine with machineMB.
+// Check returns an error of one line if a field is invalid, or if the members may need more than
+// half of the machine's memory of machineMB megabytes. The error names the field or the memory.
 func (p *Plan) Check(machineMB int) error {
 	switch need := p.Real*realMemberMB + p.Hollow*hollowMemberMB; {
 	case p.Hollow < 2:
-		return fmt.Errorf("hollow is %d; it must be 2 or more, as members are crashed and cut off", p.Hollow)
+		return fmt.Errorf("hollow is %d; it must be 2 or more because the run crashes and partitions hollow members", p.Hollow)
 	case p.Hollow > maxHollow:
 		return fmt.Errorf("hollow is %d; it must be %d or less", p.Hollow, maxHollow)
 	case p.Real < 0 || p.Real > maxReal:
@@ -57,14 +57,14 @@
 	case p.Churn < 0:
 		return fmt.Errorf("churn is %v; it must be 0 or more", p.Churn)
 	case p.Length <= 0 || p.Apart <= 0 || p.Within <= 0 || p.Quiesce < 0:
-		return fmt.Errorf("length, apart and within must be more than 0, and settle not below; they are %v, %v, %v and %v", p.Length, p.Apart, p.Within, p.Quiesce)
+		return fmt.Errorf("length, apart and within must be above 0, and settle must be 0 or more; they are %v, %v, %v and %v", p.Length, p.Apart, p.Within, p.Quiesce)
 	case need > machineMB/2:
 		return fmt.Errorf("%d real and %d hollow members may take %d MB; half of this machine's memory is %d MB", p.Real, p.Hollow, need, machineMB/2)
 	}
 	return nil
 }
 
-// MachineMB is this machine's memory in MB. The error is that of reading /proc/meminfo.
+// MachineMB returns this machine's memory in MB, or an error if /proc/meminfo can't be read.
 func MachineMB() (int, error) {
 	file, err := os.Open("/proc/meminfo")
 	if err != nil {
@@ -81,5 +81,5 @@
 	return 0, fmt.Errorf("/proc/meminfo has no line MemTotal")
 }
 
-// zone is the zone of the n-th member.
+// zone returns the zone of the n-th member. Zones have the names a, b, c and so on.
 func (p *Plan) zone(n int) string { return string(rune('a' + n%p.Zones)) }
--- a/internal/testbed/scaletest/process.go
+++ b/internal/testbed/scaletest/process.go
@@ -21,20 +21,22 @@
 	callTimeout      = time.Second
 )
 
-// process is a real router without hosts and clients, so that its usage is that of the membership.
+// process is a real router process. It has no hosts and no clients, so that the membership protocol
+// accounts for its resource usage.
 type process struct {
 	name, zone string
-	addr       netip.AddrPort // of its datagrams
-	management string         // address of operators' calls
+	addr       netip.AddrPort // sends and receives membership datagrams
+	management string         // address of the management interface
 	cmd        *exec.Cmd
-	done       chan struct{} // closed once it has exited
-	polled     *atomic.Bool  // whether its view is read: to answer costs more than the membership
-	living     atomic.Int64  // members in its view when that was read last
+	done       chan struct{} // closed after the process has exited
+	polled     *atomic.Bool  // whether poll reads the view; answering costs the process more than the membership protocol
+	living     atomic.Int64  // number of members in the view when poll last read it
 	polling    sync.WaitGroup
 }
 
-// configuration is a minimal configuration of a router, with its name, the address for clients,
-// that of an absent discovery, and the zone.
+// configuration is the format of a minimal router configuration. Its arguments are the router's
+// name, the address for clients, the address of a discovery service that does not exist, and the
+// zone.
 const configuration = `{"name": %q, "listen": %q, "discovery": %q, "seed": "1",
  "limits": {"cores": 1, "memory_mb": 64, "sockets": 256},
  "settings": {"az": %q, "discovery": "push", "quantumNs": 5000000,
@@ -43,7 +45,7 @@
   "rules": {"coldNs": 8000000000, "overloadFactor": 2.5, "startCapacity": 0.3, "tipAfterNs": 3000000000}}}
 `
 
-// start starts the process, which ends with ctx at the latest.
+// start starts the process. The process is killed when ctx ends.
 func (x *process) start(ctx context.Context, program, folder string, seeds []netip.AddrPort) error {
 	folder = filepath.Join(folder, x.name)
 	if err := os.Mkdir(folder, 0o755); err != nil {
@@ -66,7 +68,7 @@
 	if err != nil {
 		return err
 	}
-	defer log.Close() // the process has its own
+	defer log.Close() // the process has its own file descriptor
 	x.cmd = exec.CommandContext(ctx, program, "serve", "--settings", filepath.Join(folder, "settings.hcl"))
 	x.cmd.Env = []string{"ROUTER_CONFIG=" + filepath.Join(folder, "config.json"), "ROUTER_MANAGEMENT=" + x.management, "TMPDIR=" + folder, "PATH=" + os.Getenv("PATH")}
 	x.cmd.Stderr = log
@@ -74,7 +76,7 @@
 		return err
 	}
 	x.done = make(chan struct{})
-	go func() { // until the exit
+	go func() { // ends when the process exits
 		x.cmd.Wait()
 		close(x.done)
 	}()
@@ -82,7 +84,8 @@
 	return nil
 }
 
-// poll reads the size of the view at intervals until the exit, while polled is set.
+// poll reads the size of the view once per viewPollInterval while polled is set. It returns when the
+// process exits.
 func (x *process) poll() {
 	for {
 		if x.polled.Load() {
@@ -109,8 +112,8 @@
 	x.polling.Wait()
 }
 
-// figures reads the metrics without labels from the management address, by their names without the
-// prefix.
+// figures reads the metrics that have no labels from the management address. The keys are the names
+// of the metrics without the prefix.
 func (x *process) figures() (map[string]float64, error) {
 	conn, err := net.DialTimeout("tcp", x.management, callTimeout)
 	if err != nil {
@@ -131,16 +134,16 @@
 			all[name] = value
 		}
 	}
-	return nil, fmt.Errorf("%s: the answer to vars has no end", x.name)
+	return nil, fmt.Errorf("%s: the answer to the management command vars ended before its last line \".\"", x.name)
 }
 
-// usage is what a process has used so far.
+// usage is the processor time that a process has used so far, and its resident memory.
 type usage struct {
 	cpu      time.Duration
 	memoryMB float64
 }
 
-// usage reads the processor time and resident memory from /proc.
+// usage reads the processor time of all threads and the resident memory from /proc.
 func (x *process) usage() (u usage, err error) {
 	root := fmt.Sprintf("/proc/%d", x.cmd.Process.Pid)
 	tasks, err := filepath.Glob(root + "/task/*/schedstat")
@@ -150,7 +153,7 @@
 	for _, task := range tasks {
 		text, err := os.ReadFile(task)
 		if err != nil {
-			continue // the thread has just ended
+			continue // the thread has ended since the files were listed
 		}
 		var ran int64
 		fmt.Sscan(string(text), &ran)
--- a/internal/testbed/scaletest/run.go
+++ b/internal/testbed/scaletest/run.go
@@ -11,14 +11,14 @@
 	"time"
 )
 
-// countInterval is the time between two counts of the members that know a change.
+// countInterval is the time between two counts of the members that know of a change.
 const countInterval = 20 * time.Millisecond
 
-// maxSeeds is how many seed addresses each member has.
+// maxSeeds is the maximum number of seed addresses that each member gets.
 const maxSeeds = 8
 
-// Known is how long after a change fractions of the living members knew of it; 0 if they did not
-// within the plan's time.
+// Known tells how long after a change half, 99 of 100 and all of the living members knew of the
+// change. A duration is 0 if that fraction did not know of the change within Plan.Within.
 type Known struct {
 	What          string        `json:"what"`
 	Half          time.Duration `json:"half_ns"`
@@ -27,16 +27,17 @@
 	Knew, Members int
 }
 
-// Traffic is what a member sent and used for membership, on average.
+// Traffic is what an average member sent for the membership protocol, and the resources that it
+// used.
 type Traffic struct {
 	Members   int     `json:"members"`
 	Datagrams float64 `json:"datagrams_a_second"`
 	Bytes     float64 `json:"bytes_a_second"`
-	CPU       float64 `json:"core_share,omitempty"` // of real members
-	MemoryMB  float64 `json:"memory_mb,omitempty"`  // likewise: all that the process has resident
+	CPU       float64 `json:"core_share,omitempty"` // only for real members
+	MemoryMB  float64 `json:"memory_mb,omitempty"`  // only for real members: the whole resident memory of the process
 }
 
-// Result is the figures of a run.
+// Result holds the figures of a run.
 type Result struct {
 	Plan   Plan    `json:"plan"`
 	Known  []Known `json:"known"`
@@ -44,7 +45,7 @@
 	Hollow Traffic `json:"hollow"`
 }
 
-// fleet is the members of a run.
+// fleet holds the members of a run.
 type fleet struct {
 	plan    Plan
 	network *network
@@ -52,11 +53,11 @@
 	hollows []*hollow
 	real    []*process
 	rng     *rand.Rand
-	polled  atomic.Bool // whether the views of real members are read
+	polled  atomic.Bool // whether the processes of real members read their views
 }
 
-// Run runs a plan. Everything that it started has ended when it returns, also if ctx ends. The
-// error is that of a member that did not start or answer, or of ctx.
+// Run runs a plan. It returns an error if a member does not start or answer, or if ctx ends. All
+// members have ended when Run returns, also after an error.
 func Run(ctx context.Context, plan Plan) (*Result, error) {
 	folder, err := os.MkdirTemp("", "scalerun-")
 	if err != nil {
@@ -72,7 +73,7 @@
 	return f.runSteps(ctx, folder)
 }
 
-// prepare opens the hollow members' sockets and finds addresses for the real ones.
+// prepare opens the sockets of the hollow members and finds free addresses for the real members.
 func (f *fleet) prepare() error {
 	all := map[netip.AddrPort]bool{}
 	for n := range f.plan.Hollow {
@@ -103,7 +104,7 @@
 	return nil
 }
 
-// freeAddress finds a port of the loopback that is free at the moment.
+// freeAddress returns a loopback address whose port is free at the moment.
 func freeAddress(network string) (netip.AddrPort, error) {
 	if network == "udp4" {
 		conn, err := net.ListenUDP(network, &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -121,20 +122,21 @@
 	return netip.ParseAddrPort(ln.Addr().String())
 }
 
-// close ends all members.
+// close stops all members.
 func (f *fleet) close() {
 	for _, x := range f.real {
 		x.stop()
 	}
 	for _, h := range f.hollows {
 		h.crash()
-		if h.conn != nil { // it never started
+		if h.conn != nil { // the member never started, so crash did not close its socket
 			h.conn.Close()
 		}
 	}
 }
 
-// runSteps runs the steps: joins, traffic, a crash, a join, a partition and its end.
+// runSteps runs the steps of a run: all members join, traffic is measured, a member crashes and
+// joins again, and the network is partitioned and healed.
 func (f *fleet) runSteps(ctx context.Context, folder string) (*Result, error) {
 	result := &Result{Plan: f.plan}
 	await := func(what string, expected func(far bool) int) {
@@ -183,8 +185,8 @@
 	return result, ctx.Err()
 }
 
-// await waits until all living members see the expected number of members, by their side of a
-// partition.
+// await waits until all living members see the expected number of members, which depends on their
+// side of a partition. It gives up after Plan.Within.
 func (f *fleet) await(ctx context.Context, what string, expected func(far bool) int) Known {
 	f.polled.Store(true)
 	defer f.polled.Store(false)
@@ -208,7 +210,7 @@
 	}
 }
 
-// count returns how many members live, and how many of them see the expected number.
+// count returns how many members are alive, and how many of them see the expected number of members.
 func (f *fleet) count(expected func(far bool) int) (knew, living int) {
 	for _, h := range f.hollows {
 		n, alive := h.livingMembers()
@@ -229,10 +231,10 @@
 	return knew, living
 }
 
-// counts are sums over members of one kind.
+// counts holds sums over all members of one kind.
 type counts struct{ datagrams, bytes float64 }
 
-// sample is what all members have sent, and the real ones used, by some time.
+// sample holds what all members have sent, and what the real members have used, up to some time.
 type sample struct {
 	hollow, real counts
 	used         usage
@@ -262,7 +264,7 @@
 	return s, nil
 }
 
-// meanTraffic is the traffic of a member between two samples.
+// meanTraffic returns the mean traffic per member between two samples that are seconds apart.
 func meanTraffic(members int, before, after counts, seconds float64) Traffic {
 	per := 1 / (seconds * float64(max(members, 1)))
 	return Traffic{
@@ -272,7 +274,7 @@
 	}
 }
 
-// measure measures traffic, with churn, for the plan's length.
+// measure measures traffic under churn for Plan.Length.
 func (f *fleet) measure(ctx context.Context, result *Result) error {
 	start := time.Now()
 	before, err := f.sample()
@@ -294,7 +296,7 @@
 	return nil
 }
 
-// churn restarts hollow members at drawn times until the end.
+// churn restarts random hollow members at random times until end.
 func (f *fleet) churn(ctx context.Context, end time.Time) {
 	for ctx.Err() == nil {
 		left := time.Until(end)
@@ -313,12 +315,12 @@
 		h := f.hollows[f.rng.IntN(len(f.hollows))]
 		h.crash()
 		if err := h.start(f.seeds); err != nil {
-			return // another process took its port; it stays down, and the next await never ends well
+			return // another process took the port; the member stays down, so the next await runs into its time limit
 		}
 	}
 }
 
-// sleep waits for a time or until ctx ends.
+// sleep waits for d, or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/internal/testbed/scaletest/scaletest_test.go
+++ b/internal/testbed/scaletest/scaletest_test.go
@@ -14,7 +14,8 @@
 	return Plan{Hollow: 12, Zones: 3, Length: 2 * time.Second, Apart: time.Second, Within: time.Minute, Seed: 1}
 }
 
-// Real and hollow members are one fleet: all of them learn of each change, and send about as much.
+// Real and hollow members form one fleet: all of them learn of each change, and a real member sends
+// about as much as a hollow one.
 func TestRealAndHollowMembersAgree(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "reachspread")
 	if out, err := exec.Command("go", "build", "-o", program, "reachspread/cmd/reachspread").CombinedOutput(); err != nil {
@@ -30,19 +31,19 @@
 	r.Write(&text)
 	t.Log(text.String())
 	if len(r.Known) != 6 {
-		t.Errorf("%d things happened, want 6", len(r.Known))
+		t.Errorf("%d changes were measured, want 6", len(r.Known))
 	}
 	for _, k := range r.Known {
 		if k.All == 0 || k.Half > k.NinetyNine || k.NinetyNine > k.All {
-			t.Errorf("%+v: want it known to all", k)
+			t.Errorf("%+v: want the change known to all members, with increasing times", k)
 		}
 	}
 	if r.Real.Datagrams == 0 || r.Hollow.Datagrams == 0 || r.Real.MemoryMB == 0 {
-		t.Errorf("real %+v, hollow %+v: want figures of both", r.Real, r.Hollow)
+		t.Errorf("real %+v, hollow %+v: want datagrams of both and memory of real members", r.Real, r.Hollow)
 	}
-	// Both send a few datagrams each second; over 2 s chance alone makes them differ.
+	// Each member sends only a few datagrams per second, so over 2 s the counts differ by chance.
 	if ratio := r.Real.Datagrams / r.Hollow.Datagrams; ratio < 0.4 || ratio > 2.5 {
-		t.Errorf("a real member sends %.2f times what a hollow one does", ratio)
+		t.Errorf("a real member sends %.2f times as many datagrams as a hollow member, want 0.4 to 2.5", ratio)
 	}
 }
 
@@ -51,11 +52,12 @@
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
 	if _, err := Run(ctx, smallPlan()); err != context.Canceled {
-		t.Errorf("got %v, want that it was ended", err)
+		t.Errorf("got %v, want context.Canceled", err)
 	}
 }
 
-// Invalid plans, and those that need too much memory, are refused in one line that names the field.
+// Check refuses invalid plans, and plans that need too much memory, with an error of one line that
+// names the field.
 func TestInvalidPlanIsRefusedByField(t *testing.T) {
 	for want, change := range map[string]func(*Plan){
 		"hollow is 1;":                      func(p *Plan) { p.Hollow = 1 },
@@ -80,7 +82,7 @@
 	}
 }
 
-// The JSON names of a plan are those of earlier outputs.
+// The JSON names of a plan are the same as in earlier outputs.
 func TestPlanKeepsItsJSONNames(t *testing.T) {
 	text, err := json.Marshal(Plan{})
 	if err != nil {
--- a/internal/testbed/scaletest/table.go
+++ b/internal/testbed/scaletest/table.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Write writes the result as tables in Markdown. The error is that of w.
+// Write writes the result as Markdown tables to w. It returns the error of the last write.
 func (r *Result) Write(w io.Writer) error {
 	p := &r.Plan
 	fmt.Fprintf(w, "%d real and %d hollow members in %d zones, loss %v, churn %v a minute, seed %d\n\n", p.Real, p.Hollow, p.Zones, p.Loss, p.Churn, p.Seed)
@@ -24,7 +24,7 @@
 	return err
 }
 
-// time formats when a fraction of the members knew.
+// time formats the time after which a fraction of the members knew of the change.
 func (k *Known) time(at time.Duration) string {
 	if at == 0 {
 		return fmt.Sprintf("not within the time; %d of %d knew", k.Knew, k.Members)
