--- a/internal/testbed/capacity/capacity.go
+++ b/internal/testbed/capacity/capacity.go
@@ -1,6 +1,6 @@
-// Package capacity works out from measured slopes what a fleet of the planned size costs. It reads
-// kept results, fits a line to each slope and writes the tables of docs/CAPACITY.md; it measures
-// nothing itself.
+// Package capacity estimates from measurements what a fleet of the planned size costs. It reads
+// stored results, fits a line to each measured quantity (a slope), and writes the tables of
+// docs/CAPACITY.md. It measures nothing itself.
 package capacity
 
 import (
@@ -14,29 +14,29 @@
 	"strings"
 )
 
-// minSizes is how many sizes a slope needs.
+// minSizes is the minimum number of fleet sizes at which a slope must be measured.
 const minSizes = 5
 
-// maxResidual is how far a size may be from the line, as a part of the largest value, for the
-// slope to count as linear.
+// maxResidual is the largest distance between a point and the line, as a fraction of the largest
+// median, at which the slope counts as linear.
 const maxResidual = 0.1
 
 // Sample is one measured value.
 type Sample struct {
 	Slope string  // what was measured, for example "bytes sent for membership"
-	Unit  string  // of the value, for example "bytes/s"
+	Unit  string  // unit of the value, for example "bytes/s"
 	Over  string  // what Size counts: "routers" or "hosts"
-	Size  float64 // of the fleet that was measured
+	Size  float64 // size of the measured fleet
 	Value float64
 }
 
-// Planned is the size to design for, by what is counted.
+// Planned is the fleet size to design for: the number of routers and the number of hosts.
 var Planned = map[string]float64{"routers": 330, "hosts": 810}
 
 // header is the first line of a file of results.
 var header = []string{"slope", "unit", "over", "size", "value"}
 
-// Read reads kept results: a CSV file whose first line names the columns.
+// Read reads stored results: a CSV file whose first line names the columns.
 func Read(r io.Reader) ([]Sample, error) {
 	rows, err := csv.NewReader(r).ReadAll()
 	if err != nil {
@@ -62,33 +62,34 @@
 	return all, nil
 }
 
-// Point is what was measured at one size.
+// Point summarizes the values that were measured at one size.
 type Point struct {
 	Size, Median float64
-	Spread       float64 // from the least to the most, as a part of the median
+	Spread       float64 // largest minus smallest value, as a fraction of the median
 	Repetitions  int
 }
 
 // Line is a line fitted to the medians of a slope.
 type Line struct {
 	Slope, Unit, Over string
-	Points            []Point // by size
+	Points            []Point // sorted by size
 	At0, PerUnit      float64
-	Residual          float64 // the farthest point from the line, as a part of the largest median
+	Residual          float64 // largest distance of a point from the line, as a fraction of the largest median
 }
 
-// Linear tells whether the points are near enough to the line to believe it beyond them.
+// Linear reports whether the points are close enough to the line to extrapolate from it.
 func (l *Line) Linear() bool { return l.Residual <= maxResidual }
 
-// At is the value of the line at a size.
+// At returns the value of the line at a size.
 func (l *Line) At(size float64) float64 { return l.At0 + l.PerUnit*size }
 
-// Extrapolated tells whether the planned size is beyond what was measured.
+// Extrapolated reports whether the planned size is larger than the largest measured size.
 func (l *Line) Extrapolated() bool {
 	return Planned[l.Over] > l.Points[len(l.Points)-1].Size
 }
 
-// Fit groups samples by slope, in their order, and fits a line to each.
+// Fit groups samples by slope and fits a line to each group. The lines have the order in which the
+// slopes first occur in samples.
 func Fit(samples []Sample) ([]Line, error) {
 	var lines []Line
 	var names []string
@@ -102,7 +103,7 @@
 	for _, name := range names {
 		l := Line{Slope: name, Unit: groups[name][0].Unit, Over: groups[name][0].Over, Points: points(groups[name])}
 		if len(l.Points) < minSizes {
-			return nil, fmt.Errorf("%s: %d sizes were measured; it takes %d", name, len(l.Points), minSizes)
+			return nil, fmt.Errorf("%s: %d sizes were measured; at least %d are needed", name, len(l.Points), minSizes)
 		}
 		l.fit()
 		lines = append(lines, l)
@@ -127,7 +128,7 @@
 	return all
 }
 
-// fit finds the line of least squares.
+// fit computes the line by the method of least squares, and its residual.
 func (l *Line) fit() {
 	n := float64(len(l.Points))
 	var x, y, xx, xy, largest float64
@@ -144,8 +145,8 @@
 	}
 }
 
-// Tables writes the lines as a table in Markdown: what was measured, the fit, and the value at the
-// planned size.
+// Tables returns a Markdown table of the lines. A row shows what was measured, the fit, and the
+// value at the planned size.
 func Tables(lines []Line) string {
 	var b strings.Builder
 	b.WriteString("| what | over | sizes: medians | repetitions | spread, at most | fit | residual | at the planned size |\n")
@@ -164,7 +165,7 @@
 	return b.String()
 }
 
-// planned is what is said of the planned size.
+// planned returns the table cell for the value at the planned size.
 func (l *Line) planned() string {
 	size := Planned[l.Over]
 	if !l.Linear() {
@@ -177,7 +178,8 @@
 	return text
 }
 
-// number writes three digits that count.
+// number formats x with three significant digits, or as an integer if its absolute value is 1000 or
+// more.
 func number(x float64) string {
 	if math.Abs(x) >= 1000 {
 		return strconv.FormatFloat(x, 'f', 0, 64)
--- a/internal/testbed/capacity/capacity_test.go
+++ b/internal/testbed/capacity/capacity_test.go
@@ -20,24 +20,25 @@
 	}
 	l := lines[0]
 	if l.PerUnit < 0.99 || l.PerUnit > 1.01 || l.At0 < 3.9 || l.At0 > 4.1 || !l.Linear() || !l.Extrapolated() {
-		t.Errorf("got %+v, want 4 + 1 x size, of the medians", l)
+		t.Errorf("got %+v, want the line 4 + 1 x size through the medians, linear and extrapolated", l)
 	}
 	if p := l.Points[0]; p.Repetitions != 2 || p.Spread < 0.14 || p.Spread > 0.15 {
-		t.Errorf("the first point is %+v", p)
+		t.Errorf("the first point is %+v, want 2 repetitions and a spread of 0.14 to 0.15", p)
 	}
 }
 
-// A slope that bends gives no figure for the planned size, and one of few sizes none at all.
+// For a slope that is not linear, the table has no value at the planned size. A slope that was
+// measured at too few sizes is an error.
 func TestWhatIsNoLine(t *testing.T) {
 	lines, err := Fit(samples(1, 4, 9, 16, 60))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if lines[0].Linear() || !strings.Contains(Tables(lines), "not linear") {
-		t.Errorf("taken for a line: %+v", lines[0])
+		t.Errorf("the slope counts as linear: %+v", lines[0])
 	}
 	if _, err := Fit(samples(1, 2, 3, 4)); err == nil || !strings.Contains(err.Error(), "4 sizes") {
-		t.Errorf("got %v, want an error that tells the sizes", err)
+		t.Errorf("got %v, want an error that contains \"4 sizes\"", err)
 	}
 }
 
@@ -58,7 +59,7 @@
 	}
 }
 
-// The page has the tables as they come out of the kept results.
+// docs/CAPACITY.md contains the tables that are computed from the stored results.
 func TestPageAndResultsAgree(t *testing.T) {
 	results, err := os.Open("../../../docs/measurements/capacity.csv")
 	if err != nil {
