--- a/internal/testbed/demo/demo.go
+++ b/internal/testbed/demo/demo.go
@@ -1,6 +1,7 @@
-// Package demo shows the router to a newcomer: it starts fake hosts, discovery and the real router
-// on free loopback ports, sends a plan's requests, drains one host and kills another on the way,
-// and shows the outcomes. All it started has ended when it returns.
+// Package demo demonstrates the router to new users. It starts fake hosts, a fake discovery service
+// and the real router on free loopback ports, and sends the requests of a plan. During the load, it
+// drains one host and kills another, and it shows the outcomes of the requests. Everything that Run
+// started has ended when Run returns.
 package demo
 
 import (
@@ -26,26 +27,27 @@
 //go:embed demo.hcl
 var defaults []byte
 
-// Options are the length and outputs of a demo.
+// Options holds the length and the outputs of a demo.
 type Options struct {
 	Out    io.Writer
 	Live   bool          // Out is a terminal: the table is redrawn in place
-	Length time.Duration // of the load; 0 for a minute
-	StayUp bool          // the processes stay up after the load until ctx ends
-	Page   string        // where the charts go; empty for a file in the system's folder of temporary files
-	Log    io.Writer     // of the router; nil discards it
+	Length time.Duration // length of the load; 0 stands for the length in demo.hcl, a minute
+	StayUp bool          // whether hosts, discovery and router stay up after the load until ctx ends
+	Page   string        // file for the charts; empty stands for a file in the system's temporary folder
+	Log    io.Writer     // receives the router's log; nil discards it
 }
 
 const (
 	readyTimeout    = 10 * time.Second
-	summaryInterval = 10 // seconds, between two summaries on an output that is no terminal
+	summaryInterval = 10 // in seconds, between two summaries if the output is not a terminal
 )
 
-// When hosts drain, die and restart, as fractions of the length.
+// Times at which the first host drains and the second host is killed and restarted, as fractions of
+// the length.
 const drainFraction, killFraction, restartFraction = 0.35, 0.6, 0.7
 
-// Run runs a demo until it is over or ctx ends. The error is that of starting or ending the
-// processes, or of the page.
+// Run runs a demo until the demo is over or ctx ends. It returns an error if the hosts, discovery or
+// the router can't be started or stopped, or if the page can't be written.
 func Run(ctx context.Context, o Options) (err error) {
 	x, err := experiment.Parse(defaults, "demo.hcl")
 	if err != nil {
@@ -93,16 +95,17 @@
 	return nil
 }
 
-// processes are the hosts, discovery and router of a demo.
+// processes holds the hosts, the discovery service and the router of a demo. All of them run in this
+// process.
 type processes struct {
 	*fakes.Fleet
 	addr       string
-	stopRouter context.CancelFunc // of the router
+	stopRouter context.CancelFunc // starts the router's shutdown
 	routerDone chan error
 	folder     string
 }
 
-// start starts them and waits until the router is ready.
+// start starts the hosts, discovery and the router, and waits until the router is ready.
 func start(ctx context.Context, spec *simulator.Spec, log io.Writer) (s *processes, err error) {
 	s = &processes{routerDone: make(chan error, 1), stopRouter: func() {}}
 	defer func() {
@@ -122,7 +125,7 @@
 		return s, err
 	}
 	s.addr = ln.Addr().String()
-	ln.Close() // the router listens there next
+	ln.Close() // the router listens at this address next
 	path := filepath.Join(s.folder, "config.json")
 	if err = os.WriteFile(path, s.RouterConfig(fakes.RouterSite{Name: "demo", Listen: s.addr}), 0o600); err != nil {
 		return s, err
@@ -132,13 +135,13 @@
 	if err != nil {
 		return s, err
 	}
-	routerCtx, end := context.WithCancel(context.WithoutCancel(ctx)) // it ends after its clients
+	routerCtx, end := context.WithCancel(context.WithoutCancel(ctx)) // stop ends the router after the clients, even if ctx has ended
 	s.stopRouter = end
 	go func() { s.routerDone <- program.New(cfg, env, "", logging.New(log, logging.Text)).Run(routerCtx, nil) }()
 	return s, s.awaitReady(ctx)
 }
 
-// awaitReady waits until the router is ready.
+// awaitReady waits until the router is ready, for at most readyTimeout.
 func (s *processes) awaitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -153,15 +156,15 @@
 		select {
 		case err := <-s.routerDone:
 			s.routerDone <- nil
-			return fmt.Errorf("the router ended: %w", err)
+			return fmt.Errorf("the router ended before it was ready: %w", err)
 		case <-ctx.Done():
-			return fmt.Errorf("the router is not ready: %w", ctx.Err())
+			return fmt.Errorf("the router did not become ready: %w", ctx.Err())
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
 }
 
-// stop ends the router, gracefully, and then the hosts and discovery.
+// stop shuts the router down gracefully, and then stops the hosts and discovery.
 func (s *processes) stop() error {
 	var err error
 	if s.addr != "" {
@@ -169,7 +172,7 @@
 		select {
 		case err = <-s.routerDone:
 		case <-time.After(readyTimeout):
-			err = errors.New("the router did not end in time")
+			err = errors.New("the router did not end within the time limit")
 		}
 	}
 	if s.Fleet != nil {
@@ -178,7 +181,7 @@
 	return errors.Join(err, os.RemoveAll(s.folder))
 }
 
-// curl is a command that sends a request to the router.
+// curl returns a shell command that sends a request to the router.
 func (s *processes) curl() string {
 	return fmt.Sprintf(`curl -N http://%s/v1/chat/completions -H 'X-Correlation-Id: '$RANDOM$RANDOM -H 'X-Service-Class: desk-chat' `+
 		`-H 'X-Session-Key: me' -H 'X-Time-Left: 6000m' -H 'X-Facts: prompt_len=100,max_out=50' -d '{"stream":true,"max_tokens":50}'`, s.addr)
--- a/internal/testbed/demo/demo_test.go
+++ b/internal/testbed/demo/demo_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// A short demo sends requests to the real router, drains and kills hosts on the way, and writes its
-// charts.
+// A short demo sends requests to the real router, drains one host and kills another during the load,
+// and writes its charts.
 func TestDemoServesWhileHostsDrainAndDie(t *testing.T) {
 	var out bytes.Buffer
 	page := filepath.Join(t.TempDir(), "page.html")
@@ -20,16 +20,16 @@
 	}
 	for _, want := range []string{"router 127.0.0.1:", "host-1 drains", "host-2 is killed", "host-2 is back, cold", "field-fill", "batch-review", "charts: " + page} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("it lacks %q: %s", want, out.String())
+			t.Errorf("the output does not contain %q: %s", want, out.String())
 		}
 	}
 	for line := range strings.Lines(out.String()) {
 		if f := strings.Fields(line); len(f) > 2 && f[0] == "field-fill" && (f[1] == "0" || f[2] == "0") {
-			t.Errorf("nobody was served: %s", line)
+			t.Errorf("no request of class field-fill was served: %s", line)
 		}
 	}
 	if text, err := os.ReadFile(page); err != nil || !bytes.Contains(text, []byte("<svg")) {
-		t.Errorf("the page: %v", err)
+		t.Errorf("the page has no <svg element or can't be read: %v", err)
 	}
 }
 
--- a/internal/testbed/demo/display.go
+++ b/internal/testbed/demo/display.go
@@ -15,21 +15,22 @@
 	"reachspread/internal/testbed/hostmodel"
 )
 
-// display shows the outcomes of a demo as it runs, and drains and kills hosts.
+// display shows the outcomes of a demo while the demo runs. It also drains, kills and restarts hosts.
 type display struct {
 	options   *Options
 	clients   *fakes.Clients
 	processes *processes
-	lines     int // of the last table, which the next one replaces
+	lines     int // number of lines of the last table, which the next table replaces
 	seconds   []second
 	notice    string
 }
 
-// second counts the requests of a second by whether their answers were good.
+// second holds the number of requests in one second whose answers were good, and of all others.
 type second struct{ Good, Other float64 }
 
-// run shows the table each second, and runs the steps on hosts at their times, until done is
-// closed.
+// run drains, kills and restarts hosts at their times, and shows the outcomes until done is closed.
+// On a terminal, it redraws the table every second. On another output, it writes a summary every
+// summaryInterval seconds and the table at the end.
 func (w *display) run(ctx context.Context, done <-chan bool, length time.Duration) {
 	started := time.Now()
 	steps := []struct {
@@ -67,7 +68,7 @@
 	}
 }
 
-// totals counts all requests so far.
+// totals returns the counts of all requests so far.
 func (w *display) totals() (all second) {
 	for _, t := range w.clients.Tallies() {
 		all.Good += float64(t.Good)
@@ -76,7 +77,7 @@
 	return all
 }
 
-// announce shows a step.
+// announce shows the text of a step: in the table on a terminal, and else on a line of its own.
 func (w *display) announce(text string) {
 	w.notice = text
 	if !w.options.Live {
@@ -84,7 +85,7 @@
 	}
 }
 
-// drain has the first host drain.
+// drain makes the first host drain, and marks it as terminating in discovery.
 func (w *display) drain() {
 	h := w.processes.Hosts[0]
 	w.announce(h.ID + " drains")
@@ -99,7 +100,7 @@
 	h.Kill()
 }
 
-// restart starts the second host again.
+// restart starts the second host again, and marks it as ready in discovery.
 func (w *display) restart() {
 	h := w.processes.Hosts[1]
 	if err := h.Start(); err != nil {
@@ -110,7 +111,8 @@
 	w.processes.UpdateList(h, "Ready", time.Now().UnixMilli())
 }
 
-// draw writes the table, in place of the last one on a terminal, or a summary.
+// draw writes the table or, if the output is not a terminal and the demo is not over, a one-line
+// summary. On a terminal, the table replaces the previous one.
 func (w *display) draw(after time.Duration, final bool) {
 	var b strings.Builder
 	if w.options.Live && w.lines > 0 {
@@ -135,7 +137,7 @@
 	io.WriteString(w.options.Out, b.String()+table.String())
 }
 
-// page writes the charts and returns the path.
+// page writes the charts to a file and returns its path.
 func (w *display) page(x *experiment.Experiment, path string) (string, error) {
 	if path == "" {
 		path = filepath.Join(os.TempDir(), "reachlab-demo.html")
--- a/internal/testbed/demo/measure_test.go
+++ b/internal/testbed/demo/measure_test.go
@@ -14,11 +14,11 @@
 
 var (
 	measure = flag.Bool("measure", false, "run the measurements")
-	played  = flag.Duration("played", 10*time.Second, "of each shape, in the measurements")
+	played  = flag.Duration("played", 10*time.Second, "length of the load of each fleet in the measurements")
 )
 
-// TestMeasureAgreement plays the same load on sockets, through the real router, and in virtual
-// time, on six fleets.
+// TestMeasureAgreement runs the same load on six fleets: once through the real router on sockets,
+// and once in virtual time. It logs how far the shares of requests served in time differ.
 func TestMeasureAgreement(t *testing.T) {
 	if !*measure {
 		t.Skip("a measurement; see docs/measurements/")
