--- a/internal/testbed/fleetdemo/fleetdemo.go
+++ b/internal/testbed/fleetdemo/fleetdemo.go
@@ -1,6 +1,7 @@
-// Package fleetdemo starts a complete router fleet on the loopback: router processes, three of
-// which keep the register, fake hosts, an operator and clients. It kills one process of each kind
-// on the way, and shows the outcomes of the requests. All it started has ended when it returns.
+// Package fleetdemo demonstrates a complete router fleet on loopback: router processes, three of
+// which are members of the register, fake hosts, an operator and clients. During the load, it kills
+// a router that is a member of the register, a router that is not, and a host. It shows the outcomes
+// of the requests. Everything that Run started has ended when Run returns.
 package fleetdemo
 
 import (
@@ -15,17 +16,17 @@
 	"reachspread/internal/testbed/pintest"
 )
 
-// Options are the size, length and output of a demo.
+// Options holds the size, the length and the outputs of a demo.
 type Options struct {
 	Out        io.Writer
-	Routers    int           // three of them keep the register
-	Length     time.Duration // of the load
-	Executable []string      // runs a router by the settings file that the environment names
-	Network    string        // the first three bytes of the routers' loopback addresses
-	Page       string        // where the chart goes; empty for none
+	Routers    int           // number of routers; three of them are members of the register
+	Length     time.Duration // length of the load
+	Executable []string      // command that runs a router with the settings file that the environment names
+	Network    string        // first three bytes of the routers' loopback addresses
+	Page       string        // file for the chart; empty for no chart
 }
 
-// step is something that the demo does at a fraction of its length.
+// step is an action that the demo takes at a fraction of its length.
 type step struct {
 	fraction float64
 	text     string
@@ -42,14 +43,15 @@
 	events    []event
 }
 
-// event is a step that was run, for the chart.
+// event is a step that was started, with its time since the start of the load. Events are shown next
+// to the bars and the chart.
 type event struct {
 	at   time.Duration
 	text string
 }
 
-// Run runs a demo until it is over or ctx ends. The error is that of starting the fleet, of a step,
-// of the page, or of ctx.
+// Run runs a demo until the demo is over or ctx ends. It returns an error if the fleet can't be
+// started, a step fails, the page can't be written, or ctx ends.
 func Run(ctx context.Context, o Options) error {
 	folder, err := os.MkdirTemp("", "fleetdemo")
 	if err != nil {
@@ -63,14 +65,14 @@
 		return err
 	}
 	err = d.runSteps(ctx)
-	report := d.scenario.Finish() // ends the clients, also after an error
+	report := d.scenario.Finish() // stops the clients, also after an error
 	if err != nil {
 		return err
 	}
 	return d.show(report)
 }
 
-// start starts routers and hosts and configures the fleet.
+// start starts the routers and hosts, configures the fleet and waits until all routers are ready.
 func (d *demo) start(ctx context.Context) error {
 	if err := d.fleet.StartAll(); err != nil {
 		return err
@@ -107,9 +109,9 @@
 	revocationMs      = 2000
 )
 
-// steps are the steps of a demo in their order.
+// steps returns the steps of a demo in their order.
 func (d *demo) steps() []step {
-	member, other, host := 1, d.fleet.Len()-1, d.hosts[0] // member of the register
+	member, other, host := 1, d.fleet.Len()-1, d.hosts[0] // member is the index of a register member, other of a router that is not a member
 	memberName, otherName := d.fleet.Name(member), d.fleet.Name(other)
 	kill := func(i int) func(context.Context) error {
 		return func(context.Context) error { d.fleet.Kill(i); return nil }
@@ -149,7 +151,7 @@
 	return nil
 }
 
-// waitUntil waits for a time since the start of the load and reports false if ctx ended first.
+// waitUntil waits until the load has run for the duration at. It returns false if ctx ends first.
 func (d *demo) waitUntil(ctx context.Context, at time.Duration) bool {
 	select {
 	case <-time.After(time.Until(d.loadStart.Add(at))):
@@ -159,7 +161,7 @@
 	}
 }
 
-// close ends hosts and routers.
+// close stops all hosts and kills all routers.
 func (d *demo) close() {
 	for _, h := range d.hosts {
 		h.Close()
@@ -170,7 +172,7 @@
 // tally counts requests by outcome.
 type tally struct{ served, refused, failed int }
 
-// add counts a request.
+// add counts a request by its outcome. Statuses 429 and 503 count as refused.
 func (t *tally) add(a pintest.Request) {
 	switch {
 	case a.Status == http.StatusOK && a.Complete:
--- a/internal/testbed/fleetdemo/fleetdemo_test.go
+++ b/internal/testbed/fleetdemo/fleetdemo_test.go
@@ -23,7 +23,7 @@
 
 func TestMain(m *testing.M) {
 	if os.Getenv(isRouter) == "" {
-		os.Setenv(isRouter, "1") // for the processes that the tests start
+		os.Setenv(isRouter, "1") // inherited by the processes that the tests start
 		os.Exit(m.Run())
 	}
 	if err := roles.Run(context.Background()); err != nil {
@@ -32,8 +32,8 @@
 	}
 }
 
-// In a short demo all routers serve, killed ones come back, no answer violates a pin, and the chart
-// is drawn.
+// In a short demo, all routers serve requests, killed routers are restarted, no answer violates a
+// pin, and the page has a chart.
 func TestDemoServesWhileMembersAreKilled(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
@@ -43,12 +43,12 @@
 	for _, want := range []string{"4 routers are ready", "router-4 is killed", "router-2 of the register is killed", "host-1 is killed", "lifts the pin",
 		"3 changes of the pin; answers that were not as promised: 0"} {
 		if !strings.Contains(text, want) {
-			t.Errorf("it lacks %q: %s", want, text)
+			t.Errorf("the output does not contain %q: %s", want, text)
 		}
 	}
 	for line := range strings.Lines(text) {
 		if f := strings.Fields(line); len(f) == 4 && strings.HasPrefix(f[0], "router-") && f[1] == "0" {
-			t.Errorf("a router served nobody: %s", line)
+			t.Errorf("a router served no request: %s", line)
 		}
 	}
 	drawn, err := os.ReadFile(page)
@@ -56,7 +56,7 @@
 	is.True(bytes.Contains(drawn, []byte("<svg")))
 }
 
-// canceller cancels once a text is written.
+// canceller is a writer that calls cancel when a write contains text.
 type canceller struct {
 	text   string
 	cancel func()
@@ -69,7 +69,7 @@
 	return len(p), nil
 }
 
-// A cancelled demo ends all its goroutines: no client sends requests any more.
+// A cancelled demo ends all its goroutines, so that no client continues to send requests.
 func TestCancelledDemoEndsItsGoroutines(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -81,12 +81,12 @@
 	defer tick.Stop()
 	for until := time.Now().Add(endTimeout); runtime.NumGoroutine() > before+maxSystemGoroutines; <-tick.C {
 		if time.Now().After(until) {
-			t.Fatalf("%d goroutines are left of %d", runtime.NumGoroutine(), before)
+			t.Fatalf("%d goroutines are left, and there were %d before the demo", runtime.NumGoroutine(), before)
 		}
 	}
 }
 
 const (
 	endTimeout          = time.Minute
-	maxSystemGoroutines = 2 // of the system's, which come and go
+	maxSystemGoroutines = 2 // goroutines of the system, which may start and end at any time
 )
--- a/internal/testbed/fleetdemo/show.go
+++ b/internal/testbed/fleetdemo/show.go
@@ -22,8 +22,8 @@
 	chartHeight = 4 * vg.Inch
 )
 
-// show prints the outcomes of the requests, a table by router and a chart by second, and the
-// violations of the pins. It writes the page if there is to be one.
+// show prints the outcomes of the requests, as a table by router and as bars by second, and the
+// violations of the pins. It writes the page if Options.Page is set.
 func (d *demo) show(r pintest.Report) error {
 	requests := d.scenario.Requests()
 	d.printRouters(requests)
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// printRouters prints the table by router.
+// printRouters prints a table of the outcomes by router.
 func (d *demo) printRouters(requests []pintest.Request) {
 	tallies := make([]tally, d.fleet.Len())
 	for _, a := range requests {
@@ -57,7 +57,7 @@
 	}
 }
 
-// bySecond counts the requests of each second of the load.
+// bySecond returns the outcomes of the requests sent in each second of the load.
 func (d *demo) bySecond(requests []pintest.Request) []tally {
 	seconds := make([]tally, int(d.options.Length/time.Second)+1)
 	for _, a := range requests {
@@ -68,7 +68,8 @@
 	return seconds
 }
 
-// printSeconds prints a bar for each second: served requests, then the others.
+// printSeconds prints a bar for each second, with the events of that second. In a bar, # stands for
+// served requests and . for all others.
 func (d *demo) printSeconds(seconds []tally) {
 	largest := 1
 	for _, s := range seconds {
@@ -86,7 +87,7 @@
 	}
 }
 
-// writePage writes the outcomes by second as a page with a chart.
+// writePage writes an HTML page with a chart of the outcomes by second and a list of the events.
 func (d *demo) writePage(w io.Writer, seconds []tally) error {
 	chart := plot.New()
 	chart.Title.Text, chart.X.Label.Text, chart.Y.Label.Text = "Requests by second", "seconds", "requests"
