--- a/internal/testbed/pairedruns/pairedruns.go
+++ b/internal/testbed/pairedruns/pairedruns.go
@@ -1,7 +1,7 @@
-// Package pairedruns plays days of the fleet's bench with two versions of the project, the same
-// seeds with both, and says how much worth the one earns beside the other. It owns the order of the
-// plays and the sums; how a day is played is its caller's. Differences are of worth, from 0 to 1 a
-// day.
+// Package pairedruns compares two versions of the project on days of the fleet's bench. It plays each
+// day with both versions and the same seeds, and computes by how much the worth of the later version
+// differs. The package decides the order of the plays and computes the statistics; the caller plays
+// the days. Differences are differences of worth, which is from 0 to 1 for a day.
 package pairedruns
 
 import (
@@ -19,13 +19,13 @@
 // Version is one of the two versions that are compared.
 type Version int
 
-// The versions.
+// Before is the version before the change, and After the version with the change.
 const (
 	Before Version = iota
 	After
 )
 
-// String is the version's name.
+// String returns the version's name.
 func (v Version) String() string { return [...]string{"before", "after"}[v] }
 
 // Play is one play of one day.
@@ -35,18 +35,19 @@
 	Version   Version
 }
 
-// Player plays a day and returns what it lost.
+// Player plays a day and returns its worth and what it lost.
 type Player func(ctx context.Context, p Play) (*scoreanalysis.Day, error)
 
-// Plan is what is to be played.
+// Plan lists the sites, days and seeds to play. Each combination of them is played with both
+// versions.
 type Plan struct {
 	Sites, Days []string
 	Seeds       []uint64
-	AtOnce      int // plays side by side, 1 or more
+	AtOnce      int // maximum number of concurrent plays, 1 or more
 }
 
-// plays are all plays, the two of a pair next to each other so that both meet the same load of the
-// machine.
+// plays returns all plays of the plan. The two plays of a pair are adjacent, so that both run under
+// the same load of the machine.
 func (p *Plan) plays() (all []Play) {
 	for _, seed := range p.Seeds {
 		for _, site := range p.Sites {
@@ -58,13 +59,13 @@
 	return all
 }
 
-// Result is what the plays of a plan came to.
+// Result holds the days that the plays of a plan produced.
 type Result struct {
 	plan   *Plan
 	played map[Play]*scoreanalysis.Day
 }
 
-// Run plays everything. The first play that fails ends it.
+// Run runs all plays of the plan. The first play that fails ends the run, and its error is returned.
 func (p *Plan) Run(ctx context.Context, play Player) (*Result, error) {
 	r := &Result{plan: p, played: map[Play]*scoreanalysis.Day{}}
 	var mu sync.Mutex
@@ -85,13 +86,14 @@
 	return r, group.Wait()
 }
 
-// Difference is the mean of so many pairs, with its standard error, NaN for fewer than two.
+// Difference is the mean difference over a number of pairs, and the standard error of the mean. The
+// standard error is NaN for fewer than two pairs.
 type Difference struct {
 	Mean, Error float64
 	Pairs       int
 }
 
-// differenceOf sums up the differences of pairs.
+// differenceOf computes the mean and the standard error of the differences of pairs.
 func differenceOf(each []float64) Difference {
 	d := Difference{Pairs: len(each), Error: math.NaN()}
 	if len(each) == 0 {
@@ -110,13 +112,14 @@
 	return d
 }
 
-// ValueDifference is the difference of worth, after less before, over the pairs of a site and a
-// day; empty names stand for all.
+// ValueDifference returns the difference of worth, after minus before, over the pairs of a site and
+// a day. An empty name stands for all sites or all days.
 func (r *Result) ValueDifference(site, day string) Difference {
 	return r.difference(site, day, func(d *scoreanalysis.Day) float64 { return d.Worth })
 }
 
-// Lost is the same for what one cause took of the worth.
+// Lost returns the difference of the worth that one cause took, after minus before. The names have
+// the same meaning as in ValueDifference.
 func (r *Result) Lost(site, day, cause string) Difference {
 	return r.difference(site, day, func(d *scoreanalysis.Day) float64 { return d.Lost(cause) })
 }
@@ -131,7 +134,8 @@
 	return differenceOf(each)
 }
 
-// Mean is the mean worth of a version over the plays of a site and a day.
+// Mean returns the mean worth of a version over the plays of a site and a day. An empty name stands
+// for all sites or all days.
 func (r *Result) Mean(v Version, site, day string) float64 {
 	sum, n := 0.0, 0.0
 	for _, p := range r.chosen(site, day) {
@@ -141,14 +145,15 @@
 	return sum / n
 }
 
-// chosen are the plays before the change of a site and a day.
+// chosen returns the plays of a site and a day with the version before the change. An empty name
+// stands for all sites or all days.
 func (r *Result) chosen(site, day string) []Play {
 	return slices.DeleteFunc(r.plan.plays(), func(p Play) bool {
 		return p.Version != Before || site != "" && p.Site != site || day != "" && p.Day != day
 	})
 }
 
-// Causes are what took worth of any play, by their names.
+// Causes returns the names of the causes that occur in the losses of any play, sorted.
 func (r *Result) Causes() (all []string) {
 	for _, d := range r.played {
 		for _, l := range d.Losses {
@@ -159,7 +164,7 @@
 	return slices.Compact(all)
 }
 
-// Broken are the plays in which a rule broke, in the order of the plan.
+// Broken returns the plays in which a rule was broken, in the order of the plan.
 func (r *Result) Broken() (all []Play) {
 	return slices.DeleteFunc(r.plan.plays(), func(p Play) bool { return len(r.played[p].Broken) == 0 })
 }
--- a/internal/testbed/pairedruns/pairedruns_test.go
+++ b/internal/testbed/pairedruns/pairedruns_test.go
@@ -12,8 +12,8 @@
 	"reachspread/internal/testbed/scoreanalysis"
 )
 
-// worths are the plays of two seeds: the later version earns 0.1 and 0.3 more on the day a, and as
-// much on the day b.
+// worths is a Player for seeds 1 and 2. On day a, the later version earns 0.1 more with seed 1 and
+// 0.3 more with seed 2. On day b, both versions earn the same.
 func worths(_ context.Context, p Play) (*scoreanalysis.Day, error) {
 	d := &scoreanalysis.Day{Worth: 0.5, Losses: []scoreanalysis.Loss{{Cause: "worst class", Worth: 0.5}}}
 	if p.Version == After && p.Day == "a" {
@@ -36,7 +36,7 @@
 	a := r.ValueDifference("x.toml", "a")
 	is.Equal(a.Pairs, 2)
 	is.True(near(a.Mean, 0.2))
-	is.True(near(a.Error, 0.1)) // the standard deviation of 0.1 and 0.3 is 0.1414, over the root of 2
+	is.True(near(a.Error, 0.1)) // the standard deviation of 0.1 and 0.3, 0.1414, divided by the square root of 2
 	is.Equal(r.ValueDifference("x.toml", "b").Mean, 0.0)
 	is.True(near(r.ValueDifference("", "").Mean, 0.1))
 	is.True(near(r.Lost("", "a", "worst class").Mean, -0.2))
@@ -44,11 +44,11 @@
 	var out strings.Builder
 	is.NoErr(r.Print(&out))
 	for _, want := range []string{"+0.2000 ± 0.1000", "LOST", "worst class -0.2000"} {
-		is.True(strings.Contains(out.String(), want)) // the table has it
+		is.True(strings.Contains(out.String(), want)) // the table contains this text
 	}
 }
 
-// One pair has no standard error, and none is made up.
+// For one pair, the standard error is NaN and is not printed.
 func TestOnePair(t *testing.T) {
 	is := is.New(t)
 	d := differenceOf([]float64{0.25})
--- a/internal/testbed/pairedruns/print.go
+++ b/internal/testbed/pairedruns/print.go
@@ -11,10 +11,12 @@
 	"text/tabwriter"
 )
 
-// shownCauses is how many causes a row names: those whose loss changed most.
+// shownCauses is the maximum number of causes in a row. A row names the causes whose loss changed
+// most.
 const shownCauses = 4
 
-// Print writes a row for each site and day, one for each site and one for all.
+// Print writes a row for each site and day. It adds a row for each site if there are several days,
+// and a row for all sites if there are several sites. Rows for plays with broken rules follow.
 func (r *Result) Print(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "site\tday\tbefore\tafter\tdifference\tpairs\tlosses that changed most")
@@ -45,7 +47,7 @@
 		r.changes(site, day))
 }
 
-// String is the mean and its standard error.
+// String returns the mean and, unless it is NaN, the standard error.
 func (d Difference) String() string {
 	if math.IsNaN(d.Error) {
 		return fmt.Sprintf("%+.4f", d.Mean)
@@ -53,7 +55,7 @@
 	return fmt.Sprintf("%+.4f ± %.4f", d.Mean, d.Error)
 }
 
-// changes names the causes whose loss changed most.
+// changes returns the causes whose loss changed most, with the differences.
 func (r *Result) changes(site, day string) string {
 	size := func(cause string) float64 { return math.Abs(r.Lost(site, day, cause).Mean) }
 	causes := slices.SortedFunc(slices.Values(r.Causes()), func(a, b string) int { return cmp.Compare(size(b), size(a)) })
