--- a/internal/testbed/golden/golden.go
+++ b/internal/testbed/golden/golden.go
@@ -1,10 +1,10 @@
-// Package golden is test support: it compares what the code writes on a wire, and in files that it
-// keeps, with what it wrote when the golden files were made. stored.go is for files, of which each
-// form has one.
+// Package golden is test support. It compares the bytes that the code sends on the wire, or writes
+// to stored files, with golden files that an earlier version of the code made. The functions in
+// stored.go compare stored files. Each format of stored files has one golden file.
 //
-// The golden files were made by the code of commit 5bfcc27, by running the tests with
-// WRITE_GOLDEN=1. They are not to be made again: a test that fails by them has found a change of a
-// wire format that routers of the release before can't read.
+// The code of commit 5bfcc27 made the golden files, when the tests ran with WRITE_GOLDEN=1. Don't
+// regenerate them: a test that fails because of a golden file has found a change of a wire format
+// that routers of the previous release can't read.
 package golden
 
 import (
@@ -19,15 +19,16 @@
 
 // Record is one named sequence of bytes, such as a datagram.
 type Record struct {
-	Name string // without spaces; unique in a file
+	Name string // contains no spaces; unique in a file
 	Data []byte
 }
 
-// writeVariable is the environment variable that has the files written anew instead of compared.
+// writeVariable is the environment variable that makes CheckText overwrite a golden file before the
+// comparison, and File create a missing one.
 const writeVariable = "WRITE_GOLDEN"
 
 // Check fails the test unless a golden file under testdata has exactly these records, in this
-// order. It returns the file's bytes by name.
+// order. It returns the data of the file's records by name.
 func Check(t testing.TB, file string, records []Record) map[string][]byte {
 	t.Helper()
 	var text strings.Builder
@@ -46,14 +47,14 @@
 	}
 	for _, r := range records {
 		if !bytes.Equal(golden[r.Name], r.Data) {
-			t.Errorf("%s: %s is\n%x, not\n%x", file, r.Name, r.Data, golden[r.Name])
+			t.Errorf("%s: record %s is\n%x, want\n%x", file, r.Name, r.Data, golden[r.Name])
 		}
 	}
 	return golden
 }
 
-// CheckText fails the test unless a golden file under testdata has exactly this text. The first
-// line that differs is shown.
+// CheckText fails the test unless a golden file under testdata has exactly this text. The failure
+// shows the first line that differs.
 func CheckText(t testing.TB, file, text string) {
 	t.Helper()
 	path := filepath.Join("testdata", file)
@@ -68,10 +69,10 @@
 	got, want := strings.Split(text, "\n"), strings.Split(read(t, file), "\n")
 	for i := range max(len(got), len(want)) {
 		if i >= len(got) || i >= len(want) {
-			t.Fatalf("%s has %d lines, not %d", file, len(got), len(want))
+			t.Fatalf("%s: the text has %d lines, want %d", file, len(got), len(want))
 		}
 		if got[i] != want[i] {
-			t.Fatalf("%s: line %d is\n%s, not\n%s", file, i+1, got[i], want[i])
+			t.Fatalf("%s: line %d is\n%s, want\n%s", file, i+1, got[i], want[i])
 		}
 	}
 }
--- a/internal/testbed/golden/messages.go
+++ b/internal/testbed/golden/messages.go
@@ -14,8 +14,8 @@
 )
 
 // CheckMessages compares all messages of protobuf files with golden data: the numbers, kinds and
-// cardinality of their fields, and the bytes of examples in which every field is set. Messages and
-// fields are known by position and number, so that a new name passes.
+// cardinality of their fields, and the bytes of examples in which every field is set. It identifies
+// messages by position and fields by number, so that messages and fields may be renamed.
 func CheckMessages(t *testing.T, file string, descriptors ...protoreflect.FileDescriptor) {
 	t.Helper()
 	var fields strings.Builder
@@ -33,7 +33,8 @@
 	}
 }
 
-// position names a descriptor by its file's name and its index there, or in the message around it.
+// position identifies a descriptor by the name of its file and its index in the file. For a nested
+// descriptor, the index of each enclosing message comes first.
 func position(d protoreflect.Descriptor) string {
 	if f, ok := d.(protoreflect.FileDescriptor); ok {
 		return path.Base(f.Path())
@@ -82,8 +83,9 @@
 	out.WriteString("\n")
 }
 
-// exampleRecords are examples of a message: one with every field set, of a oneof the first; and one
-// more for each further field of a oneof.
+// exampleRecords returns encoded examples of a message. In the first example, every field is set
+// except that each oneof has its first field. There is one more example for each further field of
+// the largest oneof.
 func exampleRecords(t *testing.T, d protoreflect.MessageDescriptor) (all []Record) {
 	for _, choice := range choices(d) {
 		m := exampleOf(d, choice)
@@ -115,10 +117,10 @@
 	return m
 }
 
-// mostDepth is how deep messages within messages are filled.
+// mostDepth is the depth of nesting at which filler leaves fields of message types unset.
 const mostDepth = 4
 
-// filler gives each field a value of its own, the same on each run.
+// filler sets each field to a different value. The values are the same on each run.
 type filler struct{ last uint64 }
 
 func (x *filler) fill(m protoreflect.Message, choice, depth int) {
@@ -185,7 +187,8 @@
 	return protoreflect.ValueOfString(fmt.Sprint("text ", x.last))
 }
 
-// checkDecoding reads golden bytes into the type of the code and compares that with the example.
+// checkDecoding decodes golden bytes with the generated type of the message and compares the result
+// with the example.
 func checkDecoding(t *testing.T, files []protoreflect.FileDescriptor, name string, data []byte) {
 	t.Helper()
 	for _, file := range files {
@@ -211,11 +214,11 @@
 	}
 	again, err := proto.MarshalOptions{Deterministic: true}.Marshal(got)
 	if err != nil || len(got.ProtoReflect().GetUnknown()) > 0 || string(again) != string(data) || !proto.Equal(got, want) {
-		t.Errorf("%s is read as %v, not %v (%v)", name, got, want, err)
+		t.Errorf("%s is decoded as %v, want %v; error %v", name, got, want, err)
 	}
 }
 
-// typed returns an empty message of the generated type.
+// typed returns an empty message of the generated type with this name.
 func typed(name protoreflect.FullName) (proto.Message, error) {
 	kind, err := protoregistry.GlobalTypes.FindMessageByName(name)
 	if err != nil {
--- a/internal/testbed/golden/stored.go
+++ b/internal/testbed/golden/stored.go
@@ -10,10 +10,10 @@
 	"testing"
 )
 
-// File returns the content of testdata/name: stored data that an earlier version wrote. Made has
-// the bytes that the present code writes. With WRITE_GOLDEN=1 a file that does not exist yet is
-// made of them; one that exists is never written again, as what routers have on their disks does
-// not change with the code either.
+// File returns the content of testdata/name, which is stored data that an earlier version wrote. The
+// argument made holds the bytes that the present code writes. With WRITE_GOLDEN=1, File creates a
+// missing file with these bytes. It never overwrites an existing file, because the data on the disks
+// of routers does not change with the code either.
 func File(t testing.TB, name string, made []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -33,17 +33,18 @@
 	return text
 }
 
-// Same fails the test if testdata/name does not have exactly the bytes that the present code
+// Same fails the test unless testdata/name has exactly the bytes in made, which the present code
 // writes.
 func Same(t testing.TB, name string, made []byte) {
 	t.Helper()
 	if text := File(t, name, made); string(text) != string(made) {
-		t.Errorf("%s: the present code writes\n%q\nand the file has\n%q", name, made, text)
+		t.Errorf("%s: the present code writes\n%q\nwant the content of the file\n%q", name, made, text)
 	}
 }
 
-// Complete fails the test if a field of the content that a file pins is zero, as that field would
-// not be pinned. Fields named in except, as Type.Field, may be.
+// Complete fails the test if an exported field of content is zero, because a golden file with a zero
+// field does not show how the field is encoded. The fields in except, in the form Type.Field, may be
+// zero.
 func Complete(t testing.TB, content any, except ...string) {
 	t.Helper()
 	allowed := map[string]bool{}
@@ -52,12 +53,13 @@
 	}
 	for _, name := range zeroFields(reflect.ValueOf(content), "content") {
 		if !allowed[name] {
-			t.Errorf("%s is zero: the file does not pin it", name)
+			t.Errorf("%s is zero: the golden file does not show how this field is encoded", name)
 		}
 	}
 }
 
-// zeroFields names the exported fields below a value that are zero.
+// zeroFields returns the names, in the form Type.Field, of all exported fields within a value that
+// are zero.
 func zeroFields(v reflect.Value, name string) (zero []string) {
 	switch v.Kind() {
 	case reflect.Pointer, reflect.Interface:
