--- a/internal/testbed/formtest/formtest.go
+++ b/internal/testbed/formtest/formtest.go
@@ -1,9 +1,9 @@
-// Package formtest describes the forms that programs outside of this repository rely on: the names
-// of fields, flags, calls and figures, with their types. Tests compare a description with a file
-// under testdata, so that Go names may change freely while an outside name may not.
+// Package formtest describes the formats that programs outside this repository rely on: the names
+// and types of fields, flags, calls and metrics. Tests compare a description with a file under
+// testdata. So Go names may change freely, but a change of an external name fails a test.
 //
-// It is used by tests alone. The files were made by the code of commit 5bfcc27; they change only
-// together with a form that users are told of.
+// Only tests use this package. The code of commit 5bfcc27 made the files. A file may change only
+// together with a change of the format that is announced to users.
 package formtest
 
 import (
@@ -22,11 +22,12 @@
 	"github.com/spf13/pflag"
 )
 
-// createVariable is the environment variable that has Compare write a file that is not there yet. A
-// file that is there is never overwritten.
+// createVariable is the environment variable that makes Compare create a missing file. Compare never
+// overwrites an existing file.
 const createVariable = "FORMTEST_CREATE"
 
-// Compare fails the test unless got equals testdata/name, and shows the first lines that differ.
+// Compare fails the test unless got equals testdata/name. It shows the lines that only one of them
+// has.
 func Compare(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -44,16 +45,16 @@
 	wantLines, gotLines := strings.Split(string(want), "\n"), strings.Split(got, "\n")
 	for _, line := range wantLines {
 		if !slices.Contains(gotLines, line) {
-			t.Errorf("%s: missing: %s", path, line)
+			t.Errorf("%s: the description lacks the line: %s", path, line)
 		}
 	}
 	for _, line := range gotLines {
 		if !slices.Contains(wantLines, line) {
-			t.Errorf("%s: not in the file: %s", path, line)
+			t.Errorf("%s: the file lacks the line: %s", path, line)
 		}
 	}
 	if !t.Failed() {
-		t.Errorf("%s: the lines are the same in another order or number; got\n%s", path, got)
+		t.Errorf("%s: the description has the same lines in a different order or number; got\n%s", path, got)
 	}
 }
 
@@ -67,16 +68,16 @@
 	}
 }
 
-// Fields describes the fields of a value's type as a struct tag such as json, toml or hcl names
-// them: one line for each, with its path, its type and the options of its tag. Go's own names of
-// types do not occur in it.
+// Fields describes the fields of a value's type by the names in a struct tag, such as json, toml or
+// hcl. There is one line for each field, with its path, its type and the options of its tag. The
+// description does not contain the names of Go types that this module declares.
 func Fields(value any, tag string) string {
 	w := &walker{tag: tag}
 	w.walk("", reflect.TypeOf(value), "", nil)
 	return w.out.String()
 }
 
-// Document joins descriptions under headings.
+// Document joins sections, each of which is a heading and a description.
 func Document(sections ...[2]string) string {
 	var out strings.Builder
 	for i, section := range sections {
@@ -88,7 +89,7 @@
 	return out.String()
 }
 
-// walker writes the lines of a type.
+// walker writes the description of a type.
 type walker struct {
 	tag string
 	out strings.Builder
@@ -99,8 +100,8 @@
 	durationType = reflect.TypeFor[time.Duration]()
 )
 
-// walk describes a type at a path. Above are the structs that it is within, for types that hold
-// themselves.
+// walk describes the type t at a path. The argument above lists the structs that enclose t, so that
+// the description of a type that contains itself ends.
 func (w *walker) walk(path string, t reflect.Type, options string, above []reflect.Type) {
 	switch {
 	case t == timeType:
@@ -134,8 +135,8 @@
 	fmt.Fprintf(&w.out, "%s %s%s\n", strings.TrimPrefix(path, "."), kind, options)
 }
 
-// fields describes the fields of a struct. Those without a name in the file, such as the body of an
-// HCL block, are left out.
+// fields describes the fields of a struct. It leaves out fields that have no name in the encoded
+// form, such as the body of an HCL block.
 func (w *walker) fields(path string, t reflect.Type, above []reflect.Type) {
 	for f := range fieldsOf(t) {
 		text, tagged := f.Tag.Lookup(w.tag)
@@ -169,9 +170,9 @@
 	}
 }
 
-// Commands describes a command line: each command with its aliases and flags, hidden ones too.
-// Defaults has the text that stands for the default of a flag which the machine decides, by its
-// name.
+// Commands describes a command line: each command with its aliases and flags, including hidden ones.
+// The argument defaults maps the name of a flag whose default depends on the machine to the text
+// that replaces this default.
 func Commands(root *cobra.Command, defaults map[string]string) string {
 	var out strings.Builder
 	describe(&out, root, defaults)
--- a/internal/testbed/formtest/formtest_test.go
+++ b/internal/testbed/formtest/formtest_test.go
@@ -17,7 +17,7 @@
 	Left   int `json:"-"`
 }
 
-// A type is described by the names of its tags, whatever Go calls its fields and types.
+// Fields describes a type by the names in its tags, and not by the Go names of fields and types.
 func TestFieldsNamesTags(t *testing.T) {
 	want := "name string\nage float64 (omitempty nullable)\nat time\ncounts{string} int\nnodes[] as above (nullable)\nRaw bytes\n"
 	if got := Fields(node{}, "json"); got != want {
@@ -25,7 +25,7 @@
 	}
 }
 
-// Each command and flag is described, hidden ones too.
+// Commands describes each command and flag, including hidden ones.
 func TestCommandsNamesHiddenOnes(t *testing.T) {
 	root := &cobra.Command{Use: "tool"}
 	inner := &cobra.Command{Use: "run FILE", Hidden: true, Aliases: []string{"go"}}
