--- a/internal/testbed/processexit/processexit.go
+++ b/internal/testbed/processexit/processexit.go
@@ -1,6 +1,7 @@
-// Package processexit tells when a child process has ended, apart from its reaping. As it reaps a
-// child the kernel removes its entries in /proc, which takes seconds on a busy machine, and the
-// child has ended before that. The caller reaps, by os/exec or otherwise.
+// Package processexit waits for the end of a child process without reaping it. When a process reaps
+// a child, the kernel first removes the child's entries in /proc, which takes seconds on a busy
+// machine. So the child ends earlier than the reaping suggests. The caller must still reap the child,
+// by os/exec or otherwise.
 package processexit
 
 import (
@@ -11,23 +12,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// childInfo is what the kernel tells of a child that has ended, as siginfo_t has it on a 64-bit
-// system.
+// childInfo is what the kernel reports about a child that has ended. It has the layout of siginfo_t
+// on a 64-bit system.
 type childInfo struct {
-	_      [2]int32 // signal, error
-	code   int32    // how it ended
+	_      [2]int32 // signal number, error number
+	code   int32    // how the child ended, such as CLD_EXITED
 	_      int32
-	_      [2]int32 // its number, its user
+	_      [2]int32 // process ID and user ID of the child
 	status int32    // exit status or signal
 	_      [100]byte
 }
 
-// exitedByItself is the code of a child that was not ended by a signal, CLD_EXITED.
+// exitedByItself is CLD_EXITED, the code of a child that exited and was not killed by a signal.
 const exitedByItself = 1
 
-// Await waits until a child has ended and returns its exit status, or -1 and the signal that ended
-// it. The child is left to be reaped; for one that has been, or that is no child, it returns an
-// error.
+// Await waits until a child has ended. It returns the exit status of the child, or -1 and the signal
+// that killed the child. It does not reap the child. It returns an error if the child has already
+// been reaped, or if pid is not a child of this process.
 func Await(pid int) (status int, signal syscall.Signal, err error) {
 	var info childInfo
 	for {
--- a/internal/testbed/processexit/processexit_test.go
+++ b/internal/testbed/processexit/processexit_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// A child's end is told before it is reaped, with its status or the signal that ended it.
+// Await returns before a child is reaped, with the exit status of the child or the signal that
+// killed it.
 func TestAwaitExitTellsEndOfUnreapedChild(t *testing.T) {
 	for name, x := range map[string]struct {
 		script string
@@ -24,14 +25,14 @@
 			}
 			status, signal, err := Await(cmd.Process.Pid)
 			if err != nil || status != x.status || signal != x.signal {
-				t.Errorf("status %d, signal %v, %v", status, signal, err)
+				t.Errorf("got status %d, signal %v and error %v", status, signal, err)
 			}
 			cmd.Wait()
 			if got := cmd.ProcessState.ExitCode(); got != x.status {
-				t.Errorf("reaped with %d", got)
+				t.Errorf("the exit status after reaping is %d", got)
 			}
 			if _, _, err := Await(cmd.Process.Pid); err == nil {
-				t.Error("no error for one that is reaped")
+				t.Error("Await returned no error for a reaped child")
 			}
 		})
 	}
