--- a/internal/testbed/tcptime/tcptime.go
+++ b/internal/testbed/tcptime/tcptime.go
@@ -1,7 +1,7 @@
-// Package tcptime asks the system when a connection last sent or received something. A process that
-// lacks processor time reads late what has come, and the system's times say nothing of that: they
-// tell how late the other side was. Their precision is that of the system's timer, a few
-// milliseconds.
+// Package tcptime asks the operating system when a connection last sent or received data. A process
+// that lacks processor time reads data later than it arrives. The system's times do not include this
+// delay, so they show how late the other side was. Their precision is that of the system's timer, a
+// few milliseconds.
 package tcptime
 
 import (
@@ -12,7 +12,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Info returns what the system knows of a connection.
+// Info returns the system's TCP state of a connection.
 func Info(conn syscall.Conn) (info *unix.TCPInfo, err error) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
@@ -24,7 +24,7 @@
 	return info, errors.Join(controlErr, err)
 }
 
-// Sent returns when a connection last sent something. It is called after the first write.
+// Sent returns when a connection last sent data. It must be called after the first write.
 func Sent(conn syscall.Conn) (time.Time, error) {
 	info, err := Info(conn)
 	if err != nil {
@@ -33,8 +33,8 @@
 	return before(info.Last_data_sent), nil
 }
 
-// Received returns when something last came to a connection, whether it was read or not; zero for
-// nothing yet.
+// Received returns when data last arrived on a connection, whether the process has read the data or
+// not. It returns the zero time if no data has arrived yet.
 func Received(conn syscall.Conn) (time.Time, error) {
 	info, err := Info(conn)
 	if err != nil || info.Bytes_received == 0 {
@@ -43,7 +43,7 @@
 	return before(info.Last_data_recv), nil
 }
 
-// before returns the time so many milliseconds ago.
+// before returns the time that was the given number of milliseconds ago.
 func before(milliseconds uint32) time.Time {
 	return time.Now().Add(-time.Duration(milliseconds) * time.Millisecond)
 }
