--- a/internal/testbed/scoreanalysis/requests.go
+++ b/internal/testbed/scoreanalysis/requests.go
@@ -185,7 +185,7 @@
 			by[m] = &MechanismLoss{Mechanism: m}
 		}
 		by[m].Requests++
-		by[m].Lost += value(r) * (1 - m.keptFraction())
+		by[m].Lost += value(r) * (1 - m.retainedFraction())
 	}
 	out := &Requests{All: len(all)}
 	for _, l := range by {
@@ -198,8 +198,8 @@
 	return out
 }
 
-// keptFraction returns the fraction of its worth that a request with this mechanism keeps.
-func (m Mechanism) keptFraction() float64 {
+// retainedFraction returns the fraction of its worth that a request with this mechanism keeps.
+func (m Mechanism) retainedFraction() float64 {
 	if strings.HasPrefix(string(m), "late") {
 		return lateFraction
 	}
--- a/internal/testbed/scoreanalysis/requests_test.go
+++ b/internal/testbed/scoreanalysis/requests_test.go
@@ -46,7 +46,7 @@
 			is.Equal(len(r.Losses), 1)
 			is.Equal(r.Losses[0].Mechanism, c.want)
 			want := 0.5 // one of two requests of the same size is lost
-			if c.want.keptFraction() > 0 {
+			if c.want.retainedFraction() > 0 {
 				want = 0.45
 			}
 			is.Equal(r.Losses[0].Lost, want)
