--- a/internal/testbed/experiment/charts.go
+++ b/internal/testbed/experiment/charts.go
@@ -24,9 +24,9 @@
 
 const chartWidth, chartHeight = 24 * vg.Centimeter, 9 * vg.Centimeter
 
-// byVariant groups stored runs by variant, and returns the names of the variants in the order of
+// groupByVariant groups stored runs by variant, and returns the names of the variants in the order of
 // their first run. It leaves out runs in which a rule was broken, so that no chart includes them.
-func byVariant(keptRuns []KeptRun) (names []string, runs map[string][]*KeptRun) {
+func groupByVariant(keptRuns []KeptRun) (names []string, runs map[string][]*KeptRun) {
 	runs = map[string][]*KeptRun{}
 	for i := range keptRuns {
 		k := &keptRuns[i]
@@ -49,7 +49,7 @@
 	c.Title.Text, c.X.Label.Text, c.Y.Label.Text = "requests that ended well", "second", "share, mean of 5 s"
 	c.Y.Min, c.Y.Max = 0, 1
 	c.Add(plotter.NewGrid())
-	names, runs := byVariant(keptRuns)
+	names, runs := groupByVariant(keptRuns)
 	for i, name := range names {
 		var good, all []float64
 		for _, k := range runs[name] {
@@ -93,15 +93,15 @@
 func bySeed(keptRuns []KeptRun) (string, error) {
 	c := plot.New()
 	c.Title.Text, c.Y.Label.Text = "G of each world", "G"
-	names, runs := byVariant(keptRuns)
+	names, runs := groupByVariant(keptRuns)
 	least := 1.0
 	for i, name := range names {
 		var points plotter.XYs
 		for n, k := range runs[name] {
 			g := k.g()
 			least = min(least, g)
-			aside := 0.4 * (float64(n)/float64(max(len(runs[name])-1, 1)) - 0.5)
-			points = append(points, plotter.XY{X: float64(i) + aside, Y: g})
+			offset := 0.4 * (float64(n)/float64(max(len(runs[name])-1, 1)) - 0.5)
+			points = append(points, plotter.XY{X: float64(i) + offset, Y: g})
 		}
 		dots, err := plotter.NewScatter(points)
 		if err != nil {
--- a/internal/testbed/experiment/file.go
+++ b/internal/testbed/experiment/file.go
@@ -33,7 +33,7 @@
 
 	Rig Rig // configures runs on processes; has defaults if the file has no such block
 
-	troubles []string // file and line of each trouble block
+	disruptionSources []string // file and line of each trouble block
 	captured string   // path of the capture, relative to the experiment's file; empty for none
 }
 
@@ -64,8 +64,8 @@
 }
 
 const (
-	mostSeeds = 10000
-	aDay      = 24 * time.Hour
+	maxSeeds = 10000
+	maxDuration      = 24 * time.Hour
 )
 
 // Read reads an experiment from a file, and its capture if it names one. The error for an invalid
@@ -94,7 +94,7 @@
 		d := diags[0]
 		return nil, fmt.Errorf("%s:%d: %s: %s", name, d.Subject.Start.Line, d.Summary, strings.ReplaceAll(d.Detail, "\n", " "))
 	}
-	x := &Experiment{Rig: usualRig, Name: strings.TrimSuffix(name, filepath.Ext(name)), Text: text}
+	x := &Experiment{Rig: defaultRig, Name: strings.TrimSuffix(name, filepath.Ext(name)), Text: text}
 	d := &decoder{}
 	d.file(x, f.Body.(*hclsyntax.Body))
 	if d.err != nil {
@@ -211,8 +211,8 @@
 	return func(v cty.Value) string {
 		value, _ := text(v)
 		x, err := time.ParseDuration(value)
-		if err != nil || x < least || x > aDay {
-			return fmt.Sprintf("must be a time from %v to %v, such as \"250ms\"", least, aDay)
+		if err != nil || x < least || x > maxDuration {
+			return fmt.Sprintf("must be a time from %v to %v, such as \"250ms\"", least, maxDuration)
 		}
 		*to = x
 		return ""
@@ -300,7 +300,7 @@
 		"view": d.view(s),
 		"trouble": func(b *hclsyntax.Block) {
 			s.Disruptions = append(s.Disruptions, d.disruption(b))
-			x.troubles = append(x.troubles, fmt.Sprintf("%s:%d", b.TypeRange.Filename, b.TypeRange.Start.Line))
+			x.disruptionSources = append(x.disruptionSources, fmt.Sprintf("%s:%d", b.TypeRange.Filename, b.TypeRange.Start.Line))
 		},
 		"variant": func(b *hclsyntax.Block) {
 			name := d.label(b)
@@ -323,13 +323,13 @@
 func (d *decoder) seeds(x *Experiment) func(cty.Value) string {
 	return func(v cty.Value) string {
 		const wrong = "must be the number of seeds, from 1 to 10000, or a list of seeds"
-		if n, ok := number(v); ok && n == float64(int(n)) && n >= 1 && n <= mostSeeds {
+		if n, ok := number(v); ok && n == float64(int(n)) && n >= 1 && n <= maxSeeds {
 			for i := range int(n) {
 				x.Seeds = append(x.Seeds, uint64(i+1))
 			}
 			return ""
 		}
-		if v.IsNull() || !v.IsKnown() || !v.CanIterateElements() || v.LengthInt() == 0 || v.LengthInt() > mostSeeds {
+		if v.IsNull() || !v.IsKnown() || !v.CanIterateElements() || v.LengthInt() == 0 || v.LengthInt() > maxSeeds {
 			return wrong
 		}
 		for _, e := range v.AsValueSlice() {
--- a/internal/testbed/experiment/run.go
+++ b/internal/testbed/experiment/run.go
@@ -126,7 +126,7 @@
 // CompareFolders compares each variant of one stored experiment with the variant of the same name in
 // another.
 func CompareFolders(from, to []KeptRun) (all []Difference) {
-	names, _ := byVariant(from)
+	names, _ := groupByVariant(from)
 	for _, name := range names {
 		p := pairs{g: map[string]map[uint64]float64{}}
 		for i, side := range [][]KeptRun{from, to} {
--- a/internal/testbed/experiment/schedule.go
+++ b/internal/testbed/experiment/schedule.go
@@ -34,8 +34,8 @@
 	Scrape                time.Duration // interval between requests for vars at each management address; 0 for never
 }
 
-// usualRig holds the defaults for fields that the rig block of a file does not set.
-var usualRig = Rig{MemoryMB: 192, Sockets: 512, Cores: 1, Lease: 2 * time.Second, Slack: 500 * time.Millisecond, Settle: 4 * time.Second}
+// defaultRig holds the defaults for fields that the rig block of a file does not set.
+var defaultRig = Rig{MemoryMB: 192, Sockets: 512, Cores: 1, Lease: 2 * time.Second, Slack: 500 * time.Millisecond, Settle: 4 * time.Second}
 
 func (d *decoder) rig(r *Rig, b *hclsyntax.Block) {
 	d.body(b.Body, "rig", fields{"memory_mb": integer(&r.MemoryMB, 32, 1<<20), "sockets": integer(&r.Sockets, 96, 1<<20), "cores": num(&r.Cores, 0.01, 64),
@@ -155,10 +155,10 @@
 // Topology returns the routers and hosts of the fleet by zone, in the form that fault schedules need.
 func (x *Experiment) Topology() *faults.Topology { return x.Spec.Topology() }
 
-// onSockets maps each kind of disruption that exists only in virtual time to the kind of fault that
+// socketFaults maps each kind of disruption that exists only in virtual time to the kind of fault that
 // does the same on sockets. Disruptions of the clients' load are not in it, because they work in
 // both.
-var onSockets = map[simulator.DisruptionKind]string{simulator.SlowHosts: "slow", simulator.RouterCrash: "kill", simulator.HostsDie: "kill", simulator.Replace: "drain",
+var socketFaults = map[simulator.DisruptionKind]string{simulator.SlowHosts: "slow", simulator.RouterCrash: "kill", simulator.HostsDie: "kill", simulator.Replace: "drain",
 	simulator.Release: "drain", simulator.LostZone: "power", simulator.ListLost: "cut"}
 
 // CheckFor checks whether the experiment's disruptions and faults are valid and exist in the given
@@ -166,8 +166,8 @@
 func (x *Experiment) CheckFor(world faults.World) error {
 	if world != faults.Simulation {
 		for i, t := range x.Spec.Disruptions {
-			if same, ok := onSockets[t.Kind]; ok {
-				return fmt.Errorf("%s: trouble %q exists only in virtual time; on sockets, use fault %q", x.troubles[i], t.Kind, same)
+			if same, ok := socketFaults[t.Kind]; ok {
+				return fmt.Errorf("%s: trouble %q exists only in virtual time; on sockets, use fault %q", x.disruptionSources[i], t.Kind, same)
 			}
 		}
 	}
--- a/internal/testbed/hostmodel/host.go
+++ b/internal/testbed/hostmodel/host.go
@@ -428,22 +428,22 @@
 		length += r.answerTokens
 	}
 	var base int
-	beginning := r.cached[0]
-	if beginning != nil {
-		base = beginning.tokens
+	prefix := r.cached[0]
+	if prefix != nil {
+		base = prefix.tokens
 	}
 	key := sequenceKey{r.request.Session, true}
 	more := alignToBlock(length, h.config.Block) - base
 	old := h.cache.sequences[key]
-	if old != nil && (old.parent != beginning || old.tokens < more) {
-		mine := 0
+	if old != nil && (old.parent != prefix || old.tokens < more) {
+		ownUse := 0
 		if r.cached[1] == old {
-			mine = 1
+			ownUse = 1
 		}
-		if old.users > mine { // another request of the session still uses it
+		if old.users > ownUse { // another request of the session still uses it
 			return
 		}
-		if mine == 1 {
+		if ownUse == 1 {
 			r.memoryTokens += old.tokens // the tokens of the dropped sequence now count as the request's own
 			h.runningTokens += old.tokens
 			h.cache.unpin(old, now)
@@ -455,7 +455,7 @@
 	if old != nil || more <= 0 || more > r.memoryTokens {
 		return
 	}
-	r.cached[1] = h.cache.add(key, beginning, more, now)
+	r.cached[1] = h.cache.add(key, prefix, more, now)
 	r.memoryTokens -= more
 	h.runningTokens -= more
 }
--- a/internal/testbed/hostmodel/host_test.go
+++ b/internal/testbed/hostmodel/host_test.go
@@ -236,20 +236,20 @@
 	}
 	// At 2.5 s the capacity is 0.3625, so 725 ms of work may be sent within a second. The 90 ms of the
 	// first request were sent before 1.5 s and do not count.
-	var fell []Result
+	var failure []Result
 	for i := range 8 {
 		got := h.Step(2500*ms, ask(fmt.Sprint("b", i), 100, 500))
-		if fallen := slices.ContainsFunc(got, func(r Result) bool { return r.Kind == Overloaded }); fallen != (i == 7) {
+		if overloaded := slices.ContainsFunc(got, func(r Result) bool { return r.Kind == Overloaded }); overloaded != (i == 7) {
 			t.Errorf("request %d: %+v", i, got)
-		} else if fallen {
-			fell = slices.Clone(got)
+		} else if overloaded {
+			failure = slices.Clone(got)
 		}
 	}
-	if len(fell) == 0 || h.Stats(0).Alive {
+	if len(failure) == 0 || h.Stats(0).Alive {
 		t.Fatal("the host did not fail from overload")
 	}
 	kinds := map[ResultKind]int{}
-	for _, r := range fell {
+	for _, r := range failure {
 		kinds[r.Kind]++
 	}
 	// Four requests ran and two waited. The last two were rejected, but their work counts.
@@ -346,7 +346,7 @@
 		now, n := time.Duration(0), 0
 		type state struct{ made, out int }
 		open := map[string]*state{}
-		took := func(e Event) {
+		step := func(e Event) {
 			got := append([]Result(nil), h.Step(now, e)...)
 			if diff := cmp.Diff(got, append([]Result(nil), twin.Step(now, e)...)); diff != "" {
 				t.Fatal(diff)
@@ -397,27 +397,27 @@
 				q.TokensMade = rapid.IntRange(0, q.AnswerTokens-1).Draw(t, "made")
 				q.MaxAnswerTokens = q.AnswerTokens
 				open[q.ID] = &state{q.TokensMade, q.AnswerTokens}
-				took(Arrive{q})
+				step(Arrive{q})
 			},
 			"pass": func(t *rapid.T) {
 				now += time.Duration(rapid.IntRange(0, 200).Draw(t, "ms")) * ms
-				took(TimePassed{})
+				step(TimePassed{})
 			},
 			"cancel": func(t *rapid.T) {
 				id := fmt.Sprint(rapid.IntRange(0, n).Draw(t, "id"))
 				delete(open, id)
-				took(Cancel{id})
+				step(Cancel{id})
 			},
 			"die": func(t *rapid.T) {
 				if rapid.IntRange(0, 3).Draw(t, "really") == 0 {
-					took(Crash{})
-					took(Start{})
+					step(Crash{})
+					step(Start{})
 				}
 			},
-			"slow": func(t *rapid.T) { took(Slow{rapid.Float64Range(0, 3).Draw(t, "factor")}) },
+			"slow": func(t *rapid.T) { step(Slow{rapid.Float64Range(0, 3).Draw(t, "factor")}) },
 		})
 		now += time.Hour
-		took(TimePassed{})
+		step(TimePassed{})
 		if len(open) > 0 {
 			t.Fatalf("%d requests are still open after an hour", len(open))
 		}
--- a/internal/testbed/simulator/bound.go
+++ b/internal/testbed/simulator/bound.go
@@ -62,10 +62,10 @@
 	}
 	type hostCapacity struct{ left, share float64 }
 	var hosts []hostCapacity
-	var of []*hostmodel.Config
+	var configs []*hostmodel.Config
 	for _, h := range w.hosts {
 		if h.alive && !h.isolated {
-			hosts, of = append(hosts, hostCapacity{1, h.model.Stats(w.now).Capacity}), append(of, &w.spec.Groups[h.group].Host)
+			hosts, configs = append(hosts, hostCapacity{1, h.model.Stats(w.now).Capacity}), append(configs, &w.spec.Groups[h.group].Host)
 		}
 	}
 	classes := make([]int, len(w.spec.Classes))
@@ -79,7 +79,7 @@
 		if w.demand[c].requests == 0 {
 			return 0
 		}
-		return hostRate(of[h], hosts[h].share, &w.spec.Classes[c], w.demand[c])
+		return hostRate(configs[h], hosts[h].share, &w.spec.Classes[c], w.demand[c])
 	}
 	for at, c := range classes {
 		order := make([]int, len(hosts))
--- a/internal/testbed/simulator/client.go
+++ b/internal/testbed/simulator/client.go
@@ -288,7 +288,7 @@
 }
 
 // answer handles a router's final answer other than a stream. The client may retry.
-func (w *World) answer(r *router, id string, away time.Duration, how outcome) {
+func (w *World) answer(r *router, id string, retryAfter time.Duration, how outcome) {
 	t := r.clientAttempts[id]
 	if t == nil || t.answered {
 		w.violated(ruleOneAnswer, id, r.number, string(how)+" for an attempt that is already answered or unknown")
@@ -301,7 +301,7 @@
 	w.trace(string(how), id, r.number)
 	w.emitAnswer(t, how)
 	r.closeClientAttempt(t)
-	w.retryOrGiveUp(t.request, away, how)
+	w.retryOrGiveUp(t.request, retryAfter, how)
 }
 
 // emitAnswer records the outcome of a client's attempt in the history.
@@ -312,10 +312,10 @@
 var answerKinds = map[outcome]history.How{served: history.Complete, refused: history.Refused, failed: history.Failed, interrupted: history.Broken}
 
 // retryOrGiveUp schedules a client's retry, or ends the request.
-func (w *World) retryOrGiveUp(f *request, away time.Duration, how outcome) {
+func (w *World) retryOrGiveUp(f *request, retryAfter time.Duration, how outcome) {
 	wait := w.spec.Retries.After + time.Duration(f.rng.Float64()*float64(w.spec.Retries.After))
 	if w.spec.Retries.Heed {
-		wait = max(wait, away)
+		wait = max(wait, retryAfter)
 	}
 	if f.attempts > w.spec.Retries.Max || w.now+wait >= f.startedAt+f.patience() {
 		w.endRequest(f, how, 0, 0, 0)
--- a/internal/testbed/simulator/loss_test.go
+++ b/internal/testbed/simulator/loss_test.go
@@ -106,7 +106,7 @@
 // start overload them; the same routers with the right slow start window do not.
 func TestRuleFindsRoutersWithoutSlowStart(t *testing.T) {
 	t.Parallel()
-	over := func(planted bool) (n int) {
+	overloads := func(planted bool) (n int) {
 		for seed := range uint64(4) {
 			s := drawnLoss(seed + 1)
 			for i := range s.Classes {
@@ -129,7 +129,7 @@
 		}
 		return n
 	}
-	if sound, bad := over(false), over(true); sound != 0 || bad == 0 {
-		t.Errorf("hosts are overloaded in %d of 4 simulations, want none; with routers that take hosts for warm in %d of 4, want some", sound, bad)
+	if correct, planted := overloads(false), overloads(true); correct != 0 || planted == 0 {
+		t.Errorf("hosts are overloaded in %d of 4 simulations, want none; with routers that take hosts for warm in %d of 4, want some", correct, planted)
 	}
 }
--- a/internal/testbed/simulator/mass_test.go
+++ b/internal/testbed/simulator/mass_test.go
@@ -30,7 +30,7 @@
 		t.Run(string(trouble.Kind), func(t *testing.T) {
 			t.Parallel()
 			for seed := range *massSeeds {
-				s := mass(seed)
+				s := largestFleet(seed)
 				s.Disruptions = []Disruption{trouble}
 				r, _ := run(t, s)
 				t.Logf("seed %d: G %.3f, %d attempts, %.2f handshakes and %.1f peer reports received for each attempt, %d probes, %.0f list entries for each request", seed, r.G(),
@@ -64,7 +64,7 @@
 		var g, asked, refusals, warm, cold, late, did, could, waits, beside, handshakes, attempts float64
 		const seeds = 3
 		for seed := range uint64(seeds) {
-			s := mass(seed)
+			s := largestFleet(seed)
 			for i := range s.Classes {
 				s.Classes[i].New = Length{800, 0.8} // a load that the fleet can serve while its hosts are warm
 			}
--- a/internal/testbed/simulator/router.go
+++ b/internal/testbed/simulator/router.go
@@ -176,18 +176,18 @@
 	t.attempts++
 	t.inFlight = x
 	w.result.Attempts++
-	way := w.networkDelay(r.zone, w.hosts[h].zone)
+	delay := w.networkDelay(r.zone, w.hosts[h].zone)
 	if r.zone != w.hosts[h].zone {
 		w.result.Crossed++
 	}
 	if x.conn = r.takeIdle(h); x.conn == nil {
 		x.conn, x.connecting = &connection{host: h, routerGeneration: r.generation}, true
 		w.result.Handshakes++
-		way *= 3 // the handshake takes a round trip, then the request follows
+		delay *= 3 // the handshake takes a round trip, then the request follows
 		w.schedule(w.now+w.spec.Net.Connect, event{kind: connectTimeout, payload: x})
 	}
 	x.conn.uses++
-	w.schedule(w.now+way, event{kind: attemptReaches, payload: x})
+	w.schedule(w.now+delay, event{kind: attemptReaches, payload: x})
 }
 
 // receiveHostMessage handles a host's message about an attempt at the router.
@@ -283,11 +283,11 @@
 // sendReports sends reports to other routers. Each copy has its own random delay and may be lost.
 func (r *router) sendReports(a balance.SendReports) {
 	w := r.world
-	heard := balance.ReportsReceived{From: r.number, Zone: a.Zone, Reports: a.Reports}
+	received := balance.ReportsReceived{From: r.number, Zone: a.Zone, Reports: a.Reports}
 	for _, to := range a.To {
 		if w.networkRand.Float64() >= w.spec.Peers.Lost {
-			late := w.spec.Peers.Least + time.Duration(w.networkRand.Float64()*float64(w.spec.Peers.Most-w.spec.Peers.Least))
-			w.sendToPeer(r.number, to, event{at: w.now + late, kind: peerReportReaches, number: to, payload: heard})
+			delay := w.spec.Peers.Least + time.Duration(w.networkRand.Float64()*float64(w.spec.Peers.Most-w.spec.Peers.Least))
+			w.sendToPeer(r.number, to, event{at: w.now + delay, kind: peerReportReaches, number: to, payload: received})
 		}
 	}
 }
--- a/internal/testbed/simulator/vast_test.go
+++ b/internal/testbed/simulator/vast_test.go
@@ -7,13 +7,13 @@
 	"reachspread/internal/testbed/faults"
 )
 
-// vast returns the Spec of a fleet with 80 routers and 60 hosts in three zones. Each router gets less
+// largeFleet returns the Spec of a fleet with 80 routers and 60 hosts in three zones. Each router gets less
 // than one request a second, and a fifth of the messages between routers is lost.
-func vast(seed uint64) Spec { return fleetOf(seed, 80, 20, 38) }
+func largeFleet(seed uint64) Spec { return fleetOf(seed, 80, 20, 38) }
 
-// mass returns the Spec of a fleet as large as that of the regular fleet test, with 300 routers, 100
+// largestFleet returns the Spec of a fleet as large as that of the regular fleet test, with 300 routers, 100
 // hosts and equally little traffic for each router.
-func mass(seed uint64) Spec { return fleetOf(seed, 300, 33, 63) }
+func largestFleet(seed uint64) Spec { return fleetOf(seed, 300, 33, 63) }
 
 func fleetOf(seed uint64, routers, hostsOfZone int, rate float64) Spec {
 	s := small(seed)
@@ -44,7 +44,7 @@
 		t.Run(string(trouble.Kind), func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(4) {
-				s := vast(seed)
+				s := largeFleet(seed)
 				s.Disruptions = []Disruption{trouble}
 				r, _ := run(t, s)
 				if r.Heard == 0 || r.Probes != 0 {
@@ -61,7 +61,7 @@
 func TestEightyRoutersBeginFromNothing(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
-		s := vast(seed)
+		s := largeFleet(seed)
 		s.Gate = true
 		s.Faults = []faults.Fault{{Kind: faults.Kill, At: 4 * time.Second, Length: 2 * time.Second, Routers: faults.Selection{All: true}},
 			{Kind: faults.Kill, At: 4 * time.Second, Length: time.Second, Hosts: faults.Selection{All: true}}}
@@ -94,7 +94,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			s := vast(1)
+			s := largeFleet(1)
 			for i := range s.Classes {
 				s.Classes[i].New = Length{200, 0.8}
 			}
@@ -117,7 +117,7 @@
 // less if decayWork in package balance does not keep the last measure of a warm host.
 func TestAllRefusedAtOnceComeBack(t *testing.T) {
 	for seed := range uint64(3) {
-		s := vast(seed)
+		s := largeFleet(seed)
 		for i := range s.Classes {
 			s.Classes[i].New = Length{200, 0.8}
 		}
--- a/internal/testbed/simulator/view_test.go
+++ b/internal/testbed/simulator/view_test.go
@@ -23,7 +23,7 @@
 			}
 			t.Parallel()
 			for seed := range *viewSeeds {
-				s := vast(seed)
+				s := largeFleet(seed)
 				s.View, s.Length = view, 11*time.Second
 				s.Disruptions = []Disruption{
 					{Kind: HostsDie, At: 4 * time.Second, Length: 2 * time.Second, Fraction: 0.33},
