--- a/internal/testbed/experiment/file.go
+++ b/internal/testbed/experiment/file.go
@@ -34,7 +34,7 @@
 	Rig Rig // configures runs on processes; has defaults if the file has no such block
 
 	disruptionSources []string // file and line of each trouble block
-	captured string   // path of the capture, relative to the experiment's file; empty for none
+	captured          string   // path of the capture, relative to the experiment's file; empty for none
 }
 
 // Variant is a named change to the Spec of an experiment, such as other settings of the decision
@@ -64,8 +64,8 @@
 }
 
 const (
-	maxSeeds = 10000
-	maxDuration      = 24 * time.Hour
+	maxSeeds    = 10000
+	maxDuration = 24 * time.Hour
 )
 
 // Read reads an experiment from a file, and its capture if it names one. The error for an invalid
--- a/internal/testbed/hostmodel/host.go
+++ b/internal/testbed/hostmodel/host.go
@@ -51,7 +51,7 @@
 	stepWork  time.Duration // time that a warm, idle host would take for the present step
 	stepTime  time.Duration // time that this host takes for the present step
 	plan      []stepWorkItem
-	extraWork time.Duration // work of handshakes and probes, for the next step
+	extraWork time.Duration // work of handshakes and probes, which lengthens the next step
 
 	meanFirstToken time.Duration // exponentially weighted mean time to the first token
 	report         Load
--- a/internal/testbed/simulator/client.go
+++ b/internal/testbed/simulator/client.go
@@ -21,7 +21,7 @@
 	prefixTokens  []int     // length of each prefix
 }
 
-// heavyTail is an active disruption that makes some prompts long.
+// heavyTail is an active disruption that makes a fraction of new prompts size times as long.
 type heavyTail struct {
 	disruption int
 	fraction   float64
@@ -287,15 +287,16 @@
 	}
 }
 
-// answer handles a router's final answer other than a stream. The client may retry.
+// answer handles a router's final answer that is not a stream: a refusal or a failure. The client
+// may retry after the time retryAfter.
 func (w *World) answer(r *router, id string, retryAfter time.Duration, how outcome) {
 	t := r.clientAttempts[id]
 	if t == nil || t.answered {
-		w.violated(ruleOneAnswer, id, r.number, string(how)+" for an attempt that is already answered or unknown")
+		w.violated(ruleOneAnswer, id, r.number, string(how)+" a second time, or of nobody")
 		return
 	}
 	if t.inFlight != nil {
-		w.violated(ruleOneAttempt, id, r.number, string(how)+" while an attempt at a host is in flight")
+		w.violated(ruleOneAttempt, id, r.number, string(how)+" while an attempt is out")
 		return
 	}
 	w.trace(string(how), id, r.number)
--- a/internal/testbed/simulator/disruption.go
+++ b/internal/testbed/simulator/disruption.go
@@ -85,7 +85,7 @@
 	}
 }
 
-// replaceHost removes a host for good and starts another of its group after a delay.
+// replaceHost removes a host permanently and starts a new host of the same group after a delay.
 func (w *World) replaceHost(old *host, delay time.Duration) {
 	old.state = balance.Removed
 	w.publishHost(old)
@@ -108,8 +108,8 @@
 	return isolated
 }
 
-// restartHost ends a host's process and starts another after a delay. Only the start is published
-// in the list.
+// restartHost ends a host's process and starts a new one after a delay. The list publishes only the
+// start.
 func (w *World) restartHost(h *host, after time.Duration) {
 	w.stopHost(h)
 	w.schedule(w.now+after, event{kind: hostStarts, number: h.number, generation: h.generation})
@@ -218,7 +218,7 @@
 var disruptionFault = map[DisruptionKind]string{SlowHosts: "slow", RouterCrash: "kill", HostsDie: "kill", Replace: "kill", Release: "drain", LostZone: "power", ListLost: "cut",
 	Burst: "burst", HeavyTail: "heavy_tail"}
 
-// emitDisruption records the begin of a disruption in the history, as the corresponding fault.
+// emitDisruption records the start of a disruption in the history, as the corresponding fault.
 func (w *World) emitDisruption(n int, t *Disruption, hit []int) {
 	e := history.Event{What: history.Fault, N: firstDisruptionNumber + n, Text: disruptionFault[t.Kind], Hosts: hit}
 	switch t.Kind {
--- a/internal/testbed/simulator/faults.go
+++ b/internal/testbed/simulator/faults.go
@@ -99,7 +99,7 @@
 	})
 }
 
-// Fits reports whether an event is the one that a fault waits for.
+// Fits reports whether an event matches the condition on which a fault waits.
 func Fits(when *faults.When, e *history.Event) bool {
 	return string(e.What) == when.What && (when.Who == "" || when.Who == e.Who) && strings.Contains(e.Text, when.Text)
 }
@@ -110,7 +110,7 @@
 
 func routerName(n int) string { return "r" + strconv.Itoa(n) }
 
-// FaultEvent returns the history event for the begin or the end of an injection.
+// FaultEvent returns the history event for the start or the end of an injection.
 func FaultEvent(what history.What, n int, s *faults.Injection) history.Event {
 	e := history.Event{What: what, N: n, Text: string(s.Kind), ID: s.Whom(), Routers: s.Routers, Hosts: s.Hosts}
 	if faults.Of(s.Kind).OfLinks() {
@@ -149,7 +149,7 @@
 	}
 }
 
-// faultEnds ends a fault: processes start again, links are repaired.
+// faultEnds ends a fault: it restarts the killed processes, or removes the effect on links and hosts.
 func (w *World) faultEnds(n int) {
 	s := w.faults.injections[n]
 	w.trace("fault ends: "+string(s.Kind), "", n)
--- a/internal/testbed/simulator/hostattempts.go
+++ b/internal/testbed/simulator/hostattempts.go
@@ -21,8 +21,8 @@
 	load         *balance.Load
 }
 
-// sendHostMessage sends a message to the attempt's router. Messages of one attempt do not overtake
-// one another.
+// sendHostMessage sends a message to the attempt's router. Messages about one attempt arrive in the
+// order in which they were sent.
 func (w *World) sendHostMessage(h *host, a *attempt, message *hostMessage) {
 	if h.isolated { // the message is lost; the attempt is reset when the host is reconnected
 		h.undelivered = append(h.undelivered, a)
@@ -97,7 +97,7 @@
 	if !h.isolated || h.isolations != isolation {
 		return
 	}
-	all := slices.Clone(h.undelivered) // the host may have finished these
+	all := slices.Clone(h.undelivered) // the host may have finished these attempts, so they may be missing from h.attempts
 	for _, id := range slices.Sorted(maps.Keys(h.attempts)) {
 		all = append(all, h.attempts[id])
 	}
--- a/internal/testbed/simulator/hosts.go
+++ b/internal/testbed/simulator/hosts.go
@@ -10,7 +10,7 @@
 	"reachspread/internal/testbed/hostmodel"
 )
 
-// host is one machine, and the model of its process.
+// host is a simulated machine with the model of its process.
 type host struct {
 	number     int
 	id         string
@@ -81,7 +81,7 @@
 			w.result.Preempted++
 		case hostmodel.Overloaded:
 			w.emit(history.Event{What: history.HostOverloaded, Who: h.id})
-			w.violated(ruleSlowStart, h.id, h.number, "failed from overload")
+			w.violated(ruleSlowStart, h.id, h.number, "fell over")
 		}
 	}
 	at, ok := h.model.Next()
@@ -156,8 +156,8 @@
 	}
 }
 
-// startHost starts a host's process again, with its slow start. It does nothing if another process
-// was started since the event was scheduled.
+// startHost restarts a host's process, which begins its slow start. It does nothing if the host has
+// been restarted or removed since the event was scheduled.
 func (w *World) startHost(h *host, gen int) {
 	if h.alive || h.removed || h.generation != gen {
 		return
--- a/internal/testbed/simulator/result.go
+++ b/internal/testbed/simulator/result.go
@@ -163,5 +163,5 @@
 	return r.Value / r.Asked
 }
 
-// finish completes the Result.
+// finish completes the Result at the end of the simulation.
 func (w *World) finish() { w.result.MostOpen = max(w.result.MostOpen, w.openRequests) }
--- a/internal/testbed/simulator/rules.go
+++ b/internal/testbed/simulator/rules.go
@@ -18,7 +18,7 @@
 type Violation struct {
 	Seed uint64
 	At   time.Duration
-	Rule string
+	Rule string // name of the broken rule
 	Text string
 	Last []string // the events before the violation, the most recent one last
 }
@@ -44,7 +44,7 @@
 	w.violation = v
 }
 
-// The rules' names.
+// The names of the rules, which are stored with the results of a run.
 const (
 	ruleOneAnswer  = "one final answer for each request"
 	ruleInTime     = "the final answer comes before its client gives up"
@@ -67,7 +67,7 @@
 	case !listed:
 		w.violated(ruleListed, id, r.number, "to "+to)
 	case r.known[h].draining && w.now > r.known[h].since+drainSlack:
-		w.violated(ruleDrain, id, r.number, fmt.Sprintf("to %s, %v after the list marked it as draining", to, w.now-r.known[h].since))
+		w.violated(ruleDrain, id, r.number, fmt.Sprintf("to %s, %v after the news", to, w.now-r.known[h].since))
 	default:
 		return true
 	}
--- a/internal/testbed/simulator/spec.go
+++ b/internal/testbed/simulator/spec.go
@@ -20,9 +20,9 @@
 // Spec configures a simulation.
 type Spec struct {
 	Seed    uint64
-	Length  time.Duration // sessions begin until then; open requests run to their end
+	Length  time.Duration // clients make requests until this time; open requests run to their end
 	Learned bool          // a restarted router restores what its last process had learned, as from a snapshot
-	Gate    bool          // routers admit classes by the capacity of hosts in slow start, as in package recovery
+	Gate    bool          // routers use the gate of package recovery, which admits classes by the capacity of hosts in slow start
 	Tick    time.Duration // interval at which a router handles its queued events
 
 	Groups  []Group
@@ -75,18 +75,18 @@
 	Prefixes   int           // number of prompt prefixes that sessions share; 0 for none
 	Zipf       float64       // exponent of the Zipf distribution of the prefixes
 	PrefixLen  Length
-	Patience   float64 // share of the deadline that an attempt waits; 0 counts as 1
+	Patience   float64 // fraction of a request's time limit that a client waits for one attempt; 0 counts as 1
 }
 
 // Length is a log-normal distribution of lengths in tokens.
 type Length struct {
 	Median float64
-	Sigma  float64 // of the logarithm
+	Sigma  float64 // standard deviation of the logarithm
 }
 
 // Network configures the one-way delays of messages and the timeouts of connections.
 type Network struct {
-	Same, Cross       time.Duration // within a zone, and between two
+	Same, Cross       time.Duration // delay within a zone, and between two zones
 	Jitter            float64       // each message takes longer by up to this fraction
 	Connect           time.Duration // timeout for establishing a connection
 	Idle              time.Duration // timeout after which an idle connection is closed
--- a/internal/testbed/simulator/world.go
+++ b/internal/testbed/simulator/world.go
@@ -20,8 +20,8 @@
 type World struct {
 	spec              Spec
 	queue             queue
-	now               time.Duration // since the beginning
-	networkRand       *rand.Rand    // delays on the network
+	now               time.Duration // present time since the beginning of the simulation
+	networkRand       *rand.Rand    // delays of messages and lists, and lost peer messages
 	disruptionRand    *rand.Rand    // targets of disruptions
 	classes           []*load
 	zones             []string
