--- a/internal/testbed/simulator/client.go
+++ b/internal/testbed/simulator/client.go
@@ -21,7 +21,7 @@
 	prefixTokens  []int     // length of each prefix
 }
 
-// heavyTail is an active disruption that makes some prompts long.
+// heavyTail is an active disruption that makes a fraction of new prompts size times as long.
 type heavyTail struct {
 	disruption int
 	fraction   float64
@@ -287,21 +287,22 @@
 	}
 }
 
-// answer handles a router's final answer other than a stream. The client may retry.
-func (w *World) answer(r *router, id string, away time.Duration, how outcome) {
+// answer handles a router's final answer that is not a stream: a refusal or a failure. The client
+// may retry after the time retryAfter.
+func (w *World) answer(r *router, id string, retryAfter time.Duration, how outcome) {
 	t := r.clientAttempts[id]
 	if t == nil || t.answered {
-		w.violated(ruleOneAnswer, id, r.number, string(how)+" for an attempt that is already answered or unknown")
+		w.violated(ruleOneAnswer, id, r.number, string(how)+" a second time, or of nobody")
 		return
 	}
 	if t.inFlight != nil {
-		w.violated(ruleOneAttempt, id, r.number, string(how)+" while an attempt at a host is in flight")
+		w.violated(ruleOneAttempt, id, r.number, string(how)+" while an attempt is out")
 		return
 	}
 	w.trace(string(how), id, r.number)
 	w.emitAnswer(t, how)
 	r.closeClientAttempt(t)
-	w.retryOrGiveUp(t.request, away, how)
+	w.retryOrGiveUp(t.request, retryAfter, how)
 }
 
 // emitAnswer records the outcome of a client's attempt in the history.
@@ -312,10 +313,10 @@
 var answerKinds = map[outcome]history.How{served: history.Complete, refused: history.Refused, failed: history.Failed, interrupted: history.Broken}
 
 // retryOrGiveUp schedules a client's retry, or ends the request.
-func (w *World) retryOrGiveUp(f *request, away time.Duration, how outcome) {
+func (w *World) retryOrGiveUp(f *request, retryAfter time.Duration, how outcome) {
 	wait := w.spec.Retries.After + time.Duration(f.rng.Float64()*float64(w.spec.Retries.After))
 	if w.spec.Retries.Heed {
-		wait = max(wait, away)
+		wait = max(wait, retryAfter)
 	}
 	if f.attempts > w.spec.Retries.Max || w.now+wait >= f.startedAt+f.patience() {
 		w.endRequest(f, how, 0, 0, 0)
