--- a/internal/testbed/fleetdemo/fleetdemo.go
+++ b/internal/testbed/fleetdemo/fleetdemo.go
@@ -135,14 +135,14 @@
 func (d *demo) runSteps(ctx context.Context) error {
 	d.loadStart = time.Now()
 	d.scenario.StartTraffic()
-	for _, h := range d.steps() {
-		if !d.waitUntil(ctx, time.Duration(h.fraction*float64(d.options.Length))) {
+	for _, s := range d.steps() {
+		if !d.waitUntil(ctx, time.Duration(s.fraction*float64(d.options.Length))) {
 			return ctx.Err()
 		}
-		d.events = append(d.events, event{time.Since(d.loadStart), h.text})
-		fmt.Fprintf(d.options.Out, "%5.1fs  %s\n", time.Since(d.loadStart).Seconds(), h.text)
-		if err := h.run(ctx); err != nil {
-			return fmt.Errorf("%s: %w", h.text, err)
+		d.events = append(d.events, event{time.Since(d.loadStart), s.text})
+		fmt.Fprintf(d.options.Out, "%5.1fs  %s\n", time.Since(d.loadStart).Seconds(), s.text)
+		if err := s.run(ctx); err != nil {
+			return fmt.Errorf("%s: %w", s.text, err)
 		}
 	}
 	if !d.waitUntil(ctx, d.options.Length) {
--- a/internal/testbed/pintest/judge_test.go
+++ b/internal/testbed/pintest/judge_test.go
@@ -15,9 +15,9 @@
 	is := is.New(t)
 	s := &Scenario{pins: []period{{from: at(0), until: at(12)}, {version: 2, from: at(10), until: at(22)}, {version: 1, from: at(20)}}}
 	for _, c := range []struct {
-		sent, came int
-		version    int64
-		allowed    bool
+		sent, answered int
+		version        int64
+		allowed        bool
 	}{
 		{1, 2, 7, true},    // no pin was requested yet
 		{11, 11, 7, true},  // the pin was requested, but not acknowledged
@@ -29,7 +29,7 @@
 		{23, 24, 2, false},
 		{23, 24, 1, true},
 	} {
-		is.Equal(s.allowed(Request{Sent: at(c.sent), Answered: at(c.came), Version: c.version}), c.allowed)
+		is.Equal(s.allowed(Request{Sent: at(c.sent), Answered: at(c.answered), Version: c.version}), c.allowed)
 	}
 }
 
--- a/internal/testbed/scaletest/run.go
+++ b/internal/testbed/scaletest/run.go
@@ -145,7 +145,7 @@
 		}
 	}
 	all := f.plan.Members()
-	everybody := func(bool) int { return all }
+	allMembers := func(bool) int { return all }
 	for _, h := range f.hollows {
 		if err := h.start(f.seeds); err != nil {
 			return nil, err
@@ -156,12 +156,12 @@
 			return nil, err
 		}
 	}
-	await("all join at once", everybody)
+	await("all join at once", allMembers)
 	sleep(ctx, f.plan.Quiesce)
 	if err := f.measure(ctx, result); err != nil {
 		return nil, err
 	}
-	await("calm again", everybody)
+	await("calm again", allMembers)
 
 	victim := f.hollows[len(f.hollows)-1]
 	victim.crash()
@@ -169,7 +169,7 @@
 	if err := victim.start(f.seeds); err != nil {
 		return nil, err
 	}
-	await("a join", everybody)
+	await("a join", allMembers)
 
 	far := f.plan.Hollow / 2
 	f.network.partitioned.Store(true)
@@ -181,7 +181,7 @@
 	})
 	sleep(ctx, f.plan.Apart)
 	f.network.partitioned.Store(false)
-	await("both together again", everybody)
+	await("both together again", allMembers)
 	return result, ctx.Err()
 }
 
--- a/internal/testbed/scoreanalysis/requests.go
+++ b/internal/testbed/scoreanalysis/requests.go
@@ -31,29 +31,29 @@
 
 // Mechanisms, limits for their choice, and results of attempts as numbers of balance.Result.
 const (
-	InTime            Mechanism = ""
-	TooLarge          Mechanism = "late: too large for its aim"
-	BehindKnown       Mechanism = "late: behind prompts that its router knew of"
-	BehindUnknown     Mechanism = "late: behind prompts that its router did not know of, or at a slow host"
-	LateAgain         Mechanism = "late after an attempt that came to nothing"
-	NoConnection      Mechanism = "refused: no host took a connection, and budget or attempts were spent"
-	TurnedAway        Mechanism = "refused: its hosts were full"
-	BrokenBefore      Mechanism = "broken by its host before the first event"
-	BrokenAfter       Mechanism = "broken by its host within the stream"
-	Unanswered        Mechanism = "no answer until the client left"
-	LeftBehind        Mechanism = "given up by the client within the stream"
-	NeverSent         Mechanism = "never sent"
-	foreseenFraction            = 0.8 // fraction of the time left; if the expected first token is later, the router expected the request to be late
-	surpriseFactor              = 1.5 // multiple of the expected first token; if the first token is later, the router did not know the cause
-	largePromptTokens           = 20_000
-	resultOK                    = 0
-	resultFull                  = 2
-	resultTimedOut              = 3
-	resultNoConn                = 4
-	resultReset                 = 5
-	resultCancelled             = 6
-	resultNotSent               = 7
-	minAttemptFields            = 8
+	InTime             Mechanism = ""
+	TooLarge           Mechanism = "late: too large for its aim"
+	BehindKnown        Mechanism = "late: behind prompts that its router knew of"
+	BehindUnknown      Mechanism = "late: behind prompts that its router did not know of, or at a slow host"
+	LateAfterRetry     Mechanism = "late after an attempt that came to nothing"
+	NoConnection       Mechanism = "refused: no host took a connection, and budget or attempts were spent"
+	HostsFull          Mechanism = "refused: its hosts were full"
+	BrokenBeforeStream Mechanism = "broken by its host before the first event"
+	BrokenInStream     Mechanism = "broken by its host within the stream"
+	Unanswered         Mechanism = "no answer until the client left"
+	CancelledInStream  Mechanism = "given up by the client within the stream"
+	NeverSent          Mechanism = "never sent"
+	foreseenFraction             = 0.8 // fraction of the time left; if the expected first token is later, the router expected the request to be late
+	surpriseFactor               = 1.5 // multiple of the expected first token; if the first token is later, the router did not know the cause
+	largePromptTokens            = 20_000
+	resultOK                     = 0
+	resultFull                   = 2
+	resultTimedOut               = 3
+	resultNoConn                 = 4
+	resultReset                  = 5
+	resultCancelled              = 6
+	resultNotSent                = 7
+	minAttemptFields             = 8
 )
 
 // request is one parsed line: the aim in ms, the prompt in tokens and the attempts.
@@ -78,13 +78,13 @@
 	case last.first < 0:
 		return last.withoutAnswer()
 	case last.result == resultCancelled:
-		return LeftBehind
+		return CancelledInStream
 	case last.result != resultOK:
-		return BrokenAfter
+		return BrokenInStream
 	case last.sent+last.first <= r.aim:
 		return InTime
 	case len(r.attempts) > 1:
-		return LateAgain
+		return LateAfterRetry
 	}
 	return last.lateness(r.aim)
 }
@@ -95,11 +95,11 @@
 	case resultNoConn, resultNotSent:
 		return NoConnection
 	case resultFull:
-		return TurnedAway
+		return HostsFull
 	case resultCancelled, resultTimedOut:
 		return Unanswered
 	}
-	return BrokenBefore
+	return BrokenBeforeStream
 }
 
 // lateness returns why the first token was later than the aim.
--- a/internal/testbed/scoreanalysis/requests_test.go
+++ b/internal/testbed/scoreanalysis/requests_test.go
@@ -24,14 +24,14 @@
 		{"a surprise", []string{"h,0.1,500.0,600.0,60.0,0,700,700,true,1.00,2"}, BehindUnknown},
 		{"foreseen", []string{"h,0.1,500.0,600.0,450.0,0,20700,700,true,1.00,2"}, BehindKnown},
 		{"too large", []string{"h,0.1,900.0,990.0,850.0,0,40000,40000,true,1.00,2"}, TooLarge},
-		{"second attempt, late", []string{"h,0.1,-1.0,300.0,60.0,5,700,700,true,1.00,2", "i,300.5,150.0,200.0,60.0,0,700,700,false,1.00,2"}, LateAgain},
+		{"second attempt, late", []string{"h,0.1,-1.0,300.0,60.0,5,700,700,true,1.00,2", "i,300.5,150.0,200.0,60.0,0,700,700,false,1.00,2"}, LateAfterRetry},
 		{"second attempt, in time", []string{"h,0.1,-1.0,3.0,60.0,4,700,700,true,1.00,2", "i,3.5,150.0,200.0,60.0,0,700,700,false,1.00,2"}, InTime},
 		{"no connection", []string{"h,0.1,-1.0,3.0,60.0,4,700,700,true,1.00,2"}, NoConnection},
-		{"full", []string{"h,0.1,-1.0,3.0,60.0,2,700,700,true,1.00,2"}, TurnedAway},
-		{"reset", []string{"h,0.1,-1.0,3.0,60.0,5,700,700,true,1.00,2"}, BrokenBefore},
-		{"a stream cut", []string{"h,0.1,50.0,80.0,60.0,5,700,700,true,1.00,2"}, BrokenAfter},
+		{"full", []string{"h,0.1,-1.0,3.0,60.0,2,700,700,true,1.00,2"}, HostsFull},
+		{"reset", []string{"h,0.1,-1.0,3.0,60.0,5,700,700,true,1.00,2"}, BrokenBeforeStream},
+		{"a stream cut", []string{"h,0.1,50.0,80.0,60.0,5,700,700,true,1.00,2"}, BrokenInStream},
 		{"silence", []string{"h,0.1,-1.0,3000.0,60.0,6,700,700,true,1.00,2"}, Unanswered},
-		{"left within the stream", []string{"h,0.1,50.0,3000.0,60.0,6,700,700,true,1.00,2"}, LeftBehind},
+		{"left within the stream", []string{"h,0.1,50.0,3000.0,60.0,6,700,700,true,1.00,2"}, CancelledInStream},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
