--- a/internal/testbed/hostmodel/host.go
+++ b/internal/testbed/hostmodel/host.go
@@ -436,14 +436,14 @@
 	more := alignToBlock(length, h.config.Block) - base
 	old := h.cache.sequences[key]
 	if old != nil && (old.parent != prefix || old.tokens < more) {
-		ownUse := 0
+		selfUses := 0
 		if r.cached[1] == old {
-			ownUse = 1
+			selfUses = 1
 		}
-		if old.users > ownUse { // another request of the session still uses it
+		if old.users > selfUses { // another request of the session still uses it
 			return
 		}
-		if ownUse == 1 {
+		if selfUses == 1 {
 			r.memoryTokens += old.tokens // the tokens of the dropped sequence now count as the request's own
 			h.runningTokens += old.tokens
 			h.cache.unpin(old, now)
