--- a/internal/testbed/scoreanalysis/print.go
+++ b/internal/testbed/scoreanalysis/print.go
@@ -7,14 +7,16 @@
 	"text/tabwriter"
 )
 
-// shownCauses is how many causes of a day are printed; what took less than leastShown is not.
+// Print shows at most shownCauses causes of a day, and no cause that took less worth than
+// leastShown.
 const (
 	shownCauses = 8
 	leastShown  = 0.0005
 )
 
-// Print writes what each day lost, and what was lost on average. Beside is an account of other
-// plays of the same days, nil for none: its figures come as differences.
+// Print writes what each day of a lost, and the mean loss of each cause. If compared is not nil, it
+// is the account of other plays of the same days, and Print adds the differences from its figures in
+// parentheses.
 func Print(w io.Writer, a, compared *Account) {
 	if a.ID != "" {
 		fmt.Fprintf(w, "%s, entry %s: %s\n", a.Site, a.ID, a.Why)
@@ -33,7 +35,7 @@
 	fmt.Fprintf(t, "mean\t\t\t\t%s\n", causesText(a.Mean(), meanOf(compared)))
 }
 
-// meanOf is the mean of an account as a day, nil for none.
+// meanOf returns the mean losses of an account in the form of a day, or nil if a is nil.
 func meanOf(a *Account) *Day {
 	if a == nil {
 		return nil
--- a/internal/testbed/scoreanalysis/stored_test.go
+++ b/internal/testbed/scoreanalysis/stored_test.go
@@ -9,11 +9,11 @@
 	"reachspread/internal/testbed/golden"
 )
 
-// incident.json and run.json are entries of this repository's journal as the fleet's bench wrote
-// them (44e275c5 and 981af365). What Print says of them was written at commit 5bfcc27:
-// WRITE_GOLDEN=1 go test -run Golden.
+// incident.json and run.json are entries 44e275c5 and 981af365 of this repository's journal, as the
+// fleet's bench wrote them. The golden files hold the output of Print for these entries. They were
+// made at commit 5bfcc27 by WRITE_GOLDEN=1 go test -run Golden.
 
-// An entry of the journal is read to the same account as before.
+// Read and Print still give the same account of a journal entry as at commit 5bfcc27.
 func TestGoldenEntries(t *testing.T) {
 	accounts := map[string]*Account{}
 	for _, name := range []string{"incident", "run"} {
