--- a/internal/testbed/pairedruns/pairedruns.go
+++ b/internal/testbed/pairedruns/pairedruns.go
@@ -126,7 +126,7 @@
 
 func (r *Result) difference(site, day string, figure func(*scoreanalysis.Day) float64) Difference {
 	var each []float64
-	for _, p := range r.chosen(site, day) {
+	for _, p := range r.playsBefore(site, day) {
 		other := p
 		other.Version = After
 		each = append(each, figure(r.played[other])-figure(r.played[p]))
@@ -138,16 +138,16 @@
 // for all sites or all days.
 func (r *Result) Mean(v Version, site, day string) float64 {
 	sum, n := 0.0, 0.0
-	for _, p := range r.chosen(site, day) {
+	for _, p := range r.playsBefore(site, day) {
 		p.Version = v
 		sum, n = sum+r.played[p].Worth, n+1
 	}
 	return sum / n
 }
 
-// chosen returns the plays of a site and a day with the version before the change. An empty name
+// playsBefore returns the plays of a site and a day with the version before the change. An empty name
 // stands for all sites or all days.
-func (r *Result) chosen(site, day string) []Play {
+func (r *Result) playsBefore(site, day string) []Play {
 	return slices.DeleteFunc(r.plan.plays(), func(p Play) bool {
 		return p.Version != Before || site != "" && p.Site != site || day != "" && p.Day != day
 	})
--- a/internal/testbed/pairedruns/print.go
+++ b/internal/testbed/pairedruns/print.go
@@ -11,9 +11,9 @@
 	"text/tabwriter"
 )
 
-// shownCauses is the maximum number of causes in a row. A row names the causes whose loss changed
+// maxShownCauses is the maximum number of causes in a row. A row names the causes whose loss changed
 // most.
-const shownCauses = 4
+const maxShownCauses = 4
 
 // Print writes a row for each site and day. It adds a row for each site if there are several days,
 // and a row for all sites if there are several sites. Rows for plays with broken rules follow.
@@ -60,7 +60,7 @@
 	size := func(cause string) float64 { return math.Abs(r.Lost(site, day, cause).Mean) }
 	causes := slices.SortedFunc(slices.Values(r.Causes()), func(a, b string) int { return cmp.Compare(size(b), size(a)) })
 	var columns []string
-	for _, cause := range causes[:min(len(causes), shownCauses)] {
+	for _, cause := range causes[:min(len(causes), maxShownCauses)] {
 		columns = append(columns, fmt.Sprintf("%s %s", cause, r.Lost(site, day, cause)))
 	}
 	return strings.Join(columns, ", ")
--- a/internal/testbed/pintest/judge.go
+++ b/internal/testbed/pintest/judge.go
@@ -20,11 +20,11 @@
 	Violations                []string // one line for each violation
 }
 
-// judge checks all requests and reports the violations. An answer violates the rules if it is
+// findViolations checks all requests and reports the violations. An answer violates the rules if it is
 // incomplete, belongs to another request, or comes from a version that was not pinned at any time
 // between the request and the answer. An unsafe request that was executed more than once is also a
 // violation.
-func (s *Scenario) judge() Report {
+func (s *Scenario) findViolations() Report {
 	r := Report{Requests: len(s.requests), Changes: len(s.pins) - 1}
 	path := map[string]string{}
 	for _, a := range s.requests {
--- a/internal/testbed/pintest/scenario.go
+++ b/internal/testbed/pintest/scenario.go
@@ -121,5 +121,5 @@
 func (s *Scenario) Finish() Report {
 	close(s.stop)
 	s.clients.Wait()
-	return s.judge()
+	return s.findViolations()
 }
--- a/internal/testbed/processexit/processexit.go
+++ b/internal/testbed/processexit/processexit.go
@@ -23,8 +23,8 @@
 	_      [100]byte
 }
 
-// exitedByItself is CLD_EXITED, the code of a child that exited and was not killed by a signal.
-const exitedByItself = 1
+// codeExited is CLD_EXITED, the code of a child that exited and was not killed by a signal.
+const codeExited = 1
 
 // Await waits until a child has ended. It returns the exit status of the child, or -1 and the signal
 // that killed the child. It does not reap the child. It returns an error if the child has already
@@ -38,7 +38,7 @@
 			continue
 		case errno != 0:
 			return 0, 0, fmt.Errorf("wait for process %d: %w", pid, errno)
-		case info.code == exitedByItself:
+		case info.code == codeExited:
 			return int(info.status), 0, nil
 		}
 		return -1, syscall.Signal(info.status), nil
--- a/internal/testbed/scoreanalysis/print.go
+++ b/internal/testbed/scoreanalysis/print.go
@@ -7,11 +7,11 @@
 	"text/tabwriter"
 )
 
-// Print shows at most shownCauses causes of a day, and no cause that took less worth than
-// leastShown.
+// Print shows at most maxShownCauses causes of a day, and no cause that took less worth than
+// minShownLoss.
 const (
-	shownCauses = 8
-	leastShown  = 0.0005
+	maxShownCauses = 8
+	minShownLoss   = 0.0005
 )
 
 // Print writes what each day of a lost, and the mean loss of each cause. If compared is not nil, it
@@ -66,8 +66,8 @@
 
 func causesText(all []Loss, other *Day) string {
 	var columns []string
-	for _, l := range all[:min(len(all), shownCauses)] {
-		if l.Worth < leastShown {
+	for _, l := range all[:min(len(all), maxShownCauses)] {
+		if l.Worth < minShownLoss {
 			break
 		}
 		column := fmt.Sprintf("%s %.3f", l.Cause, l.Worth)
--- a/internal/testbed/scoreanalysis/scoreanalysis.go
+++ b/internal/testbed/scoreanalysis/scoreanalysis.go
@@ -86,8 +86,8 @@
 	Days          []Day
 }
 
-// mostBytes is the maximum size of a file.
-const mostBytes = 64 << 20
+// maxFileBytes is the maximum size of a file.
+const maxFileBytes = 64 << 20
 
 // errNoDay is the error for a file that contains no day.
 var errNoDay = errors.New("the file has no day: it is neither a journal entry of a score, hunt or run, nor a report")
@@ -95,7 +95,7 @@
 // Read reads a journal entry or a report.
 func Read(from io.Reader) (*Account, error) {
 	e := &entry{}
-	if err := json.NewDecoder(io.LimitReader(from, mostBytes)).Decode(e); err != nil {
+	if err := json.NewDecoder(io.LimitReader(from, maxFileBytes)).Decode(e); err != nil {
 		return nil, fmt.Errorf("the file is neither a journal entry nor a report: %w", err)
 	}
 	a := &Account{Site: e.Site, ID: e.ID, Why: e.Why}
